--- a/crates/emberpin-sounding/src/run.rs
+++ b/crates/emberpin-scale/src/run.rs
@@ -21,7 +21,7 @@
 const APART: Duration = Duration::from_millis(200);
 /// The roles' figures at rest.
 const REST: [&str; 3] =
-    ["keeper: CPU at rest, ms/s", "lookout: CPU at rest, ms/s", "pilot: CPU at rest, ms/s"];
+    ["store: CPU at rest, ms/s", "registry: CPU at rest, ms/s", "proxy: CPU at rest, ms/s"];
 /// Servers that answer, and clients in closed loops.
 const STAND_INS: usize = 2;
 const CLIENTS: usize = 2;
@@ -54,7 +54,7 @@
     /// Requests of each client in each of two batches, and the longest time for one.
     pub requests: (usize, Duration),
     /// Servers that start in each of two batches.
-    pub lives: usize,
+    pub instances: usize,
     /// Limiters that come anew in each of two batches.
     pub snapshots: usize,
 }
@@ -68,7 +68,7 @@
             windows: 3,
             changes: 8,
             requests: (1_000, Duration::from_secs(2)),
-            lives: 40,
+            instances: 40,
             snapshots: 15,
         }
     }
@@ -81,7 +81,7 @@
             windows: 2,
             changes: 2,
             requests: (50, Duration::from_secs(2)),
-            lives: 4,
+            instances: 4,
             snapshots: 3,
         }
     }
@@ -106,9 +106,9 @@
 /// The three programs.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    keeper: PathBuf,
-    lookout: PathBuf,
-    pilot: PathBuf,
+    store: PathBuf,
+    registry: PathBuf,
+    proxy: PathBuf,
 }
 
 impl Programs {
@@ -127,9 +127,9 @@
             }
         };
         Ok(Programs {
-            keeper: program("emberpin-keeper")?,
-            lookout: program("emberpin-lookout")?,
-            pilot: program("emberpin-pilot")?,
+            store: program("emberpin-store")?,
+            registry: program("emberpin-registry")?,
+            proxy: program("emberpin-proxy")?,
         })
     }
 }
@@ -169,12 +169,12 @@
         fleet.load(batch, plan.requests, &mut figures).await?;
     }
     for batch in 0..2 {
-        fleet.churn(batch, plan.lives, &mut figures).await?;
+        fleet.churn(batch, plan.instances, &mut figures).await?;
         fleet.snapshots(plan.snapshots, &mut figures).await?;
     }
     let last = fleet.look()?;
     for (name, most) in
-        ["keeper, most KiB", "lookout, most KiB", "pilot, most KiB"].into_iter().zip(last.most)
+        ["store, most KiB", "registry, most KiB", "proxy, most KiB"].into_iter().zip(last.most)
     {
         note(&mut figures, name, most);
     }
@@ -191,15 +191,15 @@
     size: Size,
     places: Places,
     counts: Arc<Counts>,
-    keepers: Vec<Process>,
-    lookouts: Vec<Process>,
-    pilot: Process,
+    stores: Vec<Process>,
+    registries: Vec<Process>,
+    proxy: Process,
     ver: u64,
     /// Kept until the processes have ended, as fields are dropped in their order.
     _folder: tempfile::TempDir,
 }
 
-/// What was seen at one time; by role: keepers and lookouts (means), the pilot.
+/// What was seen at one time; by role: stores and lookouts (means), the proxy.
 struct Look {
     at: Instant,
     cpu: [f64; 3],
@@ -221,11 +221,11 @@
             std::fs::write(&path, texts::settings(&places, machine, disk.then_some(data.as_path())))?;
             io::Result::Ok(path)
         };
-        let (mut keepers, mut lookouts) = (Vec::new(), Vec::new());
+        let (mut stores, mut registries) = (Vec::new(), Vec::new());
         for core in &places.cores {
             let settings = file(*core, true)?;
-            keepers.push(Process::start(&programs.keeper, &settings)?);
-            lookouts.push(Process::start(&programs.lookout, &settings)?);
+            stores.push(Process::start(&programs.store, &settings)?);
+            registries.push(Process::start(&programs.registry, &settings)?);
         }
         let until = Instant::now() + LONG;
         let configuration = texts::configuration(&size);
@@ -233,7 +233,7 @@
             in_time(until, "the first configuration")?;
             sleep(APART).await;
         }
-        let pilot = Process::start(&programs.pilot, &file(places.edge, false)?)?;
+        let proxy = Process::start(&programs.proxy, &file(places.edge, false)?)?;
         let counts = Arc::<Counts>::default();
         hollow::stand_ins(STAND_INS, &places, &counts).await?;
         for number in 0..size.servers {
@@ -252,7 +252,7 @@
             in_time(until, "sessions, beats and the proxy")?;
             sleep(10 * LOOK).await;
         }
-        Ok(Fleet { size, places, counts, keepers, lookouts, pilot, ver: 1, _folder: folder })
+        Ok(Fleet { size, places, counts, stores, registries, proxy, ver: 1, _folder: folder })
     }
 
     fn look(&self) -> io::Result<Look> {
@@ -261,7 +261,7 @@
             Ok(values.iter().sum::<f64>() / values.len() as f64)
         };
         let roles = |of: fn(&Process) -> io::Result<f64>| {
-            io::Result::Ok([mean(&self.keepers, of)?, mean(&self.lookouts, of)?, of(&self.pilot)?])
+            io::Result::Ok([mean(&self.stores, of)?, mean(&self.registries, of)?, of(&self.proxy)?])
         };
         let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let between = process::sent().map(|sent| {
@@ -269,10 +269,7 @@
                 let own = processes.iter().filter_map(|process| sent.get(&(process.id(), port)));
                 own.sum::<u64>() as f64 / processes.len() as f64
             };
-            [
-                all(&self.keepers, self.places.keeper_port()),
-                all(&self.lookouts, self.places.keeper_port() + 1),
-            ]
+            [all(&self.stores, self.places.store_port()), all(&self.registries, self.places.store_port() + 1)]
         });
         Ok(Look {
             // Next to the times of the processors, which are what is divided by it.
@@ -342,7 +339,7 @@
         after.beyond(
             &before,
             count,
-            ["", "lookout: CPU for a new server, ms", "pilot: CPU for a new server, ms"],
+            ["", "registry: CPU for a new server, ms", "proxy: CPU for a new server, ms"],
             figures,
         );
         let told = (after.told - before.told) as f64 / self.size.limiters as f64;
@@ -356,11 +353,11 @@
         let before = self.look()?;
         for number in 0..count {
             let core = self.places.cores[number % self.places.cores.len()];
-            let bytes = hollow::snapshot(self.places.lookout(core)).await.map_err(io::Error::other)?;
+            let bytes = hollow::snapshot(self.places.registry(core)).await.map_err(io::Error::other)?;
             note(figures, "limiter: a snapshot, bytes", bytes as f64);
         }
         let each = count as f64 / self.places.cores.len() as f64;
-        self.look()?.beyond(&before, each, ["", "lookout: CPU for a snapshot, ms", ""], figures);
+        self.look()?.beyond(&before, each, ["", "registry: CPU for a snapshot, ms", ""], figures);
         Ok(())
     }
 
@@ -388,8 +385,8 @@
         let after = self.look()?;
         let rest = mean(figures, REST[2]);
         let spent = (after.cpu[2] - before.cpu[2]) * 1e3 - rest * after.seconds(&before);
-        note(figures, "pilot: CPU for a request, us", spent * 1e3 / done as f64);
-        note(figures, "pilot: requests answered in a batch", done as f64);
+        note(figures, "proxy: CPU for a request, us", spent * 1e3 / done as f64);
+        note(figures, "proxy: requests answered in a batch", done as f64);
         Ok(())
     }
 }
@@ -414,7 +411,7 @@
             note(figures, name, (self.cpu[role] - before.cpu[role]) * 1e3 / seconds);
         }
         for (role, name) in
-            ["keeper: RSS, KiB", "lookout: RSS, KiB", "pilot: RSS, KiB"].into_iter().enumerate()
+            ["store: RSS, KiB", "registry: RSS, KiB", "proxy: RSS, KiB"].into_iter().enumerate()
         {
             note(figures, name, self.memory[role]);
         }
@@ -423,8 +420,8 @@
         note(figures, "limiter: said at rest, bytes/s", each(self.said, before.said));
         note(figures, "all: beats acknowledged, 1/s", (self.beats - before.beats) as f64 / seconds);
         if let Some((now, then)) = self.between.zip(before.between) {
-            note(figures, "keeper: to other keepers at rest, bytes/s", (now[0] - then[0]) / seconds);
-            note(figures, "lookout: to other lookouts at rest, bytes/s", (now[1] - then[1]) / seconds);
+            note(figures, "store: to other stores at rest, bytes/s", (now[0] - then[0]) / seconds);
+            note(figures, "registry: to other registries at rest, bytes/s", (now[1] - then[1]) / seconds);
         }
     }
 
@@ -432,14 +429,14 @@
     fn changes(&self, before: &Look, count: usize, size: Size, figures: &mut Figures) {
         let (seconds, count) = (self.seconds(before), count as f64);
         let names =
-            ["keeper: CPU for a change, ms", "lookout: CPU for a change, ms", "pilot: CPU for a change, ms"];
+            ["store: CPU for a change, ms", "registry: CPU for a change, ms", "proxy: CPU for a change, ms"];
         self.beyond(before, count, names, figures);
         let told = (self.told - before.told) as f64 / size.limiters as f64;
         let rest = mean(figures, "limiter: told at rest, bytes/s") * seconds;
         note(figures, "limiter: told for a change, bytes", (told - rest) / count);
         if let Some((now, then)) = self.between.zip(before.between) {
-            let rest = mean(figures, "keeper: to other keepers at rest, bytes/s") * seconds;
-            note(figures, "keeper: to other keepers for a change, bytes", (now[0] - then[0] - rest) / count);
+            let rest = mean(figures, "store: to other stores at rest, bytes/s") * seconds;
+            note(figures, "store: to other stores for a change, bytes", (now[0] - then[0] - rest) / count);
         }
     }
 }
--- a/crates/emberpin-sounding/src/texts.rs
+++ b/crates/emberpin-scale/src/texts.rs
@@ -29,12 +29,12 @@
     }
 
     /// Where registries hear limiters.
-    pub fn lookout(&self, core: Ipv4Addr) -> SocketAddr {
+    pub fn registry(&self, core: Ipv4Addr) -> SocketAddr {
         (core, self.port + 1).into()
     }
 
     /// The port of stores.
-    pub fn keeper_port(&self) -> u16 {
+    pub fn store_port(&self) -> u16 {
         self.port
     }
 
--- a/crates/emberpin-sounding/tests/parts.rs
+++ b/crates/emberpin-scale/tests/parts.rs
@@ -1,13 +1,13 @@
 //! The parts that need no process.
 #![allow(missing_docs)]
 
-use emberpin_berth::settings::Settings;
-use emberpin_sounding::fit::{extrapolate, line, Line};
-use emberpin_sounding::process::{kib, read_sent};
-use emberpin_sounding::report;
-use emberpin_sounding::run::{Figures, Sample};
-use emberpin_sounding::size::{self, Dimension, Size, BASE, DESIGN};
-use emberpin_sounding::texts::{self, Places};
+use emberpin_runtime::settings::Settings;
+use emberpin_scale::fit::{extrapolate, line, Line};
+use emberpin_scale::process::{kib, read_sent};
+use emberpin_scale::report;
+use emberpin_scale::run::{Figures, Sample};
+use emberpin_scale::size::{self, Dimension, Size, BASE, DESIGN};
+use emberpin_scale::texts::{self, Places};
 use googletest::prelude::*;
 use std::net::Ipv4Addr;
 use std::path::Path;
@@ -79,7 +79,7 @@
     let places = places();
     let core = texts::settings(&places, places.cores[1], Some(Path::new("/data")));
     let core = Settings::read(&core, "core").expect("settings");
-    expect_that!((core.keeper_port(), core.lookout_port()), eq((7_000, 7_001)));
+    expect_that!((core.store_port(), core.registry_port()), eq((7_000, 7_001)));
     expect_that!((core.ctl, core.http), eq((Some(places.ctl(places.cores[1])), None)));
     expect_that!((core.zone.as_str(), core.seeds.len(), core.bootstrap), eq(("z1", 3, true)));
     expect_that!(core.datadir.is_some(), eq(true));
@@ -119,15 +119,15 @@
 fn tables_say_what_is_run_and_what_is_computed() {
     let sample = |limiters: usize, values: [f64; 2]| Sample {
         size: BASE.with(Dimension::Limiters, limiters),
-        figures: Figures::from([("pilot: RSS, KiB", values.to_vec())]),
+        figures: Figures::from([("proxy: RSS, KiB", values.to_vec())]),
         reached: vec![],
         unheard: 0,
     };
     let samples = [sample(20, [100.0, 100.0]), sample(60, [140.0, 140.0])];
-    let there = report::estimate(&samples, &BASE, &DESIGN, "pilot: RSS, KiB").expect("an estimate");
+    let there = report::estimate(&samples, &BASE, &DESIGN, "proxy: RSS, KiB").expect("an estimate");
     expect_that!(there.value, near(560.0, 1e-6));
     let text = report::tables(&samples, &BASE, &DESIGN);
-    expect_that!(text, contains_substring("| pilot: RSS, KiB | 100 | 140 |"));
+    expect_that!(text, contains_substring("| proxy: RSS, KiB | 100 | 140 |"));
     expect_that!(text, contains_substring("none | none | none | 560 ± "));
     expect_that!(text, contains_substring("computed at 480/4200/860/98"));
 }
--- a/crates/emberpin-sounding/tests/quick.rs
+++ b/crates/emberpin-scale/tests/quick.rs
@@ -1,9 +1,9 @@
 //! All parts together, at two small sizes, with real processes.
 #![allow(missing_docs)]
 
-use emberpin_sounding::report;
-use emberpin_sounding::run::{measure, Plan, Programs};
-use emberpin_sounding::size::{self, Dimension};
+use emberpin_scale::report;
+use emberpin_scale::run::{measure, Plan, Programs};
+use emberpin_scale::size::{self, Dimension};
 use googletest::prelude::*;
 use std::path::Path;
 use std::process::Command;
@@ -11,10 +11,10 @@
 /// The programs of the same build; they are other packages', so nobody has built them if this package is
 /// tested alone.
 fn programs() -> Programs {
-    let folder = Path::new(env!("CARGO_BIN_EXE_emberpin-sounding")).parent().expect("a folder");
+    let folder = Path::new(env!("CARGO_BIN_EXE_emberpin-scale")).parent().expect("a folder");
     let mut build = Command::new(env!("CARGO"));
     build.args(["build", "--quiet", "--jobs", "2"]);
-    build.args(["-p", "emberpin-keeper", "-p", "emberpin-lookout", "-p", "emberpin-pilot"]);
+    build.args(["-p", "emberpin-store", "-p", "emberpin-registry", "-p", "emberpin-proxy"]);
     if folder.ends_with("release") {
         build.arg("--release");
     }
@@ -31,10 +31,10 @@
     for sample in &measured {
         expect_that!(sample.reached, eq(&vec![sample.size.limiters; 2 * plan.changes]));
         for figure in [
-            "keeper: CPU at rest, ms/s",
-            "lookout: CPU for a change, ms",
-            "pilot: CPU for a request, us",
-            "pilot: RSS, KiB",
+            "store: CPU at rest, ms/s",
+            "registry: CPU for a change, ms",
+            "proxy: CPU for a request, us",
+            "proxy: RSS, KiB",
             "limiter: told at rest, bytes/s",
         ] {
             expect_that!(sample.figures.get(figure), some(not(is_empty())));
--- a/crates/emberpin-basin/src/builds.rs
+++ b/crates/emberpin-simulator/src/builds.rs
@@ -1,21 +1,21 @@
 //! Wrong builds: each lacks one guard.
 
-use emberpin_fairway::guards::Guards as Fairway;
-use emberpin_muster::Guards as Muster;
-use emberpin_watch::guards::Guards as Watch;
+use emberpin_consensus::Guards as Consensus;
+use emberpin_membership::guards::Guards as Watch;
+use emberpin_routing::guards::Guards as Router;
 
 /// The guards of all cores that a run goes by.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Build {
-    pub(crate) muster: Muster,
+    pub(crate) consensus: Consensus,
     pub(crate) watch: Watch,
-    pub(crate) fairway: Fairway,
-    pub(crate) pilot: Pilot,
+    pub(crate) router: Router,
+    pub(crate) proxy: Proxy,
 }
 
 /// What keeps the model of a limiter right, as it keeps the limiter.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Pilot {
+pub(crate) struct Proxy {
     /// Only routes to known services are followed, and one for each place.
     pub in_force: bool,
     /// Ready only after the word of a registry that hears a majority.
@@ -26,9 +26,9 @@
     pub resumes: bool,
 }
 
-impl Default for Pilot {
-    fn default() -> Pilot {
-        Pilot { in_force: true, settled: true, leaves: true, resumes: true }
+impl Default for Proxy {
+    fn default() -> Proxy {
+        Proxy { in_force: true, settled: true, leaves: true, resumes: true }
     }
 }
 
@@ -70,32 +70,32 @@
             self.watch.returned = false;
         }
         let guard = match name {
-            "no-amnesia" => &mut self.muster.amnesia,
-            "no-promise" => &mut self.muster.promise,
-            "no-carry" => &mut self.muster.carry,
-            "no-joint" => &mut self.muster.joint,
-            "no-sync" => &mut self.muster.sync,
-            "no-lacking" => &mut self.muster.lacking,
-            "no-ballot" => &mut self.muster.ballot,
-            "no-newest" => &mut self.muster.newest,
-            "no-whole" => &mut self.muster.whole,
-            "no-late" => &mut self.muster.late,
-            "no-spread" => &mut self.muster.spread,
+            "no-amnesia" => &mut self.consensus.amnesia,
+            "no-promise" => &mut self.consensus.promise,
+            "no-carry" => &mut self.consensus.carry,
+            "no-joint" => &mut self.consensus.joint,
+            "no-sync" => &mut self.consensus.sync,
+            "no-lacking" => &mut self.consensus.lacking,
+            "no-ballot" => &mut self.consensus.ballot,
+            "no-newest" => &mut self.consensus.newest,
+            "no-whole" => &mut self.consensus.whole,
+            "no-late" => &mut self.consensus.late,
+            "no-spread" => &mut self.consensus.spread,
             "no-majority" => &mut self.watch.majority,
             "no-rises" => &mut self.watch.rises,
             "no-silence" => &mut self.watch.silence,
             "no-repair" => &mut self.watch.repair,
             "no-displace" => &mut self.watch.displace,
             "no-place" => &mut self.watch.place,
-            "no-fleet-rises" => &mut self.fairway.rises,
-            "no-returned" => &mut self.fairway.returned,
-            "no-quiet" => &mut self.fairway.quiet,
-            "no-greatest" => &mut self.fairway.greatest,
-            "no-admission" => &mut self.fairway.admission,
-            "no-in-force" => &mut self.pilot.in_force,
-            "no-settled" => &mut self.pilot.settled,
-            "no-leaves" => &mut self.pilot.leaves,
-            "no-resumes" => &mut self.pilot.resumes,
+            "no-fleet-rises" => &mut self.router.rises,
+            "no-returned" => &mut self.router.returned,
+            "no-quiet" => &mut self.router.quiet,
+            "no-greatest" => &mut self.router.greatest,
+            "no-admission" => &mut self.router.admission,
+            "no-in-force" => &mut self.proxy.in_force,
+            "no-settled" => &mut self.proxy.settled,
+            "no-leaves" => &mut self.proxy.leaves,
+            "no-resumes" => &mut self.proxy.resumes,
             _ => return false,
         };
         *guard = false;
--- a/crates/emberpin-basin/src/callers.rs
+++ b/crates/emberpin-simulator/src/callers.rs
@@ -3,12 +3,12 @@
 use crate::cores::BEAT;
 use crate::ledger::Acknowledged;
 use crate::net::{ip, number};
-use crate::text::{Deed, Order, Spot, Way};
+use crate::text::{Machine, Operation, Order, Way};
 use crate::world::{Applied, Due, World};
-use emberpin_chart::{read_patch, Item};
-use emberpin_muster::{Call, Event};
-use emberpin_watch::life::{Life, Standing};
-use emberpin_watch::registry::{self, Answer};
+use emberpin_config::{read_patch, Item};
+use emberpin_consensus::{Call, Event};
+use emberpin_membership::instance::{Instance, Status};
+use emberpin_membership::registry::{self, Answer};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -27,7 +27,7 @@
     way: Way,
     pub order: Option<Order>,
     /// What a `get` is expected to show, and where it is written.
-    hope: Option<(usize, Deed)>,
+    hope: Option<(usize, Operation)>,
     pub items: Vec<Item>,
     pub sent: u64,
     pub attempts: u32,
@@ -63,7 +63,7 @@
     /// It has said the last thing it says.
     over: bool,
     pub cold_until: u64,
-    life: u32,
+    incarnation: u32,
     pub seq: u64,
     attempt: u64,
     /// Where it beats, if it was told.
@@ -73,7 +73,7 @@
 }
 
 impl World {
-    pub fn operator(&mut self, who: &str, way: Way, order: Option<Order>, hope: Option<(usize, Deed)>) {
+    pub fn operator(&mut self, who: &str, way: Way, order: Option<Order>, hope: Option<(usize, Operation)>) {
         let items = match &order {
             Some(Order::Patch(body)) => read_patch(body).map(|patch| patch.items).unwrap_or_default(),
             _ => Vec::new(),
@@ -118,7 +118,7 @@
         called.attempts += 1;
         let (attempt, core) = (called.attempts, called.core);
         let pause = pause + (PAUSE.0 << attempt.min(3)).min(PAUSE.1);
-        if self.runs(Spot::Core(core)) {
+        if self.runs(Machine::Core(core)) {
             self.at(now + 2, Due::Called { call, attempt, core });
             self.at(now + SILENCE, Due::Again { call, attempt });
         } else {
@@ -142,7 +142,7 @@
     /// A store's answer is on its way.
     pub fn answered(&mut self, id: u64, status: u16, body: String) {
         let Some((call, attempt, _)) = self.operators.asked.remove(&id) else { return };
-        self.at(self.now + 2, Due::Told { call, attempt, status, body });
+        self.at(self.now + 2, Due::OperatorAnswer { call, attempt, status, body });
     }
 
     pub fn told(&mut self, call: usize, attempt: u32, status: u16, body: &str) {
@@ -185,9 +185,9 @@
     // ---- servers
 
     pub fn server_up(&mut self, name: &str, service: &str, zone: &str, address: u16, cold: u64) {
-        let life = self.servers.get(name).map_or(1, |server| server.life + 1);
+        let incarnation = self.servers.get(name).map_or(1, |server| server.incarnation + 1);
         let server = Server {
-            id: format!("{name}-{life}"),
+            id: format!("{name}-{incarnation}"),
             service: service.into(),
             zone: zone.into(),
             address,
@@ -196,14 +196,14 @@
             leaves: false,
             over: false,
             cold_until: self.now + cold,
-            life,
+            incarnation,
             seq: 0,
             attempt: 0,
             target: None,
             sent: VecDeque::new(),
         };
         self.servers.insert(name.into(), server);
-        self.at(self.now, Due::Beat { server: name.into(), life });
+        self.at(self.now, Due::Beat { server: name.into(), incarnation });
         if cold > 0 {
             self.load_from_now();
         }
@@ -214,16 +214,18 @@
         self.say(name, false);
     }
 
-    /// A server of that life, if it says anything.
-    fn speaking(&mut self, name: &str, life: u32) -> Option<&mut Server> {
-        self.servers.get_mut(name).filter(|server| server.life == life && server.up && !server.over)
+    /// A server of that incarnation, if it says anything.
+    fn speaking(&mut self, name: &str, incarnation: u32) -> Option<&mut Server> {
+        self.servers
+            .get_mut(name)
+            .filter(|server| server.incarnation == incarnation && server.up && !server.over)
     }
 
-    pub fn beat(&mut self, name: &str, life: u32) {
-        if self.speaking(name, life).is_none() {
+    pub fn beat(&mut self, name: &str, incarnation: u32) {
+        if self.speaking(name, incarnation).is_none() {
             return;
         }
-        self.at(self.now + BEAT, Due::Beat { server: name.into(), life });
+        self.at(self.now + BEAT, Due::Beat { server: name.into(), incarnation });
         self.say(name, false);
     }
 
@@ -240,17 +242,18 @@
         let core = server.target.unwrap_or(drawn);
         server.seq += 1;
         server.attempt += 1;
-        let (server, life, attempt) = (name.to_owned(), server.life, server.attempt);
+        let (server, incarnation, attempt) = (name.to_owned(), server.incarnation, server.attempt);
         let (leave, drains, seq) = {
             let server = &self.servers[&server];
             (server.leaves, server.drains, server.seq)
         };
-        if self.runs(Spot::Core(core)) {
-            let said = Due::Said { server: server.clone(), life, attempt, core, leave, drains, seq };
+        if self.runs(Machine::Core(core)) {
+            let said =
+                Due::ServerCall { server: server.clone(), incarnation, attempt, core, leave, drains, seq };
             self.at(now + 2, said);
-            self.at(now + SILENCE, Due::Unanswered { server, life, attempt });
+            self.at(now + SILENCE, Due::Unanswered { server, incarnation, attempt });
         } else {
-            self.at(now + PAUSE.0, Due::Unanswered { server, life, attempt });
+            self.at(now + PAUSE.0, Due::Unanswered { server, incarnation, attempt });
         }
     }
 
@@ -258,7 +261,7 @@
     pub fn server_said(
         &mut self,
         name: &str,
-        life: u32,
+        incarnation: u32,
         attempt: u64,
         core: u8,
         leave: bool,
@@ -266,23 +269,23 @@
         seq: u64,
     ) {
         let Some(server) = self.servers.get(name) else { return };
-        let id = if server.life == life { server.id.clone() } else { return };
+        let id = if server.incarnation == incarnation { server.id.clone() } else { return };
         self.operators.next += 1;
         let call = self.operators.next;
-        self.ledger.beats.insert(call, (name.into(), life, attempt, drains));
+        self.ledger.beats.insert(call, (name.into(), incarnation, attempt, drains));
         let event = if leave {
             registry::Event::Leave { call, id }
         } else {
             let cold = server.cold_until.saturating_sub(self.now) as u32;
             registry::Event::Heartbeat {
                 call,
-                life: Life {
+                instance: Instance {
                     id,
                     service: server.service.clone(),
                     address: SocketAddr::from((Ipv4Addr::new(10, 0, 2, 1), server.address)),
                     zone: server.zone.clone(),
                     slots: 2,
-                    standing: if drains { Standing::Drain } else { Standing::Up },
+                    status: if drains { Status::Drain } else { Status::Up },
                     seq,
                     cold_ms: cold,
                 },
@@ -292,13 +295,20 @@
     }
 
     pub fn answer_server(&mut self, call: u64, answer: Answer) {
-        let Some((server, life, attempt, drains)) = self.ledger.beats.remove(&call) else { return };
-        self.at(self.now + 2, Due::Answered { server, life, attempt, answer, drains });
+        let Some((server, incarnation, attempt, drains)) = self.ledger.beats.remove(&call) else { return };
+        self.at(self.now + 2, Due::Answered { server, incarnation, attempt, answer, drains });
     }
 
-    pub fn server_answered(&mut self, name: &str, life: u32, attempt: u64, answer: Answer, drains: bool) {
+    pub fn server_answered(
+        &mut self,
+        name: &str,
+        incarnation: u32,
+        attempt: u64,
+        answer: Answer,
+        drains: bool,
+    ) {
         let now = self.now;
-        let Some(server) = self.speaking(name, life).filter(|server| server.attempt == attempt) else {
+        let Some(server) = self.speaking(name, incarnation).filter(|server| server.attempt == attempt) else {
             return;
         };
         server.attempt += 1;
@@ -324,8 +334,8 @@
         }
     }
 
-    pub fn server_unanswered(&mut self, name: &str, life: u32, attempt: u64) {
-        if self.speaking(name, life).is_some_and(|server| server.attempt == attempt) {
+    pub fn server_unanswered(&mut self, name: &str, incarnation: u32, attempt: u64) {
+        if self.speaking(name, incarnation).is_some_and(|server| server.attempt == attempt) {
             self.say(name, true);
         }
     }
@@ -333,7 +343,7 @@
     /// Something comes late, with an old number.
     pub fn server_says(&mut self, name: &str, drains: bool, seq: u64, core: u8) {
         let Some(server) = self.servers.get(name) else { return };
-        let life = server.life;
-        self.server_said(name, life, u64::MAX, core, false, drains, seq);
+        let incarnation = server.incarnation;
+        self.server_said(name, incarnation, u64::MAX, core, false, drains, seq);
     }
 }
--- a/crates/emberpin-basin/src/cores.rs
+++ b/crates/emberpin-simulator/src/cores.rs
@@ -1,23 +1,23 @@
 //! Core machines: a disk, and while they run a store and a registry.
 
 use crate::net::{ip, number, Frame};
-use crate::text::Spot;
+use crate::text::Machine;
 use crate::world::{Due, Process, World};
-use emberpin_chart::{Item, Key};
-use emberpin_muster::{Action, Custodian, Event, Kept, Message, Options, Write};
-use emberpin_watch::registry::{self, Limits, Registry};
+use emberpin_config::{Item, Key};
+use emberpin_consensus::{Action, Event, Kept, Message, Options, Replica, Write};
+use emberpin_membership::registry::{self, Limits, Registry};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How often servers beat.
 pub(crate) const BEAT: u64 = 1_300;
 /// How often a registry is told how its store stands.
-const STANDING: u64 = 450;
+const STATUS: u64 = 450;
 /// Between two calls of one registry to another.
 const PAUSE: u64 = 200;
 
 /// What runs on a core machine.
 pub(crate) struct Running {
-    pub store: Custodian,
+    pub store: Replica,
     pub registry: Registry,
     /// The registries that this one wants to speak to, and over which connection it does.
     peers: BTreeMap<u8, Option<u64>>,
@@ -77,7 +77,7 @@
 impl World {
     pub fn start_core(&mut self, core: u8, bootstrap: bool) {
         let (now, build, tolerated) = (self.now, self.build, self.tolerance);
-        let (seed, life) = (self.rand.rand_u64(), self.rand.rand_u64());
+        let (seed, incarnation) = (self.rand.rand_u64(), self.rand.rand_u64());
         let seeds: Vec<_> = self.listed().into_iter().take(3).map(ip).collect();
         let Some(machine) = self.cores.get_mut(&core) else { return };
         if machine.up.is_some() || machine.process.removed {
@@ -87,10 +87,10 @@
         let mut actions = Vec::new();
         let me = ip(core);
         let options = Options { me, seeds: seeds.clone(), bootstrap, tolerated, seed };
-        let store = Custodian::with_guards(0, options, machine.kept(), build.muster, &mut actions);
-        let limits = Limits { me, zone: machine.process.zone.clone(), life, beat_ms: BEAT, seeds };
+        let store = Replica::with_guards(0, options, machine.kept(), build.consensus, &mut actions);
+        let limits = Limits { me, zone: machine.process.zone.clone(), incarnation, beat_ms: BEAT, seeds };
         let registry = Registry::with_guards(0, limits, build.watch);
-        let items: Vec<Item> = store.copies().iter().cloned().collect();
+        let items: Vec<Item> = store.state().iter().cloned().collect();
         machine.up = Some(Running {
             store,
             registry,
@@ -101,36 +101,38 @@
             registry_wake: 0,
             told: BTreeMap::new(),
         });
-        let life = machine.process.life;
+        let incarnation = machine.process.incarnation;
         self.act(core, actions);
-        self.at(now + 1, Due::News { core, life, items });
-        self.at(now + 1, Due::Stand { core, life });
+        self.at(now + 1, Due::News { core, incarnation, items });
+        self.at(now + 1, Due::Stand { core, incarnation });
     }
 
-    fn running(&mut self, core: u8, life: u64) -> Option<&mut Running> {
-        let machine = self.cores.get_mut(&core).filter(|machine| machine.process.life == life)?;
+    fn running(&mut self, core: u8, incarnation: u64) -> Option<&mut Running> {
+        let machine =
+            self.cores.get_mut(&core).filter(|machine| machine.process.incarnation == incarnation)?;
         machine.up.as_mut()
     }
 
     // ---- the store
 
     pub fn hear_store(&mut self, from: u8, to: u8, message: Message) {
-        if !self.net.is_cut(Spot::Core(from), Spot::Core(to)) {
+        if !self.net.is_cut(Machine::Core(from), Machine::Core(to)) {
             self.store(to, Event::Message { from: ip(from), message });
         }
     }
 
-    pub fn synced(&mut self, core: u8, life: u64, token: u64, writes: usize) {
+    pub fn synced(&mut self, core: u8, incarnation: u64, token: u64, writes: usize) {
         let Some(machine) = self.cores.get_mut(&core) else { return };
-        if machine.process.life == life && machine.up.is_some() {
+        if machine.process.incarnation == incarnation && machine.up.is_some() {
             machine.synced = machine.synced.max(writes);
             self.store(core, Event::Persisted { token });
         }
     }
 
-    pub fn wake_store(&mut self, core: u8, life: u64) {
+    pub fn wake_store(&mut self, core: u8, incarnation: u64) {
         let now = self.now;
-        let Some(running) = self.running(core, life).filter(|running| running.store_wake <= now) else {
+        let Some(running) = self.running(core, incarnation).filter(|running| running.store_wake <= now)
+        else {
             return;
         };
         running.store_wake = 0;
@@ -155,17 +157,17 @@
                     let Some(machine) = self.cores.get_mut(&core) else { return };
                     let sync = write.sync;
                     machine.disk.push(write);
-                    let (life, writes) = (machine.process.life, machine.disk.len());
+                    let (incarnation, writes) = (machine.process.incarnation, machine.disk.len());
                     if sync {
-                        self.at(at, Due::Synced { core, life, token, writes });
+                        self.at(at, Due::Synced { core, incarnation, token, writes });
                     }
                 }
-                Action::Send { to, message } => self.muster(core, number(to), message),
+                Action::Send { to, message } => self.consensus(core, number(to), message),
                 Action::Answer { id, status, body } => self.answered(id, status, body),
-                Action::News { items } => {
+                Action::Learned { items } => {
                     self.tell(core, &items);
-                    let (at, life) = (self.now + 1, self.life(Spot::Core(core)));
-                    self.at(at, Due::News { core, life, items });
+                    let (at, incarnation) = (self.now + 1, self.incarnation(Machine::Core(core)));
+                    self.at(at, Due::News { core, incarnation, items });
                 }
             }
         }
@@ -175,8 +177,8 @@
         let at = machine.process.when(now, running.store.wake_at());
         if running.store_wake <= now || at < running.store_wake {
             running.store_wake = at;
-            let life = machine.process.life;
-            self.at(at, Due::Store { core, life });
+            let incarnation = machine.process.incarnation;
+            self.at(at, Due::Store { core, incarnation });
         }
     }
 
@@ -196,28 +198,31 @@
 
     // ---- the registry
 
-    pub fn news(&mut self, core: u8, life: u64, items: Vec<Item>) {
-        if self.running(core, life).is_some() {
-            self.registry(core, registry::Event::News(items));
+    pub fn news(&mut self, core: u8, incarnation: u64, items: Vec<Item>) {
+        if self.running(core, incarnation).is_some() {
+            self.registry(core, registry::Event::Items(items));
         }
     }
 
-    pub fn stand(&mut self, core: u8, life: u64) {
+    pub fn stand(&mut self, core: u8, incarnation: u64) {
         let now = self.now;
-        let Some(machine) = self.cores.get(&core).filter(|machine| machine.process.life == life) else {
+        let Some(machine) =
+            self.cores.get(&core).filter(|machine| machine.process.incarnation == incarnation)
+        else {
             return;
         };
         let local = machine.process.local(now);
         let Some(running) = &machine.up else { return };
         let (settled, voters) = (running.store.settled(local), running.store.voters());
-        let at = machine.process.when(now, local + STANDING);
-        self.at(at, Due::Stand { core, life });
-        self.registry(core, registry::Event::Standing { settled, voters });
+        let at = machine.process.when(now, local + STATUS);
+        self.at(at, Due::Stand { core, incarnation });
+        self.registry(core, registry::Event::Status { settled, voters });
     }
 
-    pub fn wake_registry(&mut self, core: u8, life: u64) {
+    pub fn wake_registry(&mut self, core: u8, incarnation: u64) {
         let now = self.now;
-        let Some(running) = self.running(core, life).filter(|running| running.registry_wake <= now) else {
+        let Some(running) = self.running(core, incarnation).filter(|running| running.registry_wake <= now)
+        else {
             return;
         };
         running.registry_wake = 0;
@@ -227,23 +232,23 @@
     pub fn registry(&mut self, core: u8, event: registry::Event) {
         let now = self.now;
         let Some(machine) = self.cores.get_mut(&core) else { return };
-        let (local, life) = (machine.process.local(now), machine.process.life);
+        let (local, incarnation) = (machine.process.local(now), machine.process.incarnation);
         let Some(running) = machine.up.as_mut() else { return };
         let mut actions = Vec::new();
         running.registry.handle(local, event, &mut actions);
         for action in actions {
-            self.act_registry(core, life, action);
+            self.act_registry(core, incarnation, action);
         }
         let Some(machine) = self.cores.get_mut(&core) else { return };
         let Some(running) = machine.up.as_mut() else { return };
         let at = machine.process.when(now, running.registry.due());
         if running.registry_wake <= now || at < running.registry_wake {
             running.registry_wake = at;
-            self.at(at, Due::Registry { core, life });
+            self.at(at, Due::Registry { core, incarnation });
         }
     }
 
-    fn act_registry(&mut self, core: u8, life: u64, action: registry::Action) {
+    fn act_registry(&mut self, core: u8, incarnation: u64, action: registry::Action) {
         use registry::Action;
         let now = self.now;
         let Some(running) = self.cores.get_mut(&core).and_then(|core| core.up.as_mut()) else { return };
@@ -251,7 +256,7 @@
             Action::Answer { call, answer } => self.answer_server(call, answer),
             Action::Call { peer } => {
                 running.peers.insert(number(peer), None);
-                self.at(now, Due::Dial { core, life, peer: number(peer) });
+                self.at(now, Due::Dial { core, incarnation, peer: number(peer) });
             }
             Action::Drop { peer } => {
                 running.incoming.remove(&number(peer));
@@ -264,7 +269,9 @@
                     .iter()
                     .filter_map(|peer| running.peers.get(&number(*peer)).copied().flatten())
                     .collect();
-                conns.into_iter().for_each(|conn| self.send(conn, true, Frame::Said(said.clone())));
+                conns
+                    .into_iter()
+                    .for_each(|conn| self.send(conn, true, Frame::RegistryMessage(said.clone())));
             }
             Action::Ack { to, ack } => {
                 if let Some(conn) = running.incoming.get(&number(to)).copied() {
@@ -281,18 +288,19 @@
         }
     }
 
-    pub fn dial(&mut self, core: u8, life: u64, peer: u8) {
-        let wanted = self.running(core, life).is_some_and(|running| running.peers.get(&peer) == Some(&None));
+    pub fn dial(&mut self, core: u8, incarnation: u64, peer: u8) {
+        let wanted =
+            self.running(core, incarnation).is_some_and(|running| running.peers.get(&peer) == Some(&None));
         if !wanted {
             return;
         }
-        match self.connect(Spot::Core(core), Spot::Core(peer)) {
+        match self.connect(Machine::Core(core), Machine::Core(peer)) {
             None => {
                 let at = self.now + PAUSE + self.below(PAUSE);
-                self.at(at, Due::Dial { core, life, peer });
+                self.at(at, Due::Dial { core, incarnation, peer });
             }
             Some(conn) => {
-                if let Some(running) = self.running(core, life) {
+                if let Some(running) = self.running(core, incarnation) {
                     running.peers.insert(peer, Some(conn));
                 }
                 self.registry(core, registry::Event::Reached { peer: ip(peer), open: true });
@@ -301,8 +309,8 @@
     }
 
     pub fn peer_broken(&mut self, core: u8, peer: u8, conn: u64) {
-        let life = self.life(Spot::Core(core));
-        let Some(running) = self.running(core, life) else { return };
+        let incarnation = self.incarnation(Machine::Core(core));
+        let Some(running) = self.running(core, incarnation) else { return };
         if running.incoming.get(&peer) == Some(&conn) {
             running.incoming.remove(&peer);
         }
@@ -310,7 +318,7 @@
             running.peers.insert(peer, None);
             self.registry(core, registry::Event::Reached { peer: ip(peer), open: false });
             let at = self.now + PAUSE / 2;
-            self.at(at, Due::Dial { core, life, peer });
+            self.at(at, Due::Dial { core, incarnation, peer });
         }
     }
 }
--- a/crates/emberpin-basin/src/ledger.rs
+++ b/crates/emberpin-simulator/src/ledger.rs
@@ -1,17 +1,17 @@
 //! What was acknowledged, and what must always hold:
 //!
 //! - nothing that was acknowledged is lost, and one content stands for a name and a version;
-//! - nothing goes back within a life, and nothing invalid is in force, also in part;
+//! - nothing goes back within an incarnation, and nothing invalid is in force, also in part;
 //! - a call that was refused has no part in force;
 //! - no cold server's sum is passed;
 //! - on limiters in touch, what was acknowledged is in force in time;
 //! - after all trouble, a call is acknowledged, and all limiters have it and are ready.
 
-use crate::limiters::Pilot;
-use crate::text::{Deed, Order};
+use crate::limiters::Proxy;
+use crate::text::{Operation, Order};
 use crate::world::{Applied, World};
-use emberpin_chart::{read_patch, Chart, Item, Key, Kind};
-use emberpin_fairway::Work;
+use emberpin_config::{read_patch, Configuration, Item, Key, Kind};
+use emberpin_routing::Work;
 use std::collections::BTreeMap;
 
 /// What an answer acknowledged.
@@ -30,7 +30,7 @@
     highest: BTreeMap<Key, u64>,
     /// Messages are slow, so that nothing with a bound on time is asserted.
     pub slow: bool,
-    /// Servers' calls that are not answered: name, life, attempt, and whether it drains.
+    /// Servers' calls that are not answered: name, incarnation, attempt, and whether it drains.
     pub beats: BTreeMap<u64, (String, u32, u64, bool)>,
     /// Requests that went to cold servers.
     pub cold_sent: usize,
@@ -39,7 +39,7 @@
 }
 
 /// A configuration as it is read back.
-pub(crate) fn read_back(body: &str) -> Result<Chart, String> {
+pub(crate) fn read_back(body: &str) -> Result<Configuration, String> {
     let whole = format!("{{\"upsert\":{body}}}");
     let items =
         read_patch(whole.as_bytes()).map_err(|wrong| format!("what is read back is unreadable: {wrong}"))?;
@@ -81,17 +81,17 @@
     }
 
     /// Whether a configuration shows what is expected.
-    pub fn shows(&self, body: &str, hope: &Deed) -> Result<(), String> {
-        let chart = read_back(body)?;
+    pub fn shows(&self, body: &str, hope: &Operation) -> Result<(), String> {
+        let configuration = read_back(body)?;
         let find = |kind: &str, name: &str| {
             let kind = if kind == "route" { Kind::Route } else { Kind::Service };
-            chart.get(&Key { kind, name: name.into() }).map(|item| item.ver)
+            configuration.get(&Key { kind, name: name.into() }).map(|item| item.ver)
         };
         match hope {
-            Deed::GetHolds { kind, name, ver } if find(kind, name) != Some(*ver) => {
+            Operation::GetHolds { kind, name, ver } if find(kind, name) != Some(*ver) => {
                 Err(format!("expected that get holds {kind} {name} ver {ver}, found {:?}", find(kind, name)))
             }
-            Deed::GetLacks { kind, name } if find(kind, name).is_some() => {
+            Operation::GetLacks { kind, name } if find(kind, name).is_some() => {
                 Err(format!("expected that get lacks {kind} {name}, found {:?}", find(kind, name)))
             }
             _ => Ok(()),
@@ -100,10 +100,10 @@
 
     /// Whether what is read back at the end has all that was acknowledged.
     pub fn keeps(&self, body: &str) -> Result<(), String> {
-        let chart = read_back(body)?;
-        chart.check().map_err(|wrong| format!("invalid as a whole: {wrong}"))?;
+        let configuration = read_back(body)?;
+        configuration.check().map_err(|wrong| format!("invalid as a whole: {wrong}"))?;
         for (key, highest) in &self.highest {
-            let known = chart.get(key);
+            let known = configuration.get(key);
             let acknowledged = &self.acknowledged[&(key.clone(), *highest)];
             let wrong = match (known, acknowledged) {
                 (Some(item), _) if item.ver > *highest => continue,
@@ -148,34 +148,35 @@
             self.limiters.keys().copied().filter(|limiter| self.in_touch(*limiter)).collect();
         for limiter in limiters {
             self.ledger.applied += 1;
-            let Some(pilot) = self.limiters.get(&limiter).and_then(|machine| machine.up.as_ref()) else {
+            let Some(proxy) = self.limiters.get(&limiter).and_then(|machine| machine.up.as_ref()) else {
                 continue;
             };
-            if let Err(wrong) = self.has(pilot, what) {
+            if let Err(wrong) = self.has(proxy, what) {
                 return self.fail(format!("not applied in time: limiter-{limiter}, in touch, {wrong}"));
             }
         }
     }
 
-    fn has(&self, pilot: &Pilot, what: &Applied) -> Result<(), String> {
+    fn has(&self, proxy: &Proxy, what: &Applied) -> Result<(), String> {
         match what {
             Applied::Items(items) => {
-                let lacks =
-                    |item: &&Item| pilot.chart.get(&item.key).is_none_or(|known| known.ver < item.ver);
+                let lacks = |item: &&Item| {
+                    proxy.configuration.get(&item.key).is_none_or(|known| known.ver < item.ver)
+                };
                 match items.iter().find(lacks) {
                     Some(item) => Err(format!("lacks {:?} {}", item.key, item.ver)),
                     None => Ok(()),
                 }
             }
             Applied::Drained(server) => match self.servers.get(server) {
-                Some(server) if server.drains && pilot.work(&server.id) == Work::Usable => {
+                Some(server) if server.drains && proxy.work(&server.id) == Work::Usable => {
                     Err(format!("sends to {} after its drain", server.id))
                 }
                 _ => Ok(()),
             },
             Applied::Evacuated(zone) => {
                 let wrong = self.servers.values().find(|server| {
-                    server.zone == *zone && server.up && pilot.work(&server.id) == Work::Usable
+                    server.zone == *zone && server.up && proxy.work(&server.id) == Work::Usable
                 });
                 match wrong {
                     Some(server) => Err(format!("sends to {} in an evacuated zone", server.id)),
@@ -226,8 +227,8 @@
             }
             let key = Key { kind: Kind::Evacuation, name: zone.clone() };
             for (limiter, machine) in &self.limiters {
-                let Some(pilot) = &machine.up else { continue };
-                let stands = pilot.chart.get(&key).is_some_and(|item| item.body.is_some());
+                let Some(proxy) = &machine.up else { continue };
+                let stands = proxy.configuration.get(&key).is_some_and(|item| item.body.is_some());
                 if stands != begin {
                     return Err(format!(
                         "lost: the evacuation of {zone} was last acknowledged as {begin}, and is {stands} on \
--- a/crates/emberpin-basin/src/limiters.rs
+++ b/crates/emberpin-simulator/src/limiters.rs
@@ -2,12 +2,12 @@
 
 use crate::cores::BEAT;
 use crate::net::{number, Frame};
-use crate::text::Spot;
+use crate::text::Machine;
 use crate::world::{Due, Process, World};
-use emberpin_chart::{routes_in_force, Chart, Item, Kind, Route, Service};
-use emberpin_fairway::{ColdRule, Fairway, Warmth, Work};
-use emberpin_watch::life::{Life, Standing};
-use emberpin_watch::session::{FromLimiter, Place, ToLimiter};
+use emberpin_config::{routes_in_force, Configuration, Item, Kind, Route, Service};
+use emberpin_membership::instance::{Instance, Status};
+use emberpin_membership::session::{FromLimiter, Revision, ToLimiter};
+use emberpin_routing::{ColdRule, Router, Warmth, Work};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 // As in the real one's sessions.
@@ -45,14 +45,14 @@
 }
 
 /// What runs on a limiter.
-pub(crate) struct Pilot {
-    pub fairway: Fairway,
-    pub chart: Chart,
+pub(crate) struct Proxy {
+    pub router: Router,
+    pub configuration: Configuration,
     pub ready: bool,
     sessions: Vec<Session>,
-    places: BTreeMap<u8, Place>,
+    places: BTreeMap<u8, Revision>,
     registries: BTreeSet<u8>,
-    /// The highest versions that were in force in this life.
+    /// The highest versions that were in force in this incarnation.
     in_force: BTreeMap<String, u64>,
     /// Servers that were not to get anything any more.
     held: BTreeSet<String>,
@@ -61,7 +61,7 @@
 /// A limiter.
 pub(crate) struct Limiter {
     pub process: Process,
-    pub up: Option<Pilot>,
+    pub up: Option<Proxy>,
 }
 
 impl Limiter {
@@ -70,15 +70,15 @@
     }
 }
 
-impl Pilot {
+impl Proxy {
     fn configure(&mut self, now: u64, in_force: bool) -> Result<(), String> {
         let routes: Vec<Route> = match in_force {
-            true => routes_in_force(&self.chart),
-            false => self.chart.routes().cloned().collect(),
+            true => routes_in_force(&self.configuration),
+            false => self.configuration.routes().cloned().collect(),
         };
         let mut places = BTreeSet::new();
         for route in &routes {
-            let unknown = route.targets.iter().find(|(service, _)| !self.chart.knows(service));
+            let unknown = route.targets.iter().find(|(service, _)| !self.configuration.knows(service));
             if let Some((service, _)) = unknown {
                 return Err(format!(
                     "invalid in force: route {} names {service}, which is unknown",
@@ -94,9 +94,9 @@
             }
             *highest = route.ver;
         }
-        self.fairway.matcher.replace(routes);
+        self.router.matcher.replace(routes);
         let (mut warmth, mut evacuated) = (HashMap::new(), BTreeSet::new());
-        for item in self.chart.live() {
+        for item in self.configuration.live() {
             match item.key.kind {
                 Kind::Service => {
                     if let Ok(service) = Service::from_item(item) {
@@ -108,28 +108,34 @@
                 Kind::Route | Kind::Roster | Kind::Limits => {}
             }
         }
-        self.fairway.fleet.warmth(warmth);
-        self.fairway.fleet.evacuated(now as f64, evacuated);
+        self.router.fleet.warmth(warmth);
+        self.router.fleet.evacuated(now as f64, evacuated);
         Ok(())
     }
 
-    fn learn(&mut self, now: u64, items: Vec<Item>, lives: &[Life], in_force: bool) -> Result<(), String> {
+    fn learn(
+        &mut self,
+        now: u64,
+        items: Vec<Item>,
+        instances: &[Instance],
+        in_force: bool,
+    ) -> Result<(), String> {
         let mut changed = false;
         for item in items {
-            changed |= self.chart.merge(item);
+            changed |= self.configuration.merge(item);
         }
         if changed {
             self.configure(now, in_force)?;
         }
-        self.fairway.fleet.tell(now as f64, lives);
+        self.router.fleet.tell(now as f64, instances);
         // As a host does, that keeps connections.
-        self.fairway.fleet.changes();
+        self.router.fleet.changes();
         Ok(())
     }
 
-    /// How a server stands here, by its life's id.
+    /// How a server stands here, by its incarnation's id.
     pub fn work(&self, id: &str) -> Work {
-        self.fairway.fleet.work(id)
+        self.router.fleet.work(id)
     }
 }
 
@@ -153,9 +159,9 @@
             pulse: 0,
             told: false,
         };
-        machine.up = Some(Pilot {
-            fairway: Fairway::with_guards(0.0, &name, RULE, BEAT as f64, build.fairway),
-            chart: Chart::new(),
+        machine.up = Some(Proxy {
+            router: Router::with_guards(0.0, &name, RULE, BEAT as f64, build.router),
+            configuration: Configuration::new(),
             ready: false,
             sessions: vec![session; SESSIONS],
             places: BTreeMap::new(),
@@ -163,26 +169,26 @@
             in_force: BTreeMap::new(),
             held: BTreeSet::new(),
         });
-        let life = machine.process.life;
+        let incarnation = machine.process.incarnation;
         let at = now + self.below(LOOK);
-        self.at(at, Due::Look { limiter, life });
+        self.at(at, Due::Look { limiter, incarnation });
     }
 
-    fn pilot(&mut self, limiter: u8) -> Option<(u64, &mut Pilot)> {
+    fn proxy(&mut self, limiter: u8) -> Option<(u64, &mut Proxy)> {
         let machine = self.limiters.get_mut(&limiter)?;
         let local = machine.process.local(self.now);
-        machine.up.as_mut().map(|pilot| (local, pilot))
+        machine.up.as_mut().map(|proxy| (local, proxy))
     }
 
     /// Ends sessions that are silent or hear no majority, says where it stands, and begins new sessions.
-    pub fn look(&mut self, limiter: u8, life: u64) {
-        if self.life(Spot::Limiter(limiter)) != life {
+    pub fn look(&mut self, limiter: u8, incarnation: u64) {
+        if self.incarnation(Machine::Limiter(limiter)) != incarnation {
             return;
         }
-        let leaves = self.build.pilot.leaves;
+        let leaves = self.build.proxy.leaves;
         for index in 0..SESSIONS {
-            let Some((now, pilot)) = self.pilot(limiter) else { return };
-            let session = &mut pilot.sessions[index];
+            let Some((now, proxy)) = self.proxy(limiter) else { return };
+            let session = &mut proxy.sessions[index];
             let Some((conn, core)) = session.conn.zip(session.core) else {
                 if now >= session.next {
                     self.begin_session(limiter, index);
@@ -196,41 +202,41 @@
                 self.session_broken(limiter, conn);
             } else if now >= session.pulse {
                 session.pulse = now + PULSE;
-                if let Some(at) = pilot.places.get(&core).copied() {
+                if let Some(at) = proxy.places.get(&core).copied() {
                     self.send(conn, true, Frame::From(FromLimiter::Pulse { at }));
                 }
             }
         }
         let at = self.now + LOOK;
-        self.at(at, Due::Look { limiter, life });
+        self.at(at, Due::Look { limiter, incarnation });
     }
 
     fn begin_session(&mut self, limiter: u8, index: usize) {
         let seeds: Vec<u8> = self.listed().into_iter().take(3).collect();
         let draw = self.rand.rand_u64();
         let Some(machine) = self.limiters.get_mut(&limiter) else { return };
-        let (zone, life) = (machine.process.zone.clone(), machine.process.life);
+        let (zone, incarnation) = (machine.process.zone.clone(), machine.process.incarnation);
         let now = machine.process.local(self.now);
-        let Some(pilot) = machine.up.as_mut() else { return };
-        let mut known: BTreeSet<u8> = seeds.into_iter().chain(pilot.registries.iter().copied()).collect();
-        pilot.sessions.iter().filter_map(|session| session.core).for_each(|core| _ = known.remove(&core));
+        let Some(proxy) = machine.up.as_mut() else { return };
+        let mut known: BTreeSet<u8> = seeds.into_iter().chain(proxy.registries.iter().copied()).collect();
+        proxy.sessions.iter().filter_map(|session| session.core).for_each(|core| _ = known.remove(&core));
         if known.len() > 1 {
-            pilot.sessions[index].last.map(|last| known.remove(&last));
+            proxy.sessions[index].last.map(|last| known.remove(&last));
         }
         let Some(core) = known.iter().nth(draw as usize % known.len().max(1)).copied() else {
-            pilot.sessions[index].next = now + PAUSE.1;
+            proxy.sessions[index].next = now + PAUSE.1;
             return;
         };
         let hello = FromLimiter::Hello {
-            life: u64::from(limiter) << 32 | life,
+            incarnation: u64::from(limiter) << 32 | incarnation,
             name: format!("limiter-{limiter}"),
             zone,
-            from: pilot.places.get(&core).copied(),
-            lives: pilot.fairway.fleet.lives(now as f64),
+            from: proxy.places.get(&core).copied(),
+            instances: proxy.router.fleet.instances(now as f64),
         };
-        let conn = self.connect(Spot::Limiter(limiter), Spot::Core(core));
-        let Some((now, pilot)) = self.pilot(limiter) else { return };
-        let session = &mut pilot.sessions[index];
+        let conn = self.connect(Machine::Limiter(limiter), Machine::Core(core));
+        let Some((now, proxy)) = self.proxy(limiter) else { return };
+        let session = &mut proxy.sessions[index];
         session.last = Some(core);
         let Some(conn) = conn else {
             session.next = now + CONNECT + session.pause;
@@ -245,8 +251,8 @@
 
     pub fn session_broken(&mut self, limiter: u8, conn: u64) {
         let part = 50 + self.below(100);
-        let Some((now, pilot)) = self.pilot(limiter) else { return };
-        let Some(session) = pilot.sessions.iter_mut().find(|session| session.conn == Some(conn)) else {
+        let Some((now, proxy)) = self.proxy(limiter) else { return };
+        let Some(session) = proxy.sessions.iter_mut().find(|session| session.conn == Some(conn)) else {
             return;
         };
         (session.conn, session.core, session.told) = (None, None, false);
@@ -258,32 +264,32 @@
     }
 
     pub fn limiter_hears(&mut self, limiter: u8, conn: u64, core: u8, told: ToLimiter) {
-        let build = self.build.pilot;
-        let Some((now, pilot)) = self.pilot(limiter) else { return };
-        let Some(index) = pilot.sessions.iter().position(|session| session.conn == Some(conn)) else {
+        let build = self.build.proxy;
+        let Some((now, proxy)) = self.proxy(limiter) else { return };
+        let Some(index) = proxy.sessions.iter().position(|session| session.conn == Some(conn)) else {
             return;
         };
-        pilot.sessions[index].heard = now;
+        proxy.sessions[index].heard = now;
         let learned = match told {
-            ToLimiter::Snapshot { at, items, lives, .. } => {
-                pilot.places.insert(core, at);
-                pilot.sessions[index].told = true;
-                pilot.learn(now, items, &lives, build.in_force)
+            ToLimiter::Snapshot { at, items, instances, .. } => {
+                proxy.places.insert(core, at);
+                proxy.sessions[index].told = true;
+                proxy.learn(now, items, &instances, build.in_force)
             }
-            ToLimiter::Changes { at, items, lives } => {
-                pilot.places.insert(core, at);
+            ToLimiter::Changes { at, items, instances } => {
+                proxy.places.insert(core, at);
                 // They go on from what this registry told in an earlier session.
-                pilot.sessions[index].told |= build.resumes;
-                pilot.learn(now, items, &lives, build.in_force)
+                proxy.sessions[index].told |= build.resumes;
+                proxy.learn(now, items, &instances, build.in_force)
             }
             ToLimiter::Pulse { settled, limiters, registries } => {
-                let session = &mut pilot.sessions[index];
+                let session = &mut proxy.sessions[index];
                 if settled || !build.settled {
-                    pilot.registries = registries.into_iter().map(number).collect();
+                    proxy.registries = registries.into_iter().map(number).collect();
                     session.unsettled = None;
-                    pilot.fairway.told(now as f64, limiters);
-                    if session.told && !pilot.chart.is_empty() {
-                        pilot.ready = true;
+                    proxy.router.told(now as f64, limiters);
+                    if session.told && !proxy.configuration.is_empty() {
+                        proxy.ready = true;
                     }
                 } else {
                     session.unsettled.get_or_insert(now);
@@ -297,19 +303,19 @@
         self.look_at_servers(limiter);
     }
 
-    /// A server that said that it drains, and was heard, gets nothing again in this limiter's life.
+    /// A server that said that it drains, and was heard, gets nothing again in this limiter's incarnation.
     fn look_at_servers(&mut self, limiter: u8) {
         let said: Vec<String> =
             self.servers.values().filter(|server| server.drains).map(|server| server.id.clone()).collect();
-        let Some((_, pilot)) = self.pilot(limiter) else { return };
+        let Some((_, proxy)) = self.proxy(limiter) else { return };
         for id in said {
             // One that is not known here was not told of yet, or was not heard for long.
-            match pilot.fairway.fleet.life(&id).map(|life| life.standing) {
-                Some(Standing::Up) if pilot.held.contains(&id) => {
+            match proxy.router.fleet.instance(&id).map(|instance| instance.status) {
+                Some(Status::Up) if proxy.held.contains(&id) => {
                     let what = format!("limiter-{limiter}: went back: {id} is usable again after its drain");
                     return self.fail(what);
                 }
-                Some(Standing::Drain) => _ = pilot.held.insert(id),
+                Some(Status::Drain) => _ = proxy.held.insert(id),
                 _ => {}
             }
         }
@@ -328,13 +334,13 @@
             let mut sent = 0;
             for machine in self.limiters.values_mut().filter(|machine| !machine.process.frozen) {
                 let local = machine.process.local(now) as f64;
-                let Some(pilot) = machine.up.as_mut() else { continue };
+                let Some(proxy) = machine.up.as_mut() else { continue };
                 for _ in 0..AT_ONCE {
-                    let usable = pilot.work(id) == Work::Usable;
-                    if !usable || !pilot.fairway.bears(service, id, local) {
+                    let usable = proxy.work(id) == Work::Usable;
+                    if !usable || !proxy.router.bears(service, id, local) {
                         break;
                     }
-                    pilot.fairway.sent(local, id);
+                    proxy.router.sent(local, id);
                     sent += 1;
                 }
             }
--- a/crates/emberpin-basin/src/main.rs
+++ b/crates/emberpin-simulator/src/main.rs
@@ -1,9 +1,9 @@
 //! Plays a scenario, or searches seeds for one that fails.
 #![forbid(unsafe_code)]
 
-use emberpin_basin::builds::{Build, WRONG};
-use emberpin_basin::play::play;
-use emberpin_basin::{search, text};
+use emberpin_simulator::builds::{Build, WRONG};
+use emberpin_simulator::play::play;
+use emberpin_simulator::{search, text};
 use getopts::Options;
 use std::process::ExitCode;
 
@@ -33,7 +33,7 @@
     options.optflag("h", "help", "print this");
     let given = options.parse(std::env::args().skip(1))?;
     if given.opt_present("h") {
-        print!("{}", options.usage("emberpin-basin [OPTIONS] [SCENARIO...]"));
+        print!("{}", options.usage("emberpin-simulator [OPTIONS] [SCENARIO...]"));
         return Ok(true);
     }
     let number = |name: &'static str, default: u64| match given.opt_str(name) {
--- a/crates/emberpin-basin/src/net.rs
+++ b/crates/emberpin-simulator/src/net.rs
@@ -1,12 +1,12 @@
 //! Cuts, messages between stores, and connections: registries' among each other, and limiters' sessions.
 
-use crate::text::{Sort, Spot};
+use crate::text::{Machine, Sort};
 use crate::world::{Due, World};
-use emberpin_chart::Kind;
-use emberpin_muster::Message;
-use emberpin_watch::peers::{Ack, Said};
-use emberpin_watch::registry::Event;
-use emberpin_watch::session::{FromLimiter, ToLimiter};
+use emberpin_config::Kind;
+use emberpin_consensus::Message;
+use emberpin_membership::peers::{Ack, RegistryMessage};
+use emberpin_membership::registry::Event;
+use emberpin_membership::session::{FromLimiter, ToLimiter};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Bytes that nobody takes end a connection after so long.
@@ -15,7 +15,7 @@
 /// What goes over a connection.
 #[derive(Clone, Debug)]
 pub(crate) enum Frame {
-    Said(Said),
+    RegistryMessage(RegistryMessage),
     Ack(Ack),
     From(FromLimiter),
     To(ToLimiter),
@@ -24,8 +24,8 @@
 /// A connection; what goes over it keeps its order.
 #[derive(Debug)]
 struct Conn {
-    caller: Spot,
-    callee: Spot,
+    caller: Machine,
+    callee: Machine,
     /// When the last frame arrives, back and forth.
     last: [u64; 2],
     /// What a cut holds up.
@@ -35,8 +35,8 @@
 /// The network.
 #[derive(Debug)]
 pub(crate) struct Net {
-    cuts: BTreeSet<(Spot, Spot)>,
-    losses: Vec<(Sort, Spot, Spot)>,
+    cuts: BTreeSet<(Machine, Machine)>,
+    losses: Vec<(Sort, Machine, Machine)>,
     conns: BTreeMap<u64, Conn>,
     next: u64,
     /// Of messages between stores, from and below.
@@ -62,7 +62,7 @@
 }
 
 impl Net {
-    pub fn is_cut(&self, from: Spot, to: Spot) -> bool {
+    pub fn is_cut(&self, from: Machine, to: Machine) -> bool {
         self.cuts.contains(&(from, to))
     }
 
@@ -70,7 +70,7 @@
         (self.delay, self.late, self.twice) = ((1, 5), 0, 0);
     }
 
-    pub fn receiver(&self, conn: u64, forth: bool) -> Option<Spot> {
+    pub fn receiver(&self, conn: u64, forth: bool) -> Option<Machine> {
         self.conns.get(&conn).map(|conn| if forth { conn.callee } else { conn.caller })
     }
 
@@ -78,11 +78,11 @@
         self.losses.clear();
     }
 
-    pub fn lose(&mut self, sort: Sort, from: Spot, to: Spot) {
+    pub fn lose(&mut self, sort: Sort, from: Machine, to: Machine) {
         self.losses.push((sort, from, to));
     }
 
-    fn loses(&self, from: Spot, to: Spot, message: &Message) -> bool {
+    fn loses(&self, from: Machine, to: Machine, message: &Message) -> bool {
         let sort = match message {
             Message::Prepare { .. } => Sort::Prepare,
             Message::Accept { items, .. } if items.iter().any(|item| item.key.kind == Kind::Roster) => {
@@ -102,7 +102,7 @@
 }
 
 impl World {
-    pub fn cut(&mut self, from: &[Spot], to: &[Spot], one_way: bool) {
+    pub fn cut(&mut self, from: &[Machine], to: &[Machine], one_way: bool) {
         for one in from {
             for other in to.iter().filter(|other| *other != one) {
                 self.net.cuts.insert((*one, *other));
@@ -122,21 +122,22 @@
     }
 
     /// The cuts of these end, or all.
-    pub fn heal(&mut self, spots: &[Spot]) {
-        let of =
-            |(one, other): &(Spot, Spot)| spots.is_empty() || spots.contains(one) || spots.contains(other);
+    pub fn heal(&mut self, machines: &[Machine]) {
+        let of = |(one, other): &(Machine, Machine)| {
+            machines.is_empty() || machines.contains(one) || machines.contains(other)
+        };
         let (healed, cuts): (BTreeSet<_>, BTreeSet<_>) =
             std::mem::take(&mut self.net.cuts).into_iter().partition(of);
         self.net.cuts = cuts;
         // A cut between a limiter and a core machine is no trouble among the latter.
         for (one, other) in healed {
             match (one, other) {
-                (Spot::Core(_), Spot::Limiter(_)) => self.troubled(&[other]),
-                (Spot::Limiter(_), Spot::Core(_)) => self.troubled(&[one]),
+                (Machine::Core(_), Machine::Limiter(_)) => self.troubled(&[other]),
+                (Machine::Limiter(_), Machine::Core(_)) => self.troubled(&[one]),
                 _ => self.troubled(&[one, other]),
             }
         }
-        if spots.is_empty() {
+        if machines.is_empty() {
             self.net.losses.clear();
         }
         let held: Vec<(u64, Vec<(bool, Frame)>)> =
@@ -147,8 +148,8 @@
     }
 
     /// A message between stores: late, twice, and in any order.
-    pub fn muster(&mut self, from: u8, to: u8, message: Message) {
-        let (one, other) = (Spot::Core(from), Spot::Core(to));
+    pub fn consensus(&mut self, from: u8, to: u8, message: Message) {
+        let (one, other) = (Machine::Core(from), Machine::Core(to));
         if self.net.is_cut(one, other) || self.net.loses(one, other, &message) {
             return;
         }
@@ -158,12 +159,12 @@
             if self.below(100) < self.net.late {
                 at += self.below(1_500);
             }
-            self.at(at, Due::Muster { from, to, message: message.clone() });
+            self.at(at, Due::Consensus { from, to, message: message.clone() });
         }
     }
 
     /// Whether a connection comes up: 'no' is told at once, 'nothing' after the caller's patience.
-    pub fn connect(&mut self, caller: Spot, callee: Spot) -> Option<u64> {
+    pub fn connect(&mut self, caller: Machine, callee: Machine) -> Option<u64> {
         let joined = !self.net.is_cut(caller, callee) && !self.net.is_cut(callee, caller);
         if !joined || !self.runs(callee) {
             return None;
@@ -191,22 +192,24 @@
             return;
         }
         match (from, to, frame) {
-            (Spot::Core(from), Spot::Core(to), Frame::Said(said)) => {
+            (Machine::Core(from), Machine::Core(to), Frame::RegistryMessage(said)) => {
                 if let Some(up) = self.cores.get_mut(&to).and_then(|core| core.up.as_mut()) {
                     up.incoming.insert(from, id);
                 }
                 self.registry(to, Event::Peer { peer: ip(from), said });
             }
-            (Spot::Core(from), Spot::Core(to), Frame::Ack(ack)) => {
+            (Machine::Core(from), Machine::Core(to), Frame::Ack(ack)) => {
                 self.registry(to, Event::Acked { peer: ip(from), ack });
             }
-            (Spot::Limiter(_), Spot::Core(to), Frame::From(said)) => {
+            (Machine::Limiter(_), Machine::Core(to), Frame::From(said)) => {
                 if let Some(up) = self.cores.get_mut(&to).and_then(|core| core.up.as_mut()) {
                     up.sessions.insert(id);
                 }
                 self.registry(to, Event::Limiter { session: id, said });
             }
-            (Spot::Core(from), Spot::Limiter(to), Frame::To(told)) => self.limiter_hears(to, id, from, told),
+            (Machine::Core(from), Machine::Limiter(to), Frame::To(told)) => {
+                self.limiter_hears(to, id, from, told)
+            }
             _ => {}
         }
     }
@@ -221,33 +224,33 @@
     /// A connection ends; both sides learn of it, unless the other one cannot say so.
     pub fn break_conn(&mut self, id: u64, silent: bool) {
         let Some(conn) = self.net.conns.remove(&id) else { return };
-        for (spot, other) in [(conn.caller, conn.callee), (conn.callee, conn.caller)] {
-            let mute = silent || self.net.is_cut(other, spot);
+        for (machine, other) in [(conn.caller, conn.callee), (conn.callee, conn.caller)] {
+            let mute = silent || self.net.is_cut(other, machine);
             let wait = if mute { UNTAKEN } else { 1 + self.below(4) };
-            let (at, life) = (self.now + wait, self.life(spot));
-            self.at(at, Due::Broken { conn: id, spot, life, other });
+            let (at, incarnation) = (self.now + wait, self.incarnation(machine));
+            self.at(at, Due::Broken { conn: id, machine, incarnation, other });
         }
     }
 
-    pub fn break_all(&mut self, spot: Spot, silent: bool) {
-        let of = |conn: &Conn| conn.caller == spot || conn.callee == spot;
+    pub fn break_all(&mut self, machine: Machine, silent: bool) {
+        let of = |conn: &Conn| conn.caller == machine || conn.callee == machine;
         let conns: Vec<u64> = self.net.conns.iter().filter(|(_, conn)| of(conn)).map(|(id, _)| *id).collect();
         conns.into_iter().for_each(|conn| self.break_conn(conn, silent));
     }
 
-    pub fn broken(&mut self, id: u64, spot: Spot, life: u64, other: Spot) {
-        if self.life(spot) != life || !self.runs(spot) {
+    pub fn broken(&mut self, id: u64, machine: Machine, incarnation: u64, other: Machine) {
+        if self.incarnation(machine) != incarnation || !self.runs(machine) {
             return;
         }
-        match (spot, other) {
-            (Spot::Core(core), Spot::Core(peer)) => self.peer_broken(core, peer, id),
-            (Spot::Core(core), Spot::Limiter(_)) => {
+        match (machine, other) {
+            (Machine::Core(core), Machine::Core(peer)) => self.peer_broken(core, peer, id),
+            (Machine::Core(core), Machine::Limiter(_)) => {
                 let Some(up) = self.cores.get_mut(&core).and_then(|core| core.up.as_mut()) else { return };
                 if up.sessions.remove(&id) {
                     self.registry(core, Event::Ended { session: id });
                 }
             }
-            (Spot::Limiter(limiter), _) => self.session_broken(limiter, id),
+            (Machine::Limiter(limiter), _) => self.session_broken(limiter, id),
         }
     }
 }
--- a/crates/emberpin-basin/src/play.rs
+++ b/crates/emberpin-simulator/src/play.rs
@@ -1,9 +1,9 @@
 //! Plays scenarios.
 
 use crate::builds::Build;
-use crate::text::{Deed, Scenario, Spot, Stand, Way};
+use crate::text::{Machine, Operation, Scenario, Stand, Way};
 use crate::world::World;
-use emberpin_fairway::Work;
+use emberpin_routing::Work;
 
 /// After all trouble, so long until a call must be acknowledged.
 const CALM: u64 = 14_000;
@@ -46,7 +46,7 @@
     for step in &scenario.steps {
         world.run(step.at);
         if world.wrong.is_none() {
-            world.step(step.line, &step.deed);
+            world.step(step.line, &step.operation);
         }
     }
     world.run(scenario.end);
@@ -63,78 +63,80 @@
 }
 
 impl World {
-    fn step(&mut self, line: usize, deed: &Deed) {
-        match deed {
-            Deed::Kill(spots)
-            | Deed::Power { spots, .. }
-            | Deed::Wipe(spots)
-            | Deed::Start(spots)
-            | Deed::Freeze(spots)
-            | Deed::Thaw(spots) => self.troubled(spots),
-            Deed::Clock(spot, _) => self.troubled(&[*spot]),
-            Deed::Cut { from, to, .. } | Deed::Lose { from, to, .. } => {
+    fn step(&mut self, line: usize, operation: &Operation) {
+        match operation {
+            Operation::Kill(machines)
+            | Operation::Power { machines, .. }
+            | Operation::Wipe(machines)
+            | Operation::Start(machines)
+            | Operation::Freeze(machines)
+            | Operation::Thaw(machines) => self.troubled(machines),
+            Operation::Clock(machine, _) => self.troubled(&[*machine]),
+            Operation::Cut { from, to, .. } | Operation::Lose { from, to, .. } => {
                 // A cut between a limiter and a core machine is no trouble among the latter.
-                let limiter = |spot: &&Spot| matches!(spot, Spot::Limiter(_));
-                let core = |spot: &&Spot| !limiter(spot);
+                let limiter = |machine: &&Machine| matches!(machine, Machine::Limiter(_));
+                let core = |machine: &&Machine| !limiter(machine);
                 let all = || from.iter().chain(to);
                 self.troubled(&all().filter(limiter).copied().collect::<Vec<_>>());
-                if from.iter().any(|spot| core(&spot)) && to.iter().any(|spot| core(&spot)) {
+                if from.iter().any(|machine| core(&machine)) && to.iter().any(|machine| core(&machine)) {
                     self.troubled(&all().filter(core).copied().collect::<Vec<_>>());
                 }
             }
             _ => {}
         }
-        match deed {
-            Deed::Operator { who, way, order } => self.operator(who, *way, Some(order.clone()), None),
-            Deed::Up { server, service, zone, address, cold } => {
+        match operation {
+            Operation::Operator { who, way, order } => self.operator(who, *way, Some(order.clone()), None),
+            Operation::Up { server, service, zone, address, cold } => {
                 self.server_up(server, service, zone, *address, *cold);
             }
-            Deed::Drain(server) => {
+            Operation::Drain(server) => {
                 self.servers.get_mut(server).into_iter().for_each(|server| server.drains |= server.up);
                 self.server_speaks(server);
             }
-            Deed::Leave(server) => {
+            Operation::Leave(server) => {
                 self.servers.get_mut(server).into_iter().for_each(|server| server.leaves |= server.up);
                 self.server_speaks(server);
             }
-            Deed::Crash(server) => {
+            Operation::Crash(server) => {
                 self.servers.get_mut(server).into_iter().for_each(|server| server.up = false);
             }
-            Deed::Cold(server, span) => {
+            Operation::Cold(server, span) => {
                 let until = self.now + span;
                 self.servers.get_mut(server).into_iter().for_each(|server| server.cold_until = until);
                 self.load_from_now();
             }
-            Deed::Says { server, drains, seq, to } => self.server_says(server, *drains, *seq, *to),
-            Deed::Kill(spots) => spots.iter().for_each(|spot| self.stop(*spot, false)),
-            Deed::Power { spots, hard } => spots.iter().for_each(|spot| self.power(*spot, *hard)),
-            Deed::Wipe(spots) => spots.iter().for_each(|spot| self.wipe(*spot)),
-            Deed::Start(spots) => spots.iter().for_each(|spot| self.start(*spot)),
-            Deed::Replace { old, new } => self.replace(*old, *new),
-            Deed::Freeze(spots) => spots.iter().for_each(|spot| self.freeze(*spot)),
-            Deed::Thaw(spots) => spots.iter().for_each(|spot| self.thaw(*spot)),
-            Deed::Clock(spot, rate) => {
+            Operation::Says { server, drains, seq, to } => self.server_says(server, *drains, *seq, *to),
+            Operation::Kill(machines) => machines.iter().for_each(|machine| self.stop(*machine, false)),
+            Operation::Power { machines, hard } => {
+                machines.iter().for_each(|machine| self.power(*machine, *hard))
+            }
+            Operation::Wipe(machines) => machines.iter().for_each(|machine| self.wipe(*machine)),
+            Operation::Start(machines) => machines.iter().for_each(|machine| self.start(*machine)),
+            Operation::Replace { old, new } => self.replace(*old, *new),
+            Operation::Freeze(machines) => machines.iter().for_each(|machine| self.freeze(*machine)),
+            Operation::Thaw(machines) => machines.iter().for_each(|machine| self.thaw(*machine)),
+            Operation::Clock(machine, rate) => {
                 let now = self.now;
-                self.process(*spot).into_iter().for_each(|process| process.runs_at(now, *rate));
+                self.process(*machine).into_iter().for_each(|process| process.runs_at(now, *rate));
             }
-            Deed::Cut { from, to, one_way } => self.cut(from, to, *one_way),
-            Deed::Lose { sort, from, to } => {
+            Operation::Cut { from, to, one_way } => self.cut(from, to, *one_way),
+            Operation::Lose { sort, from, to } => {
                 for one in from {
                     to.iter().for_each(|other| self.net.lose(*sort, *one, *other));
                 }
             }
-            Deed::Heal(spots) => self.heal(spots),
-            Deed::Found => self.net.lose_nothing(),
-            Deed::Network { delay, late, twice } => {
+            Operation::Heal(machines) => self.heal(machines),
+            Operation::Found => self.net.lose_nothing(),
+            Operation::Network { delay, late, twice } => {
                 (self.net.delay, self.net.late, self.net.twice) = (*delay, *late, *twice);
                 self.ledger.slow |= *late > 0 || delay.1 > 20;
             }
-            Deed::Disk(low, high) => {
+            Operation::Disk(low, high) => {
                 self.disk = (*low, *high);
                 self.ledger.slow |= *high > 50;
             }
-            Deed::GetHolds { .. } | Deed::GetLacks { .. } => {
-                self.operator(&format!("line {line}"), Way::Any, None, Some((line, deed.clone())));
+            Operation::GetHolds { .. } | Operation::GetLacks { .. } => {
+                self.operator(&format!("line {line}"), Way::Any, None, Some((line, operation.clone())));
             }
             hope => {
                 if let Err(found) = self.expect(hope) {
@@ -144,9 +146,9 @@
         }
     }
 
-    fn expect(&self, hope: &Deed) -> Result<(), String> {
+    fn expect(&self, hope: &Operation) -> Result<(), String> {
         match hope {
-            Deed::ToldStatus { who, status } => {
+            Operation::ToldStatus { who, status } => {
                 let call = self.operators.latest.get(who).map(|call| &self.operators.calls[*call]);
                 let found = call.ok_or_else(|| format!("operator {who} asked nothing"))?;
                 match found.status == *status {
@@ -159,7 +161,7 @@
                     }
                 }
             }
-            Deed::Voters(count) => {
+            Operation::Voters(count) => {
                 for (core, machine) in &self.cores {
                     let Some(up) = &machine.up else { continue };
                     let found = up.store.voters();
@@ -169,15 +171,15 @@
                 }
                 Ok(())
             }
-            Deed::Votes { core, votes } => {
+            Operation::Votes { core, votes } => {
                 let up = self.cores.get(core).and_then(|core| core.up.as_ref());
                 match up.is_some_and(|up| up.store.votes()) == *votes {
                     true => Ok(()),
                     false => Err(format!("expected that core-{core} votes: {votes}")),
                 }
             }
-            Deed::Routed { limiters, host, path, ver } => self.each(limiters, |pilot| {
-                let found = pilot.fairway.matcher.find(host, path).map(|route| route.ver);
+            Operation::Routed { limiters, host, path, ver } => self.each(limiters, |proxy| {
+                let found = proxy.router.matcher.find(host, path).map(|route| route.ver);
                 match found == *ver {
                     true => Ok(()),
                     false => {
@@ -185,22 +187,24 @@
                     }
                 }
             }),
-            Deed::Stands { limiters, server, stand } => {
+            Operation::Stands { limiters, server, stand } => {
                 let server = self.servers.get(server).ok_or(format!("there is no server {server}"))?;
                 let expected = match stand {
                     Stand::Usable => Work::Usable,
                     Stand::Held => Work::Held,
                     Stand::Gone => Work::Gone,
                 };
-                self.each(limiters, |pilot| match pilot.work(&server.id) {
+                self.each(limiters, |proxy| match proxy.work(&server.id) {
                     found if found == expected => Ok(()),
                     found => Err(format!("expected that {} is {expected:?}, found {found:?}", server.id)),
                 })
             }
-            Deed::Ready { limiters, ready } => self.each(limiters, |pilot| match pilot.ready == *ready {
-                true => Ok(()),
-                false => Err(format!("expected ready: {ready}")),
-            }),
+            Operation::Ready { limiters, ready } => {
+                self.each(limiters, |proxy| match proxy.ready == *ready {
+                    true => Ok(()),
+                    false => Err(format!("expected ready: {ready}")),
+                })
+            }
             _ => Ok(()),
         }
     }
@@ -208,15 +212,15 @@
     /// Holds for each of these limiters that runs.
     fn each(
         &self,
-        limiters: &[Spot],
-        holds: impl Fn(&crate::limiters::Pilot) -> Result<(), String>,
+        limiters: &[Machine],
+        holds: impl Fn(&crate::limiters::Proxy) -> Result<(), String>,
     ) -> Result<(), String> {
         for (number, machine) in &self.limiters {
-            let Some(pilot) = machine.up.as_ref().filter(|_| limiters.contains(&Spot::Limiter(*number)))
+            let Some(proxy) = machine.up.as_ref().filter(|_| limiters.contains(&Machine::Limiter(*number)))
             else {
                 continue;
             };
-            holds(pilot).map_err(|wrong| format!("limiter-{number}: {wrong}"))?;
+            holds(proxy).map_err(|wrong| format!("limiter-{number}: {wrong}"))?;
         }
         Ok(())
     }
@@ -240,7 +244,7 @@
             return;
         }
         let unready =
-            self.limiters.iter().find(|(_, machine)| machine.up.as_ref().is_some_and(|pilot| !pilot.ready));
+            self.limiters.iter().find(|(_, machine)| machine.up.as_ref().is_some_and(|proxy| !proxy.ready));
         if let Some(unready) = unready.map(|(limiter, _)| *limiter) {
             return self.fail(format!("does not serve again: limiter-{unready} is not ready"));
         }
--- a/crates/emberpin-basin/src/text.rs
+++ b/crates/emberpin-simulator/src/text.rs
@@ -17,18 +17,18 @@
 
 /// A machine with a store and a registry, or a limiter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Spot {
+pub enum Machine {
     /// `core-N`
     Core(u8),
     /// `limiter-N`
     Limiter(u8),
 }
 
-impl Display for Spot {
+impl Display for Machine {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Spot::Core(number) => write!(f, "core-{number}"),
-            Spot::Limiter(number) => write!(f, "limiter-{number}"),
+            Machine::Core(number) => write!(f, "core-{number}"),
+            Machine::Limiter(number) => write!(f, "limiter-{number}"),
         }
     }
 }
@@ -65,7 +65,7 @@
     pub line: usize,
     /// As it is written.
     pub text: String,
-    pub(crate) deed: Deed,
+    pub(crate) operation: Operation,
 }
 
 /// Which of the machines a call goes to.
@@ -107,7 +107,7 @@
 
 /// What is done, or expected.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Deed {
+pub(crate) enum Operation {
     Operator { who: String, way: Way, order: Order },
     Up { server: String, service: String, zone: String, address: u16, cold: u64 },
     Drain(String),
@@ -115,28 +115,28 @@
     Crash(String),
     Cold(String, u64),
     Says { server: String, drains: bool, seq: u64, to: u8 },
-    Kill(Vec<Spot>),
-    Power { spots: Vec<Spot>, hard: bool },
-    Wipe(Vec<Spot>),
-    Start(Vec<Spot>),
+    Kill(Vec<Machine>),
+    Power { machines: Vec<Machine>, hard: bool },
+    Wipe(Vec<Machine>),
+    Start(Vec<Machine>),
     Replace { old: u8, new: u8 },
-    Freeze(Vec<Spot>),
-    Thaw(Vec<Spot>),
-    Clock(Spot, u64),
-    Cut { from: Vec<Spot>, to: Vec<Spot>, one_way: bool },
-    Lose { sort: Sort, from: Vec<Spot>, to: Vec<Spot> },
-    Heal(Vec<Spot>),
+    Freeze(Vec<Machine>),
+    Thaw(Vec<Machine>),
+    Clock(Machine, u64),
+    Cut { from: Vec<Machine>, to: Vec<Machine>, one_way: bool },
+    Lose { sort: Sort, from: Vec<Machine>, to: Vec<Machine> },
+    Heal(Vec<Machine>),
     Found,
     Network { delay: (u64, u64), late: u64, twice: u64 },
     Disk(u64, u64),
     ToldStatus { who: String, status: Option<u16> },
     GetHolds { kind: String, name: String, ver: u64 },
     GetLacks { kind: String, name: String },
-    Routed { limiters: Vec<Spot>, host: String, path: String, ver: Option<u64> },
-    Stands { limiters: Vec<Spot>, server: String, stand: Stand },
+    Routed { limiters: Vec<Machine>, host: String, path: String, ver: Option<u64> },
+    Stands { limiters: Vec<Machine>, server: String, stand: Stand },
     Voters(usize),
     Votes { core: u8, votes: bool },
-    Ready { limiters: Vec<Spot>, ready: bool },
+    Ready { limiters: Vec<Machine>, ready: bool },
 }
 
 type Words<'a> = std::iter::Peekable<std::str::SplitWhitespace<'a>>;
@@ -166,20 +166,20 @@
         }
         let wrong = |what: String| Wrong { file: name.into(), line: line + 1, what };
         let step = read_line(&mut scenario, words).map_err(wrong)?;
-        let Some((at, deed)) = step else { continue };
+        let Some((at, operation)) = step else { continue };
         if at < last {
             return Err(wrong(format!(
                 "expected a time of {last}ms or later, as steps stand in their order"
             )));
         }
         last = at;
-        scenario.steps.push(Step { at, line: line + 1, text: words.into(), deed });
+        scenario.steps.push(Step { at, line: line + 1, text: words.into(), operation });
     }
     scenario.end = scenario.end.max(last);
     Ok(scenario)
 }
 
-fn read_line(scenario: &mut Scenario, line: &str) -> Result<Option<(u64, Deed)>, String> {
+fn read_line(scenario: &mut Scenario, line: &str) -> Result<Option<(u64, Operation)>, String> {
     if let Some(builds) = line.strip_prefix("wrong build:") {
         for build in builds.split_whitespace() {
             if !Build::default().without(build) {
@@ -259,7 +259,7 @@
 }
 
 fn millis(text: &str) -> Result<u64, String> {
-    let time = emberpin_chart::forms::time(text);
+    let time = emberpin_config::forms::time(text);
     let time = time.ok_or_else(|| format!("expected a time such as 2s or 1500ms, not {text:?}"))?;
     Ok(time.as_millis() as u64)
 }
@@ -284,33 +284,33 @@
     parsed(text.strip_suffix('%').unwrap_or("-"), "a part such as 5%")
 }
 
-fn spot(text: &str) -> Result<Spot, String> {
+fn machine(text: &str) -> Result<Machine, String> {
     let wrong = || format!("expected a machine such as core-1 or limiter-1, not {text:?}");
     let (sort, number) = text.split_once('-').ok_or_else(wrong)?;
     let number = number.parse().map_err(|_| wrong())?;
     match sort {
-        "core" => Ok(Spot::Core(number)),
-        "limiter" => Ok(Spot::Limiter(number)),
+        "core" => Ok(Machine::Core(number)),
+        "limiter" => Ok(Machine::Limiter(number)),
         _ => Err(wrong()),
     }
 }
 
 fn core(words: &mut Words) -> Result<u8, String> {
-    match spot(next(words, "a machine such as core-1")?)? {
-        Spot::Core(number) => Ok(number),
-        Spot::Limiter(_) => Err("expected a core machine, not a limiter".into()),
+    match machine(next(words, "a machine such as core-1")?)? {
+        Machine::Core(number) => Ok(number),
+        Machine::Limiter(_) => Err("expected a core machine, not a limiter".into()),
     }
 }
 
 /// Machines, up to the end of the line or to a sign.
-fn spots(scenario: &Scenario, words: &mut Words) -> Result<Vec<Spot>, String> {
+fn machines(scenario: &Scenario, words: &mut Words) -> Result<Vec<Machine>, String> {
     let mut all = Vec::new();
     while let Some(text) = words.peek().copied().filter(|text| !["|", ">"].contains(text)) {
         words.next();
         match text {
-            "cores" => all.extend((1..=scenario.cores).map(Spot::Core)),
-            "limiters" => all.extend((1..=scenario.limiters).map(Spot::Limiter)),
-            one => all.push(spot(one)?),
+            "cores" => all.extend((1..=scenario.cores).map(Machine::Core)),
+            "limiters" => all.extend((1..=scenario.limiters).map(Machine::Limiter)),
+            one => all.push(machine(one)?),
         }
     }
     if all.is_empty() {
@@ -319,7 +319,7 @@
     Ok(all)
 }
 
-fn read_deed(scenario: &Scenario, words: &mut Words) -> Result<Deed, String> {
+fn read_deed(scenario: &Scenario, words: &mut Words) -> Result<Operation, String> {
     Ok(match next(words, "what happens")? {
         "operator" => {
             let who = next(words, "the operator's name")?.into();
@@ -327,7 +327,7 @@
             match sort {
                 "patch" => {
                     let way = way(words)?;
-                    Deed::Operator { who, way, order: Order::Patch(patch(words)?) }
+                    Operation::Operator { who, way, order: Order::Patch(patch(words)?) }
                 }
                 "evac" => {
                     let zone = next(words, "a zone")?.to_owned();
@@ -339,33 +339,33 @@
                         "finish" => false,
                         other => return Err(format!("expected begin or finish, not {other:?}")),
                     };
-                    Deed::Operator { who, way: way(words)?, order: Order::Evacuate { zone, begin } }
+                    Operation::Operator { who, way: way(words)?, order: Order::Evacuate { zone, begin } }
                 }
                 other => return Err(format!("expected patch or evac, not {other:?}")),
             }
         }
         "server" => server(scenario, words)?,
-        "kill" => Deed::Kill(spots(scenario, words)?),
+        "kill" => Operation::Kill(machines(scenario, words)?),
         "power" => {
             let hard = words.next_if_eq(&"hard").is_some();
-            Deed::Power { spots: spots(scenario, words)?, hard }
+            Operation::Power { machines: machines(scenario, words)?, hard }
         }
-        "wipe" => Deed::Wipe(spots(scenario, words)?),
-        "start" => Deed::Start(spots(scenario, words)?),
-        "freeze" => Deed::Freeze(spots(scenario, words)?),
-        "thaw" => Deed::Thaw(spots(scenario, words)?),
-        "replace" => Deed::Replace { old: core(words)?, new: core(words)? },
+        "wipe" => Operation::Wipe(machines(scenario, words)?),
+        "start" => Operation::Start(machines(scenario, words)?),
+        "freeze" => Operation::Freeze(machines(scenario, words)?),
+        "thaw" => Operation::Thaw(machines(scenario, words)?),
+        "replace" => Operation::Replace { old: core(words)?, new: core(words)? },
         "clock" => {
-            let spot = spot(next(words, "a machine")?)?;
+            let machine = machine(next(words, "a machine")?)?;
             match percent(words)? {
-                rate @ 50..=200 => Deed::Clock(spot, rate),
+                rate @ 50..=200 => Operation::Clock(machine, rate),
                 _ => return Err("expected a rate of 50% to 200%".into()),
             }
         }
         "cut" => {
-            let from = spots(scenario, words)?;
+            let from = machines(scenario, words)?;
             let one_way = next(words, "| or >")? == ">";
-            Deed::Cut { from, to: spots(scenario, words)?, one_way }
+            Operation::Cut { from, to: machines(scenario, words)?, one_way }
         }
         "lose" => {
             let sort = match next(words, "prepare, accept, chosen, exchange, promise or seats")? {
@@ -380,24 +380,24 @@
                     return Err(format!("expected {known}, not {other:?}"));
                 }
             };
-            let from = spots(scenario, words)?;
+            let from = machines(scenario, words)?;
             word(words, ">")?;
-            Deed::Lose { sort, from, to: spots(scenario, words)? }
+            Operation::Lose { sort, from, to: machines(scenario, words)? }
         }
-        "heal" if words.peek().is_none() => Deed::Heal(Vec::new()),
-        "heal" => Deed::Heal(spots(scenario, words)?),
-        "lose-nothing" => Deed::Found,
+        "heal" if words.peek().is_none() => Operation::Heal(Vec::new()),
+        "heal" => Operation::Heal(machines(scenario, words)?),
+        "lose-nothing" => Operation::Found,
         "network" => {
             word(words, "delay")?;
             let delay = span(words)?;
             word(words, "late")?;
             let late = percent(words)?;
             word(words, "twice")?;
-            Deed::Network { delay, late, twice: percent(words)? }
+            Operation::Network { delay, late, twice: percent(words)? }
         }
         "disk" => {
             let (low, high) = span(words)?;
-            Deed::Disk(low, high)
+            Operation::Disk(low, high)
         }
         other => {
             let known =
@@ -418,7 +418,7 @@
     })
 }
 
-fn server(scenario: &Scenario, words: &mut Words) -> Result<Deed, String> {
+fn server(scenario: &Scenario, words: &mut Words) -> Result<Operation, String> {
     let server: String = next(words, "a server's name")?.into();
     Ok(match next(words, "up, drain, leave, crash, cold or says")? {
         "up" => {
@@ -441,12 +441,12 @@
                 }
             }
             let service = service.ok_or("expected svc=NAME")?;
-            Deed::Up { server, service, zone, address, cold }
+            Operation::Up { server, service, zone, address, cold }
         }
-        "drain" => Deed::Drain(server),
-        "leave" => Deed::Leave(server),
-        "crash" => Deed::Crash(server),
-        "cold" => Deed::Cold(server, time(words)?),
+        "drain" => Operation::Drain(server),
+        "leave" => Operation::Leave(server),
+        "crash" => Operation::Crash(server),
+        "cold" => Operation::Cold(server, time(words)?),
         "says" => {
             let drains = match next(words, "up or drain")? {
                 "up" => false,
@@ -456,7 +456,7 @@
             word(words, "seq")?;
             let seq = number(words, "a number")?;
             word(words, "to")?;
-            Deed::Says { server, drains, seq, to: core(words)? }
+            Operation::Says { server, drains, seq, to: core(words)? }
         }
         other => return Err(format!("expected up, drain, leave, crash, cold or says, not {other:?}")),
     })
@@ -526,7 +526,7 @@
     ))
 }
 
-fn read_hope(scenario: &Scenario, words: &mut Words) -> Result<Deed, String> {
+fn read_hope(scenario: &Scenario, words: &mut Words) -> Result<Operation, String> {
     let first = next(words, "what is expected")?;
     Ok(match first {
         "operator" => {
@@ -536,7 +536,7 @@
                 "nothing" => None,
                 status => Some(parsed(status, "a status or nothing")?),
             };
-            Deed::ToldStatus { who, status }
+            Operation::ToldStatus { who, status }
         }
         "get" => {
             let holds = match next(words, "holds or lacks")? {
@@ -551,21 +551,21 @@
             let name = next(words, "a name")?.to_owned();
             if holds {
                 word(words, "ver")?;
-                Deed::GetHolds { kind, name, ver: number(words, "a version")? }
+                Operation::GetHolds { kind, name, ver: number(words, "a version")? }
             } else {
-                Deed::GetLacks { kind, name }
+                Operation::GetLacks { kind, name }
             }
         }
-        "voters" => Deed::Voters(number(words, "how many voters")?),
+        "voters" => Operation::Voters(number(words, "how many voters")?),
         machines => match machines {
-            "limiters" => limiters((1..=scenario.limiters).map(Spot::Limiter).collect(), words)?,
-            one => match spot(one).map_err(|_| {
+            "limiters" => limiters((1..=scenario.limiters).map(Machine::Limiter).collect(), words)?,
+            one => match machine(one).map_err(|_| {
                 format!("expected operator, get, voters, limiters, limiter-N or core-N, not {one:?}")
             })? {
-                Spot::Limiter(number) => limiters(vec![Spot::Limiter(number)], words)?,
-                Spot::Core(core) => match next(words, "votes or waits")? {
-                    "votes" => Deed::Votes { core, votes: true },
-                    "waits" => Deed::Votes { core, votes: false },
+                Machine::Limiter(number) => limiters(vec![Machine::Limiter(number)], words)?,
+                Machine::Core(core) => match next(words, "votes or waits")? {
+                    "votes" => Operation::Votes { core, votes: true },
+                    "waits" => Operation::Votes { core, votes: false },
                     other => return Err(format!("expected votes or waits, not {other:?}")),
                 },
             },
@@ -573,7 +573,7 @@
     })
 }
 
-fn limiters(limiters: Vec<Spot>, words: &mut Words) -> Result<Deed, String> {
+fn limiters(limiters: Vec<Machine>, words: &mut Words) -> Result<Operation, String> {
     let place = |words: &mut Words| -> Result<(String, String), String> {
         let place = next(words, "HOST/PREFIX/")?;
         let (host, path) = place.split_once('/').ok_or(format!("expected HOST/PREFIX/, not {place:?}"))?;
@@ -583,12 +583,12 @@
         "route" => {
             let (host, path) = place(words)?;
             word(words, "ver")?;
-            Deed::Routed { limiters, host, path, ver: Some(number(words, "a version")?) }
+            Operation::Routed { limiters, host, path, ver: Some(number(words, "a version")?) }
         }
         "no" => {
             word(words, "route")?;
             let (host, path) = place(words)?;
-            Deed::Routed { limiters, host, path, ver: None }
+            Operation::Routed { limiters, host, path, ver: None }
         }
         "server" => {
             let server = next(words, "a server's name")?.into();
@@ -598,10 +598,10 @@
                 "gone" => Stand::Gone,
                 other => return Err(format!("expected usable, held or gone, not {other:?}")),
             };
-            Deed::Stands { limiters, server, stand }
+            Operation::Stands { limiters, server, stand }
         }
-        "ready" => Deed::Ready { limiters, ready: true },
-        "unready" => Deed::Ready { limiters, ready: false },
+        "ready" => Operation::Ready { limiters, ready: true },
+        "unready" => Operation::Ready { limiters, ready: false },
         other => return Err(format!("expected route, no, server, ready or unready, not {other:?}")),
     })
 }
--- a/crates/emberpin-basin/src/world.rs
+++ b/crates/emberpin-simulator/src/world.rs
@@ -6,52 +6,60 @@
 use crate::ledger::Ledger;
 use crate::limiters::Limiter;
 use crate::net::{Frame, Net};
-use crate::text::{Scenario, Spot};
-use emberpin_chart::Item;
-use emberpin_muster::Message;
-use emberpin_watch::registry::Answer;
+use crate::text::{Machine, Scenario};
+use emberpin_config::Item;
+use emberpin_consensus::Message;
+use emberpin_membership::registry::Answer;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What will happen. Where a life is named and is over, nothing does.
+/// What will happen. Where an incarnation is named and is over, nothing does.
 #[derive(Clone, Debug)]
 pub(crate) enum Due {
     /// A message between stores arrives.
-    Muster { from: u8, to: u8, message: Message },
+    Consensus { from: u8, to: u8, message: Message },
     /// A disk has synced its first writes.
-    Synced { core: u8, life: u64, token: u64, writes: usize },
+    Synced { core: u8, incarnation: u64, token: u64, writes: usize },
     /// A store wakes.
-    Store { core: u8, life: u64 },
+    Store { core: u8, incarnation: u64 },
     /// A registry wakes.
-    Registry { core: u8, life: u64 },
+    Registry { core: u8, incarnation: u64 },
     /// A registry hears what is chosen from the store beside it.
-    News { core: u8, life: u64, items: Vec<Item> },
+    News { core: u8, incarnation: u64, items: Vec<Item> },
     /// And how that store stands.
-    Stand { core: u8, life: u64 },
+    Stand { core: u8, incarnation: u64 },
     /// A registry calls another one.
-    Dial { core: u8, life: u64, peer: u8 },
+    Dial { core: u8, incarnation: u64, peer: u8 },
     /// Something arrives on a connection; `forth`: from its caller.
     Frame { conn: u64, forth: bool, frame: Box<Frame> },
     /// A connection that was cut ends, if it still is.
     Untaken { conn: u64 },
     /// One side learns that a connection has ended.
-    Broken { conn: u64, spot: Spot, life: u64, other: Spot },
+    Broken { conn: u64, machine: Machine, incarnation: u64, other: Machine },
     /// A limiter looks after its sessions.
-    Look { limiter: u8, life: u64 },
+    Look { limiter: u8, incarnation: u64 },
     /// A call arrives at a core machine.
     Called { call: usize, attempt: u32, core: u8 },
     /// Its answer arrives.
-    Told { call: usize, attempt: u32, status: u16, body: String },
+    OperatorAnswer { call: usize, attempt: u32, status: u16, body: String },
     /// It was silent for too long, or failed.
     Again { call: usize, attempt: u32 },
     /// A server beats.
-    Beat { server: String, life: u32 },
+    Beat { server: String, incarnation: u32 },
     /// What a server says arrives.
-    Said { server: String, life: u32, attempt: u64, core: u8, leave: bool, drains: bool, seq: u64 },
+    ServerCall {
+        server: String,
+        incarnation: u32,
+        attempt: u64,
+        core: u8,
+        leave: bool,
+        drains: bool,
+        seq: u64,
+    },
     /// A server is answered.
-    Answered { server: String, life: u32, attempt: u64, answer: Answer, drains: bool },
+    Answered { server: String, incarnation: u32, attempt: u64, answer: Answer, drains: bool },
     /// A server was not answered in time.
-    Unanswered { server: String, life: u32, attempt: u64 },
+    Unanswered { server: String, incarnation: u32, attempt: u64 },
     /// Limiters ask cold servers for as much as they may.
     Load,
     /// What was acknowledged must be in force on machines in touch.
@@ -74,7 +82,7 @@
 pub(crate) struct Process {
     pub zone: String,
     /// Rises with each start and end.
-    pub life: u64,
+    pub incarnation: u64,
     pub since: u64,
     base: u64,
     rate: u64,
@@ -90,7 +98,7 @@
     pub fn new(zone: &str) -> Process {
         Process {
             zone: zone.into(),
-            life: 0,
+            incarnation: 0,
             since: 0,
             base: 0,
             rate: 100,
@@ -102,13 +110,13 @@
     }
 
     pub fn begins(&mut self, now: u64) {
-        self.life += 1;
+        self.incarnation += 1;
         (self.since, self.base, self.frozen) = (now, 0, false);
         self.waiting.clear();
     }
 
     pub fn ends(&mut self) {
-        self.life += 1;
+        self.incarnation += 1;
         self.frozen = false;
         self.waiting.clear();
     }
@@ -205,24 +213,28 @@
         self.wrong.get_or_insert_with(|| format!("at {now}s: {}", what.into()));
     }
 
-    pub fn process(&mut self, spot: Spot) -> Option<&mut Process> {
-        match spot {
-            Spot::Core(number) => self.cores.get_mut(&number).map(|core| &mut core.process),
-            Spot::Limiter(number) => self.limiters.get_mut(&number).map(|limiter| &mut limiter.process),
+    pub fn process(&mut self, machine: Machine) -> Option<&mut Process> {
+        match machine {
+            Machine::Core(number) => self.cores.get_mut(&number).map(|core| &mut core.process),
+            Machine::Limiter(number) => self.limiters.get_mut(&number).map(|limiter| &mut limiter.process),
         }
     }
 
-    pub fn runs(&self, spot: Spot) -> bool {
-        match spot {
-            Spot::Core(number) => self.cores.get(&number).is_some_and(|core| core.up.is_some()),
-            Spot::Limiter(number) => self.limiters.get(&number).is_some_and(|limiter| limiter.up.is_some()),
+    pub fn runs(&self, machine: Machine) -> bool {
+        match machine {
+            Machine::Core(number) => self.cores.get(&number).is_some_and(|core| core.up.is_some()),
+            Machine::Limiter(number) => {
+                self.limiters.get(&number).is_some_and(|limiter| limiter.up.is_some())
+            }
         }
     }
 
-    pub fn life(&self, spot: Spot) -> u64 {
-        match spot {
-            Spot::Core(number) => self.cores.get(&number).map_or(0, |core| core.process.life),
-            Spot::Limiter(number) => self.limiters.get(&number).map_or(0, |limiter| limiter.process.life),
+    pub fn incarnation(&self, machine: Machine) -> u64 {
+        match machine {
+            Machine::Core(number) => self.cores.get(&number).map_or(0, |core| core.process.incarnation),
+            Machine::Limiter(number) => {
+                self.limiters.get(&number).map_or(0, |limiter| limiter.process.incarnation)
+            }
         }
     }
 
@@ -246,9 +258,9 @@
     }
 
     /// Whose process has to run for it.
-    fn owner(&self, due: &Due) -> Option<Spot> {
+    fn owner(&self, due: &Due) -> Option<Machine> {
         match due {
-            Due::Muster { to: core, .. }
+            Due::Consensus { to: core, .. }
             | Due::Synced { core, .. }
             | Due::Store { core, .. }
             | Due::Registry { core, .. }
@@ -256,44 +268,48 @@
             | Due::Stand { core, .. }
             | Due::Dial { core, .. }
             | Due::Called { core, .. }
-            | Due::Said { core, .. } => Some(Spot::Core(*core)),
-            Due::Look { limiter, .. } => Some(Spot::Limiter(*limiter)),
-            Due::Broken { spot, .. } => Some(*spot),
+            | Due::ServerCall { core, .. } => Some(Machine::Core(*core)),
+            Due::Look { limiter, .. } => Some(Machine::Limiter(*limiter)),
+            Due::Broken { machine, .. } => Some(*machine),
             Due::Frame { conn, forth, .. } => self.net.receiver(*conn, *forth),
             _ => None,
         }
     }
 
     pub fn happen(&mut self, due: Due) {
-        if let Some(process) = self.owner(&due).and_then(|spot| self.process(spot)) {
+        if let Some(process) = self.owner(&due).and_then(|machine| self.process(machine)) {
             if process.frozen {
                 process.waiting.push(due);
                 return;
             }
         }
         match due {
-            Due::Muster { from, to, message } => self.hear_store(from, to, message),
-            Due::Synced { core, life, token, writes } => self.synced(core, life, token, writes),
-            Due::Store { core, life } => self.wake_store(core, life),
-            Due::Registry { core, life } => self.wake_registry(core, life),
-            Due::News { core, life, items } => self.news(core, life, items),
-            Due::Stand { core, life } => self.stand(core, life),
-            Due::Dial { core, life, peer } => self.dial(core, life, peer),
+            Due::Consensus { from, to, message } => self.hear_store(from, to, message),
+            Due::Synced { core, incarnation, token, writes } => self.synced(core, incarnation, token, writes),
+            Due::Store { core, incarnation } => self.wake_store(core, incarnation),
+            Due::Registry { core, incarnation } => self.wake_registry(core, incarnation),
+            Due::News { core, incarnation, items } => self.news(core, incarnation, items),
+            Due::Stand { core, incarnation } => self.stand(core, incarnation),
+            Due::Dial { core, incarnation, peer } => self.dial(core, incarnation, peer),
             Due::Frame { conn, forth, frame } => self.arrive(conn, forth, *frame),
             Due::Untaken { conn } => self.untaken(conn),
-            Due::Broken { conn, spot, life, other } => self.broken(conn, spot, life, other),
-            Due::Look { limiter, life } => self.look(limiter, life),
+            Due::Broken { conn, machine, incarnation, other } => {
+                self.broken(conn, machine, incarnation, other)
+            }
+            Due::Look { limiter, incarnation } => self.look(limiter, incarnation),
             Due::Called { call, attempt, core } => self.called(call, attempt, core),
-            Due::Told { call, attempt, status, body } => self.told(call, attempt, status, &body),
+            Due::OperatorAnswer { call, attempt, status, body } => self.told(call, attempt, status, &body),
             Due::Again { call, attempt } => self.again(call, attempt),
-            Due::Beat { server, life } => self.beat(&server, life),
-            Due::Said { server, life, attempt, core, leave, drains, seq } => {
-                self.server_said(&server, life, attempt, core, leave, drains, seq);
+            Due::Beat { server, incarnation } => self.beat(&server, incarnation),
+            Due::ServerCall { server, incarnation, attempt, core, leave, drains, seq } => {
+                self.server_said(&server, incarnation, attempt, core, leave, drains, seq);
+            }
+            Due::Answered { server, incarnation, attempt, answer, drains } => {
+                self.server_answered(&server, incarnation, attempt, answer, drains);
             }
-            Due::Answered { server, life, attempt, answer, drains } => {
-                self.server_answered(&server, life, attempt, answer, drains);
+            Due::Unanswered { server, incarnation, attempt } => {
+                self.server_unanswered(&server, incarnation, attempt)
             }
-            Due::Unanswered { server, life, attempt } => self.server_unanswered(&server, life, attempt),
             Due::Load => self.load(),
             Due::Applied { what, sent } => self.applied(&what, sent),
         }
@@ -302,79 +318,79 @@
     // ---- faults
 
     /// Something was done to these.
-    pub fn troubled(&mut self, spots: &[Spot]) {
+    pub fn troubled(&mut self, machines: &[Machine]) {
         let now = self.now;
-        for spot in spots {
-            if let Some(process) = self.process(*spot) {
+        for machine in machines {
+            if let Some(process) = self.process(*machine) {
                 process.trouble = now;
             }
         }
     }
 
-    pub fn start(&mut self, spot: Spot) {
-        match spot {
-            Spot::Core(number) => self.start_core(number, false),
-            Spot::Limiter(number) => self.start_limiter(number),
+    pub fn start(&mut self, machine: Machine) {
+        match machine {
+            Machine::Core(number) => self.start_core(number, false),
+            Machine::Limiter(number) => self.start_limiter(number),
         }
     }
 
     /// The process ends. `silent`: nobody is told, as the machine has no power.
-    pub fn stop(&mut self, spot: Spot, silent: bool) {
-        match spot {
-            Spot::Core(number) => {
+    pub fn stop(&mut self, machine: Machine, silent: bool) {
+        match machine {
+            Machine::Core(number) => {
                 let Some(core) = self.cores.get_mut(&number) else { return };
                 core.up = None;
                 core.process.ends();
             }
-            Spot::Limiter(number) => {
+            Machine::Limiter(number) => {
                 let Some(limiter) = self.limiters.get_mut(&number) else { return };
                 limiter.up = None;
                 limiter.process.ends();
             }
         }
-        self.break_all(spot, silent);
+        self.break_all(machine, silent);
     }
 
-    pub fn power(&mut self, spot: Spot, hard: bool) {
+    pub fn power(&mut self, machine: Machine, hard: bool) {
         let kept = self.rand.rand_u64();
-        if let Some(core) = match spot {
-            Spot::Core(number) => self.cores.get_mut(&number),
-            Spot::Limiter(_) => None,
+        if let Some(core) = match machine {
+            Machine::Core(number) => self.cores.get_mut(&number),
+            Machine::Limiter(_) => None,
         } {
             core.lose_power(if hard { None } else { Some(kept) });
         }
-        self.stop(spot, true);
+        self.stop(machine, true);
     }
 
-    pub fn wipe(&mut self, spot: Spot) {
-        if let Spot::Core(number) = spot {
+    pub fn wipe(&mut self, machine: Machine) {
+        if let Machine::Core(number) = machine {
             if let Some(core) = self.cores.get_mut(&number) {
                 core.wipe();
             }
         }
-        self.stop(spot, true);
+        self.stop(machine, true);
     }
 
     pub fn replace(&mut self, old: u8, new: u8) {
         let Some(core) = self.cores.get(&old) else { return };
         let process = Process::new(&core.process.zone);
-        self.wipe(Spot::Core(old));
+        self.wipe(Machine::Core(old));
         if let Some(core) = self.cores.get_mut(&old) {
             core.process.removed = true;
         }
         self.cores.insert(new, Core::new(process));
         self.start_core(new, false);
-        self.troubled(&[Spot::Core(old), Spot::Core(new)]);
+        self.troubled(&[Machine::Core(old), Machine::Core(new)]);
     }
 
-    pub fn freeze(&mut self, spot: Spot) {
-        if self.runs(spot) {
-            self.process(spot).into_iter().for_each(|process| process.frozen = true);
+    pub fn freeze(&mut self, machine: Machine) {
+        if self.runs(machine) {
+            self.process(machine).into_iter().for_each(|process| process.frozen = true);
         }
     }
 
-    pub fn thaw(&mut self, spot: Spot) {
-        let Some(process) = self.process(spot).filter(|process| process.frozen) else { return };
+    pub fn thaw(&mut self, machine: Machine) {
+        let Some(process) = self.process(machine).filter(|process| process.frozen) else { return };
         process.frozen = false;
         let waiting = std::mem::take(&mut process.waiting);
         let now = self.now;
@@ -387,12 +403,12 @@
         self.net.lose_nothing();
         self.net.calm();
         self.disk = (2, 6);
-        let spots = self.cores.keys().map(|number| Spot::Core(*number));
-        let spots: Vec<Spot> =
-            spots.chain(self.limiters.keys().map(|number| Spot::Limiter(*number))).collect();
-        for spot in spots {
-            self.thaw(spot);
-            self.start(spot);
+        let machines = self.cores.keys().map(|number| Machine::Core(*number));
+        let machines: Vec<Machine> =
+            machines.chain(self.limiters.keys().map(|number| Machine::Limiter(*number))).collect();
+        for machine in machines {
+            self.thaw(machine);
+            self.start(machine);
         }
         self.ledger.slow = false;
     }
@@ -413,15 +429,16 @@
         let up: BTreeSet<u8> = listed
             .iter()
             .copied()
-            .filter(|core| self.runs(Spot::Core(*core)) && !self.cores[core].process.frozen)
+            .filter(|core| self.runs(Machine::Core(*core)) && !self.cores[core].process.frozen)
             .collect();
-        let joined = |one: Spot, other: Spot| !self.net.is_cut(one, other) && !self.net.is_cut(other, one);
+        let joined =
+            |one: Machine, other: Machine| !self.net.is_cut(one, other) && !self.net.is_cut(other, one);
         let reaches = |core: &&u8| {
-            let near = up.iter().filter(|other| joined(Spot::Core(**core), Spot::Core(**other)));
+            let near = up.iter().filter(|other| joined(Machine::Core(**core), Machine::Core(**other)));
             near.count() > listed.len() / 2
         };
         let majority: Vec<&u8> = up.iter().filter(reaches).collect();
-        let path = |core: &&u8| joined(Spot::Limiter(limiter), Spot::Core(**core));
+        let path = |core: &&u8| joined(Machine::Limiter(limiter), Machine::Core(**core));
         !majority.is_empty() && majority.iter().all(path)
     }
 }
--- a/crates/emberpin-basin/tests/scenarios.rs
+++ b/crates/emberpin-simulator/tests/scenarios.rs
@@ -1,9 +1,9 @@
 //! Every scenario holds on the right build, and fails on each build that lacks one of its guards.
 #![allow(missing_docs)]
 
-use emberpin_basin::builds::{Build, WRONG};
-use emberpin_basin::play::play;
-use emberpin_basin::text::{read, Scenario};
+use emberpin_simulator::builds::{Build, WRONG};
+use emberpin_simulator::play::play;
+use emberpin_simulator::text::{read, Scenario};
 use googletest::prelude::*;
 use std::collections::BTreeSet;
 use std::fs;
--- a/crates/emberpin-basin/tests/search.rs
+++ b/crates/emberpin-simulator/tests/search.rs
@@ -1,9 +1,9 @@
 //! Scenarios drawn from seeds hold, and find wrong builds.
 #![allow(missing_docs)]
 
-use emberpin_basin::builds::Build;
-use emberpin_basin::search::{draw, search};
-use emberpin_basin::text::read;
+use emberpin_simulator::builds::Build;
+use emberpin_simulator::search::{draw, search};
+use emberpin_simulator::text::read;
 use googletest::prelude::*;
 
 /// On so many threads.
--- a/crates/emberpin-basin/tests/text.rs
+++ b/crates/emberpin-simulator/tests/text.rs
@@ -1,7 +1,7 @@
 //! Lines that are no steps are named, with what was expected.
 #![allow(missing_docs)]
 
-use emberpin_basin::text::read;
+use emberpin_simulator::text::read;
 use googletest::prelude::*;
 
 #[gtest]
--- a/crates/emberpin-keeper/src/connections.rs
+++ b/crates/emberpin-store/src/connections.rs
@@ -1,8 +1,8 @@
 //! Connections: to other stores, and from stores and registries.
 
 use crate::host::Input;
-use crate::talk::{Ask, ToKeeper, Told};
-use emberpin_berth::frames::{self, Broken};
+use crate::protocol::{StoreReply, StoreRequest, ToStore};
+use emberpin_runtime::frames::{self, Broken};
 use socket2::{SockRef, TcpKeepalive};
 use std::collections::BTreeMap;
 use std::io;
@@ -188,18 +188,18 @@
         };
         first = false;
         let input = match message {
-            ToKeeper::Muster { from, message } => {
+            ToStore::Consensus { from, message } => {
                 store = true;
                 Input::Message { from, message }
             }
-            ToKeeper::Ask(ask) => {
+            ToStore::StoreRequest(ask) => {
                 if let Some(writer) = writer.take() {
                     let (told, waiting) = Outbox::new();
                     tokio::spawn(tell(writer, told.bytes.clone(), waiting));
                     outbox = Some(told);
                 }
                 let Some(outbox) = outbox.clone() else { return Ok(()) };
-                Input::Ask { connection, ask, outbox }
+                Input::StoreRequest { connection, ask, outbox }
             }
         };
         if inputs.send(input).await.is_err() {
@@ -241,7 +241,7 @@
 
 impl Registry {
     /// Tells it; `false`, if it doesn't read and was let go.
-    pub fn tell(&self, told: &Told) -> bool {
+    pub fn tell(&self, told: &StoreReply) -> bool {
         let put = match frames::frame(told) {
             Ok(frame) => self.outbox.put(Arc::new(frame)),
             Err(error) => {
@@ -257,12 +257,12 @@
 }
 
 /// What the host needs of an ask: which call it is, if it is one.
-pub fn call(ask: Ask) -> Option<(u64, emberpin_muster::Call)> {
-    use emberpin_muster::Call;
+pub fn call(ask: StoreRequest) -> Option<(u64, emberpin_consensus::Call)> {
+    use emberpin_consensus::Call;
     match ask {
-        Ask::Patch { id, body } => Some((id, Call::Patch(body))),
-        Ask::Get { id } => Some((id, Call::Get)),
-        Ask::Evacuate { id, zone, begin } => Some((id, Call::Evacuate { zone, begin })),
-        Ask::Follow => None,
+        StoreRequest::Patch { id, body } => Some((id, Call::Patch(body))),
+        StoreRequest::Get { id } => Some((id, Call::Get)),
+        StoreRequest::Evacuate { id, zone, begin } => Some((id, Call::Evacuate { zone, begin })),
+        StoreRequest::Follow => None,
     }
 }
--- a/crates/emberpin-keeper/src/disk.rs
+++ b/crates/emberpin-store/src/disk.rs
@@ -2,8 +2,8 @@
 
 use crate::journal::{newest, Journal, Mark};
 use crate::synced::Synced;
-use emberpin_chart::{Item, Key};
-use emberpin_muster::{Kept, Pending, Write};
+use emberpin_config::{Item, Key};
+use emberpin_consensus::{Kept, Pending, Write};
 use fjall::{Config, Keyspace, PartitionCreateOptions, PartitionHandle, PersistMode};
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -18,7 +18,7 @@
 /// Where it is made; it gets its name once it is whole.
 const FORMING: &str = "forming";
 /// What this folder is; the number rises when an older program can't read it.
-const FORMAT: &[u8] = b"emberpin-keeper 1";
+const FORMAT: &[u8] = b"emberpin-store 1";
 
 /// So much is written before `fjall` makes tables of it, and another journal: seldom, as each takes the disk
 /// for a while.
--- a/crates/emberpin-keeper/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -1,11 +1,11 @@
-//! The loop around a custodian: events in, actions out.
+//! The loop around a replica: events in, actions out.
 
 use crate::connections::{call, listen, Counts, Links, Outbox, Registry};
 use crate::disk::{Disk, Unusable};
-use crate::talk::{Ask, ToKeeper, Told};
-use emberpin_berth::frames;
-use emberpin_berth::settings::Settings;
-use emberpin_muster::{Action, Call, Custodian, Event, Message, Options};
+use crate::protocol::{StoreReply, StoreRequest, ToStore};
+use emberpin_consensus::{Action, Call, Event, Message, Options, Replica};
+use emberpin_runtime::frames;
+use emberpin_runtime::settings::Settings;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddrV4};
@@ -20,7 +20,7 @@
 /// So many are taken at once, so that they share a sync.
 const AT_ONCE: usize = 32;
 /// How often followers are told how the store stands.
-const STANDING: u64 = 450;
+const STATUS: u64 = 450;
 /// How often links that nobody uses are ended.
 const PRUNE: u64 = 10_000;
 /// Of a hundred parts of the disk, so many may be taken before changes are refused: what others have chosen
@@ -41,11 +41,11 @@
         message: Message,
     },
     /// From a registry.
-    Ask {
+    StoreRequest {
         /// Which connection.
         connection: u64,
         /// What.
-        ask: Ask,
+        ask: StoreRequest,
         /// Where it is told.
         outbox: Outbox,
     },
@@ -86,7 +86,7 @@
     // Nothing in the settings changes for a store while it runs.
     let mut hup = signal(SignalKind::hangup())?;
     let (disk, kept) = Disk::open(settings.datadir.as_deref().ok_or(Ended::NoDisk)?, settings.ip)?;
-    let place = SocketAddrV4::new(settings.ip, settings.keeper_port());
+    let place = SocketAddrV4::new(settings.ip, settings.store_port());
     let listener = TcpListener::bind(place).await.map_err(|error| Ended::Listen(place, error))?;
     let mut seed = [0; 8];
     getrandom::fill(&mut seed)?;
@@ -102,18 +102,18 @@
         seed: u64::from_be_bytes(seed),
     };
     let mut actions = Vec::new();
-    let custodian = Custodian::new(0, options, kept, &mut actions);
+    let replica = Replica::new(0, options, kept, &mut actions);
     let mut host = Host {
         began: Instant::now(),
         settings,
-        custodian,
+        replica,
         disk,
-        links: Links::new(settings.keeper_port()),
+        links: Links::new(settings.store_port()),
         registries: BTreeMap::new(),
         calls: BTreeMap::new(),
         next_call: 0,
-        standing: (false, Vec::new()),
-        standing_at: 0,
+        status: (false, Vec::new()),
+        status_at: 0,
         prune_at: PRUNE,
         ends_at: None,
         full: false,
@@ -125,13 +125,13 @@
         tokio::select! {
             biased;
             _ = term.recv() => {
-                // Told twice, it ends at once.
+                // StoreReply twice, it ends at once.
                 if host.ends_at.is_some() {
                     break;
                 }
                 host.ends_at = Some(host.now() + LEAVE);
                 let mut actions = Vec::new();
-                host.custodian.handle(host.now(), Event::Leave, &mut actions);
+                host.replica.handle(host.now(), Event::Leave, &mut actions);
                 host.act(actions)?;
             }
             _ = int.recv() => break,
@@ -148,11 +148,11 @@
             }
             () = tokio::time::sleep(host.pause()) => {
                 let mut actions = Vec::new();
-                host.custodian.handle(host.now(), Event::Wake, &mut actions);
+                host.replica.handle(host.now(), Event::Wake, &mut actions);
                 host.act(actions)?;
             }
         }
-        if host.ends_at.is_some_and(|at| host.custodian.left() || host.now() >= at) {
+        if host.ends_at.is_some_and(|at| host.replica.left() || host.now() >= at) {
             break;
         }
         host.stand();
@@ -163,15 +163,15 @@
 struct Host<'a> {
     began: Instant,
     settings: &'a Settings,
-    custodian: Custodian,
+    replica: Replica,
     disk: Disk,
     links: Links,
     registries: BTreeMap<u64, Registry>,
     /// Which connection a call came on, and its number there.
     calls: BTreeMap<u64, (u64, u64)>,
     next_call: u64,
-    standing: (bool, Vec<Ipv4Addr>),
-    standing_at: u64,
+    status: (bool, Vec<Ipv4Addr>),
+    status_at: u64,
     prune_at: u64,
     /// When it ends, once it is told to.
     ends_at: Option<u64>,
@@ -185,57 +185,57 @@
     }
 
     fn pause(&self) -> Duration {
-        let at = self.custodian.wake_at().min(self.standing_at).min(self.ends_at.unwrap_or(u64::MAX));
+        let at = self.replica.wake_at().min(self.status_at).min(self.ends_at.unwrap_or(u64::MAX));
         Duration::from_millis(at.saturating_sub(self.now()).max(NAP))
     }
 
     fn take(&mut self, input: Input, actions: &mut Vec<Action>) {
         match input {
             Input::Message { from, message } => {
-                self.custodian.handle(self.now(), Event::Message { from, message }, actions);
+                self.replica.handle(self.now(), Event::Message { from, message }, actions);
             }
             Input::Closed { connection } => {
                 self.registries.remove(&connection);
                 self.calls.retain(|_, (from, _)| *from != connection);
             }
-            Input::Ask { connection, ask, outbox } => self.ask(connection, ask, outbox, actions),
+            Input::StoreRequest { connection, ask, outbox } => self.ask(connection, ask, outbox, actions),
         }
     }
 
-    fn ask(&mut self, connection: u64, ask: Ask, outbox: Outbox, actions: &mut Vec<Action>) {
+    fn ask(&mut self, connection: u64, ask: StoreRequest, outbox: Outbox, actions: &mut Vec<Action>) {
         self.registries.entry(connection).or_insert(Registry { outbox, follows: false });
         let Some((id, call)) = call(ask) else {
-            let items = self.custodian.copies().iter().cloned().collect();
+            let items = self.replica.state().iter().cloned().collect();
             if let Some(registry) = self.registries.get_mut(&connection) {
                 registry.follows = true;
             }
-            self.tell(connection, &Told::News { items });
-            let (settled, voters) = self.standing.clone();
-            return self.tell(connection, &Told::Standing { settled, voters });
+            self.tell(connection, &StoreReply::Items { items });
+            let (settled, voters) = self.status.clone();
+            return self.tell(connection, &StoreReply::Status { settled, voters });
         };
         if let Call::Evacuate { zone, .. } = &call {
             if !self.settings.zones.contains_key(zone) {
                 let body = format!("zone {zone:?}: is not known");
-                return self.tell(connection, &Told::Answer { id, status: 404, body });
+                return self.tell(connection, &StoreReply::Answer { id, status: 404, body });
             }
         }
         if self.full && !matches!(call, Call::Get) {
             let body = "the disk is nearly full".into();
-            return self.tell(connection, &Told::Answer { id, status: 503, body });
+            return self.tell(connection, &StoreReply::Answer { id, status: 503, body });
         }
         self.next_call += 1;
         self.calls.insert(self.next_call, (connection, id));
-        self.custodian.handle(self.now(), Event::Call { id: self.next_call, call }, actions);
+        self.replica.handle(self.now(), Event::Call { id: self.next_call, call }, actions);
     }
 
     /// One that doesn't read what it is told is let go: it comes again, and is told everything.
-    fn tell(&mut self, connection: u64, told: &Told) {
+    fn tell(&mut self, connection: u64, told: &StoreReply) {
         if self.registries.get(&connection).is_some_and(|registry| !registry.tell(told)) {
             self.registries.remove(&connection);
         }
     }
 
-    fn tell_followers(&mut self, told: &Told) {
+    fn tell_followers(&mut self, told: &StoreReply) {
         self.registries.retain(|_, registry| !registry.follows || registry.tell(told));
     }
 
@@ -250,7 +250,7 @@
                         synced = write.sync.then_some(token).or(synced);
                     }
                     Action::Send { to, message } => {
-                        let frame = frames::frame(&ToKeeper::Muster { from: self.settings.ip, message });
+                        let frame = frames::frame(&ToStore::Consensus { from: self.settings.ip, message });
                         match frame {
                             Ok(frame) => self.links.send(to, Arc::new(frame)),
                             Err(error) => log::warn!("nothing sent to {to}: {error}"),
@@ -258,15 +258,15 @@
                     }
                     Action::Answer { id, status, body } => {
                         if let Some((connection, id)) = self.calls.remove(&id) {
-                            self.tell(connection, &Told::Answer { id, status, body });
+                            self.tell(connection, &StoreReply::Answer { id, status, body });
                         }
                     }
-                    Action::News { items } => self.tell_followers(&Told::News { items }),
+                    Action::Learned { items } => self.tell_followers(&StoreReply::Items { items }),
                 }
             }
             if let Some(token) = synced {
                 self.disk.sync()?;
-                self.custodian.handle(self.now(), Event::Persisted { token }, &mut actions);
+                self.replica.handle(self.now(), Event::Persisted { token }, &mut actions);
             }
         }
         Ok(())
@@ -292,13 +292,13 @@
     /// Tells followers how the store stands, when it is due and when it changes.
     fn stand(&mut self) {
         let now = self.now();
-        let standing = (self.custodian.settled(now), self.custodian.voters());
-        if now >= self.standing_at || standing != self.standing {
+        let status = (self.replica.settled(now), self.replica.voters());
+        if now >= self.status_at || status != self.status {
             self.measure();
-            self.standing_at = now + STANDING;
-            self.standing = standing.clone();
-            let (settled, voters) = standing;
-            self.tell_followers(&Told::Standing { settled, voters });
+            self.status_at = now + STATUS;
+            self.status = status.clone();
+            let (settled, voters) = status;
+            self.tell_followers(&StoreReply::Status { settled, voters });
         }
         if now >= self.prune_at {
             self.prune_at = now + PRUNE;
--- a/crates/emberpin-keeper/src/lib.rs
+++ b/crates/emberpin-store/src/lib.rs
@@ -1,6 +1,6 @@
 //! The store of configuration: keeps items on disk and in custody of a majority of the voters.
 //!
-//! A thin host: what is chosen, and when, is decided in `emberpin_muster`; here are the disk, the connections
+//! A thin host: what is chosen, and when, is decided in `emberpin_consensus`; here are the disk, the connections
 //! and the clock.
 #![forbid(unsafe_code)]
 
@@ -9,5 +9,5 @@
 mod host;
 mod journal;
 pub mod program;
+pub mod protocol;
 mod synced;
-pub mod talk;
--- a/crates/emberpin-keeper/src/program.rs
+++ b/crates/emberpin-store/src/program.rs
@@ -1,8 +1,8 @@
 //! The command line.
 
 use crate::host;
-use emberpin_berth::logs;
-use emberpin_berth::settings::Settings;
+use emberpin_runtime::logs;
+use emberpin_runtime::settings::Settings;
 use getopts::Options;
 use log::LevelFilter;
 use std::ffi::OsString;
@@ -16,7 +16,7 @@
     match run(arguments) {
         Ok(()) => ExitCode::SUCCESS,
         Err(wrong) => {
-            eprintln!("emberpin-keeper: {wrong}");
+            eprintln!("emberpin-store: {wrong}");
             ExitCode::from(WRONG)
         }
     }
@@ -30,13 +30,13 @@
     let given = options.parse(arguments).map_err(|wrong| wrong.to_string())?;
     if given.opt_present("help") {
         let brief =
-            "Usage: emberpin-keeper [--help | --version | --check]\n\nKeeps the configuration. Its settings \
+            "Usage: emberpin-store [--help | --version | --check]\n\nKeeps the configuration. Its settings \
                      are in the file that EMBERPIN_NODE_FILE names.";
         print!("{}", options.usage(brief));
         return Ok(());
     }
     if given.opt_present("version") {
-        println!("emberpin-keeper {}", env!("CARGO_PKG_VERSION"));
+        println!("emberpin-store {}", env!("CARGO_PKG_VERSION"));
         return Ok(());
     }
     if let Some(unknown) = given.free.first() {
--- a/crates/emberpin-keeper/src/talk.rs
+++ b/crates/emberpin-store/src/protocol.rs
@@ -1,39 +1,39 @@
 //! What a registry and a store of configuration say to each other.
 
-use emberpin_chart::Item;
+use emberpin_config::Item;
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 
 /// Every frame towards a store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum ToKeeper {
-    /// From a registry; what it is told comes back on the same connection, as [`Told`].
-    Ask(Ask),
+pub enum ToStore {
+    /// From a registry; what it is told comes back on the same connection, as [`StoreReply`].
+    StoreRequest(StoreRequest),
     /// From another store; nothing comes back on this connection.
-    Muster {
+    Consensus {
         /// The sender's address, by which it is known on the roster.
         from: Ipv4Addr,
         /// What it says.
-        message: emberpin_muster::Message,
+        message: emberpin_consensus::Message,
     },
 }
 
 /// From a registry to a store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
-    /// The body of `POST /config/patch`; one [`Told::Answer`] with the same number is owed.
+pub enum StoreRequest {
+    /// The body of `POST /config/patch`; one [`StoreReply::Answer`] with the same number is owed.
     Patch {
         /// Names the answer.
         id: u64,
         /// As it came.
         body: Vec<u8>,
     },
-    /// `GET /config/get`; answered like [`Ask::Patch`].
+    /// `GET /config/get`; answered like [`StoreRequest::Patch`].
     Get {
         /// Names the answer.
         id: u64,
     },
-    /// `POST /evac/ZONE/begin` or `finish`; answered like [`Ask::Patch`].
+    /// `POST /evac/ZONE/begin` or `finish`; answered like [`StoreRequest::Patch`].
     Evacuate {
         /// Names the answer.
         id: u64,
@@ -42,14 +42,14 @@
         /// Begin, or finish.
         begin: bool,
     },
-    /// Wants all chosen items now and each change from then on, as [`Told::News`], and [`Told::Standing`] on
+    /// Wants all chosen items now and each change from then on, as [`StoreReply::Items`], and [`StoreReply::Status`] on
     /// the way.
     Follow,
 }
 
 /// From a store to a registry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Told {
+pub enum StoreReply {
     /// The answer to a call.
     Answer {
         /// Which call.
@@ -59,13 +59,13 @@
         /// The answer's body; of a 4xx, one line that says where and why.
         body: String,
     },
-    /// Items that are chosen, drops among them. The first one after [`Ask::Follow`] holds all that there are.
-    News {
+    /// Items that are chosen, drops among them. The first one after [`StoreRequest::Follow`] holds all that there are.
+    Items {
         /// The items.
         items: Vec<Item>,
     },
     /// How the store stands; comes at least twice a second.
-    Standing {
+    Status {
         /// What it knows is no older than what a majority of the voters had a second ago.
         settled: bool,
         /// The machines whose stores vote.
--- a/crates/emberpin-keeper/tests/disk.rs
+++ b/crates/emberpin-store/tests/disk.rs
@@ -1,9 +1,9 @@
 //! What a store finds on its disk after its end, a loss of power in mid-write, or when the folder isn't its
 //! own.
 
-use emberpin_chart::{Item, Key, Kind};
-use emberpin_keeper::disk::{Disk, Unusable};
-use emberpin_muster::{Ballot, Kept, Pending, Write};
+use emberpin_config::{Item, Key, Kind};
+use emberpin_consensus::{Ballot, Kept, Pending, Write};
+use emberpin_store::disk::{Disk, Unusable};
 use googletest::prelude::*;
 use std::fs;
 use std::net::Ipv4Addr;
@@ -16,7 +16,7 @@
 }
 
 fn ballot(counter: u64) -> Ballot {
-    Ballot { counter, node: 7, life: 9 }
+    Ballot { counter, node: 7, incarnation: 9 }
 }
 
 fn write(counter: u64, size: usize) -> Write {
--- a/crates/emberpin-keeper/tests/processes.rs
+++ b/crates/emberpin-store/tests/processes.rs
@@ -1,9 +1,9 @@
 //! Stores as processes on addresses of this machine: calls, news, the loss of all processes, of a disk, of a
 //! machine.
 
-use emberpin_berth::frames;
-use emberpin_chart::{Item, Kind};
-use emberpin_keeper::talk::{Ask, ToKeeper, Told};
+use emberpin_config::{Item, Kind};
+use emberpin_runtime::frames;
+use emberpin_store::protocol::{StoreReply, StoreRequest, ToStore};
 use googletest::prelude::*;
 use std::net::{Ipv4Addr, TcpListener};
 use std::path::Path;
@@ -17,7 +17,7 @@
 /// All that is waited for comes well before.
 const LONG: Duration = Duration::from_secs(30);
 
-const KEEPER: &str = env!("CARGO_BIN_EXE_emberpin-keeper");
+const KEEPER: &str = env!("CARGO_BIN_EXE_emberpin-store");
 
 /// A machine with a disk, and its store.
 struct Machine {
@@ -103,12 +103,12 @@
     }
 
     /// The answer to one call, sent again as the operator does.
-    async fn call(&self, ask: Ask) -> (u16, String) {
+    async fn call(&self, ask: StoreRequest) -> (u16, String) {
         let until = Instant::now() + LONG;
         loop {
             let mut stream = self.connect().await;
-            if frames::write(&mut stream, &ToKeeper::Ask(ask.clone())).await.is_ok() {
-                if let Ok(Ok(Told::Answer { status, body, .. })) =
+            if frames::write(&mut stream, &ToStore::StoreRequest(ask.clone())).await.is_ok() {
+                if let Ok(Ok(StoreReply::Answer { status, body, .. })) =
                     timeout(LONG, frames::read(&mut stream)).await
                 {
                     if status != 503 {
@@ -121,26 +121,28 @@
     }
 
     /// One try of a call, once the store takes connections; `None`, if it ends without an answer.
-    async fn once(&self, stream: &mut TcpStream, ask: Ask) -> Option<(u16, String)> {
-        frames::write(stream, &ToKeeper::Ask(ask)).await.ok()?;
+    async fn once(&self, stream: &mut TcpStream, ask: StoreRequest) -> Option<(u16, String)> {
+        frames::write(stream, &ToStore::StoreRequest(ask)).await.ok()?;
         match timeout(LONG, frames::read(stream)).await {
-            Ok(Ok(Told::Answer { status, body, .. })) => Some((status, body)),
+            Ok(Ok(StoreReply::Answer { status, body, .. })) => Some((status, body)),
             _ => None,
         }
     }
 
     async fn patch(&self, body: &str) -> u16 {
-        self.call(Ask::Patch { id: 7, body: body.into() }).await.0
+        self.call(StoreRequest::Patch { id: 7, body: body.into() }).await.0
     }
 
     async fn get(&self) -> String {
-        self.call(Ask::Get { id: 8 }).await.1
+        self.call(StoreRequest::Get { id: 8 }).await.1
     }
 
     /// Waits until a follower is told what is looked for.
-    async fn follow<T>(&self, mut look: impl FnMut(Told) -> Option<T>) -> T {
+    async fn follow<T>(&self, mut look: impl FnMut(StoreReply) -> Option<T>) -> T {
         let mut stream = self.connect().await;
-        frames::write(&mut stream, &ToKeeper::Ask(Ask::Follow)).await.expect("a store that hears");
+        frames::write(&mut stream, &ToStore::StoreRequest(StoreRequest::Follow))
+            .await
+            .expect("a store that hears");
         let found = async {
             loop {
                 let told = frames::read(&mut stream).await.expect("a store that tells");
@@ -154,7 +156,7 @@
 
     async fn voters(&self, wanted: &[Ipv4Addr]) {
         self.follow(|told| match told {
-            Told::Standing { settled: true, voters } if voters == wanted => Some(()),
+            StoreReply::Status { settled: true, voters } if voters == wanted => Some(()),
             _ => None,
         })
         .await;
@@ -210,7 +212,7 @@
     let mut stream = machine.connect().await;
     for number in from.. {
         let body = many(number).into_bytes();
-        match machine.once(&mut stream, Ask::Patch { id: number, body }).await {
+        match machine.once(&mut stream, StoreRequest::Patch { id: number, body }).await {
             Some((200, _)) => {}
             other => return (number, other),
         }
@@ -231,15 +233,15 @@
         expect_that!(machines[1].patch(&service("a", 7)).await, eq(200));
         expect_that!(machines[2].patch(&service("a", 6)).await, eq(409));
         expect_that!(machines[2].patch("{\"upsert\":").await, eq(400));
-        let evacuate = |begin| Ask::Evacuate { id: 1, zone: "z2".into(), begin };
+        let evacuate = |begin| StoreRequest::Evacuate { id: 1, zone: "z2".into(), begin };
         expect_that!(machines[1].call(evacuate(true)).await.0, eq(200));
-        let nowhere = Ask::Evacuate { id: 1, zone: "z9".into(), begin: true };
+        let nowhere = StoreRequest::Evacuate { id: 1, zone: "z9".into(), begin: true };
         expect_that!(machines[1].call(nowhere).await.0, eq(404));
         for machine in &machines {
             let mut seen: Vec<Item> = Vec::new();
             machine
                 .follow(|told| {
-                    if let Told::News { items } = told {
+                    if let StoreReply::Items { items } = told {
                         seen.extend(items);
                     }
                     let has = |kind| seen.iter().any(|item| item.key.kind == kind && item.body.is_some());
@@ -419,7 +421,7 @@
     let mut machines = machines(4, 2);
     run(async {
         machines[0].start(true);
-        machines[0].follow(|told| matches!(told, Told::News { .. }).then_some(())).await;
+        machines[0].follow(|told| matches!(told, StoreReply::Items { .. }).then_some(())).await;
     });
     machines[0].kill();
     copy(&machines[0].data(), &machines[1].data());
--- a/crates/emberpin/src/front/clients.rs
+++ b/crates/emberpin/src/front/clients.rs
@@ -3,7 +3,7 @@
 use crate::front::admission::{self, Admission, Admitted};
 use crate::front::answers::{headed, plain, written};
 use crate::front::connections::{ClientLimits, Connection};
-use crate::front::reception::{Desk, Phase, Reception};
+use crate::front::reception::{Phase, Reception, RequestHandler};
 use crate::front::room::Room;
 use crate::front::stream::{Content, Passed, Passing, Upload};
 use crate::messages::{Answer, Call, Gate, Input, Outgoing, Reply, Upstreamed, MAX_BODY};
@@ -88,7 +88,7 @@
     }
 }
 
-impl Desk for Front {
+impl RequestHandler for Front {
     async fn respond(
         self: Rc<Self>,
         request: Request<Incoming>,
--- a/crates/emberpin/src/front/reception.rs
+++ b/crates/emberpin/src/front/reception.rs
@@ -38,7 +38,7 @@
 }
 
 /// Who gives the answers.
-pub trait Desk: 'static {
+pub trait RequestHandler: 'static {
     /// The one answer to a request.
     fn respond(
         self: Rc<Self>,
@@ -96,7 +96,12 @@
 
     /// Accepts connections until told to close; or, where other processes listen on the same socket, until told to
     /// leave: they take those that still come.
-    pub async fn accept<D: Desk>(self: Rc<Self>, desk: Rc<D>, listener: TcpListener, shared: bool) {
+    pub async fn accept<D: RequestHandler>(
+        self: Rc<Self>,
+        handler: Rc<D>,
+        listener: TcpListener,
+        shared: bool,
+    ) {
         spawn_local(self.connections.clone().sweep());
         let mut phase = self.phase.subscribe();
         loop {
@@ -109,7 +114,7 @@
             match accepted {
                 Ok((stream, _)) => {
                     let place = self.connections.enter();
-                    drop(spawn_local(self.clone().connection(desk.clone(), stream, place)))
+                    drop(spawn_local(self.clone().connection(handler.clone(), stream, place)))
                 }
                 Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
             }
@@ -119,12 +124,12 @@
         std::future::pending().await
     }
 
-    async fn connection<D: Desk>(self: Rc<Self>, desk: Rc<D>, stream: TcpStream, place: Place) {
+    async fn connection<D: RequestHandler>(self: Rc<Self>, handler: Rc<D>, stream: TcpStream, place: Place) {
         _ = stream.set_nodelay(true);
         let service = service_fn(|request| {
-            let (reception, desk, connection) = (self.clone(), desk.clone(), place.connection.clone());
+            let (reception, handler, connection) = (self.clone(), handler.clone(), place.connection.clone());
             async move {
-                let response = reception.answered(desk, request, &connection).await;
+                let response = reception.answered(handler, request, &connection).await;
                 if let Content::Whole(_) = response.body() {
                     connection.close();
                 }
@@ -156,14 +161,14 @@
         }
     }
 
-    async fn answered<D: Desk>(
+    async fn answered<D: RequestHandler>(
         &self,
-        desk: Rc<D>,
+        handler: Rc<D>,
         request: Request<Incoming>,
         connection: &Rc<Connection>,
     ) -> Response<Content> {
         connection.open();
-        let mut response = desk.respond(request, connection.clone()).await;
+        let mut response = handler.respond(request, connection.clone()).await;
         // What follows a body that was not taken in is no request.
         let spoilt = connection.is_doubtful()
             || matches!(response.status(), StatusCode::PAYLOAD_TOO_LARGE | StatusCode::REQUEST_TIMEOUT);
--- a/crates/emberpin/src/host.rs
+++ b/crates/emberpin/src/host.rs
@@ -4,7 +4,7 @@
 pub use crate::front::answers::{headed, plain, written};
 pub use crate::front::clients::{passed_on, run_out, strip, take_in};
 pub use crate::front::connections::{ClientLimits, Connection};
-pub use crate::front::reception::{Desk, Phase, Reception};
+pub use crate::front::reception::{Phase, Reception, RequestHandler};
 pub use crate::front::room::Room;
 pub use crate::front::stream::{Content, Passing, Upload};
 pub use crate::messages::{Answer, Call, Ended, Head, Input, Outgoing, Reply, Served, Upstreamed};
