--- a/crates/emberpin-site/tests/catches.rs
+++ b/crates/emberpin-site/tests/catches.rs
@@ -8,6 +8,7 @@
 use emberpin_site::scenario::Scenario;
 use emberpin_site::site::{run, Outcome};
 use std::path::PathBuf;
+use std::sync::{Condvar, Mutex, PoisonError};
 
 /// A small site with time to spare, so that nothing here depends on how fast the machine is.
 const SITE: &str = "\
@@ -33,10 +34,42 @@
     }
 }
 
+/// Sites that are played at the same time. Each is several processes in real time: with all tests of this file at once
+/// they starve each other, and a load that is not offered passes no ceiling.
+const SITES_AT_ONCE: usize = 4;
+
+static PLAYING: Mutex<usize> = Mutex::new(0);
+static ENDED: Condvar = Condvar::new();
+
+/// The right to play one of [`SITES_AT_ONCE`], given back when it is dropped.
+struct Turn;
+
+impl Turn {
+    fn take() -> Turn {
+        let playing = PLAYING.lock().unwrap_or_else(PoisonError::into_inner);
+        let full = |playing: &mut usize| *playing >= SITES_AT_ONCE;
+        *ENDED.wait_while(playing, full).unwrap_or_else(PoisonError::into_inner) += 1;
+        Turn
+    }
+}
+
+impl Drop for Turn {
+    fn drop(&mut self) {
+        *PLAYING.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
+        ENDED.notify_one();
+    }
+}
+
+/// Plays a scenario once it is its turn.
+fn run_in_turn(scenario: &Scenario, program: &Program) -> Result<Outcome, String> {
+    let _turn = Turn::take();
+    run(scenario, program, |_| ())
+}
+
 fn play(program: &Program, seed: u64, faults: &str) -> Outcome {
     let text = format!("{}{faults}", SITE.replace("SEED", &seed.to_string()));
     let scenario = Scenario::parse("test", &text).expect("sound");
-    let outcome = run(&scenario, program, |_| ()).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+    let outcome = run_in_turn(&scenario, program).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     assert!(outcome.events.len() > 300, "something was played: {} events", outcome.events.len());
     outcome
 }
@@ -123,7 +156,7 @@
             Scenario::parse("test", &format!("{}{text}", SITE.replace("SEED", &seed.to_string())))
                 .expect("sound");
         scenario.set_seconds(4.0).expect("in bounds");
-        let outcome = run(&scenario, &wrong("floods-cold"), |_| ()).expect("plays");
+        let outcome = run_in_turn(&scenario, &wrong("floods-cold")).expect("plays");
         assert!(outcome.judgement.on(Rule::ColdServers).broken > 0, "seed {seed}");
     }
 }
@@ -149,9 +182,9 @@
         logs: false,
         links: false,
     };
-    let problem = run(&scenario, &nobody, |_| ()).err().expect("no limiter");
+    let problem = run_in_turn(&scenario, &nobody).err().expect("no limiter");
     assert!(problem.contains("cannot start /nonexistent/limiter"), "{problem}");
-    let problem = run(&scenario, &wrong("what"), |_| ()).err().expect("ends at once");
+    let problem = run_in_turn(&scenario, &wrong("what")).err().expect("ends at once");
     assert!(problem.contains("ended before it was ready") && problem.contains("unknown wrong"), "{problem}");
 }
 
@@ -161,7 +194,7 @@
     let text = format!("{}{killed}", SITE.replace("SEED", "1"));
     let scenario = Scenario::parse("test", &text).expect("sound");
     let began = std::time::Instant::now();
-    let problem = run(&scenario, &wrong("starts-once"), |_| ()).err().expect("it does not start again");
+    let problem = run_in_turn(&scenario, &wrong("starts-once")).err().expect("it does not start again");
     assert!(problem.contains("ended before it was ready") && problem.contains("only once"), "{problem}");
     assert!(began.elapsed() < std::time::Duration::from_secs(30), "bounded: {:?}", began.elapsed());
 }
