--- /dev/null
+++ b/crates/emberpin-config/src/checkpoint.rs
@@ -0,0 +1,105 @@
+//! Which tombstones were removed: the bound on what dropped names take.
+
+use crate::text::decode;
+use crate::{Configuration, History, Item, Key, Kind};
+use std::collections::BTreeMap;
+
+/// The most tombstones of routes and services. Beyond it those of the lowest versions are removed, a part of
+/// the bound at once, by a [`Checkpoint`] that goes along with the call that drops one too many.
+pub const MOST_TOMBSTONES: usize = 50_000;
+/// One part in so many of the bound is removed at once, so that checkpoints are seldom.
+const PART: usize = 8;
+
+/// The versions of routes and services at or below a floor that are still known; all others are removed.
+///
+/// It is an item itself and chosen like any other, so that all copies remove the same, in whatever order they
+/// hear of it: an item at or below the floor is admitted only if its name is listed, with that version or a
+/// lower one. So a copy that missed the drop of a name drops it when it hears of the checkpoint, and a name
+/// that lives may be dropped by a version below the floor.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Checkpoint {
+    floor: Option<u64>,
+    /// No history had a higher version of its own.
+    histories: u64,
+    /// The names that were live with a version not above the floor.
+    live: BTreeMap<Key, u64>,
+}
+
+impl Checkpoint {
+    /// Its name; there is one.
+    pub fn key() -> Key {
+        Key { kind: Kind::Checkpoint, name: String::new() }
+    }
+
+    /// No version above it was removed; `None`, if none was at all.
+    pub fn floor(&self) -> Option<u64> {
+        self.floor
+    }
+
+    /// The versions of histories that begin anew must be above this one.
+    pub fn histories(&self) -> u64 {
+        self.histories
+    }
+
+    /// Whether a name lived with a version not above the floor, so that nothing of it was removed.
+    pub(crate) fn lists(&self, key: &Key) -> bool {
+        self.live.contains_key(key)
+    }
+
+    /// Whether this version of a route or service isn't removed.
+    pub fn admits(&self, key: &Key, ver: u64) -> bool {
+        let above = self.floor.is_none_or(|floor| ver > floor);
+        above || !key.can_be_dropped() || self.live.get(key).is_some_and(|live| ver >= *live)
+    }
+
+    /// The checkpoint that is due once there are more tombstones than `most`.
+    pub fn due(configuration: &Configuration, most: usize) -> Option<Item> {
+        let tombstones = configuration.tombstones();
+        let beyond = tombstones.len().checked_sub(most).filter(|beyond| *beyond > 0)?;
+        let (highest, _) = tombstones.iter().nth(beyond - 1 + most / PART)?;
+        let floor = configuration.checkpoint().floor().max(Some(*highest));
+        let live = configuration.live().filter(|item| item.key.can_be_dropped() && Some(item.ver) <= floor);
+        let live = live.map(|item| (item.key.clone(), item.ver)).collect();
+        let histories = configuration.iter().filter(|item| item.key.kind == Kind::History);
+        let histories = histories.map(|item| item.ver).fold(configuration.checkpoint().histories, u64::max);
+        let former = configuration.get(&Checkpoint::key()).map_or(0, |item| item.ver);
+        Some(Checkpoint { floor, histories, live }.to_item(former + 1))
+    }
+
+    /// Reads it from an item; the stores alone write it. One that can't be read removes nothing.
+    pub fn from_item(item: &Item) -> Checkpoint {
+        item.body.as_deref().and_then(Checkpoint::parse).unwrap_or_default()
+    }
+
+    fn parse(body: &str) -> Option<Checkpoint> {
+        let mut lines = body.split('\n');
+        let (floor, histories) = lines.next()?.split_once(' ')?;
+        let mut live = BTreeMap::new();
+        for line in lines {
+            let mut fields = line.splitn(3, ' ');
+            let kind = match fields.next()? {
+                "s" => Kind::Service,
+                "r" => Kind::Route,
+                _ => return None,
+            };
+            let ver = fields.next()?.parse().ok()?;
+            live.insert(Key { kind, name: decode(fields.next()?)? }, ver);
+        }
+        Some(Checkpoint { floor: Some(floor.parse().ok()?), histories: histories.parse().ok()?, live })
+    }
+
+    fn to_item(&self, ver: u64) -> Item {
+        let mut body = format!("{} {}", self.floor.unwrap_or_default(), self.histories);
+        for (key, ver) in &self.live {
+            let kind = if key.kind == Kind::Service { 's' } else { 'r' };
+            body.push_str(&format!("\n{kind} {ver} {}", jzon::stringify(key.name.as_str())));
+        }
+        Item { key: Checkpoint::key(), ver, body: Some(body) }
+    }
+}
+
+/// The version that a history gets which follows on this one, or begins.
+pub(crate) fn next_history_version(configuration: &Configuration, subject: &Key) -> u64 {
+    let held = configuration.get(&History::key(subject)).map_or(0, |item| item.ver);
+    held.max(configuration.checkpoint().histories()) + 1
+}
--- a/crates/emberpin-config/src/configuration.rs
+++ b/crates/emberpin-config/src/configuration.rs
@@ -1,24 +1,18 @@
 //! The newest items, and what is wrong with them as a whole.
 
 use crate::forms::called;
-use crate::{Item, Key, Kind, Limits, Route, Service, Wrong};
+use crate::{Checkpoint, History, Item, Key, Kind, Limits, Route, Service, Wrong};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most tombstones of routes and services.
-///
-/// Beyond it the one of the lowest version gives way. That is safe, as a tombstone serves only against a call
-/// that is older than it and arrives after it: calls are sent again for seconds, and by then so many others,
-/// all with higher versions, have been dropped. The laws of [`Configuration::merge`] hold up to this bound.
-pub const MOST_TOMBSTONES: usize = 50_000;
-
 /// The newest version of every item, dropped ones included.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
     items: BTreeMap<Key, Item>,
     /// The live routes as parsed, so that a change doesn't cost a parse of all others.
     routes: BTreeMap<String, Result<Route, Wrong>>,
-    /// The tombstones that may give way, by version.
+    /// The tombstones that may be removed, by version.
     dropped: BTreeSet<(u64, Key)>,
+    checkpoint: Checkpoint,
 }
 
 /// Something wrong with the whole.
@@ -36,18 +30,30 @@
         Configuration::default()
     }
 
-    /// Takes an item if its version is higher than the known one; whether it is. In whatever order and
-    /// however often items are merged, the same stand at the end.
+    /// Takes an item if its version is higher than the known one and the [`Checkpoint`] admits it; whether it
+    /// is. In whatever order and however often items are merged, the same stand at the end.
     pub fn merge(&mut self, item: Item) -> bool {
-        self.merge_and_evict(item).0
+        self.merge_and_remove(item).0
     }
 
-    /// As [`Configuration::merge`]; also returns the tombstone that gave way, which may be the item itself.
-    pub fn merge_and_evict(&mut self, item: Item) -> (bool, Option<Item>) {
-        if let Some(known) = self.items.get(&item.key) {
-            if known.ver >= item.ver {
-                return (false, None);
+    /// As [`Configuration::merge`]; also returns the items that a new checkpoint removes.
+    pub fn merge_and_remove(&mut self, item: Item) -> (bool, Vec<Item>) {
+        if self.get(&item.key).is_some_and(|known| known.ver >= item.ver) || !self.admits(&item) {
+            return (false, Vec::new());
+        }
+        let checkpoint = (item.key.kind == Kind::Checkpoint).then(|| Checkpoint::from_item(&item));
+        self.replace(item);
+        match checkpoint {
+            Some(checkpoint) => {
+                self.checkpoint = checkpoint;
+                (true, self.remove_inadmissible())
             }
+            None => (true, Vec::new()),
+        }
+    }
+
+    fn replace(&mut self, item: Item) {
+        if let Some(known) = self.items.get(&item.key) {
             self.dropped.remove(&(known.ver, item.key.clone()));
         }
         if item.key.kind == Kind::Route {
@@ -57,21 +63,52 @@
             }
         }
         // An evacuation that came back to life would stop a zone; those are few and stay.
-        if item.body.is_none() && matches!(item.key.kind, Kind::Route | Kind::Service) {
+        if item.body.is_none() && item.key.can_be_dropped() {
             self.dropped.insert((item.ver, item.key.clone()));
         }
         self.items.insert(item.key.clone(), item);
-        let lowest = if self.dropped.len() > MOST_TOMBSTONES { self.dropped.pop_first() } else { None };
-        (true, lowest.and_then(|(_, key)| self.items.remove(&key)))
     }
 
-    /// Whether it is a tombstone that would give way at once, and change nothing.
-    pub fn is_below_tombstones(&self, item: &Item) -> bool {
-        item.body.is_none()
-            && matches!(item.key.kind, Kind::Route | Kind::Service)
-            && self.dropped.len() >= MOST_TOMBSTONES
-            && !self.items.contains_key(&item.key)
-            && self.dropped.first().is_some_and(|(ver, key)| (item.ver, &item.key) < (*ver, key))
+    fn remove_inadmissible(&mut self) -> Vec<Item> {
+        let inadmissible = self.items.values().filter(|item| !self.admits(item));
+        let removed: Vec<Item> = inadmissible.cloned().collect();
+        for item in &removed {
+            self.items.remove(&item.key);
+            self.dropped.remove(&(item.ver, item.key.clone()));
+            if item.key.kind == Kind::Route {
+                self.routes.remove(&item.key.name);
+            }
+        }
+        removed
+    }
+
+    /// Whether the checkpoint leaves room for this version of a name: an older one belongs to a name whose
+    /// tombstone was removed.
+    pub fn admits(&self, item: &Item) -> bool {
+        if self.checkpoint.floor().is_none() {
+            return true;
+        }
+        match item.key.kind {
+            Kind::Route | Kind::Service => self.checkpoint.admits(&item.key, item.ver),
+            Kind::History => History::from_item(item)
+                .is_none_or(|history| self.checkpoint.admits(history.subject(), history.newest())),
+            Kind::Roster | Kind::Evacuation | Kind::Limits | Kind::Checkpoint => true,
+        }
+    }
+
+    /// Which tombstones were removed.
+    pub fn checkpoint(&self) -> &Checkpoint {
+        &self.checkpoint
+    }
+
+    /// How many tombstones there are that may be removed.
+    pub fn count_tombstones(&self) -> usize {
+        self.dropped.len()
+    }
+
+    /// The tombstones that may be removed, with their versions, from the lowest version on.
+    pub(crate) fn tombstones(&self) -> &BTreeSet<(u64, Key)> {
+        &self.dropped
     }
 
     /// The newest version of a name, also if that is a tombstone.
@@ -129,7 +166,7 @@
                     .cloned()
                     .unwrap_or_else(|| Route::from_item(item))
                     .map(drop),
-                Kind::Roster | Kind::Evacuation => Ok(()),
+                Kind::Roster | Kind::Evacuation | Kind::History | Kind::Checkpoint => Ok(()),
             };
             if let Err(wrong) = read {
                 faults.push(Fault { of: vec![item.key.clone()], unknown: None, wrong });
--- a/crates/emberpin-config/src/forms.rs
+++ b/crates/emberpin-config/src/forms.rs
@@ -197,6 +197,8 @@
 pub(crate) fn called(key: &Key) -> String {
     match key.kind {
         Kind::Roster => "roster".into(),
+        Kind::History => format!("history {}", key.name),
+        Kind::Checkpoint => "checkpoint".into(),
         Kind::Evacuation => format!("evacuation {}", key.name),
         Kind::Limits => "limits".into(),
         Kind::Service => format!("service {}", key.name),
--- /dev/null
+++ b/crates/emberpin-config/src/history.rs
@@ -0,0 +1,143 @@
+//! The versions of one item that were acknowledged before its newest one, so that a call which is sent again is
+//! told from another call that carries the same number.
+
+use crate::content::Digest;
+use crate::{Configuration, Item, Key, Kind};
+use std::collections::BTreeMap;
+
+/// So many versions are kept of each item, besides its newest one; the lowest gives way.
+pub const MOST_VERSIONS: usize = 64;
+
+/// What is known of a version below the newest one of its name.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Past {
+    /// It was acknowledged with this content.
+    Same,
+    /// It was acknowledged with another content.
+    Other,
+    /// Nobody can tell any more: it is not above the highest version that gave way.
+    Forgotten,
+    /// It was never acknowledged.
+    Never,
+}
+
+/// The acknowledged versions of an item below its newest one, with digests of their contents.
+///
+/// It is an item itself, with versions that the stores give: each change of it is a function of the one before
+/// and is chosen in the round that chooses what it tells of, so of each of its versions there is one content.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct History {
+    subject: Key,
+    /// The version of the subject that is the newest one.
+    newest: u64,
+    /// The highest version that gave way.
+    floor: Option<u64>,
+    versions: BTreeMap<u64, Digest>,
+}
+
+impl History {
+    /// Nothing yet.
+    pub fn new(subject: Key, newest: u64) -> History {
+        History { subject, newest, floor: None, versions: BTreeMap::new() }
+    }
+
+    /// The name of the history of an item.
+    pub fn key(subject: &Key) -> Key {
+        let kind = match subject.kind {
+            Kind::Service => 's',
+            Kind::Route => 'r',
+            Kind::Limits => 'l',
+            // No caller gives these a version.
+            Kind::Roster | Kind::Evacuation | Kind::History | Kind::Checkpoint => '-',
+        };
+        Key { kind: Kind::History, name: format!("{kind}{}", subject.name) }
+    }
+
+    /// The history of an item, if anything is known of it.
+    pub fn of(configuration: &Configuration, subject: &Key) -> Option<History> {
+        History::from_item(configuration.get(&History::key(subject))?)
+    }
+
+    /// The history of an item whose newest version this is, also if nothing is known of it yet. Of a name whose
+    /// tombstone may have been removed, nothing can be told from below that.
+    pub(crate) fn below(configuration: &Configuration, known: &Item) -> History {
+        History::of(configuration, &known.key).unwrap_or_else(|| {
+            let checkpoint = configuration.checkpoint();
+            let floor = checkpoint.floor().filter(|_| !checkpoint.lists(&known.key));
+            let floor = floor.filter(|_| known.key.can_be_dropped());
+            History { floor, ..History::new(known.key.clone(), known.ver) }
+        })
+    }
+
+    /// Reads it from an item; the stores alone write it, and `None` says that one of another build did.
+    pub fn from_item(item: &Item) -> Option<History> {
+        let (kind, name) = item.key.name.split_at_checked(1)?;
+        let kind = match kind {
+            "s" => Kind::Service,
+            "r" => Kind::Route,
+            "l" => Kind::Limits,
+            _ => return None,
+        };
+        let subject = Key { kind, name: name.to_owned() };
+        let mut fields = item.body.as_deref()?.split(' ');
+        let newest = fields.next()?.parse().ok()?;
+        let floor = match fields.next()? {
+            "-" => None,
+            floor => Some(floor.parse().ok()?),
+        };
+        let mut versions = BTreeMap::new();
+        for field in fields {
+            let (ver, digest) = field.split_once(':')?;
+            versions.insert(ver.parse().ok()?, Digest::parse(digest)?);
+        }
+        Some(History { subject, newest, floor, versions })
+    }
+
+    /// As an item of this version.
+    pub fn to_item(&self, ver: u64) -> Item {
+        let mut body = format!("{} ", self.newest);
+        match self.floor {
+            None => body.push('-'),
+            Some(floor) => body.push_str(&floor.to_string()),
+        }
+        for (ver, digest) in &self.versions {
+            body.push_str(&format!(" {ver}:{digest}"));
+        }
+        Item { key: History::key(&self.subject), ver, body: Some(body) }
+    }
+
+    /// Whose history it is.
+    pub fn subject(&self) -> &Key {
+        &self.subject
+    }
+
+    /// The newest version of the subject.
+    pub fn newest(&self) -> u64 {
+        self.newest
+    }
+
+    /// What is known of a version below the newest one.
+    pub fn past(&self, item: &Item) -> Past {
+        match self.versions.get(&item.ver) {
+            Some(digest) if *digest == Digest::of(item) => Past::Same,
+            Some(_) => Past::Other,
+            None if self.floor.is_some_and(|floor| item.ver <= floor) => Past::Forgotten,
+            None => Past::Never,
+        }
+    }
+
+    /// Notes a version below the newest one, of which nothing was known; at most so many are kept.
+    pub fn note(&mut self, item: &Item, most: usize) {
+        self.versions.insert(item.ver, Digest::of(item));
+        while self.versions.len() > most {
+            let lowest = self.versions.pop_first().map(|(ver, _)| ver);
+            self.floor = self.floor.max(lowest);
+        }
+    }
+
+    /// Notes that a newer version follows on the one that was the newest.
+    pub fn follow(&mut self, former: &Item, newest: u64, most: usize) {
+        self.note(former, most);
+        self.newest = newest;
+    }
+}
--- a/crates/emberpin-config/src/item.rs
+++ b/crates/emberpin-config/src/item.rs
@@ -15,6 +15,11 @@
     Service,
     /// A route.
     Route,
+    /// The versions of another item below its newest one; see [`History`](crate::History). Written by the stores,
+    /// and known to them alone.
+    History,
+    /// Which tombstones were removed; see [`Checkpoint`](crate::Checkpoint). Written by the stores.
+    Checkpoint,
 }
 
 /// The name of an item.
@@ -26,6 +31,13 @@
     pub name: String,
 }
 
+impl Key {
+    /// Whether it is an item that operators set and drop, and whose tombstones are removed in time.
+    pub fn can_be_dropped(&self) -> bool {
+        matches!(self.kind, Kind::Route | Kind::Service)
+    }
+}
+
 /// One version of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
--- a/crates/emberpin-config/src/lib.rs
+++ b/crates/emberpin-config/src/lib.rs
@@ -5,19 +5,25 @@
 //! decided here and nowhere else.
 #![forbid(unsafe_code)]
 
+pub mod checkpoint;
 pub mod configuration;
+pub mod content;
 pub mod forms;
+pub mod history;
 pub mod item;
 pub mod patch;
 mod text;
 pub mod validate;
 
-pub use configuration::{Configuration, MOST_TOMBSTONES};
+pub use checkpoint::{Checkpoint, MOST_TOMBSTONES};
+pub use configuration::Configuration;
+pub use content::Digest;
 pub use forms::{Limits, Route, RouteKind, Service};
+pub use history::{History, Past, MOST_VERSIONS};
 pub use item::{Item, Key, Kind};
 pub use patch::{read_patch, Patch, MOST_BODY, MOST_ITEMS};
 pub use text::MOST_DEPTH;
-pub use validate::{validate, Decision};
+pub use validate::{judge, validate, Bounds, Decision};
 
 /// Why something is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -49,7 +55,7 @@
                 let Some((host, route)) = forms::split_route(body) else { continue };
                 hosts.entry(host).or_insert_with(Vec::new).push(route);
             }
-            Kind::Roster | Kind::Evacuation => {}
+            Kind::Roster | Kind::Evacuation | Kind::History | Kind::Checkpoint => {}
         }
     }
     let hosts: Vec<String> = hosts
--- a/crates/emberpin-config/src/text.rs
+++ b/crates/emberpin-config/src/text.rs
@@ -260,7 +260,7 @@
 }
 
 /// A number as sign, digits without zeros at either end, and power of ten.
-fn decimal(raw: &str) -> Option<(bool, String, i32)> {
+pub(crate) fn decimal(raw: &str) -> Option<(bool, String, i32)> {
     let (negative, rest) = match raw.strip_prefix('-') {
         Some(rest) => (true, rest),
         None => (false, raw),
--- /dev/null
+++ b/crates/emberpin-config/tests/past.rs
@@ -0,0 +1,272 @@
+//! Versions below the newest one: which of them are known again, and what becomes of removed tombstones.
+#![allow(missing_docs)]
+
+mod common;
+
+use common::*;
+use emberpin_config::*;
+use googletest::prelude::*;
+use proptest::prelude::*;
+
+/// So many versions are kept, and so many tombstones.
+const VERSIONS: usize = 3;
+const TOMBSTONES: usize = 4;
+
+fn set(name: &str, ver: u64, content: u64) -> Item {
+    let service = service(name, ver).replace("120", &content.to_string());
+    patch(&[service], &[], &[], &[]).items.remove(0)
+}
+
+fn call(items: &[Item]) -> Patch {
+    Patch { items: items.to_vec() }
+}
+
+/// Judges a call, and takes what is to be kept if it is acknowledged, as the stores do.
+fn take(configuration: &mut Configuration, items: &[Item]) -> u16 {
+    match judge(configuration, &call(items), &Bounds { versions: VERSIONS, tombstones: TOMBSTONES }) {
+        Decision::Apply(kept) => kept.into_iter().for_each(|item| _ = configuration.merge(item)),
+        Decision::Known => {}
+        Decision::Stale(_) => return 409,
+        Decision::Forgotten(_) => return 503,
+        Decision::Invalid(_) => return 400,
+    }
+    200
+}
+
+#[gtest]
+fn a_version_that_was_taken_is_known_again_however_many_came_after_it() {
+    let mut known = Configuration::new();
+    let drop = tombstone(Kind::Service, "x", 7);
+    for item in [set("x", 5, 1), set("x", 6, 2), drop.clone(), set("x", 8, 3)] {
+        expect_that!(take(&mut known, &[item]), eq(200));
+    }
+    for (item, status) in [
+        (set("x", 5, 1), 200),
+        (set("x", 6, 2), 200),
+        (drop, 200),
+        (set("x", 8, 3), 200),
+        (set("x", 5, 2), 409),
+        (set("x", 6, 1), 409),
+        (set("x", 7, 1), 409),
+        (tombstone(Kind::Service, "x", 5), 409),
+        // Never taken, and superseded.
+        (set("x", 4, 1), 409),
+    ] {
+        let before = known.clone();
+        expect_that!(take(&mut known, std::slice::from_ref(&item)), eq(status), "{item:?}");
+        expect_that!(known == before, eq(true));
+        // With another content of a number that was taken, a new item is refused, too.
+        let with_new = if status == 200 || item.ver == 4 { 200 } else { 409 };
+        expect_that!(take(&mut before.clone(), &[item.clone(), set("y", 1, 1)]), eq(with_new), "{item:?}");
+    }
+}
+
+#[gtest]
+fn limits_and_routes_are_known_again_too() {
+    let limits = |ver: u64, idle: u64| {
+        let body = LIMITS.replace("15000", &idle.to_string()).replace("\"ver\":7", &format!("\"ver\":{ver}"));
+        read_patch(format!("{{\"upsert\":{{\"limits\":{body}}}}}").as_bytes()).expect("a call").items
+    };
+    let to = |ver: u64, at: &str| patch(&[], &[route("r", at, &[("s", 1)], ver)], &[], &[]).items;
+    let mut known = Configuration::new();
+    take(&mut known, &[set("s", 1, 1)]);
+    for (items, status) in [
+        (limits(5, 1), 200),
+        (limits(6, 2), 200),
+        (limits(5, 1), 200),
+        (limits(5, 2), 409),
+        (to(5, "h/"), 200),
+        (to(6, "i/"), 200),
+        (to(5, "h/"), 200),
+        (to(5, "i/"), 409),
+    ] {
+        expect_that!(take(&mut known, &items), eq(status), "{items:?}");
+    }
+}
+
+#[gtest]
+fn a_superseded_version_takes_its_number_once_its_call_is_acknowledged() {
+    let mut known = Configuration::new();
+    take(&mut known, &[set("x", 6, 1)]);
+    expect_that!(take(&mut known, &[set("x", 5, 1)]), eq(409));
+    expect_that!(take(&mut known, &[set("x", 5, 1), set("y", 1, 1)]), eq(200));
+    expect_that!(known.get(&key(Kind::Service, "x")).map(|item| item.ver), some(eq(6)));
+    expect_that!(take(&mut known, &[set("x", 5, 2), set("z", 1, 1)]), eq(409));
+    expect_that!(take(&mut known, &[set("x", 5, 1)]), eq(200));
+    // Beside a repeat alone, too.
+    expect_that!(take(&mut known, &[set("x", 4, 1), set("y", 1, 1)]), eq(200));
+    expect_that!(take(&mut known, &[set("x", 4, 2), set("y", 1, 1)]), eq(409));
+}
+
+#[gtest]
+fn versions_that_gave_way_are_neither_acknowledged_nor_refused() {
+    let mut known = Configuration::new();
+    for ver in 1..=8 {
+        take(&mut known, &[set("x", ver * 10, ver)]);
+    }
+    // Three are kept below the newest one, 80: 50, 60 and 70.
+    for (ver, content, status) in
+        [(40, 4, 503), (40, 5, 503), (35, 1, 503), (1, 1, 503), (50, 5, 200), (50, 4, 409), (45, 1, 409)]
+    {
+        expect_that!(take(&mut known, &[set("x", ver, content)]), eq(status), "{ver} {content}");
+        // A conflict is certain, whatever can't be told besides it.
+        let beside = [set("x", ver, content), set("y", ver, content)];
+        let expected = if status == 409 && ver == 45 { 200 } else { status };
+        expect_that!(take(&mut known.clone(), &beside), eq(expected), "{ver} {content}, with another");
+    }
+    take(&mut known, &[set("z", 5, 1)]);
+    take(&mut known, &[set("z", 6, 1)]);
+    expect_that!(take(&mut known, &[set("x", 40, 4), set("z", 5, 2)]), eq(409));
+}
+
+fn dropped(known: &mut Configuration, names: std::ops::Range<u64>) {
+    for name in names {
+        take(known, &[tombstone(Kind::Service, &format!("d{name}"), 100 + name)]);
+    }
+}
+
+#[gtest]
+fn a_removed_tombstone_takes_its_history_along_and_leaves_a_floor() {
+    let mut known = Configuration::new();
+    take(&mut known, &[set("old", 2, 1)]);
+    take(&mut known, &[set("x", 5, 1)]);
+    take(&mut known, &[set("x", 6, 1)]);
+    take(&mut known, &[tombstone(Kind::Service, "x", 7)]);
+    dropped(&mut known, 0..4);
+    expect_that!(known.get(&key(Kind::Service, "x")), none());
+    expect_that!(History::of(&known, &key(Kind::Service, "x")), none());
+    let floor = known.checkpoint().floor().expect("a floor");
+    for item in [set("x", 5, 1), set("x", 5, 2), tombstone(Kind::Service, "x", 7), set("x", floor, 1)] {
+        expect_that!(take(&mut known, std::slice::from_ref(&item)), eq(503), "{item:?}");
+        expect_that!(take(&mut known, &[item.clone(), set("new", 900, 1)]), eq(503), "{item:?}");
+    }
+    // It may be set again by a higher version, and its numbers are taken from then on.
+    expect_that!(take(&mut known, &[set("x", floor + 1, 1)]), eq(200));
+    expect_that!(take(&mut known, &[set("x", floor + 2, 2)]), eq(200));
+    expect_that!(take(&mut known, &[set("x", floor + 1, 2)]), eq(409));
+    // But not those from before.
+    for item in [set("x", 5, 1), set("x", 5, 2), set("x", 4, 2)] {
+        expect_that!(take(&mut known, &[item.clone(), set("new", 900, 1)]), eq(503), "{item:?}");
+    }
+    take(&mut known, &[set("y", floor + 1, 1)]);
+    expect_that!(take(&mut known, &[set("y", 5, 1), set("new", 900, 1)]), eq(503));
+    // A name that lives may be dropped by a version below the floor, and is told from others until then.
+    expect_that!(take(&mut known, &[tombstone(Kind::Service, "old", 3)]), eq(200));
+    expect_that!(known.knows("old"), eq(false));
+    expect_that!(take(&mut known, &[set("old", 2, 1)]), eq(200));
+    expect_that!(take(&mut known, &[set("old", 2, 9)]), eq(409));
+}
+
+#[gtest]
+fn items_of_histories_and_checkpoints_are_read_as_they_were_written() {
+    let mut known = Configuration::new();
+    let names = ["a b", "a\nb", "\"", "\u{e9}", "s 1 x"];
+    for name in names {
+        let item = Item { key: key(Kind::Service, name), ver: 3, body: Some("{}".into()) };
+        known.merge(item);
+    }
+    for name in 0..9 {
+        known.merge(tombstone(Kind::Route, &format!("d{name}"), 10 + name));
+    }
+    let item = Checkpoint::due(&known, TOMBSTONES).expect("a checkpoint");
+    let checkpoint = Checkpoint::from_item(&item);
+    for name in names {
+        expect_that!(checkpoint.admits(&key(Kind::Service, name), 3), eq(true), "{name}");
+        expect_that!(checkpoint.admits(&key(Kind::Service, name), 2), eq(false), "{name}");
+    }
+    expect_that!(checkpoint.admits(&key(Kind::Service, "else"), 3), eq(false));
+    let mut history = History::new(key(Kind::Route, "a b"), 1);
+    for ver in 1..6 {
+        history.follow(&tombstone(Kind::Route, "a b", ver), ver + 1, VERSIONS);
+    }
+    expect_that!(History::from_item(&history.to_item(9)), some(eq(&history)));
+    for body in ["", "x", "1", "1 -  ", "1 - 2", "1 - 2:g", "9 9 9:9:9"] {
+        let broken = Item { body: Some(body.into()), ..history.to_item(9) };
+        expect_that!(History::from_item(&broken), none(), "{body}");
+        expect_that!(Checkpoint::from_item(&Item { key: Checkpoint::key(), ..broken }).floor(), none());
+    }
+}
+
+/// Texts that are often the same and often nearly so.
+fn value() -> impl Strategy<Value = String> {
+    let words = ["1", "1.0", "10e-1", "-1", "0", "-0.0", "1e999", "\"1\"", "\"\\u0031\"", "true", "null"];
+    let leaf = proptest::sample::select(words.to_vec()).prop_map(str::to_owned);
+    leaf.prop_recursive(3, 16, 3, |inner| {
+        let fields = proptest::collection::btree_map("[ab]", inner.clone(), 0..3);
+        prop_oneof![
+            proptest::collection::vec(inner, 0..3).prop_map(|values| format!("[{}]", values.join(","))),
+            (fields, any::<bool>()).prop_map(|(fields, reversed)| {
+                let mut fields: Vec<String> =
+                    fields.into_iter().map(|(name, value)| format!("\"{name}\":{value}")).collect();
+                if reversed {
+                    fields.reverse();
+                }
+                format!("{{{}}}", fields.join(","))
+            }),
+        ]
+    })
+}
+
+/// Of what calls may carry, in any order of their arrival at a copy.
+fn calls() -> impl Strategy<Value = Vec<Item>> {
+    let one = (0..6u64, 1..40u64, 0..3u64).prop_map(|(name, ver, content)| match content {
+        0 => tombstone(Kind::Service, &format!("n{name}"), ver),
+        content => set(&format!("n{name}"), ver, content),
+    });
+    proptest::collection::vec(one, 1..60)
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
+
+    #[test]
+    fn digests_agree_with_the_comparison_of_contents(a in value(), b in value()) {
+        let with = |value: &str| {
+            let text = service("s", 1).replace("120", &format!("120,\"extra\":{value}"));
+            Item { key: key(Kind::Service, "s"), ver: 1, body: Some(text) }
+        };
+        let known: Configuration = [with(&a)].into_iter().collect();
+        let same = validate(&known, &call(&[with(&b)])) == Decision::Known;
+        prop_assert_eq!(Digest::of(&with(&a)) == Digest::of(&with(&b)), same, "{} {}", a, b);
+    }
+
+    #[test]
+    fn copies_that_hear_in_another_order_hold_the_same(calls in calls(), seed in any::<u64>()) {
+        let mut known = Configuration::new();
+        let mut chosen: Vec<Item> = Vec::new();
+        for item in calls {
+            let bounds = Bounds { versions: VERSIONS, tombstones: TOMBSTONES };
+            if let Decision::Apply(kept) = judge(&known, &call(&[item]), &bounds) {
+                kept.iter().for_each(|item| _ = known.merge(item.clone()));
+                chosen.extend(kept);
+            }
+        }
+        let mut order = chosen.clone();
+        order.sort_by_key(|item| {
+            let name = item.key.name.bytes().fold(item.ver, |sum, byte| sum * 31 + u64::from(byte));
+            (name ^ seed).wrapping_mul(0x9e37_79b9_7f4a_7c15)
+        });
+        prop_assert_eq!(order.into_iter().collect::<Configuration>(), known.clone());
+        // And one that missed all but the newest.
+        prop_assert_eq!(known.iter().cloned().collect::<Configuration>(), known);
+    }
+
+    #[test]
+    fn no_number_is_taken_by_two_contents(calls in calls()) {
+        let (mut known, mut taken) = (Configuration::new(), std::collections::BTreeMap::new());
+        for item in calls {
+            let beside = set("beside", item.ver, 1);
+            let status = take(&mut known, &[item.clone(), beside]);
+            let number = (item.key.clone(), item.ver);
+            match status {
+                200 => {
+                    let first = taken.entry(number).or_insert_with(|| item.body.clone());
+                    prop_assert_eq!(&*first, &item.body);
+                }
+                409 => prop_assert_ne!(taken.get(&number), Some(&item.body)),
+                _ => {}
+            }
+            prop_assert!(known.count_tombstones() <= TOMBSTONES);
+        }
+    }
+}
--- a/crates/emberpin-config/tests/validate.rs
+++ b/crates/emberpin-config/tests/validate.rs
@@ -36,6 +36,7 @@
         }
         Decision::Known => "known".into(),
         Decision::Stale(wrong) => format!("stale {wrong}"),
+        Decision::Forgotten(wrong) => format!("forgotten {wrong}"),
         Decision::Invalid(wrong) => format!("invalid {wrong}"),
     }
 }
--- a/crates/emberpin-consensus/src/acceptor.rs
+++ b/crates/emberpin-consensus/src/acceptor.rs
@@ -2,7 +2,7 @@
 
 use crate::message::{Ballot, Message, Pending};
 use crate::state::State;
-use emberpin_config::Item;
+use emberpin_config::{Bounds, History, Item, Key, Kind};
 
 /// What a store finds on its disk at its start.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -22,6 +22,8 @@
 pub struct Write {
     /// Chosen items.
     pub chosen: Vec<Item>,
+    /// The names of items that are removed.
+    pub removed: Vec<Key>,
     /// Replaces the promise.
     pub promised: Ballot,
     /// Replaces what is pending, if it changed.
@@ -58,6 +60,30 @@
     pub late: bool,
     /// What is acknowledged is on the disks of a majority, and on more than may be lost.
     pub spread: bool,
+    /// The versions below the newest one of a name are kept, with digests of their contents.
+    pub history: bool,
+    /// So are versions that were superseded when their call was acknowledged.
+    pub superseded: bool,
+    /// Histories outlast a restart.
+    pub history_kept: bool,
+    /// What is known of removed tombstones outlasts a restart.
+    pub checkpoint_kept: bool,
+    /// How much of the past is kept; no guard, but tests need less of it.
+    pub bounds: Bounds,
+}
+
+impl Guards {
+    /// The items that are proposed of those that a call leads to.
+    pub(crate) fn leave_out(&self, mut items: Vec<Item>) -> Vec<Item> {
+        if !self.history {
+            items.retain(|item| item.key.kind != Kind::History);
+        }
+        if !self.superseded {
+            let newer: Vec<Key> = items.iter().map(|item| History::key(&item.key)).collect();
+            items.retain(|item| item.key.kind != Kind::History || newer.contains(&item.key));
+        }
+        items
+    }
 }
 
 impl Default for Guards {
@@ -74,10 +100,22 @@
             whole: true,
             late: true,
             spread: true,
+            history: true,
+            superseded: true,
+            history_kept: true,
+            checkpoint_kept: true,
+            bounds: Bounds::default(),
         }
     }
 }
 
+/// What changed with items that were learned to be chosen.
+#[derive(Debug, Default)]
+pub(crate) struct Learned {
+    pub new: Vec<Item>,
+    pub removed: Vec<Key>,
+}
+
 /// The part of a store that votes.
 #[derive(Debug)]
 pub(crate) struct Acceptor {
@@ -91,7 +129,13 @@
 impl Acceptor {
     pub fn new(kept: Kept, guards: Guards) -> Acceptor {
         let mut state = State::default();
-        kept.chosen.iter().for_each(|item| _ = state.learn(item));
+        let left_out = |item: &&Item| match item.key.kind {
+            Kind::History => !guards.history_kept,
+            Kind::Checkpoint => !guards.checkpoint_kept,
+            _ => false,
+        };
+        let found = kept.chosen.iter().filter(|item| !left_out(item));
+        found.for_each(|item| _ = state.learn(item));
         let voting = kept.voting || !guards.amnesia;
         Acceptor { state, promised: kept.promised, pending: kept.pending, voting, guards }
     }
@@ -124,11 +168,18 @@
         Message::Accepted { ballot }
     }
 
-    /// Takes chosen items; returns those that were new.
-    pub fn learn(&mut self, items: &[Item]) -> Vec<Item> {
-        let new: Vec<Item> = items.iter().filter(|item| self.state.learn(item)).cloned().collect();
+    /// Takes chosen items; returns those that were new, and the names of those that are removed.
+    pub fn learn(&mut self, items: &[Item]) -> Learned {
+        let mut learned = Learned::default();
+        for item in items {
+            let (new, removed) = self.state.learn(item);
+            learned.new.extend(new.then(|| item.clone()));
+            learned.removed.extend(removed.into_iter().map(|item| item.key));
+        }
+        // What was removed may have come anew.
+        learned.removed.retain(|key| self.state.get(key).is_none());
         self.close();
-        new
+        learned
     }
 
     /// Whether it holds something that it doesn't know to be chosen.
--- a/crates/emberpin-consensus/src/call.rs
+++ b/crates/emberpin-consensus/src/call.rs
@@ -1,7 +1,8 @@
 //! Calls, and what becomes of them on top of everything that is chosen.
 
+use crate::acceptor::Guards;
 use crate::state::{roster_item, roster_key, voters};
-use emberpin_config::{validate, write_all, Configuration, Decision, Item, Key, Kind, Patch};
+use emberpin_config::{judge, validate, write_all, Configuration, Decision, Item, Key, Kind, Patch};
 use std::net::Ipv4Addr;
 
 /// What is asked of a store.
@@ -63,13 +64,17 @@
     }
 
     /// Judges it on top of these items.
-    pub fn evaluate(&self, newest: &Configuration) -> Verdict {
+    pub fn evaluate(&self, newest: &Configuration, guards: &Guards) -> Verdict {
         match self {
             Work::Get { .. } => Verdict::Done(write_all(newest)),
-            Work::Patch { patch, .. } => match validate(newest, patch) {
-                Decision::Apply(items) => Verdict::Choose(items),
+            Work::Patch { patch, .. } => match judge(newest, patch, &guards.bounds) {
+                Decision::Apply(items) => match guards.leave_out(items) {
+                    items if items.is_empty() => Verdict::Done(String::new()),
+                    items => Verdict::Choose(items),
+                },
                 Decision::Known => Verdict::Done(String::new()),
                 Decision::Stale(wrong) => Verdict::Refuse(409, wrong.to_string()),
+                Decision::Forgotten(wrong) => Verdict::Refuse(503, wrong.to_string()),
                 Decision::Invalid(wrong) => Verdict::Refuse(400, wrong.to_string()),
             },
             Work::Evacuate { zone, begin, .. } => {
--- a/crates/emberpin-consensus/src/replica.rs
+++ b/crates/emberpin-consensus/src/replica.rs
@@ -7,12 +7,12 @@
 
 pub use events::{Action, Event, Options};
 
-use crate::acceptor::{Acceptor, Guards, Kept, Write};
+use crate::acceptor::{Acceptor, Guards, Kept, Learned, Write};
 use crate::call::{Call, Work};
 use crate::message::Message;
 use crate::round::{majority, Round, Task};
-use crate::state::{mixed, roster_item, voters, State};
-use emberpin_config::{read_patch, Item};
+use crate::state::{is_told, mixed, roster_item, voters, State};
+use emberpin_config::{read_patch, Item, Key};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
 
@@ -263,11 +263,23 @@
         sync: bool,
         owed: Option<(Ipv4Addr, Message)>,
         out: &mut Vec<Action>,
+    ) {
+        self.persist_and_remove(chosen, Vec::new(), pending, sync, owed, out);
+    }
+
+    fn persist_and_remove(
+        &mut self,
+        chosen: Vec<Item>,
+        removed: Vec<Key>,
+        pending: bool,
+        sync: bool,
+        owed: Option<(Ipv4Addr, Message)>,
+        out: &mut Vec<Action>,
     ) {
         self.token += 1;
         let pending = pending.then(|| self.acceptor.pending.clone());
         let (promised, voting) = (self.acceptor.promised, self.acceptor.voting);
-        let write = Write { chosen, promised, pending, voting, sync };
+        let write = Write { chosen, removed, promised, pending, voting, sync };
         out.push(Action::Persist { token: self.token, write });
         match owed {
             Some((to, message)) if !self.acceptor.guards.sync => self.send(to, message, out),
@@ -279,7 +291,7 @@
     /// Takes chosen items, and has them written in passing.
     fn learn(&mut self, items: &[Item], out: &mut Vec<Action>) {
         let had = self.acceptor.open();
-        let new = self.acceptor.learn(items);
+        let Learned { new, removed } = self.acceptor.learn(items);
         if new.is_empty() {
             return;
         }
@@ -289,8 +301,12 @@
         if !self.acceptor.open() {
             self.open_until = None;
         }
-        self.persist(new.clone(), had && !self.acceptor.open(), false, None, out);
-        out.push(Action::Learned { items: new });
+        let closed = had && !self.acceptor.open();
+        let told: Vec<Item> = new.iter().filter(|item| is_told(item)).cloned().collect();
+        self.persist_and_remove(new, removed, closed, false, None, out);
+        if !told.is_empty() {
+            out.push(Action::Learned { items: told });
+        }
     }
 
     fn draw(&mut self, below: u64) -> u64 {
--- a/crates/emberpin-consensus/src/replica/rounds.rs
+++ b/crates/emberpin-consensus/src/replica/rounds.rs
@@ -171,7 +171,7 @@
                 self.tasks.push_back(task);
                 continue;
             }
-            let (status, body) = match task.work.evaluate(&whole) {
+            let (status, body) = match task.work.evaluate(&whole, &self.acceptor.guards) {
                 Verdict::Choose(new) => {
                     new.iter().for_each(|item| _ = whole.to_mut().merge(item.clone()));
                     items.extend(new);
--- a/crates/emberpin-consensus/src/state.rs
+++ b/crates/emberpin-consensus/src/state.rs
@@ -20,29 +20,29 @@
 }
 
 impl State {
-    /// Takes what is newer, and says whether it was.
-    pub fn learn(&mut self, item: &Item) -> bool {
-        if self.covers(item) {
-            return false;
-        }
+    /// Takes what is newer; says whether it was, and what a new checkpoint removes.
+    pub fn learn(&mut self, item: &Item) -> (bool, Vec<Item>) {
         let old = self.get(&item.key).map_or(0, digest);
-        let sum = &mut self.digests[usize::from(bucket(&item.key))];
-        *sum = sum.wrapping_sub(old).wrapping_add(digest(item));
-        let (newer, evicted) = self.configuration.merge_and_evict(item.clone());
-        // Else stores that hold the same would find a difference for good, and send each other all of it.
-        if let Some(evicted) = evicted {
-            let sum = &mut self.digests[usize::from(bucket(&evicted.key))];
-            *sum = sum.wrapping_sub(digest(&evicted));
+        let (newer, removed) = self.configuration.merge_and_remove(item.clone());
+        if newer {
+            let sum = &mut self.digests[usize::from(bucket(&item.key))];
+            *sum = sum.wrapping_sub(old).wrapping_add(digest(item));
+        }
+        for item in &removed {
+            let sum = &mut self.digests[usize::from(bucket(&item.key))];
+            *sum = sum.wrapping_sub(digest(item));
         }
-        newer
+        (newer, removed)
     }
 
-    /// Whether this version or a newer one of the name is here, or was and gave way to newer tombstones.
+    /// Whether this version or a newer one of the name is here, or was and its tombstone is removed.
     pub fn covers(&self, item: &Item) -> bool {
-        match self.get(&item.key) {
-            Some(held) => held.ver >= item.ver,
-            None => self.configuration.is_below_tombstones(item),
-        }
+        self.get(&item.key).is_some_and(|held| held.ver >= item.ver) || !self.configuration.admits(item)
+    }
+
+    /// All items but histories, which are of use to stores alone.
+    pub fn told(&self) -> impl Iterator<Item = &Item> {
+        self.iter().filter(|item| is_told(item))
     }
 
     /// The newest version of a name.
@@ -87,6 +87,11 @@
     }
 }
 
+/// Whether an item is told to others than stores.
+pub(crate) fn is_told(item: &Item) -> bool {
+    item.key.kind != Kind::History
+}
+
 /// The name of the roster.
 pub(crate) fn roster_key() -> Key {
     Key { kind: Kind::Roster, name: String::new() }
--- a/crates/emberpin-consensus/tests/world/mod.rs
+++ b/crates/emberpin-consensus/tests/world/mod.rs
@@ -543,6 +543,7 @@
     let mut chosen: BTreeMap<Key, Item> = BTreeMap::new();
     for write in disk {
         chosen.extend(write.chosen.iter().map(|item| (item.key.clone(), item.clone())));
+        write.removed.iter().for_each(|key| _ = chosen.remove(key));
         kept.promised = write.promised;
         kept.voting = write.voting;
         if let Some(pending) = &write.pending {
--- a/crates/emberpin-ctl/src/run.rs
+++ b/crates/emberpin-ctl/src/run.rs
@@ -60,7 +60,9 @@
             Ok(format!("{count} items, {} of them newer; valid as a whole", newer.len()))
         }
         Decision::Known => Ok(format!("{count} items, all of them known")),
-        Decision::Stale(wrong) | Decision::Invalid(wrong) => Err(wrong.to_string()),
+        Decision::Stale(wrong) | Decision::Forgotten(wrong) | Decision::Invalid(wrong) => {
+            Err(wrong.to_string())
+        }
     }
 }
 
--- a/crates/emberpin-proxy/src/controller.rs
+++ b/crates/emberpin-proxy/src/controller.rs
@@ -487,7 +487,7 @@
                         });
                     }
                 }
-                Kind::Route | Kind::Roster => {}
+                Kind::Route | Kind::Roster | Kind::History | Kind::Checkpoint => {}
             }
         }
         self.router.fleet.warmth(warmth);
--- a/crates/emberpin-simulator/src/cores.rs
+++ b/crates/emberpin-simulator/src/cores.rs
@@ -90,7 +90,7 @@
         let store = Replica::with_guards(0, options, machine.kept(), build.consensus, &mut actions);
         let limits = Limits { me, zone: machine.process.zone.clone(), incarnation, beat_ms: BEAT, seeds };
         let registry = Registry::with_guards(0, limits, build.watch);
-        let items: Vec<Item> = store.state().iter().cloned().collect();
+        let items: Vec<Item> = store.state().told().cloned().collect();
         machine.up = Some(Running {
             store,
             registry,
--- a/crates/emberpin-simulator/src/limiters.rs
+++ b/crates/emberpin-simulator/src/limiters.rs
@@ -105,7 +105,7 @@
                     }
                 }
                 Kind::Evacuation => _ = evacuated.insert(item.key.name.clone()),
-                Kind::Route | Kind::Roster | Kind::Limits => {}
+                Kind::Route | Kind::Roster | Kind::Limits | Kind::History | Kind::Checkpoint => {}
             }
         }
         self.router.fleet.warmth(warmth);
--- a/crates/emberpin-store/src/disk.rs
+++ b/crates/emberpin-store/src/disk.rs
@@ -18,7 +18,10 @@
 /// Where it is made; it gets its name once it is whole.
 const FORMING: &str = "forming";
 /// What this folder is; the number rises when an older program can't read it.
-const FORMAT: &[u8] = b"emberpin-store 1";
+const FORMAT: &[u8] = b"emberpin-store 2";
+/// The one before, which held neither histories nor checkpoints; it is read, and becomes the new one with the
+/// next write.
+const FORMER_FORMAT: &[u8] = b"emberpin-store 1";
 
 /// So much is written before `fjall` makes tables of it, and another journal: seldom, as each takes the disk
 /// for a while.
@@ -55,6 +58,8 @@
     /// The version of each item that is written, and what the last write says of all of them.
     versions: BTreeMap<Vec<u8>, u64>,
     mark: Mark,
+    /// What is kept is of the former format.
+    is_former: bool,
 }
 
 impl Disk {
@@ -124,7 +129,17 @@
             keyspace(store).map_err(|error| Unusable::Keyspace(store.into(), error))?;
         let journal = at(store, Journal::after(store, before))?;
         let (versions, mark) = (BTreeMap::new(), Mark::default());
-        Ok(Disk { keyspace, items, meta, folder: store.into(), journal, synced, versions, mark })
+        Ok(Disk {
+            keyspace,
+            items,
+            meta,
+            folder: store.into(),
+            journal,
+            synced,
+            versions,
+            mark,
+            is_former: false,
+        })
     }
 
     fn wrong(&self, error: fjall::Error) -> Unusable {
@@ -139,9 +154,10 @@
         self.meta.get(name).map_err(|error| self.wrong(error))
     }
 
-    fn belongs(&self, me: Ipv4Addr) -> Result<(), Unusable> {
+    fn belongs(&mut self, me: Ipv4Addr) -> Result<(), Unusable> {
         match self.meta("format")? {
             Some(format) if *format == *FORMAT => {}
+            Some(format) if *format == *FORMER_FORMAT => self.is_former = true,
             Some(_) => return Err(self.foreign("is of a format that is not known here")),
             None => return Err(self.foreign("is not the folder of a store")),
         }
@@ -153,13 +169,21 @@
 
     /// Counts an item that is written or read.
     fn count(&mut self, key: Vec<u8>, ver: u64) {
-        let digest = |ver: u64| xxh3_64(&[&key[..], &ver.to_be_bytes()].concat());
-        let old = self.versions.get(&key).map(|old| digest(*old));
+        let old = self.versions.get(&key).map(|old| version_digest(&key, *old));
         self.mark.items += u64::from(old.is_none());
-        self.mark.sum = self.mark.sum.wrapping_sub(old.unwrap_or_default()).wrapping_add(digest(ver));
+        self.mark.sum =
+            self.mark.sum.wrapping_sub(old.unwrap_or_default()).wrapping_add(version_digest(&key, ver));
         self.versions.insert(key, ver);
     }
 
+    /// Counts that an item is removed.
+    fn discount(&mut self, key: &[u8]) {
+        if let Some(ver) = self.versions.remove(key) {
+            self.mark.items -= 1;
+            self.mark.sum = self.mark.sum.wrapping_sub(version_digest(key, ver));
+        }
+    }
+
     fn read(&mut self) -> Result<Option<Kept>, Unusable> {
         fn decoded<T: serde::de::DeserializeOwned>(disk: &Disk, bytes: &[u8]) -> Result<T, Unusable> {
             postcard::from_bytes(bytes)
@@ -191,6 +215,13 @@
             self.count(named(&item.key), item.ver);
             batch.insert(&self.items, named(&item.key), self.encoded(item)?);
         }
+        for key in &write.removed {
+            self.discount(&named(key));
+            batch.remove(&self.items, named(key));
+        }
+        if std::mem::take(&mut self.is_former) {
+            batch.insert(&self.meta, "format", FORMAT);
+        }
         if let Some(pending) = &write.pending {
             batch.insert(&self.meta, "pending", self.encoded(pending)?);
         }
@@ -276,6 +307,10 @@
     Ok(sum)
 }
 
+fn version_digest(key: &[u8], ver: u64) -> u64 {
+    xxh3_64(&[key, &ver.to_be_bytes()].concat())
+}
+
 fn named(key: &Key) -> Vec<u8> {
     [&[key.kind as u8], key.name.as_bytes()].concat()
 }
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -205,7 +205,7 @@
     fn ask(&mut self, connection: u64, ask: StoreRequest, outbox: Outbox, actions: &mut Vec<Action>) {
         self.registries.entry(connection).or_insert(Registry { outbox, follows: false });
         let Some((id, call)) = call(ask) else {
-            let items = self.replica.state().iter().cloned().collect();
+            let items = self.replica.state().told().cloned().collect();
             if let Some(registry) = self.registries.get_mut(&connection) {
                 registry.follows = true;
             }
--- a/crates/emberpin-store/tests/disk.rs
+++ b/crates/emberpin-store/tests/disk.rs
@@ -1,7 +1,7 @@
 //! What a store finds on its disk after its end, a loss of power in mid-write, or when the folder isn't its
 //! own.
 
-use emberpin_config::{Item, Key, Kind};
+use emberpin_config::{History, Item, Key, Kind};
 use emberpin_consensus::{Ballot, Kept, Pending, Write};
 use emberpin_store::disk::{Disk, Unusable};
 use googletest::prelude::*;
@@ -22,6 +22,7 @@
 fn write(counter: u64, size: usize) -> Write {
     Write {
         chosen: vec![item("a", counter, size), item("b", counter, size)],
+        removed: Vec::new(),
         promised: ballot(counter),
         pending: Some(Pending { ballot: ballot(counter), items: vec![item("c", counter, size)] }),
         voting: true,
@@ -248,3 +249,61 @@
     let journals = fs::read_dir(folder.path().join("store/journals")).expect("a folder").count();
     expect_that!(journals, le(3));
 }
+
+#[gtest]
+fn what_is_removed_is_gone_after_a_start_and_may_come_again() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let removes = Write { chosen: vec![], removed: vec![item("a", 0, 0).key], pending: None, ..write(2, 10) };
+    written(folder.path(), &[write(1, 10), removes]);
+    let names = |folder: &Path| {
+        let kept = found(folder).expect("a disk").expect("what was written");
+        kept.chosen.into_iter().map(|item| (item.key.name, item.ver)).collect::<Vec<_>>()
+    };
+    expect_that!(names(folder.path()), elements_are![eq(&("b".to_string(), 1))]);
+    // What is both written and removed by one write is gone.
+    let both = Write { removed: vec![item("b", 0, 0).key], pending: None, ..write(3, 10) };
+    written(folder.path(), &[both]);
+    expect_that!(names(folder.path()), elements_are![eq(&("a".to_string(), 3))]);
+    written(folder.path(), &[write(4, 10)]);
+    expect_that!(names(folder.path()).len(), eq(2));
+}
+
+/// How often a text stands in the journal's batches.
+fn count(folder: &Path, text: &[u8]) -> usize {
+    let bytes = fs::read(journal(folder)).expect("a journal");
+    bytes.windows(text.len()).filter(|part| *part == text).count()
+}
+
+/// What the build before this one left: the same, but for the number of its format, and without histories. Its
+/// journal's first batch is rewritten, with the checksum that goes with it.
+fn of_the_former_format(folder: &Path) {
+    let mut bytes = fs::read(journal(folder)).expect("a journal");
+    let at = bytes.windows(16).position(|part| part == b"emberpin-store 2").expect("the format");
+    bytes[at + 15] = b'1';
+    let end = bytes.windows(TRAILER.len()).position(|part| part == TRAILER).expect("a batch");
+    let sum = xxhash_rust::xxh3::xxh3_64(&bytes[BATCH_START..end - BATCH_END]);
+    bytes[end - 8..end].copy_from_slice(&sum.to_be_bytes());
+    fs::write(journal(folder), bytes).expect("a journal");
+}
+
+/// How `fjall` ends a batch, after a tag and a checksum of eight bytes; and how long a batch's start is.
+const TRAILER: &[u8] = &[b'F', b'J', b'L', 2];
+const BATCH_END: usize = 9;
+const BATCH_START: usize = 15;
+
+#[gtest]
+fn a_disk_of_the_former_format_is_read_and_becomes_the_new_one_with_the_next_write() {
+    let folder = tempfile::tempdir().expect("a folder");
+    written(folder.path(), &[write(1, 10)]);
+    of_the_former_format(folder.path());
+    expect_that!(count(folder.path(), b"emberpin-store 2"), eq(0));
+    expect_that!(found(folder.path()).expect("a disk"), some(eq(&kept(1, 10))));
+    expect_that!(count(folder.path(), b"emberpin-store 2"), eq(0));
+    let history = History::new(item("a", 2, 10).key, 2).to_item(1);
+    let with_history = Write { chosen: vec![history.clone()], pending: None, ..write(2, 10) };
+    written(folder.path(), &[with_history]);
+    expect_that!(count(folder.path(), b"emberpin-store 2"), eq(1));
+    let found = found(folder.path()).expect("a disk").expect("what was written");
+    expect_that!(found.chosen, contains(eq(&history)));
+    expect_that!(found.chosen.len(), eq(3));
+}
