--- a/crates/emberpin-simulator/src/cores.rs
+++ b/crates/emberpin-simulator/src/cores.rs
@@ -64,6 +64,7 @@
         let mut kept = Kept::default();
         for write in &self.disk {
             kept.chosen.extend(write.chosen.iter().cloned());
+            kept.chosen.retain(|item| !write.removed.contains(&item.key));
             kept.promised = write.promised;
             kept.voting = write.voting;
             if let Some(pending) = &write.pending {
