--- a/crates/emberpin-config/src/forms.rs
+++ b/crates/emberpin-config/src/forms.rs
@@ -7,6 +7,10 @@
 /// A `target_time` may exceed the `timeout` of its route by less than this.
 const MOST_OVER: Duration = Duration::from_secs(60);
 
+/// The longest name of a service or route, in bytes. Stores keep items by their names, and the keys of their
+/// disks are bounded, too.
+pub const MOST_NAME: usize = 4 << 10;
+
 /// What may be done with a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
@@ -270,6 +274,9 @@
     pub(crate) fn name(&self) -> Result<String, Wrong> {
         match self.text("name")? {
             name if name.is_empty() => Err(self.wrong("name", "is empty")),
+            name if name.len() > MOST_NAME => {
+                Err(self.wrong("name", &format!("is longer than {MOST_NAME} bytes")))
+            }
             name => Ok(name),
         }
     }
--- a/crates/emberpin-config/src/lib.rs
+++ b/crates/emberpin-config/src/lib.rs
@@ -18,7 +18,7 @@
 pub use checkpoint::{Checkpoint, MOST_TOMBSTONES};
 pub use configuration::Configuration;
 pub use content::Digest;
-pub use forms::{Limits, Route, RouteKind, Service};
+pub use forms::{Limits, Route, RouteKind, Service, MOST_NAME};
 pub use history::{History, Past, MOST_VERSIONS};
 pub use item::{Item, Key, Kind};
 pub use patch::{read_patch, Patch, MOST_BODY, MOST_ITEMS};
--- a/crates/emberpin-config/tests/read.rs
+++ b/crates/emberpin-config/tests/read.rs
@@ -354,3 +354,20 @@
         let _ = read_patch(format!("{{\"upsert\":{{\"svcs\":[{body}]}}}}").as_bytes());
     }
 }
+
+#[gtest]
+fn a_name_that_is_too_long_to_be_kept_is_refused() {
+    let named = |length: usize| {
+        let name = "n".repeat(length);
+        let orders = [
+            body(&[service(&name, 1)], &[], &[], &[]),
+            body(&[], &[route(&name, "h/", &[("s", 1)], 1)], &[], &[]),
+            body(&[], &[], &[drop_of(&name, 1)], &[]),
+            body(&[], &[], &[], &[drop_of(&name, 1)]),
+        ];
+        orders.map(|order| read_patch(order.as_bytes()).map(|patch| patch.items.len()))
+    };
+    expect_that!(named(MOST_NAME), each(ok(eq(&1))));
+    expect_that!(named(MOST_NAME + 1), each(err(anything())));
+    expect_that!(named(70_000), each(err(anything())));
+}
--- a/crates/emberpin-store/tests/disk.rs
+++ b/crates/emberpin-store/tests/disk.rs
@@ -1,7 +1,7 @@
 //! What a store finds on its disk after its end, a loss of power in mid-write, or when the folder isn't its
 //! own.
 
-use emberpin_config::{History, Item, Key, Kind};
+use emberpin_config::{History, Item, Key, Kind, MOST_NAME};
 use emberpin_consensus::{Ballot, Kept, Pending, Write};
 use emberpin_store::disk::{Disk, Unusable};
 use googletest::prelude::*;
@@ -307,3 +307,13 @@
     expect_that!(found.chosen, contains(eq(&history)));
     expect_that!(found.chosen.len(), eq(3));
 }
+
+#[gtest]
+fn the_longest_names_are_kept_with_their_histories() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let longest = item(&"n".repeat(MOST_NAME), 7, 10);
+    let history = History::new(longest.key.clone(), 7, None).to_item(1);
+    let chosen = vec![longest, history];
+    written(folder.path(), &[Write { chosen: chosen.clone(), pending: None, ..write(1, 10) }]);
+    expect_that!(found(folder.path()).expect("a disk").map(|kept| kept.chosen), some(eq(&chosen)));
+}
