--- a/crates/emberpin-config/src/configuration.rs
+++ b/crates/emberpin-config/src/configuration.rs
@@ -96,6 +96,17 @@
         }
     }
 
+    /// A copy of all that decides whether the whole is valid; histories are the larger part of many changes.
+    pub(crate) fn without_histories(&self) -> Configuration {
+        let items = self.items.iter().filter(|(key, _)| key.kind != Kind::History);
+        Configuration {
+            items: items.map(|(key, item)| (key.clone(), item.clone())).collect(),
+            routes: self.routes.clone(),
+            dropped: self.dropped.clone(),
+            checkpoint: self.checkpoint.clone(),
+        }
+    }
+
     /// Which tombstones were removed.
     pub fn checkpoint(&self) -> &Checkpoint {
         &self.checkpoint
--- a/crates/emberpin-config/src/validate.rs
+++ b/crates/emberpin-config/src/validate.rs
@@ -95,7 +95,7 @@
         };
     }
     let touched: BTreeSet<&Key> = newer.iter().map(|item| &item.key).collect();
-    let mut merged = newest.clone();
+    let mut merged = newest.without_histories();
     for item in &newer {
         merged.merge(item.clone());
     }
