--- a/crates/emberpin-store/tests/processes.rs
+++ b/crates/emberpin-store/tests/processes.rs
@@ -272,6 +272,46 @@
     });
 }
 
+/// Sends again what was taken, and other contents under its numbers, to all machines.
+async fn repeats(machines: &[Machine]) {
+    let other = service("x", 5).replace("\"maxconn\":9", "\"maxconn\":8");
+    let beside = other.replace("}]}}", &format!("}},{}", service("y", 1).split_once('[').expect("a list").1));
+    let drop = "{\"remove\":{\"svcs\":[{\"name\":\"x\",\"ver\":7}]}}";
+    for machine in machines {
+        for order in [&service("x", 5), &service("x", 6), drop] {
+            expect_that!(machine.patch(order).await, eq(200), "{order} at {}", machine.ip);
+        }
+        for order in [&other, &beside] {
+            expect_that!(machine.patch(order).await, eq(409), "{order} at {}", machine.ip);
+        }
+    }
+}
+
+#[gtest]
+fn a_repeat_is_acknowledged_and_another_content_refused_however_many_came_after() {
+    run(async {
+        let mut machines = machines(12, 3);
+        machines.iter_mut().for_each(|machine| machine.start(true));
+        expect_that!(machines[0].patch(&service("x", 5)).await, eq(200));
+        expect_that!(machines[1].patch(&service("x", 6)).await, eq(200));
+        repeats(&machines).await;
+        machines.iter_mut().for_each(Machine::kill);
+        machines.iter_mut().for_each(|machine| machine.start(false));
+        repeats(&machines).await;
+        machines[2].lose_disk();
+        machines[2].start(false);
+        repeats(&machines).await;
+        // Of no use to others than stores.
+        let told = machines[1].follow(|told| match told {
+            StoreReply::Items { items } => Some(items),
+            _ => None,
+        });
+        let told = told.await;
+        expect_that!(told.iter().any(|item| item.key.name == "x"), eq(true));
+        expect_that!(told.iter().any(|item| item.key.kind == Kind::History), eq(false));
+    });
+}
+
 #[gtest]
 fn a_machine_at_another_address_takes_the_place_of_one_that_is_gone() {
     run(async {
