--- a/crates/emberpin-simulator/src/cores.rs
+++ b/crates/emberpin-simulator/src/cores.rs
@@ -64,6 +64,7 @@
         let mut kept = Kept::default();
         for write in &self.disk {
             kept.chosen.extend(write.chosen.iter().cloned());
+            kept.chosen.retain(|item| !write.removed.contains(&item.key));
             kept.promised = write.promised;
             kept.voting = write.voting;
             if let Some(pending) = &write.pending {
@@ -90,7 +91,7 @@
         let store = Replica::with_guards(0, options, machine.kept(), build.consensus, &mut actions);
         let limits = Limits { me, zone: machine.process.zone.clone(), incarnation, beat_ms: BEAT, seeds };
         let registry = Registry::with_guards(0, limits, build.watch);
-        let items: Vec<Item> = store.state().iter().cloned().collect();
+        let items: Vec<Item> = store.state().told().cloned().collect();
         machine.up = Some(Running {
             store,
             registry,
