--- a/crates/emberpin-consensus/src/acceptor.rs
+++ b/crates/emberpin-consensus/src/acceptor.rs
@@ -58,6 +58,8 @@
     pub late: bool,
     /// What is acknowledged is on the disks of a majority, and on more than may be lost.
     pub spread: bool,
+    /// Timeouts and pauses follow the measured times, and messages that were not answered go out again.
+    pub pacing: bool,
 }
 
 impl Default for Guards {
@@ -74,6 +76,7 @@
             whole: true,
             late: true,
             spread: true,
+            pacing: true,
         }
     }
 }
@@ -101,7 +104,9 @@
         if !self.voting {
             return Message::NotVoting { ballot };
         }
-        if ballot <= self.promised && self.guards.promise {
+        // A promise may have been lost, and is asked for again.
+        let again = ballot == self.promised && self.pending.ballot < ballot;
+        if ballot <= self.promised && !again && self.guards.promise {
             return Message::Refused { ballot, promised: self.promised };
         }
         self.promised = ballot;
--- a/crates/emberpin-consensus/src/replica.rs
+++ b/crates/emberpin-consensus/src/replica.rs
@@ -2,6 +2,7 @@
 
 mod events;
 mod messages;
+mod pacing;
 mod roster;
 mod rounds;
 
@@ -13,6 +14,7 @@
 use crate::round::{majority, Round, Task};
 use crate::state::{mixed, roster_item, voters, State};
 use emberpin_config::{read_patch, Item};
+use pacing::Pacing;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
 
@@ -23,21 +25,13 @@
 const EVACUATION: u64 = 850;
 /// So many calls wait at most; more are told to come again, or to go elsewhere.
 const WAITING: usize = 64;
-/// A round that isn't done by then gives way to a new one; nothing is proposed later than that.
-const ROUND: u64 = 700;
-/// Each round that failed gives the next one so much more, for slow disks, up to three times.
-const MORE: u64 = 300;
-/// A round that one voter refused gives way after so long: the others may be a majority, or may be gone.
-const REFUSED: u64 = 150;
 /// How often stores compare what they hold.
 const EXCHANGE: u64 = 500;
-/// What is accepted and not chosen after so long is finished by whoever holds it.
-const OPEN: u64 = 300;
 /// A comparison counts for so long.
 const FRESH: u64 = 1_200;
 /// A store that lost its disk waits so long before it catches up: rounds that it promised something are over
 /// by then.
-const FORGOTTEN: u64 = ROUND + 3 * MORE + 400;
+const FORGOTTEN: u64 = 2_000;
 /// One that was silent for so long isn't there to be compared with.
 const SILENT: u64 = 6_000;
 /// A voter that was silent for so long gives its place to a store that has none: well before `sync_time`,
@@ -59,6 +53,15 @@
     asked: (u64, u64),
 }
 
+/// A message that waits for a sync.
+#[derive(Debug)]
+struct Owed {
+    to: Ipv4Addr,
+    message: Message,
+    /// Since when.
+    since: u64,
+}
+
 /// One store.
 #[derive(Debug)]
 pub struct Replica {
@@ -76,8 +79,11 @@
     round: Option<Round>,
     /// No round before that.
     round_at: u64,
-    /// Rounds that failed in a row.
-    failed: u32,
+    /// No round before that either, as another store's is under way.
+    yields_until: u64,
+    pacing: Pacing,
+    /// The time of the event that is being handled.
+    now: u64,
     /// A change of the roster that was seen accepted and has to be finished.
     next: Option<Item>,
     /// It is to end, and takes no place again.
@@ -88,7 +94,7 @@
     open_until: Option<u64>,
     token: u64,
     /// What is said once something is on the disk.
-    owed: BTreeMap<u64, (Ipv4Addr, Message)>,
+    owed: BTreeMap<u64, Owed>,
     to_self: VecDeque<Message>,
 }
 
@@ -122,11 +128,13 @@
             tasks: VecDeque::new(),
             round: None,
             round_at: now,
-            failed: 0,
+            yields_until: 0,
+            pacing: Pacing::new(guards.pacing),
+            now,
             next: None,
             leaving: false,
             unconfirmed: false,
-            open_until: acceptor.open().then_some(now + OPEN),
+            open_until: acceptor.open().then_some(now + Pacing::new(guards.pacing).open_delay()),
             token: 0,
             owed: BTreeMap::new(),
             to_self: VecDeque::new(),
@@ -190,25 +198,26 @@
     pub fn wake_at(&self) -> u64 {
         let proposed = self.round.iter().flat_map(|round| &round.outcomes).map(|outcome| &outcome.task);
         let tasks = self.tasks.iter().chain(proposed).map(|task| task.until);
-        let round = self.round.as_ref().map(|round| round.until);
+        let round = self.round.as_ref().map(|round| round.until.min(round.resend_at));
         let idle = self.round.is_none() && self.state().roster().is_some();
         let waits = !self.tasks.is_empty() || self.next.is_some() || self.unconfirmed;
-        let begin = (idle && waits).then_some(self.round_at);
-        let open = self.open_until.filter(|_| idle && self.votes()).map(|at| at.max(self.round_at));
-        let recover =
-            (idle && !self.acceptor.voting).then(|| self.round_at.max(self.started + self.forgotten()));
+        let earliest = self.earliest_round();
+        let begin = (idle && waits).then_some(earliest);
+        let open = self.open_until.filter(|_| idle && self.votes()).map(|at| at.max(earliest));
+        let recover = (idle && !self.acceptor.voting).then(|| earliest.max(self.started + self.forgotten()));
         tasks.chain(round).chain(begin).chain(open).chain(recover).fold(self.exchange_at, u64::min)
     }
 
     /// Takes one event at a time; `now`, in milliseconds, never falls.
     pub fn handle(&mut self, now: u64, event: Event, out: &mut Vec<Action>) {
+        self.now = now;
         // First, so that a process that stood still goes on with nothing that is over.
         self.settle_timers(now, out);
         match event {
             Event::Wake => {}
             Event::Call { id, call } => self.call(now, id, call, out),
             Event::Message { from, message } => self.hear(now, from, message, out),
-            Event::Persisted { token } => self.persisted(token, out),
+            Event::Persisted { token } => self.persisted(now, token, out),
             Event::Leave => {
                 self.leaving = true;
                 self.leave(now);
@@ -241,13 +250,24 @@
         self.tasks.push_back(Task { work, until: now + patience, proposed: false });
     }
 
-    fn persisted(&mut self, token: u64, out: &mut Vec<Action>) {
+    fn persisted(&mut self, now: u64, token: u64, out: &mut Vec<Action>) {
         let later = self.owed.split_off(&(token + 1));
-        for (_, (to, message)) in std::mem::replace(&mut self.owed, later) {
+        for (_, Owed { to, message, since }) in std::mem::replace(&mut self.owed, later) {
+            self.pacing.observe(now.saturating_sub(since));
+            if matches!(message, Message::Accepted { .. }) && self.acceptor.guards.pacing {
+                // Not from its arrival on: the round isn't late because this disk is.
+                self.watch_open(now);
+            }
             self.send(to, message, out);
         }
     }
 
+    /// From now on it waits for what it accepted to be chosen, and then finishes it.
+    fn watch_open(&mut self, now: u64) {
+        let delay = self.pacing.open_delay();
+        self.open_until = self.acceptor.open().then(|| now + delay + self.draw(delay));
+    }
+
     fn send(&mut self, to: Ipv4Addr, message: Message, out: &mut Vec<Action>) {
         match to == self.options.me {
             true => self.to_self.push_back(message),
@@ -271,7 +291,9 @@
         out.push(Action::Persist { token: self.token, write });
         match owed {
             Some((to, message)) if !self.acceptor.guards.sync => self.send(to, message, out),
-            Some(owed) => _ = self.owed.insert(self.token, owed),
+            Some((to, message)) => {
+                _ = self.owed.insert(self.token, Owed { to, message, since: self.now });
+            }
             None => {}
         }
     }
--- a/crates/emberpin-consensus/src/replica/messages.rs
+++ b/crates/emberpin-consensus/src/replica/messages.rs
@@ -1,6 +1,6 @@
 //! Messages from other replicas: what each of them leads to.
 
-use super::{Action, Replica, OPEN};
+use super::{Action, Replica};
 use crate::message::{Ballot, Message};
 use emberpin_config::Item;
 use std::net::Ipv4Addr;
@@ -15,6 +15,7 @@
                 if self.goes_by(from, ballot, &roster, out) {
                     let answer = self.acceptor.prepare(ballot, &digests);
                     self.counter = self.counter.max(ballot.counter);
+                    self.yield_to(now, from, &answer);
                     self.answer(from, answer, false, out);
                 }
             }
@@ -22,10 +23,7 @@
                 if self.goes_by(from, ballot, &roster, out) {
                     let answer = self.acceptor.accept(ballot, items);
                     if matches!(answer, Message::Accepted { .. }) {
-                        self.open_until = self.acceptor.open().then_some(now + OPEN);
-                        if let Some(open) = self.open_until {
-                            self.open_until = Some(open + self.draw(OPEN));
-                        }
+                        self.watch_open(now);
                     }
                     // Learned first or with it: in either order they are on the disk before the answer goes
                     // out.
@@ -55,7 +53,11 @@
                     self.give_way(now, false);
                 }
             }
-            Message::Chosen { items } => self.learn(&items, out),
+            Message::Chosen { items } => {
+                // The round that it yielded to may be over.
+                self.yields_until = 0;
+                self.learn(&items, out);
+            }
             Message::Exchange { seq, digest } => {
                 let answer = match digest == self.state().digest() {
                     true => Message::Same { seq, voting: self.acceptor.voting },
--- a/crates/emberpin-consensus/src/replica/rounds.rs
+++ b/crates/emberpin-consensus/src/replica/rounds.rs
@@ -1,6 +1,6 @@
 //! Rounds: preparing a ballot, judging calls on what a majority knows, and having the outcome accepted.
 
-use super::{Action, Replica, EXCHANGE, FORGOTTEN, MORE, OPEN, REFUSED, ROUND};
+use super::{Action, Replica, EXCHANGE, FORGOTTEN};
 use crate::call::{Verdict, Work};
 use crate::message::{Ballot, Message, Pending};
 use crate::round::{Outcome, Promised, Round, Task};
@@ -35,9 +35,55 @@
             // Another change may have come first.
             self.leave(now);
         }
-        if self.round.is_none() && now >= self.round_at {
+        if self.round.is_none() && now >= self.earliest_round() {
             self.begin(now, out);
         }
+        self.resend(now, out);
+    }
+
+    pub(super) fn earliest_round(&self) -> u64 {
+        self.round_at.max(self.yields_until)
+    }
+
+    /// A store whose last round failed leaves the field to one that it just made a promise to; not again before
+    /// that time is over, so that it comes to its turn however many others there are.
+    pub(super) fn yield_to(&mut self, now: u64, from: Ipv4Addr, answer: &Message) {
+        let promised = matches!(answer, Message::Promise { .. }) && from != self.options.me;
+        if promised && self.pacing.contended() && self.round.is_none() && now >= self.earliest_round() {
+            self.yields_until = now + self.pacing.yield_time();
+        }
+    }
+
+    /// Sends the round's messages again to those that have not answered; such a message or its answer may be lost,
+    /// and the round may have a long time yet.
+    fn resend(&mut self, now: u64, out: &mut Vec<Action>) {
+        let Some(round) = self.round.as_mut().filter(|round| now >= round.resend_at) else { return };
+        round.resend_at = now + self.pacing.resend_delay(round.resent);
+        round.resent += 1;
+        let targets = round.unanswered();
+        self.ask(targets, out);
+    }
+
+    /// Sends what the round asks in its phase.
+    fn ask(&mut self, targets: BTreeSet<Ipv4Addr>, out: &mut Vec<Action>) {
+        let Some(round) = &self.round else { return };
+        let (ballot, roster) = (round.ballot, round.roster.clone());
+        let message = match &round.proposal {
+            Some(items) => {
+                let (chosen, items) = (round.transferred.clone(), items.clone());
+                Message::Accept { ballot, roster, chosen, items }
+            }
+            None => Message::Prepare { ballot, roster, digests: self.state().digests().to_vec() },
+        };
+        targets.into_iter().for_each(|to| self.send(to, message.clone(), out));
+    }
+
+    /// When the round's messages first go out again, of a phase that begins now.
+    fn first_resend(&self, now: u64) -> u64 {
+        match self.pacing.resends() {
+            true => now + self.pacing.resend_delay(0),
+            false => u64::MAX,
+        }
     }
 
     pub(super) fn begin(&mut self, now: u64, out: &mut Vec<Action>) {
@@ -51,7 +97,7 @@
             return;
         }
         if repairs {
-            self.open_until = Some(now + OPEN + self.draw(OPEN));
+            self.watch_open(now);
         }
         // A change of the roster goes alone, so that no call waits for machines that are yet to join.
         let mut next = self.next.take();
@@ -60,17 +106,16 @@
         }
         self.counter += 1;
         let ballot = Ballot { counter: self.counter, node: me.to_bits(), incarnation: self.incarnation };
-        let until = now + ROUND + MORE * u64::from(self.failed.min(3));
+        let until = now + self.pacing.round_timeout();
         let mut round =
             Round::new(ballot, until, roster.clone(), next.filter(|_| self.acceptor.guards.joint));
         round.recovers = recovers;
         round.known = (!self.acceptor.guards.newest).then(|| self.state().configuration().clone());
-        let (targets, digests) = (round.targets(), self.state().digests().to_vec());
+        round.phase_began = now;
+        round.resend_at = self.first_resend(now);
+        let targets = round.targets();
         self.round = Some(round);
-        for to in targets {
-            let (roster, digests) = (roster.clone(), digests.clone());
-            self.send(to, Message::Prepare { ballot, roster, digests }, out);
-        }
+        self.ask(targets, out);
     }
 
     /// Rounds that a store promised something before it lost its disk are over after so long; there are none
@@ -86,7 +131,7 @@
     pub(super) fn refused(&mut self, now: u64, from: Ipv4Addr, ballot: Ballot) {
         let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else { return };
         round.refused.insert(from);
-        round.until = round.until.min(now + REFUSED);
+        round.until = round.until.min(now + self.pacing.refused_grace());
         if round.lost() {
             self.give_way(now, true);
         }
@@ -98,9 +143,11 @@
         for outcome in round.outcomes.into_iter().rev() {
             self.tasks.push_front(outcome.task);
         }
-        self.failed = if pause { (self.failed + 1).min(6) } else { self.failed };
-        let pause = if pause { self.draw(30 << self.failed.min(4)) } else { 0 };
-        self.round_at = now + pause;
+        self.round_at = now;
+        if pause {
+            self.pacing.failed();
+            self.round_at += self.draw(self.pacing.pause_bound());
+        }
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -128,6 +175,7 @@
         if self.state().roster().is_some_and(|roster| roster.ver > round.roster.ver) {
             return self.give_way(now, false);
         }
+        self.pacing.observe(now.saturating_sub(round.phase_began));
         // Whoever has promised by this roster has it on its disk.
         self.unconfirmed = false;
         self.propose(now, out);
@@ -149,10 +197,10 @@
             // All that this store may have had a part in is on one of those that promised.
             self.acceptor.promised = self.acceptor.promised.max(round.ballot);
             self.acceptor.pending = Pending { ballot: round.latest.ballot, items };
-            self.open_until = self.acceptor.open().then_some(now + OPEN);
+            self.watch_open(now);
             self.acceptor.voting = true;
             let all = self.state().iter().cloned().collect();
-            self.failed = 0;
+            self.pacing.succeeded();
             return self.persist(all, true, true, None, out);
         }
         let carried = !items.is_empty();
@@ -191,17 +239,17 @@
             round.outcomes.push(Outcome { task, status, body });
         }
         if !carried && items.is_empty() {
-            self.failed = 0;
+            self.pacing.succeeded();
             return tell(round.outcomes, out);
         }
         let chosen = if self.acceptor.guards.lacking { round.lacking(self.state()) } else { Vec::new() };
-        let (ballot, roster, targets) = (round.ballot, round.roster.clone(), round.targets());
-        round.proposal = Some(items.clone());
+        let targets = round.targets();
+        round.proposal = Some(items);
+        round.transferred = chosen;
+        round.phase_began = now;
+        (round.resend_at, round.resent) = (self.first_resend(now), 0);
         self.round = Some(round);
-        for to in targets {
-            let (roster, chosen, items) = (roster.clone(), chosen.clone(), items.clone());
-            self.send(to, Message::Accept { ballot, roster, chosen, items }, out);
-        }
+        self.ask(targets, out);
     }
 
     pub(super) fn accepted(&mut self, now: u64, from: Ipv4Addr, ballot: Ballot, out: &mut Vec<Action>) {
@@ -211,6 +259,7 @@
             return;
         }
         let Some(round) = self.round.take() else { return };
+        self.pacing.observe(now.saturating_sub(round.phase_began));
         let items = round.proposal.clone().unwrap_or_default();
         self.learn(&items, out);
         // Until its own majority has it, a lost disk might leave none that knows, and of the old one too few.
@@ -221,7 +270,7 @@
         for to in told {
             self.send(to, Message::Chosen { items: items.clone() }, out);
         }
-        self.failed = 0;
+        self.pacing.succeeded();
         tell(round.outcomes, out);
     }
 }
--- a/crates/emberpin-consensus/src/round.rs
+++ b/crates/emberpin-consensus/src/round.rs
@@ -37,6 +37,11 @@
     pub ballot: Ballot,
     /// When it gives way to a new one.
     pub until: u64,
+    /// When its phase began.
+    pub phase_began: u64,
+    /// When messages that were not answered go out again, and how often they did.
+    pub resend_at: u64,
+    pub resent: u32,
     /// The roster that it goes by.
     pub roster: Item,
     pub voters: Vec<Ipv4Addr>,
@@ -52,6 +57,8 @@
     pub learned: BTreeSet<Key>,
     /// What it proposes, once it does.
     pub proposal: Option<Vec<Item>>,
+    /// The chosen items that go along with it.
+    pub transferred: Vec<Item>,
     pub accepted: BTreeSet<Ipv4Addr>,
     /// Those that have promised a higher ballot.
     pub refused: BTreeSet<Ipv4Addr>,
@@ -65,6 +72,9 @@
         Round {
             ballot,
             until,
+            phase_began: 0,
+            resend_at: u64::MAX,
+            resent: 0,
             voters: voters(&roster),
             joining: next.as_ref().map(voters).unwrap_or_default(),
             roster,
@@ -74,6 +84,7 @@
             latest: Pending::default(),
             learned: BTreeSet::new(),
             proposal: None,
+            transferred: Vec::new(),
             accepted: BTreeSet::new(),
             refused: BTreeSet::new(),
             outcomes: Vec::new(),
@@ -86,6 +97,17 @@
         self.voters.iter().chain(&self.joining).copied().collect()
     }
 
+    /// Those that have not answered in this phase.
+    pub fn unanswered(&self) -> BTreeSet<Ipv4Addr> {
+        let answered = |voter: &Ipv4Addr| match self.proposal {
+            Some(_) => self.accepted.contains(voter),
+            None => self.promises.contains_key(voter),
+        };
+        let mut targets = self.targets();
+        targets.retain(|voter| !answered(voter) && !self.refused.contains(voter));
+        targets
+    }
+
     /// Whether enough have promised.
     pub fn promised(&self, me: Ipv4Addr) -> bool {
         let enough = |voters: &[Ipv4Addr]| {
