--- a/crates/emberpin-consensus/examples/search_model.rs
+++ b/crates/emberpin-consensus/examples/search_model.rs
@@ -1,7 +1,8 @@
 //! Searches the whole model of register, for every order of the proposers' ballots:
 //! `cargo run --release -p emberpin-consensus --example search_model -- 0123`, where each digit is a round of the
-//! first writer, the second one, the changer of the roster, or the voter that lost its disk.
-//! `[rounds] [wipes] [power cuts] [told] [threads]` change the bounds.
+//! first writer, the second one, the changer of the roster, or a voter that lost its disk.
+//! `[rounds] [wipes] [power cuts] [told] [threads] [voters] [seconds]` change the bounds; there are 3 or 5 voters, and no
+//! order is begun once so many seconds are over.
 
 #[path = "../tests/model/register.rs"]
 mod register;
@@ -37,13 +38,20 @@
     let rounds: Vec<u8> =
         arguments.first().map_or("0123", String::as_str).bytes().map(|b| b - b'0').collect();
     let (wipes, power_cuts, told, threads) = (number(1, 1), number(2, 0), number(3, 0), number(4, 3));
+    let five = number(5, 3) == 5;
+    let seconds = arguments.get(6).and_then(|text| text.parse().ok()).unwrap_or(u64::MAX);
+    let (mut finished, mut left_out) = (0, 0);
     let (started, mut states, mut depth, mut largest) = (Instant::now(), 0, 0, 0);
     let mut ever = BTreeSet::new();
     let orders = orders(&rounds);
     for one_name in [true, false] {
         for order in &orders {
-            let bounds =
-                Custody { one_name, order: order.clone(), wipes, power_cuts, told, ..Custody::default() };
+            if started.elapsed().as_secs() >= seconds {
+                left_out += 1;
+                continue;
+            }
+            let base = Custody { one_name, order: order.clone(), five, ..Custody::default() };
+            let bounds = Custody { wipes, power_cuts, told, ..base };
             let found = search(bounds, usize::from(threads));
             for (name, trace) in &found.violated {
                 println!("violated, with the ballots of {order:?}, one name {one_name}: {name}");
@@ -54,6 +62,7 @@
             }
             (states, depth, largest) =
                 (states + found.states, depth.max(found.depth), largest.max(found.states));
+            finished += 1;
             ever.extend(found.happened);
         }
         let took = started.elapsed().as_secs_f64();
@@ -66,6 +75,7 @@
         "{} orders of the rounds {rounds:?}, wipes {wipes}, power cuts {power_cuts}, told {told}",
         orders.len()
     );
+    println!("{finished} searches whole, {left_out} not begun");
     most_memory().iter().for_each(|memory| println!("at most {memory} MB"));
     ever.iter().for_each(|name| println!("reached: {name}"));
 }
--- a/crates/emberpin-consensus/src/acceptor.rs
+++ b/crates/emberpin-consensus/src/acceptor.rs
@@ -1,8 +1,10 @@
 //! A voter: what it has promised and accepted, and what it knows to be chosen.
 
 use crate::message::{Ballot, Message, Pending};
+use crate::renewals::{Incarnation, Renewals};
 use crate::state::State;
 use emberpin_config::Item;
+use std::net::Ipv4Addr;
 
 /// What a store finds on its disk at its start.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -15,6 +17,10 @@
     pub pending: Pending,
     /// Whether it counts in quorums.
     pub voting: bool,
+    /// By which round it caught up.
+    pub incarnation: Incarnation,
+    /// Who asked it to catch up.
+    pub renewals: Renewals,
 }
 
 /// What is to be written to the disk, in the order in which it is given, each wholly or not at all.
@@ -28,6 +34,10 @@
     pub pending: Option<Pending>,
     /// Whether the store counts in quorums.
     pub voting: bool,
+    /// Replaces the incarnation.
+    pub incarnation: Incarnation,
+    /// Replaces who asked to catch up.
+    pub renewals: Renewals,
     /// It and all before it must be synced before it is said to be persisted.
     pub sync: bool,
 }
@@ -60,6 +70,8 @@
     pub spread: bool,
     /// Timeouts and pauses follow the measured times, and messages that were not answered go out again.
     pub pacing: bool,
+    /// Promises that their voters made before they lost their disks don't count.
+    pub incarnations: bool,
 }
 
 impl Default for Guards {
@@ -77,6 +89,7 @@
             late: true,
             spread: true,
             pacing: true,
+            incarnations: true,
         }
     }
 }
@@ -88,6 +101,8 @@
     pub promised: Ballot,
     pub pending: Pending,
     pub voting: bool,
+    pub incarnation: Incarnation,
+    pub renewals: Renewals,
     pub guards: Guards,
 }
 
@@ -96,11 +111,12 @@
         let mut state = State::default();
         kept.chosen.iter().for_each(|item| _ = state.learn(item));
         let voting = kept.voting || !guards.amnesia;
-        Acceptor { state, promised: kept.promised, pending: kept.pending, voting, guards }
+        let Kept { promised, pending, incarnation, renewals, .. } = kept;
+        Acceptor { state, promised, pending, voting, incarnation, renewals, guards }
     }
 
     /// What the voter answers; nothing has to be written if it isn't a promise.
-    pub fn prepare(&mut self, ballot: Ballot, digests: &[u64]) -> Message {
+    pub fn prepare(&mut self, ballot: Ballot, digests: &[u64], recovers: bool) -> Message {
         if !self.voting {
             return Message::NotVoting { ballot };
         }
@@ -110,9 +126,13 @@
             return Message::Refused { ballot, promised: self.promised };
         }
         self.promised = ballot;
+        if recovers {
+            self.renewals.note(Ipv4Addr::from_bits(ballot.node), Incarnation(ballot));
+        }
         let buckets = self.state.differing(digests);
         let chosen = self.state.in_buckets(&buckets);
-        Message::Promise { ballot, pending: self.pending.clone(), buckets, chosen }
+        let (incarnation, renewals) = (self.incarnation, self.renewals.clone());
+        Message::Promise { ballot, incarnation, renewals, pending: self.pending.clone(), buckets, chosen }
     }
 
     /// What the voter answers; the caller has it learn the chosen items that come along.
--- a/crates/emberpin-consensus/src/lib.rs
+++ b/crates/emberpin-consensus/src/lib.rs
@@ -11,6 +11,7 @@
 mod acceptor;
 mod call;
 mod message;
+mod renewals;
 mod replica;
 mod round;
 mod state;
@@ -18,5 +19,6 @@
 pub use acceptor::{Guards, Kept, Write};
 pub use call::Call;
 pub use message::{Ballot, Message, Pending};
+pub use renewals::{Incarnation, Renewals};
 pub use replica::{Action, Event, Options, Replica};
 pub use state::State;
--- a/crates/emberpin-consensus/src/message.rs
+++ b/crates/emberpin-consensus/src/message.rs
@@ -1,5 +1,6 @@
 //! What stores of configuration say to each other.
 
+use crate::renewals::{Incarnation, Renewals};
 use emberpin_config::Item;
 use serde::{Deserialize, Serialize};
 
@@ -34,11 +35,17 @@
         roster: Item,
         /// Of the proposer's chosen items, by bucket.
         digests: Vec<u64>,
+        /// Whether the proposer lost its disk, and catches up by this round.
+        recovers: bool,
     },
     /// Accepts nothing of a lower ballot from now on.
     Promise {
         /// The round.
         ballot: Ballot,
+        /// The voter's.
+        incarnation: Incarnation,
+        /// Of the voters that asked this one to catch up.
+        renewals: Renewals,
         /// What the voter has accepted last, and that may be chosen.
         pending: Pending,
         /// In which buckets the voter's chosen items differ from the proposer's.
--- a/crates/emberpin-consensus/src/replica.rs
+++ b/crates/emberpin-consensus/src/replica.rs
@@ -29,11 +29,11 @@
 const EXCHANGE: u64 = 500;
 /// A comparison counts for so long.
 const FRESH: u64 = 1_200;
-/// A store that lost its disk waits so long before it catches up: rounds that it promised something are over
-/// by then.
-const FORGOTTEN: u64 = 2_000;
 /// One that was silent for so long isn't there to be compared with.
 const SILENT: u64 = 6_000;
+/// A store without a place listens for so long before it asks for one, and asks for none while a voter has been
+/// silent for so long, and not yet for [`VACANT`].
+const PLACELESS: u64 = 3 * EXCHANGE;
 /// A voter that was silent for so long gives its place to a store that has none: well before `sync_time`,
 /// from the new one's start on, is over and another disk may be lost.
 const VACANT: u64 = 3_000;
@@ -204,7 +204,7 @@
         let earliest = self.earliest_round();
         let begin = (idle && waits).then_some(earliest);
         let open = self.open_until.filter(|_| idle && self.votes()).map(|at| at.max(earliest));
-        let recover = (idle && !self.acceptor.voting).then(|| earliest.max(self.started + self.forgotten()));
+        let recover = (idle && !self.acceptor.voting).then_some(earliest);
         tasks.chain(round).chain(begin).chain(open).chain(recover).fold(self.exchange_at, u64::min)
     }
 
@@ -286,8 +286,9 @@
     ) {
         self.token += 1;
         let pending = pending.then(|| self.acceptor.pending.clone());
-        let (promised, voting) = (self.acceptor.promised, self.acceptor.voting);
-        let write = Write { chosen, promised, pending, voting, sync };
+        let Acceptor { promised, voting, incarnation, .. } = self.acceptor;
+        let renewals = self.acceptor.renewals.clone();
+        let write = Write { chosen, promised, pending, voting, incarnation, renewals, sync };
         out.push(Action::Persist { token: self.token, write });
         match owed {
             Some((to, message)) if !self.acceptor.guards.sync => self.send(to, message, out),
--- a/crates/emberpin-consensus/src/replica/messages.rs
+++ b/crates/emberpin-consensus/src/replica/messages.rs
@@ -2,6 +2,7 @@
 
 use super::{Action, Replica};
 use crate::message::{Ballot, Message};
+use crate::round::Promised;
 use emberpin_config::Item;
 use std::net::Ipv4Addr;
 
@@ -11,9 +12,9 @@
             self.peers.entry(from).or_default().heard = now.max(1);
         }
         match message {
-            Message::Prepare { ballot, roster, digests } => {
+            Message::Prepare { ballot, roster, digests, recovers } => {
                 if self.goes_by(from, ballot, &roster, out) {
-                    let answer = self.acceptor.prepare(ballot, &digests);
+                    let answer = self.acceptor.prepare(ballot, &digests, recovers);
                     self.counter = self.counter.max(ballot.counter);
                     self.yield_to(now, from, &answer);
                     self.answer(from, answer, false, out);
@@ -31,8 +32,10 @@
                     self.answer(from, answer, true, out);
                 }
             }
-            Message::Promise { ballot, pending, buckets, chosen } => {
-                self.promise(now, from, ballot, pending, buckets, chosen, out);
+            Message::Promise { ballot, incarnation, renewals, pending, buckets, chosen } => {
+                let versions = chosen.iter().map(|item| (item.key.clone(), item.ver)).collect();
+                let promised = Promised { incarnation, renewals, buckets, versions };
+                self.promise(now, from, ballot, promised, pending, chosen, out);
             }
             Message::Accepted { ballot } => self.accepted(now, from, ballot, out),
             Message::Refused { ballot, promised } => {
--- a/crates/emberpin-consensus/src/replica/roster.rs
+++ b/crates/emberpin-consensus/src/replica/roster.rs
@@ -1,6 +1,6 @@
 //! Comparing state with other replicas, and keeping the roster of voters.
 
-use super::{Action, Replica, EXCHANGE, GONE, PATIENCE, SILENT, VACANT};
+use super::{Action, Replica, GONE, PATIENCE, PLACELESS, SILENT, VACANT};
 use crate::call::Work;
 use crate::message::Message;
 use crate::round::{majority, Task};
@@ -71,8 +71,12 @@
                 }
             }
         } else {
+            // Before it has listened for so long, it doesn't know who is silent.
+            if now < self.started + PLACELESS && !self.options.bootstrap {
+                return;
+            }
             // One that was just silent may be about to come back, or to be gone.
-            if voters.iter().any(|voter| silent(voter, 3 * EXCHANGE) && !silent(voter, VACANT)) {
+            if voters.iter().any(|voter| silent(voter, PLACELESS) && !silent(voter, VACANT)) {
                 return;
             }
             wanted.push(me);
--- a/crates/emberpin-consensus/src/replica/rounds.rs
+++ b/crates/emberpin-consensus/src/replica/rounds.rs
@@ -1,8 +1,9 @@
 //! Rounds: preparing a ballot, judging calls on what a majority knows, and having the outcome accepted.
 
-use super::{Action, Replica, EXCHANGE, FORGOTTEN};
+use super::{Action, Replica, EXCHANGE};
 use crate::call::{Verdict, Work};
 use crate::message::{Ballot, Message, Pending};
+use crate::renewals::Incarnation;
 use crate::round::{Outcome, Promised, Round, Task};
 use crate::state::{roster_item, roster_key};
 use emberpin_config::Item;
@@ -73,7 +74,10 @@
                 let (chosen, items) = (round.transferred.clone(), items.clone());
                 Message::Accept { ballot, roster, chosen, items }
             }
-            None => Message::Prepare { ballot, roster, digests: self.state().digests().to_vec() },
+            None => {
+                let (digests, recovers) = (self.state().digests().to_vec(), round.recovers);
+                Message::Prepare { ballot, roster, digests, recovers }
+            }
         };
         targets.into_iter().for_each(|to| self.send(to, message.clone(), out));
     }
@@ -91,7 +95,7 @@
         let me = self.options.me;
         self.tasks.retain(|task| !matches!(task.work, Work::Roster { ver, .. } if ver != roster.ver));
         self.next.take_if(|next| next.ver != roster.ver + 1);
-        let recovers = !self.acceptor.voting && now >= self.started + self.forgotten();
+        let recovers = !self.acceptor.voting;
         let repairs = self.open_until.is_some_and(|at| now >= at) && self.votes();
         if self.tasks.is_empty() && !recovers && !repairs && self.next.is_none() && !self.unconfirmed {
             return;
@@ -118,16 +122,6 @@
         self.ask(targets, out);
     }
 
-    /// Rounds that a store promised something before it lost its disk are over after so long; there are none
-    /// at first.
-    pub(super) fn forgotten(&self) -> u64 {
-        if self.options.bootstrap {
-            0
-        } else {
-            FORGOTTEN
-        }
-    }
-
     pub(super) fn refused(&mut self, now: u64, from: Ipv4Addr, ballot: Ballot) {
         let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else { return };
         round.refused.insert(from);
@@ -156,8 +150,8 @@
         now: u64,
         from: Ipv4Addr,
         ballot: Ballot,
+        promised: Promised,
         pending: Pending,
-        buckets: Vec<u8>,
         chosen: Vec<Item>,
         out: &mut Vec<Action>,
     ) {
@@ -165,8 +159,11 @@
         if round.proposal.is_some() {
             return;
         }
-        let versions = chosen.iter().map(|item| (item.key.clone(), item.ver)).collect();
-        round.promises.insert(from, Promised { buckets, versions });
+        if self.acceptor.guards.incarnations {
+            round.take_promise(from, promised);
+        } else {
+            round.promises.insert(from, promised);
+        }
         if pending.ballot > round.latest.ballot {
             round.latest = pending;
         }
@@ -196,6 +193,8 @@
         if round.recovers {
             // All that this store may have had a part in is on one of those that promised.
             self.acceptor.promised = self.acceptor.promised.max(round.ballot);
+            self.acceptor.incarnation = Incarnation(round.ballot);
+            round.promises.values().for_each(|told| self.acceptor.renewals.merge(&told.renewals));
             self.acceptor.pending = Pending { ballot: round.latest.ballot, items };
             self.watch_open(now);
             self.acceptor.voting = true;
--- a/crates/emberpin-consensus/src/round.rs
+++ b/crates/emberpin-consensus/src/round.rs
@@ -2,6 +2,7 @@
 
 use crate::call::Work;
 use crate::message::{Ballot, Pending};
+use crate::renewals::{Incarnation, Renewals};
 use crate::state::{bucket, voters, State};
 use emberpin_config::{Configuration, Item, Key};
 use std::collections::{BTreeMap, BTreeSet};
@@ -27,6 +28,8 @@
 /// What a voter told with its promise: the buckets in which it differed, and its versions there.
 #[derive(Debug)]
 pub(crate) struct Promised {
+    pub incarnation: Incarnation,
+    pub renewals: Renewals,
     pub buckets: Vec<u8>,
     pub versions: BTreeMap<Key, u64>,
 }
@@ -108,6 +111,17 @@
         targets
     }
 
+    /// Takes a promise, and lets go of those that are void: a voter that lost its disk may have accepted since what
+    /// this round would have to know. Such a voter is asked again.
+    pub fn take_promise(&mut self, from: Ipv4Addr, promised: Promised) {
+        if self.promises.get(&from).is_none_or(|known| known.incarnation <= promised.incarnation) {
+            self.promises.insert(from, promised);
+        }
+        let mut renewals = Renewals::default();
+        self.promises.values().for_each(|promised| renewals.merge(&promised.renewals));
+        self.promises.retain(|voter, promised| !renewals.outdate(*voter, promised.incarnation));
+    }
+
     /// Whether enough have promised.
     pub fn promised(&self, me: Ipv4Addr) -> bool {
         let enough = |voters: &[Ipv4Addr]| {
--- a/crates/emberpin-consensus/tests/cases.rs
+++ b/crates/emberpin-consensus/tests/cases.rs
@@ -218,6 +218,61 @@
     expect_that!(world.wrong, some(contains_substring("lost")));
 }
 
+/// Of five, 2 has the promise of 3 alone, which then loses its disk, and catches up from the others, at a ballot below
+/// that of 2. A call is chosen by 1, 3 and 4, and another content of it is proposed by 2 once 5 has promised too.
+fn promise_of_a_lost_disk(guards: Guards) -> (Option<u16>, Option<u16>, World) {
+    let mut world = World::new(16, 5, 2, guards);
+    world.run(1_000);
+    // Nobody is told what is chosen, and copies don't spread.
+    world.hold = Some(|message| {
+        matches!(message, Message::Chosen { .. } | Message::Exchange { .. } | Message::Differ { .. })
+    });
+    [1, 4, 5].into_iter().for_each(|other| world.cut(ip(2), ip(other)));
+    // Rounds fail, so that the ballots of 2 rise, and its rounds last longer.
+    world.call(ip(2), services(&[("a", 1, 2)]));
+    world.run(2_900);
+    world.call(ip(2), services(&[("a", 1, 2)]));
+    let promised = world.promised(ip(3));
+    world.run_while(10_000, |world| world.promised(ip(3)) == promised);
+    world.run(20);
+    world.cut(ip(2), ip(3));
+    world.wipe(ip(3));
+    world.start(ip(3), false);
+    // It is told the roster by those that it asks.
+    world.hold = Some(|message| matches!(message, Message::Chosen { .. }));
+    world.run_while(1_000, |world| world.nodes[&ip(3)].wiped);
+    world.hold = Some(|message| {
+        matches!(message, Message::Chosen { .. } | Message::Exchange { .. } | Message::Differ { .. })
+    });
+    [1, 3, 4].into_iter().for_each(|other| world.cut(ip(5), ip(other)));
+    let first = world.call(ip(1), services(&[("a", 1, 1)]));
+    world.run_while(1_000, |world| world.calls[first].answer.is_none());
+    // 2 hears 3 and 5, and 1 and 4 are gone.
+    world.cuts.clear();
+    [1, 4].into_iter().for_each(|host| world.power_off(ip(host)));
+    let second = world.call(ip(2), services(&[("a", 1, 2)]));
+    world.run_while(4_000, |world| world.calls[second].answer.is_none());
+    let status = |id: usize| world.calls[id].answer.as_ref().map(|answer| answer.0);
+    let told = (status(first), status(second));
+    world.settle_and_check();
+    (told.0, told.1, world)
+}
+
+#[gtest]
+fn a_promise_of_a_disk_that_was_lost_since_does_not_count() {
+    let (first, second, world) = promise_of_a_lost_disk(sound());
+    expect_that!(first, some(eq(200)));
+    expect_that!(second, not(some(eq(200))));
+    expect_that!(world.wrong, none());
+}
+
+#[gtest]
+fn without_incarnations_two_contents_of_one_version_are_acknowledged() {
+    let (first, second, world) = promise_of_a_lost_disk(Guards { incarnations: false, ..sound() });
+    expect_that!((first, second), eq((Some(200), Some(200))));
+    expect_that!(world.wrong, some(contains_substring("two contents")));
+}
+
 /// Of five, one knows that an item is chosen, and two have it as accepted; another round goes by without
 /// these two, and replaces what they have accepted.
 fn a_round_replaces_what_was_accepted(guards: Guards) -> Option<String> {
--- a/crates/emberpin-consensus/tests/model.rs
+++ b/crates/emberpin-consensus/tests/model.rs
@@ -54,13 +54,31 @@
 #[gtest]
 fn catching_up_without_a_promise_is_caught() {
     let bounds = Custody { wipes: 1, ..quiet(&[FIRST_WRITER, RECOVERER, SECOND_WRITER]) };
-    expect_that!(caught(Wrong::StaleCatchUp, bounds), some(eq(TWO)));
+    expect_that!(caught(Wrong::StaleCatchUp, bounds), some(eq(LOST)));
 }
 
 #[gtest]
-fn catching_up_while_rounds_from_before_go_on_is_caught() {
+fn a_promise_of_a_disk_that_was_lost_since_is_caught() {
     let bounds = Custody { wipes: 1, ..quiet(&[RECOVERER, FIRST_WRITER, SECOND_WRITER]) };
-    expect_that!(caught(Wrong::NoWait, bounds), some(eq(TWO)));
+    expect_that!(caught(Wrong::DeadPromise, bounds), some(eq(TWO)));
+}
+
+#[gtest]
+fn catching_up_without_asking_who_caught_up_before_is_caught() {
+    let bounds =
+        Custody { shortest: false, wipes: 2, ..quiet(&[RECOVERER, RECOVERER, FIRST_WRITER, SECOND_WRITER]) };
+    expect_that!(caught(Wrong::ForgottenRenewals, bounds), some(eq(TWO)));
+}
+
+/// A proposal that was judged on a dead promise must not be accepted by anybody, as others take it for the latest.
+#[gtest]
+fn accepts_by_incarnations_in_place_of_promises_are_caught() {
+    let bounds = Custody {
+        shortest: false,
+        wipes: 1,
+        ..quiet(&[RECOVERER, FIRST_WRITER, SECOND_WRITER, FIRST_WRITER])
+    };
+    expect_that!(caught(Wrong::FencedAccepts, bounds), some(eq(TWO)));
 }
 
 #[gtest]
--- a/crates/emberpin-consensus/tests/model/register.rs
+++ b/crates/emberpin-consensus/tests/model/register.rs
@@ -1,5 +1,5 @@
 //! The register of custody as a model for `stateright`: rounds of ballots over voters whose roster changes
-//! and of which one loses its disk. An abstraction with types of its own, as the core keeps clocks and queues
+//! and of which some lose their disks. An abstraction with types of its own, as the core keeps clocks and queues
 //! that a search need not tell apart; `docs/design/consensus.md` says which line of the core each action stands
 //! for.
 //!
@@ -7,17 +7,18 @@
 
 use stateright::{Checker, HasDiscoveries, Model, Path, Property};
 
-/// Three voters, and the one that is to replace the last of them.
-const NODES: usize = 4;
+/// Three voters, and the one that is to replace the last of them; or five voters, whose roster stays.
+const NODES: usize = 5;
 const PROPOSERS: u8 = 4;
 pub const FIRST_WRITER: u8 = 0;
 pub const SECOND_WRITER: u8 = 1;
 /// It is to join the roster.
 pub const CHANGER: u8 = 2;
-/// The voter that lost its disk.
+/// Any voter that lost its disk.
 pub const RECOVERER: u8 = 3;
 
 const ROSTERS: [u8; 2] = [0b0111, 0b1011];
+const FIVE: u8 = 0b11111;
 
 /// Items, as a set of bits. The first two conflict: one name and version with two contents, or two changes
 /// that are not valid together.
@@ -37,8 +38,12 @@
     Amnesia,
     /// A voter that lost its disk reads what the others hold, but asks for no promise.
     StaleCatchUp,
-    /// A voter that lost its disk catches up while rounds that it promised something go on.
-    NoWait,
+    /// A promise counts also if its voter lost its disk since, and caught up at a lower ballot.
+    DeadPromise,
+    /// A voter that catches up doesn't ask the others who caught up before.
+    ForgottenRenewals,
+    /// Instead of promises, accepts are fenced: a voter accepts only as the incarnation that promised.
+    FencedAccepts,
     /// A change of the roster goes by majorities of the old one alone.
     OldMajorityAlone,
     /// A change of the roster takes no chosen items along.
@@ -64,11 +69,15 @@
     /// Whose ballots there are, from the lowest on; a proposer begins a round by each of its own, or fewer.
     pub order: Vec<u8>,
     pub wipes: u8,
+    /// Five voters, of which two may be without their disks at a time; else three, and one.
+    pub five: bool,
     pub power_cuts: u8,
     /// How often a chosen item is told outside of rounds.
     pub told: u8,
     /// Whether rounds that can do nothing more are dropped, so that fewer states differ.
     pub reduced: bool,
+    /// Whether a shortest trace is looked for, by further searches.
+    pub shortest: bool,
 }
 
 impl Default for Custody {
@@ -78,9 +87,11 @@
             one_name: true,
             order: vec![FIRST_WRITER, SECOND_WRITER, CHANGER, RECOVERER],
             wipes: 1,
+            five: false,
             power_cuts: 0,
             told: 0,
             reduced: true,
+            shortest: true,
         }
     }
 }
@@ -92,6 +103,10 @@
     pub pending: (Ballot, Items),
     pub chosen: Items,
     pub voting: bool,
+    /// Its incarnation: by which ballot it caught up.
+    pub incarnation: Ballot,
+    /// Of each voter, the highest ballot by which it has asked this one to catch up.
+    pub renewed: [Ballot; NODES],
 }
 
 /// What a voter goes by, and what of it is synced.
@@ -103,6 +118,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Promise {
+    pub incarnation: Ballot,
+    pub renewed: [Ballot; NODES],
     pub pending: (Ballot, Items),
     pub chosen: Items,
 }
@@ -123,13 +140,15 @@
     pub joint: bool,
     pub promises: [Option<Promise>; NODES],
     pub proposal: Option<Proposal>,
+    /// Of each voter, which incarnation was heard to promise; see [`Wrong::FencedAccepts`].
+    pub heard: [Option<Ballot>; NODES],
     pub accepted: u8,
     /// What its proposer tells its caller when the proposal is chosen.
     pub outcome: Told,
     /// What had been told before it began.
     pub before: Items,
-    /// It began before a disk was lost.
-    pub old: bool,
+    /// Where its proposer runs.
+    pub home: u8,
     /// Its proposer gave it up, crashed, or is done.
     pub over: bool,
 }
@@ -157,8 +176,8 @@
     pub proposers: [Proposer; 4],
     /// By ballot.
     pub rounds: Vec<Round>,
-    /// Who lost its disk.
-    pub wiped: Option<u8>,
+    /// Who lost its disk and has not caught up.
+    pub wiped: u8,
     pub wipes: u8,
     pub power_cuts: u8,
     pub spread: u8,
@@ -179,6 +198,7 @@
     /// begins anew.
     Begin {
         ballot: Ballot,
+        home: u8,
         second: bool,
         joint: bool,
     },
@@ -252,46 +272,58 @@
         }
     }
 
-    /// Where a proposer runs; the changer is the one that is to join.
-    fn home(&self, state: &State, ballot: Ballot) -> usize {
-        match proposer(ballot) {
-            RECOVERER => state.wiped.map_or(0, usize::from),
-            CHANGER => NODES - 1,
-            writer => usize::from(writer),
+    /// Where a proposer may run; the changer is the one that is to join.
+    fn homes(&self, state: &State, number: u8) -> Vec<u8> {
+        match number {
+            RECOVERER => (0..NODES as u8).filter(|voter| state.wiped & 1 << voter != 0).collect(),
+            CHANGER => vec![3],
+            writer => vec![writer],
         }
     }
 
-    fn targets(round: &Round) -> u8 {
+    fn roster(&self, second: bool) -> u8 {
+        if self.five {
+            FIVE
+        } else {
+            ROSTERS[usize::from(second)]
+        }
+    }
+
+    fn targets(&self, round: &Round) -> u8 {
         if round.joint {
             ROSTERS[0] | ROSTERS[1]
         } else {
-            ROSTERS[usize::from(round.second)]
+            self.roster(round.second)
+        }
+    }
+
+    /// How many disks may be lost at once.
+    fn tolerated(&self) -> u32 {
+        if self.five {
+            2
+        } else {
+            1
         }
     }
 
-    fn enough(round: &Round, of: u8, of_others: Option<usize>) -> bool {
+    fn enough(&self, round: &Round, of: u8, of_others: Option<usize>) -> bool {
         let enough = |roster: u8| {
             // Two others are a majority of three, and all that is left of it to one that lost its disk.
             let others = of_others.map_or(roster, |me| roster & !(1 << me));
             is_majority(of & others, roster)
         };
-        let now = enough(ROSTERS[usize::from(round.second)]);
+        let now = enough(self.roster(round.second));
         now && (!round.joint || enough(ROSTERS[1]))
     }
 
-    fn begin(&self, state: &mut State, ballot: Ballot, second: bool, joint: bool) {
+    fn begin(&self, state: &mut State, ballot: Ballot, home: u8, second: bool, joint: bool) {
         let number = usize::from(proposer(ballot));
         let held = &mut state.proposers[number];
         (held.rounds, held.saw) = (held.rounds + 1, false);
-        if number == usize::from(RECOVERER) && !self.is(Wrong::NoWait) {
-            // It has waited for as long as a round that it promised something may last.
-            state.rounds.iter_mut().filter(|round| round.old).for_each(|round| round.over = true);
-        }
         if second {
-            let home = self.home(state, ballot);
-            self.learn(&mut state.nodes[home].now, ROSTER);
+            self.learn(&mut state.nodes[usize::from(home)].now, ROSTER);
         }
-        let own = |round: &&mut Round| proposer(round.ballot) == proposer(ballot);
+        let own = |round: &&mut Round| proposer(round.ballot) == proposer(ballot) && round.home == home;
         state.rounds.iter_mut().filter(own).for_each(|round| round.over = true);
         let before = state.told;
         state.rounds.push(Round {
@@ -300,26 +332,32 @@
             joint,
             promises: [None; NODES],
             proposal: None,
+            heard: [None; NODES],
             accepted: 0,
             outcome: Told::Nothing,
             before,
-            old: false,
+            home,
             over: false,
         });
     }
 
-    fn prepare(&self, node: &mut Node, ballot: Ballot) -> Promise {
+    fn prepare(&self, node: &mut Node, round: &Round) -> Promise {
+        let ballot = round.ballot;
         let fresh = !(self.is(Wrong::StaleCatchUp) && proposer(ballot) == RECOVERER);
         if fresh {
             node.now.promised = ballot;
+            if proposer(ballot) == RECOVERER {
+                node.now.renewed[usize::from(round.home)] = ballot;
+            }
             node.synced = node.now;
         }
-        Promise { pending: node.now.pending, chosen: node.now.chosen }
+        let Kept { incarnation, renewed, pending, chosen, .. } = node.now;
+        Promise { incarnation, renewed, pending, chosen }
     }
 
     fn propose(&self, state: &mut State, nth: usize, heard: u8) {
         let round = state.rounds[nth];
-        let home = self.home(state, round.ballot);
+        let home = usize::from(round.home);
         let number = proposer(round.ballot);
         let promises =
             || (0..NODES).filter(|voter| heard & 1 << voter != 0).filter_map(|v| round.promises[v]);
@@ -356,8 +394,12 @@
             node.now.promised = node.now.promised.max(round.ballot);
             node.now.pending = (latest.0, open);
             self.learn(&mut node.now, known);
-            node.now.voting = true;
+            (node.now.voting, node.now.incarnation) = (true, round.ballot);
+            if !self.is(Wrong::ForgottenRenewals) {
+                node.now.renewed = Custody::renewed(round, heard);
+            }
             node.synced = node.now;
+            state.wiped &= !(1 << home);
             (round.over, state.caught_up) = (true, true);
             return;
         }
@@ -383,9 +425,39 @@
             false => lacked,
         };
         round.proposal = Some(Proposal { chosen, items });
+        if self.is(Wrong::FencedAccepts) {
+            for voter in (0..NODES).filter(|voter| heard & 1 << voter != 0) {
+                round.heard[voter] = round.promises[voter].map(|promise| promise.incarnation);
+            }
+        }
         round.promises = [None; NODES];
     }
 
+    /// Of each voter, the highest ballot by which it caught up as far as these know.
+    fn renewed(round: &Round, heard: u8) -> [Ballot; NODES] {
+        let promises = (0..NODES).filter(|voter| heard & 1 << voter != 0).filter_map(|v| round.promises[v]);
+        promises.fold([0; NODES], |renewed, promise| {
+            std::array::from_fn(|voter| renewed[voter].max(promise.renewed[voter]))
+        })
+    }
+
+    /// Whether none of these promises is of a voter that lost its disk since, and caught up before one of the others
+    /// promised.
+    fn alive(&self, round: &Round, heard: u8) -> bool {
+        let renewed = Custody::renewed(round, heard);
+        let alive =
+            |voter: usize| round.promises[voter].is_none_or(|promise| promise.incarnation >= renewed[voter]);
+        let unchecked = self.is(Wrong::DeadPromise) || self.is(Wrong::FencedAccepts);
+        unchecked || (0..NODES).filter(|voter| heard & 1 << voter != 0).all(alive)
+    }
+
+    /// Whether a voter accepts the proposal when it gets it.
+    fn accepts(&self, round: &Round, voter: usize, node: &Node) -> bool {
+        let refuses = round.ballot < node.now.promised && !self.is(Wrong::NoPromise);
+        let fenced = self.is(Wrong::FencedAccepts) && round.heard[voter] != Some(node.now.incarnation);
+        node.now.voting && !refuses && !fenced
+    }
+
     /// A round's end: its proposer tells its caller, who may tell others.
     fn tell(&self, state: &mut State, nth: usize) {
         let round = &mut state.rounds[nth];
@@ -412,7 +484,7 @@
             node.synced = node.now;
         }
         round.accepted |= 1 << voter;
-        if Custody::enough(round, round.accepted, None) {
+        if self.enough(round, round.accepted, None) {
             state.chosen |= proposal.items;
         }
     }
@@ -421,16 +493,15 @@
     fn tidy(&self, state: &mut State) {
         let State { nodes, wipes, .. } = *state;
         let sound = self.wrong.is_none() && self.reduced;
-        // One that lost its disk promises anew what is higher than what both others promised.
         let refuses = |voter: usize, round: &Round| nodes[voter].synced.promised > round.ballot;
         let refused = |round: &Round| {
-            let mut voters = (0..NODES).filter(|voter| Custody::targets(round) & 1 << voter != 0);
+            let mut voters = (0..NODES).filter(|voter| self.targets(round) & 1 << voter != 0);
             sound && voters.all(|voter| refuses(voter, round))
         };
         let hopeless = |round: &Round| {
             let may = |voter: &usize| round.promises[*voter].is_some() || !refuses(*voter, round);
             let may = (0..NODES).filter(may).fold(0, |may, voter| may | 1 << voter);
-            sound && wipes == self.wipes && !Custody::enough(round, may, None)
+            sound && wipes == self.wipes && !self.enough(round, may, None)
         };
         state.rounds.retain(|round| match round.proposal {
             Some(_) => !round.over || !refused(round),
@@ -441,15 +512,12 @@
                 *held = Proposer { done: true, ..Proposer::default() };
             }
         }
-        if state.caught_up {
-            state.wiped = None;
-        }
         for round in &mut state.rounds {
             if round.over {
                 (round.promises, round.before) = ([None; NODES], 0);
-                (round.old, round.outcome) = (false, Told::Nothing);
-                if Custody::enough(round, round.accepted, None) {
-                    round.accepted = Custody::targets(round);
+                (round.home, round.outcome) = (0, Told::Nothing);
+                if self.enough(round, round.accepted, None) {
+                    round.accepted = self.targets(round);
                 }
             }
         }
@@ -485,7 +553,7 @@
             nodes: [Node { now: kept, synced: kept }; NODES],
             proposers: Default::default(),
             rounds: Vec::new(),
-            wiped: None,
+            wiped: 0,
             wipes: 0,
             power_cuts: 0,
             spread: 0,
@@ -502,27 +570,28 @@
             return;
         }
         for (number, held) in (0..PROPOSERS).zip(&state.proposers) {
-            let recovers = number == RECOVERER;
-            let waits = recovers && state.wiped.is_none_or(|who| state.nodes[usize::from(who)].now.voting);
-            let Some(ballot) = self.ballot(number, held.rounds).filter(|_| !waits && !held.done) else {
+            let Some(ballot) = self.ballot(number, held.rounds).filter(|_| !held.done) else {
                 continue;
             };
-            let knows = state.nodes[self.home(state, number)].now.chosen & ROSTER != 0;
-            let somebody = state.nodes.iter().any(|node| node.now.chosen & ROSTER != 0);
-            // Any may have heard of a new roster, and without a disk also of the old one.
-            let rosters: &[bool] = match somebody {
-                true if knows => &[true],
-                true => &[false, true],
-                false => &[false],
-            };
-            for second in rosters.iter().copied() {
-                let joint = !second && (held.saw || number == CHANGER) && !self.is(Wrong::OldMajorityAlone);
-                actions.push(Action::Begin { ballot, second, joint });
+            for home in self.homes(state, number) {
+                let knows = state.nodes[usize::from(home)].now.chosen & ROSTER != 0;
+                let somebody = state.nodes.iter().any(|node| node.now.chosen & ROSTER != 0);
+                // Any may have heard of a new roster, and without a disk also of the old one.
+                let rosters: &[bool] = match somebody {
+                    true if knows => &[true],
+                    true => &[false, true],
+                    false => &[false],
+                };
+                for second in rosters.iter().copied() {
+                    let joint =
+                        !second && (held.saw || number == CHANGER) && !self.is(Wrong::OldMajorityAlone);
+                    actions.push(Action::Begin { ballot, home, second, joint });
+                }
             }
         }
         for round in &state.rounds {
             let ballot = round.ballot;
-            let targets = (0..NODES as u8).filter(|voter| Custody::targets(round) & 1 << voter != 0);
+            let targets = (0..NODES as u8).filter(|voter| self.targets(round) & 1 << voter != 0);
             let by_roster = |node: &Node| round.second || node.now.chosen & ROSTER == 0;
             for voter in targets {
                 let node = &state.nodes[usize::from(voter)];
@@ -531,11 +600,12 @@
                 }
                 let keeps = !self.is(Wrong::NoPromise);
                 let promised = keeps && ballot <= node.now.promised;
-                let untold = round.promises[usize::from(voter)].is_none();
+                let untold = round.promises[usize::from(voter)]
+                    .is_none_or(|promise| promise.incarnation != node.now.incarnation);
                 if !round.over && round.proposal.is_none() && !promised && untold {
                     actions.push(Action::Prepare { ballot, voter });
                 }
-                if round.proposal.is_some() && !(keeps && ballot < node.now.promised) {
+                if round.proposal.is_some() && self.accepts(round, usize::from(voter), node) {
                     actions.push(Action::Accept { ballot, voter });
                 }
             }
@@ -543,17 +613,17 @@
                 continue;
             }
             if round.proposal.is_some() {
-                if Custody::enough(round, round.accepted, None) {
+                if self.enough(round, round.accepted, None) {
                     actions.push(Action::Finish { ballot });
                 }
                 continue;
             }
             let told = (0..NODES).filter(|v| round.promises[*v].is_some()).fold(0, |told, v| told | 1 << v);
-            let me = (proposer(ballot) == RECOVERER).then(|| self.home(state, ballot));
+            let me = (proposer(ballot) == RECOVERER).then_some(usize::from(round.home));
             for heard in (1..1u8 << NODES).filter(|heard| heard & !told == 0) {
                 let one_less =
-                    |last: usize| heard & 1 << last != 0 && !Custody::enough(round, heard & !(1 << last), me);
-                if Custody::enough(round, heard, me) && (0..NODES).any(one_less) {
+                    |last: usize| heard & 1 << last != 0 && !self.enough(round, heard & !(1 << last), me);
+                if self.alive(round, heard) && self.enough(round, heard, me) && (0..NODES).any(one_less) {
                     actions.push(Action::Propose { ballot, heard });
                 }
             }
@@ -568,8 +638,10 @@
                 }
             }
         }
-        if state.wipes < self.wipes {
-            actions.extend((0..NODES as u8).map(|voter| Action::Wipe { voter }));
+        if state.wipes < self.wipes && state.wiped.count_ones() < self.tolerated() {
+            let machines = if self.five { FIVE } else { ROSTERS[0] | ROSTERS[1] };
+            let kept = (0..NODES as u8).filter(|voter| machines & !state.wiped & 1 << voter != 0);
+            actions.extend(kept.map(|voter| Action::Wipe { voter }));
         }
         if state.power_cuts < self.power_cuts {
             let unsynced = (0..NODES as u8).filter(|voter| {
@@ -588,20 +660,23 @@
         let mut state = last.clone();
         let nth = |ballot: Ballot| last.rounds.iter().position(|round| round.ballot == ballot);
         match action {
-            Action::Begin { ballot, second, joint } => self.begin(&mut state, ballot, second, joint),
+            Action::Begin { ballot, home, second, joint } => {
+                self.begin(&mut state, ballot, home, second, joint)
+            }
             Action::Prepare { ballot, voter } => {
                 let nth = nth(ballot)?;
                 let node = &mut state.nodes[usize::from(voter)];
                 if state.rounds[nth].second {
                     self.learn(&mut node.now, ROSTER);
                 }
-                state.rounds[nth].promises[usize::from(voter)] = Some(self.prepare(node, ballot));
+                let promise = self.prepare(node, &last.rounds[nth]);
+                state.rounds[nth].promises[usize::from(voter)] = Some(promise);
             }
             Action::Propose { ballot, heard } => self.propose(&mut state, nth(ballot)?, heard),
             Action::Accept { ballot, voter } => self.accept(&mut state, nth(ballot)?, usize::from(voter)),
             Action::Finish { ballot } => {
                 let nth = nth(ballot)?;
-                let home = self.home(&state, ballot);
+                let home = usize::from(state.rounds[nth].home);
                 let items = state.rounds[nth].proposal?.items;
                 self.learn(&mut state.nodes[home].now, items);
                 self.tell(&mut state, nth);
@@ -612,14 +687,12 @@
             }
             Action::Wipe { voter } => {
                 state.wipes += 1;
-                state.wiped = Some(voter);
+                state.wiped |= 1 << voter;
                 let kept = Kept { voting: self.is(Wrong::Amnesia), ..Kept::default() };
-                state.nodes[usize::from(voter)] = Node { now: kept, synced: kept };
-                state.rounds.iter_mut().for_each(|round| {
-                    round.old = true;
-                    // What ran there went with it.
-                    round.over |= self.home(last, round.ballot) == usize::from(voter);
-                });
+                let node = &mut state.nodes[usize::from(voter)];
+                *node = Node { now: kept, synced: kept };
+                // What ran there went with it.
+                state.rounds.iter_mut().for_each(|round| round.over |= round.home == voter);
             }
             Action::PowerCut { voters } => {
                 state.power_cuts += 1;
@@ -629,7 +702,7 @@
                     }
                 }
                 state.rounds.iter_mut().for_each(|round| {
-                    round.over |= voters & 1 << self.home(last, round.ballot) != 0;
+                    round.over |= voters & 1 << round.home != 0;
                 });
             }
         }
@@ -680,6 +753,9 @@
     let mut found = search_to(model.clone(), threads, None);
     // Among states of nearly the same depth the checker keeps what it saw last.
     while let Some(steps) = found.violated.iter().map(|(_, trace)| trace.len()).min() {
+        if !model.shortest {
+            break;
+        }
         let shorter = search_to(model.clone(), threads, Some(steps));
         if !shorter.violated.iter().any(|(_, trace)| trace.len() < steps) {
             break;
--- a/crates/emberpin-consensus/tests/world/mod.rs
+++ b/crates/emberpin-consensus/tests/world/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use emberpin_config::{Configuration, Item, Key, Kind};
-use emberpin_consensus::{Action, Call, Event, Guards, Kept, Message, Options, Replica, Write};
+use emberpin_consensus::{Action, Ballot, Call, Event, Guards, Kept, Message, Options, Replica, Write};
 use oorandom::Rand64;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -277,6 +277,11 @@
         newest.map(|(_, voters)| voters.clone()).unwrap_or_default()
     }
 
+    /// The ballot that a machine's disk holds a promise of.
+    pub fn promised(&self, ip: Ipv4Addr) -> Option<Ballot> {
+        self.nodes[&ip].disk.last().map(|write| write.promised)
+    }
+
     /// How many machines have no disk, or have not caught up: all that run count, whether or not they have a
     /// place on the roster, as `tolerance` counts machines; one that is removed counts as long as it has its
     /// place.
@@ -599,6 +604,8 @@
         chosen.extend(write.chosen.iter().map(|item| (item.key.clone(), item.clone())));
         kept.promised = write.promised;
         kept.voting = write.voting;
+        kept.incarnation = write.incarnation;
+        kept.renewals = write.renewals.clone();
         if let Some(pending) = &write.pending {
             kept.pending = pending.clone();
         }
--- a/crates/emberpin-simulator/src/cores.rs
+++ b/crates/emberpin-simulator/src/cores.rs
@@ -66,6 +66,8 @@
             kept.chosen.extend(write.chosen.iter().cloned());
             kept.promised = write.promised;
             kept.voting = write.voting;
+            kept.incarnation = write.incarnation;
+            kept.renewals = write.renewals.clone();
             if let Some(pending) = &write.pending {
                 kept.pending = pending.clone();
             }
--- a/crates/emberpin-store/src/disk.rs
+++ b/crates/emberpin-store/src/disk.rs
@@ -167,6 +167,11 @@
         }
         let Some(promised) = self.meta("promised")? else { return Ok(None) };
         let (promised, voting) = decoded(self, &promised)?;
+        // A disk of a time before there were incarnations has none.
+        let (incarnation, renewals) = match self.meta("incarnations")? {
+            Some(incarnations) => decoded(self, &incarnations)?,
+            None => Default::default(),
+        };
         let pending = match self.meta("pending")? {
             Some(pending) => decoded(self, &pending)?,
             None => Pending::default(),
@@ -177,7 +182,7 @@
             chosen.push(decoded::<Item>(self, &item)?);
         }
         chosen.iter().for_each(|item| self.count(named(&item.key), item.ver));
-        Ok(Some(Kept { chosen, promised, pending, voting }))
+        Ok(Some(Kept { chosen, promised, pending, voting, incarnation, renewals }))
     }
 
     /// Takes a write; it lasts through a loss of power once a later [`Disk::sync`] is over.
@@ -194,6 +199,8 @@
         if let Some(pending) = &write.pending {
             batch.insert(&self.meta, "pending", self.encoded(pending)?);
         }
+        let incarnations = (write.incarnation, &write.renewals);
+        batch.insert(&self.meta, "incarnations", self.encoded(&incarnations)?);
         batch.insert(&self.meta, "promised", self.encoded(&(write.promised, write.voting))?);
         self.mark.number += 1;
         batch.insert(&self.meta, "mark", self.mark.encode());
--- a/crates/emberpin-store/tests/disk.rs
+++ b/crates/emberpin-store/tests/disk.rs
@@ -2,7 +2,7 @@
 //! own.
 
 use emberpin_config::{Item, Key, Kind};
-use emberpin_consensus::{Ballot, Kept, Pending, Write};
+use emberpin_consensus::{Ballot, Incarnation, Kept, Pending, Renewals, Write};
 use emberpin_store::disk::{Disk, Unusable};
 use googletest::prelude::*;
 use std::fs;
@@ -20,18 +20,22 @@
 }
 
 fn write(counter: u64, size: usize) -> Write {
+    let mut renewals = Renewals::default();
+    renewals.note(ME, Incarnation(ballot(counter + 1)));
     Write {
         chosen: vec![item("a", counter, size), item("b", counter, size)],
         promised: ballot(counter),
         pending: Some(Pending { ballot: ballot(counter), items: vec![item("c", counter, size)] }),
         voting: true,
+        incarnation: Incarnation(ballot(counter)),
+        renewals,
         sync: true,
     }
 }
 
 fn kept(counter: u64, size: usize) -> Kept {
-    let Write { chosen, promised, pending, voting, .. } = write(counter, size);
-    Kept { chosen, promised, pending: pending.unwrap_or_default(), voting }
+    let Write { chosen, promised, pending, voting, incarnation, renewals, .. } = write(counter, size);
+    Kept { chosen, promised, pending: pending.unwrap_or_default(), voting, incarnation, renewals }
 }
 
 /// Writes each without a sync, and ends.
