--- a/crates/emberpin-consensus/src/replica/messages.rs
+++ b/crates/emberpin-consensus/src/replica/messages.rs
@@ -1,7 +1,8 @@
 //! Messages from other replicas: what each of them leads to.
 
-use super::{Action, Replica, OPEN};
+use super::{Action, Replica};
 use crate::message::{Ballot, Message};
+use crate::round::Promised;
 use emberpin_config::Item;
 use std::net::Ipv4Addr;
 
@@ -11,10 +12,11 @@
             self.peers.entry(from).or_default().heard = now.max(1);
         }
         match message {
-            Message::Prepare { ballot, roster, digests } => {
+            Message::Prepare { ballot, roster, digests, recovers } => {
                 if self.goes_by(from, ballot, &roster, out) {
-                    let answer = self.acceptor.prepare(ballot, &digests);
+                    let answer = self.acceptor.prepare(ballot, &digests, recovers);
                     self.counter = self.counter.max(ballot.counter);
+                    self.yield_to(now, from, &answer);
                     self.answer(from, answer, false, out);
                 }
             }
@@ -22,10 +24,7 @@
                 if self.goes_by(from, ballot, &roster, out) {
                     let answer = self.acceptor.accept(ballot, items);
                     if matches!(answer, Message::Accepted { .. }) {
-                        self.open_until = self.acceptor.open().then_some(now + OPEN);
-                        if let Some(open) = self.open_until {
-                            self.open_until = Some(open + self.draw(OPEN));
-                        }
+                        self.watch_open(now);
                     }
                     // Learned first or with it: in either order they are on the disk before the answer goes
                     // out.
@@ -33,8 +32,10 @@
                     self.answer(from, answer, true, out);
                 }
             }
-            Message::Promise { ballot, pending, buckets, chosen } => {
-                self.promise(now, from, ballot, pending, buckets, chosen, out);
+            Message::Promise { ballot, incarnation, renewals, pending, buckets, chosen } => {
+                let versions = chosen.iter().map(|item| (item.key.clone(), item.ver)).collect();
+                let promised = Promised { incarnation, renewals, buckets, versions };
+                self.promise(now, from, ballot, promised, pending, chosen, out);
             }
             Message::Accepted { ballot } => self.accepted(now, from, ballot, out),
             Message::Refused { ballot, promised } => {
@@ -55,7 +56,11 @@
                     self.give_way(now, false);
                 }
             }
-            Message::Chosen { items } => self.learn(&items, out),
+            Message::Chosen { items } => {
+                // The round that it yielded to may be over.
+                self.yields_until = 0;
+                self.learn(&items, out);
+            }
             Message::Exchange { seq, digest } => {
                 let answer = match digest == self.state().digest() {
                     true => Message::Same { seq, voting: self.acceptor.voting },
--- a/crates/emberpin-simulator/src/cores.rs
+++ b/crates/emberpin-simulator/src/cores.rs
@@ -67,6 +67,8 @@
             kept.chosen.retain(|item| !write.removed.contains(&item.key));
             kept.promised = write.promised;
             kept.voting = write.voting;
+            kept.incarnation = write.incarnation;
+            kept.renewals = write.renewals.clone();
             if let Some(pending) = &write.pending {
                 kept.pending = pending.clone();
             }
