--- a/crates/emberpin-store/src/disk.rs
+++ b/crates/emberpin-store/src/disk.rs
@@ -44,6 +44,20 @@
     Unwritten(PathBuf),
 }
 
+impl Unusable {
+    /// Whether what is kept is not what was synced, which no room on the disk mends.
+    pub fn is_damage(&self) -> bool {
+        match self {
+            Unusable::Foreign(..) | Unusable::Lost(..) => true,
+            Unusable::Folder(..) | Unusable::Unwritten(..) => false,
+            Unusable::Keyspace(_, error) => !matches!(
+                error,
+                fjall::Error::Io(_) | fjall::Error::Poisoned | fjall::Error::Storage(fjall::LsmError::Io(_))
+            ),
+        }
+    }
+}
+
 /// The open disk.
 pub struct Disk {
     keyspace: Keyspace,
@@ -184,7 +198,7 @@
     ///
     /// # Errors
     ///
-    /// [`Unusable`]: the process must end, as what the disk holds is not known.
+    /// [`Unusable`]: what the disk holds is not known before it is opened again.
     pub fn write(&mut self, write: &Write) -> Result<(), Unusable> {
         let mut batch = self.keyspace.batch();
         for item in &write.chosen {
@@ -206,15 +220,6 @@
         }
     }
 
-    /// How many bytes the store's files take.
-    ///
-    /// # Errors
-    ///
-    /// A folder that can't be read.
-    pub fn used(&self) -> io::Result<u64> {
-        used(&self.folder)
-    }
-
     fn encoded<T: serde::Serialize>(&self, value: &T) -> Result<Vec<u8>, Unusable> {
         postcard::to_extend(value, Vec::new()).map_err(|error| self.foreign(error.to_string()))
     }
@@ -260,8 +265,8 @@
     Unusable::Lost(store.into(), what)
 }
 
-/// A journal is made longer than what is in it, so its length alone says too much.
-fn used(folder: &Path) -> io::Result<u64> {
+/// How many bytes the files in a folder take. A journal is made longer than what is in it, so its length alone says too much.
+pub(crate) fn used(folder: &Path) -> io::Result<u64> {
     let mut sum = 0;
     for entry in fs::read_dir(folder)? {
         let entry = entry?;
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -2,7 +2,8 @@
 
 use crate::connections::{call, listen, Counts, Links, Outbox, Registry};
 use crate::disk::{Disk, Unusable};
-use crate::protocol::{StoreReply, StoreRequest, ToStore};
+use crate::disk_thread::{DiskEvent, DiskQueue};
+use crate::protocol::{DiskReport, DiskState, StoreReply, StoreRequest, ToStore};
 use emberpin_consensus::{Action, Call, Event, Message, Options, Replica};
 use emberpin_runtime::frames;
 use emberpin_runtime::settings::Settings;
@@ -26,6 +27,11 @@
 /// Of a hundred parts of the disk, so many may be taken before changes are refused: what others have chosen
 /// and what is tidied still needs room.
 const FULL: u64 = 80;
+/// What callers are told of a disk that a write failed on, and of one that does not answer.
+const DISK_FULL: &str = "the disk is full";
+const DISK_STALLED: &str = "the disk does not answer";
+/// How long a store that ends waits for its last sync; nothing was said that depends on it.
+const CLOSE: Duration = Duration::from_millis(500);
 /// How long a store that is told to end waits to be off the roster.
 const LEAVE: u64 = 700;
 /// The shortest sleep: timers are in milliseconds.
@@ -71,6 +77,9 @@
     /// The settings name no disk.
     #[error("self.datadir: is missing")]
     NoDisk,
+    /// The thread that owns the disk is gone.
+    #[error("the disk's thread ended")]
+    DiskThread,
     /// No random bytes.
     #[error("no random bytes: {0}")]
     Random(#[from] getrandom::Error),
@@ -85,7 +94,8 @@
     let (mut term, mut int) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
     // Nothing in the settings changes for a store while it runs.
     let mut hup = signal(SignalKind::hangup())?;
-    let (disk, kept) = Disk::open(settings.datadir.as_deref().ok_or(Ended::NoDisk)?, settings.ip)?;
+    let folder = settings.datadir.clone().ok_or(Ended::NoDisk)?;
+    let (disk, kept) = Disk::open(&folder, settings.ip)?;
     let place = SocketAddrV4::new(settings.ip, settings.store_port());
     let listener = TcpListener::bind(place).await.map_err(|error| Ended::Listen(place, error))?;
     let mut seed = [0; 8];
@@ -103,6 +113,7 @@
     };
     let mut actions = Vec::new();
     let replica = Replica::new(0, options, kept, &mut actions);
+    let (disk, mut disk_events) = DiskQueue::start(disk, folder, settings.ip, settings.disk_mb > 0)?;
     let mut host = Host {
         began: Instant::now(),
         settings,
@@ -112,13 +123,14 @@
         registries: BTreeMap::new(),
         calls: BTreeMap::new(),
         next_call: 0,
-        status: (false, Vec::new()),
+        status: Status::default(),
         status_at: 0,
         prune_at: PRUNE,
         ends_at: None,
-        full: false,
+        disk_failed: false,
+        overflowed: false,
     };
-    host.act(actions)?;
+    host.act(actions);
     let (inputs, mut waiting) = mpsc::channel(WAITING);
     tokio::spawn(listen(listener, inputs, Arc::<Counts>::default()));
     loop {
@@ -132,10 +144,14 @@
                 host.ends_at = Some(host.now() + LEAVE);
                 let mut actions = Vec::new();
                 host.replica.handle(host.now(), Event::Leave, &mut actions);
-                host.act(actions)?;
+                host.act(actions);
             }
             _ = int.recv() => break,
             _ = hup.recv() => {}
+            event = disk_events.recv() => match event {
+                Some(event) => host.take_disk_event(event)?,
+                None => return Err(Ended::DiskThread),
+            },
             input = waiting.recv() => {
                 let Some(input) = input else { break };
                 let mut actions = Vec::new();
@@ -144,12 +160,12 @@
                     let Ok(input) = waiting.try_recv() else { break };
                     host.take(input, &mut actions);
                 }
-                host.act(actions)?;
+                host.act(actions);
             }
             () = tokio::time::sleep(host.pause()) => {
                 let mut actions = Vec::new();
                 host.replica.handle(host.now(), Event::Wake, &mut actions);
-                host.act(actions)?;
+                host.act(actions);
             }
         }
         if host.ends_at.is_some_and(|at| host.replica.left() || host.now() >= at) {
@@ -157,26 +173,37 @@
         }
         host.stand();
     }
-    Ok(host.disk.sync()?)
+    host.close(&mut disk_events).await;
+    Ok(())
+}
+
+/// How the store stands, as followers are told.
+#[derive(Clone, Debug, Default, PartialEq)]
+struct Status {
+    settled: bool,
+    voters: Vec<Ipv4Addr>,
+    disk: DiskState,
 }
 
 struct Host<'a> {
     began: Instant,
     settings: &'a Settings,
     replica: Replica,
-    disk: Disk,
+    disk: DiskQueue,
     links: Links,
     registries: BTreeMap<u64, Registry>,
     /// Which connection a call came on, and its number there.
     calls: BTreeMap<u64, (u64, u64)>,
     next_call: u64,
-    status: (bool, Vec<Ipv4Addr>),
+    status: Status,
     status_at: u64,
     prune_at: u64,
     /// When it ends, once it is told to.
     ends_at: Option<u64>,
-    /// The disk has no room for changes.
-    full: bool,
+    /// A write failed, and the disk was not opened again yet.
+    disk_failed: bool,
+    /// More was to be written than may wait, and the replica was told that the disk failed.
+    overflowed: bool,
 }
 
 impl Host<'_> {
@@ -210,8 +237,8 @@
                 registry.follows = true;
             }
             self.tell(connection, &StoreReply::Items { items });
-            let (settled, voters) = self.status.clone();
-            return self.tell(connection, &StoreReply::Status { settled, voters });
+            let status = self.status_reply();
+            return self.tell(connection, &status);
         };
         if let Call::Evacuate { zone, .. } = &call {
             if !self.settings.zones.contains_key(zone) {
@@ -219,8 +246,8 @@
                 return self.tell(connection, &StoreReply::Answer { id, status: 404, body });
             }
         }
-        if self.full && !matches!(call, Call::Get) {
-            let body = "the disk is nearly full".into();
+        if let (Some(reason), false) = (self.refusal(), matches!(call, Call::Get)) {
+            let body = reason.into();
             return self.tell(connection, &StoreReply::Answer { id, status: 503, body });
         }
         self.next_call += 1;
@@ -239,66 +266,128 @@
         self.registries.retain(|_, registry| !registry.follows || registry.tell(told));
     }
 
-    /// Does what is to be done; one sync is enough for all that was to be written.
-    fn act(&mut self, mut actions: Vec<Action>) -> Result<(), Unusable> {
-        while !actions.is_empty() {
-            let mut synced = None;
-            for action in actions.drain(..) {
-                match action {
-                    Action::Persist { token, write } => {
-                        self.disk.write(&write)?;
-                        synced = write.sync.then_some(token).or(synced);
-                    }
-                    Action::Send { to, message } => {
-                        let frame = frames::frame(&ToStore::Consensus { from: self.settings.ip, message });
-                        match frame {
-                            Ok(frame) => self.links.send(to, Arc::new(frame)),
-                            Err(error) => log::warn!("nothing sent to {to}: {error}"),
-                        }
+    /// Does what is to be done, and submits what is to be written.
+    fn act(&mut self, actions: Vec<Action>) {
+        let (mut writes, mut sync) = (Vec::new(), None);
+        for action in actions {
+            match action {
+                Action::Persist { token, write } => {
+                    sync = write.sync.then_some(token).or(sync);
+                    writes.push(write);
+                }
+                Action::Send { to, message } => {
+                    let frame = frames::frame(&ToStore::Consensus { from: self.settings.ip, message });
+                    match frame {
+                        Ok(frame) => self.links.send(to, Arc::new(frame)),
+                        Err(error) => log::warn!("nothing sent to {to}: {error}"),
                     }
-                    Action::Answer { id, status, body } => {
-                        if let Some((connection, id)) = self.calls.remove(&id) {
-                            self.tell(connection, &StoreReply::Answer { id, status, body });
-                        }
+                }
+                Action::Answer { id, status, body } => {
+                    if let Some((connection, id)) = self.calls.remove(&id) {
+                        self.tell(connection, &StoreReply::Answer { id, status, body });
                     }
-                    Action::Learned { items } => self.tell_followers(&StoreReply::Items { items }),
                 }
+                Action::Learned { items } => self.tell_followers(&StoreReply::Items { items }),
             }
-            if let Some(token) = synced {
-                self.disk.sync()?;
-                self.replica.handle(self.now(), Event::Persisted { token }, &mut actions);
+        }
+        if !writes.is_empty() && self.disk.submit(self.now(), writes, sync).is_err() {
+            self.overflowed = true;
+            self.handle(Event::DiskFailed { reason: DISK_STALLED.into() });
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.replica.handle(self.now(), event, &mut actions);
+        self.act(actions);
+    }
+
+    fn take_disk_event(&mut self, event: DiskEvent) -> Result<(), Unusable> {
+        match event {
+            DiskEvent::Synced { token } => self.handle(Event::Persisted { token }),
+            DiskEvent::Failed(failed) => {
+                log::error!("changes and votes are refused until the disk takes writes again: {failed}");
+                self.disk.failed();
+                self.disk_failed = true;
+                self.overflowed = false;
+                self.handle(Event::DiskFailed { reason: DISK_FULL.into() });
+            }
+            DiskEvent::Reopened => {
+                self.disk_failed = false;
+                self.handle(Event::DiskRestored);
             }
+            DiskEvent::Damaged(damaged) => return Err(damaged),
+            DiskEvent::Closed => {}
         }
         Ok(())
     }
 
-    /// Looks how much of the disk is taken.
-    fn measure(&mut self) {
-        let most = (self.settings.disk_mb << 20) / 100 * FULL;
-        if most == 0 {
+    /// Has the replica take part again once all that waited for the disk is done.
+    fn recover_from_overflow(&mut self) {
+        if self.overflowed && self.disk.is_idle() {
+            self.overflowed = false;
+            self.handle(Event::DiskRestored);
+        }
+    }
+
+    /// Waits a little for the last sync.
+    async fn close(&self, events: &mut mpsc::Receiver<DiskEvent>) {
+        if !self.disk.close() {
             return;
         }
-        match self.disk.used() {
-            Ok(used) => {
-                if used >= most && !self.full {
-                    log::error!("{used} bytes on the disk, of {most} that may be: changes are refused");
-                }
-                self.full = used >= most;
-            }
-            Err(error) => log::warn!("the disk can't be measured: {error}"),
+        let closed = async { while !matches!(events.recv().await, Some(DiskEvent::Closed) | None) {} };
+        if tokio::time::timeout(CLOSE, closed).await.is_err() {
+            log::warn!("ended before the disk was done");
+        }
+    }
+
+    fn disk_state(&mut self) -> DiskState {
+        if self.overflowed || self.disk.is_stalled(self.now()) {
+            DiskState::Stalled
+        } else if self.disk_failed || self.replica.storage_refusal().is_some() {
+            DiskState::Full
+        } else if self.is_nearly_full() {
+            DiskState::NearlyFull
+        } else {
+            DiskState::Writable
         }
     }
 
+    fn is_nearly_full(&self) -> bool {
+        let most = (self.settings.disk_mb << 20) / 100 * FULL;
+        most > 0 && self.disk.used() >= most
+    }
+
+    /// Why a change is not even given to the replica.
+    fn refusal(&mut self) -> Option<&'static str> {
+        match self.disk_state() {
+            DiskState::Writable => None,
+            DiskState::NearlyFull => Some("the disk is nearly full"),
+            DiskState::Full => Some(DISK_FULL),
+            DiskState::Stalled => Some(DISK_STALLED),
+        }
+    }
+
+    fn status_reply(&self) -> StoreReply {
+        let Status { settled, voters, disk } = self.status.clone();
+        let size = self.settings.disk_mb << 20;
+        StoreReply::Status { settled, voters, disk: DiskReport { state: disk, used: self.disk.used(), size } }
+    }
+
     /// Tells followers how the store stands, when it is due and when it changes.
     fn stand(&mut self) {
         let now = self.now();
-        let status = (self.replica.settled(now), self.replica.voters());
+        self.recover_from_overflow();
+        let (settled, voters) = (self.replica.settled(now), self.replica.voters());
+        let status = Status { settled, voters, disk: self.disk_state() };
         if now >= self.status_at || status != self.status {
-            self.measure();
             self.status_at = now + STATUS;
-            self.status = status.clone();
-            let (settled, voters) = status;
-            self.tell_followers(&StoreReply::Status { settled, voters });
+            if status.disk != self.status.disk {
+                log::warn!("the disk is {}, and was {}", status.disk.name(), self.status.disk.name());
+            }
+            self.status = status;
+            let status = self.status_reply();
+            self.tell_followers(&status);
         }
         if now >= self.prune_at {
             self.prune_at = now + PRUNE;
--- a/crates/emberpin-store/src/lib.rs
+++ b/crates/emberpin-store/src/lib.rs
@@ -6,6 +6,8 @@
 
 mod connections;
 pub mod disk;
+mod disk_thread;
+mod faults;
 mod host;
 mod journal;
 pub mod program;
--- a/crates/emberpin-store/src/protocol.rs
+++ b/crates/emberpin-store/src/protocol.rs
@@ -70,5 +70,49 @@
         settled: bool,
         /// The machines whose stores vote.
         voters: Vec<Ipv4Addr>,
+        /// Its disk.
+        disk: DiskReport,
     },
 }
+
+/// What a store's disk takes.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub enum DiskState {
+    /// Everything.
+    #[default]
+    Writable,
+    /// Votes and what others have chosen; changes are refused.
+    NearlyFull,
+    /// Nothing: a write failed. The store refuses votes and changes until all that it knows is synced again.
+    Full,
+    /// Nothing for a second or more, and no failure either. The store refuses changes meanwhile.
+    Stalled,
+}
+
+impl DiskState {
+    /// Its name for the operator.
+    pub fn name(self) -> &'static str {
+        match self {
+            DiskState::Writable => "writable",
+            DiskState::NearlyFull => "nearly full",
+            DiskState::Full => "full",
+            DiskState::Stalled => "stalled",
+        }
+    }
+
+    /// Whether changes are taken.
+    pub fn takes_changes(self) -> bool {
+        self == DiskState::Writable
+    }
+}
+
+/// How a store's disk stands.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct DiskReport {
+    /// What it takes.
+    pub state: DiskState,
+    /// Bytes that the store's files take.
+    pub used: u64,
+    /// Bytes that they may take, as the settings say; 0, if they don't, and nothing is measured.
+    pub size: u64,
+}
