--- a/crates/emberpin-ctl/src/findings.rs
+++ b/crates/emberpin-ctl/src/findings.rs
@@ -5,6 +5,8 @@
 
 /// Clocks further apart than this, in ms, are found.
 const MOST_APART_MS: i64 = 1000;
+/// The state of a disk that takes everything.
+const WRITABLE: &str = "writable";
 /// A disk fuller than this share, in per cent, is found.
 const MOST_FULL: u64 = 80;
 /// The fewest voters that can lose one.
@@ -55,7 +57,8 @@
 
 /// Everything that ails, the gravest kinds first.
 pub fn all(gathered: &Gathered) -> Vec<Finding> {
-    let kinds = [silent, unsettled, disagreement, voters, zones, services, lone_lives, clocks, disks];
+    let kinds =
+        [silent, unsettled, disagreement, voters, zones, services, lone_lives, clocks, disks, disk_states];
     kinds.iter().flat_map(|kind| kind(gathered)).collect()
 }
 
@@ -186,3 +189,16 @@
     };
     gathered.heard().filter_map(full).collect()
 }
+
+/// Disks of stores that take no changes.
+pub fn disk_states(gathered: &Gathered) -> Vec<Finding> {
+    let unusable = |(reading, status): (&Reading, &Status)| {
+        let state = status.disk_state.as_deref().filter(|state| *state != WRITABLE)?;
+        let what = format!("the disk of the store beside registry {} is {state}", reading.address);
+        Some(finding(
+            what,
+            "make room on it, or see why it does not answer; the store then goes on by itself",
+        ))
+    };
+    gathered.heard().filter_map(unusable).collect()
+}
--- a/crates/emberpin-ctl/src/status.rs
+++ b/crates/emberpin-ctl/src/status.rs
@@ -19,8 +19,10 @@
     pub instances: Vec<Instance>,
     /// How many items it has.
     pub items: u64,
-    /// Its disk: bytes used, and of how many.
+    /// The disk of the store beside it: bytes used, and of how many; of 0, if that isn't known.
     pub disk: Option<(u64, u64)>,
+    /// How that disk stands, if the registry tells: `writable`, or something else.
+    pub disk_state: Option<String>,
     /// Its clock, in ms of Unix time.
     pub clock_ms: u64,
 }
@@ -93,6 +95,7 @@
             })?,
             items: number(&value, "items")?,
             disk,
+            disk_state: value["disk"]["state"].as_str().map(str::to_owned),
             clock_ms: number(&value, "clock_ms")?,
         })
     }
--- a/crates/emberpin-ctl/tests/findings.rs
+++ b/crates/emberpin-ctl/tests/findings.rs
@@ -32,6 +32,7 @@
         instances: vec![instance("i-1", "s", "umea")],
         items: 3,
         disk: Some((80, 100)),
+        disk_state: Some("writable".into()),
         clock_ms: 1_000_000,
     }
 }
@@ -188,3 +189,12 @@
     let what = "registry 10.2.0.1:8649 has used 81 of the 100 bytes of its disk";
     expect_that!(found(&gathered, disks), elements_are![eq(what)]);
 }
+
+#[gtest]
+fn disks_that_take_no_changes_are_found() {
+    let gathered = fleet(|n, status| {
+        status.disk_state = [None, Some("full".into()), Some("writable".into())][n].clone();
+    });
+    let what = "the disk of the store beside registry 10.2.0.1:8649 is full";
+    expect_that!(found(&gathered, disk_states), elements_are![eq(what)]);
+}
--- a/crates/emberpin-registry/src/body.rs
+++ b/crates/emberpin-registry/src/body.rs
@@ -3,6 +3,7 @@
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::registry::Registry;
 use emberpin_runtime::settings;
+use emberpin_store::protocol::DiskReport;
 use jzon::{array, object, JsonValue};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -56,8 +57,22 @@
     })
 }
 
+/// What a status tells beside what the registry knows.
+pub struct About<'a> {
+    /// The machine's name.
+    pub name: &'a str,
+    /// Frames that could not be read.
+    pub unreadable: u64,
+    /// The disk of the store on this machine, if that told.
+    pub disk: Option<DiskReport>,
+}
+
+fn disk(report: DiskReport) -> JsonValue {
+    object! { state: report.state.name(), used: report.used, of: report.size }
+}
+
 /// How a registry stands, for the operator's doctor.
-pub fn status(registry: &Registry, name: &str, unreadable: u64, now: u64) -> String {
+pub fn status(registry: &Registry, about: &About, now: u64) -> String {
     let addresses =
         |list: &[std::net::Ipv4Addr]| -> Vec<String> { list.iter().map(ToString::to_string).collect() };
     let mut limiters = array![];
@@ -86,15 +101,15 @@
     }
     let clock = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |clock| clock.as_millis() as u64);
     let status = object! {
-        name: name,
+        name: about.name,
         settled: registry.is_settled(now),
         voters: addresses(registry.voters()),
         registries: addresses(&registry.heard(now)),
         limiters: limiters,
         instances: instances,
         items: registry.items(),
-        unreadable: unreadable,
-        disk: null,
+        unreadable: about.unreadable,
+        disk: about.disk.map(disk),
         clock_ms: clock,
     };
     status.dump()
--- a/crates/emberpin-registry/src/calls.rs
+++ b/crates/emberpin-registry/src/calls.rs
@@ -180,7 +180,7 @@
             }
             Call::Status => {
                 let (answer, owed) = oneshot::channel();
-                self.commands.send(Command::Status { answer }).await;
+                self.commands.send(Command::Status { disk: self.stores.disk(), answer }).await;
                 Ok(owed.await.map_or_else(|_| later(), |status| json(StatusCode::OK, status)))
             }
         }
@@ -190,7 +190,7 @@
         let Some(answered) = self.stores.pass(within, ask).await else { return later() };
         let status = StatusCode::from_u16(answered.status).unwrap_or(StatusCode::BAD_GATEWAY);
         match status {
-            StatusCode::SERVICE_UNAVAILABLE => later(),
+            StatusCode::SERVICE_UNAVAILABLE => later_because(&answered.body),
             StatusCode::OK if is_json => json(status, answered.body),
             _ => plain(status, answered.body),
         }
@@ -239,7 +239,11 @@
 
 /// The call may be sent again, here or to another one.
 fn later() -> Answered {
-    let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, "not now\n".into());
+    later_because("not now")
+}
+
+fn later_because(reason: &str) -> Answered {
+    let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, format!("{reason}\n"));
     answer.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("0.2"));
     answer
 }
--- a/crates/emberpin-registry/src/host.rs
+++ b/crates/emberpin-registry/src/host.rs
@@ -5,6 +5,7 @@
 use emberpin_membership::instance::Instance;
 use emberpin_membership::registry::{Action, Answer, Event, Limits, Registry};
 use emberpin_runtime::frames;
+use emberpin_store::protocol::DiskReport;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::Ipv4Addr;
@@ -35,6 +36,8 @@
     },
     /// The operator asks how the registry stands.
     Status {
+        /// The disk of the store on this machine, if that told.
+        disk: Option<DiskReport>,
         /// Where the answer goes.
         answer: oneshot::Sender<String>,
     },
@@ -162,9 +165,10 @@
                 let call = self.owe(answer);
                 self.handle(Event::Leave { call, id });
             }
-            Command::Status { answer } => {
+            Command::Status { disk, answer } => {
                 let unreadable = links::UNREADABLE.load(Ordering::Relaxed);
-                _ = answer.send(body::status(&self.registry, &self.identity.name, unreadable, self.now()));
+                let about = body::About { name: &self.identity.name, unreadable, disk };
+                _ = answer.send(body::status(&self.registry, &about, self.now()));
             }
             Command::Session { session, out } => _ = self.sessions.insert(session, out),
             Command::Incoming { peer, out } => _ = self.incoming.insert(peer, out),
--- a/crates/emberpin-registry/src/store.rs
+++ b/crates/emberpin-registry/src/store.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use emberpin_membership::registry::Event;
 use emberpin_runtime::frames::{self, Broken};
-use emberpin_store::protocol::{StoreReply, StoreRequest, ToStore};
+use emberpin_store::protocol::{DiskReport, DiskState, StoreReply, StoreRequest, ToStore};
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -25,6 +25,10 @@
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
 /// A call goes to another store if this one cannot be reached so soon.
 const CONNECT: Duration = Duration::from_millis(300);
+/// A store that refuses a call so soon has begun nothing for it: the next one is asked.
+const REFUSED_AT_ONCE: Duration = Duration::from_millis(300);
+/// The status of a call that may be sent again.
+const UNAVAILABLE: u16 = 503;
 /// Questions that wait on one connection.
 const WAITING: usize = 64;
 
@@ -54,6 +58,8 @@
     voters: Mutex<Vec<Ipv4Addr>>,
     /// When the store on this machine said something.
     local: Mutex<Instant>,
+    /// The disk of the store on this machine, once that told.
+    disk: Mutex<Option<DiskReport>>,
     passing: Mutex<HashMap<Ipv4Addr, Passing>>,
     ids: AtomicU64,
 }
@@ -72,11 +78,17 @@
             seeds,
             voters: Mutex::default(),
             local: Mutex::new(Instant::now()),
+            disk: Mutex::default(),
             passing: Mutex::default(),
             ids: AtomicU64::new(0),
         }
     }
 
+    /// The disk of the store on this machine, as it last told.
+    pub fn disk(&self) -> Option<DiskReport> {
+        *locked(&self.disk)
+    }
+
     /// Follows the stores for as long as the process runs.
     pub fn follow(self: &Arc<Stores>, commands: &Commands) {
         tokio::spawn(self.clone().follow_local(commands.clone()));
@@ -124,7 +136,10 @@
                 }
                 let event = match told {
                     StoreReply::Items { items } => Event::Items(items),
-                    StoreReply::Status { settled, voters } => {
+                    StoreReply::Status { settled, voters, disk } => {
+                        if store == self.me {
+                            *locked(&self.disk) = Some(disk);
+                        }
                         locked(&self.voters).clone_from(&voters);
                         Event::Status { settled, voters }
                     }
@@ -158,21 +173,30 @@
         let tries = async {
             // One that breaks off may have taken the call; calls may come again, so another one is asked.
             let mut stores: Vec<Ipv4Addr> = std::iter::once(self.me).chain(self.others()).collect();
-            if locked(&self.local).elapsed() >= ALONE && stores.len() > 1 {
-                // The one here may take the call and never answer it.
+            if self.local_takes_no_calls() && stores.len() > 1 {
+                // The one here may take the call and never answer it, or would refuse it.
                 stores.rotate_left(1);
             }
+            let mut refused = None;
             for store in stores {
                 let id = self.ids.fetch_add(1, Ordering::Relaxed);
-                if let Some(answered) = self.ask(store, id, ask(id)).await {
+                let asked = Instant::now();
+                let Some(answered) = self.ask(store, id, ask(id)).await else { continue };
+                if answered.status != UNAVAILABLE || asked.elapsed() > REFUSED_AT_ONCE {
                     return Some(answered);
                 }
+                refused = Some(answered);
             }
-            None
+            refused
         };
         timeout(within, tries).await.ok().flatten()
     }
 
+    fn local_takes_no_calls(&self) -> bool {
+        let unusable = |disk: DiskReport| matches!(disk.state, DiskState::Full | DiskState::Stalled);
+        locked(&self.local).elapsed() >= ALONE || self.disk().is_some_and(unusable)
+    }
+
     async fn ask(self: &Arc<Stores>, store: Ipv4Addr, id: u64, ask: StoreRequest) -> Option<Answered> {
         let frame = frames::frame(&ToStore::StoreRequest(ask)).ok()?;
         let passing = self.passing(store).await?;
--- a/crates/emberpin-registry/tests/common/mod.rs
+++ b/crates/emberpin-registry/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use emberpin_config::{Item, Key, Kind};
 use emberpin_membership::session::{First, FromLimiter, Revision, ToLimiter};
 use emberpin_runtime::frames;
-use emberpin_store::protocol::{StoreReply, StoreRequest, ToStore};
+use emberpin_store::protocol::{DiskReport, DiskState, StoreReply, StoreRequest, ToStore};
 use std::io::Write;
 use std::net::Ipv4Addr;
 use std::process::{Child, Command, Stdio};
@@ -100,6 +100,11 @@
 
 /// A store that is settled, tells these items, and answers each call with its own name.
 pub async fn store(ip: Ipv4Addr, voters: Vec<Ipv4Addr>, items: Vec<Item>) {
+    store_with_disk(ip, voters, items, DiskReport::default()).await;
+}
+
+/// One whose disk stands so; on a full one it refuses every call.
+pub async fn store_with_disk(ip: Ipv4Addr, voters: Vec<Ipv4Addr>, items: Vec<Item>, disk: DiskReport) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_reuseaddr(true).expect("set");
     socket.bind((ip, KEEPER).into()).expect("bound");
@@ -107,12 +112,12 @@
     tokio::spawn(async move {
         loop {
             let (stream, _) = listener.accept().await.expect("accepts");
-            tokio::spawn(answer(stream, voters.clone(), items.clone()));
+            tokio::spawn(answer(stream, voters.clone(), items.clone(), disk));
         }
     });
 }
 
-async fn answer(mut stream: TcpStream, voters: Vec<Ipv4Addr>, items: Vec<Item>) {
+async fn answer(mut stream: TcpStream, voters: Vec<Ipv4Addr>, items: Vec<Item>, disk: DiskReport) {
     while let Ok(ToStore::StoreRequest(ask)) = frames::read(&mut stream).await {
         let (id, body) = match ask {
             StoreRequest::Patch { id, body } => (id, format!("patch of {} bytes", body.len())),
@@ -123,14 +128,15 @@
                 _ = frames::write(&mut stream, &StoreReply::Items { items: items.clone() }).await;
                 loop {
                     beat.tick().await;
-                    let told = StoreReply::Status { settled: true, voters: voters.clone() };
+                    let told = StoreReply::Status { settled: true, voters: voters.clone(), disk };
                     if frames::write(&mut stream, &told).await.is_err() {
                         return;
                     }
                 }
             }
         };
-        if frames::write(&mut stream, &StoreReply::Answer { id, status: 200, body }).await.is_err() {
+        let status = if disk.state == DiskState::Full { 503 } else { 200 };
+        if frames::write(&mut stream, &StoreReply::Answer { id, status, body }).await.is_err() {
             return;
         }
     }
--- a/crates/emberpin-registry/tests/process.rs
+++ b/crates/emberpin-registry/tests/process.rs
@@ -3,10 +3,11 @@
 
 mod common;
 
-use common::{beat, call, item, store, Limiter, RegistryProcess, SOON};
+use common::{beat, call, item, store, store_with_disk, Limiter, RegistryProcess, SOON};
 use emberpin_config::Kind;
 use emberpin_membership::instance::Status;
 use emberpin_membership::session::ToLimiter;
+use emberpin_store::protocol::{DiskReport, DiskState};
 use googletest::prelude::*;
 use std::net::Ipv4Addr;
 use std::process::Command;
@@ -153,6 +154,43 @@
     verify_that!((status, answer.ends_with("north false")), eq((200, true)))
 }
 
+#[tokio::test]
+async fn calls_go_past_a_store_with_a_full_disk_and_the_status_tells_it() -> googletest::Result<()> {
+    let (me, other) = (ip(12, 1), ip(12, 2));
+    let full = DiskReport { state: DiskState::Full, used: 90, size: 100 };
+    store_with_disk(me, vec![me, other], vec![], full).await;
+    store(other, vec![me, other], vec![]).await;
+    let _registry = RegistryProcess::start(me, &[me, other]);
+    let mut limiter = Limiter::connect(me).await;
+    limiter.until(|_| Some(())).await;
+    let (status, answer) = call(me, "POST", "/config/patch", "{}").await;
+    verify_that!((status, answer.ends_with("patch of 2 bytes")), eq((200, true)))?;
+    let (status, _) = call(me, "GET", "/config/get", "").await;
+    verify_that!(status, eq(200))?;
+    let told = async {
+        loop {
+            let (_, answer) = call(me, "GET", "/status", "").await;
+            if answer.contains("\"disk\":{\"state\":\"full\",\"used\":90,\"of\":100}") {
+                return;
+            }
+            tokio::time::sleep(Duration::from_millis(20)).await;
+        }
+    };
+    verify_that!(tokio::time::timeout(SOON, told).await, ok(anything()))
+}
+
+#[tokio::test]
+async fn a_call_that_every_store_refuses_is_told_why() -> googletest::Result<()> {
+    let me = ip(13, 1);
+    let full = DiskReport { state: DiskState::Full, used: 90, size: 100 };
+    store_with_disk(me, vec![me], vec![], full).await;
+    let _registry = RegistryProcess::start(me, &[me]);
+    Limiter::connect(me).await.until(|_| Some(())).await;
+    let (status, answer) = call(me, "POST", "/config/patch", "{}").await;
+    verify_that!(status, eq(503))?;
+    verify_that!(answer, contains_substring("patch of 2 bytes"))
+}
+
 #[tokio::test]
 async fn bodies_that_are_cut_short_hold_up_nobody() -> googletest::Result<()> {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
