--- a/crates/emberpin-proxy/src/sessions.rs
+++ b/crates/emberpin-proxy/src/sessions.rs
@@ -3,6 +3,7 @@
 use crate::controller::{drawn, Command};
 use emberpin_membership::session::{First, FromLimiter, Revision, ToLimiter};
 use emberpin_runtime::frames::{self, Broken};
+use emberpin_runtime::preamble::ProcessIdentity;
 use emberpin_runtime::settings::Settings;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -33,6 +34,7 @@
     settings: RefCell<Settings>,
     commands: mpsc::Sender<Command>,
     incarnation: u64,
+    process: ProcessIdentity,
     /// Registries that were told of, beside those of the settings.
     registries: RefCell<BTreeSet<Ipv4Addr>>,
     /// Those that a session is with, by session.
@@ -46,10 +48,12 @@
 
 /// Starts them; they go on for the instance of the process.
 pub fn start(settings: Settings, commands: mpsc::Sender<Command>) -> Rc<Sessions> {
+    let incarnation = drawn();
     let sessions = Rc::new(Sessions {
         settings: RefCell::new(settings),
         commands,
-        incarnation: drawn(),
+        incarnation,
+        process: ProcessIdentity::new(incarnation),
         registries: RefCell::default(),
         with: RefCell::default(),
         places: RefCell::default(),
@@ -151,6 +155,7 @@
         let (mut reads, mut writes) = stream.into_split();
         let at = Rc::new(Cell::new(from));
         let greeted = async {
+            self.process.send(&mut writes).await?;
             frames::write(&mut writes, &First::Limiter).await?;
             frames::write(&mut writes, &hello).await
         };
@@ -181,6 +186,12 @@
         reads: &mut tokio::net::tcp::OwnedReadHalf,
         at: &Cell<Option<Revision>>,
     ) -> String {
+        let greeted = timeout(SILENCE, self.process.receive(reads)).await;
+        match greeted {
+            Ok(Ok(_)) => {}
+            Ok(Err(problem)) => return problem.to_string(),
+            Err(_) => return "silent for too long".into(),
+        }
         let mut unsettled = None;
         loop {
             let message = match timeout(SILENCE, frames::read::<ToLimiter>(reads)).await {
--- a/crates/emberpin-proxy/tests/common/mod.rs
+++ b/crates/emberpin-proxy/tests/common/mod.rs
@@ -6,6 +6,7 @@
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::session::{First, FromLimiter, Revision, ToLimiter};
 use emberpin_runtime::frames;
+use emberpin_runtime::preamble::ProcessIdentity;
 use std::collections::HashMap;
 use std::future::Future;
 use std::io::Write;
@@ -130,6 +131,8 @@
 impl Session {
     async fn accept(ip: Ipv4Addr, listener: &TcpListener) -> Session {
         let (mut stream, _) = soon("a session", listener.accept()).await.expect("accepted");
+        let (mut from, mut to) = stream.split();
+        ProcessIdentity::new(1).greet(&mut from, &mut to).await.expect("greeted");
         assert_eq!(frames::read::<First>(&mut stream).await.expect("said"), First::Limiter);
         let hello: FromLimiter = frames::read(&mut stream).await.expect("said");
         assert!(matches!(hello, FromLimiter::Hello { .. }), "{hello:?}");
--- a/crates/emberpin-proxy/tests/readiness.rs
+++ b/crates/emberpin-proxy/tests/readiness.rs
@@ -5,6 +5,7 @@
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::session::{First, FromLimiter, Revision, ToLimiter};
 use emberpin_runtime::frames;
+use emberpin_runtime::preamble::ProcessIdentity;
 use googletest::prelude::*;
 use std::io::Write;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -78,6 +79,8 @@
 /// The next session of the proxy, and up to where it has followed this registry.
 async fn session(listener: &TcpListener) -> (TcpStream, Option<Revision>) {
     let (mut stream, _) = timeout(SOON, listener.accept()).await.expect("in time").expect("accepted");
+    let (mut from, mut to) = stream.split();
+    ProcessIdentity::new(1).greet(&mut from, &mut to).await.expect("greeted");
     let first: First = frames::read(&mut stream).await.expect("a first message");
     assert_eq!(first, First::Limiter);
     match frames::read(&mut stream).await.expect("a hello") {
--- a/crates/emberpin-registry/src/body.rs
+++ b/crates/emberpin-registry/src/body.rs
@@ -63,6 +63,8 @@
     pub name: &'a str,
     /// Frames that could not be read.
     pub unreadable: u64,
+    /// Peers of another version or system that were refused.
+    pub refused: u64,
     /// The disk of the store on this machine, if that told.
     pub disk: Option<DiskReport>,
 }
@@ -109,6 +111,7 @@
         instances: instances,
         items: registry.items(),
         unreadable: about.unreadable,
+        refused: about.refused,
         disk: about.disk.map(disk),
         clock_ms: clock,
     };
--- a/crates/emberpin-registry/src/host.rs
+++ b/crates/emberpin-registry/src/host.rs
@@ -5,11 +5,13 @@
 use emberpin_membership::instance::Instance;
 use emberpin_membership::registry::{Action, Answer, Event, Limits, Registry};
 use emberpin_runtime::frames;
+use emberpin_runtime::preamble::ProcessIdentity;
 use emberpin_store::protocol::DiskReport;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::Ipv4Addr;
 use std::sync::atomic::Ordering;
+use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
@@ -88,6 +90,8 @@
     pub name: String,
     /// The port of all registries.
     pub port: u16,
+    /// What it says first to other processes.
+    pub process: Arc<ProcessIdentity>,
 }
 
 /// A connection to another registry.
@@ -167,7 +171,12 @@
             }
             Command::Status { disk, answer } => {
                 let unreadable = links::UNREADABLE.load(Ordering::Relaxed);
-                let about = body::About { name: &self.identity.name, unreadable, disk };
+                let about = body::About {
+                    name: &self.identity.name,
+                    unreadable,
+                    refused: self.identity.process.refused(),
+                    disk,
+                };
                 _ = answer.send(body::status(&self.registry, &about, self.now()));
             }
             Command::Session { session, out } => _ = self.sessions.insert(session, out),
@@ -212,8 +221,13 @@
                 }
             }
             Action::Call { peer } => {
-                let task =
-                    tokio::spawn(links::call(self.me, peer, self.identity.port, self.commands.clone()));
+                let task = tokio::spawn(links::call(
+                    self.identity.process.clone(),
+                    self.me,
+                    peer,
+                    self.identity.port,
+                    self.commands.clone(),
+                ));
                 self.links.insert(peer, Link { task, out: None });
             }
             Action::Drop { peer } => {
--- a/crates/emberpin-registry/src/links.rs
+++ b/crates/emberpin-registry/src/links.rs
@@ -7,9 +7,11 @@
 use emberpin_membership::registry::Event;
 use emberpin_membership::session::{First, FromLimiter};
 use emberpin_runtime::frames::{self, Broken};
+use emberpin_runtime::preamble::ProcessIdentity;
 use serde::de::DeserializeOwned;
 use std::net::Ipv4Addr;
 use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
@@ -31,7 +33,7 @@
 pub static UNREADABLE: AtomicU64 = AtomicU64::new(0);
 
 /// Takes in other registries and limiters.
-pub async fn serve(listener: TcpListener, commands: Commands) {
+pub async fn serve(listener: TcpListener, identity: Arc<ProcessIdentity>, commands: Commands) {
     static OPEN: AtomicU64 = AtomicU64::new(0);
     let mut number = 0;
     loop {
@@ -44,10 +46,10 @@
             continue;
         }
         number += 1;
-        let commands = commands.clone();
+        let (identity, commands) = (identity.clone(), commands.clone());
         OPEN.fetch_add(1, Ordering::Relaxed);
         tokio::spawn(async move {
-            note(take(stream, number, &commands).await);
+            note(take(stream, number, &identity, &commands).await);
             OPEN.fetch_sub(1, Ordering::Relaxed);
         });
     }
@@ -56,6 +58,8 @@
 fn note(ended: Result<(), Broken>) {
     match ended {
         Err(Broken::Connection(e)) => log::debug!("a connection: {e}"),
+        // Counted and logged where it was refused.
+        Err(Broken::Refused(_)) => {}
         Err(e) => {
             let before = UNREADABLE.fetch_add(1, Ordering::Relaxed);
             log::warn!("{e}; {before} before");
@@ -79,11 +83,18 @@
 }
 
 /// Hears one that has connected, until it or this process ends the connection.
-async fn take(stream: TcpStream, number: u64, commands: &Commands) -> Result<(), Broken> {
+async fn take(
+    stream: TcpStream,
+    number: u64,
+    identity: &ProcessIdentity,
+    commands: &Commands,
+) -> Result<(), Broken> {
     net::tune(&stream)?;
     let (from, mut to) = stream.into_split();
     let mut from = BufReader::new(from);
     let (out, mut frames_out) = mpsc::channel(BEHIND);
+    timeout(FIRST, identity.receive(&mut from)).await.map_err(std::io::Error::from)??;
+    identity.send(&mut to).await?;
     match next(&mut from, FIRST).await? {
         First::Limiter => {
             commands.send(Command::Session { session: number, out }).await;
@@ -112,21 +123,35 @@
 }
 
 /// Keeps a connection to another registry open, for as long as it is not aborted.
-pub async fn call(me: Ipv4Addr, peer: Ipv4Addr, port: u16, commands: Commands) {
+pub async fn call(
+    identity: Arc<ProcessIdentity>,
+    me: Ipv4Addr,
+    peer: Ipv4Addr,
+    port: u16,
+    commands: Commands,
+) {
     let mut pause = PAUSE;
     loop {
         let since = Instant::now();
-        note(speak(me, peer, port, &commands).await);
+        note(speak(&identity, me, peer, port, &commands).await);
         pause = if since.elapsed() > LONGEST_PAUSE { PAUSE } else { (pause * 2).min(LONGEST_PAUSE) };
         sleep(pause).await;
     }
 }
 
-async fn speak(me: Ipv4Addr, peer: Ipv4Addr, port: u16, commands: &Commands) -> Result<(), Broken> {
+async fn speak(
+    identity: &ProcessIdentity,
+    me: Ipv4Addr,
+    peer: Ipv4Addr,
+    port: u16,
+    commands: &Commands,
+) -> Result<(), Broken> {
     let stream = net::connect(peer, port).await?;
     let (from, mut to) = stream.into_split();
     let mut from = BufReader::new(from);
+    identity.send(&mut to).await?;
     frames::write(&mut to, &First::Registry(me)).await?;
+    timeout(FIRST, identity.receive(&mut from)).await.map_err(std::io::Error::from)??;
     let (out, mut frames_out) = mpsc::channel(BEHIND);
     commands.send(Command::Outgoing { peer, out: Some(out) }).await;
     let reads = async {
--- a/crates/emberpin-registry/src/program.rs
+++ b/crates/emberpin-registry/src/program.rs
@@ -6,6 +6,7 @@
 use crate::{links, net};
 use emberpin_membership::registry::Limits;
 use emberpin_runtime::logs;
+use emberpin_runtime::preamble::ProcessIdentity;
 use emberpin_runtime::settings::{Settings, Wrong};
 use std::ffi::OsString;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -87,7 +88,8 @@
             SocketAddr::V6(_) => None,
         })
         .collect();
-    let stores = Arc::new(Stores::new(settings.ip, settings.store_port(), seeds.clone()));
+    let process = Arc::new(ProcessIdentity::new(u64::from_be_bytes(instance)));
+    let stores = Arc::new(Stores::new(process.clone(), settings.ip, settings.store_port(), seeds.clone()));
     let limits = Limits {
         me: settings.ip,
         zone: settings.zone.clone(),
@@ -95,11 +97,12 @@
         beat_ms: u64::try_from(settings.beat.as_millis()).unwrap_or(u64::MAX).max(1),
         seeds,
     };
-    let (host, commands) = Host::new(Identity { name: settings.nodename.clone(), port }, limits);
+    let (host, commands) =
+        Host::new(Identity { name: settings.nodename.clone(), port, process: process.clone() }, limits);
     let calls = Arc::new(Calls::new(commands.clone(), stores.clone(), ctl.port()));
     stores.follow(&commands);
     tokio::spawn(host.run());
-    let inside = tokio::spawn(links::serve(inside, commands));
+    let inside = tokio::spawn(links::serve(inside, process, commands));
     let outside = tokio::spawn(calls.clone().serve(outside));
     term.recv().await;
     outside.abort();
--- a/crates/emberpin-registry/src/store.rs
+++ b/crates/emberpin-registry/src/store.rs
@@ -7,6 +7,7 @@
 use bytes::Bytes;
 use emberpin_membership::registry::Event;
 use emberpin_runtime::frames::{self, Broken};
+use emberpin_runtime::preamble::ProcessIdentity;
 use emberpin_store::protocol::{DiskReport, DiskState, StoreReply, StoreRequest, ToStore};
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
@@ -52,6 +53,7 @@
 
 /// The stores.
 pub struct Stores {
+    identity: Arc<ProcessIdentity>,
     me: Ipv4Addr,
     port: u16,
     seeds: Vec<Ipv4Addr>,
@@ -71,8 +73,9 @@
 
 impl Stores {
     /// Those on these machines, at this port.
-    pub fn new(me: Ipv4Addr, port: u16, seeds: Vec<Ipv4Addr>) -> Stores {
+    pub fn new(identity: Arc<ProcessIdentity>, me: Ipv4Addr, port: u16, seeds: Vec<Ipv4Addr>) -> Stores {
         Stores {
+            identity,
             me,
             port,
             seeds,
@@ -126,8 +129,11 @@
         let follow = async {
             let stream = net::connect(store, self.port).await?;
             let (from, mut to) = stream.into_split();
+            self.identity.send(&mut to).await?;
             frames::write(&mut to, &ToStore::StoreRequest(StoreRequest::Follow)).await?;
             let mut from = BufReader::new(from);
+            let greeted = timeout(SILENCE, self.identity.receive(&mut from)).await;
+            greeted.map_err(std::io::Error::from)??;
             loop {
                 let told = timeout(SILENCE, frames::read::<StoreReply>(&mut from)).await;
                 let told = told.map_err(std::io::Error::from)??;
@@ -136,7 +142,7 @@
                 }
                 let event = match told {
                     StoreReply::Items { items } => Event::Items(items),
-                    StoreReply::Status { settled, voters, disk } => {
+                    StoreReply::Status { settled, voters, disk, .. } => {
                         if store == self.me {
                             *locked(&self.disk) = Some(disk);
                         }
@@ -222,16 +228,19 @@
         let passing = Passing { out, waiting: Waiting::default() };
         locked(&self.passing).insert(store, passing.clone());
         let waiting = passing.waiting.clone();
+        let identity = self.identity.clone();
         tokio::spawn(async move {
             let (from, mut to) = stream.into_split();
             let mut from = BufReader::new(from);
             let writes = async {
+                identity.send(&mut to).await?;
                 while let Some(frame) = frames_out.recv().await {
                     to.write_all(&frame).await?;
                 }
                 Ok::<(), Broken>(())
             };
             let reads = async {
+                identity.receive(&mut from).await?;
                 loop {
                     if let StoreReply::Answer { id, status, body } =
                         frames::read::<StoreReply>(&mut from).await?
--- a/crates/emberpin-registry/tests/common/mod.rs
+++ b/crates/emberpin-registry/tests/common/mod.rs
@@ -4,6 +4,7 @@
 use emberpin_config::{Item, Key, Kind};
 use emberpin_membership::session::{First, FromLimiter, Revision, ToLimiter};
 use emberpin_runtime::frames;
+use emberpin_runtime::preamble::ProcessIdentity;
 use emberpin_store::protocol::{DiskReport, DiskState, StoreReply, StoreRequest, ToStore};
 use std::io::Write;
 use std::net::Ipv4Addr;
@@ -118,6 +119,10 @@
 }
 
 async fn answer(mut stream: TcpStream, voters: Vec<Ipv4Addr>, items: Vec<Item>, disk: DiskReport) {
+    let store = ProcessIdentity::new(2);
+    if store.receive(&mut stream).await.is_err() || store.send(&mut stream).await.is_err() {
+        return;
+    }
     while let Ok(ToStore::StoreRequest(ask)) = frames::read(&mut stream).await {
         let (id, body) = match ask {
             StoreRequest::Patch { id, body } => (id, format!("patch of {} bytes", body.len())),
@@ -128,7 +133,7 @@
                 _ = frames::write(&mut stream, &StoreReply::Items { items: items.clone() }).await;
                 loop {
                     beat.tick().await;
-                    let told = StoreReply::Status { settled: true, voters: voters.clone(), disk };
+                    let told = StoreReply::Status { settled: true, voters: voters.clone(), disk, refused: 0 };
                     if frames::write(&mut stream, &told).await.is_err() {
                         return;
                     }
@@ -185,7 +190,10 @@
 
 impl Limiter {
     pub async fn connect(ip: Ipv4Addr) -> Limiter {
-        let (from, mut to) = connect(ip, KEEPER + 1).await.into_split();
+        let (mut from, mut to) = connect(ip, KEEPER + 1).await.into_split();
+        let limiter = ProcessIdentity::new(1);
+        limiter.send(&mut to).await.expect("sent");
+        limiter.receive(&mut from).await.expect("said");
         frames::write(&mut to, &First::Limiter).await.expect("sent");
         let hello = FromLimiter::Hello {
             incarnation: 1,
--- a/crates/emberpin-registry/tests/process.rs
+++ b/crates/emberpin-registry/tests/process.rs
@@ -7,6 +7,7 @@
 use emberpin_config::Kind;
 use emberpin_membership::instance::Status;
 use emberpin_membership::session::ToLimiter;
+use emberpin_runtime::preamble::ProcessIdentity;
 use emberpin_store::protocol::{DiskReport, DiskState};
 use googletest::prelude::*;
 use std::net::Ipv4Addr;
@@ -256,6 +257,8 @@
     let _lookout = RegistryProcess::start(me, &[me]);
     let mut limiter = Limiter::connect(me).await;
     let mut stream = common::connect(me, common::KEEPER + 1).await;
+    let (mut from, mut to) = stream.split();
+    ProcessIdentity::new(1).greet(&mut from, &mut to).await.expect("greeted");
     stream.write_all(&[0, 0, 0, 2, 99, 99]).await?;
     let mut rest = Vec::new();
     let ended = tokio::time::timeout(SOON, stream.read_to_end(&mut rest)).await;
--- /dev/null
+++ b/crates/emberpin-registry/tests/samples/mod.rs
@@ -0,0 +1,157 @@
+//! One frame of each message between processes.
+
+use emberpin_config::{Item, Key, Kind};
+use emberpin_consensus::{Ballot, Message, Pending};
+use emberpin_membership::instance::{Instance, Status};
+use emberpin_membership::peers::{Ack, InstanceRecord, Limiter, RegistryMessage};
+use emberpin_membership::session::{First, FromLimiter, Revision, ToLimiter};
+use emberpin_runtime::frames;
+use emberpin_store::protocol::{DiskReport, DiskState, StoreReply, StoreRequest, ToStore};
+use serde::Serialize;
+use std::net::Ipv4Addr;
+
+const MACHINE: Ipv4Addr = Ipv4Addr::new(10, 1, 0, 7);
+const BALLOT: Ballot = Ballot { counter: 300, node: 7, incarnation: 9 };
+const PLACE: Revision = Revision { incarnation: 5, number: 6 };
+
+fn frame<T: Serialize>(message: &T) -> Vec<u8> {
+    frames::frame(message).expect("a frame")
+}
+
+fn item(kind: Kind, name: &str, body: Option<&str>) -> Item {
+    Item { key: Key { kind, name: name.into() }, ver: 7, body: body.map(str::to_owned) }
+}
+
+fn roster() -> Item {
+    item(Kind::Roster, "", Some("[\"10.1.0.7\"]"))
+}
+
+fn items() -> Vec<Item> {
+    let kinds = [Kind::Evacuation, Kind::Limits, Kind::Service, Kind::Route];
+    kinds
+        .into_iter()
+        .map(|kind| item(kind, "a", Some("{}")))
+        .chain([item(Kind::Service, "b", None)])
+        .collect()
+}
+
+fn instance(status: Status) -> Instance {
+    Instance {
+        id: "i-1".into(),
+        service: "s".into(),
+        address: "10.1.0.9:80".parse().expect("an address"),
+        zone: "z".into(),
+        slots: 4,
+        status,
+        seq: 8,
+        cold_ms: 9,
+    }
+}
+
+fn records() -> Vec<InstanceRecord> {
+    vec![InstanceRecord { instance: instance(Status::Up), expired: true, owner: Some(MACHINE) }]
+}
+
+fn limiters() -> Vec<Limiter> {
+    vec![Limiter { incarnation: 3, name: "edge".into(), zone: "z".into() }]
+}
+
+fn consensus() -> Vec<Message> {
+    let (ballot, buckets) = (BALLOT, vec![1, 2]);
+    let pending = Pending { ballot, items: items() };
+    vec![
+        Message::Prepare { ballot, roster: roster(), digests: vec![1, 1 << 40] },
+        Message::Promise { ballot, pending, buckets: buckets.clone(), chosen: items() },
+        Message::Accept { ballot, roster: roster(), chosen: items(), items: items() },
+        Message::Accepted { ballot },
+        Message::Refused { ballot, promised: ballot },
+        Message::NotVoting { ballot },
+        Message::Roster { ballot, roster: roster() },
+        Message::Chosen { items: items() },
+        Message::Exchange { seq: 1, digest: 2 },
+        Message::Same { seq: 1, voting: true },
+        Message::Differ { seq: 1, digests: vec![3] },
+        Message::Fetch { seq: 1, buckets },
+        Message::Items { seq: 1, items: items(), voting: false },
+        Message::DiskUnavailable { ballot },
+    ]
+}
+
+/// Those towards a store.
+pub fn to_store() -> Vec<Vec<u8>> {
+    let requests = [
+        StoreRequest::Patch { id: 1, body: b"{}".to_vec() },
+        StoreRequest::Get { id: 2 },
+        StoreRequest::Evacuate { id: 3, zone: "z".into(), begin: true },
+        StoreRequest::Follow,
+    ];
+    let requests = requests.into_iter().map(ToStore::StoreRequest);
+    let messages = consensus().into_iter().map(|message| ToStore::Consensus { from: MACHINE, message });
+    requests.chain(messages).map(|message| frame(&message)).collect()
+}
+
+/// Those from a store.
+pub fn from_store() -> Vec<Vec<u8>> {
+    let disk = DiskReport { state: DiskState::Full, used: 90, size: 100 };
+    let replies = [
+        StoreReply::Answer { id: 1, status: 503, body: "why".into() },
+        StoreReply::Items { items: items() },
+        StoreReply::Status { settled: true, voters: vec![MACHINE], disk, refused: 3 },
+    ];
+    replies.iter().map(frame).collect()
+}
+
+/// Those towards a registry, the first of a connection at first.
+pub fn to_registry() -> Vec<Vec<u8>> {
+    let first = [First::Limiter, First::Registry(MACHINE)];
+    let instances = vec![instance(Status::Up), instance(Status::Drain), instance(Status::Gone)];
+    let hello = FromLimiter::Hello {
+        incarnation: 1,
+        name: "edge".into(),
+        zone: "z".into(),
+        from: Some(PLACE),
+        instances,
+    };
+    let limiter = [hello, FromLimiter::Pulse { at: PLACE }];
+    let registry = [
+        RegistryMessage::Hello {
+            zone: "z".into(),
+            settled: true,
+            instances: records(),
+            limiters: limiters(),
+        },
+        RegistryMessage::Changed { ask: Some(1), instances: records() },
+        RegistryMessage::Pulse { settled: false, digest: 4 },
+        RegistryMessage::Want,
+        RegistryMessage::Owned { instances: records() },
+        RegistryMessage::Sessions { limiters: limiters() },
+    ];
+    let frames = first.iter().map(frame).chain(limiter.iter().map(frame));
+    frames.chain(registry.iter().map(frame)).collect()
+}
+
+/// Those from a registry.
+pub fn from_registry() -> Vec<Vec<u8>> {
+    let instances = vec![instance(Status::Up)];
+    let limiter = [
+        ToLimiter::Snapshot { at: PLACE, items: items(), instances: instances.clone(), complete: true },
+        ToLimiter::Changes { at: PLACE, items: items(), instances },
+        ToLimiter::Pulse { settled: true, limiters: 2, registries: vec![MACHINE] },
+    ];
+    limiter.iter().map(frame).chain([frame(&Ack { ask: 1 })]).collect()
+}
+
+/// All of them as text, a frame a line.
+pub fn text() -> String {
+    let groups = [
+        ("to-store", to_store()),
+        ("from-store", from_store()),
+        ("to-registry", to_registry()),
+        ("from-registry", from_registry()),
+    ];
+    let line = |name: &str, frame: &[u8]| {
+        let bytes: String = frame.iter().map(|byte| format!("{byte:02x}")).collect();
+        format!("{name} {bytes}\n")
+    };
+    groups.iter().flat_map(|(name, frames)| frames.iter().map(move |frame| line(name, frame))).collect()
+}
--- a/crates/emberpin-runtime/src/frames.rs
+++ b/crates/emberpin-runtime/src/frames.rs
@@ -1,5 +1,6 @@
 //! Messages between the system's own processes: a length of four bytes, the highest first, then `postcard`.
 
+use crate::preamble::Refused;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::io;
@@ -17,6 +18,9 @@
     /// A length beyond [`MOST`].
     #[error("a frame of {0} bytes, of at most {MOST}")]
     TooLong(usize),
+    /// The peer is of another version or system.
+    #[error("a peer that is refused: {0}")]
+    Refused(#[from] Refused),
     /// Bytes that are no message of this protocol.
     #[error("a frame that is no message: {0}")]
     Unreadable(#[from] postcard::Error),
--- a/crates/emberpin-runtime/src/lib.rs
+++ b/crates/emberpin-runtime/src/lib.rs
@@ -3,4 +3,5 @@
 
 pub mod frames;
 pub mod logs;
+pub mod preamble;
 pub mod settings;
--- a/crates/emberpin-scale/src/hollow.rs
+++ b/crates/emberpin-scale/src/hollow.rs
@@ -4,6 +4,7 @@
 use crate::texts::{self, Places, BEAT_MS, LOAD, PROBE};
 use emberpin_membership::session::{First, FromLimiter, Revision, ToLimiter};
 use emberpin_runtime::frames::{self, Broken};
+use emberpin_runtime::preamble::ProcessIdentity;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -95,8 +96,11 @@
         from: None,
         instances: Vec::new(),
     };
+    let limiter = ProcessIdentity::new(number as u64);
+    limiter.send(&mut to).await?;
     frames::write(&mut to, &First::Limiter).await?;
     frames::write(&mut to, &hello).await?;
+    limiter.receive(&mut from).await?;
     counts.sessions.fetch_add(1, Ordering::Relaxed);
     let place: Mutex<Option<Revision>> = Mutex::new(None);
     let at = || place.lock().unwrap_or_else(PoisonError::into_inner);
@@ -147,8 +151,11 @@
         from: None,
         instances: Vec::new(),
     };
+    let limiter = ProcessIdentity::new(0);
+    limiter.send(&mut stream).await?;
     frames::write(&mut stream, &First::Limiter).await?;
     frames::write(&mut stream, &hello).await?;
+    limiter.receive(&mut stream).await?;
     loop {
         let told: ToLimiter = frames::read(&mut stream).await?;
         if matches!(told, ToLimiter::Snapshot { .. }) {
--- /dev/null
+++ b/crates/emberpin-store/examples/measure_store.rs
@@ -0,0 +1,151 @@
+//! What a store spends: `measure_store STORE CHANGES` starts three stores of this build on loopback, sends so
+//! many changes to the first, one after the other, and prints time and processor time for each change, what
+//! an idle second costs, memory, disk, and how long a start takes with what is on the disk then.
+//!
+//! `cargo build --release -p emberpin-store && cargo run --release -p emberpin-store --example measure_store --
+//! target/release/emberpin-store 1000`
+
+use emberpin_runtime::frames;
+use emberpin_runtime::preamble::ProcessIdentity;
+use emberpin_store::protocol::{StoreReply, StoreRequest, ToStore};
+use std::error::Error;
+use std::net::Ipv4Addr;
+use std::path::Path;
+use std::process::{Child, Command};
+use std::time::{Duration, Instant};
+use tokio::net::TcpStream;
+
+const PORT: u16 = 27_311;
+const STORES: u8 = 3;
+/// Clock ticks of the kernel's processor times, in a second.
+const TICKS: f64 = 100.0;
+const IDLE: Duration = Duration::from_secs(10);
+/// Names that the changes go round over: versions rise, the number of items does not.
+const NAMES: u64 = 100;
+
+fn ip(store: u8) -> Ipv4Addr {
+    Ipv4Addr::new(127, 9, 200, store)
+}
+
+fn start(program: &str, folder: &Path, store: u8, bootstrap: bool) -> std::io::Result<Child> {
+    let seeds: Vec<String> = (1..=STORES).map(|store| format!("\"{}:1\"", ip(store))).collect();
+    let text = format!(
+        "[self]\nnodename = \"core\"\nip = \"{ip}\"\naz = \"z1\"\nrgn = \"r\"\nbootstrap = {bootstrap}\n\
+         datadir = \"{data}\"\n[self.limits]\nmem_mb = 256\nnofile = 1024\n\
+         [network]\nport_range = [{PORT},{last}]\nseeds = [{seeds}]\n[network.listen]\n\
+         [network.zones]\nz1 = \"r\"\n[infra]\nhb = \"1s\"\n[defs.tolerance]\nnodes = 1\n\
+         [defs.bounds]\ndrain = \"2s\"\ngrace = \"6s\"\napply = \"2s\"\nevac = \"2s\"\nack = \"5s\"\n\
+         contact = \"3s\"\nretry_ratio = 0.2\nretry_win = \"10s\"\nretry_extra = 60\nwarm_excess = 1.5\n\
+         warm_extra = 5\n",
+        ip = ip(store),
+        data = folder.join(format!("data-{store}")).display(),
+        last = PORT + 1,
+        seeds = seeds.join(","),
+    );
+    let file = folder.join(format!("settings-{store}.toml"));
+    std::fs::write(&file, text)?;
+    Command::new(program).env("EMBERPIN_NODE_FILE", &file).spawn()
+}
+
+/// Processor time of the stores so far, in milliseconds.
+fn processor(stores: &[Child]) -> Result<f64, Box<dyn Error>> {
+    let mut ticks = 0;
+    for store in stores {
+        let stat = std::fs::read_to_string(format!("/proc/{}/stat", store.id()))?;
+        let fields: Vec<&str> = stat.rsplit(") ").next().unwrap_or_default().split(' ').collect();
+        ticks += fields[11].parse::<u64>()? + fields[12].parse::<u64>()?;
+    }
+    Ok(ticks as f64 / TICKS * 1_000.0)
+}
+
+fn memory_kib(store: &Child) -> Result<u64, Box<dyn Error>> {
+    let status = std::fs::read_to_string(format!("/proc/{}/status", store.id()))?;
+    let line = status.lines().find(|line| line.starts_with("VmRSS:")).ok_or("no VmRSS")?;
+    Ok(line.split_whitespace().nth(1).ok_or("no VmRSS")?.parse()?)
+}
+
+fn disk_bytes(folder: &Path) -> Result<u64, Box<dyn Error>> {
+    use std::os::unix::fs::MetadataExt;
+    let mut sum = 0;
+    for entry in std::fs::read_dir(folder)? {
+        let entry = entry?;
+        let about = entry.metadata()?;
+        sum += if about.is_dir() { disk_bytes(&entry.path())? } else { about.blocks() * 512 };
+    }
+    Ok(sum)
+}
+
+async fn connect(store: u8) -> TcpStream {
+    loop {
+        if let Ok(mut stream) = TcpStream::connect((ip(store), PORT)).await {
+            _ = stream.set_nodelay(true);
+            let (mut from, mut to) = stream.split();
+            if ProcessIdentity::new(1).greet(&mut from, &mut to).await.is_ok() {
+                return stream;
+            }
+        }
+        tokio::time::sleep(Duration::from_millis(2)).await;
+    }
+}
+
+async fn patch(stream: &mut TcpStream, number: u64) -> Result<u16, Box<dyn Error>> {
+    let (name, ver) = (number % NAMES, 1 + number / NAMES);
+    let body = format!(
+        "{{\"upsert\":{{\"svcs\":[{{\"name\":\"s-{name}\",\"hcheck\":\"/h\",\"maxconn\":9,\"proto\":\"h1\",\
+         \"tls\":false,\"warmup\":\"3s\",\"warmup_per_s\":10.0,\"ver\":{ver}}}]}}}}"
+    );
+    let ask = StoreRequest::Patch { id: number, body: body.into_bytes() };
+    frames::write(stream, &ToStore::StoreRequest(ask)).await?;
+    match frames::read(stream).await? {
+        StoreReply::Answer { status, .. } => Ok(status),
+        other => Err(format!("not an answer: {other:?}").into()),
+    }
+}
+
+async fn measure(program: &str, changes: u64, folder: &Path) -> Result<(), Box<dyn Error>> {
+    let mut stores = Vec::new();
+    for store in 1..=STORES {
+        stores.push(start(program, folder, store, true)?);
+    }
+    let mut stream = connect(1).await;
+    while patch(&mut stream, 0).await? != 200 {}
+    let (began, before) = (Instant::now(), processor(&stores)?);
+    for number in 1..=changes {
+        while patch(&mut stream, number).await? != 200 {}
+    }
+    let (took, spent) = (began.elapsed(), processor(&stores)? - before);
+    let each = |total: f64| total / changes as f64;
+    println!(
+        "{changes} changes: {:.2} ms each, {:.3} ms of processor each over all stores",
+        each(took.as_secs_f64() * 1_000.0),
+        each(spent)
+    );
+    let before = processor(&stores)?;
+    tokio::time::sleep(IDLE).await;
+    println!(
+        "idle: {:.2} ms of processor a second and store",
+        (processor(&stores)? - before) / IDLE.as_secs_f64() / f64::from(STORES)
+    );
+    println!("memory: {} KiB, disk: {} bytes", memory_kib(&stores[0])?, disk_bytes(&folder.join("data-1"))?);
+    stores[0].kill()?;
+    stores[0].wait()?;
+    let began = Instant::now();
+    stores[0] = start(program, folder, 1, false)?;
+    drop(connect(1).await);
+    println!("start: {:.1} ms", began.elapsed().as_secs_f64() * 1_000.0);
+    for store in &mut stores {
+        store.kill()?;
+        store.wait()?;
+    }
+    Ok(())
+}
+
+fn main() -> Result<(), Box<dyn Error>> {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let [program, changes] = arguments.as_slice() else {
+        return Err("usage: measure_store STORE CHANGES".into());
+    };
+    let folder = tempfile::tempdir()?;
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    runtime.block_on(measure(program, changes.parse()?, folder.path()))
+}
--- a/crates/emberpin-store/src/connections.rs
+++ b/crates/emberpin-store/src/connections.rs
@@ -3,6 +3,7 @@
 use crate::host::Input;
 use crate::protocol::{StoreReply, StoreRequest, ToStore};
 use emberpin_runtime::frames::{self, Broken};
+use emberpin_runtime::preamble::ProcessIdentity;
 use socket2::{SockRef, TcpKeepalive};
 use std::collections::BTreeMap;
 use std::io;
@@ -76,13 +77,14 @@
 /// Connections to other stores, one to each, made when there is something to say.
 pub struct Links {
     port: u16,
+    identity: Arc<ProcessIdentity>,
     links: BTreeMap<Ipv4Addr, (Outbox, bool)>,
 }
 
 impl Links {
     /// None yet; all stores hear on this port.
-    pub fn new(port: u16) -> Links {
-        Links { port, links: BTreeMap::new() }
+    pub fn new(port: u16, identity: Arc<ProcessIdentity>) -> Links {
+        Links { port, identity, links: BTreeMap::new() }
     }
 
     /// Sends a frame, or loses it.
@@ -90,7 +92,8 @@
         let port = self.port;
         let (outbox, used) = self.links.entry(to).or_insert_with(|| {
             let (outbox, waiting) = Outbox::new();
-            tokio::spawn(link(SocketAddrV4::new(to, port), outbox.bytes.clone(), waiting));
+            let identity = self.identity.clone();
+            tokio::spawn(link(SocketAddrV4::new(to, port), identity, outbox.bytes.clone(), waiting));
             (outbox, true)
         });
         *used = true;
@@ -106,25 +109,20 @@
 }
 
 /// Keeps a connection to a store up, until nobody sends to it.
-async fn link(to: SocketAddrV4, bytes: Arc<AtomicUsize>, mut waiting: mpsc::Receiver<Arc<Vec<u8>>>) {
+async fn link(
+    to: SocketAddrV4,
+    identity: Arc<ProcessIdentity>,
+    bytes: Arc<AtomicUsize>,
+    mut waiting: mpsc::Receiver<Arc<Vec<u8>>>,
+) {
     let mut pause = PAUSES.0;
     loop {
         match timeout(UNANSWERED, TcpStream::connect(to)).await {
-            Ok(Ok(mut stream)) if tune(&stream).is_ok() => {
-                let (mut from, mut into) = stream.split();
-                let mut nothing = [0; 1];
-                loop {
-                    let frame = tokio::select! {
-                        frame = waiting.recv() => frame,
-                        // Nothing ever comes on it, so this is its end.
-                        _ = tokio::io::AsyncReadExt::read(&mut from, &mut nothing) => break,
-                    };
-                    let Some(frame) = frame else { return };
-                    bytes.fetch_sub(frame.len(), Ordering::Relaxed);
-                    if !matches!(timeout(2 * UNANSWERED, into.write_all(&frame)).await, Ok(Ok(()))) {
-                        break;
-                    }
-                    pause = PAUSES.0;
+            Ok(Ok(stream)) if tune(&stream).is_ok() => {
+                match write_frames(stream, &identity, &bytes, &mut waiting).await {
+                    Written::Unused => return,
+                    Written::Some => pause = PAUSES.0,
+                    Written::Nothing => {}
                 }
             }
             _ => log::debug!("{to} can't be reached"),
@@ -141,8 +139,51 @@
     }
 }
 
+/// What was written to a connection that is over.
+enum Written {
+    /// Something.
+    Some,
+    /// Nothing: it was not taken.
+    Nothing,
+    /// Nobody sends any more.
+    Unused,
+}
+
+/// Writes frames until the connection breaks or nobody sends any more.
+async fn write_frames(
+    mut stream: TcpStream,
+    identity: &ProcessIdentity,
+    bytes: &AtomicUsize,
+    waiting: &mut mpsc::Receiver<Arc<Vec<u8>>>,
+) -> Written {
+    let (mut from, mut into) = stream.split();
+    if !matches!(timeout(UNANSWERED, identity.greet(&mut from, &mut into)).await, Ok(Ok(_))) {
+        return Written::Nothing;
+    }
+    let mut written = Written::Nothing;
+    let mut nothing = [0; 1];
+    loop {
+        let frame = tokio::select! {
+            frame = waiting.recv() => frame,
+            // Nothing more ever comes on it, so this is its end.
+            _ = tokio::io::AsyncReadExt::read(&mut from, &mut nothing) => return written,
+        };
+        let Some(frame) = frame else { return Written::Unused };
+        bytes.fetch_sub(frame.len(), Ordering::Relaxed);
+        if !matches!(timeout(2 * UNANSWERED, into.write_all(&frame)).await, Ok(Ok(()))) {
+            return written;
+        }
+        written = Written::Some;
+    }
+}
+
 /// Takes connections from stores and registries.
-pub async fn listen(listener: TcpListener, inputs: mpsc::Sender<Input>, counts: Arc<Counts>) {
+pub async fn listen(
+    listener: TcpListener,
+    identity: Arc<ProcessIdentity>,
+    inputs: mpsc::Sender<Input>,
+    counts: Arc<Counts>,
+) {
     let places = Arc::new(tokio::sync::Semaphore::new(OTHERS));
     for number in 0.. {
         let Ok(place) = places.clone().acquire_owned().await else { return };
@@ -154,9 +195,9 @@
                 continue;
             }
         };
-        let (inputs, counts) = (inputs.clone(), counts.clone());
+        let (identity, inputs, counts) = (identity.clone(), inputs.clone(), counts.clone());
         tokio::spawn(async move {
-            let ended = serve(stream, number, &inputs).await;
+            let ended = serve(stream, number, &identity, &inputs).await;
             if let Err(Broken::Unreadable(_) | Broken::TooLong(_)) = ended {
                 let so_far = counts.unreadable.fetch_add(1, Ordering::Relaxed) + 1;
                 log::warn!("a frame that is no message ended a connection; {so_far} so far");
@@ -168,9 +209,17 @@
 }
 
 /// Reads one connection to its end.
-async fn serve(stream: TcpStream, connection: u64, inputs: &mpsc::Sender<Input>) -> Result<(), Broken> {
+async fn serve(
+    stream: TcpStream,
+    connection: u64,
+    identity: &ProcessIdentity,
+    inputs: &mpsc::Sender<Input>,
+) -> Result<(), Broken> {
     tune(&stream)?;
-    let (mut from, into) = stream.into_split();
+    let (mut from, mut into) = stream.into_split();
+    let greeted = timeout(SILENCE, identity.receive(&mut from)).await;
+    greeted.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
+    identity.send(&mut into).await?;
     let mut writer = Some(into);
     let mut outbox: Option<Outbox> = None;
     let mut store = false;
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -6,6 +6,7 @@
 use crate::protocol::{DiskReport, DiskState, StoreReply, StoreRequest, ToStore};
 use emberpin_consensus::{Action, Call, Event, Message, Options, Replica};
 use emberpin_runtime::frames;
+use emberpin_runtime::preamble::ProcessIdentity;
 use emberpin_runtime::settings::Settings;
 use std::collections::BTreeMap;
 use std::io;
@@ -111,6 +112,7 @@
         tolerated: settings.tolerated_nodes,
         seed: u64::from_be_bytes(seed),
     };
+    let identity = Arc::new(ProcessIdentity::new(u64::from_be_bytes(seed)));
     let mut actions = Vec::new();
     let replica = Replica::new(0, options, kept, &mut actions);
     let (disk, mut disk_events) = DiskQueue::start(disk, folder, settings.ip, settings.disk_mb > 0)?;
@@ -119,7 +121,8 @@
         settings,
         replica,
         disk,
-        links: Links::new(settings.store_port()),
+        links: Links::new(settings.store_port(), identity.clone()),
+        identity: identity.clone(),
         registries: BTreeMap::new(),
         calls: BTreeMap::new(),
         next_call: 0,
@@ -132,7 +135,7 @@
     };
     host.act(actions);
     let (inputs, mut waiting) = mpsc::channel(WAITING);
-    tokio::spawn(listen(listener, inputs, Arc::<Counts>::default()));
+    tokio::spawn(listen(listener, identity, inputs, Arc::<Counts>::default()));
     loop {
         tokio::select! {
             biased;
@@ -191,6 +194,7 @@
     replica: Replica,
     disk: DiskQueue,
     links: Links,
+    identity: Arc<ProcessIdentity>,
     registries: BTreeMap<u64, Registry>,
     /// Which connection a call came on, and its number there.
     calls: BTreeMap<u64, (u64, u64)>,
@@ -371,7 +375,8 @@
     fn status_reply(&self) -> StoreReply {
         let Status { settled, voters, disk } = self.status.clone();
         let size = self.settings.disk_mb << 20;
-        StoreReply::Status { settled, voters, disk: DiskReport { state: disk, used: self.disk.used(), size } }
+        let disk = DiskReport { state: disk, used: self.disk.used(), size };
+        StoreReply::Status { settled, voters, disk, refused: self.identity.refused() }
     }
 
     /// Tells followers how the store stands, when it is due and when it changes.
--- a/crates/emberpin-store/src/protocol.rs
+++ b/crates/emberpin-store/src/protocol.rs
@@ -72,6 +72,8 @@
         voters: Vec<Ipv4Addr>,
         /// Its disk.
         disk: DiskReport,
+        /// Peers of another version or system that it has refused since its start.
+        refused: u64,
     },
 }
 
--- a/crates/emberpin-store/tests/processes.rs
+++ b/crates/emberpin-store/tests/processes.rs
@@ -3,6 +3,7 @@
 
 use emberpin_config::{Item, Kind};
 use emberpin_runtime::frames;
+use emberpin_runtime::preamble::ProcessIdentity;
 use emberpin_store::protocol::{DiskState, StoreReply, StoreRequest, ToStore};
 use googletest::prelude::*;
 use std::net::{Ipv4Addr, TcpListener};
@@ -122,6 +123,19 @@
 
     /// A connection, as soon as the store takes one.
     async fn connect(&self) -> TcpStream {
+        let until = Instant::now() + LONG;
+        loop {
+            let mut stream = self.connect_without_preamble().await;
+            let (mut from, mut to) = stream.split();
+            // One that was about to end may have taken the connection.
+            if ProcessIdentity::new(1).greet(&mut from, &mut to).await.is_ok() {
+                return stream;
+            }
+            assert!(Instant::now() < until, "{} is not greeted", self.ip);
+        }
+    }
+
+    async fn connect_without_preamble(&self) -> TcpStream {
         let until = Instant::now() + LONG;
         loop {
             if let Ok(stream) = TcpStream::connect((self.ip, self.port)).await {
@@ -547,6 +561,35 @@
     });
 }
 
+#[gtest]
+fn frames_of_the_build_before_are_refused_and_counted() {
+    run(async {
+        let mut machine = alone(15);
+        machine.start(true);
+        let recorded = include_str!("../../emberpin-runtime/tests/fixtures/protocol-1.txt");
+        let frames = recorded.lines().filter_map(|line| line.strip_prefix("to-store "));
+        let mut refused = 0;
+        for hex in frames {
+            let digits = (0..hex.len()).step_by(2);
+            let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("two digits");
+            let bytes: Vec<u8> = digits.map(byte).collect();
+            let mut stream = machine.connect_without_preamble().await;
+            stream.write_all(&bytes).await.expect("a connection");
+            let ended = timeout(LONG, stream.read(&mut [0; 1])).await.expect("an end in time");
+            expect_that!(ended.unwrap_or(0), eq(0));
+            refused += 1;
+        }
+        expect_that!(refused, eq(17));
+        expect_that!(machine.patch(&service("a", 1)).await, eq(200));
+        expect_that!(machine.get().await, not(contains_substring("\"b\"")));
+        let told = |told| match told {
+            StoreReply::Status { refused, .. } => Some(refused),
+            _ => None,
+        };
+        expect_that!(machine.follow(told).await, eq(refused));
+    });
+}
+
 #[gtest]
 fn another_machines_disk_is_refused() {
     let mut machines = machines(4, 2);
