--- a/crates/emberpin-consensus/src/acceptor.rs
+++ b/crates/emberpin-consensus/src/acceptor.rs
@@ -84,6 +84,8 @@
     pub pacing: bool,
     /// Promises that their voters made before they lost their disks don't count.
     pub incarnations: bool,
+    /// After a disk failed, nothing that was owed is said, and all of memory is synced before a vote.
+    pub restore: bool,
 }
 
 impl Guards {
@@ -121,6 +123,7 @@
             bounds: Bounds::default(),
             pacing: true,
             incarnations: true,
+            restore: true,
         }
     }
 }
--- a/crates/emberpin-registry/src/host.rs
+++ b/crates/emberpin-registry/src/host.rs
@@ -5,10 +5,13 @@
 use emberpin_membership::instance::Instance;
 use emberpin_membership::registry::{Action, Answer, Event, Limits, Registry};
 use emberpin_runtime::frames;
+use emberpin_runtime::preamble::ProcessIdentity;
+use emberpin_store::protocol::DiskReport;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::Ipv4Addr;
 use std::sync::atomic::Ordering;
+use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
@@ -35,6 +38,8 @@
     },
     /// The operator asks how the registry stands.
     Status {
+        /// The disk of the store on this machine, if that told.
+        disk: Option<DiskReport>,
         /// Where the answer goes.
         answer: oneshot::Sender<String>,
     },
@@ -85,6 +90,8 @@
     pub name: String,
     /// The port of all registries.
     pub port: u16,
+    /// What it says first to other processes.
+    pub process: Arc<ProcessIdentity>,
 }
 
 /// A connection to another registry.
@@ -162,9 +169,15 @@
                 let call = self.owe(answer);
                 self.handle(Event::Leave { call, id });
             }
-            Command::Status { answer } => {
+            Command::Status { disk, answer } => {
                 let unreadable = links::UNREADABLE.load(Ordering::Relaxed);
-                _ = answer.send(body::status(&self.registry, &self.identity.name, unreadable, self.now()));
+                let about = body::About {
+                    name: &self.identity.name,
+                    unreadable,
+                    refused: self.identity.process.refused(),
+                    disk,
+                };
+                _ = answer.send(body::status(&self.registry, &about, self.now()));
             }
             Command::Session { session, out } => _ = self.sessions.insert(session, out),
             Command::Incoming { peer, out } => _ = self.incoming.insert(peer, out),
@@ -208,8 +221,13 @@
                 }
             }
             Action::Call { peer } => {
-                let task =
-                    tokio::spawn(links::call(self.me, peer, self.identity.port, self.commands.clone()));
+                let task = tokio::spawn(links::call(
+                    self.identity.process.clone(),
+                    self.me,
+                    peer,
+                    self.identity.port,
+                    self.commands.clone(),
+                ));
                 self.links.insert(peer, Link { task, out: None });
             }
             Action::Drop { peer } => {
--- a/crates/emberpin-registry/src/store.rs
+++ b/crates/emberpin-registry/src/store.rs
@@ -7,7 +7,8 @@
 use bytes::Bytes;
 use emberpin_membership::registry::Event;
 use emberpin_runtime::frames::{self, Broken};
-use emberpin_store::protocol::{StoreReply, StoreRequest, ToStore};
+use emberpin_runtime::preamble::ProcessIdentity;
+use emberpin_store::protocol::{DiskReport, DiskState, StoreReply, StoreRequest, ToStore};
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -25,6 +26,10 @@
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
 /// A call goes to another store if this one cannot be reached so soon.
 const CONNECT: Duration = Duration::from_millis(300);
+/// A store that refuses a call so soon has begun nothing for it: the next one is asked.
+const REFUSED_AT_ONCE: Duration = Duration::from_millis(300);
+/// The status of a call that may be sent again.
+const UNAVAILABLE: u16 = 503;
 /// Questions that wait on one connection.
 const WAITING: usize = 64;
 
@@ -48,12 +53,15 @@
 
 /// The stores.
 pub struct Stores {
+    identity: Arc<ProcessIdentity>,
     me: Ipv4Addr,
     port: u16,
     seeds: Vec<Ipv4Addr>,
     voters: Mutex<Vec<Ipv4Addr>>,
     /// When the store on this machine said something.
     local: Mutex<Instant>,
+    /// The disk of the store on this machine, once that told.
+    disk: Mutex<Option<DiskReport>>,
     passing: Mutex<HashMap<Ipv4Addr, Passing>>,
     ids: AtomicU64,
 }
@@ -65,18 +73,25 @@
 
 impl Stores {
     /// Those on these machines, at this port.
-    pub fn new(me: Ipv4Addr, port: u16, seeds: Vec<Ipv4Addr>) -> Stores {
+    pub fn new(identity: Arc<ProcessIdentity>, me: Ipv4Addr, port: u16, seeds: Vec<Ipv4Addr>) -> Stores {
         Stores {
+            identity,
             me,
             port,
             seeds,
             voters: Mutex::default(),
             local: Mutex::new(Instant::now()),
+            disk: Mutex::default(),
             passing: Mutex::default(),
             ids: AtomicU64::new(0),
         }
     }
 
+    /// The disk of the store on this machine, as it last told.
+    pub fn disk(&self) -> Option<DiskReport> {
+        *locked(&self.disk)
+    }
+
     /// Follows the stores for as long as the process runs.
     pub fn follow(self: &Arc<Stores>, commands: &Commands) {
         tokio::spawn(self.clone().follow_local(commands.clone()));
@@ -114,8 +129,11 @@
         let follow = async {
             let stream = net::connect(store, self.port).await?;
             let (from, mut to) = stream.into_split();
+            self.identity.send(&mut to).await?;
             frames::write(&mut to, &ToStore::StoreRequest(StoreRequest::Follow)).await?;
             let mut from = BufReader::new(from);
+            let greeted = timeout(SILENCE, self.identity.receive(&mut from)).await;
+            greeted.map_err(std::io::Error::from)??;
             loop {
                 let told = timeout(SILENCE, frames::read::<StoreReply>(&mut from)).await;
                 let told = told.map_err(std::io::Error::from)??;
@@ -124,7 +142,10 @@
                 }
                 let event = match told {
                     StoreReply::Items { items } => Event::Items(items),
-                    StoreReply::Status { settled, voters } => {
+                    StoreReply::Status { settled, voters, disk, .. } => {
+                        if store == self.me {
+                            *locked(&self.disk) = Some(disk);
+                        }
                         locked(&self.voters).clone_from(&voters);
                         Event::Status { settled, voters }
                     }
@@ -158,21 +179,30 @@
         let tries = async {
             // One that breaks off may have taken the call; calls may come again, so another one is asked.
             let mut stores: Vec<Ipv4Addr> = std::iter::once(self.me).chain(self.others()).collect();
-            if locked(&self.local).elapsed() >= ALONE && stores.len() > 1 {
-                // The one here may take the call and never answer it.
+            if self.local_takes_no_calls() && stores.len() > 1 {
+                // The one here may take the call and never answer it, or would refuse it.
                 stores.rotate_left(1);
             }
+            let mut refused = None;
             for store in stores {
                 let id = self.ids.fetch_add(1, Ordering::Relaxed);
-                if let Some(answered) = self.ask(store, id, ask(id)).await {
+                let asked = Instant::now();
+                let Some(answered) = self.ask(store, id, ask(id)).await else { continue };
+                if answered.status != UNAVAILABLE || asked.elapsed() > REFUSED_AT_ONCE {
                     return Some(answered);
                 }
+                refused = Some(answered);
             }
-            None
+            refused
         };
         timeout(within, tries).await.ok().flatten()
     }
 
+    fn local_takes_no_calls(&self) -> bool {
+        let unusable = |disk: DiskReport| matches!(disk.state, DiskState::Full | DiskState::Stalled);
+        locked(&self.local).elapsed() >= ALONE || self.disk().is_some_and(unusable)
+    }
+
     async fn ask(self: &Arc<Stores>, store: Ipv4Addr, id: u64, ask: StoreRequest) -> Option<Answered> {
         let frame = frames::frame(&ToStore::StoreRequest(ask)).ok()?;
         let passing = self.passing(store).await?;
@@ -198,16 +228,19 @@
         let passing = Passing { out, waiting: Waiting::default() };
         locked(&self.passing).insert(store, passing.clone());
         let waiting = passing.waiting.clone();
+        let identity = self.identity.clone();
         tokio::spawn(async move {
             let (from, mut to) = stream.into_split();
             let mut from = BufReader::new(from);
             let writes = async {
+                identity.send(&mut to).await?;
                 while let Some(frame) = frames_out.recv().await {
                     to.write_all(&frame).await?;
                 }
                 Ok::<(), Broken>(())
             };
             let reads = async {
+                identity.receive(&mut from).await?;
                 loop {
                     if let StoreReply::Answer { id, status, body } =
                         frames::read::<StoreReply>(&mut from).await?
