--- a/crates/emberpin-consensus/src/lib.rs
+++ b/crates/emberpin-consensus/src/lib.rs
@@ -18,5 +18,5 @@
 pub use acceptor::{Guards, Kept, Write};
 pub use call::Call;
 pub use message::{Ballot, Message, Pending};
-pub use replica::{Action, Event, Options, Replica};
+pub use replica::{Action, Event, Options, Replica, EXCHANGE};
 pub use state::State;
--- a/crates/emberpin-consensus/src/replica.rs
+++ b/crates/emberpin-consensus/src/replica.rs
@@ -29,8 +29,8 @@
 const MORE: u64 = 300;
 /// A round that one voter refused gives way after so long: the others may be a majority, or may be gone.
 const REFUSED: u64 = 150;
-/// How often stores compare what they hold.
-const EXCHANGE: u64 = 500;
+/// How often stores compare what they hold, in milliseconds.
+pub const EXCHANGE: u64 = 500;
 /// What is accepted and not chosen after so long is finished by whoever holds it.
 const OPEN: u64 = 300;
 /// A comparison counts for so long.
@@ -162,15 +162,20 @@
 
     /// Whether what it knows is no older than what a majority of the voters had a second ago.
     pub fn settled(&self, now: u64) -> bool {
+        self.confirmed_age(now).is_some_and(|age| age <= FRESH)
+    }
+
+    /// So many milliseconds ago it began to compare itself with a majority of the voters, and it holds all that they
+    /// held then; `None`, if it never did.
+    pub fn confirmed_age(&self, now: u64) -> Option<u64> {
         let voters = self.voters();
-        let fresh = |voter: &&Ipv4Addr| match **voter == self.options.me {
-            true => self.acceptor.voting,
-            false => {
-                let compared = self.peers.get(voter).and_then(|peer| peer.compared);
-                compared.is_some_and(|at| now.saturating_sub(at) <= FRESH)
-            }
+        let age = |voter: &Ipv4Addr| match *voter == self.options.me {
+            true => self.acceptor.voting.then_some(0),
+            false => self.peers.get(voter)?.compared.map(|at| now.saturating_sub(at)),
         };
-        !voters.is_empty() && voters.iter().filter(fresh).count() >= majority(&voters)
+        let mut ages: Vec<u64> = voters.iter().filter_map(age).collect();
+        ages.sort_unstable();
+        ages.get(majority(&voters).checked_sub(1)?).copied()
     }
 
     /// Whether a store that was told to leave has nothing left to wait for: it has no place on the roster,
--- a/crates/emberpin-membership/src/guards.rs
+++ b/crates/emberpin-membership/src/guards.rs
@@ -15,6 +15,8 @@
     pub displace: bool,
     /// A place that is not known means a snapshot.
     pub place: bool,
+    /// An answer renews a lease from the time of its question, not from its arrival.
+    pub lease: bool,
     /// The servers of a zone that was taken back are cold.
     pub returned: bool,
 }
@@ -28,6 +30,7 @@
             repair: true,
             displace: true,
             place: true,
+            lease: true,
             returned: true,
         }
     }
--- a/crates/emberpin-membership/src/peers.rs
+++ b/crates/emberpin-membership/src/peers.rs
@@ -52,9 +52,16 @@
     Pulse {
         /// The sender is settled.
         settled: bool,
+        /// The nonce of a question; a [`RegistryMessage::Alive`] with it is owed.
+        question: u64,
         /// Of the instances that it owns; see [`crate::instances::Instances::digest`].
         digest: u64,
     },
+    /// Answers a pulse: all that the sender had to tell before has come on this connection.
+    Alive {
+        /// The pulse's.
+        question: u64,
+    },
     /// The digest of the receiver's pulse is not the one that the sender finds.
     Want,
     /// All instances that the sender owns, after [`RegistryMessage::Want`].
--- a/crates/emberpin-membership/src/registry.rs
+++ b/crates/emberpin-membership/src/registry.rs
@@ -16,28 +16,24 @@
 use crate::guards::Guards;
 use crate::instance::Status;
 use crate::instances::{Instances, Row};
+use crate::lease::Lease;
 use crate::peers::Limiter;
 use crate::session::Revision;
+use crate::timing::{BATCH, PEER_QUESTION, REGISTRY_LEASE};
 use emberpin_config::{Item, Key};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
 /// What pulses and digests are sent in.
-const PULSE_MS: u64 = 500;
-/// Somebody was heard, if not longer ago.
-const CONTACT_MS: u64 = 1_200;
+const PULSE_MS: u64 = PEER_QUESTION;
 /// A session that is silent for longer ends.
 const SILENCE_MS: u64 = 2_000;
-/// Changes that come together are told together.
-const BATCH_MS: u64 = 5;
 /// A drain waits so long for all registries that can be reached: each that has it tells its limiters.
 const ALL_MS: u64 = 150;
 /// And so long for a majority of them: the server calls the next one after a second of silence.
 const MAJORITY_MS: u64 = 600;
-/// A process that does not run for so long has missed what was said meanwhile.
+/// A process that does not run for so long has missed what was said meanwhile; leases run out by themselves.
 const STILL_MS: u64 = 1_000;
-/// What was said meanwhile waits in its sockets, and is no sign that anybody is there now.
-const DEAF_MS: u64 = 300;
 /// Limiters count for so long after their last session ended: they go on sending.
 const COUNTED_MS: u64 = 30_000;
 /// So many registries beside those of the voters are spoken to: newcomers. They are dropped after a silence.
@@ -51,8 +47,8 @@
 struct Peer {
     zone: String,
     settled: bool,
-    /// It said something; none since it was called, or since this process stood still.
-    heard: Option<u64>,
+    /// That it is there, and has told all that it had to tell.
+    lease: Lease,
     /// Something came from it, ever; a newcomer that says nothing is dropped.
     since: u64,
     open: bool,
@@ -62,7 +58,7 @@
 
 impl Peer {
     fn in_contact(&self, now: u64) -> bool {
-        self.heard.is_some_and(|heard| now.saturating_sub(heard) <= CONTACT_MS)
+        self.lease.holds(now, REGISTRY_LEASE)
     }
 }
 
@@ -70,7 +66,7 @@
 #[derive(Clone, Debug)]
 struct Session {
     limiter: Limiter,
-    at: Revision,
+    at: Option<Revision>,
     heard: u64,
 }
 
@@ -107,8 +103,9 @@
     taken_back: BTreeMap<String, u64>,
     change_log: ChangeLog,
     voters: Vec<Ipv4Addr>,
-    /// When a store said that it was settled.
-    store_settled: Option<u64>,
+    /// That a store compared itself with a majority, and told all that it knew then.
+    store: Lease,
+    ask_store_at: u64,
     /// Without a break.
     settled_since: Option<u64>,
     peers: BTreeMap<Ipv4Addr, Peer>,
@@ -120,7 +117,6 @@
     asks: u64,
     started: u64,
     last: u64,
-    deaf_until: u64,
     pulse_at: u64,
     flush_at: Option<u64>,
     guards: Guards,
@@ -136,7 +132,8 @@
             warmups: BTreeMap::new(),
             taken_back: BTreeMap::new(),
             voters: Vec::new(),
-            store_settled: None,
+            store: Lease::default(),
+            ask_store_at: now,
             settled_since: None,
             peers: BTreeMap::new(),
             sessions: BTreeMap::new(),
@@ -146,7 +143,6 @@
             asks: 0,
             started: now,
             last: now,
-            deaf_until: 0,
             pulse_at: now,
             flush_at: None,
             guards: Guards::default(),
@@ -168,7 +164,7 @@
             let waited = self.last.saturating_sub(pending.since);
             pending.since + if waited < ALL_MS { ALL_MS } else { MAJORITY_MS }
         });
-        pending.chain(self.flush_at).fold(self.pulse_at, u64::min)
+        pending.chain(self.flush_at).fold(self.pulse_at.min(self.ask_store_at), u64::min)
     }
 
     /// Takes what has come.
@@ -178,7 +174,8 @@
             Event::Heartbeat { call, instance } => self.heartbeat(now, call, instance, actions),
             Event::Leave { call, id } => self.leave(now, call, id, actions),
             Event::Items(items) => self.news(now, items, actions),
-            Event::Status { settled, voters } => self.status(now, settled, voters, actions),
+            Event::Voters(voters) => self.voters_told(now, voters, actions),
+            Event::StoreConfirmed { question, age } => self.store_confirmed(now, question, age),
             Event::Reached { peer, open } => self.reached(now, peer, open, actions),
             Event::Peer { peer, said } => self.peer(now, peer, said, actions),
             Event::Acked { peer, ack } => {
@@ -194,6 +191,7 @@
         if !self.pending.is_empty() {
             self.settle_pending(now, actions);
         }
+        self.ask_store(now, actions);
         if now >= self.pulse_at {
             self.pulse_at = now + PULSE_MS;
             self.beat(now, actions);
@@ -205,11 +203,8 @@
     /// it.
     fn wake(&mut self, now: u64) {
         if now.saturating_sub(self.last) >= STILL_MS {
-            self.store_settled = None;
-            self.peers.values_mut().for_each(|peer| peer.heard = None);
             self.sessions.values_mut().for_each(|session| session.heard = now);
             self.settled_since = None;
-            self.deaf_until = now + DEAF_MS;
         }
         self.last = now;
     }
@@ -235,14 +230,33 @@
 
     /// A majority of the registries is heard.
     pub fn is_connected(&self, now: u64) -> bool {
-        self.majority(|peer| self.peers.get(peer).is_some_and(|peer| peer.in_contact(now)))
+        self.contact_age(now).is_some_and(|age| age <= REGISTRY_LEASE)
     }
 
-    /// What this registry tells is no older than a second or so: its store, and a majority of the registries,
-    /// are heard.
+    /// So long ago a majority of the registries had told all that they had to tell.
+    fn contact_age(&self, now: u64) -> Option<u64> {
+        let registries = self.registries();
+        let age = |peer: &Ipv4Addr| match *peer == self.limits.me {
+            true => Some(0),
+            false => self.peers.get(peer).and_then(|peer| peer.lease.age(now)),
+        };
+        let mut ages: Vec<u64> = registries.iter().filter_map(age).collect();
+        ages.sort_unstable();
+        ages.get(registries.len() / 2).copied()
+    }
+
+    /// What this registry tells is no older than this: all that a majority of stores and of registries had by then has
+    /// been told. `None`: it can confirm nothing, or nothing young enough.
+    pub fn confirmed_age(&self, now: u64) -> Option<u64> {
+        // Changes that wait to be told together were noted since then.
+        let untold = self.flush_at.map_or(0, |at| now.saturating_sub(at.saturating_sub(BATCH)));
+        let age = self.store.age(now)?.max(self.contact_age(now)?).max(untold);
+        (age <= REGISTRY_LEASE).then_some(age)
+    }
+
+    /// It hears a majority: what it tells is confirmed.
     pub fn is_settled(&self, now: u64) -> bool {
-        let store = self.store_settled.is_some_and(|at| now.saturating_sub(at) <= CONTACT_MS);
-        store && self.is_connected(now)
+        self.confirmed_age(now).is_some()
     }
 
     /// It has been there and settled for long enough to have heard of every server.
@@ -265,7 +279,8 @@
 
     /// When an instance was heard last: here, or by a registry that is heard itself.
     pub fn heard_life(&self, row: &Row) -> u64 {
-        let owner = row.owner.and_then(|owner| self.peers.get(&owner)).and_then(|peer| peer.heard);
+        let owner = row.owner.and_then(|owner| self.peers.get(&owner));
+        let owner = owner.and_then(|peer| peer.lease.confirmed_from());
         row.heard.max(owner.unwrap_or(0))
     }
 
@@ -285,7 +300,7 @@
         let now = self.change_log.at();
         self.sessions.values().map(move |session| Behind {
             limiter: session.limiter.clone(),
-            behind: now.number.saturating_sub(session.at.number),
+            behind: now.number.saturating_sub(session.at.map_or(0, |at| at.number)),
         })
     }
 }
--- a/crates/emberpin-membership/src/registry/configuration.rs
+++ b/crates/emberpin-membership/src/registry/configuration.rs
@@ -3,6 +3,7 @@
 use super::{Action, Registry, WARMUP_MS};
 use crate::change_log::Change;
 use crate::instances::Row;
+use crate::timing::STORE_QUESTION;
 use emberpin_config::{Item, Kind};
 use std::collections::btree_map::Entry;
 use std::net::Ipv4Addr;
@@ -61,17 +62,7 @@
         presumed
     }
 
-    pub(super) fn status(
-        &mut self,
-        now: u64,
-        settled: bool,
-        voters: Vec<Ipv4Addr>,
-        actions: &mut Vec<Action>,
-    ) {
-        if now < self.deaf_until {
-            return;
-        }
-        self.store_settled = settled.then_some(now);
+    pub(super) fn voters_told(&mut self, now: u64, voters: Vec<Ipv4Addr>, actions: &mut Vec<Action>) {
         if !voters.is_empty() && voters != self.voters {
             self.voters = voters;
             self.meet(now, actions);
@@ -79,6 +70,23 @@
     }
 }
 
+impl Registry {
+    /// Asks the store how old what it tells is, whenever that is due.
+    pub(super) fn ask_store(&mut self, now: u64, actions: &mut Vec<Action>) {
+        if now >= self.ask_store_at {
+            self.ask_store_at = now + STORE_QUESTION;
+            actions.push(Action::AskStore { question: self.store.ask(now) });
+        }
+    }
+
+    pub(super) fn store_confirmed(&mut self, now: u64, question: u64, age: Option<u64>) {
+        match self.guards.lease {
+            true => self.store.answer(question, age),
+            false => self.store.answer_on_arrival(now, age),
+        }
+    }
+}
+
 /// The `warmup` of a service's item.
 pub(super) fn warmup_ms(body: &str) -> Option<u64> {
     let item = jzon::parse(body).ok()?;
--- a/crates/emberpin-membership/src/registry/events.rs
+++ b/crates/emberpin-membership/src/registry/events.rs
@@ -40,12 +40,14 @@
     },
     /// Items from a store.
     Items(Vec<Item>),
-    /// How a store stands.
-    Status {
-        /// It is settled.
-        settled: bool,
-        /// Its voters.
-        voters: Vec<Ipv4Addr>,
+    /// The machines whose stores vote, as a store says.
+    Voters(Vec<Ipv4Addr>),
+    /// A store's answer to [`Action::AskStore`], behind all items that it told before.
+    StoreConfirmed {
+        /// Which question.
+        question: u64,
+        /// See [`crate::lease::Lease::answer`].
+        age: Option<u64>,
     },
     /// This registry's connection to another one is open, or not any more.
     Reached {
@@ -137,6 +139,11 @@
         /// What.
         told: ToLimiter,
     },
+    /// Ask the store that is followed how old what it tells is; [`Event::StoreConfirmed`] is owed.
+    AskStore {
+        /// The question's nonce.
+        question: u64,
+    },
     /// End a session.
     Close {
         /// Which.
--- a/crates/emberpin-membership/src/registry/peers.rs
+++ b/crates/emberpin-membership/src/registry/peers.rs
@@ -2,7 +2,6 @@
 
 use super::{Action, Peer, Registry, NEWCOMERS, NEWCOMER_MS, PULSE_MS, SILENCE_MS};
 use crate::peers::{Ack, InstanceRecord, RegistryMessage};
-use crate::session::ToLimiter;
 use std::collections::btree_map::Entry;
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
@@ -18,7 +17,7 @@
             }
         }
         self.peers.retain(|ip, peer| {
-            let heard = peer.heard.unwrap_or(0).max(peer.since);
+            let heard = peer.lease.confirmed_from().unwrap_or(0).max(peer.since);
             let stays = registries.contains(ip) || now.saturating_sub(heard) < NEWCOMER_MS;
             if !stays {
                 actions.push(Action::Drop { peer: *ip });
@@ -49,6 +48,7 @@
                 pending.waits_for.insert(ip);
             }
         }
+        self.pulse_to(now, ip, actions);
     }
 
     pub(super) fn peer(&mut self, now: u64, ip: Ipv4Addr, said: RegistryMessage, actions: &mut Vec<Action>) {
@@ -62,14 +62,11 @@
             self.peers.insert(ip, Peer { since: now, ..Peer::default() });
             actions.push(Action::Call { peer: ip });
         }
-        let deaf = now < self.deaf_until;
         let Some(peer) = self.peers.get_mut(&ip) else { return };
-        if !deaf {
-            peer.heard = Some(now);
-        }
         match said {
             RegistryMessage::Hello { zone, settled, instances, limiters } => {
                 (peer.zone, peer.settled, peer.limiters) = (zone, settled, limiters);
+                self.count_limiters(now);
                 self.merge(now, ip, instances, false, actions);
             }
             RegistryMessage::Changed { ask, instances } => {
@@ -78,8 +75,13 @@
                     actions.push(Action::Ack { to: ip, ack: Ack { ask } });
                 }
             }
-            RegistryMessage::Pulse { settled, digest } => {
+            RegistryMessage::Alive { question } => match self.guards.lease {
+                true => peer.lease.answer(question, Some(0)),
+                false => peer.lease.answer_on_arrival(now, Some(0)),
+            },
+            RegistryMessage::Pulse { settled, digest, question } => {
                 peer.settled = settled;
+                actions.push(Action::Say { to: vec![ip], said: RegistryMessage::Alive { question } });
                 // Asked once in a while: what the sender says meanwhile is on its way.
                 if self.instances.digest(ip) != digest && now.saturating_sub(peer.wanted) >= PULSE_MS {
                     peer.wanted = now;
@@ -99,7 +101,10 @@
                 }
                 self.merge(now, ip, instances, false, actions);
             }
-            RegistryMessage::Sessions { limiters } => peer.limiters = limiters,
+            RegistryMessage::Sessions { limiters } => {
+                peer.limiters = limiters;
+                self.count_limiters(now);
+            }
         }
     }
 
@@ -143,8 +148,7 @@
         self.instances.forget(now);
         let to = self.open();
         if !to.is_empty() {
-            let digest = self.instances.digest(self.limits.me);
-            actions.push(Action::Say { to: to.clone(), said: RegistryMessage::Pulse { settled, digest } });
+            to.iter().for_each(|peer| self.pulse_to(now, *peer, actions));
             if std::mem::take(&mut self.sessions_changed) {
                 let limiters = self.own_limiters();
                 actions.push(Action::Say { to, said: RegistryMessage::Sessions { limiters } });
@@ -160,12 +164,15 @@
             self.ended(session);
             actions.push(Action::Close { session });
         }
-        let limiters = self.count_limiters(now);
-        if !self.sessions.is_empty() {
-            let peers = self.peers.iter().filter(|(_, peer)| peer.in_contact(now)).map(|(ip, _)| *ip);
-            let registries = peers.chain([self.limits.me]).collect();
-            let told = ToLimiter::Pulse { settled, limiters, registries };
-            actions.push(Action::Tell { to: self.sessions.keys().copied().collect(), told });
-        }
+        self.count_limiters(now);
+    }
+
+    /// Says that this registry is there, and asks whether another one is.
+    pub(super) fn pulse_to(&mut self, now: u64, ip: Ipv4Addr, actions: &mut Vec<Action>) {
+        let (settled, digest) = (self.is_settled(now), self.instances.digest(self.limits.me));
+        let Some(peer) = self.peers.get_mut(&ip) else { return };
+        let question = peer.lease.ask(now);
+        let said = RegistryMessage::Pulse { settled, digest, question };
+        actions.push(Action::Say { to: vec![ip], said });
     }
 }
--- a/crates/emberpin-membership/src/registry/sessions.rs
+++ b/crates/emberpin-membership/src/registry/sessions.rs
@@ -1,11 +1,13 @@
 //! Sessions of limiters: snapshots, changes, and repair from what limiters know.
 
-use super::{Action, Registry, Session, BATCH_MS, COUNTED_MS};
+use super::{Action, Peer, Registry, Session, COUNTED_MS};
 use crate::change_log::Change;
 use crate::instance::{Instance, Status};
 use crate::peers::{InstanceRecord, Limiter};
 use crate::session::{FromLimiter, Revision, ToLimiter};
+use crate::timing::BATCH;
 use std::collections::BTreeSet;
+use std::net::Ipv4Addr;
 
 impl Registry {
     pub(super) fn own_limiters(&self) -> Vec<Limiter> {
@@ -13,7 +15,7 @@
     }
 
     /// Too many do no harm; with too few, what is shared among all would be spent twice.
-    pub(super) fn count_limiters(&mut self, now: u64) -> u32 {
+    pub(super) fn count_limiters(&mut self, now: u64) {
         let peers = self.peers.values().filter(|peer| peer.in_contact(now));
         let theirs = peers.flat_map(|peer| &peer.limiters).map(|limiter| &limiter.name);
         let own = self.sessions.values().map(|session| &session.limiter.name);
@@ -24,7 +26,6 @@
             }
         }
         self.limiters.retain(|_, at| now.saturating_sub(*at) < COUNTED_MS);
-        u32::try_from(self.limiters.len()).unwrap_or(u32::MAX)
     }
 
     pub(super) fn limiter(&mut self, now: u64, session: u64, said: FromLimiter, actions: &mut Vec<Action>) {
@@ -33,18 +34,33 @@
                 let instances = if self.guards.repair { instances } else { Vec::new() };
                 let corrects = self.repair(now, instances, actions);
                 self.say_at_place(now, session, from, corrects, actions);
-                let at = self.change_log.at();
+                let at = None;
+                self.limiters.insert(name.clone(), now);
                 let limiter = Limiter { incarnation, name, zone };
                 self.sessions.insert(session, Session { limiter, at, heard: now });
                 self.sessions_changed = true;
             }
-            FromLimiter::Pulse { at } => match self.sessions.get_mut(&session) {
-                Some(session) => (session.heard, session.at) = (now, at),
+            FromLimiter::Pulse { at, question } => match self.sessions.get_mut(&session) {
+                Some(known) => {
+                    (known.heard, known.at) = (now, at);
+                    let told = self.confirmation(now, question);
+                    actions.push(Action::Tell { to: vec![session], told });
+                }
                 None => actions.push(Action::Close { session }),
             },
         }
     }
 
+    /// Answers a limiter's pulse.
+    fn confirmation(&self, now: u64, question: u64) -> ToLimiter {
+        let age = self.confirmed_age(now);
+        // Whoever can confirm nothing names all that it ever knew: the limiter may know nobody else.
+        let named = |(ip, peer): (&Ipv4Addr, &Peer)| (age.is_none() || peer.in_contact(now)).then_some(*ip);
+        let limiters = u32::try_from(self.limiters.len()).unwrap_or(u32::MAX);
+        let registries = self.peers.iter().filter_map(named).chain([self.limits.me]).collect();
+        ToLimiter::Pulse { question, age, limiters, registries }
+    }
+
     /// A limiter keeps what it was told when registries lose it. What it has wrong is given back.
     pub(super) fn repair(
         &mut self,
@@ -143,7 +159,7 @@
 
     pub(super) fn note(&mut self, now: u64, change: Change) {
         self.change_log.note(change);
-        self.flush_at.get_or_insert(now + BATCH_MS);
+        self.flush_at.get_or_insert(now + BATCH);
     }
 
     pub(super) fn flush(&mut self, now: u64, actions: &mut Vec<Action>) {
--- a/crates/emberpin-membership/src/session.rs
+++ b/crates/emberpin-membership/src/session.rs
@@ -39,10 +39,12 @@
         /// The instances that it knows, told to a registry that knows less.
         instances: Vec<Instance>,
     },
-    /// Comes twice a second; the session ends after a silence.
+    /// Comes twice a second, and is answered by [`ToLimiter::Pulse`]; the session ends after a silence.
     Pulse {
-        /// Up to where all changes are in force here.
-        at: Revision,
+        /// Up to where all changes are in force here; `None` until all has been told.
+        at: Option<Revision>,
+        /// The nonce of the question how old what the registry tells is.
+        question: u64,
     },
 }
 
@@ -69,13 +71,16 @@
         /// Instances, also such as are gone.
         instances: Vec<Instance>,
     },
-    /// Comes twice a second; the session ends after a silence.
+    /// Answers [`FromLimiter::Pulse`].
     Pulse {
-        /// The registry and its store hear a majority of the others: what it told is no older than a second.
-        settled: bool,
+        /// The nonce of the question.
+        question: u64,
+        /// So many milliseconds ago a majority had nothing that has not been told by now; `None`: the registry can
+        /// confirm nothing, as it hears no majority.
+        age: Option<u64>,
         /// How many limiters have a session with any registry.
         limiters: u32,
-        /// The machines on which registries run.
+        /// The machines on which registries run; of a registry that can confirm nothing, those where some may run.
         registries: Vec<Ipv4Addr>,
     },
 }
--- a/crates/emberpin-membership/tests/common/mod.rs
+++ b/crates/emberpin-membership/tests/common/mod.rs
@@ -87,9 +87,12 @@
     wires: BTreeMap<(u8, u8), Wire>,
     cuts: BTreeSet<(u8, u8)>,
     calls: u64,
+    questions: u64,
     instances: u64,
-    /// Messages between registries.
+    /// Messages between registries, answers to pulses aside.
     pub said: u64,
+    /// Answers to pulses.
+    pub answered: u64,
     /// Connections that were wanted.
     pub called: u64,
 }
@@ -109,8 +112,10 @@
             wires: BTreeMap::new(),
             cuts: BTreeSet::new(),
             calls: 0,
+            questions: 0,
             instances: 0,
             said: 0,
+            answered: 0,
             called: 0,
         };
         for number in 1..=size {
@@ -214,7 +219,10 @@
             Action::Drop { peer } => _ = self.wires.remove(&(at, number(peer))),
             Action::Say { to, said } => {
                 for peer in to {
-                    self.said += 1;
+                    match said {
+                        RegistryMessage::Alive { .. } => self.answered += 1,
+                        _ => self.said += 1,
+                    }
                     if let Some(wire) = self.wires.get_mut(&(at, number(peer))).filter(|wire| wire.open) {
                         wire.there.push_back((self.now + DELAY, Message::RegistryMessage(said.clone())));
                     }
@@ -230,6 +238,12 @@
                     node.told.entry(session).or_default().push(told.clone());
                 }
             }
+            Action::AskStore { question } => {
+                if let Some(settled) = node.store {
+                    let age = settled.then_some(0);
+                    node.queue.push_back(Event::StoreConfirmed { question, age });
+                }
+            }
             Action::Close { session } => _ = node.closed.insert(session),
         }
     }
@@ -276,7 +290,8 @@
             let settled = self.nodes[&number].store;
             if self.now.is_multiple_of(500) {
                 if let Some(settled) = settled {
-                    self.event(number, Event::Status { settled, voters: self.voters.clone() });
+                    _ = settled;
+                    self.event(number, Event::Voters(self.voters.clone()));
                 }
             }
             self.work(number);
@@ -350,7 +365,8 @@
     }
 
     pub fn pulse(&mut self, at: u8, session: u64) {
-        let said = FromLimiter::Pulse { at: Revision { incarnation: 0, number: 0 } };
+        self.questions += 1;
+        let said = FromLimiter::Pulse { at: None, question: self.questions };
         self.event(at, Event::Limiter { session, said });
     }
 
@@ -367,10 +383,11 @@
         self.nodes.get_mut(&at).and_then(|node| node.told.remove(&session)).unwrap_or_default()
     }
 
-    /// Whether the last pulse in a session said that the registry is settled.
+    /// Whether the registry says to a session, when asked now, that it is settled.
     pub fn last_settled(&mut self, at: u8, session: u64) -> Option<bool> {
+        self.pulse(at, session);
         self.told(at, session).iter().rev().find_map(|told| match told {
-            ToLimiter::Pulse { settled, .. } => Some(*settled),
+            ToLimiter::Pulse { age, .. } => Some(age.is_some()),
             _ => None,
         })
     }
--- a/crates/emberpin-membership/tests/registry.rs
+++ b/crates/emberpin-membership/tests/registry.rs
@@ -178,10 +178,11 @@
     world.hello(1, 9, None, vec![]);
     world.run_with(1, 9, 3_000);
     _ = world.told(1, 9);
-    let said = world.said;
+    let (said, answered) = (world.said, world.answered);
     world.run_with(1, 9, 10_000);
-    // Six connections, two pulses a second.
+    // Six connections, two pulses a second, and an answer to each.
     verify_that!(world.said - said, le(6 * 2 * 10))?;
+    verify_that!(world.answered - answered, le(6 * 2 * 10))?;
     verify_that!(world.told(1, 9).iter().all(|told| matches!(told, ToLimiter::Pulse { .. })), eq(true))
 }
 
@@ -476,7 +477,7 @@
 }
 
 fn says_settled(told: &ToLimiter) -> bool {
-    matches!(told, ToLimiter::Pulse { settled: true, .. })
+    matches!(told, ToLimiter::Pulse { age: Some(_), .. })
 }
 
 #[gtest]
--- a/crates/emberpin-proxy/src/controller.rs
+++ b/crates/emberpin-proxy/src/controller.rs
@@ -94,6 +94,8 @@
     Gone(RequestId),
     /// A registry has told something, in this session.
     News { session: usize, message: ToLimiter },
+    /// What a session told is confirmed; so many limiters have sessions.
+    Confirmed { session: usize, limiters: u32 },
     /// A session begins; `resumed`: with a place of an earlier one with the same registry.
     Begun { session: usize, resumed: bool },
     /// A session has ended.
@@ -241,6 +243,7 @@
                 self.forget(request);
             }
             Command::News { session, message } => self.hear(session, message),
+            Command::Confirmed { session, limiters } => self.confirmed(session, limiters),
             Command::Begun { session, resumed } => {
                 self.told.remove(&session);
                 self.resumed.remove(&session);
@@ -425,21 +428,22 @@
                     self.told.insert(session);
                 }
             }
-            ToLimiter::Pulse { settled, limiters, .. } => {
-                if !settled {
-                    return;
-                }
-                if limiters != self.limiters {
-                    self.limiters = limiters;
-                    self.services.values_mut().for_each(|service| service.shared_by(limiters));
-                }
-                self.router.told(self.now(), limiters);
-                // Guards a new instance against serving what is older than a majority's word.
-                let knows = !self.configuration.is_empty() && !self.services.is_empty();
-                if self.told.contains(&session) && knows && !self.view.ready.replace(true) {
-                    log::info!("ready, with {} items", self.configuration.len());
-                }
-            }
+            // Is the session's own concern, which says what of it is confirmed.
+            ToLimiter::Pulse { .. } => {}
+        }
+    }
+
+    /// What a session has told is as young as it is to be.
+    fn confirmed(&mut self, session: usize, limiters: u32) {
+        if limiters != self.limiters {
+            self.limiters = limiters;
+            self.services.values_mut().for_each(|service| service.shared_by(limiters));
+        }
+        self.router.told(self.now(), limiters);
+        // Guards a new instance against serving what is older than a majority's word.
+        let knows = !self.configuration.is_empty() && !self.services.is_empty();
+        if self.told.contains(&session) && knows && !self.view.ready.replace(true) {
+            log::info!("ready, with {} items", self.configuration.len());
         }
     }
 
--- a/crates/emberpin-proxy/src/sessions.rs
+++ b/crates/emberpin-proxy/src/sessions.rs
@@ -1,15 +1,20 @@
 //! Sessions with two registries at a time: while one stands, this limiter is a member, and hears what changes.
 
 use crate::controller::{drawn, Command};
+use emberpin_membership::candidates::Candidates;
+use emberpin_membership::lease::SessionLease;
 use emberpin_membership::session::{First, FromLimiter, Revision, ToLimiter};
+use emberpin_membership::timing::{CONNECT, LOOK, PAUSE, PROXY_LEASE, PROXY_QUESTION};
 use emberpin_runtime::frames::{self, Broken};
 use emberpin_runtime::settings::Settings;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
+use std::convert::Infallible;
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 use std::time::Duration;
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
@@ -17,26 +22,17 @@
 
 /// Two, so that one of them may be in a minority of the core, or die, and news still comes in time.
 const SESSIONS: usize = 2;
-const CONNECT: Duration = Duration::from_millis(500);
-const PULSE: Duration = Duration::from_millis(500);
-/// A registry that says nothing for so long is left.
-const SILENCE: Duration = Duration::from_millis(1_300);
-/// And one that says that it hears no majority, once it has for so long.
-const UNSETTLED: Duration = Duration::from_millis(1_000);
 /// What is written and not taken for so long ends the connection.
 const UNTAKEN: Duration = Duration::from_millis(1_500);
-/// Pauses between tries grow from the first to the second.
-const PAUSE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(800));
 
 /// What the sessions share.
 pub struct Sessions {
     settings: RefCell<Settings>,
     commands: mpsc::Sender<Command>,
     incarnation: u64,
-    /// Registries that were told of, beside those of the settings.
-    registries: RefCell<BTreeSet<Ipv4Addr>>,
-    /// Those that a session is with, by session.
-    with: RefCell<BTreeMap<usize, Ipv4Addr>>,
+    /// When they were started.
+    begun: Instant,
+    candidates: RefCell<Candidates>,
     /// Up to where each registry's log was followed.
     places: RefCell<BTreeMap<Ipv4Addr, Revision>>,
     random: RefCell<oorandom::Rand32>,
@@ -50,8 +46,8 @@
         settings: RefCell::new(settings),
         commands,
         incarnation: drawn(),
-        registries: RefCell::default(),
-        with: RefCell::default(),
+        begun: Instant::now(),
+        candidates: RefCell::default(),
         places: RefCell::default(),
         random: RefCell::new(oorandom::Rand32::new(drawn())),
         stale: Cell::new(false),
@@ -70,36 +66,39 @@
 
     /// Keeps one session, with one registry after the other.
     async fn keep(self: Rc<Self>, number: usize) {
-        let mut pause = PAUSE.0;
+        let (shortest, longest) = (Duration::from_millis(PAUSE.0), Duration::from_millis(PAUSE.1));
+        let mut pause = shortest;
         let mut last = None;
         loop {
-            let Some(registry) = self.choose(last) else {
-                sleep(PAUSE.0).await;
+            let Some(registry) = self.choose(number, last) else {
+                sleep(shortest).await;
                 self.stale.set(true);
                 continue;
             };
             last = Some(registry);
-            self.with.borrow_mut().insert(number, registry);
-            let begun = Instant::now();
-            let ended = self.session(number, registry).await;
-            self.with.borrow_mut().remove(&number);
+            let begun = self.now();
+            let lease = RefCell::new(SessionLease::new(begun));
+            let ended = self.session(number, registry, &lease).await;
+            let now = self.now();
+            let confirmed = lease.borrow().is_confirmed(now);
+            self.candidates.borrow_mut().ended(now, number, confirmed);
             if self.commands.send(Command::Lost { session: number }).await.is_err() {
                 return;
             }
             log::info!("session {number} with {registry} ended: {ended}");
-            if begun.elapsed() > SILENCE * 2 {
-                pause = PAUSE.0;
+            if now > begun + 2 * PROXY_LEASE {
+                pause = shortest;
             }
             // The file may have changed without a signal: whoever has no session reads it.
             self.stale.set(true);
             let part = self.random.borrow_mut().rand_float();
             sleep(pause.mul_f32(0.5 + part)).await;
-            pause = (pause * 2).min(PAUSE.1);
+            pause = (pause * 2).min(longest);
         }
     }
 
-    /// A registry without a session, drawn; not the last one if there is another.
-    fn choose(&self, last: Option<Ipv4Addr>) -> Option<Ipv4Addr> {
+    /// The registry for a session.
+    fn choose(&self, number: usize, last: Option<Ipv4Addr>) -> Option<Ipv4Addr> {
         if self.stale.replace(false) {
             match Settings::from_env() {
                 Ok(settings) => *self.settings.borrow_mut() = settings,
@@ -111,66 +110,73 @@
             std::net::IpAddr::V4(ip) => Some(ip),
             std::net::IpAddr::V6(_) => None,
         });
-        let mut known: BTreeSet<Ipv4Addr> = seeds.chain(self.registries.borrow().iter().copied()).collect();
-        self.with.borrow().values().for_each(|taken| _ = known.remove(taken));
-        if known.len() > 1 {
-            last.map(|last| known.remove(&last));
-        }
-        let count = known.len() as u32;
-        if count == 0 {
-            return None;
-        }
-        let at = self.random.borrow_mut().rand_range(0..count) as usize;
-        known.into_iter().nth(at)
+        let draw = u64::from(self.random.borrow_mut().rand_u32());
+        self.candidates.borrow_mut().choose(self.now(), number, seeds, last, draw)
+    }
+
+    /// In milliseconds since the start.
+    fn now(&self) -> u64 {
+        u64::try_from(self.begun.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// One session, until it ends; says why it did.
-    async fn session(self: &Rc<Self>, number: usize, registry: Ipv4Addr) -> String {
+    /// One session, until it ends.
+    async fn session(&self, number: usize, registry: Ipv4Addr, lease: &RefCell<SessionLease>) -> Ended {
         let (port, name, zone) = {
             let settings = self.settings.borrow();
             (settings.registry_port(), settings.nodename.clone(), settings.zone.clone())
         };
-        let stream = match timeout(CONNECT, TcpStream::connect((registry, port))).await {
+        let connecting = TcpStream::connect((registry, port));
+        let stream = match timeout(Duration::from_millis(CONNECT), connecting).await {
             Ok(Ok(stream)) => stream,
-            Ok(Err(problem)) => return problem.to_string(),
-            Err(_) => return "no connection in time".into(),
+            Ok(Err(problem)) => return Ended::NoConnection(problem.to_string()),
+            Err(_) => return Ended::NoConnection("none in time".into()),
         };
         _ = stream.set_nodelay(true);
         _ = SockRef::from(&stream).set_tcp_user_timeout(Some(UNTAKEN));
         let (instances, known) = oneshot::channel();
         if self.commands.send(Command::Instances(instances)).await.is_err() {
-            return "the controller ended".into();
+            return Ended::NoController;
         }
-        let Ok(instances) = known.await else { return "the controller ended".into() };
+        let Ok(instances) = known.await else { return Ended::NoController };
         let from = self.places.borrow().get(&registry).copied();
         let begun = Command::Begun { session: number, resumed: from.is_some() };
         if self.commands.send(begun).await.is_err() {
-            return "the controller ended".into();
+            return Ended::NoController;
         }
         let hello = FromLimiter::Hello { incarnation: self.incarnation, name, zone, from, instances };
         let (mut reads, mut writes) = stream.into_split();
-        let at = Rc::new(Cell::new(from));
-        let greeted = async {
+        let at = Cell::new(from);
+        *lease.borrow_mut() = SessionLease::new(self.now());
+        let said = async {
             frames::write(&mut writes, &First::Limiter).await?;
-            frames::write(&mut writes, &hello).await
-        };
-        if let Err(problem) = greeted.await {
-            return problem.to_string();
-        }
-        let place = at.clone();
-        let pulses = async move {
-            loop {
-                sleep(PULSE).await;
-                if let Some(at) = place.get() {
-                    if let Err(problem) = frames::write(&mut writes, &FromLimiter::Pulse { at }).await {
-                        return problem.to_string();
-                    }
-                }
-            }
+            frames::write(&mut writes, &hello).await?;
+            self.ask(&mut writes, &at, lease).await
         };
         tokio::select! {
-            problem = pulses => problem,
-            problem = self.hear(number, registry, &mut reads, &at) => problem,
+            Err(problem) = said => Ended::Broken(problem),
+            ended = self.hear(number, registry, &mut reads, &at, lease) => ended,
+            () = self.runs_out(lease) => Ended::Unconfirmed,
+        }
+    }
+
+    /// Asks how old what the registry tells is, again and again.
+    async fn ask(
+        &self,
+        writes: &mut OwnedWriteHalf,
+        at: &Cell<Option<Revision>>,
+        lease: &RefCell<SessionLease>,
+    ) -> Result<Infallible, Broken> {
+        loop {
+            let question = lease.borrow_mut().ask(self.now());
+            frames::write(writes, &FromLimiter::Pulse { at: at.get(), question }).await?;
+            sleep(Duration::from_millis(PROXY_QUESTION)).await;
+        }
+    }
+
+    /// Returns when what the registry told is too old to go by.
+    async fn runs_out(&self, lease: &RefCell<SessionLease>) {
+        while !lease.borrow().is_over(self.now()) {
+            sleep(Duration::from_millis(LOOK)).await;
         }
     }
 
@@ -178,38 +184,54 @@
         &self,
         number: usize,
         registry: Ipv4Addr,
-        reads: &mut tokio::net::tcp::OwnedReadHalf,
+        reads: &mut OwnedReadHalf,
         at: &Cell<Option<Revision>>,
-    ) -> String {
-        let mut unsettled = None;
+        lease: &RefCell<SessionLease>,
+    ) -> Ended {
         loop {
-            let message = match timeout(SILENCE, frames::read::<ToLimiter>(reads)).await {
-                Ok(Ok(message)) => message,
-                Ok(Err(Broken::Unreadable(problem))) => {
-                    log::warn!("{registry} sent what is no message: {problem}");
-                    return problem.to_string();
+            let message = match frames::read::<ToLimiter>(reads).await {
+                Ok(message) => message,
+                Err(problem) => {
+                    if let Broken::Unreadable(problem) = &problem {
+                        log::warn!("{registry} sent what is no message: {problem}");
+                    }
+                    return Ended::Broken(problem);
                 }
-                Ok(Err(problem)) => return problem.to_string(),
-                Err(_) => return "silent for too long".into(),
             };
-            match &message {
+            let command = match message {
                 ToLimiter::Snapshot { at: place, .. } | ToLimiter::Changes { at: place, .. } => {
-                    at.set(Some(*place));
-                    self.places.borrow_mut().insert(registry, *place);
+                    at.set(Some(place));
+                    self.places.borrow_mut().insert(registry, place);
+                    lease.borrow_mut().progressed(self.now());
+                    Command::News { session: number, message }
                 }
-                ToLimiter::Pulse { settled, registries, .. } => {
-                    if *settled {
-                        // Whoever hears a majority knows who there is; the others may know of machines long gone.
-                        *self.registries.borrow_mut() = registries.iter().copied().collect();
-                        unsettled = None;
-                    } else if unsettled.get_or_insert_with(Instant::now).elapsed() > UNSETTLED {
-                        return "it hears no majority".into();
+                ToLimiter::Pulse { question, age, limiters, registries } => {
+                    let now = self.now();
+                    lease.borrow_mut().answer(question, age);
+                    let confirmed = age.is_some() && lease.borrow().is_confirmed(now);
+                    self.candidates.borrow_mut().told(registries, confirmed);
+                    if !confirmed {
+                        continue;
                     }
+                    Command::Confirmed { session: number, limiters }
                 }
-            }
-            if self.commands.send(Command::News { session: number, message }).await.is_err() {
-                return "the controller ended".into();
+            };
+            if self.commands.send(command).await.is_err() {
+                return Ended::NoController;
             }
         }
     }
 }
+
+/// Why a session is over.
+#[derive(Debug, thiserror::Error)]
+enum Ended {
+    #[error("no connection: {0}")]
+    NoConnection(String),
+    #[error("{0}")]
+    Broken(Broken),
+    #[error("what it tells is not confirmed")]
+    Unconfirmed,
+    #[error("the controller ended")]
+    NoController,
+}
--- a/crates/emberpin-proxy/tests/common/mod.rs
+++ b/crates/emberpin-proxy/tests/common/mod.rs
@@ -115,7 +115,8 @@
 }
 
 pub fn told(ip: Ipv4Addr, settled: bool, limiters: u32) -> ToLimiter {
-    ToLimiter::Pulse { settled, limiters, registries: vec![ip] }
+    // The session fills in the question.
+    ToLimiter::Pulse { question: 0, age: settled.then_some(0), limiters, registries: vec![ip] }
 }
 
 /// One session of the proxy with the stand-in registry.
@@ -136,12 +137,13 @@
         let (mut from, mut to) = stream.into_split();
         let (messages, mut queued) = mpsc::unbounded_channel();
         let (followed, at) = watch::channel(0);
+        let (questions, asked) = watch::channel(0);
         tokio::spawn(async move {
             let mut beat = interval(LEAST_PULSE);
             let mut at = Revision { incarnation: 1, number: 0 };
             loop {
                 // A registry that has nothing to say would be left: says again where it stands.
-                let message = tokio::select! {
+                let mut message = tokio::select! {
                     message = queued.recv() => match message {
                         Some(message) => message,
                         None => return,
@@ -151,14 +153,20 @@
                 if let ToLimiter::Snapshot { at: now, .. } | ToLimiter::Changes { at: now, .. } = &message {
                     at = *now;
                 }
+                if let ToLimiter::Pulse { question, .. } = &mut message {
+                    *question = *asked.borrow();
+                }
                 if frames::write(&mut to, &message).await.is_err() {
                     return;
                 }
             }
         });
         tokio::spawn(async move {
-            while let Ok(FromLimiter::Pulse { at }) = frames::read(&mut from).await {
-                followed.send_replace(at.number);
+            while let Ok(FromLimiter::Pulse { at, question }) = frames::read(&mut from).await {
+                questions.send_replace(question);
+                if let Some(at) = at {
+                    followed.send_replace(at.number);
+                }
             }
         });
         Session { ip, number: 0, messages, at }
--- a/crates/emberpin-proxy/tests/readiness.rs
+++ b/crates/emberpin-proxy/tests/readiness.rs
@@ -86,8 +86,19 @@
     }
 }
 
+/// The proxy's next pulse: up to where it has followed, and its question.
+async fn question(stream: &mut TcpStream) -> (Option<Revision>, u64) {
+    match timeout(SOON, frames::read(stream)).await.expect("in time").expect("a pulse") {
+        FromLimiter::Pulse { at, question } => (at, question),
+        other => panic!("no pulse: {other:?}"),
+    }
+}
+
+/// Answers the proxy's next pulse.
 async fn pulse(stream: &mut TcpStream, settled: bool) {
-    let pulse = ToLimiter::Pulse { settled, limiters: 1, registries: vec![MACHINE] };
+    let (_, question) = question(stream).await;
+    let age = settled.then_some(0);
+    let pulse = ToLimiter::Pulse { question, age, limiters: 1, registries: vec![MACHINE] };
     frames::write(stream, &pulse).await.expect("told");
 }
 
@@ -117,8 +128,8 @@
     let snapshot = ToLimiter::Snapshot { at: AT, items, instances, complete: false };
     frames::write(&mut first, &snapshot).await.expect("told");
     pulse(&mut first, false).await;
-    let said: FromLimiter = timeout(SOON, frames::read(&mut first)).await.expect("in time").expect("a pulse");
-    expect_that!(said, eq(&FromLimiter::Pulse { at: AT }));
+    let (at, _) = question(&mut first).await;
+    expect_that!(at, some(eq(AT)));
     expect_that!(readiness(readyz).await, some(eq("503")));
     drop(first);
 
--- a/crates/emberpin-registry/src/host.rs
+++ b/crates/emberpin-registry/src/host.rs
@@ -1,5 +1,6 @@
 //! The owner of the registry: takes commands one after the other, and does what it decides.
 
+use crate::store::Stores;
 use crate::{body, links};
 use bytes::Bytes;
 use emberpin_membership::instance::Instance;
@@ -9,6 +10,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::Ipv4Addr;
 use std::sync::atomic::Ordering;
+use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
@@ -98,6 +100,7 @@
     identity: Identity,
     me: Ipv4Addr,
     registry: Registry,
+    stores: Arc<Stores>,
     begin: Instant,
     commands: Commands,
     queue: mpsc::Receiver<Command>,
@@ -112,13 +115,14 @@
 
 impl Host {
     /// One that starts now.
-    pub fn new(identity: Identity, limits: Limits) -> (Host, Commands) {
+    pub fn new(identity: Identity, limits: Limits, stores: Arc<Stores>) -> (Host, Commands) {
         let (send, queue) = mpsc::channel(WAITING);
         let commands = Commands(send);
         let host = Host {
             identity,
             me: limits.me,
             registry: Registry::new(0, limits),
+            stores,
             begin: Instant::now(),
             commands: commands.clone(),
             queue,
@@ -246,6 +250,7 @@
                     }
                 }
             }
+            Action::AskStore { question } => self.stores.confirm(question),
             Action::Close { session } => _ = self.sessions.remove(&session),
         }
     }
--- a/crates/emberpin-registry/src/program.rs
+++ b/crates/emberpin-registry/src/program.rs
@@ -95,7 +95,8 @@
         beat_ms: u64::try_from(settings.beat.as_millis()).unwrap_or(u64::MAX).max(1),
         seeds,
     };
-    let (host, commands) = Host::new(Identity { name: settings.nodename.clone(), port }, limits);
+    let (host, commands) =
+        Host::new(Identity { name: settings.nodename.clone(), port }, limits, stores.clone());
     let calls = Arc::new(Calls::new(commands.clone(), stores.clone(), ctl.port()));
     stores.follow(&commands);
     tokio::spawn(host.run());
--- a/crates/emberpin-registry/src/store.rs
+++ b/crates/emberpin-registry/src/store.rs
@@ -13,8 +13,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use tokio::io::{AsyncWriteExt, BufReader};
-use tokio::sync::{mpsc, oneshot};
+use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt, BufReader};
+use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{sleep, timeout, Instant};
 
 /// A store says how it stands twice a second.
@@ -55,6 +55,8 @@
     /// When the store on this machine said something.
     local: Mutex<Instant>,
     passing: Mutex<HashMap<Ipv4Addr, Passing>>,
+    /// The newest question that the registry asks whichever store is followed.
+    questions: watch::Sender<u64>,
     ids: AtomicU64,
 }
 
@@ -73,10 +75,16 @@
             voters: Mutex::default(),
             local: Mutex::new(Instant::now()),
             passing: Mutex::default(),
+            questions: watch::Sender::default(),
             ids: AtomicU64::new(0),
         }
     }
 
+    /// Asks whichever store is followed how old what it tells is.
+    pub fn confirm(&self, question: u64) {
+        self.questions.send_replace(question);
+    }
+
     /// Follows the stores for as long as the process runs.
     pub fn follow(self: &Arc<Stores>, commands: &Commands) {
         tokio::spawn(self.clone().follow_local(commands.clone()));
@@ -115,26 +123,9 @@
             let stream = net::connect(store, self.port).await?;
             let (from, mut to) = stream.into_split();
             frames::write(&mut to, &ToStore::StoreRequest(StoreRequest::Follow)).await?;
-            let mut from = BufReader::new(from);
-            loop {
-                let told = timeout(SILENCE, frames::read::<StoreReply>(&mut from)).await;
-                let told = told.map_err(std::io::Error::from)??;
-                if store == self.me {
-                    *locked(&self.local) = Instant::now();
-                }
-                let event = match told {
-                    StoreReply::Items { items } => Event::Items(items),
-                    StoreReply::Status { settled, voters } => {
-                        locked(&self.voters).clone_from(&voters);
-                        Event::Status { settled, voters }
-                    }
-                    StoreReply::Answer { .. } => continue,
-                };
-                commands.event(event).await;
-                if store != self.me && locked(&self.local).elapsed() < ALONE {
-                    return Err(std::io::Error::other("the store here is back").into());
-                }
-            }
+            let asks = self.ask_on(&mut to);
+            let follows = self.hear(store, BufReader::new(from), commands);
+            tokio::select! { ended = asks => ended, ended = follows => ended }
         };
         match follow.await {
             Ok(never) => never,
@@ -142,6 +133,44 @@
         }
     }
 
+    async fn ask_on(&self, to: &mut (impl AsyncWrite + Unpin)) -> Result<Broken, Broken> {
+        let mut questions = self.questions.subscribe();
+        loop {
+            let question = *questions.borrow_and_update();
+            frames::write(to, &ToStore::StoreRequest(StoreRequest::Confirm { question })).await?;
+            // Its sender lives as long as this does.
+            _ = questions.changed().await;
+        }
+    }
+
+    async fn hear(
+        &self,
+        store: Ipv4Addr,
+        mut from: impl AsyncRead + Unpin,
+        commands: &Commands,
+    ) -> Result<Broken, Broken> {
+        loop {
+            let told = timeout(SILENCE, frames::read::<StoreReply>(&mut from)).await;
+            let told = told.map_err(std::io::Error::from)??;
+            if store == self.me {
+                *locked(&self.local) = Instant::now();
+            }
+            let event = match told {
+                StoreReply::Items { items } => Event::Items(items),
+                StoreReply::Status { voters, .. } => {
+                    locked(&self.voters).clone_from(&voters);
+                    Event::Voters(voters)
+                }
+                StoreReply::Confirmed { question, age } => Event::StoreConfirmed { question, age },
+                StoreReply::Answer { .. } => continue,
+            };
+            commands.event(event).await;
+            if store != self.me && locked(&self.local).elapsed() < ALONE {
+                return Err(std::io::Error::other("the store here is back").into());
+            }
+        }
+    }
+
     fn others(&self) -> Vec<Ipv4Addr> {
         let voters = locked(&self.voters);
         let known = if voters.is_empty() { &self.seeds } else { &*voters };
--- a/crates/emberpin-registry/tests/common/mod.rs
+++ b/crates/emberpin-registry/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, missing_docs)]
 
 use emberpin_config::{Item, Key, Kind};
-use emberpin_membership::session::{First, FromLimiter, Revision, ToLimiter};
+use emberpin_membership::session::{First, FromLimiter, ToLimiter};
 use emberpin_runtime::frames;
 use emberpin_store::protocol::{StoreReply, StoreRequest, ToStore};
 use std::io::Write;
@@ -12,6 +12,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::OwnedReadHalf;
 use tokio::net::{TcpSocket, TcpStream};
+use tokio::sync::mpsc::unbounded_channel;
 use tokio::task::JoinHandle;
 use tokio::time::{interval, timeout};
 
@@ -119,16 +120,9 @@
             StoreRequest::Get { id } => (id, "{\"svcs\":[]}".to_string()),
             StoreRequest::Evacuate { id, zone, begin } => (id, format!("{zone} {begin}")),
             StoreRequest::Follow => {
-                let mut beat = interval(Duration::from_millis(400));
-                _ = frames::write(&mut stream, &StoreReply::Items { items: items.clone() }).await;
-                loop {
-                    beat.tick().await;
-                    let told = StoreReply::Status { settled: true, voters: voters.clone() };
-                    if frames::write(&mut stream, &told).await.is_err() {
-                        return;
-                    }
-                }
+                return follow(stream, voters, items).await;
             }
+            StoreRequest::Confirm { .. } => continue,
         };
         if frames::write(&mut stream, &StoreReply::Answer { id, status: 200, body }).await.is_err() {
             return;
@@ -136,6 +130,30 @@
     }
 }
 
+/// Tells how it stands, and confirms all that it is asked.
+async fn follow(stream: TcpStream, voters: Vec<Ipv4Addr>, items: Vec<Item>) {
+    let (mut from, mut to) = stream.into_split();
+    _ = frames::write(&mut to, &StoreReply::Items { items }).await;
+    let (questions, mut asked) = unbounded_channel();
+    let reads = tokio::spawn(async move {
+        while let Ok(ToStore::StoreRequest(StoreRequest::Confirm { question })) =
+            frames::read(&mut from).await
+        {
+            _ = questions.send(question);
+        }
+    });
+    let mut beat = interval(Duration::from_millis(400));
+    loop {
+        let told = tokio::select! {
+            Some(question) = asked.recv() => StoreReply::Confirmed { question, age: Some(0) },
+            _ = beat.tick() => StoreReply::Status { settled: true, voters: voters.clone() },
+        };
+        if frames::write(&mut to, &told).await.is_err() {
+            return reads.abort();
+        }
+    }
+}
+
 /// Connects as soon as somebody listens.
 pub async fn connect(ip: Ipv4Addr, port: u16) -> TcpStream {
     let mut beat = interval(Duration::from_millis(20));
@@ -191,9 +209,9 @@
         frames::write(&mut to, &hello).await.expect("sent");
         let pulses = tokio::spawn(async move {
             let mut beat = interval(Duration::from_millis(300));
-            let pulse = FromLimiter::Pulse { at: Revision { incarnation: 0, number: 0 } };
-            loop {
+            for question in 1.. {
                 beat.tick().await;
+                let pulse = FromLimiter::Pulse { at: None, question };
                 if frames::write(&mut to, &pulse).await.is_err() {
                     return;
                 }
--- a/crates/emberpin-registry/tests/process.rs
+++ b/crates/emberpin-registry/tests/process.rs
@@ -53,6 +53,7 @@
         })
         .await;
     verify_that!((gone.id.as_str(), gone.status), eq(("i-1", Status::Gone)))?;
+    limiter.until(|told| matches!(told, ToLimiter::Pulse { age: Some(_), .. }).then_some(())).await;
     let (status, answer) = call(me, "GET", "/status", "").await;
     verify_that!((status, answer.contains("\"status\":\"gone\"")), eq((200, true)))?;
     verify_that!(answer, contains_substring("\"settled\":true"))
--- a/crates/emberpin-scale/src/hollow.rs
+++ b/crates/emberpin-scale/src/hollow.rs
@@ -101,14 +101,13 @@
     let place: Mutex<Option<Revision>> = Mutex::new(None);
     let at = || place.lock().unwrap_or_else(PoisonError::into_inner);
     let pulses = async {
+        let mut question = 0;
         loop {
             sleep(PULSE).await;
-            let known = *at();
-            if let Some(at) = known {
-                let frame = frames::frame(&FromLimiter::Pulse { at })?;
-                counts.said.fetch_add(frame.len() as u64, Ordering::Relaxed);
-                tokio::io::AsyncWriteExt::write_all(&mut to, &frame).await?;
-            }
+            question += 1;
+            let frame = frames::frame(&FromLimiter::Pulse { at: *at(), question })?;
+            counts.said.fetch_add(frame.len() as u64, Ordering::Relaxed);
+            tokio::io::AsyncWriteExt::write_all(&mut to, &frame).await?;
         }
     };
     let hears = async {
--- a/crates/emberpin-simulator/src/builds.rs
+++ b/crates/emberpin-simulator/src/builds.rs
@@ -24,11 +24,13 @@
     pub leaves: bool,
     /// Changes that go on from a place tell all that there is, as a snapshot does.
     pub resumes: bool,
+    /// Registries that can confirm nothing name others.
+    pub hints: bool,
 }
 
 impl Default for Proxy {
     fn default() -> Proxy {
-        Proxy { in_force: true, settled: true, leaves: true, resumes: true }
+        Proxy { in_force: true, settled: true, leaves: true, resumes: true, hints: true }
     }
 }
 
@@ -60,6 +62,8 @@
     "no-settled",
     "no-leaves",
     "no-resumes",
+    "no-hints",
+    "no-lease",
 ];
 
 impl Build {
@@ -96,6 +100,8 @@
             "no-settled" => &mut self.proxy.settled,
             "no-leaves" => &mut self.proxy.leaves,
             "no-resumes" => &mut self.proxy.resumes,
+            "no-hints" => &mut self.proxy.hints,
+            "no-lease" => &mut self.watch.lease,
             _ => return false,
         };
         *guard = false;
--- a/crates/emberpin-simulator/src/cores.rs
+++ b/crates/emberpin-simulator/src/cores.rs
@@ -213,10 +213,16 @@
         };
         let local = machine.process.local(now);
         let Some(running) = &machine.up else { return };
-        let (settled, voters) = (running.store.settled(local), running.store.voters());
+        let voters = running.store.voters();
         let at = machine.process.when(now, local + STATUS);
         self.at(at, Due::Stand { core, incarnation });
-        self.registry(core, registry::Event::Status { settled, voters });
+        self.registry(core, registry::Event::Voters(voters));
+    }
+
+    pub fn confirmed(&mut self, core: u8, incarnation: u64, question: u64, age: Option<u64>) {
+        if self.running(core, incarnation).is_some() {
+            self.registry(core, registry::Event::StoreConfirmed { question, age });
+        }
     }
 
     pub fn wake_registry(&mut self, core: u8, incarnation: u64) {
@@ -281,6 +287,13 @@
             Action::Tell { to, told } => {
                 to.into_iter().for_each(|session| self.send(session, false, Frame::To(told.clone())));
             }
+            Action::AskStore { question } => {
+                let Some(machine) = self.cores.get(&core) else { return };
+                let Some(running) = &machine.up else { return };
+                let age = running.store.confirmed_age(machine.process.local(now));
+                // Behind the items that are on their way.
+                self.at(now + 1, Due::Confirmed { core, incarnation, question, age });
+            }
             Action::Close { session } => {
                 running.sessions.remove(&session);
                 self.break_conn(session, false);
--- a/crates/emberpin-simulator/src/limiters.rs
+++ b/crates/emberpin-simulator/src/limiters.rs
@@ -1,24 +1,20 @@
 //! A small model of a limiter: it follows sessions as the real one does, and asks cold servers for all that it may.
 
 use crate::cores::BEAT;
-use crate::net::{number, Frame};
+use crate::net::{ip, number, Frame};
 use crate::text::Machine;
 use crate::world::{Due, Process, World};
 use emberpin_config::{routes_in_force, Configuration, Item, Kind, Route, Service};
+use emberpin_membership::candidates::Candidates;
 use emberpin_membership::instance::{Instance, Status};
+use emberpin_membership::lease::SessionLease;
 use emberpin_membership::session::{FromLimiter, Revision, ToLimiter};
+use emberpin_membership::timing::{CONNECT, LOOK, PAUSE, PROXY_LEASE, PROXY_QUESTION};
 use emberpin_routing::{ColdRule, Router, Warmth, Work};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-// As in the real one's sessions.
+// As the real one has.
 const SESSIONS: usize = 2;
-const CONNECT: u64 = 500;
-const PULSE: u64 = 500;
-const SILENCE: u64 = 1_300;
-const UNSETTLED: u64 = 1_000;
-const PAUSE: (u64, u64) = (100, 800);
-/// How often it looks after them.
-const LOOK: u64 = 50;
 /// How often cold servers are asked, and most requests of one limiter at once.
 const LOAD: u64 = 20;
 const AT_ONCE: usize = 4;
@@ -36,7 +32,7 @@
     /// On the limiter's clock, as all that follows.
     heard: u64,
     began: u64,
-    unsettled: Option<u64>,
+    lease: SessionLease,
     pause: u64,
     next: u64,
     pulse: u64,
@@ -51,7 +47,7 @@
     pub ready: bool,
     sessions: Vec<Session>,
     places: BTreeMap<u8, Revision>,
-    registries: BTreeSet<u8>,
+    candidates: Candidates,
     /// The highest versions that were in force in this incarnation.
     in_force: BTreeMap<String, u64>,
     /// Servers that were not to get anything any more.
@@ -153,7 +149,7 @@
             last: None,
             heard: 0,
             began: 0,
-            unsettled: None,
+            lease: SessionLease::new(0),
             pause: PAUSE.0,
             next: 0,
             pulse: 0,
@@ -165,7 +161,7 @@
             ready: false,
             sessions: vec![session; SESSIONS],
             places: BTreeMap::new(),
-            registries: BTreeSet::new(),
+            candidates: Candidates::default(),
             in_force: BTreeMap::new(),
             held: BTreeSet::new(),
         });
@@ -195,16 +191,14 @@
                 }
                 continue;
             };
-            let silent = now >= session.heard + SILENCE;
-            let unsettled = session.unsettled.is_some_and(|since| now >= since + UNSETTLED);
-            if silent || (unsettled && leaves) {
+            let silent = now > session.heard + PROXY_LEASE;
+            if silent || (session.lease.is_over(now) && leaves) {
                 self.break_conn(conn, false);
                 self.session_broken(limiter, conn);
             } else if now >= session.pulse {
-                session.pulse = now + PULSE;
-                if let Some(at) = proxy.places.get(&core).copied() {
-                    self.send(conn, true, Frame::From(FromLimiter::Pulse { at }));
-                }
+                session.pulse = now + PROXY_QUESTION;
+                let (at, question) = (proxy.places.get(&core).copied(), session.lease.ask(now));
+                self.send(conn, true, Frame::From(FromLimiter::Pulse { at, question }));
             }
         }
         let at = self.now + LOOK;
@@ -218,12 +212,9 @@
         let (zone, incarnation) = (machine.process.zone.clone(), machine.process.incarnation);
         let now = machine.process.local(self.now);
         let Some(proxy) = machine.up.as_mut() else { return };
-        let mut known: BTreeSet<u8> = seeds.into_iter().chain(proxy.registries.iter().copied()).collect();
-        proxy.sessions.iter().filter_map(|session| session.core).for_each(|core| _ = known.remove(&core));
-        if known.len() > 1 {
-            proxy.sessions[index].last.map(|last| known.remove(&last));
-        }
-        let Some(core) = known.iter().nth(draw as usize % known.len().max(1)).copied() else {
+        let last = proxy.sessions[index].last.map(ip);
+        let seeds = seeds.into_iter().map(ip);
+        let Some(core) = proxy.candidates.choose(now, index, seeds, last, draw).map(number) else {
             proxy.sessions[index].next = now + PAUSE.1;
             return;
         };
@@ -239,24 +230,27 @@
         let session = &mut proxy.sessions[index];
         session.last = Some(core);
         let Some(conn) = conn else {
+            proxy.candidates.ended(now, index, false);
             session.next = now + CONNECT + session.pause;
             session.pause = (session.pause * 2).min(PAUSE.1);
             return;
         };
         (session.conn, session.core) = (Some(conn), Some(core));
-        (session.heard, session.began, session.unsettled, session.told) = (now, now, None, false);
-        session.pulse = now + PULSE;
+        (session.heard, session.began, session.told) = (now, now, false);
+        (session.lease, session.pulse) = (SessionLease::new(now), now);
         self.send(conn, true, Frame::From(hello));
     }
 
     pub fn session_broken(&mut self, limiter: u8, conn: u64) {
         let part = 50 + self.below(100);
         let Some((now, proxy)) = self.proxy(limiter) else { return };
-        let Some(session) = proxy.sessions.iter_mut().find(|session| session.conn == Some(conn)) else {
+        let Some(index) = proxy.sessions.iter().position(|session| session.conn == Some(conn)) else {
             return;
         };
+        let session = &mut proxy.sessions[index];
+        proxy.candidates.ended(now, index, session.lease.is_confirmed(now));
         (session.conn, session.core, session.told) = (None, None, false);
-        if now > session.began + 2 * SILENCE {
+        if now > session.began + 2 * PROXY_LEASE {
             session.pause = PAUSE.0;
         }
         session.next = now + session.pause * part / 100;
@@ -274,6 +268,7 @@
             ToLimiter::Snapshot { at, items, instances, .. } => {
                 proxy.places.insert(core, at);
                 proxy.sessions[index].told = true;
+                proxy.sessions[index].lease.progressed(now);
                 proxy.learn(now, items, &instances, build.in_force)
             }
             ToLimiter::Changes { at, items, instances } => {
@@ -282,17 +277,18 @@
                 proxy.sessions[index].told |= build.resumes;
                 proxy.learn(now, items, &instances, build.in_force)
             }
-            ToLimiter::Pulse { settled, limiters, registries } => {
+            ToLimiter::Pulse { question, age, limiters, registries } => {
                 let session = &mut proxy.sessions[index];
-                if settled || !build.settled {
-                    proxy.registries = registries.into_iter().map(number).collect();
-                    session.unsettled = None;
+                session.lease.answer(question, age);
+                let confirmed = age.is_some() && session.lease.is_confirmed(now);
+                if confirmed || build.hints {
+                    proxy.candidates.told(registries, confirmed);
+                }
+                if confirmed || !build.settled {
                     proxy.router.told(now as f64, limiters);
                     if session.told && !proxy.configuration.is_empty() {
                         proxy.ready = true;
                     }
-                } else {
-                    session.unsettled.get_or_insert(now);
                 }
                 Ok(())
             }
--- a/crates/emberpin-simulator/src/world.rs
+++ b/crates/emberpin-simulator/src/world.rs
@@ -16,6 +16,8 @@
 /// What will happen. Where an incarnation is named and is over, nothing does.
 #[derive(Clone, Debug)]
 pub(crate) enum Due {
+    /// A store's answer to its registry's question.
+    Confirmed { core: u8, incarnation: u64, question: u64, age: Option<u64> },
     /// A message between stores arrives.
     Consensus { from: u8, to: u8, message: Message },
     /// A disk has synced its first writes.
@@ -265,6 +267,7 @@
             | Due::Store { core, .. }
             | Due::Registry { core, .. }
             | Due::News { core, .. }
+            | Due::Confirmed { core, .. }
             | Due::Stand { core, .. }
             | Due::Dial { core, .. }
             | Due::Called { core, .. }
@@ -289,6 +292,9 @@
             Due::Store { core, incarnation } => self.wake_store(core, incarnation),
             Due::Registry { core, incarnation } => self.wake_registry(core, incarnation),
             Due::News { core, incarnation, items } => self.news(core, incarnation, items),
+            Due::Confirmed { core, incarnation, question, age } => {
+                self.confirmed(core, incarnation, question, age)
+            }
             Due::Stand { core, incarnation } => self.stand(core, incarnation),
             Due::Dial { core, incarnation, peer } => self.dial(core, incarnation, peer),
             Due::Frame { conn, forth, frame } => self.arrive(conn, forth, *frame),
--- /dev/null
+++ b/crates/emberpin-simulator/tests/timing.rs
@@ -0,0 +1,10 @@
+//! The periods that packages state apart agree.
+#![allow(missing_docs)]
+
+use emberpin_membership::timing::STORE_EXCHANGE;
+use googletest::prelude::*;
+
+#[gtest]
+fn the_sum_of_delays_goes_by_the_period_of_the_stores() {
+    expect_that!(emberpin_consensus::EXCHANGE, eq(STORE_EXCHANGE));
+}
--- a/crates/emberpin-store/src/connections.rs
+++ b/crates/emberpin-store/src/connections.rs
@@ -263,6 +263,6 @@
         StoreRequest::Patch { id, body } => Some((id, Call::Patch(body))),
         StoreRequest::Get { id } => Some((id, Call::Get)),
         StoreRequest::Evacuate { id, zone, begin } => Some((id, Call::Evacuate { zone, begin })),
-        StoreRequest::Follow => None,
+        StoreRequest::Follow | StoreRequest::Confirm { .. } => None,
     }
 }
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -113,6 +113,7 @@
         calls: BTreeMap::new(),
         next_call: 0,
         status: (false, Vec::new()),
+        questions: Vec::new(),
         status_at: 0,
         prune_at: PRUNE,
         ends_at: None,
@@ -171,6 +172,8 @@
     calls: BTreeMap<u64, (u64, u64)>,
     next_call: u64,
     status: (bool, Vec<Ipv4Addr>),
+    /// Answers that go out once all items that were known before have been told.
+    questions: Vec<(u64, u64, Option<u64>)>,
     status_at: u64,
     prune_at: u64,
     /// When it ends, once it is told to.
@@ -204,6 +207,9 @@
 
     fn ask(&mut self, connection: u64, ask: StoreRequest, outbox: Outbox, actions: &mut Vec<Action>) {
         self.registries.entry(connection).or_insert(Registry { outbox, follows: false });
+        if let StoreRequest::Confirm { question } = ask {
+            return self.questions.push((connection, question, self.replica.confirmed_age(self.now())));
+        }
         let Some((id, call)) = call(ask) else {
             let items = self.replica.state().iter().cloned().collect();
             if let Some(registry) = self.registries.get_mut(&connection) {
@@ -292,6 +298,9 @@
     /// Tells followers how the store stands, when it is due and when it changes.
     fn stand(&mut self) {
         let now = self.now();
+        for (connection, question, age) in std::mem::take(&mut self.questions) {
+            self.tell(connection, &StoreReply::Confirmed { question, age });
+        }
         let status = (self.replica.settled(now), self.replica.voters());
         if now >= self.status_at || status != self.status {
             self.measure();
--- a/crates/emberpin-store/src/protocol.rs
+++ b/crates/emberpin-store/src/protocol.rs
@@ -45,6 +45,11 @@
     /// Wants all chosen items now and each change from then on, as [`StoreReply::Items`], and [`StoreReply::Status`] on
     /// the way.
     Follow,
+    /// Asks how old what was told on this connection is; one [`StoreReply::Confirmed`] is owed.
+    Confirm {
+        /// The question's nonce.
+        question: u64,
+    },
 }
 
 /// From a store to a registry.
@@ -71,4 +76,12 @@
         /// The machines whose stores vote.
         voters: Vec<Ipv4Addr>,
     },
+    /// Answers [`StoreRequest::Confirm`], behind all items that were known by then.
+    Confirmed {
+        /// The question's nonce.
+        question: u64,
+        /// So many milliseconds ago a majority of the voters had nothing that has not been told; `None`: nothing can be
+        /// confirmed.
+        age: Option<u64>,
+    },
 }
