--- a/crates/emberpin-membership/src/guards.rs
+++ b/crates/emberpin-membership/src/guards.rs
@@ -17,6 +17,8 @@
     pub place: bool,
     /// An answer renews a lease from the time of its question, not from its arrival.
     pub lease: bool,
+    /// Calls of the operator that cannot be confirmed here are sent on at once.
+    pub sends_on: bool,
     /// The servers of a zone that was taken back are cold.
     pub returned: bool,
 }
@@ -31,6 +33,7 @@
             displace: true,
             place: true,
             lease: true,
+            sends_on: true,
             returned: true,
         }
     }
--- a/crates/emberpin-membership/src/registry.rs
+++ b/crates/emberpin-membership/src/registry.rs
@@ -92,6 +92,17 @@
     pub behind: u64,
 }
 
+/// Who is to take a call of the operator.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Taker {
+    /// The store that is followed here.
+    Here,
+    /// This registry, which was settled when it was heard last.
+    Other(Ipv4Addr),
+    /// None that is known.
+    Nobody,
+}
+
 /// One registry.
 #[derive(Clone, Debug)]
 pub struct Registry {
@@ -265,6 +276,18 @@
         self.is_settled(now) && self.settled_since.is_some_and(|since| now.saturating_sub(since) >= long)
     }
 
+    /// Who is to take a call of the operator: one that this registry's store cannot confirm would be held up for
+    /// nothing.
+    pub fn taker(&self, now: u64) -> Taker {
+        if self.store.holds(now, REGISTRY_LEASE) || !self.guards.sends_on {
+            return Taker::Here;
+        }
+        let registries = self.registries();
+        let settled = self.peers.iter().filter(|(ip, peer)| peer.settled && registries.contains(ip));
+        let newest = settled.max_by_key(|(_, peer)| peer.lease.confirmed_from());
+        newest.map_or(Taker::Nobody, |(ip, _)| Taker::Other(*ip))
+    }
+
     // For the operator.
 
     /// The instances that are known.
--- a/crates/emberpin-membership/tests/common/mod.rs
+++ b/crates/emberpin-membership/tests/common/mod.rs
@@ -2,6 +2,7 @@
 #![allow(dead_code, missing_docs)]
 
 use emberpin_config::{Item, Key, Kind};
+use emberpin_membership::guards::Guards;
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::peers::{Ack, RegistryMessage};
 use emberpin_membership::registry::{Action, Answer, Event, Limits, Registry};
@@ -86,6 +87,7 @@
     pub servers: Vec<Server>,
     wires: BTreeMap<(u8, u8), Wire>,
     cuts: BTreeSet<(u8, u8)>,
+    held: BTreeSet<(u8, u8)>,
     calls: u64,
     questions: u64,
     instances: u64,
@@ -111,6 +113,7 @@
             servers: Vec::new(),
             wires: BTreeMap::new(),
             cuts: BTreeSet::new(),
+            held: BTreeSet::new(),
             calls: 0,
             questions: 0,
             instances: 0,
@@ -145,6 +148,33 @@
         self.nodes.insert(number, node);
     }
 
+    /// Starts a machine anew, as a wrong build.
+    pub fn restart_with(&mut self, number: u8, guards: Guards) {
+        self.kill(number);
+        self.start(number);
+        let node = self.nodes.get_mut(&number).expect("started");
+        let limits = Limits {
+            me: ip(number),
+            zone: zone(number),
+            incarnation: self.instances,
+            beat_ms: BEAT,
+            seeds: self.voters.clone(),
+        };
+        node.registry = Registry::with_guards(self.now, limits, guards);
+    }
+
+    /// Links hold what goes over them, and stay; or let it go.
+    pub fn hold(&mut self, one: u8, others: &[u8], hold: bool) {
+        for other in others {
+            for pair in [(one, *other), (*other, one)] {
+                match hold {
+                    true => _ = self.held.insert(pair),
+                    false => _ = self.held.remove(&pair),
+                }
+            }
+        }
+    }
+
     pub fn kill(&mut self, number: u8) {
         self.nodes.remove(&number);
         let (mine, theirs): (Vec<_>, Vec<_>) = self
@@ -261,7 +291,7 @@
                 self.close((from, to));
                 continue;
             }
-            if cut || !up {
+            if cut || !up || self.held.contains(&(from, to)) {
                 continue;
             }
             if !wire.open {
--- a/crates/emberpin-membership/tests/registry.rs
+++ b/crates/emberpin-membership/tests/registry.rs
@@ -6,8 +6,9 @@
 
 use common::{drain, instance, ip, item, Held, World, BEAT, EXPIRY};
 use emberpin_config::Kind;
+use emberpin_membership::guards::Guards;
 use emberpin_membership::instance::{Instance, Status};
-use emberpin_membership::registry::{Answer, Event};
+use emberpin_membership::registry::{Answer, Event, Taker};
 use emberpin_membership::session::{Revision, ToLimiter};
 use googletest::prelude::*;
 use std::collections::BTreeMap;
@@ -19,6 +20,72 @@
     world
 }
 
+// Calls at a machine that is cut off.
+
+/// Cuts machine 1 off for long enough that it knows.
+fn cut_off(guards: Guards) -> World {
+    let mut world = World::new(3);
+    world.restart_with(1, guards);
+    world.run(EXPIRY + 1_000);
+    world.nodes.get_mut(&1).expect("up").store = Some(false);
+    world.cut(1, &[2, 3], true);
+    world.run(1_500);
+    world
+}
+
+#[gtest]
+fn a_call_at_a_machine_that_is_cut_off_is_sent_on_at_once() -> googletest::Result<()> {
+    let mut world = cut_off(Guards::default());
+    let taker = |world: &World, at: u8| world.nodes[&at].registry.taker(world.now);
+    verify_that!(
+        matches!(taker(&world, 1), Taker::Other(other) if [ip(2), ip(3)].contains(&other)),
+        eq(true)
+    )?;
+    verify_that!(taker(&world, 2), eq(Taker::Here))?;
+    // Once it hears a majority, and its store does, it takes them again.
+    world.cut(1, &[2, 3], false);
+    world.nodes.get_mut(&1).expect("up").store = Some(true);
+    world.run(2_500);
+    verify_that!(taker(&world, 1), eq(Taker::Here))
+}
+
+#[gtest]
+fn without_its_guard_it_is_held_up() -> googletest::Result<()> {
+    let world = cut_off(Guards { sends_on: false, ..Guards::default() });
+    verify_that!(world.nodes[&1].registry.taker(world.now), eq(Taker::Here))
+}
+
+/// Frozen for less than what counts as standing still, again and again, it hears only what was said before a cut.
+fn thaws_after_a_cut(guards: Guards) -> Vec<bool> {
+    let mut world = World::new(3);
+    world.restart_with(1, guards);
+    world.run(EXPIRY + 1_000);
+    world.hello(1, 9, None, vec![]);
+    world.run(20);
+    world.hold(1, &[2, 3], true);
+    let mut settled = Vec::new();
+    for _ in 0..8 {
+        world.nodes.get_mut(&1).expect("up").frozen = true;
+        world.run(900);
+        // Links deliver for a moment what they held.
+        world.hold(1, &[2, 3], false);
+        world.run(5);
+        world.hold(1, &[2, 3], true);
+        world.nodes.get_mut(&1).expect("up").frozen = false;
+        world.run(5);
+        settled.extend(world.last_settled(1, 9));
+    }
+    settled
+}
+
+#[gtest]
+fn old_answers_settle_nobody_however_often_a_process_stands_still() {
+    let settled = thaws_after_a_cut(Guards::default());
+    expect_that!(settled[2..], each(eq(&false)));
+    let wrong = thaws_after_a_cut(Guards { lease: false, ..Guards::default() });
+    expect_that!(wrong[2..], contains(eq(&true)));
+}
+
 // News to the data plane.
 
 #[gtest]
--- a/crates/emberpin-registry/src/calls.rs
+++ b/crates/emberpin-registry/src/calls.rs
@@ -5,13 +5,13 @@
 use crate::routes::{self, Call, Unmatched};
 use crate::store::Stores;
 use bytes::Bytes;
-use emberpin_membership::registry::Answer;
+use emberpin_membership::registry::{Answer, Taker};
 use emberpin_store::protocol::StoreRequest;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Incoming};
-use hyper::header::{HeaderValue, ALLOW, CONNECTION, CONTENT_TYPE, RETRY_AFTER};
+use hyper::header::{HeaderValue, ALLOW, CONNECTION, CONTENT_TYPE, LOCATION, RETRY_AFTER};
 use hyper::service::service_fn;
-use hyper::{Request, Response, StatusCode};
+use hyper::{Request, Response, StatusCode, Uri};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use std::convert::Infallible;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -39,6 +39,8 @@
 const SILENT: Duration = Duration::from_secs(2);
 /// So many KiB of changes are read or passed on at once. Small ones never wait for one another.
 const ROOM: usize = 20 << 10;
+/// Marks a call that another registry has sent on: it goes no further.
+const SENT_ON: &str = "sent-on";
 /// Connections beyond these are closed at once; beyond the second figure each ends with its answer, so that there is
 /// always a place for the operator when the servers of a lost registry come here. Both leave room under 4,096
 /// descriptors for sessions and files.
@@ -125,7 +127,7 @@
         let path = request.uri().path().to_string();
         Ok(match routes::route(&method, &path) {
             Ok((call, subject)) => self
-                .call(call, &subject, request.into_body())
+                .call(call, &subject, request)
                 .await
                 .unwrap_or_else(|Refused(status, why)| plain(status, format!("{method} {path}: {why}\n"))),
             Err(Unmatched::Path) => plain(StatusCode::NOT_FOUND, format!("{path}: there is no such call\n")),
@@ -138,7 +140,8 @@
         })
     }
 
-    async fn call(&self, call: Call, subject: &str, body: Incoming) -> Result<Answered, Refused> {
+    async fn call(&self, call: Call, subject: &str, request: Request<Incoming>) -> Result<Answered, Refused> {
+        let (head, body) = request.into_parts();
         match call {
             Call::Heartbeat => {
                 let body = read(body, SMALL).await?;
@@ -167,12 +170,21 @@
                 let room = self.room.acquire_many(length as u32 / 1024 + 1);
                 let Ok(Ok(_room)) = timeout(ORDER, room).await else { return Ok(later()) };
                 let body = read(body, BODY).await?;
+                if let Some(answer) = self.sent_on(&head.uri).await {
+                    return Ok(answer);
+                }
                 let within = if body.len() < LARGE { ORDER } else { LARGE_ORDER };
                 Ok(self.pass(within, false, |id| StoreRequest::Patch { id, body: body.clone() }).await)
             }
-            Call::Get => Ok(self.pass(ORDER, true, |id| StoreRequest::Get { id }).await),
+            Call::Get => match self.sent_on(&head.uri).await {
+                Some(answer) => Ok(answer),
+                None => Ok(self.pass(ORDER, true, |id| StoreRequest::Get { id }).await),
+            },
             Call::Begin | Call::Finish => {
                 read(body, SMALL).await?;
+                if let Some(answer) = self.sent_on(&head.uri).await {
+                    return Ok(answer);
+                }
                 let (zone, begin) = (subject.to_string(), call == Call::Begin);
                 Ok(self
                     .pass(ORDER, false, |id| StoreRequest::Evacuate { id, zone: zone.clone(), begin })
@@ -186,6 +198,23 @@
         }
     }
 
+    /// The answer to a call that is not to be taken here: 307 to a registry that was settled when it was heard last,
+    /// once; 503, where there is none, or the call was sent on already.
+    async fn sent_on(&self, uri: &Uri) -> Option<Answered> {
+        let (answer, owed) = oneshot::channel();
+        self.commands.send(Command::Taker { answer }).await;
+        let other = match owed.await {
+            Ok(Taker::Here) => return None,
+            Ok(Taker::Other(other)) if uri.query() != Some(SENT_ON) => other,
+            _ => return Some(later()),
+        };
+        let location = format!("http://{other}:{}{}?{SENT_ON}", self.ctl_port, uri.path());
+        let Ok(location) = HeaderValue::try_from(location) else { return Some(later()) };
+        let mut answer = plain(StatusCode::TEMPORARY_REDIRECT, "no majority is heard here\n".into());
+        answer.headers_mut().insert(LOCATION, location);
+        Some(answer)
+    }
+
     async fn pass(&self, within: Duration, is_json: bool, ask: impl Fn(u64) -> StoreRequest) -> Answered {
         let Some(answered) = self.stores.pass(within, ask).await else { return later() };
         let status = StatusCode::from_u16(answered.status).unwrap_or(StatusCode::BAD_GATEWAY);
--- a/crates/emberpin-registry/src/host.rs
+++ b/crates/emberpin-registry/src/host.rs
@@ -4,7 +4,7 @@
 use crate::{body, links};
 use bytes::Bytes;
 use emberpin_membership::instance::Instance;
-use emberpin_membership::registry::{Action, Answer, Event, Limits, Registry};
+use emberpin_membership::registry::{Action, Answer, Event, Limits, Registry, Taker};
 use emberpin_runtime::frames;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -35,6 +35,11 @@
         /// Where the answer goes.
         answer: oneshot::Sender<Answer>,
     },
+    /// Who is to take a call of the operator?
+    Taker {
+        /// Where the answer goes.
+        answer: oneshot::Sender<Taker>,
+    },
     /// The operator asks how the registry stands.
     Status {
         /// Where the answer goes.
@@ -166,6 +171,7 @@
                 let call = self.owe(answer);
                 self.handle(Event::Leave { call, id });
             }
+            Command::Taker { answer } => _ = answer.send(self.registry.taker(self.now())),
             Command::Status { answer } => {
                 let unreadable = links::UNREADABLE.load(Ordering::Relaxed);
                 _ = answer.send(body::status(&self.registry, &self.identity.name, unreadable, self.now()));
--- a/crates/emberpin-registry/tests/common/mod.rs
+++ b/crates/emberpin-registry/tests/common/mod.rs
@@ -101,6 +101,15 @@
 
 /// A store that is settled, tells these items, and answers each call with its own name.
 pub async fn store(ip: Ipv4Addr, voters: Vec<Ipv4Addr>, items: Vec<Item>) {
+    serve_store(ip, voters, items, Some(0)).await;
+}
+
+/// A store that hears no other: it confirms nothing, and holds calls for ever.
+pub async fn store_cut_off(ip: Ipv4Addr, voters: Vec<Ipv4Addr>) {
+    serve_store(ip, voters, Vec::new(), None).await;
+}
+
+async fn serve_store(ip: Ipv4Addr, voters: Vec<Ipv4Addr>, items: Vec<Item>, age: Option<u64>) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_reuseaddr(true).expect("set");
     socket.bind((ip, KEEPER).into()).expect("bound");
@@ -108,30 +117,33 @@
     tokio::spawn(async move {
         loop {
             let (stream, _) = listener.accept().await.expect("accepts");
-            tokio::spawn(answer(stream, voters.clone(), items.clone()));
+            tokio::spawn(answer(stream, voters.clone(), items.clone(), age));
         }
     });
 }
 
-async fn answer(mut stream: TcpStream, voters: Vec<Ipv4Addr>, items: Vec<Item>) {
+async fn answer(mut stream: TcpStream, voters: Vec<Ipv4Addr>, items: Vec<Item>, age: Option<u64>) {
     while let Ok(ToStore::StoreRequest(ask)) = frames::read(&mut stream).await {
         let (id, body) = match ask {
             StoreRequest::Patch { id, body } => (id, format!("patch of {} bytes", body.len())),
             StoreRequest::Get { id } => (id, "{\"svcs\":[]}".to_string()),
             StoreRequest::Evacuate { id, zone, begin } => (id, format!("{zone} {begin}")),
             StoreRequest::Follow => {
-                return follow(stream, voters, items).await;
+                return follow(stream, voters, items, age).await;
             }
             StoreRequest::Confirm { .. } => continue,
         };
+        if age.is_none() {
+            continue;
+        }
         if frames::write(&mut stream, &StoreReply::Answer { id, status: 200, body }).await.is_err() {
             return;
         }
     }
 }
 
-/// Tells how it stands, and confirms all that it is asked.
-async fn follow(stream: TcpStream, voters: Vec<Ipv4Addr>, items: Vec<Item>) {
+/// Tells how it stands, and gives each question this answer.
+async fn follow(stream: TcpStream, voters: Vec<Ipv4Addr>, items: Vec<Item>, age: Option<u64>) {
     let (mut from, mut to) = stream.into_split();
     _ = frames::write(&mut to, &StoreReply::Items { items }).await;
     let (questions, mut asked) = unbounded_channel();
@@ -145,8 +157,8 @@
     let mut beat = interval(Duration::from_millis(400));
     loop {
         let told = tokio::select! {
-            Some(question) = asked.recv() => StoreReply::Confirmed { question, age: Some(0) },
-            _ = beat.tick() => StoreReply::Status { settled: true, voters: voters.clone() },
+            Some(question) = asked.recv() => StoreReply::Confirmed { question, age },
+            _ = beat.tick() => StoreReply::Status { settled: age.is_some(), voters: voters.clone() },
         };
         if frames::write(&mut to, &told).await.is_err() {
             return reads.abort();
--- a/crates/emberpin-registry/tests/process.rs
+++ b/crates/emberpin-registry/tests/process.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{beat, call, item, store, Limiter, RegistryProcess, SOON};
+use common::{beat, call, item, store, store_cut_off, Limiter, RegistryProcess, SOON};
 use emberpin_config::Kind;
 use emberpin_membership::instance::Status;
 use emberpin_membership::session::ToLimiter;
@@ -12,6 +12,9 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
+/// An operator that meets a machine that is cut off is told within this time.
+const AT_ONCE: Duration = Duration::from_millis(300);
+
 fn ip(test: u8, machine: u8) -> Ipv4Addr {
     Ipv4Addr::new(127, 77, test, machine)
 }
@@ -115,6 +118,54 @@
     verify_that!(answer, contains_substring("\"status\":\"drain\""))
 }
 
+#[tokio::test]
+async fn an_order_at_a_machine_that_is_cut_off_is_sent_on_once_and_at_once() -> googletest::Result<()> {
+    let all = [ip(10, 1), ip(10, 2), ip(10, 3)];
+    store_cut_off(all[0], all.to_vec()).await;
+    store(all[1], all.to_vec(), vec![]).await;
+    let _cut = RegistryProcess::start(all[0], &all);
+    let calls = [
+        ("POST", "/config/patch", "{}"),
+        ("GET", "/config/get", ""),
+        ("POST", "/evac/north/begin", ""),
+        ("POST", "/evac/no%20rth/finish", ""),
+    ];
+    // It knows of no other that could take them.
+    for (method, path, body) in calls {
+        let (status, took) = timed_call(all[0], method, path, body).await;
+        verify_that!((path, status.0, took < AT_ONCE), eq((path, 503, true)))?;
+    }
+    let _whole = RegistryProcess::start(all[1], &all);
+    let mut limiter = Limiter::connect(all[1]).await;
+    limiter.until(|told| matches!(told, ToLimiter::Pulse { age: Some(_), .. }).then_some(())).await;
+    let mut beat = tokio::time::interval(Duration::from_millis(20));
+    let begin = Instant::now();
+    // It is told at the other one's next pulse.
+    while call(all[0], "GET", "/config/get", "").await.0 != 307 {
+        beat.tick().await;
+        verify_that!(begin.elapsed(), lt(SOON))?;
+    }
+    for (method, path, body) in calls {
+        let ((status, answer), took) = timed_call(all[0], method, path, body).await;
+        verify_that!((path, status, took < AT_ONCE), eq((path, 307, true)))?;
+        let location = format!("location: http://{}:8649{path}?sent-on\r\n", all[1]);
+        verify_that!(answer, contains_substring(location))?;
+        let again = format!("{path}?sent-on");
+        let ((status, _), took) = timed_call(all[0], method, &again, body).await;
+        verify_that!((path, status, took < AT_ONCE), eq((path, 503, true)))?;
+        let (status, _) = call(all[1], method, &again, body).await;
+        verify_that!((path, status), eq((path, 200)))?;
+    }
+    Ok(())
+}
+
+async fn timed_call(ip: Ipv4Addr, method: &str, path: &str, body: &str) -> ((u16, String), Duration) {
+    let begin = Instant::now();
+    let answer = call(ip, method, path, body).await;
+    println!("{method} {path}: {} after {:?}", answer.0, begin.elapsed());
+    (answer, begin.elapsed())
+}
+
 #[tokio::test]
 async fn another_voters_store_stands_in() -> googletest::Result<()> {
     let (me, other) = (ip(6, 1), ip(6, 2));
