--- a/crates/emberpin-consensus/src/acceptor.rs
+++ b/crates/emberpin-consensus/src/acceptor.rs
@@ -56,6 +56,8 @@
     pub whole: bool,
     /// An evacuation that its caller no longer waits for is not begun.
     pub late: bool,
+    /// What a voter has accepted, and does not know to be chosen, is a part of comparisons.
+    pub open: bool,
     /// What is acknowledged is on the disks of a majority, and on more than may be lost.
     pub spread: bool,
 }
@@ -73,6 +75,7 @@
             newest: true,
             whole: true,
             late: true,
+            open: true,
             spread: true,
         }
     }
--- a/crates/emberpin-consensus/src/message.rs
+++ b/crates/emberpin-consensus/src/message.rs
@@ -1,6 +1,6 @@
 //! What stores of configuration say to each other.
 
-use emberpin_config::Item;
+use emberpin_config::{Item, Key};
 use serde::{Deserialize, Serialize};
 
 /// Names a round; the higher one prevails.
@@ -99,6 +99,8 @@
         seq: u64,
         /// Whether the sender counts in quorums.
         voting: bool,
+        /// Names and versions that the sender has accepted and does not know to be chosen.
+        open: Vec<(Key, u64)>,
     },
     /// Answers [`Message::Exchange`]: something differs.
     Differ {
@@ -106,6 +108,8 @@
         seq: u64,
         /// By bucket.
         digests: Vec<u64>,
+        /// As in [`Message::Same`].
+        open: Vec<(Key, u64)>,
     },
     /// Wants the chosen items of these buckets.
     Fetch {
--- a/crates/emberpin-consensus/src/replica.rs
+++ b/crates/emberpin-consensus/src/replica.rs
@@ -1,5 +1,6 @@
 //! One store: takes calls, runs rounds, votes, repairs, and keeps the roster.
 
+mod comparison;
 mod events;
 mod messages;
 mod roster;
@@ -12,6 +13,7 @@
 use crate::message::Message;
 use crate::round::{majority, Round, Task};
 use crate::state::{mixed, roster_item, voters, State};
+use comparison::{Comparisons, Version};
 use emberpin_config::{read_patch, Item};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
@@ -49,12 +51,13 @@
 const FEWEST: usize = 3;
 
 /// What another store last told.
-#[derive(Clone, Copy, Debug, Default)]
+#[derive(Clone, Debug, Default)]
 struct Peer {
     /// When it was last heard; 0 for never.
     heard: u64,
-    /// Until when what it held was here; `None`, as long as it doesn't count.
-    compared: Option<u64>,
+    compared: Comparisons,
+    /// What it named as open in the comparison that is under way, where something differed.
+    open: Vec<Version>,
     /// The comparison that is under way, and when it began.
     asked: (u64, u64),
 }
@@ -70,6 +73,8 @@
     counter: u64,
     started: u64,
     peers: BTreeMap<Ipv4Addr, Peer>,
+    /// Comparisons with what this replica itself has accepted.
+    own: Comparisons,
     exchange_at: u64,
     seq: u64,
     tasks: VecDeque<Task>,
@@ -117,6 +122,7 @@
             counter,
             started: now,
             peers: BTreeMap::new(),
+            own: Comparisons::default(),
             exchange_at: now,
             seq: 0,
             tasks: VecDeque::new(),
@@ -170,8 +176,8 @@
     pub fn confirmed_age(&self, now: u64) -> Option<u64> {
         let voters = self.voters();
         let age = |voter: &Ipv4Addr| match *voter == self.options.me {
-            true => self.acceptor.voting.then_some(0),
-            false => self.peers.get(voter)?.compared.map(|at| now.saturating_sub(at)),
+            true => self.own_age(now).filter(|_| self.acceptor.voting),
+            false => self.peers.get(voter)?.compared.counted.map(|at| now.saturating_sub(at)),
         };
         let mut ages: Vec<u64> = voters.iter().filter_map(age).collect();
         ages.sort_unstable();
@@ -294,6 +300,7 @@
         if !self.acceptor.open() {
             self.open_until = None;
         }
+        self.count_comparisons();
         self.persist(new.clone(), had && !self.acceptor.open(), false, None, out);
         out.push(Action::Learned { items: new });
     }
--- a/crates/emberpin-consensus/src/replica/messages.rs
+++ b/crates/emberpin-consensus/src/replica/messages.rs
@@ -58,13 +58,20 @@
             Message::Chosen { items } => self.learn(&items, out),
             Message::Exchange { seq, digest } => {
                 let answer = match digest == self.state().digest() {
-                    true => Message::Same { seq, voting: self.acceptor.voting },
-                    false => Message::Differ { seq, digests: self.state().digests().to_vec() },
+                    true => Message::Same { seq, voting: self.acceptor.voting, open: self.open_versions() },
+                    false => Message::Differ {
+                        seq,
+                        digests: self.state().digests().to_vec(),
+                        open: self.open_versions(),
+                    },
                 };
                 self.send(from, answer, out);
             }
-            Message::Same { seq, voting } => self.compared(from, seq, voting),
-            Message::Differ { seq, digests } => {
+            Message::Same { seq, voting, open } => self.compared(from, seq, voting, open),
+            Message::Differ { seq, digests, open } => {
+                if let Some(peer) = self.peers.get_mut(&from).filter(|peer| peer.asked.0 == seq) {
+                    peer.open = open;
+                }
                 let buckets = self.state().differing(&digests);
                 let items = self.state().in_buckets(&buckets);
                 if !items.is_empty() {
@@ -78,17 +85,13 @@
             }
             Message::Items { seq, items, voting } => {
                 self.learn(&items, out);
-                self.compared(from, seq, voting);
+                // As it was when the digests were told: the buckets were chosen by those.
+                let open = self.peers.get(&from).map_or_else(Vec::new, |peer| peer.open.clone());
+                self.compared(from, seq, voting, open);
             }
         }
     }
 
-    pub(super) fn compared(&mut self, from: Ipv4Addr, seq: u64, voting: bool) {
-        if let Some(peer) = self.peers.get_mut(&from).filter(|peer| peer.asked.0 == seq) {
-            peer.compared = voting.then_some(peer.asked.1);
-        }
-    }
-
     /// Whether a round goes by the newest roster known here; what it goes by is chosen in any case.
     pub(super) fn goes_by(
         &mut self,
--- a/crates/emberpin-consensus/src/replica/roster.rs
+++ b/crates/emberpin-consensus/src/replica/roster.rs
@@ -24,10 +24,12 @@
     pub(super) fn exchange(&mut self, now: u64, out: &mut Vec<Action>) {
         let others = self.others(now);
         self.peers.retain(|peer, _| others.contains(peer));
+        self.compare_with_self(now);
         self.seq += 1;
         let (seq, digest) = (self.seq, self.state().digest());
         for to in others {
-            self.peers.entry(to).or_default().asked = (seq, now);
+            let peer = self.peers.entry(to).or_default();
+            (peer.asked, peer.open) = ((seq, now), Vec::new());
             self.send(to, Message::Exchange { seq, digest }, out);
         }
     }
--- a/crates/emberpin-consensus/tests/cases.rs
+++ b/crates/emberpin-consensus/tests/cases.rs
@@ -592,6 +592,52 @@
     out
 }
 
+/// Whether a store counts itself as confirmed right after an item was accepted by two of three and acknowledged, which
+/// it did not hear of, and once it has.
+fn confirmed_beside_an_open_item(guards: Guards) -> (bool, bool) {
+    let seeds = vec![ip(1), ip(2), ip(3)];
+    let start = |host: u8| {
+        let options =
+            Options { me: ip(host), seeds: seeds.clone(), bootstrap: true, tolerated: 1, seed: host.into() };
+        Replica::with_guards(1, options, None, guards, &mut Vec::new())
+    };
+    let (mut voter, mut other) = (start(1), start(2));
+    // Its proposer, the third, has acknowledged it and is gone.
+    let item = Item { key: Key { kind: Kind::Service, name: "s".into() }, ver: 7, body: Some("{}".into()) };
+    let roster = voter.state().roster().cloned().expect("founded");
+    let ballot = Ballot { counter: 9, node: 3, incarnation: 1 };
+    let accept = Message::Accept { ballot, roster, chosen: vec![], items: vec![item.clone()] };
+    tell(&mut voter, accept);
+    let mut out = Vec::new();
+    other.handle(2_000, Event::Wake, &mut out);
+    let sent = |out: Vec<Action>, to: u8, wanted: fn(&Message) -> bool| {
+        out.into_iter().find_map(|action| match action {
+            Action::Send { to: host, message } if host == ip(to) && wanted(&message) => Some(message),
+            _ => None,
+        })
+    };
+    let asked = sent(out, 1, |message| matches!(message, Message::Exchange { .. })).expect("a comparison");
+    let mut out = Vec::new();
+    voter.handle(2_000, Event::Message { from: ip(2), message: asked }, &mut out);
+    let same = sent(out, 2, |message| matches!(message, Message::Same { .. })).expect("an answer");
+    other.handle(2_001, Event::Message { from: ip(1), message: same }, &mut Vec::new());
+    let before = other.confirmed_age(2_001).is_some();
+    let chosen = Message::Chosen { items: vec![item] };
+    other.handle(2_100, Event::Message { from: ip(1), message: chosen }, &mut Vec::new());
+    (before, other.confirmed_age(2_100) == Some(100))
+}
+
+#[gtest]
+fn a_comparison_counts_once_what_the_other_has_accepted_is_known() {
+    expect_that!(confirmed_beside_an_open_item(Guards::default()), eq((false, true)));
+}
+
+#[gtest]
+fn without_what_is_open_a_store_confirms_beside_an_acknowledged_item() {
+    let wrong = Guards { open: false, ..Guards::default() };
+    expect_that!(confirmed_beside_an_open_item(wrong), eq((true, true)));
+}
+
 /// More than are kept, from the lowest version on.
 fn drops() -> Vec<Item> {
     let key = |name: usize| Key { kind: Kind::Service, name: format!("s{name}") };
--- a/crates/emberpin-simulator/src/builds.rs
+++ b/crates/emberpin-simulator/src/builds.rs
@@ -63,6 +63,7 @@
     "no-leaves",
     "no-resumes",
     "no-hints",
+    "no-open",
     "no-lease",
 ];
 
@@ -84,6 +85,7 @@
             "no-newest" => &mut self.consensus.newest,
             "no-whole" => &mut self.consensus.whole,
             "no-late" => &mut self.consensus.late,
+            "no-open" => &mut self.consensus.open,
             "no-spread" => &mut self.consensus.spread,
             "no-majority" => &mut self.watch.majority,
             "no-rises" => &mut self.watch.rises,
