--- a/crates/emberpin-consensus/src/message.rs
+++ b/crates/emberpin-consensus/src/message.rs
@@ -1,7 +1,7 @@
 //! What stores of configuration say to each other.
 
 use crate::renewals::{Incarnation, Renewals};
-use emberpin_config::Item;
+use emberpin_config::{Item, Key};
 use serde::{Deserialize, Serialize};
 
 /// Names a round; the higher one prevails.
@@ -106,6 +106,8 @@
         seq: u64,
         /// Whether the sender counts in quorums.
         voting: bool,
+        /// Names and versions that the sender has accepted and does not know to be chosen.
+        open: Vec<(Key, u64)>,
     },
     /// Answers [`Message::Exchange`]: something differs.
     Differ {
@@ -113,6 +115,8 @@
         seq: u64,
         /// By bucket.
         digests: Vec<u64>,
+        /// As in [`Message::Same`].
+        open: Vec<(Key, u64)>,
     },
     /// Wants the chosen items of these buckets.
     Fetch {
--- a/crates/emberpin-consensus/src/replica.rs
+++ b/crates/emberpin-consensus/src/replica.rs
@@ -1,5 +1,6 @@
 //! One store: takes calls, runs rounds, votes, repairs, and keeps the roster.
 
+mod comparison;
 mod disk;
 mod events;
 mod messages;
@@ -14,6 +15,7 @@
 use crate::message::Message;
 use crate::round::{majority, Round, Task};
 use crate::state::{is_told, mixed, roster_item, voters, State};
+use comparison::{Comparisons, Version};
 use disk::Storage;
 use emberpin_config::{read_patch, Item, Key};
 use pacing::Pacing;
@@ -27,8 +29,8 @@
 const EVACUATION: u64 = 850;
 /// So many calls wait at most; more are told to come again, or to go elsewhere.
 const WAITING: usize = 64;
-/// How often stores compare what they hold.
-const EXCHANGE: u64 = 500;
+/// How often stores compare what they hold, in milliseconds.
+pub const EXCHANGE: u64 = 500;
 /// A comparison counts for so long.
 const FRESH: u64 = 1_200;
 /// One that was silent for so long isn't there to be compared with.
@@ -45,12 +47,13 @@
 const FEWEST: usize = 3;
 
 /// What another store last told.
-#[derive(Clone, Copy, Debug, Default)]
+#[derive(Clone, Debug, Default)]
 struct Peer {
     /// When it was last heard; 0 for never.
     heard: u64,
-    /// Until when what it held was here; `None`, as long as it doesn't count.
-    compared: Option<u64>,
+    compared: Comparisons,
+    /// What it named as open in the comparison that is under way, where something differed.
+    open: Vec<Version>,
     /// The comparison that is under way, and when it began.
     asked: (u64, u64),
 }
@@ -75,6 +78,8 @@
     counter: u64,
     started: u64,
     peers: BTreeMap<Ipv4Addr, Peer>,
+    /// Comparisons with what this replica itself has accepted.
+    own: Comparisons,
     exchange_at: u64,
     seq: u64,
     tasks: VecDeque<Task>,
@@ -127,6 +132,7 @@
             counter,
             started: now,
             peers: BTreeMap::new(),
+            own: Comparisons::default(),
             exchange_at: now,
             seq: 0,
             tasks: VecDeque::new(),
@@ -175,15 +181,20 @@
 
     /// Whether what it knows is no older than what a majority of the voters had a second ago.
     pub fn settled(&self, now: u64) -> bool {
+        self.confirmed_age(now).is_some_and(|age| age <= FRESH)
+    }
+
+    /// So many milliseconds ago it began to compare itself with a majority of the voters, and it holds all that they
+    /// held then; `None`, if it never did.
+    pub fn confirmed_age(&self, now: u64) -> Option<u64> {
         let voters = self.voters();
-        let fresh = |voter: &&Ipv4Addr| match **voter == self.options.me {
-            true => self.acceptor.voting,
-            false => {
-                let compared = self.peers.get(voter).and_then(|peer| peer.compared);
-                compared.is_some_and(|at| now.saturating_sub(at) <= FRESH)
-            }
+        let age = |voter: &Ipv4Addr| match *voter == self.options.me {
+            true => self.own_age(now).filter(|_| self.acceptor.voting),
+            false => self.peers.get(voter)?.compared.counted.map(|at| now.saturating_sub(at)),
         };
-        !voters.is_empty() && voters.iter().filter(fresh).count() >= majority(&voters)
+        let mut ages: Vec<u64> = voters.iter().filter_map(age).collect();
+        ages.sort_unstable();
+        ages.get(majority(&voters).checked_sub(1)?).copied()
     }
 
     /// Whether a store that was told to leave has nothing left to wait for: it has no place on the roster,
@@ -339,6 +350,7 @@
         if !self.acceptor.open() {
             self.open_until = None;
         }
+        self.count_comparisons();
         let closed = had && !self.acceptor.open();
         let told: Vec<Item> = new.iter().filter(|item| is_told(item)).cloned().collect();
         self.persist_and_remove(new, removed, closed, false, None, out);
--- a/crates/emberpin-membership/src/guards.rs
+++ b/crates/emberpin-membership/src/guards.rs
@@ -15,6 +15,10 @@
     pub displace: bool,
     /// A place that is not known means a snapshot.
     pub place: bool,
+    /// An answer renews a lease from the time of its question, not from its arrival.
+    pub lease: bool,
+    /// Calls of the operator that cannot be confirmed here are sent on at once.
+    pub sends_on: bool,
     /// The servers of a zone that was taken back are cold.
     pub returned: bool,
 }
@@ -28,6 +32,8 @@
             repair: true,
             displace: true,
             place: true,
+            lease: true,
+            sends_on: true,
             returned: true,
         }
     }
--- a/crates/emberpin-membership/tests/common/mod.rs
+++ b/crates/emberpin-membership/tests/common/mod.rs
@@ -2,6 +2,7 @@
 #![allow(dead_code, missing_docs)]
 
 use emberpin_config::{Item, Key, Kind};
+use emberpin_membership::guards::Guards;
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::peers::{Ack, RegistryMessage};
 use emberpin_membership::registry::{Action, Answer, Event, Limits, Registry};
@@ -86,10 +87,14 @@
     pub servers: Vec<Server>,
     wires: BTreeMap<(u8, u8), Wire>,
     cuts: BTreeSet<(u8, u8)>,
+    held: BTreeSet<(u8, u8)>,
     calls: u64,
+    questions: u64,
     instances: u64,
-    /// Messages between registries.
+    /// Messages between registries, answers to pulses aside.
     pub said: u64,
+    /// Answers to pulses.
+    pub answered: u64,
     /// Connections that were wanted.
     pub called: u64,
 }
@@ -108,9 +113,12 @@
             servers: Vec::new(),
             wires: BTreeMap::new(),
             cuts: BTreeSet::new(),
+            held: BTreeSet::new(),
             calls: 0,
+            questions: 0,
             instances: 0,
             said: 0,
+            answered: 0,
             called: 0,
         };
         for number in 1..=size {
@@ -140,6 +148,33 @@
         self.nodes.insert(number, node);
     }
 
+    /// Starts a machine anew, as a wrong build.
+    pub fn restart_with(&mut self, number: u8, guards: Guards) {
+        self.kill(number);
+        self.start(number);
+        let node = self.nodes.get_mut(&number).expect("started");
+        let limits = Limits {
+            me: ip(number),
+            zone: zone(number),
+            incarnation: self.instances,
+            beat_ms: BEAT,
+            seeds: self.voters.clone(),
+        };
+        node.registry = Registry::with_guards(self.now, limits, guards);
+    }
+
+    /// Links hold what goes over them, and stay; or let it go.
+    pub fn hold(&mut self, one: u8, others: &[u8], hold: bool) {
+        for other in others {
+            for pair in [(one, *other), (*other, one)] {
+                match hold {
+                    true => _ = self.held.insert(pair),
+                    false => _ = self.held.remove(&pair),
+                }
+            }
+        }
+    }
+
     pub fn kill(&mut self, number: u8) {
         self.nodes.remove(&number);
         let (mine, theirs): (Vec<_>, Vec<_>) = self
@@ -214,7 +249,10 @@
             Action::Drop { peer } => _ = self.wires.remove(&(at, number(peer))),
             Action::Say { to, said } => {
                 for peer in to {
-                    self.said += 1;
+                    match said {
+                        RegistryMessage::Alive { .. } => self.answered += 1,
+                        _ => self.said += 1,
+                    }
                     if let Some(wire) = self.wires.get_mut(&(at, number(peer))).filter(|wire| wire.open) {
                         wire.there.push_back((self.now + DELAY, Message::RegistryMessage(said.clone())));
                     }
@@ -230,6 +268,12 @@
                     node.told.entry(session).or_default().push(told.clone());
                 }
             }
+            Action::AskStore { question } => {
+                if let Some(settled) = node.store {
+                    let age = settled.then_some(0);
+                    node.queue.push_back(Event::StoreConfirmed { question, age });
+                }
+            }
             Action::Close { session } => _ = node.closed.insert(session),
         }
     }
@@ -247,7 +291,7 @@
                 self.close((from, to));
                 continue;
             }
-            if cut || !up {
+            if cut || !up || self.held.contains(&(from, to)) {
                 continue;
             }
             if !wire.open {
@@ -276,7 +320,8 @@
             let settled = self.nodes[&number].store;
             if self.now.is_multiple_of(500) {
                 if let Some(settled) = settled {
-                    self.event(number, Event::Status { settled, voters: self.voters.clone() });
+                    _ = settled;
+                    self.event(number, Event::Voters(self.voters.clone()));
                 }
             }
             self.work(number);
@@ -350,7 +395,8 @@
     }
 
     pub fn pulse(&mut self, at: u8, session: u64) {
-        let said = FromLimiter::Pulse { at: Revision { incarnation: 0, number: 0 } };
+        self.questions += 1;
+        let said = FromLimiter::Pulse { at: None, question: self.questions };
         self.event(at, Event::Limiter { session, said });
     }
 
@@ -367,10 +413,11 @@
         self.nodes.get_mut(&at).and_then(|node| node.told.remove(&session)).unwrap_or_default()
     }
 
-    /// Whether the last pulse in a session said that the registry is settled.
+    /// Whether the registry says to a session, when asked now, that it is settled.
     pub fn last_settled(&mut self, at: u8, session: u64) -> Option<bool> {
+        self.pulse(at, session);
         self.told(at, session).iter().rev().find_map(|told| match told {
-            ToLimiter::Pulse { settled, .. } => Some(*settled),
+            ToLimiter::Pulse { age, .. } => Some(age.is_some()),
             _ => None,
         })
     }
--- a/crates/emberpin-registry/src/host.rs
+++ b/crates/emberpin-registry/src/host.rs
@@ -1,9 +1,10 @@
 //! The owner of the registry: takes commands one after the other, and does what it decides.
 
+use crate::store::Stores;
 use crate::{body, links};
 use bytes::Bytes;
 use emberpin_membership::instance::Instance;
-use emberpin_membership::registry::{Action, Answer, Event, Limits, Registry};
+use emberpin_membership::registry::{Action, Answer, Event, Limits, Registry, Taker};
 use emberpin_runtime::frames;
 use emberpin_runtime::preamble::ProcessIdentity;
 use emberpin_store::protocol::DiskReport;
@@ -36,6 +37,11 @@
         /// Where the answer goes.
         answer: oneshot::Sender<Answer>,
     },
+    /// Who is to take a call of the operator?
+    Taker {
+        /// Where the answer goes.
+        answer: oneshot::Sender<Taker>,
+    },
     /// The operator asks how the registry stands.
     Status {
         /// The disk of the store on this machine, if that told.
@@ -105,6 +111,7 @@
     identity: Identity,
     me: Ipv4Addr,
     registry: Registry,
+    stores: Arc<Stores>,
     begin: Instant,
     commands: Commands,
     queue: mpsc::Receiver<Command>,
@@ -119,13 +126,14 @@
 
 impl Host {
     /// One that starts now.
-    pub fn new(identity: Identity, limits: Limits) -> (Host, Commands) {
+    pub fn new(identity: Identity, limits: Limits, stores: Arc<Stores>) -> (Host, Commands) {
         let (send, queue) = mpsc::channel(WAITING);
         let commands = Commands(send);
         let host = Host {
             identity,
             me: limits.me,
             registry: Registry::new(0, limits),
+            stores,
             begin: Instant::now(),
             commands: commands.clone(),
             queue,
@@ -169,6 +177,7 @@
                 let call = self.owe(answer);
                 self.handle(Event::Leave { call, id });
             }
+            Command::Taker { answer } => _ = answer.send(self.registry.taker(self.now())),
             Command::Status { disk, answer } => {
                 let unreadable = links::UNREADABLE.load(Ordering::Relaxed);
                 let about = body::About {
@@ -264,6 +273,7 @@
                     }
                 }
             }
+            Action::AskStore { question } => self.stores.confirm(question),
             Action::Close { session } => _ = self.sessions.remove(&session),
         }
     }
--- a/crates/emberpin-registry/src/store.rs
+++ b/crates/emberpin-registry/src/store.rs
@@ -14,8 +14,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use tokio::io::{AsyncWriteExt, BufReader};
-use tokio::sync::{mpsc, oneshot};
+use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt, BufReader};
+use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{sleep, timeout, Instant};
 
 /// A store says how it stands twice a second.
@@ -63,6 +63,8 @@
     /// The disk of the store on this machine, once that told.
     disk: Mutex<Option<DiskReport>>,
     passing: Mutex<HashMap<Ipv4Addr, Passing>>,
+    /// The newest question that the registry asks whichever store is followed.
+    questions: watch::Sender<u64>,
     ids: AtomicU64,
 }
 
@@ -83,6 +85,7 @@
             local: Mutex::new(Instant::now()),
             disk: Mutex::default(),
             passing: Mutex::default(),
+            questions: watch::Sender::default(),
             ids: AtomicU64::new(0),
         }
     }
@@ -92,6 +95,11 @@
         *locked(&self.disk)
     }
 
+    /// Asks whichever store is followed how old what it tells is.
+    pub fn confirm(&self, question: u64) {
+        self.questions.send_replace(question);
+    }
+
     /// Follows the stores for as long as the process runs.
     pub fn follow(self: &Arc<Stores>, commands: &Commands) {
         tokio::spawn(self.clone().follow_local(commands.clone()));
@@ -134,28 +142,9 @@
             let mut from = BufReader::new(from);
             let greeted = timeout(SILENCE, self.identity.receive(&mut from)).await;
             greeted.map_err(std::io::Error::from)??;
-            loop {
-                let told = timeout(SILENCE, frames::read::<StoreReply>(&mut from)).await;
-                let told = told.map_err(std::io::Error::from)??;
-                if store == self.me {
-                    *locked(&self.local) = Instant::now();
-                }
-                let event = match told {
-                    StoreReply::Items { items } => Event::Items(items),
-                    StoreReply::Status { settled, voters, disk, .. } => {
-                        if store == self.me {
-                            *locked(&self.disk) = Some(disk);
-                        }
-                        locked(&self.voters).clone_from(&voters);
-                        Event::Status { settled, voters }
-                    }
-                    StoreReply::Answer { .. } => continue,
-                };
-                commands.event(event).await;
-                if store != self.me && locked(&self.local).elapsed() < ALONE {
-                    return Err(std::io::Error::other("the store here is back").into());
-                }
-            }
+            let asks = self.ask_on(&mut to);
+            let follows = self.hear(store, from, commands);
+            tokio::select! { ended = asks => ended, ended = follows => ended }
         };
         match follow.await {
             Ok(never) => never,
@@ -163,6 +152,47 @@
         }
     }
 
+    async fn ask_on(&self, to: &mut (impl AsyncWrite + Unpin)) -> Result<Broken, Broken> {
+        let mut questions = self.questions.subscribe();
+        loop {
+            let question = *questions.borrow_and_update();
+            frames::write(to, &ToStore::StoreRequest(StoreRequest::Confirm { question })).await?;
+            // Its sender lives as long as this does.
+            _ = questions.changed().await;
+        }
+    }
+
+    async fn hear(
+        &self,
+        store: Ipv4Addr,
+        mut from: impl AsyncRead + Unpin,
+        commands: &Commands,
+    ) -> Result<Broken, Broken> {
+        loop {
+            let told = timeout(SILENCE, frames::read::<StoreReply>(&mut from)).await;
+            let told = told.map_err(std::io::Error::from)??;
+            if store == self.me {
+                *locked(&self.local) = Instant::now();
+            }
+            let event = match told {
+                StoreReply::Items { items } => Event::Items(items),
+                StoreReply::Status { voters, disk, .. } => {
+                    if store == self.me {
+                        *locked(&self.disk) = Some(disk);
+                    }
+                    locked(&self.voters).clone_from(&voters);
+                    Event::Voters(voters)
+                }
+                StoreReply::Confirmed { question, age } => Event::StoreConfirmed { question, age },
+                StoreReply::Answer { .. } => continue,
+            };
+            commands.event(event).await;
+            if store != self.me && locked(&self.local).elapsed() < ALONE {
+                return Err(std::io::Error::other("the store here is back").into());
+            }
+        }
+    }
+
     fn others(&self) -> Vec<Ipv4Addr> {
         let voters = locked(&self.voters);
         let known = if voters.is_empty() { &self.seeds } else { &*voters };
--- a/crates/emberpin-registry/tests/common/mod.rs
+++ b/crates/emberpin-registry/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, missing_docs)]
 
 use emberpin_config::{Item, Key, Kind};
-use emberpin_membership::session::{First, FromLimiter, Revision, ToLimiter};
+use emberpin_membership::session::{First, FromLimiter, ToLimiter};
 use emberpin_runtime::frames;
 use emberpin_runtime::preamble::ProcessIdentity;
 use emberpin_store::protocol::{DiskReport, DiskState, StoreReply, StoreRequest, ToStore};
@@ -13,6 +13,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::OwnedReadHalf;
 use tokio::net::{TcpSocket, TcpStream};
+use tokio::sync::mpsc::unbounded_channel;
 use tokio::task::JoinHandle;
 use tokio::time::{interval, timeout};
 
@@ -101,11 +102,26 @@
 
 /// A store that is settled, tells these items, and answers each call with its own name.
 pub async fn store(ip: Ipv4Addr, voters: Vec<Ipv4Addr>, items: Vec<Item>) {
-    store_with_disk(ip, voters, items, DiskReport::default()).await;
+    serve_store(ip, voters, items, Some(0), DiskReport::default()).await;
 }
 
 /// One whose disk stands so; on a full one it refuses every call.
 pub async fn store_with_disk(ip: Ipv4Addr, voters: Vec<Ipv4Addr>, items: Vec<Item>, disk: DiskReport) {
+    serve_store(ip, voters, items, Some(0), disk).await;
+}
+
+/// A store that hears no other: it confirms nothing, and holds calls for ever.
+pub async fn store_cut_off(ip: Ipv4Addr, voters: Vec<Ipv4Addr>) {
+    serve_store(ip, voters, Vec::new(), None, DiskReport::default()).await;
+}
+
+async fn serve_store(
+    ip: Ipv4Addr,
+    voters: Vec<Ipv4Addr>,
+    items: Vec<Item>,
+    age: Option<u64>,
+    disk: DiskReport,
+) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_reuseaddr(true).expect("set");
     socket.bind((ip, KEEPER).into()).expect("bound");
@@ -113,12 +129,18 @@
     tokio::spawn(async move {
         loop {
             let (stream, _) = listener.accept().await.expect("accepts");
-            tokio::spawn(answer(stream, voters.clone(), items.clone(), disk));
+            tokio::spawn(answer(stream, voters.clone(), items.clone(), age, disk));
         }
     });
 }
 
-async fn answer(mut stream: TcpStream, voters: Vec<Ipv4Addr>, items: Vec<Item>, disk: DiskReport) {
+async fn answer(
+    mut stream: TcpStream,
+    voters: Vec<Ipv4Addr>,
+    items: Vec<Item>,
+    age: Option<u64>,
+    disk: DiskReport,
+) {
     let store = ProcessIdentity::new(2);
     if store.receive(&mut stream).await.is_err() || store.send(&mut stream).await.is_err() {
         return;
@@ -129,17 +151,13 @@
             StoreRequest::Get { id } => (id, "{\"svcs\":[]}".to_string()),
             StoreRequest::Evacuate { id, zone, begin } => (id, format!("{zone} {begin}")),
             StoreRequest::Follow => {
-                let mut beat = interval(Duration::from_millis(400));
-                _ = frames::write(&mut stream, &StoreReply::Items { items: items.clone() }).await;
-                loop {
-                    beat.tick().await;
-                    let told = StoreReply::Status { settled: true, voters: voters.clone(), disk, refused: 0 };
-                    if frames::write(&mut stream, &told).await.is_err() {
-                        return;
-                    }
-                }
+                return follow(stream, voters, items, age, disk).await;
             }
+            StoreRequest::Confirm { .. } => continue,
         };
+        if age.is_none() {
+            continue;
+        }
         let status = if disk.state == DiskState::Full { 503 } else { 200 };
         if frames::write(&mut stream, &StoreReply::Answer { id, status, body }).await.is_err() {
             return;
@@ -147,6 +165,36 @@
     }
 }
 
+/// Tells how it stands, and gives each question this answer.
+async fn follow(
+    stream: TcpStream,
+    voters: Vec<Ipv4Addr>,
+    items: Vec<Item>,
+    age: Option<u64>,
+    disk: DiskReport,
+) {
+    let (mut from, mut to) = stream.into_split();
+    _ = frames::write(&mut to, &StoreReply::Items { items }).await;
+    let (questions, mut asked) = unbounded_channel();
+    let reads = tokio::spawn(async move {
+        while let Ok(ToStore::StoreRequest(StoreRequest::Confirm { question })) =
+            frames::read(&mut from).await
+        {
+            _ = questions.send(question);
+        }
+    });
+    let mut beat = interval(Duration::from_millis(400));
+    loop {
+        let told = tokio::select! {
+            Some(question) = asked.recv() => StoreReply::Confirmed { question, age },
+            _ = beat.tick() => StoreReply::Status { settled: age.is_some(), voters: voters.clone(), disk, refused: 0 },
+        };
+        if frames::write(&mut to, &told).await.is_err() {
+            return reads.abort();
+        }
+    }
+}
+
 /// Connects as soon as somebody listens.
 pub async fn connect(ip: Ipv4Addr, port: u16) -> TcpStream {
     let mut beat = interval(Duration::from_millis(20));
@@ -205,9 +253,9 @@
         frames::write(&mut to, &hello).await.expect("sent");
         let pulses = tokio::spawn(async move {
             let mut beat = interval(Duration::from_millis(300));
-            let pulse = FromLimiter::Pulse { at: Revision { incarnation: 0, number: 0 } };
-            loop {
+            for question in 1.. {
                 beat.tick().await;
+                let pulse = FromLimiter::Pulse { at: None, question };
                 if frames::write(&mut to, &pulse).await.is_err() {
                     return;
                 }
--- a/crates/emberpin-store/src/protocol.rs
+++ b/crates/emberpin-store/src/protocol.rs
@@ -45,6 +45,11 @@
     /// Wants all chosen items now and each change from then on, as [`StoreReply::Items`], and [`StoreReply::Status`] on
     /// the way.
     Follow,
+    /// Asks how old what was told on this connection is; one [`StoreReply::Confirmed`] is owed.
+    Confirm {
+        /// The question's nonce.
+        question: u64,
+    },
 }
 
 /// From a store to a registry.
@@ -75,6 +80,14 @@
         /// Peers of another version or system that it has refused since its start.
         refused: u64,
     },
+    /// Answers [`StoreRequest::Confirm`], behind all items that were known by then.
+    Confirmed {
+        /// The question's nonce.
+        question: u64,
+        /// So many milliseconds ago a majority of the voters had nothing that has not been told; `None`: nothing can be
+        /// confirmed.
+        age: Option<u64>,
+    },
 }
 
 /// What a store's disk takes.
