--- a/crates/emberpin-proxy/src/controller.rs
+++ b/crates/emberpin-proxy/src/controller.rs
@@ -5,6 +5,7 @@
 use dillpass::{CustomerId, GatewayId, PlanId, RequestId, ServerId};
 use emberpin::host::{
     Answer, Call, ClientLimits, Ended, Input, Outgoing, Pool, Reception, Reply, Upstream, Upstreamed,
+    HEAD_BYTES,
 };
 use emberpin_config::{routes_in_force, Configuration, Item, Kind, Limits, Service as Listed};
 use emberpin_membership::instance::Instance;
@@ -41,6 +42,8 @@
 const INPUTS: usize = 1024;
 /// The longest body where the configuration does not say.
 const BODY_MAX: u64 = 64 << 20;
+/// The longest head that is ever read, whatever the configuration says: each client's connection may hold one.
+const MOST_HEAD_BYTES: usize = 256 << 10;
 /// Heads may take so much longer than the limit says, as the client counts from its own sending; twice if they grow.
 const HEAD_SLACK: Duration = Duration::from_millis(500);
 /// Idle connections stay so much longer than the limit says: a request may be on its way.
@@ -51,6 +54,7 @@
     ready: Cell<bool>,
     leaving: Cell<bool>,
     body_max: Cell<u64>,
+    head_max: Cell<u64>,
 }
 
 impl View {
@@ -68,6 +72,11 @@
     pub fn body_max(&self) -> u64 {
         self.body_max.get()
     }
+
+    /// The longest head that a client may send, in bytes.
+    pub fn head_max(&self) -> u64 {
+        self.head_max.get()
+    }
 }
 
 /// A request that a client made.
@@ -170,6 +179,7 @@
                 ready: Cell::new(false),
                 leaving: Cell::new(false),
                 body_max: Cell::new(BODY_MAX),
+                head_max: Cell::new(HEAD_BYTES as u64),
             }),
             reception,
             pool,
@@ -478,13 +488,8 @@
                 Kind::Limits => {
                     if let Ok(limits) = Limits::from_item(item) {
                         self.view.body_max.set(limits.body_max_bytes);
-                        let head = limits.hdr_read + HEAD_SLACK;
-                        let idle = limits.idle + IDLE_SLACK;
-                        self.reception.limit(ClientLimits {
-                            head: (head, head + HEAD_SLACK * 2),
-                            silence: idle,
-                            idle: Some(idle),
-                        });
+                        self.view.head_max.set(limits.hdr_max_bytes);
+                        self.reception.limit(client_limits(&limits));
                     }
                 }
                 Kind::Route | Kind::Roster => {}
@@ -568,6 +573,20 @@
     }
 }
 
+/// What the configuration leaves each client's connection.
+fn client_limits(limits: &Limits) -> ClientLimits {
+    let head = limits.hdr_read + HEAD_SLACK;
+    let idle = limits.idle + IDLE_SLACK;
+    let head_bytes = usize::try_from(limits.hdr_max_bytes).unwrap_or(MOST_HEAD_BYTES);
+    ClientLimits {
+        head: (head, head + HEAD_SLACK * 2),
+        silence: idle,
+        idle: Some(idle),
+        // A shorter limit is held against heads that have come whole: the HTTP library reads no less.
+        head_bytes: head_bytes.clamp(HEAD_BYTES, MOST_HEAD_BYTES),
+    }
+}
+
 /// Asks a silent server for a sign of instance until it gives one or nothing may go there any more.
 async fn ask_on(
     upstream: Rc<Upstream>,
--- a/crates/emberpin-proxy/src/requests.rs
+++ b/crates/emberpin-proxy/src/requests.rs
@@ -9,7 +9,7 @@
     Outgoing, Reply, RequestHandler, Served, Upload, Upstreamed,
 };
 use hyper::body::{Body, Incoming};
-use hyper::header::{HeaderMap, HeaderValue, HOST, RETRY_AFTER};
+use hyper::header::{HeaderMap, HeaderName, HeaderValue, HOST, RETRY_AFTER};
 use hyper::{Request, Response, StatusCode};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -76,6 +76,10 @@
         if connection.is_doubtful() {
             return Err(StatusCode::BAD_REQUEST);
         }
+        if head_size(&request) > self.view.head_max() {
+            spawn_local(run_out(request.into_body()));
+            return Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
+        }
         let arrived = Instant::now();
         let host = host(&request).ok_or(StatusCode::BAD_REQUEST)?;
         let most = self.view.body_max();
@@ -87,6 +91,12 @@
         }
         let deadline = deadline(&parts.headers)?;
         let (held, rest) = if body.is_end_stream() { (Bytes::new(), None) } else { take_in(body).await? };
+        if held.len() as u64 > most {
+            if let Some(rest) = rest {
+                spawn_local(run_out(rest));
+            }
+            return Err(StatusCode::PAYLOAD_TOO_LARGE);
+        }
         let body = match rest {
             None => Upstreamed::Whole(held),
             Some(rest) => {
@@ -94,7 +104,7 @@
                     spawn_local(run_out(rest));
                     return Ok(come_back(Duration::from_millis(500)));
                 };
-                Upstreamed::Coming(Rc::new(Upload::new(held, length, rest, room)))
+                Upstreamed::Coming(Rc::new(Upload::new(held, length, rest, room).bounded(most)))
             }
         };
         let upload = match &body {
@@ -152,7 +162,7 @@
             }
         };
         let reply = match &upload {
-            None => asking.await,
+            None => Ok(asking.await),
             Some(upload) => {
                 // What keeps it from its place is a client's silence, not its slowness.
                 let silent = async {
@@ -162,18 +172,20 @@
                 };
                 tokio::select! {
                     biased;
-                    reply = asking => reply,
+                    () = upload.exceeded() => Err(StatusCode::PAYLOAD_TOO_LARGE),
+                    reply = asking => Ok(reply),
                     () = silent => return Err(StatusCode::BAD_REQUEST),
                 }
             }
         };
-        waiting.answered = true;
+        // A body that is too long ends its attempt: the controller hears that nobody waits for it.
+        waiting.answered = reply.is_ok();
         // Answered before all of it came: the rest runs out, as an end of the connection with something unread on it
         // would take the answer with it.
         if let Some(rest) = upload.and_then(|upload| upload.take_rest()) {
             spawn_local(run_out(rest));
         }
-        Ok(reply)
+        reply
     }
 }
 
@@ -223,6 +235,18 @@
     }
 }
 
+/// Bytes that the head took on the wire, at the least: spaces that may stand around a value are not counted.
+fn head_size<T>(request: &Request<T>) -> u64 {
+    const LINE_END: usize = 2;
+    const COLON: usize = 1;
+    let target = request.uri().path_and_query().map_or(1, |target| target.as_str().len());
+    let request_line = request.method().as_str().len() + target + "  HTTP/1.1".len() + LINE_END;
+    let header =
+        |(name, value): (&HeaderName, &HeaderValue)| name.as_str().len() + COLON + value.len() + LINE_END;
+    let headers: usize = request.headers().iter().map(header).sum();
+    (request_line + headers + LINE_END) as u64
+}
+
 /// How long the client will wait; nothing where it doesn't say.
 fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, StatusCode> {
     let Some(text) = headers.get(DEADLINE) else { return Ok(None) };
--- a/crates/emberpin/src/front/connections.rs
+++ b/crates/emberpin/src/front/connections.rs
@@ -23,13 +23,18 @@
     pub silence: Duration,
     /// Between an answer and the next request, where that is bounded.
     pub idle: Option<Duration>,
+    /// Bytes of a head that are read: a longer one is refused with 431 as soon as so many have come.
+    pub head_bytes: usize,
 }
 
+/// Bytes of a head that are read where nothing else is said.
+pub const HEAD_BYTES: usize = 16 * 1024;
+
 impl Default for ClientLimits {
     /// The platform's clients take up to 2 s, and stay between requests as long as they like.
     fn default() -> ClientLimits {
         let head = (Duration::from_millis(2_500), Duration::from_secs(4));
-        ClientLimits { head, silence: Duration::from_secs(2), idle: None }
+        ClientLimits { head, silence: Duration::from_secs(2), idle: None, head_bytes: HEAD_BYTES }
     }
 }
 
@@ -173,6 +178,11 @@
         Connections { most, limits, room, list: RefCell::default(), count: watch::Sender::new(0) }
     }
 
+    /// The limits that hold now.
+    pub fn limits(&self) -> ClientLimits {
+        self.limits.get()
+    }
+
     /// Other limits hold from now on.
     pub fn limit(&self, limits: ClientLimits) {
         self.limits.set(limits);
--- a/crates/emberpin/src/front/reception.rs
+++ b/crates/emberpin/src/front/reception.rs
@@ -22,7 +22,6 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// How often a connection on which a request is on its way is looked at when it is to end.
 const EXPECTING_LOOK: Duration = Duration::from_millis(10);
-const MAX_HEAD: usize = 16 * 1024;
 
 #[derive(Clone, Copy, PartialEq)]
 /// How far a reception is in its life.
@@ -126,10 +125,15 @@
 
     async fn connection<D: RequestHandler>(self: Rc<Self>, handler: Rc<D>, stream: TcpStream, place: Place) {
         _ = stream.set_nodelay(true);
+        let head_bytes = self.connections.limits().head_bytes;
         let service = service_fn(|request| {
             let (reception, handler, connection) = (self.clone(), handler.clone(), place.connection.clone());
             async move {
-                let response = reception.answered(handler, request, &connection).await;
+                let mut response = reception.answered(handler, request, &connection).await;
+                // Heads may be longer by now than this connection reads.
+                if head_bytes < reception.connections.limits().head_bytes {
+                    response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+                }
                 if let Content::Whole(_) = response.body() {
                     connection.close();
                 }
@@ -137,7 +141,8 @@
             }
         });
         let stream = TokioIo::new(Watched { stream, connection: place.connection.clone() });
-        let mut served = pin!(http1::Builder::new().max_buf_size(MAX_HEAD).serve_connection(stream, service));
+        let mut served =
+            pin!(http1::Builder::new().max_buf_size(head_bytes).serve_connection(stream, service));
         let mut must_go = pin!(place.connection.must_go());
         tokio::select! {
             biased;
@@ -171,7 +176,12 @@
         let mut response = handler.respond(request, connection.clone()).await;
         // What follows a body that was not taken in is no request.
         let spoilt = connection.is_doubtful()
-            || matches!(response.status(), StatusCode::PAYLOAD_TOO_LARGE | StatusCode::REQUEST_TIMEOUT);
+            || matches!(
+                response.status(),
+                StatusCode::PAYLOAD_TOO_LARGE
+                    | StatusCode::REQUEST_TIMEOUT
+                    | StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE
+            );
         let crowded = connection.is_first_request() && self.connections.are_crowded();
         if spoilt || crowded || matches!(self.phase(), Phase::Leaving | Phase::Closing) {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/crates/emberpin/src/front/stream.rs
+++ b/crates/emberpin/src/front/stream.rs
@@ -42,6 +42,12 @@
     finished: Notify,
     /// Since when the client is waited for.
     waiting: Cell<Option<Instant>>,
+    /// Bytes that it may have in all, and those that have come.
+    most: u64,
+    size: Cell<u64>,
+    /// More than that has come.
+    exceeded: Cell<bool>,
+    overflowed: Notify,
     /// Its part of the process's budget of bytes.
     _room: OwnedSemaphorePermit,
 }
@@ -49,6 +55,7 @@
 impl Upload {
     /// A body of which this has come, and `rest` brings what follows.
     pub fn new(held: Bytes, length: Option<u64>, rest: Incoming, room: OwnedSemaphorePermit) -> Upload {
+        let size = Cell::new(held.len() as u64);
         Upload {
             held,
             length,
@@ -57,10 +64,37 @@
             ended: Cell::new(None),
             finished: Notify::new(),
             waiting: Cell::new(None),
+            most: u64::MAX,
+            size,
+            exceeded: Cell::new(false),
+            overflowed: Notify::new(),
             _room: room,
         }
     }
 
+    /// It may have so many bytes in all: the piece that passes that is not handed over, nor anything behind it, so that
+    /// no server sees the body's end.
+    pub fn bounded(self, most: u64) -> Upload {
+        Upload { most, ..self }
+    }
+
+    /// Returns when more bytes have come than it may have.
+    pub async fn exceeded(&self) {
+        while !self.exceeded.get() {
+            self.overflowed.notified().await;
+        }
+    }
+
+    /// Counts what has come; whether that is more than it may have.
+    fn overflows(&self, come: usize) -> bool {
+        self.size.set(self.size.get().saturating_add(come as u64));
+        let exceeded = self.size.get() > self.most;
+        if exceeded && !self.exceeded.replace(true) {
+            self.overflowed.notify_one();
+        }
+        exceeded
+    }
+
     /// Whether another attempt would find all that went out before.
     pub fn is_held(&self) -> bool {
         !self.spent.get()
@@ -89,7 +123,9 @@
     /// The next piece behind what is held.
     pub fn poll_rest(&self, context: &mut Context) -> Poll<Option<Result<Bytes, Cut>>> {
         let mut rest = self.rest.borrow_mut();
-        let Some(body) = rest.as_mut() else { return Poll::Ready(Some(Err(Cut))) };
+        let Some(body) = rest.as_mut().filter(|_| !self.exceeded.get()) else {
+            return Poll::Ready(Some(Err(Cut)));
+        };
         loop {
             return match Pin::new(&mut *body).poll_frame(context) {
                 Poll::Pending => {
@@ -104,7 +140,8 @@
                         Some(Ok(frame)) => match frame.into_data() {
                             Ok(data) => {
                                 self.spent.set(true);
-                                Poll::Ready(Some(Ok(data)))
+                                let overflows = self.overflows(data.len());
+                                Poll::Ready(Some(if overflows { Err(Cut) } else { Ok(data) }))
                             }
                             // Trailers concern nobody behind this limiter.
                             Err(_) => continue,
