--- a/crates/emberpin-proxy/src/controller.rs
+++ b/crates/emberpin-proxy/src/controller.rs
@@ -2,6 +2,7 @@
 
 use crate::requests::own;
 use crate::service::Service;
+use crate::wire::TRY_ID;
 use dillpass::{CustomerId, GatewayId, PlanId, RequestId, ServerId};
 use emberpin::host::{
     Answer, Call, ClientLimits, Ended, Input, Outgoing, Pool, Reception, Reply, Upstream, Upstreamed,
@@ -299,7 +300,7 @@
         let whole = ask.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
         let patience = whole.saturating_sub(MARGIN).max(whole / 2);
         let mut outgoing = ask.outgoing;
-        outgoing.freshness = Some(FRESHNESS).filter(|_| route.kind == RouteKind::Mutating);
+        outgoing.freshness = freshness(&outgoing, route.kind);
         let expires = match &outgoing.body {
             Upstreamed::Whole(_) => ask.arrived + patience,
             Upstreamed::Coming(_) => Instant::now() + UPLOAD_LIMIT,
@@ -573,6 +574,16 @@
     }
 }
 
+/// For how long the connection that carries a request may have been idle, where that is bounded.
+fn freshness(outgoing: &Outgoing, kind: RouteKind) -> Option<Duration> {
+    match kind {
+        // Guards requests without an id: a late answer without one could not be told from theirs.
+        _ if !outgoing.headers.contains_key(TRY_ID) => Some(Duration::ZERO),
+        RouteKind::Mutating => Some(FRESHNESS),
+        RouteKind::Readonly | RouteKind::Pull => None,
+    }
+}
+
 /// What the configuration leaves each client's connection.
 fn client_limits(limits: &Limits) -> ClientLimits {
     let head = limits.hdr_read + HEAD_SLACK;
--- a/crates/emberpin-proxy/src/wire.rs
+++ b/crates/emberpin-proxy/src/wire.rs
@@ -40,15 +40,20 @@
     }
 
     /// Guards against answers of earlier requests that come late: what names another try is not this one's, nor is a
-    /// success that names none.
+    /// success that names none. A request without an id gets no answer that names one.
     fn belongs(&self, mark: Option<&HeaderValue>, headers: &HeaderMap) -> bool {
         match (mark, headers.get(TRY_ID)) {
             (Some(mark), Some(told)) => mark == told,
             (Some(_), None) => !headers.contains_key(SEAL),
-            (None, _) => true,
+            (None, told) => told.is_none(),
         }
     }
 
+    /// Nobody says that servers wait for the end of a body.
+    fn may_run_in_part(&self) -> bool {
+        true
+    }
+
     fn judge(&self, _: Option<&HeaderValue>, response: &Response<()>) -> Outcome {
         let (status, headers) = (response.status(), response.headers());
         // What is not the server's own bytes, or lacks its stamp, is no success.
--- a/crates/emberpin-proxy/tests/attempts.rs
+++ b/crates/emberpin-proxy/tests/attempts.rs
@@ -276,3 +276,18 @@
     silent.answer(200, &[], "late").await;
     verify_that!(client.answer().await.map(|answered| answered.status), some(eq(200)))
 }
+
+/// Holds the end of a body whose length is told, in `Upload` and `Payload`: its request's time begins with its last byte
+/// and ends; and what went out whole may have run.
+#[tokio::test]
+async fn a_silent_server_is_left_once_a_long_bodys_time_is_over() -> googletest::Result<()> {
+    let mut server = Server::anywhere().await;
+    let items = vec![service("s", 1, 10.0), RouteTo { timeout_ms: 600, ..WRITE }.item()];
+    let (proxy, _session) = Proxy::ready(FIGURES, items, vec![instance("i-1", server.address)]).await;
+    let mut client = proxy.client().await;
+    client.send("POST", "/write/a", &[("try-id", "t1")], &[b'x'; 200_000]).await;
+    let mut silent = server.next().await;
+    verify_that!(silent.read.body.len(), eq(200_000))?;
+    silent.broken_off().await;
+    verify_that!(client.answer().await.map(|answered| answered.status), some(eq(502)))
+}
--- a/crates/emberpin-proxy/tests/common/mod.rs
+++ b/crates/emberpin-proxy/tests/common/mod.rs
@@ -388,6 +388,12 @@
 
 /// Reads one message; `None` if the connection ends before the end of its head.
 pub async fn read(stream: &mut TcpStream, answer: bool) -> Option<Read> {
+    let (first, headers) = read_head(stream).await?;
+    read_body(stream, answer, first, headers).await
+}
+
+/// Reads a message's first line and headers.
+pub async fn read_head(stream: &mut TcpStream) -> Option<(String, HashMap<String, String>)> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(stream.read_u8().await.ok()?);
@@ -398,6 +404,16 @@
     let named = lines.filter_map(|line| line.split_once(':'));
     let headers: HashMap<String, String> =
         named.map(|(name, value)| (name.to_ascii_lowercase(), value.trim().to_string())).collect();
+    Some((first, headers))
+}
+
+/// Reads what follows such a head.
+pub async fn read_body(
+    stream: &mut TcpStream,
+    answer: bool,
+    first: String,
+    headers: HashMap<String, String>,
+) -> Option<Read> {
     let mut body = Vec::new();
     let whole = if headers.get("transfer-encoding").is_some_and(|coding| coding == "chunked") {
         read_chunks(stream, &mut body).await.is_some()
--- a/crates/emberpin/src/front/stream.rs
+++ b/crates/emberpin/src/front/stream.rs
@@ -85,6 +85,15 @@
         }
     }
 
+    /// Its last byte has come.
+    fn end(&self) {
+        if self.ended.get().is_none() {
+            self.ended.set(Some(Instant::now()));
+            self.finished.notify_waiters();
+            self.finished.notify_one();
+        }
+    }
+
     /// Counts what has come; whether that is more than it may have.
     fn overflows(&self, come: usize) -> bool {
         self.size.set(self.size.get().saturating_add(come as u64));
@@ -141,6 +150,10 @@
                             Ok(data) => {
                                 self.spent.set(true);
                                 let overflows = self.overflows(data.len());
+                                // The HTTP library asks no further once all of a stated length has come.
+                                if self.length.is_some_and(|length| self.size.get() >= length) {
+                                    self.end();
+                                }
                                 Poll::Ready(Some(if overflows { Err(Cut) } else { Ok(data) }))
                             }
                             // Trailers concern nobody behind this limiter.
@@ -148,9 +161,7 @@
                         },
                         Some(Err(_)) => Poll::Ready(Some(Err(Cut))),
                         None => {
-                            self.ended.set(Some(Instant::now()));
-                            self.finished.notify_waiters();
-                            self.finished.notify_one();
+                            self.end();
                             Poll::Ready(None)
                         }
                     }
--- a/crates/emberpin/src/upstream/servers.rs
+++ b/crates/emberpin/src/upstream/servers.rs
@@ -173,7 +173,7 @@
     fn take(&self, key: u64, freshness: Option<Duration>) -> Option<Conn> {
         let mut idle = self.idle.borrow_mut();
         let at = idle.iter().rposition(|idle| idle.key == key)?;
-        if freshness.is_some_and(|most| idle[at].since.elapsed() > most) {
+        if freshness.is_some_and(|most| idle[at].since.elapsed() >= most) {
             return None;
         }
         let idle = Some(idle.remove(at)).filter(|idle| self.is_fresh(idle))?;
@@ -312,8 +312,8 @@
         Ended { outcome, elapsed, report, metered, served, told, misdirected, unreachable, sent }
     }
 
-    /// What decides between "never ran" and "may have run": an attempt never ran if no connection came
-    /// up, or if it broke before the last byte was written.
+    /// What decides between "never ran" and "may have run": an attempt never ran if no connection came up, or if it
+    /// broke before the last byte was written; where servers may run a part of a request, before the first.
     /// Also says how much later than the start the last byte of a body came that was passed on while it came: the
     /// server's own time, and the timeout, count from there.
     async fn exchange(
@@ -376,7 +376,10 @@
                 Err(_) => started.elapsed(),
             },
         };
-        let never_ran = !progress.is_whole();
+        let never_ran = match wire.may_run_in_part() {
+            true => !progress.begun.get(),
+            false => !progress.is_whole(),
+        };
         let (unreachable, sent) = (matches!(result, Some(Err(Broken::Silent))), progress.begun.get());
         if unreachable {
             // The others to the same machine would be silent, too.
@@ -391,7 +394,7 @@
                 let outcome = wire.judge(mark.as_ref(), &response);
                 let body = match body {
                     Conversed::Whole(bytes, conn) => {
-                        if let Some(conn) = conn.filter(|_| self.is_open() && !never_ran) {
+                        if let Some(conn) = conn.filter(|_| self.is_open() && progress.is_whole()) {
                             self.pool.keep(self.key, conn);
                         }
                         Exchanged::Whole(response, bytes)
@@ -790,10 +793,11 @@
             Some(held) => Poll::Ready(Some(Ok(held))),
             None => upload.poll_rest(context),
         };
-        if let (Poll::Ready(Some(Ok(piece))), Some(left)) = (&next, left) {
+        if let (Poll::Ready(Some(Ok(piece))), Some(left)) = (&next, left.as_mut()) {
             *left = left.saturating_sub(piece.len() as u64);
         }
-        if let Poll::Ready(None) = next {
+        // The HTTP library asks no further once all of a stated length was handed over.
+        if matches!(next, Poll::Ready(None)) || *left == Some(0) {
             self.progress.ended.set(true);
         }
         next.map(|next| next.map(|next| next.map(Frame::data)))
--- a/crates/emberpin/src/upstream/wire.rs
+++ b/crates/emberpin/src/upstream/wire.rs
@@ -21,6 +21,12 @@
     /// How an attempt ended that got this answer. A good answer is one that its client may have as it is.
     fn judge(&self, mark: Option<&HeaderValue>, response: &Response<()>) -> Outcome;
 
+    /// Whether a server may begin to run a request of which only a part has come: an attempt that broke off after its
+    /// first byte is then no longer one that never ran.
+    fn may_run_in_part(&self) -> bool {
+        false
+    }
+
     /// For how long the server keeps the connection idle, less a part for safety, if it says.
     fn keeps_idle(&self, headers: &HeaderMap) -> Option<Duration>;
 
