--- a/crates/emberpin-proxy/src/controller.rs
+++ b/crates/emberpin-proxy/src/controller.rs
@@ -2,9 +2,11 @@
 
 use crate::requests::own;
 use crate::service::Service;
+use crate::wire::TRY_ID;
 use dillpass::{CustomerId, GatewayId, PlanId, RequestId, ServerId};
 use emberpin::host::{
     Answer, Call, ClientLimits, Ended, Input, Outgoing, Pool, Reception, Reply, Upstream, Upstreamed,
+    HEAD_BYTES,
 };
 use emberpin_config::{routes_in_force, Configuration, Item, Kind, Limits, Service as Listed};
 use emberpin_membership::instance::Instance;
@@ -41,6 +43,8 @@
 const INPUTS: usize = 1024;
 /// The longest body where the configuration does not say.
 const BODY_MAX: u64 = 64 << 20;
+/// The longest head that is ever read, whatever the configuration says: each client's connection may hold one.
+const MOST_HEAD_BYTES: usize = 256 << 10;
 /// Heads may take so much longer than the limit says, as the client counts from its own sending; twice if they grow.
 const HEAD_SLACK: Duration = Duration::from_millis(500);
 /// Idle connections stay so much longer than the limit says: a request may be on its way.
@@ -51,6 +55,7 @@
     ready: Cell<bool>,
     leaving: Cell<bool>,
     body_max: Cell<u64>,
+    head_max: Cell<u64>,
 }
 
 impl View {
@@ -68,6 +73,11 @@
     pub fn body_max(&self) -> u64 {
         self.body_max.get()
     }
+
+    /// The longest head that a client may send, in bytes.
+    pub fn head_max(&self) -> u64 {
+        self.head_max.get()
+    }
 }
 
 /// A request that a client made.
@@ -82,6 +92,8 @@
     pub arrived: Instant,
     /// For how long the client waits, if it says.
     pub deadline: Option<Duration>,
+    /// How often it went out before, if it was taken back from a service that it may not go to any more.
+    pub sends: u32,
     /// Who waits for the one answer.
     pub answer: oneshot::Sender<Reply>,
 }
@@ -108,12 +120,26 @@
 
 /// A request that is owed an answer or has an attempt out.
 struct Going {
+    /// The newest one under which it may go to its service.
     route: Rc<Route>,
     service: String,
+    host: String,
+    outgoing: Rc<Outgoing>,
+    arrived: Instant,
+    deadline: Option<Duration>,
     /// How often it went out.
     sends: u32,
 }
 
+impl Going {
+    /// As it came, for its client waits on for the one answer.
+    fn anew(&self, id: RequestId, answer: oneshot::Sender<Reply>) -> Ask {
+        let outgoing = Outgoing { withdrawn: Cell::new(false), ..(*self.outgoing).clone() };
+        let (host, arrived, deadline, sends) = (self.host.clone(), self.arrived, self.deadline, self.sends);
+        Ask { id, host, outgoing, arrived, deadline, sends, answer }
+    }
+}
+
 /// The owner.
 pub struct Controller {
     begun: Instant,
@@ -172,6 +198,7 @@
                 ready: Cell::new(false),
                 leaving: Cell::new(false),
                 body_max: Cell::new(BODY_MAX),
+                head_max: Cell::new(HEAD_BYTES as u64),
             }),
             reception,
             pool,
@@ -288,15 +315,21 @@
             _ = ask.answer.send(refuse(NO_SERVER));
             return;
         };
-        self.budget.request(now, &name);
+        if ask.sends == 0 {
+            self.budget.request(now, &name);
+        } else if ask.sends >= route.tries || !self.budget.may(now, &name, self.limiters) {
+            _ = ask.answer.send(refuse(NO_SERVER));
+            return;
+        }
         let whole = ask.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
         let patience = whole.saturating_sub(MARGIN).max(whole / 2);
         let mut outgoing = ask.outgoing;
-        outgoing.freshness = Some(FRESHNESS).filter(|_| route.kind == RouteKind::Mutating);
+        outgoing.freshness = freshness(&outgoing, route.kind);
         let expires = match &outgoing.body {
             Upstreamed::Whole(_) => ask.arrived + patience,
             Upstreamed::Coming(_) => Instant::now() + UPLOAD_LIMIT,
         };
+        let outgoing = Rc::new(outgoing);
         let call = Call {
             id: ask.id,
             class: service.class(&route),
@@ -308,10 +341,12 @@
             ran: None,
             patience,
             expires,
-            outgoing: Rc::new(outgoing),
+            outgoing: outgoing.clone(),
             answer: ask.answer,
         };
-        self.requests.insert(ask.id, Going { route, service: name.clone(), sends: 0 });
+        let (host, arrived, deadline, sends) = (ask.host, ask.arrived, ask.deadline, ask.sends);
+        let going = Going { route, service: name.clone(), host, outgoing, arrived, deadline, sends };
+        self.requests.insert(ask.id, going);
         service.engine.call(call);
         self.follow_up(&name);
         self.forget(ask.id);
@@ -328,7 +363,8 @@
         // What never went out was no try of a server's: what follows it is the first, and not the budget's.
         let sends = going.sends.saturating_sub(u32::from(!ended.sent));
         let may = sends == 0 || self.budget.may(now, &name, self.limiters);
-        let again = sends < going.route.tries && may;
+        let withdrawn = going.outgoing.withdrawn.get();
+        let again = sends < going.route.tries && may && !withdrawn;
         let misdirected = ended.misdirected;
         if let Some(going) = self.requests.get_mut(&request) {
             going.sends = sends;
@@ -346,7 +382,21 @@
             // Before the module chooses again, so that it does not choose that one.
             self.apply_changes();
         }
+        // Guards requests whose route has changed: what has not run goes where the newest routes say.
+        let anew = withdrawn.then(|| self.take_back(&name, request, &ended)).flatten();
         self.ended(&name, request, attempt, server, ended, again);
+        if let Some(ask) = anew {
+            self.ask(ask);
+        }
+    }
+
+    /// The request as it came, if this end of its attempt leaves none that may have run.
+    fn take_back(&mut self, name: &str, request: RequestId, ended: &Ended) -> Option<Ask> {
+        if !ended.outcome.never_ran() {
+            return None;
+        }
+        let answer = self.services.get_mut(name)?.engine.take_back(request)?;
+        Some(self.requests.get(&request)?.anew(request, answer))
     }
 
     /// An attempt has had its time: it is broken off only where another one can follow, as its server may be at work, and
@@ -354,7 +404,7 @@
     fn overdue(&mut self, request: RequestId, attempt: u32) {
         let Some(going) = self.requests.get(&request) else { return };
         let now = self.now();
-        if going.sends >= going.route.tries || self.view.leaving.get() {
+        if going.sends >= going.route.tries || going.outgoing.withdrawn.get() || self.view.leaving.get() {
             return;
         }
         let affords = self.budget.may(now, &going.service, self.limiters);
@@ -468,6 +518,7 @@
     fn configure(&mut self) {
         let routes: Vec<Route> = routes_in_force(&self.configuration);
         self.router.matcher.replace(routes);
+        self.follow_routes();
         let mut warmth = HashMap::new();
         let mut evacuated = BTreeSet::new();
         for item in self.configuration.live() {
@@ -482,18 +533,14 @@
                 Kind::Limits => {
                     if let Ok(limits) = Limits::from_item(item) {
                         self.view.body_max.set(limits.body_max_bytes);
-                        let head = limits.hdr_read + HEAD_SLACK;
-                        let idle = limits.idle + IDLE_SLACK;
-                        self.reception.limit(ClientLimits {
-                            head: (head, head + HEAD_SLACK * 2),
-                            silence: idle,
-                            idle: Some(idle),
-                        });
+                        self.view.head_max.set(limits.hdr_max_bytes);
+                        self.reception.limit(client_limits(&limits));
                     }
                 }
                 Kind::Route | Kind::Roster | Kind::History | Kind::Checkpoint => {}
             }
         }
+        self.free_unused(&warmth);
         self.router.fleet.warmth(warmth);
         let returned = self.evacuated.iter().any(|zone| !evacuated.contains(zone));
         self.evacuated.clone_from(&evacuated);
@@ -513,6 +560,37 @@
         }
     }
 
+    /// Holds the requests that are going on against the newest routes.
+    fn follow_routes(&mut self) {
+        for going in self.requests.values_mut() {
+            let path = going.outgoing.uri.path();
+            let newest = self.router.follow(&going.host, path, &going.route, &going.service);
+            going.outgoing.withdrawn.set(newest.is_none());
+            if let Some(newest) = newest {
+                going.route = newest;
+            }
+        }
+    }
+
+    /// Frees what was kept for routes and services that there are no more.
+    fn free_unused(&mut self, listed: &HashMap<String, Warmth>) {
+        let mut routes: HashMap<&str, Vec<&Route>> = HashMap::new();
+        for route in self.router.matcher.routes() {
+            for (target, _) in &route.targets {
+                routes.entry(target).or_default().push(route);
+            }
+        }
+        for going in self.requests.values() {
+            routes.entry(&going.service).or_default().push(&going.route);
+        }
+        self.services.retain(|name, service| {
+            listed.contains_key(name) || !service.is_empty() || routes.contains_key(name.as_str())
+        });
+        for (name, service) in &mut self.services {
+            service.keep_classes(routes.get(name.as_str()).into_iter().flatten().copied());
+        }
+    }
+
     /// Tells the modules what has changed about servers.
     fn apply_changes(&mut self) {
         for change in self.router.fleet.changes() {
@@ -572,6 +650,30 @@
     }
 }
 
+/// For how long the connection that carries a request may have been idle, where that is bounded.
+fn freshness(outgoing: &Outgoing, kind: RouteKind) -> Option<Duration> {
+    match kind {
+        // Guards requests without an id: a late answer without one could not be told from theirs.
+        _ if !outgoing.headers.contains_key(TRY_ID) => Some(Duration::ZERO),
+        RouteKind::Mutating => Some(FRESHNESS),
+        RouteKind::Readonly | RouteKind::Pull => None,
+    }
+}
+
+/// What the configuration leaves each client's connection.
+fn client_limits(limits: &Limits) -> ClientLimits {
+    let head = limits.hdr_read + HEAD_SLACK;
+    let idle = limits.idle + IDLE_SLACK;
+    let head_bytes = usize::try_from(limits.hdr_max_bytes).unwrap_or(MOST_HEAD_BYTES);
+    ClientLimits {
+        head: (head, head + HEAD_SLACK * 2),
+        silence: idle,
+        idle: Some(idle),
+        // A shorter limit is held against heads that have come whole: the HTTP library reads no less.
+        head_bytes: head_bytes.clamp(HEAD_BYTES, MOST_HEAD_BYTES),
+    }
+}
+
 /// Asks a silent server for a sign of instance until it gives one or nothing may go there any more.
 async fn ask_on(
     upstream: Rc<Upstream>,
