--- a/crates/emberpin-simulator/src/callers.rs
+++ b/crates/emberpin-simulator/src/callers.rs
@@ -30,6 +30,8 @@
     hope: Option<(usize, Operation)>,
     pub items: Vec<Item>,
     pub sent: u64,
+    /// When its last attempt was sent.
+    pub attempted: u64,
     pub attempts: u32,
     pub core: u8,
     /// Every attempt ended with an answer that says no.
@@ -39,6 +41,13 @@
     pub ended: u64,
 }
 
+impl Called {
+    /// Whether it is sent until it is answered.
+    pub fn is_owed(&self) -> bool {
+        !matches!(self.way, Way::Only(_))
+    }
+}
+
 /// All calls of operators.
 #[derive(Debug, Default)]
 pub(crate) struct Operators {
@@ -86,6 +95,7 @@
             hope,
             items,
             sent: self.now,
+            attempted: self.now,
             attempts: 0,
             core: 0,
             clear: true,
@@ -116,6 +126,7 @@
             Way::Via(_) | Way::Any => drawn,
         };
         called.attempts += 1;
+        called.attempted = now;
         let (attempt, core) = (called.attempts, called.core);
         let pause = pause + (PAUSE.0 << attempt.min(3)).min(PAUSE.1);
         if self.runs(Machine::Core(core)) {
@@ -142,6 +153,9 @@
     /// A store's answer is on its way.
     pub fn answered(&mut self, id: u64, status: u16, body: String) {
         let Some((call, attempt, _)) = self.operators.asked.remove(&id) else { return };
+        if self.answers_lost > 0 && self.below(100) < self.answers_lost {
+            return;
+        }
         self.at(self.now + 2, Due::OperatorAnswer { call, attempt, status, body });
     }
 
--- a/crates/emberpin-simulator/src/cores.rs
+++ b/crates/emberpin-simulator/src/cores.rs
@@ -36,11 +36,13 @@
     pub up: Option<Running>,
     disk: Vec<Write>,
     synced: usize,
+    /// The disk answers nothing before.
+    pub stalled_until: u64,
 }
 
 impl Core {
     pub fn new(process: Process) -> Core {
-        Core { process, up: None, disk: Vec::new(), synced: 0 }
+        Core { process, up: None, disk: Vec::new(), synced: 0, stalled_until: 0 }
     }
 
     /// Of what was not synced, some of the first writes stay, or none; the one behind them may be torn, and counts as
@@ -78,7 +80,7 @@
     pub fn start_core(&mut self, core: u8, bootstrap: bool) {
         let (now, build, tolerated) = (self.now, self.build, self.tolerance);
         let (seed, incarnation) = (self.rand.rand_u64(), self.rand.rand_u64());
-        let seeds: Vec<_> = self.listed().into_iter().take(3).map(ip).collect();
+        let seeds: Vec<_> = self.told_seeds().into_iter().map(ip).collect();
         let Some(machine) = self.cores.get_mut(&core) else { return };
         if machine.up.is_some() || machine.process.removed {
             return;
@@ -153,8 +155,9 @@
         for action in actions {
             match action {
                 Action::Persist { token, write } => {
-                    let at = self.now + self.between(self.disk);
+                    let takes = self.between(self.disk);
                     let Some(machine) = self.cores.get_mut(&core) else { return };
+                    let at = machine.stalled_until.max(self.now) + takes;
                     let sync = write.sync;
                     machine.disk.push(write);
                     let (incarnation, writes) = (machine.process.incarnation, machine.disk.len());
--- a/crates/emberpin-simulator/src/ledger.rs
+++ b/crates/emberpin-simulator/src/ledger.rs
@@ -5,8 +5,11 @@
 //! - a call that was refused has no part in force;
 //! - no cold server's sum is passed;
 //! - on limiters in touch, what was acknowledged is in force in time;
+//! - operators' histories are linearizable (see `history`);
 //! - after all trouble, a call is acknowledged, and all limiters have it and are ready.
 
+use crate::callers::Called;
+use crate::history::{self, Call, Numbered, Outcome};
 use crate::limiters::Proxy;
 use crate::text::{Operation, Order};
 use crate::world::{Applied, World};
@@ -36,6 +39,10 @@
     pub cold_sent: usize,
     /// Acknowledgements that were looked up on limiters in touch.
     pub applied: usize,
+    /// Operations in histories that were checked for linearizability.
+    pub linearized: usize,
+    /// Operations in histories that were too long to be checked.
+    pub unchecked: usize,
 }
 
 /// A configuration as it is read back.
@@ -129,6 +136,28 @@
     }
 }
 
+fn numbered(item: &Item) -> Numbered {
+    let name = format!("{:?} {}", item.key.kind, item.key.name);
+    Numbered { name, version: item.ver, content: item.body.clone() }
+}
+
+/// A call as histories have it; nothing of calls that no history tells of, as those that nobody could read.
+fn recorded(called: &Called) -> Option<Call> {
+    let outcome = match (&called.order, called.status) {
+        (None, Some(_)) => Outcome::Shown(read_back(&called.body).ok()?.live().map(numbered).collect()),
+        (Some(Order::Patch(_)), Some(200)) => Outcome::Confirmed,
+        (Some(Order::Patch(_)), Some(_)) => {
+            Outcome::Refused { attempted: called.attempted, only: called.attempts == 1 }
+        }
+        (Some(Order::Patch(_)), None) => Outcome::Unclear,
+        (None, None) | (Some(Order::Evacuate { .. }), _) => return None,
+    };
+    let items: Vec<Numbered> = called.items.iter().map(numbered).collect();
+    let reads = called.order.is_none();
+    let sent = if reads { called.attempted } else { called.sent };
+    (reads || !items.is_empty()).then_some(Call { sent, ended: called.ended, items, outcome })
+}
+
 impl World {
     /// What was acknowledged a while ago is in force on limiters in touch.
     pub fn applied(&mut self, what: &Applied, sent: u64) {
@@ -194,6 +223,17 @@
         }
     }
 
+    /// What operators were told fits one order of their calls.
+    pub fn linearizable(&mut self) {
+        let calls: Vec<Call> = self.operators.calls.iter().filter_map(recorded).collect();
+        match history::check(&calls) {
+            Ok(checked) => {
+                (self.ledger.linearized, self.ledger.unchecked) = (checked.operations, checked.unchecked);
+            }
+            Err(wrong) => self.fail(wrong.to_string()),
+        }
+    }
+
     /// What was refused is not in force, unless somebody else asked for the same.
     fn refused(&self) -> Result<(), String> {
         let calls = &self.operators.calls;
--- a/crates/emberpin-simulator/src/lib.rs
+++ b/crates/emberpin-simulator/src/lib.rs
@@ -14,6 +14,9 @@
 //! at 2s operator A patch svc=a route=r1:h1/p/:a ver=9      sent again until it is answered
 //! at 2s operator B patch via core-2 ...                    first to core-2; `only core-2`: sent once, there
 //! at 2s operator C evac petaling begin                     or `finish`
+//! at 2s operator A again via core-3                        its last order once more, as a call of its own
+//! at 2s operator A get                                     reads all; what it is told is checked with all other answers
+//! at 2s answers lost 70%                                   of answers to operators
 //! at 2s server s1 up svc=a zone=petaling                   more: addr=NUMBER, cold=3s
 //! at 2s server s1 drain                                    or `leave`, `crash`, `cold 3s`
 //! at 2s server s1 says up seq 3 to core-2                  a beat that comes late
@@ -21,11 +24,16 @@
 //! at 2s power core-1              of what was not synced, some of the first writes stay; `power hard`: none
 //! at 2s wipe core-1               power is lost, and the disk with it
 //! at 2s start core-1
+//! at 2s bootstrap core-1          starts with settings that say that the whole system starts for the first time
+//! at 2s seeds core-4 core-5       what processes are told at later starts
+//! at 2s stall 3s core-1           its disk answers nothing for so long
 //! at 2s replace core-2 core-6     core-2 goes for good, core-6 comes with an empty disk
 //! at 2s freeze core-1             until `thaw core-1`
 //! at 2s clock core-1 105%         its steady clock is fast
 //! at 2s cut core-1 core-2 | core-3 limiter-1       with `>`, only from left to right
-//! at 2s heal                                       all cuts and losses end; `heal core-1`: the cuts of core-1
+//! at 2s slow 2s..5s core-1 > core-2 limiter-1      what is sent arrives later by so much; `|`: both ways
+//! at 2s heal                                       all cuts, slow links and losses end; `heal core-1`: the cuts and
+//!                                                  slow links of core-1
 //! at 2s lose accept core-1 > core-2                messages between stores: prepare, accept, chosen, exchange, promise, seats
 //! at 2s lose-nothing                               that ends
 //! at 2s network delay 1ms..40ms late 5% twice 5%   messages between stores are late, or come twice
@@ -43,12 +51,13 @@
 //! A patch holds `svc=NAME`, `route=NAME:HOST/PREFIX/:SERVICE` (or `a*90+b*10`), `drop=ROUTE`, `dropsvc=NAME`, each with
 //! `@VERSION` or the `ver=` of the call, and `timeout=` for its routes; `torn` cuts its body short.
 //!
-//! After the end all trouble is over, and what must always hold is asserted: see `ledger`.
+//! After the end all trouble is over, and what must always hold is asserted: see `ledger` and `history`.
 #![forbid(unsafe_code)]
 
 pub mod builds;
 mod callers;
 mod cores;
+pub mod history;
 mod ledger;
 mod limiters;
 mod net;
--- a/crates/emberpin-simulator/src/limiters.rs
+++ b/crates/emberpin-simulator/src/limiters.rs
@@ -212,7 +212,7 @@
     }
 
     fn begin_session(&mut self, limiter: u8, index: usize) {
-        let seeds: Vec<u8> = self.listed().into_iter().take(3).collect();
+        let seeds: Vec<u8> = self.told_seeds();
         let draw = self.rand.rand_u64();
         let Some(machine) = self.limiters.get_mut(&limiter) else { return };
         let (zone, incarnation) = (machine.process.zone.clone(), machine.process.incarnation);
--- a/crates/emberpin-simulator/src/net.rs
+++ b/crates/emberpin-simulator/src/net.rs
@@ -36,6 +36,10 @@
 #[derive(Debug)]
 pub(crate) struct Net {
     cuts: BTreeSet<(Machine, Machine)>,
+    /// Links that deliver later, by so much.
+    slow: BTreeMap<(Machine, Machine), (u64, u64)>,
+    /// When the last of what they took arrives.
+    pub slow_until: u64,
     losses: Vec<(Sort, Machine, Machine)>,
     conns: BTreeMap<u64, Conn>,
     next: u64,
@@ -51,6 +55,8 @@
     fn default() -> Net {
         Net {
             cuts: BTreeSet::new(),
+            slow: BTreeMap::new(),
+            slow_until: 0,
             losses: Vec::new(),
             conns: BTreeMap::new(),
             next: 0,
@@ -66,6 +72,10 @@
         self.cuts.contains(&(from, to))
     }
 
+    pub fn is_slow(&self, one: Machine, other: Machine) -> bool {
+        self.slow.contains_key(&(one, other)) || self.slow.contains_key(&(other, one))
+    }
+
     pub fn calm(&mut self) {
         (self.delay, self.late, self.twice) = ((1, 5), 0, 0);
     }
@@ -121,7 +131,27 @@
         conns.into_iter().for_each(|conn| self.at(at, Due::Untaken { conn }));
     }
 
-    /// The cuts of these end, or all.
+    /// These links take bytes and deliver them later.
+    pub fn slow(&mut self, from: &[Machine], to: &[Machine], one_way: bool, by: (u64, u64)) {
+        for one in from {
+            for other in to.iter().filter(|other| *other != one) {
+                self.net.slow.insert((*one, *other), by);
+                if !one_way {
+                    self.net.slow.insert((*other, *one), by);
+                }
+            }
+        }
+    }
+
+    /// By how much later something arrives on a link.
+    fn lag(&mut self, from: Machine, to: Machine) -> u64 {
+        let Some(by) = self.net.slow.get(&(from, to)).copied() else { return 0 };
+        let lag = self.between(by);
+        self.net.slow_until = self.net.slow_until.max(self.now + lag);
+        lag
+    }
+
+    /// The cuts and slow links of these end, or all.
     pub fn heal(&mut self, machines: &[Machine]) {
         let of = |(one, other): &(Machine, Machine)| {
             machines.is_empty() || machines.contains(one) || machines.contains(other)
@@ -129,6 +159,7 @@
         let (healed, cuts): (BTreeSet<_>, BTreeSet<_>) =
             std::mem::take(&mut self.net.cuts).into_iter().partition(of);
         self.net.cuts = cuts;
+        self.net.slow.retain(|link, _| !of(link));
         // A cut between a limiter and a core machine is no trouble among the latter.
         for (one, other) in healed {
             match (one, other) {
@@ -155,7 +186,7 @@
         }
         let times = if self.below(100) < self.net.twice { 2 } else { 1 };
         for _ in 0..times {
-            let mut at = self.now + self.between(self.net.delay);
+            let mut at = self.now + self.between(self.net.delay) + self.lag(one, other);
             if self.below(100) < self.net.late {
                 at += self.below(1_500);
             }
@@ -176,7 +207,10 @@
     }
 
     pub fn send(&mut self, id: u64, forth: bool, frame: Frame) {
-        let at = self.now + self.between(self.net.delay);
+        let delay = self.between(self.net.delay);
+        let Some(conn) = self.net.conns.get(&id) else { return };
+        let (from, to) = if forth { (conn.caller, conn.callee) } else { (conn.callee, conn.caller) };
+        let at = self.now + delay + self.lag(from, to);
         let Some(conn) = self.net.conns.get_mut(&id) else { return };
         let last = &mut conn.last[usize::from(forth)];
         *last = at.max(*last);
--- a/crates/emberpin-simulator/src/play.rs
+++ b/crates/emberpin-simulator/src/play.rs
@@ -22,6 +22,10 @@
     pub applied: usize,
     /// Calls that were acknowledged.
     pub acknowledged: usize,
+    /// Operations in histories that were checked for linearizability.
+    pub linearized: usize,
+    /// Operations in histories that were too long to be checked.
+    pub unchecked: usize,
 }
 
 /// What went wrong.
@@ -57,6 +61,8 @@
             events: world.events,
             cold_sent: world.ledger.cold_sent,
             applied: world.ledger.applied,
+            linearized: world.ledger.linearized,
+            unchecked: world.ledger.unchecked,
             acknowledged: world.operators.calls.iter().filter(|call| call.status == Some(200)).count(),
         }),
     }
@@ -69,10 +75,13 @@
             | Operation::Power { machines, .. }
             | Operation::Wipe(machines)
             | Operation::Start(machines)
+            | Operation::Bootstrap(machines)
             | Operation::Freeze(machines)
             | Operation::Thaw(machines) => self.troubled(machines),
             Operation::Clock(machine, _) => self.troubled(&[*machine]),
-            Operation::Cut { from, to, .. } | Operation::Lose { from, to, .. } => {
+            Operation::Cut { from, to, .. }
+            | Operation::Slow { from, to, .. }
+            | Operation::Lose { from, to, .. } => {
                 // A cut between a limiter and a core machine is no trouble among the latter.
                 let limiter = |machine: &&Machine| matches!(machine, Machine::Limiter(_));
                 let core = |machine: &&Machine| !limiter(machine);
@@ -86,6 +95,15 @@
         }
         match operation {
             Operation::Operator { who, way, order } => self.operator(who, *way, Some(order.clone()), None),
+            Operation::Again { who, way } => {
+                let last = self.operators.latest.get(who).and_then(|call| self.operators.calls.get(*call));
+                match last.and_then(|call| call.order.clone()) {
+                    Some(order) => self.operator(who, *way, Some(order), None),
+                    None => self.fail(format!("line {line}: operator {who} asked nothing")),
+                }
+            }
+            Operation::Read { who, way } => self.operator(who, *way, None, None),
+            Operation::AnswersLost(percent) => self.answers_lost = *percent,
             Operation::Up { server, service, zone, address, cold } => {
                 self.server_up(server, service, zone, *address, *cold);
             }
@@ -112,6 +130,20 @@
             }
             Operation::Wipe(machines) => machines.iter().for_each(|machine| self.wipe(*machine)),
             Operation::Start(machines) => machines.iter().for_each(|machine| self.start(*machine)),
+            Operation::Bootstrap(machines) => machines.iter().for_each(|machine| self.bootstrap(*machine)),
+            Operation::Seeds(machines) => {
+                let core = |machine: &Machine| match machine {
+                    Machine::Core(number) => Some(*number),
+                    Machine::Limiter(_) => None,
+                };
+                self.seeds = Some(machines.iter().filter_map(core).collect());
+            }
+            Operation::Stall { machines, span } => {
+                let until = self.now + span;
+                for machine in machines {
+                    self.stall(*machine, until);
+                }
+            }
             Operation::Replace { old, new } => self.replace(*old, *new),
             Operation::Freeze(machines) => machines.iter().for_each(|machine| self.freeze(*machine)),
             Operation::Thaw(machines) => machines.iter().for_each(|machine| self.thaw(*machine)),
@@ -120,6 +152,7 @@
                 self.process(*machine).into_iter().for_each(|process| process.runs_at(now, *rate));
             }
             Operation::Cut { from, to, one_way } => self.cut(from, to, *one_way),
+            Operation::Slow { from, to, one_way, by } => self.slow(from, to, *one_way, *by),
             Operation::Lose { sort, from, to } => {
                 for one in from {
                     to.iter().for_each(|other| self.net.lose(*sort, *one, *other));
@@ -248,14 +281,14 @@
         if let Some(unready) = unready.map(|(limiter, _)| *limiter) {
             return self.fail(format!("does not serve again: limiter-{unready} is not ready"));
         }
-        let unanswered =
-            self.operators.calls.iter().find(|call| call.order.is_none() && call.status.is_none());
+        let unanswered = self.operators.calls.iter().find(|call| call.is_owed() && call.status.is_none());
         if let Some(who) = unanswered.map(|call| call.who.clone()) {
-            return self.fail(format!("{who}: get has no answer"));
+            return self.fail(format!("{who}: a call has no answer"));
         }
         let end = self.operators.latest["at the end"];
         let body = self.operators.calls[end].body.clone();
         self.balance(&body);
+        self.linearizable();
     }
 
     fn await_answer(&mut self, who: &str) {
--- a/crates/emberpin-simulator/src/search.rs
+++ b/crates/emberpin-simulator/src/search.rs
@@ -333,6 +333,8 @@
                 found.sum.cold_sent += played.cold_sent;
                 found.sum.applied += played.applied;
                 found.sum.acknowledged += played.acknowledged;
+                found.sum.linearized += played.linearized;
+                found.sum.unchecked += played.unchecked;
             }
             Err(failure) => found.failures.push((seed, failure, text)),
         }
--- a/crates/emberpin-simulator/src/text.rs
+++ b/crates/emberpin-simulator/src/text.rs
@@ -108,35 +108,120 @@
 /// What is done, or expected.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Operation {
-    Operator { who: String, way: Way, order: Order },
-    Up { server: String, service: String, zone: String, address: u16, cold: u64 },
+    Operator {
+        who: String,
+        way: Way,
+        order: Order,
+    },
+    /// The operator's last order once more, as a call of its own.
+    Again {
+        who: String,
+        way: Way,
+    },
+    Read {
+        who: String,
+        way: Way,
+    },
+    /// Of a hundred answers to operators, so many are lost.
+    AnswersLost(u64),
+    Up {
+        server: String,
+        service: String,
+        zone: String,
+        address: u16,
+        cold: u64,
+    },
     Drain(String),
     Leave(String),
     Crash(String),
     Cold(String, u64),
-    Says { server: String, drains: bool, seq: u64, to: u8 },
+    Says {
+        server: String,
+        drains: bool,
+        seq: u64,
+        to: u8,
+    },
     Kill(Vec<Machine>),
-    Power { machines: Vec<Machine>, hard: bool },
+    Power {
+        machines: Vec<Machine>,
+        hard: bool,
+    },
     Wipe(Vec<Machine>),
     Start(Vec<Machine>),
-    Replace { old: u8, new: u8 },
+    /// Starts as at the system's first start.
+    Bootstrap(Vec<Machine>),
+    /// The seeds that processes are told at later starts.
+    Seeds(Vec<Machine>),
+    /// Disks that answer nothing for so long.
+    Stall {
+        machines: Vec<Machine>,
+        span: u64,
+    },
+    Replace {
+        old: u8,
+        new: u8,
+    },
     Freeze(Vec<Machine>),
     Thaw(Vec<Machine>),
     Clock(Machine, u64),
-    Cut { from: Vec<Machine>, to: Vec<Machine>, one_way: bool },
-    Lose { sort: Sort, from: Vec<Machine>, to: Vec<Machine> },
+    Cut {
+        from: Vec<Machine>,
+        to: Vec<Machine>,
+        one_way: bool,
+    },
+    Lose {
+        sort: Sort,
+        from: Vec<Machine>,
+        to: Vec<Machine>,
+    },
+    /// Bytes that are sent from here to there arrive later by so much.
+    Slow {
+        from: Vec<Machine>,
+        to: Vec<Machine>,
+        one_way: bool,
+        by: (u64, u64),
+    },
     Heal(Vec<Machine>),
     Found,
-    Network { delay: (u64, u64), late: u64, twice: u64 },
+    Network {
+        delay: (u64, u64),
+        late: u64,
+        twice: u64,
+    },
     Disk(u64, u64),
-    ToldStatus { who: String, status: Option<u16> },
-    GetHolds { kind: String, name: String, ver: u64 },
-    GetLacks { kind: String, name: String },
-    Routed { limiters: Vec<Machine>, host: String, path: String, ver: Option<u64> },
-    Stands { limiters: Vec<Machine>, server: String, stand: Stand },
+    ToldStatus {
+        who: String,
+        status: Option<u16>,
+    },
+    GetHolds {
+        kind: String,
+        name: String,
+        ver: u64,
+    },
+    GetLacks {
+        kind: String,
+        name: String,
+    },
+    Routed {
+        limiters: Vec<Machine>,
+        host: String,
+        path: String,
+        ver: Option<u64>,
+    },
+    Stands {
+        limiters: Vec<Machine>,
+        server: String,
+        stand: Stand,
+    },
     Voters(usize),
-    Votes { core: u8, votes: bool },
-    Ready { limiters: Vec<Machine>, ready: bool },
+    Votes {
+        core: u8,
+        votes: bool,
+    },
+    Ready {
+        limiters: Vec<Machine>,
+        ready: bool,
+    },
 }
 
 type Words<'a> = std::iter::Peekable<std::str::SplitWhitespace<'a>>;
@@ -323,7 +408,7 @@
     Ok(match next(words, "what happens")? {
         "operator" => {
             let who = next(words, "the operator's name")?.into();
-            let sort = next(words, "patch or evac")?;
+            let sort = next(words, "patch, evac, get or again")?;
             match sort {
                 "patch" => {
                     let way = way(words)?;
@@ -341,7 +426,9 @@
                     };
                     Operation::Operator { who, way: way(words)?, order: Order::Evacuate { zone, begin } }
                 }
-                other => return Err(format!("expected patch or evac, not {other:?}")),
+                "get" => Operation::Read { who, way: way(words)? },
+                "again" => Operation::Again { who, way: way(words)? },
+                other => return Err(format!("expected patch, evac, get or again, not {other:?}")),
             }
         }
         "server" => server(scenario, words)?,
@@ -352,6 +439,22 @@
         }
         "wipe" => Operation::Wipe(machines(scenario, words)?),
         "start" => Operation::Start(machines(scenario, words)?),
+        "bootstrap" => Operation::Bootstrap(machines(scenario, words)?),
+        "seeds" => Operation::Seeds(machines(scenario, words)?),
+        "stall" => {
+            let span = time(words)?;
+            Operation::Stall { machines: machines(scenario, words)?, span }
+        }
+        "answers" => {
+            word(words, "lost")?;
+            Operation::AnswersLost(percent(words)?)
+        }
+        "slow" => {
+            let by = span(words)?;
+            let from = machines(scenario, words)?;
+            let one_way = next(words, "| or >")? == ">";
+            Operation::Slow { from, to: machines(scenario, words)?, one_way, by }
+        }
         "freeze" => Operation::Freeze(machines(scenario, words)?),
         "thaw" => Operation::Thaw(machines(scenario, words)?),
         "replace" => Operation::Replace { old: core(words)?, new: core(words)? },
@@ -401,8 +504,8 @@
         }
         other => {
             let known =
-                "operator, server, kill, power, wipe, start, replace, freeze, thaw, clock, cut, lose, \
-                         lose-nothing, heal, network, disk";
+                "operator, server, kill, power, wipe, start, bootstrap, seeds, replace, freeze, thaw, clock, \
+                 cut, slow, lose, lose-nothing, heal, answers, network, disk, stall";
             return Err(format!("expected one of {known}, not {other:?}"));
         }
     })
--- a/crates/emberpin-simulator/src/world.rs
+++ b/crates/emberpin-simulator/src/world.rs
@@ -150,6 +150,10 @@
     /// How long a sync takes, from and below.
     pub disk: (u64, u64),
     pub loaded: bool,
+    /// Of a hundred answers to operators, so many are lost.
+    pub answers_lost: u64,
+    /// The seeds that processes are told at their start, if others than the first machines.
+    pub seeds: Option<Vec<u8>>,
     due: BTreeMap<(u64, u64), Due>,
     number: u64,
     /// What went wrong first.
@@ -173,6 +177,8 @@
             net: Net::default(),
             disk: (2, 6),
             loaded: false,
+            answers_lost: 0,
+            seeds: None,
             due: BTreeMap::new(),
             number: 0,
             wrong: None,
@@ -243,6 +249,14 @@
         self.cores.iter().filter(|(_, core)| !core.process.removed).map(|(number, _)| *number).collect()
     }
 
+    /// The seeds that a process is told when it starts.
+    pub fn told_seeds(&self) -> Vec<u8> {
+        match &self.seeds {
+            Some(seeds) => seeds.clone(),
+            None => self.listed().into_iter().take(3).collect(),
+        }
+    }
+
     /// Lets time pass up to there, unless something goes wrong.
     pub fn run(&mut self, until: u64) {
         while self.wrong.is_none() {
@@ -322,7 +336,7 @@
         let now = self.now;
         for machine in machines {
             if let Some(process) = self.process(*machine) {
-                process.trouble = now;
+                process.trouble = process.trouble.max(now);
             }
         }
     }
@@ -334,6 +348,23 @@
         }
     }
 
+    /// Starts with settings that say that the system starts for the first time.
+    pub fn bootstrap(&mut self, machine: Machine) {
+        if let Machine::Core(number) = machine {
+            self.start_core(number, true);
+        }
+    }
+
+    /// The machine's disk answers nothing before that time.
+    pub fn stall(&mut self, machine: Machine, until: u64) {
+        if let Machine::Core(number) = machine {
+            if let Some(core) = self.cores.get_mut(&number) {
+                core.stalled_until = until;
+                core.process.trouble = until;
+            }
+        }
+    }
+
     /// The process ends. `silent`: nobody is told, as the machine has no power.
     pub fn stop(&mut self, machine: Machine, silent: bool) {
         match machine {
@@ -403,6 +434,7 @@
         self.net.lose_nothing();
         self.net.calm();
         self.disk = (2, 6);
+        self.answers_lost = 0;
         let machines = self.cores.keys().map(|number| Machine::Core(*number));
         let machines: Vec<Machine> =
             machines.chain(self.limiters.keys().map(|number| Machine::Limiter(*number))).collect();
@@ -421,7 +453,8 @@
         let Some(one) = self.limiters.get(&limiter).filter(|one| one.up.is_some()) else { return false };
         let recent = |process: &Process| process.trouble > 0 && self.now < process.trouble + CONTACT;
         let calm = |process: &Process| !process.frozen && !recent(process);
-        let settled = self.cores.values().all(|core| !recent(&core.process)) && !self.ledger.slow;
+        let late = self.net.slow_until > 0 && self.now < self.net.slow_until + CONTACT;
+        let settled = self.cores.values().all(|core| !recent(&core.process)) && !self.ledger.slow && !late;
         if !calm(&one.process) || !settled || self.now < one.process.since + CONTACT {
             return false;
         }
@@ -431,8 +464,9 @@
             .copied()
             .filter(|core| self.runs(Machine::Core(*core)) && !self.cores[core].process.frozen)
             .collect();
-        let joined =
-            |one: Machine, other: Machine| !self.net.is_cut(one, other) && !self.net.is_cut(other, one);
+        let joined = |one: Machine, other: Machine| {
+            !self.net.is_cut(one, other) && !self.net.is_cut(other, one) && !self.net.is_slow(one, other)
+        };
         let reaches = |core: &&u8| {
             let near = up.iter().filter(|other| joined(Machine::Core(**core), Machine::Core(**other)));
             near.count() > listed.len() / 2
