--- a/crates/emberpin-simulator/src/lib.rs
+++ b/crates/emberpin-simulator/src/lib.rs
@@ -57,6 +57,7 @@
 pub mod builds;
 mod callers;
 mod cores;
+mod dense;
 pub mod history;
 mod ledger;
 mod limiters;
--- a/crates/emberpin-simulator/src/search.rs
+++ b/crates/emberpin-simulator/src/search.rs
@@ -1,6 +1,7 @@
 //! Draws scenarios from seeds: faults within tolerance over five, seven or eleven machines and up to forty limiters.
 
 use crate::builds::Build;
+use crate::dense;
 use crate::play::{play, Failure, Played};
 use crate::text::read;
 use oorandom::Rand64;
@@ -274,8 +275,16 @@
     }
 }
 
-/// The scenario of a seed.
+/// The scenario of a seed: every third is wide, with any faults that keep disks; the others are dense.
 pub fn draw(seed: u64) -> String {
+    match seed % 3 {
+        0 => draw_wide(seed),
+        _ => dense::draw(seed),
+    }
+}
+
+/// Any machines are hit by faults that keep disks, in turn with calm.
+fn draw_wide(seed: u64) -> String {
     let mut draw = Draw {
         random: Rand64::new(u128::from(seed) ^ 0x5eed_0000),
         text: String::new(),
