--- a/crates/emberpin-simulator/src/dense.rs
+++ b/crates/emberpin-simulator/src/dense.rs
@@ -398,6 +398,11 @@
             }
         }
         self.at(back, format!("start{}", named(&all)));
+        // Each of them was down.
+        for core in all {
+            let until = self.lost_until.entry(core).or_default();
+            *until = (back + SYNC_TIME).max(*until);
+        }
         self.now += BACK;
     }
 
@@ -426,6 +431,9 @@
     fn seeds(&mut self) {
         let lost = |core: &u8| self.lost_until.get(core).is_some_and(|until| *until > self.now);
         let whole: Vec<u8> = self.cores.iter().copied().filter(|core| !lost(core)).collect();
+        if whole.is_empty() {
+            return;
+        }
         let mut seeds = vec![whole[self.below(whole.len() as u64) as usize], self.core(), self.core()];
         seeds.sort_unstable();
         seeds.dedup();
@@ -476,6 +484,9 @@
         for _ in 0..self.between(1, self.tolerance as u64 + 1) {
             away.extend(self.lose(until));
         }
+        if away.is_empty() {
+            return;
+        }
         let rest: Vec<u8> = self.cores.iter().copied().filter(|core| !away.contains(core)).collect();
         self.say(format!("cut{} |{}", named(&away), named(&rest)));
         self.at(until, format!("heal{}", named(&away)));
