--- a/crates/emberpin-registry/tests/samples/mod.rs
+++ b/crates/emberpin-registry/tests/samples/mod.rs
@@ -1,7 +1,7 @@
 //! One frame of each message between processes.
 
 use emberpin_config::{Item, Key, Kind};
-use emberpin_consensus::{Ballot, Message, Pending};
+use emberpin_consensus::{Ballot, Incarnation, Message, Pending, Renewals};
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::peers::{Ack, InstanceRecord, Limiter, RegistryMessage};
 use emberpin_membership::session::{First, FromLimiter, Revision, ToLimiter};
@@ -59,9 +59,20 @@
 fn consensus() -> Vec<Message> {
     let (ballot, buckets) = (BALLOT, vec![1, 2]);
     let pending = Pending { ballot, items: items() };
+    let incarnation = Incarnation(ballot);
+    let mut renewals = Renewals::default();
+    renewals.note(MACHINE, incarnation);
+    let open = vec![(items()[0].key.clone(), 7)];
     vec![
-        Message::Prepare { ballot, roster: roster(), digests: vec![1, 1 << 40] },
-        Message::Promise { ballot, pending, buckets: buckets.clone(), chosen: items() },
+        Message::Prepare { ballot, roster: roster(), digests: vec![1, 1 << 40], recovers: true },
+        Message::Promise {
+            ballot,
+            incarnation,
+            renewals,
+            pending,
+            buckets: buckets.clone(),
+            chosen: items(),
+        },
         Message::Accept { ballot, roster: roster(), chosen: items(), items: items() },
         Message::Accepted { ballot },
         Message::Refused { ballot, promised: ballot },
@@ -69,8 +80,8 @@
         Message::Roster { ballot, roster: roster() },
         Message::Chosen { items: items() },
         Message::Exchange { seq: 1, digest: 2 },
-        Message::Same { seq: 1, voting: true },
-        Message::Differ { seq: 1, digests: vec![3] },
+        Message::Same { seq: 1, voting: true, open: open.clone() },
+        Message::Differ { seq: 1, digests: vec![3], open },
         Message::Fetch { seq: 1, buckets },
         Message::Items { seq: 1, items: items(), voting: false },
         Message::DiskUnavailable { ballot },
@@ -84,6 +95,7 @@
         StoreRequest::Get { id: 2 },
         StoreRequest::Evacuate { id: 3, zone: "z".into(), begin: true },
         StoreRequest::Follow,
+        StoreRequest::Confirm { question: 14 },
     ];
     let requests = requests.into_iter().map(ToStore::StoreRequest);
     let messages = consensus().into_iter().map(|message| ToStore::Consensus { from: MACHINE, message });
@@ -97,6 +109,7 @@
         StoreReply::Answer { id: 1, status: 503, body: "why".into() },
         StoreReply::Items { items: items() },
         StoreReply::Status { settled: true, voters: vec![MACHINE], disk, refused: 3 },
+        StoreReply::Confirmed { question: 14, age: None },
     ];
     replies.iter().map(frame).collect()
 }
@@ -112,7 +125,7 @@
         from: Some(PLACE),
         instances,
     };
-    let limiter = [hello, FromLimiter::Pulse { at: PLACE }];
+    let limiter = [hello, FromLimiter::Pulse { at: Some(PLACE), question: 11 }];
     let registry = [
         RegistryMessage::Hello {
             zone: "z".into(),
@@ -121,7 +134,8 @@
             limiters: limiters(),
         },
         RegistryMessage::Changed { ask: Some(1), instances: records() },
-        RegistryMessage::Pulse { settled: false, digest: 4 },
+        RegistryMessage::Pulse { settled: false, question: 12, digest: 4 },
+        RegistryMessage::Alive { question: 12 },
         RegistryMessage::Want,
         RegistryMessage::Owned { instances: records() },
         RegistryMessage::Sessions { limiters: limiters() },
@@ -136,7 +150,7 @@
     let limiter = [
         ToLimiter::Snapshot { at: PLACE, items: items(), instances: instances.clone(), complete: true },
         ToLimiter::Changes { at: PLACE, items: items(), instances },
-        ToLimiter::Pulse { settled: true, limiters: 2, registries: vec![MACHINE] },
+        ToLimiter::Pulse { question: 11, age: Some(13), limiters: 2, registries: vec![MACHINE] },
     ];
     limiter.iter().map(frame).chain([frame(&Ack { ask: 1 })]).collect()
 }
