--- a/crates/emberpin-consensus/src/acceptor.rs
+++ b/crates/emberpin-consensus/src/acceptor.rs
@@ -2,6 +2,7 @@
 
 use crate::message::{Ballot, Message, Pending};
 use crate::renewals::{Incarnation, Renewals};
+use crate::replica::Candidacy;
 use crate::state::State;
 use emberpin_config::Item;
 use std::net::Ipv4Addr;
@@ -21,6 +22,8 @@
     pub incarnation: Incarnation,
     /// Who asked it to catch up.
     pub renewals: Renewals,
+    /// Its wish to found the system.
+    pub candidacy: Option<Candidacy>,
 }
 
 /// What is to be written to the disk, in the order in which it is given, each wholly or not at all.
@@ -38,6 +41,8 @@
     pub incarnation: Incarnation,
     /// Replaces who asked to catch up.
     pub renewals: Renewals,
+    /// Replaces the candidacy.
+    pub candidacy: Option<Candidacy>,
     /// It and all before it must be synced before it is said to be persisted.
     pub sync: bool,
 }
@@ -72,6 +77,8 @@
     pub pacing: bool,
     /// Promises that their voters made before they lost their disks don't count.
     pub incarnations: bool,
+    /// A seed that starts for the first time asks before it founds.
+    pub founding: bool,
 }
 
 impl Default for Guards {
@@ -90,6 +97,7 @@
             spread: true,
             pacing: true,
             incarnations: true,
+            founding: true,
         }
     }
 }
@@ -103,6 +111,7 @@
     pub voting: bool,
     pub incarnation: Incarnation,
     pub renewals: Renewals,
+    pub candidacy: Option<Candidacy>,
     pub guards: Guards,
 }
 
@@ -111,8 +120,8 @@
         let mut state = State::default();
         kept.chosen.iter().for_each(|item| _ = state.learn(item));
         let voting = kept.voting || !guards.amnesia;
-        let Kept { promised, pending, incarnation, renewals, .. } = kept;
-        Acceptor { state, promised, pending, voting, incarnation, renewals, guards }
+        let Kept { promised, pending, incarnation, renewals, candidacy, .. } = kept;
+        Acceptor { state, promised, pending, voting, incarnation, renewals, candidacy, guards }
     }
 
     /// What the voter answers; nothing has to be written if it isn't a promise.
--- a/crates/emberpin-consensus/src/lib.rs
+++ b/crates/emberpin-consensus/src/lib.rs
@@ -20,5 +20,5 @@
 pub use call::Call;
 pub use message::{Ballot, Message, Pending};
 pub use renewals::{Incarnation, Renewals};
-pub use replica::{Action, Event, Options, Replica};
+pub use replica::{Action, Candidacy, Event, Options, Replica};
 pub use state::State;
--- a/crates/emberpin-consensus/src/message.rs
+++ b/crates/emberpin-consensus/src/message.rs
@@ -88,6 +88,25 @@
         /// The newer one; it is chosen.
         roster: Item,
     },
+    /// At the first start: asks a seed for its word that it knows no roster. One that knows a roster tells it.
+    Candidacy {
+        /// The number of the asker's candidacy.
+        asker: u64,
+    },
+    /// Answers [`Message::Candidacy`]: the sender knows no roster.
+    Word {
+        /// Whom it answers.
+        asker: u64,
+        /// The number of its own candidacy, if it is a candidate.
+        candidate: Option<u64>,
+    },
+    /// The first roster is written.
+    Founded {
+        /// The number of the founder's candidacy.
+        asker: u64,
+        /// The roster.
+        roster: Item,
+    },
     /// These items are chosen.
     Chosen {
         /// The items.
--- a/crates/emberpin-consensus/src/replica.rs
+++ b/crates/emberpin-consensus/src/replica.rs
@@ -1,19 +1,22 @@
 //! One store: takes calls, runs rounds, votes, repairs, and keeps the roster.
 
 mod events;
+mod founding;
 mod messages;
 mod pacing;
 mod roster;
 mod rounds;
 
 pub use events::{Action, Event, Options};
+pub use founding::Candidacy;
 
 use crate::acceptor::{Acceptor, Guards, Kept, Write};
 use crate::call::{Call, Work};
 use crate::message::Message;
 use crate::round::{majority, Round, Task};
-use crate::state::{mixed, roster_item, voters, State};
+use crate::state::{mixed, voters, State};
 use emberpin_config::{read_patch, Item};
+use founding::Founding;
 use pacing::Pacing;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
@@ -84,6 +87,7 @@
     pacing: Pacing,
     /// The time of the event that is being handled.
     now: u64,
+    founding: Founding,
     /// A change of the roster that was seen accepted and has to be finished.
     next: Option<Item>,
     /// It is to end, and takes no place again.
@@ -113,7 +117,6 @@
         guards: Guards,
         out: &mut Vec<Action>,
     ) -> Replica {
-        let first = kept.is_none() && options.bootstrap;
         let acceptor = Acceptor::new(kept.unwrap_or_default(), guards);
         let counter = acceptor.promised.counter;
         let mut replica = Replica {
@@ -131,6 +134,7 @@
             yields_until: 0,
             pacing: Pacing::new(guards.pacing),
             now,
+            founding: Founding::default(),
             next: None,
             leaving: false,
             unconfirmed: false,
@@ -140,15 +144,9 @@
             to_self: VecDeque::new(),
             acceptor,
         };
-        if first {
-            let mut seeds = replica.options.seeds.clone();
-            seeds.sort_unstable();
-            seeds.dedup();
-            replica.acceptor.voting = seeds.contains(&replica.options.me);
-            let roster = roster_item(1, &seeds);
-            replica.learn(std::slice::from_ref(&roster), out);
-            // All may be killed right after it, and start with settings that don't speak of a first start.
-            replica.persist(Vec::new(), false, true, None, out);
+        // All may be killed right after it, and start with settings that don't speak of a first start.
+        if replica.options.bootstrap && replica.state().roster().is_none() {
+            replica.stand(out);
         }
         replica
     }
@@ -205,7 +203,8 @@
         let begin = (idle && waits).then_some(earliest);
         let open = self.open_until.filter(|_| idle && self.votes()).map(|at| at.max(earliest));
         let recover = (idle && !self.acceptor.voting).then_some(earliest);
-        tasks.chain(round).chain(begin).chain(open).chain(recover).fold(self.exchange_at, u64::min)
+        let due = tasks.chain(round).chain(begin).chain(open).chain(recover).chain(self.ask_at());
+        due.fold(self.exchange_at, u64::min)
     }
 
     /// Takes one event at a time; `now`, in milliseconds, never falls.
@@ -251,6 +250,7 @@
     }
 
     fn persisted(&mut self, now: u64, token: u64, out: &mut Vec<Action>) {
+        self.candidacy_synced(token);
         let later = self.owed.split_off(&(token + 1));
         for (_, Owed { to, message, since }) in std::mem::replace(&mut self.owed, later) {
             self.pacing.observe(now.saturating_sub(since));
@@ -287,8 +287,8 @@
         self.token += 1;
         let pending = pending.then(|| self.acceptor.pending.clone());
         let Acceptor { promised, voting, incarnation, .. } = self.acceptor;
-        let renewals = self.acceptor.renewals.clone();
-        let write = Write { chosen, promised, pending, voting, incarnation, renewals, sync };
+        let (renewals, candidacy) = (self.acceptor.renewals.clone(), self.acceptor.candidacy.clone());
+        let write = Write { chosen, promised, pending, voting, incarnation, renewals, candidacy, sync };
         out.push(Action::Persist { token: self.token, write });
         match owed {
             Some((to, message)) if !self.acceptor.guards.sync => self.send(to, message, out),
@@ -314,6 +314,7 @@
         }
         self.persist(new.clone(), had && !self.acceptor.open(), false, None, out);
         out.push(Action::Learned { items: new });
+        self.vote_as_founder(out);
     }
 
     fn draw(&mut self, below: u64) -> u64 {
--- a/crates/emberpin-consensus/src/replica/messages.rs
+++ b/crates/emberpin-consensus/src/replica/messages.rs
@@ -56,6 +56,9 @@
                     self.give_way(now, false);
                 }
             }
+            Message::Candidacy { asker } => self.give_word(from, asker, out),
+            Message::Word { asker, candidate } => self.take_word(now, from, asker, candidate),
+            Message::Founded { asker, roster } => self.take_founded(asker, &roster, out),
             Message::Chosen { items } => {
                 // The round that it yielded to may be over.
                 self.yields_until = 0;
--- a/crates/emberpin-consensus/src/replica/rounds.rs
+++ b/crates/emberpin-consensus/src/replica/rounds.rs
@@ -32,6 +32,7 @@
             self.exchange(now, out);
             self.tend_roster(now);
         }
+        self.found(now, out);
         if self.leaving {
             // Another change may have come first.
             self.leave(now);
--- a/crates/emberpin-consensus/src/state.rs
+++ b/crates/emberpin-consensus/src/state.rs
@@ -98,6 +98,22 @@
     Item { key: roster_key(), ver, body: Some(format!("[{}]", voters.join(","))) }
 }
 
+/// The first roster: its founders, and the numbers of their candidacies, 0 for one that was none.
+pub(crate) fn first_roster_item(founders: &[(Ipv4Addr, u64)]) -> Item {
+    let voters = founders.iter().map(|(voter, _)| format!("\"{voter}\""));
+    let numbers = founders.iter().map(|(_, number)| number.to_string());
+    let body: Vec<String> = voters.chain(numbers).collect();
+    Item { key: roster_key(), ver: 1, body: Some(format!("[{}]", body.join(","))) }
+}
+
+/// Under which number the first roster names a founder; a later roster names none.
+pub(crate) fn founder_number(roster: &Item, founder: Ipv4Addr) -> Option<u64> {
+    let place = voters(roster).iter().position(|voter| *voter == founder)?;
+    let body = roster.body.as_deref().filter(|_| roster.ver == 1)?;
+    let mut numbers = body.split(['[', ']', ',']).filter_map(|part| part.parse::<u64>().ok());
+    numbers.nth(place).filter(|number| *number > 0)
+}
+
 /// The addresses in a roster; the stores alone write it.
 pub(crate) fn voters(roster: &Item) -> Vec<Ipv4Addr> {
     let body = roster.body.as_deref().unwrap_or_default();
--- a/crates/emberpin-simulator/src/cores.rs
+++ b/crates/emberpin-simulator/src/cores.rs
@@ -68,6 +68,7 @@
             kept.voting = write.voting;
             kept.incarnation = write.incarnation;
             kept.renewals = write.renewals.clone();
+            kept.candidacy = write.candidacy.clone();
             if let Some(pending) = &write.pending {
                 kept.pending = pending.clone();
             }
--- a/crates/emberpin-store/src/disk.rs
+++ b/crates/emberpin-store/src/disk.rs
@@ -168,7 +168,7 @@
         let Some(promised) = self.meta("promised")? else { return Ok(None) };
         let (promised, voting) = decoded(self, &promised)?;
         // A disk of a time before there were incarnations has none.
-        let (incarnation, renewals) = match self.meta("incarnations")? {
+        let (incarnation, renewals, candidacy) = match self.meta("incarnations")? {
             Some(incarnations) => decoded(self, &incarnations)?,
             None => Default::default(),
         };
@@ -182,7 +182,7 @@
             chosen.push(decoded::<Item>(self, &item)?);
         }
         chosen.iter().for_each(|item| self.count(named(&item.key), item.ver));
-        Ok(Some(Kept { chosen, promised, pending, voting, incarnation, renewals }))
+        Ok(Some(Kept { chosen, promised, pending, voting, incarnation, renewals, candidacy }))
     }
 
     /// Takes a write; it lasts through a loss of power once a later [`Disk::sync`] is over.
@@ -199,7 +199,7 @@
         if let Some(pending) = &write.pending {
             batch.insert(&self.meta, "pending", self.encoded(pending)?);
         }
-        let incarnations = (write.incarnation, &write.renewals);
+        let incarnations = (write.incarnation, &write.renewals, &write.candidacy);
         batch.insert(&self.meta, "incarnations", self.encoded(&incarnations)?);
         batch.insert(&self.meta, "promised", self.encoded(&(write.promised, write.voting))?);
         self.mark.number += 1;
