--- a/crates/emberpin-consensus/src/acceptor.rs
+++ b/crates/emberpin-consensus/src/acceptor.rs
@@ -79,6 +79,8 @@
     pub incarnations: bool,
     /// A seed that starts for the first time asks before it founds.
     pub founding: bool,
+    /// A silent voter leaves a larger roster as soon as the others can't bear further losses.
+    pub margin: bool,
 }
 
 impl Default for Guards {
@@ -98,6 +100,7 @@
             pacing: true,
             incarnations: true,
             founding: true,
+            margin: true,
         }
     }
 }
--- a/crates/emberpin-consensus/src/replica.rs
+++ b/crates/emberpin-consensus/src/replica.rs
@@ -40,7 +40,7 @@
 /// A voter that was silent for so long gives its place to a store that has none: well before `sync_time`,
 /// from the new one's start on, is over and another disk may be lost.
 const VACANT: u64 = 3_000;
-/// And after so long it is taken off the roster.
+/// And after so long it is taken off the roster, as long as the others can bear further losses.
 const GONE: u64 = 12_000;
 /// A roster isn't made smaller than this, nor than what may be lost at once leaves a majority of.
 const FEWEST: usize = 3;
--- a/crates/emberpin-consensus/src/replica/roster.rs
+++ b/crates/emberpin-consensus/src/replica/roster.rs
@@ -65,7 +65,11 @@
         let fewest = self.fewest();
         let mut wanted = voters.clone();
         if voters.contains(&me) {
-            if let Some(gone) = voters.iter().position(|voter| silent(voter, GONE)) {
+            // Sooner, if the others are too few to bear further losses: the one that is silent may be gone for good.
+            let alive = voters.iter().filter(|voter| !silent(voter, VACANT)).count();
+            let bears = alive >= majority(&voters) + self.options.tolerated;
+            let patience = if bears || !self.acceptor.guards.margin { GONE } else { VACANT };
+            if let Some(gone) = voters.iter().position(|voter| silent(voter, patience)) {
                 if voters.len() > fewest {
                     wanted.remove(gone);
                 }
