--- a/crates/emberpin-consensus/src/replica/rounds.rs
+++ b/crates/emberpin-consensus/src/replica/rounds.rs
@@ -62,6 +62,7 @@
         let Some(round) = self.round.as_mut().filter(|round| now >= round.resend_at) else { return };
         round.resend_at = now + self.pacing.resend_delay(round.resent);
         round.resent += 1;
+        round.asked_at = now;
         let targets = round.unanswered();
         self.ask(targets, out);
     }
@@ -116,7 +117,7 @@
             Round::new(ballot, until, roster.clone(), next.filter(|_| self.acceptor.guards.joint));
         round.recovers = recovers;
         round.known = (!self.acceptor.guards.newest).then(|| self.state().configuration().clone());
-        round.phase_began = now;
+        round.asked_at = now;
         round.resend_at = self.first_resend(now);
         let targets = round.targets();
         self.round = Some(round);
@@ -173,7 +174,7 @@
         if self.state().roster().is_some_and(|roster| roster.ver > round.roster.ver) {
             return self.give_way(now, false);
         }
-        self.pacing.observe(now.saturating_sub(round.phase_began));
+        self.pacing.observe(now.saturating_sub(round.asked_at));
         // Whoever has promised by this roster has it on its disk.
         self.unconfirmed = false;
         self.propose(now, out);
@@ -246,7 +247,7 @@
         let targets = round.targets();
         round.proposal = Some(items);
         round.transferred = chosen;
-        round.phase_began = now;
+        round.asked_at = now;
         (round.resend_at, round.resent) = (self.first_resend(now), 0);
         self.round = Some(round);
         self.ask(targets, out);
@@ -259,7 +260,7 @@
             return;
         }
         let Some(round) = self.round.take() else { return };
-        self.pacing.observe(now.saturating_sub(round.phase_began));
+        self.pacing.observe(now.saturating_sub(round.asked_at));
         let items = round.proposal.clone().unwrap_or_default();
         self.learn(&items, out);
         // Until its own majority has it, a lost disk might leave none that knows, and of the old one too few.
--- a/crates/emberpin-consensus/src/round.rs
+++ b/crates/emberpin-consensus/src/round.rs
@@ -40,8 +40,9 @@
     pub ballot: Ballot,
     /// When it gives way to a new one.
     pub until: u64,
-    /// When its phase began.
-    pub phase_began: u64,
+    /// When its messages went out last. An answer to earlier ones makes its phase look shorter than it was, but one
+    /// after a cut doesn't make it look longer.
+    pub asked_at: u64,
     /// When messages that were not answered go out again, and how often they did.
     pub resend_at: u64,
     pub resent: u32,
@@ -75,7 +76,7 @@
         Round {
             ballot,
             until,
-            phase_began: 0,
+            asked_at: 0,
             resend_at: u64::MAX,
             resent: 0,
             voters: voters(&roster),
--- a/crates/emberpin-consensus/tests/slow_disks.rs
+++ b/crates/emberpin-consensus/tests/slow_disks.rs
@@ -178,3 +178,37 @@
     let took = longest(SEEDS, |seed| repairs(seed, wrong));
     expect_that!(took, err(contains_substring("no progress")));
 }
+
+/// How long a call may take once a cut is over, and how long a repair.
+const AFTER_A_CUT: u64 = 3_000;
+
+#[gtest]
+fn after_a_cut_calls_and_repairs_are_quick_again() {
+    for seed in 0..SEEDS {
+        let mut world = World::new(seed, 3, 1, Guards::default());
+        world.blocking = true;
+        world.run(1_000);
+        [(1, 2), (1, 3), (2, 3)].into_iter().for_each(|(one, other)| world.cut(ip(one), ip(other)));
+        for _ in 0..20 {
+            (1..=3).for_each(|host| _ = world.call(ip(host), services(&[("a", 1, 1)])));
+            world.run(1_000);
+        }
+        world.cuts.clear();
+        let took = acknowledged(&mut world, &one_each(3, 2), PROGRESS);
+        expect_that!(took.as_ref().copied(), ok(le(AFTER_A_CUT)), "seed {seed}");
+        // The taker ends before it hears that its call is accepted.
+        world.hold = Some(|message| matches!(message, Message::Accepted { .. }));
+        world.call(ip(1), services(&[("r", 1, 1)]));
+        world.run(100);
+        world.kill(ip(1));
+        world.hold = None;
+        let key = Key { kind: Kind::Service, name: "r".into() };
+        let known = |world: &World| {
+            let store = world.nodes[&ip(2)].store.as_ref();
+            store.is_some_and(|store| store.state().get(&key).is_some())
+        };
+        let began = world.now;
+        world.run_while(PROGRESS, |world| !known(world));
+        expect_that!(world.now - began, le(AFTER_A_CUT), "seed {seed}");
+    }
+}
