--- a/crates/emberpin-consensus/src/replica.rs
+++ b/crates/emberpin-consensus/src/replica.rs
@@ -138,7 +138,7 @@
             next: None,
             leaving: false,
             unconfirmed: false,
-            open_until: acceptor.open().then_some(now + Pacing::new(guards.pacing).open_delay()),
+            open_until: acceptor.open().then_some(now + Pacing::new(guards.pacing).open_delay(now)),
             token: 0,
             owed: BTreeMap::new(),
             to_self: VecDeque::new(),
@@ -253,7 +253,7 @@
         self.candidacy_synced(token);
         let later = self.owed.split_off(&(token + 1));
         for (_, Owed { to, message, since }) in std::mem::replace(&mut self.owed, later) {
-            self.pacing.observe(now.saturating_sub(since));
+            self.pacing.observe(now, now.saturating_sub(since));
             if matches!(message, Message::Accepted { .. }) && self.acceptor.guards.pacing {
                 // Not from its arrival on: the round isn't late because this disk is.
                 self.watch_open(now);
@@ -264,7 +264,7 @@
 
     /// From now on it waits for what it accepted to be chosen, and then finishes it.
     fn watch_open(&mut self, now: u64) {
-        let delay = self.pacing.open_delay();
+        let delay = self.pacing.open_delay(now);
         self.open_until = self.acceptor.open().then(|| now + delay + self.draw(delay));
     }
 
--- a/crates/emberpin-consensus/src/replica/pacing.rs
+++ b/crates/emberpin-consensus/src/replica/pacing.rs
@@ -21,6 +21,8 @@
 const RESEND: u64 = 700;
 /// But at least so often.
 const LONGEST_RESEND: u64 = 2_000;
+/// After so long without another measurement, one counts half as much.
+const HALF_LIFE: u64 = 5_000;
 /// A failed round doubles the next one's times; so often at most.
 const MOST_DOUBLINGS: u32 = 6;
 
@@ -29,6 +31,8 @@
 pub(super) struct Pacing {
     /// About the longest that a phase of a round, or a sync of this store, took lately.
     phase: u64,
+    /// When that was measured last.
+    measured_at: u64,
     /// Rounds that failed in a row.
     failed: u32,
     /// False in the wrong build, whose times are those of quick disks.
@@ -37,12 +41,20 @@
 
 impl Pacing {
     pub fn new(follows: bool) -> Pacing {
-        Pacing { phase: 0, failed: 0, follows }
+        Pacing { phase: 0, measured_at: 0, failed: 0, follows }
     }
 
     /// A phase or a sync took so long.
-    pub fn observe(&mut self, took: u64) {
-        self.phase = took.min(LONGEST_ROUND).max(self.phase - self.phase.div_ceil(4));
+    pub fn observe(&mut self, now: u64, took: u64) {
+        let phase = self.phase(now);
+        self.phase = took.min(LONGEST_ROUND).max(phase - phase.div_ceil(4));
+        self.measured_at = now;
+    }
+
+    /// What was measured, which says less the longer that is ago.
+    fn phase(&self, now: u64) -> u64 {
+        let halves = now.saturating_sub(self.measured_at) / HALF_LIFE;
+        self.phase.checked_shr(halves.min(64) as u32).unwrap_or(0)
     }
 
     pub fn failed(&mut self) {
@@ -59,38 +71,38 @@
     }
 
     /// When a round that begins now gives way.
-    pub fn round_timeout(&self) -> u64 {
+    pub fn round_timeout(&self, now: u64) -> u64 {
         match self.follows {
-            true => ((ROUND + 4 * self.phase) << self.failed).min(LONGEST_ROUND),
+            true => ((ROUND + 4 * self.phase(now)) << self.failed).min(LONGEST_ROUND),
             false => ROUND + 300 * u64::from(self.failed.min(3)),
         }
     }
 
     /// How long a round goes on that a voter has refused.
-    pub fn refused_grace(&self) -> u64 {
+    pub fn refused_grace(&self, now: u64) -> u64 {
         match self.follows {
-            true => ((REFUSED + self.phase) << self.failed).min(LONGEST_ROUND),
+            true => ((REFUSED + self.phase(now)) << self.failed).min(LONGEST_ROUND),
             false => REFUSED,
         }
     }
 
     /// Below which the pause after a failed round is drawn.
-    pub fn pause_bound(&self) -> u64 {
+    pub fn pause_bound(&self, now: u64) -> u64 {
         match self.follows {
-            true => (((PAUSE + self.phase) << self.failed) / 2).min(LONGEST_ROUND),
+            true => (((PAUSE + self.phase(now)) << self.failed) / 2).min(LONGEST_ROUND),
             false => (PAUSE / 2) << self.failed.min(4),
         }
     }
 
     /// How long a store that failed leaves the field to a round of another that it has just heard of.
-    pub fn yield_time(&self) -> u64 {
-        PAUSE + 2 * self.phase
+    pub fn yield_time(&self, now: u64) -> u64 {
+        PAUSE + 2 * self.phase(now)
     }
 
     /// After how long a store finishes what it accepted and doesn't know to be chosen.
-    pub fn open_delay(&self) -> u64 {
+    pub fn open_delay(&self, now: u64) -> u64 {
         match self.follows {
-            true => ((OPEN + 3 * self.phase) << self.failed.min(3)).min(LONGEST_ROUND),
+            true => ((OPEN + 3 * self.phase(now)) << self.failed.min(3)).min(LONGEST_ROUND),
             false => OPEN,
         }
     }
--- a/crates/emberpin-consensus/src/replica/rounds.rs
+++ b/crates/emberpin-consensus/src/replica/rounds.rs
@@ -52,7 +52,7 @@
     pub(super) fn yield_to(&mut self, now: u64, from: Ipv4Addr, answer: &Message) {
         let promised = matches!(answer, Message::Promise { .. }) && from != self.options.me;
         if promised && self.pacing.contended() && self.round.is_none() && now >= self.earliest_round() {
-            self.yields_until = now + self.pacing.yield_time();
+            self.yields_until = now + self.pacing.yield_time(now);
         }
     }
 
@@ -112,7 +112,7 @@
         }
         self.counter += 1;
         let ballot = Ballot { counter: self.counter, node: me.to_bits(), incarnation: self.incarnation };
-        let until = now + self.pacing.round_timeout();
+        let until = now + self.pacing.round_timeout(now);
         let mut round =
             Round::new(ballot, until, roster.clone(), next.filter(|_| self.acceptor.guards.joint));
         round.recovers = recovers;
@@ -127,7 +127,7 @@
     pub(super) fn refused(&mut self, now: u64, from: Ipv4Addr, ballot: Ballot) {
         let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else { return };
         round.refused.insert(from);
-        round.until = round.until.min(now + self.pacing.refused_grace());
+        round.until = round.until.min(now + self.pacing.refused_grace(now));
         if round.lost() {
             self.give_way(now, true);
         }
@@ -142,7 +142,7 @@
         self.round_at = now;
         if pause {
             self.pacing.failed();
-            self.round_at += self.draw(self.pacing.pause_bound());
+            self.round_at += self.draw(self.pacing.pause_bound(now));
         }
     }
 
@@ -174,7 +174,7 @@
         if self.state().roster().is_some_and(|roster| roster.ver > round.roster.ver) {
             return self.give_way(now, false);
         }
-        self.pacing.observe(now.saturating_sub(round.asked_at));
+        self.pacing.observe(now, now.saturating_sub(round.asked_at));
         // Whoever has promised by this roster has it on its disk.
         self.unconfirmed = false;
         self.propose(now, out);
@@ -260,7 +260,7 @@
             return;
         }
         let Some(round) = self.round.take() else { return };
-        self.pacing.observe(now.saturating_sub(round.asked_at));
+        self.pacing.observe(now, now.saturating_sub(round.asked_at));
         let items = round.proposal.clone().unwrap_or_default();
         self.learn(&items, out);
         // Until its own majority has it, a lost disk might leave none that knows, and of the old one too few.
--- a/crates/emberpin-consensus/tests/slow_disks.rs
+++ b/crates/emberpin-consensus/tests/slow_disks.rs
@@ -196,19 +196,38 @@
         world.cuts.clear();
         let took = acknowledged(&mut world, &one_each(3, 2), PROGRESS);
         expect_that!(took.as_ref().copied(), ok(le(AFTER_A_CUT)), "seed {seed}");
-        // The taker ends before it hears that its call is accepted.
-        world.hold = Some(|message| matches!(message, Message::Accepted { .. }));
-        world.call(ip(1), services(&[("r", 1, 1)]));
-        world.run(100);
-        world.kill(ip(1));
-        world.hold = None;
-        let key = Key { kind: Kind::Service, name: "r".into() };
-        let known = |world: &World| {
-            let store = world.nodes[&ip(2)].store.as_ref();
-            store.is_some_and(|store| store.state().get(&key).is_some())
-        };
-        let began = world.now;
-        world.run_while(PROGRESS, |world| !known(world));
-        expect_that!(world.now - began, le(AFTER_A_CUT), "seed {seed}");
+        expect_that!(repair_after_its_taker(&mut world), le(AFTER_A_CUT), "seed {seed}");
     }
 }
+
+#[gtest]
+fn some_time_after_a_stall_repairs_are_quick_again() {
+    for seed in 0..SEEDS {
+        let mut world = World::new(seed, 3, 1, Guards::default());
+        world.blocking = true;
+        world.run(1_000);
+        world.stalls = (100, 10_000);
+        world.call(ip(1), services(&[("a", 1, 1)]));
+        world.run(1_000);
+        world.stalls = (0, 0);
+        world.run(60_000);
+        expect_that!(repair_after_its_taker(&mut world), le(AFTER_A_CUT), "seed {seed}");
+    }
+}
+
+/// The taker ends before it hears that its call is accepted: how long another store takes to finish it.
+fn repair_after_its_taker(world: &mut World) -> u64 {
+    world.hold = Some(|message| matches!(message, Message::Accepted { .. }));
+    world.call(ip(1), services(&[("r", 1, 1)]));
+    world.run(100);
+    world.kill(ip(1));
+    world.hold = None;
+    let key = Key { kind: Kind::Service, name: "r".into() };
+    let known = |world: &World| {
+        let store = world.nodes[&ip(2)].store.as_ref();
+        store.is_some_and(|store| store.state().get(&key).is_some())
+    };
+    let began = world.now;
+    world.run_while(PROGRESS, |world| !known(world));
+    world.now - began
+}
