--- a/crates/emberpin-consensus/src/acceptor.rs
+++ b/crates/emberpin-consensus/src/acceptor.rs
@@ -2,6 +2,7 @@
 
 use crate::message::{Ballot, Message, Pending};
 use crate::renewals::{Incarnation, Renewals};
+use crate::replica::Candidacy;
 use crate::state::State;
 use emberpin_config::{Bounds, History, Item, Key, Kind};
 use std::net::Ipv4Addr;
@@ -21,6 +22,8 @@
     pub incarnation: Incarnation,
     /// Who asked it to catch up.
     pub renewals: Renewals,
+    /// Its wish to found the system.
+    pub candidacy: Option<Candidacy>,
 }
 
 /// What is to be written to the disk, in the order in which it is given, each wholly or not at all.
@@ -40,6 +43,8 @@
     pub incarnation: Incarnation,
     /// Replaces who asked to catch up.
     pub renewals: Renewals,
+    /// Replaces the candidacy.
+    pub candidacy: Option<Candidacy>,
     /// It and all before it must be synced before it is said to be persisted.
     pub sync: bool,
 }
@@ -88,6 +93,10 @@
     pub incarnations: bool,
     /// After a disk failed, nothing that was owed is said, and all of memory is synced before a vote.
     pub restore: bool,
+    /// A seed that starts for the first time asks before it founds.
+    pub founding: bool,
+    /// A silent voter leaves a larger roster as soon as the others can't bear further losses.
+    pub margin: bool,
 }
 
 impl Guards {
@@ -127,6 +136,8 @@
             pacing: true,
             incarnations: true,
             restore: true,
+            founding: true,
+            margin: true,
         }
     }
 }
@@ -147,6 +158,7 @@
     pub voting: bool,
     pub incarnation: Incarnation,
     pub renewals: Renewals,
+    pub candidacy: Option<Candidacy>,
     pub guards: Guards,
 }
 
@@ -161,8 +173,8 @@
         let found = kept.chosen.iter().filter(|item| !left_out(item));
         found.for_each(|item| _ = state.learn(item));
         let voting = kept.voting || !guards.amnesia;
-        let Kept { promised, pending, incarnation, renewals, .. } = kept;
-        Acceptor { state, promised, pending, voting, incarnation, renewals, guards }
+        let Kept { promised, pending, incarnation, renewals, candidacy, .. } = kept;
+        Acceptor { state, promised, pending, voting, incarnation, renewals, candidacy, guards }
     }
 
     /// What the voter answers; nothing has to be written if it isn't a promise.
--- a/crates/emberpin-consensus/src/replica.rs
+++ b/crates/emberpin-consensus/src/replica.rs
@@ -3,21 +3,24 @@
 mod comparison;
 mod disk;
 mod events;
+mod founding;
 mod messages;
 mod pacing;
 mod roster;
 mod rounds;
 
 pub use events::{Action, Event, Options};
+pub use founding::Candidacy;
 
 use crate::acceptor::{Acceptor, Guards, Kept, Learned, Write};
 use crate::call::{Call, Work};
 use crate::message::Message;
 use crate::round::{majority, Round, Task};
-use crate::state::{is_told, mixed, roster_item, voters, State};
+use crate::state::{is_told, mixed, voters, State};
 use comparison::{Comparisons, Version};
 use disk::Storage;
 use emberpin_config::{read_patch, Item, Key};
+use founding::Founding;
 use pacing::Pacing;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::Ipv4Addr;
@@ -41,7 +44,7 @@
 /// A voter that was silent for so long gives its place to a store that has none: well before `sync_time`,
 /// from the new one's start on, is over and another disk may be lost.
 const VACANT: u64 = 3_000;
-/// And after so long it is taken off the roster.
+/// And after so long it is taken off the roster, as long as the others can bear further losses.
 const GONE: u64 = 12_000;
 /// A roster isn't made smaller than this, nor than what may be lost at once leaves a majority of.
 const FEWEST: usize = 3;
@@ -91,6 +94,7 @@
     pacing: Pacing,
     /// The time of the event that is being handled.
     now: u64,
+    founding: Founding,
     /// A change of the roster that was seen accepted and has to be finished.
     next: Option<Item>,
     /// It is to end, and takes no place again.
@@ -122,7 +126,6 @@
         guards: Guards,
         out: &mut Vec<Action>,
     ) -> Replica {
-        let first = kept.is_none() && options.bootstrap;
         let acceptor = Acceptor::new(kept.unwrap_or_default(), guards);
         let counter = acceptor.promised.counter;
         let mut replica = Replica {
@@ -141,25 +144,20 @@
             yields_until: 0,
             pacing: Pacing::new(guards.pacing),
             now,
+            founding: Founding::default(),
             next: None,
             leaving: false,
             unconfirmed: false,
-            open_until: acceptor.open().then_some(now + Pacing::new(guards.pacing).open_delay()),
+            open_until: acceptor.open().then_some(now + Pacing::new(guards.pacing).open_delay(now)),
             token: 0,
             owed: BTreeMap::new(),
             to_self: VecDeque::new(),
             storage: Storage::default(),
             acceptor,
         };
-        if first {
-            let mut seeds = replica.options.seeds.clone();
-            seeds.sort_unstable();
-            seeds.dedup();
-            replica.acceptor.voting = seeds.contains(&replica.options.me);
-            let roster = roster_item(1, &seeds);
-            replica.learn(std::slice::from_ref(&roster), out);
-            // All may be killed right after it, and start with settings that don't speak of a first start.
-            replica.persist(Vec::new(), false, true, None, out);
+        // All may be killed right after it, and start with settings that don't speak of a first start.
+        if replica.options.bootstrap && replica.state().roster().is_none() {
+            replica.stand(out);
         }
         replica
     }
@@ -222,7 +220,8 @@
         let begin = (idle && waits).then_some(earliest);
         let open = self.open_until.filter(|_| idle && self.votes()).map(|at| at.max(earliest));
         let recover = (idle && !self.acceptor.voting).then_some(earliest);
-        tasks.chain(round).chain(begin).chain(open).chain(recover).fold(self.exchange_at, u64::min)
+        let due = tasks.chain(round).chain(begin).chain(open).chain(recover).chain(self.ask_at());
+        due.fold(self.exchange_at, u64::min)
     }
 
     /// Takes one event at a time; `now`, in milliseconds, never falls.
@@ -274,9 +273,10 @@
 
     fn persisted(&mut self, now: u64, token: u64, out: &mut Vec<Action>) {
         self.storage_synced(token);
+        self.candidacy_synced(token);
         let later = self.owed.split_off(&(token + 1));
         for (_, Owed { to, message, since }) in std::mem::replace(&mut self.owed, later) {
-            self.pacing.observe(now.saturating_sub(since));
+            self.pacing.observe(now, now.saturating_sub(since));
             if matches!(message, Message::Accepted { .. }) && self.acceptor.guards.pacing {
                 // Not from its arrival on: the round isn't late because this disk is.
                 self.watch_open(now);
@@ -287,7 +287,7 @@
 
     /// From now on it waits for what it accepted to be chosen, and then finishes it.
     fn watch_open(&mut self, now: u64) {
-        let delay = self.pacing.open_delay();
+        let delay = self.pacing.open_delay(now);
         self.open_until = self.acceptor.open().then(|| now + delay + self.draw(delay));
     }
 
@@ -325,8 +325,9 @@
         self.token += 1;
         let pending = pending.then(|| self.acceptor.pending.clone());
         let Acceptor { promised, voting, incarnation, .. } = self.acceptor;
-        let renewals = self.acceptor.renewals.clone();
-        let write = Write { chosen, removed, promised, pending, voting, incarnation, renewals, sync };
+        let (renewals, candidacy) = (self.acceptor.renewals.clone(), self.acceptor.candidacy.clone());
+        let write =
+            Write { chosen, removed, promised, pending, voting, incarnation, renewals, candidacy, sync };
         out.push(Action::Persist { token: self.token, write });
         match owed {
             Some((to, message)) if !self.acceptor.guards.sync => self.send(to, message, out),
@@ -357,6 +358,7 @@
         if !told.is_empty() {
             out.push(Action::Learned { items: told });
         }
+        self.vote_as_founder(out);
     }
 
     fn guards(&self) -> Guards {
--- a/crates/emberpin-consensus/tests/search.rs
+++ b/crates/emberpin-consensus/tests/search.rs
@@ -184,3 +184,8 @@
     println!("found: {found:?}");
     expect_that!(found, some(anything()));
 }
+
+#[gtest]
+fn a_founder_that_does_not_ask_is_caught() {
+    expect_that!(search(WRONG_RUNS, Guards { founding: false, ..Guards::default() }), some(anything()));
+}
