--- a/crates/emberpin-membership/src/instances.rs
+++ b/crates/emberpin-membership/src/instances.rs
@@ -10,6 +10,7 @@
 use crate::peers::InstanceRecord;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
+use std::ops::Bound;
 
 /// Instances that are gone are remembered for so long, so that a late beat does not raise them.
 const TOMBSTONE_MS: u64 = 600_000;
@@ -121,6 +122,11 @@
         self.rows.iter()
     }
 
+    /// All behind an id.
+    pub fn after(&self, from: Bound<&str>) -> impl Iterator<Item = (&String, &Row)> {
+        self.rows.range::<str, _>((from, Bound::Unbounded))
+    }
+
     /// As it is told to limiters; one that is forgotten is gone.
     pub fn instance(&self, now: u64, id: &str) -> Instance {
         self.rows.get(id).map_or_else(|| unknown(id), |row| row.instance(now))
--- a/crates/emberpin-membership/src/registry.rs
+++ b/crates/emberpin-membership/src/registry.rs
@@ -9,8 +9,10 @@
 mod peers;
 mod servers;
 mod sessions;
+mod snapshot;
 
 pub use events::{Action, Answer, Event, Limits};
+pub use snapshot::PART_BYTES;
 
 use crate::change_log::ChangeLog;
 use crate::guards::Guards;
@@ -295,6 +297,11 @@
         &self.instances
     }
 
+    /// The items that are known, drops among them.
+    pub fn all_items(&self) -> impl Iterator<Item = &Item> {
+        self.items.values()
+    }
+
     /// How many items are known, drops among them.
     pub fn items(&self) -> usize {
         self.items.len()
--- a/crates/emberpin-membership/src/registry/events.rs
+++ b/crates/emberpin-membership/src/registry/events.rs
@@ -19,6 +19,8 @@
     pub beat_ms: u64,
     /// Machines with registries, until the voters are known.
     pub seeds: Vec<Ipv4Addr>,
+    /// The size of a snapshot's parts, [`super::PART_BYTES`].
+    pub part_bytes: usize,
 }
 
 /// What comes.
--- a/crates/emberpin-membership/src/registry/sessions.rs
+++ b/crates/emberpin-membership/src/registry/sessions.rs
@@ -1,5 +1,6 @@
 //! Sessions of limiters: snapshots, changes, and repair from what limiters know.
 
+use super::snapshot::Part;
 use super::{Action, Peer, Registry, Session, COUNTED_MS};
 use crate::change_log::Change;
 use crate::instance::{Instance, Status};
@@ -48,6 +49,7 @@
                 }
                 None => actions.push(Action::Close { session }),
             },
+            FromLimiter::More { after } => self.more(now, session, &after, actions),
         }
     }
 
@@ -123,8 +125,7 @@
                 self.changes(now, changes)
             }
             None => {
-                let stands = self.instances.iter().filter(|(_, row)| row.status() != Status::Gone);
-                let mut instances: Vec<Instance> = stands.map(|(_, row)| row.instance(now)).collect();
+                let Part { items, mut instances, rest } = self.part(now, None);
                 // Those that are gone are named to whoever believes otherwise.
                 let gone = corrects.filter_map(|change| match change {
                     Change::Instance(id) => Some(self.instances.instance(now, &id)),
@@ -133,9 +134,10 @@
                 instances.extend(gone.filter(|instance| instance.status == Status::Gone));
                 ToLimiter::Snapshot {
                     at: self.change_log.at(),
-                    items: self.items.values().cloned().collect(),
+                    items,
                     instances,
                     complete: self.is_complete(now),
+                    rest,
                 }
             }
         };
--- a/crates/emberpin-membership/src/session.rs
+++ b/crates/emberpin-membership/src/session.rs
@@ -1,7 +1,7 @@
 //! What a limiter and a registry say to each other.
 
 use crate::instance::Instance;
-use emberpin_config::Item;
+use emberpin_config::{Item, Key};
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 
@@ -23,6 +23,44 @@
     pub number: u64,
 }
 
+/// The last name of a part of a snapshot: items come first, then instances, each in the order of their names.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum SnapshotCursor {
+    /// Up to this item.
+    Item(Key),
+    /// All items, and instances up to this id.
+    Instance(String),
+}
+
+/// How far a limiter has followed one registry.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Followed {
+    /// All that changed up to here has been told, as far as it stands before the cursor.
+    pub place: Revision,
+    /// Where the snapshot goes on, unless it is whole.
+    pub rest: Option<SnapshotCursor>,
+}
+
+impl Followed {
+    /// Up to where everything has been told.
+    pub fn whole(&self) -> Option<Revision> {
+        self.rest.is_none().then_some(self.place)
+    }
+
+    /// Where a limiter stands after a message, and what it is to ask for next.
+    pub fn advance(known: &mut Option<Followed>, told: &ToLimiter) {
+        match (told, known) {
+            (ToLimiter::Snapshot { at, rest, .. }, known) => {
+                *known = Some(Followed { place: *at, rest: rest.clone() });
+            }
+            (ToLimiter::SnapshotPart { rest, .. }, Some(known)) => known.rest.clone_from(rest),
+            (ToLimiter::Changes { at, .. }, Some(known)) => known.place = *at,
+            (ToLimiter::Changes { at, .. }, known) => *known = Some(Followed { place: *at, rest: None }),
+            (ToLimiter::SnapshotPart { .. } | ToLimiter::Pulse { .. }, _) => {}
+        }
+    }
+}
+
 /// From a limiter to a registry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromLimiter {
@@ -46,12 +84,17 @@
         /// The nonce of the question how old what the registry tells is.
         question: u64,
     },
+    /// Wants the next part of the snapshot, as [`ToLimiter::SnapshotPart`].
+    More {
+        /// The cursor of the part before.
+        after: SnapshotCursor,
+    },
 }
 
 /// From a registry to a limiter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToLimiter {
-    /// All that there is. What a limiter knows beside it stays: instances that are not named are gone only if `complete`.
+    /// All that there is, or the first part of it. What a limiter knows beside it stays: instances that are not named are gone only if `complete`.
     Snapshot {
         /// The place that it stands for.
         at: Revision,
@@ -61,6 +104,8 @@
         instances: Vec<Instance>,
         /// The registry has run for long enough to have heard of every server that lives.
         complete: bool,
+        /// There is more behind this: [`FromLimiter::More`].
+        rest: Option<SnapshotCursor>,
     },
     /// What has changed behind a place.
     Changes {
@@ -83,4 +128,13 @@
         /// The machines on which registries run; of a registry that can confirm nothing, those where some may run.
         registries: Vec<Ipv4Addr>,
     },
+    /// Another part of a snapshot.
+    SnapshotPart {
+        /// Items behind the cursor that was asked for.
+        items: Vec<Item>,
+        /// Instances behind it.
+        instances: Vec<Instance>,
+        /// There is more behind this.
+        rest: Option<SnapshotCursor>,
+    },
 }
--- a/crates/emberpin-proxy/src/controller.rs
+++ b/crates/emberpin-proxy/src/controller.rs
@@ -417,9 +417,12 @@
 
     fn hear(&mut self, session: usize, message: ToLimiter) {
         match message {
-            ToLimiter::Snapshot { items, instances, .. } => {
+            ToLimiter::Snapshot { items, instances, rest, .. }
+            | ToLimiter::SnapshotPart { items, instances, rest } => {
                 self.learn(items, &instances);
-                self.told.insert(session);
+                if rest.is_none() {
+                    self.told.insert(session);
+                }
             }
             ToLimiter::Changes { items, instances, .. } => {
                 self.learn(items, &instances);
--- a/crates/emberpin-proxy/src/sessions.rs
+++ b/crates/emberpin-proxy/src/sessions.rs
@@ -3,7 +3,7 @@
 use crate::controller::{drawn, Command};
 use emberpin_membership::candidates::Candidates;
 use emberpin_membership::lease::SessionLease;
-use emberpin_membership::session::{First, FromLimiter, Revision, ToLimiter};
+use emberpin_membership::session::{First, Followed, FromLimiter, Revision, SnapshotCursor, ToLimiter};
 use emberpin_membership::timing::{CONNECT, LOOK, PAUSE, PROXY_LEASE, PROXY_QUESTION};
 use emberpin_runtime::frames::{self, Broken};
 use emberpin_runtime::settings::Settings;
@@ -16,9 +16,9 @@
 use std::time::Duration;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
-use tokio::sync::{mpsc, oneshot};
+use tokio::sync::{mpsc, oneshot, Notify};
 use tokio::task::spawn_local;
-use tokio::time::{sleep, timeout, Instant};
+use tokio::time::{interval, sleep, timeout, Instant, MissedTickBehavior};
 
 /// Two, so that one of them may be in a minority of the core, or die, and news still comes in time.
 const SESSIONS: usize = 2;
@@ -34,7 +34,7 @@
     begun: Instant,
     candidates: RefCell<Candidates>,
     /// Up to where each registry's log was followed.
-    places: RefCell<BTreeMap<Ipv4Addr, Revision>>,
+    places: RefCell<BTreeMap<Ipv4Addr, Followed>>,
     random: RefCell<oorandom::Rand32>,
     /// The settings are to be read again before the next try.
     stale: Cell<bool>,
@@ -138,41 +138,71 @@
             return Ended::NoController;
         }
         let Ok(instances) = known.await else { return Ended::NoController };
-        let from = self.places.borrow().get(&registry).copied();
-        let begun = Command::Begun { session: number, resumed: from.is_some() };
+        let from = self.places.borrow().get(&registry).map(|known| known.place);
+        let resumed = self.whole(registry).is_some();
+        let begun = Command::Begun { session: number, resumed };
         if self.commands.send(begun).await.is_err() {
             return Ended::NoController;
         }
         let hello = FromLimiter::Hello { incarnation: self.incarnation, name, zone, from, instances };
         let (mut reads, mut writes) = stream.into_split();
-        let at = Cell::new(from);
+        let wanted = Notify::new();
         *lease.borrow_mut() = SessionLease::new(self.now());
         let said = async {
             frames::write(&mut writes, &First::Limiter).await?;
             frames::write(&mut writes, &hello).await?;
-            self.ask(&mut writes, &at, lease).await
+            self.ask(&mut writes, registry, lease, &wanted).await
         };
         tokio::select! {
             Err(problem) = said => Ended::Broken(problem),
-            ended = self.hear(number, registry, &mut reads, &at, lease) => ended,
+            ended = self.hear(number, registry, &mut reads, lease, &wanted) => ended,
             () = self.runs_out(lease) => Ended::Unconfirmed,
         }
     }
 
-    /// Asks how old what the registry tells is, again and again.
+    /// Asks how old what the registry tells is, again and again, and for parts of its snapshot.
     async fn ask(
         &self,
         writes: &mut OwnedWriteHalf,
-        at: &Cell<Option<Revision>>,
+        registry: Ipv4Addr,
         lease: &RefCell<SessionLease>,
+        wanted: &Notify,
     ) -> Result<Infallible, Broken> {
+        let mut questions = interval(Duration::from_millis(PROXY_QUESTION));
+        questions.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let question = lease.borrow_mut().ask(self.now());
-            frames::write(writes, &FromLimiter::Pulse { at: at.get(), question }).await?;
-            sleep(Duration::from_millis(PROXY_QUESTION)).await;
+            let said = tokio::select! {
+                _ = questions.tick() => {
+                    let question = lease.borrow_mut().ask(self.now());
+                    FromLimiter::Pulse { at: self.whole(registry), question }
+                }
+                () = wanted.notified() => match self.rest(registry) {
+                    Some(after) => FromLimiter::More { after },
+                    None => continue,
+                },
+            };
+            frames::write(writes, &said).await?;
         }
     }
 
+    /// Up to where a registry has told everything.
+    fn whole(&self, registry: Ipv4Addr) -> Option<Revision> {
+        self.places.borrow().get(&registry).and_then(Followed::whole)
+    }
+
+    /// Where its snapshot goes on.
+    fn rest(&self, registry: Ipv4Addr) -> Option<SnapshotCursor> {
+        self.places.borrow().get(&registry).and_then(|known| known.rest.clone())
+    }
+
+    /// Notes up to where a registry was followed.
+    fn advance(&self, registry: Ipv4Addr, told: &ToLimiter) {
+        let mut places = self.places.borrow_mut();
+        let mut known = places.remove(&registry);
+        Followed::advance(&mut known, told);
+        places.extend(known.map(|known| (registry, known)));
+    }
+
     /// Returns when what the registry told is too old to go by.
     async fn runs_out(&self, lease: &RefCell<SessionLease>) {
         while !lease.borrow().is_over(self.now()) {
@@ -185,9 +215,10 @@
         number: usize,
         registry: Ipv4Addr,
         reads: &mut OwnedReadHalf,
-        at: &Cell<Option<Revision>>,
         lease: &RefCell<SessionLease>,
+        wanted: &Notify,
     ) -> Ended {
+        let mut begins = true;
         loop {
             let message = match frames::read::<ToLimiter>(reads).await {
                 Ok(message) => message,
@@ -199,10 +230,14 @@
                 }
             };
             let command = match message {
-                ToLimiter::Snapshot { at: place, .. } | ToLimiter::Changes { at: place, .. } => {
-                    at.set(Some(place));
-                    self.places.borrow_mut().insert(registry, place);
-                    lease.borrow_mut().progressed(self.now());
+                ToLimiter::Snapshot { .. } | ToLimiter::SnapshotPart { .. } | ToLimiter::Changes { .. } => {
+                    self.advance(registry, &message);
+                    let is_part = !matches!(message, ToLimiter::Changes { .. });
+                    let first = std::mem::take(&mut begins);
+                    if is_part || first {
+                        lease.borrow_mut().progressed(self.now());
+                        wanted.notify_one();
+                    }
                     Command::News { session: number, message }
                 }
                 ToLimiter::Pulse { question, age, limiters, registries } => {
--- a/crates/emberpin-registry/src/program.rs
+++ b/crates/emberpin-registry/src/program.rs
@@ -4,7 +4,7 @@
 use crate::host::{Host, Identity};
 use crate::store::Stores;
 use crate::{links, net};
-use emberpin_membership::registry::Limits;
+use emberpin_membership::registry::{Limits, PART_BYTES};
 use emberpin_runtime::logs;
 use emberpin_runtime::settings::{Settings, Wrong};
 use std::ffi::OsString;
@@ -94,6 +94,7 @@
         incarnation: u64::from_be_bytes(instance),
         beat_ms: u64::try_from(settings.beat.as_millis()).unwrap_or(u64::MAX).max(1),
         seeds,
+        part_bytes: PART_BYTES,
     };
     let (host, commands) =
         Host::new(Identity { name: settings.nodename.clone(), port }, limits, stores.clone());
--- a/crates/emberpin-scale/src/hollow.rs
+++ b/crates/emberpin-scale/src/hollow.rs
@@ -99,13 +99,17 @@
     frames::write(&mut to, &hello).await?;
     counts.sessions.fetch_add(1, Ordering::Relaxed);
     let place: Mutex<Option<Revision>> = Mutex::new(None);
+    let (cursors, mut wanted) = tokio::sync::mpsc::unbounded_channel();
     let at = || place.lock().unwrap_or_else(PoisonError::into_inner);
     let pulses = async {
         let mut question = 0;
         loop {
-            sleep(PULSE).await;
             question += 1;
-            let frame = frames::frame(&FromLimiter::Pulse { at: *at(), question })?;
+            let said = tokio::select! {
+                () = sleep(PULSE) => FromLimiter::Pulse { at: *at(), question },
+                Some(after) = wanted.recv() => FromLimiter::More { after },
+            };
+            let frame = frames::frame(&said)?;
             counts.said.fetch_add(frame.len() as u64, Ordering::Relaxed);
             tokio::io::AsyncWriteExt::write_all(&mut to, &frame).await?;
         }
@@ -114,12 +118,18 @@
         loop {
             let told: ToLimiter = frames::read(&mut from).await?;
             counts.told.fetch_add(frames::frame(&told)?.len() as u64, Ordering::Relaxed);
-            let (ToLimiter::Snapshot { at: place, items, .. } | ToLimiter::Changes { at: place, items, .. }) =
-                told
-            else {
-                continue;
+            let (place, items, rest) = match told {
+                ToLimiter::Snapshot { at, items, rest, .. } => (Some(at), items, rest),
+                ToLimiter::SnapshotPart { items, rest, .. } => (None, items, rest),
+                ToLimiter::Changes { at, items, .. } => (Some(at), items, None),
+                ToLimiter::Pulse { .. } => continue,
             };
-            *at() = Some(place);
+            if place.is_some() {
+                *at() = place;
+            }
+            if let Some(after) = rest {
+                _ = cursors.send(after);
+            }
             for ver in items.iter().filter(|item| item.key.name == PROBE).map(|item| item.ver) {
                 // By whichever session is first.
                 if newest.fetch_max(ver, Ordering::Relaxed) < ver {
@@ -148,11 +158,16 @@
     };
     frames::write(&mut stream, &First::Limiter).await?;
     frames::write(&mut stream, &hello).await?;
+    let mut bytes = 0;
     loop {
         let told: ToLimiter = frames::read(&mut stream).await?;
-        if matches!(told, ToLimiter::Snapshot { .. }) {
-            return Ok(frames::frame(&told)?.len());
-        }
+        let length = frames::frame(&told)?.len();
+        let (ToLimiter::Snapshot { rest, .. } | ToLimiter::SnapshotPart { rest, .. }) = told else {
+            continue;
+        };
+        bytes += length;
+        let Some(after) = rest else { return Ok(bytes) };
+        frames::write(&mut stream, &FromLimiter::More { after }).await?;
     }
 }
 
--- a/crates/emberpin-simulator/src/builds.rs
+++ b/crates/emberpin-simulator/src/builds.rs
@@ -26,11 +26,13 @@
     pub resumes: bool,
     /// Registries that can confirm nothing name others.
     pub hints: bool,
+    /// A snapshot in parts has told all that there is with its last part only.
+    pub parts: bool,
 }
 
 impl Default for Proxy {
     fn default() -> Proxy {
-        Proxy { in_force: true, settled: true, leaves: true, resumes: true, hints: true }
+        Proxy { in_force: true, settled: true, leaves: true, resumes: true, hints: true, parts: true }
     }
 }
 
@@ -64,6 +66,7 @@
     "no-resumes",
     "no-hints",
     "no-open",
+    "no-parts",
     "no-lease",
 ];
 
@@ -103,6 +106,7 @@
             "no-leaves" => &mut self.proxy.leaves,
             "no-resumes" => &mut self.proxy.resumes,
             "no-hints" => &mut self.proxy.hints,
+            "no-parts" => &mut self.proxy.parts,
             "no-lease" => &mut self.watch.lease,
             _ => return false,
         };
