--- a/crates/emberpin-membership/src/registry/events.rs
+++ b/crates/emberpin-membership/src/registry/events.rs
@@ -84,7 +84,7 @@
         /// Which.
         session: u64,
     },
-    /// Nothing; see [`Registry::due`].
+    /// Nothing; see [`super::Registry::due`].
     Tick,
 }
 
--- a/crates/emberpin-membership/tests/common/mod.rs
+++ b/crates/emberpin-membership/tests/common/mod.rs
@@ -131,16 +131,8 @@
 
     pub fn start(&mut self, number: u8) {
         self.instances += 1;
-        let limits = Limits {
-            me: ip(number),
-            zone: zone(number),
-            incarnation: self.instances,
-            beat_ms: BEAT,
-            seeds: self.voters.clone(),
-            part_bytes: self.part_bytes,
-        };
         let node = Node {
-            registry: Registry::new(self.now, limits),
+            registry: Registry::new(self.now, self.limits(number)),
             store: Some(true),
             frozen: false,
             queue: VecDeque::new(),
@@ -151,20 +143,23 @@
         self.nodes.insert(number, node);
     }
 
-    /// Starts a machine anew, as a wrong build.
-    pub fn restart_with(&mut self, number: u8, guards: Guards) {
-        self.kill(number);
-        self.start(number);
-        let node = self.nodes.get_mut(&number).expect("started");
-        let limits = Limits {
+    fn limits(&self, number: u8) -> Limits {
+        Limits {
             me: ip(number),
             zone: zone(number),
             incarnation: self.instances,
             beat_ms: BEAT,
             seeds: self.voters.clone(),
             part_bytes: self.part_bytes,
-        };
-        node.registry = Registry::with_guards(self.now, limits, guards);
+        }
+    }
+
+    /// Starts a machine anew, as a wrong build.
+    pub fn restart_with(&mut self, number: u8, guards: Guards) {
+        self.kill(number);
+        self.start(number);
+        let registry = Registry::with_guards(self.now, self.limits(number), guards);
+        self.nodes.get_mut(&number).expect("started").registry = registry;
     }
 
     /// Links hold what goes over them, and stay; or let it go.
