--- a/crates/emberpin-proxy/tests/readiness.rs
+++ b/crates/emberpin-proxy/tests/readiness.rs
@@ -3,7 +3,7 @@
 
 use emberpin_config::{Item, Key, Kind};
 use emberpin_membership::instance::{Instance, Status};
-use emberpin_membership::session::{First, FromLimiter, Revision, ToLimiter};
+use emberpin_membership::session::{First, FromLimiter, Revision, SnapshotCursor, ToLimiter};
 use emberpin_runtime::frames;
 use googletest::prelude::*;
 use std::io::Write;
@@ -150,3 +150,56 @@
     };
     expect_that!(timeout(SOON, ready).await.is_ok(), eq(true));
 }
+
+/// The proxy's next question for a part of the snapshot.
+async fn wanted(stream: &mut TcpStream) -> SnapshotCursor {
+    loop {
+        match timeout(SOON, frames::read(stream)).await.expect("in time").expect("a message") {
+            FromLimiter::More { after } => return after,
+            FromLimiter::Pulse { at, .. } => assert_eq!(at, None, "not all is told"),
+            other @ FromLimiter::Hello { .. } => panic!("a second hello: {other:?}"),
+        }
+    }
+}
+
+/// Holds readiness back until the last part, and takes a snapshot up where another session left it.
+#[gtest]
+#[tokio::test]
+async fn it_is_not_ready_before_the_last_part_of_a_snapshot() {
+    let (registry, port) = bound().await;
+    let (http, readyz) = {
+        let (http, readyz) = (bound().await, bound().await);
+        (http.1, readyz.1)
+    };
+    let _proxy = start(port, http, readyz);
+    let (items, instances) = everything();
+    let cursor = SnapshotCursor::Item(items[0].key.clone());
+
+    let (mut first, _) = session(&registry).await;
+    let rest = Some(cursor.clone());
+    let snapshot = ToLimiter::Snapshot { at: AT, items, instances: vec![], complete: true, rest };
+    frames::write(&mut first, &snapshot).await.expect("told");
+    expect_that!(wanted(&mut first).await, eq(&cursor));
+    pulse(&mut first, true).await;
+    expect_that!(readiness(readyz).await, some(eq("503")));
+    drop(first);
+
+    let (mut again, from) = session(&registry).await;
+    expect_that!(from, some(eq(AT)));
+    let changes = ToLimiter::Changes { at: AT, items: vec![], instances: vec![] };
+    frames::write(&mut again, &changes).await.expect("told");
+    expect_that!(wanted(&mut again).await, eq(&cursor));
+    pulse(&mut again, true).await;
+    expect_that!(readiness(readyz).await, some(eq("503")));
+    let part = ToLimiter::SnapshotPart { items: vec![], instances, rest: None };
+    frames::write(&mut again, &part).await.expect("told");
+    let ready = async {
+        loop {
+            pulse(&mut again, true).await;
+            if readiness(readyz).await.as_deref() == Some("200") {
+                return;
+            }
+        }
+    };
+    expect_that!(timeout(SOON, ready).await.is_ok(), eq(true));
+}
