--- a/crates/emberpin-membership/tests/common/mod.rs
+++ b/crates/emberpin-membership/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use emberpin_membership::guards::Guards;
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::peers::{Ack, RegistryMessage};
-use emberpin_membership::registry::{Action, Answer, Event, Limits, Registry};
+use emberpin_membership::registry::{Action, Answer, Event, Limits, Registry, PART_BYTES};
 use emberpin_membership::session::{FromLimiter, Revision, ToLimiter};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -88,6 +88,7 @@
     wires: BTreeMap<(u8, u8), Wire>,
     cuts: BTreeSet<(u8, u8)>,
     held: BTreeSet<(u8, u8)>,
+    pub part_bytes: usize,
     calls: u64,
     questions: u64,
     instances: u64,
@@ -114,6 +115,7 @@
             wires: BTreeMap::new(),
             cuts: BTreeSet::new(),
             held: BTreeSet::new(),
+            part_bytes: PART_BYTES,
             calls: 0,
             questions: 0,
             instances: 0,
@@ -129,15 +131,8 @@
 
     pub fn start(&mut self, number: u8) {
         self.instances += 1;
-        let limits = Limits {
-            me: ip(number),
-            zone: zone(number),
-            incarnation: self.instances,
-            beat_ms: BEAT,
-            seeds: self.voters.clone(),
-        };
         let node = Node {
-            registry: Registry::new(self.now, limits),
+            registry: Registry::new(self.now, self.limits(number)),
             store: Some(true),
             frozen: false,
             queue: VecDeque::new(),
@@ -148,19 +143,23 @@
         self.nodes.insert(number, node);
     }
 
-    /// Starts a machine anew, as a wrong build.
-    pub fn restart_with(&mut self, number: u8, guards: Guards) {
-        self.kill(number);
-        self.start(number);
-        let node = self.nodes.get_mut(&number).expect("started");
-        let limits = Limits {
+    fn limits(&self, number: u8) -> Limits {
+        Limits {
             me: ip(number),
             zone: zone(number),
             incarnation: self.instances,
             beat_ms: BEAT,
             seeds: self.voters.clone(),
-        };
-        node.registry = Registry::with_guards(self.now, limits, guards);
+            part_bytes: self.part_bytes,
+        }
+    }
+
+    /// Starts a machine anew, as a wrong build.
+    pub fn restart_with(&mut self, number: u8, guards: Guards) {
+        self.kill(number);
+        self.start(number);
+        let registry = Registry::with_guards(self.now, self.limits(number), guards);
+        self.nodes.get_mut(&number).expect("started").registry = registry;
     }
 
     /// Links hold what goes over them, and stay; or let it go.
@@ -437,7 +436,7 @@
     pub fn hear(&mut self, told: &[ToLimiter]) {
         for told in told {
             let (at, items, instances) = match told {
-                ToLimiter::Snapshot { at, items, instances, complete } => {
+                ToLimiter::Snapshot { at, items, instances, complete, .. } => {
                     self.snapshots += 1;
                     self.complete = *complete;
                     if *complete {
@@ -446,7 +445,7 @@
                     (at, items, instances)
                 }
                 ToLimiter::Changes { at, items, instances } => (at, items, instances),
-                ToLimiter::Pulse { .. } => continue,
+                ToLimiter::SnapshotPart { .. } | ToLimiter::Pulse { .. } => continue,
             };
             self.at = Some(*at);
             for item in items {
--- a/crates/emberpin-registry/tests/samples/mod.rs
+++ b/crates/emberpin-registry/tests/samples/mod.rs
@@ -148,7 +148,7 @@
 pub fn from_registry() -> Vec<Vec<u8>> {
     let instances = vec![instance(Status::Up)];
     let limiter = [
-        ToLimiter::Snapshot { at: PLACE, items: items(), instances: instances.clone(), complete: true },
+        ToLimiter::Snapshot { at: PLACE, items: items(), instances: instances.clone(), complete: true, rest: None },
         ToLimiter::Changes { at: PLACE, items: items(), instances },
         ToLimiter::Pulse { question: 11, age: Some(13), limiters: 2, registries: vec![MACHINE] },
     ];
