--- a/crates/dillpass/src/asked.rs
+++ b/crates/dillpass/src/asked.rs
@@ -31,6 +31,11 @@
         ClassId(self.settings.classes.len() - 1)
     }
 
+    /// How many classes there are.
+    pub fn class_count(&self) -> usize {
+        self.settings.classes.len()
+    }
+
     /// Puts a class in the place of one that no request has any more. What was learned of the old one is forgotten.
     /// Where there is no such class, nothing changes.
     pub fn replace_class(&mut self, id: ClassId, class: Class) {
--- a/crates/emberpin-proxy/src/service.rs
+++ b/crates/emberpin-proxy/src/service.rs
@@ -203,7 +203,7 @@
 
     /// Classes that routes have, and places for classes in the module.
     pub fn class_count(&self) -> (usize, usize) {
-        (self.classes.len(), self.classes.len() + self.unused.len())
+        (self.classes.len(), self.engine.gateway.class_count())
     }
 
     /// Whether no instance of it is known.
--- a/crates/emberpin-proxy/tests/answers.rs
+++ b/crates/emberpin-proxy/tests/answers.rs
@@ -233,3 +233,42 @@
     let there = Client::try_connect(listener.local_addr().expect("bound")).await.expect("connected").stream;
     (listener.accept().await.expect("accepted").0, there)
 }
+
+/// Holds `is_quiet` for a kept connection: an interim answer that comes once it is idle is not the next request's.
+#[tokio::test]
+async fn an_interim_answer_on_an_idle_connection_reaches_nobody() -> googletest::Result<()> {
+    let (proxy, _session, mut server) = with_one_server().await;
+    let mut client = proxy.client().await;
+    for (number, interim) in
+        ["100 Continue", "103 Early Hints", "101 Switching Protocols"].into_iter().enumerate()
+    {
+        client.send("POST", "/write/a", &[("try-id", "t1")], b"").await;
+        let mut first = server.next().await;
+        first.write(&first.worded(200, &[], "first")).await;
+        verify_that!(client.answer().await.map(|answered| answered.text()), some(eq("first")))?;
+        first.write(format!("HTTP/1.1 {interim}\r\n\r\n").as_bytes()).await;
+        first.keep();
+        client.send("POST", "/write/b", &[("try-id", "t2")], b"").await;
+        server.next().await.answer(200, &[], "second").await;
+        let answered = client.answer().await.expect("an answer");
+        verify_that!((number, answered.status, answered.text().as_str()), eq((number, 200, "second")))?;
+        // On another connection than the one that holds it.
+        verify_that!(server.connections.load(std::sync::atomic::Ordering::Relaxed), eq(number as u32 + 2))?;
+    }
+    Ok(())
+}
+
+/// Holds `freshness` for requests without an id: no late answer can be taken for theirs on a connection that carried
+/// nothing before.
+#[tokio::test]
+async fn a_request_without_an_id_goes_on_a_new_connection() -> googletest::Result<()> {
+    let (proxy, _session, mut server) = with_one_server().await;
+    let mut client = proxy.client().await;
+    for connections in 1..4 {
+        client.send("POST", "/write/a", &[], b"").await;
+        server.next().await.answer(500, &[], "").await;
+        verify_that!(client.answer().await.is_some(), eq(true))?;
+        verify_that!(server.connections.load(std::sync::atomic::Ordering::Relaxed), eq(connections))?;
+    }
+    Ok(())
+}
--- a/crates/emberpin-proxy/tests/attempts.rs
+++ b/crates/emberpin-proxy/tests/attempts.rs
@@ -291,3 +291,37 @@
     silent.broken_off().await;
     verify_that!(client.answer().await.map(|answered| answered.status), some(eq(502)))
 }
+
+/// Holds the look at a kept connection in `connect`: nothing is written on one that the server has closed, so that what
+/// may run once goes out on another.
+#[tokio::test]
+async fn a_connection_that_its_server_has_closed_carries_nothing() -> googletest::Result<()> {
+    let mut server = Server::anywhere().await;
+    let (proxy, _session) = Proxy::ready(FIGURES, usual(), vec![instance("i-1", server.address)]).await;
+    let mut client = proxy.client().await;
+    for number in 0..5 {
+        client.send("POST", "/write/a", &[("try-id", &format!("t{number}"))], b"").await;
+        let mut asked = server.next().await;
+        asked.write(&asked.worded(200, &[], "once")).await;
+        let answered = client.answer().await.expect("an answer");
+        verify_that!((answered.status, answered.text().as_str()), eq((200, "once")))?;
+        drop(asked);
+    }
+    verify_that!(server.is_unasked(), eq(true))
+}
+
+/// Holds what has run across a freeze: a proxy that stood still while its server's connection ended sends nothing again
+/// that may run once.
+#[tokio::test]
+async fn a_mutating_request_is_not_sent_again_after_a_freeze() -> googletest::Result<()> {
+    let (mut one, mut other, instances) = two().await;
+    let (proxy, _session) = Proxy::ready(FIGURES, usual(), instances).await;
+    let mut client = proxy.client().await;
+    client.send("POST", "/write/a", &[("try-id", "t1"), ("deadline", "8000")], b"").await;
+    let (taken, _, _) = either(&mut one, &mut other).await;
+    proxy.signal("-STOP");
+    drop(taken);
+    proxy.signal("-CONT");
+    verify_that!(client.answer().await.map(|answered| answered.status), some(eq(502)))?;
+    verify_that!(one.is_unasked() && other.is_unasked(), eq(true))
+}
