--- a/crates/emberpin-proxy/tests/common/mod.rs
+++ b/crates/emberpin-proxy/tests/common/mod.rs
@@ -250,19 +250,17 @@
     }
 }
 
-/// Two addresses that are free, held at once so that they differ.
-async fn free(ip: Ipv4Addr) -> [SocketAddr; 2] {
-    let one = TcpListener::bind((ip, 0)).await.expect("bound");
-    let other = TcpListener::bind((ip, 0)).await.expect("bound");
-    [one, other].map(|listener| listener.local_addr().expect("bound"))
-}
+/// Where a proxy listens at the address that no other test has: below the ports that the system draws from. Ports that were
+/// drawn and given back for the proxy were at times still taken when it came to listen.
+const HTTP_PORT: u16 = 21_001;
+const READYZ_PORT: u16 = 21_002;
 
 impl Proxy {
     /// Starts it; nothing is told yet.
     pub async fn start(figures: Figures) -> Proxy {
         let (ip, listener) = place().await;
         let port = listener.local_addr().expect("bound").port();
-        let [http, readyz] = free(ip).await;
+        let (http, readyz) = (SocketAddr::from((ip, HTTP_PORT)), SocketAddr::from((ip, READYZ_PORT)));
         let Figures { grace, retry_ratio, retry_extra, warm_excess, warm_extra } = figures;
         let text = format!(
             r#"
