--- a/crates/emberpin-proxy/tests/attempts.rs
+++ b/crates/emberpin-proxy/tests/attempts.rs
@@ -7,6 +7,7 @@
 use emberpin_membership::instance::Instance;
 use googletest::prelude::*;
 use std::time::Duration;
+use tokio::io::AsyncWriteExt;
 
 /// Silence of a server that is longer than the module's patience with a route whose aim is this, as no answer
 /// taught it another: its aim less two means of a quarter each.
@@ -291,3 +292,38 @@
     silent.broken_off().await;
     verify_that!(client.answer().await.map(|answered| answered.status), some(eq(502)))
 }
+
+/// Holds the look at kept connections in `retire`: one that its server has closed is given up without being used, so that
+/// what may run once goes out on another. A close that comes together with the write cannot be told from one behind it.
+#[tokio::test]
+async fn a_connection_that_its_server_has_closed_carries_nothing() -> googletest::Result<()> {
+    let mut server = Server::anywhere().await;
+    let (proxy, _session) = Proxy::ready(FIGURES, usual(), vec![instance("i-1", server.address)]).await;
+    let mut client = proxy.client().await;
+    for number in 0..3 {
+        client.send("POST", "/write/a", &[("try-id", &format!("t{number}"))], b"").await;
+        let mut asked = server.next().await;
+        asked.write(&asked.worded(200, &[], "once")).await;
+        let answered = client.answer().await.expect("an answer");
+        verify_that!((answered.status, answered.text().as_str()), eq((200, "once")))?;
+        asked.stream.shutdown().await?;
+        asked.broken_off().await;
+    }
+    verify_that!(server.is_unasked(), eq(true))
+}
+
+/// Holds what has run across a freeze: a proxy that stood still while its server's connection ended sends nothing again
+/// that may run once.
+#[tokio::test]
+async fn a_mutating_request_is_not_sent_again_after_a_freeze() -> googletest::Result<()> {
+    let (mut one, mut other, instances) = two().await;
+    let (proxy, _session) = Proxy::ready(FIGURES, usual(), instances).await;
+    let mut client = proxy.client().await;
+    client.send("POST", "/write/a", &[("try-id", "t1"), ("deadline", "8000")], b"").await;
+    let (taken, _, _) = either(&mut one, &mut other).await;
+    proxy.signal("-STOP");
+    drop(taken);
+    proxy.signal("-CONT");
+    verify_that!(client.answer().await.map(|answered| answered.status), some(eq(502)))?;
+    verify_that!(one.is_unasked() && other.is_unasked(), eq(true))
+}
--- a/crates/emberpin-proxy/tests/common/mod.rs
+++ b/crates/emberpin-proxy/tests/common/mod.rs
@@ -249,8 +249,9 @@
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
         let drawn = std::process::id().wrapping_mul(97).wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
-        let [_, _, high, low] = drawn.to_be_bytes();
-        let ip = Ipv4Addr::new(127, 80 + (drawn >> 16) as u8 % 100, high, low.clamp(1, 254));
+        // Numbers that follow each other are different addresses, none of which ends with 0 or 255.
+        let (number, last) = (drawn / 254, 1 + (drawn % 254) as u8);
+        let ip = Ipv4Addr::new(127, 80 + (number / 256 % 100) as u8, (number % 256) as u8, last);
         if let Ok(listener) = TcpListener::bind((ip, 0)).await {
             let port = listener.local_addr().expect("bound").port();
             if (2_000..60_000).contains(&port) {
@@ -260,19 +261,17 @@
     }
 }
 
-/// Two addresses that are free, held at once so that they differ.
-async fn free(ip: Ipv4Addr) -> [SocketAddr; 2] {
-    let one = TcpListener::bind((ip, 0)).await.expect("bound");
-    let other = TcpListener::bind((ip, 0)).await.expect("bound");
-    [one, other].map(|listener| listener.local_addr().expect("bound"))
-}
+/// Where a proxy listens at the address that no other test has: below the ports that the system draws from. Ports that were
+/// drawn and given back for the proxy were at times still taken when it came to listen.
+const HTTP_PORT: u16 = 21_001;
+const READYZ_PORT: u16 = 21_002;
 
 impl Proxy {
     /// Starts it; nothing is told yet.
     pub async fn start(figures: Figures) -> Proxy {
         let (ip, listener) = place().await;
         let port = listener.local_addr().expect("bound").port();
-        let [http, readyz] = free(ip).await;
+        let (http, readyz) = (SocketAddr::from((ip, HTTP_PORT)), SocketAddr::from((ip, READYZ_PORT)));
         let Figures { grace, retry_ratio, retry_extra, warm_excess, warm_extra } = figures;
         let text = format!(
             r#"
@@ -359,8 +358,12 @@
     }
 
     pub fn terminate(&self) {
+        self.signal("-TERM");
+    }
+
+    pub fn signal(&self, signal: &str) {
         let pid = self.child.id().to_string();
-        let status = Command::new("kill").args(["-TERM", &pid]).status().expect("kill runs");
+        let status = Command::new("kill").args([signal, &pid]).status().expect("kill runs");
         assert!(status.success());
     }
 
@@ -537,6 +540,8 @@
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 count.fetch_add(1, Ordering::Relaxed);
+                // What a server writes later must not wait for the proxy's word on what it wrote before.
+                _ = stream.set_nodelay(true);
                 tokio::spawn(hear(stream, queue.clone()));
             }
         });
