--- a/crates/emberpin-consensus/src/acceptor.rs
+++ b/crates/emberpin-consensus/src/acceptor.rs
@@ -58,6 +58,10 @@
     pub late: bool,
     /// What is acknowledged is on the disks of a majority, and on more than may be lost.
     pub spread: bool,
+    /// A replica joins the roster only once it can tell which voters are gone.
+    pub heard: bool,
+    /// An evacuation that may have waited while the process stood still is not taken.
+    pub awake: bool,
 }
 
 impl Default for Guards {
@@ -74,6 +78,8 @@
             whole: true,
             late: true,
             spread: true,
+            heard: true,
+            awake: true,
         }
     }
 }
--- a/crates/emberpin-consensus/src/replica.rs
+++ b/crates/emberpin-consensus/src/replica.rs
@@ -21,6 +21,8 @@
 /// And an evacuation, which has no version: its caller asks another store after a second of silence, and may then take
 /// back what it asked for. It must not begin here after that.
 const EVACUATION: u64 = 850;
+/// One that wakes so much later than it was due has stood still: frozen, or without a processor.
+const STOOD_STILL: u64 = 500;
 /// So many calls wait at most; more are told to come again, or to go elsewhere.
 const WAITING: usize = 64;
 /// A round that isn't done by then gives way to a new one; nothing is proposed later than that.
@@ -69,6 +71,8 @@
     /// The highest counter heard of.
     counter: u64,
     started: u64,
+    /// It may have stood still shortly before that.
+    awake_at: u64,
     peers: BTreeMap<Ipv4Addr, Peer>,
     exchange_at: u64,
     seq: u64,
@@ -116,6 +120,7 @@
             options,
             counter,
             started: now,
+            awake_at: now,
             peers: BTreeMap::new(),
             exchange_at: now,
             seq: 0,
@@ -202,6 +207,9 @@
 
     /// Takes one event at a time; `now`, in milliseconds, never falls.
     pub fn handle(&mut self, now: u64, event: Event, out: &mut Vec<Action>) {
+        if now > self.wake_at() + STOOD_STILL {
+            self.awake_at = now + EVACUATION;
+        }
         // First, so that a process that stood still goes on with nothing that is over.
         self.settle_timers(now, out);
         match event {
@@ -237,6 +245,10 @@
             },
         };
         let evacuates = matches!(work, Work::Evacuate { .. });
+        if evacuates && now < self.awake_at && self.acceptor.guards.awake {
+            // Its caller may have gone on to another machine long ago, and taken it back there.
+            return out.push(Action::Answer { id, status: 503, body: "the store stood still".into() });
+        }
         let patience = if evacuates && self.acceptor.guards.late { EVACUATION } else { PATIENCE };
         self.tasks.push_back(Task { work, until: now + patience, proposed: false });
     }
--- a/crates/emberpin-consensus/src/replica/roster.rs
+++ b/crates/emberpin-consensus/src/replica/roster.rs
@@ -75,6 +75,13 @@
             if voters.iter().any(|voter| silent(voter, 3 * EXCHANGE) && !silent(voter, VACANT)) {
                 return;
             }
+            // Nor can it be told yet whether one is gone that this process has not heard.
+            let unheard = |voter: &Ipv4Addr| self.peers.get(voter).is_none_or(|peer| peer.heard == 0);
+            if self.acceptor.guards.heard
+                && voters.iter().any(|voter| unheard(voter) && !silent(voter, VACANT))
+            {
+                return;
+            }
             wanted.push(me);
             let mut spare = (voters.len() - majority(&voters)).min(wanted.len().saturating_sub(fewest));
             wanted.retain(|voter| {
