--- a/crates/emberpin-consensus/src/acceptor.rs
+++ b/crates/emberpin-consensus/src/acceptor.rs
@@ -38,6 +38,10 @@
 pub struct Guards {
     /// A store that lost its disk doesn't vote before it caught up.
     pub amnesia: bool,
+    /// A replica joins the roster only once it can tell which voters are gone.
+    pub heard: bool,
+    /// An evacuation that may have waited while the process stood still is not taken.
+    pub awake: bool,
     /// A voter keeps its promises.
     pub promise: bool,
     /// What may be chosen is proposed again.
@@ -58,16 +62,14 @@
     pub late: bool,
     /// What is acknowledged is on the disks of a majority, and on more than may be lost.
     pub spread: bool,
-    /// A replica joins the roster only once it can tell which voters are gone.
-    pub heard: bool,
-    /// An evacuation that may have waited while the process stood still is not taken.
-    pub awake: bool,
 }
 
 impl Default for Guards {
     fn default() -> Guards {
         Guards {
             amnesia: true,
+            heard: true,
+            awake: true,
             promise: true,
             carry: true,
             joint: true,
@@ -78,8 +80,6 @@
             whole: true,
             late: true,
             spread: true,
-            heard: true,
-            awake: true,
         }
     }
 }
