--- a/crates/emberpin-simulator/tests/search.rs
+++ b/crates/emberpin-simulator/tests/search.rs
@@ -35,7 +35,8 @@
 /// Each is found among so many seeds.
 #[gtest]
 fn wrong_builds_are_found() {
-    for wrong in ["no-promise", "no-whole", "no-place", "no-admission"] {
+    for wrong in ["no-promise", "no-carry", "no-newest", "no-whole", "no-spread", "no-place", "no-admission"]
+    {
         let mut build = Build::default();
         expect_that!(build.without(wrong), eq(true));
         let found = search(0..120, THREADS, 1, build);
