--- a/crates/emberpin-consensus/src/acceptor.rs
+++ b/crates/emberpin-consensus/src/acceptor.rs
@@ -55,6 +55,10 @@
 pub struct Guards {
     /// A store that lost its disk doesn't vote before it caught up.
     pub amnesia: bool,
+    /// A replica joins the roster only once it can tell which voters are gone.
+    pub heard: bool,
+    /// An evacuation that may have waited while the process stood still is not taken.
+    pub awake: bool,
     /// A voter keeps its promises.
     pub promise: bool,
     /// What may be chosen is proposed again.
@@ -117,6 +121,8 @@
     fn default() -> Guards {
         Guards {
             amnesia: true,
+            heard: true,
+            awake: true,
             promise: true,
             carry: true,
             joint: true,
