--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -31,6 +31,8 @@
 /// What callers are told of a disk that a write failed on, and of one that does not answer.
 const DISK_FULL: &str = "the disk is full";
 const DISK_STALLED: &str = "the disk does not answer";
+/// How long a store that starts for the first time waits for its first sync before it listens.
+const FIRST_SYNC: Duration = Duration::from_secs(1);
 /// How long a store that ends waits for its last sync; nothing was said that depends on it.
 const CLOSE: Duration = Duration::from_millis(500);
 /// How long a store that is told to end waits to be off the roster.
@@ -134,6 +136,7 @@
         overflowed: false,
     };
     host.act(actions);
+    host.wait_for_first_sync(&mut disk_events).await?;
     let (inputs, mut waiting) = mpsc::channel(WAITING);
     tokio::spawn(listen(listener, identity, inputs, Arc::<Counts>::default()));
     loop {
@@ -326,6 +329,17 @@
         Ok(())
     }
 
+    /// Has what a first start writes synced before anybody can hear of this store; a stall is not waited for.
+    async fn wait_for_first_sync(&mut self, events: &mut mpsc::Receiver<DiskEvent>) -> Result<(), Unusable> {
+        while !self.disk.is_idle() {
+            match tokio::time::timeout(FIRST_SYNC, events.recv()).await {
+                Ok(Some(event)) => self.take_disk_event(event)?,
+                _ => break,
+            }
+        }
+        Ok(())
+    }
+
     /// Has the replica take part again once all that waited for the disk is done.
     fn recover_from_overflow(&mut self) {
         if self.overflowed && self.disk.is_idle() {
--- a/crates/emberpin-store/tests/processes.rs
+++ b/crates/emberpin-store/tests/processes.rs
@@ -305,6 +305,11 @@
     run(async {
         let mut machines = machines(2, 3);
         machines.iter_mut().for_each(|machine| machine.start(true));
+        // One that is killed before its first sync is a second lost disk, and only one is tolerated.
+        let all: Vec<Ipv4Addr> = machines.iter().map(|machine| machine.ip).collect();
+        for machine in &machines {
+            machine.voters(&all).await;
+        }
         expect_that!(machines[0].patch(&service("a", 1)).await, eq(200));
         machines[2].kill();
         expect_that!(machines[0].patch(&service("b", 1)).await, eq(200));
