--- a/crates/emberpin-registry/src/store.rs
+++ b/crates/emberpin-registry/src/store.rs
@@ -133,7 +133,10 @@
             frames::write(&mut to, &ToStore::StoreRequest(StoreRequest::Follow)).await?;
             let mut from = BufReader::new(from);
             let greeted = timeout(SILENCE, self.identity.receive(&mut from)).await;
-            greeted.map_err(std::io::Error::from)??;
+            let peer = greeted.map_err(std::io::Error::from)??;
+            if let Some(system) = peer.system.filter(|_| store == self.me) {
+                self.identity.learn(system);
+            }
             loop {
                 let told = timeout(SILENCE, frames::read::<StoreReply>(&mut from)).await;
                 let told = told.map_err(std::io::Error::from)??;
--- a/crates/emberpin-store/src/connections.rs
+++ b/crates/emberpin-store/src/connections.rs
@@ -78,13 +78,15 @@
 pub struct Links {
     port: u16,
     identity: Arc<ProcessIdentity>,
+    /// Machines that the settings name: their system is this store's.
+    seeds: Vec<Ipv4Addr>,
     links: BTreeMap<Ipv4Addr, (Outbox, bool)>,
 }
 
 impl Links {
     /// None yet; all stores hear on this port.
-    pub fn new(port: u16, identity: Arc<ProcessIdentity>) -> Links {
-        Links { port, identity, links: BTreeMap::new() }
+    pub fn new(port: u16, identity: Arc<ProcessIdentity>, seeds: Vec<Ipv4Addr>) -> Links {
+        Links { port, identity, seeds, links: BTreeMap::new() }
     }
 
     /// Sends a frame, or loses it.
@@ -93,7 +95,8 @@
         let (outbox, used) = self.links.entry(to).or_insert_with(|| {
             let (outbox, waiting) = Outbox::new();
             let identity = self.identity.clone();
-            tokio::spawn(link(SocketAddrV4::new(to, port), identity, outbox.bytes.clone(), waiting));
+            let learns = self.seeds.contains(&to);
+            tokio::spawn(link(SocketAddrV4::new(to, port), identity, learns, outbox.bytes.clone(), waiting));
             (outbox, true)
         });
         *used = true;
@@ -112,6 +115,7 @@
 async fn link(
     to: SocketAddrV4,
     identity: Arc<ProcessIdentity>,
+    learns: bool,
     bytes: Arc<AtomicUsize>,
     mut waiting: mpsc::Receiver<Arc<Vec<u8>>>,
 ) {
@@ -119,7 +123,7 @@
     loop {
         match timeout(UNANSWERED, TcpStream::connect(to)).await {
             Ok(Ok(stream)) if tune(&stream).is_ok() => {
-                match write_frames(stream, &identity, &bytes, &mut waiting).await {
+                match write_frames(stream, &identity, learns, &bytes, &mut waiting).await {
                     Written::Unused => return,
                     Written::Some => pause = PAUSES.0,
                     Written::Nothing => {}
@@ -153,12 +157,16 @@
 async fn write_frames(
     mut stream: TcpStream,
     identity: &ProcessIdentity,
+    learns: bool,
     bytes: &AtomicUsize,
     waiting: &mut mpsc::Receiver<Arc<Vec<u8>>>,
 ) -> Written {
     let (mut from, mut into) = stream.split();
-    if !matches!(timeout(UNANSWERED, identity.greet(&mut from, &mut into)).await, Ok(Ok(_))) {
+    let Ok(Ok(peer)) = timeout(UNANSWERED, identity.greet(&mut from, &mut into)).await else {
         return Written::Nothing;
+    };
+    if let Some(system) = peer.system.filter(|_| learns) {
+        identity.learn(system);
     }
     let mut written = Written::Nothing;
     let mut nothing = [0; 1];
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -4,6 +4,7 @@
 use crate::disk::{Disk, Unusable};
 use crate::disk_thread::{DiskEvent, DiskQueue};
 use crate::protocol::{DiskReport, DiskState, StoreReply, StoreRequest, ToStore};
+use crate::system_id;
 use emberpin_consensus::{Action, Call, Event, Message, Options, Replica};
 use emberpin_runtime::frames;
 use emberpin_runtime::preamble::ProcessIdentity;
@@ -11,6 +12,8 @@
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddrV4};
+use std::num::NonZeroU64;
+use std::path::PathBuf;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
@@ -107,9 +110,10 @@
         IpAddr::V4(ip) => Some(ip),
         IpAddr::V6(_) => None,
     });
+    let seeds: Vec<Ipv4Addr> = seeds.collect();
     let options = Options {
         me: settings.ip,
-        seeds: seeds.collect(),
+        seeds: seeds.clone(),
         bootstrap: settings.bootstrap,
         tolerated: settings.tolerated_nodes,
         seed: u64::from_be_bytes(seed),
@@ -117,13 +121,17 @@
     let identity = Arc::new(ProcessIdentity::new(u64::from_be_bytes(seed)));
     let mut actions = Vec::new();
     let replica = Replica::new(0, options, kept, &mut actions);
-    let (disk, mut disk_events) = DiskQueue::start(disk, folder, settings.ip, settings.disk_mb > 0)?;
+    let system = system_id::load(&folder);
+    if let Some(system) = system {
+        identity.learn(system);
+    }
+    let (disk, mut disk_events) = DiskQueue::start(disk, folder.clone(), settings.ip, settings.disk_mb > 0)?;
     let mut host = Host {
         began: Instant::now(),
         settings,
         replica,
         disk,
-        links: Links::new(settings.store_port(), identity.clone()),
+        links: Links::new(settings.store_port(), identity.clone(), seeds),
         identity: identity.clone(),
         registries: BTreeMap::new(),
         calls: BTreeMap::new(),
@@ -132,6 +140,8 @@
         status_at: 0,
         prune_at: PRUNE,
         ends_at: None,
+        folder,
+        system,
         disk_failed: false,
         overflowed: false,
     };
@@ -207,6 +217,9 @@
     prune_at: u64,
     /// When it ends, once it is told to.
     ends_at: Option<u64>,
+    folder: PathBuf,
+    /// The system, as it is kept in the folder.
+    system: Option<NonZeroU64>,
     /// A write failed, and the disk was not opened again yet.
     disk_failed: bool,
     /// More was to be written than may wait, and the replica was told that the disk failed.
@@ -359,6 +372,28 @@
         }
     }
 
+    /// Finds out which system this is, and keeps it.
+    fn tend_system(&mut self) {
+        if self.system.is_some() {
+            return;
+        }
+        if self.identity.system().is_none() && self.status.settled {
+            let version = self.replica.state().roster().map_or(0, |roster| roster.ver);
+            if let Some(system) = system_id::founded_by(version, &self.replica.voters()) {
+                self.identity.learn(system);
+            }
+        }
+        self.system = self.identity.system();
+        if let Some(system) = self.system {
+            let folder = self.folder.clone();
+            tokio::task::spawn_blocking(move || {
+                if let Err(error) = system_id::save(&folder, system) {
+                    log::warn!("the system's number is not kept: {error}");
+                }
+            });
+        }
+    }
+
     fn disk_state(&mut self) -> DiskState {
         if self.overflowed || self.disk.is_stalled(self.now()) {
             DiskState::Stalled
@@ -397,6 +432,7 @@
     fn stand(&mut self) {
         let now = self.now();
         self.recover_from_overflow();
+        self.tend_system();
         let (settled, voters) = (self.replica.settled(now), self.replica.voters());
         let status = Status { settled, voters, disk: self.disk_state() };
         if now >= self.status_at || status != self.status {
--- a/crates/emberpin-store/src/lib.rs
+++ b/crates/emberpin-store/src/lib.rs
@@ -13,3 +13,4 @@
 pub mod program;
 pub mod protocol;
 mod synced;
+mod system_id;
--- a/crates/emberpin-store/tests/processes.rs
+++ b/crates/emberpin-store/tests/processes.rs
@@ -595,6 +595,45 @@
     });
 }
 
+/// The system that a store tells first, once it knows it.
+async fn system(machine: &Machine) -> std::num::NonZeroU64 {
+    let until = Instant::now() + LONG;
+    loop {
+        let mut stream = machine.connect_without_preamble().await;
+        let (mut from, mut to) = stream.split();
+        let preamble = ProcessIdentity::new(1).greet(&mut from, &mut to).await;
+        if let Some(system) = preamble.ok().and_then(|preamble| preamble.system) {
+            return system;
+        }
+        assert!(Instant::now() < until, "it knows no system");
+        tokio::time::sleep(Duration::from_millis(20)).await;
+    }
+}
+
+#[gtest]
+fn a_store_refuses_another_system_and_one_that_joins_learns_its_own() {
+    run(async {
+        let mut machines = machines(16, 4);
+        machines[..3].iter_mut().for_each(|machine| machine.start(true));
+        let ours = system(&machines[0]).await;
+        machines[3].start(false);
+        for machine in &machines {
+            expect_that!(system(machine).await, eq(ours));
+        }
+        let foreign = ProcessIdentity::new(1);
+        foreign.learn(std::num::NonZeroU64::new(ours.get() ^ 1).expect("a system"));
+        let mut stream = machines[3].connect_without_preamble().await;
+        let (mut from, mut to) = stream.split();
+        expect_that!(foreign.greet(&mut from, &mut to).await.is_err(), eq(true));
+        expect_that!(machines[0].patch(&service("a", 1)).await, eq(200));
+        // It is kept.
+        machines[..3].iter_mut().for_each(Machine::kill);
+        machines[3].kill();
+        machines[3].start(false);
+        expect_that!(system(&machines[3]).await, eq(ours));
+    });
+}
+
 #[gtest]
 fn another_machines_disk_is_refused() {
     let mut machines = machines(4, 2);
