--- a/crates/emberpin-consensus/tests/cases.rs
+++ b/crates/emberpin-consensus/tests/cases.rs
@@ -730,3 +730,53 @@
     let wrong = Guards { restore: false, ..sound() };
     expect_that!(acknowledged_by_a_disk_that_was_full(wrong), some(contains_substring("lost")));
 }
+
+/// Long enough that no round and no call waits for it.
+const STALL: u64 = 5_000;
+
+#[gtest]
+fn a_disk_that_stalls_holds_up_neither_the_others_nor_what_needs_no_write() {
+    let mut world = World::new(22, 3, 1, sound());
+    world.run(100);
+    let until = world.now + STALL;
+    world.nodes.get_mut(&ip(1)).expect("a machine").stalled_until = until;
+    let here = world.call(ip(1), services(&[("a", 1, 1)]));
+    let there = world.call(ip(2), services(&[("b", 1, 1)]));
+    world.run(3_002);
+    expect_that!(world.calls[there].answer, some(eq(&(200, String::new()))));
+    expect_that!(world.calls[here].answer, some(anything()));
+    expect_that!(version(&world, 1, "b"), some(eq(1)));
+    world.run(STALL);
+    expect_that!(world.answer(ip(1), services(&[("c", 1, 1)])).0, eq(200));
+    world.settle_and_check();
+    expect_that!(world.wrong, none());
+}
+
+/// A voter's disk stalls, the other is cut off; when the call is answered, or the stall is nearly over, all
+/// lose power, and the taker its disk.
+fn power_cut_in_a_stall(guards: Guards) -> (Option<u16>, Option<String>) {
+    let mut world = World::new(23, 3, 1, guards);
+    world.run(100);
+    [1, 2].into_iter().for_each(|other| world.cut(ip(3), ip(other)));
+    let until = world.now + STALL;
+    world.nodes.get_mut(&ip(2)).expect("a machine").stalled_until = until;
+    let sent = world.call(ip(1), services(&[("a", 1, 1)]));
+    world.run_while(STALL - 100, |world| world.calls[sent].answer.is_none());
+    let status = world.calls[sent].answer.as_ref().map(|answer| answer.0);
+    (1..=3).for_each(|host| world.power_off_hard(ip(host)));
+    world.wipe(ip(1));
+    world.settle_and_check();
+    (status, world.wrong)
+}
+
+#[gtest]
+fn nothing_is_said_before_a_sync_that_stalls_and_the_call_is_answered_in_time() {
+    expect_that!(power_cut_in_a_stall(sound()), eq(&(Some(503), None)));
+}
+
+#[gtest]
+fn a_word_before_a_sync_that_stalls_loses_an_acknowledged_item() {
+    let (status, wrong) = power_cut_in_a_stall(Guards { sync: false, ..sound() });
+    expect_that!(status, some(eq(200)));
+    expect_that!(wrong, some(contains_substring("lost")));
+}
--- a/crates/emberpin-consensus/tests/world/mod.rs
+++ b/crates/emberpin-consensus/tests/world/mod.rs
@@ -32,6 +32,8 @@
     incarnation: u64,
     disk: Vec<Write>,
     synced: usize,
+    /// No sync of its disk ends before that.
+    pub stalled_until: u64,
     /// Its disk takes no writes.
     full: bool,
     /// How often its disk failed: a sync that began before is not told.
@@ -135,6 +137,7 @@
             incarnation: 0,
             disk: Vec::new(),
             synced: 0,
+            stalled_until: 0,
             full: false,
             failures: 0,
             wiped: false,
@@ -352,11 +355,12 @@
                         write_lost = true;
                         continue;
                     }
-                    let sync = write.sync;
+                    let (sync, stalled_until) = (write.sync, node.stalled_until);
                     node.disk.push(write);
                     let (incarnation, failures, writes) = (node.incarnation, node.failures, node.disk.len());
                     if sync {
-                        self.at(now + wait, Due::Synced { node: ip, incarnation, failures, token, writes });
+                        let at = (now + wait).max(stalled_until);
+                        self.at(at, Due::Synced { node: ip, incarnation, failures, token, writes });
                     }
                 }
                 Action::Send { to, message } => self.send(ip, to, message),
