--- a/crates/emberpin-registry/src/store.rs
+++ b/crates/emberpin-registry/src/store.rs
@@ -141,7 +141,10 @@
             frames::write(&mut to, &ToStore::StoreRequest(StoreRequest::Follow)).await?;
             let mut from = BufReader::new(from);
             let greeted = timeout(SILENCE, self.identity.receive(&mut from)).await;
-            greeted.map_err(std::io::Error::from)??;
+            let peer = greeted.map_err(std::io::Error::from)??;
+            if let Some(system) = peer.system.filter(|_| store == self.me) {
+                self.identity.learn(system);
+            }
             let asks = self.ask_on(&mut to);
             let follows = self.hear(store, from, commands);
             tokio::select! { ended = asks => ended, ended = follows => ended }
--- a/crates/emberpin-registry/tests/samples/mod.rs
+++ b/crates/emberpin-registry/tests/samples/mod.rs
@@ -4,7 +4,7 @@
 use emberpin_consensus::{Ballot, Incarnation, Message, Pending, Renewals};
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::peers::{Ack, InstanceRecord, Limiter, RegistryMessage};
-use emberpin_membership::session::{First, FromLimiter, Revision, ToLimiter};
+use emberpin_membership::session::{First, FromLimiter, Revision, SnapshotCursor, ToLimiter};
 use emberpin_runtime::frames;
 use emberpin_store::protocol::{DiskReport, DiskState, StoreReply, StoreRequest, ToStore};
 use serde::Serialize;
@@ -27,7 +27,7 @@
 }
 
 fn items() -> Vec<Item> {
-    let kinds = [Kind::Evacuation, Kind::Limits, Kind::Service, Kind::Route];
+    let kinds = [Kind::Evacuation, Kind::Limits, Kind::Service, Kind::Route, Kind::History, Kind::Checkpoint];
     kinds
         .into_iter()
         .map(|kind| item(kind, "a", Some("{}")))
@@ -85,6 +85,9 @@
         Message::Fetch { seq: 1, buckets },
         Message::Items { seq: 1, items: items(), voting: false },
         Message::DiskUnavailable { ballot },
+        Message::Candidacy { asker: 21 },
+        Message::Word { asker: 21, candidate: Some(22) },
+        Message::Founded { asker: 21, roster: roster() },
     ]
 }
 
@@ -125,7 +128,8 @@
         from: Some(PLACE),
         instances,
     };
-    let limiter = [hello, FromLimiter::Pulse { at: Some(PLACE), question: 11 }];
+    let after = SnapshotCursor::Item(items()[0].key.clone());
+    let limiter = [hello, FromLimiter::Pulse { at: Some(PLACE), question: 11 }, FromLimiter::More { after }];
     let registry = [
         RegistryMessage::Hello {
             zone: "z".into(),
@@ -148,8 +152,19 @@
 pub fn from_registry() -> Vec<Vec<u8>> {
     let instances = vec![instance(Status::Up)];
     let limiter = [
-        ToLimiter::Snapshot { at: PLACE, items: items(), instances: instances.clone(), complete: true, rest: None },
-        ToLimiter::Changes { at: PLACE, items: items(), instances },
+        ToLimiter::Snapshot {
+            at: PLACE,
+            items: items(),
+            instances: instances.clone(),
+            complete: true,
+            rest: None,
+        },
+        ToLimiter::Changes { at: PLACE, items: items(), instances: instances.clone() },
+        ToLimiter::SnapshotPart {
+            items: items(),
+            instances,
+            rest: Some(SnapshotCursor::Instance("i-1".into())),
+        },
         ToLimiter::Pulse { question: 11, age: Some(13), limiters: 2, registries: vec![MACHINE] },
     ];
     limiter.iter().map(frame).chain([frame(&Ack { ask: 1 })]).collect()
