--- a/crates/emberpin-proxy/tests/answers.rs
+++ b/crates/emberpin-proxy/tests/answers.rs
@@ -267,8 +267,10 @@
     let mut client = proxy.client().await;
     for connections in 1..4 {
         client.send("POST", "/write/a", &[], b"").await;
-        server.next().await.answer(500, &[], "").await;
-        verify_that!(client.answer().await.is_some(), eq(true))?;
+        let mut asked = server.next().await;
+        asked.write(b"HTTP/1.1 500 X\r\ncontent-length: 0\r\n\r\n").await;
+        asked.keep();
+        verify_that!(client.answer().await.map(|answered| answered.status), some(eq(500)))?;
         verify_that!(server.connections.load(std::sync::atomic::Ordering::Relaxed), eq(connections))?;
     }
     Ok(())
