--- a/crates/emberpin-consensus/tests/cases.rs
+++ b/crates/emberpin-consensus/tests/cases.rs
@@ -634,16 +634,20 @@
 
 /// One of three voters that is told that these are chosen.
 fn store_with(host: u8, items: &[Item]) -> Replica {
+    let mut store = store_with_guards(host, Guards::default());
+    tell(&mut store, Message::Chosen { items: items.to_vec() });
+    store
+}
+
+/// A voter of three that knows nothing but the roster.
+fn store_with_guards(host: u8, guards: Guards) -> Replica {
     let seeds = vec![ip(1), ip(2), ip(3)];
     let options = Options { me: ip(host), seeds, bootstrap: false, tolerated: 1, seed: host.into() };
-    let mut out = Vec::new();
     let roster = "[\"10.0.0.1\",\"10.0.0.2\",\"10.0.0.3\"]";
     let key = Key { kind: Kind::Roster, name: String::new() };
     let roster = Item { key, ver: 1, body: Some(roster.into()) };
     let kept = Kept { chosen: vec![roster], voting: true, ..Kept::default() };
-    let mut store = Replica::new(1, options, Some(kept), &mut out);
-    tell(&mut store, Message::Chosen { items: items.to_vec() });
-    store
+    Replica::with_guards(1, options, Some(kept), guards, &mut Vec::new())
 }
 
 /// What it does when it hears this from a third store.
@@ -656,16 +660,10 @@
 /// Whether a store counts itself as confirmed right after an item was accepted by two of three and acknowledged, which
 /// it did not hear of, and once it has.
 fn confirmed_beside_an_open_item(guards: Guards) -> (bool, bool) {
-    let seeds = vec![ip(1), ip(2), ip(3)];
-    let start = |host: u8| {
-        let options =
-            Options { me: ip(host), seeds: seeds.clone(), bootstrap: true, tolerated: 1, seed: host.into() };
-        Replica::with_guards(1, options, None, guards, &mut Vec::new())
-    };
-    let (mut voter, mut other) = (start(1), start(2));
+    let (mut voter, mut other) = (store_with_guards(1, guards), store_with_guards(2, guards));
     // Its proposer, the third, has acknowledged it and is gone.
     let item = Item { key: Key { kind: Kind::Service, name: "s".into() }, ver: 7, body: Some("{}".into()) };
-    let roster = voter.state().roster().cloned().expect("founded");
+    let roster = voter.state().roster().cloned().expect("a roster");
     let ballot = Ballot { counter: 9, node: 3, incarnation: 1 };
     let accept = Message::Accept { ballot, roster, chosen: vec![], items: vec![item.clone()] };
     tell(&mut voter, accept);
