--- a/crates/emberpin-simulator/src/dense.rs
+++ b/crates/emberpin-simulator/src/dense.rs
@@ -340,6 +340,8 @@
         let new = self.next_core;
         self.next_core += 1;
         self.cores.retain(|one| *one != core);
+        // Whoever knows only machines that are gone for good finds nobody.
+        self.say(format!("seeds{}", named(&self.cores)));
         self.cores.push(new);
         let until = self.lost_until.remove(&core).unwrap_or(self.now);
         self.lost_until.insert(new, until);
