--- a/crates/emberpin-consensus/src/acceptor.rs
+++ b/crates/emberpin-consensus/src/acceptor.rs
@@ -55,7 +55,7 @@
 pub struct Guards {
     /// A store that lost its disk doesn't vote before it caught up.
     pub amnesia: bool,
-    /// A replica joins the roster only once it can tell which voters are gone.
+    /// A store without a place on the roster listens for a while before it asks for one.
     pub heard: bool,
     /// An evacuation that may have waited while the process stood still is not taken.
     pub awake: bool,
--- a/crates/emberpin-consensus/src/replica/roster.rs
+++ b/crates/emberpin-consensus/src/replica/roster.rs
@@ -83,20 +83,14 @@
             }
         } else {
             // Before it has listened for so long, it doesn't know who is silent.
-            if now < self.started + PLACELESS && !self.options.bootstrap {
+            let listens = now < self.started + PLACELESS && !self.options.bootstrap;
+            if listens && self.acceptor.guards.heard {
                 return;
             }
             // One that was just silent may be about to come back, or to be gone.
             if voters.iter().any(|voter| silent(voter, PLACELESS) && !silent(voter, VACANT)) {
                 return;
             }
-            // Nor can it be told yet whether one is gone that this process has not heard.
-            let unheard = |voter: &Ipv4Addr| self.peers.get(voter).is_none_or(|peer| peer.heard == 0);
-            if self.acceptor.guards.heard
-                && voters.iter().any(|voter| unheard(voter) && !silent(voter, VACANT))
-            {
-                return;
-            }
             wanted.push(me);
             let mut spare = (voters.len() - majority(&voters)).min(wanted.len().saturating_sub(fewest));
             wanted.retain(|voter| {
--- a/crates/emberpin-simulator/src/builds.rs
+++ b/crates/emberpin-simulator/src/builds.rs
@@ -50,6 +50,9 @@
     "no-late",
     "no-spread",
     "no-heard",
+    "no-founding",
+    "no-superseded",
+    "no-history",
     "no-awake",
     "no-majority",
     "no-rises",
@@ -79,6 +82,10 @@
             // Each of these two is enough.
             self.watch.returned = false;
         }
+        if name == "no-heard" {
+            // Either keeps a roster from staying at four of which one is gone for good.
+            self.consensus.margin = false;
+        }
         let guard = match name {
             "no-amnesia" => &mut self.consensus.amnesia,
             "no-promise" => &mut self.consensus.promise,
@@ -93,6 +100,9 @@
             "no-open" => &mut self.consensus.open,
             "no-spread" => &mut self.consensus.spread,
             "no-heard" => &mut self.consensus.heard,
+            "no-founding" => &mut self.consensus.founding,
+            "no-superseded" => &mut self.consensus.superseded,
+            "no-history" => &mut self.consensus.history,
             "no-awake" => &mut self.consensus.awake,
             "no-majority" => &mut self.watch.majority,
             "no-rises" => &mut self.watch.rises,
