--- a/crates/emberpin-registry/tests/common/mod.rs
+++ b/crates/emberpin-registry/tests/common/mod.rs
@@ -22,6 +22,8 @@
 pub const KEEPER: u16 = 7620;
 /// Nothing that a test waits for takes longer.
 pub const SOON: Duration = Duration::from_secs(10);
+/// The end of the answer to a call that the registry neither passes on nor sends on.
+const NOT_CONFIRMED: &str = "not now\n";
 
 /// The settings of one of several core machines.
 pub fn settings(ip: Ipv4Addr, seeds: &[Ipv4Addr]) -> String {
@@ -225,6 +227,21 @@
     (status, answer)
 }
 
+/// As [`call`], again while the registry hasn't heard yet that a store hears a majority and so passes nothing on.
+pub async fn call_once_confirmed(ip: Ipv4Addr, method: &str, path: &str, body: &str) -> (u16, String) {
+    let mut again = interval(Duration::from_millis(20));
+    let taken = async {
+        loop {
+            again.tick().await;
+            let (status, answer) = call(ip, method, path, body).await;
+            if status != 503 || !answer.ends_with(NOT_CONFIRMED) {
+                return (status, answer);
+            }
+        }
+    };
+    timeout(SOON, taken).await.expect("in time")
+}
+
 pub fn beat(service: &str, port: u16, state: &str, seq: u64) -> String {
     let info = format!("{{\"svc\":\"{service}\",\"ver\":\"v1\",\"az\":\"north\",\"slots\":4}}");
     let stat = format!("{{\"state\":\"{state}\",\"seq\":{seq},\"warm_left\":\"0ms\"}}");
--- a/crates/emberpin-registry/tests/process.rs
+++ b/crates/emberpin-registry/tests/process.rs
@@ -3,7 +3,10 @@
 
 mod common;
 
-use common::{beat, call, item, store, store_cut_off, store_with_disk, Limiter, RegistryProcess, SOON};
+use common::{
+    beat, call, call_once_confirmed, item, store, store_cut_off, store_with_disk, Limiter, RegistryProcess,
+    SOON,
+};
 use emberpin_config::Kind;
 use emberpin_membership::instance::Status;
 use emberpin_membership::session::ToLimiter;
@@ -179,6 +182,8 @@
         ToLimiter::SnapshotPart { .. } | ToLimiter::Pulse { .. } => None,
     };
     verify_that!(limiter.until(look).await.key.name.as_str(), eq("svc-a"))?;
+    let (status, _) = call_once_confirmed(me, "GET", "/config/get", "").await;
+    verify_that!(status, eq(200))?;
     let begin = Instant::now();
     let (status, answer) = call(me, "POST", "/config/patch", "{}").await;
     verify_that!((status, answer.ends_with("patch of 2 bytes")), eq((200, true)))?;
@@ -203,7 +208,7 @@
         ToLimiter::SnapshotPart { .. } | ToLimiter::Pulse { .. } => None,
     };
     limiter.until(look).await;
-    let (status, answer) = call(me, "POST", "/evac/north/finish", "").await;
+    let (status, answer) = call_once_confirmed(me, "POST", "/evac/north/finish", "").await;
     verify_that!((status, answer.ends_with("north false")), eq((200, true)))
 }
 
@@ -216,7 +221,7 @@
     let _registry = RegistryProcess::start(me, &[me, other]);
     let mut limiter = Limiter::connect(me).await;
     limiter.until(|_| Some(())).await;
-    let (status, answer) = call(me, "POST", "/config/patch", "{}").await;
+    let (status, answer) = call_once_confirmed(me, "POST", "/config/patch", "{}").await;
     verify_that!((status, answer.ends_with("patch of 2 bytes")), eq((200, true)))?;
     let (status, _) = call(me, "GET", "/config/get", "").await;
     verify_that!(status, eq(200))?;
@@ -239,7 +244,7 @@
     store_with_disk(me, vec![me], vec![], full).await;
     let _registry = RegistryProcess::start(me, &[me]);
     Limiter::connect(me).await.until(|_| Some(())).await;
-    let (status, answer) = call(me, "POST", "/config/patch", "{}").await;
+    let (status, answer) = call_once_confirmed(me, "POST", "/config/patch", "{}").await;
     verify_that!(status, eq(503))?;
     verify_that!(answer, contains_substring("patch of 2 bytes"))
 }
