--- a/crates/emberpin-store/tests/processes.rs
+++ b/crates/emberpin-store/tests/processes.rs
@@ -128,7 +128,8 @@
             let mut stream = self.connect_without_preamble().await;
             let (mut from, mut to) = stream.split();
             // One that was about to end may have taken the connection.
-            if ProcessIdentity::new(1).greet(&mut from, &mut to).await.is_ok() {
+            let process = ProcessIdentity::new(1);
+            if matches!(timeout(LONG, process.greet(&mut from, &mut to)).await, Ok(Ok(_))) {
                 return stream;
             }
             assert!(Instant::now() < until, "{} is not greeted", self.ip);
@@ -213,11 +214,20 @@
     }
 }
 
+/// A port that is free on all addresses of a net, below those that the system gives to whoever connects: one of
+/// these may be taken between this check and the start of a store.
+fn free_port(net: u8) -> u16 {
+    let first = (std::process::id() * 41 + u32::from(net) * 97) % 20_000;
+    let ports = (0..20_000).map(|nth| 10_000 + ((first + nth) % 20_000) as u16);
+    let is_free =
+        |port: &u16| (1..=4).all(|host| TcpListener::bind((Ipv4Addr::new(127, 9, net, host), *port)).is_ok());
+    ports.into_iter().find(is_free).expect("a port")
+}
+
 /// Machines on addresses of their own; the first three are the seeds.
 fn machines(net: u8, count: u8) -> Vec<Machine> {
     let seeds: Vec<Ipv4Addr> = (1..=3).map(|host| Ipv4Addr::new(127, 9, net, host)).collect();
-    let free = TcpListener::bind((seeds[0], 0)).expect("a port");
-    let port = free.local_addr().expect("an address").port();
+    let port = free_port(net);
     let machine = |host| Machine {
         ip: Ipv4Addr::new(127, 9, net, host),
         port,
