--- a/crates/emberpin-site/tests/catches.rs
+++ b/crates/emberpin-site/tests/catches.rs
@@ -2,13 +2,16 @@
 //! and no other; the same limiter doing nothing wrong, and the real one, are not.
 #![allow(missing_docs)]
 
+#[path = "common/turns.rs"]
+mod turns;
+
 use emberpin_site::process::Program;
 use emberpin_site::referee::Rule;
 use emberpin_site::report::stories;
 use emberpin_site::scenario::Scenario;
 use emberpin_site::site::{run, Outcome};
 use std::path::PathBuf;
-use std::sync::{Condvar, Mutex, PoisonError};
+use turns::Turn;
 
 /// A small site with time to spare, so that nothing here depends on how fast the machine is.
 const SITE: &str = "\
@@ -34,32 +37,6 @@
     }
 }
 
-/// Sites that are played at the same time. Each is several processes in real time: with all tests of this file at once
-/// they starve each other, and a load that is not offered passes no ceiling.
-const SITES_AT_ONCE: usize = 4;
-
-static PLAYING: Mutex<usize> = Mutex::new(0);
-static ENDED: Condvar = Condvar::new();
-
-/// The right to play one of [`SITES_AT_ONCE`], given back when it is dropped.
-struct Turn;
-
-impl Turn {
-    fn take() -> Turn {
-        let playing = PLAYING.lock().unwrap_or_else(PoisonError::into_inner);
-        let full = |playing: &mut usize| *playing >= SITES_AT_ONCE;
-        *ENDED.wait_while(playing, full).unwrap_or_else(PoisonError::into_inner) += 1;
-        Turn
-    }
-}
-
-impl Drop for Turn {
-    fn drop(&mut self) {
-        *PLAYING.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
-        ENDED.notify_one();
-    }
-}
-
 /// Plays a scenario once it is its turn.
 fn run_in_turn(scenario: &Scenario, program: &Program) -> Result<Outcome, String> {
     let _turn = Turn::take();
--- a/crates/emberpin-site/tests/common/mod.rs
+++ b/crates/emberpin-site/tests/common/mod.rs
@@ -1,6 +1,8 @@
 //! Playing a site of processes, and counting what was seen.
 #![allow(dead_code)]
 
+mod turns;
+
 use emberpin_site::process::Program;
 use emberpin_site::report::stories;
 use emberpin_site::scenario::Scenario;
@@ -20,6 +22,7 @@
         arguments.extend(["--with".into(), file.path().into()]);
     }
     let program = Program { path: env!("CARGO_BIN_EXE_emberpin-site").into(), arguments, logs: false, links };
+    let _turn = turns::Turn::take();
     run(&scenario, &program, |_| ()).unwrap_or_else(|e| panic!("seed {seed}: {e}"))
 }
 
