--- a/crates/dillpass/src/bin/dillpass-drill/main.rs
+++ b/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/main.rs
@@ -5,8 +5,8 @@
 mod wire;
 
 use base64::{engine::general_purpose::STANDARD, Engine};
-use dillpass::settings::{stable_hash, Conf, Listed, Names};
-use dillpass::*;
+use emberpin_balancer::settings::{stable_hash, Conf, Listed, Names};
+use emberpin_balancer::*;
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -30,7 +30,7 @@
 fn main() {
     std::panic::set_hook(Box::new(|_| {}));
     if let Err(problem) = run(std::io::stdin().lock(), std::io::stdout().lock()) {
-        eprintln!("dillpass-drill: {problem}");
+        eprintln!("emberpin-balancer-adapter: {problem}");
         std::process::exit(2);
     }
 }
--- a/crates/dillpass/src/bin/dillpass-drill/wire.rs
+++ b/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/wire.rs
@@ -1,6 +1,6 @@
 //! The simulator's messages as they stand on the wire; no decision is taken here.
 
-use dillpass::settings::Conf;
+use emberpin_balancer::settings::Conf;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/dillpass/tests/adapter.rs
+++ b/crates/emberpin-balancer/tests/adapter.rs
@@ -6,7 +6,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_dillpass-drill"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_emberpin-balancer-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/dillpass/tests/asked.rs
+++ b/crates/emberpin-balancer/tests/asked.rs
@@ -4,7 +4,7 @@
 
 mod common;
 use common::*;
-use dillpass::*;
+use emberpin_balancer::*;
 
 const SAFE: usize = 0;
 const UNSAFE: usize = 1;
--- a/crates/dillpass/tests/common/fleet.rs
+++ b/crates/emberpin-balancer/tests/common/fleet.rs
@@ -1,7 +1,7 @@
 //! A whole fleet in virtual time: gateways, servers with a queue and a cold start, lists that come late, mail that
 //! is lost. One seed gives one run; what went wrong names it.
 
-use dillpass::*;
+use emberpin_balancer::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
@@ -19,7 +19,7 @@
 
 enum Event {
     Arrival,
-    Feed { to: usize, life: u32, event: dillpass::Event },
+    Feed { to: usize, life: u32, event: emberpin_balancer::Event },
     Ended { to: usize, life: u32, attempt: Attempt },
 }
 
@@ -83,7 +83,7 @@
             let gateway = fleet.gateway(me);
             fleet.gateways.push((gateway, 0));
             let lines = fleet.machines.values().map(|machine| machine.info.clone()).collect();
-            fleet.feed(me as usize, dillpass::Event::Membership(Membership::Full(lines)));
+            fleet.feed(me as usize, emberpin_balancer::Event::Membership(Membership::Full(lines)));
         }
         fleet.at(now, Event::Arrival);
         fleet
@@ -127,7 +127,7 @@
         }
         for to in 0..self.gateways.len() {
             let when = self.now + self.uniform(0.0, late);
-            let event = dillpass::Event::Membership(Membership::Changes(lines.clone()));
+            let event = emberpin_balancer::Event::Membership(Membership::Changes(lines.clone()));
             let life = self.gateways[to].1;
             self.at(when, Event::Feed { to, life, event });
         }
@@ -139,7 +139,7 @@
             let life = self.gateways[me as usize].1 + 1;
             self.gateways[me as usize] = (self.gateway(me), life);
             let lines = self.machines.values().map(|machine| machine.info.clone()).collect();
-            self.feed(me as usize, dillpass::Event::Membership(Membership::Full(lines)));
+            self.feed(me as usize, emberpin_balancer::Event::Membership(Membership::Full(lines)));
         }
     }
 
@@ -175,7 +175,7 @@
         self.outcomes.asked += 1;
         self.feed(
             to,
-            dillpass::Event::Request(Request {
+            emberpin_balancer::Event::Request(Request {
                 id,
                 class: ClassId(0),
                 plan: PlanId(0),
@@ -189,7 +189,7 @@
         );
     }
 
-    fn feed(&mut self, to: usize, event: dillpass::Event) {
+    fn feed(&mut self, to: usize, event: emberpin_balancer::Event) {
         let mut actions = Vec::new();
         self.gateways[to].0.handle(self.now, event, &mut actions);
         let life = self.gateways[to].1;
@@ -201,7 +201,7 @@
                     self.requests.remove(&request);
                 }
                 Action::Schedule { delay, token } => {
-                    let event = dillpass::Event::Timer { token };
+                    let event = emberpin_balancer::Event::Timer { token };
                     self.at(self.now + delay, Event::Feed { to, life, event });
                 }
                 Action::Tell { to: Some(GatewayId(peer)), bytes } => self.tell(to, peer as usize, bytes),
@@ -218,7 +218,7 @@
         self.mail[to] = (self.now, if taken { room - 1.0 } else { room });
         if taken {
             let (when, life) = (self.now + self.uniform(1.0, 36.0), self.gateways[to].1);
-            let event = dillpass::Event::Peer { from: GatewayId(from as u32), bytes };
+            let event = emberpin_balancer::Event::Peer { from: GatewayId(from as u32), bytes };
             self.at(when, Event::Feed { to, life, event });
         }
     }
@@ -272,7 +272,7 @@
             }
         }
         if self.gateways[to].1 == life {
-            self.feed(to, dillpass::Event::Attempt(attempt));
+            self.feed(to, emberpin_balancer::Event::Attempt(attempt));
         }
     }
 
--- a/crates/dillpass/tests/common/mod.rs
+++ b/crates/emberpin-balancer/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A gateway driven by hand: a hand-set clock, no servers modelled.
 #![allow(dead_code, missing_docs)]
 
-use dillpass::*;
+use emberpin_balancer::*;
 
 pub mod fleet;
 
--- a/crates/dillpass/tests/fleet.rs
+++ b/crates/emberpin-balancer/tests/fleet.rs
@@ -4,7 +4,7 @@
 mod common;
 use common::fleet::{Fleet, Size};
 use common::settings;
-use dillpass::*;
+use emberpin_balancer::*;
 
 /// Classes without quotas, and an intake that is far too small to tell all once peers are many.
 fn thin() -> Settings {
--- a/crates/dillpass/tests/handover.rs
+++ b/crates/emberpin-balancer/tests/handover.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use dillpass::*;
+use emberpin_balancer::*;
 
 const SAFE: usize = 0;
 const WITH_CEILING: usize = 1;
--- a/crates/dillpass/tests/module.rs
+++ b/crates/emberpin-balancer/tests/module.rs
@@ -3,7 +3,7 @@
 
 mod common;
 use common::*;
-use dillpass::*;
+use emberpin_balancer::*;
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::Path;
@@ -801,7 +801,7 @@
     let (_, list) = deploy.split_once("policy = [").expect("the policy's files are listed");
     let (list, _) = list.split_once(']').expect("the list ends");
     let listed: BTreeSet<&str> = list.split('"').skip(1).step_by(2).collect();
-    let folder = "crates/dillpass/src/brain";
+    let folder = "crates/emberpin-balancer/src/brain";
     let there = fs::read_dir(root.join(folder)).expect("the policy's folder").map(|entry| {
         let name = entry.expect("readable").file_name();
         format!("{folder}/{}", name.to_str().expect("a plain name"))
--- a/crates/dillpass/tests/rules.rs
+++ b/crates/emberpin-balancer/tests/rules.rs
@@ -4,7 +4,7 @@
 
 mod common;
 use common::*;
-use dillpass::*;
+use emberpin_balancer::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
--- a/crates/emberpin-cost/src/door.rs
+++ b/crates/emberpin-bench/src/door.rs
@@ -5,7 +5,7 @@
 use crate::{settings, standins, AS_LIMITER};
 use comfy_table::presets::UTF8_HORIZONTAL_ONLY;
 use comfy_table::Table;
-use emberpin_site::report::percentile;
+use emberpin_testbed::report::percentile;
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/crates/emberpin-cost/src/keys.rs
+++ b/crates/emberpin-bench/src/keys.rs
@@ -6,7 +6,7 @@
 use emberpin_idempotency::{
     Action, Customer, Event, Fingerprint, Form, Key, Limits, Secret, Table, Telling, Ticket, Weight,
 };
-use emberpin_site::report::percentile;
+use emberpin_testbed::report::percentile;
 use moka::sync::Cache;
 use std::time::{Duration, Instant};
 
--- a/crates/emberpin-cost/src/main.rs
+++ b/crates/emberpin-bench/src/main.rs
@@ -26,7 +26,7 @@
 
 /// Measure what a request costs the limiter, beside a bare reverse proxy and a stack of tower layers.
 #[derive(Parser)]
-#[command(name = "emberpin-cost", version, max_term_width = 100)]
+#[command(name = "emberpin-bench", version, max_term_width = 100)]
 struct Line {
     #[command(subcommand)]
     command: Option<Command>,
@@ -110,7 +110,7 @@
 fn main() -> ExitCode {
     let word = std::env::args().nth(1).unwrap_or_default();
     let done = match word.as_str() {
-        AS_LIMITER => return emberpin::operate::command::main(std::env::args_os().skip(1)),
+        AS_LIMITER => return emberpin_limiter::operate::command::main(std::env::args_os().skip(1)),
         AS_BARE => bare::run(),
         AS_STACK => stack::run(),
         AS_ENTRY => instructions::entry(),
@@ -130,7 +130,7 @@
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("emberpin-cost: {}", problem.replace('\n', " "));
+            eprintln!("emberpin-bench: {}", problem.replace('\n', " "));
             ExitCode::FAILURE
         }
     }
--- a/crates/emberpin-cost/src/measure.rs
+++ b/crates/emberpin-bench/src/measure.rs
@@ -3,8 +3,8 @@
 use crate::{settings, standins, Plan, AS_BARE, AS_LIMITER, AS_STACK};
 use comfy_table::presets::UTF8_HORIZONTAL_ONLY;
 use comfy_table::{CellAlignment, Table, TableComponent};
-use emberpin_site::process::used;
-use emberpin_site::report::percentile;
+use emberpin_testbed::process::used;
+use emberpin_testbed::report::percentile;
 use serde::Serialize;
 use std::ffi::OsString;
 use std::io::{Read, Write};
@@ -88,7 +88,7 @@
         }
         subjects.push(subject("limiter --with", (limiter, arguments)));
     }
-    let folder = std::env::temp_dir().join(format!("emberpin-cost-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("emberpin-bench-{}", std::process::id()));
     std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     let measured = rounds(plan, &subjects, &folder);
     _ = std::fs::remove_dir_all(&folder);
--- a/crates/emberpin-cost/src/settings.rs
+++ b/crates/emberpin-bench/src/settings.rs
@@ -1,7 +1,7 @@
 //! What the proxies are told, in the limiter's own file, so that one file serves all three.
 
-use emberpin_site::scenario::Site;
-use emberpin_site::{figures, settings};
+use emberpin_testbed::scenario::Site;
+use emberpin_testbed::{figures, settings};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
--- a/crates/emberpin-cost/src/standins.rs
+++ b/crates/emberpin-bench/src/standins.rs
@@ -1,8 +1,8 @@
 //! Servers that answer at once, discovery that has nothing new, and clients that ask at a rate or as fast as
 //! they are answered. Each side runs on a thread of its own, so that what is measured is the proxy between.
 
-use emberpin_site::figures::{CLASSES, PLANS};
-use emberpin_site::http::Wire;
+use emberpin_testbed::figures::{CLASSES, PLANS};
+use emberpin_testbed::http::Wire;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/emberpin-takeover/src/hands.rs
+++ b/crates/emberpin-failover/src/hands.rs
@@ -1,7 +1,7 @@
 //! The work in the hands of one limiter, as its claimant, as a keeper of others' and as one that takes over.
 
 use crate::word::{Ballot, Member, Millis, Said, Verdict, Went, Work, WorkId};
-use emberpin_link::Life;
+use emberpin_peering::Life;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Of the time for which a hall drops a repeat, so much is left unused.
--- a/crates/emberpin-takeover/src/word.rs
+++ b/crates/emberpin-failover/src/word.rs
@@ -1,6 +1,6 @@
 //! What limiters tell each other about work in hand.
 
-use emberpin_link::Life;
+use emberpin_peering::Life;
 use serde::{Deserialize, Serialize};
 
 /// Milliseconds.
--- a/crates/emberpin-takeover/tests/network.rs
+++ b/crates/emberpin-failover/tests/network.rs
@@ -2,8 +2,8 @@
 //! that are killed, start anew and are taken for gone while they are only slow; drawn from seeds.
 #![allow(missing_docs)]
 
-use emberpin_link::Life;
-use emberpin_takeover::{Action, Event, Hall, Hands, Member, Millis, Rules, Said, Verdict, Work, WorkId};
+use emberpin_peering::Life;
+use emberpin_failover::{Action, Event, Hall, Hands, Member, Millis, Rules, Said, Verdict, Work, WorkId};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -251,8 +251,8 @@
         fleet.feed(at, Event::Granted { id: other, keepers: KEEPERS.to_vec() });
     }
     let (life, work) = (fleet.lives[1], fleet.work());
-    let went = emberpin_takeover::Went { hall: HALL, ago: 0.0 };
-    let ballot = emberpin_takeover::Ballot { round: 0, of: Member(0) };
+    let went = emberpin_failover::Went { hall: HALL, ago: 0.0 };
+    let ballot = emberpin_failover::Ballot { round: 0, of: Member(0) };
     fleet.feed(1, Event::Heard(Member(0), Said::Going { id: other, ballot, seen: life, went, work }));
     fleet.kill(0, false);
     fleet.is_gone_for(1, 0, 1);
@@ -375,7 +375,7 @@
     assert_eq!(fleet.sends.len(), 0);
     let mut fleet = Fleet::new(Some(WINDOW), 10.0);
     fleet.begin();
-    let (id, ballot) = (fleet.id(), emberpin_takeover::Ballot { round: 5, of: Member(1) });
+    let (id, ballot) = (fleet.id(), emberpin_failover::Ballot { round: 5, of: Member(1) });
     fleet.feed(0, Event::Heard(Member(1), Said::Noted { id, ballot }));
     assert_eq!(fleet.sends.len(), 0);
 }
@@ -400,7 +400,7 @@
     let id = WorkId { claimant: Member(0), life: Life { number: 1, nonce: 0 }, claim: 1 };
     let seen = Life { number: 1, nonce: 1 };
     let mut ask = |round: u32, of: u32| {
-        let (ballot, mut actions) = (emberpin_takeover::Ballot { round, of: Member(of) }, Vec::new());
+        let (ballot, mut actions) = (emberpin_failover::Ballot { round, of: Member(of) }, Vec::new());
         hands.handle(0.0, Event::Heard(Member(of), Said::Prepare { id, ballot, seen }), &mut actions);
         actions.iter().any(|action| matches!(action, Action::Say(_, Said::Promised { .. })))
     };
@@ -414,8 +414,8 @@
     let mut hands = Hands::new(Rules { entries: 1, ..rules(1, Life { number: 1, nonce: 1 }, 1.0) }, 0.0);
     let mut say = |claim: u64, payload: usize| {
         let id = WorkId { claimant: Member(0), life: Life { number: 1, nonce: 0 }, claim };
-        let ballot = emberpin_takeover::Ballot { round: 0, of: Member(0) };
-        let went = emberpin_takeover::Went { hall: HALL, ago: f64::NAN };
+        let ballot = emberpin_failover::Ballot { round: 0, of: Member(0) };
+        let went = emberpin_failover::Went { hall: HALL, ago: f64::NAN };
         let work = Work { payload: vec![0; payload], window: None, within: f64::INFINITY };
         let mut actions = Vec::new();
         let seen = Life { number: 1, nonce: 1 };
--- a/crates/emberpin-idempotency/src/lib.rs
+++ b/crates/emberpin-idempotency/src/lib.rs
@@ -1,7 +1,7 @@
 //! Recognises repeats of keyed requests at the edge: which request is the first of its key and goes on, which
 //! waits for it, and which is told what came of it.
 //!
-//! It decides nothing about servers: whether a first request gets one, and whether again, is `dillpass`'s. It has no
+//! It decides nothing about servers: whether a first request gets one, and whether again, is `emberpin-balancer`'s. It has no
 //! I/O, no clock and no randomness: [`Table::handle`] takes what happened and appends what is to be done.
 //!
 //! Sources: draft-ietf-httpapi-idempotency-key-header-07 (sections 2.1 on the field, 2.2 on uniqueness, 2.4 on
--- a/crates/emberpin/src/between/handover.rs
+++ b/crates/emberpin-limiter/src/between/handover.rs
@@ -4,7 +4,7 @@
 use crate::between::peers::Peers;
 use crate::front::room::{Held, Room};
 use crate::upstream::listing::Target;
-use dillpass::{Handover, Millis, Spent};
+use emberpin_balancer::{Handover, Millis, Spent};
 use emberpin_upgrade::frame::{self, Note, HEAD, HELLO};
 use emberpin_upgrade::process::{Action, Event, Process};
 use serde::{Deserialize, Serialize};
--- a/crates/emberpin/src/between/link.rs
+++ b/crates/emberpin-limiter/src/between/link.rs
@@ -1,11 +1,11 @@
 //! The host of the link between limiters: opens and takes connections, moves bytes, and hands what is told over to
-//! whoever it is for. What is believed of whom, and what a byte means, is decided in `emberpin_link`.
+//! whoever it is for. What is believed of whom, and what a byte means, is decided in `emberpin_peering`.
 
 use crate::between::tls::{Streams, Tls};
 use crate::operate::config::Config;
 use crate::operate::operator::{self, Member};
 use crate::stages::memory::{boot_clock, random};
-use emberpin_link::{Action, Belief, Closing, ConnectionId, Event, Life, Link as Core, Refused, Settings};
+use emberpin_peering::{Action, Belief, Closing, ConnectionId, Event, Life, Link as Core, Refused, Settings};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
--- a/crates/emberpin/src/between/peers.rs
+++ b/crates/emberpin-limiter/src/between/peers.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::Input;
 use crate::operate::config::Config;
-use dillpass::{gossip, GatewayId};
+use emberpin_balancer::{gossip, GatewayId};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/emberpin/src/front/admission.rs
+++ b/crates/emberpin-limiter/src/front/admission.rs
@@ -1,8 +1,8 @@
 //! Which requests are well formed: checked on the head alone, before anything is kept for one.
 
 use crate::operate::config::Config;
-use dillpass::settings::{stable_hash, Names};
-use dillpass::{ClassId, CustomerId, Effect, GatewayId, PlanId};
+use emberpin_balancer::settings::{stable_hash, Names};
+use emberpin_balancer::{ClassId, CustomerId, Effect, GatewayId, PlanId};
 use hyper::body::Body;
 use hyper::header::{self, HeaderMap, HeaderName};
 use hyper::{Method, Request, StatusCode, Version};
--- a/crates/emberpin/src/front/clients.rs
+++ b/crates/emberpin-limiter/src/front/clients.rs
@@ -12,7 +12,7 @@
 use crate::stages::idempotency::{Idempotency, Keyed};
 use crate::stages::takeover::{Runner, Terms};
 use bytes::Bytes;
-use dillpass::RequestId;
+use emberpin_balancer::RequestId;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName};
--- a/crates/emberpin/src/limiter.rs
+++ b/crates/emberpin-limiter/src/limiter.rs
@@ -1,7 +1,7 @@
 //! One limiter, put together in the order in which a request meets its parts:
 //!
 //! ```text
-//! client ─ clients + connections ─ admission ─ [idempotency] ─ driver + dillpass ─ servers ─ server
+//! client ─ clients + connections ─ admission ─ [idempotency] ─ driver + emberpin-balancer ─ servers ─ server
 //!                                                                 │
 //!                                                  discovery, peers, timers
 //! ```
--- a/crates/emberpin/src/main.rs
+++ b/crates/emberpin-limiter/src/main.rs
@@ -4,5 +4,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    emberpin::operate::command::main(std::env::args_os())
+    emberpin_limiter::operate::command::main(std::env::args_os())
 }
--- a/crates/emberpin/src/messages.rs
+++ b/crates/emberpin-limiter/src/messages.rs
@@ -4,7 +4,7 @@
 use crate::front::stream::{Passing, Upload};
 use crate::upstream::listing::Listing;
 use bytes::Bytes;
-use dillpass::{ClassId, CustomerId, GatewayId, Millis, Outcome, PlanId, Ran, Report, RequestId, ServerId};
+use emberpin_balancer::{ClassId, CustomerId, GatewayId, Millis, Outcome, PlanId, Ran, Report, RequestId, ServerId};
 use hyper::header::{HeaderMap, HeaderValue, CONTENT_TYPE};
 use hyper::{Method, StatusCode, Uri};
 use serde::{Deserialize, Serialize};
--- a/crates/emberpin/src/operate/clock.rs
+++ b/crates/emberpin-limiter/src/operate/clock.rs
@@ -1,6 +1,6 @@
 //! The one clock of the decision module.
 
-use dillpass::Millis;
+use emberpin_balancer::Millis;
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
--- a/crates/emberpin/src/operate/command.rs
+++ b/crates/emberpin-limiter/src/operate/command.rs
@@ -115,7 +115,7 @@
 }
 
 fn inspect_log(path: &Path, json: bool) -> ExitCode {
-    let report = match emberpin_log::inspect(path) {
+    let report = match emberpin_wal::inspect(path) {
         Ok(report) => report,
         Err(problem) => {
             complain(&format!("cannot read {}: {problem}", path.display()));
--- a/crates/emberpin/src/operate/die.rs
+++ b/crates/emberpin-limiter/src/operate/die.rs
@@ -2,7 +2,7 @@
 //! point is met the Nth time, and `EMBERPIN_STOP_AT` lets it stand still there, until it is woken or killed. Only in builds
 //! with debug assertions; in a release build nothing of it is there.
 
-use emberpin_log::{FileIdentity, Storage as Disk};
+use emberpin_wal::{FileIdentity, Storage as Disk};
 use std::io;
 
 /// Meets a point by name.
--- a/crates/emberpin/src/operate/entry.rs
+++ b/crates/emberpin-limiter/src/operate/entry.rs
@@ -9,7 +9,7 @@
 use crate::operate::operator::Operator;
 use crate::upstream::listing::Entry as Listed;
 use bytes::Bytes;
-use dillpass::{Action, Attempt, Event, Gateway, Membership, Millis, Outcome, Report, RequestId};
+use emberpin_balancer::{Action, Attempt, Event, Gateway, Membership, Millis, Outcome, Report, RequestId};
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
 
@@ -70,7 +70,7 @@
         strip(&mut headers);
         let id = RequestId(self.next);
         self.next = self.next.wrapping_add(1);
-        self.tell(Event::Request(dillpass::Request {
+        self.tell(Event::Request(emberpin_balancer::Request {
             id,
             class: asked.class,
             plan: asked.plan,
--- a/crates/emberpin/src/operate/figures.rs
+++ b/crates/emberpin-limiter/src/operate/figures.rs
@@ -3,7 +3,7 @@
 //! All of them are atomics, so that the door's thread reads them without asking anybody. They count from the start of
 //! the process.
 
-use dillpass::ClassId;
+use emberpin_balancer::ClassId;
 use prometheus::{IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder};
 use std::sync::Arc;
 
--- a/crates/emberpin/src/operate/lies.rs
+++ b/crates/emberpin-limiter/src/operate/lies.rs
@@ -25,7 +25,7 @@
 
 #[cfg(debug_assertions)]
 mod test {
-    use emberpin_log::{FileIdentity, Storage};
+    use emberpin_wal::{FileIdentity, Storage};
     use std::io;
     use std::time::Duration;
 
--- a/crates/emberpin/src/stages/idempotency.rs
+++ b/crates/emberpin-limiter/src/stages/idempotency.rs
@@ -17,9 +17,9 @@
 use emberpin_idempotency::{
     owner, Customer, Fingerprint, Form, Keeper, Key, Limits, Secret, Sweep, Table, Telling, Ticket, Weight,
 };
-use emberpin_link::Life;
-use emberpin_log::{Note, Ticket as RecordTicket};
-use emberpin_takeover::WorkId;
+use emberpin_peering::Life;
+use emberpin_wal::{Note, Ticket as RecordTicket};
+use emberpin_failover::WorkId;
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::{Response, StatusCode};
 use std::cell::{Cell, RefCell};
--- a/crates/emberpin/src/stages/memory.rs
+++ b/crates/emberpin-limiter/src/stages/memory.rs
@@ -6,7 +6,7 @@
 use crate::operate::operator::Log as Settings;
 use crate::operate::{die, lies};
 use emberpin_idempotency::{Millis, Record};
-use emberpin_log::{
+use emberpin_wal::{
     boot_id, Files, Identity, Log, Note, Record as Written, Recovery, Service, Ticket, Unusable,
 };
 use nix::time::{clock_gettime, ClockId};
@@ -117,7 +117,7 @@
         // Quiet as long as an earlier start said, within a whole retention; a loss without its word is a new one.
         recalled.quiet_until = match (&lost, quiet) {
             (None, None) if foreign == 0 => 0.0,
-            (Some(emberpin_log::Lost::Before) | None, Some(until)) if foreign == 0 => until.min(whole),
+            (Some(emberpin_wal::Lost::Before) | None, Some(until)) if foreign == 0 => until.min(whole),
             _ => whole,
         };
         eprintln!(
--- a/crates/emberpin/src/stages/takeover.rs
+++ b/crates/emberpin-limiter/src/stages/takeover.rs
@@ -1,5 +1,5 @@
 //! The host of takeovers: asks those that keep a request's work before each of its attempts, tells them what came of it,
-//! and goes on with the work of a limiter that is gone. Who may is decided in `emberpin_takeover`.
+//! and goes on with the work of a limiter that is gone. Who may is decided in `emberpin_failover`.
 
 use crate::between::link::{Link, News, WORK};
 use crate::messages::{Answer, Gate, Outgoing, Upstreamed};
@@ -7,11 +7,11 @@
 use crate::operate::die;
 use crate::operate::takeover::Takeover as Settings;
 use crate::stages::memory::boot_clock;
-use dillpass::{ClassId, CustomerId, Effect, GatewayId, PlanId, Ran};
+use emberpin_balancer::{ClassId, CustomerId, Effect, GatewayId, PlanId, Ran};
 use emberpin_idempotency::claims::{Claim, Holding, Member as Holder};
 use emberpin_idempotency::{Customer, Fingerprint, Key};
-use emberpin_link::{Belief, Life};
-use emberpin_takeover::{Action, Event, Hall, Hands, Member, Rules, Verdict, Went, Work, WorkId};
+use emberpin_peering::{Belief, Life};
+use emberpin_failover::{Action, Event, Hall, Hands, Member, Rules, Verdict, Went, Work, WorkId};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, OnceCell, RefCell};
--- a/crates/emberpin/src/upstream/asking.rs
+++ b/crates/emberpin-limiter/src/upstream/asking.rs
@@ -1,9 +1,9 @@
-//! When this limiter calls the list service: the decisions of `emberpin_start::calls` with a clock, a random source and
+//! When this limiter calls the list service: the decisions of `emberpin_startup::calls` with a clock, a random source and
 //! the messages of peers.
 
 use crate::operate::config::Config;
-use dillpass::{gossip, GatewayId};
-use emberpin_start::calls::{Calls, Ended, Place};
+use emberpin_balancer::{gossip, GatewayId};
+use emberpin_startup::calls::{Calls, Ended, Place};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/emberpin/src/upstream/believed.rs
+++ b/crates/emberpin-limiter/src/upstream/believed.rs
@@ -1,11 +1,11 @@
 //! Which lists hold where the operator has set `[start]`, and when the limiter is ready: the decisions of
-//! `emberpin_start` with a clock, a random source and a disk.
+//! `emberpin_startup` with a clock, a random source and a disk.
 
 use crate::operate::config::Config;
 use crate::upstream::kept::Kept;
 use crate::upstream::listing::Target;
-use emberpin_start::ready::Ready;
-use emberpin_start::trust::{Limits, List, Trust, Verdict};
+use emberpin_startup::ready::Ready;
+use emberpin_startup::trust::{Limits, List, Trust, Verdict};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::sync::{watch, Notify};
--- a/crates/emberpin/src/upstream/discovery.rs
+++ b/crates/emberpin-limiter/src/upstream/discovery.rs
@@ -6,7 +6,7 @@
 use crate::upstream::listing::Listing;
 use crate::upstream::told::{Told, Watch};
 use bytes::Bytes;
-use emberpin_start::calls::Ended;
+use emberpin_startup::calls::Ended;
 use http_body_util::{BodyExt, Empty};
 use hyper::client::conn::http1;
 use hyper::header::RETRY_AFTER;
--- a/crates/emberpin/src/upstream/engine.rs
+++ b/crates/emberpin-limiter/src/upstream/engine.rs
@@ -4,7 +4,7 @@
 use crate::messages::{Answer, Call, Ended, Input, Outgoing, Reply, Upstreamed};
 use crate::operate::clock::Clock;
 use crate::upstream::servers::Upstream;
-use dillpass::*;
+use emberpin_balancer::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::rc::Rc;
--- a/crates/emberpin/src/upstream/fed.rs
+++ b/crates/emberpin-limiter/src/upstream/fed.rs
@@ -1,11 +1,11 @@
-//! Lists told by peers over the link: the decisions of `emberpin_start::feed` with a clock, the link and the list.
+//! Lists told by peers over the link: the decisions of `emberpin_startup::feed` with a clock, the link and the list.
 
 use crate::between::link::{Link, News, LISTS, LONGEST};
 use crate::messages::Input;
 use crate::operate::config::Config;
 use crate::upstream::asking::Asking;
 use crate::upstream::listing::{Entry, Listing, Target, Teller};
-use emberpin_start::feed::{neighbours, Action, Feed, Limits, Said, Version};
+use emberpin_startup::feed::{neighbours, Action, Feed, Limits, Said, Version};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/crates/emberpin/src/upstream/kept.rs
+++ b/crates/emberpin-limiter/src/upstream/kept.rs
@@ -1,9 +1,9 @@
-//! The last list on a disk, by `emberpin_start::snapshot`: read once at the start, written behind the limiter's back by
+//! The last list on a disk, by `emberpin_startup::snapshot`: read once at the start, written behind the limiter's back by
 //! a thread of its own. A disk that fails, lies or stalls costs the snapshot, never the start or the service.
 
 use crate::operate::config::Config;
 use crate::upstream::listing::{Entry, Listing, Target, Teller};
-use emberpin_start::snapshot::{decode, encode, Label, MAX_BYTES};
+use emberpin_startup::snapshot::{decode, encode, Label, MAX_BYTES};
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
--- a/crates/emberpin/src/upstream/listing.rs
+++ b/crates/emberpin-limiter/src/upstream/listing.rs
@@ -1,7 +1,7 @@
 //! The list of servers as discovery words it: whole, or the changes to it.
 
-use dillpass::settings::{stable_hash, Listed, Names};
-use dillpass::{Condition, Server, ServerId};
+use emberpin_balancer::settings::{stable_hash, Listed, Names};
+use emberpin_balancer::{Condition, Server, ServerId};
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
--- a/crates/emberpin/src/upstream/roster.rs
+++ b/crates/emberpin-limiter/src/upstream/roster.rs
@@ -3,7 +3,7 @@
 //! Whether a server is out by hand is the decision module's fact; this knows names and places only.
 
 use crate::upstream::listing::{State, Target};
-use dillpass::ServerId;
+use emberpin_balancer::ServerId;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
--- a/crates/emberpin/src/upstream/servers.rs
+++ b/crates/emberpin-limiter/src/upstream/servers.rs
@@ -8,7 +8,7 @@
 use crate::upstream::roster::Place;
 use crate::upstream::wire::{Described, Wire};
 use bytes::Bytes;
-use dillpass::Outcome;
+use emberpin_balancer::Outcome;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::client::conn::http1::{self, Connection, SendRequest};
--- a/crates/emberpin/src/upstream/wire.rs
+++ b/crates/emberpin-limiter/src/upstream/wire.rs
@@ -1,8 +1,8 @@
 //! How requests and answers are worded between a limiter and its servers: the host of connections is given it.
 
 use crate::messages::Head;
-use dillpass::settings::report_field;
-use dillpass::{Outcome, Report};
+use emberpin_balancer::settings::report_field;
+use emberpin_balancer::{Outcome, Report};
 use hyper::header::{HeaderMap, HeaderValue, CONTENT_TYPE};
 use hyper::{Response, StatusCode};
 use std::time::Duration;
--- a/crates/emberpin/tests/limiter.rs
+++ b/crates/emberpin-limiter/tests/limiter.rs
@@ -4,8 +4,8 @@
 #[path = "common/sockets.rs"]
 mod sockets;
 
-use dillpass::gossip;
-use dillpass::settings::stable_hash;
+use emberpin_balancer::gossip;
+use emberpin_balancer::settings::stable_hash;
 use serde_json::json;
 use sockets::*;
 use std::collections::HashSet;
--- a/crates/emberpin/tests/link.rs
+++ b/crates/emberpin-limiter/tests/link.rs
@@ -46,7 +46,7 @@
             .collect();
         let links: Vec<SocketAddr> = (0..3).map(|_| free_port(&own_host())).collect();
         let unique = links[0].to_string().replace(':', "-");
-        let folder = std::env::temp_dir().join(format!("emberpin-link-{unique}"));
+        let folder = std::env::temp_dir().join(format!("emberpin-peering-{unique}"));
         std::fs::create_dir_all(&folder).expect("made");
         let keys = folder.join("keys");
         let made = emberpin(&["link", "init", keys.to_str().expect("text"), "n0", "n1", "n2"]);
--- a/crates/emberpin/tests/upgrade.rs
+++ b/crates/emberpin-limiter/tests/upgrade.rs
@@ -4,7 +4,7 @@
 #[path = "common/sockets.rs"]
 mod sockets;
 
-use dillpass::gossip;
+use emberpin_balancer::gossip;
 use serde_json::json;
 use sockets::*;
 use std::io::{Read, Write};
--- a/crates/emberpin-link/src/lib.rs
+++ b/crates/emberpin-peering/src/lib.rs
@@ -1,7 +1,7 @@
 //! How instances talk where they may: who is a member, in which life, since when; bounded frames, versions, back
 //! pressure; replay kept out; silence found.
 //!
-//! [`Link`] is a state machine like `dillpass`'s: it has no I/O, no clock and no randomness. Its host opens connections
+//! [`Link`] is a state machine like `emberpin-balancer`'s: it has no I/O, no clock and no randomness. Its host opens connections
 //! (over mutual TLS, except on loopback), feeds bytes and time, and writes what it is told to. It carries messages of
 //! others as a kind and bytes, and knows nothing of what they mean.
 //!
--- a/crates/emberpin-link/tests/network.rs
+++ b/crates/emberpin-peering/tests/network.rs
@@ -1,7 +1,7 @@
 //! Links over a network in memory that cuts one way or both, holds processes still, and is spoken to by strangers.
 #![allow(missing_docs)]
 
-use emberpin_link::*;
+use emberpin_peering::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/emberpin-proxy/src/controller.rs
+++ b/crates/emberpin-proxy/src/controller.rs
@@ -3,8 +3,8 @@
 use crate::requests::own;
 use crate::service::Service;
 use crate::wire::TRY_ID;
-use dillpass::{CustomerId, GatewayId, PlanId, RequestId, ServerId};
-use emberpin::host::{
+use emberpin_balancer::{CustomerId, GatewayId, PlanId, RequestId, ServerId};
+use emberpin_limiter::host::{
     Answer, Call, ClientLimits, Ended, Input, Outgoing, Pool, Reception, Reply, Upstream, Upstreamed,
     HEAD_BYTES,
 };
--- a/crates/emberpin-proxy/src/lib.rs
+++ b/crates/emberpin-proxy/src/lib.rs
@@ -1,7 +1,7 @@
-//! The gateway's proxy: hosts the decisions of `dillpass`, one module for each service, between clients and servers.
+//! The gateway's proxy: hosts the decisions of `emberpin-balancer`, one module for each service, between clients and servers.
 //!
 //! It takes no decision of its own: where a request may go is `emberpin-routing`'s, which of those servers gets it, whether
-//! again and what is refused is `dillpass`'s. Sockets are those of the limiter's library, with the gateway's wire.
+//! again and what is refused is `emberpin-balancer`'s. Sockets are those of the limiter's library, with the gateway's wire.
 //!
 //! ```text
 //! client ─ reception ─ desk ─ controller (routes, servers, budget; one engine with its module a service) ─ pool ─ server
@@ -18,7 +18,7 @@
 pub mod wire;
 
 use controller::Controller;
-use emberpin::host::{ClientLimits, Figures, Phase, Pool, PoolLimits, Reception, Room};
+use emberpin_limiter::host::{ClientLimits, Figures, Phase, Pool, PoolLimits, Reception, Room};
 use emberpin_runtime::settings::Settings;
 use requests::{Front, Readiness};
 use std::net::SocketAddr;
--- a/crates/emberpin-proxy/src/requests.rs
+++ b/crates/emberpin-proxy/src/requests.rs
@@ -3,8 +3,8 @@
 use crate::controller::{Ask, Command, View};
 use crate::wire::DEADLINE;
 use bytes::Bytes;
-use dillpass::{ClassId, RequestId};
-use emberpin::host::{
+use emberpin_balancer::{ClassId, RequestId};
+use emberpin_limiter::host::{
     headed, passed_on, plain, run_out, strip, take_in, Answer, Connection, Content, Ending, Figures, Head,
     Outgoing, Reply, RequestHandler, Served, Upload, Upstreamed,
 };
@@ -257,7 +257,7 @@
     Duration::try_from_secs_f64(millis / 1000.0).map(Some).map_err(|_| StatusCode::BAD_REQUEST)
 }
 
-fn ended(mut active: emberpin::host::Active, status: StatusCode) {
+fn ended(mut active: emberpin_limiter::host::Active, status: StatusCode) {
     active.ends(match status {
         status if status.is_success() => Ending::Ok,
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Ending::Shed,
--- a/crates/emberpin-proxy/src/service.rs
+++ b/crates/emberpin-proxy/src/service.rs
@@ -1,10 +1,10 @@
 //! One service: the module that decides about its requests, and the ways to its servers.
 
-use dillpass::{
+use emberpin_balancer::{
     Class, ClassId, Condition, Effect, Event, Gateway, GatewayId, Membership, Plan, RequestId, Rules, Server,
     ServerId, Settings,
 };
-use emberpin::host::{Clock, Engine, Input, Place, Pool, Upstream};
+use emberpin_limiter::host::{Clock, Engine, Input, Place, Pool, Upstream};
 use emberpin_routing::{Change, Route, RouteKind, Work};
 use hyper::header::HeaderValue;
 use std::collections::{BTreeMap, HashMap, HashSet};
--- a/crates/emberpin-proxy/src/wire.rs
+++ b/crates/emberpin-proxy/src/wire.rs
@@ -1,7 +1,7 @@
 //! How requests and answers are worded between the gateway and its servers.
 
-use dillpass::{Outcome, Report};
-use emberpin::host::{strip, Described, Head, Wire};
+use emberpin_balancer::{Outcome, Report};
+use emberpin_limiter::host::{strip, Described, Head, Wire};
 use emberpin_routing::verdict::wrong_instance;
 use emberpin_routing::Verdict;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_ENCODING};
--- a/crates/emberpin-proxy/tests/classes.rs
+++ b/crates/emberpin-proxy/tests/classes.rs
@@ -1,7 +1,7 @@
 //! What one service keeps for each sort of routes, over a proxy's life.
 #![allow(missing_docs)]
 
-use emberpin::host::{Figures, Pool, PoolLimits, Room};
+use emberpin_limiter::host::{Figures, Pool, PoolLimits, Room};
 use emberpin_proxy::service::Service;
 use emberpin_proxy::wire::SystemWire;
 use emberpin_routing::{Route, RouteKind};
--- a/crates/emberpin-proxy/tests/servers.rs
+++ b/crates/emberpin-proxy/tests/servers.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{instance, item, until, usual, Figures, Proxy, Server, FIGURES};
-use dillpass::Outcome;
-use emberpin::host::{Figures as Counters, Outgoing, Place, Pool, PoolLimits, Room, Upstream, Upstreamed};
+use emberpin_balancer::Outcome;
+use emberpin_limiter::host::{Figures as Counters, Outgoing, Place, Pool, PoolLimits, Room, Upstream, Upstreamed};
 use emberpin_config::Kind;
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_proxy::wire::SystemWire;
--- a/crates/emberpin-proxy/tests/wire.rs
+++ b/crates/emberpin-proxy/tests/wire.rs
@@ -1,8 +1,8 @@
 //! What servers are told, and what is made of their answers.
 #![allow(missing_docs)]
 
-use dillpass::Outcome;
-use emberpin::host::{Described, Wire};
+use emberpin_balancer::Outcome;
+use emberpin_limiter::host::{Described, Wire};
 use emberpin_proxy::wire::SystemWire;
 use googletest::prelude::*;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
--- a/crates/emberpin-scale/src/main.rs
+++ b/crates/emberpin-scale-bench/src/main.rs
@@ -1,14 +1,14 @@
-//! `emberpin-scale`: measures what the control part costs by size.
+//! `emberpin-scale-bench`: measures what the control part costs by size.
 #![forbid(unsafe_code)]
 
-use emberpin_scale::report;
-use emberpin_scale::run::{self, Failed, Plan, Programs};
-use emberpin_scale::size::{self, Size, DESIGN};
+use emberpin_scale_bench::report;
+use emberpin_scale_bench::run::{self, Failed, Plan, Programs};
+use emberpin_scale_bench::size::{self, Size, DESIGN};
 use getopts::Options;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-const BRIEF: &str = "Usage: emberpin-scale [OPTIONS]\n\nStarts stores, registries and a proxy on loopback \
+const BRIEF: &str = "Usage: emberpin-scale-bench [OPTIONS]\n\nStarts stores, registries and a proxy on loopback \
                      addresses (the built programs beside this one), with hollow limiters and servers, and \
                      prints what they cost by size.";
 
@@ -28,7 +28,7 @@
         return ExitCode::SUCCESS;
     }
     if asked.opt_present("version") {
-        println!("emberpin-scale {}", env!("CARGO_PKG_VERSION"));
+        println!("emberpin-scale-bench {}", env!("CARGO_PKG_VERSION"));
         return ExitCode::SUCCESS;
     }
     let (sizes, plan) = match (asked.opt_present("quick"), asked.opt_str("at")) {
@@ -43,7 +43,7 @@
     match sound(&sizes, &plan, asked.opt_str("programs").map(PathBuf::from)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("emberpin-scale: {problem}");
+            eprintln!("emberpin-scale-bench: {problem}");
             ExitCode::FAILURE
         }
     }
@@ -51,7 +51,7 @@
 
 /// One line, and the status of what cannot be used.
 fn wrong(problem: &str) -> ExitCode {
-    eprintln!("emberpin-scale: {problem}");
+    eprintln!("emberpin-scale-bench: {problem}");
     ExitCode::from(2)
 }
 
--- a/crates/emberpin-scale/tests/parts.rs
+++ b/crates/emberpin-scale-bench/tests/parts.rs
@@ -2,12 +2,12 @@
 #![allow(missing_docs)]
 
 use emberpin_runtime::settings::Settings;
-use emberpin_scale::fit::{extrapolate, line, Line};
-use emberpin_scale::process::{kib, read_sent};
-use emberpin_scale::report;
-use emberpin_scale::run::{Figures, Sample};
-use emberpin_scale::size::{self, Dimension, Size, BASE, DESIGN};
-use emberpin_scale::texts::{self, Places};
+use emberpin_scale_bench::fit::{extrapolate, line, Line};
+use emberpin_scale_bench::process::{kib, read_sent};
+use emberpin_scale_bench::report;
+use emberpin_scale_bench::run::{Figures, Sample};
+use emberpin_scale_bench::size::{self, Dimension, Size, BASE, DESIGN};
+use emberpin_scale_bench::texts::{self, Places};
 use googletest::prelude::*;
 use std::net::Ipv4Addr;
 use std::path::Path;
--- a/crates/emberpin-scale/tests/quick.rs
+++ b/crates/emberpin-scale-bench/tests/quick.rs
@@ -1,9 +1,9 @@
 //! All parts together, at two small sizes, with real processes.
 #![allow(missing_docs)]
 
-use emberpin_scale::report;
-use emberpin_scale::run::{measure, Plan, Programs};
-use emberpin_scale::size::{self, Dimension};
+use emberpin_scale_bench::report;
+use emberpin_scale_bench::run::{measure, Plan, Programs};
+use emberpin_scale_bench::size::{self, Dimension};
 use googletest::prelude::*;
 use std::path::Path;
 use std::process::Command;
@@ -11,7 +11,7 @@
 /// The programs of the same build; they are other packages', so nobody has built them if this package is
 /// tested alone.
 fn programs() -> Programs {
-    let folder = Path::new(env!("CARGO_BIN_EXE_emberpin-scale")).parent().expect("a folder");
+    let folder = Path::new(env!("CARGO_BIN_EXE_emberpin-scale-bench")).parent().expect("a folder");
     let mut build = Command::new(env!("CARGO"));
     build.args(["build", "--quiet", "--jobs", "2"]);
     build.args(["-p", "emberpin-store", "-p", "emberpin-registry", "-p", "emberpin-proxy"]);
--- a/crates/emberpin-start/tests/calls.rs
+++ b/crates/emberpin-startup/tests/calls.rs
@@ -1,7 +1,7 @@
 //! Groups of limiters that call one service, in virtual time.
 #![allow(missing_docs)]
 
-use emberpin_start::calls::{Calls, Ended, Place};
+use emberpin_startup::calls::{Calls, Ended, Place};
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/crates/emberpin-start/tests/feed.rs
+++ b/crates/emberpin-startup/tests/feed.rs
@@ -1,8 +1,8 @@
 //! Lists told by peers, in virtual time: limiters die, stand still, are cut off both ways or one, and lose the service.
 #![allow(missing_docs)]
 
-use emberpin_start::calls::{Calls, Place};
-use emberpin_start::feed::{neighbours, Action, Feed, Limits, Pulse, Said, Version};
+use emberpin_startup::calls::{Calls, Place};
+use emberpin_startup::feed::{neighbours, Action, Feed, Limits, Pulse, Said, Version};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/emberpin-start/tests/lists.rs
+++ b/crates/emberpin-startup/tests/lists.rs
@@ -1,9 +1,9 @@
 //! Which lists are believed, snapshots, and readiness.
 #![allow(missing_docs)]
 
-use emberpin_start::ready::Ready;
-use emberpin_start::snapshot::{decode, encode, Label, Unusable};
-use emberpin_start::trust::{Limits, List, Trust, Verdict};
+use emberpin_startup::ready::Ready;
+use emberpin_startup::snapshot::{decode, encode, Label, Unusable};
+use emberpin_startup::trust::{Limits, List, Trust, Verdict};
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/crates/emberpin-site/src/bin/cold-start.rs
+++ b/crates/emberpin-testbed/src/bin/cold-start.rs
@@ -4,12 +4,12 @@
 use clap::Parser;
 use comfy_table::presets::UTF8_HORIZONTAL_ONLY;
 use comfy_table::Table;
-use emberpin_site::needs::Needs;
-use emberpin_site::process::Program;
-use emberpin_site::report::stories;
-use emberpin_site::scenario::Scenario;
-use emberpin_site::site::run;
-use emberpin_site::starts::Starts;
+use emberpin_testbed::needs::Needs;
+use emberpin_testbed::process::Program;
+use emberpin_testbed::report::stories;
+use emberpin_testbed::scenario::Scenario;
+use emberpin_testbed::site::run;
+use emberpin_testbed::starts::Starts;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -62,7 +62,7 @@
 
 fn main() -> ExitCode {
     if std::env::args_os().nth(1).is_some_and(|word| word == "limiter") {
-        return emberpin::operate::command::main(std::env::args_os().skip(1));
+        return emberpin_limiter::operate::command::main(std::env::args_os().skip(1));
     }
     match measure(&Line::parse()) {
         Ok(true) => ExitCode::SUCCESS,
--- a/crates/emberpin-site/src/bin/wrong-limiter.rs
+++ b/crates/emberpin-testbed/src/bin/wrong-limiter.rs
@@ -2,7 +2,7 @@
 //! after SIGTERM, and does one thing that no limiter may do, named by its one argument. It is no example.
 #![forbid(unsafe_code)]
 
-use emberpin_site::http::{Broken, Head, Wire};
+use emberpin_testbed::http::{Broken, Head, Wire};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/emberpin-site/src/links.rs
+++ b/crates/emberpin-testbed/src/links.rs
@@ -3,7 +3,7 @@
 
 use crate::peers::Split;
 use crate::servers::World;
-use emberpin_start::feed::neighbours;
+use emberpin_startup::feed::neighbours;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
 use std::net::SocketAddr;
--- a/crates/emberpin-site/src/main.rs
+++ b/crates/emberpin-testbed/src/main.rs
@@ -3,13 +3,13 @@
 #![forbid(unsafe_code)]
 
 use clap::Parser;
-use emberpin_site::needs::Needs;
-use emberpin_site::page;
-use emberpin_site::process::Program;
-use emberpin_site::report::{stories, Summary};
-use emberpin_site::scenario::Scenario;
-use emberpin_site::site::{self, Outcome, Progress};
-use emberpin_site::trace::{seconds, Micros, SECOND};
+use emberpin_testbed::needs::Needs;
+use emberpin_testbed::page;
+use emberpin_testbed::process::Program;
+use emberpin_testbed::report::{stories, Summary};
+use emberpin_testbed::scenario::Scenario;
+use emberpin_testbed::site::{self, Outcome, Progress};
+use emberpin_testbed::trace::{seconds, Micros, SECOND};
 use indicatif::{ProgressBar, ProgressStyle};
 use std::io::IsTerminal;
 use std::path::PathBuf;
@@ -31,7 +31,7 @@
 /// Exit status: 0 every rule held, 1 a rule broke, 2 it could not be played, 3 the stand-ins ran too late to
 /// be sure.
 #[derive(Parser)]
-#[command(name = "emberpin-site", version, max_term_width = 100)]
+#[command(name = "emberpin-testbed", version, max_term_width = 100)]
 struct Line {
     /// A scenario file; without it nothing goes wrong
     #[arg(long, value_name = "FILE")]
@@ -64,12 +64,12 @@
 
 fn main() -> ExitCode {
     if std::env::args_os().nth(1).is_some_and(|word| word == AS_LIMITER) {
-        return emberpin::operate::command::main(std::env::args_os().skip(1));
+        return emberpin_limiter::operate::command::main(std::env::args_os().skip(1));
     }
     match play(&Line::parse()) {
         Ok(status) => status,
         Err(problem) => {
-            eprintln!("emberpin-site: {}", problem.replace('\n', " "));
+            eprintln!("emberpin-testbed: {}", problem.replace('\n', " "));
             ExitCode::from(UNUSABLE)
         }
     }
@@ -140,7 +140,7 @@
         let (seed, length) = (scenario.seed, seconds(scenario.length));
         let logs = if self.logs { "--logs " } else { "" };
         let links = if self.links { "--links " } else { "" };
-        format!("emberpin-site {file}{with}{logs}{links}--seed {seed} --seconds {length}")
+        format!("emberpin-testbed {file}{with}{logs}{links}--seed {seed} --seconds {length}")
     }
 }
 
--- a/crates/emberpin-site/src/scenario.rs
+++ b/crates/emberpin-testbed/src/scenario.rs
@@ -539,9 +539,9 @@
     /// Reads one from text; `file` is named in errors, which are those of [`Scenario::read`].
     pub fn parse(file: &str, text: &str) -> Result<Scenario, String> {
         let raw: File =
-            toml::from_str(text).map_err(|e| emberpin::operate::operator::place(file, text, &e))?;
+            toml::from_str(text).map_err(|e| emberpin_limiter::operate::operator::place(file, text, &e))?;
         let at = |offset: usize, problem: String| {
-            let (line, column) = emberpin::operate::operator::position(text, offset);
+            let (line, column) = emberpin_limiter::operate::operator::position(text, offset);
             format!("{file}:{line}:{column}: {problem}")
         };
         let seconds = *raw.seconds.get_ref();
--- a/crates/emberpin-site/src/site.rs
+++ b/crates/emberpin-testbed/src/site.rs
@@ -92,7 +92,7 @@
 
 impl Folder {
     fn make(number: u32) -> Result<Folder, String> {
-        let path = std::env::temp_dir().join(format!("emberpin-site-{}-{number}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("emberpin-testbed-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&path).map_err(|e| format!("cannot make {}: {e}", path.display()))?;
         Ok(Folder(path))
     }
--- a/crates/emberpin-site/tests/catches.rs
+++ b/crates/emberpin-testbed/tests/catches.rs
@@ -5,11 +5,11 @@
 #[path = "common/turns.rs"]
 mod turns;
 
-use emberpin_site::process::Program;
-use emberpin_site::referee::Rule;
-use emberpin_site::report::stories;
-use emberpin_site::scenario::Scenario;
-use emberpin_site::site::{run, Outcome};
+use emberpin_testbed::process::Program;
+use emberpin_testbed::referee::Rule;
+use emberpin_testbed::report::stories;
+use emberpin_testbed::scenario::Scenario;
+use emberpin_testbed::site::{run, Outcome};
 use std::path::PathBuf;
 use turns::Turn;
 
@@ -30,7 +30,7 @@
 
 fn real() -> Program {
     Program {
-        path: env!("CARGO_BIN_EXE_emberpin-site").into(),
+        path: env!("CARGO_BIN_EXE_emberpin-testbed").into(),
         arguments: vec!["limiter".into()],
         logs: false,
         links: false,
--- a/crates/emberpin-site/tests/common/mod.rs
+++ b/crates/emberpin-testbed/tests/common/mod.rs
@@ -3,11 +3,11 @@
 
 mod turns;
 
-use emberpin_site::process::Program;
-use emberpin_site::report::stories;
-use emberpin_site::scenario::Scenario;
-use emberpin_site::site::{run, Outcome};
-use emberpin_site::trace::{Event, ProcessEnd, What, SECOND};
+use emberpin_testbed::process::Program;
+use emberpin_testbed::report::stories;
+use emberpin_testbed::scenario::Scenario;
+use emberpin_testbed::site::{run, Outcome};
+use emberpin_testbed::trace::{Event, ProcessEnd, What, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ffi::OsString;
 
@@ -21,7 +21,7 @@
     if !operator.is_empty() {
         arguments.extend(["--with".into(), file.path().into()]);
     }
-    let program = Program { path: env!("CARGO_BIN_EXE_emberpin-site").into(), arguments, logs: false, links };
+    let program = Program { path: env!("CARGO_BIN_EXE_emberpin-testbed").into(), arguments, logs: false, links };
     let _turn = turns::Turn::take();
     run(&scenario, &program, |_| ()).unwrap_or_else(|e| panic!("seed {seed}: {e}"))
 }
--- a/crates/emberpin-site/tests/idempotency.rs
+++ b/crates/emberpin-testbed/tests/idempotency.rs
@@ -1,12 +1,12 @@
 //! Keys repeated over real sockets, judged by the referee: second runs are counted at the stand-in servers.
 #![allow(missing_docs)]
 
-use emberpin_site::process::Program;
-use emberpin_site::referee::Rule;
-use emberpin_site::report::{stories, Summary};
-use emberpin_site::scenario::Scenario;
-use emberpin_site::site::{run, Outcome};
-use emberpin_site::trace::{ProcessEnd, What, SECOND};
+use emberpin_testbed::process::Program;
+use emberpin_testbed::referee::Rule;
+use emberpin_testbed::report::{stories, Summary};
+use emberpin_testbed::scenario::Scenario;
+use emberpin_testbed::site::{run, Outcome};
+use emberpin_testbed::trace::{ProcessEnd, What, SECOND};
 use std::path::PathBuf;
 
 /// Half of all keyed work is asked again up to 2.5 s later, a second beyond what any hall remembers.
@@ -38,7 +38,7 @@
 
     fn play(&self, scenario: &Scenario) -> Outcome {
         let mut program = Program {
-            path: env!("CARGO_BIN_EXE_emberpin-site").into(),
+            path: env!("CARGO_BIN_EXE_emberpin-testbed").into(),
             arguments: vec!["limiter".into()],
             logs: self.together,
             links: self.together,
@@ -121,7 +121,7 @@
         scenario.set_seconds(6.5).expect("in bounds");
         let outcome = limiters.play(&scenario);
         holds(&outcome);
-        let killed = |e: &&emberpin_site::trace::Event| {
+        let killed = |e: &&emberpin_testbed::trace::Event| {
             matches!(e.what, What::LimiterDown { how: ProcessEnd::Killed, .. })
         };
         assert_eq!(outcome.events.iter().filter(killed).count(), 2);
--- a/crates/emberpin-site/tests/referee.rs
+++ b/crates/emberpin-testbed/tests/referee.rs
@@ -1,9 +1,9 @@
 //! The referee on faked traces: for each rule one that breaks it just so, and one that just keeps it.
 #![allow(missing_docs)]
 
-use emberpin_site::figures::{DRAIN_GRACE, FALL_MULTIPLE, FALL_TIME, PLANS, SLACK, WINDOW};
-use emberpin_site::referee::{judge, Judgement, Rule, Terms};
-use emberpin_site::trace::*;
+use emberpin_testbed::figures::{DRAIN_GRACE, FALL_MULTIPLE, FALL_TIME, PLANS, SLACK, WINDOW};
+use emberpin_testbed::referee::{judge, Judgement, Rule, Terms};
+use emberpin_testbed::trace::*;
 use proptest::prelude::*;
 
 const SAFE: usize = 0;
--- a/crates/emberpin-site/tests/site.rs
+++ b/crates/emberpin-testbed/tests/site.rs
@@ -1,12 +1,12 @@
 //! The site's own hard cases, with the real limiter between real sockets.
 #![allow(missing_docs)]
 
-use emberpin_site::process::Program;
-use emberpin_site::referee::Rule;
-use emberpin_site::report::{stories, Summary};
-use emberpin_site::scenario::Scenario;
-use emberpin_site::site::{run, Outcome, Progress};
-use emberpin_site::trace::{Life, ProcessEnd, What, SECOND};
+use emberpin_testbed::process::Program;
+use emberpin_testbed::referee::Rule;
+use emberpin_testbed::report::{stories, Summary};
+use emberpin_testbed::scenario::Scenario;
+use emberpin_testbed::site::{run, Outcome, Progress};
+use emberpin_testbed::trace::{Life, ProcessEnd, What, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
@@ -18,7 +18,7 @@
 fn play(faults: &str, progress: impl Fn(Progress) + 'static) -> Outcome {
     let scenario = Scenario::parse("test", &format!("{SITE}{faults}")).expect("sound");
     let program = Program {
-        path: env!("CARGO_BIN_EXE_emberpin-site").into(),
+        path: env!("CARGO_BIN_EXE_emberpin-testbed").into(),
         arguments: vec!["limiter".into()],
         logs: false,
         links: false,
--- a/crates/emberpin-site/tests/start.rs
+++ b/crates/emberpin-testbed/tests/start.rs
@@ -4,10 +4,10 @@
 mod common;
 
 use common::{answered, called_after, calls, count, holds, killed, listed, play, play_with, who};
-use emberpin_site::report::Summary;
-use emberpin_site::starts::Starts;
-use emberpin_site::trace::{Event, Standing, What, SECOND};
-use emberpin_start::snapshot::{decode, encode, Label};
+use emberpin_testbed::report::Summary;
+use emberpin_testbed::starts::Starts;
+use emberpin_testbed::trace::{Event, Standing, What, SECOND};
+use emberpin_startup::snapshot::{decode, encode, Label};
 use nix::sys::stat::Mode;
 use nix::unistd::mkfifo;
 use std::collections::BTreeSet;
--- a/crates/emberpin-site/tests/takeover.rs
+++ b/crates/emberpin-testbed/tests/takeover.rs
@@ -5,12 +5,12 @@
 mod common;
 
 use common::count;
-use emberpin_site::process::Program;
-use emberpin_site::referee::Rule;
-use emberpin_site::report::{stories, Summary};
-use emberpin_site::scenario::Scenario;
-use emberpin_site::site::{run, Outcome};
-use emberpin_site::trace::{Micros, ProcessEnd, Try, What};
+use emberpin_testbed::process::Program;
+use emberpin_testbed::referee::Rule;
+use emberpin_testbed::report::{stories, Summary};
+use emberpin_testbed::scenario::Scenario;
+use emberpin_testbed::site::{run, Outcome};
+use emberpin_testbed::trace::{Micros, ProcessEnd, Try, What};
 use std::collections::{BTreeMap, BTreeSet};
 
 const KEYS: &str = "[idempotency]\nretention_s = 20\n";
@@ -30,7 +30,7 @@
     std::fs::write(file.path(), tables).expect("written");
     let arguments = vec!["limiter".into(), "--with".into(), file.path().into()];
     let program =
-        Program { path: env!("CARGO_BIN_EXE_emberpin-site").into(), arguments, logs: true, links: true };
+        Program { path: env!("CARGO_BIN_EXE_emberpin-testbed").into(), arguments, logs: true, links: true };
     run(&scenario, &program, |_| ()).unwrap_or_else(|e| panic!("seed {seed}: {e}"))
 }
 
--- a/crates/emberpin-site/tests/told.rs
+++ b/crates/emberpin-testbed/tests/told.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::{called_after, calls, count, holds, killed, play_by, who};
-use emberpin_site::site::Outcome;
-use emberpin_site::starts::Starts;
-use emberpin_site::trace::{Event, Life, Micros, Standing, What, SECOND};
+use emberpin_testbed::site::Outcome;
+use emberpin_testbed::starts::Starts;
+use emberpin_testbed::trace::{Event, Life, Micros, Standing, What, SECOND};
 use std::collections::BTreeMap;
 
 /// Limiters that know nothing and have just started, before a list service of a call of each in 4 s.
--- a/crates/emberpin-log/src/service.rs
+++ b/crates/emberpin-wal/src/service.rs
@@ -65,7 +65,7 @@
         let worker =
             Worker { log, received, queued: queued.clone(), bytes: bytes.clone(), syncs: syncs.clone() };
         let thread =
-            std::thread::Builder::new().name("emberpin-log".into()).spawn(move || worker.run(&tell))?;
+            std::thread::Builder::new().name("emberpin-wal".into()).spawn(move || worker.run(&tell))?;
         Ok(Service { commands: Some(commands), thread: Some(thread), queued, bytes, syncs })
     }
 
--- a/crates/emberpin-log/tests/common/mod.rs
+++ b/crates/emberpin-wal/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A storage in memory that breaks as told: it dies at a given step, runs full, or fails an fsync.
 #![allow(dead_code)] // Each test file uses a part of it.
 
-use emberpin_log::{FileIdentity, Identity, Log, Record, Recovery, Storage, Unusable};
+use emberpin_wal::{FileIdentity, Identity, Log, Record, Recovery, Storage, Unusable};
 use std::collections::BTreeMap;
 use std::io;
 
--- a/crates/emberpin-log/tests/recovery.rs
+++ b/crates/emberpin-wal/tests/recovery.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use emberpin_log::{inspect, Files, Log, Lost, Storage, Unusable, WriteProblem};
+use emberpin_wal::{inspect, Files, Log, Lost, Storage, Unusable, WriteProblem};
 use proptest::prelude::*;
 
 const FIRST: &str = "0000000001.log";
--- a/crates/emberpin-log/tests/service.rs
+++ b/crates/emberpin-wal/tests/service.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use emberpin_log::{Busy, FileIdentity, Note, Service, Storage, Ticket, WriteProblem, LONGEST};
+use emberpin_wal::{Busy, FileIdentity, Note, Service, Storage, Ticket, WriteProblem, LONGEST};
 use std::collections::BTreeSet;
 use std::sync::mpsc::{channel, Receiver};
 
@@ -105,8 +105,8 @@
 #[test]
 fn an_end_writes_what_was_taken() {
     let folder = tempfile::tempdir().expect("a folder");
-    let files = || emberpin_log::Files::take(folder.path()).expect("taken");
-    emberpin_log::Log::begin(files(), &identity()).expect("begun");
+    let files = || emberpin_wal::Files::take(folder.path()).expect("taken");
+    emberpin_wal::Log::begin(files(), &identity()).expect("begun");
     let (log, ..) = open(files()).expect("open");
     let service = Service::start(log, |_| ()).expect("a thread");
     for n in 1..=50 {
