--- a/crates/emberpin-balancer/src/asked.rs
+++ b/crates/emberpin-balancer/src/asked.rs
@@ -9,11 +9,18 @@
     /// Whether another attempt would follow if the one that is out ended now without an answer, as far as the request's
     /// effect, its time and the retry budget go.
     pub fn would_repeat(&self, now: Millis, request: RequestId) -> bool {
-        let Some(open) = self.requests.get(&request) else { return false };
+        let Some(open) = self.requests.get(&request) else {
+            return false;
+        };
         let class = open.request.class.0;
         let time = now + self.latency[class].of(open.request.units).mean <= open.deadline;
         let safe = self.settings.classes[class].effect == Effect::Safe;
-        let others = self.servers.values().filter(|server| self.may_take(server)).nth(1).is_some();
+        let others = self
+            .servers
+            .values()
+            .filter(|server| self.may_take(server))
+            .nth(1)
+            .is_some();
         safe && time && others && self.load.level == 0 && self.retries >= 1.0
     }
 
@@ -39,7 +46,11 @@
     /// Puts a class in the place of one that no request has any more. What was learned of the old one is forgotten.
     /// Where there is no such class, nothing changes.
     pub fn replace_class(&mut self, id: ClassId, class: Class) {
-        let known = self.settings.classes.get_mut(id.0).zip(self.latency.get_mut(id.0));
+        let known = self
+            .settings
+            .classes
+            .get_mut(id.0)
+            .zip(self.latency.get_mut(id.0));
         let Some((old, latency)) = known else { return };
         self.aim = self.aim.min(class.aim);
         *latency = first_latencies(&class);
@@ -49,5 +60,8 @@
 
 /// What is taken for the latencies of a class before any answer.
 fn first_latencies(class: &Class) -> Latencies {
-    Latencies::new(Latency { mean: class.aim * 0.25, deviation: class.aim * 0.1 })
+    Latencies::new(Latency {
+        mean: class.aim * 0.25,
+        deviation: class.aim * 0.1,
+    })
 }
--- a/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/main.rs
+++ b/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/main.rs
@@ -42,7 +42,11 @@
     for number in 1u64.. {
         text.clear();
         let at = |problem: String| format!("line {number}: {problem}");
-        if input.read_until(b'\n', &mut text).map_err(|e| at(e.to_string()))? == 0 {
+        if input
+            .read_until(b'\n', &mut text)
+            .map_err(|e| at(e.to_string()))?
+            == 0
+        {
             return match drill.batch {
                 Some(_) => Err(at("the input ends within a batch".into())),
                 None => Ok(()),
@@ -53,7 +57,10 @@
         }
         let line = serde_json::from_slice(&text).map_err(|e| at(e.to_string()))?;
         if drill.take(line).map_err(at)? {
-            output.write_all(&drill.reply).and_then(|()| output.flush()).map_err(|e| at(e.to_string()))?;
+            output
+                .write_all(&drill.reply)
+                .and_then(|()| output.flush())
+                .map_err(|e| at(e.to_string()))?;
             drill.reply.clear();
         }
     }
@@ -77,7 +84,11 @@
                 self.say(&Reply::End { seq })?;
                 return Ok(true);
             }
-            Line::Init { limiter_id, init_seed, conf } => self.start(limiter_id, init_seed, *conf, now)?,
+            Line::Init {
+                limiter_id,
+                init_seed,
+                conf,
+            } => self.start(limiter_id, init_seed, *conf, now)?,
             Line::Halt { limiter_id } => drop(self.instances.remove(&limiter_id)),
             Line::Catalog { buffer, hosts } => drop(self.lists.insert(buffer, hosts)),
             Line::DirectoryUpdate(update) => {
@@ -88,22 +99,54 @@
                 let event = self.request(&call)?;
                 self.feed(call.limiter_id, now, event)?;
             }
-            Line::Flowing { limiter_id, handle } => {
-                self.feed(limiter_id, now, Event::Streaming { request: RequestId(handle) })?
-            }
-            Line::LedgerReply { limiter_id, slot_name, sum, reason } => {
-                let total = if reason == wire::Reason::Ok { Some(sum.unwrap_or(0.0)) } else { None };
-                self.feed(limiter_id, now, Event::Counted { name: slot_name, total })?
-            }
-            Line::Abandoned { limiter_id, handle } => {
-                self.feed(limiter_id, now, Event::Abandoned { request: RequestId(handle) })?
+            Line::Flowing { limiter_id, handle } => self.feed(
+                limiter_id,
+                now,
+                Event::Streaming {
+                    request: RequestId(handle),
+                },
+            )?,
+            Line::LedgerReply {
+                limiter_id,
+                slot_name,
+                sum,
+                reason,
+            } => {
+                let total = if reason == wire::Reason::Ok {
+                    Some(sum.unwrap_or(0.0))
+                } else {
+                    None
+                };
+                self.feed(
+                    limiter_id,
+                    now,
+                    Event::Counted {
+                        name: slot_name,
+                        total,
+                    },
+                )?
             }
+            Line::Abandoned { limiter_id, handle } => self.feed(
+                limiter_id,
+                now,
+                Event::Abandoned {
+                    request: RequestId(handle),
+                },
+            )?,
             Line::Resolved(resolved) => {
                 let limiter = resolved.limiter_id;
                 self.feed(limiter, now, attempt(resolved))?
             }
-            Line::Timer { limiter_id, label } => self.feed(limiter_id, now, Event::Timer { token: label })?,
-            Line::Pong { limiter_id, reason, duration_ms, server, feedback } => {
+            Line::Timer { limiter_id, label } => {
+                self.feed(limiter_id, now, Event::Timer { token: label })?
+            }
+            Line::Pong {
+                limiter_id,
+                reason,
+                duration_ms,
+                server,
+                feedback,
+            } => {
                 let event = Event::Probed {
                     server: ServerId(server),
                     outcome: outcome(reason),
@@ -112,16 +155,31 @@
                 };
                 self.feed(limiter_id, now, event)?
             }
-            Line::PeerData { limiter_id, from, octets } => {
-                let bytes = STANDARD.decode(&octets).map_err(|e| format!("octets: {e}"))?;
-                self.feed(limiter_id, now, Event::Peer { from: GatewayId(from), bytes })?
+            Line::PeerData {
+                limiter_id,
+                from,
+                octets,
+            } => {
+                let bytes = STANDARD
+                    .decode(&octets)
+                    .map_err(|e| format!("octets: {e}"))?;
+                self.feed(
+                    limiter_id,
+                    now,
+                    Event::Peer {
+                        from: GatewayId(from),
+                        bytes,
+                    },
+                )?
             }
         }
         Ok(false)
     }
 
     fn instance(&self, id: u64) -> Result<&Instance, String> {
-        self.instances.get(&id).ok_or_else(|| format!("limiter {id} was not started"))
+        self.instances
+            .get(&id)
+            .ok_or_else(|| format!("limiter {id} was not started"))
     }
 
     fn start(&mut self, id: u64, seed: u64, conf: Conf, now: f64) -> Result<(), String> {
@@ -131,9 +189,10 @@
                 self.instances.insert(id, Instance { gateway, names });
                 Ok(())
             }
-            Err(_) => {
-                self.say(&Reply::Fault { limiter_id: id, note_text: "the module panicked at its start" })
-            }
+            Err(_) => self.say(&Reply::Fault {
+                limiter_id: id,
+                note_text: "the module panicked at its start",
+            }),
         }
     }
 
@@ -143,7 +202,10 @@
         }
         let instance = self.instance(update.limiter_id)?;
         let number = update.buffer.ok_or("missing field `buffer`")?;
-        let hosts = self.lists.get(&number).ok_or_else(|| format!("no list has number {number}"))?;
+        let hosts = self
+            .lists
+            .get(&number)
+            .ok_or_else(|| format!("no list has number {number}"))?;
         let servers: Result<Vec<Server>, String> = hosts
             .iter()
             .map(|host| {
@@ -170,7 +232,10 @@
 
     fn request(&self, call: &wire::Call) -> Result<Event, String> {
         let instance = self.instance(call.limiter_id)?;
-        let (class, plan) = (instance.names.class(&call.service), instance.names.plan(&call.plan));
+        let (class, plan) = (
+            instance.names.class(&call.service),
+            instance.names.plan(&call.plan),
+        );
         Ok(Event::Request(Request {
             id: RequestId(call.handle),
             class: class.ok_or_else(|| format!("unknown service '{}'", call.service))?,
@@ -186,12 +251,23 @@
 
     fn feed(&mut self, id: u64, now: f64, event: Event) -> Result<(), String> {
         self.instance(id)?;
-        let Some(instance) = self.instances.get_mut(&id) else { return Ok(()) };
+        let Some(instance) = self.instances.get_mut(&id) else {
+            return Ok(());
+        };
         let mut actions = Vec::new();
-        if catch_unwind(AssertUnwindSafe(|| instance.gateway.handle(now, event, &mut actions))).is_err() {
-            return self.say(&Reply::Fault { limiter_id: id, note_text: "the module panicked" });
+        if catch_unwind(AssertUnwindSafe(|| {
+            instance.gateway.handle(now, event, &mut actions)
+        }))
+        .is_err()
+        {
+            return self.say(&Reply::Fault {
+                limiter_id: id,
+                note_text: "the module panicked",
+            });
         }
-        actions.iter().try_for_each(|action| self.say(&reply(id, action)))
+        actions
+            .iter()
+            .try_for_each(|action| self.say(&reply(id, action)))
     }
 
     fn say(&mut self, line: &Reply) -> Result<(), String> {
@@ -230,39 +306,83 @@
         repeatable: true,
         report: report(resolved.feedback),
         units: resolved.actual.filter(|units| *units > 0.0),
-        metered: resolved.quota_use.filter(|said| *said > 0.0).map(|said| (said - 1.0) / 100.0),
+        metered: resolved
+            .quota_use
+            .filter(|said| *said > 0.0)
+            .map(|said| (said - 1.0) / 100.0),
     })
 }
 
 fn reply(limiter_id: u64, action: &Action) -> Reply<'_> {
     match action {
-        Action::Send { request, server, timeout } => {
-            Reply::Send { limiter_id, handle: request.0, server: server.0, allow_for_ms: *timeout }
-        }
-        Action::Refuse { request, retry_after } => Reply::NotNow {
+        Action::Send {
+            request,
+            server,
+            timeout,
+        } => Reply::Send {
+            limiter_id,
+            handle: request.0,
+            server: server.0,
+            allow_for_ms: *timeout,
+        },
+        Action::Refuse {
+            request,
+            retry_after,
+        } => Reply::NotNow {
             limiter_id,
             handle: request.0,
             retry_after_ms: Some(*retry_after).filter(|wait| *wait > 0.0),
         },
-        Action::Fail { request } => Reply::DropRequest { limiter_id, handle: request.0 },
-        Action::Cancel { request, attempt } => {
-            Reply::Abandon { limiter_id, handle: request.0, leg: *attempt }
-        }
-        Action::Probe { server } => Reply::Sample { limiter_id, server: server.0 },
-        Action::Close { server } => Reply::Release { limiter_id, server: server.0 },
-        Action::Schedule { delay, token } => Reply::Schedule { limiter_id, delay_ms: *delay, label: *token },
+        Action::Fail { request } => Reply::DropRequest {
+            limiter_id,
+            handle: request.0,
+        },
+        Action::Cancel { request, attempt } => Reply::Abandon {
+            limiter_id,
+            handle: request.0,
+            leg: *attempt,
+        },
+        Action::Probe { server } => Reply::Sample {
+            limiter_id,
+            server: server.0,
+        },
+        Action::Close { server } => Reply::Release {
+            limiter_id,
+            server: server.0,
+        },
+        Action::Schedule { delay, token } => Reply::Schedule {
+            limiter_id,
+            delay_ms: *delay,
+            label: *token,
+        },
         Action::Tell { to, bytes } => Reply::Tell {
             limiter_id,
             peer: to.map_or(wire::Peer::All("*"), |peer| wire::Peer::One(peer.0)),
             octets: STANDARD.encode(bytes),
         },
         Action::FetchServers => Reply::GetList { limiter_id },
-        Action::WatchServers { on } => Reply::Watch { limiter_id, on: *on },
-        Action::Count { name, amount, lifetime } => {
-            Reply::Incr { limiter_id, slot_name: *name, step: *amount, lives_ms: *lifetime }
-        }
-        Action::Log(text) => Reply::Debug { limiter_id, note_text: text },
+        Action::WatchServers { on } => Reply::Watch {
+            limiter_id,
+            on: *on,
+        },
+        Action::Count {
+            name,
+            amount,
+            lifetime,
+        } => Reply::Incr {
+            limiter_id,
+            slot_name: *name,
+            step: *amount,
+            lives_ms: *lifetime,
+        },
+        Action::Log(text) => Reply::Debug {
+            limiter_id,
+            note_text: text,
+        },
         // Only where a second process of the same gateway was told of.
-        Action::Share(_) => Reply::Debug { limiter_id, note_text: "nobody to share with" },
+        Action::Share(_) => Reply::Debug {
+            limiter_id,
+            note_text: "nobody to share with",
+        },
     }
 }
--- a/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/wire.rs
+++ b/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/wire.rs
@@ -150,22 +150,74 @@
 
 /// One line of a reply.
 #[derive(Serialize)]
-#[serde(tag = "verb", rename_all = "kebab-case", rename_all_fields = "kebab-case")]
+#[serde(
+    tag = "verb",
+    rename_all = "kebab-case",
+    rename_all_fields = "kebab-case"
+)]
 pub enum Reply<'a> {
-    Send { limiter_id: u64, handle: u32, server: u32, allow_for_ms: f64 },
-    DropRequest { limiter_id: u64, handle: u32 },
-    NotNow { limiter_id: u64, handle: u32, retry_after_ms: Option<f64> },
-    Abandon { limiter_id: u64, handle: u32, leg: u32 },
-    Sample { limiter_id: u64, server: u32 },
-    Release { limiter_id: u64, server: u32 },
-    Schedule { limiter_id: u64, delay_ms: f64, label: u64 },
-    Tell { limiter_id: u64, peer: Peer, octets: String },
-    GetList { limiter_id: u64 },
-    Watch { limiter_id: u64, on: bool },
-    Incr { limiter_id: u64, slot_name: u64, step: f64, lives_ms: f64 },
-    Debug { limiter_id: u64, note_text: &'a str },
-    Fault { limiter_id: u64, note_text: &'a str },
-    End { seq: u64 },
+    Send {
+        limiter_id: u64,
+        handle: u32,
+        server: u32,
+        allow_for_ms: f64,
+    },
+    DropRequest {
+        limiter_id: u64,
+        handle: u32,
+    },
+    NotNow {
+        limiter_id: u64,
+        handle: u32,
+        retry_after_ms: Option<f64>,
+    },
+    Abandon {
+        limiter_id: u64,
+        handle: u32,
+        leg: u32,
+    },
+    Sample {
+        limiter_id: u64,
+        server: u32,
+    },
+    Release {
+        limiter_id: u64,
+        server: u32,
+    },
+    Schedule {
+        limiter_id: u64,
+        delay_ms: f64,
+        label: u64,
+    },
+    Tell {
+        limiter_id: u64,
+        peer: Peer,
+        octets: String,
+    },
+    GetList {
+        limiter_id: u64,
+    },
+    Watch {
+        limiter_id: u64,
+        on: bool,
+    },
+    Incr {
+        limiter_id: u64,
+        slot_name: u64,
+        step: f64,
+        lives_ms: f64,
+    },
+    Debug {
+        limiter_id: u64,
+        note_text: &'a str,
+    },
+    Fault {
+        limiter_id: u64,
+        note_text: &'a str,
+    },
+    End {
+        seq: u64,
+    },
 }
 
 /// A receiver on the wire: a number, or all.
--- a/crates/emberpin-balancer/src/brain/admission.rs
+++ b/crates/emberpin-balancer/src/brain/admission.rs
@@ -21,7 +21,11 @@
     /// attempt out, its own count is noise, so the thresholds are held against the mean of what peers
     /// tell; alone again once no peer was heard for a while.
     pub(super) fn joint(&self, now: Millis, own: f64, peers: f64) -> f64 {
-        let others = if self.alone(now) { 0.0 } else { f64::from(self.settings.group_size.max(1) - 1) };
+        let others = if self.alone(now) {
+            0.0
+        } else {
+            f64::from(self.settings.group_size.max(1) - 1)
+        };
         (own + others * peers) / (1.0 + others)
     }
 
@@ -29,9 +33,18 @@
     /// may take is the number of attempts that may be out; the paper's figure stands until seen.
     pub(super) fn onset(&self, level: usize) -> f64 {
         let seen = self.load.peak * self.aim * AIM_SHARE / 1000.0;
-        let guess = LEAST_OUT * self.servers.len() as f64 / f64::from(self.settings.group_size.max(1));
-        let least = if self.load.borne > 0.0 { self.load.borne } else { guess };
-        let first = if seen > 0.0 { seen.max(least) } else { PAPER_ONSET };
+        let guess =
+            LEAST_OUT * self.servers.len() as f64 / f64::from(self.settings.group_size.max(1));
+        let least = if self.load.borne > 0.0 {
+            self.load.borne
+        } else {
+            guess
+        };
+        let first = if seen > 0.0 {
+            seen.max(least)
+        } else {
+            PAPER_ONSET
+        };
         first * (1.0 + LEVEL_STEP * (level.max(1) - 1) as f64)
     }
 
@@ -41,8 +54,14 @@
         let out = self.out(now);
         if self.load.level + 1 < CUT.len() && out > self.onset(self.load.level + 1) {
             self.load.level += 1;
-            self.log(now, "congested: more attempts outstanding than the onset", actions);
-        } else if self.load.level > 0 && out <= self.onset(self.load.level) * PAPER_ABATEMENT / PAPER_ONSET {
+            self.log(
+                now,
+                "congested: more attempts outstanding than the onset",
+                actions,
+            );
+        } else if self.load.level > 0
+            && out <= self.onset(self.load.level) * PAPER_ABATEMENT / PAPER_ONSET
+        {
             self.load.level -= 1;
         }
     }
@@ -74,11 +93,22 @@
     pub(super) fn loaded(&self, now: Millis) -> f64 {
         let quick = now - self.load.quick <= self.aim;
         let counts = |server: &Backend| {
-            let oldest = server.out.values().fold(now, |oldest, sent| oldest.min(sent.at));
+            let oldest = server
+                .out
+                .values()
+                .fold(now, |oldest, sent| oldest.min(sent.at));
             let hangs = quick && now - oldest.max(server.heard) > self.aim;
-            server.out.values().filter(|sent| !hangs && sent.at >= self.woke).count()
+            server
+                .out
+                .values()
+                .filter(|sent| !hangs && sent.at >= self.woke)
+                .count()
         };
-        self.servers.values().filter(|s| !s.out.is_empty()).map(counts).sum::<usize>() as f64
+        self.servers
+            .values()
+            .filter(|s| !s.out.is_empty())
+            .map(counts)
+            .sum::<usize>() as f64
     }
 
     /// A request arrives: throttle, quota, ceiling, then a server; whatever says no refuses at once.
@@ -88,7 +118,10 @@
             return;
         }
         if class >= self.settings.classes.len() || plan >= self.settings.plans.len() {
-            actions.push(Action::Refuse { request: id, retry_after: 0.0 });
+            actions.push(Action::Refuse {
+                request: id,
+                retry_after: 0.0,
+            });
             return;
         }
         if let Some(ran) = request.ran {
@@ -98,23 +131,54 @@
         let customer = request.customer.0 & gossip::ID_MASK;
         let pause = self.settings.classes[class].aim * AIM_SHARE;
         let throttled = self.load.level > 0 && self.rng.rand_float() < CUT[self.load.level];
-        self.ensure_customer(now, request.customer, request.plan, request.set_first, request.set_size);
-        let waiting = if throttled { None } else { self.quota_wait(now, customer, request.units) };
+        self.ensure_customer(
+            now,
+            request.customer,
+            request.plan,
+            request.set_first,
+            request.set_size,
+        );
+        let waiting = if throttled {
+            None
+        } else {
+            self.quota_wait(now, customer, request.units)
+        };
         let spare = waiting.is_some() && self.may_exceed(now, customer);
-        let refusal = if throttled { Some(pause) } else { waiting.filter(|_| !spare) };
-        let server =
-            if refusal.is_none() { self.choose(now, class, request.units, None, None) } else { None };
+        let refusal = if throttled {
+            Some(pause)
+        } else {
+            waiting.filter(|_| !spare)
+        };
+        let server = if refusal.is_none() {
+            self.choose(now, class, request.units, None, None)
+        } else {
+            None
+        };
         let Some(server) = server else {
             if refusal.is_none() {
-                self.log(now, "no server may take work: none in service, or all cold ones spent", actions);
+                self.log(
+                    now,
+                    "no server may take work: none in service, or all cold ones spent",
+                    actions,
+                );
             }
             let retry_after = refusal.unwrap_or(pause).min(self.settings.max_retry_after);
-            actions.push(Action::Refuse { request: id, retry_after });
+            actions.push(Action::Refuse {
+                request: id,
+                retry_after,
+            });
             return;
         };
         self.take_units(customer, request.units, !spare, actions);
         let deadline = now + request.remaining;
-        let open = Open { request, deadline, attempts: 0, out: None, sent: now, ran: None };
+        let open = Open {
+            request,
+            deadline,
+            attempts: 0,
+            out: None,
+            sent: now,
+            ran: None,
+        };
         self.requests.insert(id, open);
         self.send(now, id, server, actions);
     }
--- a/crates/emberpin-balancer/src/brain/attempts.rs
+++ b/crates/emberpin-balancer/src/brain/attempts.rs
@@ -11,15 +11,37 @@
 impl Gateway {
     /// Takes over what another gateway had sent: where that may have run decides whether and where it goes
     /// again. Its units were taken there, and it is no surge to be throttled; how many come is the host's.
-    pub(super) fn go_on(&mut self, now: Millis, request: Request, ran: Ran, actions: &mut Vec<Action>) {
+    pub(super) fn go_on(
+        &mut self,
+        now: Millis,
+        request: Request,
+        ran: Ran,
+        actions: &mut Vec<Action>,
+    ) {
         let (id, class, units) = (request.id, request.class.0, request.units);
-        self.ensure_customer(now, request.customer, request.plan, request.set_first, request.set_size);
-        if let Some(customer) = self.customers.get_mut(&(request.customer.0 & gossip::ID_MASK)) {
+        self.ensure_customer(
+            now,
+            request.customer,
+            request.plan,
+            request.set_first,
+            request.set_size,
+        );
+        if let Some(customer) = self
+            .customers
+            .get_mut(&(request.customer.0 & gossip::ID_MASK))
+        {
             customer.open += 1;
         }
         let (deadline, at) = (now + request.remaining, now - ran.ago.max(0.0));
         let ran = Some((at, ran.zone, ran.cell));
-        let open = Open { request, deadline, attempts: 0, out: None, sent: at, ran };
+        let open = Open {
+            request,
+            deadline,
+            attempts: 0,
+            out: None,
+            sent: at,
+            ran,
+        };
         // The group drops what begins to run within its window: it may have to wait at its server first.
         let latency = self.latency[class].of(units);
         let begins = now + latency.mean + PATIENCE * 0.5 * latency.deviation;
@@ -32,24 +54,46 @@
     }
 
     /// Sends an attempt. All sends pass here: no second attempt out, none to a server that drains.
-    pub(super) fn send(&mut self, now: Millis, id: RequestId, to: ServerId, actions: &mut Vec<Action>) {
-        let Some(timeout) = self.patience(now, id) else { return };
-        let (Some(open), Some(server)) = (self.requests.get_mut(&id), self.servers.get_mut(&to)) else {
+    pub(super) fn send(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        to: ServerId,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(timeout) = self.patience(now, id) else {
+            return;
+        };
+        let (Some(open), Some(server)) = (self.requests.get_mut(&id), self.servers.get_mut(&to))
+        else {
             return;
         };
-        if open.out.is_some() || server.info.condition != Condition::InService || self.banned.contains(&to) {
+        if open.out.is_some()
+            || server.info.condition != Condition::InService
+            || self.banned.contains(&to)
+        {
             return;
         }
-        let usual = self.latency[open.request.class.0].of(open.request.units).mean;
-        server.out.insert((id, open.attempts), Sent { at: now, usual });
+        let usual = self.latency[open.request.class.0]
+            .of(open.request.units)
+            .mean;
+        server
+            .out
+            .insert((id, open.attempts), Sent { at: now, usual });
         open.attempts += 1;
         open.out = Some(to);
         open.sent = now;
-        actions.push(Action::Send { request: id, server: to, timeout });
+        actions.push(Action::Send {
+            request: id,
+            server: to,
+            timeout,
+        });
         let mut cold = self.cold_budget(now, &self.servers[&to], self.all_cold(now));
         let work = usual / self.usual();
         cold.level -= work;
-        let Some(server) = self.servers.get_mut(&to) else { return };
+        let Some(server) = self.servers.get_mut(&to) else {
+            return;
+        };
         server.cold = cold;
         if self.paired && self.warmth(now, &self.servers[&to].info) < 1.0 {
             actions.push(Action::Share(Spent::Cold { server: to, work }));
@@ -69,23 +113,34 @@
         }
         let latency = self.latency[open.request.class.0].of(open.request.units);
         let repeatable = class.effect != Effect::Unsafe && open.attempts == 0;
-        let usual = (latency.mean + PATIENCE * latency.deviation).max(class.aim - REPEAT * latency.mean);
+        let usual =
+            (latency.mean + PATIENCE * latency.deviation).max(class.aim - REPEAT * latency.mean);
         let in_window = match class.effect {
             Effect::Keyed { window, .. } => usual < window * (1.0 - WINDOW_MARGIN),
             _ => true,
         };
-        let worth_it = self.load.level == 0 && usual + latency.mean < left && self.settings.try_limit > 1;
-        Some(if repeatable && in_window && worth_it { usual } else { left })
+        let worth_it =
+            self.load.level == 0 && usual + latency.mean < left && self.settings.try_limit > 1;
+        Some(if repeatable && in_window && worth_it {
+            usual
+        } else {
+            left
+        })
     }
 
     /// An attempt ended: done, tried elsewhere, or answered.
     pub(super) fn conclude(&mut self, now: Millis, attempt: &Attempt, actions: &mut Vec<Action>) {
         let (id, server) = (attempt.request, attempt.server);
-        let Some(open) = self.requests.get_mut(&id) else { return };
+        let Some(open) = self.requests.get_mut(&id) else {
+            return;
+        };
         open.out = None;
         if let (true, Some(units)) = (self.settings.settles, attempt.units) {
             let more = units - open.request.units;
-            if let Some(customer) = self.customers.get_mut(&(open.request.customer.0 & gossip::ID_MASK)) {
+            if let Some(customer) = self
+                .customers
+                .get_mut(&(open.request.customer.0 & gossip::ID_MASK))
+            {
                 customer.quota.level -= more;
                 customer.own = (customer.own + more).max(0.0);
                 customer.tell = 2;
@@ -96,10 +151,17 @@
             return;
         }
         if !attempt.outcome.never_ran() {
-            let (zone, cell) = self.servers.get(&server).map_or((0, 0), |s| (s.info.zone, s.info.cell));
+            let (zone, cell) = self
+                .servers
+                .get(&server)
+                .map_or((0, 0), |s| (s.info.zone, s.info.cell));
             open.ran.get_or_insert((open.sent, zone, cell));
         }
-        let next = if attempt.repeatable { self.next_server(now, id, server) } else { None };
+        let next = if attempt.repeatable {
+            self.next_server(now, id, server)
+        } else {
+            None
+        };
         match next {
             Some(next) => self.send(now, id, next, actions),
             None => self.give_up(id, actions),
@@ -145,13 +207,23 @@
             (_, Effect::Unsafe) => false,
         };
         let pause = self.latency[open.request.class.0].all.mean; // One usual answer later.
-        let refusal = Action::Refuse { request: id, retry_after: pause.min(self.settings.max_retry_after) };
-        actions.push(if harmless { refusal } else { Action::Fail { request: id } });
+        let refusal = Action::Refuse {
+            request: id,
+            retry_after: pause.min(self.settings.max_retry_after),
+        };
+        actions.push(if harmless {
+            refusal
+        } else {
+            Action::Fail { request: id }
+        });
     }
 
     pub(super) fn finish(&mut self, id: RequestId) -> Option<Open> {
         let open = self.requests.remove(&id)?;
-        if let Some(customer) = self.customers.get_mut(&(open.request.customer.0 & gossip::ID_MASK)) {
+        if let Some(customer) = self
+            .customers
+            .get_mut(&(open.request.customer.0 & gossip::ID_MASK))
+        {
             customer.open = customer.open.saturating_sub(1);
         }
         Some(open)
--- a/crates/emberpin-balancer/src/brain/balancing.rs
+++ b/crates/emberpin-balancer/src/brain/balancing.rs
@@ -46,7 +46,11 @@
             }
             let on_trial = server.strikes >= health::STRIKES && !server.out.is_empty();
             let poor = now < server.ejected_until || on_trial || last == Some(*id);
-            let cost = (poor, self.cost(now, expected, server, all_cold), self.rng.rand_float());
+            let cost = (
+                poor,
+                self.cost(now, expected, server, all_cold),
+                self.rng.rand_float(),
+            );
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, *id));
             }
@@ -72,24 +76,47 @@
         // While congested a cold server takes the whole part that its guard allows. Who is picked for it
         // sends for all who are not: else it gets its few gateways' own small part, and stands idle.
         let warmth = self.warmth(now, &server.info);
-        let picked = if warmth < 1.0 { self.cold_limit(now, server, all_cold).1 } else { f64::INFINITY };
+        let picked = if warmth < 1.0 {
+            self.cold_limit(now, server, all_cold).1
+        } else {
+            f64::INFINITY
+        };
         let stands_for = (f64::from(self.settings.group_size) / picked).max(1.0);
         let warmth = if self.load.level > 0 { 1.0 } else { warmth };
-        let away = if server.info.zone == self.settings.zone { 1.0 } else { self.settings.away };
-        (out + expected / usual + server.queue) * server.ratio * stall * away / (warmth * stands_for)
+        let away = if server.info.zone == self.settings.zone {
+            1.0
+        } else {
+            self.settings.away
+        };
+        (out + expected / usual + server.queue) * server.ratio * stall * away
+            / (warmth * stands_for)
     }
 
     /// Mean latency of what was answered; before any answer, that of the classes.
     pub(super) fn usual(&self) -> Millis {
-        let first = || self.latency.iter().map(|class| class.all.mean).fold(f64::INFINITY, f64::min);
-        if self.load.usual > 0.0 { self.load.usual } else { first() }.max(1.0)
+        let first = || {
+            self.latency
+                .iter()
+                .map(|class| class.all.mean)
+                .fold(f64::INFINITY, f64::min)
+        };
+        if self.load.usual > 0.0 {
+            self.load.usual
+        } else {
+            first()
+        }
+        .max(1.0)
     }
 
     /// Share of its capacity that a server has at least by now.
     pub(super) fn warmth(&self, now: Millis, info: &Server) -> f64 {
         let rules = &self.settings.rules;
         // Guards servers that the people on call restarted: the list may tell of that late, or not at all.
-        let started = info.started.into_iter().chain(self.returned.get(&info.id).copied()).reduce(f64::max);
+        let started = info
+            .started
+            .into_iter()
+            .chain(self.returned.get(&info.id).copied())
+            .reduce(f64::max);
         match started {
             Some(started) if rules.warm_after > 0.0 && now - started < rules.warm_after => {
                 let part = (now - started).max(0.0) / rules.warm_after;
@@ -109,7 +136,11 @@
 
     /// No warm server is there, or was ever seen.
     pub(super) fn all_cold(&self, now: Millis) -> bool {
-        self.load.carry <= 0.0 && self.servers.values().all(|server| self.warmth(now, &server.info) < 1.0)
+        self.load.carry <= 0.0
+            && self
+                .servers
+                .values()
+                .all(|server| self.warmth(now, &server.info) < 1.0)
     }
 
     /// Requests of usual work a second that are held to fell a cold server, and how many gateways may send
@@ -119,7 +150,11 @@
         // Guards a fleet that is all cold, of whose like nothing was ever seen: what runs at all does one
         // usual request after the other, and answers tell how long one takes.
         let alone = server.info.size.min(1.0) * 1000.0 / self.usual() * self.cold_times();
-        let carry = if self.load.carry > 0.0 { self.load.carry * server.info.size } else { alone };
+        let carry = if self.load.carry > 0.0 {
+            self.load.carry * server.info.size
+        } else {
+            alone
+        };
         let rate = rules.fall_multiple * self.warmth(now, &server.info) * carry;
         let limit = rate.max(0.0) * rules.fall_time / 1000.0;
         let picked = match all_cold {
@@ -127,7 +162,13 @@
             false => (COLD_GATEWAYS * limit).max(COLD_FEW.min(limit / COLD_FEW)),
         };
         // No more than there are: what would be set aside for others yet would be nobody's.
-        (rate.max(0.0), picked.max(1.0).floor().min(f64::from(self.settings.group_size.max(1))))
+        (
+            rate.max(0.0),
+            picked
+                .max(1.0)
+                .floor()
+                .min(f64::from(self.settings.group_size.max(1))),
+        )
     }
 
     /// Guards a fleet that is all cold from being held for good to one request after the other: that is
@@ -160,7 +201,8 @@
         // long as it takes to fell one, and share the rate over all turns. Golden steps deal turns out
         // evenly, and alike at all that know the same servers, whatever each has learnt.
         let (mine, shared_by) = if all_cold && picked < all {
-            let turn = (now / self.settings.rules.fall_time).floor() + f64::from(self.settings.me.0);
+            let turn =
+                (now / self.settings.rules.fall_time).floor() + f64::from(self.settings.me.0);
             ((turn * GOLDEN + server.turn).fract() < picked / all, all)
         } else {
             (f64::from(server.rank) < picked, picked)
@@ -176,6 +218,8 @@
         let life = u64::from(server.id.0) << 32 ^ server.started.unwrap_or(0.0).to_bits();
         let score = |gateway: u32| (mix(life ^ mix(u64::from(gateway))), gateway);
         let mine = score(self.settings.me.0);
-        (0..self.settings.group_size).filter(|other| score(*other) < mine).count() as u32
+        (0..self.settings.group_size)
+            .filter(|other| score(*other) < mine)
+            .count() as u32
     }
 }
--- a/crates/emberpin-balancer/src/brain/mod.rs
+++ b/crates/emberpin-balancer/src/brain/mod.rs
@@ -84,7 +84,10 @@
 impl Gateway {
     /// A gateway that starts now and knows only its settings.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Gateway {
-        let latency = settings.classes.iter().map(|c| Latency { mean: c.aim * 0.25, deviation: c.aim * 0.1 });
+        let latency = settings.classes.iter().map(|c| Latency {
+            mean: c.aim * 0.25,
+            deviation: c.aim * 0.1,
+        });
         Gateway {
             rng: oorandom::Rand64::new(u128::from(seed)),
             born: now,
@@ -102,10 +105,21 @@
             news: BTreeSet::new(),
             kept: BTreeSet::new(),
             advice: BTreeMap::new(),
-            mail: Bucket { level: 0.0, at: now },
+            mail: Bucket {
+                level: 0.0,
+                at: now,
+            },
             latency: latency.map(Latencies::new).collect(),
-            load: Load { warm_share: 1.0, cold_told: now - 2.0 * balancing::COLD_NEWS, ..Load::default() },
-            aim: settings.classes.iter().map(|c| c.aim).fold(f64::INFINITY, f64::min),
+            load: Load {
+                warm_share: 1.0,
+                cold_told: now - 2.0 * balancing::COLD_NEWS,
+                ..Load::default()
+            },
+            aim: settings
+                .classes
+                .iter()
+                .map(|c| c.aim)
+                .fold(f64::INFINITY, f64::min),
             heard: f64::NEG_INFINITY,
             joined: f64::NEG_INFINITY,
             retries: (RETRY_FLEET / f64::from(settings.group_size.max(1))).clamp(1.0, RETRY_BURST),
@@ -117,7 +131,10 @@
 
     /// How many servers rest now, ejected for their failures.
     pub fn resting(&self, now: Millis) -> u32 {
-        self.servers.values().map(|server| u32::from(now < server.ejected_until)).sum()
+        self.servers
+            .values()
+            .map(|server| u32::from(now < server.ejected_until))
+            .sum()
     }
 
     /// Whether a server is out of service by hand.
@@ -127,12 +144,17 @@
 
     /// The zone and cell of a server.
     pub fn place(&self, server: ServerId) -> Option<(usize, u32)> {
-        self.servers.get(&server).map(|server| (server.info.zone, server.info.cell))
+        self.servers
+            .get(&server)
+            .map(|server| (server.info.zone, server.info.cell))
     }
 
     /// How many servers the list names, and how many of them get nothing now: by hand, or by choice.
     pub fn pool(&self, now: Millis) -> (usize, usize) {
-        let listed = self.servers.values().filter(|server| server.info.condition != Condition::Gone);
+        let listed = self
+            .servers
+            .values()
+            .filter(|server| server.info.condition != Condition::Gone);
         let avoided = |s: &&Backend| now < s.ejected_until || self.banned.contains(&s.info.id);
         (listed.clone().count(), listed.filter(avoided).count())
     }
@@ -142,7 +164,10 @@
         match self.seen.replace(now) {
             Some(seen) => self.notice_gap(now, now - seen),
             None => {
-                actions.push(Action::Schedule { delay: self.period(), token: TICK_TOKEN });
+                actions.push(Action::Schedule {
+                    delay: self.period(),
+                    token: TICK_TOKEN,
+                });
                 if self.settings.ask_for_servers {
                     actions.push(Action::WatchServers { on: true });
                 }
@@ -157,8 +182,13 @@
             Event::Streaming { request } => drop(self.finish(request)),
             Event::Abandoned { request } => {
                 // Nobody waits for it any more: spares the server work that clients repeat elsewhere.
-                let open = self.finish(request).filter(|o| o.out.is_some() && self.settings.cancel);
-                actions.extend(open.map(|o| Action::Cancel { request, attempt: o.attempts - 1 }));
+                let open = self
+                    .finish(request)
+                    .filter(|o| o.out.is_some() && self.settings.cancel);
+                actions.extend(open.map(|o| Action::Cancel {
+                    request,
+                    attempt: o.attempts - 1,
+                }));
             }
             Event::Timer { token: TICK_TOKEN } => self.tick(now, actions),
             Event::Membership(news) => self.membership(now, news),
--- a/crates/emberpin-balancer/src/brain/peers.rs
+++ b/crates/emberpin-balancer/src/brain/peers.rs
@@ -38,7 +38,10 @@
     }
 
     pub(super) fn tick(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        actions.push(Action::Schedule { delay: self.period(), token: TICK_TOKEN });
+        actions.push(Action::Schedule {
+            delay: self.period(),
+            token: TICK_TOKEN,
+        });
         let span = (now - self.ticked).max(1.0);
         self.ticked = now;
         let gain = (span / RATE_TIME.min(now - self.born)).clamp(0.0, 1.0);
@@ -60,8 +63,11 @@
             let rise = (carry - self.load.carry).min(self.load.carry.max(1.0)) * span / CARRY_TIME;
             let young = now - self.born < PEAK_TIME;
             let fall = self.load.carry * (1.0 - span / CARRY_TIME).max(0.0);
-            self.load.carry =
-                if young { carry } else { carry.min(self.load.carry + rise.max(0.0)).max(fall) };
+            self.load.carry = if young {
+                carry
+            } else {
+                carry.min(self.load.carry + rise.max(0.0)).max(fall)
+            };
         }
         self.learn_cold_times(now, span);
         if !self.tells_all() && !self.alone(now) {
@@ -80,7 +86,9 @@
         self.returned.retain(|_, at| now - *at < warm_after);
         self.kept.retain(|id| self.customers.contains_key(id));
         self.news.retain(|id| self.customers.contains_key(id));
-        self.advice.retain(|id, (_, at)| now - *at < quotas::ADVICE_LIFE || self.customers.contains_key(id));
+        self.advice.retain(|id, (_, at)| {
+            now - *at < quotas::ADVICE_LIFE || self.customers.contains_key(id)
+        });
     }
 
     /// Tells news of customers to those that keep their stores, what is most untold for its plan first.
@@ -108,20 +116,38 @@
             let customer = &self.customers[id];
             let pressed = self.advice.get(id).is_some_and(|(chance, _)| *chance < 1.0);
             if all || now - customer.told_at >= if pressed { GATHER_PRESSED } else { GATHER } {
-                order.push((customer.asked / self.settings.plans[customer.plan].burst.max(1.0), *id));
+                order.push((
+                    customer.asked / self.settings.plans[customer.plan].burst.max(1.0),
+                    *id,
+                ));
             }
         }
         order.sort_by(|a, b| b.0.total_cmp(&a.0));
         for (_, id) in order {
-            let Some(customer) = self.customers.get_mut(&id) else { continue };
-            let fresh = customer.keepers.iter().filter(|peer| !mail.contains_key(peer)).count() as f64;
+            let Some(customer) = self.customers.get_mut(&id) else {
+                continue;
+            };
+            let fresh = customer
+                .keepers
+                .iter()
+                .filter(|peer| !mail.contains_key(peer))
+                .count() as f64;
             if fresh > room {
                 continue;
             }
             room -= fresh;
             let entry = customer.count(id);
-            let write = |peer: &u32| mail.entry(*peer).or_insert_with(|| header.clone()).push(entry);
-            let unfit = customer.keepers.iter().map(write).filter(|fits| !fits).count();
+            let write = |peer: &u32| {
+                mail.entry(*peer)
+                    .or_insert_with(|| header.clone())
+                    .push(entry)
+            };
+            let unfit = customer
+                .keepers
+                .iter()
+                .map(write)
+                .filter(|fits| !fits)
+                .count();
             if customer.kept() {
                 customer.tell = 1;
             }
@@ -135,7 +161,9 @@
         }
         let every = 1000.0 / (self.settings.mail_per_s * quotas::ADVICE_SHARE);
         for id in &self.kept {
-            let Some(customer) = self.customers.get_mut(id) else { continue };
+            let Some(customer) = self.customers.get_mut(id) else {
+                continue;
+            };
             let chance = customer.chance(now, &self.settings.plans[customer.plan]);
             if chance < 1.0 {
                 // When the pressure ends, each member is told once more.
@@ -150,20 +178,28 @@
                     customer.advised += every;
                     room -= f64::from(u8::from(!mail.contains_key(&peer)));
                     let message = mail.entry(peer).or_insert_with(|| header.clone());
-                    message.push(Entry::Advice { customer: *id, chance });
+                    message.push(Entry::Advice {
+                        customer: *id,
+                        chance,
+                    });
                 }
             }
         }
         self.mail.level = room;
         for (peer, message) in mail {
-            actions.push(Action::Tell { to: Some(GatewayId(peer)), bytes: message.finish() });
+            actions.push(Action::Tell {
+                to: Some(GatewayId(peer)),
+                bytes: message.finish(),
+            });
         }
     }
 
     /// Takes a peer's message. An older life is ignored, and a new one starts from nothing, so a
     /// restart is no refund.
     pub(super) fn hear(&mut self, now: Millis, from: GatewayId, bytes: &[u8]) {
-        let Some(message) = gossip::read(bytes) else { return };
+        let Some(message) = gossip::read(bytes) else {
+            return;
+        };
         if from == self.settings.me || from.0 >= self.settings.group_size {
             return;
         }
@@ -174,7 +210,9 @@
         }
         if told > life && message.life != life as u32 {
             self.peers.insert(from.0, told);
-            self.customers.values_mut().for_each(|customer| _ = customer.told.remove(&from.0));
+            self.customers
+                .values_mut()
+                .for_each(|customer| _ = customer.told.remove(&from.0));
         }
         let most = JOINT_MESSAGES.min(f64::from(self.settings.group_size));
         let gain = if self.alone(now) { 1.0 } else { 1.0 / most };
@@ -187,7 +225,14 @@
         self.see_start();
         for entry in message.entries {
             match entry {
-                Entry::Count { customer, plan, first, size, units, asked } => {
+                Entry::Count {
+                    customer,
+                    plan,
+                    first,
+                    size,
+                    units,
+                    asked,
+                } => {
                     // A keeper may never be asked for a customer itself.
                     if !self.tells_all() && plan < self.settings.plans.len() {
                         let id = CustomerId(customer);
@@ -195,7 +240,9 @@
                     }
                     self.take_count(now, from.0, customer, units, asked);
                 }
-                Entry::Advice { customer, chance } => drop(self.advice.insert(customer, (chance, now))),
+                Entry::Advice { customer, chance } => {
+                    self.advice.insert(customer, (chance, now));
+                }
             }
         }
     }
@@ -210,7 +257,10 @@
         }
         self.first = true;
         for customer in self.customers.values_mut() {
-            let (plan, set) = (&self.settings.plans[customer.plan], f64::from(customer.set.1));
+            let (plan, set) = (
+                &self.settings.plans[customer.plan],
+                f64::from(customer.set.1),
+            );
             customer.quota.level += plan.burst * (1.0 - 1.0 / set);
             customer.ceiling.level += plan.ceiling_burst / set;
         }
@@ -220,7 +270,9 @@
     fn take_count(&mut self, now: Millis, from: u32, id: u64, units: f64, asked: f64) {
         // Counts of a life older than ours hold use from before our time: only what comes on top counts.
         let older = self.peers[&from] as f64 + COMMON_START < self.life as f64;
-        let Some(customer) = self.customers.get_mut(&id) else { return };
+        let Some(customer) = self.customers.get_mut(&id) else {
+            return;
+        };
         let plan = &self.settings.plans[customer.plan];
         if customer.kept() && !customer.keeper {
             return;
--- a/crates/emberpin-balancer/src/brain/quotas.rs
+++ b/crates/emberpin-balancer/src/brain/quotas.rs
@@ -71,17 +71,28 @@
         // the burst is split over the set until counts arrive. Who keeps no store guards the whole.
         let settled = (now - self.born) * plan.rate / 1000.0 >= plan.burst && !self.alone(now);
         let whole = self.first || settled || (kept && !keeper);
-        let level = if whole { plan.burst } else { plan.burst / f64::from(set.1) };
+        let level = if whole {
+            plan.burst
+        } else {
+            plan.burst / f64::from(set.1)
+        };
         // Ceiling guard: a fresh life may follow one that had spent the share, so the share fills
         // from the moment of birth, unless the whole group was seen to start.
-        let share = if self.first { plan.ceiling_burst / f64::from(set.1) } else { 0.0 };
+        let share = if self.first {
+            plan.ceiling_burst / f64::from(set.1)
+        } else {
+            0.0
+        };
         let customer = Customer {
             plan: number,
             set,
             keepers,
             keeper,
             quota: Bucket { level, at: now },
-            ceiling: Bucket { level: share, at: self.born },
+            ceiling: Bucket {
+                level: share,
+                at: self.born,
+            },
             told_at: f64::NEG_INFINITY,
             since: self.born,
             advised: f64::NEG_INFINITY,
@@ -116,12 +127,19 @@
             // gets no more than that part. Not where a keeper advises, whose last advice stands.
             let apart = alone && !customer.kept();
             let rate = if apart { plan.rate / set } else { plan.rate };
-            let span = (now - customer.quota.at).max(0.0).min(if apart { now - self.heard } else { 0.0 });
+            let span =
+                (now - customer.quota.at)
+                    .max(0.0)
+                    .min(if apart { now - self.heard } else { 0.0 });
             customer.withheld += (plan.rate - rate) * span / 1000.0;
             let level = customer.quota.fill(now, rate, plan.burst);
             customer.ask(now, units);
             let keeps = customer.kept() && customer.keeper;
-            let chance = if keeps { customer.chance(now, plan) } else { advice };
+            let chance = if keeps {
+                customer.chance(now, plan)
+            } else {
+                advice
+            };
             if roll >= chance || (!keeps && level < units) {
                 wait = (units - level).max(units) * 1000.0 / plan.rate;
             }
@@ -141,19 +159,34 @@
     /// earns more than it costs and has no ceiling, it is let in while less is out than a quiet
     /// gateway has. Harm: it loads servers that a sudden surge inside the quotas then finds busier.
     pub(super) fn may_exceed(&self, now: Millis, customer: u64) -> bool {
-        let Some(customer) = self.customers.get(&customer) else { return false };
+        let Some(customer) = self.customers.get(&customer) else {
+            return false;
+        };
         let plan = &self.settings.plans[customer.plan];
         let quiet = self.load.level == 0 && self.out(now) < self.onset(1) * SPARE_SHARE;
         quiet && plan.over_worth > plan.over_cost && plan.ceiling_rate <= 0.0 && plan.open <= 0.0
     }
 
-    pub(super) fn take_units(&mut self, id: u64, units: f64, inside: bool, actions: &mut Vec<Action>) {
-        let Some(customer) = self.customers.get_mut(&id) else { return };
+    pub(super) fn take_units(
+        &mut self,
+        id: u64,
+        units: f64,
+        inside: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(customer) = self.customers.get_mut(&id) else {
+            return;
+        };
         customer.open += 1;
         if inside {
             customer.spend(&self.settings.plans[customer.plan], units);
             let (plan, set) = (customer.plan, customer.set);
-            let spent = Spent::Units { customer: id, plan, set, units };
+            let spent = Spent::Units {
+                customer: id,
+                plan,
+                set,
+                units,
+            };
             actions.extend(self.paired.then_some(Action::Share(spent)));
         }
     }
@@ -162,13 +195,28 @@
     /// servers may get hold for both together, later than at once by the time that telling takes.
     pub(super) fn share(&mut self, now: Millis, spent: Spent) {
         match spent {
-            Spent::Units { customer, plan, set, units } if plan < self.settings.plans.len() => {
-                self.ensure_customer(now, CustomerId(customer), PlanId(plan), GatewayId(set.0), set.1);
-                let Some(known) = self.customers.get_mut(&customer) else { return };
+            Spent::Units {
+                customer,
+                plan,
+                set,
+                units,
+            } if plan < self.settings.plans.len() => {
+                self.ensure_customer(
+                    now,
+                    CustomerId(customer),
+                    PlanId(plan),
+                    GatewayId(set.0),
+                    set.1,
+                );
+                let Some(known) = self.customers.get_mut(&customer) else {
+                    return;
+                };
                 let plan = &self.settings.plans[known.plan];
                 known.quota.fill(now, plan.rate, plan.burst);
                 let set = f64::from(known.set.1);
-                known.ceiling.fill(now, plan.ceiling_rate / set, plan.ceiling_burst / set);
+                known
+                    .ceiling
+                    .fill(now, plan.ceiling_rate / set, plan.ceiling_burst / set);
                 known.spend(plan, units);
                 known.ask(now, units);
                 known.tell = 2;
@@ -182,7 +230,10 @@
                     return;
                 };
                 if let Some(server) = self.servers.get_mut(&id) {
-                    server.cold = Bucket { level: budget.level - work, ..budget };
+                    server.cold = Bucket {
+                        level: budget.level - work,
+                        ..budget
+                    };
                 }
             }
         }
--- a/crates/emberpin-balancer/src/gossip.rs
+++ b/crates/emberpin-balancer/src/gossip.rs
@@ -62,7 +62,9 @@
 /// clock that all share. Guards against lives that saturate and look alike after a restart.
 pub fn whole_life(low: u32, now: f64) -> u64 {
     let latest = now.max(0.0) as u64 + MAX_AHEAD;
-    latest.checked_sub(u64::from((latest as u32).wrapping_sub(low))).unwrap_or(u64::from(low))
+    latest
+        .checked_sub(u64::from((latest as u32).wrapping_sub(low)))
+        .unwrap_or(u64::from(low))
 }
 
 /// Builds one message within [`MAX_BYTES`].
@@ -84,10 +86,22 @@
         let mut bytes = Vec::with_capacity(24);
         let id = |customer: u64| (customer as u32).to_be_bytes();
         match entry {
-            Entry::Count { customer, plan, first, size, units, asked } => {
+            Entry::Count {
+                customer,
+                plan,
+                first,
+                size,
+                units,
+                asked,
+            } => {
                 bytes.push(plan.min(usize::from(ADVICE) - 1) as u8);
                 bytes.extend_from_slice(&id(customer));
-                for value in [f64::from(first), f64::from(size), units * SCALE, asked * SCALE] {
+                for value in [
+                    f64::from(first),
+                    f64::from(size),
+                    units * SCALE,
+                    asked * SCALE,
+                ] {
                     write_number(&mut bytes, value);
                 }
             }
@@ -135,17 +149,32 @@
         entries.push(if *tag == ADVICE {
             let (chance, after) = rest.split_first()?;
             rest = after;
-            Entry::Advice { customer, chance: f64::from(*chance) / 255.0 }
+            Entry::Advice {
+                customer,
+                chance: f64::from(*chance) / 255.0,
+            }
         } else if *tag < ADVICE {
             let mut number = || read_number(&mut rest);
             let (first, size) = (number()?.min(1 << 31) as u32, number()?.min(1 << 31) as u32);
             let (units, asked) = (number()? as f64 / SCALE, number()? as f64 / SCALE);
-            Entry::Count { customer, plan: usize::from(*tag), first, size, units, asked }
+            Entry::Count {
+                customer,
+                plan: usize::from(*tag),
+                first,
+                size,
+                units,
+                asked,
+            }
         } else {
             return None;
         });
     }
-    Some(Message { life, out, rate, entries })
+    Some(Message {
+        life,
+        out,
+        rate,
+        entries,
+    })
 }
 
 /// Seven bits a byte, the lowest first; at most six bytes.
--- a/crates/emberpin-balancer/src/handover.rs
+++ b/crates/emberpin-balancer/src/handover.rs
@@ -73,11 +73,31 @@
     /// Whether its figures can be gone on with: none of them is no number, and every plan is there.
     fn is_sound(&self) -> bool {
         let sound = |c: &Customer| {
-            let figures = [c.quota.level, c.ceiling.level, c.own, c.asked, c.withheld, c.demand];
-            c.plan < self.shape.plans.len() && c.set.1 >= 1 && figures.iter().all(|figure| figure.is_finite())
+            let figures = [
+                c.quota.level,
+                c.ceiling.level,
+                c.own,
+                c.asked,
+                c.withheld,
+                c.demand,
+            ];
+            c.plan < self.shape.plans.len()
+                && c.set.1 >= 1
+                && figures.iter().all(|figure| figure.is_finite())
         };
-        let load = [self.load.rate, self.load.peak, self.load.carry, self.load.out, self.aim, self.retries];
-        let cold = [self.load.cold_waits, self.load.cold_told, self.load.cold_times];
+        let load = [
+            self.load.rate,
+            self.load.peak,
+            self.load.carry,
+            self.load.out,
+            self.aim,
+            self.retries,
+        ];
+        let cold = [
+            self.load.cold_waits,
+            self.load.cold_told,
+            self.load.cold_times,
+        ];
         self.customers.values().all(sound)
             && load.iter().chain(&cold).all(|figure| figure.is_finite())
             && self.latency.len() == self.shape.classes
@@ -104,7 +124,11 @@
             returned: self.returned.clone(),
             born: self.born,
             life: self.life,
-            servers: self.servers.iter().map(|(id, server)| (*id, seen(server))).collect(),
+            servers: self
+                .servers
+                .iter()
+                .map(|(id, server)| (*id, seen(server)))
+                .collect(),
             customers: self.customers.clone(),
             peers: self.peers.clone(),
             first: self.first,
@@ -151,16 +175,27 @@
             gateway.retries = given.retries;
             gateway.customers = given.customers;
             // Their attempts are the other process's.
-            gateway.customers.values_mut().for_each(|customer| customer.open = 0);
+            gateway
+                .customers
+                .values_mut()
+                .for_each(|customer| customer.open = 0);
             gateway.news.retain(|id| gateway.customers.contains_key(id));
             gateway.kept.retain(|id| gateway.customers.contains_key(id));
         }
-        gateway.handle(now, Event::Membership(Membership::Full(listed)), &mut Vec::new());
+        gateway.handle(
+            now,
+            Event::Membership(Membership::Full(listed)),
+            &mut Vec::new(),
+        );
         // The first event asks for the timer; the next one is to ask again, when its actions are carried out.
         gateway.seen = None;
         if fits {
             for (id, server) in &mut gateway.servers {
-                let Some(seen) = given.servers.get(id).filter(|s| s.started == server.info.started) else {
+                let Some(seen) = given
+                    .servers
+                    .get(id)
+                    .filter(|s| s.started == server.info.started)
+                else {
                     continue;
                 };
                 server.ratio = seen.ratio;
--- a/crates/emberpin-balancer/src/interface.rs
+++ b/crates/emberpin-balancer/src/interface.rs
@@ -207,7 +207,9 @@
         match self {
             Outcome::Ok => Some(0.0),
             Outcome::Full => Some(0.5),
-            Outcome::Error | Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => Some(1.0),
+            Outcome::Error | Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => {
+                Some(1.0)
+            }
             Outcome::Cancelled | Outcome::Moot => None,
         }
     }
--- a/crates/emberpin-balancer/src/settings.rs
+++ b/crates/emberpin-balancer/src/settings.rs
@@ -42,7 +42,8 @@
 
     /// The classes' names, each at its index.
     pub fn class_names(&self) -> Vec<String> {
-        let mut names: Vec<(usize, &String)> = self.classes.iter().map(|(name, at)| (*at, name)).collect();
+        let mut names: Vec<(usize, &String)> =
+            self.classes.iter().map(|(name, at)| (*at, name)).collect();
         names.sort();
         names.into_iter().map(|(_, name)| name.clone()).collect()
     }
@@ -56,8 +57,15 @@
     pub fn server(&self, line: Listed) -> Result<Server, String> {
         Ok(Server {
             id: line.id,
-            zone: *self.zones.get(line.zone).ok_or_else(|| format!("unknown zone '{}'", line.zone))?,
-            kind: line.kind.and_then(|kind| self.kinds.get(kind)).copied().unwrap_or(0),
+            zone: *self
+                .zones
+                .get(line.zone)
+                .ok_or_else(|| format!("unknown zone '{}'", line.zone))?,
+            kind: line
+                .kind
+                .and_then(|kind| self.kinds.get(kind))
+                .copied()
+                .unwrap_or(0),
             cell: line.cell.unwrap_or(0),
             size: line.size.unwrap_or(1.0),
             started: line.started,
@@ -90,8 +98,9 @@
 
 /// FNV-1a, folded to the part that travels in gossip: the same at every gateway, whatever the machine.
 pub fn stable_hash(name: &str) -> u64 {
-    let whole =
-        name.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3));
+    let whole = name.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
+    });
     (whole ^ whole >> 40) & gossip::ID_MASK
 }
 
@@ -210,7 +219,10 @@
     /// What the decisions are told, and the names of the indices in it.
     pub fn translate(&self) -> Result<(Settings, Names), String> {
         fn index<'a>(names: impl Iterator<Item = &'a String>) -> BTreeMap<String, usize> {
-            names.enumerate().map(|(i, name)| (name.clone(), i)).collect()
+            names
+                .enumerate()
+                .map(|(i, name)| (name.clone(), i))
+                .collect()
         }
         let names = Names {
             classes: index(self.profiles.iter().map(|p| &p.name)),
@@ -218,7 +230,10 @@
             zones: index(self.failure_domains.iter()),
             kinds: index(self.kinds.iter()),
         };
-        let zone = *names.zones.get(&self.zone).ok_or_else(|| format!("unknown zone '{}'", self.zone))?;
+        let zone = *names
+            .zones
+            .get(&self.zone)
+            .ok_or_else(|| format!("unknown zone '{}'", self.zone))?;
         Ok((settings(self, zone), names))
     }
 
@@ -281,8 +296,16 @@
         },
         try_limit: conf.bounds.try_limit,
         second_copies: conf.bounds.second_copies,
-        max_retry_after: if conf.bounds.retry_after { conf.bounds.max_retry_after_ms } else { 0.0 },
-        mail_per_s: if conf.bounds.may_tell { conf.family_info.mail_per_s } else { 0.0 },
+        max_retry_after: if conf.bounds.retry_after {
+            conf.bounds.max_retry_after_ms
+        } else {
+            0.0
+        },
+        mail_per_s: if conf.bounds.may_tell {
+            conf.family_info.mail_per_s
+        } else {
+            0.0
+        },
         ask_for_servers: conf.membership_mode == "ask",
         cancel: conf.bounds.cancel,
         probes: conf.bounds.probes,
--- a/crates/emberpin-balancer/src/state.rs
+++ b/crates/emberpin-balancer/src/state.rs
@@ -62,7 +62,14 @@
 
     pub fn count(&self, id: u64) -> Entry {
         let (first, size) = self.set;
-        Entry::Count { customer: id, plan: self.plan, first, size, units: self.own, asked: self.asked }
+        Entry::Count {
+            customer: id,
+            plan: self.plan,
+            first,
+            size,
+            units: self.own,
+            asked: self.asked,
+        }
     }
 }
 
@@ -107,7 +114,10 @@
             faults: 0.0,
             ejected_until: now,
             ejection: 0.0,
-            cold: Bucket { level: 0.0, at: now },
+            cold: Bucket {
+                level: 0.0,
+                at: now,
+            },
             rank: 0,
             turn: 0.0,
         }
@@ -197,7 +207,11 @@
 
 impl Latencies {
     pub fn new(first: Latency) -> Latencies {
-        Latencies { all: first, seen: 0.0, sizes: [(0.0, first); SIZES] }
+        Latencies {
+            all: first,
+            seen: 0.0,
+            sizes: [(0.0, first); SIZES],
+        }
     }
 
     fn size(units: f64) -> usize {
@@ -209,7 +223,10 @@
         let (seen, own) = self.sizes[Latencies::size(units)];
         let weight = seen / (seen + FEW);
         let mix = |all: Millis, own: Millis| all + (own - all) * weight;
-        Latency { mean: mix(self.all.mean, own.mean), deviation: mix(self.all.deviation, own.deviation) }
+        Latency {
+            mean: mix(self.all.mean, own.mean),
+            deviation: mix(self.all.deviation, own.deviation),
+        }
     }
 
     /// Takes an answer in; the newest counts for this part.
--- a/crates/emberpin-bench/src/bare.rs
+++ b/crates/emberpin-bench/src/bare.rs
@@ -62,12 +62,22 @@
 /// What keeps it from starting, in one line.
 pub fn run() -> Result<(), String> {
     let settings = Settings::from_env()?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, async move {
         let listener = listen(settings.listen).map_err(|e| format!("{}: {e}", settings.listen))?;
-        let idle = settings.servers.iter().map(|_| RefCell::default()).collect();
-        let proxy = Rc::new(Proxy { servers: settings.servers, idle, next: Cell::new(0) });
+        let idle = settings
+            .servers
+            .iter()
+            .map(|_| RefCell::default())
+            .collect();
+        let proxy = Rc::new(Proxy {
+            servers: settings.servers,
+            idle,
+            next: Cell::new(0),
+        });
         while let Ok((stream, _)) = listener.accept().await {
             _ = stream.set_nodelay(true);
             let proxy = proxy.clone();
@@ -76,7 +86,9 @@
                     let proxy = proxy.clone();
                     async move { Ok::<_, Infallible>(proxy.respond(request).await) }
                 });
-                _ = server::Builder::new().serve_connection(TokioIo::new(stream), service).await;
+                _ = server::Builder::new()
+                    .serve_connection(TokioIo::new(stream), service)
+                    .await;
             });
         }
         Err("no more clients".into())
