--- a/crates/emberpin-config/src/checkpoint.rs
+++ b/crates/emberpin-config/src/checkpoint.rs
@@ -28,7 +28,10 @@
 impl Checkpoint {
     /// Its name; there is one.
     pub fn key() -> Key {
-        Key { kind: Kind::Checkpoint, name: String::new() }
+        Key {
+            kind: Kind::Checkpoint,
+            name: String::new(),
+        }
     }
 
     /// No version above it was removed; `None`, if none was at all.
@@ -50,20 +53,41 @@
     /// The checkpoint that is due once there are more tombstones than `most`.
     pub fn due(configuration: &Configuration, most: usize) -> Option<Item> {
         let tombstones = configuration.tombstones();
-        let beyond = tombstones.len().checked_sub(most).filter(|beyond| *beyond > 0)?;
+        let beyond = tombstones
+            .len()
+            .checked_sub(most)
+            .filter(|beyond| *beyond > 0)?;
         let (highest, _) = tombstones.iter().nth(beyond - 1 + most / PART)?;
         let floor = configuration.checkpoint().floor().max(Some(*highest));
-        let live = configuration.live().filter(|item| item.key.can_be_dropped() && Some(item.ver) <= floor);
+        let live = configuration
+            .live()
+            .filter(|item| item.key.can_be_dropped() && Some(item.ver) <= floor);
         let live = live.map(|item| (item.key.clone(), item.ver)).collect();
-        let histories = configuration.iter().filter(|item| item.key.kind == Kind::History);
-        let histories = histories.map(|item| item.ver).fold(configuration.checkpoint().histories, u64::max);
-        let former = configuration.get(&Checkpoint::key()).map_or(0, |item| item.ver);
-        Some(Checkpoint { floor, histories, live }.to_item(former + 1))
+        let histories = configuration
+            .iter()
+            .filter(|item| item.key.kind == Kind::History);
+        let histories = histories
+            .map(|item| item.ver)
+            .fold(configuration.checkpoint().histories, u64::max);
+        let former = configuration
+            .get(&Checkpoint::key())
+            .map_or(0, |item| item.ver);
+        Some(
+            Checkpoint {
+                floor,
+                histories,
+                live,
+            }
+            .to_item(former + 1),
+        )
     }
 
     /// Reads it from an item; the stores alone write it. One that can't be read removes nothing.
     pub fn from_item(item: &Item) -> Checkpoint {
-        item.body.as_deref().and_then(Checkpoint::parse).unwrap_or_default()
+        item.body
+            .as_deref()
+            .and_then(Checkpoint::parse)
+            .unwrap_or_default()
     }
 
     fn parse(body: &str) -> Option<Checkpoint> {
@@ -78,23 +102,42 @@
                 _ => return None,
             };
             let ver = fields.next()?.parse().ok()?;
-            live.insert(Key { kind, name: decode(fields.next()?)? }, ver);
+            live.insert(
+                Key {
+                    kind,
+                    name: decode(fields.next()?)?,
+                },
+                ver,
+            );
         }
-        Some(Checkpoint { floor: Some(floor.parse().ok()?), histories: histories.parse().ok()?, live })
+        Some(Checkpoint {
+            floor: Some(floor.parse().ok()?),
+            histories: histories.parse().ok()?,
+            live,
+        })
     }
 
     fn to_item(&self, ver: u64) -> Item {
         let mut body = format!("{} {}", self.floor.unwrap_or_default(), self.histories);
         for (key, ver) in &self.live {
             let kind = if key.kind == Kind::Service { 's' } else { 'r' };
-            body.push_str(&format!("\n{kind} {ver} {}", jzon::stringify(key.name.as_str())));
+            body.push_str(&format!(
+                "\n{kind} {ver} {}",
+                jzon::stringify(key.name.as_str())
+            ));
+        }
+        Item {
+            key: Checkpoint::key(),
+            ver,
+            body: Some(body),
         }
-        Item { key: Checkpoint::key(), ver, body: Some(body) }
     }
 }
 
 /// The version that a history gets which follows on this one, or begins.
 pub(crate) fn next_history_version(configuration: &Configuration, subject: &Key) -> u64 {
-    let held = configuration.get(&History::key(subject)).map_or(0, |item| item.ver);
+    let held = configuration
+        .get(&History::key(subject))
+        .map_or(0, |item| item.ver);
     held.max(configuration.checkpoint().histories()) + 1
 }
--- a/crates/emberpin-config/src/configuration.rs
+++ b/crates/emberpin-config/src/configuration.rs
@@ -38,7 +38,11 @@
 
     /// As [`Configuration::merge`]; also returns the items that a new checkpoint removes.
     pub fn merge_and_remove(&mut self, item: Item) -> (bool, Vec<Item>) {
-        if self.get(&item.key).is_some_and(|known| known.ver >= item.ver) || !self.admits(&item) {
+        if self
+            .get(&item.key)
+            .is_some_and(|known| known.ver >= item.ver)
+            || !self.admits(&item)
+        {
             return (false, Vec::new());
         }
         let checkpoint = (item.key.kind == Kind::Checkpoint).then(|| Checkpoint::from_item(&item));
@@ -58,7 +62,10 @@
         }
         if item.key.kind == Kind::Route {
             match item.body {
-                Some(_) => drop(self.routes.insert(item.key.name.clone(), Route::from_item(&item))),
+                Some(_) => drop(
+                    self.routes
+                        .insert(item.key.name.clone(), Route::from_item(&item)),
+                ),
                 None => drop(self.routes.remove(&item.key.name)),
             }
         }
@@ -98,9 +105,14 @@
 
     /// A copy of all that decides whether the whole is valid; histories are the larger part of many changes.
     pub(crate) fn without_histories(&self) -> Configuration {
-        let items = self.items.iter().filter(|(key, _)| key.kind != Kind::History);
+        let items = self
+            .items
+            .iter()
+            .filter(|(key, _)| key.kind != Kind::History);
         Configuration {
-            items: items.map(|(key, item)| (key.clone(), item.clone())).collect(),
+            items: items
+                .map(|(key, item)| (key.clone(), item.clone()))
+                .collect(),
             routes: self.routes.clone(),
             dropped: self.dropped.clone(),
             checkpoint: self.checkpoint.clone(),
@@ -149,7 +161,10 @@
 
     /// Whether a service of this name is there and not dropped.
     pub fn knows(&self, service: &str) -> bool {
-        let key = Key { kind: Kind::Service, name: service.to_owned() };
+        let key = Key {
+            kind: Kind::Service,
+            name: service.to_owned(),
+        };
         self.items.get(&key).is_some_and(|item| item.body.is_some())
     }
 
@@ -162,7 +177,10 @@
     /// Whether the whole is valid: every item is, no route names an unknown service, no two routes share a
     /// place.
     pub fn check(&self) -> Result<(), Wrong> {
-        self.faults().into_iter().next().map_or(Ok(()), |fault| Err(fault.wrong))
+        self.faults()
+            .into_iter()
+            .next()
+            .map_or(Ok(()), |fault| Err(fault.wrong))
     }
 
     pub(crate) fn faults(&self) -> Vec<Fault> {
@@ -180,24 +198,57 @@
                 Kind::Roster | Kind::Evacuation | Kind::History | Kind::Checkpoint => Ok(()),
             };
             if let Err(wrong) = read {
-                faults.push(Fault { of: vec![item.key.clone()], unknown: None, wrong });
+                faults.push(Fault {
+                    of: vec![item.key.clone()],
+                    unknown: None,
+                    wrong,
+                });
             }
         }
         let mut places = BTreeMap::<(&str, &str), Vec<&Route>>::new();
         for route in self.routes() {
-            let key = Key { kind: Kind::Route, name: route.name.clone() };
-            for (service, _) in route.targets.iter().filter(|(service, _)| !self.knows(service)) {
-                let wrong =
-                    Wrong::new(called(&key), format!("names the service {service}, which is unknown"));
-                faults.push(Fault { of: vec![key.clone()], unknown: Some(service.clone()), wrong });
+            let key = Key {
+                kind: Kind::Route,
+                name: route.name.clone(),
+            };
+            for (service, _) in route
+                .targets
+                .iter()
+                .filter(|(service, _)| !self.knows(service))
+            {
+                let wrong = Wrong::new(
+                    called(&key),
+                    format!("names the service {service}, which is unknown"),
+                );
+                faults.push(Fault {
+                    of: vec![key.clone()],
+                    unknown: Some(service.clone()),
+                    wrong,
+                });
             }
-            places.entry((&route.hostname, &route.prefix)).or_default().push(route);
+            places
+                .entry((&route.hostname, &route.prefix))
+                .or_default()
+                .push(route);
         }
         for ((host, prefix), routes) in places.into_iter().filter(|(_, routes)| routes.len() > 1) {
-            let of = routes.iter().map(|route| Key { kind: Kind::Route, name: route.name.clone() }).collect();
-            let what = format!("has the host {host} and the prefix {prefix} of route {}", routes[0].name);
+            let of = routes
+                .iter()
+                .map(|route| Key {
+                    kind: Kind::Route,
+                    name: route.name.clone(),
+                })
+                .collect();
+            let what = format!(
+                "has the host {host} and the prefix {prefix} of route {}",
+                routes[0].name
+            );
             let wrong = Wrong::new(format!("route {}", routes[1].name), what);
-            faults.push(Fault { of, unknown: None, wrong });
+            faults.push(Fault {
+                of,
+                unknown: None,
+                wrong,
+            });
         }
         faults
     }
--- a/crates/emberpin-config/src/content.rs
+++ b/crates/emberpin-config/src/content.rs
@@ -47,7 +47,9 @@
         }
     } else if let Some(elements) = elements(raw) {
         write_length(b'a', elements.len(), out);
-        elements.into_iter().for_each(|element| write_value(element, out));
+        elements
+            .into_iter()
+            .for_each(|element| write_value(element, out));
     } else if let Some(text) = decode(raw) {
         write_text(b's', &text, out);
     } else if let Some((negative, digits, power)) = decimal(raw) {
--- a/crates/emberpin-config/src/forms.rs
+++ b/crates/emberpin-config/src/forms.rs
@@ -83,7 +83,8 @@
     /// Reads it from an item.
     pub fn from_item(item: &Item) -> Result<Route, Wrong> {
         let (place, body) = whole(item, Kind::Route)?;
-        let (hostname, loc) = split_route(body).ok_or_else(|| Wrong::new(&*place, "is not a route"))?;
+        let (hostname, loc) =
+            split_route(body).ok_or_else(|| Wrong::new(&*place, "is not a route"))?;
         let route = Route::read(&place, hostname, &place, loc)?;
         agrees(item, &place, &route.name, route.ver)?;
         Ok(route)
@@ -113,7 +114,18 @@
         }
         let targets = fields.targets()?;
         let (prio, tries) = (fields.small("prio")?, fields.small("tries")?);
-        Ok(Route { name, hostname, prefix, kind, timeout, target_time, prio, targets, tries, ver })
+        Ok(Route {
+            name,
+            hostname,
+            prefix,
+            kind,
+            timeout,
+            target_time,
+            prio,
+            targets,
+            tries,
+            ver,
+        })
     }
 }
 
@@ -133,11 +145,21 @@
         if !health_path.starts_with('/') {
             return Err(fields.wrong("hcheck", "is not a path"));
         }
-        let warmup = fields.stated("warmup").map_or(Ok(Duration::ZERO), |_| fields.time("warmup"))?;
-        let warmup_per_s =
-            fields.stated("warmup_per_s").map_or(Ok(f64::INFINITY), |_| fields.rate("warmup_per_s"))?;
+        let warmup = fields
+            .stated("warmup")
+            .map_or(Ok(Duration::ZERO), |_| fields.time("warmup"))?;
+        let warmup_per_s = fields
+            .stated("warmup_per_s")
+            .map_or(Ok(f64::INFINITY), |_| fields.rate("warmup_per_s"))?;
         let max_connections = fields.small("maxconn")?;
-        Ok(Service { name, health_path, max_connections, warmup, warmup_per_s, ver })
+        Ok(Service {
+            name,
+            health_path,
+            max_connections,
+            warmup,
+            warmup_per_s,
+            ver,
+        })
     }
 }
 
@@ -170,7 +192,9 @@
     };
     // Digits only: no sign, no `inf`, no exponent.
     let plain = number.starts_with(|first: char| first.is_ascii_digit())
-        && number.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+        && number
+            .bytes()
+            .all(|byte| byte.is_ascii_digit() || byte == b'.');
     let seconds = number.parse::<f64>().ok().filter(|_| plain)? * unit;
     Duration::try_from_secs_f64(seconds).ok()
 }
@@ -223,7 +247,10 @@
 fn agrees(item: &Item, place: &str, name: &str, ver: u64) -> Result<(), Wrong> {
     match item.key.name == name && item.ver == ver {
         true => Ok(()),
-        false => Err(Wrong::new(place, "is kept under another name or version than its own")),
+        false => Err(Wrong::new(
+            place,
+            "is kept under another name or version than its own",
+        )),
     }
 }
 
@@ -236,7 +263,10 @@
 impl<'a> Fields<'a> {
     pub(crate) fn read(place: &str, raw: &'a str) -> Result<Fields<'a>, Wrong> {
         let members = members(raw).ok_or_else(|| Wrong::new(place, "is not an object"))?;
-        Ok(Fields { place: place.to_owned(), members })
+        Ok(Fields {
+            place: place.to_owned(),
+            members,
+        })
     }
 
     /// All of them, in their order.
@@ -256,11 +286,15 @@
     }
 
     pub(crate) fn stated(&self, field: &str) -> Option<&'a str> {
-        self.members.iter().find(|(name, _)| name == field).map(|(_, raw)| *raw)
+        self.members
+            .iter()
+            .find(|(name, _)| name == field)
+            .map(|(_, raw)| *raw)
     }
 
     pub(crate) fn raw(&self, field: &str) -> Result<&'a str, Wrong> {
-        self.stated(field).ok_or_else(|| self.wrong(field, "is missing"))
+        self.stated(field)
+            .ok_or_else(|| self.wrong(field, "is missing"))
     }
 
     pub(crate) fn list(&self, field: &str) -> Result<Vec<&'a str>, Wrong> {
@@ -287,11 +321,15 @@
 
     /// A whole number; a version that is rounded would be another version.
     fn count(&self, field: &str) -> Result<u64, Wrong> {
-        self.raw(field)?.parse().map_err(|_| self.wrong(field, "is not a whole number from 0 to 2^64 - 1"))
+        self.raw(field)?
+            .parse()
+            .map_err(|_| self.wrong(field, "is not a whole number from 0 to 2^64 - 1"))
     }
 
     fn small(&self, field: &str) -> Result<u32, Wrong> {
-        self.raw(field)?.parse().map_err(|_| self.wrong(field, "is not a whole number from 0 to 2^32 - 1"))
+        self.raw(field)?
+            .parse()
+            .map_err(|_| self.wrong(field, "is not a whole number from 0 to 2^32 - 1"))
     }
 
     fn rate(&self, field: &str) -> Result<f64, Wrong> {
@@ -302,7 +340,8 @@
     }
 
     fn time(&self, field: &str) -> Result<Duration, Wrong> {
-        time(&self.text(field)?).ok_or_else(|| self.wrong(field, "is not a time such as 1500ms or 2.5s"))
+        time(&self.text(field)?)
+            .ok_or_else(|| self.wrong(field, "is not a time such as 1500ms or 2.5s"))
     }
 
     fn targets(&self) -> Result<Vec<(String, u32)>, Wrong> {
--- a/crates/emberpin-config/src/history.rs
+++ b/crates/emberpin-config/src/history.rs
@@ -38,7 +38,12 @@
 impl History {
     /// Nothing yet; `floor` is the highest version of which nothing can be told.
     pub fn new(subject: Key, newest: u64, floor: Option<u64>) -> History {
-        History { subject, newest, floor, versions: BTreeMap::new() }
+        History {
+            subject,
+            newest,
+            floor,
+            versions: BTreeMap::new(),
+        }
     }
 
     /// The name of the history of an item.
@@ -50,7 +55,10 @@
             // No caller gives these a version.
             Kind::Roster | Kind::Evacuation | Kind::History | Kind::Checkpoint => '-',
         };
-        Key { kind: Kind::History, name: format!("{kind}{}", subject.name) }
+        Key {
+            kind: Kind::History,
+            name: format!("{kind}{}", subject.name),
+        }
     }
 
     /// The history of an item, if anything is known of it.
@@ -73,7 +81,10 @@
             "l" => Kind::Limits,
             _ => return None,
         };
-        let subject = Key { kind, name: name.to_owned() };
+        let subject = Key {
+            kind,
+            name: name.to_owned(),
+        };
         let mut fields = item.body.as_deref()?.split(' ');
         let newest = fields.next()?.parse().ok()?;
         let floor = match fields.next()? {
@@ -85,7 +96,12 @@
             let (ver, digest) = field.split_once(':')?;
             versions.insert(ver.parse().ok()?, Digest::parse(digest)?);
         }
-        Some(History { subject, newest, floor, versions })
+        Some(History {
+            subject,
+            newest,
+            floor,
+            versions,
+        })
     }
 
     /// As an item of this version.
@@ -98,7 +114,11 @@
         for (ver, digest) in &self.versions {
             body.push_str(&format!(" {ver}:{digest}"));
         }
-        Item { key: History::key(&self.subject), ver, body: Some(body) }
+        Item {
+            key: History::key(&self.subject),
+            ver,
+            body: Some(body),
+        }
     }
 
     /// Whose history it is.
--- a/crates/emberpin-config/src/lib.rs
+++ b/crates/emberpin-config/src/lib.rs
@@ -37,7 +37,10 @@
 
 impl Wrong {
     pub(crate) fn new(place: impl Into<String>, what: impl Into<String>) -> Wrong {
-        Wrong { place: place.into(), what: what.into() }
+        Wrong {
+            place: place.into(),
+            what: what.into(),
+        }
     }
 }
 
@@ -52,7 +55,9 @@
             Kind::Service => services.push(body.as_str()),
             Kind::Limits => limits = format!("\"limits\":{body},"),
             Kind::Route => {
-                let Some((host, route)) = forms::split_route(body) else { continue };
+                let Some((host, route)) = forms::split_route(body) else {
+                    continue;
+                };
                 hosts.entry(host).or_insert_with(Vec::new).push(route);
             }
             Kind::Roster | Kind::Evacuation | Kind::History | Kind::Checkpoint => {}
@@ -62,7 +67,11 @@
         .into_iter()
         .map(|(host, routes)| format!("{{\"hostname\":{host},\"locs\":[{}]}}", routes.join(",")))
         .collect();
-    format!("{{\"svcs\":[{}],{limits}\"vhosts\":[{}]}}", services.join(","), hosts.join(","))
+    format!(
+        "{{\"svcs\":[{}],{limits}\"vhosts\":[{}]}}",
+        services.join(","),
+        hosts.join(",")
+    )
 }
 
 /// The routes that a limiter follows, also where two changes that were each valid alone have merged into an
@@ -77,7 +86,9 @@
     // By rising names, so that of equal versions the first one stays.
     for route in configuration.routes() {
         let mut route = route.clone();
-        route.targets.retain(|(service, _)| configuration.knows(service));
+        route
+            .targets
+            .retain(|(service, _)| configuration.knows(service));
         if route.targets.iter().all(|(_, weight)| *weight == 0) {
             continue;
         }
--- a/crates/emberpin-config/src/patch.rs
+++ b/crates/emberpin-config/src/patch.rs
@@ -24,11 +24,17 @@
 /// since it could not be handed back. Fields inside items are kept as they came.
 pub fn read_patch(body: &[u8]) -> Result<Patch, Wrong> {
     if body.len() > MOST_BODY {
-        return Err(Wrong::new("body", format!("is longer than {MOST_BODY} bytes")));
+        return Err(Wrong::new(
+            "body",
+            format!("is longer than {MOST_BODY} bytes"),
+        ));
     }
     let text = compact(body)?;
     let mut items = Items::default();
-    for (name, raw) in Fields::read("", &text).map_err(|_| Wrong::new("body", "is not an object"))?.all() {
+    for (name, raw) in Fields::read("", &text)
+        .map_err(|_| Wrong::new("body", "is not an object"))?
+        .all()
+    {
         match name {
             "upsert" => upserts(raw, &mut items)?,
             "remove" => removals(raw, &mut items)?,
@@ -37,7 +43,9 @@
             _ => {}
         }
     }
-    Ok(Patch { items: items.by_key.into_values().collect() })
+    Ok(Patch {
+        items: items.by_key.into_values().collect(),
+    })
 }
 
 #[derive(Default)]
@@ -54,14 +62,24 @@
         ver: u64,
         body: Option<String>,
     ) -> Result<(), Wrong> {
-        let item = Item { key: Key { kind, name }, ver, body };
+        let item = Item {
+            key: Key { kind, name },
+            ver,
+            body,
+        };
         match self.by_key.get(&item.key) {
             Some(other) if same_content(other, &item) => return Ok(()),
             Some(_) => {
-                return Err(Wrong::new(place, format!("{} stands twice in the call", called(&item.key))))
+                return Err(Wrong::new(
+                    place,
+                    format!("{} stands twice in the call", called(&item.key)),
+                ))
             }
             None if self.by_key.len() == MOST_ITEMS => {
-                return Err(Wrong::new(place, format!("the call has more than {MOST_ITEMS} items")));
+                return Err(Wrong::new(
+                    place,
+                    format!("the call has more than {MOST_ITEMS} items"),
+                ));
             }
             None => {}
         }
@@ -88,13 +106,25 @@
                 for (at, raw) in upsert.list("svcs")?.into_iter().enumerate() {
                     let place = format!("upsert.svcs[{at}]");
                     let service = Service::read(&place, raw)?;
-                    items.add(&place, Kind::Service, service.name, service.ver, Some(raw.to_owned()))?;
+                    items.add(
+                        &place,
+                        Kind::Service,
+                        service.name,
+                        service.ver,
+                        Some(raw.to_owned()),
+                    )?;
                 }
             }
             "limits" => {
                 let place = "upsert.limits";
                 let limits = Limits::read(place, raw)?;
-                items.add(place, Kind::Limits, String::new(), limits.ver, Some(raw.to_owned()))?;
+                items.add(
+                    place,
+                    Kind::Limits,
+                    String::new(),
+                    limits.ver,
+                    Some(raw.to_owned()),
+                )?;
             }
             "vhosts" => {
                 for (at, raw) in upsert.list("vhosts")?.into_iter().enumerate() {
@@ -109,7 +139,10 @@
 
 fn host(place: &str, raw: &str, items: &mut Items) -> Result<(), Wrong> {
     let fields = Fields::read(place, raw)?;
-    if let Some((name, _)) = fields.all().find(|(name, _)| !matches!(*name, "hostname" | "locs")) {
+    if let Some((name, _)) = fields
+        .all()
+        .find(|(name, _)| !matches!(*name, "hostname" | "locs"))
+    {
         return Err(fields.wrong(name, "is not known here"));
     }
     let hostname = fields.raw("hostname")?;
@@ -117,7 +150,13 @@
     for (at, raw) in fields.list("locs")?.into_iter().enumerate() {
         let at = format!("{place}.locs[{at}]");
         let route = Route::read(place, hostname, &at, raw)?;
-        items.add(&at, Kind::Route, route.name, route.ver, Some(join_route(hostname, raw)))?;
+        items.add(
+            &at,
+            Kind::Route,
+            route.name,
+            route.ver,
+            Some(join_route(hostname, raw)),
+        )?;
     }
     Ok(())
 }
--- a/crates/emberpin-config/src/text.rs
+++ b/crates/emberpin-config/src/text.rs
@@ -13,7 +13,11 @@
 /// twice.
 pub(crate) fn compact(body: &[u8]) -> Result<String, Wrong> {
     let text = std::str::from_utf8(body).map_err(|_| Wrong::new("body", "is not UTF-8"))?;
-    let mut reader = Reader { text, at: 0, out: String::with_capacity(text.len()) };
+    let mut reader = Reader {
+        text,
+        at: 0,
+        out: String::with_capacity(text.len()),
+    };
     reader.value(0)?;
     match reader.peek() {
         None => Ok(reader.out),
@@ -124,7 +128,10 @@
             }
         }
         self.at += 1;
-        let token = self.text.get(start..self.at).ok_or_else(|| self.wrong("an escape is not known"))?;
+        let token = self
+            .text
+            .get(start..self.at)
+            .ok_or_else(|| self.wrong("an escape is not known"))?;
         let decoded = decode(token).ok_or_else(|| self.wrong("a text cannot be read"))?;
         self.out.push_str(token);
         Ok(decoded)
@@ -197,7 +204,8 @@
     if inner.is_empty() {
         return Some(Vec::new());
     }
-    let (mut parts, mut start, mut depth, mut quoted, mut escaped) = (Vec::new(), 0, 0usize, false, false);
+    let (mut parts, mut start, mut depth, mut quoted, mut escaped) =
+        (Vec::new(), 0, 0usize, false, false);
     for (at, byte) in inner.bytes().enumerate() {
         match byte {
             _ if escaped => escaped = false,
@@ -275,8 +283,9 @@
         return None;
     }
     let kept = digits.trim_end_matches('0');
-    let power =
-        exponent.checked_sub(fraction.len() as i32)?.checked_add((digits.len() - kept.len()) as i32)?;
+    let power = exponent
+        .checked_sub(fraction.len() as i32)?
+        .checked_add((digits.len() - kept.len()) as i32)?;
     match kept.trim_start_matches('0') {
         "" => Some((false, String::new(), 0)),
         kept => Some((negative, kept.to_owned(), power)),
--- a/crates/emberpin-config/src/validate.rs
+++ b/crates/emberpin-config/src/validate.rs
@@ -38,13 +38,21 @@
 
 fn standing(newest: &Configuration, item: &Item) -> Standing {
     let Some(known) = newest.get(&item.key) else {
-        return if newest.admits(item) { Standing::Newer } else { Standing::Forgotten };
+        return if newest.admits(item) {
+            Standing::Newer
+        } else {
+            Standing::Forgotten
+        };
     };
     if item.ver > known.ver {
         return Standing::Newer;
     }
     if item.ver == known.ver {
-        return if same_content(known, item) { Standing::Repeat } else { Standing::Conflict };
+        return if same_content(known, item) {
+            Standing::Repeat
+        } else {
+            Standing::Conflict
+        };
     }
     match History::below(newest, known).past(item) {
         Past::Same => Standing::Repeat,
@@ -75,7 +83,10 @@
                 return Decision::Stale(Wrong::new(called(&item.key), what));
             }
             Standing::Forgotten => {
-                let what = format!("version {} is too old to tell whether it was acknowledged", item.ver);
+                let what = format!(
+                    "version {} is too old to tell whether it was acknowledged",
+                    item.ver
+                );
                 forgotten.get_or_insert_with(|| Wrong::new(called(&item.key), what));
             }
             Standing::Superseded => {
@@ -102,7 +113,10 @@
     // What the call sets is judged in full; what it leaves alone was at fault before, except where it drops
     // the service.
     let new = merged.faults().into_iter().find(|fault| {
-        let dropped = fault.unknown.as_ref().is_some_and(|service| newest.knows(service));
+        let dropped = fault
+            .unknown
+            .as_ref()
+            .is_some_and(|service| newest.knows(service));
         dropped || fault.of.iter().any(|key| touched.contains(key))
     });
     match new {
@@ -123,7 +137,10 @@
 
 impl Default for Bounds {
     fn default() -> Bounds {
-        Bounds { versions: MOST_VERSIONS, tombstones: MOST_TOMBSTONES }
+        Bounds {
+            versions: MOST_VERSIONS,
+            tombstones: MOST_TOMBSTONES,
+        }
     }
 }
 
@@ -145,7 +162,12 @@
 }
 
 /// Judges a call on what a checkpoint leaves, which goes along with it.
-fn judge_after(newest: &Configuration, patch: &Patch, bounds: &Bounds, checkpoint: Item) -> Decision {
+fn judge_after(
+    newest: &Configuration,
+    patch: &Patch,
+    bounds: &Bounds,
+    checkpoint: Item,
+) -> Decision {
     let mut left = newest.clone();
     left.merge(checkpoint.clone());
     match validate(&left, patch) {
@@ -187,7 +209,10 @@
 /// The history of a name that wasn't known, if it may have been before its tombstone was removed: nothing can
 /// be told of versions from then.
 fn beginning(newest: &Configuration, item: &Item) -> Option<Item> {
-    let floor = newest.checkpoint().floor().filter(|_| item.key.can_be_dropped())?;
+    let floor = newest
+        .checkpoint()
+        .floor()
+        .filter(|_| item.key.can_be_dropped())?;
     let history = History::new(item.key.clone(), item.ver, Some(floor));
     Some(history.to_item(next_history_version(newest, &item.key)))
 }
--- a/crates/emberpin-consensus/src/acceptor.rs
+++ b/crates/emberpin-consensus/src/acceptor.rs
@@ -179,8 +179,24 @@
         let found = kept.chosen.iter().filter(|item| !left_out(item));
         found.for_each(|item| _ = state.learn(item));
         let voting = kept.voting || !guards.amnesia;
-        let Kept { promised, pending, incarnation, renewals, candidacy, .. } = kept;
-        Acceptor { state, promised, pending, voting, incarnation, renewals, candidacy, guards }
+        let Kept {
+            promised,
+            pending,
+            incarnation,
+            renewals,
+            candidacy,
+            ..
+        } = kept;
+        Acceptor {
+            state,
+            promised,
+            pending,
+            voting,
+            incarnation,
+            renewals,
+            candidacy,
+            guards,
+        }
     }
 
     /// What the voter answers; nothing has to be written if it isn't a promise.
@@ -191,16 +207,27 @@
         // A promise may have been lost, and is asked for again.
         let again = ballot == self.promised && self.pending.ballot < ballot;
         if ballot <= self.promised && !again && self.guards.promise {
-            return Message::Refused { ballot, promised: self.promised };
+            return Message::Refused {
+                ballot,
+                promised: self.promised,
+            };
         }
         self.promised = ballot;
         if recovers {
-            self.renewals.note(Ipv4Addr::from_bits(ballot.node), Incarnation(ballot));
+            self.renewals
+                .note(Ipv4Addr::from_bits(ballot.node), Incarnation(ballot));
         }
         let buckets = self.state.differing(digests);
         let chosen = self.state.in_buckets(&buckets);
         let (incarnation, renewals) = (self.incarnation, self.renewals.clone());
-        Message::Promise { ballot, incarnation, renewals, pending: self.pending.clone(), buckets, chosen }
+        Message::Promise {
+            ballot,
+            incarnation,
+            renewals,
+            pending: self.pending.clone(),
+            buckets,
+            chosen,
+        }
     }
 
     /// What the voter answers; the caller has it learn the chosen items that come along.
@@ -209,7 +236,10 @@
             return Message::NotVoting { ballot };
         }
         if ballot < self.promised && self.guards.promise {
-            return Message::Refused { ballot, promised: self.promised };
+            return Message::Refused {
+                ballot,
+                promised: self.promised,
+            };
         }
         self.promised = ballot;
         self.pending = Pending { ballot, items };
@@ -223,7 +253,9 @@
         for item in items {
             let (new, removed) = self.state.learn(item);
             learned.new.extend(new.then(|| item.clone()));
-            learned.removed.extend(removed.into_iter().map(|item| item.key));
+            learned
+                .removed
+                .extend(removed.into_iter().map(|item| item.key));
         }
         // What was removed may have come anew.
         learned.removed.retain(|key| self.state.get(key).is_none());
--- a/crates/emberpin-consensus/src/call.rs
+++ b/crates/emberpin-consensus/src/call.rs
@@ -2,7 +2,9 @@
 
 use crate::acceptor::Guards;
 use crate::state::{roster_item, roster_key, voters};
-use emberpin_config::{judge, validate, write_all, Configuration, Decision, Item, Key, Kind, Patch};
+use emberpin_config::{
+    judge, validate, write_all, Configuration, Decision, Item, Key, Kind, Patch,
+};
 use std::net::Ipv4Addr;
 
 /// What is asked of a store.
@@ -78,13 +80,20 @@
                 Decision::Invalid(wrong) => Verdict::Refuse(400, wrong.to_string()),
             },
             Work::Evacuate { zone, begin, .. } => {
-                let key = Key { kind: Kind::Evacuation, name: zone.clone() };
+                let key = Key {
+                    kind: Kind::Evacuation,
+                    name: zone.clone(),
+                };
                 let held = newest.get(&key);
                 if held.is_some_and(|item| item.body.is_some()) == *begin {
                     return Verdict::Done(String::new());
                 }
                 let ver = held.map_or(1, |item| item.ver + 1);
-                Verdict::Choose(vec![Item { key, ver, body: begin.then(|| "{}".into()) }])
+                Verdict::Choose(vec![Item {
+                    key,
+                    ver,
+                    body: begin.then(|| "{}".into()),
+                }])
             }
             Work::Roster { ver, voters: new } => match newest.get(&roster_key()) {
                 Some(held) if held.ver == *ver && voters(held) != *new => {
@@ -97,8 +106,12 @@
 
     /// For tests: the items of a call that would do alone.
     pub fn alone(&self, newest: &Configuration) -> Vec<Item> {
-        let Work::Patch { patch, .. } = self else { return Vec::new() };
-        let patches = patch.items.iter().map(|item| Patch { items: vec![item.clone()] });
+        let Work::Patch { patch, .. } = self else {
+            return Vec::new();
+        };
+        let patches = patch.items.iter().map(|item| Patch {
+            items: vec![item.clone()],
+        });
         patches
             .filter(|one| matches!(validate(newest, one), Decision::Apply(_)))
             .flat_map(|one| one.items)
--- a/crates/emberpin-consensus/src/renewals.rs
+++ b/crates/emberpin-consensus/src/renewals.rs
@@ -23,7 +23,12 @@
         let known = self.0.entry(voter).or_default();
         *known = incarnation.max(*known);
         while self.0.len() > MOST {
-            let Some(oldest) = self.0.iter().min_by_key(|(_, known)| **known).map(|(voter, _)| *voter) else {
+            let Some(oldest) = self
+                .0
+                .iter()
+                .min_by_key(|(_, known)| **known)
+                .map(|(voter, _)| *voter)
+            else {
                 return;
             };
             self.0.remove(&oldest);
@@ -32,11 +37,16 @@
 
     /// Takes over what another one knows.
     pub fn merge(&mut self, other: &Renewals) {
-        other.0.iter().for_each(|(voter, incarnation)| self.note(*voter, *incarnation));
+        other
+            .0
+            .iter()
+            .for_each(|(voter, incarnation)| self.note(*voter, *incarnation));
     }
 
     /// Whether a promise by this incarnation is void, as its voter has caught up by a later ballot or is about to.
     pub fn outdate(&self, voter: Ipv4Addr, incarnation: Incarnation) -> bool {
-        self.0.get(&voter).is_some_and(|latest| *latest > incarnation)
+        self.0
+            .get(&voter)
+            .is_some_and(|latest| *latest > incarnation)
     }
 }
--- a/crates/emberpin-consensus/src/replica.rs
+++ b/crates/emberpin-consensus/src/replica.rs
@@ -153,7 +153,9 @@
             next: None,
             leaving: false,
             unconfirmed: false,
-            open_until: acceptor.open().then_some(now + Pacing::new(guards.pacing).open_delay(now)),
+            open_until: acceptor
+                .open()
+                .then_some(now + Pacing::new(guards.pacing).open_delay(now)),
             token: 0,
             owed: BTreeMap::new(),
             to_self: VecDeque::new(),
@@ -193,7 +195,12 @@
         let voters = self.voters();
         let age = |voter: &Ipv4Addr| match *voter == self.options.me {
             true => self.own_age(now).filter(|_| self.acceptor.voting),
-            false => self.peers.get(voter)?.compared.counted.map(|at| now.saturating_sub(at)),
+            false => self
+                .peers
+                .get(voter)?
+                .compared
+                .counted
+                .map(|at| now.saturating_sub(at)),
         };
         let mut ages: Vec<u64> = voters.iter().filter_map(age).collect();
         ages.sort_unstable();
@@ -215,17 +222,33 @@
 
     /// When [`Event::Wake`] is due, if nothing comes before.
     pub fn wake_at(&self) -> u64 {
-        let proposed = self.round.iter().flat_map(|round| &round.outcomes).map(|outcome| &outcome.task);
+        let proposed = self
+            .round
+            .iter()
+            .flat_map(|round| &round.outcomes)
+            .map(|outcome| &outcome.task);
         let tasks = self.tasks.iter().chain(proposed).map(|task| task.until);
-        let round = self.round.as_ref().map(|round| round.until.min(round.resend_at));
-        let idle =
-            self.round.is_none() && self.state().roster().is_some() && self.storage_refusal().is_none();
+        let round = self
+            .round
+            .as_ref()
+            .map(|round| round.until.min(round.resend_at));
+        let idle = self.round.is_none()
+            && self.state().roster().is_some()
+            && self.storage_refusal().is_none();
         let waits = !self.tasks.is_empty() || self.next.is_some() || self.unconfirmed;
         let earliest = self.earliest_round();
         let begin = (idle && waits).then_some(earliest);
-        let open = self.open_until.filter(|_| idle && self.votes()).map(|at| at.max(earliest));
+        let open = self
+            .open_until
+            .filter(|_| idle && self.votes())
+            .map(|at| at.max(earliest));
         let recover = (idle && !self.acceptor.voting).then_some(earliest);
-        let due = tasks.chain(round).chain(begin).chain(open).chain(recover).chain(self.ask_at());
+        let due = tasks
+            .chain(round)
+            .chain(begin)
+            .chain(open)
+            .chain(recover)
+            .chain(self.ask_at());
         due.fold(self.exchange_at, u64::min)
     }
 
@@ -258,10 +281,18 @@
 
     fn call(&mut self, now: u64, id: u64, call: Call, out: &mut Vec<Action>) {
         if let Some(reason) = self.storage_refusal() {
-            return out.push(Action::Answer { id, status: 503, body: reason.into() });
+            return out.push(Action::Answer {
+                id,
+                status: 503,
+                body: reason.into(),
+            });
         }
         if self.tasks.len() >= WAITING {
-            return out.push(Action::Answer { id, status: 503, body: "too many calls wait".into() });
+            return out.push(Action::Answer {
+                id,
+                status: 503,
+                body: "too many calls wait".into(),
+            });
         }
         let work = match call {
             Call::Get => Work::Get { id },
@@ -270,17 +301,33 @@
                 Ok(patch) => Work::Patch { id, patch },
                 // That is refused wherever it comes in.
                 Err(wrong) => {
-                    return out.push(Action::Answer { id, status: 400, body: wrong.to_string() });
+                    return out.push(Action::Answer {
+                        id,
+                        status: 400,
+                        body: wrong.to_string(),
+                    });
                 }
             },
         };
         let evacuates = matches!(work, Work::Evacuate { .. });
         if evacuates && now < self.awake_at && self.acceptor.guards.awake {
             // Its caller may have gone on to another machine long ago, and taken it back there.
-            return out.push(Action::Answer { id, status: 503, body: "the store stood still".into() });
+            return out.push(Action::Answer {
+                id,
+                status: 503,
+                body: "the store stood still".into(),
+            });
         }
-        let patience = if evacuates && self.acceptor.guards.late { EVACUATION } else { PATIENCE };
-        self.tasks.push_back(Task { work, until: now + patience, proposed: false });
+        let patience = if evacuates && self.acceptor.guards.late {
+            EVACUATION
+        } else {
+            PATIENCE
+        };
+        self.tasks.push_back(Task {
+            work,
+            until: now + patience,
+            proposed: false,
+        });
     }
 
     fn persisted(&mut self, now: u64, token: u64, out: &mut Vec<Action>) {
@@ -336,15 +383,42 @@
         }
         self.token += 1;
         let pending = pending.then(|| self.acceptor.pending.clone());
-        let Acceptor { promised, voting, incarnation, .. } = self.acceptor;
-        let (renewals, candidacy) = (self.acceptor.renewals.clone(), self.acceptor.candidacy.clone());
-        let write =
-            Write { chosen, removed, promised, pending, voting, incarnation, renewals, candidacy, sync };
-        out.push(Action::Persist { token: self.token, write });
+        let Acceptor {
+            promised,
+            voting,
+            incarnation,
+            ..
+        } = self.acceptor;
+        let (renewals, candidacy) = (
+            self.acceptor.renewals.clone(),
+            self.acceptor.candidacy.clone(),
+        );
+        let write = Write {
+            chosen,
+            removed,
+            promised,
+            pending,
+            voting,
+            incarnation,
+            renewals,
+            candidacy,
+            sync,
+        };
+        out.push(Action::Persist {
+            token: self.token,
+            write,
+        });
         match owed {
             Some((to, message)) if !self.acceptor.guards.sync => self.send(to, message, out),
             Some((to, message)) => {
-                _ = self.owed.insert(self.token, Owed { to, message, since: self.now });
+                _ = self.owed.insert(
+                    self.token,
+                    Owed {
+                        to,
+                        message,
+                        since: self.now,
+                    },
+                );
             }
             None => {}
         }
@@ -358,7 +432,9 @@
             return;
         }
         if let Some(round) = &mut self.round {
-            round.learned.extend(new.iter().map(|item| item.key.clone()));
+            round
+                .learned
+                .extend(new.iter().map(|item| item.key.clone()));
         }
         if !self.acceptor.open() {
             self.open_until = None;
--- a/crates/emberpin-consensus/src/replica/comparison.rs
+++ b/crates/emberpin-consensus/src/replica/comparison.rs
@@ -33,7 +33,13 @@
 
     /// Counts the newest of which all is known.
     fn count(&mut self, known: impl Fn(&Version) -> bool) {
-        let Some(at) = self.waiting.iter().rposition(|(_, open)| open.iter().all(&known)) else { return };
+        let Some(at) = self
+            .waiting
+            .iter()
+            .rposition(|(_, open)| open.iter().all(&known))
+        else {
+            return;
+        };
         let (begun, _) = self.waiting[at];
         self.waiting.drain(..=at);
         self.counted = self.counted.max(Some(begun));
@@ -43,7 +49,12 @@
 impl Replica {
     /// What is accepted here and not known to be chosen.
     pub(super) fn open_versions(&self) -> Vec<Version> {
-        let items = self.acceptor.pending.items.iter().filter(|item| !self.state().covers(item));
+        let items = self
+            .acceptor
+            .pending
+            .items
+            .iter()
+            .filter(|item| !self.state().covers(item));
         match self.acceptor.guards.open {
             true => items.map(|item| (item.key.clone(), item.ver)).collect(),
             false => Vec::new(),
@@ -59,7 +70,9 @@
 
     /// Another replica has answered the comparison that is under way; one without a vote does not count.
     pub(super) fn compared(&mut self, from: Ipv4Addr, seq: u64, voting: bool, open: Vec<Version>) {
-        let Some(peer) = self.peers.get_mut(&from).filter(|peer| peer.asked.0 == seq) else { return };
+        let Some(peer) = self.peers.get_mut(&from).filter(|peer| peer.asked.0 == seq) else {
+            return;
+        };
         if voting {
             peer.compared.add(peer.asked.1, open);
             self.count_comparisons();
@@ -71,9 +84,17 @@
     /// Counts what has become known.
     pub(super) fn count_comparisons(&mut self) {
         let state = &self.acceptor.state;
-        let known = |(key, ver): &Version| state.covers(&Item { key: key.clone(), ver: *ver, body: None });
+        let known = |(key, ver): &Version| {
+            state.covers(&Item {
+                key: key.clone(),
+                ver: *ver,
+                body: None,
+            })
+        };
         self.own.count(known);
-        self.peers.values_mut().for_each(|peer| peer.compared.count(known));
+        self.peers
+            .values_mut()
+            .for_each(|peer| peer.compared.count(known));
     }
 
     /// So many milliseconds ago all that this replica holds itself was known to be chosen or not accepted.
--- a/crates/emberpin-consensus/src/replica/disk.rs
+++ b/crates/emberpin-consensus/src/replica/disk.rs
@@ -51,7 +51,11 @@
         // leaves open.
         self.give_way(now, false);
         for id in self.tasks.drain(..).filter_map(|task| task.work.id()) {
-            out.push(Action::Answer { id, status: 503, body: reason.clone() });
+            out.push(Action::Answer {
+                id,
+                status: 503,
+                body: reason.clone(),
+            });
         }
         self.storage = Storage::Unavailable { reason };
     }
@@ -85,7 +89,9 @@
 
     /// A voter cannot write: the round goes on with the others, as long as they are a majority.
     pub(super) fn voter_unavailable(&mut self, now: u64, from: Ipv4Addr, ballot: Ballot) {
-        let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else { return };
+        let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else {
+            return;
+        };
         round.refused.insert(from);
         if round.lost() {
             self.give_way(now, true);
--- a/crates/emberpin-consensus/src/replica/founding.rs
+++ b/crates/emberpin-consensus/src/replica/founding.rs
@@ -71,7 +71,8 @@
 
     /// Whether it is the one seed that may write the first roster.
     fn founds(&self) -> Option<&Candidacy> {
-        self.stands().filter(|candidacy| candidacy.seeds.first() == Some(&self.options.me))
+        self.stands()
+            .filter(|candidacy| candidacy.seeds.first() == Some(&self.options.me))
     }
 
     /// When it next has to ask.
@@ -88,7 +89,9 @@
         if now < self.founding.ask_at {
             return;
         }
-        let Some(Candidacy { number, seeds }) = self.founds().cloned() else { return };
+        let Some(Candidacy { number, seeds }) = self.founds().cloned() else {
+            return;
+        };
         self.founding.ask_at = now + ASK;
         let mut missing: Vec<Ipv4Addr> = seeds.clone();
         missing.retain(|seed| *seed != self.options.me && !self.founding.words.contains_key(seed));
@@ -107,13 +110,18 @@
             // Asked again, as more of them may be candidates by then.
             return;
         }
-        let founders: Vec<(Ipv4Addr, u64)> =
-            seeds.iter().map(|seed| (*seed, numbers.get(seed).copied().flatten().unwrap_or(0))).collect();
+        let founders: Vec<(Ipv4Addr, u64)> = seeds
+            .iter()
+            .map(|seed| (*seed, numbers.get(seed).copied().flatten().unwrap_or(0)))
+            .collect();
         let roster = first_roster_item(&founders);
         self.learn(std::slice::from_ref(&roster), out);
         let me = self.options.me;
         for seed in seeds.iter().filter(|seed| **seed != me) {
-            let message = Message::Founded { asker: number, roster: roster.clone() };
+            let message = Message::Founded {
+                asker: number,
+                roster: roster.clone(),
+            };
             self.persist(Vec::new(), false, true, Some((*seed, message)), out);
         }
     }
@@ -121,26 +129,45 @@
     /// The lowest seed asks for this store's word that it knows no roster.
     pub(super) fn give_word(&mut self, from: Ipv4Addr, asker: u64, out: &mut Vec<Action>) {
         if let Some(roster) = self.state().roster().cloned() {
-            return self.send(from, Message::Chosen { items: vec![roster] }, out);
+            return self.send(
+                from,
+                Message::Chosen {
+                    items: vec![roster],
+                },
+                out,
+            );
         }
         if self.founding.token.is_some() {
             // Asked again once its number is on the disk.
             return;
         }
         self.founding.told = Some(asker);
-        let candidate = self.stands().filter(|candidacy| candidacy.seeds.first() == Some(&from));
+        let candidate = self
+            .stands()
+            .filter(|candidacy| candidacy.seeds.first() == Some(&from));
         let candidate = candidate.map(|candidacy| candidacy.number);
         self.send(from, Message::Word { asker, candidate }, out);
     }
 
-    pub(super) fn take_word(&mut self, now: u64, from: Ipv4Addr, asker: u64, candidate: Option<u64>) {
-        let Some(Candidacy { number, seeds }) = self.founds().cloned() else { return };
+    pub(super) fn take_word(
+        &mut self,
+        now: u64,
+        from: Ipv4Addr,
+        asker: u64,
+        candidate: Option<u64>,
+    ) {
+        let Some(Candidacy { number, seeds }) = self.founds().cloned() else {
+            return;
+        };
         // A word to the asker that this disk was before it was lost is void.
         if asker != number || !seeds.contains(&from) {
             return;
         }
         self.founding.words.insert(from, candidate);
-        if seeds.iter().all(|seed| *seed == self.options.me || self.founding.words.contains_key(seed)) {
+        if seeds
+            .iter()
+            .all(|seed| *seed == self.options.me || self.founding.words.contains_key(seed))
+        {
             self.founding.ask_at = now;
         }
     }
@@ -158,8 +185,15 @@
             return;
         }
         let me = self.options.me;
-        let named = self.state().roster().and_then(|roster| founder_number(roster, me));
-        let number = self.acceptor.candidacy.as_ref().map(|candidacy| candidacy.number);
+        let named = self
+            .state()
+            .roster()
+            .and_then(|roster| founder_number(roster, me));
+        let number = self
+            .acceptor
+            .candidacy
+            .as_ref()
+            .map(|candidacy| candidacy.number);
         if number.is_some() && named == number {
             self.acceptor.voting = true;
             self.persist(Vec::new(), false, true, None, out);
--- a/crates/emberpin-consensus/src/replica/messages.rs
+++ b/crates/emberpin-consensus/src/replica/messages.rs
@@ -7,7 +7,13 @@
 use std::net::Ipv4Addr;
 
 impl Replica {
-    pub(super) fn hear(&mut self, now: u64, from: Ipv4Addr, message: Message, out: &mut Vec<Action>) {
+    pub(super) fn hear(
+        &mut self,
+        now: u64,
+        from: Ipv4Addr,
+        message: Message,
+        out: &mut Vec<Action>,
+    ) {
         if from != self.options.me {
             self.peers.entry(from).or_default().heard = now.max(1);
         }
@@ -15,7 +21,12 @@
             return self.send(from, Message::DiskUnavailable { ballot }, out);
         }
         match message {
-            Message::Prepare { ballot, roster, digests, recovers } => {
+            Message::Prepare {
+                ballot,
+                roster,
+                digests,
+                recovers,
+            } => {
                 if self.goes_by(from, ballot, &roster, out) {
                     let answer = self.acceptor.prepare(ballot, &digests, recovers);
                     self.counter = self.counter.max(ballot.counter);
@@ -23,7 +34,12 @@
                     self.answer(from, answer, false, out);
                 }
             }
-            Message::Accept { ballot, roster, chosen, items } => {
+            Message::Accept {
+                ballot,
+                roster,
+                chosen,
+                items,
+            } => {
                 if self.goes_by(from, ballot, &roster, out) {
                     let answer = self.acceptor.accept(ballot, items);
                     if matches!(answer, Message::Accepted { .. }) {
@@ -35,9 +51,24 @@
                     self.answer(from, answer, true, out);
                 }
             }
-            Message::Promise { ballot, incarnation, renewals, pending, buckets, chosen } => {
-                let versions = chosen.iter().map(|item| (item.key.clone(), item.ver)).collect();
-                let promised = Promised { incarnation, renewals, buckets, versions };
+            Message::Promise {
+                ballot,
+                incarnation,
+                renewals,
+                pending,
+                buckets,
+                chosen,
+            } => {
+                let versions = chosen
+                    .iter()
+                    .map(|item| (item.key.clone(), item.ver))
+                    .collect();
+                let promised = Promised {
+                    incarnation,
+                    renewals,
+                    buckets,
+                    versions,
+                };
                 self.promise(now, from, ballot, promised, pending, chosen, out);
             }
             Message::Accepted { ballot } => self.accepted(now, from, ballot, out),
@@ -70,7 +101,11 @@
             }
             Message::Exchange { seq, digest } => {
                 let answer = match digest == self.state().digest() {
-                    true => Message::Same { seq, voting: self.acceptor.voting, open: self.open_versions() },
+                    true => Message::Same {
+                        seq,
+                        voting: self.acceptor.voting,
+                        open: self.open_versions(),
+                    },
                     false => Message::Differ {
                         seq,
                         digests: self.state().digests().to_vec(),
@@ -93,12 +128,23 @@
             }
             Message::Fetch { seq, buckets } => {
                 let items = self.state().in_buckets(&buckets);
-                self.send(from, Message::Items { seq, items, voting: self.acceptor.voting }, out);
+                self.send(
+                    from,
+                    Message::Items {
+                        seq,
+                        items,
+                        voting: self.acceptor.voting,
+                    },
+                    out,
+                );
             }
             Message::Items { seq, items, voting } => {
                 self.learn(&items, out);
                 // As it was when the digests were told: the buckets were chosen by those.
-                let open = self.peers.get(&from).map_or_else(Vec::new, |peer| peer.open.clone());
+                let open = self
+                    .peers
+                    .get(&from)
+                    .map_or_else(Vec::new, |peer| peer.open.clone());
                 self.compared(from, seq, voting, open);
             }
         }
@@ -114,7 +160,14 @@
     ) -> bool {
         match self.state().roster().cloned() {
             Some(newer) if newer.ver > roster.ver => {
-                self.send(from, Message::Roster { ballot, roster: newer }, out);
+                self.send(
+                    from,
+                    Message::Roster {
+                        ballot,
+                        roster: newer,
+                    },
+                    out,
+                );
                 false
             }
             _ => {
@@ -124,7 +177,13 @@
         }
     }
 
-    pub(super) fn answer(&mut self, to: Ipv4Addr, answer: Message, pending: bool, out: &mut Vec<Action>) {
+    pub(super) fn answer(
+        &mut self,
+        to: Ipv4Addr,
+        answer: Message,
+        pending: bool,
+        out: &mut Vec<Action>,
+    ) {
         match answer {
             Message::Promise { .. } | Message::Accepted { .. } => {
                 self.persist(Vec::new(), pending, true, Some((to, answer)), out);
--- a/crates/emberpin-consensus/src/replica/pacing.rs
+++ b/crates/emberpin-consensus/src/replica/pacing.rs
@@ -41,7 +41,12 @@
 
 impl Pacing {
     pub fn new(follows: bool) -> Pacing {
-        Pacing { phase: 0, measured_at: 0, failed: 0, follows }
+        Pacing {
+            phase: 0,
+            measured_at: 0,
+            failed: 0,
+            follows,
+        }
     }
 
     /// A phase or a sync took so long.
--- a/crates/emberpin-consensus/src/replica/rounds.rs
+++ b/crates/emberpin-consensus/src/replica/rounds.rs
@@ -22,7 +22,10 @@
         due.into_iter().for_each(|task| again(task, out));
         // Also those whose items are proposed: they may come to be chosen, which 503 leaves open.
         if let Some(round) = &mut self.round {
-            let (due, kept) = round.outcomes.drain(..).partition(|outcome| now >= outcome.task.until);
+            let (due, kept) = round
+                .outcomes
+                .drain(..)
+                .partition(|outcome| now >= outcome.task.until);
             round.outcomes = kept;
             let due: Vec<Outcome> = due;
             due.into_iter().for_each(|outcome| again(outcome.task, out));
@@ -51,7 +54,11 @@
     /// that time is over, so that it comes to its turn however many others there are.
     pub(super) fn yield_to(&mut self, now: u64, from: Ipv4Addr, answer: &Message) {
         let promised = matches!(answer, Message::Promise { .. }) && from != self.options.me;
-        if promised && self.pacing.contended() && self.round.is_none() && now >= self.earliest_round() {
+        if promised
+            && self.pacing.contended()
+            && self.round.is_none()
+            && now >= self.earliest_round()
+        {
             self.yields_until = now + self.pacing.yield_time(now);
         }
     }
@@ -59,7 +66,9 @@
     /// Sends the round's messages again to those that have not answered; such a message or its answer may be lost,
     /// and the round may have a long time yet.
     fn resend(&mut self, now: u64, out: &mut Vec<Action>) {
-        let Some(round) = self.round.as_mut().filter(|round| now >= round.resend_at) else { return };
+        let Some(round) = self.round.as_mut().filter(|round| now >= round.resend_at) else {
+            return;
+        };
         round.resend_at = now + self.pacing.resend_delay(round.resent);
         round.resent += 1;
         round.asked_at = now;
@@ -74,14 +83,26 @@
         let message = match &round.proposal {
             Some(items) => {
                 let (chosen, items) = (round.transferred.clone(), items.clone());
-                Message::Accept { ballot, roster, chosen, items }
+                Message::Accept {
+                    ballot,
+                    roster,
+                    chosen,
+                    items,
+                }
             }
             None => {
                 let (digests, recovers) = (self.state().digests().to_vec(), round.recovers);
-                Message::Prepare { ballot, roster, digests, recovers }
+                Message::Prepare {
+                    ballot,
+                    roster,
+                    digests,
+                    recovers,
+                }
             }
         };
-        targets.into_iter().for_each(|to| self.send(to, message.clone(), out));
+        targets
+            .into_iter()
+            .for_each(|to| self.send(to, message.clone(), out));
     }
 
     /// When the round's messages first go out again, of a phase that begins now.
@@ -96,13 +117,21 @@
         if self.storage_refusal().is_some() {
             return;
         }
-        let Some(roster) = self.state().roster().cloned() else { return };
+        let Some(roster) = self.state().roster().cloned() else {
+            return;
+        };
         let me = self.options.me;
-        self.tasks.retain(|task| !matches!(task.work, Work::Roster { ver, .. } if ver != roster.ver));
+        self.tasks
+            .retain(|task| !matches!(task.work, Work::Roster { ver, .. } if ver != roster.ver));
         self.next.take_if(|next| next.ver != roster.ver + 1);
         let recovers = !self.acceptor.voting;
         let repairs = self.open_until.is_some_and(|at| now >= at) && self.votes();
-        if self.tasks.is_empty() && !recovers && !repairs && self.next.is_none() && !self.unconfirmed {
+        if self.tasks.is_empty()
+            && !recovers
+            && !repairs
+            && self.next.is_none()
+            && !self.unconfirmed
+        {
             return;
         }
         if repairs {
@@ -110,14 +139,29 @@
         }
         // A change of the roster goes alone, so that no call waits for machines that are yet to join.
         let mut next = self.next.take();
-        if let (None, Some(Task { work: Work::Roster { ver, voters }, .. })) = (&next, self.tasks.front()) {
+        if let (
+            None,
+            Some(Task {
+                work: Work::Roster { ver, voters },
+                ..
+            }),
+        ) = (&next, self.tasks.front())
+        {
             next = Some(roster_item(ver + 1, voters));
         }
         self.counter += 1;
-        let ballot = Ballot { counter: self.counter, node: me.to_bits(), incarnation: self.incarnation };
+        let ballot = Ballot {
+            counter: self.counter,
+            node: me.to_bits(),
+            incarnation: self.incarnation,
+        };
         let until = now + self.pacing.round_timeout(now);
-        let mut round =
-            Round::new(ballot, until, roster.clone(), next.filter(|_| self.acceptor.guards.joint));
+        let mut round = Round::new(
+            ballot,
+            until,
+            roster.clone(),
+            next.filter(|_| self.acceptor.guards.joint),
+        );
         round.recovers = recovers;
         round.known = (!self.acceptor.guards.newest).then(|| self.state().configuration().clone());
         round.asked_at = now;
@@ -128,7 +172,9 @@
     }
 
     pub(super) fn refused(&mut self, now: u64, from: Ipv4Addr, ballot: Ballot) {
-        let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else { return };
+        let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else {
+            return;
+        };
         round.refused.insert(from);
         round.until = round.until.min(now + self.pacing.refused_grace(now));
         if round.lost() {
@@ -138,7 +184,9 @@
 
     /// Ends the round for a later one.
     pub(super) fn give_way(&mut self, now: u64, pause: bool) {
-        let Some(round) = self.round.take() else { return };
+        let Some(round) = self.round.take() else {
+            return;
+        };
         for outcome in round.outcomes.into_iter().rev() {
             self.tasks.push_front(outcome.task);
         }
@@ -160,7 +208,9 @@
         chosen: Vec<Item>,
         out: &mut Vec<Action>,
     ) {
-        let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else { return };
+        let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else {
+            return;
+        };
         if round.proposal.is_some() {
             return;
         }
@@ -173,8 +223,18 @@
             round.latest = pending;
         }
         self.learn(&chosen, out);
-        let Some(round) = self.round.as_ref().filter(|round| round.promised(self.options.me)) else { return };
-        if self.state().roster().is_some_and(|roster| roster.ver > round.roster.ver) {
+        let Some(round) = self
+            .round
+            .as_ref()
+            .filter(|round| round.promised(self.options.me))
+        else {
+            return;
+        };
+        if self
+            .state()
+            .roster()
+            .is_some_and(|roster| roster.ver > round.roster.ver)
+        {
             return self.give_way(now, false);
         }
         self.pacing.observe(now, now.saturating_sub(round.asked_at));
@@ -185,9 +245,18 @@
 
     /// Judges what is asked on all that is or may be chosen, and proposes.
     pub(super) fn propose(&mut self, now: u64, out: &mut Vec<Action>) {
-        let Some(mut round) = self.round.take() else { return };
-        let open = round.latest.items.iter().filter(|item| !self.state().covers(item));
-        let mut items: Vec<Item> = open.filter(|_| self.acceptor.guards.carry).cloned().collect();
+        let Some(mut round) = self.round.take() else {
+            return;
+        };
+        let open = round
+            .latest
+            .items
+            .iter()
+            .filter(|item| !self.state().covers(item));
+        let mut items: Vec<Item> = open
+            .filter(|_| self.acceptor.guards.carry)
+            .cloned()
+            .collect();
         let change = items.iter().find(|item| item.key == roster_key()).cloned();
         if change.is_some() && change != round.next && self.acceptor.guards.joint {
             // Whoever it seats has to promise too.
@@ -199,8 +268,14 @@
             // All that this store may have had a part in is on one of those that promised.
             self.acceptor.promised = self.acceptor.promised.max(round.ballot);
             self.acceptor.incarnation = Incarnation(round.ballot);
-            round.promises.values().for_each(|told| self.acceptor.renewals.merge(&told.renewals));
-            self.acceptor.pending = Pending { ballot: round.latest.ballot, items };
+            round
+                .promises
+                .values()
+                .for_each(|told| self.acceptor.renewals.merge(&told.renewals));
+            self.acceptor.pending = Pending {
+                ballot: round.latest.ballot,
+                items,
+            };
             self.watch_open(now);
             self.acceptor.voting = true;
             let all = self.state().iter().cloned().collect();
@@ -208,9 +283,13 @@
             return self.persist(all, true, true, None, out);
         }
         let carried = !items.is_empty();
-        let mut whole =
-            round.known.take().map_or(Cow::Borrowed(self.acceptor.state.configuration()), Cow::Owned);
-        items.iter().for_each(|item| _ = whole.to_mut().merge(item.clone()));
+        let mut whole = round.known.take().map_or(
+            Cow::Borrowed(self.acceptor.state.configuration()),
+            Cow::Owned,
+        );
+        items
+            .iter()
+            .for_each(|item| _ = whole.to_mut().merge(item.clone()));
         for mut task in std::mem::take(&mut self.tasks) {
             // A change of the roster, and what it must not hold up, each have their own rounds.
             let waits = match &task.work {
@@ -225,7 +304,8 @@
             }
             let (status, body) = match task.work.evaluate(&whole, &self.acceptor.guards) {
                 Verdict::Choose(new) => {
-                    new.iter().for_each(|item| _ = whole.to_mut().merge(item.clone()));
+                    new.iter()
+                        .for_each(|item| _ = whole.to_mut().merge(item.clone()));
                     items.extend(new);
                     task.proposed = true;
                     (200, String::new())
@@ -246,7 +326,11 @@
             self.pacing.succeeded();
             return tell(round.outcomes, out);
         }
-        let chosen = if self.acceptor.guards.lacking { round.lacking(self.state()) } else { Vec::new() };
+        let chosen = if self.acceptor.guards.lacking {
+            round.lacking(self.state())
+        } else {
+            Vec::new()
+        };
         let targets = round.targets();
         round.proposal = Some(items);
         round.transferred = chosen;
@@ -256,13 +340,23 @@
         self.ask(targets, out);
     }
 
-    pub(super) fn accepted(&mut self, now: u64, from: Ipv4Addr, ballot: Ballot, out: &mut Vec<Action>) {
-        let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else { return };
+    pub(super) fn accepted(
+        &mut self,
+        now: u64,
+        from: Ipv4Addr,
+        ballot: Ballot,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else {
+            return;
+        };
         round.accepted.insert(from);
         if !round.chosen(self.options.tolerated) && self.acceptor.guards.spread {
             return;
         }
-        let Some(round) = self.round.take() else { return };
+        let Some(round) = self.round.take() else {
+            return;
+        };
         self.pacing.observe(now, now.saturating_sub(round.asked_at));
         let items = round.proposal.clone().unwrap_or_default();
         self.learn(&items, out);
@@ -272,7 +366,13 @@
         told.extend(self.others(now));
         told.remove(&self.options.me);
         for to in told {
-            self.send(to, Message::Chosen { items: items.clone() }, out);
+            self.send(
+                to,
+                Message::Chosen {
+                    items: items.clone(),
+                },
+                out,
+            );
         }
         self.pacing.succeeded();
         tell(round.outcomes, out);
--- a/crates/emberpin-consensus/src/round.rs
+++ b/crates/emberpin-consensus/src/round.rs
@@ -115,23 +115,37 @@
     /// Takes a promise, and lets go of those that are void: a voter that lost its disk may have accepted since what
     /// this round would have to know. Such a voter is asked again.
     pub fn take_promise(&mut self, from: Ipv4Addr, promised: Promised) {
-        if self.promises.get(&from).is_none_or(|known| known.incarnation <= promised.incarnation) {
+        if self
+            .promises
+            .get(&from)
+            .is_none_or(|known| known.incarnation <= promised.incarnation)
+        {
             self.promises.insert(from, promised);
         }
         let mut renewals = Renewals::default();
-        self.promises.values().for_each(|promised| renewals.merge(&promised.renewals));
-        self.promises.retain(|voter, promised| !renewals.outdate(*voter, promised.incarnation));
+        self.promises
+            .values()
+            .for_each(|promised| renewals.merge(&promised.renewals));
+        self.promises
+            .retain(|voter, promised| !renewals.outdate(*voter, promised.incarnation));
     }
 
     /// Whether enough have promised.
     pub fn promised(&self, me: Ipv4Addr) -> bool {
         let enough = |voters: &[Ipv4Addr]| {
-            let (mut need, others) = (majority(voters), voters.iter().filter(|voter| **voter != me).count());
+            let (mut need, others) = (
+                majority(voters),
+                voters.iter().filter(|voter| **voter != me).count(),
+            );
             if self.recovers {
                 // What is chosen is on a majority, and of that only this store's copy is lost.
                 need = need.min(others);
             }
-            voters.iter().filter(|voter| self.promises.contains_key(voter)).count() >= need
+            voters
+                .iter()
+                .filter(|voter| self.promises.contains_key(voter))
+                .count()
+                >= need
         };
         enough(&self.voters) && (self.joining.is_empty() || enough(&self.joining))
     }
@@ -139,7 +153,10 @@
     /// Whether so many have refused that the others are no majority.
     pub fn lost(&self) -> bool {
         let lost = |voters: &[Ipv4Addr]| {
-            let left = voters.iter().filter(|voter| !self.refused.contains(voter)).count();
+            let left = voters
+                .iter()
+                .filter(|voter| !self.refused.contains(voter))
+                .count();
             left < majority(voters)
         };
         lost(&self.voters) || (!self.joining.is_empty() && lost(&self.joining))
@@ -149,7 +166,11 @@
     pub fn chosen(&self, tolerated: usize) -> bool {
         let enough = |voters: &[Ipv4Addr]| {
             let need = majority(voters).max((tolerated + 1).min(voters.len()));
-            voters.iter().filter(|voter| self.accepted.contains(voter)).count() >= need
+            voters
+                .iter()
+                .filter(|voter| self.accepted.contains(voter))
+                .count()
+                >= need
         };
         enough(&self.voters) && (self.joining.is_empty() || enough(&self.joining))
     }
@@ -160,10 +181,17 @@
             let (bucket, learned) = (bucket(&item.key), self.learned.contains(&item.key));
             self.promises.values().any(|promised| {
                 let told = learned || promised.buckets.contains(&bucket);
-                told && promised.versions.get(&item.key).is_none_or(|ver| *ver < item.ver)
+                told && promised
+                    .versions
+                    .get(&item.key)
+                    .is_none_or(|ver| *ver < item.ver)
             })
         };
-        state.iter().filter(|item| !self.joining.is_empty() || lacks(item)).cloned().collect()
+        state
+            .iter()
+            .filter(|item| !self.joining.is_empty() || lacks(item))
+            .cloned()
+            .collect()
     }
 }
 
--- a/crates/emberpin-consensus/src/state.rs
+++ b/crates/emberpin-consensus/src/state.rs
@@ -15,7 +15,10 @@
 
 impl Default for State {
     fn default() -> State {
-        State { configuration: Configuration::new(), digests: vec![0; BUCKETS] }
+        State {
+            configuration: Configuration::new(),
+            digests: vec![0; BUCKETS],
+        }
     }
 }
 
@@ -37,7 +40,8 @@
 
     /// Whether this version or a newer one of the name is here, or was and its tombstone is removed.
     pub fn covers(&self, item: &Item) -> bool {
-        self.get(&item.key).is_some_and(|held| held.ver >= item.ver) || !self.configuration.admits(item)
+        self.get(&item.key).is_some_and(|held| held.ver >= item.ver)
+            || !self.configuration.admits(item)
     }
 
     /// All items but histories, which are of use to stores alone.
@@ -69,13 +73,16 @@
     }
 
     pub(crate) fn digest(&self) -> u64 {
-        self.digests.iter().fold(0, |all, one| mixed(all ^ one).wrapping_add(1))
+        self.digests
+            .iter()
+            .fold(0, |all, one| mixed(all ^ one).wrapping_add(1))
     }
 
     /// Which buckets differ from these.
     pub(crate) fn differing(&self, digests: &[u64]) -> Vec<u8> {
-        let differs =
-            |bucket: &u8| digests.get(usize::from(*bucket)) != self.digests.get(usize::from(*bucket));
+        let differs = |bucket: &u8| {
+            digests.get(usize::from(*bucket)) != self.digests.get(usize::from(*bucket))
+        };
         (0..BUCKETS as u8).filter(differs).collect()
     }
 
@@ -83,7 +90,10 @@
         if buckets.is_empty() {
             return Vec::new();
         }
-        self.iter().filter(|item| buckets.contains(&bucket(&item.key))).cloned().collect()
+        self.iter()
+            .filter(|item| buckets.contains(&bucket(&item.key)))
+            .cloned()
+            .collect()
     }
 }
 
@@ -94,13 +104,20 @@
 
 /// The name of the roster.
 pub(crate) fn roster_key() -> Key {
-    Key { kind: Kind::Roster, name: String::new() }
+    Key {
+        kind: Kind::Roster,
+        name: String::new(),
+    }
 }
 
 /// A roster as an item.
 pub(crate) fn roster_item(ver: u64, voters: &[Ipv4Addr]) -> Item {
     let voters: Vec<String> = voters.iter().map(|voter| format!("\"{voter}\"")).collect();
-    Item { key: roster_key(), ver, body: Some(format!("[{}]", voters.join(","))) }
+    Item {
+        key: roster_key(),
+        ver,
+        body: Some(format!("[{}]", voters.join(","))),
+    }
 }
 
 /// The first roster: its founders, and the numbers of their candidacies, 0 for one that was none.
@@ -108,14 +125,20 @@
     let voters = founders.iter().map(|(voter, _)| format!("\"{voter}\""));
     let numbers = founders.iter().map(|(_, number)| number.to_string());
     let body: Vec<String> = voters.chain(numbers).collect();
-    Item { key: roster_key(), ver: 1, body: Some(format!("[{}]", body.join(","))) }
+    Item {
+        key: roster_key(),
+        ver: 1,
+        body: Some(format!("[{}]", body.join(","))),
+    }
 }
 
 /// Under which number the first roster names a founder; a later roster names none.
 pub(crate) fn founder_number(roster: &Item, founder: Ipv4Addr) -> Option<u64> {
     let place = voters(roster).iter().position(|voter| *voter == founder)?;
     let body = roster.body.as_deref().filter(|_| roster.ver == 1)?;
-    let mut numbers = body.split(['[', ']', ',']).filter_map(|part| part.parse::<u64>().ok());
+    let mut numbers = body
+        .split(['[', ']', ','])
+        .filter_map(|part| part.parse::<u64>().ok());
     numbers.nth(place).filter(|number| *number > 0)
 }
 
@@ -132,17 +155,28 @@
 }
 
 fn key_bytes(key: &Key) -> impl Iterator<Item = u8> + '_ {
-    std::iter::once(key.kind as u8).chain(key.name.bytes()).chain(std::iter::once(0xff))
+    std::iter::once(key.kind as u8)
+        .chain(key.name.bytes())
+        .chain(std::iter::once(0xff))
 }
 
 fn digest(item: &Item) -> u64 {
-    let body = item.body.as_deref().map(|body| std::iter::once(1).chain(body.bytes()));
-    mixed(hashed(key_bytes(&item.key).chain(item.ver.to_be_bytes()).chain(body.into_iter().flatten())))
+    let body = item
+        .body
+        .as_deref()
+        .map(|body| std::iter::once(1).chain(body.bytes()));
+    mixed(hashed(
+        key_bytes(&item.key)
+            .chain(item.ver.to_be_bytes())
+            .chain(body.into_iter().flatten()),
+    ))
 }
 
 /// FNV-1a.
 fn hashed(bytes: impl Iterator<Item = u8>) -> u64 {
-    bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
+    bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3)
+    })
 }
 
 /// The end of splitmix64: spreads every bit.
