--- a/crates/emberpin-ctl/src/calls.rs
+++ b/crates/emberpin-ctl/src/calls.rs
@@ -42,12 +42,20 @@
 impl Call {
     /// Reads something.
     pub fn get(path: &str) -> Call {
-        Call { method: Method::GET, path: path.into(), body: Bytes::new() }
+        Call {
+            method: Method::GET,
+            path: path.into(),
+            body: Bytes::new(),
+        }
     }
 
     /// Orders something; with an empty body for none.
     pub fn post(path: &str, body: String) -> Call {
-        Call { method: Method::POST, path: path.into(), body: body.into() }
+        Call {
+            method: Method::POST,
+            path: path.into(),
+            body: body.into(),
+        }
     }
 }
 
@@ -62,7 +70,10 @@
     let mut last = String::from("there is no address to ask");
     for address in addresses.iter().cycle() {
         let what = match hop(address, call).await {
-            Ok(Answer { status: 200..=299, body }) => return Ok(body),
+            Ok(Answer {
+                status: 200..=299,
+                body,
+            }) => return Ok(body),
             Ok(Answer { status, body }) => {
                 let again = !(400..500).contains(&status) || matches!(status, 408 | 429);
                 doubts += usize::from(!again);
@@ -80,7 +91,9 @@
         sleep(pause).await;
         pause = (pause * 2).min(LONGEST_PAUSE);
     }
-    Err(format!("no clear answer; an order may be in force or not. Last: {last}"))
+    Err(format!(
+        "no clear answer; an order may be in force or not. Last: {last}"
+    ))
 }
 
 /// One try, at an address and where it points to.
@@ -90,11 +103,15 @@
         let (answer, to) = once(&address, &call).await?;
         match to {
             Some(to) if hops < MOST_HOPS => {
-                let uri: Uri = to.parse().map_err(|_| format!("points to {to}, which is no place"))?;
+                let uri: Uri = to
+                    .parse()
+                    .map_err(|_| format!("points to {to}, which is no place"))?;
                 if let Some(authority) = uri.authority() {
                     address = authority.as_str().to_owned();
                 }
-                call.path = uri.path_and_query().map_or("/".into(), |path| path.as_str().to_owned());
+                call.path = uri
+                    .path_and_query()
+                    .map_or("/".into(), |path| path.as_str().to_owned());
             }
             _ => return Ok(answer),
         }
@@ -104,7 +121,8 @@
 
 /// One exchange at one address; and where a 307 points to.
 pub async fn once(address: &str, call: &Call) -> Result<(Answer, Option<String>), String> {
-    let patience = SILENCE + SILENCE_PER_MIB * u32::try_from(call.body.len() >> 20).unwrap_or(u32::MAX);
+    let patience =
+        SILENCE + SILENCE_PER_MIB * u32::try_from(call.body.len() >> 20).unwrap_or(u32::MAX);
     match timeout(patience, exchange(address, call)).await {
         Ok(answer) => answer.map_err(|wrong| wrong.to_string()),
         Err(_) => Err(format!("silent for {patience:?}")),
@@ -115,17 +133,35 @@
 
 async fn exchange(address: &str, call: &Call) -> Result<(Answer, Option<String>), Anything> {
     let stream = TcpStream::connect(address).await?;
-    let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
+    let (mut sender, connection) =
+        hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
     // Ends by itself, with the exchange.
     tokio::spawn(connection);
-    let mut request = Request::builder().method(&call.method).uri(&call.path).header(header::HOST, address);
+    let mut request = Request::builder()
+        .method(&call.method)
+        .uri(&call.path)
+        .header(header::HOST, address);
     if !call.body.is_empty() {
         request = request.header(header::CONTENT_TYPE, "application/json");
     }
-    let answer = sender.send_request(request.body(Full::new(call.body.clone()))?).await?;
+    let answer = sender
+        .send_request(request.body(Full::new(call.body.clone()))?)
+        .await?;
     let status = answer.status().as_u16();
-    let to = answer.headers().get(header::LOCATION).filter(|_| status == 307);
+    let to = answer
+        .headers()
+        .get(header::LOCATION)
+        .filter(|_| status == 307);
     let to = to.and_then(|to| to.to_str().ok()).map(str::to_owned);
-    let body = Limited::new(answer.into_body(), MOST_ANSWER).collect().await?.to_bytes();
-    Ok((Answer { status, body: String::from_utf8(body.into())? }, to))
+    let body = Limited::new(answer.into_body(), MOST_ANSWER)
+        .collect()
+        .await?
+        .to_bytes();
+    Ok((
+        Answer {
+            status,
+            body: String::from_utf8(body.into())?,
+        },
+        to,
+    ))
 }
--- a/crates/emberpin-ctl/src/command.rs
+++ b/crates/emberpin-ctl/src/command.rs
@@ -69,24 +69,39 @@
     /// Reads the words after the program's name.
     pub fn read(words: impl IntoIterator<Item = String>) -> Result<Command, Usage> {
         let mut options = Options::new();
-        options.optopt("", "at", "", "").optflag("", "dry-run", "").optflag("h", "help", "");
-        let read = options.parse(words).map_err(|wrong| Usage(wrong.to_string()))?;
+        options
+            .optopt("", "at", "", "")
+            .optflag("", "dry-run", "")
+            .optflag("h", "help", "");
+        let read = options
+            .parse(words)
+            .map_err(|wrong| Usage(wrong.to_string()))?;
         if read.opt_present("help") {
-            return Ok(Command { at: Vec::new(), order: Order::Help });
+            return Ok(Command {
+                at: Vec::new(),
+                order: Order::Help,
+            });
         }
         let dry_run = read.opt_present("dry-run");
         let words: Vec<&str> = read.free.iter().map(String::as_str).collect();
         let not = || Usage(format!("not a command: {}", words.join(" ")));
         let order = match words[..] {
             ["get"] => Order::Get,
-            ["patch", file] => Order::Patch { file: file.into(), dry_run },
+            ["patch", file] => Order::Patch {
+                file: file.into(),
+                dry_run,
+            },
             ["drop", kind, name, ver] => {
                 let kind = match kind {
                     "route" => Kind::Route,
                     "service" => Kind::Service,
                     _ => return Err(not()),
                 };
-                Order::Drop { kind, name: name.into(), ver: ver.parse().map_err(|_| not())? }
+                Order::Drop {
+                    kind,
+                    name: name.into(),
+                    ver: ver.parse().map_err(|_| not())?,
+                }
             }
             ["evacuate", zone] if is_zone(zone) => Order::Evacuate(zone.into()),
             ["return", zone] if is_zone(zone) => Order::Return(zone.into()),
@@ -97,8 +112,9 @@
         if dry_run && !matches!(order, Order::Patch { .. }) {
             return Err(Usage("only patch has a --dry-run".into()));
         }
-        let at: Vec<String> =
-            read.opt_str("at").map_or(Vec::new(), |at| at.split(',').map(str::to_owned).collect());
+        let at: Vec<String> = read
+            .opt_str("at")
+            .map_or(Vec::new(), |at| at.split(',').map(str::to_owned).collect());
         if let Some(wrong) = at.iter().find(|address| !is_address(address)) {
             return Err(Usage(format!("not an address: {wrong}")));
         }
@@ -112,12 +128,14 @@
 /// A zone becomes part of a path, so it must not hold what has a meaning there.
 fn is_zone(zone: &str) -> bool {
     !zone.is_empty()
-        && zone.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte))
+        && zone
+            .bytes()
+            .all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte))
         && !matches!(zone, "." | "..")
 }
 
 fn is_address(address: &str) -> bool {
-    address
-        .rsplit_once(':')
-        .is_some_and(|(host, port)| !host.is_empty() && port.parse::<u16>().is_ok_and(|port| port > 0))
+    address.rsplit_once(':').is_some_and(|(host, port)| {
+        !host.is_empty() && port.parse::<u16>().is_ok_and(|port| port > 0)
+    })
 }
--- a/crates/emberpin-ctl/src/run.rs
+++ b/crates/emberpin-ctl/src/run.rs
@@ -19,7 +19,9 @@
         Order::Get => newest(at).await,
         Order::Patch { file, dry_run } => {
             let body = std::fs::read(&file).map_err(|wrong| format!("{file}: {wrong}"))?;
-            patch(at, body, dry_run).await.map_err(|wrong| format!("{file}: {wrong}"))
+            patch(at, body, dry_run)
+                .await
+                .map_err(|wrong| format!("{file}: {wrong}"))
         }
         Order::Drop { kind, name, ver } => {
             let name = jzon::JsonValue::from(name).dump();
@@ -56,9 +58,10 @@
     // What was dropped isn't handed out, so a version below that of a tombstone is found only when it is
     // sent.
     match validate(&configuration(&newest(at).await?)?, &patch) {
-        Decision::Apply(newer) => {
-            Ok(format!("{count} items, {} of them newer; valid as a whole", newer.len()))
-        }
+        Decision::Apply(newer) => Ok(format!(
+            "{count} items, {} of them newer; valid as a whole",
+            newer.len()
+        )),
         Decision::Known => Ok(format!("{count} items, all of them known")),
         Decision::Stale(wrong) | Decision::Forgotten(wrong) | Decision::Invalid(wrong) => {
             Err(wrong.to_string())
@@ -67,13 +70,15 @@
 }
 
 fn configuration(config: &str) -> Result<Configuration, String> {
-    let patch =
-        read_patch(format!("{{\"upsert\":{config}}}").as_bytes()).map_err(|wrong| wrong.to_string())?;
+    let patch = read_patch(format!("{{\"upsert\":{config}}}").as_bytes())
+        .map_err(|wrong| wrong.to_string())?;
     Ok(patch.items.into_iter().collect())
 }
 
 fn now_ms() -> i64 {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     i64::try_from(now.as_millis()).unwrap_or(i64::MAX)
 }
 
@@ -91,7 +96,11 @@
             break;
         }
     }
-    Reading { address, status, at_ms: now_ms() }
+    Reading {
+        address,
+        status,
+        at_ms: now_ms(),
+    }
 }
 
 /// Asks the addresses, then the registries that they name, until all that are named have been asked.
@@ -100,22 +109,30 @@
     let mut next: Vec<String> = at.to_vec();
     while !next.is_empty() {
         next.retain(|address| asked.insert(address.clone()));
-        let asking: Vec<_> = next.drain(..).map(|address| tokio::spawn(ask(address))).collect();
+        let asking: Vec<_> = next
+            .drain(..)
+            .map(|address| tokio::spawn(ask(address)))
+            .collect();
         for reading in asking {
             let Ok(reading) = reading.await else { continue };
-            let named =
-                reading.status.iter().flat_map(|status| status.registries.iter().chain(&status.voters));
+            let named = reading
+                .status
+                .iter()
+                .flat_map(|status| status.registries.iter().chain(&status.voters));
             next.extend(named.map(|named| beside(named, &reading.address)));
             readings.push(reading);
         }
     }
-    let services = newest(at).await.and_then(|config| configuration(&config)).map(|configuration| {
-        configuration
-            .live()
-            .filter(|item| item.key.kind == Kind::Service)
-            .map(|item| item.key.name.clone())
-            .collect()
-    });
+    let services = newest(at)
+        .await
+        .and_then(|config| configuration(&config))
+        .map(|configuration| {
+            configuration
+                .live()
+                .filter(|item| item.key.kind == Kind::Service)
+                .map(|item| item.key.name.clone())
+                .collect()
+        });
     Gathered { readings, services }
 }
 
@@ -138,14 +155,21 @@
                 continue;
             }
         };
-        let settled = if status.settled { "settled" } else { "not settled" };
+        let settled = if status.settled {
+            "settled"
+        } else {
+            "not settled"
+        };
         let voters = status.voters.join(" ");
         lines.push(format!(
             "registry {} {}: {settled}, {} items, voters {voters}",
             reading.address, status.name, status.items
         ));
         for limiter in &status.limiters {
-            lines.push(format!("  limiter {} in {}: {} behind", limiter.name, limiter.zone, limiter.behind));
+            lines.push(format!(
+                "  limiter {} in {}: {} behind",
+                limiter.name, limiter.zone, limiter.behind
+            ));
         }
         for instance in &status.instances {
             lines.push(format!(
@@ -160,7 +184,11 @@
             ));
         }
     }
-    match gathered.readings.iter().any(|reading| reading.status.is_ok()) {
+    match gathered
+        .readings
+        .iter()
+        .any(|reading| reading.status.is_ok())
+    {
         true => Ok(lines.join("\n")),
         false => Err(lines.join("\n")),
     }
@@ -172,7 +200,10 @@
         .map(|finding| format!("{}\n  -> {}", finding.what, finding.way_out))
         .collect();
     match findings.is_empty() {
-        true => Ok(format!("nothing ails, by the word of {} registries", gathered.readings.len())),
+        true => Ok(format!(
+            "nothing ails, by the word of {} registries",
+            gathered.readings.len()
+        )),
         false => Err(findings.join("\n")),
     }
 }
--- a/crates/emberpin-ctl/src/status.rs
+++ b/crates/emberpin-ctl/src/status.rs
@@ -72,7 +72,9 @@
         };
         Ok(Status {
             name: word(&value, "name")?,
-            settled: value["settled"].as_bool().ok_or_else(|| NotStatus("settled".into()))?,
+            settled: value["settled"]
+                .as_bool()
+                .ok_or_else(|| NotStatus("settled".into()))?,
             voters: sorted(list(&value, "voters", as_word)?),
             registries: sorted(list(&value, "registries", as_word)?),
             limiters: list(&value, "limiters", |limiter| {
@@ -107,11 +109,17 @@
 }
 
 fn as_word(value: &JsonValue) -> Result<String, NotStatus> {
-    value.as_str().map(str::to_owned).ok_or_else(|| NotStatus(format!("{value} is not a text")))
+    value
+        .as_str()
+        .map(str::to_owned)
+        .ok_or_else(|| NotStatus(format!("{value} is not a text")))
 }
 
 fn word(value: &JsonValue, field: &str) -> Result<String, NotStatus> {
-    value[field].as_str().map(str::to_owned).ok_or_else(|| NotStatus(field.into()))
+    value[field]
+        .as_str()
+        .map(str::to_owned)
+        .ok_or_else(|| NotStatus(field.into()))
 }
 
 fn number(value: &JsonValue, field: &str) -> Result<u64, NotStatus> {
@@ -123,5 +131,10 @@
     field: &str,
     read: impl Fn(&JsonValue) -> Result<T, NotStatus>,
 ) -> Result<Vec<T>, NotStatus> {
-    value[field].as_array().ok_or_else(|| NotStatus(field.into()))?.iter().map(read).collect()
+    value[field]
+        .as_array()
+        .ok_or_else(|| NotStatus(field.into()))?
+        .iter()
+        .map(read)
+        .collect()
 }
--- a/crates/emberpin-demo/src/books.rs
+++ b/crates/emberpin-demo/src/books.rs
@@ -105,7 +105,10 @@
 
 impl Default for Books {
     fn default() -> Books {
-        Books { began: Instant::now(), pages: Arc::default() }
+        Books {
+            began: Instant::now(),
+            pages: Arc::default(),
+        }
     }
 }
 
--- a/crates/emberpin-demo/src/clients.rs
+++ b/crates/emberpin-demo/src/clients.rs
@@ -62,7 +62,14 @@
 
 const fn looked_at(prefix: &'static str) -> Route {
     let deadline = Duration::from_secs(1);
-    Route { name: "", host: HOSTS[0], prefix, is_mutating: false, deadline, per_s: 0.0 }
+    Route {
+        name: "",
+        host: HOSTS[0],
+        prefix,
+        is_mutating: false,
+        deadline,
+        per_s: 0.0,
+    }
 }
 
 struct Edge {
@@ -89,13 +96,15 @@
     /// Clients of these edges.
     pub fn new(deployment: &Deployment, seed: u64, books: &Books) -> Arc<Clients> {
         let addresses = deployment.http().into_iter().zip(deployment.readyz());
-        let edges = addresses.zip(&deployment.edges).map(|((http, readyz), place)| Edge {
-            http,
-            readyz,
-            zone: place.zone,
-            missed: AtomicU32::new(0),
-            idle: Mutex::default(),
-        });
+        let edges = addresses
+            .zip(&deployment.edges)
+            .map(|((http, readyz), place)| Edge {
+                http,
+                readyz,
+                zone: place.zone,
+                missed: AtomicU32::new(0),
+                idle: Mutex::default(),
+            });
         Arc::new(Clients {
             edges: edges.collect(),
             random: Mutex::new(oorandom::Rand32::new(seed)),
@@ -154,10 +163,24 @@
             tried.push(edge);
             let (try_id, answer) = self.attempt(edge, tried.len() > 1, route, left).await;
             let again = match &answer {
-                Ok(Tried { status: 200..=299, is_own, .. }) => {
-                    break (if *is_own { Ending::Served } else { Ending::Failed }, try_id);
+                Ok(Tried {
+                    status: 200..=299,
+                    is_own,
+                    ..
+                }) => {
+                    break (
+                        if *is_own {
+                            Ending::Served
+                        } else {
+                            Ending::Failed
+                        },
+                        try_id,
+                    );
                 }
-                Ok(Tried { status: 400 | 401 | 404 | 413 | 431, .. }) => break (Ending::Failed, try_id),
+                Ok(Tried {
+                    status: 400 | 401 | 404 | 413 | 431,
+                    ..
+                }) => break (Ending::Failed, try_id),
                 Ok(Tried { status, .. }) => is_promise(*status) || !route.is_mutating,
                 Err(Unanswered::Unsent) => true,
                 Err(Unanswered::Broken) => !route.is_mutating,
@@ -165,14 +188,34 @@
             let left = route.deadline.saturating_sub(began.elapsed());
             if !again || left.is_zero() || tried.len() >= TRIES as usize {
                 let refused = matches!(&answer, Ok(Tried { status, .. }) if is_promise(*status));
-                break (if refused { Ending::Refused } else { Ending::Failed }, try_id);
+                break (
+                    if refused {
+                        Ending::Refused
+                    } else {
+                        Ending::Failed
+                    },
+                    try_id,
+                );
             }
-            let pause = answer.ok().and_then(|tried| tried.retry_after).unwrap_or(PAUSE);
+            let pause = answer
+                .ok()
+                .and_then(|tried| tried.retry_after)
+                .unwrap_or(PAUSE);
             sleep(pause.min(left / 3)).await;
         };
         let waited = began.elapsed();
-        let ending = if waited > route.deadline { Ending::Failed } else { ending };
-        let asked = Asked { route: route.name, ending, waited, try_id, at_once: tried.len() == 1 };
+        let ending = if waited > route.deadline {
+            Ending::Failed
+        } else {
+            ending
+        };
+        let asked = Asked {
+            route: route.name,
+            ending,
+            waited,
+            try_id,
+            at_once: tried.len() == 1,
+        };
         self.books.pages().asked.push(asked);
     }
 
@@ -180,7 +223,11 @@
     fn choose(&self, zone: &str, tried: &[usize]) -> usize {
         let all: Vec<usize> = (0..self.edges.len()).collect();
         let part = |of: &[usize], keep: &dyn Fn(&Edge) -> bool| -> Vec<usize> {
-            let kept: Vec<usize> = of.iter().copied().filter(|edge| keep(&self.edges[*edge])).collect();
+            let kept: Vec<usize> = of
+                .iter()
+                .copied()
+                .filter(|edge| keep(&self.edges[*edge]))
+                .collect();
             if kept.is_empty() {
                 of.to_vec()
             } else {
@@ -188,8 +235,14 @@
             }
         };
         let ready = part(&all, &|edge| edge.missed.load(Ordering::Relaxed) < MISSES);
-        let fresh: Vec<usize> = ready.iter().copied().filter(|edge| !tried.contains(edge)).collect();
-        let near = part(if fresh.is_empty() { &ready } else { &fresh }, &|edge| edge.zone == zone);
+        let fresh: Vec<usize> = ready
+            .iter()
+            .copied()
+            .filter(|edge| !tried.contains(edge))
+            .collect();
+        let near = part(if fresh.is_empty() { &ready } else { &fresh }, &|edge| {
+            edge.zone == zone
+        });
         near[self.draw(near.len())]
     }
 
@@ -209,13 +262,19 @@
         let id = format!("try-{number:08}");
         let noted = {
             let mut pages = self.books.pages();
-            let sent =
-                Try { id: id.clone(), is_mutating: route.is_mutating, status: None, is_foreign: false };
+            let sent = Try {
+                id: id.clone(),
+                is_mutating: route.is_mutating,
+                status: None,
+                is_foreign: false,
+            };
             pages.tries.push(sent);
             pages.tries.len() - 1
         };
         let exchange = self.exchange(&self.edges[edge], anew, route, &id, left);
-        let answer = timeout(left, exchange).await.unwrap_or(Err(Unanswered::Broken));
+        let answer = timeout(left, exchange)
+            .await
+            .unwrap_or(Err(Unanswered::Broken));
         let tried = answer.map(|answer| Tried::of(&answer, &id));
         if let Ok(tried) = &tried {
             let mut pages = self.books.pages();
@@ -233,7 +292,11 @@
         id: &str,
         left: Duration,
     ) -> Result<Answer, Unanswered> {
-        let (method, body) = if route.is_mutating { (Method::POST, "entry") } else { (Method::GET, "") };
+        let (method, body) = if route.is_mutating {
+            (Method::POST, "entry")
+        } else {
+            (Method::GET, "")
+        };
         let request = Request::builder()
             .method(method)
             .uri(format!("{}{id}", route.prefix))
@@ -248,7 +311,11 @@
             None => wire::connect(edge.http).await?,
         };
         let answer = wire::ask(&mut sender, request).await?;
-        if answer.headers.get("connection").is_none_or(|value| value != "close") {
+        if answer
+            .headers
+            .get("connection")
+            .is_none_or(|value| value != "close")
+        {
             locked(&edge.idle).push(sender);
         }
         Ok(answer)
@@ -302,10 +369,17 @@
 impl Tried {
     fn of(answer: &Answer, id: &str) -> Tried {
         let text = |name| {
-            answer.headers.get(name).and_then(|value: &hyper::header::HeaderValue| value.to_str().ok())
+            answer
+                .headers
+                .get(name)
+                .and_then(|value: &hyper::header::HeaderValue| value.to_str().ok())
         };
         let body = std::str::from_utf8(&answer.body).ok();
-        let server = body.and_then(|body| body.strip_prefix(id)?.strip_prefix(" by ")?.strip_suffix('\n'));
+        let server = body.and_then(|body| {
+            body.strip_prefix(id)?
+                .strip_prefix(" by ")?
+                .strip_suffix('\n')
+        });
         let seconds = text("retry-after").and_then(|seconds| seconds.parse().ok());
         Tried {
             status: answer.status,
--- a/crates/emberpin-demo/src/demo.rs
+++ b/crates/emberpin-demo/src/demo.rs
@@ -52,7 +52,9 @@
 /// [`Unplayable`].
 pub fn play(plan: &Plan) -> Result<Report, Unplayable> {
     let system = |what| move |e| Unplayable::System(what, e);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     runtime.map_err(system("runtime"))?.block_on(async {
         // Before the first process is there.
         let mut term = signal(SignalKind::terminate()).map_err(system("SIGTERM"))?;
@@ -77,20 +79,39 @@
 
 impl Fleet<'_> {
     fn start(&self, role: Role, place: Place, bootstrap: bool) -> Result<Process, Unplayable> {
-        Process::start(self.deployment, role, place, self.folder, bootstrap, self.bounds)
+        Process::start(
+            self.deployment,
+            role,
+            place,
+            self.folder,
+            bootstrap,
+            self.bounds,
+        )
     }
 
     fn start_core(&self, place: Place, bootstrap: bool) -> Result<Vec<Process>, Unplayable> {
-        [Role::Store, Role::Registry].into_iter().map(|role| self.start(role, place, bootstrap)).collect()
+        [Role::Store, Role::Registry]
+            .into_iter()
+            .map(|role| self.start(role, place, bootstrap))
+            .collect()
     }
 
     /// Those that have ended by themselves.
     fn ended(&mut self) -> Vec<String> {
-        self.core.iter_mut().flatten().chain(&mut self.edges).filter_map(Process::ended).collect()
+        self.core
+            .iter_mut()
+            .flatten()
+            .chain(&mut self.edges)
+            .filter_map(Process::ended)
+            .collect()
     }
 
     /// Waits for something without which nothing can be played.
-    async fn stands<T>(&mut self, what: &str, waited: impl Future<Output = T>) -> Result<T, Unplayable> {
+    async fn stands<T>(
+        &mut self,
+        what: &str,
+        waited: impl Future<Output = T>,
+    ) -> Result<T, Unplayable> {
         let mut looks = interval(LOOKS);
         let waited = timeout(STANDS, waited);
         tokio::pin!(waited);
@@ -107,15 +128,26 @@
 
 async fn run(plan: &Plan) -> Result<Report, Unplayable> {
     let deployment = Deployment::find(plan.edges)?;
-    let folder = tempfile::Builder::new().prefix("emberpin-demo-").disable_cleanup(plan.keep).tempdir();
+    let folder = tempfile::Builder::new()
+        .prefix("emberpin-demo-")
+        .disable_cleanup(plan.keep)
+        .tempdir();
     // Dropped after the processes that have their disks in it.
     let folder = folder.map_err(|e| Unplayable::System("a temporary folder", e))?;
     let part = |(most, part): (f64, f64)| Duration::from_secs_f64(most.min(plan.seconds * part));
-    let bounds = Bounds { drain: part(DRAIN), evac: part(EVAC) };
+    let bounds = Bounds {
+        drain: part(DRAIN),
+        evac: part(EVAC),
+    };
     let books = Books::default();
     let (mut core, mut edges) = (Vec::new(), Vec::new());
-    let mut fleet =
-        Fleet { deployment: &deployment, folder: folder.path(), bounds, core: vec![], edges: vec![] };
+    let mut fleet = Fleet {
+        deployment: &deployment,
+        folder: folder.path(),
+        bounds,
+        core: vec![],
+        edges: vec![],
+    };
     for place in &deployment.core {
         core.push(fleet.start_core(*place, true)?);
     }
@@ -127,7 +159,10 @@
     let ctl = deployment.ctl();
     let server = |service, zone, number: usize, is_cold| {
         let id = format!("{service}-{zone}-{number}");
-        let seed = plan.seed.wrapping_mul(1_000).wrapping_add(id.bytes().map(u64::from).sum());
+        let seed = plan
+            .seed
+            .wrapping_mul(1_000)
+            .wrapping_add(id.bytes().map(u64::from).sum());
         let (ctl, books) = (&ctl, &books);
         async move {
             let started = Server::start((service, zone), id, is_cold, ctl, seed, books).await;
@@ -135,20 +170,30 @@
         }
     };
     let mut servers = Vec::new();
-    for (service, zone) in SERVICES.into_iter().flat_map(|service| ZONES.map(|zone| (service, zone))) {
+    for (service, zone) in SERVICES
+        .into_iter()
+        .flat_map(|service| ZONES.map(|zone| (service, zone)))
+    {
         for number in 0..SERVERS {
             servers.push(((service, zone), server(service, zone, number, false).await?));
         }
     }
     let operator = Operator::new(ctl.clone(), books.clone());
     let clients = Clients::new(&deployment, plan.seed, &books);
-    fleet.stands("no configuration was taken", operator.begin()).await?;
-    fleet.stands("not every edge was ready", clients.all_ready()).await?;
+    fleet
+        .stands("no configuration was taken", operator.begin())
+        .await?;
+    fleet
+        .stands("not every edge was ready", clients.all_ready())
+        .await?;
     let stood = books.now();
 
     let began = Instant::now();
     let at = |part: f64| sleep_until((began + Duration::from_secs_f64(plan.seconds * part)).into());
-    let mut happened = vec![format!("up: every edge was ready {:.1} s after the start", stood.as_secs_f64())];
+    let mut happened = vec![format!(
+        "up: every edge was ready {:.1} s after the start",
+        stood.as_secs_f64()
+    )];
     let mut background = JoinSet::new();
     background.spawn(clients.clone().probe());
     let mut traffic = JoinSet::new();
@@ -206,7 +251,10 @@
     let on = |time: Duration| format!("{:.1} s", time.saturating_sub(stood).as_secs_f64());
     happened.push(match (changed, in_force) {
         (Some(changed), Some(in_force)) => {
-            format!("change: in force at every edge {} after its acknowledgement", span(changed, in_force))
+            format!(
+                "change: in force at every edge {} after its acknowledgement",
+                span(changed, in_force)
+            )
         }
         (None, _) => "change: not acknowledged".into(),
         (_, None) => format!("change: not in force at every edge within {SETTLES:?}"),
@@ -221,12 +269,24 @@
             watched.as_secs_f64(),
         ));
     }
-    let answered =
-        answered.map_or("did not answer again".into(), |at| format!("answered {} later", span(back, at)));
+    let answered = answered.map_or("did not answer again".into(), |at| {
+        format!("answered {} later", span(back, at))
+    });
     let ip = deployment.core[KILLED].ip;
-    happened.push(format!("core: {ip} killed at {}, started at {}, {answered}", on(killed), on(back)));
-    let left = if left { "drained and left" } else { "left, not acknowledged" };
-    happened.push(format!("servers: one crashed at {}, one {left}", on(crashed)));
+    happened.push(format!(
+        "core: {ip} killed at {}, started at {}, {answered}",
+        on(killed),
+        on(back)
+    ));
+    let left = if left {
+        "drained and left"
+    } else {
+        "left, not acknowledged"
+    };
+    happened.push(format!(
+        "servers: one crashed at {}, one {left}",
+        on(crashed)
+    ));
     if plan.keep {
         happened.push(format!("folder: {}", folder.path().display()));
     }
@@ -254,7 +314,14 @@
 /// When a machine reads the configuration out again.
 async fn answers(ctl: SocketAddr, books: Books) -> Duration {
     loop {
-        let answer = wire::call(ctl, Method::GET, "/config/get", String::new(), Duration::from_secs(1)).await;
+        let answer = wire::call(
+            ctl,
+            Method::GET,
+            "/config/get",
+            String::new(),
+            Duration::from_secs(1),
+        )
+        .await;
         if answer.is_some_and(|answer| answer.status == 200) {
             return books.now();
         }
--- a/crates/emberpin-demo/src/machines.rs
+++ b/crates/emberpin-demo/src/machines.rs
@@ -133,7 +133,10 @@
         let rows = u32::from((FIRST_PORTS.1 - FIRST_PORTS.0) / PORTS);
         // Runs side by side begin far from each other.
         let row = |turn: u32| std::process::id().wrapping_mul(97).wrapping_add(turn * 131) % rows;
-        Deployment::among(edges, (0..TRIES).map(|turn| FIRST_PORTS.0 + row(turn) as u16 * PORTS))
+        Deployment::among(
+            edges,
+            (0..TRIES).map(|turn| FIRST_PORTS.0 + row(turn) as u16 * PORTS),
+        )
     }
 
     /// Takes the first of these ports that is free on all machines, with those after it.
@@ -141,7 +144,10 @@
     /// # Errors
     ///
     /// [`Unplayable::NoPorts`].
-    pub fn among(edges: usize, first_ports: impl Iterator<Item = u16>) -> Result<Deployment, Unplayable> {
+    pub fn among(
+        edges: usize,
+        first_ports: impl Iterator<Item = u16>,
+    ) -> Result<Deployment, Unplayable> {
         let place = |first: u8, number: usize| Place {
             ip: Ipv4Addr::new(127, 0, 0, first + number as u8),
             zone: ZONES[number % ZONES.len()],
@@ -150,7 +156,11 @@
         let edges: Vec<Place> = (0..edges).map(|number| place(21, number)).collect();
         let mut last = io::Error::other("none was tried");
         for port in first_ports {
-            match core.iter().chain(&edges).try_for_each(|place| are_free(place.ip, port)) {
+            match core
+                .iter()
+                .chain(&edges)
+                .try_for_each(|place| are_free(place.ip, port))
+            {
                 Ok(()) => return Ok(Deployment { core, edges, port }),
                 Err(problem) => last = problem,
             }
@@ -160,21 +170,37 @@
 
     /// Where servers and the operator call.
     pub fn ctl(&self) -> Vec<SocketAddr> {
-        self.core.iter().map(|place| (place.ip, self.port + PEER_PORTS).into()).collect()
+        self.core
+            .iter()
+            .map(|place| (place.ip, self.port + PEER_PORTS).into())
+            .collect()
     }
 
     /// Where clients connect, edge by edge.
     pub fn http(&self) -> Vec<SocketAddr> {
-        self.edges.iter().map(|place| (place.ip, self.port + PEER_PORTS + 1).into()).collect()
+        self.edges
+            .iter()
+            .map(|place| (place.ip, self.port + PEER_PORTS + 1).into())
+            .collect()
     }
 
     /// Where edges are asked whether they are ready.
     pub fn readyz(&self) -> Vec<SocketAddr> {
-        self.edges.iter().map(|place| (place.ip, self.port + PEER_PORTS + 2).into()).collect()
+        self.edges
+            .iter()
+            .map(|place| (place.ip, self.port + PEER_PORTS + 2).into())
+            .collect()
     }
 
     /// The settings file of a process, in the form of the platform.
-    fn settings(&self, role: Role, place: Place, disk: &Path, bootstrap: bool, bounds: Bounds) -> String {
+    fn settings(
+        &self,
+        role: Role,
+        place: Place,
+        disk: &Path,
+        bootstrap: bool,
+        bounds: Bounds,
+    ) -> String {
         let (ip, zone) = (place.ip, place.zone);
         let (mclass, serves) = match role {
             Role::Store => ("core", ""),
@@ -191,7 +217,11 @@
         if is_core {
             _ = writeln!(text, "datadir = \"{}\"", disk.display());
         }
-        let seeds: Vec<String> = self.ctl().iter().map(|seed| format!("\"{seed}\"")).collect();
+        let seeds: Vec<String> = self
+            .ctl()
+            .iter()
+            .map(|seed| format!("\"{seed}\""))
+            .collect();
         let listen = match role {
             Role::Store => String::new(),
             Role::Registry => format!("ctl = \"{ip}:{}\"\n", self.port + PEER_PORTS),
@@ -201,7 +231,10 @@
                 self.port + PEER_PORTS + 2
             ),
         };
-        let zones: String = ZONES.iter().map(|zone| format!("{zone} = \"{REGION}\"\n")).collect();
+        let zones: String = ZONES
+            .iter()
+            .map(|zone| format!("{zone} = \"{REGION}\"\n"))
+            .collect();
         _ = write!(
             text,
             "[self.limits]\ncpu_quota = 1.0\nncpu = 1\nmem_mb = 260\nnofile = 1000\nlink_mbps = 1000.0\n\
@@ -259,15 +292,26 @@
             std::fs::create_dir_all(&disk).map_err(|e| Unplayable::File(disk.clone(), e))?;
         }
         std::fs::write(&settings, text).map_err(|e| Unplayable::File(settings.clone(), e))?;
-        let out = std::fs::File::options().create(true).append(true).open(&log);
+        let out = std::fs::File::options()
+            .create(true)
+            .append(true)
+            .open(&log);
         let out = out.map_err(|e| Unplayable::File(log.clone(), e))?;
         let child = std::env::current_exe().and_then(|program| {
             let mut command = Command::new(program);
             command.arg(role.word()).arg(std::process::id().to_string());
             command.env("EMBERPIN_NODE_FILE", &settings);
-            command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(out).spawn()
+            command
+                .stdin(Stdio::null())
+                .stdout(Stdio::null())
+                .stderr(out)
+                .spawn()
         });
-        Ok(Process { child: child.map_err(|e| Unplayable::Start(name.clone(), e))?, name, log })
+        Ok(Process {
+            child: child.map_err(|e| Unplayable::Start(name.clone(), e))?,
+            name,
+            log,
+        })
     }
 
     /// What it said last, if it has ended by itself.
@@ -275,7 +319,10 @@
         let status = self.child.try_wait().ok().flatten()?;
         let said = std::fs::read_to_string(&self.log).unwrap_or_default();
         let last = said.lines().last().unwrap_or("nothing");
-        Some(format!("{} ended by itself ({status}); it said: {last}", self.name))
+        Some(format!(
+            "{} ended by itself ({status}); it said: {last}",
+            self.name
+        ))
     }
 }
 
--- a/crates/emberpin-demo/src/main.rs
+++ b/crates/emberpin-demo/src/main.rs
@@ -12,15 +12,27 @@
 
 fn main() -> ExitCode {
     let mut arguments = std::env::args_os().skip(1);
-    if let Some(role) = std::env::args().nth(1).and_then(|word| Role::from_word(&word)) {
+    if let Some(role) = std::env::args()
+        .nth(1)
+        .and_then(|word| Role::from_word(&word))
+    {
         arguments.next();
         return role.run(arguments);
     }
     let mut options = Options::new();
     options.optopt("", "seconds", "play so long (10; 4 at least)", "N");
-    options.optopt("", "seed", "draw everything random of the stand-ins from this (1)", "N");
+    options.optopt(
+        "",
+        "seed",
+        "draw everything random of the stand-ins from this (1)",
+        "N",
+    );
     options.optopt("", "edges", "so many edges (3; 1 to 100)", "N");
-    options.optflag("", "keep", "keep the folder with the settings, disks and logs of the machines");
+    options.optflag(
+        "",
+        "keep",
+        "keep the folder with the settings, disks and logs of the machines",
+    );
     options.optflag("h", "help", "print this");
     let asked = match options.parse(arguments) {
         Ok(asked) if asked.free.is_empty() => asked,
@@ -65,7 +77,9 @@
 fn number<T: FromStr>(asked: &Matches, name: &str, usual: T) -> Result<T, String> {
     match asked.opt_str(name) {
         None => Ok(usual),
-        Some(text) => text.parse().map_err(|_| format!("--{name}: expected a number, found {text:?}")),
+        Some(text) => text
+            .parse()
+            .map_err(|_| format!("--{name}: expected a number, found {text:?}")),
     }
 }
 
--- a/crates/emberpin-demo/src/operator.rs
+++ b/crates/emberpin-demo/src/operator.rs
@@ -71,8 +71,10 @@
 /// The items in these lists, each under its kind and name.
 pub fn items(lists: &JsonValue) -> Items {
     let name = |item: &JsonValue| item["name"].as_str().unwrap_or_default().to_string();
-    let mut items: Items =
-        lists["svcs"].members().map(|item| (format!("service {}", name(item)), item.clone())).collect();
+    let mut items: Items = lists["svcs"]
+        .members()
+        .map(|item| (format!("service {}", name(item)), item.clone()))
+        .collect();
     for vhost in lists["vhosts"].members() {
         for item in vhost["locs"].members() {
             let mut whole = item.clone();
@@ -107,7 +109,10 @@
         let mut pages = self.books.pages();
         pages.acknowledged.extend(items(&patch["upsert"]));
         for removed in patch["remove"]["rtab"].members() {
-            pages.acknowledged.remove(&format!("route {}", removed["name"].as_str().unwrap_or_default()));
+            pages.acknowledged.remove(&format!(
+                "route {}",
+                removed["name"].as_str().unwrap_or_default()
+            ));
         }
         Some(acknowledged)
     }
@@ -116,7 +121,12 @@
     pub async fn evacuate(&self, zone: &str, bound: Duration) -> Option<Duration> {
         let order = format!("/evac/{zone}/begin");
         let acknowledged = self.order("the evacuation", &order, String::new()).await?;
-        let evacuation = Evacuation { zone: zone.into(), acknowledged, bound, finish: None };
+        let evacuation = Evacuation {
+            zone: zone.into(),
+            acknowledged,
+            bound,
+            finish: None,
+        };
         self.books.pages().evacuations.push(evacuation);
         Some(acknowledged)
     }
@@ -124,10 +134,21 @@
     /// Takes the evacuation of a zone back; returns when that was asked for.
     pub async fn take_back(&self, zone: &str) -> Duration {
         let asked = self.books.now();
-        for evacuation in self.books.pages().evacuations.iter_mut().filter(|one| one.zone == zone) {
+        for evacuation in self
+            .books
+            .pages()
+            .evacuations
+            .iter_mut()
+            .filter(|one| one.zone == zone)
+        {
             evacuation.finish = Some(asked);
         }
-        self.order("the evacuation's end", &format!("/evac/{zone}/finish"), String::new()).await;
+        self.order(
+            "the evacuation's end",
+            &format!("/evac/{zone}/finish"),
+            String::new(),
+        )
+        .await;
         asked
     }
 
@@ -143,7 +164,10 @@
         match self.ask(Method::POST, path, body).await {
             Ok(_) => Some(self.books.now()),
             Err(last) => {
-                self.books.pages().unacknowledged.push(format!("{what} ({last})"));
+                self.books
+                    .pages()
+                    .unacknowledged
+                    .push(format!("{what} ({last})"));
                 None
             }
         }
@@ -153,10 +177,16 @@
     async fn ask(&self, method: Method, path: &str, body: String) -> Result<String, String> {
         let (began, mut pause) = (Instant::now(), PAUSE);
         let mut last = "nobody was asked".to_string();
-        for to in self.ctl.iter().cycle().take_while(|_| began.elapsed() < GIVEN_UP) {
+        for to in self
+            .ctl
+            .iter()
+            .cycle()
+            .take_while(|_| began.elapsed() < GIVEN_UP)
+        {
             let answer = wire::call(*to, method.clone(), path, body.clone(), SILENCE).await;
             let status = answer.as_ref().map_or(0, |answer| answer.status);
-            let said = answer.map(|answer| String::from_utf8_lossy(&answer.body).trim().to_string());
+            let said =
+                answer.map(|answer| String::from_utf8_lossy(&answer.body).trim().to_string());
             match (status, said) {
                 (200..=299, said) => return Ok(said.unwrap_or_default()),
                 (0, _) => last = format!("{to} did not answer"),
--- a/crates/emberpin-demo/src/report.rs
+++ b/crates/emberpin-demo/src/report.rs
@@ -52,25 +52,49 @@
             .filter_map(|arrival| Some((arrival.try_id.as_str(), arrival.took?)))
             .collect();
         let lines = ROUTES.iter().map(|route| {
-            let asked: Vec<&Asked> = pages.asked.iter().filter(|asked| asked.route == route.name).collect();
+            let asked: Vec<&Asked> = pages
+                .asked
+                .iter()
+                .filter(|asked| asked.route == route.name)
+                .collect();
             let count = |ending| asked.iter().filter(|asked| asked.ending == ending).count();
-            let served = asked.iter().filter(|asked| asked.at_once && asked.ending == Ending::Served);
+            let served = asked
+                .iter()
+                .filter(|asked| asked.at_once && asked.ending == Ending::Served);
             let mut added: Vec<Duration> = served
-                .filter_map(|asked| Some(asked.waited.saturating_sub(*took.get(asked.try_id.as_str())?)))
+                .filter_map(|asked| {
+                    Some(
+                        asked
+                            .waited
+                            .saturating_sub(*took.get(asked.try_id.as_str())?),
+                    )
+                })
                 .collect();
             added.sort_unstable();
-            let at =
-                |part: f64| added.get(((added.len() as f64 * part) as usize).min(added.len() - 1)).copied();
+            let at = |part: f64| {
+                added
+                    .get(((added.len() as f64 * part) as usize).min(added.len() - 1))
+                    .copied()
+            };
             Line {
                 route: route.name,
                 requests: asked.len(),
                 served: count(Ending::Served),
                 refused: count(Ending::Refused),
                 failed: count(Ending::Failed),
-                added: if added.is_empty() { None } else { at(0.5).zip(at(0.99)) },
+                added: if added.is_empty() {
+                    None
+                } else {
+                    at(0.5).zip(at(0.99))
+                },
             }
         });
-        Report { played, lines: lines.collect(), happened, breaches: judge(pages) }
+        Report {
+            played,
+            lines: lines.collect(),
+            happened,
+            breaches: judge(pages),
+        }
     }
 
     /// The part of all requests that was served; nothing of nothing.
@@ -96,26 +120,59 @@
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "{}\n", self.played)?;
-        let names = ["route", "requests", "served", "refused", "failed", "p50 added", "p99 added"];
+        let names = [
+            "route",
+            "requests",
+            "served",
+            "refused",
+            "failed",
+            "p50 added",
+            "p99 added",
+        ];
         let [route, requests, served, refused, failed, middle, slow] = names;
-        writeln!(f, "{route:<9}{requests:>9}{served:>9}{refused:>9}{failed:>9}{middle:>11}{slow:>11}")?;
+        writeln!(
+            f,
+            "{route:<9}{requests:>9}{served:>9}{refused:>9}{failed:>9}{middle:>11}{slow:>11}"
+        )?;
         for line in &self.lines {
-            let Line { route, requests, served, refused, failed, .. } = line;
+            let Line {
+                route,
+                requests,
+                served,
+                refused,
+                failed,
+                ..
+            } = line;
             let (middle, slow) = match line.added {
                 Some((middle, slow)) => (millis(middle), millis(slow)),
                 None => ("-".into(), "-".into()),
             };
-            writeln!(f, "{route:<9}{requests:>9}{served:>9}{refused:>9}{failed:>9}{middle:>11}{slow:>11}")?;
+            writeln!(
+                f,
+                "{route:<9}{requests:>9}{served:>9}{refused:>9}{failed:>9}{middle:>11}{slow:>11}"
+            )?;
         }
         writeln!(f)?;
         for line in &self.happened {
             writeln!(f, "{line}")?;
         }
-        writeln!(f, "\nserved: {:.2} % ({:.0} % needed)", self.served() * 100.0, SERVED * 100.0)?;
+        writeln!(
+            f,
+            "\nserved: {:.2} % ({:.0} % needed)",
+            self.served() * 100.0,
+            SERVED * 100.0
+        )?;
         if self.breaches.is_empty() {
             return writeln!(f, "verdict: every rule held");
         }
-        writeln!(f, "verdict: rules were broken {} times", self.breaches.len())?;
-        self.breaches.iter().take(SHOWN).try_for_each(|breach| writeln!(f, "  {breach}"))
+        writeln!(
+            f,
+            "verdict: rules were broken {} times",
+            self.breaches.len()
+        )?;
+        self.breaches
+            .iter()
+            .take(SHOWN)
+            .try_for_each(|breach| writeln!(f, "  {breach}"))
     }
 }
--- a/crates/emberpin-demo/src/servers.rs
+++ b/crates/emberpin-demo/src/servers.rs
@@ -95,8 +95,12 @@
             books: books.clone(),
         });
         let lives = life.clone();
-        let task = tokio::spawn(async move { tokio::join!(lives.clone().serve(listener), lives.beats()) });
-        Ok(Server { life, task: task.abort_handle() })
+        let task =
+            tokio::spawn(async move { tokio::join!(lives.clone().serve(listener), lives.beats()) });
+        Ok(Server {
+            life,
+            task: task.abort_handle(),
+        })
     }
 
     /// Says that it drains, goes on for the time that it must, says that it leaves, and ends. Returns whether both
@@ -132,7 +136,11 @@
     }
 
     async fn beat(&self) -> bool {
-        let state = if self.leaving.load(Ordering::Relaxed) { "drain" } else { "up" };
+        let state = if self.leaving.load(Ordering::Relaxed) {
+            "drain"
+        } else {
+            "up"
+        };
         let body = object! {
             addr: self.address.to_string(),
             sysinfo: { svc: self.service, ver: "v1", az: self.zone, slots: SLOTS },
@@ -155,7 +163,9 @@
         for to in told.into_iter().chain(others) {
             let answer = wire::call(to, Method::POST, path, body.clone(), ACKNOWLEDGED).await;
             if let Some(answer) = answer.filter(|answer| (200..300).contains(&answer.status)) {
-                let body = std::str::from_utf8(&answer.body).ok().and_then(|body| jzon::parse(body).ok());
+                let body = std::str::from_utf8(&answer.body)
+                    .ok()
+                    .and_then(|body| jzon::parse(body).ok());
                 let named = body.and_then(|body| body["hb_addr"].as_str()?.parse().ok());
                 *locked(&self.beat_at) = named;
                 return Some(());
@@ -170,19 +180,26 @@
         // Connections go with the life.
         let mut connections = JoinSet::new();
         loop {
-            let Ok((stream, _)) = listener.accept().await else { continue };
+            let Ok((stream, _)) = listener.accept().await else {
+                continue;
+            };
             _ = stream.set_nodelay(true);
             while connections.try_join_next().is_some() {}
             let life = self.clone();
             connections.spawn(async move {
                 let service = service_fn(|request| life.answer(request));
                 let connection = hyper::server::conn::http1::Builder::new();
-                _ = connection.serve_connection(TokioIo::new(stream), service).await;
+                _ = connection
+                    .serve_connection(TokioIo::new(stream), service)
+                    .await;
             });
         }
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
+    async fn answer(
+        &self,
+        request: Request<Incoming>,
+    ) -> Result<Response<Full<Bytes>>, Infallible> {
         let mut answer = self.work(request).await;
         if self.leaving.load(Ordering::Relaxed) {
             head(&mut answer, "connection", "close");
@@ -195,7 +212,9 @@
         if parts.uri.path() == "/healthz" {
             return self.health().await;
         }
-        let Some(try_id) = text(&parts.headers, "try-id") else { return not_run(400, "") };
+        let Some(try_id) = text(&parts.headers, "try-id") else {
+            return not_run(400, "");
+        };
         if text(&parts.headers, "want-instance").is_some_and(|wanted| wanted != self.id) {
             return not_run(421, &try_id);
         }
@@ -210,13 +229,19 @@
         if body.collect().await.is_err() {
             return not_run(400, &try_id);
         }
-        let Ok(_slot) = self.slots.acquire().await else { return not_run(503, &try_id) };
+        let Ok(_slot) = self.slots.acquire().await else {
+            return not_run(503, &try_id);
+        };
         if deadline.is_some_and(|millis| begun.elapsed() >= Duration::from_millis(millis)) {
             return not_run(503, &try_id);
         }
         self.books.pages().arrivals[arrival].ran = true;
         let work = locked(&self.random).rand_range(WORK.0..WORK.1);
-        let factor = if self.cold_left() > Duration::ZERO { COLD_FACTOR } else { 1 };
+        let factor = if self.cold_left() > Duration::ZERO {
+            COLD_FACTOR
+        } else {
+            1
+        };
         tokio::time::sleep(Duration::from_millis(u64::from(work * factor))).await;
         self.books.pages().arrivals[arrival].took = Some(begun.elapsed());
         let mut answer = Response::new(Full::from(format!("{try_id} by {}\n", self.id)));
@@ -245,7 +270,11 @@
             *answer.status_mut() = hyper::StatusCode::SERVICE_UNAVAILABLE;
         }
         head(&mut answer, "instance", &self.id);
-        head(&mut answer, "cold-ms", &self.cold_left().as_millis().to_string());
+        head(
+            &mut answer,
+            "cold-ms",
+            &self.cold_left().as_millis().to_string(),
+        );
         answer
     }
 }
--- a/crates/emberpin-demo/src/wire.rs
+++ b/crates/emberpin-demo/src/wire.rs
@@ -44,10 +44,14 @@
 ///
 /// [`Unanswered::Unsent`].
 pub async fn connect(to: SocketAddr) -> Result<Sender, Unanswered> {
-    let stream = timeout(CONNECT, TcpStream::connect(to)).await.map_err(|_| Unanswered::Unsent)?;
+    let stream = timeout(CONNECT, TcpStream::connect(to))
+        .await
+        .map_err(|_| Unanswered::Unsent)?;
     let stream = stream.map_err(|_| Unanswered::Unsent)?;
     _ = stream.set_nodelay(true);
-    let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|_| Unanswered::Unsent)?;
+    let (sender, connection) = handshake(TokioIo::new(stream))
+        .await
+        .map_err(|_| Unanswered::Unsent)?;
     tokio::spawn(async move { _ = connection.await });
     Ok(sender)
 }
@@ -58,11 +62,29 @@
 ///
 /// [`Unanswered`].
 pub async fn ask(sender: &mut Sender, request: Request<Full<Bytes>>) -> Result<Answer, Unanswered> {
-    let sent = |e: hyper::Error| if e.is_canceled() { Unanswered::Unsent } else { Unanswered::Broken };
+    let sent = |e: hyper::Error| {
+        if e.is_canceled() {
+            Unanswered::Unsent
+        } else {
+            Unanswered::Broken
+        }
+    };
     sender.ready().await.map_err(|_| Unanswered::Unsent)?;
-    let (parts, body) = sender.send_request(request).await.map_err(sent)?.into_parts();
-    let body = body.collect().await.map_err(|_| Unanswered::Broken)?.to_bytes();
-    Ok(Answer { status: parts.status.as_u16(), headers: parts.headers, body })
+    let (parts, body) = sender
+        .send_request(request)
+        .await
+        .map_err(sent)?
+        .into_parts();
+    let body = body
+        .collect()
+        .await
+        .map_err(|_| Unanswered::Broken)?
+        .to_bytes();
+    Ok(Answer {
+        status: parts.status.as_u16(),
+        headers: parts.headers,
+        body,
+    })
 }
 
 /// One call on a connection of its own; `None` if it is not answered within this time.
@@ -73,8 +95,14 @@
     body: String,
     within: Duration,
 ) -> Option<Answer> {
-    let request = Request::builder().method(method).uri(path).header(HOST, to.to_string());
-    let request = request.header("content-type", "application/json").body(Full::from(body)).ok()?;
+    let request = Request::builder()
+        .method(method)
+        .uri(path)
+        .header(HOST, to.to_string());
+    let request = request
+        .header("content-type", "application/json")
+        .body(Full::from(body))
+        .ok()?;
     let calling = async { ask(&mut connect(to).await?, request).await };
     timeout(within, calling).await.ok()?.ok()
 }
--- a/crates/emberpin-failover/src/hands.rs
+++ b/crates/emberpin-failover/src/hands.rs
@@ -202,7 +202,10 @@
 impl Hands {
     /// Nothing in hand yet, and nobody known.
     pub fn new(rules: Rules, now: Millis) -> Hands {
-        let (tokens, lives) = (rules.per_s.max(1.0), BTreeMap::from([(rules.me, rules.life)]));
+        let (tokens, lives) = (
+            rules.per_s.max(1.0),
+            BTreeMap::from([(rules.me, rules.life)]),
+        );
         Hands {
             rules,
             now,
@@ -235,7 +238,9 @@
     /// Whether a keeper here has promised a work to another than its claimant: what the claimant says of it does not
     /// count any more.
     pub fn is_promised_away(&self, id: &WorkId) -> bool {
-        self.kept.get(id).is_some_and(|kept| kept.promised.round > 0)
+        self.kept
+            .get(id)
+            .is_some_and(|kept| kept.promised.round > 0)
     }
 
     /// Takes an event, and appends what is to be done about it.
@@ -243,17 +248,38 @@
         self.now = self.now.max(now);
         match event {
             Event::Begun { id, keepers } => {
-                let ballot = Ballot { round: 0, of: self.rules.me };
+                let ballot = Ballot {
+                    round: 0,
+                    of: self.rules.me,
+                };
                 let keepers = self.seen(keepers);
-                let own = Own { ballot, keepers, went: None, fenced: false, asked: None };
+                let own = Own {
+                    ballot,
+                    keepers,
+                    went: None,
+                    fenced: false,
+                    asked: None,
+                };
                 self.own.insert(id, own);
             }
-            Event::Go { id, attempt, to, work } => self.go(id, attempt, to, work, actions),
+            Event::Go {
+                id,
+                attempt,
+                to,
+                work,
+            } => self.go(id, attempt, to, work, actions),
             Event::Done(id) => self.done(id, Said::Over(id), actions),
             Event::Failed(id) => self.done(id, Said::Ended(id, Verdict::MayHaveRun), actions),
             Event::Granted { id, keepers } => {
                 let (keepers, expires) = (self.seen(keepers), self.now + 2.0 * self.rules.keep);
-                let granted = Granted { keepers, expires, due: None, taker: None, round: 0, asking: None };
+                let granted = Granted {
+                    keepers,
+                    expires,
+                    due: None,
+                    taker: None,
+                    round: 0,
+                    asking: None,
+                };
                 self.granted.insert(id, granted);
             }
             Event::Settled(id) => _ = self.granted.remove(&id),
@@ -275,7 +301,10 @@
     }
 
     fn seen(&self, keepers: Vec<Member>) -> Vec<(Member, Option<Life>)> {
-        keepers.into_iter().map(|keeper| (keeper, self.lives.get(&keeper).copied())).collect()
+        keepers
+            .into_iter()
+            .map(|keeper| (keeper, self.lives.get(&keeper).copied()))
+            .collect()
     }
 
     fn say(&mut self, to: Member, said: Said, actions: &mut Vec<Action>) {
@@ -288,7 +317,14 @@
 
     // As whoever lets attempts out.
 
-    fn go(&mut self, id: WorkId, attempt: u32, to: crate::Hall, work: Work, actions: &mut Vec<Action>) {
+    fn go(
+        &mut self,
+        id: WorkId,
+        attempt: u32,
+        to: crate::Hall,
+        work: Work,
+        actions: &mut Vec<Action>,
+    ) {
         let (now, until) = (self.now, self.now + self.rules.ask_within);
         let Some(own) = self.own.get_mut(&id).filter(|own| !own.fenced) else {
             return actions.push(Action::Withhold(id, attempt));
@@ -297,14 +333,36 @@
         // counts from the first attempt all the same.
         let (hall, at) = (to, own.went.map_or(now, |(_, at)| at));
         own.went = Some((hall, at));
-        let (ballot, went, keepers) = (own.ballot, Went { hall, ago: now - at }, own.keepers.clone());
-        own.asked = Some(Asked { attempt, noted: BTreeSet::new(), refused: BTreeSet::new(), until });
+        let (ballot, went, keepers) = (
+            own.ballot,
+            Went {
+                hall,
+                ago: now - at,
+            },
+            own.keepers.clone(),
+        );
+        own.asked = Some(Asked {
+            attempt,
+            noted: BTreeSet::new(),
+            refused: BTreeSet::new(),
+            until,
+        });
         for (keeper, seen) in keepers {
             let there = keeper == self.rules.me || !self.away.contains(&keeper);
             match seen.filter(|_| there) {
                 Some(seen) => {
                     let work = work.clone();
-                    self.say(keeper, Said::Going { id, ballot, seen, went, work }, actions);
+                    self.say(
+                        keeper,
+                        Said::Going {
+                            id,
+                            ballot,
+                            seen,
+                            went,
+                            work,
+                        },
+                        actions,
+                    );
                 }
                 None => self.refused(id, ballot, keeper, None, actions),
             }
@@ -312,10 +370,16 @@
     }
 
     fn noted(&mut self, id: WorkId, ballot: Ballot, from: Member, actions: &mut Vec<Action>) {
-        let Some(own) = self.own.get_mut(&id).filter(|own| own.ballot == ballot && !own.fenced) else {
+        let Some(own) = self
+            .own
+            .get_mut(&id)
+            .filter(|own| own.ballot == ballot && !own.fenced)
+        else {
+            return;
+        };
+        let Some(asked) = own.asked.as_mut().filter(|asked| self.now < asked.until) else {
             return;
         };
-        let Some(asked) = own.asked.as_mut().filter(|asked| self.now < asked.until) else { return };
         asked.noted.insert(from);
         if asked.noted.len() > own.keepers.len() / 2 {
             let attempt = asked.attempt;
@@ -332,9 +396,13 @@
         promised: Option<Ballot>,
         actions: &mut Vec<Action>,
     ) {
-        let Some(own) = self.own.get_mut(&id).filter(|own| own.ballot == ballot) else { return };
+        let Some(own) = self.own.get_mut(&id).filter(|own| own.ballot == ballot) else {
+            return;
+        };
         own.fenced |= promised.is_some_and(|promised| promised > ballot);
-        let Some(asked) = own.asked.as_mut() else { return };
+        let Some(asked) = own.asked.as_mut() else {
+            return;
+        };
         asked.refused.insert(from);
         // Whoever is left is no majority.
         if own.fenced || (own.keepers.len() - asked.refused.len()) <= own.keepers.len() / 2 {
@@ -350,7 +418,11 @@
             return actions.push(Action::Closed(id));
         };
         let until = self.now + self.rules.tell_within;
-        let closing = Closing { keepers: own.keepers.len(), known: BTreeSet::new(), until };
+        let closing = Closing {
+            keepers: own.keepers.len(),
+            known: BTreeSet::new(),
+            until,
+        };
         self.closing.insert(id, closing);
         for (keeper, _) in own.keepers {
             self.say(keeper, said.clone(), actions);
@@ -361,10 +433,16 @@
     fn misses(&mut self, member: Member, actions: &mut Vec<Action>) {
         let waits = |own: &Own| {
             let keeps = own.keepers.iter().any(|(keeper, _)| *keeper == member);
-            own.asked.as_ref().is_some_and(|asked| keeps && !asked.noted.contains(&member))
+            own.asked
+                .as_ref()
+                .is_some_and(|asked| keeps && !asked.noted.contains(&member))
         };
-        let ids: Vec<(WorkId, Ballot)> =
-            self.own.iter().filter(|(_, own)| waits(own)).map(|(id, own)| (*id, own.ballot)).collect();
+        let ids: Vec<(WorkId, Ballot)> = self
+            .own
+            .iter()
+            .filter(|(_, own)| waits(own))
+            .map(|(id, own)| (*id, own.ballot))
+            .collect();
         for (id, ballot) in ids {
             self.refused(id, ballot, member, None, actions);
         }
@@ -374,13 +452,23 @@
 
     fn hear(&mut self, from: Member, said: Said, actions: &mut Vec<Action>) {
         match said {
-            Said::Going { id, ballot, seen, went, work } => {
+            Said::Going {
+                id,
+                ballot,
+                seen,
+                went,
+                work,
+            } => {
                 let answer = match self.note(id, ballot, seen, went, work) {
                     Ok(()) => {
                         self.yields(id, ballot);
                         Said::Noted { id, ballot }
                     }
-                    Err(promised) => Said::Refused { id, ballot, promised },
+                    Err(promised) => Said::Refused {
+                        id,
+                        ballot,
+                        promised,
+                    },
                 };
                 self.say(from, answer, actions);
             }
@@ -392,12 +480,20 @@
                         self.yields(id, ballot);
                         Said::Promised { id, ballot, kept }
                     }
-                    (None, Err(promised)) => Said::Refused { id, ballot, promised },
+                    (None, Err(promised)) => Said::Refused {
+                        id,
+                        ballot,
+                        promised,
+                    },
                 };
                 self.say(from, answer, actions);
             }
             Said::Noted { id, ballot } => self.noted(id, ballot, from, actions),
-            Said::Refused { id, ballot, promised } => {
+            Said::Refused {
+                id,
+                ballot,
+                promised,
+            } => {
                 self.refused(id, ballot, from, promised, actions);
                 self.outbid(id, ballot, promised);
             }
@@ -408,7 +504,9 @@
                 self.say(from, Said::Known(id), actions);
             }
             Said::Known(id) => {
-                let Some(closing) = self.closing.get_mut(&id) else { return };
+                let Some(closing) = self.closing.get_mut(&id) else {
+                    return;
+                };
                 closing.known.insert(from);
                 if closing.known.len() > closing.keepers / 2 {
                     self.closing.remove(&id);
@@ -444,17 +542,31 @@
         if let Some(kept) = before.filter(|kept| kept.promised > ballot) {
             return Err(Some(kept.promised));
         }
-        let held = before.and_then(|kept| kept.told.as_ref()).map_or(0, |(_, _, _, work)| work.payload.len());
+        let held = before
+            .and_then(|kept| kept.told.as_ref())
+            .map_or(0, |(_, _, _, work)| work.payload.len());
         let bytes = self.bytes - held + work.payload.len();
         let full = before.is_none() && self.kept.len() >= self.rules.entries;
         if full || bytes > self.rules.bytes {
             return Err(None);
         }
         self.bytes = bytes;
-        let ago = if went.ago.is_finite() { went.ago.max(0.0) } else { f64::MAX };
+        let ago = if went.ago.is_finite() {
+            went.ago.max(0.0)
+        } else {
+            f64::MAX
+        };
         let expires = self.now + work.within.clamp(0.0, self.rules.keep) + self.rules.keep;
         let told = Some((ballot, went.hall, self.now - ago, work));
-        self.kept.insert(id, Kept { promised: ballot, told, outcome: None, expires });
+        self.kept.insert(
+            id,
+            Kept {
+                promised: ballot,
+                told,
+                outcome: None,
+                expires,
+            },
+        );
         Ok(())
     }
 
@@ -476,7 +588,15 @@
                 return Err(None);
             }
             let expires = self.now + 2.0 * self.rules.keep;
-            self.kept.insert(id, Kept { promised: ballot, told: None, outcome: None, expires });
+            self.kept.insert(
+                id,
+                Kept {
+                    promised: ballot,
+                    told: None,
+                    outcome: None,
+                    expires,
+                },
+            );
             return Ok(None);
         };
         if kept.promised > ballot {
@@ -488,8 +608,14 @@
             let left = (kept.expires - self.rules.keep - now).max(0.0);
             (
                 *told,
-                Went { hall: *hall, ago: now - at },
-                Work { within: left.min(work.within), ..work.clone() },
+                Went {
+                    hall: *hall,
+                    ago: now - at,
+                },
+                Work {
+                    within: left.min(work.within),
+                    ..work.clone()
+                },
             )
         }))
     }
@@ -498,13 +624,24 @@
     /// claimant may wake yet, and others may ask that have not heard.
     fn conclude(&mut self, id: WorkId, outcome: Outcome) {
         self.drop_work(&id);
-        let (expires, full) = (self.now + 2.0 * self.rules.keep, self.kept.len() >= self.rules.entries);
+        let (expires, full) = (
+            self.now + 2.0 * self.rules.keep,
+            self.kept.len() >= self.rules.entries,
+        );
         match self.kept.get_mut(&id) {
             Some(kept) => kept.outcome = kept.outcome.or(Some(outcome)),
             None if full => {}
             None => {
-                let promised = Ballot { round: 0, of: id.claimant };
-                let kept = Kept { promised, told: None, outcome: Some(outcome), expires };
+                let promised = Ballot {
+                    round: 0,
+                    of: id.claimant,
+                };
+                let kept = Kept {
+                    promised,
+                    told: None,
+                    outcome: Some(outcome),
+                    expires,
+                };
                 self.kept.insert(id, kept);
             }
         }
@@ -534,7 +671,10 @@
                 continue;
             }
             granted.taker = None;
-            let others = granted.keepers.iter().filter(|(keeper, _)| *keeper != member);
+            let others = granted
+                .keepers
+                .iter()
+                .filter(|(keeper, _)| *keeper != member);
             let place = others.take_while(|(keeper, _)| *keeper != me).count();
             granted.due = Some(now + place as f64 * step);
         }
@@ -553,11 +693,23 @@
 
     fn ask(&mut self, id: WorkId, actions: &mut Vec<Action>) {
         let promised = self.kept.get(&id).map_or(0, |kept| kept.promised.round);
-        let Some(granted) = self.granted.get_mut(&id) else { return };
+        let Some(granted) = self.granted.get_mut(&id) else {
+            return;
+        };
         granted.round = granted.round.max(promised).saturating_add(1);
-        let ballot = Ballot { round: granted.round, of: self.rules.me };
+        let ballot = Ballot {
+            round: granted.round,
+            of: self.rules.me,
+        };
         let until = self.now + self.rules.ask_within;
-        (granted.due, granted.asking) = (None, Some(Asking { ballot, promises: BTreeMap::new(), until }));
+        (granted.due, granted.asking) = (
+            None,
+            Some(Asking {
+                ballot,
+                promises: BTreeMap::new(),
+                until,
+            }),
+        );
         for (keeper, seen) in granted.keepers.clone() {
             if let Some(seen) = seen {
                 self.say(keeper, Said::Prepare { id, ballot, seen }, actions);
@@ -567,7 +719,10 @@
 
     /// Another asked under a higher ballot: let it.
     fn outbid(&mut self, id: WorkId, ballot: Ballot, promised: Option<Ballot>) {
-        let granted = self.granted.get(&id).and_then(|granted| granted.asking.as_ref());
+        let granted = self
+            .granted
+            .get(&id)
+            .and_then(|granted| granted.asking.as_ref());
         let ours = granted.is_some_and(|asking| asking.ballot == ballot);
         if let Some(higher) = promised.filter(|promised| ours && *promised > ballot) {
             self.yields(id, higher);
@@ -593,24 +748,50 @@
         kept: Option<(Ballot, Went, Work)>,
         actions: &mut Vec<Action>,
     ) {
-        let Some(granted) = self.granted.get_mut(&id) else { return };
-        let Some(asking) = granted.asking.as_mut().filter(|asking| asking.ballot == ballot) else { return };
+        let Some(granted) = self.granted.get_mut(&id) else {
+            return;
+        };
+        let Some(asking) = granted
+            .asking
+            .as_mut()
+            .filter(|asking| asking.ballot == ballot)
+        else {
+            return;
+        };
         asking.promises.insert(from, kept);
         if asking.promises.len() <= granted.keepers.len() / 2 {
             return;
         }
-        let newest = asking.promises.values().flatten().max_by_key(|(ballot, _, _)| *ballot).cloned();
+        let newest = asking
+            .promises
+            .values()
+            .flatten()
+            .max_by_key(|(ballot, _, _)| *ballot)
+            .cloned();
         let keepers = granted.keepers.clone();
         (granted.asking, granted.taker) = (None, Some(self.rules.me));
         // A majority knows of no attempt, and lets none through any more: none was let out.
-        let Some((_, went, work)) = newest else { return self.end(id, &keepers, Verdict::NotSent, actions) };
-        let inside = work.window.is_some_and(|window| went.ago < window * (1.0 - MARGIN));
+        let Some((_, went, work)) = newest else {
+            return self.end(id, &keepers, Verdict::NotSent, actions);
+        };
+        let inside = work
+            .window
+            .is_some_and(|window| went.ago < window * (1.0 - MARGIN));
         if !inside || work.within <= 0.0 || self.tokens < 1.0 {
             return self.end(id, &keepers, Verdict::MayHaveRun, actions);
         }
         self.tokens -= 1.0;
         let first = Some((went.hall, self.now - went.ago));
-        self.own.insert(id, Own { ballot, keepers, went: first, fenced: false, asked: None });
+        self.own.insert(
+            id,
+            Own {
+                ballot,
+                keepers,
+                went: first,
+                fenced: false,
+                asked: None,
+            },
+        );
         actions.push(Action::TakeOver { id, work, went });
     }
 
@@ -633,32 +814,54 @@
         let now = self.now;
         let fill = (now - self.filled).max(0.0) * self.rules.per_s / 1000.0;
         (self.tokens, self.filled) = ((self.tokens + fill).min(self.rules.per_s.max(1.0)), now);
-        let late =
-            |own: &Own| own.asked.as_ref().filter(|asked| asked.until <= now).map(|asked| asked.attempt);
-        let late: Vec<(WorkId, u32)> =
-            self.own.iter().filter_map(|(id, own)| Some((*id, late(own)?))).collect();
+        let late = |own: &Own| {
+            own.asked
+                .as_ref()
+                .filter(|asked| asked.until <= now)
+                .map(|asked| asked.attempt)
+        };
+        let late: Vec<(WorkId, u32)> = self
+            .own
+            .iter()
+            .filter_map(|(id, own)| Some((*id, late(own)?)))
+            .collect();
         for (id, attempt) in late {
             if let Some(own) = self.own.get_mut(&id) {
                 own.asked = None;
             }
             actions.push(Action::Withhold(id, attempt));
         }
-        let told: Vec<WorkId> =
-            self.closing.iter().filter(|(_, closing)| closing.until <= now).map(|(id, _)| *id).collect();
+        let told: Vec<WorkId> = self
+            .closing
+            .iter()
+            .filter(|(_, closing)| closing.until <= now)
+            .map(|(id, _)| *id)
+            .collect();
         for id in told {
             self.closing.remove(&id);
             actions.push(Action::Closed(id));
         }
-        let gone: Vec<WorkId> =
-            self.kept.iter().filter(|(_, kept)| kept.expires <= now).map(|(id, _)| *id).collect();
+        let gone: Vec<WorkId> = self
+            .kept
+            .iter()
+            .filter(|(_, kept)| kept.expires <= now)
+            .map(|(id, _)| *id)
+            .collect();
         gone.iter().for_each(|id| self.forget(id));
         self.granted.retain(|_, granted| granted.expires > now);
         let due = |granted: &Granted| {
-            let unheard = granted.asking.as_ref().is_some_and(|asking| asking.until <= now);
+            let unheard = granted
+                .asking
+                .as_ref()
+                .is_some_and(|asking| asking.until <= now);
             unheard || granted.due.is_some_and(|due| due <= now)
         };
-        let due: Vec<WorkId> =
-            self.granted.iter().filter(|(_, granted)| due(granted)).map(|(id, _)| *id).collect();
+        let due: Vec<WorkId> = self
+            .granted
+            .iter()
+            .filter(|(_, granted)| due(granted))
+            .map(|(id, _)| *id)
+            .collect();
         for id in due {
             self.ask(id, actions);
         }
