--- a/crates/emberpin-idempotency/src/claims.rs
+++ b/crates/emberpin-idempotency/src/claims.rs
@@ -314,7 +314,12 @@
 impl<A: Clone + Weight> Claims<A> {
     /// The claims of a limiter that starts now. All other members are away until it is told otherwise.
     pub fn new(rules: Rules, limits: Limits, now: Millis) -> Claims<A> {
-        let away = rules.members.iter().copied().filter(|member| *member != rules.me).collect();
+        let away = rules
+            .members
+            .iter()
+            .copied()
+            .filter(|member| *member != rules.me)
+            .collect();
         let first_claim = rules.first_claim;
         Claims {
             table: Table::new(limits, now),
@@ -351,7 +356,11 @@
             .map(|member| (crate::owner::weight(customer, member.0), *member))
             .collect();
         members.sort_unstable_by(|one, other| other.cmp(one));
-        members.into_iter().take(self.rules.copies).map(|(_, member)| member).collect()
+        members
+            .into_iter()
+            .take(self.rules.copies)
+            .map(|(_, member)| member)
+            .collect()
     }
 
     /// The claim under which a request of this limiter goes on, and whose key it is.
@@ -362,19 +371,33 @@
 
     /// Whose key a claim holds here.
     pub fn customer_of(&self, of: Holding) -> Option<Customer> {
-        self.held.get(self.by_holding.get(&of)?).map(|held| held.customer)
+        self.held
+            .get(self.by_holding.get(&of)?)
+            .map(|held| held.customer)
     }
 
     /// Takes an event, and appends what is to be done about it.
     pub fn handle(&mut self, now: Millis, event: Event<A>, actions: &mut Vec<Action<A>>) {
         self.now = self.now.max(now);
         match event {
-            Event::Arrived { ticket, customer, key, fingerprint, within } => {
+            Event::Arrived {
+                ticket,
+                customer,
+                key,
+                fingerprint,
+                within,
+            } => {
                 self.arrive(ticket, customer, key, fingerprint, within, actions);
             }
-            Event::Served { ticket, answer } => self.conclude(ticket, answer, Outcome::Served, actions),
-            Event::Refused { ticket, answer } => self.conclude(ticket, answer, Outcome::Refused, actions),
-            Event::Failed { ticket, answer } => self.conclude(ticket, answer, Outcome::Failed, actions),
+            Event::Served { ticket, answer } => {
+                self.conclude(ticket, answer, Outcome::Served, actions)
+            }
+            Event::Refused { ticket, answer } => {
+                self.conclude(ticket, answer, Outcome::Refused, actions)
+            }
+            Event::Failed { ticket, answer } => {
+                self.conclude(ticket, answer, Outcome::Failed, actions)
+            }
             Event::Left { ticket } => self.leave(ticket, actions),
             Event::Written { ticket } => self.hold(table::Event::Written { ticket }, actions),
             Event::Unwritten { ticket } => self.hold(table::Event::Unwritten { ticket }, actions),
@@ -387,12 +410,27 @@
             Event::Ended { of, ran: true } => {
                 self.of_claim(of, |ticket| table::Event::Lost { ticket }, actions);
             }
-            Event::Finished { customer, key, fingerprint, answer } => {
+            Event::Finished {
+                customer,
+                key,
+                fingerprint,
+                answer,
+            } => {
                 self.next += 1;
                 let claim = Claim(self.next);
                 for holder in self.holders(customer) {
                     let (key, answer) = (key.clone(), answer.clone());
-                    self.say(holder, Said::Served { claim, customer, key, fingerprint, answer }, actions);
+                    self.say(
+                        holder,
+                        Said::Served {
+                            claim,
+                            customer,
+                            key,
+                            fingerprint,
+                            answer,
+                        },
+                        actions,
+                    );
                 }
             }
             Event::Tick => self.tick(actions),
@@ -410,7 +448,10 @@
             self.own.push(said);
         } else if !self.away.contains(&to) {
             actions.push(Action::Say(to, said));
-        } else if matches!(said, Said::Released(_) | Said::Lost(_) | Said::Served { .. }) {
+        } else if matches!(
+            said,
+            Said::Released(_) | Said::Lost(_) | Said::Served { .. }
+        ) {
             // An outcome is worth telling late: it turns "may have run" into an answer.
             let owed = self.owed.entry(to).or_default();
             if owed.len() >= self.rules.owed && !owed.is_empty() {
@@ -448,11 +489,25 @@
         }
         self.next += 1;
         let claim = Claim(self.next);
-        let votes = self.holders(customer).into_iter().map(|holder| (holder, Vote::Spare)).collect();
+        let votes = self
+            .holders(customer)
+            .into_iter()
+            .map(|holder| (holder, Vote::Spare))
+            .collect();
         let (until, running) = (self.now + self.rules.ask_within, false);
         let (lead, lead_there, waiters) = (ticket, true, Vec::new());
         let expires = self.now + within;
-        let ask = Ask { claim, fingerprint, lead, lead_there, waiters, votes, until, expires, running };
+        let ask = Ask {
+            claim,
+            fingerprint,
+            lead,
+            lead_there,
+            waiters,
+            votes,
+            until,
+            expires,
+            running,
+        };
         self.asks.insert(name.clone(), ask);
         self.by_claim.insert(claim, name.clone());
         self.by_ticket.insert(ticket, name.clone());
@@ -466,23 +521,42 @@
         let (now, me) = (self.now, self.rules.me);
         let mut order = self.holders(name.0);
         order.sort_by_key(|holder| *holder != me);
-        let Some(ask) = self.asks.get_mut(name) else { return false };
+        let Some(ask) = self.asks.get_mut(name) else {
+            return false;
+        };
         let spare = |holder: &Member| matches!(ask.votes.get(holder), Some(Vote::Spare));
-        let next = order.into_iter().filter(|holder| !self.away.contains(holder)).find(spare);
+        let next = order
+            .into_iter()
+            .filter(|holder| !self.away.contains(holder))
+            .find(spare);
         let Some(holder) = next else { return false };
         ask.votes.insert(holder, Vote::Asked);
         ask.until = now + self.rules.ask_within;
-        let (claim, fingerprint, within) = (ask.claim, ask.fingerprint, (ask.expires - now).max(0.0));
+        let (claim, fingerprint, within) =
+            (ask.claim, ask.fingerprint, (ask.expires - now).max(0.0));
         let (customer, key) = name.clone();
-        self.say(holder, Said::Wants { claim, customer, key, fingerprint, within }, actions);
+        self.say(
+            holder,
+            Said::Wants {
+                claim,
+                customer,
+                key,
+                fingerprint,
+                within,
+            },
+            actions,
+        );
         true
     }
 
     /// Whether what the holders have said so far decides about a key.
     fn weigh(&mut self, name: &Name, actions: &mut Vec<Action<A>>) {
-        let Some(ask) = self.asks.get_mut(name).filter(|ask| !ask.running) else { return };
+        let Some(ask) = self.asks.get_mut(name).filter(|ask| !ask.running) else {
+            return;
+        };
         let majority = ask.votes.len() / 2 + 1;
-        let count = |wanted: fn(&Vote<A>) -> bool| ask.votes.values().filter(|vote| wanted(vote)).count();
+        let count =
+            |wanted: fn(&Vote<A>) -> bool| ask.votes.values().filter(|vote| wanted(vote)).count();
         let granted = count(Vote::is_granted);
         if granted >= majority {
             ask.running = true;
@@ -502,7 +576,9 @@
         if self.ask_another(name, actions) {
             return self.weigh(name, actions);
         }
-        let Some(ask) = self.asks.get(name) else { return };
+        let Some(ask) = self.asks.get(name) else {
+            return;
+        };
         let me = (self.rules.me, ask.claim);
         let others: Vec<Holding> = ask
             .votes
@@ -527,7 +603,9 @@
 
     /// Gives back what was granted.
     fn give_back(&mut self, name: &Name, actions: &mut Vec<Action<A>>) {
-        let Some(ask) = self.asks.get_mut(name) else { return };
+        let Some(ask) = self.asks.get_mut(name) else {
+            return;
+        };
         let claim = ask.claim;
         let mut granted = Vec::new();
         for (holder, vote) in &mut ask.votes {
@@ -543,9 +621,15 @@
 
     /// Whoever this one gave way to has given up: asks again where it gave a grant back.
     fn ask_again(&mut self, name: &Name, actions: &mut Vec<Action<A>>) {
-        let Some(ask) = self.asks.get_mut(name) else { return };
+        let Some(ask) = self.asks.get_mut(name) else {
+            return;
+        };
         ask.until = self.now + self.rules.ask_within;
-        let (claim, fingerprint, within) = (ask.claim, ask.fingerprint, (ask.expires - self.now).max(0.0));
+        let (claim, fingerprint, within) = (
+            ask.claim,
+            ask.fingerprint,
+            (ask.expires - self.now).max(0.0),
+        );
         let mut again = Vec::new();
         for (holder, vote) in &mut ask.votes {
             if vote.is_back() {
@@ -556,14 +640,26 @@
         }
         for holder in again {
             let (customer, key) = name.clone();
-            self.say(holder, Said::Wants { claim, customer, key, fingerprint, within }, actions);
+            self.say(
+                holder,
+                Said::Wants {
+                    claim,
+                    customer,
+                    key,
+                    fingerprint,
+                    within,
+                },
+                actions,
+            );
         }
         self.weigh(name, actions);
     }
 
     /// Nobody here wants a key any more, or all are told.
     fn resolve(&mut self, name: &Name, told: &Told<A>, actions: &mut Vec<Action<A>>) {
-        let Some(ask) = self.asks.remove(name) else { return };
+        let Some(ask) = self.asks.remove(name) else {
+            return;
+        };
         self.by_claim.remove(&ask.claim);
         self.by_ticket.remove(&ask.lead);
         actions.push(Action::Drop(ask.lead));
@@ -582,26 +678,50 @@
         }
     }
 
-    fn conclude(&mut self, ticket: Ticket, answer: A, outcome: Outcome, actions: &mut Vec<Action<A>>) {
-        let Some(name) = self.by_ticket.remove(&ticket) else { return };
-        if !self.asks.get(&name).is_some_and(|ask| ask.running && ask.lead == ticket) {
+    fn conclude(
+        &mut self,
+        ticket: Ticket,
+        answer: A,
+        outcome: Outcome,
+        actions: &mut Vec<Action<A>>,
+    ) {
+        let Some(name) = self.by_ticket.remove(&ticket) else {
+            return;
+        };
+        if !self
+            .asks
+            .get(&name)
+            .is_some_and(|ask| ask.running && ask.lead == ticket)
+        {
             return;
         }
-        let Some(ask) = self.asks.remove(&name) else { return };
+        let Some(ask) = self.asks.remove(&name) else {
+            return;
+        };
         self.by_claim.remove(&ask.claim);
         if ask.lead_there {
-            actions.push(Action::Tell(ticket, Told::Telling(Telling::Own(answer.clone()))));
+            actions.push(Action::Tell(
+                ticket,
+                Told::Telling(Telling::Own(answer.clone())),
+            ));
         }
         for waiter in ask.waiters {
             self.by_ticket.remove(&waiter);
-            actions.push(Action::Tell(waiter, Told::Telling(Telling::Replay(answer.clone()))));
+            actions.push(Action::Tell(
+                waiter,
+                Told::Telling(Telling::Replay(answer.clone())),
+            ));
         }
         let (claim, fingerprint, (customer, key)) = (ask.claim, ask.fingerprint, name);
         for holder in ask.votes.into_keys() {
             let said = match outcome {
-                Outcome::Served => {
-                    Said::Served { claim, customer, key: key.clone(), fingerprint, answer: answer.clone() }
-                }
+                Outcome::Served => Said::Served {
+                    claim,
+                    customer,
+                    key: key.clone(),
+                    fingerprint,
+                    answer: answer.clone(),
+                },
                 Outcome::Refused => Said::Released(claim),
                 Outcome::Failed => Said::Lost(claim),
             };
@@ -610,8 +730,12 @@
     }
 
     fn leave(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
-        let Some(name) = self.by_ticket.get(&ticket).cloned() else { return };
-        let Some(ask) = self.asks.get_mut(&name) else { return };
+        let Some(name) = self.by_ticket.get(&ticket).cloned() else {
+            return;
+        };
+        let Some(ask) = self.asks.get_mut(&name) else {
+            return;
+        };
         if ask.lead == ticket {
             ask.lead_there = false;
         } else {
@@ -629,7 +753,13 @@
 
     fn hear(&mut self, from: Member, said: Said<A>, actions: &mut Vec<Action<A>>) {
         match said {
-            Said::Wants { claim, customer, key, fingerprint, within } => {
+            Said::Wants {
+                claim,
+                customer,
+                key,
+                fingerprint,
+                within,
+            } => {
                 let of = (from, claim);
                 if self.by_holding.contains_key(&of) {
                     return;
@@ -637,22 +767,54 @@
                 self.next += 1;
                 let ticket = Ticket(self.next);
                 let until = self.now + within.clamp(0.0, 600_000.0) + self.rules.slack;
-                let held = Held { of, customer, key: key.clone(), until, granted: false };
+                let held = Held {
+                    of,
+                    customer,
+                    key: key.clone(),
+                    until,
+                    granted: false,
+                };
                 self.held.insert(ticket, held);
                 self.by_holding.insert(of, ticket);
-                self.hold(table::Event::Arrived { ticket, customer, key, fingerprint }, actions);
+                self.hold(
+                    table::Event::Arrived {
+                        ticket,
+                        customer,
+                        key,
+                        fingerprint,
+                    },
+                    actions,
+                );
             }
-            Said::Released(claim) => {
-                self.of_claim((from, claim), |ticket| table::Event::Released { ticket }, actions)
-            }
-            Said::Lost(claim) => {
-                self.of_claim((from, claim), |ticket| table::Event::Lost { ticket }, actions)
-            }
-            Said::Served { claim, customer, key, fingerprint, answer } => {
+            Said::Released(claim) => self.of_claim(
+                (from, claim),
+                |ticket| table::Event::Released { ticket },
+                actions,
+            ),
+            Said::Lost(claim) => self.of_claim(
+                (from, claim),
+                |ticket| table::Event::Lost { ticket },
+                actions,
+            ),
+            Said::Served {
+                claim,
+                customer,
+                key,
+                fingerprint,
+                answer,
+            } => {
                 if let Some(ticket) = self.by_holding.remove(&(from, claim)) {
                     self.held.remove(&ticket);
                 }
-                self.hold(table::Event::Learned { customer, key, fingerprint, answer }, actions);
+                self.hold(
+                    table::Event::Learned {
+                        customer,
+                        key,
+                        fingerprint,
+                        answer,
+                    },
+                    actions,
+                );
             }
             Said::Granted(claim) => self.vote(from, claim, Vote::Granted, actions),
             Said::Waits(claim, holding) => self.vote(from, claim, Vote::Waits(holding), actions),
@@ -695,25 +857,39 @@
         self.table.handle(self.now, event, &mut told);
         for action in told {
             match action {
-                table::Action::Record(record, ticket) => actions.push(Action::Record(record, ticket)),
+                table::Action::Record(record, ticket) => {
+                    actions.push(Action::Record(record, ticket))
+                }
                 table::Action::Pass(ticket) => {
-                    let Some(held) = self.held.get_mut(&ticket) else { continue };
+                    let Some(held) = self.held.get_mut(&ticket) else {
+                        continue;
+                    };
                     held.granted = true;
                     let (to, claim) = held.of;
                     self.say(to, Said::Granted(claim), actions);
                 }
                 table::Action::Hold(ticket) => {
-                    let Some(held) = self.held.get(&ticket) else { continue };
-                    let first = self.table.first(held.customer, &held.key).filter(|first| *first != ticket);
+                    let Some(held) = self.held.get(&ticket) else {
+                        continue;
+                    };
+                    let first = self
+                        .table
+                        .first(held.customer, &held.key)
+                        .filter(|first| *first != ticket);
                     let (to, claim) = held.of;
                     // One that waits only for its own record is told when that counts.
-                    if let Some(holding) = first.and_then(|first| self.held.get(&first)).map(|held| held.of) {
+                    if let Some(holding) = first
+                        .and_then(|first| self.held.get(&first))
+                        .map(|held| held.of)
+                    {
                         self.say(to, Said::Waits(claim, holding), actions);
                     }
                 }
                 table::Action::Drop(_) => {}
                 table::Action::Tell(ticket, telling) => {
-                    let Some(held) = self.held.remove(&ticket) else { continue };
+                    let Some(held) = self.held.remove(&ticket) else {
+                        continue;
+                    };
                     self.by_holding.remove(&held.of);
                     let (to, claim) = held.of;
                     self.say(to, Said::Told(claim, verdict(telling)), actions);
@@ -732,8 +908,12 @@
         }
         self.away.insert(member);
         // Whatever it was asked may have reached it: it is told later that it was given up.
-        let names: Vec<Name> =
-            self.asks.iter().filter(|(_, ask)| !ask.running).map(|(name, _)| name.clone()).collect();
+        let names: Vec<Name> = self
+            .asks
+            .iter()
+            .filter(|(_, ask)| !ask.running)
+            .map(|(name, _)| name.clone())
+            .collect();
         for name in names {
             self.miss(&name, member, actions);
         }
@@ -741,7 +921,9 @@
 
     /// A holder that has not answered, or that others are waited for at, is not there any more.
     fn miss(&mut self, name: &Name, member: Member, actions: &mut Vec<Action<A>>) {
-        let Some(ask) = self.asks.get_mut(name) else { return };
+        let Some(ask) = self.asks.get_mut(name) else {
+            return;
+        };
         let claim = ask.claim;
         match ask.votes.get_mut(&member) {
             Some(vote @ (Vote::Asked | Vote::Waits(_))) => *vote = Vote::None,
@@ -754,8 +936,12 @@
     /// A member's earlier life is over, with all that it had out or wanted.
     fn bereave(&mut self, member: Member, actions: &mut Vec<Action<A>>) {
         let over = |held: &Held| held.of.0 == member && !(held.granted && self.rules.takes_over);
-        let of: Vec<Ticket> =
-            self.held.iter().filter(|(_, held)| over(held)).map(|(ticket, _)| *ticket).collect();
+        let of: Vec<Ticket> = self
+            .held
+            .iter()
+            .filter(|(_, held)| over(held))
+            .map(|(ticket, _)| *ticket)
+            .collect();
         for ticket in of {
             self.give_up(ticket, actions);
         }
@@ -763,7 +949,9 @@
 
     /// Nothing more will be heard of a claim: it may have run if it was granted.
     fn give_up(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
-        let Some(held) = self.held.remove(&ticket) else { return };
+        let Some(held) = self.held.remove(&ticket) else {
+            return;
+        };
         self.by_holding.remove(&held.of);
         let event = match held.granted {
             true => table::Event::Lost { ticket },
@@ -785,8 +973,12 @@
         for (name, holder) in late {
             self.miss(&name, holder, actions);
         }
-        let over: Vec<Ticket> =
-            self.held.iter().filter(|(_, held)| held.until <= self.now).map(|(ticket, _)| *ticket).collect();
+        let over: Vec<Ticket> = self
+            .held
+            .iter()
+            .filter(|(_, held)| held.until <= self.now)
+            .map(|(ticket, _)| *ticket)
+            .collect();
         for ticket in over {
             self.give_up(ticket, actions);
         }
@@ -810,7 +1002,9 @@
         Vote::Told(verdict) => Some(verdict),
         _ => None,
     });
-    let Some(verdict) = told.min_by_key(|verdict| rank(verdict)) else { return Told::NoMajority };
+    let Some(verdict) = told.min_by_key(|verdict| rank(verdict)) else {
+        return Told::NoMajority;
+    };
     Told::Telling(match verdict.clone() {
         Verdict::Replay(answer) => Telling::Replay(answer),
         Verdict::NotKept => Telling::NotKept,
--- a/crates/emberpin-idempotency/src/fingerprint.rs
+++ b/crates/emberpin-idempotency/src/fingerprint.rs
@@ -30,7 +30,12 @@
     /// before it, so that no byte can move from one into the next.
     pub fn of(secret: &Secret, method: &str, path: &str, class: usize, body: &[u8]) -> Fingerprint {
         let mut hasher = blake3::Hasher::new_keyed(&secret.0);
-        for part in [method.as_bytes(), path.as_bytes(), &(class as u64).to_le_bytes(), body] {
+        for part in [
+            method.as_bytes(),
+            path.as_bytes(),
+            &(class as u64).to_le_bytes(),
+            body,
+        ] {
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
@@ -47,7 +52,8 @@
     #[test]
     fn every_part_counts_and_none_flows_into_the_next() {
         let secret = Secret::new([7; 32]);
-        let of = |method, path, class, body: &[u8]| Fingerprint::of(&secret, method, path, class, body);
+        let of =
+            |method, path, class, body: &[u8]| Fingerprint::of(&secret, method, path, class, body);
         let first = of("POST", "/api", 1, b"image");
         assert_eq!(first, of("POST", "/api", 1, b"image"));
         for other in [
--- a/crates/emberpin-idempotency/src/keeper.rs
+++ b/crates/emberpin-idempotency/src/keeper.rs
@@ -45,9 +45,18 @@
             Keeper::Alone(table) => table,
         };
         let event = match event {
-            Event::Arrived { ticket, customer, key, fingerprint, .. } => {
-                table::Event::Arrived { ticket, customer, key, fingerprint }
-            }
+            Event::Arrived {
+                ticket,
+                customer,
+                key,
+                fingerprint,
+                ..
+            } => table::Event::Arrived {
+                ticket,
+                customer,
+                key,
+                fingerprint,
+            },
             Event::Served { ticket, answer } => table::Event::Served { ticket, answer },
             Event::Refused { ticket, answer } => table::Event::Refused { ticket, answer },
             Event::Failed { ticket, answer } => table::Event::Failed { ticket, answer },
--- a/crates/emberpin-idempotency/src/table.rs
+++ b/crates/emberpin-idempotency/src/table.rs
@@ -167,7 +167,11 @@
 enum State<A> {
     /// The first is out, and these wait for it; it is told its outcome unless it has left. It is not out yet while
     /// its record is being written.
-    InFlight { first: Option<Ticket>, waiters: Vec<Ticket>, writing: bool },
+    InFlight {
+        first: Option<Ticket>,
+        waiters: Vec<Ticket>,
+        writing: bool,
+    },
     /// Served; the answer unless it gave way.
     Served { answer: Option<A> },
     /// It may have run.
@@ -258,7 +262,12 @@
         self.now = self.now.max(now);
         self.expire();
         match event {
-            Event::Arrived { ticket, customer, key, fingerprint } => {
+            Event::Arrived {
+                ticket,
+                customer,
+                key,
+                fingerprint,
+            } => {
                 let action = self.arrive(ticket, customer, key, fingerprint);
                 if let (Action::Hold(_), Some(record)) = (&action, self.claim(ticket)) {
                     actions.push(Action::Record(record, Some(ticket)));
@@ -267,14 +276,25 @@
             }
             Event::Released { ticket } => self.release(ticket, actions),
             Event::Lost { ticket } => self.lose(ticket, actions),
-            Event::Learned { customer, key, fingerprint, answer } => {
+            Event::Learned {
+                customer,
+                key,
+                fingerprint,
+                answer,
+            } => {
                 self.learn(customer, key, fingerprint, answer, actions);
             }
             Event::Written { ticket } => self.written(ticket, actions),
             Event::Unwritten { ticket } => self.unwritten(ticket, actions),
-            Event::Served { ticket, answer } => self.conclude(ticket, answer, Outcome::Served, actions),
-            Event::Refused { ticket, answer } => self.conclude(ticket, answer, Outcome::Refused, actions),
-            Event::Failed { ticket, answer } => self.conclude(ticket, answer, Outcome::Failed, actions),
+            Event::Served { ticket, answer } => {
+                self.conclude(ticket, answer, Outcome::Served, actions)
+            }
+            Event::Refused { ticket, answer } => {
+                self.conclude(ticket, answer, Outcome::Refused, actions)
+            }
+            Event::Failed { ticket, answer } => {
+                self.conclude(ticket, answer, Outcome::Failed, actions)
+            }
             Event::Left { ticket } => {
                 if self.leave(ticket) {
                     actions.push(Action::Drop(ticket));
@@ -300,7 +320,9 @@
         }
         let holding = self.customers.entry(customer).or_default();
         match &mut entry.state {
-            State::Served { answer: Some(answer) } => Action::Tell(ticket, Telling::Replay(answer.clone())),
+            State::Served {
+                answer: Some(answer),
+            } => Action::Tell(ticket, Telling::Replay(answer.clone())),
             State::Served { answer: None } => Action::Tell(ticket, Telling::NotKept),
             State::Unknown => Action::Tell(ticket, Telling::Unknown),
             State::InFlight { waiters, .. } => {
@@ -318,11 +340,20 @@
     }
 
     /// A key that is not known: the first of it, if there is a place.
-    fn begin(&mut self, ticket: Ticket, customer: Customer, key: Key, fingerprint: Fingerprint) -> Action<A> {
+    fn begin(
+        &mut self,
+        ticket: Ticket,
+        customer: Customer,
+        key: Key,
+        fingerprint: Fingerprint,
+    ) -> Action<A> {
         let own = self.customers.get(&customer);
         let full = self.entries.len() >= self.limits.entries;
         let own_full = own.is_some_and(|own| own.entries >= self.share(self.limits.entries));
-        let opens = self.extended.get(&customer).map_or(self.opens, |opens| opens.max(self.opens));
+        let opens = self
+            .extended
+            .get(&customer)
+            .map_or(self.opens, |opens| opens.max(self.opens));
         if self.now < opens {
             let later = self.now + self.limits.retention;
             // What is seen now may have run before the start. Told to come back, it would be taken for new work then:
@@ -335,7 +366,11 @@
             } else {
                 let id = self.insert(customer, key, fingerprint, State::Unknown, later);
                 self.done.push_back(id);
-                self.customers.entry(customer).or_default().done.push_back(id);
+                self.customers
+                    .entry(customer)
+                    .or_default()
+                    .done
+                    .push_back(id);
             }
             return Action::Tell(ticket, Telling::Quiet);
         }
@@ -343,15 +378,30 @@
             // Of both that are in the way the later to go counts. While all are in flight, one of them goes, at
             // the soonest, a whole retention from now.
             let goes = |done: Option<&VecDeque<EntryId>>| {
-                let oldest = done.and_then(|done| done.front()).and_then(|id| self.entries.get(id));
+                let oldest = done
+                    .and_then(|done| done.front())
+                    .and_then(|id| self.entries.get(id));
                 oldest.map_or(self.limits.retention, |entry| entry.expires - self.now)
             };
             let table = if full { goes(Some(&self.done)) } else { 0.0 };
-            let share = if own_full { goes(own.map(|own| &own.done)) } else { 0.0 };
-            return Action::Tell(ticket, Telling::Full { retry_after: table.max(share) });
+            let share = if own_full {
+                goes(own.map(|own| &own.done))
+            } else {
+                0.0
+            };
+            return Action::Tell(
+                ticket,
+                Telling::Full {
+                    retry_after: table.max(share),
+                },
+            );
         }
         let writing = self.limits.recorded;
-        let state = State::InFlight { first: Some(ticket), waiters: Vec::new(), writing };
+        let state = State::InFlight {
+            first: Some(ticket),
+            waiters: Vec::new(),
+            writing,
+        };
         let id = self.insert(customer, key, fingerprint, state, f64::INFINITY);
         self.tickets.insert(ticket, id);
         match writing {
@@ -364,22 +414,46 @@
     fn claim(&self, ticket: Ticket) -> Option<Record<A>> {
         let entry = self.entries.get(self.tickets.get(&ticket)?)?;
         match &entry.state {
-            State::InFlight { first, writing: true, .. } if *first == Some(ticket) => {
-                Some(self.record(entry, Known::Claimed))
-            }
+            State::InFlight {
+                first,
+                writing: true,
+                ..
+            } if *first == Some(ticket) => Some(self.record(entry, Known::Claimed)),
             _ => None,
         }
     }
 
     fn record(&self, entry: &Entry<A>, known: Known<A>) -> Record<A> {
-        let Entry { customer, key, fingerprint, .. } = entry;
-        Record { customer: *customer, key: key.clone(), fingerprint: *fingerprint, at: self.now, known }
+        let Entry {
+            customer,
+            key,
+            fingerprint,
+            ..
+        } = entry;
+        Record {
+            customer: *customer,
+            key: key.clone(),
+            fingerprint: *fingerprint,
+            at: self.now,
+            known,
+        }
     }
 
     fn written(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
-        let Some(id) = self.tickets.get(&ticket).copied() else { return };
-        let Some(entry) = self.entries.get_mut(&id) else { return };
-        let State::InFlight { first, waiters, writing } = &mut entry.state else { return };
+        let Some(id) = self.tickets.get(&ticket).copied() else {
+            return;
+        };
+        let Some(entry) = self.entries.get_mut(&id) else {
+            return;
+        };
+        let State::InFlight {
+            first,
+            waiters,
+            writing,
+        } = &mut entry.state
+        else {
+            return;
+        };
         if !std::mem::take(writing) {
             return;
         }
@@ -398,16 +472,31 @@
 
     /// The request that holds a key that has no outcome yet.
     pub fn first(&self, customer: Customer, key: &Key) -> Option<Ticket> {
-        match &self.entries.get(self.by_key.get(&(customer, key.clone()))?)?.state {
+        match &self
+            .entries
+            .get(self.by_key.get(&(customer, key.clone()))?)?
+            .state
+        {
             State::InFlight { first, .. } => *first,
             State::Served { .. } | State::Unknown => None,
         }
     }
 
     fn release(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
-        let Some(id) = self.tickets.get(&ticket).copied() else { return };
-        let Some(entry) = self.entries.get_mut(&id) else { return };
-        let State::InFlight { first, waiters, writing } = &mut entry.state else { return };
+        let Some(id) = self.tickets.get(&ticket).copied() else {
+            return;
+        };
+        let Some(entry) = self.entries.get_mut(&id) else {
+            return;
+        };
+        let State::InFlight {
+            first,
+            waiters,
+            writing,
+        } = &mut entry.state
+        else {
+            return;
+        };
         if *first != Some(ticket) {
             self.leave(ticket);
             return;
@@ -429,20 +518,28 @@
         }
         match self.entries.get(&id) {
             Some(entry) if writing => {
-                actions.push(Action::Record(self.record(entry, Known::Claimed), Some(next)));
+                actions.push(Action::Record(
+                    self.record(entry, Known::Claimed),
+                    Some(next),
+                ));
             }
             _ => actions.push(Action::Pass(next)),
         }
     }
 
     fn lose(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
-        let Some(id) = self.tickets.get(&ticket).copied() else { return };
-        let Some(entry) = self.entries.get_mut(&id) else { return };
+        let Some(id) = self.tickets.get(&ticket).copied() else {
+            return;
+        };
+        let Some(entry) = self.entries.get_mut(&id) else {
+            return;
+        };
         if !matches!(&entry.state, State::InFlight { first, .. } if *first == Some(ticket)) {
             self.leave(ticket);
             return;
         }
-        let State::InFlight { waiters, .. } = std::mem::replace(&mut entry.state, State::Unknown) else {
+        let State::InFlight { waiters, .. } = std::mem::replace(&mut entry.state, State::Unknown)
+        else {
             return;
         };
         self.tickets.remove(&ticket);
@@ -453,8 +550,16 @@
     }
 
     /// An entry has an outcome from now on, and these that waited are told so.
-    fn settle(&mut self, id: EntryId, waiters: Vec<Ticket>, told: &Telling<A>, actions: &mut Vec<Action<A>>) {
-        let Some(entry) = self.entries.get_mut(&id) else { return };
+    fn settle(
+        &mut self,
+        id: EntryId,
+        waiters: Vec<Ticket>,
+        told: &Telling<A>,
+        actions: &mut Vec<Action<A>>,
+    ) {
+        let Some(entry) = self.entries.get_mut(&id) else {
+            return;
+        };
         entry.expires = self.now + self.limits.retention;
         let holding = self.customers.entry(entry.customer).or_default();
         holding.waiters -= waiters.len();
@@ -497,21 +602,41 @@
             },
             // More than the bound if need be: what has run is never forgotten.
             None => {
-                let id = self.insert(customer, key, fingerprint, State::Served { answer: None }, 0.0);
+                let id = self.insert(
+                    customer,
+                    key,
+                    fingerprint,
+                    State::Served { answer: None },
+                    0.0,
+                );
                 self.settle(id, Vec::new(), &Telling::NotKept, actions);
                 id
             }
         };
         if let (true, Some(entry)) = (self.limits.recorded, self.entries.get(&id)) {
-            actions.push(Action::Record(self.record(entry, Known::Served(Some(answer.clone()))), None));
+            actions.push(Action::Record(
+                self.record(entry, Known::Served(Some(answer.clone()))),
+                None,
+            ));
         }
         self.keep(id, customer, answer);
     }
 
     fn unwritten(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
-        let Some(id) = self.tickets.get(&ticket).copied() else { return };
-        let Some(entry) = self.entries.get_mut(&id) else { return };
-        let State::InFlight { first, waiters, writing: true } = &mut entry.state else { return };
+        let Some(id) = self.tickets.get(&ticket).copied() else {
+            return;
+        };
+        let Some(entry) = self.entries.get_mut(&id) else {
+            return;
+        };
+        let State::InFlight {
+            first,
+            waiters,
+            writing: true,
+        } = &mut entry.state
+        else {
+            return;
+        };
         let (first, waiters, customer) = (*first, std::mem::take(waiters), entry.customer);
         self.tickets.remove(&ticket);
         if let Some(holding) = self.customers.get_mut(&customer) {
@@ -529,11 +654,21 @@
     /// event; [`Table::restored`] follows the last. `same_clock` if that life's clock can be compared with this
     /// one's.
     pub fn restore(&mut self, record: Record<A>, same_clock: bool) {
-        let Record { customer, key, fingerprint, at, known } = record;
+        let Record {
+            customer,
+            key,
+            fingerprint,
+            at,
+            known,
+        } = record;
         if let Some(id) = self.by_key.get(&(customer, key.clone())).copied() {
             self.forget_with_answer(id);
         }
-        let kept = if same_clock { at.min(self.now) } else { self.now };
+        let kept = if same_clock {
+            at.min(self.now)
+        } else {
+            self.now
+        };
         let (expires, answer) = match known {
             Known::Gone => return,
             // It may have run until that life's end, which nothing tells.
@@ -556,8 +691,11 @@
 
     /// All that earlier lives wrote has been taken.
     pub fn restored(&mut self) {
-        let mut ids: Vec<(Millis, EntryId)> =
-            self.entries.iter().map(|(id, entry)| (entry.expires, *id)).collect();
+        let mut ids: Vec<(Millis, EntryId)> = self
+            .entries
+            .iter()
+            .map(|(id, entry)| (entry.expires, *id))
+            .collect();
         ids.sort_by(|one, other| one.0.total_cmp(&other.0).then(one.1.cmp(&other.1)));
         for holding in self.customers.values_mut() {
             holding.done.clear();
@@ -565,7 +703,9 @@
         }
         self.done = ids.iter().map(|(_, id)| *id).collect();
         for (_, id) in ids {
-            let Some(entry) = self.entries.get(&id) else { continue };
+            let Some(entry) = self.entries.get(&id) else {
+                continue;
+            };
             let holding = self.customers.entry(entry.customer).or_default();
             holding.done.push_back(id);
             if matches!(entry.state, State::Served { answer: Some(_) }) {
@@ -584,12 +724,16 @@
             }
             let (known, at) = match &entry.state {
                 State::InFlight { .. } => (Known::Claimed, self.now),
-                State::Served { answer } => {
-                    (Known::Served(answer.clone()), entry.expires - self.limits.retention)
-                }
+                State::Served { answer } => (
+                    Known::Served(answer.clone()),
+                    entry.expires - self.limits.retention,
+                ),
                 State::Unknown => (Known::Unknown, entry.expires - self.limits.retention),
             };
-            records.push(Record { at, ..self.record(entry, known) });
+            records.push(Record {
+                at,
+                ..self.record(entry, known)
+            });
         }
         (records, None)
     }
@@ -604,7 +748,16 @@
     ) -> EntryId {
         let id = EntryId(self.next);
         self.next += 1;
-        self.entries.insert(id, Entry { customer, key: key.clone(), fingerprint, state, expires });
+        self.entries.insert(
+            id,
+            Entry {
+                customer,
+                key: key.clone(),
+                fingerprint,
+                state,
+                expires,
+            },
+        );
         self.by_key.insert((customer, key), id);
         self.customers.entry(customer).or_default().entries += 1;
         id
@@ -615,14 +768,25 @@
         ((of as f64 * self.limits.customer_share) as usize).max(1)
     }
 
-    fn conclude(&mut self, ticket: Ticket, answer: A, outcome: Outcome, actions: &mut Vec<Action<A>>) {
-        let Some(id) = self.tickets.remove(&ticket) else { return };
-        let Some(entry) = self.entries.get_mut(&id) else { return };
+    fn conclude(
+        &mut self,
+        ticket: Ticket,
+        answer: A,
+        outcome: Outcome,
+        actions: &mut Vec<Action<A>>,
+    ) {
+        let Some(id) = self.tickets.remove(&ticket) else {
+            return;
+        };
+        let Some(entry) = self.entries.get_mut(&id) else {
+            return;
+        };
         let state = match outcome {
             Outcome::Served => State::Served { answer: None },
             Outcome::Refused | Outcome::Failed => State::Unknown,
         };
-        let State::InFlight { first, waiters, .. } = std::mem::replace(&mut entry.state, state) else {
+        let State::InFlight { first, waiters, .. } = std::mem::replace(&mut entry.state, state)
+        else {
             return;
         };
         let customer = entry.customer;
@@ -650,7 +814,11 @@
             Outcome::Refused => self.forget(id),
             Outcome::Served | Outcome::Failed => {
                 self.done.push_back(id);
-                self.customers.entry(customer).or_default().done.push_back(id);
+                self.customers
+                    .entry(customer)
+                    .or_default()
+                    .done
+                    .push_back(id);
             }
         }
         if outcome == Outcome::Served {
@@ -662,7 +830,9 @@
     /// oldest of whoever holds most.
     fn keep(&mut self, id: EntryId, customer: Customer, answer: A) {
         let weight = answer.weight();
-        let share = self.share(self.limits.answer_bytes).min(self.limits.answer_bytes);
+        let share = self
+            .share(self.limits.answer_bytes)
+            .min(self.limits.answer_bytes);
         if weight > share {
             return;
         }
@@ -674,20 +844,33 @@
             }
         }
         if let Some(entry) = self.entries.get_mut(&id) {
-            entry.state = State::Served { answer: Some(answer) };
-            self.customers.entry(customer).or_default().answers.push_back(id);
+            entry.state = State::Served {
+                answer: Some(answer),
+            };
+            self.customers
+                .entry(customer)
+                .or_default()
+                .answers
+                .push_back(id);
             self.change_bytes(customer, weight, 0);
         }
     }
 
     fn held(&self, customer: Customer) -> usize {
-        self.customers.get(&customer).map_or(0, |holding| holding.bytes)
+        self.customers
+            .get(&customer)
+            .map_or(0, |holding| holding.bytes)
     }
 
     /// Lets go of a customer's oldest kept answer; false if there is none.
     fn let_go_of_answer(&mut self, customer: Customer) -> bool {
-        let oldest = self.customers.get_mut(&customer).and_then(|holding| holding.answers.pop_front());
-        let Some(entry) = oldest.and_then(|id| self.entries.get_mut(&id)) else { return false };
+        let oldest = self
+            .customers
+            .get_mut(&customer)
+            .and_then(|holding| holding.answers.pop_front());
+        let Some(entry) = oldest.and_then(|id| self.entries.get_mut(&id)) else {
+            return false;
+        };
         if let State::Served { answer } = &mut entry.state {
             let weight = answer.take().map_or(0, |answer| answer.weight());
             self.change_bytes(customer, 0, weight);
@@ -707,16 +890,24 @@
 
     /// Takes a request out that waits; false if it is a first, or none.
     fn leave(&mut self, ticket: Ticket) -> bool {
-        let Some(id) = self.tickets.get(&ticket).copied() else { return false };
-        let Some(entry) = self.entries.get_mut(&id) else { return false };
-        let State::InFlight { first, waiters, .. } = &mut entry.state else { return false };
+        let Some(id) = self.tickets.get(&ticket).copied() else {
+            return false;
+        };
+        let Some(entry) = self.entries.get_mut(&id) else {
+            return false;
+        };
+        let State::InFlight { first, waiters, .. } = &mut entry.state else {
+            return false;
+        };
         if *first == Some(ticket) {
             // It goes on if it is out, so that a repeat has its outcome; its ticket stays, to say what came of it.
             *first = None;
             return false;
         }
         // A first that has left already is none of the waiters.
-        let Some(place) = waiters.iter().position(|waiter| *waiter == ticket) else { return false };
+        let Some(place) = waiters.iter().position(|waiter| *waiter == ticket) else {
+            return false;
+        };
         waiters.remove(place);
         self.tickets.remove(&ticket);
         if let Some(holding) = self.customers.get_mut(&entry.customer) {
@@ -731,7 +922,9 @@
             self.extended.retain(|_, opens| *opens > self.now);
         }
         while let Some(id) = self.done.front().copied() {
-            let Some(entry) = self.entries.get(&id) else { return };
+            let Some(entry) = self.entries.get(&id) else {
+                return;
+            };
             if entry.expires > self.now {
                 return;
             }
@@ -749,8 +942,13 @@
 
     /// Forgets an entry whose answer may be kept and which stands in no order of outcomes.
     fn forget_with_answer(&mut self, id: EntryId) {
-        if let Some(Entry { customer, state: State::Served { answer: Some(answer) }, .. }) =
-            self.entries.get(&id)
+        if let Some(Entry {
+            customer,
+            state: State::Served {
+                answer: Some(answer),
+            },
+            ..
+        }) = self.entries.get(&id)
         {
             let (customer, weight) = (*customer, answer.weight());
             self.change_bytes(customer, 0, weight);
@@ -762,7 +960,9 @@
     }
 
     fn forget(&mut self, id: EntryId) {
-        let Some(entry) = self.entries.remove(&id) else { return };
+        let Some(entry) = self.entries.remove(&id) else {
+            return;
+        };
         self.by_key.remove(&(entry.customer, entry.key));
         if let Some(holding) = self.customers.get_mut(&entry.customer) {
             holding.entries -= 1;
--- a/crates/emberpin-limiter/src/between/handover.rs
+++ b/crates/emberpin-limiter/src/between/handover.rs
@@ -47,8 +47,20 @@
 }
 
 impl Given {
-    pub fn new(clock: Millis, rev: u64, targets: &[Target], names: Vec<String>, gateway: Handover) -> Given {
-        Given { clock, rev, targets: serde_json::to_vec(targets).unwrap_or_default(), names, gateway }
+    pub fn new(
+        clock: Millis,
+        rev: u64,
+        targets: &[Target],
+        names: Vec<String>,
+        gateway: Handover,
+    ) -> Given {
+        Given {
+            clock,
+            rev,
+            targets: serde_json::to_vec(targets).unwrap_or_default(),
+            names,
+            gateway,
+        }
     }
 
     pub fn targets(&self) -> Vec<Target> {
@@ -110,7 +122,10 @@
 /// # Errors
 ///
 /// One line, when another upgrade is under way.
-pub async fn take(process: &mut Process, meeting: Option<&Path>) -> Result<Option<(Given, Older)>, String> {
+pub async fn take(
+    process: &mut Process,
+    meeting: Option<&Path>,
+) -> Result<Option<(Given, Older)>, String> {
     let mut actions = Vec::new();
     let found = match meeting {
         Some(path) => timeout(PATIENCE, UnixStream::connect(path))
@@ -118,7 +133,12 @@
             .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())),
         None => Err(io::ErrorKind::NotFound.into()),
     };
-    process.handle(Event::Begin { older: found.is_ok() }, &mut actions);
+    process.handle(
+        Event::Begin {
+            older: found.is_ok(),
+        },
+        &mut actions,
+    );
     let Ok(stream) = found else { return Ok(None) };
     let (event, given) = match timeout(PATIENCE, ask(stream)).await {
         Ok(Ok((Note::Given(body), stream))) => match postcard::from_bytes::<Given>(&body) {
@@ -141,21 +161,30 @@
 }
 
 fn useless(problem: &str) -> (Event, Option<(Given, Older)>) {
-    eprintln!("emberpin: nothing taken over from the process before, starting as after a kill: {problem}");
+    eprintln!(
+        "emberpin: nothing taken over from the process before, starting as after a kill: {problem}"
+    );
     (Event::Useless, None)
 }
 
 async fn ask(mut stream: UnixStream) -> Result<(Note<Shared>, UnixStream), String> {
-    stream.write_all(&frame::hello()).await.map_err(|e| e.to_string())?;
+    stream
+        .write_all(&frame::hello())
+        .await
+        .map_err(|e| e.to_string())?;
     let note = read(&mut stream).await?;
     Ok((note, stream))
 }
 
 async fn read(from: &mut (impl AsyncReadExt + Unpin)) -> Result<Note<Shared>, String> {
     let mut head = [0; HEAD];
-    from.read_exact(&mut head).await.map_err(|e| e.to_string())?;
+    from.read_exact(&mut head)
+        .await
+        .map_err(|e| e.to_string())?;
     let mut body = vec![0; frame::body_of(&head).map_err(|e| e.to_string())?];
-    from.read_exact(&mut body).await.map_err(|e| e.to_string())?;
+    from.read_exact(&mut body)
+        .await
+        .map_err(|e| e.to_string())?;
     frame::read(&head, &body).map_err(|e| e.to_string())
 }
 
@@ -227,7 +256,11 @@
                     _ = self.driver.send(Pairing::Alone).await;
                 }
                 // Done by whoever feeds the event.
-                Action::Ask | Action::ServeOn | Action::ServeAnew | Action::Give | Action::Refuse => {}
+                Action::Ask
+                | Action::ServeOn
+                | Action::ServeAnew
+                | Action::Give
+                | Action::Refuse => {}
                 Action::Leave | Action::Exit | Action::GiveUp => {}
             }
         }
@@ -253,7 +286,9 @@
             Err(problem) => {
                 _ = std::fs::remove_file(&own);
                 let path = path.display();
-                eprintln!("emberpin: nothing can be handed over to a next process: {path}: {problem}");
+                eprintln!(
+                    "emberpin: nothing can be handed over to a next process: {path}: {problem}"
+                );
             }
         }
     }
@@ -292,7 +327,10 @@
         let (tell, told) = mpsc::channel(NOTES);
         let (give, given) = oneshot::channel();
         let sent = async {
-            self.driver.send(Pairing::Give(give, tell)).await.map_err(|_| "no driver")?;
+            self.driver
+                .send(Pairing::Give(give, tell))
+                .await
+                .map_err(|_| "no driver")?;
             let given = given.await.map_err(|_| "the driver gave nothing")?;
             let body = postcard::to_allocvec(&given).map_err(|e| e.to_string())?;
             write(&mut stream, &Note::Given(body)).await
@@ -311,8 +349,10 @@
     /// Tells and hears until the other process is gone.
     async fn talk(self: Rc<Self>, stream: UnixStream, told: mpsc::Receiver<Shared>) {
         let (from, to) = stream.into_split();
-        let (mut hearing, mut telling) =
-            (spawn_local(self.clone().hear(from)), spawn_local(self.tell(to, told)));
+        let (mut hearing, mut telling) = (
+            spawn_local(self.clone().hear(from)),
+            spawn_local(self.tell(to, told)),
+        );
         tokio::select! {
             _ = &mut hearing => {}
             _ = &mut telling => {}
--- a/crates/emberpin-limiter/src/between/link.rs
+++ b/crates/emberpin-limiter/src/between/link.rs
@@ -5,7 +5,9 @@
 use crate::operate::config::Config;
 use crate::operate::operator::{self, Member};
 use crate::stages::memory::{boot_clock, random};
-use emberpin_peering::{Action, Belief, Closing, ConnectionId, Event, Life, Link as Core, Refused, Settings};
+use emberpin_peering::{
+    Action, Belief, Closing, ConnectionId, Event, Life, Link as Core, Refused, Settings,
+};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -49,10 +51,21 @@
 }
 
 enum Input {
-    Dialed { to: String, streams: Option<Streams> },
-    Accepted { streams: Streams, certified: Option<Vec<String>> },
-    Bytes { connection: ConnectionId, bytes: Vec<u8> },
-    Closed { connection: ConnectionId },
+    Dialed {
+        to: String,
+        streams: Option<Streams>,
+    },
+    Accepted {
+        streams: Streams,
+        certified: Option<Vec<String>>,
+    },
+    Bytes {
+        connection: ConnectionId,
+        bytes: Vec<u8>,
+    },
+    Closed {
+        connection: ConnectionId,
+    },
 }
 
 /// The link's handle.
@@ -82,16 +95,21 @@
         config: &Config,
         spoken_to: &BTreeSet<u32>,
     ) -> Result<Rc<Link>, String> {
-        let me = settings.members.iter().find(|member| member.number == number);
+        let me = settings
+            .members
+            .iter()
+            .find(|member| member.number == number);
         let me = me.ok_or_else(|| format!("[link] has no member {number}"))?;
         let tls = match settings.plain {
             true => None,
             false => Some(Tls::read(Path::new(&settings.keys), &config.name)?),
         };
-        let listener =
-            listen(me.address).map_err(|e| format!("[link] cannot listen on {}: {e}", me.address))?;
+        let listener = listen(me.address)
+            .map_err(|e| format!("[link] cannot listen on {}: {e}", me.address))?;
         let millis = |time: Duration| time.as_secs_f64() * 1000.0;
-        let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let started = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let life = Life {
             number: u64::try_from(started.as_millis()).unwrap_or(u64::MAX),
             nonce: u64::from_le_bytes(random()?),
@@ -112,7 +130,10 @@
                 suspect_after: millis(settings.suspect_after),
                 dead_after: millis(settings.dead_after),
                 hello_within: millis(settings.dead_after),
-                redial: (millis(settings.beat) / 2.0, millis(settings.dead_after) / 2.0),
+                redial: (
+                    millis(settings.beat) / 2.0,
+                    millis(settings.dead_after) / 2.0,
+                ),
                 window: WINDOW,
                 longest: LONGEST,
                 strangers: TAKING,
@@ -123,8 +144,16 @@
         let link = Rc::new(Link {
             core: RefCell::new(core),
             tls,
-            members: settings.members.iter().map(|member| (member.name.clone(), member.clone())).collect(),
-            names: settings.members.iter().map(|member| (member.number, member.name.clone())).collect(),
+            members: settings
+                .members
+                .iter()
+                .map(|member| (member.name.clone(), member.clone()))
+                .collect(),
+            names: settings
+                .members
+                .iter()
+                .map(|member| (member.number, member.name.clone()))
+                .collect(),
             writers: RefCell::default(),
             next: std::cell::Cell::new(0),
             inputs,
@@ -153,7 +182,11 @@
     /// that was not lost before.
     pub fn tell(&self, member: u32, kind: u16, body: Vec<u8>) {
         if let Some(name) = self.names.get(&member) {
-            self.feed(Event::Send { to: name.clone(), kind, body });
+            self.feed(Event::Send {
+                to: name.clone(),
+                kind,
+                body,
+            });
         }
     }
 
@@ -174,13 +207,19 @@
     fn take(self: &Rc<Self>, input: Input) {
         match input {
             Input::Dialed { to, streams: None } => self.feed(Event::NotDialed { to }),
-            Input::Dialed { to, streams: Some(streams) } => {
+            Input::Dialed {
+                to,
+                streams: Some(streams),
+            } => {
                 let connection = self.open(streams);
                 self.feed(Event::Dialed { connection, to });
             }
             Input::Accepted { streams, certified } => {
                 let connection = self.open(streams);
-                self.feed(Event::Accepted { connection, certified });
+                self.feed(Event::Accepted {
+                    connection,
+                    certified,
+                });
             }
             Input::Bytes { connection, bytes } => self.feed(Event::Bytes { connection, bytes }),
             Input::Closed { connection } => {
@@ -208,7 +247,10 @@
             let reading = async {
                 let mut bytes = vec![0; READ];
                 while let Ok(n @ 1..) = reader.read(&mut bytes).await {
-                    let input = Input::Bytes { connection, bytes: bytes[..n].to_vec() };
+                    let input = Input::Bytes {
+                        connection,
+                        bytes: bytes[..n].to_vec(),
+                    };
                     if inputs.send(input).await.is_err() {
                         return;
                     }
@@ -226,7 +268,9 @@
 
     fn feed(&self, event: Event) {
         let mut actions = Vec::new();
-        self.core.borrow_mut().handle(boot_clock(), event, &mut actions);
+        self.core
+            .borrow_mut()
+            .handle(boot_clock(), event, &mut actions);
         for action in actions {
             match action {
                 Action::Dial { to } => self.dial(to),
@@ -243,25 +287,40 @@
                     self.writers.borrow_mut().remove(&connection);
                 }
                 // Of a kind that nobody here uses, a later version has it.
-                Action::Deliver { from, kind, body, .. } => {
+                Action::Deliver {
+                    from, kind, body, ..
+                } => {
                     if let (Some(member), Some(user)) =
                         (self.members.get(&from), self.users.borrow().get(&kind))
                     {
-                        _ = user.send(News::Told { from: member.number, body });
+                        _ = user.send(News::Told {
+                            from: member.number,
+                            body,
+                        });
                     }
                 }
                 Action::Changed { member, belief } => {
                     if let Some(member) = self.members.get(&member) {
-                        self.tell_all(&News::Changed { member: member.number, belief });
+                        self.tell_all(&News::Changed {
+                            member: member.number,
+                            belief,
+                        });
                     }
                 }
                 Action::Superseded { by } => {
-                    eprintln!("emberpin: link: a later life of this instance is there, number {by}");
+                    eprintln!(
+                        "emberpin: link: a later life of this instance is there, number {by}"
+                    );
                     self.tell_all(&News::Superseded);
                 }
                 // Of who is away the news tell.
-                Action::NotSent { why: Refused::NotConnected | Refused::NoMember, .. } => {}
-                Action::NotSent { to, why, .. } => eprintln!("emberpin: link: not told to {to}: {why:?}"),
+                Action::NotSent {
+                    why: Refused::NotConnected | Refused::NoMember,
+                    ..
+                } => {}
+                Action::NotSent { to, why, .. } => {
+                    eprintln!("emberpin: link: not told to {to}: {why:?}")
+                }
             }
         }
     }
@@ -273,7 +332,9 @@
     }
 
     fn dial(&self, to: String) {
-        let Some(address) = self.members.get(&to).map(|member| member.address) else { return };
+        let Some(address) = self.members.get(&to).map(|member| member.address) else {
+            return;
+        };
         let (inputs, tls, within) = (self.inputs.clone(), self.tls.clone(), self.hello_within);
         spawn_local(async move {
             let dialing = async {
@@ -292,7 +353,9 @@
     async fn accept(self: Rc<Self>, listener: TcpListener) {
         let places = Arc::new(tokio::sync::Semaphore::new(TAKING));
         loop {
-            let Ok(place) = places.clone().acquire_owned().await else { return };
+            let Ok(place) = places.clone().acquire_owned().await else {
+                return;
+            };
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 // Out of descriptors, say: those that there are go on.
@@ -326,7 +389,11 @@
 }
 
 fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
-    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    let socket = if address.is_ipv4() {
+        TcpSocket::new_v4()
+    } else {
+        TcpSocket::new_v6()
+    }?;
     // A killed life before leaves connections in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
--- a/crates/emberpin-limiter/src/between/peers.rs
+++ b/crates/emberpin-limiter/src/between/peers.rs
@@ -107,7 +107,10 @@
             if let (Some(from), true) = (from, length <= gossip::MAX_BYTES) {
                 // Datagrams may be lost: one that finds the driver's queue full is.
                 let bytes = buffer[..length].to_vec();
-                _ = inputs.try_send(Input::Peer { from: GatewayId(from as u32), bytes });
+                _ = inputs.try_send(Input::Peer {
+                    from: GatewayId(from as u32),
+                    bytes,
+                });
             }
         }
     }
@@ -119,7 +122,9 @@
             None => self.all,
         };
         let socket = self.socket.borrow();
-        if let (Some(address), Some(socket), true) = (address, &*socket, bytes.len() <= gossip::MAX_BYTES) {
+        if let (Some(address), Some(socket), true) =
+            (address, &*socket, bytes.len() <= gossip::MAX_BYTES)
+        {
             _ = socket.try_send_to(bytes, address);
         }
     }
--- a/crates/emberpin-limiter/src/between/tls.rs
+++ b/crates/emberpin-limiter/src/between/tls.rs
@@ -46,16 +46,21 @@
     ///
     /// One line that names the file and the way out.
     pub fn read(folder: &Path, name: &str) -> Result<Tls, String> {
-        let (certificate, key) = (folder.join(format!("{name}.pem")), folder.join(format!("{name}.key")));
+        let (certificate, key) = (
+            folder.join(format!("{name}.pem")),
+            folder.join(format!("{name}.key")),
+        );
         let chain = certificates(&certificate)?;
         warn_of_the_end(&certificate, &chain);
         owners_alone(&key)?;
-        let private =
-            PrivateKeyDer::from_pem_file(&key).map_err(|e| format!("{}: no key: {e}", key.display()))?;
+        let private = PrivateKeyDer::from_pem_file(&key)
+            .map_err(|e| format!("{}: no key: {e}", key.display()))?;
         let authority = folder.join(AUTHORITY);
         let mut roots = RootCertStore::empty();
         for root in certificates(&authority)? {
-            roots.add(root).map_err(|e| format!("{}: {e}", authority.display()))?;
+            roots
+                .add(root)
+                .map_err(|e| format!("{}: {e}", authority.display()))?;
         }
         let roots = Arc::new(roots);
         let provider = Arc::new(rustls::crypto::ring::default_provider());
@@ -74,7 +79,10 @@
             .with_client_cert_verifier(verifier)
             .with_single_cert(chain, private)
             .map_err(unusable)?;
-        Ok(Tls { client: Arc::new(client).into(), server: Arc::new(server).into() })
+        Ok(Tls {
+            client: Arc::new(client).into(),
+            server: Arc::new(server).into(),
+        })
     }
 
     /// Shakes hands with the member that was dialed; `None` if its certificate is not good for its name.
@@ -111,35 +119,46 @@
 
 /// The DNS names that a verified certificate is good for.
 fn names(chain: Option<&[CertificateDer<'_>]>) -> Vec<String> {
-    let Some((_, certificate)) = chain.and_then(|chain| X509Certificate::from_der(chain.first()?).ok())
+    let Some((_, certificate)) =
+        chain.and_then(|chain| X509Certificate::from_der(chain.first()?).ok())
     else {
         return Vec::new();
     };
-    let Ok(Some(names)) = certificate.subject_alternative_name() else { return Vec::new() };
-    let dns = names.value.general_names.iter().filter_map(|name| match name {
-        GeneralName::DNSName(name) => Some(name.to_string()),
-        _ => None,
-    });
+    let Ok(Some(names)) = certificate.subject_alternative_name() else {
+        return Vec::new();
+    };
+    let dns = names
+        .value
+        .general_names
+        .iter()
+        .filter_map(|name| match name {
+            GeneralName::DNSName(name) => Some(name.to_string()),
+            _ => None,
+        });
     dns.collect()
 }
 
 fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, String> {
     let shown = path.display();
-    let read = CertificateDer::pem_file_iter(path).map_err(|e| format!("{shown}: no certificate: {e}"))?;
+    let read =
+        CertificateDer::pem_file_iter(path).map_err(|e| format!("{shown}: no certificate: {e}"))?;
     let all: Result<Vec<_>, _> = read.collect();
     match all.map_err(|e| format!("{shown}: no certificate: {e}"))? {
-        none if none.is_empty() => {
-            Err(format!("{shown}: no certificate stands in it; `emberpin link init` makes one"))
-        }
+        none if none.is_empty() => Err(format!(
+            "{shown}: no certificate stands in it; `emberpin link init` makes one"
+        )),
         some => Ok(some),
     }
 }
 
 fn warn_of_the_end(path: &Path, chain: &[CertificateDer<'_>]) {
-    let Some(Ok((_, certificate))) = chain.first().map(|first| X509Certificate::from_der(first)) else {
+    let Some(Ok((_, certificate))) = chain.first().map(|first| X509Certificate::from_der(first))
+    else {
         return;
     };
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     let ends = u64::try_from(certificate.validity().not_after.timestamp()).unwrap_or(0);
     let left = Duration::from_secs(ends).saturating_sub(now);
     if left < SOON {
@@ -174,7 +193,11 @@
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{shown}: {e}"))?;
     let text = text.trim_end();
     let mut bytes = [0; 32];
-    let digit = |at: usize| text.as_bytes().get(at).and_then(|digit| char::from(*digit).to_digit(16));
+    let digit = |at: usize| {
+        text.as_bytes()
+            .get(at)
+            .and_then(|digit| char::from(*digit).to_digit(16))
+    };
     for (at, byte) in bytes.iter_mut().enumerate() {
         match (digit(2 * at), digit(2 * at + 1), text.len()) {
             (Some(high), Some(low), 64) => *byte = (high << 4 | low) as u8,
@@ -196,7 +219,10 @@
 /// One line that names what could not be made.
 pub fn init(folder: &Path, members: &[String], secret: [u8; 32]) -> Result<(), String> {
     let shown = folder.display();
-    std::fs::DirBuilder::new().mode(0o700).create(folder).map_err(|e| format!("cannot make {shown}: {e}"))?;
+    std::fs::DirBuilder::new()
+        .mode(0o700)
+        .create(folder)
+        .map_err(|e| format!("cannot make {shown}: {e}"))?;
     let made = |e: rcgen::Error| format!("cannot make a certificate: {e}");
     let save = |name: String, text: &str, mode: u32| {
         let path = folder.join(name);
@@ -206,12 +232,17 @@
         written.map_err(|e| format!("cannot write {}: {e}", path.display()))
     };
     let ends = || {
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_secs();
         rcgen_time(now as i64 + DAYS * 86_400)
     };
     let authority_key = KeyPair::generate().map_err(made)?;
     let mut authority = CertificateParams::new(Vec::new()).map_err(made)?;
-    authority.distinguished_name.push(DnType::CommonName, "emberpin link");
+    authority
+        .distinguished_name
+        .push(DnType::CommonName, "emberpin link");
     authority.is_ca = IsCa::Ca(BasicConstraints::Constrained(0));
     authority.key_usages = vec![KeyUsagePurpose::KeyCertSign];
     authority.not_after = ends();
@@ -222,9 +253,13 @@
     for name in members {
         let key = KeyPair::generate().map_err(made)?;
         let mut params = CertificateParams::new(vec![name.clone()]).map_err(made)?;
-        params.distinguished_name.push(DnType::CommonName, name.as_str());
-        params.extended_key_usages =
-            vec![ExtendedKeyUsagePurpose::ServerAuth, ExtendedKeyUsagePurpose::ClientAuth];
+        params
+            .distinguished_name
+            .push(DnType::CommonName, name.as_str());
+        params.extended_key_usages = vec![
+            ExtendedKeyUsagePurpose::ServerAuth,
+            ExtendedKeyUsagePurpose::ClientAuth,
+        ];
         params.not_after = ends();
         let certificate = params.signed_by(&key, &issuer).map_err(made)?;
         save(format!("{name}.pem"), &certificate.pem(), 0o644)?;
--- a/crates/emberpin-limiter/src/front/admission.rs
+++ b/crates/emberpin-limiter/src/front/admission.rs
@@ -48,7 +48,9 @@
         let classes = config.settings.classes.iter();
         Admission {
             names: config.names.clone(),
-            classes: classes.map(|class| (class.effect == Effect::Safe, millis(class.deadline))).collect(),
+            classes: classes
+                .map(|class| (class.effect == Effect::Safe, millis(class.deadline)))
+                .collect(),
             group_size: config.settings.group_size,
             most_units: config.most_units,
         }
@@ -66,7 +68,11 @@
             return Err(StatusCode::METHOD_NOT_ALLOWED);
         }
         // Servers take no body on a safe request: it would be read as the next one.
-        let framed = if safe { request.body().is_end_stream() } else { key(headers).is_some() };
+        let framed = if safe {
+            request.body().is_end_stream()
+        } else {
+            key(headers).is_some()
+        };
         framed.then_some(admitted).ok_or(StatusCode::BAD_REQUEST)
     }
 
@@ -78,14 +84,26 @@
             return None;
         }
         let id = sole(headers, &REQ_ID).filter(|id| {
-            id.len() <= MAX_ID && id.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
+            id.len() <= MAX_ID
+                && id
+                    .bytes()
+                    .all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
         })?;
         let class = self.names.class(sole(headers, &REQ_KIND)?)?;
         let plan = self.names.plan(sole(headers, &X_TIER)?)?;
         let customer = account(sole(headers, &header::COOKIE)?)?;
         let patience = seconds(sole(headers, &REQ_DEADLINE)?)?.min(self.classes[class.0].1);
         let (units, set_size, set_first) = self.terms(sole(headers, &X_CALL_TERMS)?)?;
-        Some(Admitted { id: id.into(), class, plan, customer, units, set_size, set_first, patience })
+        Some(Admitted {
+            id: id.into(),
+            class,
+            plan,
+            customer,
+            units,
+            set_size,
+            set_first,
+            patience,
+        })
     }
 
     /// Units, and size and first of the customer's set. Units have an upper bound: what is asked for goes
@@ -104,11 +122,15 @@
                 return None;
             }
         }
-        let number =
-            |text: &str| text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse::<u32>().ok())?;
+        let number = |text: &str| {
+            text.bytes()
+                .all(|b| b.is_ascii_digit())
+                .then(|| text.parse::<u32>().ok())?
+        };
         let units: f64 = units?.parse().ok()?;
         let (spread, first) = (number(spread?)?, number(first?)?);
-        let sound = units > 0.0 && units <= self.most_units && (1..=self.group_size).contains(&spread);
+        let sound =
+            units > 0.0 && units <= self.most_units && (1..=self.group_size).contains(&spread);
         (sound && first < self.group_size).then_some((units, spread, GatewayId(first)))
     }
 }
@@ -130,14 +152,23 @@
 
 /// The customer: its hash is the same at every limiter, and fits the 32 bits that gossip carries.
 fn account(cookies: &str) -> Option<CustomerId> {
-    let pairs = cookies.split(';').filter_map(|cookie| cookie.trim().split_once('='));
-    let value = single(pairs.filter(|(name, _)| *name == "account").map(|(_, value)| value))?;
+    let pairs = cookies
+        .split(';')
+        .filter_map(|cookie| cookie.trim().split_once('='));
+    let value = single(
+        pairs
+            .filter(|(name, _)| *name == "account")
+            .map(|(_, value)| value),
+    )?;
     let hex = value.len() == 16 && value.bytes().all(|b| b.is_ascii_hexdigit());
     let known = hex && u64::from_str_radix(value, 16).is_ok_and(|account| account < ACCOUNTS);
     known.then(|| CustomerId(stable_hash(&value.to_ascii_lowercase())))
 }
 
 fn seconds(text: &str) -> Option<Duration> {
-    let seconds: f64 = text.parse().ok().filter(|seconds| *seconds > 0.0 && *seconds < 3600.0)?;
+    let seconds: f64 = text
+        .parse()
+        .ok()
+        .filter(|seconds| *seconds > 0.0 && *seconds < 3600.0)?;
     Duration::try_from_secs_f64(seconds).ok()
 }
--- a/crates/emberpin-limiter/src/front/clients.rs
+++ b/crates/emberpin-limiter/src/front/clients.rs
@@ -81,7 +81,9 @@
         if self.answered {
             return;
         }
-        if let Err(mpsc::error::TrySendError::Full(gone)) = self.front.inputs.try_send(Input::Gone(self.id)) {
+        if let Err(mpsc::error::TrySendError::Full(gone)) =
+            self.front.inputs.try_send(Input::Gone(self.id))
+        {
             let inputs = self.front.inputs.clone();
             spawn_local(async move { _ = inputs.send(gone).await });
         }
@@ -115,7 +117,11 @@
         room: Rc<Room>,
     ) -> Rc<Front> {
         // As the platform has it: ready at once.
-        let phase = if config.start.is_some() { Phase::Starting } else { Phase::Serving };
+        let phase = if config.start.is_some() {
+            Phase::Starting
+        } else {
+            Phase::Serving
+        };
         Rc::new(Front {
             idempotency,
             admission: Admission::new(config),
@@ -142,7 +148,11 @@
         let asked = self.admission.check(&request)?;
         let (parts, body) = request.into_parts();
         let length = body.size_hint().exact();
-        let (held, rest) = if body.is_end_stream() { (Bytes::new(), None) } else { take_in(body).await? };
+        let (held, rest) = if body.is_end_stream() {
+            (Bytes::new(), None)
+        } else {
+            take_in(body).await?
+        };
         // Guards against repeats that the stage does not see: it tells requests apart by their whole body.
         let rest = match rest {
             Some(rest) if self.idempotency.is_some() => {
@@ -152,7 +162,10 @@
             rest => rest,
         };
         // Its time counts from its last byte.
-        let patience = asked.patience.saturating_sub(MARGIN).max(asked.patience / 2);
+        let patience = asked
+            .patience
+            .saturating_sub(MARGIN)
+            .max(asked.patience / 2);
         let mut active = self.figures.taken(asked.class);
         let (body, expires) = match rest {
             None => (Upstreamed::Whole(held), Instant::now() + patience),
@@ -182,17 +195,24 @@
             Ok(Replied::Whole(response)) => Ok(response),
             Ok(Replied::Passing(passing)) => {
                 match timeout(PASSING_WAIT, self.downloads.clone().acquire_owned()).await {
-                    Ok(Ok(room)) => return Ok(passed_on(passing, active, connection.clone(), room)),
+                    Ok(Ok(room)) => {
+                        return Ok(passed_on(passing, active, connection.clone(), room))
+                    }
                     // Too many pass on already: nothing of it was told yet.
                     Ok(Err(_)) | Err(_) => Err(StatusCode::BAD_GATEWAY),
                 }
             }
         };
-        active.ends(match response.as_ref().map_or_else(|status| *status, Response::status) {
-            StatusCode::OK => Ending::Ok,
-            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Ending::Shed,
-            _ => Ending::Errors,
-        });
+        active.ends(
+            match response
+                .as_ref()
+                .map_or_else(|status| *status, Response::status)
+            {
+                StatusCode::OK => Ending::Ok,
+                StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Ending::Shed,
+                _ => Ending::Errors,
+            },
+        );
         response
     }
 
@@ -264,7 +284,14 @@
             }
         };
         if let (Some(stage), Some(key)) = (stage, admission::key(&outgoing.headers)) {
-            let keyed = Keyed { outgoing: &outgoing, gate, terms, body, key, expires };
+            let keyed = Keyed {
+                outgoing: &outgoing,
+                gate,
+                terms,
+                body,
+                key,
+                expires,
+            };
             // Nothing is passed on in pieces where the stage is on.
             let asking = async move {
                 match asking.await {
@@ -280,7 +307,12 @@
     /// A request is open here from now on, until what is returned is dropped.
     fn open_request(self: &Rc<Self>, name: String) -> Waiting {
         let id = RequestId(self.next.replace(self.next.get().wrapping_add(1) & !TAKEN));
-        Waiting { front: self.clone(), name, id, answered: false }
+        Waiting {
+            front: self.clone(),
+            name,
+            id,
+            answered: false,
+        }
     }
 }
 
@@ -306,7 +338,9 @@
     let mut size = 0;
     let mut ended = false;
     while size <= MAX_BODY && !ended {
-        let frame = timeout_at(by, body.frame()).await.map_err(|_| StatusCode::REQUEST_TIMEOUT)?;
+        let frame = timeout_at(by, body.frame())
+            .await
+            .map_err(|_| StatusCode::REQUEST_TIMEOUT)?;
         match frame {
             None => ended = true,
             Some(frame) => {
@@ -340,7 +374,15 @@
     room: OwnedSemaphorePermit,
 ) -> Response<Content> {
     let head = std::mem::take(&mut passing.head);
-    headed(head, Content::Passing(Box::new(Passed { passing, active, connection, _room: room })))
+    headed(
+        head,
+        Content::Passing(Box::new(Passed {
+            passing,
+            active,
+            connection,
+            _room: room,
+        })),
+    )
 }
 
 /// Where the ids of requests that were taken over begin: clients' requests have those below.
@@ -392,9 +434,19 @@
 
 /// Removes what concerns this connection only, as listed or as the client names it.
 pub fn strip(headers: &mut HeaderMap) {
-    let named = headers.get_all(header::CONNECTION).iter().filter_map(|value| value.to_str().ok());
-    let named: Vec<HeaderName> =
-        named.flat_map(|names| names.split(',')).filter_map(|name| name.trim().parse().ok()).collect();
-    let decisive = |name: &&HeaderName| !matches!(name.as_str(), "req-id" | "idempotency-key" | "host");
-    named.iter().filter(decisive).chain(&HOP_BY_HOP).for_each(|name| drop(headers.remove(name)));
+    let named = headers
+        .get_all(header::CONNECTION)
+        .iter()
+        .filter_map(|value| value.to_str().ok());
+    let named: Vec<HeaderName> = named
+        .flat_map(|names| names.split(','))
+        .filter_map(|name| name.trim().parse().ok())
+        .collect();
+    let decisive =
+        |name: &&HeaderName| !matches!(name.as_str(), "req-id" | "idempotency-key" | "host");
+    named
+        .iter()
+        .filter(decisive)
+        .chain(&HOP_BY_HOP)
+        .for_each(|name| drop(headers.remove(name)));
 }
--- a/crates/emberpin-limiter/src/front/connections.rs
+++ b/crates/emberpin-limiter/src/front/connections.rs
@@ -34,7 +34,12 @@
     /// The platform's clients take up to 2 s, and stay between requests as long as they like.
     fn default() -> ClientLimits {
         let head = (Duration::from_millis(2_500), Duration::from_secs(4));
-        ClientLimits { head, silence: Duration::from_secs(2), idle: None, head_bytes: HEAD_BYTES }
+        ClientLimits {
+            head,
+            silence: Duration::from_secs(2),
+            idle: None,
+            head_bytes: HEAD_BYTES,
+        }
     }
 }
 
@@ -175,7 +180,13 @@
 impl Connections {
     pub fn new(most: usize, limits: ClientLimits, room: Rc<Room>) -> Connections {
         let limits = Cell::new(limits);
-        Connections { most, limits, room, list: RefCell::default(), count: watch::Sender::new(0) }
+        Connections {
+            most,
+            limits,
+            room,
+            list: RefCell::default(),
+            count: watch::Sender::new(0),
+        }
     }
 
     /// The limits that hold now.
@@ -189,7 +200,9 @@
     }
 
     fn most(&self) -> usize {
-        self.most.saturating_sub(self.room.clients_elsewhere()).max(LEAST)
+        self.most
+            .saturating_sub(self.room.clients_elsewhere())
+            .max(LEAST)
     }
 
     /// Takes a place until dropped; wait for [`Self::room`] before.
@@ -207,7 +220,10 @@
         self.list.borrow_mut().push(connection.clone());
         self.count.send_modify(|count| *count += 1);
         self.room.hold_clients(*self.count.borrow());
-        Place { connections: self.clone(), connection }
+        Place {
+            connections: self.clone(),
+            connection,
+        }
     }
 
     pub fn are_crowded(&self) -> bool {
@@ -221,7 +237,9 @@
             let count = *self.count.borrow();
             if count + NEARLY_FULL >= self.most() {
                 let list = self.list.borrow();
-                let idle = list.iter().filter_map(|connection| Some((connection.excess()?, connection)));
+                let idle = list
+                    .iter()
+                    .filter_map(|connection| Some((connection.excess()?, connection)));
                 if let Some((_, connection)) = idle.max_by(|a, b| a.0.total_cmp(&b.0)) {
                     connection.end();
                 }
@@ -264,9 +282,14 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        self.connections.list.borrow_mut().retain(|other| !Rc::ptr_eq(other, &self.connection));
+        self.connections
+            .list
+            .borrow_mut()
+            .retain(|other| !Rc::ptr_eq(other, &self.connection));
         self.connections.count.send_modify(|count| *count -= 1);
-        self.connections.room.hold_clients(*self.connections.count.borrow());
+        self.connections
+            .room
+            .hold_clients(*self.connections.count.borrow());
     }
 }
 
@@ -310,7 +333,11 @@
 }
 
 impl AsyncWrite for Watched {
-    fn poll_write(mut self: Pin<&mut Self>, context: &mut Context, from: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        context: &mut Context,
+        from: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(context, from)
     }
 
--- a/crates/emberpin-limiter/src/front/passed.rs
+++ b/crates/emberpin-limiter/src/front/passed.rs
@@ -14,10 +14,15 @@
 ///
 /// One line, when what is named is no socket that listens at this address.
 pub fn listener(listen: SocketAddr) -> Result<Option<TcpListener>, String> {
-    let Some(named) = std::env::var_os(PASSED) else { return Ok(None) };
+    let Some(named) = std::env::var_os(PASSED) else {
+        return Ok(None);
+    };
     let named = named.to_string_lossy();
     let wrong = |problem: &str| format!("{PASSED} '{named}': {problem}");
-    let number: u32 = named.trim().parse().map_err(|_| wrong("expected the number of a descriptor, as 5"))?;
+    let number: u32 = named
+        .trim()
+        .parse()
+        .map_err(|_| wrong("expected the number of a descriptor, as 5"))?;
     if number < LEAST {
         return Err(wrong("expected the number of a descriptor from 3 on"));
     }
@@ -32,12 +37,20 @@
     }
     let taken = listenfd::ListenFd::from_env().take_tcp_listener(0);
     std::env::remove_var("LISTEN_FDS_FIRST_FD");
-    let listener = taken.map_err(|e| wrong(&e.to_string()))?.ok_or_else(|| wrong("cannot be taken over"))?;
-    let listens = SockRef::from(&listener).is_listener().map_err(|e| wrong(&e.to_string()))?;
+    let listener = taken
+        .map_err(|e| wrong(&e.to_string()))?
+        .ok_or_else(|| wrong("cannot be taken over"))?;
+    let listens = SockRef::from(&listener)
+        .is_listener()
+        .map_err(|e| wrong(&e.to_string()))?;
     let at = listener.local_addr().map_err(|e| wrong(&e.to_string()))?;
     if !listens || at != listen {
-        return Err(wrong(&format!("expected a socket that listens on {listen}, found one at {at}")));
+        return Err(wrong(&format!(
+            "expected a socket that listens on {listen}, found one at {at}"
+        )));
     }
-    listener.set_nonblocking(true).map_err(|e| wrong(&e.to_string()))?;
+    listener
+        .set_nonblocking(true)
+        .map_err(|e| wrong(&e.to_string()))?;
     Ok(Some(listener))
 }
--- a/crates/emberpin-limiter/src/front/reception.rs
+++ b/crates/emberpin-limiter/src/front/reception.rs
@@ -56,7 +56,10 @@
     /// For so many connections at most.
     pub fn new(phase: Phase, most: usize, limits: ClientLimits, room: Rc<Room>) -> Rc<Reception> {
         let connections = Rc::new(Connections::new(most, limits, room));
-        Rc::new(Reception { phase: watch::Sender::new(phase), connections })
+        Rc::new(Reception {
+            phase: watch::Sender::new(phase),
+            connections,
+        })
     }
 
     /// How far it is.
@@ -113,7 +116,11 @@
             match accepted {
                 Ok((stream, _)) => {
                     let place = self.connections.enter();
-                    drop(spawn_local(self.clone().connection(handler.clone(), stream, place)))
+                    drop(spawn_local(self.clone().connection(
+                        handler.clone(),
+                        stream,
+                        place,
+                    )))
                 }
                 Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
             }
@@ -123,16 +130,24 @@
         std::future::pending().await
     }
 
-    async fn connection<D: RequestHandler>(self: Rc<Self>, handler: Rc<D>, stream: TcpStream, place: Place) {
+    async fn connection<D: RequestHandler>(
+        self: Rc<Self>,
+        handler: Rc<D>,
+        stream: TcpStream,
+        place: Place,
+    ) {
         _ = stream.set_nodelay(true);
         let head_bytes = self.connections.limits().head_bytes;
         let service = service_fn(|request| {
-            let (reception, handler, connection) = (self.clone(), handler.clone(), place.connection.clone());
+            let (reception, handler, connection) =
+                (self.clone(), handler.clone(), place.connection.clone());
             async move {
                 let mut response = reception.answered(handler, request, &connection).await;
                 // Heads may be longer by now than this connection reads.
                 if head_bytes < reception.connections.limits().head_bytes {
-                    response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+                    response
+                        .headers_mut()
+                        .insert(header::CONNECTION, HeaderValue::from_static("close"));
                 }
                 if let Content::Whole(_) = response.body() {
                     connection.close();
@@ -140,9 +155,13 @@
                 Ok::<_, Infallible>(response)
             }
         });
-        let stream = TokioIo::new(Watched { stream, connection: place.connection.clone() });
-        let mut served =
-            pin!(http1::Builder::new().max_buf_size(head_bytes).serve_connection(stream, service));
+        let stream = TokioIo::new(Watched {
+            stream,
+            connection: place.connection.clone(),
+        });
+        let mut served = pin!(http1::Builder::new()
+            .max_buf_size(head_bytes)
+            .serve_connection(stream, service));
         let mut must_go = pin!(place.connection.must_go());
         tokio::select! {
             biased;
@@ -160,7 +179,11 @@
 
     /// Returns when the connection is to end once idle: not while a request is on its way on it.
     async fn ends_idle(&self, connection: &Connection) {
-        _ = self.phase.subscribe().wait_for(|phase| *phase == Phase::Closing).await;
+        _ = self
+            .phase
+            .subscribe()
+            .wait_for(|phase| *phase == Phase::Closing)
+            .await;
         while connection.is_expecting() {
             tokio::time::sleep(EXPECTING_LOOK).await;
         }
@@ -184,7 +207,9 @@
             );
         let crowded = connection.is_first_request() && self.connections.are_crowded();
         if spoilt || crowded || matches!(self.phase(), Phase::Leaving | Phase::Closing) {
-            response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+            response
+                .headers_mut()
+                .insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
--- a/crates/emberpin-limiter/src/front/room.rs
+++ b/crates/emberpin-limiter/src/front/room.rs
@@ -26,17 +26,26 @@
 impl Room {
     /// With another process that holds so much, if there is one.
     pub fn new(elsewhere: Option<Held>) -> Room {
-        Room { own: Cell::default(), elsewhere: watch::Sender::new(elsewhere) }
+        Room {
+            own: Cell::default(),
+            elsewhere: watch::Sender::new(elsewhere),
+        }
     }
 
     /// So many connections with clients are held here.
     pub fn hold_clients(&self, clients: usize) {
-        self.own.set(Held { clients, ..self.own.get() });
+        self.own.set(Held {
+            clients,
+            ..self.own.get()
+        });
     }
 
     /// So many connections with servers are held here.
     pub fn hold_servers(&self, servers: usize) {
-        self.own.set(Held { servers, ..self.own.get() });
+        self.own.set(Held {
+            servers,
+            ..self.own.get()
+        });
     }
 
     /// What the other process is told.
@@ -46,17 +55,22 @@
 
     /// The other process holds so much, or is gone.
     pub fn tell(&self, elsewhere: Option<Held>) {
-        self.elsewhere.send_if_modified(|known| std::mem::replace(known, elsewhere) != elsewhere);
+        self.elsewhere
+            .send_if_modified(|known| std::mem::replace(known, elsewhere) != elsewhere);
     }
 
     /// Places with clients that are not this process's.
     pub fn clients_elsewhere(&self) -> usize {
-        self.elsewhere.borrow().map_or(0, |held| held.clients + OVERHEAD)
+        self.elsewhere
+            .borrow()
+            .map_or(0, |held| held.clients + OVERHEAD)
     }
 
     /// The same with servers.
     pub fn servers_elsewhere(&self) -> usize {
-        self.elsewhere.borrow().map_or(0, |held| held.servers + OVERHEAD)
+        self.elsewhere
+            .borrow()
+            .map_or(0, |held| held.servers + OVERHEAD)
     }
 
     /// Hears of each change.
@@ -72,7 +86,13 @@
     #[test]
     fn what_one_process_gives_up_the_other_may_have_and_both_keep_to_the_whole() {
         const ALL: usize = 180;
-        let (old, new) = (Room::new(None), Room::new(Some(Held { clients: 150, servers: 40 })));
+        let (old, new) = (
+            Room::new(None),
+            Room::new(Some(Held {
+                clients: 150,
+                servers: 40,
+            })),
+        );
         let mut held = (150, 0);
         for _ in 0..150 {
             // A client of the old one comes to the new one.
--- a/crates/emberpin-limiter/src/front/stream.rs
+++ b/crates/emberpin-limiter/src/front/stream.rs
@@ -54,7 +54,12 @@
 
 impl Upload {
     /// A body of which this has come, and `rest` brings what follows.
-    pub fn new(held: Bytes, length: Option<u64>, rest: Incoming, room: OwnedSemaphorePermit) -> Upload {
+    pub fn new(
+        held: Bytes,
+        length: Option<u64>,
+        rest: Incoming,
+        room: OwnedSemaphorePermit,
+    ) -> Upload {
         let size = Cell::new(held.len() as u64);
         Upload {
             held,
@@ -121,7 +126,9 @@
 
     /// For how long its client has given nothing that was asked for.
     pub fn silence(&self) -> std::time::Duration {
-        self.waiting.get().map_or_else(Default::default, |since| since.elapsed())
+        self.waiting
+            .get()
+            .map_or_else(Default::default, |since| since.elapsed())
     }
 
     /// What is left of it, to be let run out; attempts get nothing more.
@@ -215,10 +222,16 @@
     type Data = Bytes;
     type Error = Cut;
 
-    fn poll_frame(self: Pin<&mut Self>, context: &mut Context) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn poll_frame(
+        self: Pin<&mut Self>,
+        context: &mut Context,
+    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
         match self.get_mut() {
             Content::Whole(bytes) => Poll::Ready(
-                bytes.take().filter(|bytes| !bytes.is_empty()).map(|bytes| Ok(Frame::data(bytes))),
+                bytes
+                    .take()
+                    .filter(|bytes| !bytes.is_empty())
+                    .map(|bytes| Ok(Frame::data(bytes))),
             ),
             Content::Passing(passed) => {
                 let next = passed.passing.pieces.poll_next(context);
--- a/crates/emberpin-limiter/src/limiter.rs
+++ b/crates/emberpin-limiter/src/limiter.rs
@@ -49,7 +49,9 @@
 ///
 /// One line that says why it could not start or go on.
 pub fn serve(config: Config) -> Result<(), String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, run(config))
 }
@@ -61,7 +63,10 @@
 /// One line that says what could not be had: a signal, a socket, a part that ended before its time.
 async fn run(mut config: Config) -> Result<(), String> {
     let caught = |kind| signal(kind).map_err(|e| format!("no signals: {e}"));
-    let (mut terminated, hung_up) = (caught(SignalKind::terminate())?, caught(SignalKind::hangup())?);
+    let (mut terminated, hung_up) = (
+        caught(SignalKind::terminate())?,
+        caught(SignalKind::hangup())?,
+    );
     let (inputs, received) = mpsc::channel(INPUTS);
 
     let passed = passed::listener(config.listen)?;
@@ -83,29 +88,54 @@
     let (supersede, mut superseded) = mpsc::unbounded_channel();
     // Kept here, so that without a link nobody seems to have said it.
     let link = match &config.link {
-        Some((settings, number)) if config.idempotency.is_some() || config.tells_lists() => {
-            Some(Link::start(settings, *number, &config, &spoken_to(&config, *number))?)
-        }
+        Some((settings, number)) if config.idempotency.is_some() || config.tells_lists() => Some(
+            Link::start(settings, *number, &config, &spoken_to(&config, *number))?,
+        ),
         _ => None,
     };
     let idempotency = match &config.idempotency {
-        Some(settings) => Some(Idempotency::start(settings, &config, link.clone(), supersede.clone())?),
+        Some(settings) => Some(Idempotency::start(
+            settings,
+            &config,
+            link.clone(),
+            supersede.clone(),
+        )?),
         None => None,
     };
     // All that may fail is done: now the process before this one, if it is there, gives what it knows.
     let mut process = Process::default();
-    let meeting = if shared { handover::meeting_point() } else { None };
-    let (given, older) = handover::take(&mut process, meeting.as_deref()).await?.unzip();
-    let clock = given.as_ref().map_or_else(Clock::start, |given| Clock::go_on(given.clock));
-    let peers = config.peer_listen.map(|at| Peers::start(at, &config, inputs.clone()));
+    let meeting = if shared {
+        handover::meeting_point()
+    } else {
+        None
+    };
+    let (given, older) = handover::take(&mut process, meeting.as_deref())
+        .await?
+        .unzip();
+    let clock = given
+        .as_ref()
+        .map_or_else(Clock::start, |given| Clock::go_on(given.clock));
+    let peers = config
+        .peer_listen
+        .map(|at| Peers::start(at, &config, inputs.clone()));
     if let (Some(peers), false) = (&peers, shared) {
         peers.open_now()?;
     }
     let (prompts, pairings) = mpsc::channel(INPUTS);
     // Until the older process has told what it holds, half of all is taken to be its.
-    let half = Held { clients: config.client_sockets / 2, servers: config.server_sockets / 2 };
+    let half = Held {
+        clients: config.client_sockets / 2,
+        servers: config.server_sockets / 2,
+    };
     let room = Rc::new(Room::new(older.as_ref().map(|_| half)));
-    let upgrade = Upgrade::start(process, meeting, older, peers.clone(), prompts, room.clone());
+    let upgrade = Upgrade::start(
+        process,
+        meeting,
+        older,
+        peers.clone(),
+        prompts,
+        room.clone(),
+    );
     let kept = Kept::start(&config)?;
     if let (Some(kept), Some(start), None) = (&kept, &config.start, &given) {
         let left = kept.read(start.disk, start.snapshot_age).await;
@@ -116,23 +146,54 @@
     let rev = given.as_ref().map_or(config.known.rev, |given| given.rev);
     let asking = Asking::new(&config, clock.now(), given.is_some());
     let fed = Fed::start(&config, link.as_ref(), supersede.clone(), inputs.clone());
-    let discovery = Discovery::start(config.discovery, rev, (asking.clone(), fed.clone()), inputs.clone());
+    let discovery = Discovery::start(
+        config.discovery,
+        rev,
+        (asking.clone(), fed.clone()),
+        inputs.clone(),
+    );
     let refetch = discovery.refetch();
     let believed = Believed::start(&config, kept, refetch.clone());
-    spawn_local(reload(hung_up, discovery, believed.clone(), figures.clone()));
+    spawn_local(reload(
+        hung_up,
+        discovery,
+        believed.clone(),
+        figures.clone(),
+    ));
     let (longest, leaving) = (config.longest_deadline(), config.connections.leaving);
     if let Some(takeover) = idempotency.as_ref().and_then(|stage| stage.takeover()) {
         takeover.run_with(take_over(inputs.clone()));
     }
-    let front = Front::new(&config, idempotency, inputs.clone(), figures.clone(), room.clone());
+    let front = Front::new(
+        &config,
+        idempotency,
+        inputs.clone(),
+        figures.clone(),
+        room.clone(),
+    );
     let reception = front.reception.clone();
     let accepting = spawn_local(reception.clone().accept(front, listener, shared));
-    let pool = Pool::new(config.pool_limits(), Rc::new(PlatformWire), figures.clone(), room);
+    let pool = Pool::new(
+        config.pool_limits(),
+        Rc::new(PlatformWire),
+        figures.clone(),
+        room,
+    );
     spawn_local(pool.clone().share());
     let callers = Callers { orders, pairings };
     let driver = Driver::new(
         config,
-        Parts { clock, inputs, peers, asking, believed: believed.clone(), fed, refetch, figures, pool },
+        Parts {
+            clock,
+            inputs,
+            peers,
+            asking,
+            believed: believed.clone(),
+            fed,
+            refetch,
+            figures,
+            pool,
+        },
         given,
     );
     let driver = spawn_local(driver.run(received, callers));
@@ -166,7 +227,11 @@
 /// The clients' socket, where it is this process's own.
 fn listen(at: SocketAddr) -> Result<TcpListener, String> {
     // A killed predecessor leaves connections in TIME_WAIT: rebinding must not wait for them.
-    let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
+    let socket = if at.is_ipv4() {
+        TcpSocket::new_v4()
+    } else {
+        TcpSocket::new_v6()
+    };
     let listening = socket.and_then(|socket| {
         socket.set_reuseaddr(true)?;
         socket.bind(at)?;
@@ -188,7 +253,10 @@
     while hung_up.recv().await.is_some() {
         match Config::from_env(&operator) {
             Ok(config) => {
-                eprintln!("emberpin: configuration read again, discovery at {}", config.discovery);
+                eprintln!(
+                    "emberpin: configuration read again, discovery at {}",
+                    config.discovery
+                );
                 discovery.move_to(config.discovery);
                 if let Some(believed) = &believed {
                     believed.believe();
@@ -196,7 +264,10 @@
                 figures.config_applied.inc();
             }
             Err(problem) => {
-                eprintln!("emberpin: configuration not changed: {}", problem.replace('\n', " "));
+                eprintln!(
+                    "emberpin: configuration not changed: {}",
+                    problem.replace('\n', " ")
+                );
                 figures.config_rejected.inc();
             }
         }
--- a/crates/emberpin-limiter/src/messages.rs
+++ b/crates/emberpin-limiter/src/messages.rs
@@ -4,7 +4,9 @@
 use crate::front::stream::{Passing, Upload};
 use crate::upstream::listing::Listing;
 use bytes::Bytes;
-use emberpin_balancer::{ClassId, CustomerId, GatewayId, Millis, Outcome, PlanId, Ran, Report, RequestId, ServerId};
+use emberpin_balancer::{
+    ClassId, CustomerId, GatewayId, Millis, Outcome, PlanId, Ran, Report, RequestId, ServerId,
+};
 use hyper::header::{HeaderMap, HeaderValue, CONTENT_TYPE};
 use hyper::{Method, StatusCode, Uri};
 use serde::{Deserialize, Serialize};
@@ -90,8 +92,14 @@
 impl Head {
     /// A good answer of which only the type of its body is passed on.
     pub fn of_type(content_type: Option<HeaderValue>) -> Head {
-        let headers = content_type.map(|kind| (CONTENT_TYPE, kind)).into_iter().collect();
-        Head { status: StatusCode::OK, headers }
+        let headers = content_type
+            .map(|kind| (CONTENT_TYPE, kind))
+            .into_iter()
+            .collect();
+        Head {
+            status: StatusCode::OK,
+            headers,
+        }
     }
 }
 
@@ -190,8 +198,13 @@
 /// An answer as a log and other limiters have it.
 #[derive(Clone, Serialize, Deserialize)]
 enum Carried {
-    Served { content_type: Option<Vec<u8>>, body: Vec<u8> },
-    Refused { retry_after: Millis },
+    Served {
+        content_type: Option<Vec<u8>>,
+        body: Vec<u8>,
+    },
+    Refused {
+        retry_after: Millis,
+    },
     Failed,
 }
 
@@ -199,7 +212,10 @@
     fn from(answer: Answer) -> Carried {
         match answer {
             Answer::Served(Served { head, body }) => Carried::Served {
-                content_type: head.headers.get(CONTENT_TYPE).map(|value| value.as_bytes().to_vec()),
+                content_type: head
+                    .headers
+                    .get(CONTENT_TYPE)
+                    .map(|value| value.as_bytes().to_vec()),
                 body: body.to_vec(),
             },
             Answer::Refused { retry_after } => Carried::Refused { retry_after },
@@ -212,7 +228,9 @@
     fn from(carried: Carried) -> Answer {
         match carried {
             Carried::Served { content_type, body } => Answer::Served(Served {
-                head: Head::of_type(content_type.and_then(|bytes| HeaderValue::from_bytes(&bytes).ok())),
+                head: Head::of_type(
+                    content_type.and_then(|bytes| HeaderValue::from_bytes(&bytes).ok()),
+                ),
                 body: body.into(),
             }),
             Carried::Refused { retry_after } => Answer::Refused { retry_after },
--- a/crates/emberpin-limiter/src/operate/clock.rs
+++ b/crates/emberpin-limiter/src/operate/clock.rs
@@ -16,13 +16,21 @@
 impl Clock {
     /// Begins now.
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { begun: Instant::now(), at_begin: unix.as_secs_f64() * 1000.0 }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            begun: Instant::now(),
+            at_begin: unix.as_secs_f64() * 1000.0,
+        }
     }
 
     /// Goes on from another process's clock, at this moment.
     pub fn go_on(at: Millis) -> Clock {
-        Clock { begun: Instant::now(), at_begin: at }
+        Clock {
+            begun: Instant::now(),
+            at_begin: at,
+        }
     }
 
     /// Unix milliseconds as of the start, plus what has passed since.
--- a/crates/emberpin-limiter/src/operate/command.rs
+++ b/crates/emberpin-limiter/src/operate/command.rs
@@ -75,22 +75,36 @@
         Ok(line) => line,
         Err(problem) => {
             _ = problem.print();
-            return if problem.use_stderr() { ExitCode::from(UNUSABLE) } else { ExitCode::SUCCESS };
+            return if problem.use_stderr() {
+                ExitCode::from(UNUSABLE)
+            } else {
+                ExitCode::SUCCESS
+            };
         }
     };
     match line.command {
         None => run(&line.with),
         Some(Command::Check) => check(&line.with),
-        Some(Command::Link { what: LinkCommand::Init { folder, members } }) => make_keys(&folder, &members),
-        Some(Command::Log { what: LogCommand::Init }) => begin_log(&line.with),
-        Some(Command::Log { what: LogCommand::Inspect { path, json } }) => inspect_log(&path, json),
+        Some(Command::Link {
+            what: LinkCommand::Init { folder, members },
+        }) => make_keys(&folder, &members),
+        Some(Command::Log {
+            what: LogCommand::Init,
+        }) => begin_log(&line.with),
+        Some(Command::Log {
+            what: LogCommand::Inspect { path, json },
+        }) => inspect_log(&path, json),
     }
 }
 
 fn make_keys(folder: &Path, members: &[String]) -> ExitCode {
     match memory::random().and_then(|secret| tls::init(folder, members, secret)) {
         Ok(()) => {
-            println!("made the keys of {} instances in {}", members.len(), folder.display());
+            println!(
+                "made the keys of {} instances in {}",
+                members.len(),
+                folder.display()
+            );
             ExitCode::SUCCESS
         }
         Err(problem) => {
--- a/crates/emberpin-limiter/src/operate/config.rs
+++ b/crates/emberpin-limiter/src/operate/config.rs
@@ -100,7 +100,8 @@
     ///
     /// One clear line: which file, where in it, and what was found and expected.
     pub fn from_env(operator: &Operator) -> Result<Config, String> {
-        let path = std::env::var_os(PLATFORM_FILE).ok_or("GW_CONFIG names no configuration file")?;
+        let path =
+            std::env::var_os(PLATFORM_FILE).ok_or("GW_CONFIG names no configuration file")?;
         let shown = path.to_string_lossy();
         let text = std::fs::read(&path).map_err(|e| format!("cannot read {shown}: {e}"))?;
         let mut file: File = serde_json::from_slice(&text).map_err(|e| format!("{shown}: {e}"))?;
@@ -116,7 +117,9 @@
 
     /// Lists of servers are told over the link.
     pub(crate) fn tells_lists(&self) -> bool {
-        self.start.as_ref().is_some_and(|start| start.callers.is_some())
+        self.start
+            .as_ref()
+            .is_some_and(|start| start.callers.is_some())
     }
 
     /// What connections to servers are held to.
@@ -133,7 +136,12 @@
 
     /// No client waits for an answer longer than this.
     pub(crate) fn longest_deadline(&self) -> Duration {
-        let longest = self.settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
+        let longest = self
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .fold(0.0, f64::max);
         Duration::try_from_secs_f64(longest / 1000.0).unwrap_or_default()
     }
 
@@ -142,12 +150,16 @@
         if settings.classes.is_empty() || settings.plans.is_empty() {
             return Err("settings: no classes or no plans".into());
         }
-        let seed = u64::from_str_radix(&file.seed, 16).map_err(|e| format!("seed '{}': {e}", file.seed))?;
+        let seed = u64::from_str_radix(&file.seed, 16)
+            .map_err(|e| format!("seed '{}': {e}", file.seed))?;
         // The operators' callers have places of their own: a crowd must not keep them out.
         let callers = if file.ops.is_some() { door::PLACES } else { 0 };
         let sockets = file.limits.sockets.saturating_sub(OTHER_SOCKETS + callers);
         if sockets < 40 {
-            return Err(format!("limits: {} sockets are too few", file.limits.sockets));
+            return Err(format!(
+                "limits: {} sockets are too few",
+                file.limits.sockets
+            ));
         }
         let memory = file.limits.memory_mb.unwrap_or(USUAL_MEMORY);
         if memory < LEAST_MEMORY {
@@ -157,19 +169,39 @@
         }
         let millis = |value: Option<f64>, usual: f64| {
             let value = value.filter(|v| v.is_finite() && *v > 0.0).unwrap_or(usual);
-            Duration::try_from_secs_f64(value / 1000.0).map_err(|e| format!("settings: {value} ms: {e}"))
+            Duration::try_from_secs_f64(value / 1000.0)
+                .map_err(|e| format!("settings: {value} ms: {e}"))
         };
         let client_sockets = (sockets as f64 * operator.connections.client_share) as usize;
         // Where the settings do not say, no request may hold more than the largest store.
-        let largest = settings.plans.iter().map(|plan| plan.burst).fold(1.0, f64::max);
-        let log = operator.log.clone().map(|log| log.folder_of(&file.name).map(|folder| (log, folder)));
+        let largest = settings
+            .plans
+            .iter()
+            .map(|plan| plan.burst)
+            .fold(1.0, f64::max);
+        let log = operator
+            .log
+            .clone()
+            .map(|log| log.folder_of(&file.name).map(|folder| (log, folder)));
         let link = operator.link.clone().map(|link| {
-            let own = link.members.iter().find(|member| member.name == file.name).map(|member| member.number);
-            own.map(|own| (link, own))
-                .ok_or_else(|| format!("[link] has no member named {:?}, as this instance is", file.name))
+            let own = link
+                .members
+                .iter()
+                .find(|member| member.name == file.name)
+                .map(|member| member.number);
+            own.map(|own| (link, own)).ok_or_else(|| {
+                format!(
+                    "[link] has no member named {:?}, as this instance is",
+                    file.name
+                )
+            })
         });
-        let snapshot =
-            operator.start.as_ref().map(|start| start.folder_of(&file.name)).transpose()?.flatten();
+        let snapshot = operator
+            .start
+            .as_ref()
+            .map(|start| start.folder_of(&file.name))
+            .transpose()?
+            .flatten();
         Ok(Config {
             snapshot,
             log: log.transpose()?,
@@ -202,14 +234,26 @@
 
 impl fmt::Display for Config {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(to, "listens on {}, discovery at {}", self.listen, self.discovery)?;
-        writeln!(to, "limiter {} of {}", self.settings.me.0, self.settings.group_size)?;
+        writeln!(
+            to,
+            "listens on {}, discovery at {}",
+            self.listen, self.discovery
+        )?;
+        writeln!(
+            to,
+            "limiter {} of {}",
+            self.settings.me.0, self.settings.group_size
+        )?;
         match self.peer_listen {
             Some(at) => writeln!(to, "hears {} peers on {at}", self.peers.len())?,
             None => writeln!(to, "hears no peers")?,
         }
         match self.ops {
-            Some(at) => writeln!(to, "operators' door on {at}, {} callers at a time", door::PLACES)?,
+            Some(at) => writeln!(
+                to,
+                "operators' door on {at}, {} callers at a time",
+                door::PLACES
+            )?,
             None => writeln!(to, "no operators' door")?,
         }
         writeln!(
@@ -217,9 +261,21 @@
             "clients {} connections, servers {} connections",
             self.client_sockets, self.server_sockets
         )?;
-        writeln!(to, "bodies over 64 KiB at a time, each way: {}", self.passing)?;
-        writeln!(to, "connect timeout {} ms", self.connect_timeout.as_millis())?;
-        writeln!(to, "idle connections to servers end after {} ms", self.idle_limit.as_millis())?;
+        writeln!(
+            to,
+            "bodies over 64 KiB at a time, each way: {}",
+            self.passing
+        )?;
+        writeln!(
+            to,
+            "connect timeout {} ms",
+            self.connect_timeout.as_millis()
+        )?;
+        writeln!(
+            to,
+            "idle connections to servers end after {} ms",
+            self.idle_limit.as_millis()
+        )?;
         writeln!(to, "a request counts at most {} units", self.most_units)?;
         writeln!(to, "known servers {}", self.known.targets.len())?;
         match &self.log {
--- a/crates/emberpin-limiter/src/operate/die.rs
+++ b/crates/emberpin-limiter/src/operate/die.rs
@@ -11,11 +11,18 @@
     use std::sync::OnceLock;
     static END: OnceLock<Option<Place>> = OnceLock::new();
     static STOP: OnceLock<Option<Place>> = OnceLock::new();
-    if END.get_or_init(|| Place::read("EMBERPIN_DIE_AT")).as_ref().is_some_and(|place| place.is_met(point)) {
+    if END
+        .get_or_init(|| Place::read("EMBERPIN_DIE_AT"))
+        .as_ref()
+        .is_some_and(|place| place.is_met(point))
+    {
         // As kill -9: nothing is flushed, dropped or said.
         std::process::abort();
     }
-    if STOP.get_or_init(|| Place::read("EMBERPIN_STOP_AT")).as_ref().is_some_and(|place| place.is_met(point))
+    if STOP
+        .get_or_init(|| Place::read("EMBERPIN_STOP_AT"))
+        .as_ref()
+        .is_some_and(|place| place.is_met(point))
     {
         // As SIGSTOP from outside: no thread goes on.
         _ = nix::sys::signal::raise(nix::sys::signal::Signal::SIGSTOP);
@@ -35,7 +42,11 @@
     fn read(variable: &str) -> Option<Place> {
         let text = std::env::var(variable).ok()?;
         let (point, count) = text.split_once(':')?;
-        Some(Place { point: point.into(), count: count.parse().ok()?, met: Default::default() })
+        Some(Place {
+            point: point.into(),
+            count: count.parse().ok()?,
+            met: Default::default(),
+        })
     }
 
     fn is_met(&self, point: &str) -> bool {
--- a/crates/emberpin-limiter/src/operate/door.rs
+++ b/crates/emberpin-limiter/src/operate/door.rs
@@ -81,15 +81,23 @@
         Ok(listener)
     });
     let listener = bound.map_err(|e| format!("ops: cannot listen on {address}: {e}"))?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("ops: no runtime: {e}"))?;
     let (orders, received) = mpsc::channel(ORDERS);
     let serving = move || {
-        let door = Rc::new(Door { ready, figures, orders });
+        let door = Rc::new(Door {
+            ready,
+            figures,
+            orders,
+        });
         LocalSet::new().block_on(&runtime, accept(door, listener));
     };
     let thread = std::thread::Builder::new().name("ops".into());
-    thread.spawn(serving).map_err(|e| format!("ops: no thread: {e}"))?;
+    thread
+        .spawn(serving)
+        .map_err(|e| format!("ops: no thread: {e}"))?;
     Ok(received)
 }
 
@@ -115,7 +123,9 @@
                 end.notify_one();
             }
         }
-        let Ok(place) = places.clone().acquire_owned().await else { return };
+        let Ok(place) = places.clone().acquire_owned().await else {
+            return;
+        };
         let end = Rc::new(Notify::new());
         silent.borrow_mut().push_back((number, end.clone()));
         let (door, silent) = (door.clone(), silent.clone());
@@ -155,7 +165,10 @@
             _ => return say(StatusCode::NOT_FOUND, "no such call"),
         };
         if request.method() != wanted {
-            let mut response = say(StatusCode::METHOD_NOT_ALLOWED, &format!("expected {wanted}"));
+            let mut response = say(
+                StatusCode::METHOD_NOT_ALLOWED,
+                &format!("expected {wanted}"),
+            );
             if let Ok(value) = HeaderValue::from_str(wanted.as_str()) {
                 response.headers_mut().insert(ALLOW, value);
             }
@@ -170,7 +183,10 @@
             },
             _ => match path.strip_prefix(DOWN) {
                 Some(server) => self.order(server, true).await,
-                None => self.order(path.strip_prefix(UP).unwrap_or_default(), false).await,
+                None => {
+                    self.order(path.strip_prefix(UP).unwrap_or_default(), false)
+                        .await
+                }
             },
         }
     }
@@ -182,7 +198,11 @@
             return say(StatusCode::BAD_REQUEST, what);
         }
         let (done, answered) = oneshot::channel();
-        let order = Order { server: server.into(), out, done };
+        let order = Order {
+            server: server.into(),
+            out,
+            done,
+        };
         // Waiting for room in the line is part of the time that the driver has.
         let confirmed = timeout(CONFIRM, async {
             self.orders.send(order).await.ok()?;
@@ -191,13 +211,18 @@
         match confirmed.await {
             Ok(Some(Ok(()))) if out => say(StatusCode::OK, &format!("{server} gets nothing more")),
             Ok(Some(Ok(()))) => say(StatusCode::OK, &format!("{server} may serve again")),
-            Ok(Some(Err(Unknown))) => {
-                say(StatusCode::NOT_FOUND, &format!("no server {server} was ever listed"))
-            }
-            Ok(None) => say(StatusCode::SERVICE_UNAVAILABLE, "nobody takes calls any more; nothing was done"),
-            Err(_) => {
-                say(StatusCode::SERVICE_UNAVAILABLE, "not confirmed in time; nothing was done, call again")
-            }
+            Ok(Some(Err(Unknown))) => say(
+                StatusCode::NOT_FOUND,
+                &format!("no server {server} was ever listed"),
+            ),
+            Ok(None) => say(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "nobody takes calls any more; nothing was done",
+            ),
+            Err(_) => say(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "not confirmed in time; nothing was done, call again",
+            ),
         }
     }
 }
@@ -206,7 +231,10 @@
     let mut response = Response::new(Full::new(Bytes::from(format!("{text}\n"))));
     *response.status_mut() = status;
     let headers = response.headers_mut();
-    headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; version=0.0.4"));
+    headers.insert(
+        CONTENT_TYPE,
+        HeaderValue::from_static("text/plain; version=0.0.4"),
+    );
     headers.insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
--- a/crates/emberpin-limiter/src/operate/entry.rs
+++ b/crates/emberpin-limiter/src/operate/entry.rs
@@ -9,7 +9,9 @@
 use crate::operate::operator::Operator;
 use crate::upstream::listing::Entry as Listed;
 use bytes::Bytes;
-use emberpin_balancer::{Action, Attempt, Event, Gateway, Membership, Millis, Outcome, Report, RequestId};
+use emberpin_balancer::{
+    Action, Attempt, Event, Gateway, Membership, Millis, Outcome, Report, RequestId,
+};
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
 
@@ -45,7 +47,14 @@
         let servers = servers.collect();
         let admission = Admission::new(&config);
         let (gateway, now) = (Gateway::new(config.settings, config.seed, 0.0), 0.0);
-        let mut entry = Entry { admission, gateway, now, kept_house: now, next: 0, actions: Vec::new() };
+        let mut entry = Entry {
+            admission,
+            gateway,
+            now,
+            kept_house: now,
+            next: 0,
+            actions: Vec::new(),
+        };
         entry.tell(Event::Membership(Membership::Full(servers)));
         Ok(entry)
     }
@@ -86,7 +95,10 @@
             _ => None,
         });
         let Some(server) = sent else {
-            return written(Answer::Refused { retry_after: SERVICE }).status();
+            return written(Answer::Refused {
+                retry_after: SERVICE,
+            })
+            .status();
         };
         self.tell(Event::Attempt(Attempt {
             request: id,
@@ -100,6 +112,10 @@
             units: None,
             metered: None,
         }));
-        written(Answer::Served(Served { head: Head::default(), body: Bytes::new() })).status()
+        written(Answer::Served(Served {
+            head: Head::default(),
+            body: Bytes::new(),
+        }))
+        .status()
     }
 }
--- a/crates/emberpin-limiter/src/operate/lies.rs
+++ b/crates/emberpin-limiter/src/operate/lies.rs
@@ -62,7 +62,12 @@
             };
             Some((kind, from.parse().ok()?))
         });
-        Disk { disk, lie, appends: 0, stalled: false }
+        Disk {
+            disk,
+            lie,
+            appends: 0,
+            stalled: false,
+        }
     }
 
     impl<S> Disk<S> {
--- a/crates/emberpin-limiter/src/operate/start.rs
+++ b/crates/emberpin-limiter/src/operate/start.rs
@@ -63,7 +63,10 @@
     ///
     /// The folder has `{name}` in it and the instance has none.
     pub fn folder_of(&self, instance: &str) -> Result<Option<PathBuf>, String> {
-        self.snapshot.as_ref().map(|folder| own_folder("[start] snapshot", folder, instance)).transpose()
+        self.snapshot
+            .as_ref()
+            .map(|folder| own_folder("[start] snapshot", folder, instance))
+            .transpose()
     }
 }
 
@@ -99,14 +102,26 @@
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(to, "[start]")?;
         match self.list_calls_per_s {
-            Some(power) => writeln!(to, "list_calls_per_s = {power} calls a second, by all limiters")?,
-            None => writeln!(to, "list_calls_per_s not set: ten, or a call of each in 4 s if that is more")?,
+            Some(power) => writeln!(
+                to,
+                "list_calls_per_s = {power} calls a second, by all limiters"
+            )?,
+            None => writeln!(
+                to,
+                "list_calls_per_s not set: ten, or a call of each in 4 s if that is more"
+            )?,
         }
         match (self.callers, &self.list_service) {
-            (None, _) => writeln!(to, "callers not set: each limiter watches the list for itself")?,
+            (None, _) => writeln!(
+                to,
+                "callers not set: each limiter watches the list for itself"
+            )?,
             (Some(callers), None) => writeln!(to, "callers = {callers}, who tell the others")?,
             (Some(callers), Some(name)) => {
-                writeln!(to, "callers = {callers}, who tell the others; the service is {name:?}")?;
+                writeln!(
+                    to,
+                    "callers = {callers}, who tell the others; the service is {name:?}"
+                )?;
             }
         }
         writeln!(to, "ready_within_s = {} s", self.ready_within.as_secs_f64())?;
--- a/crates/emberpin-limiter/src/operate/takeover.rs
+++ b/crates/emberpin-limiter/src/operate/takeover.rs
@@ -25,7 +25,12 @@
 
 impl Default for Takeover {
     fn default() -> Takeover {
-        Takeover { after: Duration::from_millis(100), per_s: 200.0, entries: 65_536, bytes: 32 << 20 }
+        Takeover {
+            after: Duration::from_millis(100),
+            per_s: 200.0,
+            entries: 65_536,
+            bytes: 32 << 20,
+        }
     }
 }
 
@@ -48,8 +53,16 @@
 impl fmt::Display for Takeover {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(to, "[takeover]")?;
-        writeln!(to, "after_ms = {} ms after its link has ended", self.after.as_millis())?;
-        writeln!(to, "per_s = {} takeovers a second over all limiters", self.per_s)?;
+        writeln!(
+            to,
+            "after_ms = {} ms after its link has ended",
+            self.after.as_millis()
+        )?;
+        writeln!(
+            to,
+            "per_s = {} takeovers a second over all limiters",
+            self.per_s
+        )?;
         writeln!(to, "entries = {} pieces of work", self.entries)?;
         writeln!(to, "work_mb = {} MiB", self.bytes >> 20)
     }
