--- a/crates/emberpin-limiter/src/stages/memory.rs
+++ b/crates/emberpin-limiter/src/stages/memory.rs
@@ -44,7 +44,8 @@
 /// Milliseconds since the machine's boot: the same for all lives in one boot, whatever the wall clock does
 /// (clock_gettime(2), CLOCK_BOOTTIME).
 pub fn boot_clock() -> Millis {
-    let now = clock_gettime(ClockId::CLOCK_BOOTTIME).map(|now| (now.tv_sec() as f64, now.tv_nsec() as f64));
+    let now = clock_gettime(ClockId::CLOCK_BOOTTIME)
+        .map(|now| (now.tv_sec() as f64, now.tv_nsec() as f64));
     now.map_or(0.0, |(seconds, nanos)| seconds * 1e3 + nanos / 1e6)
 }
 
@@ -65,7 +66,10 @@
 ///
 /// One line that names the folder.
 pub fn begin(config: &Config) -> Result<String, String> {
-    let (_, folder) = config.log.as_ref().ok_or("no operator file has a table [log]; give it by --with")?;
+    let (_, folder) = config
+        .log
+        .as_ref()
+        .ok_or("no operator file has a table [log]; give it by --with")?;
     let shown = folder.display();
     let identity = identity(config)?;
     let begun = Log::begin(take(folder)?, &identity);
@@ -74,12 +78,18 @@
 }
 
 fn identity(config: &Config) -> Result<Identity, String> {
-    Ok(Identity { instance: config.name.clone(), boot: boot_id(), fresh: random()? })
+    Ok(Identity {
+        instance: config.name.clone(),
+        boot: boot_id(),
+        fresh: random()?,
+    })
 }
 
 fn take(folder: &Path) -> Result<Files, String> {
     Files::take(folder).map_err(|e| match e.kind() {
-        std::io::ErrorKind::WouldBlock => format!("log {}: another process has it open", folder.display()),
+        std::io::ErrorKind::WouldBlock => {
+            format!("log {}: another process has it open", folder.display())
+        }
         _ => format!("log {}: {e}", folder.display()),
     })
 }
@@ -99,9 +109,15 @@
         notes: mpsc::UnboundedSender<Note>,
     ) -> Result<(Memory, Recalled), String> {
         let shown = folder.display().to_string();
-        let mut recalled = Recalled { secret: random()?, records: Vec::new(), quiet_until: 0.0 };
+        let mut recalled = Recalled {
+            secret: random()?,
+            records: Vec::new(),
+            quiet_until: 0.0,
+        };
         let (mut quiet, mut foreign) = (None, 0u64);
-        let visit = |Written { payload, same_boot, .. }: Written<'_>| match postcard::from_bytes(payload) {
+        let visit = |Written {
+                         payload, same_boot, ..
+                     }: Written<'_>| match postcard::from_bytes(payload) {
             Ok(Entry::Secret(bytes)) => recalled.secret = bytes,
             Ok(Entry::Quiet(until)) => quiet = Some(if same_boot { until } else { f64::INFINITY }),
             Ok(Entry::Key(record)) => recalled.records.push((record, same_boot)),
@@ -110,14 +126,22 @@
         let began = boot_clock();
         let identity = identity(config)?;
         let opened = Log::open(die::Storage(lies::of(take(folder)?)), &identity, visit);
-        let (mut log, recovery) = opened.map_err(|problem: Unusable| format!("log {shown}: {problem}"))?;
-        let Recovery { records, bytes, torn, lost } = recovery;
+        let (mut log, recovery) =
+            opened.map_err(|problem: Unusable| format!("log {shown}: {problem}"))?;
+        let Recovery {
+            records,
+            bytes,
+            torn,
+            lost,
+        } = recovery;
         let now = boot_clock();
         let whole = now + retention;
         // Quiet as long as an earlier start said, within a whole retention; a loss without its word is a new one.
         recalled.quiet_until = match (&lost, quiet) {
             (None, None) if foreign == 0 => 0.0,
-            (Some(emberpin_wal::Lost::Before) | None, Some(until)) if foreign == 0 => until.min(whole),
+            (Some(emberpin_wal::Lost::Before) | None, Some(until)) if foreign == 0 => {
+                until.min(whole)
+            }
             _ => whole,
         };
         eprintln!(
@@ -134,16 +158,26 @@
         let mut first = vec![Entry::Secret(recalled.secret)];
         if recalled.quiet_until > now {
             let seconds = (recalled.quiet_until - now) / 1000.0;
-            eprintln!("emberpin: log {shown}: keyed work is told for {seconds:.1} s that it may have run");
+            eprintln!(
+                "emberpin: log {shown}: keyed work is told for {seconds:.1} s that it may have run"
+            );
             first.push(Entry::Quiet(recalled.quiet_until));
         }
         let first: Vec<Vec<u8>> = first.iter().filter_map(encode).collect();
-        log.write(&first, true).map_err(|problem| format!("log {shown}: {problem}"))?;
+        log.write(&first, true)
+            .map_err(|problem| format!("log {shown}: {problem}"))?;
         let first_segment = log.segment();
         // The receiver goes with the stage.
         let service = Service::start(log, move |note| _ = notes.send(note));
         let service = service.map_err(|e| format!("log {shown}: no thread: {e}"))?;
-        Ok((Memory { service, spare: settings.spare as u64, first_segment }, recalled))
+        Ok((
+            Memory {
+                service,
+                spare: settings.spare as u64,
+                first_segment,
+            },
+            recalled,
+        ))
     }
 
     /// The segment that this life began with.
--- a/crates/emberpin-limiter/src/stages/takeover.rs
+++ b/crates/emberpin-limiter/src/stages/takeover.rs
@@ -8,10 +8,10 @@
 use crate::operate::takeover::Takeover as Settings;
 use crate::stages::memory::boot_clock;
 use emberpin_balancer::{ClassId, CustomerId, Effect, GatewayId, PlanId, Ran};
+use emberpin_failover::{Action, Event, Hall, Hands, Member, Rules, Verdict, Went, Work, WorkId};
 use emberpin_idempotency::claims::{Claim, Holding, Member as Holder};
 use emberpin_idempotency::{Customer, Fingerprint, Key};
 use emberpin_peering::{Belief, Life};
-use emberpin_failover::{Action, Event, Hall, Hands, Member, Rules, Verdict, Went, Work, WorkId};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, OnceCell, RefCell};
@@ -33,7 +33,14 @@
     fn ended(&self, of: Holding, ran: bool);
 
     /// What came of another's work that was gone on with here.
-    fn taken_over(&self, id: WorkId, customer: Customer, key: Key, fingerprint: Fingerprint, answer: Answer);
+    fn taken_over(
+        &self,
+        id: WorkId,
+        customer: Customer,
+        key: Key,
+        fingerprint: Fingerprint,
+        answer: Answer,
+    );
 }
 
 /// The gate of one keyed request: shut until its key is granted, and open while nobody else goes on with its work.
@@ -63,18 +70,36 @@
 
 impl WorkGate {
     async fn ask(&self, attempt: u32, (zone, cell): (usize, u32), within: Duration) -> bool {
-        let (Some(host), Some(id), Some(payload)) =
-            (self.host.upgrade(), self.id.get().copied(), self.payload.get())
-        else {
+        let (Some(host), Some(id), Some(payload)) = (
+            self.host.upgrade(),
+            self.id.get().copied(),
+            self.payload.get(),
+        ) else {
             return false;
         };
-        let left = self.expires.saturating_duration_since(Instant::now()).as_secs_f64() * 1000.0;
-        let work = Work { payload: payload.clone(), window: self.window, within: left };
-        let to = Hall { zone: u32::try_from(zone).unwrap_or(u32::MAX), cell };
+        let left = self
+            .expires
+            .saturating_duration_since(Instant::now())
+            .as_secs_f64()
+            * 1000.0;
+        let work = Work {
+            payload: payload.clone(),
+            window: self.window,
+            within: left,
+        };
+        let to = Hall {
+            zone: u32::try_from(zone).unwrap_or(u32::MAX),
+            cell,
+        };
         let (tell, told) = oneshot::channel();
         host.asked.borrow_mut().insert((id, attempt), tell);
         die::here("going");
-        host.handle(Event::Go { id, attempt, to, work });
+        host.handle(Event::Go {
+            id,
+            attempt,
+            to,
+            work,
+        });
         let opens = matches!(timeout(within, told).await, Ok(Ok(true)));
         host.asked.borrow_mut().remove(&(id, attempt));
         die::here(if opens { "gone" } else { "withheld" });
@@ -159,9 +184,12 @@
     /// Starts the host.
     pub fn start(settings: &Settings, config: &Config, link: &Rc<Link>, me: u32) -> Rc<Takeover> {
         let (members, ask_within, tell_within, dead_after) = match &config.link {
-            Some((link, _)) => {
-                (link.members.len(), link.ask_within, link.suspect_after + link.beat * 2, link.dead_after)
-            }
+            Some((link, _)) => (
+                link.members.len(),
+                link.ask_within,
+                link.suspect_after + link.beat * 2,
+                link.dead_after,
+            ),
             None => (1, Duration::ZERO, Duration::ZERO, Duration::ZERO),
         };
         let millis = |time: Duration| time.as_secs_f64() * 1000.0;
@@ -175,10 +203,14 @@
             bytes: settings.bytes,
             per_s: settings.per_s / members.max(1) as f64,
         };
-        let windows = config.settings.classes.iter().map(|class| match class.effect {
-            Effect::Keyed { window, .. } => Some(window),
-            Effect::Safe | Effect::Unsafe => None,
-        });
+        let windows = config
+            .settings
+            .classes
+            .iter()
+            .map(|class| match class.effect {
+                Effect::Keyed { window, .. } => Some(window),
+                Effect::Safe | Effect::Unsafe => None,
+            });
         let host = Rc::new_cyclic(|own| Takeover {
             own: own.clone(),
             hands: RefCell::new(Hands::new(rules, boot_clock())),
@@ -217,7 +249,15 @@
         let (id, payload) = (OnceCell::new(), OnceCell::new());
         let window = self.windows.get(class.0).copied().flatten();
         let (host, closing, closed) = (self.own.clone(), Cell::new(false), Notify::new());
-        Rc::new(WorkGate { host, id, payload, window, expires, closing, closed })
+        Rc::new(WorkGate {
+            host,
+            id,
+            payload,
+            window,
+            expires,
+            closing,
+            closed,
+        })
     }
 
     /// Writes down what another limiter would need.
@@ -229,9 +269,13 @@
         key: Key,
         fingerprint: Fingerprint,
     ) {
-        let Upstreamed::Whole(body) = &outgoing.body else { return };
-        let headers =
-            outgoing.headers.iter().map(|(name, value)| (name.to_string(), value.as_bytes().to_vec()));
+        let Upstreamed::Whole(body) = &outgoing.body else {
+            return;
+        };
+        let headers = outgoing
+            .headers
+            .iter()
+            .map(|(name, value)| (name.to_string(), value.as_bytes().to_vec()));
         let carried = Carried {
             method: outgoing.method.to_string(),
             uri: outgoing.uri.to_string(),
@@ -253,9 +297,16 @@
 
     /// A request of this limiter's has its key.
     pub fn begun(&self, gate: &WorkGate, claim: Claim, keepers: Vec<Holder>) {
-        let id = WorkId { claimant: Member(self.me), life: self.link.life(), claim: claim.0 };
+        let id = WorkId {
+            claimant: Member(self.me),
+            life: self.link.life(),
+            claim: claim.0,
+        };
         if gate.id.set(id).is_ok() {
-            self.handle(Event::Begun { id, keepers: members(keepers) });
+            self.handle(Event::Begun {
+                id,
+                keepers: members(keepers),
+            });
         }
     }
 
@@ -282,13 +333,18 @@
     /// This limiter has granted a key to another's claim.
     pub fn granted(&self, to: Holder, claim: Claim, keepers: Vec<Holder>) {
         if let Some(id) = self.work_of(to, claim) {
-            self.handle(Event::Granted { id, keepers: members(keepers) });
+            self.handle(Event::Granted {
+                id,
+                keepers: members(keepers),
+            });
         }
     }
 
     /// Its claimant says that a claim has an outcome; false if that does not count any more, as another goes on with it.
     pub fn settled(&self, of: Holder, claim: Claim, served: bool) -> bool {
-        let Some(id) = self.work_of(of, claim) else { return true };
+        let Some(id) = self.work_of(of, claim) else {
+            return true;
+        };
         if !served && self.hands.borrow().is_promised_away(&id) {
             return false;
         }
@@ -298,12 +354,18 @@
 
     fn work_of(&self, of: Holder, claim: Claim) -> Option<WorkId> {
         let life = self.lives.borrow().get(&of.0).copied()?;
-        Some(WorkId { claimant: Member(of.0), life, claim: claim.0 })
+        Some(WorkId {
+            claimant: Member(of.0),
+            life,
+            claim: claim.0,
+        })
     }
 
     fn handle(&self, event: Event) {
         let mut actions = Vec::new();
-        self.hands.borrow_mut().handle(boot_clock(), event, &mut actions);
+        self.hands
+            .borrow_mut()
+            .handle(boot_clock(), event, &mut actions);
         for action in actions {
             match action {
                 Action::Say(to, said) => {
@@ -323,7 +385,10 @@
                 Action::End(id, verdict) => {
                     let ran = verdict == Verdict::MayHaveRun;
                     let what = if ran { "may have run" } else { "was not sent" };
-                    eprintln!("emberpin: takeover: work of limiter {} {what}", id.claimant.0);
+                    eprintln!(
+                        "emberpin: takeover: work of limiter {} {what}",
+                        id.claimant.0
+                    );
                     if let Some(keys) = self.keys() {
                         keys.ended((Holder(id.claimant.0), Claim(id.claim)), ran);
                     }
@@ -342,17 +407,27 @@
     /// Goes on with another's work.
     fn take_over(&self, id: WorkId, work: Work, went: Went) {
         die::here("taken");
-        eprintln!("emberpin: takeover: goes on with work of limiter {}", id.claimant.0);
+        eprintln!(
+            "emberpin: takeover: goes on with work of limiter {}",
+            id.claimant.0
+        );
         let Some((taken, customer, key, fingerprint)) = self.carried(id, work, went) else {
-            eprintln!("emberpin: takeover: work of limiter {} is not understood", id.claimant.0);
+            eprintln!(
+                "emberpin: takeover: work of limiter {} is not understood",
+                id.claimant.0
+            );
+            return self.handle(Event::Failed(id));
+        };
+        let Some(runner) = self.runner.get() else {
             return self.handle(Event::Failed(id));
         };
-        let Some(runner) = self.runner.get() else { return self.handle(Event::Failed(id)) };
         let (going, host) = (runner(taken), self.own.clone());
         spawn_local(async move {
             let answer = going.await;
             die::here("taken-answer");
-            let Some(keys) = host.upgrade().and_then(|host| host.keys()) else { return };
+            let Some(keys) = host.upgrade().and_then(|host| host.keys()) else {
+                return;
+            };
             keys.taken_over(id, customer, key, fingerprint, answer);
         });
     }
@@ -362,15 +437,23 @@
         self.handle(Event::Failed(id));
     }
 
-    fn carried(&self, id: WorkId, work: Work, went: Went) -> Option<(Taken, Customer, Key, Fingerprint)> {
+    fn carried(
+        &self,
+        id: WorkId,
+        work: Work,
+        went: Went,
+    ) -> Option<(Taken, Customer, Key, Fingerprint)> {
         let carried: Carried = postcard::from_bytes(&work.payload).ok()?;
         let mut headers = HeaderMap::new();
         for (name, value) in &carried.headers {
             let name = HeaderName::from_bytes(name.as_bytes()).ok()?;
             headers.append(name, HeaderValue::from_bytes(value).ok()?);
         }
-        let sound = carried.units.is_finite() && carried.units > 0.0 && carried.class < self.windows.len();
-        let patience = Duration::try_from_secs_f64(work.within / 1000.0).ok().filter(|_| sound)?;
+        let sound =
+            carried.units.is_finite() && carried.units > 0.0 && carried.class < self.windows.len();
+        let patience = Duration::try_from_secs_f64(work.within / 1000.0)
+            .ok()
+            .filter(|_| sound)?;
         let gate = WorkGate {
             host: self.own.clone(),
             id: OnceCell::from(id),
@@ -399,10 +482,19 @@
                 gate: Some(Rc::new(gate)),
                 withdrawn: Default::default(),
             },
-            ran: Ran { ago: went.ago, zone: went.hall.zone as usize, cell: went.hall.cell },
+            ran: Ran {
+                ago: went.ago,
+                zone: went.hall.zone as usize,
+                cell: went.hall.cell,
+            },
             patience,
         };
-        Some((taken, Customer(carried.customer), carried.key, carried.fingerprint))
+        Some((
+            taken,
+            Customer(carried.customer),
+            carried.key,
+            carried.fingerprint,
+        ))
     }
 
     /// What the link says of a member. One whose connection ends while it is well has most likely ended itself: a stalled
@@ -410,7 +502,10 @@
     pub fn changed(&self, member: u32, belief: &Belief) {
         if let Some(life) = belief.life {
             let before = self.lives.borrow_mut().insert(member, life);
-            self.handle(Event::Lives { member: Member(member), life });
+            self.handle(Event::Lives {
+                member: Member(member),
+                life,
+            });
             if let Some(before) = before.filter(|before| *before != life) {
                 self.ending.borrow_mut().remove(&member);
                 self.handle(Event::Gone(Member(member), before));
@@ -420,7 +515,10 @@
         if belief.reachable {
             self.ending.borrow_mut().remove(&member);
         } else if belief.ended && belief.life.is_some() {
-            self.ending.borrow_mut().entry(member).or_insert_with(|| Instant::now() + self.after);
+            self.ending
+                .borrow_mut()
+                .entry(member)
+                .or_insert_with(|| Instant::now() + self.after);
         }
     }
 
@@ -430,8 +528,13 @@
             return;
         }
         self.next_tick.set(now + TICK);
-        let gone: Vec<u32> =
-            self.ending.borrow().iter().filter(|(_, at)| **at <= now).map(|(member, _)| *member).collect();
+        let gone: Vec<u32> = self
+            .ending
+            .borrow()
+            .iter()
+            .filter(|(_, at)| **at <= now)
+            .map(|(member, _)| *member)
+            .collect();
         for member in gone {
             self.ending.borrow_mut().remove(&member);
             let life = self.lives.borrow().get(&member).copied();
@@ -453,12 +556,14 @@
         let news = timeout(TICK, heard.recv()).await;
         let Some(host) = host.upgrade() else { return };
         match news {
-            Ok(Some(News::Told { from, body })) => match postcard::from_bytes(&body) {
-                Ok(said) => host.handle(Event::Heard(Member(from), said)),
-                Err(e) => {
-                    eprintln!("emberpin: link: member {from} said of work what is not understood: {e}");
+            Ok(Some(News::Told { from, body })) => {
+                match postcard::from_bytes(&body) {
+                    Ok(said) => host.handle(Event::Heard(Member(from), said)),
+                    Err(e) => {
+                        eprintln!("emberpin: link: member {from} said of work what is not understood: {e}");
+                    }
                 }
-            },
+            }
             // The stage hears of members.
             Ok(Some(News::Changed { .. } | News::Superseded)) | Err(_) => {}
             Ok(None) => return,
--- a/crates/emberpin-limiter/src/upstream/asking.rs
+++ b/crates/emberpin-limiter/src/upstream/asking.rs
@@ -29,10 +29,16 @@
     /// another process asks at once.
     pub fn new(config: &Config, now: f64, goes_on: bool) -> Rc<Asking> {
         let mut random = oorandom::Rand64::new(u128::from(config.seed));
-        let place = Place { number: config.settings.me.0, size: config.settings.group_size };
+        let place = Place {
+            number: config.settings.me.0,
+            size: config.settings.group_size,
+        };
         // On the platform a change binds from when it would have been told: one that knows servers asks at once.
         let may_wait = config.start.is_some() || config.known.targets.is_empty();
-        let power = config.start.as_ref().and_then(|start| start.list_calls_per_s);
+        let power = config
+            .start
+            .as_ref()
+            .and_then(|start| start.list_calls_per_s);
         let calls = match may_wait {
             true => Calls::new(place, power, random.rand_float()),
             false => Calls::at_once(place),
@@ -78,9 +84,13 @@
         if self.asked.get() {
             return;
         }
-        let Some(message) = gossip::read(bytes) else { return };
+        let Some(message) = gossip::read(bytes) else {
+            return;
+        };
         let life = gossip::whole_life(message.life, self.life) as f64;
-        self.calls.borrow_mut().heard(from.0, life + TOGETHER >= self.life);
+        self.calls
+            .borrow_mut()
+            .heard(from.0, life + TOGETHER >= self.life);
         self.heard.notify_one();
     }
 
--- a/crates/emberpin-limiter/src/upstream/believed.rs
+++ b/crates/emberpin-limiter/src/upstream/believed.rs
@@ -34,7 +34,10 @@
         let began = Instant::now();
         Some(Rc::new(Believed {
             began,
-            trust: RefCell::new(Trust::new(Limits { keep_share: start.keep_share, keep: start.keep })),
+            trust: RefCell::new(Trust::new(Limits {
+                keep_share: start.keep_share,
+                keep: start.keep,
+            })),
             ready: RefCell::new(Ready::new(start.ready_within)),
             limit: began + start.ready_within,
             is_ready: watch::Sender::new(false),
@@ -58,7 +61,10 @@
 
     /// What becomes of what was told; one that is doubted is asked for again.
     pub fn judge(self: &Rc<Self>, held: List, told: List, whole: bool) -> Verdict {
-        let verdict = self.trust.borrow_mut().judge(self.began.elapsed(), held, told, whole);
+        let verdict = self
+            .trust
+            .borrow_mut()
+            .judge(self.began.elapsed(), held, told, whole);
         if matches!(verdict, Verdict::Keep | Verdict::Ignore) {
             eprintln!(
                 "emberpin: a list of version {} with {} servers is doubted, version {} with {} is held; SIGHUP has it \
@@ -92,7 +98,8 @@
     /// So many servers of the list may be sent to.
     pub fn see(&self, servers: usize) {
         let ready = self.ready.borrow_mut().see(self.began.elapsed(), servers);
-        self.is_ready.send_if_modified(|was| !std::mem::replace(was, ready) && ready);
+        self.is_ready
+            .send_if_modified(|was| !std::mem::replace(was, ready) && ready);
     }
 
     /// The list service has told this. What a life was given at its start is not kept: it would seem as young as the
--- a/crates/emberpin-limiter/src/upstream/discovery.rs
+++ b/crates/emberpin-limiter/src/upstream/discovery.rs
@@ -39,7 +39,10 @@
         (asking, fed): (Rc<Asking>, Option<Rc<Fed>>),
         inputs: mpsc::Sender<Input>,
     ) -> Discovery {
-        let discovery = Discovery { address: watch::Sender::new(address), refetch: Rc::default() };
+        let discovery = Discovery {
+            address: watch::Sender::new(address),
+            refetch: Rc::default(),
+        };
         spawn_local(follow(
             discovery.address.subscribe(),
             discovery.refetch.clone(),
@@ -57,7 +60,8 @@
 
     /// Leaves the present address for another at once; the list known so far holds until that has told its own.
     pub fn move_to(&self, address: SocketAddr) {
-        self.address.send_if_modified(|known| std::mem::replace(known, address) != address);
+        self.address
+            .send_if_modified(|known| std::mem::replace(known, address) != address);
     }
 }
 
@@ -104,10 +108,12 @@
             // A watch that told something was sound: only fruitless ones are spaced out.
             let ended = match watched {
                 Watched { told: true, .. } => Ended::Told,
-                Watched { busy: Some(wait), .. } => Ended::Busy { wait },
-                Watched { answered, .. } => {
-                    Ended::Failed { after: answered.unwrap_or_else(|| began.elapsed()) }
-                }
+                Watched {
+                    busy: Some(wait), ..
+                } => Ended::Busy { wait },
+                Watched { answered, .. } => Ended::Failed {
+                    after: answered.unwrap_or_else(|| began.elapsed()),
+                },
             };
             if !yielded {
                 tokio::time::sleep(asking.pause(ended)).await;
@@ -153,18 +159,31 @@
         Some(rev) => format!("{PATH}?follow=1&since={rev}"),
         None => format!("{PATH}?follow=1"),
     };
-    let Some(Ok(stream)) = patient(TcpStream::connect(address)).await else { return };
-    let Ok((mut sender, connection)) = http1::handshake(TokioIo::new(stream)).await else { return };
-    let request = hyper::Request::get(path).header("host", address.to_string()).body(Empty::<Bytes>::new());
+    let Some(Ok(stream)) = patient(TcpStream::connect(address)).await else {
+        return;
+    };
+    let Ok((mut sender, connection)) = http1::handshake(TokioIo::new(stream)).await else {
+        return;
+    };
+    let request = hyper::Request::get(path)
+        .header("host", address.to_string())
+        .body(Empty::<Bytes>::new());
     let Ok(request) = request else { return };
     let reading = async {
         let began = Instant::now();
-        let Some(Ok(response)) = patient(sender.send_request(request)).await else { return };
+        let Some(Ok(response)) = patient(sender.send_request(request)).await else {
+            return;
+        };
         watched.answered = Some(began.elapsed());
         if response.status() != hyper::StatusCode::OK {
-            let wait = response.headers().get(RETRY_AFTER).and_then(|value| value.to_str().ok());
+            let wait = response
+                .headers()
+                .get(RETRY_AFTER)
+                .and_then(|value| value.to_str().ok());
             // In seconds; a date (RFC 9110, 10.2.3, allows both) counts as not said.
-            watched.busy = wait.and_then(|wait| wait.trim().parse().ok()).map(Duration::from_secs);
+            watched.busy = wait
+                .and_then(|wait| wait.trim().parse().ok())
+                .map(Duration::from_secs);
             return;
         }
         // It tells what is newer than the version held, if anything is.
@@ -174,7 +193,9 @@
         let mut body = response.into_body();
         let mut watch = Watch::default();
         while let Some(Some(Ok(frame))) = patient(body.frame()).await {
-            let Ok(data) = frame.into_data() else { continue };
+            let Ok(data) = frame.into_data() else {
+                continue;
+            };
             let Ok(all) = watch.take(&data) else { return };
             for told in all {
                 watched.told = true;
--- a/crates/emberpin-limiter/src/upstream/driver.rs
+++ b/crates/emberpin-limiter/src/upstream/driver.rs
@@ -68,22 +68,54 @@
 impl Driver {
     /// Knows what the process before this one gave, if it did.
     pub fn new(config: Config, parts: Parts, given: Option<Given>) -> Driver {
-        let Parts { clock, inputs, peers, asking, believed, fed, refetch, figures, pool } = parts;
+        let Parts {
+            clock,
+            inputs,
+            peers,
+            asking,
+            believed,
+            fed,
+            refetch,
+            figures,
+            pool,
+        } = parts;
         spawn_local(pool.clone().retire());
         let mut roster = Roster::default();
         let (gateway, known) = match given {
-            None => (Gateway::new(config.settings, config.seed, clock.now()), config.known),
+            None => (
+                Gateway::new(config.settings, config.seed, clock.now()),
+                config.known,
+            ),
             Some(given) => {
-                given.names.iter().for_each(|name| roster.name(server_id(name), name));
+                given
+                    .names
+                    .iter()
+                    .for_each(|name| roster.name(server_id(name), name));
                 let targets = given.targets();
-                let lines = targets.iter().filter_map(|target| target.server(&config.names).ok()).collect();
+                let lines = targets
+                    .iter()
+                    .filter_map(|target| target.server(&config.names).ok())
+                    .collect();
                 let (settings, seed) = (config.settings, config.seed);
-                let (gateway, whole) = Gateway::take_over(settings, seed, clock.now(), given.gateway, lines);
-                let what =
-                    if whole { "all" } else { "the list and what is out by hand, as the settings differ" };
+                let (gateway, whole) =
+                    Gateway::take_over(settings, seed, clock.now(), given.gateway, lines);
+                let what = if whole {
+                    "all"
+                } else {
+                    "the list and what is out by hand, as the settings differ"
+                };
                 eprintln!("emberpin: taken over from the process before: {what}");
                 let targets = targets.into_iter().map(Entry::Target).collect();
-                (gateway, Listing { rev: given.rev, whole: true, targets, place: 0, teller: Teller::Service })
+                (
+                    gateway,
+                    Listing {
+                        rev: given.rev,
+                        whole: true,
+                        targets,
+                        place: 0,
+                        teller: Teller::Service,
+                    },
+                )
             }
         };
         let mut driver = Driver {
@@ -101,7 +133,10 @@
             fed,
             refetch,
         };
-        driver.list(Listing { whole: true, ..known });
+        driver.list(Listing {
+            whole: true,
+            ..known
+        });
         driver
     }
 
@@ -146,7 +181,11 @@
 
     /// Takes a server out of service by hand, or puts it back; both may be said again.
     fn carry_out_order(&mut self, order: Order) {
-        let Order { server: name, out, done } = order;
+        let Order {
+            server: name,
+            out,
+            done,
+        } = order;
         // Whoever called was told no meanwhile.
         if done.is_closed() {
             return;
@@ -166,7 +205,11 @@
         if self.engine.gateway.is_banned(server) != out {
             eprintln!(
                 "server {name} {} by hand",
-                if out { "taken out of service" } else { "put back into service" }
+                if out {
+                    "taken out of service"
+                } else {
+                    "put back into service"
+                }
             );
         }
         self.feed(Event::Maintenance { server, out });
@@ -208,7 +251,12 @@
         match input {
             Input::Call(call) => self.engine.call(call),
             Input::Gone(request) => self.engine.gone(request),
-            Input::Ended { request, attempt, server, ended } => {
+            Input::Ended {
+                request,
+                attempt,
+                server,
+                ended,
+            } => {
                 self.engine.ended(request, attempt, server, ended, true);
             }
             // Attempts here end with the time that the module gives them.
@@ -258,15 +306,27 @@
 
     /// Discovery has told something: where lists may be doubted, it holds as far as it is believed.
     fn told(&mut self, listing: Listing) {
-        let Some(believed) = self.believed.clone() else { return self.list(listing) };
-        let here = |entry: &&Entry| matches!(entry, Entry::Target(target) if target.state != State::Gone);
+        let Some(believed) = self.believed.clone() else {
+            return self.list(listing);
+        };
+        let here =
+            |entry: &&Entry| matches!(entry, Entry::Target(target) if target.state != State::Gone);
         let servers = listing.targets.iter().filter(here).count();
-        let told = List { place: listing.place, rev: listing.rev, servers };
-        let held = List { place: self.place, rev: self.rev, servers: self.roster.count() };
+        let told = List {
+            place: listing.place,
+            rev: listing.rev,
+            servers,
+        };
+        let held = List {
+            place: self.place,
+            rev: self.rev,
+            servers: self.roster.count(),
+        };
         let teller = listing.teller;
         let sure = matches!(teller, Teller::Peer { sure: true, .. });
         // A peer may be behind: only the service's word, or a word on it, makes a list older.
-        let behind = listing.place < self.place || (listing.place == self.place && listing.rev < self.rev);
+        let behind =
+            listing.place < self.place || (listing.place == self.place && listing.rev < self.rev);
         if teller != Teller::Service && behind && !sure {
             return;
         }
@@ -279,12 +339,20 @@
         };
         match verdict {
             Verdict::Take | Verdict::Believe => self.list(listing),
-            Verdict::Keep => self.list(Listing { whole: false, ..listing }),
+            Verdict::Keep => self.list(Listing {
+                whole: false,
+                ..listing
+            }),
             Verdict::Ignore => return,
         }
         believed.keep(self.rev, || self.roster.listed());
         if let (Some(fed), false) = (&self.fed, believed.doubts()) {
-            fed.hold(self.rev, teller, verdict == Verdict::Believe, &self.roster.listed());
+            fed.hold(
+                self.rev,
+                teller,
+                verdict == Verdict::Believe,
+                &self.roster.listed(),
+            );
         }
     }
 
@@ -294,7 +362,9 @@
         let mut named = BTreeSet::new();
         let mut lines = Vec::new();
         for entry in &listing.targets {
-            let Entry::Target(target) = entry else { continue };
+            let Entry::Target(target) = entry else {
+                continue;
+            };
             let id = target.id();
             named.insert(id);
             let line = target.server(&self.names);
@@ -304,8 +374,13 @@
         }
         if listing.whole {
             self.roster.keep(|id| named.contains(id));
-            let missing: Vec<ServerId> =
-                self.engine.upstreams.keys().filter(|id| !named.contains(id)).copied().collect();
+            let missing: Vec<ServerId> = self
+                .engine
+                .upstreams
+                .keys()
+                .filter(|id| !named.contains(id))
+                .copied()
+                .collect();
             missing.into_iter().for_each(|id| self.reach(id));
         }
         self.feed(Event::Membership(match listing.whole {
@@ -320,15 +395,27 @@
     /// Opens or shuts the way to a server, by the list and by hand; a new life or address of it starts without
     /// connections.
     fn reach(&mut self, id: ServerId) {
-        let place = self.roster.place(id).filter(|_| !self.engine.gateway.is_banned(id));
-        if place.is_some() && self.engine.upstreams.get(&id).map(|upstream| upstream.place) == place {
+        let place = self
+            .roster
+            .place(id)
+            .filter(|_| !self.engine.gateway.is_banned(id));
+        if place.is_some()
+            && self
+                .engine
+                .upstreams
+                .get(&id)
+                .map(|upstream| upstream.place)
+                == place
+        {
             return;
         }
         if let Some(known) = self.engine.upstreams.remove(&id) {
             known.shut();
         }
         if let Some(place) = place {
-            self.engine.upstreams.insert(id, Upstream::new(place, self.pool.clone()));
+            self.engine
+                .upstreams
+                .insert(id, Upstream::new(place, self.pool.clone()));
         }
     }
 }
--- a/crates/emberpin-limiter/src/upstream/engine.rs
+++ b/crates/emberpin-limiter/src/upstream/engine.rs
@@ -87,7 +87,9 @@
     /// Tells the module of the timers that are due.
     pub fn fire(&mut self) {
         let now = Instant::now();
-        while let Some(Reverse((_, token))) = self.timers.peek().filter(|due| due.0 .0 <= now).copied() {
+        while let Some(Reverse((_, token))) =
+            self.timers.peek().filter(|due| due.0 .0 <= now).copied()
+        {
             self.timers.pop();
             self.feed(Event::Timer { token });
         }
@@ -126,7 +128,9 @@
 
     /// Its client has gone.
     pub fn gone(&mut self, request: RequestId) {
-        let Some(held) = self.requests.get_mut(&request) else { return };
+        let Some(held) = self.requests.get_mut(&request) else {
+            return;
+        };
         if held.answer.take().is_some() {
             self.feed(Event::Abandoned { request });
             self.release(request);
@@ -136,12 +140,25 @@
     /// Takes back the right to answer a request of which nothing may have run, so that it can be sent on anew: the module
     /// hears of its end with that of the attempt that is out.
     pub fn take_back(&mut self, request: RequestId) -> Option<oneshot::Sender<Reply>> {
-        self.requests.get_mut(&request).filter(|held| !held.ran)?.answer.take()
+        self.requests
+            .get_mut(&request)
+            .filter(|held| !held.ran)?
+            .answer
+            .take()
     }
 
     /// An attempt has ended; where `again` is not set, no other one follows it.
-    pub fn ended(&mut self, request: RequestId, attempt: u32, server: ServerId, ended: Ended, again: bool) {
-        let Some(held) = self.requests.get_mut(&request) else { return };
+    pub fn ended(
+        &mut self,
+        request: RequestId,
+        attempt: u32,
+        server: ServerId,
+        ended: Ended,
+        again: bool,
+    ) {
+        let Some(held) = self.requests.get_mut(&request) else {
+            return;
+        };
         held.out = None;
         held.ran |= !ended.outcome.never_ran();
         if ended.told.is_some() {
@@ -170,17 +187,26 @@
 
     /// Whether this attempt is out and may be ended.
     pub fn is_out(&self, request: RequestId, attempt: u32) -> bool {
-        let held = self.requests.get(&request).filter(|held| held.attempts == attempt + 1);
+        let held = self
+            .requests
+            .get(&request)
+            .filter(|held| held.attempts == attempt + 1);
         let held = held.filter(|held| held.outgoing.is_held());
-        held.and_then(|held| held.out.as_ref()).is_some_and(|out| out.cancel.is_some())
+        held.and_then(|held| held.out.as_ref())
+            .is_some_and(|out| out.cancel.is_some())
     }
 
     /// Ends an attempt that is out as one that has had its time; its end comes as any other. Not one whose body
     /// has passed on, as no other could follow it.
     pub fn give_up(&mut self, request: RequestId, attempt: u32) {
-        let held = self.requests.get_mut(&request).filter(|held| held.attempts == attempt + 1);
+        let held = self
+            .requests
+            .get_mut(&request)
+            .filter(|held| held.attempts == attempt + 1);
         let held = held.filter(|held| held.outgoing.is_held());
-        let cancel = held.and_then(|held| held.out.as_mut()).and_then(|out| out.cancel.take());
+        let cancel = held
+            .and_then(|held| held.out.as_mut())
+            .and_then(|out| out.cancel.take());
         if let Some(cancel) = cancel {
             _ = cancel.send(Outcome::Timeout);
         }
@@ -188,7 +214,11 @@
 
     /// Forgets a request that owes nothing and waits for nothing.
     fn release(&mut self, request: RequestId) {
-        if self.requests.get(&request).is_some_and(|held| held.answer.is_none() && held.out.is_none()) {
+        if self
+            .requests
+            .get(&request)
+            .is_some_and(|held| held.answer.is_none() && held.out.is_none())
+        {
             self.requests.remove(&request);
         }
     }
@@ -207,17 +237,29 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { request, server, timeout } => self.send(request, server, timeout),
-            Action::Refuse { request, retry_after } => self.answer(request, Answer::Refused { retry_after }),
+            Action::Send {
+                request,
+                server,
+                timeout,
+            } => self.send(request, server, timeout),
+            Action::Refuse {
+                request,
+                retry_after,
+            } => self.answer(request, Answer::Refused { retry_after }),
             Action::Fail { request } => self.answer(request, Answer::Failed),
             Action::Cancel { request, attempt } => {
-                let held = self.requests.get_mut(&request).filter(|held| held.attempts == attempt + 1);
+                let held = self
+                    .requests
+                    .get_mut(&request)
+                    .filter(|held| held.attempts == attempt + 1);
                 if let Some(out) = held.and_then(|held| held.out.as_mut()) {
                     out.cancel = None;
                 }
             }
             Action::Probe { server } => {
-                let Some(upstream) = self.upstreams.get(&server).cloned() else { return };
+                let Some(upstream) = self.upstreams.get(&server).cloned() else {
+                    return;
+                };
                 let inputs = self.inputs.clone();
                 spawn_local(async move {
                     let ended = upstream.probe().await;
@@ -232,20 +274,30 @@
             Action::Schedule { delay, token } => {
                 let delay = Duration::try_from_secs_f64(delay / 1000.0).unwrap_or_default();
                 let due = Instant::now() + delay;
-                self.timers.push(Reverse((self.grid.map_or(due, |grid| on_grid(due, grid)), token)));
+                self.timers.push(Reverse((
+                    self.grid.map_or(due, |grid| on_grid(due, grid)),
+                    token,
+                )));
             }
             // No deployment has the counter service.
-            Action::Count { name, .. } => self.pending.push_back(Event::Counted { name, total: None }),
+            Action::Count { name, .. } => {
+                self.pending.push_back(Event::Counted { name, total: None })
+            }
             Action::Log(text) => eprintln!("{text}"),
             beyond => self.beyond.push(beyond),
         }
     }
 
     fn send(&mut self, request: RequestId, server: ServerId, timeout: Millis) {
-        let Some(held) = self.requests.get_mut(&request) else { return };
+        let Some(held) = self.requests.get_mut(&request) else {
+            return;
+        };
         let attempt = held.attempts;
         held.attempts += 1;
-        let upstream = self.upstreams.get(&server).filter(|upstream| upstream.is_open());
+        let upstream = self
+            .upstreams
+            .get(&server)
+            .filter(|upstream| upstream.is_open());
         // Guards rules 1 to 3 whatever is asked for: nothing goes out for a request that is answered or
         // has an attempt out, nor to a server that drains.
         let (Some(upstream), true, None) = (upstream, held.answer.is_some(), &held.out) else {
@@ -265,7 +317,9 @@
         };
         let timeout = Duration::try_from_secs_f64(timeout / 1000.0).unwrap_or_default();
         let (cancel, cancelled) = oneshot::channel();
-        held.out = Some(Out { cancel: Some(cancel) });
+        held.out = Some(Out {
+            cancel: Some(cancel),
+        });
         self.sent.push((request, attempt, server));
         let outgoing = held.outgoing.clone();
         let place = self.gateway.place(server).unwrap_or_default();
@@ -301,12 +355,21 @@
                 true => upstream.attempt(outgoing, left, cancelled).await,
                 false => Ended::unsent(),
             };
-            _ = inputs.send(Input::Ended { request, attempt, server, ended }).await;
+            _ = inputs
+                .send(Input::Ended {
+                    request,
+                    attempt,
+                    server,
+                    ended,
+                })
+                .await;
         });
     }
 
     fn answer(&mut self, request: RequestId, answer: Answer) {
-        let Some(held) = self.requests.get_mut(&request) else { return };
+        let Some(held) = self.requests.get_mut(&request) else {
+            return;
+        };
         // Guards rule 1: nothing is out for a request once it is answered.
         if let Some(out) = &mut held.out {
             out.cancel = None;
--- a/crates/emberpin-limiter/src/upstream/fed.rs
+++ b/crates/emberpin-limiter/src/upstream/fed.rs
@@ -45,10 +45,15 @@
 
 /// Whom an instance's link leads to: all members where keys are kept there, else its neighbours in the telling of lists.
 pub fn spoken_to(config: &Config, number: u32) -> BTreeSet<u32> {
-    let Some((link, _)) = &config.link else { return BTreeSet::new() };
+    let Some((link, _)) = &config.link else {
+        return BTreeSet::new();
+    };
     let members: BTreeSet<u32> = link.members.iter().map(|member| member.number).collect();
     match config.idempotency {
-        Some(_) => members.into_iter().filter(|member| *member != number).collect(),
+        Some(_) => members
+            .into_iter()
+            .filter(|member| *member != number)
+            .collect(),
         None => neighbours(number, &members),
     }
 }
@@ -63,12 +68,32 @@
     ) -> Option<Rc<Fed>> {
         let callers = config.start.as_ref()?.callers?;
         let ((settings, number), link) = (config.link.as_ref()?, link?);
-        let members: BTreeSet<u32> = settings.members.iter().map(|member| member.number).collect();
-        let limits = Limits { callers, pulse: PULSE, fresh: PULSE.mul_f64(MISSED) };
-        let life = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
+        let members: BTreeSet<u32> = settings
+            .members
+            .iter()
+            .map(|member| member.number)
+            .collect();
+        let limits = Limits {
+            callers,
+            pulse: PULSE,
+            fresh: PULSE.mul_f64(MISSED),
+        };
+        let life = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_millis();
         let known = Some(config.known.rev).filter(|_| !config.known.targets.is_empty());
-        let core = Feed::new(*number, u64::try_from(life).unwrap_or(u64::MAX), &members, limits, known);
-        let named = config.start.as_ref().and_then(|start| start.list_service.clone());
+        let core = Feed::new(
+            *number,
+            u64::try_from(life).unwrap_or(u64::MAX),
+            &members,
+            limits,
+            known,
+        );
+        let named = config
+            .start
+            .as_ref()
+            .and_then(|start| start.list_service.clone());
         let fed = Rc::new(Fed {
             core: RefCell::new(core),
             link: link.clone(),
@@ -81,7 +106,12 @@
             too_long: Cell::new(false),
         });
         let near = neighbours(*number, &members);
-        spawn_local(listen(Rc::downgrade(&fed), link.subscribe(LISTS), near, superseded));
+        spawn_local(listen(
+            Rc::downgrade(&fed),
+            link.subscribe(LISTS),
+            near,
+            superseded,
+        ));
         Some(fed)
     }
 
@@ -124,7 +154,9 @@
 
     /// This list is held, and not doubted any more if it was.
     pub fn hold(&self, rev: u64, teller: Teller, doubted: bool, targets: &[Target]) {
-        let Ok(entries) = serde_json::to_vec(targets) else { return };
+        let Ok(entries) = serde_json::to_vec(targets) else {
+            return;
+        };
         let too_long = entries.len() + AROUND > LONGEST;
         if too_long && !self.too_long.replace(too_long) {
             eprintln!(
@@ -162,23 +194,39 @@
             }
             // Of another service, its versions mean nothing here.
             Ok(_) => {}
-            Err(e) => eprintln!("emberpin: link: member {from} said of the list what is not understood: {e}"),
+            Err(e) => eprintln!(
+                "emberpin: link: member {from} said of the list what is not understood: {e}"
+            ),
         }
     }
 
     /// Feeds the core and carries out what it says.
     fn with(&self, feed: impl FnOnce(&mut Feed, Duration, &mut Vec<Action>)) {
         let mut actions = Vec::new();
-        feed(&mut self.core.borrow_mut(), self.began.elapsed(), &mut actions);
+        feed(
+            &mut self.core.borrow_mut(),
+            self.began.elapsed(),
+            &mut actions,
+        );
         self.changed.notify_one();
         for action in actions {
             match action {
                 Action::Say { to, said } => self.say(to, &said),
                 Action::Tell { to } => {
                     let Told { version, entries } = &*self.list.borrow();
-                    self.say(to, &Said::List { version: *version, entries: entries.clone() });
+                    self.say(
+                        to,
+                        &Said::List {
+                            version: *version,
+                            entries: entries.clone(),
+                        },
+                    );
                 }
-                Action::Judge { version, sure, entries } => self.offer(version, sure, &entries),
+                Action::Judge {
+                    version,
+                    sure,
+                    entries,
+                } => self.offer(version, sure, &entries),
             }
         }
     }
@@ -193,11 +241,19 @@
         match serde_json::from_slice::<Vec<Entry>>(entries) {
             Ok(targets) => {
                 let (place, teller) = (self.place.get(), Teller::Peer { word, sure });
-                let listing = Listing { rev, whole: true, targets, place, teller };
+                let listing = Listing {
+                    rev,
+                    whole: true,
+                    targets,
+                    place,
+                    teller,
+                };
                 // One that finds no room is asked for again.
                 _ = self.inputs.try_send(Input::Listing(listing));
             }
-            Err(e) => eprintln!("emberpin: link: a list of version {rev} cannot be read: {e}; not used"),
+            Err(e) => {
+                eprintln!("emberpin: link: a list of version {rev} cannot be read: {e}; not used")
+            }
         }
     }
 }
--- a/crates/emberpin-limiter/src/upstream/kept.rs
+++ b/crates/emberpin-limiter/src/upstream/kept.rs
@@ -32,15 +32,18 @@
     ///
     /// No thread can be had.
     pub fn start(config: &Config) -> Result<Option<Kept>, String> {
-        let (Some(start), Some(folder)) = (&config.start, &config.snapshot) else { return Ok(None) };
+        let (Some(start), Some(folder)) = (&config.start, &config.snapshot) else {
+            return Ok(None);
+        };
         let kept = Kept {
             folder: folder.clone(),
             owner: format!("{}/{}", start.site, config.name),
             next: Arc::default(),
         };
         let (folder, next) = (folder.clone(), kept.next.clone());
-        let thread =
-            std::thread::Builder::new().name("list".into()).spawn(move || write_for_ever(&folder, &next));
+        let thread = std::thread::Builder::new()
+            .name("list".into())
+            .spawn(move || write_for_ever(&folder, &next));
         thread.map_err(|e| format!("[start] snapshot: no thread: {e}"))?;
         Ok(Some(kept))
     }
@@ -52,7 +55,10 @@
         let (give, given) = oneshot::channel();
         // Its own thread: one that a stalled disk holds on to must not hold anything else.
         let reading = move || _ = give.send(read(&path));
-        if let Err(problem) = std::thread::Builder::new().name("list-read".into()).spawn(reading) {
+        if let Err(problem) = std::thread::Builder::new()
+            .name("list-read".into())
+            .spawn(reading)
+        {
             eprintln!("emberpin: {shown}: no thread: {problem}; starting without it");
             return None;
         }
@@ -74,9 +80,19 @@
         match decode(&bytes, &self.owner, now_ms(), most) {
             Ok((label, entries)) => match serde_json::from_slice::<Vec<Target>>(entries) {
                 Ok(targets) => {
-                    eprintln!("emberpin: {shown}: {} servers of version {}", targets.len(), label.rev);
+                    eprintln!(
+                        "emberpin: {shown}: {} servers of version {}",
+                        targets.len(),
+                        label.rev
+                    );
                     let targets = targets.into_iter().map(Entry::Target).collect();
-                    Some(Listing { rev: label.rev, whole: true, targets, place: 0, teller: Teller::Service })
+                    Some(Listing {
+                        rev: label.rev,
+                        whole: true,
+                        targets,
+                        place: 0,
+                        teller: Teller::Service,
+                    })
                 }
                 Err(problem) => {
                     eprintln!("emberpin: {shown}: {problem}; starting without it");
@@ -92,8 +108,14 @@
 
     /// Has this list written.
     pub fn keep(&self, rev: u64, targets: &[Target]) {
-        let Ok(entries) = serde_json::to_vec(targets) else { return };
-        let label = Label { owner: self.owner.clone(), written_ms: now_ms(), rev };
+        let Ok(entries) = serde_json::to_vec(targets) else {
+            return;
+        };
+        let label = Label {
+            owner: self.owner.clone(),
+            written_ms: now_ms(),
+            rev,
+        };
         let (next, wake) = &*self.next;
         *next.lock().unwrap_or_else(PoisonError::into_inner) = Some(encode(&label, &entries));
         wake.notify_one();
@@ -101,12 +123,16 @@
 }
 
 fn now_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |time| time.as_millis() as u64)
 }
 
 fn read(path: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    File::open(path)?.take(MAX_BYTES as u64).read_to_end(&mut bytes)?;
+    File::open(path)?
+        .take(MAX_BYTES as u64)
+        .read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
@@ -115,15 +141,20 @@
     loop {
         let bytes = {
             let waiting = next.0.lock().unwrap_or_else(PoisonError::into_inner);
-            let mut woken =
-                next.1.wait_while(waiting, |next| next.is_none()).unwrap_or_else(PoisonError::into_inner);
+            let mut woken = next
+                .1
+                .wait_while(waiting, |next| next.is_none())
+                .unwrap_or_else(PoisonError::into_inner);
             woken.take().unwrap_or_default()
         };
         match write(folder, &bytes) {
             Ok(()) => failing = false,
             Err(problem) if !failing => {
                 failing = true;
-                eprintln!("emberpin: cannot write {}: {problem}; the list is not kept", folder.display());
+                eprintln!(
+                    "emberpin: cannot write {}: {problem}; the list is not kept",
+                    folder.display()
+                );
             }
             Err(_) => {}
         }
--- a/crates/emberpin-limiter/src/upstream/listing.rs
+++ b/crates/emberpin-limiter/src/upstream/listing.rs
@@ -82,7 +82,9 @@
             zone: &self.zone,
             kind: self.model.as_deref(),
             cell: self.pod_group,
-            size: self.capacity_hint.filter(|size| size.is_finite() && *size > 0.0),
+            size: self
+                .capacity_hint
+                .filter(|size| size.is_finite() && *size > 0.0),
             started: Some(self.boot_ms).filter(|at| *at != 0.0),
             condition: match self.state {
                 State::Ready => Condition::InService,
--- a/crates/emberpin-limiter/src/upstream/roster.rs
+++ b/crates/emberpin-limiter/src/upstream/roster.rs
@@ -69,20 +69,32 @@
 
     /// The same, and every name that it ever named.
     pub fn all(&self) -> (Vec<Target>, Vec<String>) {
-        let names = self.order.iter().filter_map(|id| self.names.get(id).cloned());
+        let names = self
+            .order
+            .iter()
+            .filter_map(|id| self.names.get(id).cloned());
         (self.listed(), names.collect())
     }
 
     /// The server of this name, if one was ever listed.
     pub fn find(&self, name: &str) -> Option<ServerId> {
         let id = crate::upstream::listing::server_id(name);
-        self.names.get(&id).filter(|known| *known == name).map(|_| id)
+        self.names
+            .get(&id)
+            .filter(|known| *known == name)
+            .map(|_| id)
     }
 
     /// Where it is reached, if the list has it ready.
     pub fn place(&self, id: ServerId) -> Option<Place> {
-        let target = self.listed.get(&id).filter(|target| target.state == State::Ready)?;
-        Some(Place { address: target.endpoint?, boot_ms: target.boot_ms })
+        let target = self
+            .listed
+            .get(&id)
+            .filter(|target| target.state == State::Ready)?;
+        Some(Place {
+            address: target.endpoint?,
+            boot_ms: target.boot_ms,
+        })
     }
 }
 
@@ -93,7 +105,16 @@
     fn target(uid: &str, port: u16, state: State) -> Target {
         let endpoint = Some(SocketAddr::from(([127, 0, 0, 1], port)));
         let (zone, model, pod_group, capacity_hint) = ("a".into(), None, None, None);
-        Target { uid: uid.into(), endpoint, zone, model, pod_group, state, capacity_hint, boot_ms: 0.0 }
+        Target {
+            uid: uid.into(),
+            endpoint,
+            zone,
+            model,
+            pod_group,
+            state,
+            capacity_hint,
+            boot_ms: 0.0,
+        }
     }
 
     #[test]
--- a/crates/emberpin-limiter/src/upstream/servers.rs
+++ b/crates/emberpin-limiter/src/upstream/servers.rs
@@ -90,7 +90,12 @@
 
 impl Pool {
     /// No connection yet; requests and answers are worded as `wire` has it.
-    pub fn new(limits: PoolLimits, wire: Rc<dyn Wire>, figures: Arc<Figures>, room: Rc<Room>) -> Rc<Pool> {
+    pub fn new(
+        limits: PoolLimits,
+        wire: Rc<dyn Wire>,
+        figures: Arc<Figures>,
+        room: Rc<Room>,
+    ) -> Rc<Pool> {
         Rc::new(Pool {
             sockets: Arc::new(Semaphore::new(limits.sockets)),
             limits,
@@ -108,7 +113,10 @@
         let mut changes = self.room.changes();
         let mut held: Option<OwnedSemaphorePermit> = None;
         loop {
-            let wanted = self.room.servers_elsewhere().min(self.limits.sockets.saturating_sub(LEAST_SOCKETS));
+            let wanted = self
+                .room
+                .servers_elsewhere()
+                .min(self.limits.sockets.saturating_sub(LEAST_SOCKETS));
             let has = held.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
             if wanted < has {
                 // What is split off goes back.
@@ -127,7 +135,8 @@
                 }
             }
             let reserved = held.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
-            self.room.hold_servers(self.limits.sockets - reserved - self.sockets.available_permits());
+            self.room
+                .hold_servers(self.limits.sockets - reserved - self.sockets.available_permits());
             // While there is nobody to tell there is nothing to do.
             let paired = changes.borrow_and_update().is_some();
             let changed = async {
@@ -150,19 +159,27 @@
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            self.idle.borrow_mut().retain(|idle| self.is_fresh(idle) && idle.conn.is_quiet());
+            self.idle
+                .borrow_mut()
+                .retain(|idle| self.is_fresh(idle) && idle.conn.is_quiet());
         }
     }
 
     fn is_fresh(&self, idle: &Idle) -> bool {
         let (now, since) = (Instant::now(), idle.since.elapsed());
-        let stated = idle.conn.stated.map_or(self.limits.idle, |stated| stated.min(self.limits.idle));
+        let stated = idle
+            .conn
+            .stated
+            .map_or(self.limits.idle, |stated| stated.min(self.limits.idle));
         since < stated && self.lifetimes.borrow().lasts(now, since)
     }
 
     /// A request went out on a connection that had been idle for so long, and was lost with it or answered.
     fn learn(&self, idle: Duration, lost: bool) {
-        let closed = self.lifetimes.borrow_mut().learn(Instant::now(), idle, lost);
+        let closed = self
+            .lifetimes
+            .borrow_mut()
+            .learn(Instant::now(), idle, lost);
         if let Some((age, pause)) = closed {
             let (age, pause) = (age.as_millis(), pause.as_secs());
             eprintln!("connections to servers that were idle for {age} ms or longer are lost: not used for {pause} s");
@@ -177,13 +194,20 @@
             return None;
         }
         let idle = Some(idle.remove(at)).filter(|idle| self.is_fresh(idle))?;
-        Some(Conn { idle: idle.since.elapsed(), ..idle.conn })
+        Some(Conn {
+            idle: idle.since.elapsed(),
+            ..idle.conn
+        })
     }
 
     fn keep(&self, key: u64, conn: Conn) {
         let mut idle = self.idle.borrow_mut();
         if idle.iter().filter(|idle| idle.key == key).count() < self.limits.most_idle {
-            idle.push(Idle { key, conn, since: Instant::now() });
+            idle.push(Idle {
+                key,
+                conn,
+                since: Instant::now(),
+            });
         }
     }
 
@@ -236,9 +260,19 @@
     }
 
     /// The way to this life of a server.
-    pub fn of_instance(place: Place, instance: Option<HeaderValue>, pool: Rc<Pool>) -> Rc<Upstream> {
+    pub fn of_instance(
+        place: Place,
+        instance: Option<HeaderValue>,
+        pool: Rc<Pool>,
+    ) -> Rc<Upstream> {
         let key = pool.next.replace(pool.next.get() + 1);
-        Rc::new(Upstream { place, instance, pool, key, open: Cell::new(true) })
+        Rc::new(Upstream {
+            place,
+            instance,
+            pool,
+            key,
+            open: Cell::new(true),
+        })
     }
 
     /// Whether anything new may go there.
@@ -285,31 +319,70 @@
         let started = Instant::now();
         let mut request = Request::new(Upstreamed::Whole(Bytes::new()));
         *request.uri_mut() = Uri::from_static("/health/live");
-        request.headers_mut().insert(HOST, HeaderValue::from_static("service.internal"));
+        request
+            .headers_mut()
+            .insert(HOST, HeaderValue::from_static("service.internal"));
         let limit = self.pool.limits.connect;
-        self.describe(started, self.exchange(request, None, started, limit).await.0)
+        self.describe(
+            started,
+            self.exchange(request, None, started, limit).await.0,
+        )
     }
 
     /// What came of an exchange, in the terms of whoever asked for it.
     fn describe(&self, started: Instant, exchange: Exchange) -> Ended {
-        let Exchange { outcome, answer, unreachable, sent } = exchange;
-        let elapsed = Instant::now().saturating_duration_since(started).as_secs_f64() * 1000.0;
+        let Exchange {
+            outcome,
+            answer,
+            unreachable,
+            sent,
+        } = exchange;
+        let elapsed = Instant::now()
+            .saturating_duration_since(started)
+            .as_secs_f64()
+            * 1000.0;
         let (response, body) = match answer {
-            None => return Ended { outcome, elapsed, unreachable, sent, ..Ended::unsent() },
+            None => {
+                return Ended {
+                    outcome,
+                    elapsed,
+                    unreachable,
+                    sent,
+                    ..Ended::unsent()
+                }
+            }
             Some(Exchanged::Whole(response, bytes)) => (response, Ok(bytes)),
             Some(Exchanged::Passing(response, passing)) => (response, Err(passing)),
         };
-        let Described { head, report, metered, misdirected, stands } =
-            self.pool.wire.describe(outcome, response);
+        let Described {
+            head,
+            report,
+            metered,
+            misdirected,
+            stands,
+        } = self.pool.wire.describe(outcome, response);
         let reply = match body {
             Ok(body) => Reply::Answer(Answer::Served(Served { head, body })),
-            Err(passing) => Reply::Passing(Passing { head, pieces: Box::new(passing) }),
+            Err(passing) => Reply::Passing(Passing {
+                head,
+                pieces: Box::new(passing),
+            }),
         };
         let (served, told) = match outcome {
             Outcome::Ok => (Some(reply), None),
             _ => (None, Some(reply).filter(|_| stands)),
         };
-        Ended { outcome, elapsed, report, metered, served, told, misdirected, unreachable, sent }
+        Ended {
+            outcome,
+            elapsed,
+            report,
+            metered,
+            served,
+            told,
+            misdirected,
+            unreachable,
+            sent,
+        }
     }
 
     /// What decides between "never ran" and "may have run": an attempt never ran if no connection came up, or if it
@@ -325,14 +398,23 @@
     ) -> (Exchange, Duration) {
         let nothing = |outcome| (Exchange::of(outcome), Duration::ZERO);
         // A probe is no client's: it is not counted, and its answer is held.
-        let (counts, may_pass) = (outgoing.is_some(), outgoing.is_some_and(|outgoing| outgoing.may_pass));
+        let (counts, may_pass) = (
+            outgoing.is_some(),
+            outgoing.is_some_and(|outgoing| outgoing.may_pass),
+        );
         let freshness = outgoing.and_then(|outgoing| outgoing.freshness);
-        let connecting = timeout_at(started + timeout.min(self.pool.limits.connect), self.connect(freshness));
+        let connecting = timeout_at(
+            started + timeout.min(self.pool.limits.connect),
+            self.connect(freshness),
+        );
         let conn = match connecting.await {
             Ok(Ok(conn)) => conn,
             Ok(Err(Refused::NoSocket)) => return nothing(Outcome::Moot),
             Ok(Err(Refused::Failed)) | Err(_) => {
-                let failed = Exchange { unreachable: true, ..Exchange::of(Outcome::ConnectFailed) };
+                let failed = Exchange {
+                    unreachable: true,
+                    ..Exchange::of(Outcome::ConnectFailed)
+                };
                 return (failed, Duration::ZERO);
             }
         };
@@ -353,10 +435,18 @@
         let wire = self.pool.wire.clone();
         wire.address(request.headers_mut(), left, self.instance.as_ref());
         let mark = wire.mark(request.headers());
-        let spoken = Spoken { wire: &*wire, mark: mark.as_ref(), may_pass, hold: self.pool.limits.hold };
+        let spoken = Spoken {
+            wire: &*wire,
+            mark: mark.as_ref(),
+            may_pass,
+            hold: self.pool.limits.hold,
+        };
         let (progress, idle) = (conn.progress.clone(), conn.idle);
         let request = request.map(|body| Payload::new(body, progress.clone()));
-        progress.begin(counts.then(|| self.pool.figures.tries.clone()), request.body().is_end_stream());
+        progress.begin(
+            counts.then(|| self.pool.figures.tries.clone()),
+            request.body().is_end_stream(),
+        );
         // A body that is still coming: the time begins with its last byte.
         let over = async {
             match &coming {
@@ -380,7 +470,10 @@
             true => !progress.begun.get(),
             false => !progress.is_whole(),
         };
-        let (unreachable, sent) = (matches!(result, Some(Err(Broken::Silent))), progress.begun.get());
+        let (unreachable, sent) = (
+            matches!(result, Some(Err(Broken::Silent))),
+            progress.begun.get(),
+        );
         if unreachable {
             // The others to the same machine would be silent, too.
             self.close_idle();
@@ -410,7 +503,15 @@
             Some(Err(Broken::Lost | Broken::Silent)) => (Outcome::Reset, None),
             None => (Outcome::Timeout, None),
         };
-        (Exchange { outcome, answer, unreachable, sent }, late)
+        (
+            Exchange {
+                outcome,
+                answer,
+                unreachable,
+                sent,
+            },
+            late,
+        )
     }
 
     /// Whether it takes a connection now; the connection is kept for whoever needs one next.
@@ -435,20 +536,30 @@
             }
         }
         let socket = self.pool.socket().ok_or(Refused::NoSocket)?;
-        let stream = TcpStream::connect(self.place.address).await.map_err(|_| Refused::Failed)?;
+        let stream = TcpStream::connect(self.place.address)
+            .await
+            .map_err(|_| Refused::Failed)?;
         _ = stream.set_nodelay(true);
         if let Some(longest) = self.pool.limits.unacknowledged {
             // Guards against machines without power and behind cuts, which answer nothing, not even a close.
             let socket = SockRef::from(&stream);
             _ = socket.set_tcp_user_timeout(Some(longest));
-            let probes =
-                TcpKeepalive::new().with_time(PROBE_AFTER).with_interval(PROBE_AFTER).with_retries(2);
+            let probes = TcpKeepalive::new()
+                .with_time(PROBE_AFTER)
+                .with_interval(PROBE_AFTER)
+                .with_retries(2);
             _ = socket.set_tcp_keepalive(&probes);
         }
         let stream = Rc::new(RefCell::new(stream));
         let progress = Rc::new(Progress::default());
-        let io = TokioIo::new(Counted { stream: stream.clone(), progress: progress.clone() });
-        let handshake = http1::Builder::new().max_buf_size(MAX_HEAD).handshake(io).await;
+        let io = TokioIo::new(Counted {
+            stream: stream.clone(),
+            progress: progress.clone(),
+        });
+        let handshake = http1::Builder::new()
+            .max_buf_size(MAX_HEAD)
+            .handshake(io)
+            .await;
         let (sender, connection) = handshake.map_err(|_| Refused::Failed)?;
         Ok(Conn {
             sender,
@@ -490,7 +601,9 @@
 
 impl From<hyper::Error> for Broken {
     fn from(error: hyper::Error) -> Broken {
-        let io = error.source().and_then(|error| error.downcast_ref::<io::Error>());
+        let io = error
+            .source()
+            .and_then(|error| error.downcast_ref::<io::Error>());
         if error.is_parse() {
             Broken::Spoilt
         } else if io.is_some_and(|error| error.kind() == io::ErrorKind::TimedOut) {
@@ -562,7 +675,9 @@
                     }
                 }
                 Ok(Some(Err(error))) => {
-                    let io = error.source().and_then(|error| error.downcast_ref::<io::Error>());
+                    let io = error
+                        .source()
+                        .and_then(|error| error.downcast_ref::<io::Error>());
                     return Err(match io.map(io::Error::kind) {
                         Some(io::ErrorKind::TimedOut) => Broken::Silent,
                         None | Some(io::ErrorKind::InvalidInput) => Broken::Spoilt,
@@ -573,7 +688,10 @@
                     // One more turn, in which a connection that ends with this answer says so, or one with more on it.
                     self.drive(std::future::ready(())).await;
                     let reusable = !self.closed && !self.sender.is_closed();
-                    return Ok((head, Conversed::Whole(joined(held, size), reusable.then_some(self))));
+                    return Ok((
+                        head,
+                        Conversed::Whole(joined(held, size), reusable.then_some(self)),
+                    ));
                 }
                 Err(_) => break,
             }
@@ -581,7 +699,15 @@
         if !may_pass {
             return Err(Broken::Spoilt);
         }
-        Ok((head, Conversed::Begun(Box::new(Begun { conn: self, body, held, length }))))
+        Ok((
+            head,
+            Conversed::Begun(Box::new(Begun {
+                conn: self,
+                body,
+                held,
+                length,
+            })),
+        ))
     }
 }
 
@@ -611,7 +737,12 @@
 impl Exchange {
     /// One of which nothing went out.
     fn of(outcome: Outcome) -> Exchange {
-        Exchange { outcome, answer: None, unreachable: false, sent: false }
+        Exchange {
+            outcome,
+            answer: None,
+            unreachable: false,
+            sent: false,
+        }
     }
 }
 
@@ -641,7 +772,12 @@
     fn new(begun: Begun, upstream: Rc<Upstream>) -> Relayed {
         let left = begun.length;
         let stalled = Box::pin(sleep_until(Instant::now() + STALL));
-        Relayed { begun: Some(begun), upstream, left, stalled }
+        Relayed {
+            begun: Some(begun),
+            upstream,
+            left,
+            stalled,
+        }
     }
 }
 
@@ -651,7 +787,9 @@
     }
 
     fn poll_next(&mut self, context: &mut Context) -> Poll<Option<Result<Bytes, Cut>>> {
-        let Some(begun) = &mut self.begun else { return Poll::Ready(None) };
+        let Some(begun) = &mut self.begun else {
+            return Poll::Ready(None);
+        };
         let next = match begun.held.pop_front() {
             Some(piece) => Poll::Ready(Some(Ok(piece))),
             None => begun.poll(context),
@@ -665,14 +803,17 @@
                 return Poll::Ready(Some(Err(Cut)));
             }
             Poll::Ready(Some(Ok(piece))) => {
-                self.left = self.left.map(|left| left.saturating_sub(piece.len() as u64));
+                self.left = self
+                    .left
+                    .map(|left| left.saturating_sub(piece.len() as u64));
                 self.stalled.as_mut().reset(Instant::now() + STALL);
             }
             Poll::Ready(Some(Err(Cut))) => self.begun = None,
             Poll::Ready(None) => {
                 if let Some(Begun { mut conn, .. }) = self.begun.take() {
                     conn.turn(context);
-                    let reusable = !conn.closed && !conn.sender.is_closed() && conn.progress.is_whole();
+                    let reusable =
+                        !conn.closed && !conn.sender.is_closed() && conn.progress.is_whole();
                     if reusable && self.upstream.is_open() {
                         self.upstream.pool.keep(self.upstream.key, conn);
                     }
@@ -705,7 +846,10 @@
 /// says it will close (RFC 9112, 6.3). Guards against a cut answer that passes for whole, as one that says neither
 /// would, and against two framings of which the HTTP library follows one.
 fn is_framed(version: Version, headers: &HeaderMap) -> bool {
-    let mut framings = headers.get_all(CONTENT_LENGTH).iter().chain(headers.get_all(TRANSFER_ENCODING));
+    let mut framings = headers
+        .get_all(CONTENT_LENGTH)
+        .iter()
+        .chain(headers.get_all(TRANSFER_ENCODING));
     match (framings.next(), framings.next()) {
         (Some(framing), None) => {
             framing.as_bytes().iter().all(u8::is_ascii_digit)
@@ -767,10 +911,18 @@
 impl Payload {
     fn new(body: Upstreamed, progress: Rc<Progress>) -> Payload {
         match body {
-            Upstreamed::Whole(bytes) => Payload { held: Some(bytes), coming: None, progress },
+            Upstreamed::Whole(bytes) => Payload {
+                held: Some(bytes),
+                coming: None,
+                progress,
+            },
             Upstreamed::Coming(upload) => {
                 let (held, length) = (Some(upload.held.clone()), upload.length);
-                Payload { held, coming: Some((upload, length)), progress }
+                Payload {
+                    held,
+                    coming: Some((upload, length)),
+                    progress,
+                }
             }
         }
     }
@@ -833,13 +985,21 @@
 }
 
 impl AsyncRead for Counted {
-    fn poll_read(self: Pin<&mut Self>, context: &mut Context, into: &mut ReadBuf) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        context: &mut Context,
+        into: &mut ReadBuf,
+    ) -> Poll<io::Result<()>> {
         Pin::new(&mut *self.stream.borrow_mut()).poll_read(context, into)
     }
 }
 
 impl AsyncWrite for Counted {
-    fn poll_write(self: Pin<&mut Self>, context: &mut Context, from: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        context: &mut Context,
+        from: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.count(Pin::new(&mut *self.stream.borrow_mut()).poll_write(context, from))
     }
 
--- a/crates/emberpin-limiter/src/upstream/wire.rs
+++ b/crates/emberpin-limiter/src/upstream/wire.rs
@@ -67,10 +67,15 @@
     }
 
     fn judge(&self, _: Option<&HeaderValue>, response: &Response<()>) -> Outcome {
-        let declined = response.headers().get("srv-declined").is_some_and(|value| value == "1");
+        let declined = response
+            .headers()
+            .get("srv-declined")
+            .is_some_and(|value| value == "1");
         match response.status() {
             StatusCode::OK => Outcome::Ok,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Outcome::Full,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => {
+                Outcome::Full
+            }
             _ => Outcome::Error,
         }
     }
@@ -80,16 +85,24 @@
     }
 
     fn describe(&self, _: Outcome, response: Response<()>) -> Described {
-        let all =
-            |name: &str| response.headers().get_all(name).iter().filter_map(|value| value.to_str().ok());
+        let all = |name: &str| {
+            response
+                .headers()
+                .get_all(name)
+                .iter()
+                .filter_map(|value| value.to_str().ok())
+        };
         // What cannot be read is passed over.
         let used = all("x-ratelimit-used").find_map(number);
         let mut report = Report::default();
-        for (name, value) in
-            all("srv-load").flat_map(|text| text.split(',')).filter_map(|pair| pair.split_once('='))
+        for (name, value) in all("srv-load")
+            .flat_map(|text| text.split(','))
+            .filter_map(|pair| pair.split_once('='))
         {
             // Of two readable values the first counts.
-            if let Some(field) = report_field(&mut report, name.trim()).filter(|field| field.is_none()) {
+            if let Some(field) =
+                report_field(&mut report, name.trim()).filter(|field| field.is_none())
+            {
                 *field = number(value);
             }
         }
@@ -104,5 +117,8 @@
 }
 
 fn number(text: &str) -> Option<f64> {
-    text.trim().parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0)
+    text.trim()
+        .parse()
+        .ok()
+        .filter(|value: &f64| value.is_finite() && *value >= 0.0)
 }
--- a/crates/emberpin-membership/src/candidates.rs
+++ b/crates/emberpin-membership/src/candidates.rs
@@ -39,10 +39,20 @@
         if known.len() > 1 {
             last.map(|last| known.remove(&last));
         }
-        let fresh: Vec<Ipv4Addr> = known.iter().copied().filter(|ip| !self.left.contains_key(ip)).collect();
-        let there: Vec<Ipv4Addr> = fresh.iter().copied().filter(|ip| self.confirmed.contains(ip)).collect();
+        let fresh: Vec<Ipv4Addr> = known
+            .iter()
+            .copied()
+            .filter(|ip| !self.left.contains_key(ip))
+            .collect();
+        let there: Vec<Ipv4Addr> = fresh
+            .iter()
+            .copied()
+            .filter(|ip| self.confirmed.contains(ip))
+            .collect();
         let all = known.into_iter().collect();
-        let among = [there, fresh, all].into_iter().find(|some: &Vec<_>| !some.is_empty())?;
+        let among = [there, fresh, all]
+            .into_iter()
+            .find(|some: &Vec<_>| !some.is_empty())?;
         let at = usize::try_from(draw).unwrap_or(usize::MAX) % among.len().max(1);
         let chosen = among.get(at).copied()?;
         self.with.insert(session, chosen);
@@ -51,7 +61,9 @@
 
     /// A session is over; not `confirmed`: its registry was not reached, or left for want of a majority.
     pub fn ended(&mut self, now: u64, session: usize, confirmed: bool) {
-        let Some(registry) = self.with.remove(&session) else { return };
+        let Some(registry) = self.with.remove(&session) else {
+            return;
+        };
         if !confirmed && (self.left.len() < REMEMBERED || self.left.contains_key(&registry)) {
             self.left.insert(registry, now);
         }
--- a/crates/emberpin-membership/src/change_log.rs
+++ b/crates/emberpin-membership/src/change_log.rs
@@ -31,12 +31,20 @@
 impl ChangeLog {
     /// An empty one.
     pub fn new(incarnation: u64) -> ChangeLog {
-        ChangeLog { incarnation, number: 0, log: VecDeque::new(), fresh: BTreeSet::new() }
+        ChangeLog {
+            incarnation,
+            number: 0,
+            log: VecDeque::new(),
+            fresh: BTreeSet::new(),
+        }
     }
 
     /// Where it stands.
     pub fn at(&self) -> Revision {
-        Revision { incarnation: self.incarnation, number: self.number }
+        Revision {
+            incarnation: self.incarnation,
+            number: self.number,
+        }
     }
 
     /// Something has changed.
@@ -63,6 +71,7 @@
     pub fn since(&self, place: Revision) -> Option<BTreeSet<Change>> {
         let behind = self.number.checked_sub(place.number)?;
         let skip = self.log.len().checked_sub(usize::try_from(behind).ok()?)?;
-        (place.incarnation == self.incarnation).then(|| self.log.iter().skip(skip).cloned().collect())
+        (place.incarnation == self.incarnation)
+            .then(|| self.log.iter().skip(skip).cloned().collect())
     }
 }
--- a/crates/emberpin-membership/src/instances.rs
+++ b/crates/emberpin-membership/src/instances.rs
@@ -59,13 +59,24 @@
 
     /// The instance, for a limiter.
     pub fn instance(&self, now: u64) -> Instance {
-        Instance { status: self.status(), cold_ms: self.cold_ms(now), ..self.instance.clone() }
+        Instance {
+            status: self.status(),
+            cold_ms: self.cold_ms(now),
+            ..self.instance.clone()
+        }
     }
 
     /// For another registry.
     pub fn told(&self, now: u64) -> InstanceRecord {
-        let instance = Instance { cold_ms: self.cold_ms(now), ..self.instance.clone() };
-        InstanceRecord { instance, expired: self.expired, owner: self.owner }
+        let instance = Instance {
+            cold_ms: self.cold_ms(now),
+            ..self.instance.clone()
+        };
+        InstanceRecord {
+            instance,
+            expired: self.expired,
+            owner: self.owner,
+        }
     }
 
     fn cold_ms(&self, now: u64) -> u32 {
@@ -78,7 +89,11 @@
     }
 
     fn cool(&mut self, now: u64, until: u64) -> bool {
-        let until = if now < self.presumed_until { until.max(self.cold_until) } else { until };
+        let until = if now < self.presumed_until {
+            until.max(self.cold_until)
+        } else {
+            until
+        };
         let (until, known) = (until.max(now), self.cold_until.max(now));
         let differs = until > known + LATER_MS || known > until + EARLIER_MS;
         if differs {
@@ -129,13 +144,19 @@
 
     /// As it is told to limiters; one that is forgotten is gone.
     pub fn instance(&self, now: u64, id: &str) -> Instance {
-        self.rows.get(id).map_or_else(|| unknown(id), |row| row.instance(now))
+        self.rows
+            .get(id)
+            .map_or_else(|| unknown(id), |row| row.instance(now))
     }
 
     /// What a registry that comes (back) needs to know.
     pub fn table(&self, now: u64) -> Vec<InstanceRecord> {
         let recent = |row: &&Row| row.status() != Status::Gone || now - row.gone_at < LATE_MS;
-        self.rows.values().filter(recent).map(|row| row.told(now)).collect()
+        self.rows
+            .values()
+            .filter(recent)
+            .map(|row| row.told(now))
+            .collect()
     }
 
     /// Those that beat at this registry and are not gone.
@@ -146,7 +167,8 @@
 
     /// Of what an owner says about its own: the same in two tables if they agree on it.
     pub fn digest(&self, owner: Ipv4Addr) -> u64 {
-        let one = |(id, row): (&String, &Row)| choice::hash(&[id.as_bytes(), &[row.status() as u8]]);
+        let one =
+            |(id, row): (&String, &Row)| choice::hash(&[id.as_bytes(), &[row.status() as u8]]);
         self.owned(owner).map(one).fold(0, |all, one| all ^ one)
     }
 
@@ -163,7 +185,10 @@
                 presumed_until: 0,
                 kept: false,
                 gone_at: now,
-                instance: Instance { cold_ms: 0, ..told.instance },
+                instance: Instance {
+                    cold_ms: 0,
+                    ..told.instance
+                },
             };
             let (id, gone) = (row.instance.id.clone(), row.status() == Status::Gone);
             let ends = row.said() > Status::Up;
@@ -171,12 +196,20 @@
                 self.tombstones.push_back((now, id.clone()));
             }
             self.rows.insert(id, row);
-            return Effect { new: true, changed: true, moved: told.owner.is_some(), ends };
+            return Effect {
+                new: true,
+                changed: true,
+                moved: told.owner.is_some(),
+                ends,
+            };
         };
         let (seen, owner) = (row.seen(), row.owner);
         let mut changed = false;
-        let status =
-            if self.falls { told.instance.status } else { row.instance.status.max(told.instance.status) };
+        let status = if self.falls {
+            told.instance.status
+        } else {
+            row.instance.status.max(told.instance.status)
+        };
         let ends = status > row.instance.status;
         row.kept &= !ends;
         if told.instance.seq > row.instance.seq {
@@ -186,7 +219,10 @@
             changed |= row.cool(now, cold_until);
             // A word without the rest (a leave of an instance that nobody knew) takes nothing away.
             if !told.instance.service.is_empty() {
-                row.instance = Instance { cold_ms: 0, ..told.instance };
+                row.instance = Instance {
+                    cold_ms: 0,
+                    ..told.instance
+                };
             }
         } else {
             if told.instance.seq == row.instance.seq {
@@ -194,7 +230,11 @@
                 changed |= row.cool(now, cold_until.max(row.cold_until));
             }
             if row.instance.service.is_empty() {
-                row.instance = Instance { cold_ms: 0, seq: row.instance.seq, ..told.instance };
+                row.instance = Instance {
+                    cold_ms: 0,
+                    seq: row.instance.seq,
+                    ..told.instance
+                };
             }
         }
         row.instance.status = status;
@@ -203,25 +243,47 @@
             row.gone_at = now;
             self.tombstones.push_back((now, row.instance.id.clone()));
         }
-        Effect { new: false, changed, moved: row.owner != owner, ends }
+        Effect {
+            new: false,
+            changed,
+            moved: row.owner != owner,
+            ends,
+        }
     }
 
     /// A server has said that it ends; before `drain` or of an instance that nobody knows, too.
     pub fn leave(&mut self, now: u64, id: &str) -> Effect {
         let row = self.rows.get(id);
         let told = row.map_or_else(
-            || InstanceRecord { instance: unknown(id), expired: false, owner: None },
-            |row| InstanceRecord { expired: false, ..row.told(now) },
+            || InstanceRecord {
+                instance: unknown(id),
+                expired: false,
+                owner: None,
+            },
+            |row| InstanceRecord {
+                expired: false,
+                ..row.told(now)
+            },
         );
         self.merge(
             now,
-            InstanceRecord { instance: Instance { status: Status::Gone, ..told.instance }, ..told },
+            InstanceRecord {
+                instance: Instance {
+                    status: Status::Gone,
+                    ..told.instance
+                },
+                ..told
+            },
         )
     }
 
     /// A majority has what the server said, if it still says the same.
     pub fn keep(&mut self, id: &str, status: Status) {
-        if let Some(row) = self.rows.get_mut(id).filter(|row| row.instance.status == status) {
+        if let Some(row) = self
+            .rows
+            .get_mut(id)
+            .filter(|row| row.instance.status == status)
+        {
             row.kept = true;
         }
     }
@@ -235,7 +297,11 @@
 
     /// It was not heard for too long.
     pub fn expire(&mut self, now: u64, id: &str) {
-        if let Some(row) = self.rows.get_mut(id).filter(|row| row.status() != Status::Gone) {
+        if let Some(row) = self
+            .rows
+            .get_mut(id)
+            .filter(|row| row.status() != Status::Gone)
+        {
             (row.expired, row.gone_at) = (true, now);
             self.tombstones.push_back((now, id.to_string()));
         }
@@ -243,11 +309,18 @@
 
     /// A new instance has an address: others that had it are gone, even if they said nothing.
     pub fn displace(&mut self, now: u64, id: &str) -> Vec<String> {
-        let Some(address) = self.rows.get(id).map(|row| row.instance.address) else { return Vec::new() };
+        let Some(address) = self.rows.get(id).map(|row| row.instance.address) else {
+            return Vec::new();
+        };
         let there = |(other, row): &(&String, &Row)| {
             row.instance.address == address && *other != id && row.status() != Status::Gone
         };
-        let displaced: Vec<String> = self.rows.iter().filter(there).map(|(id, _)| id.clone()).collect();
+        let displaced: Vec<String> = self
+            .rows
+            .iter()
+            .filter(there)
+            .map(|(id, _)| id.clone())
+            .collect();
         for id in &displaced {
             self.expire(now, id);
         }
--- a/crates/emberpin-membership/src/lease.rs
+++ b/crates/emberpin-membership/src/lease.rs
@@ -35,7 +35,9 @@
 
     /// Takes the answer to a question; `age` is `None` where the partner can confirm nothing.
     pub fn answer(&mut self, question: u64, age: Option<u64>) {
-        let Some(at) = self.asked.iter().position(|(asked, _)| *asked == question) else { return };
+        let Some(at) = self.asked.iter().position(|(asked, _)| *asked == question) else {
+            return;
+        };
         let (_, asked) = self.asked[at];
         self.asked.drain(..=at);
         self.confirm(age.map(|age| signed(asked).saturating_sub(signed(age))));
@@ -53,12 +55,14 @@
 
     /// How old what was told may be; `None` before the first confirmation.
     pub fn age(&self, now: u64) -> Option<u64> {
-        self.confirmed_from.map(|from| u64::try_from(signed(now).saturating_sub(from)).unwrap_or(0))
+        self.confirmed_from
+            .map(|from| u64::try_from(signed(now).saturating_sub(from)).unwrap_or(0))
     }
 
     /// When it was confirmed last, or this process began.
     pub fn confirmed_from(&self) -> Option<u64> {
-        self.confirmed_from.map(|from| u64::try_from(from).unwrap_or(0))
+        self.confirmed_from
+            .map(|from| u64::try_from(from).unwrap_or(0))
     }
 
     /// Whether it is no older than this.
@@ -83,7 +87,10 @@
 impl SessionLease {
     /// A session that begins now.
     pub fn new(now: u64) -> SessionLease {
-        SessionLease { lease: Lease::default(), progress: now }
+        SessionLease {
+            lease: Lease::default(),
+            progress: now,
+        }
     }
 
     /// Begins a question, and gives its nonce.
--- a/crates/emberpin-membership/src/registry.rs
+++ b/crates/emberpin-membership/src/registry.rs
@@ -166,7 +166,10 @@
     /// For tests.
     #[doc(hidden)]
     pub fn with_guards(now: u64, limits: Limits, guards: Guards) -> Registry {
-        let mut registry = Registry { guards, ..Registry::new(now, limits) };
+        let mut registry = Registry {
+            guards,
+            ..Registry::new(now, limits)
+        };
         registry.instances.falls = !guards.rises;
         registry
     }
@@ -177,7 +180,9 @@
             let waited = self.last.saturating_sub(pending.since);
             pending.since + if waited < ALL_MS { ALL_MS } else { MAJORITY_MS }
         });
-        pending.chain(self.flush_at).fold(self.pulse_at.min(self.ask_store_at), u64::min)
+        pending
+            .chain(self.flush_at)
+            .fold(self.pulse_at.min(self.ask_store_at), u64::min)
     }
 
     /// Takes what has come.
@@ -192,7 +197,11 @@
             Event::Reached { peer, open } => self.reached(now, peer, open, actions),
             Event::Peer { peer, said } => self.peer(now, peer, said, actions),
             Event::Acked { peer, ack } => {
-                for pending in self.pending.iter_mut().filter(|pending| pending.ask == ack.ask) {
+                for pending in self
+                    .pending
+                    .iter_mut()
+                    .filter(|pending| pending.ask == ack.ask)
+                {
                     pending.waits_for.remove(&peer);
                     pending.taken.insert(peer);
                 }
@@ -216,7 +225,9 @@
     /// it.
     fn wake(&mut self, now: u64) {
         if now.saturating_sub(self.last) >= STILL_MS {
-            self.sessions.values_mut().for_each(|session| session.heard = now);
+            self.sessions
+                .values_mut()
+                .for_each(|session| session.heard = now);
             self.settled_since = None;
         }
         self.last = now;
@@ -229,7 +240,13 @@
     /// The machines whose registries count.
     fn registries(&self) -> BTreeSet<Ipv4Addr> {
         match self.voters.is_empty() {
-            true => self.limits.seeds.iter().copied().chain([self.limits.me]).collect(),
+            true => self
+                .limits
+                .seeds
+                .iter()
+                .copied()
+                .chain([self.limits.me])
+                .collect(),
             false => self.voters.iter().copied().collect(),
         }
     }
@@ -237,13 +254,17 @@
     /// Whether those of which this holds, this one among them, are a majority.
     fn majority(&self, has: impl Fn(&Ipv4Addr) -> bool) -> bool {
         let registries = self.registries();
-        let have = registries.iter().filter(|peer| **peer == self.limits.me || has(peer)).count();
+        let have = registries
+            .iter()
+            .filter(|peer| **peer == self.limits.me || has(peer))
+            .count();
         have > registries.len() / 2
     }
 
     /// A majority of the registries is heard.
     pub fn is_connected(&self, now: u64) -> bool {
-        self.contact_age(now).is_some_and(|age| age <= REGISTRY_LEASE)
+        self.contact_age(now)
+            .is_some_and(|age| age <= REGISTRY_LEASE)
     }
 
     /// So long ago a majority of the registries had told all that they had to tell.
@@ -262,7 +283,9 @@
     /// been told. `None`: it can confirm nothing, or nothing young enough.
     pub fn confirmed_age(&self, now: u64) -> Option<u64> {
         // Changes that wait to be told together were noted since then.
-        let untold = self.flush_at.map_or(0, |at| now.saturating_sub(at.saturating_sub(BATCH)));
+        let untold = self
+            .flush_at
+            .map_or(0, |at| now.saturating_sub(at.saturating_sub(BATCH)));
         let age = self.store.age(now)?.max(self.contact_age(now)?).max(untold);
         (age <= REGISTRY_LEASE).then_some(age)
     }
@@ -275,7 +298,10 @@
     /// It has been there and settled for long enough to have heard of every server.
     fn is_complete(&self, now: u64) -> bool {
         let long = 5 * self.limits.beat_ms / 2;
-        self.is_settled(now) && self.settled_since.is_some_and(|since| now.saturating_sub(since) >= long)
+        self.is_settled(now)
+            && self
+                .settled_since
+                .is_some_and(|since| now.saturating_sub(since) >= long)
     }
 
     /// Who is to take a call of the operator: one that this registry's store cannot confirm would be held up for
@@ -285,7 +311,10 @@
             return Taker::Here;
         }
         let registries = self.registries();
-        let settled = self.peers.iter().filter(|(ip, peer)| peer.settled && registries.contains(ip));
+        let settled = self
+            .peers
+            .iter()
+            .filter(|(ip, peer)| peer.settled && registries.contains(ip));
         let newest = settled.max_by_key(|(_, peer)| peer.lease.confirmed_from());
         newest.map_or(Taker::Nobody, |(ip, _)| Taker::Other(*ip))
     }
@@ -321,7 +350,11 @@
 
     /// The registries that are heard, this one among them.
     pub fn heard(&self, now: u64) -> Vec<Ipv4Addr> {
-        let peers = self.peers.iter().filter(|(_, peer)| peer.in_contact(now)).map(|(ip, _)| *ip);
+        let peers = self
+            .peers
+            .iter()
+            .filter(|(_, peer)| peer.in_contact(now))
+            .map(|(ip, _)| *ip);
         peers.chain([self.limits.me]).collect()
     }
 
@@ -330,7 +363,9 @@
         let now = self.change_log.at();
         self.sessions.values().map(move |session| Behind {
             limiter: session.limiter.clone(),
-            behind: now.number.saturating_sub(session.at.map_or(0, |at| at.number)),
+            behind: now
+                .number
+                .saturating_sub(session.at.map_or(0, |at| at.number)),
         })
     }
 }
