--- a/crates/emberpin-membership/src/registry/configuration.rs
+++ b/crates/emberpin-membership/src/registry/configuration.rs
@@ -13,7 +13,9 @@
         let first = self.items.is_empty();
         for item in items {
             match self.items.entry(item.key.clone()) {
-                Entry::Occupied(mut known) if known.get().ver < item.ver => _ = known.insert(item.clone()),
+                Entry::Occupied(mut known) if known.get().ver < item.ver => {
+                    _ = known.insert(item.clone())
+                }
                 Entry::Occupied(_) => continue,
                 Entry::Vacant(place) => _ = place.insert(item.clone()),
             }
@@ -33,15 +35,26 @@
     ///
     /// What the first items of this instance tell may be long over. Then the other registries know how cold their
     /// servers are; but what limiters tell where all registries have begun anew may be from before.
-    pub(super) fn taken_back(&mut self, now: u64, zone: &str, first: bool, actions: &mut Vec<Action>) {
+    pub(super) fn taken_back(
+        &mut self,
+        now: u64,
+        zone: &str,
+        first: bool,
+        actions: &mut Vec<Action>,
+    ) {
         if !self.guards.returned {
             return;
         }
         if first {
-            self.taken_back.insert(zone.to_string(), now + self.limits.beat_ms);
+            self.taken_back
+                .insert(zone.to_string(), now + self.limits.beat_ms);
         }
         let presumed = self.presume_cold(now, zone, |_, row| !first || row.owner.is_none());
-        let owned = |id: &String| self.instances.get(id).is_some_and(|row| row.owner == Some(self.limits.me));
+        let owned = |id: &String| {
+            self.instances
+                .get(id)
+                .is_some_and(|row| row.owner == Some(self.limits.me))
+        };
         let owned: Vec<String> = presumed.into_iter().filter(owned).collect();
         // To registries that have just started, which cannot know it from the items.
         self.say_changed(now, &owned, actions);
@@ -55,14 +68,21 @@
     ) -> Vec<String> {
         let warmups = &self.warmups;
         let warmup = |service: &str| warmups.get(service).copied().unwrap_or(WARMUP_MS);
-        let presumed = self.instances.presume_cold(now, zone, now + self.limits.beat_ms, which, warmup);
+        let presumed =
+            self.instances
+                .presume_cold(now, zone, now + self.limits.beat_ms, which, warmup);
         for id in &presumed {
             self.note(now, Change::Instance(id.clone()));
         }
         presumed
     }
 
-    pub(super) fn voters_told(&mut self, now: u64, voters: Vec<Ipv4Addr>, actions: &mut Vec<Action>) {
+    pub(super) fn voters_told(
+        &mut self,
+        now: u64,
+        voters: Vec<Ipv4Addr>,
+        actions: &mut Vec<Action>,
+    ) {
         if !voters.is_empty() && voters != self.voters {
             self.voters = voters;
             self.meet(now, actions);
@@ -75,7 +95,9 @@
     pub(super) fn ask_store(&mut self, now: u64, actions: &mut Vec<Action>) {
         if now >= self.ask_store_at {
             self.ask_store_at = now + STORE_QUESTION;
-            actions.push(Action::AskStore { question: self.store.ask(now) });
+            actions.push(Action::AskStore {
+                question: self.store.ask(now),
+            });
         }
     }
 
--- a/crates/emberpin-membership/src/registry/peers.rs
+++ b/crates/emberpin-membership/src/registry/peers.rs
@@ -12,7 +12,10 @@
         let registries = self.registries();
         for peer in registries.iter().filter(|peer| **peer != self.limits.me) {
             if let Entry::Vacant(place) = self.peers.entry(*peer) {
-                place.insert(Peer { since: now, ..Peer::default() });
+                place.insert(Peer {
+                    since: now,
+                    ..Peer::default()
+                });
                 actions.push(Action::Call { peer: *peer });
             }
         }
@@ -26,11 +29,21 @@
         });
     }
 
-    pub(super) fn reached(&mut self, now: u64, ip: Ipv4Addr, open: bool, actions: &mut Vec<Action>) {
-        let Some(peer) = self.peers.get_mut(&ip) else { return };
+    pub(super) fn reached(
+        &mut self,
+        now: u64,
+        ip: Ipv4Addr,
+        open: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(peer) = self.peers.get_mut(&ip) else {
+            return;
+        };
         peer.open = open;
         if !open {
-            self.pending.iter_mut().for_each(|pending| _ = pending.waits_for.remove(&ip));
+            self.pending
+                .iter_mut()
+                .for_each(|pending| _ = pending.waits_for.remove(&ip));
             return;
         }
         let hello = RegistryMessage::Hello {
@@ -39,11 +52,16 @@
             instances: self.instances.table(now),
             limiters: self.own_limiters(),
         };
-        actions.push(Action::Say { to: vec![ip], said: hello });
+        actions.push(Action::Say {
+            to: vec![ip],
+            said: hello,
+        });
         for pending in &mut self.pending {
             if let Some(row) = self.instances.get(&pending.id) {
-                let said =
-                    RegistryMessage::Changed { ask: Some(pending.ask), instances: vec![row.told(now)] };
+                let said = RegistryMessage::Changed {
+                    ask: Some(pending.ask),
+                    instances: vec![row.told(now)],
+                };
                 actions.push(Action::Say { to: vec![ip], said });
                 pending.waits_for.insert(ip);
             }
@@ -51,7 +69,13 @@
         self.pulse_to(now, ip, actions);
     }
 
-    pub(super) fn peer(&mut self, now: u64, ip: Ipv4Addr, said: RegistryMessage, actions: &mut Vec<Action>) {
+    pub(super) fn peer(
+        &mut self,
+        now: u64,
+        ip: Ipv4Addr,
+        said: RegistryMessage,
+        actions: &mut Vec<Action>,
+    ) {
         if ip == self.limits.me {
             return;
         }
@@ -59,12 +83,25 @@
             if self.peers.len() >= self.registries().len() + NEWCOMERS {
                 return;
             }
-            self.peers.insert(ip, Peer { since: now, ..Peer::default() });
+            self.peers.insert(
+                ip,
+                Peer {
+                    since: now,
+                    ..Peer::default()
+                },
+            );
             actions.push(Action::Call { peer: ip });
         }
-        let Some(peer) = self.peers.get_mut(&ip) else { return };
+        let Some(peer) = self.peers.get_mut(&ip) else {
+            return;
+        };
         match said {
-            RegistryMessage::Hello { zone, settled, instances, limiters } => {
+            RegistryMessage::Hello {
+                zone,
+                settled,
+                instances,
+                limiters,
+            } => {
                 (peer.zone, peer.settled, peer.limiters) = (zone, settled, limiters);
                 self.count_limiters(now);
                 self.merge(now, ip, instances, false, actions);
@@ -72,28 +109,53 @@
             RegistryMessage::Changed { ask, instances } => {
                 self.merge(now, ip, instances, true, actions);
                 if let Some(ask) = ask {
-                    actions.push(Action::Ack { to: ip, ack: Ack { ask } });
+                    actions.push(Action::Ack {
+                        to: ip,
+                        ack: Ack { ask },
+                    });
                 }
             }
             RegistryMessage::Alive { question } => match self.guards.lease {
                 true => peer.lease.answer(question, Some(0)),
                 false => peer.lease.answer_on_arrival(now, Some(0)),
             },
-            RegistryMessage::Pulse { settled, digest, question } => {
+            RegistryMessage::Pulse {
+                settled,
+                digest,
+                question,
+            } => {
                 peer.settled = settled;
-                actions.push(Action::Say { to: vec![ip], said: RegistryMessage::Alive { question } });
+                actions.push(Action::Say {
+                    to: vec![ip],
+                    said: RegistryMessage::Alive { question },
+                });
                 // Asked once in a while: what the sender says meanwhile is on its way.
-                if self.instances.digest(ip) != digest && now.saturating_sub(peer.wanted) >= PULSE_MS {
+                if self.instances.digest(ip) != digest
+                    && now.saturating_sub(peer.wanted) >= PULSE_MS
+                {
                     peer.wanted = now;
-                    actions.push(Action::Say { to: vec![ip], said: RegistryMessage::Want });
+                    actions.push(Action::Say {
+                        to: vec![ip],
+                        said: RegistryMessage::Want,
+                    });
                 }
             }
             RegistryMessage::Want => {
-                let instances = self.instances.owned(self.limits.me).map(|(_, row)| row.told(now)).collect();
-                actions.push(Action::Say { to: vec![ip], said: RegistryMessage::Owned { instances } });
+                let instances = self
+                    .instances
+                    .owned(self.limits.me)
+                    .map(|(_, row)| row.told(now))
+                    .collect();
+                actions.push(Action::Say {
+                    to: vec![ip],
+                    said: RegistryMessage::Owned { instances },
+                });
             }
             RegistryMessage::Owned { instances } => {
-                let named: BTreeSet<&str> = instances.iter().map(|told| told.instance.id.as_str()).collect();
+                let named: BTreeSet<&str> = instances
+                    .iter()
+                    .map(|told| told.instance.id.as_str())
+                    .collect();
                 let owned = self.instances.owned(ip).map(|(id, _)| id.clone());
                 let others: Vec<String> = owned.filter(|id| !named.contains(id.as_str())).collect();
                 for id in others {
@@ -122,9 +184,17 @@
             let id = told.instance.id.clone();
             // Whoever does not hear an instance's owner has not heard the instance; it is the owner's word that counts
             // here.
-            let owner = self.instances.get(&id).and_then(|row| row.owner).filter(|owner| *owner != from);
+            let owner = self
+                .instances
+                .get(&id)
+                .and_then(|row| row.owner)
+                .filter(|owner| *owner != from);
             let hears = |owner| {
-                owner == self.limits.me || self.peers.get(&owner).is_some_and(|peer| peer.in_contact(now))
+                owner == self.limits.me
+                    || self
+                        .peers
+                        .get(&owner)
+                        .is_some_and(|peer| peer.in_contact(now))
             };
             told.expired &= !owner.is_some_and(hears);
             let effect = self.instances.merge(now, told);
@@ -148,10 +218,14 @@
         self.instances.forget(now);
         let to = self.open();
         if !to.is_empty() {
-            to.iter().for_each(|peer| self.pulse_to(now, *peer, actions));
+            to.iter()
+                .for_each(|peer| self.pulse_to(now, *peer, actions));
             if std::mem::take(&mut self.sessions_changed) {
                 let limiters = self.own_limiters();
-                actions.push(Action::Say { to, said: RegistryMessage::Sessions { limiters } });
+                actions.push(Action::Say {
+                    to,
+                    said: RegistryMessage::Sessions { limiters },
+                });
             }
         }
         let silent: Vec<u64> = self
@@ -170,9 +244,15 @@
     /// Says that this registry is there, and asks whether another one is.
     pub(super) fn pulse_to(&mut self, now: u64, ip: Ipv4Addr, actions: &mut Vec<Action>) {
         let (settled, digest) = (self.is_settled(now), self.instances.digest(self.limits.me));
-        let Some(peer) = self.peers.get_mut(&ip) else { return };
+        let Some(peer) = self.peers.get_mut(&ip) else {
+            return;
+        };
         let question = peer.lease.ask(now);
-        let said = RegistryMessage::Pulse { settled, digest, question };
+        let said = RegistryMessage::Pulse {
+            settled,
+            digest,
+            question,
+        };
         actions.push(Action::Say { to: vec![ip], said });
     }
 }
--- a/crates/emberpin-membership/src/registry/servers.rs
+++ b/crates/emberpin-membership/src/registry/servers.rs
@@ -11,24 +11,48 @@
 
 impl Registry {
     pub(super) fn beat_at(&self, now: u64, id: &str, zone: &str) -> Ipv4Addr {
-        let me = (self.limits.me, self.limits.zone.as_str(), self.is_settled(now));
-        let peers = self.peers.iter().filter(|(_, peer)| peer.open && peer.in_contact(now));
+        let me = (
+            self.limits.me,
+            self.limits.zone.as_str(),
+            self.is_settled(now),
+        );
+        let peers = self
+            .peers
+            .iter()
+            .filter(|(_, peer)| peer.open && peer.in_contact(now));
         let peers = peers.map(|(ip, peer)| (*ip, peer.zone.as_str(), peer.settled));
-        let settled: Vec<(Ipv4Addr, &str)> =
-            peers.chain([me]).filter(|(_, _, settled)| *settled).map(|(ip, zone, _)| (ip, zone)).collect();
-        let near = settled.iter().filter(|(_, its)| *its == zone).map(|(ip, _)| *ip);
+        let settled: Vec<(Ipv4Addr, &str)> = peers
+            .chain([me])
+            .filter(|(_, _, settled)| *settled)
+            .map(|(ip, zone, _)| (ip, zone))
+            .collect();
+        let near = settled
+            .iter()
+            .filter(|(_, its)| *its == zone)
+            .map(|(ip, _)| *ip);
         choice::rendezvous(id, near)
             .or_else(|| choice::rendezvous(id, settled.iter().map(|(ip, _)| *ip)))
             .unwrap_or(self.limits.me)
     }
 
-    pub(super) fn heartbeat(&mut self, now: u64, call: u64, instance: Instance, actions: &mut Vec<Action>) {
+    pub(super) fn heartbeat(
+        &mut self,
+        now: u64,
+        call: u64,
+        instance: Instance,
+        actions: &mut Vec<Action>,
+    ) {
         let (id, zone, said) = (instance.id.clone(), instance.zone.clone(), instance.status);
-        let told = InstanceRecord { instance, expired: false, owner: Some(self.limits.me) };
+        let told = InstanceRecord {
+            instance,
+            expired: false,
+            owner: Some(self.limits.me),
+        };
         let effect = self.instances.merge(now, told);
         let mut changed = self.take(now, &id, effect, true);
         let row = self.instances.get(&id);
-        let kept = said == Status::Up || row.is_some_and(|row| row.kept || row.said() == Status::Gone);
+        let kept =
+            said == Status::Up || row.is_some_and(|row| row.kept || row.said() == Status::Gone);
         if kept && (effect.changed || effect.moved) {
             changed.push(id.clone());
         }
@@ -42,7 +66,9 @@
         let young = now.saturating_sub(self.started) < self.expiry_ms();
         let answer = match said == Status::Up && !young && !self.is_connected(now) {
             true => Answer::Elsewhere,
-            false => Answer::Taken { beat_at: self.beat_at(now, &id, &zone) },
+            false => Answer::Taken {
+                beat_at: self.beat_at(now, &id, &zone),
+            },
         };
         actions.push(Action::Answer { call, answer });
     }
@@ -53,7 +79,10 @@
         match self.instances.get(&id).is_some_and(|row| row.kept) {
             true => {
                 let beat_at = self.limits.me;
-                actions.push(Action::Answer { call, answer: Answer::Taken { beat_at } });
+                actions.push(Action::Answer {
+                    call,
+                    answer: Answer::Taken { beat_at },
+                });
             }
             false => self.ask(now, call, id, Status::Gone, actions),
         }
@@ -61,11 +90,20 @@
 
     /// Tells the limiters what a merge has changed, and finds out who had the address of a new instance before;
     /// those are given back.
-    pub(super) fn take(&mut self, now: u64, id: &str, effect: Effect, displaces: bool) -> Vec<String> {
+    pub(super) fn take(
+        &mut self,
+        now: u64,
+        id: &str,
+        effect: Effect,
+        displaces: bool,
+    ) -> Vec<String> {
         if effect.changed {
             self.note(now, Change::Instance(id.to_string()));
         }
-        let up = self.instances.get(id).is_some_and(|row| row.status() == Status::Up);
+        let up = self
+            .instances
+            .get(id)
+            .is_some_and(|row| row.status() == Status::Up);
         if !(effect.new && displaces && up && self.guards.displace) {
             return Vec::new();
         }
@@ -88,28 +126,64 @@
         actions: &mut Vec<Action>,
     ) {
         if !ids.is_empty() && !to.is_empty() {
-            let instances =
-                ids.iter().filter_map(|id| self.instances.get(id)).map(|row| row.told(now)).collect();
-            actions.push(Action::Say { to, said: RegistryMessage::Changed { ask: None, instances } });
+            let instances = ids
+                .iter()
+                .filter_map(|id| self.instances.get(id))
+                .map(|row| row.told(now))
+                .collect();
+            actions.push(Action::Say {
+                to,
+                said: RegistryMessage::Changed {
+                    ask: None,
+                    instances,
+                },
+            });
         }
     }
 
     pub(super) fn open(&self) -> Vec<Ipv4Addr> {
-        self.peers.iter().filter(|(_, peer)| peer.open).map(|(ip, _)| *ip).collect()
+        self.peers
+            .iter()
+            .filter(|(_, peer)| peer.open)
+            .map(|(ip, _)| *ip)
+            .collect()
     }
 
     /// What a server says of its end is acknowledged once a majority has it: whoever dies then, it is known.
-    pub(super) fn ask(&mut self, now: u64, call: u64, id: String, status: Status, actions: &mut Vec<Action>) {
-        let Some(row) = self.instances.get(&id) else { return };
+    pub(super) fn ask(
+        &mut self,
+        now: u64,
+        call: u64,
+        id: String,
+        status: Status,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(row) = self.instances.get(&id) else {
+            return;
+        };
         self.asks += 1;
         let (ask, to) = (self.asks, self.open());
         let instances = vec![row.told(now)];
         let waits_for = to.iter().copied().collect();
         if !to.is_empty() {
-            actions.push(Action::Say { to, said: RegistryMessage::Changed { ask: Some(ask), instances } });
+            actions.push(Action::Say {
+                to,
+                said: RegistryMessage::Changed {
+                    ask: Some(ask),
+                    instances,
+                },
+            });
         }
         let taken = BTreeSet::new();
-        self.pending.push(Pending { call, id, status, ask, since: now, waits_for, taken });
+        self.pending.push(Pending {
+            call,
+            id,
+            status,
+            ask,
+            since: now,
+            waits_for,
+            taken,
+        });
     }
 
     pub(super) fn settle_pending(&mut self, now: u64, actions: &mut Vec<Action>) {
@@ -117,13 +191,20 @@
             let waited = now.saturating_sub(pending.since);
             let enough = self.majority(|peer| pending.taken.contains(peer));
             let enough = enough || !self.guards.majority;
-            if enough && (pending.waits_for.is_empty() || waited >= ALL_MS || !self.guards.majority) {
+            if enough && (pending.waits_for.is_empty() || waited >= ALL_MS || !self.guards.majority)
+            {
                 self.instances.keep(&pending.id, pending.status);
                 let zone = self.instances.instance(now, &pending.id).zone;
                 let beat_at = self.beat_at(now, &pending.id, &zone);
-                actions.push(Action::Answer { call: pending.call, answer: Answer::Taken { beat_at } });
+                actions.push(Action::Answer {
+                    call: pending.call,
+                    answer: Answer::Taken { beat_at },
+                });
             } else if waited >= MAJORITY_MS {
-                actions.push(Action::Answer { call: pending.call, answer: Answer::Elsewhere });
+                actions.push(Action::Answer {
+                    call: pending.call,
+                    answer: Answer::Elsewhere,
+                });
             } else {
                 self.pending.push(pending);
             }
@@ -133,7 +214,9 @@
     /// Finds instances that were not heard for too long; only while what is heard can be trusted to be all.
     pub(super) fn expire(&mut self, now: u64, actions: &mut Vec<Action>) {
         let expiry = self.expiry_ms();
-        let trusted = self.settled_since.is_some_and(|since| now.saturating_sub(since) >= expiry);
+        let trusted = self
+            .settled_since
+            .is_some_and(|since| now.saturating_sub(since) >= expiry);
         if !trusted && self.guards.silence {
             return;
         }
--- a/crates/emberpin-membership/src/registry/sessions.rs
+++ b/crates/emberpin-membership/src/registry/sessions.rs
@@ -12,13 +12,18 @@
 
 impl Registry {
     pub(super) fn own_limiters(&self) -> Vec<Limiter> {
-        self.sessions.values().map(|session| session.limiter.clone()).collect()
+        self.sessions
+            .values()
+            .map(|session| session.limiter.clone())
+            .collect()
     }
 
     /// Too many do no harm; with too few, what is shared among all would be spent twice.
     pub(super) fn count_limiters(&mut self, now: u64) {
         let peers = self.peers.values().filter(|peer| peer.in_contact(now));
-        let theirs = peers.flat_map(|peer| &peer.limiters).map(|limiter| &limiter.name);
+        let theirs = peers
+            .flat_map(|peer| &peer.limiters)
+            .map(|limiter| &limiter.name);
         let own = self.sessions.values().map(|session| &session.limiter.name);
         for name in theirs.chain(own) {
             match self.limiters.get_mut(name) {
@@ -26,26 +31,57 @@
                 None => _ = self.limiters.insert(name.clone(), now),
             }
         }
-        self.limiters.retain(|_, at| now.saturating_sub(*at) < COUNTED_MS);
+        self.limiters
+            .retain(|_, at| now.saturating_sub(*at) < COUNTED_MS);
     }
 
-    pub(super) fn limiter(&mut self, now: u64, session: u64, said: FromLimiter, actions: &mut Vec<Action>) {
+    pub(super) fn limiter(
+        &mut self,
+        now: u64,
+        session: u64,
+        said: FromLimiter,
+        actions: &mut Vec<Action>,
+    ) {
         match said {
-            FromLimiter::Hello { incarnation, name, zone, from, instances } => {
-                let instances = if self.guards.repair { instances } else { Vec::new() };
+            FromLimiter::Hello {
+                incarnation,
+                name,
+                zone,
+                from,
+                instances,
+            } => {
+                let instances = if self.guards.repair {
+                    instances
+                } else {
+                    Vec::new()
+                };
                 let corrects = self.repair(now, instances, actions);
                 self.say_at_place(now, session, from, corrects, actions);
                 let at = None;
                 self.limiters.insert(name.clone(), now);
-                let limiter = Limiter { incarnation, name, zone };
-                self.sessions.insert(session, Session { limiter, at, heard: now });
+                let limiter = Limiter {
+                    incarnation,
+                    name,
+                    zone,
+                };
+                self.sessions.insert(
+                    session,
+                    Session {
+                        limiter,
+                        at,
+                        heard: now,
+                    },
+                );
                 self.sessions_changed = true;
             }
             FromLimiter::Pulse { at, question } => match self.sessions.get_mut(&session) {
                 Some(known) => {
                     (known.heard, known.at) = (now, at);
                     let told = self.confirmation(now, question);
-                    actions.push(Action::Tell { to: vec![session], told });
+                    actions.push(Action::Tell {
+                        to: vec![session],
+                        told,
+                    });
                 }
                 None => actions.push(Action::Close { session }),
             },
@@ -57,10 +93,21 @@
     fn confirmation(&self, now: u64, question: u64) -> ToLimiter {
         let age = self.confirmed_age(now);
         // Whoever can confirm nothing names all that it ever knew: the limiter may know nobody else.
-        let named = |(ip, peer): (&Ipv4Addr, &Peer)| (age.is_none() || peer.in_contact(now)).then_some(*ip);
+        let named =
+            |(ip, peer): (&Ipv4Addr, &Peer)| (age.is_none() || peer.in_contact(now)).then_some(*ip);
         let limiters = u32::try_from(self.limiters.len()).unwrap_or(u32::MAX);
-        let registries = self.peers.iter().filter_map(named).chain([self.limits.me]).collect();
-        ToLimiter::Pulse { question, age, limiters, registries }
+        let registries = self
+            .peers
+            .iter()
+            .filter_map(named)
+            .chain([self.limits.me])
+            .collect();
+        ToLimiter::Pulse {
+            question,
+            age,
+            limiters,
+            registries,
+        }
     }
 
     /// A limiter keeps what it was told when registries lose it. What it has wrong is given back.
@@ -79,7 +126,14 @@
                     let expired = instance.status == Status::Gone;
                     let status = if expired { Status::Up } else { instance.status };
                     let instance = Instance { status, ..instance };
-                    let effect = self.instances.merge(now, InstanceRecord { instance, expired, owner: None });
+                    let effect = self.instances.merge(
+                        now,
+                        InstanceRecord {
+                            instance,
+                            expired,
+                            owner: None,
+                        },
+                    );
                     self.take(now, &id, effect, false);
                     learned.push(id);
                 }
@@ -125,7 +179,11 @@
                 self.changes(now, changes)
             }
             None => {
-                let Part { items, mut instances, rest } = self.part(now, None);
+                let Part {
+                    items,
+                    mut instances,
+                    rest,
+                } = self.part(now, None);
                 // Those that are gone are named to whoever believes otherwise.
                 let gone = corrects.filter_map(|change| match change {
                     Change::Instance(id) => Some(self.instances.instance(now, &id)),
@@ -141,7 +199,10 @@
                 }
             }
         };
-        actions.push(Action::Tell { to: vec![session], told });
+        actions.push(Action::Tell {
+            to: vec![session],
+            told,
+        });
     }
 
     pub(super) fn changes(&self, now: u64, changes: BTreeSet<Change>) -> ToLimiter {
@@ -152,7 +213,11 @@
                 Change::Instance(id) => instances.push(self.instances.instance(now, &id)),
             }
         }
-        ToLimiter::Changes { at: self.change_log.at(), items, instances }
+        ToLimiter::Changes {
+            at: self.change_log.at(),
+            items,
+            instances,
+        }
     }
 
     pub(super) fn ended(&mut self, session: u64) {
@@ -172,7 +237,10 @@
         let fresh = self.change_log.take();
         if !self.sessions.is_empty() {
             let told = self.changes(now, fresh);
-            actions.push(Action::Tell { to: self.sessions.keys().copied().collect(), told });
+            actions.push(Action::Tell {
+                to: self.sessions.keys().copied().collect(),
+                told,
+            });
         }
     }
 }
--- a/crates/emberpin-membership/src/registry/snapshot.rs
+++ b/crates/emberpin-membership/src/registry/snapshot.rs
@@ -34,7 +34,10 @@
             Some(SnapshotCursor::Item(key)) => Some(Bound::Excluded(key)),
             Some(SnapshotCursor::Instance(_)) => None,
         };
-        for (key, item) in items.into_iter().flat_map(|from| self.items.range((from, Bound::Unbounded))) {
+        for (key, item) in items
+            .into_iter()
+            .flat_map(|from| self.items.range((from, Bound::Unbounded)))
+        {
             bytes += OVERHEAD + key.name.len() + item.body.as_ref().map_or(0, String::len);
             part.items.push(item.clone());
             if bytes >= self.limits.part_bytes {
@@ -46,7 +49,11 @@
             Some(SnapshotCursor::Instance(id)) => Bound::Excluded(id.as_str()),
             _ => Bound::Unbounded,
         };
-        for (id, row) in self.instances.after(from).filter(|(_, row)| row.status() != Status::Gone) {
+        for (id, row) in self
+            .instances
+            .after(from)
+            .filter(|(_, row)| row.status() != Status::Gone)
+        {
             let instance = row.instance(now);
             bytes += OVERHEAD + id.len() + instance.service.len() + instance.zone.len();
             part.instances.push(instance);
@@ -59,13 +66,30 @@
     }
 
     /// A limiter asks for the next part.
-    pub(super) fn more(&mut self, now: u64, session: u64, after: &SnapshotCursor, actions: &mut Vec<Action>) {
+    pub(super) fn more(
+        &mut self,
+        now: u64,
+        session: u64,
+        after: &SnapshotCursor,
+        actions: &mut Vec<Action>,
+    ) {
         match self.sessions.get_mut(&session) {
             Some(known) => {
                 known.heard = now;
-                let Part { items, instances, rest } = self.part(now, Some(after));
-                let told = ToLimiter::SnapshotPart { items, instances, rest };
-                actions.push(Action::Tell { to: vec![session], told });
+                let Part {
+                    items,
+                    instances,
+                    rest,
+                } = self.part(now, Some(after));
+                let told = ToLimiter::SnapshotPart {
+                    items,
+                    instances,
+                    rest,
+                };
+                actions.push(Action::Tell {
+                    to: vec![session],
+                    told,
+                });
             }
             None => actions.push(Action::Close { session }),
         }
--- a/crates/emberpin-membership/src/session.rs
+++ b/crates/emberpin-membership/src/session.rs
@@ -51,11 +51,19 @@
     pub fn advance(known: &mut Option<Followed>, told: &ToLimiter) {
         match (told, known) {
             (ToLimiter::Snapshot { at, rest, .. }, known) => {
-                *known = Some(Followed { place: *at, rest: rest.clone() });
+                *known = Some(Followed {
+                    place: *at,
+                    rest: rest.clone(),
+                });
             }
             (ToLimiter::SnapshotPart { rest, .. }, Some(known)) => known.rest.clone_from(rest),
             (ToLimiter::Changes { at, .. }, Some(known)) => known.place = *at,
-            (ToLimiter::Changes { at, .. }, known) => *known = Some(Followed { place: *at, rest: None }),
+            (ToLimiter::Changes { at, .. }, known) => {
+                *known = Some(Followed {
+                    place: *at,
+                    rest: None,
+                })
+            }
             (ToLimiter::SnapshotPart { .. } | ToLimiter::Pulse { .. }, _) => {}
         }
     }
--- a/crates/emberpin-peering/src/frame.rs
+++ b/crates/emberpin-peering/src/frame.rs
@@ -21,7 +21,11 @@
 impl Frames {
     /// Frames of at most `longest` bytes.
     pub fn new(longest: usize) -> Frames {
-        Frames { longest, buffer: Vec::new(), used: 0 }
+        Frames {
+            longest,
+            buffer: Vec::new(),
+            used: 0,
+        }
     }
 
     /// Takes the stream's next bytes.
@@ -38,13 +42,17 @@
     /// It is too long; nothing after it can be read.
     pub fn next_frame(&mut self) -> Result<Option<Vec<u8>>, TooLong> {
         let unread = self.buffer.get(self.used..).unwrap_or_default();
-        let Some(head) = unread.first_chunk::<LENGTH>() else { return Ok(None) };
+        let Some(head) = unread.first_chunk::<LENGTH>() else {
+            return Ok(None);
+        };
         let bytes = u32::from_be_bytes(*head);
         if bytes as usize > self.longest {
             return Err(TooLong { bytes });
         }
         let end = LENGTH + bytes as usize;
-        let Some(frame) = unread.get(LENGTH..end) else { return Ok(None) };
+        let Some(frame) = unread.get(LENGTH..end) else {
+            return Ok(None);
+        };
         let frame = frame.to_vec();
         self.used += end;
         Ok(Some(frame))
--- a/crates/emberpin-peering/src/link.rs
+++ b/crates/emberpin-peering/src/link.rs
@@ -287,9 +287,17 @@
     /// This instance opened it.
     Opened { to: String },
     /// Somebody opened it, and has not said who.
-    Stranger { until: Millis, certified: Option<Vec<String>> },
+    Stranger {
+        until: Millis,
+        certified: Option<Vec<String>>,
+    },
     /// A member opened it.
-    Taken { from: String, life: Life, seen: u64, heard: Millis },
+    Taken {
+        from: String,
+        life: Life,
+        seen: u64,
+        heard: Millis,
+    },
 }
 
 #[derive(Clone, Debug)]
@@ -312,8 +320,19 @@
 impl Link {
     /// The link of an instance that starts now.
     pub fn new(settings: Settings, now: Millis) -> Link {
-        let peers = settings.members.iter().map(|name| (name.clone(), Peer::new(now))).collect();
-        Link { settings, now, peers, connections: BTreeMap::new(), next_beat: now, superseded: false }
+        let peers = settings
+            .members
+            .iter()
+            .map(|name| (name.clone(), Peer::new(now)))
+            .collect();
+        Link {
+            settings,
+            now,
+            peers,
+            connections: BTreeMap::new(),
+            next_beat: now,
+            superseded: false,
+        }
     }
 
     /// This instance's life, as members know it.
@@ -328,7 +347,13 @@
 
     /// What is believed of each member.
     pub fn view(&self) -> Vec<Member> {
-        self.peers.iter().map(|(name, peer)| Member { name: name.clone(), belief: peer.belief }).collect()
+        self.peers
+            .iter()
+            .map(|(name, peer)| Member {
+                name: name.clone(),
+                belief: peer.belief,
+            })
+            .collect()
     }
 
     /// Takes an event, and appends what is to be done about it.
@@ -343,7 +368,10 @@
                     }
                 }
             }
-            Event::Accepted { connection, certified } => self.accepted(connection, certified, actions),
+            Event::Accepted {
+                connection,
+                certified,
+            } => self.accepted(connection, certified, actions),
             Event::Bytes { connection, bytes } => self.bytes(connection, &bytes, actions),
             Event::Closed { connection } => {
                 self.note_end(connection);
@@ -356,12 +384,20 @@
     }
 
     fn dialed(&mut self, connection: ConnectionId, to: String, actions: &mut Vec<Action>) {
-        let wanted = self.peers.get_mut(&to).filter(|peer| matches!(peer.outgoing, Outgoing::Dialing));
+        let wanted = self
+            .peers
+            .get_mut(&to)
+            .filter(|peer| matches!(peer.outgoing, Outgoing::Dialing));
         let Some(peer) = wanted else {
-            actions.push(Action::Close { connection, why: Closing::NoMember });
+            actions.push(Action::Close {
+                connection,
+                why: Closing::NoMember,
+            });
             return;
         };
-        peer.outgoing = Outgoing::Greeting { until: self.now + self.settings.hello_within };
+        peer.outgoing = Outgoing::Greeting {
+            until: self.now + self.settings.hello_within,
+        };
         let hello = Message::Hello {
             versions: VERSIONS,
             cluster: self.settings.cluster.clone(),
@@ -371,7 +407,13 @@
             epoch: self.settings.epoch,
         };
         let frames = Frames::new(self.settings.longest);
-        self.connections.insert(connection, Connection { frames, role: Role::Opened { to } });
+        self.connections.insert(
+            connection,
+            Connection {
+                frames,
+                role: Role::Opened { to },
+            },
+        );
         write(connection, &hello, actions);
     }
 
@@ -381,26 +423,45 @@
         certified: Option<Vec<String>>,
         actions: &mut Vec<Action>,
     ) {
-        let strangers = self.connections.values().filter(|c| matches!(c.role, Role::Stranger { .. })).count();
+        let strangers = self
+            .connections
+            .values()
+            .filter(|c| matches!(c.role, Role::Stranger { .. }))
+            .count();
         if strangers >= self.settings.strangers {
-            actions.push(Action::Close { connection, why: Closing::TooMany });
+            actions.push(Action::Close {
+                connection,
+                why: Closing::TooMany,
+            });
             return;
         }
         let until = self.now + self.settings.hello_within;
         let frames = Frames::new(self.settings.longest);
-        self.connections.insert(connection, Connection { frames, role: Role::Stranger { until, certified } });
+        self.connections.insert(
+            connection,
+            Connection {
+                frames,
+                role: Role::Stranger { until, certified },
+            },
+        );
     }
 
     fn bytes(&mut self, connection: ConnectionId, bytes: &[u8], actions: &mut Vec<Action>) {
         // Of a connection that was ended here, whatever still comes is nobody's.
-        let Some(open) = self.connections.get_mut(&connection) else { return };
+        let Some(open) = self.connections.get_mut(&connection) else {
+            return;
+        };
         open.frames.feed(bytes);
         loop {
-            let Some(open) = self.connections.get_mut(&connection) else { return };
+            let Some(open) = self.connections.get_mut(&connection) else {
+                return;
+            };
             let message = match open.frames.next_frame() {
                 Ok(None) => return,
                 Ok(Some(frame)) => Message::decode(&frame),
-                Err(TooLong { bytes }) => return self.close(connection, Closing::TooLong(bytes), actions),
+                Err(TooLong { bytes }) => {
+                    return self.close(connection, Closing::TooLong(bytes), actions)
+                }
             };
             match message {
                 Ok(message) => self.heard(connection, message, actions),
@@ -411,7 +472,9 @@
     }
 
     fn heard(&mut self, connection: ConnectionId, message: Message, actions: &mut Vec<Action>) {
-        let Some(open) = self.connections.get_mut(&connection) else { return };
+        let Some(open) = self.connections.get_mut(&connection) else {
+            return;
+        };
         match (&mut open.role, message) {
             (Role::Opened { to }, message) => {
                 let to = to.clone();
@@ -419,7 +482,14 @@
             }
             (
                 Role::Stranger { certified, .. },
-                Message::Hello { versions, cluster, from, to, life, epoch },
+                Message::Hello {
+                    versions,
+                    cluster,
+                    from,
+                    to,
+                    life,
+                    epoch,
+                },
             ) => {
                 let certified = certified.clone();
                 match self.check(versions, &cluster, &from, &to, life, certified.as_deref()) {
@@ -430,7 +500,20 @@
                     }
                 }
             }
-            (Role::Taken { from, life, seen, heard }, Message::Data { seq, to, kind, body }) => {
+            (
+                Role::Taken {
+                    from,
+                    life,
+                    seen,
+                    heard,
+                },
+                Message::Data {
+                    seq,
+                    to,
+                    kind,
+                    body,
+                },
+            ) => {
                 let expected = *seen + 1;
                 if seq != expected {
                     return self.close(connection, Closing::Replayed { seq, expected }, actions);
@@ -441,13 +524,33 @@
                 (*seen, *heard) = (seq, self.now);
                 let (from, life) = (from.clone(), *life);
                 self.hear_of(&from, life, None, actions);
-                actions.push(Action::Deliver { from, life, kind, body });
+                actions.push(Action::Deliver {
+                    from,
+                    life,
+                    kind,
+                    body,
+                });
             }
-            (Role::Taken { from, life, seen, heard }, Message::Beat { epoch }) => {
+            (
+                Role::Taken {
+                    from,
+                    life,
+                    seen,
+                    heard,
+                },
+                Message::Beat { epoch },
+            ) => {
                 *heard = self.now;
                 let (from, life, through) = (from.clone(), *life, *seen);
                 self.hear_of(&from, life, Some(epoch), actions);
-                write(connection, &Message::Seen { through, epoch: self.settings.epoch }, actions);
+                write(
+                    connection,
+                    &Message::Seen {
+                        through,
+                        epoch: self.settings.epoch,
+                    },
+                    actions,
+                );
             }
             _ => self.close(connection, Closing::OutOfPlace, actions),
         }
@@ -496,26 +599,54 @@
         epoch: u64,
         actions: &mut Vec<Action>,
     ) {
-        let before = self.peers.get_mut(&from).and_then(|peer| peer.incoming.replace(connection));
+        let before = self
+            .peers
+            .get_mut(&from)
+            .and_then(|peer| peer.incoming.replace(connection));
         if let Some(before) = before {
             self.close(before, Closing::Replaced, actions);
         }
         if let Some(open) = self.connections.get_mut(&connection) {
-            open.role = Role::Taken { from: from.clone(), life, seen: 0, heard: self.now };
+            open.role = Role::Taken {
+                from: from.clone(),
+                life,
+                seen: 0,
+                heard: self.now,
+            };
         }
-        let welcome = Message::Welcome { version, life: self.settings.life, epoch: self.settings.epoch };
+        let welcome = Message::Welcome {
+            version,
+            life: self.settings.life,
+            epoch: self.settings.epoch,
+        };
         write(connection, &welcome, actions);
         self.hear_of(&from, life, Some(epoch), actions);
     }
 
     /// An answer on a connection that this instance opened.
-    fn answered(&mut self, connection: ConnectionId, to: &str, message: Message, actions: &mut Vec<Action>) {
+    fn answered(
+        &mut self,
+        connection: ConnectionId,
+        to: &str,
+        message: Message,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(peer) = self.peers.get_mut(to) else {
             return self.close(connection, Closing::NoMember, actions);
         };
         match (&mut peer.outgoing, message) {
-            (Outgoing::Greeting { .. }, Message::Welcome { version, life, epoch }) => {
-                let old = peer.belief.life.is_some_and(|known| known.number > life.number);
+            (
+                Outgoing::Greeting { .. },
+                Message::Welcome {
+                    version,
+                    life,
+                    epoch,
+                },
+            ) => {
+                let old = peer
+                    .belief
+                    .life
+                    .is_some_and(|known| known.number > life.number);
                 if version < VERSIONS.0 || version > VERSIONS.1 || old {
                     return self.close(connection, Closing::OutOfPlace, actions);
                 }
@@ -541,7 +672,12 @@
             }
             (Outgoing::Up(up), Message::Seen { through, epoch }) => {
                 up.answered = self.now;
-                while let Some((_, size)) = up.unseen.front().copied().filter(|(seq, _)| *seq <= through) {
+                while let Some((_, size)) = up
+                    .unseen
+                    .front()
+                    .copied()
+                    .filter(|(seq, _)| *seq <= through)
+                {
                     up.unseen.pop_front();
                     up.bytes -= size;
                 }
@@ -567,16 +703,22 @@
     /// A sign of life of a member.
     fn hear_of(&mut self, name: &str, life: Life, epoch: Option<u64>, actions: &mut Vec<Action>) {
         let now = self.now;
-        let Some(peer) = self.peers.get_mut(name) else { return };
+        let Some(peer) = self.peers.get_mut(name) else {
+            return;
+        };
         peer.heard = now;
         let before = peer.belief;
         peer.belief.epoch = epoch.unwrap_or(before.epoch);
         if before.standing != Standing::Alive || before.life != Some(life) {
-            (peer.belief.standing, peer.belief.life, peer.belief.since) = (Standing::Alive, Some(life), now);
+            (peer.belief.standing, peer.belief.life, peer.belief.since) =
+                (Standing::Alive, Some(life), now);
         }
         let new_life = before.life.is_some_and(|known| known != life);
         if before != peer.belief {
-            actions.push(Action::Changed { member: name.into(), belief: peer.belief });
+            actions.push(Action::Changed {
+                member: name.into(),
+                belief: peer.belief,
+            });
         }
         if new_life {
             // What leads to the life before, and what came from it, is over.
@@ -584,7 +726,9 @@
                 .connections
                 .iter()
                 .filter(|(_, open)| match &open.role {
-                    Role::Taken { from, life: taken, .. } => from == name && *taken != life,
+                    Role::Taken {
+                        from, life: taken, ..
+                    } => from == name && *taken != life,
                     Role::Opened { to } => to == name && self.leads_to_another(name, life),
                     Role::Stranger { .. } => false,
                 })
@@ -603,22 +747,38 @@
 
     /// Whether something can be told to a member has changed.
     fn reach(&mut self, name: &str, actions: &mut Vec<Action>) {
-        let Some(peer) = self.peers.get_mut(name) else { return };
+        let Some(peer) = self.peers.get_mut(name) else {
+            return;
+        };
         let latest = self.now - self.settings.suspect_after;
         let reachable = matches!(&peer.outgoing, Outgoing::Up(up) if up.answered > latest);
         if peer.belief.reachable != reachable {
             peer.belief.reachable = reachable;
-            actions.push(Action::Changed { member: name.into(), belief: peer.belief });
+            actions.push(Action::Changed {
+                member: name.into(),
+                belief: peer.belief,
+            });
         }
     }
 
     fn send(&mut self, to: String, kind: u16, body: Vec<u8>, actions: &mut Vec<Action>) {
-        let refused = |why| Action::NotSent { to: to.clone(), kind, why };
-        let Some(peer) = self.peers.get_mut(&to) else { return actions.push(refused(Refused::NoMember)) };
+        let refused = |why| Action::NotSent {
+            to: to.clone(),
+            kind,
+            why,
+        };
+        let Some(peer) = self.peers.get_mut(&to) else {
+            return actions.push(refused(Refused::NoMember));
+        };
         let Outgoing::Up(up) = &mut peer.outgoing else {
             return actions.push(refused(Refused::NotConnected));
         };
-        let message = Message::Data { seq: up.seq + 1, to: up.nonce, kind, body };
+        let message = Message::Data {
+            seq: up.seq + 1,
+            to: up.nonce,
+            kind,
+            body,
+        };
         let encoded = message.encode();
         if encoded.len() > self.settings.longest {
             return actions.push(refused(Refused::TooLong));
@@ -629,7 +789,10 @@
         up.seq += 1;
         up.bytes += encoded.len();
         up.unseen.push_back((up.seq, encoded.len()));
-        actions.push(Action::Write { connection: up.connection, bytes: Frames::encode(&encoded) });
+        actions.push(Action::Write {
+            connection: up.connection,
+            bytes: Frames::encode(&encoded),
+        });
     }
 
     fn members(&mut self, epoch: u64, members: Vec<String>, actions: &mut Vec<Action>) {
@@ -637,22 +800,33 @@
             return;
         }
         self.settings.epoch = epoch;
-        let gone: Vec<String> = self.peers.keys().filter(|name| !members.contains(name)).cloned().collect();
+        let gone: Vec<String> = self
+            .peers
+            .keys()
+            .filter(|name| !members.contains(name))
+            .cloned()
+            .collect();
         for name in gone {
             let of = |open: &Connection| match &open.role {
                 Role::Opened { to } => *to == name,
                 Role::Taken { from, .. } => *from == name,
                 Role::Stranger { .. } => false,
             };
-            let ends: Vec<ConnectionId> =
-                self.connections.iter().filter(|(_, open)| of(open)).map(|(id, _)| *id).collect();
+            let ends: Vec<ConnectionId> = self
+                .connections
+                .iter()
+                .filter(|(_, open)| of(open))
+                .map(|(id, _)| *id)
+                .collect();
             for connection in ends {
                 self.close(connection, Closing::NoMember, actions);
             }
             self.peers.remove(&name);
         }
         for name in members.iter().filter(|name| **name != self.settings.me) {
-            self.peers.entry(name.clone()).or_insert_with(|| Peer::new(self.now));
+            self.peers
+                .entry(name.clone())
+                .or_insert_with(|| Peer::new(self.now));
         }
         self.settings.members = members;
         self.next_beat = self.now;
@@ -660,7 +834,8 @@
     }
 
     fn tick(&mut self, actions: &mut Vec<Action>) {
-        let late = |connection: &ConnectionId, until: Millis| (until <= self.now).then_some(*connection);
+        let late =
+            |connection: &ConnectionId, until: Millis| (until <= self.now).then_some(*connection);
         let silent: Vec<ConnectionId> = self
             .connections
             .iter()
@@ -691,7 +866,10 @@
             };
             if standing != peer.belief.standing {
                 (peer.belief.standing, peer.belief.since) = (standing, self.now);
-                actions.push(Action::Changed { member: name.clone(), belief: peer.belief });
+                actions.push(Action::Changed {
+                    member: name.clone(),
+                    belief: peer.belief,
+                });
             }
             match &peer.outgoing {
                 Outgoing::Idle { at } if *at <= self.now && !self.superseded => {
@@ -699,7 +877,13 @@
                     actions.push(Action::Dial { to: name.clone() });
                 }
                 Outgoing::Up(up) if beat => {
-                    write(up.connection, &Message::Beat { epoch: self.settings.epoch }, actions);
+                    write(
+                        up.connection,
+                        &Message::Beat {
+                            epoch: self.settings.epoch,
+                        },
+                        actions,
+                    );
                 }
                 _ => {}
             }
@@ -718,7 +902,8 @@
 
     /// The other side has ended a connection.
     fn note_end(&mut self, connection: ConnectionId) {
-        let Some(Role::Opened { to }) = self.connections.get(&connection).map(|open| &open.role) else {
+        let Some(Role::Opened { to }) = self.connections.get(&connection).map(|open| &open.role)
+        else {
             return;
         };
         if let Some(peer) = self.peers.get_mut(to) {
@@ -728,11 +913,16 @@
     }
 
     fn forget(&mut self, connection: ConnectionId, actions: &mut Vec<Action>) {
-        let Some(open) = self.connections.remove(&connection) else { return };
+        let Some(open) = self.connections.remove(&connection) else {
+            return;
+        };
         match open.role {
             Role::Stranger { .. } => {}
             Role::Taken { from, .. } => {
-                if let Some(peer) = self.peers.get_mut(&from).filter(|peer| peer.incoming == Some(connection))
+                if let Some(peer) = self
+                    .peers
+                    .get_mut(&from)
+                    .filter(|peer| peer.incoming == Some(connection))
                 {
                     peer.incoming = None;
                 }
@@ -770,11 +960,20 @@
     /// No connection stands; another is opened after a pause.
     fn rest(&mut self, now: Millis, settings: &Settings) {
         let (first, last) = settings.redial;
-        self.pause = if self.pause == 0.0 { first } else { (self.pause * 2.0).min(last) };
-        self.outgoing = Outgoing::Idle { at: now + self.pause };
+        self.pause = if self.pause == 0.0 {
+            first
+        } else {
+            (self.pause * 2.0).min(last)
+        };
+        self.outgoing = Outgoing::Idle {
+            at: now + self.pause,
+        };
     }
 }
 
 fn write(connection: ConnectionId, message: &Message, actions: &mut Vec<Action>) {
-    actions.push(Action::Write { connection, bytes: Frames::encode(&message.encode()) });
+    actions.push(Action::Write {
+        connection,
+        bytes: Frames::encode(&message.encode()),
+    });
 }
--- a/crates/emberpin-proxy/src/controller.rs
+++ b/crates/emberpin-proxy/src/controller.rs
@@ -4,11 +4,11 @@
 use crate::service::Service;
 use crate::wire::TRY_ID;
 use emberpin_balancer::{CustomerId, GatewayId, PlanId, RequestId, ServerId};
+use emberpin_config::{routes_in_force, Configuration, Item, Kind, Limits, Service as Listed};
 use emberpin_limiter::host::{
-    Answer, Call, ClientLimits, Ended, Input, Outgoing, Pool, Reception, Reply, Upstream, Upstreamed,
-    HEAD_BYTES,
+    Answer, Call, ClientLimits, Ended, Input, Outgoing, Pool, Reception, Reply, Upstream,
+    Upstreamed, HEAD_BYTES,
 };
-use emberpin_config::{routes_in_force, Configuration, Item, Kind, Limits, Service as Listed};
 use emberpin_membership::instance::Instance;
 use emberpin_membership::session::ToLimiter;
 use emberpin_routing::{split, Budget, ColdRule, Route, RouteKind, Router, Warmth};
@@ -134,9 +134,21 @@
 impl Going {
     /// As it came, for its client waits on for the one answer.
     fn anew(&self, id: RequestId, answer: oneshot::Sender<Reply>) -> Ask {
-        let outgoing = Outgoing { withdrawn: Cell::new(false), ..(*self.outgoing).clone() };
-        let (host, arrived, deadline, sends) = (self.host.clone(), self.arrived, self.deadline, self.sends);
-        Ask { id, host, outgoing, arrived, deadline, sends, answer }
+        let outgoing = Outgoing {
+            withdrawn: Cell::new(false),
+            ..(*self.outgoing).clone()
+        };
+        let (host, arrived, deadline, sends) =
+            (self.host.clone(), self.arrived, self.deadline, self.sends);
+        Ask {
+            id,
+            host,
+            outgoing,
+            arrived,
+            deadline,
+            sends,
+            answer,
+        }
     }
 }
 
@@ -176,15 +188,29 @@
     ) -> Controller {
         let bounds = &settings.bounds;
         let millis = |time: Duration| time.as_secs_f64() * 1000.0;
-        let rule = ColdRule { excess: bounds.warm_excess, extra: bounds.warm_extra };
+        let rule = ColdRule {
+            excess: bounds.warm_excess,
+            extra: bounds.warm_extra,
+        };
         let (inputs, ends) = mpsc::channel(INPUTS);
         let mut zones: Vec<String> = vec![settings.zone.clone()];
-        zones.extend(settings.zones.keys().filter(|zone| **zone != settings.zone).cloned());
+        zones.extend(
+            settings
+                .zones
+                .keys()
+                .filter(|zone| **zone != settings.zone)
+                .cloned(),
+        );
         Controller {
             begun: Instant::now(),
             router: Router::new(0.0, &settings.nodename, rule, millis(settings.beat)),
             configuration: Configuration::new(),
-            budget: Budget::new(0.0, bounds.retry_ratio, millis(bounds.retry_win), bounds.retry_extra),
+            budget: Budget::new(
+                0.0,
+                bounds.retry_ratio,
+                millis(bounds.retry_win),
+                bounds.retry_extra,
+            ),
             limiters: 0,
             services: BTreeMap::new(),
             requests: BTreeMap::new(),
@@ -220,7 +246,11 @@
         let mut looks = interval(COLD_LOOK);
         looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let due = self.services.values().filter_map(|service| service.engine.due()).min();
+            let due = self
+                .services
+                .values()
+                .filter_map(|service| service.engine.due())
+                .min();
             if let Some(due) = due.filter(|due| *due != timer.deadline()) {
                 timer.as_mut().reset(due);
             }
@@ -261,7 +291,9 @@
         match command {
             Command::Ask(ask) => self.ask(*ask),
             Command::Gone(request) => {
-                let Some(going) = self.requests.get(&request) else { return };
+                let Some(going) = self.requests.get(&request) else {
+                    return;
+                };
                 let name = going.service.clone();
                 if let Some(service) = self.services.get_mut(&name) {
                     service.engine.gone(request);
@@ -282,7 +314,10 @@
                 self.told.remove(&session);
                 self.resumed.remove(&session);
             }
-            Command::Heard { service: name, server } => {
+            Command::Heard {
+                service: name,
+                server,
+            } => {
                 if let Some(service) = self.services.get_mut(&name) {
                     service.heard(server);
                 }
@@ -297,10 +332,19 @@
     fn ask(&mut self, ask: Ask) {
         let now = self.now();
         let refuse = |retry_after| Reply::Answer(Answer::Refused { retry_after });
-        let Some(route) = self.router.matcher.find(&ask.host, ask.outgoing.uri.path()).cloned() else {
+        let Some(route) = self
+            .router
+            .matcher
+            .find(&ask.host, ask.outgoing.uri.path())
+            .cloned()
+        else {
             // Guards requests that come before the configuration: nobody has said that there is no such route.
             let unknown = self.configuration.is_empty();
-            _ = ask.answer.send(if unknown { refuse(NO_ROUTES) } else { own(StatusCode::NOT_FOUND) });
+            _ = ask.answer.send(if unknown {
+                refuse(NO_ROUTES)
+            } else {
+                own(StatusCode::NOT_FOUND)
+            });
             return;
         };
         let services = &self.services;
@@ -321,7 +365,9 @@
             _ = ask.answer.send(refuse(NO_SERVER));
             return;
         }
-        let whole = ask.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
+        let whole = ask
+            .deadline
+            .map_or(route.timeout, |deadline| deadline.min(route.timeout));
         let patience = whole.saturating_sub(MARGIN).max(whole / 2);
         let mut outgoing = ask.outgoing;
         outgoing.freshness = freshness(&outgoing, route.kind);
@@ -345,7 +391,15 @@
             answer: ask.answer,
         };
         let (host, arrived, deadline, sends) = (ask.host, ask.arrived, ask.deadline, ask.sends);
-        let going = Going { route, service: name.clone(), host, outgoing, arrived, deadline, sends };
+        let going = Going {
+            route,
+            service: name.clone(),
+            host,
+            outgoing,
+            arrived,
+            deadline,
+            sends,
+        };
         self.requests.insert(ask.id, going);
         service.engine.call(call);
         self.follow_up(&name);
@@ -354,11 +408,18 @@
 
     fn end(&mut self, input: Input) {
         let (request, attempt, server, ended) = match input {
-            Input::Ended { request, attempt, server, ended } => (request, attempt, server, ended),
+            Input::Ended {
+                request,
+                attempt,
+                server,
+                ended,
+            } => (request, attempt, server, ended),
             Input::Overdue { request, attempt } => return self.overdue(request, attempt),
             _ => return,
         };
-        let Some(going) = self.requests.get(&request) else { return };
+        let Some(going) = self.requests.get(&request) else {
+            return;
+        };
         let (now, name) = (self.now(), going.service.clone());
         // What never went out was no try of a server's: what follows it is the first, and not the budget's.
         let sends = going.sends.saturating_sub(u32::from(!ended.sent));
@@ -369,10 +430,17 @@
         if let Some(going) = self.requests.get_mut(&request) {
             going.sends = sends;
         }
-        let Some(service) = self.services.get_mut(&name) else { return };
+        let Some(service) = self.services.get_mut(&name) else {
+            return;
+        };
         if ended.unreachable {
             if let Some(upstream) = service.silent(server) {
-                spawn_local(ask_on(upstream, name.clone(), server, self.commands.clone()));
+                spawn_local(ask_on(
+                    upstream,
+                    name.clone(),
+                    server,
+                    self.commands.clone(),
+                ));
             }
         }
         if misdirected {
@@ -383,7 +451,9 @@
             self.apply_changes();
         }
         // Guards requests whose route has changed: what has not run goes where the newest routes say.
-        let anew = withdrawn.then(|| self.take_back(&name, request, &ended)).flatten();
+        let anew = withdrawn
+            .then(|| self.take_back(&name, request, &ended))
+            .flatten();
         self.ended(&name, request, attempt, server, ended, again);
         if let Some(ask) = anew {
             self.ask(ask);
@@ -402,13 +472,20 @@
     /// An attempt has had its time: it is broken off only where another one can follow, as its server may be at work, and
     /// not by a limiter that leaves.
     fn overdue(&mut self, request: RequestId, attempt: u32) {
-        let Some(going) = self.requests.get(&request) else { return };
+        let Some(going) = self.requests.get(&request) else {
+            return;
+        };
         let now = self.now();
-        if going.sends >= going.route.tries || going.outgoing.withdrawn.get() || self.view.leaving.get() {
+        if going.sends >= going.route.tries
+            || going.outgoing.withdrawn.get()
+            || self.view.leaving.get()
+        {
             return;
         }
         let affords = self.budget.may(now, &going.service, self.limiters);
-        let Some(Service { engine, .. }) = self.services.get_mut(&going.service) else { return };
+        let Some(Service { engine, .. }) = self.services.get_mut(&going.service) else {
+            return;
+        };
         if affords && engine.gateway.would_repeat(engine.clock.now(), request) {
             engine.give_up(request, attempt);
         } else if engine.is_out(request, attempt) {
@@ -439,7 +516,9 @@
 
     /// Books what a service's module has just sent.
     fn follow_up(&mut self, name: &str) {
-        let Some(service) = self.services.get_mut(name) else { return };
+        let Some(service) = self.services.get_mut(name) else {
+            return;
+        };
         service.engine.beyond.clear();
         for (request, _, instance) in service.sent() {
             let now = self.now();
@@ -457,8 +536,14 @@
     }
 
     fn forget(&mut self, request: RequestId) {
-        let Some(going) = self.requests.get(&request) else { return };
-        if !self.services.get(&going.service).is_some_and(|service| service.engine.holds(request)) {
+        let Some(going) = self.requests.get(&request) else {
+            return;
+        };
+        if !self
+            .services
+            .get(&going.service)
+            .is_some_and(|service| service.engine.holds(request))
+        {
             self.requests.remove(&request);
         }
     }
@@ -467,14 +552,25 @@
 
     fn hear(&mut self, session: usize, message: ToLimiter) {
         match message {
-            ToLimiter::Snapshot { items, instances, rest, .. }
-            | ToLimiter::SnapshotPart { items, instances, rest } => {
+            ToLimiter::Snapshot {
+                items,
+                instances,
+                rest,
+                ..
+            }
+            | ToLimiter::SnapshotPart {
+                items,
+                instances,
+                rest,
+            } => {
                 self.learn(items, &instances);
                 if rest.is_none() {
                     self.told.insert(session);
                 }
             }
-            ToLimiter::Changes { items, instances, .. } => {
+            ToLimiter::Changes {
+                items, instances, ..
+            } => {
                 self.learn(items, &instances);
                 // Where a session goes on from a place up to which this registry had told everything, it knows all now.
                 if self.resumed.remove(&session) {
@@ -490,7 +586,9 @@
     fn confirmed(&mut self, session: usize, limiters: u32) {
         if limiters != self.limiters {
             self.limiters = limiters;
-            self.services.values_mut().for_each(|service| service.shared_by(limiters));
+            self.services
+                .values_mut()
+                .for_each(|service| service.shared_by(limiters));
         }
         self.router.told(self.now(), limiters);
         // Guards a new instance against serving what is older than a majority's word.
@@ -529,7 +627,13 @@
                 Kind::Service => {
                     if let Ok(listed) = Listed::from_item(item) {
                         let warmup_ms = listed.warmup.as_secs_f64() * 1000.0;
-                        warmth.insert(listed.name, Warmth { warmup_ms, per_s: listed.warmup_per_s });
+                        warmth.insert(
+                            listed.name,
+                            Warmth {
+                                warmup_ms,
+                                per_s: listed.warmup_per_s,
+                            },
+                        );
                     }
                 }
                 Kind::Evacuation => _ = evacuated.insert(item.key.name.clone()),
@@ -554,8 +658,13 @@
         }
         let now = self.now();
         // A zone that has come back is cold.
-        let instances: Vec<String> =
-            self.router.fleet.instances(now).into_iter().map(|instance| instance.id).collect();
+        let instances: Vec<String> = self
+            .router
+            .fleet
+            .instances(now)
+            .into_iter()
+            .map(|instance| instance.id)
+            .collect();
         for id in instances {
             if self.router.fleet.cold(now, &id) {
                 self.look_at(&id);
@@ -567,7 +676,9 @@
     fn follow_routes(&mut self) {
         for going in self.requests.values_mut() {
             let path = going.outgoing.uri.path();
-            let newest = self.router.follow(&going.host, path, &going.route, &going.service);
+            let newest = self
+                .router
+                .follow(&going.host, path, &going.route, &going.service);
             going.outgoing.withdrawn.set(newest.is_none());
             if let Some(newest) = newest {
                 going.route = newest;
@@ -605,7 +716,8 @@
             let zone = self.zone(&change.zone);
             let name = change.service.clone();
             if !self.services.contains_key(&name) {
-                let mut service = Service::new(self.pool.clone(), self.inputs.clone(), drawn(), self.begun);
+                let mut service =
+                    Service::new(self.pool.clone(), self.inputs.clone(), drawn(), self.begun);
                 service.shared_by(self.limiters);
                 self.services.insert(name.clone(), service);
             }
@@ -639,11 +751,19 @@
         } else {
             self.cold.remove(id);
         }
-        let Some(instance) = self.router.fleet.instance(id) else { return };
+        let Some(instance) = self.router.fleet.instance(id) else {
+            return;
+        };
         let name = instance.service.clone();
         let bears = self.router.bears(&name, id, now);
-        let known = self.services.get(&name).and_then(|service| service.told(id));
-        let Some(change) = known.filter(|(_, bore)| *bore != bears).map(|(change, _)| change.clone()) else {
+        let known = self
+            .services
+            .get(&name)
+            .and_then(|service| service.told(id));
+        let Some(change) = known
+            .filter(|(_, bore)| *bore != bears)
+            .map(|(change, _)| change.clone())
+        else {
             return;
         };
         let zone = self.zone(&change.zone);
--- a/crates/emberpin-proxy/src/lib.rs
+++ b/crates/emberpin-proxy/src/lib.rs
@@ -69,16 +69,23 @@
 ///
 /// [`Ended`].
 pub fn serve(settings: Settings) -> Result<(), Ended> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| Ended::Refused("runtime".into(), e))?;
     LocalSet::new().block_on(&runtime, run(settings))
 }
 
 async fn run(settings: Settings) -> Result<(), Ended> {
     let http = settings.http.ok_or(Ended::Missing("network.listen.http"))?;
-    let readyz = settings.readyz.ok_or(Ended::Missing("network.listen.readyz"))?;
+    let readyz = settings
+        .readyz
+        .ok_or(Ended::Missing("network.listen.readyz"))?;
     let caught = |kind| signal(kind).map_err(|e| Ended::Refused("signals".into(), e));
-    let (mut terminated, mut hung_up) = (caught(SignalKind::terminate())?, caught(SignalKind::hangup())?);
+    let (mut terminated, mut hung_up) = (
+        caught(SignalKind::terminate())?,
+        caught(SignalKind::hangup())?,
+    );
     let (clients, probes) = (listen(http)?, listen(readyz)?);
 
     let sockets = settings.nofile.saturating_sub(OTHER_SOCKETS).max(40);
@@ -96,7 +103,12 @@
     let pool = Pool::new(limits, Rc::new(SystemWire), figures.clone(), room.clone());
     spawn_local(pool.clone().retire());
     let (commands, received) = mpsc::channel(COMMANDS);
-    let reception = Reception::new(Phase::Serving, client_sockets, ClientLimits::default(), room.clone());
+    let reception = Reception::new(
+        Phase::Serving,
+        client_sockets,
+        ClientLimits::default(),
+        room.clone(),
+    );
     let controller = Controller::new(&settings, pool, reception.clone(), &commands);
     let view = controller.view();
     let (grace, passing) = (settings.bounds.grace, settings.mem_mb as usize / 4);
@@ -133,7 +145,11 @@
 
 fn listen(at: SocketAddr) -> Result<TcpListener, Ended> {
     // A killed predecessor leaves connections in TIME_WAIT: rebinding must not wait for them.
-    let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
+    let socket = if at.is_ipv4() {
+        TcpSocket::new_v4()
+    } else {
+        TcpSocket::new_v6()
+    };
     let listening = socket.and_then(|socket| {
         socket.set_reuseaddr(true)?;
         socket.bind(at)?;
--- a/crates/emberpin-proxy/src/program.rs
+++ b/crates/emberpin-proxy/src/program.rs
@@ -8,8 +8,14 @@
 /// Runs the program with these arguments.
 pub fn main(arguments: impl Iterator<Item = OsString>) -> ExitCode {
     let mut options = Options::new();
-    options.optflag("h", "help", "print this").optflag("V", "version", "print the version");
-    options.optflag("c", "check", "read the settings, say what is in force, and start nothing");
+    options
+        .optflag("h", "help", "print this")
+        .optflag("V", "version", "print the version");
+    options.optflag(
+        "c",
+        "check",
+        "read the settings, say what is in force, and start nothing",
+    );
     let asked = match options.parse(arguments) {
         Ok(asked) if asked.free.is_empty() => asked,
         Ok(asked) => return wrong(&format!("unexpected: {}", asked.free.join(" "))),
@@ -18,7 +24,9 @@
     if asked.opt_present("help") {
         print!(
             "{}",
-            options.usage("emberpin-proxy: the proxy; its settings file is named by EMBERPIN_NODE_FILE")
+            options.usage(
+                "emberpin-proxy: the proxy; its settings file is named by EMBERPIN_NODE_FILE"
+            )
         );
         return ExitCode::SUCCESS;
     }
--- a/crates/emberpin-proxy/src/requests.rs
+++ b/crates/emberpin-proxy/src/requests.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use emberpin_balancer::{ClassId, RequestId};
 use emberpin_limiter::host::{
-    headed, passed_on, plain, run_out, strip, take_in, Answer, Connection, Content, Ending, Figures, Head,
-    Outgoing, Reply, RequestHandler, Served, Upload, Upstreamed,
+    headed, passed_on, plain, run_out, strip, take_in, Answer, Connection, Content, Ending,
+    Figures, Head, Outgoing, Reply, RequestHandler, Served, Upload, Upstreamed,
 };
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, HOST, RETRY_AFTER};
@@ -48,7 +48,9 @@
         if self.answered {
             return;
         }
-        if let Err(mpsc::error::TrySendError::Full(gone)) = self.commands.try_send(Command::Gone(self.id)) {
+        if let Err(mpsc::error::TrySendError::Full(gone)) =
+            self.commands.try_send(Command::Gone(self.id))
+        {
             let commands = self.commands.clone();
             spawn_local(async move { _ = commands.send(gone).await });
         }
@@ -64,7 +66,14 @@
         passing: usize,
     ) -> Rc<Front> {
         let places = || Arc::new(Semaphore::new(passing.max(4)));
-        Rc::new(Front { view, commands, next: Cell::new(0), figures, uploads: places(), downloads: places() })
+        Rc::new(Front {
+            view,
+            commands,
+            next: Cell::new(0),
+            figures,
+            uploads: places(),
+            downloads: places(),
+        })
     }
 
     async fn serve(
@@ -90,7 +99,11 @@
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
         let deadline = deadline(&parts.headers)?;
-        let (held, rest) = if body.is_end_stream() { (Bytes::new(), None) } else { take_in(body).await? };
+        let (held, rest) = if body.is_end_stream() {
+            (Bytes::new(), None)
+        } else {
+            take_in(body).await?
+        };
         if held.len() as u64 > most {
             if let Some(rest) = rest {
                 spawn_local(run_out(rest));
@@ -127,14 +140,18 @@
         let active = self.figures.taken(ClassId(0));
         let reply = self.ask(host, outgoing, arrived, deadline, upload).await?;
         Ok(match reply {
-            Reply::Answer(Answer::Served(Served { head, body })) => headed(head, Content::Whole(Some(body))),
+            Reply::Answer(Answer::Served(Served { head, body })) => {
+                headed(head, Content::Whole(Some(body)))
+            }
             Reply::Answer(Answer::Refused { retry_after }) => {
                 come_back(Duration::try_from_secs_f64(retry_after / 1000.0).unwrap_or_default())
             }
             Reply::Answer(Answer::Failed) => plain(StatusCode::BAD_GATEWAY),
             Reply::Passing(passing) => {
                 match timeout(PASSING_WAIT, self.downloads.clone().acquire_owned()).await {
-                    Ok(Ok(room)) => return Ok(passed_on(passing, active, connection.clone(), room)),
+                    Ok(Ok(room)) => {
+                        return Ok(passed_on(passing, active, connection.clone(), room))
+                    }
                     // Too many pass on already: nothing of it was told yet.
                     Ok(Err(_)) | Err(_) => plain(StatusCode::BAD_GATEWAY),
                 }
@@ -153,9 +170,21 @@
         upload: Option<Rc<Upload>>,
     ) -> Result<Reply, StatusCode> {
         let id = RequestId(self.next.replace(self.next.get().wrapping_add(1)));
-        let mut waiting = Waiting { commands: self.commands.clone(), id, answered: false };
+        let mut waiting = Waiting {
+            commands: self.commands.clone(),
+            id,
+            answered: false,
+        };
         let (answer, answered) = oneshot::channel();
-        let ask = Ask { id, host, outgoing, arrived, deadline, sends: 0, answer };
+        let ask = Ask {
+            id,
+            host,
+            outgoing,
+            arrived,
+            deadline,
+            sends: 0,
+            answer,
+        };
         let asking = async {
             match self.commands.send(Command::Ask(Box::new(ask))).await {
                 Ok(()) => answered.await.unwrap_or(Reply::Answer(Answer::Failed)),
@@ -205,7 +234,11 @@
 
 impl RequestHandler for Readiness {
     async fn respond(self: Rc<Self>, _: Request<Incoming>, _: Rc<Connection>) -> Response<Content> {
-        plain(if self.0.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
+        plain(if self.0.is_ready() {
+            StatusCode::OK
+        } else {
+            StatusCode::SERVICE_UNAVAILABLE
+        })
     }
 }
 
@@ -220,8 +253,14 @@
 
 /// An answer of the gateway's own, with nothing in it.
 pub fn own(status: StatusCode) -> Reply {
-    let head = Head { status, headers: HeaderMap::new() };
-    Reply::Answer(Answer::Served(Served { head, body: Bytes::new() }))
+    let head = Head {
+        status,
+        headers: HeaderMap::new(),
+    };
+    Reply::Answer(Answer::Served(Served {
+        head,
+        body: Bytes::new(),
+    }))
 }
 
 /// The host that the request is for: as its target names it, else its one `Host`.
@@ -240,21 +279,33 @@
 fn head_size<T>(request: &Request<T>) -> u64 {
     const LINE_END: usize = 2;
     const COLON: usize = 1;
-    let target = request.uri().path_and_query().map_or(1, |target| target.as_str().len());
+    let target = request
+        .uri()
+        .path_and_query()
+        .map_or(1, |target| target.as_str().len());
     let request_line = request.method().as_str().len() + target + "  HTTP/1.1".len() + LINE_END;
-    let header =
-        |(name, value): (&HeaderName, &HeaderValue)| name.as_str().len() + COLON + value.len() + LINE_END;
+    let header = |(name, value): (&HeaderName, &HeaderValue)| {
+        name.as_str().len() + COLON + value.len() + LINE_END
+    };
     let headers: usize = request.headers().iter().map(header).sum();
     (request_line + headers + LINE_END) as u64
 }
 
 /// How long the client will wait; nothing where it doesn't say.
 fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, StatusCode> {
-    let Some(text) = headers.get(DEADLINE) else { return Ok(None) };
-    let millis = text.to_str().ok().and_then(|text| text.trim().parse::<f64>().ok());
-    let millis =
-        millis.filter(|millis| millis.is_finite() && *millis >= 0.0).ok_or(StatusCode::BAD_REQUEST)?;
-    Duration::try_from_secs_f64(millis / 1000.0).map(Some).map_err(|_| StatusCode::BAD_REQUEST)
+    let Some(text) = headers.get(DEADLINE) else {
+        return Ok(None);
+    };
+    let millis = text
+        .to_str()
+        .ok()
+        .and_then(|text| text.trim().parse::<f64>().ok());
+    let millis = millis
+        .filter(|millis| millis.is_finite() && *millis >= 0.0)
+        .ok_or(StatusCode::BAD_REQUEST)?;
+    Duration::try_from_secs_f64(millis / 1000.0)
+        .map(Some)
+        .map_err(|_| StatusCode::BAD_REQUEST)
 }
 
 fn ended(mut active: emberpin_limiter::host::Active, status: StatusCode) {
--- a/crates/emberpin-proxy/src/service.rs
+++ b/crates/emberpin-proxy/src/service.rs
@@ -1,8 +1,8 @@
 //! One service: the module that decides about its requests, and the ways to its servers.
 
 use emberpin_balancer::{
-    Class, ClassId, Condition, Effect, Event, Gateway, GatewayId, Membership, Plan, RequestId, Rules, Server,
-    ServerId, Settings,
+    Class, ClassId, Condition, Effect, Event, Gateway, GatewayId, Membership, Plan, RequestId,
+    Rules, Server, ServerId, Settings,
 };
 use emberpin_limiter::host::{Clock, Engine, Input, Place, Pool, Upstream};
 use emberpin_routing::{Change, Route, RouteKind, Work};
@@ -52,7 +52,11 @@
             deadline: self.timeout_ms as f64,
             worth: 1.0,
             late_worth: 0.0,
-            effect: if self.repeatable { Effect::Safe } else { Effect::Unsafe },
+            effect: if self.repeatable {
+                Effect::Safe
+            } else {
+                Effect::Unsafe
+            },
         }
     }
 }
@@ -128,7 +132,12 @@
                 over_cost: 0.0,
             }],
             // Cold servers are the router's: their bound is in requests a second over all limiters.
-            rules: Rules { cold_from: 1.0, warm_after: 0.0, fall_multiple: 1.0, fall_time: 1_000.0 },
+            rules: Rules {
+                cold_from: 1.0,
+                warm_after: 0.0,
+                fall_multiple: 1.0,
+                fall_time: 1_000.0,
+            },
             try_limit: TRIES,
             second_copies: false,
             max_retry_after: MAX_RETRY_AFTER,
@@ -171,7 +180,10 @@
         }
         if self.classes.len() >= CLASSES {
             // Guards the effect: beyond the bound a request shares the figures of another sort, but never its harmlessness.
-            let alike = self.classes.iter().find(|(known, _)| known.repeatable == sort.repeatable);
+            let alike = self
+                .classes
+                .iter()
+                .find(|(known, _)| known.repeatable == sort.repeatable);
             if let Some((_, known)) = alike {
                 return *known;
             }
@@ -235,17 +247,29 @@
             }
         }
         if usable && !self.engine.upstreams.contains_key(&id) {
-            let place = Place { address: change.address, boot_ms: 0.0 };
+            let place = Place {
+                address: change.address,
+                boot_ms: 0.0,
+            };
             // An id that no header can carry cannot be asked for, and is never sent to.
             if let Ok(instance) = HeaderValue::try_from(change.id.as_str()) {
                 let upstream = Upstream::of_instance(place, Some(instance), self.pool.clone());
                 self.engine.upstreams.insert(id, upstream);
             }
         }
-        let was = self.instances.get(&change.id).is_some_and(|known| known.change.work == Work::Usable);
+        let was = self
+            .instances
+            .get(&change.id)
+            .is_some_and(|known| known.change.work == Work::Usable);
         self.usable = self.usable + usize::from(usable) - usize::from(was);
         let name = change.id.clone();
-        let known = Known { change, id, zone, bears, silent };
+        let known = Known {
+            change,
+            id,
+            zone,
+            bears,
+            silent,
+        };
         let line = known.line();
         if known.change.work == Work::Gone {
             self.instances.remove(&name);
@@ -258,7 +282,8 @@
     }
 
     fn tell(&mut self, line: Server) {
-        self.engine.feed(Event::Membership(Membership::Changes(vec![line])));
+        self.engine
+            .feed(Event::Membership(Membership::Changes(vec![line])));
         self.bear();
     }
 
@@ -276,7 +301,11 @@
 
     /// It gave one.
     pub fn heard(&mut self, server: ServerId) {
-        let Some(known) = self.names.get(&server).and_then(|name| self.instances.get_mut(name)) else {
+        let Some(known) = self
+            .names
+            .get(&server)
+            .and_then(|name| self.instances.get_mut(name))
+        else {
             return;
         };
         known.silent = false;
@@ -311,13 +340,16 @@
 
     /// A instance that is told to the module, and whether it bears requests of this limiter.
     pub fn told(&self, id: &str) -> Option<(&Change, bool)> {
-        self.instances.get(id).map(|known| (&known.change, known.bears))
+        self.instances
+            .get(id)
+            .map(|known| (&known.change, known.bears))
     }
 
     /// Attempts that went out since this was asked last: of which request, which attempt, to which instance.
     pub fn sent(&mut self) -> Vec<(RequestId, u32, String)> {
         let sent = std::mem::take(&mut self.engine.sent);
-        let named = |(request, attempt, server)| Some((request, attempt, self.names.get(&server)?.clone()));
+        let named =
+            |(request, attempt, server)| Some((request, attempt, self.names.get(&server)?.clone()));
         sent.into_iter().filter_map(named).collect()
     }
 }
--- a/crates/emberpin-proxy/src/sessions.rs
+++ b/crates/emberpin-proxy/src/sessions.rs
@@ -3,7 +3,9 @@
 use crate::controller::{drawn, Command};
 use emberpin_membership::candidates::Candidates;
 use emberpin_membership::lease::SessionLease;
-use emberpin_membership::session::{First, Followed, FromLimiter, Revision, SnapshotCursor, ToLimiter};
+use emberpin_membership::session::{
+    First, Followed, FromLimiter, Revision, SnapshotCursor, ToLimiter,
+};
 use emberpin_membership::timing::{CONNECT, LOOK, PAUSE, PROXY_LEASE, PROXY_QUESTION};
 use emberpin_runtime::frames::{self, Broken};
 use emberpin_runtime::preamble::ProcessIdentity;
@@ -70,7 +72,10 @@
 
     /// Keeps one session, with one registry after the other.
     async fn keep(self: Rc<Self>, number: usize) {
-        let (shortest, longest) = (Duration::from_millis(PAUSE.0), Duration::from_millis(PAUSE.1));
+        let (shortest, longest) = (
+            Duration::from_millis(PAUSE.0),
+            Duration::from_millis(PAUSE.1),
+        );
         let mut pause = shortest;
         let mut last = None;
         loop {
@@ -86,7 +91,12 @@
             let now = self.now();
             let confirmed = lease.borrow().is_confirmed(now);
             self.candidates.borrow_mut().ended(now, number, confirmed);
-            if self.commands.send(Command::Lost { session: number }).await.is_err() {
+            if self
+                .commands
+                .send(Command::Lost { session: number })
+                .await
+                .is_err()
+            {
                 return;
             }
             log::info!("session {number} with {registry} ended: {ended}");
@@ -115,7 +125,9 @@
             std::net::IpAddr::V6(_) => None,
         });
         let draw = u64::from(self.random.borrow_mut().rand_u32());
-        self.candidates.borrow_mut().choose(self.now(), number, seeds, last, draw)
+        self.candidates
+            .borrow_mut()
+            .choose(self.now(), number, seeds, last, draw)
     }
 
     /// In milliseconds since the start.
@@ -124,10 +136,19 @@
     }
 
     /// One session, until it ends.
-    async fn session(&self, number: usize, registry: Ipv4Addr, lease: &RefCell<SessionLease>) -> Ended {
+    async fn session(
+        &self,
+        number: usize,
+        registry: Ipv4Addr,
+        lease: &RefCell<SessionLease>,
+    ) -> Ended {
         let (port, name, zone) = {
             let settings = self.settings.borrow();
-            (settings.registry_port(), settings.nodename.clone(), settings.zone.clone())
+            (
+                settings.registry_port(),
+                settings.nodename.clone(),
+                settings.zone.clone(),
+            )
         };
         let connecting = TcpStream::connect((registry, port));
         let stream = match timeout(Duration::from_millis(CONNECT), connecting).await {
@@ -138,17 +159,33 @@
         _ = stream.set_nodelay(true);
         _ = SockRef::from(&stream).set_tcp_user_timeout(Some(UNTAKEN));
         let (instances, known) = oneshot::channel();
-        if self.commands.send(Command::Instances(instances)).await.is_err() {
+        if self
+            .commands
+            .send(Command::Instances(instances))
+            .await
+            .is_err()
+        {
             return Ended::NoController;
         }
-        let Ok(instances) = known.await else { return Ended::NoController };
+        let Ok(instances) = known.await else {
+            return Ended::NoController;
+        };
         let from = self.places.borrow().get(&registry).map(|known| known.place);
         let resumed = self.whole(registry).is_some();
-        let begun = Command::Begun { session: number, resumed };
+        let begun = Command::Begun {
+            session: number,
+            resumed,
+        };
         if self.commands.send(begun).await.is_err() {
             return Ended::NoController;
         }
-        let hello = FromLimiter::Hello { incarnation: self.incarnation, name, zone, from, instances };
+        let hello = FromLimiter::Hello {
+            incarnation: self.incarnation,
+            name,
+            zone,
+            from,
+            instances,
+        };
         let (mut reads, mut writes) = stream.into_split();
         let wanted = Notify::new();
         *lease.borrow_mut() = SessionLease::new(self.now());
@@ -192,12 +229,18 @@
 
     /// Up to where a registry has told everything.
     fn whole(&self, registry: Ipv4Addr) -> Option<Revision> {
-        self.places.borrow().get(&registry).and_then(Followed::whole)
+        self.places
+            .borrow()
+            .get(&registry)
+            .and_then(Followed::whole)
     }
 
     /// Where its snapshot goes on.
     fn rest(&self, registry: Ipv4Addr) -> Option<SnapshotCursor> {
-        self.places.borrow().get(&registry).and_then(|known| known.rest.clone())
+        self.places
+            .borrow()
+            .get(&registry)
+            .and_then(|known| known.rest.clone())
     }
 
     /// Notes up to where a registry was followed.
@@ -238,7 +281,9 @@
                 }
             };
             let command = match message {
-                ToLimiter::Snapshot { .. } | ToLimiter::SnapshotPart { .. } | ToLimiter::Changes { .. } => {
+                ToLimiter::Snapshot { .. }
+                | ToLimiter::SnapshotPart { .. }
+                | ToLimiter::Changes { .. } => {
                     self.advance(registry, &message);
                     let is_part = !matches!(message, ToLimiter::Changes { .. });
                     let first = std::mem::take(&mut begins);
@@ -246,9 +291,17 @@
                         lease.borrow_mut().progressed(self.now());
                         wanted.notify_one();
                     }
-                    Command::News { session: number, message }
+                    Command::News {
+                        session: number,
+                        message,
+                    }
                 }
-                ToLimiter::Pulse { question, age, limiters, registries } => {
+                ToLimiter::Pulse {
+                    question,
+                    age,
+                    limiters,
+                    registries,
+                } => {
                     let now = self.now();
                     lease.borrow_mut().answer(question, age);
                     let confirmed = age.is_some() && lease.borrow().is_confirmed(now);
@@ -256,7 +309,10 @@
                     if !confirmed {
                         continue;
                     }
-                    Command::Confirmed { session: number, limiters }
+                    Command::Confirmed {
+                        session: number,
+                        limiters,
+                    }
                 }
             };
             if self.commands.send(command).await.is_err() {
--- a/crates/emberpin-proxy/src/wire.rs
+++ b/crates/emberpin-proxy/src/wire.rs
@@ -67,7 +67,9 @@
 
     fn keeps_idle(&self, headers: &HeaderMap) -> Option<Duration> {
         let stated = headers.get(KEEP_ALIVE)?.to_str().ok()?;
-        let seconds = stated.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
+        let seconds = stated
+            .split(',')
+            .find_map(|part| part.trim().strip_prefix("timeout="))?;
         Some(Duration::from_secs(seconds.trim().parse().ok()?).mul_f64(IDLE_PART))
     }
 
