--- a/crates/emberpin-registry/src/body.rs
+++ b/crates/emberpin-registry/src/body.rs
@@ -18,7 +18,10 @@
 }
 
 fn wrong(at: &'static str, what: impl Into<String>) -> Wrong {
-    Wrong { at, what: what.into() }
+    Wrong {
+        at,
+        what: what.into(),
+    }
 }
 
 /// A server's beat.
@@ -31,7 +34,10 @@
     let body = jzon::parse(text).map_err(|e| wrong("body", e.to_string().replace('\n', " ")))?;
     let (info, stat) = (&body["sysinfo"], &body["stat"]);
     let text = |value: &JsonValue, at| {
-        value.as_str().map(str::to_string).ok_or_else(|| wrong(at, "expected a text"))
+        value
+            .as_str()
+            .map(str::to_string)
+            .ok_or_else(|| wrong(at, "expected a text"))
     };
     let status = match stat["state"].as_str() {
         Some("up") => Status::Up,
@@ -48,11 +54,17 @@
     Ok(Instance {
         id: id.to_string(),
         service: text(&info["svc"], "sysinfo.svc")?,
-        address: text(&body["addr"], "addr")?.parse().map_err(|_| wrong("addr", "expected an address"))?,
+        address: text(&body["addr"], "addr")?
+            .parse()
+            .map_err(|_| wrong("addr", "expected an address"))?,
         zone: text(&info["az"], "sysinfo.az")?,
-        slots: info["slots"].as_u32().ok_or_else(|| wrong("sysinfo.slots", "expected a whole number"))?,
+        slots: info["slots"]
+            .as_u32()
+            .ok_or_else(|| wrong("sysinfo.slots", "expected a whole number"))?,
         status,
-        seq: stat["seq"].as_u64().ok_or_else(|| wrong("stat.seq", "expected a whole number"))?,
+        seq: stat["seq"]
+            .as_u64()
+            .ok_or_else(|| wrong("stat.seq", "expected a whole number"))?,
         cold_ms: u32::try_from(cold.as_millis()).unwrap_or(u32::MAX),
     })
 }
@@ -75,8 +87,9 @@
 
 /// How a registry stands, for the operator's doctor.
 pub fn status(registry: &Registry, about: &About, now: u64) -> String {
-    let addresses =
-        |list: &[std::net::Ipv4Addr]| -> Vec<String> { list.iter().map(ToString::to_string).collect() };
+    let addresses = |list: &[std::net::Ipv4Addr]| -> Vec<String> {
+        list.iter().map(ToString::to_string).collect()
+    };
     let mut limiters = array![];
     for behind in registry.behind() {
         let (name, zone) = (behind.limiter.name, behind.limiter.zone);
@@ -101,7 +114,9 @@
             owner: row.owner.map(|owner| owner.to_string()),
         });
     }
-    let clock = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |clock| clock.as_millis() as u64);
+    let clock = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |clock| clock.as_millis() as u64);
     let status = object! {
         name: about.name,
         settled: registry.is_settled(now),
--- a/crates/emberpin-registry/src/calls.rs
+++ b/crates/emberpin-registry/src/calls.rs
@@ -98,9 +98,12 @@
                 _ = stream.set_nodelay(true);
                 let service = service_fn(|request| async {
                     let mut answered = calls.answer(request).await;
-                    if let (Ok(answer), true) = (&mut answered, calls.open.load(Ordering::Relaxed) > CROWDED)
+                    if let (Ok(answer), true) =
+                        (&mut answered, calls.open.load(Ordering::Relaxed) > CROWDED)
                     {
-                        answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+                        answer
+                            .headers_mut()
+                            .insert(CONNECTION, HeaderValue::from_static("close"));
                     }
                     answered
                 });
@@ -120,27 +123,42 @@
     async fn answer(&self, request: Request<Incoming>) -> Result<Answered, Infallible> {
         if self.stopping.load(Ordering::Relaxed) {
             let mut answer = later();
-            answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            answer
+                .headers_mut()
+                .insert(CONNECTION, HeaderValue::from_static("close"));
             return Ok(answer);
         }
         let method = request.method().as_str().to_string();
         let path = request.uri().path().to_string();
         Ok(match routes::route(&method, &path) {
-            Ok((call, subject)) => self
-                .call(call, &subject, request)
-                .await
-                .unwrap_or_else(|Refused(status, why)| plain(status, format!("{method} {path}: {why}\n"))),
-            Err(Unmatched::Path) => plain(StatusCode::NOT_FOUND, format!("{path}: there is no such call\n")),
+            Ok((call, subject)) => {
+                self.call(call, &subject, request)
+                    .await
+                    .unwrap_or_else(|Refused(status, why)| {
+                        plain(status, format!("{method} {path}: {why}\n"))
+                    })
+            }
+            Err(Unmatched::Path) => plain(
+                StatusCode::NOT_FOUND,
+                format!("{path}: there is no such call\n"),
+            ),
             Err(Unmatched::Method(expected)) => {
                 let why = format!("{path}: {method} is not its method, {expected} is\n");
                 let mut answer = plain(StatusCode::METHOD_NOT_ALLOWED, why);
-                answer.headers_mut().insert(ALLOW, HeaderValue::from_static(expected));
+                answer
+                    .headers_mut()
+                    .insert(ALLOW, HeaderValue::from_static(expected));
                 answer
             }
         })
     }
 
-    async fn call(&self, call: Call, subject: &str, request: Request<Incoming>) -> Result<Answered, Refused> {
+    async fn call(
+        &self,
+        call: Call,
+        subject: &str,
+        request: Request<Incoming>,
+    ) -> Result<Answered, Refused> {
         let (head, body) = request.into_parts();
         match call {
             Call::Heartbeat => {
@@ -148,33 +166,56 @@
                 let instance = body::heartbeat(subject, &body)
                     .map_err(|wrong| Refused(StatusCode::BAD_REQUEST, wrong.to_string()))?;
                 let (answer, owed) = oneshot::channel();
-                self.commands.send(Command::Heartbeat { instance, answer }).await;
+                self.commands
+                    .send(Command::Heartbeat { instance, answer })
+                    .await;
                 Ok(match timeout(BEAT, owed).await {
-                    Ok(Ok(Answer::Taken { beat_at })) => {
-                        json(StatusCode::OK, format!("{{\"hb_addr\":\"{beat_at}:{}\"}}", self.ctl_port))
-                    }
+                    Ok(Ok(Answer::Taken { beat_at })) => json(
+                        StatusCode::OK,
+                        format!("{{\"hb_addr\":\"{beat_at}:{}\"}}", self.ctl_port),
+                    ),
                     _ => later(),
                 })
             }
             Call::Leave => {
                 read(body, SMALL).await?;
                 let (answer, owed) = oneshot::channel();
-                self.commands.send(Command::Leave { id: subject.to_string(), answer }).await;
+                self.commands
+                    .send(Command::Leave {
+                        id: subject.to_string(),
+                        answer,
+                    })
+                    .await;
                 Ok(match timeout(BEAT, owed).await {
                     Ok(Ok(Answer::Taken { .. })) => Response::new(Full::default()),
                     _ => later(),
                 })
             }
             Call::Patch => {
-                let length = body.size_hint().upper().map_or(BODY, |length| length as usize).min(BODY);
+                let length = body
+                    .size_hint()
+                    .upper()
+                    .map_or(BODY, |length| length as usize)
+                    .min(BODY);
                 let room = self.room.acquire_many(length as u32 / 1024 + 1);
-                let Ok(Ok(_room)) = timeout(ORDER, room).await else { return Ok(later()) };
+                let Ok(Ok(_room)) = timeout(ORDER, room).await else {
+                    return Ok(later());
+                };
                 let body = read(body, BODY).await?;
                 if let Some(answer) = self.sent_on(&head.uri).await {
                     return Ok(answer);
                 }
-                let within = if body.len() < LARGE { ORDER } else { LARGE_ORDER };
-                Ok(self.pass(within, false, |id| StoreRequest::Patch { id, body: body.clone() }).await)
+                let within = if body.len() < LARGE {
+                    ORDER
+                } else {
+                    LARGE_ORDER
+                };
+                Ok(self
+                    .pass(within, false, |id| StoreRequest::Patch {
+                        id,
+                        body: body.clone(),
+                    })
+                    .await)
             }
             Call::Get => match self.sent_on(&head.uri).await {
                 Some(answer) => Ok(answer),
@@ -187,13 +228,24 @@
                 }
                 let (zone, begin) = (subject.to_string(), call == Call::Begin);
                 Ok(self
-                    .pass(ORDER, false, |id| StoreRequest::Evacuate { id, zone: zone.clone(), begin })
+                    .pass(ORDER, false, |id| StoreRequest::Evacuate {
+                        id,
+                        zone: zone.clone(),
+                        begin,
+                    })
                     .await)
             }
             Call::Status => {
                 let (answer, owed) = oneshot::channel();
-                self.commands.send(Command::Status { disk: self.stores.disk(), answer }).await;
-                Ok(owed.await.map_or_else(|_| later(), |status| json(StatusCode::OK, status)))
+                self.commands
+                    .send(Command::Status {
+                        disk: self.stores.disk(),
+                        answer,
+                    })
+                    .await;
+                Ok(owed
+                    .await
+                    .map_or_else(|_| later(), |status| json(StatusCode::OK, status)))
             }
         }
     }
@@ -209,14 +261,26 @@
             _ => return Some(later()),
         };
         let location = format!("http://{other}:{}{}?{SENT_ON}", self.ctl_port, uri.path());
-        let Ok(location) = HeaderValue::try_from(location) else { return Some(later()) };
-        let mut answer = plain(StatusCode::TEMPORARY_REDIRECT, "no majority is heard here\n".into());
+        let Ok(location) = HeaderValue::try_from(location) else {
+            return Some(later());
+        };
+        let mut answer = plain(
+            StatusCode::TEMPORARY_REDIRECT,
+            "no majority is heard here\n".into(),
+        );
         answer.headers_mut().insert(LOCATION, location);
         Some(answer)
     }
 
-    async fn pass(&self, within: Duration, is_json: bool, ask: impl Fn(u64) -> StoreRequest) -> Answered {
-        let Some(answered) = self.stores.pass(within, ask).await else { return later() };
+    async fn pass(
+        &self,
+        within: Duration,
+        is_json: bool,
+        ask: impl Fn(u64) -> StoreRequest,
+    ) -> Answered {
+        let Some(answered) = self.stores.pass(within, ask).await else {
+            return later();
+        };
         let status = StatusCode::from_u16(answered.status).unwrap_or(StatusCode::BAD_GATEWAY);
         match status {
             StatusCode::SERVICE_UNAVAILABLE => later_because(&answered.body),
@@ -230,13 +294,20 @@
     let mut bytes = Vec::new();
     loop {
         let silent = |_| Refused(StatusCode::REQUEST_TIMEOUT, "body: it does not come".into());
-        let Some(frame) = timeout(SILENT, body.frame()).await.map_err(silent)? else { return Ok(bytes) };
+        let Some(frame) = timeout(SILENT, body.frame()).await.map_err(silent)? else {
+            return Ok(bytes);
+        };
         let frame = frame.map_err(|e| Refused(StatusCode::BAD_REQUEST, format!("body: {e}")))?;
-        let Ok(data) = frame.into_data() else { continue };
+        let Ok(data) = frame.into_data() else {
+            continue;
+        };
         if bytes.len() + data.len() > most {
             // A connection that is closed with bytes unread is reset, and the answer may be lost with it.
             _ = timeout(COMES, pass_over(&mut body)).await;
-            return Err(Refused(StatusCode::PAYLOAD_TOO_LARGE, format!("body: more than {most} bytes")));
+            return Err(Refused(
+                StatusCode::PAYLOAD_TOO_LARGE,
+                format!("body: more than {most} bytes"),
+            ));
         }
         bytes.extend_from_slice(&data);
     }
@@ -246,7 +317,9 @@
     let mut left = PASSED_OVER;
     while let Some(Ok(frame)) = body.frame().await {
         let length = frame.data_ref().map_or(0, Bytes::len);
-        let Some(rest) = left.checked_sub(length) else { return };
+        let Some(rest) = left.checked_sub(length) else {
+            return;
+        };
         left = rest;
     }
 }
@@ -254,7 +327,9 @@
 fn answer(status: StatusCode, kind: &'static str, body: String) -> Answered {
     let mut answer = Response::new(Full::from(body));
     *answer.status_mut() = status;
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+    answer
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static(kind));
     answer
 }
 
@@ -273,6 +348,8 @@
 
 fn later_because(reason: &str) -> Answered {
     let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, format!("{reason}\n"));
-    answer.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("0.2"));
+    answer
+        .headers_mut()
+        .insert(RETRY_AFTER, HeaderValue::from_static("0.2"));
     answer
 }
--- a/crates/emberpin-registry/src/host.rs
+++ b/crates/emberpin-registry/src/host.rs
@@ -191,7 +191,9 @@
             Command::Session { session, out } => _ = self.sessions.insert(session, out),
             Command::Incoming { peer, out } => _ = self.incoming.insert(peer, out),
             Command::Outgoing { peer, out } => {
-                let Some(link) = self.links.get_mut(&peer) else { return };
+                let Some(link) = self.links.get_mut(&peer) else {
+                    return;
+                };
                 let open = out.is_some();
                 link.out = out;
                 self.handle(Event::Reached { peer, open });
@@ -248,9 +250,15 @@
             Action::Say { to, said } => {
                 let Some(frame) = frame(&said) else { return };
                 for peer in to {
-                    let Some(link) = self.links.get_mut(&peer) else { continue };
+                    let Some(link) = self.links.get_mut(&peer) else {
+                        continue;
+                    };
                     // Full, or gone: a new connection begins with all that there is.
-                    if link.out.as_ref().is_some_and(|out| out.try_send(frame.clone()).is_err()) {
+                    if link
+                        .out
+                        .as_ref()
+                        .is_some_and(|out| out.try_send(frame.clone()).is_err())
+                    {
                         link.out = None;
                         self.events.push_back(Event::Reached { peer, open: false });
                     }
--- a/crates/emberpin-registry/src/links.rs
+++ b/crates/emberpin-registry/src/links.rs
@@ -72,10 +72,15 @@
     from: &mut (impl AsyncRead + Unpin),
     within: Duration,
 ) -> Result<T, Broken> {
-    timeout(within, frames::read(from)).await.map_err(std::io::Error::from)?
+    timeout(within, frames::read(from))
+        .await
+        .map_err(std::io::Error::from)?
 }
 
-async fn write(to: &mut (impl AsyncWrite + Unpin), out: &mut mpsc::Receiver<Bytes>) -> Result<(), Broken> {
+async fn write(
+    to: &mut (impl AsyncWrite + Unpin),
+    out: &mut mpsc::Receiver<Bytes>,
+) -> Result<(), Broken> {
     while let Some(frame) = out.recv().await {
         to.write_all(&frame).await?;
     }
@@ -93,19 +98,30 @@
     let (from, mut to) = stream.into_split();
     let mut from = BufReader::new(from);
     let (out, mut frames_out) = mpsc::channel(BEHIND);
-    timeout(FIRST, identity.receive(&mut from)).await.map_err(std::io::Error::from)??;
+    timeout(FIRST, identity.receive(&mut from))
+        .await
+        .map_err(std::io::Error::from)??;
     identity.send(&mut to).await?;
     match next(&mut from, FIRST).await? {
         First::Limiter => {
-            commands.send(Command::Session { session: number, out }).await;
+            commands
+                .send(Command::Session {
+                    session: number,
+                    out,
+                })
+                .await;
             let reads = async {
                 loop {
                     let said: FromLimiter = next(&mut from, SILENCE).await?;
-                    commands.event(Event::Limiter { session: number, said }).await;
+                    commands
+                        .event(Event::Limiter {
+                            session: number,
+                            said,
+                        })
+                        .await;
                 }
             };
-            let ended =
-                tokio::select! { ended = reads => ended, ended = write(&mut to, &mut frames_out) => ended };
+            let ended = tokio::select! { ended = reads => ended, ended = write(&mut to, &mut frames_out) => ended };
             commands.event(Event::Ended { session: number }).await;
             ended
         }
@@ -134,7 +150,11 @@
     loop {
         let since = Instant::now();
         note(speak(&identity, me, peer, port, &commands).await);
-        pause = if since.elapsed() > LONGEST_PAUSE { PAUSE } else { (pause * 2).min(LONGEST_PAUSE) };
+        pause = if since.elapsed() > LONGEST_PAUSE {
+            PAUSE
+        } else {
+            (pause * 2).min(LONGEST_PAUSE)
+        };
         sleep(pause).await;
     }
 }
@@ -151,9 +171,16 @@
     let mut from = BufReader::new(from);
     identity.send(&mut to).await?;
     frames::write(&mut to, &First::Registry(me)).await?;
-    timeout(FIRST, identity.receive(&mut from)).await.map_err(std::io::Error::from)??;
+    timeout(FIRST, identity.receive(&mut from))
+        .await
+        .map_err(std::io::Error::from)??;
     let (out, mut frames_out) = mpsc::channel(BEHIND);
-    commands.send(Command::Outgoing { peer, out: Some(out) }).await;
+    commands
+        .send(Command::Outgoing {
+            peer,
+            out: Some(out),
+        })
+        .await;
     let reads = async {
         loop {
             // Acknowledgements come only when something was asked.
@@ -161,7 +188,8 @@
             commands.event(Event::Acked { peer, ack }).await;
         }
     };
-    let ended = tokio::select! { ended = reads => ended, ended = write(&mut to, &mut frames_out) => ended };
+    let ended =
+        tokio::select! { ended = reads => ended, ended = write(&mut to, &mut frames_out) => ended };
     commands.send(Command::Outgoing { peer, out: None }).await;
     ended
 }
--- a/crates/emberpin-registry/src/net.rs
+++ b/crates/emberpin-registry/src/net.rs
@@ -34,7 +34,9 @@
 /// As the system says, or a time-out.
 pub async fn connect(to: Ipv4Addr, port: u16) -> io::Result<TcpStream> {
     let connecting = TcpStream::connect((to, port));
-    let stream = tokio::time::timeout(CONNECT, connecting).await.map_err(io::Error::from)??;
+    let stream = tokio::time::timeout(CONNECT, connecting)
+        .await
+        .map_err(io::Error::from)??;
     tune(&stream)?;
     Ok(stream)
 }
--- a/crates/emberpin-registry/src/program.rs
+++ b/crates/emberpin-registry/src/program.rs
@@ -30,7 +30,10 @@
         Err(e) => return wrong(&e.to_string()),
     };
     if chosen.opt_present("help") {
-        print!("{}", options.usage("emberpin-registry: the registry of the gateway"));
+        print!(
+            "{}",
+            options.usage("emberpin-registry: the registry of the gateway")
+        );
         return ExitCode::SUCCESS;
     }
     if chosen.opt_present("version") {
@@ -45,7 +48,10 @@
         return ExitCode::SUCCESS;
     }
     logs::keep(log::LevelFilter::Info);
-    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+    let runtime = match tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+    {
         Ok(runtime) => runtime,
         Err(e) => return wrong(&format!("the runtime: {e}")),
     };
@@ -89,17 +95,28 @@
         })
         .collect();
     let process = Arc::new(ProcessIdentity::new(u64::from_be_bytes(instance)));
-    let stores = Arc::new(Stores::new(process.clone(), settings.ip, settings.store_port(), seeds.clone()));
+    let stores = Arc::new(Stores::new(
+        process.clone(),
+        settings.ip,
+        settings.store_port(),
+        seeds.clone(),
+    ));
     let limits = Limits {
         me: settings.ip,
         zone: settings.zone.clone(),
         incarnation: u64::from_be_bytes(instance),
-        beat_ms: u64::try_from(settings.beat.as_millis()).unwrap_or(u64::MAX).max(1),
+        beat_ms: u64::try_from(settings.beat.as_millis())
+            .unwrap_or(u64::MAX)
+            .max(1),
         seeds,
         part_bytes: PART_BYTES,
     };
     let (host, commands) = Host::new(
-        Identity { name: settings.nodename.clone(), port, process: process.clone() },
+        Identity {
+            name: settings.nodename.clone(),
+            port,
+            process: process.clone(),
+        },
         limits,
         stores.clone(),
     );
--- a/crates/emberpin-registry/src/routes.rs
+++ b/crates/emberpin-registry/src/routes.rs
@@ -43,21 +43,51 @@
 }
 
 const fn at(text: &'static str, below: &'static [Matcher]) -> Matcher {
-    Matcher { text: Some(text), below, end: None }
+    Matcher {
+        text: Some(text),
+        below,
+        end: None,
+    }
 }
 
 const fn any(below: &'static [Matcher]) -> Matcher {
-    Matcher { text: None, below, end: None }
+    Matcher {
+        text: None,
+        below,
+        end: None,
+    }
 }
 
 const fn end(text: &'static str, method: &'static str, call: Call) -> Matcher {
-    Matcher { text: Some(text), below: &[], end: Some((method, call)) }
+    Matcher {
+        text: Some(text),
+        below: &[],
+        end: Some((method, call)),
+    }
 }
 
 const ROOT: &[Matcher] = &[
-    at("instances", &[any(&[end("heartbeat", "POST", Call::Heartbeat), end("leave", "POST", Call::Leave)])]),
-    at("config", &[end("patch", "POST", Call::Patch), end("get", "GET", Call::Get)]),
-    at("evac", &[any(&[end("begin", "POST", Call::Begin), end("finish", "POST", Call::Finish)])]),
+    at(
+        "instances",
+        &[any(&[
+            end("heartbeat", "POST", Call::Heartbeat),
+            end("leave", "POST", Call::Leave),
+        ])],
+    ),
+    at(
+        "config",
+        &[
+            end("patch", "POST", Call::Patch),
+            end("get", "GET", Call::Get),
+        ],
+    ),
+    at(
+        "evac",
+        &[any(&[
+            end("begin", "POST", Call::Begin),
+            end("finish", "POST", Call::Finish),
+        ])],
+    ),
     end("status", "GET", Call::Status),
 ];
 
--- a/crates/emberpin-registry/src/store.rs
+++ b/crates/emberpin-registry/src/store.rs
@@ -75,7 +75,12 @@
 
 impl Stores {
     /// Those on these machines, at this port.
-    pub fn new(identity: Arc<ProcessIdentity>, me: Ipv4Addr, port: u16, seeds: Vec<Ipv4Addr>) -> Stores {
+    pub fn new(
+        identity: Arc<ProcessIdentity>,
+        me: Ipv4Addr,
+        port: u16,
+        seeds: Vec<Ipv4Addr>,
+    ) -> Stores {
         Stores {
             identity,
             me,
@@ -112,7 +117,11 @@
             let heard = Instant::now();
             let ended = self.follow_one(self.me, &commands).await;
             log::debug!("the store here: {ended}");
-            pause = if heard.elapsed() > LONGEST_PAUSE { PAUSE } else { (pause * 2).min(LONGEST_PAUSE) };
+            pause = if heard.elapsed() > LONGEST_PAUSE {
+                PAUSE
+            } else {
+                (pause * 2).min(LONGEST_PAUSE)
+            };
             sleep(pause).await;
         }
     }
@@ -125,7 +134,9 @@
                 continue;
             }
             let others = self.others();
-            let Some(other) = others.get(turn % others.len().max(1)).copied() else { continue };
+            let Some(other) = others.get(turn % others.len().max(1)).copied() else {
+                continue;
+            };
             turn += 1;
             let ended = self.follow_one(other, &commands).await;
             log::debug!("the store on {other}: {ended}");
@@ -159,7 +170,11 @@
         let mut questions = self.questions.subscribe();
         loop {
             let question = *questions.borrow_and_update();
-            frames::write(to, &ToStore::StoreRequest(StoreRequest::Confirm { question })).await?;
+            frames::write(
+                to,
+                &ToStore::StoreRequest(StoreRequest::Confirm { question }),
+            )
+            .await?;
             // Its sender lives as long as this does.
             _ = questions.changed().await;
         }
@@ -198,8 +213,16 @@
 
     fn others(&self) -> Vec<Ipv4Addr> {
         let voters = locked(&self.voters);
-        let known = if voters.is_empty() { &self.seeds } else { &*voters };
-        known.iter().copied().filter(|other| *other != self.me).collect()
+        let known = if voters.is_empty() {
+            &self.seeds
+        } else {
+            &*voters
+        };
+        known
+            .iter()
+            .copied()
+            .filter(|other| *other != self.me)
+            .collect()
     }
 
     /// Passes a call to a store; `None` if none has answered in time. `ask` is given the number of the call,
@@ -220,7 +243,9 @@
             for store in stores {
                 let id = self.ids.fetch_add(1, Ordering::Relaxed);
                 let asked = Instant::now();
-                let Some(answered) = self.ask(store, id, ask(id)).await else { continue };
+                let Some(answered) = self.ask(store, id, ask(id)).await else {
+                    continue;
+                };
                 if answered.status != UNAVAILABLE || asked.elapsed() > REFUSED_AT_ONCE {
                     return Some(answered);
                 }
@@ -232,16 +257,25 @@
     }
 
     fn local_takes_no_calls(&self) -> bool {
-        let unusable = |disk: DiskReport| matches!(disk.state, DiskState::Full | DiskState::Stalled);
+        let unusable =
+            |disk: DiskReport| matches!(disk.state, DiskState::Full | DiskState::Stalled);
         locked(&self.local).elapsed() >= ALONE || self.disk().is_some_and(unusable)
     }
 
-    async fn ask(self: &Arc<Stores>, store: Ipv4Addr, id: u64, ask: StoreRequest) -> Option<Answered> {
+    async fn ask(
+        self: &Arc<Stores>,
+        store: Ipv4Addr,
+        id: u64,
+        ask: StoreRequest,
+    ) -> Option<Answered> {
         let frame = frames::frame(&ToStore::StoreRequest(ask)).ok()?;
         let passing = self.passing(store).await?;
         let (tell, told) = oneshot::channel();
         locked(&passing.waiting).insert(id, tell);
-        let forget = Forget { waiting: &passing.waiting, id };
+        let forget = Forget {
+            waiting: &passing.waiting,
+            id,
+        };
         let sent = passing.out.send(frame.into()).await;
         let answered = match sent {
             Ok(()) => told.await.ok(),
@@ -252,13 +286,22 @@
     }
 
     async fn passing(self: &Arc<Stores>, store: Ipv4Addr) -> Option<Passing> {
-        let known = locked(&self.passing).get(&store).filter(|known| !known.out.is_closed()).cloned();
+        let known = locked(&self.passing)
+            .get(&store)
+            .filter(|known| !known.out.is_closed())
+            .cloned();
         if known.is_some() {
             return known;
         }
-        let stream = timeout(CONNECT, net::connect(store, self.port)).await.ok()?.ok()?;
+        let stream = timeout(CONNECT, net::connect(store, self.port))
+            .await
+            .ok()?
+            .ok()?;
         let (out, mut frames_out) = mpsc::channel::<Bytes>(WAITING);
-        let passing = Passing { out, waiting: Waiting::default() };
+        let passing = Passing {
+            out,
+            waiting: Waiting::default(),
+        };
         locked(&self.passing).insert(store, passing.clone());
         let waiting = passing.waiting.clone();
         let identity = self.identity.clone();
--- a/crates/emberpin-routing/src/budget.rs
+++ b/crates/emberpin-routing/src/budget.rs
@@ -53,7 +53,14 @@
     pub fn new(now: f64, ratio: f64, window_ms: f64, extra: f64) -> Budget {
         let part_ms = window_ms.max(1.0) / PARTS as f64;
         let born = (now.max(0.0) / part_ms) as u64;
-        Budget { ratio, extra, part_ms, born, latest: born, services: HashMap::new() }
+        Budget {
+            ratio,
+            extra,
+            part_ms,
+            born,
+            latest: born,
+            services: HashMap::new(),
+        }
     }
 
     /// A client's request for this service has come.
@@ -67,7 +74,9 @@
     /// if nobody has said.
     pub fn may(&self, now: f64, service: &str, limiters: u32) -> bool {
         let number = self.number(now);
-        let Some(ring) = self.services.get(service) else { return false };
+        let Some(ring) = self.services.get(service) else {
+            return false;
+        };
         let within = |parts: u64| ring.iter().filter(move |part| part.number + parts > number);
         // Against ourselves: what was spent counts also in the part that reaches into the window, requests do
         // not.
@@ -103,17 +112,27 @@
         let number = self.number(now);
         if number > self.latest {
             self.latest = number;
-            self.services.retain(|_, ring| ring.iter().any(|part| part.number + PARTS >= number));
+            self.services
+                .retain(|_, ring| ring.iter().any(|part| part.number + PARTS >= number));
         }
         if !self.services.contains_key(service) {
             if self.services.len() >= MOST {
                 return None;
             }
-            self.services.insert(service.into(), [Part { number, ..Part::default() }; RING]);
+            self.services.insert(
+                service.into(),
+                [Part {
+                    number,
+                    ..Part::default()
+                }; RING],
+            );
         }
         let part = &mut self.services.get_mut(service)?[(number % RING as u64) as usize];
         if part.number != number {
-            *part = Part { number, ..Part::default() };
+            *part = Part {
+                number,
+                ..Part::default()
+            };
         }
         Some(part)
     }
--- a/crates/emberpin-routing/src/cold.rs
+++ b/crates/emberpin-routing/src/cold.rs
@@ -68,14 +68,26 @@
     pub fn of(bound: u32, limiters: u32) -> Share {
         let twice = limiters.max(FEWEST).saturating_mul(2);
         if twice <= bound {
-            return Share { admitted: 1.0, each: bound / twice };
+            return Share {
+                admitted: 1.0,
+                each: bound / twice,
+            };
         }
         if bound == 0 {
-            return Share { admitted: 0.0, each: 0 };
+            return Share {
+                admitted: 0.0,
+                each: 0,
+            };
         }
         let (all, many) = (f64::from(twice), f64::from(bound) + 1.0);
         let part = many / all;
-        let rest = |p: f64| if part < 1.0 { (1.0 - part) * ((1.0 - part) / (1.0 - p)).ln() } else { 0.0 };
+        let rest = |p: f64| {
+            if part < 1.0 {
+                (1.0 - part) * ((1.0 - part) / (1.0 - p)).ln()
+            } else {
+                0.0
+            }
+        };
         let safe = |p: f64| all * (part * (part / p).ln() + rest(p)) >= -RISK.ln();
         let (mut low, mut high) = (0.0, part);
         for _ in 0..40 {
@@ -86,7 +98,10 @@
                 high = middle;
             }
         }
-        Share { admitted: low, each: 1 }
+        Share {
+            admitted: low,
+            each: 1,
+        }
     }
 }
 
@@ -120,12 +135,23 @@
         if limiters > self.limiters.saturating_add(self.limiters / 8) {
             self.quiet_until = self.quiet_until.max(now + QUIET_MS);
         }
-        self.limiters = if self.guards.greatest { self.limiters.max(limiters) } else { limiters };
+        self.limiters = if self.guards.greatest {
+            self.limiters.max(limiters)
+        } else {
+            limiters
+        };
     }
 
     /// Whether the limiter `me` may send one more request to this cold server now. `limiters`: how many there
     /// are, 0 if nobody has said; then none may be sent.
-    pub fn may(&mut self, now: f64, server: &str, cold: &Coldness, limiters: u32, me: &str) -> bool {
+    pub fn may(
+        &mut self,
+        now: f64,
+        server: &str,
+        cold: &Coldness,
+        limiters: u32,
+        me: &str,
+    ) -> bool {
         self.told(now, limiters);
         if self.limiters == 0 || (now < self.quiet_until && self.guards.quiet) {
             return false;
@@ -134,7 +160,8 @@
         if fraction(server, me) >= share.admitted && self.guards.admission {
             return false;
         }
-        let of_late = |sent: &VecDeque<f64>| sent.iter().filter(|at| now - **at < WINDOW_MS).count();
+        let of_late =
+            |sent: &VecDeque<f64>| sent.iter().filter(|at| now - **at < WINDOW_MS).count();
         self.sent.get(server).map_or(0, of_late) < share.each as usize
     }
 
@@ -142,7 +169,8 @@
     pub fn sent(&mut self, now: f64, server: &str) {
         if now - self.swept >= WINDOW_MS {
             self.swept = now;
-            self.sent.retain(|_, sent| sent.back().is_some_and(|at| now - at < WINDOW_MS));
+            self.sent
+                .retain(|_, sent| sent.back().is_some_and(|at| now - at < WINDOW_MS));
         }
         let sent = self.sent.entry(server.into()).or_default();
         while sent.front().is_some_and(|at| now - at >= WINDOW_MS) {
@@ -173,7 +201,9 @@
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
     let bytes = server.bytes().chain([0]).chain(me.bytes());
-    let mut hash = bytes.fold(OFFSET, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME));
+    let mut hash = bytes.fold(OFFSET, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(PRIME)
+    });
     // FNV-1a spreads the last bytes badly, and names differ in their last bytes: mixed as in SplitMix64.
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/emberpin-routing/src/fleet.rs
+++ b/crates/emberpin-routing/src/fleet.rs
@@ -73,7 +73,9 @@
 
 impl Entry {
     fn cold_until(&self) -> f64 {
-        self.returned.map_or(self.cold_until, |returned| self.cold_until.max(returned.until))
+        self.returned.map_or(self.cold_until, |returned| {
+            self.cold_until.max(returned.until)
+        })
     }
 
     fn wrong(&self) -> bool {
@@ -101,7 +103,10 @@
 impl Fleet {
     /// Knows nobody. `beat_ms`: the period in which servers beat.
     pub fn new(beat_ms: f64) -> Fleet {
-        Fleet { beat_ms, ..Fleet::default() }
+        Fleet {
+            beat_ms,
+            ..Fleet::default()
+        }
     }
 
     /// What the services say of their cold servers.
@@ -116,7 +121,9 @@
 
     /// Instances as told now, with `cold_ms` from now on.
     pub fn tell(&mut self, now: f64, instances: &[Instance]) {
-        instances.iter().for_each(|instance| self.merge(now, instance));
+        instances
+            .iter()
+            .for_each(|instance| self.merge(now, instance));
     }
 
     /// All instances that a registry knows. A `complete` one takes away those that it does not name.
@@ -125,9 +132,16 @@
         if !complete {
             return;
         }
-        let named: BTreeSet<&str> = instances.iter().map(|instance| instance.id.as_str()).collect();
-        let gone: Vec<String> =
-            self.instances.keys().filter(|id| !named.contains(id.as_str())).cloned().collect();
+        let named: BTreeSet<&str> = instances
+            .iter()
+            .map(|instance| instance.id.as_str())
+            .collect();
+        let gone: Vec<String> = self
+            .instances
+            .keys()
+            .filter(|id| !named.contains(id.as_str()))
+            .cloned()
+            .collect();
         for id in gone {
             self.remove(&id);
         }
@@ -135,7 +149,12 @@
 
     fn merge(&mut self, now: f64, instance: &Instance) {
         let told = (instance.status, instance.seq);
-        if self.guards.rises && self.left.get(&instance.id).is_some_and(|left| told <= *left) {
+        if self.guards.rises
+            && self
+                .left
+                .get(&instance.id)
+                .is_some_and(|left| told <= *left)
+        {
             return;
         }
         let Some(entry) = self.instances.get_mut(&instance.id) else {
@@ -149,14 +168,24 @@
         let until = now + f64::from(instance.cold_ms);
         // The same beat told again says nothing new of how long it takes; the later of both is the safe one.
         let newer = instance.seq > entry.instance.seq;
-        let until = if newer { until } else { until.max(entry.cold_until) };
-        if entry.returned.is_some_and(|returned| instance.seq > returned.seq && now >= returned.heard_from) {
+        let until = if newer {
+            until
+        } else {
+            until.max(entry.cold_until)
+        };
+        if entry
+            .returned
+            .is_some_and(|returned| instance.seq > returned.seq && now >= returned.heard_from)
+        {
             entry.returned = None;
         }
         // A later standing may come with a lower number than was seen: the higher one stays known.
         let seq = entry.instance.seq.max(instance.seq);
         if told > known || !self.guards.rises {
-            entry.instance = Instance { seq, ..instance.clone() };
+            entry.instance = Instance {
+                seq,
+                ..instance.clone()
+            };
         }
         if until > entry.cold_until {
             self.generation += 1;
@@ -177,7 +206,12 @@
         // Only what stands over how it left comes here; its place in the queue stays and does no harm.
         self.left.remove(&instance.id);
         let cold_until = now + f64::from(instance.cold_ms);
-        let entry = Entry { instance: instance.clone(), cold_until, returned: None, wrong: None };
+        let entry = Entry {
+            instance: instance.clone(),
+            cold_until,
+            returned: None,
+            wrong: None,
+        };
         self.instances.insert(instance.id.clone(), entry);
         self.touch(&instance.id);
     }
@@ -208,12 +242,18 @@
         let before = std::mem::replace(&mut self.evacuated, zones);
         let ids: Vec<String> = self.instances.keys().cloned().collect();
         for id in ids {
-            let Some(entry) = self.instances.get_mut(&id) else { continue };
-            let (was, is) =
-                (before.contains(&entry.instance.zone), self.evacuated.contains(&entry.instance.zone));
+            let Some(entry) = self.instances.get_mut(&id) else {
+                continue;
+            };
+            let (was, is) = (
+                before.contains(&entry.instance.zone),
+                self.evacuated.contains(&entry.instance.zone),
+            );
             if was && !is && self.guards.returned {
-                let warmup =
-                    self.warmth.get(&entry.instance.service).map_or(WARMUP_MS, |warmth| warmth.warmup_ms);
+                let warmup = self
+                    .warmth
+                    .get(&entry.instance.service)
+                    .map_or(WARMUP_MS, |warmth| warmth.warmup_ms);
                 entry.returned = Some(Returned {
                     until: now + warmup,
                     heard_from: now + self.beat_ms,
@@ -254,14 +294,24 @@
     /// All instances that were not found wrong, to be told to a registry that knows less, each with what is left
     /// of its cold time.
     pub fn instances(&self, now: f64) -> Vec<Instance> {
-        let left = |entry: &Entry| (entry.cold_until() - now).clamp(0.0, f64::from(u32::MAX)) as u32;
-        let told = |entry: &Entry| Instance { cold_ms: left(entry), ..entry.instance.clone() };
-        self.instances.values().filter(|entry| !entry.wrong()).map(told).collect()
+        let left =
+            |entry: &Entry| (entry.cold_until() - now).clamp(0.0, f64::from(u32::MAX)) as u32;
+        let told = |entry: &Entry| Instance {
+            cold_ms: left(entry),
+            ..entry.instance.clone()
+        };
+        self.instances
+            .values()
+            .filter(|entry| !entry.wrong())
+            .map(told)
+            .collect()
     }
 
     /// Whether an instance is cold now.
     pub fn cold(&self, now: f64, id: &str) -> bool {
-        self.instances.get(id).is_some_and(|entry| now < entry.cold_until())
+        self.instances
+            .get(id)
+            .is_some_and(|entry| now < entry.cold_until())
     }
 
     /// A server has said in an answer for how much longer it is cold (`Cold-Ms`).
@@ -297,7 +347,10 @@
                     slots: instance.slots,
                     work,
                 },
-                (None, Some(known)) => Change { work, ..known.clone() },
+                (None, Some(known)) => Change {
+                    work,
+                    ..known.clone()
+                },
                 (None, None) => continue,
             };
             if self.known.get(&id) == Some(&now) {
--- a/crates/emberpin-routing/src/guards.rs
+++ b/crates/emberpin-routing/src/guards.rs
@@ -19,6 +19,13 @@
 
 impl Default for Guards {
     fn default() -> Guards {
-        Guards { rises: true, returned: true, quiet: true, greatest: true, admission: true, newest: true }
+        Guards {
+            rises: true,
+            returned: true,
+            quiet: true,
+            greatest: true,
+            admission: true,
+            newest: true,
+        }
     }
 }
--- a/crates/emberpin-routing/src/matcher.rs
+++ b/crates/emberpin-routing/src/matcher.rs
@@ -38,11 +38,16 @@
                 _ => Rc::new(route),
             };
             self.named.insert(route.name.as_str().into(), route.clone());
-            let Some(mut rest) = route.prefix.strip_prefix('/') else { continue };
+            let Some(mut rest) = route.prefix.strip_prefix('/') else {
+                continue;
+            };
             if !route.prefix.ends_with('/') {
                 continue;
             }
-            let mut node = self.hosts.entry(plain(&route.hostname).as_ref().into()).or_default();
+            let mut node = self
+                .hosts
+                .entry(plain(&route.hostname).as_ref().into())
+                .or_default();
             while let Some((segment, behind)) = rest.split_once('/') {
                 node = node.next.entry(segment.into()).or_default();
                 rest = behind;
@@ -59,7 +64,9 @@
         let mut longest = node.route.as_ref();
         // A segment counts only with the slash behind it: "/leny950" does not begin with "/leny950/".
         while let Some((segment, behind)) = rest.split_once('/') {
-            let Some(next) = node.next.get(segment) else { break };
+            let Some(next) = node.next.get(segment) else {
+                break;
+            };
             node = next;
             longest = node.route.as_ref().or(longest);
             rest = behind;
--- a/crates/emberpin-routing/src/pick.rs
+++ b/crates/emberpin-routing/src/pick.rs
@@ -34,7 +34,14 @@
     /// For the limiter `me`, whose instance starts at `now`, with the period in which servers beat.
     pub fn new(now: f64, me: &str, rule: ColdRule, beat_ms: f64) -> Router {
         let (matcher, fleet) = (Matcher::default(), Fleet::new(beat_ms));
-        Router { me: me.into(), rule, limiters: 0, matcher, fleet, cold: Cold::new(now) }
+        Router {
+            me: me.into(),
+            rule,
+            limiters: 0,
+            matcher,
+            fleet,
+            cold: Cold::new(now),
+        }
     }
 
     /// For tests.
@@ -57,7 +64,13 @@
     ///
     /// Whether a server may get work reaches those requests as [`crate::Fleet::changes`], and a cold server's share is
     /// booked by [`Router::sent`] when it is picked, so neither is asked again here.
-    pub fn follow(&self, host: &str, path: &str, picked: &Rc<Route>, service: &str) -> Option<Rc<Route>> {
+    pub fn follow(
+        &self,
+        host: &str,
+        path: &str,
+        picked: &Rc<Route>,
+        service: &str,
+    ) -> Option<Rc<Route>> {
         if !self.fleet.guards.newest {
             return Some(picked.clone());
         }
@@ -81,8 +94,14 @@
         if !self.fleet.cold(now, id) {
             return true;
         }
-        let Some(Warmth { per_s, .. }) = self.fleet.warmth_of(service) else { return false };
-        let coldness = Coldness { per_s, excess: self.rule.excess, extra: self.rule.extra };
+        let Some(Warmth { per_s, .. }) = self.fleet.warmth_of(service) else {
+            return false;
+        };
+        let coldness = Coldness {
+            per_s,
+            excess: self.rule.excess,
+            extra: self.rule.extra,
+        };
         self.cold.may(now, id, &coldness, self.limiters, &self.me)
     }
 }
--- a/crates/emberpin-routing/src/split.rs
+++ b/crates/emberpin-routing/src/split.rs
@@ -2,7 +2,11 @@
 
 /// The target for a draw in [0, 1), by weight among those that `usable` says have a server for it. Where none
 /// has, among all: the request may wait there. A weight of 0 gets nothing; `None` if no target has any.
-pub fn target(targets: &[(String, u32)], draw: f64, mut usable: impl FnMut(&str) -> bool) -> Option<&str> {
+pub fn target(
+    targets: &[(String, u32)],
+    draw: f64,
+    mut usable: impl FnMut(&str) -> bool,
+) -> Option<&str> {
     if let [(only, weight)] = targets {
         return (*weight > 0).then_some(only.as_str());
     }
--- a/crates/emberpin-runtime/src/frames.rs
+++ b/crates/emberpin-runtime/src/frames.rs
@@ -46,7 +46,10 @@
 /// # Errors
 ///
 /// [`Broken`]: the connection is of no use after it.
-pub async fn write<T: Serialize>(to: &mut (impl AsyncWrite + Unpin), message: &T) -> Result<(), Broken> {
+pub async fn write<T: Serialize>(
+    to: &mut (impl AsyncWrite + Unpin),
+    message: &T,
+) -> Result<(), Broken> {
     Ok(to.write_all(&frame(message)?).await?)
 }
 
--- a/crates/emberpin-runtime/src/logs.rs
+++ b/crates/emberpin-runtime/src/logs.rs
@@ -60,8 +60,15 @@
 }
 
 fn to(level: LevelFilter, out: impl Write + Send + 'static) {
-    let config =
-        ConfigBuilder::new().set_time_level(LevelFilter::Off).set_target_level(LevelFilter::Error).build();
-    let ring = Ring { lines: VecDeque::new(), size: 0, line: Vec::new(), out };
+    let config = ConfigBuilder::new()
+        .set_time_level(LevelFilter::Off)
+        .set_target_level(LevelFilter::Error)
+        .build();
+    let ring = Ring {
+        lines: VecDeque::new(),
+        size: 0,
+        line: Vec::new(),
+        out,
+    };
     _ = WriteLogger::init(level, config, ring);
 }
--- a/crates/emberpin-runtime/src/preamble.rs
+++ b/crates/emberpin-runtime/src/preamble.rs
@@ -66,8 +66,11 @@
     ///
     /// [`Refused::NoPreamble`], [`Refused::Version`].
     pub fn decode(bytes: &[u8; LENGTH]) -> Result<Preamble, Refused> {
-        let number =
-            |from: usize| bytes[from..from + 8].iter().fold(0, |number, byte| number << 8 | u64::from(*byte));
+        let number = |from: usize| {
+            bytes[from..from + 8]
+                .iter()
+                .fold(0, |number, byte| number << 8 | u64::from(*byte))
+        };
         if bytes[..4] != MAGIC {
             return Err(Refused::NoPreamble);
         }
@@ -75,7 +78,10 @@
         if version != PROTOCOL_VERSION {
             return Err(Refused::Version(version));
         }
-        Ok(Preamble { system: NonZeroU64::new(number(8)), incarnation: number(16) })
+        Ok(Preamble {
+            system: NonZeroU64::new(number(8)),
+            incarnation: number(16),
+        })
     }
 }
 
@@ -91,7 +97,10 @@
 impl ProcessIdentity {
     /// A process with this incarnation, of a system that it doesn't know yet.
     pub fn new(incarnation: u64) -> ProcessIdentity {
-        ProcessIdentity { incarnation, ..ProcessIdentity::default() }
+        ProcessIdentity {
+            incarnation,
+            ..ProcessIdentity::default()
+        }
     }
 
     /// The system, if it is known.
@@ -101,7 +110,9 @@
 
     /// Takes the system, unless it is known already; whether it was taken.
     pub fn learn(&self, system: NonZeroU64) -> bool {
-        self.system.compare_exchange(0, system.get(), Ordering::Relaxed, Ordering::Relaxed).is_ok()
+        self.system
+            .compare_exchange(0, system.get(), Ordering::Relaxed, Ordering::Relaxed)
+            .is_ok()
     }
 
     /// How many peers were refused.
@@ -123,7 +134,10 @@
 
     /// What it says first.
     pub fn preamble(&self) -> Preamble {
-        Preamble { system: self.system(), incarnation: self.incarnation }
+        Preamble {
+            system: self.system(),
+            incarnation: self.incarnation,
+        }
     }
 
     /// Says it.
@@ -148,7 +162,10 @@
     }
 
     /// No further than it can be told who it is: another version's may be shorter.
-    async fn read(&self, from: &mut (impl AsyncRead + Unpin)) -> Result<Result<Preamble, Refused>, Broken> {
+    async fn read(
+        &self,
+        from: &mut (impl AsyncRead + Unpin),
+    ) -> Result<Result<Preamble, Refused>, Broken> {
         let mut bytes = [0; LENGTH];
         let (magic, rest) = bytes.split_at_mut(MAGIC.len());
         from.read_exact(magic).await?;
--- a/crates/emberpin-runtime/src/settings.rs
+++ b/crates/emberpin-runtime/src/settings.rs
@@ -125,7 +125,11 @@
     /// [`Wrong`].
     pub fn from_file(file: &Path) -> Result<Settings, Wrong> {
         let name = file.display().to_string();
-        let wrong = |field: &str, what: String| Wrong { file: name.clone(), field: field.into(), what };
+        let wrong = |field: &str, what: String| Wrong {
+            file: name.clone(),
+            field: field.into(),
+            what,
+        };
         let text = std::fs::read_to_string(file).map_err(|e| wrong("file", e.to_string()))?;
         Settings::read(&text, &name)
     }
@@ -141,14 +145,19 @@
             field: "TOML".into(),
             what: e.to_string().trim().replace('\n', " "),
         })?;
-        let at = At { file, table: &table };
+        let at = At {
+            file,
+            table: &table,
+        };
         let zones = match at.find("network.zones") {
             None => BTreeMap::new(),
             Some(Value::Table(zones)) => zones
                 .iter()
                 .map(|(zone, region)| match region.as_str() {
                     Some(region) => Ok((zone.clone(), region.to_string())),
-                    None => Err(at.wrong(&format!("network.zones.{zone}"), "expected a region's name")),
+                    None => {
+                        Err(at.wrong(&format!("network.zones.{zone}"), "expected a region's name"))
+                    }
                 })
                 .collect::<Result<_, _>>()?,
             Some(_) => return Err(at.wrong("network.zones", "expected a table")),
@@ -156,7 +165,9 @@
         let ports = at.list("network.port_range")?;
         let port = |value: &Value| value.as_integer().and_then(|port| u16::try_from(port).ok());
         let ports = match ports.as_slice() {
-            [first, last] => port(first).zip(port(last)).filter(|(first, last)| *first > 0 && last > first),
+            [first, last] => port(first)
+                .zip(port(last))
+                .filter(|(first, last)| *first > 0 && last > first),
             _ => None,
         };
         let seeds = at
@@ -165,12 +176,18 @@
             .map(|seed| seed.as_str().and_then(|seed| seed.parse().ok()));
         Ok(Settings {
             nodename: at.text("self.nodename")?,
-            ip: at.parsed("self.ip")?.ok_or_else(|| at.wrong("self.ip", "is missing"))?,
+            ip: at
+                .parsed("self.ip")?
+                .ok_or_else(|| at.wrong("self.ip", "is missing"))?,
             zone: at.text("self.az")?,
             region: at.text("self.rgn")?,
             voting: at.flag("self.voting")?,
             bootstrap: at.flag("self.bootstrap")?,
-            datadir: at.find("self.datadir").map(|_| at.text("self.datadir")).transpose()?.map(PathBuf::from),
+            datadir: at
+                .find("self.datadir")
+                .map(|_| at.text("self.datadir"))
+                .transpose()?
+                .map(PathBuf::from),
             nofile: at.count("self.limits.nofile")?,
             mem_mb: at.count("self.limits.mem_mb")? as u64,
             disk_mb: match at.find("self.limits.disk_mb") {
@@ -180,7 +197,8 @@
             http: at.parsed("network.listen.http")?,
             readyz: at.parsed("network.listen.readyz")?,
             ctl: at.parsed("network.listen.ctl")?,
-            ports: ports.ok_or_else(|| at.wrong("network.port_range", "expected two rising ports"))?,
+            ports: ports
+                .ok_or_else(|| at.wrong("network.port_range", "expected two rising ports"))?,
             seeds: seeds
                 .collect::<Option<_>>()
                 .ok_or_else(|| at.wrong("network.seeds", "expected addresses with ports"))?,
@@ -222,7 +240,11 @@
 
 impl At<'_> {
     fn wrong(&self, field: &str, what: impl fmt::Display) -> Wrong {
-        Wrong { file: self.file.into(), field: field.into(), what: what.to_string() }
+        Wrong {
+            file: self.file.into(),
+            field: field.into(),
+            what: what.to_string(),
+        }
     }
 
     fn find(&self, path: &str) -> Option<&Value> {
@@ -232,11 +254,15 @@
     }
 
     fn need(&self, path: &str) -> Result<&Value, Wrong> {
-        self.find(path).ok_or_else(|| self.wrong(path, "is missing"))
+        self.find(path)
+            .ok_or_else(|| self.wrong(path, "is missing"))
     }
 
     fn text(&self, path: &str) -> Result<String, Wrong> {
-        let text = self.need(path)?.as_str().ok_or_else(|| self.wrong(path, "expected a text"))?;
+        let text = self
+            .need(path)?
+            .as_str()
+            .ok_or_else(|| self.wrong(path, "expected a text"))?;
         Ok(text.to_string())
     }
 
@@ -245,28 +271,41 @@
             return Ok(None);
         }
         let text = self.text(path)?;
-        text.parse().map(Some).map_err(|_| self.wrong(path, format!("expected an address, found \"{text}\"")))
+        text.parse()
+            .map(Some)
+            .map_err(|_| self.wrong(path, format!("expected an address, found \"{text}\"")))
     }
 
     fn flag(&self, path: &str) -> Result<bool, Wrong> {
         match self.find(path) {
             None => Ok(false),
-            Some(value) => value.as_bool().ok_or_else(|| self.wrong(path, "expected true or false")),
+            Some(value) => value
+                .as_bool()
+                .ok_or_else(|| self.wrong(path, "expected true or false")),
         }
     }
 
     fn list(&self, path: &str) -> Result<Vec<Value>, Wrong> {
-        Ok(self.need(path)?.as_array().ok_or_else(|| self.wrong(path, "expected a list"))?.clone())
+        Ok(self
+            .need(path)?
+            .as_array()
+            .ok_or_else(|| self.wrong(path, "expected a list"))?
+            .clone())
     }
 
     fn count(&self, path: &str) -> Result<usize, Wrong> {
-        let number = self.need(path)?.as_integer().and_then(|number| usize::try_from(number).ok());
+        let number = self
+            .need(path)?
+            .as_integer()
+            .and_then(|number| usize::try_from(number).ok());
         number.ok_or_else(|| self.wrong(path, "expected a whole number"))
     }
 
     fn number(&self, path: &str) -> Result<f64, Wrong> {
         let value = self.need(path)?;
-        let number = value.as_float().or_else(|| value.as_integer().map(|number| number as f64));
+        let number = value
+            .as_float()
+            .or_else(|| value.as_integer().map(|number| number as f64));
         number
             .filter(|number| number.is_finite() && *number >= 0.0)
             .ok_or_else(|| self.wrong(path, "expected a number, not below 0"))
@@ -275,7 +314,10 @@
     fn time(&self, path: &str) -> Result<Duration, Wrong> {
         let text = self.text(path)?;
         time(&text).ok_or_else(|| {
-            self.wrong(path, format!("expected a time such as 1500ms or 2.5s, found \"{text}\""))
+            self.wrong(
+                path,
+                format!("expected a time such as 1500ms or 2.5s, found \"{text}\""),
+            )
         })
     }
 }
--- a/crates/emberpin-simulator/src/builds.rs
+++ b/crates/emberpin-simulator/src/builds.rs
@@ -32,7 +32,14 @@
 
 impl Default for Proxy {
     fn default() -> Proxy {
-        Proxy { in_force: true, settled: true, leaves: true, resumes: true, hints: true, parts: true }
+        Proxy {
+            in_force: true,
+            settled: true,
+            leaves: true,
+            resumes: true,
+            hints: true,
+            parts: true,
+        }
     }
 }
 
