--- a/crates/emberpin-startup/src/calls.rs
+++ b/crates/emberpin-startup/src/calls.rs
@@ -88,7 +88,11 @@
 impl Calls {
     /// For a life whose first call does not wait: what it knows may be out of date, and what it would be told binds.
     pub fn at_once(place: Place) -> Calls {
-        Calls { slot: Duration::ZERO, bound: true, ..Calls::new(place, None, 0.0) }
+        Calls {
+            slot: Duration::ZERO,
+            bound: true,
+            ..Calls::new(place, None, 0.0)
+        }
     }
 
     /// For a life that starts now and may wait for its first call. `power` is what the service answers, in calls a
@@ -101,9 +105,22 @@
         };
         // A lone limiter has nobody to stand in the way of. Slots go by number, as chance alone would let calls meet;
         // within one by chance, as a size that is wrong gives several limiters the same slot.
-        let part = (f64::from(spread(place.number, size)) + IN_SLOT * draw.clamp(0.0, 1.0)) / f64::from(size);
-        let slot = if size == 1 { Duration::ZERO } else { round.mul_f64(part) };
-        Calls { place, round, slot, heard: BTreeMap::new(), window: EACH * size, bound: false, hung: 0 }
+        let part = (f64::from(spread(place.number, size)) + IN_SLOT * draw.clamp(0.0, 1.0))
+            / f64::from(size);
+        let slot = if size == 1 {
+            Duration::ZERO
+        } else {
+            round.mul_f64(part)
+        };
+        Calls {
+            place,
+            round,
+            slot,
+            heard: BTreeMap::new(),
+            window: EACH * size,
+            bound: false,
+            hung: 0,
+        }
     }
 
     /// A message of a peer came before the first call: whether its life began together with this one.
@@ -117,7 +134,8 @@
     /// sooner; those that start keep their order.
     pub fn first(&self) -> Duration {
         let started = self.heard.values().filter(|together| **together).count();
-        self.slot.mul_f64((started + 1) as f64 / (self.heard.len() + 1) as f64)
+        self.slot
+            .mul_f64((started + 1) as f64 / (self.heard.len() + 1) as f64)
     }
 
     /// The pause after a call that ended so; `draw` lies in [0, 1).
@@ -139,9 +157,10 @@
         self.window = match ended {
             Ended::Told => first,
             // What took long to fail takes long to answer: shorter pauses would meet each other there.
-            Ended::Failed { after } => {
-                (self.window * 2).max(after.saturating_mul(2)).min(longest).min(LONGEST_WAIT)
-            }
+            Ended::Failed { after } => (self.window * 2)
+                .max(after.saturating_mul(2))
+                .min(longest)
+                .min(LONGEST_WAIT),
             Ended::Busy { .. } => (self.window * 2).min(longest).min(LONGEST_WAIT),
         };
         let window = match ended {
@@ -161,7 +180,9 @@
 pub(crate) fn spread(number: u32, size: u32) -> u32 {
     let (number, size) = (u64::from(number % size), u64::from(size));
     let coprime = |step: &u64| gcd(*step, size) == 1;
-    let step = ((size as f64 * STEP) as u64..size).find(coprime).unwrap_or(1);
+    let step = ((size as f64 * STEP) as u64..size)
+        .find(coprime)
+        .unwrap_or(1);
     // Below the size, which is a u32.
     (number * step % size) as u32
 }
--- a/crates/emberpin-startup/src/feed.rs
+++ b/crates/emberpin-startup/src/feed.rs
@@ -132,7 +132,13 @@
 
 impl Feed {
     /// For a life that starts now, one of these members; `held` is the version of the list that it was given.
-    pub fn new(me: u32, life: u64, members: &BTreeSet<u32>, limits: Limits, held: Option<u64>) -> Feed {
+    pub fn new(
+        me: u32,
+        life: u64,
+        members: &BTreeSet<u32>,
+        limits: Limits,
+        held: Option<u64>,
+    ) -> Feed {
         let size = u32::try_from(members.len()).unwrap_or(u32::MAX).max(1);
         let place = |(at, number): (usize, &u32)| (*number, crate::calls::spread(at as u32, size));
         Feed {
@@ -163,15 +169,18 @@
 
     fn fresh(&self, now: Duration) -> impl Iterator<Item = &Heard> {
         let (fresh, held) = (self.limits.fresh, self.held);
-        let counts =
-            move |heard: &&Heard| now.saturating_sub(heard.at) < fresh && held == Some(heard.pulse.version);
+        let counts = move |heard: &&Heard| {
+            now.saturating_sub(heard.at) < fresh && held == Some(heard.pulse.version)
+        };
         self.heard.values().filter(counts)
     }
 
     /// When this limiter is to call, in time since the start, if nothing else is heard; `slot` is its own in a round of
     /// all. Never, while its watch tells or enough others call.
     pub fn due(&self, slot: Duration) -> Option<Duration> {
-        self.lacking.filter(|_| !self.watching).map(|since| since + LULL + slot)
+        self.lacking
+            .filter(|_| !self.watching)
+            .map(|since| since + LULL + slot)
     }
 
     /// This limiter's own watch of the service tells, or does not any more.
@@ -209,14 +218,23 @@
     }
 
     /// A neighbour can be told something, or cannot any more.
-    pub fn reach(&mut self, now: Duration, neighbour: u32, reached: bool, actions: &mut Vec<Action>) {
+    pub fn reach(
+        &mut self,
+        now: Duration,
+        neighbour: u32,
+        reached: bool,
+        actions: &mut Vec<Action>,
+    ) {
         match reached {
             true => {
                 if !self.reached.insert(neighbour) {
                     return;
                 }
                 // What it missed: of the others, and of this one.
-                let said = |heard: &Heard| Action::Say { to: neighbour, said: Said::Pulse(heard.pulse) };
+                let said = |heard: &Heard| Action::Say {
+                    to: neighbour,
+                    said: Said::Pulse(heard.pulse),
+                };
                 actions.extend(self.fresh(now).map(said));
                 self.pulse(now, true, actions);
             }
@@ -240,7 +258,11 @@
                     // Until it is held, it was not believed.
                     self.wanted = Some((version, now + DOUBTED));
                     let sure = version.word > self.held.map_or(0, |held| held.word);
-                    actions.push(Action::Judge { version, sure, entries });
+                    actions.push(Action::Judge {
+                        version,
+                        sure,
+                        entries,
+                    });
                 }
             }
         }
@@ -253,13 +275,19 @@
             return;
         }
         let before = self.heard.get(&pulse.caller).copied();
-        let newer =
-            before.is_none_or(|before| (pulse.life, pulse.seq) > (before.pulse.life, before.pulse.seq));
+        let newer = before
+            .is_none_or(|before| (pulse.life, pulse.seq) > (before.pulse.life, before.pulse.seq));
         let behind = self.held < Some(pulse.version);
         if newer {
-            let unbroken = before.filter(|before| now.saturating_sub(before.at) < self.limits.fresh);
+            let unbroken =
+                before.filter(|before| now.saturating_sub(before.at) < self.limits.fresh);
             let since = unbroken.map_or(now, |before| before.since);
-            let heard = Heard { pulse, at: now, since, from: behind.then_some(from) };
+            let heard = Heard {
+                pulse,
+                at: now,
+                since,
+                from: behind.then_some(from),
+            };
             self.heard.insert(pulse.caller, heard);
             // The pulses of callers that are too many need not go round, and are many where many called at once.
             if !behind && self.before(now, pulse.caller).count() < self.limits.callers {
@@ -273,14 +301,22 @@
         };
         if behind && asks {
             self.wanted = Some((pulse.version, now + AGAIN));
-            let said = Said::Want { version: pulse.version };
+            let said = Said::Want {
+                version: pulse.version,
+            };
             actions.push(Action::Say { to: from, said });
         }
     }
 
     fn pass_on(&self, from: u32, pulse: Pulse, actions: &mut Vec<Action>) {
-        let others = self.reached.iter().filter(|to| **to != from && **to != pulse.caller);
-        actions.extend(others.map(|to| Action::Say { to: *to, said: Said::Pulse(pulse) }));
+        let others = self
+            .reached
+            .iter()
+            .filter(|to| **to != from && **to != pulse.caller);
+        actions.extend(others.map(|to| Action::Say {
+            to: *to,
+            said: Said::Pulse(pulse),
+        }));
     }
 
     /// Time has passed; at least each tenth of [`Limits::fresh`].
@@ -290,13 +326,22 @@
     }
 
     fn pulse(&mut self, now: Duration, at_once: bool, actions: &mut Vec<Action>) {
-        let Some(version) = self.held.filter(|_| self.watching) else { return };
-        let due = self.pulsed.is_none_or(|last| now >= last + self.limits.pulse);
+        let Some(version) = self.held.filter(|_| self.watching) else {
+            return;
+        };
+        let due = self
+            .pulsed
+            .is_none_or(|last| now >= last + self.limits.pulse);
         if !due && !at_once {
             return;
         }
         (self.pulsed, self.seq) = (Some(now), self.seq + 1);
-        let pulse = Pulse { caller: self.me, life: self.life, seq: self.seq, version };
+        let pulse = Pulse {
+            caller: self.me,
+            life: self.life,
+            seq: self.seq,
+            version,
+        };
         self.pass_on(self.me, pulse, actions);
     }
 
@@ -319,7 +364,8 @@
     /// Callers that count and come before another by slot.
     fn before(&self, now: Duration, caller: u32) -> impl Iterator<Item = &Heard> {
         let slot = |number: u32| self.slots.get(&number).copied().unwrap_or(u32::MAX);
-        self.fresh(now).filter(move |heard| slot(heard.pulse.caller) < slot(caller))
+        self.fresh(now)
+            .filter(move |heard| slot(heard.pulse.caller) < slot(caller))
     }
 }
 
@@ -327,7 +373,9 @@
 /// word needs nine hops at most among 400.
 pub fn neighbours(me: u32, members: &BTreeSet<u32>) -> BTreeSet<u32> {
     let all: Vec<u32> = members.iter().copied().collect();
-    let Some(at) = all.iter().position(|number| *number == me) else { return BTreeSet::new() };
+    let Some(at) = all.iter().position(|number| *number == me) else {
+        return BTreeSet::new();
+    };
     let mut chosen = BTreeSet::new();
     let mut step = 1;
     while step < all.len() {
--- a/crates/emberpin-startup/src/ready.rs
+++ b/crates/emberpin-startup/src/ready.rs
@@ -16,7 +16,10 @@
 impl Ready {
     /// Ready after so long, whatever is known then.
     pub fn new(within: Duration) -> Ready {
-        Ready { within, ready: false }
+        Ready {
+            within,
+            ready: false,
+        }
     }
 
     /// So many servers may be sent to, at a time since the start.
--- a/crates/emberpin-startup/src/snapshot.rs
+++ b/crates/emberpin-startup/src/snapshot.rs
@@ -42,7 +42,9 @@
 impl fmt::Display for Unusable {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unusable::Foreign => write!(to, "it is no snapshot of a list, or one of another version"),
+            Unusable::Foreign => {
+                write!(to, "it is no snapshot of a list, or one of another version")
+            }
             Unusable::Torn => write!(to, "it is torn: not what was written"),
             Unusable::Elsewhere { owner } => write!(to, "it belongs to {owner:?}"),
             Unusable::Old { age } => write!(to, "it is {} s old", age.as_secs()),
@@ -53,7 +55,12 @@
 /// The bytes of a snapshot with this label and these entries.
 pub fn encode(label: &Label, entries: &[u8]) -> Vec<u8> {
     let owner = label.owner.replace(['\n', '\t'], " ");
-    let head = format!("{MAGIC}\t{owner}\t{}\t{}\t{}", label.written_ms, label.rev, entries.len());
+    let head = format!(
+        "{MAGIC}\t{owner}\t{}\t{}\t{}",
+        label.written_ms,
+        label.rev,
+        entries.len()
+    );
     let mut sum = crc32fast::Hasher::new();
     sum.update(head.as_bytes());
     sum.update(entries);
@@ -77,15 +84,23 @@
     let (head, entries) = bytes.split_at(end.ok_or(Unusable::Foreign)?);
     let head = std::str::from_utf8(head).map_err(|_| Unusable::Foreign)?;
     let parts: Vec<&str> = head.split('\t').collect();
-    let [MAGIC, of, written, rev, length, sum] = parts[..] else { return Err(Unusable::Foreign) };
+    let [MAGIC, of, written, rev, length, sum] = parts[..] else {
+        return Err(Unusable::Foreign);
+    };
     let entries = entries.get(1..).unwrap_or_default();
     let mut own = crc32fast::Hasher::new();
-    own.update(head.rsplit_once('\t').map_or("", |(before, _)| before).as_bytes());
+    own.update(
+        head.rsplit_once('\t')
+            .map_or("", |(before, _)| before)
+            .as_bytes(),
+    );
     own.update(entries);
     if format!("{:08x}", own.finalize()) != sum || length != entries.len().to_string() {
         return Err(Unusable::Torn);
     }
-    let (Ok(written_ms), Ok(rev)) = (written.parse(), rev.parse()) else { return Err(Unusable::Torn) };
+    let (Ok(written_ms), Ok(rev)) = (written.parse(), rev.parse()) else {
+        return Err(Unusable::Torn);
+    };
     if of != owner {
         return Err(Unusable::Elsewhere { owner: of.into() });
     }
@@ -93,5 +108,12 @@
     if age > most {
         return Err(Unusable::Old { age });
     }
-    Ok((Label { owner: of.into(), written_ms, rev }, entries))
+    Ok((
+        Label {
+            owner: of.into(),
+            written_ms,
+            rev,
+        },
+        entries,
+    ))
 }
--- a/crates/emberpin-startup/src/trust.rs
+++ b/crates/emberpin-startup/src/trust.rs
@@ -55,7 +55,11 @@
 impl Trust {
     /// Doubts nothing yet.
     pub fn new(limits: Limits) -> Trust {
-        Trust { limits, doubted: None, believed: false }
+        Trust {
+            limits,
+            doubted: None,
+            believed: false,
+        }
     }
 
     /// A whole list was told, or changes (`whole` is false), at a time since the start.
@@ -97,6 +101,7 @@
 
     /// When the whole list is to be asked for again, from now, if what was told is doubted; `draw` lies in [0, 1).
     pub fn again(&self, draw: f64) -> Option<Duration> {
-        self.doubted.map(|_| AGAIN.mul_f64(0.5 + draw.clamp(0.0, 1.0)))
+        self.doubted
+            .map(|_| AGAIN.mul_f64(0.5 + draw.clamp(0.0, 1.0)))
     }
 }
