--- a/crates/emberpin-store/src/connections.rs
+++ b/crates/emberpin-store/src/connections.rs
@@ -39,7 +39,9 @@
     socket.set_tcp_nodelay(true)?;
     // Where one of these is not to be had, silence is found by the pauses between frames.
     _ = socket.set_tcp_user_timeout(Some(UNANSWERED));
-    let probes = TcpKeepalive::new().with_time(Duration::from_secs(1)).with_interval(Duration::from_secs(1));
+    let probes = TcpKeepalive::new()
+        .with_time(Duration::from_secs(1))
+        .with_interval(Duration::from_secs(1));
     _ = socket.set_tcp_keepalive(&probes);
     Ok(())
 }
@@ -55,13 +57,22 @@
 impl Outbox {
     fn new() -> (Outbox, mpsc::Receiver<Arc<Vec<u8>>>) {
         let (frames, waiting) = mpsc::channel(WAITING.0);
-        (Outbox { frames, bytes: Arc::default(), end: Arc::default() }, waiting)
+        (
+            Outbox {
+                frames,
+                bytes: Arc::default(),
+                end: Arc::default(),
+            },
+            waiting,
+        )
     }
 
     /// Whether there was room for it.
     pub fn put(&self, frame: Arc<Vec<u8>>) -> bool {
         let size = frame.len();
-        if self.bytes.load(Ordering::Relaxed) + size > WAITING.1 || self.frames.try_send(frame).is_err() {
+        if self.bytes.load(Ordering::Relaxed) + size > WAITING.1
+            || self.frames.try_send(frame).is_err()
+        {
             return false;
         }
         self.bytes.fetch_add(size, Ordering::Relaxed);
@@ -86,7 +97,12 @@
 impl Links {
     /// None yet; all stores hear on this port.
     pub fn new(port: u16, identity: Arc<ProcessIdentity>, seeds: Vec<Ipv4Addr>) -> Links {
-        Links { port, identity, seeds, links: BTreeMap::new() }
+        Links {
+            port,
+            identity,
+            seeds,
+            links: BTreeMap::new(),
+        }
     }
 
     /// Sends a frame, or loses it.
@@ -96,7 +112,13 @@
             let (outbox, waiting) = Outbox::new();
             let identity = self.identity.clone();
             let learns = self.seeds.contains(&to);
-            tokio::spawn(link(SocketAddrV4::new(to, port), identity, learns, outbox.bytes.clone(), waiting));
+            tokio::spawn(link(
+                SocketAddrV4::new(to, port),
+                identity,
+                learns,
+                outbox.bytes.clone(),
+                waiting,
+            ));
             (outbox, true)
         });
         *used = true;
@@ -176,9 +198,14 @@
             // Nothing more ever comes on it, so this is its end.
             _ = tokio::io::AsyncReadExt::read(&mut from, &mut nothing) => return written,
         };
-        let Some(frame) = frame else { return Written::Unused };
+        let Some(frame) = frame else {
+            return Written::Unused;
+        };
         bytes.fetch_sub(frame.len(), Ordering::Relaxed);
-        if !matches!(timeout(2 * UNANSWERED, into.write_all(&frame)).await, Ok(Ok(()))) {
+        if !matches!(
+            timeout(2 * UNANSWERED, into.write_all(&frame)).await,
+            Ok(Ok(()))
+        ) {
             return written;
         }
         written = Written::Some;
@@ -194,7 +221,9 @@
 ) {
     let places = Arc::new(tokio::sync::Semaphore::new(OTHERS));
     for number in 0.. {
-        let Ok(place) = places.clone().acquire_owned().await else { return };
+        let Ok(place) = places.clone().acquire_owned().await else {
+            return;
+        };
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
@@ -255,8 +284,14 @@
                     tokio::spawn(tell(writer, told.bytes.clone(), waiting));
                     outbox = Some(told);
                 }
-                let Some(outbox) = outbox.clone() else { return Ok(()) };
-                Input::StoreRequest { connection, ask, outbox }
+                let Some(outbox) = outbox.clone() else {
+                    return Ok(());
+                };
+                Input::StoreRequest {
+                    connection,
+                    ask,
+                    outbox,
+                }
             }
         };
         if inputs.send(input).await.is_err() {
@@ -267,7 +302,9 @@
 
 /// Until a registry no longer takes what it is told, or is let go.
 async fn closed(outbox: Option<&Outbox>) {
-    let Some(outbox) = outbox else { return std::future::pending().await };
+    let Some(outbox) = outbox else {
+        return std::future::pending().await;
+    };
     tokio::select! {
         () = outbox.frames.closed() => {}
         () = outbox.end.notified() => {}
@@ -282,7 +319,10 @@
 ) {
     while let Some(frame) = waiting.recv().await {
         bytes.fetch_sub(frame.len(), Ordering::Relaxed);
-        if !matches!(timeout(2 * UNANSWERED, into.write_all(&frame)).await, Ok(Ok(()))) {
+        if !matches!(
+            timeout(2 * UNANSWERED, into.write_all(&frame)).await,
+            Ok(Ok(()))
+        ) {
             return;
         }
     }
--- a/crates/emberpin-store/src/disk.rs
+++ b/crates/emberpin-store/src/disk.rs
@@ -55,7 +55,9 @@
             Unusable::Folder(..) | Unusable::Unwritten(..) => false,
             Unusable::Keyspace(_, error) => !matches!(
                 error,
-                fjall::Error::Io(_) | fjall::Error::Poisoned | fjall::Error::Storage(fjall::LsmError::Io(_))
+                fjall::Error::Io(_)
+                    | fjall::Error::Poisoned
+                    | fjall::Error::Storage(fjall::LsmError::Io(_))
             ),
         }
     }
@@ -109,14 +111,20 @@
         disk.is_all(floor)?;
         if floor.is_none() {
             at(folder, disk.synced.write(disk.mark))?;
-            at(folder, File::open(folder).and_then(|folder| folder.sync_all()))?;
+            at(
+                folder,
+                File::open(folder).and_then(|folder| folder.sync_all()),
+            )?;
         }
         Ok((disk, kept))
     }
 
     /// Whether what was read is what the last write spoke of, and that is no older than what was synced.
     fn is_all(&mut self, floor: Option<u64>) -> Result<(), Unusable> {
-        let read = Mark { number: 0, ..self.mark };
+        let read = Mark {
+            number: 0,
+            ..self.mark
+        };
         match self.meta("mark")?.map(|mark| Mark::decode(&mark)) {
             // Of a time before there were marks.
             None if floor.unwrap_or_default() == 0 => return Ok(()),
@@ -127,7 +135,11 @@
         if floor.is_none_or(|floor| self.mark.number < floor) {
             return Err(lost(&self.folder, self.mark.number, floor));
         }
-        if (Mark { number: 0, ..self.mark }) != read {
+        if (Mark {
+            number: 0,
+            ..self.mark
+        }) != read
+        {
             let what = format!(
                 "{} items were written, {} are here, or of other versions",
                 self.mark.items, read.items
@@ -183,10 +195,16 @@
 
     /// Counts an item that is written or read.
     fn count(&mut self, key: Vec<u8>, ver: u64) {
-        let old = self.versions.get(&key).map(|old| version_digest(&key, *old));
+        let old = self
+            .versions
+            .get(&key)
+            .map(|old| version_digest(&key, *old));
         self.mark.items += u64::from(old.is_none());
-        self.mark.sum =
-            self.mark.sum.wrapping_sub(old.unwrap_or_default()).wrapping_add(version_digest(&key, ver));
+        self.mark.sum = self
+            .mark
+            .sum
+            .wrapping_sub(old.unwrap_or_default())
+            .wrapping_add(version_digest(&key, ver));
         self.versions.insert(key, ver);
     }
 
@@ -199,11 +217,16 @@
     }
 
     fn read(&mut self) -> Result<Option<Kept>, Unusable> {
-        fn decoded<T: serde::de::DeserializeOwned>(disk: &Disk, bytes: &[u8]) -> Result<T, Unusable> {
+        fn decoded<T: serde::de::DeserializeOwned>(
+            disk: &Disk,
+            bytes: &[u8],
+        ) -> Result<T, Unusable> {
             postcard::from_bytes(bytes)
                 .map_err(|error| disk.foreign(format!("holds what is unreadable: {error}")))
         }
-        let Some(promised) = self.meta("promised")? else { return Ok(None) };
+        let Some(promised) = self.meta("promised")? else {
+            return Ok(None);
+        };
         let (promised, voting) = decoded(self, &promised)?;
         // A disk of a time before there were incarnations has none.
         let (incarnation, renewals, candidacy) = match self.meta("incarnations")? {
@@ -219,8 +242,18 @@
             let (_, item) = entry.map_err(|error| self.wrong(error))?;
             chosen.push(decoded::<Item>(self, &item)?);
         }
-        chosen.iter().for_each(|item| self.count(named(&item.key), item.ver));
-        Ok(Some(Kept { chosen, promised, pending, voting, incarnation, renewals, candidacy }))
+        chosen
+            .iter()
+            .for_each(|item| self.count(named(&item.key), item.ver));
+        Ok(Some(Kept {
+            chosen,
+            promised,
+            pending,
+            voting,
+            incarnation,
+            renewals,
+            candidacy,
+        }))
     }
 
     /// Takes a write; it lasts through a loss of power once a later [`Disk::sync`] is over.
@@ -246,12 +279,18 @@
         }
         let incarnations = (write.incarnation, &write.renewals, &write.candidacy);
         batch.insert(&self.meta, "incarnations", self.encoded(&incarnations)?);
-        batch.insert(&self.meta, "promised", self.encoded(&(write.promised, write.voting))?);
+        batch.insert(
+            &self.meta,
+            "promised",
+            self.encoded(&(write.promised, write.voting))?,
+        );
         self.mark.number += 1;
         batch.insert(&self.meta, "mark", self.mark.encode());
         batch.commit().map_err(|error| self.wrong(error))?;
         // `commit` passes over errors of the journal.
-        self.keyspace.persist(PersistMode::Buffer).map_err(|error| self.wrong(error))?;
+        self.keyspace
+            .persist(PersistMode::Buffer)
+            .map_err(|error| self.wrong(error))?;
         match at(&self.folder, self.journal.follow(self.mark))? {
             true => Ok(()),
             false => Err(Unusable::Unwritten(self.folder.clone())),
@@ -268,7 +307,9 @@
     ///
     /// [`Unusable`], as for [`Disk::write`].
     pub fn sync(&mut self) -> Result<(), Unusable> {
-        self.keyspace.persist(PersistMode::SyncAll).map_err(|error| self.wrong(error))?;
+        self.keyspace
+            .persist(PersistMode::SyncAll)
+            .map_err(|error| self.wrong(error))?;
         if self.synced.number() == Some(self.mark.number) {
             return Ok(());
         }
@@ -342,8 +383,16 @@
     });
     formed.map_err(|error| Unusable::Keyspace(forming.clone(), error))?;
     at(&store, fs::rename(&forming, &store))?;
-    at(folder, File::open(folder).and_then(|folder| folder.sync_all()))?;
-    let Some(parent) = folder.parent().filter(|parent| !parent.as_os_str().is_empty()) else { return Ok(()) };
+    at(
+        folder,
+        File::open(folder).and_then(|folder| folder.sync_all()),
+    )?;
+    let Some(parent) = folder
+        .parent()
+        .filter(|parent| !parent.as_os_str().is_empty())
+    else {
+        return Ok(());
+    };
     // The folder itself is the platform's; where its parent can't be opened, there is nothing to be done for
     // it.
     _ = File::open(parent).and_then(|parent| parent.sync_all());
--- a/crates/emberpin-store/src/disk_thread.rs
+++ b/crates/emberpin-store/src/disk_thread.rs
@@ -35,7 +35,11 @@
 /// What the loop submits.
 enum Command {
     /// Writes in their order; the token is to be reported once they are synced.
-    Commit { failures: u64, writes: Vec<Write>, sync: Option<u64> },
+    Commit {
+        failures: u64,
+        writes: Vec<Write>,
+        sync: Option<u64>,
+    },
     /// Sync everything, and end.
     Close,
 }
@@ -109,8 +113,19 @@
             measured: measured.then(Instant::now),
         };
         owner.measure();
-        std::thread::Builder::new().name("disk".into()).spawn(move || owner.run(disk))?;
-        Ok((DiskQueue { commands, progress, failures: 0, submitted: 0, seen: (0, 0) }, reported))
+        std::thread::Builder::new()
+            .name("disk".into())
+            .spawn(move || owner.run(disk))?;
+        Ok((
+            DiskQueue {
+                commands,
+                progress,
+                failures: 0,
+                submitted: 0,
+                seen: (0, 0),
+            },
+            reported,
+        ))
     }
 
     /// Submits writes; the token is reported once they and all before them are synced.
@@ -118,7 +133,12 @@
     /// # Errors
     ///
     /// [`Overflow`].
-    pub fn submit(&mut self, now: u64, writes: Vec<Write>, sync: Option<u64>) -> Result<(), Overflow> {
+    pub fn submit(
+        &mut self,
+        now: u64,
+        writes: Vec<Write>,
+        sync: Option<u64>,
+    ) -> Result<(), Overflow> {
         self.observe(now);
         let waits = self.seen.0 < self.submitted;
         let size = weight(&writes);
@@ -126,8 +146,14 @@
             return Err(Overflow);
         }
         self.progress.bytes.fetch_add(size, Ordering::Relaxed);
-        let command = Command::Commit { failures: self.failures, writes, sync };
-        if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) = self.commands.try_send(command) {
+        let command = Command::Commit {
+            failures: self.failures,
+            writes,
+            sync,
+        };
+        if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) =
+            self.commands.try_send(command)
+        {
             self.progress.bytes.fetch_sub(size, Ordering::Relaxed);
             return Err(Overflow);
         }
@@ -175,7 +201,11 @@
 fn weight(writes: &[Write]) -> usize {
     let items = |write: &Write| {
         let pending = write.pending.iter().flat_map(|pending| &pending.items);
-        let sizes = write.chosen.iter().chain(pending).map(|item| item.body.as_ref().map_or(0, String::len));
+        let sizes = write
+            .chosen
+            .iter()
+            .chain(pending)
+            .map(|item| item.body.as_ref().map_or(0, String::len));
         sizes.sum::<usize>()
     };
     writes.iter().map(items).sum()
@@ -207,7 +237,10 @@
     fn run(mut self, mut disk: Disk) {
         loop {
             let first = match self.measured {
-                None => self.commands.recv().map_err(|_| RecvTimeoutError::Disconnected),
+                None => self
+                    .commands
+                    .recv()
+                    .map_err(|_| RecvTimeoutError::Disconnected),
                 Some(_) => self.commands.recv_timeout(MEASURE_IDLE),
             };
             let next = match first {
@@ -241,9 +274,15 @@
         while let Some(command) = next.take() {
             match command {
                 Command::Close => closes = true,
-                Command::Commit { failures, writes, sync } => {
+                Command::Commit {
+                    failures,
+                    writes,
+                    sync,
+                } => {
                     done += 1;
-                    self.progress.bytes.fetch_sub(weight(&writes), Ordering::Relaxed);
+                    self.progress
+                        .bytes
+                        .fetch_sub(weight(&writes), Ordering::Relaxed);
                     if failures == self.failures && result.is_ok() {
                         result = writes.iter().try_for_each(|write| disk.write(write));
                         token = sync.or(token);
@@ -300,9 +339,14 @@
         let until = Instant::now() + self.pause;
         self.pause = (self.pause * 2).min(PAUSES.1);
         loop {
-            match self.commands.recv_timeout(until.saturating_duration_since(Instant::now())) {
+            match self
+                .commands
+                .recv_timeout(until.saturating_duration_since(Instant::now()))
+            {
                 Ok(Command::Commit { writes, .. }) => {
-                    self.progress.bytes.fetch_sub(weight(&writes), Ordering::Relaxed);
+                    self.progress
+                        .bytes
+                        .fetch_sub(weight(&writes), Ordering::Relaxed);
                     self.progress.done.fetch_add(1, Ordering::Release);
                 }
                 Ok(Command::Close) => {
--- a/crates/emberpin-store/src/faults.rs
+++ b/crates/emberpin-store/src/faults.rs
@@ -6,11 +6,15 @@
 pub fn before_sync() {
     use std::time::Duration;
 
-    let extra = std::env::var("EMBERPIN_STORE_SYNC_MS").ok().and_then(|text| text.parse().ok());
+    let extra = std::env::var("EMBERPIN_STORE_SYNC_MS")
+        .ok()
+        .and_then(|text| text.parse().ok());
     if let Some(extra) = extra {
         std::thread::sleep(Duration::from_millis(extra));
     }
-    let Some(file) = std::env::var_os("EMBERPIN_STORE_STALL") else { return };
+    let Some(file) = std::env::var_os("EMBERPIN_STORE_STALL") else {
+        return;
+    };
     while std::path::Path::new(&file).exists() {
         std::thread::sleep(Duration::from_millis(10));
     }
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -97,13 +97,18 @@
 ///
 /// [`Ended`], at the start or when the disk fails.
 pub async fn run(settings: &Settings) -> Result<(), Ended> {
-    let (mut term, mut int) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
+    let (mut term, mut int) = (
+        signal(SignalKind::terminate())?,
+        signal(SignalKind::interrupt())?,
+    );
     // Nothing in the settings changes for a store while it runs.
     let mut hup = signal(SignalKind::hangup())?;
     let folder = settings.datadir.clone().ok_or(Ended::NoDisk)?;
     let (disk, kept) = Disk::open(&folder, settings.ip)?;
     let place = SocketAddrV4::new(settings.ip, settings.store_port());
-    let listener = TcpListener::bind(place).await.map_err(|error| Ended::Listen(place, error))?;
+    let listener = TcpListener::bind(place)
+        .await
+        .map_err(|error| Ended::Listen(place, error))?;
     let mut seed = [0; 8];
     getrandom::fill(&mut seed)?;
     let seeds = settings.seeds.iter().filter_map(|seed| match seed.ip() {
@@ -125,7 +130,8 @@
     if let Some(system) = system {
         identity.learn(system);
     }
-    let (disk, mut disk_events) = DiskQueue::start(disk, folder.clone(), settings.ip, settings.disk_mb > 0)?;
+    let (disk, mut disk_events) =
+        DiskQueue::start(disk, folder.clone(), settings.ip, settings.disk_mb > 0)?;
     let mut host = Host {
         began: Instant::now(),
         settings,
@@ -185,7 +191,10 @@
                 host.act(actions);
             }
         }
-        if host.ends_at.is_some_and(|at| host.replica.left() || host.now() >= at) {
+        if host
+            .ends_at
+            .is_some_and(|at| host.replica.left() || host.now() >= at)
+        {
             break;
         }
         host.stand();
@@ -235,27 +244,49 @@
     }
 
     fn pause(&self) -> Duration {
-        let at = self.replica.wake_at().min(self.status_at).min(self.ends_at.unwrap_or(u64::MAX));
+        let at = self
+            .replica
+            .wake_at()
+            .min(self.status_at)
+            .min(self.ends_at.unwrap_or(u64::MAX));
         Duration::from_millis(at.saturating_sub(self.now()).max(NAP))
     }
 
     fn take(&mut self, input: Input, actions: &mut Vec<Action>) {
         match input {
             Input::Message { from, message } => {
-                self.replica.handle(self.now(), Event::Message { from, message }, actions);
+                self.replica
+                    .handle(self.now(), Event::Message { from, message }, actions);
             }
             Input::Closed { connection } => {
                 self.registries.remove(&connection);
                 self.calls.retain(|_, (from, _)| *from != connection);
             }
-            Input::StoreRequest { connection, ask, outbox } => self.ask(connection, ask, outbox, actions),
+            Input::StoreRequest {
+                connection,
+                ask,
+                outbox,
+            } => self.ask(connection, ask, outbox, actions),
         }
     }
 
-    fn ask(&mut self, connection: u64, ask: StoreRequest, outbox: Outbox, actions: &mut Vec<Action>) {
-        self.registries.entry(connection).or_insert(Registry { outbox, follows: false });
+    fn ask(
+        &mut self,
+        connection: u64,
+        ask: StoreRequest,
+        outbox: Outbox,
+        actions: &mut Vec<Action>,
+    ) {
+        self.registries.entry(connection).or_insert(Registry {
+            outbox,
+            follows: false,
+        });
         if let StoreRequest::Confirm { question } = ask {
-            return self.questions.push((connection, question, self.replica.confirmed_age(self.now())));
+            return self.questions.push((
+                connection,
+                question,
+                self.replica.confirmed_age(self.now()),
+            ));
         }
         let Some((id, call)) = call(ask) else {
             let items = self.replica.state().told().cloned().collect();
@@ -269,27 +300,53 @@
         if let Call::Evacuate { zone, .. } = &call {
             if !self.settings.zones.contains_key(zone) {
                 let body = format!("zone {zone:?}: is not known");
-                return self.tell(connection, &StoreReply::Answer { id, status: 404, body });
+                return self.tell(
+                    connection,
+                    &StoreReply::Answer {
+                        id,
+                        status: 404,
+                        body,
+                    },
+                );
             }
         }
         if let (Some(reason), false) = (self.refusal(), matches!(call, Call::Get)) {
             let body = reason.into();
-            return self.tell(connection, &StoreReply::Answer { id, status: 503, body });
+            return self.tell(
+                connection,
+                &StoreReply::Answer {
+                    id,
+                    status: 503,
+                    body,
+                },
+            );
         }
         self.next_call += 1;
         self.calls.insert(self.next_call, (connection, id));
-        self.replica.handle(self.now(), Event::Call { id: self.next_call, call }, actions);
+        self.replica.handle(
+            self.now(),
+            Event::Call {
+                id: self.next_call,
+                call,
+            },
+            actions,
+        );
     }
 
     /// One that doesn't read what it is told is let go: it comes again, and is told everything.
     fn tell(&mut self, connection: u64, told: &StoreReply) {
-        if self.registries.get(&connection).is_some_and(|registry| !registry.tell(told)) {
+        if self
+            .registries
+            .get(&connection)
+            .is_some_and(|registry| !registry.tell(told))
+        {
             self.registries.remove(&connection);
         }
     }
 
     fn tell_followers(&mut self, told: &StoreReply) {
-        self.registries.retain(|_, registry| !registry.follows || registry.tell(told));
+        self.registries
+            .retain(|_, registry| !registry.follows || registry.tell(told));
     }
 
     /// Does what is to be done, and submits what is to be written.
@@ -302,7 +359,10 @@
                     writes.push(write);
                 }
                 Action::Send { to, message } => {
-                    let frame = frames::frame(&ToStore::Consensus { from: self.settings.ip, message });
+                    let frame = frames::frame(&ToStore::Consensus {
+                        from: self.settings.ip,
+                        message,
+                    });
                     match frame {
                         Ok(frame) => self.links.send(to, Arc::new(frame)),
                         Err(error) => log::warn!("nothing sent to {to}: {error}"),
@@ -318,7 +378,9 @@
         }
         if !writes.is_empty() && self.disk.submit(self.now(), writes, sync).is_err() {
             self.overflowed = true;
-            self.handle(Event::DiskFailed { reason: DISK_STALLED.into() });
+            self.handle(Event::DiskFailed {
+                reason: DISK_STALLED.into(),
+            });
         }
     }
 
@@ -332,11 +394,15 @@
         match event {
             DiskEvent::Synced { token } => self.handle(Event::Persisted { token }),
             DiskEvent::Failed(failed) => {
-                log::error!("changes and votes are refused until the disk takes writes again: {failed}");
+                log::error!(
+                    "changes and votes are refused until the disk takes writes again: {failed}"
+                );
                 self.disk.failed();
                 self.disk_failed = true;
                 self.overflowed = false;
-                self.handle(Event::DiskFailed { reason: DISK_FULL.into() });
+                self.handle(Event::DiskFailed {
+                    reason: DISK_FULL.into(),
+                });
             }
             DiskEvent::Reopened => {
                 self.disk_failed = false;
@@ -349,7 +415,10 @@
     }
 
     /// Has what a first start writes synced before anybody can hear of this store; a stall is not waited for.
-    async fn wait_for_first_sync(&mut self, events: &mut mpsc::Receiver<DiskEvent>) -> Result<(), Unusable> {
+    async fn wait_for_first_sync(
+        &mut self,
+        events: &mut mpsc::Receiver<DiskEvent>,
+    ) -> Result<(), Unusable> {
         while !self.disk.is_idle() {
             match tokio::time::timeout(FIRST_SYNC, events.recv()).await {
                 Ok(Some(event)) => self.take_disk_event(event)?,
@@ -372,7 +441,8 @@
         if !self.disk.close() {
             return;
         }
-        let closed = async { while !matches!(events.recv().await, Some(DiskEvent::Closed) | None) {} };
+        let closed =
+            async { while !matches!(events.recv().await, Some(DiskEvent::Closed) | None) {} };
         if tokio::time::timeout(CLOSE, closed).await.is_err() {
             log::warn!("ended before the disk was done");
         }
@@ -428,10 +498,23 @@
     }
 
     fn status_reply(&self) -> StoreReply {
-        let Status { settled, voters, disk } = self.status.clone();
+        let Status {
+            settled,
+            voters,
+            disk,
+        } = self.status.clone();
         let size = self.settings.disk_mb << 20;
-        let disk = DiskReport { state: disk, used: self.disk.used(), size };
-        StoreReply::Status { settled, voters, disk, refused: self.identity.refused() }
+        let disk = DiskReport {
+            state: disk,
+            used: self.disk.used(),
+            size,
+        };
+        StoreReply::Status {
+            settled,
+            voters,
+            disk,
+            refused: self.identity.refused(),
+        }
     }
 
     /// Tells followers how the store stands, when it is due and when it changes.
@@ -443,11 +526,19 @@
         }
         self.tend_system();
         let (settled, voters) = (self.replica.settled(now), self.replica.voters());
-        let status = Status { settled, voters, disk: self.disk_state() };
+        let status = Status {
+            settled,
+            voters,
+            disk: self.disk_state(),
+        };
         if now >= self.status_at || status != self.status {
             self.status_at = now + STATUS;
             if status.disk != self.status.disk {
-                log::warn!("the disk is {}, and was {}", status.disk.name(), self.status.disk.name());
+                log::warn!(
+                    "the disk is {}, and was {}",
+                    status.disk.name(),
+                    self.status.disk.name()
+                );
             }
             self.status = status;
             let status = self.status_reply();
--- a/crates/emberpin-store/src/journal.rs
+++ b/crates/emberpin-store/src/journal.rs
@@ -27,7 +27,10 @@
     /// As bytes.
     pub fn encode(self) -> [u8; 24] {
         let mut bytes = [0; 24];
-        for (part, number) in bytes.chunks_exact_mut(8).zip([self.number, self.items, self.sum]) {
+        for (part, number) in bytes
+            .chunks_exact_mut(8)
+            .zip([self.number, self.items, self.sum])
+        {
             part.copy_from_slice(&number.to_be_bytes());
         }
         bytes
@@ -36,9 +39,14 @@
     /// From bytes.
     pub fn decode(bytes: &[u8]) -> Option<Mark> {
         let bytes: &[u8; 24] = bytes.try_into().ok()?;
-        let mut numbers =
-            bytes.chunks_exact(8).filter_map(|part| part.try_into().ok().map(u64::from_be_bytes));
-        Some(Mark { number: numbers.next()?, items: numbers.next()?, sum: numbers.next()? })
+        let mut numbers = bytes
+            .chunks_exact(8)
+            .filter_map(|part| part.try_into().ok().map(u64::from_be_bytes));
+        Some(Mark {
+            number: numbers.next()?,
+            items: numbers.next()?,
+            sum: numbers.next()?,
+        })
     }
 }
 
@@ -54,7 +62,12 @@
     };
     let mut numbers = Vec::new();
     for entry in entries {
-        numbers.extend(entry?.file_name().to_str().and_then(|name| name.parse::<u64>().ok()));
+        numbers.extend(
+            entry?
+                .file_name()
+                .to_str()
+                .and_then(|name| name.parse::<u64>().ok()),
+        );
     }
     numbers.sort_unstable();
     Ok(numbers)
@@ -96,7 +109,9 @@
 impl Journal {
     /// How far the newest one is whole, if there is one.
     pub fn whole(store: &Path) -> io::Result<Option<Whole>> {
-        let Some(number) = newest(store)? else { return Ok(None) };
+        let Some(number) = newest(store)? else {
+            return Ok(None);
+        };
         let path = path(store, number);
         let file = File::open(&path)?;
         let mut batches = Batches::new(&file, 0)?;
@@ -115,8 +130,17 @@
     pub fn after(store: &Path, before: Option<u64>) -> io::Result<Journal> {
         let number = newest(store)?.ok_or(ErrorKind::NotFound)?;
         let file = File::open(path(store, number))?;
-        let at = if before == Some(number) { file.metadata()?.len() } else { 0 };
-        Ok(Journal { store: store.into(), number, file, at })
+        let at = if before == Some(number) {
+            file.metadata()?.len()
+        } else {
+            0
+        };
+        Ok(Journal {
+            store: store.into(),
+            number,
+            file,
+            at,
+        })
     }
 
     /// Whether the write with this mark is in the file, whole.
@@ -125,12 +149,20 @@
             return Ok(true);
         }
         // Another journal may have been begun since the last write, and one more after this one.
-        for number in numbers(&self.store)?.into_iter().filter(|number| *number > self.number) {
+        for number in numbers(&self.store)?
+            .into_iter()
+            .filter(|number| *number > self.number)
+        {
             let file = match File::open(path(&self.store, number)) {
                 Err(error) if error.kind() == ErrorKind::NotFound => continue,
                 file => file?,
             };
-            let mut next = Journal { store: self.store.clone(), number, file, at: 0 };
+            let mut next = Journal {
+                store: self.store.clone(),
+                number,
+                file,
+                at: 0,
+            };
             if next.found(mark)? {
                 *self = next;
                 return Ok(true);
@@ -158,7 +190,11 @@
 impl Batches<'_> {
     fn new(mut file: &File, at: u64) -> io::Result<Batches<'_>> {
         file.seek(SeekFrom::Start(at))?;
-        Ok(Batches { from: BufReader::new(file), length: file.metadata()?.len(), at })
+        Ok(Batches {
+            from: BufReader::new(file),
+            length: file.metadata()?.len(),
+            at,
+        })
     }
 
     /// The mark of the next one, if that has one; `None`, if it isn't whole.
@@ -199,7 +235,12 @@
                 return Ok(None);
             }
             let value = item.len();
-            let size = [item[value - 4], item[value - 3], item[value - 2], item[value - 1]];
+            let size = [
+                item[value - 4],
+                item[value - 3],
+                item[value - 2],
+                item[value - 1],
+            ];
             if !self.more(&mut item, u32::from_be_bytes(size) as usize)? {
                 return Ok(None);
             }
--- a/crates/emberpin-store/src/program.rs
+++ b/crates/emberpin-store/src/program.rs
@@ -26,8 +26,14 @@
     let mut options = Options::new();
     options.optflag("h", "help", "say how the program is used, and end");
     options.optflag("V", "version", "say which version it is, and end");
-    options.optflag("", "check", "read the settings, say what is wrong with them, and end");
-    let given = options.parse(arguments).map_err(|wrong| wrong.to_string())?;
+    options.optflag(
+        "",
+        "check",
+        "read the settings, say what is wrong with them, and end",
+    );
+    let given = options
+        .parse(arguments)
+        .map_err(|wrong| wrong.to_string())?;
     if given.opt_present("help") {
         let brief =
             "Usage: emberpin-store [--help | --version | --check]\n\nKeeps the configuration. Its settings \
@@ -40,7 +46,9 @@
         return Ok(());
     }
     if let Some(unknown) = given.free.first() {
-        return Err(format!("{unknown:?}: is not an option; --help says which there are"));
+        return Err(format!(
+            "{unknown:?}: is not an option; --help says which there are"
+        ));
     }
     let settings = Settings::from_env().map_err(|wrong| wrong.to_string())?;
     if settings.datadir.is_none() {
@@ -55,5 +63,7 @@
         .max_blocking_threads(1)
         .build()
         .map_err(|wrong| wrong.to_string())?;
-    runtime.block_on(host::run(&settings)).map_err(|wrong| wrong.to_string())
+    runtime
+        .block_on(host::run(&settings))
+        .map_err(|wrong| wrong.to_string())
 }
--- a/crates/emberpin-store/src/synced.rs
+++ b/crates/emberpin-store/src/synced.rs
@@ -24,7 +24,12 @@
     /// Opens it, and makes an empty one where there is none.
     pub fn open(folder: &Path) -> io::Result<Synced> {
         let path = folder.join(NAME);
-        let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)?;
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .open(path)?;
         let mut newest: Option<(u64, usize)> = None;
         for (place, at) in PLACES.into_iter().enumerate() {
             let mut bytes = [0; 32];
@@ -34,7 +39,11 @@
             newest = newest.max(mark.map(|mark| (mark.number, place)));
         }
         let place = newest.map_or(0, |(_, place)| 1 - place);
-        Ok(Synced { file, number: newest.map(|(number, _)| number), place })
+        Ok(Synced {
+            file,
+            number: newest.map(|(number, _)| number),
+            place,
+        })
     }
 
     /// The last write that was synced; `None`, if there is no record.
--- a/crates/emberpin-store/src/system_id.rs
+++ b/crates/emberpin-store/src/system_id.rs
@@ -29,7 +29,9 @@
 /// What was kept, if it is whole.
 pub fn load(folder: &Path) -> Option<NonZeroU64> {
     let text = fs::read_to_string(folder.join(NAME)).ok()?;
-    let id = u64::from_str_radix(text.trim(), 16).ok().and_then(NonZeroU64::new);
+    let id = u64::from_str_radix(text.trim(), 16)
+        .ok()
+        .and_then(NonZeroU64::new);
     if id.is_none() {
         log::warn!("the file {NAME} is passed over: it holds no number");
     }
--- a/crates/emberpin-testbed/src/bin/cold-start.rs
+++ b/crates/emberpin-testbed/src/bin/cold-start.rs
@@ -61,7 +61,10 @@
 }
 
 fn main() -> ExitCode {
-    if std::env::args_os().nth(1).is_some_and(|word| word == "limiter") {
+    if std::env::args_os()
+        .nth(1)
+        .is_some_and(|word| word == "limiter")
+    {
         return emberpin_limiter::operate::command::main(std::env::args_os().skip(1));
     }
     match measure(&Line::parse()) {
@@ -93,9 +96,8 @@
         "MiB each",
     ]);
     let more = match &line.more {
-        Some(path) => {
-            std::fs::read_to_string(path).map_err(|e| format!("cannot read {}: {e}", path.display()))?
-        }
+        Some(path) => std::fs::read_to_string(path)
+            .map_err(|e| format!("cannot read {}: {e}", path.display()))?,
         None => String::new(),
     };
     let mut sound = true;
@@ -105,16 +107,23 @@
         for seed in 1..=line.seeds {
             let scenario = line.scenario(*limiters, seed, &more)?;
             if seed == 1 {
-                eprintln!("{limiters} limiters: a run {}", Needs::of(&scenario.site, false));
+                eprintln!(
+                    "{limiters} limiters: a run {}",
+                    Needs::of(&scenario.site, false)
+                );
             }
             let outcome = run(&scenario, &line.program()?, |_| ())?;
             if outcome.judgement.is_broken() {
                 sound = false;
-                eprintln!("{limiters} limiters, seed {seed}:{}", stories(&outcome.judgement));
+                eprintln!(
+                    "{limiters} limiters, seed {seed}:{}",
+                    stories(&outcome.judgement)
+                );
             }
             let starts = Starts::of(&outcome);
             eprintln!("{limiters} limiters, seed {seed}: {starts:?}");
-            written += &serde_json::to_string(&(limiters, seed, &starts)).map_err(|e| e.to_string())?;
+            written +=
+                &serde_json::to_string(&(limiters, seed, &starts)).map_err(|e| e.to_string())?;
             written.push('\n');
             runs.push(starts);
         }
@@ -122,7 +131,8 @@
     }
     println!("{table}");
     if let Some(path) = &line.json {
-        std::fs::write(path, written).map_err(|e| format!("cannot write {}: {e}", path.display()))?;
+        std::fs::write(path, written)
+            .map_err(|e| format!("cannot write {}: {e}", path.display()))?;
     }
     Ok(sound)
 }
@@ -150,14 +160,20 @@
         let (path, mut arguments) = match &self.limiter {
             Some(path) => (path.clone(), Vec::new()),
             None => {
-                let own = std::env::current_exe().map_err(|e| format!("cannot find this program: {e}"))?;
+                let own = std::env::current_exe()
+                    .map_err(|e| format!("cannot find this program: {e}"))?;
                 (own, vec!["limiter".into()])
             }
         };
         for file in &self.with {
             arguments.extend(["--with".into(), file.into()]);
         }
-        Ok(Program { path, arguments, logs: false, links: self.links })
+        Ok(Program {
+            path,
+            arguments,
+            logs: false,
+            links: self.links,
+        })
     }
 }
 
@@ -174,7 +190,11 @@
         match values.iter().all(|value| value.is_finite()) {
             true => format!("{mean:.digits$} ({least:.digits$}–{most:.digits$})"),
             false => {
-                format!("never in {} of {}", values.iter().filter(|v| !v.is_finite()).count(), values.len())
+                format!(
+                    "never in {} of {}",
+                    values.iter().filter(|v| !v.is_finite()).count(),
+                    values.len()
+                )
             }
         }
     };
@@ -183,8 +203,14 @@
         limiters.to_string(),
         spread(&|s| s.calls as f64 / n, 2),
         spread(&|s| s.failed as f64 / n, 2),
-        format!("{}, {}", spread(&|s| s.most_calls[0] as f64, 0), spread(&|s| s.most_calls[1] as f64, 0)),
-        [0, 1, 2].map(|k| spread(&|s| when(s.listed[k]), 1)).join(", "),
+        format!(
+            "{}, {}",
+            spread(&|s| s.most_calls[0] as f64, 0),
+            spread(&|s| s.most_calls[1] as f64, 0)
+        ),
+        [0, 1, 2]
+            .map(|k| spread(&|s| when(s.listed[k]), 1))
+            .join(", "),
         [0, 1].map(|k| spread(&|s| when(s.ready[k]), 1)).join(", "),
         spread(&|s| s.most_connections as f64, 0),
         spread(&|s| s.nearest_to_falling, 2),
--- a/crates/emberpin-testbed/src/bin/wrong-limiter.rs
+++ b/crates/emberpin-testbed/src/bin/wrong-limiter.rs
@@ -81,7 +81,11 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<(), Box<dyn std::error::Error>> {
     let name = std::env::args().nth(1).unwrap_or_default();
-    let wrong = ALL.iter().find(|(known, _)| *known == name).ok_or(format!("unknown wrong '{name}'"))?.1;
+    let wrong = ALL
+        .iter()
+        .find(|(known, _)| *known == name)
+        .ok_or(format!("unknown wrong '{name}'"))?
+        .1;
     let file = std::env::var("GW_CONFIG")?;
     let config: Value = serde_json::from_slice(&std::fs::read(&file)?)?;
     let ran = format!("{file}.ran");
@@ -93,7 +97,12 @@
 }
 
 async fn run(wrong: Wrong, config: Value) -> Result<(), Box<dyn std::error::Error>> {
-    let address = |key: &str| config[key].as_str().unwrap_or_default().parse::<SocketAddr>();
+    let address = |key: &str| {
+        config[key]
+            .as_str()
+            .unwrap_or_default()
+            .parse::<SocketAddr>()
+    };
     let mut terminated = signal(SignalKind::terminate())?;
     let limiter = Rc::new(Limiter {
         wrong,
@@ -127,7 +136,11 @@
 }
 
 impl Limiter {
-    async fn accept(self: Rc<Self>, listener: TcpListener, mut closes: tokio::sync::watch::Receiver<bool>) {
+    async fn accept(
+        self: Rc<Self>,
+        listener: TcpListener,
+        mut closes: tokio::sync::watch::Receiver<bool>,
+    ) {
         loop {
             let accepted = tokio::select! {
                 biased;
@@ -147,12 +160,21 @@
         }
         for target in listing["targets"].as_array().into_iter().flatten() {
             let text = |key: &str| target[key].as_str().unwrap_or_default().to_string();
-            let Ok(at) = text("endpoint").parse() else { continue };
+            let Ok(at) = text("endpoint").parse() else {
+                continue;
+            };
             let ready = text("state") == "ready";
             let stays = self.wrong == Wrong::KeepsDrained && text("state") == "draining";
             if ready || stays {
                 let boot_ms = target["boot_ms"].as_f64().unwrap_or(0.0);
-                servers.insert(text("uid"), Server { at, hall: text("az"), boot_ms });
+                servers.insert(
+                    text("uid"),
+                    Server {
+                        at,
+                        hall: text("az"),
+                        boot_ms,
+                    },
+                );
             } else {
                 servers.remove(&text("uid"));
             }
@@ -180,14 +202,20 @@
     async fn client(&self, mut wire: Wire) {
         while let Ok((head, body)) = wire.read(false).await {
             if head.path == "/health/ready" {
-                _ = wire.stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+                _ = wire
+                    .stream
+                    .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+                    .await;
                 continue;
             }
             self.open.set(self.open.get() + 1);
             let number = self.next.replace(self.next.get() + 1);
             let mut answer = self.answer(&head, &body, number).await;
             // Else the next request comes on this connection just as the process ends.
-            let line = answer.windows(2).position(|two| two == b"\r\n").filter(|_| self.leaving.get());
+            let line = answer
+                .windows(2)
+                .position(|two| two == b"\r\n")
+                .filter(|_| self.leaving.get());
             if let Some(end) = line {
                 answer.splice(end..end, *b"\r\nConnection: close");
             }
@@ -207,14 +235,19 @@
         match self.wrong {
             Wrong::MakesAnswersUp if ours => return reply("200 OK", b"done"),
             Wrong::AnswersLate if ours => {
-                let patience = head.header("req-deadline").and_then(|text| text.parse().ok()).unwrap_or(0.0);
+                let patience = head
+                    .header("req-deadline")
+                    .and_then(|text| text.parse().ok())
+                    .unwrap_or(0.0);
                 sleep(Duration::from_secs_f64(patience + 0.055)).await;
                 return reply("502 Bad Gateway", b"");
             }
             _ => {}
         }
         let keyed = head.method == "POST";
-        let Some(first) = self.choose(number, None) else { return reply("503 Nobody", b"") };
+        let Some(first) = self.choose(number, None) else {
+            return reply("503 Nobody", b"");
+        };
         if self.wrong == Wrong::SendsTwice && ours && !keyed {
             // The second leaves while the first is out.
             let (one, _) = tokio::join!(self.send(&first, head, body, None), async {
@@ -243,22 +276,34 @@
     /// A server by turns, outside a hall if one is named.
     fn choose(&self, number: usize, not_in: Option<&str>) -> Option<Server> {
         let servers = self.servers.borrow();
-        let fit: Vec<&Server> =
-            servers.values().filter(|s| not_in.is_none_or(|hall| s.hall != hall)).collect();
+        let fit: Vec<&Server> = servers
+            .values()
+            .filter(|s| not_in.is_none_or(|hall| s.hall != hall))
+            .collect();
         if self.wrong == Wrong::FloodsCold {
-            return fit.iter().max_by(|a, b| a.boot_ms.total_cmp(&b.boot_ms)).map(|server| (*server).clone());
+            return fit
+                .iter()
+                .max_by(|a, b| a.boot_ms.total_cmp(&b.boot_ms))
+                .map(|server| (*server).clone());
         }
-        fit.get(number % fit.len().max(1)).map(|server| (*server).clone())
+        fit.get(number % fit.len().max(1))
+            .map(|server| (*server).clone())
     }
 
     async fn send(&self, server: &Server, head: &Head, body: &[u8], id: Option<&str>) -> Sent {
-        let patience = head.header("req-deadline").and_then(|text| text.parse().ok()).unwrap_or(1.0);
+        let patience = head
+            .header("req-deadline")
+            .and_then(|text| text.parse().ok())
+            .unwrap_or(1.0);
         let patience = Duration::from_secs_f64(patience).saturating_sub(Duration::from_millis(30));
-        let Ok(stream) = TcpStream::connect(server.at).await else { return Sent::NeverRan };
+        let Ok(stream) = TcpStream::connect(server.at).await else {
+            return Sent::NeverRan;
+        };
         let mut wire = Wire::new(stream);
         let id = id.or(head.header("req-id")).unwrap_or_default();
-        let key =
-            head.header("idempotency-key").map_or(String::new(), |key| format!("Idempotency-Key: {key}\r\n"));
+        let key = head
+            .header("idempotency-key")
+            .map_or(String::new(), |key| format!("Idempotency-Key: {key}\r\n"));
         let (method, path, length) = (&head.method, &head.path, body.len());
         let text = format!(
             "{method} {path} HTTP/1.1\r\nHost: s\r\nReq-Id: {id}\r\n{key}Content-Length: {length}\r\n\r\n"
@@ -270,7 +315,9 @@
         match timeout(patience, wire.read(true)).await {
             Ok(Ok((head, body))) if head.status == 200 => Sent::Served(body),
             Ok(Ok((head, _))) if head.header("srv-declined").is_some() => Sent::NeverRan,
-            Ok(Ok(_) | Err(Broken::Ended | Broken::Cut | Broken::Garbled)) | Err(_) => Sent::MayHaveRun,
+            Ok(Ok(_) | Err(Broken::Ended | Broken::Cut | Broken::Garbled)) | Err(_) => {
+                Sent::MayHaveRun
+            }
         }
     }
 }
@@ -293,6 +340,9 @@
 }
 
 fn reply(status: &str, body: &[u8]) -> Vec<u8> {
-    let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n", body.len());
+    let head = format!(
+        "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n",
+        body.len()
+    );
     [head.as_bytes(), body].concat()
 }
--- a/crates/emberpin-testbed/src/clients.rs
+++ b/crates/emberpin-testbed/src/clients.rs
@@ -58,7 +58,11 @@
             idle: RefCell::default(),
             down: Cell::new(None),
         };
-        Rc::new(Clients { world, fronts: limiters.iter().map(front).collect(), open: Cell::new(0) })
+        Rc::new(Clients {
+            world,
+            fronts: limiters.iter().map(front).collect(),
+            open: Cell::new(0),
+        })
     }
 
     /// A limiter is gone, which the front notices some time later.
@@ -89,7 +93,10 @@
     fn look(&self, limiter: usize, wire: &Wire, after: Try) -> bool {
         let unread = wire.unread();
         if unread == Some(true) {
-            self.world.recorder.note(What::Unasked { limiter, after: Some(after) });
+            self.world.recorder.note(What::Unasked {
+                limiter,
+                after: Some(after),
+            });
         }
         unread.is_none()
     }
@@ -129,10 +136,17 @@
         let notice = Duration::from_secs_f64(self.world.scenario.load.front_notice_s);
         let limiters = self.fronts.len();
         let nth = |n: usize| (customer.first + (arrival.through + n) % customer.spread) % limiters;
-        let known_down =
-            |limiter: usize| self.fronts[limiter].down.get().is_some_and(|at| at.elapsed() > notice);
+        let known_down = |limiter: usize| {
+            self.fronts[limiter]
+                .down
+                .get()
+                .is_some_and(|at| at.elapsed() > notice)
+        };
         let order = (0..customer.spread).map(|n| nth(number + n));
-        order.clone().find(|limiter| !known_down(*limiter)).unwrap_or_else(|| nth(number))
+        order
+            .clone()
+            .find(|limiter| !known_down(*limiter))
+            .unwrap_or_else(|| nth(number))
     }
 
     async fn attempt(&self, of: Try, arrival: &Arrival, limiter: usize, number: u32) -> Ended {
@@ -149,7 +163,9 @@
         let text = self.request(of, arrival);
         let (mut fresh, mut sent) = (false, false);
         loop {
-            let Some((mut wire, reused)) = self.connect(limiter, fresh).await else { return unreached(sent) };
+            let Some((mut wire, reused)) = self.connect(limiter, fresh).await else {
+                return unreached(sent);
+            };
             if wire.stream.write_all(&text).await.is_err() {
                 if reused {
                     fresh = true;
@@ -173,8 +189,10 @@
             });
             let asked = Instant::now();
             let gives_up = asked + Duration::from_micros(arrival.patience + SLACK) + LISTENS;
-            let leaves =
-                arrival.leaves.filter(|_| number == 0).map(|after| asked + Duration::from_micros(after));
+            let leaves = arrival
+                .leaves
+                .filter(|_| number == 0)
+                .map(|after| asked + Duration::from_micros(after));
             let read = tokio::select! {
                 biased;
                 read = wire.read(true) => read,
@@ -187,7 +205,10 @@
             let (head, body) = match read {
                 Ok(message) => message,
                 Err(how) => {
-                    world.recorder.note(What::Dropped { what: of, begun: how != Broken::Ended });
+                    world.recorder.note(What::Dropped {
+                        what: of,
+                        begun: how != Broken::Ended,
+                    });
                     // The limiter may have closed an idle connection as the request came: sent once more.
                     if how == Broken::Ended && reused && !fresh {
                         (fresh, sent) = (true, true);
@@ -199,13 +220,23 @@
             let replayed = head.header("idempotency-replayed").is_some();
             let made_for_it = || match world.schedule.made_for(&body) {
                 // A marked replay is the answer to another try under the same key.
-                Some(other) if replayed => world.schedule.arrival(other).map(|a| a.key) == Some(arrival.key),
+                Some(other) if replayed => {
+                    world.schedule.arrival(other).map(|a| a.key) == Some(arrival.key)
+                }
                 other => other == Some(of),
             };
-            let retry_after = head.header("retry-after").and_then(|text| text.parse::<f64>().ok());
-            let retry_after = retry_after.map(|wait| (wait.clamp(0.0, 60.0) * SECOND as f64) as Micros);
+            let retry_after = head
+                .header("retry-after")
+                .and_then(|text| text.parse::<f64>().ok());
+            let retry_after =
+                retry_after.map(|wait| (wait.clamp(0.0, 60.0) * SECOND as f64) as Micros);
             let sound = head.status != 200 || made_for_it();
-            world.recorder.note(What::Answered { what: of, status: head.status, sound, retry_after });
+            world.recorder.note(What::Answered {
+                what: of,
+                status: head.status,
+                sound,
+                retry_after,
+            });
             if !head.closes() {
                 let mut idle = self.fronts[limiter].idle.borrow_mut();
                 if idle.len() < MOST_IDLE {
@@ -230,7 +261,10 @@
                 return Some((wire, true));
             }
         }
-        let stream = timeout(CONNECT, TcpStream::connect(front.address)).await.ok()?.ok()?;
+        let stream = timeout(CONNECT, TcpStream::connect(front.address))
+            .await
+            .ok()?
+            .ok()?;
         Some((Wire::new(stream), false))
     }
 
--- a/crates/emberpin-testbed/src/discovery.rs
+++ b/crates/emberpin-testbed/src/discovery.rs
@@ -128,7 +128,9 @@
             // What it had lost comes back as changes.
             for agent in &self.agents {
                 let listed = agent.listed.borrow().clone();
-                listed.into_iter().for_each(|(uid, entry)| agent.take(uid, entry));
+                listed
+                    .into_iter()
+                    .for_each(|(uid, entry)| agent.take(uid, entry));
             }
         }
     }
@@ -155,7 +157,9 @@
 
     /// A server's standing has changed; each agent is sent it late.
     pub fn announce(self: &Rc<Self>, server: &Server, standing: Standing) {
-        let Some(process) = server.process() else { return };
+        let Some(process) = server.process() else {
+            return;
+        };
         self.send(server, process.life, process.boot_ms, standing);
     }
 
@@ -185,15 +189,30 @@
 
     /// Every agent knows this server from the start.
     pub fn list(&self, server: &Server) {
-        let Some(process) = server.process() else { return };
+        let Some(process) = server.process() else {
+            return;
+        };
         for (limiter, agent) in self.agents.iter().enumerate() {
-            let entry = self.entry(server, limiter, process.life, process.boot_ms, Standing::Ready);
+            let entry = self.entry(
+                server,
+                limiter,
+                process.life,
+                process.boot_ms,
+                Standing::Ready,
+            );
             agent.first.borrow_mut().push(entry.clone());
             agent.take(server.uid(), entry);
         }
     }
 
-    fn entry(&self, server: &Server, limiter: usize, life: Life, boot_ms: f64, standing: Standing) -> Entry {
+    fn entry(
+        &self,
+        server: &Server,
+        limiter: usize,
+        life: Life,
+        boot_ms: f64,
+        standing: Standing,
+    ) -> Entry {
         let json = json!({
             "uid": server.uid(), "endpoint": server.addresses.borrow()[limiter].to_string(),
             "az": hall_name(self.world.hall(server.number)), "model": "std-2c",
@@ -205,7 +224,12 @@
             },
             "capacity_hint": 1.0, "boot_ms": boot_ms,
         });
-        Entry { life, standing, json, version: 0 }
+        Entry {
+            life,
+            standing,
+            json,
+            version: 0,
+        }
     }
 
     /// The whole list as a limiter last had it, for its start.
@@ -223,9 +247,16 @@
         let rev = agent.rev.get();
         let (_, whole) = agent.whole();
         let untrue = self.untrue.borrow();
-        let concerns =
-            |group: &Option<Vec<usize>>| group.as_ref().is_none_or(|group| group.contains(&limiter));
-        match (untrue.as_ref().filter(|(_, group)| concerns(group)).map(|(how, _)| *how), since) {
+        let concerns = |group: &Option<Vec<usize>>| {
+            group.as_ref().is_none_or(|group| group.contains(&limiter))
+        };
+        match (
+            untrue
+                .as_ref()
+                .filter(|(_, group)| concerns(group))
+                .map(|(how, _)| *how),
+            since,
+        ) {
             (Some(Untrue::Empty), _) => Some((rev, (true, Vec::new()))),
             (Some(Untrue::Half), _) => Some((rev, (true, whole.into_iter().step_by(2).collect()))),
             (Some(Untrue::Older), _) => Some((1, (true, agent.first.borrow().clone()))),
@@ -245,11 +276,17 @@
             // Where limiters tell each other, what one is told counts for all; what is no more true for none.
             let to = match site.one_address {
                 false => limiter..limiter + 1,
-                true if entry.version > 0 && self.told.borrow_mut().insert(entry.version) => 0..site.limiters,
+                true if entry.version > 0 && self.told.borrow_mut().insert(entry.version) => {
+                    0..site.limiters
+                }
                 true => 0..0,
             };
             for limiter in to {
-                self.world.recorder.note(What::Told { limiter, life, standing });
+                self.world.recorder.note(What::Told {
+                    limiter,
+                    life,
+                    standing,
+                });
             }
         }
         let targets: Vec<&Value> = entries.iter().map(|entry| &entry.json).collect();
@@ -258,7 +295,9 @@
 
     async fn accept(self: Rc<Self>, limiter: usize, listener: TcpListener) {
         loop {
-            let Ok((stream, _)) = listener.accept().await else { continue };
+            let Ok((stream, _)) = listener.accept().await else {
+                continue;
+            };
             let discovery = self.clone();
             spawn_local(async move { discovery.serve(limiter, Wire::new(stream)).await });
         }
@@ -280,7 +319,10 @@
         };
         if !sound {
             if asking.get() {
-                recorder.note(What::ListAnswered { limiter, well: false });
+                recorder.note(What::ListAnswered {
+                    limiter,
+                    well: false,
+                });
             }
             wire.reset();
         }
@@ -295,7 +337,10 @@
             asking.set(true);
             let (path, query) = head.path.split_once('?').unwrap_or((&head.path, ""));
             if path != "/registry/instances" {
-                _ = wire.stream.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await;
+                _ = wire
+                    .stream
+                    .write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
+                    .await;
                 continue;
             }
             if !self.power.answer().await {
@@ -303,14 +348,25 @@
             }
             _ = silent.wait_for(|silent| !silent).await;
             let value = |name: &str| {
-                query.split('&').filter_map(|pair| pair.split_once('=')).find(|(key, _)| *key == name)
+                query
+                    .split('&')
+                    .filter_map(|pair| pair.split_once('='))
+                    .find(|(key, _)| *key == name)
             };
-            self.world.recorder.note(What::ListAnswered { limiter, well: true });
+            self.world.recorder.note(What::ListAnswered {
+                limiter,
+                well: true,
+            });
             asking.set(false);
             if value("follow").is_none() {
-                let (rev, news) = self.answer(limiter, None).unwrap_or((agent.rev.get(), agent.whole()));
+                let (rev, news) = self
+                    .answer(limiter, None)
+                    .unwrap_or((agent.rev.get(), agent.whole()));
                 let body = self.tell(limiter, rev, news).to_string();
-                let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+                let text = format!(
+                    "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                    body.len()
+                );
                 if wire.stream.write_all(text.as_bytes()).await.is_err() {
                     return true;
                 }
@@ -369,19 +425,27 @@
     fn take(&self, uid: String, entry: Entry) {
         let version = self.rev.get() + 1;
         self.rev.set(version);
-        self.listed.borrow_mut().insert(uid, Entry { version, ..entry });
+        self.listed
+            .borrow_mut()
+            .insert(uid, Entry { version, ..entry });
         self.news.notify_waiters();
     }
 
     /// All that is not gone.
     fn whole(&self) -> (bool, Vec<Entry>) {
         let listed = self.listed.borrow();
-        let here = listed.values().filter(|entry| entry.standing != Standing::Gone);
+        let here = listed
+            .values()
+            .filter(|entry| entry.standing != Standing::Gone);
         (true, here.cloned().collect())
     }
 
     fn changed_after(&self, rev: u64) -> Vec<Entry> {
         let listed = self.listed.borrow();
-        listed.values().filter(|entry| entry.version > rev).cloned().collect()
+        listed
+            .values()
+            .filter(|entry| entry.version > rev)
+            .cloned()
+            .collect()
     }
 }
--- a/crates/emberpin-testbed/src/figures.rs
+++ b/crates/emberpin-testbed/src/figures.rs
@@ -95,9 +95,30 @@
 
 /// The plans, by index.
 pub const PLANS: [Plan; 3] = [
-    Plan { name: "bas", rate: 1.7, burst: 8.0, ceiling: None, price: 0.72, share: 0.29 },
-    Plan { name: "mellan", rate: 8.0, burst: 17.0, ceiling: Some((17.6, 37.4)), price: 1.2, share: 0.31 },
-    Plan { name: "stor", rate: 34.0, burst: 70.0, ceiling: None, price: 1.4, share: 0.40 },
+    Plan {
+        name: "bas",
+        rate: 1.7,
+        burst: 8.0,
+        ceiling: None,
+        price: 0.72,
+        share: 0.29,
+    },
+    Plan {
+        name: "mellan",
+        rate: 8.0,
+        burst: 17.0,
+        ceiling: Some((17.6, 37.4)),
+        price: 1.2,
+        share: 0.31,
+    },
+    Plan {
+        name: "stor",
+        rate: 34.0,
+        burst: 70.0,
+        ceiling: None,
+        price: 1.4,
+        share: 0.40,
+    },
 ];
 
 /// The name of a hall by its number.
--- a/crates/emberpin-testbed/src/http.rs
+++ b/crates/emberpin-testbed/src/http.rs
@@ -25,17 +25,24 @@
 impl Head {
     /// The first header of this name.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(key, _)| key.eq_ignore_ascii_case(name)).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .find(|(key, _)| key.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.as_str())
     }
 
     /// Whether the sender ends the connection after this message.
     pub fn closes(&self) -> bool {
-        self.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
+        self.header("connection")
+            .is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 
     fn keep(&mut self, headers: &[httparse::Header]) {
         let text = |value: &[u8]| String::from_utf8_lossy(value).into_owned();
-        self.headers = headers.iter().map(|header| (header.name.to_string(), text(header.value))).collect();
+        self.headers = headers
+            .iter()
+            .map(|header| (header.name.to_string(), text(header.value)))
+            .collect();
     }
 
     /// Reads a head off the front of the bytes: its length too, or nothing if it is not whole yet.
@@ -102,7 +109,10 @@
     pub fn new(stream: TcpStream) -> Wire {
         // Loopback has no reason to refuse; a message that waits for another would only be late.
         _ = stream.set_nodelay(true);
-        Wire { stream, held: Vec::with_capacity(1024) }
+        Wire {
+            stream,
+            held: Vec::with_capacity(1024),
+        }
     }
 
     /// One message.
--- a/crates/emberpin-testbed/src/links.rs
+++ b/crates/emberpin-testbed/src/links.rs
@@ -35,7 +35,9 @@
     ///
     /// The operating system's.
     pub async fn start(world: &World, limiters: usize) -> std::io::Result<LinkNet> {
-        let listen: Vec<SocketAddr> = (0..limiters).map(|_| world.address()).collect::<Result<_, _>>()?;
+        let listen: Vec<SocketAddr> = (0..limiters)
+            .map(|_| world.address())
+            .collect::<Result<_, _>>()?;
         let (split, _) = watch::channel(None);
         let mut relays = Vec::new();
         let all: BTreeSet<u32> = (0..limiters as u32).collect();
@@ -52,7 +54,11 @@
             }
             relays.push(to_each);
         }
-        Ok(LinkNet { listen, relays, split })
+        Ok(LinkNet {
+            listen,
+            relays,
+            split,
+        })
     }
 
     /// Splits the limiters, or heals the split.
@@ -69,10 +75,17 @@
         let keys = folder.join("keys");
         std::fs::create_dir_all(&keys)?;
         let mut options = std::fs::OpenOptions::new();
-        let mut file =
-            options.create(true).truncate(true).write(true).mode(0o600).open(keys.join("fingerprint.key"))?;
+        let mut file = options
+            .create(true)
+            .truncate(true)
+            .write(true)
+            .mode(0o600)
+            .open(keys.join("fingerprint.key"))?;
         file.write_all(format!("{secret:016x}").repeat(4).as_bytes())?;
-        let mut table = format!("[link]\ncluster = \"site\"\nplain = true\nkeys = \"{}\"\n", keys.display());
+        let mut table = format!(
+            "[link]\ncluster = \"site\"\nplain = true\nkeys = \"{}\"\n",
+            keys.display()
+        );
         if self.listen.len() > MESH {
             table += "beat_ms = 1000\nsuspect_ms = 2500\ndead_ms = 4000\n";
         }
@@ -97,7 +110,9 @@
     while let Ok((near, _)) = listener.accept().await {
         let split = split.clone();
         spawn_local(async move {
-            let Ok(far) = TcpStream::connect(to).await else { return };
+            let Ok(far) = TcpStream::connect(to).await else {
+                return;
+            };
             _ = (near.set_nodelay(true), far.set_nodelay(true));
             let ((near_out, near_in), (far_out, far_in)) = (near.into_split(), far.into_split());
             // Whichever way ends, both do: a process that is gone is gone for its reader and its writer.
@@ -115,10 +130,16 @@
     (sender, receiver): (usize, usize),
     mut split: watch::Receiver<Option<Split>>,
 ) {
-    let apart = |split: &Option<Split>| split.as_ref().is_some_and(|split| split.holds(sender, receiver));
+    let apart = |split: &Option<Split>| {
+        split
+            .as_ref()
+            .is_some_and(|split| split.holds(sender, receiver))
+    };
     let mut bytes = vec![0; 16 * 1024];
     while let Ok(n @ 1..) = from.read(&mut bytes).await {
-        if split.wait_for(|split| !apart(split)).await.is_err() || to.write_all(&bytes[..n]).await.is_err() {
+        if split.wait_for(|split| !apart(split)).await.is_err()
+            || to.write_all(&bytes[..n]).await.is_err()
+        {
             return;
         }
     }
--- a/crates/emberpin-testbed/src/main.rs
+++ b/crates/emberpin-testbed/src/main.rs
@@ -63,7 +63,10 @@
 }
 
 fn main() -> ExitCode {
-    if std::env::args_os().nth(1).is_some_and(|word| word == AS_LIMITER) {
+    if std::env::args_os()
+        .nth(1)
+        .is_some_and(|word| word == AS_LIMITER)
+    {
         return emberpin_limiter::operate::command::main(std::env::args_os().skip(1));
     }
     match play(&Line::parse()) {
@@ -78,12 +81,21 @@
 fn play(line: &Line) -> Result<ExitCode, String> {
     let scenario = line.scenario()?;
     let mut program = match &line.limiter {
-        Some(path) => {
-            Program { path: path.clone(), arguments: Vec::new(), logs: line.logs, links: line.links }
-        }
+        Some(path) => Program {
+            path: path.clone(),
+            arguments: Vec::new(),
+            logs: line.logs,
+            links: line.links,
+        },
         None => {
-            let path = std::env::current_exe().map_err(|e| format!("cannot find this program: {e}"))?;
-            Program { path, arguments: vec![AS_LIMITER.into()], logs: line.logs, links: line.links }
+            let path =
+                std::env::current_exe().map_err(|e| format!("cannot find this program: {e}"))?;
+            Program {
+                path,
+                arguments: vec![AS_LIMITER.into()],
+                logs: line.logs,
+                links: line.links,
+            }
         }
     };
     for file in &line.with {
@@ -102,7 +114,11 @@
     }
     println!("{}", stories(judgement));
     println!("To bring it back: {}", line.again(&scenario));
-    Ok(ExitCode::from(if judgement.is_broken() { BROKEN } else { LATE }))
+    Ok(ExitCode::from(if judgement.is_broken() {
+        BROKEN
+    } else {
+        LATE
+    }))
 }
 
 impl Line {
@@ -112,7 +128,9 @@
             None => Scenario::calm(),
         };
         if let Some(length) = self.seconds {
-            scenario.set_seconds(length).map_err(|problem| format!("--seconds: {problem}"))?;
+            scenario
+                .set_seconds(length)
+                .map_err(|problem| format!("--seconds: {problem}"))?;
         }
         scenario.seed = self.seed.unwrap_or(scenario.seed);
         Ok(scenario)
@@ -123,7 +141,8 @@
             std::fs::write(path, text).map_err(|e| format!("cannot write {}: {e}", path.display()))
         };
         if let Some(path) = &self.json {
-            let text = serde_json::to_string_pretty(summary).map_err(|e| format!("the figures: {e}"))?;
+            let text =
+                serde_json::to_string_pretty(summary).map_err(|e| format!("the figures: {e}"))?;
             save(path, text + "\n")?;
         }
         if let Some(path) = &self.report {
@@ -134,9 +153,14 @@
 
     /// The command that plays the same again.
     fn again(&self, scenario: &Scenario) -> String {
-        let file =
-            self.scenario.as_ref().map_or(String::new(), |path| format!("--scenario {} ", path.display()));
-        let with: String = self.with.iter().map(|path| format!("--with {} ", path.display())).collect();
+        let file = self.scenario.as_ref().map_or(String::new(), |path| {
+            format!("--scenario {} ", path.display())
+        });
+        let with: String = self
+            .with
+            .iter()
+            .map(|path| format!("--with {} ", path.display()))
+            .collect();
         let (seed, length) = (scenario.seed, seconds(scenario.length));
         let logs = if self.logs { "--logs " } else { "" };
         let links = if self.links { "--links " } else { "" };
@@ -159,7 +183,11 @@
             bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
             bar
         });
-        Shown { bar, last: std::cell::Cell::new(0), length }
+        Shown {
+            bar,
+            last: std::cell::Cell::new(0),
+            length,
+        }
     }
 
     fn show(&self, Progress { at, begun, open }: Progress) {
--- a/crates/emberpin-testbed/src/page.rs
+++ b/crates/emberpin-testbed/src/page.rs
@@ -37,7 +37,10 @@
     let bins = bins(&outcome.events, scenario.length);
     let line = |name: &str, value: &dyn Fn(&crate::report::Bin) -> f64| -> Line {
         let point = |(index, bin)| (seconds(index as u64 * BIN), value(bin));
-        (name.to_string(), bins.iter().enumerate().map(point).collect())
+        (
+            name.to_string(),
+            bins.iter().enumerate().map(point).collect(),
+        )
     };
     let rates = [
         line("asked", &|bin| bin.asked),
@@ -45,7 +48,10 @@
         line("refused", &|bin| bin.refused),
         line("failed", &|bin| bin.failed),
     ];
-    let times = [line("median", &|bin| bin.p50_ms), line("99th percentile", &|bin| bin.p99_ms)];
+    let times = [
+        line("median", &|bin| bin.p50_ms),
+        line("99th percentile", &|bin| bin.p99_ms),
+    ];
     let (mut cpu, mut memory): (Vec<Line>, Vec<Line>) = (Vec::new(), Vec::new());
     for limiter in 0..outcome.usage.len() {
         let name = format!("limiter {limiter}");
@@ -57,7 +63,12 @@
         });
         cpu.push((name.clone(), load.collect()));
         let peak = outcome.samples.iter();
-        let peak = peak.map(|sample| (seconds(sample.at), sample.usage[limiter].peak_kib as f64 / 1024.0));
+        let peak = peak.map(|sample| {
+            (
+                seconds(sample.at),
+                sample.usage[limiter].peak_kib as f64 / 1024.0,
+            )
+        });
         memory.push((name, peak.collect()));
     }
     let mut page = String::new();
@@ -96,7 +107,11 @@
     }
     let told = stories(&outcome.judgement);
     if !told.is_empty() {
-        _ = write!(write, "<h2>The first break of each rule</h2><pre>{}</pre>", escape(told.trim()));
+        _ = write!(
+            write,
+            "<h2>The first break of each rule</h2><pre>{}</pre>",
+            escape(told.trim())
+        );
     }
     page += "</html>\n";
     Ok(page)
@@ -110,17 +125,29 @@
             (0, _) => "late",
             _ => "broken",
         };
-        _ = write!(write, "<tr><td>{}<td class={kind}>{}</tr>", finding.rule, verdict(finding));
+        _ = write!(
+            write,
+            "<tr><td>{}<td class={kind}>{}</tr>",
+            finding.rule,
+            verdict(finding)
+        );
     }
     _ = write!(
         write,
         "</table><table><tr><th><th>asked<th>in time<th>late<th>refused<th>failed<th>p50 ms<th>p99 ms<th>beyond \
          quota</tr>"
     );
-    let rows: Vec<&Row> =
-        [&summary.total].into_iter().chain(&summary.classes).chain(&summary.plans).collect();
+    let rows: Vec<&Row> = [&summary.total]
+        .into_iter()
+        .chain(&summary.classes)
+        .chain(&summary.plans)
+        .collect();
     for row in rows.into_iter().filter(|row| row.asked > 0) {
-        let cells: String = row.cells().iter().map(|cell| format!("<td>{}", escape(cell))).collect();
+        let cells: String = row
+            .cells()
+            .iter()
+            .map(|cell| format!("<td>{}", escape(cell)))
+            .collect();
         _ = write!(write, "<tr>{cells}</tr>");
     }
     _ = write!(
@@ -143,18 +170,30 @@
 }
 
 /// Lines over time, the faults as upright ones.
-fn plot(lines: &[Line], faults: &[(f64, String)], length: f64) -> Result<String, Box<dyn std::error::Error>> {
+fn plot(
+    lines: &[Line],
+    faults: &[(f64, String)],
+    length: f64,
+) -> Result<String, Box<dyn std::error::Error>> {
     let mut drawn = String::new();
     {
         let area = SVGBackend::with_string(&mut drawn, SIZE).into_drawing_area();
         area.fill(&WHITE)?;
-        let highest = lines.iter().flat_map(|(_, points)| points).map(|(_, y)| *y).fold(1.0, f64::max);
+        let highest = lines
+            .iter()
+            .flat_map(|(_, points)| points)
+            .map(|(_, y)| *y)
+            .fold(1.0, f64::max);
         let mut chart = ChartBuilder::on(&area)
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(48)
             .build_cartesian_2d(0.0..length, 0.0..highest * 1.08)?;
-        chart.configure_mesh().light_line_style(WHITE).x_desc("s").draw()?;
+        chart
+            .configure_mesh()
+            .light_line_style(WHITE)
+            .x_desc("s")
+            .draw()?;
         for (at, _) in faults.iter().filter(|(at, _)| *at <= length) {
             let upright = vec![(*at, 0.0), (*at, highest * 1.08)];
             chart.draw_series(LineSeries::new(upright, RGBColor(190, 50, 50).mix(0.35)))?;
@@ -163,16 +202,22 @@
             let colour = COLOURS[index % COLOURS.len()];
             let shown = points.iter().copied().filter(|(at, _)| *at <= length);
             let series = chart.draw_series(LineSeries::new(shown, colour.stroke_width(2)))?;
-            let key = move |(x, y)| PathElement::new(vec![(x, y), (x + 14, y)], colour.stroke_width(2));
+            let key =
+                move |(x, y)| PathElement::new(vec![(x, y), (x + 14, y)], colour.stroke_width(2));
             series.label(name).legend(key);
         }
         let labels = &mut chart.configure_series_labels();
-        labels.background_style(WHITE.mix(0.85)).border_style(RGBColor(200, 200, 200)).draw()?;
+        labels
+            .background_style(WHITE.mix(0.85))
+            .border_style(RGBColor(200, 200, 200))
+            .draw()?;
         area.present()?;
     }
     Ok(drawn)
 }
 
 fn escape(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
 }
--- a/crates/emberpin-testbed/src/peers.rs
+++ b/crates/emberpin-testbed/src/peers.rs
@@ -71,7 +71,11 @@
     ///
     /// No free port.
     pub async fn start(world: &World) -> std::io::Result<Rc<PeerNet>> {
-        let (host, limiters, seed) = (world.host, world.scenario.site.limiters, world.scenario.seed);
+        let (host, limiters, seed) = (
+            world.host,
+            world.scenario.site.limiters,
+            world.scenario.seed,
+        );
         let (mut seen, mut listen) = (Vec::new(), Vec::new());
         for _ in 0..limiters {
             seen.push(UdpSocket::bind((host, 0)).await?);
@@ -79,8 +83,19 @@
         }
         let all = UdpSocket::bind((host, 0)).await?;
         let rng = RefCell::new(ChaCha8Rng::seed_from_u64(seed ^ 0x9ee5));
-        let known = listen.iter().enumerate().map(|(limiter, address)| (*address, limiter)).collect();
-        let net = Rc::new(PeerNet { seen, all, listen, known, trouble: RefCell::default(), rng });
+        let known = listen
+            .iter()
+            .enumerate()
+            .map(|(limiter, address)| (*address, limiter))
+            .collect();
+        let net = Rc::new(PeerNet {
+            seen,
+            all,
+            listen,
+            known,
+            trouble: RefCell::default(),
+            rng,
+        });
         for to in 0..limiters {
             let net = net.clone();
             spawn_local(async move { net.clone().relay(&net.seen[to], Some(to)).await });
@@ -95,7 +110,10 @@
     /// # Errors
     ///
     /// A socket that has no address.
-    pub fn addresses(&self, of: usize) -> std::io::Result<(SocketAddr, Vec<SocketAddr>, SocketAddr)> {
+    pub fn addresses(
+        &self,
+        of: usize,
+    ) -> std::io::Result<(SocketAddr, Vec<SocketAddr>, SocketAddr)> {
         let seen: std::io::Result<Vec<_>> = self.seen.iter().map(UdpSocket::local_addr).collect();
         Ok((self.listen[of], seen?, self.all.local_addr()?))
     }
@@ -116,8 +134,12 @@
         let mut buffer = [0; LONGEST];
         loop {
             // An error here is that of an earlier datagram to a limiter that is down.
-            let Ok((length, sender)) = at.recv_from(&mut buffer).await else { continue };
-            let Some(from) = self.known.get(&sender).copied() else { continue };
+            let Ok((length, sender)) = at.recv_from(&mut buffer).await else {
+                continue;
+            };
+            let Some(from) = self.known.get(&sender).copied() else {
+                continue;
+            };
             let all = 0..self.listen.len();
             for to in all.filter(|other| to.map_or(*other != from, |to| *other == to)) {
                 self.clone().pass(from, to, buffer[..length].to_vec());
@@ -127,10 +149,16 @@
 
     fn pass(self: Rc<Self>, from: usize, to: usize, bytes: Vec<u8>) {
         let trouble = self.trouble.borrow();
-        let apart = trouble.split.as_ref().is_some_and(|split| split.holds(from, to));
+        let apart = trouble
+            .split
+            .as_ref()
+            .is_some_and(|split| split.holds(from, to));
         let (lost, late) = {
             let mut rng = self.rng.borrow_mut();
-            (rng.random::<f64>() < trouble.loss, trouble.delay.mul_f64(rng.random::<f64>()))
+            (
+                rng.random::<f64>() < trouble.loss,
+                trouble.delay.mul_f64(rng.random::<f64>()),
+            )
         };
         drop(trouble);
         if apart || lost {
--- a/crates/emberpin-testbed/src/process.rs
+++ b/crates/emberpin-testbed/src/process.rs
@@ -113,14 +113,22 @@
         let log = self.folder.join(format!("limiter-{number}.log"));
         let context = |what: &str, e: std::io::Error| format!("limiter {number}: {what}: {e}");
         std::fs::write(&file, config.to_string()).map_err(|e| context("its configuration", e))?;
-        let log_file = std::fs::OpenOptions::new().create(true).append(true).open(&log);
+        let log_file = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(&log);
         let log_file = log_file.map_err(|e| context("its log", e))?;
         let with_log = self.with_log(&file)?;
         let mut child = Command::new(&self.program.path)
             .args(&self.program.arguments)
             .args(with_log)
             .env("GW_CONFIG", &file)
-            .envs(self.stops_at.borrow_mut().take().map(|point| ("EMBERPIN_STOP_AT", point)))
+            .envs(
+                self.stops_at
+                    .borrow_mut()
+                    .take()
+                    .map(|point| ("EMBERPIN_STOP_AT", point)),
+            )
             .envs(self.disk.borrow().clone().map(|lie| ("EMBERPIN_DISK", lie)))
             .env("EMBERPIN_DISK_SAID", self.lie_said())
             .stdin(Stdio::null())
@@ -170,7 +178,10 @@
             return Ok(Vec::new());
         }
         let file = self.folder.join("log.toml");
-        let table = format!("[log]\nfolder = \"{}/log-{{name}}\"\n", self.folder.display());
+        let table = format!(
+            "[log]\nfolder = \"{}/log-{{name}}\"\n",
+            self.folder.display()
+        );
         std::fs::write(&file, table)
             .map_err(|e| format!("limiter {}: its operator file: {e}", self.number))?;
         let with = vec!["--with".into(), file.into_os_string()];
@@ -181,10 +192,14 @@
                 .args(["log", "init"])
                 .env("GW_CONFIG", config)
                 .output();
-            let begun = begun.map_err(|e| format!("cannot start {}: {e}", self.program.path.display()))?;
+            let begun =
+                begun.map_err(|e| format!("cannot start {}: {e}", self.program.path.display()))?;
             if !begun.status.success() {
                 let said = String::from_utf8_lossy(&begun.stderr).trim().to_string();
-                return Err(format!("limiter {}: its log is not begun: {said}", self.number));
+                return Err(format!(
+                    "limiter {}: its log is not begun: {said}",
+                    self.number
+                ));
             }
         }
         Ok(with)
@@ -199,20 +214,28 @@
             *self.last_words.borrow_mut() = said.lines().last().unwrap_or_default().to_string();
         }
         if how != ProcessEnd::Killed && how != ProcessEnd::Overdue {
-            self.recorder.note(What::LimiterDown { limiter: self.number, how });
+            self.recorder.note(What::LimiterDown {
+                limiter: self.number,
+                how,
+            });
         }
         self.pid.set(None);
         self.ended.send_replace(true);
     }
 
     async fn is_ready(&self) -> bool {
-        let Ok(stream) = TcpStream::connect(self.address).await else { return false };
+        let Ok(stream) = TcpStream::connect(self.address).await else {
+            return false;
+        };
         let mut wire = Wire::new(stream);
-        let asked = b"GET /health/ready HTTP/1.1\r\nHost: service.internal\r\nConnection: close\r\n\r\n";
+        let asked =
+            b"GET /health/ready HTTP/1.1\r\nHost: service.internal\r\nConnection: close\r\n\r\n";
         if wire.stream.write_all(asked).await.is_err() {
             return false;
         }
-        wire.read(true).await.is_ok_and(|(head, _)| head.status == 200)
+        wire.read(true)
+            .await
+            .is_ok_and(|(head, _)| head.status == 200)
     }
 
     /// kill -9; returns when the process is gone.
@@ -226,7 +249,10 @@
         self.measure();
         if self.pid.get().is_some() {
             self.expected.set(Some(how));
-            self.recorder.note(What::LimiterDown { limiter: self.number, how });
+            self.recorder.note(What::LimiterDown {
+                limiter: self.number,
+                how,
+            });
             self.signal(Signal::SIGKILL);
         }
     }
@@ -235,7 +261,9 @@
     pub async fn leave(&self) {
         if self.pid.get().is_some() {
             self.expected.set(Some(ProcessEnd::Left));
-            self.recorder.note(What::Terminated { limiter: self.number });
+            self.recorder.note(What::Terminated {
+                limiter: self.number,
+            });
             self.signal(Signal::SIGTERM);
         }
         if tokio::time::timeout(LEAVE, self.gone()).await.is_err() {
@@ -279,8 +307,15 @@
 
     /// Whether its process stands still by a signal (proc(5), the state `T`).
     pub fn is_paused(&self) -> bool {
-        let stat = self.pid.get().and_then(|pid| std::fs::read_to_string(format!("/proc/{pid}/stat")).ok());
-        stat.is_some_and(|stat| stat.rsplit(") ").next().is_some_and(|rest| rest.starts_with('T')))
+        let stat = self
+            .pid
+            .get()
+            .and_then(|pid| std::fs::read_to_string(format!("/proc/{pid}/stat")).ok());
+        stat.is_some_and(|stat| {
+            stat.rsplit(") ")
+                .next()
+                .is_some_and(|rest| rest.starts_with('T'))
+        })
     }
 
     fn signal(&self, signal: Signal) {
@@ -333,9 +368,16 @@
 /// What a running process has used: processor time in milliseconds, from its own clock (clock_getcpuclockid(3)),
 /// and the largest resident set in KiB (proc(5)).
 pub fn used(pid: u32) -> Option<(f64, u64)> {
-    let time = clock_getcpuclockid(Pid::from_raw(pid as i32)).and_then(|clock| clock.now()).ok()?;
+    let time = clock_getcpuclockid(Pid::from_raw(pid as i32))
+        .and_then(|clock| clock.now())
+        .ok()?;
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
-    let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
+    let peak = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmHWM:"))?;
     let peak = peak.split_whitespace().next()?.parse().ok()?;
-    Some((time.tv_sec() as f64 * 1000.0 + time.tv_nsec() as f64 / 1e6, peak))
+    Some((
+        time.tv_sec() as f64 * 1000.0 + time.tv_nsec() as f64 / 1e6,
+        peak,
+    ))
 }
