--- a/crates/emberpin-testbed/src/servers.rs
+++ b/crates/emberpin-testbed/src/servers.rs
@@ -80,7 +80,12 @@
     fn last(&self, customer: u32, now: Micros) -> Option<f64> {
         let period = (now.checked_sub(METER_LATE)? / METER_PERIOD).checked_sub(1)?;
         let periods = self.used.get(&customer)?;
-        Some(periods.iter().find(|(at, _)| *at == period).map_or(0.0, |(_, units)| *units))
+        Some(
+            periods
+                .iter()
+                .find(|(at, _)| *at == period)
+                .map_or(0.0, |(_, units)| *units),
+        )
     }
 }
 
@@ -93,7 +98,12 @@
     }
 
     /// What stands before anything starts.
-    pub fn new(recorder: Recorder, scenario: Scenario, schedule: Schedule, host: Ipv4Addr) -> Rc<World> {
+    pub fn new(
+        recorder: Recorder,
+        scenario: Scenario,
+        schedule: Schedule,
+        host: Ipv4Addr,
+    ) -> Rc<World> {
         let site = &scenario.site;
         let row = || (0..site.halls).map(|_| Link::default()).collect();
         let links = (0..site.limiters).map(|_| row()).collect();
@@ -123,9 +133,14 @@
     pub fn address(&self) -> std::io::Result<SocketAddr> {
         loop {
             let port = self.ports.get();
-            self.ports.set(port.checked_add(1).ok_or(std::io::ErrorKind::AddrNotAvailable)?);
+            self.ports.set(
+                port.checked_add(1)
+                    .ok_or(std::io::ErrorKind::AddrNotAvailable)?,
+            );
             let address = SocketAddr::from((self.host, port));
-            if std::net::TcpListener::bind(address).is_ok() && std::net::UdpSocket::bind(address).is_ok() {
+            if std::net::TcpListener::bind(address).is_ok()
+                && std::net::UdpSocket::bind(address).is_ok()
+            {
                 return Ok(address);
             }
         }
@@ -262,14 +277,24 @@
     pub async fn start(&self, cold: bool) -> std::io::Result<()> {
         let world = &self.world;
         let site = &world.scenario.site;
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let process = Rc::new(Process {
             world: world.clone(),
             server: self.number,
             life: Life(World::next(&world.lives)),
-            boot_ms: if cold { unix.as_secs_f64() * 1000.0 } else { 0.0 },
+            boot_ms: if cold {
+                unix.as_secs_f64() * 1000.0
+            } else {
+                0.0
+            },
             up: world.recorder.now(),
-            warm_after: if cold { (site.warm_s * 1e6) as Micros } else { 0 },
+            warm_after: if cold {
+                (site.warm_s * 1e6) as Micros
+            } else {
+                0
+            },
             speed: world.schedule.speeds[self.number],
             dead: watch::Sender::new(false),
             accepting: RefCell::default(),
@@ -298,7 +323,9 @@
 
     /// Ends its process at once: connections are reset, new ones refused; returns when its addresses are free.
     pub async fn kill(&self) {
-        let Some(process) = self.running.borrow_mut().take() else { return };
+        let Some(process) = self.running.borrow_mut().take() else {
+            return;
+        };
         process.die();
         let accepting = process.accepting.take();
         for task in accepting {
@@ -341,7 +368,8 @@
 
     /// Listens no more at the addresses before the present ones.
     pub fn leave_old_addresses(&self) {
-        self.place.send_modify(|place| *place = place.wrapping_add(1));
+        self.place
+            .send_modify(|place| *place = place.wrapping_add(1));
     }
 
     /// Nothing is out at it.
@@ -356,7 +384,9 @@
 
     fn die(&self) {
         if !self.dead.send_replace(true) {
-            self.world.recorder.note(What::ServerDown { life: self.life });
+            self.world
+                .recorder
+                .note(What::ServerDown { life: self.life });
         }
     }
 
@@ -370,7 +400,13 @@
         from + (1.0 - from) * part.min(1.0)
     }
 
-    async fn accept(self: Rc<Self>, limiter: usize, address: SocketAddr, place: u32, listener: TcpListener) {
+    async fn accept(
+        self: Rc<Self>,
+        limiter: usize,
+        address: SocketAddr,
+        place: u32,
+        listener: TcpListener,
+    ) {
         let (mut dead, mut refusing) = (self.dead.subscribe(), self.refusing.subscribe());
         let mut places = self.place.subscribe();
         let mut listener = Some(listener);
@@ -398,7 +434,10 @@
 
     async fn connection(self: Rc<Self>, limiter: usize, place: u32, mut wire: Wire) {
         self.connections.set(self.connections.get() + 1);
-        self.world.recorder.note(What::Connected { life: self.life, limiter });
+        self.world.recorder.note(What::Connected {
+            life: self.life,
+            limiter,
+        });
         let mut dead = self.dead.subscribe();
         // The attempt that is out on this connection.
         let out = Cell::new(None);
@@ -458,12 +497,21 @@
                 continue;
             }
             let attempt = AttemptId(World::next(&world.attempts));
-            let of = head.header("req-id").and_then(|id| world.schedule.parse_id(id));
+            let of = head
+                .header("req-id")
+                .and_then(|id| world.schedule.parse_id(id));
             // Where all come to one address, the client knows whom it asked.
             let asked = of.filter(|_| world.scenario.site.one_address);
             let asked = asked.and_then(|of| world.asked.borrow().get(&of).copied());
             let limiter = asked.unwrap_or(limiter);
-            world.recorder.note_at(began, What::Begun { attempt, life: self.life, limiter });
+            world.recorder.note_at(
+                began,
+                What::Begun {
+                    attempt,
+                    life: self.life,
+                    limiter,
+                },
+            );
             out.set(Some(attempt));
             // On the way; whoever ends the connection meanwhile has taken it back.
             let arrives = async {
@@ -475,17 +523,32 @@
                 () = wire.ended() => return Over::TheirEnd,
                 () = arrives => {}
             }
-            let work = of.and_then(|of| world.schedule.arrival(of)).map_or(0.0, |arrival| arrival.work);
-            world.recorder.note(What::Whole { attempt, what: of, work });
+            let work = of
+                .and_then(|of| world.schedule.arrival(of))
+                .map_or(0.0, |arrival| arrival.work);
+            world.recorder.note(What::Whole {
+                attempt,
+                what: of,
+                work,
+            });
             let Some(of) = of else {
-                _ = wire.stream.write_all(b"HTTP/1.1 400 Unknown\r\nContent-Length: 0\r\n\r\n").await;
-                world.recorder.note(What::Ended { attempt, how: AttemptEnd::Errored });
+                _ = wire
+                    .stream
+                    .write_all(b"HTTP/1.1 400 Unknown\r\nContent-Length: 0\r\n\r\n")
+                    .await;
+                world.recorder.note(What::Ended {
+                    attempt,
+                    how: AttemptEnd::Errored,
+                });
                 out.set(None);
                 continue;
             };
             if let Some(arrival) = world.schedule.arrival(of) {
                 let (customer, units) = (arrival.customer, arrival.class().units);
-                world.meter.borrow_mut().count(of, customer, units, world.recorder.now());
+                world
+                    .meter
+                    .borrow_mut()
+                    .count(of, customer, units, world.recorder.now());
             }
             if self.falls(work) {
                 self.die();
@@ -518,7 +581,10 @@
             ("GET", "/stats") => self.load(),
             _ => return None,
         };
-        Some(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
+        Some(format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        ))
     }
 
     /// A cold server that is sent more than a multiple of what it can do, for the time that this takes, falls
@@ -540,11 +606,23 @@
     }
 
     /// Queue, cores and the hall's memory.
-    async fn work(&self, attempt: AttemptId, of: Try, work: f64, head: &Head, body: &[u8]) -> Reply {
+    async fn work(
+        &self,
+        attempt: AttemptId,
+        of: Try,
+        work: f64,
+        head: &Head,
+        body: &[u8],
+    ) -> Reply {
         let world = &self.world;
-        let Some(arrival) = world.schedule.arrival(of) else { return Reply::Declined };
+        let Some(arrival) = world.schedule.arrival(of) else {
+            return Reply::Declined;
+        };
         let site = &world.scenario.site;
-        let spoil = self.spoils.borrow().is_some_and(|(how, _)| how == Spoil::Decline);
+        let spoil = self
+            .spoils
+            .borrow()
+            .is_some_and(|(how, _)| how == Spoil::Decline);
         if spoil || self.connections.get() > site.connections || self.waiting.get() > site.queue {
             return Reply::Declined;
         }
@@ -568,13 +646,21 @@
         // A safe class has no effect that could be had twice.
         let effect = arrival.class().repeat != Repeat::Safe && !remembered;
         let second = effect && !world.effects.borrow_mut().insert(arrival.key);
-        world.recorder.note(What::Ran { attempt, second, remembered });
+        world.recorder.note(What::Ran {
+            attempt,
+            second,
+            remembered,
+        });
         let work = if remembered { REMEMBERED_WORK } else { work };
         let time = work / (self.speed * self.warmth(now));
         tokio::time::sleep(Duration::from_secs_f64(time / 1000.0)).await;
         self.service.set(self.service.get() * 0.9 + time * 0.1);
         let id = head.header("req-id").unwrap_or_default();
-        Reply::Served(format!("{id} life {} took {} bytes", self.life.0, body.len()))
+        Reply::Served(format!(
+            "{id} life {} took {} bytes",
+            self.life.0,
+            body.len()
+        ))
     }
 
     /// Writes the answer, or what a spoilt one leaves of it; says if the connection is over.
@@ -590,24 +676,32 @@
         let (how, text) = match reply {
             Reply::Declined => {
                 let head = "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n";
-                (AttemptEnd::Declined, format!("{head}Srv-Load: {}\r\n\r\n", self.load()))
+                (
+                    AttemptEnd::Declined,
+                    format!("{head}Srv-Load: {}\r\n\r\n", self.load()),
+                )
             }
             Reply::Served(body) => {
                 let headers = format!("Srv-Load: {}\r\n{}", self.load(), self.used(of));
                 let roll = draw(world.scenario.seed, attempt);
                 let spoilt = *self.spoils.borrow();
-                match spoilt.filter(|(_, share)| roll < *share).map(|(how, _)| how) {
+                match spoilt
+                    .filter(|(_, share)| roll < *share)
+                    .map(|(how, _)| how)
+                {
                     Some(how) if how != Spoil::Error => {
                         return Some(spoil(how, wire, &headers, &body).await);
                     }
                     None if roll >= world.scenario.site.error_rate => {
                         let length = body.len();
-                        let text =
-                            format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n{headers}\r\n{body}");
+                        let text = format!(
+                            "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n{headers}\r\n{body}"
+                        );
                         (AttemptEnd::Served, text)
                     }
                     _ => {
-                        let text = format!("HTTP/1.1 500 Error\r\nContent-Length: 0\r\n{headers}\r\n");
+                        let text =
+                            format!("HTTP/1.1 500 Error\r\nContent-Length: 0\r\n{headers}\r\n");
                         (AttemptEnd::Errored, text)
                     }
                 }
@@ -627,7 +721,11 @@
         let mut report = self.report.borrow_mut();
         let every = (self.world.scenario.site.report_ms * 1000.0) as Micros;
         if report.1.is_empty() || now >= report.0 + every {
-            let text = format!("mean_ms={:.1},depth={}", self.service.get(), self.waiting.get());
+            let text = format!(
+                "mean_ms={:.1},depth={}",
+                self.service.get(),
+                self.waiting.get()
+            );
             *report = (now, text);
         }
         report.1.clone()
@@ -636,9 +734,13 @@
     /// The customer's use in percent, less 1 being nothing.
     fn used(&self, of: Try) -> String {
         let world = &self.world;
-        let Some(arrival) = world.schedule.arrival(of) else { return String::new() };
+        let Some(arrival) = world.schedule.arrival(of) else {
+            return String::new();
+        };
         let now = world.recorder.now();
-        let Some(units) = world.meter.borrow().last(arrival.customer, now) else { return String::new() };
+        let Some(units) = world.meter.borrow().last(arrival.customer, now) else {
+            return String::new();
+        };
         let plan = &PLANS[world.schedule.customers[arrival.customer as usize].plan];
         format!("X-RateLimit-Used: {:.1}\r\n", 100.0 * units / plan.rate)
     }
@@ -663,7 +765,10 @@
             Over::OurEnd
         }
         Spoil::Garbled => {
-            _ = wire.stream.write_all(b"HTTP/one.one two hundred\r\n\x00\xff\r\n\r\n").await;
+            _ = wire
+                .stream
+                .write_all(b"HTTP/one.one two hundred\r\n\x00\xff\r\n\r\n")
+                .await;
             Over::OurEnd
         }
         Spoil::Stall => {
--- a/crates/emberpin-testbed/src/settings.rs
+++ b/crates/emberpin-testbed/src/settings.rs
@@ -1,8 +1,8 @@
 //! The settings in which a limiter is told the classes, plans and rules of the stand-in site.
 
 use crate::figures::{
-    hall_name, Class, Plan, Repeat, CLASSES, DRAIN_GRACE, FALL_MULTIPLE, FALL_TIME, MAX_RETRY_AFTER,
-    METER_PERIOD, PLANS, WINDOW,
+    hall_name, Class, Plan, Repeat, CLASSES, DRAIN_GRACE, FALL_MULTIPLE, FALL_TIME,
+    MAX_RETRY_AFTER, METER_PERIOD, PLANS, WINDOW,
 };
 use crate::scenario::Site;
 use serde_json::{json, Value};
@@ -31,7 +31,11 @@
         })
     };
     let halls: Vec<String> = (0..site.halls).map(hall_name).collect();
-    let size = if site.told_limiters == 0 { site.limiters } else { site.told_limiters };
+    let size = if site.told_limiters == 0 {
+        site.limiters
+    } else {
+        site.told_limiters
+    };
     json!({
         "my-number": number, "group-size": size, "zone": halls[number % site.halls],
         "failure-domains": halls, "kinds": ["std-2c"],
--- a/crates/emberpin-testbed/src/site.rs
+++ b/crates/emberpin-testbed/src/site.rs
@@ -82,9 +82,14 @@
     program: &Program,
     progress: impl Fn(Progress) + 'static,
 ) -> Result<Outcome, String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
-    LocalSet::new().block_on(&runtime, play(scenario.clone(), program.clone(), Rc::new(progress)))
+    LocalSet::new().block_on(
+        &runtime,
+        play(scenario.clone(), program.clone(), Rc::new(progress)),
+    )
 }
 
 /// A folder that goes with the run.
@@ -92,8 +97,10 @@
 
 impl Folder {
     fn make(number: u32) -> Result<Folder, String> {
-        let path = std::env::temp_dir().join(format!("emberpin-testbed-{}-{number}", std::process::id()));
-        std::fs::create_dir_all(&path).map_err(|e| format!("cannot make {}: {e}", path.display()))?;
+        let path =
+            std::env::temp_dir().join(format!("emberpin-testbed-{}-{number}", std::process::id()));
+        std::fs::create_dir_all(&path)
+            .map_err(|e| format!("cannot make {}: {e}", path.display()))?;
         Ok(Folder(path))
     }
 }
@@ -158,7 +165,12 @@
     let end = began + Duration::from_micros(scenario.length);
     let until = end + RUN_OUT;
     spawn_local(stage.clone().watch_lateness());
-    for timed in scenario.faults.iter().filter(|timed| timed.at < scenario.length).cloned() {
+    for timed in scenario
+        .faults
+        .iter()
+        .filter(|timed| timed.at < scenario.length)
+        .cloned()
+    {
         let stage = stage.clone();
         spawn_local(async move {
             sleep_until(began + Duration::from_micros(timed.at)).await;
@@ -175,9 +187,17 @@
     loop {
         ticks.tick().await;
         let at = world.recorder.now();
-        let usage = stage.limiters.iter().map(|limiter| limiter.measure()).collect();
+        let usage = stage
+            .limiters
+            .iter()
+            .map(|limiter| limiter.measure())
+            .collect();
         samples.push(Sample { at, usage });
-        progress(Progress { at, begun: begun.get(), open: stage.clients.open() });
+        progress(Progress {
+            at,
+            begun: begun.get(),
+            open: stage.clients.open(),
+        });
         cut_short = cut_short || world.recorder.is_full();
         let played = load.is_finished() && stage.clients.open() == 0;
         if (Instant::now() >= end && played) || Instant::now() >= until || cut_short {
@@ -192,16 +212,36 @@
     if let Some(problem) = stage.problem.borrow_mut().take() {
         return Err(problem);
     }
-    let usage = stage.limiters.iter().map(|limiter| limiter.measure()).collect();
+    let usage = stage
+        .limiters
+        .iter()
+        .map(|limiter| limiter.measure())
+        .collect();
     let events = world.recorder.take();
-    let judgement = judge(&events, Terms { halls: scenario.site.halls, keys_once: scenario.keys_once });
-    Ok(Outcome { scenario, events, judgement, usage, samples, cut_short })
+    let judgement = judge(
+        &events,
+        Terms {
+            halls: scenario.site.halls,
+            keys_once: scenario.keys_once,
+        },
+    );
+    Ok(Outcome {
+        scenario,
+        events,
+        judgement,
+        usage,
+        samples,
+        cut_short,
+    })
 }
 
 /// Starts all servers, and lists them.
 async fn stand_up(servers: &[Rc<Server>], discovery: &Discovery, cold: bool) -> Result<(), String> {
     for server in servers {
-        server.start(cold).await.map_err(|e| format!("server {}: {e}", server.number))?;
+        server
+            .start(cold)
+            .await
+            .map_err(|e| format!("server {}: {e}", server.number))?;
         discovery.list(server);
     }
     Ok(())
@@ -229,14 +269,20 @@
             let server = Server::new(world.clone(), number).map_err(text("a server's port"))?;
             servers.push(server);
         }
-        let discovery = Discovery::start(world.clone()).await.map_err(text("discovery"))?;
+        let discovery = Discovery::start(world.clone())
+            .await
+            .map_err(text("discovery"))?;
         if !site.together {
             stand_up(&servers, &discovery, site.cold).await?;
         }
-        let peers = PeerNet::start(&world).await.map_err(text("the peers' network"))?;
+        let peers = PeerNet::start(&world)
+            .await
+            .map_err(text("the peers' network"))?;
         let links = match program.links {
             true => Some(
-                LinkNet::start(&world, site.limiters).await.map_err(text("the links between limiters"))?,
+                LinkNet::start(&world, site.limiters)
+                    .await
+                    .map_err(text("the links between limiters"))?,
             ),
             false => None,
         };
@@ -244,15 +290,21 @@
         for number in 0..site.limiters {
             let mut program = program.clone();
             if let Some(links) = &links {
-                let file = links.write(&folder.0, number, seed).map_err(text("a limiter's link"))?;
-                program.arguments.extend(["--with".into(), file.into_os_string()]);
+                let file = links
+                    .write(&folder.0, number, seed)
+                    .map_err(text("a limiter's link"))?;
+                program
+                    .arguments
+                    .extend(["--with".into(), file.into_os_string()]);
             }
             let address = world.address().map_err(text("a limiter's port"))?;
             let recorder = recorder.clone();
             let limiter = Limiter::new(number, address, recorder, program, &folder.0, seed);
             for fault in &world.scenario.faults {
                 match &fault.fault {
-                    Fault::LimiterStops { limiter: of, point, .. } if *of == number => limiter.stop_at(point),
+                    Fault::LimiterStops {
+                        limiter: of, point, ..
+                    } if *of == number => limiter.stop_at(point),
                     Fault::DiskLies { limiter: of, lie } if *of == number => limiter.lie(lie),
                     _ => {}
                 }
@@ -281,17 +333,24 @@
             })
             .collect();
         for started in starting {
-            started.await.map_err(|e| format!("a limiter's start: {e}"))??;
+            started
+                .await
+                .map_err(|e| format!("a limiter's start: {e}"))??;
         }
         Ok(stage)
     }
 
     async fn start_limiter(&self, number: usize) -> Result<bool, String> {
         let limiter = &self.limiters[number];
-        let peers = self.peers.addresses(number).map_err(|e| format!("the peers' network: {e}"))?;
+        let peers = self
+            .peers
+            .addresses(number)
+            .map_err(|e| format!("the peers' network: {e}"))?;
         let site = &self.world.scenario.site;
         let known = self.discovery.known(number);
-        limiter.start(limiter.config(site, self.discovery.address(number), known, peers)).await
+        limiter
+            .start(limiter.config(site, self.discovery.address(number), known, peers))
+            .await
     }
 
     /// Splits the limiters' datagrams and links.
@@ -331,7 +390,9 @@
             sleep_until(due).await;
             let by = due.elapsed();
             if by > LATE {
-                self.world.recorder.note(What::Late { by: by.as_micros() as Micros });
+                self.world.recorder.note(What::Late {
+                    by: by.as_micros() as Micros,
+                });
             }
         }
     }
@@ -340,7 +401,9 @@
     async fn end(self: &Rc<Self>) {
         self.over.set(true);
         for limiter in 0..self.limiters.len() {
-            self.world.links[limiter].iter().for_each(|link| link.set_cut(None));
+            self.world.links[limiter]
+                .iter()
+                .for_each(|link| link.set_cut(None));
         }
         let leaving: Vec<_> = (0..self.limiters.len())
             .map(|number| {
@@ -386,9 +449,12 @@
             }
             Fault::ServerKilled { server, back } => {
                 let server = &self.servers[*server];
-                let Some(process) = server.process() else { return };
+                let Some(process) = server.process() else {
+                    return;
+                };
                 server.kill().await;
-                self.discovery.withdraw(server, process.life, process.boot_ms);
+                self.discovery
+                    .withdraw(server, process.life, process.boot_ms);
                 sleep(span(back)).await;
                 self.start_server(server).await;
             }
@@ -400,26 +466,39 @@
                 self.discovery.announce(server, Standing::Ready);
             }
             Fault::ServerStalled { server, length } => {
-                let Some(process) = self.servers[*server].process() else { return };
+                let Some(process) = self.servers[*server].process() else {
+                    return;
+                };
                 process.stall(true);
                 sleep(span(length)).await;
                 process.stall(false);
             }
-            Fault::ServerSpoils { server, how, share, length } => {
-                let Some(process) = self.servers[*server].process() else { return };
+            Fault::ServerSpoils {
+                server,
+                how,
+                share,
+                length,
+            } => {
+                let Some(process) = self.servers[*server].process() else {
+                    return;
+                };
                 process.spoil(Some((*how, *share)));
                 sleep(span(length)).await;
                 process.spoil(None);
             }
             Fault::ServerRefuses { server, length } => {
-                let Some(process) = self.servers[*server].process() else { return };
+                let Some(process) = self.servers[*server].process() else {
+                    return;
+                };
                 process.refuse(true);
                 sleep(span(length)).await;
                 process.refuse(false);
             }
             Fault::ServerMoved { server } => {
                 let server = &self.servers[*server];
-                let Some(process) = server.process() else { return };
+                let Some(process) = server.process() else {
+                    return;
+                };
                 if let Err(e) = server.move_away().await {
                     *self.problem.borrow_mut() = Some(format!("a server's new address: {e}"));
                     return;
@@ -430,13 +509,22 @@
             }
             Fault::HallLost { hall, back } => {
                 let world = &self.world;
-                let cut = |way| world.links.iter().for_each(|links| links[*hall].set_cut(way));
-                let lost: Vec<_> =
-                    self.servers.iter().filter(|server| world.hall(server.number) == *hall).collect();
+                let cut = |way| {
+                    world
+                        .links
+                        .iter()
+                        .for_each(|links| links[*hall].set_cut(way))
+                };
+                let lost: Vec<_> = self
+                    .servers
+                    .iter()
+                    .filter(|server| world.hall(server.number) == *hall)
+                    .collect();
                 cut(Some(Way::Both));
                 for server in &lost {
                     if let Some(process) = server.process() {
-                        self.discovery.withdraw(server, process.life, process.boot_ms);
+                        self.discovery
+                            .withdraw(server, process.life, process.boot_ms);
                     }
                 }
                 sleep(span(back)).await;
@@ -448,24 +536,41 @@
                     self.start_server(server).await;
                 }
             }
-            Fault::LinkCut { limiter, hall, way, length } => {
+            Fault::LinkCut {
+                limiter,
+                hall,
+                way,
+                length,
+            } => {
                 let link = &self.world.links[*limiter][*hall];
                 link.set_cut(Some(*way));
                 sleep(span(length)).await;
                 link.set_cut(None);
             }
-            Fault::LinkSlow { limiter, hall, delay, length } => {
+            Fault::LinkSlow {
+                limiter,
+                hall,
+                delay,
+                length,
+            } => {
                 let link = &self.world.links[*limiter][*hall];
                 link.set_delay(*delay);
                 sleep(span(length)).await;
                 link.set_delay(0);
             }
             Fault::PeersSplit { group, way, length } => {
-                self.split(Some(Split { group: group.clone(), way: *way }));
+                self.split(Some(Split {
+                    group: group.clone(),
+                    way: *way,
+                }));
                 sleep(span(length)).await;
                 self.split(None);
             }
-            Fault::PeersPoor { loss, delay, length } => {
+            Fault::PeersPoor {
+                loss,
+                delay,
+                length,
+            } => {
                 self.peers.make_poor(*loss, span(delay));
                 sleep(span(length)).await;
                 self.peers.make_poor(0.0, Duration::ZERO);
@@ -504,7 +609,12 @@
                 }
                 return self.note(format!("the disk of limiter {limiter} lies: {lie}"));
             }
-            Fault::LimiterStops { limiter: number, point, length, back } => {
+            Fault::LimiterStops {
+                limiter: number,
+                point,
+                length,
+                back,
+            } => {
                 let limiter = &self.limiters[*number];
                 while !limiter.is_paused() {
                     if self.over.get() {
@@ -531,14 +641,17 @@
                 }
             }
             Fault::LimitersKilled { count, back } => {
-                let killing: Vec<_> =
-                    (0..*count).map(|number| spawn_local(self.clone().kill(number, span(back)))).collect();
+                let killing: Vec<_> = (0..*count)
+                    .map(|number| spawn_local(self.clone().kill(number, span(back))))
+                    .collect();
                 for killed in killing {
                     _ = killed.await;
                 }
             }
             // Drawn into the schedule already; here they only last.
-            Fault::FirmHammers { length, .. } | Fault::Rush { length, .. } => sleep(span(length)).await,
+            Fault::FirmHammers { length, .. } | Fault::Rush { length, .. } => {
+                sleep(span(length)).await
+            }
             Fault::FirmsHop { .. } => return,
         }
         self.note(format!("over: {}", describe(&fault)));
@@ -567,7 +680,9 @@
         }
         match server.start(true).await {
             Ok(()) => self.discovery.announce(server, Standing::Ready),
-            Err(e) => *self.problem.borrow_mut() = Some(format!("server {} again: {e}", server.number)),
+            Err(e) => {
+                *self.problem.borrow_mut() = Some(format!("server {} again: {e}", server.number))
+            }
         }
     }
 
@@ -578,7 +693,9 @@
 
     /// Drains a server, ends its process once that is done, and starts a successor at the same addresses.
     async fn replace(&self, server: &Rc<Server>) {
-        let Some(process) = server.process() else { return };
+        let Some(process) = server.process() else {
+            return;
+        };
         self.discovery.announce(server, Standing::Draining);
         sleep(self.notice() + DRAIN_LEFT).await;
         let latest = Instant::now() + DRAIN_MOST;
@@ -586,7 +703,8 @@
             sleep(TICK).await;
         }
         server.kill().await;
-        self.discovery.withdraw(server, process.life, process.boot_ms);
+        self.discovery
+            .withdraw(server, process.life, process.boot_ms);
         server.generation.set(server.generation.get() + 1);
         sleep(SUCCESSOR).await;
         self.start_server(server).await;
@@ -597,37 +715,68 @@
 pub fn describe(fault: &Fault) -> String {
     match fault {
         Fault::LimiterKilled { limiter, back } => {
-            format!("limiter {limiter} killed, back after {:.1} s", seconds(*back))
+            format!(
+                "limiter {limiter} killed, back after {:.1} s",
+                seconds(*back)
+            )
         }
         Fault::LimiterRestarted { limiter } => format!("limiter {limiter} restarted"),
         Fault::ServerKilled { server, back } => {
-            format!("server {server} killed, back cold after {:.1} s", seconds(*back))
+            format!(
+                "server {server} killed, back cold after {:.1} s",
+                seconds(*back)
+            )
         }
         Fault::ServerReplaced { server } => format!("server {server} replaced"),
         Fault::ServerDrained { server, .. } => format!("server {server} drained"),
         Fault::ServerStalled { server, .. } => format!("server {server} stands still"),
-        Fault::ServerSpoils { server, how, share, .. } => {
-            format!("server {server} spoils {:.0} % of its answers: {how:?}", share * 100.0)
+        Fault::ServerSpoils {
+            server, how, share, ..
+        } => {
+            format!(
+                "server {server} spoils {:.0} % of its answers: {how:?}",
+                share * 100.0
+            )
         }
         Fault::ServerRefuses { server, .. } => format!("server {server} refuses connections"),
         Fault::ServerMoved { server } => format!("server {server} moved to another address"),
         Fault::HallLost { hall, .. } => format!("hall {hall} lost"),
-        Fault::LinkCut { limiter, hall, way, .. } => {
+        Fault::LinkCut {
+            limiter, hall, way, ..
+        } => {
             format!("link of limiter {limiter} to hall {hall} cut: {way:?}")
         }
-        Fault::LinkSlow { limiter, hall, delay, .. } => {
-            format!("link of limiter {limiter} to hall {hall} slower by {:.0} ms", seconds(*delay) * 1000.0)
+        Fault::LinkSlow {
+            limiter,
+            hall,
+            delay,
+            ..
+        } => {
+            format!(
+                "link of limiter {limiter} to hall {hall} slower by {:.0} ms",
+                seconds(*delay) * 1000.0
+            )
+        }
+        Fault::PeersSplit { group, way, .. } => {
+            format!("limiters {group:?} split from the rest: {way:?}")
+        }
+        Fault::PeersPoor { loss, .. } => {
+            format!("{:.0} % of the peers' messages lost", loss * 100.0)
         }
-        Fault::PeersSplit { group, way, .. } => format!("limiters {group:?} split from the rest: {way:?}"),
-        Fault::PeersPoor { loss, .. } => format!("{:.0} % of the peers' messages lost", loss * 100.0),
         Fault::DiscoverySilent { .. } => "discovery silent".into(),
         Fault::DiscoveryDead { .. } => "the list service dead".into(),
-        Fault::DiscoveryTells { how, .. } => format!("the list service tells an untrue list: {how:?}"),
+        Fault::DiscoveryTells { how, .. } => {
+            format!("the list service tells an untrue list: {how:?}")
+        }
         Fault::LimiterPaused { limiter, length } => {
             format!("limiter {limiter} paused for {:.1} s", seconds(*length))
         }
-        Fault::DiskLies { limiter, lie } => format!("the disk of limiter {limiter} is to lie: {lie}"),
-        Fault::LimiterStops { limiter, point, .. } => format!("limiter {limiter} is to stop at {point}"),
+        Fault::DiskLies { limiter, lie } => {
+            format!("the disk of limiter {limiter} is to lie: {lie}")
+        }
+        Fault::LimiterStops { limiter, point, .. } => {
+            format!("limiter {limiter} is to stop at {point}")
+        }
         Fault::LimiterHungUp { limiter } => format!("limiter {limiter} hung up"),
         Fault::CallersKilled { count, back } => {
             format!(
@@ -636,11 +785,17 @@
             )
         }
         Fault::LimitersKilled { count, back } => {
-            format!("{count} limiters killed, back after {:.1} s", seconds(*back))
+            format!(
+                "{count} limiters killed, back after {:.1} s",
+                seconds(*back)
+            )
         }
         Fault::FirmsHop { share } => format!("{:.0} % of the firms move", share * 100.0),
         Fault::FirmHammers { plan, times, .. } => {
-            format!("a firm of plan {} asks {times} times its quota", crate::figures::PLANS[*plan].name)
+            format!(
+                "a firm of plan {} asks {times} times its quota",
+                crate::figures::PLANS[*plan].name
+            )
         }
         Fault::Rush { times, .. } => format!("{times} times the load"),
     }
--- a/crates/emberpin-testbed/src/starts.rs
+++ b/crates/emberpin-testbed/src/starts.rs
@@ -39,12 +39,19 @@
         let limiters = outcome.scenario.site.limiters;
         let events = &outcome.events;
         let times = |of: fn(&What) -> bool| -> Vec<Micros> {
-            events.iter().filter(|event| of(&event.what)).map(|event| event.at).collect()
+            events
+                .iter()
+                .filter(|event| of(&event.what))
+                .map(|event| event.at)
+                .collect()
         };
         let calls = times(|what| matches!(what, What::ListAsked { .. }));
         let failed = times(|what| matches!(what, What::ListAnswered { well: false, .. }));
         let listed = firsts(events, |what| match what {
-            What::ListAnswered { limiter, well: true } => Some(*limiter),
+            What::ListAnswered {
+                limiter,
+                well: true,
+            } => Some(*limiter),
             _ => None,
         });
         let ready = firsts(events, |what| match what {
@@ -53,19 +60,29 @@
         });
         let part = |times: &[f64], share: f64| {
             let needed = (share * limiters as f64).ceil() as usize;
-            needed.checked_sub(1).and_then(|last| times.get(last)).copied()
+            needed
+                .checked_sub(1)
+                .and_then(|last| times.get(last))
+                .copied()
         };
         Starts {
             calls: calls.len() as u64,
             failed: failed.len() as u64,
-            most_calls: [most_within(&calls, SECOND / 10), most_within(&calls, SECOND)],
+            most_calls: [
+                most_within(&calls, SECOND / 10),
+                most_within(&calls, SECOND),
+            ],
             listed: [0.5, 0.99, 1.0].map(|share| part(&listed, share)),
             ready: [0.5, 1.0].map(|share| part(&ready, share)),
             most_connections: most_connections(events),
             nearest_to_falling: nearest_to_falling(events),
             seconds: by_second(outcome),
             cpu_ms: outcome.usage.iter().map(|usage| usage.cpu_ms).sum(),
-            memory_mib: outcome.usage.iter().map(|usage| usage.peak_kib as f64 / 1024.0).sum(),
+            memory_mib: outcome
+                .usage
+                .iter()
+                .map(|usage| usage.peak_kib as f64 / 1024.0)
+                .sum(),
         }
     }
 
@@ -81,7 +98,11 @@
 fn firsts(events: &[Event], of: impl Fn(&What) -> Option<usize>) -> Vec<f64> {
     let mut seen = BTreeSet::new();
     let first = |event: &&Event| of(&event.what).is_some_and(|limiter| seen.insert(limiter));
-    events.iter().filter(first).map(|event| event.at as f64 / SECOND as f64).collect()
+    events
+        .iter()
+        .filter(first)
+        .map(|event| event.at as f64 / SECOND as f64)
+        .collect()
 }
 
 /// The most of these ordered moments that lie within one span.
@@ -103,7 +124,11 @@
             by_life.entry(life).or_default().push(event.at);
         }
     }
-    by_life.values().map(|times| most_within(times, SECOND)).max().unwrap_or(0)
+    by_life
+        .values()
+        .map(|times| most_within(times, SECOND))
+        .max()
+        .unwrap_or(0)
 }
 
 /// As the referee has it: the work of the last second against a multiple of what the server can do now.
@@ -121,9 +146,25 @@
     let mut nearest = 0.0f64;
     for event in events {
         match event.what {
-            What::ServerUp { life, capacity, cold_from: from, warm_after, .. } if warm_after > 0 => {
+            What::ServerUp {
+                life,
+                capacity,
+                cold_from: from,
+                warm_after,
+                ..
+            } if warm_after > 0 => {
                 let (up, work) = (event.at, VecDeque::new());
-                cold.insert(life, Cold { up, capacity, from, warm_after, work, sum: 0.0 });
+                cold.insert(
+                    life,
+                    Cold {
+                        up,
+                        capacity,
+                        from,
+                        warm_after,
+                        work,
+                        sum: 0.0,
+                    },
+                );
             }
             What::Begun { attempt, life, .. } => _ = at_life.insert(attempt, life),
             What::Whole { attempt, work, .. } => {
@@ -136,10 +177,15 @@
                 }
                 server.work.push_back((event.at, work));
                 server.sum += work;
-                while server.work.front().is_some_and(|(at, _)| event.at - at >= FALL_TIME) {
+                while server
+                    .work
+                    .front()
+                    .is_some_and(|(at, _)| event.at - at >= FALL_TIME)
+                {
                     server.sum -= server.work.pop_front().map_or(0.0, |(_, work)| work);
                 }
-                let warmth = server.from + (1.0 - server.from) * age as f64 / server.warm_after as f64;
+                let warmth =
+                    server.from + (1.0 - server.from) * age as f64 / server.warm_after as f64;
                 let fells = FALL_MULTIPLE * server.capacity * warmth * FALL_TIME as f64 / 1000.0;
                 nearest = nearest.max(server.sum / fells);
             }
@@ -158,7 +204,9 @@
     let mut left = BTreeSet::new();
     for event in &outcome.events {
         match event.what {
-            What::Answered { what, status: 200, .. } => {
+            What::Answered {
+                what, status: 200, ..
+            } => {
                 served.entry(what.0 / TRIES).or_insert(event.at);
             }
             What::Left { what } => _ = left.insert(what.0 / TRIES),
@@ -166,7 +214,9 @@
         }
     }
     for (index, arrival) in schedule.arrivals.iter().enumerate() {
-        let Some(second) = seconds.get_mut((arrival.at / SECOND) as usize) else { continue };
+        let Some(second) = seconds.get_mut((arrival.at / SECOND) as usize) else {
+            continue;
+        };
         if left.contains(&(index as u32)) {
             continue;
         }
--- a/crates/emberpin-testbed/src/trace.rs
+++ b/crates/emberpin-testbed/src/trace.rs
@@ -268,13 +268,19 @@
 impl Recorder {
     /// A record whose clock begins now.
     pub fn start() -> Recorder {
-        Recorder { began: Rc::new(Cell::new(Instant::now())), events: Rc::default() }
+        Recorder {
+            began: Rc::new(Cell::new(Instant::now())),
+            events: Rc::default(),
+        }
     }
 
     /// Everything stands: the clock begins now, and what was noted on the way here was before all else.
     pub fn begin(&self) {
         self.began.set(Instant::now());
-        self.events.borrow_mut().iter_mut().for_each(|event| event.at = 0);
+        self.events
+            .borrow_mut()
+            .iter_mut()
+            .for_each(|event| event.at = 0);
     }
 
     /// The time on the site's clock.
--- a/crates/emberpin-testbed/tests/common/turns.rs
+++ b/crates/emberpin-testbed/tests/common/turns.rs
@@ -19,7 +19,9 @@
     pub fn take() -> Turn {
         let playing = PLAYING.lock().unwrap_or_else(PoisonError::into_inner);
         let full = |playing: &mut usize| *playing >= SITES_AT_ONCE;
-        *ENDED.wait_while(playing, full).unwrap_or_else(PoisonError::into_inner) += 1;
+        *ENDED
+            .wait_while(playing, full)
+            .unwrap_or_else(PoisonError::into_inner) += 1;
         Turn
     }
 }
--- a/crates/emberpin-upgrade/src/frame.rs
+++ b/crates/emberpin-upgrade/src/frame.rs
@@ -48,7 +48,9 @@
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Broken::Foreign => write!(to, "what came is no message of this program, or is damaged"),
-            Broken::Version(found) => write!(to, "version {found}; this one speaks {VERSION} alone"),
+            Broken::Version(found) => {
+                write!(to, "version {found}; this one speaks {VERSION} alone")
+            }
             Broken::TooLong(found) => write!(to, "{found} bytes; at most {LONGEST} are taken"),
         }
     }
--- a/crates/emberpin-upgrade/src/process.rs
+++ b/crates/emberpin-upgrade/src/process.rs
@@ -87,7 +87,12 @@
 
 impl Default for Process {
     fn default() -> Process {
-        Process { stage: Stage::Starting, older: false, younger: false, port: false }
+        Process {
+            stage: Stage::Starting,
+            older: false,
+            younger: false,
+            port: false,
+        }
     }
 }
 
@@ -110,8 +115,8 @@
     /// Takes one event; what is to be done is appended. Events that mean nothing where it stands are passed over.
     pub fn handle(&mut self, event: Event, actions: &mut Vec<Action>) {
         use Action::{
-            Ask, Exit, Give, GiveUp, Leave, LeavePort, Meet, Refuse, ServeAnew, ServeOn, Share, TakePort,
-            Whole,
+            Ask, Exit, Give, GiveUp, Leave, LeavePort, Meet, Refuse, ServeAnew, ServeOn, Share,
+            TakePort, Whole,
         };
         match (self.stage, event) {
             (Stage::Starting, Event::Begin { older: true }) => {
@@ -137,7 +142,9 @@
                 self.stage = Stage::Gone;
                 actions.push(Exit);
             }
-            (Stage::Serving | Stage::Leaving, Event::Asked) if self.is_paired() => actions.push(Refuse),
+            (Stage::Serving | Stage::Leaving, Event::Asked) if self.is_paired() => {
+                actions.push(Refuse)
+            }
             (Stage::Serving | Stage::Leaving, Event::Asked) => {
                 self.younger = true;
                 if std::mem::take(&mut self.port) {
--- a/crates/emberpin-wal/src/files.rs
+++ b/crates/emberpin-wal/src/files.rs
@@ -27,7 +27,10 @@
     ///
     /// [`io::ErrorKind::WouldBlock`] if another process has it; else the operating system's.
     pub fn take(folder: &Path) -> io::Result<Files> {
-        std::fs::DirBuilder::new().recursive(true).mode(0o700).create(folder)?;
+        std::fs::DirBuilder::new()
+            .recursive(true)
+            .mode(0o700)
+            .create(folder)?;
         let lock = OpenOptions::new()
             .create(true)
             .truncate(false)
@@ -35,7 +38,11 @@
             .mode(0o600)
             .open(folder.join(LOCK))?;
         match lock.try_lock() {
-            Ok(()) => Ok(Files { folder: folder.into(), open: BTreeMap::new(), _lock: Some(lock) }),
+            Ok(()) => Ok(Files {
+                folder: folder.into(),
+                open: BTreeMap::new(),
+                _lock: Some(lock),
+            }),
             Err(TryLockError::WouldBlock) => Err(io::ErrorKind::WouldBlock.into()),
             Err(TryLockError::Error(e)) => Err(e),
         }
@@ -43,16 +50,25 @@
 
     /// A folder to look at only, whoever has it.
     pub fn look(folder: &Path) -> Files {
-        Files { folder: folder.into(), open: BTreeMap::new(), _lock: None }
+        Files {
+            folder: folder.into(),
+            open: BTreeMap::new(),
+            _lock: None,
+        }
     }
 
     fn file(&mut self, name: &str) -> io::Result<&File> {
         if !self.open.contains_key(name) {
             let writable = self._lock.is_some();
-            let file = OpenOptions::new().read(true).write(writable).open(self.folder.join(name))?;
+            let file = OpenOptions::new()
+                .read(true)
+                .write(writable)
+                .open(self.folder.join(name))?;
             self.open.insert(name.into(), file);
         }
-        self.open.get(name).ok_or_else(|| io::ErrorKind::NotFound.into())
+        self.open
+            .get(name)
+            .ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 }
 
@@ -65,14 +81,22 @@
 
     fn create(&mut self, name: &str) -> io::Result<()> {
         let path = self.folder.join(name);
-        let file = OpenOptions::new().read(true).write(true).create_new(true).mode(0o600).open(path)?;
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create_new(true)
+            .mode(0o600)
+            .open(path)?;
         self.open.insert(name.into(), file);
         Ok(())
     }
 
     fn identity(&mut self, name: &str) -> io::Result<FileIdentity> {
         let metadata = self.file(name)?.metadata()?;
-        let born = metadata.created().ok().and_then(|born| born.duration_since(UNIX_EPOCH).ok());
+        let born = metadata
+            .created()
+            .ok()
+            .and_then(|born| born.duration_since(UNIX_EPOCH).ok());
         Ok(FileIdentity {
             inode: metadata.ino(),
             born_ns: born.and_then(|born| u64::try_from(born.as_nanos()).ok()),
@@ -121,7 +145,11 @@
 /// are taken for the same boot.
 pub fn boot_id() -> [u8; 16] {
     let text = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
-    let digits: Vec<u8> = text.chars().filter_map(|c| c.to_digit(16)).map(|digit| digit as u8).collect();
+    let digits: Vec<u8> = text
+        .chars()
+        .filter_map(|c| c.to_digit(16))
+        .map(|digit| digit as u8)
+        .collect();
     let mut id = [0; 16];
     if digits.len() == 32 {
         for (byte, pair) in id.iter_mut().zip(digits.chunks_exact(2)) {
--- a/crates/emberpin-wal/src/frame.rs
+++ b/crates/emberpin-wal/src/frame.rs
@@ -83,7 +83,9 @@
         if bytes[..known] != MAGIC[..known] {
             return Err(HeaderProblem::NotALog);
         }
-        let Some(fixed) = bytes.get(..HEADER_FIXED) else { return Err(HeaderProblem::Short) };
+        let Some(fixed) = bytes.get(..HEADER_FIXED) else {
+            return Err(HeaderProblem::Short);
+        };
         let number = |at: usize| u16::from_le_bytes([fixed[at], fixed[at + 1]]);
         // Before the checksum, as another version may have another one.
         if number(8) != VERSION {
@@ -93,7 +95,9 @@
         if end + CRC > HEADER_LONGEST {
             return Err(HeaderProblem::Damaged);
         }
-        let Some(crc) = bytes.get(end..end + CRC) else { return Err(HeaderProblem::Short) };
+        let Some(crc) = bytes.get(end..end + CRC) else {
+            return Err(HeaderProblem::Short);
+        };
         let hashed = crc32fast::hash(&bytes[..end]);
         if hashed.to_le_bytes() != crc {
             return Err(HeaderProblem::Damaged);
@@ -201,22 +205,34 @@
         if self.over || unread.len() < FRAME_HEAD {
             return None;
         }
-        let word =
-            |at: usize| u32::from_le_bytes([unread[at], unread[at + 1], unread[at + 2], unread[at + 3]]);
+        let word = |at: usize| {
+            u32::from_le_bytes([unread[at], unread[at + 1], unread[at + 2], unread[at + 3]])
+        };
         let (length, crc) = (word(0), word(12));
         let seq = u64::from(word(4)) | u64::from(word(8)) << 32;
-        let sound = crc == head_crc(self.salt, length, seq) && length as usize <= LONGEST && seq == self.next;
+        let sound = crc == head_crc(self.salt, length, seq)
+            && length as usize <= LONGEST
+            && seq == self.next;
         if !sound {
             self.over = true;
-            return Some(Scanned::Damaged(Damage { at: self.at, rest_unreadable: true }));
+            return Some(Scanned::Damaged(Damage {
+                at: self.at,
+                rest_unreadable: true,
+            }));
         }
         let end = FRAME_HEAD + length as usize;
         let crc = unread.get(end..end + CRC)?;
         let payload = &unread[FRAME_HEAD..end];
         let scanned = match crc == payload_crc(self.salt, seq, payload).to_le_bytes() {
-            true => Scanned::Record { seq, payload: payload.to_vec() },
+            true => Scanned::Record {
+                seq,
+                payload: payload.to_vec(),
+            },
             // Its head is sound, so what follows can still be read.
-            false => Scanned::Damaged(Damage { at: self.at, rest_unreadable: false }),
+            false => Scanned::Damaged(Damage {
+                at: self.at,
+                rest_unreadable: false,
+            }),
         };
         self.next = seq + 1;
         self.used += end + CRC;
--- a/crates/emberpin-wal/src/inspect.rs
+++ b/crates/emberpin-wal/src/inspect.rs
@@ -59,16 +59,31 @@
     let (folder, names) = match path.is_dir() {
         true => {
             let numbers = segments(&mut Files::look(path))?;
-            (path, numbers.into_iter().map(|n| format!("{n:010}.log")).collect())
+            (
+                path,
+                numbers
+                    .into_iter()
+                    .map(|n| format!("{n:010}.log"))
+                    .collect(),
+            )
         }
         false => {
             let name = path.file_name().ok_or(io::ErrorKind::NotFound)?;
-            let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty());
-            (folder.unwrap_or(Path::new(".")), vec![name.to_string_lossy().into_owned()])
+            let folder = path
+                .parent()
+                .filter(|folder| !folder.as_os_str().is_empty());
+            (
+                folder.unwrap_or(Path::new(".")),
+                vec![name.to_string_lossy().into_owned()],
+            )
         }
     };
     let mut files = Files::look(folder);
-    let mut report = Report { segments: Vec::new(), counted: None, sound: true };
+    let mut report = Report {
+        segments: Vec::new(),
+        counted: None,
+        sound: true,
+    };
     for file in names {
         let found = read(&mut files, &file, |_, _, _| ())?;
         let (header, copied) = match found.header {
@@ -79,7 +94,8 @@
             }
             Err(problem) => (HeaderReport::Unreadable(unreadable(problem)), false),
         };
-        report.sound &= found.damage.is_empty() && !copied && matches!(header, HeaderReport::Header(_));
+        report.sound &=
+            found.damage.is_empty() && !copied && matches!(header, HeaderReport::Header(_));
         report.segments.push(SegmentReport {
             file,
             header,
@@ -98,7 +114,10 @@
         HeaderProblem::Short => "ends within its header".into(),
         HeaderProblem::NotALog => "is no log".into(),
         HeaderProblem::Version(found) => {
-            format!("is of version {found}, this program reads {}", crate::VERSION)
+            format!(
+                "is of version {found}, this program reads {}",
+                crate::VERSION
+            )
         }
         HeaderProblem::Damaged => "its header is damaged".into(),
     }
@@ -107,7 +126,15 @@
 impl fmt::Display for Report {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         for segment in &self.segments {
-            let SegmentReport { file, header, bytes, records, torn, damage, copied } = segment;
+            let SegmentReport {
+                file,
+                header,
+                bytes,
+                records,
+                torn,
+                damage,
+                copied,
+            } = segment;
             match header {
                 HeaderReport::Unreadable(why) => writeln!(to, "{file}: {bytes} bytes, {why}")?,
                 HeaderReport::Header(header) => {
@@ -121,12 +148,23 @@
                     }
                 }
             }
-            for Damage { at, rest_unreadable } in damage {
-                let rest = if *rest_unreadable { "; nothing after it can be read" } else { "" };
+            for Damage {
+                at,
+                rest_unreadable,
+            } in damage
+            {
+                let rest = if *rest_unreadable {
+                    "; nothing after it can be read"
+                } else {
+                    ""
+                };
                 writeln!(to, "  damaged at byte {at}{rest}")?;
             }
             if *torn > 0 {
-                writeln!(to, "  the last {torn} bytes are a record that was not finished")?;
+                writeln!(
+                    to,
+                    "  the last {torn} bytes are a record that was not finished"
+                )?;
             }
             if *copied {
                 writeln!(to, "  a copy: not the file that was written")?;
--- a/crates/emberpin-wal/src/lib.rs
+++ b/crates/emberpin-wal/src/lib.rs
@@ -17,7 +17,9 @@
 mod storage;
 
 pub use files::{boot_id, Files};
-pub use frame::{Damage, Header, HeaderProblem, Scanned, Scanner, HEADER_LONGEST, LONGEST, VERSION};
+pub use frame::{
+    Damage, Header, HeaderProblem, Scanned, Scanner, HEADER_LONGEST, LONGEST, VERSION,
+};
 pub use inspect::{inspect, Report, SegmentReport};
 pub use log::{Identity, Log, Lost, Record, Recovery, Unusable, WriteProblem};
 pub use service::{Busy, Note, Service, Ticket};
--- a/crates/emberpin-wal/src/service.rs
+++ b/crates/emberpin-wal/src/service.rs
@@ -23,7 +23,10 @@
 pub struct Busy;
 
 enum Command {
-    Append { payload: Vec<u8>, ticket: Option<Ticket> },
+    Append {
+        payload: Vec<u8>,
+        ticket: Option<Ticket>,
+    },
     Rotate,
     Retire(u64),
 }
@@ -62,11 +65,23 @@
         let queued = Arc::new(AtomicUsize::new(0));
         let bytes = Arc::new(AtomicU64::new(log.bytes()));
         let syncs = Arc::new(AtomicU64::new(0));
-        let worker =
-            Worker { log, received, queued: queued.clone(), bytes: bytes.clone(), syncs: syncs.clone() };
-        let thread =
-            std::thread::Builder::new().name("emberpin-wal".into()).spawn(move || worker.run(&tell))?;
-        Ok(Service { commands: Some(commands), thread: Some(thread), queued, bytes, syncs })
+        let worker = Worker {
+            log,
+            received,
+            queued: queued.clone(),
+            bytes: bytes.clone(),
+            syncs: syncs.clone(),
+        };
+        let thread = std::thread::Builder::new()
+            .name("emberpin-wal".into())
+            .spawn(move || worker.run(&tell))?;
+        Ok(Service {
+            commands: Some(commands),
+            thread: Some(thread),
+            queued,
+            bytes,
+            syncs,
+        })
     }
 
     /// Appends a record. With a ticket it is told when the record counts, or that it does not; without one it is
@@ -81,9 +96,10 @@
             self.queued.fetch_sub(size, Ordering::Relaxed);
             return Err(Busy);
         }
-        self.send(Command::Append { payload, ticket }).inspect_err(|_| {
-            self.queued.fetch_sub(size, Ordering::Relaxed);
-        })
+        self.send(Command::Append { payload, ticket })
+            .inspect_err(|_| {
+                self.queued.fetch_sub(size, Ordering::Relaxed);
+            })
     }
 
     /// Turns to a new segment; [`Note::Rotated`] tells which.
@@ -105,7 +121,9 @@
     }
 
     fn send(&self, command: Command) -> Result<(), Busy> {
-        let Some(commands) = &self.commands else { return Err(Busy) };
+        let Some(commands) = &self.commands else {
+            return Err(Busy);
+        };
         commands.try_send(command).map_err(|problem| match problem {
             TrySendError::Full(_) | TrySendError::Disconnected(_) => Busy,
         })
@@ -157,7 +175,12 @@
     }
 
     /// Writes what waits as one; returns the first command that is no record.
-    fn group(&mut self, payload: Vec<u8>, ticket: Option<Ticket>, tell: &dyn Fn(Note)) -> Option<Command> {
+    fn group(
+        &mut self,
+        payload: Vec<u8>,
+        ticket: Option<Ticket>,
+        tell: &dyn Fn(Note),
+    ) -> Option<Command> {
         let mut size = payload.len();
         let (mut payloads, mut tickets) = (vec![payload], Vec::from_iter(ticket));
         let mut other = None;
