--- a/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/main.rs
+++ b/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/main.rs
@@ -124,7 +124,7 @@
                         name: slot_name,
                         total,
                     },
-                )?
+                )?;
             }
             Line::Abandoned { limiter_id, handle } => self.feed(
                 limiter_id,
@@ -135,10 +135,10 @@
             )?,
             Line::Resolved(resolved) => {
                 let limiter = resolved.limiter_id;
-                self.feed(limiter, now, attempt(resolved))?
+                self.feed(limiter, now, attempt(resolved))?;
             }
             Line::Timer { limiter_id, label } => {
-                self.feed(limiter_id, now, Event::Timer { token: label })?
+                self.feed(limiter_id, now, Event::Timer { token: label })?;
             }
             Line::Pong {
                 limiter_id,
@@ -153,7 +153,7 @@
                     elapsed: duration_ms.unwrap_or(0.0),
                     report: report(feedback),
                 };
-                self.feed(limiter_id, now, event)?
+                self.feed(limiter_id, now, event)?;
             }
             Line::PeerData {
                 limiter_id,
@@ -170,7 +170,7 @@
                         from: GatewayId(from),
                         bytes,
                     },
-                )?
+                )?;
             }
         }
         Ok(false)
@@ -256,7 +256,7 @@
         };
         let mut actions = Vec::new();
         if catch_unwind(AssertUnwindSafe(|| {
-            instance.gateway.handle(now, event, &mut actions)
+            instance.gateway.handle(now, event, &mut actions);
         }))
         .is_err()
         {
--- a/crates/emberpin-balancer/src/brain/health.rs
+++ b/crates/emberpin-balancer/src/brain/health.rs
@@ -47,7 +47,7 @@
             _ if before_gap => {}
             Outcome::Ok => self.learn_latency(now, kind, id, attempt.elapsed),
             Outcome::Timeout | Outcome::Error | Outcome::Reset => {
-                self.strike(now, id, 1.0, false, actions)
+                self.strike(now, id, 1.0, false, actions);
             }
             Outcome::ConnectFailed => self.strike(now, id, STRIKES, true, actions),
             Outcome::Full => self.strike(now, id, 0.5, false, actions),
--- a/crates/emberpin-balancer/tests/adapter.rs
+++ b/crates/emberpin-balancer/tests/adapter.rs
@@ -1,5 +1,5 @@
 //! The adapter fed with wire text; replies are compared.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use serde_json::{json, Value};
 use std::io::Write;
--- a/crates/emberpin-balancer/tests/asked.rs
+++ b/crates/emberpin-balancer/tests/asked.rs
@@ -1,6 +1,6 @@
 //! What hosts ask and tell beside events: classes that come later, what servers bear, whether another attempt
 //! would follow, and servers that are away.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 use common::*;
--- a/crates/emberpin-balancer/tests/common/fleet.rs
+++ b/crates/emberpin-balancer/tests/common/fleet.rs
@@ -198,7 +198,7 @@
             match self.bodies.remove(&number) {
                 Some(Event::Arrival) => self.arrive(),
                 Some(Event::Feed { to, life, event }) if self.gateways[to].1 == life => {
-                    self.feed(to, event)
+                    self.feed(to, event);
                 }
                 Some(Event::Ended { to, life, attempt }) => self.ended(to, life, attempt),
                 _ => {}
--- a/crates/emberpin-balancer/tests/common/mod.rs
+++ b/crates/emberpin-balancer/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A gateway driven by hand: a hand-set clock, no servers modelled.
-#![allow(dead_code, missing_docs)]
+#![allow(dead_code, missing_docs, reason = "each test file uses a part of it")]
 
 use emberpin_balancer::*;
 
--- a/crates/emberpin-balancer/tests/fleet.rs
+++ b/crates/emberpin-balancer/tests/fleet.rs
@@ -1,5 +1,5 @@
 //! What is harmless in one gateway and harmful in a hundred: whole fleets in virtual time.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 use common::fleet::{Fleet, Size};
--- a/crates/emberpin-balancer/tests/handover.rs
+++ b/crates/emberpin-balancer/tests/handover.rs
@@ -1,5 +1,5 @@
 //! One gateway whose process is replaced: what the next one knows, and what both count while both are there.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 use common::*;
--- a/crates/emberpin-balancer/tests/module.rs
+++ b/crates/emberpin-balancer/tests/module.rs
@@ -1,5 +1,5 @@
 //! The module driven through its interface, without the bench.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 use common::*;
--- a/crates/emberpin-balancer/tests/rules.rs
+++ b/crates/emberpin-balancer/tests/rules.rs
@@ -1,6 +1,6 @@
 //! Arbitrary legal event sequences against the rules that one gateway alone can hold. Outcomes are
 //! drawn, not modelled: this is no simulator.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 use common::*;
--- a/crates/emberpin-balancer/tests/size.rs
+++ b/crates/emberpin-balancer/tests/size.rs
@@ -1,5 +1,5 @@
 //! Many gateways, each a module of its own that hears of the others only what the test carries over.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 use common::*;
@@ -224,7 +224,7 @@
                 drop(seen.handle(Event::Peer {
                     from: GatewayId(from),
                     bytes: hello(start as u32),
-                }))
+                }));
             });
         } else if round == 1 && bench % 2 == 0 {
             *seen = seen.reborn(
@@ -238,7 +238,7 @@
                 drop(seen.handle(Event::Peer {
                     from: GatewayId(from),
                     bytes: hello(start as u32),
-                }))
+                }));
             });
         }
         for k in 0..40 {
--- a/crates/emberpin-config/tests/common/mod.rs
+++ b/crates/emberpin-config/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! The calls of the wire example, and short ways to items.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use emberpin_config::{read_patch, Configuration, Item, Key, Kind, Patch};
 
--- a/crates/emberpin-config/tests/configuration.rs
+++ b/crates/emberpin-config/tests/configuration.rs
@@ -1,5 +1,5 @@
 //! The newest items: how copies merge, what is wrong with the whole, what is written out and followed.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
--- a/crates/emberpin-config/tests/forms.rs
+++ b/crates/emberpin-config/tests/forms.rs
@@ -1,5 +1,5 @@
 //! The parsed forms of items.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
--- a/crates/emberpin-config/tests/past.rs
+++ b/crates/emberpin-config/tests/past.rs
@@ -1,5 +1,5 @@
 //! Versions below the newest one: which of them are known again, and what becomes of removed tombstones.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
--- a/crates/emberpin-config/tests/read.rs
+++ b/crates/emberpin-config/tests/read.rs
@@ -1,5 +1,5 @@
 //! What a call's body is read as, and what is refused in it.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
--- a/crates/emberpin-config/tests/validate.rs
+++ b/crates/emberpin-config/tests/validate.rs
@@ -1,5 +1,5 @@
 //! What becomes of calls: on top of what is known, each is applied, known, stale or invalid.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
@@ -23,13 +23,13 @@
                 services.push(service(name, ver.parse().expect("a version")).replace("120", most));
             }
             ["route", name, at, to, ver] => {
-                hosts.push(route(name, at, &[(to, 1)], ver.parse().expect("a version")))
+                hosts.push(route(name, at, &[(to, 1)], ver.parse().expect("a version")));
             }
             ["-svc", name, ver] => {
-                services_gone.push(drop_of(name, ver.parse().expect("a version")))
+                services_gone.push(drop_of(name, ver.parse().expect("a version")));
             }
             ["-route", name, ver] => {
-                routes_gone.push(drop_of(name, ver.parse().expect("a version")))
+                routes_gone.push(drop_of(name, ver.parse().expect("a version")));
             }
             _ => panic!("not an order: {order}"),
         }
--- a/crates/emberpin-consensus/src/replica/rounds.rs
+++ b/crates/emberpin-consensus/src/replica/rounds.rs
@@ -197,7 +197,7 @@
         }
     }
 
-    #[allow(clippy::too_many_arguments)]
+    #[allow(clippy::too_many_arguments, reason = "waits for a struct with names")]
     pub(super) fn promise(
         &mut self,
         now: u64,
--- a/crates/emberpin-consensus/tests/cases.rs
+++ b/crates/emberpin-consensus/tests/cases.rs
@@ -636,7 +636,7 @@
         !world.nodes[&ip(6)]
             .store
             .as_ref()
-            .is_some_and(|store| store.votes())
+            .is_some_and(emberpin_consensus::Replica::votes)
     });
     world.hold = None;
     world.cut(ip(3), ip(6));
--- a/crates/emberpin-consensus/tests/founding.rs
+++ b/crates/emberpin-consensus/tests/founding.rs
@@ -14,7 +14,7 @@
         world.nodes[&ip(host)]
             .store
             .as_ref()
-            .is_some_and(|store| store.votes())
+            .is_some_and(emberpin_consensus::Replica::votes)
     };
     (1..=hosts).all(votes)
 }
--- a/crates/emberpin-consensus/tests/model/register.rs
+++ b/crates/emberpin-consensus/tests/model/register.rs
@@ -745,7 +745,7 @@
             }
             Action::Propose { ballot, heard } => self.propose(&mut state, nth(ballot)?, heard),
             Action::Accept { ballot, voter } => {
-                self.accept(&mut state, nth(ballot)?, usize::from(voter))
+                self.accept(&mut state, nth(ballot)?, usize::from(voter));
             }
             Action::Finish { ballot } => {
                 let nth = nth(ballot)?;
--- a/crates/emberpin-consensus/tests/world/mod.rs
+++ b/crates/emberpin-consensus/tests/world/mod.rs
@@ -1,6 +1,6 @@
 //! A small world of stores on simulated time: delays, cuts, kills, losses of power and of disks, all drawn
 //! from a seed.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use emberpin_config::{Checkpoint, Configuration, Item, Key, Kind};
 use emberpin_consensus::{
@@ -312,7 +312,7 @@
             world.nodes[&ip]
                 .store
                 .as_ref()
-                .is_none_or(|store| store.left())
+                .is_none_or(emberpin_consensus::Replica::left)
         };
         self.run_while(LEAVE, |world| !left(world));
         self.kill(ip);
--- a/crates/emberpin-ctl/tests/command.rs
+++ b/crates/emberpin-ctl/tests/command.rs
@@ -1,5 +1,5 @@
 //! What command lines ask for, and which are refused.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_config::Kind;
 use emberpin_ctl::command::{Command, Order, Usage};
--- a/crates/emberpin-ctl/tests/findings.rs
+++ b/crates/emberpin-ctl/tests/findings.rs
@@ -1,5 +1,5 @@
 //! What is found in what registries say.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_ctl::findings::*;
 use emberpin_ctl::status::{Instance, Limiter, Status};
--- a/crates/emberpin-ctl/tests/program.rs
+++ b/crates/emberpin-ctl/tests/program.rs
@@ -1,5 +1,5 @@
 //! The program, against stand-ins of registries.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_ctl::status::Status;
 use googletest::prelude::*;
--- a/crates/emberpin-demo/src/referee.rs
+++ b/crates/emberpin-demo/src/referee.rs
@@ -137,7 +137,7 @@
         breaches.push(Breach::ReadBack {
             item: item.into(),
             what,
-        })
+        });
     };
     let Some(read) = &pages.read_back else {
         return breach("the configuration", "did not come");
--- a/crates/emberpin-demo/tests/machines.rs
+++ b/crates/emberpin-demo/tests/machines.rs
@@ -1,5 +1,5 @@
 //! Nothing is left of a run that is ended from outside.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use googletest::prelude::*;
 use nix::sys::signal::{kill, Signal};
--- a/crates/emberpin-demo/tests/ports.rs
+++ b/crates/emberpin-demo/tests/ports.rs
@@ -1,5 +1,5 @@
 //! Ports that are taken. By themselves: a process that another test starts has a copy of each open socket for a moment.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_demo::machines::Deployment;
 use googletest::prelude::*;
--- a/crates/emberpin-demo/tests/referee.rs
+++ b/crates/emberpin-demo/tests/referee.rs
@@ -1,5 +1,5 @@
 //! Wrong books, one rule each: the referee must find what is wrong in them, and nothing else.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_demo::books::{Arrival, Asked, Ending, Evacuation, Items, Pages, Try};
 use emberpin_demo::operator::items;
@@ -213,7 +213,7 @@
     let found = breaches(|pages| {
         pages
             .ended
-            .push("proxy on 127.0.0.21 ended by itself".into())
+            .push("proxy on 127.0.0.21 ended by itself".into());
     });
     expect_that!(
         found,
--- a/crates/emberpin-demo/tests/system.rs
+++ b/crates/emberpin-demo/tests/system.rs
@@ -1,5 +1,5 @@
 //! The worst days of the control side, over processes that the deploy file names: what an operator sees at `ctl`.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod deployed;
 
--- a/crates/emberpin-demo/tests/whole.rs
+++ b/crates/emberpin-demo/tests/whole.rs
@@ -1,5 +1,5 @@
 //! The newcomer's command as a process, with the whole gateway as processes beneath it.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use googletest::prelude::*;
 use std::process::{Command, Output};
--- a/crates/emberpin-failover/src/hands.rs
+++ b/crates/emberpin-failover/src/hands.rs
@@ -571,7 +571,7 @@
     }
 
     /// Lets no lower ballot through from now on, and says what is known.
-    #[allow(clippy::type_complexity)]
+    #[allow(clippy::type_complexity, reason = "waits for a struct with names")]
     fn promise(
         &mut self,
         id: WorkId,
--- a/crates/emberpin-failover/tests/network.rs
+++ b/crates/emberpin-failover/tests/network.rs
@@ -1,6 +1,6 @@
 //! Work of one limiter kept by three, over a network in memory that delays, reorders between pairs and loses, with limiters
 //! that are killed, start anew and are taken for gone while they are only slow; drawn from seeds.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_failover::{
     Action, Event, Hall, Hands, Member, Millis, Rules, Said, Verdict, Work, WorkId,
--- a/crates/emberpin-idempotency/src/claims.rs
+++ b/crates/emberpin-idempotency/src/claims.rs
@@ -390,13 +390,13 @@
                 self.arrive(ticket, customer, key, fingerprint, within, actions);
             }
             Event::Served { ticket, answer } => {
-                self.conclude(ticket, answer, Outcome::Served, actions)
+                self.conclude(ticket, answer, Outcome::Served, actions);
             }
             Event::Refused { ticket, answer } => {
-                self.conclude(ticket, answer, Outcome::Refused, actions)
+                self.conclude(ticket, answer, Outcome::Refused, actions);
             }
             Event::Failed { ticket, answer } => {
-                self.conclude(ticket, answer, Outcome::Failed, actions)
+                self.conclude(ticket, answer, Outcome::Failed, actions);
             }
             Event::Left { ticket } => self.leave(ticket, actions),
             Event::Written { ticket } => self.hold(table::Event::Written { ticket }, actions),
@@ -858,7 +858,7 @@
         for action in told {
             match action {
                 table::Action::Record(record, ticket) => {
-                    actions.push(Action::Record(record, ticket))
+                    actions.push(Action::Record(record, ticket));
                 }
                 table::Action::Pass(ticket) => {
                     let Some(held) = self.held.get_mut(&ticket) else {
--- a/crates/emberpin-idempotency/src/table.rs
+++ b/crates/emberpin-idempotency/src/table.rs
@@ -287,13 +287,13 @@
             Event::Written { ticket } => self.written(ticket, actions),
             Event::Unwritten { ticket } => self.unwritten(ticket, actions),
             Event::Served { ticket, answer } => {
-                self.conclude(ticket, answer, Outcome::Served, actions)
+                self.conclude(ticket, answer, Outcome::Served, actions);
             }
             Event::Refused { ticket, answer } => {
-                self.conclude(ticket, answer, Outcome::Refused, actions)
+                self.conclude(ticket, answer, Outcome::Refused, actions);
             }
             Event::Failed { ticket, answer } => {
-                self.conclude(ticket, answer, Outcome::Failed, actions)
+                self.conclude(ticket, answer, Outcome::Failed, actions);
             }
             Event::Left { ticket } => {
                 if self.leave(ticket) {
--- a/crates/emberpin-idempotency/tests/claims.rs
+++ b/crates/emberpin-idempotency/tests/claims.rs
@@ -1,6 +1,6 @@
 //! Claims of three and five limiters over a network that loses, cuts and holds, with kills, logs and hops, drawn from seeds:
 //! no key is let on twice within its retention, every request has one answer, and once all is well keys are served.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_idempotency::claims::*;
 use emberpin_idempotency::{
@@ -180,7 +180,7 @@
                     *self.told.entry(word).or_default() += 1;
                 }
                 Action::Record(record, ticket) => {
-                    self.nodes[at].writing.push_back((record, ticket))
+                    self.nodes[at].writing.push_back((record, ticket));
                 }
                 Action::Say(to, said) => {
                     self.messages += 1;
--- a/crates/emberpin-idempotency/tests/explore.rs
+++ b/crates/emberpin-idempotency/tests/explore.rs
@@ -1,7 +1,7 @@
 //! Every way in which a few events can come, explored to a depth: one key of one customer, three limiters, a first
 //! and two repeats, outcomes, kills with the attempt out, time, and clocks that step back. No way may let the
 //! key's work on twice within its retention unless it is known never to have run.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_idempotency::*;
 
--- a/crates/emberpin-idempotency/tests/table.rs
+++ b/crates/emberpin-idempotency/tests/table.rs
@@ -1,5 +1,5 @@
 //! The table against a small model, and its hard cases by name.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_idempotency::*;
 use proptest::prelude::*;
--- a/crates/emberpin-limiter/src/between/link.rs
+++ b/crates/emberpin-limiter/src/between/link.rs
@@ -319,7 +319,7 @@
                     ..
                 } => {}
                 Action::NotSent { to, why, .. } => {
-                    eprintln!("emberpin: link: not told to {to}: {why:?}")
+                    eprintln!("emberpin: link: not told to {to}: {why:?}");
                 }
             }
         }
@@ -356,13 +356,10 @@
             let Ok(place) = places.clone().acquire_owned().await else {
                 return;
             };
-            let stream = match listener.accept().await {
-                Ok((stream, _)) => stream,
+            let Ok((stream, _)) = listener.accept().await else {
                 // Out of descriptors, say: those that there are go on.
-                Err(_) => {
-                    tokio::time::sleep(Duration::from_millis(50)).await;
-                    continue;
-                }
+                tokio::time::sleep(Duration::from_millis(50)).await;
+                continue;
             };
             _ = stream.set_nodelay(true);
             let (inputs, tls, within) = (self.inputs.clone(), self.tls.clone(), self.hello_within);
--- a/crates/emberpin-limiter/src/front/reception.rs
+++ b/crates/emberpin-limiter/src/front/reception.rs
@@ -120,14 +120,14 @@
                         handler.clone(),
                         stream,
                         place,
-                    )))
+                    )));
                 }
                 Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
             }
         }
         // Closed with its backlog empty: whatever the machine had accepted was taken off above.
         drop(listener);
-        std::future::pending().await
+        std::future::pending::<()>().await;
     }
 
     async fn connection<D: RequestHandler>(
--- a/crates/emberpin-limiter/src/operate/command.rs
+++ b/crates/emberpin-limiter/src/operate/command.rs
@@ -16,7 +16,7 @@
 
 /// A limiter that holds member firms to their quotas in front of a shared back end.
 ///
-/// Without arguments it is configured by the file that GW_CONFIG names alone.
+/// Without arguments it is configured by the file that `GW_CONFIG` names alone.
 #[derive(Parser)]
 #[command(name = "emberpin", version, max_term_width = 100)]
 struct Line {
--- a/crates/emberpin-limiter/src/stages/idempotency.rs
+++ b/crates/emberpin-limiter/src/stages/idempotency.rs
@@ -470,7 +470,7 @@
                 }
                 Ok(_) => {}
                 Err(e) => {
-                    eprintln!("emberpin: link: member {from} said what is not understood: {e}")
+                    eprintln!("emberpin: link: member {from} said what is not understood: {e}");
                 }
             },
             News::Changed { member, belief } => {
--- a/crates/emberpin-limiter/src/stages/memory.rs
+++ b/crates/emberpin-limiter/src/stages/memory.rs
@@ -42,7 +42,7 @@
 }
 
 /// Milliseconds since the machine's boot: the same for all lives in one boot, whatever the wall clock does
-/// (clock_gettime(2), CLOCK_BOOTTIME).
+/// (`clock_gettime(2)`, `CLOCK_BOOTTIME`).
 pub fn boot_clock() -> Millis {
     let now = clock_gettime(ClockId::CLOCK_BOOTTIME)
         .map(|now| (now.tv_sec() as f64, now.tv_nsec() as f64));
--- a/crates/emberpin-limiter/src/upstream/engine.rs
+++ b/crates/emberpin-limiter/src/upstream/engine.rs
@@ -281,7 +281,7 @@
             }
             // No deployment has the counter service.
             Action::Count { name, .. } => {
-                self.pending.push_back(Event::Counted { name, total: None })
+                self.pending.push_back(Event::Counted { name, total: None });
             }
             Action::Log(text) => eprintln!("{text}"),
             beyond => self.beyond.push(beyond),
--- a/crates/emberpin-limiter/src/upstream/fed.rs
+++ b/crates/emberpin-limiter/src/upstream/fed.rs
@@ -252,7 +252,7 @@
                 _ = self.inputs.try_send(Input::Listing(listing));
             }
             Err(e) => {
-                eprintln!("emberpin: link: a list of version {rev} cannot be read: {e}; not used")
+                eprintln!("emberpin: link: a list of version {rev} cannot be read: {e}; not used");
             }
         }
     }
@@ -280,7 +280,7 @@
         }
         if Instant::now() >= next {
             next = Instant::now() + TICK;
-            fed.with(|core, now, actions| core.tick(now, actions));
+            fed.with(Feed::tick);
         }
     }
 }
--- a/crates/emberpin-limiter/src/upstream/told.rs
+++ b/crates/emberpin-limiter/src/upstream/told.rs
@@ -154,8 +154,7 @@
             assert_eq!(
                 told(&text, 512).expect_err("garbled"),
                 Garbled,
-                "{:.80}",
-                text
+                "{text:.80}"
             );
         }
     }
--- a/crates/emberpin-limiter/tests/bad_clients.rs
+++ b/crates/emberpin-limiter/tests/bad_clients.rs
@@ -1,5 +1,5 @@
 //! The real limiter against clients that send rubbish, too much, or nothing at all.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/sockets.rs"]
 mod sockets;
--- a/crates/emberpin-limiter/tests/bad_servers.rs
+++ b/crates/emberpin-limiter/tests/bad_servers.rs
@@ -1,5 +1,5 @@
 //! The real limiter against servers whose answers are spoilt, or bring more than belongs to them.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/sockets.rs"]
 mod sockets;
@@ -77,11 +77,10 @@
         assert_eq!(
             (answered.status(), answered.body.len()),
             (502, 0),
-            "{:.80}",
-            answer
+            "{answer:.80}"
         );
         arrived.ends();
-        assert!(server.is_quiet(), "{:.80}", answer);
+        assert!(server.is_quiet(), "{answer:.80}");
     }
 }
 
@@ -191,7 +190,7 @@
     let servers = [Listener::start(), Listener::start(), Listener::start()];
     // 18 sockets for servers.
     let limiter = Limiter::with(&ready(&[&servers[0], &servers[1]]), |config| {
-        config["limits"]["sockets"] = json!(64)
+        config["limits"]["sockets"] = json!(64);
     });
     let hold = |from: usize, to: usize| {
         let held = from..to;
--- a/crates/emberpin-limiter/tests/bodies.rs
+++ b/crates/emberpin-limiter/tests/bodies.rs
@@ -1,5 +1,5 @@
 //! Long and slow bodies over loopback, in all forms of HTTP/1.1, and what breaks in the middle of them.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/sockets.rs"]
 mod sockets;
@@ -369,7 +369,7 @@
 fn clients_that_read_nothing_of_long_answers_keep_nobody_out() {
     let (server, target) = raw();
     let mut limiter = Limiter::with(&[target], |config| {
-        config["limits"]["memory_mb"] = json!(48)
+        config["limits"]["memory_mb"] = json!(48);
     });
     let (ask, asked) = std::sync::mpsc::channel::<()>();
     // Answers what asks for much with 32 MB, and everything else at once.
--- a/crates/emberpin-limiter/tests/command.rs
+++ b/crates/emberpin-limiter/tests/command.rs
@@ -1,5 +1,5 @@
 //! The program's command line: what it refuses, and with which status.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use std::process::{Command, Output};
 
--- a/crates/emberpin-limiter/tests/common/sockets.rs
+++ b/crates/emberpin-limiter/tests/common/sockets.rs
@@ -1,6 +1,6 @@
 //! A limiter on loopback sockets with servers, discovery and clients played by hand: every step of the
 //! other side is the test's own, so that order comes from what was seen and not from waiting.
-#![allow(dead_code, missing_docs)]
+#![allow(dead_code, missing_docs, reason = "each test file uses a part of it")]
 
 use serde_json::{json, Value};
 use std::io::{ErrorKind, Read, Write};
--- a/crates/emberpin-limiter/tests/door.rs
+++ b/crates/emberpin-limiter/tests/door.rs
@@ -1,5 +1,5 @@
 //! The operators' door over loopback: its calls, its figures, and maintenance by hand.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/sockets.rs"]
 mod sockets;
--- a/crates/emberpin-limiter/tests/idempotency.rs
+++ b/crates/emberpin-limiter/tests/idempotency.rs
@@ -1,5 +1,5 @@
 //! The idempotency stage over loopback sockets, every other side played by hand.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/sockets.rs"]
 mod sockets;
--- a/crates/emberpin-limiter/tests/keys_log.rs
+++ b/crates/emberpin-limiter/tests/keys_log.rs
@@ -1,5 +1,5 @@
 //! Keys that outlast a limiter's life, over loopback sockets: kills between single steps, lost and restored logs.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/sockets.rs"]
 mod sockets;
--- a/crates/emberpin-limiter/tests/limiter.rs
+++ b/crates/emberpin-limiter/tests/limiter.rs
@@ -1,5 +1,5 @@
 //! The real limiter over loopback sockets, against servers, discovery, peers and clients played by hand.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/sockets.rs"]
 mod sockets;
@@ -350,7 +350,7 @@
 fn idle_connections_are_retired_before_the_servers_limit() {
     let server = Listener::start();
     let limiter = Limiter::with(&ready(&[&server]), |c| {
-        c["settings"]["bounds"]["idle-close-ms"] = json!(200.0)
+        c["settings"]["bounds"]["idle-close-ms"] = json!(200.0);
     });
     let mut ports = Vec::new();
     for _ in 0..2 {
--- a/crates/emberpin-limiter/tests/link.rs
+++ b/crates/emberpin-limiter/tests/link.rs
@@ -1,5 +1,5 @@
 //! Limiters that ask each other over loopback sockets: mutual TLS, strangers, and keys that any of them serves.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/sockets.rs"]
 mod sockets;
--- a/crates/emberpin-limiter/tests/upgrade.rs
+++ b/crates/emberpin-limiter/tests/upgrade.rs
@@ -1,5 +1,5 @@
 //! Upgrades over loopback: two processes of one limiter on one listening socket, with their state handed over.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/sockets.rs"]
 mod sockets;
--- a/crates/emberpin-membership/src/registry/configuration.rs
+++ b/crates/emberpin-membership/src/registry/configuration.rs
@@ -14,7 +14,7 @@
         for item in items {
             match self.items.entry(item.key.clone()) {
                 Entry::Occupied(mut known) if known.get().ver < item.ver => {
-                    _ = known.insert(item.clone())
+                    _ = known.insert(item.clone());
                 }
                 Entry::Occupied(_) => continue,
                 Entry::Vacant(place) => _ = place.insert(item.clone()),
--- a/crates/emberpin-membership/src/session.rs
+++ b/crates/emberpin-membership/src/session.rs
@@ -62,7 +62,7 @@
                 *known = Some(Followed {
                     place: *at,
                     rest: None,
-                })
+                });
             }
             (ToLimiter::SnapshotPart { .. } | ToLimiter::Pulse { .. }, _) => {}
         }
--- a/crates/emberpin-membership/tests/common/mod.rs
+++ b/crates/emberpin-membership/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Several registries, their servers and limiters over a network in memory, in simulated time.
-#![allow(dead_code, missing_docs)]
+#![allow(dead_code, missing_docs, reason = "each test file uses a part of it")]
 
 use emberpin_config::{Item, Key, Kind};
 use emberpin_membership::guards::Guards;
@@ -446,7 +446,7 @@
             .registry
             .instances()
             .get(id)
-            .map(|row| row.status())
+            .map(emberpin_membership::instances::Row::status)
     }
 
     pub fn hello(
--- a/crates/emberpin-membership/tests/explore.rs
+++ b/crates/emberpin-membership/tests/explore.rs
@@ -1,6 +1,6 @@
 //! Troubles drawn from seeds, one machine at a time, as `tolerance` allows: nothing that was acknowledged is lost, and
 //! afterwards all registries agree on the servers that there are.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
--- a/crates/emberpin-membership/tests/lease.rs
+++ b/crates/emberpin-membership/tests/lease.rs
@@ -1,5 +1,5 @@
 //! Leases: what renews them, and with which registry a proxy goes on when one runs out.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_membership::candidates::Candidates;
 use emberpin_membership::lease::{Lease, SessionLease};
--- a/crates/emberpin-membership/tests/registry.rs
+++ b/crates/emberpin-membership/tests/registry.rs
@@ -1,6 +1,6 @@
 //! Registries, servers and limiters over a network in memory: what must hold when machines die, are cut off,
 //! stand still or begin anew.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
--- a/crates/emberpin-peering/tests/network.rs
+++ b/crates/emberpin-peering/tests/network.rs
@@ -1,5 +1,5 @@
 //! Links over a network in memory that cuts one way or both, holds processes still, and is spoken to by strangers.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_peering::*;
 use proptest::prelude::*;
@@ -465,7 +465,8 @@
 
 #[test]
 fn whoever_is_not_who_it_says_is_rejected() {
-    let certified = |names: &[&str]| Some(names.iter().map(|name| name.to_string()).collect());
+    let certified =
+        |names: &[&str]| Some(names.iter().map(std::string::ToString::to_string).collect());
     let change = |change: fn(&mut String, &mut String, &mut String, &mut (u16, u16))| {
         let Message::Hello {
             mut versions,
--- a/crates/emberpin-proxy/tests/answers.rs
+++ b/crates/emberpin-proxy/tests/answers.rs
@@ -1,5 +1,5 @@
 //! Whose bytes go where: answers that are late, too long or cut, and bodies; against the proxy's process.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
--- a/crates/emberpin-proxy/tests/answers_drawn.rs
+++ b/crates/emberpin-proxy/tests/answers_drawn.rs
@@ -2,7 +2,7 @@
 //! which request. What servers send is split, interim, doubled, late, spoilt, cut and reset as drawn.
 //!
 //! The draws are the same in every run; `EMBERPIN_ANSWER_CASES` asks for more of them.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
@@ -464,7 +464,7 @@
     // An answer may come before all of the request is taken.
     let writing = async {
         _ = to.write_all(&request).await;
-        std::future::pending::<()>().await
+        std::future::pending::<()>().await;
     };
     let beginning = async {
         let mut byte = [0];
--- a/crates/emberpin-proxy/tests/attempts.rs
+++ b/crates/emberpin-proxy/tests/attempts.rs
@@ -1,5 +1,5 @@
 //! What a request may do after an attempt, and how long one is waited for; against the proxy's process.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
@@ -79,7 +79,7 @@
                 .next()
                 .await
                 .answer(status, &[("x-note", "n")], "its bytes")
-                .await
+                .await;
         };
         let (answered, ()) = tokio::join!(proxy.ask("POST", "/write/a", "t1"), answering);
         verify_that!(answered.status, eq(status))?;
@@ -184,7 +184,7 @@
             .next()
             .await
             .answer(421, &[("not-run", "1")], "")
-            .await
+            .await;
     };
     let (answered, ()) = tokio::join!(proxy.ask("POST", "/write/a", "t1"), answering);
     verify_that!(answered.status, eq(503))?;
--- a/crates/emberpin-proxy/tests/classes.rs
+++ b/crates/emberpin-proxy/tests/classes.rs
@@ -1,5 +1,5 @@
 //! What one service keeps for each sort of routes, over a proxy's life.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_limiter::host::{Figures, Pool, PoolLimits, Room};
 use emberpin_proxy::service::Service;
--- a/crates/emberpin-proxy/tests/common/mod.rs
+++ b/crates/emberpin-proxy/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! The proxy as a process on loopback addresses, with a stand-in registry, stand-in servers and raw clients.
 //! Everything waits for events; the limits on time are far longer than what they bound.
-#![allow(dead_code, missing_docs)]
+#![allow(dead_code, missing_docs, reason = "each test file uses a part of it")]
 
 use emberpin_config::{Item, Key, Kind};
 use emberpin_membership::instance::{Instance, Status};
--- a/crates/emberpin-proxy/tests/leaving.rs
+++ b/crates/emberpin-proxy/tests/leaving.rs
@@ -1,5 +1,5 @@
 //! How the proxy leaves after SIGTERM, as a process.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
--- a/crates/emberpin-proxy/tests/limits.rs
+++ b/crates/emberpin-proxy/tests/limits.rs
@@ -1,6 +1,6 @@
 //! What the configuration's `limits` leave a client: the length of heads and bodies, and the time for both; against the
 //! proxy's process.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
--- a/crates/emberpin-proxy/tests/readiness.rs
+++ b/crates/emberpin-proxy/tests/readiness.rs
@@ -1,5 +1,5 @@
 //! A proxy as a process, beside a stand-in for its registry.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_config::{Item, Key, Kind};
 use emberpin_membership::instance::{Instance, Status};
--- a/crates/emberpin-proxy/tests/routes.rs
+++ b/crates/emberpin-proxy/tests/routes.rs
@@ -1,5 +1,5 @@
 //! What is in force, and when the proxy is ready; against its process.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
--- a/crates/emberpin-proxy/tests/servers.rs
+++ b/crates/emberpin-proxy/tests/servers.rs
@@ -1,5 +1,5 @@
 //! Which servers get something, whatever happens to them; against the proxy's process.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
--- a/crates/emberpin-proxy/tests/wire.rs
+++ b/crates/emberpin-proxy/tests/wire.rs
@@ -1,5 +1,5 @@
 //! What servers are told, and what is made of their answers.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_balancer::Outcome;
 use emberpin_limiter::host::{Described, Wire};
--- a/crates/emberpin-registry/tests/common/mod.rs
+++ b/crates/emberpin-registry/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Registries as processes on loopback addresses, a stand-in for a store, and callers.
-#![allow(dead_code, missing_docs)]
+#![allow(dead_code, missing_docs, reason = "each test file uses a part of it")]
 
 use emberpin_config::{Item, Key, Kind};
 use emberpin_membership::session::{First, FromLimiter, SnapshotCursor, ToLimiter};
--- a/crates/emberpin-registry/tests/process.rs
+++ b/crates/emberpin-registry/tests/process.rs
@@ -1,5 +1,5 @@
 //! The registry as a process: its calls, its sessions, its end.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
--- a/crates/emberpin-registry/tests/protocol.rs
+++ b/crates/emberpin-registry/tests/protocol.rs
@@ -4,7 +4,7 @@
 //! Where a message changes on purpose, raise `emberpin_runtime::preamble::PROTOCOL_VERSION` if builds with the
 //! old one are in service, and record the bytes anew:
 //! `EMBERPIN_RECORD=1 cargo test -p emberpin-registry --test protocol`
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 mod samples;
--- a/crates/emberpin-routing/tests/budget.rs
+++ b/crates/emberpin-routing/tests/budget.rs
@@ -1,5 +1,5 @@
 //! The budget of further arrivals: by itself, and as a sum over limiters that restart as they like.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_routing::Budget;
 use googletest::prelude::*;
--- a/crates/emberpin-routing/tests/cold.rs
+++ b/crates/emberpin-routing/tests/cold.rs
@@ -1,5 +1,5 @@
 //! What all limiters together may send to one cold server.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_routing::cold::{fraction, Share, QUIET_MS};
 use emberpin_routing::{Cold, Coldness};
--- a/crates/emberpin-routing/tests/common/mod.rs
+++ b/crates/emberpin-routing/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! What the tests build on.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_routing::{Route, RouteKind};
--- a/crates/emberpin-routing/tests/fleet.rs
+++ b/crates/emberpin-routing/tests/fleet.rs
@@ -1,5 +1,5 @@
 //! Which servers may get work, whatever comes in whatever order.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
--- a/crates/emberpin-routing/tests/matcher.rs
+++ b/crates/emberpin-routing/tests/matcher.rs
@@ -1,5 +1,5 @@
 //! Which route a request takes.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
--- a/crates/emberpin-routing/tests/pick.rs
+++ b/crates/emberpin-routing/tests/pick.rs
@@ -1,5 +1,5 @@
 //! What binds a request when it is picked and while it goes on: news that comes while it waits for a connection.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
@@ -58,12 +58,12 @@
     type News = (&'static str, fn(&mut Router));
     let news: [News; 4] = [
         ("a drain", |it| {
-            it.fleet.tell(0.0, &[instance("i", Drain, 2)])
+            it.fleet.tell(0.0, &[instance("i", Drain, 2)]);
         }),
         ("its end", |it| it.fleet.snapshot(0.0, &[], true)),
         ("a 421", |it| it.fleet.wrong_instance("i")),
         ("an evacuation", |it| {
-            it.fleet.evacuated(0.0, BTreeSet::from(["umea".into()]))
+            it.fleet.evacuated(0.0, BTreeSet::from(["umea".into()]));
         }),
     ];
     for (what, comes) in news {
--- a/crates/emberpin-routing/tests/split.rs
+++ b/crates/emberpin-routing/tests/split.rs
@@ -1,5 +1,5 @@
 //! Which of a route's services a request goes to.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_routing::split::target;
 use googletest::prelude::*;
--- a/crates/emberpin-routing/tests/verdict.rs
+++ b/crates/emberpin-routing/tests/verdict.rs
@@ -1,5 +1,5 @@
 //! What is known of an attempt, and what follows for its request.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_routing::verdict::{after, wrong_instance};
 use emberpin_routing::{Next, RouteKind, Verdict};
--- a/crates/emberpin-scale-bench/src/report.rs
+++ b/crates/emberpin-scale-bench/src/report.rs
@@ -136,7 +136,7 @@
                         " {} ± {} |",
                         number(line.slope),
                         number(line.interval)
-                    )
+                    );
                 }
                 None => text.push_str(" none |"),
             }
--- a/crates/emberpin-scale-bench/tests/parts.rs
+++ b/crates/emberpin-scale-bench/tests/parts.rs
@@ -1,5 +1,5 @@
 //! The parts that need no process.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_runtime::settings::Settings;
 use emberpin_scale_bench::fit::{extrapolate, line, Line};
--- a/crates/emberpin-scale-bench/tests/quick.rs
+++ b/crates/emberpin-scale-bench/tests/quick.rs
@@ -1,5 +1,5 @@
 //! All parts together, at two small sizes, with real processes.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_scale_bench::report;
 use emberpin_scale_bench::run::{measure, Plan, Programs};
--- a/crates/emberpin-simulator/src/callers.rs
+++ b/crates/emberpin-simulator/src/callers.rs
@@ -351,7 +351,7 @@
         }
     }
 
-    #[allow(clippy::too_many_arguments)]
+    #[allow(clippy::too_many_arguments, reason = "waits for a struct with names")]
     pub fn server_said(
         &mut self,
         name: &str,
--- a/crates/emberpin-simulator/src/net.rs
+++ b/crates/emberpin-simulator/src/net.rs
@@ -313,7 +313,7 @@
                 self.registry(to, Event::Limiter { session: id, said });
             }
             (Machine::Core(from), Machine::Limiter(to), Frame::To(told)) => {
-                self.limiter_hears(to, id, from, told)
+                self.limiter_hears(to, id, from, told);
             }
             _ => {}
         }
--- a/crates/emberpin-simulator/src/play.rs
+++ b/crates/emberpin-simulator/src/play.rs
@@ -106,7 +106,7 @@
         }
         match operation {
             Operation::Operator { who, way, order } => {
-                self.operator(who, *way, Some(order.clone()), None)
+                self.operator(who, *way, Some(order.clone()), None);
             }
             Operation::Again { who, way } => {
                 let last = self
@@ -173,7 +173,7 @@
             Operation::Wipe(machines) => machines.iter().for_each(|machine| self.wipe(*machine)),
             Operation::Start(machines) => machines.iter().for_each(|machine| self.start(*machine)),
             Operation::Bootstrap(machines) => {
-                machines.iter().for_each(|machine| self.bootstrap(*machine))
+                machines.iter().for_each(|machine| self.bootstrap(*machine));
             }
             Operation::Seeds(machines) => {
                 let core = |machine: &Machine| match machine {
@@ -190,7 +190,7 @@
             }
             Operation::Replace { old, new } => self.replace(*old, *new),
             Operation::Freeze(machines) => {
-                machines.iter().for_each(|machine| self.freeze(*machine))
+                machines.iter().for_each(|machine| self.freeze(*machine));
             }
             Operation::Thaw(machines) => machines.iter().for_each(|machine| self.thaw(*machine)),
             Operation::Clock(machine, rate) => {
--- a/crates/emberpin-simulator/src/text.rs
+++ b/crates/emberpin-simulator/src/text.rs
@@ -601,7 +601,7 @@
                     match word.split_once('=') {
                         Some(("svc", name)) => service = Some(name.to_owned()),
                         Some(("zone", name)) if scenario.zones.iter().any(|zone| zone == name) => {
-                            zone = name.into()
+                            zone = name.into();
                         }
                         Some(("addr", port)) => address = parsed(port, "a number")?,
                         Some(("cold", time)) => cold = millis(time)?,
--- a/crates/emberpin-simulator/tests/history.rs
+++ b/crates/emberpin-simulator/tests/history.rs
@@ -1,5 +1,5 @@
 //! Histories that fit no order of operations are found, and others aren't.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_simulator::history::{check, Call, Numbered, Outcome};
 use googletest::prelude::*;
--- a/crates/emberpin-simulator/tests/scenarios.rs
+++ b/crates/emberpin-simulator/tests/scenarios.rs
@@ -1,5 +1,5 @@
 //! Every scenario holds on the right build, and fails on each build that lacks one of its guards.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_simulator::builds::{Build, WRONG};
 use emberpin_simulator::play::play;
--- a/crates/emberpin-simulator/tests/search.rs
+++ b/crates/emberpin-simulator/tests/search.rs
@@ -1,5 +1,5 @@
 //! Scenarios drawn from seeds hold, and find wrong builds.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_simulator::builds::Build;
 use emberpin_simulator::search::{draw, search};
--- a/crates/emberpin-simulator/tests/text.rs
+++ b/crates/emberpin-simulator/tests/text.rs
@@ -1,5 +1,5 @@
 //! Lines that are no steps are named, with what was expected.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_simulator::text::read;
 use googletest::prelude::*;
--- a/crates/emberpin-simulator/tests/timing.rs
+++ b/crates/emberpin-simulator/tests/timing.rs
@@ -1,5 +1,5 @@
 //! The periods that packages state apart agree.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_membership::timing::STORE_EXCHANGE;
 use googletest::prelude::*;
--- a/crates/emberpin-startup/tests/calls.rs
+++ b/crates/emberpin-startup/tests/calls.rs
@@ -1,5 +1,5 @@
 //! Groups of limiters that call one service, in virtual time.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_startup::calls::{Calls, Ended, Place};
 use proptest::prelude::*;
--- a/crates/emberpin-startup/tests/feed.rs
+++ b/crates/emberpin-startup/tests/feed.rs
@@ -1,5 +1,5 @@
 //! Lists told by peers, in virtual time: limiters die, stand still, are cut off both ways or one, and lose the service.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_startup::calls::{Calls, Place};
 use emberpin_startup::feed::{neighbours, Action, Feed, Limits, Pulse, Said, Version};
@@ -160,7 +160,7 @@
                 } => {
                     assert_eq!(entries, vec![7; 3]);
                     self.with(number, &mut |feed, now, actions| {
-                        feed.hold(now, version, actions)
+                        feed.hold(now, version, actions);
                     });
                 }
             }
@@ -171,7 +171,7 @@
         if let Some(node) = self.nodes.get_mut(&number) {
             if std::mem::take(&mut node.watching) {
                 self.with(number, &mut |feed, now, actions| {
-                    feed.watch(now, false, actions)
+                    feed.watch(now, false, actions);
                 });
             }
         }
@@ -221,7 +221,7 @@
                 // To one that stands still it comes when it goes on; to one that is dead, too: an old life's.
                 true => _ = self.mail.insert((away, sent), (from, to, said)),
                 false => self.with(to, &mut |feed, now, actions| {
-                    feed.hear(now, from, said.clone(), actions)
+                    feed.hear(now, from, said.clone(), actions);
                 }),
             }
         }
@@ -237,7 +237,7 @@
             }
             if self.nodes[&number].watching && self.nodes[&number].feed.held() < Some(of(rev)) {
                 self.with(number, &mut |feed, now, actions| {
-                    feed.hold(now, of(rev), actions)
+                    feed.hold(now, of(rev), actions);
                 });
             }
             self.call(number, dead);
--- a/crates/emberpin-startup/tests/lists.rs
+++ b/crates/emberpin-startup/tests/lists.rs
@@ -1,5 +1,5 @@
 //! Which lists are believed, snapshots, and readiness.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_startup::ready::Ready;
 use emberpin_startup::snapshot::{decode, encode, Label, Unusable};
--- a/crates/emberpin-testbed/src/process.rs
+++ b/crates/emberpin-testbed/src/process.rs
@@ -365,11 +365,11 @@
     }
 }
 
-/// What a running process has used: processor time in milliseconds, from its own clock (clock_getcpuclockid(3)),
+/// What a running process has used: processor time in milliseconds, from its own clock (`clock_getcpuclockid(3)`),
 /// and the largest resident set in KiB (proc(5)).
 pub fn used(pid: u32) -> Option<(f64, u64)> {
     let time = clock_getcpuclockid(Pid::from_raw(pid as i32))
-        .and_then(|clock| clock.now())
+        .and_then(nix::time::ClockId::now)
         .ok()?;
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let peak = status
--- a/crates/emberpin-testbed/src/referee.rs
+++ b/crates/emberpin-testbed/src/referee.rs
@@ -818,7 +818,7 @@
             _ => false,
         };
         let told = self.events.iter().filter(|event| concerns(event));
-        let lines: Vec<String> = told.map(|event| event.to_string()).collect();
+        let lines: Vec<String> = told.map(std::string::ToString::to_string).collect();
         lines[lines.len().saturating_sub(MOST_LINES)..].to_vec()
     }
 }
--- a/crates/emberpin-testbed/src/report.rs
+++ b/crates/emberpin-testbed/src/report.rs
@@ -471,7 +471,7 @@
                 status: 429 | 503, ..
             } => bin.refused += rate,
             What::Answered { .. } | What::Dropped { .. } | What::GaveUp { .. } => {
-                bin.failed += rate
+                bin.failed += rate;
             }
             _ => {}
         }
--- a/crates/emberpin-testbed/src/scenario.rs
+++ b/crates/emberpin-testbed/src/scenario.rs
@@ -509,6 +509,10 @@
 
 impl Scenario {
     /// The scenario of the newcomer's command: a calm site.
+    ///
+    /// # Panics
+    ///
+    /// If the file that is built into the program cannot be read; a test reads it.
     pub fn calm() -> Scenario {
         Scenario::parse("calm.toml", include_str!("../scenarios/calm.toml"))
             .expect("the built-in scenario is sound")
--- a/crates/emberpin-testbed/src/servers.rs
+++ b/crates/emberpin-testbed/src/servers.rs
@@ -809,7 +809,7 @@
     }
 }
 
-/// A number from 0 to 1 that depends on the seed and the attempt alone (SplitMix64, Steele et al. 2014).
+/// A number from 0 to 1 that depends on the seed and the attempt alone (`SplitMix64`, Steele et al. 2014).
 fn draw(seed: u64, attempt: AttemptId) -> f64 {
     let mut z = seed.wrapping_add(u64::from(attempt.0).wrapping_mul(0x9e37_79b9_7f4a_7c15));
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/emberpin-testbed/src/site.rs
+++ b/crates/emberpin-testbed/src/site.rs
@@ -513,7 +513,7 @@
                     world
                         .links
                         .iter()
-                        .for_each(|links| links[*hall].set_cut(way))
+                        .for_each(|links| links[*hall].set_cut(way));
                 };
                 let lost: Vec<_> = self
                     .servers
@@ -650,7 +650,7 @@
             }
             // Drawn into the schedule already; here they only last.
             Fault::FirmHammers { length, .. } | Fault::Rush { length, .. } => {
-                sleep(span(length)).await
+                sleep(span(length)).await;
             }
             Fault::FirmsHop { .. } => return,
         }
@@ -681,7 +681,7 @@
         match server.start(true).await {
             Ok(()) => self.discovery.announce(server, Standing::Ready),
             Err(e) => {
-                *self.problem.borrow_mut() = Some(format!("server {} again: {e}", server.number))
+                *self.problem.borrow_mut() = Some(format!("server {} again: {e}", server.number));
             }
         }
     }
--- a/crates/emberpin-testbed/tests/catches.rs
+++ b/crates/emberpin-testbed/tests/catches.rs
@@ -1,6 +1,6 @@
 //! The referee between real sockets: every limiter made wrong on purpose is caught, by the rule that it breaks
 //! and no other; the same limiter doing nothing wrong, and the real one, are not.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/turns.rs"]
 mod turns;
--- a/crates/emberpin-testbed/tests/common/mod.rs
+++ b/crates/emberpin-testbed/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Playing a site of processes, and counting what was seen.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 mod turns;
 
--- a/crates/emberpin-testbed/tests/idempotency.rs
+++ b/crates/emberpin-testbed/tests/idempotency.rs
@@ -1,5 +1,5 @@
 //! Keys repeated over real sockets, judged by the referee: second runs are counted at the stand-in servers.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_testbed::process::Program;
 use emberpin_testbed::referee::Rule;
--- a/crates/emberpin-testbed/tests/referee.rs
+++ b/crates/emberpin-testbed/tests/referee.rs
@@ -1,5 +1,5 @@
 //! The referee on faked traces: for each rule one that breaks it just so, and one that just keeps it.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_testbed::figures::{DRAIN_GRACE, FALL_MULTIPLE, FALL_TIME, PLANS, SLACK, WINDOW};
 use emberpin_testbed::referee::{judge, Judgement, Rule, Terms};
--- a/crates/emberpin-testbed/tests/site.rs
+++ b/crates/emberpin-testbed/tests/site.rs
@@ -1,5 +1,5 @@
 //! The site's own hard cases, with the real limiter between real sockets.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_testbed::process::Program;
 use emberpin_testbed::referee::Rule;
--- a/crates/emberpin-testbed/tests/start.rs
+++ b/crates/emberpin-testbed/tests/start.rs
@@ -1,5 +1,5 @@
 //! Starts of many limiters at once, each a process of its own, between stand-ins that have just started too.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
@@ -359,7 +359,7 @@
             ),
             4 => {
                 assert!(std::fs::metadata(folder.path().join(name).join("list"))
-                    .is_ok_and(|file| !file.is_file()))
+                    .is_ok_and(|file| !file.is_file()));
             }
             _ => assert!(kept(name).is_none(), "{name} cannot be written"),
         }
@@ -382,7 +382,7 @@
                 assert!(
                     listed.contains(&limiter),
                     "{limiter} was ready without a list"
-                )
+                );
             }
             _ => {}
         }
--- a/crates/emberpin-testbed/tests/takeover.rs
+++ b/crates/emberpin-testbed/tests/takeover.rs
@@ -1,6 +1,6 @@
 //! Work in hand survives the loss of its limiter: several processes, some of which are killed, stopped or cut off, judged by
 //! the referee, which counts second effects at the servers.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
@@ -89,7 +89,7 @@
                 }
             }
             What::Dropped { what, .. } | What::GaveUp { what } | What::Left { what } => {
-                _ = open.remove(&what)
+                _ = open.remove(&what);
             }
             What::LimiterDown {
                 limiter,
--- a/crates/emberpin-testbed/tests/told.rs
+++ b/crates/emberpin-testbed/tests/told.rs
@@ -1,5 +1,5 @@
 //! Lists told by peers over the link, while callers, links and the service fail: each limiter a process of its own.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
--- a/crates/emberpin-upgrade/src/process.rs
+++ b/crates/emberpin-upgrade/src/process.rs
@@ -143,7 +143,7 @@
                 actions.push(Exit);
             }
             (Stage::Serving | Stage::Leaving, Event::Asked) if self.is_paired() => {
-                actions.push(Refuse)
+                actions.push(Refuse);
             }
             (Stage::Serving | Stage::Leaving, Event::Asked) => {
                 self.younger = true;
--- a/crates/emberpin-upgrade/tests/upgrade.rs
+++ b/crates/emberpin-upgrade/tests/upgrade.rs
@@ -1,5 +1,5 @@
 //! Every interleaving of two processes of one limiter and what may befall them, and every damage to their frames.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_upgrade::frame::{self, Broken, Note};
 use emberpin_upgrade::process::{Action, Event, Process, Stage};
@@ -49,21 +49,21 @@
                     &mut world.new_port
                 } else {
                     &mut world.old_port
-                }) = false
+                }) = false;
             }
             Action::Share => {
                 *(if is_new {
                     &mut world.sharing.1
                 } else {
                     &mut world.sharing.0
-                }) = true
+                }) = true;
             }
             Action::Whole => {
                 *(if is_new {
                     &mut world.sharing.1
                 } else {
                     &mut world.sharing.0
-                }) = false
+                }) = false;
             }
             Action::Exit | Action::GiveUp => {
                 if is_new {
--- a/crates/emberpin-wal/tests/common/mod.rs
+++ b/crates/emberpin-wal/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A storage in memory that breaks as told: it dies at a given step, runs full, or fails an fsync.
-#![allow(dead_code)] // Each test file uses a part of it.
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use emberpin_wal::{FileIdentity, Identity, Log, Record, Recovery, Storage, Unusable};
 use std::collections::BTreeMap;
@@ -237,7 +237,7 @@
 pub fn open<S: Storage>(storage: S) -> Result<Opened<S>, Unusable> {
     let mut read = Vec::new();
     let (log, recovery) = Log::open(storage, &identity(), |Record { payload, .. }| {
-        read.push(payload.to_vec())
+        read.push(payload.to_vec());
     })?;
     Ok((log, recovery, read))
 }
--- a/crates/emberpin-wal/tests/recovery.rs
+++ b/crates/emberpin-wal/tests/recovery.rs
@@ -1,5 +1,5 @@
 //! What is read again after each thing that can happen to a log, and that nothing that counted goes missing unsaid.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
--- a/crates/emberpin-wal/tests/service.rs
+++ b/crates/emberpin-wal/tests/service.rs
@@ -1,5 +1,5 @@
 //! The log on its thread: group commit, what waits, and its end.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
