--- /dev/null
+++ b/crates/emberpin-store/tests/recorder/mod.rs
@@ -0,0 +1,254 @@
+//! Makes the disks of `fixtures/` that are not there yet. Each was recorded once, by the build of 2 December 2026,
+//! and is never made anew: where it can't be read any more, the build is wrong.
+
+use crate::packed::pack;
+use crate::program::Program;
+use crate::{fixture, lines, run, ME, OTHERS};
+use emberpin_config::{Bounds, Item, Key, Kind};
+use emberpin_consensus::{
+    Action, Ballot, Call, Candidacy, Event, Guards, Incarnation, Options, Pending, Renewals, Replica, Write,
+};
+use emberpin_store::disk::Disk;
+use std::collections::{BTreeMap, VecDeque};
+use std::fs;
+use std::path::Path;
+use std::time::Duration;
+
+/// So little of the past is kept that a hundred calls bring forth checkpoints and forgotten versions.
+const BOUNDS: Bounds = Bounds { versions: 3, tombstones: 2 };
+/// A body of this length, written so often, is more than `fjall` holds before it makes a table.
+const LONG: (usize, u64) = (512 << 10, 18);
+
+/// A store of which all voters are itself, and its disk.
+struct Store {
+    replica: Replica,
+    disk: Disk,
+    now: u64,
+    events: VecDeque<Event>,
+    answer: Option<u16>,
+    last: Option<Write>,
+    /// What was written and not removed, told from the writes alone.
+    items: BTreeMap<(u8, String), Item>,
+}
+
+impl Store {
+    fn found(folder: &Path) -> Store {
+        let options = Options { me: ME, seeds: vec![ME], bootstrap: true, tolerated: 1, seed: 21 };
+        let (disk, kept) = Disk::open(folder, ME).expect("a disk");
+        let mut actions = Vec::new();
+        let guards = Guards { bounds: BOUNDS, ..Guards::default() };
+        let replica = Replica::with_guards(1_000, options, kept, guards, &mut actions);
+        let (events, items) = (VecDeque::new(), BTreeMap::new());
+        let mut store = Store { replica, disk, now: 1_000, events, answer: None, last: None, items };
+        store.act(actions);
+        store
+    }
+
+    fn call(&mut self, call: Call) {
+        self.answer = None;
+        self.events.push_back(Event::Call { id: 1, call });
+        while self.answer.is_none() {
+            let event = self.events.pop_front().unwrap_or_else(|| {
+                self.now = self.replica.wake_at().max(self.now + 1);
+                Event::Wake
+            });
+            let mut actions = Vec::new();
+            self.replica.handle(self.now, event, &mut actions);
+            self.act(actions);
+        }
+        assert_eq!(self.answer, Some(200));
+    }
+
+    fn patch(&mut self, body: String) {
+        self.call(Call::Patch(body.into_bytes()));
+    }
+
+    fn act(&mut self, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Persist { token, write } => {
+                    let sync = write.sync;
+                    self.write(write);
+                    if sync {
+                        self.disk.sync().expect("a sync");
+                        self.events.push_back(Event::Persisted { token });
+                    }
+                }
+                Action::Answer { status, .. } => self.answer = Some(status),
+                Action::Send { .. } | Action::Learned { .. } => {}
+            }
+        }
+    }
+
+    fn write(&mut self, write: Write) {
+        self.disk.write(&write).expect("a write");
+        for item in &write.chosen {
+            self.items.insert((item.key.kind as u8, item.key.name.clone()), item.clone());
+        }
+        for key in &write.removed {
+            self.items.remove(&(key.kind as u8, key.name.clone()));
+        }
+        self.last = Some(write);
+    }
+
+    /// Has `fjall` make tables and another journal.
+    fn fill_a_table(&mut self, folder: &Path) {
+        for ver in 1..=LONG.1 {
+            let key = Key { kind: Kind::Service, name: "long".into() };
+            let body = (ver < LONG.1).then(|| "x".repeat(LONG.0));
+            let chosen = vec![Item { key, ver, body }];
+            let last = self.last.clone().expect("a write before");
+            self.write(Write { chosen, removed: Vec::new(), pending: None, ..last });
+        }
+        self.disk.sync().expect("a sync");
+        let tables = folder.join("store/partitions/items/segments");
+        while fs::read_dir(&tables).expect("a folder").count() == 0 {
+            std::thread::sleep(Duration::from_millis(50));
+        }
+    }
+}
+
+fn service(name: &str, ver: u64) -> String {
+    format!(
+        "{{\"name\":\"{name}\",\"hcheck\":\"/h\",\"maxconn\":{},\"proto\":\"h1\",\"tls\":false,\
+         \"warmup\":\"3s\",\"warmup_per_s\":10.0,\"ver\":{ver}}}",
+        9 + ver
+    )
+}
+
+fn set_service(name: &str, ver: u64) -> String {
+    format!("{{\"upsert\":{{\"svcs\":[{}]}}}}", service(name, ver))
+}
+
+fn set_route(nth: u64, ver: u64) -> String {
+    format!(
+        "{{\"upsert\":{{\"vhosts\":[{{\"hostname\":\"h{nth}.example\",\"locs\":[{{\"name\":\"r-{nth}\",\
+         \"pfx\":\"/p{nth}/\",\"type\":\"readonly\",\"timeout\":\"1500ms\",\"target_time\":\"250ms\",\
+         \"prio\":{},\"svc\":\"s-0\",\"tries\":2,\"ver\":{ver}}}]}}]}}}}",
+        ver % 7
+    )
+}
+
+fn drop_item(list: &str, name: &str, ver: u64) -> String {
+    format!("{{\"remove\":{{\"{list}\":[{{\"name\":\"{name}\",\"ver\":{ver}}}]}}}}")
+}
+
+fn evacuate(zone: &str, begin: bool) -> Call {
+    Call::Evacuate { zone: zone.into(), begin }
+}
+
+/// Fifty changes of services and routes; every fifth is a drop of one that was set.
+fn change(store: &mut Store, from: u64) {
+    for ver in from..from + 50 {
+        let nth = ver % 13;
+        match (ver % 5, ver % 2) {
+            (0, 0) => store.patch(drop_item("svcs", &format!("s-{}", nth + 1), ver)),
+            (0, _) => store.patch(drop_item("rtab", &format!("r-{nth}"), ver)),
+            (_, 0) => store.patch(set_route(nth, ver)),
+            _ => store.patch(set_service(&format!("s-{}", nth + 1), ver)),
+        }
+    }
+}
+
+/// The last write: another proposer was promised its ballot, what it proposed before is accepted and not known to
+/// be chosen, and two voters have lost their disks.
+fn promise_another(store: &mut Store) {
+    let [second, third] = OTHERS;
+    let ballot =
+        |counter, node: std::net::Ipv4Addr| Ballot { counter, node: node.to_bits(), incarnation: 77 };
+    let key = Key { kind: Kind::Service, name: "open".into() };
+    let open = Item { key, ver: 700, body: Some(service("open", 700)) };
+    let mut renewals = Renewals::default();
+    renewals.note(second, Incarnation(ballot(500, second)));
+    renewals.note(third, Incarnation(ballot(70_000, third)));
+    store.write(Write {
+        chosen: Vec::new(),
+        removed: Vec::new(),
+        promised: ballot(900_001, third),
+        pending: Some(Pending { ballot: ballot(900_000, second), items: vec![open] }),
+        voting: true,
+        incarnation: Incarnation(ballot(400, ME)),
+        renewals,
+        candidacy: Some(Candidacy { number: 0x0123_4567_89ab_cdef, seeds: vec![ME, second, third] }),
+        sync: true,
+    });
+    store.disk.sync().expect("a sync");
+}
+
+/// A store after a hundred changes; the items that it holds are recorded beside it.
+pub fn record_voter(folder: &Path) {
+    let mut store = Store::found(folder);
+    store.patch(
+        "{\"upsert\":{\"limits\":{\"hdr_max_bytes\":16384,\"body_max_bytes\":1048576,\"hdr_read\":\"5s\",\
+         \"idle\":\"60s\",\"ver\":3}}}"
+            .into(),
+    );
+    store.patch(set_service("s-0", 1));
+    store.call(evacuate("z1", true));
+    change(&mut store, 100);
+    store.call(evacuate("z1", false));
+    store.fill_a_table(folder);
+    change(&mut store, 400);
+    store.call(evacuate("z2", true));
+    promise_another(&mut store);
+    drop(store.disk);
+    fs::write(folder.join("system"), "0fedcba987654321\n").expect("a file");
+    let held: Vec<Item> = store.items.into_values().collect();
+    fs::write(fixture("voter.items.txt"), lines(&held)).expect("a fixture");
+}
+
+/// A seed at its first start, which has heard of no roster.
+pub fn record_candidate(folder: &Path) {
+    let [second, third] = OTHERS;
+    let options = Options { me: ME, seeds: vec![third, second, ME], bootstrap: true, tolerated: 1, seed: 21 };
+    let (mut disk, kept) = Disk::open(folder, ME).expect("a disk");
+    let mut actions = Vec::new();
+    Replica::new(1_000, options, kept, &mut actions);
+    for action in actions {
+        if let Action::Persist { write, .. } = action {
+            disk.write(&write).expect("a write");
+            disk.sync().expect("a sync");
+        }
+    }
+}
+
+/// A disk on which nothing was ever written.
+pub fn record_empty(folder: &Path) {
+    Disk::open(folder, ME).expect("a disk");
+}
+
+/// A disk of the former format and of a time before marks, incarnations and the record of what was synced. No
+/// build of that time wrote it: its bytes are those that such a build is known to have written.
+pub fn record_former(folder: &Path) {
+    let keyspace = fjall::Config::new(folder.join("store")).open().expect("a keyspace");
+    let partition = |name| keyspace.open_partition(name, fjall::PartitionCreateOptions::default());
+    let (items, meta) = (partition("items").expect("a partition"), partition("meta").expect("a partition"));
+    let mut batch = keyspace.batch();
+    batch.insert(&meta, "format", b"emberpin-store 1");
+    batch.insert(&meta, "node", ME.octets());
+    batch.insert(&meta, "promised", b"\xac\x02\x07\x09\x01");
+    batch.insert(&meta, "pending", b"\xab\x02\x07\x09\x01\x03\x01c\x05\x01\x02{}");
+    batch.insert(&items, b"\x00", b"\x00\x00\x01\x01\x0e[\"127.9.40.1\"]".as_slice());
+    batch.insert(&items, b"\x03a", b"\x03\x01a\x07\x01\x02{}");
+    batch.insert(&items, b"\x04b", b"\x04\x01b\x80\x01\x00");
+    batch.commit().expect("a batch");
+    keyspace.persist(fjall::PersistMode::SyncAll).expect("a sync");
+}
+
+/// What the program tells that runs on a voter's disk, unless it is there.
+pub fn record_configuration(folder: &Path) {
+    if !fixture("voter.get.json").exists() {
+        let told = run(Program::start(folder).configuration());
+        fs::write(fixture("voter.get.json"), told).expect("a fixture");
+    }
+}
+
+/// Packs what this makes, unless it is there.
+pub fn record(name: &str, make: impl Fn(&Path)) {
+    if fixture(name).exists() {
+        return;
+    }
+    let folder = tempfile::tempdir().expect("a folder");
+    make(folder.path());
+    fs::write(fixture(name), pack(folder.path())).expect("a fixture");
+}
