--- a/crates/emberpin-registry/tests/samples/mod.rs
+++ b/crates/emberpin-registry/tests/samples/mod.rs
@@ -1,4 +1,7 @@
-//! One frame of each message between processes.
+//! One of each message between processes, and their frames.
+#![allow(dead_code, reason = "each test file uses a part of it")]
+
+pub mod values;
 
 use emberpin_config::{Item, Key, Kind};
 use emberpin_consensus::{Ballot, Incarnation, Message, Pending, Renewals};
@@ -158,7 +161,7 @@
 }
 
 /// Those towards a store.
-pub fn to_store() -> Vec<Vec<u8>> {
+pub fn to_store() -> Vec<ToStore> {
     let requests = [
         StoreRequest::Patch {
             id: 1,
@@ -178,20 +181,17 @@
         from: MACHINE,
         message,
     });
-    requests
-        .chain(messages)
-        .map(|message| frame(&message))
-        .collect()
+    requests.chain(messages).collect()
 }
 
 /// Those from a store.
-pub fn from_store() -> Vec<Vec<u8>> {
+pub fn from_store() -> Vec<StoreReply> {
     let disk = DiskReport {
         state: DiskState::Full,
         used: 90,
         size: 100,
     };
-    let replies = [
+    vec![
         StoreReply::Answer {
             id: 1,
             status: 503,
@@ -208,13 +208,16 @@
             question: 14,
             age: None,
         },
-    ];
-    replies.iter().map(frame).collect()
+    ]
+}
+
+/// Those towards a registry that come first on a connection.
+pub fn first() -> Vec<First> {
+    vec![First::Limiter, First::Registry(MACHINE)]
 }
 
-/// Those towards a registry, the first of a connection at first.
-pub fn to_registry() -> Vec<Vec<u8>> {
-    let first = [First::Limiter, First::Registry(MACHINE)];
+/// Those from a limiter.
+pub fn from_limiter() -> Vec<FromLimiter> {
     let instances = vec![
         instance(Status::Up),
         instance(Status::Drain),
@@ -228,15 +231,19 @@
         instances,
     };
     let after = SnapshotCursor::Item(items()[0].key.clone());
-    let limiter = [
+    vec![
         hello,
         FromLimiter::Pulse {
             at: Some(PLACE),
             question: 11,
         },
         FromLimiter::More { after },
-    ];
-    let registry = [
+    ]
+}
+
+/// Those from one registry to another.
+pub fn between_registries() -> Vec<RegistryMessage> {
+    vec![
         RegistryMessage::Hello {
             zone: "z".into(),
             settled: true,
@@ -260,15 +267,13 @@
         RegistryMessage::Sessions {
             limiters: limiters(),
         },
-    ];
-    let frames = first.iter().map(frame).chain(limiter.iter().map(frame));
-    frames.chain(registry.iter().map(frame)).collect()
+    ]
 }
 
-/// Those from a registry.
-pub fn from_registry() -> Vec<Vec<u8>> {
+/// Those from a registry to a limiter.
+pub fn to_limiter() -> Vec<ToLimiter> {
     let instances = vec![instance(Status::Up)];
-    let limiter = [
+    vec![
         ToLimiter::Snapshot {
             at: PLACE,
             items: items(),
@@ -292,28 +297,44 @@
             limiters: 2,
             registries: vec![MACHINE],
         },
-    ];
-    limiter
-        .iter()
-        .map(frame)
-        .chain([frame(&Ack { ask: 1 })])
-        .collect()
+    ]
+}
+
+/// That from a registry to one that it heard a change from.
+pub fn acks() -> Vec<Ack> {
+    vec![Ack { ask: 1 }]
+}
+
+fn frames_of<T: Serialize>(messages: &[T]) -> Vec<Vec<u8>> {
+    messages.iter().map(frame).collect()
 }
 
 /// All of them as text, a frame a line.
 pub fn text() -> String {
+    let to_registry = [
+        frames_of(&first()),
+        frames_of(&from_limiter()),
+        frames_of(&between_registries()),
+    ]
+    .concat();
+    let from_registry = [frames_of(&to_limiter()), frames_of(&acks())].concat();
     let groups = [
-        ("to-store", to_store()),
-        ("from-store", from_store()),
-        ("to-registry", to_registry()),
-        ("from-registry", from_registry()),
+        ("to-store", frames_of(&to_store())),
+        ("from-store", frames_of(&from_store())),
+        ("to-registry", to_registry),
+        ("from-registry", from_registry),
     ];
-    let line = |name: &str, frame: &[u8]| {
-        let bytes: String = frame.iter().map(|byte| format!("{byte:02x}")).collect();
-        format!("{name} {bytes}\n")
-    };
     groups
         .iter()
-        .flat_map(|(name, frames)| frames.iter().map(move |frame| line(name, frame)))
+        .map(|(name, frames)| lines(name, frames))
         .collect()
 }
+
+/// Frames as text, with their group before each.
+pub fn lines(group: &str, frames: &[Vec<u8>]) -> String {
+    let line = |frame: &Vec<u8>| {
+        let bytes: String = frame.iter().map(|byte| format!("{byte:02x}")).collect();
+        format!("{group} {bytes}\n")
+    };
+    frames.iter().map(line).collect()
+}
--- /dev/null
+++ b/crates/emberpin-registry/tests/samples/values.rs
@@ -0,0 +1,256 @@
+//! Frames with the values that the samples of each message leave out: nothing in what may be missing, the other
+//! words of each enumeration, the highest numbers, empty lists, an address of the sixth version.
+
+use super::{frames_of, instance, item, lines, BALLOT, MACHINE, PLACE};
+use emberpin_config::{Item, Kind};
+use emberpin_consensus::{Ballot, Incarnation, Message, Pending, Renewals};
+use emberpin_membership::instance::{Instance, Status};
+use emberpin_membership::peers::{Ack, InstanceRecord, RegistryMessage};
+use emberpin_membership::session::{FromLimiter, Revision, SnapshotCursor, ToLimiter};
+use emberpin_runtime::preamble::Preamble;
+use emberpin_store::protocol::{DiskReport, DiskState, StoreReply, StoreRequest, ToStore};
+use std::net::Ipv4Addr;
+use std::num::NonZeroU64;
+
+const HIGHEST: Ballot = Ballot {
+    counter: u64::MAX,
+    node: u32::MAX,
+    incarnation: u32::MAX,
+};
+const LAST: Revision = Revision {
+    incarnation: u64::MAX,
+    number: u64::MAX,
+};
+
+fn no_roster() -> Item {
+    Item {
+        ver: 0,
+        ..item(Kind::Roster, "", None)
+    }
+}
+
+fn sixth_version() -> Instance {
+    Instance {
+        address: "[2001:db8::7]:65535".parse().expect("an address"),
+        zone: "zürich".into(),
+        slots: u32::MAX,
+        seq: u64::MAX,
+        cold_ms: 0,
+        ..instance(Status::Up)
+    }
+}
+
+fn many_renewals() -> Renewals {
+    let mut renewals = Renewals::default();
+    renewals.note(MACHINE, Incarnation(BALLOT));
+    renewals.note(Ipv4Addr::BROADCAST, Incarnation(HIGHEST));
+    renewals.note(Ipv4Addr::UNSPECIFIED, Incarnation::default());
+    renewals
+}
+
+fn promise(renewals: Renewals) -> Message {
+    Message::Promise {
+        ballot: HIGHEST,
+        incarnation: Incarnation::default(),
+        renewals,
+        pending: Pending::default(),
+        buckets: Vec::new(),
+        chosen: Vec::new(),
+    }
+}
+
+/// Those towards a store.
+pub fn to_store() -> Vec<ToStore> {
+    let requests = [
+        StoreRequest::Patch {
+            id: u64::MAX,
+            body: vec![0, 0x80, 0xff],
+        },
+        StoreRequest::Evacuate {
+            id: 0,
+            zone: "zürich".into(),
+            begin: false,
+        },
+    ];
+    let messages = [
+        Message::Prepare {
+            ballot: HIGHEST,
+            roster: no_roster(),
+            digests: Vec::new(),
+            recovers: false,
+        },
+        promise(Renewals::default()),
+        promise(many_renewals()),
+        Message::Same {
+            seq: u64::MAX,
+            voting: false,
+            open: Vec::new(),
+        },
+        Message::Items {
+            seq: 0,
+            items: Vec::new(),
+            voting: true,
+        },
+        Message::Word {
+            asker: u64::MAX,
+            candidate: None,
+        },
+    ];
+    let from = Ipv4Addr::BROADCAST;
+    let messages = messages
+        .into_iter()
+        .map(|message| ToStore::Consensus { from, message });
+    requests
+        .into_iter()
+        .map(ToStore::StoreRequest)
+        .chain(messages)
+        .collect()
+}
+
+/// Those from a store.
+pub fn from_store() -> Vec<StoreReply> {
+    let status = |state| {
+        let disk = DiskReport {
+            state,
+            used: u64::MAX,
+            size: 0,
+        };
+        StoreReply::Status {
+            settled: false,
+            voters: Vec::new(),
+            disk,
+            refused: 0,
+        }
+    };
+    vec![
+        StoreReply::Answer {
+            id: u64::MAX,
+            status: 200,
+            body: String::new(),
+        },
+        StoreReply::Items { items: Vec::new() },
+        status(DiskState::Writable),
+        status(DiskState::NearlyFull),
+        status(DiskState::Stalled),
+        StoreReply::Confirmed {
+            question: u64::MAX,
+            age: Some(u64::MAX),
+        },
+    ]
+}
+
+/// Those from a limiter.
+pub fn from_limiter() -> Vec<FromLimiter> {
+    let hello = FromLimiter::Hello {
+        incarnation: u64::MAX,
+        name: String::new(),
+        zone: "zürich".into(),
+        from: None,
+        instances: vec![sixth_version()],
+    };
+    let after = SnapshotCursor::Instance("i-1".into());
+    vec![
+        hello,
+        FromLimiter::Pulse {
+            at: None,
+            question: u64::MAX,
+        },
+        FromLimiter::More { after },
+    ]
+}
+
+/// Those from one registry to another.
+pub fn between_registries() -> Vec<RegistryMessage> {
+    let (instances, limiters) = (Vec::new(), Vec::new());
+    let unowned = InstanceRecord {
+        instance: sixth_version(),
+        expired: false,
+        owner: None,
+    };
+    vec![
+        RegistryMessage::Hello {
+            zone: String::new(),
+            settled: false,
+            instances,
+            limiters,
+        },
+        RegistryMessage::Changed {
+            ask: None,
+            instances: vec![unowned],
+        },
+        RegistryMessage::Pulse {
+            settled: true,
+            question: u64::MAX,
+            digest: u64::MAX,
+        },
+    ]
+}
+
+/// Those from a registry to a limiter.
+pub fn to_limiter() -> Vec<ToLimiter> {
+    let (items, instances) = (Vec::new(), vec![sixth_version()]);
+    let rest = Some(SnapshotCursor::Item(item(Kind::Route, "r", None).key));
+    vec![
+        ToLimiter::Snapshot {
+            at: PLACE,
+            items: items.clone(),
+            instances,
+            complete: false,
+            rest,
+        },
+        ToLimiter::Changes {
+            at: LAST,
+            items: items.clone(),
+            instances: Vec::new(),
+        },
+        ToLimiter::SnapshotPart {
+            items,
+            instances: Vec::new(),
+            rest: None,
+        },
+        ToLimiter::Pulse {
+            question: u64::MAX,
+            age: None,
+            limiters: u32::MAX,
+            registries: Vec::new(),
+        },
+    ]
+}
+
+/// That from a registry to one that it heard a change from.
+pub fn acks() -> Vec<Ack> {
+    vec![Ack { ask: u64::MAX }]
+}
+
+/// What a process says first: one that doesn't know its system, and one that does.
+pub fn preambles() -> Vec<Preamble> {
+    let system = NonZeroU64::new(0x0123_4567_89ab_cdef);
+    vec![
+        Preamble {
+            system: None,
+            incarnation: 1,
+        },
+        Preamble {
+            system,
+            incarnation: u64::MAX,
+        },
+    ]
+}
+
+/// All of them as text, a frame a line.
+pub fn text() -> String {
+    let preambles: Vec<Vec<u8>> = preambles()
+        .iter()
+        .map(|preamble| preamble.encode().to_vec())
+        .collect();
+    [
+        lines("to-store", &frames_of(&to_store())),
+        lines("from-store", &frames_of(&from_store())),
+        lines("from-limiter", &frames_of(&from_limiter())),
+        lines("between-registries", &frames_of(&between_registries())),
+        lines("to-limiter", &frames_of(&to_limiter())),
+        lines("ack", &frames_of(&acks())),
+        lines("preamble", &preambles),
+    ]
+    .concat()
+}
--- a/crates/emberpin-store/tests/packed/mod.rs
+++ b/crates/emberpin-store/tests/packed/mod.rs
@@ -16,7 +16,10 @@
 pub fn pack(root: &Path) -> String {
     let mut text = String::new();
     for path in paths(root) {
-        let name = path.strip_prefix(root).expect("a path below the root").display();
+        let name = path
+            .strip_prefix(root)
+            .expect("a path below the root")
+            .display();
         if path.is_dir() {
             writeln!(text, "folder {name}").expect("a line");
         } else {
@@ -38,7 +41,8 @@
             (["file", name, length], _) => files.push((root.join(name), vec![0; number(length)])),
             (["copy", at, length, from], Some((_, bytes))) => {
                 // One after the other, as the copy may go on into itself.
-                (0..number(length)).for_each(|nth| bytes[number(at) + nth] = bytes[number(from) + nth]);
+                (0..number(length))
+                    .for_each(|nth| bytes[number(at) + nth] = bytes[number(from) + nth]);
             }
             (["part", at, spelled], Some((_, bytes))) => {
                 let spelled = digits(spelled);
@@ -47,12 +51,17 @@
             _ => panic!("{line:?} is no line of a packed folder"),
         }
     }
-    files.iter().for_each(|(path, bytes)| write_sparsely(path, bytes));
+    files
+        .iter()
+        .for_each(|(path, bytes)| write_sparsely(path, bytes));
 }
 
 /// Takes no room for the zeros at the end, which `fjall` reserves.
 fn write_sparsely(path: &Path, bytes: &[u8]) {
-    let end = bytes.iter().rposition(|byte| *byte != 0).map_or(0, |last| last + 1);
+    let end = bytes
+        .iter()
+        .rposition(|byte| *byte != 0)
+        .map_or(0, |last| last + 1);
     let mut file = File::create_new(path).expect("a file");
     file.write_all(&bytes[..end]).expect("its bytes");
     file.set_len(bytes.len() as u64).expect("its length");
@@ -61,10 +70,16 @@
 /// The paths below a folder, each after its parent.
 fn paths(folder: &Path) -> Vec<PathBuf> {
     let entries = fs::read_dir(folder).expect("a folder");
-    let mut here: Vec<PathBuf> = entries.map(|entry| entry.expect("an entry").path()).collect();
+    let mut here: Vec<PathBuf> = entries
+        .map(|entry| entry.expect("an entry").path())
+        .collect();
     here.sort();
     let with_its_own = |path: PathBuf| {
-        let below = if path.is_dir() { paths(&path) } else { Vec::new() };
+        let below = if path.is_dir() {
+            paths(&path)
+        } else {
+            Vec::new()
+        };
         std::iter::once(path).chain(below)
     };
     here.into_iter().flat_map(with_its_own).collect()
@@ -75,8 +90,14 @@
     let (mut at, mut untold) = (0, 0);
     while at < bytes.len() {
         let zeros = bytes[at..].iter().take_while(|byte| **byte == 0).count();
-        let copied = if zeros < SHORTEST { copy_at(bytes, at, &seen) } else { None };
-        let told = copied.map_or(if zeros < SHORTEST { 0 } else { zeros }, |(length, _)| length);
+        let copied = if zeros < SHORTEST {
+            copy_at(bytes, at, &seen)
+        } else {
+            None
+        };
+        let told = copied.map_or(if zeros < SHORTEST { 0 } else { zeros }, |(length, _)| {
+            length
+        });
         if told > 0 {
             pack_digits(&bytes[untold..at], untold, text);
             untold = at + told;
@@ -86,7 +107,11 @@
         }
         let next = at + told.max(1);
         for start in (at..next).take(1_000) {
-            seen.extend(bytes.get(start..start + SHORTEST).map(|start_bytes| (start_bytes, start)));
+            seen.extend(
+                bytes
+                    .get(start..start + SHORTEST)
+                    .map(|start_bytes| (start_bytes, start)),
+            );
         }
         at = next;
     }
@@ -96,7 +121,10 @@
 /// How many of the bytes from here on were there before, and where.
 fn copy_at(bytes: &[u8], at: usize, seen: &HashMap<&[u8], usize>) -> Option<(usize, usize)> {
     let from = *seen.get(bytes.get(at..at + SHORTEST)?)?;
-    let same = bytes[at..].iter().zip(&bytes[from..]).take_while(|(here, there)| here == there);
+    let same = bytes[at..]
+        .iter()
+        .zip(&bytes[from..])
+        .take_while(|(here, there)| here == there);
     Some((same.count(), from))
 }
 
@@ -113,5 +141,7 @@
 
 fn digits(text: &str) -> Vec<u8> {
     let pairs = (0..text.len()).step_by(2);
-    pairs.map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("two digits")).collect()
+    pairs
+        .map(|at| u8::from_str_radix(&text[at..at + 2], 16).expect("two digits"))
+        .collect()
 }
--- a/crates/emberpin-store/tests/program/mod.rs
+++ b/crates/emberpin-store/tests/program/mod.rs
@@ -27,7 +27,10 @@
         let settings = disk.join("boot.toml");
         std::fs::write(&settings, settings_text(disk, port)).expect("a settings file");
         let mut program = Command::new(env!("CARGO_BIN_EXE_emberpin-store"));
-        let store = program.env("EMBERPIN_NODE_FILE", &settings).spawn().expect("a store");
+        let store = program
+            .env("EMBERPIN_NODE_FILE", &settings)
+            .spawn()
+            .expect("a store");
         Program { store, port }
     }
 
@@ -39,7 +42,10 @@
                 let (mut from, mut to) = stream.split();
                 let process = ProcessIdentity::new(1);
                 let preamble = timeout(LONG, process.greet(&mut from, &mut to)).await;
-                return (stream, preamble.expect("a greeting in time").expect("a preamble"));
+                return (
+                    stream,
+                    preamble.expect("a greeting in time").expect("a preamble"),
+                );
             }
             assert!(Instant::now() < until, "no connection is taken");
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -57,10 +63,16 @@
         let until = Instant::now() + LONG;
         loop {
             let get = ToStore::StoreRequest(StoreRequest::Get { id: 1 });
-            frames::write(&mut stream, &get).await.expect("a store that hears");
-            let reply = timeout(LONG, frames::read(&mut stream)).await.expect("a reply in time");
+            frames::write(&mut stream, &get)
+                .await
+                .expect("a store that hears");
+            let reply = timeout(LONG, frames::read(&mut stream))
+                .await
+                .expect("a reply in time");
             match reply.expect("a store that replies") {
-                StoreReply::Answer { status: 200, body, .. } => return body,
+                StoreReply::Answer {
+                    status: 200, body, ..
+                } => return body,
                 refused => assert!(Instant::now() < until, "{refused:?}"),
             }
         }
--- a/crates/emberpin-store/tests/recorded_disks.rs
+++ b/crates/emberpin-store/tests/recorded_disks.rs
@@ -25,7 +25,9 @@
 const CANDIDATE: u64 = 489_215_147_674_969_543;
 
 fn fixture(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name)
 }
 
 fn text(name: &str) -> String {
@@ -50,26 +52,60 @@
 /// A line for each item: the number of its kind, its version, its name and its content.
 fn lines(items: &[Item]) -> String {
     let line = |item: &Item| {
-        let content = item.body.as_ref().map_or("dropped".into(), |body| format!("{body:?}"));
-        format!("{} {} {:?} {content}\n", item.key.kind as u8, item.ver, item.key.name)
+        let content = item
+            .body
+            .as_ref()
+            .map_or("dropped".into(), |body| format!("{body:?}"));
+        format!(
+            "{} {} {:?} {content}\n",
+            item.key.kind as u8, item.ver, item.key.name
+        )
     };
     items.iter().map(line).collect()
 }
 
 fn ballot(counter: u64, node: Ipv4Addr, incarnation: u32) -> Ballot {
-    Ballot { counter, node: node.to_bits(), incarnation }
+    Ballot {
+        counter,
+        node: node.to_bits(),
+        incarnation,
+    }
 }
 
 fn service(name: &str, ver: u64, body: Option<&str>) -> Item {
-    let key = Key { kind: Kind::Service, name: name.into() };
-    Item { key, ver, body: body.map(str::to_owned) }
+    let key = Key {
+        kind: Kind::Service,
+        name: name.into(),
+    };
+    Item {
+        key,
+        ver,
+        body: body.map(str::to_owned),
+    }
 }
 
 /// A write that changes one item, and leaves all else as it was found.
 fn next_write(kept: &Kept, item: Item) -> Write {
-    let Kept { promised, voting, incarnation, renewals, candidacy, .. } = kept.clone();
+    let Kept {
+        promised,
+        voting,
+        incarnation,
+        renewals,
+        candidacy,
+        ..
+    } = kept.clone();
     let (chosen, removed, pending) = (vec![item], Vec::new(), None);
-    Write { chosen, removed, promised, pending, voting, incarnation, renewals, candidacy, sync: true }
+    Write {
+        chosen,
+        removed,
+        promised,
+        pending,
+        voting,
+        incarnation,
+        renewals,
+        candidacy,
+        sync: true,
+    }
 }
 
 /// Writes and syncs one more item, and opens the disk again.
@@ -77,13 +113,21 @@
     let before = {
         let (mut disk, kept) = opened(folder);
         let kept = kept.unwrap_or_default();
-        disk.write(&next_write(&kept, service("~new", 1, Some("{}")))).expect("a write");
+        disk.write(&next_write(&kept, service("~new", 1, Some("{}"))))
+            .expect("a write");
         disk.sync().expect("a sync");
         kept
     };
     let mut after = found(folder);
-    let new = after.chosen.iter().position(|item| item.key.name == "~new").expect("the new item");
-    expect_that!(after.chosen.remove(new), eq(&service("~new", 1, Some("{}"))));
+    let new = after
+        .chosen
+        .iter()
+        .position(|item| item.key.name == "~new")
+        .expect("the new item");
+    expect_that!(
+        after.chosen.remove(new),
+        eq(&service("~new", 1, Some("{}")))
+    );
     expect_that!(after, eq(&before));
 }
 
@@ -97,7 +141,11 @@
         recorder::record_configuration(unpacked("voter.disk.txt").path());
     }
     for name in ["voter", "candidate", "empty", "former"] {
-        expect_that!(fixture(&format!("{name}.disk.txt")).exists(), eq(true), "{name}");
+        expect_that!(
+            fixture(&format!("{name}.disk.txt")).exists(),
+            eq(true),
+            "{name}"
+        );
     }
 }
 
@@ -105,7 +153,11 @@
 fn a_packed_folder_holds_the_same_bytes_once_it_is_unpacked() {
     for name in ["voter", "candidate", "empty", "former"] {
         let name = format!("{name}.disk.txt");
-        expect_that!(packed::pack(unpacked(&name).path()) == text(&name), eq(true), "{name}");
+        expect_that!(
+            packed::pack(unpacked(&name).path()) == text(&name),
+            eq(true),
+            "{name}"
+        );
     }
 }
 
@@ -124,10 +176,17 @@
     let [second, third] = OTHERS;
     let kept = found(&unpacked("voter.disk.txt"));
     expect_that!(kept.promised, eq(ballot(900_001, third, 77)));
-    let content = "{\"name\":\"open\",\"hcheck\":\"/h\",\"maxconn\":709,\"proto\":\"h1\",\"tls\":false,\
+    let content =
+        "{\"name\":\"open\",\"hcheck\":\"/h\",\"maxconn\":709,\"proto\":\"h1\",\"tls\":false,\
                    \"warmup\":\"3s\",\"warmup_per_s\":10.0,\"ver\":700}";
     let items = vec![service("open", 700, Some(content))];
-    expect_that!(kept.pending, eq(&Pending { ballot: ballot(900_000, second, 77), items }));
+    expect_that!(
+        kept.pending,
+        eq(&Pending {
+            ballot: ballot(900_000, second, 77),
+            items
+        })
+    );
     expect_that!(kept.voting, eq(true));
 }
 
@@ -140,7 +199,10 @@
     renewals.note(second, Incarnation(ballot(500, second, 77)));
     renewals.note(third, Incarnation(ballot(70_000, third, 77)));
     expect_that!(kept.renewals, eq(&renewals));
-    let candidacy = Candidacy { number: 0x0123_4567_89ab_cdef, seeds: vec![ME, second, third] };
+    let candidacy = Candidacy {
+        number: 0x0123_4567_89ab_cdef,
+        seeds: vec![ME, second, third],
+    };
     expect_that!(kept.candidacy, some(eq(&candidacy)));
 }
 
@@ -148,8 +210,17 @@
 fn a_recorded_candidate_is_read_with_its_number_and_seeds_and_votes_for_nobody() {
     let [second, third] = OTHERS;
     let kept = found(&unpacked("candidate.disk.txt"));
-    let candidacy = Some(Candidacy { number: CANDIDATE, seeds: vec![ME, second, third] });
-    expect_that!(kept, eq(&Kept { candidacy, ..Kept::default() }));
+    let candidacy = Some(Candidacy {
+        number: CANDIDATE,
+        seeds: vec![ME, second, third],
+    });
+    expect_that!(
+        kept,
+        eq(&Kept {
+            candidacy,
+            ..Kept::default()
+        })
+    );
 }
 
 #[gtest]
@@ -164,10 +235,20 @@
         lines(&kept.chosen),
         eq("0 1 \"\" \"[\\\"127.9.40.1\\\"]\"\n3 7 \"a\" \"{}\"\n4 128 \"b\" dropped\n")
     );
-    let ballot = |counter| Ballot { counter, node: 7, incarnation: 9 };
+    let ballot = |counter| Ballot {
+        counter,
+        node: 7,
+        incarnation: 9,
+    };
     expect_that!(kept.promised, eq(ballot(300)));
     let items = vec![service("c", 5, Some("{}"))];
-    expect_that!(kept.pending, eq(&Pending { ballot: ballot(299), items }));
+    expect_that!(
+        kept.pending,
+        eq(&Pending {
+            ballot: ballot(299),
+            items
+        })
+    );
     expect_that!(kept.voting, eq(true));
     expect_that!(kept.incarnation, eq(Incarnation::default()));
     expect_that!(kept.renewals, eq(&Renewals::default()));
@@ -186,7 +267,11 @@
     for name in ["voter", "candidate", "empty", "former"] {
         let folder = unpacked(&format!("{name}.disk.txt"));
         let other = Disk::open(folder.path(), OTHERS[0]).err();
-        expect_that!(other, some(matches_pattern!(Unusable::Foreign(..))), "{name}");
+        expect_that!(
+            other,
+            some(matches_pattern!(Unusable::Foreign(..))),
+            "{name}"
+        );
     }
 }
 
@@ -217,5 +302,9 @@
 }
 
 fn run<T>(test: impl std::future::Future<Output = T>) -> T {
-    tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime").block_on(test)
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime")
+        .block_on(test)
 }
--- a/crates/emberpin-store/tests/recorder/mod.rs
+++ b/crates/emberpin-store/tests/recorder/mod.rs
@@ -6,7 +6,8 @@
 use crate::{fixture, lines, run, ME, OTHERS};
 use emberpin_config::{Bounds, Item, Key, Kind};
 use emberpin_consensus::{
-    Action, Ballot, Call, Candidacy, Event, Guards, Incarnation, Options, Pending, Renewals, Replica, Write,
+    Action, Ballot, Call, Candidacy, Event, Guards, Incarnation, Options, Pending, Renewals,
+    Replica, Write,
 };
 use emberpin_store::disk::Disk;
 use std::collections::{BTreeMap, VecDeque};
@@ -15,7 +16,10 @@
 use std::time::Duration;
 
 /// So little of the past is kept that a hundred calls bring forth checkpoints and forgotten versions.
-const BOUNDS: Bounds = Bounds { versions: 3, tombstones: 2 };
+const BOUNDS: Bounds = Bounds {
+    versions: 3,
+    tombstones: 2,
+};
 /// A body of this length, written so often, is more than `fjall` holds before it makes a table.
 const LONG: (usize, u64) = (512 << 10, 18);
 
@@ -33,13 +37,30 @@
 
 impl Store {
     fn found(folder: &Path) -> Store {
-        let options = Options { me: ME, seeds: vec![ME], bootstrap: true, tolerated: 1, seed: 21 };
+        let options = Options {
+            me: ME,
+            seeds: vec![ME],
+            bootstrap: true,
+            tolerated: 1,
+            seed: 21,
+        };
         let (disk, kept) = Disk::open(folder, ME).expect("a disk");
         let mut actions = Vec::new();
-        let guards = Guards { bounds: BOUNDS, ..Guards::default() };
+        let guards = Guards {
+            bounds: BOUNDS,
+            ..Guards::default()
+        };
         let replica = Replica::with_guards(1_000, options, kept, guards, &mut actions);
         let (events, items) = (VecDeque::new(), BTreeMap::new());
-        let mut store = Store { replica, disk, now: 1_000, events, answer: None, last: None, items };
+        let mut store = Store {
+            replica,
+            disk,
+            now: 1_000,
+            events,
+            answer: None,
+            last: None,
+            items,
+        };
         store.act(actions);
         store
     }
@@ -83,7 +104,8 @@
     fn write(&mut self, write: Write) {
         self.disk.write(&write).expect("a write");
         for item in &write.chosen {
-            self.items.insert((item.key.kind as u8, item.key.name.clone()), item.clone());
+            self.items
+                .insert((item.key.kind as u8, item.key.name.clone()), item.clone());
         }
         for key in &write.removed {
             self.items.remove(&(key.kind as u8, key.name.clone()));
@@ -94,11 +116,19 @@
     /// Has `fjall` make tables and another journal.
     fn fill_a_table(&mut self, folder: &Path) {
         for ver in 1..=LONG.1 {
-            let key = Key { kind: Kind::Service, name: "long".into() };
+            let key = Key {
+                kind: Kind::Service,
+                name: "long".into(),
+            };
             let body = (ver < LONG.1).then(|| "x".repeat(LONG.0));
             let chosen = vec![Item { key, ver, body }];
             let last = self.last.clone().expect("a write before");
-            self.write(Write { chosen, removed: Vec::new(), pending: None, ..last });
+            self.write(Write {
+                chosen,
+                removed: Vec::new(),
+                pending: None,
+                ..last
+            });
         }
         self.disk.sync().expect("a sync");
         let tables = folder.join("store/partitions/items/segments");
@@ -134,7 +164,10 @@
 }
 
 fn evacuate(zone: &str, begin: bool) -> Call {
-    Call::Evacuate { zone: zone.into(), begin }
+    Call::Evacuate {
+        zone: zone.into(),
+        begin,
+    }
 }
 
 /// Fifty changes of services and routes; every fifth is a drop of one that was set.
@@ -154,10 +187,20 @@
 /// be chosen, and two voters have lost their disks.
 fn promise_another(store: &mut Store) {
     let [second, third] = OTHERS;
-    let ballot =
-        |counter, node: std::net::Ipv4Addr| Ballot { counter, node: node.to_bits(), incarnation: 77 };
-    let key = Key { kind: Kind::Service, name: "open".into() };
-    let open = Item { key, ver: 700, body: Some(service("open", 700)) };
+    let ballot = |counter, node: std::net::Ipv4Addr| Ballot {
+        counter,
+        node: node.to_bits(),
+        incarnation: 77,
+    };
+    let key = Key {
+        kind: Kind::Service,
+        name: "open".into(),
+    };
+    let open = Item {
+        key,
+        ver: 700,
+        body: Some(service("open", 700)),
+    };
     let mut renewals = Renewals::default();
     renewals.note(second, Incarnation(ballot(500, second)));
     renewals.note(third, Incarnation(ballot(70_000, third)));
@@ -165,11 +208,17 @@
         chosen: Vec::new(),
         removed: Vec::new(),
         promised: ballot(900_001, third),
-        pending: Some(Pending { ballot: ballot(900_000, second), items: vec![open] }),
+        pending: Some(Pending {
+            ballot: ballot(900_000, second),
+            items: vec![open],
+        }),
         voting: true,
         incarnation: Incarnation(ballot(400, ME)),
         renewals,
-        candidacy: Some(Candidacy { number: 0x0123_4567_89ab_cdef, seeds: vec![ME, second, third] }),
+        candidacy: Some(Candidacy {
+            number: 0x0123_4567_89ab_cdef,
+            seeds: vec![ME, second, third],
+        }),
         sync: true,
     });
     store.disk.sync().expect("a sync");
@@ -200,7 +249,13 @@
 /// A seed at its first start, which has heard of no roster.
 pub fn record_candidate(folder: &Path) {
     let [second, third] = OTHERS;
-    let options = Options { me: ME, seeds: vec![third, second, ME], bootstrap: true, tolerated: 1, seed: 21 };
+    let options = Options {
+        me: ME,
+        seeds: vec![third, second, ME],
+        bootstrap: true,
+        tolerated: 1,
+        seed: 21,
+    };
     let (mut disk, kept) = Disk::open(folder, ME).expect("a disk");
     let mut actions = Vec::new();
     Replica::new(1_000, options, kept, &mut actions);
@@ -220,19 +275,34 @@
 /// A disk of the former format and of a time before marks, incarnations and the record of what was synced. No
 /// build of that time wrote it: its bytes are those that such a build is known to have written.
 pub fn record_former(folder: &Path) {
-    let keyspace = fjall::Config::new(folder.join("store")).open().expect("a keyspace");
+    let keyspace = fjall::Config::new(folder.join("store"))
+        .open()
+        .expect("a keyspace");
     let partition = |name| keyspace.open_partition(name, fjall::PartitionCreateOptions::default());
-    let (items, meta) = (partition("items").expect("a partition"), partition("meta").expect("a partition"));
+    let (items, meta) = (
+        partition("items").expect("a partition"),
+        partition("meta").expect("a partition"),
+    );
     let mut batch = keyspace.batch();
     batch.insert(&meta, "format", b"emberpin-store 1");
     batch.insert(&meta, "node", ME.octets());
     batch.insert(&meta, "promised", b"\xac\x02\x07\x09\x01");
-    batch.insert(&meta, "pending", b"\xab\x02\x07\x09\x01\x03\x01c\x05\x01\x02{}");
-    batch.insert(&items, b"\x00", b"\x00\x00\x01\x01\x0e[\"127.9.40.1\"]".as_slice());
+    batch.insert(
+        &meta,
+        "pending",
+        b"\xab\x02\x07\x09\x01\x03\x01c\x05\x01\x02{}",
+    );
+    batch.insert(
+        &items,
+        b"\x00",
+        b"\x00\x00\x01\x01\x0e[\"127.9.40.1\"]".as_slice(),
+    );
     batch.insert(&items, b"\x03a", b"\x03\x01a\x07\x01\x02{}");
     batch.insert(&items, b"\x04b", b"\x04\x01b\x80\x01\x00");
     batch.commit().expect("a batch");
-    keyspace.persist(fjall::PersistMode::SyncAll).expect("a sync");
+    keyspace
+        .persist(fjall::PersistMode::SyncAll)
+        .expect("a sync");
 }
 
 /// What the program tells that runs on a voter's disk, unless it is there.
