--- a/crates/emberpin-proxy/src/controller.rs
+++ b/crates/emberpin-proxy/src/controller.rs
@@ -11,7 +11,9 @@
 };
 use emberpin_membership::instance::Instance;
 use emberpin_membership::session::ToLimiter;
-use emberpin_routing::{split, Budget, ColdRule, Route, RouteKind, Router, Warmth};
+use emberpin_routing::{
+    traffic_split, RetryBudget, Route, RouteKind, Router, WarmupProfile, WarmupTolerance,
+};
 use emberpin_runtime::settings::Settings;
 use hyper::StatusCode;
 use std::cell::Cell;
@@ -157,7 +159,7 @@
     begun: Instant,
     router: Router,
     configuration: Configuration,
-    budget: Budget,
+    budget: RetryBudget,
     limiters: u32,
     services: BTreeMap<String, Service>,
     requests: BTreeMap<RequestId, Going>,
@@ -188,9 +190,9 @@
     ) -> Controller {
         let bounds = &settings.bounds;
         let millis = |time: Duration| time.as_secs_f64() * 1000.0;
-        let rule = ColdRule {
-            excess: bounds.warm_excess,
-            extra: bounds.warm_extra,
+        let rule = WarmupTolerance {
+            excess_factor: bounds.warm_excess,
+            extra_requests: bounds.warm_extra,
         };
         let (inputs, ends) = mpsc::channel(INPUTS);
         let mut zones: Vec<String> = vec![settings.zone.clone()];
@@ -205,7 +207,7 @@
             begun: Instant::now(),
             router: Router::new(0.0, &settings.nodename, rule, millis(settings.beat)),
             configuration: Configuration::new(),
-            budget: Budget::new(
+            budget: RetryBudget::new(
                 0.0,
                 bounds.retry_ratio,
                 millis(bounds.retry_win),
@@ -323,7 +325,9 @@
                 }
                 self.follow_up(&name);
             }
-            Command::Instances(answer) => _ = answer.send(self.router.fleet.instances(self.now())),
+            Command::Instances(answer) => {
+                _ = answer.send(self.router.endpoints.known_instances(self.now()))
+            }
         }
     }
 
@@ -334,7 +338,7 @@
         let refuse = |retry_after| Reply::Answer(Answer::Refused { retry_after });
         let Some(route) = self
             .router
-            .matcher
+            .routes
             .find(&ask.host, ask.outgoing.uri.path())
             .cloned()
         else {
@@ -350,7 +354,7 @@
         let services = &self.services;
         let usable = |service: &str| services.get(service).is_some_and(Service::is_usable);
         let draw = self.random.rand_float();
-        let target = split::target(&route.targets, draw, usable);
+        let target = traffic_split::choose_service(&route.targets, draw, usable);
         let Some(name) = target.map(str::to_string) else {
             _ = ask.answer.send(refuse(NO_SERVER));
             return;
@@ -360,8 +364,8 @@
             return;
         };
         if ask.sends == 0 {
-            self.budget.request(now, &name);
-        } else if ask.sends >= route.tries || !self.budget.may(now, &name, self.limiters) {
+            self.budget.record_request(now, &name);
+        } else if ask.sends >= route.tries || !self.budget.allows_retry(now, &name, self.limiters) {
             _ = ask.answer.send(refuse(NO_SERVER));
             return;
         }
@@ -423,7 +427,7 @@
         let (now, name) = (self.now(), going.service.clone());
         // What never went out was no try of a server's: what follows it is the first, and not the budget's.
         let sends = going.sends.saturating_sub(u32::from(!ended.sent));
-        let may = sends == 0 || self.budget.may(now, &name, self.limiters);
+        let may = sends == 0 || self.budget.allows_retry(now, &name, self.limiters);
         let withdrawn = going.outgoing.withdrawn.get();
         let again = sends < going.route.tries && may && !withdrawn;
         let misdirected = ended.misdirected;
@@ -445,7 +449,7 @@
         }
         if misdirected {
             if let Some(instance) = service.instance(server) {
-                self.router.fleet.wrong_instance(instance);
+                self.router.endpoints.mark_misdirected(instance);
             }
             // Before the module chooses again, so that it does not choose that one.
             self.apply_changes();
@@ -482,7 +486,7 @@
         {
             return;
         }
-        let affords = self.budget.may(now, &going.service, self.limiters);
+        let affords = self.budget.allows_retry(now, &going.service, self.limiters);
         let Some(Service { engine, .. }) = self.services.get_mut(&going.service) else {
             return;
         };
@@ -525,10 +529,10 @@
             if let Some(going) = self.requests.get_mut(&request) {
                 going.sends += 1;
                 if going.sends > 1 {
-                    self.budget.spend(now, name);
+                    self.budget.record_retry(now, name);
                 }
             }
-            self.router.sent(now, &instance);
+            self.router.record_send(now, &instance);
             if self.cold.contains(&instance) {
                 self.look_at(&instance);
             }
@@ -590,7 +594,7 @@
                 .values_mut()
                 .for_each(|service| service.shared_by(limiters));
         }
-        self.router.told(self.now(), limiters);
+        self.router.set_limiter_count(self.now(), limiters);
         // Guards a new instance against serving what is older than a majority's word.
         let knows = !self.configuration.is_empty() && !self.services.is_empty();
         if self.told.contains(&session) && knows && !self.view.ready.replace(true) {
@@ -608,7 +612,7 @@
         }
         let now = self.now();
         // What a registry does not name is kept: it may be behind another one. Who is gone is told by name.
-        self.router.fleet.tell(now, instances);
+        self.router.endpoints.update(now, instances);
         self.apply_changes();
         for instance in instances.iter().filter(|instance| instance.cold_ms > 0) {
             self.look_at(&instance.id);
@@ -618,7 +622,7 @@
     /// The configuration has changed.
     fn configure(&mut self) {
         let routes: Vec<Route> = routes_in_force(&self.configuration);
-        self.router.matcher.replace(routes);
+        self.router.routes.replace(routes);
         self.follow_routes();
         let mut warmth = HashMap::new();
         let mut evacuated = BTreeSet::new();
@@ -629,9 +633,9 @@
                         let warmup_ms = listed.warmup.as_secs_f64() * 1000.0;
                         warmth.insert(
                             listed.name,
-                            Warmth {
+                            WarmupProfile {
                                 warmup_ms,
-                                per_s: listed.warmup_per_s,
+                                requests_per_second: listed.warmup_per_s,
                             },
                         );
                     }
@@ -648,10 +652,12 @@
             }
         }
         self.free_unused(&warmth);
-        self.router.fleet.warmth(warmth);
+        self.router.endpoints.set_warmup_profiles(warmth);
         let returned = self.evacuated.iter().any(|zone| !evacuated.contains(zone));
         self.evacuated.clone_from(&evacuated);
-        self.router.fleet.evacuated(self.now(), evacuated);
+        self.router
+            .endpoints
+            .set_evacuated_zones(self.now(), evacuated);
         self.apply_changes();
         if !returned {
             return;
@@ -660,13 +666,13 @@
         // A zone that has come back is cold.
         let instances: Vec<String> = self
             .router
-            .fleet
-            .instances(now)
+            .endpoints
+            .known_instances(now)
             .into_iter()
             .map(|instance| instance.id)
             .collect();
         for id in instances {
-            if self.router.fleet.cold(now, &id) {
+            if self.router.endpoints.is_warming_up(now, &id) {
                 self.look_at(&id);
             }
         }
@@ -678,7 +684,7 @@
             let path = going.outgoing.uri.path();
             let newest = self
                 .router
-                .follow(&going.host, path, &going.route, &going.service);
+                .current_route(&going.host, path, &going.route, &going.service);
             going.outgoing.withdrawn.set(newest.is_none());
             if let Some(newest) = newest {
                 going.route = newest;
@@ -687,9 +693,9 @@
     }
 
     /// Frees what was kept for routes and services that there are no more.
-    fn free_unused(&mut self, listed: &HashMap<String, Warmth>) {
+    fn free_unused(&mut self, listed: &HashMap<String, WarmupProfile>) {
         let mut routes: HashMap<&str, Vec<&Route>> = HashMap::new();
-        for route in self.router.matcher.routes() {
+        for route in self.router.routes.iter() {
             for (target, _) in &route.targets {
                 routes.entry(target).or_default().push(route);
             }
@@ -707,10 +713,12 @@
 
     /// Tells the modules what has changed about servers.
     fn apply_changes(&mut self) {
-        for change in self.router.fleet.changes() {
+        for change in self.router.endpoints.take_changes() {
             let now = self.now();
-            let bears = self.router.bears(&change.service, &change.id, now);
-            if self.router.fleet.cold(now, &change.id) {
+            let bears = self
+                .router
+                .slow_start_admits(&change.service, &change.id, now);
+            if self.router.endpoints.is_warming_up(now, &change.id) {
                 self.cold.insert(change.id.clone());
             }
             let zone = self.zone(&change.zone);
@@ -746,16 +754,16 @@
     /// Whether a server may get something from here, if it is or was cold.
     fn look_at(&mut self, id: &str) {
         let now = self.now();
-        if self.router.fleet.cold(now, id) {
+        if self.router.endpoints.is_warming_up(now, id) {
             self.cold.insert(id.to_string());
         } else {
             self.cold.remove(id);
         }
-        let Some(instance) = self.router.fleet.instance(id) else {
+        let Some(instance) = self.router.endpoints.instance(id) else {
             return;
         };
         let name = instance.service.clone();
-        let bears = self.router.bears(&name, id, now);
+        let bears = self.router.slow_start_admits(&name, id, now);
         let known = self
             .services
             .get(&name)
--- a/crates/emberpin-proxy/src/service.rs
+++ b/crates/emberpin-proxy/src/service.rs
@@ -5,7 +5,7 @@
     Rules, Server, ServerId, Settings,
 };
 use emberpin_limiter::host::{Clock, Engine, Input, Place, Pool, Upstream};
-use emberpin_routing::{Change, Route, RouteKind, Work};
+use emberpin_routing::{Availability, EndpointChange, Route, RouteKind};
 use hyper::header::HeaderValue;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
@@ -63,7 +63,7 @@
 
 /// A instance, and what the module may do with it.
 struct Known {
-    change: Change,
+    change: EndpointChange,
     id: ServerId,
     zone: usize,
     /// It is warm, or this limiter may send to it while it is cold.
@@ -74,7 +74,7 @@
 
 impl Known {
     fn works(&self) -> bool {
-        self.change.work == Work::Usable && self.bears && !self.silent
+        self.change.availability == Availability::Available && self.bears && !self.silent
     }
 
     fn line(&self) -> Server {
@@ -85,10 +85,10 @@
             cell: 0,
             size: f64::from(self.change.slots.max(1)),
             started: None,
-            condition: match self.change.work {
-                Work::Gone => Condition::Gone,
-                Work::Usable if self.works() => Condition::InService,
-                Work::Usable | Work::Held => Condition::Draining,
+            condition: match self.change.availability {
+                Availability::Removed => Condition::Gone,
+                Availability::Available if self.works() => Condition::InService,
+                Availability::Available | Availability::Draining => Condition::Draining,
             },
         }
     }
@@ -225,9 +225,9 @@
 
     /// A server changed; `bears`: it is warm, or this limiter may send to it while it is cold. `zone` is the number of
     /// its zone.
-    pub fn change(&mut self, change: Change, zone: usize, bears: bool) {
+    pub fn change(&mut self, change: EndpointChange, zone: usize, bears: bool) {
         let known = self.instances.get(&change.id);
-        if change.work == Work::Gone && known.is_none() {
+        if change.availability == Availability::Removed && known.is_none() {
             return;
         }
         let id = known.map_or_else(
@@ -237,7 +237,7 @@
             },
             |known| known.id,
         );
-        let usable = change.work == Work::Usable;
+        let usable = change.availability == Availability::Available;
         let moved = known.is_some_and(|known| known.change.address != change.address);
         // Who asked it on has ended with the way to it: it is tried again once something may go there.
         let silent = known.is_some_and(|known| known.silent) && usable && !moved;
@@ -260,7 +260,7 @@
         let was = self
             .instances
             .get(&change.id)
-            .is_some_and(|known| known.change.work == Work::Usable);
+            .is_some_and(|known| known.change.availability == Availability::Available);
         self.usable = self.usable + usize::from(usable) - usize::from(was);
         let name = change.id.clone();
         let known = Known {
@@ -271,7 +271,7 @@
             silent,
         };
         let line = known.line();
-        if known.change.work == Work::Gone {
+        if known.change.availability == Availability::Removed {
             self.instances.remove(&name);
             self.names.remove(&id);
         } else {
@@ -339,7 +339,7 @@
     }
 
     /// A instance that is told to the module, and whether it bears requests of this limiter.
-    pub fn told(&self, id: &str) -> Option<(&Change, bool)> {
+    pub fn told(&self, id: &str) -> Option<(&EndpointChange, bool)> {
         self.instances
             .get(id)
             .map(|known| (&known.change, known.bears))
--- a/crates/emberpin-proxy/src/wire.rs
+++ b/crates/emberpin-proxy/src/wire.rs
@@ -2,8 +2,8 @@
 
 use emberpin_balancer::{Outcome, Report};
 use emberpin_limiter::host::{strip, Described, Head, Wire};
-use emberpin_routing::verdict::wrong_instance;
-use emberpin_routing::Verdict;
+use emberpin_routing::attempt::is_misdirected;
+use emberpin_routing::AttemptVerdict;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_ENCODING};
 use hyper::{Response, StatusCode};
 use std::time::Duration;
@@ -58,10 +58,10 @@
         let (status, headers) = (response.status(), response.headers());
         // What is not the server's own bytes, or lacks its stamp, is no success.
         let sealed = headers.contains_key(SEAL) && !headers.contains_key(CONTENT_ENCODING);
-        match Verdict::of(status.as_u16(), headers.contains_key(NOT_RUN)) {
-            Verdict::NotRun => Outcome::Full,
-            Verdict::Ran if status.is_success() && sealed => Outcome::Ok,
-            Verdict::Ran | Verdict::MayHaveRun => Outcome::Error,
+        match AttemptVerdict::from_response(status.as_u16(), headers.contains_key(NOT_RUN)) {
+            AttemptVerdict::NotRun => Outcome::Full,
+            AttemptVerdict::Ran if status.is_success() && sealed => Outcome::Ok,
+            AttemptVerdict::Ran | AttemptVerdict::MayHaveRun => Outcome::Error,
         }
     }
 
@@ -90,7 +90,7 @@
             head: Head { status, headers },
             report: Report::default(),
             metered: None,
-            misdirected: wrong_instance(status.as_u16()),
+            misdirected: is_misdirected(status.as_u16()),
             stands: outcome == Outcome::Error && !status.is_success() && !promises,
         }
     }
--- a/crates/emberpin-routing/src/fleet.rs
+++ b/crates/emberpin-routing/src/endpoints.rs
@@ -16,27 +16,27 @@
 
 /// What a service says of its cold servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Warmth {
+pub struct WarmupProfile {
     /// How long they stay cold, in milliseconds.
     pub warmup_ms: f64,
     /// Requests a second that one bears.
-    pub per_s: f64,
+    pub requests_per_second: f64,
 }
 
 /// What a server may get.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Work {
+pub enum Availability {
     /// Requests.
-    Usable,
+    Available,
     /// Nothing new.
-    Held,
+    Draining,
     /// Nothing new, and nothing more will come of it.
-    Gone,
+    Removed,
 }
 
 /// What a host that keeps connections to servers has to learn.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct EndpointChange {
     /// Whose server.
     pub service: String,
     /// Its instance.
@@ -48,7 +48,7 @@
     /// Requests that it works on at once.
     pub slots: u32,
     /// What it may get.
-    pub work: Work,
+    pub availability: Availability,
 }
 
 /// Since an evacuation's end a server of that zone is cold, until a beat from behind it says how long it
@@ -85,50 +85,50 @@
 
 /// All instances that are known.
 #[derive(Debug, Default)]
-pub struct Fleet {
+pub struct EndpointTable {
     beat_ms: f64,
     instances: HashMap<String, Entry>,
     left: HashMap<String, (Status, u64)>,
     /// In the order in which they left.
     leaving: VecDeque<String>,
     evacuated: BTreeSet<String>,
-    warmth: HashMap<String, Warmth>,
+    warmth: HashMap<String, WarmupProfile>,
     touched: BTreeSet<String>,
     /// What the host was told last.
-    known: BTreeMap<String, Change>,
+    known: BTreeMap<String, EndpointChange>,
     generation: u64,
     pub(crate) guards: Guards,
 }
 
-impl Fleet {
+impl EndpointTable {
     /// Knows nobody. `beat_ms`: the period in which servers beat.
-    pub fn new(beat_ms: f64) -> Fleet {
-        Fleet {
+    pub fn new(beat_ms: f64) -> EndpointTable {
+        EndpointTable {
             beat_ms,
-            ..Fleet::default()
+            ..EndpointTable::default()
         }
     }
 
     /// What the services say of their cold servers.
-    pub fn warmth(&mut self, warmth: HashMap<String, Warmth>) {
+    pub fn set_warmup_profiles(&mut self, warmth: HashMap<String, WarmupProfile>) {
         self.warmth = warmth;
     }
 
     /// A service's word on its cold servers.
-    pub fn warmth_of(&self, service: &str) -> Option<Warmth> {
+    pub fn warmup_profile(&self, service: &str) -> Option<WarmupProfile> {
         self.warmth.get(service).copied()
     }
 
     /// Instances as told now, with `cold_ms` from now on.
-    pub fn tell(&mut self, now: f64, instances: &[Instance]) {
+    pub fn update(&mut self, now: f64, instances: &[Instance]) {
         instances
             .iter()
             .for_each(|instance| self.merge(now, instance));
     }
 
     /// All instances that a registry knows. A `complete` one takes away those that it does not name.
-    pub fn snapshot(&mut self, now: f64, instances: &[Instance], complete: bool) {
-        self.tell(now, instances);
+    pub fn apply_snapshot(&mut self, now: f64, instances: &[Instance], complete: bool) {
+        self.update(now, instances);
         if !complete {
             return;
         }
@@ -235,7 +235,7 @@
     }
 
     /// The zones that are evacuated from now on; those that were and are not named have come back.
-    pub fn evacuated(&mut self, now: f64, zones: BTreeSet<String>) {
+    pub fn set_evacuated_zones(&mut self, now: f64, zones: BTreeSet<String>) {
         if zones == self.evacuated {
             return;
         }
@@ -268,7 +268,7 @@
 
     /// A server answered 421: this instance is not at its address. It gets nothing until it is told with a higher
     /// `seq`.
-    pub fn wrong_instance(&mut self, id: &str) {
+    pub fn mark_misdirected(&mut self, id: &str) {
         if let Some(entry) = self.instances.get_mut(id) {
             entry.wrong = Some(entry.instance.seq);
             self.touch(id);
@@ -276,13 +276,13 @@
     }
 
     /// What an instance may get.
-    pub fn work(&self, id: &str) -> Work {
+    pub fn availability(&self, id: &str) -> Availability {
         match self.instances.get(id) {
-            None => Work::Gone,
-            Some(entry) if entry.wrong() => Work::Gone,
-            Some(entry) if entry.instance.status != Status::Up => Work::Held,
-            Some(entry) if self.evacuated.contains(&entry.instance.zone) => Work::Held,
-            Some(_) => Work::Usable,
+            None => Availability::Removed,
+            Some(entry) if entry.wrong() => Availability::Removed,
+            Some(entry) if entry.instance.status != Status::Up => Availability::Draining,
+            Some(entry) if self.evacuated.contains(&entry.instance.zone) => Availability::Draining,
+            Some(_) => Availability::Available,
         }
     }
 
@@ -293,7 +293,7 @@
 
     /// All instances that were not found wrong, to be told to a registry that knows less, each with what is left
     /// of its cold time.
-    pub fn instances(&self, now: f64) -> Vec<Instance> {
+    pub fn known_instances(&self, now: f64) -> Vec<Instance> {
         let left =
             |entry: &Entry| (entry.cold_until() - now).clamp(0.0, f64::from(u32::MAX)) as u32;
         let told = |entry: &Entry| Instance {
@@ -308,14 +308,14 @@
     }
 
     /// Whether an instance is cold now.
-    pub fn cold(&self, now: f64, id: &str) -> bool {
+    pub fn is_warming_up(&self, now: f64, id: &str) -> bool {
         self.instances
             .get(id)
             .is_some_and(|entry| now < entry.cold_until())
     }
 
     /// A server has said in an answer for how much longer it is cold (`Cold-Ms`).
-    pub fn cold_for(&mut self, now: f64, id: &str, cold_ms: f64) {
+    pub fn extend_warmup(&mut self, now: f64, id: &str, cold_ms: f64) {
         if let Some(entry) = self.instances.get_mut(id) {
             if now + cold_ms > entry.cold_until {
                 entry.cold_until = now + cold_ms;
@@ -326,29 +326,29 @@
 
     /// Whether a service has a server that may get work; the coldness of a server is asked when a request is
     /// sent.
-    pub fn usable(&self, service: &str) -> bool {
-        self.instances
-            .iter()
-            .any(|(id, entry)| entry.instance.service == service && self.work(id) == Work::Usable)
+    pub fn has_available(&self, service: &str) -> bool {
+        self.instances.iter().any(|(id, entry)| {
+            entry.instance.service == service && self.availability(id) == Availability::Available
+        })
     }
 
     /// What has changed for a host since it was last asked, by id.
-    pub fn changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<EndpointChange> {
         let touched = std::mem::take(&mut self.touched);
         let mut changes = Vec::new();
         for id in touched {
-            let work = self.work(&id);
+            let availability = self.availability(&id);
             let now = match (self.instances.get(&id), self.known.get(&id)) {
-                (Some(Entry { instance, .. }), _) => Change {
+                (Some(Entry { instance, .. }), _) => EndpointChange {
                     service: instance.service.clone(),
                     id: id.clone(),
                     address: instance.address,
                     zone: instance.zone.clone(),
                     slots: instance.slots,
-                    work,
+                    availability,
                 },
-                (None, Some(known)) => Change {
-                    work,
+                (None, Some(known)) => EndpointChange {
+                    availability,
                     ..known.clone()
                 },
                 (None, None) => continue,
@@ -356,8 +356,8 @@
             if self.known.get(&id) == Some(&now) {
                 continue;
             }
-            let unheard = work == Work::Gone && !self.known.contains_key(&id);
-            if work == Work::Gone {
+            let unheard = availability == Availability::Removed && !self.known.contains_key(&id);
+            if availability == Availability::Removed {
                 self.known.remove(&id);
             } else {
                 self.known.insert(id, now.clone());
@@ -375,7 +375,7 @@
     }
 
     /// Instances that have left and are remembered.
-    pub fn remembered(&self) -> usize {
+    pub fn tombstones(&self) -> usize {
         self.left.len()
     }
 
--- a/crates/emberpin-routing/src/lib.rs
+++ b/crates/emberpin-routing/src/lib.rs
@@ -1,22 +1,23 @@
-//! Where a request goes: routes, splits, tries, budgets, cold servers, zones.
+//! Decides where a request may go: route matching, traffic splits, retries and their budget, slow start of servers that
+//! are warming up, and zone evacuation.
 //!
 //! No I/O, no clock, no randomness: times are milliseconds of one steady clock, draws lie in [0, 1).
 #![forbid(unsafe_code)]
 
-pub mod budget;
-pub mod cold;
-pub mod fleet;
+pub mod attempt;
+pub mod endpoints;
 #[doc(hidden)]
 pub mod guards;
-pub mod matcher;
-pub mod pick;
-pub mod split;
-pub mod verdict;
+pub mod retry_budget;
+pub mod route_matcher;
+pub mod router;
+pub mod slow_start;
+pub mod traffic_split;
 
-pub use budget::Budget;
-pub use cold::{Cold, Coldness};
+pub use attempt::{AttemptVerdict, RetryDecision};
 pub use emberpin_config::{Route, RouteKind};
-pub use fleet::{Change, Fleet, Warmth, Work};
-pub use matcher::Matcher;
-pub use pick::{ColdRule, Router};
-pub use verdict::{Next, Verdict};
+pub use endpoints::{Availability, EndpointChange, EndpointTable, WarmupProfile};
+pub use retry_budget::RetryBudget;
+pub use route_matcher::RouteMatcher;
+pub use router::{Router, WarmupTolerance};
+pub use slow_start::{SlowStart, WarmupLimit};
--- a/crates/emberpin-routing/src/budget.rs
+++ b/crates/emberpin-routing/src/retry_budget.rs
@@ -37,7 +37,7 @@
 
 /// Further arrivals and requests of each service.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     ratio: f64,
     extra: f64,
     part_ms: f64,
@@ -47,13 +47,13 @@
     services: HashMap<Box<str>, [Part; RING]>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// For an instance that starts at `now`, with the bounds `retry_ratio`, `retry_win` in milliseconds and
     /// `retry_extra`.
-    pub fn new(now: f64, ratio: f64, window_ms: f64, extra: f64) -> Budget {
+    pub fn new(now: f64, ratio: f64, window_ms: f64, extra: f64) -> RetryBudget {
         let part_ms = window_ms.max(1.0) / PARTS as f64;
         let born = (now.max(0.0) / part_ms) as u64;
-        Budget {
+        RetryBudget {
             ratio,
             extra,
             part_ms,
@@ -64,7 +64,7 @@
     }
 
     /// A client's request for this service has come.
-    pub fn request(&mut self, now: f64, service: &str) {
+    pub fn record_request(&mut self, now: f64, service: &str) {
         if let Some(part) = self.part(now, service) {
             part.requests = part.requests.saturating_add(1);
         }
@@ -72,7 +72,7 @@
 
     /// Whether one more arrival after a request's first fits in the budget. `limiters`: how many there are, 0
     /// if nobody has said.
-    pub fn may(&self, now: f64, service: &str, limiters: u32) -> bool {
+    pub fn allows_retry(&self, now: f64, service: &str, limiters: u32) -> bool {
         let number = self.number(now);
         let Some(ring) = self.services.get(service) else {
             return false;
@@ -92,14 +92,14 @@
     }
 
     /// A request goes to a server after its first.
-    pub fn spend(&mut self, now: f64, service: &str) {
+    pub fn record_retry(&mut self, now: f64, service: &str) {
         if let Some(part) = self.part(now, service) {
             part.further = part.further.saturating_add(1);
         }
     }
 
     /// Services that are counted.
-    pub fn services(&self) -> usize {
+    pub fn tracked_services(&self) -> usize {
         self.services.len()
     }
 
--- a/crates/emberpin-routing/src/matcher.rs
+++ b/crates/emberpin-routing/src/route_matcher.rs
@@ -14,16 +14,16 @@
 
 /// The routes in force.
 #[derive(Debug, Default)]
-pub struct Matcher {
+pub struct RouteMatcher {
     hosts: HashMap<Box<str>, Node>,
     named: HashMap<Box<str>, Rc<Route>>,
     generation: u64,
 }
 
-impl Matcher {
+impl RouteMatcher {
     /// With these routes. A prefix that does not begin and end with a slash matches nothing.
-    pub fn new(routes: Vec<Route>) -> Matcher {
-        let mut matcher = Matcher::default();
+    pub fn new(routes: Vec<Route>) -> RouteMatcher {
+        let mut matcher = RouteMatcher::default();
         matcher.replace(routes);
         matcher
     }
@@ -80,7 +80,7 @@
     }
 
     /// All routes in force.
-    pub fn routes(&self) -> impl Iterator<Item = &Rc<Route>> {
+    pub fn iter(&self) -> impl Iterator<Item = &Rc<Route>> {
         self.named.values()
     }
 
--- a/crates/emberpin-routing/src/cold.rs
+++ b/crates/emberpin-routing/src/slow_start.rs
@@ -1,5 +1,5 @@
 //! How much a cold server may get from this limiter, so that the sum over all limiters keeps the bound `B =
-//! floor(per_s x excess + extra)` in every second, also with limiters that are cut off, restarted or unknown
+//! floor(requests_per_second x excess + extra)` in every second, also with limiters that are cut off, restarted or unknown
 //! to each other.
 //!
 //! Nobody is asked. With `N` the greatest number of limiters that this one was told in its instance, [`FEWEST`]
@@ -32,19 +32,19 @@
 
 /// What a cold server bears.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Coldness {
+pub struct WarmupLimit {
     /// Its service's `warmup_per_s`.
-    pub per_s: f64,
+    pub requests_per_second: f64,
     /// `warm_excess`.
-    pub excess: f64,
+    pub excess_factor: f64,
     /// `warm_extra`.
-    pub extra: f64,
+    pub extra_requests: f64,
 }
 
-impl Coldness {
+impl WarmupLimit {
     /// Most requests in a second, from all limiters together.
     pub fn bound(&self) -> u32 {
-        let bound = (self.per_s * self.excess + self.extra).floor();
+        let bound = (self.requests_per_second * self.excess_factor + self.extra_requests).floor();
         // A cast of a float keeps within the type.
         if bound.is_nan() {
             0
@@ -56,25 +56,25 @@
 
 /// What one limiter may send to a cold server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Share {
+pub struct LimiterShare {
     /// The part of all limiters that may.
     pub admitted: f64,
     /// Requests of each in any second.
     pub each: u32,
 }
 
-impl Share {
+impl LimiterShare {
     /// For this bound on the sum and this number of limiters.
-    pub fn of(bound: u32, limiters: u32) -> Share {
+    pub fn for_bound(bound: u32, limiters: u32) -> LimiterShare {
         let twice = limiters.max(FEWEST).saturating_mul(2);
         if twice <= bound {
-            return Share {
+            return LimiterShare {
                 admitted: 1.0,
                 each: bound / twice,
             };
         }
         if bound == 0 {
-            return Share {
+            return LimiterShare {
                 admitted: 0.0,
                 each: 0,
             };
@@ -98,7 +98,7 @@
                 high = middle;
             }
         }
-        Share {
+        LimiterShare {
             admitted: low,
             each: 1,
         }
@@ -107,20 +107,20 @@
 
 /// What this limiter sent to cold servers of late.
 #[derive(Clone, Debug)]
-pub struct Cold {
+pub struct SlowStart {
     quiet_until: f64,
     limiters: u32,
     sent: HashMap<Box<str>, VecDeque<f64>>,
     swept: f64,
     /// The share last found and what for: finding it takes forty logarithms.
-    last: Option<(u32, u32, Share)>,
+    last: Option<(u32, u32, LimiterShare)>,
     pub(crate) guards: Guards,
 }
 
-impl Cold {
+impl SlowStart {
     /// For an instance that starts at `now`.
-    pub fn new(now: f64) -> Cold {
-        Cold {
+    pub fn new(now: f64) -> SlowStart {
+        SlowStart {
             quiet_until: now + QUIET_MS,
             limiters: 0,
             sent: HashMap::new(),
@@ -131,7 +131,7 @@
     }
 
     /// A registry that hears a majority of the others counts so many limiters.
-    pub fn told(&mut self, now: f64, limiters: u32) {
+    pub fn set_limiter_count(&mut self, now: f64, limiters: u32) {
         if limiters > self.limiters.saturating_add(self.limiters / 8) {
             self.quiet_until = self.quiet_until.max(now + QUIET_MS);
         }
@@ -144,20 +144,20 @@
 
     /// Whether the limiter `me` may send one more request to this cold server now. `limiters`: how many there
     /// are, 0 if nobody has said; then none may be sent.
-    pub fn may(
+    pub fn admits(
         &mut self,
         now: f64,
         server: &str,
-        cold: &Coldness,
+        cold: &WarmupLimit,
         limiters: u32,
         me: &str,
     ) -> bool {
-        self.told(now, limiters);
+        self.set_limiter_count(now, limiters);
         if self.limiters == 0 || (now < self.quiet_until && self.guards.quiet) {
             return false;
         }
         let share = self.share(cold.bound());
-        if fraction(server, me) >= share.admitted && self.guards.admission {
+        if admission_hash(server, me) >= share.admitted && self.guards.admission {
             return false;
         }
         let of_late =
@@ -166,7 +166,7 @@
     }
 
     /// A request goes to this cold server; to be said in the same step as `may` allowed it.
-    pub fn sent(&mut self, now: f64, server: &str) {
+    pub fn record_send(&mut self, now: f64, server: &str) {
         if now - self.swept >= WINDOW_MS {
             self.swept = now;
             self.sent
@@ -180,15 +180,15 @@
     }
 
     /// Servers to which something was sent of late.
-    pub fn servers(&self) -> usize {
+    pub fn tracked_servers(&self) -> usize {
         self.sent.len()
     }
 
-    fn share(&mut self, bound: u32) -> Share {
+    fn share(&mut self, bound: u32) -> LimiterShare {
         match self.last {
             Some((of, limiters, share)) if of == bound && limiters == self.limiters => share,
             _ => {
-                let share = Share::of(bound, self.limiters);
+                let share = LimiterShare::for_bound(bound, self.limiters);
                 self.last = Some((bound, self.limiters, share));
                 share
             }
@@ -197,7 +197,7 @@
 }
 
 /// Where a limiter stands for a server, in [0, 1): the same in every process and build.
-pub fn fraction(server: &str, me: &str) -> f64 {
+pub fn admission_hash(server: &str, me: &str) -> f64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
     let bytes = server.bytes().chain([0]).chain(me.bytes());
--- a/crates/emberpin-routing/src/split.rs
+++ b/crates/emberpin-routing/src/traffic_split.rs
@@ -2,7 +2,7 @@
 
 /// The target for a draw in [0, 1), by weight among those that `usable` says have a server for it. Where none
 /// has, among all: the request may wait there. A weight of 0 gets nothing; `None` if no target has any.
-pub fn target(
+pub fn choose_service(
     targets: &[(String, u32)],
     draw: f64,
     mut usable: impl FnMut(&str) -> bool,
--- a/crates/emberpin-routing/tests/budget.rs
+++ b/crates/emberpin-routing/tests/retry_budget.rs
@@ -1,22 +1,22 @@
 //! The budget of further arrivals: by itself, and as a sum over limiters that restart as they like.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
-use emberpin_routing::Budget;
+use emberpin_routing::RetryBudget;
 use googletest::prelude::*;
 use proptest::prelude::*;
 
 const WINDOW: f64 = 1_000.0;
 const RATIO: f64 = 0.2;
 
-fn requests(budget: &mut Budget, now: f64, count: u32) {
-    (0..count).for_each(|_| budget.request(now, "s"));
+fn requests(budget: &mut RetryBudget, now: f64, count: u32) {
+    (0..count).for_each(|_| budget.record_request(now, "s"));
 }
 
 /// Spends while it may.
-fn greedy(budget: &mut Budget, now: f64, limiters: u32) -> u32 {
+fn greedy(budget: &mut RetryBudget, now: f64, limiters: u32) -> u32 {
     let mut spent = 0;
-    while spent < 10_000 && budget.may(now, "s", limiters) {
-        budget.spend(now, "s");
+    while spent < 10_000 && budget.allows_retry(now, "s", limiters) {
+        budget.record_retry(now, "s");
         spent += 1;
     }
     spent
@@ -25,41 +25,41 @@
 /// Holds `SHARE` before the requests.
 #[gtest]
 fn half_of_the_ratio_of_its_own_requests_may_go_again() {
-    let mut budget = Budget::new(0.0, RATIO, WINDOW, 0.0);
+    let mut budget = RetryBudget::new(0.0, RATIO, WINDOW, 0.0);
     expect_that!(greedy(&mut budget, 0.0, 1), eq(0));
     requests(&mut budget, 0.0, 100);
     expect_that!(greedy(&mut budget, 0.0, 1), eq(10));
-    expect_false!(budget.may(0.0, "another", 1));
+    expect_false!(budget.allows_retry(0.0, "another", 1));
 }
 
 /// Holds `within(PARTS)` for the requests: those of a part that only reaches into the window are too old.
 #[gtest]
 fn requests_that_are_a_window_old_back_nothing() {
-    let mut budget = Budget::new(0.0, RATIO, WINDOW, 0.0);
+    let mut budget = RetryBudget::new(0.0, RATIO, WINDOW, 0.0);
     requests(&mut budget, 10_000.0, 10);
-    expect_true!(budget.may(10_930.0, "s", 1));
-    expect_false!(budget.may(11_060.0, "s", 1));
+    expect_true!(budget.allows_retry(10_930.0, "s", 1));
+    expect_false!(budget.allows_retry(11_060.0, "s", 1));
 }
 
 /// Holds `within(PARTS + 1)` for what was spent: a part that reaches into the window counts whole.
 #[gtest]
 fn what_was_spent_less_than_a_window_ago_still_counts() {
-    let mut budget = Budget::new(0.0, 0.0, WINDOW, 2.0);
+    let mut budget = RetryBudget::new(0.0, 0.0, WINDOW, 2.0);
     requests(&mut budget, 10_062.0, 1);
     expect_that!(greedy(&mut budget, 10_062.0, 1), eq(1));
     requests(&mut budget, 11_000.0, 1);
-    expect_false!(budget.may(11_000.0, "s", 1));
-    expect_true!(budget.may(11_070.0, "s", 1));
+    expect_false!(budget.allows_retry(11_000.0, "s", 1));
+    expect_true!(budget.allows_retry(11_070.0, "s", 1));
 }
 
 /// Holds `_ if !old => 0.0`: the instance before may have spent it in the same window.
 #[gtest]
 fn a_life_has_no_extra_before_it_is_a_window_old() {
-    let mut budget = Budget::new(50_030.0, 0.0, WINDOW, 60.0);
+    let mut budget = RetryBudget::new(50_030.0, 0.0, WINDOW, 60.0);
     requests(&mut budget, 50_040.0, 1);
-    expect_false!(budget.may(50_040.0, "s", 1));
+    expect_false!(budget.allows_retry(50_040.0, "s", 1));
     requests(&mut budget, 51_030.0, 1);
-    expect_false!(budget.may(51_030.0, "s", 1));
+    expect_false!(budget.allows_retry(51_030.0, "s", 1));
     requests(&mut budget, 51_125.0, 1);
     expect_that!(greedy(&mut budget, 51_125.0, 1), eq(30));
 }
@@ -75,7 +75,7 @@
         (400.0, 0, 2),
         (60.0, 0, 0),
     ] {
-        let mut budget = Budget::new(0.0, 0.0, WINDOW, extra);
+        let mut budget = RetryBudget::new(0.0, 0.0, WINDOW, extra);
         requests(&mut budget, 5_000.0, 1);
         expect_that!(
             greedy(&mut budget, 5_000.0, limiters),
@@ -88,7 +88,7 @@
 /// Holds `max(self.latest)`: a clock that is read late must not open an old window again.
 #[gtest]
 fn time_does_not_go_back() {
-    let mut budget = Budget::new(0.0, RATIO, WINDOW, 0.0);
+    let mut budget = RetryBudget::new(0.0, RATIO, WINDOW, 0.0);
     requests(&mut budget, 10_000.0, 10);
     expect_that!(greedy(&mut budget, 10_000.0, 1), eq(1));
     requests(&mut budget, 5_000.0, 10);
@@ -99,11 +99,11 @@
 /// Holds `self.services.retain` and `MOST`.
 #[gtest]
 fn memory_is_bounded() {
-    let mut budget = Budget::new(0.0, RATIO, WINDOW, 0.0);
-    (0..5_000).for_each(|k| budget.request(10.0, &format!("s{k}")));
-    expect_that!(budget.services(), eq(4_096));
-    budget.request(5_000.0, "s");
-    expect_that!(budget.services(), eq(1));
+    let mut budget = RetryBudget::new(0.0, RATIO, WINDOW, 0.0);
+    (0..5_000).for_each(|k| budget.record_request(10.0, &format!("s{k}")));
+    expect_that!(budget.tracked_services(), eq(4_096));
+    budget.record_request(5_000.0, "s");
+    expect_that!(budget.tracked_services(), eq(1));
 }
 
 #[derive(Clone, Debug)]
@@ -133,7 +133,7 @@
     #![proptest_config(ProptestConfig::with_cases(400))]
 
     /// Up to five limiters and any number of restarts: every span keeps the bound, where the
-    /// requests of the span or of the one before it count. Holds the whole of `Budget::may`.
+    /// requests of the span or of the one before it count. Holds the whole of `RetryBudget::may`.
     #[test]
     fn the_sum_over_limiters_keeps_the_bound_whatever_restarts(
         limiters in 1u32..6,
@@ -141,8 +141,8 @@
         // Mostly close together, at times a whole window apart: then the extra comes in force.
         events in proptest::collection::vec((0u32..6, prop_oneof![8 => 0.0..40.0, 1 => 900.0..1_300.0], event()), 1..150),
     ) {
-        let new = |now| Budget::new(now, RATIO, WINDOW, f64::from(extra));
-        let mut budgets: Vec<Budget> = (0..limiters).map(|_| new(0.0)).collect();
+        let new = |now| RetryBudget::new(now, RATIO, WINDOW, f64::from(extra));
+        let mut budgets: Vec<RetryBudget> = (0..limiters).map(|_| new(0.0)).collect();
         let (mut now, mut asked, mut further) = (0.0, Vec::new(), Vec::new());
         for (who, pause, event) in &events {
             now += pause;
@@ -176,7 +176,7 @@
 /// Holds `max(self.latest)` in `number`: what is spent late counts now.
 #[gtest]
 fn what_is_spent_by_a_late_clock_counts_now() {
-    let mut budget = Budget::new(0.0, RATIO, WINDOW, 0.0);
+    let mut budget = RetryBudget::new(0.0, RATIO, WINDOW, 0.0);
     requests(&mut budget, 10_000.0, 10);
     expect_that!(greedy(&mut budget, 5_000.0, 1), eq(1));
     expect_that!(greedy(&mut budget, 10_000.0, 1), eq(0));
@@ -185,9 +185,9 @@
 /// Holds the clearing of a part that is used again.
 #[gtest]
 fn a_part_that_is_used_again_begins_at_nothing() {
-    let mut budget = Budget::new(0.0, RATIO, WINDOW, 0.0);
+    let mut budget = RetryBudget::new(0.0, RATIO, WINDOW, 0.0);
     requests(&mut budget, 0.0, 10);
     requests(&mut budget, 500.0, 1);
     requests(&mut budget, 1_070.0, 1);
-    expect_false!(budget.may(1_070.0, "s", 1));
+    expect_false!(budget.allows_retry(1_070.0, "s", 1));
 }
--- a/crates/emberpin-routing/tests/matcher.rs
+++ b/crates/emberpin-routing/tests/route_matcher.rs
@@ -4,18 +4,18 @@
 mod common;
 
 use common::route;
-use emberpin_routing::{Matcher, Route};
+use emberpin_routing::{Route, RouteMatcher};
 use googletest::prelude::*;
 use proptest::prelude::*;
 use std::rc::Rc;
 
-fn name<'a>(matcher: &'a Matcher, host: &str, path: &str) -> Option<&'a str> {
+fn name<'a>(matcher: &'a RouteMatcher, host: &str, path: &str) -> Option<&'a str> {
     matcher.find(host, path).map(|route| route.name.as_str())
 }
 
 #[gtest]
 fn the_longest_prefix_of_a_host_wins() {
-    let matcher = Matcher::new(vec![
+    let matcher = RouteMatcher::new(vec![
         route("all", "a.example", "/"),
         route("short", "a.example", "/leny950/"),
         route("long", "a.example", "/leny950/2f/"),
@@ -42,7 +42,7 @@
 /// Holds `or(longest)`: the nodes between two prefixes have no route.
 #[gtest]
 fn a_node_without_a_route_does_not_hide_the_shorter_prefix() {
-    let matcher = Matcher::new(vec![
+    let matcher = RouteMatcher::new(vec![
         route("short", "a", "/x/"),
         route("long", "a", "/x/y/z/"),
     ]);
@@ -52,7 +52,7 @@
 /// Holds `split_once('/')` in `find`: a last segment without a slash is no part of a prefix.
 #[gtest]
 fn a_prefix_without_its_slash_does_not_match() {
-    let matcher = Matcher::new(vec![route("r", "a", "/leny950/")]);
+    let matcher = RouteMatcher::new(vec![route("r", "a", "/leny950/")]);
     expect_that!(name(&matcher, "a", "/leny950/2f"), some(eq("r")));
     expect_that!(name(&matcher, "a", "/leny950/"), some(eq("r")));
     expect_that!(name(&matcher, "a", "/leny950"), none());
@@ -65,7 +65,7 @@
 /// Holds `plain` in `find` and in `replace`.
 #[gtest]
 fn hosts_are_compared_without_case_and_port() {
-    let matcher = Matcher::new(vec![
+    let matcher = RouteMatcher::new(vec![
         route("r", "Hulo84.example", "/"),
         route("six", "[::1]", "/"),
     ]);
@@ -80,7 +80,7 @@
 /// Holds `self.hosts.clear()`, and the arm that keeps a route that is as it was.
 #[gtest]
 fn a_replacement_drops_what_is_not_named_and_keeps_what_is_the_same() {
-    let mut matcher = Matcher::new(vec![route("keep", "a", "/x/"), route("drop", "a", "/y/")]);
+    let mut matcher = RouteMatcher::new(vec![route("keep", "a", "/x/"), route("drop", "a", "/y/")]);
     let kept = matcher.find("a", "/x/").cloned();
     let before = matcher.generation();
     let changed = Route {
@@ -105,7 +105,7 @@
 /// Holds the check of the last slash: such a prefix is no valid one, and must not match half of itself.
 #[gtest]
 fn a_prefix_that_does_not_end_with_a_slash_matches_nothing() {
-    let matcher = Matcher::new(vec![route("r", "a", "/x/y")]);
+    let matcher = RouteMatcher::new(vec![route("r", "a", "/x/y")]);
     expect_that!(name(&matcher, "a", "/x/y"), none());
     expect_that!(name(&matcher, "a", "/x/"), none());
 }
@@ -129,7 +129,7 @@
     ) {
         let named = prefixes.iter().enumerate();
         let routes: Vec<Route> = named.map(|(k, (host, prefix))| route(&format!("r{k}"), host, prefix)).collect();
-        let matcher = Matcher::new(routes.clone());
+        let matcher = RouteMatcher::new(routes.clone());
         for (host, path) in &asked {
             prop_assert_eq!(name(&matcher, host, path), by_scan(&routes, host, path), "{} {}", host, path);
         }
--- a/crates/emberpin-routing/tests/pick.rs
+++ b/crates/emberpin-routing/tests/router.rs
@@ -6,7 +6,7 @@
 use common::{instance, route};
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_routing::guards::Guards;
-use emberpin_routing::{ColdRule, Route, RouteKind, Router, Warmth, Work};
+use emberpin_routing::{Availability, Route, RouteKind, Router, WarmupProfile, WarmupTolerance};
 use googletest::prelude::*;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -14,40 +14,40 @@
 
 /// One route, one warm server, ten limiters, long after the start.
 fn router() -> Router {
-    let rule = ColdRule {
-        excess: 1.5,
-        extra: 5.0,
+    let rule = WarmupTolerance {
+        excess_factor: 1.5,
+        extra_requests: 5.0,
     };
     let mut router = Router::new(0.0, "edge-1", rule, 1_300.0);
-    router.told(0.0, 10);
-    router.matcher.replace(vec![route("r", "a", "/x/")]);
-    let warmth = |per_s| Warmth {
+    router.set_limiter_count(0.0, 10);
+    router.routes.replace(vec![route("r", "a", "/x/")]);
+    let warmth = |requests_per_second| WarmupProfile {
         warmup_ms: 3_000.0,
-        per_s,
+        requests_per_second,
     };
-    router.fleet.warmth(HashMap::from([
+    router.endpoints.set_warmup_profiles(HashMap::from([
         ("s".into(), warmth(10.0)),
         ("t".into(), warmth(10.0)),
     ]));
-    router.fleet.tell(0.0, &[instance("i", Up, 1)]);
+    router.endpoints.update(0.0, &[instance("i", Up, 1)]);
     router
 }
 
 /// Whether the only server may get a request that the only route sends to this service.
 fn picks(router: &mut Router) -> bool {
-    let usable = router.fleet.work("i") == Work::Usable;
+    let usable = router.endpoints.availability("i") == Availability::Available;
     let told = router
-        .fleet
+        .endpoints
         .instance("i")
         .is_some_and(|instance| instance.service == "s");
-    usable && told && router.bears("s", "i", 10_000.0)
+    usable && told && router.slow_start_admits("s", "i", 10_000.0)
 }
 
 /// The version of the route under which a request may go on that was picked by the first one.
 fn followed(router: &Router) -> Option<u64> {
     let picked = Rc::new(route("r", "a", "/x/"));
     router
-        .follow("a", "/x/1", &picked, "s")
+        .current_route("a", "/x/1", &picked, "s")
         .map(|newest| newest.ver)
 }
 
@@ -58,28 +58,29 @@
     type News = (&'static str, fn(&mut Router));
     let news: [News; 4] = [
         ("a drain", |it| {
-            it.fleet.tell(0.0, &[instance("i", Drain, 2)]);
+            it.endpoints.update(0.0, &[instance("i", Drain, 2)]);
         }),
-        ("its end", |it| it.fleet.snapshot(0.0, &[], true)),
-        ("a 421", |it| it.fleet.wrong_instance("i")),
+        ("its end", |it| it.endpoints.apply_snapshot(0.0, &[], true)),
+        ("a 421", |it| it.endpoints.mark_misdirected("i")),
         ("an evacuation", |it| {
-            it.fleet.evacuated(0.0, BTreeSet::from(["umea".into()]));
+            it.endpoints
+                .set_evacuated_zones(0.0, BTreeSet::from(["umea".into()]));
         }),
     ];
     for (what, comes) in news {
         let mut router = router();
-        router.fleet.changes();
+        router.endpoints.take_changes();
         expect_true!(picks(&mut router), "before {what}");
-        let before = router.fleet.generation();
+        let before = router.endpoints.generation();
         comes(&mut router);
         expect_false!(picks(&mut router), "after {what}");
-        let told = router.fleet.changes();
+        let told = router.endpoints.take_changes();
         expect_true!(
             told.iter()
-                .any(|change| change.id == "i" && change.work != Work::Usable),
+                .any(|change| change.id == "i" && change.availability != Availability::Available),
             "{what}"
         );
-        expect_that!(router.fleet.generation(), gt(before), "{what}");
+        expect_that!(router.endpoints.generation(), gt(before), "{what}");
     }
 }
 
@@ -149,7 +150,7 @@
     for (what, routes, version) in news {
         let mut router = router();
         expect_that!(followed(&router), some(eq(1)), "before {what}");
-        router.matcher.replace(routes());
+        router.routes.replace(routes());
         expect_that!(followed(&router), eq(version), "after {what}");
     }
 }
@@ -161,12 +162,12 @@
         newest: false,
         ..Guards::default()
     };
-    let rule = ColdRule {
-        excess: 1.5,
-        extra: 5.0,
+    let rule = WarmupTolerance {
+        excess_factor: 1.5,
+        extra_requests: 5.0,
     };
     let mut router = Router::with_guards(0.0, "edge-1", rule, 1_300.0, guards);
-    router.matcher.replace(vec![]);
+    router.routes.replace(vec![]);
     expect_that!(followed(&router), some(eq(1)));
 }
 
@@ -174,7 +175,7 @@
 #[gtest]
 fn a_life_of_another_service_is_not_the_routes() {
     let mut router = router();
-    router.fleet.tell(
+    router.endpoints.update(
         0.0,
         &[Instance {
             service: "t".into(),
@@ -190,42 +191,42 @@
     let mut router = router();
     for _ in 0..100 {
         expect_true!(picks(&mut router));
-        router.sent(10_000.0, "i");
+        router.record_send(10_000.0, "i");
     }
-    router.fleet.cold_for(10_000.0, "i", 5_000.0);
+    router.endpoints.extend_warmup(10_000.0, "i", 5_000.0);
     expect_true!(picks(&mut router));
-    router.sent(10_000.0, "i");
+    router.record_send(10_000.0, "i");
     expect_false!(picks(&mut router));
-    expect_true!(router.bears("s", "i", 15_000.0), "warm again");
+    expect_true!(router.slow_start_admits("s", "i", 15_000.0), "warm again");
 }
 
 /// Holds the refusal where a service's word on its cold servers is missing.
 #[gtest]
 fn a_cold_server_of_an_unknown_service_gets_nothing() {
     let mut router = router();
-    router.fleet.warmth(HashMap::new());
+    router.endpoints.set_warmup_profiles(HashMap::new());
     expect_true!(picks(&mut router));
-    router.fleet.cold_for(10_000.0, "i", 5_000.0);
+    router.endpoints.extend_warmup(10_000.0, "i", 5_000.0);
     expect_false!(picks(&mut router));
 }
 
 /// Holds the number of limiters that `told` passes on.
 #[gtest]
 fn who_knows_no_number_of_limiters_sends_nothing_to_a_cold_server() {
-    let rule = ColdRule {
-        excess: 1.5,
-        extra: 5.0,
+    let rule = WarmupTolerance {
+        excess_factor: 1.5,
+        extra_requests: 5.0,
     };
     let mut silent = Router::new(0.0, "edge-1", rule, 1_300.0);
-    silent.matcher.replace(vec![route("r", "a", "/x/")]);
-    silent.fleet.warmth(HashMap::from([(
+    silent.routes.replace(vec![route("r", "a", "/x/")]);
+    silent.endpoints.set_warmup_profiles(HashMap::from([(
         "s".into(),
-        Warmth {
+        WarmupProfile {
             warmup_ms: 3_000.0,
-            per_s: 10.0,
+            requests_per_second: 10.0,
         },
     )]));
-    silent.fleet.tell(
+    silent.endpoints.update(
         10_000.0,
         &[Instance {
             cold_ms: 5_000,
--- a/crates/emberpin-routing/tests/split.rs
+++ b/crates/emberpin-routing/tests/traffic_split.rs
@@ -1,7 +1,7 @@
 //! Which of a route's services a request goes to.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
-use emberpin_routing::split::target;
+use emberpin_routing::traffic_split::choose_service;
 use googletest::prelude::*;
 
 fn targets(weights: &[(&str, u32)]) -> Vec<(String, u32)> {
@@ -15,7 +15,7 @@
 fn dealt(targets: &[(String, u32)], usable: impl Fn(&str) -> bool) -> Vec<usize> {
     let mut counts = vec![0; targets.len()];
     for k in 0..1_000 {
-        let chosen = target(targets, f64::from(k) / 1_000.0, &usable);
+        let chosen = choose_service(targets, f64::from(k) / 1_000.0, &usable);
         if let Some(at) = targets
             .iter()
             .position(|(service, _)| Some(service.as_str()) == chosen)
@@ -60,18 +60,21 @@
         dealt(&both, |service| service == "a"),
         elements_are![eq(&0), eq(&1_000)]
     );
-    expect_that!(target(&targets(&[("a", 0)]), 0.5, |_| true), none());
+    expect_that!(choose_service(&targets(&[("a", 0)]), 0.5, |_| true), none());
     expect_that!(
-        target(&targets(&[("a", 0), ("b", 0)]), 0.5, |_| true),
+        choose_service(&targets(&[("a", 0), ("b", 0)]), 0.5, |_| true),
         none()
     );
-    expect_that!(target(&[], 0.5, |_| true), none());
+    expect_that!(choose_service(&[], 0.5, |_| true), none());
 }
 
 #[gtest]
 fn a_draw_at_the_ends_and_large_weights_do_no_harm() {
     let targets = targets(&[("a", u32::MAX), ("b", u32::MAX)]);
-    expect_that!(target(&targets, 0.0, |_| true), some(eq("a")));
-    expect_that!(target(&targets, 1.0, |_| true), some(eq("b")));
-    expect_that!(target(&targets, f64::NAN, |_| true), some(anything()));
+    expect_that!(choose_service(&targets, 0.0, |_| true), some(eq("a")));
+    expect_that!(choose_service(&targets, 1.0, |_| true), some(eq("b")));
+    expect_that!(
+        choose_service(&targets, f64::NAN, |_| true),
+        some(anything())
+    );
 }
--- a/crates/emberpin-simulator/src/ledger.rs
+++ b/crates/emberpin-simulator/src/ledger.rs
@@ -14,7 +14,7 @@
 use crate::text::{Operation, Order};
 use crate::world::{Applied, World};
 use emberpin_config::{read_patch, Configuration, Item, Key, Kind};
-use emberpin_routing::Work;
+use emberpin_routing::Availability;
 use std::collections::BTreeMap;
 
 /// What an answer acknowledged.
@@ -249,14 +249,18 @@
                 }
             }
             Applied::Drained(server) => match self.servers.get(server) {
-                Some(server) if server.drains && proxy.work(&server.id) == Work::Usable => {
+                Some(server)
+                    if server.drains && proxy.work(&server.id) == Availability::Available =>
+                {
                     Err(format!("sends to {} after its drain", server.id))
                 }
                 _ => Ok(()),
             },
             Applied::Evacuated(zone) => {
                 let wrong = self.servers.values().find(|server| {
-                    server.zone == *zone && server.up && proxy.work(&server.id) == Work::Usable
+                    server.zone == *zone
+                        && server.up
+                        && proxy.work(&server.id) == Availability::Available
                 });
                 match wrong {
                     Some(server) => Err(format!("sends to {} in an evacuated zone", server.id)),
--- a/crates/emberpin-simulator/src/limiters.rs
+++ b/crates/emberpin-simulator/src/limiters.rs
@@ -10,7 +10,7 @@
 use emberpin_membership::lease::SessionLease;
 use emberpin_membership::session::{Followed, FromLimiter, ToLimiter};
 use emberpin_membership::timing::{CONNECT, LOOK, PAUSE, PROXY_LEASE, PROXY_QUESTION};
-use emberpin_routing::{ColdRule, Router, Warmth, Work};
+use emberpin_routing::{Availability, Router, WarmupProfile, WarmupTolerance};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 // As the real one has.
@@ -19,9 +19,9 @@
 const LOAD: u64 = 20;
 const AT_ONCE: usize = 4;
 /// `warm_excess` and `warm_extra`.
-const RULE: ColdRule = ColdRule {
-    excess: 1.5,
-    extra: 5.0,
+const RULE: WarmupTolerance = WarmupTolerance {
+    excess_factor: 1.5,
+    extra_requests: 5.0,
 };
 /// What `warmup_per_s` of every service makes of them.
 pub(crate) const BEARS: usize = 20;
@@ -104,7 +104,7 @@
             }
             *highest = route.ver;
         }
-        self.router.matcher.replace(routes);
+        self.router.routes.replace(routes);
         let (mut warmth, mut evacuated) = (HashMap::new(), BTreeSet::new());
         for item in self.configuration.live() {
             match item.key.kind {
@@ -113,9 +113,9 @@
                         let warmup_ms = service.warmup.as_secs_f64() * 1000.0;
                         warmth.insert(
                             service.name,
-                            Warmth {
+                            WarmupProfile {
                                 warmup_ms,
-                                per_s: service.warmup_per_s,
+                                requests_per_second: service.warmup_per_s,
                             },
                         );
                     }
@@ -124,8 +124,10 @@
                 Kind::Route | Kind::Roster | Kind::Limits | Kind::History | Kind::Checkpoint => {}
             }
         }
-        self.router.fleet.warmth(warmth);
-        self.router.fleet.evacuated(now as f64, evacuated);
+        self.router.endpoints.set_warmup_profiles(warmth);
+        self.router
+            .endpoints
+            .set_evacuated_zones(now as f64, evacuated);
         Ok(())
     }
 
@@ -143,15 +145,15 @@
         if changed {
             self.configure(now, in_force)?;
         }
-        self.router.fleet.tell(now as f64, instances);
+        self.router.endpoints.update(now as f64, instances);
         // As a host does, that keeps connections.
-        self.router.fleet.changes();
+        self.router.endpoints.take_changes();
         Ok(())
     }
 
     /// How a server stands here, by its incarnation's id.
-    pub fn work(&self, id: &str) -> Work {
-        self.router.fleet.work(id)
+    pub fn work(&self, id: &str) -> Availability {
+        self.router.endpoints.availability(id)
     }
 }
 
@@ -271,7 +273,7 @@
             name: format!("limiter-{limiter}"),
             zone,
             from: proxy.places.get(&core).map(|known| known.place),
-            instances: proxy.router.fleet.instances(now as f64),
+            instances: proxy.router.endpoints.known_instances(now as f64),
         };
         let conn = self.connect(Machine::Limiter(limiter), Machine::Core(core));
         let Some((now, proxy)) = self.proxy(limiter) else {
@@ -370,7 +372,7 @@
                     proxy.candidates.told(registries, confirmed);
                 }
                 if confirmed || !build.settled {
-                    proxy.router.told(now as f64, limiters);
+                    proxy.router.set_limiter_count(now as f64, limiters);
                     if session.told && !proxy.configuration.is_empty() {
                         proxy.ready = true;
                     }
@@ -402,7 +404,7 @@
             // One that is not known here was not told of yet, or was not heard for long.
             match proxy
                 .router
-                .fleet
+                .endpoints
                 .instance(&id)
                 .map(|instance| instance.status)
             {
@@ -439,11 +441,11 @@
                     continue;
                 };
                 for _ in 0..AT_ONCE {
-                    let usable = proxy.work(id) == Work::Usable;
-                    if !usable || !proxy.router.bears(service, id, local) {
+                    let usable = proxy.work(id) == Availability::Available;
+                    if !usable || !proxy.router.slow_start_admits(service, id, local) {
                         break;
                     }
-                    proxy.router.sent(local, id);
+                    proxy.router.record_send(local, id);
                     sent += 1;
                 }
             }
--- a/crates/emberpin-simulator/src/play.rs
+++ b/crates/emberpin-simulator/src/play.rs
@@ -3,7 +3,7 @@
 use crate::builds::Build;
 use crate::text::{Machine, Operation, Scenario, Stand, Way};
 use crate::world::World;
-use emberpin_routing::Work;
+use emberpin_routing::Availability;
 
 /// After all trouble, so long until a call must be acknowledged.
 const CALM: u64 = 14_000;
@@ -282,7 +282,7 @@
                 path,
                 ver,
             } => self.each(limiters, |proxy| {
-                let found = proxy.router.matcher.find(host, path).map(|route| route.ver);
+                let found = proxy.router.routes.find(host, path).map(|route| route.ver);
                 match found == *ver {
                     true => Ok(()),
                     false => Err(format!(
@@ -300,9 +300,9 @@
                     .get(server)
                     .ok_or(format!("there is no server {server}"))?;
                 let expected = match stand {
-                    Stand::Usable => Work::Usable,
-                    Stand::Held => Work::Held,
-                    Stand::Gone => Work::Gone,
+                    Stand::Usable => Availability::Available,
+                    Stand::Held => Availability::Draining,
+                    Stand::Gone => Availability::Removed,
                 };
                 self.each(limiters, |proxy| match proxy.work(&server.id) {
                     found if found == expected => Ok(()),
