--- a/crates/emberpin-registry/src/body.rs
+++ b/crates/emberpin-registry/src/body.rs
@@ -3,7 +3,7 @@
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::registry::Registry;
 use emberpin_runtime::settings;
-use emberpin_store::protocol::DiskReport;
+use emberpin_store::protocol::DiskStatus;
 use jzon::{array, object, JsonValue};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -78,11 +78,11 @@
     /// Peers of another version or system that were refused.
     pub refused: u64,
     /// The disk of the store on this machine, if that told.
-    pub disk: Option<DiskReport>,
+    pub disk: Option<DiskStatus>,
 }
 
-fn disk(report: DiskReport) -> JsonValue {
-    object! { state: report.state.name(), used: report.used, of: report.size }
+fn disk(report: DiskStatus) -> JsonValue {
+    object! { state: report.state.as_str(), used: report.used_bytes, of: report.limit_bytes }
 }
 
 /// How a registry stands, for the operator's doctor.
--- a/crates/emberpin-registry/src/host.rs
+++ b/crates/emberpin-registry/src/host.rs
@@ -7,7 +7,7 @@
 use emberpin_membership::registry::{Action, Answer, Event, Limits, Registry, Taker};
 use emberpin_runtime::frames;
 use emberpin_runtime::preamble::ProcessIdentity;
-use emberpin_store::protocol::DiskReport;
+use emberpin_store::protocol::DiskStatus;
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::Ipv4Addr;
@@ -45,7 +45,7 @@
     /// The operator asks how the registry stands.
     Status {
         /// The disk of the store on this machine, if that told.
-        disk: Option<DiskReport>,
+        disk: Option<DiskStatus>,
         /// Where the answer goes.
         answer: oneshot::Sender<String>,
     },
--- a/crates/emberpin-registry/src/store.rs
+++ b/crates/emberpin-registry/src/store.rs
@@ -8,7 +8,7 @@
 use emberpin_membership::registry::Event;
 use emberpin_runtime::frames::{self, Broken};
 use emberpin_runtime::preamble::ProcessIdentity;
-use emberpin_store::protocol::{DiskReport, DiskState, StoreReply, StoreRequest, ToStore};
+use emberpin_store::protocol::{DiskState, DiskStatus, StoreReply, StoreRequest, ToStore};
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -61,7 +61,7 @@
     /// When the store on this machine said something.
     local: Mutex<Instant>,
     /// The disk of the store on this machine, once that told.
-    disk: Mutex<Option<DiskReport>>,
+    disk: Mutex<Option<DiskStatus>>,
     passing: Mutex<HashMap<Ipv4Addr, Passing>>,
     /// The newest question that the registry asks whichever store is followed.
     questions: watch::Sender<u64>,
@@ -96,7 +96,7 @@
     }
 
     /// The disk of the store on this machine, as it last told.
-    pub fn disk(&self) -> Option<DiskReport> {
+    pub fn disk(&self) -> Option<DiskStatus> {
         *locked(&self.disk)
     }
 
@@ -149,7 +149,7 @@
             let stream = net::connect(store, self.port).await?;
             let (from, mut to) = stream.into_split();
             self.identity.send(&mut to).await?;
-            frames::write(&mut to, &ToStore::StoreRequest(StoreRequest::Follow)).await?;
+            frames::write(&mut to, &ToStore::Request(StoreRequest::Subscribe)).await?;
             let mut from = BufReader::new(from);
             let greeted = timeout(SILENCE, self.identity.receive(&mut from)).await;
             let peer = greeted.map_err(std::io::Error::from)??;
@@ -172,7 +172,7 @@
             let question = *questions.borrow_and_update();
             frames::write(
                 to,
-                &ToStore::StoreRequest(StoreRequest::Confirm { question }),
+                &ToStore::Request(StoreRequest::ConfirmFreshness { nonce: question }),
             )
             .await?;
             // Its sender lives as long as this does.
@@ -201,8 +201,11 @@
                     locked(&self.voters).clone_from(&voters);
                     Event::Voters(voters)
                 }
-                StoreReply::Confirmed { question, age } => Event::StoreConfirmed { question, age },
-                StoreReply::Answer { .. } => continue,
+                StoreReply::FreshnessConfirmed {
+                    nonce: question,
+                    age_ms: age,
+                } => Event::StoreConfirmed { question, age },
+                StoreReply::Response { .. } => continue,
             };
             commands.event(event).await;
             if store != self.me && locked(&self.local).elapsed() < ALONE {
@@ -258,7 +261,7 @@
 
     fn local_takes_no_calls(&self) -> bool {
         let unusable =
-            |disk: DiskReport| matches!(disk.state, DiskState::Full | DiskState::Stalled);
+            |disk: DiskStatus| matches!(disk.state, DiskState::Full | DiskState::Stalled);
         locked(&self.local).elapsed() >= ALONE || self.disk().is_some_and(unusable)
     }
 
@@ -268,7 +271,7 @@
         id: u64,
         ask: StoreRequest,
     ) -> Option<Answered> {
-        let frame = frames::frame(&ToStore::StoreRequest(ask)).ok()?;
+        let frame = frames::frame(&ToStore::Request(ask)).ok()?;
         let passing = self.passing(store).await?;
         let (tell, told) = oneshot::channel();
         locked(&passing.waiting).insert(id, tell);
@@ -318,7 +321,7 @@
             let reads = async {
                 identity.receive(&mut from).await?;
                 loop {
-                    if let StoreReply::Answer { id, status, body } =
+                    if let StoreReply::Response { id, status, body } =
                         frames::read::<StoreReply>(&mut from).await?
                     {
                         if let Some(tell) = locked(&waiting).remove(&id) {
--- a/crates/emberpin-registry/tests/common/mod.rs
+++ b/crates/emberpin-registry/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use emberpin_membership::session::{First, FromLimiter, SnapshotCursor, ToLimiter};
 use emberpin_runtime::frames;
 use emberpin_runtime::preamble::ProcessIdentity;
-use emberpin_store::protocol::{DiskReport, DiskState, StoreReply, StoreRequest, ToStore};
+use emberpin_store::protocol::{DiskState, DiskStatus, StoreReply, StoreRequest, ToStore};
 use std::collections::BTreeSet;
 use std::io::Write;
 use std::net::Ipv4Addr;
@@ -116,7 +116,7 @@
 
 /// A store that is settled, tells these items, and answers each call with its own name.
 pub async fn store(ip: Ipv4Addr, voters: Vec<Ipv4Addr>, items: Vec<Item>) {
-    serve_store(ip, voters, items, Some(0), DiskReport::default()).await;
+    serve_store(ip, voters, items, Some(0), DiskStatus::default()).await;
 }
 
 /// One whose disk stands so; on a full one it refuses every call.
@@ -124,14 +124,14 @@
     ip: Ipv4Addr,
     voters: Vec<Ipv4Addr>,
     items: Vec<Item>,
-    disk: DiskReport,
+    disk: DiskStatus,
 ) {
     serve_store(ip, voters, items, Some(0), disk).await;
 }
 
 /// A store that hears no other: it confirms nothing, and holds calls for ever.
 pub async fn store_cut_off(ip: Ipv4Addr, voters: Vec<Ipv4Addr>) {
-    serve_store(ip, voters, Vec::new(), None, DiskReport::default()).await;
+    serve_store(ip, voters, Vec::new(), None, DiskStatus::default()).await;
 }
 
 async fn serve_store(
@@ -139,7 +139,7 @@
     voters: Vec<Ipv4Addr>,
     items: Vec<Item>,
     age: Option<u64>,
-    disk: DiskReport,
+    disk: DiskStatus,
 ) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_reuseaddr(true).expect("set");
@@ -158,21 +158,21 @@
     voters: Vec<Ipv4Addr>,
     items: Vec<Item>,
     age: Option<u64>,
-    disk: DiskReport,
+    disk: DiskStatus,
 ) {
     let store = ProcessIdentity::new(2);
     if store.receive(&mut stream).await.is_err() || store.send(&mut stream).await.is_err() {
         return;
     }
-    while let Ok(ToStore::StoreRequest(ask)) = frames::read(&mut stream).await {
+    while let Ok(ToStore::Request(ask)) = frames::read(&mut stream).await {
         let (id, body) = match ask {
             StoreRequest::Patch { id, body } => (id, format!("patch of {} bytes", body.len())),
             StoreRequest::Get { id } => (id, "{\"svcs\":[]}".to_string()),
             StoreRequest::Evacuate { id, zone, begin } => (id, format!("{zone} {begin}")),
-            StoreRequest::Follow => {
+            StoreRequest::Subscribe => {
                 return follow(stream, voters, items, age, disk).await;
             }
-            StoreRequest::Confirm { .. } => continue,
+            StoreRequest::ConfirmFreshness { .. } => continue,
         };
         if age.is_none() {
             continue;
@@ -182,7 +182,7 @@
         } else {
             200
         };
-        if frames::write(&mut stream, &StoreReply::Answer { id, status, body })
+        if frames::write(&mut stream, &StoreReply::Response { id, status, body })
             .await
             .is_err()
         {
@@ -197,13 +197,13 @@
     voters: Vec<Ipv4Addr>,
     items: Vec<Item>,
     age: Option<u64>,
-    disk: DiskReport,
+    disk: DiskStatus,
 ) {
     let (mut from, mut to) = stream.into_split();
     _ = frames::write(&mut to, &StoreReply::Items { items }).await;
     let (questions, mut asked) = unbounded_channel();
     let reads = tokio::spawn(async move {
-        while let Ok(ToStore::StoreRequest(StoreRequest::Confirm { question })) =
+        while let Ok(ToStore::Request(StoreRequest::ConfirmFreshness { nonce: question })) =
             frames::read(&mut from).await
         {
             _ = questions.send(question);
@@ -212,8 +212,8 @@
     let mut beat = interval(Duration::from_millis(400));
     loop {
         let told = tokio::select! {
-            Some(question) = asked.recv() => StoreReply::Confirmed { question, age },
-            _ = beat.tick() => StoreReply::Status { settled: age.is_some(), voters: voters.clone(), disk, refused: 0 },
+            Some(question) = asked.recv() => StoreReply::FreshnessConfirmed { nonce: question, age_ms: age },
+            _ = beat.tick() => StoreReply::Status { caught_up: age.is_some(), voters: voters.clone(), disk, rejected_peers: 0 },
         };
         if frames::write(&mut to, &told).await.is_err() {
             return reads.abort();
--- a/crates/emberpin-registry/tests/process.rs
+++ b/crates/emberpin-registry/tests/process.rs
@@ -11,7 +11,7 @@
 use emberpin_membership::instance::Status;
 use emberpin_membership::session::ToLimiter;
 use emberpin_runtime::preamble::ProcessIdentity;
-use emberpin_store::protocol::{DiskReport, DiskState};
+use emberpin_store::protocol::{DiskState, DiskStatus};
 use googletest::prelude::*;
 use std::net::Ipv4Addr;
 use std::process::Command;
@@ -309,10 +309,10 @@
 async fn calls_go_past_a_store_with_a_full_disk_and_the_status_tells_it() -> googletest::Result<()>
 {
     let (me, other) = (ip(12, 1), ip(12, 2));
-    let full = DiskReport {
+    let full = DiskStatus {
         state: DiskState::Full,
-        used: 90,
-        size: 100,
+        used_bytes: 90,
+        limit_bytes: 100,
     };
     store_with_disk(me, vec![me, other], vec![], full).await;
     store(other, vec![me, other], vec![]).await;
@@ -341,10 +341,10 @@
 #[tokio::test]
 async fn a_call_that_every_store_refuses_is_told_why() -> googletest::Result<()> {
     let me = ip(13, 1);
-    let full = DiskReport {
+    let full = DiskStatus {
         state: DiskState::Full,
-        used: 90,
-        size: 100,
+        used_bytes: 90,
+        limit_bytes: 100,
     };
     store_with_disk(me, vec![me], vec![], full).await;
     let _registry = RegistryProcess::start(me, &[me]);
--- a/crates/emberpin-registry/tests/samples/mod.rs
+++ b/crates/emberpin-registry/tests/samples/mod.rs
@@ -9,7 +9,7 @@
 use emberpin_membership::peers::{Ack, InstanceRecord, Limiter, RegistryMessage};
 use emberpin_membership::session::{First, FromLimiter, Revision, SnapshotCursor, ToLimiter};
 use emberpin_runtime::frames;
-use emberpin_store::protocol::{DiskReport, DiskState, StoreReply, StoreRequest, ToStore};
+use emberpin_store::protocol::{DiskState, DiskStatus, StoreReply, StoreRequest, ToStore};
 use serde::Serialize;
 use std::net::Ipv4Addr;
 
@@ -173,10 +173,10 @@
             zone: "z".into(),
             begin: true,
         },
-        StoreRequest::Follow,
-        StoreRequest::Confirm { question: 14 },
+        StoreRequest::Subscribe,
+        StoreRequest::ConfirmFreshness { nonce: 14 },
     ];
-    let requests = requests.into_iter().map(ToStore::StoreRequest);
+    let requests = requests.into_iter().map(ToStore::Request);
     let messages = consensus().into_iter().map(|message| ToStore::Consensus {
         from: MACHINE,
         message,
@@ -186,27 +186,27 @@
 
 /// Those from a store.
 pub fn from_store() -> Vec<StoreReply> {
-    let disk = DiskReport {
+    let disk = DiskStatus {
         state: DiskState::Full,
-        used: 90,
-        size: 100,
+        used_bytes: 90,
+        limit_bytes: 100,
     };
     vec![
-        StoreReply::Answer {
+        StoreReply::Response {
             id: 1,
             status: 503,
             body: "why".into(),
         },
         StoreReply::Items { items: items() },
         StoreReply::Status {
-            settled: true,
+            caught_up: true,
             voters: vec![MACHINE],
             disk,
-            refused: 3,
+            rejected_peers: 3,
         },
-        StoreReply::Confirmed {
-            question: 14,
-            age: None,
+        StoreReply::FreshnessConfirmed {
+            nonce: 14,
+            age_ms: None,
         },
     ]
 }
--- a/crates/emberpin-registry/tests/samples/values.rs
+++ b/crates/emberpin-registry/tests/samples/values.rs
@@ -8,7 +8,7 @@
 use emberpin_membership::peers::{Ack, InstanceRecord, RegistryMessage};
 use emberpin_membership::session::{FromLimiter, Revision, SnapshotCursor, ToLimiter};
 use emberpin_runtime::preamble::Preamble;
-use emberpin_store::protocol::{DiskReport, DiskState, StoreReply, StoreRequest, ToStore};
+use emberpin_store::protocol::{DiskState, DiskStatus, StoreReply, StoreRequest, ToStore};
 use std::net::Ipv4Addr;
 use std::num::NonZeroU64;
 
@@ -102,7 +102,7 @@
         .map(|message| ToStore::Consensus { from, message });
     requests
         .into_iter()
-        .map(ToStore::StoreRequest)
+        .map(ToStore::Request)
         .chain(messages)
         .collect()
 }
@@ -110,20 +110,20 @@
 /// Those from a store.
 pub fn from_store() -> Vec<StoreReply> {
     let status = |state| {
-        let disk = DiskReport {
+        let disk = DiskStatus {
             state,
-            used: u64::MAX,
-            size: 0,
+            used_bytes: u64::MAX,
+            limit_bytes: 0,
         };
         StoreReply::Status {
-            settled: false,
+            caught_up: false,
             voters: Vec::new(),
             disk,
-            refused: 0,
+            rejected_peers: 0,
         }
     };
     vec![
-        StoreReply::Answer {
+        StoreReply::Response {
             id: u64::MAX,
             status: 200,
             body: String::new(),
@@ -132,9 +132,9 @@
         status(DiskState::Writable),
         status(DiskState::NearlyFull),
         status(DiskState::Stalled),
-        StoreReply::Confirmed {
-            question: u64::MAX,
-            age: Some(u64::MAX),
+        StoreReply::FreshnessConfirmed {
+            nonce: u64::MAX,
+            age_ms: Some(u64::MAX),
         },
     ]
 }
--- a/crates/emberpin-store/examples/measure_store.rs
+++ b/crates/emberpin-store/examples/measure_store.rs
@@ -118,9 +118,9 @@
         id: number,
         body: body.into_bytes(),
     };
-    frames::write(stream, &ToStore::StoreRequest(ask)).await?;
+    frames::write(stream, &ToStore::Request(ask)).await?;
     match frames::read(stream).await? {
-        StoreReply::Answer { status, .. } => Ok(status),
+        StoreReply::Response { status, .. } => Ok(status),
         other => Err(format!("not an answer: {other:?}").into()),
     }
 }
--- a/crates/emberpin-store/src/connections.rs
+++ b/crates/emberpin-store/src/connections.rs
@@ -278,7 +278,7 @@
                 store = true;
                 Input::Message { from, message }
             }
-            ToStore::StoreRequest(ask) => {
+            ToStore::Request(ask) => {
                 if let Some(writer) = writer.take() {
                     let (told, waiting) = Outbox::new();
                     tokio::spawn(tell(writer, told.bytes.clone(), waiting));
@@ -360,6 +360,6 @@
         StoreRequest::Patch { id, body } => Some((id, Call::Patch(body))),
         StoreRequest::Get { id } => Some((id, Call::Get)),
         StoreRequest::Evacuate { id, zone, begin } => Some((id, Call::Evacuate { zone, begin })),
-        StoreRequest::Follow | StoreRequest::Confirm { .. } => None,
+        StoreRequest::Subscribe | StoreRequest::ConfirmFreshness { .. } => None,
     }
 }
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -3,7 +3,7 @@
 use crate::connections::{call, listen, Counts, Links, Outbox, Registry};
 use crate::disk::{Disk, Unusable};
 use crate::disk_thread::{DiskEvent, DiskQueue};
-use crate::protocol::{DiskReport, DiskState, StoreReply, StoreRequest, ToStore};
+use crate::protocol::{DiskState, DiskStatus, StoreReply, StoreRequest, ToStore};
 use crate::system_id;
 use emberpin_consensus::{Action, Call, Event, Message, Options, Replica};
 use emberpin_runtime::frames;
@@ -281,7 +281,7 @@
             outbox,
             follows: false,
         });
-        if let StoreRequest::Confirm { question } = ask {
+        if let StoreRequest::ConfirmFreshness { nonce: question } = ask {
             return self.questions.push((
                 connection,
                 question,
@@ -302,7 +302,7 @@
                 let body = format!("zone {zone:?}: is not known");
                 return self.tell(
                     connection,
-                    &StoreReply::Answer {
+                    &StoreReply::Response {
                         id,
                         status: 404,
                         body,
@@ -314,7 +314,7 @@
             let body = reason.into();
             return self.tell(
                 connection,
-                &StoreReply::Answer {
+                &StoreReply::Response {
                     id,
                     status: 503,
                     body,
@@ -370,7 +370,7 @@
                 }
                 Action::Answer { id, status, body } => {
                     if let Some((connection, id)) = self.calls.remove(&id) {
-                        self.tell(connection, &StoreReply::Answer { id, status, body });
+                        self.tell(connection, &StoreReply::Response { id, status, body });
                     }
                 }
                 Action::Learned { items } => self.tell_followers(&StoreReply::Items { items }),
@@ -504,16 +504,16 @@
             disk,
         } = self.status.clone();
         let size = self.settings.disk_mb << 20;
-        let disk = DiskReport {
+        let disk = DiskStatus {
             state: disk,
-            used: self.disk.used(),
-            size,
+            used_bytes: self.disk.used(),
+            limit_bytes: size,
         };
         StoreReply::Status {
-            settled,
+            caught_up: settled,
             voters,
             disk,
-            refused: self.identity.refused(),
+            rejected_peers: self.identity.refused(),
         }
     }
 
@@ -522,7 +522,13 @@
         let now = self.now();
         self.recover_from_overflow();
         for (connection, question, age) in std::mem::take(&mut self.questions) {
-            self.tell(connection, &StoreReply::Confirmed { question, age });
+            self.tell(
+                connection,
+                &StoreReply::FreshnessConfirmed {
+                    nonce: question,
+                    age_ms: age,
+                },
+            );
         }
         self.tend_system();
         let (settled, voters) = (self.replica.settled(now), self.replica.voters());
@@ -536,8 +542,8 @@
             if status.disk != self.status.disk {
                 log::warn!(
                     "the disk is {}, and was {}",
-                    status.disk.name(),
-                    self.status.disk.name()
+                    status.disk.as_str(),
+                    self.status.disk.as_str()
                 );
             }
             self.status = status;
--- a/crates/emberpin-store/src/protocol.rs
+++ b/crates/emberpin-store/src/protocol.rs
@@ -1,112 +1,124 @@
-//! What a registry and a store of configuration say to each other.
+//! Messages between a registry and a store, and the envelope of everything that a store receives.
+//!
+//! Both directions share one TCP connection that the registry opens: it sends [`ToStore::Request`] frames, and the
+//! store sends [`StoreReply`] frames back. Stores send each other [`ToStore::Consensus`] frames on connections of
+//! their own, which carry nothing in the other direction.
+//!
+//! The encoding is `postcard`, which writes the position of a variant or field and not its name: names may change,
+//! their order must not as long as peers of this protocol version are in service.
 
 use emberpin_config::Item;
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 
-/// Every frame towards a store.
+/// A frame that a store receives.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToStore {
-    /// From a registry; what it is told comes back on the same connection, as [`StoreReply`].
-    StoreRequest(StoreRequest),
-    /// From another store; nothing comes back on this connection.
+    /// Sent by a registry. Replies come back on the same connection as [`StoreReply`].
+    Request(StoreRequest),
+    /// Sent by another store. It is never answered on this connection: a reply is a `Consensus` frame on the
+    /// connection that the receiver opens to the sender.
     Consensus {
-        /// The sender's address, by which it is known on the roster.
+        /// The sender's address, which identifies it in the roster.
         from: Ipv4Addr,
-        /// What it says.
+        /// The consensus message itself.
         message: emberpin_consensus::Message,
     },
 }
 
-/// From a registry to a store.
+/// A request from a registry to a store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StoreRequest {
-    /// The body of `POST /config/patch`; one [`StoreReply::Answer`] with the same number is owed.
+    /// Sent for `POST /config/patch`. The store replies with one [`StoreReply::Response`] of the same id, unless the
+    /// connection breaks first.
     Patch {
-        /// Names the answer.
+        /// Correlates the response; unique among the pending requests of this connection.
         id: u64,
-        /// As it came.
+        /// The HTTP body, not yet parsed.
         body: Vec<u8>,
     },
-    /// `GET /config/get`; answered like [`StoreRequest::Patch`].
+    /// Sent for `GET /config/get`. Answered like [`StoreRequest::Patch`].
     Get {
-        /// Names the answer.
+        /// Correlates the response; unique among the pending requests of this connection.
         id: u64,
     },
-    /// `POST /evac/ZONE/begin` or `finish`; answered like [`StoreRequest::Patch`].
+    /// Sent for `POST /evac/ZONE/begin` and `POST /evac/ZONE/finish`. Answered like [`StoreRequest::Patch`].
     Evacuate {
-        /// Names the answer.
+        /// Correlates the response; unique among the pending requests of this connection.
         id: u64,
-        /// Which zone.
+        /// Name of the zone to evacuate. The store answers 404 if its settings do not list it.
         zone: String,
-        /// Begin, or finish.
+        /// `true` to begin the evacuation, `false` to finish it.
         begin: bool,
     },
-    /// Wants all chosen items now and each change from then on, as [`StoreReply::Items`], and [`StoreReply::Status`] on
-    /// the way.
-    Follow,
-    /// Asks how old what was told on this connection is; one [`StoreReply::Confirmed`] is owed.
-    Confirm {
-        /// The question's nonce.
-        question: u64,
+    /// Sent once after connecting. The store replies at once with all chosen items in one [`StoreReply::Items`] and a
+    /// [`StoreReply::Status`], and from then on pushes each change and its status.
+    Subscribe,
+    /// Sent to learn how old the items received on this connection may be. The store replies with one
+    /// [`StoreReply::FreshnessConfirmed`].
+    ConfirmFreshness {
+        /// Echoed in the reply, so that the registry can tell when it asked.
+        nonce: u64,
     },
 }
 
-/// From a store to a registry.
+/// A reply or notification from a store to a registry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StoreReply {
-    /// The answer to a call.
-    Answer {
-        /// Which call.
+    /// Answers [`StoreRequest::Patch`], [`StoreRequest::Get`] and [`StoreRequest::Evacuate`].
+    Response {
+        /// The id of the request.
         id: u64,
-        /// An HTTP status: 200, 4xx for what will never be taken, 503 for what may be sent again.
+        /// An HTTP status: 200, a 4xx that no retry changes, or 503 if the request may be retried.
         status: u16,
-        /// The answer's body; of a 4xx, one line that says where and why.
+        /// The HTTP body. For a 4xx, one line that names the place and the cause.
         body: String,
     },
-    /// Items that are chosen, drops among them. The first one after [`StoreRequest::Follow`] holds all that there are.
+    /// Chosen items and tombstones, sent to subscribers. The first one after [`StoreRequest::Subscribe`] is the whole
+    /// configuration; each later one is a change.
     Items {
-        /// The items.
+        /// The items, in no particular order.
         items: Vec<Item>,
     },
-    /// How the store stands; comes at least twice a second.
+    /// Health of the store, sent to subscribers when it changes and at least twice a second.
     Status {
-        /// What it knows is no older than what a majority of the voters had a second ago.
-        settled: bool,
-        /// The machines whose stores vote.
+        /// Whether the store's items are no older than what a majority of the voters held a second ago.
+        caught_up: bool,
+        /// Addresses of the machines whose stores vote.
         voters: Vec<Ipv4Addr>,
-        /// Its disk.
-        disk: DiskReport,
-        /// Peers of another version or system that it has refused since its start.
-        refused: u64,
+        /// Condition and usage of the store's disk.
+        disk: DiskStatus,
+        /// Peers of another protocol version or system that were rejected since the store started.
+        rejected_peers: u64,
     },
-    /// Answers [`StoreRequest::Confirm`], behind all items that were known by then.
-    Confirmed {
-        /// The question's nonce.
-        question: u64,
-        /// So many milliseconds ago a majority of the voters had nothing that has not been told; `None`: nothing can be
-        /// confirmed.
-        age: Option<u64>,
+    /// Answers [`StoreRequest::ConfirmFreshness`]. It is sent after all items that the store knew when it took the
+    /// request, so that the age holds for everything received before it.
+    FreshnessConfirmed {
+        /// The nonce of the request.
+        nonce: u64,
+        /// Milliseconds since the store began the comparison that shows its items to be those of a majority of the
+        /// voters; `None` if it has not completed such a comparison.
+        age_ms: Option<u64>,
     },
 }
 
-/// What a store's disk takes.
+/// Which writes a store's disk accepts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DiskState {
-    /// Everything.
+    /// All writes.
     #[default]
     Writable,
-    /// Votes and what others have chosen; changes are refused.
+    /// Votes and items that other stores have chosen. Changes are rejected, so that room is left for these.
     NearlyFull,
-    /// Nothing: a write failed. The store refuses votes and changes until all that it knows is synced again.
+    /// None: a write failed. Votes and changes are rejected until the whole state is synced again.
     Full,
-    /// Nothing for a second or more, and no failure either. The store refuses changes meanwhile.
+    /// None at the moment: the disk has not finished a batch for a second. Changes are rejected until it has.
     Stalled,
 }
 
 impl DiskState {
-    /// Its name for the operator.
-    pub fn name(self) -> &'static str {
+    /// The state's name in `GET /status` and in log lines.
+    pub fn as_str(self) -> &'static str {
         match self {
             DiskState::Writable => "writable",
             DiskState::NearlyFull => "nearly full",
@@ -114,20 +126,15 @@
             DiskState::Stalled => "stalled",
         }
     }
-
-    /// Whether changes are taken.
-    pub fn takes_changes(self) -> bool {
-        self == DiskState::Writable
-    }
 }
 
-/// How a store's disk stands.
+/// Condition and usage of a store's disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DiskReport {
-    /// What it takes.
+pub struct DiskStatus {
+    /// Which writes the disk accepts.
     pub state: DiskState,
-    /// Bytes that the store's files take.
-    pub used: u64,
-    /// Bytes that they may take, as the settings say; 0, if they don't, and nothing is measured.
-    pub size: u64,
+    /// Bytes that the store's files occupied when they were last measured.
+    pub used_bytes: u64,
+    /// Limit from `self.limits.disk_mb`, in bytes; 0 if the settings have none, and nothing is measured.
+    pub limit_bytes: u64,
 }
--- a/crates/emberpin-store/tests/processes.rs
+++ b/crates/emberpin-store/tests/processes.rs
@@ -167,11 +167,11 @@
         let until = Instant::now() + LONG;
         loop {
             let mut stream = self.connect().await;
-            if frames::write(&mut stream, &ToStore::StoreRequest(ask.clone()))
+            if frames::write(&mut stream, &ToStore::Request(ask.clone()))
                 .await
                 .is_ok()
             {
-                if let Ok(Ok(StoreReply::Answer { status, body, .. })) =
+                if let Ok(Ok(StoreReply::Response { status, body, .. })) =
                     timeout(LONG, frames::read(&mut stream)).await
                 {
                     if status != 503 {
@@ -185,11 +185,9 @@
 
     /// One try of a call, once the store takes connections; `None`, if it ends without an answer.
     async fn once(&self, stream: &mut TcpStream, ask: StoreRequest) -> Option<(u16, String)> {
-        frames::write(stream, &ToStore::StoreRequest(ask))
-            .await
-            .ok()?;
+        frames::write(stream, &ToStore::Request(ask)).await.ok()?;
         match timeout(LONG, frames::read(stream)).await {
-            Ok(Ok(StoreReply::Answer { status, body, .. })) => Some((status, body)),
+            Ok(Ok(StoreReply::Response { status, body, .. })) => Some((status, body)),
             _ => None,
         }
     }
@@ -210,7 +208,7 @@
     /// Waits until a follower is told what is looked for.
     async fn follow<T>(&self, mut look: impl FnMut(StoreReply) -> Option<T>) -> T {
         let mut stream = self.connect().await;
-        frames::write(&mut stream, &ToStore::StoreRequest(StoreRequest::Follow))
+        frames::write(&mut stream, &ToStore::Request(StoreRequest::Subscribe))
             .await
             .expect("a store that hears");
         let found = async {
@@ -227,7 +225,7 @@
     async fn voters(&self, wanted: &[Ipv4Addr]) {
         self.follow(|told| match told {
             StoreReply::Status {
-                settled: true,
+                caught_up: true,
                 voters,
                 ..
             } if voters == wanted => Some(()),
@@ -761,7 +759,7 @@
         expect_that!(machine.patch(&service("a", 1)).await, eq(200));
         expect_that!(machine.get().await, not(contains_substring("\"b\"")));
         let told = |told| match told {
-            StoreReply::Status { refused, .. } => Some(refused),
+            StoreReply::Status { rejected_peers, .. } => Some(rejected_peers),
             _ => None,
         };
         expect_that!(machine.follow(told).await, eq(refused));
--- a/crates/emberpin-store/tests/program/mod.rs
+++ b/crates/emberpin-store/tests/program/mod.rs
@@ -62,7 +62,7 @@
         let (mut stream, _) = self.connect().await;
         let until = Instant::now() + LONG;
         loop {
-            let get = ToStore::StoreRequest(StoreRequest::Get { id: 1 });
+            let get = ToStore::Request(StoreRequest::Get { id: 1 });
             frames::write(&mut stream, &get)
                 .await
                 .expect("a store that hears");
@@ -70,7 +70,7 @@
                 .await
                 .expect("a reply in time");
             match reply.expect("a store that replies") {
-                StoreReply::Answer {
+                StoreReply::Response {
                     status: 200, body, ..
                 } => return body,
                 refused => assert!(Instant::now() < until, "{refused:?}"),
