--- a/crates/emberpin-proxy/src/lib.rs
+++ b/crates/emberpin-proxy/src/lib.rs
@@ -10,8 +10,12 @@
 //! ```
 #![forbid(unsafe_code)]
 
+mod command;
 mod controller;
 pub mod program;
+mod published_state;
+mod random;
+mod replies;
 mod requests;
 pub mod service;
 mod sessions;
--- a/crates/emberpin-proxy/src/requests.rs
+++ b/crates/emberpin-proxy/src/requests.rs
@@ -1,15 +1,17 @@
 //! The clients' side: takes a request in, asks the controller, and words the one answer.
 
-use crate::controller::{Ask, Command, View};
+use crate::command::{Ask, Command};
+use crate::published_state::View;
+use crate::replies::come_back;
 use crate::wire::DEADLINE;
 use bytes::Bytes;
 use emberpin_balancer::{ClassId, RequestId};
 use emberpin_limiter::host::{
     headed, passed_on, plain, run_out, strip, take_in, Answer, Connection, Content, Ending,
-    Figures, Head, Outgoing, Reply, RequestHandler, Served, Upload, Upstreamed,
+    Figures, Outgoing, Reply, RequestHandler, Served, Upload, Upstreamed,
 };
 use hyper::body::{Body, Incoming};
-use hyper::header::{HeaderMap, HeaderName, HeaderValue, HOST, RETRY_AFTER};
+use hyper::header::{HeaderMap, HeaderName, HeaderValue, HOST};
 use hyper::{Request, Response, StatusCode};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -242,27 +244,6 @@
     }
 }
 
-/// The request has not run and never will; the client may come back after this time.
-pub fn come_back(after: Duration) -> Response<Content> {
-    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE);
-    if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", after.as_secs_f64())) {
-        response.headers_mut().insert(RETRY_AFTER, seconds);
-    }
-    response
-}
-
-/// An answer of the gateway's own, with nothing in it.
-pub fn own(status: StatusCode) -> Reply {
-    let head = Head {
-        status,
-        headers: HeaderMap::new(),
-    };
-    Reply::Answer(Answer::Served(Served {
-        head,
-        body: Bytes::new(),
-    }))
-}
-
 /// The host that the request is for: as its target names it, else its one `Host`.
 fn host<T>(request: &Request<T>) -> Option<String> {
     if let Some(authority) = request.uri().authority() {
--- a/crates/emberpin-proxy/src/sessions.rs
+++ b/crates/emberpin-proxy/src/sessions.rs
@@ -1,6 +1,7 @@
 //! Sessions with two registries at a time: while one stands, this limiter is a member, and hears what changes.
 
-use crate::controller::{drawn, Command};
+use crate::command::Command;
+use crate::random::drawn;
 use emberpin_membership::candidates::Candidates;
 use emberpin_membership::lease::SessionLease;
 use emberpin_membership::session::{
