--- /dev/null
+++ b/crates/emberpin-registry/src/connection.rs
@@ -0,0 +1,88 @@
+//! What all connections between processes share: preambles and frames under a time limit, and how the end of a
+//! connection is logged and counted.
+
+use bytes::Bytes;
+use emberpin_runtime::frames::{self, Broken};
+use emberpin_runtime::preamble::{Preamble, ProcessIdentity};
+use serde::de::DeserializeOwned;
+use std::io;
+use std::net::IpAddr;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Duration;
+use tokio::io::{AsyncRead, AsyncWrite, AsyncWriteExt};
+use tokio::sync::mpsc;
+use tokio::time::timeout;
+
+/// Counts connections with peers and proxies that ended at a frame which could not be read.
+#[derive(Debug, Default)]
+pub struct UnreadableFrames(AtomicU64);
+
+impl UnreadableFrames {
+    /// How many there were since the start of the process.
+    pub fn count(&self) -> u64 {
+        self.0.load(Ordering::Relaxed)
+    }
+
+    /// Logs why a connection ended, and counts it if a frame was the cause.
+    pub fn record_end(&self, peer: IpAddr, ended: Result<(), Broken>) {
+        match ended {
+            Err(Broken::Connection(error)) => {
+                log::debug!("connection closed: peer={peer} error={error}");
+            }
+            // Counted and logged by `ProcessIdentity`, where the peer was rejected.
+            Err(Broken::Refused(_)) => {}
+            Err(error) => {
+                let earlier = self.0.fetch_add(1, Ordering::Relaxed);
+                log::warn!(
+                    "connection closed at an unreadable frame: peer={peer} error={error} earlier={earlier}"
+                );
+            }
+            Ok(()) => {}
+        }
+    }
+}
+
+/// Receives the peer's preamble within a time limit.
+///
+/// # Errors
+///
+/// [`Broken::Refused`] if the peer is of another version or system; [`Broken::Connection`] if the connection
+/// fails or the time limit passes.
+pub async fn receive_preamble(
+    identity: &ProcessIdentity,
+    reader: &mut (impl AsyncRead + Unpin),
+    within: Duration,
+) -> Result<Preamble, Broken> {
+    timeout(within, identity.receive(reader))
+        .await
+        .map_err(io::Error::from)?
+}
+
+/// Reads the next message within a time limit.
+///
+/// # Errors
+///
+/// [`Broken`]: the connection is of no use after it. A passed time limit is a [`Broken::Connection`].
+pub async fn read_message<T: DeserializeOwned>(
+    reader: &mut (impl AsyncRead + Unpin),
+    within: Duration,
+) -> Result<T, Broken> {
+    timeout(within, frames::read(reader))
+        .await
+        .map_err(io::Error::from)?
+}
+
+/// Writes queued frames until every sender of the queue is dropped.
+///
+/// # Errors
+///
+/// [`Broken::Connection`] if a write fails.
+pub async fn write_frames(
+    writer: &mut (impl AsyncWrite + Unpin),
+    queue: &mut mpsc::Receiver<Bytes>,
+) -> Result<(), Broken> {
+    while let Some(frame) = queue.recv().await {
+        writer.write_all(&frame).await?;
+    }
+    Ok(())
+}
--- a/crates/emberpin-registry/src/host.rs
+++ b/crates/emberpin-registry/src/host.rs
@@ -1,303 +1,306 @@
-//! The owner of the registry: takes commands one after the other, and does what it decides.
+//! The event loop of the registry: the only owner of the state machine. It takes commands one after the other, and
+//! applies the actions that the state machine answers with.
 
-use crate::store::Stores;
-use crate::{body, links};
+use crate::commands::{self, Command, CommandSender, FrameSender};
+use crate::connection::UnreadableFrames;
+use crate::outbound::PeerConnection;
+use crate::status_report::{self, ProcessStatus};
+use crate::store_state::StoreState;
 use bytes::Bytes;
-use emberpin_membership::instance::Instance;
-use emberpin_membership::registry::{Action, Answer, Event, Limits, Registry, Taker};
+use emberpin_membership::peers::{Ack, RegistryMessage};
+use emberpin_membership::registry::{Action, Answer, Event, Limits, Registry};
+use emberpin_membership::session::ToLimiter;
 use emberpin_runtime::frames;
 use emberpin_runtime::preamble::ProcessIdentity;
 use emberpin_store::protocol::DiskStatus;
-use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::Ipv4Addr;
-use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
 use tokio::time::{sleep_until, Instant};
 
-/// Commands that wait for the owner; whoever sends more waits.
-const WAITING: usize = 1024;
+/// Commands that are handled before the timer is looked at again.
+const MAX_COMMANDS_PER_TURN: usize = 64;
 
-/// What the owner is told.
-pub enum Command {
-    /// A server's beat.
-    Heartbeat {
-        /// What it says.
-        instance: Instance,
-        /// Where the answer goes.
-        answer: oneshot::Sender<Answer>,
-    },
-    /// A server's end.
-    Leave {
-        /// Which.
-        id: String,
-        /// Where the answer goes.
-        answer: oneshot::Sender<Answer>,
-    },
-    /// Who is to take a call of the operator?
-    Taker {
-        /// Where the answer goes.
-        answer: oneshot::Sender<Taker>,
-    },
-    /// The operator asks how the registry stands.
-    Status {
-        /// The disk of the store on this machine, if that told.
-        disk: Option<DiskStatus>,
-        /// Where the answer goes.
-        answer: oneshot::Sender<String>,
-    },
-    /// A limiter has connected.
-    Session {
-        /// The session's number.
-        session: u64,
-        /// Where frames for it go; dropped, it ends.
-        out: mpsc::Sender<Bytes>,
-    },
-    /// Another registry has connected.
-    Incoming {
-        /// Which.
-        peer: Ipv4Addr,
-        /// Where acknowledgements for it go.
-        out: mpsc::Sender<Bytes>,
-    },
-    /// The connection to another registry is open, or not any more.
-    Outgoing {
-        /// Which.
-        peer: Ipv4Addr,
-        /// Where frames for it go.
-        out: Option<mpsc::Sender<Bytes>>,
-    },
-    /// Something for the registry itself.
-    Event(Event),
-}
-
-/// Where commands go.
-#[derive(Clone)]
-pub struct Commands(mpsc::Sender<Command>);
-
-impl Commands {
-    /// Sends one. The owner lives as long as the process.
-    pub async fn send(&self, command: Command) {
-        _ = self.0.send(command).await;
-    }
-
-    /// Sends an event.
-    pub async fn event(&self, event: Event) {
-        self.send(Command::Event(event)).await;
-    }
-}
-
-/// What a host is told of its machine.
-pub struct Identity {
-    /// Its name, for the operator.
-    pub name: String,
+/// What the event loop knows of its process and machine.
+pub struct HostIdentity {
+    /// The machine's name, for the operator.
+    pub node_name: String,
     /// The port of all registries.
-    pub port: u16,
-    /// What it says first to other processes.
+    pub registry_port: u16,
+    /// This process, as its preamble describes it.
     pub process: Arc<ProcessIdentity>,
+    /// Counts frames of peers and proxies that could not be read.
+    pub unreadable_frames: Arc<UnreadableFrames>,
 }
 
-/// A connection to another registry.
-struct Link {
+/// The connection that this registry keeps open to another one.
+struct OutboundPeer {
+    /// Opens the connection again and again until it is aborted.
     task: JoinHandle<()>,
-    out: Option<mpsc::Sender<Bytes>>,
+    /// Takes messages for the peer while the connection is open.
+    frames: Option<FrameSender>,
 }
 
-/// The owner.
+/// The event loop and what it owns.
 pub struct Host {
-    identity: Identity,
-    me: Ipv4Addr,
+    identity: HostIdentity,
+    local_ip: Ipv4Addr,
     registry: Registry,
-    stores: Arc<Stores>,
-    begin: Instant,
-    commands: Commands,
+    stores: Arc<StoreState>,
+    started_at: Instant,
+    /// Given to the tasks of outbound connections.
+    commands: CommandSender,
     queue: mpsc::Receiver<Command>,
-    answers: HashMap<u64, oneshot::Sender<Answer>>,
-    calls: u64,
-    sessions: HashMap<u64, mpsc::Sender<Bytes>>,
-    incoming: HashMap<Ipv4Addr, mpsc::Sender<Bytes>>,
-    links: BTreeMap<Ipv4Addr, Link>,
-    /// Found while actions were carried out.
-    events: VecDeque<Event>,
+    /// Calls of servers that the state machine has not answered yet, by their id.
+    pending_calls: HashMap<u64, oneshot::Sender<Answer>>,
+    last_call_id: u64,
+    /// Sessions of proxies; a dropped sender closes the connection.
+    sessions: HashMap<u64, FrameSender>,
+    /// Other registries that are connected to this one, for acknowledgements.
+    inbound_peers: HashMap<Ipv4Addr, FrameSender>,
+    /// Other registries that this one connects to, for messages.
+    outbound_peers: BTreeMap<Ipv4Addr, OutboundPeer>,
+    /// Events that were caused by actions; handled once all actions of the current event are applied.
+    deferred_events: VecDeque<Event>,
 }
 
 impl Host {
-    /// One that starts now.
-    pub fn new(identity: Identity, limits: Limits, stores: Arc<Stores>) -> (Host, Commands) {
-        let (send, queue) = mpsc::channel(WAITING);
-        let commands = Commands(send);
+    /// An event loop whose registry starts now, and the sender of commands to it.
+    pub fn new(
+        identity: HostIdentity,
+        limits: Limits,
+        stores: Arc<StoreState>,
+    ) -> (Host, CommandSender) {
+        let (commands, queue) = commands::queue();
         let host = Host {
             identity,
-            me: limits.me,
+            local_ip: limits.me,
             registry: Registry::new(0, limits),
             stores,
-            begin: Instant::now(),
+            started_at: Instant::now(),
             commands: commands.clone(),
             queue,
-            answers: HashMap::new(),
-            calls: 0,
+            pending_calls: HashMap::new(),
+            last_call_id: 0,
             sessions: HashMap::new(),
-            incoming: HashMap::new(),
-            links: BTreeMap::new(),
-            events: VecDeque::new(),
+            inbound_peers: HashMap::new(),
+            outbound_peers: BTreeMap::new(),
+            deferred_events: VecDeque::new(),
         };
         (host, commands)
     }
 
+    /// Milliseconds since the start, the clock of the state machine.
     fn now(&self) -> u64 {
-        u64::try_from(self.begin.elapsed().as_millis()).unwrap_or(u64::MAX)
+        u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Works for as long as the process runs.
+    /// Runs for as long as the process does.
     pub async fn run(mut self) {
         let mut commands = Vec::new();
         loop {
-            let due = self.begin + Duration::from_millis(self.registry.due());
+            let due = self.started_at + Duration::from_millis(self.registry.due());
             tokio::select! {
-                _ = self.queue.recv_many(&mut commands, 64) => {
+                _ = self.queue.recv_many(&mut commands, MAX_COMMANDS_PER_TURN) => {
                     for command in commands.drain(..) {
-                        self.take(command);
+                        self.handle_command(command);
                     }
                 }
-                () = sleep_until(due) => self.handle(Event::Tick),
+                () = sleep_until(due) => self.handle_event(Event::Tick),
             }
         }
     }
 
-    fn take(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         match command {
-            Command::Heartbeat { instance, answer } => {
-                let call = self.owe(answer);
-                self.handle(Event::Heartbeat { call, instance });
+            Command::Heartbeat { instance, response } => {
+                let call = self.register_call(response);
+                self.handle_event(Event::Heartbeat { call, instance });
+            }
+            Command::Leave {
+                instance_id,
+                response,
+            } => {
+                let call = self.register_call(response);
+                let id = instance_id;
+                self.handle_event(Event::Leave { call, id });
+            }
+            Command::FindServingRegistry { response } => {
+                _ = response.send(self.registry.taker(self.now()));
             }
-            Command::Leave { id, answer } => {
-                let call = self.owe(answer);
-                self.handle(Event::Leave { call, id });
+            Command::Status {
+                local_disk,
+                response,
+            } => _ = response.send(self.status(local_disk)),
+            Command::ProxyConnected { session_id, frames } => {
+                self.sessions.insert(session_id, frames);
             }
-            Command::Taker { answer } => _ = answer.send(self.registry.taker(self.now())),
-            Command::Status { disk, answer } => {
-                let unreadable = links::UNREADABLE.load(Ordering::Relaxed);
-                let about = body::About {
-                    name: &self.identity.name,
-                    unreadable,
-                    refused: self.identity.process.refused(),
-                    disk,
-                };
-                _ = answer.send(body::status(&self.registry, &about, self.now()));
+            Command::InboundPeerConnected { peer, frames } => {
+                self.inbound_peers.insert(peer, frames);
             }
-            Command::Session { session, out } => _ = self.sessions.insert(session, out),
-            Command::Incoming { peer, out } => _ = self.incoming.insert(peer, out),
-            Command::Outgoing { peer, out } => {
-                let Some(link) = self.links.get_mut(&peer) else {
-                    return;
-                };
-                let open = out.is_some();
-                link.out = out;
-                self.handle(Event::Reached { peer, open });
+            Command::OutboundPeerConnected { peer, frames } => {
+                self.set_peer_frames(peer, Some(frames));
             }
+            Command::OutboundPeerDisconnected { peer } => self.set_peer_frames(peer, None),
             Command::Event(event) => {
                 if let Event::Ended { session } = event {
                     self.sessions.remove(&session);
                 }
-                self.handle(event);
+                self.handle_event(event);
             }
         }
     }
 
-    fn owe(&mut self, answer: oneshot::Sender<Answer>) -> u64 {
-        self.calls += 1;
-        self.answers.insert(self.calls, answer);
-        self.calls
+    /// Notes who waits for the answer to a server's call; the id by which the state machine answers it.
+    fn register_call(&mut self, response: oneshot::Sender<Answer>) -> u64 {
+        self.last_call_id += 1;
+        self.pending_calls.insert(self.last_call_id, response);
+        self.last_call_id
+    }
+
+    fn status(&self, local_disk: Option<DiskStatus>) -> String {
+        let process = ProcessStatus {
+            node_name: &self.identity.node_name,
+            unreadable_frames: self.identity.unreadable_frames.count(),
+            rejected_peers: self.identity.process.refused(),
+            local_disk,
+        };
+        status_report::to_json(&self.registry, &process, self.now())
+    }
+
+    fn set_peer_frames(&mut self, peer: Ipv4Addr, frames: Option<FrameSender>) {
+        // The state machine may have given up the peer while this command was queued.
+        let Some(outbound) = self.outbound_peers.get_mut(&peer) else {
+            return;
+        };
+        let open = frames.is_some();
+        outbound.frames = frames;
+        self.handle_event(Event::Reached { peer, open });
     }
 
-    fn handle(&mut self, event: Event) {
+    /// Has the state machine handle an event, and whatever its actions cause in turn.
+    fn handle_event(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.events.push_back(event);
-        while let Some(event) = self.events.pop_front() {
+        self.deferred_events.push_back(event);
+        while let Some(event) = self.deferred_events.pop_front() {
             self.registry.handle(self.now(), event, &mut actions);
             for action in actions.drain(..) {
-                self.act(action);
+                self.apply_action(action);
             }
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn apply_action(&mut self, action: Action) {
         match action {
-            Action::Answer { call, answer } => {
-                if let Some(owed) = self.answers.remove(&call) {
-                    _ = owed.send(answer);
-                }
-            }
-            Action::Call { peer } => {
-                let task = tokio::spawn(links::call(
-                    self.identity.process.clone(),
-                    self.me,
-                    peer,
-                    self.identity.port,
-                    self.commands.clone(),
-                ));
-                self.links.insert(peer, Link { task, out: None });
+            Action::Answer { call, answer } => self.answer_call(call, answer),
+            Action::Call { peer } => self.connect_peer(peer),
+            Action::Drop { peer } => self.disconnect_peer(peer),
+            Action::Say { to, said } => self.send_to_peers(&to, &said),
+            Action::Ack { to, ack } => self.acknowledge(to, &ack),
+            Action::Tell { to, told } => self.send_to_proxies(&to, &told),
+            Action::AskStore { question } => self.stores.request_confirmation(question),
+            Action::Close { session } => _ = self.sessions.remove(&session),
+        }
+    }
+
+    fn answer_call(&mut self, call: u64, answer: Answer) {
+        if let Some(response) = self.pending_calls.remove(&call) {
+            _ = response.send(answer);
+        }
+    }
+
+    fn connect_peer(&mut self, peer: Ipv4Addr) {
+        let connection = PeerConnection {
+            identity: self.identity.process.clone(),
+            local_ip: self.local_ip,
+            peer,
+            port: self.identity.registry_port,
+            commands: self.commands.clone(),
+            unreadable_frames: self.identity.unreadable_frames.clone(),
+        };
+        let outbound = OutboundPeer {
+            task: tokio::spawn(connection.run()),
+            frames: None,
+        };
+        self.outbound_peers.insert(peer, outbound);
+    }
+
+    fn disconnect_peer(&mut self, peer: Ipv4Addr) {
+        self.inbound_peers.remove(&peer);
+        if let Some(outbound) = self.outbound_peers.remove(&peer) {
+            outbound.task.abort();
+        }
+    }
+
+    fn send_to_peers(&mut self, peers: &[Ipv4Addr], message: &RegistryMessage) {
+        let frame: Bytes = match frames::frame(message) {
+            Ok(frame) => frame.into(),
+            Err(error) => {
+                log::error!("message to peers cannot be encoded: peers={peers:?} error={error}");
+                return;
             }
-            Action::Drop { peer } => {
-                self.incoming.remove(&peer);
-                if let Some(link) = self.links.remove(&peer) {
-                    link.task.abort();
-                }
+        };
+        for &peer in peers {
+            let Some(outbound) = self.outbound_peers.get_mut(&peer) else {
+                continue;
+            };
+            let sent = outbound
+                .frames
+                .as_ref()
+                .map(|frames| frames.try_send(frame.clone()));
+            if matches!(sent, Some(Err(_))) {
+                // The queue is full or closed. A frame left out would never be repeated on this connection, so it
+                // ends; the next one begins with the whole state.
+                outbound.frames = None;
+                let open = false;
+                self.deferred_events
+                    .push_back(Event::Reached { peer, open });
             }
-            Action::Say { to, said } => {
-                let Some(frame) = frame(&said) else { return };
-                for peer in to {
-                    let Some(link) = self.links.get_mut(&peer) else {
-                        continue;
-                    };
-                    // Full, or gone: a new connection begins with all that there is.
-                    if link
-                        .out
-                        .as_ref()
-                        .is_some_and(|out| out.try_send(frame.clone()).is_err())
-                    {
-                        link.out = None;
-                        self.events.push_back(Event::Reached { peer, open: false });
-                    }
-                }
+        }
+    }
+
+    fn acknowledge(&self, peer: Ipv4Addr, ack: &Ack) {
+        let frame = match frames::frame(ack) {
+            Ok(frame) => frame.into(),
+            Err(error) => {
+                log::error!("acknowledgement cannot be encoded: peer={peer} error={error}");
+                return;
             }
-            Action::Ack { to, ack } => {
-                if let Some((out, frame)) = self.incoming.get(&to).zip(frame(&ack)) {
-                    _ = out.try_send(frame);
+        };
+        if let Some(frames) = self.inbound_peers.get(&peer) {
+            _ = frames.try_send(frame);
+        }
+    }
+
+    fn send_to_proxies(&mut self, sessions: &[u64], message: &ToLimiter) {
+        let frame: Bytes = match frames::frame(message) {
+            Ok(frame) => frame.into(),
+            Err(error) => {
+                log::error!(
+                    "message to proxies cannot be encoded, their sessions close: sessions={sessions:?} error={error}"
+                );
+                for &session in sessions {
+                    self.close_session(session);
                 }
+                return;
             }
-            Action::Tell { to, told } => {
-                let Some(frame) = frame(&told) else {
-                    to.into_iter().for_each(|session| self.close(session));
-                    return;
-                };
-                for session in to {
-                    let full = |out: &mpsc::Sender<Bytes>| out.try_send(frame.clone()).is_err();
-                    if self.sessions.get(&session).is_some_and(full) {
-                        self.close(session);
-                    }
-                }
+        };
+        for &session in sessions {
+            let sent = self
+                .sessions
+                .get(&session)
+                .map(|frames| frames.try_send(frame.clone()));
+            if matches!(sent, Some(Err(_))) {
+                self.close_session(session);
             }
-            Action::AskStore { question } => self.stores.confirm(question),
-            Action::Close { session } => _ = self.sessions.remove(&session),
         }
     }
 
-    fn close(&mut self, session: u64) {
+    fn close_session(&mut self, session: u64) {
         self.sessions.remove(&session);
-        self.events.push_back(Event::Ended { session });
-    }
-}
-
-fn frame<T: Serialize>(message: &T) -> Option<Bytes> {
-    match frames::frame(message) {
-        Ok(frame) => Some(frame.into()),
-        Err(e) => {
-            log::error!("cannot be told: {e}");
-            None
-        }
+        self.deferred_events.push_back(Event::Ended { session });
     }
 }
--- /dev/null
+++ b/crates/emberpin-registry/src/http_api/heartbeat_body.rs
@@ -0,0 +1,103 @@
+//! The JSON body of a heartbeat, read field by field so that an error names the field.
+
+use emberpin_membership::instance::{Instance, Status};
+use emberpin_runtime::settings;
+use jzon::JsonValue;
+use std::time::Duration;
+
+/// A heartbeat whose body cannot be used.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{field}: {problem}")]
+pub struct InvalidHeartbeat {
+    /// Path of the field, or `body` for the whole.
+    pub field: &'static str,
+    /// What is wrong with it.
+    pub problem: FieldProblem,
+}
+
+/// What is wrong with a field of a heartbeat.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum FieldProblem {
+    /// The body is not UTF-8.
+    #[error("is no UTF-8")]
+    NotUtf8,
+    /// The body is not JSON; in one line, what the parser says.
+    #[error("{0}")]
+    NotJson(String),
+    /// The field is missing or has another type; what was expected.
+    #[error("expected {0}")]
+    Expected(&'static str),
+}
+
+fn expected(field: &'static str, what: &'static str) -> InvalidHeartbeat {
+    InvalidHeartbeat {
+        field,
+        problem: FieldProblem::Expected(what),
+    }
+}
+
+/// Reads the body of a heartbeat of the instance with this id.
+///
+/// # Errors
+///
+/// [`InvalidHeartbeat`] names the first field that is missing or cannot be read.
+pub fn parse(instance_id: &str, body: &[u8]) -> Result<Instance, InvalidHeartbeat> {
+    let body = parse_json(body)?;
+    let (info, stat) = (&body["sysinfo"], &body["stat"]);
+    let status = status(&stat["state"])?;
+    let warmup_left = warmup_left(&stat["warm_left"])?;
+    Ok(Instance {
+        id: instance_id.to_string(),
+        service: text(&info["svc"], "sysinfo.svc")?,
+        address: text(&body["addr"], "addr")?
+            .parse()
+            .map_err(|_| expected("addr", "an address"))?,
+        zone: text(&info["az"], "sysinfo.az")?,
+        slots: info["slots"]
+            .as_u32()
+            .ok_or_else(|| expected("sysinfo.slots", "a whole number"))?,
+        status,
+        seq: stat["seq"]
+            .as_u64()
+            .ok_or_else(|| expected("stat.seq", "a whole number"))?,
+        cold_ms: u32::try_from(warmup_left.as_millis()).unwrap_or(u32::MAX),
+    })
+}
+
+fn parse_json(body: &[u8]) -> Result<JsonValue, InvalidHeartbeat> {
+    let invalid = |problem| InvalidHeartbeat {
+        field: "body",
+        problem,
+    };
+    let text = std::str::from_utf8(body).map_err(|_| invalid(FieldProblem::NotUtf8))?;
+    jzon::parse(text).map_err(|error| {
+        let line = error.to_string().replace('\n', " ");
+        invalid(FieldProblem::NotJson(line))
+    })
+}
+
+fn status(state: &JsonValue) -> Result<Status, InvalidHeartbeat> {
+    match state.as_str() {
+        Some("up") => Ok(Status::Up),
+        Some("drain") => Ok(Status::Drain),
+        _ => Err(expected("stat.state", "up or drain")),
+    }
+}
+
+/// How long the server still warms up; a server that does not say is warm.
+fn warmup_left(value: &JsonValue) -> Result<Duration, InvalidHeartbeat> {
+    if value.is_null() {
+        return Ok(Duration::ZERO);
+    }
+    value
+        .as_str()
+        .and_then(settings::time)
+        .ok_or_else(|| expected("stat.warm_left", "a time such as 1500ms"))
+}
+
+fn text(value: &JsonValue, field: &'static str) -> Result<String, InvalidHeartbeat> {
+    value
+        .as_str()
+        .map(str::to_string)
+        .ok_or_else(|| expected(field, "a text"))
+}
--- /dev/null
+++ b/crates/emberpin-registry/src/http_api/route.rs
@@ -0,0 +1,144 @@
+//! Which call a method and a path are: a tree of matchers over the path's segments.
+
+use std::borrow::Cow;
+
+/// A path segment that takes any text is no longer than this.
+const MAX_SUBJECT_BYTES: usize = 128;
+
+/// The calls of the HTTP API.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Route {
+    /// `POST /instances/ID/heartbeat`: a server's heartbeat.
+    Heartbeat,
+    /// `POST /instances/ID/leave`: a server leaves.
+    Leave,
+    /// `POST /config/patch`: a change of the configuration.
+    PatchConfig,
+    /// `GET /config/get`: the whole configuration.
+    GetConfig,
+    /// `POST /evac/ZONE/begin`: the evacuation of a zone begins.
+    BeginEvacuation,
+    /// `POST /evac/ZONE/finish`: the evacuation of a zone ends.
+    FinishEvacuation,
+    /// `GET /status`: the status of this registry.
+    Status,
+}
+
+/// Why a method and a path are no call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RouteError {
+    /// No call has the path.
+    #[error("no call has this path")]
+    NotFound,
+    /// The path's call has another method.
+    #[error("the method of this path is {allowed}")]
+    MethodNotAllowed {
+        /// The call's method.
+        allowed: &'static str,
+    },
+}
+
+/// Matches one path segment; the rest of the path is up to its children.
+struct Matcher {
+    /// `None` matches any segment, which becomes the call's subject.
+    text: Option<&'static str>,
+    children: &'static [Matcher],
+    /// Method and call of the path that ends here, if one does.
+    call: Option<(&'static str, Route)>,
+}
+
+const fn literal(text: &'static str, children: &'static [Matcher]) -> Matcher {
+    Matcher {
+        text: Some(text),
+        children,
+        call: None,
+    }
+}
+
+const fn subject(children: &'static [Matcher]) -> Matcher {
+    Matcher {
+        text: None,
+        children,
+        call: None,
+    }
+}
+
+const fn call(text: &'static str, method: &'static str, route: Route) -> Matcher {
+    Matcher {
+        text: Some(text),
+        children: &[],
+        call: Some((method, route)),
+    }
+}
+
+const MATCHERS: &[Matcher] = &[
+    literal(
+        "instances",
+        &[subject(&[
+            call("heartbeat", "POST", Route::Heartbeat),
+            call("leave", "POST", Route::Leave),
+        ])],
+    ),
+    literal(
+        "config",
+        &[
+            call("patch", "POST", Route::PatchConfig),
+            call("get", "GET", Route::GetConfig),
+        ],
+    ),
+    literal(
+        "evac",
+        &[subject(&[
+            call("begin", "POST", Route::BeginEvacuation),
+            call("finish", "POST", Route::FinishEvacuation),
+        ])],
+    ),
+    call("status", "GET", Route::Status),
+];
+
+/// The call that a method and a path are, and its subject: an instance's id or a zone, empty for calls without one.
+///
+/// # Errors
+///
+/// [`RouteError`] if the path is no call's, or the method is not the one of its call.
+pub fn find<'a>(method: &str, path: &'a str) -> Result<(Route, Cow<'a, str>), RouteError> {
+    let segments = path.strip_prefix('/').ok_or(RouteError::NotFound)?;
+    let mut subject = Cow::Borrowed("");
+    let (mut matchers, mut matched) = (MATCHERS, None);
+    for segment in segments.split('/') {
+        let matcher = matchers.iter().find(|matcher| match matcher.text {
+            Some(text) => text == segment,
+            None => !segment.is_empty() && segment.len() <= MAX_SUBJECT_BYTES,
+        });
+        let matcher = matcher.ok_or(RouteError::NotFound)?;
+        if matcher.text.is_none() {
+            subject = percent_decode(segment).ok_or(RouteError::NotFound)?;
+        }
+        (matchers, matched) = (matcher.children, matcher.call);
+    }
+    match matched {
+        Some((allowed, route)) if allowed == method => Ok((route, subject)),
+        Some((allowed, _)) => Err(RouteError::MethodNotAllowed { allowed }),
+        None => Err(RouteError::NotFound),
+    }
+}
+
+/// A segment without its `%` escapes (RFC 3986, section 2.1); `None` if one is incomplete or the result is not UTF-8.
+fn percent_decode(segment: &str) -> Option<Cow<'_, str>> {
+    if !segment.contains('%') {
+        return Some(Cow::Borrowed(segment));
+    }
+    let mut bytes = Vec::with_capacity(segment.len());
+    let mut rest = segment.bytes();
+    while let Some(byte) = rest.next() {
+        bytes.push(match byte {
+            b'%' => {
+                let digit = |byte: Option<u8>| byte.and_then(|byte| char::from(byte).to_digit(16));
+                let (high, low) = (digit(rest.next())?, digit(rest.next())?);
+                u8::try_from(high * 16 + low).ok()?
+            }
+            other => other,
+        });
+    }
+    String::from_utf8(bytes).ok().map(Cow::Owned)
+}
--- /dev/null
+++ b/crates/emberpin-registry/src/inbound.rs
@@ -0,0 +1,139 @@
+//! Connections that proxies and other registries open to this one.
+
+use crate::commands::{Command, CommandSender};
+use crate::connection::{read_message, receive_preamble, write_frames, UnreadableFrames};
+use crate::tcp;
+use emberpin_membership::peers::RegistryMessage;
+use emberpin_membership::registry::Event;
+use emberpin_membership::session::{First, FromLimiter};
+use emberpin_runtime::frames::Broken;
+use emberpin_runtime::preamble::ProcessIdentity;
+use std::net::Ipv4Addr;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::io::{AsyncRead, AsyncWrite, BufReader};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::mpsc;
+use tokio::time::sleep;
+
+/// A connection without a frame for longer is closed: proxies and registries send heartbeats twice a second.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// A new connection must bring its preamble, and then its first message, within this time each.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long no connection is accepted after `accept` failed, as it does when descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Frames that may wait for a slow reader. One that is further behind is disconnected: it catches up faster from
+/// the snapshot that a new connection begins with.
+pub const FRAME_QUEUE_CAPACITY: usize = 128;
+/// Connections beyond these are closed at once, which leaves descriptors for the HTTP API.
+const MAX_CONNECTIONS: u64 = 640;
+
+/// Accepts proxies and other registries.
+pub struct InboundServer {
+    identity: Arc<ProcessIdentity>,
+    commands: CommandSender,
+    unreadable_frames: Arc<UnreadableFrames>,
+    open_connections: AtomicU64,
+}
+
+impl InboundServer {
+    /// A server that passes what it reads to the event loop.
+    pub fn new(
+        identity: Arc<ProcessIdentity>,
+        commands: CommandSender,
+        unreadable_frames: Arc<UnreadableFrames>,
+    ) -> InboundServer {
+        InboundServer {
+            identity,
+            commands,
+            unreadable_frames,
+            open_connections: AtomicU64::new(0),
+        }
+    }
+
+    /// Accepts connections for as long as the task is not aborted.
+    pub async fn serve(self: Arc<InboundServer>, listener: TcpListener) {
+        let mut session_id = 0;
+        loop {
+            let Ok((stream, peer)) = listener.accept().await else {
+                sleep(ACCEPT_RETRY_DELAY).await;
+                continue;
+            };
+            if self.open_connections.load(Ordering::Relaxed) >= MAX_CONNECTIONS {
+                continue;
+            }
+            session_id += 1;
+            self.open_connections.fetch_add(1, Ordering::Relaxed);
+            let server = self.clone();
+            tokio::spawn(async move {
+                let ended = server.serve_connection(stream, session_id).await;
+                server.unreadable_frames.record_end(peer.ip(), ended);
+                server.open_connections.fetch_sub(1, Ordering::Relaxed);
+            });
+        }
+    }
+
+    /// Serves one connection until either side closes it.
+    async fn serve_connection(&self, stream: TcpStream, session_id: u64) -> Result<(), Broken> {
+        tcp::configure(&stream)?;
+        let (reader, mut writer) = stream.into_split();
+        let mut reader = BufReader::new(reader);
+        receive_preamble(&self.identity, &mut reader, HANDSHAKE_TIMEOUT).await?;
+        self.identity.send(&mut writer).await?;
+        match read_message(&mut reader, HANDSHAKE_TIMEOUT).await? {
+            First::Limiter => self.serve_proxy(session_id, reader, writer).await,
+            First::Registry(peer) => self.serve_peer(peer, reader, writer).await,
+        }
+    }
+
+    async fn serve_proxy(
+        &self,
+        session_id: u64,
+        mut reader: impl AsyncRead + Unpin,
+        mut writer: impl AsyncWrite + Unpin,
+    ) -> Result<(), Broken> {
+        let (frames, mut queued_frames) = mpsc::channel(FRAME_QUEUE_CAPACITY);
+        self.commands
+            .send(Command::ProxyConnected { session_id, frames })
+            .await;
+        let reads = async {
+            loop {
+                let said: FromLimiter = read_message(&mut reader, IDLE_TIMEOUT).await?;
+                let session = session_id;
+                self.commands
+                    .send_event(Event::Limiter { session, said })
+                    .await;
+            }
+        };
+        let ended = tokio::select! {
+            ended = reads => ended,
+            ended = write_frames(&mut writer, &mut queued_frames) => ended,
+        };
+        let session = session_id;
+        self.commands.send_event(Event::Ended { session }).await;
+        ended
+    }
+
+    async fn serve_peer(
+        &self,
+        peer: Ipv4Addr,
+        mut reader: impl AsyncRead + Unpin,
+        mut writer: impl AsyncWrite + Unpin,
+    ) -> Result<(), Broken> {
+        let (frames, mut queued_frames) = mpsc::channel(FRAME_QUEUE_CAPACITY);
+        self.commands
+            .send(Command::InboundPeerConnected { peer, frames })
+            .await;
+        let reads = async {
+            loop {
+                let said: RegistryMessage = read_message(&mut reader, IDLE_TIMEOUT).await?;
+                self.commands.send_event(Event::Peer { peer, said }).await;
+            }
+        };
+        tokio::select! {
+            ended = reads => ended,
+            ended = write_frames(&mut writer, &mut queued_frames) => ended,
+        }
+    }
+}
--- a/crates/emberpin-registry/src/program.rs
+++ b/crates/emberpin-registry/src/program.rs
@@ -1,22 +1,45 @@
-//! The registry's process: one thread, the settings file, two listeners.
+//! The registry's process: the command line, the settings file, and how the parts are wired together on one thread.
 
-use crate::calls::Calls;
-use crate::host::{Host, Identity};
-use crate::store::Stores;
-use crate::{links, net};
+use crate::connection::UnreadableFrames;
+use crate::host::{Host, HostIdentity};
+use crate::http_api::HttpApi;
+use crate::inbound::InboundServer;
+use crate::store_client::StoreClient;
+use crate::store_state::StoreState;
+use crate::store_subscription::StoreSubscription;
+use crate::tcp::{self, ListenError};
 use emberpin_membership::registry::{Limits, PART_BYTES};
 use emberpin_runtime::logs;
 use emberpin_runtime::preamble::ProcessIdentity;
 use emberpin_runtime::settings::{Settings, Wrong};
 use std::ffi::OsString;
+use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::signal::unix::{signal, SignalKind};
+use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// Calls that are at work may end within this time after SIGTERM.
-const ENDS: Duration = Duration::from_millis(250);
+/// Responses that are being written may finish within this time after SIGTERM.
+const SHUTDOWN_GRACE: Duration = Duration::from_millis(250);
+/// The exit status of a process that could not start.
+const EXIT_NOT_STARTED: u8 = 2;
+
+/// Why the process could not start.
+#[derive(Debug, thiserror::Error)]
+enum StartError {
+    #[error("the runtime: {0}")]
+    Runtime(#[source] io::Error),
+    #[error("{name}: {source}")]
+    Signal {
+        name: &'static str,
+        source: io::Error,
+    },
+    #[error("a random number: {0}")]
+    Random(#[source] getrandom::Error),
+    #[error(transparent)]
+    Listen(#[from] ListenError),
+}
 
 /// Runs the program with these arguments.
 pub fn main(arguments: impl Iterator<Item = OsString>) -> ExitCode {
@@ -24,49 +47,43 @@
     options.optflag("", "check", "read the settings, and end");
     options.optflag("h", "help", "show this");
     options.optflag("V", "version", "show the version");
-    let chosen = match options.parse(arguments) {
-        Ok(chosen) if chosen.free.is_empty() => chosen,
-        Ok(chosen) => return wrong(&format!("{}: no such argument", chosen.free[0])),
-        Err(e) => return wrong(&e.to_string()),
+    let matches = match options.parse(arguments) {
+        Ok(matches) if matches.free.is_empty() => matches,
+        Ok(matches) => return fail(&format!("{}: no such argument", matches.free[0])),
+        Err(error) => return fail(&error.to_string()),
     };
-    if chosen.opt_present("help") {
+    if matches.opt_present("help") {
         print!(
             "{}",
             options.usage("emberpin-registry: the registry of the gateway")
         );
         return ExitCode::SUCCESS;
     }
-    if chosen.opt_present("version") {
+    if matches.opt_present("version") {
         println!("emberpin-registry {}", env!("CARGO_PKG_VERSION"));
         return ExitCode::SUCCESS;
     }
-    let (settings, ctl) = match settings() {
+    let (settings, ctl) = match read_settings() {
         Ok(settings) => settings,
-        Err(e) => return wrong(&e.to_string()),
+        Err(error) => return fail(&error.to_string()),
     };
-    if chosen.opt_present("check") {
+    if matches.opt_present("check") {
         return ExitCode::SUCCESS;
     }
     logs::keep(log::LevelFilter::Info);
-    let runtime = match tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-    {
-        Ok(runtime) => runtime,
-        Err(e) => return wrong(&format!("the runtime: {e}")),
-    };
-    match runtime.block_on(run(settings, ctl)) {
+    match run(&settings, ctl) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => wrong(&e),
+        Err(error) => fail(&error.to_string()),
     }
 }
 
-fn wrong(what: &str) -> ExitCode {
-    eprintln!("emberpin-registry: {what}");
-    ExitCode::from(2)
+fn fail(reason: &str) -> ExitCode {
+    eprintln!("emberpin-registry: {reason}");
+    ExitCode::from(EXIT_NOT_STARTED)
 }
 
-fn settings() -> Result<(Settings, SocketAddr), Wrong> {
+/// The settings, and the address of the HTTP API, without which no registry starts.
+fn read_settings() -> Result<(Settings, SocketAddr), Wrong> {
     let settings = Settings::from_env()?;
     let missing = || Wrong {
         file: std::env::var(emberpin_runtime::settings::FILE).unwrap_or_default(),
@@ -77,58 +94,92 @@
     Ok((settings, ctl))
 }
 
-async fn run(settings: Settings, ctl: SocketAddr) -> Result<(), String> {
-    let mut term = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
-    // Settings that change are those of the next instance.
-    let _hup = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
-    let mut instance = [0; 8];
-    getrandom::fill(&mut instance).map_err(|e| format!("a random number: {e}"))?;
-    let port = settings.registry_port();
-    let outside = net::listen(ctl, "ctl")?;
-    let inside = net::listen(SocketAddr::from((settings.ip, port)), "registry")?;
-    let seeds: Vec<Ipv4Addr> = settings
-        .seeds
-        .iter()
-        .filter_map(|seed| match seed {
-            SocketAddr::V4(seed) => Some(*seed.ip()),
-            SocketAddr::V6(_) => None,
-        })
-        .collect();
-    let process = Arc::new(ProcessIdentity::new(u64::from_be_bytes(instance)));
-    let stores = Arc::new(Stores::new(
+/// Runs the registry on this thread until SIGTERM.
+fn run(settings: &Settings, ctl: SocketAddr) -> Result<(), StartError> {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(StartError::Runtime)?;
+    runtime.block_on(serve(settings, ctl))
+}
+
+async fn serve(settings: &Settings, ctl: SocketAddr) -> Result<(), StartError> {
+    let mut terminate = listen_for_signal("SIGTERM", SignalKind::terminate())?;
+    // Registered so that SIGHUP does not end the process; settings are read at the next start.
+    let _hangup = listen_for_signal("SIGHUP", SignalKind::hangup())?;
+    let incarnation = draw_incarnation()?;
+    let registry_address = SocketAddr::from((settings.ip, settings.registry_port()));
+    let http_listener = tcp::listen(ctl, "ctl")?;
+    let registry_listener = tcp::listen(registry_address, "registry")?;
+
+    let (http_api, inbound) = start(settings, incarnation, ctl.port());
+    let inbound = tokio::spawn(inbound.serve(registry_listener));
+    let http = tokio::spawn(http_api.clone().serve(http_listener));
+    terminate.recv().await;
+    http.abort();
+    inbound.abort();
+    http_api.shut_down();
+    tokio::time::sleep(SHUTDOWN_GRACE).await;
+    Ok(())
+}
+
+/// Wires the parts together, and starts those that need no listener: the event loop and the subscription to stores.
+fn start(
+    settings: &Settings,
+    incarnation: u64,
+    ctl_port: u16,
+) -> (Arc<HttpApi>, Arc<InboundServer>) {
+    let process = Arc::new(ProcessIdentity::new(incarnation));
+    let unreadable_frames = Arc::new(UnreadableFrames::default());
+    let stores = Arc::new(StoreState::new(settings.ip, seed_ips(settings)));
+    let identity = HostIdentity {
+        node_name: settings.nodename.clone(),
+        registry_port: settings.registry_port(),
+        process: process.clone(),
+        unreadable_frames: unreadable_frames.clone(),
+    };
+    let (host, commands) = Host::new(identity, limits(settings, incarnation), stores.clone());
+    let store_port = settings.store_port();
+    let client = Arc::new(StoreClient::new(
         process.clone(),
-        settings.ip,
-        settings.store_port(),
-        seeds.clone(),
+        store_port,
+        stores.clone(),
     ));
-    let limits = Limits {
+    StoreSubscription::new(process.clone(), store_port, stores, commands.clone()).start();
+    tokio::spawn(host.run());
+    let http_api = Arc::new(HttpApi::new(commands.clone(), client, ctl_port));
+    let inbound = Arc::new(InboundServer::new(process, commands, unreadable_frames));
+    (http_api, inbound)
+}
+
+fn limits(settings: &Settings, incarnation: u64) -> Limits {
+    let heartbeat_ms = u64::try_from(settings.beat.as_millis()).unwrap_or(u64::MAX);
+    Limits {
         me: settings.ip,
         zone: settings.zone.clone(),
-        incarnation: u64::from_be_bytes(instance),
-        beat_ms: u64::try_from(settings.beat.as_millis())
-            .unwrap_or(u64::MAX)
-            .max(1),
-        seeds,
+        incarnation,
+        beat_ms: heartbeat_ms.max(1),
+        seeds: seed_ips(settings),
         part_bytes: PART_BYTES,
+    }
+}
+
+/// The machines of the seeds; their ports are those of the HTTP API and not used here.
+fn seed_ips(settings: &Settings) -> Vec<Ipv4Addr> {
+    let ipv4 = |seed: &SocketAddr| match seed {
+        SocketAddr::V4(seed) => Some(*seed.ip()),
+        SocketAddr::V6(_) => None,
     };
-    let (host, commands) = Host::new(
-        Identity {
-            name: settings.nodename.clone(),
-            port,
-            process: process.clone(),
-        },
-        limits,
-        stores.clone(),
-    );
-    let calls = Arc::new(Calls::new(commands.clone(), stores.clone(), ctl.port()));
-    stores.follow(&commands);
-    tokio::spawn(host.run());
-    let inside = tokio::spawn(links::serve(inside, process, commands));
-    let outside = tokio::spawn(calls.clone().serve(outside));
-    term.recv().await;
-    outside.abort();
-    inside.abort();
-    calls.stop();
-    tokio::time::sleep(ENDS).await;
-    Ok(())
+    settings.seeds.iter().filter_map(ipv4).collect()
+}
+
+fn listen_for_signal(name: &'static str, kind: SignalKind) -> Result<Signal, StartError> {
+    signal(kind).map_err(|source| StartError::Signal { name, source })
+}
+
+/// Draws the number that tells this start of the process from others.
+fn draw_incarnation() -> Result<u64, StartError> {
+    let mut bytes = [0; 8];
+    getrandom::fill(&mut bytes).map_err(StartError::Random)?;
+    Ok(u64::from_be_bytes(bytes))
 }
--- /dev/null
+++ b/crates/emberpin-registry/src/status_report.rs
@@ -0,0 +1,96 @@
+//! The JSON answer to `GET /status`, which `emberpinctl` reads. Its keys are part of the HTTP interface.
+
+use emberpin_membership::instance::Status;
+use emberpin_membership::instances::Row;
+use emberpin_membership::registry::Registry;
+use emberpin_store::protocol::DiskStatus;
+use jzon::{array, object, JsonValue};
+use std::net::Ipv4Addr;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+/// What the status says beside what the state machine knows.
+pub struct ProcessStatus<'a> {
+    /// The machine's name.
+    pub node_name: &'a str,
+    /// Connections that ended at a frame which could not be read.
+    pub unreadable_frames: u64,
+    /// Peers of another version or system that were rejected.
+    pub rejected_peers: u64,
+    /// The disk of the store on this machine, once it has reported that.
+    pub local_disk: Option<DiskStatus>,
+}
+
+/// The status of a registry as JSON text.
+pub fn to_json(registry: &Registry, process: &ProcessStatus, now: u64) -> String {
+    let status = object! {
+        name: process.node_name,
+        settled: registry.is_settled(now),
+        voters: addresses(registry.voters()),
+        registries: addresses(&registry.heard(now)),
+        limiters: proxies(registry),
+        instances: instances(registry, now),
+        items: registry.items(),
+        unreadable: process.unreadable_frames,
+        refused: process.rejected_peers,
+        disk: process.local_disk.map(disk),
+        clock_ms: unix_time_ms(),
+    };
+    status.dump()
+}
+
+fn addresses(machines: &[Ipv4Addr]) -> Vec<String> {
+    machines.iter().map(ToString::to_string).collect()
+}
+
+/// Sessions of proxies, each with the number of changes that it has not taken yet.
+fn proxies(registry: &Registry) -> JsonValue {
+    let mut proxies = array![];
+    for session in registry.behind() {
+        _ = proxies.push(object! {
+            name: session.limiter.name,
+            zone: session.limiter.zone,
+            behind: session.behind,
+        });
+    }
+    proxies
+}
+
+fn instances(registry: &Registry, now: u64) -> JsonValue {
+    let mut instances = array![];
+    for (id, row) in registry.instances().iter() {
+        _ = instances.push(instance(registry, id, row, now));
+    }
+    instances
+}
+
+fn instance(registry: &Registry, id: &str, row: &Row, now: u64) -> JsonValue {
+    let instance = row.instance(now);
+    object! {
+        id: id,
+        service: instance.service,
+        address: instance.address.to_string(),
+        zone: instance.zone,
+        status: status_name(instance.status),
+        cold_ms: instance.cold_ms,
+        heard_ms: now.saturating_sub(registry.heard_life(row)),
+        owner: row.owner.map(|owner| owner.to_string()),
+    }
+}
+
+fn status_name(status: Status) -> &'static str {
+    match status {
+        Status::Up => "up",
+        Status::Drain => "drain",
+        Status::Gone => "gone",
+    }
+}
+
+fn disk(status: DiskStatus) -> JsonValue {
+    object! { state: status.state.as_str(), used: status.used_bytes, of: status.limit_bytes }
+}
+
+fn unix_time_ms() -> u64 {
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |clock| clock.as_millis() as u64)
+}
--- /dev/null
+++ b/crates/emberpin-registry/src/store_client.rs
@@ -0,0 +1,115 @@
+//! Calls to the stores, with failover from one store to the next.
+
+use crate::store_connection::{StoreConnection, StoreResponse};
+use crate::store_state::{lock, StoreState};
+use emberpin_runtime::frames;
+use emberpin_runtime::preamble::ProcessIdentity;
+use emberpin_store::protocol::{DiskStatus, StoreRequest, ToStore};
+use std::collections::HashMap;
+use std::net::Ipv4Addr;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tokio::time::{timeout, Instant};
+
+/// A store that rejects a call within this time has begun nothing for it, and the next store is called.
+const IMMEDIATE_REJECTION: Duration = Duration::from_millis(300);
+/// The status of a call that may be sent again: 503, Service Unavailable.
+const SERVICE_UNAVAILABLE: u16 = 503;
+
+/// Passes calls of the operator to the stores.
+pub struct StoreClient {
+    identity: Arc<ProcessIdentity>,
+    /// The port of all stores.
+    port: u16,
+    state: Arc<StoreState>,
+    connections: Mutex<HashMap<Ipv4Addr, StoreConnection>>,
+    next_request_id: AtomicU64,
+}
+
+impl StoreClient {
+    /// A client of the stores at this port; connections are opened when they are needed.
+    pub fn new(identity: Arc<ProcessIdentity>, port: u16, state: Arc<StoreState>) -> StoreClient {
+        StoreClient {
+            identity,
+            port,
+            state,
+            connections: Mutex::default(),
+            next_request_id: AtomicU64::new(0),
+        }
+    }
+
+    /// The disk of the store on this machine, as last reported.
+    pub fn local_disk(&self) -> Option<DiskStatus> {
+        self.state.local_disk()
+    }
+
+    /// Calls the stores in turn until one responds; `None` if none does in time. `build_request` is given the id of
+    /// the request, which differs from attempt to attempt.
+    ///
+    /// Calls are idempotent, so the next store is called even if a connection broke after the call was sent on it.
+    pub async fn call(
+        &self,
+        within: Duration,
+        build_request: impl Fn(u64) -> StoreRequest,
+    ) -> Option<StoreResponse> {
+        timeout(within, self.call_in_turn(build_request))
+            .await
+            .ok()
+            .flatten()
+    }
+
+    async fn call_in_turn(
+        &self,
+        build_request: impl Fn(u64) -> StoreRequest,
+    ) -> Option<StoreResponse> {
+        let mut rejection = None;
+        for store in self.stores_in_order() {
+            let id = self.next_request_id.fetch_add(1, Ordering::Relaxed);
+            let called_at = Instant::now();
+            let Some(response) = self.call_store(store, id, build_request(id)).await else {
+                continue;
+            };
+            if response.status != SERVICE_UNAVAILABLE || called_at.elapsed() > IMMEDIATE_REJECTION {
+                return Some(response);
+            }
+            rejection = Some(response);
+        }
+        rejection
+    }
+
+    /// The store on this machine first, or last among several while it could not serve the call.
+    fn stores_in_order(&self) -> Vec<Ipv4Addr> {
+        let local = std::iter::once(self.state.local_ip());
+        let mut stores: Vec<Ipv4Addr> = local.chain(self.state.other_stores()).collect();
+        if self.state.local_store_is_unusable() && stores.len() > 1 {
+            stores.rotate_left(1);
+        }
+        stores
+    }
+
+    async fn call_store(
+        &self,
+        store: Ipv4Addr,
+        id: u64,
+        request: StoreRequest,
+    ) -> Option<StoreResponse> {
+        let frame = frames::frame(&ToStore::Request(request)).ok()?;
+        let connection = self.connection(store).await?;
+        connection.request(id, frame.into()).await
+    }
+
+    /// The open connection to a store, or a new one.
+    async fn connection(&self, store: Ipv4Addr) -> Option<StoreConnection> {
+        let open = lock(&self.connections)
+            .get(&store)
+            .filter(|connection| !connection.is_closed())
+            .cloned();
+        if open.is_some() {
+            return open;
+        }
+        let connection = StoreConnection::open(store, self.port, self.identity.clone()).await?;
+        lock(&self.connections).insert(store, connection.clone());
+        Some(connection)
+    }
+}
--- /dev/null
+++ b/crates/emberpin-registry/src/store_connection.rs
@@ -0,0 +1,139 @@
+//! A connection to one store over which calls are multiplexed: each has an id, and answers come in any order.
+
+use crate::commands::FrameSender;
+use crate::connection::write_frames;
+use crate::store_state::lock;
+use crate::tcp;
+use bytes::Bytes;
+use emberpin_runtime::frames::{self, Broken};
+use emberpin_runtime::preamble::ProcessIdentity;
+use emberpin_store::protocol::StoreReply;
+use std::collections::HashMap;
+use std::net::Ipv4Addr;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tokio::io::{AsyncRead, BufReader};
+use tokio::net::TcpStream;
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::timeout;
+
+/// A store that is not connected by then is passed over, so that time is left for the next one.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Requests that may wait to be written; a caller beyond these waits.
+const REQUEST_QUEUE_CAPACITY: usize = 64;
+
+/// A store's response to a call.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct StoreResponse {
+    /// An HTTP status.
+    pub status: u16,
+    /// The HTTP body.
+    pub body: String,
+}
+
+/// Callers that wait for a response, by the id of their request.
+type PendingRequests = Arc<Mutex<HashMap<u64, oneshot::Sender<StoreResponse>>>>;
+
+/// A connection to one store; clones share it.
+#[derive(Clone)]
+pub struct StoreConnection {
+    frames: FrameSender,
+    pending: PendingRequests,
+}
+
+impl StoreConnection {
+    /// Connects to a store and serves the connection in a task until it breaks or all clones are dropped. `None` if
+    /// the store cannot be reached in time.
+    pub async fn open(
+        store: Ipv4Addr,
+        port: u16,
+        identity: Arc<ProcessIdentity>,
+    ) -> Option<StoreConnection> {
+        let stream = timeout(CONNECT_TIMEOUT, tcp::connect(store, port))
+            .await
+            .ok()?
+            .ok()?;
+        let (frames, queued_frames) = mpsc::channel(REQUEST_QUEUE_CAPACITY);
+        let pending = PendingRequests::default();
+        tokio::spawn(serve(
+            stream,
+            store,
+            identity,
+            queued_frames,
+            pending.clone(),
+        ));
+        Some(StoreConnection { frames, pending })
+    }
+
+    /// Whether the connection has broken.
+    pub fn is_closed(&self) -> bool {
+        self.frames.is_closed()
+    }
+
+    /// Sends an encoded request and waits for the response to it. `None` if the connection breaks first; the store
+    /// may then have handled the request or not.
+    pub async fn request(&self, id: u64, frame: Bytes) -> Option<StoreResponse> {
+        let (responder, response) = oneshot::channel();
+        lock(&self.pending).insert(id, responder);
+        let _pending = PendingRequest {
+            requests: &self.pending,
+            id,
+        };
+        self.frames.send(frame).await.ok()?;
+        response.await.ok()
+    }
+}
+
+/// Removes a request once its response has come or its caller no longer waits.
+struct PendingRequest<'a> {
+    requests: &'a PendingRequests,
+    id: u64,
+}
+
+impl Drop for PendingRequest<'_> {
+    fn drop(&mut self) {
+        lock(self.requests).remove(&self.id);
+    }
+}
+
+async fn serve(
+    stream: TcpStream,
+    store: Ipv4Addr,
+    identity: Arc<ProcessIdentity>,
+    mut queued_frames: mpsc::Receiver<Bytes>,
+    pending: PendingRequests,
+) {
+    let (reader, mut writer) = stream.into_split();
+    let writes = async {
+        identity.send(&mut writer).await?;
+        write_frames(&mut writer, &mut queued_frames).await
+    };
+    let reads = async {
+        let mut reader = BufReader::new(reader);
+        identity.receive(&mut reader).await?;
+        deliver_responses(reader, &pending).await
+    };
+    let ended = tokio::select! { ended = writes => ended, ended = reads => ended };
+    // The queue closes before the callers are dropped: one that adds itself later fails at the queue instead of
+    // waiting for ever.
+    drop(queued_frames);
+    lock(&pending).clear();
+    if let Err(error) = ended {
+        log::debug!("connection for calls to a store closed: store={store} error={error}");
+    }
+}
+
+/// Hands each response to its caller, until the connection breaks.
+async fn deliver_responses(
+    mut reader: impl AsyncRead + Unpin,
+    pending: &PendingRequests,
+) -> Result<(), Broken> {
+    loop {
+        let StoreReply::Response { id, status, body } = frames::read(&mut reader).await? else {
+            continue;
+        };
+        if let Some(caller) = lock(pending).remove(&id) {
+            _ = caller.send(StoreResponse { status, body });
+        }
+    }
+}
--- /dev/null
+++ b/crates/emberpin-registry/src/tcp.rs
@@ -0,0 +1,78 @@
+//! TCP sockets between processes, set up so that a dead or partitioned machine is detected early.
+
+use socket2::{SockRef, TcpKeepalive};
+use std::io;
+use std::net::{Ipv4Addr, SocketAddr};
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
+
+/// A connection that is not established by then has failed: a machine behind a partition gives no answer at all.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// `TCP_USER_TIMEOUT` (RFC 5482): sent data must be acknowledged within this time, or the connection ends.
+const UNACKNOWLEDGED_DATA_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Keepalive probes on an idle connection: how long before the first one, and between two.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// Connections that may wait to be accepted.
+const ACCEPT_BACKLOG: u32 = 1024;
+
+/// A listener could not be opened.
+#[derive(Debug, thiserror::Error)]
+#[error("{listener}: {address}: {source}")]
+pub struct ListenError {
+    /// Which of the process's listeners: `ctl` or `registry`.
+    pub listener: &'static str,
+    /// The address that was asked for.
+    pub address: SocketAddr,
+    /// What the system reports.
+    pub source: io::Error,
+}
+
+/// Opens a listener; `listener` names it in the error.
+///
+/// # Errors
+///
+/// [`ListenError`] if the address cannot be bound, as when another process has it.
+pub fn listen(address: SocketAddr, listener: &'static str) -> Result<TcpListener, ListenError> {
+    bind(address).map_err(|source| ListenError {
+        listener,
+        address,
+        source,
+    })
+}
+
+fn bind(address: SocketAddr) -> io::Result<TcpListener> {
+    let socket = TcpSocket::new_v4()?;
+    socket.set_reuseaddr(true)?;
+    socket.bind(address)?;
+    socket.listen(ACCEPT_BACKLOG)
+}
+
+/// Connects to a process on another machine.
+///
+/// # Errors
+///
+/// What the system reports, or [`io::ErrorKind::TimedOut`] after [`CONNECT_TIMEOUT`].
+pub async fn connect(machine: Ipv4Addr, port: u16) -> io::Result<TcpStream> {
+    let connecting = TcpStream::connect((machine, port));
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting)
+        .await
+        .map_err(io::Error::from)??;
+    configure(&stream)?;
+    Ok(stream)
+}
+
+/// Sets the socket options of a connection between processes.
+///
+/// # Errors
+///
+/// What the system reports.
+pub fn configure(stream: &TcpStream) -> io::Result<()> {
+    stream.set_nodelay(true)?;
+    let socket = SockRef::from(stream);
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_DATA_TIMEOUT))?;
+    socket.set_tcp_keepalive(
+        &TcpKeepalive::new()
+            .with_time(KEEPALIVE_INTERVAL)
+            .with_interval(KEEPALIVE_INTERVAL),
+    )
+}
