--- a/crates/emberpin-proxy/src/controller/configuration.rs
+++ b/crates/emberpin-proxy/src/controller/configuration.rs
@@ -18,11 +18,10 @@
             match item.key.kind {
                 Kind::Service => {
                     if let Ok(listed) = Listed::from_item(item) {
-                        let warmup_ms = listed.warmup.as_secs_f64() * 1000.0;
                         warmth.insert(
                             listed.name,
                             WarmupProfile {
-                                warmup_ms,
+                                duration: listed.warmup,
                                 requests_per_second: listed.warmup_per_s,
                             },
                         );
--- a/crates/emberpin-proxy/src/controller/mod.rs
+++ b/crates/emberpin-proxy/src/controller/mod.rs
@@ -70,7 +70,6 @@
         commands: &mpsc::Sender<Command>,
     ) -> Controller {
         let bounds = &settings.bounds;
-        let millis = |time: Duration| time.as_secs_f64() * 1000.0;
         let rule = WarmupTolerance {
             excess_factor: bounds.warm_excess,
             extra_requests: bounds.warm_extra,
@@ -86,12 +85,12 @@
         );
         Controller {
             begun: Instant::now(),
-            router: Router::new(0.0, &settings.nodename, rule, millis(settings.beat)),
+            router: Router::new(Duration::ZERO, &settings.nodename, rule, settings.beat),
             configuration: Configuration::new(),
             budget: RetryBudget::new(
-                0.0,
+                Duration::ZERO,
                 bounds.retry_ratio,
-                millis(bounds.retry_win),
+                bounds.retry_win,
                 bounds.retry_extra,
             ),
             limiters: 0,
@@ -150,8 +149,8 @@
         }
     }
 
-    fn now(&self) -> f64 {
-        self.begun.elapsed().as_secs_f64() * 1000.0
+    fn now(&self) -> Duration {
+        self.begun.elapsed()
     }
 
     fn fire(&mut self) {
--- a/crates/emberpin-routing/src/guards.rs
+++ b/crates/emberpin-routing/src/guards.rs
@@ -1,31 +1,31 @@
-//! Parts that can be left out, to show that a test sees it.
+//! Safety checks that a test can switch off, to show that it would notice their absence.
 
-/// What keeps a limiter's choice of servers right.
+/// The safety checks of a limiter's choice of servers. All are on outside tests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Guards {
-    /// What was told of an instance only rises, in whatever order it comes.
-    pub rises: bool,
-    /// The servers of a zone that comes back are cold.
-    pub returned: bool,
-    /// A new instance asks no cold server before the sends of its last instance are over.
-    pub quiet: bool,
-    /// The greatest number of limiters that was told stays in force.
-    pub greatest: bool,
-    /// Where not all limiters may ask a cold server, only some do.
-    pub admission: bool,
-    /// A request that goes on is held against the newest routes.
-    pub newest: bool,
+    /// The reported status of an instance only advances, in whatever order reports arrive.
+    pub monotonic_status: bool,
+    /// The servers of a zone whose evacuation has ended count as warming up.
+    pub warmup_after_evacuation: bool,
+    /// A new instance sends nothing to warming servers before the requests of its last instance are over.
+    pub quiet_period: bool,
+    /// The highest limiter count that was reported stays in force.
+    pub highest_limiter_count: bool,
+    /// Where not all limiters may send requests to a warming server, only those with a low hash do.
+    pub hashed_admission: bool,
+    /// A request in flight follows the newest routes.
+    pub newest_routes: bool,
 }
 
 impl Default for Guards {
     fn default() -> Guards {
         Guards {
-            rises: true,
-            returned: true,
-            quiet: true,
-            greatest: true,
-            admission: true,
-            newest: true,
+            monotonic_status: true,
+            warmup_after_evacuation: true,
+            quiet_period: true,
+            highest_limiter_count: true,
+            hashed_admission: true,
+            newest_routes: true,
         }
     }
 }
--- a/crates/emberpin-routing/src/lib.rs
+++ b/crates/emberpin-routing/src/lib.rs
@@ -1,23 +1,28 @@
 //! Decides where a request may go: route matching, traffic splits, retries and their budget, slow start of servers that
 //! are warming up, and zone evacuation.
 //!
-//! No I/O, no clock, no randomness: times are milliseconds of one steady clock, draws lie in [0, 1).
+//! No I/O, no clock, no randomness: the caller passes times of one monotonic clock, measured from any fixed moment, and
+//! random draws in [0, 1).
 #![forbid(unsafe_code)]
 
 pub mod attempt;
 pub mod endpoints;
 #[doc(hidden)]
 pub mod guards;
+pub mod retry;
 pub mod retry_budget;
 pub mod route_matcher;
 pub mod router;
 pub mod slow_start;
 pub mod traffic_split;
+pub mod warmup;
 
-pub use attempt::{AttemptVerdict, RetryDecision};
+pub use attempt::AttemptVerdict;
 pub use emberpin_config::{Route, RouteKind};
-pub use endpoints::{Availability, EndpointChange, EndpointTable, WarmupProfile};
+pub use endpoints::{Availability, EndpointChange, EndpointTable, SnapshotScope};
+pub use retry::RetryDecision;
 pub use retry_budget::RetryBudget;
 pub use route_matcher::RouteMatcher;
-pub use router::{Router, WarmupTolerance};
-pub use slow_start::{SlowStart, WarmupLimit};
+pub use router::Router;
+pub use slow_start::SlowStart;
+pub use warmup::{WarmupLimit, WarmupProfile, WarmupTolerance};
--- a/crates/emberpin-routing/src/retry_budget.rs
+++ b/crates/emberpin-routing/src/retry_budget.rs
@@ -1,139 +1,170 @@
-//! The budget of further arrivals: how often this limiter may send a request to a second server.
+//! The retry budget: how often this limiter may send a request to a server after its first one. Hedged requests count
+//! as retries.
 //!
-//! The rule is a sum over all limiters: in every window `[a, a+W]` the further arrivals at a service stay
-//! under `ratio x requests + extra`, where the requests of `[a, a+W]` or of `[a-W, a]` count, whichever are
-//! more. Nobody is asked here. A limiter spends at `t` only if its further arrivals in `(t-W, t]`, this one
-//! among them, are at most `ratio x SHARE x own requests in (t-W, t] + floor(extra x SHARE / limiters)`.
+//! The rule is a sum over all limiters: in every window `[a, a+W]` the retries at a service stay under `ratio x
+//! requests + extra`, where the requests of `[a, a+W]` or of `[a-W, a]` count, whichever are more. The limiters do not
+//! coordinate. Each spends at `t` only if its retries in `(t-W, t]`, this one included, are at most `ratio x SHARE x
+//! own requests in (t-W, t] + floor(extra x SHARE / limiters)`.
 //!
-//! Why the sum holds. Let `t` be the last time in `[a, a+W]` at which some instance of some limiter spends. What
-//! it spent in `[a, a+W]` lies in `(t-W, t]`, and the requests it was counted against lie in `[a-W, a+W]`.
-//! Each request is counted by one instance only, so all instances together spend at most `ratio x SHARE x requests in
-//! [a-W, a+W]`, which with `SHARE` = 1/2 is at most `ratio x` the greater of both halves: for any number of
-//! limiters and any restarts, as a new instance knows only requests of its own. The extra is not backed by
-//! requests, and a restart forgets what was spent of it; so an instance has none before it is a window old: two
-//! instances of one limiter never spend it in one window. The sum of extras holds while there are at most `1 /
-//! SHARE` times as many limiters as each takes to be there.
+//! Why the sum holds. Let `t` be the last time in `[a, a+W]` at which an instance of any limiter retries. What it spent
+//! in `[a, a+W]` lies in `(t-W, t]`, and the requests it was counted against lie in `[a-W, a+W]`. Each request is
+//! counted by one instance only, so all instances together spend at most `ratio x SHARE x requests in [a-W, a+W]`,
+//! which with `SHARE` = 1/2 is at most `ratio x` the greater of both halves: for any number of limiters and any
+//! restarts, as a new instance knows only requests of its own. The extra is not backed by requests, and a restart
+//! forgets what was spent of it; so an instance has none before it is one window old, and two instances of a limiter
+//! never spend it in the same window. The sum of extras holds while there are at most `1 / SHARE` times as many
+//! limiters as each of them counts.
 
 use std::collections::HashMap;
+use std::time::Duration;
 
-/// The part of the budget that is used.
+/// The part of the budget that limiters use. One half makes the sum over all of them hold, as shown above.
 const SHARE: f64 = 0.5;
-/// Parts of a window that are counted each by itself.
-const PARTS: u64 = 16;
-/// The parts that may reach into a window: one more than fit.
-const RING: usize = PARTS as usize + 1;
-/// How many limiters there are if nobody has said.
-const MANY: u32 = 100;
-/// Most services that are counted; others get no further tries.
-const MOST: usize = 4_096;
+/// Requests and retries are counted per slot, a sixteenth of the window, rather than one by one.
+const SLOTS_PER_WINDOW: u64 = 16;
+/// The slots that are kept: those of a window, and the one before it, which may reach into the window.
+const RING_LENGTH: usize = SLOTS_PER_WINDOW as usize + 1;
+/// The limiter count that is assumed until a registry has reported one.
+const DEFAULT_LIMITER_COUNT: u32 = 100;
+/// The most services that are tracked. While the table is full, other services get no retries.
+const MAX_SERVICES: usize = 4_096;
+/// The shortest window, so that a slot has a length.
+const MIN_WINDOW: Duration = Duration::from_millis(1);
 
-/// What was counted in one part of the time.
+/// The counts of one slot of time.
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
+struct Slot {
     number: u64,
     requests: u32,
-    further: u32,
+    retries: u32,
 }
 
-/// Further arrivals and requests of each service.
+impl Slot {
+    fn new(number: u64) -> Slot {
+        Slot {
+            number,
+            ..Slot::default()
+        }
+    }
+}
+
+/// The retry budget of this limiter, for each service. All times are on the limiter's monotonic clock.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     ratio: f64,
     extra: f64,
-    part_ms: f64,
-    /// The first part of this instance.
-    born: u64,
-    latest: u64,
-    services: HashMap<Box<str>, [Part; RING]>,
+    slot_length: Duration,
+    first_slot: u64,
+    latest_slot: u64,
+    services: HashMap<Box<str>, [Slot; RING_LENGTH]>,
 }
 
 impl RetryBudget {
-    /// For an instance that starts at `now`, with the bounds `retry_ratio`, `retry_win` in milliseconds and
-    /// `retry_extra`.
-    pub fn new(now: f64, ratio: f64, window_ms: f64, extra: f64) -> RetryBudget {
-        let part_ms = window_ms.max(1.0) / PARTS as f64;
-        let born = (now.max(0.0) / part_ms) as u64;
+    /// The budget of an instance that starts at `now`. `ratio`, `window` and `extra` are the settings `retry_ratio`,
+    /// `retry_win` and `retry_extra`.
+    pub fn new(now: Duration, ratio: f64, window: Duration, extra: f64) -> RetryBudget {
+        let slot_length = window.max(MIN_WINDOW) / SLOTS_PER_WINDOW as u32;
+        let first_slot = now.div_duration_f64(slot_length) as u64;
         RetryBudget {
             ratio,
             extra,
-            part_ms,
-            born,
-            latest: born,
+            slot_length,
+            first_slot,
+            latest_slot: first_slot,
             services: HashMap::new(),
         }
     }
 
-    /// A client's request for this service has come.
-    pub fn record_request(&mut self, now: f64, service: &str) {
-        if let Some(part) = self.part(now, service) {
-            part.requests = part.requests.saturating_add(1);
+    /// Counts a client's request for a service, which backs retries there for one window.
+    pub fn record_request(&mut self, now: Duration, service: &str) {
+        if let Some(slot) = self.slot_mut(now, service) {
+            slot.requests = slot.requests.saturating_add(1);
         }
     }
 
-    /// Whether one more arrival after a request's first fits in the budget. `limiters`: how many there are, 0
-    /// if nobody has said.
-    pub fn allows_retry(&self, now: f64, service: &str, limiters: u32) -> bool {
-        let number = self.number(now);
+    /// Whether the budget of a service allows one more retry. `limiter_count` is the number of limiters that share
+    /// `retry_extra`; 0 means that no registry has reported one, and 100 are assumed.
+    pub fn allows_retry(&self, now: Duration, service: &str, limiter_count: u32) -> bool {
+        let current = self.slot_number(now);
         let Some(ring) = self.services.get(service) else {
             return false;
         };
-        let within = |parts: u64| ring.iter().filter(move |part| part.number + parts > number);
-        // Against ourselves: what was spent counts also in the part that reaches into the window, requests do
-        // not.
-        let requests: u64 = within(PARTS).map(|part| u64::from(part.requests)).sum();
-        let further: u64 = within(PARTS + 1).map(|part| u64::from(part.further)).sum();
-        let old = number > self.born + PARTS;
-        let extra = match limiters {
-            _ if !old => 0.0,
-            0 => (self.extra * SHARE / f64::from(MANY)).floor(),
-            _ => (self.extra * SHARE / f64::from(limiters)).floor(),
+        let latest = |slots: u64| {
+            ring.iter()
+                .filter(move |slot| slot.number + slots > current)
+        };
+        // Rounded to the safe side: retries in the slot that only reaches into the window count, requests do not.
+        let requests: u64 = latest(SLOTS_PER_WINDOW)
+            .map(|slot| u64::from(slot.requests))
+            .sum();
+        let retries: u64 = latest(SLOTS_PER_WINDOW + 1)
+            .map(|slot| u64::from(slot.retries))
+            .sum();
+        let extra = self.extra_retries(current, limiter_count);
+        (retries + 1) as f64 <= self.ratio * SHARE * requests as f64 + extra
+    }
+
+    /// This limiter's part of the retries that need no requests to back them.
+    fn extra_retries(&self, current_slot: u64, limiter_count: u32) -> f64 {
+        // The instance before this one may have spent its part in the same window.
+        let is_window_old = current_slot > self.first_slot + SLOTS_PER_WINDOW;
+        if !is_window_old {
+            return 0.0;
+        }
+        let limiter_count = match limiter_count {
+            0 => DEFAULT_LIMITER_COUNT,
+            reported => reported,
         };
-        (further + 1) as f64 <= self.ratio * SHARE * requests as f64 + extra.max(0.0)
+        (self.extra * SHARE / f64::from(limiter_count))
+            .floor()
+            .max(0.0)
     }
 
-    /// A request goes to a server after its first.
-    pub fn record_retry(&mut self, now: f64, service: &str) {
-        if let Some(part) = self.part(now, service) {
-            part.further = part.further.saturating_add(1);
+    /// Counts an attempt of a request after its first one.
+    pub fn record_retry(&mut self, now: Duration, service: &str) {
+        if let Some(slot) = self.slot_mut(now, service) {
+            slot.retries = slot.retries.saturating_add(1);
         }
     }
 
-    /// Services that are counted.
+    /// The number of services that are tracked, at most 4096.
     pub fn tracked_services(&self) -> usize {
         self.services.len()
     }
 
-    /// Time does not go back here: what comes late is counted now.
-    fn number(&self, now: f64) -> u64 {
-        ((now.max(0.0) / self.part_ms) as u64).max(self.latest)
+    /// The slot of a time. It never goes back, since an earlier slot of the ring may hold a later time by now.
+    fn slot_number(&self, now: Duration) -> u64 {
+        (now.div_duration_f64(self.slot_length) as u64).max(self.latest_slot)
     }
 
-    fn part(&mut self, now: f64, service: &str) -> Option<&mut Part> {
-        let number = self.number(now);
-        if number > self.latest {
-            self.latest = number;
-            self.services
-                .retain(|_, ring| ring.iter().any(|part| part.number + PARTS >= number));
+    /// The current slot of a service; `None` if the service is not tracked and the table is full.
+    fn slot_mut(&mut self, now: Duration, service: &str) -> Option<&mut Slot> {
+        let number = self.slot_number(now);
+        if number > self.latest_slot {
+            self.latest_slot = number;
+            self.drop_idle_services();
         }
         if !self.services.contains_key(service) {
-            if self.services.len() >= MOST {
+            if self.services.len() >= MAX_SERVICES {
                 return None;
             }
-            self.services.insert(
-                service.into(),
-                [Part {
-                    number,
-                    ..Part::default()
-                }; RING],
-            );
+            self.services
+                .insert(service.into(), [Slot::new(number); RING_LENGTH]);
         }
-        let part = &mut self.services.get_mut(service)?[(number % RING as u64) as usize];
-        if part.number != number {
-            *part = Part {
-                number,
-                ..Part::default()
-            };
+        let ring = self.services.get_mut(service)?;
+        let slot = &mut ring[(number % RING_LENGTH as u64) as usize];
+        if slot.number != number {
+            *slot = Slot::new(number);
         }
-        Some(part)
+        Some(slot)
+    }
+
+    /// Frees services without a request or retry in the latest window.
+    fn drop_idle_services(&mut self) {
+        let latest = self.latest_slot;
+        self.services.retain(|_, ring| {
+            ring.iter()
+                .any(|slot| slot.number + SLOTS_PER_WINDOW >= latest)
+        });
     }
 }
--- a/crates/emberpin-routing/src/route_matcher.rs
+++ b/crates/emberpin-routing/src/route_matcher.rs
@@ -1,104 +1,111 @@
-//! Which route a request takes: a tree over path segments for each host; the longest prefix wins.
+//! Finds the route of a request: the one with the longest matching prefix among those of its host.
 
 use crate::Route;
 use std::borrow::Cow;
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// What begins with the segments on the way here.
+/// A node of the tree over path segments. Its prefix is the path from the root.
 #[derive(Debug, Default)]
 struct Node {
     route: Option<Rc<Route>>,
-    next: HashMap<Box<str>, Node>,
+    children: HashMap<Box<str>, Node>,
 }
 
-/// The routes in force.
+/// The routes in force, with a tree over path segments for each host.
 #[derive(Debug, Default)]
 pub struct RouteMatcher {
     hosts: HashMap<Box<str>, Node>,
-    named: HashMap<Box<str>, Rc<Route>>,
+    routes_by_name: HashMap<Box<str>, Rc<Route>>,
     generation: u64,
 }
 
 impl RouteMatcher {
-    /// With these routes. A prefix that does not begin and end with a slash matches nothing.
+    /// A matcher for these routes. See [`RouteMatcher::replace`].
     pub fn new(routes: Vec<Route>) -> RouteMatcher {
         let mut matcher = RouteMatcher::default();
         matcher.replace(routes);
         matcher
     }
 
-    /// With these routes from now on. One that is as it was stays the same `Rc`.
+    /// Replaces all routes. An unchanged route keeps its `Rc`. A prefix that does not begin and end with a slash matches
+    /// nothing.
     pub fn replace(&mut self, routes: Vec<Route>) {
-        let before = std::mem::take(&mut self.named);
+        let before = std::mem::take(&mut self.routes_by_name);
         self.hosts.clear();
         for route in routes {
             let route = match before.get(route.name.as_str()) {
                 Some(old) if **old == route => old.clone(),
                 _ => Rc::new(route),
             };
-            self.named.insert(route.name.as_str().into(), route.clone());
-            let Some(mut rest) = route.prefix.strip_prefix('/') else {
-                continue;
-            };
-            if !route.prefix.ends_with('/') {
-                continue;
-            }
-            let mut node = self
-                .hosts
-                .entry(plain(&route.hostname).as_ref().into())
-                .or_default();
-            while let Some((segment, behind)) = rest.split_once('/') {
-                node = node.next.entry(segment.into()).or_default();
-                rest = behind;
-            }
-            node.route = Some(route);
+            self.routes_by_name
+                .insert(route.name.as_str().into(), route.clone());
+            self.insert(route);
         }
         self.generation += 1;
     }
 
-    /// The route for this `Host` header and this path, which is without the query.
+    fn insert(&mut self, route: Rc<Route>) {
+        let Some(mut rest) = route.prefix.strip_prefix('/') else {
+            return;
+        };
+        if !route.prefix.ends_with('/') {
+            return;
+        }
+        let mut node = self
+            .hosts
+            .entry(normalized_host(&route.hostname).as_ref().into())
+            .or_default();
+        while let Some((segment, after)) = rest.split_once('/') {
+            node = node.children.entry(segment.into()).or_default();
+            rest = after;
+        }
+        node.route = Some(route);
+    }
+
+    /// The route for a `Host` header and a path without its query.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
-        let mut node = self.hosts.get(plain(host).as_ref())?;
+        let mut node = self.hosts.get(normalized_host(host).as_ref())?;
         let mut rest = path.strip_prefix('/')?;
         let mut longest = node.route.as_ref();
         // A segment counts only with the slash behind it: "/leny950" does not begin with "/leny950/".
-        while let Some((segment, behind)) = rest.split_once('/') {
-            let Some(next) = node.next.get(segment) else {
+        while let Some((segment, after)) = rest.split_once('/') {
+            let Some(child) = node.children.get(segment) else {
                 break;
             };
-            node = next;
+            node = child;
             longest = node.route.as_ref().or(longest);
-            rest = behind;
+            rest = after;
         }
         longest
     }
 
     /// The route of this name.
-    pub fn named(&self, name: &str) -> Option<&Rc<Route>> {
-        self.named.get(name)
+    pub fn by_name(&self, name: &str) -> Option<&Rc<Route>> {
+        self.routes_by_name.get(name)
     }
 
-    /// All routes in force.
+    /// All routes in force, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Rc<Route>> {
-        self.named.values()
+        self.routes_by_name.values()
     }
 
-    /// Rises with each replacement.
+    /// Rises with each replacement, so that a holder of a route can tell whether to look it up again.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 }
 
-/// A host as it is compared: without port, in lower case.
-fn plain(host: &str) -> Cow<'_, str> {
+/// A host as it is compared: without its port, in lower case.
+fn normalized_host(host: &str) -> Cow<'_, str> {
     let host = match host.rsplit_once(':') {
         // A colon within brackets belongs to an IPv6 address.
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
         _ => host,
     };
-    match host.bytes().any(|byte| byte.is_ascii_uppercase()) {
-        true => Cow::Owned(host.to_ascii_lowercase()),
-        false => Cow::Borrowed(host),
+    if host.bytes().any(|byte| byte.is_ascii_uppercase()) {
+        Cow::Owned(host.to_ascii_lowercase())
+    } else {
+        Cow::Borrowed(host)
     }
 }
--- a/crates/emberpin-routing/src/router.rs
+++ b/crates/emberpin-routing/src/router.rs
@@ -1,118 +1,119 @@
-//! Routes, servers and cold shares together: what binds a request when it is picked, and afterwards while it waits for a
-//! connection or for another attempt.
+//! The routing state of one limiter: routes, endpoints and slow start together. It binds a request when its server is
+//! chosen, and afterwards while the request waits for a connection or a retry.
 
-use crate::endpoints::{EndpointTable, WarmupProfile};
+use crate::endpoints::EndpointTable;
 use crate::guards::Guards;
 use crate::route_matcher::RouteMatcher;
-use crate::slow_start::{SlowStart, WarmupLimit};
+use crate::slow_start::SlowStart;
+use crate::warmup::{WarmupLimit, WarmupTolerance};
 use crate::Route;
 use std::rc::Rc;
+use std::time::Duration;
 
-/// What the rules say of cold servers.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct WarmupTolerance {
-    /// `warm_excess`.
-    pub excess_factor: f64,
-    /// `warm_extra`.
-    pub extra_requests: f64,
-}
-
-/// Routes, servers and cold shares of one limiter.
+/// Routes, endpoints and slow start of one limiter. All times are on its monotonic clock.
 #[derive(Debug)]
 pub struct Router {
-    me: String,
-    rule: WarmupTolerance,
-    limiters: u32,
+    limiter_name: String,
+    tolerance: WarmupTolerance,
+    limiter_count: u32,
     /// The routes in force.
     pub routes: RouteMatcher,
-    /// The servers.
+    /// The known instances of servers.
     pub endpoints: EndpointTable,
-    cold: SlowStart,
+    slow_start: SlowStart,
 }
 
 impl Router {
-    /// For the limiter `me`, whose instance starts at `now`, with the period in which servers beat.
-    pub fn new(now: f64, me: &str, rule: WarmupTolerance, beat_ms: f64) -> Router {
-        let (routes, endpoints) = (RouteMatcher::default(), EndpointTable::new(beat_ms));
+    /// The router of an instance of a limiter that starts at `now`. `heartbeat_interval` is the interval at which servers
+    /// send heartbeats to their registries.
+    pub fn new(
+        now: Duration,
+        limiter_name: &str,
+        tolerance: WarmupTolerance,
+        heartbeat_interval: Duration,
+    ) -> Router {
         Router {
-            me: me.into(),
-            rule,
-            limiters: 0,
-            routes,
-            endpoints,
-            cold: SlowStart::new(now),
+            limiter_name: limiter_name.into(),
+            tolerance,
+            limiter_count: 0,
+            routes: RouteMatcher::default(),
+            endpoints: EndpointTable::new(heartbeat_interval),
+            slow_start: SlowStart::new(now),
         }
     }
 
-    /// For tests.
+    /// As [`Router::new`], with safety checks switched off by a test.
     #[doc(hidden)]
     pub fn with_guards(
-        now: f64,
-        me: &str,
-        rule: WarmupTolerance,
-        beat_ms: f64,
+        now: Duration,
+        limiter_name: &str,
+        tolerance: WarmupTolerance,
+        heartbeat_interval: Duration,
         guards: Guards,
     ) -> Router {
-        let mut router = Router::new(now, me, rule, beat_ms);
-        (router.endpoints.guards, router.cold.guards) = (guards, guards);
+        let mut router = Router::new(now, limiter_name, tolerance, heartbeat_interval);
+        router.endpoints.guards = guards;
+        router.slow_start.guards = guards;
         router
     }
 
-    /// A registry that hears a majority of the others counts so many limiters.
-    pub fn set_limiter_count(&mut self, now: f64, limiters: u32) {
-        self.limiters = limiters;
-        self.cold.set_limiter_count(now, limiters);
+    /// Takes in the limiter count of a registry that reaches a majority of the registries. Before the first one, no
+    /// request is admitted to a warming server.
+    pub fn set_limiter_count(&mut self, now: Duration, limiter_count: u32) {
+        self.limiter_count = limiter_count;
+        self.slow_start.set_limiter_count(now, limiter_count);
     }
 
-    /// The newest route of a request that was sent on to this service by the route `picked`: where it still gives that
-    /// service something and is of the same kind, the request may go on under it. To be asked for all requests that go
-    /// on whenever routes have changed; nothing more is written for one that may not.
+    /// The current route of a request in flight that was forwarded to `service` by the route `chosen`. The request may go
+    /// on under it if it is of the same kind and still gives `service` a weight; otherwise the result is `None`, and
+    /// nothing more of the request may be written. To be asked for all requests in flight whenever routes have changed.
     ///
-    /// Whether a server may get work reaches those requests as [`crate::EndpointTable::changes`], and a cold server's share is
-    /// booked by [`Router::sent`] when it is picked, so neither is asked again here.
+    /// Changes of servers reach those requests by [`EndpointTable::take_changes`], and [`Router::record_send`] has
+    /// counted their share of a warming server when it was chosen, so neither is checked again here.
     pub fn current_route(
         &self,
         host: &str,
         path: &str,
-        picked: &Rc<Route>,
+        chosen: &Rc<Route>,
         service: &str,
     ) -> Option<Rc<Route>> {
-        if !self.endpoints.guards.newest {
-            return Some(picked.clone());
+        if !self.endpoints.guards.newest_routes {
+            return Some(chosen.clone());
         }
-        let gives = |route: &&Rc<Route>| {
-            let mut targets = route.targets.iter();
-            targets.any(|(target, weight)| target == service && *weight > 0)
-        };
-        let newest = self.routes.find(host, path).filter(gives)?;
-        (newest.kind == picked.kind).then(|| newest.clone())
+        let newest = self.routes.find(host, path)?;
+        let gives_service_a_weight = newest
+            .targets
+            .iter()
+            .any(|(target, weight)| target == service && *weight > 0);
+        (gives_service_a_weight && newest.kind == chosen.kind).then(|| newest.clone())
     }
 
-    /// A request goes to this instance now.
-    pub fn record_send(&mut self, now: f64, id: &str) {
-        if self.endpoints.is_warming_up(now, id) {
-            self.cold.record_send(now, id);
+    /// Counts a request that is sent to this instance, if it is warming up.
+    pub fn record_send(&mut self, now: Duration, instance_id: &str) {
+        if self.endpoints.is_warming_up(now, instance_id) {
+            self.slow_start.record_send(now, instance_id);
         }
     }
 
-    /// Whether this limiter may send to this instance now, as far as its coldness goes.
-    pub fn slow_start_admits(&mut self, service: &str, id: &str, now: f64) -> bool {
-        if !self.endpoints.is_warming_up(now, id) {
+    /// Whether slow start allows this limiter to send a request to this instance now. Always, if it is not warming up;
+    /// never, if it is and its service has no warm-up profile.
+    pub fn slow_start_admits(&mut self, service: &str, instance_id: &str, now: Duration) -> bool {
+        if !self.endpoints.is_warming_up(now, instance_id) {
             return true;
         }
-        let Some(WarmupProfile {
-            requests_per_second,
-            ..
-        }) = self.endpoints.warmup_profile(service)
-        else {
+        let Some(profile) = self.endpoints.warmup_profile(service) else {
             return false;
         };
-        let coldness = WarmupLimit {
-            requests_per_second,
-            excess_factor: self.rule.excess_factor,
-            extra_requests: self.rule.extra_requests,
+        let limit = WarmupLimit {
+            requests_per_second: profile.requests_per_second,
+            tolerance: self.tolerance,
         };
-        self.cold
-            .admits(now, id, &coldness, self.limiters, &self.me)
+        self.slow_start.admits(
+            now,
+            instance_id,
+            &limit,
+            self.limiter_count,
+            &self.limiter_name,
+        )
     }
 }
--- a/crates/emberpin-routing/src/slow_start.rs
+++ b/crates/emberpin-routing/src/slow_start.rs
@@ -1,212 +1,241 @@
-//! How much a cold server may get from this limiter, so that the sum over all limiters keeps the bound `B =
-//! floor(requests_per_second x excess + extra)` in every second, also with limiters that are cut off, restarted or unknown
-//! to each other.
+//! Slow start: how many requests this limiter may send to a server that is warming up, so that all limiters together
+//! stay under the server's limit `B` ([`WarmupLimit::max_requests_per_second`]) in every second, also when limiters are
+//! partitioned, restarted or unknown to each other.
 //!
-//! Nobody is asked. With `N` the greatest number of limiters that this one was told in its instance, [`FEWEST`]
-//! at least:
+//! The limiters do not coordinate. With `N` the highest limiter count that was reported to this instance, at least
+//! [`MIN_LIMITER_COUNT`]:
 //!
-//! - `2N <= B`: each may send `floor(B / 2N)` in any second. Strict while there are at most `2N` limiters.
-//! - `2N > B`: a limiter may send one in any second, and only if the hash of the server's id and its own
-//!   name, as a part of all hashes, lies under `p`. With `2N` limiters the number of those that may is a
-//!   binomial sum with mean `2Np`; by Chernoff's bound it passes `B` with a probability of at most `exp(-2N x
-//!   KL((B+1)/2N || p))`, and `p` is the greatest for which this is at most `RISK` for a server. So `B`
-//!   holds also if there are twice as many limiters as was told, and whatever they know of each other.
+//! - `2N <= B`: each limiter may send `floor(B / 2N)` in any second. This is strict while there are at most `2N`
+//!   limiters.
+//! - `2N > B`: a limiter may send one request in any second, and only if the hash of the server's id and its own name,
+//!   as a fraction of all hashes, lies under `p`. With `2N` limiters the number of admitted ones is a binomial sum with
+//!   mean `2Np`; by Chernoff's bound it exceeds `B` with a probability of at most `exp(-2N x KL((B+1)/2N || p))`, and
+//!   `p` is the greatest for which this is at most `MAX_OVERLOAD_PROBABILITY` for a server. So `B` holds even with
+//!   twice as many limiters as reported, whatever they know of each other.
 //!
-//! The count is a floor of what each knew: a limiter that was cut off keeps its greatest. One that has just
-//! started asks no cold server before [`QUIET_MS`] have passed since its start and since the count last rose
-//! by more than an eighth: its last instance may have sent just before, and registries that start too count up
-//! from nothing.
+//! The count is a lower bound of what each limiter knew: one that is partitioned keeps its highest count. An instance
+//! sends nothing to warming servers before [`QUIET_PERIOD`] has passed since its start and since the count last rose by
+//! more than an eighth: the instance before it may have sent just before its end, and registries that start at the same
+//! time count up from zero.
 
 use crate::guards::Guards;
+use crate::warmup::WarmupLimit;
 use std::collections::{HashMap, VecDeque};
+use std::time::Duration;
 
-/// A second as counted here: longer than the rule's, as a request may wait a little between its count and its
-/// first byte on the wire.
-const WINDOW_MS: f64 = 1_250.0;
-/// For how long a limiter must have run, and the count been steady.
-pub const QUIET_MS: f64 = 2_500.0;
-/// As many limiters are taken to be there at least.
-pub const FEWEST: u32 = 8;
-/// The probability that more limiters may ask one cold server than it bears, if all do at once.
-const RISK: f64 = 1e-7;
-
-/// What a cold server bears.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct WarmupLimit {
-    /// Its service's `warmup_per_s`.
-    pub requests_per_second: f64,
-    /// `warm_excess`.
-    pub excess_factor: f64,
-    /// `warm_extra`.
-    pub extra_requests: f64,
-}
-
-impl WarmupLimit {
-    /// Most requests in a second, from all limiters together.
-    pub fn bound(&self) -> u32 {
-        let bound = (self.requests_per_second * self.excess_factor + self.extra_requests).floor();
-        // A cast of a float keeps within the type.
-        if bound.is_nan() {
-            0
-        } else {
-            bound as u32
-        }
-    }
-}
+/// The window in which this limiter counts its requests to a warming server. It is longer than the second of the limit,
+/// as a request may wait a little between its count here and its first byte on the wire.
+const WINDOW: Duration = Duration::from_millis(1_250);
+/// For how long an instance must have run, and the limiter count been steady, before requests go to warming servers.
+pub const QUIET_PERIOD: Duration = Duration::from_millis(2_500);
+/// The least limiter count that is assumed: the first reports after a start are too low.
+pub const MIN_LIMITER_COUNT: u32 = 8;
+/// The limits hold with up to this many times the reported limiter count.
+const COUNT_SAFETY_FACTOR: u32 = 2;
+/// A rise of the limiter count by more than this part of it starts the quiet period again.
+const STEADY_COUNT_DIVISOR: u32 = 8;
+/// The highest probability with which more limiters are admitted to one warming server than its limit allows.
+const MAX_OVERLOAD_PROBABILITY: f64 = 1e-7;
+/// Bisection steps that find the admitted fraction.
+const BISECTION_STEPS: usize = 40;
 
-/// What one limiter may send to a cold server.
+/// One limiter's share of the requests to a warming server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimiterShare {
-    /// The part of all limiters that may.
-    pub admitted: f64,
-    /// Requests of each in any second.
-    pub each: u32,
+    /// The fraction of all limiters that may send requests, in [0, 1].
+    pub admitted_fraction: f64,
+    /// The requests that each admitted limiter may send in any second.
+    pub requests_per_second: u32,
 }
 
 impl LimiterShare {
-    /// For this bound on the sum and this number of limiters.
-    pub fn for_bound(bound: u32, limiters: u32) -> LimiterShare {
-        let twice = limiters.max(FEWEST).saturating_mul(2);
-        if twice <= bound {
+    /// The share for a limit on the requests of all limiters in a second and a limiter count.
+    pub fn new(limit: u32, limiter_count: u32) -> LimiterShare {
+        let assumed_count = limiter_count
+            .max(MIN_LIMITER_COUNT)
+            .saturating_mul(COUNT_SAFETY_FACTOR);
+        if assumed_count <= limit {
             return LimiterShare {
-                admitted: 1.0,
-                each: bound / twice,
+                admitted_fraction: 1.0,
+                requests_per_second: limit / assumed_count,
             };
         }
-        if bound == 0 {
+        if limit == 0 {
             return LimiterShare {
-                admitted: 0.0,
-                each: 0,
+                admitted_fraction: 0.0,
+                requests_per_second: 0,
             };
         }
-        let (all, many) = (f64::from(twice), f64::from(bound) + 1.0);
-        let part = many / all;
-        let rest = |p: f64| {
-            if part < 1.0 {
-                (1.0 - part) * ((1.0 - part) / (1.0 - p)).ln()
-            } else {
-                0.0
-            }
-        };
-        let safe = |p: f64| all * (part * (part / p).ln() + rest(p)) >= -RISK.ln();
-        let (mut low, mut high) = (0.0, part);
-        for _ in 0..40 {
-            let middle = (low + high) / 2.0;
-            if safe(middle) {
-                low = middle;
-            } else {
-                high = middle;
-            }
-        }
         LimiterShare {
-            admitted: low,
-            each: 1,
+            admitted_fraction: greatest_safe_fraction(limit, assumed_count),
+            requests_per_second: 1,
         }
     }
 }
 
-/// What this limiter sent to cold servers of late.
+/// The greatest probability of admission at which more than `limit` of `limiter_count` limiters are admitted with a
+/// probability of at most [`MAX_OVERLOAD_PROBABILITY`].
+fn greatest_safe_fraction(limit: u32, limiter_count: u32) -> f64 {
+    let (trials, overload) = (f64::from(limiter_count), f64::from(limit) + 1.0);
+    let overload_fraction = overload / trials;
+    // Chernoff's bound on the exponent; the second term of the divergence vanishes if all trials are needed.
+    let is_safe = |p: f64| {
+        let rest = if overload_fraction < 1.0 {
+            (1.0 - overload_fraction) * ((1.0 - overload_fraction) / (1.0 - p)).ln()
+        } else {
+            0.0
+        };
+        let divergence = overload_fraction * (overload_fraction / p).ln() + rest;
+        trials * divergence >= -MAX_OVERLOAD_PROBABILITY.ln()
+    };
+    let (mut low, mut high) = (0.0, overload_fraction);
+    for _ in 0..BISECTION_STEPS {
+        let middle = (low + high) / 2.0;
+        if is_safe(middle) {
+            low = middle;
+        } else {
+            high = middle;
+        }
+    }
+    low
+}
+
+/// A share with the arguments that it was computed for: computing it takes forty logarithms, and few limits differ.
+#[derive(Clone, Copy, Debug)]
+struct CachedShare {
+    limit: u32,
+    limiter_count: u32,
+    share: LimiterShare,
+}
+
+/// Admission of this limiter's requests to warming servers. All times are on the limiter's monotonic clock.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
-    quiet_until: f64,
-    limiters: u32,
-    sent: HashMap<Box<str>, VecDeque<f64>>,
-    swept: f64,
-    /// The share last found and what for: finding it takes forty logarithms.
-    last: Option<(u32, u32, LimiterShare)>,
+    quiet_until: Duration,
+    limiter_count: u32,
+    recent_sends: HashMap<Box<str>, VecDeque<Duration>>,
+    last_sweep: Duration,
+    cached_share: Option<CachedShare>,
     pub(crate) guards: Guards,
 }
 
 impl SlowStart {
     /// For an instance that starts at `now`.
-    pub fn new(now: f64) -> SlowStart {
+    pub fn new(now: Duration) -> SlowStart {
         SlowStart {
-            quiet_until: now + QUIET_MS,
-            limiters: 0,
-            sent: HashMap::new(),
-            swept: now,
-            last: None,
+            quiet_until: now + QUIET_PERIOD,
+            limiter_count: 0,
+            recent_sends: HashMap::new(),
+            last_sweep: now,
+            cached_share: None,
             guards: Guards::default(),
         }
     }
 
-    /// A registry that hears a majority of the others counts so many limiters.
-    pub fn set_limiter_count(&mut self, now: f64, limiters: u32) {
-        if limiters > self.limiters.saturating_add(self.limiters / 8) {
-            self.quiet_until = self.quiet_until.max(now + QUIET_MS);
+    /// Takes in the limiter count of a registry that reaches a majority of the registries.
+    pub fn set_limiter_count(&mut self, now: Duration, limiter_count: u32) {
+        let steady = self.limiter_count / STEADY_COUNT_DIVISOR;
+        if limiter_count > self.limiter_count.saturating_add(steady) {
+            self.quiet_until = self.quiet_until.max(now + QUIET_PERIOD);
         }
-        self.limiters = if self.guards.greatest {
-            self.limiters.max(limiters)
+        self.limiter_count = if self.guards.highest_limiter_count {
+            self.limiter_count.max(limiter_count)
         } else {
-            limiters
+            limiter_count
         };
     }
 
-    /// Whether the limiter `me` may send one more request to this cold server now. `limiters`: how many there
-    /// are, 0 if nobody has said; then none may be sent.
+    /// Whether the limiter of this name may send one more request to a warming server now. `limiter_count` is 0 if no
+    /// registry has reported one yet; then no request is admitted.
     pub fn admits(
         &mut self,
-        now: f64,
-        server: &str,
-        cold: &WarmupLimit,
-        limiters: u32,
-        me: &str,
+        now: Duration,
+        instance_id: &str,
+        limit: &WarmupLimit,
+        limiter_count: u32,
+        limiter_name: &str,
     ) -> bool {
-        self.set_limiter_count(now, limiters);
-        if self.limiters == 0 || (now < self.quiet_until && self.guards.quiet) {
+        self.set_limiter_count(now, limiter_count);
+        if self.limiter_count == 0 || (now < self.quiet_until && self.guards.quiet_period) {
             return false;
         }
-        let share = self.share(cold.bound());
-        if admission_hash(server, me) >= share.admitted && self.guards.admission {
+        let share = self.share(limit.max_requests_per_second());
+        let hash = admission_hash(instance_id, limiter_name);
+        if hash >= share.admitted_fraction && self.guards.hashed_admission {
             return false;
         }
-        let of_late =
-            |sent: &VecDeque<f64>| sent.iter().filter(|at| now - **at < WINDOW_MS).count();
-        self.sent.get(server).map_or(0, of_late) < share.each as usize
+        self.sends_in_window(now, instance_id) < share.requests_per_second as usize
     }
 
-    /// A request goes to this cold server; to be said in the same step as `may` allowed it.
-    pub fn record_send(&mut self, now: f64, server: &str) {
-        if now - self.swept >= WINDOW_MS {
-            self.swept = now;
-            self.sent
-                .retain(|_, sent| sent.back().is_some_and(|at| now - at < WINDOW_MS));
+    fn sends_in_window(&self, now: Duration, instance_id: &str) -> usize {
+        self.recent_sends.get(instance_id).map_or(0, |sends| {
+            sends.iter().filter(|at| is_in_window(now, **at)).count()
+        })
+    }
+
+    /// Counts a request to a warming server. To be called in the same step in which [`SlowStart::admits`] allowed it, so
+    /// that no second request is admitted in between.
+    pub fn record_send(&mut self, now: Duration, instance_id: &str) {
+        if now.saturating_sub(self.last_sweep) >= WINDOW {
+            self.last_sweep = now;
+            self.recent_sends
+                .retain(|_, sends| sends.back().is_some_and(|at| is_in_window(now, *at)));
         }
-        let sent = self.sent.entry(server.into()).or_default();
-        while sent.front().is_some_and(|at| now - at >= WINDOW_MS) {
-            sent.pop_front();
+        let sends = self.recent_sends.entry(instance_id.into()).or_default();
+        while sends.front().is_some_and(|at| !is_in_window(now, *at)) {
+            sends.pop_front();
         }
-        sent.push_back(now);
+        sends.push_back(now);
     }
 
-    /// Servers to which something was sent of late.
+    /// The number of servers with requests in the latest window, as of the last sweep.
     pub fn tracked_servers(&self) -> usize {
-        self.sent.len()
+        self.recent_sends.len()
     }
 
-    fn share(&mut self, bound: u32) -> LimiterShare {
-        match self.last {
-            Some((of, limiters, share)) if of == bound && limiters == self.limiters => share,
+    fn share(&mut self, limit: u32) -> LimiterShare {
+        let limiter_count = self.limiter_count;
+        match self.cached_share {
+            Some(cached) if cached.limit == limit && cached.limiter_count == limiter_count => {
+                cached.share
+            }
             _ => {
-                let share = LimiterShare::for_bound(bound, self.limiters);
-                self.last = Some((bound, self.limiters, share));
+                let share = LimiterShare::new(limit, limiter_count);
+                self.cached_share = Some(CachedShare {
+                    limit,
+                    limiter_count,
+                    share,
+                });
                 share
             }
         }
     }
 }
 
-/// Where a limiter stands for a server, in [0, 1): the same in every process and build.
-pub fn admission_hash(server: &str, me: &str) -> f64 {
-    const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+fn is_in_window(now: Duration, at: Duration) -> bool {
+    now.saturating_sub(at) < WINDOW
+}
+
+/// The hash that decides whether a limiter is admitted to a warming server, in [0, 1). It is the same in every process
+/// and build, so that limiters that do not know of each other still agree on how many of them are admitted.
+pub fn admission_hash(instance_id: &str, limiter_name: &str) -> f64 {
+    let bytes = instance_id.bytes().chain([0]).chain(limiter_name.bytes());
+    // FNV-1a spreads the last bytes badly, and names differ in their last bytes.
+    let hash = mix(fnv_1a(bytes));
+    (hash >> 11) as f64 / (1u64 << 53) as f64
+}
+
+fn fnv_1a(bytes: impl Iterator<Item = u8>) -> u64 {
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
-    let bytes = server.bytes().chain([0]).chain(me.bytes());
-    let mut hash = bytes.fold(OFFSET, |hash, byte| {
+    bytes.fold(OFFSET_BASIS, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(PRIME)
-    });
-    // FNV-1a spreads the last bytes badly, and names differ in their last bytes: mixed as in SplitMix64.
+    })
+}
+
+/// The finalizer of `SplitMix64`.
+fn mix(mut hash: u64) -> u64 {
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    hash ^= hash >> 31;
-    (hash >> 11) as f64 / (1u64 << 53) as f64
+    hash ^ (hash >> 31)
 }
--- a/crates/emberpin-routing/tests/common/mod.rs
+++ b/crates/emberpin-routing/tests/common/mod.rs
@@ -1,10 +1,15 @@
-//! What the tests build on.
+//! Fixtures of the tests.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_routing::{Route, RouteKind};
 use std::time::Duration;
 
+/// A time on the limiter's clock.
+pub const fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
+}
+
 /// A route to one service, `s`.
 pub fn route(name: &str, hostname: &str, prefix: &str) -> Route {
     Route {
@@ -21,7 +26,7 @@
     }
 }
 
-/// A instance of the service `s` in the zone `umea` that is not cold.
+/// An instance of the service `s` in the zone `umea` that is not warming up.
 pub fn instance(id: &str, status: Status, seq: u64) -> Instance {
     Instance {
         id: id.into(),
--- a/crates/emberpin-routing/tests/endpoints.rs
+++ b/crates/emberpin-routing/tests/endpoints.rs
@@ -1,25 +1,26 @@
-//! Which servers may get work, whatever comes in whatever order.
+//! Which servers may get requests, in whatever order reports about them arrive.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
-use common::instance;
+use common::{instance, ms};
 use emberpin_membership::instance::{Instance, Status};
-use emberpin_routing::{Availability, EndpointChange, EndpointTable, WarmupProfile};
+use emberpin_routing::{Availability, EndpointChange, EndpointTable, SnapshotScope, WarmupProfile};
 use googletest::prelude::*;
 use proptest::prelude::*;
 use std::collections::{BTreeSet, HashMap};
+use std::time::Duration;
 use Status::{Drain, Gone, Up};
 
-const BEAT: f64 = 1_300.0;
-const WARMUP: f64 = 3_000.0;
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_300);
+const WARMUP: Duration = Duration::from_millis(3_000);
 
-fn endpoints() -> EndpointTable {
-    let mut endpoints = EndpointTable::new(BEAT);
+fn endpoint_table() -> EndpointTable {
+    let mut endpoints = EndpointTable::new(HEARTBEAT_INTERVAL);
     endpoints.set_warmup_profiles(HashMap::from([(
         "s".into(),
         WarmupProfile {
-            warmup_ms: WARMUP,
+            duration: WARMUP,
             requests_per_second: 10.0,
         },
     )]));
@@ -30,7 +31,7 @@
     names.iter().map(|name| (*name).into()).collect()
 }
 
-fn told(endpoints: &mut EndpointTable) -> Vec<(String, Availability)> {
+fn taken_changes(endpoints: &mut EndpointTable) -> Vec<(String, Availability)> {
     endpoints
         .take_changes()
         .into_iter()
@@ -42,34 +43,37 @@
         .collect()
 }
 
-/// Holds `told < known`.
+/// Covers `reported < known`.
 #[gtest]
 fn an_up_after_a_drain_has_no_effect() {
-    let mut endpoints = endpoints();
-    endpoints.update(0.0, &[instance("i", Up, 4)]);
+    let mut endpoints = endpoint_table();
+    endpoints.update(Duration::ZERO, &[instance("i", Up, 4)]);
     expect_that!(endpoints.availability("i"), eq(Availability::Available));
     expect_true!(endpoints.has_available("s"));
-    endpoints.update(0.0, &[instance("i", Drain, 5)]);
+    endpoints.update(Duration::ZERO, &[instance("i", Drain, 5)]);
     expect_that!(endpoints.availability("i"), eq(Availability::Draining));
-    endpoints.update(0.0, &[instance("i", Up, 9)]);
+    endpoints.update(Duration::ZERO, &[instance("i", Up, 9)]);
     expect_that!(endpoints.availability("i"), eq(Availability::Draining));
     expect_false!(endpoints.has_available("s"));
 }
 
-/// Holds the order of `(standing, seq)`: a drain that overtook a beat has the lower number.
+/// Covers the order of `ReportOrder`: a drain that overtook a heartbeat has the lower sequence number.
 #[gtest]
-fn a_drain_with_a_lower_number_still_stands() {
-    let mut endpoints = endpoints();
-    endpoints.update(0.0, &[instance("i", Up, 9), instance("i", Drain, 5)]);
+fn a_drain_with_a_lower_sequence_number_still_wins() {
+    let mut endpoints = endpoint_table();
+    endpoints.update(
+        Duration::ZERO,
+        &[instance("i", Up, 9), instance("i", Drain, 5)],
+    );
     expect_that!(endpoints.availability("i"), eq(Availability::Draining));
 }
 
-/// Holds `self.left` in `merge`, in the arm of `Gone` and in `enter`.
+/// Covers the tombstones in `merge` and in `insert`.
 #[gtest]
-fn who_has_left_is_not_raised() {
-    let mut endpoints = endpoints();
+fn an_older_report_does_not_bring_a_removed_instance_back() {
+    let mut endpoints = endpoint_table();
     endpoints.update(
-        0.0,
+        Duration::ZERO,
         &[
             instance("i", Up, 4),
             instance("i", Gone, 5),
@@ -77,61 +81,76 @@
         ],
     );
     expect_that!(endpoints.availability("i"), eq(Availability::Removed));
-    // Its leave came before any beat.
-    endpoints.update(0.0, &[instance("j", Gone, 5), instance("j", Up, 4)]);
+    // Its end was reported before any heartbeat.
+    endpoints.update(
+        Duration::ZERO,
+        &[instance("j", Gone, 5), instance("j", Up, 4)],
+    );
     expect_that!(endpoints.availability("j"), eq(Availability::Removed));
     expect_that!(endpoints.take_changes(), is_empty());
 }
 
-/// Holds `if !complete`, the removal behind it, and `told <= *left`.
+/// Covers `remove_all_except` and `reported <= last`.
 #[gtest]
-fn only_a_complete_snapshot_takes_away_what_it_does_not_name() {
-    let mut endpoints = endpoints();
-    endpoints.update(0.0, &[instance("i", Up, 4), instance("j", Up, 4)]);
-    endpoints.apply_snapshot(0.0, &[instance("j", Up, 5)], false);
+fn only_a_complete_snapshot_removes_what_it_does_not_name() {
+    let mut endpoints = endpoint_table();
+    endpoints.update(
+        Duration::ZERO,
+        &[instance("i", Up, 4), instance("j", Up, 4)],
+    );
+    endpoints.apply_snapshot(
+        Duration::ZERO,
+        &[instance("j", Up, 5)],
+        SnapshotScope::Partial,
+    );
     expect_that!(endpoints.availability("i"), eq(Availability::Available));
-    endpoints.apply_snapshot(0.0, &[instance("j", Up, 5)], true);
+    endpoints.apply_snapshot(
+        Duration::ZERO,
+        &[instance("j", Up, 5)],
+        SnapshotScope::Complete,
+    );
     expect_that!(endpoints.availability("i"), eq(Availability::Removed));
     expect_that!(endpoints.availability("j"), eq(Availability::Available));
-    endpoints.update(0.0, &[instance("i", Up, 4)]);
+    endpoints.update(Duration::ZERO, &[instance("i", Up, 4)]);
     expect_that!(endpoints.availability("i"), eq(Availability::Removed));
-    // A beat behind the one that was known shows that it lives.
-    endpoints.update(0.0, &[instance("i", Up, 5)]);
+    // A later heartbeat than the known one shows that it is up.
+    endpoints.update(Duration::ZERO, &[instance("i", Up, 5)]);
     expect_that!(endpoints.availability("i"), eq(Availability::Available));
 }
 
-/// Holds `REMEMBERED`.
+/// Covers `MAX_TOMBSTONES`.
 #[gtest]
-fn few_that_have_left_are_remembered() {
-    let mut endpoints = endpoints();
-    (0..5_000).for_each(|k| endpoints.update(0.0, &[instance(&format!("i-{k}"), Gone, 1)]));
+fn the_number_of_tombstones_is_bounded() {
+    let mut endpoints = endpoint_table();
+    (0..5_000)
+        .for_each(|k| endpoints.update(Duration::ZERO, &[instance(&format!("i-{k}"), Gone, 1)]));
     expect_that!(endpoints.tombstones(), eq(4_096));
-    endpoints.update(0.0, &[instance("i-4999", Up, 9)]);
+    endpoints.update(Duration::ZERO, &[instance("i-4999", Up, 9)]);
     expect_that!(endpoints.availability("i-4999"), eq(Availability::Removed));
 }
 
-/// Holds `entry.wrong()` in `work`, and its `<=`.
+/// Covers `is_misdirected` in `availability`, and its `<=`.
 #[gtest]
-fn a_life_that_is_not_at_its_address_gets_nothing_until_a_later_beat() {
-    let mut endpoints = endpoints();
-    endpoints.update(0.0, &[instance("i", Up, 4)]);
+fn a_misdirected_instance_gets_nothing_until_a_later_heartbeat() {
+    let mut endpoints = endpoint_table();
+    endpoints.update(Duration::ZERO, &[instance("i", Up, 4)]);
     endpoints.mark_misdirected("i");
     expect_that!(endpoints.availability("i"), eq(Availability::Removed));
-    endpoints.update(0.0, &[instance("i", Up, 4)]);
+    endpoints.update(Duration::ZERO, &[instance("i", Up, 4)]);
     expect_that!(endpoints.availability("i"), eq(Availability::Removed));
-    // Holds the filter of `instances`: a registry is not told what was found wrong.
-    expect_that!(endpoints.known_instances(0.0), is_empty());
-    endpoints.update(0.0, &[instance("i", Up, 5)]);
+    // Covers the filter of `known_instances`: a registry gets no report of a misdirected instance.
+    expect_that!(endpoints.known_instances(Duration::ZERO), is_empty());
+    endpoints.update(Duration::ZERO, &[instance("i", Up, 5)]);
     expect_that!(endpoints.availability("i"), eq(Availability::Available));
-    expect_that!(endpoints.known_instances(0.0), len(eq(1)));
+    expect_that!(endpoints.known_instances(Duration::ZERO), len(eq(1)));
 }
 
-/// Holds the check of the zone in `work`.
+/// Covers the check of the zone in `availability`.
 #[gtest]
-fn a_zone_that_is_evacuated_gets_nothing() {
-    let mut endpoints = endpoints();
+fn an_evacuated_zone_gets_nothing() {
+    let mut endpoints = endpoint_table();
     endpoints.update(
-        0.0,
+        Duration::ZERO,
         &[
             instance("i", Up, 4),
             Instance {
@@ -140,22 +159,22 @@
             },
         ],
     );
-    endpoints.set_evacuated_zones(0.0, zones(&["umea"]));
+    endpoints.set_evacuated_zones(Duration::ZERO, zones(&["umea"]));
     expect_that!(endpoints.availability("i"), eq(Availability::Draining));
     expect_that!(endpoints.availability("j"), eq(Availability::Available));
-    // One that comes into the zone during its evacuation.
-    endpoints.update(0.0, &[instance("k", Up, 1)]);
+    // A server that starts in the zone during its evacuation.
+    endpoints.update(Duration::ZERO, &[instance("k", Up, 1)]);
     expect_that!(endpoints.availability("k"), eq(Availability::Draining));
-    endpoints.set_evacuated_zones(0.0, zones(&[]));
+    endpoints.set_evacuated_zones(Duration::ZERO, zones(&[]));
     expect_that!(endpoints.availability("i"), eq(Availability::Available));
 }
 
-/// Holds `entry.returned = Some(..)`: the zone's servers may have become cold shortly before.
+/// Covers `begin_warmup_after_evacuation`: the zone's servers may have begun to warm up shortly before.
 #[gtest]
-fn after_an_evacuation_all_servers_of_the_zone_are_cold_for_their_warmup() {
-    let mut endpoints = endpoints();
+fn after_an_evacuation_all_servers_of_the_zone_warm_up() {
+    let mut endpoints = endpoint_table();
     endpoints.update(
-        0.0,
+        Duration::ZERO,
         &[
             instance("i", Up, 4),
             Instance {
@@ -164,128 +183,136 @@
             },
         ],
     );
-    endpoints.set_evacuated_zones(0.0, zones(&["umea"]));
-    endpoints.set_evacuated_zones(10_000.0, zones(&[]));
-    expect_true!(endpoints.is_warming_up(10_000.0, "i"));
-    expect_true!(endpoints.is_warming_up(10_000.0 + WARMUP - 1.0, "i"));
-    expect_false!(endpoints.is_warming_up(10_000.0 + WARMUP, "i"));
-    expect_false!(endpoints.is_warming_up(10_000.0, "j"));
+    endpoints.set_evacuated_zones(Duration::ZERO, zones(&["umea"]));
+    endpoints.set_evacuated_zones(ms(10_000), zones(&[]));
+    expect_true!(endpoints.is_warming_up(ms(10_000), "i"));
+    expect_true!(endpoints.is_warming_up(ms(10_000) + WARMUP - ms(1), "i"));
+    expect_false!(endpoints.is_warming_up(ms(10_000) + WARMUP, "i"));
+    expect_false!(endpoints.is_warming_up(ms(10_000), "j"));
 }
 
-/// Holds `WARMUP_MS`, for a server of a service that is not known.
+/// Covers `DEFAULT_WARMUP`, for a server of a service without a profile.
 #[gtest]
-fn a_server_of_an_unknown_service_stays_cold_for_long() {
-    let mut endpoints = EndpointTable::new(BEAT);
-    endpoints.update(0.0, &[instance("i", Up, 4)]);
-    endpoints.set_evacuated_zones(0.0, zones(&["umea"]));
-    endpoints.set_evacuated_zones(1.0, zones(&[]));
-    expect_true!(endpoints.is_warming_up(10_000.0, "i"));
+fn a_server_of_an_unknown_service_warms_up_for_the_default_time() {
+    let mut endpoints = EndpointTable::new(HEARTBEAT_INTERVAL);
+    endpoints.update(Duration::ZERO, &[instance("i", Up, 4)]);
+    endpoints.set_evacuated_zones(Duration::ZERO, zones(&["umea"]));
+    endpoints.set_evacuated_zones(ms(1), zones(&[]));
+    expect_true!(endpoints.is_warming_up(ms(10_000), "i"));
 }
 
-/// Holds `instance.seq > returned.seq` and `now >= returned.heard_from`: a beat may be from before the end of the
-/// evacuation.
+/// Covers `is_superseded` in `merge_warmup`: a heartbeat may be from before the end of the evacuation.
 #[gtest]
-fn only_a_beat_from_behind_the_end_says_that_a_server_is_warm() {
-    let mut endpoints = endpoints();
-    endpoints.update(0.0, &[instance("i", Up, 4)]);
-    endpoints.set_evacuated_zones(0.0, zones(&["umea"]));
-    endpoints.set_evacuated_zones(10_000.0, zones(&[]));
-    endpoints.update(10_000.0 + BEAT - 1.0, &[instance("i", Up, 5)]);
-    expect_true!(endpoints.is_warming_up(11_400.0, "i"), "told too early");
-    let mut twin = self::endpoints();
-    twin.update(0.0, &[instance("i", Up, 4)]);
-    twin.set_evacuated_zones(0.0, zones(&["umea"]));
-    twin.set_evacuated_zones(10_000.0, zones(&[]));
-    twin.update(11_400.0, &[instance("i", Up, 4)]);
-    expect_true!(twin.is_warming_up(11_400.0, "i"), "the same beat again");
-    twin.update(11_400.0, &[instance("i", Up, 5)]);
+fn only_a_heartbeat_from_after_an_evacuation_ends_the_warmup() {
+    let mut endpoints = endpoint_table();
+    endpoints.update(Duration::ZERO, &[instance("i", Up, 4)]);
+    endpoints.set_evacuated_zones(Duration::ZERO, zones(&["umea"]));
+    endpoints.set_evacuated_zones(ms(10_000), zones(&[]));
+    endpoints.update(
+        ms(10_000) + HEARTBEAT_INTERVAL - ms(1),
+        &[instance("i", Up, 5)],
+    );
+    expect_true!(
+        endpoints.is_warming_up(ms(11_400), "i"),
+        "reported too early"
+    );
+    let mut twin = endpoint_table();
+    twin.update(Duration::ZERO, &[instance("i", Up, 4)]);
+    twin.set_evacuated_zones(Duration::ZERO, zones(&["umea"]));
+    twin.set_evacuated_zones(ms(10_000), zones(&[]));
+    twin.update(ms(11_400), &[instance("i", Up, 4)]);
+    expect_true!(
+        twin.is_warming_up(ms(11_400), "i"),
+        "the same heartbeat again"
+    );
+    twin.update(ms(11_400), &[instance("i", Up, 5)]);
     expect_false!(
-        twin.is_warming_up(11_400.0, "i"),
-        "a later beat, told late enough"
+        twin.is_warming_up(ms(11_400), "i"),
+        "a later heartbeat, reported late enough"
     );
     twin.update(
-        12_000.0,
+        ms(12_000),
         &[Instance {
             cold_ms: 500,
             ..instance("i", Up, 6)
         }],
     );
-    expect_true!(twin.is_warming_up(12_400.0, "i"), "its own word counts");
+    expect_true!(twin.is_warming_up(ms(12_400), "i"), "its own report counts");
 }
 
-/// Holds `until.max(entry.cold_until)` for the same beat, and that a later one may say less.
+/// Covers `until.max(self.reported_warmup_until)` for the same heartbeat, and that a later one may say less.
 #[gtest]
-fn a_cold_time_counts_from_when_it_is_told() {
-    let mut endpoints = endpoints();
+fn a_remaining_warmup_counts_from_when_it_is_reported() {
+    let mut endpoints = endpoint_table();
     endpoints.update(
-        1_000.0,
+        ms(1_000),
         &[Instance {
             cold_ms: 500,
             ..instance("i", Up, 4)
         }],
     );
-    expect_true!(endpoints.is_warming_up(1_499.0, "i"));
-    expect_false!(endpoints.is_warming_up(1_500.0, "i"));
+    expect_true!(endpoints.is_warming_up(ms(1_499), "i"));
+    expect_false!(endpoints.is_warming_up(ms(1_500), "i"));
     endpoints.update(
-        1_100.0,
+        ms(1_100),
         &[Instance {
             cold_ms: 0,
             ..instance("i", Up, 4)
         }],
     );
-    expect_true!(endpoints.is_warming_up(1_499.0, "i"));
+    expect_true!(endpoints.is_warming_up(ms(1_499), "i"));
     expect_that!(
-        endpoints.known_instances(1_100.0),
+        endpoints.known_instances(ms(1_100)),
         elements_are![field!(Instance.cold_ms, eq(&400))]
     );
     endpoints.update(
-        1_200.0,
+        ms(1_200),
         &[Instance {
             cold_ms: 0,
             ..instance("i", Up, 5)
         }],
     );
-    expect_false!(endpoints.is_warming_up(1_200.0, "i"));
-    // SlowStart again at any moment, by its own answer.
-    endpoints.extend_warmup(2_000.0, "i", 300.0);
-    expect_true!(endpoints.is_warming_up(2_299.0, "i"));
-    endpoints.extend_warmup(2_000.0, "i", 0.0);
-    expect_true!(endpoints.is_warming_up(2_299.0, "i"));
+    expect_false!(endpoints.is_warming_up(ms(1_200), "i"));
+    // The response of a server may extend its warm-up at any time.
+    endpoints.extend_warmup(ms(2_000), "i", ms(300));
+    expect_true!(endpoints.is_warming_up(ms(2_299), "i"));
+    endpoints.extend_warmup(ms(2_000), "i", Duration::ZERO);
+    expect_true!(endpoints.is_warming_up(ms(2_299), "i"));
 }
 
-/// Holds the comparison with `known` in `changes`, and `unheard`.
+/// Covers the comparison in `ChangeTracker::report`, and that the removal of an unreported instance is not reported.
 #[gtest]
-fn a_host_is_told_each_difference_once() {
-    let mut endpoints = endpoints();
+fn each_difference_is_reported_once() {
+    let mut endpoints = endpoint_table();
     let beat = |seq, slots| Instance {
         slots,
         ..instance("i", Up, seq)
     };
-    endpoints.update(0.0, &[beat(1, 2), instance("j", Drain, 1)]);
+    endpoints.update(Duration::ZERO, &[beat(1, 2), instance("j", Drain, 1)]);
     let all = [
         ("i".into(), Availability::Available),
         ("j".into(), Availability::Draining),
     ];
-    expect_that!(told(&mut endpoints), container_eq(all));
-    endpoints.update(0.0, &[beat(2, 2)]);
-    expect_that!(told(&mut endpoints), is_empty());
-    endpoints.update(0.0, &[beat(3, 4)]);
+    expect_that!(taken_changes(&mut endpoints), container_eq(all));
+    endpoints.update(Duration::ZERO, &[beat(2, 2)]);
+    expect_that!(taken_changes(&mut endpoints), is_empty());
+    endpoints.update(Duration::ZERO, &[beat(3, 4)]);
     expect_that!(
         endpoints.take_changes(),
         elements_are![field!(EndpointChange.slots, eq(&4))]
     );
     endpoints.mark_misdirected("i");
     expect_that!(
-        told(&mut endpoints),
+        taken_changes(&mut endpoints),
         container_eq([("i".into(), Availability::Removed)])
     );
-    endpoints.update(0.0, &[beat(4, 4)]);
+    endpoints.update(Duration::ZERO, &[beat(4, 4)]);
     expect_that!(
-        told(&mut endpoints),
+        taken_changes(&mut endpoints),
         container_eq([("i".into(), Availability::Available)])
     );
     endpoints.update(
-        0.0,
+        Duration::ZERO,
         &[
             instance("i", Gone, 5),
             instance("j", Gone, 5),
@@ -294,21 +321,21 @@
         ],
     );
     expect_that!(
-        told(&mut endpoints),
+        taken_changes(&mut endpoints),
         container_eq([
             ("i".into(), Availability::Removed),
             ("j".into(), Availability::Removed)
         ])
     );
-    expect_that!(told(&mut endpoints), is_empty());
+    expect_that!(taken_changes(&mut endpoints), is_empty());
 }
 
-/// Holds `self.generation += 1` in `touch`, in `merge` and in `cold_for`.
+/// Covers `self.generation += 1` in `mark_changed`, in `merge` and in `extend_warmup`.
 #[gtest]
-fn the_generation_rises_with_all_that_could_forbid_a_send() {
-    let mut endpoints = endpoints();
+fn the_generation_rises_with_whatever_could_forbid_a_request() {
+    let mut endpoints = endpoint_table();
     endpoints.update(
-        0.0,
+        Duration::ZERO,
         &[
             instance("i", Up, 4),
             instance("j", Up, 4),
@@ -321,53 +348,53 @@
         last = endpoints.generation();
     };
     endpoints.update(
-        0.0,
+        Duration::ZERO,
         &[Instance {
             cold_ms: 100,
             ..instance("i", Up, 4)
         }],
     );
-    rises(&endpoints, "cold");
-    endpoints.extend_warmup(0.0, "i", 200.0);
-    rises(&endpoints, "cold by its answer");
-    endpoints.set_evacuated_zones(0.0, zones(&["umea"]));
+    rises(&endpoints, "warming up");
+    endpoints.extend_warmup(Duration::ZERO, "i", ms(200));
+    rises(&endpoints, "warm-up extended by a response");
+    endpoints.set_evacuated_zones(Duration::ZERO, zones(&["umea"]));
     rises(&endpoints, "evacuated");
-    endpoints.set_evacuated_zones(0.0, zones(&[]));
-    rises(&endpoints, "cold after an evacuation");
-    endpoints.update(0.0, &[instance("i", Drain, 5)]);
+    endpoints.set_evacuated_zones(Duration::ZERO, zones(&[]));
+    rises(&endpoints, "warming up after an evacuation");
+    endpoints.update(Duration::ZERO, &[instance("i", Drain, 5)]);
     rises(&endpoints, "drain");
     endpoints.mark_misdirected("j");
-    rises(&endpoints, "wrong");
-    endpoints.apply_snapshot(0.0, &[], true);
+    rises(&endpoints, "misdirected");
+    endpoints.apply_snapshot(Duration::ZERO, &[], SnapshotScope::Complete);
     rises(&endpoints, "not named");
 }
 
-/// Holds that a drop by a snapshot remembers the number of a 421.
+/// Covers that the removal by a snapshot leaves a tombstone.
 #[gtest]
-fn the_order_of_a_snapshot_and_a_421_does_not_matter() {
-    let mut endpoints = endpoints();
-    endpoints.update(0.0, &[instance("i", Up, 4)]);
+fn a_misdirected_instance_that_a_snapshot_removes_stays_removed() {
+    let mut endpoints = endpoint_table();
+    endpoints.update(Duration::ZERO, &[instance("i", Up, 4)]);
     endpoints.mark_misdirected("i");
-    endpoints.apply_snapshot(0.0, &[], true);
-    endpoints.update(0.0, &[instance("i", Up, 4)]);
+    endpoints.apply_snapshot(Duration::ZERO, &[], SnapshotScope::Complete);
+    endpoints.update(Duration::ZERO, &[instance("i", Up, 4)]);
     expect_that!(endpoints.availability("i"), eq(Availability::Removed));
 }
 
-fn message() -> impl Strategy<Value = Instance> {
+fn report() -> impl Strategy<Value = Instance> {
     let status = prop_oneof![4 => Just(Up), 2 => Just(Drain), 1 => Just(Gone)];
     (0..4, status, 1u64..6).prop_map(|(id, status, seq)| instance(&format!("i-{id}"), status, seq))
 }
 
 proptest! {
-    /// Holds the order in `merge`: the same messages in any order, also repeated, lead to the same servers.
+    /// Covers the order in `merge`: the same reports in any order, also repeated, lead to the same servers.
     #[test]
-    fn messages_in_any_order_lead_to_the_same_servers(
-        (one, other) in proptest::collection::vec(message(), 0..24)
-            .prop_flat_map(|told| (Just(told.clone()), Just([told.clone(), told].concat()).prop_shuffle())),
+    fn reports_in_any_order_lead_to_the_same_servers(
+        (one, other) in proptest::collection::vec(report(), 0..24)
+            .prop_flat_map(|reports| (Just(reports.clone()), Just([reports.clone(), reports].concat()).prop_shuffle())),
     ) {
-        let (mut left, mut right) = (endpoints(), endpoints());
-        left.update(0.0, &one);
-        other.chunks(3).for_each(|some| right.update(0.0, some));
+        let (mut left, mut right) = (endpoint_table(), endpoint_table());
+        left.update(Duration::ZERO, &one);
+        other.chunks(3).for_each(|some| right.update(Duration::ZERO, some));
         for id in ["i-0", "i-1", "i-2", "i-3"] {
             prop_assert_eq!(left.availability(id), right.availability(id));
             let top = one.iter().filter(|instance| instance.id == id).map(|instance| (instance.status, instance.seq)).max();
@@ -380,21 +407,24 @@
         }
     }
 
-    /// Holds the comparison in `changes`: who follows them knows what the endpoints knows.
+    /// Covers the comparison in `ChangeTracker::report`: the changes add up to what the table knows.
     #[test]
-    fn who_follows_the_changes_knows_all(steps in proptest::collection::vec((0..5, message()), 0..40)) {
-        let mut endpoints = endpoints();
+    fn the_changes_add_up_to_the_availability_of_all_instances(steps in proptest::collection::vec((0..5, report()), 0..40)) {
+        let mut endpoints = endpoint_table();
         let mut follower: HashMap<String, Availability> = HashMap::new();
         for (what, instance) in &steps {
             match what {
                 0 => endpoints.mark_misdirected(&instance.id),
-                1 => endpoints.set_evacuated_zones(0.0, zones(if instance.seq > 3 { &["umea"] } else { &[] })),
-                2 => endpoints.apply_snapshot(0.0, std::slice::from_ref(instance), instance.seq > 3),
-                _ => endpoints.update(0.0, std::slice::from_ref(instance)),
+                1 => endpoints.set_evacuated_zones(Duration::ZERO, zones(if instance.seq > 3 { &["umea"] } else { &[] })),
+                2 => {
+                    let scope = if instance.seq > 3 { SnapshotScope::Complete } else { SnapshotScope::Partial };
+                    endpoints.apply_snapshot(Duration::ZERO, std::slice::from_ref(instance), scope);
+                }
+                _ => endpoints.update(Duration::ZERO, std::slice::from_ref(instance)),
             }
             for change in endpoints.take_changes() {
                 let before = follower.insert(change.id.clone(), change.availability);
-                prop_assert_ne!(before, Some(change.availability), "{} is told twice", change.id);
+                prop_assert_ne!(before, Some(change.availability), "{} is reported twice", change.id);
             }
             for id in ["i-0", "i-1", "i-2", "i-3"] {
                 prop_assert_eq!(follower.get(id).copied().unwrap_or(Availability::Removed), endpoints.availability(id));
@@ -403,12 +433,12 @@
     }
 }
 
-/// Holds `told < known` for the cold time: an older beat says nothing of now.
+/// Covers `reported < known` for the warm-up: an older heartbeat says nothing about now.
 #[gtest]
-fn an_older_beat_does_not_make_a_server_cold() {
-    let mut endpoints = endpoints();
+fn an_older_heartbeat_does_not_extend_the_warmup() {
+    let mut endpoints = endpoint_table();
     endpoints.update(
-        0.0,
+        Duration::ZERO,
         &[
             instance("i", Up, 5),
             Instance {
@@ -417,25 +447,28 @@
             },
         ],
     );
-    expect_false!(endpoints.is_warming_up(1_000.0, "i"));
+    expect_false!(endpoints.is_warming_up(ms(1_000), "i"));
 }
 
-/// Holds `max(instance.seq)`: a drain with a lower number does not lower what is told on.
+/// Covers `max(report.seq)`: a drain with a lower sequence number does not lower the reported one.
 #[gtest]
-fn the_highest_number_stays_known() {
-    let mut endpoints = endpoints();
-    endpoints.update(0.0, &[instance("i", Up, 9), instance("i", Drain, 5)]);
+fn the_highest_sequence_number_is_kept() {
+    let mut endpoints = endpoint_table();
+    endpoints.update(
+        Duration::ZERO,
+        &[instance("i", Up, 9), instance("i", Drain, 5)],
+    );
     expect_that!(
-        endpoints.known_instances(0.0),
+        endpoints.known_instances(Duration::ZERO),
         elements_are![field!(Instance.seq, eq(&9))]
     );
 }
 
-/// Holds the comparison of services in `usable`.
+/// Covers the comparison of services in `has_available`.
 #[gtest]
-fn a_server_makes_only_its_own_service_usable() {
-    let mut endpoints = endpoints();
-    endpoints.update(0.0, &[instance("i", Up, 1)]);
+fn a_server_makes_only_its_own_service_available() {
+    let mut endpoints = endpoint_table();
+    endpoints.update(Duration::ZERO, &[instance("i", Up, 1)]);
     expect_true!(endpoints.has_available("s"));
     expect_false!(endpoints.has_available("t"));
 }
--- a/crates/emberpin-routing/tests/route_matcher.rs
+++ b/crates/emberpin-routing/tests/route_matcher.rs
@@ -29,7 +29,7 @@
         name(&matcher, "a.example", "/leny950/2f/x"),
         some(eq("long"))
     );
-    // Holds `or(longest)`: a node on the way to a longer prefix has no route of its own.
+    // Covers `or(longest)`: a node on the way to a longer prefix has no route of its own.
     expect_that!(
         name(&matcher, "a.example", "/leny950/2g/x"),
         some(eq("short"))
@@ -39,7 +39,7 @@
     expect_that!(name(&matcher, "c.example", "/leny950/2f"), none());
 }
 
-/// Holds `or(longest)`: the nodes between two prefixes have no route.
+/// Covers `or(longest)`: the nodes between two prefixes have no route.
 #[gtest]
 fn a_node_without_a_route_does_not_hide_the_shorter_prefix() {
     let matcher = RouteMatcher::new(vec![
@@ -49,7 +49,7 @@
     expect_that!(name(&matcher, "a", "/x/y/w"), some(eq("short")));
 }
 
-/// Holds `split_once('/')` in `find`: a last segment without a slash is no part of a prefix.
+/// Covers `split_once('/')` in `find`: a last segment without a slash is no part of a prefix.
 #[gtest]
 fn a_prefix_without_its_slash_does_not_match() {
     let matcher = RouteMatcher::new(vec![route("r", "a", "/leny950/")]);
@@ -62,7 +62,7 @@
     expect_that!(name(&matcher, "a", ""), none());
 }
 
-/// Holds `plain` in `find` and in `replace`.
+/// Covers `normalized_host` in `find` and in `insert`.
 #[gtest]
 fn hosts_are_compared_without_case_and_port() {
     let matcher = RouteMatcher::new(vec![
@@ -77,9 +77,9 @@
     expect_that!(name(&matcher, "hulo84.example:x", "/"), none());
 }
 
-/// Holds `self.hosts.clear()`, and the arm that keeps a route that is as it was.
+/// Covers `self.hosts.clear()`, and the arm that keeps an unchanged route.
 #[gtest]
-fn a_replacement_drops_what_is_not_named_and_keeps_what_is_the_same() {
+fn a_replacement_drops_missing_routes_and_keeps_unchanged_ones() {
     let mut matcher = RouteMatcher::new(vec![route("keep", "a", "/x/"), route("drop", "a", "/y/")]);
     let kept = matcher.find("a", "/x/").cloned();
     let before = matcher.generation();
@@ -102,7 +102,7 @@
     expect_that!(matcher.find("a", "/x/").map(|route| route.ver), some(eq(3)));
 }
 
-/// Holds the check of the last slash: such a prefix is no valid one, and must not match half of itself.
+/// Covers the check of the last slash: such a prefix is not valid, and must not match a part of itself.
 #[gtest]
 fn a_prefix_that_does_not_end_with_a_slash_matches_nothing() {
     let matcher = RouteMatcher::new(vec![route("r", "a", "/x/y")]);
@@ -110,8 +110,7 @@
     expect_that!(name(&matcher, "a", "/x/"), none());
 }
 
-/// What the pages say, word for word: of the routes of that host, the one whose prefix begins the path and is
-/// longest.
+/// The specification: of the routes of that host, the one with the longest prefix that begins the path.
 fn by_scan<'a>(routes: &'a [Route], host: &str, path: &str) -> Option<&'a str> {
     let fits = |route: &&Route| route.hostname == host && path.starts_with(&route.prefix);
     routes
@@ -123,14 +122,14 @@
 
 proptest! {
     #[test]
-    fn the_tree_finds_what_a_scan_finds(
+    fn the_tree_finds_the_same_route_as_a_scan(
         prefixes in proptest::collection::btree_set(("[ab]", "/([ab]{0,2}/){0,3}"), 0..30),
-        asked in proptest::collection::vec(("[abc]", "/?([ab]{0,2}/?){0,4}"), 1..30),
+        requests in proptest::collection::vec(("[abc]", "/?([ab]{0,2}/?){0,4}"), 1..30),
     ) {
         let named = prefixes.iter().enumerate();
         let routes: Vec<Route> = named.map(|(k, (host, prefix))| route(&format!("r{k}"), host, prefix)).collect();
         let matcher = RouteMatcher::new(routes.clone());
-        for (host, path) in &asked {
+        for (host, path) in &requests {
             prop_assert_eq!(name(&matcher, host, path), by_scan(&routes, host, path), "{} {}", host, path);
         }
     }
--- a/crates/emberpin-routing/tests/router.rs
+++ b/crates/emberpin-routing/tests/router.rs
@@ -1,82 +1,97 @@
-//! What binds a request when it is picked and while it goes on: news that comes while it waits for a connection.
+//! What binds a request when its server is chosen and while it is in flight: updates that arrive while it waits for a
+//! connection.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
-use common::{instance, route};
+use common::{instance, ms, route};
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_routing::guards::Guards;
-use emberpin_routing::{Availability, Route, RouteKind, Router, WarmupProfile, WarmupTolerance};
+use emberpin_routing::{
+    Availability, Route, RouteKind, Router, SnapshotScope, WarmupProfile, WarmupTolerance,
+};
 use googletest::prelude::*;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
+use std::time::Duration;
 use Status::{Drain, Up};
 
-/// One route, one warm server, ten limiters, long after the start.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_300);
+const TOLERANCE: WarmupTolerance = WarmupTolerance {
+    excess_factor: 1.5,
+    extra_requests: 5.0,
+};
+
+const PROFILE: WarmupProfile = WarmupProfile {
+    duration: ms(3_000),
+    requests_per_second: 10.0,
+};
+
+/// One route, one server that is not warming up, ten limiters, long after the start.
 fn router() -> Router {
-    let rule = WarmupTolerance {
-        excess_factor: 1.5,
-        extra_requests: 5.0,
-    };
-    let mut router = Router::new(0.0, "edge-1", rule, 1_300.0);
-    router.set_limiter_count(0.0, 10);
+    let mut router = Router::new(Duration::ZERO, "edge-1", TOLERANCE, HEARTBEAT_INTERVAL);
+    router.set_limiter_count(Duration::ZERO, 10);
     router.routes.replace(vec![route("r", "a", "/x/")]);
-    let warmth = |requests_per_second| WarmupProfile {
-        warmup_ms: 3_000.0,
-        requests_per_second,
-    };
-    router.endpoints.set_warmup_profiles(HashMap::from([
-        ("s".into(), warmth(10.0)),
-        ("t".into(), warmth(10.0)),
-    ]));
-    router.endpoints.update(0.0, &[instance("i", Up, 1)]);
+    let profiles = HashMap::from([("s".into(), PROFILE), ("t".into(), PROFILE)]);
+    router.endpoints.set_warmup_profiles(profiles);
+    router
+        .endpoints
+        .update(Duration::ZERO, &[instance("i", Up, 1)]);
     router
 }
 
-/// Whether the only server may get a request that the only route sends to this service.
-fn picks(router: &mut Router) -> bool {
-    let usable = router.endpoints.availability("i") == Availability::Available;
-    let told = router
+/// Whether the only server may get a request of the service `s`.
+fn may_choose(router: &mut Router) -> bool {
+    let is_available = router.endpoints.availability("i") == Availability::Available;
+    let is_of_the_service = router
         .endpoints
         .instance("i")
         .is_some_and(|instance| instance.service == "s");
-    usable && told && router.slow_start_admits("s", "i", 10_000.0)
+    is_available && is_of_the_service && router.slow_start_admits("s", "i", ms(10_000))
 }
 
-/// The version of the route under which a request may go on that was picked by the first one.
-fn followed(router: &Router) -> Option<u64> {
-    let picked = Rc::new(route("r", "a", "/x/"));
+/// The version of the current route of a request in flight that was forwarded by the first route.
+fn current_version(router: &Router) -> Option<u64> {
+    let chosen = Rc::new(route("r", "a", "/x/"));
     router
-        .current_route("a", "/x/1", &picked, "s")
+        .current_route("a", "/x/1", &chosen, "s")
         .map(|newest| newest.ver)
 }
 
-/// Each piece of news about a server takes it away from a request that was picked before, and names it to the host. Holds
-/// each condition of `work`.
+/// Each update of a server takes it away from a request that was routed before, and is reported as a change. Covers each
+/// condition of `availability`.
 #[gtest]
-fn news_of_a_server_binds_a_request_that_was_picked_before_it() {
-    type News = (&'static str, fn(&mut Router));
-    let news: [News; 4] = [
-        ("a drain", |it| {
-            it.endpoints.update(0.0, &[instance("i", Drain, 2)]);
+fn an_update_of_a_server_binds_a_request_that_was_routed_before_it() {
+    type Update = (&'static str, fn(&mut Router));
+    let updates: [Update; 4] = [
+        ("a drain", |router| {
+            router
+                .endpoints
+                .update(Duration::ZERO, &[instance("i", Drain, 2)]);
         }),
-        ("its end", |it| it.endpoints.apply_snapshot(0.0, &[], true)),
-        ("a 421", |it| it.endpoints.mark_misdirected("i")),
-        ("an evacuation", |it| {
-            it.endpoints
-                .set_evacuated_zones(0.0, BTreeSet::from(["umea".into()]));
+        ("its end", |router| {
+            router
+                .endpoints
+                .apply_snapshot(Duration::ZERO, &[], SnapshotScope::Complete);
+        }),
+        ("a 421", |router| router.endpoints.mark_misdirected("i")),
+        ("an evacuation", |router| {
+            router
+                .endpoints
+                .set_evacuated_zones(Duration::ZERO, BTreeSet::from(["umea".into()]));
         }),
     ];
-    for (what, comes) in news {
+    for (what, update) in updates {
         let mut router = router();
         router.endpoints.take_changes();
-        expect_true!(picks(&mut router), "before {what}");
+        expect_true!(may_choose(&mut router), "before {what}");
         let before = router.endpoints.generation();
-        comes(&mut router);
-        expect_false!(picks(&mut router), "after {what}");
-        let told = router.endpoints.take_changes();
+        update(&mut router);
+        expect_false!(may_choose(&mut router), "after {what}");
+        let reported = router.endpoints.take_changes();
         expect_true!(
-            told.iter()
+            reported
+                .iter()
                 .any(|change| change.id == "i" && change.availability != Availability::Available),
             "{what}"
         );
@@ -84,11 +99,11 @@
     }
 }
 
-/// Each piece of news about routes binds a request that was picked before. Holds each condition of `follow`.
+/// Each update of routes binds a request that was routed before. Covers each condition of `current_route`.
 #[gtest]
-fn news_of_a_route_binds_a_request_that_was_picked_before_it() {
-    type News = (&'static str, fn() -> Vec<Route>, Option<u64>);
-    let news: [News; 7] = [
+fn an_update_of_a_route_binds_a_request_that_was_routed_before_it() {
+    type Update = (&'static str, fn() -> Vec<Route>, Option<u64>);
+    let updates: [Update; 7] = [
         ("the route's end", Vec::new, None),
         (
             "a later version",
@@ -147,91 +162,85 @@
             None,
         ),
     ];
-    for (what, routes, version) in news {
+    for (what, routes, version) in updates {
         let mut router = router();
-        expect_that!(followed(&router), some(eq(1)), "before {what}");
+        expect_that!(current_version(&router), some(eq(1)), "before {what}");
         router.routes.replace(routes());
-        expect_that!(followed(&router), eq(version), "after {what}");
+        expect_that!(current_version(&router), eq(version), "after {what}");
     }
 }
 
-/// The wrong build: a request that goes on by the route that it was picked by goes where no route leads any more.
+/// The mutant: a request in flight that keeps its route goes where no route leads any more.
 #[gtest]
 fn without_the_newest_routes_a_dropped_one_is_still_followed() {
     let guards = Guards {
-        newest: false,
+        newest_routes: false,
         ..Guards::default()
     };
-    let rule = WarmupTolerance {
-        excess_factor: 1.5,
-        extra_requests: 5.0,
-    };
-    let mut router = Router::with_guards(0.0, "edge-1", rule, 1_300.0, guards);
+    let mut router = Router::with_guards(
+        Duration::ZERO,
+        "edge-1",
+        TOLERANCE,
+        HEARTBEAT_INTERVAL,
+        guards,
+    );
     router.routes.replace(vec![]);
-    expect_that!(followed(&router), some(eq(1)));
+    expect_that!(current_version(&router), some(eq(1)));
 }
 
-/// Holds the later message in `merge`: an instance that is told as another service's is not the route's.
+/// Covers the later report in `merge`: an instance that is reported as another service's is not the route's.
 #[gtest]
-fn a_life_of_another_service_is_not_the_routes() {
+fn an_instance_of_another_service_gets_nothing_of_a_route() {
     let mut router = router();
     router.endpoints.update(
-        0.0,
+        Duration::ZERO,
         &[Instance {
             service: "t".into(),
             ..instance("i", Up, 2)
         }],
     );
-    expect_false!(picks(&mut router));
+    expect_false!(may_choose(&mut router));
 }
 
-/// Holds `bears`, and `sent` in it.
+/// Covers `slow_start_admits` and `record_send`.
 #[gtest]
-fn a_cold_server_gets_no_more_than_its_share() {
+fn a_warming_server_gets_no_more_than_the_limiters_share() {
     let mut router = router();
     for _ in 0..100 {
-        expect_true!(picks(&mut router));
-        router.record_send(10_000.0, "i");
+        expect_true!(may_choose(&mut router));
+        router.record_send(ms(10_000), "i");
     }
-    router.endpoints.extend_warmup(10_000.0, "i", 5_000.0);
-    expect_true!(picks(&mut router));
-    router.record_send(10_000.0, "i");
-    expect_false!(picks(&mut router));
-    expect_true!(router.slow_start_admits("s", "i", 15_000.0), "warm again");
+    router.endpoints.extend_warmup(ms(10_000), "i", ms(5_000));
+    expect_true!(may_choose(&mut router));
+    router.record_send(ms(10_000), "i");
+    expect_false!(may_choose(&mut router));
+    expect_true!(router.slow_start_admits("s", "i", ms(15_000)), "warmed up");
 }
 
-/// Holds the refusal where a service's word on its cold servers is missing.
+/// Covers the rejection of a service without a warm-up profile.
 #[gtest]
-fn a_cold_server_of_an_unknown_service_gets_nothing() {
+fn a_warming_server_of_an_unknown_service_gets_nothing() {
     let mut router = router();
     router.endpoints.set_warmup_profiles(HashMap::new());
-    expect_true!(picks(&mut router));
-    router.endpoints.extend_warmup(10_000.0, "i", 5_000.0);
-    expect_false!(picks(&mut router));
+    expect_true!(may_choose(&mut router));
+    router.endpoints.extend_warmup(ms(10_000), "i", ms(5_000));
+    expect_false!(may_choose(&mut router));
 }
 
-/// Holds the number of limiters that `told` passes on.
+/// Covers the limiter count that `set_limiter_count` passes on.
 #[gtest]
-fn who_knows_no_number_of_limiters_sends_nothing_to_a_cold_server() {
-    let rule = WarmupTolerance {
-        excess_factor: 1.5,
-        extra_requests: 5.0,
-    };
-    let mut silent = Router::new(0.0, "edge-1", rule, 1_300.0);
-    silent.routes.replace(vec![route("r", "a", "/x/")]);
-    silent.endpoints.set_warmup_profiles(HashMap::from([(
-        "s".into(),
-        WarmupProfile {
-            warmup_ms: 3_000.0,
-            requests_per_second: 10.0,
-        },
-    )]));
-    silent.endpoints.update(
-        10_000.0,
+fn without_a_limiter_count_nothing_is_sent_to_a_warming_server() {
+    let mut uncounted = Router::new(Duration::ZERO, "edge-1", TOLERANCE, HEARTBEAT_INTERVAL);
+    uncounted.routes.replace(vec![route("r", "a", "/x/")]);
+    uncounted
+        .endpoints
+        .set_warmup_profiles(HashMap::from([("s".into(), PROFILE)]));
+    uncounted.endpoints.update(
+        ms(10_000),
         &[Instance {
             cold_ms: 5_000,
             ..instance("i", Up, 1)
         }],
     );
-    expect_false!(picks(&mut silent));
+    expect_false!(may_choose(&mut uncounted));
 }
--- a/crates/emberpin-routing/tests/slow_start.rs
+++ b/crates/emberpin-routing/tests/slow_start.rs
@@ -1,15 +1,21 @@
-//! What all limiters together may send to one cold server.
+//! What all limiters together may send to one server that is warming up.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
-use emberpin_routing::slow_start::{admission_hash, LimiterShare, QUIET_MS};
-use emberpin_routing::{SlowStart, WarmupLimit};
+mod common;
+
+use common::ms;
+use emberpin_routing::slow_start::{admission_hash, LimiterShare, QUIET_PERIOD};
+use emberpin_routing::{SlowStart, WarmupLimit, WarmupTolerance};
 use googletest::prelude::*;
 use oorandom::Rand64;
+use std::time::Duration;
 
 const USUAL: WarmupLimit = WarmupLimit {
     requests_per_second: 10.0,
-    excess_factor: 1.5,
-    extra_requests: 5.0,
+    tolerance: WarmupTolerance {
+        excess_factor: 1.5,
+        extra_requests: 5.0,
+    },
 };
 const SERVERS: usize = 1_000;
 
@@ -17,244 +23,258 @@
     format!("edge-hall-{}-{k}", k % 3)
 }
 
-/// The limiters among so many that may ask this server.
+/// How many of the limiters are admitted to this server.
 fn admitted(server: &str, limiters: u32, share: LimiterShare) -> u32 {
     (0..limiters)
-        .filter(|k| admission_hash(server, &limiter(*k)) < share.admitted)
+        .filter(|k| admission_hash(server, &limiter(*k)) < share.admitted_fraction)
         .count() as u32
 }
 
-/// Ready to ask, with so many limiters told.
-fn calm(limiters: u32) -> SlowStart {
-    let mut cold = SlowStart::new(0.0);
-    cold.set_limiter_count(0.0, limiters);
-    cold
+/// Past its quiet period, with this limiter count.
+fn steady(limiters: u32) -> SlowStart {
+    let mut slow_start = SlowStart::new(Duration::ZERO);
+    slow_start.set_limiter_count(Duration::ZERO, limiters);
+    slow_start
 }
 
-/// Holds `safe` and `RISK`, and the factor 2 in `twice`: all that may send do, in the same second, at the
-/// worst times; the number of limiters is as told, or twice that.
+/// Covers `is_safe`, `MAX_OVERLOAD_PROBABILITY` and `COUNT_SAFETY_FACTOR`: all limiters that may send do, in the same
+/// second, at the worst times, and there are twice as many as reported.
 #[gtest]
-fn the_sum_over_all_limiters_keeps_the_bound_for_every_server() {
-    let colds = [
+fn the_sum_over_all_limiters_keeps_the_limit_of_every_server() {
+    let limits = [
         (10.0, 1.5, 5.0),
         (4.0, 1.2, 3.0),
         (40.0, 1.5, 5.0),
         (1.0, 1.0, 0.0),
     ];
-    for (requests_per_second, excess_factor, extra_requests) in colds {
+    for (requests_per_second, excess_factor, extra_requests) in limits {
         let bound = WarmupLimit {
             requests_per_second,
-            excess_factor,
-            extra_requests,
+            tolerance: WarmupTolerance {
+                excess_factor,
+                extra_requests,
+            },
         }
-        .bound();
-        for told in [3, 10, 11, 77, 480] {
-            let share = LimiterShare::for_bound(bound, told);
-            // A second of the rule is shorter than the window here: no more than `each` of one limiter fall
-            // in it.
+        .max_requests_per_second();
+        for limiter_count in [3, 10, 11, 77, 480] {
+            let share = LimiterShare::new(bound, limiter_count);
+            // A second is shorter than the window, so no more than the share of one limiter falls into it.
             for server in 0..SERVERS {
-                let sum = admitted(&format!("i-{server:08x}"), told * 2, share) * share.each;
+                let sum = admitted(&format!("i-{server:08x}"), limiter_count * 2, share)
+                    * share.requests_per_second;
                 assert_that!(
                     sum,
                     le(bound),
-                    "{told} limiters told, server {server}, {share:?}"
+                    "{limiter_count} limiters reported, server {server}, {share:?}"
                 );
             }
         }
     }
 }
 
-/// Holds the search for the greatest `p`: a share that is safe by being nothing would be of no use. Also that
-/// the hash spreads names that differ in their ends: a mean that is off would show it.
+/// Covers the search for the greatest fraction: a share that is safe by being zero would be of no use. Also covers that
+/// the hash spreads names that differ in their ends, since the mean would be off otherwise.
 #[gtest]
-fn some_limiters_are_admitted_on_average() {
-    for told in [77, 480] {
-        let share = LimiterShare::for_bound(USUAL.bound(), told);
+fn the_admitted_fraction_of_limiters_is_admitted_on_average() {
+    for limiter_count in [77, 480] {
+        let share = LimiterShare::new(USUAL.max_requests_per_second(), limiter_count);
         let sum: u32 = (0..SERVERS)
-            .map(|server| admitted(&format!("i-{server:08x}"), told, share))
+            .map(|server| admitted(&format!("i-{server:08x}"), limiter_count, share))
             .sum();
         let (mean, expected) = (
             f64::from(sum) / SERVERS as f64,
-            f64::from(told) * share.admitted,
+            f64::from(limiter_count) * share.admitted_fraction,
         );
-        expect_that!(expected, all!(gt(1.8), lt(4.0)), "{told}");
-        expect_that!(mean, near(expected, 0.25), "{told}");
+        expect_that!(expected, all!(gt(1.8), lt(4.0)), "{limiter_count}");
+        expect_that!(mean, near(expected, 0.25), "{limiter_count}");
     }
 }
 
-/// Holds `twice <= bound`: with few limiters each has a part, without chance.
+/// Covers `assumed_count <= limit`: with few limiters each has a fixed share.
 #[gtest]
-fn few_limiters_share_the_bound_evenly() {
+fn few_limiters_share_the_limit_evenly() {
     expect_that!(
-        LimiterShare::for_bound(50, 10),
+        LimiterShare::new(50, 10),
         eq(LimiterShare {
-            admitted: 1.0,
-            each: 2
+            admitted_fraction: 1.0,
+            requests_per_second: 2
         })
     );
-    // As if there were eight, until more are told: a count that begins is too low.
+    // As if there were eight, since a count is too low at first.
     expect_that!(
-        LimiterShare::for_bound(50, 1),
+        LimiterShare::new(50, 1),
         eq(LimiterShare {
-            admitted: 1.0,
-            each: 3
+            admitted_fraction: 1.0,
+            requests_per_second: 3
         })
     );
 }
 
-/// Holds the case of a bound of zero.
+/// Covers the case of a limit of zero.
 #[gtest]
-fn a_server_that_bears_nothing_gets_nothing() {
+fn a_server_with_a_limit_of_zero_gets_nothing() {
     let nothing = WarmupLimit {
         requests_per_second: 0.0,
-        excess_factor: 1.5,
-        extra_requests: 0.0,
+        tolerance: WarmupTolerance {
+            excess_factor: 1.5,
+            extra_requests: 0.0,
+        },
     };
-    let mut cold = calm(100);
-    let may = |k: u32| cold.admits(QUIET_MS, &format!("i-{k}"), &nothing, 100, "edge-1");
+    let mut slow_start = steady(100);
+    let may = |k: u32| slow_start.admits(QUIET_PERIOD, &format!("i-{k}"), &nothing, 100, "edge-1");
     expect_that!((0..500).map(may).filter(|may| *may).count(), eq(0));
 }
 
-/// Holds `of_late(..) < share.each` and `WINDOW_MS`, which is longer than the second of the rule.
+/// Covers `sends_in_window` and `WINDOW`, which is longer than the second of the limit.
 #[gtest]
 fn one_limiter_sends_its_share_in_any_second() {
-    let mut cold = calm(10);
-    expect_true!(cold.admits(5_000.0, "i", &USUAL, 10, "me"));
-    cold.record_send(5_000.0, "i");
-    expect_false!(cold.admits(5_000.0, "i", &USUAL, 10, "me"));
-    expect_false!(cold.admits(6_200.0, "i", &USUAL, 10, "me"));
-    expect_true!(cold.admits(6_250.0, "i", &USUAL, 10, "me"));
-    expect_true!(cold.admits(5_000.0, "another", &USUAL, 10, "me"));
+    let mut slow_start = steady(10);
+    expect_true!(slow_start.admits(ms(5_000), "i", &USUAL, 10, "me"));
+    slow_start.record_send(ms(5_000), "i");
+    expect_false!(slow_start.admits(ms(5_000), "i", &USUAL, 10, "me"));
+    expect_false!(slow_start.admits(ms(6_200), "i", &USUAL, 10, "me"));
+    expect_true!(slow_start.admits(ms(6_250), "i", &USUAL, 10, "me"));
+    expect_true!(slow_start.admits(ms(5_000), "another", &USUAL, 10, "me"));
 }
 
-/// Holds `now < self.quiet_until` as set by `SlowStart::new`: the instance before may have sent just before its end.
+/// Covers `now < self.quiet_until` as set by `SlowStart::new`: the instance before may have sent just before its end.
 #[gtest]
-fn a_life_that_has_just_started_sends_nothing() {
-    let mut cold = SlowStart::new(1_000.0);
-    cold.set_limiter_count(1_000.0, 10);
-    expect_false!(cold.admits(1_000.0 + QUIET_MS - 1.0, "i", &USUAL, 10, "me"));
-    expect_true!(cold.admits(1_000.0 + QUIET_MS, "i", &USUAL, 10, "me"));
+fn an_instance_that_has_just_started_sends_nothing() {
+    let mut slow_start = SlowStart::new(ms(1_000));
+    slow_start.set_limiter_count(ms(1_000), 10);
+    expect_false!(slow_start.admits(ms(1_000) + QUIET_PERIOD - ms(1), "i", &USUAL, 10, "me"));
+    expect_true!(slow_start.admits(ms(1_000) + QUIET_PERIOD, "i", &USUAL, 10, "me"));
 }
 
-/// Holds `self.limiters == 0`.
+/// Covers `self.limiter_count == 0`.
 #[gtest]
-fn who_was_told_no_number_of_limiters_sends_nothing() {
-    let mut cold = SlowStart::new(0.0);
-    expect_false!(cold.admits(60_000.0, "i", &USUAL, 0, "me"));
+fn without_a_limiter_count_nothing_is_sent() {
+    let mut slow_start = SlowStart::new(Duration::ZERO);
+    expect_false!(slow_start.admits(ms(60_000), "i", &USUAL, 0, "me"));
 }
 
-/// Holds the wait in `told`: registries that have just started count up from nothing, and their first number
-/// is low.
+/// Covers the quiet period in `set_limiter_count`: registries that have just started count up from zero, and their first
+/// counts are low.
 #[gtest]
-fn a_count_that_rises_is_waited_for() -> Result<()> {
-    let mut cold = calm(10);
-    expect_true!(cold.admits(5_000.0, "i", &USUAL, 10, "me"));
+fn a_rise_of_the_limiter_count_starts_the_quiet_period_again() -> Result<()> {
+    let mut slow_start = steady(10);
+    expect_true!(slow_start.admits(ms(5_000), "i", &USUAL, 10, "me"));
     // One more of ten is less than an eighth of them.
-    expect_that!(LimiterShare::for_bound(USUAL.bound(), 11).each, eq(1));
-    cold.set_limiter_count(5_000.0, 11);
-    let me = (0..)
-        .map(limiter)
-        .find(|me| admission_hash("i", me) < LimiterShare::for_bound(USUAL.bound(), 20).admitted);
+    expect_that!(
+        LimiterShare::new(USUAL.max_requests_per_second(), 11).requests_per_second,
+        eq(1)
+    );
+    slow_start.set_limiter_count(ms(5_000), 11);
+    let me = (0..).map(limiter).find(|me| {
+        admission_hash("i", me)
+            < LimiterShare::new(USUAL.max_requests_per_second(), 20).admitted_fraction
+    });
     let Some(me) = me else {
         return fail!("no limiter is admitted");
     };
-    expect_true!(cold.admits(5_000.0, "i", &USUAL, 11, &me));
-    expect_false!(cold.admits(5_001.0, "i", &USUAL, 20, &me));
-    expect_false!(cold.admits(5_000.0 + QUIET_MS, "i", &USUAL, 20, &me));
-    expect_true!(cold.admits(5_001.0 + QUIET_MS, "i", &USUAL, 20, &me));
+    expect_true!(slow_start.admits(ms(5_000), "i", &USUAL, 11, &me));
+    expect_false!(slow_start.admits(ms(5_001), "i", &USUAL, 20, &me));
+    expect_false!(slow_start.admits(ms(5_000) + QUIET_PERIOD, "i", &USUAL, 20, &me));
+    expect_true!(slow_start.admits(ms(5_001) + QUIET_PERIOD, "i", &USUAL, 20, &me));
     Ok(())
 }
 
-/// Holds `self.limiters.max(limiters)`: who is cut off with a few others still counts all that it knew.
+/// Covers `max(limiter_count)`: a limiter that is partitioned with a few others keeps the count that it knew.
 #[gtest]
-fn the_greatest_number_that_was_told_stands() {
-    let mut cold = calm(480);
-    let asked = (0..200)
-        .filter(|k| cold.admits(9_000.0, &format!("i-{k}"), &USUAL, 3, "me"))
+fn the_highest_limiter_count_stays_in_force() {
+    let mut slow_start = steady(480);
+    let admitted_servers = (0..200)
+        .filter(|k| slow_start.admits(ms(9_000), &format!("i-{k}"), &USUAL, 3, "me"))
         .count();
-    let share = LimiterShare::for_bound(USUAL.bound(), 480);
+    let share = LimiterShare::new(USUAL.max_requests_per_second(), 480);
     let expected = (0..200)
-        .filter(|k| admission_hash(&format!("i-{k}"), "me") < share.admitted)
+        .filter(|k| admission_hash(&format!("i-{k}"), "me") < share.admitted_fraction)
         .count();
-    expect_that!(asked, eq(expected));
-    expect_that!(asked, lt(10));
+    expect_that!(admitted_servers, eq(expected));
+    expect_that!(admitted_servers, lt(10));
 }
 
-/// Holds `self.sent.retain`, and that the times of one server are dropped when old.
+/// Covers `recent_sends.retain`.
 #[gtest]
-fn memory_is_bounded() {
-    let mut cold = calm(10);
-    (0..1_000).for_each(|k| cold.record_send(5_000.0, &format!("i-{k}")));
-    expect_that!(cold.tracked_servers(), eq(1_000));
-    cold.record_send(6_300.0, "i");
-    expect_that!(cold.tracked_servers(), eq(1));
+fn servers_without_recent_requests_are_forgotten() {
+    let mut slow_start = steady(10);
+    (0..1_000).for_each(|k| slow_start.record_send(ms(5_000), &format!("i-{k}")));
+    expect_that!(slow_start.tracked_servers(), eq(1_000));
+    slow_start.record_send(ms(6_300), "i");
+    expect_that!(slow_start.tracked_servers(), eq(1));
 }
 
-/// The same by running it: limiters that ask at any time, restart at any time, and know of 77 or 40 of 77.
+/// The limit of a server, by a run: limiters that send at any time, restart at any time, and know of 77 or 40 of 77.
 #[gtest]
-fn limiters_that_ask_all_the_time_and_restart_keep_the_bound() {
+fn limiters_that_send_all_the_time_and_restart_keep_the_limit() {
     let limiters = 77;
     for seed in 0..20 {
         let mut draws = Rand64::new(seed);
         let server = format!("i-{seed}");
-        let mut colds: Vec<(SlowStart, u32)> = (0..limiters)
-            .map(|k| (calm(77), if k % 2 == 0 { 77 } else { 40 }))
+        let mut limits: Vec<(SlowStart, u32)> = (0..limiters)
+            .map(|k| (steady(77), if k % 2 == 0 { 77 } else { 40 }))
             .collect();
-        let mut sent: Vec<f64> = Vec::new();
+        let mut sent: Vec<Duration> = Vec::new();
         for step in 0..2_000 {
-            let now = 4_000.0 + f64::from(step) * 5.0;
+            let now = ms(4_000) + ms(5) * step;
             let k = draws.rand_range(0..limiters) as usize;
-            let (cold, told) = &mut colds[k];
+            let (slow_start, limiter_count) = &mut limits[k];
             if draws.rand_float() < 0.02 {
-                *cold = SlowStart::new(now);
+                *slow_start = SlowStart::new(now);
             }
-            while cold.admits(now, &server, &USUAL, *told, &limiter(k as u32)) {
-                cold.record_send(now, &server);
+            while slow_start.admits(now, &server, &USUAL, *limiter_count, &limiter(k as u32)) {
+                slow_start.record_send(now, &server);
                 sent.push(now);
             }
         }
         for from in &sent {
             let sum = sent
                 .iter()
-                .filter(|at| (*from..=from + 1_000.0).contains(*at))
+                .filter(|at| (*from..=*from + ms(1_000)).contains(*at))
                 .count();
-            expect_that!(sum, le(USUAL.bound() as usize), "seed {seed}");
+            expect_that!(
+                sum,
+                le(USUAL.max_requests_per_second() as usize),
+                "seed {seed}"
+            );
         }
     }
 }
 
-/// Holds `bound == 0` in `LimiterShare::of`.
+/// Covers `limit == 0` in `LimiterShare::new`.
 #[gtest]
-fn the_share_of_nothing_is_nothing() {
+fn the_share_of_a_limit_of_zero_is_zero() {
     expect_that!(
-        LimiterShare::for_bound(0, 100),
+        LimiterShare::new(0, 100),
         eq(LimiterShare {
-            admitted: 0.0,
-            each: 0
+            admitted_fraction: 0.0,
+            requests_per_second: 0
         })
     );
 }
 
-/// Holds both conditions under which the share last found is used again.
+/// Covers both conditions under which the cached share is used again.
 #[gtest]
-fn each_bound_and_number_of_limiters_has_its_own_share() {
-    let mut cold = calm(10);
-    expect_true!(cold.admits(5_000.0, "i", &USUAL, 10, "me"));
-    expect_false!(cold.admits(
-        5_000.0,
+fn each_limit_and_limiter_count_has_its_own_share() {
+    let mut slow_start = steady(10);
+    expect_true!(slow_start.admits(ms(5_000), "i", &USUAL, 10, "me"));
+    expect_false!(slow_start.admits(
+        ms(5_000),
         "i",
         &WarmupLimit {
             requests_per_second: 0.0,
-            extra_requests: 0.0,
-            ..USUAL
+            tolerance: WarmupTolerance {
+                extra_requests: 0.0,
+                ..USUAL.tolerance
+            },
         },
         10,
         "me"
     ));
-    expect_true!(cold.admits(5_000.0, "i", &USUAL, 10, "me"));
-    cold.set_limiter_count(5_000.0, 480);
-    let asked = (0..200)
-        .filter(|k| cold.admits(9_000.0, &format!("i-{k}"), &USUAL, 480, "me"))
+    expect_true!(slow_start.admits(ms(5_000), "i", &USUAL, 10, "me"));
+    slow_start.set_limiter_count(ms(5_000), 480);
+    let admitted_servers = (0..200)
+        .filter(|k| slow_start.admits(ms(9_000), &format!("i-{k}"), &USUAL, 480, "me"))
         .count();
-    expect_that!(asked, lt(10));
+    expect_that!(admitted_servers, lt(10));
 }
--- a/crates/emberpin-routing/tests/traffic_split.rs
+++ b/crates/emberpin-routing/tests/traffic_split.rs
@@ -1,4 +1,4 @@
-//! Which of a route's services a request goes to.
+//! The choice among the services of a route by weight.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_routing::traffic_split::choose_service;
@@ -11,11 +11,11 @@
         .collect()
 }
 
-/// How often each of these gets one of a thousand even draws.
-fn dealt(targets: &[(String, u32)], usable: impl Fn(&str) -> bool) -> Vec<usize> {
+/// How often each target is chosen in a thousand evenly spread draws.
+fn counts(targets: &[(String, u32)], is_usable: impl Fn(&str) -> bool) -> Vec<usize> {
     let mut counts = vec![0; targets.len()];
     for k in 0..1_000 {
-        let chosen = choose_service(targets, f64::from(k) / 1_000.0, &usable);
+        let chosen = choose_service(targets, f64::from(k) / 1_000.0, &is_usable);
         if let Some(at) = targets
             .iter()
             .position(|(service, _)| Some(service.as_str()) == chosen)
@@ -27,37 +27,40 @@
 }
 
 #[gtest]
-fn draws_go_by_weight() {
+fn services_are_chosen_by_weight() {
     let targets = targets(&[("a", 90), ("b", 10)]);
-    expect_that!(dealt(&targets, |_| true), elements_are![eq(&900), eq(&100)]);
+    expect_that!(
+        counts(&targets, |_| true),
+        elements_are![eq(&900), eq(&100)]
+    );
 }
 
-/// Holds `filter(|(service, _)| usable(service))`.
+/// Covers `filter(|(service, _)| is_usable(service))`.
 #[gtest]
-fn a_target_without_a_server_gets_nothing_if_another_has_one() {
+fn a_service_without_a_server_gets_nothing_if_another_has_one() {
     let targets = targets(&[("a", 90), ("b", 5), ("c", 5)]);
     expect_that!(
-        dealt(&targets, |service| service != "a"),
+        counts(&targets, |service| service != "a"),
         elements_are![eq(&0), eq(&500), eq(&500)]
     );
 }
 
-/// Holds the branch for no usable target.
+/// Covers the branch for no usable service.
 #[gtest]
-fn where_no_target_has_a_server_the_weights_stand() {
+fn without_any_server_services_are_chosen_by_weight() {
     let targets = targets(&[("a", 90), ("b", 10)]);
     expect_that!(
-        dealt(&targets, |_| false),
+        counts(&targets, |_| false),
         elements_are![eq(&900), eq(&100)]
     );
 }
 
-/// Holds `*weight > 0` in `weighted`, and for the only target.
+/// Covers `*weight > 0` in `weighted`, and for the only service.
 #[gtest]
 fn a_weight_of_zero_gets_nothing() {
     let both = targets(&[("a", 0), ("b", 10)]);
     expect_that!(
-        dealt(&both, |service| service == "a"),
+        counts(&both, |service| service == "a"),
         elements_are![eq(&0), eq(&1_000)]
     );
     expect_that!(choose_service(&targets(&[("a", 0)]), 0.5, |_| true), none());
@@ -69,7 +72,7 @@
 }
 
 #[gtest]
-fn a_draw_at_the_ends_and_large_weights_do_no_harm() {
+fn extreme_draws_and_weights_still_choose_a_service() {
     let targets = targets(&[("a", u32::MAX), ("b", u32::MAX)]);
     expect_that!(choose_service(&targets, 0.0, |_| true), some(eq("a")));
     expect_that!(choose_service(&targets, 1.0, |_| true), some(eq("b")));
--- a/crates/emberpin-simulator/src/limiters.rs
+++ b/crates/emberpin-simulator/src/limiters.rs
@@ -12,6 +12,7 @@
 use emberpin_membership::timing::{CONNECT, LOOK, PAUSE, PROXY_LEASE, PROXY_QUESTION};
 use emberpin_routing::{Availability, Router, WarmupProfile, WarmupTolerance};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::time::Duration;
 
 // As the real one has.
 const SESSIONS: usize = 2;
@@ -110,11 +111,10 @@
             match item.key.kind {
                 Kind::Service => {
                     if let Ok(service) = Service::from_item(item) {
-                        let warmup_ms = service.warmup.as_secs_f64() * 1000.0;
                         warmth.insert(
                             service.name,
                             WarmupProfile {
-                                warmup_ms,
+                                duration: service.warmup,
                                 requests_per_second: service.warmup_per_s,
                             },
                         );
@@ -127,7 +127,7 @@
         self.router.endpoints.set_warmup_profiles(warmth);
         self.router
             .endpoints
-            .set_evacuated_zones(now as f64, evacuated);
+            .set_evacuated_zones(Duration::from_millis(now), evacuated);
         Ok(())
     }
 
@@ -145,7 +145,9 @@
         if changed {
             self.configure(now, in_force)?;
         }
-        self.router.endpoints.update(now as f64, instances);
+        self.router
+            .endpoints
+            .update(Duration::from_millis(now), instances);
         // As a host does, that keeps connections.
         self.router.endpoints.take_changes();
         Ok(())
@@ -183,7 +185,13 @@
             fetching: None,
         };
         machine.up = Some(Proxy {
-            router: Router::with_guards(0.0, &name, RULE, BEAT as f64, build.router),
+            router: Router::with_guards(
+                Duration::ZERO,
+                &name,
+                RULE,
+                Duration::from_millis(BEAT),
+                build.router,
+            ),
             configuration: Configuration::new(),
             ready: false,
             sessions: vec![session; SESSIONS],
@@ -273,7 +281,10 @@
             name: format!("limiter-{limiter}"),
             zone,
             from: proxy.places.get(&core).map(|known| known.place),
-            instances: proxy.router.endpoints.known_instances(now as f64),
+            instances: proxy
+                .router
+                .endpoints
+                .known_instances(Duration::from_millis(now)),
         };
         let conn = self.connect(Machine::Limiter(limiter), Machine::Core(core));
         let Some((now, proxy)) = self.proxy(limiter) else {
@@ -372,7 +383,9 @@
                     proxy.candidates.told(registries, confirmed);
                 }
                 if confirmed || !build.settled {
-                    proxy.router.set_limiter_count(now as f64, limiters);
+                    proxy
+                        .router
+                        .set_limiter_count(Duration::from_millis(now), limiters);
                     if session.told && !proxy.configuration.is_empty() {
                         proxy.ready = true;
                     }
@@ -436,7 +449,7 @@
                 .values_mut()
                 .filter(|machine| !machine.process.frozen)
             {
-                let local = machine.process.local(now) as f64;
+                let local = Duration::from_millis(machine.process.local(now));
                 let Some(proxy) = machine.up.as_mut() else {
                     continue;
                 };
