--- /dev/null
+++ b/crates/emberpin-link/tests/common/recording.rs
@@ -0,0 +1,71 @@
+//! Bytes that an earlier build wrote, kept in the `tests/fixtures/` of the package whose test includes this file.
+//!
+//! A recording is made once: only where its file does not exist yet and `EMBERPIN_RECORD` is set. It is never made anew;
+//! a test that cannot read one any more has found a change of what is exchanged or kept.
+#![allow(dead_code, missing_docs)]
+
+use std::fmt::Debug;
+use std::path::PathBuf;
+
+/// A name and the bytes recorded under it.
+pub type Recorded = (String, Vec<u8>);
+
+/// Asserts that the recorded bytes of each value decode to it, and that it encodes to them again.
+pub fn assert_recorded<T: Debug + PartialEq>(
+    fixture: &str,
+    values: &[(&str, T)],
+    encode: impl Fn(&T) -> Vec<u8>,
+    decode: impl Fn(&[u8]) -> T,
+) {
+    let write = || values.iter().map(|(name, value)| (name.to_string(), encode(value))).collect();
+    let recorded = lines(fixture, write);
+    let names = |names: Vec<&str>| names.join(" ");
+    assert_eq!(
+        names(recorded.iter().map(|(name, _)| name.as_str()).collect()),
+        names(values.iter().map(|(name, _)| *name).collect()),
+        "{fixture} and the test name the same values"
+    );
+    for ((name, bytes), (_, value)) in recorded.iter().zip(values) {
+        let decoded = decode(bytes);
+        assert_eq!(&decoded, value, "{fixture}: {name} is read as something else");
+        assert_eq!(hex(&encode(&decoded)), hex(bytes), "{fixture}: {name} is written otherwise");
+    }
+}
+
+/// The lines `name hex` of a fixture; `write` tells what they are when it is recorded.
+pub fn lines(fixture: &str, write: impl FnOnce() -> Vec<Recorded>) -> Vec<Recorded> {
+    let text = file(fixture, || {
+        let lines = write().into_iter().map(|(name, bytes)| format!("{name} {}\n", hex(&bytes)));
+        lines.collect::<String>().into_bytes()
+    });
+    let text = String::from_utf8(text).expect("text");
+    text.lines().map(parse_line).collect()
+}
+
+/// The bytes of a fixture; `write` gives them when it is recorded.
+pub fn file(fixture: &str, write: impl FnOnce() -> Vec<u8>) -> Vec<u8> {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(fixture);
+    if !path.exists() {
+        assert!(
+            std::env::var_os("EMBERPIN_RECORD").is_some(),
+            "{fixture} is missing; a recording is kept for good"
+        );
+        std::fs::create_dir_all(path.parent().expect("a folder")).expect("made");
+        std::fs::write(&path, write()).expect("recorded");
+    }
+    std::fs::read(&path).expect("read")
+}
+
+fn parse_line(line: &str) -> Recorded {
+    let (name, digits) = line.split_once(' ').expect("a name and its bytes");
+    (name.into(), unhex(digits))
+}
+
+pub fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn unhex(digits: &str) -> Vec<u8> {
+    let byte = |at: usize| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal digits");
+    (0..digits.len()).step_by(2).map(byte).collect()
+}
