--- /dev/null
+++ b/crates/dillpass/tests/recorded.rs
@@ -0,0 +1,136 @@
+//! What gateways tell each other in datagrams, and what a gateway's process hands over to the next, as an earlier build
+//! wrote it.
+#![allow(missing_docs)]
+
+mod common;
+#[path = "../../emberpin-link/tests/common/recording.rs"]
+mod recording;
+
+use common::*;
+use dillpass::gossip::{read, Entry, Message, Writer, MAX_BYTES};
+use dillpass::*;
+use recording::{assert_recorded, hex, lines, Recorded};
+
+const SAFE: usize = 0;
+const WITH_CEILING: usize = 1;
+const CUSTOMER: u64 = 5;
+
+fn count(customer: u64) -> Entry {
+    Entry::Count { customer, plan: 1, first: 2, size: 3, units: 12.5, asked: 8_000.0 }
+}
+
+/// Values that the bytes hold exactly: counts in half units, chances in parts of 255.
+fn datagrams() -> Vec<(&'static str, Message)> {
+    let life = 0x1234_5678;
+    let message = |entries| Message { life, out: 1.0, rate: 3.0, entries };
+    let largest = Entry::Count {
+        customer: gossip::ID_MASK,
+        plan: 127,
+        first: 0,
+        size: 1 << 31,
+        units: 0.0,
+        asked: 2_199_023_255_551.5,
+    };
+    vec![
+        ("hello", message(Vec::new())),
+        ("hello-idle", Message { life: 0, out: 0.0, rate: 0.0, entries: Vec::new() }),
+        ("count", message(vec![count(0xb4d6_5521)])),
+        ("count-largest", message(vec![largest])),
+        ("advice-none", message(vec![Entry::Advice { customer: 7, chance: 0.0 }])),
+        ("advice-part", message(vec![Entry::Advice { customer: 7, chance: 51.0 / 255.0 }])),
+        ("advice-all", message(vec![Entry::Advice { customer: 7, chance: 1.0 }])),
+        ("count-and-advice", message(vec![count(1), Entry::Advice { customer: 1, chance: 1.0 }, count(2)])),
+        ("full", message((0..19).map(count).collect())),
+    ]
+}
+
+fn encode(message: &Message) -> Vec<u8> {
+    let mut writer = Writer::new(message.life, message.out, message.rate);
+    for entry in &message.entries {
+        assert!(writer.push(*entry), "it fits");
+    }
+    writer.finish()
+}
+
+#[test]
+fn every_datagram_is_read_and_written_as_it_was_recorded() {
+    assert_recorded("datagrams.txt", &datagrams(), encode, |bytes| read(bytes).expect("a message"));
+}
+
+#[test]
+fn the_version_and_the_bound_of_a_datagram_are_those_of_the_recording() {
+    assert_eq!((encode(&datagrams()[0].1)[0], MAX_BYTES), (2, 256));
+}
+
+fn spent() -> Vec<(&'static str, Spent)> {
+    vec![
+        ("units", Spent::Units { customer: 0xb4d6_5521, plan: 1, set: (2, 3), units: 12.5 }),
+        ("cold", Spent::Cold { server: ServerId(300), work: 0.75 }),
+    ]
+}
+
+#[test]
+fn what_one_process_says_it_spent_is_read_and_written_as_it_was_recorded() {
+    let encode = |spent: &Spent| postcard::to_allocvec(spent).expect("encoded");
+    assert_recorded("spent.txt", &spent(), encode, |bytes| postcard::from_bytes(bytes).expect("spent"));
+}
+
+/// Lets in requests of a customer until it is refused; how many that were.
+fn spend_all(bench: &mut Bench, plan: usize) -> usize {
+    let mut let_in = 0;
+    for _ in 0..200 {
+        let (id, actions) = bench.arrive(SAFE, plan, CUSTOMER + plan as u64);
+        if let Some(server) = sent(&actions) {
+            let_in += 1;
+            bench.ends(id, 0, server, Outcome::Ok);
+        }
+    }
+    let_in
+}
+
+/// A gateway with two customers that have spent all, and one server out of service by hand.
+fn worn() -> Bench {
+    let mut bench = Bench::new(settings(), 3);
+    assert!(spend_all(&mut bench, 0) > 0 && spend_all(&mut bench, WITH_CEILING) > 0);
+    bench.handle(Event::Maintenance { server: ServerId(2), out: true });
+    bench
+}
+
+fn write_handover() -> Vec<Recorded> {
+    let bench = worn();
+    let bytes = |handover: Handover| postcard::to_allocvec(&handover).expect("encoded");
+    let fresh = Bench::fresh(settings(), 2).gateway.hand_over();
+    vec![("worn".into(), bytes(bench.gateway.hand_over())), ("fresh".into(), bytes(fresh))]
+}
+
+fn recorded_handover(name: &str) -> (Handover, Vec<u8>) {
+    let recorded = lines("handover.txt", write_handover);
+    let (_, bytes) = recorded.into_iter().find(|(found, _)| found == name).expect("recorded");
+    (postcard::from_bytes(&bytes).expect("a handover"), bytes)
+}
+
+#[test]
+fn a_handover_is_read_and_written_as_it_was_recorded() {
+    for name in ["worn", "fresh"] {
+        let (handover, bytes) = recorded_handover(name);
+        assert_eq!(hex(&postcard::to_allocvec(&handover).expect("encoded")), hex(&bytes), "{name}");
+    }
+}
+
+#[test]
+fn a_gateway_goes_on_where_the_recorded_handover_left_off() {
+    let (handover, bytes) = recorded_handover("worn");
+    let mut next = Bench::fresh(settings(), 3);
+    next.now = 1_060_000.0;
+    let listed = (0..3).map(server).collect();
+    let (gateway, whole) = Gateway::take_over(settings(), 9, next.now, handover, listed);
+    next.gateway = gateway;
+    assert!(whole, "its figures are gone on with");
+    assert!(next.gateway.is_banned(ServerId(2)), "out of service by hand");
+    assert_eq!(spend_all(&mut next, 0), 0, "a store that is spent stays spent");
+    assert_eq!(spend_all(&mut next, WITH_CEILING), 0, "a ceiling that is spent stays spent");
+    // What was not spent again is handed over as it came.
+    let (handover, _) = recorded_handover("worn");
+    let (gateway, _) = Gateway::take_over(settings(), 9, next.now, handover, (0..3).map(server).collect());
+    assert_eq!(hex(&postcard::to_allocvec(&gateway.hand_over()).expect("encoded")), hex(&bytes));
+}
