--- /dev/null
+++ b/crates/emberpin/tests/recorded_disk.rs
@@ -0,0 +1,322 @@
+//! What a limiter keeps on its disk, as an earlier build wrote it: the records of keys in its log, and its last endpoint
+//! list. A limiter of today's build is started on them.
+#![allow(missing_docs)]
+
+#[path = "../../emberpin-link/tests/common/recording.rs"]
+mod recording;
+#[path = "common/sockets.rs"]
+mod sockets;
+
+use emberpin_idempotency::{Known, Record};
+use emberpin_log::{Files, Header, Identity, Log, Scanned};
+use emberpin_start::snapshot;
+use recording::{file, hex, lines, Recorded};
+use serde::{Deserialize, Serialize};
+use serde_json::Value;
+use sockets::*;
+use std::path::{Path, PathBuf};
+use std::sync::{Mutex, MutexGuard, PoisonError};
+use std::time::{Instant, SystemTime, UNIX_EPOCH};
+
+/// A record of the log as this test reads it; the limiter's own type is private to it.
+#[derive(Debug, Serialize, Deserialize)]
+enum Entry {
+    Secret([u8; 32]),
+    Quiet(f64),
+    Key(Record<Answer>),
+}
+
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+enum Answer {
+    Served { content_type: Option<Vec<u8>>, body: Vec<u8> },
+    Refused { retry_after: f64 },
+    Failed,
+}
+
+/// Sites stand one at a time: a process that another test starts would hold the lock of a log that this one has open,
+/// from its fork to its exec.
+static TURN: Mutex<()> = Mutex::new(());
+
+/// A limiter with an operator file, and its one server.
+struct Site {
+    limiter: Limiter,
+    server: Listener,
+    operator: PathBuf,
+    folder: PathBuf,
+    /// Given back once all else is gone.
+    _turn: MutexGuard<'static, ()>,
+}
+
+impl Site {
+    /// `operator` gives the operator file's text for the folder in which the limiter keeps its files.
+    fn prepare(operator: impl Fn(&Path) -> String) -> Site {
+        let turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
+        let server = Listener::start();
+        let limiter = Limiter::prepare(&[target("s-1", server.address, "ready")]);
+        let operator_file = limiter.file("operator.toml", "");
+        let folder = operator_file.with_file_name("kept-n0");
+        std::fs::write(&operator_file, operator(&folder)).expect("written");
+        Site { limiter, server, operator: operator_file, folder, _turn: turn }
+    }
+
+    fn with_log() -> Site {
+        let operator = |folder: &Path| {
+            format!("[idempotency]\nretention_s = 60\n[log]\nfolder = \"{}\"\n", pattern(folder))
+        };
+        Site::prepare(operator)
+    }
+
+    fn with_kept_list() -> Site {
+        let operator = |folder: &Path| format!("[start]\nsite = \"t\"\nsnapshot = \"{}\"\n", pattern(folder));
+        Site::prepare(operator)
+    }
+
+    fn command(&self) -> std::process::Command {
+        let mut command = self.limiter.command();
+        command.arg("--with").arg(&self.operator);
+        command
+    }
+
+    fn start(&mut self) {
+        let command = self.command();
+        self.limiter.run_as(command);
+    }
+
+    fn begin_log(&self) {
+        assert!(self.command().args(["log", "init"]).status().expect("runs").success());
+    }
+
+    /// The answer to work under a key, which the server serves.
+    fn served(&self, key: &str) -> Message {
+        let client = self.limiter.ask(&keyed(key));
+        self.server.next().answer("200 OK", "Content-Type: text/plain\r\n", "signed");
+        Message::read(&client).expect("an answer")
+    }
+
+    /// The answer to work under a key that no server gets.
+    fn answered_without_server(&self, key: &str) -> Message {
+        let answer = self.limiter.exchange(&keyed(key));
+        assert!(self.server.is_quiet(), "nothing was sent");
+        answer
+    }
+}
+
+fn pattern(folder: &Path) -> String {
+    folder.with_file_name("kept-{name}").display().to_string()
+}
+
+fn keyed(key: &str) -> String {
+    request("submit", "1", "wide", 30.0).replace("Idempotency-Key: k-1", &format!("Idempotency-Key: {key}"))
+}
+
+/// What is written in all segments of a log's folder, in order.
+fn payloads(folder: &Path) -> Vec<Vec<u8>> {
+    let entries = std::fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path());
+    let mut segments: Vec<PathBuf> = entries.filter(|path| path.extension().is_some()).collect();
+    segments.sort();
+    segments.iter().flat_map(|path| payloads_of(&std::fs::read(path).expect("read"))).collect()
+}
+
+fn payloads_of(segment: &[u8]) -> Vec<Vec<u8>> {
+    let (_, mut scanner) = Header::decode(segment).expect("a header");
+    scanner.feed(&segment[scanner.at() as usize..]);
+    std::iter::from_fn(|| scanner.scan())
+        .map(|scanned| match scanned {
+            Scanned::Record { payload, .. } => payload,
+            Scanned::Damaged(damage) => panic!("{damage:?}"),
+        })
+        .collect()
+}
+
+fn decode(payload: &[u8]) -> Entry {
+    postcard::from_bytes(payload).expect("an entry")
+}
+
+/// The records of a life that served one key and was killed while it had another in flight.
+fn write_keys() -> Vec<Recorded> {
+    let mut site = Site::with_log();
+    site.begin_log();
+    site.start();
+    assert_eq!(site.served("first").status(), 200);
+    let _client = site.limiter.ask(&keyed("second"));
+    let _in_flight = site.server.next();
+    site.limiter.kill();
+    named(payloads(&site.folder))
+}
+
+/// Records with names that tell their place and kind.
+fn named(payloads: Vec<Vec<u8>>) -> Vec<Recorded> {
+    let name = |payload: &[u8]| match decode(payload) {
+        Entry::Secret(_) => "secret".to_string(),
+        Entry::Quiet(_) => "quiet".to_string(),
+        Entry::Key(record) => record.key.as_str().to_string(),
+    };
+    (1..).zip(payloads).map(|(place, payload)| (format!("{place}-{}", name(&payload)), payload)).collect()
+}
+
+/// The records of a life that found no log where one should be.
+fn write_quiet() -> Vec<Recorded> {
+    let mut site = Site::with_log();
+    site.start();
+    site.limiter.kill();
+    named(payloads(&site.folder))
+}
+
+fn recorded_keys() -> Vec<Recorded> {
+    lines("log-keys.txt", write_keys)
+}
+
+fn recorded_quiet() -> Vec<Recorded> {
+    lines("log-quiet.txt", write_quiet)
+}
+
+/// A limiter, not started yet, whose log holds these records, written in an earlier boot of the machine.
+fn with_records(records: &[Recorded]) -> Site {
+    let site = Site::with_log();
+    let identity = Identity { instance: "n0".into(), boot: [1; 16], fresh: [9; 16] };
+    let mut folder = Files::take(&site.folder).expect("taken");
+    Log::begin(&mut folder, &identity).expect("begun");
+    let (mut log, recovery) = Log::open(folder, &identity, |_| {}).expect("open");
+    assert_eq!(recovery.lost, None);
+    let payloads: Vec<&[u8]> = records.iter().map(|(_, payload)| payload.as_slice()).collect();
+    log.write(&payloads, true).expect("written");
+    site
+}
+
+#[test]
+fn every_record_of_a_log_is_read_and_written_as_it_was_recorded() {
+    for (name, payload) in recorded_keys().into_iter().chain(recorded_quiet()) {
+        let again = postcard::to_allocvec(&decode(&payload)).expect("encoded");
+        assert_eq!(hex(&again), hex(&payload), "{name}");
+    }
+}
+
+#[test]
+fn recorded_keys_are_claimed_before_they_are_served() {
+    let records: Vec<(String, Known<Answer>)> = recorded_keys()
+        .iter()
+        .filter_map(|(_, payload)| match decode(payload) {
+            Entry::Key(record) => Some((record.key.as_str().to_string(), record.known)),
+            Entry::Secret(_) | Entry::Quiet(_) => None,
+        })
+        .collect();
+    let answer = Answer::Served { content_type: Some(b"text/plain".to_vec()), body: b"signed".to_vec() };
+    let written_down = [
+        ("first".to_string(), Known::Claimed),
+        ("first".to_string(), Known::Served(Some(answer))),
+        ("second".to_string(), Known::Claimed),
+    ];
+    assert_eq!(records, written_down);
+}
+
+/// The record of the served key, among these.
+fn served(records: &[Recorded]) -> Record<Answer> {
+    let is_served = |(_, payload): &Recorded| match decode(payload) {
+        Entry::Key(record) => Some(record).filter(|record| matches!(record.known, Known::Served(_))),
+        Entry::Secret(_) | Entry::Quiet(_) => None,
+    };
+    records.iter().find_map(is_served).expect("a served key")
+}
+
+/// But for the time and the fingerprint, which each run has of its own.
+#[test]
+fn a_limiter_writes_a_served_key_as_it_was_recorded() {
+    let (recorded, written) = (served(&recorded_keys()), served(&write_keys()));
+    assert_eq!(Record { at: recorded.at, fingerprint: recorded.fingerprint, ..written }, recorded);
+}
+
+#[test]
+fn a_limiter_replays_a_key_of_the_recorded_log() {
+    let mut site = with_records(&recorded_keys());
+    site.start();
+    let replayed = site.answered_without_server("first");
+    assert_eq!((replayed.status(), replayed.header("idempotency-replayed")), (200, Some("true")));
+    assert_eq!(replayed.header("content-type"), Some("text/plain"));
+    assert_eq!(replayed.body, b"signed");
+}
+
+#[test]
+fn a_limiter_knows_that_a_claimed_key_of_the_recorded_log_may_have_run() {
+    let mut site = with_records(&recorded_keys());
+    site.start();
+    assert_eq!(site.answered_without_server("second").status(), 409);
+    assert_eq!(site.served("new").status(), 200, "new work goes on at once");
+}
+
+/// Without the recorded secret the replay would be told from its first request by another fingerprint.
+#[test]
+fn a_limiter_goes_on_with_the_secret_of_the_recorded_log() {
+    let records = recorded_keys();
+    let mut site = with_records(&records);
+    site.start();
+    let other = keyed("first").replace("\r\n\r\nbody", "\r\n\r\nelse");
+    assert_eq!(site.limiter.exchange(&other).status(), 422);
+    site.limiter.kill();
+    // The last one is its own: it writes the secret at its start.
+    let secret = |payload: &Vec<u8>| matches!(decode(payload), Entry::Secret(_));
+    let written = payloads(&site.folder).into_iter().rfind(secret).expect("a secret");
+    assert_eq!(hex(&written), hex(&records[0].1), "it writes the secret as it was recorded");
+}
+
+#[test]
+fn a_limiter_is_still_quiet_where_the_recorded_log_says_so() {
+    let mut site = with_records(&recorded_quiet());
+    site.start();
+    assert_eq!(site.answered_without_server("new").status(), 409);
+}
+
+/// The list file of a limiter that was told one endpoint by its list service.
+fn write_list(site: &mut Site) -> Vec<u8> {
+    site.start();
+    let mut watch = site.limiter.watch();
+    watch.list(42, true, &[target("s-1", site.server.address, "ready")]);
+    let path = site.folder.join("list");
+    let begun = Instant::now();
+    while !path.exists() {
+        assert!(begun.elapsed() < LONG, "never kept");
+        std::thread::sleep(std::time::Duration::from_millis(5));
+    }
+    std::fs::read(&path).expect("read")
+}
+
+fn now_ms() -> u64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
+}
+
+/// Label and endpoints of a list file, whatever its age.
+fn open_list(bytes: &[u8]) -> (snapshot::Label, String) {
+    let any_age = std::time::Duration::MAX;
+    let (label, entries) = snapshot::decode(bytes, "t/n0", now_ms(), any_age).expect("a kept list");
+    (label, String::from_utf8(entries.to_vec()).expect("text"))
+}
+
+/// The endpoints with this address in place of the one endpoint's own.
+fn moved(entries: &str, address: &str) -> String {
+    let list: Value = serde_json::from_str(entries).expect("JSON");
+    entries.replace(list[0]["endpoint"].as_str().expect("an endpoint"), address)
+}
+
+fn recorded_list() -> (snapshot::Label, String) {
+    open_list(&file("kept-list", || write_list(&mut Site::with_kept_list())))
+}
+
+#[test]
+fn a_limiter_starts_from_the_recorded_endpoint_list() {
+    let (label, entries) = recorded_list();
+    assert_eq!((label.owner.as_str(), label.rev), ("t/n0", 42));
+    let mut site = Site::with_kept_list();
+    let entries = moved(&entries, &site.server.address.to_string());
+    let fresh = snapshot::Label { written_ms: now_ms(), ..label };
+    std::fs::create_dir_all(&site.folder).expect("made");
+    std::fs::write(site.folder.join("list"), snapshot::encode(&fresh, entries.as_bytes())).expect("written");
+    site.limiter.config["known"]["targets"] = Value::Array(Vec::new());
+    site.start();
+    assert_eq!(site.served("any").status(), 200);
+}
+
+#[test]
+fn a_limiter_keeps_its_endpoint_list_as_it_was_recorded() {
+    let (_, recorded) = recorded_list();
+    let (_, written) = open_list(&write_list(&mut Site::with_kept_list()));
+    assert_eq!(moved(&written, "-"), moved(&recorded, "-"));
+}
