--- /dev/null
+++ b/crates/emberpin/tests/common/peer.rs
@@ -0,0 +1,206 @@
+//! A peer of a limiter, played by the test: the link's decisions on plain sockets, with what is told handed over.
+#![allow(dead_code, missing_docs)]
+
+use emberpin_link::{Action, ConnectionId, Event, Life, Link, Settings};
+use std::collections::{HashMap, VecDeque};
+use std::io::{Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
+use std::time::{Duration, Instant};
+
+const LONG: Duration = Duration::from_secs(20);
+const LIMITER: &str = "n0";
+
+/// Data that the limiter told.
+#[derive(Clone, Debug)]
+pub struct Told {
+    pub kind: u16,
+    pub body: Vec<u8>,
+    /// The limiter's life that told it.
+    pub life: Life,
+}
+
+enum Input {
+    Accepted(TcpStream),
+    Bytes(ConnectionId, Vec<u8>),
+    Closed(ConnectionId),
+    Say(u16, Vec<u8>),
+    End,
+}
+
+pub struct Peer {
+    pub life: Life,
+    inputs: Sender<Input>,
+    told: Receiver<Told>,
+    reached: Receiver<Life>,
+    limiter: std::cell::OnceCell<Life>,
+}
+
+impl Peer {
+    /// A peer of this name that listens here, and dials the limiter there.
+    pub fn start(name: &str, listener: TcpListener, limiter: SocketAddr) -> Peer {
+        let life = Life { number: 1_700_000_000_123, nonce: 7 };
+        let (inputs, received) = channel();
+        let (tell, told) = channel();
+        let (reach, reached) = channel();
+        let accepted = inputs.clone();
+        std::thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                if accepted.send(Input::Accepted(stream)).is_err() {
+                    return;
+                }
+            }
+        });
+        let link = Link::new(settings(name, life), 0.0);
+        let streams = HashMap::new();
+        let host = Host { link, limiter, streams, next: 0, inputs: inputs.clone(), tell, reach };
+        std::thread::spawn(move || host.run(&received));
+        Peer { life, inputs, told, reached, limiter: std::cell::OnceCell::new() }
+    }
+
+    /// Returns once the limiter can be told something.
+    pub fn reaches(&self) {
+        let life = self.reached.recv_timeout(LONG).expect("the limiter is reached");
+        self.limiter.set(life).expect("once");
+    }
+
+    pub fn life_of_limiter(&self) -> Life {
+        *self.limiter.get().expect("reached")
+    }
+
+    pub fn say(&self, kind: u16, body: Vec<u8>) {
+        self.inputs.send(Input::Say(kind, body)).expect("there");
+    }
+
+    pub fn next(&self) -> Told {
+        self.told.recv_timeout(LONG).expect("something is told")
+    }
+
+    /// What is told next, if that is within a moment.
+    pub fn soon(&self) -> Option<Told> {
+        self.told.recv_timeout(Duration::from_millis(5)).ok()
+    }
+
+    /// Ends it: its connections close.
+    pub fn end(&mut self) {
+        self.inputs.send(Input::End).expect("there");
+    }
+}
+
+impl Drop for Peer {
+    fn drop(&mut self) {
+        _ = self.inputs.send(Input::End);
+    }
+}
+
+fn settings(name: &str, life: Life) -> Settings {
+    Settings {
+        cluster: "norr".into(),
+        me: name.into(),
+        life,
+        epoch: 1,
+        members: vec![LIMITER.into()],
+        beat: 20.0,
+        suspect_after: 400.0,
+        dead_after: 2_000.0,
+        hello_within: 2_000.0,
+        redial: (10.0, 1_000.0),
+        window: 16 << 20,
+        longest: 4 << 20,
+        strangers: 64,
+    }
+}
+
+/// The peer's thread.
+struct Host {
+    link: Link,
+    limiter: SocketAddr,
+    streams: HashMap<ConnectionId, TcpStream>,
+    next: u64,
+    inputs: Sender<Input>,
+    tell: Sender<Told>,
+    reach: Sender<Life>,
+}
+
+impl Host {
+    fn run(mut self, received: &Receiver<Input>) {
+        let began = Instant::now();
+        loop {
+            let event = match received.recv_timeout(Duration::from_millis(5)) {
+                Ok(Input::Accepted(stream)) => {
+                    Event::Accepted { connection: self.open(stream), certified: None }
+                }
+                Ok(Input::Bytes(connection, bytes)) => Event::Bytes { connection, bytes },
+                Ok(Input::Closed(connection)) => Event::Closed { connection },
+                Ok(Input::Say(kind, body)) => Event::Send { to: LIMITER.into(), kind, body },
+                Ok(Input::End) | Err(RecvTimeoutError::Disconnected) => return self.close_all(),
+                Err(RecvTimeoutError::Timeout) => Event::Tick,
+            };
+            self.feed(began, event);
+        }
+    }
+
+    fn feed(&mut self, began: Instant, event: Event) {
+        let mut events = VecDeque::from([event]);
+        while let Some(event) = events.pop_front() {
+            let mut actions = Vec::new();
+            self.link.handle(began.elapsed().as_secs_f64() * 1000.0, event, &mut actions);
+            events.extend(actions.into_iter().filter_map(|action| self.carry_out(action)));
+        }
+    }
+
+    /// Does what the link says; what happened with that at once.
+    fn carry_out(&mut self, action: Action) -> Option<Event> {
+        match action {
+            Action::Dial { to } => {
+                return Some(match TcpStream::connect(self.limiter) {
+                    Ok(stream) => Event::Dialed { connection: self.open(stream), to },
+                    Err(_) => Event::NotDialed { to },
+                })
+            }
+            Action::Write { connection, bytes } => {
+                if let Some(stream) = self.streams.get_mut(&connection) {
+                    // One that has ended is heard of.
+                    _ = stream.write_all(&bytes);
+                }
+            }
+            Action::Close { connection, .. } => {
+                if let Some(stream) = self.streams.remove(&connection) {
+                    _ = stream.shutdown(Shutdown::Both);
+                }
+            }
+            Action::Deliver { life, kind, body, .. } => _ = self.tell.send(Told { kind, body, life }),
+            Action::Changed { belief, .. } => {
+                if let (true, Some(life)) = (belief.reachable, belief.life) {
+                    _ = self.reach.send(life);
+                }
+            }
+            Action::NotSent { why, .. } => panic!("not sent: {why:?}"),
+            Action::Superseded { .. } => {}
+        }
+        None
+    }
+
+    fn open(&mut self, stream: TcpStream) -> ConnectionId {
+        self.next += 1;
+        let connection = ConnectionId(self.next);
+        let (mut reader, inputs) = (stream.try_clone().expect("cloned"), self.inputs.clone());
+        std::thread::spawn(move || {
+            let mut bytes = [0; 4096];
+            while let Ok(n @ 1..) = reader.read(&mut bytes) {
+                if inputs.send(Input::Bytes(connection, bytes[..n].to_vec())).is_err() {
+                    return;
+                }
+            }
+            _ = inputs.send(Input::Closed(connection));
+        });
+        self.streams.insert(connection, stream);
+        connection
+    }
+
+    fn close_all(&mut self) {
+        for stream in self.streams.values() {
+            _ = stream.shutdown(Shutdown::Both);
+        }
+    }
+}
