--- a/crates/emberpin/tests/recorded_peers.rs
+++ b/crates/emberpin/tests/recorded_peers.rs
@@ -1,4 +1,4 @@
-//! What a limiter tells its peers of keys and of work in hand, as an earlier build wrote it. The test plays both peers of
+//! What a limiter tells its peers of keys, of work in hand and of endpoint lists, as an earlier build wrote it. The test plays both peers of
 //! a limiter of today's build, over plain sockets.
 #![allow(missing_docs)]
 
@@ -11,6 +11,7 @@
 
 use emberpin_idempotency::claims::{Claim, Said as OfKeys};
 use emberpin_idempotency::{Fingerprint, Key};
+use emberpin_start::feed::{Pulse, Said as OfLists, Version};
 use emberpin_takeover::{Ballot, Member, Said as OfWork, Work, WorkId};
 use peer::{Peer, Told};
 use recording::{hex, lines, Recorded};
@@ -23,6 +24,7 @@
 
 /// Kinds of data between limiters.
 const KEYS: u16 = 1;
+const LISTS: u16 = 2;
 const WORK: u16 = 3;
 
 /// An answer as a peer gets it; the limiter's own type is private to it.
@@ -155,7 +157,7 @@
             _ => None,
         };
     }
-    match of_work(&told.body) {
+    match (told.kind == WORK).then(|| of_work(&told.body))? {
         OfWork::Going { id, ballot, .. } => Some(("going", Some(encode(&OfWork::Noted { id, ballot })))),
         OfWork::Over(id) => Some(("over", Some(encode(&OfWork::Known(id))))),
         _ => None,
@@ -167,7 +169,7 @@
     let secret = limiter.file("fingerprint.key", &"07".repeat(32));
     std::fs::set_permissions(&secret, PermissionsExt::from_mode(0o600)).expect("set");
     let keys = secret.parent().expect("a folder").display().to_string();
-    let mut text = format!("[idempotency]\nquiet_s = 0\n[takeover]\n[link]\ncluster = \"norr\"\nplain = true\nkeys = \"{keys}\"\n");
+    let mut text = format!("[idempotency]\nquiet_s = 0\n[takeover]\n[start]\ncallers = 1\nlist_service = \"lists\"\n[link]\ncluster = \"norr\"\nplain = true\nkeys = \"{keys}\"\n");
     text += "beat_ms = 20\nsuspect_ms = 400\ndead_ms = 2000\n";
     for (number, address) in links.iter().enumerate() {
         text +=
@@ -336,3 +338,74 @@
     assert!(sent.head.starts_with("POST /api "), "{}", sent.head);
     assert_eq!((sent.header("idempotency-key"), sent.body.as_slice()), (Some("first"), b"body".as_slice()));
 }
+
+/// What is told of endpoint lists, with the list service that it is of.
+fn of_lists(body: &[u8]) -> (String, OfLists) {
+    postcard::from_bytes(body).expect("of lists")
+}
+
+fn pulse(told: &Told) -> Option<Pulse> {
+    match (told.kind == LISTS).then(|| of_lists(&told.body))? {
+        (_, OfLists::Pulse(pulse)) => Some(pulse),
+        _ => None,
+    }
+}
+
+fn list(told: &Told) -> Option<()> {
+    (told.kind == LISTS && matches!(of_lists(&told.body), (_, OfLists::List { .. }))).then_some(())
+}
+
+fn want(told: &Told) -> Option<Version> {
+    match (told.kind == LISTS).then(|| of_lists(&told.body))? {
+        (_, OfLists::Want { version }) => Some(version),
+        _ => None,
+    }
+}
+
+/// What a limiter that was told a list by the list service tells a peer that wants it.
+fn write_lists() -> Vec<Recorded> {
+    let site = Site::start();
+    site.limiter.watch().list(42, true, &[target("s-1", site.server.address, "ready")]);
+    let (pulse, Pulse { version, .. }) = site.next(0, |told| pulse(told).filter(|it| it.version.rev == 42));
+    site.peers[0].say(LISTS, encode(&("lists", OfLists::Want { version })));
+    let (list, ()) = site.next(0, list);
+    vec![("pulse".into(), pulse), ("list".into(), list)]
+}
+
+fn recorded_lists(name: &str) -> (String, OfLists, Vec<u8>) {
+    let body = find(lines("peers-lists.txt", write_lists), name);
+    let (service, said) = of_lists(&body);
+    (service, said, body)
+}
+
+#[test]
+fn what_is_told_of_lists_is_read_and_written_as_it_was_recorded() {
+    for name in ["pulse", "list"] {
+        let (service, said, body) = recorded_lists(name);
+        assert_eq!((service.as_str(), hex(&encode(&(&service, said)))), ("lists", hex(&body)), "{name}");
+    }
+}
+
+/// A peer has a later list, which names the server at another address.
+#[test]
+fn a_limiter_wants_the_recorded_list_of_a_peer_and_goes_by_it() {
+    let (service, OfLists::Pulse(pulse), _) = recorded_lists("pulse") else { panic!("no pulse") };
+    let (_, OfLists::List { version, entries }, _) = recorded_lists("list") else { panic!("no list") };
+    let site = Site::start();
+    let moved = Listener::start();
+    let entries = String::from_utf8(entries).expect("text");
+    let list: serde_json::Value = serde_json::from_str(&entries).expect("JSON");
+    let entries =
+        entries.replace(list[0]["endpoint"].as_str().expect("an endpoint"), &moved.address.to_string());
+    let pulse = Pulse { caller: 1, ..pulse };
+    site.peers[0].say(LISTS, encode(&(&service, OfLists::Pulse(pulse))));
+    assert_eq!(site.next(0, want).1, version);
+    let list = OfLists::List { version, entries: entries.into_bytes() };
+    site.peers[0].say(LISTS, encode(&(&service, list)));
+    let begun = Instant::now();
+    while moved.is_quiet() {
+        assert!(begun.elapsed() < LONG, "never sent to the recorded list's endpoint");
+        drop(site.limiter.ask(&request("look", "1", "wide", 30.0)));
+        std::thread::sleep(std::time::Duration::from_millis(20));
+    }
+}
