--- a/crates/dillpass/tests/recorded.rs
+++ b/crates/dillpass/tests/recorded.rs
@@ -134,3 +134,29 @@
     let (gateway, _) = Gateway::take_over(settings(), 9, next.now, handover, (0..3).map(server).collect());
     assert_eq!(hex(&postcard::to_allocvec(&gateway.hand_over()).expect("encoded")), hex(&bytes));
 }
+
+/// A gateway whose last server of four answers no connection until it is ejected, named by the time of that.
+fn write_ejected() -> Vec<Recorded> {
+    let mut bench = Bench::new(settings(), 4);
+    bench.serve_for(100.0, 5_000.0);
+    while bench.gateway.resting(bench.now) == 0 {
+        let (id, actions) = bench.arrive(SAFE, 0, bench.now as u64);
+        let at = sent(&actions).expect("there are others");
+        let outcome = if at == ServerId(3) { Outcome::ConnectFailed } else { Outcome::Ok };
+        bench.ends_as(id, 0, at, outcome, true);
+        bench.now += 1.0;
+    }
+    let bytes = postcard::to_allocvec(&bench.gateway.hand_over()).expect("encoded");
+    vec![(format!("{}", bench.now), bytes)]
+}
+
+#[test]
+fn a_server_ejected_in_the_recorded_handover_rests_for_its_time() {
+    let (time, bytes) = lines("handover-ejected.txt", write_ejected).remove(0);
+    let now: Millis = time.parse().expect("a time");
+    let handover = postcard::from_bytes(&bytes).expect("a handover");
+    let (gateway, whole) = Gateway::take_over(settings(), 9, now, handover, (0..4).map(server).collect());
+    assert!(whole);
+    assert_eq!((gateway.resting(now), gateway.pool(now)), (1, (4, 1)));
+    assert_eq!(gateway.resting(now + 600_000.0), 0, "it is tried again");
+}
