--- a/crates/emberpin-upgrade/tests/recorded.rs
+++ b/crates/emberpin-upgrade/tests/recorded.rs
@@ -10,8 +10,8 @@
 
 fn notes() -> Vec<(&'static str, Note<String>)> {
     vec![
-        ("given", Note::Given(b"what the older process knows".to_vec())),
-        ("given-empty", Note::Given(Vec::new())),
+        ("state", Note::Given(b"what the older process knows".to_vec())),
+        ("state-empty", Note::Given(Vec::new())),
         ("refused", Note::Refused),
         ("shared", Note::Shared("spent".into())),
     ]
--- a/crates/emberpin/tests/recorded_disk.rs
+++ b/crates/emberpin/tests/recorded_disk.rs
@@ -43,7 +43,7 @@
     server: Listener,
     operator: PathBuf,
     folder: PathBuf,
-    /// Given back once all else is gone.
+    /// Returned once all else is gone.
     _turn: MutexGuard<'static, ()>,
 }
 
--- a/crates/emberpin/tests/recorded_upgrade.rs
+++ b/crates/emberpin/tests/recorded_upgrade.rs
@@ -24,7 +24,7 @@
 
 /// What the older process gives, as this test reads it; the limiter's own type is private to it.
 #[derive(Serialize, Deserialize)]
-struct Given {
+struct State {
     clock: f64,
     rev: u64,
     targets: Vec<u8>,
@@ -135,24 +135,24 @@
         let mut stream = UnixStream::connect(self.meeting_point()).expect("met");
         stream.set_read_timeout(Some(LONG)).expect("set");
         stream.write_all(&frame::hello()).expect("said");
-        let given = read_frame(&mut stream);
-        (stream, given)
+        let state = read_frame(&mut stream);
+        (stream, state)
     }
 
-    /// Starts a process that finds the test in the older one's place, and is given this frame there.
-    fn start_after(&mut self, given: &[u8]) -> UnixStream {
+    /// Starts a process that finds the test in the older one's place, and gets this frame there.
+    fn start_after(&mut self, state: &[u8]) -> UnixStream {
         let meeting = UnixListener::bind(self.meeting_point()).expect("bound");
-        let given = given.to_vec();
+        let state = state.to_vec();
         let giving = std::thread::spawn(move || {
             let (mut stream, _) = meeting.accept().expect("comes");
             let mut hello = [0; HELLO];
             stream.read_exact(&mut hello).expect("a hello");
             assert_eq!(frame::read_hello(&hello), Ok(()));
-            stream.write_all(&given).expect("given");
+            stream.write_all(&state).expect("a state");
             stream
         });
         self.start();
-        let stream = giving.join().expect("given");
+        let stream = giving.join().expect("a state");
         stream.set_read_timeout(Some(LONG)).expect("set");
         stream
     }
@@ -185,8 +185,8 @@
     }
 }
 
-/// Given by a process that served two requests and has its second server out of service by hand.
-fn write_given() -> Vec<u8> {
+/// Handed over by a process that served two requests and has its second server out of service by hand.
+fn write_state() -> Vec<u8> {
     let mut site = Site::prepare();
     site.start();
     site.order("/ops/servers/down/s-2");
@@ -195,8 +195,8 @@
     site.come_as_next().1
 }
 
-fn recorded_given() -> Vec<u8> {
-    lines("given.txt", || vec![("given".into(), write_given())]).remove(0).1
+fn recorded_state() -> Vec<u8> {
+    lines("state.txt", || vec![("state".into(), write_state())]).remove(0).1
 }
 
 /// Told by a process to the next one: an order by hand, a request let in, and its connections.
@@ -219,12 +219,12 @@
 }
 
 #[test]
-fn what_is_given_is_read_and_written_as_it_was_recorded() {
-    let recorded = recorded_given();
-    let Note::Given(body) = decode(&recorded) else { panic!("not given") };
-    let given: Given = postcard::from_bytes(&body).expect("given");
-    assert_eq!((given.rev, given.names.as_slice()), (41, ["s-1".to_string(), "s-2".to_string()].as_slice()));
-    assert_eq!(hex(&postcard::to_allocvec(&given).expect("encoded")), hex(&body));
+fn what_is_handed_over_is_read_and_written_as_it_was_recorded() {
+    let recorded = recorded_state();
+    let Note::Given(body) = decode(&recorded) else { panic!("no state") };
+    let state: State = postcard::from_bytes(&body).expect("a state");
+    assert_eq!((state.rev, state.names.as_slice()), (41, ["s-1".to_string(), "s-2".to_string()].as_slice()));
+    assert_eq!(hex(&postcard::to_allocvec(&state).expect("encoded")), hex(&body));
     let again = frame::write::<Shared>(&Note::Given(body)).expect("short enough");
     assert_eq!(hex(&again), hex(&recorded));
 }
@@ -239,16 +239,16 @@
 }
 
 /// The recorded frame with the endpoints of this site's servers in place of those that are gone by now.
-fn given_for(site: &Site) -> Vec<u8> {
-    let Note::Given(body) = decode(&recorded_given()) else { panic!("not given") };
-    let mut given: Given = postcard::from_bytes(&body).expect("given");
-    let mut targets: Value = serde_json::from_slice(&given.targets).expect("JSON");
+fn state_for(site: &Site) -> Vec<u8> {
+    let Note::Given(body) = decode(&recorded_state()) else { panic!("no state") };
+    let mut state: State = postcard::from_bytes(&body).expect("a state");
+    let mut targets: Value = serde_json::from_slice(&state.targets).expect("JSON");
     for target in targets.as_array_mut().expect("a list") {
         let server = &site.servers[usize::from(target["uid"] == "s-2")];
         target["endpoint"] = json!(server.address.to_string());
     }
-    given.targets = targets.to_string().into_bytes();
-    let body = postcard::to_allocvec(&given).expect("encoded");
+    state.targets = targets.to_string().into_bytes();
+    let body = postcard::to_allocvec(&state).expect("encoded");
     frame::write::<Shared>(&Note::Given(body)).expect("short enough")
 }
 
@@ -256,7 +256,7 @@
 fn a_process_goes_on_where_the_recorded_one_left_off() {
     let mut site = Site::prepare();
     site.limiter.config["known"]["targets"] = json!([]);
-    let mut stream = site.start_after(&given_for(&site));
+    let mut stream = site.start_after(&state_for(&site));
     assert!(matches!(decode(&read_frame(&mut stream)), Note::Shared(Shared::Held(_))), "it has taken over");
     for number in 0..6 {
         site.served_by_first(&format!("c{number}"));
