--- a/crates/emberpin-store/src/disk.rs
+++ b/crates/emberpin-store/src/disk.rs
@@ -1,250 +1,138 @@
-//! What a store keeps on its disk: a `fjall` keyspace, read at the start and only written from then on.
+//! What a store persists, in a `fjall` keyspace that is read at the start and only written from then on.
+//!
+//! Each write carries a [`Watermark`], and each sync records the watermark that it covers in a file of its own. A start
+//! compares the two, so that it notices if the disk lost what was synced to it.
 
-use crate::journal::{newest, Journal, Mark};
-use crate::synced::Synced;
-use emberpin_config::{Item, Key};
+mod error;
+mod item_versions;
+mod journal;
+mod keyspace;
+mod sync_record;
+mod usage;
+mod watermark;
+pub(crate) mod worker;
+
+pub use error::{DataLoss, DiskError, FileOperation, FolderMismatch, KeyspaceOperation};
+
+use emberpin_config::Item;
 use emberpin_consensus::{Kept, Pending, Write};
-use fjall::{Config, Keyspace, PartitionCreateOptions, PartitionHandle, PersistMode};
-use std::collections::BTreeMap;
-use std::fs::{self, File};
-use std::io;
+use fjall::PersistMode;
+use item_versions::{encode_key, ItemVersions};
+use journal::{IntactPrefix, JournalReader};
+use keyspace::{meta_key, StoreKeyspace, FORMAT, PREVIOUS_FORMAT};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use std::fs;
 use std::net::Ipv4Addr;
-use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
-use xxhash_rust::xxh3::xxh3_64;
-
-/// Where the keyspace is, in the folder that the settings name.
-const STORE: &str = "store";
-/// Where it is made; it gets its name once it is whole.
-const FORMING: &str = "forming";
-/// What this folder is; the number rises when an older program can't read it.
-const FORMAT: &[u8] = b"emberpin-store 2";
-/// The one before, which held neither histories nor checkpoints; it is read, and becomes the new one with the
-/// next write.
-const FORMER_FORMAT: &[u8] = b"emberpin-store 1";
-
-/// So much is written before `fjall` makes tables of it, and another journal: seldom, as each takes the disk
-/// for a while.
-const MEMTABLE: u32 = 8 << 20;
-
-/// A disk that can't be used.
-#[derive(Debug, thiserror::Error)]
-pub enum Unusable {
-    /// A file or folder.
-    #[error("{0}: {1}")]
-    Folder(PathBuf, io::Error),
-    /// The keyspace.
-    #[error("{0}: {1}")]
-    Keyspace(PathBuf, fjall::Error),
-    /// What is kept is no store's, or another store's, or of a later format.
-    #[error("{0}: {1}")]
-    Foreign(PathBuf, String),
-    /// Less is found than was synced.
-    #[error("{0}: holds less than was synced to it: {1}")]
-    Lost(PathBuf, String),
-    /// What was written is not in the file.
-    #[error("{0}: a write did not reach the file; the disk may be full")]
-    Unwritten(PathBuf),
-}
-
-impl Unusable {
-    /// Whether what is kept is not what was synced, which no room on the disk mends.
-    pub fn is_damage(&self) -> bool {
-        match self {
-            Unusable::Foreign(..) | Unusable::Lost(..) => true,
-            Unusable::Folder(..) | Unusable::Unwritten(..) => false,
-            Unusable::Keyspace(_, error) => !matches!(
-                error,
-                fjall::Error::Io(_)
-                    | fjall::Error::Poisoned
-                    | fjall::Error::Storage(fjall::LsmError::Io(_))
-            ),
-        }
-    }
-}
+use sync_record::SyncRecord;
+use watermark::Watermark;
 
-/// The open disk.
+/// The open disk of a store.
 pub struct Disk {
-    keyspace: Keyspace,
-    items: PartitionHandle,
-    meta: PartitionHandle,
-    folder: PathBuf,
-    journal: Journal,
-    synced: Synced,
-    /// The version of each item that is written, and what the last write says of all of them.
-    versions: BTreeMap<Vec<u8>, u64>,
-    mark: Mark,
-    /// What is kept is of the former format.
-    is_former: bool,
+    keyspace: StoreKeyspace,
+    /// The keyspace's folder.
+    path: PathBuf,
+    journal: JournalReader,
+    sync_record: SyncRecord,
+    versions: ItemVersions,
+    /// Number of the last write.
+    write_number: u64,
+    /// The keyspace still has the previous format; the next write updates it.
+    has_previous_format: bool,
 }
 
 impl Disk {
-    /// Opens what is kept in a folder, and reads it; `None`, if nothing was ever kept there.
+    /// Opens the disk in a data folder and reads it; `None` if nothing was ever written there. A folder that is empty
+    /// or missing becomes the disk of this machine.
     ///
     /// # Errors
     ///
-    /// [`Unusable`]: nothing is begun anew in place of what is there.
-    pub fn open(folder: &Path, me: Ipv4Addr) -> Result<(Disk, Option<Kept>), Unusable> {
-        let store = folder.join(STORE);
-        at(folder, fs::create_dir_all(folder))?;
-        let synced = at(folder, Synced::open(folder))?;
-        let floor = synced.number();
-        if !at(&store, store.try_exists())? {
-            if floor.is_some_and(|floor| floor > 0) {
-                return Err(lost(&store, 0, floor));
-            }
-            form(folder, me)?;
-        }
-        // Before `fjall` does, which would cut off all that follows damage, and go on.
-        if let Some(whole) = at(&store, Journal::whole(&store))? {
-            match whole.mark {
-                Some(mark) if floor.map_or(mark.number > 0, |floor| mark.number < floor) => {
-                    return Err(lost(&store, mark.number, floor));
-                }
-                // What follows was never synced, and nobody was told of it.
-                _ => at(&store, whole.cut())?,
+    /// [`DiskError`]: the folder cannot be used, belongs to another machine, or holds less than was synced to it. What
+    /// was synced is left as it is.
+    pub fn open(folder: &Path, own_ip: Ipv4Addr) -> Result<(Disk, Option<Kept>), DiskError> {
+        let path = keyspace::path_in(folder);
+        fs::create_dir_all(folder).map_err(FileOperation::CreateFolder.failed_at(folder))?;
+        let sync_record =
+            SyncRecord::open(folder).map_err(FileOperation::OpenSyncRecord.failed_at(folder))?;
+        let synced = sync_record.write_number();
+        if !path
+            .try_exists()
+            .map_err(FileOperation::Probe.failed_at(&path))?
+        {
+            if synced.is_some_and(|synced| synced > 0) {
+                return Err(lost_writes(&path, 0, synced));
             }
+            keyspace::create(folder, own_ip)?;
         }
-        let mut disk = Disk::at(&store, synced)?;
-        disk.belongs(me)?;
+        discard_incomplete_writes(&path, synced)?;
+        let mut disk = Disk::open_keyspace(&path, sync_record)?;
+        disk.check_identity(own_ip)?;
         let kept = disk.read()?;
-        disk.is_all(floor)?;
-        if floor.is_none() {
-            at(folder, disk.synced.write(disk.mark))?;
-            at(
-                folder,
-                File::open(folder).and_then(|folder| folder.sync_all()),
-            )?;
+        disk.check_completeness(synced)?;
+        if synced.is_none() {
+            let watermark = disk.watermark();
+            disk.sync_record
+                .update(watermark)
+                .map_err(FileOperation::WriteSyncRecord.failed_at(folder))?;
+            keyspace::sync_folder(folder)?;
         }
         Ok((disk, kept))
     }
 
-    /// Whether what was read is what the last write spoke of, and that is no older than what was synced.
-    fn is_all(&mut self, floor: Option<u64>) -> Result<(), Unusable> {
-        let read = Mark {
-            number: 0,
-            ..self.mark
-        };
-        match self.meta("mark")?.map(|mark| Mark::decode(&mark)) {
-            // Of a time before there were marks.
-            None if floor.unwrap_or_default() == 0 => return Ok(()),
-            None => return Err(lost(&self.folder, 0, floor)),
-            Some(None) => return Err(self.foreign("holds what is unreadable: mark")),
-            Some(Some(mark)) => self.mark = mark,
-        }
-        if floor.is_none_or(|floor| self.mark.number < floor) {
-            return Err(lost(&self.folder, self.mark.number, floor));
-        }
-        if (Mark {
-            number: 0,
-            ..self.mark
-        }) != read
-        {
-            let what = format!(
-                "{} items were written, {} are here, or of other versions",
-                self.mark.items, read.items
-            );
-            return Err(Unusable::Lost(self.folder.clone(), what));
-        }
-        Ok(())
-    }
-
-    fn at(store: &Path, synced: Synced) -> Result<Disk, Unusable> {
-        let before = at(store, newest(store))?;
-        let (keyspace, items, meta) =
-            keyspace(store).map_err(|error| Unusable::Keyspace(store.into(), error))?;
-        let journal = at(store, Journal::after(store, before))?;
-        let (versions, mark) = (BTreeMap::new(), Mark::default());
+    fn open_keyspace(path: &Path, sync_record: SyncRecord) -> Result<Disk, DiskError> {
+        let newest_before =
+            journal::newest(path).map_err(FileOperation::ReadJournal.failed_at(path))?;
+        let keyspace =
+            StoreKeyspace::open(path).map_err(KeyspaceOperation::Open.failed_at(path))?;
+        let journal = JournalReader::at_end(path, newest_before)
+            .map_err(FileOperation::ReadJournal.failed_at(path))?;
         Ok(Disk {
             keyspace,
-            items,
-            meta,
-            folder: store.into(),
+            path: path.into(),
             journal,
-            synced,
-            versions,
-            mark,
-            is_former: false,
+            sync_record,
+            versions: ItemVersions::default(),
+            write_number: 0,
+            has_previous_format: false,
         })
     }
 
-    fn wrong(&self, error: fjall::Error) -> Unusable {
-        Unusable::Keyspace(self.folder.clone(), error)
-    }
-
-    fn foreign(&self, what: impl Into<String>) -> Unusable {
-        Unusable::Foreign(self.folder.clone(), what.into())
-    }
-
-    fn meta(&self, name: &str) -> Result<Option<fjall::Slice>, Unusable> {
-        self.meta.get(name).map_err(|error| self.wrong(error))
-    }
-
-    fn belongs(&mut self, me: Ipv4Addr) -> Result<(), Unusable> {
-        match self.meta("format")? {
-            Some(format) if *format == *FORMAT => {}
-            Some(format) if *format == *FORMER_FORMAT => self.is_former = true,
-            Some(_) => return Err(self.foreign("is of a format that is not known here")),
-            None => return Err(self.foreign("is not the folder of a store")),
-        }
-        match self.meta("node")? {
-            Some(node) if *node == me.octets() => Ok(()),
-            _ => Err(self.foreign(format!("belongs to another machine than {me}"))),
+    /// Checks that the keyspace has a known format and belongs to this machine.
+    fn check_identity(&mut self, own_ip: Ipv4Addr) -> Result<(), DiskError> {
+        let mismatch = |mismatch| DiskError::Mismatch {
+            path: self.path.clone(),
+            mismatch,
+        };
+        let format = self
+            .meta(meta_key::FORMAT)?
+            .ok_or_else(|| mismatch(FolderMismatch::NotAStore))?;
+        let has_previous_format = *format == *PREVIOUS_FORMAT;
+        if !has_previous_format && *format != *FORMAT {
+            return Err(mismatch(FolderMismatch::UnknownFormat));
         }
-    }
-
-    /// Counts an item that is written or read.
-    fn count(&mut self, key: Vec<u8>, ver: u64) {
-        let old = self
-            .versions
-            .get(&key)
-            .map(|old| version_digest(&key, *old));
-        self.mark.items += u64::from(old.is_none());
-        self.mark.sum = self
-            .mark
-            .sum
-            .wrapping_sub(old.unwrap_or_default())
-            .wrapping_add(version_digest(&key, ver));
-        self.versions.insert(key, ver);
-    }
-
-    /// Counts that an item is removed.
-    fn discount(&mut self, key: &[u8]) {
-        if let Some(ver) = self.versions.remove(key) {
-            self.mark.items -= 1;
-            self.mark.sum = self.mark.sum.wrapping_sub(version_digest(key, ver));
+        match self.meta(meta_key::NODE)? {
+            Some(node) if *node == own_ip.octets() => {}
+            _ => return Err(mismatch(FolderMismatch::OtherMachine { own_ip })),
         }
+        self.has_previous_format = has_previous_format;
+        Ok(())
     }
 
-    fn read(&mut self) -> Result<Option<Kept>, Unusable> {
-        fn decoded<T: serde::de::DeserializeOwned>(
-            disk: &Disk,
-            bytes: &[u8],
-        ) -> Result<T, Unusable> {
-            postcard::from_bytes(bytes)
-                .map_err(|error| disk.foreign(format!("holds what is unreadable: {error}")))
-        }
-        let Some(promised) = self.meta("promised")? else {
+    fn read(&mut self) -> Result<Option<Kept>, DiskError> {
+        let Some((promised, voting)) = self.decode_meta(meta_key::PROMISED)? else {
             return Ok(None);
         };
-        let (promised, voting) = decoded(self, &promised)?;
-        // A disk of a time before there were incarnations has none.
-        let (incarnation, renewals, candidacy) = match self.meta("incarnations")? {
-            Some(incarnations) => decoded(self, &incarnations)?,
-            None => Default::default(),
-        };
-        let pending = match self.meta("pending")? {
-            Some(pending) => decoded(self, &pending)?,
-            None => Pending::default(),
-        };
-        let mut chosen = Vec::new();
-        for entry in self.items.iter() {
-            let (_, item) = entry.map_err(|error| self.wrong(error))?;
-            chosen.push(decoded::<Item>(self, &item)?);
+        // Both records may be missing: builds without incarnations wrote none, and `pending` comes with the first
+        // accepted proposal.
+        let (incarnation, renewals, candidacy) = self
+            .decode_meta(meta_key::INCARNATIONS)?
+            .unwrap_or_default();
+        let pending: Pending = self.decode_meta(meta_key::PENDING)?.unwrap_or_default();
+        let chosen = self.read_items()?;
+        for item in &chosen {
+            self.versions.insert(encode_key(&item.key), item.ver);
         }
-        chosen
-            .iter()
-            .for_each(|item| self.count(named(&item.key), item.ver));
         Ok(Some(Kept {
             chosen,
             promised,
@@ -256,145 +144,191 @@
         }))
     }
 
-    /// Takes a write; it lasts through a loss of power once a later [`Disk::sync`] is over.
+    fn read_items(&self) -> Result<Vec<Item>, DiskError> {
+        let mut items = Vec::new();
+        for entry in self.keyspace.items.iter() {
+            let (_, item) = entry.map_err(KeyspaceOperation::Read.failed_at(&self.path))?;
+            items.push(self.decode("item", &item)?);
+        }
+        Ok(items)
+    }
+
+    /// Checks that the items read are those that the last write left, and that no synced write is missing.
+    fn check_completeness(&mut self, synced: Option<u64>) -> Result<(), DiskError> {
+        let Some(bytes) = self.meta(meta_key::WATERMARK)? else {
+            // Builds without watermarks wrote no sync record either.
+            return match synced {
+                None | Some(0) => Ok(()),
+                Some(_) => Err(lost_writes(&self.path, 0, synced)),
+            };
+        };
+        let last_write = Watermark::decode(&bytes).ok_or_else(|| DiskError::WatermarkLength {
+            path: self.path.clone(),
+            length: bytes.len(),
+        })?;
+        self.write_number = last_write.write_number;
+        if synced.is_none_or(|synced| last_write.write_number < synced) {
+            return Err(lost_writes(&self.path, last_write.write_number, synced));
+        }
+        let read = self.versions.watermark(last_write.write_number);
+        if read != last_write {
+            return Err(DiskError::DataLoss {
+                path: self.path.clone(),
+                loss: DataLoss::Items {
+                    written: last_write.item_count,
+                    found: read.item_count,
+                },
+            });
+        }
+        Ok(())
+    }
+
+    /// Appends a write to the journal. It survives a loss of power once a later [`Disk::sync`] has returned.
     ///
     /// # Errors
     ///
-    /// [`Unusable`]: what the disk holds is not known before it is opened again.
-    pub fn write(&mut self, write: &Write) -> Result<(), Unusable> {
-        let mut batch = self.keyspace.batch();
+    /// [`DiskError`]: what the disk holds is unknown until it is opened again.
+    pub fn write(&mut self, write: &Write) -> Result<(), DiskError> {
+        let mut batch = self.keyspace.keyspace.batch();
         for item in &write.chosen {
-            self.count(named(&item.key), item.ver);
-            batch.insert(&self.items, named(&item.key), self.encoded(item)?);
+            let key = encode_key(&item.key);
+            batch.insert(
+                &self.keyspace.items,
+                key.clone(),
+                self.encode("item", item)?,
+            );
+            self.versions.insert(key, item.ver);
         }
         for key in &write.removed {
-            self.discount(&named(key));
-            batch.remove(&self.items, named(key));
+            let key = encode_key(key);
+            self.versions.remove(&key);
+            batch.remove(&self.keyspace.items, key);
         }
-        if std::mem::take(&mut self.is_former) {
-            batch.insert(&self.meta, "format", FORMAT);
+        let meta = &self.keyspace.meta;
+        if std::mem::take(&mut self.has_previous_format) {
+            batch.insert(meta, meta_key::FORMAT, FORMAT);
         }
         if let Some(pending) = &write.pending {
-            batch.insert(&self.meta, "pending", self.encoded(pending)?);
+            let pending = self.encode(meta_key::PENDING, pending)?;
+            batch.insert(meta, meta_key::PENDING, pending);
         }
         let incarnations = (write.incarnation, &write.renewals, &write.candidacy);
-        batch.insert(&self.meta, "incarnations", self.encoded(&incarnations)?);
-        batch.insert(
-            &self.meta,
-            "promised",
-            self.encoded(&(write.promised, write.voting))?,
-        );
-        self.mark.number += 1;
-        batch.insert(&self.meta, "mark", self.mark.encode());
-        batch.commit().map_err(|error| self.wrong(error))?;
-        // `commit` passes over errors of the journal.
+        let incarnations = self.encode(meta_key::INCARNATIONS, &incarnations)?;
+        batch.insert(meta, meta_key::INCARNATIONS, incarnations);
+        let promised = self.encode(meta_key::PROMISED, &(write.promised, write.voting))?;
+        batch.insert(meta, meta_key::PROMISED, promised);
+        self.write_number += 1;
+        let watermark = self.watermark();
+        batch.insert(meta, meta_key::WATERMARK, watermark.encode());
+        self.commit(batch, watermark)
+    }
+
+    fn commit(&mut self, batch: fjall::Batch, watermark: Watermark) -> Result<(), DiskError> {
+        batch
+            .commit()
+            .map_err(KeyspaceOperation::Write.failed_at(&self.path))?;
+        // `commit` ignores errors of the journal.
         self.keyspace
+            .keyspace
             .persist(PersistMode::Buffer)
-            .map_err(|error| self.wrong(error))?;
-        match at(&self.folder, self.journal.follow(self.mark))? {
-            true => Ok(()),
-            false => Err(Unusable::Unwritten(self.folder.clone())),
+            .map_err(KeyspaceOperation::Write.failed_at(&self.path))?;
+        let is_in_journal = self
+            .journal
+            .confirm(watermark)
+            .map_err(FileOperation::ReadJournal.failed_at(&self.path))?;
+        if !is_in_journal {
+            return Err(DiskError::WriteNotInJournal {
+                path: self.path.clone(),
+            });
         }
+        Ok(())
     }
 
-    fn encoded<T: serde::Serialize>(&self, value: &T) -> Result<Vec<u8>, Unusable> {
-        postcard::to_extend(value, Vec::new()).map_err(|error| self.foreign(error.to_string()))
-    }
-
-    /// Waits until all writes are on the disk.
+    /// Returns once all writes are on the disk, and that is recorded.
     ///
     /// # Errors
     ///
-    /// [`Unusable`], as for [`Disk::write`].
-    pub fn sync(&mut self) -> Result<(), Unusable> {
+    /// [`DiskError`], as for [`Disk::write`].
+    pub fn sync(&mut self) -> Result<(), DiskError> {
         self.keyspace
+            .keyspace
             .persist(PersistMode::SyncAll)
-            .map_err(|error| self.wrong(error))?;
-        if self.synced.number() == Some(self.mark.number) {
+            .map_err(KeyspaceOperation::Sync.failed_at(&self.path))?;
+        if self.sync_record.write_number() == Some(self.write_number) {
             return Ok(());
         }
-        at(&self.folder, self.synced.write(self.mark))
+        let watermark = self.watermark();
+        self.sync_record
+            .update(watermark)
+            .map_err(FileOperation::WriteSyncRecord.failed_at(&self.path))
     }
-}
 
-fn keyspace(store: &Path) -> fjall::Result<(Keyspace, PartitionHandle, PartitionHandle)> {
-    let keyspace = Config::new(store)
-        .flush_workers(1)
-        .compaction_workers(1)
-        .cache_size(256 << 10)
-        .max_journaling_size(24 << 20)
-        .max_write_buffer_size(16 << 20)
-        .fsync_ms(None)
-        .open()?;
-    let options = || PartitionCreateOptions::default().max_memtable_size(MEMTABLE);
-    let items = keyspace.open_partition("items", options())?;
-    let meta = keyspace.open_partition("meta", options())?;
-    Ok((keyspace, items, meta))
-}
+    /// The watermark of the last write.
+    fn watermark(&self) -> Watermark {
+        self.versions.watermark(self.write_number)
+    }
 
-fn at<T>(place: &Path, result: io::Result<T>) -> Result<T, Unusable> {
-    result.map_err(|error| Unusable::Folder(place.into(), error))
-}
+    fn meta(&self, key: &str) -> Result<Option<fjall::Slice>, DiskError> {
+        self.keyspace
+            .meta
+            .get(key)
+            .map_err(KeyspaceOperation::Read.failed_at(&self.path))
+    }
 
-fn lost(store: &Path, found: u64, synced: Option<u64>) -> Unusable {
-    let what = match synced {
-        Some(synced) => format!("{synced} writes were, {found} are here"),
-        None => format!("{found} writes are here, and the record of what was synced is not"),
-    };
-    Unusable::Lost(store.into(), what)
-}
+    fn decode_meta<T: DeserializeOwned>(&self, key: &'static str) -> Result<Option<T>, DiskError> {
+        match self.meta(key)? {
+            Some(bytes) => self.decode(key, &bytes).map(Some),
+            None => Ok(None),
+        }
+    }
 
-/// How many bytes the files in a folder take. A journal is made longer than what is in it, so its length alone says too much.
-pub(crate) fn used(folder: &Path) -> io::Result<u64> {
-    let mut sum = 0;
-    for entry in fs::read_dir(folder)? {
-        let entry = entry?;
-        sum += match entry.metadata() {
-            Ok(about) if about.is_dir() => used(&entry.path())?,
-            Ok(about) => about.len().min(about.blocks() * 512),
-            // Made and removed by `fjall` in the meantime.
-            Err(error) if error.kind() == io::ErrorKind::NotFound => 0,
-            Err(error) => return Err(error),
-        };
+    fn decode<T: DeserializeOwned>(
+        &self,
+        record: &'static str,
+        bytes: &[u8],
+    ) -> Result<T, DiskError> {
+        postcard::from_bytes(bytes).map_err(|source| DiskError::Undecodable {
+            path: self.path.clone(),
+            record,
+            source,
+        })
     }
-    Ok(sum)
-}
 
-fn version_digest(key: &[u8], ver: u64) -> u64 {
-    xxh3_64(&[key, &ver.to_be_bytes()].concat())
+    fn encode<T: Serialize>(&self, record: &'static str, value: &T) -> Result<Vec<u8>, DiskError> {
+        postcard::to_extend(value, Vec::new()).map_err(|source| DiskError::Unencodable {
+            path: self.path.clone(),
+            record,
+            source,
+        })
+    }
 }
 
-fn named(key: &Key) -> Vec<u8> {
-    [&[key.kind as u8], key.name.as_bytes()].concat()
+/// Cuts off a last batch that is incomplete or damaged, if it was never synced: no other store was told of it. `fjall`
+/// would cut off everything behind damage, synced or not, so this comes before it opens the keyspace.
+fn discard_incomplete_writes(path: &Path, synced: Option<u64>) -> Result<(), DiskError> {
+    let prefix = IntactPrefix::of_newest_journal(path)
+        .map_err(FileOperation::ReadJournal.failed_at(path))?;
+    let Some(prefix) = prefix else {
+        return Ok(());
+    };
+    if let Some(last_intact) = prefix.watermark {
+        let found = last_intact.write_number;
+        if synced.map_or(found > 0, |synced| found < synced) {
+            return Err(lost_writes(path, found, synced));
+        }
+    }
+    prefix
+        .truncate_journal()
+        .map_err(FileOperation::TruncateJournal.failed_at(path))
 }
 
-/// Makes an empty keyspace that belongs to this store, and names it once it is whole.
-fn form(folder: &Path, me: Ipv4Addr) -> Result<(), Unusable> {
-    let (forming, store) = (folder.join(FORMING), folder.join(STORE));
-    if at(&forming, forming.try_exists())? {
-        at(&forming, fs::remove_dir_all(&forming))?;
-    }
-    let formed = keyspace(&forming).and_then(|(keyspace, _, meta)| {
-        let mut batch = keyspace.batch();
-        batch.insert(&meta, "format", FORMAT);
-        batch.insert(&meta, "node", me.octets());
-        batch.commit()?;
-        keyspace.persist(PersistMode::SyncAll)
-    });
-    formed.map_err(|error| Unusable::Keyspace(forming.clone(), error))?;
-    at(&store, fs::rename(&forming, &store))?;
-    at(
-        folder,
-        File::open(folder).and_then(|folder| folder.sync_all()),
-    )?;
-    let Some(parent) = folder
-        .parent()
-        .filter(|parent| !parent.as_os_str().is_empty())
-    else {
-        return Ok(());
+fn lost_writes(path: &Path, found: u64, synced: Option<u64>) -> DiskError {
+    let loss = match synced {
+        Some(synced) => DataLoss::Writes { synced, found },
+        None => DataLoss::SyncRecord { found },
     };
-    // The folder itself is the platform's; where its parent can't be opened, there is nothing to be done for
-    // it.
-    _ = File::open(parent).and_then(|parent| parent.sync_all());
-    Ok(())
+    DiskError::DataLoss {
+        path: path.into(),
+        loss,
+    }
 }
--- /dev/null
+++ b/crates/emberpin-store/src/disk/item_versions.rs
@@ -0,0 +1,54 @@
+//! The version of every item on the disk, and a digest of all of them.
+
+use super::watermark::Watermark;
+use emberpin_config::Key;
+use std::collections::BTreeMap;
+use xxhash_rust::xxh3::xxh3_64;
+
+/// The key of an item in the partition `items`: its kind and its name.
+pub fn encode_key(key: &Key) -> Vec<u8> {
+    [&[key.kind as u8], key.name.as_bytes()].concat()
+}
+
+/// The version of each item by its encoded key, with a digest that is updated with each change.
+#[derive(Default)]
+pub struct ItemVersions {
+    versions: BTreeMap<Vec<u8>, u64>,
+    digest: u64,
+}
+
+impl ItemVersions {
+    /// Notes that an item is present in this version.
+    pub fn insert(&mut self, key: Vec<u8>, version: u64) {
+        let inserted = version_digest(&key, version);
+        let replaced = self
+            .versions
+            .get(&key)
+            .map(|old| version_digest(&key, *old));
+        self.digest = self
+            .digest
+            .wrapping_sub(replaced.unwrap_or_default())
+            .wrapping_add(inserted);
+        self.versions.insert(key, version);
+    }
+
+    /// Notes that an item is no longer present.
+    pub fn remove(&mut self, key: &[u8]) {
+        if let Some(version) = self.versions.remove(key) {
+            self.digest = self.digest.wrapping_sub(version_digest(key, version));
+        }
+    }
+
+    /// The watermark of a write that leaves these items.
+    pub fn watermark(&self, write_number: u64) -> Watermark {
+        Watermark {
+            write_number,
+            item_count: self.versions.len() as u64,
+            versions_digest: self.digest,
+        }
+    }
+}
+
+fn version_digest(key: &[u8], version: u64) -> u64 {
+    xxh3_64(&[key, &version.to_be_bytes()].concat())
+}
--- a/crates/emberpin-store/src/disk_thread.rs
+++ b/crates/emberpin-store/src/disk/worker.rs
@@ -5,7 +5,8 @@
 //! checked against what was synced to it, at growing pauses; batches from before the failure are dropped, as
 //! the replica has dropped what it owed after them.
 
-use crate::disk::{used, Disk, Unusable};
+use super::usage::used_bytes;
+use super::{Disk, DiskError};
 use crate::faults;
 use emberpin_consensus::Write;
 use std::io;
@@ -53,11 +54,11 @@
         token: u64,
     },
     /// A write or a sync failed: nothing after the last [`DiskEvent::Synced`] is known to be on the disk.
-    Failed(Unusable),
+    Failed(DiskError),
     /// The disk was opened anew and holds all that was synced.
     Reopened,
     /// The disk holds less than was synced to it, or is not this store's.
-    Damaged(Unusable),
+    Damaged(DiskError),
     /// All that was submitted before the end is synced.
     Closed,
 }
@@ -375,7 +376,7 @@
             return;
         }
         self.measured = Some(Instant::now());
-        match used(&self.folder) {
+        match used_bytes(&self.folder) {
             Ok(bytes) => self.progress.used.store(bytes, Ordering::Relaxed),
             Err(error) => log::warn!("the disk can't be measured: {error}"),
         }
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -1,8 +1,8 @@
 //! The loop around a replica: events in, actions out.
 
 use crate::connections::{call, listen, Counts, Links, Outbox, Registry};
-use crate::disk::{Disk, Unusable};
-use crate::disk_thread::{DiskEvent, DiskQueue};
+use crate::disk::worker::{DiskEvent, DiskQueue};
+use crate::disk::{Disk, DiskError};
 use crate::protocol::{DiskState, DiskStatus, StoreReply, StoreRequest, ToStore};
 use crate::system_id;
 use emberpin_consensus::{Action, Call, Event, Message, Options, Replica};
@@ -73,7 +73,7 @@
 pub enum Ended {
     /// Its disk.
     #[error(transparent)]
-    Disk(#[from] Unusable),
+    Disk(#[from] DiskError),
     /// Its place on the network.
     #[error("{0}: {1}")]
     Listen(SocketAddrV4, io::Error),
@@ -390,7 +390,7 @@
         self.act(actions);
     }
 
-    fn take_disk_event(&mut self, event: DiskEvent) -> Result<(), Unusable> {
+    fn take_disk_event(&mut self, event: DiskEvent) -> Result<(), DiskError> {
         match event {
             DiskEvent::Synced { token } => self.handle(Event::Persisted { token }),
             DiskEvent::Failed(failed) => {
@@ -418,7 +418,7 @@
     async fn wait_for_first_sync(
         &mut self,
         events: &mut mpsc::Receiver<DiskEvent>,
-    ) -> Result<(), Unusable> {
+    ) -> Result<(), DiskError> {
         while !self.disk.is_idle() {
             match tokio::time::timeout(FIRST_SYNC, events.recv()).await {
                 Ok(Some(event)) => self.take_disk_event(event)?,
--- a/crates/emberpin-store/src/lib.rs
+++ b/crates/emberpin-store/src/lib.rs
@@ -6,11 +6,8 @@
 
 mod connections;
 pub mod disk;
-mod disk_thread;
 mod faults;
 mod host;
-mod journal;
 pub mod program;
 pub mod protocol;
-mod synced;
 mod system_id;
--- a/crates/emberpin-store/tests/disk.rs
+++ b/crates/emberpin-store/tests/disk.rs
@@ -3,7 +3,7 @@
 
 use emberpin_config::{History, Item, Key, Kind, MOST_NAME};
 use emberpin_consensus::{Ballot, Candidacy, Incarnation, Kept, Pending, Renewals, Write};
-use emberpin_store::disk::{Disk, Unusable};
+use emberpin_store::disk::{Disk, DiskError, FolderMismatch};
 use googletest::prelude::*;
 use std::fs;
 use std::net::Ipv4Addr;
@@ -91,7 +91,7 @@
     }
 }
 
-fn found(folder: &Path) -> std::result::Result<Option<Kept>, Unusable> {
+fn found(folder: &Path) -> std::result::Result<Option<Kept>, DiskError> {
     Disk::open(folder, ME).map(|(_, kept)| kept)
 }
 
@@ -184,7 +184,7 @@
     fs::write(journal(folder.path()), &journal_bytes).expect("a journal");
     expect_that!(
         found(folder.path()).err(),
-        some(matches_pattern!(Unusable::Lost(..)))
+        some(matches_pattern!(DiskError::DataLoss { .. }))
     );
 }
 
@@ -269,7 +269,7 @@
         fs::write(journal(folder.path()), &changed).expect("a journal");
         expect_that!(
             found(folder.path()).err(),
-            some(matches_pattern!(Unusable::Lost(..))),
+            some(matches_pattern!(DiskError::DataLoss { .. })),
             "at {at}"
         );
     }
@@ -288,7 +288,7 @@
     fs::write(journal(folder.path()), &changed).expect("a journal");
     expect_that!(
         found(folder.path()).err(),
-        some(matches_pattern!(Unusable::Lost(..)))
+        some(matches_pattern!(DiskError::DataLoss { .. }))
     );
 }
 
@@ -301,7 +301,7 @@
     for _ in 0..2 {
         expect_that!(
             found(folder.path()).err(),
-            some(matches_pattern!(Unusable::Lost(..)))
+            some(matches_pattern!(DiskError::DataLoss { .. }))
         );
     }
     fs::rename(&kept_record, &record).expect("a file");
@@ -312,7 +312,7 @@
     fs::remove_dir_all(folder.path().join("store")).expect("a folder");
     expect_that!(
         found(folder.path()).err(),
-        some(matches_pattern!(Unusable::Lost(..)))
+        some(matches_pattern!(DiskError::DataLoss { .. }))
     );
 }
 
@@ -334,7 +334,7 @@
     fs::write(&record, [0xff; 5_000]).expect("a record");
     expect_that!(
         found(folder.path()).err(),
-        some(matches_pattern!(Unusable::Lost(..)))
+        some(matches_pattern!(DiskError::DataLoss { .. }))
     );
 }
 
@@ -343,7 +343,15 @@
     let folder = tempfile::tempdir().expect("a folder");
     written(folder.path(), &[write(1, 10)]);
     let other = Disk::open(folder.path(), Ipv4Addr::new(10, 0, 0, 2)).err();
-    expect_that!(other, some(matches_pattern!(Unusable::Foreign(..))));
+    expect_that!(
+        other,
+        some(matches_pattern!(DiskError::Mismatch {
+            mismatch: eq(&FolderMismatch::OtherMachine {
+                own_ip: Ipv4Addr::new(10, 0, 0, 2)
+            }),
+            ..
+        }))
+    );
     expect_that!(
         found(folder.path()).expect("a disk"),
         some(eq(&kept(1, 10)))
--- a/crates/emberpin-store/tests/recorded_disks.rs
+++ b/crates/emberpin-store/tests/recorded_disks.rs
@@ -10,7 +10,7 @@
 
 use emberpin_config::{Item, Key, Kind};
 use emberpin_consensus::{Ballot, Candidacy, Incarnation, Kept, Pending, Renewals, Write};
-use emberpin_store::disk::{Disk, Unusable};
+use emberpin_store::disk::{Disk, DiskError, FolderMismatch};
 use googletest::prelude::*;
 use program::Program;
 use std::fs;
@@ -269,7 +269,10 @@
         let other = Disk::open(folder.path(), OTHERS[0]).err();
         expect_that!(
             other,
-            some(matches_pattern!(Unusable::Foreign(..))),
+            some(matches_pattern!(DiskError::Mismatch {
+                mismatch: eq(&FolderMismatch::OtherMachine { own_ip: OTHERS[0] }),
+                ..
+            })),
             "{name}"
         );
     }
@@ -281,7 +284,11 @@
         let folder = unpacked(&format!("{name}.disk.txt"));
         fs::remove_dir_all(folder.path().join("store")).expect("a folder");
         let lost = Disk::open(folder.path(), ME).err();
-        expect_that!(lost, some(matches_pattern!(Unusable::Lost(..))), "{name}");
+        expect_that!(
+            lost,
+            some(matches_pattern!(DiskError::DataLoss { .. })),
+            "{name}"
+        );
     }
 }
 
