--- a/crates/emberpin-runtime/src/settings.rs
+++ b/crates/emberpin-runtime/src/settings.rs
@@ -9,12 +9,12 @@
 use toml::{Table, Value};
 
 /// The environment variable that names the file.
-pub const FILE: &str = "EMBERPIN_NODE_FILE";
+pub const SETTINGS_FILE_VARIABLE: &str = "EMBERPIN_NODE_FILE";
 
 /// A settings file that cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{file}: {field}: {what}")]
-pub struct Wrong {
+pub struct SettingsError {
     /// Which file.
     pub file: String,
     /// Where in it.
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The machine's name.
-    pub nodename: String,
+    pub node_name: String,
     /// The machine's address.
     pub ip: std::net::Ipv4Addr,
     /// The machine's zone.
@@ -39,29 +39,29 @@
     /// The first start of the whole system, with empty disks.
     pub bootstrap: bool,
     /// Where files may be kept, on machines with a disk.
-    pub datadir: Option<PathBuf>,
+    pub data_dir: Option<PathBuf>,
     /// Most descriptors.
-    pub nofile: usize,
+    pub max_open_files: usize,
     /// Most memory, in MiB.
-    pub mem_mb: u64,
+    pub memory_mib: u64,
     /// The size of the disk, in MiB; 0, where there is none or it isn't told.
-    pub disk_mb: u64,
+    pub disk_mib: u64,
     /// Where clients come in.
-    pub http: Option<SocketAddr>,
+    pub http_address: Option<SocketAddr>,
     /// Where readiness is asked for.
-    pub readyz: Option<SocketAddr>,
+    pub readiness_address: Option<SocketAddr>,
     /// Where servers and the operator come in.
-    pub ctl: Option<SocketAddr>,
+    pub control_address: Option<SocketAddr>,
     /// The first and last port for what processes say to each other.
-    pub ports: (u16, u16),
+    pub port_range: (u16, u16),
     /// `ctl` addresses of some machines.
     pub seeds: Vec<SocketAddr>,
     /// The region of each zone.
-    pub zones: BTreeMap<String, String>,
+    pub zone_regions: BTreeMap<String, String>,
     /// How often servers beat.
-    pub beat: Duration,
+    pub heartbeat_interval: Duration,
     /// How many voting machines may be lost at once.
-    pub tolerated_nodes: usize,
+    pub tolerated_node_losses: usize,
     /// The figures of the rules.
     pub bounds: Bounds,
 }
@@ -70,48 +70,48 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
     /// From an acknowledged drain on, nothing new reaches the server after this time.
-    pub drain: Duration,
+    pub drain_deadline: Duration,
     /// How long a process has from SIGTERM on.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// A version is in force everywhere this long after its acknowledgement.
-    pub apply: Duration,
+    pub propagation_deadline: Duration,
     /// An evacuated zone gets nothing this long after its acknowledgement.
-    pub evac: Duration,
+    pub evacuation_deadline: Duration,
     /// How soon a call must be acknowledged.
-    pub ack: Duration,
+    pub ack_deadline: Duration,
     /// A machine is in touch after so long without trouble.
-    pub contact: Duration,
+    pub contact_period: Duration,
     /// Further arrivals at a service, as a share of its requests, over `retry_win`, and so many beside.
     pub retry_ratio: f64,
     /// The window of the budget.
-    pub retry_win: Duration,
+    pub retry_window: Duration,
     /// See `retry_ratio`.
-    pub retry_extra: f64,
+    pub retry_allowance: f64,
     /// A cold server gets at most `warmup_per_s` times this, and `warm_extra` more, in any second.
-    pub warm_excess: f64,
+    pub slow_start_factor: f64,
     /// See `warm_excess`.
-    pub warm_extra: f64,
+    pub slow_start_allowance: f64,
 }
 
 impl Settings {
     /// Where the store of configuration on a machine hears other processes.
     pub fn store_port(&self) -> u16 {
-        self.ports.0
+        self.port_range.0
     }
 
     /// Where the registry on a machine hears other processes.
     pub fn registry_port(&self) -> u16 {
-        self.ports.0 + 1
+        self.port_range.0 + 1
     }
 
     /// Reads the file that the environment names.
     ///
     /// # Errors
     ///
-    /// [`Wrong`], also if the environment names none or it cannot be read.
-    pub fn from_env() -> Result<Settings, Wrong> {
-        let file = std::env::var(FILE).map_err(|_| Wrong {
-            file: FILE.into(),
+    /// [`SettingsError`], also if the environment names none or it cannot be read.
+    pub fn from_env() -> Result<Settings, SettingsError> {
+        let file = std::env::var(SETTINGS_FILE_VARIABLE).map_err(|_| SettingsError {
+            file: SETTINGS_FILE_VARIABLE.into(),
             field: "environment".into(),
             what: "names no file".into(),
         })?;
@@ -122,30 +122,30 @@
     ///
     /// # Errors
     ///
-    /// [`Wrong`].
-    pub fn from_file(file: &Path) -> Result<Settings, Wrong> {
+    /// [`SettingsError`].
+    pub fn from_file(file: &Path) -> Result<Settings, SettingsError> {
         let name = file.display().to_string();
-        let wrong = |field: &str, what: String| Wrong {
+        let wrong = |field: &str, what: String| SettingsError {
             file: name.clone(),
             field: field.into(),
             what,
         };
         let text = std::fs::read_to_string(file).map_err(|e| wrong("file", e.to_string()))?;
-        Settings::read(&text, &name)
+        Settings::parse(&text, &name)
     }
 
     /// Reads the text of a file of this name.
     ///
     /// # Errors
     ///
-    /// [`Wrong`].
-    pub fn read(text: &str, file: &str) -> Result<Settings, Wrong> {
-        let table: Table = text.parse().map_err(|e: toml::de::Error| Wrong {
+    /// [`SettingsError`].
+    pub fn parse(text: &str, file: &str) -> Result<Settings, SettingsError> {
+        let table: Table = text.parse().map_err(|e: toml::de::Error| SettingsError {
             file: file.into(),
             field: "TOML".into(),
             what: e.to_string().trim().replace('\n', " "),
         })?;
-        let at = At {
+        let at = SettingsTable {
             file,
             table: &table,
         };
@@ -175,7 +175,7 @@
             .into_iter()
             .map(|seed| seed.as_str().and_then(|seed| seed.parse().ok()));
         Ok(Settings {
-            nodename: at.text("self.nodename")?,
+            node_name: at.text("self.nodename")?,
             ip: at
                 .parsed("self.ip")?
                 .ok_or_else(|| at.wrong("self.ip", "is missing"))?,
@@ -183,47 +183,47 @@
             region: at.text("self.rgn")?,
             voting: at.flag("self.voting")?,
             bootstrap: at.flag("self.bootstrap")?,
-            datadir: at
+            data_dir: at
                 .find("self.datadir")
                 .map(|_| at.text("self.datadir"))
                 .transpose()?
                 .map(PathBuf::from),
-            nofile: at.count("self.limits.nofile")?,
-            mem_mb: at.count("self.limits.mem_mb")? as u64,
-            disk_mb: match at.find("self.limits.disk_mb") {
+            max_open_files: at.count("self.limits.nofile")?,
+            memory_mib: at.count("self.limits.mem_mb")? as u64,
+            disk_mib: match at.find("self.limits.disk_mb") {
                 Some(_) => at.count("self.limits.disk_mb")? as u64,
                 None => 0,
             },
-            http: at.parsed("network.listen.http")?,
-            readyz: at.parsed("network.listen.readyz")?,
-            ctl: at.parsed("network.listen.ctl")?,
-            ports: ports
+            http_address: at.parsed("network.listen.http")?,
+            readiness_address: at.parsed("network.listen.readyz")?,
+            control_address: at.parsed("network.listen.ctl")?,
+            port_range: ports
                 .ok_or_else(|| at.wrong("network.port_range", "expected two rising ports"))?,
             seeds: seeds
                 .collect::<Option<_>>()
                 .ok_or_else(|| at.wrong("network.seeds", "expected addresses with ports"))?,
-            zones,
-            beat: at.time("infra.hb")?,
-            tolerated_nodes: at.count("defs.tolerance.nodes")?,
+            zone_regions: zones,
+            heartbeat_interval: at.time("infra.hb")?,
+            tolerated_node_losses: at.count("defs.tolerance.nodes")?,
             bounds: Bounds {
-                drain: at.time("defs.bounds.drain")?,
-                grace: at.time("defs.bounds.grace")?,
-                apply: at.time("defs.bounds.apply")?,
-                evac: at.time("defs.bounds.evac")?,
-                ack: at.time("defs.bounds.ack")?,
-                contact: at.time("defs.bounds.contact")?,
+                drain_deadline: at.time("defs.bounds.drain")?,
+                shutdown_grace: at.time("defs.bounds.grace")?,
+                propagation_deadline: at.time("defs.bounds.apply")?,
+                evacuation_deadline: at.time("defs.bounds.evac")?,
+                ack_deadline: at.time("defs.bounds.ack")?,
+                contact_period: at.time("defs.bounds.contact")?,
                 retry_ratio: at.number("defs.bounds.retry_ratio")?,
-                retry_win: at.time("defs.bounds.retry_win")?,
-                retry_extra: at.number("defs.bounds.retry_extra")?,
-                warm_excess: at.number("defs.bounds.warm_excess")?,
-                warm_extra: at.number("defs.bounds.warm_extra")?,
+                retry_window: at.time("defs.bounds.retry_win")?,
+                retry_allowance: at.number("defs.bounds.retry_extra")?,
+                slow_start_factor: at.number("defs.bounds.warm_excess")?,
+                slow_start_allowance: at.number("defs.bounds.warm_extra")?,
             },
         })
     }
 }
 
 /// A time as the pages write it: a number and its unit, `ms` or `s`.
-pub fn time(text: &str) -> Option<Duration> {
+pub fn parse_duration(text: &str) -> Option<Duration> {
     let (number, unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 0.001),
         None => (text.strip_suffix('s')?, 1.0),
@@ -233,14 +233,14 @@
 }
 
 /// A file's table, and what is looked up in it.
-struct At<'a> {
+struct SettingsTable<'a> {
     file: &'a str,
     table: &'a Table,
 }
 
-impl At<'_> {
-    fn wrong(&self, field: &str, what: impl fmt::Display) -> Wrong {
-        Wrong {
+impl SettingsTable<'_> {
+    fn wrong(&self, field: &str, what: impl fmt::Display) -> SettingsError {
+        SettingsError {
             file: self.file.into(),
             field: field.into(),
             what: what.to_string(),
@@ -253,12 +253,12 @@
         names.try_fold(first, |value, name| value.as_table()?.get(name))
     }
 
-    fn need(&self, path: &str) -> Result<&Value, Wrong> {
+    fn need(&self, path: &str) -> Result<&Value, SettingsError> {
         self.find(path)
             .ok_or_else(|| self.wrong(path, "is missing"))
     }
 
-    fn text(&self, path: &str) -> Result<String, Wrong> {
+    fn text(&self, path: &str) -> Result<String, SettingsError> {
         let text = self
             .need(path)?
             .as_str()
@@ -266,7 +266,7 @@
         Ok(text.to_string())
     }
 
-    fn parsed<T: std::str::FromStr>(&self, path: &str) -> Result<Option<T>, Wrong> {
+    fn parsed<T: std::str::FromStr>(&self, path: &str) -> Result<Option<T>, SettingsError> {
         if self.find(path).is_none() {
             return Ok(None);
         }
@@ -276,7 +276,7 @@
             .map_err(|_| self.wrong(path, format!("expected an address, found \"{text}\"")))
     }
 
-    fn flag(&self, path: &str) -> Result<bool, Wrong> {
+    fn flag(&self, path: &str) -> Result<bool, SettingsError> {
         match self.find(path) {
             None => Ok(false),
             Some(value) => value
@@ -285,7 +285,7 @@
         }
     }
 
-    fn list(&self, path: &str) -> Result<Vec<Value>, Wrong> {
+    fn list(&self, path: &str) -> Result<Vec<Value>, SettingsError> {
         Ok(self
             .need(path)?
             .as_array()
@@ -293,7 +293,7 @@
             .clone())
     }
 
-    fn count(&self, path: &str) -> Result<usize, Wrong> {
+    fn count(&self, path: &str) -> Result<usize, SettingsError> {
         let number = self
             .need(path)?
             .as_integer()
@@ -301,7 +301,7 @@
         number.ok_or_else(|| self.wrong(path, "expected a whole number"))
     }
 
-    fn number(&self, path: &str) -> Result<f64, Wrong> {
+    fn number(&self, path: &str) -> Result<f64, SettingsError> {
         let value = self.need(path)?;
         let number = value
             .as_float()
@@ -311,9 +311,9 @@
             .ok_or_else(|| self.wrong(path, "expected a number, not below 0"))
     }
 
-    fn time(&self, path: &str) -> Result<Duration, Wrong> {
+    fn time(&self, path: &str) -> Result<Duration, SettingsError> {
         let text = self.text(path)?;
-        time(&text).ok_or_else(|| {
+        parse_duration(&text).ok_or_else(|| {
             self.wrong(
                 path,
                 format!("expected a time such as 1500ms or 2.5s, found \"{text}\""),
--- a/crates/emberpin-runtime/tests/preamble.rs
+++ b/crates/emberpin-runtime/tests/preamble.rs
@@ -1,7 +1,8 @@
 //! Who is let in by what is said first.
 
-use emberpin_runtime::frames::Broken;
-use emberpin_runtime::preamble::{Preamble, ProcessIdentity, Refused, LENGTH, PROTOCOL_VERSION};
+use emberpin_runtime::frames::ConnectionError;
+use emberpin_runtime::identity::ProcessIdentity;
+use emberpin_runtime::preamble::{HandshakeError, Preamble, PREAMBLE_BYTES, PROTOCOL_VERSION};
 use googletest::prelude::*;
 use std::num::NonZeroU64;
 
@@ -13,7 +14,7 @@
     let process = ProcessIdentity::new(1);
     system(number)
         .into_iter()
-        .for_each(|system| _ = process.learn(system));
+        .for_each(|system| _ = process.learn_system(system));
     process
 }
 
@@ -21,15 +22,15 @@
 fn heard(
     process: &ProcessIdentity,
     bytes: &[u8],
-) -> std::result::Result<Preamble, Option<Refused>> {
+) -> std::result::Result<Preamble, Option<HandshakeError>> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .expect("a runtime");
     let mut from = bytes;
     runtime
-        .block_on(process.receive(&mut from))
+        .block_on(process.receive_preamble(&mut from))
         .map_err(|broken| match broken {
-            Broken::Refused(refused) => Some(refused),
+            ConnectionError::Handshake(refused) => Some(refused),
             _ => None,
         })
 }
@@ -50,7 +51,7 @@
         let process = process(ours);
         let heard = heard(&process, &preamble.encode());
         expect_that!(heard.is_ok(), eq(expected), "{ours} hears {theirs}");
-        expect_that!(process.refused(), eq(u64::from(!expected)));
+        expect_that!(process.rejected_peers(), eq(u64::from(!expected)));
         if let Ok(heard) = heard {
             expect_that!(heard, eq(preamble));
         }
@@ -68,22 +69,27 @@
     let refused = heard(&process(0), &bytes[..6]);
     expect_that!(
         refused,
-        err(some(eq(Refused::Version(PROTOCOL_VERSION + 1))))
+        err(some(eq(HandshakeError::VersionMismatch(
+            PROTOCOL_VERSION + 1
+        ))))
     );
 }
 
 #[gtest]
 fn what_is_no_preamble_is_refused_and_one_cut_short_is_a_broken_connection() {
     expect_that!(
-        heard(&process(0), &[0; LENGTH]),
-        err(some(eq(Refused::NoPreamble)))
+        heard(&process(0), &[0; PREAMBLE_BYTES]),
+        err(some(eq(HandshakeError::MissingPreamble)))
     );
     let bytes = Preamble {
         system: None,
         incarnation: 9,
     }
     .encode();
-    expect_that!(heard(&process(0), &bytes[..LENGTH - 1]), err(none()));
+    expect_that!(
+        heard(&process(0), &bytes[..PREAMBLE_BYTES - 1]),
+        err(none())
+    );
 }
 
 #[gtest]
@@ -94,13 +100,16 @@
     }
     .encode();
     let length = u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]);
-    expect_that!(length as usize, gt(emberpin_runtime::frames::MOST));
+    expect_that!(
+        length as usize,
+        gt(emberpin_runtime::frames::MAX_FRAME_BYTES)
+    );
 }
 
 #[gtest]
 fn a_system_is_learned_once() {
     let process = process(7);
-    expect_that!(process.learn(NonZeroU64::MAX), eq(false));
+    expect_that!(process.learn_system(NonZeroU64::MAX), eq(false));
     expect_that!(process.preamble().system, eq(system(7)));
 }
 
@@ -108,8 +117,8 @@
 fn refusals_are_counted_each_and_logged_once_in_a_while() {
     let process = process(0);
     let logged: Vec<bool> = (0..5)
-        .map(|_| process.note_refused(Refused::NoPreamble))
+        .map(|_| process.record_rejection(HandshakeError::MissingPreamble))
         .collect();
     expect_that!(logged, eq(&vec![true, false, false, false, false]));
-    expect_that!(process.refused(), eq(5));
+    expect_that!(process.rejected_peers(), eq(5));
 }
--- a/crates/emberpin-runtime/tests/settings.rs
+++ b/crates/emberpin-runtime/tests/settings.rs
@@ -15,7 +15,7 @@
 
 #[gtest]
 fn the_size_of_the_disk_is_read_where_it_is_told() {
-    let read = |limits| Settings::read(&text(limits), "f").map(|settings| settings.disk_mb);
+    let read = |limits| Settings::parse(&text(limits), "f").map(|settings| settings.disk_mib);
     expect_that!(read("disk_mb = 64"), ok(eq(&64)));
     expect_that!(read("disk_mb = 0"), ok(eq(&0)));
     expect_that!(read(""), ok(eq(&0)));
--- a/crates/emberpin-scale-bench/src/hollow.rs
+++ b/crates/emberpin-scale-bench/src/hollow.rs
@@ -3,8 +3,8 @@
 use crate::http::Connection;
 use crate::texts::{self, Places, BEAT_MS, LOAD, PROBE};
 use emberpin_membership::session::{First, FromLimiter, Revision, ToLimiter};
-use emberpin_runtime::frames::{self, Broken};
-use emberpin_runtime::preamble::ProcessIdentity;
+use emberpin_runtime::frames::{self, ConnectionError};
+use emberpin_runtime::identity::ProcessIdentity;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -88,7 +88,7 @@
     registry: SocketAddr,
     counts: &Counts,
     newest: &AtomicU64,
-) -> Result<(), Broken> {
+) -> Result<(), ConnectionError> {
     let stream = TcpStream::connect(registry).await?;
     stream.set_nodelay(true)?;
     let (mut from, mut to) = stream.into_split();
@@ -100,10 +100,10 @@
         instances: Vec::new(),
     };
     let limiter = ProcessIdentity::new(number as u64);
-    limiter.send(&mut to).await?;
+    limiter.send_preamble(&mut to).await?;
     frames::write(&mut to, &First::Limiter).await?;
     frames::write(&mut to, &hello).await?;
-    limiter.receive(&mut from).await?;
+    limiter.receive_preamble(&mut from).await?;
     counts.sessions.fetch_add(1, Ordering::Relaxed);
     let place: Mutex<Option<Revision>> = Mutex::new(None);
     let (cursors, mut wanted) = tokio::sync::mpsc::unbounded_channel();
@@ -116,7 +116,7 @@
                 () = sleep(PULSE) => FromLimiter::Pulse { at: *at(), question },
                 Some(after) = wanted.recv() => FromLimiter::More { after },
             };
-            let frame = frames::frame(&said)?;
+            let frame = frames::encode(&said)?;
             counts.said.fetch_add(frame.len() as u64, Ordering::Relaxed);
             tokio::io::AsyncWriteExt::write_all(&mut to, &frame).await?;
         }
@@ -126,7 +126,7 @@
             let told: ToLimiter = frames::read(&mut from).await?;
             counts
                 .told
-                .fetch_add(frames::frame(&told)?.len() as u64, Ordering::Relaxed);
+                .fetch_add(frames::encode(&told)?.len() as u64, Ordering::Relaxed);
             let (place, items, rest) = match told {
                 ToLimiter::Snapshot {
                     at, items, rest, ..
@@ -144,7 +144,7 @@
             for ver in items
                 .iter()
                 .filter(|item| item.key.name == PROBE)
-                .map(|item| item.ver)
+                .map(|item| item.version)
             {
                 // By whichever session is first.
                 if newest.fetch_max(ver, Ordering::Relaxed) < ver {
@@ -161,7 +161,7 @@
 /// # Errors
 ///
 /// [`Broken`].
-pub async fn snapshot(registry: SocketAddr) -> Result<usize, Broken> {
+pub async fn snapshot(registry: SocketAddr) -> Result<usize, ConnectionError> {
     let mut stream = TcpStream::connect(registry).await?;
     stream.set_nodelay(true)?;
     let hello = FromLimiter::Hello {
@@ -172,14 +172,14 @@
         instances: Vec::new(),
     };
     let limiter = ProcessIdentity::new(0);
-    limiter.send(&mut stream).await?;
+    limiter.send_preamble(&mut stream).await?;
     frames::write(&mut stream, &First::Limiter).await?;
     frames::write(&mut stream, &hello).await?;
-    limiter.receive(&mut stream).await?;
+    limiter.receive_preamble(&mut stream).await?;
     let mut bytes = 0;
     loop {
         let told: ToLimiter = frames::read(&mut stream).await?;
-        let length = frames::frame(&told)?.len();
+        let length = frames::encode(&told)?.len();
         let (ToLimiter::Snapshot { rest, .. } | ToLimiter::SnapshotPart { rest, .. }) = told else {
             continue;
         };
--- a/crates/emberpin-scale-bench/src/process.rs
+++ b/crates/emberpin-scale-bench/src/process.rs
@@ -17,7 +17,7 @@
     pub fn start(program: &Path, settings: &Path) -> io::Result<Process> {
         let mut command = Command::new(program);
         command
-            .env(emberpin_runtime::settings::FILE, settings)
+            .env(emberpin_runtime::settings::SETTINGS_FILE_VARIABLE, settings)
             .stdin(Stdio::null());
         command
             .stdout(Stdio::null())
--- a/crates/emberpin-scale-bench/tests/parts.rs
+++ b/crates/emberpin-scale-bench/tests/parts.rs
@@ -114,27 +114,27 @@
 fn settings_are_such_as_the_programs_read() {
     let places = places();
     let core = texts::settings(&places, places.cores[1], Some(Path::new("/data")));
-    let core = Settings::read(&core, "core").expect("settings");
+    let core = Settings::parse(&core, "core").expect("settings");
     expect_that!(
         (core.store_port(), core.registry_port()),
         eq((7_000, 7_001))
     );
     expect_that!(
-        (core.ctl, core.http),
+        (core.control_address, core.http_address),
         eq((Some(places.ctl(places.cores[1])), None))
     );
     expect_that!(
         (core.zone.as_str(), core.seeds.len(), core.bootstrap),
         eq(("z1", 3, true))
     );
-    expect_that!(core.datadir.is_some(), eq(true));
+    expect_that!(core.data_dir.is_some(), eq(true));
     let edge =
-        Settings::read(&texts::settings(&places, places.edge, None), "edge").expect("settings");
+        Settings::parse(&texts::settings(&places, places.edge, None), "edge").expect("settings");
     expect_that!(
-        (edge.http, edge.readyz),
+        (edge.http_address, edge.readiness_address),
         eq((Some(places.http()), Some(places.readyz())))
     );
-    expect_that!((edge.ctl, edge.datadir), (none(), none()));
+    expect_that!((edge.control_address, edge.data_dir), (none(), none()));
 }
 
 #[gtest]
--- a/crates/emberpin-simulator/src/callers.rs
+++ b/crates/emberpin-simulator/src/callers.rs
@@ -5,7 +5,7 @@
 use crate::net::{ip, number};
 use crate::text::{Machine, Operation, Order, Way};
 use crate::world::{Applied, Due, World};
-use emberpin_config::{read_patch, Item};
+use emberpin_config::{parse_patch, Item};
 use emberpin_consensus::{Call, Event};
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::registry::{self, Answer};
@@ -90,7 +90,7 @@
         hope: Option<(usize, Operation)>,
     ) {
         let items = match &order {
-            Some(Order::Patch(body)) => read_patch(body)
+            Some(Order::Patch(body)) => parse_patch(body)
                 .map(|patch| patch.items)
                 .unwrap_or_default(),
             _ => Vec::new(),
--- a/crates/emberpin-simulator/src/cores.rs
+++ b/crates/emberpin-simulator/src/cores.rs
@@ -3,7 +3,7 @@
 use crate::net::{ip, number, Frame};
 use crate::text::Machine;
 use crate::world::{Due, Process, World};
-use emberpin_config::{Item, Key};
+use emberpin_config::{Item, ItemKey};
 use emberpin_consensus::{Action, Event, Kept, Message, Options, Replica, Write};
 use emberpin_membership::registry::{self, Limits, Registry};
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,7 +29,7 @@
     store_wake: u64,
     registry_wake: u64,
     /// The versions of which the store told news.
-    told: BTreeMap<Key, u64>,
+    told: BTreeMap<ItemKey, u64>,
 }
 
 /// A core machine.
@@ -266,11 +266,11 @@
             let Some(running) = self.cores.get_mut(&core).and_then(|core| core.up.as_mut()) else {
                 return;
             };
-            let told = running.told.insert(item.key.clone(), item.ver);
-            if told.is_some_and(|told| told >= item.ver) {
+            let told = running.told.insert(item.key.clone(), item.version);
+            if told.is_some_and(|told| told >= item.version) {
                 self.fail(format!(
                     "went back: core-{core} told {:?} {} again",
-                    item.key, item.ver
+                    item.key, item.version
                 ));
             }
         }
--- a/crates/emberpin-simulator/src/ledger.rs
+++ b/crates/emberpin-simulator/src/ledger.rs
@@ -13,7 +13,7 @@
 use crate::limiters::Proxy;
 use crate::text::{Operation, Order};
 use crate::world::{Applied, World};
-use emberpin_config::{read_patch, Configuration, Item, Key, Kind};
+use emberpin_config::{parse_patch, Configuration, Item, ItemKey, ItemKind};
 use emberpin_routing::Availability;
 use std::collections::BTreeMap;
 
@@ -26,11 +26,11 @@
 #[derive(Debug, Default)]
 pub(crate) struct Ledger {
     /// The one content of each version that was chosen.
-    contents: BTreeMap<(Key, u64), Option<String>>,
+    contents: BTreeMap<(ItemKey, u64), Option<String>>,
     /// And of each that was acknowledged.
-    acknowledged: BTreeMap<(Key, u64), Option<String>>,
+    acknowledged: BTreeMap<(ItemKey, u64), Option<String>>,
     /// The highest version of each name that was acknowledged.
-    highest: BTreeMap<Key, u64>,
+    highest: BTreeMap<ItemKey, u64>,
     /// Messages are slow, so that nothing with a bound on time is asserted.
     pub slow: bool,
     /// Servers' calls that are not answered: name, incarnation, attempt, and whether it drains.
@@ -48,7 +48,7 @@
 /// A configuration as it is read back.
 pub(crate) fn read_back(body: &str) -> Result<Configuration, String> {
     let whole = format!("{{\"upsert\":{body}}}");
-    let items = read_patch(whole.as_bytes())
+    let items = parse_patch(whole.as_bytes())
         .map_err(|wrong| format!("what is read back is unreadable: {wrong}"))?;
     Ok(items.items.into_iter().collect())
 }
@@ -56,7 +56,7 @@
 impl Ledger {
     /// An item was chosen; what is wrong with that.
     pub fn chosen(&mut self, item: &Item) -> Option<String> {
-        let place = (item.key.clone(), item.ver);
+        let place = (item.key.clone(), item.version);
         let known = self
             .contents
             .entry(place)
@@ -64,7 +64,7 @@
         let two = || {
             format!(
                 "two contents: {:?} {} is {known:?} and {:?}",
-                item.key, item.ver, item.body
+                item.key, item.version, item.body
             )
         };
         (*known != item.body).then(two)
@@ -73,15 +73,15 @@
     pub fn acknowledged(&mut self, what: Acknowledged) -> Option<String> {
         let Acknowledged::Items(items) = what;
         for item in items {
-            let place = (item.key.clone(), item.ver);
+            let place = (item.key.clone(), item.version);
             // What a higher version had passed before has no effect, and its content is nobody's any more.
-            let newest = |((key, ver), _): (&(Key, u64), &Option<String>)| {
-                *key == item.key && *ver > item.ver
+            let newest = |((key, ver), _): (&(ItemKey, u64), &Option<String>)| {
+                *key == item.key && *ver > item.version
             };
             let passed = self.contents.iter().any(newest);
             let chosen = self.contents.get(&place);
             if !passed && chosen != Some(&item.body) {
-                let (key, ver, body) = (&item.key, item.ver, &item.body);
+                let (key, ver, body) = (&item.key, item.version, &item.body);
                 return Some(format!(
                     "two contents: {key:?} {ver} was acknowledged as {body:?}, and is {chosen:?}"
                 ));
@@ -91,7 +91,7 @@
             }
             self.acknowledged.insert(place, item.body.clone());
             let highest = self.highest.entry(item.key.clone()).or_default();
-            *highest = item.ver.max(*highest);
+            *highest = item.version.max(*highest);
         }
         None
     }
@@ -101,16 +101,16 @@
         let configuration = read_back(body)?;
         let find = |kind: &str, name: &str| {
             let kind = if kind == "route" {
-                Kind::Route
+                ItemKind::Route
             } else {
-                Kind::Service
+                ItemKind::Service
             };
             configuration
-                .get(&Key {
+                .get(&ItemKey {
                     kind,
                     name: name.into(),
                 })
-                .map(|item| item.ver)
+                .map(|item| item.version)
         };
         match hope {
             Operation::GetHolds { kind, name, ver } if find(kind, name) != Some(*ver) => {
@@ -137,11 +137,11 @@
             let known = configuration.get(key);
             let acknowledged = &self.acknowledged[&(key.clone(), *highest)];
             let wrong = match (known, acknowledged) {
-                (Some(item), _) if item.ver > *highest => continue,
-                (Some(item), body) => item.ver < *highest || item.body != *body,
+                (Some(item), _) if item.version > *highest => continue,
+                (Some(item), body) => item.version < *highest || item.body != *body,
                 // A newer drop may have been chosen without an acknowledgement.
                 (None, Some(_)) => {
-                    let newer = |((of, ver), body): (&(Key, u64), &Option<String>)| {
+                    let newer = |((of, ver), body): (&(ItemKey, u64), &Option<String>)| {
                         of == key && ver > highest && body.is_none()
                     };
                     !self.contents.iter().any(newer)
@@ -158,7 +158,7 @@
     }
 
     fn was_chosen(&self, item: &Item) -> bool {
-        self.contents.get(&(item.key.clone(), item.ver)) == Some(&item.body)
+        self.contents.get(&(item.key.clone(), item.version)) == Some(&item.body)
     }
 }
 
@@ -166,7 +166,7 @@
     let name = format!("{:?} {}", item.key.kind, item.key.name);
     Numbered {
         name,
-        version: item.ver,
+        version: item.version,
         content: item.body.clone(),
     }
 }
@@ -241,10 +241,10 @@
                     proxy
                         .configuration
                         .get(&item.key)
-                        .is_none_or(|known| known.ver < item.ver)
+                        .is_none_or(|known| known.version < item.version)
                 };
                 match items.iter().find(lacks) {
-                    Some(item) => Err(format!("lacks {:?} {}", item.key, item.ver)),
+                    Some(item) => Err(format!("lacks {:?} {}", item.key, item.version)),
                     None => Ok(()),
                 }
             }
@@ -310,7 +310,10 @@
                     .iter()
                     .filter(|other| other.status != Some(400) || !other.clear);
                 if !others.into_iter().any(|other| other.items.contains(item)) {
-                    return Err(format!("refused and in force: {:?} {}", item.key, item.ver));
+                    return Err(format!(
+                        "refused and in force: {:?} {}",
+                        item.key, item.version
+                    ));
                 }
             }
         }
@@ -345,8 +348,8 @@
             if ended == u64::MAX || beside {
                 continue;
             }
-            let key = Key {
-                kind: Kind::Evacuation,
+            let key = ItemKey {
+                kind: ItemKind::Evacuation,
                 name: zone.clone(),
             };
             for (limiter, machine) in &self.limiters {
--- a/crates/emberpin-simulator/src/limiters.rs
+++ b/crates/emberpin-simulator/src/limiters.rs
@@ -4,7 +4,7 @@
 use crate::net::{ip, number, Frame};
 use crate::text::Machine;
 use crate::world::{Due, Process, World};
-use emberpin_config::{routes_in_force, Configuration, Item, Kind, Route, Service};
+use emberpin_config::{effective_routes, Configuration, Item, ItemKind, Route, Service};
 use emberpin_membership::candidates::Candidates;
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::lease::SessionLease;
@@ -75,7 +75,7 @@
 impl Proxy {
     fn configure(&mut self, now: u64, in_force: bool) -> Result<(), String> {
         let routes: Vec<Route> = match in_force {
-            true => routes_in_force(&self.configuration),
+            true => effective_routes(&self.configuration),
             false => self.configuration.routes().cloned().collect(),
         };
         let mut places = BTreeSet::new();
@@ -83,7 +83,7 @@
             let unknown = route
                 .targets
                 .iter()
-                .find(|(service, _)| !self.configuration.knows(service));
+                .find(|(service, _)| !self.configuration.has_service(service));
             if let Some((service, _)) = unknown {
                 return Err(format!(
                     "invalid in force: route {} names {service}, which is unknown",
@@ -97,31 +97,35 @@
                 ));
             }
             let highest = self.in_force.entry(route.name.clone()).or_default();
-            if route.ver < *highest {
+            if route.version < *highest {
                 return Err(format!(
                     "went back: route {} is {} after {highest}",
-                    route.name, route.ver
+                    route.name, route.version
                 ));
             }
-            *highest = route.ver;
+            *highest = route.version;
         }
         self.router.routes.replace(routes);
         let (mut warmth, mut evacuated) = (HashMap::new(), BTreeSet::new());
         for item in self.configuration.live() {
             match item.key.kind {
-                Kind::Service => {
+                ItemKind::Service => {
                     if let Ok(service) = Service::from_item(item) {
                         warmth.insert(
                             service.name,
                             WarmupProfile {
                                 duration: service.warmup,
-                                requests_per_second: service.warmup_per_s,
+                                requests_per_second: service.warmup_requests_per_s,
                             },
                         );
                     }
                 }
-                Kind::Evacuation => _ = evacuated.insert(item.key.name.clone()),
-                Kind::Route | Kind::Roster | Kind::Limits | Kind::History | Kind::Checkpoint => {}
+                ItemKind::Evacuation => _ = evacuated.insert(item.key.name.clone()),
+                ItemKind::Route
+                | ItemKind::Roster
+                | ItemKind::Limits
+                | ItemKind::History
+                | ItemKind::Checkpoint => {}
             }
         }
         self.router.endpoints.set_warmup_profiles(warmth);
--- a/crates/emberpin-simulator/src/net.rs
+++ b/crates/emberpin-simulator/src/net.rs
@@ -2,7 +2,7 @@
 
 use crate::text::{Machine, Sort};
 use crate::world::{Due, World};
-use emberpin_config::Kind;
+use emberpin_config::ItemKind;
 use emberpin_consensus::Message;
 use emberpin_membership::peers::{Ack, RegistryMessage};
 use emberpin_membership::registry::Event;
@@ -98,7 +98,7 @@
         let sort = match message {
             Message::Prepare { .. } => Sort::Prepare,
             Message::Accept { items, .. }
-                if items.iter().any(|item| item.key.kind == Kind::Roster) =>
+                if items.iter().any(|item| item.key.kind == ItemKind::Roster) =>
             {
                 if self.losses.contains(&(Sort::Seats, from, to)) {
                     return true;
--- a/crates/emberpin-simulator/src/play.rs
+++ b/crates/emberpin-simulator/src/play.rs
@@ -282,7 +282,11 @@
                 path,
                 ver,
             } => self.each(limiters, |proxy| {
-                let found = proxy.router.routes.find(host, path).map(|route| route.ver);
+                let found = proxy
+                    .router
+                    .routes
+                    .find(host, path)
+                    .map(|route| route.version);
                 match found == *ver {
                     true => Ok(()),
                     false => Err(format!(
--- a/crates/emberpin-simulator/src/text.rs
+++ b/crates/emberpin-simulator/src/text.rs
@@ -361,7 +361,7 @@
 }
 
 fn millis(text: &str) -> Result<u64, String> {
-    let time = emberpin_config::forms::time(text);
+    let time = emberpin_config::schema::parse_duration(text);
     let time = time.ok_or_else(|| format!("expected a time such as 2s or 1500ms, not {text:?}"))?;
     Ok(time.as_millis() as u64)
 }
--- a/crates/emberpin-store/examples/measure_store.rs
+++ b/crates/emberpin-store/examples/measure_store.rs
@@ -6,7 +6,7 @@
 //! target/release/emberpin-store 1000`
 
 use emberpin_runtime::frames;
-use emberpin_runtime::preamble::ProcessIdentity;
+use emberpin_runtime::identity::ProcessIdentity;
 use emberpin_store::protocol::{StoreReply, StoreRequest, ToStore};
 use std::error::Error;
 use std::net::Ipv4Addr;
@@ -97,7 +97,7 @@
             _ = stream.set_nodelay(true);
             let (mut from, mut to) = stream.split();
             if ProcessIdentity::new(1)
-                .greet(&mut from, &mut to)
+                .handshake(&mut from, &mut to)
                 .await
                 .is_ok()
             {
--- a/crates/emberpin-store/src/connections.rs
+++ b/crates/emberpin-store/src/connections.rs
@@ -2,8 +2,8 @@
 
 use crate::host::Input;
 use crate::protocol::{StoreReply, StoreRequest, ToStore};
-use emberpin_runtime::frames::{self, Broken};
-use emberpin_runtime::preamble::ProcessIdentity;
+use emberpin_runtime::frames::{self, ConnectionError};
+use emberpin_runtime::identity::ProcessIdentity;
 use socket2::{SockRef, TcpKeepalive};
 use std::collections::BTreeMap;
 use std::io;
@@ -184,11 +184,11 @@
     waiting: &mut mpsc::Receiver<Arc<Vec<u8>>>,
 ) -> Written {
     let (mut from, mut into) = stream.split();
-    let Ok(Ok(peer)) = timeout(UNANSWERED, identity.greet(&mut from, &mut into)).await else {
+    let Ok(Ok(peer)) = timeout(UNANSWERED, identity.handshake(&mut from, &mut into)).await else {
         return Written::Nothing;
     };
     if let Some(system) = peer.system.filter(|_| learns) {
-        identity.learn(system);
+        identity.learn_system(system);
     }
     let mut written = Written::Nothing;
     let mut nothing = [0; 1];
@@ -235,7 +235,7 @@
         let (identity, inputs, counts) = (identity.clone(), inputs.clone(), counts.clone());
         tokio::spawn(async move {
             let ended = serve(stream, number, &identity, &inputs).await;
-            if let Err(Broken::Unreadable(_) | Broken::TooLong(_)) = ended {
+            if let Err(ConnectionError::Malformed(_) | ConnectionError::FrameTooLong(_)) = ended {
                 let so_far = counts.unreadable.fetch_add(1, Ordering::Relaxed) + 1;
                 log::warn!("a frame that is no message ended a connection; {so_far} so far");
             }
@@ -251,12 +251,12 @@
     connection: u64,
     identity: &ProcessIdentity,
     inputs: &mpsc::Sender<Input>,
-) -> Result<(), Broken> {
+) -> Result<(), ConnectionError> {
     tune(&stream)?;
     let (mut from, mut into) = stream.into_split();
-    let greeted = timeout(SILENCE, identity.receive(&mut from)).await;
+    let greeted = timeout(SILENCE, identity.receive_preamble(&mut from)).await;
     greeted.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    identity.send(&mut into).await?;
+    identity.send_preamble(&mut into).await?;
     let mut writer = Some(into);
     let mut outbox: Option<Outbox> = None;
     let mut store = false;
@@ -339,7 +339,7 @@
 impl Registry {
     /// Tells it; `false`, if it doesn't read and was let go.
     pub fn tell(&self, told: &StoreReply) -> bool {
-        let put = match frames::frame(told) {
+        let put = match frames::encode(told) {
             Ok(frame) => self.outbox.put(Arc::new(frame)),
             Err(error) => {
                 log::warn!("not told: {error}");
--- a/crates/emberpin-store/src/disk.rs
+++ b/crates/emberpin-store/src/disk.rs
@@ -131,7 +131,7 @@
         let pending: Pending = self.decode_meta(meta_key::PENDING)?.unwrap_or_default();
         let chosen = self.read_items()?;
         for item in &chosen {
-            self.versions.insert(encode_key(&item.key), item.ver);
+            self.versions.insert(encode_key(&item.key), item.version);
         }
         Ok(Some(Kept {
             chosen,
@@ -197,7 +197,7 @@
                 key.clone(),
                 self.encode("item", item)?,
             );
-            self.versions.insert(key, item.ver);
+            self.versions.insert(key, item.version);
         }
         for key in &write.removed {
             let key = encode_key(key);
--- a/crates/emberpin-store/src/disk/item_versions.rs
+++ b/crates/emberpin-store/src/disk/item_versions.rs
@@ -1,12 +1,12 @@
 //! The version of every item on the disk, and a digest of all of them.
 
 use super::watermark::Watermark;
-use emberpin_config::Key;
+use emberpin_config::ItemKey;
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The key of an item in the partition `items`: its kind and its name.
-pub fn encode_key(key: &Key) -> Vec<u8> {
+pub fn encode_key(key: &ItemKey) -> Vec<u8> {
     [&[key.kind as u8], key.name.as_bytes()].concat()
 }
 
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -7,7 +7,7 @@
 use crate::system_id;
 use emberpin_consensus::{Action, Call, Event, Message, Options, Replica};
 use emberpin_runtime::frames;
-use emberpin_runtime::preamble::ProcessIdentity;
+use emberpin_runtime::identity::ProcessIdentity;
 use emberpin_runtime::settings::Settings;
 use std::collections::BTreeMap;
 use std::io;
@@ -103,7 +103,7 @@
     );
     // Nothing in the settings changes for a store while it runs.
     let mut hup = signal(SignalKind::hangup())?;
-    let folder = settings.datadir.clone().ok_or(Ended::NoDisk)?;
+    let folder = settings.data_dir.clone().ok_or(Ended::NoDisk)?;
     let (disk, kept) = Disk::open(&folder, settings.ip)?;
     let place = SocketAddrV4::new(settings.ip, settings.store_port());
     let listener = TcpListener::bind(place)
@@ -120,7 +120,7 @@
         me: settings.ip,
         seeds: seeds.clone(),
         bootstrap: settings.bootstrap,
-        tolerated: settings.tolerated_nodes,
+        tolerated: settings.tolerated_node_losses,
         seed: u64::from_be_bytes(seed),
     };
     let identity = Arc::new(ProcessIdentity::new(u64::from_be_bytes(seed)));
@@ -128,10 +128,10 @@
     let replica = Replica::new(0, options, kept, &mut actions);
     let system = system_id::load(&folder);
     if let Some(system) = system {
-        identity.learn(system);
+        identity.learn_system(system);
     }
     let (disk, mut disk_events) =
-        DiskQueue::start(disk, folder.clone(), settings.ip, settings.disk_mb > 0)?;
+        DiskQueue::start(disk, folder.clone(), settings.ip, settings.disk_mib > 0)?;
     let mut host = Host {
         began: Instant::now(),
         settings,
@@ -298,7 +298,7 @@
             return self.tell(connection, &status);
         };
         if let Call::Evacuate { zone, .. } = &call {
-            if !self.settings.zones.contains_key(zone) {
+            if !self.settings.zone_regions.contains_key(zone) {
                 let body = format!("zone {zone:?}: is not known");
                 return self.tell(
                     connection,
@@ -359,7 +359,7 @@
                     writes.push(write);
                 }
                 Action::Send { to, message } => {
-                    let frame = frames::frame(&ToStore::Consensus {
+                    let frame = frames::encode(&ToStore::Consensus {
                         from: self.settings.ip,
                         message,
                     });
@@ -454,9 +454,13 @@
             return;
         }
         if self.identity.system().is_none() && self.status.settled {
-            let version = self.replica.state().roster().map_or(0, |roster| roster.ver);
+            let version = self
+                .replica
+                .state()
+                .roster()
+                .map_or(0, |roster| roster.version);
             if let Some(system) = system_id::founded_by(version, &self.replica.voters()) {
-                self.identity.learn(system);
+                self.identity.learn_system(system);
             }
         }
         self.system = self.identity.system();
@@ -483,7 +487,7 @@
     }
 
     fn is_nearly_full(&self) -> bool {
-        let most = (self.settings.disk_mb << 20) / 100 * FULL;
+        let most = (self.settings.disk_mib << 20) / 100 * FULL;
         most > 0 && self.disk.used() >= most
     }
 
@@ -503,7 +507,7 @@
             voters,
             disk,
         } = self.status.clone();
-        let size = self.settings.disk_mb << 20;
+        let size = self.settings.disk_mib << 20;
         let disk = DiskStatus {
             state: disk,
             used_bytes: self.disk.used(),
@@ -513,7 +517,7 @@
             caught_up: settled,
             voters,
             disk,
-            rejected_peers: self.identity.refused(),
+            rejected_peers: self.identity.rejected_peers(),
         }
     }
 
--- a/crates/emberpin-store/src/program.rs
+++ b/crates/emberpin-store/src/program.rs
@@ -51,13 +51,13 @@
         ));
     }
     let settings = Settings::from_env().map_err(|wrong| wrong.to_string())?;
-    if settings.datadir.is_none() {
+    if settings.data_dir.is_none() {
         return Err("self.datadir: is missing; a store needs a disk".into());
     }
     if given.opt_present("check") {
         return Ok(());
     }
-    logs::keep(LevelFilter::Warn);
+    logs::init(LevelFilter::Warn);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .max_blocking_threads(1)
--- a/crates/emberpin-store/tests/disk.rs
+++ b/crates/emberpin-store/tests/disk.rs
@@ -1,7 +1,7 @@
 //! What a store finds on its disk after its end, a loss of power in mid-write, or when the folder isn't its
 //! own.
 
-use emberpin_config::{History, Item, Key, Kind, MOST_NAME};
+use emberpin_config::{History, Item, ItemKey, ItemKind, MAX_NAME_BYTES};
 use emberpin_consensus::{Ballot, Candidacy, Incarnation, Kept, Pending, Renewals, Write};
 use emberpin_store::disk::{Disk, DiskError, FolderMismatch};
 use googletest::prelude::*;
@@ -13,11 +13,11 @@
 
 fn item(name: &str, ver: u64, size: usize) -> Item {
     Item {
-        key: Key {
-            kind: Kind::Service,
+        key: ItemKey {
+            kind: ItemKind::Service,
             name: name.into(),
         },
-        ver,
+        version: ver,
         body: Some("x".repeat(size)),
     }
 }
@@ -407,7 +407,7 @@
         let kept = found(folder).expect("a disk").expect("what was written");
         kept.chosen
             .into_iter()
-            .map(|item| (item.key.name, item.ver))
+            .map(|item| (item.key.name, item.version))
             .collect::<Vec<_>>()
     };
     expect_that!(
@@ -490,7 +490,7 @@
 #[gtest]
 fn the_longest_names_are_kept_with_their_histories() {
     let folder = tempfile::tempdir().expect("a folder");
-    let longest = item(&"n".repeat(MOST_NAME), 7, 10);
+    let longest = item(&"n".repeat(MAX_NAME_BYTES), 7, 10);
     let history = History::new(longest.key.clone(), 7, None).to_item(1);
     let chosen = vec![longest, history];
     written(
--- a/crates/emberpin-store/tests/processes.rs
+++ b/crates/emberpin-store/tests/processes.rs
@@ -1,9 +1,9 @@
 //! Stores as processes on addresses of this machine: calls, news, the loss of all processes, of a disk, of a
 //! machine.
 
-use emberpin_config::{Item, Kind};
+use emberpin_config::{Item, ItemKind};
 use emberpin_runtime::frames;
-use emberpin_runtime::preamble::ProcessIdentity;
+use emberpin_runtime::identity::ProcessIdentity;
 use emberpin_store::protocol::{DiskState, StoreReply, StoreRequest, ToStore};
 use googletest::prelude::*;
 use std::net::{Ipv4Addr, TcpListener};
@@ -142,7 +142,7 @@
             // One that was about to end may have taken the connection.
             let process = ProcessIdentity::new(1);
             if matches!(
-                timeout(LONG, process.greet(&mut from, &mut to)).await,
+                timeout(LONG, process.handshake(&mut from, &mut to)).await,
                 Ok(Ok(_))
             ) {
                 return stream;
@@ -349,7 +349,7 @@
                         seen.iter()
                             .any(|item| item.key.kind == kind && item.body.is_some())
                     };
-                    (has(Kind::Service) && has(Kind::Evacuation)).then_some(())
+                    (has(ItemKind::Service) && has(ItemKind::Evacuation)).then_some(())
                 })
                 .await;
         }
@@ -440,7 +440,7 @@
         let told = told.await;
         expect_that!(told.iter().any(|item| item.key.name == "x"), eq(true));
         expect_that!(
-            told.iter().any(|item| item.key.kind == Kind::History),
+            told.iter().any(|item| item.key.kind == ItemKind::History),
             eq(false)
         );
     });
@@ -772,7 +772,7 @@
     loop {
         let mut stream = machine.connect_without_preamble().await;
         let (mut from, mut to) = stream.split();
-        let preamble = ProcessIdentity::new(1).greet(&mut from, &mut to).await;
+        let preamble = ProcessIdentity::new(1).handshake(&mut from, &mut to).await;
         if let Some(system) = preamble.ok().and_then(|preamble| preamble.system) {
             return system;
         }
@@ -794,10 +794,13 @@
             expect_that!(system(machine).await, eq(ours));
         }
         let foreign = ProcessIdentity::new(1);
-        foreign.learn(std::num::NonZeroU64::new(ours.get() ^ 1).expect("a system"));
+        foreign.learn_system(std::num::NonZeroU64::new(ours.get() ^ 1).expect("a system"));
         let mut stream = machines[3].connect_without_preamble().await;
         let (mut from, mut to) = stream.split();
-        expect_that!(foreign.greet(&mut from, &mut to).await.is_err(), eq(true));
+        expect_that!(
+            foreign.handshake(&mut from, &mut to).await.is_err(),
+            eq(true)
+        );
         expect_that!(machines[0].patch(&service("a", 1)).await, eq(200));
         // It is kept.
         machines[..3].iter_mut().for_each(Machine::kill);
--- a/crates/emberpin-store/tests/program/mod.rs
+++ b/crates/emberpin-store/tests/program/mod.rs
@@ -2,7 +2,8 @@
 
 use crate::ME;
 use emberpin_runtime::frames;
-use emberpin_runtime::preamble::{Preamble, ProcessIdentity};
+use emberpin_runtime::identity::ProcessIdentity;
+use emberpin_runtime::preamble::Preamble;
 use emberpin_store::protocol::{StoreReply, StoreRequest, ToStore};
 use std::net::TcpListener;
 use std::path::Path;
@@ -41,7 +42,7 @@
             if let Ok(mut stream) = TcpStream::connect((ME, self.port)).await {
                 let (mut from, mut to) = stream.split();
                 let process = ProcessIdentity::new(1);
-                let preamble = timeout(LONG, process.greet(&mut from, &mut to)).await;
+                let preamble = timeout(LONG, process.handshake(&mut from, &mut to)).await;
                 return (
                     stream,
                     preamble.expect("a greeting in time").expect("a preamble"),
--- a/crates/emberpin-store/tests/recorded_disks.rs
+++ b/crates/emberpin-store/tests/recorded_disks.rs
@@ -8,7 +8,7 @@
 mod program;
 mod recorder;
 
-use emberpin_config::{Item, Key, Kind};
+use emberpin_config::{Item, ItemKey, ItemKind};
 use emberpin_consensus::{Ballot, Candidacy, Incarnation, Kept, Pending, Renewals, Write};
 use emberpin_store::disk::{Disk, DiskError, FolderMismatch};
 use googletest::prelude::*;
@@ -58,7 +58,7 @@
             .map_or("dropped".into(), |body| format!("{body:?}"));
         format!(
             "{} {} {:?} {content}\n",
-            item.key.kind as u8, item.ver, item.key.name
+            item.key.kind as u8, item.version, item.key.name
         )
     };
     items.iter().map(line).collect()
@@ -73,13 +73,13 @@
 }
 
 fn service(name: &str, ver: u64, body: Option<&str>) -> Item {
-    let key = Key {
-        kind: Kind::Service,
+    let key = ItemKey {
+        kind: ItemKind::Service,
         name: name.into(),
     };
     Item {
         key,
-        ver,
+        version: ver,
         body: body.map(str::to_owned),
     }
 }
--- a/crates/emberpin-store/tests/recorder/mod.rs
+++ b/crates/emberpin-store/tests/recorder/mod.rs
@@ -4,7 +4,7 @@
 use crate::packed::pack;
 use crate::program::Program;
 use crate::{fixture, lines, run, ME, OTHERS};
-use emberpin_config::{Bounds, Item, Key, Kind};
+use emberpin_config::{Item, ItemKey, ItemKind, Retention};
 use emberpin_consensus::{
     Action, Ballot, Call, Candidacy, Event, Guards, Incarnation, Options, Pending, Renewals,
     Replica, Write,
@@ -16,9 +16,9 @@
 use std::time::Duration;
 
 /// So little of the past is kept that a hundred calls bring forth checkpoints and forgotten versions.
-const BOUNDS: Bounds = Bounds {
-    versions: 3,
-    tombstones: 2,
+const BOUNDS: Retention = Retention {
+    max_versions: 3,
+    max_tombstones: 2,
 };
 /// A body of this length, written so often, is more than `fjall` holds before it makes a table.
 const LONG: (usize, u64) = (512 << 10, 18);
@@ -116,12 +116,16 @@
     /// Has `fjall` make tables and another journal.
     fn fill_a_table(&mut self, folder: &Path) {
         for ver in 1..=LONG.1 {
-            let key = Key {
-                kind: Kind::Service,
+            let key = ItemKey {
+                kind: ItemKind::Service,
                 name: "long".into(),
             };
             let body = (ver < LONG.1).then(|| "x".repeat(LONG.0));
-            let chosen = vec![Item { key, ver, body }];
+            let chosen = vec![Item {
+                key,
+                version: ver,
+                body,
+            }];
             let last = self.last.clone().expect("a write before");
             self.write(Write {
                 chosen,
@@ -192,13 +196,13 @@
         node: node.to_bits(),
         incarnation: 77,
     };
-    let key = Key {
-        kind: Kind::Service,
+    let key = ItemKey {
+        kind: ItemKind::Service,
         name: "open".into(),
     };
     let open = Item {
         key,
-        ver: 700,
+        version: 700,
         body: Some(service("open", 700)),
     };
     let mut renewals = Renewals::default();
