--- a/crates/emberpin-store/src/disk.rs
+++ b/crates/emberpin-store/src/disk.rs
@@ -7,6 +7,7 @@
 mod item_versions;
 mod journal;
 mod keyspace;
+pub(crate) mod queue;
 mod sync_record;
 mod usage;
 mod watermark;
--- a/crates/emberpin-store/src/disk/worker.rs
+++ b/crates/emberpin-store/src/disk/worker.rs
@@ -1,206 +1,100 @@
-//! The thread that owns the disk, so that the loop never waits for it.
+//! The thread that owns the disk, so that the event loop never waits for it.
 //!
-//! The loop submits batches of writes to a bounded queue; the thread writes all that wait, syncs once for all
-//! of them (group commit), and reports the last token that is synced. A disk that failed is opened anew, and
-//! checked against what was synced to it, at growing pauses; batches from before the failure are dropped, as
-//! the replica has dropped what it owed after them.
+//! The worker writes all batches that wait, syncs once for all of them (group commit), and reports the last token that
+//! is synced. After a failure it reopens the disk with a growing backoff, and checks that nothing that was synced is
+//! missing. Batches submitted before the event loop heard of the failure are dropped, as the replica drops the messages
+//! that wait for them.
 
 use super::usage::used_bytes;
 use super::{Disk, DiskError};
-use crate::faults;
+use crate::fault_injection;
 use emberpin_consensus::Write;
-use std::io;
 use std::net::Ipv4Addr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
-use std::sync::mpsc::{self, Receiver, RecvTimeoutError, SyncSender, TrySendError};
+use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc as events;
 
-/// Batches that wait for the disk; one more, and the disk counts as failed.
-const QUEUE: usize = 64;
-/// Bytes of items in these, likewise; a batch that finds the queue empty may be larger.
-const QUEUE_BYTES: usize = 16 << 20;
-/// Batches that share a sync.
-const GROUP: usize = QUEUE;
-/// A disk that has finished nothing for so long, in milliseconds, while batches wait, is stalled.
-const STALLED: u64 = 1_000;
-/// Pauses between tries to open a disk that failed grow from the first to the second.
-const PAUSES: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(8));
-/// How often at most the files are measured after writes.
-const MEASURE: Duration = Duration::from_millis(450);
-/// How often they are measured without any write, as tables may have been merged since.
-const MEASURE_IDLE: Duration = Duration::from_secs(10);
+/// Most batches that share a sync.
+pub const MAX_BATCHES_PER_SYNC: usize = 64;
+/// Backoff between attempts to reopen a disk that failed, doubled from the first to the last.
+const MIN_REOPEN_BACKOFF: Duration = Duration::from_millis(500);
+const MAX_REOPEN_BACKOFF: Duration = Duration::from_secs(8);
+/// Shortest time between measurements of the disk's usage after writes.
+const MEASURE_INTERVAL: Duration = Duration::from_millis(450);
+/// Time between measurements while nothing is written, as `fjall` may have merged tables since.
+const IDLE_MEASURE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What the loop submits.
-enum Command {
-    /// Writes in their order; the token is to be reported once they are synced.
-    Commit {
-        failures: u64,
+/// Counts how often the disk failed. A batch of an earlier generation is dropped: it was submitted before the event
+/// loop heard of the last failure, and builds on writes that are lost.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Generation(u64);
+
+impl Generation {
+    /// The generation after another failure.
+    pub fn next(self) -> Generation {
+        Generation(self.0 + 1)
+    }
+}
+
+/// What the event loop asks of the worker.
+pub enum DiskCommand {
+    /// Write a batch.
+    Write {
+        /// The generation of the disk that the batch builds on.
+        generation: Generation,
+        /// The writes, in their order.
         writes: Vec<Write>,
-        sync: Option<u64>,
+        /// Report this token once the batch is synced; `None` if no sync is needed.
+        sync_token: Option<u64>,
     },
     /// Sync everything, and end.
     Close,
 }
 
-/// What the thread reports.
+/// What the worker reports to the event loop.
 #[derive(Debug)]
 pub enum DiskEvent {
     /// All writes up to this token are synced.
     Synced {
-        /// The last one.
+        /// The last token.
         token: u64,
     },
     /// A write or a sync failed: nothing after the last [`DiskEvent::Synced`] is known to be on the disk.
     Failed(DiskError),
-    /// The disk was opened anew and holds all that was synced.
+    /// The disk was opened again and holds all that was synced to it.
     Reopened,
-    /// The disk holds less than was synced to it, or is not this store's.
+    /// The disk lost data or is not this store's. The worker ends.
     Damaged(DiskError),
-    /// All that was submitted before the end is synced.
+    /// All that was submitted before [`DiskCommand::Close`] is synced. The worker ends.
     Closed,
 }
 
-/// What the thread tells in passing.
+/// Counters that the event loop reads without waiting for the worker.
 #[derive(Default)]
-struct Progress {
-    /// Batches that are done or dropped.
-    done: AtomicU64,
-    /// Bytes of items that wait.
-    bytes: AtomicUsize,
-    /// Bytes that the files take.
-    used: AtomicU64,
-}
-
-/// The queue is full: the batch was not taken.
-#[derive(Debug, PartialEq, Eq)]
-pub struct Overflow;
-
-/// The loop's end of the queue.
-pub struct DiskQueue {
-    commands: SyncSender<Command>,
-    progress: Arc<Progress>,
-    failures: u64,
-    submitted: u64,
-    /// Of the batches, how many were seen done, and when that last changed.
-    seen: (u64, u64),
+pub struct Progress {
+    /// Batches that are synced, failed or dropped.
+    pub completed_batches: AtomicU64,
+    /// Bytes of items in batches that wait.
+    pub queued_bytes: AtomicUsize,
+    /// Bytes that the files took when they were last measured.
+    pub used_bytes: AtomicU64,
 }
 
-impl DiskQueue {
-    /// Starts the thread with an open disk; `measured`, if the bytes that its files take are of interest.
-    ///
-    /// # Errors
-    ///
-    /// No thread could be started.
-    pub fn start(
-        disk: Disk,
-        folder: PathBuf,
-        me: Ipv4Addr,
-        measured: bool,
-    ) -> io::Result<(DiskQueue, events::Receiver<DiskEvent>)> {
-        let (commands, waiting) = mpsc::sync_channel(QUEUE);
-        let (events, reported) = events::channel(QUEUE);
-        let progress = Arc::<Progress>::default();
-        let mut owner = Owner {
-            folder,
-            me,
-            commands: waiting,
-            events,
-            progress: progress.clone(),
-            failures: 0,
-            pause: PAUSES.0,
-            measured: measured.then(Instant::now),
-        };
-        owner.measure();
-        std::thread::Builder::new()
-            .name("disk".into())
-            .spawn(move || owner.run(disk))?;
-        Ok((
-            DiskQueue {
-                commands,
-                progress,
-                failures: 0,
-                submitted: 0,
-                seen: (0, 0),
-            },
-            reported,
-        ))
-    }
-
-    /// Submits writes; the token is reported once they and all before them are synced.
-    ///
-    /// # Errors
-    ///
-    /// [`Overflow`].
-    pub fn submit(
-        &mut self,
-        now: u64,
-        writes: Vec<Write>,
-        sync: Option<u64>,
-    ) -> Result<(), Overflow> {
-        self.observe(now);
-        let waits = self.seen.0 < self.submitted;
-        let size = weight(&writes);
-        if waits && self.progress.bytes.load(Ordering::Relaxed) + size > QUEUE_BYTES {
-            return Err(Overflow);
-        }
-        self.progress.bytes.fetch_add(size, Ordering::Relaxed);
-        let command = Command::Commit {
-            failures: self.failures,
-            writes,
-            sync,
-        };
-        if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) =
-            self.commands.try_send(command)
-        {
-            self.progress.bytes.fetch_sub(size, Ordering::Relaxed);
-            return Err(Overflow);
-        }
-        self.submitted += 1;
-        if !waits {
-            self.seen.1 = now;
-        }
-        Ok(())
-    }
-
-    /// After [`DiskEvent::Failed`]: what was submitted before is dropped, what is submitted from now on is not.
-    pub fn failed(&mut self) {
-        self.failures += 1;
-    }
-
-    /// Whether batches wait and none was finished for a second.
-    pub fn is_stalled(&mut self, now: u64) -> bool {
-        self.observe(now);
-        self.seen.0 < self.submitted && now.saturating_sub(self.seen.1) >= STALLED
-    }
-
-    /// Whether nothing waits.
-    pub fn is_idle(&self) -> bool {
-        self.progress.done.load(Ordering::Acquire) == self.submitted
-    }
-
-    /// How many bytes the files took when they were last measured.
-    pub fn used(&self) -> u64 {
-        self.progress.used.load(Ordering::Relaxed)
-    }
-
-    /// Asks for [`DiskEvent::Closed`]; `false`, if the queue is full.
-    pub fn close(&self) -> bool {
-        self.commands.try_send(Command::Close).is_ok()
-    }
-
-    fn observe(&mut self, now: u64) {
-        let done = self.progress.done.load(Ordering::Acquire);
-        if done != self.seen.0 {
-            self.seen = (done, now);
-        }
-    }
+/// Whether the worker measures how much room the files take.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum UsageMeasurement {
+    /// At the start, after writes, and now and then.
+    Periodic,
+    /// Not at all, as the settings limit nothing.
+    Off,
 }
 
-fn weight(writes: &[Write]) -> usize {
-    let items = |write: &Write| {
+/// Bytes of the items in a batch, which dominate its size.
+pub fn item_bytes(writes: &[Write]) -> usize {
+    let item_bytes = |write: &Write| {
         let pending = write.pending.iter().flat_map(|pending| &pending.items);
         let sizes = write
             .chosen
@@ -209,57 +103,82 @@
             .map(|item| item.body.as_ref().map_or(0, String::len));
         sizes.sum::<usize>()
     };
-    writes.iter().map(items).sum()
+    writes.iter().map(item_bytes).sum()
 }
 
-/// Whether the owner goes on.
-enum Next {
+/// What the worker does after a group of commands.
+enum NextStep {
     Continue,
     Reopen,
     End,
 }
 
-/// The thread's end of the queue.
-struct Owner {
+/// Commands that share a sync, carried out up to it.
+struct Group {
+    batches: u64,
+    /// The last token to report once the group is synced.
+    sync_token: Option<u64>,
+    closes: bool,
+    result: Result<(), DiskError>,
+}
+
+/// The state of the thread.
+pub struct DiskWorker {
     folder: PathBuf,
-    me: Ipv4Addr,
-    commands: Receiver<Command>,
+    own_ip: Ipv4Addr,
+    commands: Receiver<DiskCommand>,
     events: events::Sender<DiskEvent>,
     progress: Arc<Progress>,
-    /// How often the disk failed; batches that were submitted before the loop heard of the last time are
-    /// dropped.
-    failures: u64,
-    pause: Duration,
-    /// When the files were last measured, if they are.
-    measured: Option<Instant>,
+    generation: Generation,
+    reopen_backoff: Duration,
+    /// When the usage was last measured; `None` if it is not measured.
+    measured_at: Option<Instant>,
 }
 
-impl Owner {
-    fn run(mut self, mut disk: Disk) {
+impl DiskWorker {
+    /// A worker for the disk in a data folder. Measures the usage at once, if it is to be measured.
+    pub fn new(
+        folder: PathBuf,
+        own_ip: Ipv4Addr,
+        measurement: UsageMeasurement,
+        commands: Receiver<DiskCommand>,
+        events: events::Sender<DiskEvent>,
+        progress: Arc<Progress>,
+    ) -> DiskWorker {
+        let is_measured = measurement == UsageMeasurement::Periodic;
+        let mut worker = DiskWorker {
+            folder,
+            own_ip,
+            commands,
+            events,
+            progress,
+            generation: Generation::default(),
+            reopen_backoff: MIN_REOPEN_BACKOFF,
+            measured_at: is_measured.then(Instant::now),
+        };
+        worker.measure();
+        worker
+    }
+
+    /// Carries out commands until the event loop closes the disk or is gone, or the disk is found damaged.
+    pub fn run(mut self, mut disk: Disk) {
         loop {
-            let first = match self.measured {
-                None => self
-                    .commands
-                    .recv()
-                    .map_err(|_| RecvTimeoutError::Disconnected),
-                Some(_) => self.commands.recv_timeout(MEASURE_IDLE),
-            };
-            let next = match first {
-                Ok(first) => self.group(&mut disk, first),
+            let step = match self.next_command() {
+                Ok(command) => self.process_group(&mut disk, command),
                 Err(RecvTimeoutError::Timeout) => {
                     self.measure();
-                    Next::Continue
+                    NextStep::Continue
                 }
-                Err(RecvTimeoutError::Disconnected) => Next::End,
+                Err(RecvTimeoutError::Disconnected) => NextStep::End,
             };
-            match next {
-                Next::Continue => {}
-                Next::End => return,
-                Next::Reopen => {
-                    // Its files are closed first, and what they still buffer is written or lost.
+            match step {
+                NextStep::Continue => {}
+                NextStep::End => return,
+                NextStep::Reopen => {
+                    // Its files are closed first: what they still buffer is written or lost by then.
                     drop(disk);
                     match self.reopen() {
-                        Some(opened) => disk = opened,
+                        Some(reopened) => disk = reopened,
                         None => return,
                     }
                 }
@@ -267,90 +186,123 @@
         }
     }
 
-    /// Carries out a command and all that wait behind it, with one sync.
-    fn group(&mut self, disk: &mut Disk, first: Command) -> Next {
-        let (mut token, mut closes, mut done) = (None, false, 0);
-        let mut result = Ok(());
+    /// Waits for a command; times out when the usage is due to be measured.
+    fn next_command(&self) -> Result<DiskCommand, RecvTimeoutError> {
+        match self.measured_at {
+            None => self
+                .commands
+                .recv()
+                .map_err(|_| RecvTimeoutError::Disconnected),
+            Some(_) => self.commands.recv_timeout(IDLE_MEASURE_INTERVAL),
+        }
+    }
+
+    /// Carries out a command and those that wait behind it, with one sync.
+    fn process_group(&mut self, disk: &mut Disk, first: DiskCommand) -> NextStep {
+        let mut group = self.write_group(disk, first);
+        if group.result.is_ok() && (group.sync_token.is_some() || group.closes) {
+            fault_injection::delay_sync();
+            group.result = disk.sync();
+        }
+        self.progress
+            .completed_batches
+            .fetch_add(group.batches, Ordering::Release);
+        self.measure_if_due();
+        self.report_group(group)
+    }
+
+    /// Writes the batches of a group, without a sync. Stops writing at the first failure.
+    fn write_group(&mut self, disk: &mut Disk, first: DiskCommand) -> Group {
+        let mut group = Group {
+            batches: 0,
+            sync_token: None,
+            closes: false,
+            result: Ok(()),
+        };
         let mut next = Some(first);
         while let Some(command) = next.take() {
             match command {
-                Command::Close => closes = true,
-                Command::Commit {
-                    failures,
+                DiskCommand::Close => group.closes = true,
+                DiskCommand::Write {
+                    generation,
                     writes,
-                    sync,
+                    sync_token,
                 } => {
-                    done += 1;
-                    self.progress
-                        .bytes
-                        .fetch_sub(weight(&writes), Ordering::Relaxed);
-                    if failures == self.failures && result.is_ok() {
-                        result = writes.iter().try_for_each(|write| disk.write(write));
-                        token = sync.or(token);
+                    group.batches += 1;
+                    self.release_queued_bytes(&writes);
+                    if generation == self.generation && group.result.is_ok() {
+                        group.result = writes.iter().try_for_each(|write| disk.write(write));
+                        group.sync_token = sync_token.or(group.sync_token);
                     }
                 }
             }
-            if !closes && done < GROUP as u64 {
+            if !group.closes && group.batches < MAX_BATCHES_PER_SYNC as u64 {
                 next = self.commands.try_recv().ok();
             }
         }
-        if result.is_ok() && (token.is_some() || closes) {
-            faults::before_sync();
-            result = disk.sync();
-        }
-        self.progress.done.fetch_add(done, Ordering::Release);
-        self.measure_if_due();
-        match result {
+        group
+    }
+
+    /// Reports the outcome of a group, and decides what comes next.
+    fn report_group(&mut self, group: Group) -> NextStep {
+        let is_synced = group.sync_token.is_some();
+        match group.result {
             Err(failed) => {
-                self.failures += 1;
-                let ends = closes || !self.report(DiskEvent::Failed(failed));
-                return if ends { Next::End } else { Next::Reopen };
+                self.generation = self.generation.next();
+                let ends = group.closes || !self.report(DiskEvent::Failed(failed));
+                return if ends {
+                    NextStep::End
+                } else {
+                    NextStep::Reopen
+                };
             }
-            Ok(()) if token.is_some() => self.pause = PAUSES.0,
+            Ok(()) if is_synced => self.reopen_backoff = MIN_REOPEN_BACKOFF,
             Ok(()) => {}
         }
-        let told = token.is_none_or(|token| self.report(DiskEvent::Synced { token }));
-        if closes {
+        let is_heard = group
+            .sync_token
+            .is_none_or(|token| self.report(DiskEvent::Synced { token }));
+        if group.closes {
             self.report(DiskEvent::Closed);
         }
-        if told && !closes {
-            Next::Continue
+        if is_heard && !group.closes {
+            NextStep::Continue
         } else {
-            Next::End
+            NextStep::End
         }
     }
 
-    /// Opens the disk again, once it can be; `None`, if there is nothing more to do.
+    /// Reopens the disk once that succeeds; `None` if the worker is to end instead.
     fn reopen(&mut self) -> Option<Disk> {
         loop {
-            self.wait()?;
-            match Disk::open(&self.folder, self.me) {
+            self.back_off()?;
+            match Disk::open(&self.folder, self.own_ip) {
                 Ok((disk, _)) => return self.report(DiskEvent::Reopened).then_some(disk),
-                Err(damaged) if damaged.is_damage() => {
-                    self.report(DiskEvent::Damaged(damaged));
+                Err(damage) if damage.is_damage() => {
+                    self.report(DiskEvent::Damaged(damage));
                     return None;
                 }
-                Err(unusable) => log::warn!("the disk is still of no use: {unusable}"),
+                Err(error) => log::warn!("cannot reopen the disk yet: error={error}"),
             }
         }
     }
 
-    /// Lets a pause go by, longer from time to time, and drops what is submitted; `None`, if the process ends.
-    fn wait(&mut self) -> Option<()> {
-        let until = Instant::now() + self.pause;
-        self.pause = (self.pause * 2).min(PAUSES.1);
+    /// Waits for the backoff, and drops batches that come meanwhile; `None` if the worker is to end.
+    fn back_off(&mut self) -> Option<()> {
+        let until = Instant::now() + self.reopen_backoff;
+        self.reopen_backoff = (self.reopen_backoff * 2).min(MAX_REOPEN_BACKOFF);
         loop {
             match self
                 .commands
                 .recv_timeout(until.saturating_duration_since(Instant::now()))
             {
-                Ok(Command::Commit { writes, .. }) => {
+                Ok(DiskCommand::Write { writes, .. }) => {
+                    self.release_queued_bytes(&writes);
                     self.progress
-                        .bytes
-                        .fetch_sub(weight(&writes), Ordering::Relaxed);
-                    self.progress.done.fetch_add(1, Ordering::Release);
+                        .completed_batches
+                        .fetch_add(1, Ordering::Release);
                 }
-                Ok(Command::Close) => {
+                Ok(DiskCommand::Close) => {
                     self.report(DiskEvent::Closed);
                     return None;
                 }
@@ -360,25 +312,34 @@
         }
     }
 
-    /// `false`, if nobody hears it any more.
+    fn release_queued_bytes(&self, writes: &[Write]) {
+        self.progress
+            .queued_bytes
+            .fetch_sub(item_bytes(writes), Ordering::Relaxed);
+    }
+
+    /// Reports an event; `false` if the event loop is gone.
     fn report(&self, event: DiskEvent) -> bool {
         self.events.blocking_send(event).is_ok()
     }
 
     fn measure_if_due(&mut self) {
-        if self.measured.is_some_and(|at| at.elapsed() >= MEASURE) {
+        if self
+            .measured_at
+            .is_some_and(|at| at.elapsed() >= MEASURE_INTERVAL)
+        {
             self.measure();
         }
     }
 
     fn measure(&mut self) {
-        if self.measured.is_none() {
+        if self.measured_at.is_none() {
             return;
         }
-        self.measured = Some(Instant::now());
+        self.measured_at = Some(Instant::now());
         match used_bytes(&self.folder) {
-            Ok(bytes) => self.progress.used.store(bytes, Ordering::Relaxed),
-            Err(error) => log::warn!("the disk can't be measured: {error}"),
+            Ok(bytes) => self.progress.used_bytes.store(bytes, Ordering::Relaxed),
+            Err(error) => log::warn!("cannot measure the disk's usage: error={error}"),
         }
     }
 }
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -1,7 +1,8 @@
 //! The loop around a replica: events in, actions out.
 
 use crate::connections::{call, listen, Counts, Links, Outbox, Registry};
-use crate::disk::worker::{DiskEvent, DiskQueue};
+use crate::disk::queue::DiskQueue;
+use crate::disk::worker::{DiskEvent, UsageMeasurement};
 use crate::disk::{Disk, DiskError};
 use crate::protocol::{DiskState, DiskStatus, StoreReply, StoreRequest, ToStore};
 use crate::system_id;
@@ -130,8 +131,12 @@
     if let Some(system) = system {
         identity.learn_system(system);
     }
-    let (disk, mut disk_events) =
-        DiskQueue::start(disk, folder.clone(), settings.ip, settings.disk_mib > 0)?;
+    let measurement = if settings.disk_mib > 0 {
+        UsageMeasurement::Periodic
+    } else {
+        UsageMeasurement::Off
+    };
+    let (disk, mut disk_events) = DiskQueue::start(disk, folder.clone(), settings.ip, measurement)?;
     let mut host = Host {
         began: Instant::now(),
         settings,
@@ -376,7 +381,7 @@
                 Action::Learned { items } => self.tell_followers(&StoreReply::Items { items }),
             }
         }
-        if !writes.is_empty() && self.disk.submit(self.now(), writes, sync).is_err() {
+        if !writes.is_empty() && self.disk.submit(Instant::now(), writes, sync).is_err() {
             self.overflowed = true;
             self.handle(Event::DiskFailed {
                 reason: DISK_STALLED.into(),
@@ -397,7 +402,7 @@
                 log::error!(
                     "changes and votes are refused until the disk takes writes again: {failed}"
                 );
-                self.disk.failed();
+                self.disk.on_disk_failed();
                 self.disk_failed = true;
                 self.overflowed = false;
                 self.handle(Event::DiskFailed {
@@ -438,7 +443,7 @@
 
     /// Waits a little for the last sync.
     async fn close(&self, events: &mut mpsc::Receiver<DiskEvent>) {
-        if !self.disk.close() {
+        if self.disk.close().is_err() {
             return;
         }
         let closed =
@@ -475,7 +480,7 @@
     }
 
     fn disk_state(&mut self) -> DiskState {
-        if self.overflowed || self.disk.is_stalled(self.now()) {
+        if self.overflowed || self.disk.is_stalled(Instant::now()) {
             DiskState::Stalled
         } else if self.disk_failed || self.replica.storage_refusal().is_some() {
             DiskState::Full
@@ -488,7 +493,7 @@
 
     fn is_nearly_full(&self) -> bool {
         let most = (self.settings.disk_mib << 20) / 100 * FULL;
-        most > 0 && self.disk.used() >= most
+        most > 0 && self.disk.used_bytes() >= most
     }
 
     /// Why a change is not even given to the replica.
@@ -510,7 +515,7 @@
         let size = self.settings.disk_mib << 20;
         let disk = DiskStatus {
             state: disk,
-            used_bytes: self.disk.used(),
+            used_bytes: self.disk.used_bytes(),
             limit_bytes: size,
         };
         StoreReply::Status {
--- a/crates/emberpin-store/src/lib.rs
+++ b/crates/emberpin-store/src/lib.rs
@@ -6,7 +6,7 @@
 
 mod connections;
 pub mod disk;
-mod faults;
+mod fault_injection;
 mod host;
 pub mod program;
 pub mod protocol;
