--- a/crates/emberpin-membership/src/candidates.rs
+++ b/crates/emberpin-membership/src/candidates.rs
@@ -1,83 +1,114 @@
-//! With which registry a proxy begins its next session.
+//! Which registry a proxy opens its next session with.
 
-use crate::timing::AVOIDED;
+use crate::clock::Timestamp;
+use crate::timing::AVOIDANCE_PERIOD;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
-/// No more registries than these are remembered from one that could confirm nothing, and as many that were left.
-const REMEMBERED: usize = 64;
+/// The greatest number of hinted registries, and of avoided ones, that are remembered.
+const MAX_REMEMBERED: usize = 64;
 
-/// The registries that a proxy knows beside those of its settings. Times are in milliseconds on the local clock.
+/// Whether a registry is confirmed by a majority.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Confirmation {
+    /// It is: the registries that it names are those that exist.
+    Confirmed,
+    /// It is not, or could not be reached: the registries that it names are hints.
+    Unconfirmed,
+}
+
+/// The registries that a proxy knows beside the seeds of its settings, and those that it avoids for a while.
 #[derive(Clone, Debug, Default)]
-pub struct Candidates {
-    /// Named by a registry that heard a majority.
+pub struct RegistryCandidates {
+    /// Named by a confirmed registry.
     confirmed: BTreeSet<Ipv4Addr>,
-    /// Named by one that did not; they may be long gone, but all that the settings name may be cut off.
+    /// Named by an unconfirmed registry. They may have been removed long ago, but are needed when all seeds are cut off.
     hinted: BTreeSet<Ipv4Addr>,
-    /// Those that a session is with, by session.
-    with: BTreeMap<usize, Ipv4Addr>,
-    /// When those that could confirm nothing were left.
-    left: BTreeMap<Ipv4Addr, u64>,
+    /// The registry that each session slot is connected to, or tries to connect to.
+    in_use: BTreeMap<usize, Ipv4Addr>,
+    /// When registries were left unconfirmed; they are tried last for [`AVOIDANCE_PERIOD`].
+    avoided: BTreeMap<Ipv4Addr, Timestamp>,
 }
 
-impl Candidates {
-    /// A registry without a session, by a number drawn at random: not the last one of this session, nor one that was
-    /// left a moment ago, as long as there is another; and rather one that was heard by a majority than one that the
-    /// settings name, which may be long gone.
+impl RegistryCandidates {
+    /// Chooses a registry that no session is connected to, by a random number. In order of preference: one named by a
+    /// confirmed registry, one of the others, one that is avoided. The registry that the slot was connected to last is
+    /// chosen only if there is no other. `None` if no registry is left.
     pub fn choose(
         &mut self,
-        now: u64,
-        session: usize,
+        now: Timestamp,
+        slot: usize,
         seeds: impl Iterator<Item = Ipv4Addr>,
         last: Option<Ipv4Addr>,
-        draw: u64,
+        random: u64,
     ) -> Option<Ipv4Addr> {
-        self.left.retain(|_, at| now.saturating_sub(*at) < AVOIDED);
-        let mut known: BTreeSet<Ipv4Addr> = seeds.collect();
-        known.extend(self.confirmed.iter().chain(&self.hinted));
-        self.with.values().for_each(|taken| _ = known.remove(taken));
-        if known.len() > 1 {
-            last.map(|last| known.remove(&last));
-        }
-        let fresh: Vec<Ipv4Addr> = known
+        self.avoided
+            .retain(|_, left_at| now.duration_since(*left_at) < AVOIDANCE_PERIOD);
+        let known = self.available(seeds, last);
+        let preferred: Vec<Ipv4Addr> = known
             .iter()
             .copied()
-            .filter(|ip| !self.left.contains_key(ip))
+            .filter(|registry| !self.avoided.contains_key(registry))
             .collect();
-        let there: Vec<Ipv4Addr> = fresh
+        let confirmed: Vec<Ipv4Addr> = preferred
             .iter()
             .copied()
-            .filter(|ip| self.confirmed.contains(ip))
+            .filter(|registry| self.confirmed.contains(registry))
             .collect();
-        let all = known.into_iter().collect();
-        let among = [there, fresh, all]
+        let known = known.into_iter().collect();
+        let choices = [confirmed, preferred, known]
             .into_iter()
-            .find(|some: &Vec<_>| !some.is_empty())?;
-        let at = usize::try_from(draw).unwrap_or(usize::MAX) % among.len().max(1);
-        let chosen = among.get(at).copied()?;
-        self.with.insert(session, chosen);
+            .find(|choices: &Vec<_>| !choices.is_empty())?;
+        let index = usize::try_from(random).unwrap_or(usize::MAX) % choices.len().max(1);
+        let chosen = choices.get(index).copied()?;
+        self.in_use.insert(slot, chosen);
         Some(chosen)
     }
 
-    /// A session is over; not `confirmed`: its registry was not reached, or left for want of a majority.
-    pub fn ended(&mut self, now: u64, session: usize, confirmed: bool) {
-        let Some(registry) = self.with.remove(&session) else {
+    /// All known registries that no session is connected to, without `last` if there is another.
+    fn available(
+        &self,
+        seeds: impl Iterator<Item = Ipv4Addr>,
+        last: Option<Ipv4Addr>,
+    ) -> BTreeSet<Ipv4Addr> {
+        let mut known: BTreeSet<Ipv4Addr> = seeds.collect();
+        known.extend(self.confirmed.iter().chain(&self.hinted));
+        for registry in self.in_use.values() {
+            known.remove(registry);
+        }
+        if known.len() > 1 {
+            if let Some(last) = last {
+                known.remove(&last);
+            }
+        }
+        known
+    }
+
+    /// Takes note that the session of a slot has ended. Its registry is avoided for a while if it was unconfirmed.
+    pub fn on_session_ended(&mut self, now: Timestamp, slot: usize, confirmation: Confirmation) {
+        let Some(registry) = self.in_use.remove(&slot) else {
             return;
         };
-        if !confirmed && (self.left.len() < REMEMBERED || self.left.contains_key(&registry)) {
-            self.left.insert(registry, now);
+        let has_capacity =
+            self.avoided.len() < MAX_REMEMBERED || self.avoided.contains_key(&registry);
+        if confirmation == Confirmation::Unconfirmed && has_capacity {
+            self.avoided.insert(registry, now);
         }
     }
 
-    /// What a registry names; one that hears a majority knows who there is.
-    pub fn told(&mut self, registries: Vec<Ipv4Addr>, confirmed: bool) {
-        if confirmed {
-            self.confirmed = registries.into_iter().collect();
-            self.hinted.clear();
-        } else {
-            self.hinted.extend(registries);
-            while self.hinted.len() > REMEMBERED {
-                self.hinted.pop_last();
+    /// Takes the registries that a registry has named: from a confirmed one they replace all that were named before,
+    /// from an unconfirmed one they are added as hints.
+    pub fn on_registries_named(&mut self, registries: Vec<Ipv4Addr>, confirmation: Confirmation) {
+        match confirmation {
+            Confirmation::Confirmed => {
+                self.confirmed = registries.into_iter().collect();
+                self.hinted.clear();
+            }
+            Confirmation::Unconfirmed => {
+                self.hinted.extend(registries);
+                while self.hinted.len() > MAX_REMEMBERED {
+                    self.hinted.pop_last();
+                }
             }
         }
     }
--- a/crates/emberpin-membership/src/change_log.rs
+++ b/crates/emberpin-membership/src/change_log.rs
@@ -1,77 +1,78 @@
-//! The log of changes that limiters follow: what changed behind which place, but not how, as the tables hold
-//! that.
+//! The log of changes that limiters follow. It records which entry changed at which revision; the entry itself is read
+//! from the tables when the change is sent.
 
+use crate::ids::Incarnation;
 use crate::session::Revision;
 use emberpin_config::ItemKey;
 use std::collections::{BTreeSet, VecDeque};
 
-/// So many changes are remembered; whoever is behind them needs a snapshot.
-pub const MOST: usize = 4096;
+/// The number of changes that the log keeps. A limiter that is further behind gets a snapshot.
+pub const CAPACITY: usize = 4096;
 
-/// What changed.
+/// An entry of the tables that has changed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Change {
-    /// An item of the configuration.
+    /// The configuration item of this key.
     Item(ItemKey),
-    /// A incarnation, by its id.
+    /// The instance of this id.
     Instance(String),
 }
 
-/// The log of one registry's incarnation.
+/// The log of changes of one incarnation of a registry.
 #[derive(Clone, Debug)]
 pub struct ChangeLog {
-    incarnation: u64,
+    incarnation: Incarnation,
+    /// The number of the last change.
     number: u64,
-    /// The last change of the log has `number`, those before it one less each.
-    log: VecDeque<Change>,
-    /// Not told to those that follow yet.
-    fresh: BTreeSet<Change>,
+    /// The last changes; the last of them has `number`, those before it one less each.
+    changes: VecDeque<Change>,
+    /// Changes that have not been sent to the sessions yet.
+    unsent: BTreeSet<Change>,
 }
 
 impl ChangeLog {
-    /// An empty one.
-    pub fn new(incarnation: u64) -> ChangeLog {
+    /// An empty log of a registry that has just started.
+    pub fn new(incarnation: Incarnation) -> ChangeLog {
         ChangeLog {
             incarnation,
             number: 0,
-            log: VecDeque::new(),
-            fresh: BTreeSet::new(),
+            changes: VecDeque::new(),
+            unsent: BTreeSet::new(),
         }
     }
 
-    /// Where it stands.
-    pub fn at(&self) -> Revision {
+    /// The revision of the last change.
+    pub fn revision(&self) -> Revision {
         Revision {
             incarnation: self.incarnation,
             number: self.number,
         }
     }
 
-    /// Something has changed.
-    pub fn note(&mut self, change: Change) {
+    /// Appends a change, and drops the oldest one if the log is full.
+    pub fn append(&mut self, change: Change) {
         self.number += 1;
-        self.fresh.insert(change.clone());
-        self.log.push_back(change);
-        if self.log.len() > MOST {
-            self.log.pop_front();
+        self.unsent.insert(change.clone());
+        self.changes.push_back(change);
+        if self.changes.len() > CAPACITY {
+            self.changes.pop_front();
         }
     }
 
-    /// Nothing waits to be told.
-    pub fn told(&self) -> bool {
-        self.fresh.is_empty()
+    /// Takes the changes that have not been sent to the sessions yet.
+    pub fn take_unsent(&mut self) -> BTreeSet<Change> {
+        std::mem::take(&mut self.unsent)
     }
 
-    /// What those that follow were not told yet; they are now.
-    pub fn take(&mut self) -> BTreeSet<Change> {
-        std::mem::take(&mut self.fresh)
-    }
-
-    /// What has changed behind a place; `None`: that is not known (any more), only a snapshot helps.
-    pub fn since(&self, place: Revision) -> Option<BTreeSet<Change>> {
-        let behind = self.number.checked_sub(place.number)?;
-        let skip = self.log.len().checked_sub(usize::try_from(behind).ok()?)?;
-        (place.incarnation == self.incarnation)
-            .then(|| self.log.iter().skip(skip).cloned().collect())
+    /// The entries that have changed after `revision`. `None` if the log does not reach back to it, or it is a revision
+    /// of another incarnation or of the future; then only a snapshot helps.
+    pub fn since(&self, revision: Revision) -> Option<BTreeSet<Change>> {
+        let behind = self.number.checked_sub(revision.number)?;
+        let skip = self
+            .changes
+            .len()
+            .checked_sub(usize::try_from(behind).ok()?)?;
+        (revision.incarnation == self.incarnation)
+            .then(|| self.changes.iter().skip(skip).cloned().collect())
     }
 }
--- a/crates/emberpin-membership/src/guards.rs
+++ b/crates/emberpin-membership/src/guards.rs
@@ -1,40 +1,40 @@
-//! Parts that can be left out, to show that a test sees it.
+//! Safety checks that a test can switch off, to show that it would notice their absence.
 
-/// What keeps a registry right.
+/// The safety checks of a registry. All are on outside tests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Guards {
-    /// What a server said is acknowledged once a majority has it.
-    pub majority: bool,
-    /// What a server said only rises, in whatever order it comes.
-    pub rises: bool,
-    /// A server is taken away for its silence only where silence can be trusted.
-    pub silence: bool,
-    /// What limiters knew is learned from them.
-    pub repair: bool,
-    /// A new instance takes its address from the instances that had it.
-    pub displace: bool,
-    /// A place that is not known means a snapshot.
-    pub place: bool,
-    /// An answer renews a lease from the time of its question, not from its arrival.
-    pub lease: bool,
-    /// Calls of the operator that cannot be confirmed here are sent on at once.
-    pub sends_on: bool,
-    /// The servers of a zone that was taken back are cold.
-    pub returned: bool,
+    /// A server's drain or end is acknowledged only once a majority of the registries has it.
+    pub majority_acknowledgement: bool,
+    /// The reported status of an instance only advances, in whatever order reports arrive.
+    pub monotonic_status: bool,
+    /// Instances are evicted only after the registry has been confirmed for a whole eviction timeout.
+    pub confirmed_eviction: bool,
+    /// A registry restores its table from the instances that limiters know.
+    pub repair_from_limiters: bool,
+    /// A new instance evicts those that had its address before.
+    pub displacement: bool,
+    /// A revision that the change log does not reach back to is answered with a snapshot.
+    pub revision_check: bool,
+    /// An answer renews a lease from the time of its query, not from its arrival.
+    pub lease_from_query: bool,
+    /// Calls of the operator that cannot be confirmed here are redirected at once.
+    pub operator_redirect: bool,
+    /// The servers of a zone whose evacuation has ended count as cold.
+    pub cold_after_evacuation: bool,
 }
 
 impl Default for Guards {
     fn default() -> Guards {
         Guards {
-            majority: true,
-            rises: true,
-            silence: true,
-            repair: true,
-            displace: true,
-            place: true,
-            lease: true,
-            sends_on: true,
-            returned: true,
+            majority_acknowledgement: true,
+            monotonic_status: true,
+            confirmed_eviction: true,
+            repair_from_limiters: true,
+            displacement: true,
+            revision_check: true,
+            lease_from_query: true,
+            operator_redirect: true,
+            cold_after_evacuation: true,
         }
     }
 }
--- a/crates/emberpin-membership/src/instance.rs
+++ b/crates/emberpin-membership/src/instance.rs
@@ -1,36 +1,38 @@
-//! One instance of a server, as it is told from registry to registry and to the proxies.
+//! One instance of a server, as registries replicate it to each other and to the limiters.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a server says of itself, or what became of it. Later states stand over earlier ones, whatever comes last.
+/// The status of an instance. It only advances: a later status wins over an earlier one, in whatever order reports
+/// of them arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Status {
-    /// Takes work.
+    /// Accepts requests.
     Up,
-    /// Finishes what it has; gets nothing new.
-    Drain,
-    /// Has left, or was not heard for too long.
-    Gone,
+    /// Shuts down gracefully: finishes its requests in flight and gets no new ones.
+    Draining,
+    /// Has shut down, or was evicted because its heartbeats stopped.
+    Removed,
 }
 
-/// One start of a server until its end.
+/// One incarnation of a server, from its start to its end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Its id, drawn anew at each start.
+    /// Identifies the instance; the server draws a new id at each start.
     pub id: String,
-    /// Whose server it is.
+    /// The service that the server belongs to.
     pub service: String,
-    /// Where it takes requests.
+    /// The address at which the server accepts requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone of the server's machine.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// The number of requests that the server processes at a time.
     pub slots: u32,
-    /// How it stands.
+    /// The status that the server reported, or that its registry has concluded.
     pub status: Status,
-    /// Rises with each of its beats.
+    /// The sequence number of the last heartbeat. It rises with each, so an older heartbeat that arrives late is
+    /// recognized.
     pub seq: u64,
-    /// For how much longer it is cold, in milliseconds, when this is told.
+    /// For how much longer the server is warming up (slow start), in milliseconds from the time of sending.
     pub cold_ms: u32,
 }
--- /dev/null
+++ b/crates/emberpin-membership/src/instance_table.rs
@@ -0,0 +1,435 @@
+//! The table of servers' instances, and how reports about one instance merge: registries that have received the same
+//! reports agree, in whatever order they received them.
+//!
+//! The status that a server reports only advances (up, draining, removed), and so does its `seq`. An eviction is not a
+//! report of the server but a mark on the `seq` of its last heartbeat: a later heartbeat takes it off, whereas an
+//! instance whose server has reported its end stays removed.
+
+use crate::clock::Timestamp;
+use crate::ids::Digest;
+use crate::instance::{Instance, Status};
+use crate::peers::InstanceRecord;
+use crate::rendezvous;
+use std::collections::{BTreeMap, VecDeque};
+use std::net::{Ipv4Addr, SocketAddr};
+use std::ops::Bound;
+use std::time::Duration;
+
+/// How long a removed instance is remembered, so that a heartbeat that arrives late does not revive it.
+const TOMBSTONE_RETENTION: Duration = Duration::from_millis(600_000);
+/// The greatest number of removed instances that are remembered; beyond it, the oldest are dropped.
+const MAX_TOMBSTONES: usize = 10_000;
+/// How long a removed instance is part of the table that a new peer gets; no heartbeat arrives later than that.
+const TOMBSTONE_REPLICATION: Duration = Duration::from_millis(60_000);
+/// Ends of a cold time that differ by no more than these come from one report that was delayed: a reported end may be
+/// later than the known one by the first, and earlier by the second.
+const COLD_END_TOLERANCE_LATER: Duration = Duration::from_millis(50);
+const COLD_END_TOLERANCE_EARLIER: Duration = Duration::from_millis(250);
+
+/// What the registry knows of one instance.
+#[derive(Clone, Debug)]
+pub struct InstanceEntry {
+    /// The instance with the status that the server reported; its `cold_ms` is unused.
+    instance: Instance,
+    /// Evicted, as no heartbeat has followed the one with `instance.seq`.
+    expired: bool,
+    /// The registry that receives the instance's heartbeats, if it is known.
+    pub owner: Option<Ipv4Addr>,
+    /// When the server is expected to have warmed up.
+    cold_until: Timestamp,
+    /// When the last heartbeat, or a record with a higher `seq`, was received.
+    pub(crate) last_contact: Timestamp,
+    /// The zone's evacuation has just ended: until then, no report makes `cold_until` earlier, as it may be from before.
+    assumed_cold_until: Timestamp,
+    /// A majority of the registries has the status that the server reported.
+    pub(crate) is_replicated: bool,
+    /// When the instance was found to be removed.
+    removed_at: Timestamp,
+}
+
+impl InstanceEntry {
+    /// The effective status: removed if the instance has expired, else as reported.
+    pub fn status(&self) -> Status {
+        if self.expired {
+            Status::Removed
+        } else {
+            self.instance.status
+        }
+    }
+
+    /// The status that the server itself has reported, whether or not it has expired since.
+    pub fn reported_status(&self) -> Status {
+        self.instance.status
+    }
+
+    /// The sequence number of the last heartbeat that is known.
+    pub(crate) fn seq(&self) -> u64 {
+        self.instance.seq
+    }
+
+    /// The instance with its effective status, for limiters.
+    pub fn instance(&self, now: Timestamp) -> Instance {
+        Instance {
+            status: self.status(),
+            cold_ms: self.cold_ms(now),
+            ..self.instance.clone()
+        }
+    }
+
+    /// The record that is replicated to other registries.
+    pub fn record(&self, now: Timestamp) -> InstanceRecord {
+        let instance = Instance {
+            cold_ms: self.cold_ms(now),
+            ..self.instance.clone()
+        };
+        InstanceRecord {
+            instance,
+            expired: self.expired,
+            owner: self.owner,
+        }
+    }
+
+    fn cold_ms(&self, now: Timestamp) -> u32 {
+        let left = self.cold_until.duration_since(now).as_millis();
+        u32::try_from(left).unwrap_or(u32::MAX)
+    }
+
+    /// What limiters see of the instance, its cold time aside.
+    fn visible_state(&self) -> (Status, SocketAddr, u32) {
+        (self.status(), self.instance.address, self.instance.slots)
+    }
+
+    /// Merges a record of the same instance; whether the end of its cold time has changed. The status is left to the
+    /// caller.
+    fn merge_record(&mut self, now: Timestamp, record: InstanceRecord) -> bool {
+        let cold_until = cold_until(now, &record);
+        let mut changed = false;
+        if record.instance.seq > self.instance.seq {
+            self.expired = record.expired;
+            self.owner = record.owner.or(self.owner);
+            self.last_contact = now;
+            changed = self.update_cold_until(now, cold_until);
+            // A record without a description, of an instance that left before it was known, takes nothing away.
+            if !record.instance.service.is_empty() {
+                self.instance = without_cold_time(record.instance);
+            }
+            return changed;
+        }
+        if record.instance.seq == self.instance.seq {
+            self.expired |= record.expired;
+            changed = self.update_cold_until(now, cold_until.max(self.cold_until));
+        }
+        if self.instance.service.is_empty() {
+            self.instance = Instance {
+                seq: self.instance.seq,
+                ..without_cold_time(record.instance)
+            };
+        }
+        changed
+    }
+
+    /// Takes a reported end of the cold time unless it is the known one with some delay; whether it differs.
+    fn update_cold_until(&mut self, now: Timestamp, reported: Timestamp) -> bool {
+        let reported = if now < self.assumed_cold_until {
+            reported.max(self.cold_until)
+        } else {
+            reported
+        };
+        let (reported, known) = (reported.max(now), self.cold_until.max(now));
+        let differs = reported > known + COLD_END_TOLERANCE_LATER
+            || known > reported + COLD_END_TOLERANCE_EARLIER;
+        if differs {
+            self.cold_until = reported;
+        }
+        differs
+    }
+}
+
+/// What merging a report has changed.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct MergeOutcome {
+    /// The instance was not known before.
+    pub is_new: bool,
+    /// What limiters see of the instance has changed.
+    pub is_visible: bool,
+    /// Another registry than before receives the instance's heartbeats.
+    pub owner_changed: bool,
+    /// The server is now known to have reported its drain or its end.
+    pub shutdown_reported: bool,
+}
+
+/// A removed instance, to be forgotten some time after it was removed.
+#[derive(Clone, Debug)]
+struct Tombstone {
+    removed_at: Timestamp,
+    instance_id: String,
+}
+
+/// All known instances, by id.
+#[derive(Clone, Debug, Default)]
+pub struct InstanceTable {
+    entries: BTreeMap<String, InstanceEntry>,
+    /// Removed instances, the oldest first.
+    tombstones: VecDeque<Tombstone>,
+    /// A report may move the status back; see [`crate::guards::Guards::monotonic_status`].
+    pub(crate) accepts_status_regression: bool,
+}
+
+impl InstanceTable {
+    /// The entry of an instance.
+    pub fn get(&self, instance_id: &str) -> Option<&InstanceEntry> {
+        self.entries.get(instance_id)
+    }
+
+    /// All entries in the order of their ids, those of removed instances among them.
+    pub fn iter(&self) -> impl Iterator<Item = (&String, &InstanceEntry)> {
+        self.entries.iter()
+    }
+
+    /// All entries from a bound on, in the order of their ids.
+    pub fn range_from(&self, from: Bound<&str>) -> impl Iterator<Item = (&String, &InstanceEntry)> {
+        self.entries.range::<str, _>((from, Bound::Unbounded))
+    }
+
+    /// The instance as limiters get it; a forgotten one is removed.
+    pub fn instance(&self, now: Timestamp, instance_id: &str) -> Instance {
+        self.entries
+            .get(instance_id)
+            .map_or_else(|| unknown(instance_id), |entry| entry.instance(now))
+    }
+
+    /// The records that a peer gets when it connects: all but those of instances that were removed long ago.
+    pub fn records_for_new_peer(&self, now: Timestamp) -> Vec<InstanceRecord> {
+        let is_wanted = |entry: &&InstanceEntry| {
+            entry.status() != Status::Removed
+                || now.duration_since(entry.removed_at) < TOMBSTONE_REPLICATION
+        };
+        self.entries
+            .values()
+            .filter(is_wanted)
+            .map(|entry| entry.record(now))
+            .collect()
+    }
+
+    /// The entries of instances that are not removed and send their heartbeats to this registry.
+    pub fn owned_by(&self, owner: Ipv4Addr) -> impl Iterator<Item = (&String, &InstanceEntry)> {
+        self.entries.iter().filter(move |(_, entry)| {
+            entry.owner == Some(owner) && entry.status() != Status::Removed
+        })
+    }
+
+    /// A digest of the instances that a registry owns; equal in two tables if they agree on their ids and status.
+    pub fn digest(&self, owner: Ipv4Addr) -> Digest {
+        let combined = self
+            .owned_by(owner)
+            .map(|(id, entry)| rendezvous::hash(&[id.as_bytes(), &[entry.status() as u8]]))
+            .fold(0, |combined, hash| combined ^ hash);
+        Digest(combined)
+    }
+
+    /// Merges a record of an instance: from a server's heartbeat (`owner` is this registry then), from another registry,
+    /// or from a limiter.
+    pub fn merge(&mut self, now: Timestamp, record: InstanceRecord) -> MergeOutcome {
+        let Some(entry) = self.entries.get_mut(&record.instance.id) else {
+            return self.insert(now, record);
+        };
+        let (visible_before, owner_before) = (entry.visible_state(), entry.owner);
+        let status = if self.accepts_status_regression {
+            record.instance.status
+        } else {
+            entry.instance.status.max(record.instance.status)
+        };
+        let shutdown_reported = status > entry.instance.status;
+        entry.is_replicated &= !shutdown_reported;
+        let cold_time_changed = entry.merge_record(now, record);
+        entry.instance.status = status;
+        if visible_before.0 != Status::Removed && entry.status() == Status::Removed {
+            entry.removed_at = now;
+            self.tombstones.push_back(Tombstone {
+                removed_at: now,
+                instance_id: entry.instance.id.clone(),
+            });
+        }
+        MergeOutcome {
+            is_new: false,
+            is_visible: cold_time_changed || entry.visible_state() != visible_before,
+            owner_changed: entry.owner != owner_before,
+            shutdown_reported,
+        }
+    }
+
+    /// Adds an instance that was not known.
+    fn insert(&mut self, now: Timestamp, record: InstanceRecord) -> MergeOutcome {
+        let cold_until = cold_until(now, &record);
+        let entry = InstanceEntry {
+            expired: record.expired,
+            owner: record.owner,
+            cold_until,
+            last_contact: now,
+            assumed_cold_until: Timestamp::ZERO,
+            is_replicated: false,
+            removed_at: now,
+            instance: without_cold_time(record.instance),
+        };
+        let outcome = MergeOutcome {
+            is_new: true,
+            is_visible: true,
+            owner_changed: entry.owner.is_some(),
+            shutdown_reported: entry.reported_status() > Status::Up,
+        };
+        let instance_id = entry.instance.id.clone();
+        if entry.status() == Status::Removed {
+            self.tombstones.push_back(Tombstone {
+                removed_at: now,
+                instance_id: instance_id.clone(),
+            });
+        }
+        self.entries.insert(instance_id, entry);
+        outcome
+    }
+
+    /// Takes a server's report of its end, which may come before a drain, or for an instance that is not known.
+    pub fn leave(&mut self, now: Timestamp, instance_id: &str) -> MergeOutcome {
+        let known = match self.entries.get(instance_id) {
+            Some(entry) => entry.record(now),
+            None => InstanceRecord {
+                instance: unknown(instance_id),
+                expired: false,
+                owner: None,
+            },
+        };
+        let record = InstanceRecord {
+            instance: Instance {
+                status: Status::Removed,
+                ..known.instance
+            },
+            expired: false,
+            owner: known.owner,
+        };
+        self.merge(now, record)
+    }
+
+    /// Takes note that a majority of the registries has the status that a server reported, if it is still the same.
+    pub fn mark_replicated(&mut self, instance_id: &str, status: Status) {
+        if let Some(entry) = self.entries.get_mut(instance_id) {
+            if entry.instance.status == status {
+                entry.is_replicated = true;
+            }
+        }
+    }
+
+    /// Takes note that the owner does not know the instance any more. Its eviction timeout starts anew.
+    pub fn clear_owner(&mut self, now: Timestamp, instance_id: &str) {
+        if let Some(entry) = self.entries.get_mut(instance_id) {
+            entry.owner = None;
+            entry.last_contact = now;
+        }
+    }
+
+    /// Evicts an instance whose heartbeats have stopped.
+    pub fn evict(&mut self, now: Timestamp, instance_id: &str) {
+        let Some(entry) = self.entries.get_mut(instance_id) else {
+            return;
+        };
+        if entry.status() != Status::Removed {
+            entry.expired = true;
+            entry.removed_at = now;
+            self.tombstones.push_back(Tombstone {
+                removed_at: now,
+                instance_id: instance_id.to_string(),
+            });
+        }
+    }
+
+    /// Evicts the instances that had the address of a new one before, even if they have not reported their end; gives
+    /// their ids.
+    pub fn evict_displaced(&mut self, now: Timestamp, instance_id: &str) -> Vec<String> {
+        let Some(address) = self
+            .entries
+            .get(instance_id)
+            .map(|entry| entry.instance.address)
+        else {
+            return Vec::new();
+        };
+        let displaced: Vec<String> = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| entry.instance.address == address)
+            .filter(|(id, entry)| *id != instance_id && entry.status() != Status::Removed)
+            .map(|(id, _)| id.clone())
+            .collect();
+        for id in &displaced {
+            self.evict(now, id);
+        }
+        displaced
+    }
+
+    /// Assumes that servers of a zone are cold, each for the warm-up time of its service, as the zone's evacuation has
+    /// ended. Until `assumed_until` no report makes them less so, as it may be from before. Gives the ids of the
+    /// instances whose cold time has changed.
+    pub fn assume_cold(
+        &mut self,
+        now: Timestamp,
+        zone: &str,
+        assumed_until: Timestamp,
+        is_affected: impl Fn(&str, &InstanceEntry) -> bool,
+        warmup: impl Fn(&str) -> Duration,
+    ) -> Vec<String> {
+        let mut changed = Vec::new();
+        for (id, entry) in &mut self.entries {
+            let is_in_zone = entry.instance.zone == zone && entry.status() != Status::Removed;
+            if is_in_zone && is_affected(id, entry) {
+                entry.assumed_cold_until = assumed_until;
+                let warm_at = now + warmup(&entry.instance.service);
+                if entry.update_cold_until(now, entry.cold_until.max(warm_at)) {
+                    changed.push(id.clone());
+                }
+            }
+        }
+        changed
+    }
+
+    /// Forgets instances that were removed long ago, and the oldest of too many.
+    pub fn prune_tombstones(&mut self, now: Timestamp) {
+        while let Some(oldest) = self.tombstones.front() {
+            let is_recent = now.duration_since(oldest.removed_at) < TOMBSTONE_RETENTION;
+            if is_recent && self.tombstones.len() <= MAX_TOMBSTONES {
+                break;
+            }
+            // One that was revived and removed again has a later tombstone.
+            let is_same = |entry: &InstanceEntry| {
+                entry.status() == Status::Removed && entry.removed_at == oldest.removed_at
+            };
+            if self.entries.get(&oldest.instance_id).is_some_and(is_same) {
+                self.entries.remove(&oldest.instance_id);
+            }
+            self.tombstones.pop_front();
+        }
+    }
+}
+
+/// When the instance of a record that is received now will have warmed up.
+fn cold_until(now: Timestamp, record: &InstanceRecord) -> Timestamp {
+    now + Duration::from_millis(u64::from(record.instance.cold_ms))
+}
+
+fn without_cold_time(instance: Instance) -> Instance {
+    Instance {
+        cold_ms: 0,
+        ..instance
+    }
+}
+
+/// An instance of which nothing but its end is known.
+fn unknown(instance_id: &str) -> Instance {
+    Instance {
+        id: instance_id.to_string(),
+        service: String::new(),
+        address: SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
+        zone: String::new(),
+        slots: 0,
+        status: Status::Removed,
+        seq: 0,
+        cold_ms: 0,
+    }
+}
--- a/crates/emberpin-membership/src/lease.rs
+++ b/crates/emberpin-membership/src/lease.rs
@@ -1,120 +1,141 @@
-//! Read leases: what was told by a partner is known to have been complete at some time, and counts for a bounded time
-//! after that.
+//! Read leases: how long state that was received from a peer may be relied on.
 //!
-//! A lease is renewed by answers alone. The answer to a question says how old the state behind it is (its age in
-//! milliseconds, no clock reading, so no clocks are compared); the lease then runs from the local time of the
-//! *question*, less that age. Whatever delays the answer, a queue, a link that delivers late, or a process that stood
-//! still, makes it older, not younger.
-
-use crate::timing::{FIRST_CONFIRMATION, PROXY_LEASE};
+//! A lease is renewed by answers to queries alone. An answer carries the age of the state behind it, not a clock
+//! reading, so no clocks are compared; the lease then runs from the local time at which the *query* was sent, less
+//! that age. Whatever delays the answer, a queue, a link that delivers late or a process that was paused, makes it
+//! older, never younger.
+
+use crate::clock::{millis, Timestamp};
+use crate::ids::Nonce;
+use crate::timing::{FIRST_CONFIRMATION_TIMEOUT, PROXY_LEASE_DURATION};
 use std::collections::VecDeque;
+use std::time::Duration;
+
+/// The number of queries that may wait for an answer. Older ones are forgotten, and an answer to them renews nothing.
+const MAX_PENDING_QUERIES: usize = 16;
 
-/// Questions that wait for an answer; older ones are forgotten, and an answer to them renews nothing.
-const QUESTIONS: usize = 16;
+/// A query that waits for its answer.
+#[derive(Clone, Copy, Debug)]
+struct PendingQuery {
+    nonce: Nonce,
+    sent_at: Timestamp,
+}
 
-/// One partner's lease. Times are in milliseconds on the local monotonic clock.
+/// The lease on the state received from one peer.
 #[derive(Clone, Debug, Default)]
 pub struct Lease {
-    next: u64,
-    /// Questions under way, and when each was asked.
-    asked: VecDeque<(u64, u64)>,
-    /// All that had been confirmed by then has been told. Below zero, where that was before this process began.
-    confirmed_from: Option<i64>,
+    last_nonce: u64,
+    /// Queries in flight, the oldest first.
+    pending: VecDeque<PendingQuery>,
+    /// Everything that was known to the peer by then has been received; in milliseconds on the clock of
+    /// [`Timestamp`]. Negative if that was before the clock's origin.
+    confirmed_at_ms: Option<i64>,
 }
 
 impl Lease {
-    /// Begins a question, and gives its nonce.
-    pub fn ask(&mut self, now: u64) -> u64 {
-        self.next += 1;
-        if self.asked.len() == QUESTIONS {
-            self.asked.pop_front();
+    /// Begins a query that is sent now; its nonce goes with it.
+    pub fn begin_query(&mut self, now: Timestamp) -> Nonce {
+        self.last_nonce += 1;
+        let nonce = Nonce(self.last_nonce);
+        if self.pending.len() == MAX_PENDING_QUERIES {
+            self.pending.pop_front();
         }
-        self.asked.push_back((self.next, now));
-        self.next
+        self.pending.push_back(PendingQuery {
+            nonce,
+            sent_at: now,
+        });
+        nonce
     }
 
-    /// Takes the answer to a question; `age` is `None` where the partner can confirm nothing.
-    pub fn answer(&mut self, question: u64, age: Option<u64>) {
-        let Some(at) = self.asked.iter().position(|(asked, _)| *asked == question) else {
+    /// Takes the answer to a query, with the age of the state behind it; `None` if the peer can confirm nothing. An
+    /// answer to an unknown query, or to one older than the last that was answered, changes nothing.
+    pub fn on_answer(&mut self, nonce: Nonce, age: Option<Duration>) {
+        let Some(index) = self.pending.iter().position(|query| query.nonce == nonce) else {
             return;
         };
-        let (_, asked) = self.asked[at];
-        self.asked.drain(..=at);
-        self.confirm(age.map(|age| signed(asked).saturating_sub(signed(age))));
+        let sent_at = self.pending[index].sent_at;
+        self.pending.drain(..=index);
+        let age_ms = age.map(|age| signed(millis(age)));
+        self.renew(age_ms.map(|age_ms| signed(sent_at.as_millis()).saturating_sub(age_ms)));
     }
 
-    /// Counts the answer from its arrival: what a build without the guard does.
+    /// Counts the answer from its arrival, as a build without [`crate::guards::Guards::lease_from_query`] does.
     #[doc(hidden)]
-    pub fn answer_on_arrival(&mut self, now: u64, age: Option<u64>) {
-        self.confirm(age.map(|_| signed(now)));
+    pub fn on_answer_from_arrival(&mut self, now: Timestamp, age: Option<Duration>) {
+        self.renew(age.map(|_| signed(now.as_millis())));
     }
 
-    fn confirm(&mut self, from: Option<i64>) {
-        self.confirmed_from = self.confirmed_from.max(from);
+    fn renew(&mut self, confirmed_at_ms: Option<i64>) {
+        self.confirmed_at_ms = self.confirmed_at_ms.max(confirmed_at_ms);
     }
 
-    /// How old what was told may be; `None` before the first confirmation.
-    pub fn age(&self, now: u64) -> Option<u64> {
-        self.confirmed_from
-            .map(|from| u64::try_from(signed(now).saturating_sub(from)).unwrap_or(0))
+    /// The greatest age that the received state may have; `None` before the first confirmation.
+    pub fn age(&self, now: Timestamp) -> Option<Duration> {
+        let confirmed_at_ms = self.confirmed_at_ms?;
+        let age_ms = signed(now.as_millis()).saturating_sub(confirmed_at_ms);
+        Some(Duration::from_millis(u64::try_from(age_ms).unwrap_or(0)))
     }
 
-    /// When it was confirmed last, or this process began.
-    pub fn confirmed_from(&self) -> Option<u64> {
-        self.confirmed_from
-            .map(|from| u64::try_from(from).unwrap_or(0))
+    /// The time of the last confirmation, or the clock's origin if that is later; `None` before the first one.
+    pub fn confirmed_at(&self) -> Option<Timestamp> {
+        let confirmed_at_ms = self.confirmed_at_ms?;
+        Some(Timestamp::from_millis(
+            u64::try_from(confirmed_at_ms).unwrap_or(0),
+        ))
     }
 
-    /// Whether it is no older than this.
-    pub fn holds(&self, now: u64, limit: u64) -> bool {
-        self.age(now).is_some_and(|age| age <= limit)
+    /// Whether the received state is no older than `max_age`.
+    pub fn is_valid(&self, now: Timestamp, max_age: Duration) -> bool {
+        self.age(now).is_some_and(|age| age <= max_age)
     }
 }
 
-/// Times of a process fit by far.
-fn signed(time: u64) -> i64 {
-    i64::try_from(time).unwrap_or(i64::MAX)
+/// Milliseconds as a signed number, in which every time of a process fits by far.
+fn signed(millis: u64) -> i64 {
+    i64::try_from(millis).unwrap_or(i64::MAX)
 }
 
-/// A proxy's lease on what one registry tells it, for the time of one session.
+/// A limiter's lease on the state received from one registry, for the time of one session.
 #[derive(Clone, Debug)]
 pub struct SessionLease {
     lease: Lease,
-    /// When the session began, or something of its snapshot came last.
-    progress: u64,
+    /// When the session began, or the last part of its snapshot arrived.
+    last_progress: Timestamp,
 }
 
 impl SessionLease {
-    /// A session that begins now.
-    pub fn new(now: u64) -> SessionLease {
+    /// The lease of a session that begins now; it is not confirmed.
+    pub fn new(now: Timestamp) -> SessionLease {
         SessionLease {
             lease: Lease::default(),
-            progress: now,
+            last_progress: now,
         }
     }
 
-    /// Begins a question, and gives its nonce.
-    pub fn ask(&mut self, now: u64) -> u64 {
-        self.lease.ask(now)
+    /// Begins a query that is sent now; see [`Lease::begin_query`].
+    pub fn begin_query(&mut self, now: Timestamp) -> Nonce {
+        self.lease.begin_query(now)
     }
 
-    /// Takes the answer to a question.
-    pub fn answer(&mut self, question: u64, age: Option<u64>) {
-        self.lease.answer(question, age);
+    /// Takes the answer to a query; see [`Lease::on_answer`].
+    pub fn on_answer(&mut self, nonce: Nonce, age: Option<Duration>) {
+        self.lease.on_answer(nonce, age);
     }
 
-    /// A part of the snapshot has come.
-    pub fn progressed(&mut self, now: u64) {
-        self.progress = now;
+    /// Takes note that a part of the snapshot has arrived, which extends the time for the first confirmation.
+    pub fn on_snapshot_progress(&mut self, now: Timestamp) {
+        self.last_progress = now;
     }
 
-    /// What this registry has told is young enough to go by.
-    pub fn is_confirmed(&self, now: u64) -> bool {
-        self.lease.holds(now, PROXY_LEASE)
+    /// Whether the state received from the registry is no older than [`PROXY_LEASE_DURATION`].
+    pub fn is_confirmed(&self, now: Timestamp) -> bool {
+        self.lease.is_valid(now, PROXY_LEASE_DURATION)
     }
 
-    /// Another registry is wanted: the lease has run out, or none came in time.
-    pub fn is_over(&self, now: u64) -> bool {
-        !self.is_confirmed(now) && now.saturating_sub(self.progress) > FIRST_CONFIRMATION
+    /// Whether the limiter is to end the session and try another registry: the lease has expired, or was not confirmed
+    /// within [`FIRST_CONFIRMATION_TIMEOUT`].
+    pub fn is_expired(&self, now: Timestamp) -> bool {
+        !self.is_confirmed(now)
+            && now.duration_since(self.last_progress) > FIRST_CONFIRMATION_TIMEOUT
     }
 }
--- a/crates/emberpin-membership/src/peers.rs
+++ b/crates/emberpin-membership/src/peers.rs
@@ -1,84 +1,99 @@
-//! What registries say to each other. Each speaks over the connection that it opened, and hears [`Ack`] on
-//! it.
+//! The messages between registries, which replicate the table of instances by change notification and anti-entropy.
+//!
+//! Each registry opens one connection to every other one, sends [`RegistryMessage`]s over it and receives only [`Ack`]s
+//! on it; the answer to a message travels over the receiver's own connection.
+//!
+//! The order of the variants and of their fields is the wire format (postcard): new ones go to the end, and only with
+//! a new protocol version.
 
+use crate::ids::{AckId, Digest, Incarnation, Nonce};
 use crate::instance::Instance;
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 
-/// A instance, as one registry knows it.
+/// The state of one instance as a registry knows it and replicates it to its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceRecord {
-    /// With the standing that the server itself said, whether or not it is heard.
+    /// The instance with the status that its server reported last, whether or not it has expired since.
     pub instance: Instance,
-    /// It was not heard for too long after this `seq`; a later beat raises it again.
+    /// The instance was evicted because no heartbeat followed the one with this `seq`. A heartbeat with a higher `seq`
+    /// revives it.
     pub expired: bool,
-    /// The registry that it beats at, if that is known.
+    /// The registry that receives the instance's heartbeats, if it is known.
     pub owner: Option<Ipv4Addr>,
 }
 
-/// A limiter that has a session.
+/// Identifies a limiter that has a session with a registry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Limiter {
-    /// Its instance.
-    pub incarnation: u64,
-    /// The machine's name.
+pub struct LimiterIdentity {
+    /// The limiter's incarnation, drawn at random when its process starts.
+    pub incarnation: Incarnation,
+    /// The name of the limiter's machine; limiters are counted by it.
     pub name: String,
-    /// Its zone.
+    /// The zone of the limiter's machine.
     pub zone: String,
 }
 
-/// From one registry to another.
+/// A message from one registry to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RegistryMessage {
-    /// The first message of a connection.
+    /// The first message of a connection. The receiver merges the whole table.
     Hello {
-        /// The sender's zone.
+        /// The zone of the sender's machine; servers are directed to registries of their own zone.
         zone: String,
-        /// See [`RegistryMessage::Pulse`].
-        settled: bool,
-        /// All instances that the sender knows.
+        /// As in [`RegistryMessage::Heartbeat`].
+        confirmed: bool,
+        /// The sender's whole table, long-removed instances aside.
         instances: Vec<InstanceRecord>,
         /// The limiters that have a session with the sender.
-        limiters: Vec<Limiter>,
+        limiters: Vec<LimiterIdentity>,
     },
-    /// Instances that have changed.
+    /// Sent when instances change. The receiver merges the records, and passes a server's drain or end on to the other
+    /// registries once.
     Changed {
-        /// An [`Ack`] with this number is owed.
-        ask: Option<u64>,
-        /// The instances.
+        /// If set, the sender waits for an [`Ack`] with this id before it acknowledges a drain or an end.
+        ack_id: Option<AckId>,
+        /// The records that have changed.
         instances: Vec<InstanceRecord>,
     },
-    /// Comes twice a second, in place of all the beats: the instances that the sender owns are heard.
-    Pulse {
-        /// The sender is settled.
-        settled: bool,
-        /// The nonce of a question; a [`RegistryMessage::Alive`] with it is owed.
-        question: u64,
-        /// Of the instances that it owns; see [`crate::instances::Instances::digest`].
-        digest: u64,
+    /// Sent every [`crate::timing::PEER_HEARTBEAT_INTERVAL`] in place of the heartbeats of all servers that the sender
+    /// owns. The receiver answers with [`RegistryMessage::HeartbeatAck`], and with [`RegistryMessage::FetchOwned`] if its
+    /// own digest differs.
+    Heartbeat {
+        /// Whether the sender's state is confirmed by a majority ([`crate::registry::Registry::is_confirmed`]).
+        confirmed: bool,
+        /// Identifies the sender's lease query; repeated in the answer.
+        nonce: Nonce,
+        /// The digest of the instances that the sender owns
+        /// ([`crate::instance_table::InstanceTable::digest`]).
+        digest: Digest,
     },
-    /// Answers a pulse: all that the sender had to tell before has come on this connection.
-    Alive {
-        /// The pulse's.
-        question: u64,
+    /// Answers [`RegistryMessage::Heartbeat`] and renews the receiver's lease on the sender: everything that the sender
+    /// had to report before has come earlier on this connection.
+    HeartbeatAck {
+        /// The nonce of the heartbeat.
+        nonce: Nonce,
     },
-    /// The digest of the receiver's pulse is not the one that the sender finds.
-    Want,
-    /// All instances that the sender owns, after [`RegistryMessage::Want`].
-    Owned {
-        /// The instances.
+    /// Requests all instances that the receiver owns, as its digest differs from the sender's. Answered by
+    /// [`RegistryMessage::OwnedInstances`].
+    FetchOwned,
+    /// Answers [`RegistryMessage::FetchOwned`]. The receiver merges the records and clears the owner of instances that it
+    /// took for the sender's and that are not listed.
+    OwnedInstances {
+        /// The records of all instances that the sender owns.
         instances: Vec<InstanceRecord>,
     },
-    /// The limiters that have a session with the sender, whenever they change.
-    Sessions {
-        /// The limiters.
-        limiters: Vec<Limiter>,
+    /// Sent with the next heartbeat after the sender's sessions have changed. The receiver counts limiters by it.
+    LimiterSessions {
+        /// The limiters that have a session with the sender.
+        limiters: Vec<LimiterIdentity>,
     },
 }
 
-/// Answers [`RegistryMessage::Changed`]: the instances are taken.
+/// Answers a [`RegistryMessage::Changed`] that carries an `ack_id`: the records are merged. Sent back over the
+/// connection on which the message came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ack {
-    /// Which.
-    pub ask: u64,
+    /// The `ack_id` of the message.
+    pub ack_id: AckId,
 }
--- a/crates/emberpin-membership/src/registry/configuration.rs
+++ b/crates/emberpin-membership/src/registry/configuration.rs
@@ -1,124 +1,143 @@
-//! Items and status from the store.
+//! What the store delivers: configuration items and the voters.
 
-use super::{Action, Registry, WARMUP_MS};
+use super::{Action, Registry};
 use crate::change_log::Change;
-use crate::instances::Row;
-use crate::timing::STORE_QUESTION;
+use crate::clock::Timestamp;
+use crate::instance_table::InstanceEntry;
 use emberpin_config::{Item, ItemKind};
 use std::collections::btree_map::Entry;
 use std::net::Ipv4Addr;
+use std::time::Duration;
+
+/// The warm-up time of a service whose item does not name one.
+const DEFAULT_WARMUP: Duration = Duration::from_millis(3_000);
+
+/// Whether items are the first that this incarnation of the registry gets.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Delivery {
+    /// They are: what they say may have been so for long.
+    Initial,
+    /// They are not: what they say has just changed.
+    Update,
+}
 
 impl Registry {
-    pub(super) fn news(&mut self, now: u64, items: Vec<Item>, actions: &mut Vec<Action>) {
-        let first = self.items.is_empty();
+    pub(super) fn on_items(&mut self, now: Timestamp, items: Vec<Item>, actions: &mut Vec<Action>) {
+        let delivery = if self.items.is_empty() {
+            Delivery::Initial
+        } else {
+            Delivery::Update
+        };
         for item in items {
-            match self.items.entry(item.key.clone()) {
-                Entry::Occupied(mut known) if known.get().version < item.version => {
-                    _ = known.insert(item.clone());
-                }
-                Entry::Occupied(_) => continue,
-                Entry::Vacant(place) => _ = place.insert(item.clone()),
+            if !self.store_item(&item) {
+                continue;
             }
             match (item.key.kind, &item.body) {
                 (ItemKind::Service, Some(body)) => {
-                    let warmup = warmup_ms(body).unwrap_or(WARMUP_MS);
+                    let warmup = parse_warmup(body).unwrap_or(DEFAULT_WARMUP);
                     self.warmups.insert(item.key.name.clone(), warmup);
                 }
                 (ItemKind::Evacuation, None) => {
-                    self.taken_back(now, &item.key.name, first, actions)
+                    self.on_evacuation_ended(now, &item.key.name, delivery, actions);
                 }
                 _ => {}
             }
-            self.note(now, Change::Item(item.key));
+            self.record_change(now, Change::Item(item.key));
+        }
+    }
+
+    /// Stores an item unless the known version is as new; whether it was stored.
+    fn store_item(&mut self, item: &Item) -> bool {
+        match self.items.entry(item.key.clone()) {
+            Entry::Occupied(mut known) => {
+                let is_newer = known.get().version < item.version;
+                if is_newer {
+                    known.insert(item.clone());
+                }
+                is_newer
+            }
+            Entry::Vacant(vacant) => {
+                vacant.insert(item.clone());
+                true
+            }
         }
     }
 
-    /// An evacuation is over; the zone's servers may have become cold while nobody asked them.
+    /// The evacuation of a zone has ended; its servers may have become cold, as they got no requests meanwhile.
     ///
-    /// What the first items of this instance tell may be long over. Then the other registries know how cold their
-    /// servers are; but what limiters tell where all registries have begun anew may be from before.
-    pub(super) fn taken_back(
+    /// If the item is one of the first of this incarnation, the evacuation may have ended long ago. Then the peers know
+    /// how cold their servers are; but what limiters report where all registries have just restarted may be from
+    /// before.
+    fn on_evacuation_ended(
         &mut self,
-        now: u64,
+        now: Timestamp,
         zone: &str,
-        first: bool,
+        delivery: Delivery,
         actions: &mut Vec<Action>,
     ) {
-        if !self.guards.returned {
+        if !self.guards.cold_after_evacuation {
             return;
         }
-        if first {
-            self.taken_back
-                .insert(zone.to_string(), now + self.limits.beat_ms);
+        if delivery == Delivery::Initial {
+            self.returned_zones
+                .insert(zone.to_string(), now + self.config.heartbeat_interval);
         }
-        let presumed = self.presume_cold(now, zone, |_, row| !first || row.owner.is_none());
-        let owned = |id: &String| {
-            self.instances
-                .get(id)
-                .is_some_and(|row| row.owner == Some(self.limits.me))
-        };
-        let owned: Vec<String> = presumed.into_iter().filter(owned).collect();
-        // To registries that have just started, which cannot know it from the items.
-        self.say_changed(now, &owned, actions);
+        let changed = self.assume_cold(now, zone, |_, entry| {
+            delivery == Delivery::Update || entry.owner.is_none()
+        });
+        let owned: Vec<String> = changed
+            .into_iter()
+            .filter(|id| {
+                self.instances
+                    .get(id)
+                    .is_some_and(|entry| entry.owner == Some(self.config.address))
+            })
+            .collect();
+        // For registries that have just started, which cannot tell it from the items.
+        self.replicate(now, &owned, actions);
     }
 
-    pub(super) fn presume_cold(
+    /// Assumes that servers of a zone are cold until they have had time for a new heartbeat; gives the ids of those whose
+    /// cold time has changed.
+    pub(super) fn assume_cold(
         &mut self,
-        now: u64,
+        now: Timestamp,
         zone: &str,
-        which: impl Fn(&str, &Row) -> bool,
+        is_affected: impl Fn(&str, &InstanceEntry) -> bool,
     ) -> Vec<String> {
         let warmups = &self.warmups;
-        let warmup = |service: &str| warmups.get(service).copied().unwrap_or(WARMUP_MS);
-        let presumed =
-            self.instances
-                .presume_cold(now, zone, now + self.limits.beat_ms, which, warmup);
-        for id in &presumed {
-            self.note(now, Change::Instance(id.clone()));
+        let warmup = |service: &str| warmups.get(service).copied().unwrap_or(DEFAULT_WARMUP);
+        let assumed_until = now + self.config.heartbeat_interval;
+        let changed = self
+            .instances
+            .assume_cold(now, zone, assumed_until, is_affected, warmup);
+        for id in &changed {
+            self.record_change(now, Change::Instance(id.clone()));
         }
-        presumed
+        changed
     }
 
-    pub(super) fn voters_told(
+    pub(super) fn on_voters_changed(
         &mut self,
-        now: u64,
+        now: Timestamp,
         voters: Vec<Ipv4Addr>,
         actions: &mut Vec<Action>,
     ) {
         if !voters.is_empty() && voters != self.voters {
             self.voters = voters;
-            self.meet(now, actions);
-        }
-    }
-}
-
-impl Registry {
-    /// Asks the store how old what it tells is, whenever that is due.
-    pub(super) fn ask_store(&mut self, now: u64, actions: &mut Vec<Action>) {
-        if now >= self.ask_store_at {
-            self.ask_store_at = now + STORE_QUESTION;
-            actions.push(Action::AskStore {
-                question: self.store.ask(now),
-            });
-        }
-    }
-
-    pub(super) fn store_confirmed(&mut self, now: u64, question: u64, age: Option<u64>) {
-        match self.guards.lease {
-            true => self.store.answer(question, age),
-            false => self.store.answer_on_arrival(now, age),
+            self.update_peers(now, actions);
         }
     }
 }
 
-/// The `warmup` of a service's item.
-pub(super) fn warmup_ms(body: &str) -> Option<u64> {
+/// The `warmup` of a service's item, in seconds or milliseconds; `None` if it names none that is valid.
+fn parse_warmup(body: &str) -> Option<Duration> {
     let item = jzon::parse(body).ok()?;
     let text = item["warmup"].as_str()?;
-    let (number, unit) = match text.strip_suffix("ms") {
+    let (number, millis_per_unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 1.0),
         None => (text.strip_suffix('s')?, 1_000.0),
     };
-    let time = number.trim().parse::<f64>().ok()? * unit;
-    (time.is_finite() && time >= 0.0).then_some(time as u64)
+    let millis = number.trim().parse::<f64>().ok()? * millis_per_unit;
+    (millis.is_finite() && millis >= 0.0).then_some(Duration::from_millis(millis as u64))
 }
--- a/crates/emberpin-membership/src/registry/events.rs
+++ b/crates/emberpin-membership/src/registry/events.rs
@@ -1,154 +1,163 @@
-//! What a registry is told, and what its host is to do.
+//! The inputs of a registry's state machine, and the actions that it asks its host for.
 
+use crate::ids::{CallId, Incarnation, Nonce, SessionId};
 use crate::instance::Instance;
 use crate::peers::{Ack, RegistryMessage};
 use crate::session::{FromLimiter, ToLimiter};
 use emberpin_config::Item;
 use std::net::Ipv4Addr;
+use std::time::Duration;
 
-/// How a registry works.
+/// The parameters of a registry. They do not change while its process runs.
 #[derive(Clone, Debug)]
-pub struct Limits {
-    /// Its machine.
-    pub me: Ipv4Addr,
-    /// Its zone.
+pub struct RegistryConfig {
+    /// The address of the registry's machine, by which its peers know it.
+    pub address: Ipv4Addr,
+    /// The zone of the registry's machine. Servers are directed to registries of their own zone first.
     pub zone: String,
-    /// Its instance, drawn at its start.
-    pub incarnation: u64,
-    /// How often servers beat.
-    pub beat_ms: u64,
-    /// Machines with registries, until the voters are known.
+    /// The registry's incarnation, drawn at random when its process starts. It tells revisions of its change log from
+    /// those of an earlier process.
+    pub incarnation: Incarnation,
+    /// The interval at which servers send heartbeats. An instance without one for four intervals, and at least four
+    /// seconds, is evicted.
+    pub heartbeat_interval: Duration,
+    /// The machines that are taken for those with registries until a store has named the voters.
     pub seeds: Vec<Ipv4Addr>,
-    /// The size of a snapshot's parts, [`super::PART_BYTES`].
-    pub part_bytes: usize,
+    /// The size at which a part of a snapshot is closed, in bytes. [`super::SNAPSHOT_PART_BYTES`] in production; tests
+    /// lower it to get many parts.
+    pub snapshot_part_bytes: usize,
 }
 
-/// What comes.
+/// An input to [`super::Registry::handle`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A server's beat; [`Action::Answer`] is owed.
+    /// A server has sent a heartbeat. Answered by [`Action::Reply`].
     Heartbeat {
-        /// Names the answer.
-        call: u64,
-        /// What it says; `cold_ms` counts from now.
+        /// Identifies the call in [`Action::Reply`].
+        call: CallId,
+        /// The instance as the server describes it; `cold_ms` counts from now.
         instance: Instance,
     },
-    /// A server ends; [`Action::Answer`] is owed.
+    /// A server has announced that it shuts down. Answered by [`Action::Reply`].
     Leave {
-        /// Names the answer.
-        call: u64,
-        /// Which.
-        id: String,
+        /// Identifies the call in [`Action::Reply`].
+        call: CallId,
+        /// The id of the server's instance.
+        instance_id: String,
     },
-    /// Items from a store.
+    /// The store that is followed has delivered configuration items. An item that is older than the known one is
+    /// ignored.
     Items(Vec<Item>),
-    /// The machines whose stores vote, as a store says.
-    Voters(Vec<Ipv4Addr>),
-    /// A store's answer to [`Action::AskStore`], behind all items that it told before.
+    /// The store that is followed has named the machines whose stores vote. Their registries make up the majority.
+    VotersChanged(Vec<Ipv4Addr>),
+    /// The store that is followed has answered [`Action::QueryStore`], after all items that it had by then.
     StoreConfirmed {
-        /// Which question.
-        question: u64,
-        /// See [`crate::lease::Lease::answer`].
-        age: Option<u64>,
-    },
-    /// This registry's connection to another one is open, or not any more.
-    Reached {
-        /// Which.
+        /// The nonce of the query.
+        nonce: Nonce,
+        /// The age of the store's comparison with a majority; `None` if it can confirm nothing.
+        age: Option<Duration>,
+    },
+    /// The connection to a peer, requested by [`Action::ConnectPeer`], is open.
+    PeerConnected {
+        /// The peer's address.
         peer: Ipv4Addr,
-        /// It is open.
-        open: bool,
     },
-    /// Another registry says something.
-    Peer {
-        /// Which.
+    /// The connection to a peer has closed. The host goes on trying to open it.
+    PeerDisconnected {
+        /// The peer's address.
         peer: Ipv4Addr,
-        /// What.
-        said: RegistryMessage,
     },
-    /// Another registry has taken what it was told.
-    Acked {
-        /// Which.
+    /// A message from another registry has arrived over the connection that it opened.
+    PeerMessage {
+        /// The sender's address.
         peer: Ipv4Addr,
-        /// What.
+        /// The message.
+        message: RegistryMessage,
+    },
+    /// Another registry has acknowledged a message of this one.
+    PeerAcknowledged {
+        /// The peer's address.
+        peer: Ipv4Addr,
+        /// Which message it acknowledges.
         ack: Ack,
     },
-    /// A limiter says something in a session of this number.
-    Limiter {
-        /// Which session.
-        session: u64,
-        /// What.
-        said: FromLimiter,
+    /// A message from a limiter has arrived.
+    LimiterMessage {
+        /// The session of the limiter.
+        session: SessionId,
+        /// The message.
+        message: FromLimiter,
     },
-    /// A session is over.
-    Ended {
-        /// Which.
-        session: u64,
+    /// A limiter's connection has closed.
+    SessionClosed {
+        /// The session.
+        session: SessionId,
     },
-    /// Nothing; see [`super::Registry::due`].
+    /// The deadline of [`super::Registry::next_deadline`] has passed.
     Tick,
 }
 
-/// An answer to a server.
+/// The reply to a server's heartbeat or leave call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
-    /// Acknowledged.
-    Taken {
-        /// The registry at which it is to beat.
-        beat_at: Ipv4Addr,
-    },
-    /// Not acknowledged: it is to try another registry.
-    Elsewhere,
+pub enum ServerReply {
+    /// The registry has taken the call in; a drain or an end is known to a majority of the registries.
+    Acknowledged {
+        /// The registry that the server is to send its next heartbeat to.
+        heartbeat_target: Ipv4Addr,
+    },
+    /// The call is not acknowledged; the server is to retry at another registry.
+    NotAcknowledged,
 }
 
-/// What is to be done.
+/// What the host is to do for the registry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Answer a server's call.
-    Answer {
-        /// Which.
-        call: u64,
-        /// What.
-        answer: Answer,
-    },
-    /// Keep a connection to this registry open.
-    Call {
-        /// Which.
+    /// Reply to a server's call.
+    Reply {
+        /// The call, as named by [`Event::Heartbeat`] or [`Event::Leave`].
+        call: CallId,
+        /// The reply.
+        reply: ServerReply,
+    },
+    /// Open a connection to a peer, and reopen it whenever it closes.
+    ConnectPeer {
+        /// The peer's address.
         peer: Ipv4Addr,
     },
-    /// And now no longer.
-    Drop {
-        /// Which.
+    /// Close the connection to a peer and do not reopen it.
+    DisconnectPeer {
+        /// The peer's address.
         peer: Ipv4Addr,
     },
-    /// Say something to another registry.
-    Say {
-        /// Which ones.
-        to: Vec<Ipv4Addr>,
-        /// What.
-        said: RegistryMessage,
-    },
-    /// Acknowledge what another registry told, on its connection.
-    Ack {
-        /// Which.
-        to: Ipv4Addr,
-        /// What.
+    /// Send a message over the connections to these peers. Dropped for a peer that is not connected.
+    SendToPeers {
+        /// The addresses of the peers.
+        peers: Vec<Ipv4Addr>,
+        /// The message.
+        message: RegistryMessage,
+    },
+    /// Send an acknowledgement back over the connection that a peer has opened.
+    AcknowledgePeer {
+        /// The peer's address.
+        peer: Ipv4Addr,
+        /// The acknowledgement.
         ack: Ack,
     },
-    /// Tell limiters.
-    Tell {
-        /// Their sessions.
-        to: Vec<u64>,
-        /// What.
-        told: ToLimiter,
-    },
-    /// Ask the store that is followed how old what it tells is; [`Event::StoreConfirmed`] is owed.
-    AskStore {
-        /// The question's nonce.
-        question: u64,
-    },
-    /// End a session.
-    Close {
-        /// Which.
-        session: u64,
+    /// Send a message to limiters. A session whose queue is full is closed instead.
+    SendToLimiters {
+        /// The sessions of the limiters.
+        sessions: Vec<SessionId>,
+        /// The message.
+        message: ToLimiter,
+    },
+    /// Ask the store that is followed for the age of its state. Answered by [`Event::StoreConfirmed`].
+    QueryStore {
+        /// Identifies the query.
+        nonce: Nonce,
+    },
+    /// Close a limiter's connection; no [`Event::SessionClosed`] is expected.
+    CloseSession {
+        /// The session.
+        session: SessionId,
     },
 }
--- a/crates/emberpin-membership/src/registry/peers.rs
+++ b/crates/emberpin-membership/src/registry/peers.rs
@@ -1,258 +1,392 @@
-//! Other registries: contact with them, and what they replicate.
+//! The other registries: connections and contact with them, change notification, and anti-entropy by digests.
 
-use super::{Action, Peer, Registry, NEWCOMERS, NEWCOMER_MS, PULSE_MS, SILENCE_MS};
-use crate::peers::{Ack, InstanceRecord, RegistryMessage};
+use super::{Action, Registry};
+use crate::clock::Timestamp;
+use crate::ids::{AckId, Digest, Nonce};
+use crate::lease::Lease;
+use crate::peers::{Ack, InstanceRecord, LimiterIdentity, RegistryMessage};
+use crate::timing::{PEER_HEARTBEAT_INTERVAL, REGISTRY_LEASE_DURATION};
 use std::collections::btree_map::Entry;
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
+use std::time::Duration;
+
+/// The greatest number of peers beside the voters' registries: those of machines that are about to join.
+const MAX_NON_VOTING_PEERS: usize = 16;
+/// A peer that does not belong to a voter is dropped after this time without contact.
+const NON_VOTING_PEER_TIMEOUT: Duration = Duration::from_millis(60_000);
+
+/// What is known of another registry.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Peer {
+    /// The zone of its machine; empty until it has sent its hello.
+    pub(super) zone: String,
+    /// Its state was confirmed by a majority when it last reported.
+    pub(super) is_confirmed: bool,
+    /// The lease on its state: it was alive, and had reported everything by then.
+    pub(super) lease: Lease,
+    /// When it became known; one that never answers is dropped some time after that.
+    known_since: Timestamp,
+    /// Whether the connection to it is open.
+    pub(super) is_connected: bool,
+    /// When the instances that it owns were requested last, as the digests differed.
+    owned_requested_at: Timestamp,
+    /// The limiters that have a session with it.
+    pub(super) limiters: Vec<LimiterIdentity>,
+}
+
+impl Peer {
+    fn new(now: Timestamp) -> Peer {
+        Peer {
+            known_since: now,
+            ..Peer::default()
+        }
+    }
+
+    /// Whether it has reported everything recently enough to be relied on.
+    pub(super) fn is_in_contact(&self, now: Timestamp) -> bool {
+        self.lease.is_valid(now, REGISTRY_LEASE_DURATION)
+    }
+}
+
+/// Where records of instances come from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum RecordSource {
+    /// A change notification.
+    Changes,
+    /// A table that was sent as a whole, which may list what has long been known.
+    Table,
+}
 
 impl Registry {
-    /// Speaks to those that count, and not to those that do not.
-    pub(super) fn meet(&mut self, now: u64, actions: &mut Vec<Action>) {
-        let registries = self.registries();
-        for peer in registries.iter().filter(|peer| **peer != self.limits.me) {
-            if let Entry::Vacant(place) = self.peers.entry(*peer) {
-                place.insert(Peer {
-                    since: now,
-                    ..Peer::default()
-                });
-                actions.push(Action::Call { peer: *peer });
+    /// Connects to the registries of the voters, and drops other peers that have not been in contact for long.
+    pub(super) fn update_peers(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        let registries = self.voting_registries();
+        for address in &registries {
+            if *address == self.config.address {
+                continue;
+            }
+            if let Entry::Vacant(vacant) = self.peers.entry(*address) {
+                vacant.insert(Peer::new(now));
+                actions.push(Action::ConnectPeer { peer: *address });
             }
         }
-        self.peers.retain(|ip, peer| {
-            let heard = peer.lease.confirmed_from().unwrap_or(0).max(peer.since);
-            let stays = registries.contains(ip) || now.saturating_sub(heard) < NEWCOMER_MS;
+        self.peers.retain(|address, peer| {
+            let confirmed_at = peer.lease.confirmed_at().unwrap_or(Timestamp::ZERO);
+            let last_contact = confirmed_at.max(peer.known_since);
+            let stays = registries.contains(address)
+                || now.duration_since(last_contact) < NON_VOTING_PEER_TIMEOUT;
             if !stays {
-                actions.push(Action::Drop { peer: *ip });
+                actions.push(Action::DisconnectPeer { peer: *address });
             }
             stays
         });
     }
 
-    pub(super) fn reached(
+    /// Sends the whole table over a new connection, and what waits for this peer's acknowledgement.
+    pub(super) fn on_peer_connected(
         &mut self,
-        now: u64,
-        ip: Ipv4Addr,
-        open: bool,
+        now: Timestamp,
+        address: Ipv4Addr,
         actions: &mut Vec<Action>,
     ) {
-        let Some(peer) = self.peers.get_mut(&ip) else {
+        let Some(peer) = self.peers.get_mut(&address) else {
             return;
         };
-        peer.open = open;
-        if !open {
-            self.pending
-                .iter_mut()
-                .for_each(|pending| _ = pending.waits_for.remove(&ip));
-            return;
-        }
+        peer.is_connected = true;
         let hello = RegistryMessage::Hello {
-            zone: self.limits.zone.clone(),
-            settled: self.is_settled(now),
-            instances: self.instances.table(now),
+            zone: self.config.zone.clone(),
+            confirmed: self.is_confirmed(now),
+            instances: self.instances.records_for_new_peer(now),
             limiters: self.own_limiters(),
         };
-        actions.push(Action::Say {
-            to: vec![ip],
-            said: hello,
+        actions.push(Action::SendToPeers {
+            peers: vec![address],
+            message: hello,
         });
-        for pending in &mut self.pending {
-            if let Some(row) = self.instances.get(&pending.id) {
-                let said = RegistryMessage::Changed {
-                    ask: Some(pending.ask),
-                    instances: vec![row.told(now)],
-                };
-                actions.push(Action::Say { to: vec![ip], said });
-                pending.waits_for.insert(ip);
-            }
+        self.resend_pending_shutdowns(now, address, actions);
+        self.send_heartbeat(now, address, actions);
+    }
+
+    pub(super) fn on_peer_disconnected(&mut self, address: Ipv4Addr) {
+        let Some(peer) = self.peers.get_mut(&address) else {
+            return;
+        };
+        peer.is_connected = false;
+        for pending in &mut self.pending_shutdowns {
+            pending.on_peer_disconnected(address);
         }
-        self.pulse_to(now, ip, actions);
     }
 
-    pub(super) fn peer(
+    pub(super) fn on_peer_message(
         &mut self,
-        now: u64,
-        ip: Ipv4Addr,
-        said: RegistryMessage,
+        now: Timestamp,
+        from: Ipv4Addr,
+        message: RegistryMessage,
         actions: &mut Vec<Action>,
     ) {
-        if ip == self.limits.me {
+        if from == self.config.address || !self.admit_peer(now, from, actions) {
             return;
         }
-        if !self.peers.contains_key(&ip) {
-            if self.peers.len() >= self.registries().len() + NEWCOMERS {
-                return;
-            }
-            self.peers.insert(
-                ip,
-                Peer {
-                    since: now,
-                    ..Peer::default()
-                },
-            );
-            actions.push(Action::Call { peer: ip });
-        }
-        let Some(peer) = self.peers.get_mut(&ip) else {
-            return;
-        };
-        match said {
+        match message {
             RegistryMessage::Hello {
                 zone,
-                settled,
+                confirmed,
                 instances,
                 limiters,
             } => {
-                (peer.zone, peer.settled, peer.limiters) = (zone, settled, limiters);
-                self.count_limiters(now);
-                self.merge(now, ip, instances, false, actions);
-            }
-            RegistryMessage::Changed { ask, instances } => {
-                self.merge(now, ip, instances, true, actions);
-                if let Some(ask) = ask {
-                    actions.push(Action::Ack {
-                        to: ip,
-                        ack: Ack { ask },
-                    });
+                if let Some(peer) = self.peers.get_mut(&from) {
+                    peer.zone = zone;
+                    peer.is_confirmed = confirmed;
                 }
+                self.on_limiter_sessions(now, from, limiters);
+                self.merge_records(now, from, instances, RecordSource::Table, actions);
             }
-            RegistryMessage::Alive { question } => match self.guards.lease {
-                true => peer.lease.answer(question, Some(0)),
-                false => peer.lease.answer_on_arrival(now, Some(0)),
-            },
-            RegistryMessage::Pulse {
-                settled,
-                digest,
-                question,
-            } => {
-                peer.settled = settled;
-                actions.push(Action::Say {
-                    to: vec![ip],
-                    said: RegistryMessage::Alive { question },
-                });
-                // Asked once in a while: what the sender says meanwhile is on its way.
-                if self.instances.digest(ip) != digest
-                    && now.saturating_sub(peer.wanted) >= PULSE_MS
-                {
-                    peer.wanted = now;
-                    actions.push(Action::Say {
-                        to: vec![ip],
-                        said: RegistryMessage::Want,
-                    });
-                }
-            }
-            RegistryMessage::Want => {
-                let instances = self
-                    .instances
-                    .owned(self.limits.me)
-                    .map(|(_, row)| row.told(now))
-                    .collect();
-                actions.push(Action::Say {
-                    to: vec![ip],
-                    said: RegistryMessage::Owned { instances },
-                });
+            RegistryMessage::Changed { ack_id, instances } => {
+                self.on_changed(now, from, ack_id, instances, actions);
             }
-            RegistryMessage::Owned { instances } => {
-                let named: BTreeSet<&str> = instances
-                    .iter()
-                    .map(|told| told.instance.id.as_str())
-                    .collect();
-                let owned = self.instances.owned(ip).map(|(id, _)| id.clone());
-                let others: Vec<String> = owned.filter(|id| !named.contains(id.as_str())).collect();
-                for id in others {
-                    self.instances.disown(now, &id);
-                }
-                self.merge(now, ip, instances, false, actions);
+            RegistryMessage::Heartbeat {
+                confirmed,
+                nonce,
+                digest,
+            } => self.on_peer_heartbeat(now, from, confirmed, nonce, digest, actions),
+            RegistryMessage::HeartbeatAck { nonce } => self.on_heartbeat_ack(now, from, nonce),
+            RegistryMessage::FetchOwned => self.on_fetch_owned(now, from, actions),
+            RegistryMessage::OwnedInstances { instances } => {
+                self.on_owned_instances(now, from, instances, actions);
             }
-            RegistryMessage::Sessions { limiters } => {
-                peer.limiters = limiters;
-                self.count_limiters(now);
+            RegistryMessage::LimiterSessions { limiters } => {
+                self.on_limiter_sessions(now, from, limiters);
             }
         }
     }
 
-    /// Takes instances that another registry tells.
-    pub(super) fn merge(
+    /// Adds the sender of a message as a peer unless there are too many; whether it is one now.
+    fn admit_peer(&mut self, now: Timestamp, from: Ipv4Addr, actions: &mut Vec<Action>) -> bool {
+        if self.peers.contains_key(&from) {
+            return true;
+        }
+        if self.peers.len() >= self.voting_registries().len() + MAX_NON_VOTING_PEERS {
+            return false;
+        }
+        self.peers.insert(from, Peer::new(now));
+        actions.push(Action::ConnectPeer { peer: from });
+        true
+    }
+
+    fn on_changed(
         &mut self,
-        now: u64,
+        now: Timestamp,
         from: Ipv4Addr,
+        ack_id: Option<AckId>,
         instances: Vec<InstanceRecord>,
-        displaces: bool,
         actions: &mut Vec<Action>,
     ) {
-        let mut ends = Vec::new();
-        for mut told in instances {
-            let id = told.instance.id.clone();
-            // Whoever does not hear an instance's owner has not heard the instance; it is the owner's word that counts
-            // here.
-            let owner = self
-                .instances
-                .get(&id)
-                .and_then(|row| row.owner)
-                .filter(|owner| *owner != from);
-            let hears = |owner| {
-                owner == self.limits.me
-                    || self
-                        .peers
-                        .get(&owner)
-                        .is_some_and(|peer| peer.in_contact(now))
-            };
-            told.expired &= !owner.is_some_and(hears);
-            let effect = self.instances.merge(now, told);
-            self.take(now, &id, effect, displaces);
-            // Whole tables name many ends that everybody knows.
-            if effect.ends && (displaces || !effect.new) {
-                ends.push(id);
-            }
+        self.merge_records(now, from, instances, RecordSource::Changes, actions);
+        if let Some(ack_id) = ack_id {
+            actions.push(Action::AcknowledgePeer {
+                peer: from,
+                ack: Ack { ack_id },
+            });
         }
-        // Whoever told them may be dead before all have heard: whoever has them passes them on, once.
-        let to: Vec<Ipv4Addr> = self.open().into_iter().filter(|ip| *ip != from).collect();
-        self.say_changed_to(now, to, &ends, actions);
     }
 
-    /// Twice a second: says that this registry is there, and looks after the tables.
-    pub(super) fn beat(&mut self, now: u64, actions: &mut Vec<Action>) {
-        self.meet(now, actions);
-        let settled = self.is_settled(now);
-        self.settled_since = settled.then(|| self.settled_since.unwrap_or(now));
-        self.expire(now, actions);
-        self.instances.forget(now);
-        let to = self.open();
-        if !to.is_empty() {
-            to.iter()
-                .for_each(|peer| self.pulse_to(now, *peer, actions));
-            if std::mem::take(&mut self.sessions_changed) {
-                let limiters = self.own_limiters();
-                actions.push(Action::Say {
-                    to,
-                    said: RegistryMessage::Sessions { limiters },
-                });
-            }
+    /// Answers a heartbeat, and requests the instances that the sender owns if its digest differs.
+    fn on_peer_heartbeat(
+        &mut self,
+        now: Timestamp,
+        from: Ipv4Addr,
+        confirmed: bool,
+        nonce: Nonce,
+        digest: Digest,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(peer) = self.peers.get_mut(&from) else {
+            return;
+        };
+        peer.is_confirmed = confirmed;
+        actions.push(Action::SendToPeers {
+            peers: vec![from],
+            message: RegistryMessage::HeartbeatAck { nonce },
+        });
+        // Not with every heartbeat: the sender's answer may be in flight.
+        let may_request = now.duration_since(peer.owned_requested_at) >= PEER_HEARTBEAT_INTERVAL;
+        if self.instances.digest(from) != digest && may_request {
+            peer.owned_requested_at = now;
+            actions.push(Action::SendToPeers {
+                peers: vec![from],
+                message: RegistryMessage::FetchOwned,
+            });
         }
-        let silent: Vec<u64> = self
-            .sessions
+    }
+
+    fn on_heartbeat_ack(&mut self, now: Timestamp, from: Ipv4Addr, nonce: Nonce) {
+        let Some(peer) = self.peers.get_mut(&from) else {
+            return;
+        };
+        if self.guards.lease_from_query {
+            peer.lease.on_answer(nonce, Some(Duration::ZERO));
+        } else {
+            peer.lease.on_answer_from_arrival(now, Some(Duration::ZERO));
+        }
+    }
+
+    fn on_fetch_owned(&mut self, now: Timestamp, from: Ipv4Addr, actions: &mut Vec<Action>) {
+        let instances = self
+            .instances
+            .owned_by(self.config.address)
+            .map(|(_, entry)| entry.record(now))
+            .collect();
+        actions.push(Action::SendToPeers {
+            peers: vec![from],
+            message: RegistryMessage::OwnedInstances { instances },
+        });
+    }
+
+    /// Merges the instances that the sender owns; others that it was taken for the owner of have none now.
+    fn on_owned_instances(
+        &mut self,
+        now: Timestamp,
+        from: Ipv4Addr,
+        instances: Vec<InstanceRecord>,
+        actions: &mut Vec<Action>,
+    ) {
+        let listed: BTreeSet<&str> = instances
             .iter()
-            .filter(|(_, session)| now.saturating_sub(session.heard) >= SILENCE_MS)
-            .map(|(number, _)| *number)
+            .map(|record| record.instance.id.as_str())
             .collect();
-        for session in silent {
-            self.ended(session);
-            actions.push(Action::Close { session });
+        let unlisted: Vec<String> = self
+            .instances
+            .owned_by(from)
+            .map(|(id, _)| id.clone())
+            .filter(|id| !listed.contains(id.as_str()))
+            .collect();
+        for id in unlisted {
+            self.instances.clear_owner(now, &id);
+        }
+        self.merge_records(now, from, instances, RecordSource::Table, actions);
+    }
+
+    fn on_limiter_sessions(
+        &mut self,
+        now: Timestamp,
+        from: Ipv4Addr,
+        limiters: Vec<LimiterIdentity>,
+    ) {
+        if let Some(peer) = self.peers.get_mut(&from) {
+            peer.limiters = limiters;
         }
         self.count_limiters(now);
     }
 
-    /// Says that this registry is there, and asks whether another one is.
-    pub(super) fn pulse_to(&mut self, now: u64, ip: Ipv4Addr, actions: &mut Vec<Action>) {
-        let (settled, digest) = (self.is_settled(now), self.instances.digest(self.limits.me));
-        let Some(peer) = self.peers.get_mut(&ip) else {
+    /// Merges records from another registry. Drains and ends that were not known are passed on once, as their sender may
+    /// fail before it has reached everybody.
+    fn merge_records(
+        &mut self,
+        now: Timestamp,
+        from: Ipv4Addr,
+        records: Vec<InstanceRecord>,
+        source: RecordSource,
+        actions: &mut Vec<Action>,
+    ) {
+        let mut shutdowns = Vec::new();
+        for mut record in records {
+            let id = record.instance.id.clone();
+            // A sender without contact to the instance's owner cannot know that its heartbeats have stopped.
+            record.expired &= !self.hears_from_owner(now, &id, from);
+            let outcome = self.instances.merge(now, record);
+            self.on_merged(now, &id, outcome, source == RecordSource::Changes);
+            // Tables list many ends that everybody knows.
+            let is_news = source == RecordSource::Changes || !outcome.is_new;
+            if outcome.shutdown_reported && is_news {
+                shutdowns.push(id);
+            }
+        }
+        let others = self.connected_peers();
+        let others = others.into_iter().filter(|peer| *peer != from).collect();
+        self.replicate_to(now, others, &shutdowns, actions);
+    }
+
+    /// Whether this registry is, or is in contact with, the owner of an instance; not if the owner is `sender`, who
+    /// speaks for itself.
+    fn hears_from_owner(&self, now: Timestamp, instance_id: &str, sender: Ipv4Addr) -> bool {
+        let owner = self
+            .instances
+            .get(instance_id)
+            .and_then(|entry| entry.owner);
+        let Some(owner) = owner.filter(|owner| *owner != sender) else {
+            return false;
+        };
+        owner == self.config.address
+            || self
+                .peers
+                .get(&owner)
+                .is_some_and(|peer| peer.is_in_contact(now))
+    }
+
+    /// Sends a heartbeat to one peer, which is also the query that renews the lease on it.
+    pub(super) fn send_heartbeat(
+        &mut self,
+        now: Timestamp,
+        address: Ipv4Addr,
+        actions: &mut Vec<Action>,
+    ) {
+        let confirmed = self.is_confirmed(now);
+        let digest = self.instances.digest(self.config.address);
+        let Some(peer) = self.peers.get_mut(&address) else {
             return;
         };
-        let question = peer.lease.ask(now);
-        let said = RegistryMessage::Pulse {
-            settled,
+        let message = RegistryMessage::Heartbeat {
+            confirmed,
+            nonce: peer.lease.begin_query(now),
             digest,
-            question,
         };
-        actions.push(Action::Say { to: vec![ip], said });
+        actions.push(Action::SendToPeers {
+            peers: vec![address],
+            message,
+        });
+    }
+
+    /// The peers to which the connection is open.
+    pub(super) fn connected_peers(&self) -> Vec<Ipv4Addr> {
+        self.peers
+            .iter()
+            .filter(|(_, peer)| peer.is_connected)
+            .map(|(address, _)| *address)
+            .collect()
+    }
+
+    /// Sends the records of changed instances to all connected peers.
+    pub(super) fn replicate(
+        &self,
+        now: Timestamp,
+        instance_ids: &[String],
+        actions: &mut Vec<Action>,
+    ) {
+        self.replicate_to(now, self.connected_peers(), instance_ids, actions);
+    }
+
+    fn replicate_to(
+        &self,
+        now: Timestamp,
+        peers: Vec<Ipv4Addr>,
+        instance_ids: &[String],
+        actions: &mut Vec<Action>,
+    ) {
+        if instance_ids.is_empty() || peers.is_empty() {
+            return;
+        }
+        let instances = instance_ids
+            .iter()
+            .filter_map(|id| self.instances.get(id))
+            .map(|entry| entry.record(now))
+            .collect();
+        actions.push(Action::SendToPeers {
+            peers,
+            message: RegistryMessage::Changed {
+                ack_id: None,
+                instances,
+            },
+        });
     }
 }
--- a/crates/emberpin-membership/src/registry/servers.rs
+++ b/crates/emberpin-membership/src/registry/servers.rs
@@ -1,236 +1,145 @@
-//! Calls of servers: heartbeats, drains, ends, and silence.
+//! Calls of servers: heartbeats and leave calls.
 
-use super::{Action, Answer, Pending, Registry, ALL_MS, MAJORITY_MS};
+use super::{Action, Registry, ServerReply};
 use crate::change_log::Change;
-use crate::choice;
+use crate::clock::Timestamp;
+use crate::ids::CallId;
 use crate::instance::{Instance, Status};
-use crate::instances::Effect;
-use crate::peers::{InstanceRecord, RegistryMessage};
-use std::collections::BTreeSet;
+use crate::instance_table::MergeOutcome;
+use crate::peers::InstanceRecord;
+use crate::rendezvous;
 use std::net::Ipv4Addr;
 
 impl Registry {
-    pub(super) fn beat_at(&self, now: u64, id: &str, zone: &str) -> Ipv4Addr {
-        let me = (
-            self.limits.me,
-            self.limits.zone.as_str(),
-            self.is_settled(now),
-        );
-        let peers = self
-            .peers
-            .iter()
-            .filter(|(_, peer)| peer.open && peer.in_contact(now));
-        let peers = peers.map(|(ip, peer)| (*ip, peer.zone.as_str(), peer.settled));
-        let settled: Vec<(Ipv4Addr, &str)> = peers
-            .chain([me])
-            .filter(|(_, _, settled)| *settled)
-            .map(|(ip, zone, _)| (ip, zone))
-            .collect();
-        let near = settled
-            .iter()
-            .filter(|(_, its)| *its == zone)
-            .map(|(ip, _)| *ip);
-        choice::rendezvous(id, near)
-            .or_else(|| choice::rendezvous(id, settled.iter().map(|(ip, _)| *ip)))
-            .unwrap_or(self.limits.me)
-    }
-
-    pub(super) fn heartbeat(
+    /// Takes a heartbeat in and replies at once, but to the first one that reports a drain: its reply waits for a
+    /// majority.
+    pub(super) fn on_heartbeat(
         &mut self,
-        now: u64,
-        call: u64,
+        now: Timestamp,
+        call: CallId,
         instance: Instance,
         actions: &mut Vec<Action>,
     ) {
-        let (id, zone, said) = (instance.id.clone(), instance.zone.clone(), instance.status);
-        let told = InstanceRecord {
+        let id = instance.id.clone();
+        let zone = instance.zone.clone();
+        let reported = instance.status;
+        let record = InstanceRecord {
             instance,
             expired: false,
-            owner: Some(self.limits.me),
+            owner: Some(self.config.address),
         };
-        let effect = self.instances.merge(now, told);
-        let mut changed = self.take(now, &id, effect, true);
-        let row = self.instances.get(&id);
-        let kept =
-            said == Status::Up || row.is_some_and(|row| row.kept || row.said() == Status::Gone);
-        if kept && (effect.changed || effect.moved) {
+        let outcome = self.instances.merge(now, record);
+        let mut changed = self.on_merged(now, &id, outcome, true);
+        let is_replicated = self
+            .instances
+            .get(&id)
+            .is_some_and(|entry| entry.is_replicated || entry.reported_status() == Status::Removed);
+        let may_reply = reported == Status::Up || is_replicated;
+        if may_reply && (outcome.is_visible || outcome.owner_changed) {
             changed.push(id.clone());
         }
-        self.say_changed(now, &changed, actions);
-        if !kept {
-            self.ask(now, call, id, said, actions);
-            return;
+        self.replicate(now, &changed, actions);
+        if may_reply {
+            let reply = self.heartbeat_reply(now, &id, &zone, reported);
+            actions.push(Action::Reply { call, reply });
+        } else {
+            self.await_majority(now, call, id, reported, actions);
+        }
+    }
+
+    /// A registry without contact to a majority does not acknowledge that a server is up, as limiters on the other side
+    /// of the partition would not learn of it: the server is to try their registries. One that has just started does, as
+    /// it had no time for contact yet.
+    fn heartbeat_reply(
+        &self,
+        now: Timestamp,
+        instance_id: &str,
+        zone: &str,
+        reported: Status,
+    ) -> ServerReply {
+        let has_just_started = now.duration_since(self.started_at) < self.eviction_timeout();
+        if reported == Status::Up && !has_just_started && !self.has_contact_with_majority(now) {
+            return ServerReply::NotAcknowledged;
+        }
+        ServerReply::Acknowledged {
+            heartbeat_target: self.heartbeat_target(now, instance_id, zone),
         }
-        // Where the others are not heard, they do not hear of this server either: it is to try them itself.
-        // What it says is known to the limiters that are on this side.
-        let young = now.saturating_sub(self.started) < self.expiry_ms();
-        let answer = match said == Status::Up && !young && !self.is_connected(now) {
-            true => Answer::Elsewhere,
-            false => Answer::Taken {
-                beat_at: self.beat_at(now, &id, &zone),
-            },
-        };
-        actions.push(Action::Answer { call, answer });
     }
 
-    pub(super) fn leave(&mut self, now: u64, call: u64, id: String, actions: &mut Vec<Action>) {
-        let effect = self.instances.leave(now, &id);
-        self.take(now, &id, effect, false);
-        match self.instances.get(&id).is_some_and(|row| row.kept) {
-            true => {
-                let beat_at = self.limits.me;
-                actions.push(Action::Answer {
-                    call,
-                    answer: Answer::Taken { beat_at },
-                });
-            }
-            false => self.ask(now, call, id, Status::Gone, actions),
+    /// Takes a server's report of its end in. The reply waits for a majority unless that has it already.
+    pub(super) fn on_leave(
+        &mut self,
+        now: Timestamp,
+        call: CallId,
+        instance_id: String,
+        actions: &mut Vec<Action>,
+    ) {
+        let outcome = self.instances.leave(now, &instance_id);
+        self.on_merged(now, &instance_id, outcome, false);
+        let is_replicated = self
+            .instances
+            .get(&instance_id)
+            .is_some_and(|entry| entry.is_replicated);
+        if is_replicated {
+            let reply = ServerReply::Acknowledged {
+                heartbeat_target: self.config.address,
+            };
+            actions.push(Action::Reply { call, reply });
+        } else {
+            self.await_majority(now, call, instance_id, Status::Removed, actions);
         }
     }
 
-    /// Tells the limiters what a merge has changed, and finds out who had the address of a new instance before;
-    /// those are given back.
-    pub(super) fn take(
+    /// Records what a merge has changed. With `may_displace`, a new instance evicts those that had its address before;
+    /// their ids are given back.
+    pub(super) fn on_merged(
         &mut self,
-        now: u64,
-        id: &str,
-        effect: Effect,
-        displaces: bool,
+        now: Timestamp,
+        instance_id: &str,
+        outcome: MergeOutcome,
+        may_displace: bool,
     ) -> Vec<String> {
-        if effect.changed {
-            self.note(now, Change::Instance(id.to_string()));
+        if outcome.is_visible {
+            self.record_change(now, Change::Instance(instance_id.to_string()));
         }
-        let up = self
+        let is_up = self
             .instances
-            .get(id)
-            .is_some_and(|row| row.status() == Status::Up);
-        if !(effect.new && displaces && up && self.guards.displace) {
+            .get(instance_id)
+            .is_some_and(|entry| entry.status() == Status::Up);
+        if !(outcome.is_new && may_displace && is_up && self.guards.displacement) {
             return Vec::new();
         }
-        let displaced = self.instances.displace(now, id);
+        let displaced = self.instances.evict_displaced(now, instance_id);
         for id in &displaced {
-            self.note(now, Change::Instance(id.clone()));
+            self.record_change(now, Change::Instance(id.clone()));
         }
         displaced
     }
 
-    pub(super) fn say_changed(&self, now: u64, ids: &[String], actions: &mut Vec<Action>) {
-        self.say_changed_to(now, self.open(), ids, actions);
-    }
-
-    pub(super) fn say_changed_to(
+    /// The registry that an instance is to send its heartbeats to: by rendezvous hashing one of the confirmed registries
+    /// of its zone, or of all zones if there is none.
+    pub(super) fn heartbeat_target(
         &self,
-        now: u64,
-        to: Vec<Ipv4Addr>,
-        ids: &[String],
-        actions: &mut Vec<Action>,
-    ) {
-        if !ids.is_empty() && !to.is_empty() {
-            let instances = ids
-                .iter()
-                .filter_map(|id| self.instances.get(id))
-                .map(|row| row.told(now))
-                .collect();
-            actions.push(Action::Say {
-                to,
-                said: RegistryMessage::Changed {
-                    ask: None,
-                    instances,
-                },
-            });
-        }
-    }
-
-    pub(super) fn open(&self) -> Vec<Ipv4Addr> {
-        self.peers
-            .iter()
-            .filter(|(_, peer)| peer.open)
-            .map(|(ip, _)| *ip)
-            .collect()
-    }
-
-    /// What a server says of its end is acknowledged once a majority has it: whoever dies then, it is known.
-    pub(super) fn ask(
-        &mut self,
-        now: u64,
-        call: u64,
-        id: String,
-        status: Status,
-        actions: &mut Vec<Action>,
-    ) {
-        let Some(row) = self.instances.get(&id) else {
-            return;
-        };
-        self.asks += 1;
-        let (ask, to) = (self.asks, self.open());
-        let instances = vec![row.told(now)];
-        let waits_for = to.iter().copied().collect();
-        if !to.is_empty() {
-            actions.push(Action::Say {
-                to,
-                said: RegistryMessage::Changed {
-                    ask: Some(ask),
-                    instances,
-                },
-            });
-        }
-        let taken = BTreeSet::new();
-        self.pending.push(Pending {
-            call,
-            id,
-            status,
-            ask,
-            since: now,
-            waits_for,
-            taken,
-        });
-    }
-
-    pub(super) fn settle_pending(&mut self, now: u64, actions: &mut Vec<Action>) {
-        for pending in std::mem::take(&mut self.pending) {
-            let waited = now.saturating_sub(pending.since);
-            let enough = self.majority(|peer| pending.taken.contains(peer));
-            let enough = enough || !self.guards.majority;
-            if enough && (pending.waits_for.is_empty() || waited >= ALL_MS || !self.guards.majority)
-            {
-                self.instances.keep(&pending.id, pending.status);
-                let zone = self.instances.instance(now, &pending.id).zone;
-                let beat_at = self.beat_at(now, &pending.id, &zone);
-                actions.push(Action::Answer {
-                    call: pending.call,
-                    answer: Answer::Taken { beat_at },
-                });
-            } else if waited >= MAJORITY_MS {
-                actions.push(Action::Answer {
-                    call: pending.call,
-                    answer: Answer::Elsewhere,
-                });
-            } else {
-                self.pending.push(pending);
-            }
-        }
-    }
-
-    /// Finds instances that were not heard for too long; only while what is heard can be trusted to be all.
-    pub(super) fn expire(&mut self, now: u64, actions: &mut Vec<Action>) {
-        let expiry = self.expiry_ms();
-        let trusted = self
-            .settled_since
-            .is_some_and(|since| now.saturating_sub(since) >= expiry);
-        if !trusted && self.guards.silence {
-            return;
-        }
-        let silent: Vec<String> = self
-            .instances
+        now: Timestamp,
+        instance_id: &str,
+        zone: &str,
+    ) -> Ipv4Addr {
+        let peers = self
+            .peers
             .iter()
-            .filter(|(_, row)| row.status() != Status::Gone)
-            .filter(|(_, row)| now.saturating_sub(self.heard_life(row)) >= expiry)
-            .map(|(id, _)| id.clone())
+            .filter(|(_, peer)| peer.is_connected && peer.is_confirmed && peer.is_in_contact(now))
+            .map(|(address, peer)| (*address, peer.zone.as_str()));
+        let this = (self.config.address, self.config.zone.as_str());
+        let confirmed: Vec<(Ipv4Addr, &str)> = peers
+            .chain(self.is_confirmed(now).then_some(this))
             .collect();
-        for id in &silent {
-            self.instances.expire(now, id);
-            self.note(now, Change::Instance(id.clone()));
-        }
-        self.say_changed(now, &silent, actions);
+        let in_zone = confirmed
+            .iter()
+            .filter(|(_, registry_zone)| *registry_zone == zone)
+            .map(|(address, _)| *address);
+        let all = confirmed.iter().map(|(address, _)| *address);
+        rendezvous::choose(instance_id, in_zone)
+            .or_else(|| rendezvous::choose(instance_id, all))
+            .unwrap_or(self.config.address)
     }
 }
--- a/crates/emberpin-membership/src/registry/sessions.rs
+++ b/crates/emberpin-membership/src/registry/sessions.rs
@@ -1,211 +1,264 @@
-//! Sessions of limiters: snapshots, changes, and repair from what limiters know.
+//! Sessions of limiters: they get snapshots and changes, renew their leases, and restore what the registry has lost.
 
-use super::snapshot::Part;
-use super::{Action, Peer, Registry, Session, COUNTED_MS};
+use super::snapshot::SnapshotPart;
+use super::{Action, Registry};
 use crate::change_log::Change;
+use crate::clock::Timestamp;
+use crate::ids::{Nonce, SessionId};
 use crate::instance::{Instance, Status};
-use crate::peers::{InstanceRecord, Limiter};
-use crate::session::{FromLimiter, Revision, ToLimiter};
-use crate::timing::BATCH;
+use crate::peers::{InstanceRecord, LimiterIdentity};
+use crate::session::{FromLimiter, Revision, SnapshotCursor, ToLimiter};
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
+use std::time::Duration;
 
-impl Registry {
-    pub(super) fn own_limiters(&self) -> Vec<Limiter> {
-        self.sessions
-            .values()
-            .map(|session| session.limiter.clone())
-            .collect()
-    }
+/// How long a limiter counts after its last session ended: it may go on routing requests for so long.
+const LIMITER_RETENTION: Duration = Duration::from_millis(30_000);
 
-    /// Too many do no harm; with too few, what is shared among all would be spent twice.
-    pub(super) fn count_limiters(&mut self, now: u64) {
-        let peers = self.peers.values().filter(|peer| peer.in_contact(now));
-        let theirs = peers
-            .flat_map(|peer| &peer.limiters)
-            .map(|limiter| &limiter.name);
-        let own = self.sessions.values().map(|session| &session.limiter.name);
-        for name in theirs.chain(own) {
-            match self.limiters.get_mut(name) {
-                Some(at) => *at = now,
-                None => _ = self.limiters.insert(name.clone(), now),
-            }
-        }
-        self.limiters
-            .retain(|_, at| now.saturating_sub(*at) < COUNTED_MS);
-    }
+/// A limiter's session with this registry.
+#[derive(Clone, Debug)]
+pub(super) struct Session {
+    pub(super) limiter: LimiterIdentity,
+    /// The revision up to which every change is in force at the limiter, as it last reported.
+    pub(super) applied: Option<Revision>,
+    /// When the last message arrived.
+    pub(super) last_message_at: Timestamp,
+}
 
-    pub(super) fn limiter(
+impl Registry {
+    pub(super) fn on_limiter_message(
         &mut self,
-        now: u64,
-        session: u64,
-        said: FromLimiter,
+        now: Timestamp,
+        session: SessionId,
+        message: FromLimiter,
         actions: &mut Vec<Action>,
     ) {
-        match said {
+        match message {
             FromLimiter::Hello {
                 incarnation,
                 name,
                 zone,
-                from,
+                resume_from,
                 instances,
             } => {
-                let instances = if self.guards.repair {
-                    instances
-                } else {
-                    Vec::new()
-                };
-                let corrects = self.repair(now, instances, actions);
-                self.say_at_place(now, session, from, corrects, actions);
-                let at = None;
-                self.limiters.insert(name.clone(), now);
-                let limiter = Limiter {
+                let limiter = LimiterIdentity {
                     incarnation,
                     name,
                     zone,
                 };
-                self.sessions.insert(
-                    session,
-                    Session {
-                        limiter,
-                        at,
-                        heard: now,
-                    },
-                );
-                self.sessions_changed = true;
+                self.on_session_opened(now, session, limiter, resume_from, instances, actions);
+            }
+            FromLimiter::KeepAlive { applied, nonce } => {
+                self.on_keep_alive(now, session, applied, nonce, actions);
+            }
+            FromLimiter::FetchSnapshotPart { after } => {
+                self.on_fetch_snapshot_part(now, session, &after, actions);
             }
-            FromLimiter::Pulse { at, question } => match self.sessions.get_mut(&session) {
-                Some(known) => {
-                    (known.heard, known.at) = (now, at);
-                    let told = self.confirmation(now, question);
-                    actions.push(Action::Tell {
-                        to: vec![session],
-                        told,
-                    });
-                }
-                None => actions.push(Action::Close { session }),
-            },
-            FromLimiter::More { after } => self.more(now, session, &after, actions),
         }
     }
 
-    /// Answers a limiter's pulse.
-    fn confirmation(&self, now: u64, question: u64) -> ToLimiter {
+    fn on_session_opened(
+        &mut self,
+        now: Timestamp,
+        session: SessionId,
+        limiter: LimiterIdentity,
+        resume_from: Option<Revision>,
+        instances: Vec<Instance>,
+        actions: &mut Vec<Action>,
+    ) {
+        let instances = if self.guards.repair_from_limiters {
+            instances
+        } else {
+            Vec::new()
+        };
+        let outdated = self.repair_from_limiter(now, instances, actions);
+        self.send_initial_state(now, session, resume_from, outdated, actions);
+        self.limiters_seen.insert(limiter.name.clone(), now);
+        self.sessions.insert(
+            session,
+            Session {
+                limiter,
+                applied: None,
+                last_message_at: now,
+            },
+        );
+        self.sessions_changed = true;
+    }
+
+    fn on_keep_alive(
+        &mut self,
+        now: Timestamp,
+        session: SessionId,
+        applied: Option<Revision>,
+        nonce: Nonce,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(known) = self.sessions.get_mut(&session) else {
+            actions.push(Action::CloseSession { session });
+            return;
+        };
+        known.last_message_at = now;
+        known.applied = applied;
+        let message = self.confirmation(now, nonce);
+        actions.push(Action::SendToLimiters {
+            sessions: vec![session],
+            message,
+        });
+    }
+
+    /// The answer to a keep-alive.
+    fn confirmation(&self, now: Timestamp, nonce: Nonce) -> ToLimiter {
         let age = self.confirmed_age(now);
-        // Whoever can confirm nothing names all that it ever knew: the limiter may know nobody else.
-        let named =
-            |(ip, peer): (&Ipv4Addr, &Peer)| (age.is_none() || peer.in_contact(now)).then_some(*ip);
-        let limiters = u32::try_from(self.limiters.len()).unwrap_or(u32::MAX);
-        let registries = self
+        // A registry that can confirm nothing names every peer: the limiter may know no other registry.
+        let peers = self
             .peers
             .iter()
-            .filter_map(named)
-            .chain([self.limits.me])
-            .collect();
-        ToLimiter::Pulse {
-            question,
+            .filter(|(_, peer)| age.is_none() || peer.is_in_contact(now))
+            .map(|(address, _)| *address);
+        let registries: Vec<Ipv4Addr> = peers.chain([self.config.address]).collect();
+        let limiters = u32::try_from(self.limiters_seen.len()).unwrap_or(u32::MAX);
+        ToLimiter::Confirmation {
+            nonce,
             age,
             limiters,
             registries,
         }
     }
 
-    /// A limiter keeps what it was told when registries lose it. What it has wrong is given back.
-    pub(super) fn repair(
+    fn on_fetch_snapshot_part(
         &mut self,
-        now: u64,
+        now: Timestamp,
+        session: SessionId,
+        after: &SnapshotCursor,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(known) = self.sessions.get_mut(&session) else {
+            actions.push(Action::CloseSession { session });
+            return;
+        };
+        known.last_message_at = now;
+        let SnapshotPart {
+            items,
+            instances,
+            next_part,
+        } = self.snapshot_part(now, Some(after));
+        let message = ToLimiter::SnapshotPart {
+            items,
+            instances,
+            next_part,
+        };
+        actions.push(Action::SendToLimiters {
+            sessions: vec![session],
+            message,
+        });
+    }
+
+    pub(super) fn on_session_closed(&mut self, session: SessionId) {
+        self.sessions_changed |= self.sessions.remove(&session).is_some();
+    }
+
+    /// Restores what the registries have lost from the instances that a limiter knows. Gives the ids of those that the
+    /// limiter knows with another status than this registry.
+    fn repair_from_limiter(
+        &mut self,
+        now: Timestamp,
         instances: Vec<Instance>,
         actions: &mut Vec<Action>,
     ) -> Vec<String> {
-        let (mut learned, mut wrong) = (Vec::new(), Vec::new());
+        let mut learned = Vec::new();
+        let mut outdated = Vec::new();
         for instance in instances {
             let id = instance.id.clone();
             match self.instances.get(&id) {
                 None => {
-                    // That it was gone may have been mere silence.
-                    let expired = instance.status == Status::Gone;
-                    let status = if expired { Status::Up } else { instance.status };
-                    let instance = Instance { status, ..instance };
-                    let effect = self.instances.merge(
-                        now,
-                        InstanceRecord {
-                            instance,
-                            expired,
-                            owner: None,
-                        },
-                    );
-                    self.take(now, &id, effect, false);
+                    self.merge_from_limiter(now, unknown_instance_record(instance));
                     learned.push(id);
                 }
-                Some(row) if instance.status == Status::Drain && row.said() == Status::Up => {
-                    let seq = instance.seq.min(row.told(now).instance.seq);
-                    let told = InstanceRecord {
-                        instance: Instance { seq, ..instance },
-                        expired: false,
-                        owner: None,
-                    };
-                    let effect = self.instances.merge(now, told);
-                    self.take(now, &id, effect, false);
+                Some(entry)
+                    if instance.status == Status::Draining
+                        && entry.reported_status() == Status::Up =>
+                {
+                    let seq = instance.seq.min(entry.seq());
+                    let instance = Instance { seq, ..instance };
+                    self.merge_from_limiter(now, unowned_record(instance));
                     learned.push(id);
                 }
-                Some(row) if row.status() != instance.status => wrong.push(id),
+                Some(entry) if entry.status() != instance.status => outdated.push(id),
                 Some(_) => {}
             }
         }
-        self.taken_back.retain(|_, until| now < *until);
-        for zone in self.taken_back.keys().cloned().collect::<Vec<_>>() {
-            self.presume_cold(now, &zone, |id, row| {
-                row.owner.is_none() && learned.iter().any(|one| one == id)
+        self.assume_learned_cold(now, &learned);
+        self.replicate(now, &learned, actions);
+        outdated
+    }
+
+    fn merge_from_limiter(&mut self, now: Timestamp, record: InstanceRecord) {
+        let id = record.instance.id.clone();
+        let outcome = self.instances.merge(now, record);
+        self.on_merged(now, &id, outcome, false);
+    }
+
+    /// Assumes that instances that were learned from a limiter are cold if the evacuation of their zone may have just
+    /// ended: the limiter may know them from before.
+    fn assume_learned_cold(&mut self, now: Timestamp, learned: &[String]) {
+        self.returned_zones.retain(|_, until| now < *until);
+        let zones: Vec<String> = self.returned_zones.keys().cloned().collect();
+        for zone in zones {
+            self.assume_cold(now, &zone, |id, entry| {
+                entry.owner.is_none() && learned.iter().any(|learned| learned == id)
             });
         }
-        self.say_changed(now, &learned, actions);
-        wrong
     }
 
-    /// Brings a limiter from the place where it was to the one where the feed is.
-    pub(super) fn say_at_place(
+    /// Brings a limiter from its revision to that of the change log: by the changes between them, or by a snapshot if
+    /// the log does not reach back. Either way it gets the instances whose status it has wrong.
+    fn send_initial_state(
         &mut self,
-        now: u64,
-        session: u64,
-        from: Option<Revision>,
-        corrects: Vec<String>,
+        now: Timestamp,
+        session: SessionId,
+        resume_from: Option<Revision>,
+        outdated: Vec<String>,
         actions: &mut Vec<Action>,
     ) {
-        let corrects = corrects.into_iter().map(Change::Instance);
-        let gap = (!self.guards.place).then(BTreeSet::new);
-        let told = match from.and_then(|from| self.change_log.since(from).or(gap)) {
+        let unchecked = (!self.guards.revision_check).then(BTreeSet::new);
+        let changes =
+            resume_from.and_then(|revision| self.change_log.since(revision).or(unchecked));
+        let message = match changes {
             Some(mut changes) => {
-                changes.extend(corrects);
-                self.changes(now, changes)
-            }
-            None => {
-                let Part {
-                    items,
-                    mut instances,
-                    rest,
-                } = self.part(now, None);
-                // Those that are gone are named to whoever believes otherwise.
-                let gone = corrects.filter_map(|change| match change {
-                    Change::Instance(id) => Some(self.instances.instance(now, &id)),
-                    Change::Item(_) => None,
-                });
-                instances.extend(gone.filter(|instance| instance.status == Status::Gone));
-                ToLimiter::Snapshot {
-                    at: self.change_log.at(),
-                    items,
-                    instances,
-                    complete: self.is_complete(now),
-                    rest,
-                }
+                changes.extend(outdated.into_iter().map(Change::Instance));
+                self.changes_message(now, changes)
             }
+            None => self.snapshot_message(now, &outdated),
         };
-        actions.push(Action::Tell {
-            to: vec![session],
-            told,
+        actions.push(Action::SendToLimiters {
+            sessions: vec![session],
+            message,
         });
     }
 
-    pub(super) fn changes(&self, now: u64, changes: BTreeSet<Change>) -> ToLimiter {
+    /// The first part of a snapshot, with the instances that the limiter takes for alive although they are removed.
+    fn snapshot_message(&self, now: Timestamp, outdated: &[String]) -> ToLimiter {
+        let SnapshotPart {
+            items,
+            mut instances,
+            next_part,
+        } = self.snapshot_part(now, None);
+        let removed = outdated
+            .iter()
+            .map(|id| self.instances.instance(now, id))
+            .filter(|instance| instance.status == Status::Removed);
+        instances.extend(removed);
+        ToLimiter::Snapshot {
+            revision: self.change_log.revision(),
+            items,
+            instances,
+            complete: self.is_complete(now),
+            next_part,
+        }
+    }
+
+    /// The message that brings a limiter to the revision of the change log.
+    fn changes_message(&self, now: Timestamp, changes: BTreeSet<Change>) -> ToLimiter {
         let (mut items, mut instances) = (Vec::new(), Vec::new());
         for change in changes {
             match change {
@@ -214,33 +267,68 @@
             }
         }
         ToLimiter::Changes {
-            at: self.change_log.at(),
+            revision: self.change_log.revision(),
             items,
             instances,
         }
     }
 
-    pub(super) fn ended(&mut self, session: u64) {
-        self.sessions_changed |= self.sessions.remove(&session).is_some();
+    /// Sends the changes of the last batch to all sessions.
+    pub(super) fn send_unsent_changes(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        let changes = self.change_log.take_unsent();
+        if self.sessions.is_empty() {
+            return;
+        }
+        let message = self.changes_message(now, changes);
+        actions.push(Action::SendToLimiters {
+            sessions: self.sessions.keys().copied().collect(),
+            message,
+        });
     }
 
-    pub(super) fn note(&mut self, now: u64, change: Change) {
-        self.change_log.note(change);
-        self.flush_at.get_or_insert(now + BATCH);
+    /// The limiters that have a session with this registry.
+    pub(super) fn own_limiters(&self) -> Vec<LimiterIdentity> {
+        self.sessions
+            .values()
+            .map(|session| session.limiter.clone())
+            .collect()
     }
 
-    pub(super) fn flush(&mut self, now: u64, actions: &mut Vec<Action>) {
-        if self.flush_at.is_none_or(|at| now < at) {
-            return;
-        }
-        self.flush_at = None;
-        let fresh = self.change_log.take();
-        if !self.sessions.is_empty() {
-            let told = self.changes(now, fresh);
-            actions.push(Action::Tell {
-                to: self.sessions.keys().copied().collect(),
-                told,
-            });
+    /// Takes note of all limiters that have a session with any registry in contact. Counting too many does no harm; with
+    /// too few, the limits that they share would be exceeded.
+    pub(super) fn count_limiters(&mut self, now: Timestamp) {
+        let peers = self.peers.values().filter(|peer| peer.is_in_contact(now));
+        let of_peers = peers
+            .flat_map(|peer| &peer.limiters)
+            .map(|limiter| &limiter.name);
+        let own = self.sessions.values().map(|session| &session.limiter.name);
+        for name in of_peers.chain(own) {
+            match self.limiters_seen.get_mut(name) {
+                Some(seen_at) => *seen_at = now,
+                None => _ = self.limiters_seen.insert(name.clone(), now),
+            }
         }
+        self.limiters_seen
+            .retain(|_, seen_at| now.duration_since(*seen_at) < LIMITER_RETENTION);
+    }
+}
+
+/// The record of an instance that only a limiter knows. If it is removed, it may merely have been evicted, which a later
+/// heartbeat is to undo.
+fn unknown_instance_record(instance: Instance) -> InstanceRecord {
+    let expired = instance.status == Status::Removed;
+    let status = if expired { Status::Up } else { instance.status };
+    InstanceRecord {
+        instance: Instance { status, ..instance },
+        expired,
+        owner: None,
+    }
+}
+
+fn unowned_record(instance: Instance) -> InstanceRecord {
+    InstanceRecord {
+        instance,
+        expired: false,
+        owner: None,
     }
 }
--- /dev/null
+++ b/crates/emberpin-membership/src/registry/shutdown.rs
@@ -0,0 +1,162 @@
+//! Drains and ends of servers, which are acknowledged only once a majority of the registries has them: whichever
+//! machine fails then, the shutdown is known.
+
+use super::{Action, Registry, ServerReply};
+use crate::clock::Timestamp;
+use crate::ids::{AckId, CallId};
+use crate::instance::Status;
+use crate::peers::{Ack, RegistryMessage};
+use std::collections::BTreeSet;
+use std::net::Ipv4Addr;
+use std::time::Duration;
+
+/// How long a shutdown waits for all connected registries; each that has it tells its limiters.
+const ALL_PEERS_TIMEOUT: Duration = Duration::from_millis(150);
+/// How long a shutdown waits for a majority. Below the second after which the server tries another registry.
+const MAJORITY_TIMEOUT: Duration = Duration::from_millis(600);
+
+/// A server's drain or end that waits for the acknowledgements of the peers.
+#[derive(Clone, Debug)]
+pub(super) struct PendingShutdown {
+    call: CallId,
+    instance_id: String,
+    status: Status,
+    ack_id: AckId,
+    since: Timestamp,
+    /// Connected peers that have not acknowledged it yet.
+    awaited: BTreeSet<Ipv4Addr>,
+    acknowledged_by: BTreeSet<Ipv4Addr>,
+}
+
+impl PendingShutdown {
+    /// When it is to be looked at again, if no acknowledgement comes first.
+    pub(super) fn deadline(&self, now: Timestamp) -> Timestamp {
+        if now.duration_since(self.since) < ALL_PEERS_TIMEOUT {
+            self.since + ALL_PEERS_TIMEOUT
+        } else {
+            self.since + MAJORITY_TIMEOUT
+        }
+    }
+
+    pub(super) fn on_peer_disconnected(&mut self, peer: Ipv4Addr) {
+        self.awaited.remove(&peer);
+    }
+
+    fn on_acknowledged(&mut self, peer: Ipv4Addr) {
+        self.awaited.remove(&peer);
+        self.acknowledged_by.insert(peer);
+    }
+}
+
+impl Registry {
+    /// Sends a drain or an end to all connected peers; the server's reply waits for their acknowledgements.
+    pub(super) fn await_majority(
+        &mut self,
+        now: Timestamp,
+        call: CallId,
+        instance_id: String,
+        status: Status,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(entry) = self.instances.get(&instance_id) else {
+            return;
+        };
+        let record = entry.record(now);
+        self.last_ack_id += 1;
+        let ack_id = AckId(self.last_ack_id);
+        let peers = self.connected_peers();
+        let awaited = peers.iter().copied().collect();
+        if !peers.is_empty() {
+            actions.push(Action::SendToPeers {
+                peers,
+                message: RegistryMessage::Changed {
+                    ack_id: Some(ack_id),
+                    instances: vec![record],
+                },
+            });
+        }
+        self.pending_shutdowns.push(PendingShutdown {
+            call,
+            instance_id,
+            status,
+            ack_id,
+            since: now,
+            awaited,
+            acknowledged_by: BTreeSet::new(),
+        });
+    }
+
+    /// Sends the pending shutdowns to a peer that has just connected.
+    pub(super) fn resend_pending_shutdowns(
+        &mut self,
+        now: Timestamp,
+        peer: Ipv4Addr,
+        actions: &mut Vec<Action>,
+    ) {
+        for pending in &mut self.pending_shutdowns {
+            let Some(entry) = self.instances.get(&pending.instance_id) else {
+                continue;
+            };
+            actions.push(Action::SendToPeers {
+                peers: vec![peer],
+                message: RegistryMessage::Changed {
+                    ack_id: Some(pending.ack_id),
+                    instances: vec![entry.record(now)],
+                },
+            });
+            pending.awaited.insert(peer);
+        }
+    }
+
+    pub(super) fn on_peer_acknowledged(&mut self, peer: Ipv4Addr, ack: Ack) {
+        for pending in &mut self.pending_shutdowns {
+            if pending.ack_id == ack.ack_id {
+                pending.on_acknowledged(peer);
+            }
+        }
+    }
+
+    /// Replies to servers whose shutdown a majority has acknowledged, or has not acknowledged in time.
+    pub(super) fn check_pending_shutdowns(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        for pending in std::mem::take(&mut self.pending_shutdowns) {
+            let waited = now.duration_since(pending.since);
+            if self.is_acknowledged(&pending, waited) {
+                self.acknowledge_shutdown(now, &pending, actions);
+            } else if waited >= MAJORITY_TIMEOUT {
+                actions.push(Action::Reply {
+                    call: pending.call,
+                    reply: ServerReply::NotAcknowledged,
+                });
+            } else {
+                self.pending_shutdowns.push(pending);
+            }
+        }
+    }
+
+    /// Whether a majority has the shutdown, and no connected peer is awaited any more.
+    fn is_acknowledged(&self, pending: &PendingShutdown, waited: Duration) -> bool {
+        if !self.guards.majority_acknowledgement {
+            return true;
+        }
+        let has_majority = self.is_majority(|peer| pending.acknowledged_by.contains(peer));
+        has_majority && (pending.awaited.is_empty() || waited >= ALL_PEERS_TIMEOUT)
+    }
+
+    fn acknowledge_shutdown(
+        &mut self,
+        now: Timestamp,
+        pending: &PendingShutdown,
+        actions: &mut Vec<Action>,
+    ) {
+        let id = &pending.instance_id;
+        self.instances.mark_replicated(id, pending.status);
+        let zone = self.instances.instance(now, id).zone;
+        let reply = ServerReply::Acknowledged {
+            heartbeat_target: self.heartbeat_target(now, id, &zone),
+        };
+        actions.push(Action::Reply {
+            call: pending.call,
+            reply,
+        });
+    }
+}
--- a/crates/emberpin-membership/src/registry/snapshot.rs
+++ b/crates/emberpin-membership/src/registry/snapshot.rs
@@ -1,97 +1,94 @@
 //! Snapshots, in parts of bounded size.
 //!
-//! A limiter asks for each part with the last name of the one before, so that a slow reader holds up nobody and one part
-//! at most waits for it; and a new session goes on where the last one ended. Each part is read from the tables when it is
-//! asked for. What changes before the cursor is told as any change is, as the session follows the log from the first
-//! part on.
+//! A limiter requests each part with the cursor of the one before. So a slow limiter delays nobody, at most one part
+//! waits for it, and a new session goes on where the last one ended. Each part is read from the tables when it is
+//! requested. A change of an entry before the cursor is sent like any change, as the session follows the log from the
+//! first part on.
 
-use super::{Action, Registry};
+use super::Registry;
+use crate::clock::Timestamp;
 use crate::instance::{Instance, Status};
-use crate::session::{SnapshotCursor, ToLimiter};
+use crate::session::SnapshotCursor;
 use emberpin_config::Item;
 use std::ops::Bound;
 
-/// A part is closed once it holds so many bytes; one item that is longer goes alone.
-pub const PART_BYTES: usize = 64 << 10;
-/// What an item or an instance takes beside its texts, about.
-const OVERHEAD: usize = 48;
+/// The size in bytes at which a part of a snapshot is closed. An item that is larger is a part of its own.
+pub const SNAPSHOT_PART_BYTES: usize = 64 << 10;
+/// The estimated size in bytes of an item or an instance without its texts.
+const ENTRY_OVERHEAD_BYTES: usize = 48;
 
-/// What one part holds.
+/// One part of a snapshot.
 #[derive(Default)]
-pub(super) struct Part {
-    pub items: Vec<Item>,
-    pub instances: Vec<Instance>,
-    /// There is more behind it.
-    pub rest: Option<SnapshotCursor>,
+pub(super) struct SnapshotPart {
+    pub(super) items: Vec<Item>,
+    pub(super) instances: Vec<Instance>,
+    /// Where the next part begins; `None` if this is the last one.
+    pub(super) next_part: Option<SnapshotCursor>,
 }
 
 impl Registry {
-    /// What stands behind this cursor, or all from the begin, up to the size of a part.
-    pub(super) fn part(&self, now: u64, after: Option<&SnapshotCursor>) -> Part {
-        let (mut part, mut bytes) = (Part::default(), 0);
-        let items = match after {
-            None => Some(Bound::Unbounded),
-            Some(SnapshotCursor::Item(key)) => Some(Bound::Excluded(key)),
-            Some(SnapshotCursor::Instance(_)) => None,
-        };
-        for (key, item) in items
-            .into_iter()
-            .flat_map(|from| self.items.range((from, Bound::Unbounded)))
-        {
-            bytes += OVERHEAD + key.name.len() + item.body.as_ref().map_or(0, String::len);
-            part.items.push(item.clone());
-            if bytes >= self.limits.part_bytes {
-                part.rest = Some(SnapshotCursor::Item(key.clone()));
-                return part;
-            }
+    /// The part of the snapshot after a cursor, or the first one.
+    pub(super) fn snapshot_part(
+        &self,
+        now: Timestamp,
+        after: Option<&SnapshotCursor>,
+    ) -> SnapshotPart {
+        let mut part = SnapshotPart::default();
+        let mut bytes = 0;
+        self.fill_with_items(&mut part, &mut bytes, after);
+        if part.next_part.is_none() {
+            self.fill_with_instances(&mut part, &mut bytes, now, after);
         }
+        part
+    }
+
+    /// Adds items until the part is full, and sets its cursor then.
+    fn fill_with_items(
+        &self,
+        part: &mut SnapshotPart,
+        bytes: &mut usize,
+        after: Option<&SnapshotCursor>,
+    ) {
         let from = match after {
-            Some(SnapshotCursor::Instance(id)) => Bound::Excluded(id.as_str()),
-            _ => Bound::Unbounded,
+            None => Bound::Unbounded,
+            Some(SnapshotCursor::Item(key)) => Bound::Excluded(key),
+            Some(SnapshotCursor::Instance(_)) => return,
         };
-        for (id, row) in self
-            .instances
-            .after(from)
-            .filter(|(_, row)| row.status() != Status::Gone)
-        {
-            let instance = row.instance(now);
-            bytes += OVERHEAD + id.len() + instance.service.len() + instance.zone.len();
-            part.instances.push(instance);
-            if bytes >= self.limits.part_bytes {
-                part.rest = Some(SnapshotCursor::Instance(id.clone()));
-                return part;
+        for (key, item) in self.items.range((from, Bound::Unbounded)) {
+            let body_bytes = item.body.as_ref().map_or(0, String::len);
+            *bytes += ENTRY_OVERHEAD_BYTES + key.name.len() + body_bytes;
+            part.items.push(item.clone());
+            if *bytes >= self.config.snapshot_part_bytes {
+                part.next_part = Some(SnapshotCursor::Item(key.clone()));
+                return;
             }
         }
-        part
     }
 
-    /// A limiter asks for the next part.
-    pub(super) fn more(
-        &mut self,
-        now: u64,
-        session: u64,
-        after: &SnapshotCursor,
-        actions: &mut Vec<Action>,
+    /// Adds instances until the part is full, and sets its cursor then.
+    fn fill_with_instances(
+        &self,
+        part: &mut SnapshotPart,
+        bytes: &mut usize,
+        now: Timestamp,
+        after: Option<&SnapshotCursor>,
     ) {
-        match self.sessions.get_mut(&session) {
-            Some(known) => {
-                known.heard = now;
-                let Part {
-                    items,
-                    instances,
-                    rest,
-                } = self.part(now, Some(after));
-                let told = ToLimiter::SnapshotPart {
-                    items,
-                    instances,
-                    rest,
-                };
-                actions.push(Action::Tell {
-                    to: vec![session],
-                    told,
-                });
+        let from = match after {
+            Some(SnapshotCursor::Instance(id)) => Bound::Excluded(id.as_str()),
+            None | Some(SnapshotCursor::Item(_)) => Bound::Unbounded,
+        };
+        for (id, entry) in self.instances.range_from(from) {
+            if entry.status() == Status::Removed {
+                continue;
+            }
+            let instance = entry.instance(now);
+            *bytes +=
+                ENTRY_OVERHEAD_BYTES + id.len() + instance.service.len() + instance.zone.len();
+            part.instances.push(instance);
+            if *bytes >= self.config.snapshot_part_bytes {
+                part.next_part = Some(SnapshotCursor::Instance(id.clone()));
+                return;
             }
-            None => actions.push(Action::Close { session }),
         }
     }
 }
--- /dev/null
+++ b/crates/emberpin-membership/src/registry/status.rs
@@ -0,0 +1,71 @@
+//! What the operator sees of a registry.
+
+use super::Registry;
+use crate::clock::Timestamp;
+use crate::instance_table::{InstanceEntry, InstanceTable};
+use crate::peers::LimiterIdentity;
+use emberpin_config::Item;
+use std::net::Ipv4Addr;
+
+/// How far a limiter is behind the registry's change log.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct LimiterLag {
+    /// The limiter.
+    pub limiter: LimiterIdentity,
+    /// The number of changes that were not in force at the limiter when it last sent a keep-alive.
+    pub changes_behind: u64,
+}
+
+impl Registry {
+    /// The table of instances.
+    pub fn instances(&self) -> &InstanceTable {
+        &self.instances
+    }
+
+    /// The configuration items, tombstones of deleted ones among them.
+    pub fn items(&self) -> impl Iterator<Item = &Item> {
+        self.items.values()
+    }
+
+    /// The number of configuration items, tombstones of deleted ones among them.
+    pub fn item_count(&self) -> usize {
+        self.items.len()
+    }
+
+    /// The time of the last contact with an instance: by a heartbeat here, or by contact with the registry that owns
+    /// it.
+    pub fn last_contact(&self, entry: &InstanceEntry) -> Timestamp {
+        let owner = entry.owner.and_then(|owner| self.peers.get(&owner));
+        let owner_confirmed_at = owner.and_then(|peer| peer.lease.confirmed_at());
+        entry
+            .last_contact
+            .max(owner_confirmed_at.unwrap_or(Timestamp::ZERO))
+    }
+
+    /// The machines whose stores vote, as far as a store has named them.
+    pub fn voters(&self) -> &[Ipv4Addr] {
+        &self.voters
+    }
+
+    /// The registries that this one is in contact with, itself among them.
+    pub fn registries_in_contact(&self, now: Timestamp) -> Vec<Ipv4Addr> {
+        let peers = self
+            .peers
+            .iter()
+            .filter(|(_, peer)| peer.is_in_contact(now))
+            .map(|(address, _)| *address);
+        peers.chain([self.config.address]).collect()
+    }
+
+    /// The limiters that have a session with this registry, and how far each is behind.
+    pub fn limiter_lags(&self) -> impl Iterator<Item = LimiterLag> + '_ {
+        let newest = self.change_log.revision().number;
+        self.sessions.values().map(move |session| {
+            let applied = session.applied.map_or(0, |revision| revision.number);
+            LimiterLag {
+                limiter: session.limiter.clone(),
+                changes_behind: newest.saturating_sub(applied),
+            }
+        })
+    }
+}
--- a/crates/emberpin-membership/src/session.rs
+++ b/crates/emberpin-membership/src/session.rs
@@ -1,148 +1,182 @@
-//! What a limiter and a registry say to each other.
+//! The messages of a session: the connection over which a limiter (a proxy process) follows the configuration and the
+//! instances that one registry knows.
+//!
+//! A session begins with [`FromLimiter::Hello`]. The registry answers with the changes since the revision that the
+//! limiter resumes from, or with a snapshot in parts, and from then on sends every change. Twice a second the limiter
+//! sends [`FromLimiter::KeepAlive`]; the answer, [`ToLimiter::Confirmation`], renews its read lease
+//! ([`crate::lease`]).
+//!
+//! The order of the variants and of their fields is the wire format (postcard): new ones go to the end, and only with
+//! a new protocol version.
 
+use crate::ids::{Incarnation, Nonce};
 use crate::instance::Instance;
 use emberpin_config::{Item, ItemKey};
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
+use std::time::Duration;
 
-/// The first message on any connection to a registry's port: who calls.
+/// The first message on every connection to a registry's port: whether a limiter or a registry has opened it.
+///
+/// Sent by the side that connects, once, right after the preamble. The registry reads all further frames of the
+/// connection as messages of that role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum First {
-    /// A limiter; [`FromLimiter::Hello`] follows.
+pub enum ConnectionRole {
+    /// A limiter; [`FromLimiter::Hello`] is its next message.
     Limiter,
-    /// The registry on this machine; [`crate::peers::RegistryMessage::Hello`] follows.
+    /// The registry on the machine of this address; [`crate::peers::RegistryMessage::Hello`] is its next message.
     Registry(Ipv4Addr),
 }
 
-/// Where a limiter stands in a registry's log of changes.
+/// A position in one registry's log of changes ([`crate::change_log::ChangeLog`]).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Revision {
-    /// The registry's incarnation; places of another one mean nothing.
-    pub incarnation: u64,
-    /// The number of the last change that was taken.
+    /// The incarnation of the registry that wrote the log. Revisions of different incarnations cannot be compared.
+    pub incarnation: Incarnation,
+    /// The number of the last change that is included, counted from 1; 0 includes none.
     pub number: u64,
 }
 
-/// The last name of a part of a snapshot: items come first, then instances, each in the order of their names.
+/// The last entry of a snapshot part. The snapshot lists all items in the order of their keys, then all instances in
+/// the order of their ids, so the cursor says where the next part begins.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SnapshotCursor {
-    /// Up to this item.
+    /// The part ended with the item of this key.
     Item(ItemKey),
-    /// All items, and instances up to this id.
+    /// The part ended with the instance of this id; all items came before it.
     Instance(String),
 }
 
-/// How far a limiter has followed one registry.
+/// How far a limiter has synchronized with one registry. It outlives the session, so that the next session with the
+/// same registry resumes from it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Followed {
-    /// All that changed up to here has been told, as far as it stands before the cursor.
-    pub place: Revision,
-    /// Where the snapshot goes on, unless it is whole.
-    pub rest: Option<SnapshotCursor>,
+pub struct SyncProgress {
+    /// Every change up to here has been received, for entries before the cursor.
+    pub revision: Revision,
+    /// Where the next snapshot part begins; `None` once the snapshot is complete.
+    pub next_part: Option<SnapshotCursor>,
 }
 
-impl Followed {
-    /// Up to where everything has been told.
-    pub fn whole(&self) -> Option<Revision> {
-        self.rest.is_none().then_some(self.place)
+impl SyncProgress {
+    /// The revision up to which every entry is known; `None` while parts of the snapshot are missing.
+    pub fn synced_revision(&self) -> Option<Revision> {
+        self.next_part.is_none().then_some(self.revision)
     }
 
-    /// Where a limiter stands after a message, and what it is to ask for next.
-    pub fn advance(known: &mut Option<Followed>, told: &ToLimiter) {
-        match (told, known) {
-            (ToLimiter::Snapshot { at, rest, .. }, known) => {
-                *known = Some(Followed {
-                    place: *at,
-                    rest: rest.clone(),
+    /// Advances `progress` by a message that was received from the registry; the message itself is applied by the
+    /// caller. If `next_part` is set afterwards, the limiter is to fetch that part.
+    pub fn advance(progress: &mut Option<SyncProgress>, message: &ToLimiter) {
+        match (message, progress) {
+            (
+                ToLimiter::Snapshot {
+                    revision,
+                    next_part,
+                    ..
+                },
+                progress,
+            ) => {
+                *progress = Some(SyncProgress {
+                    revision: *revision,
+                    next_part: next_part.clone(),
                 });
             }
-            (ToLimiter::SnapshotPart { rest, .. }, Some(known)) => known.rest.clone_from(rest),
-            (ToLimiter::Changes { at, .. }, Some(known)) => known.place = *at,
-            (ToLimiter::Changes { at, .. }, known) => {
-                *known = Some(Followed {
-                    place: *at,
-                    rest: None,
+            (ToLimiter::SnapshotPart { next_part, .. }, Some(known)) => {
+                known.next_part.clone_from(next_part);
+            }
+            (ToLimiter::Changes { revision, .. }, Some(known)) => known.revision = *revision,
+            (ToLimiter::Changes { revision, .. }, progress) => {
+                *progress = Some(SyncProgress {
+                    revision: *revision,
+                    next_part: None,
                 });
             }
-            (ToLimiter::SnapshotPart { .. } | ToLimiter::Pulse { .. }, _) => {}
+            (ToLimiter::SnapshotPart { .. } | ToLimiter::Confirmation { .. }, _) => {}
         }
     }
 }
 
-/// From a limiter to a registry.
+/// A message from a limiter to a registry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromLimiter {
-    /// The first message of a session.
+    /// The first message of a session. The registry learns the instances that it does not know, and answers with
+    /// [`ToLimiter::Changes`] if its log reaches back to `resume_from`, else with [`ToLimiter::Snapshot`].
     Hello {
-        /// The limiter's incarnation, drawn at its start.
-        incarnation: u64,
-        /// The machine's name.
+        /// The limiter's incarnation, drawn at random when its process starts.
+        incarnation: Incarnation,
+        /// The name of the limiter's machine; limiters are counted by it.
         name: String,
-        /// Its zone.
+        /// The zone of the limiter's machine.
         zone: String,
-        /// Up to where it has followed this registry before, if it has.
-        from: Option<Revision>,
-        /// The instances that it knows, told to a registry that knows less.
+        /// The revision of this registry up to which the limiter has followed it in an earlier session.
+        resume_from: Option<Revision>,
+        /// The instances that the limiter knows, from which a registry that has lost its table restores it.
         instances: Vec<Instance>,
     },
-    /// Comes twice a second, and is answered by [`ToLimiter::Pulse`]; the session ends after a silence.
-    Pulse {
-        /// Up to where all changes are in force here; `None` until all has been told.
-        at: Option<Revision>,
-        /// The nonce of the question how old what the registry tells is.
-        question: u64,
+    /// Sent every [`crate::timing::KEEP_ALIVE_INTERVAL`] while the session lasts, and answered by
+    /// [`ToLimiter::Confirmation`]. A registry closes a session without one for two seconds.
+    KeepAlive {
+        /// The revision up to which every change is in force at the limiter; `None` until its snapshot is complete.
+        applied: Option<Revision>,
+        /// Identifies the lease query; repeated in the answer.
+        nonce: Nonce,
     },
-    /// Wants the next part of the snapshot, as [`ToLimiter::SnapshotPart`].
-    More {
+    /// Requests the next part of the snapshot; answered by [`ToLimiter::SnapshotPart`]. Sent after each part that
+    /// named a cursor, so at most one part is in flight.
+    FetchSnapshotPart {
         /// The cursor of the part before.
         after: SnapshotCursor,
     },
 }
 
-/// From a registry to a limiter.
+/// A message from a registry to a limiter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToLimiter {
-    /// All that there is, or the first part of it. What a limiter knows beside it stays: instances that are not named are gone only if `complete`.
+    /// Answers [`FromLimiter::Hello`] where the registry's log does not reach back to the limiter's revision: the
+    /// whole state, or its first part. The limiter merges it, and drops instances that are not listed only if the
+    /// snapshot is `complete`.
     Snapshot {
-        /// The place that it stands for.
-        at: Revision,
-        /// All items of the configuration, drops among them.
+        /// The revision that the snapshot begins at; changes after it follow as [`ToLimiter::Changes`].
+        revision: Revision,
+        /// Configuration items, tombstones of deleted ones among them.
         items: Vec<Item>,
-        /// All instances, also those that drain.
+        /// Instances that are up or draining, and removed ones that the limiter took for alive.
         instances: Vec<Instance>,
-        /// The registry has run for long enough to have heard of every server that lives.
+        /// The registry has been confirmed for long enough to have received a heartbeat from every live server.
         complete: bool,
-        /// There is more behind this: [`FromLimiter::More`].
-        rest: Option<SnapshotCursor>,
+        /// Set if more parts follow: the limiter sends [`FromLimiter::FetchSnapshotPart`] with it.
+        next_part: Option<SnapshotCursor>,
     },
-    /// What has changed behind a place.
+    /// The changes since the last message with a revision. Sent in answer to [`FromLimiter::Hello`] and then whenever
+    /// something changes, batched for [`crate::timing::CHANGE_BATCH_DELAY`].
     Changes {
-        /// The place that these lead to.
-        at: Revision,
-        /// Items, drops among them.
+        /// The revision that the limiter has reached with these changes.
+        revision: Revision,
+        /// Changed items, tombstones of deleted ones among them.
         items: Vec<Item>,
-        /// Instances, also such as are gone.
+        /// Changed instances, removed ones among them.
         instances: Vec<Instance>,
     },
-    /// Answers [`FromLimiter::Pulse`].
-    Pulse {
-        /// The nonce of the question.
-        question: u64,
-        /// So many milliseconds ago a majority had nothing that has not been told by now; `None`: the registry can
-        /// confirm nothing, as it hears no majority.
-        age: Option<u64>,
-        /// How many limiters have a session with any registry.
+    /// Answers [`FromLimiter::KeepAlive`], and renews the limiter's lease unless `age` is `None`.
+    Confirmation {
+        /// The nonce of the keep-alive.
+        nonce: Nonce,
+        /// The time since a majority had nothing that this session has not received by now, in milliseconds on the wire;
+        /// `None` if the registry is not in contact with a majority and can confirm nothing.
+        #[serde(with = "crate::clock::optional_millis")]
+        age: Option<Duration>,
+        /// The number of limiters that have a session with any registry; each takes its part of the shared limits.
         limiters: u32,
-        /// The machines on which registries run; of a registry that can confirm nothing, those where some may run.
+        /// The machines whose registries are in contact with this one; if it can confirm nothing, every machine that
+        /// may run a registry.
         registries: Vec<Ipv4Addr>,
     },
-    /// Another part of a snapshot.
+    /// Answers [`FromLimiter::FetchSnapshotPart`] with the next part of the snapshot.
     SnapshotPart {
-        /// Items behind the cursor that was asked for.
+        /// Items after the requested cursor.
         items: Vec<Item>,
-        /// Instances behind it.
+        /// Instances after the requested cursor.
         instances: Vec<Instance>,
-        /// There is more behind this.
-        rest: Option<SnapshotCursor>,
+        /// Set if more parts follow, as in [`ToLimiter::Snapshot`].
+        next_part: Option<SnapshotCursor>,
     },
 }
--- a/crates/emberpin-membership/tests/common/mod.rs
+++ b/crates/emberpin-membership/tests/common/mod.rs
@@ -2,13 +2,18 @@
 #![allow(dead_code, missing_docs, reason = "each test file uses a part of it")]
 
 use emberpin_config::{Item, ItemKey, ItemKind};
+use emberpin_membership::clock::Timestamp;
 use emberpin_membership::guards::Guards;
+use emberpin_membership::ids::{CallId, Incarnation, Nonce, SessionId};
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::peers::{Ack, RegistryMessage};
-use emberpin_membership::registry::{Action, Answer, Event, Limits, Registry, PART_BYTES};
+use emberpin_membership::registry::{
+    Action, Event, Registry, RegistryConfig, ServerReply, SNAPSHOT_PART_BYTES,
+};
 use emberpin_membership::session::{FromLimiter, Revision, ToLimiter};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
+use std::time::Duration;
 
 pub const STEP: u64 = 5;
 pub const DELAY: u64 = 10;
@@ -42,7 +47,7 @@
 
 pub fn drain(id: &str, seq: u64) -> Instance {
     Instance {
-        status: Status::Drain,
+        status: Status::Draining,
         ..instance(id, seq)
     }
 }
@@ -78,7 +83,7 @@
     pub store: Option<bool>,
     pub frozen: bool,
     queue: VecDeque<Event>,
-    pub answers: BTreeMap<u64, (u64, Answer)>,
+    pub answers: BTreeMap<u64, (u64, ServerReply)>,
     pub told: BTreeMap<u64, Vec<ToLimiter>>,
     pub closed: BTreeSet<u64>,
 }
@@ -125,7 +130,7 @@
             wires: BTreeMap::new(),
             cuts: BTreeSet::new(),
             held: BTreeSet::new(),
-            part_bytes: PART_BYTES,
+            part_bytes: SNAPSHOT_PART_BYTES,
             calls: 0,
             questions: 0,
             instances: 0,
@@ -139,10 +144,14 @@
         world
     }
 
+    pub fn timestamp(&self) -> Timestamp {
+        Timestamp::from_millis(self.now)
+    }
+
     pub fn start(&mut self, number: u8) {
         self.instances += 1;
         let node = Node {
-            registry: Registry::new(self.now, self.limits(number)),
+            registry: Registry::new(self.timestamp(), self.limits(number)),
             store: Some(true),
             frozen: false,
             queue: VecDeque::new(),
@@ -153,14 +162,14 @@
         self.nodes.insert(number, node);
     }
 
-    fn limits(&self, number: u8) -> Limits {
-        Limits {
-            me: ip(number),
+    fn limits(&self, number: u8) -> RegistryConfig {
+        RegistryConfig {
+            address: ip(number),
             zone: zone(number),
-            incarnation: self.instances,
-            beat_ms: BEAT,
+            incarnation: Incarnation(self.instances),
+            heartbeat_interval: Duration::from_millis(BEAT),
             seeds: self.voters.clone(),
-            part_bytes: self.part_bytes,
+            snapshot_part_bytes: self.part_bytes,
         }
     }
 
@@ -168,7 +177,7 @@
     pub fn restart_with(&mut self, number: u8, guards: Guards) {
         self.kill(number);
         self.start(number);
-        let registry = Registry::with_guards(self.now, self.limits(number), guards);
+        let registry = Registry::with_guards(self.timestamp(), self.limits(number), guards);
         self.nodes.get_mut(&number).expect("started").registry = registry;
     }
 
@@ -223,10 +232,8 @@
         let was = std::mem::take(link);
         if was.open {
             if let Some(node) = self.nodes.get_mut(&wire.0) {
-                node.queue.push_back(Event::Reached {
-                    peer: ip(wire.1),
-                    open: false,
-                });
+                node.queue
+                    .push_back(Event::PeerDisconnected { peer: ip(wire.1) });
             }
         }
     }
@@ -244,11 +251,12 @@
         let Some(node) = self.nodes.get_mut(&at).filter(|node| !node.frozen) else {
             return;
         };
-        if node.registry.due() <= self.now {
+        let now = Timestamp::from_millis(self.now);
+        if node.registry.next_deadline() <= now {
             node.queue.push_back(Event::Tick);
         }
         while let Some(event) = node.queue.pop_front() {
-            node.registry.handle(self.now, event, &mut actions);
+            node.registry.handle(now, event, &mut actions);
         }
         for action in actions {
             self.act(at, action);
@@ -258,16 +266,16 @@
     fn act(&mut self, at: u8, action: Action) {
         let node = self.nodes.get_mut(&at).expect("it acts");
         match action {
-            Action::Answer { call, answer } => _ = node.answers.insert(call, (self.now, answer)),
-            Action::Call { peer } => {
+            Action::Reply { call, reply } => _ = node.answers.insert(call.0, (self.now, reply)),
+            Action::ConnectPeer { peer } => {
                 self.called += 1;
                 self.wires.insert((at, number(peer)), Wire::default());
             }
-            Action::Drop { peer } => _ = self.wires.remove(&(at, number(peer))),
-            Action::Say { to, said } => {
-                for peer in to {
-                    match said {
-                        RegistryMessage::Alive { .. } => self.answered += 1,
+            Action::DisconnectPeer { peer } => _ = self.wires.remove(&(at, number(peer))),
+            Action::SendToPeers { peers, message } => {
+                for peer in peers {
+                    match message {
+                        RegistryMessage::HeartbeatAck { .. } => self.answered += 1,
                         _ => self.said += 1,
                     }
                     if let Some(wire) = self
@@ -275,33 +283,37 @@
                         .get_mut(&(at, number(peer)))
                         .filter(|wire| wire.open)
                     {
-                        wire.there
-                            .push_back((self.now + DELAY, Message::RegistryMessage(said.clone())));
+                        wire.there.push_back((
+                            self.now + DELAY,
+                            Message::RegistryMessage(message.clone()),
+                        ));
                     }
                 }
             }
-            Action::Ack { to, ack } => {
+            Action::AcknowledgePeer { peer, ack } => {
                 if let Some(wire) = self
                     .wires
-                    .get_mut(&(number(to), at))
+                    .get_mut(&(number(peer), at))
                     .filter(|wire| wire.open)
                 {
                     wire.back.push_back((self.now + DELAY, Message::Ack(ack)));
                 }
             }
-            Action::Tell { to, told } => {
-                for session in to {
-                    node.told.entry(session).or_default().push(told.clone());
+            Action::SendToLimiters { sessions, message } => {
+                for session in sessions {
+                    node.told
+                        .entry(session.0)
+                        .or_default()
+                        .push(message.clone());
                 }
             }
-            Action::AskStore { question } => {
+            Action::QueryStore { nonce } => {
                 if let Some(settled) = node.store {
-                    let age = settled.then_some(0);
-                    node.queue
-                        .push_back(Event::StoreConfirmed { question, age });
+                    let age = settled.then_some(Duration::ZERO);
+                    node.queue.push_back(Event::StoreConfirmed { nonce, age });
                 }
             }
-            Action::Close { session } => _ = node.closed.insert(session),
+            Action::CloseSession { session } => _ = node.closed.insert(session.0),
         }
     }
 
@@ -328,13 +340,7 @@
             if !wire.open {
                 if now.is_multiple_of(100) && !self.nodes[&from].frozen {
                     wire.open = true;
-                    self.event(
-                        from,
-                        Event::Reached {
-                            peer: ip(to),
-                            open: true,
-                        },
-                    );
+                    self.event(from, Event::PeerConnected { peer: ip(to) });
                 }
                 continue;
             }
@@ -342,11 +348,13 @@
             for (queue, at) in [(&mut wire.there, to), (&mut wire.back, from)] {
                 while queue.front().is_some_and(|(due, _)| *due <= now) {
                     let event = match queue.pop_front() {
-                        Some((_, Message::RegistryMessage(said))) => Event::Peer {
+                        Some((_, Message::RegistryMessage(message))) => Event::PeerMessage {
                             peer: ip(from),
-                            said,
+                            message,
                         },
-                        Some((_, Message::Ack(ack))) => Event::Acked { peer: ip(to), ack },
+                        Some((_, Message::Ack(ack))) => {
+                            Event::PeerAcknowledged { peer: ip(to), ack }
+                        }
                         None => continue,
                     };
                     events.push((at, event));
@@ -361,7 +369,7 @@
             if self.now.is_multiple_of(500) {
                 if let Some(settled) = settled {
                     _ = settled;
-                    self.event(number, Event::Voters(self.voters.clone()));
+                    self.event(number, Event::VotersChanged(self.voters.clone()));
                 }
             }
             self.work(number);
@@ -394,7 +402,7 @@
         self.event(
             at,
             Event::Heartbeat {
-                call: self.calls,
+                call: CallId(self.calls),
                 instance,
             },
         );
@@ -406,15 +414,15 @@
         self.event(
             at,
             Event::Leave {
-                call: self.calls,
-                id: id.into(),
+                call: CallId(self.calls),
+                instance_id: id.into(),
             },
         );
         self.calls
     }
 
     /// The answer to a call, and how long it took from `since` on; runs until it is there, at most 700 ms.
-    pub fn answer(&mut self, at: u8, call: u64) -> Option<(u64, Answer)> {
+    pub fn answer(&mut self, at: u8, call: u64) -> Option<(u64, ServerReply)> {
         let since = self.now;
         while self.now - since <= 700 {
             if let Some((when, answer)) =
@@ -429,7 +437,10 @@
 
     /// Whether a call is acknowledged.
     pub fn takes(&mut self, at: u8, call: u64) -> bool {
-        matches!(self.answer(at, call), Some((_, Answer::Taken { .. })))
+        matches!(
+            self.answer(at, call),
+            Some((_, ServerReply::Acknowledged { .. }))
+        )
     }
 
     pub fn beats(&mut self, at: u8, id: &str) {
@@ -446,7 +457,7 @@
             .registry
             .instances()
             .get(id)
-            .map(emberpin_membership::instances::Row::status)
+            .map(emberpin_membership::instance_table::InstanceEntry::status)
     }
 
     pub fn hello(
@@ -457,22 +468,34 @@
         instances: Vec<Instance>,
     ) {
         let said = FromLimiter::Hello {
-            incarnation: 1,
+            incarnation: Incarnation(1),
             name: format!("edge-{session}"),
             zone: zone(1),
-            from,
+            resume_from: from,
             instances,
         };
-        self.event(at, Event::Limiter { session, said });
+        self.event(
+            at,
+            Event::LimiterMessage {
+                session: SessionId(session),
+                message: said,
+            },
+        );
     }
 
     pub fn pulse(&mut self, at: u8, session: u64) {
         self.questions += 1;
-        let said = FromLimiter::Pulse {
-            at: None,
-            question: self.questions,
+        let said = FromLimiter::KeepAlive {
+            applied: None,
+            nonce: Nonce(self.questions),
         };
-        self.event(at, Event::Limiter { session, said });
+        self.event(
+            at,
+            Event::LimiterMessage {
+                session: SessionId(session),
+                message: said,
+            },
+        );
     }
 
     /// Runs while this session is kept alive.
@@ -498,7 +521,7 @@
             .iter()
             .rev()
             .find_map(|told| match told {
-                ToLimiter::Pulse { age, .. } => Some(age.is_some()),
+                ToLimiter::Confirmation { age, .. } => Some(age.is_some()),
                 _ => None,
             })
     }
@@ -519,7 +542,7 @@
         for told in told {
             let (at, items, instances) = match told {
                 ToLimiter::Snapshot {
-                    at,
+                    revision: at,
                     items,
                     instances,
                     complete,
@@ -533,11 +556,11 @@
                     (at, items, instances)
                 }
                 ToLimiter::Changes {
-                    at,
+                    revision: at,
                     items,
                     instances,
                 } => (at, items, instances),
-                ToLimiter::SnapshotPart { .. } | ToLimiter::Pulse { .. } => continue,
+                ToLimiter::SnapshotPart { .. } | ToLimiter::Confirmation { .. } => continue,
             };
             self.at = Some(*at);
             for item in items {
@@ -550,7 +573,7 @@
             }
             for instance in instances {
                 match instance.status {
-                    Status::Gone => _ = self.instances.remove(&instance.id),
+                    Status::Removed => _ = self.instances.remove(&instance.id),
                     status => _ = self.instances.insert(instance.id.clone(), status),
                 }
             }
@@ -563,6 +586,7 @@
             .instances()
             .iter()
             .map(|(id, row)| (id.clone(), row.status()));
-        all.filter(|(_, status)| *status != Status::Gone).collect()
+        all.filter(|(_, status)| *status != Status::Removed)
+            .collect()
     }
 }
--- a/crates/emberpin-membership/tests/explore.rs
+++ b/crates/emberpin-membership/tests/explore.rs
@@ -6,7 +6,7 @@
 
 use common::{World, EXPIRY};
 use emberpin_membership::instance::Status;
-use emberpin_membership::registry::{Answer, Event};
+use emberpin_membership::registry::{Event, ServerReply};
 use googletest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -127,17 +127,17 @@
             1 => server.at = elsewhere,
             2 => {
                 server.instance.seq += 1;
-                server.instance.status = Status::Drain;
+                server.instance.status = Status::Draining;
                 let (at, instance) = (server.at, server.instance.clone());
                 let id = instance.id.clone();
                 let call = self.world.heartbeat(at, instance);
-                self.asked.insert(call, (at, id, Status::Drain));
+                self.asked.insert(call, (at, id, Status::Draining));
             }
             _ => {
                 let server = self.world.servers.swap_remove(which);
                 let call = self.world.leave(server.at, &server.instance.id);
                 self.asked
-                    .insert(call, (server.at, server.instance.id, Status::Gone));
+                    .insert(call, (server.at, server.instance.id, Status::Removed));
             }
         }
     }
@@ -156,7 +156,7 @@
                 continue;
             };
             answered.push(*call);
-            if matches!(answer, Answer::Taken { .. }) {
+            if matches!(answer, ServerReply::Acknowledged { .. }) {
                 let promise = self.promised.entry(id.clone()).or_insert((*status, *when));
                 *promise = (*promise).max((*status, *when));
             }
@@ -233,7 +233,7 @@
         .values()
         .flat_map(|node| node.answers.values());
     verify_that!(
-        lost.filter(|(_, answer)| *answer == Answer::Elsewhere)
+        lost.filter(|(_, answer)| *answer == ServerReply::NotAcknowledged)
             .count(),
         eq(0)
     )?;
--- a/crates/emberpin-membership/tests/lease.rs
+++ b/crates/emberpin-membership/tests/lease.rs
@@ -1,136 +1,84 @@
-//! Leases: what renews them, and with which registry a proxy goes on when one runs out.
+//! Leases: what renews them, and what ends a session.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
-use emberpin_membership::candidates::Candidates;
+use emberpin_membership::clock::Timestamp;
+use emberpin_membership::ids::Nonce;
 use emberpin_membership::lease::{Lease, SessionLease};
-use emberpin_membership::timing::{recovery, AVOIDED, FIRST_CONFIRMATION, PROXY_LEASE};
+use emberpin_membership::timing::{FIRST_CONFIRMATION_TIMEOUT, PROXY_LEASE_DURATION};
 use googletest::prelude::*;
-use std::net::Ipv4Addr;
+use std::time::Duration;
 
-fn ip(number: u8) -> Ipv4Addr {
-    Ipv4Addr::new(10, 0, 0, number)
+const fn at(millis: u64) -> Timestamp {
+    Timestamp::from_millis(millis)
 }
 
-#[gtest]
-fn an_answer_counts_from_its_question_less_its_age() {
-    let mut lease = Lease::default();
-    expect_that!(lease.age(5_000), none());
-    let question = lease.ask(5_000);
-    // However late it comes.
-    lease.answer(question, Some(300));
-    expect_that!(lease.age(9_000), some(eq(4_300)));
-    expect_that!(
-        (lease.holds(9_000, 4_300), lease.holds(9_000, 4_299)),
-        eq((true, false))
-    );
-    // What confirms nothing takes nothing back, and an older answer neither.
-    let (first, second) = (lease.ask(9_000), lease.ask(9_500));
-    lease.answer(first, None);
-    lease.answer(second, Some(6_000));
-    expect_that!(lease.age(9_500), some(eq(4_800)));
+const fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
-#[gtest]
-fn an_answer_counts_once_and_only_to_a_question_that_was_asked() {
-    let mut lease = Lease::default();
-    let old = lease.ask(1_000);
-    let new = lease.ask(2_000);
-    lease.answer(new + 1, Some(0));
-    expect_that!(lease.age(2_000), none());
-    lease.answer(new, Some(0));
-    // It is behind the newer one.
-    lease.answer(old, Some(0));
-    lease.answer(new, Some(0));
-    expect_that!(lease.age(3_000), some(eq(1_000)));
-    // Of those that are never answered, few are remembered.
-    let forgotten = lease.ask(4_000);
-    (0..16).for_each(|_| _ = lease.ask(4_000));
-    lease.answer(forgotten, Some(0));
-    expect_that!(lease.age(4_000), some(eq(2_000)));
-}
+const ONE_MILLISECOND: Duration = ms(1);
 
 #[gtest]
-fn what_was_confirmed_before_this_process_began_counts() {
+fn an_answer_counts_from_its_query_less_its_age() {
     let mut lease = Lease::default();
-    let question = lease.ask(10);
-    lease.answer(question, Some(500));
-    expect_that!(lease.age(20), some(eq(510)));
-}
-
-#[gtest]
-fn a_session_ends_with_its_lease_or_without_a_first_confirmation() {
-    let mut lease = SessionLease::new(1_000);
-    expect_that!(lease.is_over(1_000 + FIRST_CONFIRMATION), eq(false));
-    expect_that!(lease.is_over(1_001 + FIRST_CONFIRMATION), eq(true));
-    // A snapshot that is still coming is awaited.
-    lease.progressed(2_000);
-    expect_that!(lease.is_over(2_000 + FIRST_CONFIRMATION), eq(false));
-    let question = lease.ask(2_000);
-    lease.answer(question, Some(100));
-    let until = 2_000 - 100 + PROXY_LEASE;
-    expect_that!(
-        (lease.is_confirmed(until), lease.is_over(until)),
-        eq((true, false))
-    );
-    expect_that!(
-        (lease.is_confirmed(until + 1), lease.is_over(until + 1)),
-        eq((false, true))
-    );
+    expect_that!(lease.age(at(5_000)), none());
+    let nonce = lease.begin_query(at(5_000));
+    // However late it arrives.
+    lease.on_answer(nonce, Some(ms(300)));
+    expect_that!(lease.age(at(9_000)), some(eq(ms(4_300))));
+    expect_that!(lease.is_valid(at(9_000), ms(4_300)), eq(true));
+    expect_that!(lease.is_valid(at(9_000), ms(4_299)), eq(false));
+    // An answer that confirms nothing takes nothing back, and an older confirmation neither.
+    let (first, second) = (lease.begin_query(at(9_000)), lease.begin_query(at(9_500)));
+    lease.on_answer(first, None);
+    lease.on_answer(second, Some(ms(6_000)));
+    expect_that!(lease.age(at(9_500)), some(eq(ms(4_800))));
 }
 
 #[gtest]
-fn registries_that_could_confirm_nothing_are_the_last_choice() {
-    let mut candidates = Candidates::default();
-    let seeds = [ip(1), ip(2), ip(9)];
-    candidates.told((1..=5).map(ip).collect(), true);
-    // Both sessions are with the two that are cut off; whatever is drawn, neither goes to the other's.
-    for draw in 0..20 {
-        let mut candidates = candidates.clone();
-        for (session, registry) in [(0, ip(1)), (1, ip(2))] {
-            expect_that!(
-                candidates.choose(0, session, [registry].into_iter(), None, 0),
-                some(anything())
-            );
-        }
-        let mut cut = Candidates::default();
-        cut.told((1..=5).map(ip).collect(), true);
-        for session in [0, 1] {
-            let seeds = [ip(session + 1)].into_iter();
-            _ = cut.choose(0, session.into(), seeds, None, 0);
-            cut.ended(0, session.into(), false);
-        }
-        let chosen = cut.choose(1, 0, seeds.into_iter(), None, draw);
-        expect_that!(
-            chosen.map(|ip| (3..=5).contains(&ip.octets()[3])),
-            some(eq(true))
-        );
-    }
+fn an_answer_counts_once_and_only_to_a_query_that_was_sent() {
+    let mut lease = Lease::default();
+    let old = lease.begin_query(at(1_000));
+    let new = lease.begin_query(at(2_000));
+    lease.on_answer(Nonce(new.0 + 1), Some(Duration::ZERO));
+    expect_that!(lease.age(at(2_000)), none());
+    lease.on_answer(new, Some(Duration::ZERO));
+    // The answer to an older query comes after that to the newer one.
+    lease.on_answer(old, Some(Duration::ZERO));
+    lease.on_answer(new, Some(Duration::ZERO));
+    expect_that!(lease.age(at(3_000)), some(eq(ms(1_000))));
+    // Of queries that are never answered, few are remembered.
+    let forgotten = lease.begin_query(at(4_000));
+    (0..16).for_each(|_| _ = lease.begin_query(at(4_000)));
+    lease.on_answer(forgotten, Some(Duration::ZERO));
+    expect_that!(lease.age(at(4_000)), some(eq(ms(2_000))));
 }
 
 #[gtest]
-fn where_nobody_else_is_known_any_registry_is_tried_again() {
-    let mut candidates = Candidates::default();
-    let choose =
-        |candidates: &mut Candidates, now| candidates.choose(now, 0, [ip(1)].into_iter(), None, 0);
-    expect_that!(choose(&mut candidates, 0), some(eq(ip(1))));
-    candidates.ended(0, 0, false);
-    expect_that!(choose(&mut candidates, 1), some(eq(ip(1))));
-    candidates.ended(1, 0, false);
-    // One that is only named by a registry without a majority comes first now, and no more after that.
-    candidates.told(vec![ip(1), ip(7)], false);
-    expect_that!(choose(&mut candidates, 2), some(eq(ip(7))));
-    candidates.ended(2, 0, true);
-    candidates.told(vec![ip(1), ip(2)], true);
-    expect_that!(choose(&mut candidates, 3), some(eq(ip(2))));
-    candidates.ended(3, 0, false);
-    expect_that!(choose(&mut candidates, 3 + AVOIDED), some(eq(ip(1))));
+fn a_confirmation_from_before_the_start_of_the_process_counts() {
+    let mut lease = Lease::default();
+    let nonce = lease.begin_query(at(10));
+    lease.on_answer(nonce, Some(ms(500)));
+    expect_that!(lease.age(at(20)), some(eq(ms(510))));
 }
 
-/// The sums themselves are asserted where they stand, and do not compile beyond the bounds.
 #[gtest]
-fn a_cut_costs_what_the_page_says() {
+fn a_session_ends_with_its_lease_or_without_a_first_confirmation() {
+    let mut lease = SessionLease::new(at(1_000));
+    let first_deadline = at(1_000) + FIRST_CONFIRMATION_TIMEOUT;
+    expect_that!(lease.is_expired(first_deadline), eq(false));
+    expect_that!(lease.is_expired(first_deadline + ONE_MILLISECOND), eq(true));
+    // A snapshot that still arrives is waited for.
+    lease.on_snapshot_progress(at(2_000));
     expect_that!(
-        (0..3).map(recovery).collect::<Vec<_>>(),
-        elements_are![eq(&2_600), eq(&3_600), eq(&4_900)]
+        lease.is_expired(at(2_000) + FIRST_CONFIRMATION_TIMEOUT),
+        eq(false)
     );
+    let nonce = lease.begin_query(at(2_000));
+    lease.on_answer(nonce, Some(ms(100)));
+    let expiry = at(2_000 - 100) + PROXY_LEASE_DURATION;
+    expect_that!(lease.is_confirmed(expiry), eq(true));
+    expect_that!(lease.is_expired(expiry), eq(false));
+    expect_that!(lease.is_confirmed(expiry + ONE_MILLISECOND), eq(false));
+    expect_that!(lease.is_expired(expiry + ONE_MILLISECOND), eq(true));
 }
