--- a/crates/emberpin-membership/tests/registry.rs
+++ b/crates/emberpin-membership/tests/registry.rs
@@ -6,10 +6,12 @@
 
 use common::{drain, instance, ip, item, Held, World, BEAT, EXPIRY};
 use emberpin_config::{Item, ItemKey, ItemKind};
+use emberpin_membership::clock::Timestamp;
 use emberpin_membership::guards::Guards;
+use emberpin_membership::ids::{Incarnation, SessionId};
 use emberpin_membership::instance::{Instance, Status};
-use emberpin_membership::registry::{Answer, Event, Taker, PART_BYTES};
-use emberpin_membership::session::{Followed, FromLimiter, Revision, ToLimiter};
+use emberpin_membership::registry::{Event, OperatorCallTarget, ServerReply, SNAPSHOT_PART_BYTES};
+use emberpin_membership::session::{FromLimiter, Revision, SyncProgress, ToLimiter};
 use googletest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -36,26 +38,35 @@
 #[gtest]
 fn a_call_at_a_machine_that_is_cut_off_is_sent_on_at_once() -> googletest::Result<()> {
     let mut world = cut_off(Guards::default());
-    let taker = |world: &World, at: u8| world.nodes[&at].registry.taker(world.now);
+    let taker = |world: &World, at: u8| {
+        world.nodes[&at]
+            .registry
+            .operator_call_target(world.timestamp())
+    };
     verify_that!(
-        matches!(taker(&world, 1), Taker::Other(other) if [ip(2), ip(3)].contains(&other)),
+        matches!(taker(&world, 1), OperatorCallTarget::Peer(other) if [ip(2), ip(3)].contains(&other)),
         eq(true)
     )?;
-    verify_that!(taker(&world, 2), eq(Taker::Here))?;
+    verify_that!(taker(&world, 2), eq(OperatorCallTarget::Local))?;
     // Once it hears a majority, and its store does, it takes them again.
     world.cut(1, &[2, 3], false);
     world.nodes.get_mut(&1).expect("up").store = Some(true);
     world.run(2_500);
-    verify_that!(taker(&world, 1), eq(Taker::Here))
+    verify_that!(taker(&world, 1), eq(OperatorCallTarget::Local))
 }
 
 #[gtest]
 fn without_its_guard_it_is_held_up() -> googletest::Result<()> {
     let world = cut_off(Guards {
-        sends_on: false,
+        operator_redirect: false,
         ..Guards::default()
     });
-    verify_that!(world.nodes[&1].registry.taker(world.now), eq(Taker::Here))
+    verify_that!(
+        world.nodes[&1]
+            .registry
+            .operator_call_target(world.timestamp()),
+        eq(OperatorCallTarget::Local)
+    )
 }
 
 /// Frozen for less than what counts as standing still, again and again, it hears only what was said before a cut.
@@ -86,7 +97,7 @@
     let settled = thaws_after_a_cut(Guards::default());
     expect_that!(settled[2..], each(eq(&false)));
     let wrong = thaws_after_a_cut(Guards {
-        lease: false,
+        lease_from_query: false,
         ..Guards::default()
     });
     expect_that!(wrong[2..], contains(eq(&true)));
@@ -145,7 +156,12 @@
         (held.snapshots, held.instances.len(), held.complete),
         eq((1, 2, true))
     )?;
-    world.event(1, Event::Ended { session: 1 });
+    world.event(
+        1,
+        Event::SessionClosed {
+            session: SessionId(1),
+        },
+    );
     world.heartbeat(1, instance("c", 1));
     world.leave(1, "a");
     world.run(10);
@@ -167,7 +183,7 @@
         ..at
     };
     let other = Revision {
-        incarnation: at.incarnation + 1,
+        incarnation: Incarnation(at.incarnation.0 + 1),
         ..at
     };
     for (session, place) in [(3, far), (4, other)] {
@@ -177,7 +193,7 @@
             eq(true)
         )?;
     }
-    for number in 0..emberpin_membership::change_log::MOST {
+    for number in 0..emberpin_membership::change_log::CAPACITY {
         world.heartbeat(1, instance(&format!("x-{number}"), 1));
     }
     world.hello(
@@ -210,7 +226,12 @@
                     if random.rand_range(0..2) == 0 {
                         held.hear(&told);
                     }
-                    world.event(1, Event::Ended { session });
+                    world.event(
+                        1,
+                        Event::SessionClosed {
+                            session: SessionId(session),
+                        },
+                    );
                     on = false;
                 }
                 1 if !on => {
@@ -246,7 +267,7 @@
         held.hear(&world.told(1, session));
         let registry = &world.nodes[&1].registry;
         verify_that!((seed, &held.instances), eq((seed, &Held::of(registry))))?;
-        verify_that!(held.items.len(), eq(registry.items()))?;
+        verify_that!(held.items.len(), eq(registry.item_count()))?;
     }
     Ok(())
 }
@@ -268,7 +289,7 @@
     let told: Vec<ToLimiter> = world
         .told(1, 9)
         .into_iter()
-        .filter(|told| !matches!(told, ToLimiter::Pulse { .. }))
+        .filter(|told| !matches!(told, ToLimiter::Confirmation { .. }))
         .collect();
     verify_that!(told.len(), eq(1))?;
     let ToLimiter::Changes {
@@ -298,7 +319,7 @@
         world
             .told(1, 9)
             .iter()
-            .all(|told| matches!(told, ToLimiter::Pulse { .. })),
+            .all(|told| matches!(told, ToLimiter::Confirmation { .. })),
         eq(true)
     )
 }
@@ -323,20 +344,20 @@
     verify_that!(world.takes(1, call), eq(true))?;
     world.kill(1);
     for at in [2, 3] {
-        verify_that!(world.status(at, "a"), some(eq(Status::Drain)))?;
+        verify_that!(world.status(at, "a"), some(eq(Status::Draining)))?;
         // A limiter that comes with what it knew before is told.
         world.hello(at, 9, None, vec![instance("a", 1)]);
         let mut held = Held::default();
         held.hear(&world.told(at, 9));
         verify_that!(
             held.instances,
-            eq(&BTreeMap::from([("a".to_string(), Status::Drain)]))
+            eq(&BTreeMap::from([("a".to_string(), Status::Draining)]))
         )?;
     }
     // The dead machine starts with nothing, and learns it before it would say otherwise.
     world.start(1);
     world.run(300);
-    verify_that!(world.status(1, "a"), some(eq(Status::Drain)))
+    verify_that!(world.status(1, "a"), some(eq(Status::Draining)))
 }
 
 #[gtest]
@@ -345,7 +366,10 @@
     let call = world.heartbeat(1, drain("a", 1));
     let (took, answer) = world.answer(1, call).expect("answered");
     verify_that!(
-        (took < 60, matches!(answer, Answer::Taken { .. })),
+        (
+            took < 60,
+            matches!(answer, ServerReply::Acknowledged { .. })
+        ),
         eq((true, true))
     )?;
     // One that takes nothing in holds it up a little.
@@ -356,7 +380,7 @@
         (
             took >= 140,
             took < 250,
-            matches!(answer, Answer::Taken { .. })
+            matches!(answer, ServerReply::Acknowledged { .. })
         ),
         eq((true, true, true))
     )?;
@@ -367,7 +391,10 @@
     for _ in 0..3 {
         for call in [world.heartbeat(1, drain("c", 1)), world.leave(1, "d")] {
             let (took, answer) = world.answer(1, call).expect("answered");
-            verify_that!((took < 700, answer), eq((true, Answer::Elsewhere)))?;
+            verify_that!(
+                (took < 700, answer),
+                eq((true, ServerReply::NotAcknowledged))
+            )?;
         }
         world.run(1_000);
     }
@@ -388,7 +415,7 @@
     for seq in [4, 7] {
         let call = world.heartbeat(1, instance("a", seq));
         verify_that!(world.takes(1, call), eq(true))?;
-        verify_that!(world.status(1, "a"), some(eq(Status::Drain)))?;
+        verify_that!(world.status(1, "a"), some(eq(Status::Draining)))?;
     }
     // A leave before any drain, and of an instance that nobody knows.
     world.heartbeat(1, instance("b", 1));
@@ -398,7 +425,7 @@
         for late in [instance(id, 9), drain(id, 10)] {
             let call = world.heartbeat(1, late);
             verify_that!(world.takes(1, call), eq(true))?;
-            verify_that!(world.status(1, id), some(eq(Status::Gone)))?;
+            verify_that!(world.status(1, id), some(eq(Status::Removed)))?;
         }
     }
     Ok(())
@@ -421,7 +448,7 @@
         .instances()
         .get("a")
         .expect("known")
-        .instance(world.now);
+        .instance(world.timestamp());
     verify_that!((row.seq, row.cold_ms > 2_900), eq((5, true)))
 }
 
@@ -439,7 +466,7 @@
     );
     world.run(50);
     for at in 1..=3 {
-        verify_that!(world.status(at, "old"), some(eq(Status::Gone)))?;
+        verify_that!(world.status(at, "old"), some(eq(Status::Removed)))?;
         verify_that!(world.status(at, "new"), some(eq(Status::Up)))?;
     }
     // If it does live, both are told: requests name the one that they are for.
@@ -506,7 +533,7 @@
     world.hello(1, 9, None, vec![drain("a", 7), instance("b", 4)]);
     world.run(50);
     for at in 1..=3 {
-        verify_that!(world.status(at, "a"), some(eq(Status::Drain)))?;
+        verify_that!(world.status(at, "a"), some(eq(Status::Draining)))?;
         verify_that!(world.status(at, "b"), some(eq(Status::Up)))?;
     }
     Ok(())
@@ -521,7 +548,7 @@
         9,
         None,
         vec![Instance {
-            status: Status::Gone,
+            status: Status::Removed,
             ..instance("a", 5)
         }],
     );
@@ -542,7 +569,7 @@
     verify_that!(world.status(2, "a"), some(eq(Status::Up)))?;
     world.run(EXPIRY + 600);
     for at in 1..=3 {
-        verify_that!(world.status(at, "a"), some(eq(Status::Gone)))?;
+        verify_that!(world.status(at, "a"), some(eq(Status::Removed)))?;
         verify_that!(world.status(at, "b"), some(eq(Status::Up)))?;
     }
     // Only silence: it beats again, and is up, everywhere. A late one is not a beat.
@@ -551,10 +578,10 @@
         .instances()
         .get("a")
         .expect("known")
-        .instance(world.now)
+        .instance(world.timestamp())
         .seq;
     world.heartbeat(2, instance("a", seq));
-    verify_that!(world.status(2, "a"), some(eq(Status::Gone)))?;
+    verify_that!(world.status(2, "a"), some(eq(Status::Removed)))?;
     world.heartbeat(2, instance("a", seq + 1));
     world.run(50);
     for at in 1..=3 {
@@ -593,7 +620,7 @@
         world.run(EXPIRY + 3_000);
         verify_that!(
             (cut, store, world.status(1, "a")),
-            eq((cut, store, Some(Status::Gone)))
+            eq((cut, store, Some(Status::Removed)))
         )?;
     }
     Ok(())
@@ -614,7 +641,7 @@
     world.run(EXPIRY - 200);
     verify_that!(world.status(1, "s-0"), some(eq(Status::Up)))?;
     world.run(2_000);
-    verify_that!(world.status(1, "s-0"), some(eq(Status::Gone)))
+    verify_that!(world.status(1, "s-0"), some(eq(Status::Removed)))
 }
 
 #[gtest]
@@ -649,7 +676,7 @@
 }
 
 fn says_settled(told: &ToLimiter) -> bool {
-    matches!(told, ToLimiter::Pulse { age: Some(_), .. })
+    matches!(told, ToLimiter::Confirmation { age: Some(_), .. })
 }
 
 #[gtest]
@@ -665,7 +692,7 @@
     verify_that!(world.status(3, "goes"), some(eq(Status::Up)))?;
     world.run(1_500);
     for at in [2, 3] {
-        verify_that!(world.status(at, "goes"), some(eq(Status::Gone)))?;
+        verify_that!(world.status(at, "goes"), some(eq(Status::Removed)))?;
         verify_that!(world.status(at, "stays"), some(eq(Status::Up)))?;
         let owner = world.nodes[&at]
             .registry
@@ -691,7 +718,7 @@
         held.hear(&world.told(2, 9));
         verify_that!(held.instances.contains_key("a"), eq(true))?;
     }
-    verify_that!(world.status(3, "a"), some(eq(Status::Gone)))?;
+    verify_that!(world.status(3, "a"), some(eq(Status::Removed)))?;
     world.cut(1, &[3], false);
     world.run(2_000);
     verify_that!(world.status(3, "a"), some(eq(Status::Up)))
@@ -707,7 +734,7 @@
     world.start(1);
     world.run(2 * EXPIRY + 2_000);
     for at in 1..=3 {
-        verify_that!(world.status(at, "a"), some(eq(Status::Gone)))?;
+        verify_that!(world.status(at, "a"), some(eq(Status::Removed)))?;
     }
     Ok(())
 }
@@ -719,10 +746,11 @@
     let mut seen = BTreeMap::new();
     for number in 0..40 {
         let call = world.heartbeat(2, instance(&format!("s-{number}"), 1));
-        let Some((_, Answer::Taken { beat_at })) = world.answer(2, call) else {
+        let Some((_, ServerReply::Acknowledged { heartbeat_target })) = world.answer(2, call)
+        else {
             return fail!("no answer");
         };
-        *seen.entry(beat_at).or_insert(0) += 1;
+        *seen.entry(heartbeat_target).or_insert(0) += 1;
     }
     verify_that!(
         seen.keys().copied().collect::<Vec<_>>(),
@@ -741,10 +769,10 @@
     world.nodes.get_mut(&4).expect("up").store = Some(false);
     world.run(2_500);
     let call = world.heartbeat(2, instance("s-0", 4));
-    let Some((_, Answer::Taken { beat_at })) = world.answer(2, call) else {
+    let Some((_, ServerReply::Acknowledged { heartbeat_target })) = world.answer(2, call) else {
         return fail!("no answer");
     };
-    verify_that!([ip(2), ip(3), ip(5)].contains(&beat_at), eq(true))
+    verify_that!([ip(2), ip(3), ip(5)].contains(&heartbeat_target), eq(true))
 }
 
 #[gtest]
@@ -755,7 +783,7 @@
     let call = world.heartbeat(1, instance("a", 1));
     verify_that!(
         world.answer(1, call).map(|(_, answer)| answer),
-        some(eq(Answer::Elsewhere))
+        some(eq(ServerReply::NotAcknowledged))
     )?;
     verify_that!(world.status(1, "a"), some(eq(Status::Up)))?;
     let call = world.heartbeat(2, instance("a", 2));
@@ -802,9 +830,9 @@
     // With it, what it has not got through yet is lost.
     world.kill(1);
     world.run(50);
-    verify_that!(world.status(3, "a"), some(eq(Status::Drain)))?;
-    verify_that!(world.status(3, "b"), some(eq(Status::Gone)))?;
-    verify_that!(world.status(3, "c"), some(eq(Status::Drain)))
+    verify_that!(world.status(3, "a"), some(eq(Status::Draining)))?;
+    verify_that!(world.status(3, "b"), some(eq(Status::Removed)))?;
+    verify_that!(world.status(3, "c"), some(eq(Status::Draining)))
 }
 
 #[gtest]
@@ -833,7 +861,7 @@
     world.run(2_000);
     world.nodes.get_mut(&1).expect("up").frozen = true;
     world.run(EXPIRY + 2_000);
-    verify_that!(world.status(2, "a"), some(eq(Status::Gone)))?;
+    verify_that!(world.status(2, "a"), some(eq(Status::Removed)))?;
     // It has noticed nothing: for it, the server is up as before.
     world.nodes.get_mut(&1).expect("up").frozen = false;
     world.run(2 * BEAT);
@@ -858,7 +886,7 @@
     verify_that!(world.status(3, "a"), some(eq(Status::Up)))?;
     world.run(2 * EXPIRY);
     for at in 1..=3 {
-        verify_that!(world.status(at, "a"), some(eq(Status::Gone)))?;
+        verify_that!(world.status(at, "a"), some(eq(Status::Removed)))?;
     }
     Ok(())
 }
@@ -869,7 +897,7 @@
     world.hello(1, 1, None, vec![]);
     let mut held = Held::default();
     held.hear(&world.told(1, 1));
-    for status in [Status::Gone, Status::Drain] {
+    for status in [Status::Removed, Status::Draining] {
         let id = format!("{status:?}");
         world.heartbeat(
             1,
@@ -891,7 +919,7 @@
                         .iter()
                         .any(|instance| instance.id == id && instance.status == status)
                 }
-                ToLimiter::SnapshotPart { .. } | ToLimiter::Pulse { .. } => false,
+                ToLimiter::SnapshotPart { .. } | ToLimiter::Confirmation { .. } => false,
             });
             verify_that!((session, named), eq((session, true)))?;
         }
@@ -905,7 +933,7 @@
     let limiters = |world: &mut World| {
         let told = world.told(1, 1);
         told.iter().rev().find_map(|told| match told {
-            ToLimiter::Pulse { limiters, .. } => Some(*limiters),
+            ToLimiter::Confirmation { limiters, .. } => Some(*limiters),
             _ => None,
         })
     };
@@ -920,7 +948,12 @@
         world.run(500);
     }
     verify_that!(limiters(&mut world), some(eq(3)))?;
-    world.event(3, Event::Ended { session: 3 });
+    world.event(
+        3,
+        Event::SessionClosed {
+            session: SessionId(3),
+        },
+    );
     world.run_with(1, 1, 10_000);
     verify_that!(limiters(&mut world), some(eq(3)))?;
     world.run_with(1, 1, 35_000);
@@ -947,28 +980,28 @@
 
 #[gtest]
 fn ends_are_remembered_for_a_time_and_no_more_than_so_many() -> googletest::Result<()> {
-    use emberpin_membership::instances::Instances;
-    let mut instances = Instances::default();
+    use emberpin_membership::instance_table::InstanceTable;
+    let mut instances = InstanceTable::default();
     for number in 0..10_100 {
-        instances.leave(number, &format!("s-{number}"));
+        instances.leave(Timestamp::from_millis(number), &format!("s-{number}"));
     }
-    instances.forget(10_100);
+    instances.prune_tombstones(Timestamp::from_millis(10_100));
     verify_that!(instances.iter().count(), eq(10_000))?;
     verify_that!(instances.get("s-99").is_none(), eq(true))?;
-    instances.forget(600_000 + 5_000);
+    instances.prune_tombstones(Timestamp::from_millis(600_000 + 5_000));
     verify_that!(instances.get("s-5001").is_some(), eq(true))?;
     verify_that!(instances.get("s-4999").is_none(), eq(true))?;
     // One that was raised is not forgotten for its first end.
-    let mut instances = Instances::default();
+    let mut instances = InstanceTable::default();
     let told = |seq| emberpin_membership::peers::InstanceRecord {
         instance: instance("a", seq),
         expired: false,
         owner: None,
     };
-    instances.merge(0, told(1));
-    instances.expire(10, "a");
-    instances.merge(20, told(2));
-    instances.forget(700_000);
+    instances.merge(Timestamp::from_millis(0), told(1));
+    instances.evict(Timestamp::from_millis(10), "a");
+    instances.merge(Timestamp::from_millis(20), told(2));
+    instances.prune_tombstones(Timestamp::from_millis(700_000));
     verify_that!(instances.get("a").is_some(), eq(true))
 }
 
@@ -980,7 +1013,7 @@
         .instances()
         .get(id)
         .expect("known")
-        .instance(world.now)
+        .instance(world.timestamp())
         .cold_ms
 }
 
@@ -1168,11 +1201,13 @@
     world.cut(1, &[2, 3], true);
     let call = world.heartbeat(1, drain("b", 1));
     verify_that!(world.takes(1, call), eq(false))?;
-    verify_that!(world.status(4, "b"), some(eq(Status::Drain)))?;
+    verify_that!(world.status(4, "b"), some(eq(Status::Draining)))?;
     world.cut(1, &[2, 3], false);
     world.run(3_000);
     verify_that!(
-        world.nodes[&1].registry.heard(world.now),
+        world.nodes[&1]
+            .registry
+            .registries_in_contact(world.timestamp()),
         contains(eq(&ip(4)))
     )?;
     // Gone for long, it is not called any more.
@@ -1186,14 +1221,14 @@
 
 #[gtest]
 fn copies_that_heard_the_same_agree_in_any_order() -> googletest::Result<()> {
-    use emberpin_membership::instances::Instances;
+    use emberpin_membership::instance_table::InstanceTable;
     use emberpin_membership::peers::InstanceRecord;
     for seed in 0..2_000 {
         let mut random = oorandom::Rand32::new(seed);
         let mut words: Vec<InstanceRecord> = (0..6)
             .map(|_| {
                 let seq = u64::from(random.rand_range(1..4));
-                let status = [Status::Up, Status::Up, Status::Drain, Status::Gone];
+                let status = [Status::Up, Status::Up, Status::Draining, Status::Removed];
                 let status = status[random.rand_range(0..4) as usize];
                 // Whoever expired it knew it by this seq; a server says one thing under one seq.
                 let expired = random.rand_range(0..4) == 0;
@@ -1212,12 +1247,16 @@
             for at in (1..words.len()).rev() {
                 words.swap(at, random.rand_range(0..at as u32 + 1) as usize);
             }
-            let mut instances = Instances::default();
+            let mut instances = InstanceTable::default();
             words
                 .iter()
-                .for_each(|told| _ = instances.merge(0, told.clone()));
+                .for_each(|told| _ = instances.merge(Timestamp::from_millis(0), told.clone()));
             let row = instances.get("a").expect("known");
-            seen.push((row.status(), row.said(), row.instance(0).seq));
+            seen.push((
+                row.status(),
+                row.reported_status(),
+                row.instance(Timestamp::ZERO).seq,
+            ));
         }
         verify_that!(
             (seed, seen.iter().all(|one| *one == seen[0])),
@@ -1233,13 +1272,13 @@
 fn fetch(
     world: &mut World,
     session: u64,
-    followed: &mut Option<Followed>,
+    followed: &mut Option<SyncProgress>,
     items: &mut BTreeMap<ItemKey, u64>,
 ) -> usize {
     let mut parts = 0;
     loop {
         for told in world.told(1, session) {
-            Followed::advance(followed, &told);
+            SyncProgress::advance(followed, &told);
             let (ToLimiter::Snapshot { items: told, .. }
             | ToLimiter::SnapshotPart { items: told, .. }
             | ToLimiter::Changes { items: told, .. }) = told
@@ -1249,14 +1288,14 @@
             told.into_iter()
                 .for_each(|item| _ = items.insert(item.key, item.version));
         }
-        let rest = followed.as_ref().and_then(|known| known.rest.clone());
+        let rest = followed.as_ref().and_then(|known| known.next_part.clone());
         let Some(after) = rest else { return parts };
         parts += 1;
         world.event(
             1,
-            Event::Limiter {
-                session,
-                said: FromLimiter::More { after },
+            Event::LimiterMessage {
+                session: SessionId(session),
+                message: FromLimiter::FetchSnapshotPart { after },
             },
         );
     }
@@ -1280,7 +1319,10 @@
         let (mut followed, mut items) = (None, BTreeMap::new());
         let parts = fetch(&mut world, 1, &mut followed, &mut items);
         println!("{size} routes: {} parts", parts + 1);
-        verify_that!((items.len(), parts), eq((size, size * 355 / PART_BYTES)))?;
+        verify_that!(
+            (items.len(), parts),
+            eq((size, size * 355 / SNAPSHOT_PART_BYTES))
+        )?;
     }
     Ok(())
 }
@@ -1297,11 +1339,15 @@
         world.event(1, Event::Items(routes(0, 100, 1)));
         world.run(20);
         let (mut followed, mut items, mut session, mut ver) =
-            (None::<Followed>, BTreeMap::new(), 0, 1);
+            (None::<SyncProgress>, BTreeMap::new(), 0, 1);
         let mut asked = 0;
-        while followed.as_ref().and_then(Followed::whole).is_none() {
+        while followed
+            .as_ref()
+            .and_then(SyncProgress::synced_revision)
+            .is_none()
+        {
             session += 1;
-            let from = followed.as_ref().map(|known| known.place);
+            let from = followed.as_ref().map(|known| known.revision);
             world.hello(1, session, from, vec![]);
             for _ in 0..random.rand_range(0..6) {
                 ver += 1;
@@ -1314,7 +1360,7 @@
                 world.event(1, Event::Items(routes(at, at + many, ver)));
                 world.run(10);
                 for told in world.told(1, session) {
-                    Followed::advance(&mut followed, &told);
+                    SyncProgress::advance(&mut followed, &told);
                     let (ToLimiter::Snapshot { items: told, .. }
                     | ToLimiter::SnapshotPart { items: told, .. }
                     | ToLimiter::Changes { items: told, .. }) = told
@@ -1324,27 +1370,33 @@
                     told.into_iter()
                         .for_each(|item| _ = items.insert(item.key, item.version));
                 }
-                let Some(after) = followed.as_ref().and_then(|known| known.rest.clone()) else {
+                let Some(after) = followed.as_ref().and_then(|known| known.next_part.clone())
+                else {
                     break;
                 };
                 asked += 1;
                 world.event(
                     1,
-                    Event::Limiter {
-                        session,
-                        said: FromLimiter::More { after },
+                    Event::LimiterMessage {
+                        session: SessionId(session),
+                        message: FromLimiter::FetchSnapshotPart { after },
                     },
                 );
             }
-            world.event(1, Event::Ended { session });
+            world.event(
+                1,
+                Event::SessionClosed {
+                    session: SessionId(session),
+                },
+            );
             _ = world.told(1, session);
         }
-        world.hello(1, 0, followed.as_ref().map(|known| known.place), vec![]);
+        world.hello(1, 0, followed.as_ref().map(|known| known.revision), vec![]);
         world.run(20);
         fetch(&mut world, 0, &mut followed, &mut items);
         let stands: BTreeMap<ItemKey, u64> = world.nodes[&1]
             .registry
-            .all_items()
+            .items()
             .map(|item| (item.key.clone(), item.version))
             .collect();
         verify_that!((seed, asked > 0, items == stands), eq((seed, true, true)))?;
--- a/crates/emberpin-proxy/src/controller/control_sessions.rs
+++ b/crates/emberpin-proxy/src/controller/control_sessions.rs
@@ -11,16 +11,16 @@
             ToLimiter::Snapshot {
                 items,
                 instances,
-                rest,
+                next_part,
                 ..
             }
             | ToLimiter::SnapshotPart {
                 items,
                 instances,
-                rest,
+                next_part,
             } => {
                 self.learn(items, &instances);
-                if rest.is_none() {
+                if next_part.is_none() {
                     self.told.insert(session);
                 }
             }
@@ -34,7 +34,7 @@
                 }
             }
             // Is the session's own concern, which says what of it is confirmed.
-            ToLimiter::Pulse { .. } => {}
+            ToLimiter::Confirmation { .. } => {}
         }
     }
 
--- a/crates/emberpin-proxy/src/sessions.rs
+++ b/crates/emberpin-proxy/src/sessions.rs
@@ -2,12 +2,17 @@
 
 use crate::command::Command;
 use crate::random::drawn;
-use emberpin_membership::candidates::Candidates;
+use emberpin_membership::candidates::{Confirmation, RegistryCandidates};
+use emberpin_membership::clock::Timestamp;
+use emberpin_membership::ids::Incarnation;
 use emberpin_membership::lease::SessionLease;
 use emberpin_membership::session::{
-    First, Followed, FromLimiter, Revision, SnapshotCursor, ToLimiter,
+    ConnectionRole, FromLimiter, Revision, SnapshotCursor, SyncProgress, ToLimiter,
+};
+use emberpin_membership::timing::{
+    CONNECT_TIMEOUT, KEEP_ALIVE_INTERVAL, LEASE_CHECK_INTERVAL, PROXY_LEASE_DURATION,
+    RECONNECT_BACKOFF,
 };
-use emberpin_membership::timing::{CONNECT, LOOK, PAUSE, PROXY_LEASE, PROXY_QUESTION};
 use emberpin_runtime::frames::{self, ConnectionError};
 use emberpin_runtime::identity::ProcessIdentity;
 use emberpin_runtime::settings::Settings;
@@ -37,9 +42,9 @@
     process: ProcessIdentity,
     /// When they were started.
     begun: Instant,
-    candidates: RefCell<Candidates>,
+    candidates: RefCell<RegistryCandidates>,
     /// Up to where each registry's log was followed.
-    places: RefCell<BTreeMap<Ipv4Addr, Followed>>,
+    places: RefCell<BTreeMap<Ipv4Addr, SyncProgress>>,
     random: RefCell<oorandom::Rand32>,
     /// The settings are to be read again before the next try.
     stale: Cell<bool>,
@@ -73,10 +78,7 @@
 
     /// Keeps one session, with one registry after the other.
     async fn keep(self: Rc<Self>, number: usize) {
-        let (shortest, longest) = (
-            Duration::from_millis(PAUSE.0),
-            Duration::from_millis(PAUSE.1),
-        );
+        let (shortest, longest) = (RECONNECT_BACKOFF.initial, RECONNECT_BACKOFF.max);
         let mut pause = shortest;
         let mut last = None;
         loop {
@@ -90,8 +92,10 @@
             let lease = RefCell::new(SessionLease::new(begun));
             let ended = self.session(number, registry, &lease).await;
             let now = self.now();
-            let confirmed = lease.borrow().is_confirmed(now);
-            self.candidates.borrow_mut().ended(now, number, confirmed);
+            let confirmation = confirmation(lease.borrow().is_confirmed(now));
+            self.candidates
+                .borrow_mut()
+                .on_session_ended(now, number, confirmation);
             if self
                 .commands
                 .send(Command::Lost { session: number })
@@ -101,7 +105,7 @@
                 return;
             }
             log::info!("session {number} with {registry} ended: {ended}");
-            if now > begun + 2 * PROXY_LEASE {
+            if now > begun + 2 * PROXY_LEASE_DURATION {
                 pause = shortest;
             }
             // The file may have changed without a signal: whoever has no session reads it.
@@ -131,9 +135,9 @@
             .choose(self.now(), number, seeds, last, draw)
     }
 
-    /// In milliseconds since the start.
-    fn now(&self) -> u64 {
-        u64::try_from(self.begun.elapsed().as_millis()).unwrap_or(u64::MAX)
+    /// The time since the start.
+    fn now(&self) -> Timestamp {
+        Timestamp::ZERO + self.begun.elapsed()
     }
 
     /// One session, until it ends.
@@ -152,7 +156,7 @@
             )
         };
         let connecting = TcpStream::connect((registry, port));
-        let stream = match timeout(Duration::from_millis(CONNECT), connecting).await {
+        let stream = match timeout(CONNECT_TIMEOUT, connecting).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(problem)) => return Ended::NoConnection(problem.to_string()),
             Err(_) => return Ended::NoConnection("none in time".into()),
@@ -171,7 +175,11 @@
         let Ok(instances) = known.await else {
             return Ended::NoController;
         };
-        let from = self.places.borrow().get(&registry).map(|known| known.place);
+        let from = self
+            .places
+            .borrow()
+            .get(&registry)
+            .map(|known| known.revision);
         let resumed = self.whole(registry).is_some();
         let begun = Command::Begun {
             session: number,
@@ -181,10 +189,10 @@
             return Ended::NoController;
         }
         let hello = FromLimiter::Hello {
-            incarnation: self.incarnation,
+            incarnation: Incarnation(self.incarnation),
             name,
             zone,
-            from,
+            resume_from: from,
             instances,
         };
         let (mut reads, mut writes) = stream.into_split();
@@ -192,7 +200,7 @@
         *lease.borrow_mut() = SessionLease::new(self.now());
         let said = async {
             self.process.send_preamble(&mut writes).await?;
-            frames::write(&mut writes, &First::Limiter).await?;
+            frames::write(&mut writes, &ConnectionRole::Limiter).await?;
             frames::write(&mut writes, &hello).await?;
             self.ask(&mut writes, registry, lease, &wanted).await
         };
@@ -211,16 +219,16 @@
         lease: &RefCell<SessionLease>,
         wanted: &Notify,
     ) -> Result<Infallible, ConnectionError> {
-        let mut questions = interval(Duration::from_millis(PROXY_QUESTION));
+        let mut questions = interval(KEEP_ALIVE_INTERVAL);
         questions.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let said = tokio::select! {
                 _ = questions.tick() => {
-                    let question = lease.borrow_mut().ask(self.now());
-                    FromLimiter::Pulse { at: self.whole(registry), question }
+                    let nonce = lease.borrow_mut().begin_query(self.now());
+                    FromLimiter::KeepAlive { applied: self.whole(registry), nonce }
                 }
                 () = wanted.notified() => match self.rest(registry) {
-                    Some(after) => FromLimiter::More { after },
+                    Some(after) => FromLimiter::FetchSnapshotPart { after },
                     None => continue,
                 },
             };
@@ -233,7 +241,7 @@
         self.places
             .borrow()
             .get(&registry)
-            .and_then(Followed::whole)
+            .and_then(SyncProgress::synced_revision)
     }
 
     /// Where its snapshot goes on.
@@ -241,21 +249,21 @@
         self.places
             .borrow()
             .get(&registry)
-            .and_then(|known| known.rest.clone())
+            .and_then(|known| known.next_part.clone())
     }
 
     /// Notes up to where a registry was followed.
     fn advance(&self, registry: Ipv4Addr, told: &ToLimiter) {
         let mut places = self.places.borrow_mut();
         let mut known = places.remove(&registry);
-        Followed::advance(&mut known, told);
+        SyncProgress::advance(&mut known, told);
         places.extend(known.map(|known| (registry, known)));
     }
 
     /// Returns when what the registry told is too old to go by.
     async fn runs_out(&self, lease: &RefCell<SessionLease>) {
-        while !lease.borrow().is_over(self.now()) {
-            sleep(Duration::from_millis(LOOK)).await;
+        while !lease.borrow().is_expired(self.now()) {
+            sleep(LEASE_CHECK_INTERVAL).await;
         }
     }
 
@@ -289,7 +297,7 @@
                     let is_part = !matches!(message, ToLimiter::Changes { .. });
                     let first = std::mem::take(&mut begins);
                     if is_part || first {
-                        lease.borrow_mut().progressed(self.now());
+                        lease.borrow_mut().on_snapshot_progress(self.now());
                         wanted.notify_one();
                     }
                     Command::News {
@@ -297,16 +305,18 @@
                         message,
                     }
                 }
-                ToLimiter::Pulse {
-                    question,
+                ToLimiter::Confirmation {
+                    nonce,
                     age,
                     limiters,
                     registries,
                 } => {
                     let now = self.now();
-                    lease.borrow_mut().answer(question, age);
+                    lease.borrow_mut().on_answer(nonce, age);
                     let confirmed = age.is_some() && lease.borrow().is_confirmed(now);
-                    self.candidates.borrow_mut().told(registries, confirmed);
+                    self.candidates
+                        .borrow_mut()
+                        .on_registries_named(registries, confirmation(confirmed));
                     if !confirmed {
                         continue;
                     }
@@ -323,6 +333,14 @@
     }
 }
 
+fn confirmation(confirmed: bool) -> Confirmation {
+    if confirmed {
+        Confirmation::Confirmed
+    } else {
+        Confirmation::Unconfirmed
+    }
+}
+
 /// Why a session is over.
 #[derive(Debug, thiserror::Error)]
 enum Ended {
--- a/crates/emberpin-proxy/tests/answers_drawn.rs
+++ b/crates/emberpin-proxy/tests/answers_drawn.rs
@@ -595,7 +595,7 @@
                     ..known
                 };
                 self.before.1.push(Instance {
-                    status: Status::Gone,
+                    status: Status::Removed,
                     seq: 2,
                     ..known.clone()
                 });
--- a/crates/emberpin-proxy/tests/common/mod.rs
+++ b/crates/emberpin-proxy/tests/common/mod.rs
@@ -3,8 +3,9 @@
 #![allow(dead_code, missing_docs, reason = "each test file uses a part of it")]
 
 use emberpin_config::{Item, ItemKey, ItemKind};
+use emberpin_membership::ids::{Incarnation, Nonce};
 use emberpin_membership::instance::{Instance, Status};
-use emberpin_membership::session::{First, FromLimiter, Revision, ToLimiter};
+use emberpin_membership::session::{ConnectionRole, FromLimiter, Revision, ToLimiter};
 use emberpin_runtime::frames;
 use emberpin_runtime::identity::ProcessIdentity;
 use std::collections::HashMap;
@@ -147,10 +148,10 @@
 }
 
 pub fn told(ip: Ipv4Addr, settled: bool, limiters: u32) -> ToLimiter {
-    // The session fills in the question.
-    ToLimiter::Pulse {
-        question: 0,
-        age: settled.then_some(0),
+    // The session fills in the nonce.
+    ToLimiter::Confirmation {
+        nonce: Nonce(0),
+        age: settled.then_some(Duration::ZERO),
         limiters,
         registries: vec![ip],
     }
@@ -176,19 +177,21 @@
             .await
             .expect("greeted");
         assert_eq!(
-            frames::read::<First>(&mut stream).await.expect("said"),
-            First::Limiter
+            frames::read::<ConnectionRole>(&mut stream)
+                .await
+                .expect("said"),
+            ConnectionRole::Limiter
         );
         let hello: FromLimiter = frames::read(&mut stream).await.expect("said");
         assert!(matches!(hello, FromLimiter::Hello { .. }), "{hello:?}");
         let (mut from, mut to) = stream.into_split();
         let (messages, mut queued) = mpsc::unbounded_channel();
         let (followed, at) = watch::channel(0);
-        let (questions, asked) = watch::channel(0);
+        let (questions, asked) = watch::channel(Nonce(0));
         tokio::spawn(async move {
             let mut beat = interval(LEAST_PULSE);
             let mut at = Revision {
-                incarnation: 1,
+                incarnation: Incarnation(1),
                 number: 0,
             };
             loop {
@@ -198,15 +201,15 @@
                         Some(message) => message,
                         None => return,
                     },
-                    _ = beat.tick() => ToLimiter::Changes { at, items: vec![], instances: vec![] },
+                    _ = beat.tick() => ToLimiter::Changes { revision: at, items: vec![], instances: vec![] },
                 };
-                if let ToLimiter::Snapshot { at: now, .. } | ToLimiter::Changes { at: now, .. } =
+                if let ToLimiter::Snapshot { revision, .. } | ToLimiter::Changes { revision, .. } =
                     &message
                 {
-                    at = *now;
+                    at = *revision;
                 }
-                if let ToLimiter::Pulse { question, .. } = &mut message {
-                    *question = *asked.borrow();
+                if let ToLimiter::Confirmation { nonce, .. } = &mut message {
+                    *nonce = *asked.borrow();
                 }
                 if frames::write(&mut to, &message).await.is_err() {
                     return;
@@ -214,10 +217,11 @@
             }
         });
         tokio::spawn(async move {
-            while let Ok(FromLimiter::Pulse { at, question }) = frames::read(&mut from).await {
-                questions.send_replace(question);
-                if let Some(at) = at {
-                    followed.send_replace(at.number);
+            while let Ok(FromLimiter::KeepAlive { applied, nonce }) = frames::read(&mut from).await
+            {
+                questions.send_replace(nonce);
+                if let Some(applied) = applied {
+                    followed.send_replace(applied.number);
                 }
             }
         });
@@ -236,29 +240,29 @@
     fn next(&mut self) -> Revision {
         self.number += 1;
         Revision {
-            incarnation: 1,
+            incarnation: Incarnation(1),
             number: self.number,
         }
     }
 
     /// Tells everything; returns once the proxy has followed.
     pub async fn snapshot(&mut self, items: Vec<Item>, instances: Vec<Instance>) {
-        let at = self.next();
+        let revision = self.next();
         self.say(ToLimiter::Snapshot {
-            at,
+            revision,
             items,
             instances,
             complete: true,
-            rest: None,
+            next_part: None,
         });
         self.followed().await;
     }
 
     /// Tells what changed; returns once the proxy has followed. Whatever it takes in later meets the change.
     pub async fn change(&mut self, items: Vec<Item>, instances: Vec<Instance>) {
-        let at = self.next();
+        let revision = self.next();
         self.say(ToLimiter::Changes {
-            at,
+            revision,
             items,
             instances,
         });
--- a/crates/emberpin-proxy/tests/readiness.rs
+++ b/crates/emberpin-proxy/tests/readiness.rs
@@ -2,8 +2,11 @@
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_config::{Item, ItemKey, ItemKind};
+use emberpin_membership::ids::{Incarnation, Nonce};
 use emberpin_membership::instance::{Instance, Status};
-use emberpin_membership::session::{First, FromLimiter, Revision, SnapshotCursor, ToLimiter};
+use emberpin_membership::session::{
+    ConnectionRole, FromLimiter, Revision, SnapshotCursor, ToLimiter,
+};
 use emberpin_runtime::frames;
 use emberpin_runtime::identity::ProcessIdentity;
 use googletest::prelude::*;
@@ -17,7 +20,7 @@
 
 const MACHINE: Ipv4Addr = Ipv4Addr::new(127, 9, 7, 1);
 const AT: Revision = Revision {
-    incarnation: 5,
+    incarnation: Incarnation(5),
     number: 12,
 };
 /// Nothing that is waited for takes longer.
@@ -100,32 +103,32 @@
         .handshake(&mut from, &mut to)
         .await
         .expect("greeted");
-    let first: First = frames::read(&mut stream).await.expect("a first message");
-    assert_eq!(first, First::Limiter);
+    let first: ConnectionRole = frames::read(&mut stream).await.expect("a first message");
+    assert_eq!(first, ConnectionRole::Limiter);
     match frames::read(&mut stream).await.expect("a hello") {
-        FromLimiter::Hello { from, .. } => (stream, from),
+        FromLimiter::Hello { resume_from, .. } => (stream, resume_from),
         other => panic!("no hello: {other:?}"),
     }
 }
 
 /// The proxy's next pulse: up to where it has followed, and its question.
-async fn question(stream: &mut TcpStream) -> (Option<Revision>, u64) {
+async fn question(stream: &mut TcpStream) -> (Option<Revision>, Nonce) {
     match timeout(SOON, frames::read(stream))
         .await
         .expect("in time")
         .expect("a pulse")
     {
-        FromLimiter::Pulse { at, question } => (at, question),
+        FromLimiter::KeepAlive { applied, nonce } => (applied, nonce),
         other => panic!("no pulse: {other:?}"),
     }
 }
 
 /// Answers the proxy's next pulse.
 async fn pulse(stream: &mut TcpStream, settled: bool) {
-    let (_, question) = question(stream).await;
-    let age = settled.then_some(0);
-    let pulse = ToLimiter::Pulse {
-        question,
+    let (_, nonce) = question(stream).await;
+    let age = settled.then_some(Duration::ZERO);
+    let pulse = ToLimiter::Confirmation {
+        nonce,
         age,
         limiters: 1,
         registries: vec![MACHINE],
@@ -160,11 +163,11 @@
     expect_that!(from, none());
     let (items, instances) = everything();
     let snapshot = ToLimiter::Snapshot {
-        at: AT,
+        revision: AT,
         items,
         instances,
         complete: false,
-        rest: None,
+        next_part: None,
     };
     frames::write(&mut first, &snapshot).await.expect("told");
     pulse(&mut first, false).await;
@@ -177,7 +180,7 @@
     let (mut again, from) = session(&registry).await;
     expect_that!(from, some(eq(AT)));
     let changes = ToLimiter::Changes {
-        at: AT,
+        revision: AT,
         items: vec![],
         instances: vec![],
     };
@@ -203,8 +206,8 @@
             .expect("in time")
             .expect("a message")
         {
-            FromLimiter::More { after } => return after,
-            FromLimiter::Pulse { at, .. } => assert_eq!(at, None, "not all is told"),
+            FromLimiter::FetchSnapshotPart { after } => return after,
+            FromLimiter::KeepAlive { applied, .. } => assert_eq!(applied, None, "not all is told"),
             other @ FromLimiter::Hello { .. } => panic!("a second hello: {other:?}"),
         }
     }
@@ -226,11 +229,11 @@
     let (mut first, _) = session(&registry).await;
     let rest = Some(cursor.clone());
     let snapshot = ToLimiter::Snapshot {
-        at: AT,
+        revision: AT,
         items,
         instances: vec![],
         complete: true,
-        rest,
+        next_part: rest,
     };
     frames::write(&mut first, &snapshot).await.expect("told");
     expect_that!(wanted(&mut first).await, eq(&cursor));
@@ -241,7 +244,7 @@
     let (mut again, from) = session(&registry).await;
     expect_that!(from, some(eq(AT)));
     let changes = ToLimiter::Changes {
-        at: AT,
+        revision: AT,
         items: vec![],
         instances: vec![],
     };
@@ -252,7 +255,7 @@
     let part = ToLimiter::SnapshotPart {
         items: vec![],
         instances,
-        rest: None,
+        next_part: None,
     };
     frames::write(&mut again, &part).await.expect("told");
     let ready = async {
--- a/crates/emberpin-proxy/tests/servers.rs
+++ b/crates/emberpin-proxy/tests/servers.rs
@@ -145,7 +145,7 @@
     Ok(())
 }
 
-/// Holds `Status::Drain` on its way to the module; the way to the server is shut, and its line says so too.
+/// Holds `Status::Draining` on its way to the module; the way to the server is shut, and its line says so too.
 #[tokio::test]
 async fn nothing_new_goes_to_who_drains() -> googletest::Result<()> {
     let (mut leaving, other) = (Server::anywhere().await, Server::anywhere().await);
@@ -170,7 +170,7 @@
     let at_work = leaving.next().await;
     let drains = Instance {
         seq: 2,
-        status: Status::Drain,
+        status: Status::Draining,
         ..instance("i-1", leaving.address)
     };
     session.change(vec![], vec![drains]).await;
--- a/crates/emberpin-registry/src/commands.rs
+++ b/crates/emberpin-registry/src/commands.rs
@@ -3,8 +3,9 @@
 //! This file lies beneath the connections, the HTTP API and [`crate::host`], so that none of them needs another.
 
 use bytes::Bytes;
+use emberpin_membership::ids::SessionId;
 use emberpin_membership::instance::Instance;
-use emberpin_membership::registry::{Answer, Event, Taker};
+use emberpin_membership::registry::{Event, OperatorCallTarget, ServerReply};
 use emberpin_store::protocol::DiskStatus;
 use std::net::Ipv4Addr;
 use tokio::sync::{mpsc, oneshot};
@@ -22,19 +23,19 @@
         /// The instance as the heartbeat describes it.
         instance: Instance,
         /// Receives the decision; dropped if there is none.
-        response: oneshot::Sender<Answer>,
+        response: oneshot::Sender<ServerReply>,
     },
     /// A server leaves.
     Leave {
         /// The id of its instance.
         instance_id: String,
         /// Receives the decision; dropped if there is none.
-        response: oneshot::Sender<Answer>,
+        response: oneshot::Sender<ServerReply>,
     },
     /// The HTTP API asks which registry can serve a call of the operator.
     FindServingRegistry {
         /// Receives the registry.
-        response: oneshot::Sender<Taker>,
+        response: oneshot::Sender<OperatorCallTarget>,
     },
     /// The operator asks for the registry's status.
     Status {
@@ -46,7 +47,7 @@
     /// A proxy opened a session.
     ProxyConnected {
         /// Number of the session, unique within this process.
-        session_id: u64,
+        session_id: SessionId,
         /// Takes frames for the proxy; once it is dropped, the connection closes.
         frames: FrameSender,
     },
--- a/crates/emberpin-registry/src/host.rs
+++ b/crates/emberpin-registry/src/host.rs
@@ -7,8 +7,10 @@
 use crate::status_report::{self, ProcessStatus};
 use crate::store_state::StoreState;
 use bytes::Bytes;
+use emberpin_membership::clock::Timestamp;
+use emberpin_membership::ids::{CallId, SessionId};
 use emberpin_membership::peers::{Ack, RegistryMessage};
-use emberpin_membership::registry::{Action, Answer, Event, Limits, Registry};
+use emberpin_membership::registry::{Action, Event, Registry, RegistryConfig, ServerReply};
 use emberpin_membership::session::ToLimiter;
 use emberpin_runtime::frames;
 use emberpin_runtime::identity::ProcessIdentity;
@@ -55,10 +57,10 @@
     commands: CommandSender,
     queue: mpsc::Receiver<Command>,
     /// Calls of servers that the state machine has not answered yet, by their id.
-    pending_calls: HashMap<u64, oneshot::Sender<Answer>>,
+    pending_calls: HashMap<CallId, oneshot::Sender<ServerReply>>,
     last_call_id: u64,
     /// Sessions of proxies; a dropped sender closes the connection.
-    sessions: HashMap<u64, FrameSender>,
+    sessions: HashMap<SessionId, FrameSender>,
     /// Other registries that are connected to this one, for acknowledgements.
     inbound_peers: HashMap<Ipv4Addr, FrameSender>,
     /// Other registries that this one connects to, for messages.
@@ -71,14 +73,14 @@
     /// An event loop whose registry starts now, and the sender of commands to it.
     pub fn new(
         identity: HostIdentity,
-        limits: Limits,
+        config: RegistryConfig,
         stores: Arc<StoreState>,
     ) -> (Host, CommandSender) {
         let (commands, queue) = commands::queue();
         let host = Host {
             identity,
-            local_ip: limits.me,
-            registry: Registry::new(0, limits),
+            local_ip: config.address,
+            registry: Registry::new(Timestamp::ZERO, config),
             stores,
             started_at: Instant::now(),
             commands: commands.clone(),
@@ -93,16 +95,17 @@
         (host, commands)
     }
 
-    /// Milliseconds since the start, the clock of the state machine.
-    fn now(&self) -> u64 {
-        u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX)
+    /// The time since the start, the clock of the state machine.
+    fn now(&self) -> Timestamp {
+        Timestamp::ZERO + self.started_at.elapsed()
     }
 
     /// Runs for as long as the process does.
     pub async fn run(mut self) {
         let mut commands = Vec::new();
         loop {
-            let due = self.started_at + Duration::from_millis(self.registry.due());
+            let due =
+                self.started_at + Duration::from_millis(self.registry.next_deadline().as_millis());
             tokio::select! {
                 _ = self.queue.recv_many(&mut commands, MAX_COMMANDS_PER_TURN) => {
                     for command in commands.drain(..) {
@@ -125,11 +128,10 @@
                 response,
             } => {
                 let call = self.register_call(response);
-                let id = instance_id;
-                self.handle_event(Event::Leave { call, id });
+                self.handle_event(Event::Leave { call, instance_id });
             }
             Command::FindServingRegistry { response } => {
-                _ = response.send(self.registry.taker(self.now()));
+                _ = response.send(self.registry.operator_call_target(self.now()));
             }
             Command::Status {
                 local_disk,
@@ -146,7 +148,7 @@
             }
             Command::OutboundPeerDisconnected { peer } => self.set_peer_frames(peer, None),
             Command::Event(event) => {
-                if let Event::Ended { session } = event {
+                if let Event::SessionClosed { session } = event {
                     self.sessions.remove(&session);
                 }
                 self.handle_event(event);
@@ -155,10 +157,11 @@
     }
 
     /// Notes who waits for the answer to a server's call; the id by which the state machine answers it.
-    fn register_call(&mut self, response: oneshot::Sender<Answer>) -> u64 {
+    fn register_call(&mut self, response: oneshot::Sender<ServerReply>) -> CallId {
         self.last_call_id += 1;
-        self.pending_calls.insert(self.last_call_id, response);
-        self.last_call_id
+        let call = CallId(self.last_call_id);
+        self.pending_calls.insert(call, response);
+        call
     }
 
     fn status(&self, local_disk: Option<DiskStatus>) -> String {
@@ -176,9 +179,13 @@
         let Some(outbound) = self.outbound_peers.get_mut(&peer) else {
             return;
         };
-        let open = frames.is_some();
+        let event = if frames.is_some() {
+            Event::PeerConnected { peer }
+        } else {
+            Event::PeerDisconnected { peer }
+        };
         outbound.frames = frames;
-        self.handle_event(Event::Reached { peer, open });
+        self.handle_event(event);
     }
 
     /// Has the state machine handle an event, and whatever its actions cause in turn.
@@ -195,20 +202,22 @@
 
     fn apply_action(&mut self, action: Action) {
         match action {
-            Action::Answer { call, answer } => self.answer_call(call, answer),
-            Action::Call { peer } => self.connect_peer(peer),
-            Action::Drop { peer } => self.disconnect_peer(peer),
-            Action::Say { to, said } => self.send_to_peers(&to, &said),
-            Action::Ack { to, ack } => self.acknowledge(to, &ack),
-            Action::Tell { to, told } => self.send_to_proxies(&to, &told),
-            Action::AskStore { question } => self.stores.request_confirmation(question),
-            Action::Close { session } => _ = self.sessions.remove(&session),
+            Action::Reply { call, reply } => self.answer_call(call, reply),
+            Action::ConnectPeer { peer } => self.connect_peer(peer),
+            Action::DisconnectPeer { peer } => self.disconnect_peer(peer),
+            Action::SendToPeers { peers, message } => self.send_to_peers(&peers, &message),
+            Action::AcknowledgePeer { peer, ack } => self.acknowledge(peer, &ack),
+            Action::SendToLimiters { sessions, message } => {
+                self.send_to_proxies(&sessions, &message);
+            }
+            Action::QueryStore { nonce } => self.stores.request_confirmation(nonce.0),
+            Action::CloseSession { session } => _ = self.sessions.remove(&session),
         }
     }
 
-    fn answer_call(&mut self, call: u64, answer: Answer) {
+    fn answer_call(&mut self, call: CallId, reply: ServerReply) {
         if let Some(response) = self.pending_calls.remove(&call) {
-            _ = response.send(answer);
+            _ = response.send(reply);
         }
     }
 
@@ -255,9 +264,8 @@
                 // The queue is full or closed. A frame left out would never be repeated on this connection, so it
                 // ends; the next one begins with the whole state.
                 outbound.frames = None;
-                let open = false;
                 self.deferred_events
-                    .push_back(Event::Reached { peer, open });
+                    .push_back(Event::PeerDisconnected { peer });
             }
         }
     }
@@ -275,7 +283,7 @@
         }
     }
 
-    fn send_to_proxies(&mut self, sessions: &[u64], message: &ToLimiter) {
+    fn send_to_proxies(&mut self, sessions: &[SessionId], message: &ToLimiter) {
         let frame: Bytes = match frames::encode(message) {
             Ok(frame) => frame.into(),
             Err(error) => {
@@ -299,8 +307,9 @@
         }
     }
 
-    fn close_session(&mut self, session: u64) {
+    fn close_session(&mut self, session: SessionId) {
         self.sessions.remove(&session);
-        self.deferred_events.push_back(Event::Ended { session });
+        self.deferred_events
+            .push_back(Event::SessionClosed { session });
     }
 }
--- a/crates/emberpin-registry/src/http_api.rs
+++ b/crates/emberpin-registry/src/http_api.rs
@@ -10,7 +10,7 @@
 
 use crate::commands::{Command, CommandSender};
 use crate::store_client::StoreClient;
-use emberpin_membership::registry::{Answer, Taker};
+use emberpin_membership::registry::{OperatorCallTarget, ServerReply};
 use emberpin_store::protocol::StoreRequest;
 use heartbeat_body::InvalidHeartbeat;
 use hyper::body::{Body, Incoming};
@@ -194,8 +194,8 @@
             .send(Command::Heartbeat { instance, response })
             .await;
         Ok(match timeout(HEARTBEAT_RESPONSE_TIMEOUT, answer).await {
-            Ok(Ok(Answer::Taken { beat_at })) => {
-                let body = format!("{{\"hb_addr\":\"{beat_at}:{}\"}}", self.ctl_port);
+            Ok(Ok(ServerReply::Acknowledged { heartbeat_target })) => {
+                let body = format!("{{\"hb_addr\":\"{heartbeat_target}:{}\"}}", self.ctl_port);
                 response::json(StatusCode::OK, body)
             }
             _ => response::unavailable(),
@@ -213,7 +213,7 @@
             })
             .await;
         Ok(match timeout(HEARTBEAT_RESPONSE_TIMEOUT, answer).await {
-            Ok(Ok(Answer::Taken { .. })) => response::empty(),
+            Ok(Ok(ServerReply::Acknowledged { .. })) => response::empty(),
             _ => response::unavailable(),
         })
     }
@@ -295,8 +295,8 @@
             .send(Command::FindServingRegistry { response })
             .await;
         match serving.await {
-            Ok(Taker::Here) => None,
-            Ok(Taker::Other(other)) if uri.query() != Some(REDIRECTED_QUERY) => {
+            Ok(OperatorCallTarget::Local) => None,
+            Ok(OperatorCallTarget::Peer(other)) if uri.query() != Some(REDIRECTED_QUERY) => {
                 Some(self.redirect_to(SocketAddr::from((other, self.ctl_port)), uri))
             }
             _ => Some(response::unavailable()),
--- a/crates/emberpin-registry/src/http_api/heartbeat_body.rs
+++ b/crates/emberpin-registry/src/http_api/heartbeat_body.rs
@@ -79,7 +79,7 @@
 fn status(state: &JsonValue) -> Result<Status, InvalidHeartbeat> {
     match state.as_str() {
         Some("up") => Ok(Status::Up),
-        Some("drain") => Ok(Status::Drain),
+        Some("drain") => Ok(Status::Draining),
         _ => Err(expected("stat.state", "up or drain")),
     }
 }
--- a/crates/emberpin-registry/src/inbound.rs
+++ b/crates/emberpin-registry/src/inbound.rs
@@ -3,9 +3,10 @@
 use crate::commands::{Command, CommandSender};
 use crate::connection::{read_message, receive_preamble, write_frames, UnreadableFrames};
 use crate::tcp;
+use emberpin_membership::ids::SessionId;
 use emberpin_membership::peers::RegistryMessage;
 use emberpin_membership::registry::Event;
-use emberpin_membership::session::{First, FromLimiter};
+use emberpin_membership::session::{ConnectionRole, FromLimiter};
 use emberpin_runtime::frames::ConnectionError;
 use emberpin_runtime::identity::ProcessIdentity;
 use std::net::Ipv4Addr;
@@ -54,7 +55,7 @@
 
     /// Accepts connections for as long as the task is not aborted.
     pub async fn serve(self: Arc<InboundServer>, listener: TcpListener) {
-        let mut session_id = 0;
+        let mut last_session_id = 0;
         loop {
             let Ok((stream, peer)) = listener.accept().await else {
                 sleep(ACCEPT_RETRY_DELAY).await;
@@ -63,7 +64,8 @@
             if self.open_connections.load(Ordering::Relaxed) >= MAX_CONNECTIONS {
                 continue;
             }
-            session_id += 1;
+            last_session_id += 1;
+            let session_id = SessionId(last_session_id);
             self.open_connections.fetch_add(1, Ordering::Relaxed);
             let server = self.clone();
             tokio::spawn(async move {
@@ -78,7 +80,7 @@
     async fn serve_connection(
         &self,
         stream: TcpStream,
-        session_id: u64,
+        session_id: SessionId,
     ) -> Result<(), ConnectionError> {
         tcp::configure(&stream)?;
         let (reader, mut writer) = stream.into_split();
@@ -86,14 +88,14 @@
         receive_preamble(&self.identity, &mut reader, HANDSHAKE_TIMEOUT).await?;
         self.identity.send_preamble(&mut writer).await?;
         match read_message(&mut reader, HANDSHAKE_TIMEOUT).await? {
-            First::Limiter => self.serve_proxy(session_id, reader, writer).await,
-            First::Registry(peer) => self.serve_peer(peer, reader, writer).await,
+            ConnectionRole::Limiter => self.serve_proxy(session_id, reader, writer).await,
+            ConnectionRole::Registry(peer) => self.serve_peer(peer, reader, writer).await,
         }
     }
 
     async fn serve_proxy(
         &self,
-        session_id: u64,
+        session_id: SessionId,
         mut reader: impl AsyncRead + Unpin,
         mut writer: impl AsyncWrite + Unpin,
     ) -> Result<(), ConnectionError> {
@@ -103,10 +105,10 @@
             .await;
         let reads = async {
             loop {
-                let said: FromLimiter = read_message(&mut reader, IDLE_TIMEOUT).await?;
+                let message: FromLimiter = read_message(&mut reader, IDLE_TIMEOUT).await?;
                 let session = session_id;
                 self.commands
-                    .send_event(Event::Limiter { session, said })
+                    .send_event(Event::LimiterMessage { session, message })
                     .await;
             }
         };
@@ -115,7 +117,9 @@
             ended = write_frames(&mut writer, &mut queued_frames) => ended,
         };
         let session = session_id;
-        self.commands.send_event(Event::Ended { session }).await;
+        self.commands
+            .send_event(Event::SessionClosed { session })
+            .await;
         ended
     }
 
@@ -131,8 +135,10 @@
             .await;
         let reads = async {
             loop {
-                let said: RegistryMessage = read_message(&mut reader, IDLE_TIMEOUT).await?;
-                self.commands.send_event(Event::Peer { peer, said }).await;
+                let message: RegistryMessage = read_message(&mut reader, IDLE_TIMEOUT).await?;
+                self.commands
+                    .send_event(Event::PeerMessage { peer, message })
+                    .await;
             }
         };
         tokio::select! {
--- a/crates/emberpin-registry/src/outbound.rs
+++ b/crates/emberpin-registry/src/outbound.rs
@@ -7,7 +7,7 @@
 use crate::tcp;
 use emberpin_membership::peers::Ack;
 use emberpin_membership::registry::Event;
-use emberpin_membership::session::First;
+use emberpin_membership::session::ConnectionRole;
 use emberpin_runtime::frames::{self, ConnectionError};
 use emberpin_runtime::identity::ProcessIdentity;
 use std::net::Ipv4Addr;
@@ -55,7 +55,7 @@
         let (reader, mut writer) = stream.into_split();
         let mut reader = BufReader::new(reader);
         self.identity.send_preamble(&mut writer).await?;
-        frames::write(&mut writer, &First::Registry(self.local_ip)).await?;
+        frames::write(&mut writer, &ConnectionRole::Registry(self.local_ip)).await?;
         receive_preamble(&self.identity, &mut reader, HANDSHAKE_TIMEOUT).await?;
         let (frames, mut queued_frames) = mpsc::channel(FRAME_QUEUE_CAPACITY);
         self.commands
@@ -66,7 +66,9 @@
                 // No time limit: acknowledgements come only when a message asked for one. A peer that is gone is
                 // found by the socket's keepalive and user time-out.
                 let ack: Ack = frames::read(&mut reader).await?;
-                self.commands.send_event(Event::Acked { peer, ack }).await;
+                self.commands
+                    .send_event(Event::PeerAcknowledged { peer, ack })
+                    .await;
             }
         };
         let ended = tokio::select! {
--- a/crates/emberpin-registry/src/program.rs
+++ b/crates/emberpin-registry/src/program.rs
@@ -8,7 +8,8 @@
 use crate::store_state::StoreState;
 use crate::store_subscription::StoreSubscription;
 use crate::tcp::{self, ListenError};
-use emberpin_membership::registry::{Limits, PART_BYTES};
+use emberpin_membership::ids::Incarnation;
+use emberpin_membership::registry::{RegistryConfig, SNAPSHOT_PART_BYTES};
 use emberpin_runtime::identity::ProcessIdentity;
 use emberpin_runtime::logs;
 use emberpin_runtime::settings::{Settings, SettingsError};
@@ -138,7 +139,11 @@
         process: process.clone(),
         unreadable_frames: unreadable_frames.clone(),
     };
-    let (host, commands) = Host::new(identity, limits(settings, incarnation), stores.clone());
+    let (host, commands) = Host::new(
+        identity,
+        registry_config(settings, incarnation),
+        stores.clone(),
+    );
     let store_port = settings.store_port();
     let client = Arc::new(StoreClient::new(
         process.clone(),
@@ -152,15 +157,15 @@
     (http_api, inbound)
 }
 
-fn limits(settings: &Settings, incarnation: u64) -> Limits {
+fn registry_config(settings: &Settings, incarnation: u64) -> RegistryConfig {
     let heartbeat_ms = u64::try_from(settings.heartbeat_interval.as_millis()).unwrap_or(u64::MAX);
-    Limits {
-        me: settings.ip,
+    RegistryConfig {
+        address: settings.ip,
         zone: settings.zone.clone(),
-        incarnation,
-        beat_ms: heartbeat_ms.max(1),
+        incarnation: Incarnation(incarnation),
+        heartbeat_interval: Duration::from_millis(heartbeat_ms.max(1)),
         seeds: seed_ips(settings),
-        part_bytes: PART_BYTES,
+        snapshot_part_bytes: SNAPSHOT_PART_BYTES,
     }
 }
 
--- a/crates/emberpin-registry/src/status_report.rs
+++ b/crates/emberpin-registry/src/status_report.rs
@@ -1,7 +1,8 @@
 //! The JSON answer to `GET /status`, which `emberpinctl` reads. Its keys are part of the HTTP interface.
 
+use emberpin_membership::clock::Timestamp;
 use emberpin_membership::instance::Status;
-use emberpin_membership::instances::Row;
+use emberpin_membership::instance_table::InstanceEntry;
 use emberpin_membership::registry::Registry;
 use emberpin_store::protocol::DiskStatus;
 use jzon::{array, object, JsonValue};
@@ -21,15 +22,15 @@
 }
 
 /// The status of a registry as JSON text.
-pub fn to_json(registry: &Registry, process: &ProcessStatus, now: u64) -> String {
+pub fn to_json(registry: &Registry, process: &ProcessStatus, now: Timestamp) -> String {
     let status = object! {
         name: process.node_name,
-        settled: registry.is_settled(now),
+        settled: registry.is_confirmed(now),
         voters: addresses(registry.voters()),
-        registries: addresses(&registry.heard(now)),
+        registries: addresses(&registry.registries_in_contact(now)),
         limiters: proxies(registry),
         instances: instances(registry, now),
-        items: registry.items(),
+        items: registry.item_count(),
         unreadable: process.unreadable_frames,
         refused: process.rejected_peers,
         disk: process.local_disk.map(disk),
@@ -45,26 +46,26 @@
 /// Sessions of proxies, each with the number of changes that it has not taken yet.
 fn proxies(registry: &Registry) -> JsonValue {
     let mut proxies = array![];
-    for session in registry.behind() {
+    for lag in registry.limiter_lags() {
         _ = proxies.push(object! {
-            name: session.limiter.name,
-            zone: session.limiter.zone,
-            behind: session.behind,
+            name: lag.limiter.name,
+            zone: lag.limiter.zone,
+            behind: lag.changes_behind,
         });
     }
     proxies
 }
 
-fn instances(registry: &Registry, now: u64) -> JsonValue {
+fn instances(registry: &Registry, now: Timestamp) -> JsonValue {
     let mut instances = array![];
-    for (id, row) in registry.instances().iter() {
-        _ = instances.push(instance(registry, id, row, now));
+    for (id, entry) in registry.instances().iter() {
+        _ = instances.push(instance(registry, id, entry, now));
     }
     instances
 }
 
-fn instance(registry: &Registry, id: &str, row: &Row, now: u64) -> JsonValue {
-    let instance = row.instance(now);
+fn instance(registry: &Registry, id: &str, entry: &InstanceEntry, now: Timestamp) -> JsonValue {
+    let instance = entry.instance(now);
     object! {
         id: id,
         service: instance.service,
@@ -72,16 +73,16 @@
         zone: instance.zone,
         status: status_name(instance.status),
         cold_ms: instance.cold_ms,
-        heard_ms: now.saturating_sub(registry.heard_life(row)),
-        owner: row.owner.map(|owner| owner.to_string()),
+        heard_ms: now.duration_since(registry.last_contact(entry)).as_millis() as u64,
+        owner: entry.owner.map(|owner| owner.to_string()),
     }
 }
 
 fn status_name(status: Status) -> &'static str {
     match status {
         Status::Up => "up",
-        Status::Drain => "drain",
-        Status::Gone => "gone",
+        Status::Draining => "drain",
+        Status::Removed => "gone",
     }
 }
 
--- a/crates/emberpin-registry/src/store_subscription.rs
+++ b/crates/emberpin-registry/src/store_subscription.rs
@@ -8,6 +8,7 @@
 use crate::connection::{read_message, receive_preamble};
 use crate::store_state::StoreState;
 use crate::tcp;
+use emberpin_membership::ids::Nonce;
 use emberpin_membership::registry::Event;
 use emberpin_runtime::frames::{self, ConnectionError};
 use emberpin_runtime::identity::ProcessIdentity;
@@ -155,12 +156,12 @@
                     self.state.record_local_disk(disk);
                 }
                 self.state.record_voters(&voters);
-                Some(Event::Voters(voters))
+                Some(Event::VotersChanged(voters))
             }
-            StoreReply::FreshnessConfirmed {
-                nonce: question,
-                age_ms: age,
-            } => Some(Event::StoreConfirmed { question, age }),
+            StoreReply::FreshnessConfirmed { nonce, age_ms } => Some(Event::StoreConfirmed {
+                nonce: Nonce(nonce),
+                age: age_ms.map(Duration::from_millis),
+            }),
             // Calls have connections of their own.
             StoreReply::Response { .. } => None,
         }
--- a/crates/emberpin-registry/tests/common/proxy_session.rs
+++ b/crates/emberpin-registry/tests/common/proxy_session.rs
@@ -2,8 +2,9 @@
 
 use super::{connect, REGISTRY_PORT, TEST_TIMEOUT};
 use emberpin_config::Item;
+use emberpin_membership::ids::{Incarnation, Nonce};
 use emberpin_membership::instance::Instance;
-use emberpin_membership::session::{First, FromLimiter, SnapshotCursor, ToLimiter};
+use emberpin_membership::session::{ConnectionRole, FromLimiter, SnapshotCursor, ToLimiter};
 use emberpin_runtime::frames;
 use emberpin_runtime::identity::ProcessIdentity;
 use std::collections::BTreeSet;
@@ -33,14 +34,14 @@
         let proxy = ProcessIdentity::new(1);
         proxy.send_preamble(&mut writer).await.expect("sent");
         proxy.receive_preamble(&mut reader).await.expect("received");
-        frames::write(&mut writer, &First::Limiter)
+        frames::write(&mut writer, &ConnectionRole::Limiter)
             .await
             .expect("sent");
         let hello = FromLimiter::Hello {
-            incarnation: 1,
+            incarnation: Incarnation(1),
             name: "edge-1".into(),
             zone: "north".into(),
-            from: None,
+            resume_from: None,
             instances: vec![],
         };
         frames::write(&mut writer, &hello).await.expect("sent");
@@ -57,13 +58,17 @@
         let (mut parts, mut keys, cursors) = (0, BTreeSet::new(), self.cursors.clone());
         self.wait_for(|message| {
             let (items, rest) = match message {
-                ToLimiter::Snapshot { items, rest, .. }
-                | ToLimiter::SnapshotPart { items, rest, .. } => {
+                ToLimiter::Snapshot {
+                    items, next_part, ..
+                }
+                | ToLimiter::SnapshotPart {
+                    items, next_part, ..
+                } => {
                     parts += 1;
-                    (items, rest.clone())
+                    (items, next_part.clone())
                 }
                 ToLimiter::Changes { items, .. } => (items, None),
-                ToLimiter::Pulse { .. } => return None,
+                ToLimiter::Confirmation { .. } => return None,
             };
             keys.extend(items.iter().map(|item| item.key.clone()));
             if let Some(after) = rest {
@@ -106,7 +111,7 @@
     /// Reads until the registry confirms that what it sent is recent.
     pub async fn wait_until_confirmed(&mut self) {
         let confirmed = |message: &ToLimiter| {
-            matches!(message, ToLimiter::Pulse { age: Some(_), .. }).then_some(())
+            matches!(message, ToLimiter::Confirmation { age: Some(_), .. }).then_some(())
         };
         self.wait_for(confirmed).await;
     }
@@ -118,7 +123,7 @@
         ToLimiter::Snapshot { items, .. } | ToLimiter::Changes { items, .. } => {
             items.first().cloned()
         }
-        ToLimiter::SnapshotPart { .. } | ToLimiter::Pulse { .. } => None,
+        ToLimiter::SnapshotPart { .. } | ToLimiter::Confirmation { .. } => None,
     }
 }
 
@@ -135,10 +140,10 @@
     mut cursors: UnboundedReceiver<SnapshotCursor>,
 ) {
     let mut heartbeat_due = interval(HEARTBEAT_INTERVAL);
-    for question in 1.. {
+    for nonce in 1.. {
         let message = tokio::select! {
-            Some(after) = cursors.recv() => FromLimiter::More { after },
-            _ = heartbeat_due.tick() => FromLimiter::Pulse { at: None, question },
+            Some(after) = cursors.recv() => FromLimiter::FetchSnapshotPart { after },
+            _ = heartbeat_due.tick() => FromLimiter::KeepAlive { applied: None, nonce: Nonce(nonce) },
         };
         if frames::write(&mut writer, &message).await.is_err() {
             return;
--- a/crates/emberpin-registry/tests/heartbeats.rs
+++ b/crates/emberpin-registry/tests/heartbeats.rs
@@ -59,7 +59,10 @@
         eq((200, true))
     )?;
     let gone = proxy.wait_for(first_changed_instance).await;
-    verify_that!((gone.id.as_str(), gone.status), eq(("i-1", Status::Gone)))?;
+    verify_that!(
+        (gone.id.as_str(), gone.status),
+        eq(("i-1", Status::Removed))
+    )?;
     proxy.wait_until_confirmed().await;
     let (status, response) = call(local, "GET", "/status", "").await;
     verify_that!(
@@ -98,9 +101,9 @@
     let draining = |message: &ToLimiter| match message {
         ToLimiter::Snapshot { instances, .. } | ToLimiter::Changes { instances, .. } => instances
             .iter()
-            .any(|instance| instance.id == "i-1" && instance.status == Status::Drain)
+            .any(|instance| instance.id == "i-1" && instance.status == Status::Draining)
             .then_some(()),
-        ToLimiter::SnapshotPart { .. } | ToLimiter::Pulse { .. } => None,
+        ToLimiter::SnapshotPart { .. } | ToLimiter::Confirmation { .. } => None,
     };
     proxy.wait_for(draining).await;
     let (status, _) = call(
--- a/crates/emberpin-registry/tests/proxy_sessions.rs
+++ b/crates/emberpin-registry/tests/proxy_sessions.rs
@@ -73,7 +73,7 @@
     verify_that!(ended.is_ok(), eq(true))?;
     verify_that!(rest, is_empty())?;
     proxy
-        .wait_for(|message| matches!(message, ToLimiter::Pulse { .. }).then_some(()))
+        .wait_for(|message| matches!(message, ToLimiter::Confirmation { .. }).then_some(()))
         .await;
     let (_, response) = call(local, "GET", "/status", "").await;
     verify_that!(response, contains_substring("\"unreadable\":1"))
--- a/crates/emberpin-registry/tests/recorded_messages.rs
+++ b/crates/emberpin-registry/tests/recorded_messages.rs
@@ -9,7 +9,7 @@
 
 use emberpin_consensus::Message;
 use emberpin_membership::peers::RegistryMessage;
-use emberpin_membership::session::{First, FromLimiter, ToLimiter};
+use emberpin_membership::session::{ConnectionRole, FromLimiter, ToLimiter};
 use emberpin_runtime::frames::{self, ConnectionError};
 use emberpin_runtime::preamble::{Preamble, PREAMBLE_BYTES};
 use emberpin_store::protocol::{DiskState, StoreReply, StoreRequest, ToStore};
@@ -161,7 +161,7 @@
     let to_registry = recorded::frames(MESSAGES, "to-registry");
     let (first, rest) = to_registry.split_at(samples::first().len());
     let (from_limiter, between_registries) = rest.split_at(samples::from_limiter().len());
-    expect_all_recorded::<First>(first, &[]);
+    expect_all_recorded::<ConnectionRole>(first, &[]);
     expect_all_recorded::<FromLimiter>(from_limiter, &[]);
     expect_all_recorded::<RegistryMessage>(between_registries, &[]);
     let from_registry = recorded::frames(MESSAGES, "from-registry");
--- a/crates/emberpin-registry/tests/samples/mod.rs
+++ b/crates/emberpin-registry/tests/samples/mod.rs
@@ -6,13 +6,17 @@
 
 use emberpin_config::{Item, ItemKey, ItemKind};
 use emberpin_consensus::{Ballot, Incarnation, Message, Pending, Renewals};
+use emberpin_membership::ids::{self, AckId, Digest, Nonce};
 use emberpin_membership::instance::{Instance, Status};
-use emberpin_membership::peers::{Ack, InstanceRecord, Limiter, RegistryMessage};
-use emberpin_membership::session::{First, FromLimiter, Revision, SnapshotCursor, ToLimiter};
+use emberpin_membership::peers::{Ack, InstanceRecord, LimiterIdentity, RegistryMessage};
+use emberpin_membership::session::{
+    ConnectionRole, FromLimiter, Revision, SnapshotCursor, ToLimiter,
+};
 use emberpin_runtime::frames;
 use emberpin_store::protocol::{DiskState, DiskStatus, StoreReply, StoreRequest, ToStore};
 use serde::Serialize;
 use std::net::Ipv4Addr;
+use std::time::Duration;
 
 const MACHINE: Ipv4Addr = Ipv4Addr::new(10, 1, 0, 7);
 const BALLOT: Ballot = Ballot {
@@ -21,7 +25,7 @@
     incarnation: 9,
 };
 const PLACE: Revision = Revision {
-    incarnation: 5,
+    incarnation: ids::Incarnation(5),
     number: 6,
 };
 
@@ -81,9 +85,9 @@
     }]
 }
 
-fn limiters() -> Vec<Limiter> {
-    vec![Limiter {
-        incarnation: 3,
+fn limiters() -> Vec<LimiterIdentity> {
+    vec![LimiterIdentity {
+        incarnation: ids::Incarnation(3),
         name: "edge".into(),
         zone: "z".into(),
     }]
@@ -213,32 +217,32 @@
 }
 
 /// Every message that opens a connection to a registry.
-pub fn first() -> Vec<First> {
-    vec![First::Limiter, First::Registry(MACHINE)]
+pub fn first() -> Vec<ConnectionRole> {
+    vec![ConnectionRole::Limiter, ConnectionRole::Registry(MACHINE)]
 }
 
 /// Every message from a proxy to a registry.
 pub fn from_limiter() -> Vec<FromLimiter> {
     let instances = vec![
         instance(Status::Up),
-        instance(Status::Drain),
-        instance(Status::Gone),
+        instance(Status::Draining),
+        instance(Status::Removed),
     ];
     let hello = FromLimiter::Hello {
-        incarnation: 1,
+        incarnation: ids::Incarnation(1),
         name: "edge".into(),
         zone: "z".into(),
-        from: Some(PLACE),
+        resume_from: Some(PLACE),
         instances,
     };
     let after = SnapshotCursor::Item(items()[0].key.clone());
     vec![
         hello,
-        FromLimiter::Pulse {
-            at: Some(PLACE),
-            question: 11,
+        FromLimiter::KeepAlive {
+            applied: Some(PLACE),
+            nonce: Nonce(11),
         },
-        FromLimiter::More { after },
+        FromLimiter::FetchSnapshotPart { after },
     ]
 }
 
@@ -247,25 +251,25 @@
     vec![
         RegistryMessage::Hello {
             zone: "z".into(),
-            settled: true,
+            confirmed: true,
             instances: records(),
             limiters: limiters(),
         },
         RegistryMessage::Changed {
-            ask: Some(1),
+            ack_id: Some(AckId(1)),
             instances: records(),
         },
-        RegistryMessage::Pulse {
-            settled: false,
-            question: 12,
-            digest: 4,
+        RegistryMessage::Heartbeat {
+            confirmed: false,
+            nonce: Nonce(12),
+            digest: Digest(4),
         },
-        RegistryMessage::Alive { question: 12 },
-        RegistryMessage::Want,
-        RegistryMessage::Owned {
+        RegistryMessage::HeartbeatAck { nonce: Nonce(12) },
+        RegistryMessage::FetchOwned,
+        RegistryMessage::OwnedInstances {
             instances: records(),
         },
-        RegistryMessage::Sessions {
+        RegistryMessage::LimiterSessions {
             limiters: limiters(),
         },
     ]
@@ -276,25 +280,25 @@
     let instances = vec![instance(Status::Up)];
     vec![
         ToLimiter::Snapshot {
-            at: PLACE,
+            revision: PLACE,
             items: items(),
             instances: instances.clone(),
             complete: true,
-            rest: None,
+            next_part: None,
         },
         ToLimiter::Changes {
-            at: PLACE,
+            revision: PLACE,
             items: items(),
             instances: instances.clone(),
         },
         ToLimiter::SnapshotPart {
             items: items(),
             instances,
-            rest: Some(SnapshotCursor::Instance("i-1".into())),
+            next_part: Some(SnapshotCursor::Instance("i-1".into())),
         },
-        ToLimiter::Pulse {
-            question: 11,
-            age: Some(13),
+        ToLimiter::Confirmation {
+            nonce: Nonce(11),
+            age: Some(Duration::from_millis(13)),
             limiters: 2,
             registries: vec![MACHINE],
         },
@@ -303,7 +307,7 @@
 
 /// The acknowledgement of a registry to another one.
 pub fn acks() -> Vec<Ack> {
-    vec![Ack { ask: 1 }]
+    vec![Ack { ack_id: AckId(1) }]
 }
 
 fn frames_of<T: Serialize>(messages: &[T]) -> Vec<Vec<u8>> {
--- a/crates/emberpin-registry/tests/samples/values.rs
+++ b/crates/emberpin-registry/tests/samples/values.rs
@@ -4,6 +4,7 @@
 use super::{frames_of, instance, item, lines, BALLOT, MACHINE, PLACE};
 use emberpin_config::{Item, ItemKind};
 use emberpin_consensus::{Ballot, Incarnation, Message, Pending, Renewals};
+use emberpin_membership::ids::{self, AckId, Digest, Nonce};
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::peers::{Ack, InstanceRecord, RegistryMessage};
 use emberpin_membership::session::{FromLimiter, Revision, SnapshotCursor, ToLimiter};
@@ -18,7 +19,7 @@
     incarnation: u32::MAX,
 };
 const LAST: Revision = Revision {
-    incarnation: u64::MAX,
+    incarnation: ids::Incarnation(u64::MAX),
     number: u64::MAX,
 };
 
@@ -142,20 +143,20 @@
 /// Messages from a proxy to a registry.
 pub fn from_limiter() -> Vec<FromLimiter> {
     let hello = FromLimiter::Hello {
-        incarnation: u64::MAX,
+        incarnation: ids::Incarnation(u64::MAX),
         name: String::new(),
         zone: "zürich".into(),
-        from: None,
+        resume_from: None,
         instances: vec![with_ipv6_address()],
     };
     let after = SnapshotCursor::Instance("i-1".into());
     vec![
         hello,
-        FromLimiter::Pulse {
-            at: None,
-            question: u64::MAX,
+        FromLimiter::KeepAlive {
+            applied: None,
+            nonce: Nonce(u64::MAX),
         },
-        FromLimiter::More { after },
+        FromLimiter::FetchSnapshotPart { after },
     ]
 }
 
@@ -170,18 +171,18 @@
     vec![
         RegistryMessage::Hello {
             zone: String::new(),
-            settled: false,
+            confirmed: false,
             instances,
             limiters,
         },
         RegistryMessage::Changed {
-            ask: None,
+            ack_id: None,
             instances: vec![unowned],
         },
-        RegistryMessage::Pulse {
-            settled: true,
-            question: u64::MAX,
-            digest: u64::MAX,
+        RegistryMessage::Heartbeat {
+            confirmed: true,
+            nonce: Nonce(u64::MAX),
+            digest: Digest(u64::MAX),
         },
     ]
 }
@@ -192,24 +193,24 @@
     let rest = Some(SnapshotCursor::Item(item(ItemKind::Route, "r", None).key));
     vec![
         ToLimiter::Snapshot {
-            at: PLACE,
+            revision: PLACE,
             items: items.clone(),
             instances,
             complete: false,
-            rest,
+            next_part: rest,
         },
         ToLimiter::Changes {
-            at: LAST,
+            revision: LAST,
             items: items.clone(),
             instances: Vec::new(),
         },
         ToLimiter::SnapshotPart {
             items,
             instances: Vec::new(),
-            rest: None,
+            next_part: None,
         },
-        ToLimiter::Pulse {
-            question: u64::MAX,
+        ToLimiter::Confirmation {
+            nonce: Nonce(u64::MAX),
             age: None,
             limiters: u32::MAX,
             registries: Vec::new(),
@@ -219,7 +220,9 @@
 
 /// The acknowledgement of a registry to another one.
 pub fn acks() -> Vec<Ack> {
-    vec![Ack { ask: u64::MAX }]
+    vec![Ack {
+        ack_id: AckId(u64::MAX),
+    }]
 }
 
 /// Preambles of a process that does not know its system, and of one that does.
--- a/crates/emberpin-routing/src/endpoints/mod.rs
+++ b/crates/emberpin-routing/src/endpoints/mod.rs
@@ -114,7 +114,7 @@
         if replaces {
             endpoint.replace_instance(report);
         }
-        if report.status == Status::Gone {
+        if report.status == Status::Removed {
             self.remove(&report.id);
         } else if replaces {
             self.mark_changed(&report.id);
@@ -122,7 +122,7 @@
     }
 
     fn insert(&mut self, now: Duration, report: &Instance) {
-        if report.status == Status::Gone {
+        if report.status == Status::Removed {
             self.tombstones.insert(&report.id, ReportOrder::of(report));
             return;
         }
--- a/crates/emberpin-routing/tests/endpoints.rs
+++ b/crates/emberpin-routing/tests/endpoints.rs
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
-use Status::{Drain, Gone, Up};
+use Status::{Draining, Removed, Up};
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_300);
 const WARMUP: Duration = Duration::from_millis(3_000);
@@ -50,7 +50,7 @@
     endpoints.update(Duration::ZERO, &[instance("i", Up, 4)]);
     expect_that!(endpoints.availability("i"), eq(Availability::Available));
     expect_true!(endpoints.has_available("s"));
-    endpoints.update(Duration::ZERO, &[instance("i", Drain, 5)]);
+    endpoints.update(Duration::ZERO, &[instance("i", Draining, 5)]);
     expect_that!(endpoints.availability("i"), eq(Availability::Draining));
     endpoints.update(Duration::ZERO, &[instance("i", Up, 9)]);
     expect_that!(endpoints.availability("i"), eq(Availability::Draining));
@@ -63,7 +63,7 @@
     let mut endpoints = endpoint_table();
     endpoints.update(
         Duration::ZERO,
-        &[instance("i", Up, 9), instance("i", Drain, 5)],
+        &[instance("i", Up, 9), instance("i", Draining, 5)],
     );
     expect_that!(endpoints.availability("i"), eq(Availability::Draining));
 }
@@ -76,7 +76,7 @@
         Duration::ZERO,
         &[
             instance("i", Up, 4),
-            instance("i", Gone, 5),
+            instance("i", Removed, 5),
             instance("i", Up, 9),
         ],
     );
@@ -84,7 +84,7 @@
     // Its end was reported before any heartbeat.
     endpoints.update(
         Duration::ZERO,
-        &[instance("j", Gone, 5), instance("j", Up, 4)],
+        &[instance("j", Removed, 5), instance("j", Up, 4)],
     );
     expect_that!(endpoints.availability("j"), eq(Availability::Removed));
     expect_that!(endpoints.take_changes(), is_empty());
@@ -123,7 +123,7 @@
 fn the_number_of_tombstones_is_bounded() {
     let mut endpoints = endpoint_table();
     (0..5_000)
-        .for_each(|k| endpoints.update(Duration::ZERO, &[instance(&format!("i-{k}"), Gone, 1)]));
+        .for_each(|k| endpoints.update(Duration::ZERO, &[instance(&format!("i-{k}"), Removed, 1)]));
     expect_that!(endpoints.tombstones(), eq(4_096));
     endpoints.update(Duration::ZERO, &[instance("i-4999", Up, 9)]);
     expect_that!(endpoints.availability("i-4999"), eq(Availability::Removed));
@@ -288,7 +288,7 @@
         slots,
         ..instance("i", Up, seq)
     };
-    endpoints.update(Duration::ZERO, &[beat(1, 2), instance("j", Drain, 1)]);
+    endpoints.update(Duration::ZERO, &[beat(1, 2), instance("j", Draining, 1)]);
     let all = [
         ("i".into(), Availability::Available),
         ("j".into(), Availability::Draining),
@@ -314,10 +314,10 @@
     endpoints.update(
         Duration::ZERO,
         &[
-            instance("i", Gone, 5),
-            instance("j", Gone, 5),
+            instance("i", Removed, 5),
+            instance("j", Removed, 5),
             instance("k", Up, 1),
-            instance("k", Gone, 2),
+            instance("k", Removed, 2),
         ],
     );
     expect_that!(
@@ -361,7 +361,7 @@
     rises(&endpoints, "evacuated");
     endpoints.set_evacuated_zones(Duration::ZERO, zones(&[]));
     rises(&endpoints, "warming up after an evacuation");
-    endpoints.update(Duration::ZERO, &[instance("i", Drain, 5)]);
+    endpoints.update(Duration::ZERO, &[instance("i", Draining, 5)]);
     rises(&endpoints, "drain");
     endpoints.mark_misdirected("j");
     rises(&endpoints, "misdirected");
@@ -381,7 +381,7 @@
 }
 
 fn report() -> impl Strategy<Value = Instance> {
-    let status = prop_oneof![4 => Just(Up), 2 => Just(Drain), 1 => Just(Gone)];
+    let status = prop_oneof![4 => Just(Up), 2 => Just(Draining), 1 => Just(Removed)];
     (0..4, status, 1u64..6).prop_map(|(id, status, seq)| instance(&format!("i-{id}"), status, seq))
 }
 
@@ -399,8 +399,8 @@
             prop_assert_eq!(left.availability(id), right.availability(id));
             let top = one.iter().filter(|instance| instance.id == id).map(|instance| (instance.status, instance.seq)).max();
             let work = match top {
-                None | Some((Gone, _)) => Availability::Removed,
-                Some((Drain, _)) => Availability::Draining,
+                None | Some((Removed, _)) => Availability::Removed,
+                Some((Draining, _)) => Availability::Draining,
                 Some((Up, _)) => Availability::Available,
             };
             prop_assert_eq!(left.availability(id), work);
@@ -456,7 +456,7 @@
     let mut endpoints = endpoint_table();
     endpoints.update(
         Duration::ZERO,
-        &[instance("i", Up, 9), instance("i", Drain, 5)],
+        &[instance("i", Up, 9), instance("i", Draining, 5)],
     );
     expect_that!(
         endpoints.known_instances(Duration::ZERO),
--- a/crates/emberpin-routing/tests/router.rs
+++ b/crates/emberpin-routing/tests/router.rs
@@ -14,7 +14,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 use std::time::Duration;
-use Status::{Drain, Up};
+use Status::{Draining, Up};
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_300);
 const TOLERANCE: WarmupTolerance = WarmupTolerance {
@@ -67,7 +67,7 @@
         ("a drain", |router| {
             router
                 .endpoints
-                .update(Duration::ZERO, &[instance("i", Drain, 2)]);
+                .update(Duration::ZERO, &[instance("i", Draining, 2)]);
         }),
         ("its end", |router| {
             router
--- a/crates/emberpin-scale-bench/src/hollow.rs
+++ b/crates/emberpin-scale-bench/src/hollow.rs
@@ -2,7 +2,8 @@
 
 use crate::http::Connection;
 use crate::texts::{self, Places, BEAT_MS, LOAD, PROBE};
-use emberpin_membership::session::{First, FromLimiter, Revision, ToLimiter};
+use emberpin_membership::ids::{Incarnation, Nonce};
+use emberpin_membership::session::{ConnectionRole, FromLimiter, Revision, ToLimiter};
 use emberpin_runtime::frames::{self, ConnectionError};
 use emberpin_runtime::identity::ProcessIdentity;
 use std::collections::BTreeMap;
@@ -93,15 +94,15 @@
     stream.set_nodelay(true)?;
     let (mut from, mut to) = stream.into_split();
     let hello = FromLimiter::Hello {
-        incarnation: number as u64,
+        incarnation: Incarnation(number as u64),
         name: format!("hollow-{number}"),
         zone: texts::zone(number),
-        from: None,
+        resume_from: None,
         instances: Vec::new(),
     };
     let limiter = ProcessIdentity::new(number as u64);
     limiter.send_preamble(&mut to).await?;
-    frames::write(&mut to, &First::Limiter).await?;
+    frames::write(&mut to, &ConnectionRole::Limiter).await?;
     frames::write(&mut to, &hello).await?;
     limiter.receive_preamble(&mut from).await?;
     counts.sessions.fetch_add(1, Ordering::Relaxed);
@@ -109,12 +110,12 @@
     let (cursors, mut wanted) = tokio::sync::mpsc::unbounded_channel();
     let at = || place.lock().unwrap_or_else(PoisonError::into_inner);
     let pulses = async {
-        let mut question = 0;
+        let mut nonce = 0;
         loop {
-            question += 1;
+            nonce += 1;
             let said = tokio::select! {
-                () = sleep(PULSE) => FromLimiter::Pulse { at: *at(), question },
-                Some(after) = wanted.recv() => FromLimiter::More { after },
+                () = sleep(PULSE) => FromLimiter::KeepAlive { applied: *at(), nonce: Nonce(nonce) },
+                Some(after) = wanted.recv() => FromLimiter::FetchSnapshotPart { after },
             };
             let frame = frames::encode(&said)?;
             counts.said.fetch_add(frame.len() as u64, Ordering::Relaxed);
@@ -129,11 +130,18 @@
                 .fetch_add(frames::encode(&told)?.len() as u64, Ordering::Relaxed);
             let (place, items, rest) = match told {
                 ToLimiter::Snapshot {
-                    at, items, rest, ..
-                } => (Some(at), items, rest),
-                ToLimiter::SnapshotPart { items, rest, .. } => (None, items, rest),
-                ToLimiter::Changes { at, items, .. } => (Some(at), items, None),
-                ToLimiter::Pulse { .. } => continue,
+                    revision,
+                    items,
+                    next_part,
+                    ..
+                } => (Some(revision), items, next_part),
+                ToLimiter::SnapshotPart {
+                    items, next_part, ..
+                } => (None, items, next_part),
+                ToLimiter::Changes {
+                    revision, items, ..
+                } => (Some(revision), items, None),
+                ToLimiter::Confirmation { .. } => continue,
             };
             if place.is_some() {
                 *at() = place;
@@ -165,27 +173,31 @@
     let mut stream = TcpStream::connect(registry).await?;
     stream.set_nodelay(true)?;
     let hello = FromLimiter::Hello {
-        incarnation: 0,
+        incarnation: Incarnation(0),
         name: "new".into(),
         zone: texts::zone(0),
-        from: None,
+        resume_from: None,
         instances: Vec::new(),
     };
     let limiter = ProcessIdentity::new(0);
     limiter.send_preamble(&mut stream).await?;
-    frames::write(&mut stream, &First::Limiter).await?;
+    frames::write(&mut stream, &ConnectionRole::Limiter).await?;
     frames::write(&mut stream, &hello).await?;
     limiter.receive_preamble(&mut stream).await?;
     let mut bytes = 0;
     loop {
         let told: ToLimiter = frames::read(&mut stream).await?;
         let length = frames::encode(&told)?.len();
-        let (ToLimiter::Snapshot { rest, .. } | ToLimiter::SnapshotPart { rest, .. }) = told else {
+        let (ToLimiter::Snapshot { next_part, .. } | ToLimiter::SnapshotPart { next_part, .. }) =
+            told
+        else {
             continue;
         };
         bytes += length;
-        let Some(after) = rest else { return Ok(bytes) };
-        frames::write(&mut stream, &FromLimiter::More { after }).await?;
+        let Some(after) = next_part else {
+            return Ok(bytes);
+        };
+        frames::write(&mut stream, &FromLimiter::FetchSnapshotPart { after }).await?;
     }
 }
 
--- a/crates/emberpin-simulator/src/builds.rs
+++ b/crates/emberpin-simulator/src/builds.rs
@@ -87,7 +87,7 @@
     pub fn without(&mut self, name: &str) -> bool {
         if name == "no-returned" {
             // Each of these two is enough.
-            self.watch.returned = false;
+            self.watch.cold_after_evacuation = false;
         }
         if name == "no-heard" {
             // Either keeps a roster from staying at four of which one is gone for good.
@@ -111,12 +111,12 @@
             "no-superseded" => &mut self.consensus.superseded,
             "no-history" => &mut self.consensus.history,
             "no-awake" => &mut self.consensus.awake,
-            "no-majority" => &mut self.watch.majority,
-            "no-rises" => &mut self.watch.rises,
-            "no-silence" => &mut self.watch.silence,
-            "no-repair" => &mut self.watch.repair,
-            "no-displace" => &mut self.watch.displace,
-            "no-place" => &mut self.watch.place,
+            "no-majority" => &mut self.watch.majority_acknowledgement,
+            "no-rises" => &mut self.watch.monotonic_status,
+            "no-silence" => &mut self.watch.confirmed_eviction,
+            "no-repair" => &mut self.watch.repair_from_limiters,
+            "no-displace" => &mut self.watch.displacement,
+            "no-place" => &mut self.watch.revision_check,
             "no-fleet-rises" => &mut self.router.monotonic_status,
             "no-returned" => &mut self.router.warmup_after_evacuation,
             "no-quiet" => &mut self.router.quiet_period,
@@ -128,7 +128,7 @@
             "no-resumes" => &mut self.proxy.resumes,
             "no-hints" => &mut self.proxy.hints,
             "no-parts" => &mut self.proxy.parts,
-            "no-lease" => &mut self.watch.lease,
+            "no-lease" => &mut self.watch.lease_from_query,
             _ => return false,
         };
         *guard = false;
--- a/crates/emberpin-simulator/src/callers.rs
+++ b/crates/emberpin-simulator/src/callers.rs
@@ -7,8 +7,9 @@
 use crate::world::{Applied, Due, World};
 use emberpin_config::{parse_patch, Item};
 use emberpin_consensus::{Call, Event};
+use emberpin_membership::ids::CallId;
 use emberpin_membership::instance::{Instance, Status};
-use emberpin_membership::registry::{self, Answer};
+use emberpin_membership::registry::{self, ServerReply};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -371,12 +372,15 @@
             return;
         };
         self.operators.next += 1;
-        let call = self.operators.next;
+        let call = CallId(self.operators.next);
         self.ledger
             .beats
-            .insert(call, (name.into(), incarnation, attempt, drains));
+            .insert(call.0, (name.into(), incarnation, attempt, drains));
         let event = if leave {
-            registry::Event::Leave { call, id }
+            registry::Event::Leave {
+                call,
+                instance_id: id,
+            }
         } else {
             let cold = server.cold_until.saturating_sub(self.now) as u32;
             registry::Event::Heartbeat {
@@ -387,7 +391,7 @@
                     address: SocketAddr::from((Ipv4Addr::new(10, 0, 2, 1), server.address)),
                     zone: server.zone.clone(),
                     slots: 2,
-                    status: if drains { Status::Drain } else { Status::Up },
+                    status: if drains { Status::Draining } else { Status::Up },
                     seq,
                     cold_ms: cold,
                 },
@@ -396,8 +400,8 @@
         self.registry(core, event);
     }
 
-    pub fn answer_server(&mut self, call: u64, answer: Answer) {
-        let Some((server, incarnation, attempt, drains)) = self.ledger.beats.remove(&call) else {
+    pub fn answer_server(&mut self, call: CallId, answer: ServerReply) {
+        let Some((server, incarnation, attempt, drains)) = self.ledger.beats.remove(&call.0) else {
             return;
         };
         self.at(
@@ -417,7 +421,7 @@
         name: &str,
         incarnation: u32,
         attempt: u64,
-        answer: Answer,
+        answer: ServerReply,
         drains: bool,
     ) {
         let now = self.now;
@@ -429,8 +433,8 @@
         };
         server.attempt += 1;
         match answer {
-            Answer::Taken { beat_at } => {
-                server.target = Some(number(beat_at));
+            ServerReply::Acknowledged { heartbeat_target } => {
+                server.target = Some(number(heartbeat_target));
                 if server.leaves {
                     server.over = true;
                 }
@@ -438,14 +442,14 @@
                     let what = Applied::Drained(name.into());
                     self.at(now + APPLY, Due::Applied { what, sent: now });
                 }
-                let machine = number(beat_at);
-                if ip(machine) != beat_at || !self.cores.contains_key(&machine) {
+                let machine = number(heartbeat_target);
+                if ip(machine) != heartbeat_target || !self.cores.contains_key(&machine) {
                     self.fail(format!(
-                        "{name} is told to beat at {beat_at}, which is no machine"
+                        "{name} is told to beat at {heartbeat_target}, which is no machine"
                     ));
                 }
             }
-            Answer::Elsewhere => {
+            ServerReply::NotAcknowledged => {
                 server.target = None;
                 self.say(name, true);
             }
--- a/crates/emberpin-simulator/src/cores.rs
+++ b/crates/emberpin-simulator/src/cores.rs
@@ -5,8 +5,11 @@
 use crate::world::{Due, Process, World};
 use emberpin_config::{Item, ItemKey};
 use emberpin_consensus::{Action, Event, Kept, Message, Options, Replica, Write};
-use emberpin_membership::registry::{self, Limits, Registry};
+use emberpin_membership::clock::Timestamp;
+use emberpin_membership::ids::{Incarnation, Nonce, SessionId};
+use emberpin_membership::registry::{self, Registry, RegistryConfig};
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 /// How often servers beat.
 pub(crate) const BEAT: u64 = 1_300;
@@ -111,15 +114,15 @@
             seed,
         };
         let store = Replica::with_guards(0, options, machine.kept(), build.consensus, &mut actions);
-        let limits = Limits {
-            me,
+        let config = RegistryConfig {
+            address: me,
             zone: machine.process.zone.clone(),
-            incarnation,
-            beat_ms: BEAT,
+            incarnation: Incarnation(incarnation),
+            heartbeat_interval: Duration::from_millis(BEAT),
             seeds,
-            part_bytes: PART,
+            snapshot_part_bytes: PART,
         };
-        let registry = Registry::with_guards(0, limits, build.watch);
+        let registry = Registry::with_guards(Timestamp::ZERO, config, build.watch);
         let items: Vec<Item> = store.state().told().cloned().collect();
         machine.up = Some(Running {
             store,
@@ -298,12 +301,18 @@
         let voters = running.store.voters();
         let at = machine.process.when(now, local + STATUS);
         self.at(at, Due::Stand { core, incarnation });
-        self.registry(core, registry::Event::Voters(voters));
+        self.registry(core, registry::Event::VotersChanged(voters));
     }
 
     pub fn confirmed(&mut self, core: u8, incarnation: u64, question: u64, age: Option<u64>) {
         if self.running(core, incarnation).is_some() {
-            self.registry(core, registry::Event::StoreConfirmed { question, age });
+            self.registry(
+                core,
+                registry::Event::StoreConfirmed {
+                    nonce: Nonce(question),
+                    age: age.map(Duration::from_millis),
+                },
+            );
         }
     }
 
@@ -329,7 +338,9 @@
             return;
         };
         let mut actions = Vec::new();
-        running.registry.handle(local, event, &mut actions);
+        running
+            .registry
+            .handle(Timestamp::from_millis(local), event, &mut actions);
         for action in actions {
             self.act_registry(core, incarnation, action);
         }
@@ -339,7 +350,9 @@
         let Some(running) = machine.up.as_mut() else {
             return;
         };
-        let at = machine.process.when(now, running.registry.due());
+        let at = machine
+            .process
+            .when(now, running.registry.next_deadline().as_millis());
         if running.registry_wake <= now || at < running.registry_wake {
             running.registry_wake = at;
             self.at(at, Due::Registry { core, incarnation });
@@ -353,8 +366,8 @@
             return;
         };
         match action {
-            Action::Answer { call, answer } => self.answer_server(call, answer),
-            Action::Call { peer } => {
+            Action::Reply { call, reply } => self.answer_server(call, reply),
+            Action::ConnectPeer { peer } => {
                 running.peers.insert(number(peer), None);
                 self.at(
                     now,
@@ -365,31 +378,32 @@
                     },
                 );
             }
-            Action::Drop { peer } => {
+            Action::DisconnectPeer { peer } => {
                 running.incoming.remove(&number(peer));
                 if let Some(Some(conn)) = running.peers.remove(&number(peer)) {
                     self.break_conn(conn, false);
                 }
             }
-            Action::Say { to, said } => {
-                let conns: Vec<u64> = to
+            Action::SendToPeers { peers, message } => {
+                let conns: Vec<u64> = peers
                     .iter()
                     .filter_map(|peer| running.peers.get(&number(*peer)).copied().flatten())
                     .collect();
-                conns
-                    .into_iter()
-                    .for_each(|conn| self.send(conn, true, Frame::RegistryMessage(said.clone())));
+                conns.into_iter().for_each(|conn| {
+                    self.send(conn, true, Frame::RegistryMessage(message.clone()))
+                });
             }
-            Action::Ack { to, ack } => {
-                if let Some(conn) = running.incoming.get(&number(to)).copied() {
+            Action::AcknowledgePeer { peer, ack } => {
+                if let Some(conn) = running.incoming.get(&number(peer)).copied() {
                     self.send(conn, false, Frame::Ack(ack));
                 }
             }
-            Action::Tell { to, told } => {
-                to.into_iter()
-                    .for_each(|session| self.send(session, false, Frame::To(told.clone())));
+            Action::SendToLimiters { sessions, message } => {
+                sessions
+                    .into_iter()
+                    .for_each(|session| self.send(session.0, false, Frame::To(message.clone())));
             }
-            Action::AskStore { question } => {
+            Action::QueryStore { nonce } => {
                 let Some(machine) = self.cores.get(&core) else {
                     return;
                 };
@@ -401,12 +415,14 @@
                     Due::Confirmed {
                         core,
                         incarnation,
-                        question,
+                        question: nonce.0,
                         age,
                     },
                 );
             }
-            Action::Close { session } => {
+            Action::CloseSession {
+                session: SessionId(session),
+            } => {
                 running.sessions.remove(&session);
                 self.break_conn(session, false);
             }
@@ -436,13 +452,7 @@
                 if let Some(running) = self.running(core, incarnation) {
                     running.peers.insert(peer, Some(conn));
                 }
-                self.registry(
-                    core,
-                    registry::Event::Reached {
-                        peer: ip(peer),
-                        open: true,
-                    },
-                );
+                self.registry(core, registry::Event::PeerConnected { peer: ip(peer) });
             }
         }
     }
@@ -457,13 +467,7 @@
         }
         if running.peers.get(&peer) == Some(&Some(conn)) {
             running.peers.insert(peer, None);
-            self.registry(
-                core,
-                registry::Event::Reached {
-                    peer: ip(peer),
-                    open: false,
-                },
-            );
+            self.registry(core, registry::Event::PeerDisconnected { peer: ip(peer) });
             let at = self.now + PAUSE / 2;
             self.at(
                 at,
--- a/crates/emberpin-simulator/src/limiters.rs
+++ b/crates/emberpin-simulator/src/limiters.rs
@@ -5,17 +5,25 @@
 use crate::text::Machine;
 use crate::world::{Due, Process, World};
 use emberpin_config::{effective_routes, Configuration, Item, ItemKind, Route, Service};
-use emberpin_membership::candidates::Candidates;
+use emberpin_membership::candidates::{Confirmation, RegistryCandidates};
+use emberpin_membership::clock::Timestamp;
+use emberpin_membership::ids::Incarnation;
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::lease::SessionLease;
-use emberpin_membership::session::{Followed, FromLimiter, ToLimiter};
-use emberpin_membership::timing::{CONNECT, LOOK, PAUSE, PROXY_LEASE, PROXY_QUESTION};
+use emberpin_membership::session::{FromLimiter, SyncProgress, ToLimiter};
+use emberpin_membership::timing;
 use emberpin_routing::{Availability, Router, WarmupProfile, WarmupTolerance};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
 // As the real one has.
 const SESSIONS: usize = 2;
+const CONNECT_TIMEOUT: u64 = millis(timing::CONNECT_TIMEOUT);
+const KEEP_ALIVE_INTERVAL: u64 = millis(timing::KEEP_ALIVE_INTERVAL);
+const LEASE_CHECK_INTERVAL: u64 = millis(timing::LEASE_CHECK_INTERVAL);
+const PROXY_LEASE_DURATION: u64 = millis(timing::PROXY_LEASE_DURATION);
+const INITIAL_BACKOFF: u64 = millis(timing::RECONNECT_BACKOFF.initial);
+const MAX_BACKOFF: u64 = millis(timing::RECONNECT_BACKOFF.max);
 /// How often cold servers are asked, and most requests of one limiter at once.
 const LOAD: u64 = 20;
 const AT_ONCE: usize = 4;
@@ -27,6 +35,18 @@
 /// What `warmup_per_s` of every service makes of them.
 pub(crate) const BEARS: usize = 20;
 
+fn confirmation(confirmed: bool) -> Confirmation {
+    if confirmed {
+        Confirmation::Confirmed
+    } else {
+        Confirmation::Unconfirmed
+    }
+}
+
+const fn millis(duration: Duration) -> u64 {
+    duration.as_millis() as u64
+}
+
 /// One of its sessions, or the place for one.
 #[derive(Clone, Debug)]
 struct Session {
@@ -52,8 +72,8 @@
     pub configuration: Configuration,
     pub ready: bool,
     sessions: Vec<Session>,
-    places: BTreeMap<u8, Followed>,
-    candidates: Candidates,
+    places: BTreeMap<u8, SyncProgress>,
+    candidates: RegistryCandidates,
     /// The highest versions that were in force in this incarnation.
     in_force: BTreeMap<String, u64>,
     /// Servers that were not to get anything any more.
@@ -181,8 +201,8 @@
             last: None,
             heard: 0,
             began: 0,
-            lease: SessionLease::new(0),
-            pause: PAUSE.0,
+            lease: SessionLease::new(Timestamp::ZERO),
+            pause: INITIAL_BACKOFF,
             next: 0,
             pulse: 0,
             told: false,
@@ -200,12 +220,12 @@
             ready: false,
             sessions: vec![session; SESSIONS],
             places: BTreeMap::new(),
-            candidates: Candidates::default(),
+            candidates: RegistryCandidates::default(),
             in_force: BTreeMap::new(),
             held: BTreeSet::new(),
         });
         let incarnation = machine.process.incarnation;
-        let at = now + self.below(LOOK);
+        let at = now + self.below(LEASE_CHECK_INTERVAL);
         self.at(
             at,
             Due::Look {
@@ -238,18 +258,25 @@
                 }
                 continue;
             };
-            let silent = now > session.heard + PROXY_LEASE;
-            if silent || (session.lease.is_over(now) && leaves) {
+            let silent = now > session.heard + PROXY_LEASE_DURATION;
+            if silent || (session.lease.is_expired(Timestamp::from_millis(now)) && leaves) {
                 self.break_conn(conn, false);
                 self.session_broken(limiter, conn);
             } else if now >= session.pulse {
-                session.pulse = now + PROXY_QUESTION;
-                let at = proxy.places.get(&core).and_then(Followed::whole);
-                let question = session.lease.ask(now);
-                self.send(conn, true, Frame::From(FromLimiter::Pulse { at, question }));
+                session.pulse = now + KEEP_ALIVE_INTERVAL;
+                let at = proxy
+                    .places
+                    .get(&core)
+                    .and_then(SyncProgress::synced_revision);
+                let nonce = session.lease.begin_query(Timestamp::from_millis(now));
+                self.send(
+                    conn,
+                    true,
+                    Frame::From(FromLimiter::KeepAlive { applied: at, nonce }),
+                );
             }
         }
-        let at = self.now + LOOK;
+        let at = self.now + LEASE_CHECK_INTERVAL;
         self.at(
             at,
             Due::Look {
@@ -274,17 +301,17 @@
         let seeds = seeds.into_iter().map(ip);
         let Some(core) = proxy
             .candidates
-            .choose(now, index, seeds, last, draw)
+            .choose(Timestamp::from_millis(now), index, seeds, last, draw)
             .map(number)
         else {
-            proxy.sessions[index].next = now + PAUSE.1;
+            proxy.sessions[index].next = now + MAX_BACKOFF;
             return;
         };
         let hello = FromLimiter::Hello {
-            incarnation: u64::from(limiter) << 32 | incarnation,
+            incarnation: Incarnation(u64::from(limiter) << 32 | incarnation),
             name: format!("limiter-{limiter}"),
             zone,
-            from: proxy.places.get(&core).map(|known| known.place),
+            resume_from: proxy.places.get(&core).map(|known| known.revision),
             instances: proxy
                 .router
                 .endpoints
@@ -297,14 +324,18 @@
         let session = &mut proxy.sessions[index];
         session.last = Some(core);
         let Some(conn) = conn else {
-            proxy.candidates.ended(now, index, false);
-            session.next = now + CONNECT + session.pause;
-            session.pause = (session.pause * 2).min(PAUSE.1);
+            proxy.candidates.on_session_ended(
+                Timestamp::from_millis(now),
+                index,
+                Confirmation::Unconfirmed,
+            );
+            session.next = now + CONNECT_TIMEOUT + session.pause;
+            session.pause = (session.pause * 2).min(MAX_BACKOFF);
             return;
         };
         (session.conn, session.core) = (Some(conn), Some(core));
         (session.heard, session.began, session.told, session.fetching) = (now, now, false, None);
-        (session.lease, session.pulse) = (SessionLease::new(now), now);
+        (session.lease, session.pulse) = (SessionLease::new(Timestamp::from_millis(now)), now);
         self.send(conn, true, Frame::From(hello));
     }
 
@@ -321,15 +352,17 @@
             return;
         };
         let session = &mut proxy.sessions[index];
+        let now_at = Timestamp::from_millis(now);
+        let confirmation = confirmation(session.lease.is_confirmed(now_at));
         proxy
             .candidates
-            .ended(now, index, session.lease.is_confirmed(now));
+            .on_session_ended(now_at, index, confirmation);
         (session.conn, session.core, session.told) = (None, None, false);
-        if now > session.began + 2 * PROXY_LEASE {
-            session.pause = PAUSE.0;
+        if now > session.began + 2 * PROXY_LEASE_DURATION {
+            session.pause = INITIAL_BACKOFF;
         }
         session.next = now + session.pause * part / 100;
-        session.pause = (session.pause * 2).min(PAUSE.1);
+        session.pause = (session.pause * 2).min(MAX_BACKOFF);
     }
 
     pub fn limiter_hears(&mut self, limiter: u8, conn: u64, core: u8, told: ToLimiter) {
@@ -347,10 +380,10 @@
         proxy.sessions[index].heard = now;
         let begins = proxy.sessions[index].fetching.is_none();
         let mut followed = proxy.places.remove(&core);
-        Followed::advance(&mut followed, &told);
+        SyncProgress::advance(&mut followed, &told);
         let rest = followed
             .as_ref()
-            .and_then(|known| known.rest.clone())
+            .and_then(|known| known.next_part.clone())
             .filter(|_| build.parts);
         proxy.places.extend(followed.map(|known| (core, known)));
         let is_part = matches!(
@@ -359,7 +392,9 @@
         );
         let goes_on = begins && matches!(told, ToLimiter::Changes { .. });
         if is_part || goes_on {
-            proxy.sessions[index].lease.progressed(now);
+            proxy.sessions[index]
+                .lease
+                .on_snapshot_progress(Timestamp::from_millis(now));
             // Changes go on from what this registry told in an earlier session.
             proxy.sessions[index].told |= rest.is_none() && (is_part || build.resumes);
             proxy.sessions[index].fetching = Some(rest.is_some());
@@ -374,17 +409,21 @@
             | ToLimiter::Changes {
                 items, instances, ..
             } => proxy.learn(now, items, &instances, build.in_force),
-            ToLimiter::Pulse {
-                question,
+            ToLimiter::Confirmation {
+                nonce,
                 age,
                 limiters,
                 registries,
             } => {
                 let session = &mut proxy.sessions[index];
-                session.lease.answer(question, age);
-                let confirmed = age.is_some() && session.lease.is_confirmed(now);
+                session.lease.on_answer(nonce, age);
+                let confirmed =
+                    age.is_some() && session.lease.is_confirmed(Timestamp::from_millis(now));
                 if confirmed || build.hints {
-                    proxy.candidates.told(registries, confirmed);
+                    let confirmation = confirmation(confirmed);
+                    proxy
+                        .candidates
+                        .on_registries_named(registries, confirmation);
                 }
                 if confirmed || !build.settled {
                     proxy
@@ -401,7 +440,11 @@
             return self.fail(format!("limiter-{limiter}: {wrong}"));
         }
         if let Some(after) = rest.filter(|_| is_part || goes_on) {
-            self.send(conn, true, Frame::From(FromLimiter::More { after }));
+            self.send(
+                conn,
+                true,
+                Frame::From(FromLimiter::FetchSnapshotPart { after }),
+            );
         }
         self.look_at_servers(limiter);
     }
@@ -431,7 +474,7 @@
                     );
                     return self.fail(what);
                 }
-                Some(Status::Drain) => _ = proxy.held.insert(id),
+                Some(Status::Draining) => _ = proxy.held.insert(id),
                 _ => {}
             }
         }
--- a/crates/emberpin-simulator/src/net.rs
+++ b/crates/emberpin-simulator/src/net.rs
@@ -4,6 +4,7 @@
 use crate::world::{Due, World};
 use emberpin_config::ItemKind;
 use emberpin_consensus::Message;
+use emberpin_membership::ids::SessionId;
 use emberpin_membership::peers::{Ack, RegistryMessage};
 use emberpin_membership::registry::Event;
 use emberpin_membership::session::{FromLimiter, ToLimiter};
@@ -285,32 +286,38 @@
             return;
         }
         match (from, to, frame) {
-            (Machine::Core(from), Machine::Core(to), Frame::RegistryMessage(said)) => {
+            (Machine::Core(from), Machine::Core(to), Frame::RegistryMessage(message)) => {
                 if let Some(up) = self.cores.get_mut(&to).and_then(|core| core.up.as_mut()) {
                     up.incoming.insert(from, id);
                 }
                 self.registry(
                     to,
-                    Event::Peer {
+                    Event::PeerMessage {
                         peer: ip(from),
-                        said,
+                        message,
                     },
                 );
             }
             (Machine::Core(from), Machine::Core(to), Frame::Ack(ack)) => {
                 self.registry(
                     to,
-                    Event::Acked {
+                    Event::PeerAcknowledged {
                         peer: ip(from),
                         ack,
                     },
                 );
             }
-            (Machine::Limiter(_), Machine::Core(to), Frame::From(said)) => {
+            (Machine::Limiter(_), Machine::Core(to), Frame::From(message)) => {
                 if let Some(up) = self.cores.get_mut(&to).and_then(|core| core.up.as_mut()) {
                     up.sessions.insert(id);
                 }
-                self.registry(to, Event::Limiter { session: id, said });
+                self.registry(
+                    to,
+                    Event::LimiterMessage {
+                        session: SessionId(id),
+                        message,
+                    },
+                );
             }
             (Machine::Core(from), Machine::Limiter(to), Frame::To(told)) => {
                 self.limiter_hears(to, id, from, told);
@@ -374,7 +381,12 @@
                     return;
                 };
                 if up.sessions.remove(&id) {
-                    self.registry(core, Event::Ended { session: id });
+                    self.registry(
+                        core,
+                        Event::SessionClosed {
+                            session: SessionId(id),
+                        },
+                    );
                 }
             }
             (Machine::Limiter(limiter), _) => self.session_broken(limiter, id),
--- a/crates/emberpin-simulator/src/world.rs
+++ b/crates/emberpin-simulator/src/world.rs
@@ -9,7 +9,7 @@
 use crate::text::{Machine, Scenario};
 use emberpin_config::Item;
 use emberpin_consensus::Message;
-use emberpin_membership::registry::Answer;
+use emberpin_membership::registry::ServerReply;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -95,7 +95,7 @@
         server: String,
         incarnation: u32,
         attempt: u64,
-        answer: Answer,
+        answer: ServerReply,
         drains: bool,
     },
     /// A server was not answered in time.
