--- a/crates/emberpin-proxy/src/command.rs
+++ b/crates/emberpin-proxy/src/command.rs
@@ -1,47 +1,64 @@
-//! What the controller works through, beneath both those who send it and the controller itself.
+//! Commands to the [`Controller`](crate::controller::Controller), sent by request handlers, registry sessions and
+//! health checks. They lie beneath all of these, so that none depends on another for its types.
 
 use emberpin_balancer::{RequestId, ServerId};
 use emberpin_limiter::host::{Outgoing, Reply};
 use emberpin_membership::instance::Instance;
 use emberpin_membership::session::ToLimiter;
+use std::fmt;
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A request that a client made.
-pub struct Ask {
-    /// Names it here.
+/// One of the proxy's concurrent registry sessions. Sessions that follow one another in the same slot share the id.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct SessionId(pub usize);
+
+impl fmt::Display for SessionId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(f)
+    }
+}
+
+/// A client's request that is to be routed to a service and forwarded to one of its servers.
+pub struct RouteRequest {
+    /// Unique among the requests in flight in this process.
     pub id: RequestId,
-    /// The host that it is for.
+    /// Host for which routes are looked up.
     pub host: String,
-    /// What goes on to a server.
+    /// Method, target, headers and body that are forwarded to a server.
     pub outgoing: Outgoing,
-    /// When its head had come.
-    pub arrived: Instant,
-    /// For how long the client waits, if it says.
+    /// When the request's head was complete. Time limits count from here unless the body is still being uploaded.
+    pub arrived_at: Instant,
+    /// How long the client waits for the response, if it states that.
     pub deadline: Option<Duration>,
-    /// How often it went out before, if it was taken back from a service that it may not go to any more.
-    pub sends: u32,
-    /// Who waits for the one answer.
-    pub answer: oneshot::Sender<Reply>,
+    /// Attempts already sent to servers, above 0 only if the request was withdrawn from a service that its route no
+    /// longer leads to.
+    pub attempts_sent: u32,
+    /// Receives the one reply.
+    pub reply_to: oneshot::Sender<Reply>,
 }
 
-/// What the controller works through.
+/// What the controller is asked or notified of.
 pub enum Command {
-    /// A client's request.
-    Ask(Box<Ask>),
-    /// Its client has gone.
-    Gone(RequestId),
-    /// A registry has told something, in this session.
-    News { session: usize, message: ToLimiter },
-    /// What a session told is confirmed; so many limiters have sessions.
-    Confirmed { session: usize, limiters: u32 },
-    /// A session begins; `resumed`: with a place of an earlier one with the same registry.
-    Begun { session: usize, resumed: bool },
-    /// A session has ended.
-    Lost { session: usize },
-    /// A server that was silent takes connections again.
-    Heard { service: String, server: ServerId },
-    /// Wants all instances that are known.
-    Instances(oneshot::Sender<Vec<Instance>>),
+    /// Route and forward a client's request.
+    Route(Box<RouteRequest>),
+    /// The client of this request disconnected before its reply.
+    ClientDisconnected(RequestId),
+    /// A registry sent configuration items or instances.
+    RegistryUpdate {
+        session: SessionId,
+        message: ToLimiter,
+    },
+    /// A registry confirmed that what it sent in this session is recent, and counted `limiters` connected proxies.
+    SessionConfirmed { session: SessionId, limiters: u32 },
+    /// A session was established. `resumed`: it continues at the revision up to which an earlier session with the same
+    /// registry had received everything, so that no further snapshot follows.
+    SessionStarted { session: SessionId, resumed: bool },
+    /// A session ended, or could not be established.
+    SessionEnded { session: SessionId },
+    /// An unreachable server accepted a connection again.
+    ServerReachable { service: String, server: ServerId },
+    /// Reply with all known instances.
+    ListInstances(oneshot::Sender<Vec<Instance>>),
 }
--- a/crates/emberpin-proxy/src/controller/configuration.rs
+++ b/crates/emberpin-proxy/src/controller/configuration.rs
@@ -1,86 +1,88 @@
-//! The configuration has changed.
+//! Application of a changed configuration: routes, warm-up profiles, evacuated zones and client limits.
 
 use super::limits::client_limits;
 use super::Controller;
-use emberpin_config::{effective_routes, ItemKind, Limits, Service as Listed};
+use emberpin_config::{effective_routes, Item, ItemKind, Limits, Service as ServiceItem};
 use emberpin_routing::{Route, WarmupProfile};
 use std::collections::{BTreeSet, HashMap};
 
 impl Controller {
-    /// The configuration has changed.
-    pub(super) fn configure(&mut self) {
+    /// Applies the merged configuration. Routes come first, so that requests in flight and freed classes go by the new
+    /// ones.
+    pub(super) fn apply_configuration(&mut self) {
         let routes: Vec<Route> = effective_routes(&self.configuration);
         self.router.routes.replace(routes);
-        self.follow_routes();
-        let mut warmth = HashMap::new();
-        let mut evacuated = BTreeSet::new();
+        self.update_in_flight_routes();
+        let mut warmup_profiles = HashMap::new();
+        let mut evacuated_zones = BTreeSet::new();
         for item in self.configuration.live() {
             match item.key.kind {
-                ItemKind::Service => {
-                    if let Ok(listed) = Listed::from_item(item) {
-                        warmth.insert(
-                            listed.name,
-                            WarmupProfile {
-                                duration: listed.warmup,
-                                requests_per_second: listed.warmup_requests_per_s,
-                            },
-                        );
-                    }
-                }
-                ItemKind::Evacuation => _ = evacuated.insert(item.key.name.clone()),
+                ItemKind::Service => warmup_profiles.extend(warmup_profile(item)),
+                ItemKind::Evacuation => _ = evacuated_zones.insert(item.key.name.clone()),
                 ItemKind::Limits => {
                     if let Ok(limits) = Limits::from_item(item) {
-                        self.view.body_max.set(limits.max_body_bytes);
-                        self.view.head_max.set(limits.max_header_bytes);
-                        self.reception.limit(client_limits(&limits));
+                        self.apply_limits(&limits);
                     }
                 }
                 ItemKind::Route | ItemKind::Roster | ItemKind::History | ItemKind::Checkpoint => {}
             }
         }
-        self.free_unused(&warmth);
-        self.router.endpoints.set_warmup_profiles(warmth);
-        let returned = self.evacuated.iter().any(|zone| !evacuated.contains(zone));
-        self.evacuated.clone_from(&evacuated);
-        self.router
-            .endpoints
-            .set_evacuated_zones(self.now(), evacuated);
-        self.apply_changes();
-        if !returned {
-            return;
-        }
-        let now = self.now();
-        // A zone that has come back is cold.
-        let instances: Vec<String> = self
-            .router
-            .endpoints
-            .known_instances(now)
-            .into_iter()
-            .map(|instance| instance.id)
-            .collect();
-        for id in instances {
-            if self.router.endpoints.is_warming_up(now, &id) {
-                self.look_at(&id);
-            }
+        self.free_unused(&warmup_profiles);
+        self.router.endpoints.set_warmup_profiles(warmup_profiles);
+        self.apply_evacuations(evacuated_zones);
+    }
+
+    fn apply_limits(&self, limits: &Limits) {
+        self.published
+            .set_size_limits(limits.max_header_bytes, limits.max_body_bytes);
+        self.reception.limit(client_limits(limits));
+    }
+
+    fn apply_evacuations(&mut self, zones: BTreeSet<String>) {
+        let any_returned = self
+            .evacuated_zones
+            .iter()
+            .any(|zone| !zones.contains(zone));
+        self.evacuated_zones.clone_from(&zones);
+        self.router.endpoints.set_evacuated_zones(self.now(), zones);
+        self.apply_endpoint_changes();
+        if any_returned {
+            self.refresh_returned_instances();
         }
     }
 
-    /// Frees what was kept for routes and services that there are no more.
-    pub(super) fn free_unused(&mut self, listed: &HashMap<String, WarmupProfile>) {
+    /// Frees services and traffic classes that neither the configuration nor a request in flight refers to. Without it,
+    /// every change of a route's time limits would leave a class behind.
+    fn free_unused(&mut self, listed_services: &HashMap<String, WarmupProfile>) {
         let mut routes: HashMap<&str, Vec<&Route>> = HashMap::new();
         for route in self.router.routes.iter() {
             for (target, _) in &route.targets {
                 routes.entry(target).or_default().push(route);
             }
         }
-        for going in self.requests.values() {
-            routes.entry(&going.service).or_default().push(&going.route);
+        for request in self.in_flight.values() {
+            routes
+                .entry(&request.service)
+                .or_default()
+                .push(&request.route);
         }
         self.services.retain(|name, service| {
-            listed.contains_key(name) || !service.is_empty() || routes.contains_key(name.as_str())
+            listed_services.contains_key(name)
+                || !service.is_empty()
+                || routes.contains_key(name.as_str())
         });
         for (name, service) in &mut self.services {
-            service.keep_classes(routes.get(name.as_str()).into_iter().flatten().copied());
+            service.retain_classes(routes.get(name.as_str()).into_iter().flatten().copied());
         }
     }
 }
+
+/// A service's name, and how long and how much its servers are spared after their start.
+fn warmup_profile(item: &Item) -> Option<(String, WarmupProfile)> {
+    let service = ServiceItem::from_item(item).ok()?;
+    let profile = WarmupProfile {
+        duration: service.warmup,
+        requests_per_second: service.warmup_requests_per_s,
+    };
+    Some((service.name, profile))
+}
--- a/crates/emberpin-proxy/src/controller/control_sessions.rs
+++ b/crates/emberpin-proxy/src/controller/control_sessions.rs
@@ -1,12 +1,53 @@
-//! What registries tell.
+//! Control sessions: what registries send, and when it makes this proxy ready.
 
 use super::Controller;
+use crate::command::SessionId;
 use emberpin_config::Item;
 use emberpin_membership::instance::Instance;
 use emberpin_membership::session::ToLimiter;
+use std::collections::BTreeSet;
+
+/// Which sessions have received everything that their registry knows.
+#[derive(Default)]
+pub(super) struct SessionSync {
+    /// Sessions that have received a whole snapshot, or all changes since one.
+    synced: BTreeSet<SessionId>,
+    /// Sessions that resumed at the revision of an earlier one and have received nothing yet. Their first changes lead
+    /// up to the registry's present state.
+    resuming: BTreeSet<SessionId>,
+}
+
+impl SessionSync {
+    pub(super) fn started(&mut self, session: SessionId, resumed: bool) {
+        self.ended(session);
+        if resumed {
+            self.resuming.insert(session);
+        }
+    }
+
+    pub(super) fn ended(&mut self, session: SessionId) {
+        self.synced.remove(&session);
+        self.resuming.remove(&session);
+    }
+
+    fn received_whole_snapshot(&mut self, session: SessionId) {
+        self.synced.insert(session);
+    }
+
+    fn received_changes(&mut self, session: SessionId) {
+        if self.resuming.remove(&session) {
+            self.synced.insert(session);
+        }
+    }
+
+    fn is_synced(&self, session: SessionId) -> bool {
+        self.synced.contains(&session)
+    }
+}
 
 impl Controller {
-    pub(super) fn hear(&mut self, session: usize, message: ToLimiter) {
+    /// Applies what a registry has sent.
+    pub(super) fn on_registry_update(&mut self, session: SessionId, message: ToLimiter) {
         match message {
             ToLimiter::Snapshot {
                 items,
@@ -19,55 +60,54 @@
                 instances,
                 next_part,
             } => {
-                self.learn(items, &instances);
+                self.apply_update(items, &instances);
                 if next_part.is_none() {
-                    self.told.insert(session);
+                    self.session_sync.received_whole_snapshot(session);
                 }
             }
             ToLimiter::Changes {
                 items, instances, ..
             } => {
-                self.learn(items, &instances);
-                // Where a session goes on from a place up to which this registry had told everything, it knows all now.
-                if self.resumed.remove(&session) {
-                    self.told.insert(session);
-                }
+                self.apply_update(items, &instances);
+                self.session_sync.received_changes(session);
             }
-            // Is the session's own concern, which says what of it is confirmed.
+            // The session handles it, and sends `Command::SessionConfirmed`.
             ToLimiter::Confirmation { .. } => {}
         }
     }
 
-    /// What a session has told is as young as it is to be.
-    pub(super) fn confirmed(&mut self, session: usize, limiters: u32) {
-        if limiters != self.limiters {
-            self.limiters = limiters;
+    /// Takes the number of proxies that share the servers, and declares this one ready once a confirmed session has
+    /// received everything: a new process must not serve what is older than what a majority of the core holds.
+    pub(super) fn on_session_confirmed(&mut self, session: SessionId, limiter_count: u32) {
+        if limiter_count != self.limiter_count {
+            self.limiter_count = limiter_count;
             self.services
                 .values_mut()
-                .for_each(|service| service.shared_by(limiters));
+                .for_each(|service| service.set_limiter_count(limiter_count));
         }
-        self.router.set_limiter_count(self.now(), limiters);
-        // Guards a new instance against serving what is older than a majority's word.
-        let knows = !self.configuration.is_empty() && !self.services.is_empty();
-        if self.told.contains(&session) && knows && !self.view.ready.replace(true) {
-            log::info!("ready, with {} items", self.configuration.len());
+        self.router.set_limiter_count(self.now(), limiter_count);
+        let has_configuration = !self.configuration.is_empty() && !self.services.is_empty();
+        if self.session_sync.is_synced(session) && has_configuration && !self.published.set_ready()
+        {
+            let items = self.configuration.len();
+            log::info!("proxy is ready: session={session} configuration_items={items}");
         }
     }
 
-    pub(super) fn learn(&mut self, items: Vec<Item>, instances: &[Instance]) {
+    fn apply_update(&mut self, items: Vec<Item>, instances: &[Instance]) {
         let mut changed = false;
         for item in items {
             changed |= self.configuration.merge(item);
         }
         if changed {
-            self.configure();
+            self.apply_configuration();
         }
         let now = self.now();
-        // What a registry does not name is kept: it may be behind another one. Who is gone is told by name.
+        // An instance that a registry does not name is kept: another registry may know it. Removals are sent by name.
         self.router.endpoints.update(now, instances);
-        self.apply_changes();
+        self.apply_endpoint_changes();
         for instance in instances.iter().filter(|instance| instance.cold_ms > 0) {
-            self.look_at(&instance.id);
+            self.refresh_slow_start(&instance.id);
         }
     }
 }
--- a/crates/emberpin-proxy/src/controller/in_flight.rs
+++ b/crates/emberpin-proxy/src/controller/in_flight.rs
@@ -1,8 +1,7 @@
-//! Requests that wait for their answer or have an attempt out.
+//! Requests in flight: what follows the end of an attempt, its time running out, or its client's disconnect.
 
-use super::probing::ask_on;
 use super::Controller;
-use crate::command::Ask;
+use crate::command::RouteRequest;
 use crate::service::Service;
 use emberpin_balancer::{RequestId, ServerId};
 use emberpin_limiter::host::{Ended, Input, Outgoing, Reply};
@@ -14,188 +13,210 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// How soon it is looked at again whether another attempt may follow one that has had its time.
-const LOOK_AGAIN: Duration = Duration::from_millis(150);
+/// How soon after an attempt ran out of time without a possible retry the controller checks again: congestion, or a
+/// spent retry budget, is usually over before the client's deadline.
+const OVERDUE_RECHECK: Duration = Duration::from_millis(150);
 
-/// A request that is owed an answer or has an attempt out.
-pub(super) struct Going {
-    /// The newest one under which it may go to its service.
+/// A request that is owed a reply or has an attempt at a server.
+pub(super) struct InFlightRequest {
+    /// The newest route under which it may stay at its service.
     pub(super) route: Rc<Route>,
     pub(super) service: String,
     pub(super) host: String,
     pub(super) outgoing: Rc<Outgoing>,
-    pub(super) arrived: Instant,
+    pub(super) arrived_at: Instant,
     pub(super) deadline: Option<Duration>,
-    /// How often it went out.
-    pub(super) sends: u32,
+    /// Attempts handed to servers, less those that ended before any byte went out.
+    pub(super) attempts_sent: u32,
 }
 
-impl Going {
-    /// As it came, for its client waits on for the one answer.
-    pub(super) fn anew(&self, id: RequestId, answer: oneshot::Sender<Reply>) -> Ask {
-        let outgoing = Outgoing {
-            withdrawn: Cell::new(false),
-            ..(*self.outgoing).clone()
-        };
-        let (host, arrived, deadline, sends) =
-            (self.host.clone(), self.arrived, self.deadline, self.sends);
-        Ask {
+impl InFlightRequest {
+    /// The request as it arrived, to be routed again for the same waiting client.
+    fn to_route_request(&self, id: RequestId, reply_to: oneshot::Sender<Reply>) -> RouteRequest {
+        RouteRequest {
             id,
-            host,
-            outgoing,
-            arrived,
-            deadline,
-            sends,
-            answer,
+            host: self.host.clone(),
+            outgoing: Outgoing {
+                withdrawn: Cell::new(false),
+                ..(*self.outgoing).clone()
+            },
+            arrived_at: self.arrived_at,
+            deadline: self.deadline,
+            attempts_sent: self.attempts_sent,
+            reply_to,
         }
     }
 }
 
 impl Controller {
-    pub(super) fn end(&mut self, input: Input) {
-        let (request, attempt, server, ended) = match input {
+    /// Handles the end of an attempt, or its time running out, as its engine reports them.
+    pub(super) fn on_input(&mut self, input: Input) {
+        match input {
             Input::Ended {
                 request,
                 attempt,
                 server,
                 ended,
-            } => (request, attempt, server, ended),
-            Input::Overdue { request, attempt } => return self.overdue(request, attempt),
-            _ => return,
-        };
-        let Some(going) = self.requests.get(&request) else {
+            } => self.on_attempt_ended(request, attempt, server, ended),
+            Input::Overdue { request, attempt } => self.on_attempt_overdue(request, attempt),
+            Input::Call(_)
+            | Input::Gone(_)
+            | Input::Probed { .. }
+            | Input::Listing(_)
+            | Input::Peer { .. } => {}
+        }
+    }
+
+    fn on_attempt_ended(
+        &mut self,
+        request: RequestId,
+        attempt: u32,
+        server: ServerId,
+        ended: Ended,
+    ) {
+        let Some(in_flight) = self.in_flight.get_mut(&request) else {
             return;
         };
-        let (now, name) = (self.now(), going.service.clone());
-        // What never went out was no try of a server's: what follows it is the first, and not the budget's.
-        let sends = going.sends.saturating_sub(u32::from(!ended.sent));
-        let may = sends == 0 || self.budget.allows_retry(now, &name, self.limiters);
-        let withdrawn = going.outgoing.withdrawn.get();
-        let again = sends < going.route.max_attempts && may && !withdrawn;
-        let misdirected = ended.misdirected;
-        if let Some(going) = self.requests.get_mut(&request) {
-            going.sends = sends;
+        if !ended.sent {
+            // No byte of it went out: the attempt that follows counts as the first, and needs no retry budget.
+            in_flight.attempts_sent = in_flight.attempts_sent.saturating_sub(1);
         }
-        let Some(service) = self.services.get_mut(&name) else {
+        let service = in_flight.service.clone();
+        let withdrawn = in_flight.outgoing.withdrawn.get();
+        let retry = self.may_retry(request);
+        if !self.services.contains_key(&service) {
             return;
-        };
+        }
         if ended.unreachable {
-            if let Some(upstream) = service.silent(server) {
-                spawn_local(ask_on(
-                    upstream,
-                    name.clone(),
-                    server,
-                    self.commands.clone(),
-                ));
-            }
+            self.on_server_unreachable(&service, server);
         }
-        if misdirected {
-            if let Some(instance) = service.instance(server) {
-                self.router.endpoints.mark_misdirected(instance);
-            }
-            // Before the module chooses again, so that it does not choose that one.
-            self.apply_changes();
+        if ended.misdirected {
+            // Before the decision module chooses the next server, so that it does not choose this one again.
+            self.on_request_misdirected(&service, server);
         }
-        // Guards requests whose route has changed: what has not run goes where the newest routes say.
-        let anew = withdrawn
-            .then(|| self.take_back(&name, request, &ended))
+        let rerouted = withdrawn
+            .then(|| self.take_back(&service, request, &ended))
             .flatten();
-        self.ended(&name, request, attempt, server, ended, again);
-        if let Some(ask) = anew {
-            self.ask(ask);
+        if let Some(service) = self.services.get_mut(&service) {
+            service.engine.ended(request, attempt, server, ended, retry);
+        }
+        self.record_sent_attempts(&service);
+        self.forget_if_finished(request);
+        if let Some(rerouted) = rerouted {
+            self.route_request(rerouted);
         }
     }
 
-    /// The request as it came, if this end of its attempt leaves none that may have run.
-    pub(super) fn take_back(
+    /// Whether the route's attempt limit and the retry budget allow another attempt of a request that has not been
+    /// withdrawn. Which server gets it, and whether it may run twice, is the decision module's to say.
+    fn may_retry(&self, request: RequestId) -> bool {
+        let Some(in_flight) = self.in_flight.get(&request) else {
+            return false;
+        };
+        let within_budget = in_flight.attempts_sent == 0 || self.budget_allows_retry(in_flight);
+        in_flight.attempts_sent < in_flight.route.max_attempts
+            && within_budget
+            && !in_flight.outgoing.withdrawn.get()
+    }
+
+    fn budget_allows_retry(&self, in_flight: &InFlightRequest) -> bool {
+        self.retry_budget
+            .allows_retry(self.now(), &in_flight.service, self.limiter_count)
+    }
+
+    /// Takes a withdrawn request back from its service, if no attempt of it may have run.
+    fn take_back(
         &mut self,
-        name: &str,
+        service: &str,
         request: RequestId,
         ended: &Ended,
-    ) -> Option<Ask> {
+    ) -> Option<RouteRequest> {
         if !ended.outcome.never_ran() {
             return None;
         }
-        let answer = self.services.get_mut(name)?.engine.take_back(request)?;
-        Some(self.requests.get(&request)?.anew(request, answer))
+        let reply_to = self.services.get_mut(service)?.engine.take_back(request)?;
+        let in_flight = self.in_flight.get(&request)?;
+        Some(in_flight.to_route_request(request, reply_to))
     }
 
-    /// An attempt has had its time: it is broken off only where another one can follow, as its server may be at work, and
-    /// not by a limiter that leaves.
-    pub(super) fn overdue(&mut self, request: RequestId, attempt: u32) {
-        let Some(going) = self.requests.get(&request) else {
+    /// An attempt has used up the time that the decision module gives it. Its server may be at work on it, so it is given
+    /// up only where another attempt can follow, and never while this proxy drains.
+    fn on_attempt_overdue(&mut self, request: RequestId, attempt: u32) {
+        let Some(in_flight) = self.in_flight.get(&request) else {
             return;
         };
-        let now = self.now();
-        if going.sends >= going.route.max_attempts
-            || going.outgoing.withdrawn.get()
-            || self.view.leaving.get()
+        if in_flight.attempts_sent >= in_flight.route.max_attempts
+            || in_flight.outgoing.withdrawn.get()
+            || self.published.is_draining()
         {
             return;
         }
-        let affords = self.budget.allows_retry(now, &going.service, self.limiters);
-        let Some(Service { engine, .. }) = self.services.get_mut(&going.service) else {
+        let within_budget = self.budget_allows_retry(in_flight);
+        let Some(Service { engine, .. }) = self.services.get_mut(&in_flight.service) else {
             return;
         };
-        if affords && engine.gateway.would_repeat(engine.clock.now(), request) {
+        if within_budget && engine.gateway.would_repeat(engine.clock.now(), request) {
             engine.give_up(request, attempt);
         } else if engine.is_out(request, attempt) {
-            // A moment's congestion, or a budget that is spent, is over before most deadlines are.
-            let inputs = self.inputs.clone();
-            spawn_local(async move {
-                sleep(LOOK_AGAIN).await;
-                _ = inputs.send(Input::Overdue { request, attempt }).await;
-            });
+            self.recheck_overdue_later(request, attempt);
         }
     }
 
-    pub(super) fn ended(
-        &mut self,
-        name: &str,
-        request: RequestId,
-        attempt: u32,
-        server: ServerId,
-        ended: Ended,
-        again: bool,
-    ) {
-        if let Some(service) = self.services.get_mut(name) {
-            service.engine.ended(request, attempt, server, ended, again);
+    fn recheck_overdue_later(&self, request: RequestId, attempt: u32) {
+        let inputs = self.inputs.clone();
+        spawn_local(async move {
+            sleep(OVERDUE_RECHECK).await;
+            _ = inputs.send(Input::Overdue { request, attempt }).await;
+        });
+    }
+
+    /// Cancels a request whose client has disconnected.
+    pub(super) fn on_client_disconnected(&mut self, request: RequestId) {
+        let Some(in_flight) = self.in_flight.get(&request) else {
+            return;
+        };
+        let name = in_flight.service.clone();
+        if let Some(service) = self.services.get_mut(&name) {
+            service.engine.gone(request);
         }
-        self.follow_up(name);
-        self.forget(request);
+        self.record_sent_attempts(&name);
+        self.forget_if_finished(request);
     }
 
-    /// Books what a service's module has just sent.
-    pub(super) fn follow_up(&mut self, name: &str) {
-        let Some(service) = self.services.get_mut(name) else {
+    /// Charges retry budget and slow-start shares for the attempts that a service's engine has sent since the last call.
+    /// To be called after every event that was given to the engine.
+    pub(super) fn record_sent_attempts(&mut self, service_name: &str) {
+        let Some(service) = self.services.get_mut(service_name) else {
             return;
         };
+        // Actions that concern no request, such as messages to peers, have no meaning for a proxy.
         service.engine.beyond.clear();
-        for (request, _, instance) in service.sent() {
+        for (request, instance) in service.take_sent_attempts() {
             let now = self.now();
-            if let Some(going) = self.requests.get_mut(&request) {
-                going.sends += 1;
-                if going.sends > 1 {
-                    self.budget.record_retry(now, name);
+            if let Some(in_flight) = self.in_flight.get_mut(&request) {
+                in_flight.attempts_sent += 1;
+                if in_flight.attempts_sent > 1 {
+                    self.retry_budget.record_retry(now, service_name);
                 }
             }
             self.router.record_send(now, &instance);
-            if self.cold.contains(&instance) {
-                self.look_at(&instance);
+            if self.warming_instances.contains(&instance) {
+                self.refresh_slow_start(&instance);
             }
         }
     }
 
-    pub(super) fn forget(&mut self, request: RequestId) {
-        let Some(going) = self.requests.get(&request) else {
+    /// Drops a request's record once its engine neither owes a reply nor has an attempt at a server.
+    pub(super) fn forget_if_finished(&mut self, request: RequestId) {
+        let Some(in_flight) = self.in_flight.get(&request) else {
             return;
         };
         if !self
             .services
-            .get(&going.service)
+            .get(&in_flight.service)
             .is_some_and(|service| service.engine.holds(request))
         {
-            self.requests.remove(&request);
+            self.in_flight.remove(&request);
         }
     }
 }
--- a/crates/emberpin-proxy/src/controller/limits.rs
+++ b/crates/emberpin-proxy/src/controller/limits.rs
@@ -1,28 +1,27 @@
-//! Limits of client connections.
+//! The configuration's limits on client connections, as the reception enforces them.
 
 use emberpin_config::Limits;
 use emberpin_limiter::host::{ClientLimits, HEAD_BYTES};
 use std::time::Duration;
 
-/// The longest head that is ever read, whatever the configuration says: each client's connection may hold one.
-const MOST_HEAD_BYTES: usize = 256 << 10;
+/// Longest request head that is ever read, whatever the configuration says: each client connection may hold one.
+const MAX_HEAD_BYTES: usize = 256 << 10;
+/// Added to the time limit of a head, since the client counts from its own sending; three times if the head still
+/// grows.
+const HEAD_TIME_MARGIN: Duration = Duration::from_millis(500);
+/// Added to the limit on a connection's idle time: the client's next request may be on its way.
+const IDLE_TIME_MARGIN: Duration = Duration::from_secs(1);
 
-/// Heads may take so much longer than the limit says, as the client counts from its own sending; twice if they grow.
-const HEAD_SLACK: Duration = Duration::from_millis(500);
-
-/// Idle connections stay so much longer than the limit says: a request may be on its way.
-const IDLE_SLACK: Duration = Duration::from_secs(1);
-
-/// What the configuration leaves each client's connection.
+/// Limits for each client connection.
 pub(super) fn client_limits(limits: &Limits) -> ClientLimits {
-    let head = limits.header_read_timeout + HEAD_SLACK;
-    let idle = limits.idle_timeout + IDLE_SLACK;
-    let head_bytes = usize::try_from(limits.max_header_bytes).unwrap_or(MOST_HEAD_BYTES);
+    let head = limits.header_read_timeout + HEAD_TIME_MARGIN;
+    let idle = limits.idle_timeout + IDLE_TIME_MARGIN;
+    let head_bytes = usize::try_from(limits.max_header_bytes).unwrap_or(MAX_HEAD_BYTES);
     ClientLimits {
-        head: (head, head + HEAD_SLACK * 2),
+        head: (head, head + HEAD_TIME_MARGIN * 2),
         silence: idle,
         idle: Some(idle),
-        // A shorter limit is held against heads that have come whole: the HTTP library reads no less.
-        head_bytes: head_bytes.clamp(HEAD_BYTES, MOST_HEAD_BYTES),
+        // The HTTP library reads no less than `HEAD_BYTES`; a lower limit is checked once the head is complete.
+        head_bytes: head_bytes.clamp(HEAD_BYTES, MAX_HEAD_BYTES),
     }
 }
--- a/crates/emberpin-proxy/src/controller/mod.rs
+++ b/crates/emberpin-proxy/src/controller/mod.rs
@@ -1,164 +1,148 @@
-//! The one owner of the routes, the servers, the budget and the modules: works through a queue of commands.
+//! The single owner of routes, servers, retry budgets and in-flight requests: an event loop over a queue of commands.
+//!
+//! One decision module ([`Service`]) per service chooses the server of each attempt; the controller decides which
+//! service a request is for and whether its route and the retry budget allow another attempt. All state is changed on
+//! one task, so no event sees another one half applied.
 
 mod configuration;
 mod control_sessions;
 mod in_flight;
 mod limits;
 mod probing;
+mod replies;
 mod routing;
 mod servers;
 mod slow_start;
 
 use crate::command::Command;
-use crate::published_state::View;
-use crate::random::drawn;
+use crate::published_state::PublishedState;
+use crate::random_seed::random_seed;
 use crate::service::Service;
+use control_sessions::SessionSync;
 use emberpin_balancer::RequestId;
 use emberpin_config::Configuration;
 use emberpin_limiter::host::{Input, Pool, Reception, HEAD_BYTES};
 use emberpin_routing::{RetryBudget, Router, WarmupTolerance};
 use emberpin_runtime::settings::Settings;
-use in_flight::Going;
-use std::cell::Cell;
+use in_flight::InFlightRequest;
+use servers::ZoneTable;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::{interval, sleep_until, Instant, MissedTickBehavior};
 
-/// How often it is looked at whether cold servers may get something again.
-const COLD_LOOK: Duration = Duration::from_millis(100);
+/// How often the controller checks whether a warming server may get another request. Its share is per second, so a
+/// coarser period would leave part of it unused.
+const SLOW_START_CHECK_PERIOD: Duration = Duration::from_millis(100);
+/// Ends of attempts that may wait in the queue; whoever has more waits.
+const MAX_QUEUED_INPUTS: usize = 1024;
 
-/// Most ends of attempts that wait.
-const INPUTS: usize = 1024;
-
-/// The longest body where the configuration does not say.
-const BODY_MAX: u64 = 64 << 20;
-
-/// The owner.
+/// Owner of the proxy's routing state. See the [module](self) documentation.
 pub struct Controller {
-    begun: Instant,
+    /// Origin of the clock that the router and the retry budget use.
+    started_at: Instant,
     router: Router,
     configuration: Configuration,
-    budget: RetryBudget,
-    limiters: u32,
+    retry_budget: RetryBudget,
+    /// Proxies that share the servers, as a registry counted last; 0 until one has.
+    limiter_count: u32,
     services: BTreeMap<String, Service>,
-    requests: BTreeMap<RequestId, Going>,
-    /// Instances that were cold when last looked at.
-    cold: BTreeSet<String>,
-    zones: Vec<String>,
-    evacuated: BTreeSet<String>,
-    /// Sessions that have told all that there is.
-    told: BTreeSet<usize>,
-    /// Sessions that have gone on from a place and told nothing yet.
-    resumed: BTreeSet<usize>,
+    in_flight: BTreeMap<RequestId, InFlightRequest>,
+    /// Instances that were warming up when last checked.
+    warming_instances: BTreeSet<String>,
+    zones: ZoneTable,
+    evacuated_zones: BTreeSet<String>,
+    session_sync: SessionSync,
     random: oorandom::Rand64,
-    view: Rc<View>,
+    published: Rc<PublishedState>,
     reception: Rc<Reception>,
     pool: Rc<Pool>,
+    /// For health checks. Weak: the controller ends with the last sender elsewhere.
     commands: mpsc::WeakSender<Command>,
     inputs: mpsc::Sender<Input>,
-    ends: mpsc::Receiver<Input>,
+    queued_inputs: mpsc::Receiver<Input>,
 }
 
 impl Controller {
-    /// Knows nothing but its settings.
+    /// Starts without configuration and servers, which registries send once their sessions stand.
     pub fn new(
         settings: &Settings,
         pool: Rc<Pool>,
         reception: Rc<Reception>,
         commands: &mpsc::Sender<Command>,
     ) -> Controller {
-        let bounds = &settings.bounds;
-        let rule = WarmupTolerance {
-            excess_factor: bounds.slow_start_factor,
-            extra_requests: bounds.slow_start_allowance,
-        };
-        let (inputs, ends) = mpsc::channel(INPUTS);
-        let mut zones: Vec<String> = vec![settings.zone.clone()];
-        zones.extend(
-            settings
-                .zone_regions
-                .keys()
-                .filter(|zone| **zone != settings.zone)
-                .cloned(),
-        );
+        let (inputs, queued_inputs) = mpsc::channel(MAX_QUEUED_INPUTS);
         Controller {
-            begun: Instant::now(),
-            router: Router::new(
-                Duration::ZERO,
-                &settings.node_name,
-                rule,
-                settings.heartbeat_interval,
-            ),
+            started_at: Instant::now(),
+            router: new_router(settings),
             configuration: Configuration::new(),
-            budget: RetryBudget::new(
-                Duration::ZERO,
-                bounds.retry_ratio,
-                bounds.retry_window,
-                bounds.retry_allowance,
-            ),
-            limiters: 0,
+            retry_budget: new_retry_budget(settings),
+            limiter_count: 0,
             services: BTreeMap::new(),
-            requests: BTreeMap::new(),
-            cold: BTreeSet::new(),
-            zones,
-            evacuated: BTreeSet::new(),
-            told: BTreeSet::new(),
-            resumed: BTreeSet::new(),
-            random: oorandom::Rand64::new(u128::from(drawn())),
-            view: Rc::new(View {
-                ready: Cell::new(false),
-                leaving: Cell::new(false),
-                body_max: Cell::new(BODY_MAX),
-                head_max: Cell::new(HEAD_BYTES as u64),
-            }),
+            in_flight: BTreeMap::new(),
+            warming_instances: BTreeSet::new(),
+            zones: ZoneTable::new(&settings.zone, settings.zone_regions.keys()),
+            evacuated_zones: BTreeSet::new(),
+            session_sync: SessionSync::default(),
+            random: oorandom::Rand64::new(u128::from(random_seed())),
+            published: Rc::new(PublishedState::new(HEAD_BYTES as u64)),
             reception,
             pool,
             commands: commands.downgrade(),
             inputs,
-            ends,
+            queued_inputs,
         }
     }
 
-    /// What the request handler reads.
-    pub fn view(&self) -> Rc<View> {
-        self.view.clone()
+    /// The state that request handlers read.
+    pub fn published_state(&self) -> Rc<PublishedState> {
+        self.published.clone()
     }
 
-    /// Works for as long as there is anybody to send commands.
+    /// Handles events until the last sender of commands is dropped.
+    ///
+    /// Timers come before ends of attempts, and those before new commands: a decision about a new request then counts
+    /// what has ended before it.
     pub async fn run(mut self, mut commands: mpsc::Receiver<Command>) {
         let timer = sleep_until(Instant::now());
         tokio::pin!(timer);
-        let mut looks = interval(COLD_LOOK);
-        looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut slow_start_checks = interval(SLOW_START_CHECK_PERIOD);
+        slow_start_checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let due = self
-                .services
-                .values()
-                .filter_map(|service| service.engine.due())
-                .min();
-            if let Some(due) = due.filter(|due| *due != timer.deadline()) {
+            let next_timer = self.next_timer();
+            if let Some(due) = next_timer.filter(|due| *due != timer.deadline()) {
                 timer.as_mut().reset(due);
             }
             tokio::select! {
                 biased;
-                () = timer.as_mut(), if due.is_some() => self.fire(),
-                Some(input) = self.ends.recv() => self.end(input),
+                () = timer.as_mut(), if next_timer.is_some() => self.on_timer(),
+                Some(input) = self.queued_inputs.recv() => self.on_input(input),
                 command = commands.recv() => match command {
-                    Some(command) => self.take(command),
+                    Some(command) => self.on_command(command),
                     None => return,
                 },
-                _ = looks.tick(), if !self.cold.is_empty() => self.look_at_cold(),
+                _ = slow_start_checks.tick(), if !self.warming_instances.is_empty() => {
+                    self.refresh_warming_instances();
+                }
             }
         }
     }
 
+    /// Time since the start, on which the router and the retry budget run.
     fn now(&self) -> Duration {
-        self.begun.elapsed()
+        self.started_at.elapsed()
     }
 
-    fn fire(&mut self) {
+    /// When the earliest timer of any service's decision module is due.
+    fn next_timer(&self) -> Option<Instant> {
+        self.services
+            .values()
+            .filter_map(|service| service.engine.due())
+            .min()
+    }
+
+    fn on_timer(&mut self) {
         let now = Instant::now();
         let due: Vec<String> = self
             .services
@@ -170,49 +154,53 @@
             if let Some(service) = self.services.get_mut(&name) {
                 service.engine.fire();
             }
-            self.follow_up(&name);
+            self.record_sent_attempts(&name);
         }
     }
 
-    fn take(&mut self, command: Command) {
+    fn on_command(&mut self, command: Command) {
         match command {
-            Command::Ask(ask) => self.ask(*ask),
-            Command::Gone(request) => {
-                let Some(going) = self.requests.get(&request) else {
-                    return;
-                };
-                let name = going.service.clone();
-                if let Some(service) = self.services.get_mut(&name) {
-                    service.engine.gone(request);
-                }
-                self.follow_up(&name);
-                self.forget(request);
+            Command::Route(request) => self.route_request(*request),
+            Command::ClientDisconnected(request) => self.on_client_disconnected(request),
+            Command::RegistryUpdate { session, message } => {
+                self.on_registry_update(session, message);
             }
-            Command::News { session, message } => self.hear(session, message),
-            Command::Confirmed { session, limiters } => self.confirmed(session, limiters),
-            Command::Begun { session, resumed } => {
-                self.told.remove(&session);
-                self.resumed.remove(&session);
-                if resumed {
-                    self.resumed.insert(session);
-                }
+            Command::SessionConfirmed { session, limiters } => {
+                self.on_session_confirmed(session, limiters);
             }
-            Command::Lost { session } => {
-                self.told.remove(&session);
-                self.resumed.remove(&session);
+            Command::SessionStarted { session, resumed } => {
+                self.session_sync.started(session, resumed);
             }
-            Command::Heard {
-                service: name,
-                server,
-            } => {
-                if let Some(service) = self.services.get_mut(&name) {
-                    service.heard(server);
-                }
-                self.follow_up(&name);
+            Command::SessionEnded { session } => self.session_sync.ended(session),
+            Command::ServerReachable { service, server } => {
+                self.on_server_reachable(&service, server);
             }
-            Command::Instances(answer) => {
-                _ = answer.send(self.router.endpoints.known_instances(self.now()))
+            Command::ListInstances(reply_to) => {
+                _ = reply_to.send(self.router.endpoints.known_instances(self.now()));
             }
         }
     }
 }
+
+fn new_router(settings: &Settings) -> Router {
+    let tolerance = WarmupTolerance {
+        excess_factor: settings.bounds.slow_start_factor,
+        extra_requests: settings.bounds.slow_start_allowance,
+    };
+    Router::new(
+        Duration::ZERO,
+        &settings.node_name,
+        tolerance,
+        settings.heartbeat_interval,
+    )
+}
+
+fn new_retry_budget(settings: &Settings) -> RetryBudget {
+    let bounds = &settings.bounds;
+    RetryBudget::new(
+        Duration::ZERO,
+        bounds.retry_ratio,
+        bounds.retry_window,
+        bounds.retry_allowance,
+    )
+}
--- a/crates/emberpin-proxy/src/controller/routing.rs
+++ b/crates/emberpin-proxy/src/controller/routing.rs
@@ -1,136 +1,197 @@
-//! Which service gets a request.
+//! Routing of requests: which service a request is forwarded to, under which limits, and what becomes of requests in
+//! flight when routes change.
 
-use super::in_flight::Going;
+use super::in_flight::InFlightRequest;
+use super::replies::{empty_response, retry_later};
 use super::Controller;
-use crate::command::Ask;
-use crate::replies::own;
+use crate::command::RouteRequest;
 use crate::service::Service;
 use crate::wire::TRY_ID;
-use emberpin_balancer::{CustomerId, GatewayId, PlanId};
-use emberpin_limiter::host::{Answer, Call, Outgoing, Reply, Upstreamed};
-use emberpin_routing::{traffic_split, RouteKind};
+use emberpin_balancer::{ClassId, CustomerId, GatewayId, PlanId};
+use emberpin_limiter::host::{Call, Outgoing, Reply, Upstreamed};
+use emberpin_routing::{traffic_split, RetryBudget, Route, RouteKind};
 use hyper::StatusCode;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A deadline counts from the client's sending: so much earlier the answer must be on its way.
-const MARGIN: Duration = Duration::from_millis(12);
+/// How long before the client's deadline the response must be on its way: the client counts from its sending, the
+/// proxy from the head's arrival.
+const DEADLINE_MARGIN: Duration = Duration::from_millis(12);
+/// Time limit of a request whose body is still being uploaded. Its route's time limit starts with the last byte of the
+/// body, which must come within this.
+const UPLOAD_TIME_LIMIT: Duration = Duration::from_secs(900);
+/// `Retry-After` where no server of the route's services is known, or the retry budget is spent.
+const RETRY_AFTER_NO_SERVER: Duration = Duration::from_millis(300);
+/// `Retry-After` before the first configuration has come.
+const RETRY_AFTER_NO_CONFIGURATION: Duration = Duration::from_millis(500);
+/// Longest idle time of a connection that carries a request which must not run twice: a server that is gone or has
+/// dropped an idle connection would leave in doubt whether the request ran, whereas a connection that comes up shows
+/// that the server is there.
+const MAX_IDLE_FOR_MUTATING: Duration = Duration::from_millis(50);
 
-/// A body that is still coming: its request's time counts from its last byte, which comes within this.
-const UPLOAD_LIMIT: Duration = Duration::from_secs(900);
-
-/// Where no server of a service is known, a client may come back after so many milliseconds.
-const NO_SERVER: f64 = 300.0;
+/// Service and route that were chosen for a request.
+struct Target {
+    route: Rc<Route>,
+    service: String,
+}
 
-/// And where nothing is known of the configuration.
-const NO_ROUTES: f64 = 500.0;
+/// Why a request is not forwarded to any service.
+enum Rejection {
+    /// No configuration has come yet, so nobody has said that there is no such route.
+    NotConfigured,
+    /// No route of the configuration matches.
+    RouteNotFound,
+    /// No server of the route's services is known, or the attempt limit or the retry budget is spent.
+    NoServer,
+}
 
-/// What may run once only goes on no connection that was idle for longer: a server that is gone or has forgotten the
-/// connection would leave it in doubt, where a connection that comes up shows that the server is there.
-const FRESHNESS: Duration = Duration::from_millis(50);
+impl Rejection {
+    fn reply(&self) -> Reply {
+        match self {
+            Rejection::NotConfigured => retry_later(RETRY_AFTER_NO_CONFIGURATION),
+            Rejection::RouteNotFound => empty_response(StatusCode::NOT_FOUND),
+            Rejection::NoServer => retry_later(RETRY_AFTER_NO_SERVER),
+        }
+    }
+}
 
 impl Controller {
-    pub(super) fn ask(&mut self, ask: Ask) {
-        let now = self.now();
-        let refuse = |retry_after| Reply::Answer(Answer::Refused { retry_after });
-        let Some(route) = self
-            .router
-            .routes
-            .find(&ask.host, ask.outgoing.uri.path())
-            .cloned()
-        else {
-            // Guards requests that come before the configuration: nobody has said that there is no such route.
-            let unknown = self.configuration.is_empty();
-            _ = ask.answer.send(if unknown {
-                refuse(NO_ROUTES)
-            } else {
-                own(StatusCode::NOT_FOUND)
-            });
-            return;
-        };
-        let services = &self.services;
-        let usable = |service: &str| services.get(service).is_some_and(Service::is_usable);
-        let draw = self.random.rand_float();
-        let target = traffic_split::choose_service(&route.targets, draw, usable);
-        let Some(name) = target.map(str::to_string) else {
-            _ = ask.answer.send(refuse(NO_SERVER));
-            return;
+    /// Forwards a request to a service of its route, or rejects it.
+    pub(super) fn route_request(&mut self, request: RouteRequest) {
+        let target = match self.choose_target(&request) {
+            Ok(target) => target,
+            Err(rejection) => {
+                _ = request.reply_to.send(rejection.reply());
+                return;
+            }
         };
-        let Some(service) = self.services.get_mut(&name) else {
-            _ = ask.answer.send(refuse(NO_SERVER));
+        let now = self.now();
+        let Some(service) = self.services.get_mut(&target.service) else {
+            _ = request.reply_to.send(Rejection::NoServer.reply());
             return;
         };
-        if ask.sends == 0 {
-            self.budget.record_request(now, &name);
-        } else if ask.sends >= route.max_attempts
-            || !self.budget.allows_retry(now, &name, self.limiters)
-        {
-            _ = ask.answer.send(refuse(NO_SERVER));
+        let budget = &mut self.retry_budget;
+        if !budget_allows(budget, now, self.limiter_count, &request, &target) {
+            _ = request.reply_to.send(Rejection::NoServer.reply());
             return;
         }
-        let whole = ask
-            .deadline
-            .map_or(route.timeout, |deadline| deadline.min(route.timeout));
-        let patience = whole.saturating_sub(MARGIN).max(whole / 2);
-        let mut outgoing = ask.outgoing;
-        outgoing.freshness = freshness(&outgoing, route.kind);
-        let expires = match &outgoing.body {
-            Upstreamed::Whole(_) => ask.arrived + patience,
-            Upstreamed::Coming(_) => Instant::now() + UPLOAD_LIMIT,
-        };
-        let outgoing = Rc::new(outgoing);
-        let call = Call {
-            id: ask.id,
-            class: service.class(&route),
-            plan: PlanId(0),
-            customer: CustomerId(0),
-            units: 1.0,
-            set_size: 1,
-            set_first: GatewayId(0),
-            ran: None,
-            patience,
-            expires,
-            outgoing: outgoing.clone(),
-            answer: ask.answer,
+        let id = request.id;
+        let name = target.service.clone();
+        let class = service.class(&target.route);
+        let (call, in_flight) = prepare_call(request, target, class);
+        self.in_flight.insert(id, in_flight);
+        service.engine.call(call);
+        self.record_sent_attempts(&name);
+        self.forget_if_finished(id);
+    }
+
+    fn choose_target(&mut self, request: &RouteRequest) -> Result<Target, Rejection> {
+        let path = request.outgoing.uri.path();
+        let Some(route) = self.router.routes.find(&request.host, path).cloned() else {
+            return Err(if self.configuration.is_empty() {
+                Rejection::NotConfigured
+            } else {
+                Rejection::RouteNotFound
+            });
         };
-        let (host, arrived, deadline, sends) = (ask.host, ask.arrived, ask.deadline, ask.sends);
-        let going = Going {
-            route,
-            service: name.clone(),
-            host,
-            outgoing,
-            arrived,
-            deadline,
-            sends,
+        let services = &self.services;
+        let available = |name: &str| {
+            services
+                .get(name)
+                .is_some_and(Service::has_available_server)
         };
-        self.requests.insert(ask.id, going);
-        service.engine.call(call);
-        self.follow_up(&name);
-        self.forget(ask.id);
+        let draw = self.random.rand_float();
+        let service = traffic_split::choose_service(&route.targets, draw, available)
+            .map(str::to_string)
+            .ok_or(Rejection::NoServer)?;
+        Ok(Target { route, service })
     }
 
-    /// Holds the requests that are going on against the newest routes.
-    pub(super) fn follow_routes(&mut self) {
-        for going in self.requests.values_mut() {
-            let path = going.outgoing.uri.path();
-            let newest = self
-                .router
-                .current_route(&going.host, path, &going.route, &going.service);
-            going.outgoing.withdrawn.set(newest.is_none());
-            if let Some(newest) = newest {
-                going.route = newest;
+    /// Updates the route of each request in flight after a change of routes. A request whose service its route no longer
+    /// leads to is withdrawn: nothing more is written of it, and if it never ran it is routed again.
+    pub(super) fn update_in_flight_routes(&mut self) {
+        for request in self.in_flight.values_mut() {
+            let path = request.outgoing.uri.path();
+            let current =
+                self.router
+                    .current_route(&request.host, path, &request.route, &request.service);
+            request.outgoing.withdrawn.set(current.is_none());
+            if let Some(current) = current {
+                request.route = current;
             }
         }
     }
 }
 
+/// Charges the retry budget for a request that is about to be routed. First attempts are counted and always allowed;
+/// a request that was withdrawn from another service after an attempt needs budget at the new one.
+fn budget_allows(
+    budget: &mut RetryBudget,
+    now: Duration,
+    limiter_count: u32,
+    request: &RouteRequest,
+    target: &Target,
+) -> bool {
+    if request.attempts_sent == 0 {
+        budget.record_request(now, &target.service);
+        return true;
+    }
+    request.attempts_sent < target.route.max_attempts
+        && budget.allows_retry(now, &target.service, limiter_count)
+}
+
+/// Splits a routed request into the call that the service's engine takes and the record that the controller keeps.
+fn prepare_call(request: RouteRequest, target: Target, class: ClassId) -> (Call, InFlightRequest) {
+    let patience = response_time_limit(request.deadline, target.route.timeout);
+    let mut outgoing = request.outgoing;
+    outgoing.freshness = max_connection_idle(&outgoing, target.route.kind);
+    let expires = match &outgoing.body {
+        Upstreamed::Whole(_) => request.arrived_at + patience,
+        Upstreamed::Coming(_) => Instant::now() + UPLOAD_TIME_LIMIT,
+    };
+    let outgoing = Rc::new(outgoing);
+    let call = Call {
+        id: request.id,
+        class,
+        // The proxy enforces no quotas: all requests are of one customer with one plan, at this proxy only.
+        plan: PlanId(0),
+        customer: CustomerId(0),
+        units: 1.0,
+        set_size: 1,
+        set_first: GatewayId(0),
+        ran: None,
+        patience,
+        expires,
+        outgoing: outgoing.clone(),
+        answer: request.reply_to,
+    };
+    let in_flight = InFlightRequest {
+        route: target.route,
+        service: target.service,
+        host: request.host,
+        outgoing,
+        arrived_at: request.arrived_at,
+        deadline: request.deadline,
+        attempts_sent: request.attempts_sent,
+    };
+    (call, in_flight)
+}
+
+/// How long a response may take: the shorter of the client's and the route's limit less the margin, of which a very
+/// short limit loses no more than half.
+fn response_time_limit(deadline: Option<Duration>, timeout: Duration) -> Duration {
+    let limit = deadline.map_or(timeout, |deadline| deadline.min(timeout));
+    limit.saturating_sub(DEADLINE_MARGIN).max(limit / 2)
+}
+
 /// For how long the connection that carries a request may have been idle, where that is bounded.
-fn freshness(outgoing: &Outgoing, kind: RouteKind) -> Option<Duration> {
+fn max_connection_idle(outgoing: &Outgoing, kind: RouteKind) -> Option<Duration> {
     match kind {
-        // Guards requests without an id: a late answer without one could not be told from theirs.
+        // A request without an id gets a new connection: on a reused one, a late response to an earlier request
+        // without an id could not be told from its own.
         _ if !outgoing.headers.contains_key(TRY_ID) => Some(Duration::ZERO),
-        RouteKind::Mutating => Some(FRESHNESS),
+        RouteKind::Mutating => Some(MAX_IDLE_FOR_MUTATING),
         RouteKind::Readonly | RouteKind::Pull => None,
     }
 }
--- a/crates/emberpin-proxy/src/controller/servers.rs
+++ b/crates/emberpin-proxy/src/controller/servers.rs
@@ -1,41 +1,81 @@
-//! Servers have changed.
+//! Changes of server instances, as the services' decision modules learn of them.
 
 use super::Controller;
-use crate::random::drawn;
-use crate::service::Service;
+use crate::random_seed::random_seed;
+use crate::service::{Endpoint, Service};
+use emberpin_balancer::ServerId;
+
+/// Zones by the index under which decision modules know them. An index is never reused.
+pub(super) struct ZoneTable {
+    names: Vec<String>,
+}
+
+impl ZoneTable {
+    /// This proxy's own zone gets index 0, which decision modules prefer; the order of the others does not matter.
+    pub(super) fn new<'a>(own: &str, all: impl Iterator<Item = &'a String>) -> ZoneTable {
+        let mut names = vec![own.to_string()];
+        names.extend(all.filter(|zone| *zone != own).cloned());
+        ZoneTable { names }
+    }
+
+    fn index_of(&mut self, name: &str) -> usize {
+        if let Some(index) = self.names.iter().position(|zone| zone == name) {
+            return index;
+        }
+        self.names.push(name.to_string());
+        self.names.len() - 1
+    }
+}
 
 impl Controller {
-    /// Tells the modules what has changed about servers.
-    pub(super) fn apply_changes(&mut self) {
+    /// Passes on to the decision modules what has changed about server instances since the last call.
+    pub(super) fn apply_endpoint_changes(&mut self) {
         for change in self.router.endpoints.take_changes() {
             let now = self.now();
-            let bears = self
+            let admitted = self
                 .router
                 .slow_start_admits(&change.service, &change.id, now);
             if self.router.endpoints.is_warming_up(now, &change.id) {
-                self.cold.insert(change.id.clone());
+                self.warming_instances.insert(change.id.clone());
             }
-            let zone = self.zone(&change.zone);
+            let zone = self.zones.index_of(&change.zone);
             let name = change.service.clone();
             if !self.services.contains_key(&name) {
-                let mut service =
-                    Service::new(self.pool.clone(), self.inputs.clone(), drawn(), self.begun);
-                service.shared_by(self.limiters);
+                let service = self.new_service();
                 self.services.insert(name.clone(), service);
             }
             if let Some(service) = self.services.get_mut(&name) {
-                service.change(change, zone, bears);
+                service.update_endpoint(Endpoint {
+                    change,
+                    zone,
+                    admitted,
+                });
             }
-            self.follow_up(&name);
+            self.record_sent_attempts(&name);
         }
     }
 
-    /// The number of a zone, this limiter's own being 0.
-    pub(super) fn zone(&mut self, name: &str) -> usize {
-        if let Some(at) = self.zones.iter().position(|zone| zone == name) {
-            return at;
+    fn new_service(&self) -> Service {
+        let mut service = Service::new(
+            self.pool.clone(),
+            self.inputs.clone(),
+            random_seed(),
+            self.started_at,
+        );
+        service.set_limiter_count(self.limiter_count);
+        service
+    }
+
+    /// A server answered 421: another process has its address. The instance gets nothing until a registry sends a later
+    /// heartbeat of it.
+    pub(super) fn on_request_misdirected(&mut self, service: &str, server: ServerId) {
+        let instance = self
+            .services
+            .get(service)
+            .and_then(|service| service.instance(server));
+        if let Some(instance) = instance {
+            self.router.endpoints.mark_misdirected(instance);
         }
-        self.zones.push(name.to_string());
-        self.zones.len() - 1
+        self.apply_endpoint_changes();
     }
 }
--- a/crates/emberpin-proxy/src/controller/slow_start.rs
+++ b/crates/emberpin-proxy/src/controller/slow_start.rs
@@ -1,40 +1,60 @@
-//! Cold servers.
+//! Slow start: servers that are warming up get requests at a bounded rate, of which this proxy has a share.
 
 use super::Controller;
+use crate::service::Endpoint;
 
 impl Controller {
-    pub(super) fn look_at_cold(&mut self) {
-        for id in self.cold.clone() {
-            self.look_at(&id);
+    /// Checks all warming instances again: their shares are per second, so time alone may admit a request.
+    pub(super) fn refresh_warming_instances(&mut self) {
+        for id in self.warming_instances.clone() {
+            self.refresh_slow_start(&id);
         }
     }
 
-    /// Whether a server may get something from here, if it is or was cold.
-    pub(super) fn look_at(&mut self, id: &str) {
+    /// Checks all instances that are warming up now, also those that were not before: the servers of a zone whose
+    /// evacuation has ended start cold.
+    pub(super) fn refresh_returned_instances(&mut self) {
+        let now = self.now();
+        let instances: Vec<String> = self
+            .router
+            .endpoints
+            .known_instances(now)
+            .into_iter()
+            .map(|instance| instance.id)
+            .collect();
+        for id in instances {
+            if self.router.endpoints.is_warming_up(now, &id) {
+                self.refresh_slow_start(&id);
+            }
+        }
+    }
+
+    /// Checks whether this proxy may send a request to an instance that is or was warming up, and notifies the
+    /// service's decision module if that has changed.
+    pub(super) fn refresh_slow_start(&mut self, id: &str) {
         let now = self.now();
         if self.router.endpoints.is_warming_up(now, id) {
-            self.cold.insert(id.to_string());
+            self.warming_instances.insert(id.to_string());
         } else {
-            self.cold.remove(id);
+            self.warming_instances.remove(id);
         }
         let Some(instance) = self.router.endpoints.instance(id) else {
             return;
         };
         let name = instance.service.clone();
-        let bears = self.router.slow_start_admits(&name, id, now);
-        let known = self
-            .services
-            .get(&name)
-            .and_then(|service| service.told(id));
-        let Some(change) = known
-            .filter(|(_, bore)| *bore != bears)
-            .map(|(change, _)| change.clone())
-        else {
+        let admitted = self.router.slow_start_admits(&name, id, now);
+        let Some(service) = self.services.get_mut(&name) else {
+            return;
+        };
+        let Some(known) = service.endpoint(id) else {
             return;
         };
-        let zone = self.zone(&change.zone);
-        if let Some(service) = self.services.get_mut(&name) {
-            service.change(change, zone, bears);
+        if known.admitted != admitted {
+            let endpoint = Endpoint {
+                admitted,
+                ..known.clone()
+            };
+            service.update_endpoint(endpoint);
         }
     }
 }
--- /dev/null
+++ b/crates/emberpin-proxy/src/frontend/mod.rs
@@ -0,0 +1,308 @@
+//! The clients' side: receives requests, has the controller route them, and writes the one response to each.
+
+mod pending_reply;
+mod readiness;
+mod request_head;
+
+use crate::command::{Command, RouteRequest};
+use crate::published_state::PublishedState;
+use bytes::Bytes;
+use emberpin_balancer::{ClassId, RequestId};
+use emberpin_limiter::host::{
+    headed, passed_on, plain, run_out, strip, take_in, Active, Answer, Connection, Content, Ending,
+    Figures, Outgoing, Reply, RequestHandler, Served, Upload, Upstreamed,
+};
+use hyper::body::{Body, Incoming};
+use hyper::header::{HeaderValue, RETRY_AFTER};
+use hyper::{Request, Response, StatusCode};
+use pending_reply::PendingReply;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::{mpsc, oneshot, Semaphore};
+use tokio::task::spawn_local;
+use tokio::time::{sleep, timeout, Instant};
+
+pub use readiness::ReadinessHandler;
+
+/// Longest time for which a client may send nothing of a body that it is uploading.
+const UPLOAD_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// How often that is checked.
+const UPLOAD_IDLE_CHECK_PERIOD: Duration = Duration::from_millis(500);
+/// Longest wait of a streamed response for one of the download slots.
+const DOWNLOAD_SLOT_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// `Retry-After` of a request whose body would need an upload slot while all are taken.
+const RETRY_AFTER_NO_UPLOAD_SLOT: Duration = Duration::from_millis(500);
+/// Fewest slots for streamed bodies in each direction, however little memory there is.
+const MIN_STREAM_SLOTS: usize = 4;
+
+/// Handles the requests of all clients.
+pub struct ClientFrontend {
+    published: Rc<PublishedState>,
+    commands: mpsc::Sender<Command>,
+    /// Wraps around; a number is free again long before.
+    next_request: Cell<u32>,
+    figures: Arc<Figures>,
+    /// Slots for request bodies that are streamed to a server, each of which holds a buffer.
+    upload_slots: Arc<Semaphore>,
+    /// Slots for response bodies that are streamed to a client.
+    download_slots: Arc<Semaphore>,
+}
+
+/// A request whose head was accepted, and as much of its body as fits in a buffer.
+struct ReceivedRequest {
+    host: String,
+    outgoing: Outgoing,
+    arrived_at: Instant,
+    deadline: Option<Duration>,
+}
+
+/// A response of the frontend's own, to a request that was not forwarded or got no reply.
+enum Rejection {
+    Status(StatusCode),
+    /// 503; the request has not run and never will, and the client may retry after this time.
+    RetryLater(Duration),
+}
+
+impl From<StatusCode> for Rejection {
+    fn from(status: StatusCode) -> Rejection {
+        Rejection::Status(status)
+    }
+}
+
+impl Rejection {
+    fn into_response(self) -> Response<Content> {
+        match self {
+            Rejection::Status(status) => plain(status),
+            Rejection::RetryLater(after) => retry_later(after),
+        }
+    }
+}
+
+impl ClientFrontend {
+    /// Routes requests through the controller behind `commands`. At most `stream_slots` bodies are streamed at a time in
+    /// each direction.
+    pub fn new(
+        published: Rc<PublishedState>,
+        commands: mpsc::Sender<Command>,
+        figures: Arc<Figures>,
+        stream_slots: usize,
+    ) -> Rc<ClientFrontend> {
+        let slots = || Arc::new(Semaphore::new(stream_slots.max(MIN_STREAM_SLOTS)));
+        Rc::new(ClientFrontend {
+            published,
+            commands,
+            next_request: Cell::new(0),
+            figures,
+            upload_slots: slots(),
+            download_slots: slots(),
+        })
+    }
+
+    async fn handle(
+        &self,
+        request: Request<Incoming>,
+        connection: &Rc<Connection>,
+    ) -> Result<Response<Content>, Rejection> {
+        let request = self.receive(request, connection).await?;
+        let active = self.figures.taken(ClassId(0));
+        let reply = self.forward(request).await?;
+        Ok(self.respond_with(reply, active, connection).await)
+    }
+
+    /// Checks a request's head and buffers the beginning of its body.
+    async fn receive(
+        &self,
+        request: Request<Incoming>,
+        connection: &Connection,
+    ) -> Result<ReceivedRequest, Rejection> {
+        // Request smuggling: a body framed in two ways could hide another request from whoever follows the other one.
+        if connection.is_doubtful() {
+            return Err(StatusCode::BAD_REQUEST.into());
+        }
+        if request_head::min_size(&request) > self.published.max_head_bytes() {
+            spawn_local(run_out(request.into_body()));
+            return Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE.into());
+        }
+        let arrived_at = Instant::now();
+        let host = request_head::host(&request).ok_or(StatusCode::BAD_REQUEST)?;
+        let max_body_bytes = self.published.max_body_bytes();
+        let (parts, body) = request.into_parts();
+        let stated_length = body.size_hint().exact();
+        if stated_length.is_some_and(|length| length > max_body_bytes) {
+            spawn_local(run_out(body));
+            return Err(StatusCode::PAYLOAD_TOO_LARGE.into());
+        }
+        let deadline = request_head::deadline(&parts.headers)?;
+        let body = self.receive_body(body, max_body_bytes).await?;
+        let mut headers = parts.headers;
+        strip(&mut headers);
+        headers.remove("keep-alive");
+        let outgoing = Outgoing {
+            method: parts.method,
+            uri: parts.uri,
+            headers,
+            body,
+            may_pass: true,
+            freshness: None,
+            gate: None,
+            withdrawn: Cell::default(),
+        };
+        Ok(ReceivedRequest {
+            host,
+            outgoing,
+            arrived_at,
+            deadline,
+        })
+    }
+
+    /// Buffers a short body; of a longer one its beginning, to be streamed in one of the upload slots.
+    async fn receive_body(
+        &self,
+        body: Incoming,
+        max_body_bytes: u64,
+    ) -> Result<Upstreamed, Rejection> {
+        let stated_length = body.size_hint().exact();
+        let (buffered, rest) = if body.is_end_stream() {
+            (Bytes::new(), None)
+        } else {
+            take_in(body).await?
+        };
+        if buffered.len() as u64 > max_body_bytes {
+            if let Some(rest) = rest {
+                spawn_local(run_out(rest));
+            }
+            return Err(StatusCode::PAYLOAD_TOO_LARGE.into());
+        }
+        let Some(rest) = rest else {
+            return Ok(Upstreamed::Whole(buffered));
+        };
+        let Ok(slot) = self.upload_slots.clone().try_acquire_owned() else {
+            spawn_local(run_out(rest));
+            return Err(Rejection::RetryLater(RETRY_AFTER_NO_UPLOAD_SLOT));
+        };
+        let upload = Upload::new(buffered, stated_length, rest, slot).bounded(max_body_bytes);
+        Ok(Upstreamed::Coming(Rc::new(upload)))
+    }
+
+    /// Has the controller route a request, and waits for the one reply.
+    async fn forward(&self, request: ReceivedRequest) -> Result<Reply, StatusCode> {
+        let id = RequestId(
+            self.next_request
+                .replace(self.next_request.get().wrapping_add(1)),
+        );
+        let upload = match &request.outgoing.body {
+            Upstreamed::Whole(_) => None,
+            Upstreamed::Coming(upload) => Some(upload.clone()),
+        };
+        let mut pending = PendingReply::new(self.commands.clone(), id);
+        let reply = self.route(id, request);
+        let reply = match &upload {
+            None => Ok(reply.await),
+            Some(upload) => {
+                tokio::select! {
+                    biased;
+                    () = upload.exceeded() => Err(StatusCode::PAYLOAD_TOO_LARGE),
+                    reply = reply => Ok(reply),
+                    () = upload_idle(upload) => return Err(StatusCode::BAD_REQUEST),
+                }
+            }
+        };
+        // If the body exceeded its limit, the pending reply is dropped unanswered and the controller ends the attempt.
+        if reply.is_ok() {
+            pending.set_answered();
+        }
+        // A response may precede the end of the request's body. The rest is read and discarded: closing a connection with
+        // unread bytes would reset it, and the client might lose the response.
+        if let Some(rest) = upload.and_then(|upload| upload.take_rest()) {
+            spawn_local(run_out(rest));
+        }
+        reply
+    }
+
+    async fn route(&self, id: RequestId, request: ReceivedRequest) -> Reply {
+        let (reply_to, reply) = oneshot::channel();
+        let request = RouteRequest {
+            id,
+            host: request.host,
+            outgoing: request.outgoing,
+            arrived_at: request.arrived_at,
+            deadline: request.deadline,
+            attempts_sent: 0,
+            reply_to,
+        };
+        match self.commands.send(Command::Route(Box::new(request))).await {
+            Ok(()) => reply.await.unwrap_or(Reply::Answer(Answer::Failed)),
+            Err(_) => Reply::Answer(Answer::Failed),
+        }
+    }
+
+    async fn respond_with(
+        &self,
+        reply: Reply,
+        active: Active,
+        connection: &Rc<Connection>,
+    ) -> Response<Content> {
+        let response = match reply {
+            Reply::Answer(answer) => answer_response(answer),
+            Reply::Passing(passing) => {
+                let slot = self.download_slots.clone().acquire_owned();
+                match timeout(DOWNLOAD_SLOT_TIMEOUT, slot).await {
+                    Ok(Ok(slot)) => return passed_on(passing, active, connection.clone(), slot),
+                    // No slot came free. Nothing of the response has been written yet, so it can still fail cleanly.
+                    Ok(Err(_)) | Err(_) => plain(StatusCode::BAD_GATEWAY),
+                }
+            }
+        };
+        record_ending(active, response.status());
+        response
+    }
+}
+
+impl RequestHandler for ClientFrontend {
+    async fn respond(
+        self: Rc<Self>,
+        request: Request<Incoming>,
+        connection: Rc<Connection>,
+    ) -> Response<Content> {
+        self.handle(request, &connection)
+            .await
+            .unwrap_or_else(Rejection::into_response)
+    }
+}
+
+/// Returns once the client has sent nothing of its body for too long. A slow client keeps its upload slot, a silent one
+/// loses it.
+async fn upload_idle(upload: &Upload) {
+    while upload.silence() < UPLOAD_IDLE_TIMEOUT {
+        sleep(UPLOAD_IDLE_CHECK_PERIOD).await;
+    }
+}
+
+fn answer_response(answer: Answer) -> Response<Content> {
+    match answer {
+        Answer::Served(Served { head, body }) => headed(head, Content::Whole(Some(body))),
+        Answer::Refused { retry_after } => {
+            retry_later(Duration::try_from_secs_f64(retry_after / 1000.0).unwrap_or_default())
+        }
+        Answer::Failed => plain(StatusCode::BAD_GATEWAY),
+    }
+}
+
+/// 503 with `Retry-After`: the request has not run and never will.
+fn retry_later(after: Duration) -> Response<Content> {
+    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE);
+    if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", after.as_secs_f64())) {
+        response.headers_mut().insert(RETRY_AFTER, seconds);
+    }
+    response
+}
+
+fn record_ending(mut active: Active, status: StatusCode) {
+    active.ends(match status {
+        status if status.is_success() => Ending::Ok,
+        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Ending::Shed,
+        _ => Ending::Errors,
+    });
+}
--- a/crates/emberpin-proxy/src/lib.rs
+++ b/crates/emberpin-proxy/src/lib.rs
@@ -1,171 +1,247 @@
-//! The gateway's proxy: hosts the decisions of `emberpin-balancer`, one module for each service, between clients and servers.
+//! The gateway's proxy: forwards clients' requests to the servers of their services.
 //!
-//! It takes no decision of its own: where a request may go is `emberpin-routing`'s, which of those servers gets it, whether
-//! again and what is refused is `emberpin-balancer`'s. Sockets are those of the limiter's library, with the gateway's wire.
+//! It takes no decision of its own: which service a request is for is decided by `emberpin-routing`, which of its
+//! servers gets it, whether it is retried and what is shed by `emberpin-balancer`, of which each service has one module.
+//! Sockets are those of the limiter's library (`emberpin_limiter::host`), with the gateway's headers.
 //!
 //! ```text
-//! client ─ reception ─ desk ─ controller (routes, servers, budget; one engine with its module a service) ─ pool ─ server
-//!                               │
-//!                            sessions with two registries
+//! client ─ reception ─ frontend ─ controller (routes, endpoints, retry budget; one service each) ─ pool ─ server
+//!                                     │
+//!                                 registry sessions ─ two registries
 //! ```
+//!
+//! Everything runs on one thread. This file composes the parts; each module has one job.
 #![forbid(unsafe_code)]
 
 mod command;
 mod controller;
+mod error;
+mod frontend;
+mod listener;
 pub mod program;
 mod published_state;
-mod random;
-mod replies;
-mod requests;
+mod random_seed;
+mod registry_sessions;
 pub mod service;
-mod sessions;
 pub mod wire;
 
 use controller::Controller;
 use emberpin_limiter::host::{ClientLimits, Figures, Phase, Pool, PoolLimits, Reception, Room};
 use emberpin_runtime::settings::Settings;
-use requests::{Front, Readiness};
-use std::net::SocketAddr;
+use frontend::{ClientFrontend, ReadinessHandler};
+use listener::listen;
+use published_state::PublishedState;
+use registry_sessions::RegistrySessions;
+use std::future::pending;
 use std::rc::Rc;
+use std::sync::Arc;
 use std::time::Duration;
-use tokio::net::{TcpListener, TcpSocket};
-use tokio::signal::unix::{signal, SignalKind};
+use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc;
-use tokio::task::{spawn_local, LocalSet};
-use wire::SystemWire;
-
-/// Why the proxy could not start or go on.
-#[derive(Debug, thiserror::Error)]
-pub enum Ended {
-    /// The settings lack something.
-    #[error("settings: {0} is missing")]
-    Missing(&'static str),
-    /// A socket or a signal that could not be had.
-    #[error("{0}: {1}")]
-    Refused(String, std::io::Error),
-    /// The library's figures.
-    #[error("{0}")]
-    Figures(String),
-    /// A part that ended before its time.
-    #[error("{0} ended")]
-    Part(&'static str),
+use tokio::task::{spawn_local, JoinHandle, LocalSet};
+use tokio::time::{sleep, timeout_at, Instant};
+use wire::GatewayWire;
+
+pub use error::ProxyError;
+
+/// Commands that may wait for the controller; a sender of more waits itself.
+const MAX_QUEUED_COMMANDS: usize = 1024;
+/// File descriptors set aside for what is neither a client's nor a server's connection: listeners, registry sessions,
+/// the runtime's own, and files.
+const RESERVED_DESCRIPTORS: usize = 240;
+/// Fewest descriptors for connections, however low the limit.
+const MIN_CONNECTIONS: usize = 40;
+/// Fraction of the remaining descriptors for clients' connections; servers' connections get the rest.
+const CLIENT_CONNECTION_SHARE: f64 = 0.55;
+/// Connections to the readiness endpoint.
+const MAX_READINESS_CONNECTIONS: usize = 32;
+/// Fraction of the grace period during which a draining proxy still accepts connections: the platform polls readiness
+/// every second and stops directing connections here after two failures.
+const DRAIN_ACCEPT_SHARE: f64 = 0.42;
+/// Fraction of the grace period after which the process ends, whatever is still open.
+const DRAIN_END_SHARE: f64 = 0.95;
+/// MiB of the memory limit for each body that may be streamed at a time in each direction.
+const MIB_PER_STREAM_SLOT: usize = 4;
+
+/// Limits of the connection pool towards servers, but for the number of sockets.
+mod pool_limits {
+    use super::Duration;
+
+    pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+    pub const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+    pub const MAX_IDLE_PER_SERVER: usize = 16;
+    /// A server that acknowledges nothing for this long counts as lost.
+    pub const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(400);
+    /// Bytes of a response that are buffered before any of it is passed on. A response that breaks off within them can be
+    /// retried; longer ones are streamed, as buffering them would take the time of a slow link twice.
+    pub const BUFFERED_RESPONSE_BYTES: usize = 16 << 10;
 }
 
-/// Most commands that wait for the controller; whoever has more waits.
-const COMMANDS: usize = 1024;
-const BACKLOG: u32 = 512;
-/// Descriptors that are nobody's connections: listeners, sessions, the runtime's own, and those for files.
-const OTHER_SOCKETS: usize = 240;
-/// The part of the others that clients get; servers get the rest.
-const CLIENT_SHARE: f64 = 0.55;
-/// The part of the grace after SIGTERM for which new connections are still taken: the platform asks for readiness every
-/// second and goes by two misses.
-const LEAVING_PART: f64 = 0.42;
-/// And the part after which the process ends whatever is still open.
-const GRACE_PART: f64 = 0.95;
-/// Bytes of an answer that are held whole; one that breaks off before its end may become another attempt. Longer ones
-/// are passed on while they come: held, they would come through a narrow link twice, one behind the other.
-const HOLD: usize = 16 << 10;
-
-/// Runs the proxy on this thread until it is told to end.
+/// Runs the proxy on this thread until it is terminated.
 ///
 /// # Errors
 ///
-/// [`Ended`].
-pub fn serve(settings: Settings) -> Result<(), Ended> {
+/// [`ProxyError`], if it cannot start or one of its tasks ends.
+pub fn serve(settings: Settings) -> Result<(), ProxyError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .build();
-    let runtime = runtime.map_err(|e| Ended::Refused("runtime".into(), e))?;
+        .build()
+        .map_err(ProxyError::Runtime)?;
     LocalSet::new().block_on(&runtime, run(settings))
 }
 
-async fn run(settings: Settings) -> Result<(), Ended> {
-    let http = settings
-        .http_address
-        .ok_or(Ended::Missing("network.listen.http"))?;
-    let readyz = settings
-        .readiness_address
-        .ok_or(Ended::Missing("network.listen.readyz"))?;
-    let caught = |kind| signal(kind).map_err(|e| Ended::Refused("signals".into(), e));
-    let (mut terminated, mut hung_up) = (
-        caught(SignalKind::terminate())?,
-        caught(SignalKind::hangup())?,
-    );
-    let (clients, probes) = (listen(http)?, listen(readyz)?);
-
-    let sockets = settings
-        .max_open_files
-        .saturating_sub(OTHER_SOCKETS)
-        .max(40);
-    let client_sockets = (sockets as f64 * CLIENT_SHARE) as usize;
-    let figures = Figures::new(&["all".to_string()]).map_err(Ended::Figures)?;
-    let room = Rc::new(Room::new(None));
+async fn run(settings: Settings) -> Result<(), ProxyError> {
+    let mut signals = Signals::install()?;
+    let grace = settings.bounds.shutdown_grace;
+    let proxy = Proxy::start(settings)?;
+    let Proxy {
+        published,
+        reception,
+        sessions,
+        controller,
+        accepting,
+    } = proxy;
+    tokio::select! {
+        _ = signals.terminate.recv() => {}
+        () = reload_on_hangup(&mut signals.hangup, &sessions) => {}
+        _ = controller => return Err(ProxyError::TaskEnded("controller")),
+        _ = accepting => return Err(ProxyError::TaskEnded("reception")),
+    }
+    log::info!("graceful shutdown begins: grace={grace:?}");
+    drain(&published, &reception, grace).await;
+    Ok(())
+}
+
+/// The signals that the proxy handles, caught from before it listens.
+struct Signals {
+    terminate: Signal,
+    hangup: Signal,
+}
+
+impl Signals {
+    fn install() -> Result<Signals, ProxyError> {
+        let catch = |kind| signal(kind).map_err(ProxyError::Signal);
+        Ok(Signals {
+            terminate: catch(SignalKind::terminate())?,
+            hangup: catch(SignalKind::hangup())?,
+        })
+    }
+}
+
+/// The running parts of the proxy.
+struct Proxy {
+    published: Rc<PublishedState>,
+    reception: Rc<Reception>,
+    sessions: Rc<RegistrySessions>,
+    controller: JoinHandle<()>,
+    accepting: JoinHandle<()>,
+}
+
+impl Proxy {
+    /// Composes the parts. Sockets listen first, so that nothing runs if an address is taken; the controller exists
+    /// before the frontend and the sessions, which send it commands.
+    fn start(settings: Settings) -> Result<Proxy, ProxyError> {
+        let http = settings
+            .http_address
+            .ok_or(ProxyError::MissingSetting("network.listen.http"))?;
+        let readyz = settings
+            .readiness_address
+            .ok_or(ProxyError::MissingSetting("network.listen.readyz"))?;
+        let (http, readyz) = (listen(http)?, listen(readyz)?);
+        let budget = ConnectionBudget::of(settings.max_open_files);
+        let figures = Figures::new(&["all".to_string()]).map_err(ProxyError::Metrics)?;
+        let room = Rc::new(Room::new(None));
+        let pool = start_pool(budget.servers, &figures, &room);
+        let (commands, queued_commands) = mpsc::channel(MAX_QUEUED_COMMANDS);
+        let reception = Reception::new(
+            Phase::Serving,
+            budget.clients,
+            ClientLimits::default(),
+            room.clone(),
+        );
+        let controller = Controller::new(&settings, pool, reception.clone(), &commands);
+        let published = controller.published_state();
+        let stream_slots = settings.memory_mib as usize / MIB_PER_STREAM_SLOT;
+        let frontend =
+            ClientFrontend::new(published.clone(), commands.clone(), figures, stream_slots);
+        let accepting = spawn_local(reception.clone().accept(frontend, http, false));
+        serve_readiness(published.clone(), readyz, room);
+        let sessions = RegistrySessions::start(settings, commands);
+        let controller = spawn_local(controller.run(queued_commands));
+        Ok(Proxy {
+            published,
+            reception,
+            sessions,
+            controller,
+            accepting,
+        })
+    }
+}
+
+/// How many connections there may be on each side.
+struct ConnectionBudget {
+    clients: usize,
+    servers: usize,
+}
+
+impl ConnectionBudget {
+    fn of(max_descriptors: usize) -> ConnectionBudget {
+        let all = max_descriptors
+            .saturating_sub(RESERVED_DESCRIPTORS)
+            .max(MIN_CONNECTIONS);
+        let clients = (all as f64 * CLIENT_CONNECTION_SHARE) as usize;
+        ConnectionBudget {
+            clients,
+            servers: all - clients,
+        }
+    }
+}
+
+fn start_pool(max_sockets: usize, figures: &Arc<Figures>, room: &Rc<Room>) -> Rc<Pool> {
     let limits = PoolLimits {
-        connect: Duration::from_millis(150),
-        idle: Duration::from_secs(5),
-        most_idle: 16,
-        sockets: sockets - client_sockets,
-        unacknowledged: Some(Duration::from_millis(400)),
-        hold: HOLD,
+        connect: pool_limits::CONNECT_TIMEOUT,
+        idle: pool_limits::IDLE_TIMEOUT,
+        most_idle: pool_limits::MAX_IDLE_PER_SERVER,
+        sockets: max_sockets,
+        unacknowledged: Some(pool_limits::UNACKNOWLEDGED_TIMEOUT),
+        hold: pool_limits::BUFFERED_RESPONSE_BYTES,
     };
-    let pool = Pool::new(limits, Rc::new(SystemWire), figures.clone(), room.clone());
+    let pool = Pool::new(limits, Rc::new(GatewayWire), figures.clone(), room.clone());
     spawn_local(pool.clone().retire());
-    let (commands, received) = mpsc::channel(COMMANDS);
+    pool
+}
+
+fn serve_readiness(
+    published: Rc<PublishedState>,
+    listener: tokio::net::TcpListener,
+    room: Rc<Room>,
+) {
     let reception = Reception::new(
         Phase::Serving,
-        client_sockets,
+        MAX_READINESS_CONNECTIONS,
         ClientLimits::default(),
-        room.clone(),
+        room,
     );
-    let controller = Controller::new(&settings, pool, reception.clone(), &commands);
-    let view = controller.view();
-    let (grace, passing) = (
-        settings.bounds.shutdown_grace,
-        settings.memory_mib as usize / 4,
-    );
-    let front = Front::new(view.clone(), commands.clone(), figures, passing);
-    let accepting = spawn_local(reception.clone().accept(front, clients, false));
-    let door = Reception::new(Phase::Serving, 32, ClientLimits::default(), room);
-    spawn_local(door.accept(Rc::new(Readiness(view.clone())), probes, false));
-    let sessions = sessions::start(settings, commands);
-    let controller = spawn_local(controller.run(received));
-    let rereads = async {
-        loop {
-            if hung_up.recv().await.is_none() {
-                std::future::pending::<()>().await;
-            }
-            // Whoever looks for a registry next reads the file again; nothing else of it changes while it runs.
-            sessions.reread();
-        }
-    };
-    tokio::select! {
-        _ = terminated.recv() => {}
-        () = rereads => {}
-        _ = controller => return Err(Ended::Part("the controller")),
-        _ = accepting => return Err(Ended::Part("the reception")),
+    let handler = Rc::new(ReadinessHandler(published));
+    spawn_local(reception.accept(handler, listener, false));
+}
+
+/// Has the settings file read again upon each SIGHUP. The next registry session uses the new seeds; no other setting is
+/// applied while the process runs.
+async fn reload_on_hangup(hangup: &mut Signal, sessions: &RegistrySessions) {
+    while hangup.recv().await.is_some() {
+        sessions.reload_settings();
     }
-    log::info!("leaves");
-    let leaves = tokio::time::Instant::now();
-    view.leave();
-    reception.leave();
-    tokio::time::sleep(grace.mul_f64(LEAVING_PART)).await;
-    reception.close();
-    _ = tokio::time::timeout_at(leaves + grace.mul_f64(GRACE_PART), reception.empty()).await;
-    Ok(())
+    pending::<()>().await;
 }
 
-fn listen(at: SocketAddr) -> Result<TcpListener, Ended> {
-    // A killed predecessor leaves connections in TIME_WAIT: rebinding must not wait for them.
-    let socket = if at.is_ipv4() {
-        TcpSocket::new_v4()
-    } else {
-        TcpSocket::new_v6()
-    };
-    let listening = socket.and_then(|socket| {
-        socket.set_reuseaddr(true)?;
-        socket.bind(at)?;
-        socket.listen(BACKLOG)
-    });
-    listening.map_err(|e| Ended::Refused(format!("listening on {at}"), e))
+/// Drains: withdraws readiness, keeps accepting connections while the platform may still direct some here, then closes
+/// the listener and waits for the open connections until the grace period is nearly over.
+async fn drain(published: &PublishedState, reception: &Reception, grace: Duration) {
+    let started = Instant::now();
+    published.start_draining();
+    reception.leave();
+    sleep(grace.mul_f64(DRAIN_ACCEPT_SHARE)).await;
+    reception.close();
+    _ = timeout_at(started + grace.mul_f64(DRAIN_END_SHARE), reception.empty()).await;
 }
--- a/crates/emberpin-proxy/src/main.rs
+++ b/crates/emberpin-proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The proxy's program; everything is in the library.
+//! The `emberpin-proxy` program, whose implementation is in the library.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/crates/emberpin-proxy/src/program.rs
+++ b/crates/emberpin-proxy/src/program.rs
@@ -1,27 +1,23 @@
-//! The command line.
+//! The command line of `emberpin-proxy`.
 
 use emberpin_runtime::settings::Settings;
 use getopts::Options;
 use std::ffi::OsString;
 use std::process::ExitCode;
 
-/// Runs the program with these arguments.
+/// Exit code for unusable arguments or settings.
+const EXIT_USAGE: u8 = 2;
+
+/// Runs the program with these arguments, and returns its exit code: 2 if arguments or settings are unusable, 1 if the
+/// proxy failed.
 pub fn main(arguments: impl Iterator<Item = OsString>) -> ExitCode {
-    let mut options = Options::new();
-    options
-        .optflag("h", "help", "print this")
-        .optflag("V", "version", "print the version");
-    options.optflag(
-        "c",
-        "check",
-        "read the settings, say what is in force, and start nothing",
-    );
-    let asked = match options.parse(arguments) {
-        Ok(asked) if asked.free.is_empty() => asked,
-        Ok(asked) => return wrong(&format!("unexpected: {}", asked.free.join(" "))),
-        Err(problem) => return wrong(&problem.to_string()),
+    let options = options();
+    let matches = match options.parse(arguments) {
+        Ok(matches) if matches.free.is_empty() => matches,
+        Ok(matches) => return usage_error(&format!("unexpected: {}", matches.free.join(" "))),
+        Err(error) => return usage_error(&error.to_string()),
     };
-    if asked.opt_present("help") {
+    if matches.opt_present("help") {
         print!(
             "{}",
             options.usage(
@@ -30,30 +26,46 @@
         );
         return ExitCode::SUCCESS;
     }
-    if asked.opt_present("version") {
+    if matches.opt_present("version") {
         println!("emberpin-proxy {}", env!("CARGO_PKG_VERSION"));
         return ExitCode::SUCCESS;
     }
     let settings = match Settings::from_env() {
         Ok(settings) => settings,
-        Err(problem) => return wrong(&problem.to_string()),
+        Err(error) => return usage_error(&error.to_string()),
     };
-    if asked.opt_present("check") {
+    if matches.opt_present("check") {
         println!("{settings:#?}");
         return ExitCode::SUCCESS;
     }
+    run(settings)
+}
+
+fn options() -> Options {
+    let mut options = Options::new();
+    options.optflag("h", "help", "print this");
+    options.optflag("V", "version", "print the version");
+    options.optflag(
+        "c",
+        "check",
+        "read the settings, say what is in force, and start nothing",
+    );
+    options
+}
+
+fn run(settings: Settings) -> ExitCode {
     emberpin_runtime::logs::init(log::LevelFilter::Info);
     match crate::serve(settings) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            log::error!("ends: {problem}");
+        Err(error) => {
+            log::error!("proxy failed: error={error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// One line, and the status of what cannot be used.
-fn wrong(problem: &str) -> ExitCode {
-    eprintln!("emberpin-proxy: {problem}");
-    ExitCode::from(2)
+/// Prints one line to standard error.
+fn usage_error(error: &str) -> ExitCode {
+    eprintln!("emberpin-proxy: {error}");
+    ExitCode::from(EXIT_USAGE)
 }
--- a/crates/emberpin-proxy/src/published_state.rs
+++ b/crates/emberpin-proxy/src/published_state.rs
@@ -1,33 +1,64 @@
-//! What the controller publishes for the request handlers.
+//! State that the controller publishes for request handlers, which read it without a round trip through the command
+//! queue.
 
 use std::cell::Cell;
 
-/// What the request handler reads without asking.
-pub struct View {
-    pub(crate) ready: Cell<bool>,
-    pub(crate) leaving: Cell<bool>,
-    pub(crate) body_max: Cell<u64>,
-    pub(crate) head_max: Cell<u64>,
+/// Longest request body before the configuration states `body_max_bytes`.
+const DEFAULT_MAX_BODY_BYTES: u64 = 64 << 20;
+
+/// Readiness and the size limits of requests, shared by the controller and the request handlers on one thread.
+pub struct PublishedState {
+    ready: Cell<bool>,
+    draining: Cell<bool>,
+    max_body_bytes: Cell<u64>,
+    max_head_bytes: Cell<u64>,
 }
 
-impl View {
-    /// Whether new connections are wanted.
+impl PublishedState {
+    /// Not ready yet, with the default body limit and this limit for heads.
+    pub fn new(max_head_bytes: u64) -> PublishedState {
+        PublishedState {
+            ready: Cell::new(false),
+            draining: Cell::new(false),
+            max_body_bytes: Cell::new(DEFAULT_MAX_BODY_BYTES),
+            max_head_bytes: Cell::new(max_head_bytes),
+        }
+    }
+
+    /// Whether the platform should direct new connections to this proxy.
     pub fn is_ready(&self) -> bool {
-        self.ready.get() && !self.leaving.get()
+        self.ready.get() && !self.draining.get()
+    }
+
+    /// Marks the configuration as complete and recent; returns whether it already was. Readiness is never withdrawn
+    /// except by [`start_draining`](Self::start_draining).
+    pub fn set_ready(&self) -> bool {
+        self.ready.replace(true)
+    }
+
+    /// Begins graceful shutdown: readiness is withdrawn, and attempts are no longer given up early for a retry.
+    pub fn start_draining(&self) {
+        self.draining.set(true);
+    }
+
+    /// Whether graceful shutdown has begun.
+    pub fn is_draining(&self) -> bool {
+        self.draining.get()
     }
 
-    /// No new connections are wanted any more.
-    pub fn leave(&self) {
-        self.leaving.set(true);
+    /// Longest request body that is accepted.
+    pub fn max_body_bytes(&self) -> u64 {
+        self.max_body_bytes.get()
     }
 
-    /// The longest body that a client may send.
-    pub fn body_max(&self) -> u64 {
-        self.body_max.get()
+    /// Longest request head that is accepted.
+    pub fn max_head_bytes(&self) -> u64 {
+        self.max_head_bytes.get()
     }
 
-    /// The longest head that a client may send, in bytes.
-    pub fn head_max(&self) -> u64 {
-        self.head_max.get()
+    /// Replaces the size limits; requests whose head was already checked are not affected.
+    pub fn set_size_limits(&self, max_head_bytes: u64, max_body_bytes: u64) {
+        self.max_head_bytes.set(max_head_bytes);
+        self.max_body_bytes.set(max_body_bytes);
     }
 }
--- /dev/null
+++ b/crates/emberpin-proxy/src/registry_sessions/replication.rs
@@ -0,0 +1,39 @@
+//! How far this proxy has followed each registry's log of changes.
+
+use emberpin_membership::session::{Revision, SnapshotCursor, SyncProgress, ToLimiter};
+use std::collections::BTreeMap;
+use std::net::Ipv4Addr;
+
+/// Replication progress by registry. A revision means something to the registry that issued it only.
+#[derive(Default)]
+pub(super) struct ReplicationProgress {
+    registries: BTreeMap<Ipv4Addr, SyncProgress>,
+}
+
+impl ReplicationProgress {
+    /// The revision from which a session with this registry resumes, also in the middle of a snapshot.
+    pub(super) fn resume_from(&self, registry: Ipv4Addr) -> Option<Revision> {
+        self.registries.get(&registry).map(|known| known.revision)
+    }
+
+    /// The revision up to which everything has been received; `None` while a snapshot is incomplete.
+    pub(super) fn complete_revision(&self, registry: Ipv4Addr) -> Option<Revision> {
+        self.registries
+            .get(&registry)
+            .and_then(SyncProgress::synced_revision)
+    }
+
+    /// Where an incomplete snapshot continues.
+    pub(super) fn snapshot_cursor(&self, registry: Ipv4Addr) -> Option<SnapshotCursor> {
+        self.registries
+            .get(&registry)
+            .and_then(|known| known.next_part.clone())
+    }
+
+    /// Advances past a message that was received.
+    pub(super) fn advance(&mut self, registry: Ipv4Addr, message: &ToLimiter) {
+        let mut known = self.registries.remove(&registry);
+        SyncProgress::advance(&mut known, message);
+        self.registries.extend(known.map(|known| (registry, known)));
+    }
+}
--- /dev/null
+++ b/crates/emberpin-proxy/src/service/mod.rs
@@ -0,0 +1,243 @@
+//! One service: the decision module that chooses servers for its requests, and the connections to those servers.
+
+mod endpoint;
+mod settings;
+mod traffic_class;
+
+use emberpin_balancer::{ClassId, Event, Gateway, Membership, RequestId, Server, ServerId};
+use emberpin_limiter::host::{Clock, Engine, Input, Place, Pool, Upstream};
+use emberpin_routing::{Availability, Route};
+use endpoint::KnownEndpoint;
+use hyper::header::HeaderValue;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+use traffic_class::TrafficClasses;
+
+pub use endpoint::Endpoint;
+pub use traffic_class::ClassCounts;
+
+/// Attempts in flight for each of the servers' slots above which this proxy calls itself congested: as many at work as
+/// waiting. What waits then waits for about one usual response, which every latency target leaves room for.
+const CONGESTION_ATTEMPTS_PER_SLOT: f64 = 2.0;
+/// Lower bound of that threshold for one proxy: a smaller one would be passed by chance alone.
+const MIN_CONGESTION_THRESHOLD: f64 = 3.0;
+/// Grid on which the timers of all decision modules fall, so that they do not each wake the process for themselves.
+const TIMER_GRID: Duration = Duration::from_millis(100);
+
+/// The servers of one service, and the decision module that distributes its requests over them.
+pub struct Service {
+    /// Hosts the decision module and carries out what it decides.
+    pub engine: Engine,
+    pool: Rc<Pool>,
+    classes: TrafficClasses,
+    /// Instances that the decision module knows, by instance id.
+    endpoints: BTreeMap<String, KnownEndpoint>,
+    /// Instance ids by the number under which the decision module knows them.
+    instance_ids: BTreeMap<ServerId, String>,
+    /// Numbers are never reused, so that a late event cannot be taken for one of another instance.
+    last_server_id: u32,
+    /// Proxies that share the servers, at least 1.
+    limiter_count: u32,
+    /// Endpoints that are available as far as registries say, whether or not they are reachable from here.
+    available_count: usize,
+}
+
+impl Service {
+    /// A service without servers. The ends of its attempts are sent to `inputs`; `started_at` is the origin of the grid
+    /// on which timers of all services fall.
+    pub fn new(
+        pool: Rc<Pool>,
+        inputs: mpsc::Sender<Input>,
+        seed: u64,
+        started_at: Instant,
+    ) -> Service {
+        let clock = Clock::start();
+        let gateway = Gateway::new(settings::decision_settings(), seed, clock.now());
+        let mut engine = Engine::new(gateway, clock, inputs);
+        engine.refusals_promise = true;
+        engine.patient = true;
+        engine.grid = Some((started_at, TIMER_GRID));
+        Service {
+            engine,
+            pool,
+            classes: TrafficClasses::default(),
+            endpoints: BTreeMap::new(),
+            instance_ids: BTreeMap::new(),
+            last_server_id: 0,
+            limiter_count: 1,
+            available_count: 0,
+        }
+    }
+
+    /// The traffic class of requests on this route.
+    pub fn class(&mut self, route: &Route) -> ClassId {
+        self.classes.class_of(route, &mut self.engine.gateway)
+    }
+
+    /// Frees the traffic classes that none of `routes` has, which must be all routes in force and all routes of requests
+    /// in flight. What was learned of a freed class is forgotten.
+    pub fn retain_classes<'a>(&mut self, routes: impl Iterator<Item = &'a Route>) {
+        self.classes.retain(routes);
+    }
+
+    /// How large the tables of traffic classes are.
+    pub fn class_counts(&self) -> ClassCounts {
+        self.classes.counts(&self.engine.gateway)
+    }
+
+    /// Whether no endpoint is known.
+    pub fn is_empty(&self) -> bool {
+        self.endpoints.is_empty()
+    }
+
+    /// Whether some endpoint is available, as far as registries say.
+    pub fn has_available_server(&self) -> bool {
+        self.available_count > 0
+    }
+
+    /// Sets how many proxies share the servers, which scales the congestion threshold of this one.
+    pub fn set_limiter_count(&mut self, limiter_count: u32) {
+        self.limiter_count = limiter_count.max(1);
+        self.update_congestion_threshold();
+    }
+
+    /// Id of the instance that the decision module knows under this number.
+    pub fn instance(&self, server: ServerId) -> Option<&str> {
+        self.instance_ids.get(&server).map(String::as_str)
+    }
+
+    /// The endpoint of this instance, as last updated.
+    pub fn endpoint(&self, instance: &str) -> Option<&Endpoint> {
+        self.endpoints.get(instance).map(|known| &known.endpoint)
+    }
+
+    /// Attempts that were sent since the last call, each as its request and the id of the instance that it went to.
+    pub fn take_sent_attempts(&mut self) -> Vec<(RequestId, String)> {
+        let sent = std::mem::take(&mut self.engine.sent);
+        let with_instance =
+            |(request, _, server)| Some((request, self.instance_ids.get(&server)?.clone()));
+        sent.into_iter().filter_map(with_instance).collect()
+    }
+
+    /// Adds, changes or removes an endpoint, and notifies the decision module.
+    pub fn update_endpoint(&mut self, endpoint: Endpoint) {
+        let known = self.endpoints.get(&endpoint.change.id);
+        if endpoint.change.availability == Availability::Removed && known.is_none() {
+            return;
+        }
+        let available = endpoint.is_available();
+        let was_available = known.is_some_and(|known| known.endpoint.is_available());
+        let moved =
+            known.is_some_and(|known| known.endpoint.change.address != endpoint.change.address);
+        // Closing the connections ends the health check. The endpoint counts as reachable again, and an attempt shows
+        // whether it is, once it is available.
+        let unreachable = known.is_some_and(|known| known.unreachable) && available && !moved;
+        let server = match known {
+            Some(known) => known.server,
+            None => self.next_server_id(),
+        };
+        if !available || moved {
+            self.close_connections(server);
+        }
+        if available {
+            self.open_connections(server, &endpoint);
+        }
+        self.available_count =
+            self.available_count + usize::from(available) - usize::from(was_available);
+        let known = KnownEndpoint {
+            endpoint,
+            server,
+            unreachable,
+        };
+        let entry = known.membership_entry();
+        self.store_endpoint(known);
+        self.notify_membership(entry);
+    }
+
+    fn next_server_id(&mut self) -> ServerId {
+        self.last_server_id += 1;
+        ServerId(self.last_server_id)
+    }
+
+    fn close_connections(&mut self, server: ServerId) {
+        if let Some(upstream) = self.engine.upstreams.remove(&server) {
+            upstream.shut();
+        }
+    }
+
+    fn open_connections(&mut self, server: ServerId, endpoint: &Endpoint) {
+        if self.engine.upstreams.contains_key(&server) {
+            return;
+        }
+        let place = Place {
+            address: endpoint.change.address,
+            boot_ms: 0.0,
+        };
+        // An instance whose id no header can carry cannot be named in a request, so nothing is ever sent to it.
+        if let Ok(instance) = HeaderValue::try_from(endpoint.change.id.as_str()) {
+            let upstream = Upstream::of_instance(place, Some(instance), self.pool.clone());
+            self.engine.upstreams.insert(server, upstream);
+        }
+    }
+
+    fn store_endpoint(&mut self, known: KnownEndpoint) {
+        let instance = known.endpoint.change.id.clone();
+        if known.endpoint.change.availability == Availability::Removed {
+            self.endpoints.remove(&instance);
+            self.instance_ids.remove(&known.server);
+        } else {
+            self.instance_ids.insert(known.server, instance.clone());
+            self.endpoints.insert(instance, known);
+        }
+    }
+
+    /// Takes an endpoint out of service until [`mark_reachable`](Self::mark_reachable). Returns its connections, for a
+    /// health check, unless one is already under way or the endpoint is unknown.
+    pub fn mark_unreachable(&mut self, server: ServerId) -> Option<Rc<Upstream>> {
+        let known = self.endpoints.get_mut(self.instance_ids.get(&server)?)?;
+        if std::mem::replace(&mut known.unreachable, true) {
+            return None;
+        }
+        let entry = known.membership_entry();
+        self.notify_membership(entry);
+        self.engine.upstreams.get(&server).cloned()
+    }
+
+    /// Puts an endpoint back into service after its health check succeeded.
+    pub fn mark_reachable(&mut self, server: ServerId) {
+        let Some(known) = self
+            .instance_ids
+            .get(&server)
+            .and_then(|instance| self.endpoints.get_mut(instance))
+        else {
+            return;
+        };
+        known.unreachable = false;
+        let entry = known.membership_entry();
+        self.notify_membership(entry);
+    }
+
+    fn notify_membership(&mut self, entry: Server) {
+        self.engine
+            .feed(Event::Membership(Membership::Changes(vec![entry])));
+        self.update_congestion_threshold();
+    }
+
+    /// Sets the number of attempts in flight above which the decision module calls this proxy congested, its share of
+    /// what the servers in service bear.
+    fn update_congestion_threshold(&mut self) {
+        let in_service = self
+            .endpoints
+            .values()
+            .filter(|known| known.is_in_service());
+        let slots: u32 = in_service.map(|known| known.endpoint.slots()).sum();
+        let threshold =
+            f64::from(slots) * CONGESTION_ATTEMPTS_PER_SLOT / f64::from(self.limiter_count);
+        self.engine
+            .gateway
+            .bear(threshold.max(MIN_CONGESTION_THRESHOLD));
+    }
+}
--- /dev/null
+++ b/crates/emberpin-proxy/src/service/traffic_class.rs
@@ -0,0 +1,123 @@
+//! Traffic classes: requests of one service that the decision module measures together.
+
+use emberpin_balancer::{Class, ClassId, Effect, Gateway};
+use emberpin_routing::{Route, RouteKind};
+use std::collections::{HashMap, HashSet};
+use std::time::Duration;
+
+/// Most classes of one service. Beyond, requests share the statistics of another class of the same effect.
+const MAX_CLASSES: usize = 256;
+/// Lower bound of a class's latency target.
+const MIN_LATENCY_TARGET: Duration = Duration::from_millis(1);
+
+/// The properties of a route that the decision module depends on. Routes that agree in them share a class. Times are
+/// whole milliseconds.
+#[derive(Clone, PartialEq, Eq, Hash)]
+struct ClassKey {
+    /// A request may run more than once without harm.
+    idempotent: bool,
+    latency_target: Duration,
+    timeout: Duration,
+}
+
+impl ClassKey {
+    fn of(route: &Route) -> ClassKey {
+        ClassKey {
+            idempotent: route.kind != RouteKind::Mutating,
+            latency_target: whole_millis(route.latency_target),
+            timeout: whole_millis(route.timeout),
+        }
+    }
+
+    fn class(&self) -> Class {
+        Class {
+            aim: millis(self.latency_target.max(MIN_LATENCY_TARGET)),
+            deadline: millis(self.timeout),
+            worth: 1.0,
+            late_worth: 0.0,
+            effect: if self.idempotent {
+                Effect::Safe
+            } else {
+                Effect::Unsafe
+            },
+        }
+    }
+}
+
+/// How many classes are in use and how many the decision module has places for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ClassCounts {
+    /// Classes that a route or a request in flight has.
+    pub used: usize,
+    /// Places for classes in the decision module, used or free; they only ever grow.
+    pub allocated: usize,
+}
+
+/// Class ids of the decision module by what they stand for.
+#[derive(Default)]
+pub(super) struct TrafficClasses {
+    used: HashMap<ClassKey, ClassId>,
+    /// Ids of freed classes, which are assigned again before the module gets new ones.
+    free: Vec<ClassId>,
+}
+
+impl TrafficClasses {
+    /// The class of requests on this route, added to the decision module if it is new.
+    pub(super) fn class_of(&mut self, route: &Route, gateway: &mut Gateway) -> ClassId {
+        let key = ClassKey::of(route);
+        if let Some(id) = self.used.get(&key) {
+            return *id;
+        }
+        if self.used.len() >= MAX_CLASSES {
+            if let Some(id) = self.any_of_same_effect(&key) {
+                return id;
+            }
+        }
+        let id = match self.free.pop() {
+            Some(free) => {
+                gateway.replace_class(free, key.class());
+                free
+            }
+            None => gateway.add_class(key.class()),
+        };
+        self.used.insert(key, id);
+        id
+    }
+
+    /// A class to share once the table is full. Its latencies may be others, but it must never make a request appear
+    /// idempotent that is not.
+    fn any_of_same_effect(&self, key: &ClassKey) -> Option<ClassId> {
+        self.used
+            .iter()
+            .find(|(used, _)| used.idempotent == key.idempotent)
+            .map(|(_, id)| *id)
+    }
+
+    /// Frees the classes that none of these routes has.
+    pub(super) fn retain<'a>(&mut self, routes: impl Iterator<Item = &'a Route>) {
+        let wanted: HashSet<ClassKey> = routes.map(ClassKey::of).collect();
+        let free = &mut self.free;
+        self.used.retain(|key, id| {
+            let keep = wanted.contains(key);
+            if !keep {
+                free.push(*id);
+            }
+            keep
+        });
+    }
+
+    pub(super) fn counts(&self, gateway: &Gateway) -> ClassCounts {
+        ClassCounts {
+            used: self.used.len(),
+            allocated: gateway.class_count(),
+        }
+    }
+}
+
+fn whole_millis(time: Duration) -> Duration {
+    Duration::from_millis(u64::try_from(time.as_millis()).unwrap_or(u64::MAX))
+}
+
+fn millis(time: Duration) -> f64 {
+    time.as_millis() as f64
+}
--- a/crates/emberpin-proxy/src/wire.rs
+++ b/crates/emberpin-proxy/src/wire.rs
@@ -1,4 +1,4 @@
-//! How requests and answers are worded between the gateway and its servers.
+//! The HTTP headers between the gateway and its servers, and how a response decides the outcome of an attempt.
 
 use emberpin_balancer::{Outcome, Report};
 use emberpin_limiter::host::{strip, Described, Head, Wire};
@@ -8,25 +8,27 @@
 use hyper::{Response, StatusCode};
 use std::time::Duration;
 
-/// Names a client's try; servers echo it.
+/// Id of a client's request, which servers echo in their response.
 pub const TRY_ID: HeaderName = HeaderName::from_static("try-id");
-/// For how many milliseconds whoever sends it will wait.
+/// For how many milliseconds the sender of a request waits for its response.
 pub const DEADLINE: HeaderName = HeaderName::from_static("deadline");
-/// The only instance of a server that may run the request.
+/// Id of the only instance that may run the request. A server with another id responds with 421.
 pub const WANT_INSTANCE: HeaderName = HeaderName::from_static("want-instance");
-/// The server has not run the request, and never will.
+/// Present in a response if the server has not run the request and never will.
 pub const NOT_RUN: HeaderName = HeaderName::from_static("not-run");
-/// The server's stamp on its answer.
+/// The server's stamp on a response that it has produced itself.
 pub const SEAL: HeaderName = HeaderName::from_static("seal");
+/// States in a response for how long the server keeps an idle connection.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Idle connections go at this part of the time that the server states, so that none is used just as it closes it.
-const IDLE_PART: f64 = 0.7;
+/// Fraction of the idle time stated by a server after which the proxy closes an idle connection itself, so that none is
+/// used just as the server closes it.
+const IDLE_TIMEOUT_SHARE: f64 = 0.7;
 
-/// The gateway's words.
-pub struct SystemWire;
+/// The gateway's headers, as the connection pool of the limiter's library reads and writes them.
+pub struct GatewayWire;
 
-impl Wire for SystemWire {
+impl Wire for GatewayWire {
     fn address(&self, headers: &mut HeaderMap, left: Duration, instance: Option<&HeaderValue>) {
         headers.insert(DEADLINE, HeaderValue::from(left.as_millis() as u64));
         match instance {
@@ -39,24 +41,24 @@
         headers.get(TRY_ID).cloned()
     }
 
-    /// Guards against answers of earlier requests that come late: what names another try is not this one's, nor is a
-    /// success that names none. A request without an id gets no answer that names one.
+    /// Rejects late responses to earlier requests on the same connection: those that name another id, and sealed ones that
+    /// name none. A request without an id accepts no response that names one.
     fn belongs(&self, mark: Option<&HeaderValue>, headers: &HeaderMap) -> bool {
         match (mark, headers.get(TRY_ID)) {
-            (Some(mark), Some(told)) => mark == told,
+            (Some(mark), Some(echoed)) => mark == echoed,
             (Some(_), None) => !headers.contains_key(SEAL),
-            (None, told) => told.is_none(),
+            (None, echoed) => echoed.is_none(),
         }
     }
 
-    /// Nobody says that servers wait for the end of a body.
+    /// Servers do not promise to wait for the end of a body before they run a request.
     fn may_run_in_part(&self) -> bool {
         true
     }
 
     fn judge(&self, _: Option<&HeaderValue>, response: &Response<()>) -> Outcome {
         let (status, headers) = (response.status(), response.headers());
-        // What is not the server's own bytes, or lacks its stamp, is no success.
+        // A response without the server's seal, or recoded on the way, is no success: its bytes are not the server's own.
         let sealed = headers.contains_key(SEAL) && !headers.contains_key(CONTENT_ENCODING);
         match AttemptVerdict::from_response(status.as_u16(), headers.contains_key(NOT_RUN)) {
             AttemptVerdict::NotRun => Outcome::Full,
@@ -70,7 +72,7 @@
         let seconds = stated
             .split(',')
             .find_map(|part| part.trim().strip_prefix("timeout="))?;
-        Some(Duration::from_secs(seconds.trim().parse().ok()?).mul_f64(IDLE_PART))
+        Some(Duration::from_secs(seconds.trim().parse().ok()?).mul_f64(IDLE_TIMEOUT_SHARE))
     }
 
     fn describe(&self, outcome: Outcome, response: Response<()>) -> Described {
@@ -78,8 +80,9 @@
         let (status, mut headers) = (parts.status, parts.headers);
         strip(&mut headers);
         headers.remove(KEEP_ALIVE);
-        // A status that promises that nothing has run is passed on only with the server's word for it.
-        let promises = matches!(
+        // These statuses tell a client that its request has not run. Without the server's `Not-Run` that may be false, so
+        // they are not passed on.
+        let claims_not_run = matches!(
             status,
             StatusCode::REQUEST_TIMEOUT
                 | StatusCode::MISDIRECTED_REQUEST
@@ -91,7 +94,7 @@
             report: Report::default(),
             metered: None,
             misdirected: is_misdirected(status.as_u16()),
-            stands: outcome == Outcome::Error && !status.is_success() && !promises,
+            stands: outcome == Outcome::Error && !status.is_success() && !claims_not_run,
         }
     }
 }
--- a/crates/emberpin-proxy/tests/classes.rs
+++ b/crates/emberpin-proxy/tests/classes.rs
@@ -2,8 +2,8 @@
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_limiter::host::{Figures, Pool, PoolLimits, Room};
-use emberpin_proxy::service::Service;
-use emberpin_proxy::wire::SystemWire;
+use emberpin_proxy::service::{ClassCounts, Service};
+use emberpin_proxy::wire::GatewayWire;
 use emberpin_routing::{Route, RouteKind};
 use googletest::prelude::*;
 use std::collections::HashSet;
@@ -26,7 +26,7 @@
     let figures = Figures::new(&["all".to_string()]).expect("figures");
     let pool = Pool::new(
         limits,
-        Rc::new(SystemWire),
+        Rc::new(GatewayWire),
         figures,
         Rc::new(Room::new(None)),
     );
@@ -48,7 +48,7 @@
     }
 }
 
-/// Holds `unused` in `keep_classes` and `class`: without it the 256th change is the last one with a class of its own.
+/// Holds `unused` in `retain_classes` and `class`: without it the 256th change is the last one with a class of its own.
 #[tokio::test]
 async fn ten_thousand_changes_of_a_timeout_leave_the_tables_as_large_as_before(
 ) -> googletest::Result<()> {
@@ -61,14 +61,20 @@
             route(RouteKind::Readonly, change + 1),
         );
         // A request of the old route goes on while the new one is in force.
-        service.keep_classes([&standing, &old, &new].into_iter());
+        service.retain_classes([&standing, &old, &new].into_iter());
         let classes: HashSet<usize> = [&standing, &old, &new]
             .map(|route| service.class(route).0)
             .into();
         verify_that!(classes.len(), eq(3))?;
         verify_that!(service.class(&standing), eq(kept))?;
     }
-    verify_that!(service.class_count(), eq((3, 3)))
+    verify_that!(
+        service.class_counts(),
+        eq(ClassCounts {
+            used: 3,
+            allocated: 3
+        })
+    )
 }
 
 /// Holds `repeatable` in the bound: beyond it a request shares figures, but never another's harmlessness.
@@ -83,6 +89,6 @@
             not(eq(mutating))
         )?;
     }
-    verify_that!(service.class_count().1, eq(256))?;
+    verify_that!(service.class_counts().allocated, eq(256))?;
     verify_that!(service.class(&route(RouteKind::Mutating, 2)), eq(mutating))
 }
--- a/crates/emberpin-proxy/tests/servers.rs
+++ b/crates/emberpin-proxy/tests/servers.rs
@@ -10,7 +10,7 @@
     Figures as Counters, Outgoing, Place, Pool, PoolLimits, Room, Upstream, Upstreamed,
 };
 use emberpin_membership::instance::{Instance, Status};
-use emberpin_proxy::wire::SystemWire;
+use emberpin_proxy::wire::GatewayWire;
 use googletest::prelude::*;
 use hyper::header::HeaderMap;
 use std::future::{poll_fn, Future};
@@ -243,7 +243,7 @@
     let counters = Counters::new(&["all".to_string()]).expect("figures");
     let pool = Pool::new(
         limits,
-        Rc::new(SystemWire),
+        Rc::new(GatewayWire),
         counters,
         Rc::new(Room::new(None)),
     );
--- a/crates/emberpin-proxy/tests/wire.rs
+++ b/crates/emberpin-proxy/tests/wire.rs
@@ -3,7 +3,7 @@
 
 use emberpin_balancer::Outcome;
 use emberpin_limiter::host::{Described, Wire};
-use emberpin_proxy::wire::SystemWire;
+use emberpin_proxy::wire::GatewayWire;
 use googletest::prelude::*;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::Response;
@@ -27,20 +27,20 @@
 }
 
 fn judge(status: u16, all: &[(&'static str, &'static str)]) -> Outcome {
-    SystemWire.judge(None, &answer(status, all))
+    GatewayWire.judge(None, &answer(status, all))
 }
 
 fn describe(status: u16, all: &[(&'static str, &'static str)]) -> Described {
     let answer = answer(status, all);
-    SystemWire.describe(SystemWire.judge(None, &answer), answer)
+    GatewayWire.describe(GatewayWire.judge(None, &answer), answer)
 }
 
 /// Holds the three arms of `belongs`.
 #[gtest]
 fn an_answer_with_another_try_id_belongs_to_another_request() {
-    let mark = SystemWire.mark(&headers(&[("try-id", "a1")]));
+    let mark = GatewayWire.mark(&headers(&[("try-id", "a1")]));
     let belongs =
-        |all: &[(&'static str, &'static str)]| SystemWire.belongs(mark.as_ref(), &headers(all));
+        |all: &[(&'static str, &'static str)]| GatewayWire.belongs(mark.as_ref(), &headers(all));
     expect_true!(belongs(&[("try-id", "a1"), ("seal", "s")]));
     expect_false!(belongs(&[("try-id", "a2"), ("seal", "s")]));
     expect_false!(belongs(&[("try-id", "a1 "), ("seal", "s")]) && belongs(&[("try-id", "A1")]));
@@ -48,8 +48,8 @@
     expect_false!(belongs(&[("seal", "s")]));
     expect_true!(belongs(&[]));
     // Servers echo the id of a request: one that has none gets no answer that names one.
-    expect_false!(SystemWire.belongs(None, &headers(&[("try-id", "a1")])));
-    expect_true!(SystemWire.belongs(None, &headers(&[])));
+    expect_false!(GatewayWire.belongs(None, &headers(&[("try-id", "a1")])));
+    expect_true!(GatewayWire.belongs(None, &headers(&[])));
 }
 
 /// Holds `sealed` in `judge`.
@@ -140,7 +140,7 @@
 /// Holds `keeps_idle`: the part for safety, and what cannot be read.
 #[gtest]
 fn the_time_that_a_server_states_is_kept_with_a_margin() {
-    let idle = |stated: &'static str| SystemWire.keeps_idle(&headers(&[("keep-alive", stated)]));
+    let idle = |stated: &'static str| GatewayWire.keeps_idle(&headers(&[("keep-alive", stated)]));
     let seven = some(all![
         ge(Duration::from_millis(5_000)),
         le(Duration::from_millis(9_000))
@@ -158,7 +158,7 @@
     ] {
         expect_that!(idle(stated), none(), "{stated}");
     }
-    expect_that!(SystemWire.keeps_idle(&headers(&[])), none());
+    expect_that!(GatewayWire.keeps_idle(&headers(&[])), none());
 }
 
 /// Holds both headers in `address`.
@@ -170,7 +170,7 @@
         ("try-id", "a1"),
     ]);
     let instance = HeaderValue::from_static("i-1");
-    SystemWire.address(&mut told, Duration::from_micros(1_234_900), Some(&instance));
+    GatewayWire.address(&mut told, Duration::from_micros(1_234_900), Some(&instance));
     let all = |told: &HeaderMap, name: &str| -> Vec<String> {
         let texts = told
             .get_all(name)
@@ -183,7 +183,7 @@
     expect_that!(all(&told, "try-id"), elements_are![eq("a1")]);
     // A client's wish is not passed on, also where no instance is meant.
     let mut told = headers(&[("want-instance", "i-client")]);
-    SystemWire.address(&mut told, Duration::ZERO, None);
+    GatewayWire.address(&mut told, Duration::ZERO, None);
     expect_that!(all(&told, "want-instance"), is_empty());
     expect_that!(all(&told, "deadline"), elements_are![eq("0")]);
 }
