--- a/crates/emberpin-ctl/src/run.rs
+++ b/crates/emberpin-ctl/src/run.rs
@@ -1,213 +1,174 @@
-//! Does what the command line asks for: `Ok` with what to print, `Err` with what failed, was refused or ails.
+//! Carries out a command: `Ok` with what to print, `Err` if it was rejected, failed, or found something.
 
-use crate::calls::{call, once, Call};
-use crate::command::{Command, Order, USAGE};
-use crate::findings::{all, Gathered, Reading};
-use crate::status::Status;
-use emberpin_config::{parse_patch, validate, Configuration, ItemKind, PatchOutcome};
-use std::collections::BTreeSet;
-use std::time::{SystemTime, UNIX_EPOCH};
+use crate::checks::{check_all, Finding};
+use crate::client::{call, CallError, Request};
+use crate::command_line::{Command, CommandLine, USAGE};
+use crate::fleet::{self, ConfigurationError, FleetReport};
+use crate::members;
+use emberpin_config::{parse_patch, validate, ItemKind, PatchOutcome, ValidationError};
+use std::io;
+use std::string::FromUtf8Error;
 
-/// How often a registry is asked for its status before it counts as silent.
-const ASKED: usize = 2;
+/// Why a command did not succeed.
+#[derive(Debug, thiserror::Error)]
+pub enum RunError {
+    /// The file of a patch cannot be read.
+    #[error("{file}: {source}")]
+    ReadFile {
+        /// The file's name.
+        file: String,
+        /// What the system reports.
+        source: io::Error,
+    },
+    /// The patch in a file was not applied.
+    #[error("{file}: {source}")]
+    PatchFile {
+        /// The file's name.
+        file: String,
+        /// Why the patch was not applied.
+        source: PatchError,
+    },
+    /// A patch that was made from the arguments was not applied.
+    #[error(transparent)]
+    Patch(#[from] PatchError),
+    /// A call failed.
+    #[error(transparent)]
+    Call(#[from] CallError),
+    /// No registry reported its status; a line for each.
+    #[error("{0}")]
+    NoRegistryReachable(String),
+    /// The doctor found something.
+    #[error("{}", render_findings(.0))]
+    Findings(Vec<Finding>),
+}
+
+/// Why a patch was not applied.
+#[derive(Debug, thiserror::Error)]
+pub enum PatchError {
+    /// It is invalid by itself, or on top of the newest configuration.
+    #[error(transparent)]
+    Invalid(#[from] ValidationError),
+    /// Its body is not UTF-8.
+    #[error(transparent)]
+    NotUtf8(#[from] FromUtf8Error),
+    /// The call failed, or a registry rejected it.
+    #[error(transparent)]
+    Call(#[from] CallError),
+    /// The newest configuration, to validate it on, is not known.
+    #[error(transparent)]
+    Configuration(#[from] ConfigurationError),
+}
 
-/// Follows one command line.
-pub async fn run(command: Command) -> Result<String, String> {
-    let at = &command.at;
-    match command.order {
-        Order::Help => Ok(USAGE.into()),
-        Order::Get => newest(at).await,
-        Order::Patch { file, dry_run } => {
-            let body = std::fs::read(&file).map_err(|wrong| format!("{file}: {wrong}"))?;
-            patch(at, body, dry_run)
-                .await
-                .map_err(|wrong| format!("{file}: {wrong}"))
+/// Carries out a command, and returns what to print.
+///
+/// # Errors
+///
+/// [`RunError`] if the command failed, was rejected, or found something to report.
+pub async fn run(command_line: CommandLine) -> Result<String, RunError> {
+    let addresses = &command_line.addresses;
+    match command_line.command {
+        Command::Help => Ok(USAGE.into()),
+        Command::Get => Ok(fleet::configuration_json(addresses).await?),
+        Command::Patch { file, dry_run } => patch_file(addresses, file, dry_run).await,
+        Command::Drop {
+            kind,
+            name,
+            version,
+        } => {
+            let body = drop_body(kind, name, version).into_bytes();
+            Ok(send_patch(addresses, body).await?)
+        }
+        Command::Evacuate(zone) => {
+            Ok(change(addresses, &format!("/evac/{zone}/begin"), String::new()).await?)
         }
-        Order::Drop { kind, name, ver } => {
-            let name = jzon::JsonValue::from(name).dump();
-            let list = if kind == ItemKind::Route {
-                "rtab"
-            } else {
-                "svcs"
-            };
-            let body = format!(r#"{{"remove":{{"{list}":[{{"name":{name},"ver":{ver}}}]}}}}"#);
-            patch(at, body.into_bytes(), false).await
+        Command::Return(zone) => {
+            Ok(change(addresses, &format!("/evac/{zone}/finish"), String::new()).await?)
         }
-        Order::Evacuate(zone) => order(at, &format!("/evac/{zone}/begin"), String::new()).await,
-        Order::Return(zone) => order(at, &format!("/evac/{zone}/finish"), String::new()).await,
-        Order::Members => members(&gather(at).await),
-        Order::Doctor => doctor(&gather(at).await),
+        Command::Members => list_members(&fleet::collect(addresses).await),
+        Command::Doctor => diagnose(&fleet::collect(addresses).await),
     }
 }
 
-async fn newest(at: &[String]) -> Result<String, String> {
-    call(at, &Call::get("/config/get")).await
+/// Sends a change, which a 2xx acknowledges.
+async fn change(addresses: &[String], path: &str, body: String) -> Result<String, CallError> {
+    call(addresses, &Request::post(path, body)).await?;
+    Ok("acknowledged".into())
 }
 
-async fn order(at: &[String], path: &str, body: String) -> Result<String, String> {
-    call(at, &Call::post(path, body)).await?;
-    Ok("acknowledged".into())
+async fn patch_file(addresses: &[String], file: String, dry_run: bool) -> Result<String, RunError> {
+    let body = match std::fs::read(&file) {
+        Ok(body) => body,
+        Err(source) => return Err(RunError::ReadFile { file, source }),
+    };
+    let patched = if dry_run {
+        validate_patch(addresses, &body).await
+    } else {
+        send_patch(addresses, body).await
+    };
+    patched.map_err(|source| RunError::PatchFile { file, source })
+}
+
+/// The body of a patch that drops one item.
+fn drop_body(kind: ItemKind, name: String, version: u64) -> String {
+    let name = jzon::JsonValue::from(name).dump();
+    let list = if kind == ItemKind::Route {
+        "rtab"
+    } else {
+        "svcs"
+    };
+    format!(r#"{{"remove":{{"{list}":[{{"name":{name},"ver":{version}}}]}}}}"#)
 }
 
-async fn patch(at: &[String], body: Vec<u8>, dry_run: bool) -> Result<String, String> {
-    let patch = parse_patch(&body).map_err(|wrong| wrong.to_string())?;
+/// Sends a patch if it is valid by itself.
+async fn send_patch(addresses: &[String], body: Vec<u8>) -> Result<String, PatchError> {
+    parse_patch(&body)?;
+    let body = String::from_utf8(body)?;
+    Ok(change(addresses, "/config/patch", body).await?)
+}
+
+/// Validates a patch without sending it; if there are addresses, on top of the newest configuration.
+async fn validate_patch(addresses: &[String], body: &[u8]) -> Result<String, PatchError> {
+    let patch = parse_patch(body)?;
     let count = patch.items.len();
-    if !dry_run {
-        let body = String::from_utf8(body).map_err(|wrong| wrong.to_string())?;
-        return order(at, "/config/patch", body).await;
-    }
-    if at.is_empty() {
+    if addresses.is_empty() {
         return Ok(format!("{count} items, each of them valid"));
     }
-    // What was dropped isn't handed out, so a version below that of a tombstone is found only when it is
-    // sent.
-    match validate(&configuration(&newest(at).await?)?, &patch) {
+    // Tombstones are not handed out, so a version below that of a dropped item is found only when the patch is sent.
+    match validate(&fleet::configuration(addresses).await?, &patch) {
         PatchOutcome::Apply(newer) => Ok(format!(
             "{count} items, {} of them newer; valid as a whole",
             newer.len()
         )),
         PatchOutcome::Duplicate => Ok(format!("{count} items, all of them known")),
-        PatchOutcome::Conflict(wrong)
-        | PatchOutcome::Indeterminate(wrong)
-        | PatchOutcome::Invalid(wrong) => Err(wrong.to_string()),
+        PatchOutcome::Conflict(error)
+        | PatchOutcome::Indeterminate(error)
+        | PatchOutcome::Invalid(error) => Err(error.into()),
     }
 }
 
-fn configuration(config: &str) -> Result<Configuration, String> {
-    let patch = parse_patch(format!("{{\"upsert\":{config}}}").as_bytes())
-        .map_err(|wrong| wrong.to_string())?;
-    Ok(patch.items.into_iter().collect())
-}
-
-fn now_ms() -> i64 {
-    let now = SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .unwrap_or_default();
-    i64::try_from(now.as_millis()).unwrap_or(i64::MAX)
-}
-
-async fn ask(address: String) -> Reading {
-    let mut status = Err(String::new());
-    for _ in 0..ASKED {
-        status = match once(&address, &Call::get("/status")).await {
-            Ok((answer, _)) if answer.status == 200 => {
-                Status::read(&answer.body).map_err(|wrong| wrong.to_string())
-            }
-            Ok((answer, _)) => Err(format!("status {}", answer.status)),
-            Err(what) => Err(what),
-        };
-        if status.is_ok() {
-            break;
-        }
-    }
-    Reading {
-        address,
-        status,
-        at_ms: now_ms(),
+fn list_members(fleet: &FleetReport) -> Result<String, RunError> {
+    let members = members::render(fleet);
+    if fleet.reachable().next().is_none() {
+        return Err(RunError::NoRegistryReachable(members));
     }
+    Ok(members)
 }
 
-/// Asks the addresses, then the registries that they name, until all that are named have been asked.
-async fn gather(at: &[String]) -> Gathered {
-    let (mut asked, mut readings) = (BTreeSet::new(), Vec::new());
-    let mut next: Vec<String> = at.to_vec();
-    while !next.is_empty() {
-        next.retain(|address| asked.insert(address.clone()));
-        let asking: Vec<_> = next
-            .drain(..)
-            .map(|address| tokio::spawn(ask(address)))
-            .collect();
-        for reading in asking {
-            let Ok(reading) = reading.await else { continue };
-            let named = reading
-                .status
-                .iter()
-                .flat_map(|status| status.registries.iter().chain(&status.voters));
-            next.extend(named.map(|named| beside(named, &reading.address)));
-            readings.push(reading);
-        }
+fn diagnose(fleet: &FleetReport) -> Result<String, RunError> {
+    let findings = check_all(fleet);
+    if !findings.is_empty() {
+        return Err(RunError::Findings(findings));
     }
-    let services = newest(at)
-        .await
-        .and_then(|config| configuration(&config))
-        .map(|configuration| {
-            configuration
-                .live()
-                .filter(|item| item.key.kind == ItemKind::Service)
-                .map(|item| item.key.name.clone())
-                .collect()
-        });
-    Gathered { readings, services }
+    let registries = fleet.registries.len();
+    Ok(format!(
+        "nothing ails, by the word of {registries} registries"
+    ))
 }
 
-/// The address of a registry that another one names by its IP address: all of them use one port.
-fn beside(named: &str, other: &str) -> String {
-    match (named.parse::<std::net::IpAddr>(), other.rsplit_once(':')) {
-        (Ok(std::net::IpAddr::V6(ip)), Some((_, port))) => format!("[{ip}]:{port}"),
-        (Ok(ip), Some((_, port))) => format!("{ip}:{port}"),
-        _ => named.to_owned(),
-    }
-}
-
-fn members(gathered: &Gathered) -> Result<String, String> {
-    let mut lines = Vec::new();
-    for reading in &gathered.readings {
-        let status = match &reading.status {
-            Ok(status) => status,
-            Err(why) => {
-                lines.push(format!("registry {}: {why}", reading.address));
-                continue;
-            }
-        };
-        let settled = if status.settled {
-            "settled"
-        } else {
-            "not settled"
-        };
-        let voters = status.voters.join(" ");
-        lines.push(format!(
-            "registry {} {}: {settled}, {} items, voters {voters}",
-            reading.address, status.name, status.items
-        ));
-        for limiter in &status.limiters {
-            lines.push(format!(
-                "  limiter {} in {}: {} behind",
-                limiter.name, limiter.zone, limiter.behind
-            ));
-        }
-        for instance in &status.instances {
-            lines.push(format!(
-                "  server {} of {} at {} in {}: {}, cold for {} ms, heard {} ms ago",
-                instance.id,
-                instance.service,
-                instance.address,
-                instance.zone,
-                instance.status,
-                instance.cold_ms,
-                instance.heard_ms
-            ));
-        }
-    }
-    match gathered
-        .readings
+fn render_findings(findings: &[Finding]) -> String {
+    let findings: Vec<String> = findings
         .iter()
-        .any(|reading| reading.status.is_ok())
-    {
-        true => Ok(lines.join("\n")),
-        false => Err(lines.join("\n")),
-    }
-}
-
-fn doctor(gathered: &Gathered) -> Result<String, String> {
-    let findings: Vec<String> = all(gathered)
-        .into_iter()
-        .map(|finding| format!("{}\n  -> {}", finding.what, finding.way_out))
+        .map(|finding| format!("{}\n  -> {}", finding.problem, finding.remedy))
         .collect();
-    match findings.is_empty() {
-        true => Ok(format!(
-            "nothing ails, by the word of {} registries",
-            gathered.readings.len()
-        )),
-        false => Err(findings.join("\n")),
-    }
+    findings.join("\n")
 }
--- a/crates/emberpin-ctl/src/status.rs
+++ b/crates/emberpin-ctl/src/status.rs
@@ -1,140 +1,178 @@
-//! What a registry says about itself.
+//! The status that a registry reports, parsed from the JSON of `GET /status`.
 
 use jzon::JsonValue;
+use std::time::Duration;
 
-/// What a registry answers to `GET /status`.
+/// The response of a registry to `GET /status`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Status {
-    /// The registry's name.
+    /// The name of the registry's machine.
     pub name: String,
-    /// Whether it is in step with a majority.
+    /// Whether it is in contact with its store and a majority of the registries.
     pub settled: bool,
-    /// Who votes, as it knows them, in order.
+    /// The machines whose stores vote, as it knows them, in order.
     pub voters: Vec<String>,
-    /// The registries that it knows, in order.
+    /// The registries that it is in contact with, in order.
     pub registries: Vec<String>,
-    /// The limiters in session with it.
+    /// The proxies that have a session with it.
     pub limiters: Vec<Limiter>,
-    /// The lives of servers.
+    /// The instances of servers that it knows.
     pub instances: Vec<Instance>,
-    /// How many items it has.
+    /// How many items of the configuration it has.
     pub items: u64,
-    /// The disk of the store beside it: bytes used, and of how many; of 0, if that isn't known.
-    pub disk: Option<(u64, u64)>,
-    /// How that disk stands, if the registry tells: `writable`, or something else.
-    pub disk_state: Option<String>,
-    /// Its clock, in ms of Unix time.
-    pub clock_ms: u64,
+    /// The disk of the store on its machine, once that store has reported it.
+    pub disk: Option<Disk>,
+    /// Its clock, as time since the Unix epoch.
+    pub clock: Duration,
 }
 
-/// A limiter in session.
+/// A proxy's session.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Limiter {
-    /// Its name.
+    /// The proxy's name.
     pub name: String,
-    /// Its zone.
+    /// The proxy's zone.
     pub zone: String,
-    /// How many changes it has yet to confirm.
+    /// How many changes it has yet to acknowledge.
     pub behind: u64,
 }
 
-/// A life of a server.
+/// An instance of a server.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Instance {
-    /// Its id.
+    /// The instance's id.
     pub id: String,
-    /// Its service.
+    /// The service that it belongs to.
     pub service: String,
-    /// Its address.
+    /// The address at which it takes requests.
     pub address: String,
-    /// Its zone.
+    /// The instance's zone.
     pub zone: String,
-    /// How it stands: `up`, or something else.
+    /// `up`, `drain` or `gone`.
     pub status: String,
-    /// How much longer it is cold.
-    pub cold_ms: u64,
-    /// How long ago it was heard.
-    pub heard_ms: u64,
+    /// How long it still warms up.
+    pub warmup_left: Duration,
+    /// The time since its last heartbeat.
+    pub last_heartbeat_age: Duration,
 }
 
-/// A status that lacks something, or has it in another type.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not a status: {0}")]
-pub struct NotStatus(String);
+/// The disk of a store.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Disk {
+    /// Bytes that the store's files take.
+    pub used_bytes: u64,
+    /// Bytes that they may take; 0 if that is not known.
+    pub limit_bytes: u64,
+    /// `writable`, or why it takes no changes. Registries of earlier builds do not report it.
+    pub state: Option<String>,
+}
+
+/// Why a response is not a status.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+pub enum InvalidStatus {
+    /// It is not JSON.
+    #[error("not a status: {0}")]
+    NotJson(#[from] jzon::Error),
+    /// A field is missing or has another type.
+    #[error("not a status: {0}")]
+    Field(&'static str),
+    /// An element of a list of texts, as JSON, is none.
+    #[error("not a status: {0} is not a text")]
+    NotText(String),
+}
 
 impl Status {
-    /// Reads an answer.
-    pub fn read(text: &str) -> Result<Status, NotStatus> {
-        let value = jzon::parse(text).map_err(|wrong| NotStatus(wrong.to_string()))?;
-        let disk = match &value["disk"] {
-            JsonValue::Null => None,
-            disk => Some((number(disk, "used")?, number(disk, "of")?)),
-        };
+    /// Parses the body of a response.
+    ///
+    /// # Errors
+    ///
+    /// [`InvalidStatus`] names the first field that is missing or has another type.
+    pub fn parse(json: &str) -> Result<Status, InvalidStatus> {
+        let value = jzon::parse(json)?;
+        let disk = parse_disk(&value["disk"])?;
         Ok(Status {
-            name: word(&value, "name")?,
+            name: text(&value, "name")?,
             settled: value["settled"]
                 .as_bool()
-                .ok_or_else(|| NotStatus("settled".into()))?,
-            voters: sorted(list(&value, "voters", as_word)?),
-            registries: sorted(list(&value, "registries", as_word)?),
-            limiters: list(&value, "limiters", |limiter| {
-                Ok(Limiter {
-                    name: word(limiter, "name")?,
-                    zone: word(limiter, "zone")?,
-                    behind: number(limiter, "behind")?,
-                })
-            })?,
-            instances: list(&value, "instances", |instance| {
-                Ok(Instance {
-                    id: word(instance, "id")?,
-                    service: word(instance, "service")?,
-                    address: word(instance, "address")?,
-                    zone: word(instance, "zone")?,
-                    status: word(instance, "status")?,
-                    cold_ms: number(instance, "cold_ms")?,
-                    heard_ms: number(instance, "heard_ms")?,
-                })
-            })?,
+                .ok_or(InvalidStatus::Field("settled"))?,
+            voters: sorted(list(&value, "voters", parse_text)?),
+            registries: sorted(list(&value, "registries", parse_text)?),
+            limiters: list(&value, "limiters", parse_limiter)?,
+            instances: list(&value, "instances", parse_instance)?,
             items: number(&value, "items")?,
             disk,
-            disk_state: value["disk"]["state"].as_str().map(str::to_owned),
-            clock_ms: number(&value, "clock_ms")?,
+            clock: milliseconds(&value, "clock_ms")?,
         })
     }
 }
 
-fn sorted(mut words: Vec<String>) -> Vec<String> {
-    words.sort();
-    words
+fn parse_disk(value: &JsonValue) -> Result<Option<Disk>, InvalidStatus> {
+    if value.is_null() {
+        return Ok(None);
+    }
+    Ok(Some(Disk {
+        used_bytes: number(value, "used")?,
+        limit_bytes: number(value, "of")?,
+        state: value["state"].as_str().map(str::to_owned),
+    }))
+}
+
+fn parse_limiter(value: &JsonValue) -> Result<Limiter, InvalidStatus> {
+    Ok(Limiter {
+        name: text(value, "name")?,
+        zone: text(value, "zone")?,
+        behind: number(value, "behind")?,
+    })
 }
 
-fn as_word(value: &JsonValue) -> Result<String, NotStatus> {
+fn parse_instance(value: &JsonValue) -> Result<Instance, InvalidStatus> {
+    Ok(Instance {
+        id: text(value, "id")?,
+        service: text(value, "service")?,
+        address: text(value, "address")?,
+        zone: text(value, "zone")?,
+        status: text(value, "status")?,
+        warmup_left: milliseconds(value, "cold_ms")?,
+        last_heartbeat_age: milliseconds(value, "heard_ms")?,
+    })
+}
+
+fn sorted(mut texts: Vec<String>) -> Vec<String> {
+    texts.sort();
+    texts
+}
+
+fn parse_text(value: &JsonValue) -> Result<String, InvalidStatus> {
     value
         .as_str()
         .map(str::to_owned)
-        .ok_or_else(|| NotStatus(format!("{value} is not a text")))
+        .ok_or_else(|| InvalidStatus::NotText(value.to_string()))
 }
 
-fn word(value: &JsonValue, field: &str) -> Result<String, NotStatus> {
+fn text(value: &JsonValue, field: &'static str) -> Result<String, InvalidStatus> {
     value[field]
         .as_str()
         .map(str::to_owned)
-        .ok_or_else(|| NotStatus(field.into()))
+        .ok_or(InvalidStatus::Field(field))
+}
+
+fn number(value: &JsonValue, field: &'static str) -> Result<u64, InvalidStatus> {
+    value[field].as_u64().ok_or(InvalidStatus::Field(field))
 }
 
-fn number(value: &JsonValue, field: &str) -> Result<u64, NotStatus> {
-    value[field].as_u64().ok_or_else(|| NotStatus(field.into()))
+fn milliseconds(value: &JsonValue, field: &'static str) -> Result<Duration, InvalidStatus> {
+    number(value, field).map(Duration::from_millis)
 }
 
 fn list<T>(
     value: &JsonValue,
-    field: &str,
-    read: impl Fn(&JsonValue) -> Result<T, NotStatus>,
-) -> Result<Vec<T>, NotStatus> {
+    field: &'static str,
+    parse: impl Fn(&JsonValue) -> Result<T, InvalidStatus>,
+) -> Result<Vec<T>, InvalidStatus> {
     value[field]
         .as_array()
-        .ok_or_else(|| NotStatus(field.into()))?
+        .ok_or(InvalidStatus::Field(field))?
         .iter()
-        .map(read)
+        .map(parse)
         .collect()
 }
--- /dev/null
+++ b/crates/emberpin-ctl/tests/common/mod.rs
@@ -0,0 +1,124 @@
+//! The program, and stand-ins for registries that respond to it.
+#![allow(dead_code, missing_docs, reason = "each test file uses a part of it")]
+
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{TcpListener, TcpStream};
+use std::process::Command;
+use std::sync::{Arc, Mutex};
+
+/// The configuration of a healthy registry.
+pub const CONFIG: &str = r#"{"svcs":[{"name":"s","hcheck":"/h","maxconn":9,"ver":3}],"vhosts":[]}"#;
+/// Stands for the response of a healthy registry: its status, or its configuration.
+pub const HEALTHY: &str = "healthy";
+/// The status of a healthy registry, without the time.
+const STATUS: &str = r#"{"name":"core","settled":true,"voters":["a","b","c"],"registries":[],"limiters":[{"name":"e","zone":"z","behind":2}],"instances":[{"id":"i-1","service":"s","address":"10.0.0.1:80","zone":"z","status":"up","cold_ms":5,"heard_ms":7}],"items":1,"disk":null,"clock_ms":NOW}"#;
+
+/// A registry that gives each request the next of its responses, and the last one for ever. An empty response closes
+/// the connection.
+pub struct FakeRegistry {
+    pub address: String,
+    requests: Arc<Mutex<Vec<String>>>,
+}
+
+impl FakeRegistry {
+    pub fn start(responses: &[&str]) -> FakeRegistry {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        FakeRegistry::on(listener, responses)
+    }
+
+    pub fn on(listener: TcpListener, responses: &[&str]) -> FakeRegistry {
+        let address = listener.local_addr().expect("an address").to_string();
+        let requests = Arc::new(Mutex::new(Vec::new()));
+        let responses: Vec<String> = responses.iter().map(|text| (*text).to_owned()).collect();
+        let received = requests.clone();
+        std::thread::spawn(move || {
+            for stream in listener.incoming() {
+                let mut stream = stream.expect("a connection");
+                let request = read_request(&stream);
+                let mut received = received.lock().expect("no panic");
+                received.push(request.clone());
+                let next = (received.len() - 1).min(responses.len() - 1);
+                let response = match responses[next].as_str() {
+                    HEALTHY => healthy_response(&request),
+                    response => response.to_owned(),
+                };
+                _ = stream.write_all(response.as_bytes());
+            }
+        });
+        FakeRegistry { address, requests }
+    }
+
+    /// The first line and the body of each request.
+    pub fn requests(&self) -> Vec<String> {
+        self.requests.lock().expect("no panic").clone()
+    }
+}
+
+fn healthy_response(request: &str) -> String {
+    if request.starts_with("GET /status ") {
+        ok(&STATUS.replace("NOW", &now_ms().to_string()))
+    } else {
+        ok(CONFIG)
+    }
+}
+
+/// The first line of a request, and its body.
+fn read_request(stream: &TcpStream) -> String {
+    let mut lines = BufReader::new(stream);
+    let (mut first, mut length) = (String::new(), 0);
+    lines.read_line(&mut first).expect("a request");
+    loop {
+        let mut line = String::new();
+        if lines.read_line(&mut line).expect("a head") <= 2 {
+            break;
+        }
+        if let Some(value) = line.to_ascii_lowercase().strip_prefix("content-length:") {
+            length = value.trim().parse().expect("a length");
+        }
+    }
+    let mut body = vec![0; length];
+    lines.read_exact(&mut body).expect("a body");
+    format!(
+        "{} {}",
+        first.trim_end().trim_end_matches(" HTTP/1.1"),
+        String::from_utf8_lossy(&body)
+    )
+}
+
+pub fn now_ms() -> u128 {
+    std::time::UNIX_EPOCH
+        .elapsed()
+        .expect("after 1970")
+        .as_millis()
+}
+
+pub fn response(status: &str, head: &str, body: &str) -> String {
+    format!(
+        "HTTP/1.1 {status}\r\n{head}Content-Length: {}\r\nConnection: close\r\n\r\n{body}",
+        body.len()
+    )
+}
+
+pub fn ok(body: &str) -> String {
+    response("200 OK", "", body)
+}
+
+/// Runs the program: exit status, standard output, standard error.
+pub fn emberpinctl(arguments: &[&str]) -> (Option<i32>, String, String) {
+    let output = Command::new(env!("CARGO_BIN_EXE_emberpinctl"))
+        .args(arguments)
+        .output()
+        .expect("the program");
+    let text = |bytes| String::from_utf8(bytes).expect("UTF-8");
+    (
+        output.status.code(),
+        text(output.stdout),
+        text(output.stderr),
+    )
+}
+
+pub fn file(body: &str) -> tempfile::NamedTempFile {
+    let mut file = tempfile::NamedTempFile::new().expect("a file");
+    file.write_all(body.as_bytes()).expect("a body");
+    file
+}
