--- /dev/null
+++ b/crates/emberpin-consensus/src/incarnation.rs
@@ -0,0 +1,53 @@
+//! Incarnations of voters: which promises were made before their voter lost its disk, and so count no longer.
+
+use crate::ballot::Ballot;
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+use std::net::Ipv4Addr;
+
+/// How many voters [`LatestIncarnations`] holds. When it is full, the voter that caught up at the lowest ballot is
+/// dropped; a round that still counts a promise from before that would have to be as old as this many disk losses.
+const MAX_VOTERS: usize = 64;
+
+/// Identifies the span between two losses of a voter's disk: the ballot of the round by which the voter caught up,
+/// or the lowest ballot for a voter that never lost its disk.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct Incarnation(pub Ballot);
+
+/// The latest known incarnation of each voter that asked to catch up, including those still catching up.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct LatestIncarnations(BTreeMap<Ipv4Addr, Incarnation>);
+
+impl LatestIncarnations {
+    /// Records that a voter catches up, or caught up, by this incarnation's round. Older incarnations of the same
+    /// voter are ignored.
+    pub fn record(&mut self, voter: Ipv4Addr, incarnation: Incarnation) {
+        let latest = self.0.entry(voter).or_default();
+        *latest = incarnation.max(*latest);
+        while self.0.len() > MAX_VOTERS {
+            self.remove_oldest();
+        }
+    }
+
+    /// Records all incarnations that another replica knows.
+    pub fn merge(&mut self, other: &LatestIncarnations) {
+        for (voter, incarnation) in &other.0 {
+            self.record(*voter, *incarnation);
+        }
+    }
+
+    /// Whether a promise that the voter made in this incarnation is void, as the voter has since caught up by a later
+    /// round or is about to.
+    pub fn is_superseded(&self, voter: Ipv4Addr, incarnation: Incarnation) -> bool {
+        self.0
+            .get(&voter)
+            .is_some_and(|latest| *latest > incarnation)
+    }
+
+    fn remove_oldest(&mut self) {
+        let oldest = self.0.iter().min_by_key(|(_, incarnation)| **incarnation);
+        if let Some(voter) = oldest.map(|(voter, _)| *voter) {
+            self.0.remove(&voter);
+        }
+    }
+}
--- a/crates/emberpin-consensus/src/lib.rs
+++ b/crates/emberpin-consensus/src/lib.rs
@@ -1,24 +1,48 @@
-//! Ballots: which items are chosen, and who votes.
+//! Consensus on the configuration: which items are chosen, and who votes.
 //!
-//! No I/O, no clock, no randomness of its own. There is one register, decided by ballots: a set of items that
-//! is to join what is chosen already. Whoever takes a call asks a majority of the voters to promise its
-//! ballot, hears what is chosen and what may be, judges the call on that, and proposes the call's items
-//! together with whatever it heard that may be chosen. So each call is judged on everything that was
-//! acknowledged before it, and takes effect whole or not at all. What is chosen merges item by item, and
-//! copies of it spread by digests.
+//! A single register in the manner of `CASPaxos`, without a log and without a leader. Its value is a set of items, one
+//! of which is the roster of voters. A replica that takes a call becomes the proposer of a *round*:
+//!
+//! 1. It asks the voters to promise its ballot. Each tells with its promise what it knows to be chosen and what it
+//!    accepted last.
+//! 2. With promises of a majority it judges the call on all that is chosen or may be, and proposes the call's items
+//!    together with what may be chosen already.
+//! 3. Once a quorum has accepted them, the items are chosen, and the caller gets its reply.
+//!
+//! So each call is judged on everything that was acknowledged before it, and takes effect completely or not at all.
+//! Chosen items merge by key and version, and spread between replicas by comparison of digests.
+//!
+//! There is no I/O, no clock and no source of randomness in this crate: the host passes time, messages and
+//! completed writes to [`Replica::handle`], and carries out the [`Action`]s that come back. The design is described in
+//! `docs/design/consensus.md`.
 #![forbid(unsafe_code)]
 
 mod acceptor;
+mod ballot;
+mod bootstrap;
 mod call;
+mod event;
+mod guards;
+mod hash;
+mod incarnation;
 mod message;
-mod renewals;
+mod quorum;
 mod replica;
+mod roster;
 mod round;
 mod state;
+mod storage;
+mod task;
+mod time;
 
-pub use acceptor::{Guards, Kept, Write};
-pub use call::Call;
-pub use message::{Ballot, Message, Pending};
-pub use renewals::{Incarnation, Renewals};
-pub use replica::{Action, Candidacy, Event, Options, Replica, EXCHANGE};
+pub use ballot::{AcceptedProposal, Ballot};
+pub use bootstrap::BootstrapCandidate;
+pub use call::{Call, CallId, EvacuationChange};
+pub use event::{Action, Event, ReplicaOptions};
+pub use guards::Guards;
+pub use incarnation::{Incarnation, LatestIncarnations};
+pub use message::{ComparisonId, ItemVersion, Message};
+pub use replica::{Replica, COMPARISON_INTERVAL};
 pub use state::State;
+pub use storage::{PersistedState, WriteBatch, WriteToken};
+pub use time::Timestamp;
--- a/crates/emberpin-consensus/src/message.rs
+++ b/crates/emberpin-consensus/src/message.rs
@@ -1,161 +1,174 @@
-//! What stores of configuration say to each other.
+//! Messages between replicas. Each may be lost, delayed, reordered or duplicated.
+//!
+//! The order of variants and of fields is the encoding on the wire.
 
-use crate::renewals::{Incarnation, Renewals};
+use crate::ballot::{AcceptedProposal, Ballot};
+use crate::incarnation::{Incarnation, LatestIncarnations};
 use emberpin_config::{Item, ItemKey};
 use serde::{Deserialize, Serialize};
 
-/// Names a round; the higher one prevails.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Ballot {
-    /// Above all that the proposer has heard of.
-    pub counter: u64,
-    /// The proposer's address.
-    pub node: u32,
-    /// Drawn at each start of the proposer: a store that forgot its ballots must not use one twice.
-    pub incarnation: u32,
-}
+/// Identifies one comparison of states, unique within the process that began it.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ComparisonId(pub u64);
 
-/// What a voter has accepted last.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pending {
-    /// The round that proposed them.
-    pub ballot: Ballot,
-    /// All that this round proposed; nothing, once the voter knows that to be chosen.
-    pub items: Vec<Item>,
+/// Names one version of an item.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ItemVersion {
+    /// The item's key.
+    pub key: ItemKey,
+    /// Its version.
+    pub version: u64,
 }
 
-/// One message; each may be lost, late, or come twice.
+/// A message from one replica to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks for a promise.
+    /// Phase 1, from a proposer to all voters of its roster. A voter that has promised no higher ballot answers
+    /// [`Message::Promise`] once its promise is on its disk.
     Prepare {
-        /// The round.
+        /// The round's ballot.
         ballot: Ballot,
         /// The newest roster that the proposer knows to be chosen.
         roster: Item,
-        /// Of the proposer's chosen items, by bucket.
+        /// Digests of the proposer's chosen items, one for each bucket of keys.
         digests: Vec<u64>,
-        /// Whether the proposer lost its disk, and catches up by this round.
+        /// Whether the proposer lost its disk and catches up by this round; the voter then records the round as the
+        /// proposer's incarnation.
         recovers: bool,
     },
-    /// Accepts nothing of a lower ballot from now on.
+    /// Answers [`Message::Prepare`]: from now on the voter accepts nothing at a lower ballot. With promises of a
+    /// majority the proposer goes on to [`Message::Accept`].
     Promise {
-        /// The round.
+        /// The round's ballot.
         ballot: Ballot,
-        /// The voter's.
+        /// The incarnation in which the voter promises.
         incarnation: Incarnation,
-        /// Of the voters that asked this one to catch up.
-        renewals: Renewals,
-        /// What the voter has accepted last, and that may be chosen.
-        pending: Pending,
-        /// In which buckets the voter's chosen items differ from the proposer's.
+        /// The incarnations that the voter knows of others; they void earlier promises of theirs.
+        latest_incarnations: LatestIncarnations,
+        /// The proposal that the voter accepted last. Of all that are told to it, the proposer has to propose the one
+        /// of the highest ballot again, as it may be chosen.
+        accepted: AcceptedProposal,
+        /// The buckets in which the voter's chosen items differ from the proposer's.
         buckets: Vec<u8>,
         /// The voter's chosen items in these buckets.
         chosen: Vec<Item>,
     },
-    /// Proposes.
+    /// Phase 2, from a proposer to all voters of its roster. A voter that has promised no higher ballot answers
+    /// [`Message::Accepted`] once the proposal is on its disk.
     Accept {
-        /// The round.
+        /// The round's ballot.
         ballot: Ballot,
         /// As in [`Message::Prepare`].
         roster: Item,
-        /// Chosen items that some voter lacked.
+        /// Chosen items that some voter lacked when it promised.
         chosen: Vec<Item>,
-        /// The items that are proposed, those of earlier rounds that may be chosen among them.
+        /// The proposed items, including those of earlier rounds that may be chosen.
         items: Vec<Item>,
     },
-    /// The voter has it on its disk.
+    /// Answers [`Message::Accept`]: the proposal is on the voter's disk. Once a quorum has accepted, the items are
+    /// chosen, and the proposer replies to its callers.
     Accepted {
-        /// The round.
+        /// The round's ballot.
         ballot: Ballot,
     },
-    /// The voter has promised a higher ballot.
-    Refused {
-        /// The round.
+    /// Answers [`Message::Prepare`] or [`Message::Accept`]: the voter has promised a higher ballot. The proposer's
+    /// next round starts above it.
+    Rejected {
+        /// The round's ballot.
         ballot: Ballot,
-        /// What was promised.
+        /// The ballot that the voter has promised.
         promised: Ballot,
     },
-    /// The store lost its disk and has not caught up: it counts in no quorum.
+    /// Answers [`Message::Prepare`] or [`Message::Accept`]: the replica lost its disk and has not caught up, so it
+    /// counts in no quorum. The proposer goes on with the other voters.
     NotVoting {
-        /// The round.
+        /// The round's ballot.
         ballot: Ballot,
     },
-    /// The round went by a roster that has been replaced.
-    Roster {
-        /// The round.
+    /// Answers [`Message::Prepare`] or [`Message::Accept`]: the round's roster has been replaced. The proposer learns
+    /// the newer roster and starts over.
+    StaleRoster {
+        /// The round's ballot.
         ballot: Ballot,
-        /// The newer one; it is chosen.
+        /// The newer roster; it is chosen.
         roster: Item,
     },
-    /// At the first start: asks a seed for its word that it knows no roster. One that knows a roster tells it.
-    Candidacy {
-        /// The number of the asker's candidacy.
-        asker: u64,
-    },
-    /// Answers [`Message::Candidacy`]: the sender knows no roster.
-    Word {
-        /// Whom it answers.
-        asker: u64,
-        /// The number of its own candidacy, if it is a candidate.
-        candidate: Option<u64>,
-    },
-    /// The first roster is written.
-    Founded {
-        /// The number of the founder's candidacy.
-        asker: u64,
-        /// The roster.
+    /// From the seed of the lowest address to all other seeds, at the bootstrap of the system. A seed that knows a
+    /// roster answers with [`Message::Chosen`], any other with [`Message::BootstrapReply`].
+    BootstrapQuery {
+        /// The sender's [`BootstrapCandidate::nonce`](crate::BootstrapCandidate::nonce).
+        query_nonce: u64,
+    },
+    /// Answers [`Message::BootstrapQuery`]: the sender knows no roster. Once all seeds have said so, and most of them
+    /// are candidates, the seed that asked writes the first roster.
+    BootstrapReply {
+        /// The nonce of the query.
+        query_nonce: u64,
+        /// The sender's own nonce, if it is a candidate.
+        candidate_nonce: Option<u64>,
+    },
+    /// From the seed of the lowest address to all other seeds, once the first roster is on its disk. The receiver
+    /// learns the roster, and votes at once if it names the receiver's own nonce.
+    FirstRoster {
+        /// The nonce of the query that led to it.
+        query_nonce: u64,
+        /// The first roster.
         roster: Item,
     },
-    /// These items are chosen.
+    /// Tells items that are known to be chosen: from a proposer to all replicas that it knows when its round is over,
+    /// and from any replica to one that lacks them. The receiver learns them; there is no answer.
     Chosen {
-        /// The items.
+        /// The chosen items.
         items: Vec<Item>,
     },
-    /// Compares what is chosen; also tells that the sender lives.
-    Exchange {
-        /// Names the answer.
-        seq: u64,
-        /// Of all the sender's chosen items.
+    /// From each replica to the others, once in [`COMPARISON_INTERVAL`](crate::COMPARISON_INTERVAL): compares what
+    /// they know to be chosen. It is also the heartbeat by which the receiver knows the sender to be alive.
+    CompareDigest {
+        /// Repeated in the answer.
+        comparison_id: ComparisonId,
+        /// Digest of all of the sender's chosen items.
         digest: u64,
     },
-    /// Answers [`Message::Exchange`]: nothing differs.
-    Same {
-        /// Which.
-        seq: u64,
+    /// Answers [`Message::CompareDigest`]: both replicas know the same chosen items.
+    DigestMatches {
+        /// The comparison that this answers.
+        comparison_id: ComparisonId,
         /// Whether the sender counts in quorums.
         voting: bool,
-        /// Names and versions that the sender has accepted and does not know to be chosen.
-        open: Vec<(ItemKey, u64)>,
-    },
-    /// Answers [`Message::Exchange`]: something differs.
-    Differ {
-        /// Which.
-        seq: u64,
-        /// By bucket.
+        /// What the sender has accepted and does not know to be chosen. It may have been acknowledged to a caller, so
+        /// the comparison counts only once the receiver knows these versions, or newer ones, to be chosen.
+        unchosen: Vec<ItemVersion>,
+    },
+    /// Answers [`Message::CompareDigest`]: the chosen items differ. The receiver sends the items that it has in the
+    /// differing buckets by [`Message::Chosen`], and asks for the sender's by [`Message::FetchBuckets`].
+    DigestDiffers {
+        /// The comparison that this answers.
+        comparison_id: ComparisonId,
+        /// Digests of the sender's chosen items, one for each bucket of keys.
         digests: Vec<u64>,
-        /// As in [`Message::Same`].
-        open: Vec<(ItemKey, u64)>,
-    },
-    /// Wants the chosen items of these buckets.
-    Fetch {
-        /// Names the answer.
-        seq: u64,
-        /// Which buckets.
+        /// As in [`Message::DigestMatches`].
+        unchosen: Vec<ItemVersion>,
+    },
+    /// Answers [`Message::DigestDiffers`]: asks for the chosen items of the differing buckets.
+    FetchBuckets {
+        /// The comparison that this belongs to.
+        comparison_id: ComparisonId,
+        /// The differing buckets.
         buckets: Vec<u8>,
     },
-    /// Answers [`Message::Fetch`].
-    Items {
-        /// Which.
-        seq: u64,
-        /// The items.
+    /// Answers [`Message::FetchBuckets`]. The receiver learns the items, which completes the comparison.
+    BucketItems {
+        /// The comparison that this belongs to.
+        comparison_id: ComparisonId,
+        /// All chosen items that the sender has in the buckets.
         items: Vec<Item>,
         /// Whether the sender counts in quorums.
         voting: bool,
     },
-    /// The voter's disk takes no writes: it neither promises nor accepts.
+    /// Answers [`Message::Prepare`] or [`Message::Accept`]: the voter's disk takes no writes, so it neither promises
+    /// nor accepts. The proposer goes on with the other voters, as long as they are a majority.
     DiskUnavailable {
-        /// The round.
+        /// The round's ballot.
         ballot: Ballot,
     },
 }
--- /dev/null
+++ b/crates/emberpin-consensus/src/replica/bootstrap.rs
@@ -0,0 +1,215 @@
+//! The bootstrap of the system: who writes the first roster, and who votes by it.
+//!
+//! A seed that starts for the first time is a *candidate*: it draws a nonce and syncs it before it sends anything. The
+//! seed of the lowest address, the *initiator*, asks all others whether they know a roster. One that does answers with
+//! the roster, which ends all candidacies. Once every seed has answered that it knows none, and a majority of the seeds
+//! are candidates, the initiator writes version 1 of the roster, which names the candidates' nonces. A candidate votes
+//! once it learns a first roster with its own nonce; any other replica catches up like one that lost its disk.
+//!
+//! So a seed whose disk was lost while the system lives writes no second first roster, whatever its settings say, as
+//! long as one of the seeds knows the roster, or most of them are not candidates.
+
+use super::{Action, Replica};
+use crate::bootstrap::BootstrapCandidate;
+use crate::message::Message;
+use crate::quorum::majority;
+use crate::roster::{first_roster_item, founder_nonce, roster_item, Founder};
+use crate::storage::WriteToken;
+use crate::time::Timestamp;
+use emberpin_config::Item;
+use std::collections::BTreeMap;
+use std::net::Ipv4Addr;
+use std::time::Duration;
+
+/// How often seeds that have not answered are asked again.
+const QUERY_INTERVAL: Duration = Duration::from_millis(50);
+
+/// The state of the bootstrap at a replica without a roster.
+#[derive(Debug, Default)]
+pub(super) struct Bootstrap {
+    /// At the initiator: the seeds that answered, with their nonces if they are candidates.
+    replies: BTreeMap<Ipv4Addr, Option<u64>>,
+    /// At the initiator: when it sends its next queries.
+    next_query_at: Timestamp,
+    /// The write of this replica's nonce, until it is synced.
+    unsynced_nonce: Option<WriteToken>,
+    /// The nonce of the query that this replica answered last. A first roster of any other query is ignored.
+    answered_query: Option<u64>,
+}
+
+impl Replica {
+    /// Becomes a candidate, unless the disk says that this replica is one already.
+    pub(super) fn begin_bootstrap(&mut self, actions: &mut Vec<Action>) {
+        let mut seeds = self.options.seeds.clone();
+        seeds.sort_unstable();
+        seeds.dedup();
+        if !self.acceptor.guards.bootstrap_agreement {
+            self.acceptor.voting = seeds.contains(&self.options.address);
+            self.learn(&[roster_item(1, &seeds)], actions);
+            self.persist_metadata(actions);
+            return;
+        }
+        if self.acceptor.bootstrap_candidate.is_some() || !seeds.contains(&self.options.address) {
+            return;
+        }
+        let nonce = self.random.below(u64::MAX).max(1);
+        self.acceptor.bootstrap_candidate = Some(BootstrapCandidate { nonce, seeds });
+        self.persist_metadata(actions);
+        self.bootstrap.unsynced_nonce = Some(self.last_write);
+    }
+
+    /// This replica's candidacy, once it is on the disk and as long as there is no roster.
+    fn candidacy(&self) -> Option<&BootstrapCandidate> {
+        let is_open = self.bootstrap.unsynced_nonce.is_none() && self.state().roster().is_none();
+        self.acceptor
+            .bootstrap_candidate
+            .as_ref()
+            .filter(|_| is_open)
+    }
+
+    /// This replica's candidacy, if it is the initiator.
+    fn initiator(&self) -> Option<&BootstrapCandidate> {
+        self.candidacy()
+            .filter(|candidate| candidate.seeds.first() == Some(&self.options.address))
+    }
+
+    /// When the initiator sends its next queries.
+    pub(super) fn next_bootstrap_query_at(&self) -> Option<Timestamp> {
+        self.initiator().map(|_| self.bootstrap.next_query_at)
+    }
+
+    /// A write and all before it are synced; the candidate's nonce may be among them.
+    pub(super) fn on_nonce_synced(&mut self, synced: WriteToken) {
+        self.bootstrap
+            .unsynced_nonce
+            .take_if(|token| *token <= synced);
+    }
+
+    /// At the initiator: asks the seeds that have not answered, and writes the first roster once all have.
+    pub(super) fn drive_bootstrap(&mut self, actions: &mut Vec<Action>) {
+        if self.now < self.bootstrap.next_query_at {
+            return;
+        }
+        let Some(BootstrapCandidate { nonce, seeds }) = self.initiator().cloned() else {
+            return;
+        };
+        self.bootstrap.next_query_at = self.now + QUERY_INTERVAL;
+        let mut unanswered: Vec<Ipv4Addr> = seeds.clone();
+        unanswered.retain(|seed| {
+            *seed != self.options.address && !self.bootstrap.replies.contains_key(seed)
+        });
+        if unanswered.is_empty() {
+            return self.write_first_roster(nonce, &seeds, actions);
+        }
+        for seed in unanswered {
+            let query = Message::BootstrapQuery { query_nonce: nonce };
+            self.send(seed, query, actions);
+        }
+    }
+
+    fn write_first_roster(&mut self, nonce: u64, seeds: &[Ipv4Addr], actions: &mut Vec<Action>) {
+        let mut nonces = std::mem::take(&mut self.bootstrap.replies);
+        nonces.insert(self.options.address, Some(nonce));
+        if nonces.values().flatten().count() < majority(seeds) {
+            // Without a majority of candidates, all are asked again: more may be candidates by then.
+            return;
+        }
+        let founders: Vec<Founder> = seeds
+            .iter()
+            .map(|seed| Founder {
+                address: *seed,
+                nonce: nonces.get(seed).copied().flatten(),
+            })
+            .collect();
+        let roster = first_roster_item(&founders);
+        self.learn(std::slice::from_ref(&roster), actions);
+        let own_address = self.options.address;
+        for seed in seeds.iter().filter(|seed| **seed != own_address) {
+            let message = Message::FirstRoster {
+                query_nonce: nonce,
+                roster: roster.clone(),
+            };
+            self.persist_metadata_then_send(*seed, message, actions);
+        }
+    }
+
+    /// The initiator asks whether this replica knows a roster.
+    pub(super) fn on_bootstrap_query(
+        &mut self,
+        from: Ipv4Addr,
+        query_nonce: u64,
+        actions: &mut Vec<Action>,
+    ) {
+        if let Some(roster) = self.state().roster().cloned() {
+            let items = vec![roster];
+            return self.send(from, Message::Chosen { items }, actions);
+        }
+        if self.bootstrap.unsynced_nonce.is_some() {
+            // The initiator asks again; by then the nonce is on the disk.
+            return;
+        }
+        self.bootstrap.answered_query = Some(query_nonce);
+        let candidate = self
+            .candidacy()
+            .filter(|candidate| candidate.seeds.first() == Some(&from));
+        let reply = Message::BootstrapReply {
+            query_nonce,
+            candidate_nonce: candidate.map(|candidate| candidate.nonce),
+        };
+        self.send(from, reply, actions);
+    }
+
+    /// At the initiator: a seed knows no roster.
+    pub(super) fn on_bootstrap_reply(
+        &mut self,
+        from: Ipv4Addr,
+        query_nonce: u64,
+        candidate_nonce: Option<u64>,
+    ) {
+        let Some(BootstrapCandidate { nonce, seeds }) = self.initiator().cloned() else {
+            return;
+        };
+        // A reply to the query of an earlier self, whose disk was lost, is void.
+        if query_nonce != nonce || !seeds.contains(&from) {
+            return;
+        }
+        self.bootstrap.replies.insert(from, candidate_nonce);
+        let has_answered = |seed: &Ipv4Addr| {
+            *seed == self.options.address || self.bootstrap.replies.contains_key(seed)
+        };
+        if seeds.iter().all(has_answered) {
+            self.bootstrap.next_query_at = self.now;
+        }
+    }
+
+    /// The initiator has written the first roster. If it lost its disk since and asked again, that roster is void.
+    pub(super) fn on_first_roster(
+        &mut self,
+        query_nonce: u64,
+        roster: Item,
+        actions: &mut Vec<Action>,
+    ) {
+        let answered_query = self.bootstrap.answered_query;
+        if answered_query.is_none_or(|answered| answered == query_nonce) {
+            self.learn(&[roster], actions);
+        }
+    }
+
+    /// Votes at once if the first roster names this very candidacy.
+    pub(super) fn vote_as_founder(&mut self, actions: &mut Vec<Action>) {
+        if self.acceptor.voting {
+            return;
+        }
+        let own_address = self.options.address;
+        let named = self
+            .state()
+            .roster()
+            .and_then(|roster| founder_nonce(roster, own_address));
+        let candidate = self.acceptor.bootstrap_candidate.as_ref();
+        let own_nonce = candidate.map(|candidate| candidate.nonce);
+        if own_nonce.is_some() && named == own_nonce {
+            self.acceptor.voting = true;
+            self.persist_metadata(actions);
+        }
+    }
+}
--- a/crates/emberpin-consensus/src/replica/comparison.rs
+++ b/crates/emberpin-consensus/src/replica/comparison.rs
@@ -1,107 +1,224 @@
-//! Comparisons with other replicas: up to when all that was acknowledged is known here.
+//! Comparison of states between replicas: up to which moment everything acknowledged is known here.
 //!
-//! A proposer may die between its answer and its news. A majority then holds the items as accepted, and nobody knows
-//! them to be chosen. So a replica that is compared with names what it has accepted and does not know to be chosen, and
-//! the comparison counts once the asker knows those versions, or newer ones, to be chosen.
+//! A proposer may fail after it replied to its caller and before it told anybody that the items are chosen. A majority
+//! then holds the items as accepted, and nobody knows them to be chosen. So a replica answers a comparison with the
+//! versions that it has accepted and does not know to be chosen, and the comparison counts only once the replica that
+//! began it knows those versions, or newer ones, to be chosen.
 
-use super::Replica;
-use emberpin_config::{Item, ItemKey};
+use super::{Action, Replica};
+use crate::message::{ComparisonId, ItemVersion, Message};
+use crate::time::Timestamp;
 use std::net::Ipv4Addr;
+use std::time::Duration;
 
-/// Comparisons with one replica that wait; the oldest gives way.
-const WAITING_COMPARISONS: usize = 4;
+/// How often replicas compare what they know to be chosen.
+pub const COMPARISON_INTERVAL: Duration = Duration::from_millis(500);
+/// How long after its begin a comparison shows that this replica is up to date.
+pub(super) const COMPARISON_VALIDITY: Duration = Duration::from_millis(1_200);
+/// How many comparisons with one replica may wait for versions to become known; the oldest is dropped when more come.
+const MAX_WAITING: usize = 4;
 
-/// An item's name and version.
-pub(super) type Version = (ItemKey, u64);
+/// A comparison that counts once all of `unchosen` is known to be chosen.
+#[derive(Clone, Debug)]
+struct WaitingComparison {
+    begun_at: Timestamp,
+    unchosen: Vec<ItemVersion>,
+}
 
-/// What is known of the comparisons with one replica.
+/// The comparisons with one replica.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Comparisons {
-    /// Until when what it held was here; `None`, as long as it doesn't count.
-    pub counted: Option<u64>,
-    /// When each began, and what has to be known before it counts.
-    waiting: Vec<(u64, Vec<Version>)>,
+    /// When the newest comparison that counts was begun: everything that the other replica held then is known here.
+    /// `None`, if none counts.
+    pub confirmed_at: Option<Timestamp>,
+    /// Answered comparisons that do not count yet, the oldest first.
+    waiting: Vec<WaitingComparison>,
 }
 
 impl Comparisons {
-    fn add(&mut self, begun: u64, open: Vec<Version>) {
-        if self.waiting.len() == WAITING_COMPARISONS {
+    fn push(&mut self, begun_at: Timestamp, unchosen: Vec<ItemVersion>) {
+        if self.waiting.len() == MAX_WAITING {
             self.waiting.remove(0);
         }
-        self.waiting.push((begun, open));
+        self.waiting.push(WaitingComparison { begun_at, unchosen });
     }
 
-    /// Counts the newest of which all is known.
-    fn count(&mut self, known: impl Fn(&Version) -> bool) {
-        let Some(at) = self
+    /// Counts the newest waiting comparison of which all versions are known, and drops the older ones.
+    fn confirm(&mut self, is_known: impl Fn(&ItemVersion) -> bool) {
+        let Some(newest) = self
             .waiting
             .iter()
-            .rposition(|(_, open)| open.iter().all(&known))
+            .rposition(|comparison| comparison.unchosen.iter().all(&is_known))
         else {
             return;
         };
-        let (begun, _) = self.waiting[at];
-        self.waiting.drain(..=at);
-        self.counted = self.counted.max(Some(begun));
+        let begun_at = self.waiting[newest].begun_at;
+        self.waiting.drain(..=newest);
+        self.confirmed_at = self.confirmed_at.max(Some(begun_at));
     }
 }
 
 impl Replica {
-    /// What is accepted here and not known to be chosen.
-    pub(super) fn open_versions(&self) -> Vec<Version> {
-        let items = self
-            .acceptor
-            .pending
-            .items
-            .iter()
-            .filter(|item| !self.state().covers(item));
-        match self.acceptor.guards.open {
-            true => items.map(|item| (item.key.clone(), item.version)).collect(),
-            false => Vec::new(),
+    /// The versions that this replica has accepted and does not know to be chosen.
+    pub(super) fn unchosen_versions(&self) -> Vec<ItemVersion> {
+        if !self.acceptor.guards.compare_accepted {
+            return Vec::new();
+        }
+        let accepted = self.acceptor.accepted.items.iter();
+        accepted
+            .filter(|item| !self.state().covers(item))
+            .map(|item| ItemVersion {
+                key: item.key.clone(),
+                version: item.version,
+            })
+            .collect()
+    }
+
+    /// Begins a comparison with each peer. It is the heartbeat too.
+    pub(super) fn compare_with_peers(&mut self, actions: &mut Vec<Action>) {
+        let peers = self.comparison_peers();
+        self.peers.retain(|peer, _| peers.contains(peer));
+        self.compare_with_self();
+        self.last_comparison = ComparisonId(self.last_comparison.0 + 1);
+        let (comparison_id, digest) = (self.last_comparison, self.state().digest());
+        for to in peers {
+            let peer = self.peers.entry(to).or_default();
+            peer.comparison_id = comparison_id;
+            peer.comparison_begun_at = self.now;
+            peer.unchosen = Vec::new();
+            let message = Message::CompareDigest {
+                comparison_id,
+                digest,
+            };
+            self.send(to, message, actions);
+        }
+    }
+
+    /// Includes what this replica itself has accepted in the comparison.
+    fn compare_with_self(&mut self) {
+        let unchosen = self.unchosen_versions();
+        self.own_comparisons.push(self.now, unchosen);
+        self.confirm_comparisons();
+    }
+
+    pub(super) fn on_compare_digest(
+        &mut self,
+        from: Ipv4Addr,
+        comparison_id: ComparisonId,
+        digest: u64,
+        actions: &mut Vec<Action>,
+    ) {
+        let unchosen = self.unchosen_versions();
+        let answer = if digest == self.state().digest() {
+            Message::DigestMatches {
+                comparison_id,
+                voting: self.acceptor.voting,
+                unchosen,
+            }
+        } else {
+            Message::DigestDiffers {
+                comparison_id,
+                digests: self.state().digests().to_vec(),
+                unchosen,
+            }
+        };
+        self.send(from, answer, actions);
+    }
+
+    pub(super) fn on_digest_differs(
+        &mut self,
+        from: Ipv4Addr,
+        comparison_id: ComparisonId,
+        digests: &[u64],
+        unchosen: Vec<ItemVersion>,
+        actions: &mut Vec<Action>,
+    ) {
+        if let Some(peer) = self.peers.get_mut(&from) {
+            if peer.comparison_id == comparison_id {
+                peer.unchosen = unchosen;
+            }
         }
+        let buckets = self.state().differing(digests);
+        let items = self.state().in_buckets(&buckets);
+        if !items.is_empty() {
+            self.send(from, Message::Chosen { items }, actions);
+        }
+        let fetch = Message::FetchBuckets {
+            comparison_id,
+            buckets,
+        };
+        self.send(from, fetch, actions);
+    }
+
+    pub(super) fn on_fetch_buckets(
+        &mut self,
+        from: Ipv4Addr,
+        comparison_id: ComparisonId,
+        buckets: &[u8],
+        actions: &mut Vec<Action>,
+    ) {
+        let answer = Message::BucketItems {
+            comparison_id,
+            items: self.state().in_buckets(buckets),
+            voting: self.acceptor.voting,
+        };
+        self.send(from, answer, actions);
     }
 
-    /// What this replica itself has accepted is a part of each comparison.
-    pub(super) fn compare_with_self(&mut self, now: u64) {
-        let open = self.open_versions();
-        self.own.add(now, open);
-        self.count_comparisons();
+    /// The unchosen versions that count are those told with the digests, as the buckets were chosen by these.
+    pub(super) fn on_bucket_items(
+        &mut self,
+        from: Ipv4Addr,
+        comparison_id: ComparisonId,
+        voting: bool,
+    ) {
+        let unchosen = self
+            .peers
+            .get(&from)
+            .map_or_else(Vec::new, |peer| peer.unchosen.clone());
+        self.on_comparison_answered(from, comparison_id, voting, unchosen);
     }
 
-    /// Another replica has answered the comparison that is under way; one without a vote does not count.
-    pub(super) fn compared(&mut self, from: Ipv4Addr, seq: u64, voting: bool, open: Vec<Version>) {
-        let Some(peer) = self.peers.get_mut(&from).filter(|peer| peer.asked.0 == seq) else {
+    /// A peer has answered the comparison that is in progress with it. The answer of one without a vote does not
+    /// count, and voids what counted before.
+    pub(super) fn on_comparison_answered(
+        &mut self,
+        from: Ipv4Addr,
+        comparison_id: ComparisonId,
+        voting: bool,
+        unchosen: Vec<ItemVersion>,
+    ) {
+        let Some(peer) = self
+            .peers
+            .get_mut(&from)
+            .filter(|peer| peer.comparison_id == comparison_id)
+        else {
             return;
         };
         if voting {
-            peer.compared.add(peer.asked.1, open);
-            self.count_comparisons();
+            peer.comparisons.push(peer.comparison_begun_at, unchosen);
+            self.confirm_comparisons();
         } else {
-            peer.compared = Comparisons::default();
+            peer.comparisons = Comparisons::default();
         }
     }
 
-    /// Counts what has become known.
-    pub(super) fn count_comparisons(&mut self) {
+    /// Counts the comparisons whose versions have become known.
+    pub(super) fn confirm_comparisons(&mut self) {
         let state = &self.acceptor.state;
-        let known = |(key, ver): &Version| {
-            state.covers(&Item {
-                key: key.clone(),
-                version: *ver,
-                body: None,
-            })
-        };
-        self.own.count(known);
-        self.peers
-            .values_mut()
-            .for_each(|peer| peer.compared.count(known));
+        let is_known = |version: &ItemVersion| state.covers_version(version);
+        self.own_comparisons.confirm(is_known);
+        for peer in self.peers.values_mut() {
+            peer.comparisons.confirm(is_known);
+        }
     }
 
-    /// So many milliseconds ago all that this replica holds itself was known to be chosen or not accepted.
-    pub(super) fn own_age(&self, now: u64) -> Option<u64> {
-        if self.open_versions().is_empty() {
-            return Some(0);
+    /// How long ago everything that this replica itself had accepted was known to be chosen or superseded.
+    pub(super) fn own_confirmed_age(&self, now: Timestamp) -> Option<Duration> {
+        if self.unchosen_versions().is_empty() {
+            return Some(Duration::ZERO);
         }
-        self.own.counted.map(|at| now.saturating_sub(at))
+        let confirmed_at = self.own_comparisons.confirmed_at?;
+        Some(now.saturating_since(confirmed_at))
     }
 }
--- /dev/null
+++ b/crates/emberpin-consensus/src/replica/judgement.rs
@@ -0,0 +1,132 @@
+//! Between the two phases of a round: what may be chosen already, how tasks are judged on top of it, and what is
+//! proposed.
+
+use super::calls::reply_all;
+use super::{Action, Replica};
+use crate::ballot::AcceptedProposal;
+use crate::incarnation::Incarnation;
+use crate::roster::{roster_item, roster_key};
+use crate::round::{Proposal, Round};
+use crate::task::{Operation, Outcome, Rejection, Task, Verdict};
+use emberpin_config::Item;
+use std::borrow::Cow;
+
+impl Replica {
+    /// Judges the tasks on all that is or may be chosen, and proposes their items.
+    pub(super) fn propose(&mut self, actions: &mut Vec<Action>) {
+        let Some(mut round) = self.round.take() else {
+            return;
+        };
+        let carried = self.possibly_chosen(&round);
+        let change = carried.iter().find(|item| item.key == roster_key());
+        if change.is_some() && change != round.next_roster.as_ref() && self.guards().joint_quorums {
+            // The voters that it adds have to promise too: it is finished by a round with both quorums.
+            self.next_roster = change.cloned();
+            self.round = Some(round);
+            return self.end_round();
+        }
+        if round.recovers {
+            return self.finish_recovery(&round, carried, actions);
+        }
+        let items = self.judge_tasks(&mut round, carried);
+        if items.is_empty() {
+            self.pacing.record_success();
+            return reply_all(round.outcomes, actions);
+        }
+        let transferred = if self.guards().transfer_missing_items {
+            round.missing_items(self.state())
+        } else {
+            Vec::new()
+        };
+        round.proposal = Some(Proposal { items, transferred });
+        self.start_phase(round, actions);
+    }
+
+    /// The items accepted at the highest ballot, as far as they are not known to be chosen. They may be, so they have
+    /// to be proposed again.
+    fn possibly_chosen(&self, round: &Round) -> Vec<Item> {
+        if !self.guards().repropose_accepted {
+            return Vec::new();
+        }
+        let accepted = round.highest_accepted.items.iter();
+        accepted
+            .filter(|item| !self.state().covers(item))
+            .cloned()
+            .collect()
+    }
+
+    /// A replica that lost its disk has caught up: everything that it may have voted for before is known to one of
+    /// those that promised. It takes over what they know, and votes once that is synced.
+    fn finish_recovery(&mut self, round: &Round, carried: Vec<Item>, actions: &mut Vec<Action>) {
+        self.acceptor.promised = self.acceptor.promised.max(round.ballot);
+        self.acceptor.incarnation = Incarnation(round.ballot);
+        for promise in round.promises.values() {
+            self.acceptor
+                .latest_incarnations
+                .merge(&promise.latest_incarnations);
+        }
+        self.acceptor.accepted = AcceptedProposal {
+            ballot: round.highest_accepted.ballot,
+            items: carried,
+        };
+        self.schedule_repair();
+        self.acceptor.voting = true;
+        self.pacing.record_success();
+        self.persist_everything(actions);
+    }
+
+    /// Judges each task on everything chosen, the carried items and the items of the tasks before it. Returns the items
+    /// to propose, and leaves the replies in the round.
+    fn judge_tasks(&mut self, round: &mut Round, carried: Vec<Item>) -> Vec<Item> {
+        let finishes_change = carried.iter().any(|item| item.key == roster_key());
+        let mut configuration = match round.initial_state.take() {
+            Some(initial_state) => Cow::Owned(initial_state),
+            None => Cow::Borrowed(self.acceptor.state.configuration()),
+        };
+        for item in &carried {
+            configuration.to_mut().merge(item.clone());
+        }
+        let mut items = carried;
+        for mut task in std::mem::take(&mut self.tasks) {
+            if self.acceptor.guards.joint_quorums && waits(&task, round, finishes_change) {
+                self.tasks.push_back(task);
+                continue;
+            }
+            let verdict = task
+                .operation
+                .evaluate(&configuration, &self.acceptor.guards);
+            let (status, body) = match verdict {
+                Verdict::Propose(new) => {
+                    for item in &new {
+                        configuration.to_mut().merge(item.clone());
+                    }
+                    items.extend(new);
+                    task.proposed = true;
+                    (200, String::new())
+                }
+                Verdict::Complete(body) => (200, body),
+                // An earlier proposal of it may be chosen in part, so it is not known to be rejected.
+                Verdict::Reject(_) if task.proposed => (503, "send it again".into()),
+                Verdict::Reject(Rejection { status, reason }) => {
+                    if !self.acceptor.guards.atomic_calls {
+                        items.extend(task.operation.items_valid_alone(&configuration));
+                    }
+                    (status, reason)
+                }
+            };
+            round.outcomes.push(Outcome { task, status, body });
+        }
+        items
+    }
+}
+
+/// Whether a task is left for a later round: a change of the roster has a round of its own, and so has all that must
+/// not wait for it.
+fn waits(task: &Task, round: &Round, finishes_change: bool) -> bool {
+    match &task.operation {
+        Operation::ChangeRoster { version, voters } => {
+            finishes_change || round.next_roster != Some(roster_item(version + 1, voters))
+        }
+        _ => round.next_roster.is_some(),
+    }
+}
--- a/crates/emberpin-consensus/src/replica/messages.rs
+++ b/crates/emberpin-consensus/src/replica/messages.rs
@@ -1,24 +1,26 @@
-//! Messages from other replicas: what each of them leads to.
+//! Messages from other replicas: dispatch, and the voter's side of a round.
 
+use super::persistence::AcceptedChange;
 use super::{Action, Replica};
-use crate::message::{Ballot, Message};
-use crate::round::Promised;
+use crate::ballot::Ballot;
+use crate::message::Message;
+use crate::round::Promise;
 use emberpin_config::Item;
 use std::net::Ipv4Addr;
 
 impl Replica {
-    pub(super) fn hear(
+    /// Handles a message from another replica, or from this one to itself.
+    pub(super) fn on_message(
         &mut self,
-        now: u64,
         from: Ipv4Addr,
         message: Message,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        if from != self.options.me {
-            self.peers.entry(from).or_default().heard = now.max(1);
+        if from != self.options.address {
+            self.peers.entry(from).or_default().last_heard_at = Some(self.now);
         }
-        if let Some(ballot) = self.vote_refused(&message) {
-            return self.send(from, Message::DiskUnavailable { ballot }, out);
+        if let Some(ballot) = self.ballot_without_disk(&message) {
+            return self.send(from, Message::DiskUnavailable { ballot }, actions);
         }
         match message {
             Message::Prepare {
@@ -27,11 +29,8 @@
                 digests,
                 recovers,
             } => {
-                if self.goes_by(from, ballot, &roster, out) {
-                    let answer = self.acceptor.prepare(ballot, &digests, recovers);
-                    self.counter = self.counter.max(ballot.counter);
-                    self.yield_to(now, from, &answer);
-                    self.answer(from, answer, false, out);
+                if self.accepts_roster(from, ballot, &roster, actions) {
+                    self.on_prepare(from, ballot, &digests, recovers, actions);
                 }
             }
             Message::Accept {
@@ -40,22 +39,15 @@
                 chosen,
                 items,
             } => {
-                if self.goes_by(from, ballot, &roster, out) {
-                    let answer = self.acceptor.accept(ballot, items);
-                    if matches!(answer, Message::Accepted { .. }) {
-                        self.watch_open(now);
-                    }
-                    // Learned first or with it: in either order they are on the disk before the answer goes
-                    // out.
-                    self.learn(&chosen, out);
-                    self.answer(from, answer, true, out);
+                if self.accepts_roster(from, ballot, &roster, actions) {
+                    self.on_accept(from, ballot, &chosen, items, actions);
                 }
             }
             Message::Promise {
                 ballot,
                 incarnation,
-                renewals,
-                pending,
+                latest_incarnations,
+                accepted,
                 buckets,
                 chosen,
             } => {
@@ -63,130 +55,132 @@
                     .iter()
                     .map(|item| (item.key.clone(), item.version))
                     .collect();
-                let promised = Promised {
+                let promise = Promise {
                     incarnation,
-                    renewals,
+                    latest_incarnations,
                     buckets,
                     versions,
                 };
-                self.promise(now, from, ballot, promised, pending, chosen, out);
-            }
-            Message::Accepted { ballot } => self.accepted(now, from, ballot, out),
-            Message::Refused { ballot, promised } => {
-                self.counter = self.counter.max(promised.counter);
-                // One's own ballot comes back if a message came twice.
-                if promised > ballot {
-                    self.refused(now, from, ballot);
-                }
+                self.on_promise(from, ballot, promise, accepted, &chosen, actions);
             }
+            Message::Accepted { ballot } => self.on_accepted(from, ballot, actions),
+            Message::Rejected { ballot, promised } => self.on_rejected(from, ballot, promised),
+            // The voter is just not counted: the round goes on with the others.
             Message::NotVoting { .. } => {}
-            Message::DiskUnavailable { ballot } => self.voter_unavailable(now, from, ballot),
-            Message::Roster { ballot, roster } => {
-                self.learn(std::slice::from_ref(&roster), out);
-                if self.round.as_ref().is_some_and(|round| {
-                    round.ballot == ballot && round.roster.version < roster.version
-                }) {
-                    self.give_way(now, false);
-                }
-            }
-            Message::Candidacy { asker } => self.give_word(from, asker, out),
-            Message::Word { asker, candidate } => self.take_word(now, from, asker, candidate),
-            Message::Founded { asker, roster } => self.take_founded(asker, &roster, out),
-            Message::Chosen { items } => {
-                // The round that it yielded to may be over.
-                self.yields_until = 0;
-                self.learn(&items, out);
+            Message::DiskUnavailable { ballot } => self.on_disk_unavailable(from, ballot),
+            Message::StaleRoster { ballot, roster } => {
+                self.on_stale_roster(ballot, roster, actions);
             }
-            Message::Exchange { seq, digest } => {
-                let answer = match digest == self.state().digest() {
-                    true => Message::Same {
-                        seq,
-                        voting: self.acceptor.voting,
-                        open: self.open_versions(),
-                    },
-                    false => Message::Differ {
-                        seq,
-                        digests: self.state().digests().to_vec(),
-                        open: self.open_versions(),
-                    },
-                };
-                self.send(from, answer, out);
+            Message::BootstrapQuery { query_nonce } => {
+                self.on_bootstrap_query(from, query_nonce, actions);
             }
-            Message::Same { seq, voting, open } => self.compared(from, seq, voting, open),
-            Message::Differ { seq, digests, open } => {
-                if let Some(peer) = self.peers.get_mut(&from).filter(|peer| peer.asked.0 == seq) {
-                    peer.open = open;
-                }
-                let buckets = self.state().differing(&digests);
-                let items = self.state().in_buckets(&buckets);
-                if !items.is_empty() {
-                    self.send(from, Message::Chosen { items }, out);
-                }
-                self.send(from, Message::Fetch { seq, buckets }, out);
-            }
-            Message::Fetch { seq, buckets } => {
-                let items = self.state().in_buckets(&buckets);
-                self.send(
-                    from,
-                    Message::Items {
-                        seq,
-                        items,
-                        voting: self.acceptor.voting,
-                    },
-                    out,
-                );
+            Message::BootstrapReply {
+                query_nonce,
+                candidate_nonce,
+            } => self.on_bootstrap_reply(from, query_nonce, candidate_nonce),
+            Message::FirstRoster {
+                query_nonce,
+                roster,
+            } => self.on_first_roster(query_nonce, roster, actions),
+            Message::Chosen { items } => {
+                // The round that this replica yielded to may be over.
+                self.yields_until = None;
+                self.learn(&items, actions);
             }
-            Message::Items { seq, items, voting } => {
-                self.learn(&items, out);
-                // As it was when the digests were told: the buckets were chosen by those.
-                let open = self
-                    .peers
-                    .get(&from)
-                    .map_or_else(Vec::new, |peer| peer.open.clone());
-                self.compared(from, seq, voting, open);
+            Message::CompareDigest {
+                comparison_id,
+                digest,
+            } => self.on_compare_digest(from, comparison_id, digest, actions),
+            Message::DigestMatches {
+                comparison_id,
+                voting,
+                unchosen,
+            } => self.on_comparison_answered(from, comparison_id, voting, unchosen),
+            Message::DigestDiffers {
+                comparison_id,
+                digests,
+                unchosen,
+            } => self.on_digest_differs(from, comparison_id, &digests, unchosen, actions),
+            Message::FetchBuckets {
+                comparison_id,
+                buckets,
+            } => self.on_fetch_buckets(from, comparison_id, &buckets, actions),
+            Message::BucketItems {
+                comparison_id,
+                items,
+                voting,
+            } => {
+                self.learn(&items, actions);
+                self.on_bucket_items(from, comparison_id, voting);
             }
         }
     }
 
-    /// Whether a round goes by the newest roster known here; what it goes by is chosen in any case.
-    pub(super) fn goes_by(
+    fn on_prepare(
+        &mut self,
+        from: Ipv4Addr,
+        ballot: Ballot,
+        digests: &[u64],
+        recovers: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        let answer = self.acceptor.prepare(ballot, digests, recovers);
+        self.highest_counter = self.highest_counter.max(ballot.counter);
+        self.yield_to(from, &answer);
+        self.answer_proposer(from, answer, AcceptedChange::Unchanged, actions);
+    }
+
+    fn on_accept(
+        &mut self,
+        from: Ipv4Addr,
+        ballot: Ballot,
+        chosen: &[Item],
+        items: Vec<Item>,
+        actions: &mut Vec<Action>,
+    ) {
+        let answer = self.acceptor.accept(ballot, items);
+        if matches!(answer, Message::Accepted { .. }) {
+            self.schedule_repair();
+        }
+        // The order of the two writes does not matter: both are on the disk before the answer is sent.
+        self.learn(chosen, actions);
+        self.answer_proposer(from, answer, AcceptedChange::Changed, actions);
+    }
+
+    /// Whether a round's roster is no older than the newest one known here. If it is older, the proposer is told the
+    /// newer one; otherwise the roster is learned, as proposers use chosen ones only.
+    fn accepts_roster(
         &mut self,
         from: Ipv4Addr,
         ballot: Ballot,
         roster: &Item,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> bool {
         match self.state().roster().cloned() {
             Some(newer) if newer.version > roster.version => {
-                self.send(
-                    from,
-                    Message::Roster {
-                        ballot,
-                        roster: newer,
-                    },
-                    out,
-                );
+                let roster = newer;
+                self.send(from, Message::StaleRoster { ballot, roster }, actions);
                 false
             }
             _ => {
-                self.learn(std::slice::from_ref(roster), out);
+                self.learn(std::slice::from_ref(roster), actions);
                 true
             }
         }
     }
 
-    pub(super) fn answer(
+    /// Sends a voter's answer: a vote once it is on the disk, a rejection at once.
+    fn answer_proposer(
         &mut self,
         to: Ipv4Addr,
         answer: Message,
-        pending: bool,
-        out: &mut Vec<Action>,
+        accepted: AcceptedChange,
+        actions: &mut Vec<Action>,
     ) {
-        match answer {
-            Message::Promise { .. } | Message::Accepted { .. } => {
-                self.persist(Vec::new(), pending, true, Some((to, answer)), out);
-            }
-            _ => self.send(to, answer, out),
+        if matches!(answer, Message::Promise { .. } | Message::Accepted { .. }) {
+            self.persist_then_send(accepted, to, answer, actions);
+        } else {
+            self.send(to, answer, actions);
         }
     }
 }
--- a/crates/emberpin-consensus/src/replica/pacing.rs
+++ b/crates/emberpin-consensus/src/replica/pacing.rs
@@ -1,124 +1,153 @@
-//! How long rounds may take, and how long a store waits before it begins another: both follow the times measured.
+//! Timeouts and pauses of rounds, which adapt to the measured delays of disks and network.
 //!
-//! A round is two phases, and each phase waits for up to three syncs one after the other: the one that a voter is
-//! at when the message comes, the one that the message itself needs, and the one that the proposer is at when the
-//! answer comes. Timeouts begin at [`ROUND`] and double with each round that failed, up to [`LONGEST_ROUND`], which
-//! is above the six syncs of [`LONGEST_SYNC`].
-
-/// The longest sync at which rounds are sure to come to their end, in milliseconds.
-pub(super) const LONGEST_SYNC: u64 = 3_000;
-/// A round that isn't done by then gives way to a new one, however slow the disks.
-pub(super) const LONGEST_ROUND: u64 = 7 * LONGEST_SYNC;
-/// A first round that isn't done by then gives way to a new one, if no phase was measured to be slow.
-const ROUND: u64 = 700;
-/// A round that one voter refused gives way after so long: the others may be a majority, or may be gone.
-const REFUSED: u64 = 150;
-/// What is accepted and not chosen after so long is finished by whoever holds it.
-const OPEN: u64 = 300;
-/// The first pause after a round that failed is drawn below this.
-const PAUSE: u64 = 60;
-/// Messages that were not answered go out again after so long, and then after twice as long each time.
-const RESEND: u64 = 700;
-/// But at least so often.
-const LONGEST_RESEND: u64 = 2_000;
-/// After so long without another measurement, one counts half as much.
-const HALF_LIFE: u64 = 5_000;
-/// A failed round doubles the next one's times; so often at most.
-const MOST_DOUBLINGS: u32 = 6;
-
-/// The measured times, and the failures since the last success.
+//! A round has two phases, and each phase waits for up to three syncs one after the other: the one that a voter is
+//! in when the message arrives, the one that the message itself needs, and the one that the proposer is in when the
+//! answer arrives. Timeouts begin at [`BASE_ROUND_TIMEOUT`] and double with each round that failed, up to
+//! [`MAX_ROUND_TIMEOUT`], which is above the six syncs of [`MAX_SYNC_TIME`].
+
+use crate::time::{whole_millis, Timestamp};
+use std::time::Duration;
+
+/// The longest sync at which rounds are sure to succeed.
+const MAX_SYNC_TIME: Duration = Duration::from_millis(3_000);
+/// Upper bound of all timeouts and pauses here, however slow the disks.
+const MAX_ROUND_TIMEOUT: Duration = MAX_SYNC_TIME.saturating_mul(7);
+/// A round that takes longer is abandoned for a new one, if no round failed before it and no delay was measured.
+const BASE_ROUND_TIMEOUT: Duration = Duration::from_millis(700);
+/// How long a round that a voter rejected goes on: the other voters may be a majority, or may be down.
+const BASE_REJECTED_GRACE: Duration = Duration::from_millis(150);
+/// How long a voter waits for what it accepted to be chosen before it finishes the round itself.
+const BASE_REPAIR_DELAY: Duration = Duration::from_millis(300);
+/// Twice the bound below which the pause after a first failed round is drawn.
+const BASE_PAUSE: Duration = Duration::from_millis(60);
+/// Unanswered messages are sent again after this delay, which doubles each time.
+const BASE_RESEND_DELAY: Duration = Duration::from_millis(700);
+/// Upper bound of the delay before unanswered messages are sent again.
+const MAX_RESEND_DELAY: Duration = Duration::from_millis(2_000);
+/// A measured delay counts half as much after each such span without another measurement.
+const DELAY_HALF_LIFE: Duration = Duration::from_millis(5_000);
+/// How often failed rounds double the timeouts of the next one.
+const MAX_DOUBLINGS: u32 = 6;
+/// How often failed rounds double the delay before a voter finishes what it accepted.
+const MAX_REPAIR_DOUBLINGS: u32 = 3;
+
+/// Whether timeouts adapt to measured delays.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Adaptation {
+    Adaptive,
+    /// Only in tests, to show that they detect it: the timeouts suit fast disks, and nothing is sent again.
+    Fixed,
+}
+
+/// The measured delays, and the failures since the last success.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Pacing {
-    /// About the longest that a phase of a round, or a sync of this store, took lately.
-    phase: u64,
+    /// About the longest that a phase of a round, or a sync of this replica, took lately; in whole milliseconds.
+    phase_millis: u64,
     /// When that was measured last.
-    measured_at: u64,
-    /// Rounds that failed in a row.
-    failed: u32,
-    /// False in the wrong build, whose times are those of quick disks.
-    follows: bool,
+    measured_at: Timestamp,
+    /// How many rounds failed in a row, up to [`MAX_DOUBLINGS`].
+    failures: u32,
+    adaptation: Adaptation,
 }
 
 impl Pacing {
-    pub fn new(follows: bool) -> Pacing {
+    pub fn new(adaptation: Adaptation) -> Pacing {
         Pacing {
-            phase: 0,
-            measured_at: 0,
-            failed: 0,
-            follows,
+            phase_millis: 0,
+            measured_at: Timestamp::default(),
+            failures: 0,
+            adaptation,
         }
     }
 
-    /// A phase or a sync took so long.
-    pub fn observe(&mut self, now: u64, took: u64) {
-        let phase = self.phase(now);
-        self.phase = took.min(LONGEST_ROUND).max(phase - phase.div_ceil(4));
+    /// A phase or a sync took so long. A longer time replaces the estimate, a shorter one reduces it by a quarter.
+    pub fn record_delay(&mut self, now: Timestamp, delay: Duration) {
+        let phase = self.phase_millis(now);
+        let delay = whole_millis(delay.min(MAX_ROUND_TIMEOUT));
+        self.phase_millis = delay.max(phase - phase.div_ceil(4));
         self.measured_at = now;
     }
 
-    /// What was measured, which says less the longer that is ago.
-    fn phase(&self, now: u64) -> u64 {
-        let halves = now.saturating_sub(self.measured_at) / HALF_LIFE;
-        self.phase.checked_shr(halves.min(64) as u32).unwrap_or(0)
-    }
-
-    pub fn failed(&mut self) {
-        self.failed = (self.failed + 1).min(MOST_DOUBLINGS);
+    pub fn record_failure(&mut self) {
+        self.failures = (self.failures + 1).min(MAX_DOUBLINGS);
     }
 
-    pub fn succeeded(&mut self) {
-        self.failed = 0;
+    pub fn record_success(&mut self) {
+        self.failures = 0;
     }
 
     /// Whether other proposers got in the way lately, or the disks are slow.
-    pub fn contended(&self) -> bool {
-        self.follows && self.failed > 0
+    pub fn is_contended(&self) -> bool {
+        self.is_adaptive() && self.failures > 0
     }
 
-    /// When a round that begins now gives way.
-    pub fn round_timeout(&self, now: u64) -> u64 {
-        match self.follows {
-            true => ((ROUND + 4 * self.phase(now)) << self.failed).min(LONGEST_ROUND),
-            false => ROUND + 300 * u64::from(self.failed.min(3)),
+    /// After how long a round that begins now is abandoned.
+    pub fn round_timeout(&self, now: Timestamp) -> Duration {
+        if !self.is_adaptive() {
+            return BASE_ROUND_TIMEOUT + Duration::from_millis(300) * self.failures.min(3);
         }
+        let timeout = (BASE_ROUND_TIMEOUT + 4 * self.phase(now)) * self.failure_factor();
+        timeout.min(MAX_ROUND_TIMEOUT)
     }
 
-    /// How long a round goes on that a voter has refused.
-    pub fn refused_grace(&self, now: u64) -> u64 {
-        match self.follows {
-            true => ((REFUSED + self.phase(now)) << self.failed).min(LONGEST_ROUND),
-            false => REFUSED,
+    /// How long a round goes on that a voter has rejected.
+    pub fn rejected_grace(&self, now: Timestamp) -> Duration {
+        if !self.is_adaptive() {
+            return BASE_REJECTED_GRACE;
         }
+        let grace = (BASE_REJECTED_GRACE + self.phase(now)) * self.failure_factor();
+        grace.min(MAX_ROUND_TIMEOUT)
     }
 
-    /// Below which the pause after a failed round is drawn.
-    pub fn pause_bound(&self, now: u64) -> u64 {
-        match self.follows {
-            true => (((PAUSE + self.phase(now)) << self.failed) / 2).min(LONGEST_ROUND),
-            false => (PAUSE / 2) << self.failed.min(4),
+    /// The bound below which the pause after a failed round is drawn.
+    pub fn max_pause(&self, now: Timestamp) -> Duration {
+        if !self.is_adaptive() {
+            return BASE_PAUSE / 2 * (1 << self.failures.min(4));
         }
+        let pause = (BASE_PAUSE + self.phase(now)) * self.failure_factor() / 2;
+        pause.min(MAX_ROUND_TIMEOUT)
     }
 
-    /// How long a store that failed leaves the field to a round of another that it has just heard of.
-    pub fn yield_time(&self, now: u64) -> u64 {
-        PAUSE + 2 * self.phase(now)
+    /// How long a replica whose last round failed waits for another proposer's round that it has just promised to.
+    pub fn yield_time(&self, now: Timestamp) -> Duration {
+        BASE_PAUSE + 2 * self.phase(now)
     }
 
-    /// After how long a store finishes what it accepted and doesn't know to be chosen.
-    pub fn open_delay(&self, now: u64) -> u64 {
-        match self.follows {
-            true => ((OPEN + 3 * self.phase(now)) << self.failed.min(3)).min(LONGEST_ROUND),
-            false => OPEN,
+    /// After how long a replica finishes what it accepted and does not know to be chosen.
+    pub fn repair_delay(&self, now: Timestamp) -> Duration {
+        if !self.is_adaptive() {
+            return BASE_REPAIR_DELAY;
         }
+        let doublings = self.failures.min(MAX_REPAIR_DOUBLINGS);
+        let delay = (BASE_REPAIR_DELAY + 3 * self.phase(now)) * (1 << doublings);
+        delay.min(MAX_ROUND_TIMEOUT)
+    }
+
+    /// After how long messages that were sent again this often, and not answered, are sent once more; `None`, if
+    /// nothing is sent again.
+    pub fn resend_delay(&self, resent: u32) -> Option<Duration> {
+        let delay = BASE_RESEND_DELAY * (1 << resent.min(MAX_DOUBLINGS));
+        self.is_adaptive().then_some(delay.min(MAX_RESEND_DELAY))
+    }
+
+    fn is_adaptive(&self) -> bool {
+        self.adaptation == Adaptation::Adaptive
+    }
+
+    fn failure_factor(&self) -> u32 {
+        1 << self.failures
     }
 
-    /// After how long unanswered messages go out again, having done so this often.
-    pub fn resend_delay(&self, times: u32) -> u64 {
-        (RESEND << times.min(MOST_DOUBLINGS)).min(LONGEST_RESEND)
+    /// The measured delay, which counts less the longer ago it was measured.
+    fn phase(&self, now: Timestamp) -> Duration {
+        Duration::from_millis(self.phase_millis(now))
     }
 
-    /// Whether unanswered messages go out again.
-    pub fn resends(&self) -> bool {
-        self.follows
+    fn phase_millis(&self, now: Timestamp) -> u64 {
+        let age = now.saturating_since(self.measured_at);
+        let half_lives = whole_millis(age) / whole_millis(DELAY_HALF_LIFE);
+        let shift = u32::try_from(half_lives).unwrap_or(u32::MAX);
+        self.phase_millis.checked_shr(shift).unwrap_or(0)
     }
 }
--- /dev/null
+++ b/crates/emberpin-consensus/src/replica/proposer.rs
@@ -0,0 +1,287 @@
+//! The proposer's side of a round: beginning, sending, answers, and the end.
+
+use super::calls::reply_all;
+use super::{Action, Replica};
+use crate::ballot::{AcceptedProposal, Ballot};
+use crate::message::Message;
+use crate::roster::{roster_item, roster_key};
+use crate::round::{Promise, Round};
+use crate::task::{Operation, Task};
+use emberpin_config::Item;
+use std::collections::BTreeSet;
+use std::net::Ipv4Addr;
+
+impl Replica {
+    /// Begins a round, if there is a reason for one.
+    pub(super) fn begin_round(&mut self, actions: &mut Vec<Action>) {
+        if self.disk_unavailable_reason().is_some() {
+            return;
+        }
+        let Some(roster) = self.state().roster().cloned() else {
+            return;
+        };
+        // Changes of a roster that has been replaced have no effect.
+        self.tasks
+            .retain(|task| !task.changes_roster() || task.replaces_roster(roster.version));
+        self.next_roster
+            .take_if(|next| next.version != roster.version + 1);
+        let recovers = !self.acceptor.voting;
+        let repairs = self.repair_at.is_some_and(|at| self.now >= at) && self.is_voter();
+        let has_work =
+            !self.tasks.is_empty() || self.next_roster.is_some() || self.roster_unconfirmed;
+        if !has_work && !recovers && !repairs {
+            return;
+        }
+        if repairs {
+            self.schedule_repair();
+        }
+        let next_roster = self
+            .take_next_roster()
+            .filter(|_| self.guards().joint_quorums);
+        let ballot = self.next_ballot();
+        let timeout = self.pacing.round_timeout(self.now);
+        let mut round = Round::new(ballot, self.now, timeout, roster, next_roster);
+        round.recovers = recovers;
+        round.initial_state =
+            (!self.guards().judge_on_quorum_state).then(|| self.state().configuration().clone());
+        self.start_phase(round, actions);
+    }
+
+    /// The roster that the next round changes to: one that was seen accepted, or that of the first task. A change of
+    /// the roster has a round of its own, so that no call waits for machines that are yet to join.
+    fn take_next_roster(&mut self) -> Option<Item> {
+        let accepted = self.next_roster.take();
+        accepted.or_else(|| match &self.tasks.front()?.operation {
+            Operation::ChangeRoster { version, voters } => Some(roster_item(version + 1, voters)),
+            _ => None,
+        })
+    }
+
+    fn next_ballot(&mut self) -> Ballot {
+        self.highest_counter += 1;
+        Ballot {
+            counter: self.highest_counter,
+            proposer: self.options.address.to_bits(),
+            start_nonce: self.start_nonce,
+        }
+    }
+
+    /// Sends the messages of a phase that begins now to all voters.
+    pub(super) fn start_phase(&mut self, mut round: Round, actions: &mut Vec<Action>) {
+        round.sent_at = self.now;
+        round.resent = 0;
+        round.resend_at = self.pacing.resend_delay(0).map(|delay| self.now + delay);
+        let voters = round.all_voters();
+        self.round = Some(round);
+        self.send_to_voters(voters, actions);
+    }
+
+    /// Sends the messages of the phase again to the voters that have not answered: a message or its answer may have
+    /// been lost, and the round may have a long time yet.
+    pub(super) fn resend(&mut self, actions: &mut Vec<Action>) {
+        let now = self.now;
+        let is_due = |round: &&mut Round| round.resend_at.is_some_and(|at| now >= at);
+        let Some(round) = self.round.as_mut().filter(is_due) else {
+            return;
+        };
+        round.resend_at = self
+            .pacing
+            .resend_delay(round.resent)
+            .map(|delay| now + delay);
+        round.resent += 1;
+        round.sent_at = now;
+        let voters = round.unanswered();
+        self.send_to_voters(voters, actions);
+    }
+
+    /// Sends the message of the round's phase.
+    fn send_to_voters(&mut self, voters: BTreeSet<Ipv4Addr>, actions: &mut Vec<Action>) {
+        let Some(round) = &self.round else { return };
+        let (ballot, roster) = (round.ballot, round.roster.clone());
+        let message = match &round.proposal {
+            Some(proposal) => Message::Accept {
+                ballot,
+                roster,
+                chosen: proposal.transferred.clone(),
+                items: proposal.items.clone(),
+            },
+            None => Message::Prepare {
+                ballot,
+                roster,
+                digests: self.state().digests().to_vec(),
+                recovers: round.recovers,
+            },
+        };
+        for to in voters {
+            self.send(to, message.clone(), actions);
+        }
+    }
+
+    /// A voter has promised. Once a quorum has, the proposal is made.
+    pub(super) fn on_promise(
+        &mut self,
+        from: Ipv4Addr,
+        ballot: Ballot,
+        promise: Promise,
+        accepted: AcceptedProposal,
+        chosen: &[Item],
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else {
+            return;
+        };
+        if round.proposal.is_some() {
+            return;
+        }
+        if self.acceptor.guards.void_stale_promises {
+            round.add_promise(from, promise);
+        } else {
+            round.promises.insert(from, promise);
+        }
+        if accepted.ballot > round.highest_accepted.ballot {
+            round.highest_accepted = accepted;
+        }
+        self.learn(chosen, actions);
+        let proposer = self.options.address;
+        let has_quorum = |round: &&Round| round.has_promise_quorum(proposer);
+        let Some(round) = self.round.as_ref().filter(has_quorum) else {
+            return;
+        };
+        let (sent_at, roster_ver) = (round.sent_at, round.roster.version);
+        let newest_roster = self.state().roster();
+        if newest_roster.is_some_and(|newest| newest.version > roster_ver) {
+            return self.end_round();
+        }
+        self.pacing
+            .record_delay(self.now, self.now.saturating_since(sent_at));
+        // Whoever has promised by this roster has it on its disk.
+        self.roster_unconfirmed = false;
+        self.propose(actions);
+    }
+
+    /// A voter has accepted. Once a quorum has, the items are chosen: all replicas are told, and the callers get their
+    /// replies.
+    pub(super) fn on_accepted(
+        &mut self,
+        from: Ipv4Addr,
+        ballot: Ballot,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else {
+            return;
+        };
+        round.accepted.insert(from);
+        let is_chosen = round.is_chosen(self.options.tolerated_failures);
+        if !is_chosen && self.acceptor.guards.tolerance_quorum {
+            return;
+        }
+        let Some(mut round) = self.round.take() else {
+            return;
+        };
+        self.pacing
+            .record_delay(self.now, self.now.saturating_since(round.sent_at));
+        let proposal = round.proposal.take();
+        let items = proposal.map_or_else(Vec::new, |proposal| proposal.items);
+        self.learn(&items, actions);
+        // As long as its own majority may not have a new roster, the loss of one disk could leave nobody who knows it.
+        self.roster_unconfirmed |= items.iter().any(|item| item.key == roster_key());
+        let mut receivers = round.all_voters();
+        receivers.extend(self.comparison_peers());
+        receivers.remove(&self.options.address);
+        for to in receivers {
+            let items = items.clone();
+            self.send(to, Message::Chosen { items }, actions);
+        }
+        self.pacing.record_success();
+        reply_all(round.outcomes, actions);
+    }
+
+    /// A voter has promised a higher ballot. The round goes on for a while, as the other voters may be a majority.
+    pub(super) fn on_rejected(&mut self, from: Ipv4Addr, ballot: Ballot, promised: Ballot) {
+        self.highest_counter = self.highest_counter.max(promised.counter);
+        if promised <= ballot {
+            // The voter has promised this very round, and got its message twice.
+            return;
+        }
+        let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else {
+            return;
+        };
+        round.rejected.insert(from);
+        let grace = self.pacing.rejected_grace(self.now);
+        round.deadline = round.deadline.min(self.now + grace);
+        if round.has_lost_quorum() {
+            self.fail_round();
+        }
+    }
+
+    /// The round went by a roster that has been replaced: starts over by the newer one.
+    pub(super) fn on_stale_roster(
+        &mut self,
+        ballot: Ballot,
+        roster: Item,
+        actions: &mut Vec<Action>,
+    ) {
+        let newer_version = roster.version;
+        self.learn(&[roster], actions);
+        let is_stale =
+            |round: &Round| round.ballot == ballot && round.roster.version < newer_version;
+        if self.round.as_ref().is_some_and(is_stale) {
+            self.end_round();
+        }
+    }
+
+    /// Ends the round. Its tasks go back to the front of the queue, for a round that may begin at once.
+    pub(super) fn end_round(&mut self) {
+        let Some(round) = self.round.take() else {
+            return;
+        };
+        for outcome in round.outcomes.into_iter().rev() {
+            self.tasks.push_front(outcome.task);
+        }
+        self.next_round_at = self.now;
+    }
+
+    /// Ends the round as a failure: the next one begins after a random pause.
+    pub(super) fn fail_round(&mut self) {
+        if self.round.is_none() {
+            return;
+        }
+        self.end_round();
+        self.pacing.record_failure();
+        let pause = self.random_delay(self.pacing.max_pause(self.now));
+        self.next_round_at = self.now + pause;
+    }
+
+    /// A replica whose last round failed yields to the round that it has just promised. It does not yield again before
+    /// that time is over, so that it gets its turn however many others there are.
+    pub(super) fn yield_to(&mut self, from: Ipv4Addr, answer: &Message) {
+        let has_promised_other =
+            matches!(answer, Message::Promise { .. }) && from != self.options.address;
+        if has_promised_other
+            && self.pacing.is_contended()
+            && self.round.is_none()
+            && self.now >= self.earliest_round_at()
+        {
+            self.yields_until = Some(self.now + self.pacing.yield_time(self.now));
+        }
+    }
+
+    /// Waits from now on for what was accepted here to be chosen; when that takes too long, this replica finishes it by
+    /// a round of its own. Does nothing but clear the timer, if there is nothing that is not known to be chosen.
+    pub(super) fn schedule_repair(&mut self) {
+        let delay = self.pacing.repair_delay(self.now);
+        self.repair_at = if self.acceptor.has_unchosen_items() {
+            Some(self.now + delay + self.random_delay(delay))
+        } else {
+            None
+        };
+    }
+
+    /// The tasks that wait, and those whose items are proposed.
+    pub(super) fn all_tasks(&self) -> impl Iterator<Item = &Task> {
+        let outcomes = self.round.iter().flat_map(|round| &round.outcomes);
+        self.tasks
+            .iter()
+            .chain(outcomes.map(|outcome| &outcome.task))
+    }
+}
--- /dev/null
+++ b/crates/emberpin-consensus/src/replica/timers.rs
@@ -0,0 +1,77 @@
+//! Timers: when the next one is due, and what happens then.
+
+use super::{Action, Replica, COMPARISON_INTERVAL};
+use crate::time::Timestamp;
+
+impl Replica {
+    /// When [`Event::Tick`](crate::Event::Tick) is due, unless another event comes earlier.
+    pub fn next_tick_at(&self) -> Timestamp {
+        let proposed = self.round.iter().flat_map(|round| &round.outcomes);
+        let deadlines = self
+            .tasks
+            .iter()
+            .chain(proposed.map(|outcome| &outcome.task))
+            .map(|task| task.deadline);
+        let round = self
+            .round
+            .iter()
+            .flat_map(|round| round.resend_at.into_iter().chain([round.deadline]));
+        deadlines
+            .chain(round)
+            .chain(self.next_round_due_at())
+            .chain(self.next_bootstrap_query_at())
+            .fold(self.next_comparison_at, Timestamp::min)
+    }
+
+    /// When the next round begins; `None`, if one is in progress, or there is no reason for one, or no way.
+    fn next_round_due_at(&self) -> Option<Timestamp> {
+        let may_begin = self.round.is_none()
+            && self.state().roster().is_some()
+            && self.disk_unavailable_reason().is_none();
+        if !may_begin {
+            return None;
+        }
+        let earliest = self.earliest_round_at();
+        let has_work =
+            !self.tasks.is_empty() || self.next_roster.is_some() || self.roster_unconfirmed;
+        if has_work || !self.acceptor.voting {
+            return Some(earliest);
+        }
+        self.repair_at
+            .filter(|_| self.is_voter())
+            .map(|at| at.max(earliest))
+    }
+
+    /// Before this no round begins.
+    pub(super) fn earliest_round_at(&self) -> Timestamp {
+        self.next_round_at
+            .max(self.yields_until.unwrap_or_default())
+    }
+
+    /// Does everything that is due.
+    pub(super) fn handle_timers(&mut self, actions: &mut Vec<Action>) {
+        let round_expired = |now| {
+            self.round
+                .as_ref()
+                .is_some_and(|round| now >= round.deadline)
+        };
+        if round_expired(self.now) {
+            self.fail_round();
+        }
+        self.expire_tasks(actions);
+        if self.now >= self.next_comparison_at {
+            self.next_comparison_at = self.now + COMPARISON_INTERVAL;
+            self.compare_with_peers(actions);
+            self.maintain_roster();
+        }
+        self.drive_bootstrap(actions);
+        if self.is_leaving {
+            // Again, as another change of the roster may have come first.
+            self.request_removal();
+        }
+        if self.round.is_none() && self.now >= self.earliest_round_at() {
+            self.begin_round(actions);
+        }
+        self.resend(actions);
+    }
+}
--- /dev/null
+++ b/crates/emberpin-consensus/src/roster.rs
@@ -0,0 +1,68 @@
+//! The roster of voters, as an item of the configuration. Replicas alone write it.
+//!
+//! Its body is a JSON array of addresses. The body of version 1 also has the nonces of the founders' candidacies, in
+//! the order of the addresses, behind them.
+
+use emberpin_config::{Item, ItemKey, ItemKind};
+use std::net::Ipv4Addr;
+
+/// A voter of the first roster.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Founder {
+    pub address: Ipv4Addr,
+    /// The nonce of its candidacy; `None` for a seed that is no candidate, and has to catch up before it votes.
+    pub nonce: Option<u64>,
+}
+
+/// The key of the roster.
+pub(crate) fn roster_key() -> ItemKey {
+    ItemKey {
+        kind: ItemKind::Roster,
+        name: String::new(),
+    }
+}
+
+/// A roster as an item.
+pub(crate) fn roster_item(version: u64, voters: &[Ipv4Addr]) -> Item {
+    let voters: Vec<String> = voters.iter().map(|voter| format!("\"{voter}\"")).collect();
+    Item {
+        key: roster_key(),
+        version,
+        body: Some(format!("[{}]", voters.join(","))),
+    }
+}
+
+/// The first roster as an item. A founder without a nonce is written with the nonce 0, which no candidate draws.
+pub(crate) fn first_roster_item(founders: &[Founder]) -> Item {
+    let addresses = founders
+        .iter()
+        .map(|founder| format!("\"{}\"", founder.address));
+    let nonces = founders
+        .iter()
+        .map(|founder| founder.nonce.unwrap_or(0).to_string());
+    let elements: Vec<String> = addresses.chain(nonces).collect();
+    Item {
+        key: roster_key(),
+        version: 1,
+        body: Some(format!("[{}]", elements.join(","))),
+    }
+}
+
+/// The nonce under which the first roster names a founder; later rosters name none.
+pub(crate) fn founder_nonce(roster: &Item, founder: Ipv4Addr) -> Option<u64> {
+    let position = voters(roster).iter().position(|voter| *voter == founder)?;
+    let body = roster.body.as_deref().filter(|_| roster.version == 1)?;
+    let mut nonces = body
+        .split(['[', ']', ','])
+        .filter_map(|element| element.parse::<u64>().ok());
+    nonces.nth(position).filter(|nonce| *nonce > 0)
+}
+
+/// The addresses of a roster's voters.
+pub(crate) fn voters(roster: &Item) -> Vec<Ipv4Addr> {
+    let body = roster.body.as_deref().unwrap_or_default();
+    let elements = body.split(['[', ']', ',', '"', ' ']);
+    elements
+        .filter_map(|element| element.parse().ok())
+        .collect()
+}
--- a/crates/emberpin-consensus/src/round.rs
+++ b/crates/emberpin-consensus/src/round.rs
@@ -1,201 +1,199 @@
-//! One round: a ballot, who has promised it, and what it proposes.
+//! One round: a ballot, who has promised it, what it proposes, and who has accepted that.
 
-use crate::call::Work;
-use crate::message::{Ballot, Pending};
-use crate::renewals::{Incarnation, Renewals};
-use crate::state::{bucket, voters, State};
+use crate::ballot::{AcceptedProposal, Ballot};
+use crate::incarnation::{Incarnation, LatestIncarnations};
+use crate::quorum::{accept_quorum, majority, recovery_quorum};
+use crate::roster::voters;
+use crate::state::{bucket, State};
+use crate::task::Outcome;
+use crate::time::Timestamp;
 use emberpin_config::{Configuration, Item, ItemKey};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
+use std::time::Duration;
 
-/// Something to do, and until when its caller waits.
-#[derive(Clone, Debug)]
-pub(crate) struct Task {
-    pub work: Work,
-    pub until: u64,
-    /// Items of it went out in a proposal, so that it may be chosen.
-    pub proposed: bool,
-}
-
-/// The answer to a task that is told once the round's items are chosen.
-#[derive(Debug)]
-pub(crate) struct Outcome {
-    pub task: Task,
-    pub status: u16,
-    pub body: String,
-}
-
-/// What a voter told with its promise: the buckets in which it differed, and its versions there.
+/// What a voter told with its promise.
 #[derive(Debug)]
-pub(crate) struct Promised {
+pub(crate) struct Promise {
+    /// The incarnation in which the voter promised.
     pub incarnation: Incarnation,
-    pub renewals: Renewals,
+    /// The incarnations that the voter knows of others.
+    pub latest_incarnations: LatestIncarnations,
+    /// The buckets in which its chosen items differed from the proposer's.
     pub buckets: Vec<u8>,
+    /// The versions of its chosen items in these buckets.
     pub versions: BTreeMap<ItemKey, u64>,
 }
 
-/// A round that is under way.
+/// What a round proposes.
+#[derive(Debug)]
+pub(crate) struct Proposal {
+    /// The items that are to be chosen.
+    pub items: Vec<Item>,
+    /// Chosen items that some voter lacked when it promised; they are sent along.
+    pub transferred: Vec<Item>,
+}
+
+/// A round in progress. It is in phase 1 until it has a proposal, and in phase 2 from then on.
 #[derive(Debug)]
 pub(crate) struct Round {
     pub ballot: Ballot,
-    /// When it gives way to a new one.
-    pub until: u64,
-    /// When its messages went out last. An answer to earlier ones makes its phase look shorter than it was, but one
-    /// after a cut doesn't make it look longer.
-    pub asked_at: u64,
-    /// When messages that were not answered go out again, and how often they did.
-    pub resend_at: u64,
+    /// When it is abandoned for a new one.
+    pub deadline: Timestamp,
+    /// When its messages were sent last. An answer to earlier ones makes its phase look shorter than it was; but an
+    /// answer that came late because of a network partition does not make it look longer.
+    pub sent_at: Timestamp,
+    /// When messages that were not answered are sent again; `None`, if they are not.
+    pub resend_at: Option<Timestamp>,
+    /// How often messages of this phase were sent again.
     pub resent: u32,
-    /// The roster that it goes by.
+    /// The roster by which it counts quorums.
     pub roster: Item,
+    /// The voters of that roster.
     pub voters: Vec<Ipv4Addr>,
-    /// The roster that is to replace it, whose majorities are needed too.
-    pub next: Option<Item>,
-    pub joining: Vec<Ipv4Addr>,
-    /// The round of a store that lost its disk: it only reads, and the store itself doesn't count.
+    /// The roster that is to replace it; the round needs quorums of both.
+    pub next_roster: Option<Item>,
+    /// The voters of the next roster; empty, if there is none.
+    pub next_voters: Vec<Ipv4Addr>,
+    /// Whether the proposer lost its disk: the round only reads, and the proposer itself does not count.
     pub recovers: bool,
-    pub promises: BTreeMap<Ipv4Addr, Promised>,
-    /// Of what was accepted in earlier rounds, the latest.
-    pub latest: Pending,
+    /// The promises that count.
+    pub promises: BTreeMap<Ipv4Addr, Promise>,
+    /// Of the proposals that voters accepted in earlier rounds, the one of the highest ballot.
+    pub highest_accepted: AcceptedProposal,
     /// What the proposer learned since it sent its digests.
     pub learned: BTreeSet<ItemKey>,
     /// What it proposes, once it does.
-    pub proposal: Option<Vec<Item>>,
-    /// The chosen items that go along with it.
-    pub transferred: Vec<Item>,
+    pub proposal: Option<Proposal>,
+    /// The voters that have accepted the proposal.
     pub accepted: BTreeSet<Ipv4Addr>,
-    /// Those that have promised a higher ballot.
-    pub refused: BTreeSet<Ipv4Addr>,
+    /// The voters that have promised a higher ballot, or cannot write.
+    pub rejected: BTreeSet<Ipv4Addr>,
+    /// Replies to send once the proposal is chosen.
     pub outcomes: Vec<Outcome>,
-    /// What was known at its start; see [`crate::Guards::newest`].
-    pub known: Option<Configuration>,
+    /// For tests with [`crate::Guards::judge_on_quorum_state`] off: what was known when the round began.
+    pub initial_state: Option<Configuration>,
 }
 
 impl Round {
-    pub fn new(ballot: Ballot, until: u64, roster: Item, next: Option<Item>) -> Round {
+    pub fn new(
+        ballot: Ballot,
+        now: Timestamp,
+        timeout: Duration,
+        roster: Item,
+        next_roster: Option<Item>,
+    ) -> Round {
         Round {
             ballot,
-            until,
-            asked_at: 0,
-            resend_at: u64::MAX,
+            deadline: now + timeout,
+            sent_at: now,
+            resend_at: None,
             resent: 0,
             voters: voters(&roster),
-            joining: next.as_ref().map(voters).unwrap_or_default(),
+            next_voters: next_roster.as_ref().map(voters).unwrap_or_default(),
             roster,
-            next,
+            next_roster,
             recovers: false,
             promises: BTreeMap::new(),
-            latest: Pending::default(),
+            highest_accepted: AcceptedProposal::default(),
             learned: BTreeSet::new(),
             proposal: None,
-            transferred: Vec::new(),
             accepted: BTreeSet::new(),
-            refused: BTreeSet::new(),
+            rejected: BTreeSet::new(),
             outcomes: Vec::new(),
-            known: None,
+            initial_state: None,
         }
     }
 
-    /// Whom it talks to.
-    pub fn targets(&self) -> BTreeSet<Ipv4Addr> {
-        self.voters.iter().chain(&self.joining).copied().collect()
+    /// All voters, of both rosters if there are two.
+    pub fn all_voters(&self) -> BTreeSet<Ipv4Addr> {
+        self.voters
+            .iter()
+            .chain(&self.next_voters)
+            .copied()
+            .collect()
     }
 
-    /// Those that have not answered in this phase.
+    /// The voters that have not answered in this phase.
     pub fn unanswered(&self) -> BTreeSet<Ipv4Addr> {
-        let answered = |voter: &Ipv4Addr| match self.proposal {
+        let has_answered = |voter: &Ipv4Addr| match self.proposal {
             Some(_) => self.accepted.contains(voter),
             None => self.promises.contains_key(voter),
         };
-        let mut targets = self.targets();
-        targets.retain(|voter| !answered(voter) && !self.refused.contains(voter));
-        targets
+        let mut voters = self.all_voters();
+        voters.retain(|voter| !has_answered(voter) && !self.rejected.contains(voter));
+        voters
     }
 
-    /// Takes a promise, and lets go of those that are void: a voter that lost its disk may have accepted since what
+    /// Takes a promise, and drops those that have become void: a voter that lost its disk may since have accepted what
     /// this round would have to know. Such a voter is asked again.
-    pub fn take_promise(&mut self, from: Ipv4Addr, promised: Promised) {
-        if self
+    pub fn add_promise(&mut self, from: Ipv4Addr, promise: Promise) {
+        let is_newest = self
             .promises
             .get(&from)
-            .is_none_or(|known| known.incarnation <= promised.incarnation)
-        {
-            self.promises.insert(from, promised);
+            .is_none_or(|known| known.incarnation <= promise.incarnation);
+        if is_newest {
+            self.promises.insert(from, promise);
+        }
+        let mut latest = LatestIncarnations::default();
+        for promise in self.promises.values() {
+            latest.merge(&promise.latest_incarnations);
         }
-        let mut renewals = Renewals::default();
-        self.promises
-            .values()
-            .for_each(|promised| renewals.merge(&promised.renewals));
         self.promises
-            .retain(|voter, promised| !renewals.outdate(*voter, promised.incarnation));
+            .retain(|voter, promise| !latest.is_superseded(*voter, promise.incarnation));
     }
 
-    /// Whether enough have promised.
-    pub fn promised(&self, me: Ipv4Addr) -> bool {
-        let enough = |voters: &[Ipv4Addr]| {
-            let (mut need, others) = (
-                majority(voters),
-                voters.iter().filter(|voter| **voter != me).count(),
-            );
-            if self.recovers {
-                // What is chosen is on a majority, and of that only this store's copy is lost.
-                need = need.min(others);
-            }
-            voters
-                .iter()
-                .filter(|voter| self.promises.contains_key(voter))
-                .count()
-                >= need
-        };
-        enough(&self.voters) && (self.joining.is_empty() || enough(&self.joining))
+    /// Whether enough voters have promised for the round to go on.
+    pub fn has_promise_quorum(&self, proposer: Ipv4Addr) -> bool {
+        self.in_each_roster(|voters| {
+            let required = if self.recovers {
+                recovery_quorum(voters, proposer)
+            } else {
+                majority(voters)
+            };
+            let promised = |voter: &&Ipv4Addr| self.promises.contains_key(*voter);
+            voters.iter().filter(promised).count() >= required
+        })
     }
 
-    /// Whether so many have refused that the others are no majority.
-    pub fn lost(&self) -> bool {
-        let lost = |voters: &[Ipv4Addr]| {
-            let left = voters
-                .iter()
-                .filter(|voter| !self.refused.contains(voter))
-                .count();
-            left < majority(voters)
-        };
-        lost(&self.voters) || (!self.joining.is_empty() && lost(&self.joining))
+    /// Whether enough voters have accepted the proposal for it to be chosen.
+    pub fn is_chosen(&self, tolerated_failures: usize) -> bool {
+        self.in_each_roster(|voters| {
+            let accepted = |voter: &&Ipv4Addr| self.accepted.contains(*voter);
+            voters.iter().filter(accepted).count() >= accept_quorum(voters, tolerated_failures)
+        })
     }
 
-    /// Whether enough have accepted: a majority, and more than may be lost at once.
-    pub fn chosen(&self, tolerated: usize) -> bool {
-        let enough = |voters: &[Ipv4Addr]| {
-            let need = majority(voters).max((tolerated + 1).min(voters.len()));
-            voters
-                .iter()
-                .filter(|voter| self.accepted.contains(voter))
-                .count()
-                >= need
-        };
-        enough(&self.voters) && (self.joining.is_empty() || enough(&self.joining))
+    /// Whether so many voters have rejected the round that the others are no majority.
+    pub fn has_lost_quorum(&self) -> bool {
+        !self.in_each_roster(|voters| {
+            let not_rejected = |voter: &&Ipv4Addr| !self.rejected.contains(*voter);
+            voters.iter().filter(not_rejected).count() >= majority(voters)
+        })
     }
 
-    /// The chosen items that some voter which promised doesn't have; all, where a roster joins.
-    pub fn lacking(&self, state: &State) -> Vec<Item> {
-        let lacks = |item: &&Item| {
-            let (bucket, learned) = (bucket(&item.key), self.learned.contains(&item.key));
-            self.promises.values().any(|promised| {
-                let told = learned || promised.buckets.contains(&bucket);
-                told && promised
-                    .versions
-                    .get(&item.key)
-                    .is_none_or(|ver| *ver < item.version)
-            })
-        };
+    /// Whether the condition holds for the voters of the roster, and of the next roster if there is one.
+    fn in_each_roster(&self, condition: impl Fn(&[Ipv4Addr]) -> bool) -> bool {
+        condition(&self.voters) && (self.next_voters.is_empty() || condition(&self.next_voters))
+    }
+
+    /// The chosen items that some voter which promised lacks; all chosen items, if the roster changes.
+    pub fn missing_items(&self, state: &State) -> Vec<Item> {
+        let changes_roster = !self.next_voters.is_empty();
         state
             .iter()
-            .filter(|item| !self.joining.is_empty() || lacks(item))
+            .filter(|item| changes_roster || self.is_missing(item))
             .cloned()
             .collect()
     }
-}
 
-/// How many of the voters are more than half.
-pub(crate) fn majority(voters: &[Ipv4Addr]) -> usize {
-    voters.len() / 2 + 1
+    fn is_missing(&self, item: &Item) -> bool {
+        let (bucket, learned) = (bucket(&item.key), self.learned.contains(&item.key));
+        self.promises.values().any(|promise| {
+            // In any other bucket, the voter has what the proposer had when it sent its digests.
+            let differs = learned || promise.buckets.contains(&bucket);
+            let voter_version = promise.versions.get(&item.key);
+            differs && voter_version.is_none_or(|version| *version < item.version)
+        })
+    }
 }
--- /dev/null
+++ b/crates/emberpin-consensus/src/task.rs
@@ -0,0 +1,179 @@
+//! Tasks of a replica: what clients or the replica itself want, and how it is judged on everything that is chosen.
+
+use crate::call::{CallId, EvacuationChange};
+use crate::guards::Guards;
+use crate::roster::{roster_item, roster_key, voters};
+use crate::time::Timestamp;
+use emberpin_config::{
+    export_json, validate, validate_for_commit, Configuration, Item, ItemKey, ItemKind, Patch,
+    PatchOutcome,
+};
+use std::net::Ipv4Addr;
+
+/// An operation that waits for a round, or is proposed in one.
+#[derive(Clone, Debug)]
+pub(crate) struct Task {
+    pub operation: Operation,
+    /// When its caller is told to send it again.
+    pub deadline: Timestamp,
+    /// Whether items of it were sent in a proposal, so that they may be chosen even if a later round rejects them.
+    pub proposed: bool,
+}
+
+/// What a task is to do.
+#[derive(Clone, Debug)]
+pub(crate) enum Operation {
+    Patch {
+        call_id: CallId,
+        patch: Patch,
+    },
+    Get {
+        call_id: CallId,
+    },
+    Evacuate {
+        call_id: CallId,
+        zone: String,
+        change: EvacuationChange,
+    },
+    /// Replaces the roster of the version `ver`; no client asks for it.
+    ChangeRoster {
+        version: u64,
+        voters: Vec<Ipv4Addr>,
+    },
+}
+
+/// What becomes of an operation on top of a configuration.
+#[derive(Debug, PartialEq)]
+pub(crate) enum Verdict {
+    /// These items have to be chosen before it is acknowledged.
+    Propose(Vec<Item>),
+    /// Nothing has to be chosen: acknowledge it with this body.
+    Complete(String),
+    /// Reject it.
+    Reject(Rejection),
+}
+
+/// Why an operation is rejected.
+#[derive(Debug, PartialEq)]
+pub(crate) struct Rejection {
+    /// An HTTP status.
+    pub status: u16,
+    /// One line for the client.
+    pub reason: String,
+}
+
+/// The reply to a task, sent once the items of its round are chosen.
+#[derive(Debug)]
+pub(crate) struct Outcome {
+    pub task: Task,
+    pub status: u16,
+    pub body: String,
+}
+
+impl Task {
+    pub fn new(operation: Operation, deadline: Timestamp) -> Task {
+        Task {
+            operation,
+            deadline,
+            proposed: false,
+        }
+    }
+
+    /// Whether it changes the roster, and not on behalf of a client.
+    pub fn changes_roster(&self) -> bool {
+        matches!(self.operation, Operation::ChangeRoster { .. })
+    }
+
+    /// Whether it replaces the roster of this version.
+    pub fn replaces_roster(&self, replaced: u64) -> bool {
+        matches!(self.operation, Operation::ChangeRoster { version, .. } if version == replaced)
+    }
+}
+
+impl Operation {
+    /// The call to reply to; `None` for what the replica does for itself.
+    pub fn call_id(&self) -> Option<CallId> {
+        match self {
+            Operation::Patch { call_id, .. }
+            | Operation::Get { call_id }
+            | Operation::Evacuate { call_id, .. } => Some(*call_id),
+            Operation::ChangeRoster { .. } => None,
+        }
+    }
+
+    /// Judges the operation on top of a configuration.
+    pub fn evaluate(&self, configuration: &Configuration, guards: &Guards) -> Verdict {
+        match self {
+            Operation::Get { .. } => Verdict::Complete(export_json(configuration)),
+            Operation::Patch { patch, .. } => evaluate_patch(patch, configuration, guards),
+            Operation::Evacuate { zone, change, .. } => {
+                evaluate_evacuation(zone, *change, configuration)
+            }
+            Operation::ChangeRoster { version, voters } => {
+                evaluate_roster_change(*version, voters, configuration)
+            }
+        }
+    }
+
+    /// For tests with [`Guards::atomic_calls`] off: the items of a patch that would be valid each alone.
+    pub fn items_valid_alone(&self, configuration: &Configuration) -> Vec<Item> {
+        let Operation::Patch { patch, .. } = self else {
+            return Vec::new();
+        };
+        let patches = patch.items.iter().map(|item| Patch {
+            items: vec![item.clone()],
+        });
+        patches
+            .filter(|patch| matches!(validate(configuration, patch), PatchOutcome::Apply(_)))
+            .flat_map(|patch| patch.items)
+            .collect()
+    }
+}
+
+fn evaluate_patch(patch: &Patch, configuration: &Configuration, guards: &Guards) -> Verdict {
+    let reject = |status: u16, reason: String| Verdict::Reject(Rejection { status, reason });
+    match validate_for_commit(configuration, patch, &guards.bounds) {
+        PatchOutcome::Apply(items) => match guards.filter_proposal(items) {
+            items if items.is_empty() => Verdict::Complete(String::new()),
+            items => Verdict::Propose(items),
+        },
+        PatchOutcome::Duplicate => Verdict::Complete(String::new()),
+        PatchOutcome::Conflict(error) => reject(409, error.to_string()),
+        PatchOutcome::Indeterminate(error) => reject(503, error.to_string()),
+        PatchOutcome::Invalid(error) => reject(400, error.to_string()),
+    }
+}
+
+fn evaluate_evacuation(
+    zone: &str,
+    change: EvacuationChange,
+    configuration: &Configuration,
+) -> Verdict {
+    let key = ItemKey {
+        kind: ItemKind::Evacuation,
+        name: zone.into(),
+    };
+    let known = configuration.get(&key);
+    let is_evacuated = known.is_some_and(|item| item.body.is_some());
+    let version = known.map_or(1, |item| item.version + 1);
+    let body = match change {
+        EvacuationChange::Begin if is_evacuated => return Verdict::Complete(String::new()),
+        EvacuationChange::End if !is_evacuated => return Verdict::Complete(String::new()),
+        EvacuationChange::Begin => Some("{}".into()),
+        EvacuationChange::End => None,
+    };
+    Verdict::Propose(vec![Item { key, version, body }])
+}
+
+fn evaluate_roster_change(
+    version: u64,
+    new_voters: &[Ipv4Addr],
+    configuration: &Configuration,
+) -> Verdict {
+    match configuration.get(&roster_key()) {
+        Some(roster) if roster.version == version && voters(roster) != new_voters => {
+            Verdict::Propose(vec![roster_item(version + 1, new_voters)])
+        }
+        _ => Verdict::Complete(String::new()),
+    }
+}
--- /dev/null
+++ b/crates/emberpin-consensus/src/time.rs
@@ -0,0 +1,44 @@
+//! Time as a replica sees it.
+
+use std::ops::Add;
+use std::time::Duration;
+
+/// A moment on the host's monotonic clock, which starts at any value and never goes back. Resolution: milliseconds.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Timestamp(u64);
+
+impl Timestamp {
+    /// The zero of the clock.
+    pub const ZERO: Timestamp = Timestamp(0);
+
+    /// The moment so many milliseconds after the clock's zero.
+    #[must_use]
+    pub const fn from_millis(millis: u64) -> Timestamp {
+        Timestamp(millis)
+    }
+
+    /// Milliseconds since the clock's zero.
+    #[must_use]
+    pub const fn as_millis(self) -> u64 {
+        self.0
+    }
+
+    /// How long after an earlier moment this one is; zero, if it is before.
+    #[must_use]
+    pub const fn saturating_since(self, earlier: Timestamp) -> Duration {
+        Duration::from_millis(self.0.saturating_sub(earlier.0))
+    }
+}
+
+impl Add<Duration> for Timestamp {
+    type Output = Timestamp;
+
+    fn add(self, duration: Duration) -> Timestamp {
+        Timestamp(self.0.saturating_add(whole_millis(duration)))
+    }
+}
+
+/// A duration in whole milliseconds, rounded down.
+pub(crate) fn whole_millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
+}
--- a/crates/emberpin-consensus/tests/cases.rs
+++ b/crates/emberpin-consensus/tests/cases.rs
@@ -5,9 +5,11 @@
 
 use emberpin_config::{Checkpoint, Item, ItemKey, ItemKind, MAX_TOMBSTONES};
 use emberpin_consensus::{
-    Action, Ballot, Call, Event, Guards, Kept, Message, Options, Pending, Replica, Write,
+    AcceptedProposal, Action, Ballot, Call, EvacuationChange, Event, Guards, Message,
+    PersistedState, Replica, ReplicaOptions, Timestamp, WriteBatch,
 };
 use googletest::prelude::*;
+use std::time::Duration;
 use world::{drop_service, ip, route, services, World, DISK_FULL};
 
 /// Without any guard off.
@@ -56,7 +58,7 @@
 #[gtest]
 fn without_waiting_for_the_disk_it_is_lost() {
     let wrong = Guards {
-        sync: false,
+        sync_before_reply: false,
         ..sound()
     };
     expect_that!(
@@ -170,7 +172,7 @@
 #[gtest]
 fn a_voter_that_forgets_the_ballot_of_what_is_chosen_lets_it_in() {
     let wrong = Guards {
-        ballot: false,
+        keep_accepted_ballot: false,
         ..sound()
     };
     expect_that!(
@@ -265,7 +267,7 @@
 #[gtest]
 fn an_empty_voter_that_votes_at_once_loses_an_acknowledged_item() {
     let world = reads_with_an_empty_voter(Guards {
-        amnesia: false,
+        catch_up_before_voting: false,
         ..sound()
     });
     expect_that!(world.wrong, some(contains_substring("lost")));
@@ -280,7 +282,7 @@
     world.hold = Some(|message| {
         matches!(
             message,
-            Message::Chosen { .. } | Message::Exchange { .. } | Message::Differ { .. }
+            Message::Chosen { .. } | Message::CompareDigest { .. } | Message::DigestDiffers { .. }
         )
     });
     [1, 4, 5]
@@ -302,7 +304,7 @@
     world.hold = Some(|message| {
         matches!(
             message,
-            Message::Chosen { .. } | Message::Exchange { .. } | Message::Differ { .. }
+            Message::Chosen { .. } | Message::CompareDigest { .. } | Message::DigestDiffers { .. }
         )
     });
     [1, 3, 4]
@@ -334,7 +336,7 @@
 #[gtest]
 fn without_incarnations_two_contents_of_one_version_are_acknowledged() {
     let (first, second, world) = promise_of_a_lost_disk(Guards {
-        incarnations: false,
+        void_stale_promises: false,
         ..sound()
     });
     expect_that!((first, second), eq((Some(200), Some(200))));
@@ -350,7 +352,7 @@
     let quiet = |message: &Message| {
         matches!(
             message,
-            Message::Chosen { .. } | Message::Exchange { .. } | Message::Differ { .. }
+            Message::Chosen { .. } | Message::CompareDigest { .. } | Message::DigestDiffers { .. }
         )
     };
     world.hold = Some(quiet);
@@ -395,7 +397,7 @@
 #[gtest]
 fn a_proposal_without_what_voters_lack_loses_an_acknowledged_item() {
     let wrong = Guards {
-        lacking: false,
+        transfer_missing_items: false,
         ..sound()
     };
     expect_that!(
@@ -628,15 +630,19 @@
     world.kill(ip(4));
     world.kill(ip(5));
     // Of what 3 says, only the roster comes through.
-    world.hold =
-        Some(|message| !matches!(message, Message::Prepare { .. } | Message::Roster { .. }));
+    world.hold = Some(|message| {
+        !matches!(
+            message,
+            Message::Prepare { .. } | Message::StaleRoster { .. }
+        )
+    });
     world.start(ip(6), false);
     let read = world.call(ip(6), Call::Get);
     world.run_while(500, |world| {
         !world.nodes[&ip(6)]
             .store
             .as_ref()
-            .is_some_and(emberpin_consensus::Replica::votes)
+            .is_some_and(emberpin_consensus::Replica::is_voter)
     });
     world.hold = None;
     world.cut(ip(3), ip(6));
@@ -662,7 +668,7 @@
 #[gtest]
 fn one_that_the_old_majority_finishes_loses_an_acknowledged_item() {
     let wrong = Guards {
-        joint: false,
+        joint_quorums: false,
         ..sound()
     };
     expect_that!(
@@ -671,10 +677,10 @@
     );
 }
 
-fn evacuate(begin: bool) -> Call {
+fn evacuate(change: EvacuationChange) -> Call {
     Call::Evacuate {
         zone: "z".into(),
-        begin,
+        change,
     }
 }
 
@@ -686,8 +692,14 @@
 fn an_evacuation_begins_at_one_taker_and_ends_at_another() {
     let mut world = World::new(8, 3, 1, sound());
     world.run(100);
-    expect_that!(world.answer(ip(1), evacuate(true)).0, eq(200));
-    expect_that!(world.answer(ip(2), evacuate(true)).0, eq(200));
+    expect_that!(
+        world.answer(ip(1), evacuate(EvacuationChange::Begin)).0,
+        eq(200)
+    );
+    expect_that!(
+        world.answer(ip(2), evacuate(EvacuationChange::Begin)).0,
+        eq(200)
+    );
     (1..=3).for_each(|host| world.power_off_hard(ip(host)));
     (1..=3).for_each(|host| world.start(ip(host), false));
     expect_that!(world.answer(ip(3), Call::Get).0, eq(200));
@@ -696,7 +708,10 @@
         held(&world, 3, ItemKind::Evacuation, "z").map(|item| item.version),
         some(eq(1))
     );
-    expect_that!(world.answer(ip(2), evacuate(false)).0, eq(200));
+    expect_that!(
+        world.answer(ip(2), evacuate(EvacuationChange::End)).0,
+        eq(200)
+    );
     world.settle_and_check();
     expect_that!(world.wrong, none());
     (1..=3).for_each(|host| expect_that!(evacuated(&world, host), eq(false)));
@@ -707,12 +722,18 @@
     let mut world = World::new(9, 3, 1, sound());
     world.run(100);
     world.hold = Some(|message| matches!(message, Message::Accept { .. }));
-    world.call(ip(1), evacuate(true));
+    world.call(ip(1), evacuate(EvacuationChange::Begin));
     world.run(200);
     world.kill(ip(1));
     world.hold = None;
-    expect_that!(world.answer(ip(2), evacuate(true)).0, eq(200));
-    expect_that!(world.answer(ip(3), evacuate(false)).0, eq(200));
+    expect_that!(
+        world.answer(ip(2), evacuate(EvacuationChange::Begin)).0,
+        eq(200)
+    );
+    expect_that!(
+        world.answer(ip(3), evacuate(EvacuationChange::End)).0,
+        eq(200)
+    );
     world.settle_and_check();
     expect_that!(world.wrong, none());
     (1..=3).for_each(|host| expect_that!(evacuated(&world, host), eq(false)));
@@ -777,12 +798,12 @@
 /// A voter of three that knows nothing but the roster.
 fn store_with_guards(host: u8, guards: Guards) -> Replica {
     let seeds = vec![ip(1), ip(2), ip(3)];
-    let options = Options {
-        me: ip(host),
+    let options = ReplicaOptions {
+        address: ip(host),
         seeds,
         bootstrap: false,
-        tolerated: 1,
-        seed: host.into(),
+        tolerated_failures: 1,
+        random_seed: host.into(),
     };
     let roster = "[\"10.0.0.1\",\"10.0.0.2\",\"10.0.0.3\"]";
     let key = ItemKey {
@@ -794,19 +815,25 @@
         version: 1,
         body: Some(roster.into()),
     };
-    let kept = Kept {
+    let kept = PersistedState {
         chosen: vec![roster],
         voting: true,
-        ..Kept::default()
+        ..PersistedState::default()
     };
-    Replica::with_guards(1, options, Some(kept), guards, &mut Vec::new())
+    Replica::with_guards(
+        Timestamp::from_millis(1),
+        options,
+        Some(kept),
+        guards,
+        &mut Vec::new(),
+    )
 }
 
 /// What it does when it hears this from a third store.
 fn tell(store: &mut Replica, message: Message) -> Vec<Action> {
     let mut out = Vec::new();
     store.handle(
-        1,
+        Timestamp::from_millis(1),
         Event::Message {
             from: ip(3),
             message,
@@ -832,8 +859,8 @@
     let roster = voter.state().roster().cloned().expect("a roster");
     let ballot = Ballot {
         counter: 9,
-        node: 3,
-        incarnation: 1,
+        proposer: 3,
+        start_nonce: 1,
     };
     let accept = Message::Accept {
         ballot,
@@ -843,7 +870,7 @@
     };
     tell(&mut voter, accept);
     let mut out = Vec::new();
-    other.handle(2_000, Event::Wake, &mut out);
+    other.handle(Timestamp::from_millis(2_000), Event::Tick, &mut out);
     let sent = |out: Vec<Action>, to: u8, wanted: fn(&Message) -> bool| {
         out.into_iter().find_map(|action| match action {
             Action::Send { to: host, message } if host == ip(to) && wanted(&message) => {
@@ -853,38 +880,44 @@
         })
     };
     let asked = sent(out, 1, |message| {
-        matches!(message, Message::Exchange { .. })
+        matches!(message, Message::CompareDigest { .. })
     })
     .expect("a comparison");
     let mut out = Vec::new();
     voter.handle(
-        2_000,
+        Timestamp::from_millis(2_000),
         Event::Message {
             from: ip(2),
             message: asked,
         },
         &mut out,
     );
-    let same = sent(out, 2, |message| matches!(message, Message::Same { .. })).expect("an answer");
+    let same = sent(out, 2, |message| {
+        matches!(message, Message::DigestMatches { .. })
+    })
+    .expect("an answer");
     other.handle(
-        2_001,
+        Timestamp::from_millis(2_001),
         Event::Message {
             from: ip(1),
             message: same,
         },
         &mut Vec::new(),
     );
-    let before = other.confirmed_age(2_001).is_some();
+    let before = other.confirmed_age(Timestamp::from_millis(2_001)).is_some();
     let chosen = Message::Chosen { items: vec![item] };
     other.handle(
-        2_100,
+        Timestamp::from_millis(2_100),
         Event::Message {
             from: ip(1),
             message: chosen,
         },
         &mut Vec::new(),
     );
-    (before, other.confirmed_age(2_100) == Some(100))
+    (
+        before,
+        other.confirmed_age(Timestamp::from_millis(2_100)) == Some(Duration::from_millis(100)),
+    )
 }
 
 #[gtest]
@@ -898,7 +931,7 @@
 #[gtest]
 fn without_what_is_open_a_store_confirms_beside_an_acknowledged_item() {
     let wrong = Guards {
-        open: false,
+        compare_accepted: false,
         ..Guards::default()
     };
     expect_that!(confirmed_beside_an_open_item(wrong), eq((true, true)));
@@ -950,11 +983,11 @@
     expect_that!(one.state().iter().eq(other.state().iter()), eq(true));
     expect_that!(one.state().get(&drops[0].key), none());
     let mut out = Vec::new();
-    one.handle(10_000, Event::Wake, &mut out);
+    one.handle(Timestamp::from_millis(10_000), Event::Tick, &mut out);
     let asked = out.into_iter().find_map(|action| match action {
         Action::Send {
             to,
-            message: message @ Message::Exchange { .. },
+            message: message @ Message::CompareDigest { .. },
         } if to == ip(2) => Some(message),
         _ => None,
     });
@@ -962,7 +995,7 @@
     let same = matches!(
         told[..],
         [Action::Send {
-            message: Message::Same { .. },
+            message: Message::DigestMatches { .. },
             ..
         }]
     );
@@ -1023,7 +1056,7 @@
         Action::Persist { write, .. } => Some(write),
         _ => None,
     });
-    let writes: Vec<Write> = writes.collect();
+    let writes: Vec<WriteBatch> = writes.collect();
     assert_that!(writes.len(), eq(1));
     let removed = &writes[0].removed;
     expect_that!(removed.contains(&drops[0].key), eq(true));
@@ -1042,8 +1075,8 @@
     let roster = store.state().roster().cloned().expect("a roster");
     let ballot = Ballot {
         counter: 9,
-        node: 3,
-        incarnation: 1,
+        proposer: 3,
+        start_nonce: 1,
     };
     let items = vec![drops[0].clone()];
     let out = tell(
@@ -1056,12 +1089,12 @@
         },
     );
     let kept = out.into_iter().find_map(|action| match action {
-        Action::Persist { write, .. } => write.pending,
+        Action::Persist { write, .. } => write.accepted,
         _ => None,
     });
     expect_that!(
         kept,
-        some(eq(&Pending {
+        some(eq(&AcceptedProposal {
             ballot,
             items: Vec::new()
         }))
@@ -1104,8 +1137,8 @@
     let prepare = |counter| Message::Prepare {
         ballot: Ballot {
             counter,
-            node: ip(2).to_bits(),
-            incarnation: 1,
+            proposer: ip(2).to_bits(),
+            start_nonce: 1,
         },
         roster: store_with(2, &[])
             .state()
@@ -1129,7 +1162,7 @@
     };
     let mut out = Vec::new();
     store.handle(
-        20,
+        Timestamp::from_millis(20),
         Event::DiskFailed {
             reason: DISK_FULL.into(),
         },
@@ -1137,15 +1170,15 @@
     );
     expect_that!(unavailable(&tell(&mut store, prepare(1))), eq(true));
     out.clear();
-    store.handle(30, Event::DiskRestored, &mut out);
+    store.handle(Timestamp::from_millis(30), Event::DiskRestored, &mut out);
     let token = out.iter().find_map(|action| match action {
-        Action::Persist { token, write } if write.sync && write.pending.is_some() => Some(*token),
+        Action::Persist { token, write } if write.sync && write.accepted.is_some() => Some(*token),
         _ => None,
     });
     expect_that!(token, some(anything()));
     expect_that!(unavailable(&tell(&mut store, prepare(2))), eq(true));
     store.handle(
-        40,
+        Timestamp::from_millis(40),
         Event::Persisted {
             token: token.unwrap_or_default(),
         },
@@ -1185,7 +1218,7 @@
 #[gtest]
 fn a_word_after_a_failed_write_loses_an_acknowledged_item() {
     let wrong = Guards {
-        restore: false,
+        restore_after_disk_failure: false,
         ..sound()
     };
     expect_that!(
@@ -1250,7 +1283,7 @@
 #[gtest]
 fn a_word_before_a_sync_that_stalls_loses_an_acknowledged_item() {
     let (status, wrong) = power_cut_in_a_stall(Guards {
-        sync: false,
+        sync_before_reply: false,
         ..sound()
     });
     expect_that!(status, some(eq(200)));
--- a/crates/emberpin-consensus/tests/founding.rs
+++ b/crates/emberpin-consensus/tests/founding.rs
@@ -14,7 +14,7 @@
         world.nodes[&ip(host)]
             .store
             .as_ref()
-            .is_some_and(emberpin_consensus::Replica::votes)
+            .is_some_and(emberpin_consensus::Replica::is_voter)
     };
     (1..=hosts).all(votes)
 }
@@ -135,7 +135,7 @@
 #[gtest]
 fn a_founder_that_does_not_ask_loses_an_acknowledged_item() {
     let (status, world) = founder_beside_a_roster(Guards {
-        founding: false,
+        bootstrap_agreement: false,
         ..Guards::default()
     });
     expect_that!(status, eq(200));
--- a/crates/emberpin-consensus/tests/model/register.rs
+++ b/crates/emberpin-consensus/tests/model/register.rs
@@ -98,7 +98,7 @@
 
 /// What a voter has on its disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Kept {
+pub struct PersistedState {
     pub promised: Ballot,
     pub pending: (Ballot, Items),
     pub chosen: Items,
@@ -112,8 +112,8 @@
 /// What a voter goes by, and what of it is synced.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Node {
-    pub now: Kept,
-    pub synced: Kept,
+    pub now: PersistedState,
+    pub synced: PersistedState,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -265,7 +265,7 @@
         }
     }
 
-    fn learn(&self, kept: &mut Kept, items: Items) {
+    fn learn(&self, kept: &mut PersistedState, items: Items) {
         kept.chosen |= items & !self.covered(kept.chosen);
         if kept.pending.1 & !self.covered(kept.chosen) == 0 {
             kept.pending.1 = 0;
@@ -361,7 +361,7 @@
             }
             node.synced = node.now;
         }
-        let Kept {
+        let PersistedState {
             incarnation,
             renewed,
             pending,
@@ -410,9 +410,9 @@
             state.rounds[nth].over = true;
             return;
         }
-        let mut whole = Kept {
+        let mut whole = PersistedState {
             chosen: known,
-            ..Kept::default()
+            ..PersistedState::default()
         };
         self.learn(&mut whole, open);
         let whole = whole.chosen;
@@ -594,9 +594,9 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let kept = Kept {
+        let kept = PersistedState {
             voting: true,
-            ..Kept::default()
+            ..PersistedState::default()
         };
         vec![State {
             nodes: [Node {
@@ -761,9 +761,9 @@
             Action::Wipe { voter } => {
                 state.wipes += 1;
                 state.wiped |= 1 << voter;
-                let kept = Kept {
+                let kept = PersistedState {
                     voting: self.is(Wrong::Amnesia),
-                    ..Kept::default()
+                    ..PersistedState::default()
                 };
                 let node = &mut state.nodes[usize::from(voter)];
                 *node = Node {
--- a/crates/emberpin-consensus/tests/repeats.rs
+++ b/crates/emberpin-consensus/tests/repeats.rs
@@ -121,7 +121,7 @@
 fn without_a_history_a_repeat_is_refused() {
     let wrong = outlast(
         Guards {
-            history: false,
+            propose_history: false,
             ..sound()
         },
         |_| {},
@@ -133,7 +133,7 @@
 fn a_history_that_is_lost_at_a_restart_of_all_is_missed() {
     let wrong = outlast(
         Guards {
-            history_kept: false,
+            restore_history: false,
             ..sound()
         },
         restart_all,
@@ -155,7 +155,7 @@
     expect_that!(superseded_number(sound()), eq(409));
     expect_that!(
         superseded_number(Guards {
-            superseded: false,
+            propose_superseded: false,
             ..sound()
         }),
         eq(200)
@@ -189,7 +189,7 @@
     expect_that!(removed_number(small()), eq((503, 503)));
     expect_that!(
         removed_number(Guards {
-            checkpoint_kept: false,
+            restore_checkpoint: false,
             ..small()
         }),
         eq((200, 409))
@@ -610,7 +610,7 @@
 #[gtest]
 fn no_history_is_caught() {
     let wrong = Guards {
-        history: false,
+        propose_history: false,
         ..sound()
     };
     expect_that!(
@@ -628,7 +628,7 @@
 #[gtest]
 fn superseded_numbers_that_are_not_recorded_are_caught() {
     let wrong = Guards {
-        superseded: false,
+        propose_superseded: false,
         ..sound()
     };
     expect_that!(
@@ -646,7 +646,7 @@
 #[gtest]
 fn a_history_that_a_restart_loses_is_caught() {
     let wrong = Guards {
-        history_kept: false,
+        restore_history: false,
         ..sound()
     };
     expect_that!(
@@ -658,7 +658,7 @@
 #[gtest]
 fn a_floor_that_a_restart_loses_is_caught() {
     let wrong = Guards {
-        checkpoint_kept: false,
+        restore_checkpoint: false,
         ..sound()
     };
     expect_that!(
--- a/crates/emberpin-consensus/tests/search.rs
+++ b/crates/emberpin-consensus/tests/search.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use emberpin_consensus::{Call, Guards};
+use emberpin_consensus::{Call, EvacuationChange, Guards};
 use googletest::prelude::*;
 use std::sync::atomic::{AtomicU64, Ordering};
 use world::{drop_service, route, services, World};
@@ -65,7 +65,11 @@
                 }
                 8 => Call::Evacuate {
                     zone: "z".into(),
-                    begin: world.below(2) == 0,
+                    change: if world.below(2) == 0 {
+                        EvacuationChange::Begin
+                    } else {
+                        EvacuationChange::End
+                    },
                 },
                 _ => Call::Get,
             };
@@ -186,7 +190,7 @@
         search(
             WRONG_RUNS,
             Guards {
-                amnesia: false,
+                catch_up_before_voting: false,
                 ..Guards::default()
             }
         ),
@@ -200,7 +204,7 @@
         search(
             WRONG_RUNS,
             Guards {
-                promise: false,
+                keep_promises: false,
                 ..Guards::default()
             }
         ),
@@ -214,7 +218,7 @@
         search(
             WRONG_RUNS,
             Guards {
-                carry: false,
+                repropose_accepted: false,
                 ..Guards::default()
             }
         ),
@@ -228,7 +232,7 @@
         search(
             WRONG_RUNS,
             Guards {
-                sync: false,
+                sync_before_reply: false,
                 ..Guards::default()
             }
         ),
@@ -250,7 +254,7 @@
         run_with_full_disks,
         WRONG_RUNS,
         Guards {
-            restore: false,
+            restore_after_disk_failure: false,
             ..Guards::default()
         },
     );
@@ -264,7 +268,7 @@
         search(
             WRONG_RUNS,
             Guards {
-                founding: false,
+                bootstrap_agreement: false,
                 ..Guards::default()
             }
         ),
--- a/crates/emberpin-consensus/tests/slow_disks.rs
+++ b/crates/emberpin-consensus/tests/slow_disks.rs
@@ -140,7 +140,7 @@
         world.nodes.values().all(|node| {
             node.store
                 .as_ref()
-                .is_some_and(|store| store.votes() && store.state().get(&key).is_some())
+                .is_some_and(|store| store.is_voter() && store.state().get(&key).is_some())
         })
     };
     world.run_while(PROGRESS, |world| !repaired(world));
@@ -189,7 +189,7 @@
 #[gtest]
 fn with_the_times_of_quick_disks_calls_are_never_taken() {
     let wrong = Guards {
-        pacing: false,
+        adaptive_timeouts: false,
         ..Guards::default()
     };
     let took = longest(SEEDS, |seed| all_take_calls(seed, 5, 1_000, wrong));
--- a/crates/emberpin-consensus/tests/successive_losses.rs
+++ b/crates/emberpin-consensus/tests/successive_losses.rs
@@ -212,7 +212,7 @@
 #[gtest]
 fn a_roster_that_keeps_a_member_killed_while_it_left_is_caught() {
     let wrong = Guards {
-        margin: false,
+        evict_early_without_margin: false,
         ..Guards::default()
     };
     let found = (0..20).find_map(|seed| run(seed, SYSTEMS[0], HOUR / 4, wrong));
--- a/crates/emberpin-consensus/tests/world/mod.rs
+++ b/crates/emberpin-consensus/tests/world/mod.rs
@@ -4,7 +4,8 @@
 
 use emberpin_config::{Checkpoint, Configuration, Item, ItemKey, ItemKind};
 use emberpin_consensus::{
-    Action, Ballot, Call, Event, Guards, Kept, Message, Options, Replica, Write,
+    Action, Ballot, Call, CallId, Event, Guards, Message, PersistedState, Replica, ReplicaOptions,
+    Timestamp, WriteBatch, WriteToken,
 };
 use oorandom::Rand64;
 use std::cmp::Reverse;
@@ -35,7 +36,7 @@
         node: Ipv4Addr,
         incarnation: u64,
         failures: u64,
-        token: u64,
+        token: WriteToken,
         writes: usize,
     },
     Wake {
@@ -48,7 +49,7 @@
 pub struct Node {
     pub store: Option<Replica>,
     incarnation: u64,
-    disk: Vec<Write>,
+    disk: Vec<WriteBatch>,
     synced: usize,
     /// No sync of its disk ends before that.
     pub stalled_until: u64,
@@ -225,12 +226,12 @@
             true => self.seeds.clone(),
             false => listed.take(self.seeds.len()).collect(),
         };
-        let options = Options {
-            me: ip,
+        let options = ReplicaOptions {
+            address: ip,
             seeds,
             bootstrap,
-            tolerated: self.tolerated,
-            seed,
+            tolerated_failures: self.tolerated,
+            random_seed: seed,
         };
         let node = self.node(ip);
         if node.store.is_some() || node.removed {
@@ -244,7 +245,7 @@
         let kept = kept(&node.disk);
         let mut actions = Vec::new();
         node.store = Some(Replica::with_guards(
-            now,
+            Timestamp::from_millis(now),
             options,
             kept,
             guards,
@@ -312,7 +313,7 @@
             world.nodes[&ip]
                 .store
                 .as_ref()
-                .is_none_or(emberpin_consensus::Replica::left)
+                .is_none_or(emberpin_consensus::Replica::has_left)
         };
         self.run_while(LEAVE, |world| !left(world));
         self.kill(ip);
@@ -337,7 +338,7 @@
             .contents
             .iter()
             .filter(|((key, _), _)| key.kind == ItemKind::Roster);
-        let newest = rosters.max_by_key(|((_, ver), _)| *ver);
+        let newest = rosters.max_by_key(|((_, version), _)| *version);
         let text = newest
             .and_then(|(_, body)| body.clone())
             .unwrap_or_default();
@@ -353,13 +354,13 @@
     /// chosen and that one store alone knows of, that store's disk may not be the next.
     pub fn in_force(&self) -> Vec<Ipv4Addr> {
         let mut rosters: Vec<(u64, Vec<Ipv4Addr>)> = Vec::new();
-        for ((key, ver), body) in &self.contents {
+        for ((key, version), body) in &self.contents {
             if key.kind == ItemKind::Roster {
                 let text = body.as_deref().unwrap_or_default();
                 let voters = text
                     .split(['[', ']', '"', ','])
                     .filter_map(|part| part.parse().ok());
-                rosters.push((*ver, voters.collect()));
+                rosters.push((*version, voters.collect()));
             }
         }
         rosters.sort_unstable();
@@ -375,13 +376,13 @@
                 .max()
                 .unwrap_or_default()
         };
-        let holds = |ver: u64, voters: &[Ipv4Addr]| {
-            voters.iter().filter(|ip| on_disk(ip) >= ver).count() > voters.len() / 2
+        let holds = |version: u64, voters: &[Ipv4Addr]| {
+            voters.iter().filter(|ip| on_disk(ip) >= version).count() > voters.len() / 2
         };
         let newest = rosters
             .iter()
             .rev()
-            .find(|(ver, voters)| holds(*ver, voters))
+            .find(|(version, voters)| holds(*version, voters))
             .or(rosters.first());
         newest.map(|(_, voters)| voters.clone()).unwrap_or_default()
     }
@@ -433,7 +434,7 @@
         self.handle(
             to,
             Event::Call {
-                id: id as u64,
+                call_id: CallId(id as u64),
                 call,
             },
         );
@@ -470,12 +471,12 @@
         let mut actions = Vec::new();
         events
             .into_iter()
-            .for_each(|event| store.handle(now, event, &mut actions));
+            .for_each(|event| store.handle(Timestamp::from_millis(now), event, &mut actions));
         self.act(ip, actions);
     }
 
     /// The host's sync is over: it says what it owes, and takes what came in meanwhile.
-    fn synced(&mut self, ip: Ipv4Addr, token: u64) {
+    fn synced(&mut self, ip: Ipv4Addr, token: WriteToken) {
         let node = self.node(ip);
         node.syncing = false;
         let waiting = node.queue.len().min(AT_ONCE);
@@ -529,7 +530,11 @@
                     }
                 }
                 Action::Send { to, message } => self.send(ip, to, message),
-                Action::Answer { id, status, body } => self.answered(id as usize, status, body),
+                Action::Reply {
+                    call_id,
+                    status,
+                    body,
+                } => self.answered(call_id.0 as usize, status, body),
                 Action::Learned { items } => self.news(ip, &items),
             }
         }
@@ -545,7 +550,7 @@
             .node(ip)
             .store
             .as_ref()
-            .map(|store| store.wake_at().max(now + 1))
+            .map(|store| store.next_tick_at().as_millis().max(now + 1))
         else {
             return;
         };
@@ -767,7 +772,7 @@
                     let node = self.node(ip);
                     if node.incarnation == incarnation && node.wake == now {
                         node.wake = 0;
-                        self.handle(ip, Event::Wake);
+                        self.handle(ip, Event::Tick);
                     }
                 }
                 None => {}
@@ -839,7 +844,7 @@
                 world.nodes[ip]
                     .store
                     .as_ref()
-                    .is_some_and(|store| store.settled(world.now))
+                    .is_some_and(|store| store.is_up_to_date(Timestamp::from_millis(world.now)))
             })
         };
         self.run(1500);
@@ -887,14 +892,14 @@
             .get(&Checkpoint::key())
             .map(Checkpoint::from_item)
             .unwrap_or_default();
-        for (key, ver) in self
+        for (key, version) in self
             .acknowledged
             .iter()
-            .filter(|(key, ver)| checkpoint.admits(key, **ver))
+            .filter(|(key, version)| checkpoint.admits(key, **version))
         {
-            if held.get(key).is_none_or(|item| item.version < *ver) {
+            if held.get(key).is_none_or(|item| item.version < *version) {
                 wrong = Some(format!(
-                    "{key:?} {ver} was acknowledged and is lost at {ip}"
+                    "{key:?} {version} was acknowledged and is lost at {ip}"
                 ));
             }
         }
@@ -940,11 +945,11 @@
 }
 
 /// What a store reads from what is written.
-fn kept(disk: &[Write]) -> Option<Kept> {
+fn kept(disk: &[WriteBatch]) -> Option<PersistedState> {
     if disk.is_empty() {
         return None;
     }
-    let mut kept = Kept::default();
+    let mut kept = PersistedState::default();
     let mut chosen: BTreeMap<ItemKey, Item> = BTreeMap::new();
     for write in disk {
         chosen.extend(
@@ -957,10 +962,10 @@
         kept.promised = write.promised;
         kept.voting = write.voting;
         kept.incarnation = write.incarnation;
-        kept.renewals = write.renewals.clone();
-        kept.candidacy = write.candidacy.clone();
-        if let Some(pending) = &write.pending {
-            kept.pending = pending.clone();
+        kept.latest_incarnations = write.latest_incarnations.clone();
+        kept.bootstrap_candidate = write.bootstrap_candidate.clone();
+        if let Some(accepted) = &write.accepted {
+            kept.accepted = accepted.clone();
         }
     }
     kept.chosen = chosen.into_values().collect();
@@ -969,10 +974,10 @@
 
 /// A call that sets these services; the number makes the content.
 pub fn services(services: &[(&str, u64, u64)]) -> Call {
-    let service = |(name, ver, content): &(&str, u64, u64)| {
+    let service = |(name, version, content): &(&str, u64, u64)| {
         format!(
             "{{\"name\":\"{name}\",\"hcheck\":\"/h\",\"maxconn\":{},\"proto\":\"h1\",\"tls\":false,\
-             \"warmup\":\"3s\",\"warmup_per_s\":10.0,\"ver\":{ver}}}",
+             \"warmup\":\"3s\",\"warmup_per_s\":10.0,\"ver\":{version}}}",
             content + 1
         )
     };
@@ -981,19 +986,20 @@
 }
 
 /// A call that sets a route to a service.
-pub fn route(name: &str, service: &str, ver: u64, content: u64) -> Call {
+pub fn route(name: &str, service: &str, version: u64, content: u64) -> Call {
     let text = format!(
         "{{\"upsert\":{{\"vhosts\":[{{\"hostname\":\"{name}.example\",\"locs\":[{{\"name\":\"{name}\",\
          \"pfx\":\"/p/\",\"type\":\"readonly\",\"timeout\":\"{}ms\",\"target_time\":\"250ms\",\"prio\":2,\
-         \"svc\":\"{service}\",\"tries\":2,\"ver\":{ver}}}]}}]}}}}",
+         \"svc\":\"{service}\",\"tries\":2,\"ver\":{version}}}]}}]}}}}",
         content + 1000
     );
     Call::Patch(text.into_bytes())
 }
 
 /// A call that drops a service.
-pub fn drop_service(name: &str, ver: u64) -> Call {
+pub fn drop_service(name: &str, version: u64) -> Call {
     Call::Patch(
-        format!("{{\"remove\":{{\"svcs\":[{{\"name\":\"{name}\",\"ver\":{ver}}}]}}}}").into_bytes(),
+        format!("{{\"remove\":{{\"svcs\":[{{\"name\":\"{name}\",\"ver\":{version}}}]}}}}")
+            .into_bytes(),
     )
 }
--- a/crates/emberpin-membership/src/timing.rs
+++ b/crates/emberpin-membership/src/timing.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-/// How often a store compares its state with the other stores; `EXCHANGE` of `emberpin-consensus`.
+/// How often a store compares its state with the other stores; `COMPARISON_INTERVAL` of `emberpin-consensus`.
 pub const STORE_COMPARISON_INTERVAL: Duration = Duration::from_millis(500);
 /// How often a registry asks its store for the age of its state.
 pub const STORE_QUERY_INTERVAL: Duration = Duration::from_millis(250);
--- a/crates/emberpin-registry/tests/samples/mod.rs
+++ b/crates/emberpin-registry/tests/samples/mod.rs
@@ -5,7 +5,9 @@
 pub mod values;
 
 use emberpin_config::{Item, ItemKey, ItemKind};
-use emberpin_consensus::{Ballot, Incarnation, Message, Pending, Renewals};
+use emberpin_consensus::{
+    AcceptedProposal, Ballot, ComparisonId, Incarnation, ItemVersion, LatestIncarnations, Message,
+};
 use emberpin_membership::ids::{self, AckId, Digest, Nonce};
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::peers::{Ack, InstanceRecord, LimiterIdentity, RegistryMessage};
@@ -21,8 +23,8 @@
 const MACHINE: Ipv4Addr = Ipv4Addr::new(10, 1, 0, 7);
 const BALLOT: Ballot = Ballot {
     counter: 300,
-    node: 7,
-    incarnation: 9,
+    proposer: 7,
+    start_nonce: 9,
 };
 const PLACE: Revision = Revision {
     incarnation: ids::Incarnation(5),
@@ -95,14 +97,17 @@
 
 fn consensus() -> Vec<Message> {
     let (ballot, buckets) = (BALLOT, vec![1, 2]);
-    let pending = Pending {
+    let accepted = AcceptedProposal {
         ballot,
         items: items(),
     };
     let incarnation = Incarnation(ballot);
-    let mut renewals = Renewals::default();
-    renewals.note(MACHINE, incarnation);
-    let open = vec![(items()[0].key.clone(), 7)];
+    let mut latest_incarnations = LatestIncarnations::default();
+    latest_incarnations.record(MACHINE, incarnation);
+    let unchosen = vec![ItemVersion {
+        key: items()[0].key.clone(),
+        version: 7,
+    }];
     vec![
         Message::Prepare {
             ballot,
@@ -113,8 +118,8 @@
         Message::Promise {
             ballot,
             incarnation,
-            renewals,
-            pending,
+            latest_incarnations,
+            accepted,
             buckets: buckets.clone(),
             chosen: items(),
         },
@@ -125,41 +130,47 @@
             items: items(),
         },
         Message::Accepted { ballot },
-        Message::Refused {
+        Message::Rejected {
             ballot,
             promised: ballot,
         },
         Message::NotVoting { ballot },
-        Message::Roster {
+        Message::StaleRoster {
             ballot,
             roster: roster(),
         },
         Message::Chosen { items: items() },
-        Message::Exchange { seq: 1, digest: 2 },
-        Message::Same {
-            seq: 1,
+        Message::CompareDigest {
+            comparison_id: ComparisonId(1),
+            digest: 2,
+        },
+        Message::DigestMatches {
+            comparison_id: ComparisonId(1),
             voting: true,
-            open: open.clone(),
+            unchosen: unchosen.clone(),
         },
-        Message::Differ {
-            seq: 1,
+        Message::DigestDiffers {
+            comparison_id: ComparisonId(1),
             digests: vec![3],
-            open,
+            unchosen,
+        },
+        Message::FetchBuckets {
+            comparison_id: ComparisonId(1),
+            buckets,
         },
-        Message::Fetch { seq: 1, buckets },
-        Message::Items {
-            seq: 1,
+        Message::BucketItems {
+            comparison_id: ComparisonId(1),
             items: items(),
             voting: false,
         },
         Message::DiskUnavailable { ballot },
-        Message::Candidacy { asker: 21 },
-        Message::Word {
-            asker: 21,
-            candidate: Some(22),
+        Message::BootstrapQuery { query_nonce: 21 },
+        Message::BootstrapReply {
+            query_nonce: 21,
+            candidate_nonce: Some(22),
         },
-        Message::Founded {
-            asker: 21,
+        Message::FirstRoster {
+            query_nonce: 21,
             roster: roster(),
         },
     ]
--- a/crates/emberpin-registry/tests/samples/values.rs
+++ b/crates/emberpin-registry/tests/samples/values.rs
@@ -3,7 +3,9 @@
 
 use super::{frames_of, instance, item, lines, BALLOT, MACHINE, PLACE};
 use emberpin_config::{Item, ItemKind};
-use emberpin_consensus::{Ballot, Incarnation, Message, Pending, Renewals};
+use emberpin_consensus::{
+    AcceptedProposal, Ballot, ComparisonId, Incarnation, LatestIncarnations, Message,
+};
 use emberpin_membership::ids::{self, AckId, Digest, Nonce};
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::peers::{Ack, InstanceRecord, RegistryMessage};
@@ -15,8 +17,8 @@
 
 const HIGHEST: Ballot = Ballot {
     counter: u64::MAX,
-    node: u32::MAX,
-    incarnation: u32::MAX,
+    proposer: u32::MAX,
+    start_nonce: u32::MAX,
 };
 const LAST: Revision = Revision {
     incarnation: ids::Incarnation(u64::MAX),
@@ -41,20 +43,20 @@
     }
 }
 
-fn many_renewals() -> Renewals {
-    let mut renewals = Renewals::default();
-    renewals.note(MACHINE, Incarnation(BALLOT));
-    renewals.note(Ipv4Addr::BROADCAST, Incarnation(HIGHEST));
-    renewals.note(Ipv4Addr::UNSPECIFIED, Incarnation::default());
-    renewals
+fn many_incarnations() -> LatestIncarnations {
+    let mut latest_incarnations = LatestIncarnations::default();
+    latest_incarnations.record(MACHINE, Incarnation(BALLOT));
+    latest_incarnations.record(Ipv4Addr::BROADCAST, Incarnation(HIGHEST));
+    latest_incarnations.record(Ipv4Addr::UNSPECIFIED, Incarnation::default());
+    latest_incarnations
 }
 
-fn promise(renewals: Renewals) -> Message {
+fn promise(latest_incarnations: LatestIncarnations) -> Message {
     Message::Promise {
         ballot: HIGHEST,
         incarnation: Incarnation::default(),
-        renewals,
-        pending: Pending::default(),
+        latest_incarnations,
+        accepted: AcceptedProposal::default(),
         buckets: Vec::new(),
         chosen: Vec::new(),
     }
@@ -80,21 +82,21 @@
             digests: Vec::new(),
             recovers: false,
         },
-        promise(Renewals::default()),
-        promise(many_renewals()),
-        Message::Same {
-            seq: u64::MAX,
+        promise(LatestIncarnations::default()),
+        promise(many_incarnations()),
+        Message::DigestMatches {
+            comparison_id: ComparisonId(u64::MAX),
             voting: false,
-            open: Vec::new(),
+            unchosen: Vec::new(),
         },
-        Message::Items {
-            seq: 0,
+        Message::BucketItems {
+            comparison_id: ComparisonId(0),
             items: Vec::new(),
             voting: true,
         },
-        Message::Word {
-            asker: u64::MAX,
-            candidate: None,
+        Message::BootstrapReply {
+            query_nonce: u64::MAX,
+            candidate_nonce: None,
         },
     ];
     let from = Ipv4Addr::BROADCAST;
--- a/crates/emberpin-simulator/src/callers.rs
+++ b/crates/emberpin-simulator/src/callers.rs
@@ -6,7 +6,7 @@
 use crate::text::{Machine, Operation, Order, Way};
 use crate::world::{Applied, Due, World};
 use emberpin_config::{parse_patch, Item};
-use emberpin_consensus::{Call, Event};
+use emberpin_consensus::{Call, EvacuationChange, Event};
 use emberpin_membership::ids::CallId;
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::registry::{self, ServerReply};
@@ -164,13 +164,23 @@
             Some(Order::Patch(body)) => Call::Patch(body.clone()),
             Some(Order::Evacuate { zone, begin }) => Call::Evacuate {
                 zone: zone.clone(),
-                begin: *begin,
+                change: if *begin {
+                    EvacuationChange::Begin
+                } else {
+                    EvacuationChange::End
+                },
             },
         };
         self.operators.next += 1;
         let id = self.operators.next;
         self.operators.asked.insert(id, (call, attempt, core));
-        self.store(core, Event::Call { id, call: asked });
+        self.store(
+            core,
+            Event::Call {
+                call_id: emberpin_consensus::CallId(id),
+                call: asked,
+            },
+        );
     }
 
     /// A store's answer is on its way.
--- a/crates/emberpin-simulator/src/cores.rs
+++ b/crates/emberpin-simulator/src/cores.rs
@@ -4,7 +4,9 @@
 use crate::text::Machine;
 use crate::world::{Due, Process, World};
 use emberpin_config::{Item, ItemKey};
-use emberpin_consensus::{Action, Event, Kept, Message, Options, Replica, Write};
+use emberpin_consensus::{
+    Action, Event, Message, PersistedState, Replica, ReplicaOptions, WriteBatch, WriteToken,
+};
 use emberpin_membership::clock::Timestamp;
 use emberpin_membership::ids::{Incarnation, Nonce, SessionId};
 use emberpin_membership::registry::{self, Registry, RegistryConfig};
@@ -39,7 +41,7 @@
 pub(crate) struct Core {
     pub process: Process,
     pub up: Option<Running>,
-    disk: Vec<Write>,
+    disk: Vec<WriteBatch>,
     synced: usize,
     /// The disk answers nothing before.
     pub stalled_until: u64,
@@ -70,11 +72,11 @@
         self.synced = 0;
     }
 
-    fn kept(&self) -> Option<Kept> {
+    fn kept(&self) -> Option<PersistedState> {
         if self.disk.is_empty() {
             return None;
         }
-        let mut kept = Kept::default();
+        let mut kept = PersistedState::default();
         for write in &self.disk {
             kept.chosen.extend(write.chosen.iter().cloned());
             kept.chosen
@@ -82,10 +84,10 @@
             kept.promised = write.promised;
             kept.voting = write.voting;
             kept.incarnation = write.incarnation;
-            kept.renewals = write.renewals.clone();
-            kept.candidacy = write.candidacy.clone();
-            if let Some(pending) = &write.pending {
-                kept.pending = pending.clone();
+            kept.latest_incarnations = write.latest_incarnations.clone();
+            kept.bootstrap_candidate = write.bootstrap_candidate.clone();
+            if let Some(accepted) = &write.accepted {
+                kept.accepted = accepted.clone();
             }
         }
         Some(kept)
@@ -106,14 +108,20 @@
         machine.process.begins(now);
         let mut actions = Vec::new();
         let me = ip(core);
-        let options = Options {
-            me,
+        let options = ReplicaOptions {
+            address: me,
             seeds: seeds.clone(),
             bootstrap,
-            tolerated,
-            seed,
+            tolerated_failures: tolerated,
+            random_seed: seed,
         };
-        let store = Replica::with_guards(0, options, machine.kept(), build.consensus, &mut actions);
+        let store = Replica::with_guards(
+            emberpin_consensus::Timestamp::ZERO,
+            options,
+            machine.kept(),
+            build.consensus,
+            &mut actions,
+        );
         let config = RegistryConfig {
             address: me,
             zone: machine.process.zone.clone(),
@@ -123,7 +131,7 @@
             snapshot_part_bytes: PART,
         };
         let registry = Registry::with_guards(Timestamp::ZERO, config, build.watch);
-        let items: Vec<Item> = store.state().told().cloned().collect();
+        let items: Vec<Item> = store.state().follower_items().cloned().collect();
         machine.up = Some(Running {
             store,
             registry,
@@ -169,7 +177,7 @@
         }
     }
 
-    pub fn synced(&mut self, core: u8, incarnation: u64, token: u64, writes: usize) {
+    pub fn synced(&mut self, core: u8, incarnation: u64, token: WriteToken, writes: usize) {
         let Some(machine) = self.cores.get_mut(&core) else {
             return;
         };
@@ -188,7 +196,7 @@
             return;
         };
         running.store_wake = 0;
-        self.store(core, Event::Wake);
+        self.store(core, Event::Tick);
     }
 
     pub fn store(&mut self, core: u8, event: Event) {
@@ -201,6 +209,7 @@
             return;
         };
         let mut actions = Vec::new();
+        let local = emberpin_consensus::Timestamp::from_millis(local);
         running.store.handle(local, event, &mut actions);
         self.act(core, actions);
     }
@@ -230,7 +239,11 @@
                     }
                 }
                 Action::Send { to, message } => self.consensus(core, number(to), message),
-                Action::Answer { id, status, body } => self.answered(id, status, body),
+                Action::Reply {
+                    call_id,
+                    status,
+                    body,
+                } => self.answered(call_id.0, status, body),
                 Action::Learned { items } => {
                     self.tell(core, &items);
                     let (at, incarnation) = (self.now + 1, self.incarnation(Machine::Core(core)));
@@ -252,7 +265,9 @@
         let Some(running) = machine.up.as_mut() else {
             return;
         };
-        let at = machine.process.when(now, running.store.wake_at());
+        let at = machine
+            .process
+            .when(now, running.store.next_tick_at().as_millis());
         if running.store_wake <= now || at < running.store_wake {
             running.store_wake = at;
             let incarnation = machine.process.incarnation;
@@ -408,7 +423,9 @@
                     return;
                 };
                 let Some(running) = &machine.up else { return };
-                let age = running.store.confirmed_age(machine.process.local(now));
+                let local = emberpin_consensus::Timestamp::from_millis(machine.process.local(now));
+                let age = running.store.confirmed_age(local);
+                let age = age.map(|age| age.as_millis() as u64);
                 // Behind the items that are on their way.
                 self.at(
                     now + 1,
--- a/crates/emberpin-simulator/src/net.rs
+++ b/crates/emberpin-simulator/src/net.rs
@@ -109,7 +109,7 @@
             Message::Accept { .. } => Sort::Accept,
             Message::Promise { .. } => Sort::Promise,
             Message::Chosen { .. } => Sort::Chosen,
-            Message::Exchange { .. } => Sort::Exchange,
+            Message::CompareDigest { .. } => Sort::Exchange,
             _ => return false,
         };
         self.losses.contains(&(sort, from, to))
--- a/crates/emberpin-simulator/src/play.rs
+++ b/crates/emberpin-simulator/src/play.rs
@@ -271,7 +271,7 @@
             }
             Operation::Votes { core, votes } => {
                 let up = self.cores.get(core).and_then(|core| core.up.as_ref());
-                match up.is_some_and(|up| up.store.votes()) == *votes {
+                match up.is_some_and(|up| up.store.is_voter()) == *votes {
                     true => Ok(()),
                     false => Err(format!("expected that core-{core} votes: {votes}")),
                 }
--- a/crates/emberpin-simulator/src/world.rs
+++ b/crates/emberpin-simulator/src/world.rs
@@ -8,7 +8,7 @@
 use crate::net::{Frame, Net};
 use crate::text::{Machine, Scenario};
 use emberpin_config::Item;
-use emberpin_consensus::Message;
+use emberpin_consensus::{Message, WriteToken};
 use emberpin_membership::registry::ServerReply;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,7 +29,7 @@
     Synced {
         core: u8,
         incarnation: u64,
-        token: u64,
+        token: WriteToken,
         writes: usize,
     },
     /// A store wakes.
--- a/crates/emberpin-store/src/connections.rs
+++ b/crates/emberpin-store/src/connections.rs
@@ -355,11 +355,18 @@
 
 /// What the host needs of an ask: which call it is, if it is one.
 pub fn call(ask: StoreRequest) -> Option<(u64, emberpin_consensus::Call)> {
-    use emberpin_consensus::Call;
+    use emberpin_consensus::{Call, EvacuationChange};
     match ask {
         StoreRequest::Patch { id, body } => Some((id, Call::Patch(body))),
         StoreRequest::Get { id } => Some((id, Call::Get)),
-        StoreRequest::Evacuate { id, zone, begin } => Some((id, Call::Evacuate { zone, begin })),
+        StoreRequest::Evacuate { id, zone, begin } => {
+            let change = if begin {
+                EvacuationChange::Begin
+            } else {
+                EvacuationChange::End
+            };
+            Some((id, Call::Evacuate { zone, change }))
+        }
         StoreRequest::Subscribe | StoreRequest::ConfirmFreshness { .. } => None,
     }
 }
--- a/crates/emberpin-store/src/disk.rs
+++ b/crates/emberpin-store/src/disk.rs
@@ -16,7 +16,7 @@
 pub use error::{DataLoss, DiskError, FileOperation, FolderMismatch, KeyspaceOperation};
 
 use emberpin_config::Item;
-use emberpin_consensus::{Kept, Pending, Write};
+use emberpin_consensus::{AcceptedProposal, PersistedState, WriteBatch};
 use fjall::PersistMode;
 use item_versions::{encode_key, ItemVersions};
 use journal::{IntactPrefix, JournalReader};
@@ -51,7 +51,10 @@
     ///
     /// [`DiskError`]: the folder cannot be used, belongs to another machine, or holds less than was synced to it. What
     /// was synced is left as it is.
-    pub fn open(folder: &Path, own_ip: Ipv4Addr) -> Result<(Disk, Option<Kept>), DiskError> {
+    pub fn open(
+        folder: &Path,
+        own_ip: Ipv4Addr,
+    ) -> Result<(Disk, Option<PersistedState>), DiskError> {
         let path = keyspace::path_in(folder);
         fs::create_dir_all(folder).map_err(FileOperation::CreateFolder.failed_at(folder))?;
         let sync_record =
@@ -120,28 +123,28 @@
         Ok(())
     }
 
-    fn read(&mut self) -> Result<Option<Kept>, DiskError> {
+    fn read(&mut self) -> Result<Option<PersistedState>, DiskError> {
         let Some((promised, voting)) = self.decode_meta(meta_key::PROMISED)? else {
             return Ok(None);
         };
         // Both records may be missing: builds without incarnations wrote none, and `pending` comes with the first
         // accepted proposal.
-        let (incarnation, renewals, candidacy) = self
+        let (incarnation, latest_incarnations, bootstrap_candidate) = self
             .decode_meta(meta_key::INCARNATIONS)?
             .unwrap_or_default();
-        let pending: Pending = self.decode_meta(meta_key::PENDING)?.unwrap_or_default();
+        let accepted: AcceptedProposal = self.decode_meta(meta_key::PENDING)?.unwrap_or_default();
         let chosen = self.read_items()?;
         for item in &chosen {
             self.versions.insert(encode_key(&item.key), item.version);
         }
-        Ok(Some(Kept {
+        Ok(Some(PersistedState {
             chosen,
             promised,
-            pending,
+            accepted,
             voting,
             incarnation,
-            renewals,
-            candidacy,
+            latest_incarnations,
+            bootstrap_candidate,
         }))
     }
 
@@ -189,7 +192,7 @@
     /// # Errors
     ///
     /// [`DiskError`]: what the disk holds is unknown until it is opened again.
-    pub fn write(&mut self, write: &Write) -> Result<(), DiskError> {
+    pub fn write(&mut self, write: &WriteBatch) -> Result<(), DiskError> {
         let mut batch = self.keyspace.keyspace.batch();
         for item in &write.chosen {
             let key = encode_key(&item.key);
@@ -209,11 +212,15 @@
         if std::mem::take(&mut self.has_previous_format) {
             batch.insert(meta, meta_key::FORMAT, FORMAT);
         }
-        if let Some(pending) = &write.pending {
-            let pending = self.encode(meta_key::PENDING, pending)?;
-            batch.insert(meta, meta_key::PENDING, pending);
+        if let Some(accepted) = &write.accepted {
+            let accepted = self.encode(meta_key::PENDING, accepted)?;
+            batch.insert(meta, meta_key::PENDING, accepted);
         }
-        let incarnations = (write.incarnation, &write.renewals, &write.candidacy);
+        let incarnations = (
+            write.incarnation,
+            &write.latest_incarnations,
+            &write.bootstrap_candidate,
+        );
         let incarnations = self.encode(meta_key::INCARNATIONS, &incarnations)?;
         batch.insert(meta, meta_key::INCARNATIONS, incarnations);
         let promised = self.encode(meta_key::PROMISED, &(write.promised, write.voting))?;
--- a/crates/emberpin-store/src/disk/queue.rs
+++ b/crates/emberpin-store/src/disk/queue.rs
@@ -5,7 +5,7 @@
     MAX_BATCHES_PER_SYNC,
 };
 use super::Disk;
-use emberpin_consensus::Write;
+use emberpin_consensus::WriteBatch;
 use std::io;
 use std::net::Ipv4Addr;
 use std::path::PathBuf;
@@ -85,7 +85,7 @@
     pub fn submit(
         &mut self,
         now: Instant,
-        writes: Vec<Write>,
+        writes: Vec<WriteBatch>,
         sync_token: Option<u64>,
     ) -> Result<(), QueueFull> {
         self.observe_progress(now);
--- a/crates/emberpin-store/src/disk/worker.rs
+++ b/crates/emberpin-store/src/disk/worker.rs
@@ -8,7 +8,7 @@
 use super::usage::used_bytes;
 use super::{Disk, DiskError};
 use crate::fault_injection;
-use emberpin_consensus::Write;
+use emberpin_consensus::WriteBatch;
 use std::net::Ipv4Addr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -46,7 +46,7 @@
         /// The generation of the disk that the batch builds on.
         generation: Generation,
         /// The writes, in their order.
-        writes: Vec<Write>,
+        writes: Vec<WriteBatch>,
         /// Report this token once the batch is synced; `None` if no sync is needed.
         sync_token: Option<u64>,
     },
@@ -93,13 +93,13 @@
 }
 
 /// Bytes of the items in a batch, which dominate its size.
-pub fn item_bytes(writes: &[Write]) -> usize {
-    let item_bytes = |write: &Write| {
-        let pending = write.pending.iter().flat_map(|pending| &pending.items);
+pub fn item_bytes(writes: &[WriteBatch]) -> usize {
+    let item_bytes = |write: &WriteBatch| {
+        let accepted = write.accepted.iter().flat_map(|accepted| &accepted.items);
         let sizes = write
             .chosen
             .iter()
-            .chain(pending)
+            .chain(accepted)
             .map(|item| item.body.as_ref().map_or(0, String::len));
         sizes.sum::<usize>()
     };
@@ -312,7 +312,7 @@
         }
     }
 
-    fn release_queued_bytes(&self, writes: &[Write]) {
+    fn release_queued_bytes(&self, writes: &[WriteBatch]) {
         self.progress
             .queued_bytes
             .fetch_sub(item_bytes(writes), Ordering::Relaxed);
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -6,7 +6,9 @@
 use crate::disk::{Disk, DiskError};
 use crate::protocol::{DiskState, DiskStatus, StoreReply, StoreRequest, ToStore};
 use crate::system_id;
-use emberpin_consensus::{Action, Call, Event, Message, Options, Replica};
+use emberpin_consensus::{
+    Action, Call, CallId, Event, Message, Replica, ReplicaOptions, Timestamp, WriteToken,
+};
 use emberpin_runtime::frames;
 use emberpin_runtime::identity::ProcessIdentity;
 use emberpin_runtime::settings::Settings;
@@ -117,16 +119,16 @@
         IpAddr::V6(_) => None,
     });
     let seeds: Vec<Ipv4Addr> = seeds.collect();
-    let options = Options {
-        me: settings.ip,
+    let options = ReplicaOptions {
+        address: settings.ip,
         seeds: seeds.clone(),
         bootstrap: settings.bootstrap,
-        tolerated: settings.tolerated_node_losses,
-        seed: u64::from_be_bytes(seed),
+        tolerated_failures: settings.tolerated_node_losses,
+        random_seed: u64::from_be_bytes(seed),
     };
     let identity = Arc::new(ProcessIdentity::new(u64::from_be_bytes(seed)));
     let mut actions = Vec::new();
-    let replica = Replica::new(0, options, kept, &mut actions);
+    let replica = Replica::new(Timestamp::ZERO, options, kept, &mut actions);
     let system = system_id::load(&folder);
     if let Some(system) = system {
         identity.learn_system(system);
@@ -171,7 +173,7 @@
                 }
                 host.ends_at = Some(host.now() + LEAVE);
                 let mut actions = Vec::new();
-                host.replica.handle(host.now(), Event::Leave, &mut actions);
+                host.replica.handle(host.timestamp(), Event::Leave, &mut actions);
                 host.act(actions);
             }
             _ = int.recv() => break,
@@ -192,13 +194,13 @@
             }
             () = tokio::time::sleep(host.pause()) => {
                 let mut actions = Vec::new();
-                host.replica.handle(host.now(), Event::Wake, &mut actions);
+                host.replica.handle(host.timestamp(), Event::Tick, &mut actions);
                 host.act(actions);
             }
         }
         if host
             .ends_at
-            .is_some_and(|at| host.replica.left() || host.now() >= at)
+            .is_some_and(|at| host.replica.has_left() || host.now() >= at)
         {
             break;
         }
@@ -248,10 +250,16 @@
         self.began.elapsed().as_millis() as u64
     }
 
+    /// The time as the replica reads it.
+    fn timestamp(&self) -> Timestamp {
+        Timestamp::from_millis(self.now())
+    }
+
     fn pause(&self) -> Duration {
         let at = self
             .replica
-            .wake_at()
+            .next_tick_at()
+            .as_millis()
             .min(self.status_at)
             .min(self.ends_at.unwrap_or(u64::MAX));
         Duration::from_millis(at.saturating_sub(self.now()).max(NAP))
@@ -261,7 +269,7 @@
         match input {
             Input::Message { from, message } => {
                 self.replica
-                    .handle(self.now(), Event::Message { from, message }, actions);
+                    .handle(self.timestamp(), Event::Message { from, message }, actions);
             }
             Input::Closed { connection } => {
                 self.registries.remove(&connection);
@@ -287,14 +295,15 @@
             follows: false,
         });
         if let StoreRequest::ConfirmFreshness { nonce: question } = ask {
+            let age = self.replica.confirmed_age(self.timestamp());
             return self.questions.push((
                 connection,
                 question,
-                self.replica.confirmed_age(self.now()),
+                age.map(|age| age.as_millis() as u64),
             ));
         }
         let Some((id, call)) = call(ask) else {
-            let items = self.replica.state().told().cloned().collect();
+            let items = self.replica.state().follower_items().cloned().collect();
             if let Some(registry) = self.registries.get_mut(&connection) {
                 registry.follows = true;
             }
@@ -329,9 +338,9 @@
         self.next_call += 1;
         self.calls.insert(self.next_call, (connection, id));
         self.replica.handle(
-            self.now(),
+            self.timestamp(),
             Event::Call {
-                id: self.next_call,
+                call_id: CallId(self.next_call),
                 call,
             },
             actions,
@@ -360,7 +369,7 @@
         for action in actions {
             match action {
                 Action::Persist { token, write } => {
-                    sync = write.sync.then_some(token).or(sync);
+                    sync = write.sync.then_some(token.0).or(sync);
                     writes.push(write);
                 }
                 Action::Send { to, message } => {
@@ -373,8 +382,12 @@
                         Err(error) => log::warn!("nothing sent to {to}: {error}"),
                     }
                 }
-                Action::Answer { id, status, body } => {
-                    if let Some((connection, id)) = self.calls.remove(&id) {
+                Action::Reply {
+                    call_id,
+                    status,
+                    body,
+                } => {
+                    if let Some((connection, id)) = self.calls.remove(&call_id.0) {
                         self.tell(connection, &StoreReply::Response { id, status, body });
                     }
                 }
@@ -391,13 +404,15 @@
 
     fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.replica.handle(self.now(), event, &mut actions);
+        self.replica.handle(self.timestamp(), event, &mut actions);
         self.act(actions);
     }
 
     fn take_disk_event(&mut self, event: DiskEvent) -> Result<(), DiskError> {
         match event {
-            DiskEvent::Synced { token } => self.handle(Event::Persisted { token }),
+            DiskEvent::Synced { token } => self.handle(Event::Persisted {
+                token: WriteToken(token),
+            }),
             DiskEvent::Failed(failed) => {
                 log::error!(
                     "changes and votes are refused until the disk takes writes again: {failed}"
@@ -482,7 +497,7 @@
     fn disk_state(&mut self) -> DiskState {
         if self.overflowed || self.disk.is_stalled(Instant::now()) {
             DiskState::Stalled
-        } else if self.disk_failed || self.replica.storage_refusal().is_some() {
+        } else if self.disk_failed || self.replica.disk_unavailable_reason().is_some() {
             DiskState::Full
         } else if self.is_nearly_full() {
             DiskState::NearlyFull
@@ -540,7 +555,10 @@
             );
         }
         self.tend_system();
-        let (settled, voters) = (self.replica.settled(now), self.replica.voters());
+        let (settled, voters) = (
+            self.replica.is_up_to_date(self.timestamp()),
+            self.replica.voters(),
+        );
         let status = Status {
             settled,
             voters,
--- a/crates/emberpin-store/tests/disk.rs
+++ b/crates/emberpin-store/tests/disk.rs
@@ -2,7 +2,10 @@
 //! own.
 
 use emberpin_config::{History, Item, ItemKey, ItemKind, MAX_NAME_BYTES};
-use emberpin_consensus::{Ballot, Candidacy, Incarnation, Kept, Pending, Renewals, Write};
+use emberpin_consensus::{
+    AcceptedProposal, Ballot, BootstrapCandidate, Incarnation, LatestIncarnations, PersistedState,
+    WriteBatch,
+};
 use emberpin_store::disk::{Disk, DiskError, FolderMismatch};
 use googletest::prelude::*;
 use std::fs;
@@ -25,57 +28,57 @@
 fn ballot(counter: u64) -> Ballot {
     Ballot {
         counter,
-        node: 7,
-        incarnation: 9,
+        proposer: 7,
+        start_nonce: 9,
     }
 }
 
-fn write(counter: u64, size: usize) -> Write {
-    let mut renewals = Renewals::default();
-    renewals.note(ME, Incarnation(ballot(counter + 1)));
-    Write {
+fn write(counter: u64, size: usize) -> WriteBatch {
+    let mut latest_incarnations = LatestIncarnations::default();
+    latest_incarnations.record(ME, Incarnation(ballot(counter + 1)));
+    WriteBatch {
         chosen: vec![item("a", counter, size), item("b", counter, size)],
         removed: Vec::new(),
         promised: ballot(counter),
-        pending: Some(Pending {
+        accepted: Some(AcceptedProposal {
             ballot: ballot(counter),
             items: vec![item("c", counter, size)],
         }),
         voting: true,
         incarnation: Incarnation(ballot(counter)),
-        renewals,
-        candidacy: Some(Candidacy {
-            number: counter,
+        latest_incarnations,
+        bootstrap_candidate: Some(BootstrapCandidate {
+            nonce: counter,
             seeds: vec![ME],
         }),
         sync: true,
     }
 }
 
-fn kept(counter: u64, size: usize) -> Kept {
-    let Write {
+fn kept(counter: u64, size: usize) -> PersistedState {
+    let WriteBatch {
         chosen,
         promised,
-        pending,
+        accepted,
         voting,
         incarnation,
-        renewals,
-        candidacy,
+        latest_incarnations,
+        bootstrap_candidate,
         ..
     } = write(counter, size);
-    Kept {
+    PersistedState {
         chosen,
         promised,
-        pending: pending.unwrap_or_default(),
+        accepted: accepted.unwrap_or_default(),
         voting,
         incarnation,
-        renewals,
-        candidacy,
+        latest_incarnations,
+        bootstrap_candidate,
     }
 }
 
 /// Writes each without a sync, and ends.
-fn unsynced(folder: &Path, writes: &[Write]) {
+fn unsynced(folder: &Path, writes: &[WriteBatch]) {
     let (mut disk, _) = Disk::open(folder, ME).expect("a disk");
     writes
         .iter()
@@ -83,7 +86,7 @@
 }
 
 /// Writes and syncs each, and ends.
-fn written(folder: &Path, writes: &[Write]) {
+fn written(folder: &Path, writes: &[WriteBatch]) {
     let (mut disk, _) = Disk::open(folder, ME).expect("a disk");
     for write in writes {
         disk.write(write).expect("a write");
@@ -91,7 +94,7 @@
     }
 }
 
-fn found(folder: &Path) -> std::result::Result<Option<Kept>, DiskError> {
+fn found(folder: &Path) -> std::result::Result<Option<PersistedState>, DiskError> {
     Disk::open(folder, ME).map(|(_, kept)| kept)
 }
 
@@ -376,7 +379,7 @@
 #[gtest]
 fn what_is_written_over_and_over_outlasts_new_journals_and_tables() {
     let folder = tempfile::tempdir().expect("a folder");
-    let writes: Vec<Write> = (1..=60).map(|counter| write(counter, 200_000)).collect();
+    let writes: Vec<WriteBatch> = (1..=60).map(|counter| write(counter, 200_000)).collect();
     written(folder.path(), &writes);
     expect_that!(
         found(folder.path()).expect("a disk"),
@@ -396,10 +399,10 @@
 #[gtest]
 fn what_is_removed_is_gone_after_a_start_and_may_come_again() {
     let folder = tempfile::tempdir().expect("a folder");
-    let removes = Write {
+    let removes = WriteBatch {
         chosen: vec![],
         removed: vec![item("a", 0, 0).key],
-        pending: None,
+        accepted: None,
         ..write(2, 10)
     };
     written(folder.path(), &[write(1, 10), removes]);
@@ -415,9 +418,9 @@
         elements_are![eq(&("b".to_string(), 1))]
     );
     // What is both written and removed by one write is gone.
-    let both = Write {
+    let both = WriteBatch {
         removed: vec![item("b", 0, 0).key],
-        pending: None,
+        accepted: None,
         ..write(3, 10)
     };
     written(folder.path(), &[both]);
@@ -473,9 +476,9 @@
     );
     expect_that!(count(folder.path(), b"emberpin-store 2"), eq(0));
     let history = History::new(item("a", 2, 10).key, 2, None).to_item(1);
-    let with_history = Write {
+    let with_history = WriteBatch {
         chosen: vec![history.clone()],
-        pending: None,
+        accepted: None,
         ..write(2, 10)
     };
     written(folder.path(), &[with_history]);
@@ -495,9 +498,9 @@
     let chosen = vec![longest, history];
     written(
         folder.path(),
-        &[Write {
+        &[WriteBatch {
             chosen: chosen.clone(),
-            pending: None,
+            accepted: None,
             ..write(1, 10)
         }],
     );
--- a/crates/emberpin-store/tests/recorded_disks.rs
+++ b/crates/emberpin-store/tests/recorded_disks.rs
@@ -9,7 +9,10 @@
 mod recorder;
 
 use emberpin_config::{Item, ItemKey, ItemKind};
-use emberpin_consensus::{Ballot, Candidacy, Incarnation, Kept, Pending, Renewals, Write};
+use emberpin_consensus::{
+    AcceptedProposal, Ballot, BootstrapCandidate, Incarnation, LatestIncarnations, PersistedState,
+    WriteBatch,
+};
 use emberpin_store::disk::{Disk, DiskError, FolderMismatch};
 use googletest::prelude::*;
 use program::Program;
@@ -41,11 +44,11 @@
     folder
 }
 
-fn opened(folder: &TempDir) -> (Disk, Option<Kept>) {
+fn opened(folder: &TempDir) -> (Disk, Option<PersistedState>) {
     Disk::open(folder.path(), ME).expect("a disk")
 }
 
-fn found(folder: &TempDir) -> Kept {
+fn found(folder: &TempDir) -> PersistedState {
     opened(folder).1.expect("what was written")
 }
 
@@ -64,11 +67,11 @@
     items.iter().map(line).collect()
 }
 
-fn ballot(counter: u64, node: Ipv4Addr, incarnation: u32) -> Ballot {
+fn ballot(counter: u64, node: Ipv4Addr, start_nonce: u32) -> Ballot {
     Ballot {
         counter,
-        node: node.to_bits(),
-        incarnation,
+        proposer: node.to_bits(),
+        start_nonce,
     }
 }
 
@@ -85,25 +88,25 @@
 }
 
 /// A write that changes one item, and leaves all else as it was found.
-fn next_write(kept: &Kept, item: Item) -> Write {
-    let Kept {
+fn next_write(kept: &PersistedState, item: Item) -> WriteBatch {
+    let PersistedState {
         promised,
         voting,
         incarnation,
-        renewals,
-        candidacy,
+        latest_incarnations,
+        bootstrap_candidate,
         ..
     } = kept.clone();
-    let (chosen, removed, pending) = (vec![item], Vec::new(), None);
-    Write {
+    let (chosen, removed, accepted) = (vec![item], Vec::new(), None);
+    WriteBatch {
         chosen,
         removed,
         promised,
-        pending,
+        accepted,
         voting,
         incarnation,
-        renewals,
-        candidacy,
+        latest_incarnations,
+        bootstrap_candidate,
         sync: true,
     }
 }
@@ -181,8 +184,8 @@
                    \"warmup\":\"3s\",\"warmup_per_s\":10.0,\"ver\":700}";
     let items = vec![service("open", 700, Some(content))];
     expect_that!(
-        kept.pending,
-        eq(&Pending {
+        kept.accepted,
+        eq(&AcceptedProposal {
             ballot: ballot(900_000, second, 77),
             items
         })
@@ -195,30 +198,30 @@
     let [second, third] = OTHERS;
     let kept = found(&unpacked("voter.disk.txt"));
     expect_that!(kept.incarnation, eq(Incarnation(ballot(400, ME, 77))));
-    let mut renewals = Renewals::default();
-    renewals.note(second, Incarnation(ballot(500, second, 77)));
-    renewals.note(third, Incarnation(ballot(70_000, third, 77)));
-    expect_that!(kept.renewals, eq(&renewals));
-    let candidacy = Candidacy {
-        number: 0x0123_4567_89ab_cdef,
+    let mut latest_incarnations = LatestIncarnations::default();
+    latest_incarnations.record(second, Incarnation(ballot(500, second, 77)));
+    latest_incarnations.record(third, Incarnation(ballot(70_000, third, 77)));
+    expect_that!(kept.latest_incarnations, eq(&latest_incarnations));
+    let bootstrap_candidate = BootstrapCandidate {
+        nonce: 0x0123_4567_89ab_cdef,
         seeds: vec![ME, second, third],
     };
-    expect_that!(kept.candidacy, some(eq(&candidacy)));
+    expect_that!(kept.bootstrap_candidate, some(eq(&bootstrap_candidate)));
 }
 
 #[gtest]
 fn a_recorded_candidate_is_read_with_its_number_and_seeds_and_votes_for_nobody() {
     let [second, third] = OTHERS;
     let kept = found(&unpacked("candidate.disk.txt"));
-    let candidacy = Some(Candidacy {
-        number: CANDIDATE,
+    let bootstrap_candidate = Some(BootstrapCandidate {
+        nonce: CANDIDATE,
         seeds: vec![ME, second, third],
     });
     expect_that!(
         kept,
-        eq(&Kept {
-            candidacy,
-            ..Kept::default()
+        eq(&PersistedState {
+            bootstrap_candidate,
+            ..PersistedState::default()
         })
     );
 }
@@ -237,22 +240,22 @@
     );
     let ballot = |counter| Ballot {
         counter,
-        node: 7,
-        incarnation: 9,
+        proposer: 7,
+        start_nonce: 9,
     };
     expect_that!(kept.promised, eq(ballot(300)));
     let items = vec![service("c", 5, Some("{}"))];
     expect_that!(
-        kept.pending,
-        eq(&Pending {
+        kept.accepted,
+        eq(&AcceptedProposal {
             ballot: ballot(299),
             items
         })
     );
     expect_that!(kept.voting, eq(true));
     expect_that!(kept.incarnation, eq(Incarnation::default()));
-    expect_that!(kept.renewals, eq(&Renewals::default()));
-    expect_that!(kept.candidacy, none());
+    expect_that!(kept.latest_incarnations, eq(&LatestIncarnations::default()));
+    expect_that!(kept.bootstrap_candidate, none());
 }
 
 #[gtest]
--- a/crates/emberpin-store/tests/recorder/mod.rs
+++ b/crates/emberpin-store/tests/recorder/mod.rs
@@ -6,8 +6,8 @@
 use crate::{fixture, lines, run, ME, OTHERS};
 use emberpin_config::{Item, ItemKey, ItemKind, Retention};
 use emberpin_consensus::{
-    Action, Ballot, Call, Candidacy, Event, Guards, Incarnation, Options, Pending, Renewals,
-    Replica, Write,
+    AcceptedProposal, Action, Ballot, BootstrapCandidate, Call, CallId, EvacuationChange, Event,
+    Guards, Incarnation, LatestIncarnations, Replica, ReplicaOptions, Timestamp, WriteBatch,
 };
 use emberpin_store::disk::Disk;
 use std::collections::{BTreeMap, VecDeque};
@@ -30,19 +30,19 @@
     now: u64,
     events: VecDeque<Event>,
     answer: Option<u16>,
-    last: Option<Write>,
+    last: Option<WriteBatch>,
     /// What was written and not removed, told from the writes alone.
     items: BTreeMap<(u8, String), Item>,
 }
 
 impl Store {
     fn found(folder: &Path) -> Store {
-        let options = Options {
-            me: ME,
+        let options = ReplicaOptions {
+            address: ME,
             seeds: vec![ME],
             bootstrap: true,
-            tolerated: 1,
-            seed: 21,
+            tolerated_failures: 1,
+            random_seed: 21,
         };
         let (disk, kept) = Disk::open(folder, ME).expect("a disk");
         let mut actions = Vec::new();
@@ -50,7 +50,13 @@
             bounds: BOUNDS,
             ..Guards::default()
         };
-        let replica = Replica::with_guards(1_000, options, kept, guards, &mut actions);
+        let replica = Replica::with_guards(
+            Timestamp::from_millis(1_000),
+            options,
+            kept,
+            guards,
+            &mut actions,
+        );
         let (events, items) = (VecDeque::new(), BTreeMap::new());
         let mut store = Store {
             replica,
@@ -67,14 +73,18 @@
 
     fn call(&mut self, call: Call) {
         self.answer = None;
-        self.events.push_back(Event::Call { id: 1, call });
+        self.events.push_back(Event::Call {
+            call_id: CallId(1),
+            call,
+        });
         while self.answer.is_none() {
             let event = self.events.pop_front().unwrap_or_else(|| {
-                self.now = self.replica.wake_at().max(self.now + 1);
-                Event::Wake
+                self.now = self.replica.next_tick_at().as_millis().max(self.now + 1);
+                Event::Tick
             });
             let mut actions = Vec::new();
-            self.replica.handle(self.now, event, &mut actions);
+            self.replica
+                .handle(Timestamp::from_millis(self.now), event, &mut actions);
             self.act(actions);
         }
         assert_eq!(self.answer, Some(200));
@@ -95,13 +105,13 @@
                         self.events.push_back(Event::Persisted { token });
                     }
                 }
-                Action::Answer { status, .. } => self.answer = Some(status),
+                Action::Reply { status, .. } => self.answer = Some(status),
                 Action::Send { .. } | Action::Learned { .. } => {}
             }
         }
     }
 
-    fn write(&mut self, write: Write) {
+    fn write(&mut self, write: WriteBatch) {
         self.disk.write(&write).expect("a write");
         for item in &write.chosen {
             self.items
@@ -127,10 +137,10 @@
                 body,
             }];
             let last = self.last.clone().expect("a write before");
-            self.write(Write {
+            self.write(WriteBatch {
                 chosen,
                 removed: Vec::new(),
-                pending: None,
+                accepted: None,
                 ..last
             });
         }
@@ -168,9 +178,14 @@
 }
 
 fn evacuate(zone: &str, begin: bool) -> Call {
+    let change = if begin {
+        EvacuationChange::Begin
+    } else {
+        EvacuationChange::End
+    };
     Call::Evacuate {
         zone: zone.into(),
-        begin,
+        change,
     }
 }
 
@@ -193,8 +208,8 @@
     let [second, third] = OTHERS;
     let ballot = |counter, node: std::net::Ipv4Addr| Ballot {
         counter,
-        node: node.to_bits(),
-        incarnation: 77,
+        proposer: node.to_bits(),
+        start_nonce: 77,
     };
     let key = ItemKey {
         kind: ItemKind::Service,
@@ -205,22 +220,22 @@
         version: 700,
         body: Some(service("open", 700)),
     };
-    let mut renewals = Renewals::default();
-    renewals.note(second, Incarnation(ballot(500, second)));
-    renewals.note(third, Incarnation(ballot(70_000, third)));
-    store.write(Write {
+    let mut latest_incarnations = LatestIncarnations::default();
+    latest_incarnations.record(second, Incarnation(ballot(500, second)));
+    latest_incarnations.record(third, Incarnation(ballot(70_000, third)));
+    store.write(WriteBatch {
         chosen: Vec::new(),
         removed: Vec::new(),
         promised: ballot(900_001, third),
-        pending: Some(Pending {
+        accepted: Some(AcceptedProposal {
             ballot: ballot(900_000, second),
             items: vec![open],
         }),
         voting: true,
         incarnation: Incarnation(ballot(400, ME)),
-        renewals,
-        candidacy: Some(Candidacy {
-            number: 0x0123_4567_89ab_cdef,
+        latest_incarnations,
+        bootstrap_candidate: Some(BootstrapCandidate {
+            nonce: 0x0123_4567_89ab_cdef,
             seeds: vec![ME, second, third],
         }),
         sync: true,
@@ -253,16 +268,16 @@
 /// A seed at its first start, which has heard of no roster.
 pub fn record_candidate(folder: &Path) {
     let [second, third] = OTHERS;
-    let options = Options {
-        me: ME,
+    let options = ReplicaOptions {
+        address: ME,
         seeds: vec![third, second, ME],
         bootstrap: true,
-        tolerated: 1,
-        seed: 21,
+        tolerated_failures: 1,
+        random_seed: 21,
     };
     let (mut disk, kept) = Disk::open(folder, ME).expect("a disk");
     let mut actions = Vec::new();
-    Replica::new(1_000, options, kept, &mut actions);
+    Replica::new(Timestamp::from_millis(1_000), options, kept, &mut actions);
     for action in actions {
         if let Action::Persist { write, .. } = action {
             disk.write(&write).expect("a write");
