--- a/crates/emberpin-registry/src/store_subscription.rs
+++ b/crates/emberpin-registry/src/store_subscription.rs
@@ -14,7 +14,6 @@
 use emberpin_runtime::identity::ProcessIdentity;
 use emberpin_store::protocol::{StoreReply, StoreRequest, ToStore};
 use std::convert::Infallible;
-use std::io;
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,6 +26,17 @@
 /// [`crate::store_state::LOCAL_STORE_TIMEOUT`].
 const FALLBACK_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
+/// Why a subscription ended.
+#[derive(Debug, thiserror::Error)]
+enum SubscriptionError {
+    /// The connection failed, or fell silent.
+    #[error(transparent)]
+    Connection(#[from] ConnectionError),
+    /// A fallback is no longer needed.
+    #[error("the local store responds again")]
+    LocalStoreReturned,
+}
+
 /// Subscribes to stores, and passes what they send to the event loop.
 pub struct StoreSubscription {
     identity: Arc<ProcessIdentity>,
@@ -89,15 +99,17 @@
     }
 
     /// Subscribes to one store until the connection breaks, falls silent, or is a fallback that is no longer needed.
-    async fn subscribe(&self, store: Ipv4Addr) -> ConnectionError {
+    async fn subscribe(&self, store: Ipv4Addr) -> SubscriptionError {
         match self.run_subscription(store).await {
             Ok(never) => match never {},
             Err(error) => error,
         }
     }
 
-    async fn run_subscription(&self, store: Ipv4Addr) -> Result<Infallible, ConnectionError> {
-        let stream = tcp::connect(store, self.port).await?;
+    async fn run_subscription(&self, store: Ipv4Addr) -> Result<Infallible, SubscriptionError> {
+        let stream = tcp::connect(store, self.port)
+            .await
+            .map_err(ConnectionError::from)?;
         let (reader, mut writer) = stream.into_split();
         self.identity.send_preamble(&mut writer).await?;
         frames::write(&mut writer, &ToStore::Request(StoreRequest::Subscribe)).await?;
@@ -107,7 +119,7 @@
             self.identity.learn_system(system);
         }
         tokio::select! {
-            ended = self.send_confirmation_requests(&mut writer) => ended,
+            ended = self.send_confirmation_requests(&mut writer) => Ok(ended?),
             ended = self.receive_replies(store, reader) => ended,
         }
     }
@@ -118,8 +130,8 @@
     ) -> Result<Infallible, ConnectionError> {
         let mut requests = self.state.confirmation_requests();
         loop {
-            let question = *requests.borrow_and_update();
-            let confirm = ToStore::Request(StoreRequest::ConfirmFreshness { nonce: question });
+            let nonce = *requests.borrow_and_update();
+            let confirm = ToStore::Request(StoreRequest::ConfirmFreshness { nonce });
             frames::write(writer, &confirm).await?;
             // Its sender is part of `self.state`, so the wait never fails.
             _ = requests.changed().await;
@@ -130,7 +142,7 @@
         &self,
         store: Ipv4Addr,
         mut reader: impl AsyncRead + Unpin,
-    ) -> Result<Infallible, ConnectionError> {
+    ) -> Result<Infallible, SubscriptionError> {
         let is_local = store == self.state.local_ip();
         loop {
             let reply: StoreReply = read_message(&mut reader, IDLE_TIMEOUT).await?;
@@ -142,7 +154,7 @@
             };
             self.commands.send_event(event).await;
             if !is_local && !self.state.local_store_timed_out() {
-                return Err(io::Error::other("the store here is back").into());
+                return Err(SubscriptionError::LocalStoreReturned);
             }
         }
     }
