--- a/crates/emberpin-registry/tests/common/fake_store.rs
+++ b/crates/emberpin-registry/tests/common/fake_store.rs
@@ -123,7 +123,7 @@
             let reply = tokio::select! {
                 Some(nonce) = asked.recv() => StoreReply::FreshnessConfirmed { nonce, age_ms },
                 _ = status_due.tick() => StoreReply::Status {
-                    caught_up: age_ms.is_some(),
+                    up_to_date: age_ms.is_some(),
                     voters: self.voters.clone(),
                     disk: self.disk,
                     rejected_peers: 0,
--- a/crates/emberpin-registry/tests/samples/mod.rs
+++ b/crates/emberpin-registry/tests/samples/mod.rs
@@ -215,7 +215,7 @@
         },
         StoreReply::Items { items: items() },
         StoreReply::Status {
-            caught_up: true,
+            up_to_date: true,
             voters: vec![MACHINE],
             disk,
             rejected_peers: 3,
--- a/crates/emberpin-registry/tests/samples/values.rs
+++ b/crates/emberpin-registry/tests/samples/values.rs
@@ -119,7 +119,7 @@
             limit_bytes: 0,
         };
         StoreReply::Status {
-            caught_up: false,
+            up_to_date: false,
             voters: Vec::new(),
             disk,
             rejected_peers: 0,
--- a/crates/emberpin-store/src/disk/queue.rs
+++ b/crates/emberpin-store/src/disk/queue.rs
@@ -5,7 +5,7 @@
     MAX_BATCHES_PER_SYNC,
 };
 use super::Disk;
-use emberpin_consensus::WriteBatch;
+use emberpin_consensus::{WriteBatch, WriteToken};
 use std::io;
 use std::net::Ipv4Addr;
 use std::path::PathBuf;
@@ -86,7 +86,7 @@
         &mut self,
         now: Instant,
         writes: Vec<WriteBatch>,
-        sync_token: Option<u64>,
+        sync_token: Option<WriteToken>,
     ) -> Result<(), QueueFull> {
         self.observe_progress(now);
         let has_queued = self.has_queued();
--- a/crates/emberpin-store/src/disk/worker.rs
+++ b/crates/emberpin-store/src/disk/worker.rs
@@ -8,7 +8,7 @@
 use super::usage::used_bytes;
 use super::{Disk, DiskError};
 use crate::fault_injection;
-use emberpin_consensus::WriteBatch;
+use emberpin_consensus::{WriteBatch, WriteToken};
 use std::net::Ipv4Addr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -48,7 +48,7 @@
         /// The writes, in their order.
         writes: Vec<WriteBatch>,
         /// Report this token once the batch is synced; `None` if no sync is needed.
-        sync_token: Option<u64>,
+        sync_token: Option<WriteToken>,
     },
     /// Sync everything, and end.
     Close,
@@ -60,7 +60,7 @@
     /// All writes up to this token are synced.
     Synced {
         /// The last token.
-        token: u64,
+        token: WriteToken,
     },
     /// A write or a sync failed: nothing after the last [`DiskEvent::Synced`] is known to be on the disk.
     Failed(DiskError),
@@ -117,7 +117,7 @@
 struct Group {
     batches: u64,
     /// The last token to report once the group is synced.
-    sync_token: Option<u64>,
+    sync_token: Option<WriteToken>,
     closes: bool,
     result: Result<(), DiskError>,
 }
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -1,585 +1,554 @@
-//! The loop around a replica: events in, actions out.
+//! The event loop around a replica: it passes events to the replica, and carries out the actions that come back.
+//!
+//! What is decided, and when, is up to [`Replica`]. The host has the clock, the sockets and the disk.
 
-use crate::connections::{call, listen, Counts, Links, Outbox, Registry};
 use crate::disk::queue::DiskQueue;
 use crate::disk::worker::{DiskEvent, UsageMeasurement};
 use crate::disk::{Disk, DiskError};
-use crate::protocol::{DiskState, DiskStatus, StoreReply, StoreRequest, ToStore};
-use crate::system_id;
+use crate::disk_monitor::{rejection_reason, DiskMonitor, DISK_FULL_REASON, DISK_STALLED_REASON};
+use crate::input::{ConnectionId, Input};
+use crate::listener::listen;
+use crate::peer_links::PeerLinks;
+use crate::protocol::{DiskState, StoreReply, StoreRequest, ToStore};
+use crate::registry_sessions::RegistrySessions;
+use crate::send_queue::SendQueue;
+use crate::signals::{Signal, Signals};
+use crate::system_id::{self, SystemRecord};
 use emberpin_consensus::{
-    Action, Call, CallId, Event, Message, Replica, ReplicaOptions, Timestamp, WriteToken,
+    Action, Call, EvacuationChange, Event, Message, Replica, ReplicaOptions, Timestamp,
 };
 use emberpin_runtime::frames;
 use emberpin_runtime::identity::ProcessIdentity;
 use emberpin_runtime::settings::Settings;
-use std::collections::BTreeMap;
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddrV4};
 use std::num::NonZeroU64;
-use std::path::PathBuf;
+use std::ops::ControlFlow;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
-use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::mpsc;
 
-/// Events that wait for the loop.
-const WAITING: usize = 256;
-/// So many are taken at once, so that they share a sync.
-const AT_ONCE: usize = 32;
-/// How often followers are told how the store stands.
-const STATUS: u64 = 450;
-/// How often links that nobody uses are ended.
-const PRUNE: u64 = 10_000;
-/// Of a hundred parts of the disk, so many may be taken before changes are refused: what others have chosen
-/// and what is tidied still needs room.
-const FULL: u64 = 80;
-/// What callers are told of a disk that a write failed on, and of one that does not answer.
-const DISK_FULL: &str = "the disk is full";
-const DISK_STALLED: &str = "the disk does not answer";
-/// How long a store that starts for the first time waits for its first sync before it listens.
-const FIRST_SYNC: Duration = Duration::from_secs(1);
-/// How long a store that ends waits for its last sync; nothing was said that depends on it.
-const CLOSE: Duration = Duration::from_millis(500);
-/// How long a store that is told to end waits to be off the roster.
-const LEAVE: u64 = 700;
-/// The shortest sleep: timers are in milliseconds.
-const NAP: u64 = 2;
-
-/// What comes in.
-pub enum Input {
-    /// From another store.
-    Message {
-        /// Who.
-        from: Ipv4Addr,
-        /// What.
-        message: Message,
-    },
-    /// From a registry.
-    StoreRequest {
-        /// Which connection.
-        connection: u64,
-        /// What.
-        ask: StoreRequest,
-        /// Where it is told.
-        outbox: Outbox,
-    },
-    /// A connection ended.
-    Closed {
-        /// Which.
-        connection: u64,
-    },
-}
+/// Inputs that may wait for the event loop. Connections wait for room.
+const INPUT_QUEUE_LENGTH: usize = 256;
+/// Most inputs that are handled before their actions are carried out, so that they share a sync.
+const MAX_EVENTS_PER_SYNC: usize = 32;
+/// Longest time between two statuses to subscribers.
+const STATUS_INTERVAL: Duration = Duration::from_millis(450);
+/// Links to other stores that are unused for this long are closed.
+const LINK_IDLE_INTERVAL: Duration = Duration::from_secs(10);
+/// Longest wait for the first sync before the store listens.
+const FIRST_SYNC_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest wait for the last sync at the end. No message depends on it: each was sent after its own sync.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Longest wait to be taken off the roster after SIGTERM.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(700);
+/// Shortest sleep of the event loop: the timers have a resolution of a millisecond.
+const MIN_SLEEP: Duration = Duration::from_millis(2);
 
-/// Why a store ends.
+/// Why the store could not start, or had to end.
 #[derive(Debug, thiserror::Error)]
-pub enum Ended {
-    /// Its disk.
+pub enum StoreError {
+    /// The disk cannot be used, or was found damaged when it was reopened.
     #[error(transparent)]
     Disk(#[from] DiskError),
-    /// Its place on the network.
-    #[error("{0}: {1}")]
-    Listen(SocketAddrV4, io::Error),
-    /// Something that the system refused.
-    #[error("{0}")]
-    System(#[from] io::Error),
-    /// The settings name no disk.
-    #[error("self.datadir: is missing")]
-    NoDisk,
-    /// The thread that owns the disk is gone.
+    /// The settings name no data folder.
+    #[error("self.datadir: is missing; a store needs a disk")]
+    MissingDataDir,
+    /// The store's address is taken or not one of this machine.
+    #[error("cannot listen on {address}: {source}")]
+    Listen {
+        /// The address from the settings.
+        address: SocketAddrV4,
+        /// What the operating system reported.
+        source: io::Error,
+    },
+    /// A signal handler could not be installed.
+    #[error("cannot install signal handlers: {0}")]
+    Signals(#[source] io::Error),
+    /// The disk's thread could not be started.
+    #[error("cannot start the disk's thread: {0}")]
+    StartDiskWorker(#[source] io::Error),
+    /// The disk's thread ended by itself.
     #[error("the disk's thread ended")]
-    DiskThread,
-    /// No random bytes.
-    #[error("no random bytes: {0}")]
-    Random(#[from] getrandom::Error),
+    DiskWorkerEnded,
+    /// The operating system has no random bytes.
+    #[error("cannot draw a random seed: {0}")]
+    Random(#[source] getrandom::Error),
 }
 
-/// Runs a store until it is told to end.
+/// Runs a store until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// [`Ended`], at the start or when the disk fails.
-pub async fn run(settings: &Settings) -> Result<(), Ended> {
-    let (mut term, mut int) = (
-        signal(SignalKind::terminate())?,
-        signal(SignalKind::interrupt())?,
+/// [`StoreError`]: the store could not start, or its disk was found damaged.
+pub async fn run(settings: &Settings) -> Result<(), StoreError> {
+    let signals = Signals::install().map_err(StoreError::Signals)?;
+    let data_dir = settings
+        .data_dir
+        .clone()
+        .ok_or(StoreError::MissingDataDir)?;
+    let (disk, kept) = Disk::open(&data_dir, settings.ip)?;
+    let listener = bind(SocketAddrV4::new(settings.ip, settings.store_port())).await?;
+    let seed = draw_seed()?;
+    let identity = Arc::new(ProcessIdentity::new(seed));
+    let options = replica_options(settings, seed);
+    let seeds = options.seeds.clone();
+    let mut actions = Vec::new();
+    let replica = Replica::new(Timestamp::ZERO, options, kept, &mut actions);
+    let system = SystemRecord::load(data_dir.clone(), identity.clone());
+    let measurement = match settings.disk_mib {
+        0 => UsageMeasurement::Off,
+        _ => UsageMeasurement::Periodic,
+    };
+    let (disk, mut disk_events) = DiskQueue::start(disk, data_dir, settings.ip, measurement)
+        .map_err(StoreError::StartDiskWorker)?;
+    let mut host = Host::new(
+        settings,
+        replica,
+        DiskMonitor::new(disk, settings.disk_mib << 20),
+        PeerLinks::new(settings.store_port(), identity.clone(), seeds),
+        identity.clone(),
+        system,
     );
-    // Nothing in the settings changes for a store while it runs.
-    let mut hup = signal(SignalKind::hangup())?;
-    let folder = settings.data_dir.clone().ok_or(Ended::NoDisk)?;
-    let (disk, kept) = Disk::open(&folder, settings.ip)?;
-    let place = SocketAddrV4::new(settings.ip, settings.store_port());
-    let listener = TcpListener::bind(place)
+    host.apply_actions(actions);
+    host.wait_for_first_sync(&mut disk_events).await?;
+    let (inputs, queued_inputs) = mpsc::channel(INPUT_QUEUE_LENGTH);
+    tokio::spawn(listen(listener, identity, inputs));
+    let mut sources = EventSources {
+        signals,
+        disk_events,
+        inputs: queued_inputs,
+    };
+    host.run_event_loop(&mut sources).await?;
+    host.close_disk(&mut sources.disk_events).await;
+    Ok(())
+}
+
+async fn bind(address: SocketAddrV4) -> Result<TcpListener, StoreError> {
+    TcpListener::bind(address)
         .await
-        .map_err(|error| Ended::Listen(place, error))?;
+        .map_err(|source| StoreError::Listen { address, source })
+}
+
+fn draw_seed() -> Result<u64, StoreError> {
     let mut seed = [0; 8];
-    getrandom::fill(&mut seed)?;
+    getrandom::fill(&mut seed).map_err(StoreError::Random)?;
+    Ok(u64::from_be_bytes(seed))
+}
+
+fn replica_options(settings: &Settings, seed: u64) -> ReplicaOptions {
     let seeds = settings.seeds.iter().filter_map(|seed| match seed.ip() {
         IpAddr::V4(ip) => Some(ip),
         IpAddr::V6(_) => None,
     });
-    let seeds: Vec<Ipv4Addr> = seeds.collect();
-    let options = ReplicaOptions {
+    ReplicaOptions {
         address: settings.ip,
-        seeds: seeds.clone(),
+        seeds: seeds.collect(),
         bootstrap: settings.bootstrap,
         tolerated_failures: settings.tolerated_node_losses,
-        random_seed: u64::from_be_bytes(seed),
-    };
-    let identity = Arc::new(ProcessIdentity::new(u64::from_be_bytes(seed)));
-    let mut actions = Vec::new();
-    let replica = Replica::new(Timestamp::ZERO, options, kept, &mut actions);
-    let system = system_id::load(&folder);
-    if let Some(system) = system {
-        identity.learn_system(system);
+        random_seed: seed,
     }
-    let measurement = if settings.disk_mib > 0 {
-        UsageMeasurement::Periodic
-    } else {
-        UsageMeasurement::Off
-    };
-    let (disk, mut disk_events) = DiskQueue::start(disk, folder.clone(), settings.ip, measurement)?;
-    let mut host = Host {
-        began: Instant::now(),
-        settings,
-        replica,
-        disk,
-        links: Links::new(settings.store_port(), identity.clone(), seeds),
-        identity: identity.clone(),
-        registries: BTreeMap::new(),
-        calls: BTreeMap::new(),
-        next_call: 0,
-        status: Status::default(),
-        questions: Vec::new(),
-        status_at: 0,
-        prune_at: PRUNE,
-        ends_at: None,
-        folder,
-        system,
-        disk_failed: false,
-        overflowed: false,
-    };
-    host.act(actions);
-    host.wait_for_first_sync(&mut disk_events).await?;
-    let (inputs, mut waiting) = mpsc::channel(WAITING);
-    tokio::spawn(listen(listener, identity, inputs, Arc::<Counts>::default()));
-    loop {
+}
+
+/// Where events come from.
+struct EventSources {
+    signals: Signals,
+    disk_events: mpsc::Receiver<DiskEvent>,
+    inputs: mpsc::Receiver<Input>,
+}
+
+/// What wakes the event loop.
+enum LoopEvent {
+    Signal(Signal),
+    /// `None` if the disk's thread ended by itself.
+    Disk(Option<DiskEvent>),
+    /// `None` if the listener ended.
+    Input(Option<Input>),
+    /// Something is due.
+    Timer,
+}
+
+impl EventSources {
+    /// Waits for an event, at most for a time. Signals and the disk come before inputs.
+    async fn next(&mut self, sleep: Duration) -> LoopEvent {
         tokio::select! {
             biased;
-            _ = term.recv() => {
-                // StoreReply twice, it ends at once.
-                if host.ends_at.is_some() {
-                    break;
-                }
-                host.ends_at = Some(host.now() + LEAVE);
-                let mut actions = Vec::new();
-                host.replica.handle(host.timestamp(), Event::Leave, &mut actions);
-                host.act(actions);
-            }
-            _ = int.recv() => break,
-            _ = hup.recv() => {}
-            event = disk_events.recv() => match event {
-                Some(event) => host.take_disk_event(event)?,
-                None => return Err(Ended::DiskThread),
-            },
-            input = waiting.recv() => {
-                let Some(input) = input else { break };
-                let mut actions = Vec::new();
-                host.take(input, &mut actions);
-                for _ in 1..AT_ONCE {
-                    let Ok(input) = waiting.try_recv() else { break };
-                    host.take(input, &mut actions);
-                }
-                host.act(actions);
-            }
-            () = tokio::time::sleep(host.pause()) => {
-                let mut actions = Vec::new();
-                host.replica.handle(host.timestamp(), Event::Tick, &mut actions);
-                host.act(actions);
-            }
-        }
-        if host
-            .ends_at
-            .is_some_and(|at| host.replica.has_left() || host.now() >= at)
-        {
-            break;
+            signal = self.signals.next() => LoopEvent::Signal(signal),
+            event = self.disk_events.recv() => LoopEvent::Disk(event),
+            input = self.inputs.recv() => LoopEvent::Input(input),
+            () = tokio::time::sleep(sleep) => LoopEvent::Timer,
         }
-        host.stand();
     }
-    host.close(&mut disk_events).await;
-    Ok(())
 }
 
-/// How the store stands, as followers are told.
+/// Health of the store, as subscribers know it.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Status {
-    settled: bool,
+struct Health {
+    up_to_date: bool,
     voters: Vec<Ipv4Addr>,
     disk: DiskState,
 }
 
+/// The replica with everything around it.
 struct Host<'a> {
-    began: Instant,
     settings: &'a Settings,
+    /// The origin of the replica's clock.
+    started_at: Instant,
     replica: Replica,
-    disk: DiskQueue,
-    links: Links,
+    disk: DiskMonitor,
+    peers: PeerLinks,
+    registries: RegistrySessions,
     identity: Arc<ProcessIdentity>,
-    registries: BTreeMap<u64, Registry>,
-    /// Which connection a call came on, and its number there.
-    calls: BTreeMap<u64, (u64, u64)>,
-    next_call: u64,
-    status: Status,
-    /// Answers that go out once all items that were known before have been told.
-    questions: Vec<(u64, u64, Option<u64>)>,
-    status_at: u64,
-    prune_at: u64,
-    /// When it ends, once it is told to.
-    ends_at: Option<u64>,
-    folder: PathBuf,
-    /// The system, as it is kept in the folder.
-    system: Option<NonZeroU64>,
-    /// A write failed, and the disk was not opened again yet.
-    disk_failed: bool,
-    /// More was to be written than may wait, and the replica was told that the disk failed.
-    overflowed: bool,
+    system: SystemRecord,
+    /// What subscribers were told last.
+    health: Health,
+    next_status_at: Instant,
+    next_link_check_at: Instant,
+    /// When the store ends even if it is still on the roster; `None` before SIGTERM.
+    leave_deadline: Option<Instant>,
 }
 
 impl Host<'_> {
-    fn now(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+    fn new<'a>(
+        settings: &'a Settings,
+        replica: Replica,
+        disk: DiskMonitor,
+        peers: PeerLinks,
+        identity: Arc<ProcessIdentity>,
+        system: SystemRecord,
+    ) -> Host<'a> {
+        let started_at = Instant::now();
+        Host {
+            settings,
+            started_at,
+            replica,
+            disk,
+            peers,
+            registries: RegistrySessions::default(),
+            identity,
+            system,
+            health: Health::default(),
+            next_status_at: started_at,
+            next_link_check_at: started_at + LINK_IDLE_INTERVAL,
+            leave_deadline: None,
+        }
     }
 
-    /// The time as the replica reads it.
-    fn timestamp(&self) -> Timestamp {
-        Timestamp::from_millis(self.now())
+    /// The time of the replica's clock.
+    fn replica_now(&self) -> Timestamp {
+        Timestamp::ZERO + self.started_at.elapsed()
     }
 
-    fn pause(&self) -> Duration {
-        let at = self
-            .replica
-            .next_tick_at()
-            .as_millis()
-            .min(self.status_at)
-            .min(self.ends_at.unwrap_or(u64::MAX));
-        Duration::from_millis(at.saturating_sub(self.now()).max(NAP))
+    async fn run_event_loop(&mut self, sources: &mut EventSources) -> Result<(), StoreError> {
+        loop {
+            let event = sources.next(self.time_until_due()).await;
+            if self.handle_event(event, &mut sources.inputs)?.is_break() || self.has_left() {
+                return Ok(());
+            }
+            self.publish_status();
+        }
     }
 
-    fn take(&mut self, input: Input, actions: &mut Vec<Action>) {
-        match input {
-            Input::Message { from, message } => {
-                self.replica
-                    .handle(self.timestamp(), Event::Message { from, message }, actions);
+    /// How long the event loop may sleep.
+    fn time_until_due(&self) -> Duration {
+        let replica_due = Duration::from_millis(self.replica.next_tick_at().as_millis());
+        let replica = replica_due.saturating_sub(self.started_at.elapsed());
+        let now = Instant::now();
+        let status = self.next_status_at.saturating_duration_since(now);
+        let leave = self
+            .leave_deadline
+            .map_or(Duration::MAX, |at| at.saturating_duration_since(now));
+        replica.min(status).min(leave).max(MIN_SLEEP)
+    }
+
+    /// Whether the store was told to end and has nothing left to wait for.
+    fn has_left(&self) -> bool {
+        self.leave_deadline
+            .is_some_and(|at| self.replica.has_left() || Instant::now() >= at)
+    }
+
+    fn handle_event(
+        &mut self,
+        event: LoopEvent,
+        inputs: &mut mpsc::Receiver<Input>,
+    ) -> Result<ControlFlow<()>, StoreError> {
+        match event {
+            LoopEvent::Signal(Signal::Terminate) => return Ok(self.on_terminate()),
+            LoopEvent::Signal(Signal::Interrupt) | LoopEvent::Input(None) => {
+                return Ok(ControlFlow::Break(()));
             }
-            Input::Closed { connection } => {
-                self.registries.remove(&connection);
-                self.calls.retain(|_, (from, _)| *from != connection);
+            // No setting of a store changes while it runs.
+            LoopEvent::Signal(Signal::Hangup) => {}
+            LoopEvent::Disk(Some(event)) => self.handle_disk_event(event)?,
+            LoopEvent::Disk(None) => return Err(StoreError::DiskWorkerEnded),
+            LoopEvent::Input(Some(first)) => self.handle_inputs(first, inputs),
+            LoopEvent::Timer => self.handle_in_replica(Event::Tick),
+        }
+        Ok(ControlFlow::Continue(()))
+    }
+
+    /// Asks to be taken off the roster. A second SIGTERM ends the store at once.
+    fn on_terminate(&mut self) -> ControlFlow<()> {
+        if self.leave_deadline.is_some() {
+            return ControlFlow::Break(());
+        }
+        self.leave_deadline = Some(Instant::now() + LEAVE_TIMEOUT);
+        self.handle_in_replica(Event::Leave);
+        ControlFlow::Continue(())
+    }
+
+    /// Handles an input and those that wait behind it, and then carries out the actions of all.
+    fn handle_inputs(&mut self, first: Input, inputs: &mut mpsc::Receiver<Input>) {
+        let mut actions = Vec::new();
+        self.handle_input(first, &mut actions);
+        for _ in 1..MAX_EVENTS_PER_SYNC {
+            let Ok(input) = inputs.try_recv() else { break };
+            self.handle_input(input, &mut actions);
+        }
+        self.apply_actions(actions);
+    }
+
+    fn handle_input(&mut self, input: Input, actions: &mut Vec<Action>) {
+        match input {
+            Input::PeerMessage { from, message } => {
+                let event = Event::Message { from, message };
+                self.replica.handle(self.replica_now(), event, actions);
             }
-            Input::StoreRequest {
+            Input::Request {
                 connection,
-                ask,
-                outbox,
-            } => self.ask(connection, ask, outbox, actions),
+                request,
+                replies,
+            } => self.handle_request(connection, request, replies, actions),
+            Input::Closed { connection } => self.registries.close(connection),
         }
     }
 
-    fn ask(
+    fn handle_request(
         &mut self,
-        connection: u64,
-        ask: StoreRequest,
-        outbox: Outbox,
+        connection: ConnectionId,
+        request: StoreRequest,
+        replies: SendQueue,
         actions: &mut Vec<Action>,
     ) {
-        self.registries.entry(connection).or_insert(Registry {
-            outbox,
-            follows: false,
-        });
-        if let StoreRequest::ConfirmFreshness { nonce: question } = ask {
-            let age = self.replica.confirmed_age(self.timestamp());
-            return self.questions.push((
-                connection,
-                question,
-                age.map(|age| age.as_millis() as u64),
-            ));
-        }
-        let Some((id, call)) = call(ask) else {
-            let items = self.replica.state().follower_items().cloned().collect();
-            if let Some(registry) = self.registries.get_mut(&connection) {
-                registry.follows = true;
+        self.registries.open(connection, replies);
+        let (request_id, call) = match request {
+            StoreRequest::Patch { id, body } => (id, Call::Patch(body)),
+            StoreRequest::Get { id } => (id, Call::Get),
+            StoreRequest::Evacuate { id, zone, begin } => {
+                let change = match begin {
+                    true => EvacuationChange::Begin,
+                    false => EvacuationChange::End,
+                };
+                (id, Call::Evacuate { zone, change })
             }
-            self.tell(connection, &StoreReply::Items { items });
-            let status = self.status_reply();
-            return self.tell(connection, &status);
-        };
-        if let Call::Evacuate { zone, .. } = &call {
-            if !self.settings.zone_regions.contains_key(zone) {
-                let body = format!("zone {zone:?}: is not known");
-                return self.tell(
-                    connection,
-                    &StoreReply::Response {
-                        id,
-                        status: 404,
-                        body,
-                    },
-                );
+            StoreRequest::Subscribe => return self.subscribe(connection),
+            StoreRequest::ConfirmFreshness { nonce } => {
+                let age = self.replica.confirmed_age(self.replica_now());
+                return self.registries.defer_confirmation(connection, nonce, age);
             }
+        };
+        if let Some((status, reason)) = self.rejection(&call) {
+            return self
+                .registries
+                .respond(connection, request_id, status, reason);
         }
-        if let (Some(reason), false) = (self.refusal(), matches!(call, Call::Get)) {
-            let body = reason.into();
-            return self.tell(
-                connection,
-                &StoreReply::Response {
-                    id,
-                    status: 503,
-                    body,
-                },
-            );
-        }
-        self.next_call += 1;
-        self.calls.insert(self.next_call, (connection, id));
-        self.replica.handle(
-            self.timestamp(),
-            Event::Call {
-                call_id: CallId(self.next_call),
-                call,
-            },
-            actions,
-        );
+        let call_id = self.registries.add_call(connection, request_id);
+        self.replica
+            .handle(self.replica_now(), Event::Call { call_id, call }, actions);
     }
 
-    /// One that doesn't read what it is told is let go: it comes again, and is told everything.
-    fn tell(&mut self, connection: u64, told: &StoreReply) {
-        if self
-            .registries
-            .get(&connection)
-            .is_some_and(|registry| !registry.tell(told))
-        {
-            self.registries.remove(&connection);
+    /// Sends the whole configuration and the status, and all changes from now on.
+    fn subscribe(&mut self, connection: ConnectionId) {
+        let items = self.replica.state().follower_items().cloned().collect();
+        self.registries.subscribe(connection);
+        self.registries
+            .send(connection, &StoreReply::Items { items });
+        let status = self.status_reply();
+        self.registries.send(connection, &status);
+    }
+
+    /// The status and reason with which a call is rejected before the replica sees it.
+    fn rejection(&mut self, call: &Call) -> Option<(u16, String)> {
+        match call {
+            Call::Evacuate { zone, .. } if !self.settings.zone_regions.contains_key(zone) => {
+                return Some((404, format!("zone {zone:?}: is not known")));
+            }
+            Call::Get => return None,
+            Call::Patch(_) | Call::Evacuate { .. } => {}
         }
+        rejection_reason(self.disk_state()).map(|reason| (503, reason.into()))
     }
 
-    fn tell_followers(&mut self, told: &StoreReply) {
-        self.registries
-            .retain(|_, registry| !registry.follows || registry.tell(told));
+    /// Passes an event to the replica and carries out its actions.
+    fn handle_in_replica(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.replica.handle(self.replica_now(), event, &mut actions);
+        self.apply_actions(actions);
     }
 
-    /// Does what is to be done, and submits what is to be written.
-    fn act(&mut self, actions: Vec<Action>) {
-        let (mut writes, mut sync) = (Vec::new(), None);
+    /// Sends messages and answers, and submits all writes as one batch.
+    fn apply_actions(&mut self, actions: Vec<Action>) {
+        let (mut writes, mut sync_token) = (Vec::new(), None);
         for action in actions {
             match action {
                 Action::Persist { token, write } => {
-                    sync = write.sync.then_some(token.0).or(sync);
+                    sync_token = write.sync.then_some(token).or(sync_token);
                     writes.push(write);
                 }
-                Action::Send { to, message } => {
-                    let frame = frames::encode(&ToStore::Consensus {
-                        from: self.settings.ip,
-                        message,
-                    });
-                    match frame {
-                        Ok(frame) => self.links.send(to, Arc::new(frame)),
-                        Err(error) => log::warn!("nothing sent to {to}: {error}"),
-                    }
-                }
+                Action::Send { to, message } => self.send_to_peer(to, message),
                 Action::Reply {
                     call_id,
                     status,
                     body,
                 } => {
-                    if let Some((connection, id)) = self.calls.remove(&call_id.0) {
-                        self.tell(connection, &StoreReply::Response { id, status, body });
-                    }
+                    self.registries.complete_call(call_id, status, body);
                 }
-                Action::Learned { items } => self.tell_followers(&StoreReply::Items { items }),
+                Action::Learned { items } => self.registries.publish(&StoreReply::Items { items }),
             }
         }
-        if !writes.is_empty() && self.disk.submit(Instant::now(), writes, sync).is_err() {
-            self.overflowed = true;
-            self.handle(Event::DiskFailed {
-                reason: DISK_STALLED.into(),
+        if !writes.is_empty() && self.disk.submit(writes, sync_token).is_err() {
+            self.handle_in_replica(Event::DiskFailed {
+                reason: DISK_STALLED_REASON.into(),
             });
         }
     }
 
-    fn handle(&mut self, event: Event) {
-        let mut actions = Vec::new();
-        self.replica.handle(self.timestamp(), event, &mut actions);
-        self.act(actions);
+    fn send_to_peer(&mut self, peer: Ipv4Addr, message: Message) {
+        let frame = frames::encode(&ToStore::Consensus {
+            from: self.settings.ip,
+            message,
+        });
+        match frame {
+            Ok(frame) => self.peers.send(peer, Arc::new(frame)),
+            Err(error) => {
+                log::warn!("cannot encode a message to another store: peer={peer} error={error}");
+            }
+        }
     }
 
-    fn take_disk_event(&mut self, event: DiskEvent) -> Result<(), DiskError> {
+    fn handle_disk_event(&mut self, event: DiskEvent) -> Result<(), DiskError> {
         match event {
-            DiskEvent::Synced { token } => self.handle(Event::Persisted {
-                token: WriteToken(token),
-            }),
-            DiskEvent::Failed(failed) => {
+            DiskEvent::Synced { token } => self.handle_in_replica(Event::Persisted { token }),
+            DiskEvent::Failed(error) => {
                 log::error!(
-                    "changes and votes are refused until the disk takes writes again: {failed}"
+                    "the disk failed, votes and changes are rejected until it is restored: error={error}"
                 );
-                self.disk.on_disk_failed();
-                self.disk_failed = true;
-                self.overflowed = false;
-                self.handle(Event::DiskFailed {
-                    reason: DISK_FULL.into(),
+                self.disk.on_failed();
+                self.handle_in_replica(Event::DiskFailed {
+                    reason: DISK_FULL_REASON.into(),
                 });
             }
             DiskEvent::Reopened => {
-                self.disk_failed = false;
-                self.handle(Event::DiskRestored);
+                self.disk.on_reopened();
+                self.handle_in_replica(Event::DiskRestored);
             }
-            DiskEvent::Damaged(damaged) => return Err(damaged),
+            DiskEvent::Damaged(error) => return Err(error),
             DiskEvent::Closed => {}
         }
         Ok(())
     }
 
-    /// Has what a first start writes synced before anybody can hear of this store; a stall is not waited for.
+    /// Waits until what a first start writes is synced, so that nobody hears of this store before that. A disk that
+    /// stalls is not waited for.
     async fn wait_for_first_sync(
         &mut self,
-        events: &mut mpsc::Receiver<DiskEvent>,
+        disk_events: &mut mpsc::Receiver<DiskEvent>,
     ) -> Result<(), DiskError> {
-        while !self.disk.is_idle() {
-            match tokio::time::timeout(FIRST_SYNC, events.recv()).await {
-                Ok(Some(event)) => self.take_disk_event(event)?,
+        while !self.disk.queue.is_idle() {
+            match tokio::time::timeout(FIRST_SYNC_TIMEOUT, disk_events.recv()).await {
+                Ok(Some(event)) => self.handle_disk_event(event)?,
                 _ => break,
             }
         }
         Ok(())
     }
 
-    /// Has the replica take part again once all that waited for the disk is done.
-    fn recover_from_overflow(&mut self) {
-        if self.overflowed && self.disk.is_idle() {
-            self.overflowed = false;
-            self.handle(Event::DiskRestored);
-        }
-    }
-
-    /// Waits a little for the last sync.
-    async fn close(&self, events: &mut mpsc::Receiver<DiskEvent>) {
-        if self.disk.close().is_err() {
+    /// Waits for the last sync, up to [`CLOSE_TIMEOUT`].
+    async fn close_disk(&self, disk_events: &mut mpsc::Receiver<DiskEvent>) {
+        if self.disk.queue.close().is_err() {
             return;
         }
         let closed =
-            async { while !matches!(events.recv().await, Some(DiskEvent::Closed) | None) {} };
-        if tokio::time::timeout(CLOSE, closed).await.is_err() {
-            log::warn!("ended before the disk was done");
+            async { while !matches!(disk_events.recv().await, Some(DiskEvent::Closed) | None) {} };
+        if tokio::time::timeout(CLOSE_TIMEOUT, closed).await.is_err() {
+            log::warn!("the store ended before its last sync: timeout={CLOSE_TIMEOUT:?}");
         }
     }
 
-    /// Finds out which system this is, and keeps it.
-    fn tend_system(&mut self) {
-        if self.system.is_some() {
-            return;
+    /// Sends what is due after the actions of an event: confirmations, and the status if it changed or is due.
+    fn publish_status(&mut self) {
+        if self.disk.take_drained_overflow() {
+            self.handle_in_replica(Event::DiskRestored);
         }
-        if self.identity.system().is_none() && self.status.settled {
-            let version = self
-                .replica
-                .state()
-                .roster()
-                .map_or(emberpin_config::Version(0), |roster| roster.version);
-            if let Some(system) = system_id::founded_by(version, &self.replica.voters()) {
-                self.identity.learn_system(system);
-            }
+        self.registries.send_confirmations();
+        self.update_system();
+        let health = self.current_health();
+        let now = Instant::now();
+        if now >= self.next_status_at || health != self.health {
+            self.next_status_at = now + STATUS_INTERVAL;
+            self.replace_health(health);
+            let status = self.status_reply();
+            self.registries.publish(&status);
         }
-        self.system = self.identity.system();
-        if let Some(system) = self.system {
-            let folder = self.folder.clone();
-            tokio::task::spawn_blocking(move || {
-                if let Err(error) = system_id::save(&folder, system) {
-                    log::warn!("the system's number is not kept: {error}");
-                }
-            });
+        if now >= self.next_link_check_at {
+            self.next_link_check_at = now + LINK_IDLE_INTERVAL;
+            self.peers.close_idle();
         }
     }
 
-    fn disk_state(&mut self) -> DiskState {
-        if self.overflowed || self.disk.is_stalled(Instant::now()) {
-            DiskState::Stalled
-        } else if self.disk_failed || self.replica.disk_unavailable_reason().is_some() {
-            DiskState::Full
-        } else if self.is_nearly_full() {
-            DiskState::NearlyFull
-        } else {
-            DiskState::Writable
+    fn current_health(&mut self) -> Health {
+        Health {
+            up_to_date: self.replica.is_up_to_date(self.replica_now()),
+            voters: self.replica.voters(),
+            disk: self.disk_state(),
         }
     }
 
-    fn is_nearly_full(&self) -> bool {
-        let most = (self.settings.disk_mib << 20) / 100 * FULL;
-        most > 0 && self.disk.used_bytes() >= most
+    fn replace_health(&mut self, health: Health) {
+        if health.disk != self.health.disk {
+            log::warn!(
+                "the state of the disk changed: state={:?} previous={:?}",
+                health.disk.as_str(),
+                self.health.disk.as_str()
+            );
+        }
+        self.health = health;
     }
 
-    /// Why a change is not even given to the replica.
-    fn refusal(&mut self) -> Option<&'static str> {
-        match self.disk_state() {
-            DiskState::Writable => None,
-            DiskState::NearlyFull => Some("the disk is nearly full"),
-            DiskState::Full => Some(DISK_FULL),
-            DiskState::Stalled => Some(DISK_STALLED),
-        }
+    fn disk_state(&mut self) -> DiskState {
+        let replica_rejects = self.replica.disk_unavailable_reason().is_some();
+        self.disk.state(replica_rejects)
     }
 
     fn status_reply(&self) -> StoreReply {
-        let Status {
-            settled,
+        let Health {
+            up_to_date,
             voters,
             disk,
-        } = self.status.clone();
-        let size = self.settings.disk_mib << 20;
-        let disk = DiskStatus {
-            state: disk,
-            used_bytes: self.disk.used_bytes(),
-            limit_bytes: size,
-        };
+        } = self.health.clone();
         StoreReply::Status {
-            caught_up: settled,
+            up_to_date,
             voters,
-            disk,
+            disk: self.disk.status(disk),
             rejected_peers: self.identity.rejected_peers(),
         }
     }
 
-    /// Tells followers how the store stands, when it is due and when it changes.
-    fn stand(&mut self) {
-        let now = self.now();
-        self.recover_from_overflow();
-        for (connection, question, age) in std::mem::take(&mut self.questions) {
-            self.tell(
-                connection,
-                &StoreReply::FreshnessConfirmed {
-                    nonce: question,
-                    age_ms: age,
-                },
-            );
-        }
-        self.tend_system();
-        let (settled, voters) = (
-            self.replica.is_up_to_date(self.timestamp()),
-            self.replica.voters(),
-        );
-        let status = Status {
-            settled,
-            voters,
-            disk: self.disk_state(),
-        };
-        if now >= self.status_at || status != self.status {
-            self.status_at = now + STATUS;
-            if status.disk != self.status.disk {
-                log::warn!(
-                    "the disk is {}, and was {}",
-                    status.disk.as_str(),
-                    self.status.disk.as_str()
-                );
+    /// Records the system that this store belongs to, once it is known.
+    fn update_system(&mut self) {
+        let (replica, up_to_date) = (&self.replica, self.health.up_to_date);
+        self.system.update(|| {
+            if !up_to_date {
+                return None;
             }
-            self.status = status;
-            let status = self.status_reply();
-            self.tell_followers(&status);
-        }
-        if now >= self.prune_at {
-            self.prune_at = now + PRUNE;
-            self.links.prune();
-        }
+            founded_system(replica)
+        });
     }
 }
+
+/// The system that the voters founded, if theirs is the first roster.
+fn founded_system(replica: &Replica) -> Option<NonZeroU64> {
+    let roster = replica.state().roster()?;
+    system_id::founded_by(roster.version, &replica.voters())
+}
--- /dev/null
+++ b/crates/emberpin-store/src/input.rs
@@ -0,0 +1,35 @@
+//! What the event loop receives from connections.
+
+use crate::protocol::StoreRequest;
+use crate::send_queue::SendQueue;
+use emberpin_consensus::Message;
+use std::net::Ipv4Addr;
+
+/// Number of an accepted connection, unique within this process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ConnectionId(pub u64);
+
+/// A frame that arrived, or the end of a connection.
+pub enum Input {
+    /// A consensus message from another store.
+    PeerMessage {
+        /// The sender's address.
+        from: Ipv4Addr,
+        /// The message.
+        message: Message,
+    },
+    /// A request from a registry.
+    Request {
+        /// The connection it arrived on.
+        connection: ConnectionId,
+        /// The request.
+        request: StoreRequest,
+        /// Where replies go.
+        replies: SendQueue,
+    },
+    /// A connection ended. Nothing more arrives on it.
+    Closed {
+        /// The connection.
+        connection: ConnectionId,
+    },
+}
--- /dev/null
+++ b/crates/emberpin-store/src/listener.rs
@@ -0,0 +1,181 @@
+//! Accepts connections from stores and registries, and passes what arrives on them to the event loop.
+
+use crate::input::{ConnectionId, Input};
+use crate::protocol::ToStore;
+use crate::send_queue::{write_frame, QueuedFrames, SendQueue};
+use crate::socket;
+use emberpin_runtime::frames::{self, ConnectionError};
+use emberpin_runtime::identity::ProcessIdentity;
+use std::future::Future;
+use std::io;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{mpsc, Semaphore};
+use tokio::time::{sleep, timeout};
+
+/// Most connections at a time. Further ones wait until one ends.
+const MAX_CONNECTIONS: usize = 256;
+/// A peer that sends no first frame, or a store that sends nothing at all for this long, is gone. Stores compare their
+/// states twice a second. Registries may be silent.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time before the next attempt if a connection could not be accepted.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
+
+/// Accepts connections for as long as the process runs.
+pub async fn listen(
+    listener: TcpListener,
+    identity: Arc<ProcessIdentity>,
+    inputs: mpsc::Sender<Input>,
+) {
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let malformed_frames = Arc::<AtomicU64>::default();
+    for number in 0.. {
+        let Ok(permit) = permits.clone().acquire_owned().await else {
+            return;
+        };
+        let stream = match listener.accept().await {
+            Ok((stream, _)) => stream,
+            Err(error) => {
+                log::warn!("cannot accept a connection: error={error}");
+                sleep(ACCEPT_BACKOFF).await;
+                continue;
+            }
+        };
+        let connection = ConnectionId(number);
+        let (identity, inputs) = (identity.clone(), inputs.clone());
+        let malformed_frames = malformed_frames.clone();
+        tokio::spawn(async move {
+            let served = serve(stream, connection, &identity, &inputs).await;
+            if let Err(error) = served {
+                log_if_malformed(&error, &malformed_frames);
+            }
+            _ = inputs.send(Input::Closed { connection }).await;
+            drop(permit);
+        });
+    }
+}
+
+/// A malformed frame hints at a fault of some build, unlike a connection that breaks.
+fn log_if_malformed(error: &ConnectionError, malformed_frames: &AtomicU64) {
+    if let ConnectionError::Malformed(_) | ConnectionError::FrameTooLong(_) = error {
+        let count = malformed_frames.fetch_add(1, Ordering::Relaxed) + 1;
+        log::warn!("closed a connection on a malformed frame: error={error} count={count}");
+    }
+}
+
+/// Exchanges preambles, and reads the connection to its end.
+async fn serve(
+    stream: TcpStream,
+    id: ConnectionId,
+    identity: &ProcessIdentity,
+    inputs: &mpsc::Sender<Input>,
+) -> Result<(), ConnectionError> {
+    socket::configure(&stream)?;
+    let (mut reader, mut writer) = stream.into_split();
+    within(IDLE_TIMEOUT, identity.receive_preamble(&mut reader)).await?;
+    identity.send_preamble(&mut writer).await?;
+    let connection = Connection {
+        id,
+        reader,
+        writer: Some(writer),
+        replies: None,
+        peer: PeerKind::Unknown,
+    };
+    connection.read_to_end(inputs).await
+}
+
+/// Who is at the other end, as its frames show.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum PeerKind {
+    /// It has sent no frame yet.
+    Unknown,
+    Registry,
+    Store,
+}
+
+/// An accepted connection after the handshake.
+struct Connection {
+    id: ConnectionId,
+    reader: OwnedReadHalf,
+    /// Taken by the task that writes replies, which starts at the first request.
+    writer: Option<OwnedWriteHalf>,
+    replies: Option<SendQueue>,
+    peer: PeerKind,
+}
+
+impl Connection {
+    /// Passes frames to the event loop until the connection ends, its replies are not taken, or the loop is gone.
+    async fn read_to_end(mut self, inputs: &mpsc::Sender<Input>) -> Result<(), ConnectionError> {
+        while let Some(frame) = self.next_frame().await? {
+            let input = match frame {
+                ToStore::Consensus { from, message } => {
+                    self.peer = PeerKind::Store;
+                    Input::PeerMessage { from, message }
+                }
+                ToStore::Request(request) => {
+                    if self.peer == PeerKind::Unknown {
+                        self.peer = PeerKind::Registry;
+                    }
+                    Input::Request {
+                        connection: self.id,
+                        request,
+                        replies: self.reply_queue(),
+                    }
+                }
+            };
+            if inputs.send(input).await.is_err() {
+                break;
+            }
+        }
+        Ok(())
+    }
+
+    /// Reads a frame; `None` if the replies to a registry are not taken any more.
+    async fn next_frame(&mut self) -> Result<Option<ToStore>, ConnectionError> {
+        let frame = frames::read(&mut self.reader);
+        match (self.peer, &self.replies) {
+            (PeerKind::Registry, Some(replies)) => tokio::select! {
+                frame = frame => frame.map(Some),
+                () = replies.closed() => Ok(None),
+            },
+            _ => within(IDLE_TIMEOUT, frame).await.map(Some),
+        }
+    }
+
+    /// The queue of replies, whose writer starts at the first request.
+    fn reply_queue(&mut self) -> SendQueue {
+        let writer = &mut self.writer;
+        self.replies
+            .get_or_insert_with(|| {
+                let (queue, frames) = SendQueue::new();
+                if let Some(writer) = writer.take() {
+                    tokio::spawn(write_replies(writer, frames));
+                }
+                queue
+            })
+            .clone()
+    }
+}
+
+/// Fails with [`io::ErrorKind::TimedOut`] if it takes too long.
+async fn within<T>(
+    limit: Duration,
+    operation: impl Future<Output = Result<T, ConnectionError>>,
+) -> Result<T, ConnectionError> {
+    match timeout(limit, operation).await {
+        Ok(result) => result,
+        Err(_) => Err(io::Error::from(io::ErrorKind::TimedOut).into()),
+    }
+}
+
+/// Writes replies until the registry does not take them any more or nothing is left to send.
+async fn write_replies(mut writer: OwnedWriteHalf, mut frames: QueuedFrames) {
+    while let Some(frame) = frames.next().await {
+        if !write_frame(&mut writer, &frame).await {
+            return;
+        }
+    }
+}
--- a/crates/emberpin-store/src/program.rs
+++ b/crates/emberpin-store/src/program.rs
@@ -1,28 +1,47 @@
-//! The command line.
+//! The command line, and the process around [`host`].
 
-use crate::host;
+use crate::host::{self, StoreError};
 use emberpin_runtime::logs;
-use emberpin_runtime::settings::Settings;
+use emberpin_runtime::settings::{Settings, SettingsError};
 use getopts::Options;
 use log::LevelFilter;
 use std::ffi::OsString;
+use std::io;
 use std::process::ExitCode;
 
-/// Something in the settings, on the disk or on the network keeps the store from starting.
-const WRONG: u8 = 2;
+/// The exit status of a store that could not start, or whose disk was found damaged.
+const EXIT_FAILURE: u8 = 2;
 
-/// Runs the program with these arguments.
+const USAGE: &str = "Usage: emberpin-store [--help | --version | --check]\n\nKeeps the configuration. Its settings \
+                     are in the file that EMBERPIN_NODE_FILE names.";
+
+/// Why the program ended with a failure.
+#[derive(Debug, thiserror::Error)]
+enum ProgramError {
+    #[error(transparent)]
+    Arguments(#[from] getopts::Fail),
+    #[error("{0:?}: is not an option; --help says which there are")]
+    UnknownArgument(String),
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    #[error("cannot start the runtime: {0}")]
+    Runtime(#[source] io::Error),
+    #[error(transparent)]
+    Store(#[from] StoreError),
+}
+
+/// Runs the program with the arguments that follow its name.
 pub fn main(arguments: impl Iterator<Item = OsString>) -> ExitCode {
     match run(arguments) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(wrong) => {
-            eprintln!("emberpin-store: {wrong}");
-            ExitCode::from(WRONG)
+        Err(error) => {
+            eprintln!("emberpin-store: {error}");
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
 
-fn run(arguments: impl Iterator<Item = OsString>) -> Result<(), String> {
+fn options() -> Options {
     let mut options = Options::new();
     options.optflag("h", "help", "say how the program is used, and end");
     options.optflag("V", "version", "say which version it is, and end");
@@ -31,30 +50,28 @@
         "check",
         "read the settings, say what is wrong with them, and end",
     );
-    let given = options
-        .parse(arguments)
-        .map_err(|wrong| wrong.to_string())?;
-    if given.opt_present("help") {
-        let brief =
-            "Usage: emberpin-store [--help | --version | --check]\n\nKeeps the configuration. Its settings \
-                     are in the file that EMBERPIN_NODE_FILE names.";
-        print!("{}", options.usage(brief));
+    options
+}
+
+fn run(arguments: impl Iterator<Item = OsString>) -> Result<(), ProgramError> {
+    let options = options();
+    let matches = options.parse(arguments)?;
+    if matches.opt_present("help") {
+        print!("{}", options.usage(USAGE));
         return Ok(());
     }
-    if given.opt_present("version") {
+    if matches.opt_present("version") {
         println!("emberpin-store {}", env!("CARGO_PKG_VERSION"));
         return Ok(());
     }
-    if let Some(unknown) = given.free.first() {
-        return Err(format!(
-            "{unknown:?}: is not an option; --help says which there are"
-        ));
+    if let Some(argument) = matches.free.first() {
+        return Err(ProgramError::UnknownArgument(argument.clone()));
     }
-    let settings = Settings::from_env().map_err(|wrong| wrong.to_string())?;
+    let settings = Settings::from_env()?;
     if settings.data_dir.is_none() {
-        return Err("self.datadir: is missing; a store needs a disk".into());
+        return Err(StoreError::MissingDataDir.into());
     }
-    if given.opt_present("check") {
+    if matches.opt_present("check") {
         return Ok(());
     }
     logs::init(LevelFilter::Warn);
@@ -62,8 +79,6 @@
         .enable_all()
         .max_blocking_threads(1)
         .build()
-        .map_err(|wrong| wrong.to_string())?;
-    runtime
-        .block_on(host::run(&settings))
-        .map_err(|wrong| wrong.to_string())
+        .map_err(ProgramError::Runtime)?;
+    Ok(runtime.block_on(host::run(&settings))?)
 }
--- a/crates/emberpin-store/src/protocol.rs
+++ b/crates/emberpin-store/src/protocol.rs
@@ -83,7 +83,7 @@
     /// Health of the store, sent to subscribers when it changes and at least twice a second.
     Status {
         /// Whether the store's items are no older than what a majority of the voters held a second ago.
-        caught_up: bool,
+        up_to_date: bool,
         /// Addresses of the machines whose stores vote.
         voters: Vec<Ipv4Addr>,
         /// Condition and usage of the store's disk.
--- /dev/null
+++ b/crates/emberpin-store/src/signals.rs
@@ -0,0 +1,47 @@
+//! The signals that a store handles.
+
+use std::io;
+use tokio::signal::unix::{signal, Signal as SignalStream, SignalKind};
+
+/// A signal that arrived.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Signal {
+    /// SIGTERM.
+    Terminate,
+    /// SIGINT.
+    Interrupt,
+    /// SIGHUP.
+    Hangup,
+}
+
+/// Handlers of the signals, which replace the kernel's default of ending the process.
+pub struct Signals {
+    terminate: SignalStream,
+    interrupt: SignalStream,
+    hangup: SignalStream,
+}
+
+impl Signals {
+    /// Installs the handlers.
+    ///
+    /// # Errors
+    ///
+    /// The operating system refused one.
+    pub fn install() -> io::Result<Signals> {
+        Ok(Signals {
+            terminate: signal(SignalKind::terminate())?,
+            interrupt: signal(SignalKind::interrupt())?,
+            hangup: signal(SignalKind::hangup())?,
+        })
+    }
+
+    /// Waits for a signal. May be cancelled without losing one.
+    pub async fn next(&mut self) -> Signal {
+        tokio::select! {
+            biased;
+            _ = self.terminate.recv() => Signal::Terminate,
+            _ = self.interrupt.recv() => Signal::Interrupt,
+            _ = self.hangup.recv() => Signal::Hangup,
+        }
+    }
+}
--- a/crates/emberpin-store/src/system_id.rs
+++ b/crates/emberpin-store/src/system_id.rs
@@ -1,50 +1,106 @@
-//! Which system a store belongs to: a digest of the first roster, taken by its founders once a majority of them
-//! agrees, learned by all others from the machines that their settings name, and kept beside the disk's files.
-//! Whoever doesn't know it yet is let in everywhere, and lets everybody in.
+//! The number of the system that a store belongs to, a digest of the first roster.
 //!
-//! It tells systems with other founders apart, not two that the same addresses founded one after the other.
+//! Founders compute it once a majority of them agrees on the roster; all others learn it from the machines that their
+//! settings name. It is kept in a file of the data folder. A process that does not know its number yet accepts all
+//! peers, and is accepted by all.
+//!
+//! The number tells systems with different founders apart, not two that the same addresses founded one after the other.
 
 use emberpin_config::Version;
+use emberpin_runtime::identity::ProcessIdentity;
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::net::Ipv4Addr;
 use std::num::NonZeroU64;
-use std::path::Path;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The file, in the folder that the settings name, and what it is called until it is whole.
-const NAME: &str = "system";
-const FORMING: &str = "system.forming";
+/// Name of the file in the data folder.
+const FILE_NAME: &str = "system";
+/// Name of the file while it is written. It is renamed once it is complete.
+const INCOMPLETE_FILE_NAME: &str = "system.forming";
 /// The version of the roster that founders begin with.
-const FIRST_ROSTER: Version = Version(1);
+const FIRST_ROSTER_VERSION: Version = Version(1);
 
-/// The system that the voters of this version of the roster found; `None`, if they replaced others.
-pub fn founded_by(version: Version, voters: &[Ipv4Addr]) -> Option<NonZeroU64> {
-    if version != FIRST_ROSTER {
+/// The number of the system that these voters founded; `None` if this version of the roster is a later one.
+pub fn founded_by(roster_version: Version, voters: &[Ipv4Addr]) -> Option<NonZeroU64> {
+    if roster_version != FIRST_ROSTER_VERSION {
         return None;
     }
     let bytes: Vec<u8> = voters.iter().flat_map(Ipv4Addr::octets).collect();
     NonZeroU64::new(xxh3_64(&bytes))
 }
 
-/// What was kept, if it is whole.
-pub fn load(folder: &Path) -> Option<NonZeroU64> {
-    let text = fs::read_to_string(folder.join(NAME)).ok()?;
-    let id = u64::from_str_radix(text.trim(), 16)
+/// The system's number as the process knows it and as the data folder has it.
+pub struct SystemRecord {
+    folder: PathBuf,
+    identity: Arc<ProcessIdentity>,
+    /// Whether the number is in the file, or on its way there.
+    is_saved: bool,
+}
+
+impl SystemRecord {
+    /// Reads the number from a data folder, if it is there, and has the process adopt it.
+    pub fn load(folder: PathBuf, identity: Arc<ProcessIdentity>) -> SystemRecord {
+        let system = read(&folder);
+        if let Some(system) = system {
+            identity.learn_system(system);
+        }
+        SystemRecord {
+            folder,
+            identity,
+            is_saved: system.is_some(),
+        }
+    }
+
+    /// Saves the number once the process knows it. If no peer has told it, it is the one of the system that this store
+    /// founded, if there is such a system.
+    pub fn update(&mut self, founded_system: impl FnOnce() -> Option<NonZeroU64>) {
+        if self.is_saved {
+            return;
+        }
+        if self.identity.system().is_none() {
+            if let Some(system) = founded_system() {
+                self.identity.learn_system(system);
+            }
+        }
+        if let Some(system) = self.identity.system() {
+            self.is_saved = true;
+            let folder = self.folder.clone();
+            tokio::task::spawn_blocking(move || {
+                if let Err(error) = save(&folder, system) {
+                    log::warn!(
+                        "cannot save the system's number: system={system:016x} error={error}"
+                    );
+                }
+            });
+        }
+    }
+}
+
+/// Reads the number from its file; `None` if there is none or it is malformed.
+fn read(folder: &Path) -> Option<NonZeroU64> {
+    let path = folder.join(FILE_NAME);
+    let text = fs::read_to_string(&path).ok()?;
+    let system = u64::from_str_radix(text.trim(), 16)
         .ok()
         .and_then(NonZeroU64::new);
-    if id.is_none() {
-        log::warn!("the file {NAME} is passed over: it holds no number");
+    if system.is_none() {
+        log::warn!(
+            "ignored a malformed file with the system's number: file={}",
+            path.display()
+        );
     }
-    id
+    system
 }
 
-/// Keeps it.
-pub fn save(folder: &Path, id: NonZeroU64) -> io::Result<()> {
-    let forming = folder.join(FORMING);
-    let mut file = File::create(&forming)?;
-    writeln!(file, "{id:016x}")?;
+/// Writes the number to its file, which is complete or absent after a crash.
+fn save(folder: &Path, system: NonZeroU64) -> io::Result<()> {
+    let incomplete = folder.join(INCOMPLETE_FILE_NAME);
+    let mut file = File::create(&incomplete)?;
+    writeln!(file, "{system:016x}")?;
     file.sync_all()?;
-    fs::rename(&forming, folder.join(NAME))?;
+    fs::rename(&incomplete, folder.join(FILE_NAME))?;
     File::open(folder)?.sync_all()
 }
--- a/crates/emberpin-store/tests/processes.rs
+++ b/crates/emberpin-store/tests/processes.rs
@@ -225,7 +225,7 @@
     async fn voters(&self, wanted: &[Ipv4Addr]) {
         self.follow(|told| match told {
             StoreReply::Status {
-                caught_up: true,
+                up_to_date: true,
                 voters,
                 ..
             } if voters == wanted => Some(()),
