--- a/crates/emberpin-membership/src/change_log.rs
+++ b/crates/emberpin-membership/src/change_log.rs
@@ -1,4 +1,4 @@
-//! The log of changes that limiters follow. It records which entry changed at which revision; the entry itself is read
+//! The log of changes that proxies follow. It records which entry changed at which revision; the entry itself is read
 //! from the tables when the change is sent.
 
 use crate::ids::Incarnation;
@@ -6,7 +6,7 @@
 use emberpin_config::ItemKey;
 use std::collections::{BTreeSet, VecDeque};
 
-/// The number of changes that the log keeps. A limiter that is further behind gets a snapshot.
+/// The number of changes that the log keeps. A proxy that is further behind gets a snapshot.
 pub const CAPACITY: usize = 4096;
 
 /// An entry of the tables that has changed.
--- a/crates/emberpin-membership/src/guards.rs
+++ b/crates/emberpin-membership/src/guards.rs
@@ -9,8 +9,8 @@
     pub monotonic_status: bool,
     /// Instances are evicted only after the registry has been confirmed for a whole eviction timeout.
     pub confirmed_eviction: bool,
-    /// A registry restores its table from the instances that limiters know.
-    pub repair_from_limiters: bool,
+    /// A registry restores its table from the instances that proxies know.
+    pub repair_from_proxies: bool,
     /// A new instance evicts those that had its address before.
     pub displacement: bool,
     /// A revision that the change log does not reach back to is answered with a snapshot.
@@ -29,7 +29,7 @@
             majority_acknowledgement: true,
             monotonic_status: true,
             confirmed_eviction: true,
-            repair_from_limiters: true,
+            repair_from_proxies: true,
             displacement: true,
             revision_check: true,
             lease_from_query: true,
--- a/crates/emberpin-membership/src/ids.rs
+++ b/crates/emberpin-membership/src/ids.rs
@@ -8,7 +8,9 @@
 
 /// Identifies a lease query, so that an answer renews the lease from the time at which its query was sent. Unique for
 /// one [`crate::lease::Lease`].
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Nonce(pub u64);
 
 /// Identifies a change that a registry wants acknowledged by its peers. Unique for the sender's incarnation.
@@ -20,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Digest(pub u64);
 
-/// Identifies a limiter's session with this registry, unique within the process. Drawn by the host.
+/// Identifies a proxy's session with this registry, unique within the process. Drawn by the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
--- a/crates/emberpin-membership/src/instance.rs
+++ b/crates/emberpin-membership/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance of a server, as registries replicate it to each other and to the limiters.
+//! One instance of a server, as registries replicate it to each other and to the proxies.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 /// of them arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Status {
-    /// Accepts requests.
+    /// Accepts new requests.
     Up,
     /// Shuts down gracefully: finishes its requests in flight and gets no new ones.
     Draining,
--- a/crates/emberpin-membership/src/instance_table.rs
+++ b/crates/emberpin-membership/src/instance_table.rs
@@ -67,7 +67,7 @@
         self.instance.seq
     }
 
-    /// The instance with its effective status, for limiters.
+    /// The instance with its effective status, for proxies.
     pub fn instance(&self, now: Timestamp) -> Instance {
         Instance {
             status: self.status(),
@@ -94,7 +94,7 @@
         u32::try_from(left).unwrap_or(u32::MAX)
     }
 
-    /// What limiters see of the instance, its cold time aside.
+    /// What proxies see of the instance, its cold time aside.
     fn visible_state(&self) -> (Status, SocketAddr, u32) {
         (self.status(), self.instance.address, self.instance.slots)
     }
@@ -150,7 +150,7 @@
 pub struct MergeOutcome {
     /// The instance was not known before.
     pub is_new: bool,
-    /// What limiters see of the instance has changed.
+    /// What proxies see of the instance has changed.
     pub is_visible: bool,
     /// Another registry than before receives the instance's heartbeats.
     pub owner_changed: bool,
@@ -191,7 +191,7 @@
         self.entries.range::<str, _>((from, Bound::Unbounded))
     }
 
-    /// The instance as limiters get it; a forgotten one is removed.
+    /// The instance as proxies get it; a forgotten one is removed.
     pub fn instance(&self, now: Timestamp, instance_id: &str) -> Instance {
         self.entries
             .get(instance_id)
@@ -228,7 +228,7 @@
     }
 
     /// Merges a record of an instance: from a server's heartbeat (`owner` is this registry then), from another registry,
-    /// or from a limiter.
+    /// or from a proxy.
     pub fn merge(&mut self, now: Timestamp, record: InstanceRecord) -> MergeOutcome {
         let Some(entry) = self.entries.get_mut(&record.instance.id) else {
             return self.insert(now, record);
--- a/crates/emberpin-membership/src/lease.rs
+++ b/crates/emberpin-membership/src/lease.rs
@@ -24,7 +24,7 @@
 /// The lease on the state received from one peer.
 #[derive(Clone, Debug, Default)]
 pub struct Lease {
-    last_nonce: u64,
+    last_nonce: Nonce,
     /// Queries in flight, the oldest first.
     pending: VecDeque<PendingQuery>,
     /// Everything that was known to the peer by then has been received; in milliseconds on the clock of
@@ -35,8 +35,8 @@
 impl Lease {
     /// Begins a query that is sent now; its nonce goes with it.
     pub fn begin_query(&mut self, now: Timestamp) -> Nonce {
-        self.last_nonce += 1;
-        let nonce = Nonce(self.last_nonce);
+        let nonce = Nonce(self.last_nonce.0 + 1);
+        self.last_nonce = nonce;
         if self.pending.len() == MAX_PENDING_QUERIES {
             self.pending.pop_front();
         }
@@ -95,7 +95,7 @@
     i64::try_from(millis).unwrap_or(i64::MAX)
 }
 
-/// A limiter's lease on the state received from one registry, for the time of one session.
+/// A proxy's lease on the state received from one registry, for the time of one session.
 #[derive(Clone, Debug)]
 pub struct SessionLease {
     lease: Lease,
@@ -132,7 +132,7 @@
         self.lease.is_valid(now, PROXY_LEASE_DURATION)
     }
 
-    /// Whether the limiter is to end the session and try another registry: the lease has expired, or was not confirmed
+    /// Whether the proxy is to end the session and try another registry: the lease has expired, or was not confirmed
     /// within [`FIRST_CONFIRMATION_TIMEOUT`].
     pub fn is_expired(&self, now: Timestamp) -> bool {
         !self.is_confirmed(now)
--- a/crates/emberpin-membership/src/peers.rs
+++ b/crates/emberpin-membership/src/peers.rs
@@ -23,14 +23,14 @@
     pub owner: Option<Ipv4Addr>,
 }
 
-/// Identifies a limiter that has a session with a registry.
+/// Identifies a proxy that has a session with a registry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimiterIdentity {
-    /// The limiter's incarnation, drawn at random when its process starts.
+pub struct ProxyIdentity {
+    /// The proxy's incarnation, drawn at random when its process starts.
     pub incarnation: Incarnation,
-    /// The name of the limiter's machine; limiters are counted by it.
+    /// The name of the proxy's machine; proxies are counted by it.
     pub name: String,
-    /// The zone of the limiter's machine.
+    /// The zone of the proxy's machine.
     pub zone: String,
 }
 
@@ -45,8 +45,8 @@
         confirmed: bool,
         /// The sender's whole table, long-removed instances aside.
         instances: Vec<InstanceRecord>,
-        /// The limiters that have a session with the sender.
-        limiters: Vec<LimiterIdentity>,
+        /// The proxies that have a session with the sender.
+        proxies: Vec<ProxyIdentity>,
     },
     /// Sent when instances change. The receiver merges the records, and passes a server's drain or end on to the other
     /// registries once.
@@ -83,10 +83,10 @@
         /// The records of all instances that the sender owns.
         instances: Vec<InstanceRecord>,
     },
-    /// Sent with the next heartbeat after the sender's sessions have changed. The receiver counts limiters by it.
-    LimiterSessions {
-        /// The limiters that have a session with the sender.
-        limiters: Vec<LimiterIdentity>,
+    /// Sent with the next heartbeat after the sender's sessions have changed. The receiver counts proxies by it.
+    ProxySessions {
+        /// The proxies that have a session with the sender.
+        proxies: Vec<ProxyIdentity>,
     },
 }
 
--- a/crates/emberpin-membership/src/registry.rs
+++ b/crates/emberpin-membership/src/registry.rs
@@ -6,7 +6,7 @@
 //! paid for.
 //!
 //! One file for each concern: [`events`](Event) has the inputs and actions, `servers` the calls of servers, `shutdown`
-//! the acknowledgement of their drains and ends, `peers` the other registries, `sessions` and `snapshot` the limiters,
+//! the acknowledgement of their drains and ends, `peers` the other registries, `sessions` and `snapshot` the proxies,
 //! `configuration` the store, `quorum` what may be confirmed, `timers` everything periodic, `status` what the operator
 //! sees.
 
@@ -24,7 +24,7 @@
 pub use events::{Action, Event, RegistryConfig, ServerReply};
 pub use quorum::OperatorCallTarget;
 pub use snapshot::SNAPSHOT_PART_BYTES;
-pub use status::LimiterLag;
+pub use status::ProxyLag;
 
 use crate::change_log::ChangeLog;
 use crate::clock::Timestamp;
@@ -82,12 +82,12 @@
     /// The last [`crate::ids::AckId`] that was used.
     last_ack_id: u64,
 
-    /// The sessions of limiters with this registry.
+    /// The sessions of proxies with this registry.
     sessions: BTreeMap<SessionId, Session>,
-    /// The sessions have changed since the peers were sent the list of limiters.
+    /// The sessions have changed since the peers were sent the list of proxies.
     sessions_changed: bool,
-    /// When each limiter last had a session with any registry, by the name of its machine.
-    limiters_seen: BTreeMap<String, Timestamp>,
+    /// When each proxy last had a session with any registry, by the name of its machine.
+    proxies_seen: BTreeMap<String, Timestamp>,
 }
 
 impl Registry {
@@ -113,7 +113,7 @@
             last_ack_id: 0,
             sessions: BTreeMap::new(),
             sessions_changed: false,
-            limiters_seen: BTreeMap::new(),
+            proxies_seen: BTreeMap::new(),
             config,
         }
     }
@@ -145,8 +145,8 @@
                 self.on_peer_message(now, peer, message, actions);
             }
             Event::PeerAcknowledged { peer, ack } => self.on_peer_acknowledged(peer, ack),
-            Event::LimiterMessage { session, message } => {
-                self.on_limiter_message(now, session, message, actions);
+            Event::ProxyMessage { session, message } => {
+                self.on_proxy_message(now, session, message, actions);
             }
             Event::SessionClosed { session } => self.on_session_closed(session),
             Event::Tick => {}
--- a/crates/emberpin-membership/src/registry/configuration.rs
+++ b/crates/emberpin-membership/src/registry/configuration.rs
@@ -66,7 +66,7 @@
     /// The evacuation of a zone has ended; its servers may have become cold, as they got no requests meanwhile.
     ///
     /// If the item is one of the first of this incarnation, the evacuation may have ended long ago. Then the peers know
-    /// how cold their servers are; but what limiters report where all registries have just restarted may be from
+    /// how cold their servers are; but what proxies report where all registries have just restarted may be from
     /// before.
     fn on_evacuation_ended(
         &mut self,
--- a/crates/emberpin-membership/src/registry/events.rs
+++ b/crates/emberpin-membership/src/registry/events.rs
@@ -3,7 +3,7 @@
 use crate::ids::{CallId, Incarnation, Nonce, SessionId};
 use crate::instance::Instance;
 use crate::peers::{Ack, RegistryMessage};
-use crate::session::{FromLimiter, ToLimiter};
+use crate::session::{FromProxy, ToProxy};
 use emberpin_config::Item;
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -71,7 +71,7 @@
     PeerMessage {
         /// The sender's address.
         peer: Ipv4Addr,
-        /// The message.
+        /// The decoded message.
         message: RegistryMessage,
     },
     /// Another registry has acknowledged a message of this one.
@@ -81,16 +81,16 @@
         /// Which message it acknowledges.
         ack: Ack,
     },
-    /// A message from a limiter has arrived.
-    LimiterMessage {
-        /// The session of the limiter.
+    /// A message from a proxy has arrived.
+    ProxyMessage {
+        /// The session of the proxy.
         session: SessionId,
-        /// The message.
-        message: FromLimiter,
+        /// The decoded message.
+        message: FromProxy,
     },
-    /// A limiter's connection has closed.
+    /// A proxy's connection has closed.
     SessionClosed {
-        /// The session.
+        /// The session that has ended.
         session: SessionId,
     },
     /// The deadline of [`super::Registry::next_deadline`] has passed.
@@ -116,7 +116,7 @@
     Reply {
         /// The call, as named by [`Event::Heartbeat`] or [`Event::Leave`].
         call: CallId,
-        /// The reply.
+        /// What the server is answered.
         reply: ServerReply,
     },
     /// Open a connection to a peer, and reopen it whenever it closes.
@@ -133,31 +133,31 @@
     SendToPeers {
         /// The addresses of the peers.
         peers: Vec<Ipv4Addr>,
-        /// The message.
+        /// The message, the same for all of them.
         message: RegistryMessage,
     },
     /// Send an acknowledgement back over the connection that a peer has opened.
     AcknowledgePeer {
         /// The peer's address.
         peer: Ipv4Addr,
-        /// The acknowledgement.
+        /// Names the message that is acknowledged.
         ack: Ack,
     },
-    /// Send a message to limiters. A session whose queue is full is closed instead.
-    SendToLimiters {
-        /// The sessions of the limiters.
+    /// Send a message to proxies. A session whose queue is full is closed instead.
+    SendToProxies {
+        /// The sessions of the proxies.
         sessions: Vec<SessionId>,
-        /// The message.
-        message: ToLimiter,
+        /// The message, the same for all of them.
+        message: ToProxy,
     },
     /// Ask the store that is followed for the age of its state. Answered by [`Event::StoreConfirmed`].
     QueryStore {
         /// Identifies the query.
         nonce: Nonce,
     },
-    /// Close a limiter's connection; no [`Event::SessionClosed`] is expected.
+    /// Close a proxy's connection; no [`Event::SessionClosed`] is expected.
     CloseSession {
-        /// The session.
+        /// The session to close.
         session: SessionId,
     },
 }
--- a/crates/emberpin-membership/src/registry/peers.rs
+++ b/crates/emberpin-membership/src/registry/peers.rs
@@ -4,7 +4,7 @@
 use crate::clock::Timestamp;
 use crate::ids::{AckId, Digest, Nonce};
 use crate::lease::Lease;
-use crate::peers::{Ack, InstanceRecord, LimiterIdentity, RegistryMessage};
+use crate::peers::{Ack, InstanceRecord, ProxyIdentity, RegistryMessage};
 use crate::timing::{PEER_HEARTBEAT_INTERVAL, REGISTRY_LEASE_DURATION};
 use std::collections::btree_map::Entry;
 use std::collections::BTreeSet;
@@ -31,8 +31,8 @@
     pub(super) is_connected: bool,
     /// When the instances that it owns were requested last, as the digests differed.
     owned_requested_at: Timestamp,
-    /// The limiters that have a session with it.
-    pub(super) limiters: Vec<LimiterIdentity>,
+    /// The proxies that have a session with it.
+    pub(super) proxies: Vec<ProxyIdentity>,
 }
 
 impl Peer {
@@ -98,7 +98,7 @@
             zone: self.config.zone.clone(),
             confirmed: self.is_confirmed(now),
             instances: self.instances.records_for_new_peer(now),
-            limiters: self.own_limiters(),
+            proxies: self.own_proxies(),
         };
         actions.push(Action::SendToPeers {
             peers: vec![address],
@@ -133,13 +133,13 @@
                 zone,
                 confirmed,
                 instances,
-                limiters,
+                proxies,
             } => {
                 if let Some(peer) = self.peers.get_mut(&from) {
                     peer.zone = zone;
                     peer.is_confirmed = confirmed;
                 }
-                self.on_limiter_sessions(now, from, limiters);
+                self.on_proxy_sessions(now, from, proxies);
                 self.merge_records(now, from, instances, RecordSource::Table, actions);
             }
             RegistryMessage::Changed { ack_id, instances } => {
@@ -155,8 +155,8 @@
             RegistryMessage::OwnedInstances { instances } => {
                 self.on_owned_instances(now, from, instances, actions);
             }
-            RegistryMessage::LimiterSessions { limiters } => {
-                self.on_limiter_sessions(now, from, limiters);
+            RegistryMessage::ProxySessions { proxies } => {
+                self.on_proxy_sessions(now, from, proxies);
             }
         }
     }
@@ -267,16 +267,11 @@
         self.merge_records(now, from, instances, RecordSource::Table, actions);
     }
 
-    fn on_limiter_sessions(
-        &mut self,
-        now: Timestamp,
-        from: Ipv4Addr,
-        limiters: Vec<LimiterIdentity>,
-    ) {
+    fn on_proxy_sessions(&mut self, now: Timestamp, from: Ipv4Addr, proxies: Vec<ProxyIdentity>) {
         if let Some(peer) = self.peers.get_mut(&from) {
-            peer.limiters = limiters;
+            peer.proxies = proxies;
         }
-        self.count_limiters(now);
+        self.count_proxies(now);
     }
 
     /// Merges records from another registry. Drains and ends that were not known are passed on once, as their sender may
--- a/crates/emberpin-membership/src/registry/quorum.rs
+++ b/crates/emberpin-membership/src/registry/quorum.rs
@@ -64,7 +64,7 @@
         ages.get(registries.len() / 2).copied()
     }
 
-    /// The greatest age of what this registry sends to limiters: everything that a majority of the stores and of the
+    /// The greatest age of what this registry sends to proxies: everything that a majority of the stores and of the
     /// registries had by then has been sent. `None` if it is older than [`REGISTRY_LEASE_DURATION`], or unknown.
     pub fn confirmed_age(&self, now: Timestamp) -> Option<Duration> {
         // Changes that wait for their batch were recorded since then.
@@ -79,7 +79,7 @@
         (age <= REGISTRY_LEASE_DURATION).then_some(age)
     }
 
-    /// Whether what this registry sends to limiters is confirmed by a majority; see [`Registry::confirmed_age`].
+    /// Whether what this registry sends to proxies is confirmed by a majority; see [`Registry::confirmed_age`].
     pub fn is_confirmed(&self, now: Timestamp) -> bool {
         self.confirmed_age(now).is_some()
     }
--- a/crates/emberpin-membership/src/registry/servers.rs
+++ b/crates/emberpin-membership/src/registry/servers.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// A registry without contact to a majority does not acknowledge that a server is up, as limiters on the other side
+    /// A registry without contact to a majority does not acknowledge that a server is up, as proxies on the other side
     /// of the partition would not learn of it: the server is to try their registries. One that has just started does, as
     /// it had no time for contact yet.
     fn heartbeat_reply(
--- a/crates/emberpin-membership/src/registry/sessions.rs
+++ b/crates/emberpin-membership/src/registry/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions of limiters: they get snapshots and changes, renew their leases, and restore what the registry has lost.
+//! Sessions of proxies: they get snapshots and changes, renew their leases, and restore what the registry has lost.
 
 use super::snapshot::SnapshotPart;
 use super::{Action, Registry};
@@ -6,52 +6,52 @@
 use crate::clock::Timestamp;
 use crate::ids::{Nonce, SessionId};
 use crate::instance::{Instance, Status};
-use crate::peers::{InstanceRecord, LimiterIdentity};
-use crate::session::{FromLimiter, Revision, SnapshotCursor, ToLimiter};
+use crate::peers::{InstanceRecord, ProxyIdentity};
+use crate::session::{FromProxy, Revision, SnapshotCursor, ToProxy};
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// How long a limiter counts after its last session ended: it may go on routing requests for so long.
-const LIMITER_RETENTION: Duration = Duration::from_millis(30_000);
+/// How long a proxy is counted after its last session ended, as it may go on routing requests meanwhile.
+const PROXY_RETENTION: Duration = Duration::from_millis(30_000);
 
-/// A limiter's session with this registry.
+/// A proxy's session with this registry.
 #[derive(Clone, Debug)]
 pub(super) struct Session {
-    pub(super) limiter: LimiterIdentity,
-    /// The revision up to which every change is in force at the limiter, as it last reported.
+    pub(super) proxy: ProxyIdentity,
+    /// The revision up to which every change is in force at the proxy, as it last reported.
     pub(super) applied: Option<Revision>,
     /// When the last message arrived.
     pub(super) last_message_at: Timestamp,
 }
 
 impl Registry {
-    pub(super) fn on_limiter_message(
+    pub(super) fn on_proxy_message(
         &mut self,
         now: Timestamp,
         session: SessionId,
-        message: FromLimiter,
+        message: FromProxy,
         actions: &mut Vec<Action>,
     ) {
         match message {
-            FromLimiter::Hello {
+            FromProxy::Hello {
                 incarnation,
                 name,
                 zone,
                 resume_from,
                 instances,
             } => {
-                let limiter = LimiterIdentity {
+                let proxy = ProxyIdentity {
                     incarnation,
                     name,
                     zone,
                 };
-                self.on_session_opened(now, session, limiter, resume_from, instances, actions);
+                self.on_session_opened(now, session, proxy, resume_from, instances, actions);
             }
-            FromLimiter::KeepAlive { applied, nonce } => {
+            FromProxy::KeepAlive { applied, nonce } => {
                 self.on_keep_alive(now, session, applied, nonce, actions);
             }
-            FromLimiter::FetchSnapshotPart { after } => {
+            FromProxy::FetchSnapshotPart { after } => {
                 self.on_fetch_snapshot_part(now, session, &after, actions);
             }
         }
@@ -61,23 +61,23 @@
         &mut self,
         now: Timestamp,
         session: SessionId,
-        limiter: LimiterIdentity,
+        proxy: ProxyIdentity,
         resume_from: Option<Revision>,
         instances: Vec<Instance>,
         actions: &mut Vec<Action>,
     ) {
-        let instances = if self.guards.repair_from_limiters {
+        let instances = if self.guards.repair_from_proxies {
             instances
         } else {
             Vec::new()
         };
-        let outdated = self.repair_from_limiter(now, instances, actions);
+        let outdated = self.repair_from_proxy(now, instances, actions);
         self.send_initial_state(now, session, resume_from, outdated, actions);
-        self.limiters_seen.insert(limiter.name.clone(), now);
+        self.proxies_seen.insert(proxy.name.clone(), now);
         self.sessions.insert(
             session,
             Session {
-                limiter,
+                proxy,
                 applied: None,
                 last_message_at: now,
             },
@@ -100,27 +100,27 @@
         known.last_message_at = now;
         known.applied = applied;
         let message = self.confirmation(now, nonce);
-        actions.push(Action::SendToLimiters {
+        actions.push(Action::SendToProxies {
             sessions: vec![session],
             message,
         });
     }
 
     /// The answer to a keep-alive.
-    fn confirmation(&self, now: Timestamp, nonce: Nonce) -> ToLimiter {
+    fn confirmation(&self, now: Timestamp, nonce: Nonce) -> ToProxy {
         let age = self.confirmed_age(now);
-        // A registry that can confirm nothing names every peer: the limiter may know no other registry.
+        // A registry that can confirm nothing names every peer: the proxy may know no other registry.
         let peers = self
             .peers
             .iter()
             .filter(|(_, peer)| age.is_none() || peer.is_in_contact(now))
             .map(|(address, _)| *address);
         let registries: Vec<Ipv4Addr> = peers.chain([self.config.address]).collect();
-        let limiters = u32::try_from(self.limiters_seen.len()).unwrap_or(u32::MAX);
-        ToLimiter::Confirmation {
+        let proxies = u32::try_from(self.proxies_seen.len()).unwrap_or(u32::MAX);
+        ToProxy::Confirmation {
             nonce,
             age,
-            limiters,
+            proxies,
             registries,
         }
     }
@@ -142,12 +142,12 @@
             instances,
             next_part,
         } = self.snapshot_part(now, Some(after));
-        let message = ToLimiter::SnapshotPart {
+        let message = ToProxy::SnapshotPart {
             items,
             instances,
             next_part,
         };
-        actions.push(Action::SendToLimiters {
+        actions.push(Action::SendToProxies {
             sessions: vec![session],
             message,
         });
@@ -157,9 +157,9 @@
         self.sessions_changed |= self.sessions.remove(&session).is_some();
     }
 
-    /// Restores what the registries have lost from the instances that a limiter knows. Gives the ids of those that the
-    /// limiter knows with another status than this registry.
-    fn repair_from_limiter(
+    /// Restores what the registries have lost from the instances that a proxy knows. Gives the ids of those that the
+    /// proxy knows with another status than this registry.
+    fn repair_from_proxy(
         &mut self,
         now: Timestamp,
         instances: Vec<Instance>,
@@ -171,7 +171,7 @@
             let id = instance.id.clone();
             match self.instances.get(&id) {
                 None => {
-                    self.merge_from_limiter(now, unknown_instance_record(instance));
+                    self.merge_from_proxy(now, unknown_instance_record(instance));
                     learned.push(id);
                 }
                 Some(entry)
@@ -180,7 +180,7 @@
                 {
                     let seq = instance.seq.min(entry.seq());
                     let instance = Instance { seq, ..instance };
-                    self.merge_from_limiter(now, unowned_record(instance));
+                    self.merge_from_proxy(now, unowned_record(instance));
                     learned.push(id);
                 }
                 Some(entry) if entry.status() != instance.status => outdated.push(id),
@@ -192,14 +192,14 @@
         outdated
     }
 
-    fn merge_from_limiter(&mut self, now: Timestamp, record: InstanceRecord) {
+    fn merge_from_proxy(&mut self, now: Timestamp, record: InstanceRecord) {
         let id = record.instance.id.clone();
         let outcome = self.instances.merge(now, record);
         self.on_merged(now, &id, outcome, false);
     }
 
-    /// Assumes that instances that were learned from a limiter are cold if the evacuation of their zone may have just
-    /// ended: the limiter may know them from before.
+    /// Assumes that instances that were learned from a proxy are cold if the evacuation of their zone may have just
+    /// ended: the proxy may know them from before.
     fn assume_learned_cold(&mut self, now: Timestamp, learned: &[String]) {
         self.returned_zones.retain(|_, until| now < *until);
         let zones: Vec<String> = self.returned_zones.keys().cloned().collect();
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Brings a limiter from its revision to that of the change log: by the changes between them, or by a snapshot if
+    /// Brings a proxy from its revision to that of the change log: by the changes between them, or by a snapshot if
     /// the log does not reach back. Either way it gets the instances whose status it has wrong.
     fn send_initial_state(
         &mut self,
@@ -230,14 +230,14 @@
             }
             None => self.snapshot_message(now, &outdated),
         };
-        actions.push(Action::SendToLimiters {
+        actions.push(Action::SendToProxies {
             sessions: vec![session],
             message,
         });
     }
 
-    /// The first part of a snapshot, with the instances that the limiter takes for alive although they are removed.
-    fn snapshot_message(&self, now: Timestamp, outdated: &[String]) -> ToLimiter {
+    /// The first part of a snapshot, with the instances that the proxy takes for alive although they are removed.
+    fn snapshot_message(&self, now: Timestamp, outdated: &[String]) -> ToProxy {
         let SnapshotPart {
             items,
             mut instances,
@@ -248,7 +248,7 @@
             .map(|id| self.instances.instance(now, id))
             .filter(|instance| instance.status == Status::Removed);
         instances.extend(removed);
-        ToLimiter::Snapshot {
+        ToProxy::Snapshot {
             revision: self.change_log.revision(),
             items,
             instances,
@@ -257,8 +257,8 @@
         }
     }
 
-    /// The message that brings a limiter to the revision of the change log.
-    fn changes_message(&self, now: Timestamp, changes: BTreeSet<Change>) -> ToLimiter {
+    /// The message that brings a proxy to the revision of the change log.
+    fn changes_message(&self, now: Timestamp, changes: BTreeSet<Change>) -> ToProxy {
         let (mut items, mut instances) = (Vec::new(), Vec::new());
         for change in changes {
             match change {
@@ -266,7 +266,7 @@
                 Change::Instance(id) => instances.push(self.instances.instance(now, &id)),
             }
         }
-        ToLimiter::Changes {
+        ToProxy::Changes {
             revision: self.change_log.revision(),
             items,
             instances,
@@ -280,40 +280,40 @@
             return;
         }
         let message = self.changes_message(now, changes);
-        actions.push(Action::SendToLimiters {
+        actions.push(Action::SendToProxies {
             sessions: self.sessions.keys().copied().collect(),
             message,
         });
     }
 
-    /// The limiters that have a session with this registry.
-    pub(super) fn own_limiters(&self) -> Vec<LimiterIdentity> {
+    /// The proxies that have a session with this registry.
+    pub(super) fn own_proxies(&self) -> Vec<ProxyIdentity> {
         self.sessions
             .values()
-            .map(|session| session.limiter.clone())
+            .map(|session| session.proxy.clone())
             .collect()
     }
 
-    /// Takes note of all limiters that have a session with any registry in contact. Counting too many does no harm; with
+    /// Takes note of all proxies that have a session with any registry in contact. Counting too many does no harm; with
     /// too few, the limits that they share would be exceeded.
-    pub(super) fn count_limiters(&mut self, now: Timestamp) {
+    pub(super) fn count_proxies(&mut self, now: Timestamp) {
         let peers = self.peers.values().filter(|peer| peer.is_in_contact(now));
         let of_peers = peers
-            .flat_map(|peer| &peer.limiters)
-            .map(|limiter| &limiter.name);
-        let own = self.sessions.values().map(|session| &session.limiter.name);
+            .flat_map(|peer| &peer.proxies)
+            .map(|proxy| &proxy.name);
+        let own = self.sessions.values().map(|session| &session.proxy.name);
         for name in of_peers.chain(own) {
-            match self.limiters_seen.get_mut(name) {
+            match self.proxies_seen.get_mut(name) {
                 Some(seen_at) => *seen_at = now,
-                None => _ = self.limiters_seen.insert(name.clone(), now),
+                None => _ = self.proxies_seen.insert(name.clone(), now),
             }
         }
-        self.limiters_seen
-            .retain(|_, seen_at| now.duration_since(*seen_at) < LIMITER_RETENTION);
+        self.proxies_seen
+            .retain(|_, seen_at| now.duration_since(*seen_at) < PROXY_RETENTION);
     }
 }
 
-/// The record of an instance that only a limiter knows. If it is removed, it may merely have been evicted, which a later
+/// The record of an instance that only a proxy knows. If it is removed, it may merely have been evicted, which a later
 /// heartbeat is to undo.
 fn unknown_instance_record(instance: Instance) -> InstanceRecord {
     let expired = instance.status == Status::Removed;
--- a/crates/emberpin-membership/src/registry/shutdown.rs
+++ b/crates/emberpin-membership/src/registry/shutdown.rs
@@ -10,7 +10,7 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// How long a shutdown waits for all connected registries; each that has it tells its limiters.
+/// How long a shutdown waits for all connected registries; each that has it tells its proxies.
 const ALL_PEERS_TIMEOUT: Duration = Duration::from_millis(150);
 /// How long a shutdown waits for a majority. Below the second after which the server tries another registry.
 const MAJORITY_TIMEOUT: Duration = Duration::from_millis(600);
--- a/crates/emberpin-membership/src/registry/snapshot.rs
+++ b/crates/emberpin-membership/src/registry/snapshot.rs
@@ -1,6 +1,6 @@
 //! Snapshots, in parts of bounded size.
 //!
-//! A limiter requests each part with the cursor of the one before. So a slow limiter delays nobody, at most one part
+//! A proxy requests each part with the cursor of the one before. So a slow proxy delays nobody, at most one part
 //! waits for it, and a new session goes on where the last one ended. Each part is read from the tables when it is
 //! requested. A change of an entry before the cursor is sent like any change, as the session follows the log from the
 //! first part on.
--- a/crates/emberpin-membership/src/registry/status.rs
+++ b/crates/emberpin-membership/src/registry/status.rs
@@ -3,16 +3,16 @@
 use super::Registry;
 use crate::clock::Timestamp;
 use crate::instance_table::{InstanceEntry, InstanceTable};
-use crate::peers::LimiterIdentity;
+use crate::peers::ProxyIdentity;
 use emberpin_config::Item;
 use std::net::Ipv4Addr;
 
-/// How far a limiter is behind the registry's change log.
+/// How far a proxy is behind the registry's change log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LimiterLag {
-    /// The limiter.
-    pub limiter: LimiterIdentity,
-    /// The number of changes that were not in force at the limiter when it last sent a keep-alive.
+pub struct ProxyLag {
+    /// The proxy that is behind.
+    pub proxy: ProxyIdentity,
+    /// The number of changes that were not in force at the proxy when it last sent a keep-alive.
     pub changes_behind: u64,
 }
 
@@ -57,13 +57,13 @@
         peers.chain([self.config.address]).collect()
     }
 
-    /// The limiters that have a session with this registry, and how far each is behind.
-    pub fn limiter_lags(&self) -> impl Iterator<Item = LimiterLag> + '_ {
+    /// The proxies that have a session with this registry, and how far each is behind.
+    pub fn proxy_lags(&self) -> impl Iterator<Item = ProxyLag> + '_ {
         let newest = self.change_log.revision().number;
         self.sessions.values().map(move |session| {
             let applied = session.applied.map_or(0, |revision| revision.number);
-            LimiterLag {
-                limiter: session.limiter.clone(),
+            ProxyLag {
+                proxy: session.proxy.clone(),
                 changes_behind: newest.saturating_sub(applied),
             }
         })
--- a/crates/emberpin-membership/src/registry/timers.rs
+++ b/crates/emberpin-membership/src/registry/timers.rs
@@ -81,11 +81,11 @@
         self.confirmed_since = self
             .is_confirmed(now)
             .then(|| self.confirmed_since.unwrap_or(now));
-        self.evict_silent_instances(now, actions);
+        self.evict_expired_instances(now, actions);
         self.instances.prune_tombstones(now);
         self.send_heartbeats(now, actions);
-        self.close_silent_sessions(now, actions);
-        self.count_limiters(now);
+        self.close_idle_sessions(now, actions);
+        self.count_proxies(now);
     }
 
     fn send_heartbeats(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
@@ -97,17 +97,17 @@
             self.send_heartbeat(now, *peer, actions);
         }
         if std::mem::take(&mut self.sessions_changed) {
-            let limiters = self.own_limiters();
+            let proxies = self.own_proxies();
             actions.push(Action::SendToPeers {
                 peers,
-                message: RegistryMessage::LimiterSessions { limiters },
+                message: RegistryMessage::ProxySessions { proxies },
             });
         }
     }
 
     /// Evicts instances whose heartbeats have stopped, unless the registry may have missed heartbeats itself: it must
     /// have been confirmed for a whole eviction timeout.
-    fn evict_silent_instances(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+    fn evict_expired_instances(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let timeout = self.eviction_timeout();
         let is_reliable = self
             .confirmed_since
@@ -115,28 +115,28 @@
         if !is_reliable && self.guards.confirmed_eviction {
             return;
         }
-        let silent: Vec<String> = self
+        let expired: Vec<String> = self
             .instances
             .iter()
             .filter(|(_, entry)| entry.status() != Status::Removed)
             .filter(|(_, entry)| now.duration_since(self.last_contact(entry)) >= timeout)
             .map(|(id, _)| id.clone())
             .collect();
-        for id in &silent {
+        for id in &expired {
             self.instances.evict(now, id);
             self.record_change(now, Change::Instance(id.clone()));
         }
-        self.replicate(now, &silent, actions);
+        self.replicate(now, &expired, actions);
     }
 
-    fn close_silent_sessions(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
-        let silent: Vec<SessionId> = self
+    fn close_idle_sessions(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
+        let idle: Vec<SessionId> = self
             .sessions
             .iter()
             .filter(|(_, session)| now.duration_since(session.last_message_at) >= SESSION_TIMEOUT)
             .map(|(id, _)| *id)
             .collect();
-        for session in silent {
+        for session in idle {
             self.on_session_closed(session);
             actions.push(Action::CloseSession { session });
         }
--- a/crates/emberpin-membership/src/session.rs
+++ b/crates/emberpin-membership/src/session.rs
@@ -1,9 +1,9 @@
-//! The messages of a session: the connection over which a limiter (a proxy process) follows the configuration and the
-//! instances that one registry knows.
+//! The messages of a session: the connection over which a proxy follows the configuration and the instances
+//! that one registry knows.
 //!
-//! A session begins with [`FromLimiter::Hello`]. The registry answers with the changes since the revision that the
-//! limiter resumes from, or with a snapshot in parts, and from then on sends every change. Twice a second the limiter
-//! sends [`FromLimiter::KeepAlive`]; the answer, [`ToLimiter::Confirmation`], renews its read lease
+//! A session begins with [`FromProxy::Hello`]. The registry answers with the changes since the revision that the
+//! proxy resumes from, or with a snapshot in parts, and from then on sends every change. Twice a second the proxy
+//! sends [`FromProxy::KeepAlive`]; the answer, [`ToProxy::Confirmation`], renews its read lease
 //! ([`crate::lease`]).
 //!
 //! The order of the variants and of their fields is the wire format (postcard): new ones go to the end, and only with
@@ -16,14 +16,14 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// The first message on every connection to a registry's port: whether a limiter or a registry has opened it.
+/// The first message on every connection to a registry's port: whether a proxy or a registry has opened it.
 ///
 /// Sent by the side that connects, once, right after the preamble. The registry reads all further frames of the
 /// connection as messages of that role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConnectionRole {
-    /// A limiter; [`FromLimiter::Hello`] is its next message.
-    Limiter,
+    /// A proxy; [`FromProxy::Hello`] is its next message.
+    Proxy,
     /// The registry on the machine of this address; [`crate::peers::RegistryMessage::Hello`] is its next message.
     Registry(Ipv4Addr),
 }
@@ -47,7 +47,7 @@
     Instance(String),
 }
 
-/// How far a limiter has synchronized with one registry. It outlives the session, so that the next session with the
+/// How far a proxy has synchronized with one registry. It outlives the session, so that the next session with the
 /// same registry resumes from it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SyncProgress {
@@ -64,11 +64,11 @@
     }
 
     /// Advances `progress` by a message that was received from the registry; the message itself is applied by the
-    /// caller. If `next_part` is set afterwards, the limiter is to fetch that part.
-    pub fn advance(progress: &mut Option<SyncProgress>, message: &ToLimiter) {
+    /// caller. If `next_part` is set afterwards, the proxy is to fetch that part.
+    pub fn advance(progress: &mut Option<SyncProgress>, message: &ToProxy) {
         match (message, progress) {
             (
-                ToLimiter::Snapshot {
+                ToProxy::Snapshot {
                     revision,
                     next_part,
                     ..
@@ -80,47 +80,47 @@
                     next_part: next_part.clone(),
                 });
             }
-            (ToLimiter::SnapshotPart { next_part, .. }, Some(known)) => {
+            (ToProxy::SnapshotPart { next_part, .. }, Some(known)) => {
                 known.next_part.clone_from(next_part);
             }
-            (ToLimiter::Changes { revision, .. }, Some(known)) => known.revision = *revision,
-            (ToLimiter::Changes { revision, .. }, progress) => {
+            (ToProxy::Changes { revision, .. }, Some(known)) => known.revision = *revision,
+            (ToProxy::Changes { revision, .. }, progress) => {
                 *progress = Some(SyncProgress {
                     revision: *revision,
                     next_part: None,
                 });
             }
-            (ToLimiter::SnapshotPart { .. } | ToLimiter::Confirmation { .. }, _) => {}
+            (ToProxy::SnapshotPart { .. } | ToProxy::Confirmation { .. }, _) => {}
         }
     }
 }
 
-/// A message from a limiter to a registry.
+/// A message from a proxy to a registry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum FromLimiter {
+pub enum FromProxy {
     /// The first message of a session. The registry learns the instances that it does not know, and answers with
-    /// [`ToLimiter::Changes`] if its log reaches back to `resume_from`, else with [`ToLimiter::Snapshot`].
+    /// [`ToProxy::Changes`] if its log reaches back to `resume_from`, else with [`ToProxy::Snapshot`].
     Hello {
-        /// The limiter's incarnation, drawn at random when its process starts.
+        /// The proxy's incarnation, drawn at random when its process starts.
         incarnation: Incarnation,
-        /// The name of the limiter's machine; limiters are counted by it.
+        /// The name of the proxy's machine; proxies are counted by it.
         name: String,
-        /// The zone of the limiter's machine.
+        /// The zone of the proxy's machine.
         zone: String,
-        /// The revision of this registry up to which the limiter has followed it in an earlier session.
+        /// The revision of this registry up to which the proxy has followed it in an earlier session.
         resume_from: Option<Revision>,
-        /// The instances that the limiter knows, from which a registry that has lost its table restores it.
+        /// The instances that the proxy knows, from which a registry that has lost its table restores it.
         instances: Vec<Instance>,
     },
     /// Sent every [`crate::timing::KEEP_ALIVE_INTERVAL`] while the session lasts, and answered by
-    /// [`ToLimiter::Confirmation`]. A registry closes a session without one for two seconds.
+    /// [`ToProxy::Confirmation`]. A registry closes a session without one for two seconds.
     KeepAlive {
-        /// The revision up to which every change is in force at the limiter; `None` until its snapshot is complete.
+        /// The revision up to which every change is in force at the proxy; `None` until its snapshot is complete.
         applied: Option<Revision>,
         /// Identifies the lease query; repeated in the answer.
         nonce: Nonce,
     },
-    /// Requests the next part of the snapshot; answered by [`ToLimiter::SnapshotPart`]. Sent after each part that
+    /// Requests the next part of the snapshot; answered by [`ToProxy::SnapshotPart`]. Sent after each part that
     /// named a cursor, so at most one part is in flight.
     FetchSnapshotPart {
         /// The cursor of the part before.
@@ -128,35 +128,35 @@
     },
 }
 
-/// A message from a registry to a limiter.
+/// A message from a registry to a proxy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum ToLimiter {
-    /// Answers [`FromLimiter::Hello`] where the registry's log does not reach back to the limiter's revision: the
-    /// whole state, or its first part. The limiter merges it, and drops instances that are not listed only if the
+pub enum ToProxy {
+    /// Answers [`FromProxy::Hello`] where the registry's log does not reach back to the proxy's revision: the
+    /// whole state, or its first part. The proxy merges it, and drops instances that are not listed only if the
     /// snapshot is `complete`.
     Snapshot {
-        /// The revision that the snapshot begins at; changes after it follow as [`ToLimiter::Changes`].
+        /// The revision that the snapshot begins at; changes after it follow as [`ToProxy::Changes`].
         revision: Revision,
         /// Configuration items, tombstones of deleted ones among them.
         items: Vec<Item>,
-        /// Instances that are up or draining, and removed ones that the limiter took for alive.
+        /// Instances that are up or draining, and removed ones that the proxy took for alive.
         instances: Vec<Instance>,
         /// The registry has been confirmed for long enough to have received a heartbeat from every live server.
         complete: bool,
-        /// Set if more parts follow: the limiter sends [`FromLimiter::FetchSnapshotPart`] with it.
+        /// Set if more parts follow: the proxy sends [`FromProxy::FetchSnapshotPart`] with it.
         next_part: Option<SnapshotCursor>,
     },
-    /// The changes since the last message with a revision. Sent in answer to [`FromLimiter::Hello`] and then whenever
+    /// The changes since the last message with a revision. Sent in answer to [`FromProxy::Hello`] and then whenever
     /// something changes, batched for [`crate::timing::CHANGE_BATCH_DELAY`].
     Changes {
-        /// The revision that the limiter has reached with these changes.
+        /// The revision that the proxy has reached with these changes.
         revision: Revision,
         /// Changed items, tombstones of deleted ones among them.
         items: Vec<Item>,
         /// Changed instances, removed ones among them.
         instances: Vec<Instance>,
     },
-    /// Answers [`FromLimiter::KeepAlive`], and renews the limiter's lease unless `age` is `None`.
+    /// Answers [`FromProxy::KeepAlive`], and renews the proxy's lease unless `age` is `None`.
     Confirmation {
         /// The nonce of the keep-alive.
         nonce: Nonce,
@@ -164,19 +164,19 @@
         /// `None` if the registry is not in contact with a majority and can confirm nothing.
         #[serde(with = "crate::clock::optional_millis")]
         age: Option<Duration>,
-        /// The number of limiters that have a session with any registry; each takes its part of the shared limits.
-        limiters: u32,
+        /// The number of proxies that have a session with any registry; each takes its part of the shared limits.
+        proxies: u32,
         /// The machines whose registries are in contact with this one; if it can confirm nothing, every machine that
         /// may run a registry.
         registries: Vec<Ipv4Addr>,
     },
-    /// Answers [`FromLimiter::FetchSnapshotPart`] with the next part of the snapshot.
+    /// Answers [`FromProxy::FetchSnapshotPart`] with the next part of the snapshot.
     SnapshotPart {
         /// Items after the requested cursor.
         items: Vec<Item>,
         /// Instances after the requested cursor.
         instances: Vec<Instance>,
-        /// Set if more parts follow, as in [`ToLimiter::Snapshot`].
+        /// Set if more parts follow, as in [`ToProxy::Snapshot`].
         next_part: Option<SnapshotCursor>,
     },
 }
--- a/crates/emberpin-membership/tests/common/mod.rs
+++ b/crates/emberpin-membership/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use emberpin_membership::registry::{
     Action, Event, Registry, RegistryConfig, ServerReply, SNAPSHOT_PART_BYTES,
 };
-use emberpin_membership::session::{FromLimiter, Revision, ToLimiter};
+use emberpin_membership::session::{FromProxy, Revision, ToProxy};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -84,7 +84,7 @@
     pub frozen: bool,
     queue: VecDeque<Event>,
     pub answers: BTreeMap<u64, (u64, ServerReply)>,
-    pub told: BTreeMap<u64, Vec<ToLimiter>>,
+    pub told: BTreeMap<u64, Vec<ToProxy>>,
     pub closed: BTreeSet<u64>,
 }
 
@@ -299,7 +299,7 @@
                     wire.back.push_back((self.now + DELAY, Message::Ack(ack)));
                 }
             }
-            Action::SendToLimiters { sessions, message } => {
+            Action::SendToProxies { sessions, message } => {
                 for session in sessions {
                     node.told
                         .entry(session.0)
@@ -467,7 +467,7 @@
         from: Option<Revision>,
         instances: Vec<Instance>,
     ) {
-        let said = FromLimiter::Hello {
+        let said = FromProxy::Hello {
             incarnation: Incarnation(1),
             name: format!("edge-{session}"),
             zone: zone(1),
@@ -476,7 +476,7 @@
         };
         self.event(
             at,
-            Event::LimiterMessage {
+            Event::ProxyMessage {
                 session: SessionId(session),
                 message: said,
             },
@@ -485,13 +485,13 @@
 
     pub fn pulse(&mut self, at: u8, session: u64) {
         self.questions += 1;
-        let said = FromLimiter::KeepAlive {
+        let said = FromProxy::KeepAlive {
             applied: None,
             nonce: Nonce(self.questions),
         };
         self.event(
             at,
-            Event::LimiterMessage {
+            Event::ProxyMessage {
                 session: SessionId(session),
                 message: said,
             },
@@ -507,7 +507,7 @@
     }
 
     /// What was told in a session since the last time.
-    pub fn told(&mut self, at: u8, session: u64) -> Vec<ToLimiter> {
+    pub fn told(&mut self, at: u8, session: u64) -> Vec<ToProxy> {
         self.nodes
             .get_mut(&at)
             .and_then(|node| node.told.remove(&session))
@@ -521,7 +521,7 @@
             .iter()
             .rev()
             .find_map(|told| match told {
-                ToLimiter::Confirmation { age, .. } => Some(age.is_some()),
+                ToProxy::Confirmation { age, .. } => Some(age.is_some()),
                 _ => None,
             })
     }
@@ -538,10 +538,10 @@
 }
 
 impl Held {
-    pub fn hear(&mut self, told: &[ToLimiter]) {
+    pub fn hear(&mut self, told: &[ToProxy]) {
         for told in told {
             let (at, items, instances) = match told {
-                ToLimiter::Snapshot {
+                ToProxy::Snapshot {
                     revision: at,
                     items,
                     instances,
@@ -555,12 +555,12 @@
                     }
                     (at, items, instances)
                 }
-                ToLimiter::Changes {
+                ToProxy::Changes {
                     revision: at,
                     items,
                     instances,
                 } => (at, items, instances),
-                ToLimiter::SnapshotPart { .. } | ToLimiter::Confirmation { .. } => continue,
+                ToProxy::SnapshotPart { .. } | ToProxy::Confirmation { .. } => continue,
             };
             self.at = Some(*at);
             for item in items {
--- a/crates/emberpin-membership/tests/registry.rs
+++ b/crates/emberpin-membership/tests/registry.rs
@@ -11,7 +11,7 @@
 use emberpin_membership::ids::{Incarnation, SessionId};
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::registry::{Event, OperatorCallTarget, ServerReply, SNAPSHOT_PART_BYTES};
-use emberpin_membership::session::{FromLimiter, Revision, SyncProgress, ToLimiter};
+use emberpin_membership::session::{FromProxy, Revision, SyncProgress, ToProxy};
 use googletest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -169,9 +169,8 @@
     world.hello(1, 2, held.at, vec![]);
     let told = world.told(1, 2);
     verify_that!(
-        told.iter().all(
-            |told| matches!(told, ToLimiter::Changes { instances, .. } if instances.len() == 2)
-        ),
+        told.iter()
+            .all(|told| matches!(told, ToProxy::Changes { instances, .. } if instances.len() == 2)),
         eq(true)
     )?;
     held.hear(&told);
@@ -189,7 +188,7 @@
     for (session, place) in [(3, far), (4, other)] {
         world.hello(1, session, Some(place), vec![]);
         verify_that!(
-            matches!(world.told(1, session)[0], ToLimiter::Snapshot { .. }),
+            matches!(world.told(1, session)[0], ToProxy::Snapshot { .. }),
             eq(true)
         )?;
     }
@@ -206,7 +205,7 @@
         vec![],
     );
     verify_that!(
-        matches!(world.told(1, 5)[0], ToLimiter::Snapshot { .. }),
+        matches!(world.told(1, 5)[0], ToProxy::Snapshot { .. }),
         eq(true)
     )
 }
@@ -286,13 +285,13 @@
         world.heartbeat(1, instance(&format!("s-{number}"), 1));
     }
     world.run(10);
-    let told: Vec<ToLimiter> = world
+    let told: Vec<ToProxy> = world
         .told(1, 9)
         .into_iter()
-        .filter(|told| !matches!(told, ToLimiter::Confirmation { .. }))
+        .filter(|told| !matches!(told, ToProxy::Confirmation { .. }))
         .collect();
     verify_that!(told.len(), eq(1))?;
-    let ToLimiter::Changes {
+    let ToProxy::Changes {
         items, instances, ..
     } = &told[0]
     else {
@@ -319,7 +318,7 @@
         world
             .told(1, 9)
             .iter()
-            .all(|told| matches!(told, ToLimiter::Confirmation { .. })),
+            .all(|told| matches!(told, ToProxy::Confirmation { .. })),
         eq(true)
     )
 }
@@ -675,8 +674,8 @@
     Ok(())
 }
 
-fn says_settled(told: &ToLimiter) -> bool {
-    matches!(told, ToLimiter::Confirmation { age: Some(_), .. })
+fn says_settled(told: &ToProxy) -> bool {
+    matches!(told, ToProxy::Confirmation { age: Some(_), .. })
 }
 
 #[gtest]
@@ -914,12 +913,12 @@
             world.hello(1, session, from, vec![instance(&id, 1)]);
             let told = world.told(1, session);
             let named = told.iter().any(|told| match told {
-                ToLimiter::Snapshot { instances, .. } | ToLimiter::Changes { instances, .. } => {
+                ToProxy::Snapshot { instances, .. } | ToProxy::Changes { instances, .. } => {
                     instances
                         .iter()
                         .any(|instance| instance.id == id && instance.status == status)
                 }
-                ToLimiter::SnapshotPart { .. } | ToLimiter::Confirmation { .. } => false,
+                ToProxy::SnapshotPart { .. } | ToProxy::Confirmation { .. } => false,
             });
             verify_that!((session, named), eq((session, true)))?;
         }
@@ -933,7 +932,7 @@
     let limiters = |world: &mut World| {
         let told = world.told(1, 1);
         told.iter().rev().find_map(|told| match told {
-            ToLimiter::Confirmation { limiters, .. } => Some(*limiters),
+            ToProxy::Confirmation { proxies, .. } => Some(*proxies),
             _ => None,
         })
     };
@@ -1085,8 +1084,8 @@
     )?;
     // The item and the cold instances come together.
     let told = world.told(1, 9);
-    let together = |told: &ToLimiter| {
-        matches!(told, ToLimiter::Changes { items, instances, .. }
+    let together = |told: &ToProxy| {
+        matches!(told, ToProxy::Changes { items, instances, .. }
         if items.len() == 1 && instances.len() == 1 && instances[0].cold_ms > 3_900)
     };
     verify_that!(told.iter().any(together), eq(true))?;
@@ -1279,9 +1278,9 @@
     loop {
         for told in world.told(1, session) {
             SyncProgress::advance(followed, &told);
-            let (ToLimiter::Snapshot { items: told, .. }
-            | ToLimiter::SnapshotPart { items: told, .. }
-            | ToLimiter::Changes { items: told, .. }) = told
+            let (ToProxy::Snapshot { items: told, .. }
+            | ToProxy::SnapshotPart { items: told, .. }
+            | ToProxy::Changes { items: told, .. }) = told
             else {
                 continue;
             };
@@ -1293,9 +1292,9 @@
         parts += 1;
         world.event(
             1,
-            Event::LimiterMessage {
+            Event::ProxyMessage {
                 session: SessionId(session),
-                message: FromLimiter::FetchSnapshotPart { after },
+                message: FromProxy::FetchSnapshotPart { after },
             },
         );
     }
@@ -1361,9 +1360,9 @@
                 world.run(10);
                 for told in world.told(1, session) {
                     SyncProgress::advance(&mut followed, &told);
-                    let (ToLimiter::Snapshot { items: told, .. }
-                    | ToLimiter::SnapshotPart { items: told, .. }
-                    | ToLimiter::Changes { items: told, .. }) = told
+                    let (ToProxy::Snapshot { items: told, .. }
+                    | ToProxy::SnapshotPart { items: told, .. }
+                    | ToProxy::Changes { items: told, .. }) = told
                     else {
                         continue;
                     };
@@ -1377,9 +1376,9 @@
                 asked += 1;
                 world.event(
                     1,
-                    Event::LimiterMessage {
+                    Event::ProxyMessage {
                         session: SessionId(session),
-                        message: FromLimiter::FetchSnapshotPart { after },
+                        message: FromProxy::FetchSnapshotPart { after },
                     },
                 );
             }
--- a/crates/emberpin-proxy/src/command.rs
+++ b/crates/emberpin-proxy/src/command.rs
@@ -4,7 +4,7 @@
 use emberpin_balancer::{RequestId, ServerId};
 use emberpin_limiter::host::{Outgoing, Reply};
 use emberpin_membership::instance::Instance;
-use emberpin_membership::session::ToLimiter;
+use emberpin_membership::session::ToProxy;
 use std::fmt;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -48,7 +48,7 @@
     /// A registry sent configuration items or instances.
     RegistryUpdate {
         session: SessionId,
-        message: ToLimiter,
+        message: ToProxy,
     },
     /// A registry confirmed that what it sent in this session is recent, and counted `limiters` connected proxies.
     SessionConfirmed { session: SessionId, limiters: u32 },
--- a/crates/emberpin-proxy/src/controller/control_sessions.rs
+++ b/crates/emberpin-proxy/src/controller/control_sessions.rs
@@ -4,7 +4,7 @@
 use crate::command::SessionId;
 use emberpin_config::Item;
 use emberpin_membership::instance::Instance;
-use emberpin_membership::session::ToLimiter;
+use emberpin_membership::session::ToProxy;
 use std::collections::BTreeSet;
 
 /// Which sessions have received everything that their registry knows.
@@ -47,15 +47,15 @@
 
 impl Controller {
     /// Applies what a registry has sent.
-    pub(super) fn on_registry_update(&mut self, session: SessionId, message: ToLimiter) {
+    pub(super) fn on_registry_update(&mut self, session: SessionId, message: ToProxy) {
         match message {
-            ToLimiter::Snapshot {
+            ToProxy::Snapshot {
                 items,
                 instances,
                 next_part,
                 ..
             }
-            | ToLimiter::SnapshotPart {
+            | ToProxy::SnapshotPart {
                 items,
                 instances,
                 next_part,
@@ -65,14 +65,14 @@
                     self.session_sync.received_whole_snapshot(session);
                 }
             }
-            ToLimiter::Changes {
+            ToProxy::Changes {
                 items, instances, ..
             } => {
                 self.apply_update(items, &instances);
                 self.session_sync.received_changes(session);
             }
             // The session handles it, and sends `Command::SessionConfirmed`.
-            ToLimiter::Confirmation { .. } => {}
+            ToProxy::Confirmation { .. } => {}
         }
     }
 
--- a/crates/emberpin-proxy/src/registry_sessions/replication.rs
+++ b/crates/emberpin-proxy/src/registry_sessions/replication.rs
@@ -1,6 +1,6 @@
 //! How far this proxy has followed each registry's log of changes.
 
-use emberpin_membership::session::{Revision, SnapshotCursor, SyncProgress, ToLimiter};
+use emberpin_membership::session::{Revision, SnapshotCursor, SyncProgress, ToProxy};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
@@ -31,7 +31,7 @@
     }
 
     /// Advances past a message that was received.
-    pub(super) fn advance(&mut self, registry: Ipv4Addr, message: &ToLimiter) {
+    pub(super) fn advance(&mut self, registry: Ipv4Addr, message: &ToProxy) {
         let mut known = self.registries.remove(&registry);
         SyncProgress::advance(&mut known, message);
         self.registries.extend(known.map(|known| (registry, known)));
--- a/crates/emberpin-proxy/src/registry_sessions/session.rs
+++ b/crates/emberpin-proxy/src/registry_sessions/session.rs
@@ -5,7 +5,7 @@
 use emberpin_membership::ids::Nonce;
 use emberpin_membership::instance::Instance;
 use emberpin_membership::lease::SessionLease;
-use emberpin_membership::session::{ConnectionRole, FromLimiter, ToLimiter};
+use emberpin_membership::session::{ConnectionRole, FromProxy, ToProxy};
 use emberpin_membership::timing::{CONNECT_TIMEOUT, KEEP_ALIVE_INTERVAL, LEASE_CHECK_INTERVAL};
 use emberpin_runtime::frames::{self, ConnectionError};
 use socket2::SockRef;
@@ -75,7 +75,7 @@
         *lease.borrow_mut() = SessionLease::new(self.now());
         let sending = async {
             self.process.send_preamble(&mut writer).await?;
-            frames::write(&mut writer, &ConnectionRole::Limiter).await?;
+            frames::write(&mut writer, &ConnectionRole::Proxy).await?;
             frames::write(&mut writer, &hello).await?;
             self.send_requests(&mut writer, registry, lease, &more_wanted)
                 .await
@@ -93,9 +93,9 @@
         registry: Ipv4Addr,
         name: String,
         zone: String,
-    ) -> Result<FromLimiter, SessionError> {
+    ) -> Result<FromProxy, SessionError> {
         let instances = self.known_instances().await?;
-        Ok(FromLimiter::Hello {
+        Ok(FromProxy::Hello {
             incarnation: self.incarnation,
             name,
             zone,
@@ -132,12 +132,12 @@
                 _ = keep_alives.tick() => {
                     let nonce = lease.borrow_mut().begin_query(self.now());
                     let applied = self.progress.borrow().complete_revision(registry);
-                    FromLimiter::KeepAlive { applied, nonce }
+                    FromProxy::KeepAlive { applied, nonce }
                 }
                 () = more_wanted.notified() => {
                     let cursor = self.progress.borrow().snapshot_cursor(registry);
                     match cursor {
-                        Some(after) => FromLimiter::FetchSnapshotPart { after },
+                        Some(after) => FromProxy::FetchSnapshotPart { after },
                         None => continue,
                     }
                 }
@@ -166,10 +166,10 @@
         let mut first_update = true;
         loop {
             let message = self.read_message(registry, reader).await?;
-            if let ToLimiter::Confirmation {
+            if let ToProxy::Confirmation {
                 nonce,
                 age,
-                limiters,
+                proxies: limiters,
                 registries,
             } = message
             {
@@ -180,7 +180,7 @@
                 continue;
             }
             self.progress.borrow_mut().advance(registry, &message);
-            let is_snapshot = !matches!(message, ToLimiter::Changes { .. });
+            let is_snapshot = !matches!(message, ToProxy::Changes { .. });
             // The first changes of a resumed session may leave a snapshot that an earlier session did not finish.
             if is_snapshot || std::mem::take(&mut first_update) {
                 lease.borrow_mut().on_snapshot_progress(self.now());
@@ -196,8 +196,8 @@
         &self,
         registry: Ipv4Addr,
         reader: &mut OwnedReadHalf,
-    ) -> Result<ToLimiter, ConnectionError> {
-        let message = frames::read::<ToLimiter>(reader).await;
+    ) -> Result<ToProxy, ConnectionError> {
+        let message = frames::read::<ToProxy>(reader).await;
         if let Err(ConnectionError::Malformed(error)) = &message {
             log::warn!("registry sent an unreadable message: registry={registry} error={error}");
         }
--- a/crates/emberpin-proxy/tests/common/mod.rs
+++ b/crates/emberpin-proxy/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use emberpin_config::{Item, ItemKey, ItemKind, Version};
 use emberpin_membership::ids::{Incarnation, Nonce};
 use emberpin_membership::instance::{Instance, Status};
-use emberpin_membership::session::{ConnectionRole, FromLimiter, Revision, ToLimiter};
+use emberpin_membership::session::{ConnectionRole, FromProxy, Revision, ToProxy};
 use emberpin_runtime::frames;
 use emberpin_runtime::identity::ProcessIdentity;
 use std::collections::HashMap;
@@ -147,12 +147,12 @@
     }
 }
 
-pub fn told(ip: Ipv4Addr, settled: bool, limiters: u32) -> ToLimiter {
+pub fn told(ip: Ipv4Addr, settled: bool, limiters: u32) -> ToProxy {
     // The session fills in the nonce.
-    ToLimiter::Confirmation {
+    ToProxy::Confirmation {
         nonce: Nonce(0),
         age: settled.then_some(Duration::ZERO),
-        limiters,
+        proxies: limiters,
         registries: vec![ip],
     }
 }
@@ -161,7 +161,7 @@
 pub struct Session {
     ip: Ipv4Addr,
     number: u64,
-    messages: mpsc::UnboundedSender<ToLimiter>,
+    messages: mpsc::UnboundedSender<ToProxy>,
     /// Up to where the proxy has followed.
     at: watch::Receiver<u64>,
 }
@@ -180,10 +180,10 @@
             frames::read::<ConnectionRole>(&mut stream)
                 .await
                 .expect("said"),
-            ConnectionRole::Limiter
+            ConnectionRole::Proxy
         );
-        let hello: FromLimiter = frames::read(&mut stream).await.expect("said");
-        assert!(matches!(hello, FromLimiter::Hello { .. }), "{hello:?}");
+        let hello: FromProxy = frames::read(&mut stream).await.expect("said");
+        assert!(matches!(hello, FromProxy::Hello { .. }), "{hello:?}");
         let (mut from, mut to) = stream.into_split();
         let (messages, mut queued) = mpsc::unbounded_channel();
         let (followed, at) = watch::channel(0);
@@ -201,14 +201,14 @@
                         Some(message) => message,
                         None => return,
                     },
-                    _ = beat.tick() => ToLimiter::Changes { revision: at, items: vec![], instances: vec![] },
+                    _ = beat.tick() => ToProxy::Changes { revision: at, items: vec![], instances: vec![] },
                 };
-                if let ToLimiter::Snapshot { revision, .. } | ToLimiter::Changes { revision, .. } =
+                if let ToProxy::Snapshot { revision, .. } | ToProxy::Changes { revision, .. } =
                     &message
                 {
                     at = *revision;
                 }
-                if let ToLimiter::Confirmation { nonce, .. } = &mut message {
+                if let ToProxy::Confirmation { nonce, .. } = &mut message {
                     *nonce = *asked.borrow();
                 }
                 if frames::write(&mut to, &message).await.is_err() {
@@ -217,8 +217,7 @@
             }
         });
         tokio::spawn(async move {
-            while let Ok(FromLimiter::KeepAlive { applied, nonce }) = frames::read(&mut from).await
-            {
+            while let Ok(FromProxy::KeepAlive { applied, nonce }) = frames::read(&mut from).await {
                 questions.send_replace(nonce);
                 if let Some(applied) = applied {
                     followed.send_replace(applied.number);
@@ -233,7 +232,7 @@
         }
     }
 
-    pub fn say(&self, message: ToLimiter) {
+    pub fn say(&self, message: ToProxy) {
         _ = self.messages.send(message);
     }
 
@@ -248,7 +247,7 @@
     /// Tells everything; returns once the proxy has followed.
     pub async fn snapshot(&mut self, items: Vec<Item>, instances: Vec<Instance>) {
         let revision = self.next();
-        self.say(ToLimiter::Snapshot {
+        self.say(ToProxy::Snapshot {
             revision,
             items,
             instances,
@@ -261,7 +260,7 @@
     /// Tells what changed; returns once the proxy has followed. Whatever it takes in later meets the change.
     pub async fn change(&mut self, items: Vec<Item>, instances: Vec<Instance>) {
         let revision = self.next();
-        self.say(ToLimiter::Changes {
+        self.say(ToProxy::Changes {
             revision,
             items,
             instances,
--- a/crates/emberpin-proxy/tests/readiness.rs
+++ b/crates/emberpin-proxy/tests/readiness.rs
@@ -4,9 +4,7 @@
 use emberpin_config::{Item, ItemKey, ItemKind, Version};
 use emberpin_membership::ids::{Incarnation, Nonce};
 use emberpin_membership::instance::{Instance, Status};
-use emberpin_membership::session::{
-    ConnectionRole, FromLimiter, Revision, SnapshotCursor, ToLimiter,
-};
+use emberpin_membership::session::{ConnectionRole, FromProxy, Revision, SnapshotCursor, ToProxy};
 use emberpin_runtime::frames;
 use emberpin_runtime::identity::ProcessIdentity;
 use googletest::prelude::*;
@@ -104,9 +102,9 @@
         .await
         .expect("greeted");
     let first: ConnectionRole = frames::read(&mut stream).await.expect("a first message");
-    assert_eq!(first, ConnectionRole::Limiter);
+    assert_eq!(first, ConnectionRole::Proxy);
     match frames::read(&mut stream).await.expect("a hello") {
-        FromLimiter::Hello { resume_from, .. } => (stream, resume_from),
+        FromProxy::Hello { resume_from, .. } => (stream, resume_from),
         other => panic!("no hello: {other:?}"),
     }
 }
@@ -118,7 +116,7 @@
         .expect("in time")
         .expect("a pulse")
     {
-        FromLimiter::KeepAlive { applied, nonce } => (applied, nonce),
+        FromProxy::KeepAlive { applied, nonce } => (applied, nonce),
         other => panic!("no pulse: {other:?}"),
     }
 }
@@ -127,10 +125,10 @@
 async fn pulse(stream: &mut TcpStream, settled: bool) {
     let (_, nonce) = question(stream).await;
     let age = settled.then_some(Duration::ZERO);
-    let pulse = ToLimiter::Confirmation {
+    let pulse = ToProxy::Confirmation {
         nonce,
         age,
-        limiters: 1,
+        proxies: 1,
         registries: vec![MACHINE],
     };
     frames::write(stream, &pulse).await.expect("told");
@@ -162,7 +160,7 @@
     let (mut first, from) = session(&registry).await;
     expect_that!(from, none());
     let (items, instances) = everything();
-    let snapshot = ToLimiter::Snapshot {
+    let snapshot = ToProxy::Snapshot {
         revision: AT,
         items,
         instances,
@@ -179,7 +177,7 @@
     // It goes on from its place. Nothing has changed since, and there is a majority now.
     let (mut again, from) = session(&registry).await;
     expect_that!(from, some(eq(AT)));
-    let changes = ToLimiter::Changes {
+    let changes = ToProxy::Changes {
         revision: AT,
         items: vec![],
         instances: vec![],
@@ -206,9 +204,9 @@
             .expect("in time")
             .expect("a message")
         {
-            FromLimiter::FetchSnapshotPart { after } => return after,
-            FromLimiter::KeepAlive { applied, .. } => assert_eq!(applied, None, "not all is told"),
-            other @ FromLimiter::Hello { .. } => panic!("a second hello: {other:?}"),
+            FromProxy::FetchSnapshotPart { after } => return after,
+            FromProxy::KeepAlive { applied, .. } => assert_eq!(applied, None, "not all is told"),
+            other @ FromProxy::Hello { .. } => panic!("a second hello: {other:?}"),
         }
     }
 }
@@ -228,7 +226,7 @@
 
     let (mut first, _) = session(&registry).await;
     let rest = Some(cursor.clone());
-    let snapshot = ToLimiter::Snapshot {
+    let snapshot = ToProxy::Snapshot {
         revision: AT,
         items,
         instances: vec![],
@@ -243,7 +241,7 @@
 
     let (mut again, from) = session(&registry).await;
     expect_that!(from, some(eq(AT)));
-    let changes = ToLimiter::Changes {
+    let changes = ToProxy::Changes {
         revision: AT,
         items: vec![],
         instances: vec![],
@@ -252,7 +250,7 @@
     expect_that!(wanted(&mut again).await, eq(&cursor));
     pulse(&mut again, true).await;
     expect_that!(readiness(readyz).await, some(eq("503")));
-    let part = ToLimiter::SnapshotPart {
+    let part = ToProxy::SnapshotPart {
         items: vec![],
         instances,
         next_part: None,
--- a/crates/emberpin-registry/src/host.rs
+++ b/crates/emberpin-registry/src/host.rs
@@ -11,7 +11,7 @@
 use emberpin_membership::ids::{CallId, SessionId};
 use emberpin_membership::peers::{Ack, RegistryMessage};
 use emberpin_membership::registry::{Action, Event, Registry, RegistryConfig, ServerReply};
-use emberpin_membership::session::ToLimiter;
+use emberpin_membership::session::ToProxy;
 use emberpin_runtime::frames;
 use emberpin_runtime::identity::ProcessIdentity;
 use emberpin_store::protocol::DiskStatus;
@@ -207,7 +207,7 @@
             Action::DisconnectPeer { peer } => self.disconnect_peer(peer),
             Action::SendToPeers { peers, message } => self.send_to_peers(&peers, &message),
             Action::AcknowledgePeer { peer, ack } => self.acknowledge(peer, &ack),
-            Action::SendToLimiters { sessions, message } => {
+            Action::SendToProxies { sessions, message } => {
                 self.send_to_proxies(&sessions, &message);
             }
             Action::QueryStore { nonce } => self.stores.request_confirmation(nonce.0),
@@ -283,7 +283,7 @@
         }
     }
 
-    fn send_to_proxies(&mut self, sessions: &[SessionId], message: &ToLimiter) {
+    fn send_to_proxies(&mut self, sessions: &[SessionId], message: &ToProxy) {
         let frame: Bytes = match frames::encode(message) {
             Ok(frame) => frame.into(),
             Err(error) => {
--- a/crates/emberpin-registry/src/inbound.rs
+++ b/crates/emberpin-registry/src/inbound.rs
@@ -6,7 +6,7 @@
 use emberpin_membership::ids::SessionId;
 use emberpin_membership::peers::RegistryMessage;
 use emberpin_membership::registry::Event;
-use emberpin_membership::session::{ConnectionRole, FromLimiter};
+use emberpin_membership::session::{ConnectionRole, FromProxy};
 use emberpin_runtime::frames::ConnectionError;
 use emberpin_runtime::identity::ProcessIdentity;
 use std::net::Ipv4Addr;
@@ -88,7 +88,7 @@
         receive_preamble(&self.identity, &mut reader, HANDSHAKE_TIMEOUT).await?;
         self.identity.send_preamble(&mut writer).await?;
         match read_message(&mut reader, HANDSHAKE_TIMEOUT).await? {
-            ConnectionRole::Limiter => self.serve_proxy(session_id, reader, writer).await,
+            ConnectionRole::Proxy => self.serve_proxy(session_id, reader, writer).await,
             ConnectionRole::Registry(peer) => self.serve_peer(peer, reader, writer).await,
         }
     }
@@ -105,10 +105,10 @@
             .await;
         let reads = async {
             loop {
-                let message: FromLimiter = read_message(&mut reader, IDLE_TIMEOUT).await?;
+                let message: FromProxy = read_message(&mut reader, IDLE_TIMEOUT).await?;
                 let session = session_id;
                 self.commands
-                    .send_event(Event::LimiterMessage { session, message })
+                    .send_event(Event::ProxyMessage { session, message })
                     .await;
             }
         };
--- a/crates/emberpin-registry/src/status_report.rs
+++ b/crates/emberpin-registry/src/status_report.rs
@@ -46,10 +46,10 @@
 /// Sessions of proxies, each with the number of changes that it has not taken yet.
 fn proxies(registry: &Registry) -> JsonValue {
     let mut proxies = array![];
-    for lag in registry.limiter_lags() {
+    for lag in registry.proxy_lags() {
         _ = proxies.push(object! {
-            name: lag.limiter.name,
-            zone: lag.limiter.zone,
+            name: lag.proxy.name,
+            zone: lag.proxy.zone,
             behind: lag.changes_behind,
         });
     }
--- a/crates/emberpin-registry/tests/common/proxy_session.rs
+++ b/crates/emberpin-registry/tests/common/proxy_session.rs
@@ -4,7 +4,7 @@
 use emberpin_config::Item;
 use emberpin_membership::ids::{Incarnation, Nonce};
 use emberpin_membership::instance::Instance;
-use emberpin_membership::session::{ConnectionRole, FromLimiter, SnapshotCursor, ToLimiter};
+use emberpin_membership::session::{ConnectionRole, FromProxy, SnapshotCursor, ToProxy};
 use emberpin_runtime::frames;
 use emberpin_runtime::identity::ProcessIdentity;
 use std::collections::BTreeSet;
@@ -34,10 +34,10 @@
         let proxy = ProcessIdentity::new(1);
         proxy.send_preamble(&mut writer).await.expect("sent");
         proxy.receive_preamble(&mut reader).await.expect("received");
-        frames::write(&mut writer, &ConnectionRole::Limiter)
+        frames::write(&mut writer, &ConnectionRole::Proxy)
             .await
             .expect("sent");
-        let hello = FromLimiter::Hello {
+        let hello = FromProxy::Hello {
             incarnation: Incarnation(1),
             name: "edge-1".into(),
             zone: "north".into(),
@@ -58,17 +58,17 @@
         let (mut parts, mut keys, cursors) = (0, BTreeSet::new(), self.cursors.clone());
         self.wait_for(|message| {
             let (items, rest) = match message {
-                ToLimiter::Snapshot {
+                ToProxy::Snapshot {
                     items, next_part, ..
                 }
-                | ToLimiter::SnapshotPart {
+                | ToProxy::SnapshotPart {
                     items, next_part, ..
                 } => {
                     parts += 1;
                     (items, next_part.clone())
                 }
-                ToLimiter::Changes { items, .. } => (items, None),
-                ToLimiter::Confirmation { .. } => return None,
+                ToProxy::Changes { items, .. } => (items, None),
+                ToProxy::Confirmation { .. } => return None,
             };
             keys.extend(items.iter().map(|item| item.key.clone()));
             if let Some(after) = rest {
@@ -91,10 +91,10 @@
     }
 
     /// Reads messages until `find` finds what it looks for.
-    pub async fn wait_for<T>(&mut self, mut find: impl FnMut(&ToLimiter) -> Option<T>) -> T {
+    pub async fn wait_for<T>(&mut self, mut find: impl FnMut(&ToProxy) -> Option<T>) -> T {
         let reading = async {
             loop {
-                let message: ToLimiter = frames::read(&mut self.reader).await.expect("a message");
+                let message: ToProxy = frames::read(&mut self.reader).await.expect("a message");
                 if let Some(found) = find(&message) {
                     return found;
                 }
@@ -110,27 +110,25 @@
 
     /// Reads until the registry confirms that what it sent is recent.
     pub async fn wait_until_confirmed(&mut self) {
-        let confirmed = |message: &ToLimiter| {
-            matches!(message, ToLimiter::Confirmation { age: Some(_), .. }).then_some(())
+        let confirmed = |message: &ToProxy| {
+            matches!(message, ToProxy::Confirmation { age: Some(_), .. }).then_some(())
         };
         self.wait_for(confirmed).await;
     }
 }
 
 /// The first item of a snapshot or of changes.
-pub fn first_item(message: &ToLimiter) -> Option<Item> {
+pub fn first_item(message: &ToProxy) -> Option<Item> {
     match message {
-        ToLimiter::Snapshot { items, .. } | ToLimiter::Changes { items, .. } => {
-            items.first().cloned()
-        }
-        ToLimiter::SnapshotPart { .. } | ToLimiter::Confirmation { .. } => None,
+        ToProxy::Snapshot { items, .. } | ToProxy::Changes { items, .. } => items.first().cloned(),
+        ToProxy::SnapshotPart { .. } | ToProxy::Confirmation { .. } => None,
     }
 }
 
 /// The first instance of changes.
-pub fn first_changed_instance(message: &ToLimiter) -> Option<Instance> {
+pub fn first_changed_instance(message: &ToProxy) -> Option<Instance> {
     match message {
-        ToLimiter::Changes { instances, .. } => instances.first().cloned(),
+        ToProxy::Changes { instances, .. } => instances.first().cloned(),
         _ => None,
     }
 }
@@ -142,8 +140,8 @@
     let mut heartbeat_due = interval(HEARTBEAT_INTERVAL);
     for nonce in 1.. {
         let message = tokio::select! {
-            Some(after) = cursors.recv() => FromLimiter::FetchSnapshotPart { after },
-            _ = heartbeat_due.tick() => FromLimiter::KeepAlive { applied: None, nonce: Nonce(nonce) },
+            Some(after) = cursors.recv() => FromProxy::FetchSnapshotPart { after },
+            _ = heartbeat_due.tick() => FromProxy::KeepAlive { applied: None, nonce: Nonce(nonce) },
         };
         if frames::write(&mut writer, &message).await.is_err() {
             return;
--- a/crates/emberpin-registry/tests/heartbeats.rs
+++ b/crates/emberpin-registry/tests/heartbeats.rs
@@ -9,7 +9,7 @@
 };
 use emberpin_config::ItemKind;
 use emberpin_membership::instance::Status;
-use emberpin_membership::session::ToLimiter;
+use emberpin_membership::session::ToProxy;
 use googletest::prelude::*;
 
 #[tokio::test]
@@ -98,12 +98,12 @@
     verify_that!(status, eq(503))?;
     let _second = RegistryProcess::start(machines[1], &machines);
     let mut proxy = ProxySession::open(machines[1]).await;
-    let draining = |message: &ToLimiter| match message {
-        ToLimiter::Snapshot { instances, .. } | ToLimiter::Changes { instances, .. } => instances
+    let draining = |message: &ToProxy| match message {
+        ToProxy::Snapshot { instances, .. } | ToProxy::Changes { instances, .. } => instances
             .iter()
             .any(|instance| instance.id == "i-1" && instance.status == Status::Draining)
             .then_some(()),
-        ToLimiter::SnapshotPart { .. } | ToLimiter::Confirmation { .. } => None,
+        ToProxy::SnapshotPart { .. } | ToProxy::Confirmation { .. } => None,
     };
     proxy.wait_for(draining).await;
     let (status, _) = call(
--- a/crates/emberpin-registry/tests/proxy_sessions.rs
+++ b/crates/emberpin-registry/tests/proxy_sessions.rs
@@ -8,7 +8,7 @@
     REGISTRY_PORT, TEST_TIMEOUT,
 };
 use emberpin_config::ItemKind;
-use emberpin_membership::session::ToLimiter;
+use emberpin_membership::session::ToProxy;
 use emberpin_runtime::identity::ProcessIdentity;
 use googletest::prelude::*;
 use std::net::Ipv4Addr;
@@ -42,8 +42,8 @@
         )
         .await;
         verify_that!(status, eq(200))?;
-        let named = |message: &ToLimiter| match message {
-            ToLimiter::Changes { instances, .. } => instances
+        let named = |message: &ToProxy| match message {
+            ToProxy::Changes { instances, .. } => instances
                 .iter()
                 .any(|instance| instance.id == id)
                 .then_some(()),
@@ -73,7 +73,7 @@
     verify_that!(ended.is_ok(), eq(true))?;
     verify_that!(rest, is_empty())?;
     proxy
-        .wait_for(|message| matches!(message, ToLimiter::Confirmation { .. }).then_some(()))
+        .wait_for(|message| matches!(message, ToProxy::Confirmation { .. }).then_some(()))
         .await;
     let (_, response) = call(local, "GET", "/status", "").await;
     verify_that!(response, contains_substring("\"unreadable\":1"))
--- a/crates/emberpin-registry/tests/recorded_messages.rs
+++ b/crates/emberpin-registry/tests/recorded_messages.rs
@@ -9,7 +9,7 @@
 
 use emberpin_consensus::Message;
 use emberpin_membership::peers::RegistryMessage;
-use emberpin_membership::session::{ConnectionRole, FromLimiter, ToLimiter};
+use emberpin_membership::session::{ConnectionRole, FromProxy, ToProxy};
 use emberpin_runtime::frames::{self, ConnectionError};
 use emberpin_runtime::preamble::{Preamble, PREAMBLE_BYTES};
 use emberpin_store::protocol::{DiskState, StoreReply, StoreRequest, ToStore};
@@ -162,10 +162,10 @@
     let (first, rest) = to_registry.split_at(samples::first().len());
     let (from_limiter, between_registries) = rest.split_at(samples::from_limiter().len());
     expect_all_recorded::<ConnectionRole>(first, &[]);
-    expect_all_recorded::<FromLimiter>(from_limiter, &[]);
+    expect_all_recorded::<FromProxy>(from_limiter, &[]);
     expect_all_recorded::<RegistryMessage>(between_registries, &[]);
     let from_registry = recorded::frames(MESSAGES, "from-registry");
-    expect_all_recorded::<ToLimiter>(&from_registry[..samples::to_limiter().len()], &[]);
+    expect_all_recorded::<ToProxy>(&from_registry[..samples::to_limiter().len()], &[]);
 }
 
 #[gtest]
@@ -174,7 +174,7 @@
     expect_that!(variants::<Message>(&[]).len(), eq(17));
     expect_that!(variants::<StoreReply>(&[]).len(), eq(4));
     expect_that!(variants::<DiskState>(&[]).len(), eq(4));
-    expect_that!(variants::<FromLimiter>(&[]).len(), eq(3));
-    expect_that!(variants::<ToLimiter>(&[]).len(), eq(4));
+    expect_that!(variants::<FromProxy>(&[]).len(), eq(3));
+    expect_that!(variants::<ToProxy>(&[]).len(), eq(4));
     expect_that!(variants::<RegistryMessage>(&[]).len(), eq(7));
 }
--- a/crates/emberpin-registry/tests/samples/mod.rs
+++ b/crates/emberpin-registry/tests/samples/mod.rs
@@ -10,10 +10,8 @@
 };
 use emberpin_membership::ids::{self, AckId, Digest, Nonce};
 use emberpin_membership::instance::{Instance, Status};
-use emberpin_membership::peers::{Ack, InstanceRecord, LimiterIdentity, RegistryMessage};
-use emberpin_membership::session::{
-    ConnectionRole, FromLimiter, Revision, SnapshotCursor, ToLimiter,
-};
+use emberpin_membership::peers::{Ack, InstanceRecord, ProxyIdentity, RegistryMessage};
+use emberpin_membership::session::{ConnectionRole, FromProxy, Revision, SnapshotCursor, ToProxy};
 use emberpin_runtime::frames;
 use emberpin_store::protocol::{DiskState, DiskStatus, StoreReply, StoreRequest, ToStore};
 use serde::Serialize;
@@ -87,8 +85,8 @@
     }]
 }
 
-fn limiters() -> Vec<LimiterIdentity> {
-    vec![LimiterIdentity {
+fn proxies() -> Vec<ProxyIdentity> {
+    vec![ProxyIdentity {
         incarnation: ids::Incarnation(3),
         name: "edge".into(),
         zone: "z".into(),
@@ -229,17 +227,17 @@
 
 /// Every message that opens a connection to a registry.
 pub fn first() -> Vec<ConnectionRole> {
-    vec![ConnectionRole::Limiter, ConnectionRole::Registry(MACHINE)]
+    vec![ConnectionRole::Proxy, ConnectionRole::Registry(MACHINE)]
 }
 
 /// Every message from a proxy to a registry.
-pub fn from_limiter() -> Vec<FromLimiter> {
+pub fn from_limiter() -> Vec<FromProxy> {
     let instances = vec![
         instance(Status::Up),
         instance(Status::Draining),
         instance(Status::Removed),
     ];
-    let hello = FromLimiter::Hello {
+    let hello = FromProxy::Hello {
         incarnation: ids::Incarnation(1),
         name: "edge".into(),
         zone: "z".into(),
@@ -249,11 +247,11 @@
     let after = SnapshotCursor::Item(items()[0].key.clone());
     vec![
         hello,
-        FromLimiter::KeepAlive {
+        FromProxy::KeepAlive {
             applied: Some(PLACE),
             nonce: Nonce(11),
         },
-        FromLimiter::FetchSnapshotPart { after },
+        FromProxy::FetchSnapshotPart { after },
     ]
 }
 
@@ -264,7 +262,7 @@
             zone: "z".into(),
             confirmed: true,
             instances: records(),
-            limiters: limiters(),
+            proxies: proxies(),
         },
         RegistryMessage::Changed {
             ack_id: Some(AckId(1)),
@@ -280,37 +278,35 @@
         RegistryMessage::OwnedInstances {
             instances: records(),
         },
-        RegistryMessage::LimiterSessions {
-            limiters: limiters(),
-        },
+        RegistryMessage::ProxySessions { proxies: proxies() },
     ]
 }
 
 /// Every message from a registry to a proxy.
-pub fn to_limiter() -> Vec<ToLimiter> {
+pub fn to_limiter() -> Vec<ToProxy> {
     let instances = vec![instance(Status::Up)];
     vec![
-        ToLimiter::Snapshot {
+        ToProxy::Snapshot {
             revision: PLACE,
             items: items(),
             instances: instances.clone(),
             complete: true,
             next_part: None,
         },
-        ToLimiter::Changes {
+        ToProxy::Changes {
             revision: PLACE,
             items: items(),
             instances: instances.clone(),
         },
-        ToLimiter::SnapshotPart {
+        ToProxy::SnapshotPart {
             items: items(),
             instances,
             next_part: Some(SnapshotCursor::Instance("i-1".into())),
         },
-        ToLimiter::Confirmation {
+        ToProxy::Confirmation {
             nonce: Nonce(11),
             age: Some(Duration::from_millis(13)),
-            limiters: 2,
+            proxies: 2,
             registries: vec![MACHINE],
         },
     ]
--- a/crates/emberpin-registry/tests/samples/values.rs
+++ b/crates/emberpin-registry/tests/samples/values.rs
@@ -9,7 +9,7 @@
 use emberpin_membership::ids::{self, AckId, Digest, Nonce};
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::peers::{Ack, InstanceRecord, RegistryMessage};
-use emberpin_membership::session::{FromLimiter, Revision, SnapshotCursor, ToLimiter};
+use emberpin_membership::session::{FromProxy, Revision, SnapshotCursor, ToProxy};
 use emberpin_runtime::preamble::Preamble;
 use emberpin_store::protocol::{DiskState, DiskStatus, StoreReply, StoreRequest, ToStore};
 use std::net::Ipv4Addr;
@@ -143,8 +143,8 @@
 }
 
 /// Messages from a proxy to a registry.
-pub fn from_limiter() -> Vec<FromLimiter> {
-    let hello = FromLimiter::Hello {
+pub fn from_limiter() -> Vec<FromProxy> {
+    let hello = FromProxy::Hello {
         incarnation: ids::Incarnation(u64::MAX),
         name: String::new(),
         zone: "zürich".into(),
@@ -154,17 +154,17 @@
     let after = SnapshotCursor::Instance("i-1".into());
     vec![
         hello,
-        FromLimiter::KeepAlive {
+        FromProxy::KeepAlive {
             applied: None,
             nonce: Nonce(u64::MAX),
         },
-        FromLimiter::FetchSnapshotPart { after },
+        FromProxy::FetchSnapshotPart { after },
     ]
 }
 
 /// Messages from one registry to another.
 pub fn between_registries() -> Vec<RegistryMessage> {
-    let (instances, limiters) = (Vec::new(), Vec::new());
+    let (instances, proxies) = (Vec::new(), Vec::new());
     let unowned = InstanceRecord {
         instance: with_ipv6_address(),
         expired: false,
@@ -175,7 +175,7 @@
             zone: String::new(),
             confirmed: false,
             instances,
-            limiters,
+            proxies,
         },
         RegistryMessage::Changed {
             ack_id: None,
@@ -190,31 +190,31 @@
 }
 
 /// Messages from a registry to a proxy.
-pub fn to_limiter() -> Vec<ToLimiter> {
+pub fn to_limiter() -> Vec<ToProxy> {
     let (items, instances) = (Vec::new(), vec![with_ipv6_address()]);
     let rest = Some(SnapshotCursor::Item(item(ItemKind::Route, "r", None).key));
     vec![
-        ToLimiter::Snapshot {
+        ToProxy::Snapshot {
             revision: PLACE,
             items: items.clone(),
             instances,
             complete: false,
             next_part: rest,
         },
-        ToLimiter::Changes {
+        ToProxy::Changes {
             revision: LAST,
             items: items.clone(),
             instances: Vec::new(),
         },
-        ToLimiter::SnapshotPart {
+        ToProxy::SnapshotPart {
             items,
             instances: Vec::new(),
             next_part: None,
         },
-        ToLimiter::Confirmation {
+        ToProxy::Confirmation {
             nonce: Nonce(u64::MAX),
             age: None,
-            limiters: u32::MAX,
+            proxies: u32::MAX,
             registries: Vec::new(),
         },
     ]
--- a/crates/emberpin-registry/tests/store_failover.rs
+++ b/crates/emberpin-registry/tests/store_failover.rs
@@ -8,7 +8,7 @@
     RegistryProcess, STORE_PORT, TEST_TIMEOUT,
 };
 use emberpin_config::{Item, ItemKind, Version};
-use emberpin_membership::session::ToLimiter;
+use emberpin_membership::session::ToProxy;
 use emberpin_store::protocol::{DiskState, DiskStatus};
 use googletest::prelude::*;
 use std::time::{Duration, Instant};
@@ -46,7 +46,7 @@
     FakeStore::new(&[other])
         .with_items(vec![service(8)])
         .serve(local);
-    let newer = |message: &ToLimiter| first_item(message).filter(|item| item.version == Version(8));
+    let newer = |message: &ToProxy| first_item(message).filter(|item| item.version == Version(8));
     proxy.wait_for(newer).await;
     Ok(())
 }
--- a/crates/emberpin-scale-bench/src/hollow.rs
+++ b/crates/emberpin-scale-bench/src/hollow.rs
@@ -3,7 +3,7 @@
 use crate::http::Connection;
 use crate::texts::{self, Places, BEAT_MS, LOAD, PROBE};
 use emberpin_membership::ids::{Incarnation, Nonce};
-use emberpin_membership::session::{ConnectionRole, FromLimiter, Revision, ToLimiter};
+use emberpin_membership::session::{ConnectionRole, FromProxy, Revision, ToProxy};
 use emberpin_runtime::frames::{self, ConnectionError};
 use emberpin_runtime::identity::ProcessIdentity;
 use std::collections::BTreeMap;
@@ -93,7 +93,7 @@
     let stream = TcpStream::connect(registry).await?;
     stream.set_nodelay(true)?;
     let (mut from, mut to) = stream.into_split();
-    let hello = FromLimiter::Hello {
+    let hello = FromProxy::Hello {
         incarnation: Incarnation(number as u64),
         name: format!("hollow-{number}"),
         zone: texts::zone(number),
@@ -102,7 +102,7 @@
     };
     let limiter = ProcessIdentity::new(number as u64);
     limiter.send_preamble(&mut to).await?;
-    frames::write(&mut to, &ConnectionRole::Limiter).await?;
+    frames::write(&mut to, &ConnectionRole::Proxy).await?;
     frames::write(&mut to, &hello).await?;
     limiter.receive_preamble(&mut from).await?;
     counts.sessions.fetch_add(1, Ordering::Relaxed);
@@ -114,8 +114,8 @@
         loop {
             nonce += 1;
             let said = tokio::select! {
-                () = sleep(PULSE) => FromLimiter::KeepAlive { applied: *at(), nonce: Nonce(nonce) },
-                Some(after) = wanted.recv() => FromLimiter::FetchSnapshotPart { after },
+                () = sleep(PULSE) => FromProxy::KeepAlive { applied: *at(), nonce: Nonce(nonce) },
+                Some(after) = wanted.recv() => FromProxy::FetchSnapshotPart { after },
             };
             let frame = frames::encode(&said)?;
             counts.said.fetch_add(frame.len() as u64, Ordering::Relaxed);
@@ -124,24 +124,24 @@
     };
     let hears = async {
         loop {
-            let told: ToLimiter = frames::read(&mut from).await?;
+            let told: ToProxy = frames::read(&mut from).await?;
             counts
                 .told
                 .fetch_add(frames::encode(&told)?.len() as u64, Ordering::Relaxed);
             let (place, items, rest) = match told {
-                ToLimiter::Snapshot {
+                ToProxy::Snapshot {
                     revision,
                     items,
                     next_part,
                     ..
                 } => (Some(revision), items, next_part),
-                ToLimiter::SnapshotPart {
+                ToProxy::SnapshotPart {
                     items, next_part, ..
                 } => (None, items, next_part),
-                ToLimiter::Changes {
+                ToProxy::Changes {
                     revision, items, ..
                 } => (Some(revision), items, None),
-                ToLimiter::Confirmation { .. } => continue,
+                ToProxy::Confirmation { .. } => continue,
             };
             if place.is_some() {
                 *at() = place;
@@ -172,7 +172,7 @@
 pub async fn snapshot(registry: SocketAddr) -> Result<usize, ConnectionError> {
     let mut stream = TcpStream::connect(registry).await?;
     stream.set_nodelay(true)?;
-    let hello = FromLimiter::Hello {
+    let hello = FromProxy::Hello {
         incarnation: Incarnation(0),
         name: "new".into(),
         zone: texts::zone(0),
@@ -181,15 +181,14 @@
     };
     let limiter = ProcessIdentity::new(0);
     limiter.send_preamble(&mut stream).await?;
-    frames::write(&mut stream, &ConnectionRole::Limiter).await?;
+    frames::write(&mut stream, &ConnectionRole::Proxy).await?;
     frames::write(&mut stream, &hello).await?;
     limiter.receive_preamble(&mut stream).await?;
     let mut bytes = 0;
     loop {
-        let told: ToLimiter = frames::read(&mut stream).await?;
+        let told: ToProxy = frames::read(&mut stream).await?;
         let length = frames::encode(&told)?.len();
-        let (ToLimiter::Snapshot { next_part, .. } | ToLimiter::SnapshotPart { next_part, .. }) =
-            told
+        let (ToProxy::Snapshot { next_part, .. } | ToProxy::SnapshotPart { next_part, .. }) = told
         else {
             continue;
         };
@@ -197,7 +196,7 @@
         let Some(after) = next_part else {
             return Ok(bytes);
         };
-        frames::write(&mut stream, &FromLimiter::FetchSnapshotPart { after }).await?;
+        frames::write(&mut stream, &FromProxy::FetchSnapshotPart { after }).await?;
     }
 }
 
--- a/crates/emberpin-simulator/src/builds.rs
+++ b/crates/emberpin-simulator/src/builds.rs
@@ -114,7 +114,7 @@
             "no-majority" => &mut self.watch.majority_acknowledgement,
             "no-rises" => &mut self.watch.monotonic_status,
             "no-silence" => &mut self.watch.confirmed_eviction,
-            "no-repair" => &mut self.watch.repair_from_limiters,
+            "no-repair" => &mut self.watch.repair_from_proxies,
             "no-displace" => &mut self.watch.displacement,
             "no-place" => &mut self.watch.revision_check,
             "no-fleet-rises" => &mut self.router.monotonic_status,
--- a/crates/emberpin-simulator/src/cores.rs
+++ b/crates/emberpin-simulator/src/cores.rs
@@ -413,7 +413,7 @@
                     self.send(conn, false, Frame::Ack(ack));
                 }
             }
-            Action::SendToLimiters { sessions, message } => {
+            Action::SendToProxies { sessions, message } => {
                 sessions
                     .into_iter()
                     .for_each(|session| self.send(session.0, false, Frame::To(message.clone())));
--- a/crates/emberpin-simulator/src/limiters.rs
+++ b/crates/emberpin-simulator/src/limiters.rs
@@ -12,7 +12,7 @@
 use emberpin_membership::ids::Incarnation;
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::lease::SessionLease;
-use emberpin_membership::session::{FromLimiter, SyncProgress, ToLimiter};
+use emberpin_membership::session::{FromProxy, SyncProgress, ToProxy};
 use emberpin_membership::timing;
 use emberpin_routing::{Availability, Router, WarmupProfile, WarmupTolerance};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -274,7 +274,7 @@
                 self.send(
                     conn,
                     true,
-                    Frame::From(FromLimiter::KeepAlive { applied: at, nonce }),
+                    Frame::From(FromProxy::KeepAlive { applied: at, nonce }),
                 );
             }
         }
@@ -309,7 +309,7 @@
             proxy.sessions[index].next = now + MAX_BACKOFF;
             return;
         };
-        let hello = FromLimiter::Hello {
+        let hello = FromProxy::Hello {
             incarnation: Incarnation(u64::from(limiter) << 32 | incarnation),
             name: format!("limiter-{limiter}"),
             zone,
@@ -367,7 +367,7 @@
         session.pause = (session.pause * 2).min(MAX_BACKOFF);
     }
 
-    pub fn limiter_hears(&mut self, limiter: u8, conn: u64, core: u8, told: ToLimiter) {
+    pub fn limiter_hears(&mut self, limiter: u8, conn: u64, core: u8, told: ToProxy) {
         let build = self.build.proxy;
         let Some((now, proxy)) = self.proxy(limiter) else {
             return;
@@ -390,9 +390,9 @@
         proxy.places.extend(followed.map(|known| (core, known)));
         let is_part = matches!(
             told,
-            ToLimiter::Snapshot { .. } | ToLimiter::SnapshotPart { .. }
+            ToProxy::Snapshot { .. } | ToProxy::SnapshotPart { .. }
         );
-        let goes_on = begins && matches!(told, ToLimiter::Changes { .. });
+        let goes_on = begins && matches!(told, ToProxy::Changes { .. });
         if is_part || goes_on {
             proxy.sessions[index]
                 .lease
@@ -402,19 +402,19 @@
             proxy.sessions[index].fetching = Some(rest.is_some());
         }
         let learned = match told {
-            ToLimiter::Snapshot {
+            ToProxy::Snapshot {
                 items, instances, ..
             }
-            | ToLimiter::SnapshotPart {
+            | ToProxy::SnapshotPart {
                 items, instances, ..
             }
-            | ToLimiter::Changes {
+            | ToProxy::Changes {
                 items, instances, ..
             } => proxy.learn(now, items, &instances, build.in_force),
-            ToLimiter::Confirmation {
+            ToProxy::Confirmation {
                 nonce,
                 age,
-                limiters,
+                proxies: limiters,
                 registries,
             } => {
                 let session = &mut proxy.sessions[index];
@@ -445,7 +445,7 @@
             self.send(
                 conn,
                 true,
-                Frame::From(FromLimiter::FetchSnapshotPart { after }),
+                Frame::From(FromProxy::FetchSnapshotPart { after }),
             );
         }
         self.look_at_servers(limiter);
--- a/crates/emberpin-simulator/src/net.rs
+++ b/crates/emberpin-simulator/src/net.rs
@@ -7,7 +7,7 @@
 use emberpin_membership::ids::SessionId;
 use emberpin_membership::peers::{Ack, RegistryMessage};
 use emberpin_membership::registry::Event;
-use emberpin_membership::session::{FromLimiter, ToLimiter};
+use emberpin_membership::session::{FromProxy, ToProxy};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Bytes that nobody takes end a connection after so long.
@@ -18,8 +18,8 @@
 pub(crate) enum Frame {
     RegistryMessage(RegistryMessage),
     Ack(Ack),
-    From(FromLimiter),
-    To(ToLimiter),
+    From(FromProxy),
+    To(ToProxy),
 }
 
 /// A connection; what goes over it keeps its order.
@@ -313,7 +313,7 @@
                 }
                 self.registry(
                     to,
-                    Event::LimiterMessage {
+                    Event::ProxyMessage {
                         session: SessionId(id),
                         message,
                     },
