--- a/crates/emberpin-consensus/src/acceptor.rs
+++ b/crates/emberpin-consensus/src/acceptor.rs
@@ -4,7 +4,7 @@
 use crate::bootstrap::BootstrapCandidate;
 use crate::guards::Guards;
 use crate::incarnation::{Incarnation, LatestIncarnations};
-use crate::message::Message;
+use crate::message::{Accepted, Message, NotVoting, Promise, Rejected};
 use crate::state::{Merged, State};
 use crate::storage::PersistedState;
 use emberpin_config::{Item, ItemKey, ItemKind};
@@ -56,18 +56,18 @@
         }
     }
 
-    /// The voter's answer to [`Message::Prepare`]. Only a promise has to be written.
+    /// The voter's answer to [`Prepare`](crate::message::Prepare). Only a promise has to be written.
     pub fn prepare(&mut self, ballot: Ballot, digests: &[u64], recovers: bool) -> Message {
         if !self.voting {
-            return Message::NotVoting { ballot };
+            return Message::NotVoting(NotVoting { ballot });
         }
         // A promise may have been lost, and is then asked for again.
         let is_repeated = ballot == self.promised && self.accepted.ballot < ballot;
         if ballot <= self.promised && !is_repeated && self.guards.keep_promises {
-            return Message::Rejected {
+            return Message::Rejected(Rejected {
                 ballot,
                 promised: self.promised,
-            };
+            });
         }
         self.promised = ballot;
         if recovers {
@@ -76,31 +76,31 @@
         }
         let buckets = self.state.differing(digests);
         let chosen = self.state.in_buckets(&buckets);
-        Message::Promise {
+        Message::Promise(Promise {
             ballot,
             incarnation: self.incarnation,
             latest_incarnations: self.latest_incarnations.clone(),
             accepted: self.accepted.clone(),
             buckets,
             chosen,
-        }
+        })
     }
 
-    /// The voter's answer to [`Message::Accept`]. The caller learns the chosen items that came along.
+    /// The voter's answer to [`Accept`](crate::message::Accept). The caller learns the chosen items that came along.
     pub fn accept(&mut self, ballot: Ballot, items: Vec<Item>) -> Message {
         if !self.voting {
-            return Message::NotVoting { ballot };
+            return Message::NotVoting(NotVoting { ballot });
         }
         if ballot < self.promised && self.guards.keep_promises {
-            return Message::Rejected {
+            return Message::Rejected(Rejected {
                 ballot,
                 promised: self.promised,
-            };
+            });
         }
         self.promised = ballot;
         self.accepted = AcceptedProposal { ballot, items };
         self.clear_accepted_if_chosen();
-        Message::Accepted { ballot }
+        Message::Accepted(Accepted { ballot })
     }
 
     /// Takes chosen items.
--- a/crates/emberpin-consensus/src/guards.rs
+++ b/crates/emberpin-consensus/src/guards.rs
@@ -26,7 +26,7 @@
     /// Chosen items that a voter lacks are sent along with a proposal.
     pub transfer_missing_items: bool,
     /// A call is judged on what a majority knows, not on what this replica knew before its round.
-    pub judge_on_quorum_state: bool,
+    pub evaluate_on_quorum_state: bool,
     /// Of a call that is rejected, no item is chosen.
     pub atomic_calls: bool,
     /// An evacuation is not begun once its caller no longer waits for it.
@@ -83,7 +83,7 @@
             sync_before_reply: true,
             keep_accepted_ballot: true,
             transfer_missing_items: true,
-            judge_on_quorum_state: true,
+            evaluate_on_quorum_state: true,
             atomic_calls: true,
             evacuation_deadline: true,
             compare_accepted: true,
--- a/crates/emberpin-consensus/src/message.rs
+++ b/crates/emberpin-consensus/src/message.rs
@@ -1,5 +1,9 @@
 //! Messages between replicas. Each may be lost, delayed, reordered or duplicated.
 //!
+//! A round takes [`Prepare`] and [`Promise`], then [`Accept`] and [`Accepted`]; [`Chosen`] spreads its result. Replicas
+//! compare what they know by [`CompareDigest`] and what follows it. The first roster comes to be by [`BootstrapQuery`],
+//! [`BootstrapReply`] and [`FirstRoster`].
+//!
 //! The order of variants and of fields is the encoding on the wire.
 
 use crate::ballot::{AcceptedProposal, Ballot};
@@ -23,152 +27,220 @@
 /// A message from one replica to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Phase 1, from a proposer to all voters of its roster. A voter that has promised no higher ballot answers
-    /// [`Message::Promise`] once its promise is on its disk.
-    Prepare {
-        /// The round's ballot.
-        ballot: Ballot,
-        /// The newest roster that the proposer knows to be chosen.
-        roster: Item,
-        /// Digests of the proposer's chosen items, one for each bucket of keys.
-        digests: Vec<u64>,
-        /// Whether the proposer lost its disk and catches up by this round; the voter then records the round as the
-        /// proposer's incarnation.
-        recovers: bool,
-    },
-    /// Answers [`Message::Prepare`]: from now on the voter accepts nothing at a lower ballot. With promises of a
-    /// majority the proposer goes on to [`Message::Accept`].
-    Promise {
-        /// The round's ballot.
-        ballot: Ballot,
-        /// The incarnation in which the voter promises.
-        incarnation: Incarnation,
-        /// The incarnations that the voter knows of others; they void earlier promises of theirs.
-        latest_incarnations: LatestIncarnations,
-        /// The proposal that the voter accepted last. Of all that are told to it, the proposer has to propose the one
-        /// of the highest ballot again, as it may be chosen.
-        accepted: AcceptedProposal,
-        /// The buckets in which the voter's chosen items differ from the proposer's.
-        buckets: Vec<u8>,
-        /// The voter's chosen items in these buckets.
-        chosen: Vec<Item>,
-    },
-    /// Phase 2, from a proposer to all voters of its roster. A voter that has promised no higher ballot answers
-    /// [`Message::Accepted`] once the proposal is on its disk.
-    Accept {
-        /// The round's ballot.
-        ballot: Ballot,
-        /// As in [`Message::Prepare`].
-        roster: Item,
-        /// Chosen items that some voter lacked when it promised.
-        chosen: Vec<Item>,
-        /// The proposed items, including those of earlier rounds that may be chosen.
-        items: Vec<Item>,
-    },
-    /// Answers [`Message::Accept`]: the proposal is on the voter's disk. Once a quorum has accepted, the items are
-    /// chosen, and the proposer replies to its callers.
-    Accepted {
-        /// The round's ballot.
-        ballot: Ballot,
-    },
-    /// Answers [`Message::Prepare`] or [`Message::Accept`]: the voter has promised a higher ballot. The proposer's
-    /// next round starts above it.
-    Rejected {
-        /// The round's ballot.
-        ballot: Ballot,
-        /// The ballot that the voter has promised.
-        promised: Ballot,
-    },
-    /// Answers [`Message::Prepare`] or [`Message::Accept`]: the replica lost its disk and has not caught up, so it
-    /// counts in no quorum. The proposer goes on with the other voters.
-    NotVoting {
-        /// The round's ballot.
-        ballot: Ballot,
-    },
-    /// Answers [`Message::Prepare`] or [`Message::Accept`]: the round's roster has been replaced. The proposer learns
-    /// the newer roster and starts over.
-    StaleRoster {
-        /// The round's ballot.
-        ballot: Ballot,
-        /// The newer roster; it is chosen.
-        roster: Item,
-    },
-    /// From the seed of the lowest address to all other seeds, at the bootstrap of the system. A seed that knows a
-    /// roster answers with [`Message::Chosen`], any other with [`Message::BootstrapReply`].
-    BootstrapQuery {
-        /// The sender's [`BootstrapCandidate::nonce`](crate::BootstrapCandidate::nonce).
-        query_nonce: u64,
-    },
-    /// Answers [`Message::BootstrapQuery`]: the sender knows no roster. Once all seeds have said so, and most of them
-    /// are candidates, the seed that asked writes the first roster.
-    BootstrapReply {
-        /// The nonce of the query.
-        query_nonce: u64,
-        /// The sender's own nonce, if it is a candidate.
-        candidate_nonce: Option<u64>,
-    },
-    /// From the seed of the lowest address to all other seeds, once the first roster is on its disk. The receiver
-    /// learns the roster, and votes at once if it names the receiver's own nonce.
-    FirstRoster {
-        /// The nonce of the query that led to it.
-        query_nonce: u64,
-        /// The first roster.
-        roster: Item,
-    },
-    /// Tells items that are known to be chosen: from a proposer to all replicas that it knows when its round is over,
-    /// and from any replica to one that lacks them. The receiver learns them; there is no answer.
-    Chosen {
-        /// The chosen items.
-        items: Vec<Item>,
-    },
-    /// From each replica to the others, once in [`COMPARISON_INTERVAL`](crate::COMPARISON_INTERVAL): compares what
-    /// they know to be chosen. It is also the heartbeat by which the receiver knows the sender to be alive.
-    CompareDigest {
-        /// Repeated in the answer.
-        comparison_id: ComparisonId,
-        /// Digest of all of the sender's chosen items.
-        digest: u64,
-    },
-    /// Answers [`Message::CompareDigest`]: both replicas know the same chosen items.
-    DigestMatches {
-        /// The comparison that this answers.
-        comparison_id: ComparisonId,
-        /// Whether the sender counts in quorums.
-        voting: bool,
-        /// What the sender has accepted and does not know to be chosen. It may have been acknowledged to a caller, so
-        /// the comparison counts only once the receiver knows these versions, or newer ones, to be chosen.
-        unchosen: Vec<ItemVersion>,
-    },
-    /// Answers [`Message::CompareDigest`]: the chosen items differ. The receiver sends the items that it has in the
-    /// differing buckets by [`Message::Chosen`], and asks for the sender's by [`Message::FetchBuckets`].
-    DigestDiffers {
-        /// The comparison that this answers.
-        comparison_id: ComparisonId,
-        /// Digests of the sender's chosen items, one for each bucket of keys.
-        digests: Vec<u64>,
-        /// As in [`Message::DigestMatches`].
-        unchosen: Vec<ItemVersion>,
-    },
-    /// Answers [`Message::DigestDiffers`]: asks for the chosen items of the differing buckets.
-    FetchBuckets {
-        /// The comparison that this belongs to.
-        comparison_id: ComparisonId,
-        /// The differing buckets.
-        buckets: Vec<u8>,
-    },
-    /// Answers [`Message::FetchBuckets`]. The receiver learns the items, which completes the comparison.
-    BucketItems {
-        /// The comparison that this belongs to.
-        comparison_id: ComparisonId,
-        /// All chosen items that the sender has in the buckets.
-        items: Vec<Item>,
-        /// Whether the sender counts in quorums.
-        voting: bool,
-    },
-    /// Answers [`Message::Prepare`] or [`Message::Accept`]: the voter's disk takes no writes, so it neither promises
-    /// nor accepts. The proposer goes on with the other voters, as long as they are a majority.
-    DiskUnavailable {
-        /// The round's ballot.
-        ballot: Ballot,
-    },
+    /// Phase 1 of a round: a proposer asks a voter for its promise.
+    Prepare(Prepare),
+    /// A voter promises a ballot.
+    Promise(Promise),
+    /// Phase 2 of a round: a proposer asks a voter to accept its proposal.
+    Accept(Accept),
+    /// A voter has accepted a proposal.
+    Accepted(Accepted),
+    /// A voter has promised a higher ballot.
+    Rejected(Rejected),
+    /// A replica has no vote, as it lost its disk and has not caught up.
+    NotVoting(NotVoting),
+    /// A round goes by a roster that has been replaced.
+    StaleRoster(StaleRoster),
+    /// The initiator of the bootstrap asks whether a seed knows a roster.
+    BootstrapQuery(BootstrapQuery),
+    /// A seed knows no roster.
+    BootstrapReply(BootstrapReply),
+    /// The initiator has written the first roster.
+    FirstRoster(FirstRoster),
+    /// Items are known to be chosen.
+    Chosen(Chosen),
+    /// A replica compares its chosen items with another one; the heartbeat between replicas.
+    CompareDigest(CompareDigest),
+    /// Two replicas know the same chosen items.
+    DigestMatches(DigestMatches),
+    /// Two replicas know different chosen items.
+    DigestDiffers(DigestDiffers),
+    /// A replica asks for the chosen items of some buckets.
+    FetchBuckets(FetchBuckets),
+    /// The chosen items of some buckets.
+    BucketItems(BucketItems),
+    /// A voter cannot write to its disk.
+    DiskUnavailable(DiskUnavailable),
+}
+
+/// Phase 1, from a proposer to all voters of its roster. A voter that has promised no higher ballot answers [`Promise`]
+/// once its promise is on its disk.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Prepare {
+    /// The round's ballot.
+    pub ballot: Ballot,
+    /// The newest roster that the proposer knows to be chosen.
+    pub roster: Item,
+    /// Digests of the proposer's chosen items, one for each bucket of keys.
+    pub digests: Vec<u64>,
+    /// Whether the proposer lost its disk and catches up by this round; the voter then records the round as the
+    /// proposer's incarnation.
+    pub recovers: bool,
+}
+
+/// Answers [`Prepare`]: from now on the voter accepts nothing at a lower ballot. With promises of a majority the
+/// proposer goes on to [`Accept`].
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Promise {
+    /// The round's ballot.
+    pub ballot: Ballot,
+    /// The incarnation in which the voter promises.
+    pub incarnation: Incarnation,
+    /// The incarnations that the voter knows of others; they void earlier promises of theirs.
+    pub latest_incarnations: LatestIncarnations,
+    /// The proposal that the voter accepted last. Among those of its quorum, the proposer has to propose the one of the
+    /// highest ballot again, as it may be chosen.
+    pub accepted: AcceptedProposal,
+    /// The buckets in which the voter's chosen items differ from the proposer's.
+    pub buckets: Vec<u8>,
+    /// The voter's chosen items in these buckets.
+    pub chosen: Vec<Item>,
+}
+
+/// Phase 2, from a proposer to all voters of its roster. A voter that has promised no higher ballot answers
+/// [`Accepted`] once the proposal is on its disk.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Accept {
+    /// The round's ballot.
+    pub ballot: Ballot,
+    /// As in [`Prepare`].
+    pub roster: Item,
+    /// Chosen items that some voter lacked when it promised.
+    pub chosen: Vec<Item>,
+    /// The proposed items, including those of earlier rounds that may be chosen.
+    pub items: Vec<Item>,
+}
+
+/// Answers [`Accept`]: the proposal is on the voter's disk. Once a quorum has accepted, the items are chosen, and the
+/// proposer replies to its callers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Accepted {
+    /// The round's ballot.
+    pub ballot: Ballot,
+}
+
+/// Answers [`Prepare`] or [`Accept`]: the voter has promised a higher ballot. The proposer's next round starts above
+/// it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Rejected {
+    /// The round's ballot.
+    pub ballot: Ballot,
+    /// The ballot that the voter has promised.
+    pub promised: Ballot,
+}
+
+/// Answers [`Prepare`] or [`Accept`]: the replica lost its disk and has not caught up, so it counts in no quorum. The
+/// proposer goes on with the other voters.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct NotVoting {
+    /// The round's ballot.
+    pub ballot: Ballot,
+}
+
+/// Answers [`Prepare`] or [`Accept`]: the round's roster has been replaced. The proposer learns the newer roster and
+/// starts over.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct StaleRoster {
+    /// The round's ballot.
+    pub ballot: Ballot,
+    /// The newer roster; it is chosen.
+    pub roster: Item,
+}
+
+/// From the seed of the lowest address to all other seeds, at the bootstrap of the system. A seed that knows a roster
+/// answers with [`Chosen`], any other with [`BootstrapReply`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct BootstrapQuery {
+    /// The sender's [`BootstrapCandidate::nonce`](crate::BootstrapCandidate::nonce).
+    pub query_nonce: u64,
+}
+
+/// Answers [`BootstrapQuery`]: the sender knows no roster. Once all seeds have said so, and most of them are
+/// candidates, the seed that asked writes the first roster.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct BootstrapReply {
+    /// The nonce of the query.
+    pub query_nonce: u64,
+    /// The sender's own nonce, if it is a candidate.
+    pub candidate_nonce: Option<u64>,
+}
+
+/// From the seed of the lowest address to all other seeds, once the first roster is on its disk. The receiver learns
+/// the roster, and votes at once if it names the receiver's own nonce.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct FirstRoster {
+    /// The nonce of the query that led to it.
+    pub query_nonce: u64,
+    /// The first roster.
+    pub roster: Item,
+}
+
+/// Tells items that are known to be chosen: from a proposer to all replicas that it knows when its round is over, and
+/// from any replica to one that lacks them. The receiver learns them; there is no answer.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Chosen {
+    /// The chosen items.
+    pub items: Vec<Item>,
+}
+
+/// From each replica to the others, once in [`COMPARISON_INTERVAL`](crate::COMPARISON_INTERVAL): compares what they
+/// know to be chosen. It is also the heartbeat by which the receiver knows the sender to be alive.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct CompareDigest {
+    /// Repeated in the answer.
+    pub comparison_id: ComparisonId,
+    /// Digest of all of the sender's chosen items.
+    pub digest: u64,
+}
+
+/// Answers [`CompareDigest`]: both replicas know the same chosen items.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct DigestMatches {
+    /// The comparison that this answers.
+    pub comparison_id: ComparisonId,
+    /// Whether the sender counts in quorums.
+    pub voting: bool,
+    /// What the sender has accepted and does not know to be chosen. It may have been acknowledged to a caller, so the
+    /// comparison counts only once the receiver knows these versions, or newer ones, to be chosen.
+    pub unchosen: Vec<ItemVersion>,
+}
+
+/// Answers [`CompareDigest`]: the chosen items differ. The receiver sends the items that it has in the differing
+/// buckets by [`Chosen`], and asks for the sender's by [`FetchBuckets`].
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct DigestDiffers {
+    /// The comparison that this answers.
+    pub comparison_id: ComparisonId,
+    /// Digests of the sender's chosen items, one for each bucket of keys.
+    pub digests: Vec<u64>,
+    /// As in [`DigestMatches`].
+    pub unchosen: Vec<ItemVersion>,
+}
+
+/// Answers [`DigestDiffers`]: asks for the chosen items of the differing buckets.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct FetchBuckets {
+    /// The comparison that this belongs to.
+    pub comparison_id: ComparisonId,
+    /// The differing buckets.
+    pub buckets: Vec<u8>,
+}
+
+/// Answers [`FetchBuckets`]. The receiver learns the items, which completes the comparison.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct BucketItems {
+    /// The comparison that this belongs to.
+    pub comparison_id: ComparisonId,
+    /// All chosen items that the sender has in the buckets.
+    pub items: Vec<Item>,
+    /// Whether the sender counts in quorums.
+    pub voting: bool,
+}
+
+/// Answers [`Prepare`] or [`Accept`]: the voter's disk takes no writes, so it neither promises nor accepts. The
+/// proposer goes on with the other voters, as long as they are a majority.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct DiskUnavailable {
+    /// The round's ballot.
+    pub ballot: Ballot,
 }
--- a/crates/emberpin-consensus/src/replica.rs
+++ b/crates/emberpin-consensus/src/replica.rs
@@ -6,11 +6,11 @@
 mod calls;
 mod comparison;
 mod disk_failure;
-mod judgement;
 mod membership;
 mod messages;
 mod pacing;
 mod persistence;
+mod proposal;
 mod proposer;
 mod timers;
 
@@ -42,12 +42,12 @@
 #[derive(Clone, Debug, Default)]
 struct Peer {
     /// When a message of it arrived last; `None`, if none did since this process started.
-    last_heard_at: Option<Timestamp>,
+    last_message_at: Option<Timestamp>,
     comparisons: Comparisons,
     /// The comparison in progress, and when it was begun.
     comparison_id: ComparisonId,
     comparison_begun_at: Timestamp,
-    /// The unchosen versions that it told in that comparison with its digests, if those differed.
+    /// The unchosen versions that it reported in that comparison, if the digests differed.
     unchosen: Vec<ItemVersion>,
 }
 
--- a/crates/emberpin-consensus/src/replica/bootstrap.rs
+++ b/crates/emberpin-consensus/src/replica/bootstrap.rs
@@ -11,12 +11,12 @@
 
 use super::{Action, Replica};
 use crate::bootstrap::BootstrapCandidate;
-use crate::message::Message;
+use crate::message::{BootstrapQuery, BootstrapReply, Chosen, FirstRoster, Message};
 use crate::quorum::majority;
 use crate::roster::{first_roster_item, founder_nonce, roster_item, Founder};
 use crate::storage::WriteToken;
 use crate::time::Timestamp;
-use emberpin_config::{Item, Version};
+use emberpin_config::Version;
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -102,8 +102,8 @@
             return self.write_first_roster(nonce, &seeds, actions);
         }
         for seed in unanswered {
-            let query = Message::BootstrapQuery { query_nonce: nonce };
-            self.send(seed, query, actions);
+            let query = BootstrapQuery { query_nonce: nonce };
+            self.send(seed, Message::BootstrapQuery(query), actions);
         }
     }
 
@@ -125,11 +125,11 @@
         self.learn(std::slice::from_ref(&roster), actions);
         let own_address = self.options.address;
         for seed in seeds.iter().filter(|seed| **seed != own_address) {
-            let message = Message::FirstRoster {
+            let first = FirstRoster {
                 query_nonce: nonce,
                 roster: roster.clone(),
             };
-            self.persist_metadata_then_send(*seed, message, actions);
+            self.persist_metadata_then_send(*seed, Message::FirstRoster(first), actions);
         }
     }
 
@@ -137,12 +137,13 @@
     pub(super) fn on_bootstrap_query(
         &mut self,
         from: Ipv4Addr,
-        query_nonce: u64,
+        query: BootstrapQuery,
         actions: &mut Vec<Action>,
     ) {
+        let BootstrapQuery { query_nonce } = query;
         if let Some(roster) = self.state().roster().cloned() {
             let items = vec![roster];
-            return self.send(from, Message::Chosen { items }, actions);
+            return self.send(from, Message::Chosen(Chosen { items }), actions);
         }
         if self.bootstrap.unsynced_nonce.is_some() {
             // The initiator asks again; by then the nonce is on the disk.
@@ -152,28 +153,23 @@
         let candidate = self
             .candidacy()
             .filter(|candidate| candidate.seeds.first() == Some(&from));
-        let reply = Message::BootstrapReply {
+        let reply = BootstrapReply {
             query_nonce,
             candidate_nonce: candidate.map(|candidate| candidate.nonce),
         };
-        self.send(from, reply, actions);
+        self.send(from, Message::BootstrapReply(reply), actions);
     }
 
     /// At the initiator: a seed knows no roster.
-    pub(super) fn on_bootstrap_reply(
-        &mut self,
-        from: Ipv4Addr,
-        query_nonce: u64,
-        candidate_nonce: Option<u64>,
-    ) {
+    pub(super) fn on_bootstrap_reply(&mut self, from: Ipv4Addr, reply: BootstrapReply) {
         let Some(BootstrapCandidate { nonce, seeds }) = self.initiator().cloned() else {
             return;
         };
         // A reply to the query of an earlier self, whose disk was lost, is void.
-        if query_nonce != nonce || !seeds.contains(&from) {
+        if reply.query_nonce != nonce || !seeds.contains(&from) {
             return;
         }
-        self.bootstrap.replies.insert(from, candidate_nonce);
+        self.bootstrap.replies.insert(from, reply.candidate_nonce);
         let has_answered = |seed: &Ipv4Addr| {
             *seed == self.options.address || self.bootstrap.replies.contains_key(seed)
         };
@@ -183,15 +179,10 @@
     }
 
     /// The initiator has written the first roster. If it lost its disk since and asked again, that roster is void.
-    pub(super) fn on_first_roster(
-        &mut self,
-        query_nonce: u64,
-        roster: Item,
-        actions: &mut Vec<Action>,
-    ) {
+    pub(super) fn on_first_roster(&mut self, first: FirstRoster, actions: &mut Vec<Action>) {
         let answered_query = self.bootstrap.answered_query;
-        if answered_query.is_none_or(|answered| answered == query_nonce) {
-            self.learn(&[roster], actions);
+        if answered_query.is_none_or(|answered| answered == first.query_nonce) {
+            self.learn(&[first.roster], actions);
         }
     }
 
--- a/crates/emberpin-consensus/src/replica/comparison.rs
+++ b/crates/emberpin-consensus/src/replica/comparison.rs
@@ -6,7 +6,10 @@
 //! began it knows those versions, or newer ones, to be chosen.
 
 use super::{Action, Replica};
-use crate::message::{ComparisonId, ItemVersion, Message};
+use crate::message::{
+    BucketItems, Chosen, CompareDigest, ComparisonId, DigestDiffers, DigestMatches, FetchBuckets,
+    ItemVersion, Message,
+};
 use crate::time::Timestamp;
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -86,11 +89,11 @@
             peer.comparison_id = comparison_id;
             peer.comparison_begun_at = self.now;
             peer.unchosen = Vec::new();
-            let message = Message::CompareDigest {
+            let compare = CompareDigest {
                 comparison_id,
                 digest,
             };
-            self.send(to, message, actions);
+            self.send(to, Message::CompareDigest(compare), actions);
         }
     }
 
@@ -104,84 +107,97 @@
     pub(super) fn on_compare_digest(
         &mut self,
         from: Ipv4Addr,
-        comparison_id: ComparisonId,
-        digest: u64,
+        compare: CompareDigest,
         actions: &mut Vec<Action>,
     ) {
+        let comparison_id = compare.comparison_id;
         let unchosen = self.unchosen_versions();
-        let answer = if digest == self.state().digest() {
-            Message::DigestMatches {
+        let answer = if compare.digest == self.state().digest() {
+            Message::DigestMatches(DigestMatches {
                 comparison_id,
                 voting: self.acceptor.voting,
                 unchosen,
-            }
+            })
         } else {
-            Message::DigestDiffers {
+            Message::DigestDiffers(DigestDiffers {
                 comparison_id,
                 digests: self.state().digests().to_vec(),
                 unchosen,
-            }
+            })
         };
         self.send(from, answer, actions);
     }
 
+    pub(super) fn on_digest_matches(&mut self, from: Ipv4Addr, matches: DigestMatches) {
+        let DigestMatches {
+            comparison_id,
+            voting,
+            unchosen,
+        } = matches;
+        self.complete_comparison(from, comparison_id, voting, unchosen);
+    }
+
+    /// Sends the items that this replica has in the differing buckets, and asks for those of the other one.
     pub(super) fn on_digest_differs(
         &mut self,
         from: Ipv4Addr,
-        comparison_id: ComparisonId,
-        digests: &[u64],
-        unchosen: Vec<ItemVersion>,
+        differs: DigestDiffers,
         actions: &mut Vec<Action>,
     ) {
+        let DigestDiffers {
+            comparison_id,
+            digests,
+            unchosen,
+        } = differs;
         if let Some(peer) = self.peers.get_mut(&from) {
             if peer.comparison_id == comparison_id {
                 peer.unchosen = unchosen;
             }
         }
-        let buckets = self.state().differing(digests);
+        let buckets = self.state().differing(&digests);
         let items = self.state().in_buckets(&buckets);
         if !items.is_empty() {
-            self.send(from, Message::Chosen { items }, actions);
+            self.send(from, Message::Chosen(Chosen { items }), actions);
         }
-        let fetch = Message::FetchBuckets {
+        let fetch = FetchBuckets {
             comparison_id,
             buckets,
         };
-        self.send(from, fetch, actions);
+        self.send(from, Message::FetchBuckets(fetch), actions);
     }
 
     pub(super) fn on_fetch_buckets(
         &mut self,
         from: Ipv4Addr,
-        comparison_id: ComparisonId,
-        buckets: &[u8],
+        fetch: &FetchBuckets,
         actions: &mut Vec<Action>,
     ) {
-        let answer = Message::BucketItems {
-            comparison_id,
-            items: self.state().in_buckets(buckets),
+        let answer = BucketItems {
+            comparison_id: fetch.comparison_id,
+            items: self.state().in_buckets(&fetch.buckets),
             voting: self.acceptor.voting,
         };
-        self.send(from, answer, actions);
+        self.send(from, Message::BucketItems(answer), actions);
     }
 
-    /// The unchosen versions that count are those told with the digests, as the buckets were chosen by these.
     pub(super) fn on_bucket_items(
         &mut self,
         from: Ipv4Addr,
-        comparison_id: ComparisonId,
-        voting: bool,
+        answer: &BucketItems,
+        actions: &mut Vec<Action>,
     ) {
+        self.learn(&answer.items, actions);
+        // The unchosen versions that count are those reported with the digests, as these determined the buckets.
         let unchosen = self
             .peers
             .get(&from)
             .map_or_else(Vec::new, |peer| peer.unchosen.clone());
-        self.on_comparison_answered(from, comparison_id, voting, unchosen);
+        self.complete_comparison(from, answer.comparison_id, answer.voting, unchosen);
     }
 
-    /// A peer has answered the comparison that is in progress with it. The answer of one without a vote does not
-    /// count, and voids what counted before.
-    pub(super) fn on_comparison_answered(
+    /// A peer has answered the comparison in progress with it. The answer of one without a vote does not count, and
+    /// voids what counted before.
+    fn complete_comparison(
         &mut self,
         from: Ipv4Addr,
         comparison_id: ComparisonId,
--- a/crates/emberpin-consensus/src/replica/disk_failure.rs
+++ b/crates/emberpin-consensus/src/replica/disk_failure.rs
@@ -4,12 +4,12 @@
 //! learned. That is harmless, as each is one of these: an answer that was never sent, which other replicas cannot tell
 //! from one that was lost on its way; or an item that a majority of other disks holds. So the only obligation is to
 //! send nothing that depends on a write before a sync that covers it. Messages that waited for a sync are dropped when
-//! the disk fails, no vote is given and no round begun while it is gone, and votes start again only after all of memory
+//! the disk fails, no vote is given and no round begun meanwhile, and votes start again only after all of memory
 //! is synced.
 
 use super::{Action, Replica};
 use crate::ballot::Ballot;
-use crate::message::Message;
+use crate::message::{DiskUnavailable, Message};
 use crate::storage::WriteToken;
 use std::net::Ipv4Addr;
 
@@ -40,7 +40,7 @@
     }
 
     /// Whether a write would be lost.
-    pub(super) fn is_disk_gone(&self) -> bool {
+    pub(super) fn is_disk_unavailable(&self) -> bool {
         matches!(self.disk_state, DiskState::Unavailable { .. })
     }
 
@@ -83,22 +83,25 @@
         }
     }
 
-    /// The ballot of a message that asks for a vote, if the disk does not allow one.
-    pub(super) fn ballot_without_disk(&self, message: &Message) -> Option<Ballot> {
-        self.disk_unavailable_reason()?;
-        match message {
-            Message::Prepare { ballot, .. } | Message::Accept { ballot, .. } => Some(*ballot),
-            _ => None,
-        }
+    /// Tells a proposer that this replica cannot vote in its round.
+    pub(super) fn reject_without_disk(
+        &mut self,
+        proposer: Ipv4Addr,
+        ballot: Ballot,
+        actions: &mut Vec<Action>,
+    ) {
+        let unavailable = DiskUnavailable { ballot };
+        self.send(proposer, Message::DiskUnavailable(unavailable), actions);
     }
 
     /// A voter cannot write: the round goes on with the others, as long as they are a majority.
-    pub(super) fn on_disk_unavailable(&mut self, from: Ipv4Addr, ballot: Ballot) {
+    pub(super) fn on_disk_unavailable(&mut self, from: Ipv4Addr, unavailable: DiskUnavailable) {
+        let DiskUnavailable { ballot } = unavailable;
         let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else {
             return;
         };
         round.rejected.insert(from);
-        if round.has_lost_quorum() {
+        if round.is_quorum_impossible() {
             self.fail_round();
         }
     }
--- a/crates/emberpin-consensus/src/replica/membership.rs
+++ b/crates/emberpin-consensus/src/replica/membership.rs
@@ -41,8 +41,8 @@
             peers.extend(&self.options.seeds);
         }
         let heard_lately = self.peers.iter().filter(|(_, peer)| {
-            peer.last_heard_at
-                .is_some_and(|heard_at| self.now < heard_at + PEER_TIMEOUT)
+            peer.last_message_at
+                .is_some_and(|message_at| self.now < message_at + PEER_TIMEOUT)
         });
         peers.extend(heard_lately.map(|(peer, _)| *peer));
         peers.remove(&self.options.address);
@@ -162,12 +162,12 @@
 
     /// Whether another replica was not heard from for this long, or, if it never was, not since this process started.
     fn is_silent(&self, replica: Ipv4Addr, timeout: Duration) -> bool {
-        let last_heard_at = self
+        let last_message_at = self
             .peers
             .get(&replica)
-            .and_then(|peer| peer.last_heard_at)
+            .and_then(|peer| peer.last_message_at)
             .unwrap_or_default();
-        let since = last_heard_at.max(self.started_at);
+        let since = last_message_at.max(self.started_at);
         replica != self.options.address && self.now >= since + timeout
     }
 
--- a/crates/emberpin-consensus/src/replica/pacing.rs
+++ b/crates/emberpin-consensus/src/replica/pacing.rs
@@ -1,4 +1,4 @@
-//! Timeouts and pauses of rounds, which adapt to the measured delays of disks and network.
+//! Timeouts and backoff of rounds, which adapt to the measured delays of disks and network.
 //!
 //! A round has two phases, and each phase waits for up to three syncs one after the other: the one that a voter is
 //! in when the message arrives, the one that the message itself needs, and the one that the proposer is in when the
@@ -10,7 +10,7 @@
 
 /// The longest sync at which rounds are sure to succeed.
 const MAX_SYNC_TIME: Duration = Duration::from_millis(3_000);
-/// Upper bound of all timeouts and pauses here, however slow the disks.
+/// Upper bound of all timeouts and backoffs here, however slow the disks.
 const MAX_ROUND_TIMEOUT: Duration = MAX_SYNC_TIME.saturating_mul(7);
 /// A round that takes longer is abandoned for a new one, if no round failed before it and no delay was measured.
 const BASE_ROUND_TIMEOUT: Duration = Duration::from_millis(700);
@@ -18,8 +18,8 @@
 const BASE_REJECTED_GRACE: Duration = Duration::from_millis(150);
 /// How long a voter waits for what it accepted to be chosen before it finishes the round itself.
 const BASE_REPAIR_DELAY: Duration = Duration::from_millis(300);
-/// Twice the bound below which the pause after a first failed round is drawn.
-const BASE_PAUSE: Duration = Duration::from_millis(60);
+/// Twice the bound below which the backoff after a first failed round is drawn.
+const BASE_BACKOFF: Duration = Duration::from_millis(60);
 /// Unanswered messages are sent again after this delay, which doubles each time.
 const BASE_RESEND_DELAY: Duration = Duration::from_millis(700);
 /// Upper bound of the delay before unanswered messages are sent again.
@@ -61,7 +61,8 @@
         }
     }
 
-    /// A phase or a sync took so long. A longer time replaces the estimate, a shorter one reduces it by a quarter.
+    /// Takes the measured time of a phase or a sync. A longer one replaces the estimate, a shorter one reduces it by a
+    /// quarter.
     pub fn record_delay(&mut self, now: Timestamp, delay: Duration) {
         let phase = self.phase_millis(now);
         let delay = whole_millis(delay.min(MAX_ROUND_TIMEOUT));
@@ -100,18 +101,18 @@
         grace.min(MAX_ROUND_TIMEOUT)
     }
 
-    /// The bound below which the pause after a failed round is drawn.
-    pub fn max_pause(&self, now: Timestamp) -> Duration {
+    /// The bound below which the backoff after a failed round is drawn.
+    pub fn max_backoff(&self, now: Timestamp) -> Duration {
         if !self.is_adaptive() {
-            return BASE_PAUSE / 2 * (1 << self.failures.min(4));
+            return BASE_BACKOFF / 2 * (1 << self.failures.min(4));
         }
-        let pause = (BASE_PAUSE + self.phase(now)) * self.failure_factor() / 2;
-        pause.min(MAX_ROUND_TIMEOUT)
+        let backoff = (BASE_BACKOFF + self.phase(now)) * self.failure_factor() / 2;
+        backoff.min(MAX_ROUND_TIMEOUT)
     }
 
     /// How long a replica whose last round failed waits for another proposer's round that it has just promised to.
     pub fn yield_time(&self, now: Timestamp) -> Duration {
-        BASE_PAUSE + 2 * self.phase(now)
+        BASE_BACKOFF + 2 * self.phase(now)
     }
 
     /// After how long a replica finishes what it accepted and does not know to be chosen.
--- a/crates/emberpin-consensus/src/replica/persistence.rs
+++ b/crates/emberpin-consensus/src/replica/persistence.rs
@@ -53,7 +53,7 @@
     }
 
     /// Writes and syncs the metadata, with the accepted proposal if it changed, and then sends a message. While the
-    /// disk is gone, nothing is written and the message is dropped.
+    /// disk is unavailable, nothing is written and the message is dropped.
     pub(super) fn persist_then_send(
         &mut self,
         accepted: AcceptedChange,
@@ -103,7 +103,7 @@
         );
     }
 
-    /// The token of the write; `None`, if the disk is gone and nothing is written.
+    /// The token of the write; `None`, if the disk is unavailable and nothing is written.
     fn persist_items(
         &mut self,
         chosen: Vec<Item>,
@@ -112,7 +112,7 @@
         durability: Durability,
         actions: &mut Vec<Action>,
     ) -> Option<WriteToken> {
-        if self.is_disk_gone() {
+        if self.is_disk_unavailable() {
             return None;
         }
         self.last_write = self.last_write.next();
@@ -143,7 +143,7 @@
         for deferred in due.into_values() {
             let sync_time = self.now.saturating_since(deferred.deferred_at);
             self.pacing.record_delay(self.now, sync_time);
-            let is_accepted = matches!(deferred.message, Message::Accepted { .. });
+            let is_accepted = matches!(deferred.message, Message::Accepted(_));
             if is_accepted && self.acceptor.guards.adaptive_timeouts {
                 // Counted anew from here: the round is not late because this disk is.
                 self.schedule_repair();
--- a/crates/emberpin-consensus/src/replica/judgement.rs
+++ b/crates/emberpin-consensus/src/replica/proposal.rs
@@ -1,5 +1,5 @@
-//! Between the two phases of a round: what may be chosen already, how tasks are judged on top of it, and what is
-//! proposed.
+//! Between the two phases of a round: what may be chosen already, the evaluation of tasks on top of it, and the
+//! proposal.
 
 use super::calls::reply_all;
 use super::{Action, Replica};
@@ -12,7 +12,7 @@
 use std::borrow::Cow;
 
 impl Replica {
-    /// Judges the tasks on all that is or may be chosen, and proposes their items.
+    /// Evaluates the tasks on all that is or may be chosen, and proposes their items.
     pub(super) fn propose(&mut self, actions: &mut Vec<Action>) {
         let Some(mut round) = self.round.take() else {
             return;
@@ -28,7 +28,7 @@
         if round.recovers {
             return self.finish_recovery(&round, carried, actions);
         }
-        let items = self.judge_tasks(&mut round, carried);
+        let items = self.evaluate_tasks(&mut round, carried);
         if items.is_empty() {
             self.pacing.record_success();
             return reply_all(round.outcomes, actions);
@@ -75,9 +75,9 @@
         self.persist_everything(actions);
     }
 
-    /// Judges each task on everything chosen, the carried items and the items of the tasks before it. Returns the items
+    /// Evaluates each task on everything chosen, the carried items and the items of the tasks before it. Returns the items
     /// to propose, and leaves the replies in the round.
-    fn judge_tasks(&mut self, round: &mut Round, carried: Vec<Item>) -> Vec<Item> {
+    fn evaluate_tasks(&mut self, round: &mut Round, carried: Vec<Item>) -> Vec<Item> {
         let finishes_change = carried.iter().any(|item| item.key == roster_key());
         let mut configuration = match round.initial_state.take() {
             Some(initial_state) => Cow::Owned(initial_state),
--- a/crates/emberpin-consensus/src/replica/proposer.rs
+++ b/crates/emberpin-consensus/src/replica/proposer.rs
@@ -2,10 +2,10 @@
 
 use super::calls::reply_all;
 use super::{Action, Replica};
-use crate::ballot::{AcceptedProposal, Ballot};
-use crate::message::Message;
+use crate::ballot::Ballot;
+use crate::message::{Accept, Accepted, Chosen, Message, Prepare, Promise, Rejected, StaleRoster};
 use crate::roster::{roster_item, roster_key};
-use crate::round::{Promise, Round};
+use crate::round::{Round, VoterPromise};
 use crate::task::{Operation, Task};
 use emberpin_config::Item;
 use std::collections::BTreeSet;
@@ -43,7 +43,7 @@
         let mut round = Round::new(ballot, self.now, timeout, roster, next_roster);
         round.recovers = recovers;
         round.initial_state =
-            (!self.guards().judge_on_quorum_state).then(|| self.state().configuration().clone());
+            (!self.guards().evaluate_on_quorum_state).then(|| self.state().configuration().clone());
         self.start_phase(round, actions);
     }
 
@@ -101,18 +101,18 @@
         let Some(round) = &self.round else { return };
         let (ballot, roster) = (round.ballot, round.roster.clone());
         let message = match &round.proposal {
-            Some(proposal) => Message::Accept {
+            Some(proposal) => Message::Accept(Accept {
                 ballot,
                 roster,
                 chosen: proposal.transferred.clone(),
                 items: proposal.items.clone(),
-            },
-            None => Message::Prepare {
+            }),
+            None => Message::Prepare(Prepare {
                 ballot,
                 roster,
                 digests: self.state().digests().to_vec(),
                 recovers: round.recovers,
-            },
+            }),
         };
         for to in voters {
             self.send(to, message.clone(), actions);
@@ -123,18 +123,33 @@
     pub(super) fn on_promise(
         &mut self,
         from: Ipv4Addr,
-        ballot: Ballot,
         promise: Promise,
-        accepted: AcceptedProposal,
-        chosen: &[Item],
         actions: &mut Vec<Action>,
     ) {
+        let Promise {
+            ballot,
+            incarnation,
+            latest_incarnations,
+            accepted,
+            buckets,
+            chosen,
+        } = promise;
         let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else {
             return;
         };
         if round.proposal.is_some() {
             return;
         }
+        let versions = chosen
+            .iter()
+            .map(|item| (item.key.clone(), item.version))
+            .collect();
+        let promise = VoterPromise {
+            incarnation,
+            latest_incarnations,
+            buckets,
+            versions,
+        };
         if self.acceptor.guards.void_stale_promises {
             round.add_promise(from, promise);
         } else {
@@ -143,7 +158,7 @@
         if accepted.ballot > round.highest_accepted.ballot {
             round.highest_accepted = accepted;
         }
-        self.learn(chosen, actions);
+        self.learn(&chosen, actions);
         let proposer = self.options.address;
         let has_quorum = |round: &&Round| round.has_promise_quorum(proposer);
         let Some(round) = self.round.as_ref().filter(has_quorum) else {
@@ -166,10 +181,11 @@
     pub(super) fn on_accepted(
         &mut self,
         from: Ipv4Addr,
-        ballot: Ballot,
+        accepted: Accepted,
         actions: &mut Vec<Action>,
     ) {
-        let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else {
+        let is_of = |round: &&mut Round| round.ballot == accepted.ballot;
+        let Some(round) = self.round.as_mut().filter(is_of) else {
             return;
         };
         round.accepted.insert(from);
@@ -192,14 +208,15 @@
         receivers.remove(&self.options.address);
         for to in receivers {
             let items = items.clone();
-            self.send(to, Message::Chosen { items }, actions);
+            self.send(to, Message::Chosen(Chosen { items }), actions);
         }
         self.pacing.record_success();
         reply_all(round.outcomes, actions);
     }
 
     /// A voter has promised a higher ballot. The round goes on for a while, as the other voters may be a majority.
-    pub(super) fn on_rejected(&mut self, from: Ipv4Addr, ballot: Ballot, promised: Ballot) {
+    pub(super) fn on_rejected(&mut self, from: Ipv4Addr, rejected: Rejected) {
+        let Rejected { ballot, promised } = rejected;
         self.highest_counter = self.highest_counter.max(promised.counter);
         if promised <= ballot {
             // The voter has promised this very round, and got its message twice.
@@ -211,18 +228,14 @@
         round.rejected.insert(from);
         let grace = self.pacing.rejected_grace(self.now);
         round.deadline = round.deadline.min(self.now + grace);
-        if round.has_lost_quorum() {
+        if round.is_quorum_impossible() {
             self.fail_round();
         }
     }
 
     /// The round went by a roster that has been replaced: starts over by the newer one.
-    pub(super) fn on_stale_roster(
-        &mut self,
-        ballot: Ballot,
-        roster: Item,
-        actions: &mut Vec<Action>,
-    ) {
+    pub(super) fn on_stale_roster(&mut self, stale: StaleRoster, actions: &mut Vec<Action>) {
+        let StaleRoster { ballot, roster } = stale;
         let newer_version = roster.version;
         self.learn(&[roster], actions);
         let is_stale =
@@ -243,22 +256,22 @@
         self.next_round_at = self.now;
     }
 
-    /// Ends the round as a failure: the next one begins after a random pause.
+    /// Ends the round as a failure: the next one begins after a random backoff.
     pub(super) fn fail_round(&mut self) {
         if self.round.is_none() {
             return;
         }
         self.end_round();
         self.pacing.record_failure();
-        let pause = self.random_delay(self.pacing.max_pause(self.now));
-        self.next_round_at = self.now + pause;
+        let backoff = self.random_delay(self.pacing.max_backoff(self.now));
+        self.next_round_at = self.now + backoff;
     }
 
     /// A replica whose last round failed yields to the round that it has just promised. It does not yield again before
     /// that time is over, so that it gets its turn however many others there are.
     pub(super) fn yield_to(&mut self, from: Ipv4Addr, answer: &Message) {
         let has_promised_other =
-            matches!(answer, Message::Promise { .. }) && from != self.options.address;
+            matches!(answer, Message::Promise(_)) && from != self.options.address;
         if has_promised_other
             && self.pacing.is_contended()
             && self.round.is_none()
--- a/crates/emberpin-consensus/src/round.rs
+++ b/crates/emberpin-consensus/src/round.rs
@@ -12,9 +12,9 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// What a voter told with its promise.
+/// What a voter reported with its promise.
 #[derive(Debug)]
-pub(crate) struct Promise {
+pub(crate) struct VoterPromise {
     /// The incarnation in which the voter promised.
     pub incarnation: Incarnation,
     /// The incarnations that the voter knows of others.
@@ -58,7 +58,7 @@
     /// Whether the proposer lost its disk: the round only reads, and the proposer itself does not count.
     pub recovers: bool,
     /// The promises that count.
-    pub promises: BTreeMap<Ipv4Addr, Promise>,
+    pub promises: BTreeMap<Ipv4Addr, VoterPromise>,
     /// Of the proposals that voters accepted in earlier rounds, the one of the highest ballot.
     pub highest_accepted: AcceptedProposal,
     /// What the proposer learned since it sent its digests.
@@ -71,7 +71,7 @@
     pub rejected: BTreeSet<Ipv4Addr>,
     /// Replies to send once the proposal is chosen.
     pub outcomes: Vec<Outcome>,
-    /// For tests with [`crate::Guards::judge_on_quorum_state`] off: what was known when the round began.
+    /// For tests with [`crate::Guards::evaluate_on_quorum_state`] off: what was known when the round began.
     pub initial_state: Option<Configuration>,
 }
 
@@ -127,7 +127,7 @@
 
     /// Takes a promise, and drops those that have become void: a voter that lost its disk may since have accepted what
     /// this round would have to know. Such a voter is asked again.
-    pub fn add_promise(&mut self, from: Ipv4Addr, promise: Promise) {
+    pub fn add_promise(&mut self, from: Ipv4Addr, promise: VoterPromise) {
         let is_newest = self
             .promises
             .get(&from)
@@ -164,8 +164,8 @@
         })
     }
 
-    /// Whether so many voters have rejected the round that the others are no majority.
-    pub fn has_lost_quorum(&self) -> bool {
+    /// Whether the voters that have not rejected the round are no majority.
+    pub fn is_quorum_impossible(&self) -> bool {
         !self.in_each_roster(|voters| {
             let not_rejected = |voter: &&Ipv4Addr| !self.rejected.contains(*voter);
             voters.iter().filter(not_rejected).count() >= majority(voters)
--- a/crates/emberpin-consensus/tests/cases.rs
+++ b/crates/emberpin-consensus/tests/cases.rs
@@ -4,6 +4,7 @@
 mod world;
 
 use emberpin_config::{Checkpoint, Item, ItemKey, ItemKind, Version, MAX_TOMBSTONES};
+use emberpin_consensus::message::{Accept, Chosen, Prepare};
 use emberpin_consensus::{
     AcceptedProposal, Action, Ballot, Call, EvacuationChange, Event, Guards, Message,
     PersistedState, Replica, ReplicaOptions, Timestamp, WriteBatch,
@@ -148,7 +149,7 @@
     let mut world = World::new(12, 3, 1, guards);
     world.run(100);
     world.answer(ip(3), services(&[("a", 1, 1)]));
-    world.hold = Some(|message| matches!(message, Message::Accept { .. }));
+    world.hold = Some(|message| matches!(message, Message::Accept(_)));
     world.call(ip(1), drop_service("a", 2));
     world.run(50);
     world.hold = None;
@@ -195,7 +196,7 @@
 
 #[gtest]
 fn a_half_spread_call_is_finished_whole_by_those_who_hold_it() {
-    let mut world = half_spread(|message| matches!(message, Message::Accepted { .. }));
+    let mut world = half_spread(|message| matches!(message, Message::Accepted(_)));
     world.run(2_000);
     expect_that!(
         (version(&world, 2, "a"), version(&world, 2, "b")),
@@ -211,7 +212,7 @@
 
 #[gtest]
 fn a_call_that_only_its_taker_holds_is_superseded_whole() {
-    let mut world = half_spread(|message| matches!(message, Message::Accept { .. }));
+    let mut world = half_spread(|message| matches!(message, Message::Accept(_)));
     expect_that!(world.answer(ip(2), services(&[("a", 4, 2)])).0, eq(200));
     expect_that!(world.answer(ip(3), services(&[("a", 6, 3)])).0, eq(200));
     world.settle_and_check();
@@ -282,7 +283,7 @@
     world.hold = Some(|message| {
         matches!(
             message,
-            Message::Chosen { .. } | Message::CompareDigest { .. } | Message::DigestDiffers { .. }
+            Message::Chosen(_) | Message::CompareDigest(_) | Message::DigestDiffers(_)
         )
     });
     [1, 4, 5]
@@ -299,12 +300,12 @@
     world.wipe(ip(3));
     world.start(ip(3), false);
     // It is told the roster by those that it asks.
-    world.hold = Some(|message| matches!(message, Message::Chosen { .. }));
+    world.hold = Some(|message| matches!(message, Message::Chosen(_)));
     world.run_while(1_000, |world| world.nodes[&ip(3)].wiped);
     world.hold = Some(|message| {
         matches!(
             message,
-            Message::Chosen { .. } | Message::CompareDigest { .. } | Message::DigestDiffers { .. }
+            Message::Chosen(_) | Message::CompareDigest(_) | Message::DigestDiffers(_)
         )
     });
     [1, 3, 4]
@@ -352,7 +353,7 @@
     let quiet = |message: &Message| {
         matches!(
             message,
-            Message::Chosen { .. } | Message::CompareDigest { .. } | Message::DigestDiffers { .. }
+            Message::Chosen(_) | Message::CompareDigest(_) | Message::DigestDiffers(_)
         )
     };
     world.hold = Some(quiet);
@@ -611,7 +612,9 @@
     }
     world.start(ip(6), false);
     let seats = |message: &Message| match message {
-        Message::Accept { items, .. } => items.iter().any(|item| item.key.kind == ItemKind::Roster),
+        Message::Accept(Accept { items, .. }) => {
+            items.iter().any(|item| item.key.kind == ItemKind::Roster)
+        }
         _ => false,
     };
     world.hold = Some(seats);
@@ -630,12 +633,7 @@
     world.kill(ip(4));
     world.kill(ip(5));
     // Of what 3 says, only the roster comes through.
-    world.hold = Some(|message| {
-        !matches!(
-            message,
-            Message::Prepare { .. } | Message::StaleRoster { .. }
-        )
-    });
+    world.hold = Some(|message| !matches!(message, Message::Prepare(_) | Message::StaleRoster(_)));
     world.start(ip(6), false);
     let read = world.call(ip(6), Call::Get);
     world.run_while(500, |world| {
@@ -721,7 +719,7 @@
 fn a_begin_that_only_its_taker_holds_does_not_come_back_after_the_end() {
     let mut world = World::new(9, 3, 1, sound());
     world.run(100);
-    world.hold = Some(|message| matches!(message, Message::Accept { .. }));
+    world.hold = Some(|message| matches!(message, Message::Accept(_)));
     world.call(ip(1), evacuate(EvacuationChange::Begin));
     world.run(200);
     world.kill(ip(1));
@@ -788,9 +786,9 @@
     let mut store = store_with_guards(host, Guards::default());
     tell(
         &mut store,
-        Message::Chosen {
+        Message::Chosen(Chosen {
             items: items.to_vec(),
-        },
+        }),
     );
     store
 }
@@ -862,12 +860,12 @@
         proposer: 3,
         start_nonce: 1,
     };
-    let accept = Message::Accept {
+    let accept = Message::Accept(Accept {
         ballot,
         roster,
         chosen: vec![],
         items: vec![item.clone()],
-    };
+    });
     tell(&mut voter, accept);
     let mut out = Vec::new();
     other.handle(Timestamp::from_millis(2_000), Event::Tick, &mut out);
@@ -880,7 +878,7 @@
         })
     };
     let asked = sent(out, 1, |message| {
-        matches!(message, Message::CompareDigest { .. })
+        matches!(message, Message::CompareDigest(_))
     })
     .expect("a comparison");
     let mut out = Vec::new();
@@ -893,7 +891,7 @@
         &mut out,
     );
     let same = sent(out, 2, |message| {
-        matches!(message, Message::DigestMatches { .. })
+        matches!(message, Message::DigestMatches(_))
     })
     .expect("an answer");
     other.handle(
@@ -905,7 +903,7 @@
         &mut Vec::new(),
     );
     let before = other.confirmed_age(Timestamp::from_millis(2_001)).is_some();
-    let chosen = Message::Chosen { items: vec![item] };
+    let chosen = Message::Chosen(Chosen { items: vec![item] });
     other.handle(
         Timestamp::from_millis(2_100),
         Event::Message {
@@ -987,7 +985,7 @@
     let asked = out.into_iter().find_map(|action| match action {
         Action::Send {
             to,
-            message: message @ Message::CompareDigest { .. },
+            message: message @ Message::CompareDigest(_),
         } if to == ip(2) => Some(message),
         _ => None,
     });
@@ -995,7 +993,7 @@
     let same = matches!(
         told[..],
         [Action::Send {
-            message: Message::DigestMatches { .. },
+            message: Message::DigestMatches(_),
             ..
         }]
     );
@@ -1007,9 +1005,9 @@
     let (drops, checkpoint) = drops();
     let mut store = store_with(1, &[&drops[..], &[old(), checkpoint]].concat());
     expect_that!(store.state().get(&drops[0].key), none());
-    let again = Message::Chosen {
+    let again = Message::Chosen(Chosen {
         items: vec![drops[0].clone()],
-    };
+    });
     expect_that!(tell(&mut store, again), is_empty());
     // Nor is a version from before it.
     let live = Item {
@@ -1018,7 +1016,7 @@
         ..drops[0].clone()
     };
     expect_that!(
-        tell(&mut store, Message::Chosen { items: vec![live] }),
+        tell(&mut store, Message::Chosen(Chosen { items: vec![live] })),
         is_empty()
     );
     // A name that lives is dropped also by so low a version.
@@ -1030,9 +1028,9 @@
     };
     tell(
         &mut store,
-        Message::Chosen {
+        Message::Chosen(Chosen {
             items: vec![dropped.clone()],
-        },
+        }),
     );
     expect_that!(store.state().get(&old().key), some(eq(&dropped)));
 }
@@ -1048,9 +1046,9 @@
     };
     let out = tell(
         &mut store,
-        Message::Chosen {
+        Message::Chosen(Chosen {
             items: vec![checkpoint.clone(), again],
-        },
+        }),
     );
     let writes = out.into_iter().filter_map(|action| match action {
         Action::Persist { write, .. } => Some(write),
@@ -1081,12 +1079,12 @@
     let items = vec![drops[0].clone()];
     let out = tell(
         &mut store,
-        Message::Accept {
+        Message::Accept(Accept {
             ballot,
             roster,
             chosen: Vec::new(),
             items,
-        },
+        }),
     );
     let kept = out.into_iter().find_map(|action| match action {
         Action::Persist { write, .. } => write.accepted,
@@ -1134,26 +1132,28 @@
 #[gtest]
 fn a_voter_without_a_disk_says_so_and_votes_again_only_after_a_sync() {
     let mut store = store_with(1, &[]);
-    let prepare = |counter| Message::Prepare {
-        ballot: Ballot {
-            counter,
-            proposer: ip(2).to_bits(),
-            start_nonce: 1,
-        },
-        roster: store_with(2, &[])
-            .state()
-            .roster()
-            .cloned()
-            .expect("a roster"),
-        digests: Vec::new(),
-        recovers: false,
+    let prepare = |counter| {
+        Message::Prepare(Prepare {
+            ballot: Ballot {
+                counter,
+                proposer: ip(2).to_bits(),
+                start_nonce: 1,
+            },
+            roster: store_with(2, &[])
+                .state()
+                .roster()
+                .cloned()
+                .expect("a roster"),
+            digests: Vec::new(),
+            recovers: false,
+        })
     };
     let unavailable = |actions: &[Action]| {
         let says = |action: &Action| {
             matches!(
                 action,
                 Action::Send {
-                    message: Message::DiskUnavailable { .. },
+                    message: Message::DiskUnavailable(_),
                     ..
                 }
             )
@@ -1195,7 +1195,7 @@
     [1, 2]
         .into_iter()
         .for_each(|other| world.cut(ip(3), ip(other)));
-    world.hold = Some(|message| matches!(message, Message::Accept { .. }));
+    world.hold = Some(|message| matches!(message, Message::Accept(_)));
     let sent = world.call(ip(1), services(&[("a", 1, 1)]));
     world.run(50);
     world.hold = None;
--- a/crates/emberpin-consensus/tests/repeats.rs
+++ b/crates/emberpin-consensus/tests/repeats.rs
@@ -275,7 +275,7 @@
 
 #[gtest]
 fn an_order_whose_taker_was_killed_after_the_proposal_is_known_again() {
-    let mut world = taker_killed(|message| matches!(message, Message::Accepted { .. }));
+    let mut world = taker_killed(|message| matches!(message, Message::Accepted(_)));
     // Another number comes first: it carries what may have been chosen.
     expect_that!(status(&mut world, 2, &services(&[("x", 7, 3)])), eq(200));
     expect_that!(status(&mut world, 3, &services(&[("x", 6, 2)])), eq(200));
@@ -289,7 +289,7 @@
 
 #[gtest]
 fn an_order_that_only_its_killed_taker_held_was_never_taken() {
-    let mut world = taker_killed(|message| matches!(message, Message::Accept { .. }));
+    let mut world = taker_killed(|message| matches!(message, Message::Accept(_)));
     expect_that!(status(&mut world, 2, &services(&[("x", 7, 3)])), eq(200));
     expect_that!(status(&mut world, 3, &services(&[("x", 6, 2)])), eq(409));
     world.start(ip(1), false);
@@ -303,7 +303,7 @@
 fn a_repeat_that_meets_its_own_half_chosen_call_is_taken_once() {
     let mut world = calm(6, sound());
     status(&mut world, 2, &services(&[("x", 5, 1)]));
-    world.hold = Some(|message| matches!(message, Message::Accepted { .. }));
+    world.hold = Some(|message| matches!(message, Message::Accepted(_)));
     let order = services(&[("x", 6, 2)]);
     let first = world.call(ip(1), order.clone());
     world.run(50);
--- a/crates/emberpin-consensus/tests/slow_disks.rs
+++ b/crates/emberpin-consensus/tests/slow_disks.rs
@@ -124,7 +124,7 @@
     let mut world = World::new(seed, 3, 1, guards);
     world.blocking = true;
     world.run(1_000);
-    world.hold = Some(|message| matches!(message, Message::Accepted { .. }));
+    world.hold = Some(|message| matches!(message, Message::Accepted(_)));
     world.call(ip(1), services(&[("a", 1, 1)]));
     world.run(100);
     world.wipe(ip(1));
@@ -246,7 +246,7 @@
 
 /// The taker ends before it hears that its call is accepted: how long another store takes to finish it.
 fn repair_after_its_taker(world: &mut World) -> u64 {
-    world.hold = Some(|message| matches!(message, Message::Accepted { .. }));
+    world.hold = Some(|message| matches!(message, Message::Accepted(_)));
     world.call(ip(1), services(&[("r", 1, 1)]));
     world.run(100);
     world.kill(ip(1));
--- a/crates/emberpin-registry/tests/samples/mod.rs
+++ b/crates/emberpin-registry/tests/samples/mod.rs
@@ -5,9 +5,12 @@
 pub mod values;
 
 use emberpin_config::{Item, ItemKey, ItemKind, Version};
-use emberpin_consensus::{
-    AcceptedProposal, Ballot, ComparisonId, Incarnation, ItemVersion, LatestIncarnations, Message,
+use emberpin_consensus::message::{
+    Accept, Accepted, BootstrapQuery, BootstrapReply, BucketItems, Chosen, CompareDigest,
+    ComparisonId, DigestDiffers, DigestMatches, DiskUnavailable, FetchBuckets, FirstRoster,
+    ItemVersion, NotVoting, Prepare, Promise, Rejected, StaleRoster,
 };
+use emberpin_consensus::{AcceptedProposal, Ballot, Incarnation, LatestIncarnations, Message};
 use emberpin_membership::ids::{self, AckId, Digest, Nonce};
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::peers::{Ack, InstanceRecord, ProxyIdentity, RegistryMessage};
@@ -107,70 +110,70 @@
         version: Version(7),
     }];
     vec![
-        Message::Prepare {
+        Message::Prepare(Prepare {
             ballot,
             roster: roster(),
             digests: vec![1, 1 << 40],
             recovers: true,
-        },
-        Message::Promise {
+        }),
+        Message::Promise(Promise {
             ballot,
             incarnation,
             latest_incarnations,
             accepted,
             buckets: buckets.clone(),
             chosen: items(),
-        },
-        Message::Accept {
+        }),
+        Message::Accept(Accept {
             ballot,
             roster: roster(),
             chosen: items(),
             items: items(),
-        },
-        Message::Accepted { ballot },
-        Message::Rejected {
+        }),
+        Message::Accepted(Accepted { ballot }),
+        Message::Rejected(Rejected {
             ballot,
             promised: ballot,
-        },
-        Message::NotVoting { ballot },
-        Message::StaleRoster {
+        }),
+        Message::NotVoting(NotVoting { ballot }),
+        Message::StaleRoster(StaleRoster {
             ballot,
             roster: roster(),
-        },
-        Message::Chosen { items: items() },
-        Message::CompareDigest {
+        }),
+        Message::Chosen(Chosen { items: items() }),
+        Message::CompareDigest(CompareDigest {
             comparison_id: ComparisonId(1),
             digest: 2,
-        },
-        Message::DigestMatches {
+        }),
+        Message::DigestMatches(DigestMatches {
             comparison_id: ComparisonId(1),
             voting: true,
             unchosen: unchosen.clone(),
-        },
-        Message::DigestDiffers {
+        }),
+        Message::DigestDiffers(DigestDiffers {
             comparison_id: ComparisonId(1),
             digests: vec![3],
             unchosen,
-        },
-        Message::FetchBuckets {
+        }),
+        Message::FetchBuckets(FetchBuckets {
             comparison_id: ComparisonId(1),
             buckets,
-        },
-        Message::BucketItems {
+        }),
+        Message::BucketItems(BucketItems {
             comparison_id: ComparisonId(1),
             items: items(),
             voting: false,
-        },
-        Message::DiskUnavailable { ballot },
-        Message::BootstrapQuery { query_nonce: 21 },
-        Message::BootstrapReply {
+        }),
+        Message::DiskUnavailable(DiskUnavailable { ballot }),
+        Message::BootstrapQuery(BootstrapQuery { query_nonce: 21 }),
+        Message::BootstrapReply(BootstrapReply {
             query_nonce: 21,
             candidate_nonce: Some(22),
-        },
-        Message::FirstRoster {
+        }),
+        Message::FirstRoster(FirstRoster {
             query_nonce: 21,
             roster: roster(),
-        },
+        }),
     ]
 }
 
--- a/crates/emberpin-registry/tests/samples/values.rs
+++ b/crates/emberpin-registry/tests/samples/values.rs
@@ -3,9 +3,10 @@
 
 use super::{frames_of, instance, item, lines, BALLOT, MACHINE, PLACE};
 use emberpin_config::{Item, ItemKind, Version};
-use emberpin_consensus::{
-    AcceptedProposal, Ballot, ComparisonId, Incarnation, LatestIncarnations, Message,
+use emberpin_consensus::message::{
+    BootstrapReply, BucketItems, ComparisonId, DigestMatches, Prepare, Promise,
 };
+use emberpin_consensus::{AcceptedProposal, Ballot, Incarnation, LatestIncarnations, Message};
 use emberpin_membership::ids::{self, AckId, Digest, Nonce};
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::peers::{Ack, InstanceRecord, RegistryMessage};
@@ -52,14 +53,14 @@
 }
 
 fn promise(latest_incarnations: LatestIncarnations) -> Message {
-    Message::Promise {
+    Message::Promise(Promise {
         ballot: HIGHEST,
         incarnation: Incarnation::default(),
         latest_incarnations,
         accepted: AcceptedProposal::default(),
         buckets: Vec::new(),
         chosen: Vec::new(),
-    }
+    })
 }
 
 /// Messages to a store.
@@ -76,28 +77,28 @@
         },
     ];
     let messages = [
-        Message::Prepare {
+        Message::Prepare(Prepare {
             ballot: HIGHEST,
             roster: no_roster(),
             digests: Vec::new(),
             recovers: false,
-        },
+        }),
         promise(LatestIncarnations::default()),
         promise(many_incarnations()),
-        Message::DigestMatches {
+        Message::DigestMatches(DigestMatches {
             comparison_id: ComparisonId(u64::MAX),
             voting: false,
             unchosen: Vec::new(),
-        },
-        Message::BucketItems {
+        }),
+        Message::BucketItems(BucketItems {
             comparison_id: ComparisonId(0),
             items: Vec::new(),
             voting: true,
-        },
-        Message::BootstrapReply {
+        }),
+        Message::BootstrapReply(BootstrapReply {
             query_nonce: u64::MAX,
             candidate_nonce: None,
-        },
+        }),
     ];
     let from = Ipv4Addr::BROADCAST;
     let messages = messages
--- a/crates/emberpin-simulator/src/builds.rs
+++ b/crates/emberpin-simulator/src/builds.rs
@@ -101,7 +101,7 @@
             "no-sync" => &mut self.consensus.sync_before_reply,
             "no-lacking" => &mut self.consensus.transfer_missing_items,
             "no-ballot" => &mut self.consensus.keep_accepted_ballot,
-            "no-newest" => &mut self.consensus.judge_on_quorum_state,
+            "no-newest" => &mut self.consensus.evaluate_on_quorum_state,
             "no-whole" => &mut self.consensus.atomic_calls,
             "no-late" => &mut self.consensus.evacuation_deadline,
             "no-open" => &mut self.consensus.compare_accepted,
--- a/crates/emberpin-simulator/src/net.rs
+++ b/crates/emberpin-simulator/src/net.rs
@@ -3,6 +3,7 @@
 use crate::text::{Machine, Sort};
 use crate::world::{Due, World};
 use emberpin_config::ItemKind;
+use emberpin_consensus::message::Accept;
 use emberpin_consensus::Message;
 use emberpin_membership::ids::SessionId;
 use emberpin_membership::peers::{Ack, RegistryMessage};
@@ -97,8 +98,8 @@
 
     fn loses(&self, from: Machine, to: Machine, message: &Message) -> bool {
         let sort = match message {
-            Message::Prepare { .. } => Sort::Prepare,
-            Message::Accept { items, .. }
+            Message::Prepare(_) => Sort::Prepare,
+            Message::Accept(Accept { items, .. })
                 if items.iter().any(|item| item.key.kind == ItemKind::Roster) =>
             {
                 if self.losses.contains(&(Sort::Seats, from, to)) {
@@ -106,10 +107,10 @@
                 }
                 Sort::Accept
             }
-            Message::Accept { .. } => Sort::Accept,
-            Message::Promise { .. } => Sort::Promise,
-            Message::Chosen { .. } => Sort::Chosen,
-            Message::CompareDigest { .. } => Sort::Exchange,
+            Message::Accept(_) => Sort::Accept,
+            Message::Promise(_) => Sort::Promise,
+            Message::Chosen(_) => Sort::Chosen,
+            Message::CompareDigest(_) => Sort::Exchange,
             _ => return false,
         };
         self.losses.contains(&(sort, from, to))
