--- a/crates/emberpin-balancer/src/handover.rs
+++ b/crates/emberpin-balancer/src/handover.rs
@@ -5,7 +5,7 @@
 //! Requests are not handed over: the process that took them answers them, and tells what it still spends as
 //! [`Spent`].
 
-use crate::brain::Gateway;
+use crate::decisions::Gateway;
 use crate::interface::*;
 use crate::state::{Backend, Bucket, Customer, Latencies, Load};
 use serde::{Deserialize, Serialize};
@@ -101,7 +101,7 @@
         self.customers.values().all(sound)
             && load.iter().chain(&cold).all(|figure| figure.is_finite())
             && self.latency.len() == self.shape.classes
-            && self.load.level < crate::brain::LEVELS
+            && self.load.level < crate::decisions::LEVELS
     }
 }
 
--- a/crates/emberpin-balancer/src/lib.rs
+++ b/crates/emberpin-balancer/src/lib.rs
@@ -1,19 +1,19 @@
 //! The decisions of a gateway that holds customers to their quotas before a shared back end.
 //!
 //! The library is a state machine without I/O: feed [`Gateway::handle`] what happened and carry out
-//! the [`Action`]s it appends. Types are in [`interface`], every decision is in [`brain`], the byte
+//! the [`Action`]s it appends. Types are in [`interface`], every decision is in [`decisions`], the byte
 //! layout of messages between gateways is in [`gossip`], and the hosts' JSON in [`settings`].
 #![forbid(unsafe_code)]
 
-mod asked;
-pub mod brain;
+pub mod decisions;
 pub mod gossip;
 pub mod handover;
+mod host_queries;
 pub mod interface;
 pub mod settings;
 mod state;
 
-pub use brain::Gateway;
+pub use decisions::Gateway;
 pub use handover::Handover;
 pub use interface::*;
 
--- a/crates/emberpin-balancer/src/state.rs
+++ b/crates/emberpin-balancer/src/state.rs
@@ -1,4 +1,4 @@
-//! What a gateway remembers: plain data without decisions; `brain` says what is done with it.
+//! What a gateway remembers: plain data without decisions; `decisions` says what is done with it.
 
 use crate::gossip::Entry;
 use crate::interface::*;
--- a/crates/emberpin-balancer/tests/module.rs
+++ b/crates/emberpin-balancer/tests/module.rs
@@ -985,7 +985,7 @@
         .expect("the policy's files are listed");
     let (list, _) = list.split_once(']').expect("the list ends");
     let listed: BTreeSet<&str> = list.split('"').skip(1).step_by(2).collect();
-    let folder = "crates/emberpin-balancer/src/brain";
+    let folder = "crates/emberpin-balancer/src/decisions";
     let there = fs::read_dir(root.join(folder))
         .expect("the policy's folder")
         .map(|entry| {
