--- a/crates/emberpin-registry/src/commands.rs
+++ b/crates/emberpin-registry/src/commands.rs
@@ -22,19 +22,19 @@
     Heartbeat {
         /// The instance as the heartbeat describes it.
         instance: Instance,
-        /// Receives the decision; dropped if there is none.
+        /// Receives the reply. Dropped if there is none, which the server is told as 503.
         response: oneshot::Sender<ServerReply>,
     },
     /// A server leaves.
     Leave {
         /// The id of its instance.
         instance_id: String,
-        /// Receives the decision; dropped if there is none.
+        /// Receives the reply. Dropped if there is none, which the server is told as 503.
         response: oneshot::Sender<ServerReply>,
     },
     /// The HTTP API asks which registry can serve a call of the operator.
-    FindServingRegistry {
-        /// Receives the registry.
+    FindOperatorCallTarget {
+        /// Receives the target.
         response: oneshot::Sender<OperatorCallTarget>,
     },
     /// The operator asks for the registry's status.
@@ -46,8 +46,8 @@
     },
     /// A proxy opened a session.
     ProxyConnected {
-        /// Number of the session, unique within this process.
-        session_id: SessionId,
+        /// The new session.
+        session: SessionId,
         /// Takes frames for the proxy; once it is dropped, the connection closes.
         frames: FrameSender,
     },
--- a/crates/emberpin-registry/src/host.rs
+++ b/crates/emberpin-registry/src/host.rs
@@ -1,5 +1,5 @@
 //! The event loop of the registry: the only owner of the state machine. It takes commands one after the other, and
-//! applies the actions that the state machine answers with.
+//! applies the actions that the state machine asks for.
 
 use crate::commands::{self, Command, CommandSender, FrameSender};
 use crate::connection::UnreadableFrames;
@@ -18,12 +18,11 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
-use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
 use tokio::time::{sleep_until, Instant};
 
-/// Commands that are handled before the timer is looked at again.
+/// Commands that are taken from the queue at once. The timer is checked between such batches.
 const MAX_COMMANDS_PER_TURN: usize = 64;
 
 /// What the event loop knows of its process and machine.
@@ -56,7 +55,7 @@
     /// Given to the tasks of outbound connections.
     commands: CommandSender,
     queue: mpsc::Receiver<Command>,
-    /// Calls of servers that the state machine has not answered yet, by their id.
+    /// Calls of servers that the state machine has not replied to yet.
     pending_calls: HashMap<CallId, oneshot::Sender<ServerReply>>,
     last_call_id: u64,
     /// Sessions of proxies; a dropped sender closes the connection.
@@ -104,15 +103,17 @@
     pub async fn run(mut self) {
         let mut commands = Vec::new();
         loop {
-            let due =
-                self.started_at + Duration::from_millis(self.registry.next_deadline().as_millis());
+            let deadline = self
+                .registry
+                .next_deadline()
+                .duration_since(Timestamp::ZERO);
             tokio::select! {
                 _ = self.queue.recv_many(&mut commands, MAX_COMMANDS_PER_TURN) => {
                     for command in commands.drain(..) {
                         self.handle_command(command);
                     }
                 }
-                () = sleep_until(due) => self.handle_event(Event::Tick),
+                () = sleep_until(self.started_at + deadline) => self.handle_event(Event::Tick),
             }
         }
     }
@@ -130,15 +131,15 @@
                 let call = self.register_call(response);
                 self.handle_event(Event::Leave { call, instance_id });
             }
-            Command::FindServingRegistry { response } => {
+            Command::FindOperatorCallTarget { response } => {
                 _ = response.send(self.registry.operator_call_target(self.now()));
             }
             Command::Status {
                 local_disk,
                 response,
             } => _ = response.send(self.status(local_disk)),
-            Command::ProxyConnected { session_id, frames } => {
-                self.sessions.insert(session_id, frames);
+            Command::ProxyConnected { session, frames } => {
+                self.sessions.insert(session, frames);
             }
             Command::InboundPeerConnected { peer, frames } => {
                 self.inbound_peers.insert(peer, frames);
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Notes who waits for the answer to a server's call; the id by which the state machine answers it.
+    /// Stores who waits for the reply to a server's call, and returns the id by which the state machine replies.
     fn register_call(&mut self, response: oneshot::Sender<ServerReply>) -> CallId {
         self.last_call_id += 1;
         let call = CallId(self.last_call_id);
@@ -188,7 +189,7 @@
         self.handle_event(event);
     }
 
-    /// Has the state machine handle an event, and whatever its actions cause in turn.
+    /// Passes an event to the state machine, applies its actions, and handles the events that these cause in turn.
     fn handle_event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.deferred_events.push_back(event);
@@ -202,7 +203,7 @@
 
     fn apply_action(&mut self, action: Action) {
         match action {
-            Action::Reply { call, reply } => self.answer_call(call, reply),
+            Action::Reply { call, reply } => self.reply_to_call(call, reply),
             Action::ConnectPeer { peer } => self.connect_peer(peer),
             Action::DisconnectPeer { peer } => self.disconnect_peer(peer),
             Action::SendToPeers { peers, message } => self.send_to_peers(&peers, &message),
@@ -210,12 +211,12 @@
             Action::SendToProxies { sessions, message } => {
                 self.send_to_proxies(&sessions, &message);
             }
-            Action::QueryStore { nonce } => self.stores.request_confirmation(nonce.0),
+            Action::QueryStore { nonce } => self.stores.request_freshness_confirmation(nonce),
             Action::CloseSession { session } => _ = self.sessions.remove(&session),
         }
     }
 
-    fn answer_call(&mut self, call: CallId, reply: ServerReply) {
+    fn reply_to_call(&mut self, call: CallId, reply: ServerReply) {
         if let Some(response) = self.pending_calls.remove(&call) {
             _ = response.send(reply);
         }
@@ -287,8 +288,9 @@
         let frame: Bytes = match frames::encode(message) {
             Ok(frame) => frame.into(),
             Err(error) => {
+                let ids: Vec<u64> = sessions.iter().map(|session| session.0).collect();
                 log::error!(
-                    "message to proxies cannot be encoded, their sessions close: sessions={sessions:?} error={error}"
+                    "message to proxies cannot be encoded, their sessions close: sessions={ids:?} error={error}"
                 );
                 for &session in sessions {
                     self.close_session(session);
--- a/crates/emberpin-registry/src/http_api.rs
+++ b/crates/emberpin-registry/src/http_api.rs
@@ -290,14 +290,14 @@
     /// The response to a call that cannot be confirmed here: 307 to a registry that was settled when it was last
     /// heard; 503 if none is known, or if the call was redirected already. `None` if it is to be served here.
     async fn redirect(&self, uri: &Uri) -> Option<HttpResponse> {
-        let (response, serving) = oneshot::channel();
+        let (response, target) = oneshot::channel();
         self.commands
-            .send(Command::FindServingRegistry { response })
+            .send(Command::FindOperatorCallTarget { response })
             .await;
-        match serving.await {
+        match target.await {
             Ok(OperatorCallTarget::Local) => None,
-            Ok(OperatorCallTarget::Peer(other)) if uri.query() != Some(REDIRECTED_QUERY) => {
-                Some(self.redirect_to(SocketAddr::from((other, self.ctl_port)), uri))
+            Ok(OperatorCallTarget::Peer(peer)) if uri.query() != Some(REDIRECTED_QUERY) => {
+                Some(self.redirect_to(SocketAddr::from((peer, self.ctl_port)), uri))
             }
             _ => Some(response::unavailable()),
         }
--- a/crates/emberpin-registry/src/inbound.rs
+++ b/crates/emberpin-registry/src/inbound.rs
@@ -65,11 +65,11 @@
                 continue;
             }
             last_session_id += 1;
-            let session_id = SessionId(last_session_id);
+            let session = SessionId(last_session_id);
             self.open_connections.fetch_add(1, Ordering::Relaxed);
             let server = self.clone();
             tokio::spawn(async move {
-                let ended = server.serve_connection(stream, session_id).await;
+                let ended = server.serve_connection(stream, session).await;
                 server.unreadable_frames.record_end(peer.ip(), ended);
                 server.open_connections.fetch_sub(1, Ordering::Relaxed);
             });
@@ -80,7 +80,7 @@
     async fn serve_connection(
         &self,
         stream: TcpStream,
-        session_id: SessionId,
+        session: SessionId,
     ) -> Result<(), ConnectionError> {
         tcp::configure(&stream)?;
         let (reader, mut writer) = stream.into_split();
@@ -88,25 +88,24 @@
         receive_preamble(&self.identity, &mut reader, HANDSHAKE_TIMEOUT).await?;
         self.identity.send_preamble(&mut writer).await?;
         match read_message(&mut reader, HANDSHAKE_TIMEOUT).await? {
-            ConnectionRole::Proxy => self.serve_proxy(session_id, reader, writer).await,
+            ConnectionRole::Proxy => self.serve_proxy(session, reader, writer).await,
             ConnectionRole::Registry(peer) => self.serve_peer(peer, reader, writer).await,
         }
     }
 
     async fn serve_proxy(
         &self,
-        session_id: SessionId,
+        session: SessionId,
         mut reader: impl AsyncRead + Unpin,
         mut writer: impl AsyncWrite + Unpin,
     ) -> Result<(), ConnectionError> {
         let (frames, mut queued_frames) = mpsc::channel(FRAME_QUEUE_CAPACITY);
         self.commands
-            .send(Command::ProxyConnected { session_id, frames })
+            .send(Command::ProxyConnected { session, frames })
             .await;
         let reads = async {
             loop {
                 let message: FromProxy = read_message(&mut reader, IDLE_TIMEOUT).await?;
-                let session = session_id;
                 self.commands
                     .send_event(Event::ProxyMessage { session, message })
                     .await;
@@ -116,7 +115,6 @@
             ended = reads => ended,
             ended = write_frames(&mut writer, &mut queued_frames) => ended,
         };
-        let session = session_id;
         self.commands
             .send_event(Event::SessionClosed { session })
             .await;
--- a/crates/emberpin-registry/src/status_report.rs
+++ b/crates/emberpin-registry/src/status_report.rs
@@ -1,4 +1,4 @@
-//! The JSON answer to `GET /status`, which `emberpinctl` reads. Its keys are part of the HTTP interface.
+//! The JSON response to `GET /status`, which `emberpinctl` reads. Its keys are part of the HTTP interface.
 
 use emberpin_membership::clock::Timestamp;
 use emberpin_membership::instance::Status;
@@ -43,7 +43,7 @@
     machines.iter().map(ToString::to_string).collect()
 }
 
-/// Sessions of proxies, each with the number of changes that it has not taken yet.
+/// Sessions of proxies, each with the number of changes that the proxy has yet to acknowledge.
 fn proxies(registry: &Registry) -> JsonValue {
     let mut proxies = array![];
     for lag in registry.proxy_lags() {
--- a/crates/emberpin-registry/src/store_state.rs
+++ b/crates/emberpin-registry/src/store_state.rs
@@ -1,5 +1,6 @@
 //! What the stores last reported, shared by the subscription that writes it and the client that reads it.
 
+use emberpin_membership::ids::Nonce;
 use emberpin_store::protocol::{DiskState, DiskStatus};
 use std::net::Ipv4Addr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -23,7 +24,7 @@
     /// The disk of the store on this machine, once it has reported that.
     local_disk: Mutex<Option<DiskStatus>>,
     /// The nonce of the newest confirmation that the registry requests from the store it is subscribed to.
-    confirmation_request: watch::Sender<u64>,
+    confirmation_request: watch::Sender<Nonce>,
 }
 
 /// Locks a mutex, whether or not a holder panicked: no holder in this package panics halfway through a change.
@@ -40,7 +41,7 @@
             voters: Mutex::default(),
             last_local_frame_at: Mutex::new(Instant::now()),
             local_disk: Mutex::default(),
-            confirmation_request: watch::Sender::default(),
+            confirmation_request: watch::Sender::new(Nonce(0)),
         }
     }
 
@@ -55,12 +56,12 @@
     }
 
     /// Requests from the subscribed store how old its items are; a newer request replaces one not yet sent.
-    pub fn request_confirmation(&self, nonce: u64) {
+    pub fn request_freshness_confirmation(&self, nonce: Nonce) {
         self.confirmation_request.send_replace(nonce);
     }
 
-    /// Watches the newest request made by [`StoreState::request_confirmation`].
-    pub fn confirmation_requests(&self) -> watch::Receiver<u64> {
+    /// Watches the newest request made by [`StoreState::request_freshness_confirmation`].
+    pub fn confirmation_requests(&self) -> watch::Receiver<Nonce> {
         self.confirmation_request.subscribe()
     }
 
--- a/crates/emberpin-registry/src/store_subscription.rs
+++ b/crates/emberpin-registry/src/store_subscription.rs
@@ -130,7 +130,7 @@
     ) -> Result<Infallible, ConnectionError> {
         let mut requests = self.state.confirmation_requests();
         loop {
-            let nonce = *requests.borrow_and_update();
+            let Nonce(nonce) = *requests.borrow_and_update();
             let confirm = ToStore::Request(StoreRequest::ConfirmFreshness { nonce });
             frames::write(writer, &confirm).await?;
             // Its sender is part of `self.state`, so the wait never fails.
--- a/crates/emberpin-registry/tests/recorded_messages.rs
+++ b/crates/emberpin-registry/tests/recorded_messages.rs
@@ -113,13 +113,13 @@
 fn recorded_frames_to_a_registry_decode_to_their_messages() {
     let frames = recorded::frames(MESSAGES, "to-registry");
     let (first, rest) = frames.split_at(samples::first().len());
-    let (from_limiter, between_registries) = rest.split_at(samples::from_limiter().len());
+    let (from_proxy, between_registries) = rest.split_at(samples::from_proxy().len());
     expect_decoded_as(first, &samples::first());
-    expect_decoded_as(from_limiter, &samples::from_limiter());
+    expect_decoded_as(from_proxy, &samples::from_proxy());
     expect_decoded_as(between_registries, &samples::between_registries());
     expect_decoded_as(
         &recorded::frames(VALUES, "from-limiter"),
-        &values::from_limiter(),
+        &values::from_proxy(),
     );
     expect_decoded_as(
         &recorded::frames(VALUES, "between-registries"),
@@ -130,13 +130,10 @@
 #[gtest]
 fn recorded_frames_from_a_registry_decode_to_their_messages() {
     let frames = recorded::frames(MESSAGES, "from-registry");
-    let (to_limiter, acks) = frames.split_at(samples::to_limiter().len());
-    expect_decoded_as(to_limiter, &samples::to_limiter());
+    let (to_proxy, acks) = frames.split_at(samples::to_proxy().len());
+    expect_decoded_as(to_proxy, &samples::to_proxy());
     expect_decoded_as(acks, &samples::acks());
-    expect_decoded_as(
-        &recorded::frames(VALUES, "to-limiter"),
-        &values::to_limiter(),
-    );
+    expect_decoded_as(&recorded::frames(VALUES, "to-limiter"), &values::to_proxy());
     expect_decoded_as(&recorded::frames(VALUES, "ack"), &values::acks());
 }
 
@@ -160,12 +157,12 @@
     expect_all_recorded::<StoreReply>(&recorded::frames(MESSAGES, "from-store"), &[]);
     let to_registry = recorded::frames(MESSAGES, "to-registry");
     let (first, rest) = to_registry.split_at(samples::first().len());
-    let (from_limiter, between_registries) = rest.split_at(samples::from_limiter().len());
+    let (from_proxy, between_registries) = rest.split_at(samples::from_proxy().len());
     expect_all_recorded::<ConnectionRole>(first, &[]);
-    expect_all_recorded::<FromProxy>(from_limiter, &[]);
+    expect_all_recorded::<FromProxy>(from_proxy, &[]);
     expect_all_recorded::<RegistryMessage>(between_registries, &[]);
     let from_registry = recorded::frames(MESSAGES, "from-registry");
-    expect_all_recorded::<ToProxy>(&from_registry[..samples::to_limiter().len()], &[]);
+    expect_all_recorded::<ToProxy>(&from_registry[..samples::to_proxy().len()], &[]);
 }
 
 #[gtest]
--- a/crates/emberpin-registry/tests/samples/mod.rs
+++ b/crates/emberpin-registry/tests/samples/mod.rs
@@ -234,7 +234,7 @@
 }
 
 /// Every message from a proxy to a registry.
-pub fn from_limiter() -> Vec<FromProxy> {
+pub fn from_proxy() -> Vec<FromProxy> {
     let instances = vec![
         instance(Status::Up),
         instance(Status::Draining),
@@ -286,7 +286,7 @@
 }
 
 /// Every message from a registry to a proxy.
-pub fn to_limiter() -> Vec<ToProxy> {
+pub fn to_proxy() -> Vec<ToProxy> {
     let instances = vec![instance(Status::Up)];
     vec![
         ToProxy::Snapshot {
@@ -328,11 +328,11 @@
 pub fn text() -> String {
     let to_registry = [
         frames_of(&first()),
-        frames_of(&from_limiter()),
+        frames_of(&from_proxy()),
         frames_of(&between_registries()),
     ]
     .concat();
-    let from_registry = [frames_of(&to_limiter()), frames_of(&acks())].concat();
+    let from_registry = [frames_of(&to_proxy()), frames_of(&acks())].concat();
     let groups = [
         ("to-store", frames_of(&to_store())),
         ("from-store", frames_of(&from_store())),
--- a/crates/emberpin-registry/tests/samples/values.rs
+++ b/crates/emberpin-registry/tests/samples/values.rs
@@ -144,7 +144,7 @@
 }
 
 /// Messages from a proxy to a registry.
-pub fn from_limiter() -> Vec<FromProxy> {
+pub fn from_proxy() -> Vec<FromProxy> {
     let hello = FromProxy::Hello {
         incarnation: ids::Incarnation(u64::MAX),
         name: String::new(),
@@ -191,7 +191,7 @@
 }
 
 /// Messages from a registry to a proxy.
-pub fn to_limiter() -> Vec<ToProxy> {
+pub fn to_proxy() -> Vec<ToProxy> {
     let (items, instances) = (Vec::new(), vec![with_ipv6_address()]);
     let rest = Some(SnapshotCursor::Item(item(ItemKind::Route, "r", None).key));
     vec![
@@ -252,9 +252,9 @@
     [
         lines("to-store", &frames_of(&to_store())),
         lines("from-store", &frames_of(&from_store())),
-        lines("from-limiter", &frames_of(&from_limiter())),
+        lines("from-limiter", &frames_of(&from_proxy())),
         lines("between-registries", &frames_of(&between_registries())),
-        lines("to-limiter", &frames_of(&to_limiter())),
+        lines("to-limiter", &frames_of(&to_proxy())),
         lines("ack", &frames_of(&acks())),
         lines("preamble", &preambles),
     ]
