--- a/crates/emberpin-ctl/src/checks.rs
+++ b/crates/emberpin-ctl/src/checks.rs
@@ -135,7 +135,9 @@
 
 /// Zones with servers of which no proxy has a session.
 pub fn zones_without_proxy(fleet: &FleetReport) -> Vec<Finding> {
-    let proxies = fleet.reachable().flat_map(|(_, status)| &status.limiters);
+    let proxies = fleet
+        .reachable()
+        .flat_map(|(_, status)| &status.proxy_sessions);
     let with_proxy: BTreeSet<&str> = proxies.map(|proxy| proxy.zone.as_str()).collect();
     let with_server: BTreeSet<&str> = instances(fleet)
         .map(|instance| instance.zone.as_str())
--- a/crates/emberpin-ctl/src/members.rs
+++ b/crates/emberpin-ctl/src/members.rs
@@ -1,7 +1,7 @@
 //! The output of `members`: every registry with its proxies and the servers that it knows.
 
 use crate::fleet::FleetReport;
-use crate::status::{Instance, Limiter, Status};
+use crate::status::{Instance, ProxySession, Status};
 
 /// The members of a fleet, one a line.
 pub fn render(fleet: &FleetReport) -> String {
@@ -10,7 +10,7 @@
         match &report.status {
             Ok(status) => {
                 lines.push(registry_line(&report.address, status));
-                lines.extend(status.limiters.iter().map(limiter_line));
+                lines.extend(status.proxy_sessions.iter().map(proxy_session_line));
                 lines.extend(status.instances.iter().map(instance_line));
             }
             Err(error) => lines.push(format!("registry {}: {error}", report.address)),
@@ -33,9 +33,13 @@
     )
 }
 
-fn limiter_line(limiter: &Limiter) -> String {
-    let Limiter { name, zone, behind } = limiter;
-    format!("  limiter {name} in {zone}: {behind} behind")
+fn proxy_session_line(session: &ProxySession) -> String {
+    let ProxySession {
+        name,
+        zone,
+        changes_behind,
+    } = session;
+    format!("  limiter {name} in {zone}: {changes_behind} behind")
 }
 
 fn instance_line(instance: &Instance) -> String {
--- a/crates/emberpin-ctl/src/status.rs
+++ b/crates/emberpin-ctl/src/status.rs
@@ -14,8 +14,8 @@
     pub voters: Vec<String>,
     /// The registries that it is in contact with, in order.
     pub registries: Vec<String>,
-    /// The proxies that have a session with it.
-    pub limiters: Vec<Limiter>,
+    /// The sessions of proxies with it.
+    pub proxy_sessions: Vec<ProxySession>,
     /// The instances of servers that it knows.
     pub instances: Vec<Instance>,
     /// How many items of the configuration it has.
@@ -28,13 +28,13 @@
 
 /// A proxy's session.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Limiter {
+pub struct ProxySession {
     /// The proxy's name.
     pub name: String,
     /// The proxy's zone.
     pub zone: String,
     /// How many changes it has yet to acknowledge.
-    pub behind: u64,
+    pub changes_behind: u64,
 }
 
 /// An instance of a server.
@@ -97,7 +97,7 @@
                 .ok_or(InvalidStatus::Field("settled"))?,
             voters: sorted(list(&value, "voters", parse_text)?),
             registries: sorted(list(&value, "registries", parse_text)?),
-            limiters: list(&value, "limiters", parse_limiter)?,
+            proxy_sessions: list(&value, "limiters", parse_proxy_session)?,
             instances: list(&value, "instances", parse_instance)?,
             items: number(&value, "items")?,
             disk,
@@ -117,11 +117,11 @@
     }))
 }
 
-fn parse_limiter(value: &JsonValue) -> Result<Limiter, InvalidStatus> {
-    Ok(Limiter {
+fn parse_proxy_session(value: &JsonValue) -> Result<ProxySession, InvalidStatus> {
+    Ok(ProxySession {
         name: text(value, "name")?,
         zone: text(value, "zone")?,
-        behind: number(value, "behind")?,
+        changes_behind: number(value, "behind")?,
     })
 }
 
--- a/crates/emberpin-ctl/tests/checks.rs
+++ b/crates/emberpin-ctl/tests/checks.rs
@@ -8,7 +8,7 @@
 };
 use emberpin_ctl::client::{AttemptError, CallError};
 use emberpin_ctl::fleet::{FleetReport, RegistryReport, StatusError};
-use emberpin_ctl::status::{Disk, Instance, Limiter, Status};
+use emberpin_ctl::status::{Disk, Instance, ProxySession, Status};
 use googletest::prelude::*;
 use std::time::Duration;
 
@@ -37,10 +37,10 @@
         settled: true,
         voters: texts(&VOTERS),
         registries: texts(&VOTERS),
-        limiters: vec![Limiter {
+        proxy_sessions: vec![ProxySession {
             name: "edge".into(),
             zone: "umea".into(),
-            behind: 0,
+            changes_behind: 0,
         }],
         instances: vec![instance("i-1", "s", "umea")],
         items: 3,
@@ -163,10 +163,10 @@
     let one_knows = fleet(|n, status| {
         status.instances.push(instance("i-2", "s", "lulea"));
         if n == 1 {
-            status.limiters.push(Limiter {
+            status.proxy_sessions.push(ProxySession {
                 name: "edge-2".into(),
                 zone: "lulea".into(),
-                behind: 0,
+                changes_behind: 0,
             });
         }
     });
