--- /dev/null
+++ b/crates/emberpin-membership/tests/common/network.rs
@@ -0,0 +1,202 @@
+//! The in-memory network between registries: links with a delay, network partitions, and links that hold messages back.
+
+use super::{ip, machine};
+use emberpin_membership::peers::{Ack, RegistryMessage};
+use emberpin_membership::registry::Event;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::net::Ipv4Addr;
+
+/// How long a message takes.
+const DELAY_MS: u64 = 10;
+/// A link over which nothing is acknowledged for this long breaks.
+const UNACKNOWLEDGED_TIMEOUT_MS: u64 = 1_500;
+/// How often a closed link is tried again.
+const CONNECT_INTERVAL_MS: u64 = 100;
+
+/// A link, named by the machine that keeps it open and the one that it leads to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct LinkId {
+    pub caller: u8,
+    pub callee: u8,
+}
+
+enum Payload {
+    Message(RegistryMessage),
+    Ack(Ack),
+}
+
+struct Packet {
+    arrives_at: u64,
+    payload: Payload,
+}
+
+#[derive(Default)]
+struct Link {
+    is_open: bool,
+    to_callee: VecDeque<Packet>,
+    to_caller: VecDeque<Packet>,
+    partitioned_since: Option<u64>,
+}
+
+/// What happens to a link at a point in time.
+pub enum LinkProgress {
+    Unchanged,
+    Opened,
+    Broken,
+    /// Events that reach machines.
+    Delivered(Vec<(u8, Event)>),
+}
+
+#[derive(Default)]
+pub struct Network {
+    links: BTreeMap<LinkId, Link>,
+    /// Pairs of machines between which nothing gets through; links break after a while.
+    partitions: BTreeSet<(u8, u8)>,
+    /// Pairs of machines between which messages wait; links stay.
+    held: BTreeSet<(u8, u8)>,
+}
+
+fn pairs(one: u8, others: &[u8]) -> impl Iterator<Item = (u8, u8)> + '_ {
+    others
+        .iter()
+        .flat_map(move |other| [(one, *other), (*other, one)])
+}
+
+impl Network {
+    pub fn partition(&mut self, one: u8, others: &[u8]) {
+        self.partitions.extend(pairs(one, others));
+    }
+
+    pub fn heal(&mut self, one: u8, others: &[u8]) {
+        for pair in pairs(one, others) {
+            self.partitions.remove(&pair);
+        }
+    }
+
+    pub fn hold_messages(&mut self, one: u8, others: &[u8]) {
+        self.held.extend(pairs(one, others));
+    }
+
+    pub fn release_messages(&mut self, one: u8, others: &[u8]) {
+        for pair in pairs(one, others) {
+            self.held.remove(&pair);
+        }
+    }
+
+    pub fn connect(&mut self, caller: u8, peer: Ipv4Addr) {
+        let callee = machine(peer);
+        self.links
+            .insert(LinkId { caller, callee }, Link::default());
+    }
+
+    pub fn disconnect(&mut self, caller: u8, peer: Ipv4Addr) {
+        let callee = machine(peer);
+        self.links.remove(&LinkId { caller, callee });
+    }
+
+    pub fn has_link(&self, caller: u8, callee: u8) -> bool {
+        self.links.contains_key(&LinkId { caller, callee })
+    }
+
+    pub fn link_ids(&self) -> Vec<LinkId> {
+        self.links.keys().copied().collect()
+    }
+
+    /// A machine fails: its own links go, those of others to it break. Gives the latter.
+    pub fn remove_machine(&mut self, machine: u8) -> Vec<LinkId> {
+        self.links.retain(|id, _| id.caller != machine);
+        let ids = self.links.keys().copied();
+        ids.filter(|id| id.callee == machine).collect()
+    }
+
+    /// Closes a link, which loses what is in flight; whether it was open.
+    pub fn close(&mut self, id: LinkId) -> bool {
+        self.links
+            .get_mut(&id)
+            .is_some_and(|link| std::mem::take(link).is_open)
+    }
+
+    /// Sends a message over the caller's link; lost if it is not open.
+    pub fn send(&mut self, now: u64, caller: u8, peer: Ipv4Addr, message: RegistryMessage) {
+        let callee = machine(peer);
+        let link = self.links.get_mut(&LinkId { caller, callee });
+        if let Some(link) = link.filter(|link| link.is_open) {
+            link.to_callee.push_back(Packet {
+                arrives_at: now + DELAY_MS,
+                payload: Payload::Message(message),
+            });
+        }
+    }
+
+    /// Sends an acknowledgement back over the link that the peer has opened; lost if it is not open.
+    pub fn acknowledge(&mut self, now: u64, callee: u8, peer: Ipv4Addr, ack: Ack) {
+        let caller = machine(peer);
+        let link = self.links.get_mut(&LinkId { caller, callee });
+        if let Some(link) = link.filter(|link| link.is_open) {
+            link.to_caller.push_back(Packet {
+                arrives_at: now + DELAY_MS,
+                payload: Payload::Ack(ack),
+            });
+        }
+    }
+
+    /// What happens to a link now.
+    pub fn advance(
+        &mut self,
+        now: u64,
+        id: LinkId,
+        caller_is_running: bool,
+        callee_is_up: bool,
+    ) -> LinkProgress {
+        let pair = (id.caller, id.callee);
+        let is_partitioned = self.partitions.contains(&pair);
+        let is_held = self.held.contains(&pair);
+        let link = self.links.get_mut(&id).expect("the link exists");
+        link.partitioned_since = is_partitioned.then(|| link.partitioned_since.unwrap_or(now));
+        let is_timed_out = link
+            .partitioned_since
+            .is_some_and(|since| now - since >= UNACKNOWLEDGED_TIMEOUT_MS);
+        if link.is_open && is_timed_out {
+            return LinkProgress::Broken;
+        }
+        if is_partitioned || !callee_is_up || is_held {
+            return LinkProgress::Unchanged;
+        }
+        if link.is_open {
+            return LinkProgress::Delivered(link.deliver(now, id));
+        }
+        if now.is_multiple_of(CONNECT_INTERVAL_MS) && caller_is_running {
+            link.is_open = true;
+            return LinkProgress::Opened;
+        }
+        LinkProgress::Unchanged
+    }
+}
+
+impl Link {
+    fn deliver(&mut self, now: u64, id: LinkId) -> Vec<(u8, Event)> {
+        let mut events = Vec::new();
+        for (queue, receiver) in [
+            (&mut self.to_callee, id.callee),
+            (&mut self.to_caller, id.caller),
+        ] {
+            while queue.front().is_some_and(|packet| packet.arrives_at <= now) {
+                let Some(packet) = queue.pop_front() else {
+                    continue;
+                };
+                let event = match packet.payload {
+                    Payload::Message(message) => Event::PeerMessage {
+                        peer: ip(id.caller),
+                        message,
+                    },
+                    Payload::Ack(ack) => Event::PeerAcknowledged {
+                        peer: ip(id.callee),
+                        ack,
+                    },
+                };
+                events.push((receiver, event));
+            }
+        }
+        events
+    }
+}
