--- /dev/null
+++ b/crates/emberpin-registry/src/http_api/calls.rs
@@ -0,0 +1,265 @@
+//! The calls of the HTTP API.
+//!
+//! Heartbeats and the status are answered by the event loop; changes and reads of the configuration are passed to the
+//! stores, or redirected to a registry that can have them confirmed.
+
+use super::heartbeat_body::{self, InvalidHeartbeat};
+use super::request_body::{self, RequestBodyError};
+use super::response::{self, HttpResponse};
+use super::route::Route;
+use crate::commands::{Command, CommandSender};
+use crate::store_client::StoreClient;
+use emberpin_membership::registry::{OperatorCallTarget, ServerReply};
+use emberpin_store::protocol::StoreRequest;
+use hyper::body::{Body, Incoming};
+use hyper::header::{HeaderValue, LOCATION};
+use hyper::{Request, StatusCode, Uri};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::{oneshot, Semaphore};
+use tokio::time::timeout;
+
+/// The longest body of a configuration change: with its request, it fits into one frame to a store.
+const MAX_CHANGE_BYTES: usize = (8 << 20) - 1024;
+/// The longest body of any other call.
+const MAX_BODY_BYTES: usize = 64 << 10;
+/// A server's call is answered within this time: after a second of silence the server calls another registry.
+const HEARTBEAT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
+/// A call of the operator is answered within this time: `emberpinctl` passes a registry over after a second.
+const OPERATOR_RESPONSE_TIMEOUT: Duration = Duration::from_millis(950);
+/// The same for changes with a body of [`LARGE_CHANGE_BYTES`] or more, for which clients wait longer.
+const LARGE_CHANGE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+const LARGE_CHANGE_BYTES: usize = 16 << 10;
+/// KiB of changes that may be in flight at once, being read or passed on: enough for two of the largest, and for one of
+/// less than 6 KiB on every connection, so that small ones never wait for one another.
+const MAX_CHANGE_KIB_IN_FLIGHT: usize = 20 << 10;
+/// The query of a call that another registry has redirected. It goes no further, so that calls never circle.
+const REDIRECTED_QUERY: &str = "sent-on";
+
+/// Carries calls out.
+pub struct Calls {
+    commands: CommandSender,
+    stores: Arc<StoreClient>,
+    /// The port of the HTTP API, the same on all core machines.
+    ctl_port: u16,
+    /// A permit for each KiB of changes in flight.
+    change_permits: Semaphore,
+}
+
+/// Why a call is rejected.
+#[derive(Debug, thiserror::Error)]
+pub enum CallError {
+    /// Its body could not be read.
+    #[error(transparent)]
+    Body(#[from] RequestBodyError),
+    /// Its body is no heartbeat.
+    #[error(transparent)]
+    Heartbeat(#[from] InvalidHeartbeat),
+}
+
+impl CallError {
+    /// The status that the client is answered with.
+    pub fn status(&self) -> StatusCode {
+        match self {
+            CallError::Body(error) => error.status(),
+            CallError::Heartbeat(_) => StatusCode::BAD_REQUEST,
+        }
+    }
+}
+
+impl Calls {
+    /// Calls that go to the event loop by `commands`, and to `stores`.
+    pub fn new(commands: CommandSender, stores: Arc<StoreClient>, ctl_port: u16) -> Calls {
+        Calls {
+            commands,
+            stores,
+            ctl_port,
+            change_permits: Semaphore::new(MAX_CHANGE_KIB_IN_FLIGHT),
+        }
+    }
+
+    /// Carries a call out. `subject` is the instance's id or the zone in its path.
+    ///
+    /// # Errors
+    ///
+    /// [`CallError`] if the body of the request cannot be used.
+    pub async fn call(
+        &self,
+        route: Route,
+        subject: &str,
+        request: Request<Incoming>,
+    ) -> Result<HttpResponse, CallError> {
+        let (head, body) = request.into_parts();
+        match route {
+            Route::Heartbeat => self.heartbeat(subject, body).await,
+            Route::Leave => self.leave(subject, body).await,
+            Route::PatchConfig => self.patch_config(&head.uri, body).await,
+            Route::GetConfig => Ok(self.get_config(&head.uri).await),
+            Route::BeginEvacuation => self.evacuate(&head.uri, subject, true, body).await,
+            Route::FinishEvacuation => self.evacuate(&head.uri, subject, false, body).await,
+            Route::Status => Ok(self.status().await),
+        }
+    }
+
+    async fn heartbeat(
+        &self,
+        instance_id: &str,
+        body: Incoming,
+    ) -> Result<HttpResponse, CallError> {
+        let body = request_body::read(body, MAX_BODY_BYTES).await?;
+        let instance = heartbeat_body::parse(instance_id, &body)?;
+        let (response, answer) = oneshot::channel();
+        self.commands
+            .send(Command::Heartbeat { instance, response })
+            .await;
+        Ok(match timeout(HEARTBEAT_RESPONSE_TIMEOUT, answer).await {
+            Ok(Ok(ServerReply::Acknowledged { heartbeat_target })) => {
+                let body = format!("{{\"hb_addr\":\"{heartbeat_target}:{}\"}}", self.ctl_port);
+                response::json(StatusCode::OK, body)
+            }
+            _ => response::unavailable(),
+        })
+    }
+
+    async fn leave(&self, instance_id: &str, body: Incoming) -> Result<HttpResponse, CallError> {
+        request_body::read(body, MAX_BODY_BYTES).await?;
+        let instance_id = instance_id.to_string();
+        let (response, answer) = oneshot::channel();
+        self.commands
+            .send(Command::Leave {
+                instance_id,
+                response,
+            })
+            .await;
+        Ok(match timeout(HEARTBEAT_RESPONSE_TIMEOUT, answer).await {
+            Ok(Ok(ServerReply::Acknowledged { .. })) => response::empty(),
+            _ => response::unavailable(),
+        })
+    }
+
+    async fn patch_config(&self, uri: &Uri, body: Incoming) -> Result<HttpResponse, CallError> {
+        // Held until the stores have responded, and taken before the body is read: it bounds the memory that
+        // bodies take.
+        let permits = self.change_permits.acquire_many(change_permits(&body));
+        let Ok(Ok(_permits)) = timeout(OPERATOR_RESPONSE_TIMEOUT, permits).await else {
+            return Ok(response::unavailable());
+        };
+        let body = request_body::read(body, MAX_CHANGE_BYTES).await?;
+        if let Some(response) = self.redirect(uri).await {
+            return Ok(response);
+        }
+        let within = if body.len() < LARGE_CHANGE_BYTES {
+            OPERATOR_RESPONSE_TIMEOUT
+        } else {
+            LARGE_CHANGE_RESPONSE_TIMEOUT
+        };
+        let request = |id| StoreRequest::Patch {
+            id,
+            body: body.clone(),
+        };
+        Ok(self
+            .call_stores(within, response::plain_text, request)
+            .await)
+    }
+
+    async fn get_config(&self, uri: &Uri) -> HttpResponse {
+        if let Some(response) = self.redirect(uri).await {
+            return response;
+        }
+        let request = |id| StoreRequest::Get { id };
+        self.call_stores(OPERATOR_RESPONSE_TIMEOUT, response::json, request)
+            .await
+    }
+
+    async fn evacuate(
+        &self,
+        uri: &Uri,
+        zone: &str,
+        begin: bool,
+        body: Incoming,
+    ) -> Result<HttpResponse, CallError> {
+        request_body::read(body, MAX_BODY_BYTES).await?;
+        if let Some(response) = self.redirect(uri).await {
+            return Ok(response);
+        }
+        let request = |id| StoreRequest::Evacuate {
+            id,
+            zone: zone.to_string(),
+            begin,
+        };
+        Ok(self
+            .call_stores(OPERATOR_RESPONSE_TIMEOUT, response::plain_text, request)
+            .await)
+    }
+
+    async fn status(&self) -> HttpResponse {
+        let (response, status) = oneshot::channel();
+        self.commands
+            .send(Command::Status {
+                local_disk: self.stores.local_disk(),
+                response,
+            })
+            .await;
+        match status.await {
+            Ok(status) => response::json(StatusCode::OK, status),
+            Err(_) => response::unavailable(),
+        }
+    }
+
+    /// The response to a call that cannot be confirmed here: 307 to a registry that was settled when it was last
+    /// heard; 503 if none is known, or if the call was redirected already. `None` if it is to be served here.
+    async fn redirect(&self, uri: &Uri) -> Option<HttpResponse> {
+        let (response, target) = oneshot::channel();
+        self.commands
+            .send(Command::FindOperatorCallTarget { response })
+            .await;
+        match target.await {
+            Ok(OperatorCallTarget::Local) => None,
+            Ok(OperatorCallTarget::Peer(peer)) if uri.query() != Some(REDIRECTED_QUERY) => {
+                Some(self.redirect_to(SocketAddr::from((peer, self.ctl_port)), uri))
+            }
+            _ => Some(response::unavailable()),
+        }
+    }
+
+    fn redirect_to(&self, registry: SocketAddr, uri: &Uri) -> HttpResponse {
+        let location = format!("http://{registry}{}?{REDIRECTED_QUERY}", uri.path());
+        let Ok(location) = HeaderValue::try_from(location) else {
+            return response::unavailable();
+        };
+        let mut response = response::plain_text(
+            StatusCode::TEMPORARY_REDIRECT,
+            "no majority is heard here\n".into(),
+        );
+        response.headers_mut().insert(LOCATION, location);
+        response
+    }
+
+    /// Passes a call to the stores. `on_success` makes the response of a 200; other responses are plain text.
+    async fn call_stores(
+        &self,
+        within: Duration,
+        on_success: fn(StatusCode, String) -> HttpResponse,
+        build_request: impl Fn(u64) -> StoreRequest,
+    ) -> HttpResponse {
+        let Some(stored) = self.stores.call(within, build_request).await else {
+            return response::unavailable();
+        };
+        let status = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::BAD_GATEWAY);
+        match status {
+            StatusCode::SERVICE_UNAVAILABLE => response::unavailable_because(&stored.body),
+            StatusCode::OK => on_success(status, stored.body),
+            _ => response::plain_text(status, stored.body),
+        }
+    }
+}
+
+/// How many permits a change needs: one for each begun KiB of its announced length, or of the longest one.
+fn change_permits(body: &Incoming) -> u32 {
+    let announced = body.size_hint().upper();
+    let length = announced
+        .map_or(MAX_CHANGE_BYTES, |length| length as usize)
+        .min(MAX_CHANGE_BYTES);
+    length as u32 / 1024 + 1
+}
--- a/crates/emberpin-registry/src/program.rs
+++ b/crates/emberpin-registry/src/program.rs
@@ -2,7 +2,7 @@
 
 use crate::connection::UnreadableFrames;
 use crate::host::{Host, HostIdentity};
-use crate::http_api::HttpApi;
+use crate::http_api::{Calls, HttpServer};
 use crate::inbound::InboundServer;
 use crate::store_client::StoreClient;
 use crate::store_state::StoreState;
@@ -113,13 +113,13 @@
     let http_listener = tcp::listen(ctl, "ctl")?;
     let registry_listener = tcp::listen(registry_address, "registry")?;
 
-    let (http_api, inbound) = start(settings, incarnation, ctl.port());
+    let (http_server, inbound) = start(settings, incarnation, ctl.port());
     let inbound = tokio::spawn(inbound.serve(registry_listener));
-    let http = tokio::spawn(http_api.clone().serve(http_listener));
+    let http = tokio::spawn(http_server.clone().serve(http_listener));
     terminate.recv().await;
     http.abort();
     inbound.abort();
-    http_api.shut_down();
+    http_server.shut_down();
     tokio::time::sleep(SHUTDOWN_GRACE).await;
     Ok(())
 }
@@ -129,7 +129,7 @@
     settings: &Settings,
     incarnation: u64,
     ctl_port: u16,
-) -> (Arc<HttpApi>, Arc<InboundServer>) {
+) -> (Arc<HttpServer>, Arc<InboundServer>) {
     let process = Arc::new(ProcessIdentity::new(incarnation));
     let unreadable_frames = Arc::new(UnreadableFrames::default());
     let stores = Arc::new(StoreState::new(settings.ip, seed_ips(settings)));
@@ -152,9 +152,10 @@
     ));
     StoreSubscription::new(process.clone(), store_port, stores, commands.clone()).start();
     tokio::spawn(host.run());
-    let http_api = Arc::new(HttpApi::new(commands.clone(), client, ctl_port));
+    let calls = Calls::new(commands.clone(), client, ctl_port);
+    let http_server = Arc::new(HttpServer::new(calls));
     let inbound = Arc::new(InboundServer::new(process, commands, unreadable_frames));
-    (http_api, inbound)
+    (http_server, inbound)
 }
 
 fn registry_config(settings: &Settings, incarnation: u64) -> RegistryConfig {
