--- a/crates/emberpin-config/src/checkpoint.rs
+++ b/crates/emberpin-config/src/checkpoint.rs
@@ -1,32 +1,32 @@
-//! Which tombstones were removed: the bound on what dropped names take.
+//! The bound on tombstones: which of them were removed.
 
-use crate::json::decode;
-use crate::{Configuration, History, Item, ItemKey, ItemKind, Version};
+use crate::json::decode_string;
+use crate::{Configuration, Item, ItemKey, ItemKind, Version};
 use std::collections::BTreeMap;
 
-/// The most tombstones of routes and services. Beyond it those of the lowest versions are removed, a part of
-/// the bound at once, by a [`Checkpoint`] that goes along with the call that drops one too many.
+/// The most tombstones of routes and services. A call that would exceed it carries a [`Checkpoint`], which removes those
+/// of the lowest versions.
 pub const MAX_TOMBSTONES: usize = 50_000;
-/// One part in so many of the bound is removed at once, so that checkpoints are seldom.
+/// A checkpoint removes `1 / REMOVED_FRACTION` of the tombstones that are allowed. With a higher number checkpoints,
+/// each of which lists live items, come more often.
 const REMOVED_FRACTION: usize = 8;
 
-/// The versions of routes and services at or below a floor that are still known; all others are removed.
+/// Which versions of routes and services are still known, up to a floor; all others were removed.
 ///
-/// It is an item itself and chosen like any other, so that all copies remove the same, in whatever order they
-/// hear of it: an item at or below the floor is admitted only if its name is listed, with that version or a
-/// lower one. So a copy that missed the drop of a name drops it when it hears of the checkpoint, and a name
-/// that lives may be dropped by a version below the floor.
+/// A checkpoint is an item itself and is chosen like any other, so that all replicas remove the same, in whatever
+/// order they learn of it: a version at or below the floor is admitted only if the checkpoint lists its item, with
+/// that version or a lower one. So a replica that missed the removal of an item removes it when it learns of the
+/// checkpoint, and a live item may be removed by a version below the floor.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Checkpoint {
     floor: Option<Version>,
-    /// No history had a higher version of its own.
     max_history_version: Version,
-    /// The names that were live with a version not above the floor.
+    /// The items that were live with a version at or below the floor, and that version.
     live: BTreeMap<ItemKey, Version>,
 }
 
 impl Checkpoint {
-    /// Its name; there is one.
+    /// The key of the one item of this kind.
     pub fn key() -> ItemKey {
         ItemKey {
             kind: ItemKind::Checkpoint,
@@ -34,57 +34,59 @@
         }
     }
 
-    /// No version above it was removed; `None`, if none was at all.
+    /// The version above which nothing was removed; `None`, if nothing was removed at all.
     pub fn floor(&self) -> Option<Version> {
         self.floor
     }
 
-    /// The versions of histories that begin anew must be above this one.
+    /// The highest version that any history had. A history that begins anew gets a higher one, so that an old copy of
+    /// a history that was removed never passes for newer.
     pub fn max_history_version(&self) -> Version {
         self.max_history_version
     }
 
-    /// Whether this version of a route or service isn't removed.
+    /// Whether this version of a route or service was not removed.
     pub fn admits(&self, key: &ItemKey, version: Version) -> bool {
-        let above = self.floor.is_none_or(|floor| version > floor);
-        above || !key.is_removable() || self.live.get(key).is_some_and(|live| version >= *live)
+        let is_above_floor = self.floor.is_none_or(|floor| version > floor);
+        is_above_floor
+            || !key.is_removable()
+            || self.live.get(key).is_some_and(|live| version >= *live)
     }
 
-    /// The checkpoint that is due once there are more tombstones than `max_tombstones`.
+    /// The next checkpoint, if the configuration has more tombstones than `max_tombstones`.
     pub fn next_if_due(configuration: &Configuration, max_tombstones: usize) -> Option<Item> {
-        let tombstones = configuration.tombstones();
-        let beyond = tombstones
+        let tombstones = configuration.removable_tombstones();
+        let excess = tombstones
             .len()
             .checked_sub(max_tombstones)
-            .filter(|beyond| *beyond > 0)?;
-        let (highest, _) = tombstones
-            .iter()
-            .nth(beyond - 1 + max_tombstones / REMOVED_FRACTION)?;
-        let floor = configuration.checkpoint().floor().max(Some(*highest));
+            .filter(|excess| *excess > 0)?;
+        let removed = excess + max_tombstones / REMOVED_FRACTION;
+        let (highest_removed, _) = tombstones.iter().nth(removed - 1)?;
+        let current = configuration.checkpoint();
+        let floor = current.floor.max(Some(*highest_removed));
         let live = configuration
             .live()
-            .filter(|item| item.key.is_removable() && Some(item.version) <= floor);
-        let live = live.map(|item| (item.key.clone(), item.version)).collect();
-        let histories = configuration
+            .filter(|item| item.key.is_removable() && Some(item.version) <= floor)
+            .map(|item| (item.key.clone(), item.version))
+            .collect();
+        let max_history_version = configuration
             .iter()
-            .filter(|item| item.key.kind == ItemKind::History);
-        let histories = histories
+            .filter(|item| item.key.kind == ItemKind::History)
             .map(|item| item.version)
-            .fold(configuration.checkpoint().max_history_version, Version::max);
-        let former = configuration
+            .fold(current.max_history_version, Version::max);
+        let current_version = configuration
             .get(&Checkpoint::key())
             .map_or(Version(0), |item| item.version);
-        Some(
-            Checkpoint {
-                floor,
-                max_history_version: histories,
-                live,
-            }
-            .to_item(former.next()),
-        )
+        let next = Checkpoint {
+            floor,
+            max_history_version,
+            live,
+        };
+        Some(next.to_item(current_version.next()))
     }
 
-    /// Reads it from an item; the stores alone write it. One that can't be read removes nothing.
+    /// Reads a checkpoint from its item. One that cannot be read, as a build with another format wrote it, removes
+    /// nothing.
     pub fn from_item(item: &Item) -> Checkpoint {
         item.body
             .as_deref()
@@ -94,31 +96,16 @@
 
     fn parse(body: &str) -> Option<Checkpoint> {
         let mut lines = body.split('\n');
-        let (floor, histories) = lines.next()?.split_once(' ')?;
-        let mut live = BTreeMap::new();
-        for line in lines {
-            let mut fields = line.splitn(3, ' ');
-            let kind = match fields.next()? {
-                "s" => ItemKind::Service,
-                "r" => ItemKind::Route,
-                _ => return None,
-            };
-            let version = fields.next()?.parse().ok()?;
-            live.insert(
-                ItemKey {
-                    kind,
-                    name: decode(fields.next()?)?,
-                },
-                version,
-            );
-        }
+        let (floor, max_history_version) = lines.next()?.split_once(' ')?;
+        let live = lines.map(parse_live).collect::<Option<_>>()?;
         Some(Checkpoint {
             floor: Some(floor.parse().ok()?),
-            max_history_version: histories.parse().ok()?,
+            max_history_version: max_history_version.parse().ok()?,
             live,
         })
     }
 
+    /// The checkpoint as an item: `FLOOR MAX_HISTORY_VERSION`, then a line `KIND VERSION "NAME"` for each live item.
     fn to_item(&self, version: Version) -> Item {
         let mut body = format!(
             "{} {}",
@@ -131,10 +118,8 @@
             } else {
                 'r'
             };
-            body.push_str(&format!(
-                "\n{kind} {version} {}",
-                jzon::stringify(key.name.as_str())
-            ));
+            let name = jzon::stringify(key.name.as_str());
+            body.push_str(&format!("\n{kind} {version} {name}"));
         }
         Item {
             key: Checkpoint::key(),
@@ -144,11 +129,15 @@
     }
 }
 
-/// The version that a history gets which follows on this one, or begins.
-pub(crate) fn next_history_version(configuration: &Configuration, subject: &ItemKey) -> Version {
-    let held = configuration
-        .get(&History::key(subject))
-        .map_or(Version(0), |item| item.version);
-    held.max(configuration.checkpoint().max_history_version())
-        .next()
+/// The key and version of a live item, from its line.
+fn parse_live(line: &str) -> Option<(ItemKey, Version)> {
+    let mut fields = line.splitn(3, ' ');
+    let kind = match fields.next()? {
+        "s" => ItemKind::Service,
+        "r" => ItemKind::Route,
+        _ => return None,
+    };
+    let version = fields.next()?.parse().ok()?;
+    let name = decode_string(fields.next()?)?;
+    Some((ItemKey { kind, name }, version))
 }
--- a/crates/emberpin-config/src/configuration.rs
+++ b/crates/emberpin-config/src/configuration.rs
@@ -1,81 +1,87 @@
-//! The newest items, and what is wrong with them as a whole.
+//! The newest version of every item, and how replicas merge what they hold.
 
-use crate::schema::called;
-use crate::{
-    Checkpoint, History, Item, ItemKey, ItemKind, Limits, Route, Service, Target, ValidationError,
-    Version,
-};
+use crate::{Checkpoint, History, Item, ItemKey, ItemKind, Route, ValidationError, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The newest version of every item, dropped ones included.
+/// The newest version of every item, tombstones included.
+///
+/// A state-based CRDT: replicas that merged the same items, in whatever order and however often, are equal.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
     items: BTreeMap<ItemKey, Item>,
-    /// The live routes as parsed, so that a change doesn't cost a parse of all others.
-    routes: BTreeMap<String, Result<Route, ValidationError>>,
-    /// The tombstones that may be removed, by version.
-    dropped: BTreeSet<(Version, ItemKey)>,
+    /// The live routes as parsed, by name, so that a change does not cost a parse of all others.
+    parsed_routes: BTreeMap<String, Result<Route, ValidationError>>,
+    /// The tombstones that a checkpoint may remove, in the order of their versions.
+    removable_tombstones: BTreeSet<(Version, ItemKey)>,
     checkpoint: Checkpoint,
 }
 
-/// Something wrong with the whole.
-pub(crate) struct Inconsistency {
-    /// The items that have it; each of them could end it.
-    pub(crate) of: Vec<ItemKey>,
-    /// A service that is named and is not there.
-    pub(crate) unknown: Option<String>,
-    pub(crate) wrong: ValidationError,
+/// What a merge changed.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct MergeOutcome {
+    /// Whether the merged item is now the newest one of its key. If not, nothing changed.
+    pub is_newer: bool,
+    /// The items that the merged item, a checkpoint, removed. What keeps them elsewhere has to remove them, too.
+    pub removed: Vec<Item>,
 }
 
 impl Configuration {
-    /// Nothing yet.
+    /// A configuration without items.
     pub fn new() -> Configuration {
         Configuration::default()
     }
 
-    /// Takes an item if its version is higher than the known one and the [`Checkpoint`] admits it; whether it
-    /// is. In whatever order and however often items are merged, the same stand at the end.
+    /// Merges an item: it is applied if its version is above the known one and the [`Checkpoint`] admits it. Whether
+    /// it is.
     pub fn merge(&mut self, item: Item) -> bool {
-        self.merge_and_prune(item).0
+        self.merge_and_prune(item).is_newer
     }
 
-    /// As [`Configuration::merge`]; also returns the items that a new checkpoint removes.
-    pub fn merge_and_prune(&mut self, item: Item) -> (bool, Vec<Item>) {
-        if self
+    /// As [`Configuration::merge`], for those who keep items elsewhere as well: also returns what a new checkpoint
+    /// removes.
+    pub fn merge_and_prune(&mut self, item: Item) -> MergeOutcome {
+        let is_known = self
             .get(&item.key)
-            .is_some_and(|known| known.version >= item.version)
-            || !self.admits(&item)
-        {
-            return (false, Vec::new());
+            .is_some_and(|known| known.version >= item.version);
+        if is_known || !self.admits(&item) {
+            return MergeOutcome {
+                is_newer: false,
+                removed: Vec::new(),
+            };
         }
         let checkpoint =
             (item.key.kind == ItemKind::Checkpoint).then(|| Checkpoint::from_item(&item));
         self.replace(item);
-        match checkpoint {
+        let removed = match checkpoint {
             Some(checkpoint) => {
                 self.checkpoint = checkpoint;
-                (true, self.remove_inadmissible())
+                self.remove_inadmissible()
             }
-            None => (true, Vec::new()),
+            None => Vec::new(),
+        };
+        MergeOutcome {
+            is_newer: true,
+            removed,
         }
     }
 
     fn replace(&mut self, item: Item) {
         if let Some(known) = self.items.get(&item.key) {
-            self.dropped.remove(&(known.version, item.key.clone()));
+            self.removable_tombstones
+                .remove(&(known.version, item.key.clone()));
         }
         if item.key.kind == ItemKind::Route {
-            match item.body {
-                Some(_) => drop(
-                    self.routes
-                        .insert(item.key.name.clone(), Route::from_item(&item)),
-                ),
-                None => drop(self.routes.remove(&item.key.name)),
+            if item.is_tombstone() {
+                self.parsed_routes.remove(&item.key.name);
+            } else {
+                self.parsed_routes
+                    .insert(item.key.name.clone(), Route::from_item(&item));
             }
         }
-        // An evacuation that came back to life would stop a zone; those are few and stay.
-        if item.body.is_none() && item.key.is_removable() {
-            self.dropped.insert((item.version, item.key.clone()));
+        // Those of evacuations stay: there are few, and an evacuation that came back would take a zone out of use.
+        if item.is_tombstone() && item.key.is_removable() {
+            self.removable_tombstones
+                .insert((item.version, item.key.clone()));
         }
         self.items.insert(item.key.clone(), item);
     }
@@ -85,16 +91,17 @@
         let removed: Vec<Item> = inadmissible.cloned().collect();
         for item in &removed {
             self.items.remove(&item.key);
-            self.dropped.remove(&(item.version, item.key.clone()));
+            self.removable_tombstones
+                .remove(&(item.version, item.key.clone()));
             if item.key.kind == ItemKind::Route {
-                self.routes.remove(&item.key.name);
+                self.parsed_routes.remove(&item.key.name);
             }
         }
         removed
     }
 
-    /// Whether the checkpoint leaves room for this version of a name: an older one belongs to a name whose
-    /// tombstone was removed.
+    /// Whether the checkpoint allows this version of an item. A version that it does not allow belongs to an item whose
+    /// tombstone was removed; applying it could bring the item back.
     pub fn admits(&self, item: &Item) -> bool {
         if self.checkpoint.floor().is_none() {
             return true;
@@ -111,7 +118,8 @@
         }
     }
 
-    /// A copy of all that decides whether the whole is valid; histories are the larger part of many changes.
+    /// A copy of all that decides whether the configuration is valid. Histories are the larger part of one that
+    /// changed often.
     pub(crate) fn without_histories(&self) -> Configuration {
         let items = self
             .items
@@ -121,8 +129,8 @@
             items: items
                 .map(|(key, item)| (key.clone(), item.clone()))
                 .collect(),
-            routes: self.routes.clone(),
-            dropped: self.dropped.clone(),
+            parsed_routes: self.parsed_routes.clone(),
+            removable_tombstones: self.removable_tombstones.clone(),
             checkpoint: self.checkpoint.clone(),
         }
     }
@@ -132,17 +140,17 @@
         &self.checkpoint
     }
 
-    /// How many tombstones there are that may be removed.
+    /// How many tombstones there are that a checkpoint may remove.
     pub fn tombstone_count(&self) -> usize {
-        self.dropped.len()
+        self.removable_tombstones.len()
     }
 
-    /// The tombstones that may be removed, with their versions, from the lowest version on.
-    pub(crate) fn tombstones(&self) -> &BTreeSet<(Version, ItemKey)> {
-        &self.dropped
+    /// The tombstones that a checkpoint may remove, from the lowest version on.
+    pub(crate) fn removable_tombstones(&self) -> &BTreeSet<(Version, ItemKey)> {
+        &self.removable_tombstones
     }
 
-    /// The newest version of a name, also if that is a tombstone.
+    /// The newest version of an item, which may be a tombstone.
     pub fn get(&self, key: &ItemKey) -> Option<&Item> {
         self.items.get(key)
     }
@@ -152,9 +160,9 @@
         self.items.values()
     }
 
-    /// The items that are not dropped.
+    /// The items that are no tombstones, in the order of their keys.
     pub fn live(&self) -> impl Iterator<Item = &Item> + '_ {
-        self.iter().filter(|item| item.body.is_some())
+        self.iter().filter(|item| !item.is_tombstone())
     }
 
     /// How many items there are, tombstones included.
@@ -162,106 +170,36 @@
         self.items.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no items, not even tombstones.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// Whether a service of this name is there and not dropped.
+    /// Whether a service of this name exists and was not removed.
     pub fn has_service(&self, service: &str) -> bool {
         let key = ItemKey {
             kind: ItemKind::Service,
             name: service.to_owned(),
         };
-        self.items.get(&key).is_some_and(|item| item.body.is_some())
+        self.items
+            .get(&key)
+            .is_some_and(|item| !item.is_tombstone())
     }
 
-    /// The live routes that can be read, in the order of their names, whatever is wrong with the whole; those
-    /// to follow are [`effective_routes`](crate::effective_routes).
+    /// The live routes that are valid by themselves, in the order of their names. Those that proxies follow are
+    /// [`effective_routes`](crate::effective_routes()).
     pub fn routes(&self) -> impl Iterator<Item = &Route> + '_ {
-        self.routes.values().filter_map(|route| route.as_ref().ok())
-    }
-
-    /// Whether the whole is valid: every item is, no route names an unknown service, no two routes share a
-    /// place.
-    pub fn check(&self) -> Result<(), ValidationError> {
-        self.inconsistencies()
-            .into_iter()
-            .next()
-            .map_or(Ok(()), |fault| Err(fault.wrong))
+        self.parsed_routes
+            .values()
+            .filter_map(|route| route.as_ref().ok())
     }
 
-    pub(crate) fn inconsistencies(&self) -> Vec<Inconsistency> {
-        let mut inconsistencies = Vec::new();
-        for item in self.live() {
-            let read = match item.key.kind {
-                ItemKind::Service => Service::from_item(item).map(drop),
-                ItemKind::Limits => Limits::from_item(item).map(drop),
-                ItemKind::Route => self
-                    .routes
-                    .get(&item.key.name)
-                    .cloned()
-                    .unwrap_or_else(|| Route::from_item(item))
-                    .map(drop),
-                ItemKind::Roster
-                | ItemKind::Evacuation
-                | ItemKind::History
-                | ItemKind::Checkpoint => Ok(()),
-            };
-            if let Err(wrong) = read {
-                inconsistencies.push(Inconsistency {
-                    of: vec![item.key.clone()],
-                    unknown: None,
-                    wrong,
-                });
-            }
-        }
-        let mut places = BTreeMap::<(&str, &str), Vec<&Route>>::new();
-        for route in self.routes() {
-            let key = ItemKey {
-                kind: ItemKind::Route,
-                name: route.name.clone(),
-            };
-            for Target { service, .. } in route
-                .targets
-                .iter()
-                .filter(|target| !self.has_service(&target.service))
-            {
-                let wrong = ValidationError::new(
-                    called(&key),
-                    format!("names the service {service}, which is unknown"),
-                );
-                inconsistencies.push(Inconsistency {
-                    of: vec![key.clone()],
-                    unknown: Some(service.clone()),
-                    wrong,
-                });
-            }
-            places
-                .entry((&route.hostname, &route.prefix))
-                .or_default()
-                .push(route);
-        }
-        for ((host, prefix), routes) in places.into_iter().filter(|(_, routes)| routes.len() > 1) {
-            let of = routes
-                .iter()
-                .map(|route| ItemKey {
-                    kind: ItemKind::Route,
-                    name: route.name.clone(),
-                })
-                .collect();
-            let what = format!(
-                "has the host {host} and the prefix {prefix} of route {}",
-                routes[0].name
-            );
-            let wrong = ValidationError::new(format!("route {}", routes[1].name), what);
-            inconsistencies.push(Inconsistency {
-                of,
-                unknown: None,
-                wrong,
-            });
-        }
-        inconsistencies
+    /// A live item of a route as parsed, or why it is invalid.
+    pub(crate) fn parsed_route(&self, item: &Item) -> Result<Route, ValidationError> {
+        self.parsed_routes
+            .get(&item.key.name)
+            .cloned()
+            .unwrap_or_else(|| Route::from_item(item))
     }
 }
 
--- a/crates/emberpin-config/src/digest.rs
+++ b/crates/emberpin-config/src/digest.rs
@@ -1,20 +1,20 @@
-//! What an item says, apart from how it is spelled: digests of contents that are to be recognised later.
+//! Digests of the contents of items, by which a version that is sent again is recognized.
 
-use crate::json::{decimal, decode, elements, members};
+use crate::json::{decode_string, elements, members, parse_decimal};
 use crate::Item;
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_128;
 
-/// A digest of an item's content, of 128 bits.
+/// A digest of an item's content, of 128 bits. The stores keep it in histories, so its bytes must not change.
 ///
-/// Two items of one name have the same digest exactly where [`validate`](crate::validate()) takes them for the
-/// same content, but for collisions: of two contents drawn at random one in 2^128. XXH3 withstands no one who
+/// Two items of one key have the same digest exactly where [`validate`](crate::validate()) takes their contents for
+/// the same, but for collisions: of two contents drawn at random one in 2^128. XXH3 does not withstand anybody who
 /// looks for collisions on purpose; whoever may change the configuration needs none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Digest(u128);
 
 impl Digest {
-    /// Of an item's content, a drop included; its version is no part of it.
+    /// The digest of an item's content, which a tombstone has as well. The version is no part of it.
     pub fn of(item: &Item) -> Digest {
         let mut canonical = Vec::new();
         match &item.body {
@@ -35,37 +35,38 @@
     }
 }
 
-/// Writes a compact value so that two come out alike exactly where `json::same` holds: each with its kind and
-/// its length before it, fields in the order of their names.
-fn write_value(raw: &str, out: &mut Vec<u8>) {
+/// Appends the canonical form of a compact value, which two values share exactly where `json::is_same_value` holds:
+/// each part with its kind and its length before it, fields in the order of their names.
+fn write_value(raw: &str, canonical: &mut Vec<u8>) {
     if let Some(mut members) = members(raw) {
         members.sort();
-        write_length(b'o', members.len(), out);
+        write_header(b'o', members.len(), canonical);
         for (name, value) in members {
-            write_text(b's', &name, out);
-            write_value(value, out);
+            write_text(b's', &name, canonical);
+            write_value(value, canonical);
         }
     } else if let Some(elements) = elements(raw) {
-        write_length(b'a', elements.len(), out);
-        elements
-            .into_iter()
-            .for_each(|element| write_value(element, out));
-    } else if let Some(text) = decode(raw) {
-        write_text(b's', &text, out);
-    } else if let Some((negative, digits, power)) = decimal(raw) {
-        write_text(if negative { b'm' } else { b'p' }, &digits, out);
-        out.extend(power.to_be_bytes());
+        write_header(b'a', elements.len(), canonical);
+        for element in elements {
+            write_value(element, canonical);
+        }
+    } else if let Some(text) = decode_string(raw) {
+        write_text(b's', &text, canonical);
+    } else if let Some(number) = parse_decimal(raw) {
+        let kind = if number.is_negative { b'm' } else { b'p' };
+        write_text(kind, &number.digits, canonical);
+        canonical.extend(number.exponent.to_be_bytes());
     } else {
-        write_text(b'w', raw, out);
+        write_text(b'w', raw, canonical);
     }
 }
 
-fn write_text(kind: u8, text: &str, out: &mut Vec<u8>) {
-    write_length(kind, text.len(), out);
-    out.extend(text.as_bytes());
+fn write_text(kind: u8, text: &str, canonical: &mut Vec<u8>) {
+    write_header(kind, text.len(), canonical);
+    canonical.extend(text.as_bytes());
 }
 
-fn write_length(kind: u8, length: usize, out: &mut Vec<u8>) {
-    out.push(kind);
-    out.extend((length as u64).to_be_bytes());
+fn write_header(kind: u8, length: usize, canonical: &mut Vec<u8>) {
+    canonical.push(kind);
+    canonical.extend((length as u64).to_be_bytes());
 }
--- /dev/null
+++ b/crates/emberpin-config/src/export.rs
@@ -0,0 +1,35 @@
+//! The configuration as operators read it back.
+
+use crate::schema::split_route_body;
+use crate::{Configuration, ItemKind};
+use std::collections::BTreeMap;
+
+/// The body of `GET /config/get`: all items but tombstones, each with its content as it was sent, laid out as the
+/// `upsert` of a call.
+pub fn export_json(configuration: &Configuration) -> String {
+    let mut services = Vec::new();
+    let mut limits = String::new();
+    let mut routes_by_host = BTreeMap::<&str, Vec<&str>>::new();
+    for item in configuration.live() {
+        let Some(body) = &item.body else { continue };
+        match item.key.kind {
+            ItemKind::Service => services.push(body.as_str()),
+            ItemKind::Limits => limits = format!("\"limits\":{body},"),
+            ItemKind::Route => {
+                if let Some((host, route)) = split_route_body(body) {
+                    routes_by_host.entry(host).or_default().push(route);
+                }
+            }
+            ItemKind::Roster | ItemKind::Evacuation | ItemKind::History | ItemKind::Checkpoint => {}
+        }
+    }
+    let hosts: Vec<String> = routes_by_host
+        .into_iter()
+        .map(|(host, routes)| format!("{{\"hostname\":{host},\"locs\":[{}]}}", routes.join(",")))
+        .collect();
+    format!(
+        "{{\"svcs\":[{}],{limits}\"vhosts\":[{}]}}",
+        services.join(","),
+        hosts.join(",")
+    )
+}
--- a/crates/emberpin-config/src/history.rs
+++ b/crates/emberpin-config/src/history.rs
@@ -1,42 +1,43 @@
-//! The versions of one item that were acknowledged before its newest one, so that a call which is sent again is
-//! told from another call that carries the same number.
+//! The acknowledged versions of an item below its newest one, by which a call that is sent again is told from another
+//! call that reuses its versions.
 
 use crate::digest::Digest;
 use crate::{Configuration, Item, ItemKey, ItemKind, Version};
 use std::collections::BTreeMap;
 
-/// So many versions are kept of each item, besides its newest one; the lowest gives way.
+/// How many versions of each item a history keeps, besides the newest one. When another one is recorded, the lowest is
+/// removed, and a call that repeats it can no longer be told from a conflicting one.
 pub const MAX_RETAINED_VERSIONS: usize = 64;
 
-/// What is known of a version below the newest one of its name.
+/// What a history tells of a version below the newest one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PastVersion {
-    /// It was acknowledged with this content.
+    /// It was acknowledged with the content that was asked about.
     SameContent,
     /// It was acknowledged with another content.
     OtherContent,
-    /// Nobody can tell any more: it is not above the highest version that gave way.
+    /// It is not above the floor, so whether it was acknowledged is not known any more.
     BelowFloor,
     /// It was never acknowledged.
     NeverAcknowledged,
 }
 
-/// The acknowledged versions of an item below its newest one, with digests of their contents.
+/// The acknowledged versions of one item, its subject, below its newest one, with digests of their contents.
 ///
-/// It is an item itself, with versions that the stores give: each change of it is a function of the one before
-/// and is chosen in the round that chooses what it tells of, so of each of its versions there is one content.
+/// A history is an item itself, whose versions the stores assign. Each state is a function of the one before, and is
+/// proposed together with the change that it records; so each version of a history has one content.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct History {
     subject: ItemKey,
-    /// The version of the subject that is the newest one.
     newest: Version,
-    /// The highest version that gave way.
+    /// The highest version that was removed. Nothing is known of the versions up to it but those in `versions`.
     floor: Option<Version>,
     versions: BTreeMap<Version, Digest>,
 }
 
 impl History {
-    /// Nothing yet; `floor` is the highest version of which nothing can be told.
+    /// A history without versions, of an item whose newest version is `newest`. Up to `floor`, if there is one, it
+    /// cannot be told which versions were acknowledged.
     pub fn new(subject: ItemKey, newest: Version, floor: Option<Version>) -> History {
         History {
             subject,
@@ -46,13 +47,13 @@
         }
     }
 
-    /// The name of the history of an item.
+    /// The key of the history of an item: its kind as one letter, then its name.
     pub fn key(subject: &ItemKey) -> ItemKey {
         let kind = match subject.kind {
             ItemKind::Service => 's',
             ItemKind::Route => 'r',
             ItemKind::Limits => 'l',
-            // No caller gives these a version.
+            // These have no history: calls do not choose their versions.
             ItemKind::Roster | ItemKind::Evacuation | ItemKind::History | ItemKind::Checkpoint => {
                 '-'
             }
@@ -63,18 +64,18 @@
         }
     }
 
-    /// The history of an item, if anything is known of it.
+    /// The history of an item, if it has one.
     pub fn find(configuration: &Configuration, subject: &ItemKey) -> Option<History> {
         History::from_item(configuration.get(&History::key(subject))?)
     }
 
-    /// The history of an item whose newest version this is, also if nothing is known of it yet.
-    pub(crate) fn find_or_new(configuration: &Configuration, known: &Item) -> History {
-        History::find(configuration, &known.key)
-            .unwrap_or_else(|| History::new(known.key.clone(), known.version, None))
+    /// The history of an item, given its newest version; an empty one, if it has none.
+    pub(crate) fn find_or_new(configuration: &Configuration, newest: &Item) -> History {
+        History::find(configuration, &newest.key)
+            .unwrap_or_else(|| History::new(newest.key.clone(), newest.version, None))
     }
 
-    /// Reads it from an item; the stores alone write it, and `None` says that one of another build did.
+    /// Reads a history from its item. `None`, if it cannot be read: a build with another format wrote it.
     pub fn from_item(item: &Item) -> Option<History> {
         let (kind, name) = item.key.name.split_at_checked(1)?;
         let kind = match kind {
@@ -106,7 +107,7 @@
         })
     }
 
-    /// As an item of this version.
+    /// The history as an item of this version: `NEWEST FLOOR VERSION:DIGEST ...`, a `-` for no floor.
     pub fn to_item(&self, version: Version) -> Item {
         let mut body = format!("{} ", self.newest);
         match self.floor {
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Whose history it is.
+    /// The key of the item whose versions these are.
     pub fn subject(&self) -> &ItemKey {
         &self.subject
     }
@@ -133,7 +134,7 @@
         self.newest
     }
 
-    /// What is known of a version below the newest one.
+    /// What is known of the version of an item, which is below the newest one.
     pub fn lookup(&self, item: &Item) -> PastVersion {
         match self.versions.get(&item.version) {
             Some(digest) if *digest == Digest::of(item) => PastVersion::SameContent,
@@ -145,18 +146,19 @@
         }
     }
 
-    /// Notes a version below the newest one, of which nothing was known; at most so many are kept.
-    pub fn record(&mut self, item: &Item, most: usize) {
+    /// Records a version below the newest one of which nothing was known. Beyond `max_versions` the lowest versions
+    /// are removed and raise the floor.
+    pub fn record(&mut self, item: &Item, max_versions: usize) {
         self.versions.insert(item.version, Digest::of(item));
-        while self.versions.len() > most {
+        while self.versions.len() > max_versions {
             let lowest = self.versions.pop_first().map(|(version, _)| version);
             self.floor = self.floor.max(lowest);
         }
     }
 
-    /// Notes that a newer version follows on the one that was the newest.
-    pub fn supersede(&mut self, former: &Item, newest: Version, most: usize) {
-        self.record(former, most);
+    /// Records that `former`, the newest version until now, is superseded by the version `newest`.
+    pub fn supersede(&mut self, former: &Item, newest: Version, max_versions: usize) {
+        self.record(former, max_versions);
         self.newest = newest;
     }
 }
--- a/crates/emberpin-config/src/item.rs
+++ b/crates/emberpin-config/src/item.rs
@@ -1,51 +1,77 @@
-//! What the configuration is made of.
+//! What the configuration is made of: items, each with a key and a version of its own.
 
 use crate::Version;
 use serde::{Deserialize, Serialize};
+use std::fmt;
 
-/// What an item is.
+/// The kinds of items. Their order is that of the wire and of the store's disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ItemKind {
-    /// Who votes: the addresses of the stores. Written by the stores themselves, never by a call.
+    /// The voters of consensus: the addresses of the stores. Only the stores themselves write it, never a call.
     Roster,
-    /// A zone whose servers get nothing. Its versions are given by the stores.
+    /// A zone whose servers get no requests. The stores assign its versions.
     Evacuation,
-    /// The bounds on what clients may send; there is one, with an empty name.
+    /// The limits on what clients may send. There is one such item, whose name is empty.
     Limits,
-    /// A service.
+    /// A service: a group of servers that answer alike. See [`Service`](crate::Service).
     Service,
-    /// A route.
+    /// A route of requests to services. See [`Route`](crate::Route).
     Route,
-    /// The versions of another item below its newest one; see [`History`](crate::History). Written by the stores,
-    /// and known to them alone.
+    /// The versions of another item below its newest one; see [`History`](crate::History). Only the stores write it,
+    /// and it is not sent to any other process.
     History,
-    /// Which tombstones were removed; see [`Checkpoint`](crate::Checkpoint). Written by the stores.
+    /// Which tombstones were removed; see [`Checkpoint`](crate::Checkpoint). Only the stores write it.
     Checkpoint,
 }
 
-/// The name of an item.
+/// What identifies an item.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ItemKey {
-    /// What it is.
+    /// The kind of the item.
     pub kind: ItemKind,
-    /// Its name among its kind.
+    /// Its name, unique among the items of its kind; empty where there is only one of a kind.
     pub name: String,
 }
 
 impl ItemKey {
-    /// Whether it is an item that operators set and drop, and whose tombstones are removed in time.
+    /// Whether operators remove items of this kind by name. Their tombstones are removed by a
+    /// [`Checkpoint`](crate::Checkpoint) once there are too many; all other tombstones stay.
     pub fn is_removable(&self) -> bool {
         matches!(self.kind, ItemKind::Route | ItemKind::Service)
     }
 }
 
-/// One version of an item.
+/// As messages to callers name the item: `route r-1`, `limits`.
+impl fmt::Display for ItemKey {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let name = &self.name;
+        match self.kind {
+            ItemKind::Roster => formatter.write_str("roster"),
+            ItemKind::Evacuation => write!(formatter, "evacuation {name}"),
+            ItemKind::Limits => formatter.write_str("limits"),
+            ItemKind::Service => write!(formatter, "service {name}"),
+            ItemKind::Route => write!(formatter, "route {name}"),
+            ItemKind::History => write!(formatter, "history {name}"),
+            ItemKind::Checkpoint => formatter.write_str("checkpoint"),
+        }
+    }
+}
+
+/// One version of an item. The order of its fields is that of the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// Which.
+    /// Which item it is.
     pub key: ItemKey,
-    /// Rises with each change, by uneven steps.
+    /// The version of this content. Of two versions of one key the higher one wins.
     pub version: Version,
-    /// Its JSON text, written in one way; a route's is `{"hostname": H, "loc": {...}}`. `None`: dropped (a tombstone).
+    /// The content as compact JSON, spelled as the operator sent it; that of a route is
+    /// `{"hostname": H, "loc": {...}}`. `None` for a tombstone: the item was removed in this version.
     pub body: Option<String>,
 }
+
+impl Item {
+    /// Whether the item was removed in this version.
+    pub fn is_tombstone(&self) -> bool {
+        self.body.is_none()
+    }
+}
--- a/crates/emberpin-config/src/patch.rs
+++ b/crates/emberpin-config/src/patch.rs
@@ -1,47 +1,45 @@
-//! What a call of the operator carries.
+//! The items that a call of the operator sets and removes.
 
-use crate::json::{compact, same};
-use crate::schema::{called, join_route, read_hostname, Fields, Limits, Route, Service};
-use crate::{Item, ItemKey, ItemKind, ValidationError, Version};
+use crate::json::{compact, is_same_value};
+use crate::schema::{join_route_body, parse_hostname, Fields, Limits, Route, Service};
+use crate::{Item, ItemKey, ItemKind, Problem, ValidationError, Version};
 use std::collections::BTreeMap;
 
-/// The longest body of a call.
+/// The longest body of a call, in bytes; a longer one is rejected.
 pub const MAX_PATCH_BYTES: usize = 8 << 20;
-/// The most items of a call.
+/// The most items that one call sets and removes; a call with more is rejected. Bounds what one proposal of the stores
+/// holds.
 pub const MAX_PATCH_ITEMS: usize = 20_000;
 
-/// The items of one call, each name once, in the order of their names.
+/// The items of one call, each key once, in the order of their keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Patch {
-    /// They are all taken, or none.
+    /// The items, tombstones for those that the call removes. All of them take effect, or none.
     pub items: Vec<Item>,
 }
 
-/// Reads a call's body. What comes out is valid item by item; whether it is so as a whole,
-/// [`validate`](crate::validate()) says.
+/// Reads the body of a call. Each item of the result is valid by itself; whether the configuration is so with all of
+/// them, [`validate`](crate::validate()) decides.
 ///
-/// What cannot be read in its entirety is refused: also a field outside of items that is not known here,
-/// since it could not be handed back. Fields inside items are kept as they came.
+/// # Errors
+///
+/// [`ValidationError`], if the body is too long, is no JSON, has an invalid item, or has anything that could not be
+/// returned by a later read: two contents for one key, or a field outside of items that this build does not know and
+/// that might hold items. Unknown fields inside items are kept.
 pub fn parse_patch(body: &[u8]) -> Result<Patch, ValidationError> {
     if body.len() > MAX_PATCH_BYTES {
-        return Err(ValidationError::new(
-            "body",
-            format!("is longer than {MAX_PATCH_BYTES} bytes"),
-        ));
+        return Err(ValidationError::new("body", Problem::BodyTooLong));
     }
     let text = compact(body)?;
-    let mut items = Items::default();
-    for (name, raw) in Fields::read("", &text)
-        .map_err(|_| ValidationError::new("body", "is not an object"))?
-        .all()
-    {
+    let call =
+        Fields::parse("", &text).map_err(|_| ValidationError::new("body", Problem::NotAnObject))?;
+    let mut items = PatchItems::default();
+    for (name, raw) in call.iter() {
         match name {
-            "upsert" => upserts(raw, &mut items)?,
-            "remove" => removals(raw, &mut items)?,
-            // A remark in passing loses nothing; a list or an object might be items.
-            _ if raw.starts_with(['{', '[']) => {
-                return Err(ValidationError::new(name, "is not known here"))
-            }
+            "upsert" => add_upserts(raw, &mut items)?,
+            "remove" => add_removals(raw, &mut items)?,
+            // An array or an object might hold items; nothing is lost with any other value.
+            _ if raw.starts_with(['{', '[']) => return Err(call.error(name, Problem::UnknownField)),
             _ => {}
         }
     }
@@ -50,131 +48,132 @@
     })
 }
 
+/// The items of a call that were read so far.
 #[derive(Default)]
-struct Items {
+struct PatchItems {
     by_key: BTreeMap<ItemKey, Item>,
 }
 
-impl Items {
-    fn add(
-        &mut self,
-        place: &str,
-        kind: ItemKind,
-        name: String,
-        version: Version,
-        body: Option<String>,
-    ) -> Result<(), ValidationError> {
-        let item = Item {
-            key: ItemKey { kind, name },
-            version,
-            body,
-        };
-        match self.by_key.get(&item.key) {
-            Some(other) if same_content(other, &item) => return Ok(()),
-            Some(_) => {
-                return Err(ValidationError::new(
-                    place,
-                    format!("{} stands twice in the call", called(&item.key)),
-                ))
-            }
-            None if self.by_key.len() == MAX_PATCH_ITEMS => {
-                return Err(ValidationError::new(
-                    place,
-                    format!("the call has more than {MAX_PATCH_ITEMS} items"),
-                ));
+impl PatchItems {
+    /// Adds the item that the call has at this path, unless it has the same one already.
+    fn add(&mut self, path: &str, item: Item) -> Result<(), ValidationError> {
+        let problem = match self.by_key.get(&item.key) {
+            Some(other) if is_same_change(other, &item) => return Ok(()),
+            Some(_) => Problem::DuplicateItem {
+                item: item.key.to_string(),
+            },
+            None if self.by_key.len() == MAX_PATCH_ITEMS => Problem::TooManyItems,
+            None => {
+                self.by_key.insert(item.key.clone(), item);
+                return Ok(());
             }
-            None => {}
-        }
-        self.by_key.insert(item.key.clone(), item);
-        Ok(())
+        };
+        Err(ValidationError::new(path, problem))
     }
 }
 
-/// Whether two items of one name are one change.
-pub(crate) fn same_content(a: &Item, b: &Item) -> bool {
+/// Whether two items of one key have the same version and the same content.
+pub(crate) fn is_same_change(a: &Item, b: &Item) -> bool {
     a.version == b.version
         && match (&a.body, &b.body) {
             (None, None) => true,
-            (Some(a), Some(b)) => same(a, b),
+            (Some(a), Some(b)) => is_same_value(a, b),
             _ => false,
         }
 }
 
-fn upserts(raw: &str, items: &mut Items) -> Result<(), ValidationError> {
-    let upsert = Fields::read("upsert", raw)?;
-    for (name, raw) in upsert.all() {
+fn set(kind: ItemKind, name: String, version: Version, body: String) -> Item {
+    Item {
+        key: ItemKey { kind, name },
+        version,
+        body: Some(body),
+    }
+}
+
+fn add_upserts(raw: &str, items: &mut PatchItems) -> Result<(), ValidationError> {
+    let upsert = Fields::parse("upsert", raw)?;
+    for (name, raw) in upsert.iter() {
         match name {
-            "svcs" => {
-                for (at, raw) in upsert.list("svcs")?.into_iter().enumerate() {
-                    let place = format!("upsert.svcs[{at}]");
-                    let service = Service::read(&place, raw)?;
-                    items.add(
-                        &place,
-                        ItemKind::Service,
-                        service.name,
-                        service.version,
-                        Some(raw.to_owned()),
-                    )?;
-                }
-            }
+            "svcs" => add_services(&upsert, items)?,
             "limits" => {
-                let place = "upsert.limits";
-                let limits = Limits::read(place, raw)?;
-                items.add(
-                    place,
+                let path = "upsert.limits";
+                let limits = Limits::parse(path, raw)?;
+                let item = set(
                     ItemKind::Limits,
                     String::new(),
                     limits.version,
-                    Some(raw.to_owned()),
-                )?;
+                    raw.to_owned(),
+                );
+                items.add(path, item)?;
             }
             "vhosts" => {
-                for (at, raw) in upsert.list("vhosts")?.into_iter().enumerate() {
-                    host(&format!("upsert.vhosts[{at}]"), raw, items)?;
+                for (index, raw) in upsert.list("vhosts")?.into_iter().enumerate() {
+                    add_host(&format!("upsert.vhosts[{index}]"), raw, items)?;
                 }
             }
-            _ => return Err(upsert.wrong(name, "is not known here")),
+            _ => return Err(upsert.error(name, Problem::UnknownField)),
         }
     }
     Ok(())
 }
 
-fn host(place: &str, raw: &str, items: &mut Items) -> Result<(), ValidationError> {
-    let fields = Fields::read(place, raw)?;
-    if let Some((name, _)) = fields
-        .all()
-        .find(|(name, _)| !matches!(*name, "hostname" | "locs"))
-    {
-        return Err(fields.wrong(name, "is not known here"));
+fn add_services(upsert: &Fields, items: &mut PatchItems) -> Result<(), ValidationError> {
+    for (index, raw) in upsert.list("svcs")?.into_iter().enumerate() {
+        let path = format!("upsert.svcs[{index}]");
+        let service = Service::parse(&path, raw)?;
+        let item = set(
+            ItemKind::Service,
+            service.name,
+            service.version,
+            raw.to_owned(),
+        );
+        items.add(&path, item)?;
+    }
+    Ok(())
+}
+
+/// Adds the routes of one host.
+fn add_host(path: &str, raw: &str, items: &mut PatchItems) -> Result<(), ValidationError> {
+    let host = Fields::parse(path, raw)?;
+    let unknown = host
+        .iter()
+        .find(|(name, _)| !matches!(*name, "hostname" | "locs"));
+    if let Some((name, _)) = unknown {
+        return Err(host.error(name, Problem::UnknownField));
     }
-    let hostname = fields.raw("hostname")?;
-    read_hostname(place, hostname)?;
-    for (at, raw) in fields.list("locs")?.into_iter().enumerate() {
-        let at = format!("{place}.locs[{at}]");
-        let route = Route::read(place, hostname, &at, raw)?;
-        items.add(
-            &at,
-            ItemKind::Route,
-            route.name,
-            route.version,
-            Some(join_route(hostname, raw)),
-        )?;
+    let raw_hostname = host.required("hostname")?;
+    // Also where the host has no routes.
+    parse_hostname(path, raw_hostname)?;
+    for (index, raw) in host.list("locs")?.into_iter().enumerate() {
+        let route_path = format!("{path}.locs[{index}]");
+        let route = Route::parse(path, raw_hostname, &route_path, raw)?;
+        let body = join_route_body(raw_hostname, raw);
+        let item = set(ItemKind::Route, route.name, route.version, body);
+        items.add(&route_path, item)?;
     }
     Ok(())
 }
 
-fn removals(raw: &str, items: &mut Items) -> Result<(), ValidationError> {
-    let remove = Fields::read("remove", raw)?;
-    for (list, _) in remove.all() {
+fn add_removals(raw: &str, items: &mut PatchItems) -> Result<(), ValidationError> {
+    let remove = Fields::parse("remove", raw)?;
+    for (list, _) in remove.iter() {
         let kind = match list {
             "rtab" => ItemKind::Route,
             "svcs" => ItemKind::Service,
-            _ => return Err(remove.wrong(list, "is not known here")),
+            _ => return Err(remove.error(list, Problem::UnknownField)),
         };
-        for (at, raw) in remove.list(list)?.into_iter().enumerate() {
-            let place = format!("remove.{list}[{at}]");
-            let fields = Fields::read(&place, raw)?;
-            items.add(&place, kind, fields.name()?, fields.version()?, None)?;
+        for (index, raw) in remove.list(list)?.into_iter().enumerate() {
+            let path = format!("remove.{list}[{index}]");
+            let fields = Fields::parse(&path, raw)?;
+            let tombstone = Item {
+                key: ItemKey {
+                    kind,
+                    name: fields.name()?,
+                },
+                version: fields.version()?,
+                body: None,
+            };
+            items.add(&path, tombstone)?;
         }
     }
     Ok(())
--- /dev/null
+++ b/crates/emberpin-config/src/schema/service.rs
@@ -0,0 +1,62 @@
+//! A service: what proxies know of the servers behind a name.
+
+use super::{check_key, content_of, Fields};
+use crate::{Item, ItemKind, Problem, ValidationError, Version};
+use std::time::Duration;
+
+/// A service. Its servers are not part of the configuration; they report themselves to the registries.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Service {
+    /// The name, by which routes and servers refer to the service.
+    pub name: String,
+    /// The path of a server's health check; it begins with a slash.
+    pub health_path: String,
+    /// The most connections that one server accepts from all proxies together.
+    pub max_connections: u32,
+    /// How long a server that starts during traffic is in slow start. Zero, if not stated: no slow start.
+    pub warmup: Duration,
+    /// How many requests a second a server bears in slow start. Infinite, if not stated.
+    pub warmup_requests_per_s: f64,
+    /// The version of the service.
+    pub version: Version,
+}
+
+impl Service {
+    /// Reads a service from its item.
+    ///
+    /// # Errors
+    ///
+    /// [`ValidationError`], if the item is of another kind, a tombstone or invalid.
+    pub fn from_item(item: &Item) -> Result<Service, ValidationError> {
+        let (path, body) = content_of(item, ItemKind::Service)?;
+        let service = Service::parse(&path, body)?;
+        check_key(item, &path, &service.name, service.version)?;
+        Ok(service)
+    }
+
+    pub(crate) fn parse(path: &str, raw: &str) -> Result<Service, ValidationError> {
+        let fields = Fields::parse(path, raw)?;
+        let (name, version) = (fields.name()?, fields.version()?);
+        let health_path = fields.string("hcheck")?;
+        if !health_path.starts_with('/') {
+            return Err(fields.error("hcheck", Problem::NotAPath));
+        }
+        let warmup = match fields.get("warmup") {
+            Some(_) => fields.duration("warmup")?,
+            None => Duration::ZERO,
+        };
+        let warmup_requests_per_s = match fields.get("warmup_per_s") {
+            Some(_) => fields.rate("warmup_per_s")?,
+            None => f64::INFINITY,
+        };
+        let max_connections = fields.u32("maxconn")?;
+        Ok(Service {
+            name,
+            health_path,
+            max_connections,
+            warmup,
+            warmup_requests_per_s,
+            version,
+        })
+    }
+}
--- a/crates/emberpin-config/tests/configuration.rs
+++ b/crates/emberpin-config/tests/configuration.rs
@@ -91,7 +91,7 @@
     configuration.merge(tombstone(ItemKind::Route, "new", most + 60));
     let checkpoint =
         Checkpoint::next_if_due(&configuration, MAX_TOMBSTONES).expect("one tombstone too many");
-    let (_, removed) = configuration.merge_and_prune(checkpoint);
+    let removed = configuration.merge_and_prune(checkpoint).removed;
     expect_that!(
         configuration.tombstone_count(),
         all![le(MAX_TOMBSTONES), ge(MAX_TOMBSTONES / 2)]
--- a/crates/emberpin-consensus/src/state.rs
+++ b/crates/emberpin-consensus/src/state.rs
@@ -3,7 +3,7 @@
 use crate::hash::{fnv1a, mix};
 use crate::message::ItemVersion;
 use crate::roster::roster_key;
-use emberpin_config::{Configuration, Item, ItemKey, ItemKind};
+use emberpin_config::{Configuration, Item, ItemKey, ItemKind, MergeOutcome};
 
 /// How many buckets the keys are hashed into. Replicas exchange one digest for each bucket, and then only the items
 /// of those that differ. Part of the protocol.
@@ -39,7 +39,7 @@
     /// Takes a chosen item, if it is newer than what is known.
     pub(crate) fn learn(&mut self, item: &Item) -> Merged {
         let old = self.get(&item.key).map_or(0, item_digest);
-        let (is_newer, removed) = self.configuration.merge_and_prune(item.clone());
+        let MergeOutcome { is_newer, removed } = self.configuration.merge_and_prune(item.clone());
         if is_newer {
             let sum = &mut self.digests[usize::from(bucket(&item.key))];
             *sum = sum.wrapping_sub(old).wrapping_add(item_digest(item));
