--- a/crates/emberpin-proxy/src/command.rs
+++ b/crates/emberpin-proxy/src/command.rs
@@ -50,8 +50,8 @@
         session: SessionId,
         message: ToProxy,
     },
-    /// A registry confirmed that what it sent in this session is recent, and counted `limiters` connected proxies.
-    SessionConfirmed { session: SessionId, limiters: u32 },
+    /// A registry confirmed that what it sent in this session is recent, and counted `proxies` that have sessions.
+    SessionConfirmed { session: SessionId, proxies: u32 },
     /// A session was established. `resumed`: it continues at the revision up to which an earlier session with the same
     /// registry had received everything, so that no further snapshot follows.
     SessionStarted { session: SessionId, resumed: bool },
--- a/crates/emberpin-proxy/src/controller/control_sessions.rs
+++ b/crates/emberpin-proxy/src/controller/control_sessions.rs
@@ -30,7 +30,7 @@
         self.resuming.remove(&session);
     }
 
-    fn received_whole_snapshot(&mut self, session: SessionId) {
+    fn received_last_part(&mut self, session: SessionId) {
         self.synced.insert(session);
     }
 
@@ -62,7 +62,7 @@
             } => {
                 self.apply_update(items, &instances);
                 if next_part.is_none() {
-                    self.session_sync.received_whole_snapshot(session);
+                    self.session_sync.received_last_part(session);
                 }
             }
             ToProxy::Changes {
@@ -78,14 +78,14 @@
 
     /// Takes the number of proxies that share the servers, and declares this one ready once a confirmed session has
     /// received everything: a new process must not serve what is older than what a majority of the core holds.
-    pub(super) fn on_session_confirmed(&mut self, session: SessionId, limiter_count: u32) {
-        if limiter_count != self.limiter_count {
-            self.limiter_count = limiter_count;
+    pub(super) fn on_session_confirmed(&mut self, session: SessionId, proxy_count: u32) {
+        if proxy_count != self.proxy_count {
+            self.proxy_count = proxy_count;
             self.services
                 .values_mut()
-                .for_each(|service| service.set_limiter_count(limiter_count));
+                .for_each(|service| service.set_proxy_count(proxy_count));
         }
-        self.router.set_limiter_count(self.now(), limiter_count);
+        self.router.set_limiter_count(self.now(), proxy_count);
         let has_configuration = !self.configuration.is_empty() && !self.services.is_empty();
         if self.session_sync.is_synced(session) && has_configuration && !self.published.set_ready()
         {
--- a/crates/emberpin-proxy/src/controller/in_flight.rs
+++ b/crates/emberpin-proxy/src/controller/in_flight.rs
@@ -121,7 +121,7 @@
 
     fn budget_allows_retry(&self, in_flight: &InFlightRequest) -> bool {
         self.retry_budget
-            .allows_retry(self.now(), &in_flight.service, self.limiter_count)
+            .allows_retry(self.now(), &in_flight.service, self.proxy_count)
     }
 
     /// Takes a withdrawn request back from its service, if no attempt of it may have run.
--- a/crates/emberpin-proxy/src/controller/mod.rs
+++ b/crates/emberpin-proxy/src/controller/mod.rs
@@ -46,7 +46,7 @@
     configuration: Configuration,
     retry_budget: RetryBudget,
     /// Proxies that share the servers, as a registry counted last; 0 until one has.
-    limiter_count: u32,
+    proxy_count: u32,
     services: BTreeMap<String, Service>,
     in_flight: BTreeMap<RequestId, InFlightRequest>,
     /// Instances that were warming up when last checked.
@@ -78,7 +78,7 @@
             router: new_router(settings),
             configuration: Configuration::new(),
             retry_budget: new_retry_budget(settings),
-            limiter_count: 0,
+            proxy_count: 0,
             services: BTreeMap::new(),
             in_flight: BTreeMap::new(),
             warming_instances: BTreeSet::new(),
@@ -165,8 +165,8 @@
             Command::RegistryUpdate { session, message } => {
                 self.on_registry_update(session, message);
             }
-            Command::SessionConfirmed { session, limiters } => {
-                self.on_session_confirmed(session, limiters);
+            Command::SessionConfirmed { session, proxies } => {
+                self.on_session_confirmed(session, proxies);
             }
             Command::SessionStarted { session, resumed } => {
                 self.session_sync.started(session, resumed);
--- a/crates/emberpin-proxy/src/controller/routing.rs
+++ b/crates/emberpin-proxy/src/controller/routing.rs
@@ -72,7 +72,7 @@
             return;
         };
         let budget = &mut self.retry_budget;
-        if !budget_allows(budget, now, self.limiter_count, &request, &target) {
+        if !budget_allows(budget, now, self.proxy_count, &request, &target) {
             _ = request.reply_to.send(Rejection::NoServer.reply());
             return;
         }
@@ -129,7 +129,7 @@
 fn budget_allows(
     budget: &mut RetryBudget,
     now: Duration,
-    limiter_count: u32,
+    proxy_count: u32,
     request: &RouteRequest,
     target: &Target,
 ) -> bool {
@@ -138,7 +138,7 @@
         return true;
     }
     request.attempts_sent < target.route.max_attempts
-        && budget.allows_retry(now, &target.service, limiter_count)
+        && budget.allows_retry(now, &target.service, proxy_count)
 }
 
 /// Splits a routed request into the call that the service's engine takes and the record that the controller keeps.
--- a/crates/emberpin-proxy/src/controller/servers.rs
+++ b/crates/emberpin-proxy/src/controller/servers.rs
@@ -62,7 +62,7 @@
             random_seed(),
             self.started_at,
         );
-        service.set_limiter_count(self.limiter_count);
+        service.set_proxy_count(self.proxy_count);
         service
     }
 
--- a/crates/emberpin-proxy/src/frontend/mod.rs
+++ b/crates/emberpin-proxy/src/frontend/mod.rs
@@ -3,19 +3,20 @@
 mod pending_reply;
 mod readiness;
 mod request_head;
+mod response;
 
 use crate::command::{Command, RouteRequest};
 use crate::published_state::PublishedState;
 use bytes::Bytes;
 use emberpin_balancer::{ClassId, RequestId};
 use emberpin_limiter::host::{
-    headed, passed_on, plain, run_out, strip, take_in, Active, Answer, Connection, Content, Ending,
-    Figures, Outgoing, Reply, RequestHandler, Served, Upload, Upstreamed,
+    passed_on, plain, run_out, strip, take_in, Active, Answer, Connection, Content, Figures,
+    Outgoing, Reply, RequestHandler, Upload, Upstreamed,
 };
 use hyper::body::{Body, Incoming};
-use hyper::header::{HeaderValue, RETRY_AFTER};
 use hyper::{Request, Response, StatusCode};
 use pending_reply::PendingReply;
+use response::{answer_response, record_ending, Rejection};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -58,28 +59,6 @@
     deadline: Option<Duration>,
 }
 
-/// A response of the frontend's own, to a request that was not forwarded or got no reply.
-enum Rejection {
-    Status(StatusCode),
-    /// 503; the request has not run and never will, and the client may retry after this time.
-    RetryLater(Duration),
-}
-
-impl From<StatusCode> for Rejection {
-    fn from(status: StatusCode) -> Rejection {
-        Rejection::Status(status)
-    }
-}
-
-impl Rejection {
-    fn into_response(self) -> Response<Content> {
-        match self {
-            Rejection::Status(status) => plain(status),
-            Rejection::RetryLater(after) => retry_later(after),
-        }
-    }
-}
-
 impl ClientFrontend {
     /// Routes requests through the controller behind `commands`. At most `stream_slots` bodies are streamed at a time in
     /// each direction.
@@ -279,30 +258,3 @@
         sleep(UPLOAD_IDLE_CHECK_PERIOD).await;
     }
 }
-
-fn answer_response(answer: Answer) -> Response<Content> {
-    match answer {
-        Answer::Served(Served { head, body }) => headed(head, Content::Whole(Some(body))),
-        Answer::Refused { retry_after } => {
-            retry_later(Duration::try_from_secs_f64(retry_after / 1000.0).unwrap_or_default())
-        }
-        Answer::Failed => plain(StatusCode::BAD_GATEWAY),
-    }
-}
-
-/// 503 with `Retry-After`: the request has not run and never will.
-fn retry_later(after: Duration) -> Response<Content> {
-    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE);
-    if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", after.as_secs_f64())) {
-        response.headers_mut().insert(RETRY_AFTER, seconds);
-    }
-    response
-}
-
-fn record_ending(mut active: Active, status: StatusCode) {
-    active.ends(match status {
-        status if status.is_success() => Ending::Ok,
-        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Ending::Shed,
-        _ => Ending::Errors,
-    });
-}
--- a/crates/emberpin-proxy/src/lib.rs
+++ b/crates/emberpin-proxy/src/lib.rs
@@ -14,6 +14,7 @@
 #![forbid(unsafe_code)]
 
 mod command;
+mod connection_pool;
 mod controller;
 mod error;
 mod frontend;
@@ -23,60 +24,32 @@
 mod random_seed;
 mod registry_sessions;
 pub mod service;
+mod shutdown;
 pub mod wire;
 
+use connection_pool::{start_pool, ConnectionBudget};
 use controller::Controller;
-use emberpin_limiter::host::{ClientLimits, Figures, Phase, Pool, PoolLimits, Reception, Room};
+use emberpin_limiter::host::{ClientLimits, Figures, Phase, Reception, Room};
 use emberpin_runtime::settings::Settings;
 use frontend::{ClientFrontend, ReadinessHandler};
 use listener::listen;
 use published_state::PublishedState;
 use registry_sessions::RegistrySessions;
-use std::future::pending;
+use shutdown::{drain, reload_on_hangup, Signals};
 use std::rc::Rc;
-use std::sync::Arc;
-use std::time::Duration;
-use tokio::signal::unix::{signal, Signal, SignalKind};
+use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
-use tokio::time::{sleep, timeout_at, Instant};
-use wire::GatewayWire;
 
 pub use error::ProxyError;
 
 /// Commands that may wait for the controller; a sender of more waits itself.
 const MAX_QUEUED_COMMANDS: usize = 1024;
-/// File descriptors set aside for what is neither a client's nor a server's connection: listeners, registry sessions,
-/// the runtime's own, and files.
-const RESERVED_DESCRIPTORS: usize = 240;
-/// Fewest descriptors for connections, however low the limit.
-const MIN_CONNECTIONS: usize = 40;
-/// Fraction of the remaining descriptors for clients' connections; servers' connections get the rest.
-const CLIENT_CONNECTION_SHARE: f64 = 0.55;
 /// Connections to the readiness endpoint.
 const MAX_READINESS_CONNECTIONS: usize = 32;
-/// Fraction of the grace period during which a draining proxy still accepts connections: the platform polls readiness
-/// every second and stops directing connections here after two failures.
-const DRAIN_ACCEPT_SHARE: f64 = 0.42;
-/// Fraction of the grace period after which the process ends, whatever is still open.
-const DRAIN_END_SHARE: f64 = 0.95;
 /// MiB of the memory limit for each body that may be streamed at a time in each direction.
 const MIB_PER_STREAM_SLOT: usize = 4;
 
-/// Limits of the connection pool towards servers, but for the number of sockets.
-mod pool_limits {
-    use super::Duration;
-
-    pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-    pub const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-    pub const MAX_IDLE_PER_SERVER: usize = 16;
-    /// A server that acknowledges nothing for this long counts as lost.
-    pub const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(400);
-    /// Bytes of a response that are buffered before any of it is passed on. A response that breaks off within them can be
-    /// retried; longer ones are streamed, as buffering them would take the time of a slow link twice.
-    pub const BUFFERED_RESPONSE_BYTES: usize = 16 << 10;
-}
-
 /// Runs the proxy on this thread until it is terminated.
 ///
 /// # Errors
@@ -112,22 +85,6 @@
     Ok(())
 }
 
-/// The signals that the proxy handles, caught from before it listens.
-struct Signals {
-    terminate: Signal,
-    hangup: Signal,
-}
-
-impl Signals {
-    fn install() -> Result<Signals, ProxyError> {
-        let catch = |kind| signal(kind).map_err(ProxyError::Signal);
-        Ok(Signals {
-            terminate: catch(SignalKind::terminate())?,
-            hangup: catch(SignalKind::hangup())?,
-        })
-    }
-}
-
 /// The running parts of the proxy.
 struct Proxy {
     published: Rc<PublishedState>,
@@ -178,44 +135,7 @@
     }
 }
 
-/// How many connections there may be on each side.
-struct ConnectionBudget {
-    clients: usize,
-    servers: usize,
-}
-
-impl ConnectionBudget {
-    fn of(max_descriptors: usize) -> ConnectionBudget {
-        let all = max_descriptors
-            .saturating_sub(RESERVED_DESCRIPTORS)
-            .max(MIN_CONNECTIONS);
-        let clients = (all as f64 * CLIENT_CONNECTION_SHARE) as usize;
-        ConnectionBudget {
-            clients,
-            servers: all - clients,
-        }
-    }
-}
-
-fn start_pool(max_sockets: usize, figures: &Arc<Figures>, room: &Rc<Room>) -> Rc<Pool> {
-    let limits = PoolLimits {
-        connect: pool_limits::CONNECT_TIMEOUT,
-        idle: pool_limits::IDLE_TIMEOUT,
-        most_idle: pool_limits::MAX_IDLE_PER_SERVER,
-        sockets: max_sockets,
-        unacknowledged: Some(pool_limits::UNACKNOWLEDGED_TIMEOUT),
-        hold: pool_limits::BUFFERED_RESPONSE_BYTES,
-    };
-    let pool = Pool::new(limits, Rc::new(GatewayWire), figures.clone(), room.clone());
-    spawn_local(pool.clone().retire());
-    pool
-}
-
-fn serve_readiness(
-    published: Rc<PublishedState>,
-    listener: tokio::net::TcpListener,
-    room: Rc<Room>,
-) {
+fn serve_readiness(published: Rc<PublishedState>, listener: TcpListener, room: Rc<Room>) {
     let reception = Reception::new(
         Phase::Serving,
         MAX_READINESS_CONNECTIONS,
@@ -225,23 +145,3 @@
     let handler = Rc::new(ReadinessHandler(published));
     spawn_local(reception.accept(handler, listener, false));
 }
-
-/// Has the settings file read again upon each SIGHUP. The next registry session uses the new seeds; no other setting is
-/// applied while the process runs.
-async fn reload_on_hangup(hangup: &mut Signal, sessions: &RegistrySessions) {
-    while hangup.recv().await.is_some() {
-        sessions.reload_settings();
-    }
-    pending::<()>().await;
-}
-
-/// Drains: withdraws readiness, keeps accepting connections while the platform may still direct some here, then closes
-/// the listener and waits for the open connections until the grace period is nearly over.
-async fn drain(published: &PublishedState, reception: &Reception, grace: Duration) {
-    let started = Instant::now();
-    published.start_draining();
-    reception.leave();
-    sleep(grace.mul_f64(DRAIN_ACCEPT_SHARE)).await;
-    reception.close();
-    _ = timeout_at(started + grace.mul_f64(DRAIN_END_SHARE), reception.empty()).await;
-}
--- a/crates/emberpin-proxy/src/registry_sessions/session.rs
+++ b/crates/emberpin-proxy/src/registry_sessions/session.rs
@@ -71,18 +71,18 @@
         self.command(Command::SessionStarted { session, resumed })
             .await?;
         let (mut reader, mut writer) = stream.into_split();
-        let more_wanted = Notify::new();
+        let next_part_wanted = Notify::new();
         *lease.borrow_mut() = SessionLease::new(self.now());
         let sending = async {
             self.process.send_preamble(&mut writer).await?;
             frames::write(&mut writer, &ConnectionRole::Proxy).await?;
             frames::write(&mut writer, &hello).await?;
-            self.send_requests(&mut writer, registry, lease, &more_wanted)
+            self.send_requests(&mut writer, registry, lease, &next_part_wanted)
                 .await
         };
         tokio::select! {
             Err(error) = sending => Err(SessionError::Protocol(error)),
-            ended = self.receive(session, registry, &mut reader, lease, &more_wanted) => ended,
+            ended = self.receive(session, registry, &mut reader, lease, &next_part_wanted) => ended,
             () = self.lease_expired(lease) => Err(SessionError::LeaseExpired),
         }
     }
@@ -117,13 +117,13 @@
             .map_err(|_| SessionError::ControllerEnded)
     }
 
-    /// Sends a keep-alive in each period, and asks for the next part of the snapshot whenever `more_wanted` is notified.
+    /// Sends a keep-alive in each period, and asks for the next part of the snapshot whenever `next_part_wanted` is notified.
     async fn send_requests(
         &self,
         writer: &mut OwnedWriteHalf,
         registry: Ipv4Addr,
         lease: &RefCell<SessionLease>,
-        more_wanted: &Notify,
+        next_part_wanted: &Notify,
     ) -> Result<Infallible, ConnectionError> {
         let mut keep_alives = interval(KEEP_ALIVE_INTERVAL);
         keep_alives.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -134,7 +134,7 @@
                     let applied = self.progress.borrow().complete_revision(registry);
                     FromProxy::KeepAlive { applied, nonce }
                 }
-                () = more_wanted.notified() => {
+                () = next_part_wanted.notified() => {
                     let cursor = self.progress.borrow().snapshot_cursor(registry);
                     match cursor {
                         Some(after) => FromProxy::FetchSnapshotPart { after },
@@ -160,7 +160,7 @@
         registry: Ipv4Addr,
         reader: &mut OwnedReadHalf,
         lease: &RefCell<SessionLease>,
-        more_wanted: &Notify,
+        next_part_wanted: &Notify,
     ) -> Result<Infallible, SessionError> {
         self.process.receive_preamble(reader).await?;
         let mut first_update = true;
@@ -169,12 +169,12 @@
             if let ToProxy::Confirmation {
                 nonce,
                 age,
-                proxies: limiters,
+                proxies,
                 registries,
             } = message
             {
                 if self.renew_lease(lease, nonce, age, registries) {
-                    self.command(Command::SessionConfirmed { session, limiters })
+                    self.command(Command::SessionConfirmed { session, proxies })
                         .await?;
                 }
                 continue;
@@ -184,7 +184,7 @@
             // The first changes of a resumed session may leave a snapshot that an earlier session did not finish.
             if is_snapshot || std::mem::take(&mut first_update) {
                 lease.borrow_mut().on_snapshot_progress(self.now());
-                more_wanted.notify_one();
+                next_part_wanted.notify_one();
             }
             first_update = false;
             self.command(Command::RegistryUpdate { session, message })
--- a/crates/emberpin-proxy/src/service/endpoint.rs
+++ b/crates/emberpin-proxy/src/service/endpoint.rs
@@ -41,7 +41,7 @@
     }
 
     /// The endpoint as the decision module's membership list has it. One that is out of service for now counts as
-    /// draining there, which keeps what was learned of it.
+    /// draining there: it stays known, and gets no new requests.
     pub(super) fn membership_entry(&self) -> Server {
         let condition = match self.endpoint.change.availability {
             Availability::Removed => Condition::Gone,
--- a/crates/emberpin-proxy/src/service/mod.rs
+++ b/crates/emberpin-proxy/src/service/mod.rs
@@ -19,11 +19,11 @@
 pub use endpoint::Endpoint;
 pub use traffic_class::ClassCounts;
 
-/// Attempts in flight for each of the servers' slots above which this proxy calls itself congested: as many at work as
-/// waiting. What waits then waits for about one usual response, which every latency target leaves room for.
-const CONGESTION_ATTEMPTS_PER_SLOT: f64 = 2.0;
-/// Lower bound of that threshold for one proxy: a smaller one would be passed by chance alone.
-const MIN_CONGESTION_THRESHOLD: f64 = 3.0;
+/// Attempts in flight, for each slot of the servers, up to which this proxy never calls itself congested: as many at work
+/// as waiting. A request that waits then waits for about one usual response, for which every latency target has time.
+const UNCONGESTED_ATTEMPTS_PER_SLOT: f64 = 2.0;
+/// Lower bound of that number for one proxy: a smaller one would be exceeded by chance alone.
+const MIN_UNCONGESTED_ATTEMPTS: f64 = 3.0;
 /// Grid on which the timers of all decision modules fall, so that they do not each wake the process for themselves.
 const TIMER_GRID: Duration = Duration::from_millis(100);
 
@@ -40,7 +40,7 @@
     /// Numbers are never reused, so that a late event cannot be taken for one of another instance.
     last_server_id: u32,
     /// Proxies that share the servers, at least 1.
-    limiter_count: u32,
+    proxy_count: u32,
     /// Endpoints that are available as far as registries say, whether or not they are reachable from here.
     available_count: usize,
 }
@@ -67,7 +67,7 @@
             endpoints: BTreeMap::new(),
             instance_ids: BTreeMap::new(),
             last_server_id: 0,
-            limiter_count: 1,
+            proxy_count: 1,
             available_count: 0,
         }
     }
@@ -98,10 +98,10 @@
         self.available_count > 0
     }
 
-    /// Sets how many proxies share the servers, which scales the congestion threshold of this one.
-    pub fn set_limiter_count(&mut self, limiter_count: u32) {
-        self.limiter_count = limiter_count.max(1);
-        self.update_congestion_threshold();
+    /// Sets how many proxies share the servers, which scales the congestion threshold.
+    pub fn set_proxy_count(&mut self, proxy_count: u32) {
+        self.proxy_count = proxy_count.max(1);
+        self.update_min_congestion_threshold();
     }
 
     /// Id of the instance that the decision module knows under this number.
@@ -223,21 +223,21 @@
     fn notify_membership(&mut self, entry: Server) {
         self.engine
             .feed(Event::Membership(Membership::Changes(vec![entry])));
-        self.update_congestion_threshold();
+        self.update_min_congestion_threshold();
     }
 
-    /// Sets the number of attempts in flight above which the decision module calls this proxy congested, its share of
-    /// what the servers in service bear.
-    fn update_congestion_threshold(&mut self) {
+    /// Sets the lower bound of the number of attempts in flight above which the decision module calls this proxy
+    /// congested: its share of what the servers in service bear by their own account.
+    fn update_min_congestion_threshold(&mut self) {
         let in_service = self
             .endpoints
             .values()
             .filter(|known| known.is_in_service());
         let slots: u32 = in_service.map(|known| known.endpoint.slots()).sum();
         let threshold =
-            f64::from(slots) * CONGESTION_ATTEMPTS_PER_SLOT / f64::from(self.limiter_count);
+            f64::from(slots) * UNCONGESTED_ATTEMPTS_PER_SLOT / f64::from(self.proxy_count);
         self.engine
             .gateway
-            .bear(threshold.max(MIN_CONGESTION_THRESHOLD));
+            .bear(threshold.max(MIN_UNCONGESTED_ATTEMPTS));
     }
 }
--- a/crates/emberpin-proxy/src/service/traffic_class.rs
+++ b/crates/emberpin-proxy/src/service/traffic_class.rs
@@ -24,8 +24,8 @@
     fn of(route: &Route) -> ClassKey {
         ClassKey {
             idempotent: route.kind != RouteKind::Mutating,
-            latency_target: whole_millis(route.latency_target),
-            timeout: whole_millis(route.timeout),
+            latency_target: truncate_to_millis(route.latency_target),
+            timeout: truncate_to_millis(route.timeout),
         }
     }
 
@@ -114,7 +114,7 @@
     }
 }
 
-fn whole_millis(time: Duration) -> Duration {
+fn truncate_to_millis(time: Duration) -> Duration {
     Duration::from_millis(u64::try_from(time.as_millis()).unwrap_or(u64::MAX))
 }
 
