--- a/crates/emberpin-registry/src/commands.rs
+++ b/crates/emberpin-registry/src/commands.rs
@@ -2,7 +2,7 @@
 //!
 //! This file lies beneath the connections, the HTTP API and [`crate::host`], so that none of them needs another.
 
-use bytes::Bytes;
+use crate::connection::FrameSender;
 use emberpin_membership::ids::SessionId;
 use emberpin_membership::instance::Instance;
 use emberpin_membership::registry::{Event, OperatorCallTarget, ServerReply};
@@ -13,9 +13,6 @@
 /// Commands that may wait in the queue. A sender beyond these waits, and so reads nothing from its connection.
 const QUEUE_CAPACITY: usize = 1024;
 
-/// Encoded frames on their way to one connection.
-pub type FrameSender = mpsc::Sender<Bytes>;
-
 /// One entry of the event loop's queue.
 pub enum Command {
     /// A server sent a heartbeat.
--- a/crates/emberpin-registry/src/connection.rs
+++ b/crates/emberpin-registry/src/connection.rs
@@ -14,6 +14,13 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
+/// Frames that may wait for a slow reader. One that is further behind is disconnected: it catches up faster from
+/// the snapshot that a new connection begins with.
+pub const FRAME_QUEUE_CAPACITY: usize = 128;
+
+/// Takes encoded frames for one connection.
+pub type FrameSender = mpsc::Sender<Bytes>;
+
 /// Counts connections with peers and proxies that ended at a frame which could not be read.
 #[derive(Debug, Default)]
 pub struct UnreadableFrames(AtomicU64);
--- a/crates/emberpin-registry/src/host.rs
+++ b/crates/emberpin-registry/src/host.rs
@@ -1,8 +1,8 @@
 //! The event loop of the registry: the only owner of the state machine. It takes commands one after the other, and
 //! applies the actions that the state machine asks for.
 
-use crate::commands::{self, Command, CommandSender, FrameSender};
-use crate::connection::UnreadableFrames;
+use crate::commands::{self, Command, CommandSender};
+use crate::connection::{FrameSender, UnreadableFrames};
 use crate::outbound::PeerConnection;
 use crate::status_report::{self, ProcessStatus};
 use crate::store_state::StoreState;
--- a/crates/emberpin-registry/src/inbound.rs
+++ b/crates/emberpin-registry/src/inbound.rs
@@ -1,7 +1,9 @@
 //! Connections that proxies and other registries open to this one.
 
 use crate::commands::{Command, CommandSender};
-use crate::connection::{read_message, receive_preamble, write_frames, UnreadableFrames};
+use crate::connection::{
+    read_message, receive_preamble, write_frames, UnreadableFrames, FRAME_QUEUE_CAPACITY,
+};
 use crate::tcp;
 use emberpin_membership::ids::SessionId;
 use emberpin_membership::peers::RegistryMessage;
@@ -18,15 +20,12 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// A connection without a frame for longer is closed: proxies and registries send heartbeats twice a second.
+/// A connection without a frame for longer is closed: proxies send keep-alives and registries heartbeats twice a second.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// A new connection must bring its preamble, and then its first message, within this time each.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long no connection is accepted after `accept` failed, as it does when descriptors run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Frames that may wait for a slow reader. One that is further behind is disconnected: it catches up faster from
-/// the snapshot that a new connection begins with.
-pub const FRAME_QUEUE_CAPACITY: usize = 128;
 /// Connections beyond these are closed at once, which leaves descriptors for the HTTP API.
 const MAX_CONNECTIONS: u64 = 640;
 
--- a/crates/emberpin-registry/src/outbound.rs
+++ b/crates/emberpin-registry/src/outbound.rs
@@ -2,8 +2,7 @@
 
 use crate::backoff::Backoff;
 use crate::commands::{Command, CommandSender};
-use crate::connection::{receive_preamble, write_frames, UnreadableFrames};
-use crate::inbound::FRAME_QUEUE_CAPACITY;
+use crate::connection::{receive_preamble, write_frames, UnreadableFrames, FRAME_QUEUE_CAPACITY};
 use crate::tcp;
 use emberpin_membership::peers::Ack;
 use emberpin_membership::registry::Event;
--- a/crates/emberpin-registry/src/store_connection.rs
+++ b/crates/emberpin-registry/src/store_connection.rs
@@ -1,7 +1,6 @@
 //! A connection to one store over which calls are multiplexed: each has an id, and answers come in any order.
 
-use crate::commands::FrameSender;
-use crate::connection::write_frames;
+use crate::connection::{write_frames, FrameSender};
 use crate::store_state::lock;
 use crate::tcp;
 use bytes::Bytes;
--- a/crates/emberpin-registry/tests/common/proxy_session.rs
+++ b/crates/emberpin-registry/tests/common/proxy_session.rs
@@ -16,16 +16,16 @@
 use tokio::task::JoinHandle;
 use tokio::time::{interval, timeout};
 
-const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(300);
 /// A slow reader reads so many bytes at each of these intervals.
 const SLOW_READ_INTERVAL: Duration = Duration::from_millis(100);
 const SLOW_READ_BYTES: usize = 64 << 10;
 
-/// A session that sends heartbeats until its connection closes.
+/// A session that sends keep-alives until its connection closes.
 pub struct ProxySession {
     reader: OwnedReadHalf,
     cursors: UnboundedSender<SnapshotCursor>,
-    heartbeats: JoinHandle<()>,
+    keep_alives: JoinHandle<()>,
 }
 
 impl ProxySession {
@@ -49,7 +49,7 @@
         ProxySession {
             reader,
             cursors,
-            heartbeats: tokio::spawn(send_heartbeats(writer, wanted)),
+            keep_alives: tokio::spawn(send_keep_alives(writer, wanted)),
         }
     }
 
@@ -87,7 +87,7 @@
         while self.reader.read_exact(&mut bytes).await.is_ok() {
             read_due.tick().await;
         }
-        self.heartbeats.abort();
+        self.keep_alives.abort();
     }
 
     /// Reads messages until `find` finds what it looks for.
@@ -133,15 +133,15 @@
     }
 }
 
-async fn send_heartbeats(
+async fn send_keep_alives(
     mut writer: OwnedWriteHalf,
     mut cursors: UnboundedReceiver<SnapshotCursor>,
 ) {
-    let mut heartbeat_due = interval(HEARTBEAT_INTERVAL);
+    let mut keep_alive_due = interval(KEEP_ALIVE_INTERVAL);
     for nonce in 1.. {
         let message = tokio::select! {
             Some(after) = cursors.recv() => FromProxy::FetchSnapshotPart { after },
-            _ = heartbeat_due.tick() => FromProxy::KeepAlive { applied: None, nonce: Nonce(nonce) },
+            _ = keep_alive_due.tick() => FromProxy::KeepAlive { applied: None, nonce: Nonce(nonce) },
         };
         if frames::write(&mut writer, &message).await.is_err() {
             return;
--- a/crates/emberpin-registry/tests/proxy_sessions.rs
+++ b/crates/emberpin-registry/tests/proxy_sessions.rs
@@ -26,7 +26,7 @@
     let _registry = RegistryProcess::start(local, &[local]);
     let mut other = ProxySession::open(local).await;
     other.wait_for(first_item).await;
-    // It goes on sending heartbeats, but falls ever further behind.
+    // It goes on sending keep-alives, but falls ever further behind.
     let slow = tokio::spawn(ProxySession::open(local).await.read_slowly());
     let mut number = 0;
     while !slow.is_finished() {
