--- a/crates/emberpin-store/examples/measure_store.rs
+++ b/crates/emberpin-store/examples/measure_store.rs
@@ -1,13 +1,17 @@
-//! What a store spends: `measure_store STORE CHANGES` starts three stores of this build on loopback, sends so
-//! many changes to the first, one after the other, and prints time and processor time for each change, what
-//! an idle second costs, memory, disk, and how long a start takes with what is on the disk then.
+//! Measures the cost of a store. `measure_store STORE CHANGES` starts three stores on loopback from the program STORE and
+//! sends this many changes to the first, one after the other. It prints time and processor time of a change, processor
+//! time of an idle second, memory, disk usage, and the time of a start with what is on the disk then.
 //!
 //! `cargo build --release -p emberpin-store && cargo run --release -p emberpin-store --example measure_store --
 //! target/release/emberpin-store 1000`
 
+#[path = "../tests/common/settings.rs"]
+mod settings;
+
 use emberpin_runtime::frames;
 use emberpin_runtime::identity::ProcessIdentity;
 use emberpin_store::protocol::{StoreReply, StoreRequest, ToStore};
+use settings::NodeSettings;
 use std::error::Error;
 use std::net::Ipv4Addr;
 use std::path::Path;
@@ -17,10 +21,11 @@
 
 const PORT: u16 = 27_311;
 const STORES: u8 = 3;
-/// Clock ticks of the kernel's processor times, in a second.
-const TICKS: f64 = 100.0;
-const IDLE: Duration = Duration::from_secs(10);
-/// Names that the changes go round over: versions rise, the number of items does not.
+/// Clock ticks in a second, the unit of processor times in `/proc`.
+const TICKS_PER_SECOND: f64 = 100.0;
+/// How long the idle stores are measured.
+const IDLE_PERIOD: Duration = Duration::from_secs(10);
+/// Names that the changes cycle through: versions rise, and the number of items does not.
 const NAMES: u64 = 100;
 
 fn ip(store: u8) -> Ipv4Addr {
@@ -28,31 +33,24 @@
 }
 
 fn start(program: &str, folder: &Path, store: u8, bootstrap: bool) -> std::io::Result<Child> {
-    let seeds: Vec<String> = (1..=STORES)
-        .map(|store| format!("\"{}:1\"", ip(store)))
-        .collect();
-    let text = format!(
-        "[self]\nnodename = \"core\"\nip = \"{ip}\"\naz = \"z1\"\nrgn = \"r\"\nbootstrap = {bootstrap}\n\
-         datadir = \"{data}\"\n[self.limits]\nmem_mb = 256\nnofile = 1024\n\
-         [network]\nport_range = [{PORT},{last}]\nseeds = [{seeds}]\n[network.listen]\n\
-         [network.zones]\nz1 = \"r\"\n[infra]\nhb = \"1s\"\n[defs.tolerance]\nnodes = 1\n\
-         [defs.bounds]\ndrain = \"2s\"\ngrace = \"6s\"\napply = \"2s\"\nevac = \"2s\"\nack = \"5s\"\n\
-         contact = \"3s\"\nretry_ratio = 0.2\nretry_win = \"10s\"\nretry_extra = 60\nwarm_excess = 1.5\n\
-         warm_extra = 5\n",
-        ip = ip(store),
-        data = folder.join(format!("data-{store}")).display(),
-        last = PORT + 1,
-        seeds = seeds.join(","),
-    );
+    let seeds: Vec<Ipv4Addr> = (1..=STORES).map(ip).collect();
+    let settings = NodeSettings {
+        ip: ip(store),
+        port: PORT,
+        data_dir: &folder.join(format!("data-{store}")),
+        seeds: &seeds,
+        bootstrap,
+        disk_limit_mib: None,
+    };
     let file = folder.join(format!("settings-{store}.toml"));
-    std::fs::write(&file, text)?;
+    std::fs::write(&file, settings.to_toml())?;
     Command::new(program)
         .env("EMBERPIN_NODE_FILE", &file)
         .spawn()
 }
 
 /// Processor time of the stores so far, in milliseconds.
-fn processor(stores: &[Child]) -> Result<f64, Box<dyn Error>> {
+fn processor_ms(stores: &[Child]) -> Result<f64, Box<dyn Error>> {
     let mut ticks = 0;
     for store in stores {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", store.id()))?;
@@ -64,7 +62,7 @@
             .collect();
         ticks += fields[11].parse::<u64>()? + fields[12].parse::<u64>()?;
     }
-    Ok(ticks as f64 / TICKS * 1_000.0)
+    Ok(ticks as f64 / TICKS_PER_SECOND * 1_000.0)
 }
 
 fn memory_kib(store: &Child) -> Result<u64, Box<dyn Error>> {
@@ -114,11 +112,11 @@
         "{{\"upsert\":{{\"svcs\":[{{\"name\":\"s-{name}\",\"hcheck\":\"/h\",\"maxconn\":9,\"proto\":\"h1\",\
          \"tls\":false,\"warmup\":\"3s\",\"warmup_per_s\":10.0,\"ver\":{ver}}}]}}}}"
     );
-    let ask = StoreRequest::Patch {
+    let request = StoreRequest::Patch {
         id: number,
         body: body.into_bytes(),
     };
-    frames::write(stream, &ToStore::Request(ask)).await?;
+    frames::write(stream, &ToStore::Request(request)).await?;
     match frames::read(stream).await? {
         StoreReply::Response { status, .. } => Ok(status),
         other => Err(format!("not an answer: {other:?}").into()),
@@ -132,22 +130,22 @@
     }
     let mut stream = connect(1).await;
     while patch(&mut stream, 0).await? != 200 {}
-    let (began, before) = (Instant::now(), processor(&stores)?);
+    let (began, before) = (Instant::now(), processor_ms(&stores)?);
     for number in 1..=changes {
         while patch(&mut stream, number).await? != 200 {}
     }
-    let (took, spent) = (began.elapsed(), processor(&stores)? - before);
+    let (took, spent) = (began.elapsed(), processor_ms(&stores)? - before);
     let each = |total: f64| total / changes as f64;
     println!(
         "{changes} changes: {:.2} ms each, {:.3} ms of processor each over all stores",
         each(took.as_secs_f64() * 1_000.0),
         each(spent)
     );
-    let before = processor(&stores)?;
-    tokio::time::sleep(IDLE).await;
+    let before = processor_ms(&stores)?;
+    tokio::time::sleep(IDLE_PERIOD).await;
     println!(
         "idle: {:.2} ms of processor a second and store",
-        (processor(&stores)? - before) / IDLE.as_secs_f64() / f64::from(STORES)
+        (processor_ms(&stores)? - before) / IDLE_PERIOD.as_secs_f64() / f64::from(STORES)
     );
     println!(
         "memory: {} KiB, disk: {} bytes",
--- /dev/null
+++ b/crates/emberpin-store/tests/common/settings.rs
@@ -0,0 +1,50 @@
+//! The settings file of a store.
+
+use std::net::Ipv4Addr;
+use std::path::Path;
+
+/// What differs between the stores of tests.
+pub struct NodeSettings<'a> {
+    /// The store's own address.
+    pub ip: Ipv4Addr,
+    /// The port that all stores listen on.
+    pub port: u16,
+    /// The data folder.
+    pub data_dir: &'a Path,
+    /// Machines to contact, or to found a system with.
+    pub seeds: &'a [Ipv4Addr],
+    /// Whether this is the first start of the system.
+    pub bootstrap: bool,
+    /// Limit of the disk, if it has one.
+    pub disk_limit_mib: Option<u64>,
+}
+
+impl NodeSettings<'_> {
+    /// The text of the file.
+    pub fn to_toml(&self) -> String {
+        let seeds: Vec<String> = self
+            .seeds
+            .iter()
+            .map(|seed| format!("\"{seed}:1\""))
+            .collect();
+        let disk_limit = self
+            .disk_limit_mib
+            .map(|limit| format!("disk_mb = {limit}\n"))
+            .unwrap_or_default();
+        format!(
+            "[self]\nnodename = \"core\"\nip = \"{ip}\"\naz = \"z1\"\nrgn = \"r\"\nbootstrap = {bootstrap}\n\
+             datadir = \"{data_dir}\"\n[self.limits]\nmem_mb = 256\nnofile = 1024\n{disk_limit}\
+             [network]\nport_range = [{port},{last}]\nseeds = [{seeds}]\n[network.listen]\n\
+             [network.zones]\nz1 = \"r\"\nz2 = \"r\"\n[infra]\nhb = \"1s\"\n[defs.tolerance]\nnodes = 1\n\
+             [defs.bounds]\ndrain = \"2s\"\ngrace = \"6s\"\napply = \"2s\"\nevac = \"2s\"\nack = \"5s\"\n\
+             contact = \"3s\"\nretry_ratio = 0.2\nretry_win = \"10s\"\nretry_extra = 60\nwarm_excess = 1.5\n\
+             warm_extra = 5\n",
+            ip = self.ip,
+            bootstrap = self.bootstrap,
+            data_dir = self.data_dir.display(),
+            port = self.port,
+            last = self.port + 1,
+            seeds = seeds.join(","),
+        )
+    }
+}
--- /dev/null
+++ b/crates/emberpin-store/tests/common/store_node.rs
@@ -0,0 +1,294 @@
+//! A machine with a store that runs as a process.
+
+use super::settings::NodeSettings;
+use super::{free_port, TEST_TIMEOUT};
+use emberpin_runtime::frames;
+use emberpin_runtime::identity::ProcessIdentity;
+use emberpin_runtime::preamble::Preamble;
+use emberpin_store::protocol::{DiskState, StoreReply, StoreRequest, ToStore};
+use std::fs;
+use std::net::Ipv4Addr;
+use std::path::PathBuf;
+use std::process::{Child, Command};
+use std::time::Duration;
+use tempfile::TempDir;
+use tokio::net::TcpStream;
+use tokio::time::{sleep, timeout, Instant};
+
+/// The program under test.
+pub const STORE_PROGRAM: &str = env!("CARGO_BIN_EXE_emberpin-store");
+/// Time between attempts to connect.
+const CONNECT_INTERVAL: Duration = Duration::from_millis(20);
+
+/// A machine with a disk, and its store. The process is killed when it is dropped.
+pub struct StoreNode {
+    pub ip: Ipv4Addr,
+    pub port: u16,
+    /// Holds the settings file and the data folder.
+    pub folder: TempDir,
+    pub seeds: Vec<Ipv4Addr>,
+    pub process: Option<Child>,
+    /// The limit of the disk, if the settings have one.
+    pub disk_limit_mib: Option<u64>,
+}
+
+impl StoreNode {
+    /// A machine that is its own only seed, with a folder whose `data` is its data folder.
+    pub fn new(ip: Ipv4Addr, folder: TempDir) -> StoreNode {
+        StoreNode {
+            ip,
+            port: free_port(&[ip], 0),
+            folder,
+            seeds: vec![ip],
+            process: None,
+            disk_limit_mib: None,
+        }
+    }
+
+    /// Starts the store as a founder of the system.
+    pub fn bootstrap(&mut self) {
+        self.start_program(true, Command::new(STORE_PROGRAM));
+    }
+
+    /// Starts the store on the disk it had before, or as one that joins.
+    pub fn start(&mut self) {
+        self.start_program(false, Command::new(STORE_PROGRAM));
+    }
+
+    /// Starts the store with a limit of file sizes, in blocks of 512 bytes, until [`StoreNode::lift_file_limit`].
+    pub fn start_with_file_limit(&mut self, blocks: u64) {
+        let mut limited = Command::new("sh");
+        let script = format!("trap '' XFSZ; ulimit -S -f {blocks}; exec \"$0\"");
+        limited.args(["-c", &script, STORE_PROGRAM]);
+        self.start_program(false, limited);
+    }
+
+    pub fn lift_file_limit(&self) {
+        let store = self.process.as_ref().expect("a store").id().to_string();
+        let done = Command::new("prlimit")
+            .args(["--pid", &store, "--fsize=unlimited"])
+            .status();
+        assert!(done.is_ok_and(|done| done.success()), "no limit was raised");
+    }
+
+    /// Founds the system with a disk whose syncs do not return while [`StoreNode::stall_file`] exists.
+    pub fn bootstrap_with_stallable_disk(&mut self) {
+        let mut program = Command::new(STORE_PROGRAM);
+        program.env("EMBERPIN_STORE_STALL", self.stall_file());
+        self.start_program(true, program);
+    }
+
+    pub fn stall_file(&self) -> PathBuf {
+        self.folder.path().join("stall")
+    }
+
+    /// Founds the system with a disk whose syncs take this much longer.
+    pub fn bootstrap_with_slow_syncs(&mut self, delay: Duration) {
+        let mut program = Command::new(STORE_PROGRAM);
+        program.env("EMBERPIN_STORE_SYNC_MS", delay.as_millis().to_string());
+        self.start_program(true, program);
+    }
+
+    fn start_program(&mut self, bootstrap: bool, mut program: Command) {
+        let settings = NodeSettings {
+            ip: self.ip,
+            port: self.port,
+            data_dir: &self.data_dir(),
+            seeds: &self.seeds,
+            bootstrap,
+            disk_limit_mib: self.disk_limit_mib,
+        };
+        let file = self.folder.path().join("boot.toml");
+        fs::write(&file, settings.to_toml()).expect("a settings file");
+        let process = program
+            .env("EMBERPIN_NODE_FILE", &file)
+            .spawn()
+            .expect("a store");
+        self.process = Some(process);
+    }
+
+    pub fn data_dir(&self) -> PathBuf {
+        self.folder.path().join("data")
+    }
+
+    pub fn is_running(&mut self) -> bool {
+        let process = self.process.as_mut().expect("a store");
+        process.try_wait().expect("a process").is_none()
+    }
+
+    pub fn kill(&mut self) {
+        if let Some(mut process) = self.process.take() {
+            _ = process.kill();
+            _ = process.wait();
+        }
+    }
+
+    /// Sends SIGTERM, and returns the exit code.
+    pub fn terminate(&mut self) -> Option<i32> {
+        let mut process = self.process.take().expect("a store");
+        let sent = Command::new("kill").arg(process.id().to_string()).status();
+        assert!(sent.is_ok_and(|sent| sent.success()), "no signal was sent");
+        process.wait().expect("an end").code()
+    }
+
+    /// Waits for the process to end by itself, and returns the exit code.
+    pub fn wait_for_exit(&mut self) -> Option<i32> {
+        let mut process = self.process.take().expect("a store");
+        process.wait().expect("an end").code()
+    }
+
+    pub fn kill_and_wipe_disk(&mut self) {
+        self.kill();
+        fs::remove_dir_all(self.data_dir()).expect("a folder to remove");
+    }
+
+    /// A connection after the handshake, as soon as the store accepts one.
+    pub async fn connect(&self) -> TcpStream {
+        let until = Instant::now() + TEST_TIMEOUT;
+        loop {
+            let mut stream = self.connect_raw().await;
+            // A process that was about to end may have accepted the connection.
+            if handshake(&mut stream).await.is_some() {
+                return stream;
+            }
+            assert!(Instant::now() < until, "{}: no handshake", self.ip);
+        }
+    }
+
+    /// A connection without a handshake, as soon as the store accepts one.
+    pub async fn connect_raw(&self) -> TcpStream {
+        let until = Instant::now() + TEST_TIMEOUT;
+        loop {
+            if let Ok(stream) = TcpStream::connect((self.ip, self.port)).await {
+                return stream;
+            }
+            assert!(Instant::now() < until, "{}: no connection", self.ip);
+            sleep(CONNECT_INTERVAL).await;
+        }
+    }
+
+    /// The preamble on the next connection that the store accepts; `None` if the store does not complete the handshake.
+    pub async fn try_preamble(&self) -> Option<Preamble> {
+        let mut stream = self.connect_raw().await;
+        handshake(&mut stream).await
+    }
+
+    /// The response to a request, which is retried at 503 and on broken connections, as the operator does.
+    pub async fn call(&self, request: StoreRequest) -> (u16, String) {
+        let until = Instant::now() + TEST_TIMEOUT;
+        loop {
+            let mut stream = self.connect().await;
+            match self.try_call(&mut stream, request.clone()).await {
+                Some((status, body)) if status != 503 => return (status, body),
+                _ => assert!(Instant::now() < until, "{}: no response", self.ip),
+            }
+        }
+    }
+
+    /// The response to a request that is sent once; `None` if the connection ends without one.
+    pub async fn try_call(
+        &self,
+        stream: &mut TcpStream,
+        request: StoreRequest,
+    ) -> Option<(u16, String)> {
+        frames::write(stream, &ToStore::Request(request))
+            .await
+            .ok()?;
+        match timeout(TEST_TIMEOUT, frames::read(stream)).await {
+            Ok(Ok(StoreReply::Response { status, body, .. })) => Some((status, body)),
+            _ => None,
+        }
+    }
+
+    /// The status of a patch.
+    pub async fn patch(&self, body: &str) -> u16 {
+        let request = StoreRequest::Patch {
+            id: 7,
+            body: body.into(),
+        };
+        self.call(request).await.0
+    }
+
+    /// The configuration.
+    pub async fn get(&self) -> String {
+        self.call(StoreRequest::Get { id: 8 }).await.1
+    }
+
+    /// Subscribes, and waits for a reply from which `look` returns something.
+    pub async fn subscribe_until<T>(&self, mut look: impl FnMut(StoreReply) -> Option<T>) -> T {
+        let mut stream = self.connect().await;
+        frames::write(&mut stream, &ToStore::Request(StoreRequest::Subscribe))
+            .await
+            .expect("a store that reads");
+        let found = async {
+            loop {
+                let reply = frames::read(&mut stream).await.expect("a reply");
+                if let Some(found) = look(reply) {
+                    return found;
+                }
+            }
+        };
+        timeout(TEST_TIMEOUT, found)
+            .await
+            .expect("not notified in time")
+    }
+
+    /// Waits until the store is up to date and has these voters.
+    pub async fn wait_for_voters(&self, expected: &[Ipv4Addr]) {
+        self.subscribe_until(|reply| match reply {
+            StoreReply::Status {
+                up_to_date: true,
+                voters,
+                ..
+            } if voters == expected => Some(()),
+            _ => None,
+        })
+        .await;
+    }
+
+    /// Waits until the store reports this state of its disk.
+    pub async fn wait_for_disk(&self, expected: DiskState) {
+        self.subscribe_until(|reply| match reply {
+            StoreReply::Status { disk, .. } if disk.state == expected => Some(()),
+            _ => None,
+        })
+        .await;
+    }
+}
+
+impl Drop for StoreNode {
+    fn drop(&mut self) {
+        self.kill();
+    }
+}
+
+/// Exchanges preambles; `None` if the store does not send one.
+async fn handshake(stream: &mut TcpStream) -> Option<Preamble> {
+    let (mut reader, mut writer) = stream.split();
+    let identity = ProcessIdentity::new(1);
+    let handshake = identity.handshake(&mut reader, &mut writer);
+    timeout(TEST_TIMEOUT, handshake).await.ok()?.ok()
+}
+
+/// Machines on addresses of a net of their own; the first three are the seeds.
+pub fn nodes(net: u8, count: u8) -> Vec<StoreNode> {
+    let address = |host| Ipv4Addr::new(127, 9, net, host);
+    let addresses: Vec<Ipv4Addr> = (1..=4).map(address).collect();
+    let port = free_port(&addresses, net);
+    let node = |host| StoreNode {
+        ip: address(host),
+        port,
+        folder: tempfile::tempdir().expect("a folder"),
+        seeds: addresses[..3].to_vec(),
+        process: None,
+        disk_limit_mib: None,
+    };
+    (1..=count).map(node).collect()
+}
+
+/// One machine, which is the whole roster.
+pub fn single_node(net: u8) -> StoreNode {
+    let mut node = nodes(net, 1).remove(0);
+    node.seeds.truncate(1);
+    node
+}
--- a/crates/emberpin-store/tests/recorder/mod.rs
+++ b/crates/emberpin-store/tests/recordings/recorder.rs
@@ -1,9 +1,8 @@
-//! Makes the disks of `fixtures/` that are not there yet. Each was recorded once, by the build of 2 December 2026,
-//! and is never made anew: where it can't be read any more, the build is wrong.
+//! Records the disks of `fixtures/` that are missing. Each was recorded once, by the build of 2 December 2026, and is
+//! never recorded again: if it cannot be opened any more, the build is wrong.
 
-use crate::packed::pack;
-use crate::program::Program;
-use crate::{fixture, lines, run, ME, OTHERS};
+use super::packed_folder::pack;
+use super::{disk_file, fixture, item_lines, OWNER, PEERS};
 use emberpin_config::{Item, ItemKey, ItemKind, Retention, Version};
 use emberpin_consensus::{
     AcceptedProposal, Action, Ballot, BootstrapCandidate, Call, CallId, EvacuationChange, Event,
@@ -15,45 +14,46 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// So little of the past is kept that a hundred calls bring forth checkpoints and forgotten versions.
-const BOUNDS: Retention = Retention {
+/// Low enough for a hundred calls to cause checkpoints and forgotten versions.
+const RETENTION: Retention = Retention {
     max_versions: 3,
     max_tombstones: 2,
 };
-/// A body of this length, written so often, is more than `fjall` holds before it makes a table.
-const LONG: (usize, u64) = (512 << 10, 18);
+/// Length of a body, and the number of its versions, that together are more than a memtable of `fjall`.
+const LARGE_BODY_BYTES: usize = 512 << 10;
+const LARGE_BODY_VERSIONS: u64 = 18;
 
-/// A store of which all voters are itself, and its disk.
+/// A replica that is the only voter, and its disk.
 struct Store {
     replica: Replica,
     disk: Disk,
-    now: u64,
+    now_ms: u64,
     events: VecDeque<Event>,
-    answer: Option<u16>,
+    reply_status: Option<u16>,
     last: Option<WriteBatch>,
-    /// What was written and not removed, told from the writes alone.
+    /// The items that the writes so far leave, as an independent check of the disk.
     items: BTreeMap<(u8, String), Item>,
 }
 
 impl Store {
-    fn found(folder: &Path) -> Store {
+    fn bootstrap(folder: &Path) -> Store {
         let options = ReplicaOptions {
-            address: ME,
-            seeds: vec![ME],
+            address: OWNER,
+            seeds: vec![OWNER],
             bootstrap: true,
             tolerated_failures: 1,
             random_seed: 21,
         };
-        let (disk, kept) = Disk::open(folder, ME).expect("a disk");
+        let (disk, state) = Disk::open(folder, OWNER).expect("a disk");
         let mut actions = Vec::new();
         let guards = Guards {
-            bounds: BOUNDS,
+            bounds: RETENTION,
             ..Guards::default()
         };
         let replica = Replica::with_guards(
             Timestamp::from_millis(1_000),
             options,
-            kept,
+            state,
             guards,
             &mut actions,
         );
@@ -61,40 +61,40 @@
         let mut store = Store {
             replica,
             disk,
-            now: 1_000,
+            now_ms: 1_000,
             events,
-            answer: None,
+            reply_status: None,
             last: None,
             items,
         };
-        store.act(actions);
+        store.apply(actions);
         store
     }
 
     fn call(&mut self, call: Call) {
-        self.answer = None;
+        self.reply_status = None;
         self.events.push_back(Event::Call {
             call_id: CallId(1),
             call,
         });
-        while self.answer.is_none() {
+        while self.reply_status.is_none() {
             let event = self.events.pop_front().unwrap_or_else(|| {
-                self.now = self.replica.next_tick_at().as_millis().max(self.now + 1);
+                self.now_ms = self.replica.next_tick_at().as_millis().max(self.now_ms + 1);
                 Event::Tick
             });
             let mut actions = Vec::new();
             self.replica
-                .handle(Timestamp::from_millis(self.now), event, &mut actions);
-            self.act(actions);
+                .handle(Timestamp::from_millis(self.now_ms), event, &mut actions);
+            self.apply(actions);
         }
-        assert_eq!(self.answer, Some(200));
+        assert_eq!(self.reply_status, Some(200));
     }
 
     fn patch(&mut self, body: String) {
         self.call(Call::Patch(body.into_bytes()));
     }
 
-    fn act(&mut self, actions: Vec<Action>) {
+    fn apply(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Persist { token, write } => {
@@ -105,7 +105,7 @@
                         self.events.push_back(Event::Persisted { token });
                     }
                 }
-                Action::Reply { status, .. } => self.answer = Some(status),
+                Action::Reply { status, .. } => self.reply_status = Some(status),
                 Action::Send { .. } | Action::Learned { .. } => {}
             }
         }
@@ -123,14 +123,14 @@
         self.last = Some(write);
     }
 
-    /// Has `fjall` make tables and another journal.
+    /// Writes until `fjall` flushes a table and begins another journal.
     fn fill_a_table(&mut self, folder: &Path) {
-        for ver in 1..=LONG.1 {
+        for ver in 1..=LARGE_BODY_VERSIONS {
             let key = ItemKey {
                 kind: ItemKind::Service,
                 name: "long".into(),
             };
-            let body = (ver < LONG.1).then(|| "x".repeat(LONG.0));
+            let body = (ver < LARGE_BODY_VERSIONS).then(|| "x".repeat(LARGE_BODY_BYTES));
             let chosen = vec![Item {
                 key,
                 version: Version(ver),
@@ -202,10 +202,10 @@
     }
 }
 
-/// The last write: another proposer was promised its ballot, what it proposed before is accepted and not known to
-/// be chosen, and two voters have lost their disks.
+/// The last write: the ballot of another proposer is promised, an earlier proposal is accepted and not known to be
+/// chosen, and two voters have lost their disks.
 fn promise_another(store: &mut Store) {
-    let [second, third] = OTHERS;
+    let [second, third] = PEERS;
     let ballot = |counter, node: std::net::Ipv4Addr| Ballot {
         counter,
         proposer: node.to_bits(),
@@ -232,20 +232,20 @@
             items: vec![open],
         }),
         voting: true,
-        incarnation: Incarnation(ballot(400, ME)),
+        incarnation: Incarnation(ballot(400, OWNER)),
         latest_incarnations,
         bootstrap_candidate: Some(BootstrapCandidate {
             nonce: 0x0123_4567_89ab_cdef,
-            seeds: vec![ME, second, third],
+            seeds: vec![OWNER, second, third],
         }),
         sync: true,
     });
     store.disk.sync().expect("a sync");
 }
 
-/// A store after a hundred changes; the items that it holds are recorded beside it.
-pub fn record_voter(folder: &Path) {
-    let mut store = Store::found(folder);
+/// A store after a hundred changes. The items that it holds are recorded in a fixture of their own.
+fn record_voter(folder: &Path) {
+    let mut store = Store::bootstrap(folder);
     store.patch(
         "{\"upsert\":{\"limits\":{\"hdr_max_bytes\":16384,\"body_max_bytes\":1048576,\"hdr_read\":\"5s\",\
          \"idle\":\"60s\",\"ver\":3}}}"
@@ -261,23 +261,23 @@
     promise_another(&mut store);
     drop(store.disk);
     fs::write(folder.join("system"), "0fedcba987654321\n").expect("a file");
-    let held: Vec<Item> = store.items.into_values().collect();
-    fs::write(fixture("voter.items.txt"), lines(&held)).expect("a fixture");
+    let items: Vec<Item> = store.items.into_values().collect();
+    fs::write(fixture("voter.items.txt"), item_lines(&items)).expect("a fixture");
 }
 
-/// A seed at its first start, which has heard of no roster.
-pub fn record_candidate(folder: &Path) {
-    let [second, third] = OTHERS;
+/// A seed at its first start, which knows no roster.
+fn record_candidate(folder: &Path) {
+    let [second, third] = PEERS;
     let options = ReplicaOptions {
-        address: ME,
-        seeds: vec![third, second, ME],
+        address: OWNER,
+        seeds: vec![third, second, OWNER],
         bootstrap: true,
         tolerated_failures: 1,
         random_seed: 21,
     };
-    let (mut disk, kept) = Disk::open(folder, ME).expect("a disk");
+    let (mut disk, state) = Disk::open(folder, OWNER).expect("a disk");
     let mut actions = Vec::new();
-    Replica::new(Timestamp::from_millis(1_000), options, kept, &mut actions);
+    Replica::new(Timestamp::from_millis(1_000), options, state, &mut actions);
     for action in actions {
         if let Action::Persist { write, .. } = action {
             disk.write(&write).expect("a write");
@@ -287,13 +287,13 @@
 }
 
 /// A disk on which nothing was ever written.
-pub fn record_empty(folder: &Path) {
-    Disk::open(folder, ME).expect("a disk");
+fn record_empty(folder: &Path) {
+    Disk::open(folder, OWNER).expect("a disk");
 }
 
 /// A disk of the former format and of a time before marks, incarnations and the record of what was synced. No
 /// build of that time wrote it: its bytes are those that such a build is known to have written.
-pub fn record_former(folder: &Path) {
+fn record_former(folder: &Path) {
     let keyspace = fjall::Config::new(folder.join("store"))
         .open()
         .expect("a keyspace");
@@ -304,7 +304,7 @@
     );
     let mut batch = keyspace.batch();
     batch.insert(&meta, "format", b"emberpin-store 1");
-    batch.insert(&meta, "node", ME.octets());
+    batch.insert(&meta, "node", OWNER.octets());
     batch.insert(&meta, "promised", b"\xac\x02\x07\x09\x01");
     batch.insert(
         &meta,
@@ -324,20 +324,29 @@
         .expect("a sync");
 }
 
-/// What the program tells that runs on a voter's disk, unless it is there.
-pub fn record_configuration(folder: &Path) {
-    if !fixture("voter.get.json").exists() {
-        let told = run(Program::start(folder).configuration());
-        fs::write(fixture("voter.get.json"), told).expect("a fixture");
+/// Records the disks that are missing.
+pub fn record_missing() {
+    record("voter", record_voter);
+    record("candidate", record_candidate);
+    record("empty", record_empty);
+    record("former", record_former);
+}
+
+/// Records the configuration that a store on the voter's disk serves, if it is missing.
+pub fn record_missing_configuration(configuration: impl Fn() -> String) {
+    let file = fixture("voter.get.json");
+    if !file.exists() {
+        fs::write(file, configuration()).expect("a fixture");
     }
 }
 
-/// Packs what this makes, unless it is there.
-pub fn record(name: &str, make: impl Fn(&Path)) {
-    if fixture(name).exists() {
+/// Packs a folder with what `make` writes into it, if the recording is missing.
+fn record(disk: &str, make: impl Fn(&Path)) {
+    let file = fixture(&disk_file(disk));
+    if file.exists() {
         return;
     }
     let folder = tempfile::tempdir().expect("a folder");
     make(folder.path());
-    fs::write(fixture(name), pack(folder.path())).expect("a fixture");
+    fs::write(file, pack(folder.path())).expect("a fixture");
 }
--- /dev/null
+++ b/crates/emberpin-store/tests/replication.rs
@@ -0,0 +1,153 @@
+//! Changes on three stores: replication, retries, restarts, and the loss of a disk.
+
+mod common;
+
+use common::{nodes, run, service_patch, StoreNode};
+use emberpin_config::{Item, ItemKind};
+use emberpin_store::protocol::{StoreReply, StoreRequest};
+use googletest::prelude::*;
+use std::net::Ipv4Addr;
+use tokio::time::Instant;
+
+#[gtest]
+fn a_change_reaches_all_stores_and_survives_a_restart_of_all() {
+    run(async {
+        let mut nodes = nodes(1, 3);
+        nodes.iter_mut().for_each(StoreNode::bootstrap);
+        expect_that!(nodes[0].patch(&service_patch("a", 7)).await, eq(200));
+        expect_that!(nodes[1].patch(&service_patch("a", 7)).await, eq(200));
+        expect_that!(nodes[2].patch(&service_patch("a", 6)).await, eq(409));
+        expect_that!(nodes[2].patch("{\"upsert\":").await, eq(400));
+        let evacuate = |begin| StoreRequest::Evacuate {
+            id: 1,
+            zone: "z2".into(),
+            begin,
+        };
+        expect_that!(nodes[1].call(evacuate(true)).await.0, eq(200));
+        let unknown_zone = StoreRequest::Evacuate {
+            id: 1,
+            zone: "z9".into(),
+            begin: true,
+        };
+        expect_that!(nodes[1].call(unknown_zone).await.0, eq(404));
+        for node in &nodes {
+            let mut seen: Vec<Item> = Vec::new();
+            node.subscribe_until(|reply| {
+                if let StoreReply::Items { items } = reply {
+                    seen.extend(items);
+                }
+                let has = |kind| {
+                    seen.iter()
+                        .any(|item| item.key.kind == kind && item.body.is_some())
+                };
+                (has(ItemKind::Service) && has(ItemKind::Evacuation)).then_some(())
+            })
+            .await;
+        }
+        nodes.iter_mut().for_each(StoreNode::kill);
+        nodes.iter_mut().for_each(StoreNode::start);
+        expect_that!(nodes[2].get().await, contains_substring("\"name\":\"a\""));
+        expect_that!(nodes[0].call(evacuate(true)).await.0, eq(200));
+    });
+}
+
+#[gtest]
+fn an_acknowledged_change_survives_a_lost_disk() {
+    run(async {
+        let mut nodes = nodes(2, 3);
+        nodes.iter_mut().for_each(StoreNode::bootstrap);
+        // A store that is killed before its first sync would be a second lost disk, and one is tolerated.
+        let all: Vec<Ipv4Addr> = nodes.iter().map(|node| node.ip).collect();
+        for node in &nodes {
+            node.wait_for_voters(&all).await;
+        }
+        expect_that!(nodes[0].patch(&service_patch("a", 1)).await, eq(200));
+        nodes[2].kill();
+        expect_that!(nodes[0].patch(&service_patch("b", 1)).await, eq(200));
+        nodes[0].kill_and_wipe_disk();
+        nodes[1].kill();
+        nodes.iter_mut().for_each(StoreNode::start);
+        expect_that!(nodes[0].get().await, contains_substring("\"name\":\"b\""));
+        expect_that!(nodes[2].get().await, contains_substring("\"name\":\"b\""));
+    });
+}
+
+/// Sends all nodes the accepted patches again, and patches with other contents of the same versions.
+async fn expect_retries_acknowledged_and_conflicts_rejected(nodes: &[StoreNode]) {
+    let conflict = service_patch("x", 5).replace("\"maxconn\":9", "\"maxconn\":8");
+    let conflict_among_others = conflict.replace(
+        "}]}}",
+        &format!(
+            "}},{}",
+            service_patch("y", 1).split_once('[').expect("a list").1
+        ),
+    );
+    let drop = "{\"remove\":{\"svcs\":[{\"name\":\"x\",\"ver\":7}]}}";
+    for node in nodes {
+        for patch in [&service_patch("x", 5), &service_patch("x", 6), drop] {
+            expect_that!(node.patch(patch).await, eq(200), "{patch} at {}", node.ip);
+        }
+        for patch in [&conflict, &conflict_among_others] {
+            expect_that!(node.patch(patch).await, eq(409), "{patch} at {}", node.ip);
+        }
+    }
+}
+
+#[gtest]
+fn a_retry_is_acknowledged_and_another_content_rejected_after_later_changes() {
+    run(async {
+        let mut nodes = nodes(17, 3);
+        nodes.iter_mut().for_each(StoreNode::bootstrap);
+        expect_that!(nodes[0].patch(&service_patch("x", 5)).await, eq(200));
+        expect_that!(nodes[1].patch(&service_patch("x", 6)).await, eq(200));
+        expect_retries_acknowledged_and_conflicts_rejected(&nodes).await;
+        nodes.iter_mut().for_each(StoreNode::kill);
+        nodes.iter_mut().for_each(StoreNode::start);
+        expect_retries_acknowledged_and_conflicts_rejected(&nodes).await;
+        nodes[2].kill_and_wipe_disk();
+        nodes[2].start();
+        expect_retries_acknowledged_and_conflicts_rejected(&nodes).await;
+        // Histories are for stores alone.
+        let items = nodes[1].subscribe_until(|reply| match reply {
+            StoreReply::Items { items } => Some(items),
+            _ => None,
+        });
+        let items = items.await;
+        expect_that!(items.iter().any(|item| item.key.name == "x"), eq(true));
+        expect_that!(
+            items.iter().any(|item| item.key.kind == ItemKind::History),
+            eq(false)
+        );
+    });
+}
+
+#[gtest]
+fn a_first_patch_with_many_routes_is_applied_completely() {
+    run(async {
+        let mut nodes = nodes(5, 3);
+        nodes.iter_mut().for_each(StoreNode::bootstrap);
+        let locs: Vec<String> = (0..800)
+            .map(|number| {
+                format!(
+                    "{{\"name\":\"r-{number}\",\"pfx\":\"/p{number}/\",\"type\":\"readonly\",\"timeout\":\"1500ms\",\
+                     \"target_time\":\"250ms\",\"prio\":2,\"svc\":\"a\",\"tries\":2,\"ver\":7}}"
+                )
+            })
+            .collect();
+        let routes = format!(
+            ",\"vhosts\":[{{\"hostname\":\"h.example\",\"locs\":[{}]}}]}}}}",
+            locs.join(",")
+        );
+        let body = service_patch("a", 7).replace("]}}", &format!("]{routes}"));
+        let began = Instant::now();
+        expect_that!(nodes[1].patch(&body).await, eq(200));
+        println!("{} bytes accepted in {:?}", body.len(), began.elapsed());
+        let began = Instant::now();
+        expect_that!(nodes[1].patch(&service_patch("b", 8)).await, eq(200));
+        println!("one more item accepted in {:?}", began.elapsed());
+        for node in &nodes {
+            let got = node.get().await;
+            expect_that!(got.matches("\"name\":\"r-").count(), eq(800));
+        }
+    });
+}
