--- a/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/wire.rs
+++ b/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/wire.rs
@@ -1,229 +1,358 @@
-//! The simulator's messages as they stand on the wire; no decision is taken here.
+//! The simulator's messages, one line of JSON each. The names on the wire are the simulator's; where they differ from
+//! the decision module's terms, a field carries its wire name in `serde(rename)`.
 
-use emberpin_balancer::settings::Conf;
+use emberpin_balancer::host_config::HostConfig;
+use emberpin_balancer::{GatewayId, Millis, Outcome, RequestId, ServerId, ServerStatus};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
+/// One hosted gateway: its number at the simulator, which a restarted one keeps.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct InstanceId(u64);
+
+impl std::fmt::Display for InstanceId {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        self.0.fmt(formatter)
+    }
+}
+
+/// A server list that the simulator sent once, for updates to refer to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
+pub struct ListId(usize);
+
+impl std::fmt::Display for ListId {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        self.0.fmt(formatter)
+    }
+}
+
 /// One line of input.
 #[derive(Deserialize)]
-#[serde(tag = "verb", rename_all = "kebab-case")]
-pub enum Line {
-    #[serde(rename_all = "kebab-case")]
-    Clock {
-        moment_ms: f64,
-        seq: u64,
-    },
-    End {},
-    #[serde(rename_all = "kebab-case")]
-    Init {
-        limiter_id: u64,
-        init_seed: u64,
-        conf: Box<Conf>,
-    },
-    #[serde(rename_all = "kebab-case")]
-    Halt {
-        limiter_id: u64,
-    },
-    Catalog {
-        buffer: usize,
+#[serde(tag = "verb")]
+pub enum Input {
+    /// A batch of events begins that all happen now.
+    #[serde(rename = "clock")]
+    BatchStarted {
+        #[serde(rename = "moment-ms")]
+        now: Millis,
+        /// Repeated at the end of the batch's output.
+        #[serde(rename = "seq")]
+        sequence: u64,
+    },
+    /// The batch is complete.
+    #[serde(rename = "end")]
+    BatchEnded {},
+    #[serde(rename = "init")]
+    StartGateway(StartGateway),
+    /// A gateway is killed.
+    #[serde(rename = "halt")]
+    StopGateway {
+        #[serde(rename = "limiter-id")]
+        instance: InstanceId,
+    },
+    /// A server list for updates to refer to.
+    #[serde(rename = "catalog")]
+    ServerList {
+        #[serde(rename = "buffer")]
+        list: ListId,
         hosts: Vec<Host>,
     },
-    DirectoryUpdate(Update),
-    Call(Call),
-    #[serde(rename_all = "kebab-case")]
-    Flowing {
-        limiter_id: u64,
-        handle: u32,
-    },
-    #[serde(rename_all = "kebab-case")]
-    LedgerReply {
-        limiter_id: u64,
-        slot_name: u64,
-        sum: Option<f64>,
-        reason: Reason,
-    },
-    #[serde(rename_all = "kebab-case")]
+    #[serde(rename = "directory-update")]
+    ServerListUpdate(ServerListUpdate),
+    #[serde(rename = "call")]
+    Request(Request),
+    #[serde(rename = "flowing")]
+    ResponseStarted {
+        #[serde(rename = "limiter-id")]
+        instance: InstanceId,
+        #[serde(rename = "handle")]
+        request: RequestId,
+    },
+    #[serde(rename = "ledger-reply")]
+    CounterReply(CounterReply),
+    #[serde(rename = "abandoned")]
     Abandoned {
-        limiter_id: u64,
-        handle: u32,
+        #[serde(rename = "limiter-id")]
+        instance: InstanceId,
+        #[serde(rename = "handle")]
+        request: RequestId,
     },
-    Resolved(Resolved),
-    #[serde(rename_all = "kebab-case")]
+    #[serde(rename = "resolved")]
+    AttemptEnded(AttemptEnded),
+    #[serde(rename = "timer")]
     Timer {
-        limiter_id: u64,
-        label: u64,
-    },
-    #[serde(rename_all = "kebab-case")]
-    Pong {
-        limiter_id: u64,
-        reason: Reason,
-        duration_ms: Option<f64>,
-        server: u32,
-        feedback: Option<BTreeMap<String, f64>>,
-    },
-    #[serde(rename_all = "kebab-case")]
-    PeerData {
-        limiter_id: u64,
-        from: u32,
-        octets: String,
+        #[serde(rename = "limiter-id")]
+        instance: InstanceId,
+        #[serde(rename = "label")]
+        token: u64,
     },
+    #[serde(rename = "pong")]
+    ProbeEnded(ProbeEnded),
+    #[serde(rename = "peer-data")]
+    PeerMessage(PeerMessage),
 }
 
+/// A gateway starts with these settings, and knows nothing.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub struct Update {
-    pub limiter_id: u64,
-    pub buffer: Option<usize>,
-    pub form: Form,
+pub struct StartGateway {
+    #[serde(rename = "limiter-id")]
+    pub instance: InstanceId,
+    /// Seeds the gateway's random draws.
+    #[serde(rename = "init-seed")]
+    pub seed: u64,
+    #[serde(rename = "conf")]
+    pub settings: Box<HostConfig>,
+}
+
+/// A gateway learns of a server list.
+#[derive(Deserialize)]
+pub struct ServerListUpdate {
+    #[serde(rename = "limiter-id")]
+    pub instance: InstanceId,
+    /// The list; there is none when the update is refused.
+    #[serde(rename = "buffer")]
+    pub list: Option<ListId>,
+    pub form: UpdateForm,
 }
 
+/// What the list of a [`ServerListUpdate`] holds.
 #[derive(Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Form {
+pub enum UpdateForm {
+    /// Changed servers only.
     Changes,
+    /// All servers.
     All,
+    /// All servers, as the simulator's registry last knew them.
     Remembered,
+    /// The list could not be had.
     Refused,
 }
 
+/// One server of a list.
 #[derive(Deserialize, Clone)]
-#[serde(rename_all = "kebab-case")]
 pub struct Host {
-    pub last_start_ms: Option<f64>,
+    /// Start of the present incarnation; absent or 0 for long ago.
+    #[serde(rename = "last-start-ms")]
+    pub started_at: Option<Millis>,
     pub zone: String,
-    pub class_of_host: Option<String>,
-    pub pod: Option<u32>,
-    pub scale: Option<f64>,
-    pub server: u32,
-    pub condition: Condition,
-}
-
-#[derive(Deserialize, Clone, Copy)]
-#[serde(rename_all = "snake_case")]
-pub enum Condition {
-    InService,
-    Terminating,
-    Terminated,
+    #[serde(rename = "class-of-host")]
+    pub kind: Option<String>,
+    #[serde(rename = "pod")]
+    pub cell: Option<u32>,
+    #[serde(rename = "scale")]
+    pub capacity: Option<f64>,
+    pub server: ServerId,
+    #[serde(rename = "condition")]
+    pub status: ServerStatus,
 }
 
+/// A client's request.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub struct Call {
-    pub limiter_id: u64,
-    pub handle: u32,
-    pub service: String,
+pub struct Request {
+    #[serde(rename = "limiter-id")]
+    pub instance: InstanceId,
+    #[serde(rename = "handle")]
+    pub request: RequestId,
+    #[serde(rename = "service")]
+    pub class: String,
     pub plan: String,
     pub customer: String,
-    pub remaining_ms: f64,
-    pub weight: Option<f64>,
-    pub set_size: Option<u32>,
-    pub from_no: Option<u32>,
+    #[serde(rename = "remaining-ms")]
+    pub remaining: Millis,
+    #[serde(rename = "weight")]
+    pub units: Option<f64>,
+    /// How many gateways the customer's requests come through.
+    #[serde(rename = "set-size")]
+    pub gateways: Option<u32>,
+    #[serde(rename = "from-no")]
+    pub first_gateway: Option<u32>,
 }
 
+/// The end of an attempt.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub struct Resolved {
-    pub limiter_id: u64,
-    pub handle: u32,
-    pub actual: Option<f64>,
-    pub quota_use: Option<f64>,
-    pub duration_ms: Option<f64>,
-    pub server: u32,
-    pub leg: Option<u32>,
-    pub reason: Reason,
-    pub ended: Option<bool>,
-    pub feedback: Option<BTreeMap<String, f64>>,
+pub struct AttemptEnded {
+    #[serde(rename = "limiter-id")]
+    pub instance: InstanceId,
+    #[serde(rename = "handle")]
+    pub request: RequestId,
+    /// The true units; absent or 0 where the request's own hold.
+    #[serde(rename = "actual")]
+    pub units: Option<f64>,
+    /// The customer's metered use, in percent and from 1; absent or 0 for no meter.
+    #[serde(rename = "quota-use")]
+    pub metered: Option<f64>,
+    #[serde(rename = "duration-ms")]
+    pub elapsed: Option<Millis>,
+    pub server: ServerId,
+    #[serde(rename = "leg")]
+    pub attempt: Option<u32>,
+    #[serde(rename = "reason")]
+    pub outcome: Outcome,
+    #[serde(rename = "ended")]
+    pub answered: Option<bool>,
+    #[serde(rename = "feedback")]
+    pub load: Option<BTreeMap<String, f64>>,
 }
 
-#[derive(Deserialize, Clone, Copy, PartialEq)]
-#[serde(rename_all = "snake_case")]
-pub enum Reason {
-    Ok,
-    Error,
-    Full,
-    Timeout,
-    ConnectFailed,
-    Reset,
-    Cancelled,
-    Moot,
+/// The end of a probe.
+#[derive(Deserialize)]
+pub struct ProbeEnded {
+    #[serde(rename = "limiter-id")]
+    pub instance: InstanceId,
+    #[serde(rename = "reason")]
+    pub outcome: Outcome,
+    #[serde(rename = "duration-ms")]
+    pub elapsed: Option<Millis>,
+    pub server: ServerId,
+    #[serde(rename = "feedback")]
+    pub load: Option<BTreeMap<String, f64>>,
+}
+
+/// The counter service's reply.
+#[derive(Deserialize)]
+pub struct CounterReply {
+    #[serde(rename = "limiter-id")]
+    pub instance: InstanceId,
+    #[serde(rename = "slot-name")]
+    pub counter: u64,
+    #[serde(rename = "sum")]
+    pub total: Option<f64>,
+    #[serde(rename = "reason")]
+    pub outcome: Outcome,
 }
 
-/// One line of a reply.
+/// A message of another gateway.
+#[derive(Deserialize)]
+pub struct PeerMessage {
+    #[serde(rename = "limiter-id")]
+    pub instance: InstanceId,
+    pub from: GatewayId,
+    /// In base64.
+    #[serde(rename = "octets")]
+    pub bytes: String,
+}
+
+/// One line of output.
 #[derive(Serialize)]
-#[serde(
-    tag = "verb",
-    rename_all = "kebab-case",
-    rename_all_fields = "kebab-case"
-)]
-pub enum Reply<'a> {
+#[serde(tag = "verb")]
+pub enum Output<'a> {
+    #[serde(rename = "send")]
     Send {
-        limiter_id: u64,
-        handle: u32,
-        server: u32,
-        allow_for_ms: f64,
-    },
-    DropRequest {
-        limiter_id: u64,
-        handle: u32,
-    },
-    NotNow {
-        limiter_id: u64,
-        handle: u32,
-        retry_after_ms: Option<f64>,
-    },
-    Abandon {
-        limiter_id: u64,
-        handle: u32,
-        leg: u32,
-    },
-    Sample {
-        limiter_id: u64,
-        server: u32,
-    },
-    Release {
-        limiter_id: u64,
-        server: u32,
-    },
-    Schedule {
-        limiter_id: u64,
-        delay_ms: f64,
-        label: u64,
-    },
-    Tell {
-        limiter_id: u64,
-        peer: Peer,
-        octets: String,
-    },
-    GetList {
-        limiter_id: u64,
-    },
-    Watch {
-        limiter_id: u64,
+        #[serde(rename = "limiter-id")]
+        instance: InstanceId,
+        #[serde(rename = "handle")]
+        request: RequestId,
+        server: ServerId,
+        #[serde(rename = "allow-for-ms")]
+        timeout: Millis,
+    },
+    #[serde(rename = "drop-request")]
+    Fail {
+        #[serde(rename = "limiter-id")]
+        instance: InstanceId,
+        #[serde(rename = "handle")]
+        request: RequestId,
+    },
+    #[serde(rename = "not-now")]
+    Reject {
+        #[serde(rename = "limiter-id")]
+        instance: InstanceId,
+        #[serde(rename = "handle")]
+        request: RequestId,
+        #[serde(rename = "retry-after-ms")]
+        retry_after: Option<Millis>,
+    },
+    #[serde(rename = "abandon")]
+    Cancel {
+        #[serde(rename = "limiter-id")]
+        instance: InstanceId,
+        #[serde(rename = "handle")]
+        request: RequestId,
+        #[serde(rename = "leg")]
+        attempt: u32,
+    },
+    #[serde(rename = "sample")]
+    Probe {
+        #[serde(rename = "limiter-id")]
+        instance: InstanceId,
+        server: ServerId,
+    },
+    #[serde(rename = "release")]
+    CloseIdle {
+        #[serde(rename = "limiter-id")]
+        instance: InstanceId,
+        server: ServerId,
+    },
+    #[serde(rename = "schedule")]
+    SetTimer {
+        #[serde(rename = "limiter-id")]
+        instance: InstanceId,
+        #[serde(rename = "delay-ms")]
+        delay: Millis,
+        #[serde(rename = "label")]
+        token: u64,
+    },
+    #[serde(rename = "tell")]
+    SendToPeer {
+        #[serde(rename = "limiter-id")]
+        instance: InstanceId,
+        #[serde(rename = "peer")]
+        to: Recipient,
+        /// In base64.
+        #[serde(rename = "octets")]
+        bytes: String,
+    },
+    #[serde(rename = "get-list")]
+    FetchServers {
+        #[serde(rename = "limiter-id")]
+        instance: InstanceId,
+    },
+    #[serde(rename = "watch")]
+    WatchServers {
+        #[serde(rename = "limiter-id")]
+        instance: InstanceId,
         on: bool,
     },
-    Incr {
-        limiter_id: u64,
-        slot_name: u64,
-        step: f64,
-        lives_ms: f64,
+    #[serde(rename = "incr")]
+    AddToCounter {
+        #[serde(rename = "limiter-id")]
+        instance: InstanceId,
+        #[serde(rename = "slot-name")]
+        counter: u64,
+        #[serde(rename = "step")]
+        amount: f64,
+        #[serde(rename = "lives-ms")]
+        lifetime: Millis,
     },
-    Debug {
-        limiter_id: u64,
-        note_text: &'a str,
+    #[serde(rename = "debug")]
+    Log {
+        #[serde(rename = "limiter-id")]
+        instance: InstanceId,
+        #[serde(rename = "note-text")]
+        text: &'a str,
     },
-    Fault {
-        limiter_id: u64,
-        note_text: &'a str,
+    /// The gateway panicked at an event, and its actions for it are lost.
+    #[serde(rename = "fault")]
+    Panicked {
+        #[serde(rename = "limiter-id")]
+        instance: InstanceId,
+        #[serde(rename = "note-text")]
+        text: &'a str,
     },
-    End {
-        seq: u64,
+    /// The batch's output is complete.
+    #[serde(rename = "end")]
+    BatchEnded {
+        #[serde(rename = "seq")]
+        sequence: u64,
     },
 }
 
-/// A receiver on the wire: a number, or all.
+/// Who gets a peer message.
 #[derive(Serialize)]
 #[serde(untagged)]
-pub enum Peer {
-    One(u32),
+pub enum Recipient {
+    One(GatewayId),
+    /// Every other gateway, as `*` on the wire.
     All(&'static str),
 }
--- a/crates/emberpin-balancer/src/decisions/admission.rs
+++ b/crates/emberpin-balancer/src/decisions/admission.rs
@@ -35,8 +35,8 @@
         let seen = self.load.peak * self.aim * AIM_SHARE / 1000.0;
         let guess =
             LEAST_OUT * self.servers.len() as f64 / f64::from(self.settings.group_size.max(1));
-        let least = if self.load.borne > 0.0 {
-            self.load.borne
+        let least = if self.load.reported_capacity > 0.0 {
+            self.load.reported_capacity
         } else {
             guess
         };
@@ -118,26 +118,20 @@
             return;
         }
         if class >= self.settings.classes.len() || plan >= self.settings.plans.len() {
-            actions.push(Action::Refuse {
+            actions.push(Action::Reject {
                 request: id,
                 retry_after: 0.0,
             });
             return;
         }
-        if let Some(ran) = request.ran {
+        if let Some(ran) = request.prior_attempt {
             return self.go_on(now, request, ran, actions);
         }
         self.retries = (self.retries + RETRY_SHARE).min(RETRY_BURST);
         let customer = request.customer.0 & gossip::ID_MASK;
-        let pause = self.settings.classes[class].aim * AIM_SHARE;
+        let pause = self.settings.classes[class].latency_target * AIM_SHARE;
         let throttled = self.load.level > 0 && self.rng.rand_float() < CUT[self.load.level];
-        self.ensure_customer(
-            now,
-            request.customer,
-            request.plan,
-            request.set_first,
-            request.set_size,
-        );
+        self.ensure_customer(now, request.customer, request.plan, request.gateways);
         let waiting = if throttled {
             None
         } else {
@@ -163,7 +157,7 @@
                 );
             }
             let retry_after = refusal.unwrap_or(pause).min(self.settings.max_retry_after);
-            actions.push(Action::Refuse {
+            actions.push(Action::Reject {
                 request: id,
                 retry_after,
             });
--- a/crates/emberpin-balancer/src/decisions/attempts.rs
+++ b/crates/emberpin-balancer/src/decisions/attempts.rs
@@ -15,25 +15,22 @@
         &mut self,
         now: Millis,
         request: Request,
-        ran: Ran,
+        ran: PriorAttempt,
         actions: &mut Vec<Action>,
     ) {
         let (id, class, units) = (request.id, request.class.0, request.units);
-        self.ensure_customer(
-            now,
-            request.customer,
-            request.plan,
-            request.set_first,
-            request.set_size,
-        );
+        self.ensure_customer(now, request.customer, request.plan, request.gateways);
         if let Some(customer) = self
             .customers
             .get_mut(&(request.customer.0 & gossip::ID_MASK))
         {
             customer.open += 1;
         }
-        let (deadline, at) = (now + request.remaining, now - ran.ago.max(0.0));
-        let ran = Some((at, ran.zone, ran.cell));
+        let (deadline, at) = (now + request.remaining, now - ran.age.max(0.0));
+        let ran = Some(FirstRun {
+            sent_at: at,
+            location: ran.location,
+        });
         let open = Open {
             request,
             deadline,
@@ -69,7 +66,7 @@
             return;
         };
         if open.out.is_some()
-            || server.info.condition != Condition::InService
+            || server.info.status != ServerStatus::InService
             || self.banned.contains(&to)
         {
             return;
@@ -96,7 +93,7 @@
         };
         server.cold = cold;
         if self.paired && self.warmth(now, &self.servers[&to].info) < 1.0 {
-            actions.push(Action::Share(Spent::Cold { server: to, work }));
+            actions.push(Action::ShareUsage(Usage::SlowStart { server: to, work }));
         }
     }
 
@@ -106,21 +103,21 @@
         let mut left = open.deadline - now;
         let class = &self.settings.classes[open.request.class.0];
         // What is taken over is given up with its window: what waits at a server until then is not to run.
-        if let (Some(_), Some((at, ..)), Effect::Keyed { window, .. }) =
-            (open.request.ran, open.ran, class.effect)
+        if let (Some(_), Some(first), Idempotency::Keyed { window, .. }) =
+            (open.request.prior_attempt, open.ran, class.idempotency)
         {
-            left = left.min(at + window - now);
+            left = left.min(first.sent_at + window - now);
         }
         let latency = self.latency[open.request.class.0].of(open.request.units);
-        let repeatable = class.effect != Effect::Unsafe && open.attempts == 0;
-        let usual =
-            (latency.mean + PATIENCE * latency.deviation).max(class.aim - REPEAT * latency.mean);
-        let in_window = match class.effect {
-            Effect::Keyed { window, .. } => usual < window * (1.0 - WINDOW_MARGIN),
+        let repeatable = class.idempotency != Idempotency::Unsafe && open.attempts == 0;
+        let usual = (latency.mean + PATIENCE * latency.deviation)
+            .max(class.latency_target - REPEAT * latency.mean);
+        let in_window = match class.idempotency {
+            Idempotency::Keyed { window, .. } => usual < window * (1.0 - WINDOW_MARGIN),
             _ => true,
         };
         let worth_it =
-            self.load.level == 0 && usual + latency.mean < left && self.settings.try_limit > 1;
+            self.load.level == 0 && usual + latency.mean < left && self.settings.max_attempts > 1;
         Some(if repeatable && in_window && worth_it {
             usual
         } else {
@@ -129,13 +126,18 @@
     }
 
     /// An attempt ended: done, tried elsewhere, or answered.
-    pub(super) fn conclude(&mut self, now: Millis, attempt: &Attempt, actions: &mut Vec<Action>) {
+    pub(super) fn conclude(
+        &mut self,
+        now: Millis,
+        attempt: &AttemptResult,
+        actions: &mut Vec<Action>,
+    ) {
         let (id, server) = (attempt.request, attempt.server);
         let Some(open) = self.requests.get_mut(&id) else {
             return;
         };
         open.out = None;
-        if let (true, Some(units)) = (self.settings.settles, attempt.units) {
+        if let (true, Some(units)) = (self.settings.units_are_estimates, attempt.units) {
             let more = units - open.request.units;
             if let Some(customer) = self
                 .customers
@@ -146,18 +148,18 @@
                 customer.tell = 2;
             }
         }
-        if attempt.ended {
+        if attempt.answered {
             self.finish(id);
             return;
         }
         if !attempt.outcome.never_ran() {
-            let (zone, cell) = self
-                .servers
-                .get(&server)
-                .map_or((0, 0), |s| (s.info.zone, s.info.cell));
-            open.ran.get_or_insert((open.sent, zone, cell));
+            let location = self.servers.get(&server).map(|s| s.info.location());
+            open.ran.get_or_insert(FirstRun {
+                sent_at: open.sent,
+                location: location.unwrap_or_default(),
+            });
         }
-        let next = if attempt.repeatable {
+        let next = if attempt.replayable {
             self.next_server(now, id, server)
         } else {
             None
@@ -173,7 +175,7 @@
         let open = self.requests.get(&id)?;
         let (class, units) = (open.request.class.0, open.request.units);
         let usual = self.latency[class].of(units).mean;
-        if open.attempts >= self.settings.try_limit || now + usual * 0.5 > open.deadline {
+        if open.attempts >= self.settings.max_attempts || now + usual * 0.5 > open.deadline {
             return None;
         }
         let group = self.may_repeat(now, open)?;
@@ -187,13 +189,19 @@
     }
 
     /// Effect guard: what may have run goes out again only where a repeat is harmless.
-    fn may_repeat(&self, now: Millis, open: &Open) -> Option<Within> {
-        match (open.ran, self.settings.classes[open.request.class.0].effect) {
-            (None, _) | (Some(_), Effect::Safe) => Some(None),
-            (Some(_), Effect::Unsafe) => None,
-            (Some((at, zone, cell)), Effect::Keyed { group, window }) => {
-                let inside = now - at <= window * (1.0 - WINDOW_MARGIN);
-                inside.then_some(Some((group, zone, cell)))
+    fn may_repeat(&self, now: Millis, open: &Open) -> Option<Option<RetryScope>> {
+        match (
+            open.ran,
+            self.settings.classes[open.request.class.0].idempotency,
+        ) {
+            (None, _) | (Some(_), Idempotency::Safe) => Some(None),
+            (Some(_), Idempotency::Unsafe) => None,
+            (Some(first), Idempotency::Keyed { scope, window }) => {
+                let inside = now - first.sent_at <= window * (1.0 - WINDOW_MARGIN);
+                inside.then_some(Some(RetryScope {
+                    scope,
+                    location: first.location,
+                }))
             }
         }
     }
@@ -201,13 +209,16 @@
     /// The final answer, at once: a refusal that says when to come back if that is harmless, else a failure.
     fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.finish(id) else { return };
-        let harmless = match (open.ran, self.settings.classes[open.request.class.0].effect) {
-            (None, _) | (_, Effect::Safe) => true,
-            (_, Effect::Keyed { group, .. }) => group == Group::All,
-            (_, Effect::Unsafe) => false,
+        let harmless = match (
+            open.ran,
+            self.settings.classes[open.request.class.0].idempotency,
+        ) {
+            (None, _) | (_, Idempotency::Safe) => true,
+            (_, Idempotency::Keyed { scope: group, .. }) => group == DedupScope::All,
+            (_, Idempotency::Unsafe) => false,
         };
         let pause = self.latency[open.request.class.0].all.mean; // One usual answer later.
-        let refusal = Action::Refuse {
+        let refusal = Action::Reject {
             request: id,
             retry_after: pause.min(self.settings.max_retry_after),
         };
--- a/crates/emberpin-balancer/src/decisions/balancing.rs
+++ b/crates/emberpin-balancer/src/decisions/balancing.rs
@@ -31,17 +31,13 @@
         class: usize,
         units: f64,
         last: Option<ServerId>,
-        group: Within,
+        scope: Option<RetryScope>,
     ) -> Option<ServerId> {
         let expected = self.latency[class].of(units).mean;
         let (all_cold, mut best) = (self.all_cold(now), None);
         for (id, server) in &self.servers {
-            let in_group = match group {
-                Some((Group::Zone, zone, _)) => server.info.zone == zone,
-                Some((Group::Cell, _, cell)) => server.info.cell == cell,
-                _ => true,
-            };
-            if !self.may_take(server) || !in_group || !self.cold_room(now, server, all_cold) {
+            let in_scope = scope.is_none_or(|scope| scope.contains(&server.info));
+            if !self.may_take(server) || !in_scope || !self.cold_room(now, server, all_cold) {
                 continue;
             }
             let on_trial = server.strikes >= health::STRIKES && !server.out.is_empty();
@@ -60,7 +56,7 @@
 
     /// Whether it may get anything new: in service, and not out of it by hand.
     pub(crate) fn may_take(&self, server: &Backend) -> bool {
-        server.info.condition == Condition::InService && !self.banned.contains(&server.info.id)
+        server.info.status == ServerStatus::InService && !self.banned.contains(&server.info.id)
     }
 
     /// Expected time to an answer, in usual answers: by the work of what is out and not by its number, as a
@@ -86,7 +82,7 @@
         let away = if server.info.zone == self.settings.zone {
             1.0
         } else {
-            self.settings.away
+            self.settings.cross_zone_slowdown
         };
         (out + expected / usual + server.queue) * server.ratio * stall * away
             / (warmth * stands_for)
@@ -110,17 +106,17 @@
 
     /// Share of its capacity that a server has at least by now.
     pub(super) fn warmth(&self, now: Millis, info: &Server) -> f64 {
-        let rules = &self.settings.rules;
+        let rules = &self.settings.slow_start;
         // Guards servers that the people on call restarted: the list may tell of that late, or not at all.
         let started = info
-            .started
+            .started_at
             .into_iter()
             .chain(self.returned.get(&info.id).copied())
             .reduce(f64::max);
         match started {
-            Some(started) if rules.warm_after > 0.0 && now - started < rules.warm_after => {
-                let part = (now - started).max(0.0) / rules.warm_after;
-                (rules.cold_from + (1.0 - rules.cold_from) * part).clamp(0.01, 1.0)
+            Some(started) if rules.duration > 0.0 && now - started < rules.duration => {
+                let part = (now - started).max(0.0) / rules.duration;
+                (rules.initial_capacity + (1.0 - rules.initial_capacity) * part).clamp(0.01, 1.0)
             }
             _ => 1.0,
         }
@@ -146,17 +142,17 @@
     /// Requests of usual work a second that are held to fell a cold server, and how many gateways may send
     /// to it.
     fn cold_limit(&self, now: Millis, server: &Backend, all_cold: bool) -> (f64, f64) {
-        let rules = &self.settings.rules;
+        let rules = &self.settings.slow_start;
         // Guards a fleet that is all cold, of whose like nothing was ever seen: what runs at all does one
         // usual request after the other, and answers tell how long one takes.
-        let alone = server.info.size.min(1.0) * 1000.0 / self.usual() * self.cold_times();
+        let alone = server.info.capacity.min(1.0) * 1000.0 / self.usual() * self.cold_times();
         let carry = if self.load.carry > 0.0 {
-            self.load.carry * server.info.size
+            self.load.carry * server.info.capacity
         } else {
             alone
         };
-        let rate = rules.fall_multiple * self.warmth(now, &server.info) * carry;
-        let limit = rate.max(0.0) * rules.fall_time / 1000.0;
+        let rate = rules.overload_multiple * self.warmth(now, &server.info) * carry;
+        let limit = rate.max(0.0) * rules.overload_time / 1000.0;
         let picked = match all_cold {
             true => COLD_SHARE * limit,
             false => (COLD_GATEWAYS * limit).max(COLD_FEW.min(limit / COLD_FEW)),
@@ -194,15 +190,15 @@
 
     /// What this gateway may still send to a cold server, in requests of usual work.
     pub(super) fn cold_budget(&self, now: Millis, server: &Backend, all_cold: bool) -> Bucket {
-        let span = self.settings.rules.fall_time / 1000.0;
+        let span = self.settings.slow_start.overload_time / 1000.0;
         let (rate, picked) = self.cold_limit(now, server, all_cold);
         let all = f64::from(self.settings.group_size.max(1));
         // Guards gateways that would have no server while there is no warm one: they take turns of as
         // long as it takes to fell one, and share the rate over all turns. Golden steps deal turns out
         // evenly, and alike at all that know the same servers, whatever each has learnt.
         let (mine, shared_by) = if all_cold && picked < all {
-            let turn =
-                (now / self.settings.rules.fall_time).floor() + f64::from(self.settings.me.0);
+            let turn = (now / self.settings.slow_start.overload_time).floor()
+                + f64::from(self.settings.gateway_id.0);
             ((turn * GOLDEN + server.turn).fract() < picked / all, all)
         } else {
             (f64::from(server.rank) < picked, picked)
@@ -215,9 +211,9 @@
 
     /// How many gateways come before this one in the hashed order for a life of a server.
     pub(super) fn rank(&self, server: &Server) -> u32 {
-        let life = u64::from(server.id.0) << 32 ^ server.started.unwrap_or(0.0).to_bits();
+        let life = u64::from(server.id.0) << 32 ^ server.started_at.unwrap_or(0.0).to_bits();
         let score = |gateway: u32| (mix(life ^ mix(u64::from(gateway))), gateway);
-        let mine = score(self.settings.me.0);
+        let mine = score(self.settings.gateway_id.0);
         (0..self.settings.group_size)
             .filter(|other| score(*other) < mine)
             .count() as u32
--- a/crates/emberpin-balancer/src/decisions/health.rs
+++ b/crates/emberpin-balancer/src/decisions/health.rs
@@ -15,7 +15,12 @@
 const EJECT_SHARE: f64 = 0.5;
 
 impl Gateway {
-    pub(super) fn learn(&mut self, now: Millis, attempt: &Attempt, actions: &mut Vec<Action>) {
+    pub(super) fn learn(
+        &mut self,
+        now: Millis,
+        attempt: &AttemptResult,
+        actions: &mut Vec<Action>,
+    ) {
         let id = attempt.server;
         let kind = self
             .requests
@@ -24,20 +29,20 @@
         if let Some(server) = self.servers.get_mut(&id) {
             server.out.remove(&(attempt.request, attempt.attempt));
             server.heard = now;
-            server.queue = attempt.report.queue.unwrap_or(server.queue);
+            server.queue = attempt.load.queue_length.unwrap_or(server.queue);
         }
         let cold = self
             .servers
             .get(&id)
             .is_some_and(|server| self.warmth(now, &server.info) < 1.0);
-        if let (Some(waits), true) = (attempt.report.queue, cold) {
+        if let (Some(waits), true) = (attempt.load.queue_length, cold) {
             self.load.cold_waits += (waits - self.load.cold_waits) * balancing::COLD_WEIGHT;
             self.load.cold_told = now;
         }
         let before_gap = now - attempt.elapsed < self.woke;
         if let (Some(server), Some(fault), false) = (
             self.servers.get_mut(&id),
-            attempt.outcome.fault(),
+            attempt.outcome.failure_weight(),
             before_gap,
         ) {
             server.faults += (fault - server.faults) * GAIN;
@@ -50,8 +55,8 @@
                 self.strike(now, id, 1.0, false, actions);
             }
             Outcome::ConnectFailed => self.strike(now, id, STRIKES, true, actions),
-            Outcome::Full => self.strike(now, id, 0.5, false, actions),
-            Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Rejected => self.strike(now, id, 0.5, false, actions),
+            Outcome::Cancelled | Outcome::NotSent => {}
         }
         self.check_congestion(now, actions);
     }
@@ -69,14 +74,14 @@
             |server: &Backend| self.may_take(server) && self.warmth(now, &server.info) >= 1.0;
         let warm = self.servers.get(&id).is_some_and(serves);
         self.load.warm_share += (f64::from(u8::from(warm)) - self.load.warm_share) * GAIN;
-        if elapsed <= self.settings.classes[class].aim * AIM_SHARE {
+        if elapsed <= self.settings.classes[class].latency_target * AIM_SHARE {
             self.load.quick = now;
         }
         // The mean of all answers so far at first: where traffic is thin, a life would else go by the
         // least of the aims, and refuse what could wait, for most of a minute.
         self.load.aims += 1.0;
-        self.aim +=
-            (self.settings.classes[class].aim - self.aim) * (GAIN * GAIN).max(1.0 / self.load.aims);
+        self.aim += (self.settings.classes[class].latency_target - self.aim)
+            * (GAIN * GAIN).max(1.0 / self.load.aims);
         let latency = &mut self.latency[class];
         latency.learn(units, elapsed, GAIN);
         // Both count as a millisecond at least: else whoever answers sooner seems faster than any that has
@@ -111,7 +116,7 @@
         for server in self
             .servers
             .values()
-            .filter(|s| s.info.condition == Condition::InService)
+            .filter(|s| s.info.status == ServerStatus::InService)
         {
             count += 1.0;
             strikes += server.strikes;
@@ -121,7 +126,7 @@
         // Guards against resting one server after the other for what strikes them all: of connections that
         // break by chance some break twice running, at whichever server.
         let fellow = |(other, s): &(&ServerId, &Backend)| {
-            **other != id && s.info.condition == Condition::InService
+            **other != id && s.info.status == ServerStatus::InService
         };
         let mut fellows: Vec<f64> = self
             .servers
@@ -155,22 +160,22 @@
         }
     }
 
-    pub(super) fn membership(&mut self, now: Millis, news: Membership) {
-        let full = matches!(news, Membership::Full(_));
-        let (Membership::Full(lines) | Membership::Changes(lines)) = news else {
+    pub(super) fn membership(&mut self, now: Millis, news: MembershipUpdate) {
+        let full = matches!(news, MembershipUpdate::Full(_));
+        let (MembershipUpdate::Full(lines) | MembershipUpdate::Changes(lines)) = news else {
             return;
         };
         if full {
             for (id, server) in &mut self.servers {
                 if !lines.iter().any(|line| line.id == *id) {
-                    server.info.condition = Condition::Gone;
+                    server.info.status = ServerStatus::Removed;
                 }
             }
         }
         for line in lines {
             let rank = self.rank(&line);
             match self.servers.get_mut(&line.id) {
-                Some(server) if server.info.started == line.started => server.info = line,
+                Some(server) if server.info.started_at == line.started_at => server.info = line,
                 known => {
                     let out = known
                         .map(|old| std::mem::take(&mut old.out))
@@ -187,7 +192,7 @@
             }
         }
         self.servers
-            .retain(|_, s| s.info.condition != Condition::Gone || !s.out.is_empty());
+            .retain(|_, s| s.info.status != ServerStatus::Removed || !s.out.is_empty());
         let count = self.servers.len() as f64;
         self.servers
             .values_mut()
--- a/crates/emberpin-balancer/src/decisions/mod.rs
+++ b/crates/emberpin-balancer/src/decisions/mod.rs
@@ -85,8 +85,8 @@
     /// A gateway that starts now and knows only its settings.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Gateway {
         let latency = settings.classes.iter().map(|c| Latency {
-            mean: c.aim * 0.25,
-            deviation: c.aim * 0.1,
+            mean: c.latency_target * 0.25,
+            deviation: c.latency_target * 0.1,
         });
         Gateway {
             rng: oorandom::Rand64::new(u128::from(seed)),
@@ -118,7 +118,7 @@
             aim: settings
                 .classes
                 .iter()
-                .map(|c| c.aim)
+                .map(|c| c.latency_target)
                 .fold(f64::INFINITY, f64::min),
             heard: f64::NEG_INFINITY,
             joined: f64::NEG_INFINITY,
@@ -129,34 +129,37 @@
         }
     }
 
-    /// How many servers rest now, ejected for their failures.
-    pub fn resting(&self, now: Millis) -> u32 {
+    /// How many servers are ejected as outliers now.
+    pub fn ejected_count(&self, now: Millis) -> u32 {
         self.servers
             .values()
             .map(|server| u32::from(now < server.ejected_until))
             .sum()
     }
 
-    /// Whether a server is out of service by hand.
-    pub fn is_banned(&self, server: ServerId) -> bool {
+    /// Whether an operator took a server out of service, see [`Event::Maintenance`].
+    pub fn is_in_maintenance(&self, server: ServerId) -> bool {
         self.banned.contains(&server)
     }
 
-    /// The zone and cell of a server.
-    pub fn place(&self, server: ServerId) -> Option<(usize, u32)> {
+    /// The failure domains of a server; `None` for a server that is not known (any more).
+    pub fn location(&self, server: ServerId) -> Option<Location> {
         self.servers
             .get(&server)
-            .map(|server| (server.info.zone, server.info.cell))
+            .map(|server| server.info.location())
     }
 
-    /// How many servers the list names, and how many of them get nothing now: by hand, or by choice.
-    pub fn pool(&self, now: Millis) -> (usize, usize) {
+    /// How many servers the endpoint list names, and how many of them get no requests now.
+    pub fn pool_size(&self, now: Millis) -> PoolSize {
         let listed = self
             .servers
             .values()
-            .filter(|server| server.info.condition != Condition::Gone);
+            .filter(|server| server.info.status != ServerStatus::Removed);
         let avoided = |s: &&Backend| now < s.ejected_until || self.banned.contains(&s.info.id);
-        (listed.clone().count(), listed.filter(avoided).count())
+        PoolSize {
+            listed: listed.clone().count(),
+            avoided: listed.filter(avoided).count(),
+        }
     }
 
     /// Takes one event and appends what is to be done.
@@ -164,27 +167,27 @@
         match self.seen.replace(now) {
             Some(seen) => self.notice_gap(now, now - seen),
             None => {
-                actions.push(Action::Schedule {
+                actions.push(Action::SetTimer {
                     delay: self.period(),
                     token: TICK_TOKEN,
                 });
-                if self.settings.ask_for_servers {
+                if self.settings.subscribe_servers {
                     actions.push(Action::WatchServers { on: true });
                 }
             }
         }
         match event {
             Event::Request(request) => self.arrive(now, request, actions),
-            Event::Attempt(attempt) => {
+            Event::AttemptEnded(attempt) => {
                 self.learn(now, &attempt, actions);
                 self.conclude(now, &attempt, actions);
             }
-            Event::Streaming { request } => drop(self.finish(request)),
+            Event::ResponseStarted { request } => drop(self.finish(request)),
             Event::Abandoned { request } => {
                 // Nobody waits for it any more: spares the server work that clients repeat elsewhere.
                 let open = self
                     .finish(request)
-                    .filter(|o| o.out.is_some() && self.settings.cancel);
+                    .filter(|o| o.out.is_some() && self.settings.can_cancel);
                 actions.extend(open.map(|o| Action::Cancel {
                     request,
                     attempt: o.attempts - 1,
@@ -192,11 +195,14 @@
             }
             Event::Timer { token: TICK_TOKEN } => self.tick(now, actions),
             Event::Membership(news) => self.membership(now, news),
-            Event::Maintenance { server, out } => self.maintain(now, server, out, actions),
-            Event::Peer { from, bytes } => self.hear(now, from, &bytes),
-            Event::Paired { on } => self.paired = on,
-            Event::Shared(spent) => self.share(now, spent),
-            Event::Timer { .. } | Event::Probed { .. } | Event::Counted { .. } => {}
+            Event::Maintenance {
+                server,
+                out_of_service: out,
+            } => self.maintain(now, server, out, actions),
+            Event::PeerMessage { from, bytes } => self.hear(now, from, &bytes),
+            Event::SiblingChanged { running: on } => self.paired = on,
+            Event::SiblingUsage(spent) => self.share(now, spent),
+            Event::Timer { .. } | Event::ProbeEnded { .. } | Event::CounterReply { .. } => {}
         }
     }
 
--- a/crates/emberpin-balancer/src/decisions/peers.rs
+++ b/crates/emberpin-balancer/src/decisions/peers.rs
@@ -22,14 +22,15 @@
     /// Time between gossip messages: the tick, or longer where the few peers take in less.
     pub(super) fn period(&self) -> Millis {
         let peers = f64::from(self.settings.group_size.max(1) - 1);
-        let full = 1000.0 * peers / (self.settings.mail_per_s * MAIL_SHARE).max(0.001);
+        let full =
+            1000.0 * peers / (self.settings.peer_messages_per_second * MAIL_SHARE).max(0.001);
         TICK.max(full.min(ALL_TOLD) * f64::from(u8::from(self.tells_all())))
     }
 
     /// Whether peers are few enough for each to be told often (or nobody can be told).
     pub(super) fn tells_all(&self) -> bool {
         let peers = f64::from(self.settings.group_size.max(1) - 1);
-        let mail = self.settings.mail_per_s;
+        let mail = self.settings.peer_messages_per_second;
         mail <= 0.0 || peers * 1000.0 <= mail * MAIL_SHARE * ALL_TOLD
     }
 
@@ -38,7 +39,7 @@
     }
 
     pub(super) fn tick(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        actions.push(Action::Schedule {
+        actions.push(Action::SetTimer {
             delay: self.period(),
             token: TICK_TOKEN,
         });
@@ -56,7 +57,7 @@
         // moment ago, as cold ones are there too, does not make those able to do less.
         let serving = self.servers.values().filter(|server| self.may_take(server));
         let warm = serving.filter(|s| self.warmth(now, &s.info) >= 1.0);
-        let sizes = warm.map(|s| s.info.size.max(0.01)).sum::<f64>();
+        let sizes = warm.map(|s| s.info.capacity.max(0.01)).sum::<f64>();
         if sizes > 0.0 {
             let group = f64::from(self.settings.group_size.max(1));
             let carry = joint * self.load.warm_share * group / sizes;
@@ -79,10 +80,10 @@
         let plans = &self.settings.plans;
         self.customers.retain(|_, c| {
             c.withheld *= f64::from(u8::from(!caught_up));
-            let refill = plans[c.plan].burst * 1000.0 / plans[c.plan].rate.max(0.001);
+            let refill = plans[c.plan].quota_burst * 1000.0 / plans[c.plan].quota_rate.max(0.001);
             c.open > 0 || now - c.used < IDLE.max(2.0 * refill)
         });
-        let warm_after = self.settings.rules.warm_after;
+        let warm_after = self.settings.slow_start.duration;
         self.returned.retain(|_, at| now - *at < warm_after);
         self.kept.retain(|id| self.customers.contains_key(id));
         self.news.retain(|id| self.customers.contains_key(id));
@@ -96,7 +97,7 @@
     /// lost message heals with the next. Among many, the keepers tell the set in turn with what chance
     /// to let a customer in while that is below one; all within the peers' intake.
     fn gossip(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        if self.settings.mail_per_s <= 0.0 {
+        if self.settings.peer_messages_per_second <= 0.0 {
             return;
         }
         let all = self.tells_all();
@@ -106,10 +107,11 @@
         let header = gossip::Writer::new(self.life as u32, out, self.load.rate);
         let mut mail: BTreeMap<u32, gossip::Writer> = BTreeMap::new();
         if all {
-            let peers = (0..self.settings.group_size).filter(|peer| *peer != self.settings.me.0);
+            let peers =
+                (0..self.settings.group_size).filter(|peer| *peer != self.settings.gateway_id.0);
             mail.extend(peers.map(|peer| (peer, header.clone())));
         }
-        let pace = self.settings.mail_per_s * 2.0 * MAIL_SHARE;
+        let pace = self.settings.peer_messages_per_second * 2.0 * MAIL_SHARE;
         let mut room = self.mail.fill(now, pace, pace * GATHER / 1000.0);
         let mut order: Vec<(f64, u64)> = Vec::new();
         for id in &self.news {
@@ -117,7 +119,7 @@
             let pressed = self.advice.get(id).is_some_and(|(chance, _)| *chance < 1.0);
             if all || now - customer.told_at >= if pressed { GATHER_PRESSED } else { GATHER } {
                 order.push((
-                    customer.asked / self.settings.plans[customer.plan].burst.max(1.0),
+                    customer.asked / self.settings.plans[customer.plan].quota_burst.max(1.0),
                     *id,
                 ));
             }
@@ -159,7 +161,7 @@
                 }
             }
         }
-        let every = 1000.0 / (self.settings.mail_per_s * quotas::ADVICE_SHARE);
+        let every = 1000.0 / (self.settings.peer_messages_per_second * quotas::ADVICE_SHARE);
         for id in &self.kept {
             let Some(customer) = self.customers.get_mut(id) else {
                 continue;
@@ -167,14 +169,14 @@
             let chance = customer.chance(now, &self.settings.plans[customer.plan]);
             if chance < 1.0 {
                 // When the pressure ends, each member is told once more.
-                customer.owed = customer.set.1;
+                customer.owed = customer.gateways.size;
             }
             customer.advised = customer.advised.max(now - GATHER);
             while customer.owed > 0 && now - customer.advised >= every && room >= 1.0 {
-                let peer = (customer.set.0 + customer.cursor) % self.settings.group_size;
-                customer.cursor = (customer.cursor + 1) % customer.set.1;
+                let peer = (customer.gateways.first.0 + customer.cursor) % self.settings.group_size;
+                customer.cursor = (customer.cursor + 1) % customer.gateways.size;
                 customer.owed -= 1;
-                if peer != self.settings.me.0 {
+                if peer != self.settings.gateway_id.0 {
                     customer.advised += every;
                     room -= f64::from(u8::from(!mail.contains_key(&peer)));
                     let message = mail.entry(peer).or_insert_with(|| header.clone());
@@ -187,7 +189,7 @@
         }
         self.mail.level = room;
         for (peer, message) in mail {
-            actions.push(Action::Tell {
+            actions.push(Action::SendToPeer {
                 to: Some(GatewayId(peer)),
                 bytes: message.finish(),
             });
@@ -200,7 +202,7 @@
         let Some(message) = gossip::read(bytes) else {
             return;
         };
-        if from == self.settings.me || from.0 >= self.settings.group_size {
+        if from == self.settings.gateway_id || from.0 >= self.settings.group_size {
             return;
         }
         let told = gossip::whole_life(message.life, now);
@@ -235,8 +237,11 @@
                 } => {
                     // A keeper may never be asked for a customer itself.
                     if !self.tells_all() && plan < self.settings.plans.len() {
-                        let id = CustomerId(customer);
-                        self.ensure_customer(now, id, PlanId(plan), GatewayId(first), size);
+                        let gateways = GatewaySet {
+                            first: GatewayId(first),
+                            size,
+                        };
+                        self.ensure_customer(now, CustomerId(customer), PlanId(plan), gateways);
                     }
                     self.take_count(now, from.0, customer, units, asked);
                 }
@@ -259,10 +264,10 @@
         for customer in self.customers.values_mut() {
             let (plan, set) = (
                 &self.settings.plans[customer.plan],
-                f64::from(customer.set.1),
+                f64::from(customer.gateways.size),
             );
-            customer.quota.level += plan.burst * (1.0 - 1.0 / set);
-            customer.ceiling.level += plan.ceiling_burst / set;
+            customer.quota.level += plan.quota_burst * (1.0 - 1.0 / set);
+            customer.ceiling.level += plan.limit_burst / set;
         }
     }
 
@@ -289,8 +294,8 @@
         // What peers let in while they were not heard comes in one sum, and was held back here meanwhile.
         let held_back = fresh.min(customer.withheld);
         customer.withheld -= held_back;
-        customer.quota.fill(now, plan.rate, plan.burst);
-        customer.quota.take(fresh - held_back, -plan.burst);
+        customer.quota.fill(now, plan.quota_rate, plan.quota_burst);
+        customer.quota.take(fresh - held_back, -plan.quota_burst);
         customer.ask(now, asked);
     }
 }
--- a/crates/emberpin-balancer/src/decisions/quotas.rs
+++ b/crates/emberpin-balancer/src/decisions/quotas.rs
@@ -18,8 +18,8 @@
 
 impl Customer {
     fn spend(&mut self, plan: &Plan, units: f64) {
-        self.quota.take(units, -plan.burst);
-        self.ceiling.take(units, -plan.ceiling_burst);
+        self.quota.take(units, -plan.quota_burst);
+        self.ceiling.take(units, -plan.limit_burst);
         self.own += units;
     }
 
@@ -35,9 +35,10 @@
         let faded = self.demand * ((self.demand_at - now) / DEMAND_TIME).exp();
         let seen = 1.0 - ((self.since - now).min(-USE_UP) / DEMAND_TIME).exp();
         let demand = faded * 1000.0 / DEMAND_TIME / seen;
-        let level = (self.quota.level + (now - self.quota.at) * plan.rate / 1000.0).min(plan.burst);
-        let spare = level - plan.burst * RESERVE;
-        ((plan.rate + spare * 1000.0 / USE_UP) / demand.max(1e-6)).clamp(0.01, 1.0)
+        let level = (self.quota.level + (now - self.quota.at) * plan.quota_rate / 1000.0)
+            .min(plan.quota_burst);
+        let spare = level - plan.quota_burst * RESERVE;
+        ((plan.quota_rate + spare * 1000.0 / USE_UP) / demand.max(1e-6)).clamp(0.01, 1.0)
     }
 }
 
@@ -47,8 +48,7 @@
         now: Millis,
         id: CustomerId,
         plan: PlanId,
-        first: GatewayId,
-        set: u32,
+        gateways: GatewaySet,
     ) {
         let id = id.0 & gossip::ID_MASK;
         if let Some(known) = self.customers.get_mut(&id) {
@@ -58,34 +58,40 @@
         let PlanId(number) = plan;
         let plan = &self.settings.plans[number];
         let group = self.settings.group_size.max(1);
-        let set = (first.0 % group, set.clamp(1, group));
-        let mut keepers: Vec<u32> = (0..set.1).map(|k| (set.0 + k) % group).collect();
+        let gateways = GatewaySet {
+            first: GatewayId(gateways.first.0 % group),
+            size: gateways.size.clamp(1, group),
+        };
+        let mut keepers: Vec<u32> = (0..gateways.size)
+            .map(|k| (gateways.first.0 + k) % group)
+            .collect();
         if !self.tells_all() && keepers.len() > 2 * KEEPERS {
             keepers.sort_by_key(|peer| mix(id ^ mix(u64::from(*peer) + 1)));
             keepers.truncate(KEEPERS);
         }
-        let keeper = keepers.contains(&self.settings.me.0);
-        keepers.retain(|peer| *peer != self.settings.me.0);
-        let kept = keepers.len() + usize::from(keeper) < set.1 as usize;
+        let keeper = keepers.contains(&self.settings.gateway_id.0);
+        keepers.retain(|peer| *peer != self.settings.gateway_id.0);
+        let kept = keepers.len() + usize::from(keeper) < gateways.size as usize;
         // A store that every peer of the set would have told of, had it been used, is full; else
         // the burst is split over the set until counts arrive. Who keeps no store guards the whole.
-        let settled = (now - self.born) * plan.rate / 1000.0 >= plan.burst && !self.alone(now);
+        let settled =
+            (now - self.born) * plan.quota_rate / 1000.0 >= plan.quota_burst && !self.alone(now);
         let whole = self.first || settled || (kept && !keeper);
         let level = if whole {
-            plan.burst
+            plan.quota_burst
         } else {
-            plan.burst / f64::from(set.1)
+            plan.quota_burst / f64::from(gateways.size)
         };
         // Ceiling guard: a fresh life may follow one that had spent the share, so the share fills
         // from the moment of birth, unless the whole group was seen to start.
         let share = if self.first {
-            plan.ceiling_burst / f64::from(set.1)
+            plan.limit_burst / f64::from(gateways.size)
         } else {
             0.0
         };
         let customer = Customer {
             plan: number,
-            set,
+            gateways,
             keepers,
             keeper,
             quota: Bucket { level, at: now },
@@ -116,23 +122,27 @@
         let alone = self.alone(now) && now - self.born > SILENT;
         let customer = self.customers.get_mut(&id)?;
         let plan = &self.settings.plans[customer.plan];
-        let set = f64::from(customer.set.1);
+        let set = f64::from(customer.gateways.size);
         let mut wait = 0.0f64;
         customer.asked += units;
         customer.tell = 2;
         self.news.insert(id);
-        if plan.rate > 0.0 {
+        if plan.quota_rate > 0.0 {
             // Guards the quota while no peer is heard: what the set's others let in is unknown then, so
             // each lets in its part of the rate. Harm: a customer that comes through one gateway only
             // gets no more than that part. Not where a keeper advises, whose last advice stands.
             let apart = alone && !customer.kept();
-            let rate = if apart { plan.rate / set } else { plan.rate };
+            let rate = if apart {
+                plan.quota_rate / set
+            } else {
+                plan.quota_rate
+            };
             let span =
                 (now - customer.quota.at)
                     .max(0.0)
                     .min(if apart { now - self.heard } else { 0.0 });
-            customer.withheld += (plan.rate - rate) * span / 1000.0;
-            let level = customer.quota.fill(now, rate, plan.burst);
+            customer.withheld += (plan.quota_rate - rate) * span / 1000.0;
+            let level = customer.quota.fill(now, rate, plan.quota_burst);
             customer.ask(now, units);
             let keeps = customer.kept() && customer.keeper;
             let chance = if keeps {
@@ -141,15 +151,17 @@
                 advice
             };
             if roll >= chance || (!keeps && level < units) {
-                wait = (units - level).max(units) * 1000.0 / plan.rate;
+                wait = (units - level).max(units) * 1000.0 / plan.quota_rate;
             }
         }
-        if plan.ceiling_rate > 0.0 {
-            let rate = plan.ceiling_rate / set;
-            let level = customer.ceiling.fill(now, rate, plan.ceiling_burst / set);
+        if plan.limit_rate > 0.0 {
+            let rate = plan.limit_rate / set;
+            let level = customer.ceiling.fill(now, rate, plan.limit_burst / set);
             wait = wait.max((units - level) * 1000.0 / rate);
         }
-        if plan.open > 0.0 && f64::from(customer.open) >= (plan.open / set).max(1.0) {
+        if plan.max_in_flight > 0.0
+            && f64::from(customer.open) >= (plan.max_in_flight / set).max(1.0)
+        {
             wait = wait.max(TICK);
         }
         Some(wait).filter(|wait| *wait > 0.0)
@@ -164,7 +176,10 @@
         };
         let plan = &self.settings.plans[customer.plan];
         let quiet = self.load.level == 0 && self.out(now) < self.onset(1) * SPARE_SHARE;
-        quiet && plan.over_worth > plan.over_cost && plan.ceiling_rate <= 0.0 && plan.open <= 0.0
+        quiet
+            && plan.over_quota_value > plan.over_quota_cost
+            && plan.limit_rate <= 0.0
+            && plan.max_in_flight <= 0.0
     }
 
     pub(super) fn take_units(
@@ -180,50 +195,44 @@
         customer.open += 1;
         if inside {
             customer.spend(&self.settings.plans[customer.plan], units);
-            let (plan, set) = (customer.plan, customer.set);
-            let spent = Spent::Units {
+            let (plan, gateways) = (customer.plan, customer.gateways);
+            let spent = Usage::Units {
                 customer: id,
                 plan,
-                set,
+                gateways,
                 units,
             };
-            actions.extend(self.paired.then_some(Action::Share(spent)));
+            actions.extend(self.paired.then_some(Action::ShareUsage(spent)));
         }
     }
 
     /// Counts what the other process of this gateway spent as its own: stores, ceilings and what cold
     /// servers may get hold for both together, later than at once by the time that telling takes.
-    pub(super) fn share(&mut self, now: Millis, spent: Spent) {
+    pub(super) fn share(&mut self, now: Millis, spent: Usage) {
         match spent {
-            Spent::Units {
+            Usage::Units {
                 customer,
                 plan,
-                set,
+                gateways,
                 units,
             } if plan < self.settings.plans.len() => {
-                self.ensure_customer(
-                    now,
-                    CustomerId(customer),
-                    PlanId(plan),
-                    GatewayId(set.0),
-                    set.1,
-                );
+                self.ensure_customer(now, CustomerId(customer), PlanId(plan), gateways);
                 let Some(known) = self.customers.get_mut(&customer) else {
                     return;
                 };
                 let plan = &self.settings.plans[known.plan];
-                known.quota.fill(now, plan.rate, plan.burst);
-                let set = f64::from(known.set.1);
+                known.quota.fill(now, plan.quota_rate, plan.quota_burst);
+                let set = f64::from(known.gateways.size);
                 known
                     .ceiling
-                    .fill(now, plan.ceiling_rate / set, plan.ceiling_burst / set);
+                    .fill(now, plan.limit_rate / set, plan.limit_burst / set);
                 known.spend(plan, units);
                 known.ask(now, units);
                 known.tell = 2;
                 self.news.insert(customer);
             }
-            Spent::Units { .. } => {}
-            Spent::Cold { server: id, work } => {
+            Usage::Units { .. } => {}
+            Usage::SlowStart { server: id, work } => {
                 let all_cold = self.all_cold(now);
                 let budget = |server| self.cold_budget(now, server, all_cold);
                 let Some(budget) = self.servers.get(&id).map(budget) else {
--- a/crates/emberpin-balancer/src/handover.rs
+++ b/crates/emberpin-balancer/src/handover.rs
@@ -35,9 +35,16 @@
 
 impl Shape {
     fn of(settings: &Settings) -> Shape {
-        let plan = |plan: &Plan| (plan.rate, plan.burst, plan.ceiling_rate, plan.ceiling_burst);
+        let plan = |plan: &Plan| {
+            (
+                plan.quota_rate,
+                plan.quota_burst,
+                plan.limit_rate,
+                plan.limit_burst,
+            )
+        };
         Shape {
-            me: settings.me,
+            me: settings.gateway_id,
             group: settings.group_size,
             classes: settings.classes.len(),
             plans: settings.plans.iter().map(plan).collect(),
@@ -82,7 +89,7 @@
                 c.demand,
             ];
             c.plan < self.shape.plans.len()
-                && c.set.1 >= 1
+                && c.gateways.size >= 1
                 && figures.iter().all(|figure| figure.is_finite())
         };
         let load = [
@@ -107,9 +114,9 @@
 
 impl Gateway {
     /// What the next process is to know; this one goes on as before.
-    pub fn hand_over(&self) -> Handover {
+    pub fn to_handover(&self) -> Handover {
         let seen = |server: &Backend| Seen {
-            started: server.info.started,
+            started: server.info.started_at,
             ratio: server.ratio,
             queue: server.queue,
             strikes: server.strikes,
@@ -148,7 +155,7 @@
     /// A gateway that goes on where another process left off: on the same clock, with this list of servers. What was
     /// known under other settings than these is left, but for what is out of service by hand; the second value
     /// says whether it was.
-    pub fn take_over(
+    pub fn from_handover(
         settings: Settings,
         seed: u64,
         now: Millis,
@@ -184,7 +191,7 @@
         }
         gateway.handle(
             now,
-            Event::Membership(Membership::Full(listed)),
+            Event::Membership(MembershipUpdate::Full(listed)),
             &mut Vec::new(),
         );
         // The first event asks for the timer; the next one is to ask again, when its actions are carried out.
@@ -194,7 +201,7 @@
                 let Some(seen) = given
                     .servers
                     .get(id)
-                    .filter(|s| s.started == server.info.started)
+                    .filter(|s| s.started == server.info.started_at)
                 else {
                     continue;
                 };
--- a/crates/emberpin-balancer/src/settings.rs
+++ b/crates/emberpin-balancer/src/host_config.rs
@@ -6,9 +6,14 @@
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
+/// A server or a gateway is in a zone that the configuration does not list.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("unknown zone '{0}'")]
+pub struct UnknownZone(pub String);
+
 /// The names that the settings gave to the indices.
 #[derive(Clone, Debug)]
-pub struct Names {
+pub struct IndexNames {
     classes: BTreeMap<String, usize>,
     plans: BTreeMap<String, usize>,
     zones: BTreeMap<String, usize>,
@@ -17,7 +22,7 @@
 
 /// One line of a list of servers, in names.
 #[derive(Debug)]
-pub struct Listed<'a> {
+pub struct ServerEntry<'a> {
     /// Which server.
     pub id: ServerId,
     /// Its zone.
@@ -27,14 +32,14 @@
     /// Its cell.
     pub cell: Option<u32>,
     /// Its stated size.
-    pub size: Option<f64>,
+    pub capacity: Option<f64>,
     /// When it last started, on the host's clock.
-    pub started: Option<Millis>,
+    pub started_at: Option<Millis>,
     /// Its standing.
-    pub condition: Condition,
+    pub status: ServerStatus,
 }
 
-impl Names {
+impl IndexNames {
     /// The class of this name.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.classes.get(name).copied().map(ClassId)
@@ -54,40 +59,40 @@
     }
 
     /// A line of the list; the error names a zone that the settings do not.
-    pub fn server(&self, line: Listed) -> Result<Server, String> {
+    pub fn server(&self, line: ServerEntry) -> Result<Server, UnknownZone> {
         Ok(Server {
             id: line.id,
             zone: *self
                 .zones
                 .get(line.zone)
-                .ok_or_else(|| format!("unknown zone '{}'", line.zone))?,
+                .ok_or_else(|| UnknownZone(line.zone.to_owned()))?,
             kind: line
                 .kind
                 .and_then(|kind| self.kinds.get(kind))
                 .copied()
                 .unwrap_or(0),
             cell: line.cell.unwrap_or(0),
-            size: line.size.unwrap_or(1.0),
-            started: line.started,
-            condition: line.condition,
+            capacity: line.capacity.unwrap_or(1.0),
+            started_at: line.started_at,
+            status: line.status,
         })
     }
 }
 
 /// The value of a load report that has this name in the settings.
-pub fn report_field<'a>(report: &'a mut Report, name: &str) -> Option<&'a mut Option<f64>> {
+pub fn report_field<'a>(report: &'a mut LoadReport, name: &str) -> Option<&'a mut Option<f64>> {
     Some(match name {
-        "mean_ms" => &mut report.service,
-        "depth" => &mut report.queue,
-        "concurrent" => &mut report.held,
-        "load_share" => &mut report.busy,
+        "mean_ms" => &mut report.service_time,
+        "depth" => &mut report.queue_length,
+        "concurrent" => &mut report.in_flight,
+        "load_share" => &mut report.utilization,
         _ => return None,
     })
 }
 
 /// A load report, by the names that its values have in the settings.
-pub fn report(value: impl Fn(&str) -> Option<f64>) -> Report {
-    let mut report = Report::default();
+pub fn report(value: impl Fn(&str) -> Option<f64>) -> LoadReport {
+    let mut report = LoadReport::default();
     for name in ["mean_ms", "depth", "concurrent", "load_share"] {
         if let Some(field) = report_field(&mut report, name) {
             *field = value(name);
@@ -107,7 +112,7 @@
 /// The settings as they stand in JSON; opaque but for what a host may need of them.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Conf {
+pub struct HostConfig {
     my_number: u32,
     group_size: u32,
     zone: String,
@@ -215,16 +220,16 @@
     peer: f64,
 }
 
-impl Conf {
+impl HostConfig {
     /// What the decisions are told, and the names of the indices in it.
-    pub fn translate(&self) -> Result<(Settings, Names), String> {
+    pub fn to_settings(&self) -> Result<(Settings, IndexNames), UnknownZone> {
         fn index<'a>(names: impl Iterator<Item = &'a String>) -> BTreeMap<String, usize> {
             names
                 .enumerate()
                 .map(|(i, name)| (name.clone(), i))
                 .collect()
         }
-        let names = Names {
+        let names = IndexNames {
             classes: index(self.profiles.iter().map(|p| &p.name)),
             plans: index(self.plans.iter().map(|p| &p.name)),
             zones: index(self.failure_domains.iter()),
@@ -233,7 +238,7 @@
         let zone = *names
             .zones
             .get(&self.zone)
-            .ok_or_else(|| format!("unknown zone '{}'", self.zone))?;
+            .ok_or_else(|| UnknownZone(self.zone.clone()))?;
         Ok((settings(self, zone), names))
     }
 
@@ -243,7 +248,7 @@
     }
 
     /// No request counts more units, where that is told.
-    pub fn most_units(&self) -> Option<f64> {
+    pub fn max_units(&self) -> Option<f64> {
         Some(self.family_info.max_units).filter(|most| *most > 0.0)
     }
 
@@ -253,67 +258,67 @@
     }
 }
 
-fn settings(conf: &Conf, zone: usize) -> Settings {
+fn settings(conf: &HostConfig, zone: usize) -> Settings {
     let class = |p: &Profile| Class {
-        aim: p.aim_ms,
+        latency_target: p.aim_ms,
         deadline: p.deadline_ms,
-        worth: p.worth,
-        late_worth: p.late_worth,
-        effect: match p.semantics {
-            Semantics::Safe => Effect::Safe,
-            Semantics::Unsafe => Effect::Unsafe,
-            Semantics::Keyed => Effect::Keyed {
-                group: match p.group {
-                    Some(Repeats::All) => Group::All,
-                    Some(Repeats::Zone) => Group::Zone,
-                    Some(Repeats::Cell) | None => Group::Cell,
+        value: p.worth,
+        late_value: p.late_worth,
+        idempotency: match p.semantics {
+            Semantics::Safe => Idempotency::Safe,
+            Semantics::Unsafe => Idempotency::Unsafe,
+            Semantics::Keyed => Idempotency::Keyed {
+                scope: match p.group {
+                    Some(Repeats::All) => DedupScope::All,
+                    Some(Repeats::Zone) => DedupScope::Zone,
+                    Some(Repeats::Cell) | None => DedupScope::Cell,
                 },
                 window: p.dedup_window_ms.unwrap_or(0.0),
             },
         },
     };
     let plan = |p: &Tariff| Plan {
-        rate: p.per_second,
-        burst: p.store_size,
-        open: p.at_once,
-        ceiling_rate: p.cap_rate,
-        ceiling_burst: p.hard_burst,
+        quota_rate: p.per_second,
+        quota_burst: p.store_size,
+        max_in_flight: p.at_once,
+        limit_rate: p.cap_rate,
+        limit_burst: p.hard_burst,
         price: p.price,
-        over_worth: p.over_worth,
-        over_cost: p.overrun_cost,
+        over_quota_value: p.over_worth,
+        over_quota_cost: p.overrun_cost,
     };
     Settings {
-        me: GatewayId(conf.my_number),
+        gateway_id: GatewayId(conf.my_number),
         group_size: conf.group_size,
         zone,
         classes: conf.profiles.iter().map(class).collect(),
         plans: conf.plans.iter().map(plan).collect(),
-        rules: Rules {
-            cold_from: conf.rules.cold_from,
-            warm_after: conf.rules.warm_after_ms,
-            fall_multiple: conf.rules.fall_multiple,
-            fall_time: conf.rules.overload_for_ms,
+        slow_start: SlowStart {
+            initial_capacity: conf.rules.cold_from,
+            duration: conf.rules.warm_after_ms,
+            overload_multiple: conf.rules.fall_multiple,
+            overload_time: conf.rules.overload_for_ms,
         },
-        try_limit: conf.bounds.try_limit,
-        second_copies: conf.bounds.second_copies,
+        max_attempts: conf.bounds.try_limit,
+        hedging: conf.bounds.second_copies,
         max_retry_after: if conf.bounds.retry_after {
             conf.bounds.max_retry_after_ms
         } else {
             0.0
         },
-        mail_per_s: if conf.bounds.may_tell {
+        peer_messages_per_second: if conf.bounds.may_tell {
             conf.family_info.mail_per_s
         } else {
             0.0
         },
-        ask_for_servers: conf.membership_mode == "ask",
-        cancel: conf.bounds.cancel,
-        probes: conf.bounds.probes,
-        settles: conf.family_info.settles,
+        subscribe_servers: conf.membership_mode == "ask",
+        can_cancel: conf.bounds.cancel,
+        can_probe: conf.bounds.probes,
+        units_are_estimates: conf.family_info.settles,
         meter_period: conf.family_info.meter_ms,
         shared_counter: conf.family_info.shared_counter,
-        away: 1.0,
-        price_cross_zone: conf.prices.cross_zone,
-        price_peer: conf.prices.peer,
+        cross_zone_slowdown: 1.0,
+        cross_zone_price: conf.prices.cross_zone,
+        peer_message_price: conf.prices.peer,
     }
 }
--- /dev/null
+++ b/crates/emberpin-balancer/src/interface/actions.rs
@@ -0,0 +1,80 @@
+//! What a gateway asks its host to do.
+
+use super::{GatewayId, Millis, RequestId, ServerId, Usage};
+
+/// What the host has to do. Actions are carried out in the order in which they were appended.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Action {
+    /// Send the next attempt of a request.
+    Send {
+        /// The request.
+        request: RequestId,
+        /// The server to send it to.
+        server: ServerId,
+        /// Milliseconds after which the attempt is broken off and ends as [`Outcome::Timeout`](crate::Outcome::Timeout).
+        timeout: Millis,
+    },
+    /// Final answer: rejected. The client may safely retry.
+    Reject {
+        /// The request.
+        request: RequestId,
+        /// Milliseconds for which the client should wait before it retries; 0 for no advice.
+        retry_after: Millis,
+    },
+    /// Final answer: failed. The request may have run, and a retry may run it twice.
+    Fail {
+        /// The request.
+        request: RequestId,
+    },
+    /// Cancel an attempt in flight.
+    Cancel {
+        /// The request.
+        request: RequestId,
+        /// The attempt's number.
+        attempt: u32,
+    },
+    /// Probe a server.
+    Probe {
+        /// The server.
+        server: ServerId,
+    },
+    /// Close idle connections to a server.
+    CloseIdle {
+        /// The server.
+        server: ServerId,
+    },
+    /// Deliver [`Event::Timer`](crate::Event::Timer) later.
+    SetTimer {
+        /// Milliseconds until then.
+        delay: Millis,
+        /// The token to deliver.
+        token: u64,
+    },
+    /// Send a message to another gateway, or to all of them.
+    SendToPeer {
+        /// The gateway to send it to; `None` for all.
+        to: Option<GatewayId>,
+        /// The encoded message, at most [`gossip::MAX_BYTES`](crate::gossip::MAX_BYTES).
+        bytes: Vec<u8>,
+    },
+    /// Fetch the whole endpoint list once.
+    FetchServers,
+    /// Subscribe to changes of the endpoint list, or unsubscribe.
+    WatchServers {
+        /// Whether to subscribe.
+        on: bool,
+    },
+    /// Add to a counter of the counter service.
+    AddToCounter {
+        /// The counter.
+        counter: u64,
+        /// What to add.
+        amount: f64,
+        /// Milliseconds after which a counter that this call creates expires.
+        lifetime: Millis,
+    },
+    /// Send what was used up to the second process of this gateway.
+    ShareUsage(Usage),
+    /// Write a line to the operators' log; the same text comes once in five seconds at most.
+    Log(String),
+}
--- a/crates/emberpin-balancer/src/lib.rs
+++ b/crates/emberpin-balancer/src/lib.rs
@@ -2,15 +2,15 @@
 //!
 //! The library is a state machine without I/O: feed [`Gateway::handle`] what happened and carry out
 //! the [`Action`]s it appends. Types are in [`interface`], every decision is in [`decisions`], the byte
-//! layout of messages between gateways is in [`gossip`], and the hosts' JSON in [`settings`].
+//! layout of messages between gateways is in [`gossip`], and the hosts' JSON in [`host_config`].
 #![forbid(unsafe_code)]
 
 pub mod decisions;
 pub mod gossip;
 pub mod handover;
+pub mod host_config;
 mod host_queries;
 pub mod interface;
-pub mod settings;
 mod state;
 
 pub use decisions::Gateway;
--- a/crates/emberpin-balancer/src/state.rs
+++ b/crates/emberpin-balancer/src/state.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Customer {
     pub plan: usize,
-    pub set: (u32, u32),
+    pub gateways: GatewaySet,
     /// The peers that are told of its use, and whether this gateway is one of those that keep it.
     pub keepers: Vec<u32>,
     pub keeper: bool,
@@ -57,16 +57,15 @@
 impl Customer {
     /// Whether its set is too large for all to tell all.
     pub fn kept(&self) -> bool {
-        self.keepers.len() + usize::from(self.keeper) < self.set.1 as usize
+        self.keepers.len() + usize::from(self.keeper) < self.gateways.size as usize
     }
 
     pub fn count(&self, id: u64) -> Entry {
-        let (first, size) = self.set;
         Entry::Count {
             customer: id,
             plan: self.plan,
-            first,
-            size,
+            first: self.gateways.first.0,
+            size: self.gateways.size,
             units: self.own,
             asked: self.asked,
         }
@@ -128,7 +127,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Load {
     /// Attempts that may be out by the servers' own word, this gateway's part; 0 where they give none.
-    pub borne: f64,
+    pub reported_capacity: f64,
     /// The congestion level.
     pub level: usize,
     /// Answers since the last tick, their rate a second, and the remembered peak of the joint rate.
@@ -169,11 +168,33 @@
     pub out: Option<ServerId>,
     pub sent: Millis,
     /// When and where the first attempt that may have run was sent.
-    pub ran: Option<(Millis, usize, u32)>,
+    pub ran: Option<FirstRun>,
 }
 
-/// Where a keyed repeat may go: the group, and the zone and cell of the first attempt.
-pub type Within = Option<(Group, usize, u32)>;
+/// The first attempt of a request that may have run.
+#[derive(Clone, Copy, Debug)]
+pub struct FirstRun {
+    pub sent_at: Millis,
+    pub location: Location,
+}
+
+/// The servers that a repeat of a keyed request may go to: those that know its key from the first attempt.
+#[derive(Clone, Copy, Debug)]
+pub struct RetryScope {
+    pub scope: DedupScope,
+    /// Where the first attempt was sent.
+    pub location: Location,
+}
+
+impl RetryScope {
+    pub fn contains(&self, server: &Server) -> bool {
+        match self.scope {
+            DedupScope::All => true,
+            DedupScope::Zone => server.zone == self.location.zone,
+            DedupScope::Cell => server.cell == self.location.cell,
+        }
+    }
+}
 
 /// Mean and mean deviation of a latency over all servers.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
--- a/crates/emberpin-balancer/tests/common/fleet.rs
+++ b/crates/emberpin-balancer/tests/common/fleet.rs
@@ -27,7 +27,7 @@
     Ended {
         to: usize,
         life: u32,
-        attempt: Attempt,
+        attempt: AttemptResult,
     },
 }
 
@@ -100,7 +100,7 @@
                 .collect();
             fleet.feed(
                 me as usize,
-                emberpin_balancer::Event::Membership(Membership::Full(lines)),
+                emberpin_balancer::Event::Membership(MembershipUpdate::Full(lines)),
             );
         }
         fleet.at(now, Event::Arrival);
@@ -109,7 +109,7 @@
 
     fn gateway(&mut self, me: u32) -> Gateway {
         let settings = Settings {
-            me: GatewayId(me),
+            gateway_id: GatewayId(me),
             ..self.settings.clone()
         };
         Gateway::new(settings, self.random.rand_u64(), self.now)
@@ -117,7 +117,7 @@
 
     fn boot(&mut self, id: u32, started: Option<Millis>) -> ServerId {
         let info = Server {
-            started,
+            started_at: started,
             ..super::server(id)
         };
         let id = info.id;
@@ -155,14 +155,15 @@
         let mut lines = Vec::new();
         for id in 0..count {
             let mut old = super::server(id);
-            old.condition = Condition::Draining;
+            old.status = ServerStatus::Draining;
             lines.push(old);
             let id = self.boot(10_000 + id, Some(self.now));
             lines.push(self.machines[&id].info.clone());
         }
         for to in 0..self.gateways.len() {
             let when = self.now + self.uniform(0.0, late);
-            let event = emberpin_balancer::Event::Membership(Membership::Changes(lines.clone()));
+            let event =
+                emberpin_balancer::Event::Membership(MembershipUpdate::Changes(lines.clone()));
             let life = self.gateways[to].1;
             self.at(when, Event::Feed { to, life, event });
         }
@@ -180,7 +181,7 @@
                 .collect();
             self.feed(
                 me as usize,
-                emberpin_balancer::Event::Membership(Membership::Full(lines)),
+                emberpin_balancer::Event::Membership(MembershipUpdate::Full(lines)),
             );
         }
     }
@@ -226,9 +227,11 @@
                 customer: CustomerId(u64::from(self.next)),
                 remaining: self.settings.classes[0].deadline,
                 units: 1.0,
-                set_size: 3.min(group),
-                set_first: GatewayId(to as u32),
-                ran: None,
+                gateways: GatewaySet {
+                    first: GatewayId(to as u32),
+                    size: 3.min(group),
+                },
+                prior_attempt: None,
             }),
         );
     }
@@ -244,15 +247,15 @@
                     server,
                     timeout,
                 } => self.send(to, request, server, timeout),
-                Action::Refuse { request, .. } | Action::Fail { request } => {
+                Action::Reject { request, .. } | Action::Fail { request } => {
                     self.outcomes.refused += 1;
                     self.requests.remove(&request);
                 }
-                Action::Schedule { delay, token } => {
+                Action::SetTimer { delay, token } => {
                     let event = emberpin_balancer::Event::Timer { token };
                     self.at(self.now + delay, Event::Feed { to, life, event });
                 }
-                Action::Tell {
+                Action::SendToPeer {
                     to: Some(GatewayId(peer)),
                     bytes,
                 } => self.tell(to, peer as usize, bytes),
@@ -264,12 +267,13 @@
     /// One message in twenty is lost, and whatever is over the intake.
     fn tell(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         let (at, level) = self.mail[to];
-        let room = (level + (self.now - at) / 1000.0 * self.settings.mail_per_s).min(5.0);
+        let room =
+            (level + (self.now - at) / 1000.0 * self.settings.peer_messages_per_second).min(5.0);
         let taken = room >= 1.0 && self.random.rand_float() > 0.05;
         self.mail[to] = (self.now, if taken { room - 1.0 } else { room });
         if taken {
             let (when, life) = (self.now + self.uniform(1.0, 36.0), self.gateways[to].1);
-            let event = emberpin_balancer::Event::Peer {
+            let event = emberpin_balancer::Event::PeerMessage {
                 from: GatewayId(from as u32),
                 bytes,
             };
@@ -278,11 +282,11 @@
     }
 
     fn warmth(&self, info: &Server) -> f64 {
-        let rules = &self.settings.rules;
+        let rules = &self.settings.slow_start;
         let part = info
-            .started
-            .map_or(1.0, |at| ((self.now - at) / rules.warm_after).min(1.0));
-        rules.cold_from + (1.0 - rules.cold_from) * part
+            .started_at
+            .map_or(1.0, |at| ((self.now - at) / rules.duration).min(1.0));
+        rules.initial_capacity + (1.0 - rules.initial_capacity) * part
     }
 
     fn send(&mut self, to: usize, request: RequestId, server: ServerId, timeout: Millis) {
@@ -311,31 +315,31 @@
         };
         let elapsed = took.min(timeout);
         let life = self.gateways[to].1;
-        let attempt = Attempt {
+        let attempt = AttemptResult {
             request,
             attempt,
             server,
             outcome,
             elapsed,
-            ended: outcome == Outcome::Ok,
-            repeatable: true,
-            report: Report::default(),
+            answered: outcome == Outcome::Ok,
+            replayable: true,
+            load: LoadReport::default(),
             units: None,
             metered: None,
         };
         self.at(now + elapsed, Event::Ended { to, life, attempt });
     }
 
-    fn ended(&mut self, to: usize, life: u32, mut attempt: Attempt) {
+    fn ended(&mut self, to: usize, life: u32, mut attempt: AttemptResult) {
         let machine = self
             .machines
             .get_mut(&attempt.server)
             .expect("it was sent to");
         machine.held -= 1;
-        attempt.report.queue = Some(f64::from(machine.held.saturating_sub(1)));
+        attempt.load.queue_length = Some(f64::from(machine.held.saturating_sub(1)));
         if attempt.outcome == Outcome::Ok {
             if let Some((_, asked, _)) = self.requests.remove(&attempt.request) {
-                let in_time = self.now - asked <= self.settings.classes[0].aim;
+                let in_time = self.now - asked <= self.settings.classes[0].latency_target;
                 *(if in_time {
                     &mut self.outcomes.in_time
                 } else {
@@ -344,22 +348,22 @@
             }
         }
         if self.gateways[to].1 == life {
-            self.feed(to, emberpin_balancer::Event::Attempt(attempt));
+            self.feed(to, emberpin_balancer::Event::AttemptEnded(attempt));
         }
     }
 
     /// The most that any cold server was sent within the rule's span, as a share of what fells it.
     pub fn nearest_to_falling(&self) -> f64 {
-        let rules = &self.settings.rules;
+        let rules = &self.settings.slow_start;
         let most = |machine: &Machine| {
             let windows = machine.cold.iter().map(|(from, _)| {
                 let within = machine
                     .cold
                     .iter()
-                    .filter(|(at, _)| (*from..*from + rules.fall_time).contains(at));
+                    .filter(|(at, _)| (*from..*from + rules.overload_time).contains(at));
                 within.map(|(_, seconds)| seconds).sum::<f64>()
             });
-            windows.fold(0.0, f64::max) / (rules.fall_multiple * rules.fall_time / 1000.0)
+            windows.fold(0.0, f64::max) / (rules.overload_multiple * rules.overload_time / 1000.0)
         };
         self.machines.values().map(most).fold(0.0, f64::max)
     }
--- a/crates/emberpin-balancer/tests/common/mod.rs
+++ b/crates/emberpin-balancer/tests/common/mod.rs
@@ -11,64 +11,64 @@
     next: u32,
 }
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: Idempotency) -> Class {
     Class {
-        aim: 500.0,
+        latency_target: 500.0,
         deadline: 2000.0,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect,
+        value: 1.0,
+        late_value: 0.0,
+        idempotency: effect,
     }
 }
 
 pub fn settings() -> Settings {
     let keyed = |group| {
-        class(Effect::Keyed {
-            group,
+        class(Idempotency::Keyed {
+            scope: group,
             window: 1500.0,
         })
     };
     let plan = |ceiling_rate, ceiling_burst| Plan {
-        rate: 10.0,
-        burst: 20.0,
-        open: 0.0,
-        ceiling_rate,
-        ceiling_burst,
+        quota_rate: 10.0,
+        quota_burst: 20.0,
+        max_in_flight: 0.0,
+        limit_rate: ceiling_rate,
+        limit_burst: ceiling_burst,
         price: 1.0,
-        over_worth: 0.0,
-        over_cost: 0.5,
+        over_quota_value: 0.0,
+        over_quota_cost: 0.5,
     };
     Settings {
-        me: GatewayId(0),
+        gateway_id: GatewayId(0),
         group_size: 3,
         zone: 0,
         classes: vec![
-            class(Effect::Safe),
-            class(Effect::Unsafe),
-            keyed(Group::All),
-            keyed(Group::Zone),
-            keyed(Group::Cell),
+            class(Idempotency::Safe),
+            class(Idempotency::Unsafe),
+            keyed(DedupScope::All),
+            keyed(DedupScope::Zone),
+            keyed(DedupScope::Cell),
         ],
         plans: vec![plan(0.0, 0.0), plan(20.0, 40.0)],
-        rules: Rules {
-            cold_from: 0.25,
-            warm_after: 10_000.0,
-            fall_multiple: 2.0,
-            fall_time: 1000.0,
+        slow_start: SlowStart {
+            initial_capacity: 0.25,
+            duration: 10_000.0,
+            overload_multiple: 2.0,
+            overload_time: 1000.0,
         },
-        try_limit: 4,
-        second_copies: false,
+        max_attempts: 4,
+        hedging: false,
         max_retry_after: 1000.0,
-        mail_per_s: 50.0,
-        ask_for_servers: false,
-        cancel: true,
-        probes: false,
-        settles: false,
+        peer_messages_per_second: 50.0,
+        subscribe_servers: false,
+        can_cancel: true,
+        can_probe: false,
+        units_are_estimates: false,
         meter_period: 0.0,
         shared_counter: false,
-        away: 1.0,
-        price_cross_zone: 0.0,
-        price_peer: 0.0,
+        cross_zone_slowdown: 1.0,
+        cross_zone_price: 0.0,
+        peer_message_price: 0.0,
     }
 }
 
@@ -78,9 +78,9 @@
         zone: id as usize % 3,
         kind: 0,
         cell: id % 2,
-        size: 1.0,
-        started: None,
-        condition: Condition::InService,
+        capacity: 1.0,
+        started_at: None,
+        status: ServerStatus::InService,
     }
 }
 
@@ -99,7 +99,7 @@
             now: 1_000_000.0,
             next: 0,
         };
-        bench.list(Membership::Full((0..servers).map(server).collect()));
+        bench.list(MembershipUpdate::Full((0..servers).map(server).collect()));
         bench
     }
 
@@ -109,7 +109,7 @@
         actions
     }
 
-    pub fn list(&mut self, news: Membership) -> Vec<Action> {
+    pub fn list(&mut self, news: MembershipUpdate) -> Vec<Action> {
         self.handle(Event::Membership(news))
     }
 
@@ -157,9 +157,11 @@
             customer: CustomerId(customer),
             remaining,
             units,
-            set_size,
-            set_first: GatewayId(0),
-            ran: None,
+            gateways: GatewaySet {
+                first: GatewayId(0),
+                size: set_size,
+            },
+            prior_attempt: None,
         };
         (id, self.handle(Event::Request(request)))
     }
@@ -180,17 +182,17 @@
         id: RequestId,
         attempt: u32,
         at: ServerId,
-        report: Report,
+        report: LoadReport,
     ) -> Vec<Action> {
-        self.handle(Event::Attempt(Attempt {
+        self.handle(Event::AttemptEnded(AttemptResult {
             request: id,
             attempt,
             server: at,
             outcome: Outcome::Ok,
             elapsed: 20.0,
-            ended: true,
-            repeatable: true,
-            report,
+            answered: true,
+            replayable: true,
+            load: report,
             units: None,
             metered: None,
         }))
@@ -203,7 +205,7 @@
             now: self.now,
             next: self.next,
         };
-        bench.list(Membership::Full((0..servers).map(server).collect()));
+        bench.list(MembershipUpdate::Full((0..servers).map(server).collect()));
         bench
     }
 
@@ -215,15 +217,15 @@
         outcome: Outcome,
         ended: bool,
     ) -> Vec<Action> {
-        self.handle(Event::Attempt(Attempt {
+        self.handle(Event::AttemptEnded(AttemptResult {
             request: id,
             attempt,
             server: at,
             outcome,
             elapsed: 20.0,
-            ended,
-            repeatable: true,
-            report: Report::default(),
+            answered: ended,
+            replayable: true,
+            load: LoadReport::default(),
             units: None,
             metered: None,
         }))
@@ -257,6 +259,10 @@
     }
 }
 
+pub fn pool_size(listed: usize, avoided: usize) -> PoolSize {
+    PoolSize { listed, avoided }
+}
+
 pub fn sent(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(*server),
@@ -265,7 +271,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
@@ -276,7 +282,7 @@
     actions
         .iter()
         .filter_map(|a| match a {
-            Action::Tell { to: peer, bytes } if peer.is_none_or(|p| p == GatewayId(to)) => {
+            Action::SendToPeer { to: peer, bytes } if peer.is_none_or(|p| p == GatewayId(to)) => {
                 Some(bytes.clone())
             }
             _ => None,
--- a/crates/emberpin-balancer/tests/fleet.rs
+++ b/crates/emberpin-balancer/tests/fleet.rs
@@ -9,11 +9,11 @@
 /// Classes without quotas, and an intake that is far too small to tell all once peers are many.
 fn thin() -> Settings {
     let mut settings = settings();
-    settings.classes[0].aim = 1_000.0;
+    settings.classes[0].latency_target = 1_000.0;
     settings.classes[0].deadline = 4_000.0;
-    settings.plans[0].rate = 0.0;
-    settings.mail_per_s = 40.0;
-    settings.rules.warm_after = 17_000.0;
+    settings.plans[0].quota_rate = 0.0;
+    settings.peer_messages_per_second = 40.0;
+    settings.slow_start.duration = 17_000.0;
     settings
 }
 
@@ -85,7 +85,7 @@
         };
         let mut fleet = Fleet::new(
             Settings {
-                mail_per_s: 40.0,
+                peer_messages_per_second: 40.0,
                 ..thin()
             },
             size,
--- a/crates/emberpin-balancer/tests/handover.rs
+++ b/crates/emberpin-balancer/tests/handover.rs
@@ -11,8 +11,8 @@
 /// The next process, beside the one of this bench.
 fn next(bench: &Bench, settings: Settings, servers: u32) -> (Bench, bool) {
     let listed = (0..servers).map(server).collect();
-    let given = bench.gateway.hand_over();
-    let (gateway, whole) = Gateway::take_over(settings, 9, bench.now, given, listed);
+    let given = bench.gateway.to_handover();
+    let (gateway, whole) = Gateway::from_handover(settings, 9, bench.now, given, listed);
     let mut after = bench.reborn(common::settings(), servers);
     after.gateway = gateway;
     (after, whole)
@@ -35,7 +35,7 @@
         };
         count += 1;
         shared.extend(actions.into_iter().filter_map(|action| match action {
-            Action::Share(spent) => Some(spent),
+            Action::ShareUsage(spent) => Some(spent),
             _ => None,
         }));
         bench.ends(id, 0, server, Outcome::Ok);
@@ -43,7 +43,7 @@
     if let Some(other) = other {
         shared
             .into_iter()
-            .for_each(|spent| drop(other.handle(Event::Shared(spent))));
+            .for_each(|spent| drop(other.handle(Event::SiblingUsage(spent))));
     }
     count
 }
@@ -69,7 +69,7 @@
     let alone = let_in(&mut Bench::new(settings(), 3), None, 0, 5, 200);
     let (mut new, _) = next(&old, settings(), 3);
     for bench in [&mut old, &mut new] {
-        bench.handle(Event::Paired { on: true });
+        bench.handle(Event::SiblingChanged { running: true });
     }
     let mut all = 0;
     for round in 0..20 {
@@ -97,29 +97,29 @@
         old.serve_for(200.0, 8_000.0);
         let lines = |now| {
             vec![Server {
-                started: Some(now),
+                started_at: Some(now),
                 ..server(1)
             }]
         };
         let now = old.now;
-        old.list(Membership::Changes(lines(now)));
-        old.list(Membership::Changes(vec![Server {
-            condition: Condition::Draining,
+        old.list(MembershipUpdate::Changes(lines(now)));
+        old.list(MembershipUpdate::Changes(vec![Server {
+            status: ServerStatus::Draining,
             ..server(0)
         }]));
-        let given = old.gateway.hand_over();
+        let given = old.gateway.to_handover();
         let listed = vec![
             Server {
-                condition: Condition::Draining,
+                status: ServerStatus::Draining,
                 ..server(0)
             },
             lines(now).remove(0),
         ];
-        let (gateway, _) = Gateway::take_over(settings(), 9, now, given, listed);
+        let (gateway, _) = Gateway::from_handover(settings(), 9, now, given, listed);
         let mut new = old.reborn(settings(), 2);
         new.gateway = gateway;
-        old.handle(Event::Paired { on: shares });
-        new.handle(Event::Paired { on: shares });
+        old.handle(Event::SiblingChanged { running: shares });
+        new.handle(Event::SiblingChanged { running: shares });
         let mut count = 0;
         for step in 0..200 {
             (old.now, new.now) = (old.now + 10.0, new.now + 10.0);
@@ -145,7 +145,7 @@
 fn ejections_and_bans_go_on() {
     let mut old = Bench::new(settings(), 4);
     old.serve_for(100.0, 5_000.0);
-    while old.gateway.resting(old.now) == 0 {
+    while old.gateway.ejected_count(old.now) == 0 {
         let (id, actions) = old.arrive(SAFE, 0, old.now as u64);
         let at = sent(&actions).expect("there are others");
         let outcome = if at == ServerId(3) {
@@ -158,11 +158,11 @@
     }
     old.handle(Event::Maintenance {
         server: ServerId(1),
-        out: true,
+        out_of_service: true,
     });
     let (new, _) = next(&old, settings(), 4);
-    assert!(new.gateway.is_banned(ServerId(1)));
-    assert_eq!(new.gateway.pool(new.now), (4, 2));
+    assert!(new.gateway.is_in_maintenance(ServerId(1)));
+    assert_eq!(new.gateway.pool_size(new.now), pool_size(4, 2));
 }
 
 #[test]
@@ -171,11 +171,11 @@
     let_in(&mut old, None, 0, 5, 200);
     old.handle(Event::Maintenance {
         server: ServerId(1),
-        out: true,
+        out_of_service: true,
     });
     let mut changed = settings();
-    changed.plans[0].rate *= 2.0;
+    changed.plans[0].quota_rate *= 2.0;
     let (mut new, whole) = next(&old, changed, 3);
-    assert!(!whole && new.gateway.is_banned(ServerId(1)));
+    assert!(!whole && new.gateway.is_in_maintenance(ServerId(1)));
     assert!(let_in(&mut new, None, 0, 5, 200) > 0, "as after a kill");
 }
--- a/crates/emberpin-balancer/tests/host_queries.rs
+++ b/crates/emberpin-balancer/tests/host_queries.rs
@@ -17,8 +17,8 @@
         ..settings()
     };
     settings.plans[0] = Plan {
-        rate: 0.0,
-        burst: 0.0,
+        quota_rate: 0.0,
+        quota_burst: 0.0,
         ..settings.plans[0]
     };
     settings
@@ -45,8 +45,8 @@
     );
     let (_, actions) = bench.arrive(0, 0, 1);
     assert!(refused(&actions), "{actions:?}");
-    let added =
-        [class(Effect::Safe), class(Effect::Unsafe)].map(|class| bench.gateway.add_class(class));
+    let added = [class(Idempotency::Safe), class(Idempotency::Unsafe)]
+        .map(|class| bench.gateway.add_class(class));
     assert_eq!(added, [ClassId(0), ClassId(1)]);
     for class in added {
         let (_, actions) = bench.arrive(class.0, 0, 1);
@@ -59,7 +59,7 @@
 /// start.
 #[test]
 fn an_added_class_has_the_patience_of_one_of_the_start() {
-    let added = |aim: Millis, effect: Effect| {
+    let added = |aim: Millis, effect: Idempotency| {
         let mut bench = Bench::fresh(
             Settings {
                 classes: vec![],
@@ -68,14 +68,14 @@
             2,
         );
         let class = bench.gateway.add_class(Class {
-            aim,
+            latency_target: aim,
             ..class(effect)
         });
         timeout(&bench.arrive(class.0, 0, 1).1)
     };
-    let known = |aim: Millis, effect: Effect| {
+    let known = |aim: Millis, effect: Idempotency| {
         let classes = vec![Class {
-            aim,
+            latency_target: aim,
             ..class(effect)
         }];
         timeout(
@@ -84,12 +84,21 @@
                 .1,
         )
     };
-    assert_eq!(added(400.0, Effect::Safe), Some(340.0));
-    assert_eq!(added(400.0, Effect::Safe), known(400.0, Effect::Safe));
-    assert_eq!(added(800.0, Effect::Safe), known(800.0, Effect::Safe));
+    assert_eq!(added(400.0, Idempotency::Safe), Some(340.0));
+    assert_eq!(
+        added(400.0, Idempotency::Safe),
+        known(400.0, Idempotency::Safe)
+    );
+    assert_eq!(
+        added(800.0, Idempotency::Safe),
+        known(800.0, Idempotency::Safe)
+    );
     // What may not run twice has all of its time.
-    assert_eq!(added(400.0, Effect::Unsafe), Some(2_000.0));
-    assert_eq!(added(400.0, Effect::Unsafe), known(400.0, Effect::Unsafe));
+    assert_eq!(added(400.0, Idempotency::Unsafe), Some(2_000.0));
+    assert_eq!(
+        added(400.0, Idempotency::Unsafe),
+        known(400.0, Idempotency::Unsafe)
+    );
 }
 
 /// Holds the aim that `add_class` lowers: without it the onset of a gateway that began with no class is
@@ -103,7 +112,7 @@
         },
         2,
     );
-    bench.gateway.add_class(class(Effect::Safe));
+    bench.gateway.add_class(class(Idempotency::Safe));
     bench.serve_for(20.0, 3_000.0);
     assert!(is_congested_with(&mut bench, 40));
 }
@@ -148,7 +157,7 @@
 fn what_servers_say_that_they_bear_stands_in_place_of_the_guess() {
     let borne = |out: f64| {
         let mut bench = quiet();
-        bench.gateway.bear(out);
+        bench.gateway.set_reported_capacity(out);
         bench
     };
     assert!(
@@ -165,7 +174,7 @@
     // that.
     let mut bench = Bench::fresh(alone(), 12);
     bench.serve_for(100.0, 5_000.0);
-    bench.gateway.bear(3.0);
+    bench.gateway.set_reported_capacity(3.0);
     assert!(!is_congested_with(&mut bench, 12));
     // Nothing said is the guess again.
     assert!(!is_congested_with(&mut borne(0.0), 24));
@@ -176,7 +185,13 @@
 
 /// Server 0 is in this gateway's zone, server 1 is not.
 fn near_and_far(away: f64) -> Bench {
-    Bench::fresh(Settings { away, ..alone() }, 2)
+    Bench::fresh(
+        Settings {
+            cross_zone_slowdown: away,
+            ..alone()
+        },
+        2,
+    )
 }
 
 fn chosen(bench: &mut Bench) -> (RequestId, u32) {
@@ -210,15 +225,15 @@
         for (request, to) in held {
             bench.now += 1.0;
             let elapsed = if to == 0 { 20.0 * near } else { 20.0 };
-            bench.handle(Event::Attempt(Attempt {
+            bench.handle(Event::AttemptEnded(AttemptResult {
                 request,
                 attempt: 0,
                 server: ServerId(to),
                 outcome: Outcome::Ok,
                 elapsed,
-                ended: true,
-                repeatable: true,
-                report: Report::default(),
+                answered: true,
+                replayable: true,
+                load: LoadReport::default(),
                 units: None,
                 metered: None,
             }));
@@ -241,30 +256,30 @@
 fn who_answers_within_a_millisecond_is_not_taken_for_faster_than_who_has_not_answered() {
     let mut bench = near_and_far(2.0);
     let near = |condition| {
-        Membership::Changes(vec![Server {
-            condition,
+        MembershipUpdate::Changes(vec![Server {
+            status: condition,
             ..server(0)
         }])
     };
-    bench.list(near(Condition::Draining));
+    bench.list(near(ServerStatus::Draining));
     for _ in 0..400 {
         let (request, to) = chosen(&mut bench);
         assert_eq!(to, 1);
         bench.now += 1.0;
-        bench.handle(Event::Attempt(Attempt {
+        bench.handle(Event::AttemptEnded(AttemptResult {
             request,
             attempt: 0,
             server: ServerId(to),
             outcome: Outcome::Ok,
             elapsed: 0.2,
-            ended: true,
-            repeatable: true,
-            report: Report::default(),
+            answered: true,
+            replayable: true,
+            load: LoadReport::default(),
             units: None,
             metered: None,
         }));
     }
-    bench.list(near(Condition::InService));
+    bench.list(near(ServerStatus::InService));
     assert_eq!(chosen(&mut bench).1, 0);
 }
 
@@ -288,7 +303,7 @@
 // ---- Whether another attempt would follow ----
 
 fn would(bench: &Bench, request: RequestId) -> bool {
-    bench.gateway.would_repeat(bench.now, request)
+    bench.gateway.would_retry(bench.now, request)
 }
 
 #[test]
@@ -319,17 +334,17 @@
     let mut bench = Bench::fresh(alone(), 1);
     let (request, _) = bench.arrive(SAFE, 0, 1);
     assert!(!would(&bench, request));
-    bench.list(Membership::Changes(vec![server(1)]));
+    bench.list(MembershipUpdate::Changes(vec![server(1)]));
     assert!(would(&bench, request));
-    bench.list(Membership::Changes(vec![Server {
-        condition: Condition::Draining,
+    bench.list(MembershipUpdate::Changes(vec![Server {
+        status: ServerStatus::Draining,
         ..server(1)
     }]));
     assert!(!would(&bench, request));
-    bench.list(Membership::Changes(vec![server(1)]));
+    bench.list(MembershipUpdate::Changes(vec![server(1)]));
     bench.handle(Event::Maintenance {
         server: ServerId(1),
-        out: true,
+        out_of_service: true,
     });
     assert!(!would(&bench, request));
 }
@@ -368,7 +383,7 @@
 fn a_replaced_class_is_as_one_that_was_added() {
     let mut bench = Bench::fresh(
         Settings {
-            classes: vec![class(Effect::Unsafe)],
+            classes: vec![class(Idempotency::Unsafe)],
             ..alone()
         },
         2,
@@ -377,12 +392,14 @@
     bench.gateway.replace_class(
         ClassId(0),
         Class {
-            aim: 400.0,
-            ..class(Effect::Safe)
+            latency_target: 400.0,
+            ..class(Idempotency::Safe)
         },
     );
     assert_eq!(timeout(&bench.arrive(0, 0, 1).1), Some(340.0));
     // What is not there is not replaced.
-    bench.gateway.replace_class(ClassId(7), class(Effect::Safe));
+    bench
+        .gateway
+        .replace_class(ClassId(7), class(Idempotency::Safe));
     assert!(refused(&bench.arrive(7, 0, 1).1));
 }
--- a/crates/emberpin-balancer/tests/module.rs
+++ b/crates/emberpin-balancer/tests/module.rs
@@ -14,7 +14,7 @@
 const KEYED_ZONE: usize = 3;
 
 fn peer(bench: &mut Bench, from: u32, bytes: Vec<u8>) {
-    bench.handle(Event::Peer {
+    bench.handle(Event::PeerMessage {
         from: GatewayId(from),
         bytes,
     });
@@ -158,7 +158,7 @@
         .map(|me| {
             Bench::new(
                 Settings {
-                    me: GatewayId(me),
+                    gateway_id: GatewayId(me),
                     ..settings()
                 },
                 12,
@@ -408,7 +408,7 @@
     }
     let mut bench = Bench::new(settings(), 12);
     let (id, actions) = bench.arrive(UNSAFE, 0, 1);
-    let after = bench.ends(id, 0, sent(&actions).expect("sent"), Outcome::Full);
+    let after = bench.ends(id, 0, sent(&actions).expect("sent"), Outcome::Rejected);
     assert!(
         sent(&after).is_some(),
         "turned away unseen: it may go elsewhere"
@@ -446,12 +446,12 @@
 fn drain_no_new_work_as_soon_as_told() {
     let mut bench = Bench::new(settings(), 2);
     let mut line = server(0);
-    line.condition = Condition::Draining;
-    bench.list(Membership::Changes(vec![line]));
+    line.status = ServerStatus::Draining;
+    bench.list(MembershipUpdate::Changes(vec![line]));
     for k in 0..50 {
         assert_eq!(sent(&bench.arrive(SAFE, 0, 100 + k).1), Some(ServerId(1)));
     }
-    bench.list(Membership::Full(vec![]));
+    bench.list(MembershipUpdate::Full(vec![]));
     let (_, actions) = bench.arrive(SAFE, 0, 999);
     assert!(refused(&actions), "nobody is left");
 }
@@ -461,8 +461,8 @@
     let mut bench = Bench::new(settings(), 4);
     bench.serve_for(100.0, 10_000.0);
     let mut line = server(3);
-    line.started = Some(bench.now);
-    bench.list(Membership::Changes(vec![line]));
+    line.started_at = Some(bench.now);
+    bench.list(MembershipUpdate::Changes(vec![line]));
     let start = bench.now;
     let mut cold = 0;
     let mut out = std::collections::VecDeque::new();
@@ -493,8 +493,8 @@
     // What warm ones carry is such that more gateways than these three would be let send.
     let mut bench = Bench::fresh(settings(), 4);
     bench.serve_for(400.0, 10_000.0);
-    bench.list(Membership::Changes(vec![Server {
-        started: Some(bench.now),
+    bench.list(MembershipUpdate::Changes(vec![Server {
+        started_at: Some(bench.now),
         ..server(3)
     }]));
     let start = bench.now;
@@ -526,10 +526,10 @@
     let cold_after = |bench: &mut Bench| {
         // Two leave and come anew, cold; little is asked of the two that stay.
         let lines = (2..4).map(|id| Server {
-            started: Some(bench.now),
+            started_at: Some(bench.now),
             ..server(id)
         });
-        bench.list(Membership::Changes(lines.collect()));
+        bench.list(MembershipUpdate::Changes(lines.collect()));
         bench.serve_for(10.0, 4_000.0);
         // A surge: the cold ones bear their part of it.
         let (mut cold, mut out) = (0, std::collections::VecDeque::new());
@@ -555,10 +555,10 @@
 fn a_fleet_that_is_all_cold_gets_what_one_request_after_the_other_makes() {
     let mut bench = Bench::fresh(settings(), 0);
     let cold = |id| Server {
-        started: Some(1_000_000.0),
+        started_at: Some(1_000_000.0),
         ..server(id)
     };
-    bench.list(Membership::Full((0..4).map(cold).collect()));
+    bench.list(MembershipUpdate::Full((0..4).map(cold).collect()));
     let (start, mut let_in) = (bench.now, 0);
     while bench.now < start + 5_000.0 {
         bench.now += 20.0;
@@ -578,8 +578,8 @@
 fn ceiling_share_is_kept_by_one_gateway_alone() {
     // Rate 20 and burst 40 over three gateways: 13.3 at once, 6.7 a second.
     let mut open = settings();
-    open.plans[1].rate = 1000.0;
-    open.plans[1].burst = 1000.0;
+    open.plans[1].quota_rate = 1000.0;
+    open.plans[1].quota_burst = 1000.0;
     let mut bench = Bench::new(open, 12);
     assert_eq!(let_in(&mut bench, 1, 5, 100), 13);
     bench.pass(1000.0);
@@ -593,8 +593,8 @@
 #[test]
 fn ceiling_share_counts_as_spent_in_a_fresh_life() {
     let mut open = settings();
-    open.plans[1].rate = 1000.0;
-    open.plans[1].burst = 1000.0;
+    open.plans[1].quota_rate = 1000.0;
+    open.plans[1].quota_burst = 1000.0;
     let mut bench = Bench::fresh(open, 12);
     assert_eq!(let_in(&mut bench, 1, 5, 100), 0);
 }
@@ -696,23 +696,23 @@
     empty.classes.clear();
     empty.plans.clear();
     empty.group_size = 0;
-    empty.try_limit = 0;
+    empty.max_attempts = 0;
     let mut bench = Bench::fresh(empty, 0);
     assert!(refused(&bench.arrive(SAFE, 0, 1).1));
     bench.pass(500.0);
     bench.ends(RequestId(99), 3, ServerId(5), Outcome::Ok);
-    bench.handle(Event::Streaming {
+    bench.handle(Event::ResponseStarted {
         request: RequestId(4),
     });
-    bench.handle(Event::Counted {
-        name: 1,
+    bench.handle(Event::CounterReply {
+        counter: 1,
         total: None,
     });
     let mut zero = settings();
-    zero.plans[0].rate = 0.0;
-    zero.plans[0].burst = 0.0;
-    zero.rules.warm_after = 0.0;
-    zero.mail_per_s = 0.0;
+    zero.plans[0].quota_rate = 0.0;
+    zero.plans[0].quota_burst = 0.0;
+    zero.slow_start.duration = 0.0;
+    zero.peer_messages_per_second = 0.0;
     let mut bench = Bench::fresh(zero, 1);
     assert!(
         sent(&bench.arrive_with(SAFE, 0, 1, 1.0, 0).1).is_some(),
@@ -747,15 +747,15 @@
 }
 
 fn answer(bench: &mut Bench, id: RequestId, server: ServerId, elapsed: Millis) {
-    bench.handle(Event::Attempt(Attempt {
+    bench.handle(Event::AttemptEnded(AttemptResult {
         request: id,
         attempt: 0,
         server,
         outcome: Outcome::Ok,
         elapsed,
-        ended: true,
-        repeatable: true,
-        report: Report::default(),
+        answered: true,
+        replayable: true,
+        load: LoadReport::default(),
         units: None,
         metered: None,
     }));
@@ -820,10 +820,10 @@
     let mut bench = knows_sizes(2);
     let only = |bench: &mut Bench, id: u32| {
         let draining = Server {
-            condition: Condition::Draining,
+            status: ServerStatus::Draining,
             ..server(1 - id)
         };
-        bench.list(Membership::Full(vec![server(id), draining]));
+        bench.list(MembershipUpdate::Full(vec![server(id), draining]));
     };
     only(&mut bench, 0);
     for _ in 0..40 {
@@ -834,7 +834,7 @@
     for _ in 0..6 {
         answered_after(&mut bench, 1.0, 40.0);
     }
-    bench.list(Membership::Full(vec![server(0), server(1)]));
+    bench.list(MembershipUpdate::Full(vec![server(0), server(1)]));
     assert_eq!(sent(&bench.arrive(SAFE, 0, 1).1), Some(ServerId(0)));
 }
 
@@ -846,7 +846,7 @@
     for _ in 0..10 {
         answered_after(&mut bench, 1.0, 20.0);
     }
-    bench.list(Membership::Changes(vec![server(2)]));
+    bench.list(MembershipUpdate::Changes(vec![server(2)]));
     for k in 0..3 {
         bench.arrive_with(SAFE, 0, 500 + k, 1.0, 3);
     }
@@ -863,10 +863,10 @@
         let mut bench = knows_sizes(2);
         let only = |bench: &mut Bench, id: u32| {
             let draining = Server {
-                condition: Condition::Draining,
+                status: ServerStatus::Draining,
                 ..server(1 - id)
             };
-            bench.list(Membership::Full(vec![server(id), draining]));
+            bench.list(MembershipUpdate::Full(vec![server(id), draining]));
         };
         only(&mut bench, 0);
         bench.arrive_with(SAFE, 0, 1, 4.0, 3);
@@ -877,7 +877,7 @@
         for k in 0..4 {
             bench.arrive_with(SAFE, 0, 10 + k, 1.0, 3);
         }
-        bench.list(Membership::Full(vec![server(0), server(1)]));
+        bench.list(MembershipUpdate::Full(vec![server(0), server(1)]));
         assert_eq!(
             sent(&bench.arrive_with(SAFE, 0, 5, 1.0, 3).1),
             Some(ServerId(expected)),
@@ -893,15 +893,15 @@
         bench.serve_for(100.0, 4_000.0);
         learn_sizes(&mut bench);
         // The warm ones are so busy that all goes to the cold one that its guard allows.
-        bench.list(Membership::Changes(vec![Server {
-            condition: Condition::Draining,
+        bench.list(MembershipUpdate::Changes(vec![Server {
+            status: ServerStatus::Draining,
             ..server(3)
         }]));
         for k in 0..30 {
             bench.arrive_with(SAFE, 0, 1 + k, 4.0, 3);
         }
-        bench.list(Membership::Changes(vec![Server {
-            started: Some(bench.now),
+        bench.list(MembershipUpdate::Changes(vec![Server {
+            started_at: Some(bench.now),
             ..server(3)
         }]));
         bench.now += 400.0;
@@ -1038,7 +1038,7 @@
 #[test]
 fn paid_work_beyond_the_quota_is_let_in_only_while_quiet() {
     let mut paid = settings();
-    paid.plans[0].over_worth = 0.6;
+    paid.plans[0].over_quota_value = 0.6;
     let mut bench = Bench::new(paid.clone(), 12);
     assert_eq!(
         let_in(&mut bench, 0, 5, 60),
@@ -1081,7 +1081,7 @@
             out.extend(sent(&bench.ends(id, attempt, to, outcome)).map(|to| (id, attempt + 1, to)));
         }
         if k % 50 == 49 {
-            rested += bench.gateway.resting(bench.now);
+            rested += bench.gateway.ejected_count(bench.now);
             looks += SERVERS;
         }
     }
@@ -1182,7 +1182,7 @@
 fn maintain(bench: &mut Bench, id: u32, out: bool) -> Vec<Action> {
     bench.handle(Event::Maintenance {
         server: ServerId(id),
-        out,
+        out_of_service: out,
     })
 }
 
@@ -1203,17 +1203,17 @@
     let mut bench = Bench::new(settings(), 3);
     maintain(&mut bench, 1, true);
     assert_eq!(served_by(&mut bench, 60), BTreeSet::from([0, 2]));
-    assert_eq!(bench.gateway.pool(bench.now), (3, 1));
+    assert_eq!(bench.gateway.pool_size(bench.now), pool_size(3, 1));
     // It leaves, and comes back as another life.
-    bench.list(Membership::Changes(vec![Server {
-        condition: Condition::Gone,
+    bench.list(MembershipUpdate::Changes(vec![Server {
+        status: ServerStatus::Removed,
         ..server(1)
     }]));
-    assert_eq!(bench.gateway.pool(bench.now), (2, 0));
-    bench.list(Membership::Full(
+    assert_eq!(bench.gateway.pool_size(bench.now), pool_size(2, 0));
+    bench.list(MembershipUpdate::Full(
         (0..3)
             .map(|id| Server {
-                started: Some(bench.now),
+                started_at: Some(bench.now),
                 ..server(id)
             })
             .collect(),
@@ -1225,14 +1225,14 @@
     maintain(&mut bench, 1, false);
     bench.pass(30_000.0);
     assert_eq!(served_by(&mut bench, 60), BTreeSet::from([0, 1, 2]));
-    assert_eq!(bench.gateway.pool(bench.now), (3, 0));
+    assert_eq!(bench.gateway.pool_size(bench.now), pool_size(3, 0));
 }
 
 #[test]
 fn a_server_put_back_by_hand_is_held_to_be_cold_and_nothing_is_held_against_it() {
     let mut bench = Bench::fresh(settings(), 4);
     bench.serve_for(100.0, 10_000.0);
-    while bench.gateway.resting(bench.now) == 0 {
+    while bench.gateway.ejected_count(bench.now) == 0 {
         let (id, actions) = bench.arrive(SAFE, 0, 1_000 + bench.now as u64);
         let at = sent(&actions).expect("there are others");
         let outcome = if at == ServerId(3) {
@@ -1246,8 +1246,8 @@
     maintain(&mut bench, 3, true);
     maintain(&mut bench, 3, false);
     assert_eq!(
-        bench.gateway.pool(bench.now),
-        (4, 0),
+        bench.gateway.pool_size(bench.now),
+        pool_size(4, 0),
         "its failures before are forgotten"
     );
     let mut of = [0u32; 4];
@@ -1292,12 +1292,13 @@
         customer: CustomerId(5),
         remaining: 2_000.0,
         units: 1.0,
-        set_size: 3,
-        set_first: GatewayId(0),
-        ran: Some(Ran {
-            ago,
-            zone: 0,
-            cell: 0,
+        gateways: GatewaySet {
+            first: GatewayId(0),
+            size: 3,
+        },
+        prior_attempt: Some(PriorAttempt {
+            age: ago,
+            location: Location::default(),
         }),
     };
     (id, bench.handle(Event::Request(request)))
@@ -1311,7 +1312,7 @@
     let (id, actions) = taken_over(&mut bench, KEYED_ZONE, 100.0);
     let to = sent(&actions).expect("inside its window");
     assert_eq!(
-        bench.gateway.place(to).map(|place| place.0),
+        bench.gateway.location(to).map(|location| location.zone),
         Some(0),
         "where a repeat is dropped"
     );
@@ -1319,7 +1320,7 @@
     let (_, late) = taken_over(&mut bench, KEYED_ZONE, 100_000.0);
     assert_eq!(sent(&late), None, "past its window");
     // So near the window's end that it might wait past it at its server.
-    let Effect::Keyed { window, .. } = settings().classes[KEYED_ZONE].effect else {
+    let Idempotency::Keyed { window, .. } = settings().classes[KEYED_ZONE].idempotency else {
         panic!("keyed")
     };
     let (_, late) = taken_over(&mut bench, KEYED_ZONE, window * 0.89);
@@ -1340,7 +1341,7 @@
 
 #[test]
 fn what_is_taken_over_is_given_up_with_its_window() {
-    let Effect::Keyed { window, .. } = settings().classes[KEYED_ZONE].effect else {
+    let Idempotency::Keyed { window, .. } = settings().classes[KEYED_ZONE].idempotency else {
         panic!("keyed")
     };
     let mut sends = 0;
@@ -1348,7 +1349,7 @@
         // No further attempt is hoped for, so that this one has all the time that is left.
         let mut bench = Bench::new(
             Settings {
-                try_limit: 1,
+                max_attempts: 1,
                 ..settings()
             },
             6,
--- a/crates/emberpin-balancer/tests/recorded.rs
+++ b/crates/emberpin-balancer/tests/recorded.rs
@@ -112,20 +112,23 @@
     assert_eq!((encode(&datagrams()[0].1)[0], MAX_BYTES), (2, 256));
 }
 
-fn spent() -> Vec<(&'static str, Spent)> {
+fn spent() -> Vec<(&'static str, Usage)> {
     vec![
         (
             "units",
-            Spent::Units {
+            Usage::Units {
                 customer: 0xb4d6_5521,
                 plan: 1,
-                set: (2, 3),
+                gateways: GatewaySet {
+                    first: GatewayId(2),
+                    size: 3,
+                },
                 units: 12.5,
             },
         ),
         (
             "cold",
-            Spent::Cold {
+            Usage::SlowStart {
                 server: ServerId(300),
                 work: 0.75,
             },
@@ -135,7 +138,7 @@
 
 #[test]
 fn what_one_process_says_it_spent_is_read_and_written_as_it_was_recorded() {
-    let encode = |spent: &Spent| postcard::to_allocvec(spent).expect("encoded");
+    let encode = |spent: &Usage| postcard::to_allocvec(spent).expect("encoded");
     assert_recorded("spent.txt", &spent(), encode, |bytes| {
         postcard::from_bytes(bytes).expect("spent")
     });
@@ -160,7 +163,7 @@
     assert!(spend_all(&mut bench, 0) > 0 && spend_all(&mut bench, WITH_CEILING) > 0);
     bench.handle(Event::Maintenance {
         server: ServerId(2),
-        out: true,
+        out_of_service: true,
     });
     bench
 }
@@ -168,9 +171,9 @@
 fn write_handover() -> Vec<Recorded> {
     let bench = worn();
     let bytes = |handover: Handover| postcard::to_allocvec(&handover).expect("encoded");
-    let fresh = Bench::fresh(settings(), 2).gateway.hand_over();
+    let fresh = Bench::fresh(settings(), 2).gateway.to_handover();
     vec![
-        ("worn".into(), bytes(bench.gateway.hand_over())),
+        ("worn".into(), bytes(bench.gateway.to_handover())),
         ("fresh".into(), bytes(fresh)),
     ]
 }
@@ -202,11 +205,11 @@
     let mut next = Bench::fresh(settings(), 3);
     next.now = 1_060_000.0;
     let listed = (0..3).map(server).collect();
-    let (gateway, whole) = Gateway::take_over(settings(), 9, next.now, handover, listed);
+    let (gateway, whole) = Gateway::from_handover(settings(), 9, next.now, handover, listed);
     next.gateway = gateway;
     assert!(whole, "its figures are gone on with");
     assert!(
-        next.gateway.is_banned(ServerId(2)),
+        next.gateway.is_in_maintenance(ServerId(2)),
         "out of service by hand"
     );
     assert_eq!(
@@ -221,7 +224,7 @@
     );
     // What was not spent again is handed over as it came.
     let (handover, _) = recorded_handover("worn");
-    let (gateway, _) = Gateway::take_over(
+    let (gateway, _) = Gateway::from_handover(
         settings(),
         9,
         next.now,
@@ -229,7 +232,7 @@
         (0..3).map(server).collect(),
     );
     assert_eq!(
-        hex(&postcard::to_allocvec(&gateway.hand_over()).expect("encoded")),
+        hex(&postcard::to_allocvec(&gateway.to_handover()).expect("encoded")),
         hex(&bytes)
     );
 }
@@ -238,7 +241,7 @@
 fn write_ejected() -> Vec<Recorded> {
     let mut bench = Bench::new(settings(), 4);
     bench.serve_for(100.0, 5_000.0);
-    while bench.gateway.resting(bench.now) == 0 {
+    while bench.gateway.ejected_count(bench.now) == 0 {
         let (id, actions) = bench.arrive(SAFE, 0, bench.now as u64);
         let at = sent(&actions).expect("there are others");
         let outcome = if at == ServerId(3) {
@@ -249,7 +252,7 @@
         bench.ends_as(id, 0, at, outcome, true);
         bench.now += 1.0;
     }
-    let bytes = postcard::to_allocvec(&bench.gateway.hand_over()).expect("encoded");
+    let bytes = postcard::to_allocvec(&bench.gateway.to_handover()).expect("encoded");
     vec![(format!("{}", bench.now), bytes)]
 }
 
@@ -259,8 +262,15 @@
     let now: Millis = time.parse().expect("a time");
     let handover = postcard::from_bytes(&bytes).expect("a handover");
     let (gateway, whole) =
-        Gateway::take_over(settings(), 9, now, handover, (0..4).map(server).collect());
+        Gateway::from_handover(settings(), 9, now, handover, (0..4).map(server).collect());
     assert!(whole);
-    assert_eq!((gateway.resting(now), gateway.pool(now)), (1, (4, 1)));
-    assert_eq!(gateway.resting(now + 600_000.0), 0, "it is tried again");
+    assert_eq!(
+        (gateway.ejected_count(now), gateway.pool_size(now)),
+        (1, pool_size(4, 1))
+    );
+    assert_eq!(
+        gateway.ejected_count(now + 600_000.0),
+        0,
+        "it is tried again"
+    );
 }
--- a/crates/emberpin-balancer/tests/rules.rs
+++ b/crates/emberpin-balancer/tests/rules.rs
@@ -70,12 +70,12 @@
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Ok,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Rejected,
     Outcome::Timeout,
     Outcome::ConnectFailed,
     Outcome::Reset,
     Outcome::Cancelled,
-    Outcome::Moot,
+    Outcome::NotSent,
 ];
 
 #[derive(Default)]
@@ -109,7 +109,7 @@
     bench: Bench,
     settings: Settings,
     watched: BTreeMap<RequestId, Watched>,
-    draining: BTreeMap<ServerId, Condition>,
+    draining: BTreeMap<ServerId, ServerStatus>,
     shares: BTreeMap<(u64, u32), Share>,
     started: BTreeMap<ServerId, f64>,
     /// Answers since this life began: before the first, nothing is known of what servers carry.
@@ -138,23 +138,23 @@
                         now + timeout <= seen.deadline + 0.001,
                         "longer than the client waits"
                     );
-                    prop_assert!(seen.attempts < self.settings.try_limit.max(1));
+                    prop_assert!(seen.attempts < self.settings.max_attempts.max(1));
                     let standing = self
                         .draining
                         .get(server)
                         .copied()
-                        .unwrap_or(Condition::Gone);
-                    prop_assert_eq!(standing, Condition::InService);
+                        .unwrap_or(ServerStatus::Removed);
+                    prop_assert_eq!(standing, ServerStatus::InService);
                     let started = self
                         .started
                         .get(server)
                         .copied()
                         .unwrap_or(f64::NEG_INFINITY);
-                    let cold = now - started < self.settings.rules.warm_after;
+                    let cold = now - started < self.settings.slow_start.duration;
                     if cold && self.served == 0 {
                         // Nothing vouches for more than one usual request after the other (125 ms), twice over.
                         let sends = self.unproven.entry(*server).or_default();
-                        sends.retain(|at| now - at < self.settings.rules.fall_time);
+                        sends.retain(|at| now - at < self.settings.slow_start.overload_time);
                         sends.push(now);
                         prop_assert!(
                             sends.len() <= 9,
@@ -162,15 +162,18 @@
                         );
                     }
                     if let Some((at, first)) = seen.ran {
-                        match self.settings.classes[seen.class].effect {
-                            Effect::Safe => {}
-                            Effect::Unsafe => prop_assert!(false, "unsafe again"),
-                            Effect::Keyed { group, window } => {
+                        match self.settings.classes[seen.class].idempotency {
+                            Idempotency::Safe => {}
+                            Idempotency::Unsafe => prop_assert!(false, "unsafe again"),
+                            Idempotency::Keyed {
+                                scope: group,
+                                window,
+                            } => {
                                 prop_assert!(now - at < window, "past the window");
                                 let apart = match group {
-                                    Group::All => 0,
-                                    Group::Zone => (first.0 % 3).abs_diff(server.0 % 3),
-                                    Group::Cell => (first.0 % 2).abs_diff(server.0 % 2),
+                                    DedupScope::All => 0,
+                                    DedupScope::Zone => (first.0 % 3).abs_diff(server.0 % 3),
+                                    DedupScope::Cell => (first.0 % 2).abs_diff(server.0 % 2),
                                 };
                                 prop_assert_eq!(apart, 0, "outside its group");
                             }
@@ -180,7 +183,7 @@
                     seen.sent = now;
                     seen.attempts += 1;
                 }
-                Action::Refuse { request, .. } | Action::Fail { request } => {
+                Action::Reject { request, .. } | Action::Fail { request } => {
                     let seen = self
                         .watched
                         .get_mut(request)
@@ -188,19 +191,19 @@
                     prop_assert!(!seen.closed, "answered twice");
                     prop_assert!(seen.out.is_none(), "answered with an attempt out");
                     seen.closed = true;
-                    if matches!(action, Action::Refuse { .. }) && seen.ran.is_some() {
+                    if matches!(action, Action::Reject { .. }) && seen.ran.is_some() {
                         let harmless = matches!(
-                            self.settings.classes[seen.class].effect,
-                            Effect::Safe
-                                | Effect::Keyed {
-                                    group: Group::All,
+                            self.settings.classes[seen.class].idempotency,
+                            Idempotency::Safe
+                                | Idempotency::Keyed {
+                                    scope: DedupScope::All,
                                     ..
                                 }
                         );
                         prop_assert!(harmless, "refused what may have run");
                     }
                 }
-                Action::Tell { bytes, .. } => prop_assert!(bytes.len() <= gossip::MAX_BYTES),
+                Action::SendToPeer { bytes, .. } => prop_assert!(bytes.len() <= gossip::MAX_BYTES),
                 _ => {}
             }
         }
@@ -313,7 +316,7 @@
                 customer,
                 units,
             } => {
-                let actions = self.bench.handle(Event::Peer {
+                let actions = self.bench.handle(Event::PeerMessage {
                     from: GatewayId(from),
                     bytes: counts(1_000_000 + life * 40_000, customer, units),
                 });
@@ -326,20 +329,23 @@
                 full,
             } => {
                 let mut line = server(id);
-                line.condition =
-                    [Condition::InService, Condition::Draining, Condition::Gone][condition];
-                line.started = started.then_some(self.bench.now);
+                line.status = [
+                    ServerStatus::InService,
+                    ServerStatus::Draining,
+                    ServerStatus::Removed,
+                ][condition];
+                line.started_at = started.then_some(self.bench.now);
                 if full {
                     self.draining.clear();
                     self.started.clear();
                 }
                 self.started
-                    .insert(ServerId(id), line.started.unwrap_or(f64::NEG_INFINITY));
-                self.draining.insert(ServerId(id), line.condition);
+                    .insert(ServerId(id), line.started_at.unwrap_or(f64::NEG_INFINITY));
+                self.draining.insert(ServerId(id), line.status);
                 let news = if full {
-                    Membership::Full(vec![line])
+                    MembershipUpdate::Full(vec![line])
                 } else {
-                    Membership::Changes(vec![line])
+                    MembershipUpdate::Changes(vec![line])
                 };
                 let actions = self.bench.list(news);
                 self.check(&actions)?;
@@ -352,7 +358,7 @@
                 self.served = 0;
                 self.unproven.clear();
                 self.draining = (0..6)
-                    .map(|id| (ServerId(id), Condition::InService))
+                    .map(|id| (ServerId(id), ServerStatus::InService))
                     .collect();
             }
         }
@@ -377,7 +383,7 @@
             settings,
             watched: BTreeMap::new(),
             draining: (0..6)
-                .map(|id| (ServerId(id), Condition::InService))
+                .map(|id| (ServerId(id), ServerStatus::InService))
                 .collect(),
             shares: BTreeMap::new(),
             started: BTreeMap::new(),
--- a/crates/emberpin-balancer/tests/size.rs
+++ b/crates/emberpin-balancer/tests/size.rs
@@ -10,9 +10,9 @@
 /// Gateway `me` of `group`, with an intake that is far too small to tell all.
 fn one_of(me: u32, group: u32) -> Settings {
     Settings {
-        me: GatewayId(me),
+        gateway_id: GatewayId(me),
         group_size: group,
-        mail_per_s: 40.0,
+        peer_messages_per_second: 40.0,
         ..settings()
     }
 }
@@ -32,9 +32,11 @@
         customer: CustomerId(customer),
         remaining: 2000.0,
         units: 1.0,
-        set_size: set,
-        set_first: GatewayId(0),
-        ran: None,
+        gateways: GatewaySet {
+            first: GatewayId(0),
+            size: set,
+        },
+        prior_attempt: None,
     };
     (id, bench.handle(Event::Request(request)))
 }
@@ -60,11 +62,11 @@
     for bench in &mut gateways {
         bench.now = start;
         let mut lines: Vec<Server> = (0..FLEET).map(server).collect();
-        lines[0].started = Some(start);
+        lines[0].started_at = Some(start);
         lines[1..]
             .iter_mut()
-            .for_each(|line| line.condition = Condition::Draining);
-        bench.list(Membership::Full(lines));
+            .for_each(|line| line.status = ServerStatus::Draining);
+        bench.list(MembershipUpdate::Full(lines));
     }
     let mut sends = Vec::new();
     for step in 1..=80u32 {
@@ -79,14 +81,15 @@
         }
     }
     assert!(sends.len() > 20, "a few gateways use it: {}", sends.len());
-    let rules = settings().rules;
+    let rules = settings().slow_start;
     for from in &sends {
         let within = sends
             .iter()
-            .filter(|at| *at >= from && **at < from + rules.fall_time)
+            .filter(|at| *at >= from && **at < from + rules.overload_time)
             .count() as f64;
-        let warmth = rules.cold_from + (1.0 - rules.cold_from) * (from - start) / rules.warm_after;
-        let limit = rules.fall_multiple * warmth * 25.0 * rules.fall_time / 1000.0;
+        let warmth = rules.initial_capacity
+            + (1.0 - rules.initial_capacity) * (from - start) / rules.duration;
+        let limit = rules.overload_multiple * warmth * 25.0 * rules.overload_time / 1000.0;
         assert!(
             within < limit,
             "{within} within a second of {}, the limit is {limit}",
@@ -104,10 +107,11 @@
         .collect();
     let start = gateways[0].now;
     let mut cold: Vec<Server> = (0..fleet).map(server).collect();
-    cold.iter_mut().for_each(|line| line.started = Some(start));
+    cold.iter_mut()
+        .for_each(|line| line.started_at = Some(start));
     for bench in &mut gateways {
         bench.now = start;
-        bench.list(Membership::Full(cold.clone()));
+        bench.list(MembershipUpdate::Full(cold.clone()));
     }
     let (mut sends, mut asked, mut let_in) = (vec![Vec::new(); fleet as usize], 0, 0);
     for step in 1..=100u32 {
@@ -123,9 +127,9 @@
                 let_in += 1;
                 sends[to.0 as usize].push(bench.now - start);
                 bench.now += 30.0;
-                let report = Report {
-                    queue: waits,
-                    ..Report::default()
+                let report = LoadReport {
+                    queue_length: waits,
+                    ..LoadReport::default()
                 };
                 bench.reports(id, 0, to, report);
             }
@@ -157,19 +161,20 @@
                 "{group} gateways: {empty:.2} let in beside {share:.2}"
             );
         }
-        let rules = settings().rules;
-        let cold = |from: &&f64| **from + rules.fall_time <= rules.warm_after;
+        let rules = settings().slow_start;
+        let cold = |from: &&f64| **from + rules.overload_time <= rules.duration;
         for (sends, from) in sends
             .iter()
             .flat_map(|all| all.iter().filter(cold).map(move |from| (all, from)))
         {
             let within = sends
                 .iter()
-                .filter(|at| *at >= from && **at < from + rules.fall_time)
+                .filter(|at| *at >= from && **at < from + rules.overload_time)
                 .count() as f64;
-            let warmth = rules.cold_from + (1.0 - rules.cold_from) * from / rules.warm_after;
+            let warmth =
+                rules.initial_capacity + (1.0 - rules.initial_capacity) * from / rules.duration;
             // One usual request of 30 ms after the other is the least that a server does.
-            let limit = rules.fall_multiple * warmth / 0.030 * rules.fall_time / 1000.0;
+            let limit = rules.overload_multiple * warmth / 0.030 * rules.overload_time / 1000.0;
             assert!(
                 within < limit,
                 "{group}: {within} within a second of {from}, the limit is {limit:.1}"
@@ -201,14 +206,14 @@
 fn ceiling_is_kept_by_a_set_that_hears_nothing_of_each_other_and_restarts() {
     const SET: u32 = 10;
     let mut open = one_of(0, 120);
-    open.plans[1].rate = 1000.0;
-    open.plans[1].burst = 1000.0;
+    open.plans[1].quota_rate = 1000.0;
+    open.plans[1].quota_burst = 1000.0;
     let mut used = 0;
     let mut gateways: Vec<Bench> = (0..SET)
         .map(|me| {
             Bench::fresh(
                 Settings {
-                    me: GatewayId(me),
+                    gateway_id: GatewayId(me),
                     ..open.clone()
                 },
                 12,
@@ -221,7 +226,7 @@
         // The first lives are seen to start together; half of the gateways restart later.
         if round == 0 {
             (20..30).for_each(|from| {
-                drop(seen.handle(Event::Peer {
+                drop(seen.handle(Event::PeerMessage {
                     from: GatewayId(from),
                     bytes: hello(start as u32),
                 }));
@@ -229,13 +234,13 @@
         } else if round == 1 && bench % 2 == 0 {
             *seen = seen.reborn(
                 Settings {
-                    me: GatewayId(bench as u32),
+                    gateway_id: GatewayId(bench as u32),
                     ..open.clone()
                 },
                 12,
             );
             (20..30).for_each(|from| {
-                drop(seen.handle(Event::Peer {
+                drop(seen.handle(Event::PeerMessage {
                     from: GatewayId(from),
                     bytes: hello(start as u32),
                 }));
@@ -283,7 +288,7 @@
         let mut bench = Bench::fresh(one_of(me, 120), 12);
         let mut writer = gossip::Writer::new(bench.now as u32, 0.0, 0.0);
         assert!(writer.push(entry(400.0)));
-        bench.handle(Event::Peer {
+        bench.handle(Event::PeerMessage {
             from: GatewayId(119),
             bytes: writer.finish(),
         });
@@ -295,7 +300,7 @@
 
 fn advised(actions: &[Action]) -> usize {
     let entries = actions.iter().filter_map(|action| match action {
-        Action::Tell { bytes, .. } => gossip::read(bytes),
+        Action::SendToPeer { bytes, .. } => gossip::read(bytes),
         _ => None,
     });
     let advice = |entry: &gossip::Entry| matches!(entry, gossip::Entry::Advice { .. });
@@ -321,14 +326,14 @@
             units,
             asked
         }));
-        bench.handle(Event::Peer {
+        bench.handle(Event::PeerMessage {
             from: GatewayId(119),
             bytes: writer.finish(),
         });
         let actions = bench.pass(1000.0);
         told += actions
             .iter()
-            .filter(|action| matches!(action, Action::Tell { .. }))
+            .filter(|action| matches!(action, Action::SendToPeer { .. }))
             .count();
         assert!(
             told <= 60 * second + 20,
@@ -367,14 +372,14 @@
         customer: 9,
         chance: 0.25
     }));
-    member.handle(Event::Peer {
+    member.handle(Event::PeerMessage {
         from: GatewayId(1),
         bytes: writer.finish(),
     });
     let tries = (0..400).filter(|number| {
         member.now += 100.0;
         member.handle(Event::Timer { token: 0 });
-        member.handle(Event::Peer {
+        member.handle(Event::PeerMessage {
             from: GatewayId(1),
             bytes: hello(1_000_000),
         });
@@ -405,15 +410,15 @@
         .filter_map(|(_, actions)| sent(actions))
         .collect();
     for ((id, _), to) in out.iter().zip(&servers) {
-        let actions = bench.handle(Event::Attempt(Attempt {
+        let actions = bench.handle(Event::AttemptEnded(AttemptResult {
             request: *id,
             attempt: 0,
             server: *to,
             outcome: Outcome::Timeout,
             elapsed: 2_000.0,
-            ended: true,
-            repeatable: true,
-            report: Report::default(),
+            answered: true,
+            replayable: true,
+            load: LoadReport::default(),
             units: None,
             metered: None,
         }));
@@ -435,7 +440,7 @@
     let peer = |bench: &mut Bench, out: f64| {
         for from in 1..60 {
             let bytes = gossip::Writer::new(1_000_000, out, 5.0).finish();
-            bench.handle(Event::Peer {
+            bench.handle(Event::PeerMessage {
                 from: GatewayId(from),
                 bytes,
             });
@@ -516,21 +521,21 @@
             asked: 1e30,
         });
         let mut bytes = writer.finish();
-        bench.handle(Event::Peer {
+        bench.handle(Event::PeerMessage {
             from: GatewayId(3),
             bytes: bytes.clone(),
         });
         bytes.truncate(bytes.len() - 1);
-        bench.handle(Event::Peer {
+        bench.handle(Event::PeerMessage {
             from: GatewayId(3),
             bytes,
         });
     }
-    bench.handle(Event::Peer {
+    bench.handle(Event::PeerMessage {
         from: GatewayId(0),
         bytes: hello(1),
     });
-    bench.handle(Event::Peer {
+    bench.handle(Event::PeerMessage {
         from: GatewayId(4000),
         bytes: hello(1),
     });
@@ -543,7 +548,7 @@
     let mut bench = Bench::fresh(one_of(keepers()[0], 120), 12);
     let life = bench.now as u32;
     bench.pass(3_000.0);
-    bench.handle(Event::Peer {
+    bench.handle(Event::PeerMessage {
         from: GatewayId(119),
         bytes: hello(life),
     });
@@ -557,7 +562,7 @@
             units: *units,
             asked: *asked
         }));
-        bench.handle(Event::Peer {
+        bench.handle(Event::PeerMessage {
             from: GatewayId(119),
             bytes: writer.finish(),
         });
@@ -566,7 +571,7 @@
     bench.now = bench.now.ceil() + 100.0 - 10.0 * counts.len() as f64;
     let actions = bench.handle(Event::Timer { token: 0 });
     let told = actions.iter().filter_map(|action| match action {
-        Action::Tell { bytes, .. } => gossip::read(bytes),
+        Action::SendToPeer { bytes, .. } => gossip::read(bytes),
         _ => None,
     });
     let entries = told.flat_map(|message| message.entries);
@@ -596,7 +601,7 @@
         let (id, actions) = request(&mut bench, number, 0, 5, 100);
         bench.ends(id, 0, sent(&actions).expect("let in"), Outcome::Ok);
         for action in bench.pass(1_000.0) {
-            let Action::Tell {
+            let Action::SendToPeer {
                 to: Some(GatewayId(to)),
                 bytes,
             } = action
@@ -616,7 +621,7 @@
 #[test]
 fn the_mean_aim_is_known_after_a_few_answers() {
     let mut settings = one_of(0, 120);
-    settings.classes[1].aim = 5_000.0;
+    settings.classes[1].latency_target = 5_000.0;
     let mut bench = Bench::fresh(settings, 24);
     // Three answers a second of the class that may take ten times as long as the first one.
     let mut answer = |number: u32, elapsed: Millis| {
--- a/crates/emberpin-limiter/src/between/handover.rs
+++ b/crates/emberpin-limiter/src/between/handover.rs
@@ -4,7 +4,7 @@
 use crate::between::peers::Peers;
 use crate::front::room::{Held, Room};
 use crate::upstream::listing::Target;
-use emberpin_balancer::{Handover, Millis, Spent};
+use emberpin_balancer::{Handover, Millis, Usage};
 use emberpin_upgrade::frame::{self, Note, HEAD, HELLO};
 use emberpin_upgrade::process::{Action, Event, Process};
 use serde::{Deserialize, Serialize};
@@ -71,7 +71,7 @@
 /// What each of the two processes tells the other as it happens.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Shared {
-    Spent(Spent),
+    Spent(Usage),
     /// A server was taken out of service by hand, or put back.
     Order {
         server: String,
--- a/crates/emberpin-limiter/src/front/admission.rs
+++ b/crates/emberpin-limiter/src/front/admission.rs
@@ -1,8 +1,8 @@
 //! Which requests are well formed: checked on the head alone, before anything is kept for one.
 
 use crate::operate::config::Config;
-use emberpin_balancer::settings::{stable_hash, Names};
-use emberpin_balancer::{ClassId, CustomerId, Effect, GatewayId, PlanId};
+use emberpin_balancer::host_config::{stable_hash, IndexNames};
+use emberpin_balancer::{ClassId, CustomerId, GatewayId, Idempotency, PlanId};
 use hyper::body::Body;
 use hyper::header::{self, HeaderMap, HeaderName};
 use hyper::{Method, Request, StatusCode, Version};
@@ -35,7 +35,7 @@
 
 /// The checks and what they need of the settings.
 pub struct Admission {
-    names: Names,
+    names: IndexNames,
     /// Whether each class is safe, and its deadline.
     classes: Vec<(bool, Duration)>,
     group_size: u32,
@@ -49,7 +49,12 @@
         Admission {
             names: config.names.clone(),
             classes: classes
-                .map(|class| (class.effect == Effect::Safe, millis(class.deadline)))
+                .map(|class| {
+                    (
+                        class.idempotency == Idempotency::Safe,
+                        millis(class.deadline),
+                    )
+                })
                 .collect(),
             group_size: config.settings.group_size,
             most_units: config.most_units,
--- a/crates/emberpin-limiter/src/messages.rs
+++ b/crates/emberpin-limiter/src/messages.rs
@@ -5,7 +5,8 @@
 use crate::upstream::listing::Listing;
 use bytes::Bytes;
 use emberpin_balancer::{
-    ClassId, CustomerId, GatewayId, Millis, Outcome, PlanId, Ran, Report, RequestId, ServerId,
+    ClassId, CustomerId, GatewayId, LoadReport, Location, Millis, Outcome, PlanId, PriorAttempt,
+    RequestId, ServerId,
 };
 use hyper::header::{HeaderMap, HeaderValue, CONTENT_TYPE};
 use hyper::{Method, StatusCode, Uri};
@@ -26,7 +27,7 @@
     fn opens<'a>(
         &'a self,
         attempt: u32,
-        to: (usize, u32),
+        to: Location,
         within: Duration,
     ) -> Pin<Box<dyn Future<Output = bool> + 'a>>;
 }
@@ -119,7 +120,7 @@
     /// How long it took.
     pub elapsed: Millis,
     /// What the server said of its load.
-    pub report: Report,
+    pub report: LoadReport,
     /// The customer's metered use as a share of its rate.
     pub metered: Option<f64>,
     /// The good answer, if it is one.
@@ -137,9 +138,9 @@
 impl Ended {
     /// One that never began.
     pub fn unsent() -> Ended {
-        let report = Report::default();
+        let report = LoadReport::default();
         Ended {
-            outcome: Outcome::Moot,
+            outcome: Outcome::NotSent,
             elapsed: 0.0,
             report,
             metered: None,
@@ -169,7 +170,7 @@
     /// The first of them.
     pub set_first: GatewayId,
     /// Where it may have run, if it is taken over from another limiter.
-    pub ran: Option<Ran>,
+    pub ran: Option<PriorAttempt>,
     /// How long the module may take, once the last byte of the request has come.
     pub patience: Duration,
     /// When the last byte of its answer must be out; far off while its body is still coming.
--- a/crates/emberpin-limiter/src/operate/config.rs
+++ b/crates/emberpin-limiter/src/operate/config.rs
@@ -7,7 +7,7 @@
 use crate::operate::takeover::Takeover;
 use crate::upstream::listing::Listing;
 use crate::upstream::servers::PoolLimits;
-use emberpin_balancer::settings::{Conf, Names};
+use emberpin_balancer::host_config::{HostConfig, IndexNames};
 use emberpin_balancer::Settings;
 use serde::Deserialize;
 use std::fmt;
@@ -43,7 +43,7 @@
     pub(crate) ops: Option<SocketAddr>,
     pub(crate) known: Listing,
     pub(crate) settings: Settings,
-    pub(crate) names: Names,
+    pub(crate) names: IndexNames,
     /// Most connections with clients, and most with servers.
     pub(crate) client_sockets: usize,
     pub(crate) server_sockets: usize,
@@ -84,7 +84,7 @@
     ops: Option<SocketAddr>,
     #[serde(default)]
     known: Listing,
-    settings: Conf,
+    settings: HostConfig,
 }
 
 #[derive(Deserialize)]
@@ -146,7 +146,10 @@
     }
 
     fn new(file: File, operator: &Operator) -> Result<Config, String> {
-        let (settings, names) = file.settings.translate()?;
+        let (settings, names) = file
+            .settings
+            .to_settings()
+            .map_err(|error| error.to_string())?;
         if settings.classes.is_empty() || settings.plans.is_empty() {
             return Err("settings: no classes or no plans".into());
         }
@@ -177,7 +180,7 @@
         let largest = settings
             .plans
             .iter()
-            .map(|plan| plan.burst)
+            .map(|plan| plan.quota_burst)
             .fold(1.0, f64::max);
         let log = operator
             .log
@@ -222,7 +225,7 @@
             takeover: operator.takeover.clone(),
             connections: operator.connections.clone(),
             idempotency: operator.idempotency.clone(),
-            most_units: file.settings.most_units().unwrap_or(largest),
+            most_units: file.settings.max_units().unwrap_or(largest),
             settings,
             names,
             client_sockets,
@@ -242,7 +245,7 @@
         writeln!(
             to,
             "limiter {} of {}",
-            self.settings.me.0, self.settings.group_size
+            self.settings.gateway_id.0, self.settings.group_size
         )?;
         match self.peer_listen {
             Some(at) => writeln!(to, "hears {} peers on {at}", self.peers.len())?,
--- a/crates/emberpin-limiter/src/operate/entry.rs
+++ b/crates/emberpin-limiter/src/operate/entry.rs
@@ -10,7 +10,8 @@
 use crate::upstream::listing::Entry as Listed;
 use bytes::Bytes;
 use emberpin_balancer::{
-    Action, Attempt, Event, Gateway, Membership, Millis, Outcome, Report, RequestId,
+    Action, AttemptResult, Event, Gateway, GatewaySet, LoadReport, MembershipUpdate, Millis,
+    Outcome, RequestId,
 };
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
@@ -55,7 +56,7 @@
             next: 0,
             actions: Vec::new(),
         };
-        entry.tell(Event::Membership(Membership::Full(servers)));
+        entry.tell(Event::Membership(MembershipUpdate::Full(servers)));
         Ok(entry)
     }
 
@@ -86,9 +87,11 @@
             customer: asked.customer,
             remaining: asked.patience.as_secs_f64() * 1000.0,
             units: asked.units,
-            set_size: asked.set_size,
-            set_first: asked.set_first,
-            ran: None,
+            gateways: GatewaySet {
+                first: asked.set_first,
+                size: asked.set_size,
+            },
+            prior_attempt: None,
         }));
         let sent = self.actions.iter().find_map(|action| match action {
             Action::Send { server, .. } => Some(*server),
@@ -100,15 +103,15 @@
             })
             .status();
         };
-        self.tell(Event::Attempt(Attempt {
+        self.tell(Event::AttemptEnded(AttemptResult {
             request: id,
             attempt: 0,
             server,
             outcome: Outcome::Ok,
             elapsed: SERVICE,
-            ended: true,
-            repeatable: true,
-            report: Report::default(),
+            answered: true,
+            replayable: true,
+            load: LoadReport::default(),
             units: None,
             metered: None,
         }));
--- a/crates/emberpin-limiter/src/stages/idempotency.rs
+++ b/crates/emberpin-limiter/src/stages/idempotency.rs
@@ -238,7 +238,7 @@
                 Keys::QuotedOrBare => Form::QuotedOrBare,
             },
             next: Cell::new(0),
-            me: config.settings.me.0,
+            me: config.settings.gateway_id.0,
             group: config.settings.group_size,
         });
         if let Some(takeover) = &stage.takeover {
--- a/crates/emberpin-limiter/src/stages/takeover.rs
+++ b/crates/emberpin-limiter/src/stages/takeover.rs
@@ -7,7 +7,9 @@
 use crate::operate::die;
 use crate::operate::takeover::Takeover as Settings;
 use crate::stages::memory::boot_clock;
-use emberpin_balancer::{ClassId, CustomerId, Effect, GatewayId, PlanId, Ran};
+use emberpin_balancer::{
+    ClassId, CustomerId, GatewayId, Idempotency, Location, PlanId, PriorAttempt,
+};
 use emberpin_failover::{Action, Event, Hall, Hands, Member, Rules, Verdict, Went, Work, WorkId};
 use emberpin_idempotency::claims::{Claim, Holding, Member as Holder};
 use emberpin_idempotency::{Customer, Fingerprint, Key};
@@ -61,7 +63,7 @@
     fn opens<'a>(
         &'a self,
         attempt: u32,
-        to: (usize, u32),
+        to: Location,
         within: Duration,
     ) -> Pin<Box<dyn Future<Output = bool> + 'a>> {
         Box::pin(self.ask(attempt, to, within))
@@ -69,7 +71,7 @@
 }
 
 impl WorkGate {
-    async fn ask(&self, attempt: u32, (zone, cell): (usize, u32), within: Duration) -> bool {
+    async fn ask(&self, attempt: u32, Location { zone, cell }: Location, within: Duration) -> bool {
         let (Some(host), Some(id), Some(payload)) = (
             self.host.upgrade(),
             self.id.get().copied(),
@@ -151,7 +153,7 @@
 pub struct Taken {
     pub terms: Terms,
     pub outgoing: Outgoing,
-    pub ran: Ran,
+    pub ran: PriorAttempt,
     pub patience: Duration,
 }
 
@@ -207,9 +209,9 @@
             .settings
             .classes
             .iter()
-            .map(|class| match class.effect {
-                Effect::Keyed { window, .. } => Some(window),
-                Effect::Safe | Effect::Unsafe => None,
+            .map(|class| match class.idempotency {
+                Idempotency::Keyed { window, .. } => Some(window),
+                Idempotency::Safe | Idempotency::Unsafe => None,
             });
         let host = Rc::new_cyclic(|own| Takeover {
             own: own.clone(),
@@ -482,10 +484,12 @@
                 gate: Some(Rc::new(gate)),
                 withdrawn: Default::default(),
             },
-            ran: Ran {
-                ago: went.ago,
-                zone: went.hall.zone as usize,
-                cell: went.hall.cell,
+            ran: PriorAttempt {
+                age: went.ago,
+                location: Location {
+                    zone: went.hall.zone as usize,
+                    cell: went.hall.cell,
+                },
             },
             patience,
         };
--- a/crates/emberpin-limiter/src/upstream/asking.rs
+++ b/crates/emberpin-limiter/src/upstream/asking.rs
@@ -30,7 +30,7 @@
     pub fn new(config: &Config, now: f64, goes_on: bool) -> Rc<Asking> {
         let mut random = oorandom::Rand64::new(u128::from(config.seed));
         let place = Place {
-            number: config.settings.me.0,
+            number: config.settings.gateway_id.0,
             size: config.settings.group_size,
         };
         // On the platform a change binds from when it would have been told: one that knows servers asks at once.
--- a/crates/emberpin-limiter/src/upstream/driver.rs
+++ b/crates/emberpin-limiter/src/upstream/driver.rs
@@ -15,7 +15,7 @@
 use crate::upstream::listing::{server_id, Entry, Listing, State, Teller};
 use crate::upstream::roster::Roster;
 use crate::upstream::servers::{Pool, Upstream};
-use emberpin_balancer::settings::Names;
+use emberpin_balancer::host_config::IndexNames;
 use emberpin_balancer::*;
 use emberpin_startup::trust::{List, Verdict};
 use std::collections::BTreeSet;
@@ -27,7 +27,7 @@
 
 pub struct Driver {
     engine: Engine,
-    names: Names,
+    names: IndexNames,
     pool: Rc<Pool>,
     roster: Roster,
     figures: Arc<Figures>,
@@ -98,7 +98,7 @@
                     .collect();
                 let (settings, seed) = (config.settings, config.seed);
                 let (gateway, whole) =
-                    Gateway::take_over(settings, seed, clock.now(), given.gateway, lines);
+                    Gateway::from_handover(settings, seed, clock.now(), given.gateway, lines);
                 let what = if whole {
                     "all"
                 } else {
@@ -174,7 +174,7 @@
 
     /// The module's timer comes often enough for figures that may be half a second late.
     fn show_pool(&self) {
-        let (listed, avoided) = self.engine.gateway.pool(self.engine.clock.now());
+        let PoolSize { listed, avoided } = self.engine.gateway.pool_size(self.engine.clock.now());
         self.figures.pool_size.set(listed as i64);
         self.figures.pool_ejected.set(avoided as i64);
     }
@@ -202,7 +202,7 @@
     }
 
     fn maintain(&mut self, server: ServerId, name: &str, out: bool) {
-        if self.engine.gateway.is_banned(server) != out {
+        if self.engine.gateway.is_in_maintenance(server) != out {
             eprintln!(
                 "server {name} {} by hand",
                 if out {
@@ -212,7 +212,10 @@
                 }
             );
         }
-        self.feed(Event::Maintenance { server, out });
+        self.feed(Event::Maintenance {
+            server,
+            out_of_service: out,
+        });
         self.reach(server);
         self.show_pool();
     }
@@ -222,17 +225,17 @@
         match pairing {
             Pairing::Give(give, other) => {
                 self.other = Some(other);
-                self.feed(Event::Paired { on: true });
+                self.feed(Event::SiblingChanged { running: true });
                 let (targets, names) = self.roster.all();
-                let (clock, gateway) = (self.engine.clock.now(), self.engine.gateway.hand_over());
+                let (clock, gateway) = (self.engine.clock.now(), self.engine.gateway.to_handover());
                 // Nobody waits for it any more if the next process has died: its end is told, too.
                 _ = give.send(Given::new(clock, self.rev, &targets, names, gateway));
             }
             Pairing::Paired(other) => {
                 self.other = Some(other);
-                self.feed(Event::Paired { on: true });
+                self.feed(Event::SiblingChanged { running: true });
             }
-            Pairing::Heard(Shared::Spent(spent)) => self.feed(Event::Shared(spent)),
+            Pairing::Heard(Shared::Spent(spent)) => self.feed(Event::SiblingUsage(spent)),
             Pairing::Heard(Shared::Order { server: name, out }) => {
                 let server = server_id(&name);
                 self.roster.name(server, &name);
@@ -242,7 +245,7 @@
             Pairing::Heard(Shared::Held(_)) => {}
             Pairing::Alone => {
                 self.other = None;
-                self.feed(Event::Paired { on: false });
+                self.feed(Event::SiblingChanged { running: false });
             }
         }
     }
@@ -261,16 +264,16 @@
             }
             // Attempts here end with the time that the module gives them.
             Input::Overdue { .. } => {}
-            Input::Probed { server, ended } => self.engine.feed(Event::Probed {
+            Input::Probed { server, ended } => self.engine.feed(Event::ProbeEnded {
                 server,
                 outcome: ended.outcome,
                 elapsed: ended.elapsed,
-                report: ended.report,
+                load: ended.report,
             }),
             Input::Listing(listing) => self.told(listing),
             Input::Peer { from, bytes } => {
                 self.asking.heard(from, &bytes);
-                self.feed(Event::Peer { from, bytes });
+                self.feed(Event::PeerMessage { from, bytes });
             }
         }
     }
@@ -286,13 +289,13 @@
         self.engine.sent.clear();
         for action in std::mem::take(&mut self.engine.beyond) {
             match action {
-                Action::Tell { to, bytes } => {
+                Action::SendToPeer { to, bytes } => {
                     if let Some(peers) = &self.peers {
                         peers.tell(to, &bytes);
                     }
                 }
                 Action::FetchServers => self.refetch.notify_one(),
-                Action::Share(spent) => {
+                Action::ShareUsage(spent) => {
                     // A line that is full is that of a process that does not read: its end is told soon.
                     if let Some(other) = &self.other {
                         _ = other.try_send(Shared::Spent(spent));
@@ -384,8 +387,8 @@
             missing.into_iter().for_each(|id| self.reach(id));
         }
         self.feed(Event::Membership(match listing.whole {
-            true => Membership::Full(lines),
-            false => Membership::Changes(lines),
+            true => MembershipUpdate::Full(lines),
+            false => MembershipUpdate::Changes(lines),
         }));
         if let Some(believed) = &self.believed {
             believed.see(self.engine.upstreams.len());
@@ -398,7 +401,7 @@
         let place = self
             .roster
             .place(id)
-            .filter(|_| !self.engine.gateway.is_banned(id));
+            .filter(|_| !self.engine.gateway.is_in_maintenance(id));
         if place.is_some()
             && self
                 .engine
--- a/crates/emberpin-limiter/src/upstream/engine.rs
+++ b/crates/emberpin-limiter/src/upstream/engine.rs
@@ -120,9 +120,11 @@
             customer: call.customer,
             remaining: call.patience.min(left(call.expires)).as_secs_f64() * 1000.0,
             units: call.units,
-            set_size: call.set_size,
-            set_first: call.set_first,
-            ran: call.ran,
+            gateways: GatewaySet {
+                first: call.set_first,
+                size: call.set_size,
+            },
+            prior_attempt: call.ran,
         }));
     }
 
@@ -169,15 +171,15 @@
                 _ = answer.send(served);
             }
         }
-        let event = Event::Attempt(Attempt {
+        let event = Event::AttemptEnded(AttemptResult {
             request,
             attempt,
             server,
             outcome: ended.outcome,
             elapsed: ended.elapsed,
-            ended: held.answer.is_none(),
-            repeatable: again && held.outgoing.is_held(),
-            report: ended.report,
+            answered: held.answer.is_none(),
+            replayable: again && held.outgoing.is_held(),
+            load: ended.report,
             units: None,
             metered: ended.metered,
         });
@@ -242,7 +244,7 @@
                 server,
                 timeout,
             } => self.send(request, server, timeout),
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => self.answer(request, Answer::Refused { retry_after }),
@@ -266,12 +268,12 @@
                     _ = inputs.send(Input::Probed { server, ended }).await;
                 });
             }
-            Action::Close { server } => {
+            Action::CloseIdle { server } => {
                 if let Some(upstream) = self.upstreams.get(&server) {
                     upstream.close_idle();
                 }
             }
-            Action::Schedule { delay, token } => {
+            Action::SetTimer { delay, token } => {
                 let delay = Duration::try_from_secs_f64(delay / 1000.0).unwrap_or_default();
                 let due = Instant::now() + delay;
                 self.timers.push(Reverse((
@@ -280,8 +282,11 @@
                 )));
             }
             // No deployment has the counter service.
-            Action::Count { name, .. } => {
-                self.pending.push_back(Event::Counted { name, total: None });
+            Action::AddToCounter { counter: name, .. } => {
+                self.pending.push_back(Event::CounterReply {
+                    counter: name,
+                    total: None,
+                });
             }
             Action::Log(text) => eprintln!("{text}"),
             beyond => self.beyond.push(beyond),
@@ -301,15 +306,15 @@
         // Guards rules 1 to 3 whatever is asked for: nothing goes out for a request that is answered or
         // has an attempt out, nor to a server that drains.
         let (Some(upstream), true, None) = (upstream, held.answer.is_some(), &held.out) else {
-            self.pending.push_back(Event::Attempt(Attempt {
+            self.pending.push_back(Event::AttemptEnded(AttemptResult {
                 request,
                 attempt,
                 server,
-                outcome: Outcome::Moot,
+                outcome: Outcome::NotSent,
                 elapsed: 0.0,
-                ended: held.answer.is_none(),
-                repeatable: held.outgoing.is_held(),
-                report: Report::default(),
+                answered: held.answer.is_none(),
+                replayable: held.outgoing.is_held(),
+                load: LoadReport::default(),
                 units: None,
                 metered: None,
             }));
@@ -322,7 +327,7 @@
         });
         self.sent.push((request, attempt, server));
         let outgoing = held.outgoing.clone();
-        let place = self.gateway.place(server).unwrap_or_default();
+        let place = self.gateway.location(server).unwrap_or_default();
         let (upstream, whole) = (upstream.clone(), left(held.expires));
         let inputs = self.inputs.clone();
         let timeout = match self.patient {
--- a/crates/emberpin-limiter/src/upstream/listing.rs
+++ b/crates/emberpin-limiter/src/upstream/listing.rs
@@ -1,7 +1,7 @@
 //! The list of servers as discovery words it: whole, or the changes to it.
 
-use emberpin_balancer::settings::{stable_hash, Listed, Names};
-use emberpin_balancer::{Condition, Server, ServerId};
+use emberpin_balancer::host_config::{stable_hash, IndexNames, ServerEntry, UnknownZone};
+use emberpin_balancer::{Server, ServerId, ServerStatus};
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -76,20 +76,20 @@
     }
 
     /// The entry in the decision module's terms; the error names what the settings do not.
-    pub fn server(&self, names: &Names) -> Result<Server, String> {
-        names.server(Listed {
+    pub fn server(&self, names: &IndexNames) -> Result<Server, UnknownZone> {
+        names.server(ServerEntry {
             id: self.id(),
             zone: &self.zone,
             kind: self.model.as_deref(),
             cell: self.pod_group,
-            size: self
+            capacity: self
                 .capacity_hint
                 .filter(|size| size.is_finite() && *size > 0.0),
-            started: Some(self.boot_ms).filter(|at| *at != 0.0),
-            condition: match self.state {
-                State::Ready => Condition::InService,
-                State::Draining | State::Unknown => Condition::Draining,
-                State::Gone => Condition::Gone,
+            started_at: Some(self.boot_ms).filter(|at| *at != 0.0),
+            status: match self.state {
+                State::Ready => ServerStatus::InService,
+                State::Draining | State::Unknown => ServerStatus::Draining,
+                State::Gone => ServerStatus::Removed,
             },
         })
     }
--- a/crates/emberpin-limiter/src/upstream/servers.rs
+++ b/crates/emberpin-limiter/src/upstream/servers.rs
@@ -409,7 +409,7 @@
         );
         let conn = match connecting.await {
             Ok(Ok(conn)) => conn,
-            Ok(Err(Refused::NoSocket)) => return nothing(Outcome::Moot),
+            Ok(Err(Refused::NoSocket)) => return nothing(Outcome::NotSent),
             Ok(Err(Refused::Failed)) | Err(_) => {
                 let failed = Exchange {
                     unreachable: true,
@@ -421,7 +421,7 @@
         // Guards the drain rule and the newest routes: the server may have begun to drain while the connection came up, or
         // the request may not go there any more. From here to the first byte nothing else gets a turn.
         if !self.is_open() || outgoing.is_some_and(|outgoing| outgoing.withdrawn.get()) {
-            return nothing(Outcome::Moot);
+            return nothing(Outcome::NotSent);
         }
         let coming = match request.body() {
             Upstreamed::Whole(_) => None,
--- a/crates/emberpin-limiter/src/upstream/wire.rs
+++ b/crates/emberpin-limiter/src/upstream/wire.rs
@@ -1,8 +1,8 @@
 //! How requests and answers are worded between a limiter and its servers: the host of connections is given it.
 
 use crate::messages::Head;
-use emberpin_balancer::settings::report_field;
-use emberpin_balancer::{Outcome, Report};
+use emberpin_balancer::host_config::report_field;
+use emberpin_balancer::{LoadReport, Outcome};
 use hyper::header::{HeaderMap, HeaderValue, CONTENT_TYPE};
 use hyper::{Response, StatusCode};
 use std::time::Duration;
@@ -39,7 +39,7 @@
     /// How it begins for its client.
     pub head: Head,
     /// What the server said of its load.
-    pub report: Report,
+    pub report: LoadReport,
     /// The customer's metered use as a share of its rate.
     pub metered: Option<f64>,
     /// Another server answered than the one that was meant.
@@ -74,7 +74,7 @@
         match response.status() {
             StatusCode::OK => Outcome::Ok,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => {
-                Outcome::Full
+                Outcome::Rejected
             }
             _ => Outcome::Error,
         }
@@ -94,7 +94,7 @@
         };
         // What cannot be read is passed over.
         let used = all("x-ratelimit-used").find_map(number);
-        let mut report = Report::default();
+        let mut report = LoadReport::default();
         for (name, value) in all("srv-load")
             .flat_map(|text| text.split(','))
             .filter_map(|pair| pair.split_once('='))
--- a/crates/emberpin-limiter/tests/limiter.rs
+++ b/crates/emberpin-limiter/tests/limiter.rs
@@ -5,7 +5,7 @@
 mod sockets;
 
 use emberpin_balancer::gossip;
-use emberpin_balancer::settings::stable_hash;
+use emberpin_balancer::host_config::stable_hash;
 use serde_json::json;
 use sockets::*;
 use std::collections::HashSet;
--- a/crates/emberpin-limiter/tests/recorded_upgrade.rs
+++ b/crates/emberpin-limiter/tests/recorded_upgrade.rs
@@ -7,7 +7,7 @@
 #[path = "common/sockets.rs"]
 mod sockets;
 
-use emberpin_balancer::{Handover, Spent};
+use emberpin_balancer::{Handover, Usage};
 use emberpin_upgrade::frame::{self, Note, HEAD, HELLO};
 use recording::{hex, lines, Recorded};
 use serde::{Deserialize, Serialize};
@@ -35,7 +35,7 @@
 /// What both tell each other, likewise.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 enum Shared {
-    Spent(Spent),
+    Spent(Usage),
     Order { server: String, out: bool },
     Held(Held),
 }
--- a/crates/emberpin-proxy/src/controller/in_flight.rs
+++ b/crates/emberpin-proxy/src/controller/in_flight.rs
@@ -155,7 +155,7 @@
         let Some(Service { engine, .. }) = self.services.get_mut(&in_flight.service) else {
             return;
         };
-        if within_budget && engine.gateway.would_repeat(engine.clock.now(), request) {
+        if within_budget && engine.gateway.would_retry(engine.clock.now(), request) {
             engine.give_up(request, attempt);
         } else if engine.is_out(request, attempt) {
             self.recheck_overdue_later(request, attempt);
--- a/crates/emberpin-proxy/src/service/endpoint.rs
+++ b/crates/emberpin-proxy/src/service/endpoint.rs
@@ -1,6 +1,6 @@
 //! Endpoints of a service: server instances, and whether this proxy may send requests to them.
 
-use emberpin_balancer::{Condition, Server, ServerId};
+use emberpin_balancer::{Server, ServerId, ServerStatus};
 use emberpin_routing::{Availability, EndpointChange};
 
 /// A server instance, as registries and slow start have it.
@@ -44,18 +44,18 @@
     /// draining there: it stays known, and gets no new requests.
     pub(super) fn membership_entry(&self) -> Server {
         let condition = match self.endpoint.change.availability {
-            Availability::Removed => Condition::Gone,
-            Availability::Available if self.is_in_service() => Condition::InService,
-            Availability::Available | Availability::Draining => Condition::Draining,
+            Availability::Removed => ServerStatus::Removed,
+            Availability::Available if self.is_in_service() => ServerStatus::InService,
+            Availability::Available | Availability::Draining => ServerStatus::Draining,
         };
         Server {
             id: self.server,
             zone: self.endpoint.zone,
             kind: 0,
             cell: 0,
-            size: f64::from(self.endpoint.slots()),
-            started: None,
-            condition,
+            capacity: f64::from(self.endpoint.slots()),
+            started_at: None,
+            status: condition,
         }
     }
 }
--- a/crates/emberpin-proxy/src/service/mod.rs
+++ b/crates/emberpin-proxy/src/service/mod.rs
@@ -4,7 +4,7 @@
 mod settings;
 mod traffic_class;
 
-use emberpin_balancer::{ClassId, Event, Gateway, Membership, RequestId, Server, ServerId};
+use emberpin_balancer::{ClassId, Event, Gateway, MembershipUpdate, RequestId, Server, ServerId};
 use emberpin_limiter::host::{Clock, Engine, Input, Place, Pool, Upstream};
 use emberpin_routing::{Availability, Route};
 use endpoint::KnownEndpoint;
@@ -222,7 +222,7 @@
 
     fn notify_membership(&mut self, entry: Server) {
         self.engine
-            .feed(Event::Membership(Membership::Changes(vec![entry])));
+            .feed(Event::Membership(MembershipUpdate::Changes(vec![entry])));
         self.update_min_congestion_threshold();
     }
 
@@ -238,6 +238,6 @@
             f64::from(slots) * UNCONGESTED_ATTEMPTS_PER_SLOT / f64::from(self.proxy_count);
         self.engine
             .gateway
-            .bear(threshold.max(MIN_UNCONGESTED_ATTEMPTS));
+            .set_reported_capacity(threshold.max(MIN_UNCONGESTED_ATTEMPTS));
     }
 }
--- a/crates/emberpin-proxy/src/service/traffic_class.rs
+++ b/crates/emberpin-proxy/src/service/traffic_class.rs
@@ -1,6 +1,6 @@
 //! Traffic classes: requests of one service that the decision module measures together.
 
-use emberpin_balancer::{Class, ClassId, Effect, Gateway};
+use emberpin_balancer::{Class, ClassId, Gateway, Idempotency};
 use emberpin_routing::{Route, RouteKind};
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -31,14 +31,14 @@
 
     fn class(&self) -> Class {
         Class {
-            aim: millis(self.latency_target.max(MIN_LATENCY_TARGET)),
+            latency_target: millis(self.latency_target.max(MIN_LATENCY_TARGET)),
             deadline: millis(self.timeout),
-            worth: 1.0,
-            late_worth: 0.0,
-            effect: if self.idempotent {
-                Effect::Safe
+            value: 1.0,
+            late_value: 0.0,
+            idempotency: if self.idempotent {
+                Idempotency::Safe
             } else {
-                Effect::Unsafe
+                Idempotency::Unsafe
             },
         }
     }
--- a/crates/emberpin-proxy/src/wire.rs
+++ b/crates/emberpin-proxy/src/wire.rs
@@ -1,6 +1,6 @@
 //! The HTTP headers between the gateway and its servers, and how a response decides the outcome of an attempt.
 
-use emberpin_balancer::{Outcome, Report};
+use emberpin_balancer::{LoadReport, Outcome};
 use emberpin_limiter::host::{strip, Described, Head, Wire};
 use emberpin_routing::attempt::is_misdirected;
 use emberpin_routing::AttemptVerdict;
@@ -61,7 +61,7 @@
         // A response without the server's seal, or recoded on the way, is no success: its bytes are not the server's own.
         let sealed = headers.contains_key(SEAL) && !headers.contains_key(CONTENT_ENCODING);
         match AttemptVerdict::from_response(status.as_u16(), headers.contains_key(NOT_RUN)) {
-            AttemptVerdict::NotRun => Outcome::Full,
+            AttemptVerdict::NotRun => Outcome::Rejected,
             AttemptVerdict::Ran if status.is_success() && sealed => Outcome::Ok,
             AttemptVerdict::Ran | AttemptVerdict::MayHaveRun => Outcome::Error,
         }
@@ -91,7 +91,7 @@
         );
         Described {
             head: Head { status, headers },
-            report: Report::default(),
+            report: LoadReport::default(),
             metered: None,
             misdirected: is_misdirected(status.as_u16()),
             stands: outcome == Outcome::Error && !status.is_success() && !claims_not_run,
--- a/crates/emberpin-proxy/tests/gateway_wire.rs
+++ b/crates/emberpin-proxy/tests/gateway_wire.rs
@@ -78,7 +78,7 @@
         (200, &[("not-run", "1"), ("seal", "s")]),
         (421, &[]),
     ] {
-        expect_that!(judge(status, all), eq(Outcome::Full), "{status}");
+        expect_that!(judge(status, all), eq(Outcome::Rejected), "{status}");
     }
     for status in [500, 502, 503, 504, 429, 408, 404] {
         expect_that!(
@@ -88,7 +88,7 @@
         );
         expect_false!(judge(status, &[]).never_ran(), "{status}");
     }
-    expect_true!(Outcome::Full.never_ran());
+    expect_true!(Outcome::Rejected.never_ran());
     expect_true!(describe(421, &[("not-run", "1")]).misdirected);
     expect_false!(describe(503, &[("not-run", "1")]).misdirected);
 }
--- a/crates/emberpin-proxy/tests/server_selection.rs
+++ b/crates/emberpin-proxy/tests/server_selection.rs
@@ -300,7 +300,7 @@
     .await;
     change(&upstream, &outgoing);
     let ended = timeout(common::WAIT_LIMIT, attempt).await?;
-    verify_that!((ended.outcome, ended.sent), eq((Outcome::Moot, false)))?;
+    verify_that!((ended.outcome, ended.sent), eq((Outcome::NotSent, false)))?;
     verify_that!(server.has_no_request(), eq(true))
 }
 
