--- a/crates/emberpin-registry/src/program.rs
+++ b/crates/emberpin-registry/src/program.rs
@@ -12,7 +12,7 @@
 use emberpin_membership::registry::{RegistryConfig, SNAPSHOT_PART_BYTES};
 use emberpin_runtime::identity::ProcessIdentity;
 use emberpin_runtime::logs;
-use emberpin_runtime::settings::{Settings, SettingsError};
+use emberpin_runtime::settings::{FieldProblem, Settings, SettingsError};
 use std::ffi::OsString;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -86,10 +86,10 @@
 /// The settings, and the address of the HTTP API, without which no registry starts.
 fn read_settings() -> Result<(Settings, SocketAddr), SettingsError> {
     let settings = Settings::from_env()?;
-    let missing = || SettingsError {
+    let missing = || SettingsError::Field {
         file: std::env::var(emberpin_runtime::settings::SETTINGS_FILE_VARIABLE).unwrap_or_default(),
         field: "network.listen.ctl".into(),
-        what: "is missing".into(),
+        problem: FieldProblem::Missing,
     };
     let ctl = settings.control_address.ok_or_else(missing)?;
     Ok((settings, ctl))
--- a/crates/emberpin-runtime/src/identity.rs
+++ b/crates/emberpin-runtime/src/identity.rs
@@ -1,72 +1,78 @@
 //! The identity of a process, and the handshake in which both ends of a connection exchange their preambles.
 
 use crate::frames::ConnectionError;
-use crate::preamble::{HandshakeError, Preamble, MAGIC, PREAMBLE_BYTES, PROTOCOL_VERSION};
+use crate::preamble::{check_magic, check_version, HandshakeError, Preamble, PREAMBLE_BYTES};
 use std::num::NonZeroU64;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// Refusals are logged no more often than this.
+/// At most one rejected peer is logged in this time; all are counted. Keeps a peer that connects again and again from
+/// filling the log.
 const REJECTION_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What this process says of itself, and whom it refused.
+/// The system and incarnation of this process, and how many peers it rejected by theirs.
 #[derive(Debug, Default)]
 pub struct ProcessIdentity {
+    /// 0, until the system is known.
     system: AtomicU64,
-    incarnation: u64,
-    refused: AtomicU64,
-    logged: Mutex<Option<Instant>>,
+    incarnation_number: u64,
+    rejected_count: AtomicU64,
+    /// When a rejected peer was logged last.
+    last_logged_at: Mutex<Option<Instant>>,
 }
 
 impl ProcessIdentity {
-    /// A process with this incarnation, of a system that it doesn't know yet.
+    /// A process with this incarnation, whose system is not known yet.
     pub fn new(incarnation: u64) -> ProcessIdentity {
         ProcessIdentity {
-            incarnation,
+            incarnation_number: incarnation,
             ..ProcessIdentity::default()
         }
     }
 
-    /// The system, if it is known.
+    /// The system that the process belongs to, if it is known.
     pub fn system(&self) -> Option<NonZeroU64> {
         NonZeroU64::new(self.system.load(Ordering::Relaxed))
     }
 
-    /// Takes the system, unless it is known already; whether it was taken.
+    /// Sets the system, unless it is known already. Whether it was set.
     pub fn learn_system(&self, system: NonZeroU64) -> bool {
         self.system
             .compare_exchange(0, system.get(), Ordering::Relaxed, Ordering::Relaxed)
             .is_ok()
     }
 
-    /// How many peers were refused.
+    /// How many peers were rejected since the start.
     pub fn rejected_peers(&self) -> u64 {
-        self.refused.load(Ordering::Relaxed)
+        self.rejected_count.load(Ordering::Relaxed)
     }
 
-    /// Counts a refusal, and logs it if none was logged for a while; whether it was logged.
-    pub fn record_rejection(&self, refused: HandshakeError) -> bool {
-        let count = self.refused.fetch_add(1, Ordering::Relaxed) + 1;
-        let mut logged = self.logged.lock().unwrap_or_else(PoisonError::into_inner);
-        let due = logged.is_none_or(|at| at.elapsed() >= REJECTION_LOG_INTERVAL);
-        if due {
-            *logged = Some(Instant::now());
-            log::warn!("a peer was refused: {refused}; {count} so far");
+    /// Counts a rejected peer, and logs it if none was logged in the last ten seconds. Whether it was logged.
+    pub fn record_rejection(&self, error: HandshakeError) -> bool {
+        let count = self.rejected_count.fetch_add(1, Ordering::Relaxed) + 1;
+        let mut last_logged_at = self
+            .last_logged_at
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let is_due = last_logged_at.is_none_or(|at| at.elapsed() >= REJECTION_LOG_INTERVAL);
+        if is_due {
+            *last_logged_at = Some(Instant::now());
+            log::warn!("rejected a peer: error={error} count={count}");
         }
-        due
+        is_due
     }
 
-    /// What it says first.
+    /// The preamble of this process.
     pub fn preamble(&self) -> Preamble {
         Preamble {
             system: self.system(),
-            incarnation: self.incarnation,
+            incarnation: self.incarnation_number,
         }
     }
 
-    /// Says it.
+    /// Sends the preamble of this process.
     ///
     /// # Errors
     ///
@@ -78,43 +84,22 @@
         Ok(to.write_all(&self.preamble().encode()).await?)
     }
 
-    /// Hears what the peer says first. One of a system that is not known here, or that does not know its own,
-    /// is let in.
+    /// Receives the preamble of the peer, and checks that both have the same version and system. A peer is accepted if
+    /// either side does not know its system yet.
     ///
     /// # Errors
     ///
-    /// [`ConnectionError::Handshake`], which is counted, and [`ConnectionError::Io`].
+    /// [`ConnectionError::Handshake`], which is counted as a rejected peer, and [`ConnectionError::Io`].
     pub async fn receive_preamble(
         &self,
         from: &mut (impl AsyncRead + Unpin),
     ) -> Result<Preamble, ConnectionError> {
-        let preamble = self.read(from).await?;
-        let known = preamble.and_then(|preamble| self.same_system(preamble));
-        Ok(known.inspect_err(|refused| _ = self.record_rejection(*refused))?)
+        let received = read_preamble(from).await?;
+        let accepted = received.and_then(|preamble| self.check_system(preamble));
+        Ok(accepted.inspect_err(|error| _ = self.record_rejection(*error))?)
     }
 
-    /// No further than it can be told who it is: another version's may be shorter.
-    async fn read(
-        &self,
-        from: &mut (impl AsyncRead + Unpin),
-    ) -> Result<Result<Preamble, HandshakeError>, ConnectionError> {
-        let mut bytes = [0; PREAMBLE_BYTES];
-        let (magic, rest) = bytes.split_at_mut(MAGIC.len());
-        from.read_exact(magic).await?;
-        if *magic != MAGIC {
-            return Ok(Err(HandshakeError::MissingPreamble));
-        }
-        let (version, rest) = rest.split_at_mut(2);
-        from.read_exact(version).await?;
-        let version = u16::from_be_bytes([version[0], version[1]]);
-        if version != PROTOCOL_VERSION {
-            return Ok(Err(HandshakeError::VersionMismatch(version)));
-        }
-        from.read_exact(rest).await?;
-        Ok(Preamble::decode(&bytes))
-    }
-
-    /// Says it, and hears what the peer says first.
+    /// Sends the preamble of this process, and receives that of the peer.
     ///
     /// # Errors
     ///
@@ -128,7 +113,7 @@
         self.receive_preamble(from).await
     }
 
-    fn same_system(&self, preamble: Preamble) -> Result<Preamble, HandshakeError> {
+    fn check_system(&self, preamble: Preamble) -> Result<Preamble, HandshakeError> {
         match (preamble.system, self.system()) {
             (Some(theirs), Some(ours)) if theirs != ours => {
                 Err(HandshakeError::SystemMismatch { theirs, ours })
@@ -137,3 +122,20 @@
         }
     }
 }
+
+/// Reads a preamble, and no further than needed to reject it: that of another version may be shorter.
+async fn read_preamble(
+    from: &mut (impl AsyncRead + Unpin),
+) -> Result<Result<Preamble, HandshakeError>, ConnectionError> {
+    let mut bytes = [0; PREAMBLE_BYTES];
+    from.read_exact(&mut bytes[..4]).await?;
+    if let Err(error) = check_magic([bytes[0], bytes[1], bytes[2], bytes[3]]) {
+        return Ok(Err(error));
+    }
+    from.read_exact(&mut bytes[4..6]).await?;
+    if let Err(error) = check_version([bytes[4], bytes[5]]) {
+        return Ok(Err(error));
+    }
+    from.read_exact(&mut bytes[6..]).await?;
+    Ok(Preamble::decode(&bytes))
+}
--- a/crates/emberpin-runtime/src/lib.rs
+++ b/crates/emberpin-runtime/src/lib.rs
@@ -1,4 +1,5 @@
-//! What the programs of the gateway share beneath their own concerns: the settings file, frames between processes, logs.
+//! What all programs of the gateway share: the settings file, frames between processes with the handshake before them,
+//! and logs.
 #![forbid(unsafe_code)]
 
 pub mod frames;
--- a/crates/emberpin-runtime/src/logs.rs
+++ b/crates/emberpin-runtime/src/logs.rs
@@ -1,46 +1,82 @@
-//! A ring of log lines in memory, written out when something goes wrong, and little else.
+//! Logs that cost nothing until something fails: the latest lines are kept in memory, and are written to standard error
+//! when an error is logged.
 
 use log::LevelFilter;
 use simplelog::{ConfigBuilder, WriteLogger};
 use std::collections::VecDeque;
 use std::io::{self, Write};
 
-/// Most bytes that are kept; older lines give way.
-const MOST: usize = 32 << 10;
+/// The most bytes of log lines that are kept. Beyond it the oldest lines are dropped.
+const MAX_BUFFERED_BYTES: usize = 32 << 10;
+/// How `simplelog` marks the lines of errors.
+const ERROR_MARK: &[u8] = b"[ERROR]";
 
-/// Keeps lines, and writes all that it has once one of them is an error.
-#[derive(Default)]
-struct Ring<W: Write> {
+/// Logs from now on at this level and above, into memory; an error writes out all lines that are kept, to standard
+/// error. A second call has no effect.
+pub fn init(level: LevelFilter) {
+    let config = ConfigBuilder::new()
+        .set_time_level(LevelFilter::Off)
+        .set_target_level(LevelFilter::Error)
+        .build();
+    let buffer = RingBuffer::new(io::stderr());
+    // Fails if there is a logger already.
+    _ = WriteLogger::init(level, config, buffer);
+}
+
+/// Keeps the latest lines that are written to it, and passes all of them on once one is an error.
+struct RingBuffer<W: Write> {
     lines: VecDeque<Vec<u8>>,
-    size: usize,
-    line: Vec<u8>,
-    out: W,
+    /// The length of all `lines`.
+    buffered_bytes: usize,
+    /// The line that was begun and has no end yet.
+    current_line: Vec<u8>,
+    output: W,
 }
 
-impl<W: Write> Ring<W> {
+impl<W: Write> RingBuffer<W> {
+    fn new(output: W) -> RingBuffer<W> {
+        RingBuffer {
+            lines: VecDeque::new(),
+            buffered_bytes: 0,
+            current_line: Vec::new(),
+            output,
+        }
+    }
+
     fn end_line(&mut self) -> io::Result<()> {
-        let line = std::mem::take(&mut self.line);
-        let wrong = line.windows(7).any(|part| part == b"[ERROR]");
-        self.size += line.len();
+        let line = std::mem::take(&mut self.current_line);
+        let is_error = line
+            .windows(ERROR_MARK.len())
+            .any(|part| part == ERROR_MARK);
+        self.buffered_bytes += line.len();
         self.lines.push_back(line);
-        while self.size > MOST {
-            self.size -= self.lines.pop_front().map_or(self.size, |line| line.len());
-        }
-        if wrong {
-            for line in self.lines.drain(..) {
-                self.out.write_all(&line)?;
-            }
-            self.size = 0;
-            self.out.flush()?;
+        self.drop_oldest();
+        if is_error {
+            self.write_out()?;
         }
         Ok(())
     }
+
+    fn drop_oldest(&mut self) {
+        while self.buffered_bytes > MAX_BUFFERED_BYTES {
+            let oldest = self.lines.pop_front();
+            self.buffered_bytes -= oldest.map_or(self.buffered_bytes, |line| line.len());
+        }
+    }
+
+    fn write_out(&mut self) -> io::Result<()> {
+        for line in self.lines.drain(..) {
+            self.output.write_all(&line)?;
+        }
+        self.buffered_bytes = 0;
+        self.output.flush()
+    }
 }
 
-impl<W: Write> Write for Ring<W> {
+impl<W: Write> Write for RingBuffer<W> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         for byte in bytes {
-            self.line.push(*byte);
+            self.current_line.push(*byte);
             if *byte == b'\n' {
                 self.end_line()?;
             }
@@ -48,27 +84,8 @@
         Ok(bytes.len())
     }
 
+    /// Does nothing: lines are written out by errors alone.
     fn flush(&mut self) -> io::Result<()> {
         Ok(())
     }
 }
-
-/// Keeps what is logged from now on, at this level and above; `error!` writes out all that is kept, to standard error.
-/// A second call changes nothing.
-pub fn init(level: LevelFilter) {
-    to(level, io::stderr());
-}
-
-fn to(level: LevelFilter, out: impl Write + Send + 'static) {
-    let config = ConfigBuilder::new()
-        .set_time_level(LevelFilter::Off)
-        .set_target_level(LevelFilter::Error)
-        .build();
-    let ring = Ring {
-        lines: VecDeque::new(),
-        size: 0,
-        line: Vec::new(),
-        out,
-    };
-    _ = WriteLogger::init(level, config, ring);
-}
--- a/crates/emberpin-runtime/src/preamble.rs
+++ b/crates/emberpin-runtime/src/preamble.rs
@@ -1,49 +1,61 @@
-//! What each side of a connection between processes says first: the version of the protocol, which system it
-//! belongs to, and its incarnation. Whoever is of another version or system is refused before any message is
-//! read.
+//! The preamble that each side of a connection between processes sends before any frame: the version of the protocol,
+//! the system that the sender belongs to, and its incarnation. A peer of another version or system is rejected before
+//! any message is read.
 //!
-//! 24 bytes, numbers with the highest byte first: the magic, the version (2), two bytes of 0, the system (8; 0
-//! for one that is not known), the incarnation (8). Read as the length of a frame, the magic is beyond what a
-//! build without preambles takes, so that such a build ends the connection, too.
+//! 24 bytes, all numbers big-endian:
+//!
+//! | bytes | field |
+//! | --- | --- |
+//! | 0 to 3 | magic, `EmPn` |
+//! | 4, 5 | version of the protocol |
+//! | 6, 7 | 0 |
+//! | 8 to 15 | system; 0, if the sender does not know it yet |
+//! | 16 to 23 | incarnation |
+//!
+//! Read as the length of a frame, the magic is beyond what a build without preambles takes, so that such a build ends
+//! the connection, too.
 
 use std::num::NonZeroU64;
 
-/// Rises whenever the bytes of any message between processes change.
+/// The version of the protocol between processes. It rises whenever the bytes of any message change; processes of
+/// different versions reject each other.
 pub const PROTOCOL_VERSION: u16 = 2;
 /// How long a preamble is, in bytes.
 pub const PREAMBLE_BYTES: usize = 24;
-pub(crate) const MAGIC: [u8; 4] = *b"EmPn";
+/// The first bytes of a preamble.
+const MAGIC: [u8; 4] = *b"EmPn";
 
-/// Why a peer is refused.
+/// Why a peer is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HandshakeError {
-    /// It says something else first, as builds before version 2 do.
+    /// The peer sends something else first, as builds before version 2 do.
     #[error("it does not begin with a preamble")]
     MissingPreamble,
-    /// It speaks another version.
+    /// The peer has another version of the protocol.
     #[error("it speaks version {0} of the protocol, and this build {PROTOCOL_VERSION}")]
     VersionMismatch(u16),
-    /// It belongs to another system.
+    /// The peer belongs to another system.
     #[error("it belongs to system {theirs:016x}, and this process to {ours:016x}")]
     SystemMismatch {
-        /// Its system.
+        /// The system of the peer.
         theirs: NonZeroU64,
-        /// This one's.
+        /// The system of this process.
         ours: NonZeroU64,
     },
 }
 
-/// What a peer of the same version and system says first.
+/// The content of a preamble, of this version of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Preamble {
-    /// Which system it belongs to, if it knows.
+    /// The system that the sender belongs to; `None`, if the sender does not know it yet.
     pub system: Option<NonZeroU64>,
-    /// Drawn at each start of the sender.
+    /// The incarnation of the sender: drawn at random at each start, so that messages to a former process of the same
+    /// address are not taken for its own.
     pub incarnation: u64,
 }
 
 impl Preamble {
-    /// As bytes.
+    /// The bytes of the preamble.
     pub fn encode(self) -> [u8; PREAMBLE_BYTES] {
         let mut bytes = [0; PREAMBLE_BYTES];
         bytes[..4].copy_from_slice(&MAGIC);
@@ -53,27 +65,37 @@
         bytes
     }
 
-    /// From bytes.
+    /// Reads a preamble.
     ///
     /// # Errors
     ///
-    /// [`HandshakeError::MissingPreamble`], [`HandshakeError::Version`].
+    /// [`HandshakeError::MissingPreamble`], [`HandshakeError::VersionMismatch`].
     pub fn decode(bytes: &[u8; PREAMBLE_BYTES]) -> Result<Preamble, HandshakeError> {
-        let number = |from: usize| {
-            bytes[from..from + 8]
+        check_magic([bytes[0], bytes[1], bytes[2], bytes[3]])?;
+        check_version([bytes[4], bytes[5]])?;
+        let number_at = |offset: usize| {
+            bytes[offset..offset + 8]
                 .iter()
                 .fold(0, |number, byte| number << 8 | u64::from(*byte))
         };
-        if bytes[..4] != MAGIC {
-            return Err(HandshakeError::MissingPreamble);
-        }
-        let version = u16::from_be_bytes([bytes[4], bytes[5]]);
-        if version != PROTOCOL_VERSION {
-            return Err(HandshakeError::VersionMismatch(version));
-        }
         Ok(Preamble {
-            system: NonZeroU64::new(number(8)),
-            incarnation: number(16),
+            system: NonZeroU64::new(number_at(8)),
+            incarnation: number_at(16),
         })
     }
 }
+
+pub(crate) fn check_magic(bytes: [u8; 4]) -> Result<(), HandshakeError> {
+    if bytes == MAGIC {
+        Ok(())
+    } else {
+        Err(HandshakeError::MissingPreamble)
+    }
+}
+
+pub(crate) fn check_version(bytes: [u8; 2]) -> Result<(), HandshakeError> {
+    match u16::from_be_bytes(bytes) {
+        PROTOCOL_VERSION => Ok(()),
+        other => Err(HandshakeError::VersionMismatch(other)),
+    }
+}
--- a/crates/emberpin-runtime/tests/preamble.rs
+++ b/crates/emberpin-runtime/tests/preamble.rs
@@ -1,4 +1,4 @@
-//! Who is let in by what is said first.
+//! Which peers the handshake accepts, by their preambles.
 
 use emberpin_runtime::frames::ConnectionError;
 use emberpin_runtime::identity::ProcessIdentity;
@@ -18,8 +18,8 @@
     process
 }
 
-/// What comes of these bytes.
-fn heard(
+/// What a process makes of a peer that sends these bytes; `None` for a connection that failed.
+fn receive(
     process: &ProcessIdentity,
     bytes: &[u8],
 ) -> std::result::Result<Preamble, Option<HandshakeError>> {
@@ -29,14 +29,14 @@
     let mut from = bytes;
     runtime
         .block_on(process.receive_preamble(&mut from))
-        .map_err(|broken| match broken {
-            ConnectionError::Handshake(refused) => Some(refused),
+        .map_err(|error| match error {
+            ConnectionError::Handshake(error) => Some(error),
             _ => None,
         })
 }
 
 #[gtest]
-fn one_of_the_same_version_is_let_in_unless_its_system_is_known_to_be_another() {
+fn a_peer_of_the_same_version_is_accepted_unless_its_system_is_known_to_be_another() {
     for (ours, theirs, expected) in [
         (0, 0, true),
         (0, 7, true),
@@ -49,26 +49,30 @@
             incarnation: 9,
         };
         let process = process(ours);
-        let heard = heard(&process, &preamble.encode());
-        expect_that!(heard.is_ok(), eq(expected), "{ours} hears {theirs}");
+        let received = receive(&process, &preamble.encode());
+        expect_that!(
+            received.is_ok(),
+            eq(expected),
+            "{theirs} connects to {ours}"
+        );
         expect_that!(process.rejected_peers(), eq(u64::from(!expected)));
-        if let Ok(heard) = heard {
-            expect_that!(heard, eq(preamble));
+        if let Ok(received) = received {
+            expect_that!(received, eq(preamble));
         }
     }
 }
 
 #[gtest]
-fn another_version_is_refused_as_soon_as_it_is_told() {
+fn another_version_is_rejected_before_the_rest_of_its_preamble() {
     let mut bytes = Preamble {
         system: None,
         incarnation: 9,
     }
     .encode();
     bytes[4..6].copy_from_slice(&(PROTOCOL_VERSION + 1).to_be_bytes());
-    let refused = heard(&process(0), &bytes[..6]);
+    let rejected = receive(&process(0), &bytes[..6]);
     expect_that!(
-        refused,
+        rejected,
         err(some(eq(HandshakeError::VersionMismatch(
             PROTOCOL_VERSION + 1
         ))))
@@ -76,9 +80,9 @@
 }
 
 #[gtest]
-fn what_is_no_preamble_is_refused_and_one_cut_short_is_a_broken_connection() {
+fn other_bytes_are_rejected_and_a_truncated_preamble_is_a_connection_error() {
     expect_that!(
-        heard(&process(0), &[0; PREAMBLE_BYTES]),
+        receive(&process(0), &[0; PREAMBLE_BYTES]),
         err(some(eq(HandshakeError::MissingPreamble)))
     );
     let bytes = Preamble {
@@ -87,13 +91,13 @@
     }
     .encode();
     expect_that!(
-        heard(&process(0), &bytes[..PREAMBLE_BYTES - 1]),
+        receive(&process(0), &bytes[..PREAMBLE_BYTES - 1]),
         err(none())
     );
 }
 
 #[gtest]
-fn a_build_without_preambles_takes_one_for_a_frame_that_is_too_long() {
+fn a_build_without_preambles_reads_one_as_a_frame_that_is_too_long() {
     let bytes = Preamble {
         system: None,
         incarnation: 9,
@@ -107,14 +111,14 @@
 }
 
 #[gtest]
-fn a_system_is_learned_once() {
+fn a_known_system_is_not_replaced() {
     let process = process(7);
     expect_that!(process.learn_system(NonZeroU64::MAX), eq(false));
     expect_that!(process.preamble().system, eq(system(7)));
 }
 
 #[gtest]
-fn refusals_are_counted_each_and_logged_once_in_a_while() {
+fn every_rejection_is_counted_and_few_are_logged() {
     let process = process(0);
     let logged: Vec<bool> = (0..5)
         .map(|_| process.record_rejection(HandshakeError::MissingPreamble))
