--- a/crates/emberpin-consensus/examples/search_model.rs
+++ b/crates/emberpin-consensus/examples/search_model.rs
@@ -1,17 +1,17 @@
-//! Searches the whole model of register, for every order of the proposers' ballots:
+//! Searches the model of the protocol for every order of the proposers' ballots:
 //! `cargo run --release -p emberpin-consensus --example search_model -- 0123`, where each digit is a round of the
-//! first writer, the second one, the changer of the roster, or a voter that lost its disk.
-//! `[rounds] [wipes] [power cuts] [told] [threads] [voters] [seconds]` change the bounds; there are 3 or 5 voters, and no
-//! order is begun once so many seconds are over.
+//! first writer (0), the second one (1), the proposer of a roster change (2), or a voter that lost its disk (3).
+//! `[rounds] [disk losses] [power losses] [spread items] [threads] [voters] [seconds]` change the bounds. There are 3 or 5
+//! voters, and no search begins after that many seconds.
 
 #[path = "../tests/model/register.rs"]
 mod register;
 
-use register::{search, Custody};
+use register::{search, RegisterModel};
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// All orders of these, without the same one twice.
+/// All distinct orders of these.
 fn orders(of: &[u8]) -> BTreeSet<Vec<u8>> {
     if of.is_empty() {
         return BTreeSet::from([Vec::new()]);
@@ -28,7 +28,7 @@
     all
 }
 
-/// The most memory that the process held, in MB; where the system tells it.
+/// The peak memory of the process in MB, where the system reports it.
 fn most_memory() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find(|line| line.starts_with("VmHWM"))?;
@@ -53,38 +53,40 @@
         .bytes()
         .map(|b| b - b'0')
         .collect();
-    let (wipes, power_cuts, told, threads) =
+    let (disk_losses, power_losses, spread_items, threads) =
         (number(1, 1), number(2, 0), number(3, 0), number(4, 3));
-    let five = number(5, 3) == 5;
+    let five_voters = number(5, 3) == 5;
     let seconds = arguments
         .get(6)
         .and_then(|text| text.parse().ok())
         .unwrap_or(u64::MAX);
-    let (mut finished, mut left_out) = (0, 0);
+    let (mut finished, mut skipped) = (0, 0);
     let (started, mut states, mut depth, mut largest) = (Instant::now(), 0, 0, 0);
     let mut ever = BTreeSet::new();
     let orders = orders(&rounds);
-    for one_name in [true, false] {
+    for same_version in [true, false] {
         for order in &orders {
             if started.elapsed().as_secs() >= seconds {
-                left_out += 1;
+                skipped += 1;
                 continue;
             }
-            let base = Custody {
-                one_name,
+            let base = RegisterModel {
+                same_version,
                 order: order.clone(),
-                five,
-                ..Custody::default()
+                five_voters,
+                ..RegisterModel::default()
             };
-            let bounds = Custody {
-                wipes,
-                power_cuts,
-                told,
+            let bounds = RegisterModel {
+                disk_losses,
+                power_losses,
+                spread_items,
                 ..base
             };
             let found = search(bounds, usize::from(threads));
             for (name, trace) in &found.violated {
-                println!("violated, with the ballots of {order:?}, one name {one_name}: {name}");
+                println!(
+                    "violated, with the ballots of {order:?}, same version {same_version}: {name}"
+                );
                 trace.iter().for_each(|action| println!("  {action:?}"));
             }
             if !found.violated.is_empty() {
@@ -100,15 +102,15 @@
         }
         let took = started.elapsed().as_secs_f64();
         println!(
-            "one name {one_name}: {states} states so far, at most {largest} in one order, depth {depth}"
+            "same version {same_version}: {states} states so far, at most {largest} in one order, depth {depth}"
         );
         println!("  after {took:.1} s");
     }
     println!(
-        "{} orders of the rounds {rounds:?}, wipes {wipes}, power cuts {power_cuts}, told {told}",
+        "{} orders of the rounds {rounds:?}, disk losses {disk_losses}, power losses {power_losses}, spread items {spread_items}",
         orders.len()
     );
-    println!("{finished} searches whole, {left_out} not begun");
+    println!("{finished} searches complete, {skipped} not begun");
     most_memory()
         .iter()
         .for_each(|memory| println!("at most {memory} MB"));
--- /dev/null
+++ b/crates/emberpin-consensus/tests/bootstrap.rs
@@ -0,0 +1,180 @@
+//! The bootstrap of the system: in any order of starts, interrupted, and repeated by a seed that lost its disk.
+
+mod cluster;
+
+use cluster::calls::set_service;
+use cluster::{ip, Cluster, Start};
+use emberpin_consensus::{Call, Guards, Replica};
+use googletest::prelude::*;
+
+/// How long the bootstrap may take once all seeds run, in milliseconds: some round trips and two syncs.
+const MAX_BOOTSTRAP_TIME: u64 = 150;
+
+fn all_vote(cluster: &Cluster, hosts: u8) -> bool {
+    let is_voter = |host| cluster.replica(ip(host)).is_some_and(Replica::is_voter);
+    (1..=hosts).all(is_voter)
+}
+
+/// Seeds of which none has been started.
+fn cluster_of_stopped_seeds(seed: u64, count: u8) -> Cluster {
+    let mut cluster = Cluster::new(seed, count, 1, Guards::default());
+    // Nothing is left of the bootstrap that a cluster begins with.
+    for host in 1..=count {
+        cluster.lose_disk(ip(host));
+    }
+    for host in 1..=count {
+        cluster.add_machine(ip(host));
+    }
+    cluster.run(100);
+    cluster
+}
+
+#[gtest]
+fn bootstrap_succeeds_in_any_order_of_starts() {
+    for seed in 0..30 {
+        for count in [1, 3, 5] {
+            let mut cluster = cluster_of_stopped_seeds(seed, count);
+            for nth in 0..count {
+                cluster.start(ip(1 + (nth + seed as u8) % count), Start::Bootstrap);
+                let pause = cluster.below(300 / u64::from(count));
+                cluster.run(pause);
+            }
+            let began = cluster.now;
+            cluster.run_while(2_000, |cluster| !all_vote(cluster, count));
+            expect_that!(
+                cluster.now - began,
+                le(MAX_BOOTSTRAP_TIME),
+                "seed {seed}, {count} seeds"
+            );
+            cluster.heal_and_check();
+            expect_that!(cluster.violation, none());
+        }
+    }
+}
+
+/// How a bootstrap is interrupted.
+#[derive(Clone, Copy, Debug)]
+enum Interruption {
+    Kill,
+    PowerLoss,
+}
+
+/// All processes end some milliseconds after their start, and are started again without `bootstrap`.
+fn interrupted_bootstrap(seed: u64, after: u64, interruption: Interruption) -> Cluster {
+    let mut cluster = cluster_of_stopped_seeds(seed, 3);
+    for host in 1..=3 {
+        cluster.start(ip(host), Start::Bootstrap);
+    }
+    cluster.run(after);
+    for host in 1..=3 {
+        match interruption {
+            Interruption::Kill => cluster.kill(ip(host)),
+            Interruption::PowerLoss => cluster.lose_power_and_unsynced_writes(ip(host)),
+        }
+    }
+    for host in 1..=3 {
+        cluster.start(ip(host), Start::Normal);
+    }
+    cluster.run_while(2_000, |cluster| !all_vote(cluster, 3));
+    cluster
+}
+
+#[gtest]
+fn interrupted_bootstrap_continues_after_a_restart() {
+    for seed in 0..4 {
+        // From the first sync on, which takes up to 6 ms: before it, nothing is sent and nothing is on a disk.
+        for after in 6..60 {
+            for interruption in [Interruption::Kill, Interruption::PowerLoss] {
+                let mut cluster = interrupted_bootstrap(seed, after, interruption);
+                expect_that!(
+                    all_vote(&cluster, 3),
+                    eq(true),
+                    "seed {seed}, {interruption:?} after {after} ms"
+                );
+                expect_that!(cluster.status_of(ip(2), &set_service("a", 1, 1)), eq(200));
+                cluster.heal_and_check();
+                expect_that!(cluster.violation, none());
+            }
+        }
+    }
+}
+
+#[gtest]
+fn seed_that_lost_power_before_its_first_sync_joins_by_catching_up() {
+    for seed in 0..30 {
+        let lost = ip(2 + (seed % 2) as u8);
+        let mut cluster = cluster_of_stopped_seeds(seed, 3);
+        for host in 1..=3 {
+            cluster.start(ip(host), Start::Bootstrap);
+        }
+        cluster.lose_power_and_unsynced_writes(lost);
+        cluster.run(50);
+        cluster.start(lost, Start::Normal);
+        cluster.run_while(3_000, |cluster| !all_vote(cluster, 3));
+        expect_that!(all_vote(&cluster, 3), eq(true), "seed {seed}");
+        expect_that!(cluster.status_of(ip(1), &set_service("a", 1, 1)), eq(200));
+        cluster.heal_and_check();
+        expect_that!(cluster.violation, none());
+    }
+}
+
+/// 1 and 2 know an item; 1 loses its disk and is started for a bootstrap, while 2 is down and 3 is behind. Then 3 reads.
+fn seed_bootstraps_again_after_it_lost_its_disk(guards: Guards) -> (u16, Cluster) {
+    let mut cluster = Cluster::new(2, 3, 1, guards);
+    cluster.run(1_000);
+    cluster.kill(ip(3));
+    cluster.call_until_done(ip(1), set_service("a", 1, 1));
+    cluster.lose_power(ip(2));
+    cluster.lose_disk(ip(1));
+    cluster.start(ip(1), Start::Bootstrap);
+    cluster.start(ip(3), Start::Normal);
+    let read = cluster.call(ip(3), Call::Get);
+    cluster.run(4_000);
+    let status = cluster.calls[read].status().unwrap_or(0);
+    if status == 200 {
+        cluster.check_acknowledged_items(ip(3));
+    }
+    (status, cluster)
+}
+
+#[gtest]
+fn seed_that_lost_its_disk_asks_the_others_and_does_not_vote() {
+    let (status, mut cluster) = seed_bootstraps_again_after_it_lost_its_disk(Guards::default());
+    expect_that!(status, eq(503));
+    cluster.heal_and_check();
+    expect_that!(cluster.violation, none());
+    expect_that!(all_vote(&cluster, 3), eq(true));
+}
+
+#[gtest]
+fn bootstrap_without_agreement_loses_an_acknowledged_item() {
+    let (status, cluster) = seed_bootstraps_again_after_it_lost_its_disk(Guards {
+        bootstrap_agreement: false,
+        ..Guards::default()
+    });
+    expect_that!(status, eq(200));
+    expect_that!(cluster.violation, some(contains_substring("lost")));
+}
+
+#[gtest]
+fn bootstrap_needs_a_majority_of_candidates() {
+    for seed in 0..10 {
+        let mut cluster = cluster_of_stopped_seeds(seed, 3);
+        // As if one seed had lost its disk, and the other two were new machines that know no roster yet.
+        for host in [2, 3] {
+            cluster.start(ip(host), Start::Normal);
+        }
+        cluster.start(ip(1), Start::Bootstrap);
+        cluster.run(5_000);
+        expect_that!(cluster.newest_roster(), is_empty(), "seed {seed}");
+        // Started for a bootstrap themselves, they agree to it.
+        for host in [2, 3] {
+            cluster.kill(ip(host));
+        }
+        for host in [2, 3] {
+            cluster.start(ip(host), Start::Bootstrap);
+        }
+        cluster.run_while(2_000, |cluster| !all_vote(cluster, 3));
+        expect_that!(all_vote(&cluster, 3), eq(true));
+    }
+}
--- /dev/null
+++ b/crates/emberpin-consensus/tests/cluster/mod.rs
@@ -0,0 +1,654 @@
+//! A cluster of replicas on simulated time, with delays and faults drawn from a seed, and checks of everything that
+//! its replicas tell their clients and followers.
+//!
+//! Times are milliseconds. Running a cluster stops at the first violation, which [`Cluster::violation`] describes.
+#![allow(dead_code, reason = "each test file uses a part of it")]
+
+pub mod calls;
+mod checks;
+pub mod faults;
+pub mod replica;
+pub mod seeds;
+
+use checks::Observations;
+use emberpin_config::{Item, ItemKey, ItemKind, Retention, Version};
+use emberpin_consensus::{
+    Action, Ballot, Call, CallId, Event, Guards, Message, PersistedState, Replica, ReplicaOptions,
+    Timestamp, WriteBatch, WriteToken,
+};
+use oorandom::Rand64;
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
+use std::net::Ipv4Addr;
+use std::ops::Range;
+
+/// The longest time until a call is answered: the timeout of a call, and a timer.
+const MAX_REPLY_TIME: u64 = 3_000 + 2;
+
+/// How long a process that shuts down waits for its replica to leave the roster.
+const LEAVE_TIMEOUT: u64 = 700;
+
+/// How many events a host handles before it syncs once for all of them.
+const MAX_EVENTS_PER_SYNC: usize = 32;
+
+/// Bounds that are reached after few changes.
+pub const SMALL_RETENTION: Retention = Retention {
+    max_versions: 3,
+    max_tombstones: 4,
+};
+
+/// The reason that clients are given while a disk is full.
+pub const DISK_FULL: &str = "the disk is full";
+
+/// An event that is scheduled on simulated time.
+#[derive(Clone, Debug)]
+enum ScheduledEvent {
+    Deliver {
+        from: Ipv4Addr,
+        to: Ipv4Addr,
+        /// The receiver's process when the message was sent; a connection ends with it.
+        process: u64,
+        message: Message,
+    },
+    Synced {
+        node: Ipv4Addr,
+        process: u64,
+        disk_failures: u64,
+        token: WriteToken,
+        /// How many writes of the disk are synced then.
+        writes: usize,
+    },
+    Tick {
+        node: Ipv4Addr,
+        process: u64,
+    },
+}
+
+/// How a process is started.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Start {
+    /// Its settings ask for the bootstrap of the system.
+    Bootstrap,
+    /// Its settings name the seeds of a system that exists.
+    Normal,
+}
+
+/// A machine: its disk, and its replica while the process runs.
+pub struct Node {
+    pub replica: Option<Replica>,
+    /// Counts the starts of its process.
+    process: u64,
+    disk: Vec<WriteBatch>,
+    /// How many writes of the disk are synced.
+    synced: usize,
+    /// No sync of its disk ends before this.
+    pub stalled_until: u64,
+    disk_full: bool,
+    /// Counts the failures of its disk: a sync that began before the last one is not reported.
+    disk_failures: u64,
+    /// Its disk was lost, and does not say yet that the replica has caught up.
+    pub disk_lost: bool,
+    /// It never comes back.
+    pub decommissioned: bool,
+    /// The operator has taken it off the list of machines: no seeds name it.
+    pub delisted: bool,
+    /// When its next tick is scheduled; 0, if none is.
+    next_tick_at: u64,
+    /// The host waits for a sync; see [`Cluster::host_blocks_on_sync`].
+    is_syncing: bool,
+    /// Events that wait for the end of that sync.
+    waiting_events: VecDeque<Event>,
+    /// The versions that its followers were notified of by this process.
+    learned_versions: BTreeMap<ItemKey, Version>,
+}
+
+/// A client's call.
+#[derive(Clone, Debug)]
+pub struct ClientCall {
+    pub to: Ipv4Addr,
+    pub call: Call,
+    /// The items of a patch.
+    pub items: Vec<Item>,
+    pub sent_at: u64,
+    pub reply: Option<Reply>,
+}
+
+impl ClientCall {
+    pub fn status(&self) -> Option<u16> {
+        self.reply.as_ref().map(|reply| reply.status)
+    }
+}
+
+/// The reply to a call.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Reply {
+    pub status: u16,
+    pub body: String,
+}
+
+/// An entry of the history of calls.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HistoryEvent {
+    /// The call of this index in [`Cluster::calls`] was sent.
+    Called(usize),
+    /// It was answered.
+    Replied(usize),
+}
+
+/// A message that a test holds back.
+#[derive(Clone, Debug)]
+pub struct HeldMessage {
+    pub from: Ipv4Addr,
+    pub to: Ipv4Addr,
+    pub message: Message,
+}
+
+/// Syncs that take longer than others.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct SyncStalls {
+    /// Of a hundred syncs, how many stall.
+    pub percent: u64,
+    /// How much longer these take.
+    pub duration: u64,
+}
+
+pub struct Cluster {
+    pub now: u64,
+    pub nodes: BTreeMap<Ipv4Addr, Node>,
+    /// Links on which messages are lost: from one machine to another.
+    pub partitions: BTreeSet<(Ipv4Addr, Ipv4Addr)>,
+    pub calls: Vec<ClientCall>,
+    pub history: Vec<HistoryEvent>,
+    /// What was observed so far, and must stay true.
+    pub observed: Observations,
+    /// The first violation.
+    pub violation: Option<String>,
+    /// Which messages a test holds back.
+    pub hold_back: Option<fn(&Message) -> bool>,
+    pub held_back: Vec<HeldMessage>,
+    pub random: Rand64,
+    guards: Guards,
+    seeds: Vec<Ipv4Addr>,
+    tolerated_failures: usize,
+    /// Times and numbers of scheduled events, the earliest first.
+    schedule: BinaryHeap<Reverse<(u64, u64)>>,
+    scheduled: BTreeMap<u64, ScheduledEvent>,
+    last_scheduled: u64,
+    pub network_delay: Range<u64>,
+    pub sync_time: Range<u64>,
+    pub sync_stalls: SyncStalls,
+    /// Of a hundred messages, how many are late by up to 1.5 s.
+    pub late_percent: u64,
+    /// Of a hundred messages, how many arrive twice.
+    pub duplicate_percent: u64,
+    /// Whether a host does nothing while its disk syncs, and then handles the events that came meanwhile with one
+    /// further sync.
+    pub host_blocks_on_sync: bool,
+}
+
+/// Whether a message spreads chosen items outside of rounds. Without these, a replica knows only what its rounds tell.
+pub fn spreads_chosen_items(message: &Message) -> bool {
+    matches!(
+        message,
+        Message::Chosen(_) | Message::CompareDigest(_) | Message::DigestDiffers(_)
+    )
+}
+
+/// The address of a machine.
+pub fn ip(host: u8) -> Ipv4Addr {
+    Ipv4Addr::new(10, 0, 0, host)
+}
+
+impl Cluster {
+    /// A cluster of seeds, all of which are started for its bootstrap.
+    pub fn new(seed: u64, seed_count: u8, tolerated_failures: usize, guards: Guards) -> Cluster {
+        let seeds: Vec<Ipv4Addr> = (1..=seed_count).map(ip).collect();
+        let mut cluster = Cluster {
+            now: 1,
+            nodes: BTreeMap::new(),
+            partitions: BTreeSet::new(),
+            calls: Vec::new(),
+            history: Vec::new(),
+            observed: Observations::default(),
+            violation: None,
+            hold_back: None,
+            held_back: Vec::new(),
+            random: Rand64::new(u128::from(seed) + 1),
+            guards,
+            seeds: seeds.clone(),
+            tolerated_failures,
+            schedule: BinaryHeap::new(),
+            scheduled: BTreeMap::new(),
+            last_scheduled: 0,
+            network_delay: 1..4,
+            sync_time: 2..6,
+            sync_stalls: SyncStalls::default(),
+            late_percent: 0,
+            duplicate_percent: 0,
+            host_blocks_on_sync: false,
+        };
+        for seed in seeds {
+            cluster.add_machine(seed);
+            cluster.start(seed, Start::Bootstrap);
+        }
+        cluster
+    }
+
+    /// Adds a machine with an empty disk, not started.
+    pub fn add_machine(&mut self, ip: Ipv4Addr) {
+        let node = Node {
+            replica: None,
+            process: 0,
+            disk: Vec::new(),
+            synced: 0,
+            stalled_until: 0,
+            disk_full: false,
+            disk_failures: 0,
+            disk_lost: false,
+            decommissioned: false,
+            delisted: false,
+            next_tick_at: 0,
+            is_syncing: false,
+            waiting_events: VecDeque::new(),
+            learned_versions: BTreeMap::new(),
+        };
+        self.nodes.insert(ip, node);
+    }
+
+    /// A random number below a bound.
+    pub fn below(&mut self, bound: u64) -> u64 {
+        self.random.rand_range(0..bound)
+    }
+
+    /// A random element.
+    pub fn choose<T: Clone>(&mut self, from: &[T]) -> T {
+        from[self.below(from.len() as u64) as usize].clone()
+    }
+
+    fn below_range(&mut self, range: &Range<u64>) -> u64 {
+        range.start + self.below(range.end - range.start)
+    }
+
+    fn schedule(&mut self, at: u64, event: ScheduledEvent) {
+        self.last_scheduled += 1;
+        self.schedule.push(Reverse((at, self.last_scheduled)));
+        self.scheduled.insert(self.last_scheduled, event);
+    }
+
+    pub fn node(&mut self, ip: Ipv4Addr) -> &mut Node {
+        self.nodes.get_mut(&ip).expect("a machine of the cluster")
+    }
+
+    /// The replica of a machine that runs.
+    pub fn replica(&self, ip: Ipv4Addr) -> Option<&Replica> {
+        self.nodes[&ip].replica.as_ref()
+    }
+
+    /// What the replica of a machine knows of an item.
+    pub fn known_item(&self, host: u8, kind: ItemKind, name: &str) -> Option<Item> {
+        let key = ItemKey {
+            kind,
+            name: name.into(),
+        };
+        self.replica(ip(host))?.state().get(&key).cloned()
+    }
+
+    /// Which version of a service the replica of a machine knows.
+    pub fn service_version(&self, host: u8, name: &str) -> Option<u64> {
+        let service = self.known_item(host, ItemKind::Service, name)?;
+        Some(service.version.0)
+    }
+
+    /// The machines whose processes run.
+    pub fn running(&self) -> Vec<Ipv4Addr> {
+        self.nodes
+            .iter()
+            .filter(|(_, node)| node.replica.is_some())
+            .map(|(ip, _)| *ip)
+            .collect()
+    }
+
+    /// Starts a process, unless it runs or the machine is decommissioned.
+    pub fn start(&mut self, ip: Ipv4Addr, start: Start) {
+        let (now, guards, random_seed) = (self.now, self.guards, self.random.rand_u64());
+        // As the operator's list stands when the settings are written: some may be down, none is gone for good.
+        let listed = self
+            .nodes
+            .iter()
+            .filter(|(_, node)| !node.decommissioned && !node.delisted)
+            .map(|(ip, _)| *ip);
+        let seeds = match start {
+            Start::Bootstrap => self.seeds.clone(),
+            Start::Normal => listed.take(self.seeds.len()).collect(),
+        };
+        let options = ReplicaOptions {
+            address: ip,
+            seeds,
+            bootstrap: start == Start::Bootstrap,
+            tolerated_failures: self.tolerated_failures,
+            random_seed,
+        };
+        let node = self.node(ip);
+        if node.replica.is_some() || node.decommissioned {
+            return;
+        }
+        node.process += 1;
+        node.next_tick_at = 0;
+        node.is_syncing = false;
+        node.waiting_events.clear();
+        node.learned_versions.clear();
+        let mut actions = Vec::new();
+        node.replica = Some(Replica::with_guards(
+            Timestamp::from_millis(now),
+            options,
+            persisted_state(&node.disk),
+            guards,
+            &mut actions,
+        ));
+        self.apply(ip, actions);
+    }
+
+    /// Starts a process on each of these machines that has none.
+    pub fn start_all(&mut self, ips: &[Ipv4Addr]) {
+        for ip in ips {
+            self.start(*ip, Start::Normal);
+        }
+    }
+
+    /// The ballot that a machine's disk holds a promise of.
+    pub fn promised_ballot(&self, ip: Ipv4Addr) -> Option<Ballot> {
+        self.nodes[&ip].disk.last().map(|write| write.promised)
+    }
+
+    /// Sends a call to a replica; returns its index in [`Cluster::calls`].
+    pub fn call(&mut self, to: Ipv4Addr, call: Call) -> usize {
+        let items = match &call {
+            Call::Patch(body) => emberpin_config::parse_patch(body)
+                .map(|patch| patch.items)
+                .unwrap_or_default(),
+            _ => Vec::new(),
+        };
+        let id = self.calls.len();
+        self.history.push(HistoryEvent::Called(id));
+        self.calls.push(ClientCall {
+            to,
+            call: call.clone(),
+            items,
+            sent_at: self.now,
+            reply: None,
+        });
+        let call_id = CallId(id as u64);
+        self.handle(to, Event::Call { call_id, call });
+        id
+    }
+
+    /// Sends a call and waits for its reply; after a 503 it is sent again, as operators do.
+    pub fn call_until_done(&mut self, to: Ipv4Addr, call: Call) -> Reply {
+        for _ in 0..20 {
+            let id = self.call(to, call.clone());
+            self.run_while(MAX_REPLY_TIME, |cluster| cluster.calls[id].reply.is_none());
+            match self.calls[id].reply.clone() {
+                Some(reply) if reply.status != 503 => return reply,
+                _ => {}
+            }
+        }
+        Reply {
+            status: 503,
+            body: "never answered".into(),
+        }
+    }
+
+    /// The status of [`Cluster::call_until_done`].
+    pub fn status_of(&mut self, to: Ipv4Addr, call: &Call) -> u16 {
+        self.call_until_done(to, call.clone()).status
+    }
+
+    fn handle(&mut self, ip: Ipv4Addr, event: Event) {
+        let node = self.node(ip);
+        if node.is_syncing {
+            node.waiting_events.push_back(event);
+            return;
+        }
+        self.handle_all(ip, [event]);
+    }
+
+    fn handle_all(&mut self, ip: Ipv4Addr, events: impl IntoIterator<Item = Event>) {
+        let now = Timestamp::from_millis(self.now);
+        let Some(replica) = self.node(ip).replica.as_mut() else {
+            return;
+        };
+        let mut actions = Vec::new();
+        for event in events {
+            replica.handle(now, event, &mut actions);
+        }
+        self.apply(ip, actions);
+    }
+
+    /// A sync is over: the host handles that, and the events that came meanwhile.
+    fn on_synced(&mut self, ip: Ipv4Addr, token: WriteToken) {
+        self.node(ip).is_syncing = false;
+        let waiting = self.take_waiting_events(ip);
+        let synced = std::iter::once(Event::Persisted { token });
+        self.handle_all(ip, synced.chain(waiting));
+        // Events that led to no sync let the next ones follow at once.
+        while !self.node(ip).is_syncing && !self.node(ip).waiting_events.is_empty() {
+            let waiting = self.take_waiting_events(ip);
+            self.handle_all(ip, waiting);
+        }
+    }
+
+    fn take_waiting_events(&mut self, ip: Ipv4Addr) -> Vec<Event> {
+        let waiting = &mut self.node(ip).waiting_events;
+        let count = waiting.len().min(MAX_EVENTS_PER_SYNC);
+        waiting.drain(..count).collect()
+    }
+
+    /// Carries out a replica's actions.
+    fn apply(&mut self, ip: Ipv4Addr, actions: Vec<Action>) {
+        let mut blocking_sync = None;
+        let mut write_lost = false;
+        for action in actions {
+            match action {
+                Action::Persist { token, write } => match self.write(ip, token, write) {
+                    Written::Lost => write_lost = true,
+                    Written::Buffered => {}
+                    Written::Syncs(at, synced) if self.host_blocks_on_sync => {
+                        blocking_sync = Some((at, synced));
+                    }
+                    Written::Syncs(at, synced) => self.schedule(at, synced),
+                },
+                Action::Send { to, message } => self.send(ip, to, message),
+                Action::Reply {
+                    call_id,
+                    status,
+                    body,
+                } => self.on_reply(call_id.0 as usize, Reply { status, body }),
+                Action::Learned { items } => self.on_learned(ip, &items),
+            }
+        }
+        if write_lost {
+            return self.lose_unsynced_writes(ip);
+        }
+        if let Some((at, synced)) = blocking_sync {
+            self.node(ip).is_syncing = true;
+            self.schedule(at, synced);
+        }
+        self.schedule_tick(ip);
+    }
+
+    fn write(&mut self, ip: Ipv4Addr, token: WriteToken, write: WriteBatch) -> Written {
+        let SyncStalls { percent, duration } = self.sync_stalls;
+        let is_stalled = percent > 0 && self.below(100) < percent;
+        let stall = if is_stalled { duration } else { 0 };
+        let sync_time = self.below_range(&self.sync_time.clone()) + stall;
+        let now = self.now;
+        let node = self.node(ip);
+        if node.disk_full {
+            return Written::Lost;
+        }
+        let sync = write.sync;
+        node.disk.push(write);
+        if !sync {
+            return Written::Buffered;
+        }
+        let synced = ScheduledEvent::Synced {
+            node: ip,
+            process: node.process,
+            disk_failures: node.disk_failures,
+            token,
+            writes: node.disk.len(),
+        };
+        Written::Syncs((now + sync_time).max(node.stalled_until), synced)
+    }
+
+    fn schedule_tick(&mut self, ip: Ipv4Addr) {
+        let now = self.now;
+        let node = self.node(ip);
+        let Some(replica) = &node.replica else { return };
+        let at = replica.next_tick_at().as_millis().max(now + 1);
+        if node.next_tick_at != at {
+            node.next_tick_at = at;
+            let process = node.process;
+            self.schedule(at, ScheduledEvent::Tick { node: ip, process });
+        }
+    }
+
+    fn send(&mut self, from: Ipv4Addr, to: Ipv4Addr, message: Message) {
+        if self.partitions.contains(&(from, to)) {
+            return;
+        }
+        if self.hold_back.is_some_and(|is_held| is_held(&message)) {
+            self.held_back.push(HeldMessage { from, to, message });
+            return;
+        }
+        let is_duplicated = self.below(100) < self.duplicate_percent;
+        for _ in 0..if is_duplicated { 2 } else { 1 } {
+            let mut delay = self.below_range(&self.network_delay.clone());
+            if self.below(100) < self.late_percent {
+                delay += self.below(1500);
+            }
+            let deliver = ScheduledEvent::Deliver {
+                from,
+                to,
+                process: self.nodes.get(&to).map_or(0, |node| node.process),
+                message: message.clone(),
+            };
+            self.schedule(self.now + delay, deliver);
+        }
+    }
+
+    /// Delivers the first message from one machine to another that was held back.
+    pub fn release(&mut self, from: Ipv4Addr, to: Ipv4Addr) {
+        let is_wanted = |held: &HeldMessage| (held.from, held.to) == (from, to);
+        if let Some(position) = self.held_back.iter().position(is_wanted) {
+            let HeldMessage { from, to, message } = self.held_back.remove(position);
+            self.handle(to, Event::Message { from, message });
+        }
+    }
+
+    /// Lets time pass.
+    pub fn run(&mut self, span: u64) {
+        let until = self.now + span;
+        self.run_while(span, |_| true);
+        self.now = self.now.max(until);
+    }
+
+    /// Lets time pass as long as a condition holds, up to a span.
+    pub fn run_while(&mut self, span: u64, mut condition: impl FnMut(&Cluster) -> bool) {
+        let until = self.now + span;
+        while self.violation.is_none() && condition(self) {
+            match self.schedule.peek() {
+                Some(Reverse((at, _))) if *at <= until => {}
+                _ => {
+                    self.now = until;
+                    return;
+                }
+            }
+            let Some(Reverse((at, number))) = self.schedule.pop() else {
+                return;
+            };
+            self.now = self.now.max(at);
+            if let Some(event) = self.scheduled.remove(&number) {
+                self.on_scheduled(event);
+            }
+        }
+    }
+
+    fn on_scheduled(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Deliver {
+                from,
+                to,
+                process,
+                message,
+            } => {
+                let receiver = self.nodes.get(&to);
+                let is_connected = receiver.is_some_and(|node| node.process == process);
+                if is_connected && !self.partitions.contains(&(from, to)) {
+                    self.handle(to, Event::Message { from, message });
+                }
+            }
+            ScheduledEvent::Synced {
+                node: ip,
+                process,
+                disk_failures,
+                token,
+                writes,
+            } => {
+                let node = self.node(ip);
+                let is_same = (node.process, node.disk_failures) == (process, disk_failures);
+                if is_same && node.replica.is_some() {
+                    node.synced = node.synced.max(writes);
+                    let has_caught_up = node.disk[..node.synced].iter().any(|write| write.voting);
+                    node.disk_lost &= !has_caught_up;
+                    self.on_synced(ip, token);
+                }
+            }
+            ScheduledEvent::Tick { node: ip, process } => {
+                let now = self.now;
+                let node = self.node(ip);
+                if node.process == process && node.next_tick_at == now {
+                    node.next_tick_at = 0;
+                    self.handle(ip, Event::Tick);
+                }
+            }
+        }
+    }
+}
+
+/// What became of a write.
+enum Written {
+    /// The disk takes no writes.
+    Lost,
+    /// It waits for a later sync.
+    Buffered,
+    /// It is synced at this time.
+    Syncs(u64, ScheduledEvent),
+}
+
+/// What a replica reads from a disk with these writes.
+fn persisted_state(disk: &[WriteBatch]) -> Option<PersistedState> {
+    if disk.is_empty() {
+        return None;
+    }
+    let mut state = PersistedState::default();
+    let mut chosen: BTreeMap<ItemKey, Item> = BTreeMap::new();
+    for write in disk {
+        for item in &write.chosen {
+            chosen.insert(item.key.clone(), item.clone());
+        }
+        for key in &write.removed {
+            chosen.remove(key);
+        }
+        state.promised = write.promised;
+        state.voting = write.voting;
+        state.incarnation = write.incarnation;
+        state.latest_incarnations = write.latest_incarnations.clone();
+        state.bootstrap_candidate = write.bootstrap_candidate.clone();
+        if let Some(accepted) = &write.accepted {
+            state.accepted = accepted.clone();
+        }
+    }
+    state.chosen = chosen.into_values().collect();
+    Some(state)
+}
--- /dev/null
+++ b/crates/emberpin-consensus/tests/evacuation.rs
@@ -0,0 +1,77 @@
+//! Evacuations of a zone.
+
+mod cluster;
+
+use cluster::calls::evacuate;
+use cluster::{ip, Cluster, Start};
+use emberpin_config::ItemKind;
+use emberpin_consensus::message::Message;
+use emberpin_consensus::{Call, EvacuationChange, Guards};
+use googletest::prelude::*;
+
+fn is_evacuated(cluster: &Cluster, host: u8) -> bool {
+    cluster
+        .known_item(host, ItemKind::Evacuation, "z")
+        .is_some_and(|item| item.body.is_some())
+}
+
+#[gtest]
+fn evacuation_begins_at_one_replica_and_ends_at_another() {
+    let mut cluster = Cluster::new(8, 3, 1, Guards::default());
+    cluster.run(100);
+    expect_that!(
+        cluster.status_of(ip(1), &evacuate(EvacuationChange::Begin)),
+        eq(200)
+    );
+    expect_that!(
+        cluster.status_of(ip(2), &evacuate(EvacuationChange::Begin)),
+        eq(200)
+    );
+    for host in 1..=3 {
+        cluster.lose_power_and_unsynced_writes(ip(host));
+    }
+    for host in 1..=3 {
+        cluster.start(ip(host), Start::Normal);
+    }
+    expect_that!(cluster.status_of(ip(3), &Call::Get), eq(200));
+    expect_that!(is_evacuated(&cluster, 3), eq(true));
+    expect_that!(
+        cluster
+            .known_item(3, ItemKind::Evacuation, "z")
+            .map(|item| item.version.0),
+        some(eq(1))
+    );
+    expect_that!(
+        cluster.status_of(ip(2), &evacuate(EvacuationChange::End)),
+        eq(200)
+    );
+    cluster.heal_and_check();
+    expect_that!(cluster.violation, none());
+    for host in 1..=3 {
+        expect_that!(is_evacuated(&cluster, host), eq(false));
+    }
+}
+
+#[gtest]
+fn begin_on_its_proposer_alone_does_not_return_after_the_end() {
+    let mut cluster = Cluster::new(9, 3, 1, Guards::default());
+    cluster.run(100);
+    cluster.hold_back = Some(|message| matches!(message, Message::Accept(_)));
+    cluster.call(ip(1), evacuate(EvacuationChange::Begin));
+    cluster.run(200);
+    cluster.kill(ip(1));
+    cluster.hold_back = None;
+    expect_that!(
+        cluster.status_of(ip(2), &evacuate(EvacuationChange::Begin)),
+        eq(200)
+    );
+    expect_that!(
+        cluster.status_of(ip(3), &evacuate(EvacuationChange::End)),
+        eq(200)
+    );
+    cluster.heal_and_check();
+    expect_that!(cluster.violation, none());
+    for host in 1..=3 {
+        expect_that!(is_evacuated(&cluster, host), eq(false));
+    }
+}
--- a/crates/emberpin-consensus/tests/model.rs
+++ b/crates/emberpin-consensus/tests/model.rs
@@ -1,27 +1,28 @@
-//! The model of register, searched within small bounds; `examples/search_model.rs` searches it whole.
+//! The model of the protocol, searched within small bounds; `examples/search_model.rs` searches larger ones. Each mutation
+//! of the protocol has to be found.
 
 #[path = "model/register.rs"]
 mod register;
 
 use googletest::prelude::*;
 use register::{
-    search, Action, Custody, Wrong, ACKNOWLEDGED, CAUGHT_UP, CHANGED, CHANGER, FIRST_WRITER, LOST,
-    RECOVERER, REFUSED, SECOND_WRITER, TWO,
+    search, Action, Mutation, RegisterModel, ACKNOWLEDGED, CAUGHT_UP, CHANGED, FIRST_WRITER,
+    RECOVERING, REFUSED, ROSTER_CHANGER, SECOND_WRITER, STALE_READ, TWO_CHOSEN,
 };
 
-/// Nothing happens but these rounds; the tests add what they need.
-fn quiet(order: &[u8]) -> Custody {
-    Custody {
+/// A model with these rounds and no faults; the tests add those that they need.
+fn only_rounds(order: &[u8]) -> RegisterModel {
+    RegisterModel {
         order: order.to_vec(),
-        wipes: 0,
-        power_cuts: 0,
-        told: 0,
-        ..Custody::default()
+        disk_losses: 0,
+        power_losses: 0,
+        spread_items: 0,
+        ..RegisterModel::default()
     }
 }
 
-/// What happens at some time, in a search that finds nothing wrong.
-fn sound(bounds: Custody) -> Vec<&'static str> {
+/// Searches without a violation; returns the properties that hold at some time.
+fn search_without_violation(bounds: RegisterModel) -> Vec<&'static str> {
     let found = search(bounds.clone(), 2);
     println!(
         "{} states, depth {}, in {bounds:?}",
@@ -31,19 +32,19 @@
     found.happened
 }
 
-/// What a wrong build breaks, by the fewest steps. The two whole searches above and the last test show that
-/// the sound one breaks nothing within the same bounds.
-fn caught(wrong: Wrong, bounds: Custody) -> Option<&'static str> {
+/// The property that a mutation violates. Other tests show that without a mutation none is violated within the same
+/// bounds.
+fn violation_with(mutation: Mutation, bounds: RegisterModel) -> Option<&'static str> {
     let found = search(
-        Custody {
-            wrong: Some(wrong),
+        RegisterModel {
+            mutation: Some(mutation),
             ..bounds
         },
         1,
     );
     let (name, trace): (_, Vec<Action>) = found.violated.into_iter().next()?;
     println!(
-        "{wrong:?} breaks \"{name}\" in {} steps, of {} states:",
+        "{mutation:?} violates \"{name}\" in {} steps, of {} states:",
         trace.len(),
         found.states
     );
@@ -52,9 +53,12 @@
 }
 
 #[gtest]
-fn a_lost_disk_loses_nothing() {
-    let bounds = quiet(&[FIRST_WRITER, RECOVERER, SECOND_WRITER]);
-    let happened = sound(Custody { wipes: 1, ..bounds });
+fn lost_disk_loses_no_acknowledged_item() {
+    let bounds = only_rounds(&[FIRST_WRITER, RECOVERING, SECOND_WRITER]);
+    let happened = search_without_violation(RegisterModel {
+        disk_losses: 1,
+        ..bounds
+    });
     expect_that!(
         happened,
         unordered_elements_are![eq(&ACKNOWLEDGED), eq(&REFUSED), eq(&CAUGHT_UP)]
@@ -62,8 +66,9 @@
 }
 
 #[gtest]
-fn a_change_of_the_roster_loses_nothing() {
-    let happened = sound(quiet(&[FIRST_WRITER, CHANGER, SECOND_WRITER]));
+fn roster_change_loses_no_acknowledged_item() {
+    let happened =
+        search_without_violation(only_rounds(&[FIRST_WRITER, ROSTER_CHANGER, SECOND_WRITER]));
     expect_that!(
         happened,
         unordered_elements_are![eq(&ACKNOWLEDGED), eq(&REFUSED), eq(&CHANGED)]
@@ -71,141 +76,178 @@
 }
 
 #[gtest]
-fn a_voter_that_votes_after_it_lost_its_disk_is_caught() {
-    let bounds = Custody {
-        wipes: 1,
-        ..quiet(&[FIRST_WRITER, SECOND_WRITER])
+fn search_detects_voting_before_catching_up() {
+    let bounds = RegisterModel {
+        disk_losses: 1,
+        ..only_rounds(&[FIRST_WRITER, SECOND_WRITER])
     };
-    expect_that!(caught(Wrong::Amnesia, bounds), some(eq(LOST)));
+    expect_that!(
+        violation_with(Mutation::VoteBeforeCatchUp, bounds),
+        some(eq(STALE_READ))
+    );
 }
 
 #[gtest]
-fn catching_up_without_a_promise_is_caught() {
-    let bounds = Custody {
-        wipes: 1,
-        ..quiet(&[FIRST_WRITER, RECOVERER, SECOND_WRITER])
+fn search_detects_catching_up_without_promises() {
+    let bounds = RegisterModel {
+        disk_losses: 1,
+        ..only_rounds(&[FIRST_WRITER, RECOVERING, SECOND_WRITER])
     };
-    expect_that!(caught(Wrong::StaleCatchUp, bounds), some(eq(LOST)));
+    expect_that!(
+        violation_with(Mutation::CatchUpWithoutPromises, bounds),
+        some(eq(STALE_READ))
+    );
 }
 
 #[gtest]
-fn a_promise_of_a_disk_that_was_lost_since_is_caught() {
-    let bounds = Custody {
-        wipes: 1,
-        ..quiet(&[RECOVERER, FIRST_WRITER, SECOND_WRITER])
+fn search_detects_counting_stale_promises() {
+    let bounds = RegisterModel {
+        disk_losses: 1,
+        ..only_rounds(&[RECOVERING, FIRST_WRITER, SECOND_WRITER])
     };
-    expect_that!(caught(Wrong::DeadPromise, bounds), some(eq(TWO)));
+    expect_that!(
+        violation_with(Mutation::CountStalePromises, bounds),
+        some(eq(TWO_CHOSEN))
+    );
 }
 
 #[gtest]
-fn catching_up_without_asking_who_caught_up_before_is_caught() {
-    let bounds = Custody {
+fn search_detects_forgotten_incarnations() {
+    let bounds = RegisterModel {
         shortest: false,
-        wipes: 2,
-        ..quiet(&[RECOVERER, RECOVERER, FIRST_WRITER, SECOND_WRITER])
+        disk_losses: 2,
+        ..only_rounds(&[RECOVERING, RECOVERING, FIRST_WRITER, SECOND_WRITER])
     };
-    expect_that!(caught(Wrong::ForgottenRenewals, bounds), some(eq(TWO)));
+    expect_that!(
+        violation_with(Mutation::ForgetIncarnations, bounds),
+        some(eq(TWO_CHOSEN))
+    );
 }
 
-/// A proposal that was judged on a dead promise must not be accepted by anybody, as others take it for the latest.
+/// A proposal based on a stale promise must not be accepted by any voter, as other proposers would take it for the
+/// latest.
 #[gtest]
-fn accepts_by_incarnations_in_place_of_promises_are_caught() {
-    let bounds = Custody {
+fn search_detects_fencing_of_accepts_only() {
+    let bounds = RegisterModel {
         shortest: false,
-        wipes: 1,
-        ..quiet(&[RECOVERER, FIRST_WRITER, SECOND_WRITER, FIRST_WRITER])
+        disk_losses: 1,
+        ..only_rounds(&[RECOVERING, FIRST_WRITER, SECOND_WRITER, FIRST_WRITER])
     };
-    expect_that!(caught(Wrong::FencedAccepts, bounds), some(eq(TWO)));
+    expect_that!(
+        violation_with(Mutation::FenceAcceptsOnly, bounds),
+        some(eq(TWO_CHOSEN))
+    );
 }
 
 #[gtest]
-fn a_change_by_the_old_majority_alone_is_caught() {
-    let bounds = quiet(&[CHANGER, FIRST_WRITER, SECOND_WRITER]);
-    expect_that!(caught(Wrong::OldMajorityAlone, bounds), some(eq(LOST)));
+fn search_detects_roster_change_by_the_old_majority_alone() {
+    let bounds = only_rounds(&[ROSTER_CHANGER, FIRST_WRITER, SECOND_WRITER]);
+    expect_that!(
+        violation_with(Mutation::OldMajorityAlone, bounds),
+        some(eq(STALE_READ))
+    );
 }
 
 #[gtest]
-fn a_change_that_takes_nothing_along_is_caught() {
-    let bounds = quiet(&[FIRST_WRITER, CHANGER, SECOND_WRITER]);
-    expect_that!(caught(Wrong::NoTransfer, bounds), some(eq(LOST)));
+fn search_detects_roster_change_without_transfer() {
+    let bounds = only_rounds(&[FIRST_WRITER, ROSTER_CHANGER, SECOND_WRITER]);
+    expect_that!(
+        violation_with(Mutation::NoTransfer, bounds),
+        some(eq(STALE_READ))
+    );
 }
 
 #[gtest]
-fn leaving_what_may_be_chosen_is_caught() {
+fn search_detects_dropped_accepted_proposals() {
     expect_that!(
-        caught(Wrong::NoCarry, quiet(&[FIRST_WRITER, SECOND_WRITER])),
-        some(eq(LOST))
+        violation_with(
+            Mutation::NoReproposal,
+            only_rounds(&[FIRST_WRITER, SECOND_WRITER])
+        ),
+        some(eq(STALE_READ))
     );
 }
 
 #[gtest]
-fn a_tie_that_the_ballot_does_not_decide_is_caught() {
-    let bounds = quiet(&[SECOND_WRITER, FIRST_WRITER, SECOND_WRITER]);
-    expect_that!(caught(Wrong::NoBallot, bounds), some(eq(LOST)));
+fn search_detects_ignored_ballot_order() {
+    let bounds = only_rounds(&[SECOND_WRITER, FIRST_WRITER, SECOND_WRITER]);
+    expect_that!(
+        violation_with(Mutation::IgnoreBallotOrder, bounds),
+        some(eq(STALE_READ))
+    );
 }
 
 #[gtest]
-fn a_forgotten_ballot_is_caught() {
-    let bounds = Custody {
-        one_name: false,
-        ..quiet(&[FIRST_WRITER, SECOND_WRITER, FIRST_WRITER])
+fn search_detects_forgotten_accepted_ballot() {
+    let bounds = RegisterModel {
+        same_version: false,
+        ..only_rounds(&[FIRST_WRITER, SECOND_WRITER, FIRST_WRITER])
     };
-    expect_that!(caught(Wrong::ForgottenBallot, bounds), some(eq(TWO)));
+    expect_that!(
+        violation_with(Mutation::ForgetAcceptedBallot, bounds),
+        some(eq(TWO_CHOSEN))
+    );
 }
 
 #[gtest]
-fn accepted_before_the_sync_is_caught() {
-    let bounds = Custody {
-        power_cuts: 1,
-        ..quiet(&[FIRST_WRITER, SECOND_WRITER])
+fn search_detects_answers_before_the_sync() {
+    let bounds = RegisterModel {
+        power_losses: 1,
+        ..only_rounds(&[FIRST_WRITER, SECOND_WRITER])
     };
-    expect_that!(caught(Wrong::NoSync, bounds), some(eq(LOST)));
+    expect_that!(
+        violation_with(Mutation::AnswerBeforeSync, bounds),
+        some(eq(STALE_READ))
+    );
 }
 
 #[gtest]
-fn a_promise_not_kept_is_caught() {
+fn search_detects_broken_promises() {
     expect_that!(
-        caught(Wrong::NoPromise, quiet(&[FIRST_WRITER, SECOND_WRITER])),
-        some(eq(TWO))
+        violation_with(
+            Mutation::BreakPromises,
+            only_rounds(&[FIRST_WRITER, SECOND_WRITER])
+        ),
+        some(eq(TWO_CHOSEN))
     );
 }
 
 #[gtest]
-fn without_a_wrong_part_nothing_is_caught_within_these_bounds() {
-    let writers = quiet(&[FIRST_WRITER, SECOND_WRITER]);
-    sound(writers.clone());
-    sound(Custody {
-        wipes: 1,
+fn protocol_without_mutation_has_no_violation_within_these_bounds() {
+    let writers = only_rounds(&[FIRST_WRITER, SECOND_WRITER]);
+    search_without_violation(writers.clone());
+    search_without_violation(RegisterModel {
+        disk_losses: 1,
         ..writers.clone()
     });
-    sound(Custody {
-        power_cuts: 1,
+    search_without_violation(RegisterModel {
+        power_losses: 1,
         ..writers
     });
-    sound(Custody {
-        wipes: 1,
-        ..quiet(&[RECOVERER, FIRST_WRITER, SECOND_WRITER])
+    search_without_violation(RegisterModel {
+        disk_losses: 1,
+        ..only_rounds(&[RECOVERING, FIRST_WRITER, SECOND_WRITER])
     });
-    sound(quiet(&[CHANGER, FIRST_WRITER, SECOND_WRITER]));
-    sound(quiet(&[SECOND_WRITER, FIRST_WRITER, SECOND_WRITER]));
-    sound(Custody {
-        one_name: false,
-        ..quiet(&[FIRST_WRITER, SECOND_WRITER, FIRST_WRITER])
+    search_without_violation(only_rounds(&[ROSTER_CHANGER, FIRST_WRITER, SECOND_WRITER]));
+    search_without_violation(only_rounds(&[SECOND_WRITER, FIRST_WRITER, SECOND_WRITER]));
+    search_without_violation(RegisterModel {
+        same_version: false,
+        ..only_rounds(&[FIRST_WRITER, SECOND_WRITER, FIRST_WRITER])
     });
 }
 
 #[gtest]
-fn what_the_search_drops_hides_nothing() {
-    let bounds = Custody {
+fn search_without_reduction_has_no_violation() {
+    let bounds = RegisterModel {
         reduced: false,
-        ..quiet(&[FIRST_WRITER, RECOVERER, SECOND_WRITER])
+        ..only_rounds(&[FIRST_WRITER, RECOVERING, SECOND_WRITER])
     };
-    sound(Custody {
-        wipes: 1,
+    search_without_violation(RegisterModel {
+        disk_losses: 1,
         ..bounds.clone()
     });
-    sound(Custody {
-        order: vec![FIRST_WRITER, CHANGER, SECOND_WRITER],
+    search_without_violation(RegisterModel {
+        order: vec![FIRST_WRITER, ROSTER_CHANGER, SECOND_WRITER],
         ..bounds
     });
 }
--- a/crates/emberpin-consensus/tests/model/register.rs
+++ b/crates/emberpin-consensus/tests/model/register.rs
@@ -1,9 +1,8 @@
-//! The register of custody as a model for `stateright`: rounds of ballots over voters whose roster changes
-//! and of which some lose their disks. An abstraction with types of its own, as the core keeps clocks and queues
-//! that a search need not tell apart; `docs/design/consensus.md` says which line of the core each action stands
-//! for.
+//! A model of the protocol for `stateright`: rounds of ballots over voters whose roster changes and of which some lose
+//! their disks. It is an abstraction with types of its own, as replicas have clocks and queues that a search need not
+//! tell apart; `docs/design/consensus.md` says which functions each action stands for.
 //!
-//! The network is a set that only grows: what was sent may be delivered late, twice, or never.
+//! The network is a set that only grows: messages may be delivered late, twice, or never.
 
 use stateright::{Checker, HasDiscoveries, Model, Path, Property};
 
@@ -12,16 +11,16 @@
 const PROPOSERS: u8 = 4;
 pub const FIRST_WRITER: u8 = 0;
 pub const SECOND_WRITER: u8 = 1;
-/// It is to join the roster.
-pub const CHANGER: u8 = 2;
-/// Any voter that lost its disk.
-pub const RECOVERER: u8 = 3;
+/// The proposer of the change of the roster; its replica joins.
+pub const ROSTER_CHANGER: u8 = 2;
+/// Any voter that lost its disk and catches up.
+pub const RECOVERING: u8 = 3;
 
 const ROSTERS: [u8; 2] = [0b0111, 0b1011];
-const FIVE: u8 = 0b11111;
+const FIVE_VOTERS: u8 = 0b11111;
 
-/// Items, as a set of bits. The first two conflict: one name and version with two contents, or two changes
-/// that are not valid together.
+/// Items, as a set of bits. The first two conflict: one version with two contents, or two changes that are not valid
+/// together.
 pub type Items = u8;
 const FIRST: Items = 1;
 const SECOND: Items = 2;
@@ -31,85 +30,92 @@
 /// ballots matters, no two counters are the same.
 pub type Ballot = u8;
 
-/// Parts that a wrong build leaves out.
+/// A fault in the protocol, which the search has to find.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Wrong {
-    /// A voter that lost its disk votes at once.
-    Amnesia,
-    /// A voter that lost its disk reads what the others hold, but asks for no promise.
-    StaleCatchUp,
-    /// A promise counts also if its voter lost its disk since, and caught up at a lower ballot.
-    DeadPromise,
-    /// A voter that catches up doesn't ask the others who caught up before.
-    ForgottenRenewals,
-    /// Instead of promises, accepts are fenced: a voter accepts only as the incarnation that promised.
-    FencedAccepts,
-    /// A change of the roster goes by majorities of the old one alone.
+pub enum Mutation {
+    /// A voter that lost its disk votes before it caught up.
+    VoteBeforeCatchUp,
+    /// A voter catches up by reading what others know, without their promises.
+    CatchUpWithoutPromises,
+    /// A promise counts although its voter has lost its disk since, and caught up at a lower ballot.
+    CountStalePromises,
+    /// A voter that catches up does not take over the incarnations that others know.
+    ForgetIncarnations,
+    /// Stale promises count, but a voter accepts only in the incarnation in which it promised.
+    FenceAcceptsOnly,
+    /// A change of the roster needs a majority of the old one only.
     OldMajorityAlone,
-    /// A change of the roster takes no chosen items along.
+    /// A change of the roster does not transfer the chosen items.
     NoTransfer,
     /// What may be chosen is not proposed again.
-    NoCarry,
-    /// Of two contents that may be chosen the ballot doesn't decide.
-    NoBallot,
-    /// A voter forgets the ballot of what it accepted, once it knows that to be chosen.
-    ForgottenBallot,
-    /// Accepted is said before it is on the disk.
-    NoSync,
-    /// A voter keeps no promise.
-    NoPromise,
+    NoReproposal,
+    /// Of two accepted proposals, the one of the highest ballot is not preferred.
+    IgnoreBallotOrder,
+    /// A voter forgets the ballot of its accepted proposal once it knows the items to be chosen.
+    ForgetAcceptedBallot,
+    /// A voter answers an accept before the proposal is on its disk.
+    AnswerBeforeSync,
+    /// A voter accepts ballots below the one that it promised.
+    BreakPromises,
 }
 
-/// What is searched.
+/// What is searched, and within which bounds.
 #[derive(Clone, Debug)]
-pub struct Custody {
-    pub wrong: Option<Wrong>,
+pub struct RegisterModel {
+    pub mutation: Option<Mutation>,
     /// Whether the conflicting items share a name and version, so that one chosen covers the other.
-    pub one_name: bool,
-    /// Whose ballots there are, from the lowest on; a proposer begins a round by each of its own, or fewer.
+    pub same_version: bool,
+    /// The owners of the ballots, from the lowest on. A proposer begins at most one round with each of its own.
     pub order: Vec<u8>,
-    pub wipes: u8,
+    pub disk_losses: u8,
     /// Five voters, of which two may be without their disks at a time; else three, and one.
-    pub five: bool,
-    pub power_cuts: u8,
-    /// How often a chosen item is told outside of rounds.
-    pub told: u8,
-    /// Whether rounds that can do nothing more are dropped, so that fewer states differ.
+    pub five_voters: bool,
+    pub power_losses: u8,
+    /// How often a chosen item may be spread outside of rounds.
+    pub spread_items: u8,
+    /// Whether rounds that have no further effect are dropped, so that there are fewer states.
     pub reduced: bool,
-    /// Whether a shortest trace is looked for, by further searches.
+    /// Whether further searches look for a shortest trace.
     pub shortest: bool,
 }
 
-impl Default for Custody {
-    fn default() -> Custody {
-        Custody {
-            wrong: None,
-            one_name: true,
-            order: vec![FIRST_WRITER, SECOND_WRITER, CHANGER, RECOVERER],
-            wipes: 1,
-            five: false,
-            power_cuts: 0,
-            told: 0,
+impl Default for RegisterModel {
+    fn default() -> RegisterModel {
+        RegisterModel {
+            mutation: None,
+            same_version: true,
+            order: vec![FIRST_WRITER, SECOND_WRITER, ROSTER_CHANGER, RECOVERING],
+            disk_losses: 1,
+            five_voters: false,
+            power_losses: 0,
+            spread_items: 0,
             reduced: true,
             shortest: true,
         }
     }
 }
 
+/// The proposal that a voter accepted last.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
+pub struct AcceptedProposal {
+    pub ballot: Ballot,
+    pub items: Items,
+}
+
 /// What a voter has on its disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PersistedState {
     pub promised: Ballot,
-    pub pending: (Ballot, Items),
+    pub accepted: AcceptedProposal,
     pub chosen: Items,
     pub voting: bool,
-    /// Its incarnation: by which ballot it caught up.
+    /// Its incarnation: the ballot by which it caught up.
     pub incarnation: Ballot,
     /// Of each voter, the highest ballot by which it has asked this one to catch up.
-    pub renewed: [Ballot; NODES],
+    pub latest_incarnations: [Ballot; NODES],
 }
 
-/// What a voter goes by, and what of it is synced.
+/// A voter: what it has in memory, and what of that is synced.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Node {
     pub now: PersistedState,
@@ -119,8 +125,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Promise {
     pub incarnation: Ballot,
-    pub renewed: [Ballot; NODES],
-    pub pending: (Ballot, Items),
+    pub latest_incarnations: [Ballot; NODES],
+    pub accepted: AcceptedProposal,
     pub chosen: Items,
 }
 
@@ -135,26 +141,26 @@
 pub struct Round {
     pub ballot: Ballot,
     /// Whether it goes by the second roster.
-    pub second: bool,
+    pub uses_second_roster: bool,
     /// Whether it changes the first roster to the second.
     pub joint: bool,
     pub promises: [Option<Promise>; NODES],
     pub proposal: Option<Proposal>,
-    /// Of each voter, which incarnation was heard to promise; see [`Wrong::FencedAccepts`].
-    pub heard: [Option<Ballot>; NODES],
+    /// The incarnation in which each voter promised; only for [`Mutation::FenceAcceptsOnly`].
+    pub promising_incarnations: [Option<Ballot>; NODES],
     pub accepted: u8,
-    /// What its proposer tells its caller when the proposal is chosen.
-    pub outcome: Told,
-    /// What had been told before it began.
-    pub before: Items,
+    /// The reply to its caller once the proposal is chosen.
+    pub outcome: Reply,
+    /// What was acknowledged before it began.
+    pub acknowledged_before: Items,
     /// Where its proposer runs.
-    pub home: u8,
-    /// Its proposer gave it up, crashed, or is done.
-    pub over: bool,
+    pub replica: u8,
+    /// Its proposer abandoned it, crashed, or is done.
+    pub is_over: bool,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum Told {
+pub enum Reply {
     #[default]
     Nothing,
     Acknowledged,
@@ -164,9 +170,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Proposer {
     pub rounds: u8,
-    /// It saw the change of the roster accepted: its next round is joint.
-    pub saw: bool,
-    /// Its caller has its answer.
+    /// It saw an accepted change of the roster: its next round is joint.
+    pub saw_roster_change: bool,
+    /// Its caller has got a reply.
     pub done: bool,
 }
 
@@ -177,60 +183,59 @@
     /// By ballot.
     pub rounds: Vec<Round>,
     /// Who lost its disk and has not caught up.
-    pub wiped: u8,
-    pub wipes: u8,
-    pub power_cuts: u8,
-    pub spread: u8,
-    /// What callers were told to be chosen.
-    pub told: Items,
-    /// A caller was told of a conflict.
+    pub without_disk: u8,
+    pub disk_losses: u8,
+    pub power_losses: u8,
+    pub items_spread: u8,
+    /// The items whose calls were acknowledged.
+    pub acknowledged: Items,
+    /// A call was rejected as a conflict.
     pub refused: bool,
-    /// What was accepted by so many that it is chosen.
+    /// The items that a quorum has accepted.
     pub chosen: Items,
     pub caught_up: bool,
-    /// A round was judged without something that was told before it began.
-    pub lost: bool,
+    /// A round read a state without an item that was acknowledged before it began.
+    pub read_is_stale: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// A proposer asks for promises; a round that it had is over. One that crashes does nothing more, or
-    /// begins anew.
+    /// A proposer begins a round, which ends its earlier one. A crash is a proposer that does nothing more.
     Begin {
         ballot: Ballot,
-        home: u8,
-        second: bool,
+        replica: u8,
+        uses_second_roster: bool,
         joint: bool,
     },
-    /// A voter gets a prepare; its promise is synced before it is sent.
+    /// A voter receives a prepare; its promise is synced before it is sent.
     Prepare {
         ballot: Ballot,
         voter: u8,
     },
-    /// The proposer has heard these voters, and judges.
+    /// The proposer has promises of this quorum, and proposes.
     Propose {
         ballot: Ballot,
-        heard: u8,
+        quorum: u8,
     },
-    /// A voter gets a proposal; what it accepts is synced before that is said.
+    /// A voter receives a proposal; it is synced before the answer is sent.
     Accept {
         ballot: Ballot,
         voter: u8,
     },
-    /// The proposer has heard a majority accept.
+    /// A quorum has accepted, and the proposer knows.
     Finish {
         ballot: Ballot,
     },
-    /// A voter hears outside of a round that an item is chosen, and writes it without a sync.
-    Tell {
+    /// A voter learns outside of rounds that an item is chosen, and writes it without a sync.
+    Spread {
         voter: u8,
         item: Items,
     },
-    Wipe {
+    LoseDisk {
         voter: u8,
     },
     /// One machine loses its power, or all do.
-    PowerCut {
+    PowerLoss {
         voters: u8,
     },
 }
@@ -243,12 +248,12 @@
     2 * (of & roster).count_ones() > roster.count_ones()
 }
 
-impl Custody {
-    fn is(&self, wrong: Wrong) -> bool {
-        self.wrong == Some(wrong)
+impl RegisterModel {
+    fn has(&self, mutation: Mutation) -> bool {
+        self.mutation == Some(mutation)
     }
 
-    /// By which ballot a proposer begins its next round.
+    /// The ballot of a proposer's next round.
     fn ballot(&self, number: u8, rounds: u8) -> Option<Ballot> {
         let mut own = (1..)
             .zip(&self.order)
@@ -257,40 +262,40 @@
             .map(|(counter, _)| counter * PROPOSERS + number)
     }
 
-    /// With what these are covered: the items themselves, and another content of one's name and version.
+    /// The items that these cover: themselves, and another content of the same version.
     fn covered(&self, chosen: Items) -> Items {
-        match self.one_name && chosen & (FIRST | SECOND) != 0 {
+        match self.same_version && chosen & (FIRST | SECOND) != 0 {
             true => chosen | FIRST | SECOND,
             false => chosen,
         }
     }
 
-    fn learn(&self, kept: &mut PersistedState, items: Items) {
-        kept.chosen |= items & !self.covered(kept.chosen);
-        if kept.pending.1 & !self.covered(kept.chosen) == 0 {
-            kept.pending.1 = 0;
-            if self.is(Wrong::ForgottenBallot) {
-                kept.pending.0 = 0;
+    fn learn(&self, disk: &mut PersistedState, items: Items) {
+        disk.chosen |= items & !self.covered(disk.chosen);
+        if disk.accepted.items & !self.covered(disk.chosen) == 0 {
+            disk.accepted.items = 0;
+            if self.has(Mutation::ForgetAcceptedBallot) {
+                disk.accepted.ballot = 0;
             }
         }
     }
 
-    /// Where a proposer may run; the changer is the one that is to join.
-    fn homes(&self, state: &State, number: u8) -> Vec<u8> {
+    /// The replicas on which a proposer may run.
+    fn replicas(&self, state: &State, number: u8) -> Vec<u8> {
         match number {
-            RECOVERER => (0..NODES as u8)
-                .filter(|voter| state.wiped & 1 << voter != 0)
+            RECOVERING => (0..NODES as u8)
+                .filter(|voter| state.without_disk & 1 << voter != 0)
                 .collect(),
-            CHANGER => vec![3],
+            ROSTER_CHANGER => vec![3],
             writer => vec![writer],
         }
     }
 
-    fn roster(&self, second: bool) -> u8 {
-        if self.five {
-            FIVE
+    fn roster(&self, uses_second_roster: bool) -> u8 {
+        if self.five_voters {
+            FIVE_VOTERS
         } else {
-            ROSTERS[usize::from(second)]
+            ROSTERS[usize::from(uses_second_roster)]
         }
     }
 
@@ -298,217 +303,235 @@
         if round.joint {
             ROSTERS[0] | ROSTERS[1]
         } else {
-            self.roster(round.second)
+            self.roster(round.uses_second_roster)
         }
     }
 
     /// How many disks may be lost at once.
     fn tolerated(&self) -> u32 {
-        if self.five {
+        if self.five_voters {
             2
         } else {
             1
         }
     }
 
-    fn enough(&self, round: &Round, of: u8, of_others: Option<usize>) -> bool {
-        let enough = |roster: u8| {
-            // Two others are a majority of three, and all that is left of it to one that lost its disk.
+    fn has_quorum(&self, round: &Round, of: u8, of_others: Option<usize>) -> bool {
+        let has_quorum = |roster: u8| {
+            // A replica that lost its disk does not count itself.
             let others = of_others.map_or(roster, |me| roster & !(1 << me));
             is_majority(of & others, roster)
         };
-        let now = enough(self.roster(round.second));
-        now && (!round.joint || enough(ROSTERS[1]))
+        let now = has_quorum(self.roster(round.uses_second_roster));
+        now && (!round.joint || has_quorum(ROSTERS[1]))
     }
 
-    fn begin(&self, state: &mut State, ballot: Ballot, home: u8, second: bool, joint: bool) {
+    fn begin(
+        &self,
+        state: &mut State,
+        ballot: Ballot,
+        replica: u8,
+        uses_second_roster: bool,
+        joint: bool,
+    ) {
         let number = usize::from(proposer(ballot));
-        let held = &mut state.proposers[number];
-        (held.rounds, held.saw) = (held.rounds + 1, false);
-        if second {
-            self.learn(&mut state.nodes[usize::from(home)].now, ROSTER);
+        let own = &mut state.proposers[number];
+        (own.rounds, own.saw_roster_change) = (own.rounds + 1, false);
+        if uses_second_roster {
+            self.learn(&mut state.nodes[usize::from(replica)].now, ROSTER);
         }
-        let own =
-            |round: &&mut Round| proposer(round.ballot) == proposer(ballot) && round.home == home;
+        let own = |round: &&mut Round| {
+            proposer(round.ballot) == proposer(ballot) && round.replica == replica
+        };
         state
             .rounds
             .iter_mut()
             .filter(own)
-            .for_each(|round| round.over = true);
-        let before = state.told;
+            .for_each(|round| round.is_over = true);
+        let acknowledged_before = state.acknowledged;
         state.rounds.push(Round {
             ballot,
-            second,
+            uses_second_roster,
             joint,
             promises: [None; NODES],
             proposal: None,
-            heard: [None; NODES],
+            promising_incarnations: [None; NODES],
             accepted: 0,
-            outcome: Told::Nothing,
-            before,
-            home,
-            over: false,
+            outcome: Reply::Nothing,
+            acknowledged_before,
+            replica,
+            is_over: false,
         });
     }
 
     fn prepare(&self, node: &mut Node, round: &Round) -> Promise {
         let ballot = round.ballot;
-        let fresh = !(self.is(Wrong::StaleCatchUp) && proposer(ballot) == RECOVERER);
-        if fresh {
+        let promises =
+            !(self.has(Mutation::CatchUpWithoutPromises) && proposer(ballot) == RECOVERING);
+        if promises {
             node.now.promised = ballot;
-            if proposer(ballot) == RECOVERER {
-                node.now.renewed[usize::from(round.home)] = ballot;
+            if proposer(ballot) == RECOVERING {
+                node.now.latest_incarnations[usize::from(round.replica)] = ballot;
             }
             node.synced = node.now;
         }
         let PersistedState {
             incarnation,
-            renewed,
-            pending,
+            latest_incarnations,
+            accepted,
             chosen,
             ..
         } = node.now;
         Promise {
             incarnation,
-            renewed,
-            pending,
+            latest_incarnations,
+            accepted,
             chosen,
         }
     }
 
-    fn propose(&self, state: &mut State, nth: usize, heard: u8) {
+    fn propose(&self, state: &mut State, nth: usize, quorum: u8) {
         let round = state.rounds[nth];
-        let home = usize::from(round.home);
+        let replica = usize::from(round.replica);
         let number = proposer(round.ballot);
         let promises = || {
             (0..NODES)
-                .filter(|voter| heard & 1 << voter != 0)
+                .filter(|voter| quorum & 1 << voter != 0)
                 .filter_map(|v| round.promises[v])
         };
-        let mut known = state.nodes[home].now;
-        known.pending = (0, 0);
+        let mut known = state.nodes[replica].now;
+        known.accepted = AcceptedProposal::default();
         promises().for_each(|promise| self.learn(&mut known, promise.chosen));
         let known = known.chosen;
-        if known & ROSTER != 0 && !round.second {
-            state.rounds[nth].over = true;
+        if known & ROSTER != 0 && !round.uses_second_roster {
+            state.rounds[nth].is_over = true;
             return;
         }
-        let rank = |pending: &(Ballot, Items)| match self.is(Wrong::NoBallot) {
-            true => (pending.1 & SECOND, pending.0),
-            false => (pending.0, 0),
+        let rank = |accepted: &AcceptedProposal| match self.has(Mutation::IgnoreBallotOrder) {
+            true => (accepted.items & SECOND, accepted.ballot),
+            false => (accepted.ballot, 0),
         };
-        let latest = promises()
-            .map(|promise| promise.pending)
+        let highest = promises()
+            .map(|promise| promise.accepted)
             .max_by_key(rank)
             .unwrap_or_default();
-        let open = match self.is(Wrong::NoCarry) {
+        let possibly_chosen = match self.has(Mutation::NoReproposal) {
             true => 0,
-            false => latest.1 & !self.covered(known),
+            false => highest.items & !self.covered(known),
         };
-        if open & ROSTER != 0 && !round.joint && !self.is(Wrong::OldMajorityAlone) {
-            state.proposers[usize::from(number)].saw = true;
-            state.rounds[nth].over = true;
+        if possibly_chosen & ROSTER != 0 && !round.joint && !self.has(Mutation::OldMajorityAlone) {
+            state.proposers[usize::from(number)].saw_roster_change = true;
+            state.rounds[nth].is_over = true;
             return;
         }
-        let mut whole = PersistedState {
+        let mut configuration = PersistedState {
             chosen: known,
             ..PersistedState::default()
         };
-        self.learn(&mut whole, open);
-        let whole = whole.chosen;
-        // This is the read: what was told before the round began must be in what it goes by.
-        state.lost |= round.before & !whole != 0;
+        self.learn(&mut configuration, possibly_chosen);
+        let configuration = configuration.chosen;
+        // This is the read: it must see everything that was acknowledged before the round began.
+        state.read_is_stale |= round.acknowledged_before & !configuration != 0;
         let round = &mut state.rounds[nth];
-        if number == RECOVERER {
-            let node = &mut state.nodes[home];
+        if number == RECOVERING {
+            let node = &mut state.nodes[replica];
             node.now.promised = node.now.promised.max(round.ballot);
-            node.now.pending = (latest.0, open);
+            node.now.accepted = AcceptedProposal {
+                ballot: highest.ballot,
+                items: possibly_chosen,
+            };
             self.learn(&mut node.now, known);
             (node.now.voting, node.now.incarnation) = (true, round.ballot);
-            if !self.is(Wrong::ForgottenRenewals) {
-                node.now.renewed = Custody::renewed(round, heard);
+            if !self.has(Mutation::ForgetIncarnations) {
+                node.now.latest_incarnations = RegisterModel::latest_incarnations(round, quorum);
             }
             node.synced = node.now;
-            state.wiped &= !(1 << home);
-            (round.over, state.caught_up) = (true, true);
+            state.without_disk &= !(1 << replica);
+            (round.is_over, state.caught_up) = (true, true);
             return;
         }
         let (wanted, other) = [(FIRST, SECOND), (SECOND, FIRST), (ROSTER, 0)][usize::from(number)];
-        let waits = round.joint && number != CHANGER;
-        let mut items = open;
+        let waits = round.joint && number != ROSTER_CHANGER;
+        let mut items = possibly_chosen;
         round.outcome = match () {
-            () if waits => Told::Nothing,
-            () if whole & wanted != 0 => Told::Acknowledged,
-            () if whole & other != 0 => Told::Refused,
+            () if waits => Reply::Nothing,
+            () if configuration & wanted != 0 => Reply::Acknowledged,
+            () if configuration & other != 0 => Reply::Refused,
             () => {
                 items |= wanted;
-                Told::Acknowledged
+                Reply::Acknowledged
             }
         };
         if items == 0 {
-            return self.tell(state, nth);
+            return self.reply(state, nth);
         }
-        let lacked = promises().fold(0, |lacked, promise| {
-            lacked | (known & !self.covered(promise.chosen))
+        let missing = promises().fold(0, |missing, promise| {
+            missing | (known & !self.covered(promise.chosen))
         });
         let chosen = match round.joint {
-            true if self.is(Wrong::NoTransfer) => 0,
+            true if self.has(Mutation::NoTransfer) => 0,
             true => known,
-            false => lacked,
+            false => missing,
         };
         round.proposal = Some(Proposal { chosen, items });
-        if self.is(Wrong::FencedAccepts) {
-            for voter in (0..NODES).filter(|voter| heard & 1 << voter != 0) {
-                round.heard[voter] = round.promises[voter].map(|promise| promise.incarnation);
+        if self.has(Mutation::FenceAcceptsOnly) {
+            for voter in (0..NODES).filter(|voter| quorum & 1 << voter != 0) {
+                round.promising_incarnations[voter] =
+                    round.promises[voter].map(|promise| promise.incarnation);
             }
         }
         round.promises = [None; NODES];
     }
 
-    /// Of each voter, the highest ballot by which it caught up as far as these know.
-    fn renewed(round: &Round, heard: u8) -> [Ballot; NODES] {
+    /// The latest incarnation of each voter, as far as these promises tell.
+    fn latest_incarnations(round: &Round, quorum: u8) -> [Ballot; NODES] {
         let promises = (0..NODES)
-            .filter(|voter| heard & 1 << voter != 0)
+            .filter(|voter| quorum & 1 << voter != 0)
             .filter_map(|v| round.promises[v]);
-        promises.fold([0; NODES], |renewed, promise| {
-            std::array::from_fn(|voter| renewed[voter].max(promise.renewed[voter]))
+        promises.fold([0; NODES], |latest_incarnations, promise| {
+            std::array::from_fn(|voter| {
+                latest_incarnations[voter].max(promise.latest_incarnations[voter])
+            })
         })
     }
 
-    /// Whether none of these promises is of a voter that lost its disk since, and caught up before one of the others
+    /// Whether none of these promises is stale: by a voter that lost its disk since, and caught up before one of the others
     /// promised.
-    fn alive(&self, round: &Round, heard: u8) -> bool {
-        let renewed = Custody::renewed(round, heard);
-        let alive = |voter: usize| {
-            round.promises[voter].is_none_or(|promise| promise.incarnation >= renewed[voter])
+    fn are_promises_valid(&self, round: &Round, quorum: u8) -> bool {
+        let latest_incarnations = RegisterModel::latest_incarnations(round, quorum);
+        let are_promises_valid = |voter: usize| {
+            round.promises[voter]
+                .is_none_or(|promise| promise.incarnation >= latest_incarnations[voter])
         };
-        let unchecked = self.is(Wrong::DeadPromise) || self.is(Wrong::FencedAccepts);
+        let unchecked =
+            self.has(Mutation::CountStalePromises) || self.has(Mutation::FenceAcceptsOnly);
         unchecked
             || (0..NODES)
-                .filter(|voter| heard & 1 << voter != 0)
-                .all(alive)
+                .filter(|voter| quorum & 1 << voter != 0)
+                .all(are_promises_valid)
     }
 
-    /// Whether a voter accepts the proposal when it gets it.
+    /// Whether a voter accepts the proposal when it receives it.
     fn accepts(&self, round: &Round, voter: usize, node: &Node) -> bool {
-        let refuses = round.ballot < node.now.promised && !self.is(Wrong::NoPromise);
-        let fenced =
-            self.is(Wrong::FencedAccepts) && round.heard[voter] != Some(node.now.incarnation);
-        node.now.voting && !refuses && !fenced
+        let rejects = round.ballot < node.now.promised && !self.has(Mutation::BreakPromises);
+        let fenced = self.has(Mutation::FenceAcceptsOnly)
+            && round.promising_incarnations[voter] != Some(node.now.incarnation);
+        node.now.voting && !rejects && !fenced
     }
 
-    /// A round's end: its proposer tells its caller, who may tell others.
-    fn tell(&self, state: &mut State, nth: usize) {
+    /// A round is over: its proposer replies to its caller.
+    fn reply(&self, state: &mut State, nth: usize) {
         let round = &mut state.rounds[nth];
-        round.over = true;
+        round.is_over = true;
         let number = usize::from(proposer(round.ballot));
-        if round.outcome == Told::Nothing {
+        if round.outcome == Reply::Nothing {
             return;
         }
         state.proposers[number].done = true;
-        let acknowledged = round.outcome == Told::Acknowledged;
+        let acknowledged = round.outcome == Reply::Acknowledged;
         state.refused |= !acknowledged;
-        state.told |= [(FIRST, SECOND), (SECOND, FIRST), (ROSTER, 0)][number].pick(acknowledged);
+        state.acknowledged |=
+            [(FIRST, SECOND), (SECOND, FIRST), (ROSTER, 0)][number].pick(acknowledged);
     }
 
     fn accept(&self, state: &mut State, nth: usize, voter: usize) {
@@ -518,51 +541,56 @@
         };
         let node = &mut state.nodes[voter];
         node.now.promised = node.now.promised.max(round.ballot);
-        node.now.pending = (round.ballot, proposal.items);
-        let roster = if round.second { ROSTER } else { 0 };
+        node.now.accepted = AcceptedProposal {
+            ballot: round.ballot,
+            items: proposal.items,
+        };
+        let roster = if round.uses_second_roster { ROSTER } else { 0 };
         self.learn(&mut node.now, proposal.chosen | roster);
-        if !self.is(Wrong::NoSync) {
+        if !self.has(Mutation::AnswerBeforeSync) {
             node.synced = node.now;
         }
         round.accepted |= 1 << voter;
-        if self.enough(round, round.accepted, None) {
+        if self.has_quorum(round, round.accepted, None) {
             state.chosen |= proposal.items;
         }
     }
 
-    /// Drops what no longer makes a difference, so that fewer states differ.
-    fn tidy(&self, state: &mut State) {
-        let State { nodes, wipes, .. } = *state;
-        let sound = self.wrong.is_none() && self.reduced;
-        let refuses = |voter: usize, round: &Round| nodes[voter].synced.promised > round.ballot;
-        let refused = |round: &Round| {
+    /// Drops what has no further effect, so that there are fewer states.
+    fn reduce(&self, state: &mut State) {
+        let State {
+            nodes, disk_losses, ..
+        } = *state;
+        let may_reduce = self.mutation.is_none() && self.reduced;
+        let rejects = |voter: usize, round: &Round| nodes[voter].synced.promised > round.ballot;
+        let is_rejected = |round: &Round| {
             let mut voters = (0..NODES).filter(|voter| self.targets(round) & 1 << voter != 0);
-            sound && voters.all(|voter| refuses(voter, round))
+            may_reduce && voters.all(|voter| rejects(voter, round))
         };
-        let hopeless = |round: &Round| {
-            let may = |voter: &usize| round.promises[*voter].is_some() || !refuses(*voter, round);
+        let cannot_promise = |round: &Round| {
+            let may = |voter: &usize| round.promises[*voter].is_some() || !rejects(*voter, round);
             let may = (0..NODES)
                 .filter(may)
                 .fold(0, |may, voter| may | 1 << voter);
-            sound && wipes == self.wipes && !self.enough(round, may, None)
+            may_reduce && disk_losses == self.disk_losses && !self.has_quorum(round, may, None)
         };
         state.rounds.retain(|round| match round.proposal {
-            Some(_) => !round.over || !refused(round),
-            None => !round.over && !hopeless(round),
+            Some(_) => !round.is_over || !is_rejected(round),
+            None => !round.is_over && !cannot_promise(round),
         });
-        for (number, held) in (0..).zip(&mut state.proposers) {
-            if held.done || self.ballot(number, held.rounds).is_none() {
-                *held = Proposer {
+        for (number, proposer) in (0..).zip(&mut state.proposers) {
+            if proposer.done || self.ballot(number, proposer.rounds).is_none() {
+                *proposer = Proposer {
                     done: true,
                     ..Proposer::default()
                 };
             }
         }
         for round in &mut state.rounds {
-            if round.over {
-                (round.promises, round.before) = ([None; NODES], 0);
-                (round.home, round.outcome) = (0, Told::Nothing);
-                if self.enough(round, round.accepted, None) {
+            if round.is_over {
+                (round.promises, round.acknowledged_before) = ([None; NODES], 0);
+                (round.replica, round.outcome) = (0, Reply::Nothing);
+                if self.has_quorum(round, round.accepted, None) {
                     round.accepted = self.targets(round);
                 }
             }
@@ -572,7 +600,7 @@
 }
 
 fn wrote(state: &State) -> bool {
-    state.told & (FIRST | SECOND) != 0
+    state.acknowledged & (FIRST | SECOND) != 0
 }
 
 trait Pick {
@@ -589,59 +617,59 @@
     }
 }
 
-impl Model for Custody {
+impl Model for RegisterModel {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let kept = PersistedState {
+        let disk = PersistedState {
             voting: true,
             ..PersistedState::default()
         };
         vec![State {
             nodes: [Node {
-                now: kept,
-                synced: kept,
+                now: disk,
+                synced: disk,
             }; NODES],
             proposers: Default::default(),
             rounds: Vec::new(),
-            wiped: 0,
-            wipes: 0,
-            power_cuts: 0,
-            spread: 0,
-            told: 0,
+            without_disk: 0,
+            disk_losses: 0,
+            power_losses: 0,
+            items_spread: 0,
+            acknowledged: 0,
             refused: false,
             chosen: 0,
             caught_up: false,
-            lost: false,
+            read_is_stale: false,
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.lost {
+        if state.read_is_stale {
             return;
         }
-        for (number, held) in (0..PROPOSERS).zip(&state.proposers) {
-            let Some(ballot) = self.ballot(number, held.rounds).filter(|_| !held.done) else {
+        for (number, owner) in (0..PROPOSERS).zip(&state.proposers) {
+            let Some(ballot) = self.ballot(number, owner.rounds).filter(|_| !owner.done) else {
                 continue;
             };
-            for home in self.homes(state, number) {
-                let knows = state.nodes[usize::from(home)].now.chosen & ROSTER != 0;
+            for replica in self.replicas(state, number) {
+                let knows = state.nodes[usize::from(replica)].now.chosen & ROSTER != 0;
                 let somebody = state.nodes.iter().any(|node| node.now.chosen & ROSTER != 0);
-                // Any may have heard of a new roster, and without a disk also of the old one.
+                // Any replica may have learned a new roster, and one without a disk also the old one.
                 let rosters: &[bool] = match somebody {
                     true if knows => &[true],
                     true => &[false, true],
                     false => &[false],
                 };
-                for second in rosters.iter().copied() {
-                    let joint = !second
-                        && (held.saw || number == CHANGER)
-                        && !self.is(Wrong::OldMajorityAlone);
+                for uses_second_roster in rosters.iter().copied() {
+                    let joint = !uses_second_roster
+                        && (owner.saw_roster_change || number == ROSTER_CHANGER)
+                        && !self.has(Mutation::OldMajorityAlone);
                     actions.push(Action::Begin {
                         ballot,
-                        home,
-                        second,
+                        replica,
+                        uses_second_roster,
                         joint,
                     });
                 }
@@ -650,28 +678,28 @@
         for round in &state.rounds {
             let ballot = round.ballot;
             let targets = (0..NODES as u8).filter(|voter| self.targets(round) & 1 << voter != 0);
-            let by_roster = |node: &Node| round.second || node.now.chosen & ROSTER == 0;
+            let by_roster = |node: &Node| round.uses_second_roster || node.now.chosen & ROSTER == 0;
             for voter in targets {
                 let node = &state.nodes[usize::from(voter)];
                 if !node.now.voting || !by_roster(node) {
                     continue;
                 }
-                let keeps = !self.is(Wrong::NoPromise);
-                let promised = keeps && ballot <= node.now.promised;
-                let untold = round.promises[usize::from(voter)]
+                let keeps = !self.has(Mutation::BreakPromises);
+                let has_promised = keeps && ballot <= node.now.promised;
+                let is_unanswered = round.promises[usize::from(voter)]
                     .is_none_or(|promise| promise.incarnation != node.now.incarnation);
-                if !round.over && round.proposal.is_none() && !promised && untold {
+                if !round.is_over && round.proposal.is_none() && !has_promised && is_unanswered {
                     actions.push(Action::Prepare { ballot, voter });
                 }
                 if round.proposal.is_some() && self.accepts(round, usize::from(voter), node) {
                     actions.push(Action::Accept { ballot, voter });
                 }
             }
-            if round.over {
+            if round.is_over {
                 continue;
             }
             if round.proposal.is_some() {
-                if self.enough(round, round.accepted, None) {
+                if self.has_quorum(round, round.accepted, None) {
                     actions.push(Action::Finish { ballot });
                 }
                 continue;
@@ -679,47 +707,50 @@
             let told = (0..NODES)
                 .filter(|v| round.promises[*v].is_some())
                 .fold(0, |told, v| told | 1 << v);
-            let me = (proposer(ballot) == RECOVERER).then_some(usize::from(round.home));
-            for heard in (1..1u8 << NODES).filter(|heard| heard & !told == 0) {
+            let me = (proposer(ballot) == RECOVERING).then_some(usize::from(round.replica));
+            for quorum in (1..1u8 << NODES).filter(|quorum| quorum & !told == 0) {
                 let one_less = |last: usize| {
-                    heard & 1 << last != 0 && !self.enough(round, heard & !(1 << last), me)
+                    quorum & 1 << last != 0 && !self.has_quorum(round, quorum & !(1 << last), me)
                 };
-                if self.alive(round, heard)
-                    && self.enough(round, heard, me)
+                if self.are_promises_valid(round, quorum)
+                    && self.has_quorum(round, quorum, me)
                     && (0..NODES).any(one_less)
                 {
-                    actions.push(Action::Propose { ballot, heard });
+                    actions.push(Action::Propose { ballot, quorum });
                 }
             }
         }
-        if state.spread < self.told {
+        if state.items_spread < self.spread_items {
             for (voter, node) in (0..).zip(&state.nodes) {
                 for item in [FIRST, SECOND, ROSTER] {
                     let known = state.nodes.iter().any(|other| other.now.chosen & item != 0);
                     if known && self.covered(node.now.chosen) & item == 0 {
-                        actions.push(Action::Tell { voter, item });
+                        actions.push(Action::Spread { voter, item });
                     }
                 }
             }
         }
-        if state.wipes < self.wipes && state.wiped.count_ones() < self.tolerated() {
-            let machines = if self.five {
-                FIVE
+        if state.disk_losses < self.disk_losses
+            && state.without_disk.count_ones() < self.tolerated()
+        {
+            let machines = if self.five_voters {
+                FIVE_VOTERS
             } else {
                 ROSTERS[0] | ROSTERS[1]
             };
-            let kept = (0..NODES as u8).filter(|voter| machines & !state.wiped & 1 << voter != 0);
-            actions.extend(kept.map(|voter| Action::Wipe { voter }));
+            let disk =
+                (0..NODES as u8).filter(|voter| machines & !state.without_disk & 1 << voter != 0);
+            actions.extend(disk.map(|voter| Action::LoseDisk { voter }));
         }
-        if state.power_cuts < self.power_cuts {
+        if state.power_losses < self.power_losses {
             let unsynced = (0..NODES as u8).filter(|voter| {
                 let node = &state.nodes[usize::from(*voter)];
                 node.now != node.synced
             });
             let all = unsynced.clone().fold(0u8, |all, voter| all | 1 << voter);
-            actions.extend(unsynced.map(|voter| Action::PowerCut { voters: 1 << voter }));
+            actions.extend(unsynced.map(|voter| Action::PowerLoss { voters: 1 << voter }));
             if all.count_ones() > 1 {
-                actions.push(Action::PowerCut { voters: all });
+                actions.push(Action::PowerLoss { voters: all });
             }
         }
     }
@@ -730,83 +761,83 @@
         match action {
             Action::Begin {
                 ballot,
-                home,
-                second,
+                replica,
+                uses_second_roster,
                 joint,
-            } => self.begin(&mut state, ballot, home, second, joint),
+            } => self.begin(&mut state, ballot, replica, uses_second_roster, joint),
             Action::Prepare { ballot, voter } => {
                 let nth = nth(ballot)?;
                 let node = &mut state.nodes[usize::from(voter)];
-                if state.rounds[nth].second {
+                if state.rounds[nth].uses_second_roster {
                     self.learn(&mut node.now, ROSTER);
                 }
                 let promise = self.prepare(node, &last.rounds[nth]);
                 state.rounds[nth].promises[usize::from(voter)] = Some(promise);
             }
-            Action::Propose { ballot, heard } => self.propose(&mut state, nth(ballot)?, heard),
+            Action::Propose { ballot, quorum } => self.propose(&mut state, nth(ballot)?, quorum),
             Action::Accept { ballot, voter } => {
                 self.accept(&mut state, nth(ballot)?, usize::from(voter));
             }
             Action::Finish { ballot } => {
                 let nth = nth(ballot)?;
-                let home = usize::from(state.rounds[nth].home);
+                let replica = usize::from(state.rounds[nth].replica);
                 let items = state.rounds[nth].proposal?.items;
-                self.learn(&mut state.nodes[home].now, items);
-                self.tell(&mut state, nth);
+                self.learn(&mut state.nodes[replica].now, items);
+                self.reply(&mut state, nth);
             }
-            Action::Tell { voter, item } => {
-                state.spread += 1;
+            Action::Spread { voter, item } => {
+                state.items_spread += 1;
                 self.learn(&mut state.nodes[usize::from(voter)].now, item);
             }
-            Action::Wipe { voter } => {
-                state.wipes += 1;
-                state.wiped |= 1 << voter;
-                let kept = PersistedState {
-                    voting: self.is(Wrong::Amnesia),
+            Action::LoseDisk { voter } => {
+                state.disk_losses += 1;
+                state.without_disk |= 1 << voter;
+                let disk = PersistedState {
+                    voting: self.has(Mutation::VoteBeforeCatchUp),
                     ..PersistedState::default()
                 };
                 let node = &mut state.nodes[usize::from(voter)];
                 *node = Node {
-                    now: kept,
-                    synced: kept,
+                    now: disk,
+                    synced: disk,
                 };
-                // What ran there went with it.
+                // The proposer on this replica ends with it.
                 state
                     .rounds
                     .iter_mut()
-                    .for_each(|round| round.over |= round.home == voter);
+                    .for_each(|round| round.is_over |= round.replica == voter);
             }
-            Action::PowerCut { voters } => {
-                state.power_cuts += 1;
+            Action::PowerLoss { voters } => {
+                state.power_losses += 1;
                 for (voter, node) in state.nodes.iter_mut().enumerate() {
                     if voters & 1 << voter != 0 {
                         node.now = node.synced;
                     }
                 }
                 state.rounds.iter_mut().for_each(|round| {
-                    round.over |= voters & 1 << round.home != 0;
+                    round.is_over |= voters & 1 << round.replica != 0;
                 });
             }
         }
-        self.tidy(&mut state);
+        self.reduce(&mut state);
         (state != *last).then_some(state)
     }
 
-    fn properties(&self) -> Vec<Property<Custody>> {
+    fn properties(&self) -> Vec<Property<RegisterModel>> {
         let mut all = vec![
-            Property::always(LOST, |_, state: &State| !state.lost),
-            Property::always(TWO, |_, state: &State| {
+            Property::always(STALE_READ, |_, state: &State| !state.read_is_stale),
+            Property::always(TWO_CHOSEN, |_, state: &State| {
                 state.chosen & (FIRST | SECOND) != FIRST | SECOND
             }),
         ];
-        if self.wrong.is_none() {
+        if self.mutation.is_none() {
             all.extend([
                 Property::sometimes(ACKNOWLEDGED, |_, state: &State| wrote(state)),
                 Property::sometimes(REFUSED, |_, state: &State| state.refused),
                 Property::sometimes(CAUGHT_UP, |_, state: &State| state.caught_up),
-                Property::sometimes(CHANGED, |_, state: &State| state.told & ROSTER != 0),
+                Property::sometimes(CHANGED, |_, state: &State| state.acknowledged & ROSTER != 0),
                 Property::sometimes(ALL, |_, state: &State| {
-                    state.caught_up && state.told & ROSTER != 0 && wrote(state)
+                    state.caught_up && state.acknowledged & ROSTER != 0 && wrote(state)
                 }),
             ]);
         }
@@ -815,27 +846,27 @@
 }
 
 pub const ACKNOWLEDGED: &str = "a write is acknowledged";
-pub const REFUSED: &str = "a conflict is refused";
+pub const REFUSED: &str = "a conflict is rejected";
 pub const CAUGHT_UP: &str = "a voter without a disk catches up";
 pub const CHANGED: &str = "the roster is changed";
-pub const ALL: &str = "all of it, and a write too";
-pub const LOST: &str = "what was told is in whatever is read later";
-pub const TWO: &str = "one of two that conflict is chosen";
+pub const ALL: &str = "a write, a recovery and a change of the roster in one run";
+pub const STALE_READ: &str = "a read sees everything acknowledged before it";
+pub const TWO_CHOSEN: &str = "of two items that conflict one at most is chosen";
 
-/// What a search found.
+/// The result of a search.
 pub struct Found {
     pub states: usize,
     pub depth: usize,
-    /// Of each property that was violated, how.
+    /// The violated properties, each with a trace to its violation.
     pub violated: Vec<(&'static str, Vec<Action>)>,
-    /// Of what is to happen at some time, what did.
+    /// The properties that are to hold at some time, as far as they did.
     pub happened: Vec<&'static str>,
 }
 
-/// Searches breadth first; of all traces to what is wrong it returns a shortest one.
-pub fn search(model: Custody, threads: usize) -> Found {
+/// Searches breadth first, and returns a shortest trace to each violation.
+pub fn search(model: RegisterModel, threads: usize) -> Found {
     let mut found = search_to(model.clone(), threads, None);
-    // Among states of nearly the same depth the checker keeps what it saw last.
+    // Among states of nearly the same depth the checker keeps what it saw_roster_change last.
     while let Some(steps) = found.violated.iter().map(|(_, trace)| trace.len()).min() {
         if !model.shortest {
             break;
@@ -853,8 +884,8 @@
     found
 }
 
-/// Looks at traces of fewer steps than this.
-fn search_to(model: Custody, threads: usize, steps: Option<usize>) -> Found {
+/// Searches traces of fewer steps than this.
+fn search_to(model: RegisterModel, threads: usize, steps: Option<usize>) -> Found {
     let checker = model
         .checker()
         .threads(threads)
@@ -872,7 +903,7 @@
             .cloned()
             .map(|path: Path<_, _>| path.into_actions())
     };
-    let violated = [LOST, TWO]
+    let violated = [STALE_READ, TWO_CHOSEN]
         .into_iter()
         .filter_map(|name| trace(name).map(|trace| (name, trace)))
         .collect();
@@ -880,7 +911,7 @@
     let sometimes = sometimes
         .iter()
         .map(|property| property.name)
-        .filter(|name| ![LOST, TWO].contains(name));
+        .filter(|name| ![STALE_READ, TWO_CHOSEN].contains(name));
     Found {
         states: checker.unique_state_count(),
         depth: checker.max_depth(),
--- a/crates/emberpin-consensus/tests/successive_losses.rs
+++ b/crates/emberpin-consensus/tests/successive_losses.rs
@@ -1,18 +1,19 @@
-//! Losses one after another for an hour of virtual time, each as soon as the last one no longer counts: disks, machines
-//! with a successor, planned replacements, and machines that come back with an old disk. `EMBERPIN_HOURS` sets how many
-//! hours each kind of system is drawn.
+//! Successive losses for an hour of simulated time, each as soon as the last one no longer counts: disks, machines that
+//! are replaced, planned replacements, and machines that return with an old disk. `EMBERPIN_HOURS` sets how many hours
+//! each system is run.
 
-mod world;
+mod cluster;
 
+use cluster::calls::set_service;
+use cluster::{ip, Cluster, Start};
 use emberpin_consensus::Guards;
 use googletest::prelude::*;
 use std::net::Ipv4Addr;
-use world::{ip, services, World};
 
 /// The span of a run, in milliseconds.
 const HOUR: u64 = 3_600_000;
 
-/// How many machines vote, how many may be lost at once, and after which time a loss no longer counts.
+/// What an operator relies on: how many disks may be lost at once, and after which time a loss no longer counts.
 #[derive(Clone, Copy, Debug)]
 struct System {
     voters: u8,
@@ -43,161 +44,160 @@
     },
 ];
 
-/// More than an old majority of the largest system.
-const MOST_AWAY: usize = 6;
+/// How many machines may be set aside: more than a majority of the largest system.
+const MAX_SET_ASIDE: usize = 6;
 
 struct Run {
-    world: World,
-    hosts: u32,
-    /// Machines that were removed or replaced lately, and whose disks may come back; not more than [`MOST_AWAY`].
-    away: Vec<Ipv4Addr>,
+    cluster: Cluster,
+    /// The number of the newest machine.
+    last_host: u32,
+    /// Machines that were replaced lately, and that may return with their disks; up to [`MAX_SET_ASIDE`].
+    set_aside: Vec<Ipv4Addr>,
 }
 
 impl Run {
     fn machines(&self) -> Vec<Ipv4Addr> {
-        let here = |ip: &&Ipv4Addr| !self.world.nodes[ip].removed && !self.away.contains(ip);
-        self.world.nodes.keys().filter(here).copied().collect()
-    }
-
-    fn drawn(&mut self, of: &[Ipv4Addr]) -> Ipv4Addr {
-        of[self.world.below(of.len() as u64) as usize]
+        let is_in_use =
+            |ip: &&Ipv4Addr| !self.cluster.nodes[ip].decommissioned && !self.set_aside.contains(ip);
+        self.cluster
+            .nodes
+            .keys()
+            .filter(is_in_use)
+            .copied()
+            .collect()
     }
 
-    fn away(&mut self, machine: Ipv4Addr) {
-        self.world
-            .nodes
-            .get_mut(&machine)
-            .expect("a machine")
-            .unlisted = true;
-        self.away.push(machine);
-        if self.away.len() > MOST_AWAY {
-            let oldest = self.away.remove(0);
-            self.world.remove(oldest);
+    fn set_aside(&mut self, machine: Ipv4Addr) {
+        self.cluster.node(machine).delisted = true;
+        self.set_aside.push(machine);
+        if self.set_aside.len() > MAX_SET_ASIDE {
+            let oldest = self.set_aside.remove(0);
+            self.cluster.decommission(oldest);
         }
     }
 
-    fn successor(&mut self) {
-        self.hosts += 1;
-        let machine = Ipv4Addr::from_bits(ip(0).to_bits() + self.hosts);
-        self.world.add(machine);
-        self.world.start(machine, false);
+    fn add_replacement(&mut self) {
+        self.last_host += 1;
+        let machine = Ipv4Addr::from_bits(ip(0).to_bits() + self.last_host);
+        self.cluster.add_machine(machine);
+        self.cluster.start(machine, Start::Normal);
     }
 
-    /// One loss, of a machine that is here.
-    fn lose(&mut self, victim: Ipv4Addr) {
-        match self.world.below(6) {
+    /// Loses a machine or its disk, and starts its replacement.
+    fn lose_machine(&mut self, victim: Ipv4Addr) {
+        match self.cluster.below(6) {
             0..3 => {
-                self.world.wipe(victim);
-                self.world.start(victim, false);
+                self.cluster.lose_disk(victim);
+                self.cluster.start(victim, Start::Normal);
             }
             3 => {
-                self.world.power_off_hard(victim);
-                self.world.wipe(victim);
-                let pause = self.world.below(300);
-                self.world.run(pause);
-                self.world.start(victim, false);
+                self.cluster.lose_power_and_unsynced_writes(victim);
+                self.cluster.lose_disk(victim);
+                let pause = self.cluster.below(300);
+                self.cluster.run(pause);
+                self.cluster.start(victim, Start::Normal);
             }
             4 => {
-                self.world.remove(victim);
-                self.successor();
+                self.cluster.decommission(victim);
+                self.add_replacement();
             }
-            // It keeps its disk.
+            // The machine keeps its disk, and may return.
             _ => {
-                self.world.kill(victim);
-                self.away(victim);
-                self.successor();
+                self.cluster.kill(victim);
+                self.set_aside(victim);
+                self.add_replacement();
             }
         }
     }
 
-    /// The successor comes first, and has its time; then one is told to end.
-    fn replace(&mut self, sync_time: u64) {
+    /// A planned replacement: the new machine runs for `sync_time`, and then an old one is shut down.
+    fn replace_machine(&mut self, sync_time: u64) {
         let machines = self.machines();
-        let leaving = self.drawn(&machines);
-        self.successor();
-        self.world.run(sync_time);
-        if self.world.below(3) == 0 {
+        let leaving = self.cluster.choose(&machines);
+        self.add_replacement();
+        self.cluster.run(sync_time);
+        if self.cluster.below(3) == 0 {
             // Killed while it leaves.
-            self.world.leave(leaving);
-            let pause = self.world.below(40);
-            self.world.run(pause);
-            self.world.kill(leaving);
+            self.cluster.begin_leaving(leaving);
+            let pause = self.cluster.below(40);
+            self.cluster.run(pause);
+            self.cluster.kill(leaving);
         } else {
-            self.world.terminate(leaving);
+            self.cluster.shut_down(leaving);
         }
-        self.away(leaving);
+        self.set_aside(leaving);
     }
 }
 
-/// A drawn run; what went wrong, if something did.
+/// One run; the first violation, if there is one.
 fn run(seed: u64, system: System, span: u64, guards: Guards) -> Option<String> {
     let System {
         voters,
         tolerated,
         sync_time,
     } = system;
-    let world = World::new(seed, voters, tolerated, guards);
+    let cluster = Cluster::new(seed, voters, tolerated, guards);
     let mut run = Run {
-        world,
-        hosts: voters.into(),
-        away: Vec::new(),
+        cluster,
+        last_host: voters.into(),
+        set_aside: Vec::new(),
     };
-    run.world.run(1_000);
-    let (mut ver, until) = (0, run.world.now + span);
-    while run.world.now < until && run.world.wrong.is_none() {
+    run.cluster.run(1_000);
+    let (mut version, until) = (0, run.cluster.now + span);
+    while run.cluster.now < until && run.cluster.violation.is_none() {
         let machines = run.machines();
-        match run.world.below(8) {
-            0 => run.replace(sync_time),
-            1 if !run.away.is_empty() => {
-                // All that went before come back at once, with their disks.
-                let back = std::mem::take(&mut run.away);
-                back.iter().for_each(|ip| run.world.start(*ip, false));
-                run.world.run(100);
-                back.iter().for_each(|ip| run.world.kill(*ip));
-                run.away = back;
+        match run.cluster.below(8) {
+            0 => run.replace_machine(sync_time),
+            1 if !run.set_aside.is_empty() => {
+                // All machines that were set aside return at once, with their disks.
+                let returned = std::mem::take(&mut run.set_aside);
+                run.cluster.start_all(&returned);
+                run.cluster.run(100);
+                for ip in &returned {
+                    run.cluster.kill(*ip);
+                }
+                run.set_aside = returned;
             }
             _ => {
-                for _ in 0..=run.world.below(tolerated as u64) {
+                for _ in 0..=run.cluster.below(tolerated as u64) {
                     let machines = run.machines();
                     let lost = machines
                         .iter()
-                        .filter(|ip| run.world.nodes[ip].wiped)
+                        .filter(|ip| run.cluster.nodes[ip].disk_lost)
                         .count();
-                    let victim = run.drawn(&machines);
+                    let victim = run.cluster.choose(&machines);
                     if lost < tolerated {
-                        run.lose(victim);
+                        run.lose_machine(victim);
                     }
                 }
             }
         }
-        let taker = run.drawn(&machines);
-        if run.world.nodes[&taker].store.is_some() {
-            ver += 1;
-            run.world.call(
-                taker,
-                services(&[(["a", "b", "c"][(ver % 3) as usize], ver, ver)]),
-            );
+        let receiver = run.cluster.choose(&machines);
+        if run.cluster.replica(receiver).is_some() {
+            version += 1;
+            let name = ["a", "b", "c"][(version % 3) as usize];
+            let call = set_service(name, version, version);
+            run.cluster.call(receiver, call);
         }
-        run.world.run(sync_time);
-        let at = run.world.now;
-        let counted: Vec<Ipv4Addr> = run.machines();
-        for ip in counted {
-            if run.world.nodes[&ip].wiped {
-                run.world.fail(format!("{ip} has not caught up, {at}"));
+        run.cluster.run(sync_time);
+        let at = run.cluster.now;
+        for ip in run.machines() {
+            if run.cluster.nodes[&ip].disk_lost {
+                run.cluster.fail(format!("{ip} has not caught up, {at}"));
             }
         }
     }
-    for ip in run.away {
-        run.world.remove(ip);
+    for ip in run.set_aside {
+        run.cluster.decommission(ip);
     }
-    run.world.settle_and_check();
-    run.world
-        .wrong
-        .map(|wrong| format!("seed {seed}, {system:?}: {wrong}"))
+    run.cluster.heal_and_check();
+    run.cluster
+        .violation
+        .map(|violation| format!("seed {seed}, {system:?}: {violation}"))
 }
 
 #[gtest]
-fn losses_each_as_soon_as_the_last_one_no_longer_counts_lose_nothing() {
+fn successive_losses_lose_no_acknowledged_item() {
     let hours = std::env::var("EMBERPIN_HOURS")
         .ok()
         .and_then(|hours| hours.parse().ok())
@@ -210,11 +210,11 @@
 }
 
 #[gtest]
-fn a_roster_that_keeps_a_member_killed_while_it_left_is_caught() {
-    let wrong = Guards {
+fn late_eviction_of_a_voter_killed_while_it_left_is_detected() {
+    let guards = Guards {
         evict_early_without_margin: false,
         ..Guards::default()
     };
-    let found = (0..20).find_map(|seed| run(seed, SYSTEMS[0], HOUR / 4, wrong));
+    let found = (0..20).find_map(|seed| run(seed, SYSTEMS[0], HOUR / 4, guards));
     expect_that!(found, some(anything()));
 }
