--- a/crates/emberpin-store/src/disk.rs
+++ b/crates/emberpin-store/src/disk.rs
@@ -29,6 +29,8 @@
 use sync_record::SyncRecord;
 use watermark::Watermark;
 
+pub use watermark::WriteNumber;
+
 /// The open disk of a store.
 pub struct Disk {
     keyspace: StoreKeyspace,
@@ -38,7 +40,7 @@
     sync_record: SyncRecord,
     versions: ItemVersions,
     /// Number of the last write.
-    write_number: u64,
+    write_number: WriteNumber,
     /// The keyspace still has the previous format; the next write updates it.
     has_previous_format: bool,
 }
@@ -64,8 +66,8 @@
             .try_exists()
             .map_err(FileOperation::Probe.failed_at(&path))?
         {
-            if synced.is_some_and(|synced| synced > 0) {
-                return Err(lost_writes(&path, 0, synced));
+            if synced.is_some_and(|synced| synced > WriteNumber::NONE) {
+                return Err(missing_writes(&path, WriteNumber::NONE, synced));
             }
             keyspace::create(folder, own_ip)?;
         }
@@ -97,7 +99,7 @@
             journal,
             sync_record,
             versions: ItemVersions::default(),
-            write_number: 0,
+            write_number: WriteNumber::NONE,
             has_previous_format: false,
         })
     }
@@ -158,12 +160,12 @@
     }
 
     /// Checks that the items read are those that the last write left, and that no synced write is missing.
-    fn check_completeness(&mut self, synced: Option<u64>) -> Result<(), DiskError> {
+    fn check_completeness(&mut self, synced: Option<WriteNumber>) -> Result<(), DiskError> {
         let Some(bytes) = self.meta(meta_key::WATERMARK)? else {
             // Builds without watermarks wrote no sync record either.
             return match synced {
-                None | Some(0) => Ok(()),
-                Some(_) => Err(lost_writes(&self.path, 0, synced)),
+                None | Some(WriteNumber::NONE) => Ok(()),
+                Some(_) => Err(missing_writes(&self.path, WriteNumber::NONE, synced)),
             };
         };
         let last_write = Watermark::decode(&bytes).ok_or_else(|| DiskError::WatermarkLength {
@@ -172,15 +174,15 @@
         })?;
         self.write_number = last_write.write_number;
         if synced.is_none_or(|synced| last_write.write_number < synced) {
-            return Err(lost_writes(&self.path, last_write.write_number, synced));
+            return Err(missing_writes(&self.path, last_write.write_number, synced));
         }
         let read = self.versions.watermark(last_write.write_number);
         if read != last_write {
             return Err(DiskError::DataLoss {
                 path: self.path.clone(),
                 loss: DataLoss::Items {
-                    written: last_write.item_count,
-                    found: read.item_count,
+                    written_count: last_write.item_count,
+                    found_count: read.item_count,
                 },
             });
         }
@@ -225,7 +227,7 @@
         batch.insert(meta, meta_key::INCARNATIONS, incarnations);
         let promised = self.encode(meta_key::PROMISED, &(write.promised, write.voting))?;
         batch.insert(meta, meta_key::PROMISED, promised);
-        self.write_number += 1;
+        self.write_number = self.write_number.next();
         let watermark = self.watermark();
         batch.insert(meta, meta_key::WATERMARK, watermark.encode());
         self.commit(batch, watermark)
@@ -313,7 +315,7 @@
 
 /// Cuts off a last batch that is incomplete or damaged, if it was never synced: no other store was told of it. `fjall`
 /// would cut off everything behind damage, synced or not, so this comes before it opens the keyspace.
-fn discard_incomplete_writes(path: &Path, synced: Option<u64>) -> Result<(), DiskError> {
+fn discard_incomplete_writes(path: &Path, synced: Option<WriteNumber>) -> Result<(), DiskError> {
     let prefix = IntactPrefix::of_newest_journal(path)
         .map_err(FileOperation::ReadJournal.failed_at(path))?;
     let Some(prefix) = prefix else {
@@ -321,8 +323,8 @@
     };
     if let Some(last_intact) = prefix.watermark {
         let found = last_intact.write_number;
-        if synced.map_or(found > 0, |synced| found < synced) {
-            return Err(lost_writes(path, found, synced));
+        if synced.map_or(found > WriteNumber::NONE, |synced| found < synced) {
+            return Err(missing_writes(path, found, synced));
         }
     }
     prefix
@@ -330,7 +332,7 @@
         .map_err(FileOperation::TruncateJournal.failed_at(path))
 }
 
-fn lost_writes(path: &Path, found: u64, synced: Option<u64>) -> DiskError {
+fn missing_writes(path: &Path, found: WriteNumber, synced: Option<WriteNumber>) -> DiskError {
     let loss = match synced {
         Some(synced) => DataLoss::Writes { synced, found },
         None => DataLoss::SyncRecord { found },
--- a/crates/emberpin-store/src/disk/error.rs
+++ b/crates/emberpin-store/src/disk/error.rs
@@ -1,5 +1,6 @@
 //! Why the disk of a store cannot be used.
 
+use super::watermark::WriteNumber;
 use std::fmt;
 use std::io;
 use std::net::Ipv4Addr;
@@ -212,22 +213,24 @@
     #[error("{synced} writes were synced, {found} are present")]
     Writes {
         /// Number of the last write that was synced.
-        synced: u64,
+        synced: WriteNumber,
         /// Number of the last write that is present.
-        found: u64,
+        found: WriteNumber,
     },
     /// There are writes, and no record of which were synced.
     #[error("{found} writes are present, and the record of what was synced is not")]
     SyncRecord {
         /// Number of the last write that is present.
-        found: u64,
+        found: WriteNumber,
     },
     /// The items are not those that the last write left.
-    #[error("{written} items were written, {found} are present, or have other versions")]
+    #[error(
+        "{written_count} items were written, {found_count} are present, or have other versions"
+    )]
     Items {
         /// How many items there were after the last write.
-        written: u64,
+        written_count: u64,
         /// How many items are present.
-        found: u64,
+        found_count: u64,
     },
 }
--- a/crates/emberpin-store/src/disk/item_versions.rs
+++ b/crates/emberpin-store/src/disk/item_versions.rs
@@ -1,6 +1,6 @@
 //! The version of every item on the disk, and a digest of all of them.
 
-use super::watermark::Watermark;
+use super::watermark::{Watermark, WriteNumber};
 use emberpin_config::{ItemKey, Version};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
@@ -40,7 +40,7 @@
     }
 
     /// The watermark of a write that leaves these items.
-    pub fn watermark(&self, write_number: u64) -> Watermark {
+    pub fn watermark(&self, write_number: WriteNumber) -> Watermark {
         Watermark {
             write_number,
             item_count: self.versions.len() as u64,
--- a/crates/emberpin-store/src/disk/sync_record.rs
+++ b/crates/emberpin-store/src/disk/sync_record.rs
@@ -1,7 +1,7 @@
 //! The sync record: a small file that says which write was synced last, with a sync of its own. A start that finds
 //! fewer writes than it says knows that the disk lost some.
 
-use super::watermark::{Watermark, ENCODED_LENGTH};
+use super::watermark::{Watermark, WriteNumber, ENCODED_LENGTH};
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
@@ -18,7 +18,7 @@
 /// The open sync record.
 pub struct SyncRecord {
     file: File,
-    write_number: Option<u64>,
+    write_number: Option<WriteNumber>,
     /// The slot that the next update overwrites.
     next_slot: usize,
 }
@@ -37,7 +37,7 @@
             .create(true)
             .truncate(false)
             .open(path)?;
-        let mut newest: Option<(u64, usize)> = None;
+        let mut newest: Option<(WriteNumber, usize)> = None;
         for (slot, offset) in SLOT_OFFSETS.into_iter().enumerate() {
             let watermark = read_slot(&file, offset);
             newest = newest.max(watermark.map(|watermark| (watermark.write_number, slot)));
@@ -50,7 +50,7 @@
     }
 
     /// Number of the last write that was synced; `None` if nothing was recorded.
-    pub fn write_number(&self) -> Option<u64> {
+    pub fn write_number(&self) -> Option<WriteNumber> {
         self.write_number
     }
 
--- a/crates/emberpin-store/src/disk/watermark.rs
+++ b/crates/emberpin-store/src/disk/watermark.rs
@@ -1,13 +1,36 @@
 //! The watermark that each write carries, from which a start tells whether any write is missing.
 
+use std::fmt;
+
 /// Bytes of an encoded watermark.
 pub const ENCODED_LENGTH: usize = 24;
 
+/// Number of a write: how many writes there were on this disk up to and including it; 0 before the first.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct WriteNumber(pub u64);
+
+impl WriteNumber {
+    /// Before the first write.
+    pub const NONE: WriteNumber = WriteNumber(0);
+
+    /// The number of the next write.
+    #[must_use]
+    pub fn next(self) -> WriteNumber {
+        WriteNumber(self.0 + 1)
+    }
+}
+
+impl fmt::Display for WriteNumber {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(formatter)
+    }
+}
+
 /// Identifies a write, and summarizes all items that are present after it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Watermark {
-    /// How many writes there were up to and including this one.
-    pub write_number: u64,
+    /// The write.
+    pub write_number: WriteNumber,
     /// How many chosen items are present.
     pub item_count: u64,
     /// Digest of the keys and versions of these items, independent of their order.
@@ -18,7 +41,7 @@
     /// Encodes the three numbers as big-endian integers, in the order of the fields.
     pub fn encode(self) -> [u8; ENCODED_LENGTH] {
         let mut bytes = [0; ENCODED_LENGTH];
-        let numbers = [self.write_number, self.item_count, self.versions_digest];
+        let numbers = [self.write_number.0, self.item_count, self.versions_digest];
         for (field, number) in bytes.chunks_exact_mut(8).zip(numbers) {
             field.copy_from_slice(&number.to_be_bytes());
         }
@@ -32,7 +55,7 @@
             .chunks_exact(8)
             .filter_map(|field| field.try_into().ok().map(u64::from_be_bytes));
         Some(Watermark {
-            write_number: numbers.next()?,
+            write_number: WriteNumber(numbers.next()?),
             item_count: numbers.next()?,
             versions_digest: numbers.next()?,
         })
--- a/crates/emberpin-store/src/disk/worker.rs
+++ b/crates/emberpin-store/src/disk/worker.rs
@@ -282,7 +282,7 @@
                     self.report(DiskEvent::Damaged(damage));
                     return None;
                 }
-                Err(error) => log::warn!("cannot reopen the disk yet: error={error}"),
+                Err(error) => log::warn!("disk cannot be reopened yet: error={error}"),
             }
         }
     }
@@ -339,7 +339,7 @@
         self.measured_at = Some(Instant::now());
         match used_bytes(&self.folder) {
             Ok(bytes) => self.progress.used_bytes.store(bytes, Ordering::Relaxed),
-            Err(error) => log::warn!("cannot measure the disk's usage: error={error}"),
+            Err(error) => log::warn!("usage of the disk cannot be measured: error={error}"),
         }
     }
 }
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -11,7 +11,6 @@
 use crate::peer_links::PeerLinks;
 use crate::protocol::{DiskState, StoreReply, StoreRequest, ToStore};
 use crate::registry_sessions::RegistrySessions;
-use crate::send_queue::SendQueue;
 use crate::signals::{Signal, Signals};
 use crate::system_id::{self, SystemRecord};
 use emberpin_consensus::{
@@ -317,9 +316,13 @@
             }
             Input::Request {
                 connection,
+                peer,
                 request,
                 replies,
-            } => self.handle_request(connection, request, replies, actions),
+            } => {
+                self.registries.open(connection, peer, replies);
+                self.handle_request(connection, request, actions);
+            }
             Input::Closed { connection } => self.registries.close(connection),
         }
     }
@@ -328,10 +331,8 @@
         &mut self,
         connection: ConnectionId,
         request: StoreRequest,
-        replies: SendQueue,
         actions: &mut Vec<Action>,
     ) {
-        self.registries.open(connection, replies);
         let (request_id, call) = match request {
             StoreRequest::Patch { id, body } => (id, Call::Patch(body)),
             StoreRequest::Get { id } => (id, Call::Get),
@@ -422,7 +423,7 @@
         match frame {
             Ok(frame) => self.peers.send(peer, Arc::new(frame)),
             Err(error) => {
-                log::warn!("cannot encode a message to another store: peer={peer} error={error}");
+                log::warn!("message to another store cannot be encoded: peer={peer} error={error}");
             }
         }
     }
@@ -432,7 +433,7 @@
             DiskEvent::Synced { token } => self.handle_in_replica(Event::Persisted { token }),
             DiskEvent::Failed(error) => {
                 log::error!(
-                    "the disk failed, votes and changes are rejected until it is restored: error={error}"
+                    "disk failed, votes and changes are rejected until it is restored: error={error}"
                 );
                 self.disk.on_failed();
                 self.handle_in_replica(Event::DiskFailed {
@@ -472,7 +473,7 @@
         let closed =
             async { while !matches!(disk_events.recv().await, Some(DiskEvent::Closed) | None) {} };
         if tokio::time::timeout(CLOSE_TIMEOUT, closed).await.is_err() {
-            log::warn!("the store ended before its last sync: timeout={CLOSE_TIMEOUT:?}");
+            log::warn!("store ended before its last sync: timeout={CLOSE_TIMEOUT:?}");
         }
     }
 
@@ -508,7 +509,7 @@
     fn replace_health(&mut self, health: Health) {
         if health.disk != self.health.disk {
             log::warn!(
-                "the state of the disk changed: state={:?} previous={:?}",
+                "disk state changed: state={:?} previous={:?}",
                 health.disk.as_str(),
                 self.health.disk.as_str()
             );
--- a/crates/emberpin-store/src/input.rs
+++ b/crates/emberpin-store/src/input.rs
@@ -3,7 +3,7 @@
 use crate::protocol::StoreRequest;
 use crate::send_queue::SendQueue;
 use emberpin_consensus::Message;
-use std::net::Ipv4Addr;
+use std::net::{IpAddr, Ipv4Addr};
 
 /// Number of an accepted connection, unique within this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -13,23 +13,25 @@
 pub enum Input {
     /// A consensus message from another store.
     PeerMessage {
-        /// The sender's address.
+        /// The address by which the roster knows the sender.
         from: Ipv4Addr,
-        /// The message.
+        /// Passed to the replica as it is.
         message: Message,
     },
     /// A request from a registry.
     Request {
         /// The connection it arrived on.
         connection: ConnectionId,
-        /// The request.
+        /// The address of the registry, for log lines.
+        peer: IpAddr,
+        /// What the registry asks for.
         request: StoreRequest,
         /// Where replies go.
         replies: SendQueue,
     },
     /// A connection ended. Nothing more arrives on it.
     Closed {
-        /// The connection.
+        /// Its pending calls and its subscription end with it.
         connection: ConnectionId,
     },
 }
--- a/crates/emberpin-store/src/listener.rs
+++ b/crates/emberpin-store/src/listener.rs
@@ -8,6 +8,7 @@
 use emberpin_runtime::identity::ProcessIdentity;
 use std::future::Future;
 use std::io;
+use std::net::IpAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,10 +37,10 @@
         let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
         };
-        let stream = match listener.accept().await {
-            Ok((stream, _)) => stream,
+        let (stream, peer) = match listener.accept().await {
+            Ok((stream, address)) => (stream, address.ip()),
             Err(error) => {
-                log::warn!("cannot accept a connection: error={error}");
+                log::warn!("connection cannot be accepted: error={error}");
                 sleep(ACCEPT_BACKOFF).await;
                 continue;
             }
@@ -48,9 +49,9 @@
         let (identity, inputs) = (identity.clone(), inputs.clone());
         let malformed_frames = malformed_frames.clone();
         tokio::spawn(async move {
-            let served = serve(stream, connection, &identity, &inputs).await;
+            let served = serve(stream, connection, peer, &identity, &inputs).await;
             if let Err(error) = served {
-                log_if_malformed(&error, &malformed_frames);
+                log_if_malformed(peer, &error, &malformed_frames);
             }
             _ = inputs.send(Input::Closed { connection }).await;
             drop(permit);
@@ -59,10 +60,12 @@
 }
 
 /// A malformed frame hints at a fault of some build, unlike a connection that breaks.
-fn log_if_malformed(error: &ConnectionError, malformed_frames: &AtomicU64) {
+fn log_if_malformed(peer: IpAddr, error: &ConnectionError, malformed_frames: &AtomicU64) {
     if let ConnectionError::Malformed(_) | ConnectionError::FrameTooLong(_) = error {
-        let count = malformed_frames.fetch_add(1, Ordering::Relaxed) + 1;
-        log::warn!("closed a connection on a malformed frame: error={error} count={count}");
+        let earlier = malformed_frames.fetch_add(1, Ordering::Relaxed);
+        log::warn!(
+            "connection closed at an unreadable frame: peer={peer} error={error} earlier={earlier}"
+        );
     }
 }
 
@@ -70,6 +73,7 @@
 async fn serve(
     stream: TcpStream,
     id: ConnectionId,
+    peer: IpAddr,
     identity: &ProcessIdentity,
     inputs: &mpsc::Sender<Input>,
 ) -> Result<(), ConnectionError> {
@@ -79,10 +83,11 @@
     identity.send_preamble(&mut writer).await?;
     let connection = Connection {
         id,
+        peer,
         reader,
         writer: Some(writer),
         replies: None,
-        peer: PeerKind::Unknown,
+        peer_kind: PeerKind::Unknown,
     };
     connection.read_to_end(inputs).await
 }
@@ -99,11 +104,12 @@
 /// An accepted connection after the handshake.
 struct Connection {
     id: ConnectionId,
+    peer: IpAddr,
     reader: OwnedReadHalf,
     /// Taken by the task that writes replies, which starts at the first request.
     writer: Option<OwnedWriteHalf>,
     replies: Option<SendQueue>,
-    peer: PeerKind,
+    peer_kind: PeerKind,
 }
 
 impl Connection {
@@ -112,15 +118,16 @@
         while let Some(frame) = self.next_frame().await? {
             let input = match frame {
                 ToStore::Consensus { from, message } => {
-                    self.peer = PeerKind::Store;
+                    self.peer_kind = PeerKind::Store;
                     Input::PeerMessage { from, message }
                 }
                 ToStore::Request(request) => {
-                    if self.peer == PeerKind::Unknown {
-                        self.peer = PeerKind::Registry;
+                    if self.peer_kind == PeerKind::Unknown {
+                        self.peer_kind = PeerKind::Registry;
                     }
                     Input::Request {
                         connection: self.id,
+                        peer: self.peer,
                         request,
                         replies: self.reply_queue(),
                     }
@@ -136,7 +143,7 @@
     /// Reads a frame; `None` if the replies to a registry are not taken any more.
     async fn next_frame(&mut self) -> Result<Option<ToStore>, ConnectionError> {
         let frame = frames::read(&mut self.reader);
-        match (self.peer, &self.replies) {
+        match (self.peer_kind, &self.replies) {
             (PeerKind::Registry, Some(replies)) => tokio::select! {
                 frame = frame => frame.map(Some),
                 () = replies.closed() => Ok(None),
--- a/crates/emberpin-store/src/peer_links.rs
+++ b/crates/emberpin-store/src/peer_links.rs
@@ -58,7 +58,7 @@
         });
         link.is_used = true;
         if let Err(error) = link.queue.try_send(frame) {
-            log::debug!("dropped a message to another store: peer={peer} error={error}");
+            log::debug!("message to another store dropped: peer={peer} error={error}");
         }
     }
 
@@ -110,7 +110,10 @@
                         ConnectionEnd::BrokenUnused => {}
                     }
                 }
-                _ => log::debug!("cannot connect to another store: peer={}", self.address),
+                _ => log::debug!(
+                    "another store cannot be reached: peer={}",
+                    self.address.ip()
+                ),
             }
             sleep(backoff).await;
             backoff = (backoff * 2).min(MAX_RECONNECT_BACKOFF);
--- a/crates/emberpin-store/src/registry_sessions.rs
+++ b/crates/emberpin-store/src/registry_sessions.rs
@@ -6,11 +6,13 @@
 use emberpin_consensus::CallId;
 use emberpin_runtime::frames;
 use std::collections::BTreeMap;
+use std::net::IpAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
 /// One connected registry.
 struct Session {
+    peer: IpAddr,
     replies: SendQueue,
     /// Whether it receives changes and the store's status.
     is_subscribed: bool,
@@ -23,7 +25,10 @@
         let sent = match frames::encode(reply) {
             Ok(frame) => self.replies.try_send(Arc::new(frame)).is_ok(),
             Err(error) => {
-                log::warn!("cannot encode a reply to a registry: error={error}");
+                log::warn!(
+                    "reply to a registry cannot be encoded: peer={} error={error}",
+                    self.peer
+                );
                 false
             }
         };
@@ -60,8 +65,9 @@
 
 impl RegistrySessions {
     /// Notes a connection at its first request.
-    pub fn open(&mut self, connection: ConnectionId, replies: SendQueue) {
+    pub fn open(&mut self, connection: ConnectionId, peer: IpAddr, replies: SendQueue) {
         self.sessions.entry(connection).or_insert(Session {
+            peer,
             replies,
             is_subscribed: false,
         });
--- a/crates/emberpin-store/src/system_id.rs
+++ b/crates/emberpin-store/src/system_id.rs
@@ -71,7 +71,7 @@
             tokio::task::spawn_blocking(move || {
                 if let Err(error) = save(&folder, system) {
                     log::warn!(
-                        "cannot save the system's number: system={system:016x} error={error}"
+                        "number of the system cannot be saved: system={system:016x} error={error}"
                     );
                 }
             });
@@ -88,7 +88,7 @@
         .and_then(NonZeroU64::new);
     if system.is_none() {
         log::warn!(
-            "ignored a malformed file with the system's number: file={}",
+            "malformed number of the system ignored: file={}",
             path.display()
         );
     }
--- a/crates/emberpin-store/tests/recorded_disks.rs
+++ b/crates/emberpin-store/tests/recorded_disks.rs
@@ -13,7 +13,7 @@
     AcceptedProposal, Ballot, BootstrapCandidate, Incarnation, LatestIncarnations, PersistedState,
     WriteBatch,
 };
-use emberpin_store::disk::{DataLoss, Disk, DiskError, FolderMismatch};
+use emberpin_store::disk::{DataLoss, Disk, DiskError, FolderMismatch, WriteNumber};
 use googletest::prelude::*;
 use recordings::{
     disk_file, fixture, fixture_text, item_lines, packed_folder, recorder, unpack, DISKS, OWNER,
@@ -266,7 +266,10 @@
         expect_that!(
             lost,
             some(matches_pattern!(DiskError::DataLoss {
-                loss: matches_pattern!(DataLoss::Writes { found: eq(&0), .. }),
+                loss: matches_pattern!(DataLoss::Writes {
+                    found: eq(&WriteNumber(0)),
+                    ..
+                }),
                 ..
             })),
             "{name}"
--- a/crates/emberpin-store/tests/sync_record.rs
+++ b/crates/emberpin-store/tests/sync_record.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::disk_fixtures::{read, state_after, try_read, write, write_synced};
-use emberpin_store::disk::{DataLoss, DiskError};
+use emberpin_store::disk::{DataLoss, DiskError, WriteNumber};
 use googletest::prelude::*;
 use std::fs;
 
@@ -17,7 +17,9 @@
         expect_that!(
             try_read(folder.path()).err(),
             some(matches_pattern!(DiskError::DataLoss {
-                loss: eq(&DataLoss::SyncRecord { found: 1 }),
+                loss: eq(&DataLoss::SyncRecord {
+                    found: WriteNumber(1)
+                }),
                 ..
             }))
         );
@@ -29,8 +31,8 @@
         try_read(folder.path()).err(),
         some(matches_pattern!(DiskError::DataLoss {
             loss: eq(&DataLoss::Writes {
-                synced: 1,
-                found: 0
+                synced: WriteNumber(1),
+                found: WriteNumber(0)
             }),
             ..
         }))
@@ -53,7 +55,9 @@
     expect_that!(
         try_read(folder.path()).err(),
         some(matches_pattern!(DiskError::DataLoss {
-            loss: eq(&DataLoss::SyncRecord { found: 3 }),
+            loss: eq(&DataLoss::SyncRecord {
+                found: WriteNumber(3)
+            }),
             ..
         }))
     );
