--- a/crates/emberpin-simulator/src/history.rs
+++ b/crates/emberpin-simulator/src/history.rs
@@ -2,136 +2,141 @@
 //!
 //! The sequential specification is a map from names to a version and a content, set or dropped:
 //!
-//! - an order takes effect as one operation: of each name the higher version prevails, a lower or equal one changes
-//!   nothing;
-//! - an order is confirmed only if none of its numbers belongs to another content already;
-//! - an order is refused only if it changes nothing, and never after it was taken;
-//! - an order without a clear answer takes effect at any time after it was sent, or never;
-//! - a read shows all that stands.
+//! - a patch takes effect as one operation: of each name the higher version wins, a lower or equal one changes nothing;
+//! - a patch is confirmed only if none of its versions belongs to another content already;
+//! - a patch is rejected only if it changes nothing, and never after it was accepted;
+//! - a patch without a clear response takes effect at any time after it was sent, or never;
+//! - a read shows all that is set.
 //!
-//! An order that is sent again until it is confirmed is one operation from its first sending to that answer, as a
-//! repeat of what was taken changes nothing. A refusal is an operation of the last attempt alone, since an attempt
-//! before it may still be under way.
+//! A patch that is retried until it is confirmed is one operation from its first attempt to that response, as a repeat
+//! of what was accepted changes nothing. A rejection is an operation of the last attempt alone, since an attempt before
+//! it may still be under way.
 //!
-//! The search for an order of operations that fits is Wing and Gong's, with Lowe's memory of what failed. Each name is
-//! checked alone, which a linearizable history allows, and short histories also as a whole. What that leaves out: that a
-//! call of several items takes effect at once in long histories, evacuations (no read shows them), and names with
-//! more than [`LONGEST`] operations, which are counted as unchecked.
+//! The search for an order of operations is Wing and Gong's, with Lowe's memory of states that failed. Each name is
+//! checked alone, which a linearizable history allows, and short histories also as a whole. That leaves out: that a
+//! patch of several items takes effect at once in long histories, evacuations (no read shows them), and names with more
+//! than [`MAX_OPERATIONS`] operations, which are counted as unchecked.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{self, Display};
+use std::time::Duration;
 use todc_utils::linearizability::history::{Action, History};
 use todc_utils::linearizability::WGLChecker;
 use todc_utils::specifications::Specification;
 
-/// Of one name, so many operations are checked.
-pub const LONGEST: usize = 600;
-/// A history of so many operations is also checked as a whole.
-pub const WHOLE: usize = 40;
+/// The most operations of one name that are checked: the search takes exponential time at worst.
+pub const MAX_OPERATIONS: usize = 600;
+/// The most calls of a history that is also checked as a whole.
+pub const MAX_CALLS_OF_WHOLE: usize = 40;
 
-/// A content; `None` is a drop.
+/// The content of an item; `None` if it is dropped.
 pub type Content = Option<String>;
 
-/// An item as operators number it: its name, its version and its content.
+/// A version of an item, with its content.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Numbered {
-    /// Its name, with its kind.
+pub struct NumberedItem {
+    /// The name of the item, with its kind.
     pub name: String,
-    /// Its version.
+    /// The version.
     pub version: u64,
-    /// What it holds.
+    /// The content of this version.
     pub content: Content,
 }
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// An order was acknowledged.
+    /// A patch was acknowledged.
     Confirmed,
-    /// An order was refused; when its last attempt was sent.
-    Refused {
-        /// On the same clock as the call's times.
-        attempted: u64,
-        /// Whether it was the only attempt.
-        only: bool,
+    /// A patch was rejected.
+    Rejected {
+        /// When its last attempt was sent, on the same clock as the call's times.
+        last_attempt_at: Duration,
+        /// Whether it was the only attempt, so that none before it can have been accepted.
+        is_only_attempt: bool,
     },
-    /// An order has no clear answer.
-    Unclear,
-    /// All that stands was read.
-    Shown(Vec<Numbered>),
+    /// A patch has no clear response: it may have been accepted or not.
+    Unknown,
+    /// A read showed these items.
+    Read(Vec<NumberedItem>),
 }
 
 /// One call of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// When it was first sent.
-    pub sent: u64,
-    /// When it was answered.
-    pub ended: u64,
-    /// What it asks for; nothing, if it reads.
-    pub items: Vec<Numbered>,
+    /// When it was first sent, since the start of the run.
+    pub sent_at: Duration,
+    /// When its response arrived; any time if it has none.
+    pub ended_at: Duration,
+    /// The items of a patch; empty for a read.
+    pub items: Vec<NumberedItem>,
     /// How it ended.
     pub outcome: Outcome,
 }
 
-/// One operation of the specification.
+/// One operation of the specification. Equal patches have the same number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Operation {
-    Take {
-        order: usize,
-        items: Vec<Numbered>,
-        confirmed: bool,
+    Accept {
+        patch: usize,
+        items: Vec<NumberedItem>,
+        is_confirmed: bool,
     },
-    Refuse {
-        order: usize,
+    Reject {
+        patch: usize,
     },
-    Show {
-        items: BTreeMap<String, (u64, String)>,
+    Read {
+        /// The version and content of each item that is shown.
+        shown: BTreeMap<String, (u64, String)>,
+        /// The names that would be shown if they were set.
         names: BTreeSet<String>,
     },
 }
 
+/// The state of one name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Register {
     version: u64,
     content: Content,
-    numbers: BTreeMap<u64, Content>,
+    /// The content of each accepted version, also of those below the current one.
+    contents: BTreeMap<u64, Content>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct State {
-    names: BTreeMap<String, Register>,
-    taken: BTreeSet<usize>,
+    registers: BTreeMap<String, Register>,
+    accepted_patches: BTreeSet<usize>,
 }
 
 impl State {
-    fn conflicts(&self, item: &Numbered) -> bool {
-        let register = self.names.get(&item.name);
-        let known = register.and_then(|register| register.numbers.get(&item.version));
+    /// Whether the version of an item belongs to another content.
+    fn conflicts_with(&self, item: &NumberedItem) -> bool {
+        let register = self.registers.get(&item.name);
+        let known = register.and_then(|register| register.contents.get(&item.version));
         known.is_some_and(|known| *known != item.content)
     }
 
-    fn take(&mut self, item: &Numbered) {
-        let register = self.names.entry(item.name.clone()).or_default();
-        register.numbers.insert(item.version, item.content.clone());
+    fn accept(&mut self, item: &NumberedItem) {
+        let register = self.registers.entry(item.name.clone()).or_default();
+        register.contents.insert(item.version, item.content.clone());
         if item.version > register.version {
-            (register.version, register.content) = (item.version, item.content.clone());
+            register.version = item.version;
+            register.content.clone_from(&item.content);
         }
     }
 
-    fn shows(&self, name: &str) -> Option<(u64, String)> {
-        let register = self.names.get(name)?;
-        register
-            .content
-            .clone()
-            .map(|content| (register.version, content))
+    /// What a read shows of a name.
+    fn shown(&self, name: &str) -> Option<(u64, String)> {
+        let register = self.registers.get(name)?;
+        let content = register.content.clone()?;
+        Some((register.version, content))
     }
 }
 
 /// The sequential specification.
-struct Configuration;
+struct ConfigurationSpecification;
 
-impl Specification for Configuration {
+impl Specification for ConfigurationSpecification {
     type State = State;
     type Operation = Operation;
 
@@ -141,39 +146,39 @@
 
     fn apply(operation: &Operation, state: &State) -> (bool, State) {
         let mut next = state.clone();
-        let valid = match operation {
-            Operation::Take {
-                order,
+        let is_valid = match operation {
+            Operation::Accept {
+                patch,
                 items,
-                confirmed,
+                is_confirmed,
             } => {
-                let conflicts = items.iter().any(|item| state.conflicts(item));
-                if !conflicts {
-                    items.iter().for_each(|item| next.take(item));
-                    next.taken.insert(*order);
+                let has_conflict = items.iter().any(|item| state.conflicts_with(item));
+                if !has_conflict {
+                    items.iter().for_each(|item| next.accept(item));
+                    next.accepted_patches.insert(*patch);
                 }
-                !(conflicts && *confirmed)
+                !(has_conflict && *is_confirmed)
             }
-            Operation::Refuse { order } => !state.taken.contains(order),
-            Operation::Show { items, names } => names
+            Operation::Reject { patch } => !state.accepted_patches.contains(patch),
+            Operation::Read { shown, names } => names
                 .iter()
-                .all(|name| state.shows(name).as_ref() == items.get(name)),
+                .all(|name| state.shown(name).as_ref() == shown.get(name)),
         };
-        (valid, next)
+        (is_valid, next)
     }
 }
 
-/// An operation with its times; without an end it may take effect at any later time.
-struct Timed {
-    begin: u64,
-    end: u64,
+/// An operation with the times between which it takes effect.
+struct TimedOperation {
+    begin: Duration,
+    end: Duration,
     operation: Operation,
 }
 
 /// A history for which there is no order of operations.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct NotLinearizable {
-    /// The names of which it is.
+    /// The names whose history it is.
     pub names: BTreeSet<String>,
     /// Its calls, one a line.
     pub calls: Vec<String>,
@@ -204,7 +209,7 @@
 ///
 /// # Errors
 ///
-/// [`NotLinearizable`]: the first history without an order of operations that fits.
+/// [`NotLinearizable`]: the first history that no order of its operations explains.
 pub fn check(calls: &[Call]) -> Result<Checked, NotLinearizable> {
     let mut checked = Checked::default();
     let names: BTreeSet<String> = calls
@@ -213,15 +218,12 @@
         .map(|item| item.name.clone())
         .collect();
     for name in &names {
-        check_names(
-            calls,
-            &BTreeSet::from([name.clone()]),
-            LONGEST,
-            &mut checked,
-        )?;
+        let name = BTreeSet::from([name.clone()]);
+        check_names(calls, &name, MAX_OPERATIONS, &mut checked)?;
     }
-    if names.len() > 1 && calls.len() <= WHOLE {
-        check_names(calls, &names, WHOLE * 2, &mut checked)?;
+    if names.len() > 1 && calls.len() <= MAX_CALLS_OF_WHOLE {
+        // A call that is rejected after an unknown attempt counts as two operations.
+        check_names(calls, &names, MAX_CALLS_OF_WHOLE * 2, &mut checked)?;
     }
     Ok(checked)
 }
@@ -229,137 +231,151 @@
 fn check_names(
     calls: &[Call],
     names: &BTreeSet<String>,
-    most: usize,
+    max_operations: usize,
     checked: &mut Checked,
 ) -> Result<(), NotLinearizable> {
-    let operations = operations(calls, names);
+    let operations = operations_on(calls, names);
     let count = operations.len();
     if count == 0 {
         return Ok(());
     }
-    if count > most {
+    if count > max_operations {
         checked.unchecked += count;
         return Ok(());
     }
     checked.operations += count;
-    match WGLChecker::<Configuration>::is_linearizable(history(operations)) {
-        true => Ok(()),
-        false => {
-            let of = |call: &&Call| {
-                let named = call.items.iter().any(|item| names.contains(&item.name));
-                named || matches!(call.outcome, Outcome::Shown(_))
-            };
-            let calls = calls
-                .iter()
-                .filter(of)
-                .map(|call| worded(call, names))
-                .collect();
-            Err(NotLinearizable {
-                names: names.clone(),
-                calls,
-            })
-        }
+    if WGLChecker::<ConfigurationSpecification>::is_linearizable(to_history(operations)) {
+        return Ok(());
     }
+    let concerns_names = |call: &&Call| {
+        let is_read = matches!(call.outcome, Outcome::Read(_));
+        is_read || call.items.iter().any(|item| names.contains(&item.name))
+    };
+    Err(NotLinearizable {
+        names: names.clone(),
+        calls: calls
+            .iter()
+            .filter(concerns_names)
+            .map(|call| describe(call, names))
+            .collect(),
+    })
 }
 
-/// The operations that concern these names.
-fn operations(calls: &[Call], names: &BTreeSet<String>) -> Vec<Timed> {
-    let shown = shown(calls);
-    let mut orders: BTreeMap<&[Numbered], usize> = BTreeMap::new();
-    // Of several attempts of one order without a clear answer, the first says as much as all of them.
-    let mut unclear: BTreeSet<usize> = BTreeSet::new();
-    let mut all = Vec::new();
+/// The operations of calls on these names.
+fn operations_on(calls: &[Call], names: &BTreeSet<String>) -> Vec<TimedOperation> {
+    let mut builder = OperationBuilder {
+        names,
+        shown_items: shown_items(calls),
+        patches: BTreeMap::new(),
+        unknown_patches: BTreeSet::new(),
+        operations: Vec::new(),
+    };
     for call in calls {
-        if let Outcome::Shown(items) = &call.outcome {
-            let stands =
-                |item: &Numbered| Some((item.name.clone(), (item.version, item.content.clone()?)));
-            let items = items
-                .iter()
-                .filter(|item| names.contains(&item.name))
-                .filter_map(stands)
-                .collect();
-            let operation = Operation::Show {
-                items,
-                names: names.clone(),
-            };
-            all.push(Timed {
-                begin: call.sent,
-                end: call.ended,
-                operation,
-            });
-            continue;
+        match &call.outcome {
+            Outcome::Read(items) => builder.add_read(call, items),
+            _ => builder.add_patch(call),
         }
-        let next = orders.len();
-        let order = *orders.entry(&call.items).or_insert(next);
-        let items: Vec<Numbered> = call
+    }
+    builder.operations
+}
+
+struct OperationBuilder<'a> {
+    names: &'a BTreeSet<String>,
+    shown_items: BTreeSet<&'a NumberedItem>,
+    /// The number of each patch, by its items.
+    patches: BTreeMap<&'a [NumberedItem], usize>,
+    /// The patches that have an operation for an unknown outcome. Of several attempts of one patch without a clear
+    /// response, the first says as much as all of them.
+    unknown_patches: BTreeSet<usize>,
+    operations: Vec<TimedOperation>,
+}
+
+impl<'a> OperationBuilder<'a> {
+    fn add(&mut self, begin: Duration, end: Duration, operation: Operation) {
+        self.operations.push(TimedOperation {
+            begin,
+            end,
+            operation,
+        });
+    }
+
+    fn add_read(&mut self, call: &Call, items: &[NumberedItem]) {
+        let shown = items
+            .iter()
+            .filter(|item| self.names.contains(&item.name))
+            .filter_map(|item| Some((item.name.clone(), (item.version, item.content.clone()?))))
+            .collect();
+        let names = self.names.clone();
+        self.add(
+            call.sent_at,
+            call.ended_at,
+            Operation::Read { shown, names },
+        );
+    }
+
+    fn add_patch(&mut self, call: &'a Call) {
+        let next_number = self.patches.len();
+        let patch = *self.patches.entry(&call.items).or_insert(next_number);
+        let items: Vec<NumberedItem> = call
             .items
             .iter()
-            .filter(|item| names.contains(&item.name))
+            .filter(|item| self.names.contains(&item.name))
             .cloned()
             .collect();
         if items.is_empty() {
-            continue;
+            return;
         }
-        let take = |confirmed| Operation::Take {
-            order,
+        let accept = |is_confirmed| Operation::Accept {
+            patch,
             items: items.clone(),
-            confirmed,
+            is_confirmed,
         };
         if call.outcome == Outcome::Confirmed {
-            all.push(Timed {
-                begin: call.sent,
-                end: call.ended,
-                operation: take(true),
-            });
-            continue;
+            return self.add(call.sent_at, call.ended_at, accept(true));
         }
-        if let Outcome::Refused { attempted, .. } = call.outcome {
-            all.push(Timed {
-                begin: attempted,
-                end: call.ended,
-                operation: Operation::Refuse { order },
-            });
+        let mut has_unknown_attempt = true;
+        if let Outcome::Rejected {
+            last_attempt_at,
+            is_only_attempt,
+        } = call.outcome
+        {
+            has_unknown_attempt = !is_only_attempt;
+            self.add(last_attempt_at, call.ended_at, Operation::Reject { patch });
         }
-        let only = matches!(call.outcome, Outcome::Refused { only: true, .. });
-        // What nothing shows, and nothing is missing by, explains nothing.
-        let matters = items
-            .iter()
-            .any(|item| item.content.is_none() || shown.contains(item));
-        if !only && matters && unclear.insert(order) {
-            all.push(Timed {
-                begin: call.sent,
-                end: u64::MAX,
-                operation: take(false),
-            });
+        if has_unknown_attempt && self.may_matter(&items) && self.unknown_patches.insert(patch) {
+            self.add(call.sent_at, Duration::MAX, accept(false));
         }
     }
-    all
+
+    /// Whether a patch with an unknown outcome can explain a read: one of its items is shown, or it drops one.
+    fn may_matter(&self, items: &[NumberedItem]) -> bool {
+        items
+            .iter()
+            .any(|item| item.content.is_none() || self.shown_items.contains(item))
+    }
 }
 
-/// All that was shown to anybody.
-fn shown(calls: &[Call]) -> BTreeSet<&Numbered> {
-    let mut all = BTreeSet::new();
+/// All items that any read showed.
+fn shown_items(calls: &[Call]) -> BTreeSet<&NumberedItem> {
+    let mut shown = BTreeSet::new();
     for call in calls {
-        if let Outcome::Shown(items) = &call.outcome {
-            all.extend(items);
+        if let Outcome::Read(items) = &call.outcome {
+            shown.extend(items);
         }
     }
-    all
+    shown
 }
 
-/// Calls and answers in the order of time; what begins and ends in one millisecond is taken as beside each other.
-fn history(operations: Vec<Timed>) -> History<Operation> {
+/// Calls and responses in the order of time. What begins when something else ends counts as concurrent with it.
+fn to_history(operations: Vec<TimedOperation>) -> History<Operation> {
     let mut actions = Vec::new();
     for (process, timed) in operations.into_iter().enumerate() {
-        actions.push((
-            timed.begin,
-            false,
-            process,
-            Action::Call(timed.operation.clone()),
-        ));
-        actions.push((timed.end, true, process, Action::Response(timed.operation)));
+        let call = Action::Call(timed.operation.clone());
+        actions.push((timed.begin, false, process, call));
+        let response = Action::Response(timed.operation);
+        actions.push((timed.end, true, process, response));
     }
-    actions.sort_by_key(|(at, answers, process, _)| (*at, *answers, *process));
+    actions.sort_by_key(|(at, is_response, process, _)| (*at, *is_response, *process));
     History::from_actions(
         actions
             .into_iter()
@@ -368,23 +384,34 @@
     )
 }
 
-fn worded(call: &Call, names: &BTreeSet<String>) -> String {
-    let item = |item: &Numbered| {
+/// A call as a line of text, with the items of these names.
+fn describe(call: &Call, names: &BTreeSet<String>) -> String {
+    let describe_item = |item: &NumberedItem| {
         let content = item.content.as_deref().unwrap_or("dropped");
         format!("{} {} {content}", item.name, item.version)
     };
-    let of = |items: &[Numbered]| -> String {
+    let describe_items = |items: &[NumberedItem]| -> String {
         let items: Vec<String> = items
             .iter()
-            .filter(|one| names.contains(&one.name))
-            .map(item)
+            .filter(|item| names.contains(&item.name))
+            .map(describe_item)
             .collect();
         items.join("; ")
     };
-    let (sent, ended) = (call.sent, call.ended);
+    let (sent, ended) = (call.sent_at.as_millis(), call.ended_at.as_millis());
     match &call.outcome {
-        Outcome::Shown(items) => format!("{sent}..{ended} shown: {}", of(items)),
-        Outcome::Unclear => format!("{sent}.. unclear: {}", of(&call.items)),
-        other => format!("{sent}..{ended} {other:?}: {}", of(&call.items)),
+        Outcome::Read(items) => format!("{sent}..{ended} shown: {}", describe_items(items)),
+        Outcome::Unknown => format!("{sent}.. unclear: {}", describe_items(&call.items)),
+        Outcome::Confirmed => {
+            format!("{sent}..{ended} Confirmed: {}", describe_items(&call.items))
+        }
+        Outcome::Rejected {
+            last_attempt_at,
+            is_only_attempt,
+        } => format!(
+            "{sent}..{ended} Refused {{ attempted: {}, only: {is_only_attempt} }}: {}",
+            last_attempt_at.as_millis(),
+            describe_items(&call.items)
+        ),
     }
 }
--- /dev/null
+++ b/crates/emberpin-simulator/src/machine.rs
@@ -0,0 +1,72 @@
+//! Names and addresses of the simulated machines.
+
+use std::fmt::{self, Display};
+use std::net::Ipv4Addr;
+
+/// A core machine, with a store and a registry. Written as `core-N`; a run may have up to 255.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct CoreId(pub u8);
+
+impl CoreId {
+    /// The address of the machine: 10.0.0.N.
+    pub fn address(self) -> Ipv4Addr {
+        Ipv4Addr::new(10, 0, 0, self.0)
+    }
+
+    /// The machine with this address.
+    pub fn from_address(address: Ipv4Addr) -> CoreId {
+        CoreId(address.octets()[3])
+    }
+}
+
+impl Display for CoreId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "core-{}", self.0)
+    }
+}
+
+/// A machine with a limiter. Written as `limiter-N`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct LimiterId(pub u8);
+
+impl Display for LimiterId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "limiter-{}", self.0)
+    }
+}
+
+/// Any machine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub enum Machine {
+    /// A machine with a store and a registry.
+    Core(CoreId),
+    /// A machine with a limiter.
+    Limiter(LimiterId),
+}
+
+impl Machine {
+    /// The id of a core machine.
+    pub fn as_core(self) -> Option<CoreId> {
+        match self {
+            Machine::Core(core) => Some(core),
+            Machine::Limiter(_) => None,
+        }
+    }
+
+    /// The id of a limiter.
+    pub fn as_limiter(self) -> Option<LimiterId> {
+        match self {
+            Machine::Core(_) => None,
+            Machine::Limiter(limiter) => Some(limiter),
+        }
+    }
+}
+
+impl Display for Machine {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Machine::Core(core) => core.fmt(f),
+            Machine::Limiter(limiter) => limiter.fmt(f),
+        }
+    }
+}
--- a/crates/emberpin-simulator/src/main.rs
+++ b/crates/emberpin-simulator/src/main.rs
@@ -1,28 +1,32 @@
-//! Plays a scenario, or searches seeds for one that fails.
+//! The program: runs scenarios, or searches seeds for one that fails.
 #![forbid(unsafe_code)]
 
-use emberpin_simulator::builds::{Build, WRONG};
-use emberpin_simulator::play::play;
-use emberpin_simulator::{search, text};
-use getopts::Options;
+use emberpin_simulator::mutants::{Guards, MUTANTS};
+use emberpin_simulator::runner::run;
+use emberpin_simulator::scenario::{parse, ParseError};
+use emberpin_simulator::search;
+use getopts::{Matches, Options};
 use std::process::ExitCode;
 
-/// Why there is no run.
+/// Why nothing was run.
 #[derive(Debug, thiserror::Error)]
-enum Unusable {
+enum UsageError {
     #[error(transparent)]
     Options(#[from] getopts::Fail),
     #[error("--{0}: expected a number")]
     Number(&'static str),
-    #[error("--wrong: expected one of {}", WRONG.join(", "))]
-    Build,
-    #[error("{0}: {1}")]
-    File(String, std::io::Error),
+    #[error("--wrong: expected one of {}", MUTANTS.join(", "))]
+    UnknownMutant,
+    #[error("{path}: {source}")]
+    UnreadableFile {
+        path: String,
+        source: std::io::Error,
+    },
     #[error(transparent)]
-    Text(#[from] text::Wrong),
+    Scenario(#[from] ParseError),
 }
 
-fn run() -> Result<bool, Unusable> {
+fn options() -> Options {
     let mut options = Options::new();
     options.optopt("", "seeds", "so many seeds are searched", "COUNT");
     options.optopt("", "from", "the first seed (0)", "SEED");
@@ -31,65 +35,90 @@
     options.optopt("", "wrong", "on a build without this guard", "NAME");
     options.optopt("", "draw", "print the scenario of a seed", "SEED");
     options.optflag("h", "help", "print this");
-    let given = options.parse(std::env::args().skip(1))?;
-    if given.opt_present("h") {
-        print!(
-            "{}",
-            options.usage("emberpin-simulator [OPTIONS] [SCENARIO...]")
-        );
-        return Ok(true);
-    }
-    let number = |name: &'static str, default: u64| match given.opt_str(name) {
-        Some(text) => text.parse().map_err(|_| Unusable::Number(name)),
+    options
+}
+
+/// The value of an option that takes a number.
+fn number(matches: &Matches, name: &'static str, default: u64) -> Result<u64, UsageError> {
+    match matches.opt_str(name) {
+        Some(text) => text.parse().map_err(|_| UsageError::Number(name)),
         None => Ok(default),
-    };
-    let mut build = Build::default();
-    if given
-        .opt_str("wrong")
-        .is_some_and(|name| !build.without(&name))
-    {
-        return Err(Unusable::Build);
     }
-    if given.opt_present("draw") {
-        print!("{}", search::draw(number("draw", 0)?));
-        return Ok(true);
+}
+
+/// The safety checks that are on, as `--wrong` says.
+fn guards(matches: &Matches) -> Result<Guards, UsageError> {
+    let mut guards = Guards::default();
+    match matches.opt_str("wrong") {
+        Some(mutant) if !guards.disable(&mutant) => Err(UsageError::UnknownMutant),
+        _ => Ok(guards),
     }
-    let mut whole = true;
-    for path in &given.free {
-        let text =
-            std::fs::read_to_string(path).map_err(|error| Unusable::File(path.clone(), error))?;
-        match play(&text::read(path, &text)?, build) {
-            Ok(played) => println!("{path}: held; {played:?}"),
+}
+
+/// Runs the scenarios of these files. Returns whether all of them held.
+fn run_files(paths: &[String], guards: Guards) -> Result<bool, UsageError> {
+    let mut all_held = true;
+    for path in paths {
+        let text = std::fs::read_to_string(path).map_err(|source| UsageError::UnreadableFile {
+            path: path.clone(),
+            source,
+        })?;
+        match run(&parse(path, &text)?, guards) {
+            Ok(statistics) => println!("{path}: held; {statistics}"),
             Err(failure) => {
                 println!("{failure}");
-                whole = false;
+                all_held = false;
             }
         }
     }
-    let (first, count) = (number("from", 0)?, number("seeds", 0)?);
-    if count > 0 {
-        let (threads, most) = (number("threads", 3)? as usize, number("most", 1)? as usize);
-        let found = search::search(first..first + count, threads, most, build);
-        for (seed, failure, text) in &found.failures {
-            println!("seed {seed}: {failure}\n{text}");
-        }
-        println!(
-            "{} seeds from {first}: {} failed; {:?}",
-            found.played,
-            found.failures.len(),
-            found.sum
-        );
-        whole &= found.failures.is_empty();
+    Ok(all_held)
+}
+
+/// Runs the scenarios of the seeds that the options name. Returns whether all of them held.
+fn run_seeds(matches: &Matches, guards: Guards) -> Result<bool, UsageError> {
+    let (first, count) = (number(matches, "from", 0)?, number(matches, "seeds", 0)?);
+    if count == 0 {
+        return Ok(true);
+    }
+    let threads = number(matches, "threads", 3)? as usize;
+    let max_failures = number(matches, "most", 1)? as usize;
+    let result = search::search(first..first + count, threads, max_failures, guards);
+    for failed in &result.failures {
+        println!("seed {}: {}\n{}", failed.seed, failed.failure, failed.text);
+    }
+    println!(
+        "{} seeds from {first}: {} failed; {}",
+        result.runs,
+        result.failures.len(),
+        result.total
+    );
+    Ok(result.failures.is_empty())
+}
+
+/// Does what the arguments say. Returns whether all scenarios held.
+fn run_program() -> Result<bool, UsageError> {
+    let options = options();
+    let matches = options.parse(std::env::args().skip(1))?;
+    if matches.opt_present("h") {
+        let brief = "emberpin-simulator [OPTIONS] [SCENARIO...]";
+        print!("{}", options.usage(brief));
+        return Ok(true);
+    }
+    let guards = guards(&matches)?;
+    if matches.opt_present("draw") {
+        print!("{}", search::generate(number(&matches, "draw", 0)?));
+        return Ok(true);
     }
-    Ok(whole)
+    let files_held = run_files(&matches.free, guards)?;
+    Ok(run_seeds(&matches, guards)? && files_held)
 }
 
 fn main() -> ExitCode {
-    match run() {
+    match run_program() {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(problem) => {
-            eprintln!("{problem}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::from(2)
         }
     }
--- /dev/null
+++ b/crates/emberpin-simulator/src/mutants.rs
@@ -0,0 +1,168 @@
+//! Mutants: variants of the system that each lack one safety check. A scenario or a search has to detect them.
+
+use emberpin_consensus::Guards as ConsensusGuards;
+use emberpin_membership::guards::Guards as MembershipGuards;
+use emberpin_routing::guards::Guards as RoutingGuards;
+
+/// The safety checks of all simulated parts. By default all are on.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Guards {
+    pub(crate) consensus: ConsensusGuards,
+    pub(crate) membership: MembershipGuards,
+    pub(crate) routing: RoutingGuards,
+    pub(crate) limiter: LimiterGuards,
+}
+
+/// The safety checks of the limiter's model, which a real limiter has in its host.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct LimiterGuards {
+    /// Only routes to known services are in force, and one for each host and prefix.
+    pub valid_routes_only: bool,
+    /// A limiter is ready only after a registry in contact with a majority has confirmed its state.
+    pub confirmed_readiness: bool,
+    /// A session whose lease has expired is ended.
+    pub expired_sessions_end: bool,
+    /// A session that resumes from an earlier revision counts as synced, as after a snapshot.
+    pub resumed_sessions_are_synced: bool,
+    /// The registries that an unconfirmed registry names are taken as candidates.
+    pub candidates_from_unconfirmed: bool,
+    /// A snapshot in parts counts as received only with its last part.
+    pub complete_snapshots_only: bool,
+}
+
+impl Default for LimiterGuards {
+    fn default() -> LimiterGuards {
+        LimiterGuards {
+            valid_routes_only: true,
+            confirmed_readiness: true,
+            expired_sessions_end: true,
+            resumed_sessions_are_synced: true,
+            candidates_from_unconfirmed: true,
+            complete_snapshots_only: true,
+        }
+    }
+}
+
+/// The names of all mutants, as scenario files and `--wrong` have them.
+pub const MUTANTS: &[&str] = &[
+    "no-amnesia",
+    "no-promise",
+    "no-carry",
+    "no-joint",
+    "no-sync",
+    "no-lacking",
+    "no-ballot",
+    "no-newest",
+    "no-whole",
+    "no-late",
+    "no-spread",
+    "no-heard",
+    "no-founding",
+    "no-superseded",
+    "no-history",
+    "no-awake",
+    "no-majority",
+    "no-rises",
+    "no-silence",
+    "no-repair",
+    "no-displace",
+    "no-place",
+    "no-fleet-rises",
+    "no-returned",
+    "no-quiet",
+    "no-greatest",
+    "no-admission",
+    "no-in-force",
+    "no-settled",
+    "no-leaves",
+    "no-resumes",
+    "no-hints",
+    "no-open",
+    "no-parts",
+    "no-lease",
+];
+
+impl Guards {
+    /// Switches off the safety check that the mutant of this name lacks. Returns whether there is such a mutant.
+    pub fn disable(&mut self, mutant: &str) -> bool {
+        self.disable_redundant(mutant);
+        let Some(guard) = consensus_guard(&mut self.consensus, mutant)
+            .or_else(|| membership_guard(&mut self.membership, mutant))
+            .or_else(|| routing_guard(&mut self.routing, mutant))
+            .or_else(|| limiter_guard(&mut self.limiter, mutant))
+        else {
+            return false;
+        };
+        *guard = false;
+        true
+    }
+
+    /// Where either of two checks is enough, a mutant lacks both.
+    fn disable_redundant(&mut self, mutant: &str) {
+        match mutant {
+            "no-returned" => self.membership.cold_after_evacuation = false,
+            // Either keeps a roster from staying at four members of which one is gone for good.
+            "no-heard" => self.consensus.evict_early_without_margin = false,
+            _ => {}
+        }
+    }
+}
+
+fn consensus_guard<'a>(guards: &'a mut ConsensusGuards, mutant: &str) -> Option<&'a mut bool> {
+    Some(match mutant {
+        "no-amnesia" => &mut guards.catch_up_before_voting,
+        "no-promise" => &mut guards.keep_promises,
+        "no-carry" => &mut guards.repropose_accepted,
+        "no-joint" => &mut guards.joint_quorums,
+        "no-sync" => &mut guards.sync_before_reply,
+        "no-lacking" => &mut guards.transfer_missing_items,
+        "no-ballot" => &mut guards.keep_accepted_ballot,
+        "no-newest" => &mut guards.evaluate_on_quorum_state,
+        "no-whole" => &mut guards.atomic_calls,
+        "no-late" => &mut guards.evacuation_deadline,
+        "no-open" => &mut guards.compare_accepted,
+        "no-spread" => &mut guards.tolerance_quorum,
+        "no-heard" => &mut guards.listen_before_joining,
+        "no-founding" => &mut guards.bootstrap_agreement,
+        "no-superseded" => &mut guards.propose_superseded,
+        "no-history" => &mut guards.propose_history,
+        "no-awake" => &mut guards.reject_evacuation_after_pause,
+        _ => return None,
+    })
+}
+
+fn membership_guard<'a>(guards: &'a mut MembershipGuards, mutant: &str) -> Option<&'a mut bool> {
+    Some(match mutant {
+        "no-majority" => &mut guards.majority_acknowledgement,
+        "no-rises" => &mut guards.monotonic_status,
+        "no-silence" => &mut guards.confirmed_eviction,
+        "no-repair" => &mut guards.repair_from_proxies,
+        "no-displace" => &mut guards.displacement,
+        "no-place" => &mut guards.revision_check,
+        "no-lease" => &mut guards.lease_from_query,
+        _ => return None,
+    })
+}
+
+fn routing_guard<'a>(guards: &'a mut RoutingGuards, mutant: &str) -> Option<&'a mut bool> {
+    Some(match mutant {
+        "no-fleet-rises" => &mut guards.monotonic_status,
+        "no-returned" => &mut guards.warmup_after_evacuation,
+        "no-quiet" => &mut guards.quiet_period,
+        "no-greatest" => &mut guards.highest_limiter_count,
+        "no-admission" => &mut guards.hashed_admission,
+        _ => return None,
+    })
+}
+
+fn limiter_guard<'a>(guards: &'a mut LimiterGuards, mutant: &str) -> Option<&'a mut bool> {
+    Some(match mutant {
+        "no-in-force" => &mut guards.valid_routes_only,
+        "no-settled" => &mut guards.confirmed_readiness,
+        "no-leaves" => &mut guards.expired_sessions_end,
+        "no-resumes" => &mut guards.resumed_sessions_are_synced,
+        "no-hints" => &mut guards.candidates_from_unconfirmed,
+        "no-parts" => &mut guards.complete_snapshots_only,
+        _ => return None,
+    })
+}
--- /dev/null
+++ b/crates/emberpin-simulator/src/runner.rs
@@ -0,0 +1,121 @@
+//! Runs one scenario.
+
+use crate::mutants::Guards;
+use crate::scenario::{ParseError, Scenario};
+use crate::simulation::Simulation;
+use crate::violation::Violation;
+use std::fmt::{self, Display};
+use std::ops::AddAssign;
+use std::time::Duration;
+
+/// What a run did.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RunStatistics {
+    /// Events that happened.
+    pub events: u64,
+    /// Requests that were sent to warming servers.
+    pub slow_start_requests: usize,
+    /// Acknowledged effects that were checked on a limiter in contact.
+    pub effect_checks: usize,
+    /// Calls that were acknowledged.
+    pub acknowledged_calls: usize,
+    /// Operations in histories that were checked for linearizability.
+    pub checked_operations: usize,
+    /// Operations in histories that were too long to be checked.
+    pub unchecked_operations: usize,
+}
+
+impl Display for RunStatistics {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(
+            f,
+            "Played {{ events: {}, cold_sent: {}, applied: {}, acknowledged: {}, linearized: {}, unchecked: {} }}",
+            self.events,
+            self.slow_start_requests,
+            self.effect_checks,
+            self.acknowledged_calls,
+            self.checked_operations,
+            self.unchecked_operations
+        )
+    }
+}
+
+impl AddAssign for RunStatistics {
+    fn add_assign(&mut self, other: RunStatistics) {
+        self.events += other.events;
+        self.slow_start_requests += other.slow_start_requests;
+        self.effect_checks += other.effect_checks;
+        self.acknowledged_calls += other.acknowledged_calls;
+        self.checked_operations += other.checked_operations;
+        self.unchecked_operations += other.unchecked_operations;
+    }
+}
+
+/// A run that failed.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+#[error("{scenario}, seed {seed}: {cause}")]
+pub struct Failure {
+    /// The name of the scenario.
+    pub scenario: String,
+    /// The seed of its draws.
+    pub seed: u64,
+    /// Why it failed.
+    pub cause: FailureCause,
+}
+
+/// Why a run failed.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum FailureCause {
+    /// Something was found wrong.
+    #[error("at {}s: {violation}", at.as_millis() as f64 / 1000.0)]
+    Violation {
+        /// When, in simulated time.
+        at: Duration,
+        /// What.
+        violation: Box<Violation>,
+    },
+    /// The text that was drawn for a seed is not a scenario.
+    #[error(transparent)]
+    Scenario(#[from] ParseError),
+}
+
+/// Runs a scenario on the system or on a mutant.
+///
+/// # Errors
+///
+/// [`Failure`]: what went wrong first.
+pub fn run(scenario: &Scenario, guards: Guards) -> Result<RunStatistics, Failure> {
+    let mut simulation = Simulation::new(scenario, guards);
+    for step in &scenario.steps {
+        simulation.run_until(step.at);
+        if simulation.violation.is_none() {
+            simulation.execute(step);
+        }
+    }
+    simulation.run_until(scenario.end);
+    simulation.finish();
+    match simulation.violation.take() {
+        Some(found) => Err(Failure {
+            scenario: scenario.name.clone(),
+            seed: scenario.seed,
+            cause: FailureCause::Violation {
+                at: found.at,
+                violation: Box::new(found.violation),
+            },
+        }),
+        None => Ok(statistics(&simulation)),
+    }
+}
+
+fn statistics(simulation: &Simulation) -> RunStatistics {
+    let calls = simulation.operators.calls.iter();
+    let counters = &simulation.counters;
+    RunStatistics {
+        events: counters.events,
+        slow_start_requests: counters.slow_start_requests,
+        effect_checks: counters.effect_checks,
+        acknowledged_calls: calls.filter(|call| call.status == Some(200)).count(),
+        checked_operations: counters.checked_operations,
+        unchecked_operations: counters.unchecked_operations,
+    }
+}
--- /dev/null
+++ b/crates/emberpin-simulator/src/scenario/commands.rs
@@ -0,0 +1,213 @@
+//! What a step of a scenario does or expects.
+
+use crate::machine::{CoreId, LimiterId, Machine};
+use emberpin_consensus::EvacuationChange;
+use emberpin_routing::Availability;
+use std::ops::Range;
+use std::time::Duration;
+
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) enum Command {
+    Operator {
+        operator: String,
+        command: OperatorCommand,
+    },
+    Server {
+        server: String,
+        command: ServerCommand,
+    },
+    Fault(Fault),
+    Expect(Expectation),
+}
+
+/// Which core machine a call goes to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum CallTarget {
+    /// Drawn, for each attempt.
+    Any,
+    /// The first attempt goes there, retries to any.
+    First(CoreId),
+    /// One attempt, there.
+    Only(CoreId),
+}
+
+/// A request of an operator that changes something.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) enum OperatorRequest {
+    /// A patch of the configuration, with this body.
+    Patch(Vec<u8>),
+    Evacuate {
+        zone: String,
+        change: EvacuationChange,
+    },
+}
+
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) enum OperatorCommand {
+    Send {
+        target: CallTarget,
+        request: OperatorRequest,
+    },
+    /// Sends the operator's last request once more, as a call of its own.
+    Repeat {
+        target: CallTarget,
+    },
+    Read {
+        target: CallTarget,
+    },
+}
+
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) enum ServerCommand {
+    Start {
+        service: String,
+        zone: String,
+        port: u16,
+        /// How long the server warms up.
+        warmup: Duration,
+    },
+    Drain,
+    Leave,
+    Crash,
+    /// The server warms up again, for so long.
+    WarmUp(Duration),
+    /// A heartbeat with an old sequence number arrives late.
+    LateHeartbeat {
+        draining: bool,
+        seq: u64,
+        core: CoreId,
+    },
+}
+
+/// Links from some machines to others.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct Links {
+    pub from: Vec<Machine>,
+    pub to: Vec<Machine>,
+    /// Only the direction from the first to the second ones.
+    pub one_way: bool,
+}
+
+/// What a power cut leaves of the writes that were not synced.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum UnsyncedWrites {
+    /// Some of the first ones stay.
+    KeepSome,
+    DropAll,
+}
+
+/// Messages between stores that can be lost on purpose.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum StoreMessageKind {
+    Prepare,
+    Accept,
+    Chosen,
+    /// A comparison of two stores' states.
+    Comparison,
+    Promise,
+    /// An accept that changes the roster.
+    RosterChange,
+}
+
+/// A fault, or the end of one.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) enum Fault {
+    Kill(Vec<Machine>),
+    CutPower {
+        machines: Vec<Machine>,
+        unsynced: UnsyncedWrites,
+    },
+    WipeDisk(Vec<Machine>),
+    Start(Vec<Machine>),
+    /// Starts machines as at the system's first start.
+    Bootstrap(Vec<Machine>),
+    /// The seeds that processes are configured with at later starts.
+    SetSeeds(Vec<CoreId>),
+    /// The disks do not respond for so long.
+    StallDisk {
+        machines: Vec<Machine>,
+        duration: Duration,
+    },
+    Replace {
+        old: CoreId,
+        new: CoreId,
+    },
+    Freeze(Vec<Machine>),
+    Thaw(Vec<Machine>),
+    /// The machine's monotonic clock runs at this rate from now on.
+    SetClockRate {
+        machine: Machine,
+        percent: u64,
+    },
+    Partition(Links),
+    /// What is sent over these links arrives later by a time drawn from this range.
+    Slow {
+        links: Links,
+        delay: Range<Duration>,
+    },
+    LoseMessages {
+        kind: StoreMessageKind,
+        from: Vec<Machine>,
+        to: Vec<Machine>,
+    },
+    /// Messages between stores are no longer lost on purpose.
+    EndMessageLoss,
+    /// Partitions and slow links of these machines end, or all if there are none.
+    Heal(Vec<Machine>),
+    /// How messages between stores are delivered.
+    SetNetwork {
+        delay: Range<Duration>,
+        late_percent: u64,
+        duplicate_percent: u64,
+    },
+    /// How long a sync of a disk takes.
+    SetSyncTime(Range<Duration>),
+    /// How many of a hundred responses to operators are lost.
+    LoseResponses {
+        percent: u64,
+    },
+}
+
+/// An item that a `get` is expected to show or not to show.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct ExpectedItem {
+    /// `route` or `svc`, as it is written.
+    pub kind: String,
+    pub name: String,
+    /// `None`: the item is not to be shown.
+    pub version: Option<u64>,
+}
+
+/// What must hold at the time of a step.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) enum Expectation {
+    /// The status of the operator's last call; `None`: it has no response yet.
+    OperatorStatus {
+        operator: String,
+        status: Option<u16>,
+    },
+    /// A call of its own reads the configuration, and its response must show this.
+    Read(ExpectedItem),
+    /// The number of voters that each running store knows.
+    Voters(usize),
+    Votes {
+        core: CoreId,
+        votes: bool,
+    },
+    /// The version of the route of a host and path; `None`: there is no route.
+    Route {
+        limiters: Vec<LimiterId>,
+        host: String,
+        path: String,
+        version: Option<u64>,
+    },
+    ServerAvailability {
+        limiters: Vec<LimiterId>,
+        server: String,
+        availability: Availability,
+    },
+    Ready {
+        limiters: Vec<LimiterId>,
+        ready: bool,
+    },
+}
--- /dev/null
+++ b/crates/emberpin-simulator/src/scenario/error.rs
@@ -0,0 +1,69 @@
+//! Why a text is not a scenario.
+
+use std::borrow::Cow;
+use std::fmt::{self, Display};
+
+/// A line that is not a step.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{file}:{line}: {kind}")]
+pub struct ParseError {
+    /// The name of the scenario's file.
+    pub file: String,
+    /// The line, counted from 1.
+    pub line: usize,
+    /// What is wrong with the line.
+    pub kind: ParseErrorKind,
+}
+
+/// What is wrong with a line.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ParseErrorKind {
+    /// Something else stands where this was expected.
+    #[error("expected {expected}, not {found}")]
+    Expected {
+        /// What was expected, with an example.
+        expected: Cow<'static, str>,
+        /// What stands there.
+        found: Found,
+    },
+    /// Something is missing from the line.
+    #[error("expected {0}")]
+    Missing(&'static str),
+    /// The step is earlier than the one before it.
+    #[error("expected a time of {earliest_ms}ms or later, as steps stand in their order")]
+    OutOfOrder {
+        /// The time of the step before, in milliseconds.
+        earliest_ms: u128,
+    },
+}
+
+/// What stands where something else was expected.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Found {
+    /// Nothing more.
+    EndOfLine,
+    /// This word.
+    Word(String),
+    /// A machine of the other kind.
+    Limiter,
+}
+
+impl Display for Found {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Found::EndOfLine => f.write_str("the end of the line"),
+            Found::Word(word) => write!(f, "{word:?}"),
+            Found::Limiter => f.write_str("a limiter"),
+        }
+    }
+}
+
+impl ParseErrorKind {
+    /// The error for a word that is not what was expected.
+    pub(super) fn unexpected(word: &str, expected: impl Into<Cow<'static, str>>) -> ParseErrorKind {
+        ParseErrorKind::Expected {
+            expected: expected.into(),
+            found: Found::Word(word.into()),
+        }
+    }
+}
--- /dev/null
+++ b/crates/emberpin-simulator/src/scenario/mod.rs
@@ -0,0 +1,52 @@
+//! Scenarios and their text format.
+
+mod commands;
+mod error;
+mod parser;
+mod patch;
+mod words;
+
+pub use error::{ParseError, ParseErrorKind};
+pub use parser::parse;
+
+pub(crate) use commands::{
+    CallTarget, Command, Expectation, ExpectedItem, Fault, Links, OperatorCommand, OperatorRequest,
+    ServerCommand, StoreMessageKind, UnsyncedWrites,
+};
+
+use std::time::Duration;
+
+/// A scenario: the machines, and what happens to them when.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Scenario {
+    /// The name of its file.
+    pub name: String,
+    /// The number of machines with a store and a registry.
+    pub cores: u8,
+    /// The number of limiters.
+    pub limiters: u8,
+    /// The zones that the machines lie in, in turn. Never empty.
+    pub zones: Vec<String>,
+    /// How many disks may be lost at once: the stores' tolerance.
+    pub tolerance: usize,
+    /// The seed of all that is drawn.
+    pub seed: u64,
+    /// The mutants that must fail.
+    pub mutants: Vec<String>,
+    /// What happens, in the order of time.
+    pub steps: Vec<Step>,
+    /// When the run's final checks begin, after the last step.
+    pub end: Duration,
+}
+
+/// One step of a scenario.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Step {
+    /// When it happens, since the start of the run.
+    pub at: Duration,
+    /// Its line in the file, counted from 1.
+    pub line: usize,
+    /// The line's text without its comment.
+    pub text: String,
+    pub(crate) command: Command,
+}
--- /dev/null
+++ b/crates/emberpin-simulator/src/scenario/words.rs
@@ -0,0 +1,181 @@
+//! The words of a line, read one after the other.
+
+use super::error::{Found, ParseErrorKind};
+use crate::machine::{CoreId, LimiterId, Machine};
+use emberpin_config::schema::parse_duration;
+use std::borrow::Cow;
+use std::iter::Peekable;
+use std::ops::Range;
+use std::str::{FromStr, SplitWhitespace};
+use std::time::Duration;
+
+/// The words that separate two lists of machines.
+const LINK_SIGNS: [&str; 2] = ["|", ">"];
+const TIME: &str = "a time such as 2s or 1500ms";
+const PERCENT: &str = "a part such as 5%";
+
+pub(super) struct Words<'a> {
+    words: Peekable<SplitWhitespace<'a>>,
+    /// What `cores` and `limiters` stand for.
+    cores: u8,
+    limiters: u8,
+}
+
+impl<'a> Words<'a> {
+    pub(super) fn new(line: &'a str, cores: u8, limiters: u8) -> Words<'a> {
+        Words {
+            words: line.split_whitespace().peekable(),
+            cores,
+            limiters,
+        }
+    }
+
+    /// The next word.
+    pub(super) fn next(
+        &mut self,
+        expected: impl Into<Cow<'static, str>>,
+    ) -> Result<&'a str, ParseErrorKind> {
+        self.words.next().ok_or_else(|| ParseErrorKind::Expected {
+            expected: expected.into(),
+            found: Found::EndOfLine,
+        })
+    }
+
+    /// All words that are left.
+    pub(super) fn rest(&mut self) -> impl Iterator<Item = &'a str> + use<'_, 'a> {
+        self.words.by_ref()
+    }
+
+    /// Takes the next word if it is this one, and returns whether it is.
+    pub(super) fn take(&mut self, word: &str) -> bool {
+        self.words.next_if(|next| *next == word).is_some()
+    }
+
+    pub(super) fn is_at_end(&mut self) -> bool {
+        self.words.peek().is_none()
+    }
+
+    pub(super) fn expect_end(&mut self) -> Result<(), ParseErrorKind> {
+        match self.words.next() {
+            Some(word) => Err(ParseErrorKind::unexpected(word, "the end of the line")),
+            None => Ok(()),
+        }
+    }
+
+    pub(super) fn keyword(&mut self, keyword: &str) -> Result<(), ParseErrorKind> {
+        let expected = format!("{keyword:?}");
+        match self.next(expected.clone())? {
+            found if found == keyword => Ok(()),
+            found => Err(ParseErrorKind::unexpected(found, expected)),
+        }
+    }
+
+    /// One of these words, by its meaning.
+    pub(super) fn one_of<T: Copy>(
+        &mut self,
+        expected: &'static str,
+        choices: &[(&str, T)],
+    ) -> Result<T, ParseErrorKind> {
+        let word = self.next(expected)?;
+        choices
+            .iter()
+            .find(|(choice, _)| *choice == word)
+            .map(|(_, meaning)| *meaning)
+            .ok_or_else(|| ParseErrorKind::unexpected(word, expected))
+    }
+
+    pub(super) fn number<T: FromStr>(
+        &mut self,
+        expected: &'static str,
+    ) -> Result<T, ParseErrorKind> {
+        parse_word(self.next(expected)?, expected)
+    }
+
+    pub(super) fn duration(&mut self) -> Result<Duration, ParseErrorKind> {
+        parse_time(self.next(TIME)?)
+    }
+
+    /// A range such as `1ms..8ms` that is not empty.
+    pub(super) fn duration_range(&mut self) -> Result<Range<Duration>, ParseErrorKind> {
+        let word = self.next("two times such as 1ms..8ms")?;
+        let (low, high) = word
+            .split_once("..")
+            .ok_or_else(|| ParseErrorKind::unexpected(word, "1ms..8ms"))?;
+        let range = parse_time(low)?..parse_time(high)?;
+        if range.is_empty() {
+            return Err(ParseErrorKind::unexpected(word, "a span that isn't empty"));
+        }
+        Ok(range)
+    }
+
+    pub(super) fn percent(&mut self) -> Result<u64, ParseErrorKind> {
+        let word = self.next(PERCENT)?;
+        let number = word.strip_suffix('%').unwrap_or("-");
+        parse_word(number, PERCENT)
+    }
+
+    pub(super) fn machine(&mut self) -> Result<Machine, ParseErrorKind> {
+        parse_machine(self.next("a machine")?)
+    }
+
+    pub(super) fn core(&mut self) -> Result<CoreId, ParseErrorKind> {
+        match parse_machine(self.next("a machine such as core-1")?)? {
+            Machine::Core(core) => Ok(core),
+            Machine::Limiter(_) => Err(ParseErrorKind::Expected {
+                expected: "a core machine".into(),
+                found: Found::Limiter,
+            }),
+        }
+    }
+
+    /// Machines, up to the end of the line or to a sign.
+    pub(super) fn machines(&mut self) -> Result<Vec<Machine>, ParseErrorKind> {
+        let mut machines = Vec::new();
+        while let Some(word) = self.words.next_if(|word| !LINK_SIGNS.contains(word)) {
+            match word {
+                "cores" => machines.extend(self.all_cores()),
+                "limiters" => machines.extend(self.all_limiters()),
+                one => machines.push(parse_machine(one)?),
+            }
+        }
+        if machines.is_empty() {
+            return Err(ParseErrorKind::Missing("machines such as core-1 limiter-2"));
+        }
+        Ok(machines)
+    }
+
+    fn all_cores(&self) -> impl Iterator<Item = Machine> + use<> {
+        (1..=self.cores).map(|number| Machine::Core(CoreId(number)))
+    }
+
+    fn all_limiters(&self) -> impl Iterator<Item = Machine> + use<> {
+        (1..=self.limiters).map(|number| Machine::Limiter(LimiterId(number)))
+    }
+}
+
+/// Parses a word, or a part of one.
+pub(super) fn parse_word<T: FromStr>(
+    word: &str,
+    expected: &'static str,
+) -> Result<T, ParseErrorKind> {
+    word.parse()
+        .map_err(|_| ParseErrorKind::unexpected(word, expected))
+}
+
+/// Parses a time; fractions of a millisecond are cut off.
+pub(super) fn parse_time(word: &str) -> Result<Duration, ParseErrorKind> {
+    let time = parse_duration(word).ok_or_else(|| ParseErrorKind::unexpected(word, TIME))?;
+    Ok(Duration::from_millis(time.as_millis() as u64))
+}
+
+/// Parses the name of a machine.
+pub(super) fn parse_machine(word: &str) -> Result<Machine, ParseErrorKind> {
+    let unexpected = || ParseErrorKind::unexpected(word, "a machine such as core-1 or limiter-1");
+    let (kind, number) = word.split_once('-').ok_or_else(unexpected)?;
+    let number = number.parse().map_err(|_| unexpected())?;
+    match kind {
+        "core" => Ok(Machine::Core(CoreId(number))),
+        "limiter" => Ok(Machine::Limiter(LimiterId(number))),
+        _ => Err(unexpected()),
+    }
+}
--- /dev/null
+++ b/crates/emberpin-simulator/src/simulation/clients.rs
@@ -0,0 +1,35 @@
+//! Dispatches the events of operators and servers.
+
+use super::Simulation;
+use crate::state::event::Event;
+
+impl Simulation {
+    pub(super) fn on_client_event(&mut self, event: Event) {
+        match event {
+            Event::OperatorCall {
+                call,
+                attempt,
+                core,
+            } => self.on_operator_call(call, attempt, core),
+            Event::OperatorResponse {
+                call,
+                attempt,
+                status,
+                body,
+            } => self.on_operator_response(call, attempt, status, &body),
+            Event::OperatorRetry { call, attempt } => self.attempt_operator_call(call, attempt),
+            Event::ServerHeartbeat {
+                server,
+                incarnation,
+            } => self.on_heartbeat_due(&server, incarnation),
+            Event::ServerCall { core, call } => self.on_server_call(core, call),
+            Event::ServerResponse { call, reply } => self.on_server_response(&call, reply),
+            Event::ServerTimeout {
+                server,
+                incarnation,
+                attempt,
+            } => self.on_server_timeout(&server, incarnation, attempt),
+            _ => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/emberpin-simulator/src/simulation/contact.rs
@@ -0,0 +1,68 @@
+//! Whether a limiter is in contact, so that time limits hold for it.
+
+use super::Simulation;
+use crate::machine::{CoreId, LimiterId, Machine};
+use crate::state::process::Process;
+use emberpin_membership::timing::bounds::CONTACT;
+use std::collections::BTreeSet;
+
+impl Simulation {
+    /// Whether a limiter has been in contact for `contact`: it and the core machines run without a fault, and it reaches
+    /// each of those that reach a majority.
+    pub(super) fn is_in_contact(&self, limiter: LimiterId) -> bool {
+        let node = self.limiters.get(&limiter);
+        let Some(node) = node.filter(|node| node.running.is_some()) else {
+            return false;
+        };
+        let is_undisturbed = !node.process.is_frozen && !self.was_disturbed(&node.process);
+        if !is_undisturbed || self.now < node.process.clock_set_at + CONTACT {
+            return false;
+        }
+        if !self.is_core_undisturbed() {
+            return false;
+        }
+        let majority = self.cores_with_majority();
+        !majority.is_empty()
+            && majority
+                .iter()
+                .all(|core| self.is_joined(Machine::Limiter(limiter), Machine::Core(*core)))
+    }
+
+    /// Whether a fault hit a process less than `contact` ago.
+    fn was_disturbed(&self, process: &Process) -> bool {
+        !process.disturbed_at.is_zero() && self.now < process.disturbed_at + CONTACT
+    }
+
+    fn is_core_undisturbed(&self) -> bool {
+        let slow_until = self.network.slow_until;
+        let was_slow = !slow_until.is_zero() && self.now < slow_until + CONTACT;
+        !was_slow
+            && !self.has_no_time_limits
+            && self
+                .cores
+                .values()
+                .all(|node| !self.was_disturbed(&node.process))
+    }
+
+    /// The running core machines that reach a majority of those in use.
+    fn cores_with_majority(&self) -> Vec<CoreId> {
+        let in_use = self.cores_in_use();
+        let running: BTreeSet<CoreId> = in_use
+            .iter()
+            .copied()
+            .filter(|core| self.is_running(Machine::Core(*core)))
+            .filter(|core| !self.cores[core].process.is_frozen)
+            .collect();
+        let reaches_majority = |core: &CoreId| {
+            let reached = running
+                .iter()
+                .filter(|other| self.is_joined(Machine::Core(*core), Machine::Core(**other)));
+            reached.count() > in_use.len() / 2
+        };
+        running.iter().copied().filter(reaches_majority).collect()
+    }
+
+    fn is_joined(&self, one: Machine, other: Machine) -> bool {
+        !self.network.is_cut_either_way(one, other) && !self.network.is_slow_either_way(one, other)
+    }
+}
--- /dev/null
+++ b/crates/emberpin-simulator/src/simulation/limiter_sessions.rs
@@ -0,0 +1,308 @@
+//! Limiters and their sessions with registries.
+
+use super::connections::BreakNotice;
+use super::Simulation;
+use crate::machine::{CoreId, LimiterId, Machine};
+use crate::state::event::Event;
+use crate::state::limiter::{timestamp, LimiterProcess, SESSIONS};
+use crate::state::network::{ConnectionId, Direction, Frame};
+use crate::violation::{LimiterViolation, Violation};
+use emberpin_membership::candidates::Confirmation;
+use emberpin_membership::ids::Incarnation;
+use emberpin_membership::instance::Status;
+use emberpin_membership::session::{FromProxy, SyncProgress, ToProxy};
+use emberpin_membership::timing::{
+    CONNECT_TIMEOUT, KEEP_ALIVE_INTERVAL, LEASE_CHECK_INTERVAL, PROXY_LEASE_DURATION,
+    RECONNECT_BACKOFF,
+};
+use std::time::Duration;
+
+fn limiter_name(limiter: LimiterId) -> String {
+    limiter.to_string()
+}
+
+fn confirmation(is_confirmed: bool) -> Confirmation {
+    if is_confirmed {
+        Confirmation::Confirmed
+    } else {
+        Confirmation::Unconfirmed
+    }
+}
+
+impl Simulation {
+    pub(super) fn start_limiter(&mut self, limiter: LimiterId) {
+        let (now, guards) = (self.now, self.guards);
+        let Some(node) = self.limiters.get_mut(&limiter) else {
+            return;
+        };
+        if node.running.is_some() {
+            return;
+        }
+        node.process.start(now);
+        node.running = Some(LimiterProcess::new(&limiter_name(limiter), &guards));
+        let incarnation = node.process.incarnation;
+        let at = now + self.draw_time_below(LEASE_CHECK_INTERVAL);
+        self.schedule(
+            at,
+            Event::LimiterTimer {
+                limiter,
+                incarnation,
+            },
+        );
+    }
+
+    /// Ends sessions that are silent or whose lease has expired, sends keep-alives, and begins new sessions.
+    pub(super) fn on_limiter_timer(&mut self, limiter: LimiterId, incarnation: u64) {
+        if self.incarnation(Machine::Limiter(limiter)) != incarnation {
+            return;
+        }
+        for index in 0..SESSIONS {
+            if self.running_limiter(limiter).is_none() {
+                return;
+            }
+            self.check_session(limiter, index);
+        }
+        let at = self.now + LEASE_CHECK_INTERVAL;
+        self.schedule(
+            at,
+            Event::LimiterTimer {
+                limiter,
+                incarnation,
+            },
+        );
+    }
+
+    fn check_session(&mut self, limiter: LimiterId, index: usize) {
+        let expired_sessions_end = self.guards.limiter.expired_sessions_end;
+        let Some((now, running)) = self.running_limiter(limiter) else {
+            return;
+        };
+        let session = &mut running.sessions[index];
+        let Some((connection, core)) = session.connection.zip(session.core) else {
+            if now >= session.next_attempt_at {
+                self.begin_session(limiter, index);
+            }
+            return;
+        };
+        let is_silent = now > session.last_message_at + PROXY_LEASE_DURATION;
+        let is_expired = session.lease.is_expired(timestamp(now)) && expired_sessions_end;
+        if is_silent || is_expired {
+            self.break_connection(connection, BreakNotice::Sent);
+            self.on_session_broken(limiter, connection);
+        } else if now >= session.next_keep_alive_at {
+            session.next_keep_alive_at = now + KEEP_ALIVE_INTERVAL;
+            let nonce = session.lease.begin_query(timestamp(now));
+            let progress = running.progress.get(&core);
+            let applied = progress.and_then(SyncProgress::synced_revision);
+            let message = FromProxy::KeepAlive { applied, nonce };
+            self.send_to_registry(connection, message);
+        }
+    }
+
+    fn send_to_registry(&mut self, connection: ConnectionId, message: FromProxy) {
+        let frame = Frame::FromProxy(message);
+        self.send_frame(connection, Direction::ToCallee, frame);
+    }
+
+    fn begin_session(&mut self, limiter: LimiterId, index: usize) {
+        let Some(core) = self.choose_registry(limiter, index) else {
+            return;
+        };
+        let Some(hello) = self.hello(limiter, core) else {
+            return;
+        };
+        let connection = self.connect(Machine::Limiter(limiter), Machine::Core(core));
+        let Some((now, running)) = self.running_limiter(limiter) else {
+            return;
+        };
+        let session = &mut running.sessions[index];
+        session.last_core = Some(core);
+        if let Some(connection) = connection {
+            session.begin(now, connection, core);
+            self.send_to_registry(connection, hello);
+            return;
+        }
+        session.next_attempt_at = now + CONNECT_TIMEOUT + session.backoff;
+        session.backoff = (session.backoff * 2).min(RECONNECT_BACKOFF.max);
+        running
+            .candidates
+            .on_session_ended(timestamp(now), index, Confirmation::Unconfirmed);
+    }
+
+    /// Chooses the registry for a session, or waits if there is none.
+    fn choose_registry(&mut self, limiter: LimiterId, index: usize) -> Option<CoreId> {
+        let seeds = self.configured_seeds();
+        let seeds = seeds.into_iter().map(CoreId::address);
+        let draw = self.random.rand_u64();
+        let (now, running) = self.running_limiter(limiter)?;
+        let session = &mut running.sessions[index];
+        let last = session.last_core.map(CoreId::address);
+        let address = running
+            .candidates
+            .choose(timestamp(now), index, seeds, last, draw);
+        if address.is_none() {
+            session.next_attempt_at = now + RECONNECT_BACKOFF.max;
+        }
+        address.map(CoreId::from_address)
+    }
+
+    /// The first message of a session.
+    fn hello(&self, limiter: LimiterId, core: CoreId) -> Option<FromProxy> {
+        let node = self.limiters.get(&limiter)?;
+        let running = node.running.as_ref()?;
+        let now = node.process.local_time(self.now);
+        let incarnation = u64::from(limiter.0) << 32 | node.process.incarnation;
+        let progress = running.progress.get(&core);
+        Some(FromProxy::Hello {
+            incarnation: Incarnation(incarnation),
+            name: limiter_name(limiter),
+            zone: node.process.zone.clone(),
+            resume_from: progress.map(|progress| progress.revision),
+            instances: running.router.endpoints.known_instances(now),
+        })
+    }
+
+    /// A session has ended: the next one begins after a pause of half to one and a half of the backoff.
+    pub(super) fn on_session_broken(&mut self, limiter: LimiterId, connection: ConnectionId) {
+        let percent = 50 + self.draw_below(100);
+        let Some((now, running)) = self.running_limiter(limiter) else {
+            return;
+        };
+        let Some(index) = running.session_on(connection) else {
+            return;
+        };
+        let session = &mut running.sessions[index];
+        let confirmation = confirmation(session.lease.is_confirmed(timestamp(now)));
+        session.end();
+        if now > session.began_at + 2 * PROXY_LEASE_DURATION {
+            session.backoff = RECONNECT_BACKOFF.initial;
+        }
+        session.next_attempt_at = now + part_of(session.backoff, percent);
+        session.backoff = (session.backoff * 2).min(RECONNECT_BACKOFF.max);
+        running
+            .candidates
+            .on_session_ended(timestamp(now), index, confirmation);
+    }
+
+    pub(super) fn on_session_message(
+        &mut self,
+        limiter: LimiterId,
+        connection: ConnectionId,
+        core: CoreId,
+        message: ToProxy,
+    ) {
+        let guards = self.guards;
+        let Some((now, running)) = self.running_limiter(limiter) else {
+            return;
+        };
+        let Some(index) = running.session_on(connection) else {
+            return;
+        };
+        let session = &mut running.sessions[index];
+        session.last_message_at = now;
+        let resumes = session.awaits_part.is_none() && matches!(message, ToProxy::Changes { .. });
+        let is_snapshot = matches!(
+            message,
+            ToProxy::Snapshot { .. } | ToProxy::SnapshotPart { .. }
+        );
+
+        let mut progress = running.progress.remove(&core);
+        SyncProgress::advance(&mut progress, &message);
+        let next_part = progress
+            .as_ref()
+            .and_then(|progress| progress.next_part.clone())
+            .filter(|_| guards.limiter.complete_snapshots_only);
+        running
+            .progress
+            .extend(progress.map(|progress| (core, progress)));
+
+        let brings_state = is_snapshot || resumes;
+        if brings_state {
+            session.lease.on_snapshot_progress(timestamp(now));
+            // A resumed session goes on from what this registry sent in an earlier one.
+            let counts = is_snapshot || guards.limiter.resumed_sessions_are_synced;
+            session.is_synced |= next_part.is_none() && counts;
+            session.awaits_part = Some(next_part.is_some());
+        }
+        if let Err(violation) = self.apply_session_message(limiter, index, message) {
+            return self.fail(Violation::Limiter { limiter, violation });
+        }
+        if let Some(after) = next_part.filter(|_| brings_state) {
+            self.send_to_registry(connection, FromProxy::FetchSnapshotPart { after });
+        }
+        self.check_drained_servers(limiter);
+    }
+
+    fn apply_session_message(
+        &mut self,
+        limiter: LimiterId,
+        index: usize,
+        message: ToProxy,
+    ) -> Result<(), LimiterViolation> {
+        let guards = self.guards;
+        let Some((now, running)) = self.running_limiter(limiter) else {
+            return Ok(());
+        };
+        match message {
+            ToProxy::Snapshot {
+                items, instances, ..
+            }
+            | ToProxy::SnapshotPart {
+                items, instances, ..
+            }
+            | ToProxy::Changes {
+                items, instances, ..
+            } => running.learn(now, items, &instances, &guards),
+            ToProxy::Confirmation {
+                nonce,
+                age,
+                proxies,
+                registries,
+            } => {
+                let session = &mut running.sessions[index];
+                session.lease.on_answer(nonce, age);
+                let is_confirmed = age.is_some() && session.lease.is_confirmed(timestamp(now));
+                if is_confirmed || guards.limiter.candidates_from_unconfirmed {
+                    running
+                        .candidates
+                        .on_registries_named(registries, confirmation(is_confirmed));
+                }
+                if is_confirmed || !guards.limiter.confirmed_readiness {
+                    running.router.set_limiter_count(now, proxies);
+                    running.is_ready |= session.is_synced && !running.configuration.is_empty();
+                }
+                Ok(())
+            }
+        }
+    }
+
+    /// Checks that a server that was known to drain never gets requests again in this limiter's incarnation.
+    fn check_drained_servers(&mut self, limiter: LimiterId) {
+        let draining: Vec<String> = self
+            .servers
+            .values()
+            .filter(|server| server.is_draining)
+            .map(|server| server.instance_id.clone())
+            .collect();
+        let Some((_, running)) = self.running_limiter(limiter) else {
+            return;
+        };
+        for instance_id in draining {
+            // An instance that is not known here was not reported yet, or was evicted.
+            let instance = running.router.endpoints.instance(&instance_id);
+            match instance.map(|instance| instance.status) {
+                Some(Status::Up) if running.drained_instances.contains(&instance_id) => {
+                    let violation = LimiterViolation::DrainWentBack { instance_id };
+                    return self.fail(Violation::Limiter { limiter, violation });
+                }
+                Some(Status::Draining) => _ = running.drained_instances.insert(instance_id),
+                _ => {}
+            }
+        }
+    }
+}
+
+/// A part of a duration, in whole milliseconds.
+fn part_of(duration: Duration, percent: u64) -> Duration {
+    Duration::from_millis(duration.as_millis() as u64 * percent / 100)
+}
--- /dev/null
+++ b/crates/emberpin-simulator/src/simulation/mod.rs
@@ -0,0 +1,361 @@
+//! A running system: one clock, the queue of scheduled events, and all machines.
+//!
+//! The files of this module each add one concern to [`Simulation`].
+
+mod clients;
+mod connections;
+mod contact;
+mod core_nodes;
+mod effects;
+mod expectations;
+mod faults;
+mod final_checks;
+mod limiter_sessions;
+mod operators;
+mod registries;
+mod servers;
+mod slow_start_load;
+mod steps;
+mod stores;
+
+use crate::invariants::Record;
+use crate::machine::{CoreId, LimiterId, Machine};
+use crate::mutants::Guards;
+use crate::scenario::Scenario;
+use crate::state::core_node::{CoreNode, CoreProcess};
+use crate::state::event::Event;
+use crate::state::limiter::{LimiterNode, LimiterProcess};
+use crate::state::network::Network;
+use crate::state::operator::Operators;
+use crate::state::process::Process;
+use crate::state::server::{Server, ServerCall};
+use crate::state::USUAL_SYNC_TIME;
+use crate::violation::Violation;
+use oorandom::Rand64;
+use std::collections::BTreeMap;
+use std::ops::Range;
+use std::time::Duration;
+
+/// The time at which a run begins. Not zero, since some fields take zero for "never".
+const START: Duration = Duration::from_millis(1);
+/// How many machines are seeds unless a scenario names others.
+const SEEDS: usize = 3;
+
+/// What a run did, for its statistics.
+#[derive(Debug, Default)]
+pub(crate) struct Counters {
+    /// Events that happened.
+    pub events: u64,
+    /// Requests that were sent to warming servers.
+    pub slow_start_requests: usize,
+    /// Acknowledged effects that were checked on a limiter in contact.
+    pub effect_checks: usize,
+    /// Operations in histories that were checked for linearizability.
+    pub checked_operations: usize,
+    /// Operations in histories that were too long to check.
+    pub unchecked_operations: usize,
+}
+
+/// A violation, and when it was found.
+#[derive(Debug)]
+pub(crate) struct TimedViolation {
+    pub at: Duration,
+    pub violation: Violation,
+}
+
+pub(crate) struct Simulation {
+    /// The simulated time, in whole milliseconds since the start of the run.
+    pub now: Duration,
+    random: Rand64,
+    guards: Guards,
+    tolerance: usize,
+    cores: BTreeMap<CoreId, CoreNode>,
+    limiters: BTreeMap<LimiterId, LimiterNode>,
+    servers: BTreeMap<String, Server>,
+    pub operators: Operators,
+    record: Record,
+    pub counters: Counters,
+    network: Network,
+    /// How long a sync of a disk takes.
+    sync_time: Range<Duration>,
+    /// Messages or disks are so slow that nothing with a time limit is asserted.
+    has_no_time_limits: bool,
+    is_slow_start_load_scheduled: bool,
+    /// Of a hundred responses to operators, so many are lost.
+    lost_response_percent: u64,
+    /// The seeds that processes are configured with at their start, unless they are the first machines in use.
+    seeds: Option<Vec<CoreId>>,
+    /// The calls of servers that have no reply, by their ids at registries.
+    pending_server_calls: BTreeMap<u64, ServerCall>,
+    /// By time, and in the order in which they were scheduled.
+    queue: BTreeMap<(Duration, u64), Event>,
+    last_event_number: u64,
+    /// What was found wrong first; the run ends with it.
+    pub violation: Option<TimedViolation>,
+}
+
+impl Simulation {
+    pub fn new(scenario: &Scenario, guards: Guards) -> Simulation {
+        let mut simulation = Simulation {
+            now: START,
+            random: Rand64::new(u128::from(scenario.seed) + 1),
+            guards,
+            tolerance: scenario.tolerance,
+            cores: BTreeMap::new(),
+            limiters: BTreeMap::new(),
+            servers: BTreeMap::new(),
+            operators: Operators::default(),
+            record: Record::default(),
+            counters: Counters::default(),
+            network: Network::default(),
+            sync_time: USUAL_SYNC_TIME,
+            has_no_time_limits: false,
+            is_slow_start_load_scheduled: false,
+            lost_response_percent: 0,
+            seeds: None,
+            pending_server_calls: BTreeMap::new(),
+            queue: BTreeMap::new(),
+            last_event_number: 0,
+            violation: None,
+        };
+        simulation.add_machines(scenario);
+        simulation
+    }
+
+    /// Adds the scenario's machines, in its zones in turn, and starts them.
+    fn add_machines(&mut self, scenario: &Scenario) {
+        let zones = &scenario.zones;
+        let process = |number: u8| Process::new(&zones[usize::from(number - 1) % zones.len()]);
+        for number in 1..=scenario.cores {
+            let node = CoreNode::new(process(number));
+            self.cores.insert(CoreId(number), node);
+        }
+        for number in 1..=scenario.limiters {
+            let node = LimiterNode::new(process(number));
+            self.limiters.insert(LimiterId(number), node);
+        }
+        for number in 1..=scenario.cores {
+            self.start_core(CoreId(number), true);
+        }
+        for number in 1..=scenario.limiters {
+            self.start_limiter(LimiterId(number));
+        }
+    }
+
+    // ---- draws
+
+    /// A number below `bound`; 0 if `bound` is.
+    fn draw_below(&mut self, bound: u64) -> u64 {
+        self.random.rand_range(0..bound.max(1))
+    }
+
+    /// A time below `bound`, in whole milliseconds.
+    fn draw_time_below(&mut self, bound: Duration) -> Duration {
+        Duration::from_millis(self.draw_below(bound.as_millis() as u64))
+    }
+
+    /// A time in this range, in whole milliseconds.
+    fn draw_time(&mut self, range: &Range<Duration>) -> Duration {
+        range.start + self.draw_time_below(range.end.saturating_sub(range.start))
+    }
+
+    /// True for so many of a hundred draws.
+    fn draw_percent(&mut self, percent: u64) -> bool {
+        self.draw_below(100) < percent
+    }
+
+    /// One of the core machines in use.
+    fn draw_core(&mut self) -> CoreId {
+        let cores = self.cores_in_use();
+        cores[self.draw_below(cores.len() as u64) as usize]
+    }
+
+    // ---- events
+
+    /// Schedules an event, not before now.
+    fn schedule(&mut self, at: Duration, event: Event) {
+        self.last_event_number += 1;
+        let key = (at.max(self.now), self.last_event_number);
+        self.queue.insert(key, event);
+    }
+
+    /// Ends the run with this violation, unless it has ended already.
+    pub fn fail(&mut self, violation: impl Into<Violation>) {
+        if self.violation.is_none() {
+            self.violation = Some(TimedViolation {
+                at: self.now,
+                violation: violation.into(),
+            });
+        }
+    }
+
+    fn check(&mut self, result: Result<(), Violation>) {
+        if let Err(violation) = result {
+            self.fail(violation);
+        }
+    }
+
+    /// Lets time pass until then, unless something goes wrong.
+    pub fn run_until(&mut self, until: Duration) {
+        while self.violation.is_none() {
+            let next = self.queue.first_entry();
+            let Some(entry) = next.filter(|entry| entry.key().0 <= until) else {
+                break;
+            };
+            self.now = self.now.max(entry.key().0);
+            let event = entry.remove();
+            self.counters.events += 1;
+            self.handle(event);
+        }
+        if self.violation.is_none() {
+            self.now = self.now.max(until);
+        }
+    }
+
+    /// The machine whose process has to run for an event; it is deferred while that process is frozen.
+    fn owner(&self, event: &Event) -> Option<Machine> {
+        match event {
+            Event::StoreMessage { to: core, .. }
+            | Event::DiskSynced { core, .. }
+            | Event::StoreTimer { core, .. }
+            | Event::RegistryTimer { core, .. }
+            | Event::ItemsChosen { core, .. }
+            | Event::StoreAge { core, .. }
+            | Event::VotersReport { core, .. }
+            | Event::PeerDial { core, .. }
+            | Event::OperatorCall { core, .. }
+            | Event::ServerCall { core, .. } => Some(Machine::Core(*core)),
+            Event::LimiterTimer { limiter, .. } => Some(Machine::Limiter(*limiter)),
+            Event::ConnectionBroken { machine, .. } => Some(*machine),
+            Event::FrameArrives {
+                connection,
+                direction,
+                ..
+            } => self.network.receiver(*connection, *direction),
+            Event::UnacknowledgedTimeout { .. }
+            | Event::OperatorResponse { .. }
+            | Event::OperatorRetry { .. }
+            | Event::ServerHeartbeat { .. }
+            | Event::ServerResponse { .. }
+            | Event::ServerTimeout { .. }
+            | Event::SlowStartLoad
+            | Event::CheckEffect { .. } => None,
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        let owner = self.owner(&event);
+        if let Some(process) = owner.and_then(|machine| self.process_mut(machine)) {
+            if process.is_frozen {
+                process.deferred.push(event);
+                return;
+            }
+        }
+        match event {
+            Event::StoreMessage { .. }
+            | Event::DiskSynced { .. }
+            | Event::StoreTimer { .. }
+            | Event::RegistryTimer { .. }
+            | Event::ItemsChosen { .. }
+            | Event::StoreAge { .. }
+            | Event::VotersReport { .. }
+            | Event::PeerDial { .. } => self.on_core_event(event),
+            Event::FrameArrives {
+                connection,
+                direction,
+                frame,
+            } => self.on_frame(connection, direction, *frame),
+            Event::UnacknowledgedTimeout { connection } => {
+                self.on_unacknowledged_timeout(connection);
+            }
+            Event::ConnectionBroken {
+                connection,
+                machine,
+                incarnation,
+                other,
+            } => self.on_connection_broken(connection, machine, incarnation, other),
+            Event::LimiterTimer {
+                limiter,
+                incarnation,
+            } => self.on_limiter_timer(limiter, incarnation),
+            Event::SlowStartLoad => self.send_slow_start_load(),
+            Event::CheckEffect {
+                effect,
+                acknowledged_at,
+            } => self.check_effect(&effect, acknowledged_at),
+            Event::OperatorCall { .. }
+            | Event::OperatorResponse { .. }
+            | Event::OperatorRetry { .. }
+            | Event::ServerHeartbeat { .. }
+            | Event::ServerCall { .. }
+            | Event::ServerResponse { .. }
+            | Event::ServerTimeout { .. } => self.on_client_event(event),
+        }
+    }
+
+    // ---- machines
+
+    fn process_mut(&mut self, machine: Machine) -> Option<&mut Process> {
+        match machine {
+            Machine::Core(core) => self.cores.get_mut(&core).map(|node| &mut node.process),
+            Machine::Limiter(limiter) => self
+                .limiters
+                .get_mut(&limiter)
+                .map(|node| &mut node.process),
+        }
+    }
+
+    fn running_core(&mut self, core: CoreId) -> Option<&mut CoreProcess> {
+        self.cores.get_mut(&core)?.running.as_mut()
+    }
+
+    /// What runs on a limiter, and the time on its clock.
+    fn running_limiter(&mut self, limiter: LimiterId) -> Option<(Duration, &mut LimiterProcess)> {
+        let node = self.limiters.get_mut(&limiter)?;
+        let local = node.process.local_time(self.now);
+        node.running.as_mut().map(|running| (local, running))
+    }
+
+    fn is_running(&self, machine: Machine) -> bool {
+        match machine {
+            Machine::Core(core) => self
+                .cores
+                .get(&core)
+                .is_some_and(|node| node.running.is_some()),
+            Machine::Limiter(limiter) => self
+                .limiters
+                .get(&limiter)
+                .is_some_and(|node| node.running.is_some()),
+        }
+    }
+
+    fn incarnation(&self, machine: Machine) -> u64 {
+        match machine {
+            Machine::Core(core) => self
+                .cores
+                .get(&core)
+                .map_or(0, |node| node.process.incarnation),
+            Machine::Limiter(limiter) => self
+                .limiters
+                .get(&limiter)
+                .map_or(0, |node| node.process.incarnation),
+        }
+    }
+
+    /// The core machines that were not replaced, as the operators' list and the settings have them.
+    fn cores_in_use(&self) -> Vec<CoreId> {
+        self.cores
+            .iter()
+            .filter(|(_, node)| !node.process.is_removed)
+            .map(|(core, _)| *core)
+            .collect()
+    }
+
+    /// The seeds that a process is configured with when it starts.
+    fn configured_seeds(&self) -> Vec<CoreId> {
+        match &self.seeds {
+            Some(seeds) => seeds.clone(),
+            None => self.cores_in_use().into_iter().take(SEEDS).collect(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/emberpin-simulator/src/simulation/operators.rs
@@ -0,0 +1,193 @@
+//! Operators: their calls, attempts and responses.
+
+use super::Simulation;
+use crate::invariants::check_read;
+use crate::machine::{CoreId, Machine};
+use crate::scenario::{CallTarget, OperatorRequest};
+use crate::state::event::{Effect, Event};
+use crate::state::operator::{OperatorCall, ReadExpectation};
+use crate::violation::Violation;
+use emberpin_consensus::{self as consensus, Call, CallId, EvacuationChange};
+use emberpin_membership::timing::bounds::APPLY;
+use std::time::Duration;
+
+/// How long a message between a client and a core machine takes.
+pub(super) const CLIENT_DELAY: Duration = Duration::from_millis(2);
+/// A call without a response for so long is retried at another machine.
+pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// The pause of a server after a call to a machine that is down, and the base of an operator's backoff.
+pub(super) const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
+/// An operator's backoff doubles with each attempt, so often at most.
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
+/// `evac`: an acknowledged evacuation is in force after so long.
+const EVACUATION_LIMIT: Duration = Duration::from_millis(5_000);
+
+const OK: u16 = 200;
+const SERVICE_UNAVAILABLE: u16 = 503;
+
+impl Simulation {
+    /// A new call of an operator; without a request it reads.
+    pub(super) fn call_as_operator(
+        &mut self,
+        operator: &str,
+        target: CallTarget,
+        request: Option<OperatorRequest>,
+        expectation: Option<ReadExpectation>,
+    ) {
+        let now = self.now;
+        let call = self
+            .operators
+            .add(now, operator, target, request, expectation);
+        self.attempt_operator_call(call, 0);
+    }
+
+    /// Makes the next attempt after this one, unless the call has ended or a later attempt is under way.
+    pub(super) fn attempt_operator_call(&mut self, call: usize, attempt: u32) {
+        let drawn_core = self.draw_core();
+        let now = self.now;
+        let jitter = self.draw_time_below(INITIAL_BACKOFF);
+        let Some(state) = self.operators.calls.get_mut(call) else {
+            return;
+        };
+        if state.status.is_some() || state.attempts != attempt {
+            return;
+        }
+        if attempt > 0 {
+            state.is_clear = false;
+        }
+        state.core = match state.target {
+            CallTarget::Only(_) if attempt > 0 => return,
+            CallTarget::Only(core) => core,
+            CallTarget::First(core) if attempt == 0 => core,
+            CallTarget::First(_) | CallTarget::Any => drawn_core,
+        };
+        state.attempts += 1;
+        state.last_attempt_at = now;
+        let (attempt, core) = (state.attempts, state.core);
+        if self.is_running(Machine::Core(core)) {
+            let event = Event::OperatorCall {
+                call,
+                attempt,
+                core,
+            };
+            self.schedule(now + CLIENT_DELAY, event);
+            self.schedule(now + CALL_TIMEOUT, Event::OperatorRetry { call, attempt });
+        } else {
+            let at = now + jitter + backoff(attempt);
+            self.schedule(at, Event::OperatorRetry { call, attempt });
+        }
+    }
+
+    pub(super) fn on_operator_call(&mut self, call: usize, attempt: u32, core: CoreId) {
+        let Some(state) = self.operators.calls.get(call) else {
+            return;
+        };
+        let store_call = match &state.request {
+            None => Call::Get,
+            Some(OperatorRequest::Patch(body)) => Call::Patch(body.clone()),
+            Some(OperatorRequest::Evacuate { zone, change }) => Call::Evacuate {
+                zone: zone.clone(),
+                change: *change,
+            },
+        };
+        let call_id = self.operators.next_call_id();
+        self.operators.register_attempt(call_id, call, attempt);
+        let event = consensus::Event::Call {
+            call_id: CallId(call_id),
+            call: store_call,
+        };
+        self.handle_store_event(core, event);
+    }
+
+    /// Sends a store's response to the operator; it may be lost.
+    pub(super) fn send_operator_response(&mut self, call_id: u64, status: u16, body: String) {
+        let Some((call, attempt)) = self.operators.take_attempt(call_id) else {
+            return;
+        };
+        if self.lost_response_percent > 0 && self.draw_percent(self.lost_response_percent) {
+            return;
+        }
+        let at = self.now + CLIENT_DELAY;
+        self.schedule(
+            at,
+            Event::OperatorResponse {
+                call,
+                attempt,
+                status,
+                body,
+            },
+        );
+    }
+
+    pub(super) fn on_operator_response(
+        &mut self,
+        call: usize,
+        attempt: u32,
+        status: u16,
+        body: &str,
+    ) {
+        let now = self.now;
+        let pause = INITIAL_BACKOFF + self.draw_time_below(INITIAL_BACKOFF * 3);
+        let Some(state) = self.operators.calls.get_mut(call) else {
+            return;
+        };
+        // An operator that has gone on to another machine gets no response of an earlier one.
+        if state.status.is_some() || state.attempts != attempt {
+            return;
+        }
+        if status == SERVICE_UNAVAILABLE {
+            state.is_clear = false;
+            return self.schedule(now + pause, Event::OperatorRetry { call, attempt });
+        }
+        state.status = Some(status);
+        state.body = body.into();
+        state.ended_at = now;
+        let state = state.clone();
+        if let Some(expectation) = &state.expectation {
+            let result = check_read(body, &expectation.item);
+            self.check(result.map_err(|failure| Violation::Step {
+                line: expectation.line,
+                failure,
+            }));
+        } else if status == OK {
+            self.on_acknowledged(state);
+        }
+    }
+
+    /// An operator's call was acknowledged, so its effect has a time limit from now on.
+    fn on_acknowledged(&mut self, call: OperatorCall) {
+        let acknowledged_at = self.now;
+        let (limit, effect) = match call.request {
+            Some(OperatorRequest::Patch(_)) => {
+                if let Err(violation) = self.record.record_acknowledged(&call.items) {
+                    return self.fail(violation);
+                }
+                (APPLY, Effect::Items(call.items))
+            }
+            Some(OperatorRequest::Evacuate {
+                zone,
+                change: EvacuationChange::Begin,
+            }) => (EVACUATION_LIMIT, Effect::Evacuated(zone)),
+            Some(OperatorRequest::Evacuate { .. }) | None => return,
+        };
+        self.schedule_effect_check(acknowledged_at + limit, effect);
+    }
+
+    pub(super) fn schedule_effect_check(&mut self, at: Duration, effect: Effect) {
+        let acknowledged_at = self.now;
+        self.schedule(
+            at,
+            Event::CheckEffect {
+                effect,
+                acknowledged_at,
+            },
+        );
+    }
+}
+
+/// The pause after so many attempts.
+fn backoff(attempts: u32) -> Duration {
+    let doublings = attempts.min(MAX_BACKOFF_DOUBLINGS);
+    (INITIAL_BACKOFF * (1 << doublings)).min(MAX_BACKOFF)
+}
--- /dev/null
+++ b/crates/emberpin-simulator/src/state/core_node.rs
@@ -0,0 +1,121 @@
+//! A core machine: a disk, and while its process runs a store and a registry.
+
+use super::network::ConnectionId;
+use super::process::Process;
+use crate::machine::CoreId;
+use emberpin_config::{ItemKey, Version};
+use emberpin_consensus::{PersistedState, Replica, WriteBatch};
+use emberpin_membership::registry::Registry;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+/// What runs on a core machine.
+pub(crate) struct CoreProcess {
+    pub store: Replica,
+    pub registry: Registry,
+    /// The registries that this one wants to send messages to, with the connection once it is open.
+    pub outgoing: BTreeMap<CoreId, Option<ConnectionId>>,
+    /// The connections on which other registries send messages to this one.
+    pub incoming: BTreeMap<CoreId, ConnectionId>,
+    pub sessions: BTreeSet<ConnectionId>,
+    /// When the store's timer fires; zero if none is scheduled.
+    pub store_timer_at: Duration,
+    /// When the registry's timer fires; zero if none is scheduled.
+    pub registry_timer_at: Duration,
+    /// The latest version of each item that the store has reported as chosen.
+    pub reported_versions: BTreeMap<ItemKey, Version>,
+}
+
+impl CoreProcess {
+    pub fn new(store: Replica, registry: Registry) -> CoreProcess {
+        CoreProcess {
+            store,
+            registry,
+            outgoing: BTreeMap::new(),
+            incoming: BTreeMap::new(),
+            sessions: BTreeSet::new(),
+            store_timer_at: Duration::ZERO,
+            registry_timer_at: Duration::ZERO,
+            reported_versions: BTreeMap::new(),
+        }
+    }
+}
+
+/// The disk of a core machine.
+#[derive(Debug, Default)]
+pub(crate) struct Disk {
+    writes: Vec<WriteBatch>,
+    /// The first so many writes survive a power cut.
+    synced: usize,
+    /// The disk does not respond before this time.
+    pub stalled_until: Duration,
+}
+
+impl Disk {
+    pub fn write(&mut self, write: WriteBatch) {
+        self.writes.push(write);
+    }
+
+    pub fn write_count(&self) -> usize {
+        self.writes.len()
+    }
+
+    pub fn mark_synced(&mut self, writes: usize) {
+        self.synced = self.synced.max(writes);
+    }
+
+    /// Of the writes that were not synced, some of the first ones stay as `draw` says, or none. The one after them may be
+    /// torn, and counts as lost then.
+    pub fn lose_power(&mut self, draw: Option<u64>) {
+        let unsynced = (self.writes.len() - self.synced) as u64;
+        let kept = draw.map_or(0, |draw| draw % (unsynced + 1)) as usize;
+        self.writes.truncate(self.synced + kept);
+        self.synced = self.writes.len();
+    }
+
+    pub fn wipe(&mut self) {
+        self.writes.clear();
+        self.synced = 0;
+    }
+
+    /// What a store finds on the disk when it starts; `None` if the disk is empty.
+    pub fn recover(&self) -> Option<PersistedState> {
+        if self.writes.is_empty() {
+            return None;
+        }
+        let mut state = PersistedState::default();
+        for write in &self.writes {
+            state.chosen.extend(write.chosen.iter().cloned());
+            state
+                .chosen
+                .retain(|item| !write.removed.contains(&item.key));
+            state.promised = write.promised;
+            state.voting = write.voting;
+            state.incarnation = write.incarnation;
+            state.latest_incarnations = write.latest_incarnations.clone();
+            state.bootstrap_candidate = write.bootstrap_candidate.clone();
+            if let Some(accepted) = &write.accepted {
+                state.accepted = accepted.clone();
+            }
+        }
+        Some(state)
+    }
+}
+
+/// A core machine.
+pub(crate) struct CoreNode {
+    pub process: Process,
+    /// What runs, while the process does.
+    pub running: Option<CoreProcess>,
+    pub disk: Disk,
+}
+
+impl CoreNode {
+    pub fn new(process: Process) -> CoreNode {
+        CoreNode {
+            process,
+            running: None,
+            disk: Disk::default(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/emberpin-simulator/src/state/event.rs
@@ -0,0 +1,135 @@
+//! What is scheduled to happen.
+
+use super::network::{ConnectionId, Direction, Frame};
+use super::server::ServerCall;
+use crate::machine::{CoreId, LimiterId, Machine};
+use emberpin_config::Item;
+use emberpin_consensus::{Message, WriteToken};
+use emberpin_membership::ids::Nonce;
+use emberpin_membership::registry::ServerReply;
+use std::time::Duration;
+
+/// An event. Where it names an incarnation that is over, it has no effect.
+#[derive(Clone, Debug)]
+pub(crate) enum Event {
+    /// A message of one store arrives at another one.
+    StoreMessage {
+        from: CoreId,
+        to: CoreId,
+        message: Message,
+    },
+    /// A disk has synced its first `writes` writes.
+    DiskSynced {
+        core: CoreId,
+        incarnation: u64,
+        token: WriteToken,
+        writes: usize,
+    },
+    StoreTimer {
+        core: CoreId,
+        incarnation: u64,
+    },
+    RegistryTimer {
+        core: CoreId,
+        incarnation: u64,
+    },
+    /// Chosen items arrive at a registry from the store beside it.
+    ItemsChosen {
+        core: CoreId,
+        incarnation: u64,
+        items: Vec<Item>,
+    },
+    /// A store reports its voters to the registry beside it.
+    VotersReport {
+        core: CoreId,
+        incarnation: u64,
+    },
+    /// A store answers its registry how old its state is.
+    StoreAge {
+        core: CoreId,
+        incarnation: u64,
+        nonce: Nonce,
+        age: Option<Duration>,
+    },
+    /// A registry connects to another one.
+    PeerDial {
+        core: CoreId,
+        incarnation: u64,
+        peer: CoreId,
+    },
+    FrameArrives {
+        connection: ConnectionId,
+        direction: Direction,
+        frame: Box<Frame>,
+    },
+    /// A connection that was cut breaks, if it still is cut.
+    UnacknowledgedTimeout {
+        connection: ConnectionId,
+    },
+    /// One end of a connection learns that it is broken.
+    ConnectionBroken {
+        connection: ConnectionId,
+        machine: Machine,
+        incarnation: u64,
+        other: Machine,
+    },
+    /// A limiter checks its sessions.
+    LimiterTimer {
+        limiter: LimiterId,
+        incarnation: u64,
+    },
+    /// An operator's call arrives at a core machine.
+    OperatorCall {
+        call: usize,
+        attempt: u32,
+        core: CoreId,
+    },
+    OperatorResponse {
+        call: usize,
+        attempt: u32,
+        status: u16,
+        body: String,
+    },
+    /// An attempt of an operator's call has timed out or failed.
+    OperatorRetry {
+        call: usize,
+        attempt: u32,
+    },
+    ServerHeartbeat {
+        server: String,
+        incarnation: u32,
+    },
+    /// A server's call arrives at a core machine.
+    ServerCall {
+        core: CoreId,
+        call: ServerCall,
+    },
+    ServerResponse {
+        call: ServerCall,
+        reply: ServerReply,
+    },
+    /// A server's call has timed out or failed.
+    ServerTimeout {
+        server: String,
+        incarnation: u32,
+        attempt: u64,
+    },
+    /// Limiters send as many requests to warming servers as they may.
+    SlowStartLoad,
+    /// What was acknowledged at a time must be in force on limiters in contact.
+    CheckEffect {
+        effect: Effect,
+        acknowledged_at: Duration,
+    },
+}
+
+/// What must be in force after an acknowledgement.
+#[derive(Clone, Debug)]
+pub(crate) enum Effect {
+    /// These versions of items, or later ones.
+    Items(Vec<Item>),
+    /// The server of this name gets no new requests.
+    Drained(String),
+    /// The servers of this zone get no requests.
+    Evacuated(String),
+}
--- /dev/null
+++ b/crates/emberpin-simulator/src/state/limiter.rs
@@ -0,0 +1,236 @@
+//! A model of a limiter: it follows sessions with registries as the real one does, and routes by what they send.
+
+use super::network::ConnectionId;
+use super::process::Process;
+use super::HEARTBEAT_INTERVAL;
+use crate::machine::CoreId;
+use crate::mutants::Guards;
+use crate::violation::LimiterViolation;
+use emberpin_config::{effective_routes, Configuration, Item, ItemKind, Route, Service, Version};
+use emberpin_membership::candidates::RegistryCandidates;
+use emberpin_membership::clock::Timestamp;
+use emberpin_membership::instance::Instance;
+use emberpin_membership::lease::SessionLease;
+use emberpin_membership::session::SyncProgress;
+use emberpin_membership::timing::RECONNECT_BACKOFF;
+use emberpin_routing::{Availability, Router, WarmupProfile, WarmupTolerance};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::time::Duration;
+
+/// The sessions of a limiter, as many as the real one has.
+pub(crate) const SESSIONS: usize = 2;
+/// `warm_excess` and `warm_extra`.
+const TOLERANCE: WarmupTolerance = WarmupTolerance {
+    excess_factor: 1.5,
+    extra_requests: 5.0,
+};
+
+/// A session with a registry, or the place for one. All times are on the limiter's clock.
+#[derive(Clone, Debug)]
+pub(crate) struct Session {
+    pub connection: Option<ConnectionId>,
+    pub core: Option<CoreId>,
+    /// The registry of the last attempt.
+    pub last_core: Option<CoreId>,
+    pub last_message_at: Duration,
+    pub began_at: Duration,
+    pub lease: SessionLease,
+    pub backoff: Duration,
+    pub next_attempt_at: Duration,
+    pub next_keep_alive_at: Duration,
+    /// The limiter has received the registry's whole state.
+    pub is_synced: bool,
+    /// Whether a part of a snapshot is awaited; `None` before the first message with state.
+    pub awaits_part: Option<bool>,
+}
+
+impl Session {
+    fn new() -> Session {
+        Session {
+            connection: None,
+            core: None,
+            last_core: None,
+            last_message_at: Duration::ZERO,
+            began_at: Duration::ZERO,
+            lease: SessionLease::new(Timestamp::ZERO),
+            backoff: RECONNECT_BACKOFF.initial,
+            next_attempt_at: Duration::ZERO,
+            next_keep_alive_at: Duration::ZERO,
+            is_synced: false,
+            awaits_part: None,
+        }
+    }
+
+    pub fn begin(&mut self, now: Duration, connection: ConnectionId, core: CoreId) {
+        (self.connection, self.core) = (Some(connection), Some(core));
+        (self.last_message_at, self.began_at) = (now, now);
+        self.lease = SessionLease::new(timestamp(now));
+        self.next_keep_alive_at = now;
+        self.is_synced = false;
+        self.awaits_part = None;
+    }
+
+    pub fn end(&mut self) {
+        (self.connection, self.core) = (None, None);
+        self.is_synced = false;
+    }
+}
+
+/// What runs on a limiter's machine.
+pub(crate) struct LimiterProcess {
+    pub router: Router,
+    pub configuration: Configuration,
+    pub is_ready: bool,
+    pub sessions: Vec<Session>,
+    /// How far the state of each registry was received, also in earlier sessions.
+    pub progress: BTreeMap<CoreId, SyncProgress>,
+    pub candidates: RegistryCandidates,
+    /// The highest version of each route that was in force in this incarnation.
+    highest_route_versions: BTreeMap<String, Version>,
+    /// The ids of instances that were known to drain.
+    pub drained_instances: BTreeSet<String>,
+}
+
+impl LimiterProcess {
+    pub fn new(name: &str, guards: &Guards) -> LimiterProcess {
+        LimiterProcess {
+            router: Router::with_guards(
+                Duration::ZERO,
+                name,
+                TOLERANCE,
+                HEARTBEAT_INTERVAL,
+                guards.routing,
+            ),
+            configuration: Configuration::new(),
+            is_ready: false,
+            sessions: vec![Session::new(); SESSIONS],
+            progress: BTreeMap::new(),
+            candidates: RegistryCandidates::default(),
+            highest_route_versions: BTreeMap::new(),
+            drained_instances: BTreeSet::new(),
+        }
+    }
+
+    pub fn session_on(&self, connection: ConnectionId) -> Option<usize> {
+        self.sessions
+            .iter()
+            .position(|session| session.connection == Some(connection))
+    }
+
+    /// Takes in items and instances that a registry sent.
+    pub fn learn(
+        &mut self,
+        now: Duration,
+        items: Vec<Item>,
+        instances: &[Instance],
+        guards: &Guards,
+    ) -> Result<(), LimiterViolation> {
+        let mut has_changed = false;
+        for item in items {
+            has_changed |= self.configuration.merge(item);
+        }
+        if has_changed {
+            self.configure(now, guards)?;
+        }
+        self.router.endpoints.update(now, instances);
+        // As a host does that keeps connections to servers.
+        self.router.endpoints.take_changes();
+        Ok(())
+    }
+
+    fn configure(&mut self, now: Duration, guards: &Guards) -> Result<(), LimiterViolation> {
+        let routes: Vec<Route> = if guards.limiter.valid_routes_only {
+            effective_routes(&self.configuration)
+        } else {
+            self.configuration.routes().cloned().collect()
+        };
+        self.check_routes(&routes)?;
+        self.router.routes.replace(routes);
+        let (mut profiles, mut evacuated_zones) = (HashMap::new(), BTreeSet::new());
+        for item in self.configuration.live() {
+            match item.key.kind {
+                ItemKind::Service => {
+                    if let Ok(service) = Service::from_item(item) {
+                        let profile = WarmupProfile {
+                            duration: service.warmup,
+                            requests_per_second: service.warmup_requests_per_s,
+                        };
+                        profiles.insert(service.name, profile);
+                    }
+                }
+                ItemKind::Evacuation => _ = evacuated_zones.insert(item.key.name.clone()),
+                ItemKind::Route
+                | ItemKind::Roster
+                | ItemKind::Limits
+                | ItemKind::History
+                | ItemKind::Checkpoint => {}
+            }
+        }
+        self.router.endpoints.set_warmup_profiles(profiles);
+        self.router
+            .endpoints
+            .set_evacuated_zones(now, evacuated_zones);
+        Ok(())
+    }
+
+    /// No invalid route comes into force, and no route goes back to an earlier version.
+    fn check_routes(&mut self, routes: &[Route]) -> Result<(), LimiterViolation> {
+        let mut places = BTreeSet::new();
+        for route in routes {
+            let unknown = route
+                .targets
+                .iter()
+                .find(|target| !self.configuration.has_service(&target.service));
+            if let Some(target) = unknown {
+                return Err(LimiterViolation::UnknownService {
+                    route: route.name.clone(),
+                    service: target.service.clone(),
+                });
+            }
+            if !places.insert((route.hostname.clone(), route.prefix.clone())) {
+                return Err(LimiterViolation::SharedPlace {
+                    route: route.name.clone(),
+                });
+            }
+            let highest = self
+                .highest_route_versions
+                .entry(route.name.clone())
+                .or_default();
+            if route.version < *highest {
+                return Err(LimiterViolation::RouteWentBack {
+                    route: route.name.clone(),
+                    version: route.version,
+                    highest: *highest,
+                });
+            }
+            *highest = route.version;
+        }
+        Ok(())
+    }
+
+    /// Whether an instance may get requests.
+    pub fn availability(&self, instance_id: &str) -> Availability {
+        self.router.endpoints.availability(instance_id)
+    }
+}
+
+/// A limiter's machine.
+pub(crate) struct LimiterNode {
+    pub process: Process,
+    /// What runs, while the process does.
+    pub running: Option<LimiterProcess>,
+}
+
+impl LimiterNode {
+    pub fn new(process: Process) -> LimiterNode {
+        LimiterNode {
+            process,
+            running: None,
+        }
+    }
+}
+
+/// A time on a process's clock, as membership has it.
+pub(crate) fn timestamp(local: Duration) -> Timestamp {
+    Timestamp::ZERO + local
+}
--- /dev/null
+++ b/crates/emberpin-simulator/src/state/mod.rs
@@ -0,0 +1,18 @@
+//! The state of a simulated system, as data: machines, clients, network, and what is scheduled.
+
+pub(crate) mod core_node;
+pub(crate) mod event;
+pub(crate) mod limiter;
+pub(crate) mod network;
+pub(crate) mod operator;
+pub(crate) mod process;
+pub(crate) mod server;
+
+use std::ops::Range;
+use std::time::Duration;
+
+/// The interval at which servers send heartbeats.
+pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_300);
+/// How long a sync of a disk takes without a fault.
+pub(crate) const USUAL_SYNC_TIME: Range<Duration> =
+    Duration::from_millis(2)..Duration::from_millis(6);
--- /dev/null
+++ b/crates/emberpin-simulator/src/state/network.rs
@@ -0,0 +1,267 @@
+//! Partitions, slow links, losses, and connections: those of registries among each other, and limiters' sessions.
+
+use crate::machine::Machine;
+use crate::scenario::{Links, StoreMessageKind};
+use emberpin_config::ItemKind;
+use emberpin_consensus::message::Accept;
+use emberpin_consensus::Message;
+use emberpin_membership::peers::{Ack, RegistryMessage};
+use emberpin_membership::session::{FromProxy, ToProxy};
+use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Range;
+use std::time::Duration;
+
+/// The delay of messages without a fault.
+const USUAL_DELAY: Range<Duration> = Duration::from_millis(1)..Duration::from_millis(5);
+
+/// Identifies a connection of the run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(crate) struct ConnectionId(pub u64);
+
+/// The direction of a frame on a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Direction {
+    ToCallee,
+    ToCaller,
+}
+
+/// What is sent over a connection.
+#[derive(Clone, Debug)]
+pub(crate) enum Frame {
+    RegistryMessage(RegistryMessage),
+    RegistryAck(Ack),
+    FromProxy(FromProxy),
+    ToProxy(ToProxy),
+}
+
+/// A connection. Frames of one direction keep their order.
+#[derive(Debug)]
+pub(crate) struct Connection {
+    pub caller: Machine,
+    pub callee: Machine,
+    latest_arrival_at_callee: Duration,
+    latest_arrival_at_caller: Duration,
+    /// The frames that a partition holds up, in their order.
+    pub held: Vec<(Direction, Frame)>,
+}
+
+impl Connection {
+    fn new(caller: Machine, callee: Machine, open_at: Duration) -> Connection {
+        Connection {
+            caller,
+            callee,
+            latest_arrival_at_callee: open_at,
+            latest_arrival_at_caller: open_at,
+            held: Vec::new(),
+        }
+    }
+
+    /// The sender and the receiver of a direction.
+    pub fn ends(&self, direction: Direction) -> (Machine, Machine) {
+        match direction {
+            Direction::ToCallee => (self.caller, self.callee),
+            Direction::ToCaller => (self.callee, self.caller),
+        }
+    }
+
+    pub fn connects(&self, machine: Machine) -> bool {
+        self.caller == machine || self.callee == machine
+    }
+
+    /// Delays an arrival to that of the frame before, and returns it.
+    pub fn order_arrival(&mut self, direction: Direction, at: Duration) -> Duration {
+        let latest = match direction {
+            Direction::ToCallee => &mut self.latest_arrival_at_callee,
+            Direction::ToCaller => &mut self.latest_arrival_at_caller,
+        };
+        *latest = at.max(*latest);
+        *latest
+    }
+
+    pub fn holds(&self, direction: Direction) -> bool {
+        self.held.iter().any(|(held, _)| *held == direction)
+    }
+}
+
+/// The direction from the first machine to the second one.
+pub(crate) type Link = (Machine, Machine);
+
+/// The network.
+#[derive(Debug)]
+pub(crate) struct Network {
+    cut_links: BTreeSet<Link>,
+    /// Links on which messages arrive later, by a time drawn from the range.
+    slow_links: BTreeMap<Link, Range<Duration>>,
+    /// When the last message over a slow link arrives; zero if there was none.
+    pub slow_until: Duration,
+    losses: Vec<(StoreMessageKind, Machine, Machine)>,
+    connections: BTreeMap<ConnectionId, Connection>,
+    last_connection: u64,
+    /// The delay of a message.
+    pub delay: Range<Duration>,
+    /// Of a hundred messages between stores, so many are late by much.
+    pub late_percent: u64,
+    /// Of a hundred messages between stores, so many are duplicated.
+    pub duplicate_percent: u64,
+}
+
+impl Default for Network {
+    fn default() -> Network {
+        Network {
+            cut_links: BTreeSet::new(),
+            slow_links: BTreeMap::new(),
+            slow_until: Duration::ZERO,
+            losses: Vec::new(),
+            connections: BTreeMap::new(),
+            last_connection: 0,
+            delay: USUAL_DELAY,
+            late_percent: 0,
+            duplicate_percent: 0,
+        }
+    }
+}
+
+impl Network {
+    /// Whether nothing gets through from one machine to another one.
+    pub fn is_cut(&self, from: Machine, to: Machine) -> bool {
+        self.cut_links.contains(&(from, to))
+    }
+
+    /// Whether nothing gets through in one direction at least.
+    pub fn is_cut_either_way(&self, one: Machine, other: Machine) -> bool {
+        self.is_cut(one, other) || self.is_cut(other, one)
+    }
+
+    pub fn is_slow_either_way(&self, one: Machine, other: Machine) -> bool {
+        self.slow_links.contains_key(&(one, other)) || self.slow_links.contains_key(&(other, one))
+    }
+
+    pub fn cut(&mut self, links: &Links) {
+        self.cut_links.extend(links_of(links));
+    }
+
+    pub fn slow_down(&mut self, links: &Links, delay: &Range<Duration>) {
+        let slow = links_of(links)
+            .into_iter()
+            .map(|link| (link, delay.clone()));
+        self.slow_links.extend(slow);
+    }
+
+    pub fn extra_delay(&self, from: Machine, to: Machine) -> Option<Range<Duration>> {
+        self.slow_links.get(&(from, to)).cloned()
+    }
+
+    /// Ends the partitions and slow links of these machines, or all if there are none. Returns the links that were cut.
+    pub fn heal(&mut self, machines: &[Machine]) -> BTreeSet<Link> {
+        let concerns = |(one, other): &Link| {
+            machines.is_empty() || machines.contains(one) || machines.contains(other)
+        };
+        let (healed, still_cut) = std::mem::take(&mut self.cut_links)
+            .into_iter()
+            .partition(concerns);
+        self.cut_links = still_cut;
+        self.slow_links.retain(|link, _| !concerns(link));
+        healed
+    }
+
+    /// Ends late and duplicated messages.
+    pub fn reset_delivery(&mut self) {
+        self.delay = USUAL_DELAY;
+        self.late_percent = 0;
+        self.duplicate_percent = 0;
+    }
+
+    // ---- losses
+
+    pub fn lose(&mut self, kind: StoreMessageKind, from: Machine, to: Machine) {
+        self.losses.push((kind, from, to));
+    }
+
+    pub fn end_losses(&mut self) {
+        self.losses.clear();
+    }
+
+    pub fn loses(&self, from: Machine, to: Machine, message: &Message) -> bool {
+        let is_lost = |kind| self.losses.contains(&(kind, from, to));
+        match message {
+            Message::Prepare(_) => is_lost(StoreMessageKind::Prepare),
+            Message::Accept(Accept { items, .. }) => {
+                let changes_roster = items.iter().any(|item| item.key.kind == ItemKind::Roster);
+                (changes_roster && is_lost(StoreMessageKind::RosterChange))
+                    || is_lost(StoreMessageKind::Accept)
+            }
+            Message::Promise(_) => is_lost(StoreMessageKind::Promise),
+            Message::Chosen(_) => is_lost(StoreMessageKind::Chosen),
+            Message::CompareDigest(_) => is_lost(StoreMessageKind::Comparison),
+            _ => false,
+        }
+    }
+
+    // ---- connections
+
+    pub fn open(&mut self, caller: Machine, callee: Machine, now: Duration) -> ConnectionId {
+        self.last_connection += 1;
+        let id = ConnectionId(self.last_connection);
+        let open_at = now + 2 * self.delay.start;
+        self.connections
+            .insert(id, Connection::new(caller, callee, open_at));
+        id
+    }
+
+    pub fn close(&mut self, id: ConnectionId) -> Option<Connection> {
+        self.connections.remove(&id)
+    }
+
+    pub fn connection(&self, id: ConnectionId) -> Option<&Connection> {
+        self.connections.get(&id)
+    }
+
+    pub fn connection_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
+        self.connections.get_mut(&id)
+    }
+
+    pub fn receiver(&self, id: ConnectionId, direction: Direction) -> Option<Machine> {
+        let (_, receiver) = self.connection(id)?.ends(direction);
+        Some(receiver)
+    }
+
+    pub fn cut_connections(&self) -> Vec<ConnectionId> {
+        self.connections_where(|connection| {
+            self.is_cut_either_way(connection.caller, connection.callee)
+        })
+    }
+
+    pub fn connections_of(&self, machine: Machine) -> Vec<ConnectionId> {
+        self.connections_where(|connection| connection.connects(machine))
+    }
+
+    fn connections_where(&self, matches: impl Fn(&Connection) -> bool) -> Vec<ConnectionId> {
+        self.connections
+            .iter()
+            .filter(|(_, connection)| matches(connection))
+            .map(|(id, _)| *id)
+            .collect()
+    }
+
+    /// Takes all frames that partitions hold up.
+    pub fn take_held(&mut self) -> Vec<(ConnectionId, Vec<(Direction, Frame)>)> {
+        self.connections
+            .iter_mut()
+            .map(|(id, connection)| (*id, std::mem::take(&mut connection.held)))
+            .collect()
+    }
+}
+
+/// Each link between a machine of the first list and another one of the second.
+fn links_of(links: &Links) -> Vec<Link> {
+    let mut all = Vec::new();
+    for from in &links.from {
+        for to in links.to.iter().filter(|to| *to != from) {
+            all.push((*from, *to));
+            if !links.one_way {
+                all.push((*to, *from));
+            }
+        }
+    }
+    all
+}
--- /dev/null
+++ b/crates/emberpin-simulator/src/state/operator.rs
@@ -0,0 +1,131 @@
+//! Operators and their calls.
+
+use crate::machine::CoreId;
+use crate::scenario::{CallTarget, ExpectedItem, OperatorRequest};
+use emberpin_config::{parse_patch, Item};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// What a read is expected to show.
+#[derive(Clone, Debug)]
+pub(crate) struct ReadExpectation {
+    /// The line of the scenario that expects it.
+    pub line: usize,
+    pub item: ExpectedItem,
+}
+
+/// One call of an operator, with all its attempts.
+#[derive(Clone, Debug)]
+pub(crate) struct OperatorCall {
+    pub operator: String,
+    pub target: CallTarget,
+    /// `None`: the call reads.
+    pub request: Option<OperatorRequest>,
+    pub expectation: Option<ReadExpectation>,
+    /// The items of a patch that can be parsed.
+    pub items: Vec<Item>,
+    pub sent_at: Duration,
+    pub last_attempt_at: Duration,
+    pub attempts: u32,
+    /// Where the last attempt went.
+    pub core: CoreId,
+    /// No attempt ended without a clear answer, so a rejection means that nothing was taken.
+    pub is_clear: bool,
+    pub status: Option<u16>,
+    pub body: String,
+    pub ended_at: Duration,
+}
+
+impl OperatorCall {
+    fn new(
+        now: Duration,
+        operator: &str,
+        target: CallTarget,
+        request: Option<OperatorRequest>,
+        expectation: Option<ReadExpectation>,
+    ) -> OperatorCall {
+        let items = match &request {
+            Some(OperatorRequest::Patch(body)) => parse_patch(body)
+                .map(|patch| patch.items)
+                .unwrap_or_default(),
+            _ => Vec::new(),
+        };
+        OperatorCall {
+            operator: operator.into(),
+            target,
+            request,
+            expectation,
+            items,
+            sent_at: now,
+            last_attempt_at: now,
+            attempts: 0,
+            core: CoreId(0),
+            is_clear: true,
+            status: None,
+            body: String::new(),
+            ended_at: Duration::ZERO,
+        }
+    }
+
+    /// Whether the call is retried until it is answered.
+    pub fn is_retried(&self) -> bool {
+        !matches!(self.target, CallTarget::Only(_))
+    }
+
+    /// Whether it was rejected, and nothing of it can have been taken.
+    pub fn is_rejected(&self) -> bool {
+        self.status == Some(400) && self.is_clear
+    }
+}
+
+/// All calls of operators.
+#[derive(Debug, Default)]
+pub(crate) struct Operators {
+    pub calls: Vec<OperatorCall>,
+    latest_calls: BTreeMap<String, usize>,
+    /// The call and the attempt of each call id at a store.
+    attempts_at_stores: BTreeMap<u64, (usize, u32)>,
+    last_call_id: u64,
+}
+
+impl Operators {
+    /// Adds a call, and returns its index.
+    pub fn add(
+        &mut self,
+        now: Duration,
+        operator: &str,
+        target: CallTarget,
+        request: Option<OperatorRequest>,
+        expectation: Option<ReadExpectation>,
+    ) -> usize {
+        let index = self.calls.len();
+        let call = OperatorCall::new(now, operator, target, request, expectation);
+        self.calls.push(call);
+        self.latest_calls.insert(operator.into(), index);
+        index
+    }
+
+    /// The index of an operator's latest call.
+    pub fn latest_index(&self, operator: &str) -> Option<usize> {
+        self.latest_calls.get(operator).copied()
+    }
+
+    pub fn latest(&self, operator: &str) -> Option<&OperatorCall> {
+        self.calls.get(self.latest_index(operator)?)
+    }
+
+    /// A new id of a call at a store or a registry, unique in the run.
+    pub fn next_call_id(&mut self) -> u64 {
+        self.last_call_id += 1;
+        self.last_call_id
+    }
+
+    /// Remembers which attempt a call id at a store stands for.
+    pub fn register_attempt(&mut self, call_id: u64, call: usize, attempt: u32) {
+        self.attempts_at_stores.insert(call_id, (call, attempt));
+    }
+
+    pub fn take_attempt(&mut self, call_id: u64) -> Option<(usize, u32)> {
+        self.attempts_at_stores.remove(&call_id)
+    }
+}
--- /dev/null
+++ b/crates/emberpin-simulator/src/state/process.rs
@@ -0,0 +1,81 @@
+//! A process of a machine: its runs, its clock, and whether it is frozen.
+
+use super::event::Event;
+use std::time::Duration;
+
+/// The rate of a clock that keeps time.
+const EXACT_RATE_PERCENT: u64 = 100;
+
+/// A process with its monotonic clock, which starts at zero with each run.
+#[derive(Clone, Debug)]
+pub(crate) struct Process {
+    pub zone: String,
+    /// Rises with each start and each end, so that an event for an earlier run is recognized.
+    pub incarnation: u64,
+    /// When the process started or its clock's rate changed last, in simulated time.
+    pub clock_set_at: Duration,
+    /// What its clock showed then.
+    clock_base: Duration,
+    clock_rate_percent: u64,
+    pub is_frozen: bool,
+    /// The events that arrived while it was frozen.
+    pub deferred: Vec<Event>,
+    /// When a fault hit it last; zero if none did.
+    pub disturbed_at: Duration,
+    /// The machine was replaced by another one and does not start again.
+    pub is_removed: bool,
+}
+
+impl Process {
+    pub fn new(zone: &str) -> Process {
+        Process {
+            zone: zone.into(),
+            incarnation: 0,
+            clock_set_at: Duration::ZERO,
+            clock_base: Duration::ZERO,
+            clock_rate_percent: EXACT_RATE_PERCENT,
+            is_frozen: false,
+            deferred: Vec::new(),
+            disturbed_at: Duration::ZERO,
+            is_removed: false,
+        }
+    }
+
+    pub fn start(&mut self, now: Duration) {
+        self.incarnation += 1;
+        self.clock_set_at = now;
+        self.clock_base = Duration::ZERO;
+        self.is_frozen = false;
+        self.deferred.clear();
+    }
+
+    pub fn end(&mut self) {
+        self.incarnation += 1;
+        self.is_frozen = false;
+        self.deferred.clear();
+    }
+
+    /// What the process's clock shows at a simulated time, in whole milliseconds.
+    pub fn local_time(&self, now: Duration) -> Duration {
+        let elapsed = millis(now - self.clock_set_at);
+        self.clock_base + Duration::from_millis(elapsed * self.clock_rate_percent / 100)
+    }
+
+    /// The simulated time at which the process's clock will show `local`, one millisecond from now at the earliest.
+    pub fn time_of_local(&self, now: Duration, local: Duration) -> Duration {
+        let remaining = millis(local.saturating_sub(self.clock_base));
+        let elapsed = (remaining * 100).div_ceil(self.clock_rate_percent);
+        let at = self.clock_set_at + Duration::from_millis(elapsed);
+        at.max(now + Duration::from_millis(1))
+    }
+
+    pub fn set_clock_rate(&mut self, now: Duration, percent: u64) {
+        self.clock_base = self.local_time(now);
+        self.clock_set_at = now;
+        self.clock_rate_percent = percent;
+    }
+}
+
+fn millis(duration: Duration) -> u64 {
+    duration.as_millis() as u64
+}
--- a/crates/emberpin-simulator/tests/text.rs
+++ b/crates/emberpin-simulator/tests/parser.rs
@@ -1,11 +1,12 @@
-//! Lines that are no steps are named, with what was expected.
+//! The parser of scenarios: a line that is not a step gives an error that names it and what was expected.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
-use emberpin_simulator::text::read;
+use emberpin_simulator::scenario::parse;
 use googletest::prelude::*;
+use std::time::Duration;
 
 #[gtest]
-fn a_bad_line_is_named_with_what_was_expected() {
+fn a_line_that_is_not_a_step_gives_its_number_and_what_was_expected() {
     let bad = [
         ("corez 5", "one of cores,"),
         ("cores", "how many machines, not the end"),
@@ -57,23 +58,23 @@
     ];
     for (text, expected) in bad {
         let line = text.lines().count() + 1;
-        let wrong = read("some.scn", &format!("# A remark.\n{text}\n"));
-        let named = displays_as(all!(
+        let result = parse("some.scn", &format!("# A remark.\n{text}\n"));
+        let error = displays_as(all!(
             starts_with(format!("some.scn:{line}: expected ")),
             contains_substring(expected.to_owned())
         ));
-        expect_that!(wrong, err(named), "{text}");
+        expect_that!(result, err(error), "{text}");
     }
 }
 
 #[gtest]
-fn remarks_and_empty_lines_are_no_steps() {
-    let scenario = read(
+fn comments_and_empty_lines_are_not_steps() {
+    let scenario = parse(
         "some.scn",
         "# One.\n\ncores 5 # five\nat 2s kill core-1 # now\n",
     );
     let scenario = scenario.expect("a scenario");
     expect_that!(scenario.cores, eq(5));
     expect_that!(scenario.steps.len(), eq(1));
-    expect_that!(scenario.end, eq(2_000));
+    expect_that!(scenario.end, eq(Duration::from_secs(2)));
 }
--- a/crates/emberpin-simulator/tests/scenarios.rs
+++ b/crates/emberpin-simulator/tests/scenarios.rs
@@ -1,13 +1,13 @@
-//! Every scenario holds on the right build, and fails on each build that lacks one of its guards.
+//! Every scenario holds on the system, and fails on each mutant that it names.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
-use emberpin_simulator::builds::{Build, WRONG};
-use emberpin_simulator::play::play;
-use emberpin_simulator::text::{read, Scenario};
+use emberpin_simulator::mutants::{Guards, MUTANTS};
+use emberpin_simulator::runner::run;
+use emberpin_simulator::scenario::{parse, Scenario};
 use googletest::prelude::*;
 use std::collections::BTreeSet;
 use std::fs;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
 fn scenarios() -> Vec<Scenario> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
@@ -16,22 +16,20 @@
         .map(|entry| entry.expect("one").path())
         .collect();
     paths.sort();
-    let read = |path: &std::path::PathBuf| {
-        let name = path
-            .file_name()
-            .and_then(|name| name.to_str())
-            .expect("a name");
-        read(name, &fs::read_to_string(path).expect("a text"))
-            .unwrap_or_else(|wrong| panic!("{wrong}"))
-    };
-    paths.iter().map(read).collect()
+    paths.iter().map(read_scenario).collect()
+}
+
+fn read_scenario(path: &PathBuf) -> Scenario {
+    let name = path.file_name().and_then(|name| name.to_str());
+    let text = fs::read_to_string(path).expect("the file can be read");
+    parse(name.expect("the file has a name"), &text).unwrap_or_else(|error| panic!("{error}"))
 }
 
 #[gtest]
-fn each_scenario_holds_on_the_right_build() {
+fn each_scenario_holds() {
     for scenario in scenarios() {
         expect_that!(
-            play(&scenario, Build::default()),
+            run(&scenario, Guards::default()),
             ok(anything()),
             "{}",
             scenario.name
@@ -40,50 +38,50 @@
 }
 
 #[gtest]
-fn each_scenario_fails_without_its_guard() {
+fn each_scenario_fails_on_its_mutants() {
     for scenario in scenarios() {
         expect_that!(
-            scenario.wrong.len(),
+            scenario.mutants.len(),
             gt(0),
-            "{} names no wrong build",
+            "{} names no mutant",
             scenario.name
         );
-        for wrong in &scenario.wrong {
-            let mut build = Build::default();
-            assert!(build.without(wrong));
-            match play(&scenario, build) {
-                Err(failure) => println!("{wrong}: {failure}"),
-                Ok(_) => add_failure!("{} holds without its guard: {wrong}", scenario.name),
+        for mutant in &scenario.mutants {
+            let mut guards = Guards::default();
+            assert!(guards.disable(mutant));
+            match run(&scenario, guards) {
+                Err(failure) => println!("{mutant}: {failure}"),
+                Ok(_) => add_failure!("{} holds on the mutant {mutant}", scenario.name),
             }
         }
     }
 }
 
 #[gtest]
-fn a_scenario_plays_the_same_twice() {
+fn a_scenario_runs_the_same_twice() {
     for scenario in scenarios() {
         expect_that!(
-            play(&scenario, Build::default()),
-            eq(&play(&scenario, Build::default()))
+            run(&scenario, Guards::default()),
+            eq(&run(&scenario, Guards::default()))
         );
     }
 }
 
-/// Guards that no scenario covers; the tests of the stores' own core cause them message by message.
+/// Mutants that no scenario names; the tests of `emberpin-consensus` detect them message by message.
 const UNCOVERED: [&str; 3] = ["no-joint", "no-lacking", "no-ballot"];
 
 #[gtest]
-fn every_guard_has_a_scenario() {
+fn every_mutant_has_a_scenario() {
     let all = scenarios();
     let covered: BTreeSet<&str> = all
         .iter()
-        .flat_map(|scenario| &scenario.wrong)
+        .flat_map(|scenario| &scenario.mutants)
         .map(String::as_str)
         .collect();
-    let bare: Vec<&str> = WRONG
+    let uncovered: Vec<&str> = MUTANTS
         .iter()
         .copied()
-        .filter(|wrong| !covered.contains(wrong))
+        .filter(|mutant| !covered.contains(mutant))
         .collect();
-    expect_that!(bare, eq(&UNCOVERED.to_vec()));
+    expect_that!(uncovered, eq(&UNCOVERED.to_vec()));
 }
--- a/crates/emberpin-simulator/tests/search.rs
+++ b/crates/emberpin-simulator/tests/search.rs
@@ -1,12 +1,12 @@
-//! Scenarios drawn from seeds hold, and find wrong builds.
+//! The scenarios of seeds hold, and detect mutants.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
-use emberpin_simulator::builds::Build;
-use emberpin_simulator::search::{draw, search};
-use emberpin_simulator::text::read;
+use emberpin_simulator::mutants::Guards;
+use emberpin_simulator::scenario::parse;
+use emberpin_simulator::search::{generate, search};
 use googletest::prelude::*;
 
-/// On so many threads.
+/// The threads that a search runs on.
 const THREADS: usize = 3;
 
 #[gtest]
@@ -15,30 +15,30 @@
         .ok()
         .and_then(|seeds| seeds.parse().ok())
         .unwrap_or(120);
-    let found = search(0..seeds, THREADS, 1, Build::default());
-    for (seed, failure, text) in &found.failures {
-        add_failure!("seed {seed}: {failure}\n{text}");
+    let result = search(0..seeds, THREADS, 1, Guards::default());
+    for failed in &result.failures {
+        add_failure!("seed {}: {}\n{}", failed.seed, failed.failure, failed.text);
     }
-    println!("{} seeds: {:?}", found.played, found.sum);
-    expect_that!(found.played, eq(seeds));
-    // It isn't empty what was asserted.
-    expect_that!(found.sum.cold_sent, gt(0));
-    expect_that!(found.sum.applied, gt(0));
-    expect_that!(found.sum.acknowledged, gt(0));
+    println!("{} seeds: {}", result.runs, result.total);
+    expect_that!(result.runs, eq(seeds));
+    // Something was asserted.
+    expect_that!(result.total.slow_start_requests, gt(0));
+    expect_that!(result.total.effect_checks, gt(0));
+    expect_that!(result.total.acknowledged_calls, gt(0));
 }
 
 #[gtest]
-fn what_is_drawn_can_be_read_and_is_the_same_each_time() {
+fn a_seed_gives_the_same_valid_scenario_each_time() {
     for seed in 0..50 {
-        expect_that!(read("seed", &draw(seed)), ok(anything()));
-        expect_that!(draw(seed), eq(&draw(seed)));
+        expect_that!(parse("seed", &generate(seed)), ok(anything()));
+        expect_that!(generate(seed), eq(&generate(seed)));
     }
 }
 
-/// Each is found among so many seeds.
+/// Each is detected by one of so many seeds.
 #[gtest]
-fn wrong_builds_are_found() {
-    for wrong in [
+fn mutants_are_detected() {
+    for mutant in [
         "no-promise",
         "no-carry",
         "no-newest",
@@ -47,12 +47,12 @@
         "no-place",
         "no-admission",
     ] {
-        let mut build = Build::default();
-        expect_that!(build.without(wrong), eq(true));
-        let found = search(0..120, THREADS, 1, build);
-        match found.failures.first() {
-            Some((_, failure, _)) => println!("{wrong}: {failure}"),
-            None => add_failure!("{wrong} holds over {} seeds", found.played),
+        let mut guards = Guards::default();
+        expect_that!(guards.disable(mutant), eq(true));
+        let result = search(0..120, THREADS, 1, guards);
+        match result.failures.first() {
+            Some(failed) => println!("{mutant}: {}", failed.failure),
+            None => add_failure!("{mutant} holds over {} seeds", result.runs),
         }
     }
 }
