--- a/crates/emberpin-ctl/src/client.rs
+++ b/crates/emberpin-ctl/src/client.rs
@@ -230,7 +230,7 @@
 ///
 /// # Errors
 ///
-/// [`AttemptError`] if there is no whole response in time. Any status is a response.
+/// [`AttemptError`] if there is no complete response in time. Any status is a response.
 pub async fn send(address: &str, request: &Request) -> Result<Response, AttemptError> {
     let limit = request.response_timeout();
     timeout(limit, exchange(address, request))
--- a/crates/emberpin-ctl/src/fleet.rs
+++ b/crates/emberpin-ctl/src/fleet.rs
@@ -7,7 +7,7 @@
 use std::net::IpAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// How often a registry is asked for its status before it counts as unreachable.
+/// How many attempts a registry gets to report its status before it counts as unreachable.
 const STATUS_ATTEMPTS: usize = 2;
 
 /// What one registry reported.
@@ -46,7 +46,7 @@
     Invalid(#[from] ValidationError),
 }
 
-/// What a whole fleet reported.
+/// What all registries of a fleet reported.
 #[derive(Debug)]
 pub struct FleetReport {
     /// One report for each registry.
@@ -64,8 +64,8 @@
     }
 }
 
-/// Asks the registries at these addresses for their status, then those that they name, until every registry that is
-/// named was asked; and one of them for the configuration.
+/// Requests the status of the registries at these addresses, and of those that they name in turn, each once; then the
+/// configuration.
 pub async fn collect(addresses: &[String]) -> FleetReport {
     let registries = collect_registries(addresses).await;
     let services = configuration(addresses).await.map(|configuration| {
@@ -82,10 +82,10 @@
 }
 
 async fn collect_registries(addresses: &[String]) -> Vec<RegistryReport> {
-    let (mut asked, mut reports) = (BTreeSet::new(), Vec::new());
+    let (mut requested, mut reports) = (BTreeSet::new(), Vec::new());
     let mut next: Vec<String> = addresses.to_vec();
     while !next.is_empty() {
-        next.retain(|address| asked.insert(address.clone()));
+        next.retain(|address| requested.insert(address.clone()));
         let requests: Vec<_> = next
             .drain(..)
             .map(|address| tokio::spawn(request_status(address)))
--- a/crates/emberpin-ctl/src/status.rs
+++ b/crates/emberpin-ctl/src/status.rs
@@ -8,7 +8,7 @@
 pub struct Status {
     /// The name of the registry's machine.
     pub name: String,
-    /// Whether it is in contact with its store and a majority of the registries.
+    /// Whether it is in contact with its store and a majority of the registries: `settled` to the operator.
     pub settled: bool,
     /// The machines whose stores vote, as it knows them, in order.
     pub voters: Vec<String>,
--- a/crates/emberpin-registry/src/commands.rs
+++ b/crates/emberpin-registry/src/commands.rs
@@ -19,22 +19,22 @@
     Heartbeat {
         /// The instance as the heartbeat describes it.
         instance: Instance,
-        /// Receives the reply. Dropped if there is none, which the server is told as 503.
+        /// Receives the reply. If it is dropped instead, the server gets a 503.
         response: oneshot::Sender<ServerReply>,
     },
     /// A server leaves.
     Leave {
         /// The id of its instance.
         instance_id: String,
-        /// Receives the reply. Dropped if there is none, which the server is told as 503.
+        /// Receives the reply. If it is dropped instead, the server gets a 503.
         response: oneshot::Sender<ServerReply>,
     },
-    /// The HTTP API asks which registry can serve a call of the operator.
+    /// A call of the operator has arrived, which this registry serves or redirects.
     FindOperatorCallTarget {
         /// Receives the target.
         response: oneshot::Sender<OperatorCallTarget>,
     },
-    /// The operator asks for the registry's status.
+    /// `GET /status` of the operator.
     Status {
         /// The disk of the store on this machine, once that store has reported it.
         local_disk: Option<DiskStatus>,
--- a/crates/emberpin-registry/src/host.rs
+++ b/crates/emberpin-registry/src/host.rs
@@ -1,5 +1,5 @@
-//! The event loop of the registry: the only owner of the state machine. It takes commands one after the other, and
-//! applies the actions that the state machine asks for.
+//! The event loop of the registry: the only owner of the state machine. It handles commands one after the
+//! other, and applies the actions that the state machine requests.
 
 use crate::commands::{self, Command, CommandSender};
 use crate::connection::{FrameSender, UnreadableFrames};
--- a/crates/emberpin-registry/src/http_api/calls.rs
+++ b/crates/emberpin-registry/src/http_api/calls.rs
@@ -24,7 +24,7 @@
 const MAX_CHANGE_BYTES: usize = (8 << 20) - 1024;
 /// The longest body of any other call.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// A server's call is answered within this time: after a second of silence the server calls another registry.
+/// A server's call is answered within this time: after a second without a response the server calls another registry.
 const HEARTBEAT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
 /// A call of the operator is answered within this time: `emberpinctl` passes a registry over after a second.
 const OPERATOR_RESPONSE_TIMEOUT: Duration = Duration::from_millis(950);
@@ -207,8 +207,9 @@
         }
     }
 
-    /// The response to a call that cannot be confirmed here: 307 to a registry that was settled when it was last
-    /// heard; 503 if none is known, or if the call was redirected already. `None` if it is to be served here.
+    /// The response to a call that this registry cannot serve, as its store has confirmed nothing recently: 307 to a
+    /// peer that could at its last heartbeat; 503 if there is none, or if the call was redirected already. `None` if
+    /// this registry serves it.
     async fn redirect(&self, uri: &Uri) -> Option<HttpResponse> {
         let (response, target) = oneshot::channel();
         self.commands
--- a/crates/emberpin-registry/src/http_api/request_body.rs
+++ b/crates/emberpin-registry/src/http_api/request_body.rs
@@ -1,4 +1,4 @@
-//! Request bodies, read whole under a limit of size and of silence.
+//! Request bodies, read completely within a limit of size and an idle time-out.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -41,7 +41,7 @@
     }
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 ///
 /// # Errors
 ///
--- a/crates/emberpin-registry/src/store_state.rs
+++ b/crates/emberpin-registry/src/store_state.rs
@@ -8,8 +8,8 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The store on this machine counts as unreachable after this time without a frame from it; another voter's store
-/// then takes its place.
+/// The store on this machine counts as unreachable after this time without a frame from it; another voter's store is
+/// then the fallback.
 pub const LOCAL_STORE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What this registry knows of the stores.
--- a/crates/emberpin-registry/src/store_subscription.rs
+++ b/crates/emberpin-registry/src/store_subscription.rs
@@ -1,6 +1,6 @@
 //! The subscription to a store's items and status.
 //!
-//! The store on this machine comes first; while it is silent, another voter's store takes its place. Items merge by
+//! The store on this machine is preferred; while it is unreachable, another voter's store is the fallback. Items merge by
 //! their versions, so it does no harm if both are subscribed to for a moment.
 
 use crate::backoff::Backoff;
@@ -22,14 +22,14 @@
 
 /// A subscription without a frame for longer is broken: a store sends its status at least twice a second.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// How often it is checked whether another store must take the place of the one on this machine: twice within
+/// How often it is checked whether the fallback is needed: twice within
 /// [`crate::store_state::LOCAL_STORE_TIMEOUT`].
 const FALLBACK_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Why a subscription ended.
 #[derive(Debug, thiserror::Error)]
 enum SubscriptionError {
-    /// The connection failed, or fell silent.
+    /// The connection failed or timed out.
     #[error(transparent)]
     Connection(#[from] ConnectionError),
     /// A fallback is no longer needed.
@@ -80,7 +80,7 @@
         }
     }
 
-    /// While the store on this machine is silent, subscribes to the other stores in turn.
+    /// While the store on this machine is unreachable, subscribes to the other stores in turn.
     async fn run_fallback_subscription(self: Arc<StoreSubscription>) {
         let mut turn = 0;
         loop {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Subscribes to one store until the connection breaks, falls silent, or is a fallback that is no longer needed.
+    /// Subscribes to one store until the connection breaks, times out, or is a fallback that is no longer needed.
     async fn subscribe(&self, store: Ipv4Addr) -> SubscriptionError {
         match self.run_subscription(store).await {
             Ok(never) => match never {},
--- a/crates/emberpin-registry/src/tcp.rs
+++ b/crates/emberpin-registry/src/tcp.rs
@@ -21,7 +21,7 @@
 pub struct ListenError {
     /// Which of the process's listeners: `ctl` or `registry`.
     pub listener: &'static str,
-    /// The address that was asked for.
+    /// The address that could not be bound.
     pub address: SocketAddr,
     /// What the system reports.
     pub source: io::Error,
