--- a/crates/emberpin-membership/src/candidates.rs
+++ b/crates/emberpin-membership/src/candidates.rs
@@ -84,7 +84,8 @@
         known
     }
 
-    /// Takes note that the session of a slot has ended. Its registry is avoided for a while if it was unconfirmed.
+    /// Takes note that the session of a slot has ended. Its registry is avoided for a while if it was unconfirmed,
+    /// unless too many are avoided already.
     pub fn on_session_ended(&mut self, now: Timestamp, slot: usize, confirmation: Confirmation) {
         let Some(registry) = self.in_use.remove(&slot) else {
             return;
--- a/crates/emberpin-membership/src/registry.rs
+++ b/crates/emberpin-membership/src/registry.rs
@@ -6,14 +6,16 @@
 //! paid for.
 //!
 //! One file for each concern: [`events`](Event) has the inputs and actions, `servers` the calls of servers, `shutdown`
-//! the acknowledgement of their drains and ends, `peers` the other registries, `sessions` and `snapshot` the proxies,
-//! `configuration` the store, `quorum` what may be confirmed, `timers` everything periodic, `status` what the operator
-//! sees.
+//! the acknowledgement of their drains and ends, `peers` the other registries, `replication` what they send each other
+//! about instances, `sessions`, `snapshot` and `repair` the proxies, `configuration` the store, `quorum` what may be
+//! confirmed, `timers` everything periodic, `status` what the operator sees.
 
 mod configuration;
 mod events;
 mod peers;
 mod quorum;
+mod repair;
+mod replication;
 mod servers;
 mod sessions;
 mod shutdown;
--- a/crates/emberpin-membership/src/registry/events.rs
+++ b/crates/emberpin-membership/src/registry/events.rs
@@ -45,8 +45,8 @@
         /// The id of the server's instance.
         instance_id: String,
     },
-    /// The store that is followed has delivered configuration items. An item that is older than the known one is
-    /// ignored.
+    /// The store that is followed has delivered configuration items. An item that is no newer than the known
+    /// one is ignored.
     Items(Vec<Item>),
     /// The store that is followed has named the machines whose stores vote. Their registries make up the majority.
     VotersChanged(Vec<Ipv4Addr>),
@@ -155,7 +155,7 @@
         /// Identifies the query.
         nonce: Nonce,
     },
-    /// Close a proxy's connection; no [`Event::SessionClosed`] is expected.
+    /// Close a proxy's connection. The registry does not know the session any more.
     CloseSession {
         /// The session to close.
         session: SessionId,
--- a/crates/emberpin-membership/src/registry/peers.rs
+++ b/crates/emberpin-membership/src/registry/peers.rs
@@ -1,13 +1,13 @@
 //! The other registries: connections and contact with them, change notification, and anti-entropy by digests.
 
+use super::replication::RecordSource;
 use super::{Action, Registry};
 use crate::clock::Timestamp;
-use crate::ids::{AckId, Digest, Nonce};
+use crate::ids::{Digest, Nonce};
 use crate::lease::Lease;
-use crate::peers::{Ack, InstanceRecord, ProxyIdentity, RegistryMessage};
+use crate::peers::{ProxyIdentity, RegistryMessage};
 use crate::timing::{PEER_HEARTBEAT_INTERVAL, REGISTRY_LEASE_DURATION};
 use std::collections::btree_map::Entry;
-use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
@@ -49,15 +49,6 @@
     }
 }
 
-/// Where records of instances come from.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum RecordSource {
-    /// A change notification.
-    Changes,
-    /// A table that was sent as a whole, which may list what has long been known.
-    Table,
-}
-
 impl Registry {
     /// Connects to the registries of the voters, and drops other peers that have not been in contact for long.
     pub(super) fn update_peers(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
@@ -174,23 +165,6 @@
         true
     }
 
-    fn on_changed(
-        &mut self,
-        now: Timestamp,
-        from: Ipv4Addr,
-        ack_id: Option<AckId>,
-        instances: Vec<InstanceRecord>,
-        actions: &mut Vec<Action>,
-    ) {
-        self.merge_records(now, from, instances, RecordSource::Changes, actions);
-        if let Some(ack_id) = ack_id {
-            actions.push(Action::AcknowledgePeer {
-                peer: from,
-                ack: Ack { ack_id },
-            });
-        }
-    }
-
     /// Answers a heartbeat, and requests the instances that the sender owns if its digest differs.
     fn on_peer_heartbeat(
         &mut self,
@@ -231,42 +205,6 @@
         }
     }
 
-    fn on_fetch_owned(&mut self, now: Timestamp, from: Ipv4Addr, actions: &mut Vec<Action>) {
-        let instances = self
-            .instances
-            .owned_by(self.config.address)
-            .map(|(_, entry)| entry.record(now))
-            .collect();
-        actions.push(Action::SendToPeers {
-            peers: vec![from],
-            message: RegistryMessage::OwnedInstances { instances },
-        });
-    }
-
-    /// Merges the instances that the sender owns; others that it was taken for the owner of have none now.
-    fn on_owned_instances(
-        &mut self,
-        now: Timestamp,
-        from: Ipv4Addr,
-        instances: Vec<InstanceRecord>,
-        actions: &mut Vec<Action>,
-    ) {
-        let listed: BTreeSet<&str> = instances
-            .iter()
-            .map(|record| record.instance.id.as_str())
-            .collect();
-        let unlisted: Vec<String> = self
-            .instances
-            .owned_by(from)
-            .map(|(id, _)| id.clone())
-            .filter(|id| !listed.contains(id.as_str()))
-            .collect();
-        for id in unlisted {
-            self.instances.clear_owner(now, &id);
-        }
-        self.merge_records(now, from, instances, RecordSource::Table, actions);
-    }
-
     fn on_proxy_sessions(&mut self, now: Timestamp, from: Ipv4Addr, proxies: Vec<ProxyIdentity>) {
         if let Some(peer) = self.peers.get_mut(&from) {
             peer.proxies = proxies;
@@ -274,51 +212,6 @@
         self.count_proxies(now);
     }
 
-    /// Merges records from another registry. Drains and ends that were not known are passed on once, as their sender may
-    /// fail before it has reached everybody.
-    fn merge_records(
-        &mut self,
-        now: Timestamp,
-        from: Ipv4Addr,
-        records: Vec<InstanceRecord>,
-        source: RecordSource,
-        actions: &mut Vec<Action>,
-    ) {
-        let mut shutdowns = Vec::new();
-        for mut record in records {
-            let id = record.instance.id.clone();
-            // A sender without contact to the instance's owner cannot know that its heartbeats have stopped.
-            record.expired &= !self.hears_from_owner(now, &id, from);
-            let outcome = self.instances.merge(now, record);
-            self.on_merged(now, &id, outcome, source == RecordSource::Changes);
-            // Tables list many ends that everybody knows.
-            let is_news = source == RecordSource::Changes || !outcome.is_new;
-            if outcome.shutdown_reported && is_news {
-                shutdowns.push(id);
-            }
-        }
-        let others = self.connected_peers();
-        let others = others.into_iter().filter(|peer| *peer != from).collect();
-        self.replicate_to(now, others, &shutdowns, actions);
-    }
-
-    /// Whether this registry is, or is in contact with, the owner of an instance; not if the owner is `sender`, who
-    /// speaks for itself.
-    fn hears_from_owner(&self, now: Timestamp, instance_id: &str, sender: Ipv4Addr) -> bool {
-        let owner = self
-            .instances
-            .get(instance_id)
-            .and_then(|entry| entry.owner);
-        let Some(owner) = owner.filter(|owner| *owner != sender) else {
-            return false;
-        };
-        owner == self.config.address
-            || self
-                .peers
-                .get(&owner)
-                .is_some_and(|peer| peer.is_in_contact(now))
-    }
-
     /// Sends a heartbeat to one peer, which is also the query that renews the lease on it.
     pub(super) fn send_heartbeat(
         &mut self,
@@ -350,38 +243,4 @@
             .map(|(address, _)| *address)
             .collect()
     }
-
-    /// Sends the records of changed instances to all connected peers.
-    pub(super) fn replicate(
-        &self,
-        now: Timestamp,
-        instance_ids: &[String],
-        actions: &mut Vec<Action>,
-    ) {
-        self.replicate_to(now, self.connected_peers(), instance_ids, actions);
-    }
-
-    fn replicate_to(
-        &self,
-        now: Timestamp,
-        peers: Vec<Ipv4Addr>,
-        instance_ids: &[String],
-        actions: &mut Vec<Action>,
-    ) {
-        if instance_ids.is_empty() || peers.is_empty() {
-            return;
-        }
-        let instances = instance_ids
-            .iter()
-            .filter_map(|id| self.instances.get(id))
-            .map(|entry| entry.record(now))
-            .collect();
-        actions.push(Action::SendToPeers {
-            peers,
-            message: RegistryMessage::Changed {
-                ack_id: None,
-                instances,
-            },
-        });
-    }
 }
--- /dev/null
+++ b/crates/emberpin-membership/src/registry/repair.rs
@@ -0,0 +1,81 @@
+//! Repair from proxies: they keep the instances that they know when registries lose them.
+
+use super::servers::AddressConflict;
+use super::{Action, Registry};
+use crate::clock::Timestamp;
+use crate::instance::{Instance, Status};
+use crate::peers::InstanceRecord;
+
+impl Registry {
+    /// Restores what the registries have lost from the instances that a proxy knows. Gives the ids of those that the
+    /// proxy knows with another status than this registry.
+    pub(super) fn repair_from_proxy(
+        &mut self,
+        now: Timestamp,
+        instances: Vec<Instance>,
+        actions: &mut Vec<Action>,
+    ) -> Vec<String> {
+        let mut learned = Vec::new();
+        let mut outdated = Vec::new();
+        for instance in instances {
+            let id = instance.id.clone();
+            match self.instances.get(&id) {
+                None => {
+                    self.merge_from_proxy(now, &id, unknown_instance_record(instance));
+                    learned.push(id);
+                }
+                Some(entry)
+                    if instance.status == Status::Draining
+                        && entry.reported_status() == Status::Up =>
+                {
+                    let seq = instance.seq.min(entry.seq());
+                    let instance = Instance { seq, ..instance };
+                    self.merge_from_proxy(now, &id, unowned_record(instance));
+                    learned.push(id);
+                }
+                Some(entry) if entry.status() != instance.status => outdated.push(id),
+                Some(_) => {}
+            }
+        }
+        self.assume_learned_cold(now, &learned);
+        self.replicate(now, &learned, actions);
+        outdated
+    }
+
+    fn merge_from_proxy(&mut self, now: Timestamp, id: &str, record: InstanceRecord) {
+        let outcome = self.instances.merge(now, record);
+        self.on_merged(now, id, outcome, AddressConflict::Ignore);
+    }
+
+    /// Assumes that instances that were learned from a proxy are cold if the evacuation of their zone may have just
+    /// ended: the proxy may know them from before.
+    fn assume_learned_cold(&mut self, now: Timestamp, learned: &[String]) {
+        self.returned_zones.retain(|_, until| now < *until);
+        let zones: Vec<String> = self.returned_zones.keys().cloned().collect();
+        for zone in zones {
+            self.assume_cold(now, &zone, |id, entry| {
+                entry.owner.is_none() && learned.iter().any(|learned| learned == id)
+            });
+        }
+    }
+}
+
+/// The record of an instance that only a proxy knows. If it is removed, it may merely have been evicted, which a later
+/// heartbeat is to undo.
+fn unknown_instance_record(instance: Instance) -> InstanceRecord {
+    let expired = instance.status == Status::Removed;
+    let status = if expired { Status::Up } else { instance.status };
+    InstanceRecord {
+        instance: Instance { status, ..instance },
+        expired,
+        owner: None,
+    }
+}
+
+fn unowned_record(instance: Instance) -> InstanceRecord {
+    InstanceRecord {
+        instance,
+        expired: false,
+        owner: None,
+    }
+}
--- a/crates/emberpin-membership/src/registry/servers.rs
+++ b/crates/emberpin-membership/src/registry/servers.rs
@@ -10,9 +10,17 @@
 use crate::rendezvous;
 use std::net::Ipv4Addr;
 
+/// What becomes of instances that had the address of a new instance before.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum AddressConflict {
+    /// They are evicted, even if their servers have not reported their end.
+    Evict,
+    /// They stay: the new instance may only be new to this registry.
+    Ignore,
+}
+
 impl Registry {
-    /// Takes a heartbeat in and replies at once, but to the first one that reports a drain: its reply waits for a
-    /// majority.
+    /// Takes a heartbeat in and replies at once, unless it reports a drain that no majority has yet.
     pub(super) fn on_heartbeat(
         &mut self,
         now: Timestamp,
@@ -29,13 +37,13 @@
             owner: Some(self.config.address),
         };
         let outcome = self.instances.merge(now, record);
-        let mut changed = self.on_merged(now, &id, outcome, true);
+        let mut changed = self.on_merged(now, &id, outcome, AddressConflict::Evict);
         let is_replicated = self
             .instances
             .get(&id)
             .is_some_and(|entry| entry.is_replicated || entry.reported_status() == Status::Removed);
         let may_reply = reported == Status::Up || is_replicated;
-        if may_reply && (outcome.is_visible || outcome.owner_changed) {
+        if may_reply && (outcome.visibly_changed || outcome.owner_changed) {
             changed.push(id.clone());
         }
         self.replicate(now, &changed, actions);
@@ -75,7 +83,7 @@
         actions: &mut Vec<Action>,
     ) {
         let outcome = self.instances.leave(now, &instance_id);
-        self.on_merged(now, &instance_id, outcome, false);
+        self.on_merged(now, &instance_id, outcome, AddressConflict::Ignore);
         let is_replicated = self
             .instances
             .get(&instance_id)
@@ -90,23 +98,26 @@
         }
     }
 
-    /// Records what a merge has changed. With `may_displace`, a new instance evicts those that had its address before;
-    /// their ids are given back.
+    /// Records what a merge has changed. On an address conflict, gives the ids of the instances that were evicted.
     pub(super) fn on_merged(
         &mut self,
         now: Timestamp,
         instance_id: &str,
         outcome: MergeOutcome,
-        may_displace: bool,
+        address_conflict: AddressConflict,
     ) -> Vec<String> {
-        if outcome.is_visible {
+        if outcome.visibly_changed {
             self.record_change(now, Change::Instance(instance_id.to_string()));
         }
         let is_up = self
             .instances
             .get(instance_id)
             .is_some_and(|entry| entry.status() == Status::Up);
-        if !(outcome.is_new && may_displace && is_up && self.guards.displacement) {
+        if !(outcome.is_new
+            && address_conflict == AddressConflict::Evict
+            && is_up
+            && self.guards.displacement)
+        {
             return Vec::new();
         }
         let displaced = self.instances.evict_displaced(now, instance_id);
--- a/crates/emberpin-membership/src/session.rs
+++ b/crates/emberpin-membership/src/session.rs
@@ -113,7 +113,7 @@
         instances: Vec<Instance>,
     },
     /// Sent every [`crate::timing::KEEP_ALIVE_INTERVAL`] while the session lasts, and answered by
-    /// [`ToProxy::Confirmation`]. A registry closes a session without one for two seconds.
+    /// [`ToProxy::Confirmation`]. A registry closes a session without a message for two seconds.
     KeepAlive {
         /// The revision up to which every change is in force at the proxy; `None` until its snapshot is complete.
         applied: Option<Revision>,
