--- a/crates/emberpin-proxy/src/controller/control_sessions.rs
+++ b/crates/emberpin-proxy/src/controller/control_sessions.rs
@@ -85,7 +85,7 @@
                 .values_mut()
                 .for_each(|service| service.set_proxy_count(proxy_count));
         }
-        self.router.set_limiter_count(self.now(), proxy_count);
+        self.router.set_proxy_count(self.now(), proxy_count);
         let has_configuration = !self.configuration.is_empty() && !self.services.is_empty();
         if self.session_sync.is_synced(session) && has_configuration && !self.published.set_ready()
         {
--- a/crates/emberpin-routing/src/endpoints/endpoint.rs
+++ b/crates/emberpin-routing/src/endpoints/endpoint.rs
@@ -1,4 +1,4 @@
-//! One known instance with what this limiter has concluded about it.
+//! One known instance with what this proxy has concluded about it.
 
 use emberpin_membership::instance::{Instance, Status};
 use std::time::Duration;
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The end of the warm-up on the limiter's clock.
+    /// The end of the warm-up on the proxy's clock.
     pub(super) fn warmup_until(&self) -> Duration {
         match self.after_evacuation {
             Some(assumed) => self.reported_warmup_until.max(assumed.until),
@@ -118,7 +118,7 @@
             .is_some_and(|seq| self.instance.seq <= seq)
     }
 
-    /// The instance as this limiter reports it to a registry, with the whole milliseconds that are left of its warm-up.
+    /// The instance as this proxy reports it to a registry, with the whole milliseconds that are left of its warm-up.
     pub(super) fn to_report(&self, now: Duration) -> Instance {
         let remaining = self.warmup_until().saturating_sub(now).as_millis();
         Instance {
--- a/crates/emberpin-routing/src/endpoints/mod.rs
+++ b/crates/emberpin-routing/src/endpoints/mod.rs
@@ -1,4 +1,4 @@
-//! The instances of servers that this limiter knows, and which of them may get requests now.
+//! The instances of servers that this proxy knows, and which of them may get requests now.
 //!
 //! Of two reports about an instance the one with the later status wins, then the one with the higher sequence number,
 //! in whatever order they arrive; so a late `Up` after `Drain` has no effect. Reports only add and change: an instance
@@ -31,7 +31,7 @@
     Partial,
 }
 
-/// All instances that this limiter knows. All times are on its monotonic clock.
+/// All instances that this proxy knows. All times are on its monotonic clock.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     heartbeat_interval: Duration,
--- a/crates/emberpin-routing/src/guards.rs
+++ b/crates/emberpin-routing/src/guards.rs
@@ -1,6 +1,6 @@
 //! Safety checks that a test can switch off, to show that it would notice their absence.
 
-/// The safety checks of a limiter's choice of servers. All are on outside tests.
+/// The safety checks of a proxy's choice of servers. All are on outside tests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Guards {
     /// The reported status of an instance only advances, in whatever order reports arrive.
@@ -9,9 +9,9 @@
     pub warmup_after_evacuation: bool,
     /// A new instance sends nothing to warming servers before the requests of its last instance are over.
     pub quiet_period: bool,
-    /// The highest limiter count that was reported stays in force.
-    pub highest_limiter_count: bool,
-    /// Where not all limiters may send requests to a warming server, only those with a low hash do.
+    /// The highest proxy count that was reported stays in force.
+    pub highest_proxy_count: bool,
+    /// Where not all proxies may send requests to a warming server, only those with a low hash do.
     pub hashed_admission: bool,
     /// A request in flight follows the newest routes.
     pub newest_routes: bool,
@@ -23,7 +23,7 @@
             monotonic_status: true,
             warmup_after_evacuation: true,
             quiet_period: true,
-            highest_limiter_count: true,
+            highest_proxy_count: true,
             hashed_admission: true,
             newest_routes: true,
         }
--- a/crates/emberpin-routing/src/retry_budget.rs
+++ b/crates/emberpin-routing/src/retry_budget.rs
@@ -1,31 +1,31 @@
-//! The retry budget: how often this limiter may send a request to a server after its first one. Hedged requests count
+//! The retry budget: how often this proxy may send a request to a server after its first one. Hedged requests count
 //! as retries.
 //!
-//! The rule is a sum over all limiters: in every window `[a, a+W]` the retries at a service stay under `ratio x
-//! requests + extra`, where the requests of `[a, a+W]` or of `[a-W, a]` count, whichever are more. The limiters do not
+//! The rule is a sum over all proxies: in every window `[a, a+W]` the retries at a service stay under `ratio x
+//! requests + extra`, where the requests of `[a, a+W]` or of `[a-W, a]` count, whichever are more. The proxies do not
 //! coordinate. Each spends at `t` only if its retries in `(t-W, t]`, this one included, are at most `ratio x SHARE x
-//! own requests in (t-W, t] + floor(extra x SHARE / limiters)`.
+//! own requests in (t-W, t] + floor(extra x SHARE / proxies)`.
 //!
-//! Why the sum holds. Let `t` be the last time in `[a, a+W]` at which an instance of any limiter retries. What it spent
+//! Why the sum holds. Let `t` be the last time in `[a, a+W]` at which an instance of any proxy retries. What it spent
 //! in `[a, a+W]` lies in `(t-W, t]`, and the requests it was counted against lie in `[a-W, a+W]`. Each request is
 //! counted by one instance only, so all instances together spend at most `ratio x SHARE x requests in [a-W, a+W]`,
-//! which with `SHARE` = 1/2 is at most `ratio x` the greater of both halves: for any number of limiters and any
+//! which with `SHARE` = 1/2 is at most `ratio x` the greater of both halves: for any number of proxies and any
 //! restarts, as a new instance knows only requests of its own. The extra is not backed by requests, and a restart
-//! forgets what was spent of it; so an instance has none before it is one window old, and two instances of a limiter
+//! forgets what was spent of it; so an instance has none before it is one window old, and two instances of a proxy
 //! never spend it in the same window. The sum of extras holds while there are at most `1 / SHARE` times as many
-//! limiters as each of them counts.
+//! proxies as each of them counts.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The part of the budget that limiters use. One half makes the sum over all of them hold, as shown above.
+/// The part of the budget that proxies use. One half makes the sum over all of them hold, as shown above.
 const SHARE: f64 = 0.5;
 /// Requests and retries are counted per slot, a sixteenth of the window, rather than one by one.
 const SLOTS_PER_WINDOW: u64 = 16;
 /// The slots that are kept: those of a window, and the one before it, which may reach into the window.
 const RING_LENGTH: usize = SLOTS_PER_WINDOW as usize + 1;
-/// The limiter count that is assumed until a registry has reported one.
-const DEFAULT_LIMITER_COUNT: u32 = 100;
+/// The proxy count that is assumed until a registry has reported one.
+const DEFAULT_PROXY_COUNT: u32 = 100;
 /// The most services that are tracked. While the table is full, other services get no retries.
 const MAX_SERVICES: usize = 4_096;
 /// The shortest window, so that a slot has a length.
@@ -48,7 +48,7 @@
     }
 }
 
-/// The retry budget of this limiter, for each service. All times are on the limiter's monotonic clock.
+/// The retry budget of this proxy, for each service. All times are on the proxy's monotonic clock.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     ratio: f64,
@@ -82,9 +82,9 @@
         }
     }
 
-    /// Whether the budget of a service allows one more retry. `limiter_count` is the number of limiters that share
+    /// Whether the budget of a service allows one more retry. `proxy_count` is the number of proxies that share
     /// `retry_extra`; 0 means that no registry has reported one, and 100 are assumed.
-    pub fn allows_retry(&self, now: Duration, service: &str, limiter_count: u32) -> bool {
+    pub fn allows_retry(&self, now: Duration, service: &str, proxy_count: u32) -> bool {
         let current = self.slot_number(now);
         let Some(ring) = self.services.get(service) else {
             return false;
@@ -100,22 +100,22 @@
         let retries: u64 = latest(SLOTS_PER_WINDOW + 1)
             .map(|slot| u64::from(slot.retries))
             .sum();
-        let extra = self.extra_retries(current, limiter_count);
+        let extra = self.extra_retries(current, proxy_count);
         (retries + 1) as f64 <= self.ratio * SHARE * requests as f64 + extra
     }
 
-    /// This limiter's part of the retries that need no requests to back them.
-    fn extra_retries(&self, current_slot: u64, limiter_count: u32) -> f64 {
+    /// This proxy's part of the retries that need no requests to back them.
+    fn extra_retries(&self, current_slot: u64, proxy_count: u32) -> f64 {
         // The instance before this one may have spent its part in the same window.
         let is_window_old = current_slot > self.first_slot + SLOTS_PER_WINDOW;
         if !is_window_old {
             return 0.0;
         }
-        let limiter_count = match limiter_count {
-            0 => DEFAULT_LIMITER_COUNT,
+        let proxy_count = match proxy_count {
+            0 => DEFAULT_PROXY_COUNT,
             reported => reported,
         };
-        (self.extra * SHARE / f64::from(limiter_count))
+        (self.extra * SHARE / f64::from(proxy_count))
             .floor()
             .max(0.0)
     }
--- a/crates/emberpin-routing/src/router.rs
+++ b/crates/emberpin-routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The routing state of one limiter: routes, endpoints and slow start together. It binds a request when its server is
+//! The routing state of one proxy: routes, endpoints and slow start together. It binds a request when its server is
 //! chosen, and afterwards while the request waits for a connection or a retry.
 
 use crate::endpoints::EndpointTable;
@@ -10,12 +10,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Routes, endpoints and slow start of one limiter. All times are on its monotonic clock.
+/// Routes, endpoints and slow start of one proxy. All times are on its monotonic clock.
 #[derive(Debug)]
 pub struct Router {
-    limiter_name: String,
+    proxy_name: String,
     tolerance: WarmupTolerance,
-    limiter_count: u32,
+    proxy_count: u32,
     /// The routes in force.
     pub routes: RouteMatcher,
     /// The known instances of servers.
@@ -24,18 +24,18 @@
 }
 
 impl Router {
-    /// The router of an instance of a limiter that starts at `now`. `heartbeat_interval` is the interval at which servers
+    /// The router of an instance of a proxy that starts at `now`. `heartbeat_interval` is the interval at which servers
     /// send heartbeats to their registries.
     pub fn new(
         now: Duration,
-        limiter_name: &str,
+        proxy_name: &str,
         tolerance: WarmupTolerance,
         heartbeat_interval: Duration,
     ) -> Router {
         Router {
-            limiter_name: limiter_name.into(),
+            proxy_name: proxy_name.into(),
             tolerance,
-            limiter_count: 0,
+            proxy_count: 0,
             routes: RouteMatcher::default(),
             endpoints: EndpointTable::new(heartbeat_interval),
             slow_start: SlowStart::new(now),
@@ -46,22 +46,22 @@
     #[doc(hidden)]
     pub fn with_guards(
         now: Duration,
-        limiter_name: &str,
+        proxy_name: &str,
         tolerance: WarmupTolerance,
         heartbeat_interval: Duration,
         guards: Guards,
     ) -> Router {
-        let mut router = Router::new(now, limiter_name, tolerance, heartbeat_interval);
+        let mut router = Router::new(now, proxy_name, tolerance, heartbeat_interval);
         router.endpoints.guards = guards;
         router.slow_start.guards = guards;
         router
     }
 
-    /// Takes in the limiter count of a registry that reaches a majority of the registries. Before the first one, no
+    /// Takes in the proxy count of a registry that reaches a majority of the registries. Before the first one, no
     /// request is admitted to a warming server.
-    pub fn set_limiter_count(&mut self, now: Duration, limiter_count: u32) {
-        self.limiter_count = limiter_count;
-        self.slow_start.set_limiter_count(now, limiter_count);
+    pub fn set_proxy_count(&mut self, now: Duration, proxy_count: u32) {
+        self.proxy_count = proxy_count;
+        self.slow_start.set_proxy_count(now, proxy_count);
     }
 
     /// The current route of a request in flight that was forwarded to `service` by the route `chosen`. The request may go
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Whether slow start allows this limiter to send a request to this instance now. Always, if it is not warming up;
+    /// Whether slow start allows this proxy to send a request to this instance now. Always, if it is not warming up;
     /// never, if it is and its service has no warm-up profile.
     pub fn slow_start_admits(&mut self, service: &str, instance_id: &str, now: Duration) -> bool {
         if !self.endpoints.is_warming_up(now, instance_id) {
@@ -108,12 +108,7 @@
             requests_per_second: profile.requests_per_second,
             tolerance: self.tolerance,
         };
-        self.slow_start.admits(
-            now,
-            instance_id,
-            &limit,
-            self.limiter_count,
-            &self.limiter_name,
-        )
+        self.slow_start
+            .admits(now, instance_id, &limit, self.proxy_count, &self.proxy_name)
     }
 }
--- a/crates/emberpin-routing/src/slow_start.rs
+++ b/crates/emberpin-routing/src/slow_start.rs
@@ -1,19 +1,19 @@
-//! Slow start: how many requests this limiter may send to a server that is warming up, so that all limiters together
-//! stay under the server's limit `B` ([`WarmupLimit::max_requests_per_second`]) in every second, also when limiters are
+//! Slow start: how many requests this proxy may send to a server that is warming up, so that all proxies together
+//! stay under the server's limit `B` ([`WarmupLimit::max_requests_per_second`]) in every second, also when proxies are
 //! partitioned, restarted or unknown to each other.
 //!
-//! The limiters do not coordinate. With `N` the highest limiter count that was reported to this instance, at least
-//! [`MIN_LIMITER_COUNT`]:
+//! The proxies do not coordinate. With `N` the highest proxy count that was reported to this instance, at least
+//! [`MIN_PROXY_COUNT`]:
 //!
-//! - `2N <= B`: each limiter may send `floor(B / 2N)` in any second. This is strict while there are at most `2N`
-//!   limiters.
-//! - `2N > B`: a limiter may send one request in any second, and only if the hash of the server's id and its own name,
-//!   as a fraction of all hashes, lies under `p`. With `2N` limiters the number of admitted ones is a binomial sum with
+//! - `2N <= B`: each proxy may send `floor(B / 2N)` in any second. This is strict while there are at most `2N`
+//!   proxies.
+//! - `2N > B`: a proxy may send one request in any second, and only if the hash of the server's id and its own name,
+//!   as a fraction of all hashes, lies under `p`. With `2N` proxies the number of admitted ones is a binomial sum with
 //!   mean `2Np`; by Chernoff's bound it exceeds `B` with a probability of at most `exp(-2N x KL((B+1)/2N || p))`, and
 //!   `p` is the greatest for which this is at most `MAX_OVERLOAD_PROBABILITY` for a server. So `B` holds even with
-//!   twice as many limiters as reported, whatever they know of each other.
+//!   twice as many proxies as reported, whatever they know of each other.
 //!
-//! The count is a lower bound of what each limiter knew: one that is partitioned keeps its highest count. An instance
+//! The count is a lower bound of what each proxy knew: one that is partitioned keeps its highest count. An instance
 //! sends nothing to warming servers before [`QUIET_PERIOD`] has passed since its start and since the count last rose by
 //! more than an eighth: the instance before it may have sent just before its end, and registries that start at the same
 //! time count up from zero.
@@ -23,60 +23,60 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// The window in which this limiter counts its requests to a warming server. It is longer than the second of the limit,
+/// The window in which this proxy counts its requests to a warming server. It is longer than the second of the limit,
 /// as a request may wait a little between its count here and its first byte on the wire.
 const WINDOW: Duration = Duration::from_millis(1_250);
-/// For how long an instance must have run, and the limiter count been steady, before requests go to warming servers.
+/// For how long an instance must have run, and the proxy count been steady, before requests go to warming servers.
 pub const QUIET_PERIOD: Duration = Duration::from_millis(2_500);
-/// The least limiter count that is assumed: the first reports after a start are too low.
-pub const MIN_LIMITER_COUNT: u32 = 8;
-/// The limits hold with up to this many times the reported limiter count.
+/// The least proxy count that is assumed: the first reports after a start are too low.
+pub const MIN_PROXY_COUNT: u32 = 8;
+/// The limits hold with up to this many times the reported proxy count.
 const COUNT_SAFETY_FACTOR: u32 = 2;
-/// A rise of the limiter count by more than this part of it starts the quiet period again.
+/// A rise of the proxy count by more than this part of it starts the quiet period again.
 const STEADY_COUNT_DIVISOR: u32 = 8;
-/// The highest probability with which more limiters are admitted to one warming server than its limit allows.
+/// The highest probability with which more proxies are admitted to one warming server than its limit allows.
 const MAX_OVERLOAD_PROBABILITY: f64 = 1e-7;
 /// Bisection steps that find the admitted fraction.
 const BISECTION_STEPS: usize = 40;
 
-/// One limiter's share of the requests to a warming server.
+/// One proxy's share of the requests to a warming server.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimiterShare {
-    /// The fraction of all limiters that may send requests, in [0, 1].
+pub struct ProxyShare {
+    /// The fraction of all proxies that may send requests, in [0, 1].
     pub admitted_fraction: f64,
-    /// The requests that each admitted limiter may send in any second.
+    /// The requests that each admitted proxy may send in any second.
     pub requests_per_second: u32,
 }
 
-impl LimiterShare {
-    /// The share for a limit on the requests of all limiters in a second and a limiter count.
-    pub fn new(limit: u32, limiter_count: u32) -> LimiterShare {
-        let assumed_count = limiter_count
-            .max(MIN_LIMITER_COUNT)
+impl ProxyShare {
+    /// The share for a limit on the requests of all proxies in a second and a proxy count.
+    pub fn new(limit: u32, proxy_count: u32) -> ProxyShare {
+        let assumed_count = proxy_count
+            .max(MIN_PROXY_COUNT)
             .saturating_mul(COUNT_SAFETY_FACTOR);
         if assumed_count <= limit {
-            return LimiterShare {
+            return ProxyShare {
                 admitted_fraction: 1.0,
                 requests_per_second: limit / assumed_count,
             };
         }
         if limit == 0 {
-            return LimiterShare {
+            return ProxyShare {
                 admitted_fraction: 0.0,
                 requests_per_second: 0,
             };
         }
-        LimiterShare {
+        ProxyShare {
             admitted_fraction: greatest_safe_fraction(limit, assumed_count),
             requests_per_second: 1,
         }
     }
 }
 
-/// The greatest probability of admission at which more than `limit` of `limiter_count` limiters are admitted with a
+/// The greatest probability of admission at which more than `limit` of `proxy_count` proxies are admitted with a
 /// probability of at most [`MAX_OVERLOAD_PROBABILITY`].
-fn greatest_safe_fraction(limit: u32, limiter_count: u32) -> f64 {
-    let (trials, overload) = (f64::from(limiter_count), f64::from(limit) + 1.0);
+fn greatest_safe_fraction(limit: u32, proxy_count: u32) -> f64 {
+    let (trials, overload) = (f64::from(proxy_count), f64::from(limit) + 1.0);
     let overload_fraction = overload / trials;
     // Chernoff's bound on the exponent; the second term of the divergence vanishes if all trials are needed.
     let is_safe = |p: f64| {
@@ -104,15 +104,15 @@
 #[derive(Clone, Copy, Debug)]
 struct CachedShare {
     limit: u32,
-    limiter_count: u32,
-    share: LimiterShare,
+    proxy_count: u32,
+    share: ProxyShare,
 }
 
-/// Admission of this limiter's requests to warming servers. All times are on the limiter's monotonic clock.
+/// Admission of this proxy's requests to warming servers. All times are on the proxy's monotonic clock.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
     quiet_until: Duration,
-    limiter_count: u32,
+    proxy_count: u32,
     recent_sends: HashMap<Box<str>, VecDeque<Duration>>,
     last_sweep: Duration,
     cached_share: Option<CachedShare>,
@@ -124,7 +124,7 @@
     pub fn new(now: Duration) -> SlowStart {
         SlowStart {
             quiet_until: now + QUIET_PERIOD,
-            limiter_count: 0,
+            proxy_count: 0,
             recent_sends: HashMap::new(),
             last_sweep: now,
             cached_share: None,
@@ -132,35 +132,35 @@
         }
     }
 
-    /// Takes in the limiter count of a registry that reaches a majority of the registries.
-    pub fn set_limiter_count(&mut self, now: Duration, limiter_count: u32) {
-        let steady = self.limiter_count / STEADY_COUNT_DIVISOR;
-        if limiter_count > self.limiter_count.saturating_add(steady) {
+    /// Takes in the proxy count of a registry that reaches a majority of the registries.
+    pub fn set_proxy_count(&mut self, now: Duration, proxy_count: u32) {
+        let steady = self.proxy_count / STEADY_COUNT_DIVISOR;
+        if proxy_count > self.proxy_count.saturating_add(steady) {
             self.quiet_until = self.quiet_until.max(now + QUIET_PERIOD);
         }
-        self.limiter_count = if self.guards.highest_limiter_count {
-            self.limiter_count.max(limiter_count)
+        self.proxy_count = if self.guards.highest_proxy_count {
+            self.proxy_count.max(proxy_count)
         } else {
-            limiter_count
+            proxy_count
         };
     }
 
-    /// Whether the limiter of this name may send one more request to a warming server now. `limiter_count` is 0 if no
+    /// Whether the proxy of this name may send one more request to a warming server now. `proxy_count` is 0 if no
     /// registry has reported one yet; then no request is admitted.
     pub fn admits(
         &mut self,
         now: Duration,
         instance_id: &str,
         limit: &WarmupLimit,
-        limiter_count: u32,
-        limiter_name: &str,
+        proxy_count: u32,
+        proxy_name: &str,
     ) -> bool {
-        self.set_limiter_count(now, limiter_count);
-        if self.limiter_count == 0 || (now < self.quiet_until && self.guards.quiet_period) {
+        self.set_proxy_count(now, proxy_count);
+        if self.proxy_count == 0 || (now < self.quiet_until && self.guards.quiet_period) {
             return false;
         }
         let share = self.share(limit.max_requests_per_second());
-        let hash = admission_hash(instance_id, limiter_name);
+        let hash = admission_hash(instance_id, proxy_name);
         if hash >= share.admitted_fraction && self.guards.hashed_admission {
             return false;
         }
@@ -193,17 +193,17 @@
         self.recent_sends.len()
     }
 
-    fn share(&mut self, limit: u32) -> LimiterShare {
-        let limiter_count = self.limiter_count;
+    fn share(&mut self, limit: u32) -> ProxyShare {
+        let proxy_count = self.proxy_count;
         match self.cached_share {
-            Some(cached) if cached.limit == limit && cached.limiter_count == limiter_count => {
+            Some(cached) if cached.limit == limit && cached.proxy_count == proxy_count => {
                 cached.share
             }
             _ => {
-                let share = LimiterShare::new(limit, limiter_count);
+                let share = ProxyShare::new(limit, proxy_count);
                 self.cached_share = Some(CachedShare {
                     limit,
-                    limiter_count,
+                    proxy_count,
                     share,
                 });
                 share
@@ -216,10 +216,10 @@
     now.saturating_sub(at) < WINDOW
 }
 
-/// The hash that decides whether a limiter is admitted to a warming server, in [0, 1). It is the same in every process
-/// and build, so that limiters that do not know of each other still agree on how many of them are admitted.
-pub fn admission_hash(instance_id: &str, limiter_name: &str) -> f64 {
-    let bytes = instance_id.bytes().chain([0]).chain(limiter_name.bytes());
+/// The hash that decides whether a proxy is admitted to a warming server, in [0, 1). It is the same in every process
+/// and build, so that proxies that do not know of each other still agree on how many of them are admitted.
+pub fn admission_hash(instance_id: &str, proxy_name: &str) -> f64 {
+    let bytes = instance_id.bytes().chain([0]).chain(proxy_name.bytes());
     // FNV-1a spreads the last bytes badly, and names differ in their last bytes.
     let hash = mix(fnv_1a(bytes));
     (hash >> 11) as f64 / (1u64 << 53) as f64
--- a/crates/emberpin-routing/src/warmup.rs
+++ b/crates/emberpin-routing/src/warmup.rs
@@ -20,7 +20,7 @@
     pub extra_requests: f64,
 }
 
-/// The limit on requests to one warming server, for all limiters together.
+/// The limit on requests to one warming server, for all proxies together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmupLimit {
     /// Requests per second that the server can process while it warms up.
--- a/crates/emberpin-routing/tests/common/mod.rs
+++ b/crates/emberpin-routing/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use emberpin_routing::{Route, RouteKind};
 use std::time::Duration;
 
-/// A time on the limiter's clock.
+/// A time on the proxy's clock.
 pub const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
--- a/crates/emberpin-routing/tests/retry_budget.rs
+++ b/crates/emberpin-routing/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget: of one limiter, and as a sum over limiters that restart at any time.
+//! The retry budget: of one proxy, and as a sum over proxies that restart at any time.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -17,9 +17,9 @@
 }
 
 /// Retries as often as the budget allows, and returns how often that was.
-fn retry_all(budget: &mut RetryBudget, now: Duration, limiter_count: u32) -> u32 {
+fn retry_all(budget: &mut RetryBudget, now: Duration, proxy_count: u32) -> u32 {
     let mut retries = 0;
-    while retries < 10_000 && budget.allows_retry(now, "s", limiter_count) {
+    while retries < 10_000 && budget.allows_retry(now, "s", proxy_count) {
         budget.record_retry(now, "s");
         retries += 1;
     }
@@ -28,7 +28,7 @@
 
 /// Covers `SHARE` before the requests.
 #[gtest]
-fn a_limiter_spends_half_of_the_ratio_of_its_own_requests() {
+fn a_proxy_spends_half_of_the_ratio_of_its_own_requests() {
     let mut budget = RetryBudget::new(Duration::ZERO, RATIO, WINDOW, 0.0);
     expect_that!(retry_all(&mut budget, Duration::ZERO, 1), eq(0));
     record_requests(&mut budget, Duration::ZERO, 100);
@@ -68,10 +68,10 @@
     expect_that!(retry_all(&mut budget, ms(51_125), 1), eq(30));
 }
 
-/// Covers the division of the extra by the limiter count, its floor, and the count that is assumed for an unknown one.
+/// Covers the division of the extra by the proxy count, its floor, and the count that is assumed for an unknown one.
 #[gtest]
-fn all_limiters_share_the_extra() {
-    for (extra, limiter_count, share) in [
+fn all_proxies_share_the_extra() {
+    for (extra, proxy_count, share) in [
         (60.0, 10, 3),
         (60.0, 16, 1),
         (60.0, 77, 0),
@@ -81,9 +81,9 @@
         let mut budget = RetryBudget::new(Duration::ZERO, 0.0, WINDOW, extra);
         record_requests(&mut budget, ms(5_000), 1);
         expect_that!(
-            retry_all(&mut budget, ms(5_000), limiter_count),
+            retry_all(&mut budget, ms(5_000), proxy_count),
             eq(share),
-            "{extra} among {limiter_count}"
+            "{extra} among {proxy_count}"
         );
     }
 }
@@ -144,11 +144,11 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    /// Up to five limiters and any number of restarts: every window keeps the bound, where the requests of the window
+    /// Up to five proxies and any number of restarts: every window keeps the bound, where the requests of the window
     /// or of the one before it count. Covers the whole of `RetryBudget::allows_retry`.
     #[test]
-    fn the_sum_over_limiters_keeps_the_bound_whatever_restarts(
-        limiter_count in 1u32..6,
+    fn the_sum_over_proxies_keeps_the_bound_whatever_restarts(
+        proxy_count in 1u32..6,
         extra in 0u32..60,
         events in proptest::collection::vec((0u32..6, pause(), event()), 1..150),
     ) {
@@ -156,18 +156,18 @@
         let new = |now| RetryBudget::new(now, RATIO, WINDOW, f64::from(extra));
         // Late enough that the windows below begin after zero.
         let mut now = WINDOW * 3;
-        let mut budgets: Vec<RetryBudget> = (0..limiter_count).map(|_| new(now)).collect();
+        let mut budgets: Vec<RetryBudget> = (0..proxy_count).map(|_| new(now)).collect();
         let (mut requests, mut retries) = (Vec::new(), Vec::new());
-        for (limiter, pause, event) in &events {
+        for (proxy, pause, event) in &events {
             now += *pause;
-            let budget = &mut budgets[(limiter % limiter_count) as usize];
+            let budget = &mut budgets[(proxy % proxy_count) as usize];
             match event {
                 Event::Requests(count) => {
                     record_requests(budget, now, *count);
                     requests.extend((0..*count).map(|_| now));
                 }
                 Event::Retries => {
-                    let spent = retry_all(budget, now, limiter_count);
+                    let spent = retry_all(budget, now, proxy_count);
                     retries.extend((0..spent).map(|_| now));
                 }
                 Event::Restart => *budget = new(now),
--- a/crates/emberpin-routing/tests/router.rs
+++ b/crates/emberpin-routing/tests/router.rs
@@ -28,10 +28,10 @@
     requests_per_second: 10.0,
 };
 
-/// One route, one server that is not warming up, ten limiters, long after the start.
+/// One route, one server that is not warming up, ten proxies, long after the start.
 fn router() -> Router {
     let mut router = Router::new(Duration::ZERO, "edge-1", TOLERANCE, HEARTBEAT_INTERVAL);
-    router.set_limiter_count(Duration::ZERO, 10);
+    router.set_proxy_count(Duration::ZERO, 10);
     router.routes.replace(vec![route("r", "a", "/x/")]);
     let profiles = HashMap::from([("s".into(), PROFILE), ("t".into(), PROFILE)]);
     router.endpoints.set_warmup_profiles(profiles);
@@ -224,7 +224,7 @@
 
 /// Covers `slow_start_admits` and `record_send`.
 #[gtest]
-fn a_warming_server_gets_no_more_than_the_limiters_share() {
+fn a_warming_server_gets_no_more_than_the_proxies_share() {
     let mut router = router();
     for _ in 0..100 {
         expect_true!(may_choose(&mut router));
@@ -247,9 +247,9 @@
     expect_false!(may_choose(&mut router));
 }
 
-/// Covers the limiter count that `set_limiter_count` passes on.
+/// Covers the proxy count that `set_proxy_count` passes on.
 #[gtest]
-fn without_a_limiter_count_nothing_is_sent_to_a_warming_server() {
+fn without_a_proxy_count_nothing_is_sent_to_a_warming_server() {
     let mut uncounted = Router::new(Duration::ZERO, "edge-1", TOLERANCE, HEARTBEAT_INTERVAL);
     uncounted.routes.replace(vec![route("r", "a", "/x/")]);
     uncounted
--- a/crates/emberpin-routing/tests/slow_start.rs
+++ b/crates/emberpin-routing/tests/slow_start.rs
@@ -1,10 +1,10 @@
-//! What all limiters together may send to one server that is warming up.
+//! What all proxies together may send to one server that is warming up.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
 use common::ms;
-use emberpin_routing::slow_start::{admission_hash, LimiterShare, QUIET_PERIOD};
+use emberpin_routing::slow_start::{admission_hash, ProxyShare, QUIET_PERIOD};
 use emberpin_routing::{SlowStart, WarmupLimit, WarmupTolerance};
 use googletest::prelude::*;
 use oorandom::Rand64;
@@ -19,28 +19,28 @@
 };
 const SERVERS: usize = 1_000;
 
-fn limiter(k: u32) -> String {
+fn proxy(k: u32) -> String {
     format!("edge-hall-{}-{k}", k % 3)
 }
 
-/// How many of the limiters are admitted to this server.
-fn admitted(server: &str, limiters: u32, share: LimiterShare) -> u32 {
-    (0..limiters)
-        .filter(|k| admission_hash(server, &limiter(*k)) < share.admitted_fraction)
+/// How many of the proxies are admitted to this server.
+fn admitted(server: &str, proxies: u32, share: ProxyShare) -> u32 {
+    (0..proxies)
+        .filter(|k| admission_hash(server, &proxy(*k)) < share.admitted_fraction)
         .count() as u32
 }
 
-/// Past its quiet period, with this limiter count.
-fn steady(limiters: u32) -> SlowStart {
+/// Past its quiet period, with this proxy count.
+fn steady(proxies: u32) -> SlowStart {
     let mut slow_start = SlowStart::new(Duration::ZERO);
-    slow_start.set_limiter_count(Duration::ZERO, limiters);
+    slow_start.set_proxy_count(Duration::ZERO, proxies);
     slow_start
 }
 
-/// Covers `is_safe`, `MAX_OVERLOAD_PROBABILITY` and `COUNT_SAFETY_FACTOR`: all limiters that may send do, in the same
+/// Covers `is_safe`, `MAX_OVERLOAD_PROBABILITY` and `COUNT_SAFETY_FACTOR`: all proxies that may send do, in the same
 /// second, at the worst times, and there are twice as many as reported.
 #[gtest]
-fn the_sum_over_all_limiters_keeps_the_limit_of_every_server() {
+fn the_sum_over_all_proxies_keeps_the_limit_of_every_server() {
     let limits = [
         (10.0, 1.5, 5.0),
         (4.0, 1.2, 3.0),
@@ -56,16 +56,16 @@
             },
         }
         .max_requests_per_second();
-        for limiter_count in [3, 10, 11, 77, 480] {
-            let share = LimiterShare::new(bound, limiter_count);
-            // A second is shorter than the window, so no more than the share of one limiter falls into it.
+        for proxy_count in [3, 10, 11, 77, 480] {
+            let share = ProxyShare::new(bound, proxy_count);
+            // A second is shorter than the window, so no more than the share of one proxy falls into it.
             for server in 0..SERVERS {
-                let sum = admitted(&format!("i-{server:08x}"), limiter_count * 2, share)
+                let sum = admitted(&format!("i-{server:08x}"), proxy_count * 2, share)
                     * share.requests_per_second;
                 assert_that!(
                     sum,
                     le(bound),
-                    "{limiter_count} limiters reported, server {server}, {share:?}"
+                    "{proxy_count} proxies reported, server {server}, {share:?}"
                 );
             }
         }
@@ -75,35 +75,35 @@
 /// Covers the search for the greatest fraction: a share that is safe by being zero would be of no use. Also covers that
 /// the hash spreads names that differ in their ends, since the mean would be off otherwise.
 #[gtest]
-fn the_admitted_fraction_of_limiters_is_admitted_on_average() {
-    for limiter_count in [77, 480] {
-        let share = LimiterShare::new(USUAL.max_requests_per_second(), limiter_count);
+fn the_admitted_fraction_of_proxies_is_admitted_on_average() {
+    for proxy_count in [77, 480] {
+        let share = ProxyShare::new(USUAL.max_requests_per_second(), proxy_count);
         let sum: u32 = (0..SERVERS)
-            .map(|server| admitted(&format!("i-{server:08x}"), limiter_count, share))
+            .map(|server| admitted(&format!("i-{server:08x}"), proxy_count, share))
             .sum();
         let (mean, expected) = (
             f64::from(sum) / SERVERS as f64,
-            f64::from(limiter_count) * share.admitted_fraction,
+            f64::from(proxy_count) * share.admitted_fraction,
         );
-        expect_that!(expected, all!(gt(1.8), lt(4.0)), "{limiter_count}");
-        expect_that!(mean, near(expected, 0.25), "{limiter_count}");
+        expect_that!(expected, all!(gt(1.8), lt(4.0)), "{proxy_count}");
+        expect_that!(mean, near(expected, 0.25), "{proxy_count}");
     }
 }
 
-/// Covers `assumed_count <= limit`: with few limiters each has a fixed share.
+/// Covers `assumed_count <= limit`: with few proxies each has a fixed share.
 #[gtest]
-fn few_limiters_share_the_limit_evenly() {
+fn few_proxies_share_the_limit_evenly() {
     expect_that!(
-        LimiterShare::new(50, 10),
-        eq(LimiterShare {
+        ProxyShare::new(50, 10),
+        eq(ProxyShare {
             admitted_fraction: 1.0,
             requests_per_second: 2
         })
     );
     // As if there were eight, since a count is too low at first.
     expect_that!(
-        LimiterShare::new(50, 1),
-        eq(LimiterShare {
+        ProxyShare::new(50, 1),
+        eq(ProxyShare {
             admitted_fraction: 1.0,
             requests_per_second: 3
         })
@@ -127,7 +127,7 @@
 
 /// Covers `sends_in_window` and `WINDOW`, which is longer than the second of the limit.
 #[gtest]
-fn one_limiter_sends_its_share_in_any_second() {
+fn one_proxy_sends_its_share_in_any_second() {
     let mut slow_start = steady(10);
     expect_true!(slow_start.admits(ms(5_000), "i", &USUAL, 10, "me"));
     slow_start.record_send(ms(5_000), "i");
@@ -141,36 +141,36 @@
 #[gtest]
 fn an_instance_that_has_just_started_sends_nothing() {
     let mut slow_start = SlowStart::new(ms(1_000));
-    slow_start.set_limiter_count(ms(1_000), 10);
+    slow_start.set_proxy_count(ms(1_000), 10);
     expect_false!(slow_start.admits(ms(1_000) + QUIET_PERIOD - ms(1), "i", &USUAL, 10, "me"));
     expect_true!(slow_start.admits(ms(1_000) + QUIET_PERIOD, "i", &USUAL, 10, "me"));
 }
 
-/// Covers `self.limiter_count == 0`.
+/// Covers `self.proxy_count == 0`.
 #[gtest]
-fn without_a_limiter_count_nothing_is_sent() {
+fn without_a_proxy_count_nothing_is_sent() {
     let mut slow_start = SlowStart::new(Duration::ZERO);
     expect_false!(slow_start.admits(ms(60_000), "i", &USUAL, 0, "me"));
 }
 
-/// Covers the quiet period in `set_limiter_count`: registries that have just started count up from zero, and their first
+/// Covers the quiet period in `set_proxy_count`: registries that have just started count up from zero, and their first
 /// counts are low.
 #[gtest]
-fn a_rise_of_the_limiter_count_starts_the_quiet_period_again() -> Result<()> {
+fn a_rise_of_the_proxy_count_starts_the_quiet_period_again() -> Result<()> {
     let mut slow_start = steady(10);
     expect_true!(slow_start.admits(ms(5_000), "i", &USUAL, 10, "me"));
     // One more of ten is less than an eighth of them.
     expect_that!(
-        LimiterShare::new(USUAL.max_requests_per_second(), 11).requests_per_second,
+        ProxyShare::new(USUAL.max_requests_per_second(), 11).requests_per_second,
         eq(1)
     );
-    slow_start.set_limiter_count(ms(5_000), 11);
-    let me = (0..).map(limiter).find(|me| {
+    slow_start.set_proxy_count(ms(5_000), 11);
+    let me = (0..).map(proxy).find(|me| {
         admission_hash("i", me)
-            < LimiterShare::new(USUAL.max_requests_per_second(), 20).admitted_fraction
+            < ProxyShare::new(USUAL.max_requests_per_second(), 20).admitted_fraction
     });
     let Some(me) = me else {
-        return fail!("no limiter is admitted");
+        return fail!("no proxy is admitted");
     };
     expect_true!(slow_start.admits(ms(5_000), "i", &USUAL, 11, &me));
     expect_false!(slow_start.admits(ms(5_001), "i", &USUAL, 20, &me));
@@ -179,14 +179,14 @@
     Ok(())
 }
 
-/// Covers `max(limiter_count)`: a limiter that is partitioned with a few others keeps the count that it knew.
+/// Covers `max(proxy_count)`: a proxy that is partitioned with a few others keeps the count that it knew.
 #[gtest]
-fn the_highest_limiter_count_stays_in_force() {
+fn the_highest_proxy_count_stays_in_force() {
     let mut slow_start = steady(480);
     let admitted_servers = (0..200)
         .filter(|k| slow_start.admits(ms(9_000), &format!("i-{k}"), &USUAL, 3, "me"))
         .count();
-    let share = LimiterShare::new(USUAL.max_requests_per_second(), 480);
+    let share = ProxyShare::new(USUAL.max_requests_per_second(), 480);
     let expected = (0..200)
         .filter(|k| admission_hash(&format!("i-{k}"), "me") < share.admitted_fraction)
         .count();
@@ -204,25 +204,25 @@
     expect_that!(slow_start.tracked_servers(), eq(1));
 }
 
-/// The limit of a server, by a run: limiters that send at any time, restart at any time, and know of 77 or 40 of 77.
+/// The limit of a server, by a run: proxies that send at any time, restart at any time, and know of 77 or 40 of 77.
 #[gtest]
-fn limiters_that_send_all_the_time_and_restart_keep_the_limit() {
-    let limiters = 77;
+fn proxies_that_send_all_the_time_and_restart_keep_the_limit() {
+    let proxies = 77;
     for seed in 0..20 {
         let mut draws = Rand64::new(seed);
         let server = format!("i-{seed}");
-        let mut limits: Vec<(SlowStart, u32)> = (0..limiters)
+        let mut limits: Vec<(SlowStart, u32)> = (0..proxies)
             .map(|k| (steady(77), if k % 2 == 0 { 77 } else { 40 }))
             .collect();
         let mut sent: Vec<Duration> = Vec::new();
         for step in 0..2_000 {
             let now = ms(4_000) + ms(5) * step;
-            let k = draws.rand_range(0..limiters) as usize;
-            let (slow_start, limiter_count) = &mut limits[k];
+            let k = draws.rand_range(0..proxies) as usize;
+            let (slow_start, proxy_count) = &mut limits[k];
             if draws.rand_float() < 0.02 {
                 *slow_start = SlowStart::new(now);
             }
-            while slow_start.admits(now, &server, &USUAL, *limiter_count, &limiter(k as u32)) {
+            while slow_start.admits(now, &server, &USUAL, *proxy_count, &proxy(k as u32)) {
                 slow_start.record_send(now, &server);
                 sent.push(now);
             }
@@ -241,12 +241,12 @@
     }
 }
 
-/// Covers `limit == 0` in `LimiterShare::new`.
+/// Covers `limit == 0` in `ProxyShare::new`.
 #[gtest]
 fn the_share_of_a_limit_of_zero_is_zero() {
     expect_that!(
-        LimiterShare::new(0, 100),
-        eq(LimiterShare {
+        ProxyShare::new(0, 100),
+        eq(ProxyShare {
             admitted_fraction: 0.0,
             requests_per_second: 0
         })
@@ -255,7 +255,7 @@
 
 /// Covers both conditions under which the cached share is used again.
 #[gtest]
-fn each_limit_and_limiter_count_has_its_own_share() {
+fn each_limit_and_proxy_count_has_its_own_share() {
     let mut slow_start = steady(10);
     expect_true!(slow_start.admits(ms(5_000), "i", &USUAL, 10, "me"));
     expect_false!(slow_start.admits(
@@ -272,7 +272,7 @@
         "me"
     ));
     expect_true!(slow_start.admits(ms(5_000), "i", &USUAL, 10, "me"));
-    slow_start.set_limiter_count(ms(5_000), 480);
+    slow_start.set_proxy_count(ms(5_000), 480);
     let admitted_servers = (0..200)
         .filter(|k| slow_start.admits(ms(9_000), &format!("i-{k}"), &USUAL, 480, "me"))
         .count();
--- a/crates/emberpin-simulator/src/generator/dense.rs
+++ b/crates/emberpin-simulator/src/generator/dense.rs
@@ -53,7 +53,7 @@
     next_core: u8,
     /// Until when a machine counts as lost.
     lost_until: BTreeMap<u8, u64>,
-    limiters: u8,
+    proxies: u8,
     tolerance: usize,
     last_version: u64,
     calls: u64,
@@ -347,7 +347,7 @@
             68..76 => self.slow_down(),
             76..80 => self.stall_disk(),
             80..84 => self.end_all(),
-            84..94 => self.disturb_limiter(),
+            84..94 => self.disturb_proxy(),
             94..96 => self.change_seeds(),
             _ => self.disturb_network(),
         }
@@ -488,37 +488,37 @@
         self.now_ms += RETURN_OF_ALL_MS;
     }
 
-    fn disturb_limiter(&mut self) {
-        let limiter = 1 + self.draw_below(self.limiters.into());
+    fn disturb_proxy(&mut self) {
+        let proxy = 1 + self.draw_below(self.proxies.into());
         let (core, back) = (self.choose_core(), self.now_ms + self.draw_fault_length());
         let (begin, end) = match self.draw_below(6) {
             0 => (
-                format!("kill limiter-{limiter}"),
-                format!("start limiter-{limiter}"),
+                format!("kill limiter-{proxy}"),
+                format!("start limiter-{proxy}"),
             ),
             1 => (
-                format!("freeze limiter-{limiter}"),
-                format!("thaw limiter-{limiter}"),
+                format!("freeze limiter-{proxy}"),
+                format!("thaw limiter-{proxy}"),
             ),
             2 => (
-                format!("cut core-{core} > limiter-{limiter}"),
-                format!("heal limiter-{limiter}"),
+                format!("cut core-{core} > limiter-{proxy}"),
+                format!("heal limiter-{proxy}"),
             ),
             3 => (
-                format!("cut core-{core} < limiter-{limiter}"),
-                format!("heal limiter-{limiter}"),
+                format!("cut core-{core} < limiter-{proxy}"),
+                format!("heal limiter-{proxy}"),
             ),
             4 => (
-                format!("cut core-{core} | limiter-{limiter}"),
-                format!("heal limiter-{limiter}"),
+                format!("cut core-{core} | limiter-{proxy}"),
+                format!("heal limiter-{proxy}"),
             ),
             _ => (
-                format!("slow 100ms..3s core-{core} | limiter-{limiter}"),
-                format!("heal limiter-{limiter}"),
+                format!("slow 100ms..3s core-{core} | limiter-{proxy}"),
+                format!("heal limiter-{proxy}"),
             ),
         };
         let begin = match begin.split_once(" < ") {
-            Some((_, limiter)) => format!("cut {limiter} > core-{core}"),
+            Some((_, proxy)) => format!("cut {proxy} > core-{core}"),
             None => begin,
         };
         self.add_step(begin);
@@ -632,7 +632,7 @@
             match self.draw_below(5) {
                 0 | 1 => self.add_operator_call(),
                 2 => self.add_server_step(),
-                3 if self.chance(20) => self.disturb_limiter(),
+                3 if self.chance(20) => self.disturb_proxy(),
                 _ => {}
             }
         }
@@ -645,7 +645,7 @@
     let mut one = |of: &[u8]| of[random.rand_range(0..of.len() as u64) as usize];
     let count = one(&[3, 5, 5, 5, 7]);
     let tolerance = one(&[1, 2, 3]).min((count - 1) / 2);
-    let limiters = one(&[1, 2, 4, 8]);
+    let proxies = one(&[1, 2, 4, 8]);
     let may_be_slow = one(&[0, 0, 1]) == 1;
     let mut dense = DenseScenario {
         random,
@@ -654,7 +654,7 @@
         cores: (1..=count).collect(),
         next_core: count + 1,
         lost_until: BTreeMap::new(),
-        limiters,
+        proxies,
         tolerance: tolerance.into(),
         last_version: 1,
         calls: 0,
@@ -677,7 +677,7 @@
         }
     }
     let mut text = format!(
-        "cores {count}\nlimiters {limiters}\nzones {}\ntolerance {tolerance}\nseed {seed}\n",
+        "cores {count}\nlimiters {proxies}\nzones {}\ntolerance {tolerance}\nseed {seed}\n",
         ZONES.join(" ")
     );
     for (at, steps) in &dense.steps {
--- a/crates/emberpin-simulator/src/generator/wide.rs
+++ b/crates/emberpin-simulator/src/generator/wide.rs
@@ -1,4 +1,4 @@
-//! Draws wide scenarios: five, seven or eleven core machines and up to forty limiters, with faults that keep disks on any
+//! Draws wide scenarios: five, seven or eleven core machines and up to forty proxies, with faults that keep disks on any
 //! machines, in turn with quiet times. Disks are lost one after the other.
 
 use super::{names_of, ROSTER_COMPLETE_MS, ROSTER_MS_PER_MACHINE, ROUTES, SERVICES, ZONES};
@@ -28,7 +28,7 @@
     /// The core machines in use.
     cores: Vec<u8>,
     next_core: u8,
-    limiters: u8,
+    proxies: u8,
     last_version: u64,
     calls: u32,
     servers: u32,
@@ -43,7 +43,7 @@
         now_ms: ROSTER_COMPLETE_MS,
         cores: Vec::new(),
         next_core: 0,
-        limiters: 0,
+        proxies: 0,
         last_version: 1,
         calls: 0,
         servers: 0,
@@ -51,13 +51,13 @@
     };
     let count = scenario.choose(&[5u8, 5, 7, 11]);
     let tolerance = 1 + scenario.draw_below(u64::from(count - 1) / 2);
-    let max_limiters = scenario.choose(&[3u64, 8, 40]);
-    scenario.limiters = 1 + scenario.draw_below(max_limiters) as u8;
+    let max_proxies = scenario.choose(&[3u64, 8, 40]);
+    scenario.proxies = 1 + scenario.draw_below(max_proxies) as u8;
     scenario.cores = (1..=count).collect();
     scenario.next_core = count + 1;
     scenario.text = format!(
         "cores {count}\nlimiters {}\nzones {}\ntolerance {tolerance}\nseed {seed}\n",
-        scenario.limiters,
+        scenario.proxies,
         ZONES.join(" ")
     );
     scenario.now_ms = 3_000;
@@ -100,8 +100,8 @@
         chosen
     }
 
-    fn choose_limiter(&mut self) -> u64 {
-        1 + self.draw_below(self.limiters.into())
+    fn choose_proxy(&mut self) -> u64 {
+        1 + self.draw_below(self.proxies.into())
     }
 
     /// The sign of a link: both ways, or one way in a third of the draws.
@@ -201,9 +201,9 @@
             2 => self.end_all("kill"),
             3 => self.end_all("power"),
             4 | 5 => self.partition_cores(),
-            6 => self.partition_limiter(),
+            6 => self.partition_proxy(),
             7 => self.freeze_some(),
-            8 => self.disturb_limiter(),
+            8 => self.disturb_proxy(),
             // No clock is fast or slow here: monotonic clocks keep time, and each process begins at its own zero.
             9 | 10 => self.disturb_network(),
             11 => {
@@ -257,11 +257,11 @@
         }
     }
 
-    fn partition_limiter(&mut self) {
+    fn partition_proxy(&mut self) {
         let some = self.choose_cores(2);
-        let limiter = self.choose_limiter();
+        let proxy = self.choose_proxy();
         let sign = self.choose_link_sign();
-        self.add_step(&format!("cut{} {sign} limiter-{limiter}", names_of(&some)));
+        self.add_step(&format!("cut{} {sign} limiter-{proxy}", names_of(&some)));
     }
 
     fn freeze_some(&mut self) {
@@ -271,13 +271,13 @@
         self.add_step(&format!("thaw{some}"));
     }
 
-    fn disturb_limiter(&mut self) {
-        let limiter = self.choose_limiter();
+    fn disturb_proxy(&mut self) {
+        let proxy = self.choose_proxy();
         let (begin, end) =
             self.choose(&[("kill", "start"), ("power", "start"), ("freeze", "thaw")]);
-        self.add_step(&format!("{begin} limiter-{limiter}"));
+        self.add_step(&format!("{begin} limiter-{proxy}"));
         self.pass_time(2_000);
-        self.add_step(&format!("{end} limiter-{limiter}"));
+        self.add_step(&format!("{end} limiter-{proxy}"));
     }
 
     fn disturb_network(&mut self) {
--- a/crates/emberpin-simulator/src/invariants.rs
+++ b/crates/emberpin-simulator/src/invariants.rs
@@ -4,9 +4,9 @@
 //! - nothing goes back within an incarnation, and nothing invalid is in force, not even in part;
 //! - no part of a rejected call is in force;
 //! - no warming server gets more requests than its limit;
-//! - on limiters in contact, what was acknowledged is in force in time;
+//! - on proxies in contact, what was acknowledged is in force in time;
 //! - operators' histories are linearizable (see `history`);
-//! - after all faults, a call is acknowledged, and all limiters have it and are ready.
+//! - after all faults, a call is acknowledged, and all proxies have it and are ready.
 
 use crate::scenario::ExpectedItem;
 use crate::violation::{StepFailure, Violation};
--- a/crates/emberpin-simulator/src/lib.rs
+++ b/crates/emberpin-simulator/src/lib.rs
@@ -6,7 +6,7 @@
 //! ```text
 //! # What it shows, in a comment.
 //! cores 5                         machines with a store and a registry each, core-1 to core-5; the first three are seeds
-//! limiters 2                      limiter-1, limiter-2
+//! limiters 2                      machines with a proxy each, limiter-1 and limiter-2
 //! zones petaling ampang           machines and limiters lie in them in turn
 //! tolerance 2                     disks that may be lost at once
 //! seed 7
--- a/crates/emberpin-simulator/src/machine.rs
+++ b/crates/emberpin-simulator/src/machine.rs
@@ -25,11 +25,11 @@
     }
 }
 
-/// A machine with a limiter. Written as `limiter-N`.
+/// A machine with a proxy. Scenarios call it `limiter-N`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LimiterId(pub u8);
+pub struct ProxyId(pub u8);
 
-impl Display for LimiterId {
+impl Display for ProxyId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "limiter-{}", self.0)
     }
@@ -40,8 +40,8 @@
 pub enum Machine {
     /// A machine with a store and a registry.
     Core(CoreId),
-    /// A machine with a limiter.
-    Limiter(LimiterId),
+    /// A machine with a proxy.
+    Proxy(ProxyId),
 }
 
 impl Machine {
@@ -49,15 +49,15 @@
     pub fn as_core(self) -> Option<CoreId> {
         match self {
             Machine::Core(core) => Some(core),
-            Machine::Limiter(_) => None,
+            Machine::Proxy(_) => None,
         }
     }
 
-    /// The id of a limiter.
-    pub fn as_limiter(self) -> Option<LimiterId> {
+    /// The id of a proxy.
+    pub fn as_proxy(self) -> Option<ProxyId> {
         match self {
             Machine::Core(_) => None,
-            Machine::Limiter(limiter) => Some(limiter),
+            Machine::Proxy(proxy) => Some(proxy),
         }
     }
 }
@@ -66,7 +66,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Machine::Core(core) => core.fmt(f),
-            Machine::Limiter(limiter) => limiter.fmt(f),
+            Machine::Proxy(proxy) => proxy.fmt(f),
         }
     }
 }
--- a/crates/emberpin-simulator/src/mutants.rs
+++ b/crates/emberpin-simulator/src/mutants.rs
@@ -10,15 +10,15 @@
     pub(crate) consensus: ConsensusGuards,
     pub(crate) membership: MembershipGuards,
     pub(crate) routing: RoutingGuards,
-    pub(crate) limiter: LimiterGuards,
+    pub(crate) proxy: ProxyGuards,
 }
 
-/// The safety checks of the limiter's model, which a real limiter has in its host.
+/// The safety checks of the proxy's model, which a real proxy has in its host.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct LimiterGuards {
+pub(crate) struct ProxyGuards {
     /// Only routes to known services are in force, and one for each host and prefix.
     pub valid_routes_only: bool,
-    /// A limiter is ready only after a registry in contact with a majority has confirmed its state.
+    /// A proxy is ready only after a registry in contact with a majority has confirmed its state.
     pub confirmed_readiness: bool,
     /// A session whose lease has expired is ended.
     pub expired_sessions_end: bool,
@@ -30,9 +30,9 @@
     pub complete_snapshots_only: bool,
 }
 
-impl Default for LimiterGuards {
-    fn default() -> LimiterGuards {
-        LimiterGuards {
+impl Default for ProxyGuards {
+    fn default() -> ProxyGuards {
+        ProxyGuards {
             valid_routes_only: true,
             confirmed_readiness: true,
             expired_sessions_end: true,
@@ -89,7 +89,7 @@
         let Some(guard) = consensus_guard(&mut self.consensus, mutant)
             .or_else(|| membership_guard(&mut self.membership, mutant))
             .or_else(|| routing_guard(&mut self.routing, mutant))
-            .or_else(|| limiter_guard(&mut self.limiter, mutant))
+            .or_else(|| proxy_guard(&mut self.proxy, mutant))
         else {
             return false;
         };
@@ -149,13 +149,13 @@
         "no-fleet-rises" => &mut guards.monotonic_status,
         "no-returned" => &mut guards.warmup_after_evacuation,
         "no-quiet" => &mut guards.quiet_period,
-        "no-greatest" => &mut guards.highest_limiter_count,
+        "no-greatest" => &mut guards.highest_proxy_count,
         "no-admission" => &mut guards.hashed_admission,
         _ => return None,
     })
 }
 
-fn limiter_guard<'a>(guards: &'a mut LimiterGuards, mutant: &str) -> Option<&'a mut bool> {
+fn proxy_guard<'a>(guards: &'a mut ProxyGuards, mutant: &str) -> Option<&'a mut bool> {
     Some(match mutant {
         "no-in-force" => &mut guards.valid_routes_only,
         "no-settled" => &mut guards.confirmed_readiness,
--- a/crates/emberpin-simulator/src/runner.rs
+++ b/crates/emberpin-simulator/src/runner.rs
@@ -15,7 +15,7 @@
     pub events: u64,
     /// Requests that were sent to warming servers.
     pub slow_start_requests: usize,
-    /// Acknowledged effects that were checked on a limiter in contact.
+    /// Acknowledged effects that were checked on a proxy in contact.
     pub effect_checks: usize,
     /// Calls that were acknowledged.
     pub acknowledged_calls: usize,
--- a/crates/emberpin-simulator/src/scenario/commands.rs
+++ b/crates/emberpin-simulator/src/scenario/commands.rs
@@ -1,6 +1,6 @@
 //! What a step of a scenario does or expects.
 
-use crate::machine::{CoreId, LimiterId, Machine};
+use crate::machine::{CoreId, Machine, ProxyId};
 use emberpin_consensus::EvacuationChange;
 use emberpin_routing::Availability;
 use std::ops::Range;
@@ -196,18 +196,18 @@
     },
     /// The version of the route of a host and path; `None`: there is no route.
     Route {
-        limiters: Vec<LimiterId>,
+        proxies: Vec<ProxyId>,
         host: String,
         path: String,
         version: Option<u64>,
     },
     ServerAvailability {
-        limiters: Vec<LimiterId>,
+        proxies: Vec<ProxyId>,
         server: String,
         availability: Availability,
     },
     Ready {
-        limiters: Vec<LimiterId>,
+        proxies: Vec<ProxyId>,
         ready: bool,
     },
 }
--- a/crates/emberpin-simulator/src/scenario/error.rs
+++ b/crates/emberpin-simulator/src/scenario/error.rs
@@ -45,7 +45,7 @@
     /// This word.
     Word(String),
     /// A machine of the other kind.
-    Limiter,
+    Proxy,
 }
 
 impl Display for Found {
@@ -53,7 +53,7 @@
         match self {
             Found::EndOfLine => f.write_str("the end of the line"),
             Found::Word(word) => write!(f, "{word:?}"),
-            Found::Limiter => f.write_str("a limiter"),
+            Found::Proxy => f.write_str("a limiter"),
         }
     }
 }
--- a/crates/emberpin-simulator/src/scenario/mod.rs
+++ b/crates/emberpin-simulator/src/scenario/mod.rs
@@ -23,8 +23,8 @@
     pub name: String,
     /// The number of machines with a store and a registry.
     pub cores: u8,
-    /// The number of limiters.
-    pub limiters: u8,
+    /// The number of proxies.
+    pub proxies: u8,
     /// The zones that the machines lie in, in turn. Never empty.
     pub zones: Vec<String>,
     /// How many disks may be lost at once: the stores' tolerance.
--- a/crates/emberpin-simulator/src/scenario/parser.rs
+++ b/crates/emberpin-simulator/src/scenario/parser.rs
@@ -8,7 +8,7 @@
 use super::patch::parse_patch_body;
 use super::words::{parse_machine, parse_time, parse_word, Words};
 use super::{Scenario, Step};
-use crate::machine::{LimiterId, Machine};
+use crate::machine::{Machine, ProxyId};
 use crate::mutants::{Guards, MUTANTS};
 use emberpin_consensus::EvacuationChange;
 use emberpin_routing::Availability;
@@ -20,7 +20,7 @@
     "one of operator, server, kill, power, wipe, start, bootstrap, seeds, replace, freeze, thaw, clock, cut, slow, \
      lose, lose-nothing, heal, answers, network, disk, stall";
 const EXPECTATIONS: &str = "operator, get, voters, limiters, limiter-N or core-N";
-const LIMITER_EXPECTATIONS: &str = "route, no, server, ready or unready";
+const PROXY_EXPECTATIONS: &str = "route, no, server, ready or unready";
 const OPERATOR_COMMANDS: &str = "patch, evac, get or again";
 const SERVER_COMMANDS: &str = "up, drain, leave, crash, cold or says";
 const SERVER_NAME: &str = "a server's name";
@@ -39,7 +39,7 @@
     let mut scenario = Scenario {
         name: name.into(),
         cores: 3,
-        limiters: 0,
+        proxies: 0,
         zones: vec!["z1".into()],
         tolerance: 1,
         seed: 1,
@@ -71,7 +71,7 @@
     if let Some(mutants) = line.strip_prefix("wrong build:") {
         return parse_mutants(scenario, mutants);
     }
-    let mut words = Words::new(line, scenario.cores, scenario.limiters);
+    let mut words = Words::new(line, scenario.cores, scenario.proxies);
     let (at, command) = match words.next("a step")? {
         "at" => {
             let at = words.duration()?;
@@ -124,7 +124,7 @@
 ) -> Result<(), ParseErrorKind> {
     match setting {
         "cores" => scenario.cores = words.number("how many machines")?,
-        "limiters" => scenario.limiters = words.number("how many limiters")?,
+        "limiters" => scenario.proxies = words.number("how many limiters")?,
         "zones" => {
             scenario.zones = words.rest().map(str::to_owned).collect();
             if scenario.zones.is_empty() {
@@ -393,11 +393,11 @@
         "get" => parse_expected_item(words).map(Expectation::Read),
         "voters" => Ok(Expectation::Voters(words.number("how many voters")?)),
         "limiters" => {
-            let limiters = (1..=scenario.limiters).map(LimiterId).collect();
-            parse_limiter_expectation(limiters, words)
+            let proxies = (1..=scenario.proxies).map(ProxyId).collect();
+            parse_proxy_expectation(proxies, words)
         }
         name => match parse_machine(name) {
-            Ok(Machine::Limiter(limiter)) => parse_limiter_expectation(vec![limiter], words),
+            Ok(Machine::Proxy(proxy)) => parse_proxy_expectation(vec![proxy], words),
             Ok(Machine::Core(core)) => {
                 let votes = words.one_of("votes or waits", &[("votes", true), ("waits", false)])?;
                 Ok(Expectation::Votes { core, votes })
@@ -435,16 +435,16 @@
     })
 }
 
-fn parse_limiter_expectation(
-    limiters: Vec<LimiterId>,
+fn parse_proxy_expectation(
+    proxies: Vec<ProxyId>,
     words: &mut Words,
 ) -> Result<Expectation, ParseErrorKind> {
-    Ok(match words.next(LIMITER_EXPECTATIONS)? {
+    Ok(match words.next(PROXY_EXPECTATIONS)? {
         "route" => {
             let (host, path) = parse_host_and_path(words)?;
             words.keyword("ver")?;
             Expectation::Route {
-                limiters,
+                proxies,
                 host,
                 path,
                 version: Some(words.number("a version")?),
@@ -454,7 +454,7 @@
             words.keyword("route")?;
             let (host, path) = parse_host_and_path(words)?;
             Expectation::Route {
-                limiters,
+                proxies,
                 host,
                 path,
                 version: None,
@@ -469,20 +469,20 @@
             ];
             let availability = words.one_of("usable, held or gone", &choices)?;
             Expectation::ServerAvailability {
-                limiters,
+                proxies,
                 server,
                 availability,
             }
         }
         "ready" => Expectation::Ready {
-            limiters,
+            proxies,
             ready: true,
         },
         "unready" => Expectation::Ready {
-            limiters,
+            proxies,
             ready: false,
         },
-        other => return Err(ParseErrorKind::unexpected(other, LIMITER_EXPECTATIONS)),
+        other => return Err(ParseErrorKind::unexpected(other, PROXY_EXPECTATIONS)),
     })
 }
 
--- a/crates/emberpin-simulator/src/scenario/words.rs
+++ b/crates/emberpin-simulator/src/scenario/words.rs
@@ -1,7 +1,7 @@
 //! The words of a line, read one after the other.
 
 use super::error::{Found, ParseErrorKind};
-use crate::machine::{CoreId, LimiterId, Machine};
+use crate::machine::{CoreId, Machine, ProxyId};
 use emberpin_config::schema::parse_duration;
 use std::borrow::Cow;
 use std::iter::Peekable;
@@ -18,15 +18,15 @@
     words: Peekable<SplitWhitespace<'a>>,
     /// What `cores` and `limiters` stand for.
     cores: u8,
-    limiters: u8,
+    proxies: u8,
 }
 
 impl<'a> Words<'a> {
-    pub(super) fn new(line: &'a str, cores: u8, limiters: u8) -> Words<'a> {
+    pub(super) fn new(line: &'a str, cores: u8, proxies: u8) -> Words<'a> {
         Words {
             words: line.split_whitespace().peekable(),
             cores,
-            limiters,
+            proxies,
         }
     }
 
@@ -121,9 +121,9 @@
     pub(super) fn core(&mut self) -> Result<CoreId, ParseErrorKind> {
         match parse_machine(self.next("a machine such as core-1")?)? {
             Machine::Core(core) => Ok(core),
-            Machine::Limiter(_) => Err(ParseErrorKind::Expected {
+            Machine::Proxy(_) => Err(ParseErrorKind::Expected {
                 expected: "a core machine".into(),
-                found: Found::Limiter,
+                found: Found::Proxy,
             }),
         }
     }
@@ -134,7 +134,7 @@
         while let Some(word) = self.words.next_if(|word| !LINK_SIGNS.contains(word)) {
             match word {
                 "cores" => machines.extend(self.all_cores()),
-                "limiters" => machines.extend(self.all_limiters()),
+                "limiters" => machines.extend(self.all_proxies()),
                 one => machines.push(parse_machine(one)?),
             }
         }
@@ -148,8 +148,8 @@
         (1..=self.cores).map(|number| Machine::Core(CoreId(number)))
     }
 
-    fn all_limiters(&self) -> impl Iterator<Item = Machine> + use<> {
-        (1..=self.limiters).map(|number| Machine::Limiter(LimiterId(number)))
+    fn all_proxies(&self) -> impl Iterator<Item = Machine> + use<> {
+        (1..=self.proxies).map(|number| Machine::Proxy(ProxyId(number)))
     }
 }
 
@@ -175,7 +175,7 @@
     let number = number.parse().map_err(|_| unexpected())?;
     match kind {
         "core" => Ok(Machine::Core(CoreId(number))),
-        "limiter" => Ok(Machine::Limiter(LimiterId(number))),
+        "limiter" => Ok(Machine::Proxy(ProxyId(number))),
         _ => Err(unexpected()),
     }
 }
--- a/crates/emberpin-simulator/src/simulation/connections.rs
+++ b/crates/emberpin-simulator/src/simulation/connections.rs
@@ -51,10 +51,10 @@
     /// Ends the partitions and slow links of these machines, or all if there are none.
     pub(super) fn heal(&mut self, machines: &[Machine]) {
         for (one, other) in self.network.heal(machines) {
-            // A partition between a limiter and a core machine does not disturb the core machines.
+            // A partition between a proxy and a core machine does not disturb the core machines.
             match (one, other) {
-                (Machine::Core(_), Machine::Limiter(_)) => self.mark_disturbed([other]),
-                (Machine::Limiter(_), Machine::Core(_)) => self.mark_disturbed([one]),
+                (Machine::Core(_), Machine::Proxy(_)) => self.mark_disturbed([other]),
+                (Machine::Proxy(_), Machine::Core(_)) => self.mark_disturbed([one]),
                 _ => self.mark_disturbed([one, other]),
             }
         }
@@ -128,14 +128,14 @@
                 let peer = from.address();
                 self.handle_registry_event(to, registry::Event::PeerAcknowledged { peer, ack });
             }
-            (Machine::Limiter(_), Machine::Core(to), Frame::FromProxy(message)) => {
+            (Machine::Proxy(_), Machine::Core(to), Frame::FromProxy(message)) => {
                 if let Some(running) = self.running_core(to) {
                     running.sessions.insert(id);
                 }
                 let session = SessionId(id.0);
                 self.handle_registry_event(to, registry::Event::ProxyMessage { session, message });
             }
-            (Machine::Core(from), Machine::Limiter(to), Frame::ToProxy(message)) => {
+            (Machine::Core(from), Machine::Proxy(to), Frame::ToProxy(message)) => {
                 self.on_session_message(to, id, from, message);
             }
             _ => {}
@@ -200,8 +200,8 @@
             (Machine::Core(core), Machine::Core(peer)) => {
                 self.on_peer_connection_broken(core, peer, id);
             }
-            (Machine::Core(core), Machine::Limiter(_)) => self.on_session_lost(core, id),
-            (Machine::Limiter(limiter), _) => self.on_session_broken(limiter, id),
+            (Machine::Core(core), Machine::Proxy(_)) => self.on_session_lost(core, id),
+            (Machine::Proxy(proxy), _) => self.on_session_broken(proxy, id),
         }
     }
 
--- a/crates/emberpin-simulator/src/simulation/contact.rs
+++ b/crates/emberpin-simulator/src/simulation/contact.rs
@@ -1,16 +1,16 @@
-//! Whether a limiter is in contact, so that time limits hold for it.
+//! Whether a proxy is in contact, so that time limits hold for it.
 
 use super::Simulation;
-use crate::machine::{CoreId, LimiterId, Machine};
+use crate::machine::{CoreId, Machine, ProxyId};
 use crate::state::process::Process;
 use emberpin_membership::timing::bounds::CONTACT;
 use std::collections::BTreeSet;
 
 impl Simulation {
-    /// Whether a limiter has been in contact for `contact`: it and the core machines run without a fault, and it reaches
+    /// Whether a proxy has been in contact for `contact`: it and the core machines run without a fault, and it reaches
     /// each of those that reach a majority.
-    pub(super) fn is_in_contact(&self, limiter: LimiterId) -> bool {
-        let node = self.limiters.get(&limiter);
+    pub(super) fn is_in_contact(&self, proxy: ProxyId) -> bool {
+        let node = self.proxies.get(&proxy);
         let Some(node) = node.filter(|node| node.running.is_some()) else {
             return false;
         };
@@ -25,7 +25,7 @@
         !majority.is_empty()
             && majority
                 .iter()
-                .all(|core| self.is_joined(Machine::Limiter(limiter), Machine::Core(*core)))
+                .all(|core| self.is_joined(Machine::Proxy(proxy), Machine::Core(*core)))
     }
 
     /// Whether a fault hit a process less than `contact` ago.
--- a/crates/emberpin-simulator/src/simulation/effects.rs
+++ b/crates/emberpin-simulator/src/simulation/effects.rs
@@ -1,10 +1,10 @@
-//! Whether what was acknowledged is in force in time on limiters in contact.
+//! Whether what was acknowledged is in force in time on proxies in contact.
 
 use super::Simulation;
-use crate::machine::LimiterId;
+use crate::machine::ProxyId;
 use crate::scenario::OperatorRequest;
 use crate::state::event::Effect;
-use crate::state::limiter::LimiterProcess;
+use crate::state::proxy::ProxyProcess;
 use crate::violation::{MissingEffect, Violation};
 use emberpin_config::Item;
 use emberpin_consensus::EvacuationChange;
@@ -21,18 +21,18 @@
                 return;
             }
         }
-        let limiters: Vec<LimiterId> = self
-            .limiters
+        let proxies: Vec<ProxyId> = self
+            .proxies
             .keys()
             .copied()
-            .filter(|limiter| self.is_in_contact(*limiter))
+            .filter(|proxy| self.is_in_contact(*proxy))
             .collect();
-        for limiter in limiters {
+        for proxy in proxies {
             self.counters.effect_checks += 1;
-            let running = self.limiters[&limiter].running.as_ref();
+            let running = self.proxies[&proxy].running.as_ref();
             let missing = running.and_then(|running| self.missing_effect(running, effect));
             if let Some(missing) = missing {
-                return self.fail(Violation::NotApplied { limiter, missing });
+                return self.fail(Violation::NotApplied { proxy, missing });
             }
         }
     }
@@ -49,13 +49,13 @@
         })
     }
 
-    fn missing_effect(&self, limiter: &LimiterProcess, effect: &Effect) -> Option<MissingEffect> {
+    fn missing_effect(&self, proxy: &ProxyProcess, effect: &Effect) -> Option<MissingEffect> {
         match effect {
-            Effect::Items(items) => missing_item(limiter, items),
+            Effect::Items(items) => missing_item(proxy, items),
             Effect::Drained(server) => {
                 let server = self.servers.get(server)?;
                 let is_available =
-                    limiter.availability(&server.instance_id) == Availability::Available;
+                    proxy.availability(&server.instance_id) == Availability::Available;
                 (server.is_draining && is_available).then(|| MissingEffect::Drain {
                     instance_id: server.instance_id.clone(),
                 })
@@ -64,7 +64,7 @@
                 let available = self.servers.values().find(|server| {
                     server.zone == *zone
                         && server.is_up
-                        && limiter.availability(&server.instance_id) == Availability::Available
+                        && proxy.availability(&server.instance_id) == Availability::Available
                 })?;
                 Some(MissingEffect::Evacuation {
                     instance_id: available.instance_id.clone(),
@@ -74,10 +74,10 @@
     }
 }
 
-/// The first of these items that a limiter lacks or has in an older version.
-fn missing_item(limiter: &LimiterProcess, items: &[Item]) -> Option<MissingEffect> {
+/// The first of these items that a proxy lacks or has in an older version.
+fn missing_item(proxy: &ProxyProcess, items: &[Item]) -> Option<MissingEffect> {
     let is_missing = |item: &&Item| {
-        let known = limiter.configuration.get(&item.key);
+        let known = proxy.configuration.get(&item.key);
         known.is_none_or(|known| known.version < item.version)
     };
     let missing = items.iter().find(is_missing)?;
--- a/crates/emberpin-simulator/src/simulation/expectations.rs
+++ b/crates/emberpin-simulator/src/simulation/expectations.rs
@@ -1,10 +1,10 @@
 //! Checks what a scenario expects.
 
 use super::Simulation;
-use crate::machine::{CoreId, LimiterId};
+use crate::machine::{CoreId, ProxyId};
 use crate::scenario::Expectation;
-use crate::state::limiter::LimiterProcess;
-use crate::violation::{LimiterMismatch, StepFailure};
+use crate::state::proxy::ProxyProcess;
+use crate::violation::{ProxyMismatch, StepFailure};
 use emberpin_routing::Availability;
 use std::net::Ipv4Addr;
 
@@ -18,23 +18,21 @@
             Expectation::Voters(count) => self.check_voters(*count),
             Expectation::Votes { core, votes } => self.check_votes(*core, *votes),
             Expectation::Route {
-                limiters,
+                proxies,
                 host,
                 path,
                 version,
-            } => self.check_limiters(limiters, |limiter| {
-                check_route(limiter, host, path, *version)
-            }),
+            } => self.check_proxies(proxies, |proxy| check_route(proxy, host, path, *version)),
             Expectation::ServerAvailability {
-                limiters,
+                proxies,
                 server,
                 availability,
-            } => self.check_availability(limiters, server, *availability),
-            Expectation::Ready { limiters, ready } => self.check_limiters(limiters, |limiter| {
-                if limiter.is_ready == *ready {
+            } => self.check_availability(proxies, server, *availability),
+            Expectation::Ready { proxies, ready } => self.check_proxies(proxies, |proxy| {
+                if proxy.is_ready == *ready {
                     Ok(())
                 } else {
-                    Err(LimiterMismatch::Ready(*ready))
+                    Err(ProxyMismatch::Ready(*ready))
                 }
             }),
             Expectation::Read(_) => Ok(()),
@@ -91,19 +89,19 @@
 
     fn check_availability(
         &self,
-        limiters: &[LimiterId],
+        proxies: &[ProxyId],
         server: &str,
         expected: Availability,
     ) -> Result<(), StepFailure> {
         let Some(server) = self.servers.get(server) else {
             return Err(StepFailure::NoServer(server.into()));
         };
-        self.check_limiters(limiters, |limiter| {
-            let found = limiter.availability(&server.instance_id);
+        self.check_proxies(proxies, |proxy| {
+            let found = proxy.availability(&server.instance_id);
             if found == expected {
                 return Ok(());
             }
-            Err(LimiterMismatch::Availability {
+            Err(ProxyMismatch::Availability {
                 instance_id: server.instance_id.clone(),
                 expected,
                 found,
@@ -111,19 +109,19 @@
         })
     }
 
-    /// Checks each of these limiters that runs.
-    fn check_limiters(
+    /// Checks each of these proxies that runs.
+    fn check_proxies(
         &self,
-        limiters: &[LimiterId],
-        check: impl Fn(&LimiterProcess) -> Result<(), LimiterMismatch>,
+        proxies: &[ProxyId],
+        check: impl Fn(&ProxyProcess) -> Result<(), ProxyMismatch>,
     ) -> Result<(), StepFailure> {
-        for (limiter, node) in &self.limiters {
+        for (proxy, node) in &self.proxies {
             let running = node.running.as_ref();
-            let Some(running) = running.filter(|_| limiters.contains(limiter)) else {
+            let Some(running) = running.filter(|_| proxies.contains(proxy)) else {
                 continue;
             };
-            check(running).map_err(|mismatch| StepFailure::Limiter {
-                limiter: *limiter,
+            check(running).map_err(|mismatch| StepFailure::Proxy {
+                proxy: *proxy,
                 mismatch,
             })?;
         }
@@ -132,17 +130,17 @@
 }
 
 fn check_route(
-    limiter: &LimiterProcess,
+    proxy: &ProxyProcess,
     host: &str,
     path: &str,
     expected: Option<u64>,
-) -> Result<(), LimiterMismatch> {
-    let route = limiter.router.routes.find(host, path);
+) -> Result<(), ProxyMismatch> {
+    let route = proxy.router.routes.find(host, path);
     let found = route.map(|route| route.version.0);
     if found == expected {
         return Ok(());
     }
-    Err(LimiterMismatch::Route {
+    Err(ProxyMismatch::Route {
         host: host.into(),
         path: path.into(),
         expected,
--- a/crates/emberpin-simulator/src/simulation/faults.rs
+++ b/crates/emberpin-simulator/src/simulation/faults.rs
@@ -23,7 +23,7 @@
     pub(super) fn start(&mut self, machine: Machine) {
         match machine {
             Machine::Core(core) => self.start_core(core, false),
-            Machine::Limiter(limiter) => self.start_limiter(limiter),
+            Machine::Proxy(proxy) => self.start_proxy(proxy),
         }
     }
 
@@ -52,8 +52,8 @@
                 node.running = None;
                 node.process.end();
             }
-            Machine::Limiter(limiter) => {
-                let Some(node) = self.limiters.get_mut(&limiter) else {
+            Machine::Proxy(proxy) => {
+                let Some(node) = self.proxies.get_mut(&proxy) else {
                     return;
                 };
                 node.running = None;
@@ -128,8 +128,8 @@
         self.sync_time = USUAL_SYNC_TIME;
         self.lost_response_percent = 0;
         let cores = self.cores.keys().copied().map(Machine::Core);
-        let limiters = self.limiters.keys().copied().map(Machine::Limiter);
-        let machines: Vec<Machine> = cores.chain(limiters).collect();
+        let proxies = self.proxies.keys().copied().map(Machine::Proxy);
+        let machines: Vec<Machine> = cores.chain(proxies).collect();
         for machine in machines {
             self.thaw(machine);
             self.start(machine);
--- a/crates/emberpin-simulator/src/simulation/final_checks.rs
+++ b/crates/emberpin-simulator/src/simulation/final_checks.rs
@@ -3,7 +3,7 @@
 use super::Simulation;
 use crate::history::{self, Call, NumberedItem, Outcome};
 use crate::invariants::parse_configuration;
-use crate::machine::LimiterId;
+use crate::machine::ProxyId;
 use crate::scenario::{CallTarget, OperatorRequest};
 use crate::state::operator::OperatorCall;
 use crate::violation::Violation;
@@ -89,13 +89,13 @@
     }
 
     fn check_readiness(&self) -> Result<(), Violation> {
-        for (limiter, node) in &self.limiters {
+        for (proxy, node) in &self.proxies {
             if node
                 .running
                 .as_ref()
                 .is_some_and(|running| !running.is_ready)
             {
-                return Err(Violation::NotReady(*limiter));
+                return Err(Violation::NotReady(*proxy));
             }
         }
         Ok(())
@@ -137,7 +137,7 @@
         Ok(())
     }
 
-    /// The last change of each zone's evacuation is in force on all limiters, where no other one was under way at the
+    /// The last change of each zone's evacuation is in force on all proxies, where no other one was under way at the
     /// same time.
     fn check_evacuations(&self) -> Result<(), Violation> {
         for (zone, calls) in self.evacuation_calls() {
@@ -176,19 +176,19 @@
             kind: ItemKind::Evacuation,
             name: zone.into(),
         };
-        let has_mismatch = |limiter: &LimiterId| {
-            let running = self.limiters[limiter].running.as_ref();
+        let has_mismatch = |proxy: &ProxyId| {
+            let running = self.proxies[proxy].running.as_ref();
             running.is_some_and(|running| {
                 let item = running.configuration.get(&key);
                 item.is_some_and(|item| item.body.is_some()) != acknowledged
             })
         };
-        match self.limiters.keys().find(|limiter| has_mismatch(limiter)) {
-            Some(limiter) => Err(Violation::LostEvacuation {
+        match self.proxies.keys().find(|proxy| has_mismatch(proxy)) {
+            Some(proxy) => Err(Violation::LostEvacuation {
                 zone: zone.into(),
                 acknowledged,
                 found: !acknowledged,
-                limiter: *limiter,
+                proxy: *proxy,
             }),
             None => Ok(()),
         }
--- a/crates/emberpin-simulator/src/simulation/mod.rs
+++ b/crates/emberpin-simulator/src/simulation/mod.rs
@@ -10,8 +10,8 @@
 mod expectations;
 mod faults;
 mod final_checks;
-mod limiter_sessions;
 mod operators;
+mod proxy_sessions;
 mod registries;
 mod servers;
 mod slow_start_load;
@@ -19,15 +19,15 @@
 mod stores;
 
 use crate::invariants::Record;
-use crate::machine::{CoreId, LimiterId, Machine};
+use crate::machine::{CoreId, Machine, ProxyId};
 use crate::mutants::Guards;
 use crate::scenario::Scenario;
 use crate::state::core_node::{CoreNode, CoreProcess};
 use crate::state::event::Event;
-use crate::state::limiter::{LimiterNode, LimiterProcess};
 use crate::state::network::Network;
 use crate::state::operator::Operators;
 use crate::state::process::Process;
+use crate::state::proxy::{ProxyNode, ProxyProcess};
 use crate::state::server::{Server, ServerCall};
 use crate::state::USUAL_SYNC_TIME;
 use crate::violation::Violation;
@@ -48,7 +48,7 @@
     pub events: u64,
     /// Requests that were sent to warming servers.
     pub slow_start_requests: usize,
-    /// Acknowledged effects that were checked on a limiter in contact.
+    /// Acknowledged effects that were checked on a proxy in contact.
     pub effect_checks: usize,
     /// Operations in histories that were checked for linearizability.
     pub checked_operations: usize,
@@ -70,7 +70,7 @@
     guards: Guards,
     tolerance: usize,
     cores: BTreeMap<CoreId, CoreNode>,
-    limiters: BTreeMap<LimiterId, LimiterNode>,
+    proxies: BTreeMap<ProxyId, ProxyNode>,
     servers: BTreeMap<String, Server>,
     pub operators: Operators,
     record: Record,
@@ -102,7 +102,7 @@
             guards,
             tolerance: scenario.tolerance,
             cores: BTreeMap::new(),
-            limiters: BTreeMap::new(),
+            proxies: BTreeMap::new(),
             servers: BTreeMap::new(),
             operators: Operators::default(),
             record: Record::default(),
@@ -130,15 +130,15 @@
             let node = CoreNode::new(process(number));
             self.cores.insert(CoreId(number), node);
         }
-        for number in 1..=scenario.limiters {
-            let node = LimiterNode::new(process(number));
-            self.limiters.insert(LimiterId(number), node);
+        for number in 1..=scenario.proxies {
+            let node = ProxyNode::new(process(number));
+            self.proxies.insert(ProxyId(number), node);
         }
         for number in 1..=scenario.cores {
             self.start_core(CoreId(number), true);
         }
-        for number in 1..=scenario.limiters {
-            self.start_limiter(LimiterId(number));
+        for number in 1..=scenario.proxies {
+            self.start_proxy(ProxyId(number));
         }
     }
 
@@ -225,7 +225,7 @@
             | Event::PeerDial { core, .. }
             | Event::OperatorCall { core, .. }
             | Event::ServerCall { core, .. } => Some(Machine::Core(*core)),
-            Event::LimiterTimer { limiter, .. } => Some(Machine::Limiter(*limiter)),
+            Event::ProxyTimer { proxy, .. } => Some(Machine::Proxy(*proxy)),
             Event::ConnectionBroken { machine, .. } => Some(*machine),
             Event::FrameArrives {
                 connection,
@@ -274,10 +274,7 @@
                 incarnation,
                 other,
             } => self.on_connection_broken(connection, machine, incarnation, other),
-            Event::LimiterTimer {
-                limiter,
-                incarnation,
-            } => self.on_limiter_timer(limiter, incarnation),
+            Event::ProxyTimer { proxy, incarnation } => self.on_proxy_timer(proxy, incarnation),
             Event::SlowStartLoad => self.send_slow_start_load(),
             Event::CheckEffect {
                 effect,
@@ -298,10 +295,7 @@
     fn process_mut(&mut self, machine: Machine) -> Option<&mut Process> {
         match machine {
             Machine::Core(core) => self.cores.get_mut(&core).map(|node| &mut node.process),
-            Machine::Limiter(limiter) => self
-                .limiters
-                .get_mut(&limiter)
-                .map(|node| &mut node.process),
+            Machine::Proxy(proxy) => self.proxies.get_mut(&proxy).map(|node| &mut node.process),
         }
     }
 
@@ -309,9 +303,9 @@
         self.cores.get_mut(&core)?.running.as_mut()
     }
 
-    /// What runs on a limiter, and the time on its clock.
-    fn running_limiter(&mut self, limiter: LimiterId) -> Option<(Duration, &mut LimiterProcess)> {
-        let node = self.limiters.get_mut(&limiter)?;
+    /// What runs on a proxy, and the time on its clock.
+    fn running_proxy(&mut self, proxy: ProxyId) -> Option<(Duration, &mut ProxyProcess)> {
+        let node = self.proxies.get_mut(&proxy)?;
         let local = node.process.local_time(self.now);
         node.running.as_mut().map(|running| (local, running))
     }
@@ -322,9 +316,9 @@
                 .cores
                 .get(&core)
                 .is_some_and(|node| node.running.is_some()),
-            Machine::Limiter(limiter) => self
-                .limiters
-                .get(&limiter)
+            Machine::Proxy(proxy) => self
+                .proxies
+                .get(&proxy)
                 .is_some_and(|node| node.running.is_some()),
         }
     }
@@ -335,9 +329,9 @@
                 .cores
                 .get(&core)
                 .map_or(0, |node| node.process.incarnation),
-            Machine::Limiter(limiter) => self
-                .limiters
-                .get(&limiter)
+            Machine::Proxy(proxy) => self
+                .proxies
+                .get(&proxy)
                 .map_or(0, |node| node.process.incarnation),
         }
     }
--- a/crates/emberpin-simulator/src/simulation/limiter_sessions.rs
+++ b/crates/emberpin-simulator/src/simulation/proxy_sessions.rs
@@ -1,12 +1,12 @@
-//! Limiters and their sessions with registries.
+//! Proxies and their sessions with registries.
 
 use super::connections::BreakNotice;
 use super::Simulation;
-use crate::machine::{CoreId, LimiterId, Machine};
+use crate::machine::{CoreId, Machine, ProxyId};
 use crate::state::event::Event;
-use crate::state::limiter::{timestamp, LimiterProcess, SESSIONS};
 use crate::state::network::{ConnectionId, Direction, Frame};
-use crate::violation::{LimiterViolation, Violation};
+use crate::state::proxy::{timestamp, ProxyProcess, SESSIONS};
+use crate::violation::{ProxyViolation, Violation};
 use emberpin_membership::candidates::Confirmation;
 use emberpin_membership::ids::Incarnation;
 use emberpin_membership::instance::Status;
@@ -17,8 +17,8 @@
 };
 use std::time::Duration;
 
-fn limiter_name(limiter: LimiterId) -> String {
-    limiter.to_string()
+fn proxy_name(proxy: ProxyId) -> String {
+    proxy.to_string()
 }
 
 fn confirmation(is_confirmed: bool) -> Confirmation {
@@ -30,57 +30,45 @@
 }
 
 impl Simulation {
-    pub(super) fn start_limiter(&mut self, limiter: LimiterId) {
+    pub(super) fn start_proxy(&mut self, proxy: ProxyId) {
         let (now, guards) = (self.now, self.guards);
-        let Some(node) = self.limiters.get_mut(&limiter) else {
+        let Some(node) = self.proxies.get_mut(&proxy) else {
             return;
         };
         if node.running.is_some() {
             return;
         }
         node.process.start(now);
-        node.running = Some(LimiterProcess::new(&limiter_name(limiter), &guards));
+        node.running = Some(ProxyProcess::new(&proxy_name(proxy), &guards));
         let incarnation = node.process.incarnation;
         let at = now + self.draw_time_below(LEASE_CHECK_INTERVAL);
-        self.schedule(
-            at,
-            Event::LimiterTimer {
-                limiter,
-                incarnation,
-            },
-        );
+        self.schedule(at, Event::ProxyTimer { proxy, incarnation });
     }
 
     /// Ends sessions that are silent or whose lease has expired, sends keep-alives, and begins new sessions.
-    pub(super) fn on_limiter_timer(&mut self, limiter: LimiterId, incarnation: u64) {
-        if self.incarnation(Machine::Limiter(limiter)) != incarnation {
+    pub(super) fn on_proxy_timer(&mut self, proxy: ProxyId, incarnation: u64) {
+        if self.incarnation(Machine::Proxy(proxy)) != incarnation {
             return;
         }
         for index in 0..SESSIONS {
-            if self.running_limiter(limiter).is_none() {
+            if self.running_proxy(proxy).is_none() {
                 return;
             }
-            self.check_session(limiter, index);
+            self.check_session(proxy, index);
         }
         let at = self.now + LEASE_CHECK_INTERVAL;
-        self.schedule(
-            at,
-            Event::LimiterTimer {
-                limiter,
-                incarnation,
-            },
-        );
+        self.schedule(at, Event::ProxyTimer { proxy, incarnation });
     }
 
-    fn check_session(&mut self, limiter: LimiterId, index: usize) {
-        let expired_sessions_end = self.guards.limiter.expired_sessions_end;
-        let Some((now, running)) = self.running_limiter(limiter) else {
+    fn check_session(&mut self, proxy: ProxyId, index: usize) {
+        let expired_sessions_end = self.guards.proxy.expired_sessions_end;
+        let Some((now, running)) = self.running_proxy(proxy) else {
             return;
         };
         let session = &mut running.sessions[index];
         let Some((connection, core)) = session.connection.zip(session.core) else {
             if now >= session.next_attempt_at {
-                self.begin_session(limiter, index);
+                self.begin_session(proxy, index);
             }
             return;
         };
@@ -88,7 +76,7 @@
         let is_expired = session.lease.is_expired(timestamp(now)) && expired_sessions_end;
         if is_silent || is_expired {
             self.break_connection(connection, BreakNotice::Sent);
-            self.on_session_broken(limiter, connection);
+            self.on_session_broken(proxy, connection);
         } else if now >= session.next_keep_alive_at {
             session.next_keep_alive_at = now + KEEP_ALIVE_INTERVAL;
             let nonce = session.lease.begin_query(timestamp(now));
@@ -104,15 +92,15 @@
         self.send_frame(connection, Direction::ToCallee, frame);
     }
 
-    fn begin_session(&mut self, limiter: LimiterId, index: usize) {
-        let Some(core) = self.choose_registry(limiter, index) else {
+    fn begin_session(&mut self, proxy: ProxyId, index: usize) {
+        let Some(core) = self.choose_registry(proxy, index) else {
             return;
         };
-        let Some(hello) = self.hello(limiter, core) else {
+        let Some(hello) = self.hello(proxy, core) else {
             return;
         };
-        let connection = self.connect(Machine::Limiter(limiter), Machine::Core(core));
-        let Some((now, running)) = self.running_limiter(limiter) else {
+        let connection = self.connect(Machine::Proxy(proxy), Machine::Core(core));
+        let Some((now, running)) = self.running_proxy(proxy) else {
             return;
         };
         let session = &mut running.sessions[index];
@@ -130,11 +118,11 @@
     }
 
     /// Chooses the registry for a session, or waits if there is none.
-    fn choose_registry(&mut self, limiter: LimiterId, index: usize) -> Option<CoreId> {
+    fn choose_registry(&mut self, proxy: ProxyId, index: usize) -> Option<CoreId> {
         let seeds = self.configured_seeds();
         let seeds = seeds.into_iter().map(CoreId::address);
         let draw = self.random.rand_u64();
-        let (now, running) = self.running_limiter(limiter)?;
+        let (now, running) = self.running_proxy(proxy)?;
         let session = &mut running.sessions[index];
         let last = session.last_core.map(CoreId::address);
         let address = running
@@ -147,15 +135,15 @@
     }
 
     /// The first message of a session.
-    fn hello(&self, limiter: LimiterId, core: CoreId) -> Option<FromProxy> {
-        let node = self.limiters.get(&limiter)?;
+    fn hello(&self, proxy: ProxyId, core: CoreId) -> Option<FromProxy> {
+        let node = self.proxies.get(&proxy)?;
         let running = node.running.as_ref()?;
         let now = node.process.local_time(self.now);
-        let incarnation = u64::from(limiter.0) << 32 | node.process.incarnation;
+        let incarnation = u64::from(proxy.0) << 32 | node.process.incarnation;
         let progress = running.progress.get(&core);
         Some(FromProxy::Hello {
             incarnation: Incarnation(incarnation),
-            name: limiter_name(limiter),
+            name: proxy_name(proxy),
             zone: node.process.zone.clone(),
             resume_from: progress.map(|progress| progress.revision),
             instances: running.router.endpoints.known_instances(now),
@@ -163,9 +151,9 @@
     }
 
     /// A session has ended: the next one begins after a pause of half to one and a half of the backoff.
-    pub(super) fn on_session_broken(&mut self, limiter: LimiterId, connection: ConnectionId) {
+    pub(super) fn on_session_broken(&mut self, proxy: ProxyId, connection: ConnectionId) {
         let percent = 50 + self.draw_below(100);
-        let Some((now, running)) = self.running_limiter(limiter) else {
+        let Some((now, running)) = self.running_proxy(proxy) else {
             return;
         };
         let Some(index) = running.session_on(connection) else {
@@ -186,13 +174,13 @@
 
     pub(super) fn on_session_message(
         &mut self,
-        limiter: LimiterId,
+        proxy: ProxyId,
         connection: ConnectionId,
         core: CoreId,
         message: ToProxy,
     ) {
         let guards = self.guards;
-        let Some((now, running)) = self.running_limiter(limiter) else {
+        let Some((now, running)) = self.running_proxy(proxy) else {
             return;
         };
         let Some(index) = running.session_on(connection) else {
@@ -211,7 +199,7 @@
         let next_part = progress
             .as_ref()
             .and_then(|progress| progress.next_part.clone())
-            .filter(|_| guards.limiter.complete_snapshots_only);
+            .filter(|_| guards.proxy.complete_snapshots_only);
         running
             .progress
             .extend(progress.map(|progress| (core, progress)));
@@ -220,27 +208,27 @@
         if brings_state {
             session.lease.on_snapshot_progress(timestamp(now));
             // A resumed session goes on from what this registry sent in an earlier one.
-            let counts = is_snapshot || guards.limiter.resumed_sessions_are_synced;
+            let counts = is_snapshot || guards.proxy.resumed_sessions_are_synced;
             session.is_synced |= next_part.is_none() && counts;
             session.awaits_part = Some(next_part.is_some());
         }
-        if let Err(violation) = self.apply_session_message(limiter, index, message) {
-            return self.fail(Violation::Limiter { limiter, violation });
+        if let Err(violation) = self.apply_session_message(proxy, index, message) {
+            return self.fail(Violation::Proxy { proxy, violation });
         }
         if let Some(after) = next_part.filter(|_| brings_state) {
             self.send_to_registry(connection, FromProxy::FetchSnapshotPart { after });
         }
-        self.check_drained_servers(limiter);
+        self.check_drained_servers(proxy);
     }
 
     fn apply_session_message(
         &mut self,
-        limiter: LimiterId,
+        proxy: ProxyId,
         index: usize,
         message: ToProxy,
-    ) -> Result<(), LimiterViolation> {
+    ) -> Result<(), ProxyViolation> {
         let guards = self.guards;
-        let Some((now, running)) = self.running_limiter(limiter) else {
+        let Some((now, running)) = self.running_proxy(proxy) else {
             return Ok(());
         };
         match message {
@@ -262,13 +250,13 @@
                 let session = &mut running.sessions[index];
                 session.lease.on_answer(nonce, age);
                 let is_confirmed = age.is_some() && session.lease.is_confirmed(timestamp(now));
-                if is_confirmed || guards.limiter.candidates_from_unconfirmed {
+                if is_confirmed || guards.proxy.candidates_from_unconfirmed {
                     running
                         .candidates
                         .on_registries_named(registries, confirmation(is_confirmed));
                 }
-                if is_confirmed || !guards.limiter.confirmed_readiness {
-                    running.router.set_limiter_count(now, proxies);
+                if is_confirmed || !guards.proxy.confirmed_readiness {
+                    running.router.set_proxy_count(now, proxies);
                     running.is_ready |= session.is_synced && !running.configuration.is_empty();
                 }
                 Ok(())
@@ -276,15 +264,15 @@
         }
     }
 
-    /// Checks that a server that was known to drain never gets requests again in this limiter's incarnation.
-    fn check_drained_servers(&mut self, limiter: LimiterId) {
+    /// Checks that a server that was known to drain never gets requests again in this proxy's incarnation.
+    fn check_drained_servers(&mut self, proxy: ProxyId) {
         let draining: Vec<String> = self
             .servers
             .values()
             .filter(|server| server.is_draining)
             .map(|server| server.instance_id.clone())
             .collect();
-        let Some((_, running)) = self.running_limiter(limiter) else {
+        let Some((_, running)) = self.running_proxy(proxy) else {
             return;
         };
         for instance_id in draining {
@@ -292,8 +280,8 @@
             let instance = running.router.endpoints.instance(&instance_id);
             match instance.map(|instance| instance.status) {
                 Some(Status::Up) if running.drained_instances.contains(&instance_id) => {
-                    let violation = LimiterViolation::DrainWentBack { instance_id };
-                    return self.fail(Violation::Limiter { limiter, violation });
+                    let violation = ProxyViolation::DrainWentBack { instance_id };
+                    return self.fail(Violation::Proxy { proxy, violation });
                 }
                 Some(Status::Draining) => _ = running.drained_instances.insert(instance_id),
                 _ => {}
--- a/crates/emberpin-simulator/src/simulation/slow_start_load.rs
+++ b/crates/emberpin-simulator/src/simulation/slow_start_load.rs
@@ -1,4 +1,4 @@
-//! Limiters send as many requests to warming servers as slow start allows.
+//! Proxies send as many requests to warming servers as slow start allows.
 
 use super::Simulation;
 use crate::state::event::Event;
@@ -7,18 +7,18 @@
 use emberpin_routing::Availability;
 use std::time::Duration;
 
-/// How often limiters send requests to warming servers.
+/// How often proxies send requests to warming servers.
 const LOAD_INTERVAL: Duration = Duration::from_millis(20);
-/// The most requests of one limiter to one server at a time.
+/// The most requests of one proxy to one server at a time.
 const MAX_REQUESTS_AT_ONCE: usize = 4;
-/// The most requests that a warming server may get in a second: the services' `warmup_per_s` of 10 with the limiters'
+/// The most requests that a warming server may get in a second: the services' `warmup_per_s` of 10 with the proxies'
 /// tolerance.
 const WARMUP_LIMIT: usize = 20;
 /// The span that the limit is for.
 const LIMIT_SPAN: Duration = Duration::from_secs(1);
 
 impl Simulation {
-    /// Lets limiters send requests to warming servers from now on.
+    /// Lets proxies send requests to warming servers from now on.
     pub(super) fn begin_slow_start_load(&mut self) {
         if !self.is_slow_start_load_scheduled {
             self.is_slow_start_load_scheduled = true;
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Each limiter sends what it may to a server. Returns how many requests that were.
+    /// Each proxy sends what it may to a server. Returns how many requests that were.
     fn send_requests(&mut self, name: &str) -> usize {
         let now = self.now;
         let Some(server) = self.servers.get(name) else {
@@ -56,7 +56,7 @@
         };
         let (id, service) = (&server.instance_id, &server.service);
         let mut requests = 0;
-        for node in self.limiters.values_mut() {
+        for node in self.proxies.values_mut() {
             let local = node.process.local_time(now);
             let Some(running) = node.running.as_mut().filter(|_| !node.process.is_frozen) else {
                 continue;
--- a/crates/emberpin-simulator/src/simulation/steps.rs
+++ b/crates/emberpin-simulator/src/simulation/steps.rs
@@ -89,12 +89,12 @@
         }
     }
 
-    /// A fault between a limiter and a core machine does not disturb the core machines among each other.
+    /// A fault between a proxy and a core machine does not disturb the core machines among each other.
     fn mark_ends_disturbed(&mut self, from: &[Machine], to: &[Machine]) {
         let is_core = |machine: &Machine| machine.as_core().is_some();
         let ends = from.iter().chain(to).copied();
-        let (cores, limiters): (Vec<Machine>, Vec<Machine>) = ends.partition(is_core);
-        self.mark_disturbed(limiters);
+        let (cores, proxies): (Vec<Machine>, Vec<Machine>) = ends.partition(is_core);
+        self.mark_disturbed(proxies);
         if from.iter().any(is_core) && to.iter().any(is_core) {
             self.mark_disturbed(cores);
         }
--- a/crates/emberpin-simulator/src/state/event.rs
+++ b/crates/emberpin-simulator/src/state/event.rs
@@ -2,7 +2,7 @@
 
 use super::network::{ConnectionId, Direction, Frame};
 use super::server::ServerCall;
-use crate::machine::{CoreId, LimiterId, Machine};
+use crate::machine::{CoreId, Machine, ProxyId};
 use emberpin_config::Item;
 use emberpin_consensus::{Message, WriteToken};
 use emberpin_membership::ids::Nonce;
@@ -73,9 +73,9 @@
         incarnation: u64,
         other: Machine,
     },
-    /// A limiter checks its sessions.
-    LimiterTimer {
-        limiter: LimiterId,
+    /// A proxy checks its sessions.
+    ProxyTimer {
+        proxy: ProxyId,
         incarnation: u64,
     },
     /// An operator's call arrives at a core machine.
@@ -114,9 +114,9 @@
         incarnation: u32,
         attempt: u64,
     },
-    /// Limiters send as many requests to warming servers as they may.
+    /// Proxies send as many requests to warming servers as they may.
     SlowStartLoad,
-    /// What was acknowledged at a time must be in force on limiters in contact.
+    /// What was acknowledged at a time must be in force on proxies in contact.
     CheckEffect {
         effect: Effect,
         acknowledged_at: Duration,
--- a/crates/emberpin-simulator/src/state/mod.rs
+++ b/crates/emberpin-simulator/src/state/mod.rs
@@ -2,10 +2,10 @@
 
 pub(crate) mod core_node;
 pub(crate) mod event;
-pub(crate) mod limiter;
 pub(crate) mod network;
 pub(crate) mod operator;
 pub(crate) mod process;
+pub(crate) mod proxy;
 pub(crate) mod server;
 
 use std::ops::Range;
--- a/crates/emberpin-simulator/src/state/network.rs
+++ b/crates/emberpin-simulator/src/state/network.rs
@@ -1,4 +1,4 @@
-//! Partitions, slow links, losses, and connections: those of registries among each other, and limiters' sessions.
+//! Partitions, slow links, losses, and connections: those of registries among each other, and proxies' sessions.
 
 use crate::machine::Machine;
 use crate::scenario::{Links, StoreMessageKind};
--- a/crates/emberpin-simulator/src/state/limiter.rs
+++ b/crates/emberpin-simulator/src/state/proxy.rs
@@ -1,11 +1,11 @@
-//! A model of a limiter: it follows sessions with registries as the real one does, and routes by what they send.
+//! A model of a proxy: it follows sessions with registries as the real one does, and routes by what they send.
 
 use super::network::ConnectionId;
 use super::process::Process;
 use super::HEARTBEAT_INTERVAL;
 use crate::machine::CoreId;
 use crate::mutants::Guards;
-use crate::violation::LimiterViolation;
+use crate::violation::ProxyViolation;
 use emberpin_config::{effective_routes, Configuration, Item, ItemKind, Route, Service, Version};
 use emberpin_membership::candidates::RegistryCandidates;
 use emberpin_membership::clock::Timestamp;
@@ -17,7 +17,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// The sessions of a limiter, as many as the real one has.
+/// The sessions of a proxy, as many as the real one has.
 pub(crate) const SESSIONS: usize = 2;
 /// `warm_excess` and `warm_extra`.
 const TOLERANCE: WarmupTolerance = WarmupTolerance {
@@ -25,7 +25,7 @@
     extra_requests: 5.0,
 };
 
-/// A session with a registry, or the place for one. All times are on the limiter's clock.
+/// A session with a registry, or the place for one. All times are on the proxy's clock.
 #[derive(Clone, Debug)]
 pub(crate) struct Session {
     pub connection: Option<ConnectionId>,
@@ -38,7 +38,7 @@
     pub backoff: Duration,
     pub next_attempt_at: Duration,
     pub next_keep_alive_at: Duration,
-    /// The limiter has received the registry's whole state.
+    /// The proxy has received the registry's whole state.
     pub is_synced: bool,
     /// Whether a part of a snapshot is awaited; `None` before the first message with state.
     pub awaits_part: Option<bool>,
@@ -76,8 +76,8 @@
     }
 }
 
-/// What runs on a limiter's machine.
-pub(crate) struct LimiterProcess {
+/// What runs on a proxy's machine.
+pub(crate) struct ProxyProcess {
     pub router: Router,
     pub configuration: Configuration,
     pub is_ready: bool,
@@ -91,9 +91,9 @@
     pub drained_instances: BTreeSet<String>,
 }
 
-impl LimiterProcess {
-    pub fn new(name: &str, guards: &Guards) -> LimiterProcess {
-        LimiterProcess {
+impl ProxyProcess {
+    pub fn new(name: &str, guards: &Guards) -> ProxyProcess {
+        ProxyProcess {
             router: Router::with_guards(
                 Duration::ZERO,
                 name,
@@ -124,7 +124,7 @@
         items: Vec<Item>,
         instances: &[Instance],
         guards: &Guards,
-    ) -> Result<(), LimiterViolation> {
+    ) -> Result<(), ProxyViolation> {
         let mut has_changed = false;
         for item in items {
             has_changed |= self.configuration.merge(item);
@@ -138,8 +138,8 @@
         Ok(())
     }
 
-    fn configure(&mut self, now: Duration, guards: &Guards) -> Result<(), LimiterViolation> {
-        let routes: Vec<Route> = if guards.limiter.valid_routes_only {
+    fn configure(&mut self, now: Duration, guards: &Guards) -> Result<(), ProxyViolation> {
+        let routes: Vec<Route> = if guards.proxy.valid_routes_only {
             effective_routes(&self.configuration)
         } else {
             self.configuration.routes().cloned().collect()
@@ -174,7 +174,7 @@
     }
 
     /// No invalid route comes into force, and no route goes back to an earlier version.
-    fn check_routes(&mut self, routes: &[Route]) -> Result<(), LimiterViolation> {
+    fn check_routes(&mut self, routes: &[Route]) -> Result<(), ProxyViolation> {
         let mut places = BTreeSet::new();
         for route in routes {
             let unknown = route
@@ -182,13 +182,13 @@
                 .iter()
                 .find(|target| !self.configuration.has_service(&target.service));
             if let Some(target) = unknown {
-                return Err(LimiterViolation::UnknownService {
+                return Err(ProxyViolation::UnknownService {
                     route: route.name.clone(),
                     service: target.service.clone(),
                 });
             }
             if !places.insert((route.hostname.clone(), route.prefix.clone())) {
-                return Err(LimiterViolation::SharedPlace {
+                return Err(ProxyViolation::SharedPlace {
                     route: route.name.clone(),
                 });
             }
@@ -197,7 +197,7 @@
                 .entry(route.name.clone())
                 .or_default();
             if route.version < *highest {
-                return Err(LimiterViolation::RouteWentBack {
+                return Err(ProxyViolation::RouteWentBack {
                     route: route.name.clone(),
                     version: route.version,
                     highest: *highest,
@@ -214,16 +214,16 @@
     }
 }
 
-/// A limiter's machine.
-pub(crate) struct LimiterNode {
+/// A proxy's machine.
+pub(crate) struct ProxyNode {
     pub process: Process,
     /// What runs, while the process does.
-    pub running: Option<LimiterProcess>,
+    pub running: Option<ProxyProcess>,
 }
 
-impl LimiterNode {
-    pub fn new(process: Process) -> LimiterNode {
-        LimiterNode {
+impl ProxyNode {
+    pub fn new(process: Process) -> ProxyNode {
+        ProxyNode {
             process,
             running: None,
         }
--- a/crates/emberpin-simulator/src/violation.rs
+++ b/crates/emberpin-simulator/src/violation.rs
@@ -1,7 +1,7 @@
 //! What a run of a scenario found wrong.
 
 use crate::history::NotLinearizable;
-use crate::machine::{CoreId, LimiterId};
+use crate::machine::{CoreId, ProxyId};
 use emberpin_config::{Item, ItemKey, ValidationError, Version};
 use emberpin_routing::Availability;
 use std::net::Ipv4Addr;
@@ -45,19 +45,19 @@
         /// The older version.
         version: Version,
     },
-    /// The state of a limiter is wrong.
-    #[error("{limiter}: {violation}")]
-    Limiter {
-        /// The limiter.
-        limiter: LimiterId,
+    /// The state of a proxy is wrong.
+    #[error("{proxy}: {violation}")]
+    Proxy {
+        /// The proxy.
+        proxy: ProxyId,
         /// What is wrong with it.
-        violation: LimiterViolation,
+        violation: ProxyViolation,
     },
-    /// A limiter in contact does not have in force what was acknowledged a while ago.
-    #[error("not applied in time: {limiter}, in touch, {missing}")]
+    /// A proxy in contact does not have in force what was acknowledged a while ago.
+    #[error("not applied in time: {proxy}, in touch, {missing}")]
     NotApplied {
-        /// The limiter.
-        limiter: LimiterId,
+        /// The proxy.
+        proxy: ProxyId,
         /// What is not in force there.
         missing: MissingEffect,
     },
@@ -99,7 +99,7 @@
     },
     /// The last acknowledged change of a zone's evacuation is not in force.
     #[error(
-        "lost: the evacuation of {zone} was last acknowledged as {acknowledged}, and is {found} on {limiter}"
+        "lost: the evacuation of {zone} was last acknowledged as {acknowledged}, and is {found} on {proxy}"
     )]
     LostEvacuation {
         /// The zone.
@@ -108,8 +108,8 @@
         acknowledged: bool,
         /// Whether it is.
         found: bool,
-        /// The limiter that has it so.
-        limiter: LimiterId,
+        /// The proxy that has it so.
+        proxy: ProxyId,
     },
     /// The configuration that a read returned cannot be parsed.
     #[error("what is read back is unreadable: {0}")]
@@ -117,9 +117,9 @@
     /// The configuration at the end is not valid as a whole.
     #[error("invalid as a whole: {0}")]
     InvalidConfiguration(ValidationError),
-    /// After all faults are over, a limiter does not become ready.
+    /// After all faults are over, a proxy does not become ready.
     #[error("does not serve again: {0} is not ready")]
-    NotReady(LimiterId),
+    NotReady(ProxyId),
     /// After all faults are over, a call is not acknowledged.
     #[error("does not serve again: {operator}, a call was told {status:?}")]
     NotServed {
@@ -189,13 +189,13 @@
     /// No server of the named one's name was started.
     #[error("there is no server {0}")]
     NoServer(String),
-    /// A limiter does not have what is expected.
-    #[error("{limiter}: {mismatch}")]
-    Limiter {
-        /// The limiter.
-        limiter: LimiterId,
+    /// A proxy does not have what is expected.
+    #[error("{proxy}: {mismatch}")]
+    Proxy {
+        /// The proxy.
+        proxy: ProxyId,
         /// What it has instead.
-        mismatch: LimiterMismatch,
+        mismatch: ProxyMismatch,
     },
     /// A read shows another version of an item, or none.
     #[error("expected that get holds {kind} {name} ver {expected}, found {found:?}")]
@@ -224,9 +224,9 @@
     Unreadable(#[from] Box<Violation>),
 }
 
-/// The state of a limiter that differs from an expectation.
+/// The state of a proxy that differs from an expectation.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum LimiterMismatch {
+pub enum ProxyMismatch {
     /// It has another version of a route, or none.
     #[error("expected version {expected:?} of the route of {host}{path}, found {found:?}")]
     Route {
@@ -254,9 +254,9 @@
     Ready(bool),
 }
 
-/// What is wrong with the state of a limiter.
+/// What is wrong with the state of a proxy.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum LimiterViolation {
+pub enum ProxyViolation {
     /// A route in force names a service that is not configured.
     #[error("invalid in force: route {route} names {service}, which is unknown")]
     UnknownService {
@@ -289,7 +289,7 @@
     },
 }
 
-/// What a limiter lacks of an acknowledged change.
+/// What a proxy lacks of an acknowledged change.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MissingEffect {
     /// It has an older version of an item, or none.
