--- a/crates/emberpin-ctl/src/run.rs
+++ b/crates/emberpin-ctl/src/run.rs
@@ -25,8 +25,8 @@
     PatchFile {
         /// The file's name.
         file: String,
-        /// Why the patch was not applied.
-        source: PatchError,
+        /// Why the patch was not applied. Boxed, as it is much larger than the other causes.
+        source: Box<PatchError>,
     },
     /// A patch that was made from the arguments was not applied.
     #[error(transparent)]
@@ -105,7 +105,10 @@
     } else {
         send_patch(addresses, body).await
     };
-    patched.map_err(|source| RunError::PatchFile { file, source })
+    patched.map_err(|error| RunError::PatchFile {
+        file,
+        source: Box::new(error),
+    })
 }
 
 /// The body of a patch that drops one item.
