--- a/crates/emberpin-balancer/src/decisions/attempts.rs
+++ b/crates/emberpin-balancer/src/decisions/attempts.rs
@@ -1,242 +1,281 @@
-//! Attempts: how long each may take, whether and where a further one goes, and the final answer.
+//! Attempts: how long each may take, whether and where a retry goes, and the final answer.
 
 use super::*;
 
-/// An attempt may take the mean and so many deviations; longer while a repeat of so many means meets the aim.
-const PATIENCE: f64 = 6.0;
-const REPEAT: f64 = 2.0;
-/// A keyed repeat must leave this share of the window unused.
+/// An attempt may take the mean latency and so many deviations.
+const TIMEOUT_DEVIATIONS: f64 = 6.0;
+/// And longer, while a retry of so many mean latencies still meets the latency target.
+const RETRY_MEANS: f64 = 2.0;
+/// A repeat of a keyed request must leave this share of its deduplication window unused.
 const WINDOW_MARGIN: f64 = 0.1;
 
 impl Gateway {
-    /// Takes over what another gateway had sent: where that may have run decides whether and where it goes
-    /// again. Its units were taken there, and it is no surge to be throttled; how many come is the host's.
-    pub(super) fn go_on(
+    /// Resumes a request that another gateway had sent: where and when it may have run decides whether and
+    /// where it is sent again. Its units were taken there, and it is no surge to be throttled; how many
+    /// come is up to the host.
+    pub(super) fn resume_request(
         &mut self,
         now: Millis,
         request: Request,
-        ran: PriorAttempt,
+        prior: PriorAttempt,
         actions: &mut Vec<Action>,
     ) {
         let (id, class, units) = (request.id, request.class.0, request.units);
         self.ensure_customer(now, request.customer, request.plan, request.gateways);
-        if let Some(customer) = self
-            .customers
-            .get_mut(&(request.customer.0 & gossip::ID_MASK))
-        {
-            customer.open += 1;
+        let customer = request.customer.0 & gossip::ID_MASK;
+        if let Some(customer) = self.customers.get_mut(&customer) {
+            customer.in_flight += 1;
         }
-        let (deadline, at) = (now + request.remaining, now - ran.age.max(0.0));
-        let ran = Some(FirstRun {
-            sent_at: at,
-            location: ran.location,
-        });
-        let open = Open {
+        let sent_at = now - prior.age.max(0.0);
+        let pending = PendingRequest {
+            deadline: now + request.remaining,
             request,
-            deadline,
             attempts: 0,
-            out: None,
-            sent: at,
-            ran,
+            in_flight: None,
+            sent_at,
+            first_run: Some(FirstRun {
+                sent_at,
+                location: prior.location,
+            }),
         };
-        // The group drops what begins to run within its window: it may have to wait at its server first.
-        let latency = self.latency[class].of(units);
-        let begins = now + latency.mean + PATIENCE * 0.5 * latency.deviation;
-        let within = self.may_repeat(begins, &open);
-        self.requests.insert(id, open);
-        match within.and_then(|within| self.choose(now, class, units, None, within)) {
-            Some(server) => self.send(now, id, server, actions),
+        // Servers discard what begins to run within the window: it may have to wait at its server first.
+        let latency = self.latencies[class].of(units);
+        let begins = now + latency.mean + TIMEOUT_DEVIATIONS * 0.5 * latency.deviation;
+        let permission = self.retry_permission(begins, &pending);
+        self.pending.insert(id, pending);
+        let server = match permission {
+            RetryPermission::Anywhere => self.choose_server(now, class, units, None, None),
+            RetryPermission::Within(scope) => {
+                self.choose_server(now, class, units, None, Some(scope))
+            }
+            RetryPermission::Denied => None,
+        };
+        match server {
+            Some(server) => self.send_attempt(now, id, server, actions),
             None => self.give_up(id, actions),
         }
     }
 
-    /// Sends an attempt. All sends pass here: no second attempt out, none to a server that drains.
-    pub(super) fn send(
+    /// Sends an attempt. All attempts are sent here, so that none is sent while another is in flight, and
+    /// none to a server that drains.
+    pub(super) fn send_attempt(
         &mut self,
         now: Millis,
         id: RequestId,
         to: ServerId,
         actions: &mut Vec<Action>,
     ) {
-        let Some(timeout) = self.patience(now, id) else {
+        let Some(timeout) = self.attempt_timeout(now, id) else {
             return;
         };
-        let (Some(open), Some(server)) = (self.requests.get_mut(&id), self.servers.get_mut(&to))
+        let (Some(pending), Some(server)) = (self.pending.get_mut(&id), self.servers.get_mut(&to))
         else {
             return;
         };
-        if open.out.is_some()
+        if pending.in_flight.is_some()
             || server.info.status != ServerStatus::InService
-            || self.banned.contains(&to)
+            || self.in_maintenance.contains(&to)
         {
             return;
         }
-        let usual = self.latency[open.request.class.0]
-            .of(open.request.units)
-            .mean;
-        server
-            .out
-            .insert((id, open.attempts), Sent { at: now, usual });
-        open.attempts += 1;
-        open.out = Some(to);
-        open.sent = now;
+        let latency = &self.latencies[pending.request.class.0];
+        let expected = latency.of(pending.request.units).mean;
+        let attempt = InFlightAttempt {
+            sent_at: now,
+            expected,
+        };
+        server.in_flight.insert((id, pending.attempts), attempt);
+        pending.attempts += 1;
+        pending.in_flight = Some(to);
+        pending.sent_at = now;
         actions.push(Action::Send {
             request: id,
             server: to,
             timeout,
         });
-        let mut cold = self.cold_budget(now, &self.servers[&to], self.all_cold(now));
-        let work = usual / self.usual();
-        cold.level -= work;
-        let Some(server) = self.servers.get_mut(&to) else {
-            return;
-        };
-        server.cold = cold;
-        if self.paired && self.warmth(now, &self.servers[&to].info) < 1.0 {
+        let work = expected / self.mean_latency();
+        self.spend_slow_start_budget(now, to, work);
+        if self.sibling_running && !self.is_warm(now, &self.servers[&to].info) {
             actions.push(Action::ShareUsage(Usage::SlowStart { server: to, work }));
         }
     }
 
-    /// How long the next attempt may take: all the time left, unless a further one could still be in time.
-    fn patience(&self, now: Millis, id: RequestId) -> Option<Millis> {
-        let open = self.requests.get(&id)?;
-        let mut left = open.deadline - now;
-        let class = &self.settings.classes[open.request.class.0];
-        // What is taken over is given up with its window: what waits at a server until then is not to run.
-        if let (Some(_), Some(first), Idempotency::Keyed { window, .. }) =
-            (open.request.prior_attempt, open.ran, class.idempotency)
-        {
+    /// How long the next attempt may take: all the time that is left, unless a retry could still be in
+    /// time.
+    fn attempt_timeout(&self, now: Millis, id: RequestId) -> Option<Millis> {
+        let pending = self.pending.get(&id)?;
+        let class = &self.settings.classes[pending.request.class.0];
+        let mut left = pending.deadline - now;
+        // A resumed request is given up with its window: what waits at a server until then must not run.
+        if let (Some(_), Some(first), Idempotency::Keyed { window, .. }) = (
+            pending.request.prior_attempt,
+            pending.first_run,
+            class.idempotency,
+        ) {
             left = left.min(first.sent_at + window - now);
         }
-        let latency = self.latency[open.request.class.0].of(open.request.units);
-        let repeatable = class.idempotency != Idempotency::Unsafe && open.attempts == 0;
-        let usual = (latency.mean + PATIENCE * latency.deviation)
-            .max(class.latency_target - REPEAT * latency.mean);
+        let latency = self.latencies[pending.request.class.0].of(pending.request.units);
+        let usual = (latency.mean + TIMEOUT_DEVIATIONS * latency.deviation)
+            .max(class.latency_target - RETRY_MEANS * latency.mean);
+        let repeatable = class.idempotency != Idempotency::Unsafe && pending.attempts == 0;
         let in_window = match class.idempotency {
             Idempotency::Keyed { window, .. } => usual < window * (1.0 - WINDOW_MARGIN),
             _ => true,
         };
-        let worth_it =
-            self.load.level == 0 && usual + latency.mean < left && self.settings.max_attempts > 1;
-        Some(if repeatable && in_window && worth_it {
+        let retry_in_time = self.load.congestion_level == 0
+            && usual + latency.mean < left
+            && self.settings.max_attempts > 1;
+        Some(if repeatable && in_window && retry_in_time {
             usual
         } else {
             left
         })
     }
 
-    /// An attempt ended: done, tried elsewhere, or answered.
-    pub(super) fn conclude(
+    /// An attempt ended: the request is answered, sent again, or given up.
+    pub(super) fn on_attempt_ended(
         &mut self,
         now: Millis,
-        attempt: &AttemptResult,
+        result: &AttemptResult,
         actions: &mut Vec<Action>,
     ) {
-        let (id, server) = (attempt.request, attempt.server);
-        let Some(open) = self.requests.get_mut(&id) else {
+        let id = result.request;
+        let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
-        open.out = None;
-        if let (true, Some(units)) = (self.settings.units_are_estimates, attempt.units) {
-            let more = units - open.request.units;
-            if let Some(customer) = self
-                .customers
-                .get_mut(&(open.request.customer.0 & gossip::ID_MASK))
-            {
-                customer.quota.level -= more;
-                customer.own = (customer.own + more).max(0.0);
-                customer.tell = 2;
-            }
+        pending.in_flight = None;
+        if let (true, Some(units)) = (self.settings.units_are_estimates, result.units) {
+            let customer = pending.request.customer.0 & gossip::ID_MASK;
+            let estimated = pending.request.units;
+            self.settle_units(customer, estimated, units);
         }
-        if attempt.answered {
-            self.finish(id);
+        if result.answered {
+            self.close_request(id);
             return;
         }
-        if !attempt.outcome.never_ran() {
-            let location = self.servers.get(&server).map(|s| s.info.location());
-            open.ran.get_or_insert(FirstRun {
-                sent_at: open.sent,
-                location: location.unwrap_or_default(),
-            });
+        if !result.outcome.never_ran() {
+            self.note_first_run(id, result.server);
         }
-        let next = if attempt.replayable {
-            self.next_server(now, id, server)
+        let next = if result.replayable {
+            self.retry_server(now, id, result.server)
         } else {
             None
         };
         match next {
-            Some(next) => self.send(now, id, next, actions),
+            Some(next) => self.send_attempt(now, id, next, actions),
             None => self.give_up(id, actions),
         }
     }
 
-    /// Where a further attempt may go, if the rules, the time and the retry budget allow one.
-    fn next_server(&mut self, now: Millis, id: RequestId, last: ServerId) -> Option<ServerId> {
-        let open = self.requests.get(&id)?;
-        let (class, units) = (open.request.class.0, open.request.units);
-        let usual = self.latency[class].of(units).mean;
-        if open.attempts >= self.settings.max_attempts || now + usual * 0.5 > open.deadline {
+    fn note_first_run(&mut self, id: RequestId, server: ServerId) {
+        let location = self.location(server).unwrap_or_default();
+        if let Some(pending) = self.pending.get_mut(&id) {
+            pending.first_run.get_or_insert(FirstRun {
+                sent_at: pending.sent_at,
+                location,
+            });
+        }
+    }
+
+    /// The client left or its time is up. Nobody waits for the attempt in flight any more: cancelling it
+    /// spares the server work that the client repeats elsewhere.
+    pub(super) fn on_abandoned(&mut self, request: RequestId, actions: &mut Vec<Action>) {
+        let Some(pending) = self.close_request(request) else {
+            return;
+        };
+        if pending.in_flight.is_some() && self.settings.can_cancel {
+            actions.push(Action::Cancel {
+                request,
+                attempt: pending.attempts - 1,
+            });
+        }
+    }
+
+    /// The server of a retry, if idempotency, time and the retry budget allow one.
+    fn retry_server(&mut self, now: Millis, id: RequestId, last: ServerId) -> Option<ServerId> {
+        let pending = self.pending.get(&id)?;
+        let (class, units) = (pending.request.class.0, pending.request.units);
+        let expected = self.latencies[class].of(units).mean;
+        let too_late = now + expected * 0.5 > pending.deadline;
+        if pending.attempts >= self.settings.max_attempts || too_late {
             return None;
         }
-        let group = self.may_repeat(now, open)?;
-        if open.ran.is_some() {
-            if self.load.level > 0 || self.retries < 1.0 {
+        let scope = match self.retry_permission(now, pending) {
+            RetryPermission::Anywhere => None,
+            RetryPermission::Within(scope) => Some(scope),
+            RetryPermission::Denied => return None,
+        };
+        if pending.first_run.is_some() {
+            if self.load.congestion_level > 0 || self.retry_budget < 1.0 {
                 return None;
             }
-            self.retries -= 1.0;
+            self.retry_budget -= 1.0;
         }
-        self.choose(now, class, units, Some(last), group)
+        self.choose_server(now, class, units, Some(last), scope)
     }
 
-    /// Effect guard: what may have run goes out again only where a repeat is harmless.
-    fn may_repeat(&self, now: Millis, open: &Open) -> Option<Option<RetryScope>> {
-        match (
-            open.ran,
-            self.settings.classes[open.request.class.0].idempotency,
-        ) {
-            (None, _) | (Some(_), Idempotency::Safe) => Some(None),
-            (Some(_), Idempotency::Unsafe) => None,
-            (Some(first), Idempotency::Keyed { scope, window }) => {
-                let inside = now - first.sent_at <= window * (1.0 - WINDOW_MARGIN);
-                inside.then_some(Some(RetryScope {
-                    scope,
-                    location: first.location,
-                }))
+    /// Whether a request may be sent again: one that may have run, only where a repeat does no harm.
+    fn retry_permission(&self, now: Millis, pending: &PendingRequest) -> RetryPermission {
+        let class = &self.settings.classes[pending.request.class.0];
+        let Some(first) = pending.first_run else {
+            return RetryPermission::Anywhere;
+        };
+        match class.idempotency {
+            Idempotency::Safe => RetryPermission::Anywhere,
+            Idempotency::Unsafe => RetryPermission::Denied,
+            Idempotency::Keyed { scope, window } => {
+                if now - first.sent_at <= window * (1.0 - WINDOW_MARGIN) {
+                    RetryPermission::Within(RetryScope {
+                        scope,
+                        location: first.location,
+                    })
+                } else {
+                    RetryPermission::Denied
+                }
             }
         }
     }
 
-    /// The final answer, at once: a refusal that says when to come back if that is harmless, else a failure.
+    /// The final answer, at once: a rejection with advice when to retry if a retry does no harm, else a
+    /// failure.
     fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.finish(id) else { return };
-        let harmless = match (
-            open.ran,
-            self.settings.classes[open.request.class.0].idempotency,
-        ) {
+        let Some(pending) = self.close_request(id) else {
+            return;
+        };
+        let class = pending.request.class.0;
+        let harmless = match (pending.first_run, self.settings.classes[class].idempotency) {
             (None, _) | (_, Idempotency::Safe) => true,
-            (_, Idempotency::Keyed { scope: group, .. }) => group == DedupScope::All,
+            (_, Idempotency::Keyed { scope, .. }) => scope == DedupScope::All,
             (_, Idempotency::Unsafe) => false,
         };
-        let pause = self.latency[open.request.class.0].all.mean; // One usual answer later.
-        let refusal = Action::Reject {
-            request: id,
-            retry_after: pause.min(self.settings.max_retry_after),
-        };
+        let pause = self.latencies[class].overall.mean;
         actions.push(if harmless {
-            refusal
+            Action::Reject {
+                request: id,
+                retry_after: pause.min(self.settings.max_retry_after),
+            }
         } else {
             Action::Fail { request: id }
         });
     }
 
-    pub(super) fn finish(&mut self, id: RequestId) -> Option<Open> {
-        let open = self.requests.remove(&id)?;
-        if let Some(customer) = self
-            .customers
-            .get_mut(&(open.request.customer.0 & gossip::ID_MASK))
-        {
-            customer.open = customer.open.saturating_sub(1);
+    /// Forgets a request that needs no answer of this gateway any more.
+    pub(super) fn close_request(&mut self, id: RequestId) -> Option<PendingRequest> {
+        let pending = self.pending.remove(&id)?;
+        let customer = pending.request.customer.0 & gossip::ID_MASK;
+        if let Some(customer) = self.customers.get_mut(&customer) {
+            customer.in_flight = customer.in_flight.saturating_sub(1);
         }
-        Some(open)
+        Some(pending)
     }
 }
+
+/// Where a request may be sent again.
+enum RetryPermission {
+    /// To any server.
+    Anywhere,
+    /// To the servers that know its key.
+    Within(RetryScope),
+    /// To none.
+    Denied,
+}
--- a/crates/emberpin-balancer/src/decisions/health.rs
+++ b/crates/emberpin-balancer/src/decisions/health.rs
@@ -1,157 +1,169 @@
-//! What is learned of servers: latency, outlier ejection, membership and maintenance.
+//! What is learned from the end of an attempt: latencies, and which servers are ejected as outliers.
 
 use super::*;
 
-/// Weight of the newest in averages.
-const GAIN: f64 = 0.1;
-/// Strikes at which a server is ejected, how far above its fellows' mean they must lie, for how long it
-/// rests at first and at most, and the largest share of the fleet that may rest at once.
-pub(super) const STRIKES: f64 = 2.0;
-const STRIKES_OVER_FELLOWS: f64 = 1.5;
-/// And the share of its attempts that failed must be more than twice its median fellow's, and so much more.
-const FAULTS_OVER_FELLOWS: f64 = 0.15;
-const EJECT_MIN: Millis = 1_000.0;
-const EJECT_MAX: Millis = 8_000.0;
-const EJECT_SHARE: f64 = 0.5;
+/// Weight of the newest result in averages.
+const AVERAGE_GAIN: f64 = 0.1;
+/// Strikes from which a server may be ejected.
+pub(super) const EJECTION_STRIKES: f64 = 2.0;
+/// An ejected server must have so many times the mean strikes of the servers in service.
+const STRIKES_OVER_MEAN: f64 = 1.5;
+/// Its failure rate must be more than so many times the median of the other servers'.
+const FAILURE_RATE_OVER_MEDIAN: f64 = 2.0;
+/// And lie above that by more than this margin.
+const FAILURE_RATE_MARGIN: f64 = 0.15;
+/// Length of a first ejection; each further one is twice as long.
+const MIN_EJECTION: Millis = 1_000.0;
+/// Longest ejection.
+const MAX_EJECTION: Millis = 8_000.0;
+/// Share of the servers in service that may be ejected as outliers at a time.
+const MAX_EJECTED_SHARE: f64 = 0.5;
+
+/// A failure that counts against a server.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Strike {
+    /// It rejected the attempt.
+    Rejected,
+    /// It answered with an error, not in time, or lost the connection.
+    Failed,
+    /// It accepted no connection.
+    Unreachable,
+}
+
+impl Strike {
+    fn weight(self) -> f64 {
+        match self {
+            Strike::Rejected => 0.5,
+            Strike::Failed => 1.0,
+            Strike::Unreachable => EJECTION_STRIKES,
+        }
+    }
+}
+
+/// How the servers in service do as a whole.
+struct FleetHealth {
+    /// How many there are.
+    servers: f64,
+    mean_strikes: f64,
+    /// How many are ejected now.
+    ejected: f64,
+}
 
 impl Gateway {
-    pub(super) fn learn(
+    /// Learns from the end of an attempt of its server, its class and the load.
+    pub(super) fn learn_from_attempt(
         &mut self,
         now: Millis,
-        attempt: &AttemptResult,
+        result: &AttemptResult,
         actions: &mut Vec<Action>,
     ) {
-        let id = attempt.server;
-        let kind = self
-            .requests
-            .get(&attempt.request)
-            .map(|o| (o.request.class.0, o.request.units));
-        if let Some(server) = self.servers.get_mut(&id) {
-            server.out.remove(&(attempt.request, attempt.attempt));
-            server.heard = now;
-            server.queue = attempt.load.queue_length.unwrap_or(server.queue);
-        }
-        let cold = self
-            .servers
-            .get(&id)
-            .is_some_and(|server| self.warmth(now, &server.info) < 1.0);
-        if let (Some(waits), true) = (attempt.load.queue_length, cold) {
-            self.load.cold_waits += (waits - self.load.cold_waits) * balancing::COLD_WEIGHT;
-            self.load.cold_told = now;
-        }
-        let before_gap = now - attempt.elapsed < self.woke;
-        if let (Some(server), Some(fault), false) = (
-            self.servers.get_mut(&id),
-            attempt.outcome.failure_weight(),
-            before_gap,
-        ) {
-            server.faults += (fault - server.faults) * GAIN;
-        }
-        match attempt.outcome {
-            Outcome::Ok if before_gap => self.load.answered += 1.0,
-            _ if before_gap => {}
-            Outcome::Ok => self.learn_latency(now, kind, id, attempt.elapsed),
+        // What was sent before a pause of this gateway says nothing of the server.
+        let before_pause = now - result.elapsed < self.resumed_at;
+        self.record_result(now, result, before_pause);
+        match result.outcome {
+            Outcome::Ok if before_pause => self.load.answered += 1.0,
+            _ if before_pause => {}
+            Outcome::Ok => self.learn_latency(now, result),
             Outcome::Timeout | Outcome::Error | Outcome::Reset => {
-                self.strike(now, id, 1.0, false, actions);
+                self.record_strike(now, result.server, Strike::Failed, actions);
+            }
+            Outcome::ConnectFailed => {
+                self.record_strike(now, result.server, Strike::Unreachable, actions);
+            }
+            Outcome::Rejected => {
+                self.record_strike(now, result.server, Strike::Rejected, actions);
             }
-            Outcome::ConnectFailed => self.strike(now, id, STRIKES, true, actions),
-            Outcome::Rejected => self.strike(now, id, 0.5, false, actions),
             Outcome::Cancelled | Outcome::NotSent => {}
         }
         self.check_congestion(now, actions);
     }
 
-    fn learn_latency(
-        &mut self,
-        now: Millis,
-        kind: Option<(usize, f64)>,
-        id: ServerId,
-        elapsed: Millis,
-    ) {
+    /// Takes the attempt off its server and notes what the server reported.
+    fn record_result(&mut self, now: Millis, result: &AttemptResult, before_pause: bool) {
+        let Some(server) = self.servers.get_mut(&result.server) else {
+            return;
+        };
+        server.in_flight.remove(&(result.request, result.attempt));
+        server.last_result_at = now;
+        server.queue_length = result.load.queue_length.unwrap_or(server.queue_length);
+        if let (Some(weight), false) = (result.outcome.failure_weight(), before_pause) {
+            server.failure_rate += (weight - server.failure_rate) * AVERAGE_GAIN;
+        }
+        let warm = self.is_warm(now, &self.servers[&result.server].info);
+        if let (Some(queue), false) = (result.load.queue_length, warm) {
+            let newest = queue - self.load.cold_queue;
+            self.load.cold_queue += newest * slow_start::COLD_QUEUE_GAIN;
+            self.load.cold_reported_at = now;
+        }
+    }
+
+    fn learn_latency(&mut self, now: Millis, result: &AttemptResult) {
         self.load.answered += 1.0;
-        let Some((class, units)) = kind else { return };
+        let Some(pending) = self.pending.get(&result.request) else {
+            return;
+        };
+        let (class, units) = (pending.request.class.0, pending.request.units);
+        let target = self.settings.classes[class].latency_target;
         let serves =
-            |server: &Backend| self.may_take(server) && self.warmth(now, &server.info) >= 1.0;
-        let warm = self.servers.get(&id).is_some_and(serves);
-        self.load.warm_share += (f64::from(u8::from(warm)) - self.load.warm_share) * GAIN;
-        if elapsed <= self.settings.classes[class].latency_target * AIM_SHARE {
-            self.load.quick = now;
+            |server: &ServerState| self.accepts_requests(server) && self.is_warm(now, &server.info);
+        let warm = self.servers.get(&result.server).is_some_and(serves);
+        self.load.warm_share += (f64::from(u8::from(warm)) - self.load.warm_share) * AVERAGE_GAIN;
+        if result.elapsed <= target * ATTEMPT_TARGET_SHARE {
+            self.load.last_on_target = now;
         }
-        // The mean of all answers so far at first: where traffic is thin, a life would else go by the
-        // least of the aims, and refuse what could wait, for most of a minute.
-        self.load.aims += 1.0;
-        self.aim += (self.settings.classes[class].latency_target - self.aim)
-            * (GAIN * GAIN).max(1.0 / self.load.aims);
-        let latency = &mut self.latency[class];
-        latency.learn(units, elapsed, GAIN);
-        // Both count as a millisecond at least: else whoever answers sooner seems faster than any that has
-        // not answered yet.
-        let relative = elapsed.max(1.0) / latency.of(units).mean.max(1.0);
-        let usual = if self.load.usual > 0.0 {
-            self.load.usual
+        // The mean of all answers so far at first: where traffic is thin, a new incarnation would else go
+        // by the least of the targets for most of a minute, and reject what could wait.
+        self.load.target_samples += 1.0;
+        let gain = (AVERAGE_GAIN * AVERAGE_GAIN).max(1.0 / self.load.target_samples);
+        self.mean_latency_target += (target - self.mean_latency_target) * gain;
+        let latency = &mut self.latencies[class];
+        latency.learn(units, result.elapsed, AVERAGE_GAIN);
+        // Both count as a millisecond at least: else a server that answers sooner seems faster than any
+        // that has not answered yet.
+        let relative = result.elapsed.max(1.0) / latency.of(units).mean.max(1.0);
+        let class_mean = latency.overall.mean;
+        let mean = if self.load.mean_latency > 0.0 {
+            self.load.mean_latency
         } else {
-            latency.all.mean
+            class_mean
         };
-        self.load.usual = usual + (latency.all.mean - usual) * GAIN;
-        if let Some(server) = self.servers.get_mut(&id) {
-            server.ratio += (relative - server.ratio) * GAIN;
+        self.load.mean_latency = mean + (class_mean - mean) * AVERAGE_GAIN;
+        if let Some(server) = self.servers.get_mut(&result.server) {
+            server.latency_ratio += (relative - server.latency_ratio) * AVERAGE_GAIN;
             server.strikes *= 0.5;
             if server.strikes < 0.5 {
-                server.ejection = 0.0;
+                server.ejection_time = 0.0;
             }
         }
     }
 
-    /// Outlier ejection: covers servers that are silent, down, refuse or err, whatever the cause; a
-    /// fault that all share ejects none. Harm: a few unlucky outcomes rest a sound server a second.
-    fn strike(
+    /// Outlier ejection: covers servers that are silent, down, reject or report errors, whatever the cause;
+    /// a fault that all servers share ejects none. Harm: a few unlucky results eject a sound server for a
+    /// second.
+    fn record_strike(
         &mut self,
         now: Millis,
         id: ServerId,
-        weight: f64,
-        cut: bool,
+        strike: Strike,
         actions: &mut Vec<Action>,
     ) {
-        let (mut count, mut strikes, mut ejected) = (0.0f64, 0.0, 0.0);
-        for server in self
-            .servers
-            .values()
-            .filter(|s| s.info.status == ServerStatus::InService)
-        {
-            count += 1.0;
-            strikes += server.strikes;
-            ejected += f64::from(u8::from(now < server.ejected_until));
-        }
-        let mean = strikes / count.max(1.0);
-        // Guards against resting one server after the other for what strikes them all: of connections that
-        // break by chance some break twice running, at whichever server.
-        let fellow = |(other, s): &(&ServerId, &Backend)| {
-            **other != id && s.info.status == ServerStatus::InService
-        };
-        let mut fellows: Vec<f64> = self
-            .servers
-            .iter()
-            .filter(fellow)
-            .map(|(_, s)| s.faults)
-            .collect();
-        fellows.sort_by(f64::total_cmp);
-        let usual = fellows
-            .get(fellows.len().saturating_sub(1) / 2)
-            .copied()
-            .unwrap_or(0.0);
+        let fleet = self.fleet_health(now);
+        let median = self.median_failure_rate_without(id);
         let Some(server) = self.servers.get_mut(&id) else {
             return;
         };
-        server.strikes += weight;
-        let outlier = server.strikes >= STRIKES
-            && server.strikes >= STRIKES_OVER_FELLOWS * mean
-            && server.faults > 2.0 * usual + FAULTS_OVER_FELLOWS;
-        // What takes no connection rests whatever its fellows do: others may hold connections that
-        // still work (a full table, a cut link), and where none is left the choice falls back on all.
-        let rests = cut || (outlier && ejected + 1.0 <= count * EJECT_SHARE);
-        if rests && now >= server.ejected_until {
-            server.ejection = (server.ejection * 2.0).clamp(EJECT_MIN, EJECT_MAX);
-            server.ejected_until = now + server.ejection;
+        server.strikes += strike.weight();
+        let outlier = server.strikes >= EJECTION_STRIKES
+            && server.strikes >= STRIKES_OVER_MEAN * fleet.mean_strikes
+            && server.failure_rate > FAILURE_RATE_OVER_MEDIAN * median + FAILURE_RATE_MARGIN;
+        let may_eject = fleet.ejected + 1.0 <= fleet.servers * MAX_EJECTED_SHARE;
+        // One that accepts no connection is ejected whatever the others do: they may keep connections that
+        // still work, past a full table or a partition. Where none is left, the choice of a server falls
+        // back on all.
+        let eject = strike == Strike::Unreachable || (outlier && may_eject);
+        if eject && now >= server.ejected_until {
+            server.ejection_time = (server.ejection_time * 2.0).clamp(MIN_EJECTION, MAX_EJECTION);
+            server.ejected_until = now + server.ejection_time;
             self.log(
                 now,
                 "ejected a server: it fails more than its fellows",
@@ -160,76 +172,38 @@
         }
     }
 
-    pub(super) fn membership(&mut self, now: Millis, news: MembershipUpdate) {
-        let full = matches!(news, MembershipUpdate::Full(_));
-        let (MembershipUpdate::Full(lines) | MembershipUpdate::Changes(lines)) = news else {
-            return;
-        };
-        if full {
-            for (id, server) in &mut self.servers {
-                if !lines.iter().any(|line| line.id == *id) {
-                    server.info.status = ServerStatus::Removed;
-                }
-            }
+    fn fleet_health(&self, now: Millis) -> FleetHealth {
+        let (mut servers, mut strikes, mut ejected) = (0.0f64, 0.0, 0.0);
+        for server in self
+            .servers
+            .values()
+            .filter(|server| server.info.status == ServerStatus::InService)
+        {
+            servers += 1.0;
+            strikes += server.strikes;
+            ejected += f64::from(u8::from(now < server.ejected_until));
         }
-        for line in lines {
-            let rank = self.rank(&line);
-            match self.servers.get_mut(&line.id) {
-                Some(server) if server.info.started_at == line.started_at => server.info = line,
-                known => {
-                    let out = known
-                        .map(|old| std::mem::take(&mut old.out))
-                        .unwrap_or_default();
-                    self.servers.insert(
-                        line.id,
-                        Backend {
-                            out,
-                            rank,
-                            ..Backend::new(line, now)
-                        },
-                    );
-                }
-            }
+        FleetHealth {
+            servers,
+            mean_strikes: strikes / servers.max(1.0),
+            ejected,
         }
-        self.servers
-            .retain(|_, s| s.info.status != ServerStatus::Removed || !s.out.is_empty());
-        let count = self.servers.len() as f64;
-        self.servers
-            .values_mut()
-            .enumerate()
-            .for_each(|(place, server)| server.turn = place as f64 / count);
     }
 
-    /// Takes a server out by hand, or puts it back: as one that has just started and of which nothing is
-    /// known, since it was most likely taken out to be restarted. Saying either again changes nothing.
-    pub(super) fn maintain(
-        &mut self,
-        now: Millis,
-        id: ServerId,
-        out: bool,
-        actions: &mut Vec<Action>,
-    ) {
-        if out {
-            self.banned.insert(id);
-            let left = self.servers.values().any(|server| self.may_take(server));
-            if !left {
-                self.log(
-                    now,
-                    "no server is left in service: the last was taken out by hand",
-                    actions,
-                );
-            }
-        } else if self.banned.remove(&id) {
-            self.returned.insert(id, now);
-            if let Some(server) = self.servers.get_mut(&id) {
-                let (out, rank, turn) = (std::mem::take(&mut server.out), server.rank, server.turn);
-                *server = Backend {
-                    out,
-                    rank,
-                    turn,
-                    ..Backend::new(server.info.clone(), now)
-                };
-            }
-        }
+    /// Median failure rate of the other servers in service; 0 without any. Held against it, a server is not
+    /// ejected for what strikes all of them: of connections that break by chance, some break twice running
+    /// at whichever server.
+    fn median_failure_rate_without(&self, id: ServerId) -> f64 {
+        let mut rates: Vec<f64> = self
+            .servers
+            .iter()
+            .filter(|(other, server)| {
+                **other != id && server.info.status == ServerStatus::InService
+            })
+            .map(|(_, server)| server.failure_rate)
+            .collect();
+        rates.sort_by(f64::total_cmp);
+        let middle = rates.len().saturating_sub(1) / 2;
+        rates.get(middle).copied().unwrap_or(0.0)
     }
 }
--- a/crates/emberpin-balancer/src/decisions/mod.rs
+++ b/crates/emberpin-balancer/src/decisions/mod.rs
@@ -1,226 +1,236 @@
-//! Every decision of a gateway. The interface (settings, events, actions) is `src/interface.rs`;
-//! `src/gossip.rs` knows the bytes of peer messages only. A request meets admission, quotas, balancing,
-//! attempts and health in turn. Source of the ordinary path: Roughan and Pearce, "A Martingale Analysis
-//! of Hysteretic Overload Control"; see `docs/DESIGN.md`.
+//! Every decision of a gateway, one file for each concern. An event passes from [`Gateway::handle`] to the
+//! function that is named for what happened; a request meets admission, congestion, quotas, balancing and
+//! attempts in turn.
+//!
+//! The ordinary path follows Roughan and Pearce, "A Martingale Analysis of Hysteretic Overload Control";
+//! `docs/DESIGN.md` says what is not from there.
 
 mod admission;
+mod announcements;
 mod attempts;
 mod balancing;
+mod congestion;
 mod health;
+mod housekeeping;
+mod membership;
 mod peers;
 mod quotas;
+mod slow_start;
 
-pub(crate) use admission::LEVELS;
+pub(crate) use congestion::CONGESTION_LEVELS;
 
 use crate::gossip::{self, Entry};
 use crate::interface::*;
 use crate::state::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-// ---- Constants of several modules. Each has its reason; none comes from a deployment's figures. ----
+// Constants of several files. Each has its reason; none comes from a deployment's figures.
 
-/// Share of the aim that waiting and service may take before a gateway calls itself congested.
-const AIM_SHARE: f64 = 0.32;
-/// Throughput is averaged over the first, and its peak remembered over the second time.
-const RATE_TIME: Millis = 1_000.0;
-const PEAK_TIME: Millis = 5_000.0;
-/// No event for so long beyond the period is a gap of this gateway's own.
-const GAP: Millis = 300.0;
-/// Gossip and housekeeping period, or so long that gossip fills this share of the peers' intake; where
-/// that would be longer than the second time, peers are too many to tell each.
-const TICK: Millis = 100.0;
-const MAIL_SHARE: f64 = 0.75;
-const ALL_TOLD: Millis = 500.0;
-/// No message from any peer for so long makes a gateway count alone.
-const SILENT: Millis = 1_500.0;
-/// Second attempts after one that may have run are held to this share of the requests.
-const RETRY_SHARE: f64 = 0.1;
-const RETRY_BURST: f64 = 10.0;
-/// A common start has so many over all gateways, and one each.
-const RETRY_FLEET: f64 = 60.0;
-/// The same log line appears once in this time at most.
-const LOG_EVERY: Millis = 5_000.0;
+/// Share of the latency target that queueing and service may take before a gateway counts as congested.
+const ATTEMPT_TARGET_SHARE: f64 = 0.32;
+/// Throughput is averaged over this time.
+const THROUGHPUT_WINDOW: Millis = 1_000.0;
+/// The peak of the throughput is remembered for this time.
+const PEAK_WINDOW: Millis = 5_000.0;
+/// Period of gossip and housekeeping, where peers can receive that often.
+const TICK_PERIOD: Millis = 100.0;
+/// Share of the messages that peers can receive which gossip may fill.
+const GOSSIP_SHARE: f64 = 0.75;
+/// Longest gossip period. Where it would have to be longer, peers are too many for each to be sent every
+/// announcement.
+const MAX_GOSSIP_PERIOD: Millis = 500.0;
+/// A gateway that receives no message of any peer for this time counts as isolated.
+const ISOLATION_TIMEOUT: Millis = 1_500.0;
+/// A gateway that gets no event for this time beyond the period was paused itself.
+const PAUSE_THRESHOLD: Millis = 300.0;
+/// Retries of what may have run are held to this share of the requests.
+const RETRY_BUDGET_RATIO: f64 = 0.1;
+/// Retries that the budget holds at most.
+const RETRY_BUDGET_MAX: f64 = 10.0;
+/// Retries in the budgets of all gateways together at a common start; each has one at least.
+const INITIAL_GROUP_RETRIES: f64 = 60.0;
+/// Before any answer, requests are taken to need this share of their latency target.
+const INITIAL_LATENCY_SHARE: f64 = 0.25;
+/// And to deviate by this share of it.
+const INITIAL_DEVIATION_SHARE: f64 = 0.1;
+/// The same line is logged once in this time at most.
+const LOG_INTERVAL: Millis = 5_000.0;
+/// Token of the only timer, which calls for the next tick.
 const TICK_TOKEN: u64 = 0;
 
-/// One gateway's decisions: feed it events, carry out its actions.
+/// One gateway's decisions: feed it events and carry out the actions that it appends.
 #[derive(Debug)]
 pub struct Gateway {
     pub(crate) settings: Settings,
+    /// The only source of randomness. The order of draws is part of the behaviour: equal events give equal
+    /// actions.
     pub(crate) rng: oorandom::Rand64,
-    pub(crate) born: Millis,
-    pub(crate) life: u64,
-    /// The last event, and when the last gap of this gateway's own ended.
-    pub(crate) seen: Option<Millis>,
-    pub(crate) woke: Millis,
-    pub(crate) ticked: Millis,
-    pub(crate) servers: BTreeMap<ServerId, Backend>,
-    /// Out of service by hand, and when servers were put back lately.
-    pub(crate) banned: BTreeSet<ServerId>,
-    pub(crate) returned: BTreeMap<ServerId, Millis>,
-    pub(crate) requests: BTreeMap<RequestId, Open>,
-    pub(crate) customers: BTreeMap<u64, Customer>,
-    /// The life that each peer told last.
-    pub(crate) peers: BTreeMap<u32, u64>,
-    /// The group was seen to start together with this life.
-    pub(crate) first: bool,
-    /// Customers with something to tell, those kept here, and those that their keepers said to refuse.
-    pub(crate) news: BTreeSet<u64>,
-    pub(crate) kept: BTreeSet<u64>,
-    pub(crate) advice: BTreeMap<u64, (f64, Millis)>,
-    pub(crate) mail: Bucket,
-    pub(crate) latency: Vec<Latencies>,
-    pub(crate) load: Load,
-    /// Mean aim of what was answered, and when a peer was last heard.
-    pub(crate) aim: Millis,
-    pub(crate) heard: Millis,
-    /// When peers were heard again after a silence.
-    pub(crate) joined: Millis,
-    pub(crate) retries: f64,
-    /// Another process of this gateway is there beside this one.
-    pub(crate) paired: bool,
-    pub(crate) logged: BTreeMap<&'static str, Millis>,
+    pub(crate) started_at: Millis,
+    /// Start of this incarnation in whole milliseconds. Peers take a higher one for a restart and begin to
+    /// count anew.
+    pub(crate) incarnation: u64,
+    /// When the last event came; `None` before the first.
+    pub(crate) last_event_at: Option<Millis>,
+    /// When the last pause of this gateway ended. What was sent before is no measure of the load or the
+    /// servers.
+    pub(crate) resumed_at: Millis,
+    pub(crate) ticked_at: Millis,
+    pub(crate) servers: BTreeMap<ServerId, ServerState>,
+    /// Servers that an operator took out of service.
+    pub(crate) in_maintenance: BTreeSet<ServerId>,
+    /// When servers were lately put back into service. They count as started then.
+    pub(crate) returned_at: BTreeMap<ServerId, Millis>,
+    pub(crate) pending: BTreeMap<RequestId, PendingRequest>,
+    /// Customers by their hash within [`gossip::ID_MASK`].
+    pub(crate) customers: BTreeMap<u64, CustomerState>,
+    /// The newest incarnation of each peer.
+    pub(crate) peer_incarnations: BTreeMap<u32, u64>,
+    /// Whether the peers were seen to have started together with this gateway, so that no quota was used
+    /// before.
+    pub(crate) common_start: bool,
+    /// Customers whose counts are to be announced.
+    pub(crate) unannounced: BTreeSet<u64>,
+    /// Customers of whose few owners this gateway is one.
+    pub(crate) owned: BTreeSet<u64>,
+    /// The newest advice of a customer's owners.
+    pub(crate) advice: BTreeMap<u64, Advice>,
+    /// Messages that may be sent to peers.
+    pub(crate) message_budget: TokenBucket,
+    /// By class.
+    pub(crate) latencies: Vec<ClassLatency>,
+    pub(crate) load: LoadState,
+    /// Mean latency target of what was answered.
+    pub(crate) mean_latency_target: Millis,
+    /// When a message of a peer last came.
+    pub(crate) peer_heard_at: Millis,
+    /// When peers were heard again after this gateway was isolated.
+    pub(crate) rejoined_at: Millis,
+    /// Retries of what may have run that are left.
+    pub(crate) retry_budget: f64,
+    /// Whether a second process of this gateway runs beside this one.
+    pub(crate) sibling_running: bool,
+    /// When each line was last logged.
+    pub(crate) logged_at: BTreeMap<&'static str, Millis>,
 }
 
 impl Gateway {
-    /// A gateway that starts now and knows only its settings.
+    /// A gateway that starts now and knows only its settings. Equal seeds and events give equal actions.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Gateway {
-        let latency = settings.classes.iter().map(|c| Latency {
-            mean: c.latency_target * 0.25,
-            deviation: c.latency_target * 0.1,
-        });
+        let group_size = f64::from(settings.group_size.max(1));
         Gateway {
             rng: oorandom::Rand64::new(u128::from(seed)),
-            born: now,
-            life: now.max(0.0) as u64,
-            seen: None,
-            woke: f64::NEG_INFINITY,
-            ticked: now,
+            started_at: now,
+            incarnation: now.max(0.0) as u64,
+            last_event_at: None,
+            resumed_at: f64::NEG_INFINITY,
+            ticked_at: now,
             servers: BTreeMap::new(),
-            banned: BTreeSet::new(),
-            returned: BTreeMap::new(),
-            requests: BTreeMap::new(),
+            in_maintenance: BTreeSet::new(),
+            returned_at: BTreeMap::new(),
+            pending: BTreeMap::new(),
             customers: BTreeMap::new(),
-            peers: BTreeMap::new(),
-            first: false,
-            news: BTreeSet::new(),
-            kept: BTreeSet::new(),
+            peer_incarnations: BTreeMap::new(),
+            common_start: false,
+            unannounced: BTreeSet::new(),
+            owned: BTreeSet::new(),
             advice: BTreeMap::new(),
-            mail: Bucket {
-                level: 0.0,
-                at: now,
+            message_budget: TokenBucket {
+                tokens: 0.0,
+                updated_at: now,
             },
-            latency: latency.map(Latencies::new).collect(),
-            load: Load {
+            latencies: settings.classes.iter().map(initial_latency).collect(),
+            load: LoadState {
                 warm_share: 1.0,
-                cold_told: now - 2.0 * balancing::COLD_NEWS,
-                ..Load::default()
+                cold_reported_at: now - 2.0 * slow_start::COLD_REPORT_VALIDITY,
+                ..LoadState::default()
             },
-            aim: settings
+            mean_latency_target: settings
                 .classes
                 .iter()
-                .map(|c| c.latency_target)
+                .map(|class| class.latency_target)
                 .fold(f64::INFINITY, f64::min),
-            heard: f64::NEG_INFINITY,
-            joined: f64::NEG_INFINITY,
-            retries: (RETRY_FLEET / f64::from(settings.group_size.max(1))).clamp(1.0, RETRY_BURST),
-            paired: false,
-            logged: BTreeMap::new(),
+            peer_heard_at: f64::NEG_INFINITY,
+            rejoined_at: f64::NEG_INFINITY,
+            retry_budget: (INITIAL_GROUP_RETRIES / group_size).clamp(1.0, RETRY_BUDGET_MAX),
+            sibling_running: false,
+            logged_at: BTreeMap::new(),
             settings,
         }
     }
 
-    /// How many servers are ejected as outliers now.
-    pub fn ejected_count(&self, now: Millis) -> u32 {
-        self.servers
-            .values()
-            .map(|server| u32::from(now < server.ejected_until))
-            .sum()
-    }
-
-    /// Whether an operator took a server out of service, see [`Event::Maintenance`].
-    pub fn is_in_maintenance(&self, server: ServerId) -> bool {
-        self.banned.contains(&server)
-    }
-
-    /// The failure domains of a server; `None` for a server that is not known (any more).
-    pub fn location(&self, server: ServerId) -> Option<Location> {
-        self.servers
-            .get(&server)
-            .map(|server| server.info.location())
-    }
-
-    /// How many servers the endpoint list names, and how many of them get no requests now.
-    pub fn pool_size(&self, now: Millis) -> PoolSize {
-        let listed = self
-            .servers
-            .values()
-            .filter(|server| server.info.status != ServerStatus::Removed);
-        let avoided = |s: &&Backend| now < s.ejected_until || self.banned.contains(&s.info.id);
-        PoolSize {
-            listed: listed.clone().count(),
-            avoided: listed.filter(avoided).count(),
-        }
-    }
-
-    /// Takes one event and appends what is to be done.
+    /// Takes one event and appends what has to be done to `actions`. It never fails: what makes no sense,
+    /// such as the end of an attempt that nobody knows, is ignored.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
-        match self.seen.replace(now) {
-            Some(seen) => self.notice_gap(now, now - seen),
-            None => {
-                actions.push(Action::SetTimer {
-                    delay: self.period(),
-                    token: TICK_TOKEN,
-                });
-                if self.settings.subscribe_servers {
-                    actions.push(Action::WatchServers { on: true });
-                }
-            }
+        match self.last_event_at.replace(now) {
+            Some(last) => self.detect_pause(now, now - last),
+            None => self.on_first_event(actions),
         }
         match event {
-            Event::Request(request) => self.arrive(now, request, actions),
-            Event::AttemptEnded(attempt) => {
-                self.learn(now, &attempt, actions);
-                self.conclude(now, &attempt, actions);
+            Event::Request(request) => self.on_request(now, request, actions),
+            Event::AttemptEnded(result) => {
+                // First what is learned of the server, as it decides where the request goes next.
+                self.learn_from_attempt(now, &result, actions);
+                self.on_attempt_ended(now, &result, actions);
             }
-            Event::ResponseStarted { request } => drop(self.finish(request)),
-            Event::Abandoned { request } => {
-                // Nobody waits for it any more: spares the server work that clients repeat elsewhere.
-                let open = self
-                    .finish(request)
-                    .filter(|o| o.out.is_some() && self.settings.can_cancel);
-                actions.extend(open.map(|o| Action::Cancel {
-                    request,
-                    attempt: o.attempts - 1,
-                }));
-            }
-            Event::Timer { token: TICK_TOKEN } => self.tick(now, actions),
-            Event::Membership(news) => self.membership(now, news),
+            Event::ResponseStarted { request } => drop(self.close_request(request)),
+            Event::Abandoned { request } => self.on_abandoned(request, actions),
+            Event::Timer { token: TICK_TOKEN } => self.on_tick(now, actions),
+            Event::Membership(update) => self.on_membership(now, update),
+            Event::Maintenance {
+                server,
+                out_of_service: true,
+            } => self.take_out_of_service(now, server, actions),
             Event::Maintenance {
                 server,
-                out_of_service: out,
-            } => self.maintain(now, server, out, actions),
-            Event::PeerMessage { from, bytes } => self.hear(now, from, &bytes),
-            Event::SiblingChanged { running: on } => self.paired = on,
-            Event::SiblingUsage(spent) => self.share(now, spent),
+                out_of_service: false,
+            } => self.return_to_service(now, server),
+            Event::PeerMessage { from, bytes } => self.on_peer_message(now, from, &bytes),
+            Event::SiblingChanged { running } => self.sibling_running = running,
+            Event::SiblingUsage(usage) => self.on_sibling_usage(now, usage),
             Event::Timer { .. } | Event::ProbeEnded { .. } | Event::CounterReply { .. } => {}
         }
     }
 
-    /// A gateway that had no turn finds its timers late and all events in a pile: no fault of peers or
-    /// servers, and what it had out has long ended. Harm: dropped timers make it forget what is out.
-    fn notice_gap(&mut self, now: Millis, gap: Millis) {
-        if gap > self.period() + GAP {
-            self.woke = now;
-            self.ticked = now;
-            self.load.out = 0.0;
-            self.heard += gap;
+    fn on_first_event(&self, actions: &mut Vec<Action>) {
+        actions.push(Action::SetTimer {
+            delay: self.gossip_period(),
+            token: TICK_TOKEN,
+        });
+        if self.settings.subscribe_servers {
+            actions.push(Action::WatchServers { on: true });
+        }
+    }
+
+    /// Detects a pause of this gateway itself: it finds its timers late and all events in a pile. That is
+    /// no fault of peers or servers, and what it had in flight has long ended. Harm: a host that drops
+    /// timers makes it forget what is in flight.
+    fn detect_pause(&mut self, now: Millis, gap: Millis) {
+        if gap > self.gossip_period() + PAUSE_THRESHOLD {
+            self.resumed_at = now;
+            self.ticked_at = now;
+            self.load.in_flight = 0.0;
+            self.peer_heard_at += gap;
         }
     }
 
     fn log(&mut self, now: Millis, text: &'static str, actions: &mut Vec<Action>) {
-        if self.logged.get(text).is_none_or(|at| now - at >= LOG_EVERY) {
-            self.logged.insert(text, now);
+        let due = |at: &Millis| now - *at >= LOG_INTERVAL;
+        if self.logged_at.get(text).is_none_or(due) {
+            self.logged_at.insert(text, now);
             actions.push(Action::Log(text.to_string()));
         }
     }
+
+    /// How many gateways there are, itself included.
+    fn group_size(&self) -> f64 {
+        f64::from(self.settings.group_size.max(1))
+    }
+}
+
+/// What is taken for the latencies of a class before any answer.
+pub(crate) fn initial_latency(class: &Class) -> ClassLatency {
+    ClassLatency::new(Latency {
+        mean: class.latency_target * INITIAL_LATENCY_SHARE,
+        deviation: class.latency_target * INITIAL_DEVIATION_SHARE,
+    })
 }
--- a/crates/emberpin-balancer/src/gossip.rs
+++ b/crates/emberpin-balancer/src/gossip.rs
@@ -1,42 +1,52 @@
-//! Byte layout of the messages between gateways; no decision is taken here.
+//! Encoding of the messages between gateways; no decision is taken here.
 //!
-//! A message is the version byte, the sender's life (4 bytes, big endian), its attempts outstanding
-//! and answers a second (a byte each, in steps of a sixteenth of a doubling), then entries: a
-//! tag, 4 bytes of customer hash, and a chance (one byte) or the set and half units as numbers.
+//! A message is the version byte, the sender's incarnation (4 bytes, big endian), its attempts in flight and its answers
+//! a second (a byte each, in steps of a sixteenth of a doubling), then entries. An entry is a tag, 4 bytes of the
+//! customer's hash, and for [`Entry::Advice`] a chance (one byte), for [`Entry::Count`] four numbers of variable length:
+//! the set's first gateway, its size, and the units admitted and requested, in halves.
+
+use crate::interface::Millis;
 
 /// Most bytes that one message may have.
 pub const MAX_BYTES: usize = 256;
 const VERSION: u8 = 2;
-const HEADER: usize = 7;
-const STEPS: f64 = 16.0;
-const ID_BYTES: usize = 4;
-/// The tag of an advice; a smaller one is the plan of a count.
-const ADVICE: u8 = 128;
-/// The part of a customer hash that travels.
-pub const ID_MASK: u64 = (1 << (8 * ID_BYTES)) - 1;
-const SCALE: f64 = 2.0;
+/// Version, incarnation, attempts in flight and answers a second.
+const HEADER_BYTES: usize = 7;
+/// Steps that a figure of the load takes for each doubling.
+const STEPS_PER_DOUBLING: f64 = 16.0;
+const CUSTOMER_BYTES: usize = 4;
+/// The tag of an advice; a smaller tag is the plan of a count.
+const ADVICE_TAG: u8 = 128;
+/// The part of a customer's hash that is sent, and that gateways know a customer by.
+pub const ID_MASK: u64 = (1 << (8 * CUSTOMER_BYTES)) - 1;
+/// Units are sent in halves.
+const PARTS_PER_UNIT: f64 = 2.0;
+/// A chance is sent in parts of this.
+const CHANCE_PARTS: f64 = 255.0;
+/// A number of variable length takes at most so many bytes, of seven bits each.
+const MAX_NUMBER_BYTES: usize = 6;
 /// A peer's clock is ahead by no more than this, in milliseconds.
-const MAX_AHEAD: u64 = 86_400_000;
+const MAX_CLOCK_AHEAD: u64 = 86_400_000;
 
-/// One item of news.
+/// One entry of a message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Entry {
-    /// What the sender was asked for and let in for a customer.
+    /// What the sender was requested and admitted for a customer.
     Count {
         /// The customer's hash, within [`ID_MASK`].
         customer: u64,
-        /// Its plan, below 128.
+        /// Index of its plan, below 128.
         plan: usize,
         /// The first gateway of its set.
         first: u32,
         /// How many gateways the set has.
         size: u32,
-        /// Units let in.
+        /// Units that the sender admitted since its start. Cumulative, so that the next message makes up for a lost one.
         units: f64,
-        /// Units asked for.
-        asked: f64,
+        /// Units that were requested of the sender since its last count.
+        requested: f64,
     },
-    /// With what chance to let a customer in.
+    /// With what chance to admit a customer's requests.
     Advice {
         /// The customer's hash, within [`ID_MASK`].
         customer: u64,
@@ -48,20 +58,21 @@
 /// A decoded message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    /// The sender's life: when it started, on its clock; the low 32 bits, see [`whole_life`].
-    pub life: u32,
-    /// Its attempts outstanding.
-    pub out: f64,
-    /// Its answers a second.
-    pub rate: f64,
-    /// Its entries.
+    /// The low 32 bits of the sender's incarnation, see [`full_incarnation`].
+    pub incarnation: u32,
+    /// The sender's attempts in flight.
+    pub in_flight: f64,
+    /// The sender's answers a second.
+    pub throughput: f64,
+    /// Customers' counts and advice.
     pub entries: Vec<Entry>,
 }
 
-/// A life of which only the low 32 bits came, in whole milliseconds: the latest that fits, going by the
-/// clock that all share. Guards against lives that saturate and look alike after a restart.
-pub fn whole_life(low: u32, now: f64) -> u64 {
-    let latest = now.max(0.0) as u64 + MAX_AHEAD;
+/// An incarnation (the milliseconds at which a gateway started) of which only the low 32 bits came: the latest that fits,
+/// by the clock that all gateways share. Were it cut off or saturated instead, incarnations would look alike after a
+/// restart, and the peers would refund what was used.
+pub fn full_incarnation(low: u32, now: Millis) -> u64 {
+    let latest = now.max(0.0) as u64 + MAX_CLOCK_AHEAD;
     latest
         .checked_sub(u64::from((latest as u32).wrapping_sub(low)))
         .unwrap_or(u64::from(low))
@@ -72,12 +83,16 @@
 pub struct Writer(Vec<u8>);
 
 impl Writer {
-    /// Starts a message of the given life, with the sender's attempts outstanding and answers a second.
-    pub fn new(life: u32, out: f64, rate: f64) -> Writer {
+    /// Starts a message of the given incarnation, with the sender's attempts in flight and answers a second.
+    pub fn new(incarnation: u32, in_flight: f64, throughput: f64) -> Writer {
         let mut bytes = vec![VERSION];
-        bytes.extend_from_slice(&life.to_be_bytes());
-        let step = |value: f64| ((1.0 + value.max(0.0)).log2() * STEPS).round().min(255.0) as u8;
-        bytes.extend_from_slice(&[step(out), step(rate)]);
+        bytes.extend_from_slice(&incarnation.to_be_bytes());
+        let step = |value: f64| {
+            ((1.0 + value.max(0.0)).log2() * STEPS_PER_DOUBLING)
+                .round()
+                .min(255.0) as u8
+        };
+        bytes.extend_from_slice(&[step(in_flight), step(throughput)]);
         Writer(bytes)
     }
 
@@ -92,23 +107,23 @@
                 first,
                 size,
                 units,
-                asked,
+                requested,
             } => {
-                bytes.push(plan.min(usize::from(ADVICE) - 1) as u8);
+                bytes.push(plan.min(usize::from(ADVICE_TAG) - 1) as u8);
                 bytes.extend_from_slice(&id(customer));
                 for value in [
                     f64::from(first),
                     f64::from(size),
-                    units * SCALE,
-                    asked * SCALE,
+                    units * PARTS_PER_UNIT,
+                    requested * PARTS_PER_UNIT,
                 ] {
                     write_number(&mut bytes, value);
                 }
             }
             Entry::Advice { customer, chance } => {
-                bytes.push(ADVICE);
+                bytes.push(ADVICE_TAG);
                 bytes.extend_from_slice(&id(customer));
-                bytes.push((chance.clamp(0.0, 1.0) * 255.0).round() as u8);
+                bytes.push((chance.clamp(0.0, 1.0) * CHANCE_PARTS).round() as u8);
             }
         }
         let fits = self.0.len() + bytes.len() <= MAX_BYTES;
@@ -120,7 +135,7 @@
 
     /// Whether no entry was appended.
     pub fn is_empty(&self) -> bool {
-        self.0.len() == HEADER
+        self.0.len() == HEADER_BYTES
     }
 
     /// The finished bytes.
@@ -129,57 +144,61 @@
     }
 }
 
-/// Reads a message; `None` for anything garbled, truncated, oversized or of another version, or that tells
-/// more attempts or answers than can be counted.
+/// Decodes a message; `None` for anything garbled, truncated, oversized or of another version, or whose figures of the
+/// load lie beyond what can be counted.
 pub fn read(bytes: &[u8]) -> Option<Message> {
-    if bytes.len() > MAX_BYTES || bytes.len() < HEADER || bytes[0] != VERSION {
+    if bytes.len() > MAX_BYTES || bytes.len() < HEADER_BYTES || bytes[0] != VERSION {
         return None;
     }
-    if bytes[5..HEADER].contains(&u8::MAX) {
+    if bytes[5..HEADER_BYTES].contains(&u8::MAX) {
         return None;
     }
-    let life = u32::from_be_bytes(bytes[1..5].try_into().ok()?);
-    let value = |step: u8| (f64::from(step) / STEPS).exp2() - 1.0;
-    let (out, rate) = (value(bytes[5]), value(bytes[6]));
-    let mut rest = &bytes[HEADER..];
+    let value = |step: u8| (f64::from(step) / STEPS_PER_DOUBLING).exp2() - 1.0;
+    let mut rest = &bytes[HEADER_BYTES..];
     let mut entries = Vec::new();
-    while let Some((tag, after)) = rest.split_first() {
-        let customer = u64::from(u32::from_be_bytes(after.get(..ID_BYTES)?.try_into().ok()?));
-        rest = &after[ID_BYTES..];
-        entries.push(if *tag == ADVICE {
-            let (chance, after) = rest.split_first()?;
-            rest = after;
-            Entry::Advice {
-                customer,
-                chance: f64::from(*chance) / 255.0,
-            }
-        } else if *tag < ADVICE {
-            let mut number = || read_number(&mut rest);
-            let (first, size) = (number()?.min(1 << 31) as u32, number()?.min(1 << 31) as u32);
-            let (units, asked) = (number()? as f64 / SCALE, number()? as f64 / SCALE);
-            Entry::Count {
-                customer,
-                plan: usize::from(*tag),
-                first,
-                size,
-                units,
-                asked,
-            }
-        } else {
-            return None;
-        });
+    while !rest.is_empty() {
+        entries.push(read_entry(&mut rest)?);
     }
     Some(Message {
-        life,
-        out,
-        rate,
+        incarnation: u32::from_be_bytes(bytes[1..5].try_into().ok()?),
+        in_flight: value(bytes[5]),
+        throughput: value(bytes[6]),
         entries,
     })
 }
 
-/// Seven bits a byte, the lowest first; at most six bytes.
+fn read_entry(rest: &mut &[u8]) -> Option<Entry> {
+    let tag = read_byte(rest)?;
+    let (hash, after) = rest.split_at_checked(CUSTOMER_BYTES)?;
+    *rest = after;
+    let customer = u64::from(u32::from_be_bytes(hash.try_into().ok()?));
+    if tag == ADVICE_TAG {
+        let chance = f64::from(read_byte(rest)?) / CHANCE_PARTS;
+        return Some(Entry::Advice { customer, chance });
+    }
+    if tag > ADVICE_TAG {
+        return None;
+    }
+    Some(Entry::Count {
+        customer,
+        plan: usize::from(tag),
+        first: read_number(rest)?.min(1 << 31) as u32,
+        size: read_number(rest)?.min(1 << 31) as u32,
+        units: read_number(rest)? as f64 / PARTS_PER_UNIT,
+        requested: read_number(rest)? as f64 / PARTS_PER_UNIT,
+    })
+}
+
+fn read_byte(rest: &mut &[u8]) -> Option<u8> {
+    let (byte, after) = rest.split_first()?;
+    *rest = after;
+    Some(*byte)
+}
+
+/// Writes a number in groups of seven bits, the lowest first; the high bit of a byte says that another follows.
 fn write_number(bytes: &mut Vec<u8>, value: f64) {
-    let mut value = (value.max(0.0).round() as u64).min((1 << 42) - 1);
+    let largest = (1 << (7 * MAX_NUMBER_BYTES)) - 1;
+    let mut value = (value.max(0.0).round() as u64).min(largest);
     while value > 0x7f {
         bytes.push((value & 0x7f) as u8 | 0x80);
         value >>= 7;
@@ -187,12 +206,12 @@
     bytes.push(value as u8);
 }
 
+/// Reads a number of [`write_number`]; `None` where it is truncated or too long.
 fn read_number(rest: &mut &[u8]) -> Option<u64> {
     let mut value = 0u64;
-    for place in 0..6 {
-        let (byte, after) = rest.split_first()?;
-        *rest = after;
-        value |= u64::from(byte & 0x7f) << (7 * place);
+    for group in 0..MAX_NUMBER_BYTES {
+        let byte = read_byte(rest)?;
+        value |= u64::from(byte & 0x7f) << (7 * group);
         if byte & 0x80 == 0 {
             return Some(value);
         }
--- a/crates/emberpin-balancer/src/handover.rs
+++ b/crates/emberpin-balancer/src/handover.rs
@@ -1,219 +1,240 @@
-//! What a gateway's next process takes over from the one before it, so that an upgrade forgets nothing that the rules
-//! rest on: stores and ceilings, what cold servers got, ejections, bans, congestion, what peers told. No decision is
-//! taken here.
+//! What the next process of a gateway takes over from the one before it, so that an upgrade forgets nothing that the
+//! decisions rest on: quotas and rate limits, slow start, ejections, maintenance, congestion, what peers announced. No
+//! decision is taken here.
 //!
-//! Requests are not handed over: the process that took them answers them, and tells what it still spends as
-//! [`Spent`].
+//! Requests are not handed over: the process that took them answers them, and shares what it still uses up as
+//! [`Usage`]. The types here are encoded by position, so that the order of their fields must not change.
 
-use crate::decisions::Gateway;
+use crate::decisions::{Gateway, CONGESTION_LEVELS};
 use crate::interface::*;
-use crate::state::{Backend, Bucket, Customer, Latencies, Load};
+use crate::state::{Advice, ClassLatency, CustomerState, LoadState, ServerState, TokenBucket};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What one process knows of a server beside what the list says.
+/// What is known of a server beside its entry of the endpoint list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Seen {
-    started: Option<Millis>,
-    ratio: f64,
-    queue: f64,
+struct ServerHistory {
+    /// The incarnation that it is known of.
+    started_at: Option<Millis>,
+    latency_ratio: f64,
+    queue_length: f64,
     strikes: f64,
-    faults: f64,
+    failure_rate: f64,
     ejected_until: Millis,
-    ejection: Millis,
-    cold: Bucket,
+    ejection_time: Millis,
+    slow_start_budget: TokenBucket,
 }
 
-/// The deployment that figures are for; another one's mean nothing.
+impl ServerHistory {
+    fn of(server: &ServerState) -> ServerHistory {
+        ServerHistory {
+            started_at: server.info.started_at,
+            latency_ratio: server.latency_ratio,
+            queue_length: server.queue_length,
+            strikes: server.strikes,
+            failure_rate: server.failure_rate,
+            ejected_until: server.ejected_until,
+            ejection_time: server.ejection_time,
+            slow_start_budget: server.slow_start_budget,
+        }
+    }
+
+    /// Restores it at the same incarnation of the server; of another one it says nothing.
+    fn restore(&self, server: &mut ServerState) {
+        if self.started_at != server.info.started_at {
+            return;
+        }
+        server.latency_ratio = self.latency_ratio;
+        server.queue_length = self.queue_length;
+        server.strikes = self.strikes;
+        server.failure_rate = self.failure_rate;
+        server.ejected_until = self.ejected_until;
+        server.ejection_time = self.ejection_time;
+        server.slow_start_budget = self.slow_start_budget;
+    }
+}
+
+/// The settings that the figures depend on: under other ones they mean nothing.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Shape {
-    me: GatewayId,
-    group: u32,
+struct Deployment {
+    gateway_id: GatewayId,
+    group_size: u32,
     classes: usize,
-    plans: Vec<(f64, f64, f64, f64)>,
+    plans: Vec<PlanFigures>,
 }
 
-impl Shape {
-    fn of(settings: &Settings) -> Shape {
-        let plan = |plan: &Plan| {
-            (
-                plan.quota_rate,
-                plan.quota_burst,
-                plan.limit_rate,
-                plan.limit_burst,
-            )
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+struct PlanFigures {
+    quota_rate: f64,
+    quota_burst: f64,
+    limit_rate: f64,
+    limit_burst: f64,
+}
+
+impl Deployment {
+    fn of(settings: &Settings) -> Deployment {
+        let figures = |plan: &Plan| PlanFigures {
+            quota_rate: plan.quota_rate,
+            quota_burst: plan.quota_burst,
+            limit_rate: plan.limit_rate,
+            limit_burst: plan.limit_burst,
         };
-        Shape {
-            me: settings.gateway_id,
-            group: settings.group_size,
+        Deployment {
+            gateway_id: settings.gateway_id,
+            group_size: settings.group_size,
             classes: settings.classes.len(),
-            plans: settings.plans.iter().map(plan).collect(),
+            plans: settings.plans.iter().map(figures).collect(),
         }
     }
 }
 
-/// All that is handed over.
+/// The state of a gateway for its next process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Handover {
-    shape: Shape,
-    banned: BTreeSet<ServerId>,
-    returned: BTreeMap<ServerId, Millis>,
-    born: Millis,
-    life: u64,
-    servers: BTreeMap<ServerId, Seen>,
-    customers: BTreeMap<u64, Customer>,
-    peers: BTreeMap<u32, u64>,
-    first: bool,
-    news: BTreeSet<u64>,
-    kept: BTreeSet<u64>,
-    advice: BTreeMap<u64, (f64, Millis)>,
-    mail: Bucket,
-    latency: Vec<Latencies>,
-    load: Load,
-    aim: Millis,
-    heard: Millis,
-    joined: Millis,
-    retries: f64,
+    deployment: Deployment,
+    in_maintenance: BTreeSet<ServerId>,
+    returned_at: BTreeMap<ServerId, Millis>,
+    started_at: Millis,
+    incarnation: u64,
+    servers: BTreeMap<ServerId, ServerHistory>,
+    customers: BTreeMap<u64, CustomerState>,
+    peer_incarnations: BTreeMap<u32, u64>,
+    common_start: bool,
+    unannounced: BTreeSet<u64>,
+    owned: BTreeSet<u64>,
+    advice: BTreeMap<u64, Advice>,
+    message_budget: TokenBucket,
+    latencies: Vec<ClassLatency>,
+    load: LoadState,
+    mean_latency_target: Millis,
+    peer_heard_at: Millis,
+    rejoined_at: Millis,
+    retry_budget: f64,
 }
 
 impl Handover {
-    /// Whether its figures can be gone on with: none of them is no number, and every plan is there.
+    /// Whether the decisions can go on with it: its figures are finite, and its plans, classes and congestion level
+    /// exist. It comes from another process and may be of another version.
     fn is_sound(&self) -> bool {
-        let sound = |c: &Customer| {
-            let figures = [
-                c.quota.level,
-                c.ceiling.level,
-                c.own,
-                c.asked,
-                c.withheld,
-                c.demand,
-            ];
-            c.plan < self.shape.plans.len()
-                && c.gateways.size >= 1
-                && figures.iter().all(|figure| figure.is_finite())
-        };
         let load = [
-            self.load.rate,
-            self.load.peak,
-            self.load.carry,
-            self.load.out,
-            self.aim,
-            self.retries,
+            self.load.throughput,
+            self.load.peak_throughput,
+            self.load.warm_capacity,
+            self.load.in_flight,
+            self.mean_latency_target,
+            self.retry_budget,
+            self.load.cold_queue,
+            self.load.cold_reported_at,
+            self.load.cold_multiple,
         ];
-        let cold = [
-            self.load.cold_waits,
-            self.load.cold_told,
-            self.load.cold_times,
+        self.customers
+            .values()
+            .all(|customer| self.is_sound_customer(customer))
+            && load.iter().all(|figure| figure.is_finite())
+            && self.latencies.len() == self.deployment.classes
+            && self.load.congestion_level < CONGESTION_LEVELS
+    }
+
+    fn is_sound_customer(&self, customer: &CustomerState) -> bool {
+        let figures = [
+            customer.quota.tokens,
+            customer.rate_limit.tokens,
+            customer.admitted,
+            customer.requested,
+            customer.withheld,
+            customer.demand,
         ];
-        self.customers.values().all(sound)
-            && load.iter().chain(&cold).all(|figure| figure.is_finite())
-            && self.latency.len() == self.shape.classes
-            && self.load.level < crate::decisions::LEVELS
+        customer.plan < self.deployment.plans.len()
+            && customer.gateways.size >= 1
+            && figures.iter().all(|figure| figure.is_finite())
     }
 }
 
 impl Gateway {
-    /// What the next process is to know; this one goes on as before.
+    /// The state for the next process; this gateway goes on as before.
     pub fn to_handover(&self) -> Handover {
-        let seen = |server: &Backend| Seen {
-            started: server.info.started_at,
-            ratio: server.ratio,
-            queue: server.queue,
-            strikes: server.strikes,
-            faults: server.faults,
-            ejected_until: server.ejected_until,
-            ejection: server.ejection,
-            cold: server.cold,
-        };
         Handover {
-            shape: Shape::of(&self.settings),
-            banned: self.banned.clone(),
-            returned: self.returned.clone(),
-            born: self.born,
-            life: self.life,
+            deployment: Deployment::of(&self.settings),
+            in_maintenance: self.in_maintenance.clone(),
+            returned_at: self.returned_at.clone(),
+            started_at: self.started_at,
+            incarnation: self.incarnation,
             servers: self
                 .servers
                 .iter()
-                .map(|(id, server)| (*id, seen(server)))
+                .map(|(id, server)| (*id, ServerHistory::of(server)))
                 .collect(),
             customers: self.customers.clone(),
-            peers: self.peers.clone(),
-            first: self.first,
-            news: self.news.clone(),
-            kept: self.kept.clone(),
+            peer_incarnations: self.peer_incarnations.clone(),
+            common_start: self.common_start,
+            unannounced: self.unannounced.clone(),
+            owned: self.owned.clone(),
             advice: self.advice.clone(),
-            mail: self.mail,
-            latency: self.latency.clone(),
+            message_budget: self.message_budget,
+            latencies: self.latencies.clone(),
             load: self.load.clone(),
-            aim: self.aim,
-            heard: self.heard,
-            joined: self.joined,
-            retries: self.retries,
+            mean_latency_target: self.mean_latency_target,
+            peer_heard_at: self.peer_heard_at,
+            rejoined_at: self.rejoined_at,
+            retry_budget: self.retry_budget,
         }
     }
 
-    /// A gateway that goes on where another process left off: on the same clock, with this list of servers. What was
-    /// known under other settings than these is left, but for what is out of service by hand; the second value
-    /// says whether it was.
+    /// A gateway that goes on where another process left off, on the same clock and with this endpoint list. What was
+    /// learned under other settings than these is dropped, but for which servers are out of service for maintenance; the
+    /// second value says whether the whole state was taken over.
     pub fn from_handover(
         settings: Settings,
         seed: u64,
         now: Millis,
-        given: Handover,
-        listed: Vec<Server>,
+        handover: Handover,
+        servers: Vec<Server>,
     ) -> (Gateway, bool) {
         let mut gateway = Gateway::new(settings, seed, now);
-        gateway.banned = given.banned.clone();
-        gateway.returned = given.returned.clone();
-        let fits = given.shape == Shape::of(&gateway.settings) && given.is_sound();
-        if fits {
-            gateway.born = given.born;
-            gateway.life = given.life;
-            gateway.peers = given.peers;
-            gateway.first = given.first;
-            gateway.news = given.news;
-            gateway.kept = given.kept;
-            gateway.advice = given.advice;
-            gateway.mail = given.mail;
-            gateway.latency = given.latency;
-            gateway.load = given.load;
-            gateway.aim = given.aim;
-            (gateway.heard, gateway.joined) = (given.heard, given.joined);
-            gateway.retries = given.retries;
-            gateway.customers = given.customers;
-            // Their attempts are the other process's.
-            gateway
-                .customers
-                .values_mut()
-                .for_each(|customer| customer.open = 0);
-            gateway.news.retain(|id| gateway.customers.contains_key(id));
-            gateway.kept.retain(|id| gateway.customers.contains_key(id));
+        gateway.in_maintenance = handover.in_maintenance.clone();
+        gateway.returned_at = handover.returned_at.clone();
+        let same_deployment = handover.deployment == Deployment::of(&gateway.settings);
+        let usable = same_deployment && handover.is_sound();
+        let mut histories = BTreeMap::new();
+        if usable {
+            histories = gateway.restore(handover);
         }
-        gateway.handle(
-            now,
-            Event::Membership(MembershipUpdate::Full(listed)),
-            &mut Vec::new(),
-        );
-        // The first event asks for the timer; the next one is to ask again, when its actions are carried out.
-        gateway.seen = None;
-        if fits {
-            for (id, server) in &mut gateway.servers {
-                let Some(seen) = given
-                    .servers
-                    .get(id)
-                    .filter(|s| s.started == server.info.started_at)
-                else {
-                    continue;
-                };
-                server.ratio = seen.ratio;
-                server.queue = seen.queue;
-                server.strikes = seen.strikes;
-                server.faults = seen.faults;
-                server.ejected_until = seen.ejected_until;
-                server.ejection = seen.ejection;
-                server.cold = seen.cold;
+        let membership = Event::Membership(MembershipUpdate::Full(servers));
+        gateway.handle(now, membership, &mut Vec::new());
+        // The first event sets the timer. The actions of this one are lost, so that the next has to count as the first.
+        gateway.last_event_at = None;
+        for (id, server) in &mut gateway.servers {
+            if let Some(history) = histories.get(id) {
+                history.restore(server);
             }
         }
-        (gateway, fits)
+        (gateway, usable)
+    }
+
+    /// Restores all but the servers, whose histories it returns.
+    fn restore(&mut self, handover: Handover) -> BTreeMap<ServerId, ServerHistory> {
+        self.started_at = handover.started_at;
+        self.incarnation = handover.incarnation;
+        self.peer_incarnations = handover.peer_incarnations;
+        self.common_start = handover.common_start;
+        self.unannounced = handover.unannounced;
+        self.owned = handover.owned;
+        self.advice = handover.advice;
+        self.message_budget = handover.message_budget;
+        self.latencies = handover.latencies;
+        self.load = handover.load;
+        self.mean_latency_target = handover.mean_latency_target;
+        self.peer_heard_at = handover.peer_heard_at;
+        self.rejoined_at = handover.rejoined_at;
+        self.retry_budget = handover.retry_budget;
+        self.customers = handover.customers;
+        for customer in self.customers.values_mut() {
+            // The requests in flight are the other process's.
+            customer.in_flight = 0;
+        }
+        let customers = &self.customers;
+        self.unannounced.retain(|id| customers.contains_key(id));
+        self.owned.retain(|id| customers.contains_key(id));
+        handover.servers
     }
 }
--- a/crates/emberpin-balancer/src/host_queries.rs
+++ b/crates/emberpin-balancer/src/host_queries.rs
@@ -1,27 +1,68 @@
-//! What hosts ask and tell beside events: classes that become known while a gateway runs, what servers say that they
-//! bear, and whether another attempt would follow. No decision is taken here.
+//! What hosts ask of a gateway and set at it beside events: classes that become known while it runs, how many servers it
+//! has to choose from, and whether a retry would follow. No decision is taken here.
 
-use crate::interface::{Class, ClassId, Idempotency, Millis, RequestId};
-use crate::state::{Latencies, Latency};
+use crate::decisions::initial_latency;
+use crate::interface::{
+    Class, ClassId, Idempotency, Location, Millis, PoolSize, RequestId, ServerId, ServerStatus,
+};
+use crate::state::ServerState;
 use crate::Gateway;
 
 impl Gateway {
-    /// Whether another attempt would follow if the one that is out ended now without an answer, as far as the request's
-    /// effect, its time and the retry budget go.
+    /// How many servers are ejected as outliers now.
+    pub fn ejected_count(&self, now: Millis) -> u32 {
+        self.servers
+            .values()
+            .map(|server| u32::from(now < server.ejected_until))
+            .sum()
+    }
+
+    /// Whether an operator took a server out of service, see [`Event::Maintenance`](crate::Event::Maintenance).
+    pub fn is_in_maintenance(&self, server: ServerId) -> bool {
+        self.in_maintenance.contains(&server)
+    }
+
+    /// The failure domains of a server; `None` for a server that is not known, or not any more.
+    pub fn location(&self, server: ServerId) -> Option<Location> {
+        self.servers
+            .get(&server)
+            .map(|server| server.info.location())
+    }
+
+    /// How many servers the endpoint list names, and how many of them get no requests now.
+    pub fn pool_size(&self, now: Millis) -> PoolSize {
+        let listed = self
+            .servers
+            .values()
+            .filter(|server| server.info.status != ServerStatus::Removed);
+        let avoided = |server: &&ServerState| {
+            now < server.ejected_until || self.in_maintenance.contains(&server.info.id)
+        };
+        PoolSize {
+            listed: listed.clone().count(),
+            avoided: listed.filter(avoided).count(),
+        }
+    }
+
+    /// Whether a retry would follow if the attempt in flight ended now without an answer, as far as the request's
+    /// idempotency, its time, the servers in service and the retry budget go. It holds for this moment only.
     pub fn would_retry(&self, now: Millis, request: RequestId) -> bool {
-        let Some(open) = self.requests.get(&request) else {
+        let Some(pending) = self.pending.get(&request) else {
             return false;
         };
-        let class = open.request.class.0;
-        let time = now + self.latency[class].of(open.request.units).mean <= open.deadline;
+        let class = pending.request.class.0;
+        let expected = self.latencies[class].of(pending.request.units).mean;
+        let in_time = now + expected <= pending.deadline;
         let safe = self.settings.classes[class].idempotency == Idempotency::Safe;
-        let others = self
+        let second_server = self
             .servers
             .values()
-            .filter(|server| self.may_take(server))
-            .nth(1)
-            .is_some();
-        safe && time && others && self.load.level == 0 && self.retries >= 1.0
+            .filter(|server| self.accepts_requests(server))
+            .nth(1);
+        safe && in_time
+            && second_server.is_some()
+            && self.load.congestion_level == 0
+            && self.retry_budget >= 1.0
     }
 
     /// Sets how many attempts the servers say that this gateway may have in flight, its share of what they accept in
@@ -31,10 +72,10 @@
         self.load.reported_capacity = attempts;
     }
 
-    /// Adds a class; requests may have it from now on. Nothing is known yet of how long its work takes.
+    /// Adds a class; requests may be of it from now on. Nothing is known yet of its latencies.
     pub fn add_class(&mut self, class: Class) -> ClassId {
-        self.aim = self.aim.min(class.latency_target);
-        self.latency.push(first_latencies(&class));
+        self.mean_latency_target = self.mean_latency_target.min(class.latency_target);
+        self.latencies.push(initial_latency(&class));
         self.settings.classes.push(class);
         ClassId(self.settings.classes.len() - 1)
     }
@@ -44,25 +85,17 @@
         self.settings.classes.len()
     }
 
-    /// Puts a class in the place of one that no request has any more. What was learned of the old one is forgotten.
-    /// Where there is no such class, nothing changes.
+    /// Replaces a class that no pending request is of. What was learned of the old one is forgotten. Where there is no
+    /// such class, nothing changes.
     pub fn replace_class(&mut self, id: ClassId, class: Class) {
         let known = self
             .settings
             .classes
             .get_mut(id.0)
-            .zip(self.latency.get_mut(id.0));
+            .zip(self.latencies.get_mut(id.0));
         let Some((old, latency)) = known else { return };
-        self.aim = self.aim.min(class.latency_target);
-        *latency = first_latencies(&class);
+        self.mean_latency_target = self.mean_latency_target.min(class.latency_target);
+        *latency = initial_latency(&class);
         *old = class;
     }
 }
-
-/// What is taken for the latencies of a class before any answer.
-fn first_latencies(class: &Class) -> Latencies {
-    Latencies::new(Latency {
-        mean: class.latency_target * 0.25,
-        deviation: class.latency_target * 0.1,
-    })
-}
--- /dev/null
+++ b/crates/emberpin-balancer/src/state/request.rs
@@ -0,0 +1,49 @@
+//! The state of one pending request.
+
+use crate::interface::{DedupScope, Location, Millis, Request, Server, ServerId};
+
+/// A request that still owes its client an answer.
+#[derive(Debug)]
+pub struct PendingRequest {
+    /// The request as it came in.
+    pub request: Request,
+    /// When the client gives up.
+    pub deadline: Millis,
+    /// How many attempts were sent.
+    pub attempts: u32,
+    /// The server of the attempt in flight.
+    pub in_flight: Option<ServerId>,
+    /// When the newest attempt was sent.
+    pub sent_at: Millis,
+    /// The first attempt that may have run. From then on only a repeat that is known to do no harm may be sent.
+    pub first_run: Option<FirstRun>,
+}
+
+/// The first attempt of a request that may have run.
+#[derive(Clone, Copy, Debug)]
+pub struct FirstRun {
+    /// When it was sent.
+    pub sent_at: Millis,
+    /// Where its server is.
+    pub location: Location,
+}
+
+/// The servers that a repeat of a keyed request may be sent to: those that know its key from the first attempt.
+#[derive(Clone, Copy, Debug)]
+pub struct RetryScope {
+    /// The servers that share their keys.
+    pub scope: DedupScope,
+    /// Where the server of the first attempt is.
+    pub location: Location,
+}
+
+impl RetryScope {
+    /// Whether a server is among them.
+    pub fn contains(&self, server: &Server) -> bool {
+        match self.scope {
+            DedupScope::All => true,
+            DedupScope::Zone => server.zone == self.location.zone,
+            DedupScope::Cell => server.cell == self.location.cell,
+        }
+    }
+}
--- a/crates/emberpin-balancer/tests/common/mod.rs
+++ b/crates/emberpin-balancer/tests/common/mod.rs
@@ -298,7 +298,7 @@
         first: 0,
         size: 3,
         units,
-        asked: units,
+        requested: units,
     }
 }
 
--- a/crates/emberpin-balancer/tests/module.rs
+++ b/crates/emberpin-balancer/tests/module.rs
@@ -290,13 +290,13 @@
         for later in [0.0, 600.0, 86_400_000.0, 30.0 * 86_400_000.0] {
             let low = (started as u64) as u32;
             assert_eq!(
-                gossip::whole_life(low, started + later),
+                gossip::full_incarnation(low, started + later),
                 started as u64,
                 "{started} seen {later} later"
             );
         }
     }
-    let ahead = gossip::whole_life(5_000_000, 4_000_000.0);
+    let ahead = gossip::full_incarnation(5_000_000, 4_000_000.0);
     assert_eq!(ahead, 5_000_000, "a clock that is a little ahead");
 }
 
@@ -335,7 +335,7 @@
                 first: 0,
                 size: 2,
                 units: 2.0,
-                asked
+                requested: asked
             }]
         );
         for bytes in told(actions, 2) {
--- a/crates/emberpin-balancer/tests/recorded.rs
+++ b/crates/emberpin-balancer/tests/recorded.rs
@@ -22,7 +22,7 @@
         first: 2,
         size: 3,
         units: 12.5,
-        asked: 8_000.0,
+        requested: 8_000.0,
     }
 }
 
@@ -30,9 +30,9 @@
 fn datagrams() -> Vec<(&'static str, Message)> {
     let life = 0x1234_5678;
     let message = |entries| Message {
-        life,
-        out: 1.0,
-        rate: 3.0,
+        incarnation: life,
+        in_flight: 1.0,
+        throughput: 3.0,
         entries,
     };
     let largest = Entry::Count {
@@ -41,16 +41,16 @@
         first: 0,
         size: 1 << 31,
         units: 0.0,
-        asked: 2_199_023_255_551.5,
+        requested: 2_199_023_255_551.5,
     };
     vec![
         ("hello", message(Vec::new())),
         (
             "hello-idle",
             Message {
-                life: 0,
-                out: 0.0,
-                rate: 0.0,
+                incarnation: 0,
+                in_flight: 0.0,
+                throughput: 0.0,
                 entries: Vec::new(),
             },
         ),
@@ -93,7 +93,7 @@
 }
 
 fn encode(message: &Message) -> Vec<u8> {
-    let mut writer = Writer::new(message.life, message.out, message.rate);
+    let mut writer = Writer::new(message.incarnation, message.in_flight, message.throughput);
     for entry in &message.entries {
         assert!(writer.push(*entry), "it fits");
     }
--- a/crates/emberpin-balancer/tests/size.rs
+++ b/crates/emberpin-balancer/tests/size.rs
@@ -282,7 +282,7 @@
         first: 0,
         size: 100,
         units: n,
-        asked: n,
+        requested: n,
     };
     let advises = |me: u32| {
         let mut bench = Bench::fresh(one_of(me, 120), 12);
@@ -324,7 +324,7 @@
             first: 0,
             size: 100,
             units,
-            asked
+            requested: asked
         }));
         bench.handle(Event::PeerMessage {
             from: GatewayId(119),
@@ -518,7 +518,7 @@
             first,
             size,
             units: 1e30,
-            asked: 1e30,
+            requested: 1e30,
         });
         let mut bytes = writer.finish();
         bench.handle(Event::PeerMessage {
@@ -560,7 +560,7 @@
             first: 0,
             size: 100,
             units: *units,
-            asked: *asked
+            requested: *asked
         }));
         bench.handle(Event::PeerMessage {
             from: GatewayId(119),
--- a/crates/emberpin-limiter/src/upstream/asking.rs
+++ b/crates/emberpin-limiter/src/upstream/asking.rs
@@ -87,7 +87,7 @@
         let Some(message) = gossip::read(bytes) else {
             return;
         };
-        let life = gossip::whole_life(message.life, self.life) as f64;
+        let life = gossip::full_incarnation(message.incarnation, self.life) as f64;
         self.calls
             .borrow_mut()
             .heard(from.0, life + TOGETHER >= self.life);
--- a/crates/emberpin-limiter/tests/limiter.rs
+++ b/crates/emberpin-limiter/tests/limiter.rs
@@ -641,8 +641,8 @@
             let message = gossip::read(&bytes[..length]).expect("sound");
             let customer = stable_hash("00000001b4d65521");
             let told = |entry: &gossip::Entry| matches!(entry, gossip::Entry::Count { customer: c, .. } if *c == customer);
-            if message.entries.iter().any(told) && !lives.contains(&message.life) {
-                break message.life;
+            if message.entries.iter().any(told) && !lives.contains(&message.incarnation) {
+                break message.incarnation;
             }
         });
         limiter.kill();
