--- /dev/null
+++ b/crates/emberpin-store/src/error.rs
@@ -0,0 +1,36 @@
+//! Why a store ends with a failure.
+
+use crate::disk::DiskError;
+use std::io;
+use std::net::SocketAddrV4;
+
+/// Why the store could not start, or had to end.
+#[derive(Debug, thiserror::Error)]
+pub enum StoreError {
+    /// The disk cannot be used, or was found damaged when it was reopened.
+    #[error(transparent)]
+    Disk(#[from] DiskError),
+    /// The settings name no data folder.
+    #[error("self.datadir: is missing; a store needs a disk")]
+    MissingDataDir,
+    /// The store's address is taken or not one of this machine.
+    #[error("cannot listen on {address}: {source}")]
+    Listen {
+        /// The address from the settings.
+        address: SocketAddrV4,
+        /// What the operating system reported.
+        source: io::Error,
+    },
+    /// A signal handler could not be installed.
+    #[error("cannot install signal handlers: {0}")]
+    Signals(#[source] io::Error),
+    /// The disk's thread could not be started.
+    #[error("cannot start the disk's thread: {0}")]
+    StartDiskWorker(#[source] io::Error),
+    /// The disk's thread ended by itself.
+    #[error("the disk's thread ended")]
+    DiskWorkerEnded,
+    /// The operating system has no random bytes.
+    #[error("cannot draw a random seed: {0}")]
+    Random(#[source] getrandom::Error),
+}
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -2,185 +2,39 @@
 //!
 //! What is decided, and when, is up to [`Replica`]. The host has the clock, the sockets and the disk.
 
-use crate::disk::queue::DiskQueue;
-use crate::disk::worker::{DiskEvent, UsageMeasurement};
-use crate::disk::{Disk, DiskError};
+use crate::disk::worker::DiskEvent;
+use crate::disk::DiskError;
 use crate::disk_monitor::{rejection_reason, DiskMonitor, DISK_FULL_REASON, DISK_STALLED_REASON};
+use crate::error::StoreError;
 use crate::input::{ConnectionId, Input};
-use crate::listener::listen;
+use crate::loop_event::{EventSources, LoopEvent};
 use crate::peer_links::PeerLinks;
 use crate::protocol::{DiskState, StoreReply, StoreRequest, ToStore};
 use crate::registry_sessions::RegistrySessions;
-use crate::signals::{Signal, Signals};
+use crate::signals::Signal;
 use crate::system_id::{self, SystemRecord};
-use emberpin_consensus::{
-    Action, Call, EvacuationChange, Event, Message, Replica, ReplicaOptions, Timestamp,
-};
+use emberpin_consensus::{Action, Call, EvacuationChange, Event, Message, Replica, Timestamp};
 use emberpin_runtime::frames;
 use emberpin_runtime::identity::ProcessIdentity;
 use emberpin_runtime::settings::Settings;
-use std::io;
-use std::net::{IpAddr, Ipv4Addr, SocketAddrV4};
+use std::net::Ipv4Addr;
 use std::num::NonZeroU64;
 use std::ops::ControlFlow;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// Inputs that may wait for the event loop. Connections wait for room.
-const INPUT_QUEUE_LENGTH: usize = 256;
 /// Most inputs that are handled before their actions are carried out, so that they share a sync.
 const MAX_EVENTS_PER_SYNC: usize = 32;
 /// Longest time between two statuses to subscribers.
 const STATUS_INTERVAL: Duration = Duration::from_millis(450);
 /// Links to other stores that are unused for this long are closed.
 const LINK_IDLE_INTERVAL: Duration = Duration::from_secs(10);
-/// Longest wait for the first sync before the store listens.
-const FIRST_SYNC_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest wait for the last sync at the end. No message depends on it: each was sent after its own sync.
-const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Longest wait to be taken off the roster after SIGTERM.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Shortest sleep of the event loop: the timers have a resolution of a millisecond.
 const MIN_SLEEP: Duration = Duration::from_millis(2);
 
-/// Why the store could not start, or had to end.
-#[derive(Debug, thiserror::Error)]
-pub enum StoreError {
-    /// The disk cannot be used, or was found damaged when it was reopened.
-    #[error(transparent)]
-    Disk(#[from] DiskError),
-    /// The settings name no data folder.
-    #[error("self.datadir: is missing; a store needs a disk")]
-    MissingDataDir,
-    /// The store's address is taken or not one of this machine.
-    #[error("cannot listen on {address}: {source}")]
-    Listen {
-        /// The address from the settings.
-        address: SocketAddrV4,
-        /// What the operating system reported.
-        source: io::Error,
-    },
-    /// A signal handler could not be installed.
-    #[error("cannot install signal handlers: {0}")]
-    Signals(#[source] io::Error),
-    /// The disk's thread could not be started.
-    #[error("cannot start the disk's thread: {0}")]
-    StartDiskWorker(#[source] io::Error),
-    /// The disk's thread ended by itself.
-    #[error("the disk's thread ended")]
-    DiskWorkerEnded,
-    /// The operating system has no random bytes.
-    #[error("cannot draw a random seed: {0}")]
-    Random(#[source] getrandom::Error),
-}
-
-/// Runs a store until SIGTERM or SIGINT.
-///
-/// # Errors
-///
-/// [`StoreError`]: the store could not start, or its disk was found damaged.
-pub async fn run(settings: &Settings) -> Result<(), StoreError> {
-    let signals = Signals::install().map_err(StoreError::Signals)?;
-    let data_dir = settings
-        .data_dir
-        .clone()
-        .ok_or(StoreError::MissingDataDir)?;
-    let (disk, kept) = Disk::open(&data_dir, settings.ip)?;
-    let listener = bind(SocketAddrV4::new(settings.ip, settings.store_port())).await?;
-    let seed = draw_seed()?;
-    let identity = Arc::new(ProcessIdentity::new(seed));
-    let options = replica_options(settings, seed);
-    let seeds = options.seeds.clone();
-    let mut actions = Vec::new();
-    let replica = Replica::new(Timestamp::ZERO, options, kept, &mut actions);
-    let system = SystemRecord::load(data_dir.clone(), identity.clone());
-    let measurement = match settings.disk_mib {
-        0 => UsageMeasurement::Off,
-        _ => UsageMeasurement::Periodic,
-    };
-    let (disk, mut disk_events) = DiskQueue::start(disk, data_dir, settings.ip, measurement)
-        .map_err(StoreError::StartDiskWorker)?;
-    let mut host = Host::new(
-        settings,
-        replica,
-        DiskMonitor::new(disk, settings.disk_mib << 20),
-        PeerLinks::new(settings.store_port(), identity.clone(), seeds),
-        identity.clone(),
-        system,
-    );
-    host.apply_actions(actions);
-    host.wait_for_first_sync(&mut disk_events).await?;
-    let (inputs, queued_inputs) = mpsc::channel(INPUT_QUEUE_LENGTH);
-    tokio::spawn(listen(listener, identity, inputs));
-    let mut sources = EventSources {
-        signals,
-        disk_events,
-        inputs: queued_inputs,
-    };
-    host.run_event_loop(&mut sources).await?;
-    host.close_disk(&mut sources.disk_events).await;
-    Ok(())
-}
-
-async fn bind(address: SocketAddrV4) -> Result<TcpListener, StoreError> {
-    TcpListener::bind(address)
-        .await
-        .map_err(|source| StoreError::Listen { address, source })
-}
-
-fn draw_seed() -> Result<u64, StoreError> {
-    let mut seed = [0; 8];
-    getrandom::fill(&mut seed).map_err(StoreError::Random)?;
-    Ok(u64::from_be_bytes(seed))
-}
-
-fn replica_options(settings: &Settings, seed: u64) -> ReplicaOptions {
-    let seeds = settings.seeds.iter().filter_map(|seed| match seed.ip() {
-        IpAddr::V4(ip) => Some(ip),
-        IpAddr::V6(_) => None,
-    });
-    ReplicaOptions {
-        address: settings.ip,
-        seeds: seeds.collect(),
-        bootstrap: settings.bootstrap,
-        tolerated_failures: settings.tolerated_node_losses,
-        random_seed: seed,
-    }
-}
-
-/// Where events come from.
-struct EventSources {
-    signals: Signals,
-    disk_events: mpsc::Receiver<DiskEvent>,
-    inputs: mpsc::Receiver<Input>,
-}
-
-/// What wakes the event loop.
-enum LoopEvent {
-    Signal(Signal),
-    /// `None` if the disk's thread ended by itself.
-    Disk(Option<DiskEvent>),
-    /// `None` if the listener ended.
-    Input(Option<Input>),
-    /// Something is due.
-    Timer,
-}
-
-impl EventSources {
-    /// Waits for an event, at most for a time. Signals and the disk come before inputs.
-    async fn next(&mut self, sleep: Duration) -> LoopEvent {
-        tokio::select! {
-            biased;
-            signal = self.signals.next() => LoopEvent::Signal(signal),
-            event = self.disk_events.recv() => LoopEvent::Disk(event),
-            input = self.inputs.recv() => LoopEvent::Input(input),
-            () = tokio::time::sleep(sleep) => LoopEvent::Timer,
-        }
-    }
-}
-
 /// Health of the store, as subscribers know it.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Health {
@@ -190,12 +44,12 @@
 }
 
 /// The replica with everything around it.
-struct Host<'a> {
+pub struct Host<'a> {
     settings: &'a Settings,
     /// The origin of the replica's clock.
     started_at: Instant,
     replica: Replica,
-    disk: DiskMonitor,
+    pub disk: DiskMonitor,
     peers: PeerLinks,
     registries: RegistrySessions,
     identity: Arc<ProcessIdentity>,
@@ -209,7 +63,8 @@
 }
 
 impl Host<'_> {
-    fn new<'a>(
+    /// A host whose replica was just created at the zero of its clock.
+    pub fn new<'a>(
         settings: &'a Settings,
         replica: Replica,
         disk: DiskMonitor,
@@ -239,7 +94,12 @@
         Timestamp::ZERO + self.started_at.elapsed()
     }
 
-    async fn run_event_loop(&mut self, sources: &mut EventSources) -> Result<(), StoreError> {
+    /// Handles events until the store is to end.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError`]: the disk was found damaged, or its thread ended.
+    pub async fn run_event_loop(&mut self, sources: &mut EventSources) -> Result<(), StoreError> {
         loop {
             let event = sources.next(self.time_until_due()).await;
             if self.handle_event(event, &mut sources.inputs)?.is_break() || self.has_left() {
@@ -389,7 +249,7 @@
     }
 
     /// Sends messages and answers, and submits all writes as one batch.
-    fn apply_actions(&mut self, actions: Vec<Action>) {
+    pub fn apply_actions(&mut self, actions: Vec<Action>) {
         let (mut writes, mut sync_token) = (Vec::new(), None);
         for action in actions {
             match action {
@@ -428,7 +288,7 @@
         }
     }
 
-    fn handle_disk_event(&mut self, event: DiskEvent) -> Result<(), DiskError> {
+    pub fn handle_disk_event(&mut self, event: DiskEvent) -> Result<(), DiskError> {
         match event {
             DiskEvent::Synced { token } => self.handle_in_replica(Event::Persisted { token }),
             DiskEvent::Failed(error) => {
@@ -450,33 +310,6 @@
         Ok(())
     }
 
-    /// Waits until what a first start writes is synced, so that nobody hears of this store before that. A disk that
-    /// stalls is not waited for.
-    async fn wait_for_first_sync(
-        &mut self,
-        disk_events: &mut mpsc::Receiver<DiskEvent>,
-    ) -> Result<(), DiskError> {
-        while !self.disk.queue.is_idle() {
-            match tokio::time::timeout(FIRST_SYNC_TIMEOUT, disk_events.recv()).await {
-                Ok(Some(event)) => self.handle_disk_event(event)?,
-                _ => break,
-            }
-        }
-        Ok(())
-    }
-
-    /// Waits for the last sync, up to [`CLOSE_TIMEOUT`].
-    async fn close_disk(&self, disk_events: &mut mpsc::Receiver<DiskEvent>) {
-        if self.disk.queue.close().is_err() {
-            return;
-        }
-        let closed =
-            async { while !matches!(disk_events.recv().await, Some(DiskEvent::Closed) | None) {} };
-        if tokio::time::timeout(CLOSE_TIMEOUT, closed).await.is_err() {
-            log::warn!("store ended before its last sync: timeout={CLOSE_TIMEOUT:?}");
-        }
-    }
-
     /// Sends what is due after the actions of an event: confirmations, and the status if it changed or is due.
     fn publish_status(&mut self) {
         if self.disk.take_drained_overflow() {
--- a/crates/emberpin-store/src/lib.rs
+++ b/crates/emberpin-store/src/lib.rs
@@ -5,19 +5,23 @@
 //! and the clock.
 //!
 //! ```text
-//! program → host → listener, peer_links → input, send_queue, socket → protocol
-//!                → registry_sessions    → input, send_queue         → protocol
-//!                → disk_monitor         → disk                      → protocol
-//!                → system_id, signals
+//! program → startup → listener                  → input, send_queue, socket
+//!                   → host → peer_links         → send_queue, socket
+//!                          → registry_sessions  → input, send_queue
+//!                          → disk_monitor       → disk
+//!                          → loop_event         → input, disk, signals
+//!                          → system_id
 //! ```
 #![forbid(unsafe_code)]
 
 pub mod disk;
 mod disk_monitor;
+mod error;
 mod fault_injection;
 mod host;
 mod input;
 mod listener;
+mod loop_event;
 mod peer_links;
 pub mod program;
 pub mod protocol;
@@ -25,4 +29,5 @@
 mod send_queue;
 mod signals;
 mod socket;
+mod startup;
 mod system_id;
--- a/crates/emberpin-store/src/program.rs
+++ b/crates/emberpin-store/src/program.rs
@@ -1,6 +1,7 @@
-//! The command line, and the process around [`host`].
+//! The command line, and the process around [`startup::run`].
 
-use crate::host::{self, StoreError};
+use crate::error::StoreError;
+use crate::startup;
 use emberpin_runtime::logs;
 use emberpin_runtime::settings::{Settings, SettingsError};
 use getopts::Options;
@@ -80,5 +81,5 @@
         .max_blocking_threads(1)
         .build()
         .map_err(ProgramError::Runtime)?;
-    Ok(runtime.block_on(host::run(&settings))?)
+    Ok(runtime.block_on(startup::run(&settings))?)
 }
