--- a/crates/emberpin-config/src/error.rs
+++ b/crates/emberpin-config/src/error.rs
@@ -198,7 +198,7 @@
     /// The exponent of a number has no digit or more than three.
     #[error("a number's exponent cannot be kept")]
     InvalidExponent,
-    /// A number takes more bytes than can be compared exactly.
+    /// A number takes more bytes than this build compares by value.
     #[error("a number is too long to be kept")]
     NumberTooLong,
     /// A value is neither a string, a number, an object, an array, `true`, `false` nor `null`.
--- a/crates/emberpin-registry/tests/samples/values.rs
+++ b/crates/emberpin-registry/tests/samples/values.rs
@@ -12,9 +12,9 @@
 use emberpin_membership::peers::{Ack, InstanceRecord, RegistryMessage};
 use emberpin_membership::session::{FromProxy, Revision, SnapshotCursor, ToProxy};
 use emberpin_runtime::preamble::Preamble;
+use emberpin_runtime::system_id::SystemId;
 use emberpin_store::protocol::{DiskState, DiskStatus, StoreReply, StoreRequest, ToStore};
 use std::net::Ipv4Addr;
-use std::num::NonZeroU64;
 
 const HIGHEST: Ballot = Ballot {
     counter: u64::MAX,
@@ -230,7 +230,7 @@
 
 /// Preambles of a process that does not know its system, and of one that does.
 pub fn preambles() -> Vec<Preamble> {
-    let system = NonZeroU64::new(0x0123_4567_89ab_cdef);
+    let system = SystemId::new(0x0123_4567_89ab_cdef);
     vec![
         Preamble {
             system: None,
--- a/crates/emberpin-runtime/src/identity.rs
+++ b/crates/emberpin-runtime/src/identity.rs
@@ -2,7 +2,7 @@
 
 use crate::frames::ConnectionError;
 use crate::preamble::{check_magic, check_version, HandshakeError, Preamble, PREAMBLE_BYTES};
-use std::num::NonZeroU64;
+use crate::system_id::SystemId;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -33,12 +33,12 @@
     }
 
     /// The system that the process belongs to, if it is known.
-    pub fn system(&self) -> Option<NonZeroU64> {
-        NonZeroU64::new(self.system.load(Ordering::Relaxed))
+    pub fn system(&self) -> Option<SystemId> {
+        SystemId::new(self.system.load(Ordering::Relaxed))
     }
 
     /// Sets the system, unless it is known already. Whether it was set.
-    pub fn learn_system(&self, system: NonZeroU64) -> bool {
+    pub fn learn_system(&self, system: SystemId) -> bool {
         self.system
             .compare_exchange(0, system.get(), Ordering::Relaxed, Ordering::Relaxed)
             .is_ok()
--- a/crates/emberpin-runtime/src/lib.rs
+++ b/crates/emberpin-runtime/src/lib.rs
@@ -7,3 +7,4 @@
 pub mod logs;
 pub mod preamble;
 pub mod settings;
+pub mod system_id;
--- a/crates/emberpin-runtime/src/preamble.rs
+++ b/crates/emberpin-runtime/src/preamble.rs
@@ -15,7 +15,7 @@
 //! Read as the length of a frame, the magic is beyond what a build without preambles takes, so that such a build ends
 //! the connection, too.
 
-use std::num::NonZeroU64;
+use crate::system_id::SystemId;
 
 /// The version of the protocol between processes. It rises whenever the bytes of any message change; processes of
 /// different versions reject each other.
@@ -35,12 +35,12 @@
     #[error("it speaks version {0} of the protocol, and this build {PROTOCOL_VERSION}")]
     VersionMismatch(u16),
     /// The peer belongs to another system.
-    #[error("it belongs to system {theirs:016x}, and this process to {ours:016x}")]
+    #[error("it belongs to system {theirs}, and this process to {ours}")]
     SystemMismatch {
         /// The system of the peer.
-        theirs: NonZeroU64,
+        theirs: SystemId,
         /// The system of this process.
-        ours: NonZeroU64,
+        ours: SystemId,
     },
 }
 
@@ -48,9 +48,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Preamble {
     /// The system that the sender belongs to; `None`, if the sender does not know it yet.
-    pub system: Option<NonZeroU64>,
-    /// The incarnation of the sender: drawn at random at each start, so that messages to a former process of the same
-    /// address are not taken for its own.
+    pub system: Option<SystemId>,
+    /// The incarnation of the sender, another one after each start. By it, receivers tell a process that was restarted
+    /// from the one that had its address before.
     pub incarnation: u64,
 }
 
@@ -60,7 +60,7 @@
         let mut bytes = [0; PREAMBLE_BYTES];
         bytes[..4].copy_from_slice(&MAGIC);
         bytes[4..6].copy_from_slice(&PROTOCOL_VERSION.to_be_bytes());
-        bytes[8..16].copy_from_slice(&self.system.map_or(0, NonZeroU64::get).to_be_bytes());
+        bytes[8..16].copy_from_slice(&self.system.map_or(0, SystemId::get).to_be_bytes());
         bytes[16..].copy_from_slice(&self.incarnation.to_be_bytes());
         bytes
     }
@@ -79,7 +79,7 @@
                 .fold(0, |number, byte| number << 8 | u64::from(*byte))
         };
         Ok(Preamble {
-            system: NonZeroU64::new(number_at(8)),
+            system: SystemId::new(number_at(8)),
             incarnation: number_at(16),
         })
     }
--- a/crates/emberpin-runtime/tests/preamble.rs
+++ b/crates/emberpin-runtime/tests/preamble.rs
@@ -3,16 +3,16 @@
 use emberpin_runtime::frames::ConnectionError;
 use emberpin_runtime::identity::ProcessIdentity;
 use emberpin_runtime::preamble::{HandshakeError, Preamble, PREAMBLE_BYTES, PROTOCOL_VERSION};
+use emberpin_runtime::system_id::SystemId;
 use googletest::prelude::*;
-use std::num::NonZeroU64;
 
-fn system(number: u64) -> Option<NonZeroU64> {
-    NonZeroU64::new(number)
+fn system_id(number: u64) -> Option<SystemId> {
+    SystemId::new(number)
 }
 
 fn process(number: u64) -> ProcessIdentity {
     let process = ProcessIdentity::new(1);
-    system(number)
+    system_id(number)
         .into_iter()
         .for_each(|system| _ = process.learn_system(system));
     process
@@ -45,7 +45,7 @@
         (7, 8, false),
     ] {
         let preamble = Preamble {
-            system: system(theirs),
+            system: system_id(theirs),
             incarnation: 9,
         };
         let process = process(ours);
@@ -113,8 +113,11 @@
 #[gtest]
 fn a_known_system_is_not_replaced() {
     let process = process(7);
-    expect_that!(process.learn_system(NonZeroU64::MAX), eq(false));
-    expect_that!(process.preamble().system, eq(system(7)));
+    expect_that!(
+        process.learn_system(SystemId::new(u64::MAX).expect("not 0")),
+        eq(false)
+    );
+    expect_that!(process.preamble().system, eq(system_id(7)));
 }
 
 #[gtest]
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -17,8 +17,8 @@
 use emberpin_runtime::frames;
 use emberpin_runtime::identity::ProcessIdentity;
 use emberpin_runtime::settings::Settings;
+use emberpin_runtime::system_id::SystemId;
 use std::net::Ipv4Addr;
-use std::num::NonZeroU64;
 use std::ops::ControlFlow;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -382,7 +382,7 @@
 }
 
 /// The system that the voters founded, if theirs is the first roster.
-fn founded_system(replica: &Replica) -> Option<NonZeroU64> {
+fn founded_system(replica: &Replica) -> Option<SystemId> {
     let roster = replica.state().roster()?;
     system_id::founded_by(roster.version, &replica.voters())
 }
--- a/crates/emberpin-store/src/system_id.rs
+++ b/crates/emberpin-store/src/system_id.rs
@@ -8,10 +8,10 @@
 
 use emberpin_config::Version;
 use emberpin_runtime::identity::ProcessIdentity;
+use emberpin_runtime::system_id::SystemId;
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::net::Ipv4Addr;
-use std::num::NonZeroU64;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
@@ -24,12 +24,12 @@
 const FIRST_ROSTER_VERSION: Version = Version(1);
 
 /// The number of the system that these voters founded; `None` if this version of the roster is a later one.
-pub fn founded_by(roster_version: Version, voters: &[Ipv4Addr]) -> Option<NonZeroU64> {
+pub fn founded_by(roster_version: Version, voters: &[Ipv4Addr]) -> Option<SystemId> {
     if roster_version != FIRST_ROSTER_VERSION {
         return None;
     }
     let bytes: Vec<u8> = voters.iter().flat_map(Ipv4Addr::octets).collect();
-    NonZeroU64::new(xxh3_64(&bytes))
+    SystemId::new(xxh3_64(&bytes))
 }
 
 /// The system's number as the process knows it and as the data folder has it.
@@ -56,7 +56,7 @@
 
     /// Saves the number once the process knows it. If no peer has told it, it is the one of the system that this store
     /// founded, if there is such a system.
-    pub fn update(&mut self, founded_system: impl FnOnce() -> Option<NonZeroU64>) {
+    pub fn update(&mut self, founded_system: impl FnOnce() -> Option<SystemId>) {
         if self.is_saved {
             return;
         }
@@ -71,7 +71,7 @@
             tokio::task::spawn_blocking(move || {
                 if let Err(error) = save(&folder, system) {
                     log::warn!(
-                        "number of the system cannot be saved: system={system:016x} error={error}"
+                        "number of the system cannot be saved: system={system} error={error}"
                     );
                 }
             });
@@ -80,12 +80,12 @@
 }
 
 /// Reads the number from its file; `None` if there is none or it is malformed.
-fn read(folder: &Path) -> Option<NonZeroU64> {
+fn read(folder: &Path) -> Option<SystemId> {
     let path = folder.join(FILE_NAME);
     let text = fs::read_to_string(&path).ok()?;
     let system = u64::from_str_radix(text.trim(), 16)
         .ok()
-        .and_then(NonZeroU64::new);
+        .and_then(SystemId::new);
     if system.is_none() {
         log::warn!(
             "malformed number of the system ignored: file={}",
@@ -96,10 +96,10 @@
 }
 
 /// Writes the number to its file, which is complete or absent after a crash.
-fn save(folder: &Path, system: NonZeroU64) -> io::Result<()> {
+fn save(folder: &Path, system: SystemId) -> io::Result<()> {
     let incomplete = folder.join(INCOMPLETE_FILE_NAME);
     let mut file = File::create(&incomplete)?;
-    writeln!(file, "{system:016x}")?;
+    writeln!(file, "{system}")?;
     file.sync_all()?;
     fs::rename(&incomplete, folder.join(FILE_NAME))?;
     File::open(folder)?.sync_all()
--- a/crates/emberpin-store/tests/connections.rs
+++ b/crates/emberpin-store/tests/connections.rs
@@ -4,9 +4,9 @@
 
 use common::{nodes, run, service_patch, single_node, StoreNode, TEST_TIMEOUT};
 use emberpin_runtime::identity::ProcessIdentity;
+use emberpin_runtime::system_id::SystemId;
 use emberpin_store::protocol::StoreReply;
 use googletest::prelude::*;
-use std::num::NonZeroU64;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -65,7 +65,7 @@
 }
 
 /// The system that a store belongs to, once it knows it.
-async fn wait_for_system(node: &StoreNode) -> NonZeroU64 {
+async fn wait_for_system(node: &StoreNode) -> SystemId {
     let until = Instant::now() + TEST_TIMEOUT;
     loop {
         if let Some(system) = node
@@ -91,7 +91,7 @@
             expect_that!(wait_for_system(node).await, eq(own));
         }
         let foreign = ProcessIdentity::new(1);
-        foreign.learn_system(NonZeroU64::new(own.get() ^ 1).expect("a system"));
+        foreign.learn_system(SystemId::new(own.get() ^ 1).expect("a system"));
         let mut stream = nodes[3].connect_raw().await;
         let (mut from, mut to) = stream.split();
         expect_that!(
--- a/crates/emberpin-store/tests/recorded_disks.rs
+++ b/crates/emberpin-store/tests/recorded_disks.rs
@@ -13,6 +13,7 @@
     AcceptedProposal, Ballot, BootstrapCandidate, Incarnation, LatestIncarnations, PersistedState,
     WriteBatch,
 };
+use emberpin_runtime::system_id::SystemId;
 use emberpin_store::disk::{DataLoss, Disk, DiskError, FolderMismatch, WriteNumber};
 use googletest::prelude::*;
 use recordings::{
@@ -21,7 +22,6 @@
 };
 use std::fs;
 use std::net::Ipv4Addr;
-use std::num::NonZeroU64;
 use tempfile::TempDir;
 
 /// The nonce that the recorded candidate drew.
@@ -289,5 +289,5 @@
 fn a_store_on_a_recorded_disk_belongs_to_the_recorded_system() {
     let node = started_on("voter");
     let preamble = run(node.try_preamble()).expect("a preamble");
-    expect_that!(preamble.system, eq(NonZeroU64::new(VOTER_SYSTEM)));
+    expect_that!(preamble.system, eq(SystemId::new(VOTER_SYSTEM)));
 }
