--- a/crates/emberpin-registry/src/backoff.rs
+++ b/crates/emberpin-registry/src/backoff.rs
@@ -1,35 +1,33 @@
 //! The delay before a broken connection is opened again.
 
+use emberpin_membership::timing::Backoff;
 use std::time::Duration;
 
-/// The delay after a connection that lasted for longer than [`MAX_DELAY`].
-const INITIAL_DELAY: Duration = Duration::from_millis(100);
-/// The longest delay; a connection that lasted for longer counts as healthy and resets the backoff.
-const MAX_DELAY: Duration = Duration::from_secs(1);
+/// From 100 ms to 1 s. A connection that lasted for longer than the maximum counts as healthy and resets the delay.
+const BACKOFF: Backoff = Backoff {
+    initial: Duration::from_millis(100),
+    max: Duration::from_secs(1),
+};
 
-/// Exponential backoff between attempts to connect to one process.
+/// The delay between attempts to connect to one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Backoff {
-    delay: Duration,
-}
+pub struct ReconnectDelay(Duration);
 
-impl Backoff {
-    /// The delay before the next attempt, after a connection that lasted for `connected_for`: doubled up to
-    /// [`MAX_DELAY`] if it was short, the initial delay again if it was not.
-    pub fn next_delay(&mut self, connected_for: Duration) -> Duration {
-        self.delay = if connected_for > MAX_DELAY {
-            INITIAL_DELAY
+impl ReconnectDelay {
+    /// The delay before the next attempt, after a connection that lasted for `connected_for`: doubled if that was
+    /// short, the initial delay again if it was not.
+    pub fn next(&mut self, connected_for: Duration) -> Duration {
+        self.0 = if connected_for > BACKOFF.max {
+            BACKOFF.initial
         } else {
-            (self.delay * 2).min(MAX_DELAY)
+            BACKOFF.next(self.0)
         };
-        self.delay
+        self.0
     }
 }
 
-impl Default for Backoff {
-    fn default() -> Backoff {
-        Backoff {
-            delay: INITIAL_DELAY,
-        }
+impl Default for ReconnectDelay {
+    fn default() -> ReconnectDelay {
+        ReconnectDelay(BACKOFF.initial)
     }
 }
--- a/crates/emberpin-registry/src/outbound.rs
+++ b/crates/emberpin-registry/src/outbound.rs
@@ -1,6 +1,6 @@
 //! The connection that this registry keeps open to another one.
 
-use crate::backoff::Backoff;
+use crate::backoff::ReconnectDelay;
 use crate::commands::{Command, CommandSender};
 use crate::connection::{receive_preamble, write_frames, UnreadableFrames, FRAME_QUEUE_CAPACITY};
 use crate::tcp;
@@ -38,12 +38,12 @@
 impl PeerConnection {
     /// Keeps the connection open until the task is aborted.
     pub async fn run(self) {
-        let mut backoff = Backoff::default();
+        let mut delay = ReconnectDelay::default();
         loop {
             let attempted_at = Instant::now();
             let ended = self.connect_and_serve().await;
             self.unreadable_frames.record_end(self.peer.into(), ended);
-            sleep(backoff.next_delay(attempted_at.elapsed())).await;
+            sleep(delay.next(attempted_at.elapsed())).await;
         }
     }
 
--- a/crates/emberpin-registry/src/store_subscription.rs
+++ b/crates/emberpin-registry/src/store_subscription.rs
@@ -3,7 +3,7 @@
 //! The store on this machine is preferred; while it is unreachable, another voter's store is the fallback. Items merge by
 //! their versions, so it does no harm if both are subscribed to for a moment.
 
-use crate::backoff::Backoff;
+use crate::backoff::ReconnectDelay;
 use crate::commands::CommandSender;
 use crate::connection::{read_message, receive_preamble};
 use crate::store_state::StoreState;
@@ -70,13 +70,13 @@
     }
 
     async fn run_local_subscription(self: Arc<StoreSubscription>) {
-        let mut backoff = Backoff::default();
+        let mut delay = ReconnectDelay::default();
         loop {
             let attempted_at = Instant::now();
             let store = self.state.local_ip();
             let error = self.subscribe(store).await;
             log::debug!("subscription to the local store ended: store={store} error={error}");
-            sleep(backoff.next_delay(attempted_at.elapsed())).await;
+            sleep(delay.next(attempted_at.elapsed())).await;
         }
     }
 
