--- a/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/adapter.rs
+++ b/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/adapter.rs
@@ -7,6 +7,7 @@
 use emberpin_balancer::host_config::UnknownZone;
 use emberpin_balancer::{Event, Gateway, MembershipUpdate, Millis};
 use std::collections::BTreeMap;
+use std::io::Write;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 /// Why a line of input cannot be carried out.
@@ -102,9 +103,16 @@
         self.handle_input(serde_json::from_slice(text)?)
     }
 
-    /// The lines of output that gathered in the batch.
-    pub fn take_output(&mut self) -> Vec<u8> {
-        std::mem::take(&mut self.output)
+    /// Writes the lines of output that gathered in the batch, and flushes them.
+    ///
+    /// # Errors
+    ///
+    /// When the output cannot be written.
+    pub fn flush_output(&mut self, output: &mut impl Write) -> Result<(), LineError> {
+        output.write_all(&self.output)?;
+        output.flush()?;
+        self.output.clear();
+        Ok(())
     }
 
     fn handle_input(&mut self, input: Input) -> Result<Progress, LineError> {
--- a/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/main.rs
+++ b/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/main.rs
@@ -38,7 +38,7 @@
             .and_then(|more| adapter.handle_text(more.then_some(&text)))
             .and_then(|progress| {
                 if progress == Progress::BatchComplete {
-                    flush_batch(&mut adapter, &mut output)?;
+                    adapter.flush_output(&mut output)?;
                 }
                 Ok(progress)
             })
@@ -54,9 +54,3 @@
 fn read_line(input: &mut impl BufRead, text: &mut Vec<u8>) -> Result<bool, LineError> {
     Ok(input.read_until(b'\n', text)? > 0)
 }
-
-fn flush_batch(adapter: &mut Adapter, output: &mut impl Write) -> Result<(), LineError> {
-    output.write_all(&adapter.take_output())?;
-    output.flush()?;
-    Ok(())
-}
