--- a/crates/emberpin-proxy/src/controller/in_flight.rs
+++ b/crates/emberpin-proxy/src/controller/attempts.rs
@@ -1,53 +1,19 @@
-//! Requests in flight: what follows the end of an attempt, its time running out, or its client's disconnect.
+//! Attempts of requests in flight: what follows when one ends or runs out of time, or when the client disconnects.
 
+use super::in_flight_request::InFlightRequest;
 use super::Controller;
 use crate::command::RouteRequest;
 use crate::service::Service;
 use emberpin_balancer::{RequestId, ServerId};
-use emberpin_limiter::host::{Ended, Input, Outgoing, Reply};
-use emberpin_routing::Route;
-use std::cell::Cell;
-use std::rc::Rc;
+use emberpin_limiter::host::{Ended, Input};
 use std::time::Duration;
-use tokio::sync::oneshot;
 use tokio::task::spawn_local;
-use tokio::time::{sleep, Instant};
+use tokio::time::sleep;
 
 /// How soon after an attempt ran out of time without a possible retry the controller checks again: congestion, or a
 /// spent retry budget, is usually over before the client's deadline.
 const OVERDUE_RECHECK: Duration = Duration::from_millis(150);
 
-/// A request that is owed a reply or has an attempt at a server.
-pub(super) struct InFlightRequest {
-    /// The newest route under which it may stay at its service.
-    pub(super) route: Rc<Route>,
-    pub(super) service: String,
-    pub(super) host: String,
-    pub(super) outgoing: Rc<Outgoing>,
-    pub(super) arrived_at: Instant,
-    pub(super) deadline: Option<Duration>,
-    /// Attempts handed to servers, less those that ended before any byte went out.
-    pub(super) attempts_sent: u32,
-}
-
-impl InFlightRequest {
-    /// The request as it arrived, to be routed again for the same waiting client.
-    fn to_route_request(&self, id: RequestId, reply_to: oneshot::Sender<Reply>) -> RouteRequest {
-        RouteRequest {
-            id,
-            host: self.host.clone(),
-            outgoing: Outgoing {
-                withdrawn: Cell::new(false),
-                ..(*self.outgoing).clone()
-            },
-            arrived_at: self.arrived_at,
-            deadline: self.deadline,
-            attempts_sent: self.attempts_sent,
-            reply_to,
-        }
-    }
-}
-
 impl Controller {
     /// Handles the end of an attempt, or its time running out, as its engine reports them.
     pub(super) fn on_input(&mut self, input: Input) {
--- a/crates/emberpin-proxy/src/controller/mod.rs
+++ b/crates/emberpin-proxy/src/controller/mod.rs
@@ -4,33 +4,36 @@
 //! service a request is for and whether its route and the retry budget allow another attempt. All state is changed on
 //! one task, so no event sees another one half applied.
 
+mod attempts;
 mod configuration;
 mod control_sessions;
-mod in_flight;
+mod in_flight_request;
 mod limits;
 mod probing;
 mod replies;
 mod routing;
 mod servers;
+mod session_sync;
 mod slow_start;
+mod zone_table;
 
 use crate::command::Command;
 use crate::published_state::PublishedState;
 use crate::random_seed::random_seed;
 use crate::service::Service;
-use control_sessions::SessionSync;
 use emberpin_balancer::RequestId;
 use emberpin_config::Configuration;
 use emberpin_limiter::host::{Input, Pool, Reception, HEAD_BYTES};
 use emberpin_routing::{RetryBudget, Router, WarmupTolerance};
 use emberpin_runtime::settings::Settings;
-use in_flight::InFlightRequest;
-use servers::ZoneTable;
+use in_flight_request::InFlightRequest;
+use session_sync::SessionSync;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::{interval, sleep_until, Instant, MissedTickBehavior};
+use zone_table::ZoneTable;
 
 /// How often the controller checks whether a warming server may get another request. Its share is per second, so a
 /// coarser period would leave part of it unused.
--- a/crates/emberpin-proxy/src/controller/routing.rs
+++ b/crates/emberpin-proxy/src/controller/routing.rs
@@ -1,7 +1,7 @@
 //! Routing of requests: which service a request is forwarded to, under which limits, and what becomes of requests in
 //! flight when routes change.
 
-use super::in_flight::InFlightRequest;
+use super::in_flight_request::InFlightRequest;
 use super::replies::{empty_response, retry_later};
 use super::Controller;
 use crate::command::RouteRequest;
@@ -61,20 +61,15 @@
     pub(super) fn route_request(&mut self, request: RouteRequest) {
         let target = match self.choose_target(&request) {
             Ok(target) => target,
-            Err(rejection) => {
-                _ = request.reply_to.send(rejection.reply());
-                return;
-            }
+            Err(rejection) => return reject(request, &rejection),
         };
         let now = self.now();
         let Some(service) = self.services.get_mut(&target.service) else {
-            _ = request.reply_to.send(Rejection::NoServer.reply());
-            return;
+            return reject(request, &Rejection::NoServer);
         };
         let budget = &mut self.retry_budget;
         if !budget_allows(budget, now, self.proxy_count, &request, &target) {
-            _ = request.reply_to.send(Rejection::NoServer.reply());
-            return;
+            return reject(request, &Rejection::NoServer);
         }
         let id = request.id;
         let name = target.service.clone();
@@ -124,6 +119,10 @@
     }
 }
 
+fn reject(request: RouteRequest, rejection: &Rejection) {
+    _ = request.reply_to.send(rejection.reply());
+}
+
 /// Charges the retry budget for a request that is about to be routed. First attempts are counted and always allowed;
 /// a request that was withdrawn from another service after an attempt needs budget at the new one.
 fn budget_allows(
--- a/crates/emberpin-proxy/src/controller/servers.rs
+++ b/crates/emberpin-proxy/src/controller/servers.rs
@@ -5,28 +5,6 @@
 use crate::service::{Endpoint, Service};
 use emberpin_balancer::ServerId;
 
-/// Zones by the index under which decision modules know them. An index is never reused.
-pub(super) struct ZoneTable {
-    names: Vec<String>,
-}
-
-impl ZoneTable {
-    /// This proxy's own zone gets index 0, which decision modules prefer; the order of the others does not matter.
-    pub(super) fn new<'a>(own: &str, all: impl Iterator<Item = &'a String>) -> ZoneTable {
-        let mut names = vec![own.to_string()];
-        names.extend(all.filter(|zone| *zone != own).cloned());
-        ZoneTable { names }
-    }
-
-    fn index_of(&mut self, name: &str) -> usize {
-        if let Some(index) = self.names.iter().position(|zone| zone == name) {
-            return index;
-        }
-        self.names.push(name.to_string());
-        self.names.len() - 1
-    }
-}
-
 impl Controller {
     /// Passes on to the decision modules what has changed about server instances since the last call.
     pub(super) fn apply_endpoint_changes(&mut self) {
