--- a/crates/emberpin-config/src/commit.rs
+++ b/crates/emberpin-config/src/commit.rs
@@ -8,7 +8,7 @@
 /// How much of the past is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retention {
-    /// How many versions of each item a history keeps, besides the newest one. Of those below it cannot be told
+    /// How many versions of each item a history keeps, besides the newest one. Of those below it is not known
     /// whether they were acknowledged. Default: [`MAX_RETAINED_VERSIONS`].
     pub max_versions: usize,
     /// How many tombstones of routes and services are kept. A call that removes more than this may exceed it by up to
--- a/crates/emberpin-config/src/consistency.rs
+++ b/crates/emberpin-config/src/consistency.rs
@@ -11,7 +11,7 @@
     pub(crate) items: Vec<ItemKey>,
     /// The service that a route names and that does not exist.
     pub(crate) unknown_service: Option<String>,
-    /// What a caller is told.
+    /// The error for the caller.
     pub(crate) error: ValidationError,
 }
 
--- a/crates/emberpin-config/src/digest.rs
+++ b/crates/emberpin-config/src/digest.rs
@@ -7,8 +7,8 @@
 
 /// A digest of an item's content, of 128 bits. The stores keep it in histories, so its bytes must not change.
 ///
-/// Two items of one key have the same digest exactly where [`validate`](crate::validate()) takes their contents for
-/// the same, but for collisions: of two contents drawn at random one in 2^128. XXH3 does not withstand anybody who
+/// Two items of one key have the same digest exactly where [`validate`](crate::validate()) finds their contents
+/// equal, but for collisions: of two contents drawn at random one in 2^128. XXH3 does not withstand anybody who
 /// looks for collisions on purpose; whoever may change the configuration needs none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Digest(u128);
--- a/crates/emberpin-config/src/history.rs
+++ b/crates/emberpin-config/src/history.rs
@@ -1,15 +1,15 @@
-//! The acknowledged versions of an item below its newest one, by which a call that is sent again is told from another
-//! call that reuses its versions.
+//! The acknowledged versions of an item below its newest one, by which a call that is sent again is distinguished from
+//! another call that reuses its versions.
 
 use crate::digest::Digest;
 use crate::{Configuration, Item, ItemKey, ItemKind, Version};
 use std::collections::BTreeMap;
 
 /// How many versions of each item a history keeps, besides the newest one. When another one is recorded, the lowest is
-/// removed, and a call that repeats it can no longer be told from a conflicting one.
+/// removed, and a duplicate of it can no longer be distinguished from a conflict.
 pub const MAX_RETAINED_VERSIONS: usize = 64;
 
-/// What a history tells of a version below the newest one.
+/// What a history knows of a version below the newest one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PastVersion {
     /// It was acknowledged with the content that was asked about.
@@ -37,7 +37,7 @@
 
 impl History {
     /// A history without versions, of an item whose newest version is `newest`. Up to `floor`, if there is one, it
-    /// cannot be told which versions were acknowledged.
+    /// is not known which versions were acknowledged.
     pub fn new(subject: ItemKey, newest: Version, floor: Option<Version>) -> History {
         History {
             subject,
--- a/crates/emberpin-config/src/json/compact.rs
+++ b/crates/emberpin-config/src/json/compact.rs
@@ -1,4 +1,4 @@
-//! A check of a call's JSON as a whole, which removes the blanks and leaves the rest as it was sent.
+//! Checks the JSON of a call and removes its blanks; the rest stays as it was sent.
 
 use super::decode_string;
 use crate::error::SyntaxError;
--- a/crates/emberpin-config/src/patch.rs
+++ b/crates/emberpin-config/src/patch.rs
@@ -7,8 +7,8 @@
 
 /// The longest body of a call, in bytes; a longer one is rejected.
 pub const MAX_PATCH_BYTES: usize = 8 << 20;
-/// The most items that one call sets and removes; a call with more is rejected. Bounds what one proposal of the stores
-/// holds.
+/// The most items that one call sets and removes; a call with more is rejected. Bounds the size of a proposal in the
+/// stores.
 pub const MAX_PATCH_ITEMS: usize = 20_000;
 
 /// The items of one call, each key once, in the order of their keys.
--- a/crates/emberpin-config/src/schema/service.rs
+++ b/crates/emberpin-config/src/schema/service.rs
@@ -9,9 +9,10 @@
 pub struct Service {
     /// The name, by which routes and servers refer to the service.
     pub name: String,
-    /// The path of a server's health check; it begins with a slash.
+    /// The path of a server's health check; it begins with a slash. Checked and kept, but no decision depends on it.
     pub health_path: String,
-    /// The most connections that one server accepts from all proxies together.
+    /// The most connections that one server accepts from all proxies together. Checked and kept, but no decision depends
+    /// on it.
     pub max_connections: u32,
     /// How long a server that starts during traffic is in slow start. Zero, if not stated: no slow start.
     pub warmup: Duration,
