--- a/crates/emberpin-simulator/src/generator/dense.rs
+++ b/crates/emberpin-simulator/src/generator/dense.rs
@@ -11,7 +11,7 @@
 
 /// Makes the draws of a seed differ from those of its wide scenario.
 const SEED_MASK: u128 = 0xde_0000;
-/// `sync_time`: a machine still counts as lost for so long after its return.
+/// `sync_time`: for how long a machine still counts as lost after its return.
 const SYNC_TIME_MS: u64 = 4_000;
 /// Machines that were all killed come back within this.
 const RETURN_OF_ALL_MS: u64 = 1_000;
@@ -23,9 +23,9 @@
 const FIRST_PORT: u64 = 2_000;
 /// No machine gets a higher number than one above this by a replacement.
 const MAX_CORE: u8 = 60;
-/// Of a hundred moments of a faulty time, so many change a server.
+/// How many of a hundred moments of a faulty time change a server.
 const SERVER_PERCENT: u64 = 8;
-/// A version that is used again is one of the latest so many.
+/// From how many of the latest versions one is drawn that is used again.
 const REUSED_VERSIONS: usize = 30;
 
 /// A version of a route that a patch set or dropped.
--- a/crates/emberpin-simulator/src/generator/mod.rs
+++ b/crates/emberpin-simulator/src/generator/mod.rs
@@ -9,7 +9,7 @@
 const ZONES: [&str; 3] = ["z1", "z2", "z3"];
 /// When the first machines are all on the roster, in milliseconds.
 const ROSTER_COMPLETE_MS: u64 = 8_000;
-/// And so much later for each further one.
+/// How much later the roster is complete for each machine.
 const ROSTER_MS_PER_MACHINE: u64 = 500;
 /// The services that patches and servers draw from.
 const SERVICES: u64 = 3;
--- a/crates/emberpin-simulator/src/generator/wide.rs
+++ b/crates/emberpin-simulator/src/generator/wide.rs
@@ -86,7 +86,7 @@
         choices[self.draw_below(choices.len() as u64) as usize]
     }
 
-    /// One to so many different core machines.
+    /// One to `max` different core machines.
     fn choose_cores(&mut self, max: u64) -> Vec<u8> {
         let (count, mut rest) = (1 + self.draw_below(max), self.cores.clone());
         let mut chosen = Vec::new();
--- a/crates/emberpin-simulator/src/history.rs
+++ b/crates/emberpin-simulator/src/history.rs
@@ -37,7 +37,7 @@
 pub struct NumberedItem {
     /// The name of the item, with its kind.
     pub name: String,
-    /// The version.
+    /// The version that the operator gave it.
     pub version: u64,
     /// The content of this version.
     pub content: Content,
--- a/crates/emberpin-simulator/src/invariants.rs
+++ b/crates/emberpin-simulator/src/invariants.rs
@@ -124,7 +124,7 @@
         for (key, version) in &self.highest_acknowledged {
             let found = configuration.get(key);
             if self.is_lost(key, *version, found) {
-                return Err(Violation::LostItem {
+                return Err(Violation::ItemMissing {
                     key: key.clone(),
                     version: *version,
                     found: found.cloned(),
--- a/crates/emberpin-simulator/src/lib.rs
+++ b/crates/emberpin-simulator/src/lib.rs
@@ -26,12 +26,12 @@
 //! at 2s start core-1
 //! at 2s bootstrap core-1          starts with settings that say that the whole system starts for the first time
 //! at 2s seeds core-4 core-5       the seeds that processes are configured with at later starts
-//! at 2s stall 3s core-1           its disk does not respond for so long
+//! at 2s stall 3s core-1           its disk does not respond for 3 s
 //! at 2s replace core-2 core-6     core-2 is removed for good, core-6 comes with an empty disk
 //! at 2s freeze core-1             until `thaw core-1`
 //! at 2s clock core-1 105%         its monotonic clock is fast
 //! at 2s cut core-1 core-2 | core-3 limiter-1       a network partition; with `>`, only from left to right
-//! at 2s slow 2s..5s core-1 > core-2 limiter-1      messages arrive later by so much; `|`: both ways
+//! at 2s slow 2s..5s core-1 > core-2 limiter-1      messages arrive 2 s to 5 s later; `|`: both ways
 //! at 2s heal                                       all partitions, slow links and losses end; `heal core-1`: the
 //!                                                  partitions and slow links of core-1
 //! at 2s lose accept core-1 > core-2                messages between stores: prepare, accept, chosen, exchange, promise, seats
--- a/crates/emberpin-simulator/src/machine.rs
+++ b/crates/emberpin-simulator/src/machine.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// Any machine.
+/// A machine of either kind, as scenarios name it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Machine {
     /// A machine with a store and a registry.
--- a/crates/emberpin-simulator/src/runner.rs
+++ b/crates/emberpin-simulator/src/runner.rs
@@ -11,7 +11,7 @@
 /// What a run did.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunStatistics {
-    /// Events that happened.
+    /// The number of events that were handled.
     pub events: u64,
     /// Requests that were sent to warming servers.
     pub slow_start_requests: usize,
@@ -71,7 +71,7 @@
     Violation {
         /// When, in simulated time.
         at: Duration,
-        /// What.
+        /// The invariant or expectation that does not hold.
         violation: Box<Violation>,
     },
     /// The text that was drawn for a seed is not a scenario.
--- a/crates/emberpin-simulator/src/scenario/commands.rs
+++ b/crates/emberpin-simulator/src/scenario/commands.rs
@@ -69,7 +69,7 @@
     Drain,
     Leave,
     Crash,
-    /// The server warms up again, for so long.
+    /// The server warms up again, for this time.
     WarmUp(Duration),
     /// A heartbeat with an old sequence number arrives late.
     LateHeartbeat {
@@ -123,7 +123,7 @@
     Bootstrap(Vec<Machine>),
     /// The seeds that processes are configured with at later starts.
     SetSeeds(Vec<CoreId>),
-    /// The disks do not respond for so long.
+    /// The disks do not respond for a while.
     StallDisk {
         machines: Vec<Machine>,
         duration: Duration,
--- a/crates/emberpin-simulator/src/scenario/error.rs
+++ b/crates/emberpin-simulator/src/scenario/error.rs
@@ -40,11 +40,11 @@
 /// What stands where something else was expected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Found {
-    /// Nothing more.
+    /// The line ends there.
     EndOfLine,
-    /// This word.
+    /// Another word.
     Word(String),
-    /// A machine of the other kind.
+    /// A proxy, where only a core machine fits.
     Proxy,
 }
 
--- a/crates/emberpin-simulator/src/search.rs
+++ b/crates/emberpin-simulator/src/search.rs
@@ -23,7 +23,7 @@
 /// A seed whose scenario fails.
 #[derive(Debug)]
 pub struct FailedSeed {
-    /// The seed.
+    /// The number that its scenario was generated from.
     pub seed: u64,
     /// What went wrong.
     pub failure: Failure,
@@ -31,8 +31,8 @@
     pub text: String,
 }
 
-/// Runs the scenarios of these seeds on so many threads, and stops at so many failures. Scenarios that other threads
-/// have begun by then are run to their end.
+/// Runs the scenarios of these seeds on `threads` threads, and stops at `max_failures` failures. Scenarios that other
+/// threads have begun by then are run to their end.
 pub fn search(
     seeds: Range<u64>,
     threads: usize,
--- a/crates/emberpin-simulator/src/simulation/connections.rs
+++ b/crates/emberpin-simulator/src/simulation/connections.rs
@@ -10,7 +10,7 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// A connection breaks after bytes have been unacknowledged for so long.
+/// How long bytes may be unacknowledged before their connection breaks.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How long the end of a connection takes to reach its other side at least; the rest is drawn below the second.
 const LEAST_BREAK_DELAY: Duration = Duration::from_millis(1);
@@ -200,12 +200,12 @@
             (Machine::Core(core), Machine::Core(peer)) => {
                 self.on_peer_connection_broken(core, peer, id);
             }
-            (Machine::Core(core), Machine::Proxy(_)) => self.on_session_lost(core, id),
+            (Machine::Core(core), Machine::Proxy(_)) => self.on_session_connection_broken(core, id),
             (Machine::Proxy(proxy), _) => self.on_session_broken(proxy, id),
         }
     }
 
-    fn on_session_lost(&mut self, core: CoreId, id: ConnectionId) {
+    fn on_session_connection_broken(&mut self, core: CoreId, id: ConnectionId) {
         let Some(running) = self.running_core(core) else {
             return;
         };
--- a/crates/emberpin-simulator/src/simulation/effects.rs
+++ b/crates/emberpin-simulator/src/simulation/effects.rs
@@ -11,7 +11,7 @@
 use emberpin_routing::Availability;
 use std::time::Duration;
 
-/// An evacuation is not checked if its end was requested later than so long before its acknowledgement.
+/// How long before the acknowledgement of an evacuation its end may be requested, so that the evacuation is not checked.
 const EVACUATION_OVERLAP: Duration = Duration::from_millis(1_000);
 
 impl Simulation {
--- a/crates/emberpin-simulator/src/simulation/final_checks.rs
+++ b/crates/emberpin-simulator/src/simulation/final_checks.rs
@@ -184,7 +184,7 @@
             })
         };
         match self.proxies.keys().find(|proxy| has_mismatch(proxy)) {
-            Some(proxy) => Err(Violation::LostEvacuation {
+            Some(proxy) => Err(Violation::EvacuationMissing {
                 zone: zone.into(),
                 acknowledged,
                 found: !acknowledged,
--- a/crates/emberpin-simulator/src/simulation/mod.rs
+++ b/crates/emberpin-simulator/src/simulation/mod.rs
@@ -44,7 +44,7 @@
 /// What a run did, for its statistics.
 #[derive(Debug, Default)]
 pub(crate) struct Counters {
-    /// Events that happened.
+    /// The number of events that were handled.
     pub events: u64,
     /// Requests that were sent to warming servers.
     pub slow_start_requests: usize,
@@ -81,7 +81,7 @@
     /// Messages or disks are so slow that nothing with a time limit is asserted.
     has_no_time_limits: bool,
     is_slow_start_load_scheduled: bool,
-    /// Of a hundred responses to operators, so many are lost.
+    /// How many of a hundred responses to operators are lost.
     lost_response_percent: u64,
     /// The seeds that processes are configured with at their start, unless they are the first machines in use.
     seeds: Option<Vec<CoreId>>,
@@ -159,7 +159,7 @@
         range.start + self.draw_time_below(range.end.saturating_sub(range.start))
     }
 
-    /// True for so many of a hundred draws.
+    /// True for `percent` of a hundred draws on average.
     fn draw_percent(&mut self, percent: u64) -> bool {
         self.draw_below(100) < percent
     }
--- a/crates/emberpin-simulator/src/simulation/operators.rs
+++ b/crates/emberpin-simulator/src/simulation/operators.rs
@@ -13,14 +13,14 @@
 
 /// How long a message between a client and a core machine takes.
 pub(super) const CLIENT_DELAY: Duration = Duration::from_millis(2);
-/// A call without a response for so long is retried at another machine.
+/// How long a client waits for a response before it retries at another machine.
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The pause of a server after a call to a machine that is down, and the base of an operator's backoff.
 pub(super) const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
-/// An operator's backoff doubles with each attempt, so often at most.
+/// How often an operator's backoff doubles at most, once with each attempt.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// `evac`: an acknowledged evacuation is in force after so long.
+/// `evac`: how long after its acknowledgement an evacuation may take to come into force.
 const EVACUATION_LIMIT: Duration = Duration::from_millis(5_000);
 
 const OK: u16 = 200;
@@ -186,7 +186,7 @@
     }
 }
 
-/// The pause after so many attempts.
+/// The pause after this number of attempts.
 fn backoff(attempts: u32) -> Duration {
     let doublings = attempts.min(MAX_BACKOFF_DOUBLINGS);
     (INITIAL_BACKOFF * (1 << doublings)).min(MAX_BACKOFF)
--- a/crates/emberpin-simulator/src/simulation/slow_start_load.rs
+++ b/crates/emberpin-simulator/src/simulation/slow_start_load.rs
@@ -14,7 +14,7 @@
 /// The most requests that a warming server may get in a second: the services' `warmup_per_s` of 10 with the proxies'
 /// tolerance.
 const WARMUP_LIMIT: usize = 20;
-/// The span that the limit is for.
+/// The span of time that the limit counts requests in.
 const LIMIT_SPAN: Duration = Duration::from_secs(1);
 
 impl Simulation {
--- a/crates/emberpin-simulator/src/state/core_node.rs
+++ b/crates/emberpin-simulator/src/state/core_node.rs
@@ -45,7 +45,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Disk {
     writes: Vec<WriteBatch>,
-    /// The first so many writes survive a power cut.
+    /// How many writes, from the first one on, survive a power cut.
     synced: usize,
     /// The disk does not respond before this time.
     pub stalled_until: Duration,
--- a/crates/emberpin-simulator/src/state/network.rs
+++ b/crates/emberpin-simulator/src/state/network.rs
@@ -86,7 +86,7 @@
 /// The direction from the first machine to the second one.
 pub(crate) type Link = (Machine, Machine);
 
-/// The network.
+/// All links and connections between machines.
 #[derive(Debug)]
 pub(crate) struct Network {
     cut_links: BTreeSet<Link>,
@@ -99,9 +99,9 @@
     last_connection: u64,
     /// The delay of a message.
     pub delay: Range<Duration>,
-    /// Of a hundred messages between stores, so many are late by much.
+    /// How many of a hundred messages between stores are late by up to 1.5 s more.
     pub late_percent: u64,
-    /// Of a hundred messages between stores, so many are duplicated.
+    /// How many of a hundred messages between stores are duplicated.
     pub duplicate_percent: u64,
 }
 
--- a/crates/emberpin-simulator/src/state/proxy.rs
+++ b/crates/emberpin-simulator/src/state/proxy.rs
@@ -188,7 +188,7 @@
                 });
             }
             if !places.insert((route.hostname.clone(), route.prefix.clone())) {
-                return Err(ProxyViolation::SharedPlace {
+                return Err(ProxyViolation::DuplicateRoute {
                     route: route.name.clone(),
                 });
             }
--- a/crates/emberpin-simulator/src/violation.rs
+++ b/crates/emberpin-simulator/src/violation.rs
@@ -12,9 +12,9 @@
     /// Two stores chose different contents for one version of an item.
     #[error("two contents: {key:?} {version} is {known:?} and {found:?}")]
     TwoChosenContents {
-        /// The item.
+        /// Kind and name of the item.
         key: ItemKey,
-        /// Its version.
+        /// The version that both contents were given.
         version: Version,
         /// The content that was chosen first.
         known: Option<String>,
@@ -26,9 +26,9 @@
         "two contents: {key:?} {version} was acknowledged as {acknowledged:?}, and is {chosen:?}"
     )]
     AcknowledgedOtherContent {
-        /// The item.
+        /// Kind and name of the item.
         key: ItemKey,
-        /// Its version.
+        /// The version that the operator gave it.
         version: Version,
         /// The content that was acknowledged.
         acknowledged: Option<String>,
@@ -40,7 +40,7 @@
     StoreWentBack {
         /// The store's machine.
         core: CoreId,
-        /// The item.
+        /// Kind and name of the item.
         key: ItemKey,
         /// The older version.
         version: Version,
@@ -48,7 +48,7 @@
     /// The state of a proxy is wrong.
     #[error("{proxy}: {violation}")]
     Proxy {
-        /// The proxy.
+        /// The proxy's machine.
         proxy: ProxyId,
         /// What is wrong with it.
         violation: ProxyViolation,
@@ -56,7 +56,7 @@
     /// A proxy in contact does not have in force what was acknowledged a while ago.
     #[error("not applied in time: {proxy}, in touch, {missing}")]
     NotApplied {
-        /// The proxy.
+        /// The proxy's machine.
         proxy: ProxyId,
         /// What is not in force there.
         missing: MissingEffect,
@@ -74,15 +74,15 @@
     /// A server was told to send its heartbeats to an address that no core machine has.
     #[error("{server} is told to beat at {target}, which is no machine")]
     UnknownHeartbeatTarget {
-        /// The server.
+        /// The server's name in the scenario.
         server: String,
-        /// The address.
+        /// The address that it was told.
         target: Ipv4Addr,
     },
     /// An acknowledged item is missing from the configuration at the end.
     #[error("lost: {key:?} {version} was acknowledged, and {found:?} is read back")]
-    LostItem {
-        /// The item.
+    ItemMissing {
+        /// Kind and name of the item.
         key: ItemKey,
         /// The highest acknowledged version.
         version: Version,
@@ -92,17 +92,17 @@
     /// An item of a rejected call is in force.
     #[error("refused and in force: {key:?} {version}")]
     RejectedInForce {
-        /// The item.
+        /// Kind and name of the item.
         key: ItemKey,
-        /// Its version.
+        /// The version that the rejected call gave it.
         version: Version,
     },
     /// The last acknowledged change of a zone's evacuation is not in force.
     #[error(
         "lost: the evacuation of {zone} was last acknowledged as {acknowledged}, and is {found} on {proxy}"
     )]
-    LostEvacuation {
-        /// The zone.
+    EvacuationMissing {
+        /// The zone's name.
         zone: String,
         /// Whether the zone was evacuated last.
         acknowledged: bool,
@@ -131,7 +131,7 @@
     /// A call that is retried has no response at the end.
     #[error("{operator}: a call has no answer")]
     Unanswered {
-        /// The operator.
+        /// The operator's name in the scenario.
         operator: String,
     },
     /// What operators were told fits no order of their calls.
@@ -153,13 +153,13 @@
     /// An operator's call is named, and there is none.
     #[error("operator {operator} asked nothing")]
     NoCall {
-        /// The operator.
+        /// The operator's name in the scenario.
         operator: String,
     },
     /// An operator's last call has another status.
     #[error("expected that operator {operator} was told {expected:?}, found {found:?} {body}")]
     OperatorStatus {
-        /// The operator.
+        /// The operator's name in the scenario.
         operator: String,
         /// The expected status.
         expected: Option<u16>,
@@ -192,7 +192,7 @@
     /// A proxy does not have what is expected.
     #[error("{proxy}: {mismatch}")]
     Proxy {
-        /// The proxy.
+        /// The proxy's machine.
         proxy: ProxyId,
         /// What it has instead.
         mismatch: ProxyMismatch,
@@ -230,9 +230,9 @@
     /// It has another version of a route, or none.
     #[error("expected version {expected:?} of the route of {host}{path}, found {found:?}")]
     Route {
-        /// The host.
+        /// The host that the route is looked up by.
         host: String,
-        /// The path.
+        /// The path that the route is looked up by.
         path: String,
         /// The expected version; `None`: no route.
         expected: Option<u64>,
@@ -260,21 +260,21 @@
     /// A route in force names a service that is not configured.
     #[error("invalid in force: route {route} names {service}, which is unknown")]
     UnknownService {
-        /// The route.
+        /// The route's name.
         route: String,
-        /// The service.
+        /// The service that it names as a target.
         service: String,
     },
     /// Two routes in force have the same host and prefix.
     #[error("invalid in force: route {route} has the place of another one")]
-    SharedPlace {
+    DuplicateRoute {
         /// The later one of the routes.
         route: String,
     },
     /// An older version of a route came into force.
     #[error("went back: route {route} is {version} after {highest}")]
     RouteWentBack {
-        /// The route.
+        /// The route's name.
         route: String,
         /// The version in force.
         version: Version,
@@ -295,7 +295,7 @@
     /// It has an older version of an item, or none.
     #[error("lacks {key:?} {version}")]
     Item {
-        /// The item.
+        /// Kind and name of the item.
         key: ItemKey,
         /// The acknowledged version.
         version: Version,
