--- a/crates/emberpin-registry/src/http_api/calls.rs
+++ b/crates/emberpin-registry/src/http_api/calls.rs
@@ -10,7 +10,7 @@
 use crate::commands::{Command, CommandSender};
 use crate::store_client::StoreClient;
 use emberpin_membership::registry::{OperatorCallTarget, ServerReply};
-use emberpin_store::protocol::StoreRequest;
+use emberpin_store::protocol::{RequestId, StoreRequest};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, LOCATION};
 use hyper::{Request, StatusCode, Uri};
@@ -242,7 +242,7 @@
         &self,
         within: Duration,
         on_success: fn(StatusCode, String) -> HttpResponse,
-        build_request: impl Fn(u64) -> StoreRequest,
+        build_request: impl Fn(RequestId) -> StoreRequest,
     ) -> HttpResponse {
         let Some(stored) = self.stores.call(within, build_request).await else {
             return response::unavailable();
--- a/crates/emberpin-registry/src/store_client.rs
+++ b/crates/emberpin-registry/src/store_client.rs
@@ -4,7 +4,7 @@
 use crate::store_state::{lock, StoreState};
 use emberpin_runtime::frames;
 use emberpin_runtime::identity::ProcessIdentity;
-use emberpin_store::protocol::{DiskStatus, StoreRequest, ToStore};
+use emberpin_store::protocol::{DiskStatus, RequestId, StoreRequest, ToStore};
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -51,7 +51,7 @@
     pub async fn call(
         &self,
         within: Duration,
-        build_request: impl Fn(u64) -> StoreRequest,
+        build_request: impl Fn(RequestId) -> StoreRequest,
     ) -> Option<StoreResponse> {
         timeout(within, self.call_in_turn(build_request))
             .await
@@ -61,11 +61,11 @@
 
     async fn call_in_turn(
         &self,
-        build_request: impl Fn(u64) -> StoreRequest,
+        build_request: impl Fn(RequestId) -> StoreRequest,
     ) -> Option<StoreResponse> {
         let mut rejection = None;
         for store in self.stores_in_order() {
-            let id = self.next_request_id.fetch_add(1, Ordering::Relaxed);
+            let id = RequestId(self.next_request_id.fetch_add(1, Ordering::Relaxed));
             let called_at = Instant::now();
             let Some(response) = self.call_store(store, id, build_request(id)).await else {
                 continue;
@@ -91,7 +91,7 @@
     async fn call_store(
         &self,
         store: Ipv4Addr,
-        id: u64,
+        id: RequestId,
         request: StoreRequest,
     ) -> Option<StoreResponse> {
         let frame = frames::encode(&ToStore::Request(request)).ok()?;
--- a/crates/emberpin-registry/src/store_connection.rs
+++ b/crates/emberpin-registry/src/store_connection.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use emberpin_runtime::frames::{self, ConnectionError};
 use emberpin_runtime::identity::ProcessIdentity;
-use emberpin_store::protocol::StoreReply;
+use emberpin_store::protocol::{RequestId, StoreReply};
 use std::collections::HashMap;
 use std::net::Ipv4Addr;
 use std::sync::{Arc, Mutex};
@@ -31,7 +31,7 @@
 }
 
 /// Callers that wait for a response, by the id of their request.
-type PendingRequests = Arc<Mutex<HashMap<u64, oneshot::Sender<StoreResponse>>>>;
+type PendingRequests = Arc<Mutex<HashMap<RequestId, oneshot::Sender<StoreResponse>>>>;
 
 /// A connection to one store; clones share it.
 #[derive(Clone)]
@@ -71,7 +71,7 @@
 
     /// Sends an encoded request and waits for the response to it. `None` if the connection breaks first; the store
     /// may then have handled the request or not.
-    pub async fn request(&self, id: u64, frame: Bytes) -> Option<StoreResponse> {
+    pub async fn request(&self, id: RequestId, frame: Bytes) -> Option<StoreResponse> {
         let (responder, response) = oneshot::channel();
         lock(&self.pending).insert(id, responder);
         let _pending = PendingRequest {
@@ -86,7 +86,7 @@
 /// Removes a request once its response has come or its caller no longer waits.
 struct PendingRequest<'a> {
     requests: &'a PendingRequests,
-    id: u64,
+    id: RequestId,
 }
 
 impl Drop for PendingRequest<'_> {
--- a/crates/emberpin-registry/src/store_subscription.rs
+++ b/crates/emberpin-registry/src/store_subscription.rs
@@ -12,7 +12,7 @@
 use emberpin_membership::registry::Event;
 use emberpin_runtime::frames::{self, ConnectionError};
 use emberpin_runtime::identity::ProcessIdentity;
-use emberpin_store::protocol::{StoreReply, StoreRequest, ToStore};
+use emberpin_store::protocol::{FreshnessNonce, StoreReply, StoreRequest, ToStore};
 use std::convert::Infallible;
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -131,7 +131,9 @@
         let mut requests = self.state.confirmation_requests();
         loop {
             let Nonce(nonce) = *requests.borrow_and_update();
-            let confirm = ToStore::Request(StoreRequest::ConfirmFreshness { nonce });
+            let confirm = ToStore::Request(StoreRequest::ConfirmFreshness {
+                nonce: FreshnessNonce(nonce),
+            });
             frames::write(writer, &confirm).await?;
             // Its sender is part of `self.state`, so the wait never fails.
             _ = requests.changed().await;
@@ -171,7 +173,7 @@
                 Some(Event::VotersChanged(voters))
             }
             StoreReply::FreshnessConfirmed { nonce, age_ms } => Some(Event::StoreConfirmed {
-                nonce: Nonce(nonce),
+                nonce: Nonce(nonce.0),
                 age: age_ms.map(Duration::from_millis),
             }),
             // Calls have connections of their own.
--- a/crates/emberpin-registry/tests/samples/mod.rs
+++ b/crates/emberpin-registry/tests/samples/mod.rs
@@ -16,7 +16,9 @@
 use emberpin_membership::peers::{Ack, InstanceRecord, ProxyIdentity, RegistryMessage};
 use emberpin_membership::session::{ConnectionRole, FromProxy, Revision, SnapshotCursor, ToProxy};
 use emberpin_runtime::frames;
-use emberpin_store::protocol::{DiskState, DiskStatus, StoreReply, StoreRequest, ToStore};
+use emberpin_store::protocol::{
+    DiskState, DiskStatus, FreshnessNonce, RequestId, StoreReply, StoreRequest, ToStore,
+};
 use serde::Serialize;
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -181,17 +183,19 @@
 pub fn to_store() -> Vec<ToStore> {
     let requests = [
         StoreRequest::Patch {
-            id: 1,
+            id: RequestId(1),
             body: b"{}".to_vec(),
         },
-        StoreRequest::Get { id: 2 },
+        StoreRequest::Get { id: RequestId(2) },
         StoreRequest::Evacuate {
-            id: 3,
+            id: RequestId(3),
             zone: "z".into(),
             begin: true,
         },
         StoreRequest::Subscribe,
-        StoreRequest::ConfirmFreshness { nonce: 14 },
+        StoreRequest::ConfirmFreshness {
+            nonce: FreshnessNonce(14),
+        },
     ];
     let requests = requests.into_iter().map(ToStore::Request);
     let messages = consensus().into_iter().map(|message| ToStore::Consensus {
@@ -210,7 +214,7 @@
     };
     vec![
         StoreReply::Response {
-            id: 1,
+            id: RequestId(1),
             status: 503,
             body: "why".into(),
         },
@@ -222,7 +226,7 @@
             rejected_peers: 3,
         },
         StoreReply::FreshnessConfirmed {
-            nonce: 14,
+            nonce: FreshnessNonce(14),
             age_ms: None,
         },
     ]
--- a/crates/emberpin-registry/tests/samples/values.rs
+++ b/crates/emberpin-registry/tests/samples/values.rs
@@ -13,7 +13,9 @@
 use emberpin_membership::session::{FromProxy, Revision, SnapshotCursor, ToProxy};
 use emberpin_runtime::preamble::Preamble;
 use emberpin_runtime::system_id::SystemId;
-use emberpin_store::protocol::{DiskState, DiskStatus, StoreReply, StoreRequest, ToStore};
+use emberpin_store::protocol::{
+    DiskState, DiskStatus, FreshnessNonce, RequestId, StoreReply, StoreRequest, ToStore,
+};
 use std::net::Ipv4Addr;
 
 const HIGHEST: Ballot = Ballot {
@@ -67,11 +69,11 @@
 pub fn to_store() -> Vec<ToStore> {
     let requests = [
         StoreRequest::Patch {
-            id: u64::MAX,
+            id: RequestId(u64::MAX),
             body: vec![0, 0x80, 0xff],
         },
         StoreRequest::Evacuate {
-            id: 0,
+            id: RequestId(0),
             zone: "zürich".into(),
             begin: false,
         },
@@ -128,7 +130,7 @@
     };
     vec![
         StoreReply::Response {
-            id: u64::MAX,
+            id: RequestId(u64::MAX),
             status: 200,
             body: String::new(),
         },
@@ -137,7 +139,7 @@
         status(DiskState::NearlyFull),
         status(DiskState::Stalled),
         StoreReply::FreshnessConfirmed {
-            nonce: u64::MAX,
+            nonce: FreshnessNonce(u64::MAX),
             age_ms: Some(u64::MAX),
         },
     ]
--- a/crates/emberpin-store/examples/measure_store.rs
+++ b/crates/emberpin-store/examples/measure_store.rs
@@ -10,7 +10,7 @@
 
 use emberpin_runtime::frames;
 use emberpin_runtime::identity::ProcessIdentity;
-use emberpin_store::protocol::{StoreReply, StoreRequest, ToStore};
+use emberpin_store::protocol::{RequestId, StoreReply, StoreRequest, ToStore};
 use settings::NodeSettings;
 use std::error::Error;
 use std::net::Ipv4Addr;
@@ -113,7 +113,7 @@
          \"tls\":false,\"warmup\":\"3s\",\"warmup_per_s\":10.0,\"ver\":{ver}}}]}}}}"
     );
     let request = StoreRequest::Patch {
-        id: number,
+        id: RequestId(number),
         body: body.into_bytes(),
     };
     frames::write(stream, &ToStore::Request(request)).await?;
--- a/crates/emberpin-store/src/protocol.rs
+++ b/crates/emberpin-store/src/protocol.rs
@@ -26,26 +26,36 @@
     },
 }
 
+/// Correlates a response with its request; unique among the pending requests of a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct RequestId(pub u64);
+
+/// Correlates a [`StoreReply::FreshnessConfirmed`] with its request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct FreshnessNonce(pub u64);
+
 /// A request from a registry to a store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StoreRequest {
     /// Sent for `POST /config/patch`. The store replies with one [`StoreReply::Response`] of the same id, unless the
     /// connection breaks first.
     Patch {
-        /// Correlates the response; unique among the pending requests of this connection.
-        id: u64,
+        /// Repeated in the response.
+        id: RequestId,
         /// The HTTP body, not yet parsed.
         body: Vec<u8>,
     },
     /// Sent for `GET /config/get`. Answered like [`StoreRequest::Patch`].
     Get {
-        /// Correlates the response; unique among the pending requests of this connection.
-        id: u64,
+        /// Repeated in the response.
+        id: RequestId,
     },
     /// Sent for `POST /evac/ZONE/begin` and `POST /evac/ZONE/finish`. Answered like [`StoreRequest::Patch`].
     Evacuate {
-        /// Correlates the response; unique among the pending requests of this connection.
-        id: u64,
+        /// Repeated in the response.
+        id: RequestId,
         /// Name of the zone to evacuate. The store answers 404 if its settings do not list it.
         zone: String,
         /// `true` to begin the evacuation, `false` to finish it.
@@ -58,7 +68,7 @@
     /// [`StoreReply::FreshnessConfirmed`].
     ConfirmFreshness {
         /// Echoed in the reply, so that the registry can tell when it asked.
-        nonce: u64,
+        nonce: FreshnessNonce,
     },
 }
 
@@ -68,7 +78,7 @@
     /// Answers [`StoreRequest::Patch`], [`StoreRequest::Get`] and [`StoreRequest::Evacuate`].
     Response {
         /// The id of the request.
-        id: u64,
+        id: RequestId,
         /// An HTTP status: 200, a 4xx that no retry changes, or 503 if the request may be retried.
         status: u16,
         /// The HTTP body. For a 4xx, one line that names the place and the cause.
@@ -95,7 +105,7 @@
     /// request, so that the age holds for everything received before it.
     FreshnessConfirmed {
         /// The nonce of the request.
-        nonce: u64,
+        nonce: FreshnessNonce,
         /// Milliseconds since the store began the comparison that shows its items to be those of a majority of the
         /// voters; `None` if it has not completed such a comparison.
         age_ms: Option<u64>,
--- a/crates/emberpin-store/src/registry_sessions.rs
+++ b/crates/emberpin-store/src/registry_sessions.rs
@@ -1,7 +1,7 @@
 //! Registries that are connected: their subscriptions, their pending calls, and replies that wait.
 
 use crate::input::ConnectionId;
-use crate::protocol::StoreReply;
+use crate::protocol::{FreshnessNonce, RequestId, StoreReply};
 use crate::send_queue::SendQueue;
 use emberpin_consensus::CallId;
 use emberpin_runtime::frames;
@@ -43,13 +43,13 @@
 struct PendingCall {
     connection: ConnectionId,
     /// The id of the request on its connection.
-    request_id: u64,
+    request_id: RequestId,
 }
 
 /// A confirmation that is sent after all items that the store knew when the registry asked.
 struct DeferredConfirmation {
     connection: ConnectionId,
-    nonce: u64,
+    nonce: FreshnessNonce,
     age: Option<Duration>,
 }
 
@@ -105,7 +105,7 @@
     }
 
     /// Notes a call that goes to the replica, and returns its id there.
-    pub fn add_call(&mut self, connection: ConnectionId, request_id: u64) -> CallId {
+    pub fn add_call(&mut self, connection: ConnectionId, request_id: RequestId) -> CallId {
         self.last_call_id = CallId(self.last_call_id.0 + 1);
         self.pending_calls.insert(
             self.last_call_id,
@@ -128,7 +128,7 @@
     pub fn respond(
         &mut self,
         connection: ConnectionId,
-        request_id: u64,
+        request_id: RequestId,
         status: u16,
         body: String,
     ) {
@@ -144,7 +144,7 @@
     pub fn defer_confirmation(
         &mut self,
         connection: ConnectionId,
-        nonce: u64,
+        nonce: FreshnessNonce,
         age: Option<Duration>,
     ) {
         self.deferred_confirmations.push(DeferredConfirmation {
--- a/crates/emberpin-store/tests/common/store_node.rs
+++ b/crates/emberpin-store/tests/common/store_node.rs
@@ -5,7 +5,7 @@
 use emberpin_runtime::frames;
 use emberpin_runtime::identity::ProcessIdentity;
 use emberpin_runtime::preamble::Preamble;
-use emberpin_store::protocol::{DiskState, StoreReply, StoreRequest, ToStore};
+use emberpin_store::protocol::{DiskState, RequestId, StoreReply, StoreRequest, ToStore};
 use std::fs;
 use std::net::Ipv4Addr;
 use std::path::PathBuf;
@@ -203,7 +203,7 @@
     /// The status of a patch.
     pub async fn patch(&self, body: &str) -> u16 {
         let request = StoreRequest::Patch {
-            id: 7,
+            id: RequestId(7),
             body: body.into(),
         };
         self.call(request).await.0
@@ -211,7 +211,7 @@
 
     /// The configuration.
     pub async fn get(&self) -> String {
-        self.call(StoreRequest::Get { id: 8 }).await.1
+        self.call(StoreRequest::Get { id: RequestId(8) }).await.1
     }
 
     /// Subscribes, and waits for a reply from which `look` returns something.
--- a/crates/emberpin-store/tests/disk_faults.rs
+++ b/crates/emberpin-store/tests/disk_faults.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{nodes, run, service_patch, single_node, StoreNode};
-use emberpin_store::protocol::{DiskState, StoreReply, StoreRequest};
+use emberpin_store::protocol::{DiskState, RequestId, StoreReply, StoreRequest};
 use googletest::prelude::*;
 use std::fs;
 use std::path::Path;
@@ -27,7 +27,10 @@
     let mut stream = node.connect().await;
     for number in first.. {
         let body = batch_patch(number).into_bytes();
-        let request = StoreRequest::Patch { id: number, body };
+        let request = StoreRequest::Patch {
+            id: RequestId(number),
+            body,
+        };
         match node.try_call(&mut stream, request).await {
             Some((200, _)) => {}
             other => return (number, other),
@@ -60,7 +63,7 @@
             node.wait_for_disk(DiskState::Full).await;
             let mut stream = node.connect().await;
             let retry = StoreRequest::Patch {
-                id: 9,
+                id: RequestId(9),
                 body: batch_patch(accepted).into_bytes(),
             };
             let rejected = node.try_call(&mut stream, retry).await;
@@ -148,7 +151,7 @@
         nodes[0].subscribe_until(learned_b).await;
         let mut stream = nodes[0].connect().await;
         let patch = StoreRequest::Patch {
-            id: 1,
+            id: RequestId(1),
             body: service_patch("c", 1).into_bytes(),
         };
         let rejected = nodes[0].try_call(&mut stream, patch).await;
--- a/crates/emberpin-store/tests/replication.rs
+++ b/crates/emberpin-store/tests/replication.rs
@@ -4,7 +4,7 @@
 
 use common::{nodes, run, service_patch, StoreNode};
 use emberpin_config::{Item, ItemKind};
-use emberpin_store::protocol::{StoreReply, StoreRequest};
+use emberpin_store::protocol::{RequestId, StoreReply, StoreRequest};
 use googletest::prelude::*;
 use std::net::Ipv4Addr;
 use tokio::time::Instant;
@@ -19,13 +19,13 @@
         expect_that!(nodes[2].patch(&service_patch("a", 6)).await, eq(409));
         expect_that!(nodes[2].patch("{\"upsert\":").await, eq(400));
         let evacuate = |begin| StoreRequest::Evacuate {
-            id: 1,
+            id: RequestId(1),
             zone: "z2".into(),
             begin,
         };
         expect_that!(nodes[1].call(evacuate(true)).await.0, eq(200));
         let unknown_zone = StoreRequest::Evacuate {
-            id: 1,
+            id: RequestId(1),
             zone: "z9".into(),
             begin: true,
         };
