--- a/crates/emberpin-config/tests/configuration.rs
+++ b/crates/emberpin-config/tests/configuration.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 
 fn items() -> impl Strategy<Value = Vec<Item>> {
-    let one = (0..5usize, 0..3usize, 0..6u64).prop_map(|(kind, name, ver)| {
+    let one = (0..5usize, 0..3usize, 0..6u64).prop_map(|(kind, name, version)| {
         let kind = [
             ItemKind::Roster,
             ItemKind::Evacuation,
@@ -18,10 +18,10 @@
             ItemKind::Route,
         ][kind];
         // One content per key and version, as validation ensures.
-        let body = (ver % 3 != 0).then(|| format!("{name} {ver}"));
+        let body = (version % 3 != 0).then(|| format!("{name} {version}"));
         Item {
             key: key(kind, ["a", "b", "c"][name]),
-            version: Version(ver),
+            version: Version(version),
             body,
         }
     });
@@ -102,11 +102,14 @@
         .map(|item| item.version)
         .max()
         .expect("some are removed");
-    let left = configuration
+    let remaining = configuration
         .iter()
         .filter(|item| item.key.is_removable() && item.body.is_none());
     expect_that!(
-        left.map(|item| item.version).min().expect("most are left"),
+        remaining
+            .map(|item| item.version)
+            .min()
+            .expect("most are left"),
         gt(highest)
     );
     for (kind, name) in [
@@ -134,9 +137,12 @@
 fn a_check_reports_invalid_items_unknown_services_and_colliding_routes() {
     let s = || service("s", 1);
     let to_s = |name: &str, at: &str| route(name, at, &[("s", 1)], 1);
-    let problem = |services: &[String], hosts: &[String], gone: &[String]| {
-        let whole = [patch(services, hosts, &[], &[]), patch(&[], &[], &[], gone)];
-        configuration(&whole)
+    let problem = |services: &[String], hosts: &[String], removed: &[String]| {
+        let patches = [
+            patch(services, hosts, &[], &[]),
+            patch(&[], &[], &[], removed),
+        ];
+        configuration(&patches)
             .check()
             .map_err(|error| error.to_string())
     };
@@ -168,7 +174,7 @@
         problem(&[s()], &[to_s("b", "h/x/"), to_s("a", "H/x/")], &[]),
         err(eq(shared))
     );
-    for (kind, name, wrong) in [
+    for (kind, name, message) in [
         (ItemKind::Service, "s", "service s: is not an object"),
         (ItemKind::Limits, "", "limits: is not an object"),
         (ItemKind::Route, "r", "route r: is not a route"),
@@ -182,7 +188,7 @@
             .collect::<Configuration>()
             .check()
             .map_err(|error| error.to_string());
-        expect_that!(found, err(eq(wrong)));
+        expect_that!(found, err(eq(message)));
     }
     let roster = Item {
         body: Some("[]".into()),
@@ -221,9 +227,9 @@
         body: Some("{}".into()),
         ..tombstone(ItemKind::Evacuation, "zone-1", 8)
     });
-    let left = export_json(&configuration);
-    for gone in ["r-hh2b9wu", "lovo22d", "hulo84", "zone-1"] {
-        expect_that!(left, not(contains_substring(gone)));
+    let exported = export_json(&configuration);
+    for removed in ["r-hh2b9wu", "lovo22d", "hulo84", "zone-1"] {
+        expect_that!(exported, not(contains_substring(removed)));
     }
     expect_that!(
         export_json(&Configuration::new()),
@@ -243,7 +249,7 @@
 #[gtest]
 fn of_colliding_routes_the_newer_one_is_effective_then_the_smaller_name() {
     let s = [service("s", 1)];
-    let to_s = |name: &str, at: &str, ver| route(name, at, &[("s", 1)], ver);
+    let to_s = |name: &str, at: &str, version| route(name, at, &[("s", 1)], version);
     let effective = |hosts: &[String]| {
         effective_routes(&configuration(&[patch(&s, hosts, &[], &[])]))
             .into_iter()
--- a/crates/emberpin-config/tests/history.rs
+++ b/crates/emberpin-config/tests/history.rs
@@ -14,8 +14,8 @@
     max_tombstones: 4,
 };
 
-fn set(name: &str, ver: u64, content: u64) -> Item {
-    let service = service(name, ver).replace("120", &content.to_string());
+fn set(name: &str, version: u64, content: u64) -> Item {
+    let service = service(name, version).replace("120", &content.to_string());
     patch(&[service], &[], &[], &[]).items.remove(0)
 }
 
@@ -41,10 +41,10 @@
 
 #[gtest]
 fn an_acknowledged_version_is_recognized_after_later_ones() {
-    let mut known = Configuration::new();
+    let mut newest = Configuration::new();
     let drop = tombstone(ItemKind::Service, "x", 7);
     for item in [set("x", 5, 1), set("x", 6, 2), drop.clone(), set("x", 8, 3)] {
-        expect_that!(commit(&mut known, &[item]), eq(200));
+        expect_that!(commit(&mut newest, &[item]), eq(200));
     }
     for (item, status) in [
         (set("x", 5, 1), 200),
@@ -58,13 +58,13 @@
         // Never acknowledged, and superseded.
         (set("x", 4, 1), 409),
     ] {
-        let before = known.clone();
+        let before = newest.clone();
         expect_that!(
-            commit(&mut known, std::slice::from_ref(&item)),
+            commit(&mut newest, std::slice::from_ref(&item)),
             eq(status),
             "{item:?}"
         );
-        expect_that!(known == before, eq(true));
+        expect_that!(newest == before, eq(true));
         // With another content of an acknowledged version, a new item is rejected, too.
         let with_new = if status == 200 || item.version == Version(4) {
             200
@@ -81,17 +81,19 @@
 
 #[gtest]
 fn acknowledged_versions_of_limits_and_routes_are_recognized() {
-    let limits = |ver: u64, idle: u64| {
+    let limits = |version: u64, idle: u64| {
         let body = LIMITS
             .replace("15000", &idle.to_string())
-            .replace("\"ver\":7", &format!("\"ver\":{ver}"));
+            .replace("\"ver\":7", &format!("\"ver\":{version}"));
         parse_patch(format!("{{\"upsert\":{{\"limits\":{body}}}}}").as_bytes())
             .expect("a call")
             .items
     };
-    let to = |ver: u64, at: &str| patch(&[], &[route("r", at, &[("s", 1)], ver)], &[], &[]).items;
-    let mut known = Configuration::new();
-    commit(&mut known, &[set("s", 1, 1)]);
+    let to = |version: u64, at: &str| {
+        patch(&[], &[route("r", at, &[("s", 1)], version)], &[], &[]).items
+    };
+    let mut newest = Configuration::new();
+    commit(&mut newest, &[set("s", 1, 1)]);
     for (items, status) in [
         (limits(5, 1), 200),
         (limits(6, 2), 200),
@@ -102,49 +104,49 @@
         (to(5, "h/"), 200),
         (to(5, "i/"), 409),
     ] {
-        expect_that!(commit(&mut known, &items), eq(status), "{items:?}");
+        expect_that!(commit(&mut newest, &items), eq(status), "{items:?}");
     }
 }
 
 #[gtest]
 fn a_superseded_version_counts_as_acknowledged_once_its_call_is() {
-    let mut known = Configuration::new();
-    commit(&mut known, &[set("x", 6, 1)]);
-    expect_that!(commit(&mut known, &[set("x", 5, 1)]), eq(409));
+    let mut newest = Configuration::new();
+    commit(&mut newest, &[set("x", 6, 1)]);
+    expect_that!(commit(&mut newest, &[set("x", 5, 1)]), eq(409));
     expect_that!(
-        commit(&mut known, &[set("x", 5, 1), set("y", 1, 1)]),
+        commit(&mut newest, &[set("x", 5, 1), set("y", 1, 1)]),
         eq(200)
     );
     expect_that!(
-        known
+        newest
             .get(&key(ItemKind::Service, "x"))
             .map(|item| item.version),
         some(eq(Version(6)))
     );
     expect_that!(
-        commit(&mut known, &[set("x", 5, 2), set("z", 1, 1)]),
+        commit(&mut newest, &[set("x", 5, 2), set("z", 1, 1)]),
         eq(409)
     );
-    expect_that!(commit(&mut known, &[set("x", 5, 1)]), eq(200));
+    expect_that!(commit(&mut newest, &[set("x", 5, 1)]), eq(200));
     // Beside a duplicate alone, too.
     expect_that!(
-        commit(&mut known, &[set("x", 4, 1), set("y", 1, 1)]),
+        commit(&mut newest, &[set("x", 4, 1), set("y", 1, 1)]),
         eq(200)
     );
     expect_that!(
-        commit(&mut known, &[set("x", 4, 2), set("y", 1, 1)]),
+        commit(&mut newest, &[set("x", 4, 2), set("y", 1, 1)]),
         eq(409)
     );
 }
 
 #[gtest]
 fn versions_below_the_floor_are_neither_acknowledged_nor_rejected() {
-    let mut known = Configuration::new();
-    for ver in 1..=8 {
-        commit(&mut known, &[set("x", ver * 10, ver)]);
+    let mut newest = Configuration::new();
+    for version in 1..=8 {
+        commit(&mut newest, &[set("x", version * 10, version)]);
     }
     // Three versions are kept below the newest one, 80: 50, 60 and 70.
-    for (ver, content, status) in [
+    for (version, content, status) in [
         (40, 4, 503),
         (40, 5, 503),
         (35, 1, 503),
@@ -154,35 +156,35 @@
         (45, 1, 409),
     ] {
         expect_that!(
-            commit(&mut known, &[set("x", ver, content)]),
+            commit(&mut newest, &[set("x", version, content)]),
             eq(status),
-            "{ver} {content}"
+            "{version} {content}"
         );
         // A conflict is certain, whatever is not known of the other item.
-        let beside = [set("x", ver, content), set("y", ver, content)];
-        let expected = if status == 409 && ver == 45 {
+        let other = [set("x", version, content), set("y", version, content)];
+        let expected = if status == 409 && version == 45 {
             200
         } else {
             status
         };
         expect_that!(
-            commit(&mut known.clone(), &beside),
+            commit(&mut newest.clone(), &other),
             eq(expected),
-            "{ver} {content}, with another"
+            "{version} {content}, with another"
         );
     }
-    commit(&mut known, &[set("z", 5, 1)]);
-    commit(&mut known, &[set("z", 6, 1)]);
+    commit(&mut newest, &[set("z", 5, 1)]);
+    commit(&mut newest, &[set("z", 6, 1)]);
     expect_that!(
-        commit(&mut known, &[set("x", 40, 4), set("z", 5, 2)]),
+        commit(&mut newest, &[set("x", 40, 4), set("z", 5, 2)]),
         eq(409)
     );
 }
 
-fn remove_services(known: &mut Configuration, names: std::ops::Range<u64>) {
+fn remove_services(newest: &mut Configuration, names: std::ops::Range<u64>) {
     for name in names {
         commit(
-            known,
+            newest,
             &[tombstone(
                 ItemKind::Service,
                 &format!("d{name}"),
@@ -194,15 +196,15 @@
 
 #[gtest]
 fn a_checkpoint_removes_the_history_of_a_tombstone_and_leaves_a_floor() {
-    let mut known = Configuration::new();
-    commit(&mut known, &[set("old", 2, 1)]);
-    commit(&mut known, &[set("x", 5, 1)]);
-    commit(&mut known, &[set("x", 6, 1)]);
-    commit(&mut known, &[tombstone(ItemKind::Service, "x", 7)]);
-    remove_services(&mut known, 0..4);
-    expect_that!(known.get(&key(ItemKind::Service, "x")), none());
-    expect_that!(History::find(&known, &key(ItemKind::Service, "x")), none());
-    let floor = known.checkpoint().floor().expect("a floor");
+    let mut newest = Configuration::new();
+    commit(&mut newest, &[set("old", 2, 1)]);
+    commit(&mut newest, &[set("x", 5, 1)]);
+    commit(&mut newest, &[set("x", 6, 1)]);
+    commit(&mut newest, &[tombstone(ItemKind::Service, "x", 7)]);
+    remove_services(&mut newest, 0..4);
+    expect_that!(newest.get(&key(ItemKind::Service, "x")), none());
+    expect_that!(History::find(&newest, &key(ItemKind::Service, "x")), none());
+    let floor = newest.checkpoint().floor().expect("a floor");
     for item in [
         set("x", 5, 1),
         set("x", 5, 2),
@@ -210,56 +212,56 @@
         set("x", floor.0, 1),
     ] {
         expect_that!(
-            commit(&mut known, std::slice::from_ref(&item)),
+            commit(&mut newest, std::slice::from_ref(&item)),
             eq(503),
             "{item:?}"
         );
         expect_that!(
-            commit(&mut known, &[item.clone(), set("new", 900, 1)]),
+            commit(&mut newest, &[item.clone(), set("new", 900, 1)]),
             eq(503),
             "{item:?}"
         );
     }
     // It may be set again by a higher version, and its versions are recognized from then on.
-    expect_that!(commit(&mut known, &[set("x", floor.0 + 1, 1)]), eq(200));
-    expect_that!(commit(&mut known, &[set("x", floor.0 + 2, 2)]), eq(200));
-    expect_that!(commit(&mut known, &[set("x", floor.0 + 1, 2)]), eq(409));
+    expect_that!(commit(&mut newest, &[set("x", floor.0 + 1, 1)]), eq(200));
+    expect_that!(commit(&mut newest, &[set("x", floor.0 + 2, 2)]), eq(200));
+    expect_that!(commit(&mut newest, &[set("x", floor.0 + 1, 2)]), eq(409));
     // But not those from before.
     for item in [set("x", 5, 1), set("x", 5, 2), set("x", 4, 2)] {
         expect_that!(
-            commit(&mut known, &[item.clone(), set("new", 900, 1)]),
+            commit(&mut newest, &[item.clone(), set("new", 900, 1)]),
             eq(503),
             "{item:?}"
         );
     }
     // Nor once a later checkpoint lists the item as live.
-    remove_services(&mut known, 10..18);
-    expect_that!(known.has_service("x"), eq(true));
-    expect_that!(known.checkpoint().floor(), some(gt(Version(floor.0 + 2))));
+    remove_services(&mut newest, 10..18);
+    expect_that!(newest.has_service("x"), eq(true));
+    expect_that!(newest.checkpoint().floor(), some(gt(Version(floor.0 + 2))));
     expect_that!(
-        commit(&mut known, &[set("x", 5, 2), set("new", 901, 1)]),
+        commit(&mut newest, &[set("x", 5, 2), set("new", 901, 1)]),
         eq(503)
     );
-    expect_that!(commit(&mut known, &[set("x", floor.0 + 1, 2)]), eq(409));
-    let floor = known.checkpoint().floor().expect("a floor");
-    commit(&mut known, &[set("y", floor.0 + 1, 1)]);
+    expect_that!(commit(&mut newest, &[set("x", floor.0 + 1, 2)]), eq(409));
+    let floor = newest.checkpoint().floor().expect("a floor");
+    commit(&mut newest, &[set("y", floor.0 + 1, 1)]);
     expect_that!(
-        commit(&mut known, &[set("y", 5, 1), set("new", 900, 1)]),
+        commit(&mut newest, &[set("y", 5, 1), set("new", 900, 1)]),
         eq(503)
     );
     // A live item may be removed by a version below the floor, and its versions are recognized until then.
     expect_that!(
-        commit(&mut known, &[tombstone(ItemKind::Service, "old", 3)]),
+        commit(&mut newest, &[tombstone(ItemKind::Service, "old", 3)]),
         eq(200)
     );
-    expect_that!(known.has_service("old"), eq(false));
-    expect_that!(commit(&mut known, &[set("old", 2, 1)]), eq(200));
-    expect_that!(commit(&mut known, &[set("old", 2, 9)]), eq(409));
+    expect_that!(newest.has_service("old"), eq(false));
+    expect_that!(commit(&mut newest, &[set("old", 2, 1)]), eq(200));
+    expect_that!(commit(&mut newest, &[set("old", 2, 9)]), eq(409));
 }
 
 #[gtest]
 fn histories_and_checkpoints_survive_encoding() {
-    let mut known = Configuration::new();
+    let mut newest = Configuration::new();
     let names = ["a b", "a\nb", "\"", "\u{e9}", "s 1 x"];
     for name in names {
         let item = Item {
@@ -267,12 +269,12 @@
             version: Version(3),
             body: Some("{}".into()),
         };
-        known.merge(item);
+        newest.merge(item);
     }
     for name in 0..9 {
-        known.merge(tombstone(ItemKind::Route, &format!("d{name}"), 10 + name));
+        newest.merge(tombstone(ItemKind::Route, &format!("d{name}"), 10 + name));
     }
-    let item = Checkpoint::next_if_due(&known, RETENTION.max_tombstones).expect("a checkpoint");
+    let item = Checkpoint::next_if_due(&newest, RETENTION.max_tombstones).expect("a checkpoint");
     let checkpoint = Checkpoint::from_item(&item);
     for name in names {
         expect_that!(
@@ -291,10 +293,10 @@
         eq(false)
     );
     let mut history = History::new(key(ItemKind::Route, "a b"), Version(1), None);
-    for ver in 1..6 {
+    for version in 1..6 {
         history.supersede(
-            &tombstone(ItemKind::Route, "a b", ver),
-            Version(ver + 1),
+            &tombstone(ItemKind::Route, "a b", version),
+            Version(version + 1),
             RETENTION.max_versions,
         );
     }
@@ -356,9 +358,9 @@
 
 /// Items of successive patches, of few names and versions.
 fn items() -> impl Strategy<Value = Vec<Item>> {
-    let one = (0..6u64, 1..40u64, 0..3u64).prop_map(|(name, ver, content)| match content {
-        0 => tombstone(ItemKind::Service, &format!("n{name}"), ver),
-        content => set(&format!("n{name}"), ver, content),
+    let one = (0..6u64, 1..40u64, 0..3u64).prop_map(|(name, version, content)| match content {
+        0 => tombstone(ItemKind::Service, &format!("n{name}"), version),
+        content => set(&format!("n{name}"), version, content),
     });
     proptest::collection::vec(one, 1..60)
 }
@@ -372,18 +374,18 @@
             let text = service("s", 1).replace("120", &format!("120,\"extra\":{value}"));
             Item { key: key(ItemKind::Service, "s"), version: Version(1), body: Some(text) }
         };
-        let known: Configuration = [with(&a)].into_iter().collect();
-        let same = validate(&known, &patch_of(&[with(&b)])) == PatchOutcome::Duplicate;
+        let newest: Configuration = [with(&a)].into_iter().collect();
+        let same = validate(&newest, &patch_of(&[with(&b)])) == PatchOutcome::Duplicate;
         prop_assert_eq!(Digest::of(&with(&a)) == Digest::of(&with(&b)), same, "{} {}", a, b);
     }
 
     #[test]
     fn replicas_that_merge_in_another_order_are_equal(items in items(), seed in any::<u64>()) {
-        let mut known = Configuration::new();
+        let mut newest = Configuration::new();
         let mut chosen: Vec<Item> = Vec::new();
         for item in items {
-            if let PatchOutcome::Apply(committed) = validate_for_commit(&known, &patch_of(&[item]), &RETENTION) {
-                committed.iter().for_each(|item| _ = known.merge(item.clone()));
+            if let PatchOutcome::Apply(committed) = validate_for_commit(&newest, &patch_of(&[item]), &RETENTION) {
+                committed.iter().for_each(|item| _ = newest.merge(item.clone()));
                 chosen.extend(committed);
             }
         }
@@ -392,17 +394,17 @@
             let name = item.key.name.bytes().fold(item.version.0, |sum, byte| sum * 31 + u64::from(byte));
             (name ^ seed).wrapping_mul(0x9e37_79b9_7f4a_7c15)
         });
-        prop_assert_eq!(reordered.into_iter().collect::<Configuration>(), known.clone());
+        prop_assert_eq!(reordered.into_iter().collect::<Configuration>(), newest.clone());
         // As is a replica that missed all but the newest versions.
-        prop_assert_eq!(known.iter().cloned().collect::<Configuration>(), known);
+        prop_assert_eq!(newest.iter().cloned().collect::<Configuration>(), newest);
     }
 
     #[test]
     fn no_version_is_acknowledged_with_two_contents(items in items()) {
-        let (mut known, mut acknowledged) = (Configuration::new(), std::collections::BTreeMap::new());
+        let (mut newest, mut acknowledged) = (Configuration::new(), std::collections::BTreeMap::new());
         for item in items {
-            let beside = set("beside", item.version.0, 1);
-            let status = commit(&mut known, &[item.clone(), beside]);
+            let other = set("beside", item.version.0, 1);
+            let status = commit(&mut newest, &[item.clone(), other]);
             let number = (item.key.clone(), item.version);
             match status {
                 200 => {
@@ -412,7 +414,7 @@
                 409 => prop_assert_ne!(acknowledged.get(&number), Some(&item.body)),
                 _ => {}
             }
-            prop_assert!(known.tombstone_count() <= RETENTION.max_tombstones);
+            prop_assert!(newest.tombstone_count() <= RETENTION.max_tombstones);
         }
     }
 }
--- a/crates/emberpin-config/tests/json.rs
+++ b/crates/emberpin-config/tests/json.rs
@@ -98,8 +98,8 @@
     large.push(b' ');
     expect_that!(rejection(&large), starts_with("body: is longer than"));
     let many = |n: usize| {
-        let drops: Vec<String> = (0..n).map(|at| removal(&format!("r{at}"), 1)).collect();
-        body(&[], &[], &drops, &[])
+        let removals: Vec<String> = (0..n).map(|at| removal(&format!("r{at}"), 1)).collect();
+        body(&[], &[], &removals, &[])
     };
     expect_that!(
         parse_patch(many(MAX_PATCH_ITEMS).as_bytes()),
@@ -113,10 +113,10 @@
 
 #[gtest]
 fn a_truncated_patch_is_rejected_at_every_byte() {
-    for whole in [FIRST, CHANGE] {
-        for at in 0..whole.len() {
+    for call in [FIRST, CHANGE] {
+        for at in 0..call.len() {
             expect_that!(
-                parse_patch(&whole.as_bytes()[..at]),
+                parse_patch(&call.as_bytes()[..at]),
                 err(anything()),
                 "cut at {at}"
             );
--- a/crates/emberpin-config/tests/patch.rs
+++ b/crates/emberpin-config/tests/patch.rs
@@ -9,13 +9,13 @@
 
 /// A call around the example's pieces, `SVC`, `LIM` and `LOC`, with one text in it replaced.
 fn with_replacement(from: &str, to: &str) -> String {
-    let whole = r#"{"upsert":{"svcs":[SVC],"limits":LIM,"vhosts":[{"hostname":"h.example","locs":[LOC]}]},"remove":{"rtab":[{"name":"gone","ver":9}],"svcs":[]}}"#;
-    let whole = whole
+    let call = r#"{"upsert":{"svcs":[SVC],"limits":LIM,"vhosts":[{"hostname":"h.example","locs":[LOC]}]},"remove":{"rtab":[{"name":"gone","ver":9}],"svcs":[]}}"#;
+    let call = call
         .replace("SVC", SERVICE)
         .replace("LIM", LIMITS)
         .replace("LOC", ROUTE);
-    assert_that!(whole, contains_substring(from));
-    whole.replacen(from, to, 1)
+    assert_that!(call, contains_substring(from));
+    call.replacen(from, to, 1)
 }
 
 /// Why a body is rejected, or what it is parsed as.
@@ -403,10 +403,10 @@
             format!("{route}.dist: is not a list"),
         ),
     ];
-    for (from, to, refused) in table {
+    for (from, to, message) in table {
         expect_that!(
             rejection(with_replacement(from, to).as_bytes()),
-            eq(&refused),
+            eq(&message),
             "{from} -> {to}"
         );
     }
@@ -449,10 +449,20 @@
         twice(plain, &plain.replace("10", "11")),
         eq("upsert.svcs[1]: service s stands twice in the call")
     );
-    let drops = |vers: [u64; 2]| body(&[], &[], &vers.map(|ver| removal("r", ver)), &[]);
-    expect_that!(rejection(drops([7, 7]).as_bytes()), starts_with("parsed"));
+    let removals = |versions: [u64; 2]| {
+        body(
+            &[],
+            &[],
+            &versions.map(|version| removal("r", version)),
+            &[],
+        )
+    };
+    expect_that!(
+        rejection(removals([7, 7]).as_bytes()),
+        starts_with("parsed")
+    );
     expect_that!(
-        rejection(drops([7, 8]).as_bytes()),
+        rejection(removals([7, 8]).as_bytes()),
         eq("remove.rtab[1]: route r stands twice in the call")
     );
     let hosts = [
@@ -473,13 +483,13 @@
 fn a_name_beyond_the_limit_is_rejected() {
     let named = |length: usize| {
         let name = "n".repeat(length);
-        let orders = [
+        let bodies = [
             body(&[service(&name, 1)], &[], &[], &[]),
             body(&[], &[route(&name, "h/", &[("s", 1)], 1)], &[], &[]),
             body(&[], &[], &[removal(&name, 1)], &[]),
             body(&[], &[], &[], &[removal(&name, 1)]),
         ];
-        orders.map(|order| parse_patch(order.as_bytes()).map(|patch| patch.items.len()))
+        bodies.map(|body| parse_patch(body.as_bytes()).map(|patch| patch.items.len()))
     };
     expect_that!(named(MAX_NAME_BYTES), each(ok(eq(&1))));
     expect_that!(named(MAX_NAME_BYTES + 1), each(err(anything())));
--- a/crates/emberpin-config/tests/schema.rs
+++ b/crates/emberpin-config/tests/schema.rs
@@ -9,10 +9,10 @@
 use googletest::prelude::*;
 use std::time::Duration;
 
-fn item(kind: ItemKind, name: &str, ver: u64, body: &str) -> Item {
+fn item(kind: ItemKind, name: &str, version: u64, body: &str) -> Item {
     Item {
         key: key(kind, name),
-        version: Version(ver),
+        version: Version(version),
         body: Some(body.into()),
     }
 }
@@ -114,7 +114,7 @@
 
 #[gtest]
 fn an_item_of_another_kind_or_key_and_a_tombstone_are_rejected() {
-    let refused = |item: Item| match item.key.kind {
+    let parse = |item: Item| match item.key.kind {
         ItemKind::Service => Service::from_item(&item).map(drop),
         ItemKind::Limits => Limits::from_item(&item).map(drop),
         _ => Route::from_item(&item).map(drop),
@@ -190,10 +190,10 @@
             "service s1: is not an object".into(),
         ),
     ];
-    for (item, wrong) in table {
+    for (item, message) in table {
         expect_that!(
-            refused(item.clone()).map_err(|error| error.to_string()),
-            err(eq(&wrong)),
+            parse(item.clone()).map_err(|error| error.to_string()),
+            err(eq(&message)),
             "{item:?}"
         );
     }
--- a/crates/emberpin-config/tests/validate.rs
+++ b/crates/emberpin-config/tests/validate.rs
@@ -18,18 +18,28 @@
         .filter(|change| !change.is_empty())
     {
         match change.split_whitespace().collect::<Vec<_>>()[..] {
-            ["svc", name, ver] => services.push(service(name, ver.parse().expect("a version"))),
-            ["svc", name, ver, most] => {
-                services.push(service(name, ver.parse().expect("a version")).replace("120", most));
+            ["svc", name, version] => {
+                services.push(service(name, version.parse().expect("a version")))
             }
-            ["route", name, at, to, ver] => {
-                hosts.push(route(name, at, &[(to, 1)], ver.parse().expect("a version")));
+            ["svc", name, version, max_connections] => {
+                services.push(
+                    service(name, version.parse().expect("a version"))
+                        .replace("120", max_connections),
+                );
             }
-            ["-svc", name, ver] => {
-                removed_services.push(removal(name, ver.parse().expect("a version")));
+            ["route", name, at, to, version] => {
+                hosts.push(route(
+                    name,
+                    at,
+                    &[(to, 1)],
+                    version.parse().expect("a version"),
+                ));
             }
-            ["-route", name, ver] => {
-                removed_routes.push(removal(name, ver.parse().expect("a version")));
+            ["-svc", name, version] => {
+                removed_services.push(removal(name, version.parse().expect("a version")));
+            }
+            ["-route", name, version] => {
+                removed_routes.push(removal(name, version.parse().expect("a version")));
             }
             _ => panic!("not a change: {change}"),
         }
@@ -174,25 +184,25 @@
             "invalid route r: names the service t, which is unknown",
         ),
     ];
-    for (known, patch, outcome) in table {
+    for (newest, patch, outcome) in table {
         expect_that!(
             describe(validate(
-                &configuration(&[patch_of(known)]),
+                &configuration(&[patch_of(newest)]),
                 &patch_of(patch)
             )),
             eq(outcome),
-            "{known} <- {patch}"
+            "{newest} <- {patch}"
         );
     }
 }
 
 #[gtest]
 fn content_is_compared_by_value_not_by_spelling() {
-    let known = configuration(&[parse_patch(FIRST.as_bytes()).expect("the example")]);
+    let newest = configuration(&[parse_patch(FIRST.as_bytes()).expect("the example")]);
     let again = |from: &str, to: &str| {
         assert_that!(FIRST, contains_substring(from));
         describe(validate(
-            &known,
+            &newest,
             &parse_patch(FIRST.replacen(from, to, 1).as_bytes()).expect("a call"),
         ))
     };
@@ -274,7 +284,7 @@
 fn existing_inconsistencies_reject_only_patches_that_touch_them() {
     // Each of two changes was valid alone: the service was removed while a route to it was set, and two routes got the
     // same host and prefix.
-    let known = "svc s 1; -svc t 5; route r h/ t 6; route p g/ s 6; route q g/ s 7";
+    let newest = "svc s 1; -svc t 5; route r h/ t 6; route p g/ s 6; route q g/ s 7";
     let at_r = "invalid route r: names the service t, which is unknown";
     let at_q = "invalid route q: has the host g and the prefix /";
     for (patch, outcome) in [
@@ -302,7 +312,7 @@
     ] {
         expect_that!(
             describe(validate(
-                &configuration(&[patch_of(known)]),
+                &configuration(&[patch_of(newest)]),
                 &patch_of(patch)
             )),
             eq(outcome),
@@ -324,9 +334,9 @@
         },
     );
     expect_that!(describe(outcome), eq("invalid service s.name: is missing"));
-    let known = [broken].into_iter().collect::<Configuration>();
+    let newest = [broken].into_iter().collect::<Configuration>();
     expect_that!(
-        describe(validate(&known, &patch_of("svc t 1"))),
+        describe(validate(&newest, &patch_of("svc t 1"))),
         eq("apply t 1")
     );
 }
