--- a/crates/emberpin-balancer/tests/adapter.rs
+++ b/crates/emberpin-balancer/tests/adapter.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn empty_batches_are_echoed_and_the_end_of_input_is_a_good_end() {
+fn empty_batches_are_echoed_and_the_end_of_input_is_no_error() {
     let all = replies(&text(&[clock(1, 0.5), end(), clock(2, 3.0), end()]));
     assert_eq!(
         all,
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn other_events_are_taken() {
+fn every_other_event_is_accepted() {
     let all = replies(&text(&[
         clock(1, 10.0),
         init(0),
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn halt_and_init_in_one_batch_start_a_new_life() {
+fn halt_and_init_in_one_batch_start_a_new_incarnation() {
     let all = replies(&text(&[
         clock(1, 10.0),
         init(0),
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn bad_input_is_named_by_its_line() {
+fn an_error_names_the_line_of_bad_input() {
     let open = text(&[clock(1, 10.0), init(0)]);
     for (bad, number, word) in [
         ("{\"verb\":", 3, "EOF"),
--- a/crates/emberpin-balancer/tests/common/mod.rs
+++ b/crates/emberpin-balancer/tests/common/mod.rs
@@ -5,7 +5,13 @@
 
 pub mod fleet;
 
-pub struct Bench {
+/// Indices of the classes of [`settings`].
+pub const SAFE: usize = 0;
+pub const UNSAFE: usize = 1;
+pub const KEYED_ALL: usize = 2;
+pub const KEYED_ZONE: usize = 3;
+
+pub struct Harness {
     pub gateway: Gateway,
     pub now: Millis,
     next: u32,
@@ -84,23 +90,23 @@
     }
 }
 
-impl Bench {
+impl Harness {
     /// A gateway that has run for a minute of quiet with `servers` warm servers.
-    pub fn new(settings: Settings, servers: u32) -> Bench {
-        let mut bench = Bench::fresh(settings, servers);
-        bench.pass(60_000.0);
-        bench
+    pub fn new(settings: Settings, servers: u32) -> Harness {
+        let mut harness = Harness::fresh(settings, servers);
+        harness.advance(60_000.0);
+        harness
     }
 
     /// A gateway that starts at this moment.
-    pub fn fresh(settings: Settings, servers: u32) -> Bench {
-        let mut bench = Bench {
+    pub fn fresh(settings: Settings, servers: u32) -> Harness {
+        let mut harness = Harness {
             gateway: Gateway::new(settings, 7, 1_000_000.0),
             now: 1_000_000.0,
             next: 0,
         };
-        bench.list(MembershipUpdate::Full((0..servers).map(server).collect()));
-        bench
+        harness.update_membership(MembershipUpdate::Full((0..servers).map(server).collect()));
+        harness
     }
 
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
@@ -109,12 +115,12 @@
         actions
     }
 
-    pub fn list(&mut self, news: MembershipUpdate) -> Vec<Action> {
+    pub fn update_membership(&mut self, news: MembershipUpdate) -> Vec<Action> {
         self.handle(Event::Membership(news))
     }
 
     /// Lets time pass in housekeeping steps; returns what was done.
-    pub fn pass(&mut self, time: Millis) -> Vec<Action> {
+    pub fn advance(&mut self, time: Millis) -> Vec<Action> {
         let end = self.now + time;
         let mut actions = Vec::new();
         while self.now < end {
@@ -166,18 +172,18 @@
         (id, self.handle(Event::Request(request)))
     }
 
-    pub fn ends(
+    pub fn end_attempt(
         &mut self,
         id: RequestId,
         attempt: u32,
         at: ServerId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.ends_as(id, attempt, at, outcome, outcome == Outcome::Ok)
+        self.end_attempt_as(id, attempt, at, outcome, outcome == Outcome::Ok)
     }
 
     /// A good answer with a load report.
-    pub fn reports(
+    pub fn answer_with_load(
         &mut self,
         id: RequestId,
         attempt: u32,
@@ -199,17 +205,17 @@
     }
 
     /// The gateway killed and started again at this moment.
-    pub fn reborn(&self, settings: Settings, servers: u32) -> Bench {
-        let mut bench = Bench {
+    pub fn restarted(&self, settings: Settings, servers: u32) -> Harness {
+        let mut harness = Harness {
             gateway: Gateway::new(settings, 8, self.now),
             now: self.now,
             next: self.next,
         };
-        bench.list(MembershipUpdate::Full((0..servers).map(server).collect()));
-        bench
+        harness.update_membership(MembershipUpdate::Full((0..servers).map(server).collect()));
+        harness
     }
 
-    pub fn ends_as(
+    pub fn end_attempt_as(
         &mut self,
         id: RequestId,
         attempt: u32,
@@ -235,9 +241,9 @@
     pub fn serve(&mut self) -> bool {
         let customer = 1_000_000 + u64::from(self.next);
         let (id, actions) = self.arrive(0, 0, customer);
-        match sent(&actions) {
+        match sent_to(&actions) {
             Some(server) => {
-                self.ends(id, 0, server, Outcome::Ok);
+                self.end_attempt(id, 0, server, Outcome::Ok);
                 true
             }
             None => false,
@@ -263,14 +269,14 @@
     PoolSize { listed, avoided }
 }
 
-pub fn sent(actions: &[Action]) -> Option<ServerId> {
+pub fn sent_to(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(*server),
         _ => None,
     })
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
@@ -278,7 +284,7 @@
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
 
-pub fn told(actions: &[Action], to: u32) -> Vec<Vec<u8>> {
+pub fn messages_to(actions: &[Action], to: u32) -> Vec<Vec<u8>> {
     actions
         .iter()
         .filter_map(|a| match a {
@@ -303,8 +309,102 @@
 }
 
 /// A peer's message: its life and one customer's cumulative units.
-pub fn counts(life: u32, customer: u64, units: f64) -> Vec<u8> {
+pub fn count_message(life: u32, customer: u64, units: f64) -> Vec<u8> {
     let mut writer = gossip::Writer::new(life, 0.0, 0.0);
     assert!(writer.push(count(customer, units)));
     writer.finish()
 }
+
+pub fn receive(harness: &mut Harness, from: u32, bytes: Vec<u8>) {
+    harness.handle(Event::PeerMessage {
+        from: GatewayId(from),
+        bytes,
+    });
+}
+
+/// Lets in up to `tries` requests of one customer and answers each at once.
+pub fn admit(harness: &mut Harness, plan: usize, customer: u64, tries: usize) -> usize {
+    (0..tries)
+        .filter(|_| {
+            let (id, actions) = harness.arrive(SAFE, plan, customer);
+            match sent_to(&actions) {
+                Some(server) => {
+                    harness.end_attempt(id, 0, server, Outcome::Ok);
+                    true
+                }
+                None => false,
+            }
+        })
+        .count()
+}
+
+/// Fills a gateway of unknown throughput with `count` attempts outstanding.
+pub fn fill_in_flight(harness: &mut Harness, count: usize) -> Vec<(RequestId, ServerId)> {
+    (0..count)
+        .map(|k| {
+            let (id, actions) = harness.arrive(SAFE, 0, 100 + k as u64);
+            (id, sent_to(&actions).expect("not congested yet"))
+        })
+        .collect()
+}
+
+pub fn count_rejections(harness: &mut Harness, tries: usize) -> usize {
+    let mut count = 0;
+    for k in 0..tries {
+        let (id, actions) = harness.arrive(SAFE, 0, 50_000 + k as u64);
+        match sent_to(&actions) {
+            // The outcome leaves the count as it was before this arrival.
+            Some(_) => drop(harness.handle(Event::Abandoned { request: id })),
+            None => count += 1,
+        }
+    }
+    count
+}
+
+/// A request of a class sent on and answered after `elapsed`.
+pub fn answer_new_request(harness: &mut Harness, units: f64, elapsed: Millis) -> ServerId {
+    let customer = 80_000 + harness.now as u64;
+    harness.now += 1.0;
+    let (id, actions) = harness.arrive_with(SAFE, 0, customer, units, 3);
+    let to = sent_to(&actions).expect("sent");
+    answer(harness, id, to, elapsed);
+    to
+}
+
+pub fn answer(harness: &mut Harness, id: RequestId, server: ServerId, elapsed: Millis) {
+    harness.handle(Event::AttemptEnded(AttemptResult {
+        request: id,
+        attempt: 0,
+        server,
+        outcome: Outcome::Ok,
+        elapsed,
+        answered: true,
+        replayable: true,
+        load: LoadReport::default(),
+        units: None,
+        metered: None,
+    }));
+}
+
+/// Shows a gateway that requests of one unit take 20 ms and of four take 300, in one class.
+pub fn learn_latencies_by_units(harness: &mut Harness) {
+    for _ in 0..60 {
+        answer_new_request(harness, 1.0, 20.0);
+        answer_new_request(harness, 1.0, 20.0);
+        answer_new_request(harness, 4.0, 300.0);
+    }
+}
+
+pub fn harness_with_latencies_by_units(servers: u32) -> Harness {
+    let mut harness = Harness::new(settings(), servers);
+    learn_latencies_by_units(&mut harness);
+    harness
+}
+
+pub fn timeout_of(actions: &[Action]) -> Millis {
+    let timeout = actions.iter().find_map(|action| match action {
+        Action::Send { timeout, .. } => Some(*timeout),
+        _ => None,
+    });
+    timeout.expect("sent")
+}
--- a/crates/emberpin-balancer/tests/fleet.rs
+++ b/crates/emberpin-balancer/tests/fleet.rs
@@ -33,7 +33,7 @@
 /// Cold successors used to stand idle while those that stayed were pushed over: the few gateways picked for each
 /// sent it their own small part only, and what they did not send lowered what the next were allowed.
 #[test]
-fn six_in_ten_servers_replaced_bear_their_part_and_none_is_felled() {
+fn six_in_ten_servers_replaced_carry_their_share_and_none_is_overloaded() {
     for (gateways, seed) in [(3, 1), (30, 2), (100, 3), (100, 5)] {
         let mut fleet = fleet(gateways, seed);
         fleet.play(8_000.0);
@@ -74,7 +74,7 @@
 /// Each of hundreds has far less than one attempt out: thresholds below one were crossed by chance, by what few
 /// gateways told of the moment in which they had something to tell.
 #[test]
-fn hundreds_of_gateways_with_hardly_anything_out_do_not_throttle_an_idle_back_end() {
+fn hundreds_of_gateways_with_hardly_anything_in_flight_do_not_throttle_an_idle_back_end() {
     for (gateways, seed) in [(3, 1), (100, 2), (300, 3), (300, 4)] {
         let size = Size {
             gateways,
--- a/crates/emberpin-balancer/tests/handover.rs
+++ b/crates/emberpin-balancer/tests/handover.rs
@@ -5,32 +5,31 @@
 use common::*;
 use emberpin_balancer::*;
 
-const SAFE: usize = 0;
 const WITH_CEILING: usize = 1;
 
-/// The next process, beside the one of this bench.
-fn next(bench: &Bench, settings: Settings, servers: u32) -> (Bench, bool) {
+/// The next process, beside the one of this harness.
+fn next(harness: &Harness, settings: Settings, servers: u32) -> (Harness, bool) {
     let listed = (0..servers).map(server).collect();
-    let given = bench.gateway.to_handover();
-    let (gateway, whole) = Gateway::from_handover(settings, 9, bench.now, given, listed);
-    let mut after = bench.reborn(common::settings(), servers);
+    let given = harness.gateway.to_handover();
+    let (gateway, whole) = Gateway::from_handover(settings, 9, harness.now, given, listed);
+    let mut after = harness.restarted(common::settings(), servers);
     after.gateway = gateway;
     (after, whole)
 }
 
 /// How many of so many requests of a customer are let in; each is answered at once, and what is shared is told to
 /// the other process.
-fn let_in(
-    bench: &mut Bench,
-    other: Option<&mut Bench>,
+fn admit(
+    harness: &mut Harness,
+    other: Option<&mut Harness>,
     plan: usize,
     customer: u64,
     tries: usize,
 ) -> usize {
     let (mut count, mut shared) = (0, Vec::new());
     for _ in 0..tries {
-        let (id, actions) = bench.arrive(SAFE, plan, customer);
-        let Some(server) = sent(&actions) else {
+        let (id, actions) = harness.arrive(SAFE, plan, customer);
+        let Some(server) = sent_to(&actions) else {
             continue;
         };
         count += 1;
@@ -38,7 +37,7 @@
             Action::ShareUsage(spent) => Some(spent),
             _ => None,
         }));
-        bench.ends(id, 0, server, Outcome::Ok);
+        harness.end_attempt(id, 0, server, Outcome::Ok);
     }
     if let Some(other) = other {
         shared
@@ -49,27 +48,27 @@
 }
 
 #[test]
-fn stores_and_ceilings_that_are_spent_stay_spent() {
+fn spent_quotas_and_rate_limits_stay_spent() {
     for plan in [0, WITH_CEILING] {
-        let mut old = Bench::new(settings(), 3);
-        let first = let_in(&mut old, None, plan, 5, 200);
+        let mut old = Harness::new(settings(), 3);
+        let first = admit(&mut old, None, plan, 5, 200);
         assert!(first > 0);
         let (mut new, whole) = next(&old, settings(), 3);
         assert!(whole);
-        assert_eq!(let_in(&mut new, None, plan, 5, 200), 0, "after {first}");
+        assert_eq!(admit(&mut new, None, plan, 5, 200), 0, "after {first}");
         // As after a kill it would be a part of the burst again.
-        let mut killed = old.reborn(settings(), 3);
-        assert!(plan == WITH_CEILING || let_in(&mut killed, None, plan, 5, 200) > 0);
+        let mut killed = old.restarted(settings(), 3);
+        assert!(plan == WITH_CEILING || admit(&mut killed, None, plan, 5, 200) > 0);
     }
 }
 
 #[test]
-fn what_either_lets_in_is_counted_by_both_while_both_are_there() {
-    let mut old = Bench::new(settings(), 3);
-    let alone = let_in(&mut Bench::new(settings(), 3), None, 0, 5, 200);
+fn what_either_process_admits_is_counted_by_both_while_both_run() {
+    let mut old = Harness::new(settings(), 3);
+    let alone = admit(&mut Harness::new(settings(), 3), None, 0, 5, 200);
     let (mut new, _) = next(&old, settings(), 3);
-    for bench in [&mut old, &mut new] {
-        bench.handle(Event::SiblingChanged { running: true });
+    for harness in [&mut old, &mut new] {
+        harness.handle(Event::SiblingChanged { running: true });
     }
     let mut all = 0;
     for round in 0..20 {
@@ -78,22 +77,22 @@
         } else {
             (&mut new, &mut old)
         };
-        all += let_in(one, Some(other), 0, 5, 10);
+        all += admit(one, Some(other), 0, 5, 10);
     }
     assert_eq!(all, alone, "two processes let in what one would");
     // The guard taken out: who is not told of the other lets in as much again.
-    let mut deaf = Bench::new(settings(), 3);
+    let mut deaf = Harness::new(settings(), 3);
     let (mut other, _) = next(&deaf, settings(), 3);
     assert_eq!(
-        let_in(&mut deaf, None, 0, 5, 200) + let_in(&mut other, None, 0, 5, 200),
+        admit(&mut deaf, None, 0, 5, 200) + admit(&mut other, None, 0, 5, 200),
         2 * alone
     );
 }
 
 #[test]
-fn a_cold_server_gets_one_gateways_part_from_both() {
+fn a_cold_server_gets_one_gateways_share_from_both_processes() {
     let cold_sends = |shares: bool| {
-        let mut old = Bench::fresh(settings(), 2);
+        let mut old = Harness::fresh(settings(), 2);
         old.serve_for(200.0, 8_000.0);
         let lines = |now| {
             vec![Server {
@@ -102,8 +101,8 @@
             }]
         };
         let now = old.now;
-        old.list(MembershipUpdate::Changes(lines(now)));
-        old.list(MembershipUpdate::Changes(vec![Server {
+        old.update_membership(MembershipUpdate::Changes(lines(now)));
+        old.update_membership(MembershipUpdate::Changes(vec![Server {
             status: ServerStatus::Draining,
             ..server(0)
         }]));
@@ -116,7 +115,7 @@
             lines(now).remove(0),
         ];
         let (gateway, _) = Gateway::from_handover(settings(), 9, now, given, listed);
-        let mut new = old.reborn(settings(), 2);
+        let mut new = old.restarted(settings(), 2);
         new.gateway = gateway;
         old.handle(Event::SiblingChanged { running: shares });
         new.handle(Event::SiblingChanged { running: shares });
@@ -129,7 +128,7 @@
                 } else {
                     (&mut new, &mut old)
                 };
-                count += let_in(one, Some(other), 0, 10_000 + step, 1);
+                count += admit(one, Some(other), 0, 10_000 + step, 1);
             }
         }
         count
@@ -142,18 +141,18 @@
 }
 
 #[test]
-fn ejections_and_bans_go_on() {
-    let mut old = Bench::new(settings(), 4);
+fn ejections_and_maintenance_go_on() {
+    let mut old = Harness::new(settings(), 4);
     old.serve_for(100.0, 5_000.0);
     while old.gateway.ejected_count(old.now) == 0 {
         let (id, actions) = old.arrive(SAFE, 0, old.now as u64);
-        let at = sent(&actions).expect("there are others");
+        let at = sent_to(&actions).expect("there are others");
         let outcome = if at == ServerId(3) {
             Outcome::ConnectFailed
         } else {
             Outcome::Ok
         };
-        old.ends_as(id, 0, at, outcome, true);
+        old.end_attempt_as(id, 0, at, outcome, true);
         old.now += 1.0;
     }
     old.handle(Event::Maintenance {
@@ -166,9 +165,9 @@
 }
 
 #[test]
-fn under_other_settings_only_bans_are_taken_over() {
-    let mut old = Bench::new(settings(), 3);
-    let_in(&mut old, None, 0, 5, 200);
+fn under_other_settings_only_maintenance_is_taken_over() {
+    let mut old = Harness::new(settings(), 3);
+    admit(&mut old, None, 0, 5, 200);
     old.handle(Event::Maintenance {
         server: ServerId(1),
         out_of_service: true,
@@ -177,5 +176,5 @@
     changed.plans[0].quota_rate *= 2.0;
     let (mut new, whole) = next(&old, changed, 3);
     assert!(!whole && new.gateway.is_in_maintenance(ServerId(1)));
-    assert!(let_in(&mut new, None, 0, 5, 200) > 0, "as after a kill");
+    assert!(admit(&mut new, None, 0, 5, 200) > 0, "as after a kill");
 }
--- a/crates/emberpin-balancer/tests/host_queries.rs
+++ b/crates/emberpin-balancer/tests/host_queries.rs
@@ -6,10 +6,6 @@
 use common::*;
 use emberpin_balancer::*;
 
-const SAFE: usize = 0;
-const UNSAFE: usize = 1;
-const KEYED: usize = 2;
-
 /// As the proxy has it: one gateway alone, in zone 0, and no quota.
 fn alone() -> Settings {
     let mut settings = Settings {
@@ -35,43 +31,43 @@
 
 /// Holds the push to `settings.classes`: whoever names what is not there is refused.
 #[test]
-fn a_class_is_known_from_its_adding_on() {
-    let mut bench = Bench::fresh(
+fn a_class_is_known_once_it_is_added() {
+    let mut harness = Harness::fresh(
         Settings {
             classes: vec![],
             ..alone()
         },
         2,
     );
-    let (_, actions) = bench.arrive(0, 0, 1);
-    assert!(refused(&actions), "{actions:?}");
+    let (_, actions) = harness.arrive(0, 0, 1);
+    assert!(rejected(&actions), "{actions:?}");
     let added = [class(Idempotency::Safe), class(Idempotency::Unsafe)]
-        .map(|class| bench.gateway.add_class(class));
+        .map(|class| harness.gateway.add_class(class));
     assert_eq!(added, [ClassId(0), ClassId(1)]);
     for class in added {
-        let (_, actions) = bench.arrive(class.0, 0, 1);
-        assert!(sent(&actions).is_some(), "{actions:?}");
+        let (_, actions) = harness.arrive(class.0, 0, 1);
+        assert!(sent_to(&actions).is_some(), "{actions:?}");
     }
-    assert!(refused(&bench.arrive(2, 0, 1).1));
+    assert!(rejected(&harness.arrive(2, 0, 1).1));
 }
 
 /// Holds the first figures of `latency`: a quarter of the aim and a tenth of it beside, as for classes of the
 /// start.
 #[test]
-fn an_added_class_has_the_patience_of_one_of_the_start() {
+fn an_added_class_has_the_attempt_timeout_of_an_initial_one() {
     let added = |aim: Millis, effect: Idempotency| {
-        let mut bench = Bench::fresh(
+        let mut harness = Harness::fresh(
             Settings {
                 classes: vec![],
                 ..alone()
             },
             2,
         );
-        let class = bench.gateway.add_class(Class {
+        let class = harness.gateway.add_class(Class {
             latency_target: aim,
             ..class(effect)
         });
-        timeout(&bench.arrive(class.0, 0, 1).1)
+        timeout(&harness.arrive(class.0, 0, 1).1)
     };
     let known = |aim: Millis, effect: Idempotency| {
         let classes = vec![Class {
@@ -79,7 +75,7 @@
             ..class(effect)
         }];
         timeout(
-            &Bench::fresh(Settings { classes, ..alone() }, 2)
+            &Harness::fresh(Settings { classes, ..alone() }, 2)
                 .arrive(0, 0, 1)
                 .1,
         )
@@ -105,32 +101,32 @@
 /// endless.
 #[test]
 fn an_added_class_counts_for_the_onset() {
-    let mut bench = Bench::fresh(
+    let mut harness = Harness::fresh(
         Settings {
             classes: vec![],
             ..alone()
         },
         2,
     );
-    bench.gateway.add_class(class(Idempotency::Safe));
-    bench.serve_for(20.0, 3_000.0);
-    assert!(is_congested_with(&mut bench, 40));
+    harness.gateway.add_class(class(Idempotency::Safe));
+    harness.serve_for(20.0, 3_000.0);
+    assert!(is_congested_with(&mut harness, 40));
 }
 
 // ---- What servers bear ----
 
 /// Brings so many attempts out, and tells whether that is too many. Chance leaves it at under one in 10 000.
-fn is_congested_with(bench: &mut Bench, out: usize) -> bool {
+fn is_congested_with(harness: &mut Harness, out: usize) -> bool {
     let held: Vec<_> = (0..=out)
-        .map(|k| bench.arrive(SAFE, 0, 100 + k as u64))
+        .map(|k| harness.arrive(SAFE, 0, 100 + k as u64))
         .collect();
     let (first, actions) = &held[0];
-    bench.ends(*first, 0, sent(actions).expect("is sent"), Outcome::Ok);
+    harness.end_attempt(*first, 0, sent_to(actions).expect("is sent"), Outcome::Ok);
     let mut turned_away = false;
     for k in 0..50 {
-        let (request, actions) = bench.arrive(SAFE, 0, 50_000 + k);
-        match sent(&actions) {
-            Some(_) => drop(bench.handle(Event::Abandoned { request })),
+        let (request, actions) = harness.arrive(SAFE, 0, 50_000 + k);
+        match sent_to(&actions) {
+            Some(_) => drop(harness.handle(Event::Abandoned { request })),
             None => turned_away = true,
         }
     }
@@ -139,10 +135,10 @@
 
 /// A gateway whose throughput is known and small: what it was seen to carry stands for less than the least
 /// onset.
-fn quiet() -> Bench {
-    let mut bench = Bench::fresh(alone(), 12);
-    bench.serve_for(20.0, 3_000.0);
-    bench
+fn quiet() -> Harness {
+    let mut harness = Harness::fresh(alone(), 12);
+    harness.serve_for(20.0, 3_000.0);
+    harness
 }
 
 /// Holds the guess where nobody says more: two for each of twelve servers.
@@ -154,11 +150,11 @@
 
 /// Holds `borne` in the onset, both ways.
 #[test]
-fn what_servers_say_that_they_bear_stands_in_place_of_the_guess() {
+fn reported_capacity_replaces_the_guess_of_the_least_onset() {
     let borne = |out: f64| {
-        let mut bench = quiet();
-        bench.gateway.set_reported_capacity(out);
-        bench
+        let mut harness = quiet();
+        harness.gateway.set_reported_capacity(out);
+        harness
     };
     assert!(
         !is_congested_with(&mut borne(40.0), 40),
@@ -172,10 +168,10 @@
     assert!(is_congested_with(&mut borne(6.0), 7));
     // What was seen to be carried still stands over it: 100 a second of half a second's aim, and a third of
     // that.
-    let mut bench = Bench::fresh(alone(), 12);
-    bench.serve_for(100.0, 5_000.0);
-    bench.gateway.set_reported_capacity(3.0);
-    assert!(!is_congested_with(&mut bench, 12));
+    let mut harness = Harness::fresh(alone(), 12);
+    harness.serve_for(100.0, 5_000.0);
+    harness.gateway.set_reported_capacity(3.0);
+    assert!(!is_congested_with(&mut harness, 12));
     // Nothing said is the guess again.
     assert!(!is_congested_with(&mut borne(0.0), 24));
     assert!(is_congested_with(&mut borne(0.0), 25));
@@ -184,8 +180,8 @@
 // ---- Servers that are away ----
 
 /// Server 0 is in this gateway's zone, server 1 is not.
-fn near_and_far(away: f64) -> Bench {
-    Bench::fresh(
+fn same_zone_and_other_zone(away: f64) -> Harness {
+    Harness::fresh(
         Settings {
             cross_zone_slowdown: away,
             ..alone()
@@ -194,38 +190,38 @@
     )
 }
 
-fn chosen(bench: &mut Bench) -> (RequestId, u32) {
-    let (id, actions) = bench.arrive(SAFE, 0, 1);
-    (id, sent(&actions).expect("is sent").0)
+fn chosen(harness: &mut Harness) -> (RequestId, u32) {
+    let (id, actions) = harness.arrive(SAFE, 0, 1);
+    (id, sent_to(&actions).expect("is sent").0)
 }
 
 /// Holds `settings.away` in `cost`.
 #[test]
-fn the_own_zone_comes_first_until_it_is_as_many_times_slower() {
-    let mut bench = near_and_far(2.5);
-    let to: Vec<u32> = (0..3).map(|_| chosen(&mut bench).1).collect();
+fn a_server_of_the_same_zone_is_preferred_until_it_is_as_many_times_slower() {
+    let mut harness = same_zone_and_other_zone(2.5);
+    let to: Vec<u32> = (0..3).map(|_| chosen(&mut harness).1).collect();
     // The third would be the third there, and wait for three usual answers; away it is the first, for two and
     // a half.
     assert_eq!(to, [0, 0, 1]);
-    let mut bench = near_and_far(2.0);
+    let mut harness = same_zone_and_other_zone(2.0);
     for _ in 0..50 {
-        let (id, to) = chosen(&mut bench);
+        let (id, to) = chosen(&mut harness);
         assert_eq!(to, 0);
-        bench.ends(id, 0, ServerId(to), Outcome::Ok);
+        harness.end_attempt(id, 0, ServerId(to), Outcome::Ok);
     }
 }
 
 /// Where the next request goes, with nothing out, after answers of the near server took so many times as
 /// long.
-fn next_where_near_takes(near: f64) -> u32 {
-    let mut bench = near_and_far(2.0);
+fn next_server_where_the_same_zone_takes(near: f64) -> u32 {
+    let mut harness = same_zone_and_other_zone(2.0);
     for _ in 0..40 {
-        let held: Vec<_> = (0..6).map(|_| chosen(&mut bench)).collect();
+        let held: Vec<_> = (0..6).map(|_| chosen(&mut harness)).collect();
         assert!(held.iter().any(|(_, to)| *to == 0) && held.iter().any(|(_, to)| *to == 1));
         for (request, to) in held {
-            bench.now += 1.0;
+            harness.now += 1.0;
             let elapsed = if to == 0 { 20.0 * near } else { 20.0 };
-            bench.handle(Event::AttemptEnded(AttemptResult {
+            harness.handle(Event::AttemptEnded(AttemptResult {
                 request,
                 attempt: 0,
                 server: ServerId(to),
@@ -239,34 +235,35 @@
             }));
         }
     }
-    chosen(&mut bench).1
+    chosen(&mut harness).1
 }
 
 /// Holds `server.ratio` beside `away`: bytes between zones cost, and slowness costs more.
 #[test]
-fn another_zone_comes_first_where_the_own_one_is_far_slower() {
-    assert_eq!(next_where_near_takes(1.0), 0);
-    assert_eq!(next_where_near_takes(1.5), 0);
-    assert_eq!(next_where_near_takes(4.0), 1);
+fn a_server_of_another_zone_is_preferred_where_the_same_zone_is_far_slower() {
+    assert_eq!(next_server_where_the_same_zone_takes(1.0), 0);
+    assert_eq!(next_server_where_the_same_zone_takes(1.5), 0);
+    assert_eq!(next_server_where_the_same_zone_takes(4.0), 1);
 }
 
 /// Holds the floor under an answer's own time in `learn_latency`: beside one that answers within a part of a millisecond, a
 /// server of the own zone that has not answered yet would never be chosen.
 #[test]
-fn who_answers_within_a_millisecond_is_not_taken_for_faster_than_who_has_not_answered() {
-    let mut bench = near_and_far(2.0);
+fn a_server_that_answers_within_a_millisecond_is_not_taken_for_faster_than_one_that_has_not_answered(
+) {
+    let mut harness = same_zone_and_other_zone(2.0);
     let near = |condition| {
         MembershipUpdate::Changes(vec![Server {
             status: condition,
             ..server(0)
         }])
     };
-    bench.list(near(ServerStatus::Draining));
+    harness.update_membership(near(ServerStatus::Draining));
     for _ in 0..400 {
-        let (request, to) = chosen(&mut bench);
+        let (request, to) = chosen(&mut harness);
         assert_eq!(to, 1);
-        bench.now += 1.0;
-        bench.handle(Event::AttemptEnded(AttemptResult {
+        harness.now += 1.0;
+        harness.handle(Event::AttemptEnded(AttemptResult {
             request,
             attempt: 0,
             server: ServerId(to),
@@ -279,99 +276,102 @@
             metered: None,
         }));
     }
-    bench.list(near(ServerStatus::InService));
-    assert_eq!(chosen(&mut bench).1, 0);
+    harness.update_membership(near(ServerStatus::InService));
+    assert_eq!(chosen(&mut harness).1, 0);
 }
 
 /// Holds the 1.0 of the platform's limiter: zones make no difference there.
 #[test]
-fn zones_are_alike_where_nothing_is_away() {
-    let mut bench = near_and_far(1.0);
-    let mut to: Vec<u32> = (0..2).map(|_| chosen(&mut bench).1).collect();
+fn zones_are_alike_without_a_cross_zone_slowdown() {
+    let mut harness = same_zone_and_other_zone(1.0);
+    let mut to: Vec<u32> = (0..2).map(|_| chosen(&mut harness).1).collect();
     to.sort_unstable();
     assert_eq!(to, [0, 1]);
-    let mut bench = near_and_far(1.0);
+    let mut harness = same_zone_and_other_zone(1.0);
     let mut counts = [0; 2];
     for _ in 0..50 {
-        let (id, to) = chosen(&mut bench);
+        let (id, to) = chosen(&mut harness);
         counts[to as usize] += 1;
-        bench.ends(id, 0, ServerId(to), Outcome::Ok);
+        harness.end_attempt(id, 0, ServerId(to), Outcome::Ok);
     }
     assert!(counts.iter().all(|count| *count >= 10), "{counts:?}");
 }
 
 // ---- Whether another attempt would follow ----
 
-fn would(bench: &Bench, request: RequestId) -> bool {
-    bench.gateway.would_retry(bench.now, request)
+fn would_retry(harness: &Harness, request: RequestId) -> bool {
+    harness.gateway.would_retry(harness.now, request)
 }
 
 #[test]
-fn only_a_safe_request_would_be_repeated() {
-    let mut bench = Bench::fresh(alone(), 2);
-    assert!(!would(&bench, RequestId(99)), "one that is not known");
-    for (class, expected) in [(SAFE, true), (UNSAFE, false), (KEYED, false)] {
-        let (request, actions) = bench.arrive(class, 0, 1);
-        assert!(sent(&actions).is_some());
-        assert_eq!(would(&bench, request), expected, "class {class}");
+fn only_a_safe_request_would_be_retried() {
+    let mut harness = Harness::fresh(alone(), 2);
+    assert!(
+        !would_retry(&harness, RequestId(99)),
+        "one that is not known"
+    );
+    for (class, expected) in [(SAFE, true), (UNSAFE, false), (KEYED_ALL, false)] {
+        let (request, actions) = harness.arrive(class, 0, 1);
+        assert!(sent_to(&actions).is_some());
+        assert_eq!(would_retry(&harness, request), expected, "class {class}");
     }
 }
 
 /// Holds `time`: one usual answer of 125 ms must fit.
 #[test]
-fn none_would_follow_that_could_not_end_in_time() {
-    let mut bench = Bench::fresh(alone(), 2);
-    let (request, _) = bench.arrive_for(SAFE, 0, 1, 1.0, 1, 1_000.0);
-    bench.now += 875.0;
-    assert!(would(&bench, request));
-    bench.now += 1.0;
-    assert!(!would(&bench, request));
+fn no_retry_would_follow_that_could_not_end_in_time() {
+    let mut harness = Harness::fresh(alone(), 2);
+    let (request, _) = harness.arrive_for(SAFE, 0, 1, 1.0, 1, 1_000.0);
+    harness.now += 875.0;
+    assert!(would_retry(&harness, request));
+    harness.now += 1.0;
+    assert!(!would_retry(&harness, request));
 }
 
 /// Holds `others`, in each way in which a server is none.
 #[test]
-fn none_would_follow_without_another_server() {
-    let mut bench = Bench::fresh(alone(), 1);
-    let (request, _) = bench.arrive(SAFE, 0, 1);
-    assert!(!would(&bench, request));
-    bench.list(MembershipUpdate::Changes(vec![server(1)]));
-    assert!(would(&bench, request));
-    bench.list(MembershipUpdate::Changes(vec![Server {
+fn no_retry_would_follow_without_another_server() {
+    let mut harness = Harness::fresh(alone(), 1);
+    let (request, _) = harness.arrive(SAFE, 0, 1);
+    assert!(!would_retry(&harness, request));
+    harness.update_membership(MembershipUpdate::Changes(vec![server(1)]));
+    assert!(would_retry(&harness, request));
+    harness.update_membership(MembershipUpdate::Changes(vec![Server {
         status: ServerStatus::Draining,
         ..server(1)
     }]));
-    assert!(!would(&bench, request));
-    bench.list(MembershipUpdate::Changes(vec![server(1)]));
-    bench.handle(Event::Maintenance {
+    assert!(!would_retry(&harness, request));
+    harness.update_membership(MembershipUpdate::Changes(vec![server(1)]));
+    harness.handle(Event::Maintenance {
         server: ServerId(1),
         out_of_service: true,
     });
-    assert!(!would(&bench, request));
+    assert!(!would_retry(&harness, request));
 }
 
 /// Holds `load.level`.
 #[test]
-fn none_would_follow_while_congested() {
-    let mut bench = quiet();
-    let (request, _) = bench.arrive(SAFE, 0, 1);
-    assert!(would(&bench, request));
-    assert!(is_congested_with(&mut bench, 40));
-    assert!(!would(&bench, request));
+fn no_retry_would_follow_while_congested() {
+    let mut harness = quiet();
+    let (request, _) = harness.arrive(SAFE, 0, 1);
+    assert!(would_retry(&harness, request));
+    assert!(is_congested_with(&mut harness, 40));
+    assert!(!would_retry(&harness, request));
 }
 
 /// Holds `retries`, and that what would not follow does not.
 #[test]
-fn none_would_follow_beyond_the_budget() {
-    let mut bench = Bench::fresh(alone(), 12);
+fn no_retry_would_follow_beyond_the_budget() {
+    let mut harness = Harness::fresh(alone(), 12);
     let mut repeats = 0;
     loop {
-        let (request, actions) = bench.arrive(SAFE, 0, 1);
-        let to = sent(&actions).expect("is sent");
-        let expected = would(&bench, request);
-        let again = sent(&bench.ends(request, 0, to, Outcome::Error));
+        let (request, actions) = harness.arrive(SAFE, 0, 1);
+        let to = sent_to(&actions).expect("is sent");
+        let expected = would_retry(&harness, request);
+        let again = sent_to(&harness.end_attempt(request, 0, to, Outcome::Error));
         assert_eq!(again.is_some(), expected, "after {repeats}");
         let Some(again) = again else { break };
-        bench.ends(request, 1, again, Outcome::Ok);
+        harness.end_attempt(request, 1, again, Outcome::Ok);
         repeats += 1;
         assert!(repeats < 100, "there is no end to it");
     }
@@ -381,25 +381,25 @@
 /// Holds both places in `replace_class`: effect, patience and what was learned are the new class's.
 #[test]
 fn a_replaced_class_is_as_one_that_was_added() {
-    let mut bench = Bench::fresh(
+    let mut harness = Harness::fresh(
         Settings {
             classes: vec![class(Idempotency::Unsafe)],
             ..alone()
         },
         2,
     );
-    assert_eq!(timeout(&bench.arrive(0, 0, 1).1), Some(2_000.0));
-    bench.gateway.replace_class(
+    assert_eq!(timeout(&harness.arrive(0, 0, 1).1), Some(2_000.0));
+    harness.gateway.replace_class(
         ClassId(0),
         Class {
             latency_target: 400.0,
             ..class(Idempotency::Safe)
         },
     );
-    assert_eq!(timeout(&bench.arrive(0, 0, 1).1), Some(340.0));
+    assert_eq!(timeout(&harness.arrive(0, 0, 1).1), Some(340.0));
     // What is not there is not replaced.
-    bench
+    harness
         .gateway
         .replace_class(ClassId(7), class(Idempotency::Safe));
-    assert!(refused(&bench.arrive(7, 0, 1).1));
+    assert!(rejected(&harness.arrive(7, 0, 1).1));
 }
--- a/crates/emberpin-balancer/tests/size.rs
+++ b/crates/emberpin-balancer/tests/large_group.rs
@@ -5,8 +5,6 @@
 use common::*;
 use emberpin_balancer::*;
 
-const SAFE: usize = 0;
-
 /// Gateway `me` of `group`, with an intake that is far too small to tell all.
 fn one_of(me: u32, group: u32) -> Settings {
     Settings {
@@ -18,7 +16,7 @@
 }
 
 fn request(
-    bench: &mut Bench,
+    harness: &mut Harness,
     number: u32,
     plan: usize,
     customer: u64,
@@ -38,7 +36,7 @@
         },
         prior_attempt: None,
     };
-    (id, bench.handle(Event::Request(request)))
+    (id, harness.handle(Event::Request(request)))
 }
 
 /// A message with a header only.
@@ -47,36 +45,36 @@
 }
 
 #[test]
-fn cold_server_is_safe_from_many_gateways_that_hear_nothing_of_each_other() {
+fn many_isolated_gateways_do_not_overload_a_cold_server() {
     const GROUP: u32 = 120;
     const FLEET: u32 = 24;
     // Each serves 5 requests a second: 25 a second by each warm server, over all gateways.
-    let mut gateways: Vec<Bench> = (0..GROUP)
-        .map(|me| Bench::fresh(one_of(me, GROUP), FLEET))
+    let mut gateways: Vec<Harness> = (0..GROUP)
+        .map(|me| Harness::fresh(one_of(me, GROUP), FLEET))
         .collect();
-    for bench in &mut gateways {
-        bench.serve_for(5.0, 8_000.0);
+    for harness in &mut gateways {
+        harness.serve_for(5.0, 8_000.0);
     }
     // One server restarts and all others drain, so that everybody wants the cold one.
     let start = gateways[0].now;
-    for bench in &mut gateways {
-        bench.now = start;
+    for harness in &mut gateways {
+        harness.now = start;
         let mut lines: Vec<Server> = (0..FLEET).map(server).collect();
         lines[0].started_at = Some(start);
         lines[1..]
             .iter_mut()
             .for_each(|line| line.status = ServerStatus::Draining);
-        bench.list(MembershipUpdate::Full(lines));
+        harness.update_membership(MembershipUpdate::Full(lines));
     }
     let mut sends = Vec::new();
     for step in 1..=80u32 {
-        for (me, bench) in gateways.iter_mut().enumerate() {
-            bench.now = start + f64::from(step) * 100.0;
-            bench.handle(Event::Timer { token: 0 });
-            let (id, actions) = request(bench, step, 0, u64::from(step) * 1000 + me as u64, 1);
-            if let Some(to) = sent(&actions) {
-                sends.push(bench.now);
-                bench.ends(id, 0, to, Outcome::Ok);
+        for (me, harness) in gateways.iter_mut().enumerate() {
+            harness.now = start + f64::from(step) * 100.0;
+            harness.handle(Event::Timer { token: 0 });
+            let (id, actions) = request(harness, step, 0, u64::from(step) * 1000 + me as u64, 1);
+            if let Some(to) = sent_to(&actions) {
+                sends.push(harness.now);
+                harness.end_attempt(id, 0, to, Outcome::Ok);
             }
         }
     }
@@ -102,36 +100,36 @@
 /// of the requests that were let in, at one request of each gateway in `every` steps of 100 ms. Servers say how many wait
 /// there, or nothing.
 fn all_cold(group: u32, fleet: u32, every: u32, waits: Option<f64>) -> (Vec<Vec<f64>>, f64) {
-    let mut gateways: Vec<Bench> = (0..group)
-        .map(|me| Bench::fresh(one_of(me, group), 0))
+    let mut gateways: Vec<Harness> = (0..group)
+        .map(|me| Harness::fresh(one_of(me, group), 0))
         .collect();
     let start = gateways[0].now;
     let mut cold: Vec<Server> = (0..fleet).map(server).collect();
     cold.iter_mut()
         .for_each(|line| line.started_at = Some(start));
-    for bench in &mut gateways {
-        bench.now = start;
-        bench.list(MembershipUpdate::Full(cold.clone()));
+    for harness in &mut gateways {
+        harness.now = start;
+        harness.update_membership(MembershipUpdate::Full(cold.clone()));
     }
     let (mut sends, mut asked, mut let_in) = (vec![Vec::new(); fleet as usize], 0, 0);
     for step in 1..=100u32 {
-        for (me, bench) in gateways.iter_mut().enumerate() {
-            bench.now = start + f64::from(step) * 100.0;
-            bench.handle(Event::Timer { token: 0 });
+        for (me, harness) in gateways.iter_mut().enumerate() {
+            harness.now = start + f64::from(step) * 100.0;
+            harness.handle(Event::Timer { token: 0 });
             if !(me as u32 + step).is_multiple_of(every) {
                 continue;
             }
-            let (id, actions) = request(bench, step, 0, u64::from(step) * 1000 + me as u64, 1);
+            let (id, actions) = request(harness, step, 0, u64::from(step) * 1000 + me as u64, 1);
             asked += 1;
-            if let Some(to) = sent(&actions) {
+            if let Some(to) = sent_to(&actions) {
                 let_in += 1;
-                sends[to.0 as usize].push(bench.now - start);
-                bench.now += 30.0;
+                sends[to.0 as usize].push(harness.now - start);
+                harness.now += 30.0;
                 let report = LoadReport {
                     queue_length: waits,
                     ..LoadReport::default()
                 };
-                bench.reports(id, 0, to, report);
+                harness.answer_with_load(id, 0, to, report);
             }
         }
     }
@@ -139,7 +137,7 @@
 }
 
 #[test]
-fn hundreds_that_are_all_cold_serve_in_turns_and_fell_nobody() {
+fn hundreds_of_gateways_take_turns_at_a_cold_fleet_and_overload_no_server() {
     for (group, fleet, every, least) in [
         (300, 20, 10, 0.3),
         (300, 20, 1, 0.03),
@@ -184,16 +182,16 @@
 }
 
 #[test]
-fn what_hundreds_try_again_at_a_common_start_is_bounded_for_all_of_them() {
+fn retries_of_hundreds_of_gateways_at_a_common_start_are_bounded_for_all_of_them() {
     let mut again = 0;
     for me in 0..300 {
-        let mut bench = Bench::fresh(one_of(me, 300), 20);
+        let mut harness = Harness::fresh(one_of(me, 300), 20);
         for number in 0..5 {
-            let (id, mut actions) = request(&mut bench, number, 0, u64::from(number) + 1000, 1);
+            let (id, mut actions) = request(&mut harness, number, 0, u64::from(number) + 1000, 1);
             let mut attempt = 0;
-            while let Some(to) = sent(&actions) {
+            while let Some(to) = sent_to(&actions) {
                 again += u32::from(attempt > 0);
-                actions = bench.ends(id, attempt, to, Outcome::Reset);
+                actions = harness.end_attempt(id, attempt, to, Outcome::Reset);
                 attempt += 1;
             }
         }
@@ -203,15 +201,15 @@
 }
 
 #[test]
-fn ceiling_is_kept_by_a_set_that_hears_nothing_of_each_other_and_restarts() {
+fn a_rate_limit_holds_over_a_set_of_isolated_gateways_that_restart() {
     const SET: u32 = 10;
     let mut open = one_of(0, 120);
     open.plans[1].quota_rate = 1000.0;
     open.plans[1].quota_burst = 1000.0;
     let mut used = 0;
-    let mut gateways: Vec<Bench> = (0..SET)
+    let mut gateways: Vec<Harness> = (0..SET)
         .map(|me| {
-            Bench::fresh(
+            Harness::fresh(
                 Settings {
                     gateway_id: GatewayId(me),
                     ..open.clone()
@@ -221,8 +219,8 @@
         })
         .collect();
     let start = gateways[0].now;
-    for (round, bench) in (0..3).flat_map(|round| (0..SET as usize).map(move |k| (round, k))) {
-        let seen = &mut gateways[bench];
+    for (round, harness) in (0..3).flat_map(|round| (0..SET as usize).map(move |k| (round, k))) {
+        let seen = &mut gateways[harness];
         // The first lives are seen to start together; half of the gateways restart later.
         if round == 0 {
             (20..30).for_each(|from| {
@@ -231,10 +229,10 @@
                     bytes: hello(start as u32),
                 }));
             });
-        } else if round == 1 && bench % 2 == 0 {
-            *seen = seen.reborn(
+        } else if round == 1 && harness % 2 == 0 {
+            *seen = seen.restarted(
                 Settings {
-                    gateway_id: GatewayId(bench as u32),
+                    gateway_id: GatewayId(harness as u32),
                     ..open.clone()
                 },
                 12,
@@ -248,12 +246,12 @@
         }
         for k in 0..40 {
             let (id, actions) = request(seen, 100 * round + k, 1, 7, SET);
-            if let Some(to) = sent(&actions) {
+            if let Some(to) = sent_to(&actions) {
                 used += 1;
-                seen.ends(id, 0, to, Outcome::Ok);
+                seen.end_attempt(id, 0, to, Outcome::Ok);
             }
         }
-        seen.pass(3_000.0);
+        seen.advance(3_000.0);
     }
     // Rate 20 and burst 40 for all: 40 at the start and 20 a second for six seconds.
     assert!(used <= 40 + 20 * 6, "{used} let in");
@@ -264,9 +262,11 @@
 }
 
 #[test]
-fn a_customer_of_a_large_set_is_let_in_at_once_although_its_split_burst_holds_less_than_one() {
-    let keeps_none = (0..100).map(|me| Bench::fresh(one_of(me, 120), 12));
-    let let_in = keeps_none.map(|mut bench| sent(&request(&mut bench, 1, 0, 5, 100).1).is_some());
+fn a_customer_of_a_large_set_is_admitted_at_once_although_its_split_burst_holds_less_than_one_unit()
+{
+    let keeps_none = (0..100).map(|me| Harness::fresh(one_of(me, 120), 12));
+    let let_in =
+        keeps_none.map(|mut harness| sent_to(&request(&mut harness, 1, 0, 5, 100).1).is_some());
     assert!(
         let_in.filter(|sent| *sent).count() >= 98,
         "all but the keepers, whose store is split"
@@ -274,8 +274,8 @@
 }
 
 /// The gateways of a set of 100 that keep customer 5: they advise once it asks for too much.
-fn keepers() -> Vec<u32> {
-    let mut bench = Bench::fresh(one_of(110, 120), 12);
+fn owners() -> Vec<u32> {
+    let mut harness = Harness::fresh(one_of(110, 120), 12);
     let entry = |n| gossip::Entry::Count {
         customer: 5,
         plan: 0,
@@ -285,16 +285,16 @@
         requested: n,
     };
     let advises = |me: u32| {
-        let mut bench = Bench::fresh(one_of(me, 120), 12);
-        let mut writer = gossip::Writer::new(bench.now as u32, 0.0, 0.0);
+        let mut harness = Harness::fresh(one_of(me, 120), 12);
+        let mut writer = gossip::Writer::new(harness.now as u32, 0.0, 0.0);
         assert!(writer.push(entry(400.0)));
-        bench.handle(Event::PeerMessage {
+        harness.handle(Event::PeerMessage {
             from: GatewayId(119),
             bytes: writer.finish(),
         });
-        advised(&bench.pass(1000.0)) > 0
+        advised(&harness.advance(1000.0)) > 0
     };
-    assert_eq!(advised(&bench.pass(100.0)), 0);
+    assert_eq!(advised(&harness.advance(100.0)), 0);
     (0..100).filter(|me| advises(*me)).collect()
 }
 
@@ -310,13 +310,13 @@
 }
 
 #[test]
-fn two_keepers_tell_a_large_set_and_within_the_intake() {
-    let keepers = keepers();
+fn two_owners_advise_a_large_set_within_what_peers_can_receive() {
+    let keepers = owners();
     assert_eq!(keepers.len(), 2, "{keepers:?}");
-    let mut bench = Bench::fresh(one_of(keepers[0], 120), 12);
+    let mut harness = Harness::fresh(one_of(keepers[0], 120), 12);
     let mut told = 0;
     for second in 1..=10 {
-        let mut writer = gossip::Writer::new(bench.now as u32, 0.0, 0.0);
+        let mut writer = gossip::Writer::new(harness.now as u32, 0.0, 0.0);
         let (units, asked) = (10.0, 100.0);
         assert!(writer.push(gossip::Entry::Count {
             customer: 5,
@@ -326,11 +326,11 @@
             units,
             requested: asked
         }));
-        bench.handle(Event::PeerMessage {
+        harness.handle(Event::PeerMessage {
             from: GatewayId(119),
             bytes: writer.finish(),
         });
-        let actions = bench.pass(1000.0);
+        let actions = harness.advance(1000.0);
         told += actions
             .iter()
             .filter(|action| matches!(action, Action::SendToPeer { .. }))
@@ -344,29 +344,29 @@
 }
 
 #[test]
-fn advice_refuses_by_chance_and_repeating_at_once_buys_no_more_than_the_rate() {
-    let mut bench = Bench::fresh(one_of(keepers()[0], 120), 12);
-    let start = bench.now;
+fn advice_rejects_by_chance_and_retrying_at_once_gains_no_more_than_the_rate() {
+    let mut harness = Harness::fresh(one_of(owners()[0], 120), 12);
+    let start = harness.now;
     let mut let_in = 0;
     for number in 0..6_000 {
-        bench.now += 5.0;
+        harness.now += 5.0;
         if number % 20 == 0 {
-            bench.handle(Event::Timer { token: 0 });
+            harness.handle(Event::Timer { token: 0 });
         }
-        let (id, actions) = request(&mut bench, number, 0, 5, 100);
-        if let Some(to) = sent(&actions) {
+        let (id, actions) = request(&mut harness, number, 0, 5, 100);
+        if let Some(to) = sent_to(&actions) {
             let_in += 1;
-            bench.ends(id, 0, to, Outcome::Ok);
+            harness.end_attempt(id, 0, to, Outcome::Ok);
         }
     }
-    let seconds = (bench.now - start) / 1000.0;
+    let seconds = (harness.now - start) / 1000.0;
     let rate = f64::from(let_in) / seconds;
     assert!(
         (7.0..13.0).contains(&rate),
         "200 tries a second, {rate} of 10 let in"
     );
 
-    let mut member = Bench::fresh(one_of(105, 120), 12);
+    let mut member = Harness::fresh(one_of(105, 120), 12);
     let mut writer = gossip::Writer::new(member.now as u32, 0.0, 0.0);
     assert!(writer.push(gossip::Entry::Advice {
         customer: 9,
@@ -384,8 +384,8 @@
             bytes: hello(1_000_000),
         });
         let (id, actions) = request(&mut member, *number, 0, 9, 110);
-        sent(&actions)
-            .inspect(|to| drop(member.ends(id, 0, *to, Outcome::Ok)))
+        sent_to(&actions)
+            .inspect(|to| drop(member.end_attempt(id, 0, *to, Outcome::Ok)))
             .is_some()
     });
     let early = tries.take_while(|number| *number < 150).count();
@@ -396,21 +396,21 @@
 }
 
 #[test]
-fn an_own_gap_is_no_fault_of_servers_and_no_load() {
-    let mut bench = Bench::fresh(one_of(0, 120), 12);
-    bench.serve_for(20.0, 3_000.0);
+fn a_pause_of_the_gateway_is_no_failure_of_servers_and_no_load() {
+    let mut harness = Harness::fresh(one_of(0, 120), 12);
+    harness.serve_for(20.0, 3_000.0);
     let out: Vec<_> = (0..8)
-        .map(|n| request(&mut bench, n, 0, 100 + u64::from(n), 1))
+        .map(|n| request(&mut harness, n, 0, 100 + u64::from(n), 1))
         .collect();
     // No turn for two seconds, then all outcomes at once: time-outs of what was sent before.
-    bench.now += 2_000.0;
-    bench.handle(Event::Timer { token: 0 });
+    harness.now += 2_000.0;
+    harness.handle(Event::Timer { token: 0 });
     let servers: Vec<ServerId> = out
         .iter()
-        .filter_map(|(_, actions)| sent(actions))
+        .filter_map(|(_, actions)| sent_to(actions))
         .collect();
     for ((id, _), to) in out.iter().zip(&servers) {
-        let actions = bench.handle(Event::AttemptEnded(AttemptResult {
+        let actions = harness.handle(Event::AttemptEnded(AttemptResult {
             request: *id,
             attempt: 0,
             server: *to,
@@ -430,61 +430,61 @@
         );
     }
     let refused =
-        (0..20).filter(|n| refused(&request(&mut bench, 100 + n, 0, 900 + u64::from(*n), 1).1));
+        (0..20).filter(|n| rejected(&request(&mut harness, 100 + n, 0, 900 + u64::from(*n), 1).1));
     assert_eq!(refused.count(), 0);
 }
 
 #[test]
-fn one_attempt_out_is_no_congestion_where_the_mean_gateway_has_few() {
-    let mut bench = Bench::fresh(one_of(0, 120), 24);
-    let peer = |bench: &mut Bench, out: f64| {
+fn one_attempt_in_flight_is_no_congestion_where_the_mean_gateway_has_few() {
+    let mut harness = Harness::fresh(one_of(0, 120), 24);
+    let peer = |harness: &mut Harness, out: f64| {
         for from in 1..60 {
             let bytes = gossip::Writer::new(1_000_000, out, 5.0).finish();
-            bench.handle(Event::PeerMessage {
+            harness.handle(Event::PeerMessage {
                 from: GatewayId(from),
                 bytes,
             });
         }
-        bench.handle(Event::Timer { token: 0 });
+        harness.handle(Event::Timer { token: 0 });
     };
-    let turns_away = |bench: &mut Bench, first: u32| {
+    let turns_away = |harness: &mut Harness, first: u32| {
         (0..60)
             .filter(|n| {
-                let (id, actions) = request(bench, first + n, 0, u64::from(first + n), 1);
-                sent(&actions)
-                    .inspect(|to| drop(bench.ends(id, 0, *to, Outcome::Ok)))
+                let (id, actions) = request(harness, first + n, 0, u64::from(first + n), 1);
+                sent_to(&actions)
+                    .inspect(|to| drop(harness.end_attempt(id, 0, *to, Outcome::Ok)))
                     .is_none()
             })
             .count()
     };
-    bench.now += 100.0;
-    peer(&mut bench, 0.3);
+    harness.now += 100.0;
+    peer(&mut harness, 0.3);
     assert_eq!(
-        turns_away(&mut bench, 0),
+        turns_away(&mut harness, 0),
         0,
         "own single attempts are noise"
     );
-    peer(&mut bench, 9.0);
+    peer(&mut harness, 9.0);
     assert!(
-        turns_away(&mut bench, 1_000) > 30,
+        turns_away(&mut harness, 1_000) > 30,
         "peers hold far more than the onset"
     );
 }
 
 #[test]
-fn a_gateway_that_hears_no_peer_does_not_take_a_few_attempts_for_noise() {
+fn an_isolated_gateway_does_not_take_a_few_attempts_for_noise() {
     // Recorded day i4b1b07: with all messages lost, three attempts each of 120 gateways were 15 a server.
-    let mut bench = Bench::fresh(one_of(0, 120), 24);
-    bench.serve_for(2.0, 10_000.0);
+    let mut harness = Harness::fresh(one_of(0, 120), 24);
+    harness.serve_for(2.0, 10_000.0);
     let out: Vec<_> = (0..4)
-        .map(|n| request(&mut bench, n, 0, 100 + u64::from(n), 1))
+        .map(|n| request(&mut harness, n, 0, 100 + u64::from(n), 1))
         .collect();
-    bench.pass(2_000.0);
+    harness.advance(2_000.0);
     for (id, actions) in &out[..2] {
-        bench.ends(*id, 0, sent(actions).expect("sent"), Outcome::Timeout);
+        harness.end_attempt(*id, 0, sent_to(actions).expect("sent"), Outcome::Timeout);
     }
     let tries =
-        (0..200).filter(|n| refused(&request(&mut bench, 100 + n, 0, 900 + u64::from(*n), 1).1));
+        (0..200).filter(|n| rejected(&request(&mut harness, 100 + n, 0, 900 + u64::from(*n), 1).1));
     assert!(
         tries.count() > 20,
         "two or more out for long at two answers a second is congestion"
@@ -493,10 +493,10 @@
 
 #[test]
 fn abandoned_attempts_are_cancelled() {
-    let mut bench = Bench::new(settings(), 6);
-    let (id, actions) = request(&mut bench, 1, 0, 5, 1);
-    assert!(sent(&actions).is_some());
-    let after = bench.handle(Event::Abandoned { request: id });
+    let mut harness = Harness::new(settings(), 6);
+    let (id, actions) = request(&mut harness, 1, 0, 5, 1);
+    assert!(sent_to(&actions).is_some());
+    let after = harness.handle(Event::Abandoned { request: id });
     assert_eq!(
         after,
         vec![Action::Cancel {
@@ -504,12 +504,12 @@
             attempt: 0
         }]
     );
-    assert!(bench.handle(Event::Abandoned { request: id }).is_empty());
+    assert!(harness.handle(Event::Abandoned { request: id }).is_empty());
 }
 
 #[test]
 fn odd_messages_in_a_large_group_change_nothing() {
-    let mut bench = Bench::fresh(one_of(0, 120), 12);
+    let mut harness = Harness::fresh(one_of(0, 120), 12);
     for (plan, size, first) in [(99, 10, 0), (0, u32::MAX >> 2, 500), (1, 0, 7)] {
         let mut writer = gossip::Writer::new(5, f64::MAX, f64::MAX);
         writer.push(gossip::Entry::Count {
@@ -521,34 +521,34 @@
             requested: 1e30,
         });
         let mut bytes = writer.finish();
-        bench.handle(Event::PeerMessage {
+        harness.handle(Event::PeerMessage {
             from: GatewayId(3),
             bytes: bytes.clone(),
         });
         bytes.truncate(bytes.len() - 1);
-        bench.handle(Event::PeerMessage {
+        harness.handle(Event::PeerMessage {
             from: GatewayId(3),
             bytes,
         });
     }
-    bench.handle(Event::PeerMessage {
+    harness.handle(Event::PeerMessage {
         from: GatewayId(0),
         bytes: hello(1),
     });
-    bench.handle(Event::PeerMessage {
+    harness.handle(Event::PeerMessage {
         from: GatewayId(4000),
         bytes: hello(1),
     });
-    bench.pass(1000.0);
-    assert!(sent(&request(&mut bench, 1, 0, 77, 100).1).is_some());
+    harness.advance(1000.0);
+    assert!(sent_to(&request(&mut harness, 1, 0, 77, 100).1).is_some());
 }
 
 /// What a keeper of customer 5 advises once it was told these counts, cumulative units and asked for each.
 fn advice_after(counts: &[(f64, f64)]) -> Vec<gossip::Entry> {
-    let mut bench = Bench::fresh(one_of(keepers()[0], 120), 12);
-    let life = bench.now as u32;
-    bench.pass(3_000.0);
-    bench.handle(Event::PeerMessage {
+    let mut harness = Harness::fresh(one_of(owners()[0], 120), 12);
+    let life = harness.now as u32;
+    harness.advance(3_000.0);
+    harness.handle(Event::PeerMessage {
         from: GatewayId(119),
         bytes: hello(life),
     });
@@ -562,14 +562,14 @@
             units: *units,
             requested: *asked
         }));
-        bench.handle(Event::PeerMessage {
+        harness.handle(Event::PeerMessage {
             from: GatewayId(119),
             bytes: writer.finish(),
         });
-        bench.now += 10.0;
+        harness.now += 10.0;
     }
-    bench.now = bench.now.ceil() + 100.0 - 10.0 * counts.len() as f64;
-    let actions = bench.handle(Event::Timer { token: 0 });
+    harness.now = harness.now.ceil() + 100.0 - 10.0 * counts.len() as f64;
+    let actions = harness.handle(Event::Timer { token: 0 });
     let told = actions.iter().filter_map(|action| match action {
         Action::SendToPeer { bytes, .. } => gossip::read(bytes),
         _ => None,
@@ -582,7 +582,7 @@
 
 /// Where one message in five is lost, counts that each stand for themselves let customers have a fifth too much.
 #[test]
-fn what_a_keeper_was_not_told_comes_with_the_next_count() {
+fn what_a_lost_message_announced_comes_with_the_next_count() {
     let whole = advice_after(&[(3.0, 50.0), (6.0, 0.0), (9.0, 50.0)]);
     let healed = advice_after(&[(3.0, 50.0), (9.0, 50.0)]);
     assert!(!whole.is_empty(), "it asks for far more than its rate");
@@ -590,17 +590,17 @@
 }
 
 #[test]
-fn members_of_a_large_set_tell_all_that_they_let_in_so_far() {
-    let keepers = keepers();
+fn gateways_of_a_large_set_announce_all_that_they_admitted_so_far() {
+    let keepers = owners();
     let member = (0..100)
         .find(|me| !keepers.contains(me))
         .expect("most keep nothing");
-    let mut bench = Bench::fresh(one_of(member, 120), 12);
+    let mut harness = Harness::fresh(one_of(member, 120), 12);
     let mut told = Vec::new();
     for number in 0..3 {
-        let (id, actions) = request(&mut bench, number, 0, 5, 100);
-        bench.ends(id, 0, sent(&actions).expect("let in"), Outcome::Ok);
-        for action in bench.pass(1_000.0) {
+        let (id, actions) = request(&mut harness, number, 0, 5, 100);
+        harness.end_attempt(id, 0, sent_to(&actions).expect("let in"), Outcome::Ok);
+        for action in harness.advance(1_000.0) {
             let Action::SendToPeer {
                 to: Some(GatewayId(to)),
                 bytes,
@@ -619,25 +619,25 @@
 }
 
 #[test]
-fn the_mean_aim_is_known_after_a_few_answers() {
+fn the_mean_latency_target_is_known_after_a_few_answers() {
     let mut settings = one_of(0, 120);
     settings.classes[1].latency_target = 5_000.0;
-    let mut bench = Bench::fresh(settings, 24);
+    let mut harness = Harness::fresh(settings, 24);
     // Three answers a second of the class that may take ten times as long as the first one.
     let mut answer = |number: u32, elapsed: Millis| {
-        let (id, actions) = bench.arrive(1, 0, 10_000 + u64::from(number));
-        let to = sent(&actions).expect("let in");
-        bench.pass(elapsed);
-        bench.ends(id, 0, to, Outcome::Ok);
+        let (id, actions) = harness.arrive(1, 0, 10_000 + u64::from(number));
+        let to = sent_to(&actions).expect("let in");
+        harness.advance(elapsed);
+        harness.end_attempt(id, 0, to, Outcome::Ok);
     };
     (0..15).for_each(|number| answer(number, 333.0));
     let out: Vec<_> = (0..4)
-        .map(|n| request(&mut bench, n, 0, 100 + u64::from(n), 1))
+        .map(|n| request(&mut harness, n, 0, 100 + u64::from(n), 1))
         .collect();
-    bench.pass(1_000.0);
-    bench.ends(out[0].0, 0, sent(&out[0].1).expect("sent"), Outcome::Ok);
+    harness.advance(1_000.0);
+    harness.end_attempt(out[0].0, 0, sent_to(&out[0].1).expect("sent"), Outcome::Ok);
     let tries =
-        (0..200).filter(|n| refused(&request(&mut bench, 100 + n, 0, 900 + u64::from(*n), 1).1));
+        (0..200).filter(|n| rejected(&request(&mut harness, 100 + n, 0, 900 + u64::from(*n), 1).1));
     assert_eq!(
         tries.count(),
         0,
--- /dev/null
+++ b/crates/emberpin-balancer/tests/quotas.rs
@@ -0,0 +1,237 @@
+//! Quotas and hard rate limits of customers, alone and over a set of gateways.
+#![allow(missing_docs, reason = "a test has no public interface")]
+
+mod common;
+use common::*;
+use emberpin_balancer::*;
+
+#[test]
+fn a_fresh_gateway_splits_an_unknown_customers_burst_over_its_set() {
+    let mut harness = Harness::fresh(settings(), 12);
+    assert_eq!(
+        admit(&mut harness, 0, 5, 30),
+        6,
+        "20 units over three gateways"
+    );
+}
+
+#[test]
+fn an_isolated_gateway_refills_quotas_at_its_share_of_the_rate() {
+    let mut harness = Harness::new(settings(), 12);
+    admit(&mut harness, 0, 5, 30);
+    harness.advance(3000.0);
+    let again = admit(&mut harness, 0, 5, 30);
+    assert!(
+        (9..=11).contains(&again),
+        "a third of 10 units a second refills, {again} let in"
+    );
+}
+
+/// Three gateways that hear nothing of each other, all asked for one customer without end.
+#[test]
+fn a_quota_holds_over_a_set_of_isolated_gateways() {
+    let mut set: Vec<Harness> = (0..3)
+        .map(|me| {
+            Harness::new(
+                Settings {
+                    gateway_id: GatewayId(me),
+                    ..settings()
+                },
+                12,
+            )
+        })
+        .collect();
+    for harness in &mut set {
+        admit(harness, 0, 5, 100);
+    }
+    let mut sent_on = 0;
+    for _ in 0..100 {
+        for harness in &mut set {
+            harness.advance(100.0);
+            sent_on += admit(harness, 0, 5, 100);
+        }
+    }
+    assert!(
+        (90..=105).contains(&sent_on),
+        "10 units a second for 10 s, {sent_on} were sent on"
+    );
+}
+
+/// Peers may start a moment later: a life's first moments are no silence.
+#[test]
+fn a_gateway_that_has_just_started_refills_quotas_at_the_rate() {
+    let mut harness = Harness::fresh(settings(), 12);
+    admit(&mut harness, 0, 5, 30);
+    harness.advance(1000.0);
+    let again = admit(&mut harness, 0, 5, 30);
+    assert!(
+        (9..=11).contains(&again),
+        "10 units a second refill, {again} let in"
+    );
+}
+
+/// What peers let in while they were not heard was held back here all the while: it is no debt.
+#[test]
+fn the_end_of_an_isolation_brings_no_debt_for_withheld_units() {
+    let mut harness = Harness::new(settings(), 12);
+    let life = harness.now as u32;
+    receive(&mut harness, 1, count_message(life, 5, 0.0));
+    harness.advance(2000.0);
+    admit(&mut harness, 0, 5, 30);
+    for _ in 0..60 {
+        harness.advance(100.0);
+        admit(&mut harness, 0, 5, 30);
+    }
+    // Two peers let in their parts of 6 s: 20 units each, of which 40 were held back here.
+    receive(&mut harness, 1, count_message(life, 5, 20.0));
+    harness.advance(500.0);
+    assert!(
+        admit(&mut harness, 0, 5, 30) >= 4,
+        "the rate goes on at once"
+    );
+    // What is told beyond what was held back is a debt as ever.
+    receive(&mut harness, 1, count_message(life, 5, 70.0));
+    harness.advance(500.0);
+    assert_eq!(admit(&mut harness, 0, 5, 30), 0);
+}
+
+/// What was held back pays for what is told soon after the silence, and for nothing later.
+#[test]
+fn withheld_units_are_forgotten_once_peers_have_caught_up() {
+    let mut harness = Harness::new(settings(), 12);
+    let life = harness.now as u32;
+    receive(&mut harness, 1, count_message(life, 5, 0.0));
+    harness.advance(2000.0);
+    for _ in 0..60 {
+        harness.advance(100.0);
+        admit(&mut harness, 0, 5, 30);
+    }
+    for _ in 0..15 {
+        receive(&mut harness, 1, count_message(life, 5, 0.0));
+        harness.advance(100.0);
+        admit(&mut harness, 0, 5, 30);
+    }
+    receive(&mut harness, 1, count_message(life, 5, 15.0));
+    harness.advance(1000.0);
+    assert_eq!(
+        admit(&mut harness, 0, 5, 30),
+        0,
+        "15 units at once take more than a second's fill"
+    );
+}
+
+#[test]
+fn units_that_a_peer_announces_are_taken_from_the_quota() {
+    let mut harness = Harness::new(settings(), 12);
+    let life = harness.now as u32;
+    admit(&mut harness, 0, 5, 1);
+    harness.advance(3000.0);
+    receive(&mut harness, 1, count_message(life, 5, 15.0));
+    assert_eq!(admit(&mut harness, 0, 5, 30), 5);
+}
+
+#[test]
+fn a_restarted_gateway_does_not_take_a_peers_whole_history() {
+    let mut harness = Harness::fresh(settings(), 12);
+    admit(&mut harness, 0, 5, 1);
+    receive(&mut harness, 1, count_message(1000, 5, 5000.0));
+    assert_eq!(
+        admit(&mut harness, 0, 5, 30),
+        5,
+        "its part of the burst stays"
+    );
+    harness.advance(1000.0);
+    receive(&mut harness, 1, count_message(1000, 5, 5004.0));
+    assert_eq!(
+        admit(&mut harness, 0, 5, 30),
+        6,
+        "10 refilled, 4 used by the peer"
+    );
+}
+
+#[test]
+fn a_gateway_alone_keeps_to_its_share_of_the_rate_limit() {
+    // Rate 20 and burst 40 over three gateways: 13.3 at once, 6.7 a second.
+    let mut open = settings();
+    open.plans[1].quota_rate = 1000.0;
+    open.plans[1].quota_burst = 1000.0;
+    let mut harness = Harness::new(open, 12);
+    assert_eq!(admit(&mut harness, 1, 5, 100), 13);
+    harness.advance(1000.0);
+    assert_eq!(
+        admit(&mut harness, 1, 5, 100),
+        7,
+        "a third of 20 a second, and what was left"
+    );
+}
+
+#[test]
+fn a_share_of_the_rate_limit_counts_as_spent_in_a_fresh_incarnation() {
+    let mut open = settings();
+    open.plans[1].quota_rate = 1000.0;
+    open.plans[1].quota_burst = 1000.0;
+    let mut harness = Harness::fresh(open, 12);
+    assert_eq!(admit(&mut harness, 1, 5, 100), 0);
+}
+
+#[test]
+fn units_that_peers_admit_at_the_same_time_become_a_debt() {
+    let mut harness = Harness::new(settings(), 12);
+    let life = harness.now as u32;
+    admit(&mut harness, 0, 5, 1);
+    harness.advance(6000.0);
+    receive(&mut harness, 1, count_message(life, 5, 0.0));
+    assert_eq!(admit(&mut harness, 0, 5, 30), 20);
+    receive(&mut harness, 1, count_message(life, 5, 10.0));
+    harness.advance(1000.0);
+    assert_eq!(
+        admit(&mut harness, 0, 5, 30),
+        0,
+        "one second's fill pays off what the peer let in meanwhile"
+    );
+}
+
+#[test]
+fn the_split_burst_is_complete_once_all_peers_show_a_common_start() {
+    for (age, expected) in [(0, 20), (30_000, 6)] {
+        let mut harness = Harness::fresh(settings(), 12);
+        let life = harness.now as u32 - age;
+        let first = admit(&mut harness, 0, 5, 1);
+        receive(&mut harness, 1, count_message(life, 9, 1.0));
+        assert!(
+            first == 1 && rejected(&harness.arrive_with(SAFE, 0, 5, 10.0, 3).1),
+            "one peer is unheard"
+        );
+        receive(&mut harness, 2, count_message(life, 9, 1.0));
+        assert_eq!(
+            first + admit(&mut harness, 0, 5, 30),
+            expected,
+            "peers {age} ms older"
+        );
+    }
+}
+
+#[test]
+fn paid_requests_beyond_the_quota_are_admitted_only_while_quiet() {
+    let mut paid = settings();
+    paid.plans[0].over_quota_value = 0.6;
+    let mut harness = Harness::new(paid.clone(), 12);
+    assert_eq!(
+        admit(&mut harness, 0, 5, 60),
+        60,
+        "pays more than it costs: let in while quiet"
+    );
+    let told = messages_to(&harness.advance(100.0), 1);
+    let entry = gossip::read(&told[0]).expect("readable").entries[0];
+    let gossip::Entry::Count { units, .. } = entry else {
+        panic!("a count")
+    };
+    assert!(units < 20.0, "and it takes nothing from the quota");
+
+    let mut harness = Harness::fresh(paid, 12);
+    fill_in_flight(&mut harness, 40);
+    let tries = (0..30)
+        .filter(|_| sent_to(&harness.arrive(SAFE, 0, 5).1).is_some())
+        .count();
+    assert_eq!(tries, 6, "40 of 62 out is not quiet: empty means refuse");
+}
--- a/crates/emberpin-balancer/tests/recorded.rs
+++ b/crates/emberpin-balancer/tests/recorded.rs
@@ -11,7 +11,6 @@
 use emberpin_balancer::*;
 use recording::{assert_recorded, hex, lines, Recorded};
 
-const SAFE: usize = 0;
 const WITH_CEILING: usize = 1;
 const CUSTOMER: u64 = 5;
 
@@ -112,7 +111,7 @@
     assert_eq!((encode(&datagrams()[0].1)[0], MAX_BYTES), (2, 256));
 }
 
-fn spent() -> Vec<(&'static str, Usage)> {
+fn usages() -> Vec<(&'static str, Usage)> {
     vec![
         (
             "units",
@@ -137,43 +136,43 @@
 }
 
 #[test]
-fn what_one_process_says_it_spent_is_read_and_written_as_it_was_recorded() {
+fn usage_shared_between_processes_is_read_and_written_as_it_was_recorded() {
     let encode = |spent: &Usage| postcard::to_allocvec(spent).expect("encoded");
-    assert_recorded("spent.txt", &spent(), encode, |bytes| {
+    assert_recorded("spent.txt", &usages(), encode, |bytes| {
         postcard::from_bytes(bytes).expect("spent")
     });
 }
 
 /// Lets in requests of a customer until it is refused; how many that were.
-fn spend_all(bench: &mut Bench, plan: usize) -> usize {
+fn use_up_quota(harness: &mut Harness, plan: usize) -> usize {
     let mut let_in = 0;
     for _ in 0..200 {
-        let (id, actions) = bench.arrive(SAFE, plan, CUSTOMER + plan as u64);
-        if let Some(server) = sent(&actions) {
+        let (id, actions) = harness.arrive(SAFE, plan, CUSTOMER + plan as u64);
+        if let Some(server) = sent_to(&actions) {
             let_in += 1;
-            bench.ends(id, 0, server, Outcome::Ok);
+            harness.end_attempt(id, 0, server, Outcome::Ok);
         }
     }
     let_in
 }
 
 /// A gateway with two customers that have spent all, and one server out of service by hand.
-fn worn() -> Bench {
-    let mut bench = Bench::new(settings(), 3);
-    assert!(spend_all(&mut bench, 0) > 0 && spend_all(&mut bench, WITH_CEILING) > 0);
-    bench.handle(Event::Maintenance {
+fn used_gateway() -> Harness {
+    let mut harness = Harness::new(settings(), 3);
+    assert!(use_up_quota(&mut harness, 0) > 0 && use_up_quota(&mut harness, WITH_CEILING) > 0);
+    harness.handle(Event::Maintenance {
         server: ServerId(2),
         out_of_service: true,
     });
-    bench
+    harness
 }
 
 fn write_handover() -> Vec<Recorded> {
-    let bench = worn();
+    let harness = used_gateway();
     let bytes = |handover: Handover| postcard::to_allocvec(&handover).expect("encoded");
-    let fresh = Bench::fresh(settings(), 2).gateway.to_handover();
+    let fresh = Harness::fresh(settings(), 2).gateway.to_handover();
     vec![
-        ("worn".into(), bytes(bench.gateway.to_handover())),
+        ("worn".into(), bytes(harness.gateway.to_handover())),
         ("fresh".into(), bytes(fresh)),
     ]
 }
@@ -202,7 +201,7 @@
 #[test]
 fn a_gateway_goes_on_where_the_recorded_handover_left_off() {
     let (handover, bytes) = recorded_handover("worn");
-    let mut next = Bench::fresh(settings(), 3);
+    let mut next = Harness::fresh(settings(), 3);
     next.now = 1_060_000.0;
     let listed = (0..3).map(server).collect();
     let (gateway, whole) = Gateway::from_handover(settings(), 9, next.now, handover, listed);
@@ -213,12 +212,12 @@
         "out of service by hand"
     );
     assert_eq!(
-        spend_all(&mut next, 0),
+        use_up_quota(&mut next, 0),
         0,
         "a store that is spent stays spent"
     );
     assert_eq!(
-        spend_all(&mut next, WITH_CEILING),
+        use_up_quota(&mut next, WITH_CEILING),
         0,
         "a ceiling that is spent stays spent"
     );
@@ -239,25 +238,25 @@
 
 /// A gateway whose last server of four answers no connection until it is ejected, named by the time of that.
 fn write_ejected() -> Vec<Recorded> {
-    let mut bench = Bench::new(settings(), 4);
-    bench.serve_for(100.0, 5_000.0);
-    while bench.gateway.ejected_count(bench.now) == 0 {
-        let (id, actions) = bench.arrive(SAFE, 0, bench.now as u64);
-        let at = sent(&actions).expect("there are others");
+    let mut harness = Harness::new(settings(), 4);
+    harness.serve_for(100.0, 5_000.0);
+    while harness.gateway.ejected_count(harness.now) == 0 {
+        let (id, actions) = harness.arrive(SAFE, 0, harness.now as u64);
+        let at = sent_to(&actions).expect("there are others");
         let outcome = if at == ServerId(3) {
             Outcome::ConnectFailed
         } else {
             Outcome::Ok
         };
-        bench.ends_as(id, 0, at, outcome, true);
-        bench.now += 1.0;
+        harness.end_attempt_as(id, 0, at, outcome, true);
+        harness.now += 1.0;
     }
-    let bytes = postcard::to_allocvec(&bench.gateway.to_handover()).expect("encoded");
-    vec![(format!("{}", bench.now), bytes)]
+    let bytes = postcard::to_allocvec(&harness.gateway.to_handover()).expect("encoded");
+    vec![(format!("{}", harness.now), bytes)]
 }
 
 #[test]
-fn a_server_ejected_in_the_recorded_handover_rests_for_its_time() {
+fn a_server_ejected_in_the_recorded_handover_stays_ejected_for_its_time() {
     let (time, bytes) = lines("handover-ejected.txt", write_ejected).remove(0);
     let now: Millis = time.parse().expect("a time");
     let handover = postcard::from_bytes(&bytes).expect("a handover");
--- a/crates/emberpin-balancer/tests/rules.rs
+++ b/crates/emberpin-balancer/tests/rules.rs
@@ -106,7 +106,7 @@
 }
 
 struct World {
-    bench: Bench,
+    harness: Harness,
     settings: Settings,
     watched: BTreeMap<RequestId, Watched>,
     draining: BTreeMap<ServerId, ServerStatus>,
@@ -120,7 +120,7 @@
 
 impl World {
     fn check(&mut self, actions: &[Action]) -> Result<(), TestCaseError> {
-        let now = self.bench.now;
+        let now = self.harness.now;
         for action in actions {
             match action {
                 Action::Send {
@@ -227,9 +227,9 @@
                 remaining,
             } => {
                 let (id, actions) = self
-                    .bench
+                    .harness
                     .arrive_for(class, plan, customer, units, set, remaining);
-                let deadline = self.bench.now + remaining;
+                let deadline = self.harness.now + remaining;
                 self.watched.insert(
                     id,
                     Watched {
@@ -238,8 +238,8 @@
                         ..Watched::default()
                     },
                 );
-                if plan == 1 && sent(&actions).is_some() {
-                    let now = self.bench.now;
+                if plan == 1 && sent_to(&actions).is_some() {
+                    let now = self.harness.now;
                     let (rate, burst) = (20.0 / f64::from(set), 40.0 / f64::from(set));
                     let key = (customer, set);
                     let share = self.shares.entry(key).or_insert(Share {
@@ -273,9 +273,9 @@
                 self.served += u32::from(ended);
                 let was_closed = seen.closed;
                 seen.closed |= ended;
-                let actions = self
-                    .bench
-                    .ends_as(id, attempt, server, outcome, ended || was_closed);
+                let actions =
+                    self.harness
+                        .end_attempt_as(id, attempt, server, outcome, ended || was_closed);
                 self.check(&actions)?;
                 let seen = &self.watched[&id];
                 prop_assert!(seen.closed || seen.out.is_some(), "left without an answer");
@@ -285,17 +285,17 @@
                     return Ok(());
                 };
                 self.watched.get_mut(&id).expect("open").closed = true;
-                let actions = self.bench.handle(Event::Abandoned { request: id });
+                let actions = self.harness.handle(Event::Abandoned { request: id });
                 self.check(&actions)?;
             }
             Step::Wait { time } => {
                 // No attempt outlives its time-out by more than the batch that tells of it.
-                let actions = self.bench.pass(time);
+                let actions = self.harness.advance(time);
                 self.check(&actions)?;
                 let late: Vec<RequestId> = self
                     .watched
                     .iter()
-                    .filter(|(_, w)| w.out.is_some() && self.bench.now >= w.deadline)
+                    .filter(|(_, w)| w.out.is_some() && self.harness.now >= w.deadline)
                     .map(|(id, _)| *id)
                     .collect();
                 for id in late {
@@ -303,9 +303,9 @@
                     let server = seen.out.take().expect("out");
                     seen.ran.get_or_insert((seen.sent, server));
                     let (attempt, closed) = (seen.attempts - 1, seen.closed);
-                    let actions = self
-                        .bench
-                        .ends_as(id, attempt, server, Outcome::Timeout, closed);
+                    let actions =
+                        self.harness
+                            .end_attempt_as(id, attempt, server, Outcome::Timeout, closed);
                     self.check(&actions)?;
                     prop_assert!(self.watched[&id].closed, "no answer at the deadline");
                 }
@@ -316,9 +316,9 @@
                 customer,
                 units,
             } => {
-                let actions = self.bench.handle(Event::PeerMessage {
+                let actions = self.harness.handle(Event::PeerMessage {
                     from: GatewayId(from),
-                    bytes: counts(1_000_000 + life * 40_000, customer, units),
+                    bytes: count_message(1_000_000 + life * 40_000, customer, units),
                 });
                 self.check(&actions)?;
             }
@@ -334,7 +334,7 @@
                     ServerStatus::Draining,
                     ServerStatus::Removed,
                 ][condition];
-                line.started_at = started.then_some(self.bench.now);
+                line.started_at = started.then_some(self.harness.now);
                 if full {
                     self.draining.clear();
                     self.started.clear();
@@ -347,12 +347,12 @@
                 } else {
                     MembershipUpdate::Changes(vec![line])
                 };
-                let actions = self.bench.list(news);
+                let actions = self.harness.update_membership(news);
                 self.check(&actions)?;
             }
             Step::Restart => {
-                let next = self.bench.reborn(self.settings.clone(), 6);
-                self.bench = next;
+                let next = self.harness.restarted(self.settings.clone(), 6);
+                self.harness = next;
                 self.watched.clear();
                 self.started.clear();
                 self.served = 0;
@@ -367,7 +367,7 @@
 }
 
 #[test]
-fn any_sequence_of_events_keeps_the_rules_of_one_gateway() {
+fn any_sequence_of_events_keeps_the_invariants_of_one_gateway() {
     let config = Config {
         cases: 300,
         failure_persistence: None,
@@ -379,7 +379,7 @@
     let result = runner.run(&steps, |steps| {
         let settings = settings();
         let mut world = World {
-            bench: Bench::fresh(settings.clone(), 6),
+            harness: Harness::fresh(settings.clone(), 6),
             settings,
             watched: BTreeMap::new(),
             draining: (0..6)
