--- a/crates/emberpin-proxy/src/registry_sessions/mod.rs
+++ b/crates/emberpin-proxy/src/registry_sessions/mod.rs
@@ -3,23 +3,20 @@
 
 mod replication;
 mod session;
+mod shared;
 
 use crate::command::{Command, SessionId};
 use crate::random_seed::random_seed;
-use emberpin_membership::candidates::{Confirmation, RegistryCandidates};
-use emberpin_membership::clock::Timestamp;
-use emberpin_membership::ids::Incarnation;
-use emberpin_membership::lease::SessionLease;
 use emberpin_membership::timing::{PROXY_LEASE_DURATION, RECONNECT_BACKOFF};
-use emberpin_runtime::identity::ProcessIdentity;
 use emberpin_runtime::settings::Settings;
-use replication::ReplicationProgress;
+use session::Session;
+use shared::SharedState;
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, Ipv4Addr};
 use std::rc::Rc;
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
-use tokio::time::{sleep, Instant};
+use tokio::time::sleep;
 
 /// Concurrent sessions. With two, one registry may be in a minority of the core, or fail, and changes still arrive in
 /// time.
@@ -27,18 +24,9 @@
 /// A session that lasted for this many leases resets the backoff before the next one.
 const LEASES_OF_A_STABLE_SESSION: u32 = 2;
 
-/// State that all sessions of this process share.
+/// Keeps the sessions of this process established.
 pub struct RegistrySessions {
-    settings: RefCell<Settings>,
-    commands: mpsc::Sender<Command>,
-    /// Drawn at the start of the process; tells registries a restarted proxy from the one before.
-    incarnation: Incarnation,
-    process: ProcessIdentity,
-    /// Origin of the clock for leases and candidates.
-    started_at: Instant,
-    candidates: RefCell<RegistryCandidates>,
-    /// Kept across sessions, so that one with a known registry resumes where the last one ended.
-    progress: RefCell<ReplicationProgress>,
+    shared: SharedState,
     random: RefCell<oorandom::Rand32>,
     /// The settings file is to be read again before the next session.
     settings_stale: Cell<bool>,
@@ -47,15 +35,8 @@
 impl RegistrySessions {
     /// Starts the sessions. They are re-established for as long as the controller takes commands.
     pub fn start(settings: Settings, commands: mpsc::Sender<Command>) -> Rc<RegistrySessions> {
-        let incarnation = random_seed();
         let sessions = Rc::new(RegistrySessions {
-            settings: RefCell::new(settings),
-            commands,
-            incarnation: Incarnation(incarnation),
-            process: ProcessIdentity::new(incarnation),
-            started_at: Instant::now(),
-            candidates: RefCell::default(),
-            progress: RefCell::default(),
+            shared: SharedState::new(settings, commands, random_seed()),
             random: RefCell::new(oorandom::Rand32::new(random_seed())),
             settings_stale: Cell::new(false),
         });
@@ -81,11 +62,11 @@
                 continue;
             };
             last_registry = Some(registry);
-            let started = self.now();
+            let started = self.shared.now();
             if !self.run_session(session, registry).await {
                 return;
             }
-            if self.now() > started + LEASES_OF_A_STABLE_SESSION * PROXY_LEASE_DURATION {
+            if self.shared.now() > started + LEASES_OF_A_STABLE_SESSION * PROXY_LEASE_DURATION {
                 backoff = RECONNECT_BACKOFF.initial;
             }
             // The file may have changed without a SIGHUP, and a proxy without a session may need its new seeds.
@@ -97,19 +78,20 @@
     }
 
     /// Runs one session until it ends. Returns whether the controller still takes commands.
-    async fn run_session(&self, session: SessionId, registry: Ipv4Addr) -> bool {
-        let lease = RefCell::new(SessionLease::new(self.now()));
-        let error = self.session(session, registry, &lease).await;
-        let now = self.now();
-        let confirmation = confirmation(lease.borrow().is_confirmed(now));
-        self.candidates
+    async fn run_session(&self, id: SessionId, registry: Ipv4Addr) -> bool {
+        let session = Session::new(&self.shared, id, registry);
+        let error = session.run().await;
+        let now = self.shared.now();
+        let confirmation = session.confirmation(now);
+        self.shared
+            .candidates
             .borrow_mut()
-            .on_session_ended(now, session.0, confirmation);
-        let ended = Command::SessionEnded { session };
-        if self.commands.send(ended).await.is_err() {
+            .on_session_ended(now, id.0, confirmation);
+        let ended = Command::SessionEnded { session: id };
+        if self.shared.commands.send(ended).await.is_err() {
             return false;
         }
-        log::info!("registry session ended: session={session} registry={registry} error={error}");
+        log::info!("registry session ended: session={id} registry={registry} error={error}");
         true
     }
 
@@ -118,21 +100,22 @@
         if self.settings_stale.replace(false) {
             self.read_settings();
         }
-        let settings = self.settings.borrow();
+        let settings = self.shared.settings.borrow();
         let seeds = settings.seeds.iter().filter_map(|seed| match seed.ip() {
             IpAddr::V4(ip) => Some(ip),
             IpAddr::V6(_) => None,
         });
         let draw = u64::from(self.random.borrow_mut().rand_u32());
-        self.candidates
+        self.shared
+            .candidates
             .borrow_mut()
-            .choose(self.now(), session.0, seeds, last, draw)
+            .choose(self.shared.now(), session.0, seeds, last, draw)
     }
 
     /// Reads the settings file again. An unusable file leaves the settings as they were.
     fn read_settings(&self) {
         match Settings::from_env() {
-            Ok(settings) => *self.settings.borrow_mut() = settings,
+            Ok(settings) => *self.shared.settings.borrow_mut() = settings,
             Err(error) => {
                 log::warn!(
                     "could not reload the settings, keeping the previous ones: error={error}"
@@ -140,17 +123,4 @@
             }
         }
     }
-
-    /// Time since the start, on which leases and candidates run.
-    fn now(&self) -> Timestamp {
-        Timestamp::ZERO + self.started_at.elapsed()
-    }
-}
-
-fn confirmation(confirmed: bool) -> Confirmation {
-    if confirmed {
-        Confirmation::Confirmed
-    } else {
-        Confirmation::Unconfirmed
-    }
 }
--- a/crates/emberpin-proxy/src/registry_sessions/session.rs
+++ b/crates/emberpin-proxy/src/registry_sessions/session.rs
@@ -1,11 +1,13 @@
 //! One session with one registry: the handshake, keep-alives with the lease that they renew, and the updates received.
 
-use super::{confirmation, RegistrySessions};
+use super::shared::SharedState;
 use crate::command::{Command, SessionId};
+use emberpin_membership::candidates::Confirmation;
+use emberpin_membership::clock::Timestamp;
 use emberpin_membership::ids::Nonce;
 use emberpin_membership::instance::Instance;
 use emberpin_membership::lease::SessionLease;
-use emberpin_membership::session::{ConnectionRole, FromProxy, ToProxy};
+use emberpin_membership::session::{ConnectionRole, FromProxy, Revision, ToProxy};
 use emberpin_membership::timing::{CONNECT_TIMEOUT, KEEP_ALIVE_INTERVAL, LEASE_CHECK_INTERVAL};
 use emberpin_runtime::frames::{self, ConnectionError};
 use socket2::SockRef;
@@ -41,65 +43,74 @@
     ControllerEnded,
 }
 
-impl RegistrySessions {
-    /// Establishes a session and runs it until it ends; returns why.
-    pub(super) async fn session(
-        &self,
-        session: SessionId,
-        registry: Ipv4Addr,
-        lease: &RefCell<SessionLease>,
-    ) -> SessionError {
-        match self.establish_and_run(session, registry, lease).await {
+/// A session with one registry, from the connection to its end.
+pub(super) struct Session<'a> {
+    shared: &'a SharedState,
+    id: SessionId,
+    registry: Ipv4Addr,
+    lease: RefCell<SessionLease>,
+    /// Notified when the registry may have a further part of the snapshot.
+    fetch_snapshot_part: Notify,
+}
+
+impl Session<'_> {
+    pub(super) fn new(shared: &SharedState, id: SessionId, registry: Ipv4Addr) -> Session<'_> {
+        Session {
+            shared,
+            id,
+            registry,
+            lease: RefCell::new(SessionLease::new(shared.now())),
+            fetch_snapshot_part: Notify::new(),
+        }
+    }
+
+    /// Whether what the registry sent is recent enough to act on.
+    pub(super) fn confirmation(&self, now: Timestamp) -> Confirmation {
+        if self.lease.borrow().is_confirmed(now) {
+            Confirmation::Confirmed
+        } else {
+            Confirmation::Unconfirmed
+        }
+    }
+
+    /// Establishes the session and runs it until it ends; returns why.
+    pub(super) async fn run(&self) -> SessionError {
+        match self.establish_and_run().await {
             Err(error) => error,
         }
     }
 
-    async fn establish_and_run(
-        &self,
-        session: SessionId,
-        registry: Ipv4Addr,
-        lease: &RefCell<SessionLease>,
-    ) -> Result<Infallible, SessionError> {
+    async fn establish_and_run(&self) -> Result<Infallible, SessionError> {
         let (port, name, zone) = {
-            let settings = self.settings.borrow();
+            let settings = self.shared.settings.borrow();
             let (name, zone) = (settings.node_name.clone(), settings.zone.clone());
             (settings.registry_port(), name, zone)
         };
-        let stream = connect((registry, port)).await?;
-        let hello = self.hello(registry, name, zone).await?;
-        let resumed = self.progress.borrow().complete_revision(registry).is_some();
-        self.command(Command::SessionStarted { session, resumed })
-            .await?;
+        let stream = connect((self.registry, port)).await?;
+        let hello = self.hello(name, zone).await?;
+        let resumed = self.complete_revision().is_some();
+        self.command(Command::SessionStarted {
+            session: self.id,
+            resumed,
+        })
+        .await?;
         let (mut reader, mut writer) = stream.into_split();
-        let next_part_wanted = Notify::new();
-        *lease.borrow_mut() = SessionLease::new(self.now());
-        let sending = async {
-            self.process.send_preamble(&mut writer).await?;
-            frames::write(&mut writer, &ConnectionRole::Proxy).await?;
-            frames::write(&mut writer, &hello).await?;
-            self.send_requests(&mut writer, registry, lease, &next_part_wanted)
-                .await
-        };
+        *self.lease.borrow_mut() = SessionLease::new(self.shared.now());
         tokio::select! {
-            Err(error) = sending => Err(SessionError::Protocol(error)),
-            ended = self.receive(session, registry, &mut reader, lease, &next_part_wanted) => ended,
-            () = self.lease_expired(lease) => Err(SessionError::LeaseExpired),
+            Err(error) = self.send(&mut writer, &hello) => Err(SessionError::Protocol(error)),
+            ended = self.receive(&mut reader) => ended,
+            () = self.lease_expired() => Err(SessionError::LeaseExpired),
         }
     }
 
     /// The first message of a session: who this proxy is, what it knows, and where it resumes.
-    async fn hello(
-        &self,
-        registry: Ipv4Addr,
-        name: String,
-        zone: String,
-    ) -> Result<FromProxy, SessionError> {
+    async fn hello(&self, name: String, zone: String) -> Result<FromProxy, SessionError> {
         let instances = self.known_instances().await?;
         Ok(FromProxy::Hello {
-            incarnation: self.incarnation,
+            incarnation: self.shared.incarnation,
             name,
             zone,
-            resume_from: self.progress.borrow().resume_from(registry),
+            resume_from: self.shared.progress.borrow().resume_from(self.registry),
             instances,
         })
     }
@@ -111,94 +122,109 @@
     }
 
     async fn command(&self, command: Command) -> Result<(), SessionError> {
-        self.commands
+        self.shared
+            .commands
             .send(command)
             .await
             .map_err(|_| SessionError::ControllerEnded)
     }
 
-    /// Sends a keep-alive in each period, and asks for the next part of the snapshot whenever `next_part_wanted` is notified.
-    async fn send_requests(
+    /// The revision up to which this registry has sent everything.
+    fn complete_revision(&self) -> Option<Revision> {
+        let progress = self.shared.progress.borrow();
+        progress.complete_revision(self.registry)
+    }
+
+    /// Sends the handshake, then a keep-alive in each period, and asks for the next part of the snapshot whenever
+    /// `fetch_snapshot_part` is notified.
+    async fn send(
         &self,
         writer: &mut OwnedWriteHalf,
-        registry: Ipv4Addr,
-        lease: &RefCell<SessionLease>,
-        next_part_wanted: &Notify,
+        hello: &FromProxy,
     ) -> Result<Infallible, ConnectionError> {
+        self.shared.process.send_preamble(writer).await?;
+        frames::write(writer, &ConnectionRole::Proxy).await?;
+        frames::write(writer, hello).await?;
         let mut keep_alives = interval(KEEP_ALIVE_INTERVAL);
         keep_alives.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let request = tokio::select! {
-                _ = keep_alives.tick() => {
-                    let nonce = lease.borrow_mut().begin_query(self.now());
-                    let applied = self.progress.borrow().complete_revision(registry);
-                    FromProxy::KeepAlive { applied, nonce }
-                }
-                () = next_part_wanted.notified() => {
-                    let cursor = self.progress.borrow().snapshot_cursor(registry);
-                    match cursor {
-                        Some(after) => FromProxy::FetchSnapshotPart { after },
-                        None => continue,
-                    }
-                }
+                _ = keep_alives.tick() => self.keep_alive(),
+                () = self.fetch_snapshot_part.notified() => match self.next_snapshot_request() {
+                    Some(request) => request,
+                    None => continue,
+                },
             };
             frames::write(writer, &request).await?;
         }
     }
 
+    fn keep_alive(&self) -> FromProxy {
+        let nonce = self.lease.borrow_mut().begin_query(self.shared.now());
+        let applied = self.complete_revision();
+        FromProxy::KeepAlive { applied, nonce }
+    }
+
+    fn next_snapshot_request(&self) -> Option<FromProxy> {
+        let progress = self.shared.progress.borrow();
+        let after = progress.snapshot_cursor(self.registry)?;
+        Some(FromProxy::FetchSnapshotPart { after })
+    }
+
     /// Returns once what the registry sent is too old to act on.
-    async fn lease_expired(&self, lease: &RefCell<SessionLease>) {
-        while !lease.borrow().is_expired(self.now()) {
+    async fn lease_expired(&self) {
+        while !self.lease.borrow().is_expired(self.shared.now()) {
             sleep(LEASE_CHECK_INTERVAL).await;
         }
     }
 
     /// Receives messages and passes them on to the controller, until the connection ends.
-    async fn receive(
-        &self,
-        session: SessionId,
-        registry: Ipv4Addr,
-        reader: &mut OwnedReadHalf,
-        lease: &RefCell<SessionLease>,
-        next_part_wanted: &Notify,
-    ) -> Result<Infallible, SessionError> {
-        self.process.receive_preamble(reader).await?;
-        let mut first_update = true;
+    async fn receive(&self, reader: &mut OwnedReadHalf) -> Result<Infallible, SessionError> {
+        self.shared.process.receive_preamble(reader).await?;
+        let mut is_first_update = true;
         loop {
-            let message = self.read_message(registry, reader).await?;
-            if let ToProxy::Confirmation {
-                nonce,
-                age,
-                proxies,
-                registries,
-            } = message
-            {
-                if self.renew_lease(lease, nonce, age, registries) {
-                    self.command(Command::SessionConfirmed { session, proxies })
+            match self.read_message(reader).await? {
+                ToProxy::Confirmation {
+                    nonce,
+                    age,
+                    proxies,
+                    registries,
+                } => {
+                    let confirmation = self.renew_lease(nonce, age, registries);
+                    if confirmation == Confirmation::Confirmed {
+                        let session = self.id;
+                        self.command(Command::SessionConfirmed { session, proxies })
+                            .await?;
+                    }
+                }
+                update => {
+                    self.on_update(&update, is_first_update);
+                    is_first_update = false;
+                    let (session, message) = (self.id, update);
+                    self.command(Command::RegistryUpdate { session, message })
                         .await?;
                 }
-                continue;
-            }
-            self.progress.borrow_mut().advance(registry, &message);
-            let is_snapshot = !matches!(message, ToProxy::Changes { .. });
-            // The first changes of a resumed session may leave a snapshot that an earlier session did not finish.
-            if is_snapshot || std::mem::take(&mut first_update) {
-                lease.borrow_mut().on_snapshot_progress(self.now());
-                next_part_wanted.notify_one();
             }
-            first_update = false;
-            self.command(Command::RegistryUpdate { session, message })
-                .await?;
         }
     }
 
-    async fn read_message(
-        &self,
-        registry: Ipv4Addr,
-        reader: &mut OwnedReadHalf,
-    ) -> Result<ToProxy, ConnectionError> {
+    /// Records the progress that an update makes, and has the next part of the snapshot fetched.
+    fn on_update(&self, update: &ToProxy, is_first: bool) {
+        let mut progress = self.shared.progress.borrow_mut();
+        progress.advance(self.registry, update);
+        let is_snapshot = !matches!(update, ToProxy::Changes { .. });
+        // The first changes of a resumed session may leave a snapshot that an earlier session did not finish.
+        if is_snapshot || is_first {
+            let now = self.shared.now();
+            self.lease.borrow_mut().on_snapshot_progress(now);
+            self.fetch_snapshot_part.notify_one();
+        }
+    }
+
+    async fn read_message(&self, reader: &mut OwnedReadHalf) -> Result<ToProxy, ConnectionError> {
         let message = frames::read::<ToProxy>(reader).await;
         if let Err(ConnectionError::Malformed(error)) = &message {
+            let registry = self.registry;
             log::warn!("registry sent an unreadable message: registry={registry} error={error}");
         }
         message
@@ -207,17 +233,20 @@
     /// Takes the answer to a keep-alive. Returns whether it confirms that what the registry sent is recent.
     fn renew_lease(
         &self,
-        lease: &RefCell<SessionLease>,
         nonce: Nonce,
         age: Option<Duration>,
         registries: Vec<Ipv4Addr>,
-    ) -> bool {
-        lease.borrow_mut().on_answer(nonce, age);
-        let confirmed = age.is_some() && lease.borrow().is_confirmed(self.now());
-        self.candidates
+    ) -> Confirmation {
+        self.lease.borrow_mut().on_answer(nonce, age);
+        let confirmation = match age {
+            Some(_) => self.confirmation(self.shared.now()),
+            None => Confirmation::Unconfirmed,
+        };
+        self.shared
+            .candidates
             .borrow_mut()
-            .on_registries_named(registries, confirmation(confirmed));
-        confirmed
+            .on_registries_named(registries, confirmation);
+        confirmation
     }
 }
 
--- /dev/null
+++ b/crates/emberpin-proxy/src/registry_sessions/shared.rs
@@ -0,0 +1,49 @@
+//! State that all registry sessions of this process share.
+
+use super::replication::ReplicationProgress;
+use crate::command::Command;
+use emberpin_membership::candidates::RegistryCandidates;
+use emberpin_membership::clock::Timestamp;
+use emberpin_membership::ids::Incarnation;
+use emberpin_runtime::identity::ProcessIdentity;
+use emberpin_runtime::settings::Settings;
+use std::cell::RefCell;
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+
+/// Shared by sessions on one thread; no borrow of a cell may last across an `await`.
+pub(super) struct SharedState {
+    pub(super) settings: RefCell<Settings>,
+    pub(super) commands: mpsc::Sender<Command>,
+    /// Drawn at the start of the process; tells registries a restarted proxy from the one before.
+    pub(super) incarnation: Incarnation,
+    pub(super) process: ProcessIdentity,
+    /// Origin of the clock for leases and candidates.
+    started_at: Instant,
+    pub(super) candidates: RefCell<RegistryCandidates>,
+    /// Kept across sessions, so that one with a known registry resumes where the last one ended.
+    pub(super) progress: RefCell<ReplicationProgress>,
+}
+
+impl SharedState {
+    pub(super) fn new(
+        settings: Settings,
+        commands: mpsc::Sender<Command>,
+        incarnation: u64,
+    ) -> SharedState {
+        SharedState {
+            settings: RefCell::new(settings),
+            commands,
+            incarnation: Incarnation(incarnation),
+            process: ProcessIdentity::new(incarnation),
+            started_at: Instant::now(),
+            candidates: RefCell::default(),
+            progress: RefCell::default(),
+        }
+    }
+
+    /// Time since the start, on which leases and candidates run.
+    pub(super) fn now(&self) -> Timestamp {
+        Timestamp::ZERO + self.started_at.elapsed()
+    }
+}
