--- a/crates/emberpin-store/src/disk.rs
+++ b/crates/emberpin-store/src/disk.rs
@@ -74,7 +74,7 @@
         discard_incomplete_writes(&path, synced)?;
         let mut disk = Disk::open_keyspace(&path, sync_record)?;
         disk.check_identity(own_ip)?;
-        let kept = disk.read()?;
+        let state = disk.read()?;
         disk.check_completeness(synced)?;
         if synced.is_none() {
             let watermark = disk.watermark();
@@ -83,7 +83,7 @@
                 .map_err(FileOperation::WriteSyncRecord.failed_at(folder))?;
             keyspace::sync_folder(folder)?;
         }
-        Ok((disk, kept))
+        Ok((disk, state))
     }
 
     fn open_keyspace(path: &Path, sync_record: SyncRecord) -> Result<Disk, DiskError> {
@@ -313,7 +313,7 @@
     }
 }
 
-/// Cuts off a last batch that is incomplete or damaged, if it was never synced: no other store was told of it. `fjall`
+/// Cuts off a last batch that is incomplete or damaged, if it was never synced: no message depends on it. `fjall`
 /// would cut off everything behind damage, synced or not, so this comes before it opens the keyspace.
 fn discard_incomplete_writes(path: &Path, synced: Option<WriteNumber>) -> Result<(), DiskError> {
     let prefix = IntactPrefix::of_newest_journal(path)
--- a/crates/emberpin-store/src/disk/worker.rs
+++ b/crates/emberpin-store/src/disk/worker.rs
@@ -2,7 +2,7 @@
 //!
 //! The worker writes all batches that wait, syncs once for all of them (group commit), and reports the last token that
 //! is synced. After a failure it reopens the disk with a growing backoff, and checks that nothing that was synced is
-//! missing. Batches submitted before the event loop heard of the failure are dropped, as the replica drops the messages
+//! missing. Batches submitted before the event loop learned of the failure are dropped, as the replica drops the messages
 //! that wait for them.
 
 use super::usage::used_bytes;
@@ -28,7 +28,7 @@
 const IDLE_MEASURE_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Counts how often the disk failed. A batch of an earlier generation is dropped: it was submitted before the event
-/// loop heard of the last failure, and builds on writes that are lost.
+/// loop learned of the last failure, and builds on writes that are lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Generation(u64);
 
--- a/crates/emberpin-store/src/disk_monitor.rs
+++ b/crates/emberpin-store/src/disk_monitor.rs
@@ -21,7 +21,7 @@
     limit_bytes: u64,
     /// A write failed, and the disk was not reopened yet.
     has_failed: bool,
-    /// A batch did not fit into the queue, and the replica was told that the disk failed.
+    /// A batch did not fit into the queue, which counts as a failure of the disk for the replica.
     has_overflowed: bool,
 }
 
@@ -72,8 +72,8 @@
         is_drained
     }
 
-    /// Which writes the disk accepts. `replica_rejects` says whether the replica itself refuses to write, until its
-    /// whole state is synced again.
+    /// Which writes the disk accepts. `replica_rejects`: whether the replica itself does not write, until its complete
+    /// state is synced again.
     pub fn state(&mut self, replica_rejects: bool) -> DiskState {
         if self.has_overflowed || self.queue.is_stalled(Instant::now()) {
             DiskState::Stalled
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -12,7 +12,7 @@
 use crate::protocol::{DiskState, StoreReply, StoreRequest, ToStore};
 use crate::registry_sessions::RegistrySessions;
 use crate::signals::Signal;
-use crate::system_id::{self, SystemRecord};
+use crate::system_record::{self, SystemRecord};
 use emberpin_consensus::{Action, Call, EvacuationChange, Event, Message, Replica, Timestamp};
 use emberpin_runtime::frames;
 use emberpin_runtime::identity::ProcessIdentity;
@@ -30,7 +30,7 @@
 const STATUS_INTERVAL: Duration = Duration::from_millis(450);
 /// Links to other stores that are unused for this long are closed.
 const LINK_IDLE_INTERVAL: Duration = Duration::from_secs(10);
-/// Longest wait to be taken off the roster after SIGTERM.
+/// Longest wait to be removed from the roster after SIGTERM.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Shortest sleep of the event loop: the timers have a resolution of a millisecond.
 const MIN_SLEEP: Duration = Duration::from_millis(2);
@@ -54,7 +54,7 @@
     registries: RegistrySessions,
     identity: Arc<ProcessIdentity>,
     system: SystemRecord,
-    /// What subscribers were told last.
+    /// The health that was published last.
     health: Health,
     next_status_at: Instant,
     next_link_check_at: Instant,
@@ -121,7 +121,7 @@
         replica.min(status).min(leave).max(MIN_SLEEP)
     }
 
-    /// Whether the store was told to end and has nothing left to wait for.
+    /// Whether the store shuts down and has left the roster, or waited for that long enough.
     fn has_left(&self) -> bool {
         self.leave_deadline
             .is_some_and(|at| self.replica.has_left() || Instant::now() >= at)
@@ -147,7 +147,7 @@
         Ok(ControlFlow::Continue(()))
     }
 
-    /// Asks to be taken off the roster. A second SIGTERM ends the store at once.
+    /// Leaves the roster before the store ends. A second SIGTERM ends the store at once.
     fn on_terminate(&mut self) -> ControlFlow<()> {
         if self.leave_deadline.is_some() {
             return ControlFlow::Break(());
@@ -219,7 +219,7 @@
             .handle(self.replica_now(), Event::Call { call_id, call }, actions);
     }
 
-    /// Sends the whole configuration and the status, and all changes from now on.
+    /// Sends the complete configuration and the status, and all changes from now on.
     fn subscribe(&mut self, connection: ConnectionId) {
         let items = self.replica.state().follower_items().cloned().collect();
         self.registries.subscribe(connection);
@@ -384,5 +384,5 @@
 /// The system that the voters founded, if theirs is the first roster.
 fn founded_system(replica: &Replica) -> Option<SystemId> {
     let roster = replica.state().roster()?;
-    system_id::founded_by(roster.version, &replica.voters())
+    system_record::founded_by(roster.version, &replica.voters())
 }
--- a/crates/emberpin-store/src/lib.rs
+++ b/crates/emberpin-store/src/lib.rs
@@ -10,7 +10,7 @@
 //!                          → registry_sessions  → input, send_queue
 //!                          → disk_monitor       → disk
 //!                          → loop_event         → input, disk, signals
-//!                          → system_id
+//!                          → system_record
 //! ```
 #![forbid(unsafe_code)]
 
@@ -30,4 +30,4 @@
 mod signals;
 mod socket;
 mod startup;
-mod system_id;
+mod system_record;
--- a/crates/emberpin-store/src/protocol.rs
+++ b/crates/emberpin-store/src/protocol.rs
@@ -81,10 +81,10 @@
         id: RequestId,
         /// An HTTP status: 200, a 4xx that no retry changes, or 503 if the request may be retried.
         status: u16,
-        /// The HTTP body. For a 4xx, one line that names the place and the cause.
+        /// The HTTP body. For a 4xx, one line that names the field and the cause.
         body: String,
     },
-    /// Chosen items and tombstones, sent to subscribers. The first one after [`StoreRequest::Subscribe`] is the whole
+    /// Chosen items and tombstones, sent to subscribers. The first one after [`StoreRequest::Subscribe`] is the complete
     /// configuration; each later one is a change.
     Items {
         /// The items, in no particular order.
@@ -92,7 +92,8 @@
     },
     /// Health of the store, sent to subscribers when it changes and at least twice a second.
     Status {
-        /// Whether the store's items are no older than what a majority of the voters held a second ago.
+        /// Whether the store knows everything that a majority of the voters knew shortly ago; see
+        /// [`Replica::is_up_to_date`](emberpin_consensus::Replica::is_up_to_date).
         up_to_date: bool,
         /// Addresses of the machines whose stores vote.
         voters: Vec<Ipv4Addr>,
@@ -120,7 +121,7 @@
     Writable,
     /// Votes and items that other stores have chosen. Changes are rejected, so that room is left for these.
     NearlyFull,
-    /// None: a write failed. Votes and changes are rejected until the whole state is synced again.
+    /// None: a write failed. Votes and changes are rejected until the complete state is synced again.
     Full,
     /// None at the moment: the disk has not finished a batch for a second. Changes are rejected until it has.
     Stalled,
--- a/crates/emberpin-store/src/registry_sessions.rs
+++ b/crates/emberpin-store/src/registry_sessions.rs
@@ -20,7 +20,7 @@
 
 impl Session {
     /// Sends a reply; `false` if the registry does not read its replies, whose connection is then closed. It connects
-    /// again, subscribes, and receives the whole configuration.
+    /// again, subscribes, and receives the complete configuration.
     fn send(&self, reply: &StoreReply) -> bool {
         let sent = match frames::encode(reply) {
             Ok(frame) => self.replies.try_send(Arc::new(frame)).is_ok(),
--- a/crates/emberpin-store/src/startup.rs
+++ b/crates/emberpin-store/src/startup.rs
@@ -10,7 +10,7 @@
 use crate::loop_event::EventSources;
 use crate::peer_links::PeerLinks;
 use crate::signals::Signals;
-use crate::system_id::SystemRecord;
+use crate::system_record::SystemRecord;
 use emberpin_consensus::{Replica, ReplicaOptions, Timestamp};
 use emberpin_runtime::identity::ProcessIdentity;
 use emberpin_runtime::settings::Settings;
@@ -38,14 +38,14 @@
         .data_dir
         .clone()
         .ok_or(StoreError::MissingDataDir)?;
-    let (disk, kept) = Disk::open(&data_dir, settings.ip)?;
+    let (disk, state) = Disk::open(&data_dir, settings.ip)?;
     let listener = bind(SocketAddrV4::new(settings.ip, settings.store_port())).await?;
     let seed = draw_seed()?;
     let identity = Arc::new(ProcessIdentity::new(seed));
     let options = replica_options(settings, seed);
     let seeds = options.seeds.clone();
     let mut actions = Vec::new();
-    let replica = Replica::new(Timestamp::ZERO, options, kept, &mut actions);
+    let replica = Replica::new(Timestamp::ZERO, options, state, &mut actions);
     let system = SystemRecord::load(data_dir.clone(), identity.clone());
     let measurement = match settings.disk_mib {
         0 => UsageMeasurement::Off,
--- a/crates/emberpin-store/src/system_id.rs
+++ b/crates/emberpin-store/src/system_record.rs
@@ -1,10 +1,10 @@
-//! The number of the system that a store belongs to, a digest of the first roster.
+//! The id of the system that a store belongs to, a digest of the first roster.
 //!
 //! Founders compute it once a majority of them agrees on the roster; all others learn it from the machines that their
-//! settings name. It is kept in a file of the data folder. A process that does not know its number yet accepts all
-//! peers, and is accepted by all.
+//! settings name. It is saved in a file of the data folder. A process that does not know its id yet accepts all peers,
+//! and is accepted by all.
 //!
-//! The number tells systems with different founders apart, not two that the same addresses founded one after the other.
+//! The id tells systems with different founders apart, not two that the same addresses founded one after the other.
 
 use emberpin_config::Version;
 use emberpin_runtime::identity::ProcessIdentity;
@@ -23,7 +23,7 @@
 /// The version of the roster that founders begin with.
 const FIRST_ROSTER_VERSION: Version = Version(1);
 
-/// The number of the system that these voters founded; `None` if this version of the roster is a later one.
+/// The id of the system that these voters founded; `None` if this version of the roster is a later one.
 pub fn founded_by(roster_version: Version, voters: &[Ipv4Addr]) -> Option<SystemId> {
     if roster_version != FIRST_ROSTER_VERSION {
         return None;
@@ -32,16 +32,16 @@
     SystemId::new(xxh3_64(&bytes))
 }
 
-/// The system's number as the process knows it and as the data folder has it.
+/// The system's id as the process knows it and as the data folder has it.
 pub struct SystemRecord {
     folder: PathBuf,
     identity: Arc<ProcessIdentity>,
-    /// Whether the number is in the file, or on its way there.
+    /// Whether the id is in the file, or on its way there.
     is_saved: bool,
 }
 
 impl SystemRecord {
-    /// Reads the number from a data folder, if it is there, and has the process adopt it.
+    /// Reads the id from a data folder, if it is there, and has the process adopt it.
     pub fn load(folder: PathBuf, identity: Arc<ProcessIdentity>) -> SystemRecord {
         let system = read(&folder);
         if let Some(system) = system {
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Saves the number once the process knows it. If no peer has told it, it is the one of the system that this store
-    /// founded, if there is such a system.
+    /// Saves the id once the process knows it. If it was not learned from a peer, it is the id of the system that this
+    /// store founded, if there is such a system.
     pub fn update(&mut self, founded_system: impl FnOnce() -> Option<SystemId>) {
         if self.is_saved {
             return;
@@ -70,16 +70,14 @@
             let folder = self.folder.clone();
             tokio::task::spawn_blocking(move || {
                 if let Err(error) = save(&folder, system) {
-                    log::warn!(
-                        "number of the system cannot be saved: system={system} error={error}"
-                    );
+                    log::warn!("id of the system cannot be saved: system={system} error={error}");
                 }
             });
         }
     }
 }
 
-/// Reads the number from its file; `None` if there is none or it is malformed.
+/// Reads the id from its file; `None` if there is none or it is malformed.
 fn read(folder: &Path) -> Option<SystemId> {
     let path = folder.join(FILE_NAME);
     let text = fs::read_to_string(&path).ok()?;
@@ -88,14 +86,14 @@
         .and_then(SystemId::new);
     if system.is_none() {
         log::warn!(
-            "malformed number of the system ignored: file={}",
+            "malformed id of the system ignored: file={}",
             path.display()
         );
     }
     system
 }
 
-/// Writes the number to its file, which is complete or absent after a crash.
+/// Writes the id to its file, which is complete or absent after a crash.
 fn save(folder: &Path, system: SystemId) -> io::Result<()> {
     let incomplete = folder.join(INCOMPLETE_FILE_NAME);
     let mut file = File::create(&incomplete)?;
--- a/crates/emberpin-store/tests/recorded_disks.rs
+++ b/crates/emberpin-store/tests/recorded_disks.rs
@@ -1,5 +1,5 @@
 //! Disks recorded by the build of 2 December 2026 open with everything on them, and take further writes. The recordings
-//! in `fixtures/` are never made again: a build that cannot open one of them has lost what some store keeps.
+//! in `fixtures/` are never made again: a build that cannot open one of them loses the data of some store.
 //!
 //! What is missing of them, nothing at present, is recorded by
 //! `EMBERPIN_RECORD_DISK=1 cargo test -p emberpin-store --test recorded_disks recordings`
@@ -262,9 +262,9 @@
     for name in ["voter", "candidate"] {
         let folder = unpack(name);
         fs::remove_dir_all(folder.path().join("store")).expect("a folder");
-        let lost = Disk::open(folder.path(), OWNER).err();
+        let opened = Disk::open(folder.path(), OWNER).err();
         expect_that!(
-            lost,
+            opened,
             some(matches_pattern!(DiskError::DataLoss {
                 loss: matches_pattern!(DataLoss::Writes {
                     found: eq(&WriteNumber(0)),
--- a/crates/emberpin-store/tests/recordings/packed_folder.rs
+++ b/crates/emberpin-store/tests/recordings/packed_folder.rs
@@ -1,5 +1,5 @@
-//! A folder as one text, for fixtures: a line for each folder, for each file with its length, and for each part of
-//! a file, as hexadecimal digits or as a copy of bytes before it in the same file. What no line tells of is zero.
+//! A folder as one text, for fixtures. There is a line for each folder, for each file with its length, and for each
+//! range of a file: hexadecimal digits, or a copy of earlier bytes of the same file. Bytes without a line are zero.
 
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -7,12 +7,14 @@
 use std::io::Write as _;
 use std::path::{Path, PathBuf};
 
-/// The shortest copy, and the fewest zeros that are left out.
-const SHORTEST: usize = 24;
-/// The most bytes that a line spells out.
-const LINE: usize = 48;
+/// Least length of a copy, and of a range of zeros that is left out.
+const MIN_RANGE_BYTES: usize = 24;
+/// Most bytes of a line of digits.
+const MAX_LINE_BYTES: usize = 48;
+/// Most offsets of a range that later copies can begin at.
+const MAX_INDEXED_STARTS: usize = 1_000;
 
-/// All that is in a folder.
+/// The text of a folder and everything in it.
 pub fn pack(root: &Path) -> String {
     let mut text = String::new();
     for path in paths(root) {
@@ -25,7 +27,7 @@
         } else {
             let bytes = fs::read(&path).expect("a file");
             writeln!(text, "file {name} {}", bytes.len()).expect("a line");
-            pack_parts(&bytes, &mut text);
+            pack_file(&bytes, &mut text);
         }
     }
     text
@@ -39,24 +41,29 @@
         match (&fields[..], files.last_mut()) {
             (["folder", name], _) => fs::create_dir_all(root.join(name)).expect("a folder"),
             (["file", name, length], _) => files.push((root.join(name), vec![0; number(length)])),
-            (["copy", at, length, from], Some((_, bytes))) => {
-                // One after the other, as the copy may go on into itself.
-                (0..number(length))
-                    .for_each(|nth| bytes[number(at) + nth] = bytes[number(from) + nth]);
+            (["copy", offset, length, source], Some((_, bytes))) => {
+                copy_within(bytes, number(source), number(offset), number(length));
             }
-            (["part", at, spelled], Some((_, bytes))) => {
-                let spelled = digits(spelled);
-                bytes[number(at)..number(at) + spelled.len()].copy_from_slice(&spelled);
+            (["part", offset, text], Some((_, bytes))) => {
+                let (offset, part) = (number(offset), digits(text));
+                bytes[offset..offset + part.len()].copy_from_slice(&part);
             }
             _ => panic!("{line:?} is no line of a packed folder"),
         }
     }
-    files
-        .iter()
-        .for_each(|(path, bytes)| write_sparsely(path, bytes));
+    for (path, bytes) in &files {
+        write_sparsely(path, bytes);
+    }
+}
+
+/// Copies byte by byte, as the source may overlap with what the copy writes.
+fn copy_within(bytes: &mut [u8], source: usize, offset: usize, length: usize) {
+    for nth in 0..length {
+        bytes[offset + nth] = bytes[source + nth];
+    }
 }
 
-/// Takes no room for the zeros at the end, which `fjall` reserves.
+/// Allocates no blocks for the zeros at the end, which `fjall` reserves.
 fn write_sparsely(path: &Path, bytes: &[u8]) {
     let end = bytes
         .iter()
@@ -85,53 +92,68 @@
     here.into_iter().flat_map(with_its_own).collect()
 }
 
-fn pack_parts(bytes: &[u8], text: &mut String) {
-    let mut seen = HashMap::new();
-    let (mut at, mut untold) = (0, 0);
-    while at < bytes.len() {
-        let zeros = bytes[at..].iter().take_while(|byte| **byte == 0).count();
-        let copied = if zeros < SHORTEST {
-            copy_at(bytes, at, &seen)
-        } else {
-            None
+/// Writes the lines of a file's bytes.
+fn pack_file(bytes: &[u8], text: &mut String) {
+    let mut earlier = HashMap::new();
+    // Up to `written` the bytes are in the text; up to `offset` they are known to be neither zeros nor a copy.
+    let (mut offset, mut written) = (0, 0);
+    while offset < bytes.len() {
+        let zeros = bytes[offset..]
+            .iter()
+            .take_while(|byte| **byte == 0)
+            .count();
+        let skips_zeros = zeros >= MIN_RANGE_BYTES;
+        let copy = match skips_zeros {
+            true => None,
+            false => find_copy(bytes, offset, &earlier),
+        };
+        let skipped = match &copy {
+            Some(copy) => copy.length,
+            None if skips_zeros => zeros,
+            None => 0,
         };
-        let told = copied.map_or(if zeros < SHORTEST { 0 } else { zeros }, |(length, _)| {
-            length
-        });
-        if told > 0 {
-            pack_digits(&bytes[untold..at], untold, text);
-            untold = at + told;
+        if skipped > 0 {
+            write_digits(&bytes[written..offset], written, text);
+            written = offset + skipped;
         }
-        if let Some((length, from)) = copied {
-            writeln!(text, "copy {at} {length} {from}").expect("a line");
+        if let Some(Copy { length, source }) = copy {
+            writeln!(text, "copy {offset} {length} {source}").expect("a line");
         }
-        let next = at + told.max(1);
-        for start in (at..next).take(1_000) {
-            seen.extend(
+        let next = offset + skipped.max(1);
+        for start in (offset..next).take(MAX_INDEXED_STARTS) {
+            earlier.extend(
                 bytes
-                    .get(start..start + SHORTEST)
-                    .map(|start_bytes| (start_bytes, start)),
+                    .get(start..start + MIN_RANGE_BYTES)
+                    .map(|range| (range, start)),
             );
         }
-        at = next;
+        offset = next;
     }
-    pack_digits(&bytes[untold..], untold, text);
+    write_digits(&bytes[written..], written, text);
+}
+
+/// An earlier range that equals the bytes from some offset on.
+struct Copy {
+    length: usize,
+    source: usize,
 }
 
-/// How many of the bytes from here on were there before, and where.
-fn copy_at(bytes: &[u8], at: usize, seen: &HashMap<&[u8], usize>) -> Option<(usize, usize)> {
-    let from = *seen.get(bytes.get(at..at + SHORTEST)?)?;
-    let same = bytes[at..]
+fn find_copy(bytes: &[u8], offset: usize, earlier: &HashMap<&[u8], usize>) -> Option<Copy> {
+    let source = *earlier.get(bytes.get(offset..offset + MIN_RANGE_BYTES)?)?;
+    let equal = bytes[offset..]
         .iter()
-        .zip(&bytes[from..])
+        .zip(&bytes[source..])
         .take_while(|(here, there)| here == there);
-    Some((same.count(), from))
+    Some(Copy {
+        length: equal.count(),
+        source,
+    })
 }
 
-fn pack_digits(bytes: &[u8], from: usize, text: &mut String) {
-    for (nth, line) in bytes.chunks(LINE).enumerate() {
+fn write_digits(bytes: &[u8], offset: usize, text: &mut String) {
+    for (nth, line) in bytes.chunks(MAX_LINE_BYTES).enumerate() {
         let digits: String = line.iter().map(|byte| format!("{byte:02x}")).collect();
-        writeln!(text, "part {} {digits}", from + nth * LINE).expect("a line");
+        writeln!(text, "part {} {digits}", offset + nth * MAX_LINE_BYTES).expect("a line");
     }
 }
 
