--- a/crates/emberpin-config/src/checkpoint.rs
+++ b/crates/emberpin-config/src/checkpoint.rs
@@ -113,11 +113,7 @@
             self.max_history_version
         );
         for (key, version) in &self.live {
-            let kind = if key.kind == ItemKind::Service {
-                's'
-            } else {
-                'r'
-            };
+            let kind = key.kind.letter();
             let name = jzon::stringify(key.name.as_str());
             body.push_str(&format!("\n{kind} {version} {name}"));
         }
@@ -132,12 +128,9 @@
 /// The key and version of a live item, from its line.
 fn parse_live(line: &str) -> Option<(ItemKey, Version)> {
     let mut fields = line.splitn(3, ' ');
-    let kind = match fields.next()? {
-        "s" => ItemKind::Service,
-        "r" => ItemKind::Route,
-        _ => return None,
-    };
+    let kind = ItemKind::from_letter(fields.next()?)?;
     let version = fields.next()?.parse().ok()?;
     let name = decode_string(fields.next()?)?;
-    Some((ItemKey { kind, name }, version))
+    let key = ItemKey { kind, name };
+    key.is_removable().then_some((key, version))
 }
--- a/crates/emberpin-config/src/history.rs
+++ b/crates/emberpin-config/src/history.rs
@@ -47,20 +47,12 @@
         }
     }
 
-    /// The key of the history of an item: its kind as one letter, then its name.
+    /// The key of the history of an item: its kind as one letter, then its name. Only items whose versions calls choose
+    /// have a history: routes, services and limits.
     pub fn key(subject: &ItemKey) -> ItemKey {
-        let kind = match subject.kind {
-            ItemKind::Service => 's',
-            ItemKind::Route => 'r',
-            ItemKind::Limits => 'l',
-            // These have no history: calls do not choose their versions.
-            ItemKind::Roster | ItemKind::Evacuation | ItemKind::History | ItemKind::Checkpoint => {
-                '-'
-            }
-        };
         ItemKey {
             kind: ItemKind::History,
-            name: format!("{kind}{}", subject.name),
+            name: format!("{}{}", subject.kind.letter(), subject.name),
         }
     }
 
@@ -77,15 +69,9 @@
 
     /// Reads a history from its item. `None`, if it cannot be read: a build with another format wrote it.
     pub fn from_item(item: &Item) -> Option<History> {
-        let (kind, name) = item.key.name.split_at_checked(1)?;
-        let kind = match kind {
-            "s" => ItemKind::Service,
-            "r" => ItemKind::Route,
-            "l" => ItemKind::Limits,
-            _ => return None,
-        };
+        let (letter, name) = item.key.name.split_at_checked(1)?;
         let subject = ItemKey {
-            kind,
+            kind: ItemKind::from_letter(letter)?,
             name: name.to_owned(),
         };
         let mut fields = item.body.as_deref()?.split(' ');
--- a/crates/emberpin-config/src/item.rs
+++ b/crates/emberpin-config/src/item.rs
@@ -24,6 +24,31 @@
     Checkpoint,
 }
 
+impl ItemKind {
+    /// The letter by which histories and checkpoints name the kind. Stored, so it must not change. Kinds that neither
+    /// names share one.
+    pub(crate) fn letter(self) -> char {
+        match self {
+            ItemKind::Service => 's',
+            ItemKind::Route => 'r',
+            ItemKind::Limits => 'l',
+            ItemKind::Roster | ItemKind::Evacuation | ItemKind::History | ItemKind::Checkpoint => {
+                '-'
+            }
+        }
+    }
+
+    /// The kind that a letter names.
+    pub(crate) fn from_letter(letter: &str) -> Option<ItemKind> {
+        match letter {
+            "s" => Some(ItemKind::Service),
+            "r" => Some(ItemKind::Route),
+            "l" => Some(ItemKind::Limits),
+            _ => None,
+        }
+    }
+}
+
 /// What identifies an item.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ItemKey {
--- a/crates/emberpin-config/tests/validate.rs
+++ b/crates/emberpin-config/tests/validate.rs
@@ -19,7 +19,7 @@
     {
         match change.split_whitespace().collect::<Vec<_>>()[..] {
             ["svc", name, version] => {
-                services.push(service(name, version.parse().expect("a version")))
+                services.push(service(name, version.parse().expect("a version")));
             }
             ["svc", name, version, max_connections] => {
                 services.push(
