--- /dev/null
+++ b/crates/emberpin-consensus/src/error.rs
@@ -0,0 +1,52 @@
+//! Why calls are not acknowledged.
+
+use emberpin_config::ValidationError;
+
+/// Why a call is not acknowledged. Its text is the body of the reply.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub(crate) enum CallError {
+    /// The call is invalid, alone or on top of what is chosen: sent again, it is rejected again, unless something else
+    /// changes.
+    #[error(transparent)]
+    Invalid(ValidationError),
+    /// An item has another content than the one acknowledged with its version, or every item is superseded.
+    #[error(transparent)]
+    Conflict(ValidationError),
+    /// An item is so old that it is not known any more whether it was acknowledged.
+    #[error(transparent)]
+    Indeterminate(ValidationError),
+    /// The replica's disk takes no writes; another replica may take the call.
+    #[error("{reason}")]
+    DiskUnavailable {
+        /// Why, as the host states it.
+        reason: String,
+    },
+    /// More calls are queued than the replica takes.
+    #[error("too many calls wait")]
+    QueueFull,
+    /// The process was paused, and the call, an evacuation, may be outdated.
+    #[error("the store stood still")]
+    ProcessPaused,
+    /// An earlier proposal of the call may be chosen in part, so it must not be rejected for good.
+    #[error("send it again")]
+    Undecided,
+    /// No round succeeded before the call's deadline.
+    #[error("no majority of the stores answered in time")]
+    Timeout,
+}
+
+impl CallError {
+    /// The HTTP status of the reply. After a 503 the call may take effect or not, and can be sent again.
+    pub fn status(&self) -> u16 {
+        match self {
+            CallError::Invalid(_) => 400,
+            CallError::Conflict(_) => 409,
+            CallError::Indeterminate(_)
+            | CallError::DiskUnavailable { .. }
+            | CallError::QueueFull
+            | CallError::ProcessPaused
+            | CallError::Undecided
+            | CallError::Timeout => 503,
+        }
+    }
+}
--- a/crates/emberpin-consensus/src/event.rs
+++ b/crates/emberpin-consensus/src/event.rs
@@ -32,7 +32,7 @@
     Message {
         /// The sender's address.
         from: Ipv4Addr,
-        /// The message.
+        /// What it says.
         message: Message,
     },
     /// A write of [`Action::Persist`], and all before it, are synced to the disk.
--- a/crates/emberpin-consensus/src/guards.rs
+++ b/crates/emberpin-consensus/src/guards.rs
@@ -53,7 +53,7 @@
     pub restore_after_disk_failure: bool,
     /// A seed that starts for the first time asks the other seeds before it writes a first roster.
     pub bootstrap_agreement: bool,
-    /// A silent voter is evicted early when the others could not bear a further loss.
+    /// An unresponsive voter is evicted early when the others could not bear a further loss.
     pub evict_early_without_margin: bool,
 }
 
--- a/crates/emberpin-consensus/src/lib.rs
+++ b/crates/emberpin-consensus/src/lib.rs
@@ -21,6 +21,7 @@
 mod ballot;
 mod bootstrap;
 mod call;
+mod error;
 mod event;
 mod guards;
 mod hash;
@@ -36,7 +37,7 @@
 mod time;
 
 pub use ballot::{AcceptedProposal, Ballot};
-pub use bootstrap::BootstrapCandidate;
+pub use bootstrap::{BootstrapCandidate, BootstrapNonce};
 pub use call::{Call, CallId, EvacuationChange};
 pub use event::{Action, Event, ReplicaOptions};
 pub use guards::Guards;
--- a/crates/emberpin-consensus/src/message.rs
+++ b/crates/emberpin-consensus/src/message.rs
@@ -7,6 +7,7 @@
 //! The order of variants and of fields is the encoding on the wire.
 
 use crate::ballot::{AcceptedProposal, Ballot};
+use crate::bootstrap::BootstrapNonce;
 use crate::incarnation::{Incarnation, LatestIncarnations};
 use emberpin_config::{Item, ItemKey, Version};
 use serde::{Deserialize, Serialize};
@@ -152,7 +153,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BootstrapQuery {
     /// The sender's [`BootstrapCandidate::nonce`](crate::BootstrapCandidate::nonce).
-    pub query_nonce: u64,
+    pub query_nonce: BootstrapNonce,
 }
 
 /// Answers [`BootstrapQuery`]: the sender knows no roster. Once all seeds have said so, and most of them are
@@ -160,9 +161,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BootstrapReply {
     /// The nonce of the query.
-    pub query_nonce: u64,
+    pub query_nonce: BootstrapNonce,
     /// The sender's own nonce, if it is a candidate.
-    pub candidate_nonce: Option<u64>,
+    pub candidate_nonce: Option<BootstrapNonce>,
 }
 
 /// From the seed of the lowest address to all other seeds, once the first roster is on its disk. The receiver learns
@@ -170,7 +171,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FirstRoster {
     /// The nonce of the query that led to it.
-    pub query_nonce: u64,
+    pub query_nonce: BootstrapNonce,
     /// The first roster.
     pub roster: Item,
 }
--- a/crates/emberpin-consensus/src/replica.rs
+++ b/crates/emberpin-consensus/src/replica.rs
@@ -27,7 +27,7 @@
 use crate::state::{is_for_followers, State};
 use crate::storage::{PersistedState, WriteToken};
 use crate::task::Task;
-use crate::time::{whole_millis, Timestamp};
+use crate::time::{as_whole_millis, Timestamp};
 use bootstrap::Bootstrap;
 use comparison::{Comparisons, COMPARISON_VALIDITY};
 use disk_failure::DiskState;
@@ -59,7 +59,7 @@
     random: SplitMix64,
     /// [`Ballot::start_nonce`](crate::Ballot::start_nonce) of this process' ballots.
     start_nonce: u32,
-    /// The highest counter of any ballot that this replica has seen.
+    /// The highest counter of the ballots that this replica began or promised, or for which it was rejected.
     highest_counter: u64,
     started_at: Timestamp,
     /// The time of the event in progress.
@@ -272,6 +272,6 @@
 
     /// A random duration below the bound, in whole milliseconds.
     fn random_delay(&mut self, bound: Duration) -> Duration {
-        Duration::from_millis(self.random.below(whole_millis(bound)))
+        Duration::from_millis(self.random.below(as_whole_millis(bound)))
     }
 }
--- a/crates/emberpin-consensus/src/replica/bootstrap.rs
+++ b/crates/emberpin-consensus/src/replica/bootstrap.rs
@@ -10,7 +10,7 @@
 //! long as one of the seeds knows the roster, or most of them are not candidates.
 
 use super::{Action, Replica};
-use crate::bootstrap::BootstrapCandidate;
+use crate::bootstrap::{BootstrapCandidate, BootstrapNonce};
 use crate::message::{BootstrapQuery, BootstrapReply, Chosen, FirstRoster, Message};
 use crate::quorum::majority;
 use crate::roster::{first_roster_item, founder_nonce, roster_item, Founder};
@@ -28,13 +28,13 @@
 #[derive(Debug, Default)]
 pub(super) struct Bootstrap {
     /// At the initiator: the seeds that answered, with their nonces if they are candidates.
-    replies: BTreeMap<Ipv4Addr, Option<u64>>,
+    replies: BTreeMap<Ipv4Addr, Option<BootstrapNonce>>,
     /// At the initiator: when it sends its next queries.
     next_query_at: Timestamp,
     /// The write of this replica's nonce, until it is synced.
     unsynced_nonce: Option<WriteToken>,
     /// The nonce of the query that this replica answered last. A first roster of any other query is ignored.
-    answered_query: Option<u64>,
+    answered_query: Option<BootstrapNonce>,
 }
 
 impl Replica {
@@ -52,7 +52,7 @@
         if self.acceptor.bootstrap_candidate.is_some() || !seeds.contains(&self.options.address) {
             return;
         }
-        let nonce = self.random.below(u64::MAX).max(1);
+        let nonce = BootstrapNonce(self.random.below(u64::MAX).max(1));
         self.acceptor.bootstrap_candidate = Some(BootstrapCandidate { nonce, seeds });
         self.persist_metadata(actions);
         self.bootstrap.unsynced_nonce = Some(self.last_write);
@@ -107,7 +107,12 @@
         }
     }
 
-    fn write_first_roster(&mut self, nonce: u64, seeds: &[Ipv4Addr], actions: &mut Vec<Action>) {
+    fn write_first_roster(
+        &mut self,
+        nonce: BootstrapNonce,
+        seeds: &[Ipv4Addr],
+        actions: &mut Vec<Action>,
+    ) {
         let mut nonces = std::mem::take(&mut self.bootstrap.replies);
         nonces.insert(self.options.address, Some(nonce));
         if nonces.values().flatten().count() < majority(seeds) {
--- a/crates/emberpin-consensus/src/replica/comparison.rs
+++ b/crates/emberpin-consensus/src/replica/comparison.rs
@@ -1,6 +1,6 @@
 //! Comparison of states between replicas: up to which moment everything acknowledged is known here.
 //!
-//! A proposer may fail after it replied to its caller and before it told anybody that the items are chosen. A majority
+//! A proposer may fail after it replied to its caller and before it notified any replica that the items are chosen. A majority
 //! then holds the items as accepted, and nobody knows them to be chosen. So a replica answers a comparison with the
 //! versions that it has accepted and does not know to be chosen, and the comparison counts only once the replica that
 //! began it knows those versions, or newer ones, to be chosen.
--- a/crates/emberpin-consensus/src/replica/disk_failure.rs
+++ b/crates/emberpin-consensus/src/replica/disk_failure.rs
@@ -7,8 +7,10 @@
 //! the disk fails, no vote is given and no round begun meanwhile, and votes start again only after all of memory
 //! is synced.
 
+use super::calls::reply;
 use super::{Action, Replica};
 use crate::ballot::Ballot;
+use crate::error::CallError;
 use crate::message::{DiskUnavailable, Message};
 use crate::storage::WriteToken;
 use std::net::Ipv4Addr;
@@ -55,11 +57,9 @@
         self.end_round();
         let calls = self.tasks.drain(..);
         for call_id in calls.filter_map(|task| task.operation.call_id()) {
-            actions.push(Action::Reply {
-                call_id,
-                status: 503,
-                body: reason.clone(),
-            });
+            let reason = reason.clone();
+            let error = CallError::DiskUnavailable { reason };
+            actions.push(reply(call_id, Err(error)));
         }
         self.disk_state = DiskState::Unavailable { reason };
     }
--- a/crates/emberpin-consensus/src/replica/membership.rs
+++ b/crates/emberpin-consensus/src/replica/membership.rs
@@ -12,12 +12,12 @@
 /// A replica that is no voter is compared with as long as it was heard from within this time.
 const PEER_TIMEOUT: Duration = Duration::from_millis(6_000);
 /// How long a replica without a vote listens before it asks for one. It also asks for none while a voter has been
-/// silent for longer than this but not yet for [`REPLACEMENT_TIMEOUT`], as that voter may be about to return or not.
+/// unresponsive for longer than this but not yet for [`REPLACEMENT_TIMEOUT`], as that voter may return soon or never.
 const JOIN_DELAY: Duration = COMPARISON_INTERVAL.saturating_mul(3);
-/// A voter that was silent for this long is replaced by a replica that has no vote. Well below the `sync_time` that an
+/// A voter that was unresponsive for this long is replaced by a replica that has no vote. Well below the `sync_time` that an
 /// operator waits after the start of a new machine before another disk may be lost.
 const REPLACEMENT_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// A voter that was silent for this long is removed without a replacement, as long as the others can bear further
+/// A voter that was unresponsive for this long is removed without a replacement, as long as the others can bear further
 /// losses.
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(12_000);
 /// A roster is made no smaller than this.
@@ -90,7 +90,7 @@
         }
         let current = voters(roster);
         let wanted = if current.contains(&self.options.address) {
-            self.roster_without_gone_voter(&current)
+            Some(self.roster_without_unresponsive_voter(&current))
         } else {
             self.roster_with_this_replica(&current)
         };
@@ -114,11 +114,13 @@
             && self.is_up_to_date(self.now)
     }
 
-    /// The roster without the first voter that is gone, if there is one and the roster stays large enough.
-    fn roster_without_gone_voter(&self, current: &[Ipv4Addr]) -> Option<Vec<Ipv4Addr>> {
-        // Earlier, if the others are too few to bear a further loss: the silent voter may be gone for good.
-        let silent = |voter: &&Ipv4Addr| self.is_silent(**voter, REPLACEMENT_TIMEOUT);
-        let alive = current.len() - current.iter().filter(silent).count();
+    /// The roster without the first voter that has been unresponsive for too long, if there is one and the roster stays
+    /// large enough.
+    fn roster_without_unresponsive_voter(&self, current: &[Ipv4Addr]) -> Vec<Ipv4Addr> {
+        // Earlier, if the others are too few to bear a further loss: the voter may be gone for good.
+        let is_unresponsive =
+            |voter: &&Ipv4Addr| self.is_unresponsive(**voter, REPLACEMENT_TIMEOUT);
+        let alive = current.len() - current.iter().filter(is_unresponsive).count();
         let has_margin = alive >= majority(current) + self.options.tolerated_failures;
         let timeout = if has_margin || !self.guards().evict_early_without_margin {
             EVICTION_TIMEOUT
@@ -128,22 +130,23 @@
         let mut wanted = current.to_vec();
         let gone = current
             .iter()
-            .position(|voter| self.is_silent(*voter, timeout));
+            .position(|voter| self.is_unresponsive(*voter, timeout));
         if let Some(gone) = gone.filter(|_| current.len() > self.min_voters()) {
             wanted.remove(gone);
         }
-        Some(wanted)
+        wanted
     }
 
-    /// The roster with this replica, in place of silent voters where that leaves it large enough; `None`, as long as it
-    /// is too early to tell who is silent.
+    /// The roster with this replica, in place of unresponsive voters where that leaves it large enough; `None`, as long
+    /// as it is too early to tell which voters are.
     fn roster_with_this_replica(&self, current: &[Ipv4Addr]) -> Option<Vec<Ipv4Addr>> {
         let is_listening = self.now < self.started_at + JOIN_DELAY && !self.options.bootstrap;
         if is_listening && self.guards().listen_before_joining {
             return None;
         }
         let may_return = |voter: &Ipv4Addr| {
-            self.is_silent(*voter, JOIN_DELAY) && !self.is_silent(*voter, REPLACEMENT_TIMEOUT)
+            self.is_unresponsive(*voter, JOIN_DELAY)
+                && !self.is_unresponsive(*voter, REPLACEMENT_TIMEOUT)
         };
         if current.iter().any(may_return) {
             return None;
@@ -153,15 +156,16 @@
         let minority = current.len() - majority(current);
         let mut removable = minority.min(wanted.len().saturating_sub(self.min_voters()));
         wanted.retain(|voter| {
-            let is_removed = removable > 0 && self.is_silent(*voter, REPLACEMENT_TIMEOUT);
+            let is_removed = removable > 0 && self.is_unresponsive(*voter, REPLACEMENT_TIMEOUT);
             removable -= usize::from(is_removed);
             !is_removed
         });
         Some(wanted)
     }
 
-    /// Whether another replica was not heard from for this long, or, if it never was, not since this process started.
-    fn is_silent(&self, replica: Ipv4Addr, timeout: Duration) -> bool {
+    /// Whether no message of another replica has arrived for this long. Before its first message, the time counts from
+    /// the start of this process.
+    fn is_unresponsive(&self, replica: Ipv4Addr, timeout: Duration) -> bool {
         let last_message_at = self
             .peers
             .get(&replica)
--- a/crates/emberpin-consensus/src/replica/pacing.rs
+++ b/crates/emberpin-consensus/src/replica/pacing.rs
@@ -5,7 +5,7 @@
 //! answer arrives. Timeouts begin at [`BASE_ROUND_TIMEOUT`] and double with each round that failed, up to
 //! [`MAX_ROUND_TIMEOUT`], which is above the six syncs of [`MAX_SYNC_TIME`].
 
-use crate::time::{whole_millis, Timestamp};
+use crate::time::{as_whole_millis, Timestamp};
 use std::time::Duration;
 
 /// The longest sync at which rounds are sure to succeed.
@@ -65,7 +65,7 @@
     /// quarter.
     pub fn record_delay(&mut self, now: Timestamp, delay: Duration) {
         let phase = self.phase_millis(now);
-        let delay = whole_millis(delay.min(MAX_ROUND_TIMEOUT));
+        let delay = as_whole_millis(delay.min(MAX_ROUND_TIMEOUT));
         self.phase_millis = delay.max(phase - phase.div_ceil(4));
         self.measured_at = now;
     }
@@ -147,7 +147,7 @@
 
     fn phase_millis(&self, now: Timestamp) -> u64 {
         let age = now.saturating_since(self.measured_at);
-        let half_lives = whole_millis(age) / whole_millis(DELAY_HALF_LIFE);
+        let half_lives = as_whole_millis(age) / as_whole_millis(DELAY_HALF_LIFE);
         let shift = u32::try_from(half_lives).unwrap_or(u32::MAX);
         self.phase_millis.checked_shr(shift).unwrap_or(0)
     }
--- a/crates/emberpin-consensus/src/replica/proposal.rs
+++ b/crates/emberpin-consensus/src/replica/proposal.rs
@@ -4,10 +4,11 @@
 use super::calls::reply_all;
 use super::{Action, Replica};
 use crate::ballot::AcceptedProposal;
+use crate::error::CallError;
 use crate::incarnation::Incarnation;
 use crate::roster::{roster_item, roster_key};
 use crate::round::{Proposal, Round};
-use crate::task::{Operation, Outcome, Rejection, Task, Verdict};
+use crate::task::{Operation, Outcome, Task, Verdict};
 use emberpin_config::Item;
 use std::borrow::Cow;
 
@@ -95,26 +96,26 @@
             let verdict = task
                 .operation
                 .evaluate(&configuration, &self.acceptor.guards);
-            let (status, body) = match verdict {
+            let result = match verdict {
                 Verdict::Propose(new) => {
                     for item in &new {
                         configuration.to_mut().merge(item.clone());
                     }
                     items.extend(new);
                     task.proposed = true;
-                    (200, String::new())
+                    Ok(String::new())
                 }
-                Verdict::Complete(body) => (200, body),
+                Verdict::Complete(body) => Ok(body),
                 // An earlier proposal of it may be chosen in part, so it is not known to be rejected.
-                Verdict::Reject(_) if task.proposed => (503, "send it again".into()),
-                Verdict::Reject(Rejection { status, reason }) => {
+                Verdict::Reject(_) if task.proposed => Err(CallError::Undecided),
+                Verdict::Reject(error) => {
                     if !self.acceptor.guards.atomic_calls {
                         items.extend(task.operation.items_valid_alone(&configuration));
                     }
-                    (status, reason)
+                    Err(error)
                 }
             };
-            round.outcomes.push(Outcome { task, status, body });
+            round.outcomes.push(Outcome { task, result });
         }
         items
     }
--- a/crates/emberpin-consensus/src/replica/proposer.rs
+++ b/crates/emberpin-consensus/src/replica/proposer.rs
@@ -176,7 +176,7 @@
         self.propose(actions);
     }
 
-    /// A voter has accepted. Once a quorum has, the items are chosen: all replicas are told, and the callers get their
+    /// A voter has accepted. Once a quorum has, the items are chosen: all replicas are notified, and the callers get their
     /// replies.
     pub(super) fn on_accepted(
         &mut self,
--- a/crates/emberpin-consensus/src/roster.rs
+++ b/crates/emberpin-consensus/src/roster.rs
@@ -3,6 +3,7 @@
 //! Its body is a JSON array of addresses. The body of version 1 also has the nonces of the founders' candidacies, in
 //! the order of the addresses, behind them.
 
+use crate::bootstrap::BootstrapNonce;
 use emberpin_config::{Item, ItemKey, ItemKind, Version};
 use std::net::Ipv4Addr;
 
@@ -11,7 +12,7 @@
 pub(crate) struct Founder {
     pub address: Ipv4Addr,
     /// The nonce of its candidacy; `None` for a seed that is no candidate, and has to catch up before it votes.
-    pub nonce: Option<u64>,
+    pub nonce: Option<BootstrapNonce>,
 }
 
 /// The key of the roster.
@@ -39,7 +40,7 @@
         .map(|founder| format!("\"{}\"", founder.address));
     let nonces = founders
         .iter()
-        .map(|founder| founder.nonce.unwrap_or(0).to_string());
+        .map(|founder| founder.nonce.unwrap_or_default().0.to_string());
     let elements: Vec<String> = addresses.chain(nonces).collect();
     Item {
         key: roster_key(),
@@ -49,7 +50,7 @@
 }
 
 /// The nonce under which the first roster names a founder; later rosters name none.
-pub(crate) fn founder_nonce(roster: &Item, founder: Ipv4Addr) -> Option<u64> {
+pub(crate) fn founder_nonce(roster: &Item, founder: Ipv4Addr) -> Option<BootstrapNonce> {
     let position = voters(roster).iter().position(|voter| *voter == founder)?;
     let body = roster
         .body
@@ -58,7 +59,10 @@
     let mut nonces = body
         .split(['[', ']', ','])
         .filter_map(|element| element.parse::<u64>().ok());
-    nonces.nth(position).filter(|nonce| *nonce > 0)
+    nonces
+        .nth(position)
+        .filter(|nonce| *nonce > 0)
+        .map(BootstrapNonce)
 }
 
 /// The addresses of a roster's voters.
--- a/crates/emberpin-consensus/src/state.rs
+++ b/crates/emberpin-consensus/src/state.rs
@@ -66,7 +66,7 @@
         })
     }
 
-    /// All items that followers of the configuration are told: all but histories, which only replicas need.
+    /// All items for followers of the configuration: all but histories, which only replicas need.
     pub fn follower_items(&self) -> impl Iterator<Item = &Item> {
         self.iter().filter(|item| is_for_followers(item))
     }
@@ -123,7 +123,7 @@
     }
 }
 
-/// Whether followers of the configuration are told an item.
+/// Whether an item is sent to followers of the configuration.
 pub(crate) fn is_for_followers(item: &Item) -> bool {
     item.key.kind != ItemKind::History
 }
--- a/crates/emberpin-consensus/src/storage.rs
+++ b/crates/emberpin-consensus/src/storage.rs
@@ -16,7 +16,7 @@
     pub accepted: AcceptedProposal,
     /// Whether the replica counts in quorums; false until a replica with an empty disk has caught up.
     pub voting: bool,
-    /// The replica's own incarnation, told with each promise.
+    /// The replica's own incarnation, sent with each promise.
     pub incarnation: Incarnation,
     /// Incarnations of other voters that caught up with this replica's help.
     pub latest_incarnations: LatestIncarnations,
--- a/crates/emberpin-consensus/src/task.rs
+++ b/crates/emberpin-consensus/src/task.rs
@@ -1,6 +1,7 @@
 //! Tasks of a replica: what clients or the replica itself want, and how it is judged on everything that is chosen.
 
 use crate::call::{CallId, EvacuationChange};
+use crate::error::CallError;
 use crate::guards::Guards;
 use crate::roster::{roster_item, roster_key, voters};
 use crate::time::Timestamp;
@@ -14,7 +15,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Task {
     pub operation: Operation,
-    /// When its caller is told to send it again.
+    /// When it is answered with 503, so that its caller sends it again.
     pub deadline: Timestamp,
     /// Whether items of it were sent in a proposal, so that they may be chosen even if a later round rejects them.
     pub proposed: bool,
@@ -49,25 +50,16 @@
     Propose(Vec<Item>),
     /// Nothing has to be chosen: acknowledge it with this body.
     Complete(String),
-    /// Reject it.
-    Reject(Rejection),
-}
-
-/// Why an operation is rejected.
-#[derive(Debug, PartialEq)]
-pub(crate) struct Rejection {
-    /// An HTTP status.
-    pub status: u16,
-    /// One line for the client.
-    pub reason: String,
+    /// Answer that it is not acknowledged, and why.
+    Reject(CallError),
 }
 
 /// The reply to a task, sent once the items of its round are chosen.
 #[derive(Debug)]
 pub(crate) struct Outcome {
     pub task: Task,
-    pub status: u16,
-    pub body: String,
+    /// The body of an acknowledgement, or why there is none.
+    pub result: Result<String, CallError>,
 }
 
 impl Task {
@@ -131,16 +123,15 @@
 }
 
 fn evaluate_patch(patch: &Patch, configuration: &Configuration, guards: &Guards) -> Verdict {
-    let reject = |status: u16, reason: String| Verdict::Reject(Rejection { status, reason });
     match validate_for_commit(configuration, patch, &guards.bounds) {
         PatchOutcome::Apply(items) => match guards.filter_proposal(items) {
             items if items.is_empty() => Verdict::Complete(String::new()),
             items => Verdict::Propose(items),
         },
         PatchOutcome::Duplicate => Verdict::Complete(String::new()),
-        PatchOutcome::Conflict(error) => reject(409, error.to_string()),
-        PatchOutcome::Indeterminate(error) => reject(503, error.to_string()),
-        PatchOutcome::Invalid(error) => reject(400, error.to_string()),
+        PatchOutcome::Conflict(error) => Verdict::Reject(CallError::Conflict(error)),
+        PatchOutcome::Indeterminate(error) => Verdict::Reject(CallError::Indeterminate(error)),
+        PatchOutcome::Invalid(error) => Verdict::Reject(CallError::Invalid(error)),
     }
 }
 
--- a/crates/emberpin-consensus/src/time.rs
+++ b/crates/emberpin-consensus/src/time.rs
@@ -11,7 +11,7 @@
     /// The zero of the clock.
     pub const ZERO: Timestamp = Timestamp(0);
 
-    /// The moment so many milliseconds after the clock's zero.
+    /// The moment this number of milliseconds after the clock's zero.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Timestamp {
         Timestamp(millis)
@@ -34,11 +34,11 @@
     type Output = Timestamp;
 
     fn add(self, duration: Duration) -> Timestamp {
-        Timestamp(self.0.saturating_add(whole_millis(duration)))
+        Timestamp(self.0.saturating_add(as_whole_millis(duration)))
     }
 }
 
 /// A duration in whole milliseconds, rounded down.
-pub(crate) fn whole_millis(duration: Duration) -> u64 {
+pub(crate) fn as_whole_millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/emberpin-registry/tests/samples/mod.rs
+++ b/crates/emberpin-registry/tests/samples/mod.rs
@@ -10,7 +10,9 @@
     ComparisonId, DigestDiffers, DigestMatches, DiskUnavailable, FetchBuckets, FirstRoster,
     ItemVersion, NotVoting, Prepare, Promise, Rejected, StaleRoster,
 };
-use emberpin_consensus::{AcceptedProposal, Ballot, Incarnation, LatestIncarnations, Message};
+use emberpin_consensus::{
+    AcceptedProposal, Ballot, BootstrapNonce, Incarnation, LatestIncarnations, Message,
+};
 use emberpin_membership::ids::{self, AckId, Digest, Nonce};
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::peers::{Ack, InstanceRecord, ProxyIdentity, RegistryMessage};
@@ -167,13 +169,15 @@
             voting: false,
         }),
         Message::DiskUnavailable(DiskUnavailable { ballot }),
-        Message::BootstrapQuery(BootstrapQuery { query_nonce: 21 }),
+        Message::BootstrapQuery(BootstrapQuery {
+            query_nonce: BootstrapNonce(21),
+        }),
         Message::BootstrapReply(BootstrapReply {
-            query_nonce: 21,
-            candidate_nonce: Some(22),
+            query_nonce: BootstrapNonce(21),
+            candidate_nonce: Some(BootstrapNonce(22)),
         }),
         Message::FirstRoster(FirstRoster {
-            query_nonce: 21,
+            query_nonce: BootstrapNonce(21),
             roster: roster(),
         }),
     ]
--- a/crates/emberpin-registry/tests/samples/values.rs
+++ b/crates/emberpin-registry/tests/samples/values.rs
@@ -6,7 +6,9 @@
 use emberpin_consensus::message::{
     BootstrapReply, BucketItems, ComparisonId, DigestMatches, Prepare, Promise,
 };
-use emberpin_consensus::{AcceptedProposal, Ballot, Incarnation, LatestIncarnations, Message};
+use emberpin_consensus::{
+    AcceptedProposal, Ballot, BootstrapNonce, Incarnation, LatestIncarnations, Message,
+};
 use emberpin_membership::ids::{self, AckId, Digest, Nonce};
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::peers::{Ack, InstanceRecord, RegistryMessage};
@@ -98,7 +100,7 @@
             voting: true,
         }),
         Message::BootstrapReply(BootstrapReply {
-            query_nonce: u64::MAX,
+            query_nonce: BootstrapNonce(u64::MAX),
             candidate_nonce: None,
         }),
     ];
--- a/crates/emberpin-store/tests/common/disk_fixtures.rs
+++ b/crates/emberpin-store/tests/common/disk_fixtures.rs
@@ -2,8 +2,8 @@
 
 use emberpin_config::{Item, ItemKey, ItemKind, Version};
 use emberpin_consensus::{
-    AcceptedProposal, Ballot, BootstrapCandidate, Incarnation, LatestIncarnations, PersistedState,
-    WriteBatch,
+    AcceptedProposal, Ballot, BootstrapCandidate, BootstrapNonce, Incarnation, LatestIncarnations,
+    PersistedState, WriteBatch,
 };
 use emberpin_store::disk::{Disk, DiskError};
 use std::fs;
@@ -45,7 +45,7 @@
         incarnation: Incarnation(ballot(counter)),
         latest_incarnations,
         bootstrap_candidate: Some(BootstrapCandidate {
-            nonce: counter,
+            nonce: BootstrapNonce(counter),
             seeds: vec![OWNER],
         }),
         sync: true,
--- a/crates/emberpin-store/tests/recorded_disks.rs
+++ b/crates/emberpin-store/tests/recorded_disks.rs
@@ -10,8 +10,8 @@
 use common::{run, StoreNode};
 use emberpin_config::{Item, ItemKey, ItemKind, Version};
 use emberpin_consensus::{
-    AcceptedProposal, Ballot, BootstrapCandidate, Incarnation, LatestIncarnations, PersistedState,
-    WriteBatch,
+    AcceptedProposal, Ballot, BootstrapCandidate, BootstrapNonce, Incarnation, LatestIncarnations,
+    PersistedState, WriteBatch,
 };
 use emberpin_runtime::system_id::SystemId;
 use emberpin_store::disk::{DataLoss, Disk, DiskError, FolderMismatch, WriteNumber};
@@ -176,7 +176,7 @@
     latest_incarnations.record(third, Incarnation(ballot(70_000, third, 77)));
     expect_that!(state.latest_incarnations, eq(&latest_incarnations));
     let bootstrap_candidate = BootstrapCandidate {
-        nonce: 0x0123_4567_89ab_cdef,
+        nonce: BootstrapNonce(0x0123_4567_89ab_cdef),
         seeds: vec![OWNER, second, third],
     };
     expect_that!(state.bootstrap_candidate, some(eq(&bootstrap_candidate)));
@@ -187,7 +187,7 @@
     let [second, third] = PEERS;
     let state = read(&unpack("candidate"));
     let bootstrap_candidate = Some(BootstrapCandidate {
-        nonce: CANDIDATE_NONCE,
+        nonce: BootstrapNonce(CANDIDATE_NONCE),
         seeds: vec![OWNER, second, third],
     });
     expect_that!(
--- a/crates/emberpin-store/tests/recordings/recorder.rs
+++ b/crates/emberpin-store/tests/recordings/recorder.rs
@@ -5,8 +5,9 @@
 use super::{disk_file, fixture, item_lines, OWNER, PEERS};
 use emberpin_config::{Item, ItemKey, ItemKind, Retention, Version};
 use emberpin_consensus::{
-    AcceptedProposal, Action, Ballot, BootstrapCandidate, Call, CallId, EvacuationChange, Event,
-    Guards, Incarnation, LatestIncarnations, Replica, ReplicaOptions, Timestamp, WriteBatch,
+    AcceptedProposal, Action, Ballot, BootstrapCandidate, BootstrapNonce, Call, CallId,
+    EvacuationChange, Event, Guards, Incarnation, LatestIncarnations, Replica, ReplicaOptions,
+    Timestamp, WriteBatch,
 };
 use emberpin_store::disk::Disk;
 use std::collections::{BTreeMap, VecDeque};
@@ -235,7 +236,7 @@
         incarnation: Incarnation(ballot(400, OWNER)),
         latest_incarnations,
         bootstrap_candidate: Some(BootstrapCandidate {
-            nonce: 0x0123_4567_89ab_cdef,
+            nonce: BootstrapNonce(0x0123_4567_89ab_cdef),
             seeds: vec![OWNER, second, third],
         }),
         sync: true,
