--- a/crates/emberpin-membership/src/clock.rs
+++ b/crates/emberpin-membership/src/clock.rs
@@ -49,8 +49,37 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
+/// Cuts a duration to what messages can carry of it: whole milliseconds, of which 32 bits count.
+pub fn to_wire_precision(duration: Duration) -> Duration {
+    Duration::from_millis(u64::from(millis_u32(duration)))
+}
+
+fn millis_u32(duration: Duration) -> u32 {
+    u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
+}
+
+/// Encodes a duration as 32 bits of whole milliseconds, for `#[serde(with)]`.
+pub(crate) mod millis_u32_encoding {
+    use serde::{Deserialize, Deserializer, Serialize, Serializer};
+    use std::time::Duration;
+
+    pub(crate) fn serialize<S: Serializer>(
+        duration: &Duration,
+        serializer: S,
+    ) -> Result<S::Ok, S::Error> {
+        super::millis_u32(*duration).serialize(serializer)
+    }
+
+    pub(crate) fn deserialize<'de, D: Deserializer<'de>>(
+        deserializer: D,
+    ) -> Result<Duration, D::Error> {
+        let millis = u32::deserialize(deserializer)?;
+        Ok(Duration::from_millis(u64::from(millis)))
+    }
+}
+
 /// Encodes an optional duration as optional whole milliseconds, for `#[serde(with)]`.
-pub(crate) mod optional_millis {
+pub(crate) mod optional_millis_encoding {
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
     use std::time::Duration;
 
--- a/crates/emberpin-membership/src/guards.rs
+++ b/crates/emberpin-membership/src/guards.rs
@@ -19,8 +19,8 @@
     pub lease_from_query: bool,
     /// Calls of the operator that cannot be confirmed here are redirected at once.
     pub operator_redirect: bool,
-    /// The servers of a zone whose evacuation has ended count as cold.
-    pub cold_after_evacuation: bool,
+    /// The servers of a zone whose evacuation has ended count as warming up.
+    pub warmup_after_evacuation: bool,
 }
 
 impl Default for Guards {
@@ -34,7 +34,7 @@
             revision_check: true,
             lease_from_query: true,
             operator_redirect: true,
-            cold_after_evacuation: true,
+            warmup_after_evacuation: true,
         }
     }
 }
--- a/crates/emberpin-membership/src/instance.rs
+++ b/crates/emberpin-membership/src/instance.rs
@@ -2,6 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
+use std::time::Duration;
 
 /// The status of an instance. It only advances: a later status wins over an earlier one, in whatever order reports
 /// of them arrive.
@@ -33,6 +34,8 @@
     /// The sequence number of the last heartbeat. It rises with each, so an older heartbeat that arrives late is
     /// recognized.
     pub seq: u64,
-    /// For how much longer the server is warming up (slow start), in milliseconds from the time of sending.
-    pub cold_ms: u32,
+    /// For how much longer the server is warming up (slow start), counted from the time of sending; whole milliseconds
+    /// on the wire. Zero once it has warmed up.
+    #[serde(with = "crate::clock::millis_u32_encoding")]
+    pub warmup_left: Duration,
 }
--- a/crates/emberpin-membership/src/instance_table.rs
+++ b/crates/emberpin-membership/src/instance_table.rs
@@ -122,7 +122,7 @@
         };
         let shutdown_reported = status > entry.instance.status;
         entry.is_replicated &= !shutdown_reported;
-        let cold_time_changed = entry.merge_record(now, record);
+        let warmup_changed = entry.merge_record(now, record);
         entry.instance.status = status;
         if visible_before.0 != Status::Removed && entry.status() == Status::Removed {
             entry.removed_at = now;
@@ -133,7 +133,7 @@
         }
         MergeOutcome {
             is_new: false,
-            visibly_changed: cold_time_changed || entry.visible_state() != visible_before,
+            visibly_changed: warmup_changed || entry.visible_state() != visible_before,
             owner_changed: entry.owner != owner_before,
             shutdown_reported,
         }
@@ -235,10 +235,10 @@
         displaced
     }
 
-    /// Assumes that servers of a zone are cold, each for the warm-up time of its service, as the zone's evacuation has
+    /// Has servers of a zone warm up again, each for the warm-up time of its service, as the zone's evacuation has
     /// ended. Until `assumed_until` no report makes them less so, as it may be from before. Gives the ids of the
-    /// instances whose cold time has changed.
-    pub fn assume_cold(
+    /// instances whose end of the warm-up has changed.
+    pub fn restart_warmup(
         &mut self,
         now: Timestamp,
         zone: &str,
@@ -250,9 +250,9 @@
         for (id, entry) in &mut self.entries {
             let is_in_zone = entry.instance.zone == zone && entry.status() != Status::Removed;
             if is_in_zone && is_affected(id, entry) {
-                entry.assumed_cold_until = assumed_until;
+                entry.warmup_assumed_until = assumed_until;
                 let warm_at = now + warmup(&entry.instance.service);
-                if entry.update_cold_until(now, entry.cold_until.max(warm_at)) {
+                if entry.update_warm_at(now, entry.warm_at.max(warm_at)) {
                     changed.push(id.clone());
                 }
             }
@@ -289,6 +289,6 @@
         slots: 0,
         status: Status::Removed,
         seq: 0,
-        cold_ms: 0,
+        warmup_left: Duration::ZERO,
     }
 }
--- a/crates/emberpin-membership/src/instance_table/entry.rs
+++ b/crates/emberpin-membership/src/instance_table/entry.rs
@@ -6,26 +6,27 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// Ends of a cold time that differ by no more than these come from one report that was delayed: a reported end may be
-/// later than the known one by the first, and earlier by the second.
-const COLD_END_TOLERANCE_LATER: Duration = Duration::from_millis(50);
-const COLD_END_TOLERANCE_EARLIER: Duration = Duration::from_millis(250);
+/// How much later than the known end of a warm-up a reported one may be and still count as the same: reports of one end
+/// differ by their delays.
+const WARM_AT_TOLERANCE_LATER: Duration = Duration::from_millis(50);
+/// How much earlier it may be and still count as the same.
+const WARM_AT_TOLERANCE_EARLIER: Duration = Duration::from_millis(250);
 
 /// What the registry knows of one instance.
 #[derive(Clone, Debug)]
 pub struct InstanceEntry {
-    /// The instance with the status that the server reported; its `cold_ms` is unused.
+    /// The instance with the status that the server reported; its `warmup_left` is unused.
     pub(super) instance: Instance,
     /// Evicted, as no heartbeat has followed the one with `instance.seq`.
     pub(super) expired: bool,
     /// The registry that receives the instance's heartbeats, if it is known.
     pub owner: Option<Ipv4Addr>,
     /// When the server is expected to have warmed up.
-    pub(super) cold_until: Timestamp,
+    pub(super) warm_at: Timestamp,
     /// When the last heartbeat, or a record with a higher `seq`, was received, or the owner was cleared.
     pub(crate) last_contact: Timestamp,
-    /// The zone's evacuation has just ended: until then, no report makes `cold_until` earlier, as it may be from before.
-    pub(super) assumed_cold_until: Timestamp,
+    /// The zone's evacuation has just ended: until then, no report makes `warm_at` earlier, as it may be from before.
+    pub(super) warmup_assumed_until: Timestamp,
     /// A majority of the registries has the status that the server reported.
     pub(crate) is_replicated: bool,
     /// When the instance was found to be removed.
@@ -38,12 +39,12 @@
         InstanceEntry {
             expired: record.expired,
             owner: record.owner,
-            cold_until: cold_until(now, &record),
+            warm_at: warm_at(now, &record),
             last_contact: now,
-            assumed_cold_until: Timestamp::ZERO,
+            warmup_assumed_until: Timestamp::ZERO,
             is_replicated: false,
             removed_at: now,
-            instance: without_cold_time(record.instance),
+            instance: without_warmup(record.instance),
         }
     }
 
@@ -70,7 +71,7 @@
     pub fn instance(&self, now: Timestamp) -> Instance {
         Instance {
             status: self.status(),
-            cold_ms: self.cold_ms(now),
+            warmup_left: self.warm_at.duration_since(now),
             ..self.instance.clone()
         }
     }
@@ -78,7 +79,7 @@
     /// The record that is replicated to other registries.
     pub fn record(&self, now: Timestamp) -> InstanceRecord {
         let instance = Instance {
-            cold_ms: self.cold_ms(now),
+            warmup_left: self.warm_at.duration_since(now),
             ..self.instance.clone()
         };
         InstanceRecord {
@@ -88,70 +89,65 @@
         }
     }
 
-    fn cold_ms(&self, now: Timestamp) -> u32 {
-        let left = self.cold_until.duration_since(now).as_millis();
-        u32::try_from(left).unwrap_or(u32::MAX)
-    }
-
-    /// What proxies see of the instance, its cold time aside.
+    /// What proxies see of the instance, its warm-up aside.
     pub(super) fn visible_state(&self) -> (Status, SocketAddr, u32) {
         (self.status(), self.instance.address, self.instance.slots)
     }
 
-    /// Merges a record of the same instance; whether the end of its cold time has changed. The status is left to the
+    /// Merges a record of the same instance; whether the end of its warm-up has changed. The status is left to the
     /// caller.
     pub(super) fn merge_record(&mut self, now: Timestamp, record: InstanceRecord) -> bool {
-        let cold_until = cold_until(now, &record);
+        let reported = warm_at(now, &record);
         let mut changed = false;
         if record.instance.seq > self.instance.seq {
             self.expired = record.expired;
             self.owner = record.owner.or(self.owner);
             self.last_contact = now;
-            changed = self.update_cold_until(now, cold_until);
+            changed = self.update_warm_at(now, reported);
             // A record without a description, of an instance that left before it was known, takes nothing away.
             if !record.instance.service.is_empty() {
-                self.instance = without_cold_time(record.instance);
+                self.instance = without_warmup(record.instance);
             }
             return changed;
         }
         if record.instance.seq == self.instance.seq {
             self.expired |= record.expired;
-            changed = self.update_cold_until(now, cold_until.max(self.cold_until));
+            changed = self.update_warm_at(now, reported.max(self.warm_at));
         }
         if self.instance.service.is_empty() {
             self.instance = Instance {
                 seq: self.instance.seq,
-                ..without_cold_time(record.instance)
+                ..without_warmup(record.instance)
             };
         }
         changed
     }
 
-    /// Takes a reported end of the cold time unless it is the known one with some delay; whether it differs.
-    pub(super) fn update_cold_until(&mut self, now: Timestamp, reported: Timestamp) -> bool {
-        let reported = if now < self.assumed_cold_until {
-            reported.max(self.cold_until)
+    /// Takes a reported end of the warm-up unless it is the known one with some delay; whether it differs.
+    pub(super) fn update_warm_at(&mut self, now: Timestamp, reported: Timestamp) -> bool {
+        let reported = if now < self.warmup_assumed_until {
+            reported.max(self.warm_at)
         } else {
             reported
         };
-        let (reported, known) = (reported.max(now), self.cold_until.max(now));
-        let differs = reported > known + COLD_END_TOLERANCE_LATER
-            || known > reported + COLD_END_TOLERANCE_EARLIER;
+        let (reported, known) = (reported.max(now), self.warm_at.max(now));
+        let differs = reported > known + WARM_AT_TOLERANCE_LATER
+            || known > reported + WARM_AT_TOLERANCE_EARLIER;
         if differs {
-            self.cold_until = reported;
+            self.warm_at = reported;
         }
         differs
     }
 }
 
 /// When the instance of a record that is received now will have warmed up.
-fn cold_until(now: Timestamp, record: &InstanceRecord) -> Timestamp {
-    now + Duration::from_millis(u64::from(record.instance.cold_ms))
+fn warm_at(now: Timestamp, record: &InstanceRecord) -> Timestamp {
+    now + record.instance.warmup_left
 }
 
-fn without_cold_time(instance: Instance) -> Instance {
+fn without_warmup(instance: Instance) -> Instance {
     Instance {
-        cold_ms: 0,
+        warmup_left: Duration::ZERO,
         ..instance
     }
 }
--- a/crates/emberpin-membership/src/registry/configuration.rs
+++ b/crates/emberpin-membership/src/registry/configuration.rs
@@ -63,10 +63,10 @@
         }
     }
 
-    /// The evacuation of a zone has ended; its servers may have become cold, as they got no requests meanwhile.
+    /// The evacuation of a zone has ended; its servers must warm up again, as they got no requests meanwhile.
     ///
     /// If the item is one of the first of this incarnation, the evacuation may have ended long ago. Then the peers know
-    /// how cold their servers are; but what proxies report where all registries have just restarted may be from
+    /// for how long their servers warm up; but what proxies report where all registries have just restarted may be from
     /// before.
     fn on_evacuation_ended(
         &mut self,
@@ -75,14 +75,14 @@
         delivery: Delivery,
         actions: &mut Vec<Action>,
     ) {
-        if !self.guards.cold_after_evacuation {
+        if !self.guards.warmup_after_evacuation {
             return;
         }
         if delivery == Delivery::Initial {
             self.returned_zones
                 .insert(zone.to_string(), now + self.config.heartbeat_interval);
         }
-        let changed = self.assume_cold(now, zone, |_, entry| {
+        let changed = self.restart_warmup(now, zone, |_, entry| {
             delivery == Delivery::Update || entry.owner.is_none()
         });
         let owned: Vec<String> = changed
@@ -97,9 +97,9 @@
         self.replicate(now, &owned, actions);
     }
 
-    /// Assumes that servers of a zone are cold until they have had time for a new heartbeat; gives the ids of those whose
-    /// cold time has changed.
-    pub(super) fn assume_cold(
+    /// Has servers of a zone warm up again, until they have had time for a new heartbeat; gives the ids of those whose end
+    /// of the warm-up has changed.
+    pub(super) fn restart_warmup(
         &mut self,
         now: Timestamp,
         zone: &str,
@@ -110,7 +110,7 @@
         let assumed_until = now + self.config.heartbeat_interval;
         let changed = self
             .instances
-            .assume_cold(now, zone, assumed_until, is_affected, warmup);
+            .restart_warmup(now, zone, assumed_until, is_affected, warmup);
         for id in &changed {
             self.record_change(now, Change::Instance(id.clone()));
         }
--- a/crates/emberpin-membership/src/registry/events.rs
+++ b/crates/emberpin-membership/src/registry/events.rs
@@ -35,7 +35,7 @@
     Heartbeat {
         /// Identifies the call in [`Action::Reply`].
         call: CallId,
-        /// The instance as the server describes it; `cold_ms` counts from now.
+        /// The instance as the server describes it; `warmup_left` counts from now.
         instance: Instance,
     },
     /// A server has announced that it shuts down. Answered by [`Action::Reply`].
--- a/crates/emberpin-membership/src/registry/repair.rs
+++ b/crates/emberpin-membership/src/registry/repair.rs
@@ -37,7 +37,7 @@
                 Some(_) => {}
             }
         }
-        self.assume_learned_cold(now, &learned);
+        self.restart_learned_warmup(now, &learned);
         self.replicate(now, &learned, actions);
         outdated
     }
@@ -47,13 +47,13 @@
         self.on_merged(now, id, outcome, AddressConflict::Ignore);
     }
 
-    /// Assumes that instances that were learned from a proxy are cold if the evacuation of their zone may have just
-    /// ended: the proxy may know them from before.
-    fn assume_learned_cold(&mut self, now: Timestamp, learned: &[String]) {
+    /// Has instances that were learned from a proxy warm up again if the evacuation of their zone may have just ended: the
+    /// proxy may know them from before.
+    fn restart_learned_warmup(&mut self, now: Timestamp, learned: &[String]) {
         self.returned_zones.retain(|_, until| now < *until);
         let zones: Vec<String> = self.returned_zones.keys().cloned().collect();
         for zone in zones {
-            self.assume_cold(now, &zone, |id, entry| {
+            self.restart_warmup(now, &zone, |id, entry| {
                 entry.owner.is_none() && learned.iter().any(|learned| learned == id)
             });
         }
--- a/crates/emberpin-membership/src/session.rs
+++ b/crates/emberpin-membership/src/session.rs
@@ -162,7 +162,7 @@
         nonce: Nonce,
         /// The time since a majority had nothing that this session has not received by now, in milliseconds on the wire;
         /// `None` if the registry is not in contact with a majority and can confirm nothing.
-        #[serde(with = "crate::clock::optional_millis")]
+        #[serde(with = "crate::clock::optional_millis_encoding")]
         age: Option<Duration>,
         /// The number of proxies that have a session with any registry; each takes its part of the shared limits.
         proxies: u32,
--- a/crates/emberpin-membership/tests/common/mod.rs
+++ b/crates/emberpin-membership/tests/common/mod.rs
@@ -16,6 +16,7 @@
 use emberpin_config::{Item, ItemKey, ItemKind, Version};
 use emberpin_membership::instance::{Instance, Status};
 use std::net::{Ipv4Addr, SocketAddr};
+use std::time::Duration;
 
 /// The address of a machine.
 pub fn ip(machine: u8) -> Ipv4Addr {
@@ -43,7 +44,7 @@
         slots: 4,
         status: Status::Up,
         seq,
-        cold_ms: 0,
+        warmup_left: Duration::ZERO,
     }
 }
 
@@ -56,9 +57,9 @@
 }
 
 /// The same instance, warming up.
-pub fn cold(id: &str, seq: u64, cold_ms: u32) -> Instance {
+pub fn warming_up(id: &str, seq: u64, warmup_left_ms: u64) -> Instance {
     Instance {
-        cold_ms,
+        warmup_left: Duration::from_millis(warmup_left_ms),
         ..instance(id, seq)
     }
 }
--- a/crates/emberpin-membership/tests/heartbeats.rs
+++ b/crates/emberpin-membership/tests/heartbeats.rs
@@ -3,12 +3,13 @@
 
 mod common;
 
-use common::{cold, instance, ip, Cluster, StoreState};
+use common::{instance, ip, warming_up, Cluster, StoreState};
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::registry::ServerReply;
 use emberpin_membership::session::ToProxy;
 use googletest::prelude::*;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 #[gtest]
 fn a_registry_that_has_just_started_acknowledges_heartbeats() -> googletest::Result<()> {
@@ -20,11 +21,14 @@
 #[gtest]
 fn a_heartbeat_that_arrives_late_changes_nothing() -> googletest::Result<()> {
     let mut cluster = Cluster::confirmed(1);
-    cluster.send_heartbeat(1, cold("a", 5, 3_000));
+    cluster.send_heartbeat(1, warming_up("a", 5, 3_000));
     let call = cluster.send_heartbeat(1, instance("a", 4));
     verify_that!(cluster.is_acknowledged(1, call), eq(true))?;
     let known = cluster.entry(1, "a").instance(cluster.timestamp());
-    verify_that!((known.seq, known.cold_ms > 2_900), eq((5, true)))
+    verify_that!(
+        (known.seq, known.warmup_left > Duration::from_millis(2_900)),
+        eq((5, true))
+    )
 }
 
 #[gtest]
--- a/crates/emberpin-membership/tests/warmup.rs
+++ b/crates/emberpin-membership/tests/warmup.rs
@@ -3,40 +3,48 @@
 
 mod common;
 
-use common::{cold, instance, item, zone, Cluster, HEARTBEAT_INTERVAL_MS};
+use common::{instance, item, warming_up, zone, Cluster, HEARTBEAT_INTERVAL_MS};
 use emberpin_config::ItemKind;
 use emberpin_membership::instance::Instance;
 use emberpin_membership::registry::Event;
 use emberpin_membership::session::ToProxy;
 use googletest::prelude::*;
+use std::time::Duration;
 
-fn cold_ms(cluster: &Cluster, machine: u8, id: &str) -> u32 {
+fn warmup_left_ms(cluster: &Cluster, machine: u8, id: &str) -> u128 {
     cluster
         .entry(machine, id)
         .instance(cluster.timestamp())
-        .cold_ms
+        .warmup_left
+        .as_millis()
 }
 
 #[gtest]
-fn cold_times_are_replicated_and_run_down() -> googletest::Result<()> {
+fn warmups_are_replicated_and_run_down() -> googletest::Result<()> {
     let mut cluster = Cluster::confirmed(3);
-    cluster.send_heartbeat(1, cold("a", 1, 3_000));
+    cluster.send_heartbeat(1, warming_up("a", 1, 3_000));
     cluster.run(1_000);
     for machine in 1..=3 {
-        verify_that!(cold_ms(&cluster, machine, "a"), all![ge(1_950), le(2_050)])?;
+        verify_that!(
+            warmup_left_ms(&cluster, machine, "a"),
+            all![ge(1_950), le(2_050)]
+        )?;
     }
-    // A server may become cold again at any time.
+    // A server may have to warm up again at any time.
     cluster.run(3_000);
-    cluster.send_heartbeat(1, cold("a", 2, 2_000));
+    cluster.send_heartbeat(1, warming_up("a", 2, 2_000));
     cluster.run(50);
     for machine in 1..=3 {
-        verify_that!(cold_ms(&cluster, machine, "a"), all![ge(1_900), le(2_000)])?;
+        verify_that!(
+            warmup_left_ms(&cluster, machine, "a"),
+            all![ge(1_900), le(2_000)]
+        )?;
     }
     Ok(())
 }
 
 #[gtest]
-fn servers_are_cold_after_an_evacuation_until_they_report_anew() -> googletest::Result<()> {
+fn servers_warm_up_after_an_evacuation_until_they_report_anew() -> googletest::Result<()> {
     let mut cluster = Cluster::confirmed(1);
     let service = item(
         ItemKind::Service,
@@ -68,23 +76,26 @@
     );
     cluster.run(20);
     verify_that!(
-        (cold_ms(&cluster, 1, "a") > 3_900, cold_ms(&cluster, 1, "b")),
+        (
+            warmup_left_ms(&cluster, 1, "a") > 3_900,
+            warmup_left_ms(&cluster, 1, "b")
+        ),
         eq((true, 0))
     )?;
-    // The item and the cold instances are sent together.
+    // The item and the instances that warm up are sent together.
     let messages = cluster.take_messages(1, 9);
     let together = |message: &ToProxy| {
         matches!(message, ToProxy::Changes { items, instances, .. }
-        if items.len() == 1 && instances.len() == 1 && instances[0].cold_ms > 3_900)
+        if items.len() == 1 && instances.len() == 1 && instances[0].warmup_left > Duration::from_millis(3_900))
     };
     verify_that!(messages.iter().any(together), eq(true))?;
     // A heartbeat that may have been sent before does not count, a later one does.
     cluster.run(HEARTBEAT_INTERVAL_MS / 2);
     cluster.send_heartbeat(1, instance("a", 2));
-    verify_that!(cold_ms(&cluster, 1, "a"), gt(3_000))?;
+    verify_that!(warmup_left_ms(&cluster, 1, "a"), gt(3_000))?;
     cluster.run(HEARTBEAT_INTERVAL_MS / 2);
     cluster.send_heartbeat(1, instance("a", 3));
-    verify_that!(cold_ms(&cluster, 1, "a"), eq(0))
+    verify_that!(warmup_left_ms(&cluster, 1, "a"), eq(0))
 }
 
 fn evacuation_ended() -> Event {
@@ -92,7 +103,7 @@
 }
 
 #[gtest]
-fn a_registry_that_starts_long_after_an_evacuation_assumes_nobody_cold() -> googletest::Result<()> {
+fn a_registry_that_starts_long_after_an_evacuation_restarts_no_warmup() -> googletest::Result<()> {
     let mut cluster = Cluster::confirmed(3);
     cluster.add_server(2, "a");
     cluster.run(2_000);
@@ -101,12 +112,12 @@
     cluster.run(300);
     cluster.handle_event(1, evacuation_ended());
     cluster.open_session(1, 9, None, vec![instance("a", 1)]);
-    verify_that!(cold_ms(&cluster, 1, "a"), eq(0))
+    verify_that!(warmup_left_ms(&cluster, 1, "a"), eq(0))
 }
 
 #[gtest]
-fn a_registry_that_starts_at_the_end_of_an_evacuation_learns_of_cold_servers(
-) -> googletest::Result<()> {
+fn a_registry_that_starts_at_the_end_of_an_evacuation_learns_of_warmups() -> googletest::Result<()>
+{
     let mut cluster = Cluster::confirmed(3);
     cluster.handle_event(
         2,
@@ -118,14 +129,14 @@
     cluster.start(1);
     cluster.run(300);
     cluster.handle_event(1, evacuation_ended());
-    verify_that!(cold_ms(&cluster, 1, "a"), eq(0))?;
+    verify_that!(warmup_left_ms(&cluster, 1, "a"), eq(0))?;
     cluster.handle_event(2, evacuation_ended());
     cluster.run(50);
-    verify_that!(cold_ms(&cluster, 1, "a"), gt(2_800))
+    verify_that!(warmup_left_ms(&cluster, 1, "a"), gt(2_800))
 }
 
 #[gtest]
-fn where_all_registries_have_restarted_instances_known_to_proxies_may_be_cold(
+fn where_all_registries_have_restarted_instances_known_to_proxies_must_warm_up(
 ) -> googletest::Result<()> {
     for items_first in [true, false] {
         let mut cluster = Cluster::new(3);
@@ -149,27 +160,27 @@
             cluster.handle_event(1, evacuation_ended());
         }
         verify_that!(
-            (items_first, cold_ms(&cluster, 1, "a") > 2_900),
+            (items_first, warmup_left_ms(&cluster, 1, "a") > 2_900),
             eq((items_first, true))
         )?;
-        verify_that!(cold_ms(&cluster, 1, "b"), eq(0))?;
-        // Reported once more, it is no colder.
+        verify_that!(warmup_left_ms(&cluster, 1, "b"), eq(0))?;
+        // Reported once more, its warm-up does not begin anew.
         cluster.run(HEARTBEAT_INTERVAL_MS / 2);
         cluster.open_session(1, 11, None, vec![instance("a", 7), instance("d", 7)]);
         verify_that!(
             (
-                cold_ms(&cluster, 1, "a") < 2_500,
-                cold_ms(&cluster, 1, "d") > 2_900
+                warmup_left_ms(&cluster, 1, "a") < 2_500,
+                warmup_left_ms(&cluster, 1, "d") > 2_900
             ),
             eq((true, true))
         )?;
         // What the servers themselves report counts after a heartbeat interval.
         cluster.run(HEARTBEAT_INTERVAL_MS);
         cluster.send_heartbeat(1, instance("a", 8));
-        verify_that!(cold_ms(&cluster, 1, "a"), eq(0))?;
+        verify_that!(warmup_left_ms(&cluster, 1, "a"), eq(0))?;
         // What proxies report later is not from before.
         cluster.open_session(1, 10, None, vec![instance("c", 7)]);
-        verify_that!(cold_ms(&cluster, 1, "c"), eq(0))?;
+        verify_that!(warmup_left_ms(&cluster, 1, "c"), eq(0))?;
     }
     Ok(())
 }
--- a/crates/emberpin-proxy/src/controller/control_sessions.rs
+++ b/crates/emberpin-proxy/src/controller/control_sessions.rs
@@ -67,7 +67,10 @@
         // An instance that a registry does not name is kept: another registry may know it. Removals are sent by name.
         self.router.endpoints.update(now, instances);
         self.apply_endpoint_changes();
-        for instance in instances.iter().filter(|instance| instance.cold_ms > 0) {
+        for instance in instances
+            .iter()
+            .filter(|instance| !instance.warmup_left.is_zero())
+        {
             self.refresh_slow_start(&instance.id);
         }
     }
--- a/crates/emberpin-proxy/tests/common/configuration.rs
+++ b/crates/emberpin-proxy/tests/common/configuration.rs
@@ -115,6 +115,6 @@
         slots: 4,
         status: Status::Up,
         seq: 1,
-        cold_ms: 0,
+        warmup_left: Duration::ZERO,
     }
 }
--- a/crates/emberpin-proxy/tests/slow_start.rs
+++ b/crates/emberpin-proxy/tests/slow_start.rs
@@ -10,10 +10,10 @@
 use std::time::{Duration, Instant};
 use tokio::time::interval;
 
-/// An instance of the service `s` that is cold for a minute.
+/// An instance of the service `s` that warms up for a minute.
 fn warming_instance(address: SocketAddr) -> Instance {
     Instance {
-        cold_ms: 60_000,
+        warmup_left: Duration::from_secs(60),
         ..instance("i-1", address)
     }
 }
--- a/crates/emberpin-registry/src/http_api/heartbeat_body.rs
+++ b/crates/emberpin-registry/src/http_api/heartbeat_body.rs
@@ -1,5 +1,6 @@
 //! The JSON body of a heartbeat, read field by field so that an error names the field.
 
+use emberpin_membership::clock::to_wire_precision;
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_runtime::settings;
 use jzon::JsonValue;
@@ -60,7 +61,7 @@
         seq: stat["seq"]
             .as_u64()
             .ok_or_else(|| expected("stat.seq", "a whole number"))?,
-        cold_ms: u32::try_from(warmup_left.as_millis()).unwrap_or(u32::MAX),
+        warmup_left: to_wire_precision(warmup_left),
     })
 }
 
--- a/crates/emberpin-registry/src/status_report.rs
+++ b/crates/emberpin-registry/src/status_report.rs
@@ -72,7 +72,7 @@
         address: instance.address.to_string(),
         zone: instance.zone,
         status: status_name(instance.status),
-        cold_ms: instance.cold_ms,
+        cold_ms: instance.warmup_left.as_millis() as u64,
         heard_ms: now.duration_since(registry.last_contact(entry)).as_millis() as u64,
         owner: entry.owner.map(|owner| owner.to_string()),
     }
--- a/crates/emberpin-registry/tests/samples/mod.rs
+++ b/crates/emberpin-registry/tests/samples/mod.rs
@@ -80,7 +80,7 @@
         slots: 4,
         status,
         seq: 8,
-        cold_ms: 9,
+        warmup_left: Duration::from_millis(9),
     }
 }
 
--- a/crates/emberpin-registry/tests/samples/values.rs
+++ b/crates/emberpin-registry/tests/samples/values.rs
@@ -19,6 +19,7 @@
     DiskState, DiskStatus, FreshnessNonce, RequestId, StoreReply, StoreRequest, ToStore,
 };
 use std::net::Ipv4Addr;
+use std::time::Duration;
 
 const HIGHEST: Ballot = Ballot {
     counter: u64::MAX,
@@ -43,7 +44,7 @@
         zone: "zürich".into(),
         slots: u32::MAX,
         seq: u64::MAX,
-        cold_ms: 0,
+        warmup_left: Duration::ZERO,
         ..instance(Status::Up)
     }
 }
--- a/crates/emberpin-routing/src/endpoints/endpoint.rs
+++ b/crates/emberpin-routing/src/endpoints/endpoint.rs
@@ -1,5 +1,6 @@
 //! One known instance with what this proxy has concluded about it.
 
+use emberpin_membership::clock::to_wire_precision;
 use emberpin_membership::instance::{Instance, Status};
 use std::time::Duration;
 
@@ -44,7 +45,7 @@
     pub(super) fn new(now: Duration, report: &Instance) -> Endpoint {
         Endpoint {
             instance: report.clone(),
-            reported_warmup_until: now + remaining_warmup(report),
+            reported_warmup_until: now + report.warmup_left,
             after_evacuation: None,
             misdirected_at: None,
         }
@@ -61,7 +62,7 @@
     /// Takes in the warm-up time of a report that is not older than the known one. Returns whether the reported warm-up
     /// now ends later.
     pub(super) fn merge_warmup(&mut self, now: Duration, report: &Instance) -> bool {
-        let mut until = now + remaining_warmup(report);
+        let mut until = now + report.warmup_left;
         // A repeated heartbeat says nothing new about the remaining time; the later end is the safe one.
         let is_newer = report.seq > self.instance.seq;
         if !is_newer {
@@ -120,14 +121,10 @@
 
     /// The instance as this proxy reports it to a registry, with the whole milliseconds that are left of its warm-up.
     pub(super) fn to_report(&self, now: Duration) -> Instance {
-        let remaining = self.warmup_until().saturating_sub(now).as_millis();
+        let remaining = self.warmup_until().saturating_sub(now);
         Instance {
-            cold_ms: u32::try_from(remaining).unwrap_or(u32::MAX),
+            warmup_left: to_wire_precision(remaining),
             ..self.instance.clone()
         }
     }
 }
-
-fn remaining_warmup(report: &Instance) -> Duration {
-    Duration::from_millis(u64::from(report.cold_ms))
-}
--- a/crates/emberpin-routing/tests/common/mod.rs
+++ b/crates/emberpin-routing/tests/common/mod.rs
@@ -40,6 +40,6 @@
         slots: 2,
         status,
         seq,
-        cold_ms: 0,
+        warmup_left: Duration::ZERO,
     }
 }
--- a/crates/emberpin-routing/tests/endpoints.rs
+++ b/crates/emberpin-routing/tests/endpoints.rs
@@ -233,7 +233,7 @@
     twin.update(
         ms(12_000),
         &[Instance {
-            cold_ms: 500,
+            warmup_left: ms(500),
             ..instance("i", Up, 6)
         }],
     );
@@ -247,7 +247,7 @@
     endpoints.update(
         ms(1_000),
         &[Instance {
-            cold_ms: 500,
+            warmup_left: ms(500),
             ..instance("i", Up, 4)
         }],
     );
@@ -256,19 +256,19 @@
     endpoints.update(
         ms(1_100),
         &[Instance {
-            cold_ms: 0,
+            warmup_left: Duration::ZERO,
             ..instance("i", Up, 4)
         }],
     );
     expect_true!(endpoints.is_warming_up(ms(1_499), "i"));
     expect_that!(
         endpoints.known_instances(ms(1_100)),
-        elements_are![field!(Instance.cold_ms, eq(&400))]
+        elements_are![field!(Instance.warmup_left, eq(&ms(400)))]
     );
     endpoints.update(
         ms(1_200),
         &[Instance {
-            cold_ms: 0,
+            warmup_left: Duration::ZERO,
             ..instance("i", Up, 5)
         }],
     );
@@ -350,7 +350,7 @@
     endpoints.update(
         Duration::ZERO,
         &[Instance {
-            cold_ms: 100,
+            warmup_left: ms(100),
             ..instance("i", Up, 4)
         }],
     );
@@ -442,7 +442,7 @@
         &[
             instance("i", Up, 5),
             Instance {
-                cold_ms: 9_000,
+                warmup_left: ms(9_000),
                 ..instance("i", Up, 4)
             },
         ],
--- a/crates/emberpin-routing/tests/router.rs
+++ b/crates/emberpin-routing/tests/router.rs
@@ -258,7 +258,7 @@
     uncounted.endpoints.update(
         ms(10_000),
         &[Instance {
-            cold_ms: 5_000,
+            warmup_left: ms(5_000),
             ..instance("i", Up, 1)
         }],
     );
--- a/crates/emberpin-simulator/src/mutants.rs
+++ b/crates/emberpin-simulator/src/mutants.rs
@@ -100,7 +100,7 @@
     /// Where either of two checks is enough, a mutant lacks both.
     fn disable_redundant(&mut self, mutant: &str) {
         match mutant {
-            "no-returned" => self.membership.cold_after_evacuation = false,
+            "no-returned" => self.membership.warmup_after_evacuation = false,
             // Either keeps a roster from staying at four members of which one is gone for good.
             "no-heard" => self.consensus.evict_early_without_margin = false,
             _ => {}
--- a/crates/emberpin-simulator/src/simulation/servers.rs
+++ b/crates/emberpin-simulator/src/simulation/servers.rs
@@ -8,6 +8,7 @@
 use crate::state::server::{Server, ServerCall};
 use crate::state::HEARTBEAT_INTERVAL;
 use crate::violation::Violation;
+use emberpin_membership::clock::to_wire_precision;
 use emberpin_membership::ids::CallId;
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_membership::registry::{self, ServerReply};
@@ -246,6 +247,6 @@
             Status::Up
         },
         seq: call.seq,
-        cold_ms: remaining_warmup.as_millis() as u32,
+        warmup_left: to_wire_precision(remaining_warmup),
     }
 }
