--- a/crates/emberpin-config/src/checkpoint.rs
+++ b/crates/emberpin-config/src/checkpoint.rs
@@ -113,7 +113,7 @@
             self.max_history_version
         );
         for (key, version) in &self.live {
-            let kind = key.kind.letter();
+            let kind = key.kind.tag();
             let name = jzon::stringify(key.name.as_str());
             body.push_str(&format!("\n{kind} {version} {name}"));
         }
@@ -128,7 +128,7 @@
 /// The key and version of a live item, from its line.
 fn parse_live(line: &str) -> Option<(ItemKey, Version)> {
     let mut fields = line.splitn(3, ' ');
-    let kind = ItemKind::from_letter(fields.next()?)?;
+    let kind = ItemKind::from_tag(fields.next()?)?;
     let version = fields.next()?.parse().ok()?;
     let name = decode_string(fields.next()?)?;
     let key = ItemKey { kind, name };
--- a/crates/emberpin-config/src/history.rs
+++ b/crates/emberpin-config/src/history.rs
@@ -47,12 +47,12 @@
         }
     }
 
-    /// The key of the history of an item: its kind as one letter, then its name. Only items whose versions calls choose
+    /// The key of the history of an item: the tag of its kind, then its name. Only items whose versions calls choose
     /// have a history: routes, services and limits.
     pub fn key(subject: &ItemKey) -> ItemKey {
         ItemKey {
             kind: ItemKind::History,
-            name: format!("{}{}", subject.kind.letter(), subject.name),
+            name: format!("{}{}", subject.kind.tag(), subject.name),
         }
     }
 
@@ -69,9 +69,9 @@
 
     /// Reads a history from its item. `None`, if it cannot be read: a build with another format wrote it.
     pub fn from_item(item: &Item) -> Option<History> {
-        let (letter, name) = item.key.name.split_at_checked(1)?;
+        let (tag, name) = item.key.name.split_at_checked(1)?;
         let subject = ItemKey {
-            kind: ItemKind::from_letter(letter)?,
+            kind: ItemKind::from_tag(tag)?,
             name: name.to_owned(),
         };
         let mut fields = item.body.as_deref()?.split(' ');
--- a/crates/emberpin-config/src/item.rs
+++ b/crates/emberpin-config/src/item.rs
@@ -27,7 +27,7 @@
 impl ItemKind {
     /// The letter by which histories and checkpoints name the kind. Stored, so it must not change. Kinds that neither
     /// names share one.
-    pub(crate) fn letter(self) -> char {
+    pub(crate) fn tag(self) -> char {
         match self {
             ItemKind::Service => 's',
             ItemKind::Route => 'r',
@@ -38,9 +38,9 @@
         }
     }
 
-    /// The kind that a letter names.
-    pub(crate) fn from_letter(letter: &str) -> Option<ItemKind> {
-        match letter {
+    /// The kind that has this tag.
+    pub(crate) fn from_tag(tag: &str) -> Option<ItemKind> {
+        match tag {
             "s" => Some(ItemKind::Service),
             "r" => Some(ItemKind::Route),
             "l" => Some(ItemKind::Limits),
