--- a/crates/emberpin-store/src/disk/journal.rs
+++ b/crates/emberpin-store/src/disk/journal.rs
@@ -212,7 +212,7 @@
 /// Reads the intact batches of a journal, from an offset on.
 struct BatchReader<'a> {
     input: BufReader<&'a File>,
-    file_length: u64,
+    file_bytes: u64,
     /// The end of the last intact batch.
     offset: u64,
 }
@@ -222,7 +222,7 @@
         file.seek(SeekFrom::Start(offset))?;
         Ok(BatchReader {
             input: BufReader::new(file),
-            file_length: file.metadata()?.len(),
+            file_bytes: file.metadata()?.len(),
             offset,
         })
     }
@@ -313,7 +313,7 @@
     /// Appends the next bytes of the file; `false` if the file is too short for them. Checked first, so that a
     /// damaged length allocates no more than the file has.
     fn append(&mut self, bytes: &mut Vec<u8>, length: usize) -> io::Result<bool> {
-        if length as u64 > self.file_length.saturating_sub(self.offset) {
+        if length as u64 > self.file_bytes.saturating_sub(self.offset) {
             return Ok(false);
         }
         let from = bytes.len();
--- a/crates/emberpin-store/src/disk/watermark.rs
+++ b/crates/emberpin-store/src/disk/watermark.rs
@@ -29,7 +29,7 @@
 /// Identifies a write, and summarizes all items that are present after it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Watermark {
-    /// The write.
+    /// The write that carries this watermark.
     pub write_number: WriteNumber,
     /// How many chosen items are present.
     pub item_count: u64,
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -137,7 +137,6 @@
             LoopEvent::Signal(Signal::Interrupt) | LoopEvent::Input(None) => {
                 return Ok(ControlFlow::Break(()));
             }
-            // No setting of a store changes while it runs.
             LoopEvent::Signal(Signal::Hangup) => {}
             LoopEvent::Disk(Some(event)) => self.handle_disk_event(event)?,
             LoopEvent::Disk(None) => return Err(StoreError::DiskWorkerEnded),
--- a/crates/emberpin-store/src/protocol.rs
+++ b/crates/emberpin-store/src/protocol.rs
@@ -116,14 +116,14 @@
 /// Which writes a store's disk accepts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DiskState {
-    /// All writes.
+    /// Every write is accepted.
     #[default]
     Writable,
-    /// Votes and items that other stores have chosen. Changes are rejected, so that room is left for these.
+    /// Changes are rejected, so that room is left for votes and for items that other stores have chosen.
     NearlyFull,
-    /// None: a write failed. Votes and changes are rejected until the complete state is synced again.
+    /// A write failed. Votes and changes are rejected until the complete state is synced again.
     Full,
-    /// None at the moment: the disk has not finished a batch for a second. Changes are rejected until it has.
+    /// The disk has completed no batch for a second while some wait. Changes are rejected until it has.
     Stalled,
 }
 
--- a/crates/emberpin-store/src/signals.rs
+++ b/crates/emberpin-store/src/signals.rs
@@ -6,11 +6,11 @@
 /// A signal that arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGTERM.
+    /// SIGTERM: leave the roster, and end.
     Terminate,
-    /// SIGINT.
+    /// SIGINT: end at once.
     Interrupt,
-    /// SIGHUP.
+    /// SIGHUP: ignored, as no setting of a store changes while it runs.
     Hangup,
 }
 
