--- a/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/translate.rs
+++ b/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/translate.rs
@@ -9,7 +9,7 @@
 use emberpin_balancer::host_config::{self, stable_hash, IndexNames, ServerEntry, UnknownZone};
 use emberpin_balancer::{
     Action, AttemptResult, CustomerId, Event, GatewayId, GatewaySet, LoadReport, MembershipUpdate,
-    Outcome, Request, Server,
+    Millis, Outcome, Request, Server,
 };
 use std::collections::BTreeMap;
 
@@ -143,7 +143,7 @@
 
 fn load_report(values: Option<BTreeMap<String, f64>>) -> LoadReport {
     let values = values.unwrap_or_default();
-    host_config::report(|name| values.get(name).copied())
+    host_config::load_report(|name| values.get(name).copied())
 }
 
 /// An action of a gateway as a line of output.
@@ -196,12 +196,7 @@
             counter,
             amount,
             lifetime,
-        } => Output::AddToCounter {
-            instance,
-            counter: *counter,
-            amount: *amount,
-            lifetime: *lifetime,
-        },
+        } => counter_output(instance, *counter, *amount, *lifetime),
         Action::Log(text) => Output::Log { instance, text },
         // The simulator runs one process of each gateway, so that a gateway never learns of a sibling.
         Action::ShareUsage(_) => Output::Log {
@@ -218,3 +213,17 @@
         bytes: STANDARD.encode(bytes),
     }
 }
+
+fn counter_output(
+    instance: InstanceId,
+    counter: u64,
+    amount: f64,
+    lifetime: Millis,
+) -> Output<'static> {
+    Output::AddToCounter {
+        instance,
+        counter,
+        amount,
+        lifetime,
+    }
+}
--- a/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/wire.rs
+++ b/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/wire.rs
@@ -121,7 +121,7 @@
 pub enum UpdateForm {
     /// Changed servers only.
     Changes,
-    /// All servers.
+    /// Every server there is: one that is missing is removed.
     All,
     /// All servers, as the simulator's registry last knew them.
     Remembered,
@@ -228,7 +228,7 @@
     #[serde(rename = "limiter-id")]
     pub instance: InstanceId,
     pub from: GatewayId,
-    /// In base64.
+    /// The encoded message in base64.
     #[serde(rename = "octets")]
     pub bytes: String,
 }
@@ -299,7 +299,7 @@
         instance: InstanceId,
         #[serde(rename = "peer")]
         to: Recipient,
-        /// In base64.
+        /// The encoded message in base64.
         #[serde(rename = "octets")]
         bytes: String,
     },
--- a/crates/emberpin-balancer/src/decisions/admission.rs
+++ b/crates/emberpin-balancer/src/decisions/admission.rs
@@ -10,8 +10,11 @@
     WithinQuota,
     /// Yes, though the customer's quota is used up.
     BeyondQuota,
-    /// No, and the client should wait so long before it retries.
-    Rejected { retry_after: Millis },
+    /// No, and the client is to be advised when to retry.
+    Rejected {
+        /// Milliseconds for which the client should wait before it retries.
+        retry_after: Millis,
+    },
 }
 
 impl Gateway {
--- a/crates/emberpin-balancer/src/decisions/announcements.rs
+++ b/crates/emberpin-balancer/src/decisions/announcements.rs
@@ -7,7 +7,7 @@
 const ANNOUNCE_INTERVAL: Millis = 300.0;
 /// And for this time while the customer's owners advise to reject.
 const LIMITED_ANNOUNCE_INTERVAL: Millis = 1_000.0;
-/// A gateway may send so many times the messages that it may receive from peers.
+/// Messages that a gateway may send to its peers for each one that it can receive.
 const SEND_RATIO: f64 = 2.0;
 
 /// The messages of one tick, at most one for each peer.
--- a/crates/emberpin-balancer/src/decisions/attempts.rs
+++ b/crates/emberpin-balancer/src/decisions/attempts.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-/// An attempt may take the mean latency and so many deviations.
+/// Deviations that an attempt may take beyond the mean latency, where a retry would still be in time.
 const TIMEOUT_DEVIATIONS: f64 = 6.0;
-/// And longer, while a retry of so many mean latencies still meets the latency target.
+/// Mean latencies that an attempt leaves of the latency target, for a retry to meet it.
 const RETRY_MEANS: f64 = 2.0;
 /// A repeat of a keyed request must leave this share of its deduplication window unused.
 const WINDOW_MARGIN: f64 = 0.1;
@@ -147,14 +147,14 @@
         if let (true, Some(units)) = (self.settings.units_are_estimates, result.units) {
             let customer = pending.request.customer.0 & gossip::ID_MASK;
             let estimated = pending.request.units;
-            self.settle_units(customer, estimated, units);
+            self.correct_units(customer, estimated, units);
         }
         if result.answered {
             self.close_request(id);
             return;
         }
         if !result.outcome.never_ran() {
-            self.note_first_run(id, result.server);
+            self.record_first_run(id, result.server);
         }
         let next = if result.replayable {
             self.retry_server(now, id, result.server)
@@ -167,7 +167,7 @@
         }
     }
 
-    fn note_first_run(&mut self, id: RequestId, server: ServerId) {
+    fn record_first_run(&mut self, id: RequestId, server: ServerId) {
         let location = self.location(server).unwrap_or_default();
         if let Some(pending) = self.pending.get_mut(&id) {
             pending.first_run.get_or_insert(FirstRun {
@@ -276,6 +276,6 @@
     Anywhere,
     /// To the servers that know its key.
     Within(RetryScope),
-    /// To none.
+    /// To no server: a repeat might run it twice.
     Denied,
 }
--- a/crates/emberpin-balancer/src/decisions/balancing.rs
+++ b/crates/emberpin-balancer/src/decisions/balancing.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Silence of a server longer than so many expected latencies makes it look slower.
+/// Expected latencies of silence from which a server looks slower.
 const STALL_MULTIPLE: f64 = 3.0;
 
 /// How well a server suits a request; the least one wins. The last number is drawn to break ties, so that
--- a/crates/emberpin-balancer/src/decisions/congestion.rs
+++ b/crates/emberpin-balancer/src/decisions/congestion.rs
@@ -14,7 +14,7 @@
 /// The onset of each further level lies higher by this share of the first. It is less than the paper's gap
 /// between onset and abatement.
 const ONSET_STEP: f64 = 0.15;
-/// The first onset is at least so many attempts for each server, over all gateways.
+/// Lower bound of the first onset: attempts for each server, over all gateways.
 const MIN_ONSET_PER_SERVER: f64 = 2.0;
 /// Where peers are too many to be sent every announcement, attempts in flight are smoothed over this part
 /// of the time between two own attempts. From 0.2 to 0.5 did alike for 100 and 300 gateways; 1 lost a tenth
--- a/crates/emberpin-balancer/src/decisions/health.rs
+++ b/crates/emberpin-balancer/src/decisions/health.rs
@@ -6,15 +6,15 @@
 const AVERAGE_GAIN: f64 = 0.1;
 /// Strikes from which a server may be ejected.
 pub(super) const EJECTION_STRIKES: f64 = 2.0;
-/// An ejected server must have so many times the mean strikes of the servers in service.
+/// Multiple of the mean strikes of the servers in service that an outlier must have.
 const STRIKES_OVER_MEAN: f64 = 1.5;
-/// Its failure rate must be more than so many times the median of the other servers'.
+/// Multiple of the other servers' median failure rate that an outlier must exceed.
 const FAILURE_RATE_OVER_MEDIAN: f64 = 2.0;
-/// And lie above that by more than this margin.
+/// Margin by which its failure rate must lie above that.
 const FAILURE_RATE_MARGIN: f64 = 0.15;
 /// Length of a first ejection; each further one is twice as long.
 const MIN_EJECTION: Millis = 1_000.0;
-/// Longest ejection.
+/// Bound on the length of an ejection, however often a server is ejected.
 const MAX_EJECTION: Millis = 8_000.0;
 /// Share of the servers in service that may be ejected as outliers at a time.
 const MAX_EJECTED_SHARE: f64 = 0.5;
--- a/crates/emberpin-balancer/src/decisions/mod.rs
+++ b/crates/emberpin-balancer/src/decisions/mod.rs
@@ -96,13 +96,13 @@
     pub(crate) advice: BTreeMap<u64, Advice>,
     /// Messages that may be sent to peers.
     pub(crate) message_budget: TokenBucket,
-    /// By class.
+    /// Learned latencies, at the index of the class.
     pub(crate) latencies: Vec<ClassLatency>,
     pub(crate) load: LoadState,
     /// Mean latency target of what was answered.
     pub(crate) mean_latency_target: Millis,
     /// When a message of a peer last came.
-    pub(crate) peer_heard_at: Millis,
+    pub(crate) last_peer_message_at: Millis,
     /// When peers were heard again after this gateway was isolated.
     pub(crate) rejoined_at: Millis,
     /// Retries of what may have run that are left.
@@ -149,7 +149,7 @@
                 .iter()
                 .map(|class| class.latency_target)
                 .fold(f64::INFINITY, f64::min),
-            peer_heard_at: f64::NEG_INFINITY,
+            last_peer_message_at: f64::NEG_INFINITY,
             rejoined_at: f64::NEG_INFINITY,
             retry_budget: (INITIAL_GROUP_RETRIES / group_size).clamp(1.0, RETRY_BUDGET_MAX),
             sibling_running: false,
@@ -209,7 +209,7 @@
             self.resumed_at = now;
             self.ticked_at = now;
             self.load.in_flight = 0.0;
-            self.peer_heard_at += gap;
+            self.last_peer_message_at += gap;
         }
     }
 
--- a/crates/emberpin-balancer/src/decisions/peers.rs
+++ b/crates/emberpin-balancer/src/decisions/peers.rs
@@ -2,17 +2,17 @@
 
 use super::*;
 
-/// A mean over many peers is taken over about so many messages.
+/// Messages that a mean over the peers is taken over, where there are that many peers.
 const MEAN_MESSAGES: f64 = 20.0;
 /// Incarnations that began within this time of each other are one common start.
 const COMMON_START_WINDOW: Millis = 2_000.0;
-/// So many peers, or all, must have been heard for a common start to be certain.
+/// Peers, or all of them, that must have been heard for a common start to be certain.
 const COMMON_START_PEERS: usize = 8;
 
 impl Gateway {
-    /// Whether no message of a peer came for so long that this gateway has to go by what it knows itself.
+    /// Whether no peer was heard for [`ISOLATION_TIMEOUT`]: this gateway then goes by its own figures.
     pub(super) fn is_isolated(&self, now: Millis) -> bool {
-        now - self.peer_heard_at > ISOLATION_TIMEOUT
+        now - self.last_peer_message_at > ISOLATION_TIMEOUT
     }
 
     /// A message of a peer came. One that is garbled, of a gateway outside the group or of an older
@@ -71,7 +71,7 @@
         if isolated {
             self.rejoined_at = now;
         }
-        self.peer_heard_at = now;
+        self.last_peer_message_at = now;
     }
 
     /// Detects a common start: enough peers were heard, and none is much older than this incarnation. Then
@@ -157,7 +157,7 @@
             received_at: now,
         };
         customer.peer_counts.insert(from, count);
-        // What peers admitted during an isolation comes in one sum, and was withheld here meanwhile.
+        // What peers admitted during an isolation comes in one sum, a part of which was withheld here.
         let covered = fresh.min(customer.withheld);
         customer.withheld -= covered;
         customer
--- a/crates/emberpin-balancer/src/decisions/quotas.rs
+++ b/crates/emberpin-balancer/src/decisions/quotas.rs
@@ -5,7 +5,7 @@
 
 /// Share of the onset below which a gateway counts as quiet enough for paid requests beyond quotas.
 const QUIET_SHARE: f64 = 0.5;
-/// Where peers are too many, so many gateways of a customer's set own its quota.
+/// Gateways of a customer's set that own its quota, where peers are too many for all of them to own it.
 const MAX_OWNERS: usize = 2;
 /// Share of the messages that peers can receive which each owner may spend to advise on one customer.
 pub(super) const ADVICE_SHARE: f64 = 1.5;
@@ -18,7 +18,7 @@
 /// Share of the burst that an owner leaves in a quota under pressure: held at nothing, chance alone
 /// overruns it.
 const BUCKET_RESERVE: f64 = 0.3;
-/// A change of a customer's count is announced so many times, so that one lost message does no harm.
+/// How often a change of a customer's count is announced: twice, so that one lost message does no harm.
 const ANNOUNCEMENTS: u32 = 2;
 
 impl CustomerState {
@@ -175,7 +175,7 @@
         let advised = self.advised_chance(now, id);
         let roll = self.rng.rand_float();
         let isolated = self.is_isolated(now) && now - self.started_at > ISOLATION_TIMEOUT;
-        let silence = now - self.peer_heard_at;
+        let silence = now - self.last_peer_message_at;
         let customer = self.customers.get_mut(&id)?;
         let plan = &self.settings.plans[customer.plan];
         customer.requested += units;
@@ -260,7 +260,7 @@
     }
 
     /// Corrects what a request took from its customer's quota once its true units are known.
-    pub(super) fn settle_units(&mut self, id: u64, estimated: f64, units: f64) {
+    pub(super) fn correct_units(&mut self, id: u64, estimated: f64, units: f64) {
         let Some(customer) = self.customers.get_mut(&id) else {
             return;
         };
--- a/crates/emberpin-balancer/src/decisions/slow_start.rs
+++ b/crates/emberpin-balancer/src/decisions/slow_start.rs
@@ -9,14 +9,14 @@
 /// Share of the overload limit that bounds how many gateways may send, as each may be one request over its
 /// part.
 const SLOW_START_GATEWAY_SHARE: f64 = 0.2;
-/// Up to so few gateways may send while they are no more than that part of the limit.
+/// Gateways that may send in any case; fewer where the limit is less than so many requests for each.
 const SLOW_START_MIN_GATEWAYS: f64 = 3.0;
 /// Where all servers warm up, what they are held to carry may grow by this part a second while they report
 /// no queue.
 const COLD_MULTIPLE_GROWTH: f64 = 0.5;
 /// Requests in a queue below which it counts as empty.
 const EMPTY_QUEUE: f64 = 0.5;
-/// It may grow to so many times the first guess.
+/// Multiple of the first guess that it may grow to.
 const MAX_COLD_MULTIPLE: f64 = 8.0;
 /// A report of a server that warms up counts for this time.
 pub(super) const COLD_REPORT_VALIDITY: Millis = 2_000.0;
--- a/crates/emberpin-balancer/src/gossip.rs
+++ b/crates/emberpin-balancer/src/gossip.rs
@@ -23,7 +23,7 @@
 const PARTS_PER_UNIT: f64 = 2.0;
 /// A chance is sent in parts of this.
 const CHANCE_PARTS: f64 = 255.0;
-/// A number of variable length takes at most so many bytes, of seven bits each.
+/// Most bytes of a number of variable length, which holds seven bits in each.
 const MAX_NUMBER_BYTES: usize = 6;
 /// A peer's clock is ahead by no more than this, in milliseconds.
 const MAX_CLOCK_AHEAD: u64 = 86_400_000;
--- a/crates/emberpin-balancer/src/handover.rs
+++ b/crates/emberpin-balancer/src/handover.rs
@@ -107,7 +107,7 @@
     latencies: Vec<ClassLatency>,
     load: LoadState,
     mean_latency_target: Millis,
-    peer_heard_at: Millis,
+    last_peer_message_at: Millis,
     rejoined_at: Millis,
     retry_budget: f64,
 }
@@ -174,7 +174,7 @@
             latencies: self.latencies.clone(),
             load: self.load.clone(),
             mean_latency_target: self.mean_latency_target,
-            peer_heard_at: self.peer_heard_at,
+            last_peer_message_at: self.last_peer_message_at,
             rejoined_at: self.rejoined_at,
             retry_budget: self.retry_budget,
         }
@@ -224,7 +224,7 @@
         self.latencies = handover.latencies;
         self.load = handover.load;
         self.mean_latency_target = handover.mean_latency_target;
-        self.peer_heard_at = handover.peer_heard_at;
+        self.last_peer_message_at = handover.last_peer_message_at;
         self.rejoined_at = handover.rejoined_at;
         self.retry_budget = handover.retry_budget;
         self.customers = handover.customers;
--- a/crates/emberpin-balancer/src/host_config.rs
+++ b/crates/emberpin-balancer/src/host_config.rs
@@ -1,5 +1,6 @@
-//! The settings and the list of servers as hosts get them, translated for the decisions: the simulator
-//! and a real limiter's configuration use the same names and units. No decision is taken here.
+//! The configuration and the endpoint list as hosts get them, translated for the decisions. The simulator and a real
+//! limiter use the same names and units; a field whose name in JSON differs from its term carries it in `serde(rename)`.
+//! No decision is taken here.
 
 use crate::gossip;
 use crate::interface::*;
@@ -11,7 +12,7 @@
 #[error("unknown zone '{0}'")]
 pub struct UnknownZone(pub String);
 
-/// The names that the settings gave to the indices.
+/// The names that the configuration gave to the indices in [`Settings`].
 #[derive(Clone, Debug)]
 pub struct IndexNames {
     classes: BTreeMap<String, usize>,
@@ -20,22 +21,22 @@
     kinds: BTreeMap<String, usize>,
 }
 
-/// One line of a list of servers, in names.
+/// One entry of the endpoint list, with names in place of indices.
 #[derive(Debug)]
 pub struct ServerEntry<'a> {
-    /// Which server.
+    /// The server's number, the same at every gateway.
     pub id: ServerId,
-    /// Its zone.
+    /// Name of its zone; it must be one of the configuration's.
     pub zone: &'a str,
-    /// Its machine kind.
+    /// Name of its machine kind; one that the configuration does not list counts as the first.
     pub kind: Option<&'a str>,
-    /// Its cell.
+    /// Its cell; 0 if absent.
     pub cell: Option<u32>,
-    /// Its stated size.
+    /// Its stated capacity, relative to other servers'; 1 if absent.
     pub capacity: Option<f64>,
-    /// When it last started, on the host's clock.
+    /// When its present incarnation started, on the host's clock; `None` for long ago.
     pub started_at: Option<Millis>,
-    /// Its standing.
+    /// Whether it accepts requests.
     pub status: ServerStatus,
 }
 
@@ -58,29 +59,39 @@
         self.plans.get(name).copied().map(PlanId)
     }
 
-    /// A line of the list; the error names a zone that the settings do not.
-    pub fn server(&self, line: ServerEntry) -> Result<Server, UnknownZone> {
+    /// Translates an entry of the endpoint list.
+    ///
+    /// # Errors
+    ///
+    /// When the configuration does not list its zone.
+    pub fn server(&self, entry: ServerEntry) -> Result<Server, UnknownZone> {
         Ok(Server {
-            id: line.id,
+            id: entry.id,
             zone: *self
                 .zones
-                .get(line.zone)
-                .ok_or_else(|| UnknownZone(line.zone.to_owned()))?,
-            kind: line
+                .get(entry.zone)
+                .ok_or_else(|| UnknownZone(entry.zone.to_owned()))?,
+            kind: entry
                 .kind
                 .and_then(|kind| self.kinds.get(kind))
                 .copied()
                 .unwrap_or(0),
-            cell: line.cell.unwrap_or(0),
-            capacity: line.capacity.unwrap_or(1.0),
-            started_at: line.started_at,
-            status: line.status,
+            cell: entry.cell.unwrap_or(0),
+            capacity: entry.capacity.unwrap_or(1.0),
+            started_at: entry.started_at,
+            status: entry.status,
         })
     }
 }
 
-/// The value of a load report that has this name in the settings.
-pub fn report_field<'a>(report: &'a mut LoadReport, name: &str) -> Option<&'a mut Option<f64>> {
+/// The names that servers report their load by.
+const LOAD_REPORT_NAMES: [&str; 4] = ["mean_ms", "depth", "concurrent", "load_share"];
+
+/// The value of a load report that a server sends by this name; `None` for a name that is not known.
+pub fn load_report_field<'a>(
+    report: &'a mut LoadReport,
+    name: &str,
+) -> Option<&'a mut Option<f64>> {
     Some(match name {
         "mean_ms" => &mut report.service_time,
         "depth" => &mut report.queue_length,
@@ -90,18 +101,19 @@
     })
 }
 
-/// A load report, by the names that its values have in the settings.
-pub fn report(value: impl Fn(&str) -> Option<f64>) -> LoadReport {
+/// A load report from its values by name.
+pub fn load_report(value: impl Fn(&str) -> Option<f64>) -> LoadReport {
     let mut report = LoadReport::default();
-    for name in ["mean_ms", "depth", "concurrent", "load_share"] {
-        if let Some(field) = report_field(&mut report, name) {
+    for name in LOAD_REPORT_NAMES {
+        if let Some(field) = load_report_field(&mut report, name) {
             *field = value(name);
         }
     }
     report
 }
 
-/// FNV-1a, folded to the part that travels in gossip: the same at every gateway, whatever the machine.
+/// Hashes a customer's name by FNV-1a, folded to [`gossip::ID_MASK`]. It is the same at every gateway and in every build,
+/// as gateways know customers by it in gossip.
 pub fn stable_hash(name: &str) -> u64 {
     let whole = name.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| {
         (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
@@ -109,216 +121,268 @@
     (whole ^ whole >> 40) & gossip::ID_MASK
 }
 
-/// The settings as they stand in JSON; opaque but for what a host may need of them.
+/// The configuration as it stands in JSON; opaque but for what a host itself needs of it.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct HostConfig {
-    my_number: u32,
+    #[serde(rename = "my-number")]
+    gateway_id: GatewayId,
     group_size: u32,
     zone: String,
-    failure_domains: Vec<String>,
+    #[serde(rename = "failure-domains")]
+    zones: Vec<String>,
     #[serde(default)]
     kinds: Vec<String>,
-    profiles: Vec<Profile>,
-    #[serde(default)]
-    plans: Vec<Tariff>,
-    #[serde(default)]
-    bounds: Bounds,
+    #[serde(rename = "profiles")]
+    classes: Vec<ClassConfig>,
     #[serde(default)]
-    family_info: Family,
-    #[serde(default)]
-    rules: Figures,
+    plans: Vec<PlanConfig>,
+    #[serde(default, rename = "bounds")]
+    capabilities: Capabilities,
+    #[serde(default, rename = "family-info")]
+    environment: Environment,
+    #[serde(default, rename = "rules")]
+    slow_start: SlowStartConfig,
     #[serde(default)]
     prices: Prices,
+    /// `ask` where the endpoint list has to be subscribed to.
     #[serde(default)]
     membership_mode: String,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-struct Profile {
+struct ClassConfig {
     name: String,
-    aim_ms: f64,
-    deadline_ms: f64,
-    #[serde(default)]
-    worth: f64,
-    #[serde(default)]
-    late_worth: f64,
-    semantics: Semantics,
-    group: Option<Repeats>,
-    dedup_window_ms: Option<f64>,
+    #[serde(rename = "aim-ms")]
+    latency_target: Millis,
+    #[serde(rename = "deadline-ms")]
+    deadline: Millis,
+    #[serde(default, rename = "worth")]
+    value: f64,
+    #[serde(default, rename = "late-worth")]
+    late_value: f64,
+    #[serde(rename = "semantics")]
+    idempotency: IdempotencyKind,
+    /// For keyed classes; a cell if absent.
+    #[serde(rename = "group")]
+    dedup_scope: Option<DedupScope>,
+    /// For keyed classes.
+    #[serde(rename = "dedup-window-ms")]
+    dedup_window: Option<Millis>,
 }
 
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "kebab-case")]
-enum Semantics {
+enum IdempotencyKind {
     Safe,
     Keyed,
     Unsafe,
 }
 
-#[derive(Deserialize, Clone, Copy)]
-#[serde(rename_all = "kebab-case")]
-enum Repeats {
-    All,
-    Zone,
-    Cell,
-}
-
-#[derive(Deserialize)]
+#[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
-#[derive(Default)]
-struct Tariff {
+struct PlanConfig {
     name: String,
-    per_second: f64,
-    store_size: f64,
-    at_once: f64,
-    cap_rate: f64,
-    hard_burst: f64,
+    #[serde(rename = "per-second")]
+    quota_rate: f64,
+    #[serde(rename = "store-size")]
+    quota_burst: f64,
+    #[serde(rename = "at-once")]
+    max_in_flight: f64,
+    #[serde(rename = "cap-rate")]
+    limit_rate: f64,
+    #[serde(rename = "hard-burst")]
+    limit_burst: f64,
     price: f64,
-    over_worth: f64,
-    overrun_cost: f64,
+    #[serde(rename = "over-worth")]
+    over_quota_value: f64,
+    #[serde(rename = "overrun-cost")]
+    over_quota_cost: f64,
 }
 
+/// What gateways may do.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
-struct Bounds {
-    try_limit: u32,
-    second_copies: bool,
+struct Capabilities {
+    #[serde(rename = "try-limit")]
+    max_attempts: u32,
+    #[serde(rename = "second-copies")]
+    hedging: bool,
     retry_after: bool,
-    max_retry_after_ms: f64,
-    may_tell: bool,
+    #[serde(rename = "max-retry-after-ms")]
+    max_retry_after: Millis,
+    #[serde(rename = "may-tell")]
+    peer_messages: bool,
     probes: bool,
     cancel: bool,
-    connect_timeout_ms: Option<f64>,
-    idle_close_ms: Option<f64>,
+    #[serde(rename = "connect-timeout-ms")]
+    connect_timeout: Option<Millis>,
+    #[serde(rename = "idle-close-ms")]
+    idle_timeout: Option<Millis>,
 }
 
+/// What surrounds gateways.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
-struct Family {
-    mail_per_s: f64,
+struct Environment {
+    #[serde(rename = "mail-per-s")]
+    peer_messages_per_second: f64,
+    /// 0 where it is not known.
     max_units: f64,
-    settles: bool,
-    meter_ms: f64,
+    #[serde(rename = "settles")]
+    units_are_estimates: bool,
+    #[serde(rename = "meter-ms")]
+    meter_period: Millis,
     shared_counter: bool,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
-struct Figures {
-    cold_from: f64,
-    warm_after_ms: f64,
-    fall_multiple: f64,
-    overload_for_ms: f64,
+struct SlowStartConfig {
+    #[serde(rename = "cold-from")]
+    initial_capacity: f64,
+    #[serde(rename = "warm-after-ms")]
+    duration: Millis,
+    #[serde(rename = "fall-multiple")]
+    overload_multiple: f64,
+    #[serde(rename = "overload-for-ms")]
+    overload_time: Millis,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 struct Prices {
     cross_zone: f64,
-    peer: f64,
+    #[serde(rename = "peer")]
+    peer_message: f64,
 }
 
 impl HostConfig {
-    /// What the decisions are told, and the names of the indices in it.
+    /// The settings of the decisions, and the names of the indices in them.
+    ///
+    /// # Errors
+    ///
+    /// When the gateway's zone is none of the configuration's.
     pub fn to_settings(&self) -> Result<(Settings, IndexNames), UnknownZone> {
-        fn index<'a>(names: impl Iterator<Item = &'a String>) -> BTreeMap<String, usize> {
-            names
-                .enumerate()
-                .map(|(i, name)| (name.clone(), i))
-                .collect()
-        }
         let names = IndexNames {
-            classes: index(self.profiles.iter().map(|p| &p.name)),
-            plans: index(self.plans.iter().map(|p| &p.name)),
-            zones: index(self.failure_domains.iter()),
+            classes: index(self.classes.iter().map(|class| &class.name)),
+            plans: index(self.plans.iter().map(|plan| &plan.name)),
+            zones: index(self.zones.iter()),
             kinds: index(self.kinds.iter()),
         };
         let zone = *names
             .zones
             .get(&self.zone)
             .ok_or_else(|| UnknownZone(self.zone.clone()))?;
-        Ok((settings(self, zone), names))
+        Ok((self.settings(zone), names))
     }
 
-    /// A connection that is not up by then counts as failed.
+    /// Milliseconds after which a connection that is not up counts as failed, where that is configured.
     pub fn connect_timeout(&self) -> Option<Millis> {
-        self.bounds.connect_timeout_ms
+        self.capabilities.connect_timeout
     }
 
-    /// No request counts more units, where that is told.
+    /// Most units of a request, where that is configured.
     pub fn max_units(&self) -> Option<f64> {
-        Some(self.family_info.max_units).filter(|most| *most > 0.0)
+        Some(self.environment.max_units).filter(|most| *most > 0.0)
     }
 
-    /// Servers close connections that were idle for so long.
-    pub fn idle_close(&self) -> Option<Millis> {
-        self.bounds.idle_close_ms
+    /// Milliseconds after which servers close an idle connection, where that is configured. A connection that was idle
+    /// for nearly as long must not be used again, as the server may close it just then.
+    pub fn idle_timeout(&self) -> Option<Millis> {
+        self.capabilities.idle_timeout
+    }
+
+    fn settings(&self, zone: usize) -> Settings {
+        Settings {
+            gateway_id: self.gateway_id,
+            group_size: self.group_size,
+            zone,
+            classes: self.classes.iter().map(ClassConfig::class).collect(),
+            plans: self.plans.iter().map(PlanConfig::plan).collect(),
+            slow_start: self.slow_start.slow_start(),
+            max_attempts: self.capabilities.max_attempts,
+            hedging: self.capabilities.hedging,
+            max_retry_after: self.capabilities.max_retry_after(),
+            peer_messages_per_second: if self.capabilities.peer_messages {
+                self.environment.peer_messages_per_second
+            } else {
+                0.0
+            },
+            subscribe_servers: self.membership_mode == "ask",
+            can_cancel: self.capabilities.cancel,
+            can_probe: self.capabilities.probes,
+            units_are_estimates: self.environment.units_are_estimates,
+            meter_period: self.environment.meter_period,
+            shared_counter: self.environment.shared_counter,
+            cross_zone_slowdown: 1.0,
+            cross_zone_price: self.prices.cross_zone,
+            peer_message_price: self.prices.peer_message,
+        }
     }
 }
 
-fn settings(conf: &HostConfig, zone: usize) -> Settings {
-    let class = |p: &Profile| Class {
-        latency_target: p.aim_ms,
-        deadline: p.deadline_ms,
-        value: p.worth,
-        late_value: p.late_worth,
-        idempotency: match p.semantics {
-            Semantics::Safe => Idempotency::Safe,
-            Semantics::Unsafe => Idempotency::Unsafe,
-            Semantics::Keyed => Idempotency::Keyed {
-                scope: match p.group {
-                    Some(Repeats::All) => DedupScope::All,
-                    Some(Repeats::Zone) => DedupScope::Zone,
-                    Some(Repeats::Cell) | None => DedupScope::Cell,
+/// The position of each name.
+fn index<'a>(names: impl Iterator<Item = &'a String>) -> BTreeMap<String, usize> {
+    names
+        .enumerate()
+        .map(|(position, name)| (name.clone(), position))
+        .collect()
+}
+
+impl ClassConfig {
+    fn class(&self) -> Class {
+        Class {
+            latency_target: self.latency_target,
+            deadline: self.deadline,
+            value: self.value,
+            late_value: self.late_value,
+            idempotency: match self.idempotency {
+                IdempotencyKind::Safe => Idempotency::Safe,
+                IdempotencyKind::Unsafe => Idempotency::Unsafe,
+                IdempotencyKind::Keyed => Idempotency::Keyed {
+                    scope: self.dedup_scope.unwrap_or(DedupScope::Cell),
+                    window: self.dedup_window.unwrap_or(0.0),
                 },
-                window: p.dedup_window_ms.unwrap_or(0.0),
             },
-        },
-    };
-    let plan = |p: &Tariff| Plan {
-        quota_rate: p.per_second,
-        quota_burst: p.store_size,
-        max_in_flight: p.at_once,
-        limit_rate: p.cap_rate,
-        limit_burst: p.hard_burst,
-        price: p.price,
-        over_quota_value: p.over_worth,
-        over_quota_cost: p.overrun_cost,
-    };
-    Settings {
-        gateway_id: GatewayId(conf.my_number),
-        group_size: conf.group_size,
-        zone,
-        classes: conf.profiles.iter().map(class).collect(),
-        plans: conf.plans.iter().map(plan).collect(),
-        slow_start: SlowStart {
-            initial_capacity: conf.rules.cold_from,
-            duration: conf.rules.warm_after_ms,
-            overload_multiple: conf.rules.fall_multiple,
-            overload_time: conf.rules.overload_for_ms,
-        },
-        max_attempts: conf.bounds.try_limit,
-        hedging: conf.bounds.second_copies,
-        max_retry_after: if conf.bounds.retry_after {
-            conf.bounds.max_retry_after_ms
-        } else {
-            0.0
-        },
-        peer_messages_per_second: if conf.bounds.may_tell {
-            conf.family_info.mail_per_s
+        }
+    }
+}
+
+impl PlanConfig {
+    fn plan(&self) -> Plan {
+        Plan {
+            quota_rate: self.quota_rate,
+            quota_burst: self.quota_burst,
+            max_in_flight: self.max_in_flight,
+            limit_rate: self.limit_rate,
+            limit_burst: self.limit_burst,
+            price: self.price,
+            over_quota_value: self.over_quota_value,
+            over_quota_cost: self.over_quota_cost,
+        }
+    }
+}
+
+impl SlowStartConfig {
+    fn slow_start(&self) -> SlowStart {
+        SlowStart {
+            initial_capacity: self.initial_capacity,
+            duration: self.duration,
+            overload_multiple: self.overload_multiple,
+            overload_time: self.overload_time,
+        }
+    }
+}
+
+impl Capabilities {
+    /// 0 where a client cannot be given one.
+    fn max_retry_after(&self) -> Millis {
+        if self.retry_after {
+            self.max_retry_after
         } else {
             0.0
-        },
-        subscribe_servers: conf.membership_mode == "ask",
-        can_cancel: conf.bounds.cancel,
-        can_probe: conf.bounds.probes,
-        units_are_estimates: conf.family_info.settles,
-        meter_period: conf.family_info.meter_ms,
-        shared_counter: conf.family_info.shared_counter,
-        cross_zone_slowdown: 1.0,
-        cross_zone_price: conf.prices.cross_zone,
-        peer_message_price: conf.prices.peer,
+        }
     }
 }
--- a/crates/emberpin-balancer/src/interface/actions.rs
+++ b/crates/emberpin-balancer/src/interface/actions.rs
@@ -7,7 +7,7 @@
 pub enum Action {
     /// Send the next attempt of a request.
     Send {
-        /// The request.
+        /// The request to send.
         request: RequestId,
         /// The server to send it to.
         server: ServerId,
@@ -16,31 +16,31 @@
     },
     /// Final answer: rejected. The client may safely retry.
     Reject {
-        /// The request.
+        /// The request that is rejected.
         request: RequestId,
         /// Milliseconds for which the client should wait before it retries; 0 for no advice.
         retry_after: Millis,
     },
     /// Final answer: failed. The request may have run, and a retry may run it twice.
     Fail {
-        /// The request.
+        /// The request that failed.
         request: RequestId,
     },
     /// Cancel an attempt in flight.
     Cancel {
-        /// The request.
+        /// The request whose attempt is cancelled.
         request: RequestId,
         /// The attempt's number.
         attempt: u32,
     },
     /// Probe a server.
     Probe {
-        /// The server.
+        /// The server to probe.
         server: ServerId,
     },
     /// Close idle connections to a server.
     CloseIdle {
-        /// The server.
+        /// The server whose idle connections to close.
         server: ServerId,
     },
     /// Deliver [`Event::Timer`](crate::Event::Timer) later.
@@ -66,7 +66,7 @@
     },
     /// Add to a counter of the counter service.
     AddToCounter {
-        /// The counter.
+        /// The counter to add to.
         counter: u64,
         /// What to add.
         amount: f64,
--- a/crates/emberpin-balancer/src/interface/events.rs
+++ b/crates/emberpin-balancer/src/interface/events.rs
@@ -15,7 +15,7 @@
     pub class: ClassId,
     /// Its customer's plan. A plan that the settings do not have is rejected.
     pub plan: PlanId,
-    /// Its customer.
+    /// The customer whose quota it is charged to.
     pub customer: CustomerId,
     /// Milliseconds until the client gives up waiting for this request.
     pub remaining: Millis,
@@ -41,7 +41,7 @@
 /// How an attempt ended.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// The request.
+    /// The request that it was an attempt of.
     pub request: RequestId,
     /// The attempt's number within the request, from 0.
     pub attempt: u32,
@@ -80,14 +80,14 @@
     },
     /// An attempt was sent to a server that may still be warming up.
     SlowStart {
-        /// The server.
+        /// The server that it was sent to.
         server: ServerId,
         /// The attempt's work, as a multiple of a mean request's.
         work: f64,
     },
 }
 
-/// What happened.
+/// What happened to a gateway, for [`Gateway::handle`](crate::Gateway::handle).
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A second process of this gateway started or stopped, as during an upgrade. While it runs, use is shared with it.
@@ -104,20 +104,20 @@
     Request(Request),
     /// The client began to receive a streamed answer: no other attempt may follow, and the gateway owes no answer.
     ResponseStarted {
-        /// The request.
+        /// The request that is being answered.
         request: RequestId,
     },
     /// An attempt ended; exactly one such event follows each [`Action::Send`](crate::Action::Send).
     AttemptEnded(AttemptResult),
     /// The client left or its time is up; the gateway owes no answer.
     Abandoned {
-        /// The request.
+        /// The request that nobody waits for.
         request: RequestId,
     },
     /// An operator takes a server out of service at this gateway, or puts it back. It holds whatever the endpoint list
     /// says meanwhile.
     Maintenance {
-        /// The server.
+        /// The server that is taken out or put back.
         server: ServerId,
         /// Whether it is taken out of service.
         out_of_service: bool,
@@ -129,7 +129,7 @@
     },
     /// A probe ended.
     ProbeEnded {
-        /// The server.
+        /// The server that was probed.
         server: ServerId,
         /// How the probe ended.
         outcome: Outcome,
@@ -147,7 +147,7 @@
     },
     /// The counter service replied.
     CounterReply {
-        /// The counter.
+        /// The counter that was added to.
         counter: u64,
         /// Its value after the addition; `None` where the call failed.
         total: Option<f64>,
--- a/crates/emberpin-balancer/src/interface/servers.rs
+++ b/crates/emberpin-balancer/src/interface/servers.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServerStatus {
-    /// Accepts requests.
+    /// In service: it accepts requests.
     InService,
     /// Completes the requests it has; must not get new ones.
     #[serde(rename = "terminating")]
@@ -44,7 +44,7 @@
     pub zone: usize,
     /// Index of its machine kind.
     pub kind: usize,
-    /// Its cell.
+    /// Its cell, the smallest failure domain.
     pub cell: u32,
     /// Its stated capacity, relative to other servers'.
     pub capacity: f64,
@@ -80,7 +80,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Answered successfully.
+    /// The server answered, and without an error of its own.
     Ok,
     /// The server reported an error; the request may have run.
     Error,
--- a/crates/emberpin-balancer/src/interface/settings.rs
+++ b/crates/emberpin-balancer/src/interface/settings.rs
@@ -1,11 +1,13 @@
 //! The settings of one gateway, fixed at its start but for its classes.
 
 use super::{GatewayId, Millis};
+use serde::Deserialize;
 
 /// The servers that recognize a repeated request by its idempotency key and discard it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
+#[serde(rename_all = "kebab-case")]
 pub enum DedupScope {
-    /// Every server.
+    /// Every server of the deployment.
     All,
     /// The servers of one zone.
     Zone,
--- a/crates/emberpin-balancer/src/state/latency.rs
+++ b/crates/emberpin-balancer/src/state/latency.rs
@@ -5,7 +5,7 @@
 
 /// Units from 1 up to this number have a latency of their own; larger requests share the last.
 const UNIT_SIZES: usize = 8;
-/// So many answers of one size weigh as much as all that is known of the class.
+/// Answers of one size that weigh as much as all that is known of the class.
 const SAMPLES_TO_TRUST: f64 = 4.0;
 
 /// Mean and mean deviation of a latency over all servers.
@@ -49,8 +49,8 @@
         (units.max(1.0).round() as usize).min(UNIT_SIZES) - 1
     }
 
-    /// The expected latency of a request of so many units: the more of that size were seen, the less the mean of the
-    /// class counts.
+    /// The expected latency of a request by its units: the more answers of that size were seen, the less the mean of
+    /// the class counts.
     pub fn of(&self, units: f64) -> Latency {
         let (samples, own) = self.by_units[ClassLatency::index(units)];
         let weight = samples / (samples + SAMPLES_TO_TRUST);
--- a/crates/emberpin-limiter/src/operate/config.rs
+++ b/crates/emberpin-limiter/src/operate/config.rs
@@ -219,7 +219,7 @@
             ops: file.ops,
             known: file.known,
             connect_timeout: millis(file.settings.connect_timeout(), 250.0)?,
-            idle_limit: millis(file.settings.idle_close(), 15_000.0)?
+            idle_limit: millis(file.settings.idle_timeout(), 15_000.0)?
                 .mul_f64(operator.connections.idle_share),
             start: operator.start.clone(),
             takeover: operator.takeover.clone(),
--- a/crates/emberpin-limiter/src/upstream/wire.rs
+++ b/crates/emberpin-limiter/src/upstream/wire.rs
@@ -1,7 +1,7 @@
 //! How requests and answers are worded between a limiter and its servers: the host of connections is given it.
 
 use crate::messages::Head;
-use emberpin_balancer::host_config::report_field;
+use emberpin_balancer::host_config::load_report_field;
 use emberpin_balancer::{LoadReport, Outcome};
 use hyper::header::{HeaderMap, HeaderValue, CONTENT_TYPE};
 use hyper::{Response, StatusCode};
@@ -101,7 +101,7 @@
         {
             // Of two readable values the first counts.
             if let Some(field) =
-                report_field(&mut report, name.trim()).filter(|field| field.is_none())
+                load_report_field(&mut report, name.trim()).filter(|field| field.is_none())
             {
                 *field = number(value);
             }
