--- /dev/null
+++ b/crates/emberpin-simulator/src/generator/dense/faults.rs
@@ -0,0 +1,221 @@
+//! The faults of a dense scenario.
+
+use super::super::names_of;
+use super::{DenseScenario, SYNC_TIME_MS};
+
+/// No machine gets a higher number than one above this by a replacement.
+const MAX_CORE: u8 = 60;
+/// Machines that were all killed come back within this.
+const RETURN_OF_ALL_MS: u64 = 1_000;
+
+impl DenseScenario {
+    pub(super) fn add_fault(&mut self) {
+        match self.draw_below(100) {
+            0..14 => self.kill(),
+            14..26 => self.cut_power(),
+            26..40 => self.wipe(),
+            40..46 => self.replace(),
+            46..56 => self.freeze(),
+            56..68 => self.partition(),
+            68..76 => self.slow_down(),
+            76..80 => self.stall_disk(),
+            80..84 => self.end_all(),
+            84..94 => self.disturb_proxy(),
+            94..96 => self.change_seeds(),
+            _ => self.disturb_network(),
+        }
+    }
+
+    /// How long a fault lasts: mostly briefly.
+    fn draw_fault_length(&mut self) -> u64 {
+        match self.draw_below(4) {
+            0 => self.draw_between(20, 300),
+            1 | 2 => self.draw_between(300, 2_500),
+            _ => self.draw_between(2_500, 9_000),
+        }
+    }
+
+    fn kill(&mut self) {
+        let return_at = self.now_ms + self.draw_fault_length();
+        let Some(core) = self.lose_core(return_at) else {
+            return;
+        };
+        self.add_step(format!("kill core-{core}"));
+        self.add_step_at(return_at, format!("start core-{core}"));
+        if self.chance(25) {
+            // Again, before it has caught up with the others.
+            let again = return_at + self.draw_between(20, 600);
+            self.add_step_at(again, format!("kill core-{core}"));
+            self.add_step_at(again + 200, format!("start core-{core}"));
+            self.lost_until.insert(core, again + 200 + SYNC_TIME_MS);
+        }
+    }
+
+    fn cut_power(&mut self) {
+        let return_at = self.now_ms + self.draw_fault_length();
+        let Some(core) = self.lose_core(return_at) else {
+            return;
+        };
+        let hard = if self.chance(50) { "hard " } else { "" };
+        self.add_step(format!("power {hard}core-{core}"));
+        self.add_step_at(return_at, format!("start core-{core}"));
+    }
+
+    fn wipe(&mut self) {
+        let return_at = self.now_ms + self.draw_fault_length();
+        let Some(core) = self.lose_core(return_at) else {
+            return;
+        };
+        self.add_step(format!("wipe core-{core}"));
+        self.add_step_at(return_at, format!("start core-{core}"));
+    }
+
+    fn replace(&mut self) {
+        if self.next_core > MAX_CORE {
+            return;
+        }
+        let Some(core) = self.lose_core(self.now_ms) else {
+            return;
+        };
+        let new = self.next_core;
+        self.next_core += 1;
+        self.cores.retain(|one| *one != core);
+        // A process whose seeds are all removed for good would reach nobody.
+        self.add_step(format!("seeds{}", names_of(&self.cores)));
+        self.cores.push(new);
+        let until = self.lost_until.remove(&core).unwrap_or(self.now_ms);
+        self.lost_until.insert(new, until);
+        self.add_step(format!("replace core-{core} core-{new}"));
+    }
+
+    fn freeze(&mut self) {
+        let return_at = self.now_ms + self.draw_fault_length();
+        let Some(core) = self.lose_core(return_at) else {
+            return;
+        };
+        self.add_step(format!("freeze core-{core}"));
+        self.add_step_at(return_at, format!("thaw core-{core}"));
+    }
+
+    fn partition(&mut self) {
+        let return_at = self.now_ms + self.draw_fault_length();
+        let Some(core) = self.lose_core(return_at) else {
+            return;
+        };
+        let others = names_of(&self.cores_except(core));
+        match self.draw_below(3) {
+            0 => self.add_step(format!("cut{others} > core-{core}")),
+            1 => self.add_step(format!("cut core-{core} >{others}")),
+            _ => self.add_step(format!("cut core-{core} |{others}")),
+        }
+        self.add_step_at(return_at, format!("heal core-{core}"));
+    }
+
+    /// Messages from a machine, or to it, arrive seconds later.
+    fn slow_down(&mut self) {
+        let return_at = self.now_ms + self.draw_fault_length();
+        let (low, more) = (self.draw_between(50, 2_000), self.draw_between(200, 3_000));
+        let Some(core) = self.lose_core(return_at + low + more) else {
+            return;
+        };
+        let (others, by) = (
+            names_of(&self.cores_except(core)),
+            format!("{low}ms..{}ms", low + more),
+        );
+        match self.draw_below(3) {
+            0 => self.add_step(format!("slow {by}{others} > core-{core}")),
+            1 => self.add_step(format!("slow {by} core-{core} >{others}")),
+            _ => self.add_step(format!("slow {by} core-{core} |{others}")),
+        }
+        self.add_step_at(return_at, format!("heal core-{core}"));
+    }
+
+    fn stall_disk(&mut self) {
+        let span = self.draw_fault_length();
+        let Some(core) = self.lose_core(self.now_ms + span) else {
+            return;
+        };
+        self.add_step(format!("stall {span}ms core-{core}"));
+    }
+
+    /// All machines are killed or lose power, and as many disks are lost as may be.
+    fn end_all(&mut self) {
+        let all = self.cores.clone();
+        let word = ["kill", "power", "power hard"][self.draw_below(3) as usize];
+        self.add_step(format!("{word}{}", names_of(&all)));
+        let return_at = self.now_ms + self.draw_between(50, RETURN_OF_ALL_MS);
+        if self.chance(60) {
+            while self.chance(70) {
+                let Some(core) = self.lose_core(return_at) else {
+                    break;
+                };
+                self.add_step(format!("wipe core-{core}"));
+            }
+        }
+        self.add_step_at(return_at, format!("start{}", names_of(&all)));
+        // All of them were down.
+        for core in all {
+            let until = self.lost_until.entry(core).or_default();
+            *until = (return_at + SYNC_TIME_MS).max(*until);
+        }
+        self.now_ms += RETURN_OF_ALL_MS;
+    }
+
+    pub(super) fn disturb_proxy(&mut self) {
+        let proxy = 1 + self.draw_below(self.proxies.into());
+        let (core, return_at) = (self.choose_core(), self.now_ms + self.draw_fault_length());
+        let proxy = format!("limiter-{proxy}");
+        let (begin, end) = match self.draw_below(6) {
+            0 => (format!("kill {proxy}"), "start"),
+            1 => (format!("freeze {proxy}"), "thaw"),
+            2 => (format!("cut core-{core} > {proxy}"), "heal"),
+            3 => (format!("cut {proxy} > core-{core}"), "heal"),
+            4 => (format!("cut core-{core} | {proxy}"), "heal"),
+            _ => (format!("slow 100ms..3s core-{core} | {proxy}"), "heal"),
+        };
+        self.add_step(begin);
+        self.add_step_at(return_at, format!("{end} {proxy}"));
+    }
+
+    /// Processes are configured with other seeds, of which at least one is not lost.
+    fn change_seeds(&mut self) {
+        let available = self.cores_not_lost();
+        if available.is_empty() {
+            return;
+        }
+        let mut seeds = vec![
+            available[self.draw_below(available.len() as u64) as usize],
+            self.choose_core(),
+            self.choose_core(),
+        ];
+        seeds.sort_unstable();
+        seeds.dedup();
+        self.add_step(format!("seeds{}", names_of(&seeds)));
+    }
+
+    fn disturb_network(&mut self) {
+        let end = self.now_ms + self.draw_between(500, 3_000);
+        if self.chance(50) {
+            self.add_step("answers lost 70%".into());
+            self.add_step_at(end, "answers lost 0%".into());
+        }
+        if !self.may_be_slow {
+            return;
+        }
+        if self.chance(50) {
+            let (late, twice, delay) = (
+                self.draw_below(20),
+                self.draw_below(20),
+                3 + self.draw_below(60),
+            );
+            self.add_step(format!(
+                "network delay 1ms..{delay}ms late {late}% twice {twice}%"
+            ));
+            self.add_step_at(end, "network delay 1ms..5ms late 0% twice 0%".into());
+        } else {
+            let slow = 3 + self.draw_below(120);
+            self.add_step(format!("disk 1ms..{slow}ms"));
+            self.add_step_at(end, "disk 2ms..6ms".into());
+        }
+    }
+}
--- /dev/null
+++ b/crates/emberpin-simulator/src/generator/dense/mod.rs
@@ -0,0 +1,219 @@
+//! Draws dense scenarios: several kinds of faults at once and repeated, over hundreds of changes.
+//!
+//! Never more machines are lost at once than `tolerance` says. A machine is lost while it is down, frozen, slowed or
+//! partitioned, and for [`SYNC_TIME_MS`] after that; one that is replaced, until its successor has had that time. All
+//! machines may be killed or lose power at one moment, and come back within a second.
+
+mod faults;
+mod operators;
+mod servers;
+
+use super::{names_of, ROSTER_COMPLETE_MS, ROSTER_MS_PER_MACHINE, ZONES};
+use oorandom::Rand64;
+use std::collections::BTreeMap;
+use std::fmt::Write;
+
+/// Makes the draws of a seed differ from those of its wide scenario.
+const SEED_MASK: u128 = 0xde_0000;
+/// `sync_time`: for how long a machine still counts as lost after its return.
+const SYNC_TIME_MS: u64 = 4_000;
+/// How many of a hundred moments of a faulty time change a server.
+const SERVER_PERCENT: u64 = 8;
+
+/// A version of a route that a patch set or dropped.
+#[derive(Clone, Copy, Debug)]
+struct RouteVersion {
+    route: u64,
+    version: u64,
+}
+
+/// A patch or evacuation that can be repeated.
+#[derive(Clone, Debug)]
+struct SentCall {
+    operator: String,
+    /// The version that it gave a route, if it is about one.
+    route: Option<RouteVersion>,
+}
+
+/// A dense scenario as it is drawn.
+struct DenseScenario {
+    random: Rand64,
+    /// By their time, in the order in which they were drawn.
+    steps: BTreeMap<u64, Vec<String>>,
+    now_ms: u64,
+    cores: Vec<u8>,
+    next_core: u8,
+    /// Until when a machine counts as lost.
+    lost_until: BTreeMap<u8, u64>,
+    proxies: u8,
+    tolerance: usize,
+    last_version: u64,
+    calls: u64,
+    sent_calls: Vec<SentCall>,
+    servers: u64,
+    /// Messages between stores may be late and disks slow, so that the run asserts nothing with a time limit.
+    may_be_slow: bool,
+}
+
+impl DenseScenario {
+    // ---- draws and steps
+
+    fn draw_below(&mut self, bound: u64) -> u64 {
+        self.random.rand_range(0..bound.max(1))
+    }
+
+    fn draw_between(&mut self, low: u64, high: u64) -> u64 {
+        low + self.draw_below(high - low)
+    }
+
+    fn chance(&mut self, percent: u64) -> bool {
+        self.draw_below(100) < percent
+    }
+
+    fn add_step_at(&mut self, at_ms: u64, step: String) {
+        self.steps.entry(at_ms).or_default().push(step);
+    }
+
+    fn add_step(&mut self, step: String) {
+        self.add_step_at(self.now_ms, step);
+    }
+
+    fn choose_core(&mut self) -> u8 {
+        let index = self.draw_below(self.cores.len() as u64) as usize;
+        self.cores[index]
+    }
+
+    fn cores_except(&self, core: u8) -> Vec<u8> {
+        let others = self.cores.iter().copied();
+        others.filter(|other| *other != core).collect()
+    }
+
+    // ---- which machines may be lost
+
+    fn count_lost(&self) -> usize {
+        self.lost_until
+            .values()
+            .filter(|until| **until > self.now_ms)
+            .count()
+    }
+
+    fn cores_not_lost(&self) -> Vec<u8> {
+        let is_lost = |core: &u8| {
+            let lost_until = self.lost_until.get(core);
+            lost_until.is_some_and(|until| *until > self.now_ms)
+        };
+        let cores = self.cores.iter().copied();
+        cores.filter(|core| !is_lost(core)).collect()
+    }
+
+    /// Chooses a machine that may be lost now, until some time after its return; `None` if no more may be lost.
+    fn lose_core(&mut self, return_at: u64) -> Option<u8> {
+        if self.count_lost() >= self.tolerance {
+            return None;
+        }
+        let available = self.cores_not_lost();
+        let core = available[self.draw_below(available.len() as u64) as usize];
+        self.lost_until.insert(core, return_at + SYNC_TIME_MS);
+        Some(core)
+    }
+
+    // ---- the run
+
+    /// Faults follow each other, with calls of operators and servers between them.
+    fn add_faulty_time(&mut self, span: u64) {
+        let end = self.now_ms + span;
+        let (fault_percent, call_percent) = (self.draw_between(10, 40), self.draw_between(30, 60));
+        while self.now_ms < end {
+            self.now_ms += 1 + self.draw_below(120);
+            match self.draw_below(100) {
+                drawn if drawn < fault_percent => self.add_fault(),
+                drawn if drawn < fault_percent + call_percent => self.add_operator_call(),
+                drawn if drawn < fault_percent + call_percent + SERVER_PERCENT => {
+                    self.add_server_step();
+                }
+                _ => {}
+            }
+        }
+    }
+
+    /// Some machines are partitioned from the others for long, and the core machines have no other fault.
+    fn add_isolation(&mut self) {
+        let last_return = self.lost_until.values().copied().max();
+        self.now_ms = self.now_ms.max(last_return.unwrap_or_default()) + 1;
+        let (until, mut away) = (self.now_ms + self.draw_between(8_000, 20_000), Vec::new());
+        for _ in 0..self.draw_between(1, self.tolerance as u64 + 1) {
+            away.extend(self.lose_core(until));
+        }
+        if away.is_empty() {
+            return;
+        }
+        let rest = self.cores.iter().copied();
+        let rest: Vec<u8> = rest.filter(|core| !away.contains(core)).collect();
+        self.add_step(format!("cut{} |{}", names_of(&away), names_of(&rest)));
+        self.add_step_at(until, format!("heal{}", names_of(&away)));
+        self.add_quiet_time(until - self.now_ms);
+    }
+
+    /// The core machines have no faults.
+    fn add_quiet_time(&mut self, span: u64) {
+        let end = self.now_ms + span;
+        while self.now_ms < end {
+            self.now_ms += 1 + self.draw_below(600);
+            match self.draw_below(5) {
+                0 | 1 => self.add_operator_call(),
+                2 => self.add_server_step(),
+                3 if self.chance(20) => self.disturb_proxy(),
+                _ => {}
+            }
+        }
+    }
+}
+
+/// Draws the dense scenario of a seed.
+pub(super) fn generate(seed: u64) -> String {
+    let mut random = Rand64::new(u128::from(seed) ^ SEED_MASK);
+    let mut one = |of: &[u8]| of[random.rand_range(0..of.len() as u64) as usize];
+    let count = one(&[3, 5, 5, 5, 7]);
+    let tolerance = one(&[1, 2, 3]).min((count - 1) / 2);
+    let proxies = one(&[1, 2, 4, 8]);
+    let may_be_slow = one(&[0, 0, 1]) == 1;
+    let mut dense = DenseScenario {
+        random,
+        steps: BTreeMap::new(),
+        now_ms: 3_000,
+        cores: (1..=count).collect(),
+        next_core: count + 1,
+        lost_until: BTreeMap::new(),
+        proxies,
+        tolerance: tolerance.into(),
+        last_version: 1,
+        calls: 0,
+        sent_calls: Vec::new(),
+        servers: 0,
+        may_be_slow,
+    };
+    dense.add_step("operator first patch svc=a0 svc=a1 svc=a2 route=r0:h0/p/:a0 ver=1".into());
+    dense.now_ms = ROSTER_COMPLETE_MS + ROSTER_MS_PER_MACHINE * u64::from(count);
+    for _ in 0..dense.draw_between(1, 4) {
+        let span = dense.draw_between(3_000, 12_000);
+        dense.add_faulty_time(span);
+        match dense.draw_below(3) {
+            0 => dense.add_isolation(),
+            1 => {
+                let span = dense.draw_between(4_000, 9_000);
+                dense.add_quiet_time(span);
+            }
+            _ => {}
+        }
+    }
+    let mut text = format!(
+        "cores {count}\nlimiters {proxies}\nzones {}\ntolerance {tolerance}\nseed {seed}\n",
+        ZONES.join(" ")
+    );
+    for (at, steps) in &dense.steps {
+        for step in steps {
+            let _ = writeln!(text, "at {at}ms {step}");
+        }
+    }
+    text
+}
--- /dev/null
+++ b/crates/emberpin-simulator/src/generator/dense/servers.rs
@@ -0,0 +1,45 @@
+//! The servers of a dense scenario.
+
+use super::super::{SERVICES, ZONES};
+use super::DenseScenario;
+
+/// The most servers of a run.
+const MAX_SERVERS: u64 = 14;
+/// The first server's port.
+const FIRST_PORT: u64 = 2_000;
+
+impl DenseScenario {
+    pub(super) fn add_server_step(&mut self) {
+        let known = self.servers;
+        let any = if known > 0 { self.draw_below(known) } else { 0 };
+        match self.draw_below(7) {
+            0 if known > 0 => self.add_step(format!("server s{any} drain")),
+            1 if known > 0 => self.add_step(format!("server s{any} leave")),
+            2 if known > 0 => {
+                self.add_step(format!("server s{any} crash"));
+                if known < MAX_SERVERS && self.chance(50) {
+                    // Another server gets its address.
+                    let at = self.now_ms + self.draw_between(2_000, 3_000);
+                    self.start_server(at, FIRST_PORT + any);
+                }
+            }
+            3 if known > 0 => {
+                let (seq, to) = (1 + self.draw_below(3), self.choose_core());
+                self.add_step(format!("server s{any} says up seq {seq} to core-{to}"));
+            }
+            _ if known < MAX_SERVERS => self.start_server(self.now_ms, FIRST_PORT + known),
+            _ => {}
+        }
+    }
+
+    fn start_server(&mut self, at: u64, address: u64) {
+        let (number, service) = (self.servers, self.draw_below(SERVICES));
+        self.servers += 1;
+        let zone = ZONES[self.draw_below(ZONES.len() as u64) as usize];
+        let cold = if self.chance(40) { " cold=3s" } else { "" };
+        self.add_step_at(
+            at,
+            format!("server s{number} up svc=a{service} zone={zone} addr={address}{cold}"),
+        );
+    }
+}
--- a/crates/emberpin-simulator/src/simulation/core_nodes.rs
+++ b/crates/emberpin-simulator/src/simulation/core_nodes.rs
@@ -1,7 +1,7 @@
 //! The start of core machines, their disks, and the events of their stores and registries.
 
 use super::Simulation;
-use crate::machine::{CoreId, Machine};
+use crate::machine::CoreId;
 use crate::state::core_node::CoreProcess;
 use crate::state::event::Event;
 use crate::state::HEARTBEAT_INTERVAL;
@@ -73,7 +73,7 @@
     }
 
     /// What runs on a core machine, if it is still this incarnation.
-    pub(super) fn core_incarnation(
+    pub(super) fn running_incarnation(
         &mut self,
         core: CoreId,
         incarnation: u64,
@@ -141,7 +141,7 @@
     }
 
     fn on_disk_synced(&mut self, core: CoreId, incarnation: u64, token: WriteToken, writes: usize) {
-        if self.core_incarnation(core, incarnation).is_none() {
+        if self.running_incarnation(core, incarnation).is_none() {
             return;
         }
         if let Some(node) = self.cores.get_mut(&core) {
@@ -149,9 +149,4 @@
         }
         self.handle_store_event(core, emberpin_consensus::Event::Persisted { token });
     }
-
-    /// The incarnation of a core machine's process.
-    pub(super) fn core_incarnation_number(&self, core: CoreId) -> u64 {
-        self.incarnation(Machine::Core(core))
-    }
 }
--- a/crates/emberpin-simulator/src/simulation/registries.rs
+++ b/crates/emberpin-simulator/src/simulation/registries.rs
@@ -26,7 +26,7 @@
     // ---- from the store beside it
 
     pub(super) fn on_items_chosen(&mut self, core: CoreId, incarnation: u64, items: Vec<Item>) {
-        if self.core_incarnation(core, incarnation).is_some() {
+        if self.running_incarnation(core, incarnation).is_some() {
             self.handle_registry_event(core, registry::Event::Items(items));
         }
     }
@@ -52,7 +52,7 @@
         nonce: Nonce,
         age: Option<Duration>,
     ) {
-        if self.core_incarnation(core, incarnation).is_some() {
+        if self.running_incarnation(core, incarnation).is_some() {
             self.handle_registry_event(core, registry::Event::StoreConfirmed { nonce, age });
         }
     }
@@ -61,7 +61,7 @@
 
     pub(super) fn on_registry_timer(&mut self, core: CoreId, incarnation: u64) {
         let now = self.now;
-        let running = self.core_incarnation(core, incarnation);
+        let running = self.running_incarnation(core, incarnation);
         let Some(running) = running.filter(|running| running.registry_timer_at <= now) else {
             return;
         };
@@ -206,7 +206,7 @@
 
     pub(super) fn dial_peer(&mut self, core: CoreId, incarnation: u64, peer: CoreId) {
         let is_wanted = self
-            .core_incarnation(core, incarnation)
+            .running_incarnation(core, incarnation)
             .is_some_and(|running| running.outgoing.get(&peer) == Some(&None));
         if !is_wanted {
             return;
@@ -216,7 +216,7 @@
             self.schedule_dial(at, core, incarnation, peer);
             return;
         };
-        if let Some(running) = self.core_incarnation(core, incarnation) {
+        if let Some(running) = self.running_incarnation(core, incarnation) {
             running.outgoing.insert(peer, Some(connection));
         }
         let peer = peer.address();
@@ -229,8 +229,8 @@
         peer: CoreId,
         connection: ConnectionId,
     ) {
-        let incarnation = self.core_incarnation_number(core);
-        let Some(running) = self.core_incarnation(core, incarnation) else {
+        let incarnation = self.incarnation(Machine::Core(core));
+        let Some(running) = self.running_incarnation(core, incarnation) else {
             return;
         };
         if running.incoming.get(&peer) == Some(&connection) {
--- a/crates/emberpin-simulator/src/simulation/stores.rs
+++ b/crates/emberpin-simulator/src/simulation/stores.rs
@@ -50,7 +50,7 @@
 
     pub(super) fn on_store_timer(&mut self, core: CoreId, incarnation: u64) {
         let now = self.now;
-        let running = self.core_incarnation(core, incarnation);
+        let running = self.running_incarnation(core, incarnation);
         let Some(running) = running.filter(|running| running.store_timer_at <= now) else {
             return;
         };
@@ -96,7 +96,7 @@
     fn report_chosen_items(&mut self, core: CoreId, items: Vec<Item>) {
         self.check_chosen_items(core, &items);
         let at = self.now + LOCAL_DELAY;
-        let incarnation = self.core_incarnation_number(core);
+        let incarnation = self.incarnation(Machine::Core(core));
         self.schedule(
             at,
             Event::ItemsChosen {
