--- a/crates/emberpin-store/tests/disk_contents.rs
+++ b/crates/emberpin-store/tests/disk_contents.rs
@@ -7,8 +7,9 @@
 };
 use emberpin_config::{History, Version, MAX_NAME_BYTES};
 use emberpin_consensus::WriteBatch;
-use emberpin_store::disk::{Disk, DiskError, FolderMismatch};
+use emberpin_store::disk::{Disk, DiskError, FileOperation, FolderMismatch};
 use googletest::prelude::*;
+use std::error::Error;
 use std::fs;
 use std::net::Ipv4Addr;
 use std::path::Path;
@@ -53,6 +54,28 @@
     expect_that!(try_read(folder.path()).err(), some(anything()));
 }
 
+#[gtest]
+fn an_error_names_the_operation_and_the_path_and_keeps_its_cause() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let file = folder.path().join("a file");
+    fs::write(&file, b"").expect("a file");
+    let error = try_read(&file).expect_err("a file is no folder");
+    expect_that!(
+        error,
+        matches_pattern!(DiskError::File {
+            operation: eq(&FileOperation::CreateFolder),
+            path: eq(&file),
+            ..
+        })
+    );
+    expect_that!(error.source(), some(anything()));
+    expect_that!(
+        error.to_string(),
+        starts_with(format!("{}: cannot create the folder: ", file.display()))
+    );
+    expect_that!(error.is_damage(), eq(false));
+}
+
 #[gtest]
 fn an_interrupted_creation_is_begun_again() {
     let folder = tempfile::tempdir().expect("a folder");
