--- a/crates/emberpin-limiter/src/host.rs
+++ b/crates/emberpin-limiter/src/host.rs
@@ -12,5 +12,5 @@
 pub use crate::operate::figures::{Active, Ending, Figures};
 pub use crate::upstream::engine::Engine;
 pub use crate::upstream::roster::Place;
-pub use crate::upstream::servers::{Pool, PoolLimits, Upstream};
+pub use crate::upstream::server::{Pool, PoolLimits, Upstream};
 pub use crate::upstream::wire::{Described, Wire};
--- a/crates/emberpin-limiter/src/limiter.rs
+++ b/crates/emberpin-limiter/src/limiter.rs
@@ -27,7 +27,7 @@
 use crate::upstream::driver::{Callers, Driver, Parts};
 use crate::upstream::fed::{spoken_to, Fed};
 use crate::upstream::kept::Kept;
-use crate::upstream::servers::Pool;
+use crate::upstream::server::Pool;
 use crate::upstream::wire::PlatformWire;
 use emberpin_upgrade::process::Process;
 use std::net::SocketAddr;
--- a/crates/emberpin-limiter/src/operate/config.rs
+++ b/crates/emberpin-limiter/src/operate/config.rs
@@ -6,7 +6,7 @@
 use crate::operate::start::Start;
 use crate::operate::takeover::Takeover;
 use crate::upstream::listing::Listing;
-use crate::upstream::servers::PoolLimits;
+use crate::upstream::server::PoolLimits;
 use emberpin_balancer::host_config::{HostConfig, IndexNames};
 use emberpin_balancer::Settings;
 use serde::Deserialize;
--- a/crates/emberpin-limiter/src/upstream/driver.rs
+++ b/crates/emberpin-limiter/src/upstream/driver.rs
@@ -14,7 +14,7 @@
 use crate::upstream::fed::Fed;
 use crate::upstream::listing::{server_id, Entry, Listing, State, Teller};
 use crate::upstream::roster::Roster;
-use crate::upstream::servers::{Pool, Upstream};
+use crate::upstream::server::{Pool, Upstream};
 use emberpin_balancer::host_config::IndexNames;
 use emberpin_balancer::*;
 use emberpin_startup::trust::{List, Verdict};
--- a/crates/emberpin-limiter/src/upstream/engine.rs
+++ b/crates/emberpin-limiter/src/upstream/engine.rs
@@ -3,7 +3,7 @@
 
 use crate::messages::{Answer, Call, Ended, Input, Outgoing, Reply, Upstreamed};
 use crate::operate::clock::Clock;
-use crate::upstream::servers::Upstream;
+use crate::upstream::server::Upstream;
 use emberpin_balancer::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
--- a/crates/emberpin-limiter/src/upstream/mod.rs
+++ b/crates/emberpin-limiter/src/upstream/mod.rs
@@ -10,6 +10,6 @@
 pub(crate) mod lifetimes;
 pub(crate) mod listing;
 pub(crate) mod roster;
-pub(crate) mod servers;
+pub(crate) mod server;
 pub(crate) mod told;
 pub(crate) mod wire;
--- /dev/null
+++ b/crates/emberpin-limiter/src/upstream/server/connection.rs
@@ -0,0 +1,135 @@
+//! One HTTP/1.1 connection to a server, driven by whoever uses it.
+
+use super::request_body::SentBody;
+use super::write_progress::{ObservedStream, WriteProgress};
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper_util::rt::TokioIo;
+use socket2::{SockRef, TcpKeepalive};
+use std::cell::RefCell;
+use std::future::{poll_fn, Future};
+use std::io;
+use std::mem::MaybeUninit;
+use std::net::SocketAddr;
+use std::pin::{pin, Pin};
+use std::rc::Rc;
+use std::task::Context;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::sync::OwnedSemaphorePermit;
+
+/// The largest head of a response that is read.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// TCP keepalive interval where the time without acknowledgement is bounded; the operating system takes no less.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_RETRIES: u32 = 2;
+
+/// Why no connection came up.
+pub(super) enum ConnectError {
+    /// All sockets that the process may open are in use; nothing is known of the server.
+    NoSocket,
+    /// The server did not accept, or refused.
+    Failed,
+}
+
+/// A connection that is polled only by whoever uses it: dropping it closes it.
+pub(super) struct ServerConnection {
+    pub(super) sender: SendRequest<SentBody>,
+    /// Boxed, as it is large and moves with every attempt.
+    http: Box<http1::Connection<TokioIo<ObservedStream>, SentBody>>,
+    closed: bool,
+    stream: Rc<RefCell<TcpStream>>,
+    pub(super) progress: Rc<WriteProgress>,
+    /// For how long the server has said that it keeps it idle, less a safety margin.
+    pub(super) stated_lifetime: Option<Duration>,
+    /// How long it was idle before this use.
+    pub(super) idle_time: Duration,
+    _socket: OwnedSemaphorePermit,
+}
+
+impl ServerConnection {
+    /// Opens a connection; `socket` is its part of the process's limit on descriptors.
+    ///
+    /// # Errors
+    ///
+    /// [`ConnectError::Failed`] if no TCP connection comes up, or the HTTP library cannot start on it.
+    pub(super) async fn open(
+        address: SocketAddr,
+        unacknowledged: Option<Duration>,
+        socket: OwnedSemaphorePermit,
+    ) -> Result<ServerConnection, ConnectError> {
+        let stream = TcpStream::connect(address)
+            .await
+            .map_err(|_| ConnectError::Failed)?;
+        _ = stream.set_nodelay(true);
+        if let Some(longest) = unacknowledged {
+            bound_silence(&stream, longest);
+        }
+        let stream = Rc::new(RefCell::new(stream));
+        let progress = Rc::new(WriteProgress::default());
+        let io = TokioIo::new(ObservedStream {
+            stream: stream.clone(),
+            progress: progress.clone(),
+        });
+        let handshake = http1::Builder::new()
+            .max_buf_size(MAX_HEAD_BYTES)
+            .handshake(io)
+            .await;
+        let (sender, http) = handshake.map_err(|_| ConnectError::Failed)?;
+        Ok(ServerConnection {
+            sender,
+            http: Box::new(http),
+            closed: false,
+            stream,
+            progress,
+            stated_lifetime: None,
+            idle_time: Duration::ZERO,
+            _socket: socket,
+        })
+    }
+
+    /// Whether it can carry another request, as far as the last poll showed.
+    pub(super) fn is_open(&self) -> bool {
+        !self.closed && !self.sender.is_closed()
+    }
+
+    /// Whether an idle connection can carry a request now. A request that is written to a connection that the server has
+    /// closed would count as one that may have run, and unread bytes would be taken for its response.
+    pub(super) async fn is_usable(&mut self) -> bool {
+        self.drive(std::future::ready(())).await;
+        !self.closed && self.sender.is_ready() && self.is_quiet()
+    }
+
+    /// Whether the server has neither closed it nor sent anything on it. Asks the operating system itself, as the runtime
+    /// does not know yet what has just arrived.
+    pub(super) fn is_quiet(&self) -> bool {
+        let peeked = SockRef::from(&*self.stream.borrow()).peek(&mut [MaybeUninit::uninit()]);
+        peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
+    }
+
+    /// Lets the HTTP library read and write.
+    pub(super) fn poll(&mut self, context: &mut Context) {
+        self.closed = self.closed || Pin::new(&mut *self.http).poll(context).is_ready();
+    }
+
+    /// Polls the connection along with a future that waits for it.
+    pub(super) async fn drive<F: Future>(&mut self, future: F) -> F::Output {
+        let mut future = pin!(future);
+        poll_fn(|context| {
+            self.poll(context);
+            future.as_mut().poll(context)
+        })
+        .await
+    }
+}
+
+/// Bounds how long the server's machine may acknowledge nothing. Without it, a machine without power or behind a network
+/// partition, which sends not even a reset, would hold the connection until the attempt's timeout.
+fn bound_silence(stream: &TcpStream, longest: Duration) {
+    let socket = SockRef::from(stream);
+    _ = socket.set_tcp_user_timeout(Some(longest));
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
+    _ = socket.set_tcp_keepalive(&keepalive);
+}
--- /dev/null
+++ b/crates/emberpin-limiter/src/upstream/server/exchange.rs
@@ -0,0 +1,218 @@
+//! One exchange of a request and its response with one server, and what its end says about the request.
+
+use super::connection::{ConnectError, ServerConnection};
+use super::request_body::SentBody;
+use super::response::{ExchangeError, ReceivedBody, ResponseRules};
+use super::streamed_response::StreamedBody;
+use super::upstream::Upstream;
+use super::write_progress::WriteProgress;
+use crate::front::stream::Upload;
+use crate::messages::{Outgoing, Upstreamed};
+use crate::upstream::wire::Wire;
+use bytes::Bytes;
+use emberpin_balancer::Outcome;
+use hyper::body::Body;
+use hyper::{Request, Response};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{sleep_until, timeout_at, Instant};
+
+/// How an exchange ended.
+pub(super) struct Exchange {
+    pub(super) outcome: Outcome,
+    pub(super) response: Option<ExchangedResponse>,
+    /// The server's machine gave no sign of life, or no connection came up.
+    pub(super) unreachable: bool,
+    /// At least one byte of the request was written.
+    pub(super) sent: bool,
+    /// How much later than the start the last byte of a streamed request body came. The server's own time, and the
+    /// timeout, count from there.
+    pub(super) upload_time: Duration,
+}
+
+/// A response, with its body complete or still to be streamed.
+pub(super) enum ExchangedResponse {
+    Complete(Response<()>, Bytes),
+    Streamed(Response<()>, StreamedBody),
+}
+
+/// The response as the connection received it; `None` after the timeout.
+type Received = Option<Result<(Response<()>, ReceivedBody), ExchangeError>>;
+
+impl Exchange {
+    /// One of which nothing was sent.
+    pub(super) fn unsent(outcome: Outcome) -> Exchange {
+        Exchange {
+            outcome,
+            response: None,
+            unreachable: false,
+            sent: false,
+            upload_time: Duration::ZERO,
+        }
+    }
+}
+
+impl Upstream {
+    /// Sends a request and waits for its response or the timeout. `outgoing` is `None` for a health check, which is not
+    /// counted and whose response is buffered.
+    ///
+    /// Decides between "never ran" and "may have run": an attempt never ran if no connection came up, or if the
+    /// connection broke before the last byte was written; where servers may run a part of a request, before the first.
+    pub(super) async fn exchange(
+        self: &Rc<Self>,
+        mut request: Request<Upstreamed>,
+        outgoing: Option<&Outgoing>,
+        started: Instant,
+        timeout: Duration,
+    ) -> Exchange {
+        let connection = match self.connect_for(outgoing, started, timeout).await {
+            Ok(connection) => connection,
+            Err(exchange) => return exchange,
+        };
+        // The server may have begun to drain, or the request may have been withdrawn, while the connection came up. From
+        // here to the first byte there is no await, so neither can happen any more.
+        if !self.is_open() || outgoing.is_some_and(|outgoing| outgoing.withdrawn.get()) {
+            return Exchange::unsent(Outcome::NotSent);
+        }
+        let upload = match request.body() {
+            Upstreamed::Whole(_) => None,
+            Upstreamed::Coming(upload) => Some(upload.clone()),
+        };
+        let deadline = started + timeout;
+        let left = match &upload {
+            None => deadline.saturating_duration_since(Instant::now()),
+            Some(_) => timeout,
+        };
+        let wire = self.pool.wire.clone();
+        wire.address(request.headers_mut(), left, self.instance.as_ref());
+        let mark = wire.mark(request.headers());
+        let rules = ResponseRules {
+            wire: &*wire,
+            mark: mark.as_ref(),
+            may_stream: outgoing.is_some_and(|outgoing| outgoing.may_pass),
+            buffer_limit: self.pool.limits.hold,
+        };
+        let (progress, idle_time) = (connection.progress.clone(), connection.idle_time);
+        let request = request.map(|body| SentBody::new(body, progress.clone()));
+        progress.reset(
+            outgoing.map(|_| self.pool.figures.tries.clone()),
+            request.body().is_end_stream(),
+        );
+        // The time for a body that is still uploaded begins with its last byte.
+        let timed_out = async {
+            match &upload {
+                None => sleep_until(deadline).await,
+                Some(upload) => sleep_until(upload.ended().await + timeout).await,
+            }
+        };
+        let received = tokio::select! {
+            biased;
+            received = connection.exchange(request, rules) => Some(received),
+            () = timed_out => None,
+        };
+        let upload_time = match upload {
+            None => Duration::ZERO,
+            Some(upload) => upload_time(&upload, started).await,
+        };
+        let sent = progress.is_started();
+        self.learn_from(&received, idle_time);
+        let unreachable = matches!(received, Some(Err(ExchangeError::Unacknowledged)));
+        let (outcome, response) = self.judge(received, &*wire, rules, &progress);
+        Exchange {
+            outcome,
+            response,
+            unreachable,
+            sent,
+            upload_time,
+        }
+    }
+
+    /// A connection within the attempt's time, else how the exchange ends without one.
+    async fn connect_for(
+        &self,
+        outgoing: Option<&Outgoing>,
+        started: Instant,
+        timeout: Duration,
+    ) -> Result<ServerConnection, Exchange> {
+        let max_idle_time = outgoing.and_then(|outgoing| outgoing.freshness);
+        let connecting = timeout_at(
+            started + timeout.min(self.pool.limits.connect),
+            self.connect(max_idle_time),
+        );
+        match connecting.await {
+            Ok(Ok(connection)) => Ok(connection),
+            Ok(Err(ConnectError::NoSocket)) => Err(Exchange::unsent(Outcome::NotSent)),
+            Ok(Err(ConnectError::Failed)) | Err(_) => Err(Exchange {
+                unreachable: true,
+                ..Exchange::unsent(Outcome::ConnectFailed)
+            }),
+        }
+    }
+
+    /// Records what the end of an exchange says about this server's other connections.
+    fn learn_from(&self, received: &Received, idle_time: Duration) {
+        match received {
+            Some(Ok(_)) => self.pool.record_use(idle_time, false),
+            Some(Err(ExchangeError::ConnectionLost)) => self.pool.record_use(idle_time, true),
+            // The other connections to the same machine would be silent, too.
+            Some(Err(ExchangeError::Unacknowledged)) => self.close_idle(),
+            Some(Err(ExchangeError::InvalidResponse)) | None => {}
+        }
+    }
+
+    /// The outcome of an exchange, with its response if there is one.
+    fn judge(
+        self: &Rc<Self>,
+        received: Received,
+        wire: &dyn Wire,
+        rules: ResponseRules<'_>,
+        progress: &WriteProgress,
+    ) -> (Outcome, Option<ExchangedResponse>) {
+        let never_ran = match wire.may_run_in_part() {
+            true => !progress.is_started(),
+            false => !progress.is_complete(),
+        };
+        match received {
+            Some(Ok((response, body))) => {
+                let outcome = wire.judge(rules.mark, &response);
+                let response = self.finish(response, body, progress);
+                (outcome, Some(response))
+            }
+            _ if never_ran => (Outcome::ConnectFailed, None),
+            Some(Err(ExchangeError::InvalidResponse)) => (Outcome::Error, None),
+            Some(Err(ExchangeError::ConnectionLost | ExchangeError::Unacknowledged)) => {
+                (Outcome::Reset, None)
+            }
+            None => (Outcome::Timeout, None),
+        }
+    }
+
+    /// Returns the connection of a complete response to the pool. A response that came before its request was sent
+    /// completely counts, but its connection can carry no other.
+    fn finish(
+        self: &Rc<Self>,
+        response: Response<()>,
+        body: ReceivedBody,
+        progress: &WriteProgress,
+    ) -> ExchangedResponse {
+        match body {
+            ReceivedBody::Complete(bytes, connection) => {
+                if let Some(connection) = connection.filter(|_| progress.is_complete()) {
+                    self.release(connection);
+                }
+                ExchangedResponse::Complete(response, bytes)
+            }
+            ReceivedBody::Partial(partial) => {
+                ExchangedResponse::Streamed(response, StreamedBody::new(*partial, self.clone()))
+            }
+        }
+    }
+}
+
+/// How much later than `started` the last byte of an upload came; up to now, if it has not come.
+async fn upload_time(upload: &Upload, started: Instant) -> Duration {
+    match tokio::time::timeout(Duration::ZERO, upload.ended()).await {
+        Ok(ended) => ended.saturating_duration_since(started),
+        Err(_) => started.elapsed(),
+    }
+}
--- /dev/null
+++ b/crates/emberpin-limiter/src/upstream/server/mod.rs
@@ -0,0 +1,17 @@
+//! The way to one server: attempts and health checks over one bounded pool of HTTP/1.1 connections.
+//!
+//! An [`Upstream`] is one incarnation of one server. Its `exchange` sends one request on a `ServerConnection` from the
+//! [`Pool`] and receives the response, whole or as a stream. `WriteProgress` records how much of the request reached
+//! the socket, which decides whether the request may have run.
+
+mod connection;
+mod exchange;
+mod pool;
+mod request_body;
+mod response;
+mod streamed_response;
+mod upstream;
+mod write_progress;
+
+pub use pool::{Pool, PoolLimits};
+pub use upstream::Upstream;
--- /dev/null
+++ b/crates/emberpin-limiter/src/upstream/server/pool.rs
@@ -0,0 +1,241 @@
+//! The idle connections to all servers, and the process's limit on sockets to them.
+
+use super::connection::{ConnectError, ServerConnection};
+use crate::front::room::Room;
+use crate::operate::figures::Figures;
+use crate::upstream::lifetimes::Lifetimes;
+use crate::upstream::wire::Wire;
+use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::{OwnedSemaphorePermit, Semaphore};
+use tokio::time::{interval, timeout, Instant, MissedTickBehavior};
+
+/// How often idle connections are checked for expiry.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// How often the sockets in use are counted anew while a sibling process of this limiter is told of them.
+const SIBLING_SYNC_INTERVAL: Duration = Duration::from_millis(20);
+/// Sockets that this process may use however many a sibling process holds.
+const MIN_SOCKETS: usize = 16;
+
+/// What all servers share: limits on time and on sockets, and the idle connections.
+pub struct Pool {
+    pub(super) limits: PoolLimits,
+    pub(super) wire: Rc<dyn Wire>,
+    pub(super) figures: Arc<Figures>,
+    sockets: Arc<Semaphore>,
+    room: Rc<Room>,
+    /// The longest idle first.
+    idle: RefCell<Vec<IdleConnection>>,
+    /// How long idle connections really last, learned from use, whatever the settings say.
+    lifetimes: RefCell<Lifetimes>,
+    next_key: Cell<u64>,
+}
+
+/// Limits on time and on sockets.
+#[derive(Clone, Debug)]
+pub struct PoolLimits {
+    /// A connection must be established within this time.
+    pub connect: Duration,
+    /// An idle connection is closed after this time, or earlier where the server has said so.
+    pub idle: Duration,
+    /// Most idle connections to one server.
+    pub most_idle: usize,
+    /// Most connections to all servers.
+    pub sockets: usize,
+    /// A connection ends when the server's machine has acknowledged nothing for this long; `None` leaves that to the
+    /// operating system.
+    pub unacknowledged: Option<Duration>,
+    /// Bytes of a response that are buffered: one that breaks off within them may be retried.
+    pub hold: usize,
+}
+
+/// Which upstream a connection belongs to; unique within a pool, so that connections to an earlier incarnation are
+/// never used for a later one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct UpstreamKey(u64);
+
+struct IdleConnection {
+    key: UpstreamKey,
+    connection: ServerConnection,
+    since: Instant,
+}
+
+impl Pool {
+    /// An empty pool; requests and responses are worded as `wire` has it.
+    pub fn new(
+        limits: PoolLimits,
+        wire: Rc<dyn Wire>,
+        figures: Arc<Figures>,
+        room: Rc<Room>,
+    ) -> Rc<Pool> {
+        Rc::new(Pool {
+            sockets: Arc::new(Semaphore::new(limits.sockets)),
+            limits,
+            wire,
+            room,
+            idle: RefCell::default(),
+            lifetimes: RefCell::default(),
+            next_key: Cell::new(0),
+            figures,
+        })
+    }
+
+    pub(super) fn new_key(&self) -> UpstreamKey {
+        UpstreamKey(self.next_key.replace(self.next_key.get() + 1))
+    }
+
+    /// Leaves to a sibling process of this limiter the sockets that it holds, for as long as the process runs. Idle
+    /// connections are closed for them first.
+    pub async fn share(self: Rc<Self>) {
+        let mut changes = self.room.changes();
+        let mut reserved: Option<OwnedSemaphorePermit> = None;
+        loop {
+            self.reserve_for_sibling(&mut reserved);
+            let reserved_count = permits(&reserved);
+            self.room.hold_servers(
+                self.limits.sockets - reserved_count - self.sockets.available_permits(),
+            );
+            // Without a sibling nobody reads the count, so the loop sleeps until one appears.
+            let has_sibling = changes.borrow_and_update().is_some();
+            if has_sibling {
+                _ = timeout(SIBLING_SYNC_INTERVAL, changes.changed()).await;
+            } else if changes.changed().await.is_err() {
+                return;
+            }
+        }
+    }
+
+    /// Adjusts the reserved sockets to the number that the sibling holds, as far as free ones and idle connections
+    /// allow.
+    fn reserve_for_sibling(&self, reserved: &mut Option<OwnedSemaphorePermit>) {
+        let wanted = self
+            .room
+            .servers_elsewhere()
+            .min(self.limits.sockets.saturating_sub(MIN_SOCKETS));
+        let has = permits(reserved);
+        if wanted < has {
+            // Dropping the split permits returns them to the semaphore.
+            drop(
+                reserved
+                    .as_mut()
+                    .and_then(|reserved| reserved.split(has - wanted)),
+            );
+        } else if wanted > has {
+            let more = wanted - has;
+            while self.sockets.available_permits() < more && !self.idle.borrow().is_empty() {
+                self.idle.borrow_mut().remove(0);
+            }
+            let more = more.min(self.sockets.available_permits());
+            if let Ok(permits) = self.sockets.clone().try_acquire_many_owned(more as u32) {
+                match reserved {
+                    Some(reserved) => reserved.merge(permits),
+                    None => *reserved = Some(permits),
+                }
+            }
+        }
+    }
+
+    /// Closes idle connections that have expired or can carry no request any more, for as long as the process runs.
+    pub async fn retire(self: Rc<Self>) {
+        let mut ticks = interval(IDLE_CHECK_INTERVAL);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        loop {
+            ticks.tick().await;
+            self.idle
+                .borrow_mut()
+                .retain(|idle| self.is_fresh(idle) && idle.connection.is_quiet());
+        }
+    }
+
+    fn is_fresh(&self, idle: &IdleConnection) -> bool {
+        let (now, idle_time) = (Instant::now(), idle.since.elapsed());
+        let lifetime = idle
+            .connection
+            .stated_lifetime
+            .map_or(self.limits.idle, |stated| stated.min(self.limits.idle));
+        idle_time < lifetime && self.lifetimes.borrow().lasts(now, idle_time)
+    }
+
+    /// Records whether a request on a connection that had been idle for `idle_time` was lost with the connection or
+    /// answered.
+    pub(super) fn record_use(&self, idle_time: Duration, lost: bool) {
+        let closed = self
+            .lifetimes
+            .borrow_mut()
+            .learn(Instant::now(), idle_time, lost);
+        if let Some((age, pause)) = closed {
+            let (age, pause) = (age.as_millis(), pause.as_secs());
+            eprintln!("connections to servers that were idle for {age} ms or longer are lost: not used for {pause} s");
+        }
+    }
+
+    /// A connection to this upstream: an idle one that is usable, else a new one.
+    ///
+    /// # Errors
+    ///
+    /// [`ConnectError::NoSocket`] if all sockets are in use; [`ConnectError::Failed`] if no connection comes up.
+    pub(super) async fn connect(
+        &self,
+        key: UpstreamKey,
+        address: SocketAddr,
+        max_idle_time: Option<Duration>,
+    ) -> Result<ServerConnection, ConnectError> {
+        while let Some(mut connection) = self.take_idle(key, max_idle_time) {
+            if connection.is_usable().await {
+                return Ok(connection);
+            }
+        }
+        let socket = self.acquire_socket().ok_or(ConnectError::NoSocket)?;
+        ServerConnection::open(address, self.limits.unacknowledged, socket).await
+    }
+
+    /// The most recently used connection, unless it has expired or been idle for `max_idle_time`.
+    fn take_idle(
+        &self,
+        key: UpstreamKey,
+        max_idle_time: Option<Duration>,
+    ) -> Option<ServerConnection> {
+        let mut idle = self.idle.borrow_mut();
+        let newest = idle.iter().rposition(|idle| idle.key == key)?;
+        if max_idle_time.is_some_and(|most| idle[newest].since.elapsed() >= most) {
+            return None;
+        }
+        let mut idle = Some(idle.remove(newest)).filter(|idle| self.is_fresh(idle))?;
+        idle.connection.idle_time = idle.since.elapsed();
+        Some(idle.connection)
+    }
+
+    /// Keeps a connection for the next request, or closes it if the upstream has enough idle ones.
+    pub(super) fn keep(&self, key: UpstreamKey, connection: ServerConnection) {
+        let mut idle = self.idle.borrow_mut();
+        if idle.iter().filter(|idle| idle.key == key).count() < self.limits.most_idle {
+            idle.push(IdleConnection {
+                key,
+                connection,
+                since: Instant::now(),
+            });
+        }
+    }
+
+    pub(super) fn close_idle(&self, key: UpstreamKey) {
+        self.idle.borrow_mut().retain(|idle| idle.key != key);
+    }
+
+    /// Keeps the process within its limit on descriptors: when all sockets are in use, the connection that has been idle
+    /// for longest, to whichever server, is closed for the new one.
+    fn acquire_socket(&self) -> Option<OwnedSemaphorePermit> {
+        if self.sockets.available_permits() == 0 && !self.idle.borrow().is_empty() {
+            self.idle.borrow_mut().remove(0);
+        }
+        self.sockets.clone().try_acquire_owned().ok()
+    }
+}
+
+fn permits(reserved: &Option<OwnedSemaphorePermit>) -> usize {
+    reserved
+        .as_ref()
+        .map_or(0, OwnedSemaphorePermit::num_permits)
+}
--- /dev/null
+++ b/crates/emberpin-limiter/src/upstream/server/request_body.rs
@@ -0,0 +1,93 @@
+//! The body of a request as one attempt sends it: buffered, or streamed while its client uploads it.
+
+use super::write_progress::WriteProgress;
+use crate::front::stream::{Cut, Upload};
+use crate::messages::Upstreamed;
+use bytes::Bytes;
+use hyper::body::{Body, Frame, SizeHint};
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+
+/// A request's body as the HTTP library reads it for one attempt.
+pub(super) struct SentBody {
+    /// The bytes that are buffered, until the first poll takes them.
+    buffered: Option<Bytes>,
+    /// What follows them, if the client is still sending.
+    upload: Option<RemainingUpload>,
+    progress: Rc<WriteProgress>,
+}
+
+/// The part of an upload that this attempt has not handed over yet.
+struct RemainingUpload {
+    upload: Rc<Upload>,
+    /// Bytes left to hand over, buffered ones included; `None` where the client stated no length.
+    length: Option<u64>,
+}
+
+impl SentBody {
+    pub(super) fn new(body: Upstreamed, progress: Rc<WriteProgress>) -> SentBody {
+        match body {
+            Upstreamed::Whole(bytes) => SentBody {
+                buffered: Some(bytes),
+                upload: None,
+                progress,
+            },
+            Upstreamed::Coming(upload) => SentBody {
+                buffered: Some(upload.held.clone()),
+                upload: Some(RemainingUpload {
+                    length: upload.length,
+                    upload,
+                }),
+                progress,
+            },
+        }
+    }
+}
+
+impl Body for SentBody {
+    type Data = Bytes;
+    type Error = Cut;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        context: &mut Context,
+    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+        let buffered = self.buffered.take().filter(|bytes| !bytes.is_empty());
+        let Some(RemainingUpload { upload, length }) = &mut self.upload else {
+            self.progress.end_body();
+            return Poll::Ready(buffered.map(|bytes| Ok(Frame::data(bytes))));
+        };
+        let next = match buffered {
+            Some(bytes) => Poll::Ready(Some(Ok(bytes))),
+            None => upload.poll_rest(context),
+        };
+        if let (Poll::Ready(Some(Ok(chunk))), Some(length)) = (&next, length.as_mut()) {
+            *length = length.saturating_sub(chunk.len() as u64);
+        }
+        // The HTTP library asks no further once all of a stated length was handed over.
+        if matches!(next, Poll::Ready(None)) || *length == Some(0) {
+            self.progress.end_body();
+        }
+        next.map(|next| next.map(|next| next.map(Frame::data)))
+    }
+
+    fn is_end_stream(&self) -> bool {
+        // An upload ends only when its client has ended it.
+        self.upload.is_none() && self.buffered.as_ref().is_none_or(Bytes::is_empty)
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        match &self.upload {
+            None => {
+                let buffered = self.buffered.as_ref().map_or(0, |bytes| bytes.len() as u64);
+                SizeHint::with_exact(buffered)
+            }
+            Some(RemainingUpload {
+                length: Some(length),
+                ..
+            }) => SizeHint::with_exact(*length),
+            Some(RemainingUpload { length: None, .. }) => SizeHint::default(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/emberpin-limiter/src/upstream/server/streamed_response.rs
@@ -0,0 +1,112 @@
+//! A response that is forwarded while the server still sends it.
+
+use super::connection::ServerConnection;
+use super::upstream::Upstream;
+use crate::front::stream::{Cut, Pieces};
+use bytes::Bytes;
+use hyper::body::{Body, Incoming};
+use std::collections::VecDeque;
+use std::future::Future;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+use tokio::time::{sleep_until, Instant, Sleep};
+
+/// A server that sends nothing more of a response for this long has broken it off.
+const STALL_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// A response whose head and first bytes have arrived.
+pub(super) struct PartialResponse {
+    pub(super) connection: ServerConnection,
+    pub(super) body: Incoming,
+    /// The chunks that arrived before the decision to stream; forwarded first.
+    pub(super) buffered: VecDeque<Bytes>,
+    /// The length of the body, where the server stated it.
+    pub(super) length: Option<u64>,
+}
+
+impl PartialResponse {
+    /// Polls for the next chunk behind the buffered ones, and drives the connection that carries it.
+    fn poll_body(&mut self, context: &mut Context) -> Poll<Option<Result<Bytes, Cut>>> {
+        loop {
+            self.connection.poll(context);
+            return match Pin::new(&mut self.body).poll_frame(context) {
+                Poll::Pending => Poll::Pending,
+                Poll::Ready(None) => Poll::Ready(None),
+                Poll::Ready(Some(Err(_))) => Poll::Ready(Some(Err(Cut))),
+                Poll::Ready(Some(Ok(frame))) => match frame.into_data() {
+                    Ok(data) => Poll::Ready(Some(Ok(data))),
+                    // Trailers are not forwarded.
+                    Err(_) => continue,
+                },
+            };
+        }
+    }
+}
+
+/// The body of a streamed response, read from its server at the pace at which the client takes it.
+pub(super) struct StreamedBody {
+    /// `None` once the stream has ended or broken off.
+    response: Option<PartialResponse>,
+    upstream: Rc<Upstream>,
+    remaining: Option<u64>,
+    stall_timer: Pin<Box<Sleep>>,
+}
+
+impl StreamedBody {
+    pub(super) fn new(response: PartialResponse, upstream: Rc<Upstream>) -> StreamedBody {
+        StreamedBody {
+            remaining: response.length,
+            response: Some(response),
+            upstream,
+            stall_timer: Box::pin(sleep_until(Instant::now() + STALL_TIMEOUT)),
+        }
+    }
+
+    /// Returns the connection to the pool, if it can carry another request.
+    fn on_end(&mut self, context: &mut Context) {
+        if let Some(PartialResponse { mut connection, .. }) = self.response.take() {
+            connection.poll(context);
+            if connection.is_open() && connection.progress.is_complete() {
+                self.upstream.release(connection);
+            }
+        }
+    }
+}
+
+impl Pieces for StreamedBody {
+    fn left(&self) -> Option<u64> {
+        self.remaining
+    }
+
+    fn poll_next(&mut self, context: &mut Context) -> Poll<Option<Result<Bytes, Cut>>> {
+        let Some(response) = &mut self.response else {
+            return Poll::Ready(None);
+        };
+        let next = match response.buffered.pop_front() {
+            Some(chunk) => Poll::Ready(Some(Ok(chunk))),
+            None => response.poll_body(context),
+        };
+        match &next {
+            Poll::Pending => {
+                if self.stall_timer.as_mut().poll(context).is_pending() {
+                    return Poll::Pending;
+                }
+                self.response = None;
+                return Poll::Ready(Some(Err(Cut)));
+            }
+            Poll::Ready(Some(Ok(chunk))) => {
+                self.remaining = self
+                    .remaining
+                    .map(|remaining| remaining.saturating_sub(chunk.len() as u64));
+                self.stall_timer
+                    .as_mut()
+                    .reset(Instant::now() + STALL_TIMEOUT);
+            }
+            Poll::Ready(Some(Err(Cut))) => self.response = None,
+            Poll::Ready(None) => self.on_end(context),
+        }
+        next
+    }
+}
--- /dev/null
+++ b/crates/emberpin-limiter/src/upstream/server/upstream.rs
@@ -0,0 +1,193 @@
+//! One incarnation of one server, and the attempts and health checks that go to it.
+
+use super::connection::{ConnectError, ServerConnection};
+use super::exchange::{Exchange, ExchangedResponse};
+use super::pool::{Pool, UpstreamKey};
+use crate::front::stream::Passing;
+use crate::messages::{Answer, Ended, Outgoing, Reply, Served, Upstreamed};
+use crate::upstream::roster::Place;
+use crate::upstream::wire::Described;
+use bytes::Bytes;
+use emberpin_balancer::Outcome;
+use hyper::header::{HeaderValue, HOST};
+use hyper::{Request, Uri};
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::time::{timeout, Instant};
+
+/// The way to one incarnation of one server.
+pub struct Upstream {
+    /// Where it is reached.
+    pub place: Place,
+    /// What distinguishes this incarnation from another, where requests say which one they are meant for.
+    pub(super) instance: Option<HeaderValue>,
+    pub(super) pool: Rc<Pool>,
+    key: UpstreamKey,
+    /// Neither draining nor removed.
+    open: Cell<bool>,
+}
+
+impl Upstream {
+    /// The way to a server at this place.
+    pub fn new(place: Place, pool: Rc<Pool>) -> Rc<Upstream> {
+        Upstream::of_instance(place, None, pool)
+    }
+
+    /// The way to this incarnation of a server, which requests name by `instance`.
+    pub fn of_instance(
+        place: Place,
+        instance: Option<HeaderValue>,
+        pool: Rc<Pool>,
+    ) -> Rc<Upstream> {
+        let key = pool.new_key();
+        Rc::new(Upstream {
+            place,
+            instance,
+            pool,
+            key,
+            open: Cell::new(true),
+        })
+    }
+
+    /// Whether new attempts may go there.
+    pub fn is_open(&self) -> bool {
+        self.open.get()
+    }
+
+    /// Stops new attempts, those that are still connecting included. Attempts under way go on.
+    pub fn shut(&self) {
+        self.open.set(false);
+        self.close_idle();
+    }
+
+    /// Closes the idle connections.
+    pub fn close_idle(&self) {
+        self.pool.close_idle(self.key);
+    }
+
+    /// Sends one attempt and waits for its end, the timeout or the cancellation. The sender of `cancelled` cancels by
+    /// sending the outcome to report, or by being dropped, which reports [`Outcome::Cancelled`].
+    pub async fn attempt(
+        self: Rc<Self>,
+        outgoing: Rc<Outgoing>,
+        timeout: Duration,
+        cancelled: oneshot::Receiver<Outcome>,
+    ) -> Ended {
+        let started = Instant::now();
+        let mut request = Request::new(outgoing.body.clone());
+        *request.method_mut() = outgoing.method.clone();
+        *request.uri_mut() = outgoing.uri.clone();
+        *request.headers_mut() = outgoing.headers.clone();
+        let exchange = tokio::select! {
+            biased;
+            outcome = cancelled => Exchange {
+                sent: true,
+                ..Exchange::unsent(outcome.unwrap_or(Outcome::Cancelled))
+            },
+            exchange = self.exchange(request, Some(&outgoing), started, timeout) => exchange,
+        };
+        self.describe(started, exchange)
+    }
+
+    /// Sends a health check.
+    pub async fn probe(self: Rc<Self>) -> Ended {
+        let started = Instant::now();
+        let mut request = Request::new(Upstreamed::Whole(Bytes::new()));
+        *request.uri_mut() = Uri::from_static("/health/live");
+        request
+            .headers_mut()
+            .insert(HOST, HeaderValue::from_static("service.internal"));
+        let limit = self.pool.limits.connect;
+        let exchange = self.exchange(request, None, started, limit).await;
+        self.describe(started, exchange)
+    }
+
+    /// The end of an exchange as its caller receives it.
+    fn describe(&self, started: Instant, exchange: Exchange) -> Ended {
+        let Exchange {
+            outcome,
+            response,
+            unreachable,
+            sent,
+            upload_time,
+        } = exchange;
+        let elapsed = Instant::now()
+            .saturating_duration_since(started + upload_time)
+            .as_secs_f64()
+            * 1000.0;
+        let (response, body) = match response {
+            None => {
+                return Ended {
+                    outcome,
+                    elapsed,
+                    unreachable,
+                    sent,
+                    ..Ended::unsent()
+                }
+            }
+            Some(ExchangedResponse::Complete(response, bytes)) => (response, Ok(bytes)),
+            Some(ExchangedResponse::Streamed(response, stream)) => (response, Err(stream)),
+        };
+        let Described {
+            head,
+            report,
+            metered,
+            misdirected,
+            stands,
+        } = self.pool.wire.describe(outcome, response);
+        let reply = match body {
+            Ok(body) => Reply::Answer(Answer::Served(Served { head, body })),
+            Err(stream) => Reply::Passing(Passing {
+                head,
+                pieces: Box::new(stream),
+            }),
+        };
+        let (served, told) = match outcome {
+            Outcome::Ok => (Some(reply), None),
+            _ => (None, Some(reply).filter(|_| stands)),
+        };
+        Ended {
+            outcome,
+            elapsed,
+            report,
+            metered,
+            served,
+            told,
+            misdirected,
+            unreachable,
+            sent,
+        }
+    }
+
+    /// Whether the server accepts a connection now, which is kept for the next request. True also if no socket is free to
+    /// find out.
+    pub async fn answers(&self) -> bool {
+        match timeout(self.pool.limits.connect, self.connect(None)).await {
+            Ok(Ok(connection)) => {
+                self.pool.keep(self.key, connection);
+                true
+            }
+            Ok(Err(ConnectError::NoSocket)) => true,
+            Ok(Err(ConnectError::Failed)) | Err(_) => false,
+        }
+    }
+
+    /// An idle connection that has been idle for less than `max_idle_time`, else a new one.
+    pub(super) async fn connect(
+        &self,
+        max_idle_time: Option<Duration>,
+    ) -> Result<ServerConnection, ConnectError> {
+        self.pool
+            .connect(self.key, self.place.address, max_idle_time)
+            .await
+    }
+
+    /// Returns a connection to the pool, or closes it if no new attempts may go there.
+    pub(super) fn release(&self, connection: ServerConnection) {
+        if self.is_open() {
+            self.pool.keep(self.key, connection);
+        }
+    }
+}
--- /dev/null
+++ b/crates/emberpin-limiter/src/upstream/server/write_progress.rs
@@ -0,0 +1,118 @@
+//! How far a request is written to its connection, observed at the socket.
+
+use prometheus::IntCounter;
+use std::cell::{Cell, RefCell};
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::TcpStream;
+
+/// How far the present request is written to its connection.
+///
+/// It is complete once its body was handed over to its end and the HTTP library has flushed after that: a flush
+/// succeeds only when the socket has taken all that there was to write.
+#[derive(Default)]
+pub(super) struct WriteProgress {
+    /// At least one byte of the present request was written.
+    started: Cell<bool>,
+    /// The HTTP library has taken the end of the request's body.
+    body_ended: Cell<bool>,
+    complete: Cell<bool>,
+    /// Counts the requests that were written completely; `None` for a health check, which is not counted.
+    attempts: RefCell<Option<IntCounter>>,
+}
+
+impl WriteProgress {
+    /// Starts over for the next request on the connection.
+    pub(super) fn reset(&self, attempts: Option<IntCounter>, body_is_empty: bool) {
+        self.started.set(false);
+        self.body_ended.set(body_is_empty);
+        self.complete.set(false);
+        self.attempts.replace(attempts);
+    }
+
+    /// The request's body was handed over to its end.
+    pub(super) fn end_body(&self) {
+        self.body_ended.set(true);
+    }
+
+    /// Whether the server may have received any byte of the request.
+    pub(super) fn is_started(&self) -> bool {
+        self.started.get()
+    }
+
+    /// Whether the socket has taken all of the request.
+    pub(super) fn is_complete(&self) -> bool {
+        self.complete.get()
+    }
+
+    fn on_flushed(&self) {
+        if self.started.get() && self.body_ended.get() && !self.complete.replace(true) {
+            if let Some(attempts) = &*self.attempts.borrow() {
+                attempts.inc();
+            }
+        }
+    }
+}
+
+/// A TCP stream that records the progress of writes. It borrows the stream only within one poll, so the stream is never
+/// borrowed twice.
+pub(super) struct ObservedStream {
+    pub(super) stream: Rc<RefCell<TcpStream>>,
+    pub(super) progress: Rc<WriteProgress>,
+}
+
+impl ObservedStream {
+    fn record(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+        if let Poll::Ready(Ok(1..)) = &result {
+            self.progress.started.set(true);
+        }
+        result
+    }
+}
+
+impl AsyncRead for ObservedStream {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        context: &mut Context,
+        into: &mut ReadBuf,
+    ) -> Poll<io::Result<()>> {
+        Pin::new(&mut *self.stream.borrow_mut()).poll_read(context, into)
+    }
+}
+
+impl AsyncWrite for ObservedStream {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        context: &mut Context,
+        from: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        self.record(Pin::new(&mut *self.stream.borrow_mut()).poll_write(context, from))
+    }
+
+    fn poll_write_vectored(
+        self: Pin<&mut Self>,
+        context: &mut Context,
+        from: &[io::IoSlice],
+    ) -> Poll<io::Result<usize>> {
+        self.record(Pin::new(&mut *self.stream.borrow_mut()).poll_write_vectored(context, from))
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        true
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, context: &mut Context) -> Poll<io::Result<()>> {
+        let flushed = Pin::new(&mut *self.stream.borrow_mut()).poll_flush(context);
+        if let Poll::Ready(Ok(())) = &flushed {
+            self.progress.on_flushed();
+        }
+        flushed
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, context: &mut Context) -> Poll<io::Result<()>> {
+        Pin::new(&mut *self.stream.borrow_mut()).poll_shutdown(context)
+    }
+}
