--- a/crates/emberpin-consensus/tests/cluster/mod.rs
+++ b/crates/emberpin-consensus/tests/cluster/mod.rs
@@ -6,19 +6,24 @@
 
 pub mod calls;
 mod checks;
+mod clients;
 pub mod faults;
+mod node;
 pub mod replica;
 pub mod seeds;
 
+pub use clients::{ClientCall, HistoryEvent, Reply};
+
 use checks::Observations;
-use emberpin_config::{Item, ItemKey, ItemKind, Retention, Version};
+use emberpin_config::{Item, ItemKey, ItemKind, Retention};
 use emberpin_consensus::{
-    Action, Ballot, Call, CallId, Event, Guards, Message, PersistedState, Replica, ReplicaOptions,
-    Timestamp, WriteBatch, WriteToken,
+    Action, Ballot, Event, Guards, Message, Replica, ReplicaOptions, Timestamp, WriteBatch,
+    WriteToken,
 };
+use node::Node;
 use oorandom::Rand64;
 use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::Ipv4Addr;
 use std::ops::Range;
 
@@ -73,68 +78,6 @@
     Normal,
 }
 
-/// A machine: its disk, and its replica while the process runs.
-pub struct Node {
-    pub replica: Option<Replica>,
-    /// Counts the starts of its process.
-    process: u64,
-    disk: Vec<WriteBatch>,
-    /// How many writes of the disk are synced.
-    synced: usize,
-    /// No sync of its disk ends before this.
-    pub stalled_until: u64,
-    disk_full: bool,
-    /// Counts the failures of its disk: a sync that began before the last one is not reported.
-    disk_failures: u64,
-    /// Its disk was lost, and does not say yet that the replica has caught up.
-    pub disk_lost: bool,
-    /// It never comes back.
-    pub decommissioned: bool,
-    /// The operator has taken it off the list of machines: no seeds name it.
-    pub delisted: bool,
-    /// When its next tick is scheduled; 0, if none is.
-    next_tick_at: u64,
-    /// The host waits for a sync; see [`Cluster::host_blocks_on_sync`].
-    is_syncing: bool,
-    /// Events that wait for the end of that sync.
-    waiting_events: VecDeque<Event>,
-    /// The versions that its followers were notified of by this process.
-    learned_versions: BTreeMap<ItemKey, Version>,
-}
-
-/// A client's call.
-#[derive(Clone, Debug)]
-pub struct ClientCall {
-    pub to: Ipv4Addr,
-    pub call: Call,
-    /// The items of a patch.
-    pub items: Vec<Item>,
-    pub sent_at: u64,
-    pub reply: Option<Reply>,
-}
-
-impl ClientCall {
-    pub fn status(&self) -> Option<u16> {
-        self.reply.as_ref().map(|reply| reply.status)
-    }
-}
-
-/// The reply to a call.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reply {
-    pub status: u16,
-    pub body: String,
-}
-
-/// An entry of the history of calls.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HistoryEvent {
-    /// The call of this index in [`Cluster::calls`] was sent.
-    Called(usize),
-    /// It was answered.
-    Replied(usize),
-}
-
 /// A message that a test holds back.
 #[derive(Clone, Debug)]
 pub struct HeldMessage {
@@ -236,23 +179,7 @@
 
     /// Adds a machine with an empty disk, not started.
     pub fn add_machine(&mut self, ip: Ipv4Addr) {
-        let node = Node {
-            replica: None,
-            process: 0,
-            disk: Vec::new(),
-            synced: 0,
-            stalled_until: 0,
-            disk_full: false,
-            disk_failures: 0,
-            disk_lost: false,
-            decommissioned: false,
-            delisted: false,
-            next_tick_at: 0,
-            is_syncing: false,
-            waiting_events: VecDeque::new(),
-            learned_versions: BTreeMap::new(),
-        };
-        self.nodes.insert(ip, node);
+        self.nodes.insert(ip, Node::default());
     }
 
     /// A random number below a bound.
@@ -337,11 +264,12 @@
         node.is_syncing = false;
         node.waiting_events.clear();
         node.learned_versions.clear();
+        let persisted = node.persisted_state();
         let mut actions = Vec::new();
         node.replica = Some(Replica::with_guards(
             Timestamp::from_millis(now),
             options,
-            persisted_state(&node.disk),
+            persisted,
             guards,
             &mut actions,
         ));
@@ -360,49 +288,6 @@
         self.nodes[&ip].disk.last().map(|write| write.promised)
     }
 
-    /// Sends a call to a replica; returns its index in [`Cluster::calls`].
-    pub fn call(&mut self, to: Ipv4Addr, call: Call) -> usize {
-        let items = match &call {
-            Call::Patch(body) => emberpin_config::parse_patch(body)
-                .map(|patch| patch.items)
-                .unwrap_or_default(),
-            _ => Vec::new(),
-        };
-        let id = self.calls.len();
-        self.history.push(HistoryEvent::Called(id));
-        self.calls.push(ClientCall {
-            to,
-            call: call.clone(),
-            items,
-            sent_at: self.now,
-            reply: None,
-        });
-        let call_id = CallId(id as u64);
-        self.handle(to, Event::Call { call_id, call });
-        id
-    }
-
-    /// Sends a call and waits for its reply; after a 503 it is sent again, as operators do.
-    pub fn call_until_done(&mut self, to: Ipv4Addr, call: Call) -> Reply {
-        for _ in 0..20 {
-            let id = self.call(to, call.clone());
-            self.run_while(MAX_REPLY_TIME, |cluster| cluster.calls[id].reply.is_none());
-            match self.calls[id].reply.clone() {
-                Some(reply) if reply.status != 503 => return reply,
-                _ => {}
-            }
-        }
-        Reply {
-            status: 503,
-            body: "never answered".into(),
-        }
-    }
-
-    /// The status of [`Cluster::call_until_done`].
-    pub fn status_of(&mut self, to: Ipv4Addr, call: &Call) -> u16 {
-        self.call_until_done(to, call.clone()).status
-    }
-
     fn handle(&mut self, ip: Ipv4Addr, event: Event) {
         let node = self.node(ip);
         if node.is_syncing {
@@ -625,30 +510,3 @@
     /// It is synced at this time.
     Syncs(u64, ScheduledEvent),
 }
-
-/// What a replica reads from a disk with these writes.
-fn persisted_state(disk: &[WriteBatch]) -> Option<PersistedState> {
-    if disk.is_empty() {
-        return None;
-    }
-    let mut state = PersistedState::default();
-    let mut chosen: BTreeMap<ItemKey, Item> = BTreeMap::new();
-    for write in disk {
-        for item in &write.chosen {
-            chosen.insert(item.key.clone(), item.clone());
-        }
-        for key in &write.removed {
-            chosen.remove(key);
-        }
-        state.promised = write.promised;
-        state.voting = write.voting;
-        state.incarnation = write.incarnation;
-        state.latest_incarnations = write.latest_incarnations.clone();
-        state.bootstrap_candidate = write.bootstrap_candidate.clone();
-        if let Some(accepted) = &write.accepted {
-            state.accepted = accepted.clone();
-        }
-    }
-    state.chosen = chosen.into_values().collect();
-    Some(state)
-}
--- a/crates/emberpin-consensus/tests/model/register.rs
+++ b/crates/emberpin-consensus/tests/model/register.rs
@@ -432,24 +432,14 @@
         let configuration = configuration.chosen;
         // This is the read: it must see everything that was acknowledged before the round began.
         state.read_is_stale |= round.acknowledged_before & !configuration != 0;
-        let round = &mut state.rounds[nth];
         if number == RECOVERING {
-            let node = &mut state.nodes[replica];
-            node.now.promised = node.now.promised.max(round.ballot);
-            node.now.accepted = AcceptedProposal {
+            let accepted = AcceptedProposal {
                 ballot: highest.ballot,
                 items: possibly_chosen,
             };
-            self.learn(&mut node.now, known);
-            (node.now.voting, node.now.incarnation) = (true, round.ballot);
-            if !self.has(Mutation::ForgetIncarnations) {
-                node.now.latest_incarnations = RegisterModel::latest_incarnations(round, quorum);
-            }
-            node.synced = node.now;
-            state.without_disk &= !(1 << replica);
-            (round.is_over, state.caught_up) = (true, true);
-            return;
+            return self.finish_recovery(state, nth, quorum, known, accepted);
         }
+        let round = &mut state.rounds[nth];
         let (wanted, other) = [(FIRST, SECOND), (SECOND, FIRST), (ROSTER, 0)][usize::from(number)];
         let waits = round.joint && number != ROSTER_CHANGER;
         let mut items = possibly_chosen;
@@ -483,6 +473,30 @@
         round.promises = [None; NODES];
     }
 
+    /// A voter that lost its disk has caught up by a round, and votes again.
+    fn finish_recovery(
+        &self,
+        state: &mut State,
+        nth: usize,
+        quorum: u8,
+        chosen: Items,
+        accepted: AcceptedProposal,
+    ) {
+        let round = &mut state.rounds[nth];
+        let replica = usize::from(round.replica);
+        let node = &mut state.nodes[replica];
+        node.now.promised = node.now.promised.max(round.ballot);
+        node.now.accepted = accepted;
+        self.learn(&mut node.now, chosen);
+        (node.now.voting, node.now.incarnation) = (true, round.ballot);
+        if !self.has(Mutation::ForgetIncarnations) {
+            node.now.latest_incarnations = RegisterModel::latest_incarnations(round, quorum);
+        }
+        node.synced = node.now;
+        state.without_disk &= !(1 << replica);
+        (round.is_over, state.caught_up) = (true, true);
+    }
+
     /// The latest incarnation of each voter, as far as these promises tell.
     fn latest_incarnations(round: &Round, quorum: u8) -> [Ballot; NODES] {
         let promises = (0..NODES)
@@ -617,38 +631,9 @@
     }
 }
 
-impl Model for RegisterModel {
-    type State = State;
-    type Action = Action;
-
-    fn init_states(&self) -> Vec<State> {
-        let disk = PersistedState {
-            voting: true,
-            ..PersistedState::default()
-        };
-        vec![State {
-            nodes: [Node {
-                now: disk,
-                synced: disk,
-            }; NODES],
-            proposers: Default::default(),
-            rounds: Vec::new(),
-            without_disk: 0,
-            disk_losses: 0,
-            power_losses: 0,
-            items_spread: 0,
-            acknowledged: 0,
-            refused: false,
-            chosen: 0,
-            caught_up: false,
-            read_is_stale: false,
-        }]
-    }
-
-    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.read_is_stale {
-            return;
-        }
+impl RegisterModel {
+    /// The rounds that proposers may begin.
+    fn begin_actions(&self, state: &State, actions: &mut Vec<Action>) {
         for (number, owner) in (0..PROPOSERS).zip(&state.proposers) {
             let Some(ballot) = self.ballot(number, owner.rounds).filter(|_| !owner.done) else {
                 continue;
@@ -675,61 +660,77 @@
                 }
             }
         }
-        for round in &state.rounds {
-            let ballot = round.ballot;
-            let targets = (0..NODES as u8).filter(|voter| self.targets(round) & 1 << voter != 0);
-            let by_roster = |node: &Node| round.uses_second_roster || node.now.chosen & ROSTER == 0;
-            for voter in targets {
-                let node = &state.nodes[usize::from(voter)];
-                if !node.now.voting || !by_roster(node) {
-                    continue;
-                }
-                let keeps = !self.has(Mutation::BreakPromises);
-                let has_promised = keeps && ballot <= node.now.promised;
-                let is_unanswered = round.promises[usize::from(voter)]
-                    .is_none_or(|promise| promise.incarnation != node.now.incarnation);
-                if !round.is_over && round.proposal.is_none() && !has_promised && is_unanswered {
-                    actions.push(Action::Prepare { ballot, voter });
-                }
-                if round.proposal.is_some() && self.accepts(round, usize::from(voter), node) {
-                    actions.push(Action::Accept { ballot, voter });
-                }
-            }
-            if round.is_over {
+    }
+
+    /// What voters may do with the messages of a round.
+    fn voter_actions(&self, state: &State, round: &Round, actions: &mut Vec<Action>) {
+        let ballot = round.ballot;
+        let targets = (0..NODES as u8).filter(|voter| self.targets(round) & 1 << voter != 0);
+        let by_roster = |node: &Node| round.uses_second_roster || node.now.chosen & ROSTER == 0;
+        for voter in targets {
+            let node = &state.nodes[usize::from(voter)];
+            if !node.now.voting || !by_roster(node) {
                 continue;
             }
-            if round.proposal.is_some() {
-                if self.has_quorum(round, round.accepted, None) {
-                    actions.push(Action::Finish { ballot });
-                }
-                continue;
+            let keeps = !self.has(Mutation::BreakPromises);
+            let has_promised = keeps && ballot <= node.now.promised;
+            let is_unanswered = round.promises[usize::from(voter)]
+                .is_none_or(|promise| promise.incarnation != node.now.incarnation);
+            if !round.is_over && round.proposal.is_none() && !has_promised && is_unanswered {
+                actions.push(Action::Prepare { ballot, voter });
             }
-            let told = (0..NODES)
-                .filter(|v| round.promises[*v].is_some())
-                .fold(0, |told, v| told | 1 << v);
-            let me = (proposer(ballot) == RECOVERING).then_some(usize::from(round.replica));
-            for quorum in (1..1u8 << NODES).filter(|quorum| quorum & !told == 0) {
-                let one_less = |last: usize| {
-                    quorum & 1 << last != 0 && !self.has_quorum(round, quorum & !(1 << last), me)
-                };
-                if self.are_promises_valid(round, quorum)
-                    && self.has_quorum(round, quorum, me)
-                    && (0..NODES).any(one_less)
-                {
-                    actions.push(Action::Propose { ballot, quorum });
-                }
+            if round.proposal.is_some() && self.accepts(round, usize::from(voter), node) {
+                actions.push(Action::Accept { ballot, voter });
             }
         }
-        if state.items_spread < self.spread_items {
-            for (voter, node) in (0..).zip(&state.nodes) {
-                for item in [FIRST, SECOND, ROSTER] {
-                    let known = state.nodes.iter().any(|other| other.now.chosen & item != 0);
-                    if known && self.covered(node.now.chosen) & item == 0 {
-                        actions.push(Action::Spread { voter, item });
-                    }
+    }
+
+    /// What a round's proposer may do with the answers.
+    fn proposer_actions(&self, round: &Round, actions: &mut Vec<Action>) {
+        let ballot = round.ballot;
+        if round.is_over {
+            return;
+        }
+        if round.proposal.is_some() {
+            if self.has_quorum(round, round.accepted, None) {
+                actions.push(Action::Finish { ballot });
+            }
+            return;
+        }
+        let promising = (0..NODES)
+            .filter(|v| round.promises[*v].is_some())
+            .fold(0, |promising, v| promising | 1 << v);
+        let me = (proposer(ballot) == RECOVERING).then_some(usize::from(round.replica));
+        for quorum in (1..1u8 << NODES).filter(|quorum| quorum & !promising == 0) {
+            let one_less = |last: usize| {
+                quorum & 1 << last != 0 && !self.has_quorum(round, quorum & !(1 << last), me)
+            };
+            if self.are_promises_valid(round, quorum)
+                && self.has_quorum(round, quorum, me)
+                && (0..NODES).any(one_less)
+            {
+                actions.push(Action::Propose { ballot, quorum });
+            }
+        }
+    }
+
+    /// The chosen items that voters may learn outside of rounds.
+    fn spread_actions(&self, state: &State, actions: &mut Vec<Action>) {
+        if state.items_spread >= self.spread_items {
+            return;
+        }
+        for (voter, node) in (0..).zip(&state.nodes) {
+            for item in [FIRST, SECOND, ROSTER] {
+                let known = state.nodes.iter().any(|other| other.now.chosen & item != 0);
+                if known && self.covered(node.now.chosen) & item == 0 {
+                    actions.push(Action::Spread { voter, item });
                 }
             }
         }
+    }
+
+    /// The losses of disks and power that may happen.
+    fn fault_actions(&self, state: &State, actions: &mut Vec<Action>) {
         if state.disk_losses < self.disk_losses
             && state.without_disk.count_ones() < self.tolerated()
         {
@@ -754,6 +755,48 @@
             }
         }
     }
+}
+
+impl Model for RegisterModel {
+    type State = State;
+    type Action = Action;
+
+    fn init_states(&self) -> Vec<State> {
+        let disk = PersistedState {
+            voting: true,
+            ..PersistedState::default()
+        };
+        vec![State {
+            nodes: [Node {
+                now: disk,
+                synced: disk,
+            }; NODES],
+            proposers: Default::default(),
+            rounds: Vec::new(),
+            without_disk: 0,
+            disk_losses: 0,
+            power_losses: 0,
+            items_spread: 0,
+            acknowledged: 0,
+            refused: false,
+            chosen: 0,
+            caught_up: false,
+            read_is_stale: false,
+        }]
+    }
+
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
+        if state.read_is_stale {
+            return;
+        }
+        self.begin_actions(state, actions);
+        for round in &state.rounds {
+            self.voter_actions(state, round, actions);
+            self.proposer_actions(round, actions);
+        }
+        self.spread_actions(state, actions);
+        self.fault_actions(state, actions);
+    }
 
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
