--- a/crates/emberpin-balancer/src/decisions/announcements.rs
+++ b/crates/emberpin-balancer/src/decisions/announcements.rs
@@ -14,20 +14,20 @@
 struct Outbox {
     /// A message without entries, to start each with.
     header: gossip::Writer,
-    messages: BTreeMap<u32, gossip::Writer>,
+    messages: BTreeMap<GatewayId, gossip::Writer>,
     /// How many further messages may be begun.
     budget: f64,
 }
 
 impl Outbox {
     /// How many new messages it takes to reach these peers.
-    fn new_messages(&self, peers: &[u32]) -> f64 {
-        let unreached = |peer: &&u32| !self.messages.contains_key(peer);
+    fn new_messages(&self, peers: &[GatewayId]) -> f64 {
+        let unreached = |peer: &&GatewayId| !self.messages.contains_key(peer);
         peers.iter().filter(unreached).count() as f64
     }
 
     /// Adds an entry to the message to a peer; `false` where it does not fit.
-    fn push(&mut self, peer: u32, entry: Entry) -> bool {
+    fn push(&mut self, peer: GatewayId, entry: Entry) -> bool {
         let message = self.messages.entry(peer);
         message.or_insert_with(|| self.header.clone()).push(entry)
     }
@@ -66,7 +66,7 @@
         self.message_budget.tokens = outbox.budget;
         for (peer, message) in outbox.messages {
             actions.push(Action::SendToPeer {
-                to: Some(GatewayId(peer)),
+                to: Some(peer),
                 bytes: message.finish(),
             });
         }
@@ -86,8 +86,9 @@
         let header = gossip::Writer::new(incarnation, in_flight, self.load.throughput);
         let mut messages = BTreeMap::new();
         if all {
-            let own = self.settings.gateway_id.0;
-            let peers = (0..self.settings.group_size).filter(|peer| *peer != own);
+            let peers = (0..self.settings.group_size)
+                .map(GatewayId)
+                .filter(|peer| *peer != self.settings.gateway_id);
             messages.extend(peers.map(|peer| (peer, header.clone())));
         }
         let rate = self.settings.peer_messages_per_second * SEND_RATIO * GOSSIP_SHARE;
@@ -155,7 +156,7 @@
 
     /// Advises the gateways of customers whose quota this gateway owns, each in its turn.
     fn advise_gateways(&mut self, now: Millis, outbox: &mut Outbox) {
-        let own = self.settings.gateway_id.0;
+        let own = self.settings.gateway_id;
         let rate = self.settings.peer_messages_per_second * quotas::ADVICE_SHARE;
         let interval = 1000.0 / rate;
         for id in &self.owned {
@@ -186,8 +187,8 @@
 
 impl CustomerState {
     /// The gateway of the set whose turn it is to be advised.
-    fn next_to_advise(&mut self, group_size: u32) -> u32 {
-        let peer = (self.gateways.first.0 + self.advice_cursor) % group_size;
+    fn next_to_advise(&mut self, group_size: u32) -> GatewayId {
+        let peer = GatewayId((self.gateways.first.0 + self.advice_cursor) % group_size);
         self.advice_cursor = (self.advice_cursor + 1) % self.gateways.size;
         self.advice_due -= 1;
         peer
--- a/crates/emberpin-balancer/src/decisions/mod.rs
+++ b/crates/emberpin-balancer/src/decisions/mod.rs
@@ -84,7 +84,7 @@
     /// Customers by their hash within [`gossip::ID_MASK`].
     pub(crate) customers: BTreeMap<u64, CustomerState>,
     /// The newest incarnation of each peer.
-    pub(crate) peer_incarnations: BTreeMap<u32, u64>,
+    pub(crate) peer_incarnations: BTreeMap<GatewayId, u64>,
     /// Whether the peers were seen to have started together with this gateway, so that no quota was used
     /// before.
     pub(crate) common_start: bool,
--- a/crates/emberpin-balancer/src/decisions/peers.rs
+++ b/crates/emberpin-balancer/src/decisions/peers.rs
@@ -31,7 +31,7 @@
         self.detect_common_start();
         for entry in message.entries {
             match entry {
-                Entry::Count { .. } => self.on_count(now, from.0, entry),
+                Entry::Count { .. } => self.on_count(now, from, entry),
                 Entry::Advice { customer, chance } => {
                     let advice = Advice {
                         chance,
@@ -47,15 +47,15 @@
     /// nothing, so that a restart refunds nothing that was used before.
     fn accept_incarnation(&mut self, now: Millis, from: GatewayId, low: u32) -> bool {
         let incarnation = gossip::full_incarnation(low, now);
-        let known = self.peer_incarnations.entry(from.0);
+        let known = self.peer_incarnations.entry(from);
         let known = *known.or_insert(incarnation);
         if incarnation < known {
             return false;
         }
         if incarnation > known && low != known as u32 {
-            self.peer_incarnations.insert(from.0, incarnation);
+            self.peer_incarnations.insert(from, incarnation);
             for customer in self.customers.values_mut() {
-                customer.peer_counts.remove(&from.0);
+                customer.peer_counts.remove(&from);
             }
         }
         true
@@ -104,7 +104,7 @@
 
     /// A peer announced a customer's count. Among many gateways, an owner may hear of a customer that never
     /// came through it.
-    fn on_count(&mut self, now: Millis, from: u32, entry: Entry) {
+    fn on_count(&mut self, now: Millis, from: GatewayId, entry: Entry) {
         let Entry::Count {
             customer,
             plan,
@@ -128,7 +128,7 @@
 
     /// Takes what a peer admitted from the quota here. Counts are cumulative: a later one makes up for one
     /// that was lost, and an earlier one that comes late changes nothing.
-    fn apply_count(&mut self, now: Millis, from: u32, id: u64, units: f64, requested: f64) {
+    fn apply_count(&mut self, now: Millis, from: GatewayId, id: u64, units: f64, requested: f64) {
         let older = self.is_older(self.peer_incarnations[&from]);
         let Some(customer) = self.customers.get_mut(&id) else {
             return;
--- a/crates/emberpin-balancer/src/decisions/quotas.rs
+++ b/crates/emberpin-balancer/src/decisions/quotas.rs
@@ -111,8 +111,8 @@
             size: gateways.size.clamp(1, group),
         };
         let mut owners = self.choose_owners(id, gateways);
-        let is_owner = owners.contains(&self.settings.gateway_id.0);
-        owners.retain(|peer| *peer != self.settings.gateway_id.0);
+        let is_owner = owners.contains(&self.settings.gateway_id);
+        owners.retain(|peer| *peer != self.settings.gateway_id);
         let mut customer = CustomerState {
             plan: index,
             gateways,
@@ -144,13 +144,13 @@
 
     /// The gateways that own a customer's quota: all of its set, or a few that a hash picks where peers are
     /// too many.
-    fn choose_owners(&self, id: u64, gateways: GatewaySet) -> Vec<u32> {
+    fn choose_owners(&self, id: u64, gateways: GatewaySet) -> Vec<GatewayId> {
         let group = self.settings.group_size.max(1);
-        let mut owners: Vec<u32> = (0..gateways.size)
-            .map(|offset| (gateways.first.0 + offset) % group)
+        let mut owners: Vec<GatewayId> = (0..gateways.size)
+            .map(|offset| GatewayId((gateways.first.0 + offset) % group))
             .collect();
         if !self.gossips_to_all() && owners.len() > 2 * MAX_OWNERS {
-            owners.sort_by_key(|peer| mix(id ^ mix(u64::from(*peer) + 1)));
+            owners.sort_by_key(|peer| mix(id ^ mix(u64::from(peer.0) + 1)));
             owners.truncate(MAX_OWNERS);
         }
         owners
--- a/crates/emberpin-balancer/src/handover.rs
+++ b/crates/emberpin-balancer/src/handover.rs
@@ -98,7 +98,7 @@
     incarnation: u64,
     servers: BTreeMap<ServerId, ServerHistory>,
     customers: BTreeMap<u64, CustomerState>,
-    peer_incarnations: BTreeMap<u32, u64>,
+    peer_incarnations: BTreeMap<GatewayId, u64>,
     common_start: bool,
     unannounced: BTreeSet<u64>,
     owned: BTreeSet<u64>,
--- a/crates/emberpin-balancer/src/state/customer.rs
+++ b/crates/emberpin-balancer/src/state/customer.rs
@@ -2,7 +2,7 @@
 
 use super::TokenBucket;
 use crate::gossip::Entry;
-use crate::interface::{GatewaySet, Millis};
+use crate::interface::{GatewayId, GatewaySet, Millis};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -32,7 +32,7 @@
     /// The gateways that its requests come through.
     pub gateways: GatewaySet,
     /// The other gateways that keep the customer's quota; this one announces its use to them.
-    pub owners: Vec<u32>,
+    pub owners: Vec<GatewayId>,
     /// Whether this gateway keeps the customer's quota itself.
     pub is_owner: bool,
     /// The quota, less what this gateway and its peers admitted.
@@ -51,7 +51,7 @@
     /// How many more times the count is to be announced, so that one lost message does no harm.
     pub announcements_due: u32,
     /// The newest count of each peer.
-    pub peer_counts: BTreeMap<u32, PeerCount>,
+    pub peer_counts: BTreeMap<GatewayId, PeerCount>,
     /// Units requested of all gateways lately, fading exponentially; kept by owners.
     pub demand: f64,
     /// When `demand` was last updated.
--- a/crates/emberpin-balancer/tests/attempts.rs
+++ b/crates/emberpin-balancer/tests/attempts.rs
@@ -46,7 +46,7 @@
     let after = harness.end_attempt(id, 0, sent_to(&actions).expect("sent"), Outcome::Rejected);
     assert!(
         sent_to(&after).is_some(),
-        "turned away unseen: it may go elsewhere"
+        "rejected without having run: another server may get it"
     );
 }
 
@@ -87,7 +87,7 @@
     let Some(Action::Send { timeout, .. }) = actions.first() else {
         panic!("sent: {actions:?}")
     };
-    // Answers take 20 ms of an aim of 500.
+    // Answers take 20 ms of a latency target of 500.
     assert!((400.0..480.0).contains(timeout), "{timeout}");
 }
 
@@ -106,7 +106,10 @@
         large >= 900.0,
         "answers of this size take up to 500 ms: {large}"
     );
-    assert!(small < 480.0, "another would still meet the aim: {small}");
+    assert!(
+        small < 480.0,
+        "another would still meet the latency target: {small}"
+    );
 }
 
 /// What may have run at a server of zone 0, so long ago.
--- a/crates/emberpin-balancer/tests/common/fleet.rs
+++ b/crates/emberpin-balancer/tests/common/fleet.rs
@@ -1,18 +1,18 @@
-//! A whole fleet in virtual time: gateways, servers with a queue and a cold start, lists that come late, mail that
-//! is lost. One seed gives one run; what went wrong names it.
+//! A whole fleet in virtual time: gateways, servers with a queue and a slow start, endpoint lists that come late, and
+//! messages that are lost. One seed gives one run, and a failure names its seed.
 
 use emberpin_balancer::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// How large a fleet is, and what is asked of it.
+/// How large a fleet is, and how much load it gets.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     pub gateways: u32,
     pub servers: u32,
-    /// Requests a second that a warm server bears.
-    pub bears: f64,
-    /// What is asked for, as a share of what all servers bear when warm.
+    /// Requests a second that a warm server carries.
+    pub server_rate: f64,
+    /// Requests a second, as a share of what all servers carry when warm.
     pub load: f64,
     pub seed: u64,
 }
@@ -21,32 +21,32 @@
     Arrival,
     Feed {
         to: usize,
-        life: u32,
+        incarnation: u32,
         event: emberpin_balancer::Event,
     },
     Ended {
         to: usize,
-        life: u32,
+        incarnation: u32,
         attempt: AttemptResult,
     },
 }
 
-struct Machine {
+struct SimulatedServer {
     info: Server,
-    /// When it has done what it holds.
-    free: Millis,
-    held: u32,
+    /// When it has completed the requests it has.
+    idle_at: Millis,
+    in_flight: u32,
     /// What it was sent while cold: when, and what that is of a second of its capacity then.
-    cold: Vec<(Millis, f64)>,
+    sent_while_cold: Vec<(Millis, f64)>,
 }
 
 /// What became of the requests that came in a span of time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcomes {
-    pub asked: u32,
+    pub requested: u32,
     pub in_time: u32,
     pub late: u32,
-    pub refused: u32,
+    pub rejected: u32,
 }
 
 pub struct Fleet {
@@ -55,11 +55,11 @@
     size: Size,
     random: oorandom::Rand64,
     events: BinaryHeap<Reverse<(u64, u64)>>,
-    bodies: BTreeMap<u64, Event>,
+    pending_events: BTreeMap<u64, Event>,
     gateways: Vec<(Gateway, u32)>,
-    machines: BTreeMap<ServerId, Machine>,
+    servers: BTreeMap<ServerId, SimulatedServer>,
     requests: BTreeMap<RequestId, (usize, Millis, u32)>,
-    mail: Vec<(Millis, f64)>,
+    message_budgets: Vec<(Millis, f64)>,
     next: u32,
     scheduled: u64,
     outcomes: Outcomes,
@@ -74,11 +74,11 @@
             size,
             random: oorandom::Rand64::new(u128::from(size.seed)),
             events: BinaryHeap::new(),
-            bodies: BTreeMap::new(),
+            pending_events: BTreeMap::new(),
             gateways: Vec::new(),
-            machines: BTreeMap::new(),
+            servers: BTreeMap::new(),
             requests: BTreeMap::new(),
-            mail: vec![(now, 1.0); size.gateways as usize],
+            message_budgets: vec![(now, 1.0); size.gateways as usize],
             next: 0,
             scheduled: 0,
             outcomes: Outcomes::default(),
@@ -93,14 +93,14 @@
         for me in 0..size.gateways {
             let gateway = fleet.gateway(me);
             fleet.gateways.push((gateway, 0));
-            let lines = fleet
-                .machines
+            let entries = fleet
+                .servers
                 .values()
-                .map(|machine| machine.info.clone())
+                .map(|server_model| server_model.info.clone())
                 .collect();
             fleet.feed(
                 me as usize,
-                emberpin_balancer::Event::Membership(MembershipUpdate::Full(lines)),
+                emberpin_balancer::Event::Membership(MembershipUpdate::Full(entries)),
             );
         }
         fleet.at(now, Event::Arrival);
@@ -121,13 +121,13 @@
             ..super::server(id)
         };
         let id = info.id;
-        self.machines.insert(
+        self.servers.insert(
             id,
-            Machine {
+            SimulatedServer {
                 info,
-                free: self.now,
-                held: 0,
-                cold: Vec::new(),
+                idle_at: self.now,
+                in_flight: 0,
+                sent_while_cold: Vec::new(),
             },
         );
         id
@@ -135,7 +135,7 @@
 
     fn at(&mut self, when: Millis, event: Event) {
         self.scheduled += 1;
-        self.bodies.insert(self.scheduled, event);
+        self.pending_events.insert(self.scheduled, event);
         self.events.push(Reverse((
             (when.max(self.now) * 1000.0) as u64,
             self.scheduled,
@@ -152,41 +152,48 @@
 
     /// Replaces the first `count` servers by cold ones under new names; each gateway hears of it within `late`.
     pub fn replace(&mut self, count: u32, late: Millis) {
-        let mut lines = Vec::new();
+        let mut entries = Vec::new();
         for id in 0..count {
             let mut old = super::server(id);
             old.status = ServerStatus::Draining;
-            lines.push(old);
+            entries.push(old);
             let id = self.boot(10_000 + id, Some(self.now));
-            lines.push(self.machines[&id].info.clone());
+            entries.push(self.servers[&id].info.clone());
         }
         for to in 0..self.gateways.len() {
             let when = self.now + self.uniform(0.0, late);
             let event =
-                emberpin_balancer::Event::Membership(MembershipUpdate::Changes(lines.clone()));
-            let life = self.gateways[to].1;
-            self.at(when, Event::Feed { to, life, event });
+                emberpin_balancer::Event::Membership(MembershipUpdate::Changes(entries.clone()));
+            let incarnation = self.gateways[to].1;
+            self.at(
+                when,
+                Event::Feed {
+                    to,
+                    incarnation,
+                    event,
+                },
+            );
         }
     }
 
     /// Kills the first `count` gateways at this instant; each is back at once, with nothing but the list.
     pub fn restart(&mut self, count: u32) {
         for me in 0..count {
-            let life = self.gateways[me as usize].1 + 1;
-            self.gateways[me as usize] = (self.gateway(me), life);
-            let lines = self
-                .machines
+            let incarnation = self.gateways[me as usize].1 + 1;
+            self.gateways[me as usize] = (self.gateway(me), incarnation);
+            let entries = self
+                .servers
                 .values()
-                .map(|machine| machine.info.clone())
+                .map(|server_model| server_model.info.clone())
                 .collect();
             self.feed(
                 me as usize,
-                emberpin_balancer::Event::Membership(MembershipUpdate::Full(lines)),
+                emberpin_balancer::Event::Membership(MembershipUpdate::Full(entries)),
             );
         }
     }
 
-    /// Plays on for `time`, and tells what became of the requests that ended in it.
+    /// Plays on for `time`, and returns what became of the requests that ended in it.
     pub fn play(&mut self, time: Millis) -> Outcomes {
         let end = self.now + time;
         self.outcomes = Outcomes::default();
@@ -196,12 +203,20 @@
             }
             self.events.pop();
             self.now = when as f64 / 1000.0;
-            match self.bodies.remove(&number) {
+            match self.pending_events.remove(&number) {
                 Some(Event::Arrival) => self.arrive(),
-                Some(Event::Feed { to, life, event }) if self.gateways[to].1 == life => {
+                Some(Event::Feed {
+                    to,
+                    incarnation,
+                    event,
+                }) if self.gateways[to].1 == incarnation => {
                     self.feed(to, event);
                 }
-                Some(Event::Ended { to, life, attempt }) => self.ended(to, life, attempt),
+                Some(Event::Ended {
+                    to,
+                    incarnation,
+                    attempt,
+                }) => self.ended(to, incarnation, attempt),
                 _ => {}
             }
         }
@@ -210,14 +225,14 @@
     }
 
     fn arrive(&mut self) {
-        let rate = self.size.load * self.size.bears * f64::from(self.size.servers);
+        let rate = self.size.load * self.size.server_rate * f64::from(self.size.servers);
         let pause = self.exponential(1000.0 / rate);
         self.at(self.now + pause, Event::Arrival);
         let to = self.random.rand_range(0..self.gateways.len() as u64) as usize;
         let (id, group) = (RequestId(self.next), self.size.gateways);
         self.next += 1;
         self.requests.insert(id, (to, self.now, 0));
-        self.outcomes.asked += 1;
+        self.outcomes.requested += 1;
         self.feed(
             to,
             emberpin_balancer::Event::Request(Request {
@@ -239,7 +254,7 @@
     fn feed(&mut self, to: usize, event: emberpin_balancer::Event) {
         let mut actions = Vec::new();
         self.gateways[to].0.handle(self.now, event, &mut actions);
-        let life = self.gateways[to].1;
+        let incarnation = self.gateways[to].1;
         for action in actions {
             match action {
                 Action::Send {
@@ -248,73 +263,89 @@
                     timeout,
                 } => self.send(to, request, server, timeout),
                 Action::Reject { request, .. } | Action::Fail { request } => {
-                    self.outcomes.refused += 1;
+                    self.outcomes.rejected += 1;
                     self.requests.remove(&request);
                 }
                 Action::SetTimer { delay, token } => {
                     let event = emberpin_balancer::Event::Timer { token };
-                    self.at(self.now + delay, Event::Feed { to, life, event });
+                    self.at(
+                        self.now + delay,
+                        Event::Feed {
+                            to,
+                            incarnation,
+                            event,
+                        },
+                    );
                 }
                 Action::SendToPeer {
                     to: Some(GatewayId(peer)),
                     bytes,
-                } => self.tell(to, peer as usize, bytes),
+                } => self.deliver(to, peer as usize, bytes),
                 _ => {}
             }
         }
     }
 
-    /// One message in twenty is lost, and whatever is over the intake.
-    fn tell(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        let (at, level) = self.mail[to];
-        let room =
+    /// Delivers a message. One in twenty is lost, and whatever is over what a gateway can receive.
+    fn deliver(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
+        let (at, level) = self.message_budgets[to];
+        let budget =
             (level + (self.now - at) / 1000.0 * self.settings.peer_messages_per_second).min(5.0);
-        let taken = room >= 1.0 && self.random.rand_float() > 0.05;
-        self.mail[to] = (self.now, if taken { room - 1.0 } else { room });
+        let taken = budget >= 1.0 && self.random.rand_float() > 0.05;
+        self.message_budgets[to] = (self.now, if taken { budget - 1.0 } else { budget });
         if taken {
-            let (when, life) = (self.now + self.uniform(1.0, 36.0), self.gateways[to].1);
+            let (when, incarnation) = (self.now + self.uniform(1.0, 36.0), self.gateways[to].1);
             let event = emberpin_balancer::Event::PeerMessage {
                 from: GatewayId(from as u32),
                 bytes,
             };
-            self.at(when, Event::Feed { to, life, event });
+            self.at(
+                when,
+                Event::Feed {
+                    to,
+                    incarnation,
+                    event,
+                },
+            );
         }
     }
 
-    fn warmth(&self, info: &Server) -> f64 {
-        let rules = &self.settings.slow_start;
+    fn warm_up_share(&self, info: &Server) -> f64 {
+        let slow_start = &self.settings.slow_start;
         let part = info
             .started_at
-            .map_or(1.0, |at| ((self.now - at) / rules.duration).min(1.0));
-        rules.initial_capacity + (1.0 - rules.initial_capacity) * part
+            .map_or(1.0, |at| ((self.now - at) / slow_start.duration).min(1.0));
+        slow_start.initial_capacity + (1.0 - slow_start.initial_capacity) * part
     }
 
     fn send(&mut self, to: usize, request: RequestId, server: ServerId, timeout: Millis) {
-        let work = self.exponential(1000.0 / self.size.bears);
-        let warmth = self.warmth(&self.machines[&server].info);
+        let work = self.exponential(1000.0 / self.size.server_rate);
+        let warm_up_share = self.warm_up_share(&self.servers[&server].info);
         let Some((_, _, attempts)) = self.requests.get_mut(&request) else {
             return;
         };
         let (now, attempt) = (self.now, *attempts);
         *attempts += 1;
-        let machine = self
-            .machines
+        let server_model = self
+            .servers
             .get_mut(&server)
             .expect("only what was listed is sent to");
-        machine.free = machine.free.max(now) + work / warmth;
-        machine.held += 1;
-        if warmth < 1.0 {
-            // In requests of usual work, as gateways know no more; the rule's own slack is for chance.
-            machine.cold.push((now, 1.0 / (self.size.bears * warmth)));
+        server_model.idle_at = server_model.idle_at.max(now) + work / warm_up_share;
+        server_model.in_flight += 1;
+        if warm_up_share < 1.0 {
+            // In requests of mean work, as gateways know no more; the limit's own slack is for chance.
+            server_model
+                .sent_while_cold
+                .push((now, 1.0 / (self.size.server_rate * warm_up_share)));
         }
-        let took = machine.free - now;
+        let took = server_model.idle_at - now;
         let outcome = if took <= timeout {
             Outcome::Ok
         } else {
             Outcome::Timeout
         };
         let elapsed = took.min(timeout);
-        let life = self.gateways[to].1;
+        let incarnation = self.gateways[to].1;
         let attempt = AttemptResult {
             request,
             attempt,
@@ -327,19 +358,26 @@
             units: None,
             metered: None,
         };
-        self.at(now + elapsed, Event::Ended { to, life, attempt });
+        self.at(
+            now + elapsed,
+            Event::Ended {
+                to,
+                incarnation,
+                attempt,
+            },
+        );
     }
 
-    fn ended(&mut self, to: usize, life: u32, mut attempt: AttemptResult) {
-        let machine = self
-            .machines
+    fn ended(&mut self, to: usize, incarnation: u32, mut attempt: AttemptResult) {
+        let server_model = self
+            .servers
             .get_mut(&attempt.server)
             .expect("it was sent to");
-        machine.held -= 1;
-        attempt.load.queue_length = Some(f64::from(machine.held.saturating_sub(1)));
+        server_model.in_flight -= 1;
+        attempt.load.queue_length = Some(f64::from(server_model.in_flight.saturating_sub(1)));
         if attempt.outcome == Outcome::Ok {
-            if let Some((_, asked, _)) = self.requests.remove(&attempt.request) {
-                let in_time = self.now - asked <= self.settings.classes[0].latency_target;
+            if let Some((_, requested, _)) = self.requests.remove(&attempt.request) {
+                let in_time = self.now - requested <= self.settings.classes[0].latency_target;
                 *(if in_time {
                     &mut self.outcomes.in_time
                 } else {
@@ -347,24 +385,25 @@
                 }) += 1;
             }
         }
-        if self.gateways[to].1 == life {
+        if self.gateways[to].1 == incarnation {
             self.feed(to, emberpin_balancer::Event::AttemptEnded(attempt));
         }
     }
 
-    /// The most that any cold server was sent within the rule's span, as a share of what fells it.
-    pub fn nearest_to_falling(&self) -> f64 {
-        let rules = &self.settings.slow_start;
-        let most = |machine: &Machine| {
-            let windows = machine.cold.iter().map(|(from, _)| {
-                let within = machine
-                    .cold
+    /// The most that any cold server was sent within the overload time, as a share of what overloads it.
+    pub fn nearest_to_overload(&self) -> f64 {
+        let slow_start = &self.settings.slow_start;
+        let most = |server_model: &SimulatedServer| {
+            let windows = server_model.sent_while_cold.iter().map(|(from, _)| {
+                let within = server_model
+                    .sent_while_cold
                     .iter()
-                    .filter(|(at, _)| (*from..*from + rules.overload_time).contains(at));
+                    .filter(|(at, _)| (*from..*from + slow_start.overload_time).contains(at));
                 within.map(|(_, seconds)| seconds).sum::<f64>()
             });
-            windows.fold(0.0, f64::max) / (rules.overload_multiple * rules.overload_time / 1000.0)
+            windows.fold(0.0, f64::max)
+                / (slow_start.overload_multiple * slow_start.overload_time / 1000.0)
         };
-        self.machines.values().map(most).fold(0.0, f64::max)
+        self.servers.values().map(most).fold(0.0, f64::max)
     }
 }
--- a/crates/emberpin-balancer/tests/common/mod.rs
+++ b/crates/emberpin-balancer/tests/common/mod.rs
@@ -308,9 +308,9 @@
     }
 }
 
-/// A peer's message: its life and one customer's cumulative units.
-pub fn count_message(life: u32, customer: u64, units: f64) -> Vec<u8> {
-    let mut writer = gossip::Writer::new(life, 0.0, 0.0);
+/// A peer's message: its incarnation and one customer's cumulative units.
+pub fn count_message(incarnation: u32, customer: u64, units: f64) -> Vec<u8> {
+    let mut writer = gossip::Writer::new(incarnation, 0.0, 0.0);
     assert!(writer.push(count(customer, units)));
     writer.finish()
 }
@@ -322,7 +322,7 @@
     });
 }
 
-/// Lets in up to `tries` requests of one customer and answers each at once.
+/// Admits up to `tries` requests of one customer and answers each at once.
 pub fn admit(harness: &mut Harness, plan: usize, customer: u64, tries: usize) -> usize {
     (0..tries)
         .filter(|_| {
@@ -338,7 +338,7 @@
         .count()
 }
 
-/// Fills a gateway of unknown throughput with `count` attempts outstanding.
+/// Fills a gateway of unknown throughput with `count` attempts in flight.
 pub fn fill_in_flight(harness: &mut Harness, count: usize) -> Vec<(RequestId, ServerId)> {
     (0..count)
         .map(|k| {
--- a/crates/emberpin-balancer/tests/congestion.rs
+++ b/crates/emberpin-balancer/tests/congestion.rs
@@ -13,7 +13,7 @@
     assert_eq!(
         count_rejections(&mut harness, 50),
         0,
-        "62 outstanding after an outcome is not above 62"
+        "62 in flight after an outcome is not above 62"
     );
 }
 
@@ -23,7 +23,7 @@
     let out = fill_in_flight(&mut harness, 64);
     harness.end_attempt(out[0].0, 0, out[0].1, Outcome::Ok);
     let cut = count_rejections(&mut harness, 400);
-    assert!((60..100).contains(&cut), "a fifth: {cut} of 400 refused");
+    assert!((60..100).contains(&cut), "a fifth: {cut} of 400 rejected");
 
     let mut harness = Harness::fresh(settings(), 12);
     let out = fill_in_flight(&mut harness, 64);
@@ -33,7 +33,7 @@
     let cut = count_rejections(&mut harness, 100);
     assert!(
         cut > 10,
-        "51 outstanding: the state holds between the thresholds ({cut} of 100)"
+        "51 in flight: the state holds between the thresholds ({cut} of 100)"
     );
 
     let mut harness = Harness::fresh(settings(), 12);
@@ -44,7 +44,7 @@
     assert_eq!(
         count_rejections(&mut harness, 100),
         0,
-        "50 outstanding: abated"
+        "50 in flight: abated"
     );
 }
 
@@ -58,7 +58,7 @@
     let cut = count_rejections(&mut harness, 200);
     assert!(
         cut > 170,
-        "115 outstanding after five outcomes: the last level refuses nearly all ({cut} of 200)"
+        "115 in flight after five outcomes: the last level refuses nearly all ({cut} of 200)"
     );
 }
 
--- a/crates/emberpin-balancer/tests/ejection.rs
+++ b/crates/emberpin-balancer/tests/ejection.rs
@@ -16,7 +16,7 @@
         let mut to = sent_to(&actions).expect("sent");
         while to == ServerId(2) {
             to = sent_to(&harness.end_attempt(id, attempt, to, Outcome::ConnectFailed))
-                .expect("tried elsewhere");
+                .expect("retried at another server");
             attempt += 1;
         }
         held.push((id, attempt, to));
@@ -41,14 +41,14 @@
         }
     }
     for k in 0..3 {
-        let id = trial.expect("tried again after its rest");
+        let id = trial.expect("tried again after its ejection");
         harness.end_attempt(id, 0, ServerId(2), Outcome::Ok);
         let mut next = (0..30).map(|n| harness.arrive(SAFE, 0, 3000 + 100 * k + n));
         trial = next
             .find(|(_, actions)| sent_to(actions) == Some(ServerId(2)))
             .map(|(id, _)| id);
     }
-    assert!(trial.is_some(), "back in favour");
+    assert!(trial.is_some(), "chosen as before");
 }
 
 /// Serves with two attempts out a server; an attempt is reset if `breaks` says so of its server. The share of the
@@ -89,7 +89,7 @@
     let share = ejected_share(chance);
     assert!(
         share < 0.03,
-        "one attempt in eight is reset: {share:.2} of the servers rest"
+        "one attempt in eight is reset: {share:.2} of the servers are ejected"
     );
 }
 
@@ -98,7 +98,7 @@
     let share = ejected_share(|_, server| server == ServerId(4));
     assert!(
         (0.08..0.13).contains(&share),
-        "one of nine is at rest most of the time: {share:.2}"
+        "one of nine is ejected most of the time: {share:.2}"
     );
 }
 
@@ -121,7 +121,7 @@
             .0
             < 3
     });
-    assert_eq!(to_dead.count(), 0, "all three rest");
+    assert_eq!(to_dead.count(), 0, "all three are ejected");
 
     let mut harness = Harness::new(settings(), 6);
     for k in 0..60 {
--- a/crates/emberpin-balancer/tests/gossip.rs
+++ b/crates/emberpin-balancer/tests/gossip.rs
@@ -8,29 +8,29 @@
 #[test]
 fn lost_and_reordered_counts_are_made_up_for() {
     let mut harness = Harness::new(settings(), 12);
-    let life = harness.now as u32;
+    let incarnation = harness.now as u32;
     admit(&mut harness, 0, 5, 1);
     harness.advance(3000.0);
     // 4 was lost; 12 arrives before 8.
-    receive(&mut harness, 1, count_message(life, 5, 12.0));
-    receive(&mut harness, 1, count_message(life, 5, 8.0));
-    receive(&mut harness, 1, count_message(life, 5, 12.0));
+    receive(&mut harness, 1, count_message(incarnation, 5, 12.0));
+    receive(&mut harness, 1, count_message(incarnation, 5, 8.0));
+    receive(&mut harness, 1, count_message(incarnation, 5, 12.0));
     assert_eq!(admit(&mut harness, 0, 5, 30), 8);
 }
 
 #[test]
 fn a_peers_restart_refunds_nothing_and_its_old_incarnation_is_ignored() {
     let mut harness = Harness::new(settings(), 12);
-    let life = harness.now as u32;
+    let incarnation = harness.now as u32;
     admit(&mut harness, 0, 5, 1);
     harness.advance(3000.0);
-    receive(&mut harness, 1, count_message(life, 5, 12.0));
-    receive(&mut harness, 1, count_message(life + 3000, 5, 3.0));
-    receive(&mut harness, 1, count_message(life, 5, 19.0));
+    receive(&mut harness, 1, count_message(incarnation, 5, 12.0));
+    receive(&mut harness, 1, count_message(incarnation + 3000, 5, 3.0));
+    receive(&mut harness, 1, count_message(incarnation, 5, 19.0));
     assert_eq!(admit(&mut harness, 0, 5, 30), 5, "20 - 12 - 3");
 }
 
-/// Unix milliseconds do not fit the 32 bits that travel: saturated, all lives would look alike.
+/// Unix milliseconds do not fit the 32 bits that travel: saturated, all incarnations would look alike.
 #[test]
 fn incarnations_differ_on_any_clock() {
     for started in [
--- a/crates/emberpin-balancer/tests/handover.rs
+++ b/crates/emberpin-balancer/tests/handover.rs
@@ -5,19 +5,19 @@
 use common::*;
 use emberpin_balancer::*;
 
-const WITH_CEILING: usize = 1;
+const WITH_RATE_LIMIT: usize = 1;
 
 /// The next process, beside the one of this harness.
 fn next(harness: &Harness, settings: Settings, servers: u32) -> (Harness, bool) {
     let listed = (0..servers).map(server).collect();
-    let given = harness.gateway.to_handover();
-    let (gateway, whole) = Gateway::from_handover(settings, 9, harness.now, given, listed);
+    let handover = harness.gateway.to_handover();
+    let (gateway, complete) = Gateway::from_handover(settings, 9, harness.now, handover, listed);
     let mut after = harness.restarted(common::settings(), servers);
     after.gateway = gateway;
-    (after, whole)
+    (after, complete)
 }
 
-/// How many of so many requests of a customer are let in; each is answered at once, and what is shared is told to
+/// How many of so many requests of a customer are admitted; each is answered at once, and what is shared is told to
 /// the other process.
 fn admit(
     harness: &mut Harness,
@@ -34,7 +34,7 @@
         };
         count += 1;
         shared.extend(actions.into_iter().filter_map(|action| match action {
-            Action::ShareUsage(spent) => Some(spent),
+            Action::ShareUsage(usage) => Some(usage),
             _ => None,
         }));
         harness.end_attempt(id, 0, server, Outcome::Ok);
@@ -42,23 +42,23 @@
     if let Some(other) = other {
         shared
             .into_iter()
-            .for_each(|spent| drop(other.handle(Event::SiblingUsage(spent))));
+            .for_each(|usage| drop(other.handle(Event::SiblingUsage(usage))));
     }
     count
 }
 
 #[test]
 fn spent_quotas_and_rate_limits_stay_spent() {
-    for plan in [0, WITH_CEILING] {
+    for plan in [0, WITH_RATE_LIMIT] {
         let mut old = Harness::new(settings(), 3);
         let first = admit(&mut old, None, plan, 5, 200);
         assert!(first > 0);
-        let (mut new, whole) = next(&old, settings(), 3);
-        assert!(whole);
+        let (mut new, complete) = next(&old, settings(), 3);
+        assert!(complete);
         assert_eq!(admit(&mut new, None, plan, 5, 200), 0, "after {first}");
         // As after a kill it would be a part of the burst again.
         let mut killed = old.restarted(settings(), 3);
-        assert!(plan == WITH_CEILING || admit(&mut killed, None, plan, 5, 200) > 0);
+        assert!(plan == WITH_RATE_LIMIT || admit(&mut killed, None, plan, 5, 200) > 0);
     }
 }
 
@@ -106,7 +106,7 @@
             status: ServerStatus::Draining,
             ..server(0)
         }]));
-        let given = old.gateway.to_handover();
+        let handover = old.gateway.to_handover();
         let listed = vec![
             Server {
                 status: ServerStatus::Draining,
@@ -114,7 +114,7 @@
             },
             lines(now).remove(0),
         ];
-        let (gateway, _) = Gateway::from_handover(settings(), 9, now, given, listed);
+        let (gateway, _) = Gateway::from_handover(settings(), 9, now, handover, listed);
         let mut new = old.restarted(settings(), 2);
         new.gateway = gateway;
         old.handle(Event::SiblingChanged { running: shares });
@@ -174,7 +174,7 @@
     });
     let mut changed = settings();
     changed.plans[0].quota_rate *= 2.0;
-    let (mut new, whole) = next(&old, changed, 3);
-    assert!(!whole && new.gateway.is_in_maintenance(ServerId(1)));
+    let (mut new, complete) = next(&old, changed, 3);
+    assert!(!complete && new.gateway.is_in_maintenance(ServerId(1)));
     assert!(admit(&mut new, None, 0, 5, 200) > 0, "as after a kill");
 }
--- a/crates/emberpin-balancer/tests/large_group.rs
+++ b/crates/emberpin-balancer/tests/large_group.rs
@@ -40,8 +40,8 @@
 }
 
 /// A message with a header only.
-fn hello(life: u32) -> Vec<u8> {
-    gossip::Writer::new(life, 0.0, 0.0).finish()
+fn hello(incarnation: u32) -> Vec<u8> {
+    gossip::Writer::new(incarnation, 0.0, 0.0).finish()
 }
 
 #[test]
@@ -97,7 +97,7 @@
 }
 
 /// Gateways that have just started with all their servers, none of which was ever seen warm: sends by server, and the share
-/// of the requests that were let in, at one request of each gateway in `every` steps of 100 ms. Servers say how many wait
+/// of the requests that were admitted, at one request of each gateway in `every` steps of 100 ms. Servers say how many wait
 /// there, or nothing.
 fn all_cold(group: u32, fleet: u32, every: u32, waits: Option<f64>) -> (Vec<Vec<f64>>, f64) {
     let mut gateways: Vec<Harness> = (0..group)
@@ -111,7 +111,7 @@
         harness.now = start;
         harness.update_membership(MembershipUpdate::Full(cold.clone()));
     }
-    let (mut sends, mut asked, mut let_in) = (vec![Vec::new(); fleet as usize], 0, 0);
+    let (mut sends, mut asked, mut admitted) = (vec![Vec::new(); fleet as usize], 0, 0);
     for step in 1..=100u32 {
         for (me, harness) in gateways.iter_mut().enumerate() {
             harness.now = start + f64::from(step) * 100.0;
@@ -122,7 +122,7 @@
             let (id, actions) = request(harness, step, 0, u64::from(step) * 1000 + me as u64, 1);
             asked += 1;
             if let Some(to) = sent_to(&actions) {
-                let_in += 1;
+                admitted += 1;
                 sends[to.0 as usize].push(harness.now - start);
                 harness.now += 30.0;
                 let report = LoadReport {
@@ -133,7 +133,7 @@
             }
         }
     }
-    (sends, f64::from(let_in) / f64::from(asked))
+    (sends, f64::from(admitted) / f64::from(asked))
 }
 
 #[test]
@@ -145,7 +145,7 @@
         (30, 6, 10, 0.5),
     ] {
         let (sends, share) = all_cold(group, fleet, every, None);
-        assert!(share > least, "{group} gateways: {share:.2} let in");
+        assert!(share > least, "{group} gateways: {share:.2} admitted");
         // Where servers say that queues fill, nothing more is asked of them; where they are empty, more and more.
         let (_, full) = all_cold(group, fleet, every, Some(3.0));
         assert!(
@@ -254,7 +254,7 @@
         seen.advance(3_000.0);
     }
     // Rate 20 and burst 40 for all: 40 at the start and 20 a second for six seconds.
-    assert!(used <= 40 + 20 * 6, "{used} let in");
+    assert!(used <= 40 + 20 * 6, "{used} admitted");
     assert!(
         used >= 40,
         "the burst is given out when the group is seen to start: {used}"
@@ -265,11 +265,11 @@
 fn a_customer_of_a_large_set_is_admitted_at_once_although_its_split_burst_holds_less_than_one_unit()
 {
     let keeps_none = (0..100).map(|me| Harness::fresh(one_of(me, 120), 12));
-    let let_in =
+    let admitted =
         keeps_none.map(|mut harness| sent_to(&request(&mut harness, 1, 0, 5, 100).1).is_some());
     assert!(
-        let_in.filter(|sent| *sent).count() >= 98,
-        "all but the keepers, whose store is split"
+        admitted.filter(|sent| *sent).count() >= 98,
+        "all but the owners, whose store is split"
     );
 }
 
@@ -311,9 +311,9 @@
 
 #[test]
 fn two_owners_advise_a_large_set_within_what_peers_can_receive() {
-    let keepers = owners();
-    assert_eq!(keepers.len(), 2, "{keepers:?}");
-    let mut harness = Harness::fresh(one_of(keepers[0], 120), 12);
+    let owners = owners();
+    assert_eq!(owners.len(), 2, "{owners:?}");
+    let mut harness = Harness::fresh(one_of(owners[0], 120), 12);
     let mut told = 0;
     for second in 1..=10 {
         let mut writer = gossip::Writer::new(harness.now as u32, 0.0, 0.0);
@@ -347,7 +347,7 @@
 fn advice_rejects_by_chance_and_retrying_at_once_gains_no_more_than_the_rate() {
     let mut harness = Harness::fresh(one_of(owners()[0], 120), 12);
     let start = harness.now;
-    let mut let_in = 0;
+    let mut admitted = 0;
     for number in 0..6_000 {
         harness.now += 5.0;
         if number % 20 == 0 {
@@ -355,15 +355,15 @@
         }
         let (id, actions) = request(&mut harness, number, 0, 5, 100);
         if let Some(to) = sent_to(&actions) {
-            let_in += 1;
+            admitted += 1;
             harness.end_attempt(id, 0, to, Outcome::Ok);
         }
     }
     let seconds = (harness.now - start) / 1000.0;
-    let rate = f64::from(let_in) / seconds;
+    let rate = f64::from(admitted) / seconds;
     assert!(
         (7.0..13.0).contains(&rate),
-        "200 tries a second, {rate} of 10 let in"
+        "200 tries a second, {rate} of 10 admitted"
     );
 
     let mut member = Harness::fresh(one_of(105, 120), 12);
@@ -543,17 +543,17 @@
     assert!(sent_to(&request(&mut harness, 1, 0, 77, 100).1).is_some());
 }
 
-/// What a keeper of customer 5 advises once it was told these counts, cumulative units and asked for each.
+/// What an owner of customer 5 advises once it was told these counts, cumulative units and asked for each.
 fn advice_after(counts: &[(f64, f64)]) -> Vec<gossip::Entry> {
     let mut harness = Harness::fresh(one_of(owners()[0], 120), 12);
-    let life = harness.now as u32;
+    let incarnation = harness.now as u32;
     harness.advance(3_000.0);
     harness.handle(Event::PeerMessage {
         from: GatewayId(119),
-        bytes: hello(life),
+        bytes: hello(incarnation),
     });
     for (units, asked) in counts {
-        let mut writer = gossip::Writer::new(life, 0.0, 0.0);
+        let mut writer = gossip::Writer::new(incarnation, 0.0, 0.0);
         assert!(writer.push(gossip::Entry::Count {
             customer: 5,
             plan: 0,
@@ -591,15 +591,15 @@
 
 #[test]
 fn gateways_of_a_large_set_announce_all_that_they_admitted_so_far() {
-    let keepers = owners();
+    let owners = owners();
     let member = (0..100)
-        .find(|me| !keepers.contains(me))
+        .find(|me| !owners.contains(me))
         .expect("most keep nothing");
     let mut harness = Harness::fresh(one_of(member, 120), 12);
     let mut told = Vec::new();
     for number in 0..3 {
         let (id, actions) = request(&mut harness, number, 0, 5, 100);
-        harness.end_attempt(id, 0, sent_to(&actions).expect("let in"), Outcome::Ok);
+        harness.end_attempt(id, 0, sent_to(&actions).expect("admitted"), Outcome::Ok);
         for action in harness.advance(1_000.0) {
             let Action::SendToPeer {
                 to: Some(GatewayId(to)),
@@ -610,7 +610,7 @@
             };
             let entries = gossip::read(&bytes).expect("whole").entries;
             told.extend(entries.iter().filter_map(|entry| match entry {
-                gossip::Entry::Count { units, .. } if to == keepers[0] => Some(*units),
+                gossip::Entry::Count { units, .. } if to == owners[0] => Some(*units),
                 _ => None,
             }));
         }
@@ -626,7 +626,7 @@
     // Three answers a second of the class that may take ten times as long as the first one.
     let mut answer = |number: u32, elapsed: Millis| {
         let (id, actions) = harness.arrive(1, 0, 10_000 + u64::from(number));
-        let to = sent_to(&actions).expect("let in");
+        let to = sent_to(&actions).expect("admitted");
         harness.advance(elapsed);
         harness.end_attempt(id, 0, to, Outcome::Ok);
     };
--- a/crates/emberpin-balancer/tests/maintenance.rs
+++ b/crates/emberpin-balancer/tests/maintenance.rs
@@ -31,7 +31,7 @@
     set_maintenance(&mut harness, 1, true);
     assert_eq!(served_by(&mut harness, 60), BTreeSet::from([0, 2]));
     assert_eq!(harness.gateway.pool_size(harness.now), pool_size(3, 1));
-    // It leaves, and comes back as another life.
+    // It leaves, and comes back as another incarnation.
     harness.update_membership(MembershipUpdate::Changes(vec![Server {
         status: ServerStatus::Removed,
         ..server(1)
--- a/crates/emberpin-balancer/tests/quotas.rs
+++ b/crates/emberpin-balancer/tests/quotas.rs
@@ -23,7 +23,7 @@
     let again = admit(&mut harness, 0, 5, 30);
     assert!(
         (9..=11).contains(&again),
-        "a third of 10 units a second refills, {again} let in"
+        "a third of 10 units a second refills, {again} admitted"
     );
 }
 
@@ -44,20 +44,20 @@
     for harness in &mut set {
         admit(harness, 0, 5, 100);
     }
-    let mut sent_on = 0;
+    let mut sent = 0;
     for _ in 0..100 {
         for harness in &mut set {
             harness.advance(100.0);
-            sent_on += admit(harness, 0, 5, 100);
+            sent += admit(harness, 0, 5, 100);
         }
     }
     assert!(
-        (90..=105).contains(&sent_on),
-        "10 units a second for 10 s, {sent_on} were sent on"
+        (90..=105).contains(&sent),
+        "10 units a second for 10 s, {sent} were sent"
     );
 }
 
-/// Peers may start a moment later: a life's first moments are no silence.
+/// Peers may start a moment later: a gateway's first moments are no isolation.
 #[test]
 fn a_gateway_that_has_just_started_refills_quotas_at_the_rate() {
     let mut harness = Harness::fresh(settings(), 12);
@@ -66,52 +66,52 @@
     let again = admit(&mut harness, 0, 5, 30);
     assert!(
         (9..=11).contains(&again),
-        "10 units a second refill, {again} let in"
+        "10 units a second refill, {again} admitted"
     );
 }
 
-/// What peers let in while they were not heard was held back here all the while: it is no debt.
+/// What peers let in while they were not heard was withheld here all the while: it is no debt.
 #[test]
 fn the_end_of_an_isolation_brings_no_debt_for_withheld_units() {
     let mut harness = Harness::new(settings(), 12);
-    let life = harness.now as u32;
-    receive(&mut harness, 1, count_message(life, 5, 0.0));
+    let incarnation = harness.now as u32;
+    receive(&mut harness, 1, count_message(incarnation, 5, 0.0));
     harness.advance(2000.0);
     admit(&mut harness, 0, 5, 30);
     for _ in 0..60 {
         harness.advance(100.0);
         admit(&mut harness, 0, 5, 30);
     }
-    // Two peers let in their parts of 6 s: 20 units each, of which 40 were held back here.
-    receive(&mut harness, 1, count_message(life, 5, 20.0));
+    // Two peers admitted their shares of 6 s: 20 units each, of which 40 were withheld here.
+    receive(&mut harness, 1, count_message(incarnation, 5, 20.0));
     harness.advance(500.0);
     assert!(
         admit(&mut harness, 0, 5, 30) >= 4,
         "the rate goes on at once"
     );
-    // What is told beyond what was held back is a debt as ever.
-    receive(&mut harness, 1, count_message(life, 5, 70.0));
+    // What is announced beyond the withheld units is a debt as ever.
+    receive(&mut harness, 1, count_message(incarnation, 5, 70.0));
     harness.advance(500.0);
     assert_eq!(admit(&mut harness, 0, 5, 30), 0);
 }
 
-/// What was held back pays for what is told soon after the silence, and for nothing later.
+/// Withheld units cover what is announced soon after the isolation, and nothing later.
 #[test]
 fn withheld_units_are_forgotten_once_peers_have_caught_up() {
     let mut harness = Harness::new(settings(), 12);
-    let life = harness.now as u32;
-    receive(&mut harness, 1, count_message(life, 5, 0.0));
+    let incarnation = harness.now as u32;
+    receive(&mut harness, 1, count_message(incarnation, 5, 0.0));
     harness.advance(2000.0);
     for _ in 0..60 {
         harness.advance(100.0);
         admit(&mut harness, 0, 5, 30);
     }
     for _ in 0..15 {
-        receive(&mut harness, 1, count_message(life, 5, 0.0));
+        receive(&mut harness, 1, count_message(incarnation, 5, 0.0));
         harness.advance(100.0);
         admit(&mut harness, 0, 5, 30);
     }
-    receive(&mut harness, 1, count_message(life, 5, 15.0));
+    receive(&mut harness, 1, count_message(incarnation, 5, 15.0));
     harness.advance(1000.0);
     assert_eq!(
         admit(&mut harness, 0, 5, 30),
@@ -123,10 +123,10 @@
 #[test]
 fn units_that_a_peer_announces_are_taken_from_the_quota() {
     let mut harness = Harness::new(settings(), 12);
-    let life = harness.now as u32;
+    let incarnation = harness.now as u32;
     admit(&mut harness, 0, 5, 1);
     harness.advance(3000.0);
-    receive(&mut harness, 1, count_message(life, 5, 15.0));
+    receive(&mut harness, 1, count_message(incarnation, 5, 15.0));
     assert_eq!(admit(&mut harness, 0, 5, 30), 5);
 }
 
@@ -138,7 +138,7 @@
     assert_eq!(
         admit(&mut harness, 0, 5, 30),
         5,
-        "its part of the burst stays"
+        "its share of the burst stays"
     );
     harness.advance(1000.0);
     receive(&mut harness, 1, count_message(1000, 5, 5004.0));
@@ -177,12 +177,12 @@
 #[test]
 fn units_that_peers_admit_at_the_same_time_become_a_debt() {
     let mut harness = Harness::new(settings(), 12);
-    let life = harness.now as u32;
+    let incarnation = harness.now as u32;
     admit(&mut harness, 0, 5, 1);
     harness.advance(6000.0);
-    receive(&mut harness, 1, count_message(life, 5, 0.0));
+    receive(&mut harness, 1, count_message(incarnation, 5, 0.0));
     assert_eq!(admit(&mut harness, 0, 5, 30), 20);
-    receive(&mut harness, 1, count_message(life, 5, 10.0));
+    receive(&mut harness, 1, count_message(incarnation, 5, 10.0));
     harness.advance(1000.0);
     assert_eq!(
         admit(&mut harness, 0, 5, 30),
@@ -195,14 +195,14 @@
 fn the_split_burst_is_complete_once_all_peers_show_a_common_start() {
     for (age, expected) in [(0, 20), (30_000, 6)] {
         let mut harness = Harness::fresh(settings(), 12);
-        let life = harness.now as u32 - age;
+        let incarnation = harness.now as u32 - age;
         let first = admit(&mut harness, 0, 5, 1);
-        receive(&mut harness, 1, count_message(life, 9, 1.0));
+        receive(&mut harness, 1, count_message(incarnation, 9, 1.0));
         assert!(
             first == 1 && rejected(&harness.arrive_with(SAFE, 0, 5, 10.0, 3).1),
             "one peer is unheard"
         );
-        receive(&mut harness, 2, count_message(life, 9, 1.0));
+        receive(&mut harness, 2, count_message(incarnation, 9, 1.0));
         assert_eq!(
             first + admit(&mut harness, 0, 5, 30),
             expected,
@@ -233,5 +233,8 @@
     let tries = (0..30)
         .filter(|_| sent_to(&harness.arrive(SAFE, 0, 5).1).is_some())
         .count();
-    assert_eq!(tries, 6, "40 of 62 out is not quiet: empty means refuse");
+    assert_eq!(
+        tries, 6,
+        "40 of 62 out is not quiet: an empty quota rejects"
+    );
 }
--- a/crates/emberpin-balancer/tests/recorded.rs
+++ b/crates/emberpin-balancer/tests/recorded.rs
@@ -27,9 +27,9 @@
 
 /// Values that the bytes hold exactly: counts in half units, chances in parts of 255.
 fn datagrams() -> Vec<(&'static str, Message)> {
-    let life = 0x1234_5678;
+    let incarnation = 0x1234_5678;
     let message = |entries| Message {
-        incarnation: life,
+        incarnation,
         in_flight: 1.0,
         throughput: 3.0,
         entries,
@@ -145,15 +145,15 @@
 
 /// Lets in requests of a customer until it is refused; how many that were.
 fn use_up_quota(harness: &mut Harness, plan: usize) -> usize {
-    let mut let_in = 0;
+    let mut admitted = 0;
     for _ in 0..200 {
         let (id, actions) = harness.arrive(SAFE, plan, CUSTOMER + plan as u64);
         if let Some(server) = sent_to(&actions) {
-            let_in += 1;
+            admitted += 1;
             harness.end_attempt(id, 0, server, Outcome::Ok);
         }
     }
-    let_in
+    admitted
 }
 
 /// A gateway with two customers that have spent all, and one server out of service by hand.
@@ -219,7 +219,7 @@
     assert_eq!(
         use_up_quota(&mut next, WITH_CEILING),
         0,
-        "a ceiling that is spent stays spent"
+        "a rate limit that is spent stays spent"
     );
     // What was not spent again is handed over as it came.
     let (handover, _) = recorded_handover("worn");
--- a/crates/emberpin-balancer/tests/slow_start.rs
+++ b/crates/emberpin-balancer/tests/slow_start.rs
@@ -114,7 +114,7 @@
         ..server(id)
     };
     harness.update_membership(MembershipUpdate::Full((0..4).map(cold).collect()));
-    let (start, mut let_in) = (harness.now, 0);
+    let (start, mut admitted) = (harness.now, 0);
     while harness.now < start + 5_000.0 {
         harness.now += 20.0;
         harness.handle(Event::Timer { token: 0 });
@@ -122,13 +122,13 @@
         let Some(to) = sent_to(&actions) else {
             continue;
         };
-        let_in += 1;
+        admitted += 1;
         harness.now += 30.0;
         harness.end_attempt(id, 0, to, Outcome::Ok);
     }
     // Four servers at a quarter and more, and of what twice that is, half: more than 4 x 0.25 x 1000 / 125 a second
     // from the first answer on, shared by three gateways; a third of a third of all that 30 ms would allow at most.
-    assert!((13..150).contains(&let_in), "{let_in} in 5 s");
+    assert!((13..150).contains(&admitted), "{admitted} in 5 s");
 }
 
 #[test]
