--- a/crates/emberpin-store/src/disk.rs
+++ b/crates/emberpin-store/src/disk.rs
@@ -1,6 +1,6 @@
 //! What a store persists, in a `fjall` keyspace that is read at the start and only written from then on.
 //!
-//! Each write carries a [`Watermark`], and each sync records the watermark that it covers in a file of its own. A start
+//! Each write carries a watermark, and each sync records the watermark that it covers in a file of its own. A start
 //! compares the two, so that it notices if the disk lost what was synced to it.
 
 mod error;
--- a/crates/emberpin-store/src/program.rs
+++ b/crates/emberpin-store/src/program.rs
@@ -1,4 +1,4 @@
-//! The command line, and the process around [`startup::run`].
+//! The command line, and the process around the store.
 
 use crate::error::StoreError;
 use crate::startup;
--- a/crates/emberpin-store/tests/recordings/recorder.rs
+++ b/crates/emberpin-store/tests/recordings/recorder.rs
@@ -126,15 +126,15 @@
 
     /// Writes until `fjall` flushes a table and begins another journal.
     fn fill_a_table(&mut self, folder: &Path) {
-        for ver in 1..=LARGE_BODY_VERSIONS {
+        for version in 1..=LARGE_BODY_VERSIONS {
             let key = ItemKey {
                 kind: ItemKind::Service,
                 name: "long".into(),
             };
-            let body = (ver < LARGE_BODY_VERSIONS).then(|| "x".repeat(LARGE_BODY_BYTES));
+            let body = (version < LARGE_BODY_VERSIONS).then(|| "x".repeat(LARGE_BODY_BYTES));
             let chosen = vec![Item {
                 key,
-                version: Version(ver),
+                version: Version(version),
                 body,
             }];
             let last = self.last.clone().expect("a write before");
@@ -153,52 +153,47 @@
     }
 }
 
-fn service(name: &str, ver: u64) -> String {
+fn service(name: &str, version: u64) -> String {
     format!(
         "{{\"name\":\"{name}\",\"hcheck\":\"/h\",\"maxconn\":{},\"proto\":\"h1\",\"tls\":false,\
-         \"warmup\":\"3s\",\"warmup_per_s\":10.0,\"ver\":{ver}}}",
-        9 + ver
+         \"warmup\":\"3s\",\"warmup_per_s\":10.0,\"ver\":{version}}}",
+        9 + version
     )
 }
 
-fn set_service(name: &str, ver: u64) -> String {
-    format!("{{\"upsert\":{{\"svcs\":[{}]}}}}", service(name, ver))
+fn set_service(name: &str, version: u64) -> String {
+    format!("{{\"upsert\":{{\"svcs\":[{}]}}}}", service(name, version))
 }
 
-fn set_route(nth: u64, ver: u64) -> String {
+fn set_route(nth: u64, version: u64) -> String {
     format!(
         "{{\"upsert\":{{\"vhosts\":[{{\"hostname\":\"h{nth}.example\",\"locs\":[{{\"name\":\"r-{nth}\",\
          \"pfx\":\"/p{nth}/\",\"type\":\"readonly\",\"timeout\":\"1500ms\",\"target_time\":\"250ms\",\
-         \"prio\":{},\"svc\":\"s-0\",\"tries\":2,\"ver\":{ver}}}]}}]}}}}",
-        ver % 7
+         \"prio\":{},\"svc\":\"s-0\",\"tries\":2,\"ver\":{version}}}]}}]}}}}",
+        version % 7
     )
 }
 
-fn drop_item(list: &str, name: &str, ver: u64) -> String {
-    format!("{{\"remove\":{{\"{list}\":[{{\"name\":\"{name}\",\"ver\":{ver}}}]}}}}")
+fn remove_item(list: &str, name: &str, version: u64) -> String {
+    format!("{{\"remove\":{{\"{list}\":[{{\"name\":\"{name}\",\"ver\":{version}}}]}}}}")
 }
 
-fn evacuate(zone: &str, begin: bool) -> Call {
-    let change = if begin {
-        EvacuationChange::Begin
-    } else {
-        EvacuationChange::End
-    };
+fn evacuate(zone: &str, change: EvacuationChange) -> Call {
     Call::Evacuate {
         zone: zone.into(),
         change,
     }
 }
 
-/// Fifty changes of services and routes; every fifth is a drop of one that was set.
-fn change(store: &mut Store, from: u64) {
-    for ver in from..from + 50 {
-        let nth = ver % 13;
-        match (ver % 5, ver % 2) {
-            (0, 0) => store.patch(drop_item("svcs", &format!("s-{}", nth + 1), ver)),
-            (0, _) => store.patch(drop_item("rtab", &format!("r-{nth}"), ver)),
-            (_, 0) => store.patch(set_route(nth, ver)),
-            _ => store.patch(set_service(&format!("s-{}", nth + 1), ver)),
+/// Applies fifty changes of services and routes. Every fifth removes one that was set.
+fn apply_changes(store: &mut Store, from: u64) {
+    for version in from..from + 50 {
+        let nth = version % 13;
+        match (version % 5, version % 2) {
+            (0, 0) => store.patch(remove_item("svcs", &format!("s-{}", nth + 1), version)),
+            (0, _) => store.patch(remove_item("rtab", &format!("r-{nth}"), version)),
+            (_, 0) => store.patch(set_route(nth, version)),
+            _ => store.patch(set_service(&format!("s-{}", nth + 1), version)),
         }
     }
 }
@@ -253,12 +248,12 @@
             .into(),
     );
     store.patch(set_service("s-0", 1));
-    store.call(evacuate("z1", true));
-    change(&mut store, 100);
-    store.call(evacuate("z1", false));
+    store.call(evacuate("z1", EvacuationChange::Begin));
+    apply_changes(&mut store, 100);
+    store.call(evacuate("z1", EvacuationChange::End));
     store.fill_a_table(folder);
-    change(&mut store, 400);
-    store.call(evacuate("z2", true));
+    apply_changes(&mut store, 400);
+    store.call(evacuate("z2", EvacuationChange::Begin));
     promise_another(&mut store);
     drop(store.disk);
     fs::write(folder.join("system"), "0fedcba987654321\n").expect("a file");
