--- a/crates/emberpin-balancer/tests/attempts.rs
+++ b/crates/emberpin-balancer/tests/attempts.rs
@@ -78,7 +78,7 @@
 }
 
 /// An attempt that is cut off early is a heavy request's, as slow at the next server and late then: it may
-/// take all of the aim but what another needs.
+/// take all of the latency target but what a retry needs.
 #[test]
 fn an_attempt_times_out_early_only_when_a_retry_can_still_meet_the_latency_target() {
     let mut harness = Harness::new(settings(), 12);
@@ -165,7 +165,7 @@
         never
             .iter()
             .any(|action| matches!(action, Action::Fail { .. })),
-        "and is not told to come back"
+        "and the client is not advised to retry"
     );
 }
 
--- a/crates/emberpin-balancer/tests/balancing.rs
+++ b/crates/emberpin-balancer/tests/balancing.rs
@@ -57,7 +57,7 @@
         let small = sent_to(&harness.arrive_with(SAFE, 0, 2 + k, 1.0, 3).1).expect("sent");
         assert_ne!(
             small, large,
-            "one of 300 ms is out there, and {k} of 20 ms at the other"
+            "one of 300 ms is in flight there, and {k} of 20 ms at the other"
         );
     }
 }
@@ -101,10 +101,14 @@
     let out =
         (0..2).map(|k| sent_to(&harness.arrive_with(SAFE, 0, 700 + k, 1.0, 3).1).expect("sent"));
     let used: BTreeSet<ServerId> = out.chain([next]).collect();
-    assert_eq!(used.len(), 3, "six are out at three servers: two each");
+    assert_eq!(
+        used.len(),
+        3,
+        "six are in flight at three servers: two each"
+    );
 }
 
-/// A large request that is out for no longer than its like take is no silence of its server.
+/// A large request in flight for no longer than requests of its size take is no silence of its server.
 #[test]
 fn a_server_that_works_on_a_large_request_is_not_taken_for_stalled() {
     for (since, expected) in [(500.0, 0), (1_500.0, 1)] {
@@ -119,7 +123,7 @@
         only(&mut harness, 0);
         harness.arrive_with(SAFE, 0, 1, 4.0, 3);
         harness.now += since;
-        // A little more than that is out at the other, since just now.
+        // A little more than that is in flight at the other, since just now.
         only(&mut harness, 1);
         harness.arrive_with(SAFE, 0, 2, 4.0, 3);
         for k in 0..4 {
--- a/crates/emberpin-balancer/tests/ejection.rs
+++ b/crates/emberpin-balancer/tests/ejection.rs
@@ -8,8 +8,8 @@
 #[test]
 fn a_server_that_fails_alone_is_ejected_and_comes_back() {
     let mut harness = Harness::new(settings(), 6);
-    // The sound ones hold their work until all were tried.
-    let mut held = Vec::new();
+    // The healthy ones answer only after all were tried.
+    let mut in_flight = Vec::new();
     for k in 0..20 {
         let (id, actions) = harness.arrive(SAFE, 0, 100 + k);
         let mut attempt = 0;
@@ -19,9 +19,9 @@
                 .expect("retried at another server");
             attempt += 1;
         }
-        held.push((id, attempt, to));
+        in_flight.push((id, attempt, to));
     }
-    for (id, attempt, to) in held {
+    for (id, attempt, to) in in_flight {
         harness.end_attempt(id, attempt, to, Outcome::Ok);
     }
     let to_bad = (0..50).filter(|k| {
@@ -51,8 +51,8 @@
     assert!(trial.is_some(), "chosen as before");
 }
 
-/// Serves with two attempts out a server; an attempt is reset if `breaks` says so of its server. The share of the
-/// servers that rest meanwhile.
+/// Serves with two attempts in flight for each server; an attempt is reset if `breaks` says so of its server. Returns
+/// the share of the servers that are ejected meanwhile.
 fn ejected_share(breaks: impl Fn(u64, ServerId) -> bool) -> f64 {
     const SERVERS: u32 = 9;
     let mut harness = Harness::new(settings(), SERVERS);
@@ -82,7 +82,7 @@
     f64::from(rested) / f64::from(looks)
 }
 
-/// Connections that break by chance, at any server, must not put one server after the other to rest.
+/// Connections that break by chance, at any server, must not eject one server after the other.
 #[test]
 fn resets_that_strike_all_servers_alike_eject_none() {
     let chance = |k: u64, _| k.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32 & 7 == 0;
@@ -106,7 +106,7 @@
 fn half_of_the_servers_failing_together_are_ejected_but_never_all() {
     let mut harness = Harness::new(settings(), 6);
     for k in 0..30 {
-        // The sound ones hold their work, so that the dead ones look idle and are tried.
+        // The healthy ones do not answer, so that the dead ones look idle and are tried.
         let (id, actions) = harness.arrive(SAFE, 0, 100 + k);
         let mut to = sent_to(&actions);
         let mut attempt = 0;
@@ -155,7 +155,7 @@
         assert_eq!(
             sent_to(&harness.arrive(SAFE, 0, 1000 + k).1),
             Some(ServerId(0)),
-            "the one that holds"
+            "the only one that accepts connections"
         );
     }
 }
--- a/crates/emberpin-balancer/tests/handover.rs
+++ b/crates/emberpin-balancer/tests/handover.rs
@@ -1,4 +1,4 @@
-//! One gateway whose process is replaced: what the next one knows, and what both count while both are there.
+//! One gateway whose process is replaced: what the next one knows, and what both count while both run.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -17,7 +17,7 @@
     (after, complete)
 }
 
-/// How many of so many requests of a customer are admitted; each is answered at once, and what is shared is told to
+/// How many of so many requests of a customer are admitted; each is answered at once, and its usage is shared with
 /// the other process.
 fn admit(
     harness: &mut Harness,
@@ -79,12 +79,12 @@
         };
         all += admit(one, Some(other), 0, 5, 10);
     }
-    assert_eq!(all, alone, "two processes let in what one would");
-    // The guard taken out: who is not told of the other lets in as much again.
-    let mut deaf = Harness::new(settings(), 3);
-    let (mut other, _) = next(&deaf, settings(), 3);
+    assert_eq!(all, alone, "two processes admit what one would");
+    // The control: a process that does not learn of the other's usage admits as much again.
+    let mut unaware = Harness::new(settings(), 3);
+    let (mut other, _) = next(&unaware, settings(), 3);
     assert_eq!(
-        admit(&mut deaf, None, 0, 5, 200) + admit(&mut other, None, 0, 5, 200),
+        admit(&mut unaware, None, 0, 5, 200) + admit(&mut other, None, 0, 5, 200),
         2 * alone
     );
 }
@@ -94,14 +94,14 @@
     let cold_sends = |shares: bool| {
         let mut old = Harness::fresh(settings(), 2);
         old.serve_for(200.0, 8_000.0);
-        let lines = |now| {
+        let entries = |now| {
             vec![Server {
                 started_at: Some(now),
                 ..server(1)
             }]
         };
         let now = old.now;
-        old.update_membership(MembershipUpdate::Changes(lines(now)));
+        old.update_membership(MembershipUpdate::Changes(entries(now)));
         old.update_membership(MembershipUpdate::Changes(vec![Server {
             status: ServerStatus::Draining,
             ..server(0)
@@ -112,7 +112,7 @@
                 status: ServerStatus::Draining,
                 ..server(0)
             },
-            lines(now).remove(0),
+            entries(now).remove(0),
         ];
         let (gateway, _) = Gateway::from_handover(settings(), 9, now, handover, listed);
         let mut new = old.restarted(settings(), 2);
--- a/crates/emberpin-balancer/tests/host_queries.rs
+++ b/crates/emberpin-balancer/tests/host_queries.rs
@@ -1,5 +1,5 @@
-//! What hosts ask and tell beside events: classes that come later, what servers bear, whether another attempt
-//! would follow, and servers that are away.
+//! What hosts ask and set beside events: classes that are added later, reported capacity, whether a retry would follow,
+//! and the preference for the own zone.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -27,9 +27,9 @@
     })
 }
 
-// ---- Classes ----
+// Classes
 
-/// Holds the push to `settings.classes`: whoever names what is not there is refused.
+/// A request of a class that is not there is rejected.
 #[test]
 fn a_class_is_known_once_it_is_added() {
     let mut harness = Harness::fresh(
@@ -51,8 +51,7 @@
     assert!(rejected(&harness.arrive(2, 0, 1).1));
 }
 
-/// Holds the first figures of `latency`: a quarter of the aim and a tenth of it beside, as for classes of the
-/// start.
+/// Its first latency is a quarter of the target and its deviation a tenth, as for initial classes.
 #[test]
 fn an_added_class_has_the_attempt_timeout_of_an_initial_one() {
     let added = |aim: Millis, effect: Idempotency| {
@@ -89,7 +88,7 @@
         added(800.0, Idempotency::Safe),
         known(800.0, Idempotency::Safe)
     );
-    // What may not run twice has all of its time.
+    // What must not run twice has all of its time.
     assert_eq!(added(400.0, Idempotency::Unsafe), Some(2_000.0));
     assert_eq!(
         added(400.0, Idempotency::Unsafe),
@@ -97,8 +96,7 @@
     );
 }
 
-/// Holds the aim that `add_class` lowers: without it the onset of a gateway that began with no class is
-/// endless.
+/// The target that `add_class` lowers: without it a gateway that began with no class has no finite onset.
 #[test]
 fn an_added_class_counts_for_the_onset() {
     let mut harness = Harness::fresh(
@@ -113,14 +111,14 @@
     assert!(is_congested_with(&mut harness, 40));
 }
 
-// ---- What servers bear ----
+// Reported capacity
 
-/// Brings so many attempts out, and tells whether that is too many. Chance leaves it at under one in 10 000.
+/// Whether a gateway is congested above `out` attempts in flight. Chance misses it in under one of 10,000 runs.
 fn is_congested_with(harness: &mut Harness, out: usize) -> bool {
-    let held: Vec<_> = (0..=out)
+    let in_flight: Vec<_> = (0..=out)
         .map(|k| harness.arrive(SAFE, 0, 100 + k as u64))
         .collect();
-    let (first, actions) = &held[0];
+    let (first, actions) = &in_flight[0];
     harness.end_attempt(*first, 0, sent_to(actions).expect("is sent"), Outcome::Ok);
     let mut turned_away = false;
     for k in 0..50 {
@@ -133,51 +131,49 @@
     turned_away
 }
 
-/// A gateway whose throughput is known and small: what it was seen to carry stands for less than the least
-/// onset.
+/// A gateway whose throughput is known and so small that the lower bound of the onset decides.
 fn quiet() -> Harness {
     let mut harness = Harness::fresh(alone(), 12);
     harness.serve_for(20.0, 3_000.0);
     harness
 }
 
-/// Holds the guess where nobody says more: two for each of twelve servers.
+/// Without reports the bound is two attempts for each of twelve servers.
 #[test]
 fn the_least_onset_is_guessed_by_the_number_of_servers() {
     assert!(!is_congested_with(&mut quiet(), 24));
     assert!(is_congested_with(&mut quiet(), 25));
 }
 
-/// Holds `borne` in the onset, both ways.
+/// The reported capacity may lie above the guess and below it.
 #[test]
 fn reported_capacity_replaces_the_guess_of_the_least_onset() {
-    let borne = |out: f64| {
+    let with_reported_capacity = |out: f64| {
         let mut harness = quiet();
         harness.gateway.set_reported_capacity(out);
         harness
     };
     assert!(
-        !is_congested_with(&mut borne(40.0), 40),
+        !is_congested_with(&mut with_reported_capacity(40.0), 40),
         "more than the guess"
     );
-    assert!(is_congested_with(&mut borne(40.0), 41));
+    assert!(is_congested_with(&mut with_reported_capacity(40.0), 41));
     assert!(
-        !is_congested_with(&mut borne(6.0), 6),
+        !is_congested_with(&mut with_reported_capacity(6.0), 6),
         "less than the guess"
     );
-    assert!(is_congested_with(&mut borne(6.0), 7));
-    // What was seen to be carried still stands over it: 100 a second of half a second's aim, and a third of
-    // that.
+    assert!(is_congested_with(&mut with_reported_capacity(6.0), 7));
+    // A measured onset above it still counts: 100 a second, of a target of half a second, and a third of that.
     let mut harness = Harness::fresh(alone(), 12);
     harness.serve_for(100.0, 5_000.0);
     harness.gateway.set_reported_capacity(3.0);
     assert!(!is_congested_with(&mut harness, 12));
-    // Nothing said is the guess again.
-    assert!(!is_congested_with(&mut borne(0.0), 24));
-    assert!(is_congested_with(&mut borne(0.0), 25));
+    // Without reports the guess counts again.
+    assert!(!is_congested_with(&mut with_reported_capacity(0.0), 24));
+    assert!(is_congested_with(&mut with_reported_capacity(0.0), 25));
 }
 
-// ---- Servers that are away ----
+// The preference for the own zone
 
 /// Server 0 is in this gateway's zone, server 1 is not.
 fn same_zone_and_other_zone(away: f64) -> Harness {
@@ -195,13 +191,13 @@
     (id, sent_to(&actions).expect("is sent").0)
 }
 
-/// Holds `settings.away` in `cost`.
+/// The cross-zone slowdown multiplies the expected wait.
 #[test]
 fn a_server_of_the_same_zone_is_preferred_until_it_is_as_many_times_slower() {
     let mut harness = same_zone_and_other_zone(2.5);
     let to: Vec<u32> = (0..3).map(|_| chosen(&mut harness).1).collect();
-    // The third would be the third there, and wait for three usual answers; away it is the first, for two and
-    // a half.
+    // At the same zone's server it would be the third in line and wait for three mean answers; at the other it is the
+    // first, for two and a half.
     assert_eq!(to, [0, 0, 1]);
     let mut harness = same_zone_and_other_zone(2.0);
     for _ in 0..50 {
@@ -211,16 +207,17 @@
     }
 }
 
-/// Where the next request goes, with nothing out, after answers of the near server took so many times as
-/// long.
-fn next_server_where_the_same_zone_takes(near: f64) -> u32 {
+/// The server of the next request, with none in flight, after the same zone's answers took `same_zone` times as long.
+fn next_server_where_the_same_zone_takes(same_zone: f64) -> u32 {
     let mut harness = same_zone_and_other_zone(2.0);
     for _ in 0..40 {
-        let held: Vec<_> = (0..6).map(|_| chosen(&mut harness)).collect();
-        assert!(held.iter().any(|(_, to)| *to == 0) && held.iter().any(|(_, to)| *to == 1));
-        for (request, to) in held {
+        let in_flight: Vec<_> = (0..6).map(|_| chosen(&mut harness)).collect();
+        assert!(
+            in_flight.iter().any(|(_, to)| *to == 0) && in_flight.iter().any(|(_, to)| *to == 1)
+        );
+        for (request, to) in in_flight {
             harness.now += 1.0;
-            let elapsed = if to == 0 { 20.0 * near } else { 20.0 };
+            let elapsed = if to == 0 { 20.0 * same_zone } else { 20.0 };
             harness.handle(Event::AttemptEnded(AttemptResult {
                 request,
                 attempt: 0,
@@ -238,7 +235,7 @@
     chosen(&mut harness).1
 }
 
-/// Holds `server.ratio` beside `away`: bytes between zones cost, and slowness costs more.
+/// Traffic between zones costs, and slowness costs more.
 #[test]
 fn a_server_of_another_zone_is_preferred_where_the_same_zone_is_far_slower() {
     assert_eq!(next_server_where_the_same_zone_takes(1.0), 0);
@@ -246,19 +243,19 @@
     assert_eq!(next_server_where_the_same_zone_takes(4.0), 1);
 }
 
-/// Holds the floor under an answer's own time in `learn_latency`: beside one that answers within a part of a millisecond, a
-/// server of the own zone that has not answered yet would never be chosen.
+/// Latencies count as a millisecond at least: else a server of the own zone that has not answered yet would never be
+/// chosen beside one that answers within a part of a millisecond.
 #[test]
 fn a_server_that_answers_within_a_millisecond_is_not_taken_for_faster_than_one_that_has_not_answered(
 ) {
     let mut harness = same_zone_and_other_zone(2.0);
-    let near = |condition| {
+    let same_zone = |condition| {
         MembershipUpdate::Changes(vec![Server {
             status: condition,
             ..server(0)
         }])
     };
-    harness.update_membership(near(ServerStatus::Draining));
+    harness.update_membership(same_zone(ServerStatus::Draining));
     for _ in 0..400 {
         let (request, to) = chosen(&mut harness);
         assert_eq!(to, 1);
@@ -276,11 +273,11 @@
             metered: None,
         }));
     }
-    harness.update_membership(near(ServerStatus::InService));
+    harness.update_membership(same_zone(ServerStatus::InService));
     assert_eq!(chosen(&mut harness).1, 0);
 }
 
-/// Holds the 1.0 of the platform's limiter: zones make no difference there.
+/// The limiter of one service sets 1, where zones make no difference.
 #[test]
 fn zones_are_alike_without_a_cross_zone_slowdown() {
     let mut harness = same_zone_and_other_zone(1.0);
@@ -297,7 +294,7 @@
     assert!(counts.iter().all(|count| *count >= 10), "{counts:?}");
 }
 
-// ---- Whether another attempt would follow ----
+// Whether a retry would follow
 
 fn would_retry(harness: &Harness, request: RequestId) -> bool {
     harness.gateway.would_retry(harness.now, request)
@@ -317,7 +314,7 @@
     }
 }
 
-/// Holds `time`: one usual answer of 125 ms must fit.
+/// A mean answer of 125 ms must fit in the time that is left.
 #[test]
 fn no_retry_would_follow_that_could_not_end_in_time() {
     let mut harness = Harness::fresh(alone(), 2);
@@ -328,7 +325,7 @@
     assert!(!would_retry(&harness, request));
 }
 
-/// Holds `others`, in each way in which a server is none.
+/// In each way in which a server accepts no requests.
 #[test]
 fn no_retry_would_follow_without_another_server() {
     let mut harness = Harness::fresh(alone(), 1);
@@ -349,7 +346,6 @@
     assert!(!would_retry(&harness, request));
 }
 
-/// Holds `load.level`.
 #[test]
 fn no_retry_would_follow_while_congested() {
     let mut harness = quiet();
@@ -359,7 +355,7 @@
     assert!(!would_retry(&harness, request));
 }
 
-/// Holds `retries`, and that what would not follow does not.
+/// And the retry that would not follow does not.
 #[test]
 fn no_retry_would_follow_beyond_the_budget() {
     let mut harness = Harness::fresh(alone(), 12);
@@ -378,7 +374,7 @@
     assert!(repeats >= 10, "{repeats}");
 }
 
-/// Holds both places in `replace_class`: effect, patience and what was learned are the new class's.
+/// Idempotency, timeout and what was learned are the new class's.
 #[test]
 fn a_replaced_class_is_as_one_that_was_added() {
     let mut harness = Harness::fresh(
--- a/crates/emberpin-balancer/tests/large_group.rs
+++ b/crates/emberpin-balancer/tests/large_group.rs
@@ -1,11 +1,12 @@
-//! Many gateways, each a module of its own that hears of the others only what the test carries over.
+//! Groups of so many gateways that each customer's quota has a few owners. A gateway gets from its peers only the
+//! messages that the test delivers.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 use common::*;
 use emberpin_balancer::*;
 
-/// Gateway `me` of `group`, with an intake that is far too small to tell all.
+/// Gateway `me` of `group`, whose peers cannot receive every announcement.
 fn one_of(me: u32, group: u32) -> Settings {
     Settings {
         gateway_id: GatewayId(me),
@@ -40,7 +41,7 @@
 }
 
 /// A message with a header only.
-fn hello(incarnation: u32) -> Vec<u8> {
+fn header_only(incarnation: u32) -> Vec<u8> {
     gossip::Writer::new(incarnation, 0.0, 0.0).finish()
 }
 
@@ -48,23 +49,23 @@
 fn many_isolated_gateways_do_not_overload_a_cold_server() {
     const GROUP: u32 = 120;
     const FLEET: u32 = 24;
-    // Each serves 5 requests a second: 25 a second by each warm server, over all gateways.
+    // Each gateway serves 5 requests a second, which is 25 a second for each warm server.
     let mut gateways: Vec<Harness> = (0..GROUP)
         .map(|me| Harness::fresh(one_of(me, GROUP), FLEET))
         .collect();
     for harness in &mut gateways {
         harness.serve_for(5.0, 8_000.0);
     }
-    // One server restarts and all others drain, so that everybody wants the cold one.
+    // One server restarts and all others drain, so that every gateway needs the cold one.
     let start = gateways[0].now;
     for harness in &mut gateways {
         harness.now = start;
-        let mut lines: Vec<Server> = (0..FLEET).map(server).collect();
-        lines[0].started_at = Some(start);
-        lines[1..]
+        let mut entries: Vec<Server> = (0..FLEET).map(server).collect();
+        entries[0].started_at = Some(start);
+        entries[1..]
             .iter_mut()
             .for_each(|line| line.status = ServerStatus::Draining);
-        harness.update_membership(MembershipUpdate::Full(lines));
+        harness.update_membership(MembershipUpdate::Full(entries));
     }
     let mut sends = Vec::new();
     for step in 1..=80u32 {
@@ -79,15 +80,16 @@
         }
     }
     assert!(sends.len() > 20, "a few gateways use it: {}", sends.len());
-    let rules = settings().slow_start;
+    let slow_start = settings().slow_start;
     for from in &sends {
         let within = sends
             .iter()
-            .filter(|at| *at >= from && **at < from + rules.overload_time)
+            .filter(|at| *at >= from && **at < from + slow_start.overload_time)
             .count() as f64;
-        let warmth = rules.initial_capacity
-            + (1.0 - rules.initial_capacity) * (from - start) / rules.duration;
-        let limit = rules.overload_multiple * warmth * 25.0 * rules.overload_time / 1000.0;
+        let warm_up_share = slow_start.initial_capacity
+            + (1.0 - slow_start.initial_capacity) * (from - start) / slow_start.duration;
+        let limit =
+            slow_start.overload_multiple * warm_up_share * 25.0 * slow_start.overload_time / 1000.0;
         assert!(
             within < limit,
             "{within} within a second of {}, the limit is {limit}",
@@ -111,7 +113,7 @@
         harness.now = start;
         harness.update_membership(MembershipUpdate::Full(cold.clone()));
     }
-    let (mut sends, mut asked, mut admitted) = (vec![Vec::new(); fleet as usize], 0, 0);
+    let (mut sends, mut requested, mut admitted) = (vec![Vec::new(); fleet as usize], 0, 0);
     for step in 1..=100u32 {
         for (me, harness) in gateways.iter_mut().enumerate() {
             harness.now = start + f64::from(step) * 100.0;
@@ -120,7 +122,7 @@
                 continue;
             }
             let (id, actions) = request(harness, step, 0, u64::from(step) * 1000 + me as u64, 1);
-            asked += 1;
+            requested += 1;
             if let Some(to) = sent_to(&actions) {
                 admitted += 1;
                 sends[to.0 as usize].push(harness.now - start);
@@ -133,7 +135,7 @@
             }
         }
     }
-    (sends, f64::from(admitted) / f64::from(asked))
+    (sends, f64::from(admitted) / f64::from(requested))
 }
 
 #[test]
@@ -146,33 +148,35 @@
     ] {
         let (sends, share) = all_cold(group, fleet, every, None);
         assert!(share > least, "{group} gateways: {share:.2} admitted");
-        // Where servers say that queues fill, nothing more is asked of them; where they are empty, more and more.
+        // Servers that report full queues are sent nothing more; those that report empty ones, more and more.
         let (_, full) = all_cold(group, fleet, every, Some(3.0));
         assert!(
             full < share * 1.1,
-            "{group} gateways: {full:.2} let in beside {share:.2}"
+            "{group} gateways: {full:.2} admitted, against {share:.2}"
         );
         if every == 1 {
             let (_, empty) = all_cold(group, fleet, every, Some(0.0));
             assert!(
                 empty > 2.5 * share,
-                "{group} gateways: {empty:.2} let in beside {share:.2}"
+                "{group} gateways: {empty:.2} admitted, against {share:.2}"
             );
         }
-        let rules = settings().slow_start;
-        let cold = |from: &&f64| **from + rules.overload_time <= rules.duration;
+        let slow_start = settings().slow_start;
+        let cold = |from: &&f64| **from + slow_start.overload_time <= slow_start.duration;
         for (sends, from) in sends
             .iter()
             .flat_map(|all| all.iter().filter(cold).map(move |from| (all, from)))
         {
             let within = sends
                 .iter()
-                .filter(|at| *at >= from && **at < from + rules.overload_time)
+                .filter(|at| *at >= from && **at < from + slow_start.overload_time)
                 .count() as f64;
-            let warmth =
-                rules.initial_capacity + (1.0 - rules.initial_capacity) * from / rules.duration;
-            // One usual request of 30 ms after the other is the least that a server does.
-            let limit = rules.overload_multiple * warmth / 0.030 * rules.overload_time / 1000.0;
+            let warm_up_share = slow_start.initial_capacity
+                + (1.0 - slow_start.initial_capacity) * from / slow_start.duration;
+            // A server carries one mean request of 30 ms after the other at least.
+            let limit = slow_start.overload_multiple * warm_up_share / 0.030
+                * slow_start.overload_time
+                / 1000.0;
             assert!(
                 within < limit,
                 "{group}: {within} within a second of {from}, the limit is {limit:.1}"
@@ -221,12 +225,12 @@
     let start = gateways[0].now;
     for (round, harness) in (0..3).flat_map(|round| (0..SET as usize).map(move |k| (round, k))) {
         let seen = &mut gateways[harness];
-        // The first lives are seen to start together; half of the gateways restart later.
+        // The first incarnations are seen to start together; half of the gateways restart later.
         if round == 0 {
             (20..30).for_each(|from| {
                 drop(seen.handle(Event::PeerMessage {
                     from: GatewayId(from),
-                    bytes: hello(start as u32),
+                    bytes: header_only(start as u32),
                 }));
             });
         } else if round == 1 && harness % 2 == 0 {
@@ -240,7 +244,7 @@
             (20..30).for_each(|from| {
                 drop(seen.handle(Event::PeerMessage {
                     from: GatewayId(from),
-                    bytes: hello(start as u32),
+                    bytes: header_only(start as u32),
                 }));
             });
         }
@@ -257,23 +261,23 @@
     assert!(used <= 40 + 20 * 6, "{used} admitted");
     assert!(
         used >= 40,
-        "the burst is given out when the group is seen to start: {used}"
+        "the burst is available when the group is seen to start: {used}"
     );
 }
 
 #[test]
 fn a_customer_of_a_large_set_is_admitted_at_once_although_its_split_burst_holds_less_than_one_unit()
 {
-    let keeps_none = (0..100).map(|me| Harness::fresh(one_of(me, 120), 12));
+    let gateways = (0..100).map(|me| Harness::fresh(one_of(me, 120), 12));
     let admitted =
-        keeps_none.map(|mut harness| sent_to(&request(&mut harness, 1, 0, 5, 100).1).is_some());
+        gateways.map(|mut harness| sent_to(&request(&mut harness, 1, 0, 5, 100).1).is_some());
     assert!(
         admitted.filter(|sent| *sent).count() >= 98,
-        "all but the owners, whose store is split"
+        "all but the owners, whose quota is split"
     );
 }
 
-/// The gateways of a set of 100 that keep customer 5: they advise once it asks for too much.
+/// The gateways of a set of 100 that own the quota of customer 5: they advise once its demand is too high.
 fn owners() -> Vec<u32> {
     let mut harness = Harness::fresh(one_of(110, 120), 12);
     let entry = |n| gossip::Entry::Count {
@@ -314,33 +318,33 @@
     let owners = owners();
     assert_eq!(owners.len(), 2, "{owners:?}");
     let mut harness = Harness::fresh(one_of(owners[0], 120), 12);
-    let mut told = 0;
+    let mut sent = 0;
     for second in 1..=10 {
         let mut writer = gossip::Writer::new(harness.now as u32, 0.0, 0.0);
-        let (units, asked) = (10.0, 100.0);
+        let (units, requested) = (10.0, 100.0);
         assert!(writer.push(gossip::Entry::Count {
             customer: 5,
             plan: 0,
             first: 0,
             size: 100,
             units,
-            requested: asked
+            requested,
         }));
         harness.handle(Event::PeerMessage {
             from: GatewayId(119),
             bytes: writer.finish(),
         });
         let actions = harness.advance(1000.0);
-        told += actions
+        sent += actions
             .iter()
             .filter(|action| matches!(action, Action::SendToPeer { .. }))
             .count();
         assert!(
-            told <= 60 * second + 20,
-            "twice three quarters of 40 a second at most: {told}"
+            sent <= 60 * second + 20,
+            "twice three quarters of 40 a second at most: {sent}"
         );
     }
-    assert!(told > 100, "each member hears of it: {told}");
+    assert!(sent > 100, "each gateway of the set is advised: {sent}");
 }
 
 #[test]
@@ -381,7 +385,7 @@
         member.handle(Event::Timer { token: 0 });
         member.handle(Event::PeerMessage {
             from: GatewayId(1),
-            bytes: hello(1_000_000),
+            bytes: header_only(1_000_000),
         });
         let (id, actions) = request(&mut member, *number, 0, 9, 110);
         sent_to(&actions)
@@ -391,7 +395,7 @@
     let early = tries.take_while(|number| *number < 150).count();
     assert!(
         (20..60).contains(&early),
-        "a quarter of 150 while the advice lives: {early}"
+        "a quarter of 150 while the advice is valid: {early}"
     );
 }
 
@@ -402,7 +406,7 @@
     let out: Vec<_> = (0..8)
         .map(|n| request(&mut harness, n, 0, 100 + u64::from(n), 1))
         .collect();
-    // No turn for two seconds, then all outcomes at once: time-outs of what was sent before.
+    // A pause of two seconds, then all outcomes at once: time-outs of what was sent before.
     harness.now += 2_000.0;
     harness.handle(Event::Timer { token: 0 });
     let servers: Vec<ServerId> = out
@@ -426,7 +430,7 @@
             !actions
                 .iter()
                 .any(|action| matches!(action, Action::Log(_))),
-            "neither struck nor congested"
+            "neither ejected nor congested"
         );
     }
     let refused =
@@ -447,7 +451,7 @@
         }
         harness.handle(Event::Timer { token: 0 });
     };
-    let turns_away = |harness: &mut Harness, first: u32| {
+    let count_rejected = |harness: &mut Harness, first: u32| {
         (0..60)
             .filter(|n| {
                 let (id, actions) = request(harness, first + n, 0, u64::from(first + n), 1);
@@ -460,14 +464,14 @@
     harness.now += 100.0;
     peer(&mut harness, 0.3);
     assert_eq!(
-        turns_away(&mut harness, 0),
+        count_rejected(&mut harness, 0),
         0,
         "own single attempts are noise"
     );
     peer(&mut harness, 9.0);
     assert!(
-        turns_away(&mut harness, 1_000) > 30,
-        "peers hold far more than the onset"
+        count_rejected(&mut harness, 1_000) > 30,
+        "peers have far more than the onset in flight"
     );
 }
 
@@ -487,7 +491,7 @@
         (0..200).filter(|n| rejected(&request(&mut harness, 100 + n, 0, 900 + u64::from(*n), 1).1));
     assert!(
         tries.count() > 20,
-        "two or more out for long at two answers a second is congestion"
+        "two or more in flight for long at two answers a second is congestion"
     );
 }
 
@@ -533,26 +537,26 @@
     }
     harness.handle(Event::PeerMessage {
         from: GatewayId(0),
-        bytes: hello(1),
+        bytes: header_only(1),
     });
     harness.handle(Event::PeerMessage {
         from: GatewayId(4000),
-        bytes: hello(1),
+        bytes: header_only(1),
     });
     harness.advance(1000.0);
     assert!(sent_to(&request(&mut harness, 1, 0, 77, 100).1).is_some());
 }
 
-/// What an owner of customer 5 advises once it was told these counts, cumulative units and asked for each.
+/// What an owner of customer 5 advises after these counts, each of cumulative units and units requested since.
 fn advice_after(counts: &[(f64, f64)]) -> Vec<gossip::Entry> {
     let mut harness = Harness::fresh(one_of(owners()[0], 120), 12);
     let incarnation = harness.now as u32;
     harness.advance(3_000.0);
     harness.handle(Event::PeerMessage {
         from: GatewayId(119),
-        bytes: hello(incarnation),
+        bytes: header_only(incarnation),
     });
-    for (units, asked) in counts {
+    for (units, requested) in counts {
         let mut writer = gossip::Writer::new(incarnation, 0.0, 0.0);
         assert!(writer.push(gossip::Entry::Count {
             customer: 5,
@@ -560,7 +564,7 @@
             first: 0,
             size: 100,
             units: *units,
-            requested: *asked
+            requested: *requested
         }));
         harness.handle(Event::PeerMessage {
             from: GatewayId(119),
@@ -570,23 +574,23 @@
     }
     harness.now = harness.now.ceil() + 100.0 - 10.0 * counts.len() as f64;
     let actions = harness.handle(Event::Timer { token: 0 });
-    let told = actions.iter().filter_map(|action| match action {
+    let sent = actions.iter().filter_map(|action| match action {
         Action::SendToPeer { bytes, .. } => gossip::read(bytes),
         _ => None,
     });
-    let entries = told.flat_map(|message| message.entries);
+    let entries = sent.flat_map(|message| message.entries);
     entries
         .filter(|entry| matches!(entry, gossip::Entry::Advice { .. }))
         .collect()
 }
 
-/// Where one message in five is lost, counts that each stand for themselves let customers have a fifth too much.
+/// Counts are cumulative: were they increments, customers would get a fifth too much where a message in five is lost.
 #[test]
 fn what_a_lost_message_announced_comes_with_the_next_count() {
-    let whole = advice_after(&[(3.0, 50.0), (6.0, 0.0), (9.0, 50.0)]);
-    let healed = advice_after(&[(3.0, 50.0), (9.0, 50.0)]);
-    assert!(!whole.is_empty(), "it asks for far more than its rate");
-    assert_eq!(whole, healed);
+    let expected = advice_after(&[(3.0, 50.0), (6.0, 0.0), (9.0, 50.0)]);
+    let after_a_loss = advice_after(&[(3.0, 50.0), (9.0, 50.0)]);
+    assert!(!expected.is_empty(), "its demand is far above its rate");
+    assert_eq!(expected, after_a_loss);
 }
 
 #[test]
@@ -594,9 +598,9 @@
     let owners = owners();
     let member = (0..100)
         .find(|me| !owners.contains(me))
-        .expect("most keep nothing");
+        .expect("most own no quota");
     let mut harness = Harness::fresh(one_of(member, 120), 12);
-    let mut told = Vec::new();
+    let mut sent = Vec::new();
     for number in 0..3 {
         let (id, actions) = request(&mut harness, number, 0, 5, 100);
         harness.end_attempt(id, 0, sent_to(&actions).expect("admitted"), Outcome::Ok);
@@ -608,14 +612,14 @@
             else {
                 continue;
             };
-            let entries = gossip::read(&bytes).expect("whole").entries;
-            told.extend(entries.iter().filter_map(|entry| match entry {
+            let entries = gossip::read(&bytes).expect("expected").entries;
+            sent.extend(entries.iter().filter_map(|entry| match entry {
                 gossip::Entry::Count { units, .. } if to == owners[0] => Some(*units),
                 _ => None,
             }));
         }
     }
-    assert_eq!(told, [1.0, 2.0, 3.0]);
+    assert_eq!(sent, [1.0, 2.0, 3.0]);
 }
 
 #[test]
@@ -641,6 +645,6 @@
     assert_eq!(
         tries.count(),
         0,
-        "three out where three a second may take a third of 5 s each"
+        "three in flight, where three a second may take a third of 5 s each"
     );
 }
--- a/crates/emberpin-balancer/tests/maintenance.rs
+++ b/crates/emberpin-balancer/tests/maintenance.rs
@@ -46,7 +46,7 @@
             .collect(),
     ));
     harness.advance(30_000.0);
-    // Said again, it stays out; and one call ends that.
+    // A second call changes nothing; one call puts it back.
     set_maintenance(&mut harness, 1, true);
     assert_eq!(served_by(&mut harness, 60), BTreeSet::from([0, 2]));
     set_maintenance(&mut harness, 1, false);
--- a/crates/emberpin-balancer/tests/quotas.rs
+++ b/crates/emberpin-balancer/tests/quotas.rs
@@ -70,7 +70,7 @@
     );
 }
 
-/// What peers let in while they were not heard was withheld here all the while: it is no debt.
+/// What peers admitted during an isolation was withheld here all the while: it is no debt.
 #[test]
 fn the_end_of_an_isolation_brings_no_debt_for_withheld_units() {
     let mut harness = Harness::new(settings(), 12);
@@ -187,7 +187,7 @@
     assert_eq!(
         admit(&mut harness, 0, 5, 30),
         0,
-        "one second's fill pays off what the peer let in meanwhile"
+        "one second's refill covers what the peer admitted meanwhile"
     );
 }
 
@@ -219,10 +219,10 @@
     assert_eq!(
         admit(&mut harness, 0, 5, 60),
         60,
-        "pays more than it costs: let in while quiet"
+        "pays more than it costs: admitted while quiet"
     );
-    let told = messages_to(&harness.advance(100.0), 1);
-    let entry = gossip::read(&told[0]).expect("readable").entries[0];
+    let messages = messages_to(&harness.advance(100.0), 1);
+    let entry = gossip::read(&messages[0]).expect("readable").entries[0];
     let gossip::Entry::Count { units, .. } = entry else {
         panic!("a count")
     };
@@ -235,6 +235,6 @@
         .count();
     assert_eq!(
         tries, 6,
-        "40 of 62 out is not quiet: an empty quota rejects"
+        "40 of 62 in flight is not quiet: an empty quota rejects"
     );
 }
--- a/crates/emberpin-balancer/tests/recorded.rs
+++ b/crates/emberpin-balancer/tests/recorded.rs
@@ -156,7 +156,7 @@
     admitted
 }
 
-/// A gateway with two customers that have spent all, and one server out of service by hand.
+/// A gateway with two customers that have used up their quotas, and one server in maintenance.
 fn used_gateway() -> Harness {
     let mut harness = Harness::new(settings(), 3);
     assert!(use_up_quota(&mut harness, 0) > 0 && use_up_quota(&mut harness, WITH_CEILING) > 0);
@@ -214,7 +214,7 @@
     assert_eq!(
         use_up_quota(&mut next, 0),
         0,
-        "a store that is spent stays spent"
+        "a quota that is spent stays spent"
     );
     assert_eq!(
         use_up_quota(&mut next, WITH_CEILING),
--- a/crates/emberpin-balancer/tests/slow_start.rs
+++ b/crates/emberpin-balancer/tests/slow_start.rs
@@ -84,7 +84,7 @@
         });
         harness.update_membership(MembershipUpdate::Changes(lines.collect()));
         harness.serve_for(10.0, 4_000.0);
-        // A surge: the cold ones bear their part of it.
+        // A surge: the cold ones carry their share of it.
         let (mut cold, mut out) = (0, std::collections::VecDeque::new());
         for k in 0..200 {
             harness.now += 5.0;
