--- a/crates/emberpin-proxy/src/service/mod.rs
+++ b/crates/emberpin-proxy/src/service/mod.rs
@@ -57,7 +57,9 @@
         let clock = Clock::start();
         let gateway = Gateway::new(settings::decision_settings(), seed, clock.now());
         let mut engine = Engine::new(gateway, clock, inputs);
+        // A 503 of the gateway promises its client that the request has not run.
         engine.refusals_promise = true;
+        // The controller gives up overdue attempts, only where its limits allow a retry.
         engine.patient = true;
         engine.grid = Some((started_at, TIMER_GRID));
         Service {
