--- a/crates/emberpin-store/src/registry_sessions.rs
+++ b/crates/emberpin-store/src/registry_sessions.rs
@@ -159,13 +159,13 @@
         for confirmation in std::mem::take(&mut self.deferred_confirmations) {
             let reply = StoreReply::FreshnessConfirmed {
                 nonce: confirmation.nonce,
-                age_ms: confirmation.age.map(whole_millis),
+                age_ms: confirmation.age.map(full_millis),
             };
             self.send(confirmation.connection, &reply);
         }
     }
 }
 
-fn whole_millis(duration: Duration) -> u64 {
+fn full_millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
