--- a/crates/emberpin-simulator/src/history.rs
+++ b/crates/emberpin-simulator/src/history.rs
@@ -27,7 +27,7 @@
 /// The most operations of one name that are checked: the search takes exponential time at worst.
 pub const MAX_OPERATIONS: usize = 600;
 /// The most calls of a history that is also checked as a whole.
-pub const MAX_CALLS_OF_WHOLE: usize = 40;
+pub const MAX_CALLS_CHECKED_TOGETHER: usize = 40;
 
 /// The content of an item; `None` if it is dropped.
 pub type Content = Option<String>;
@@ -221,9 +221,9 @@
         let name = BTreeSet::from([name.clone()]);
         check_names(calls, &name, MAX_OPERATIONS, &mut checked)?;
     }
-    if names.len() > 1 && calls.len() <= MAX_CALLS_OF_WHOLE {
+    if names.len() > 1 && calls.len() <= MAX_CALLS_CHECKED_TOGETHER {
         // A call that is rejected after an unknown attempt counts as two operations.
-        check_names(calls, &names, MAX_CALLS_OF_WHOLE * 2, &mut checked)?;
+        check_names(calls, &names, MAX_CALLS_CHECKED_TOGETHER * 2, &mut checked)?;
     }
     Ok(checked)
 }
--- a/crates/emberpin-simulator/src/scenario/error.rs
+++ b/crates/emberpin-simulator/src/scenario/error.rs
@@ -42,8 +42,8 @@
 pub enum Found {
     /// The line ends there.
     EndOfLine,
-    /// Another word.
-    Word(String),
+    /// This token, as the line has it.
+    Token(String),
     /// A proxy, where only a core machine fits.
     Proxy,
 }
@@ -52,18 +52,21 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Found::EndOfLine => f.write_str("the end of the line"),
-            Found::Word(word) => write!(f, "{word:?}"),
+            Found::Token(token) => write!(f, "{token:?}"),
             Found::Proxy => f.write_str("a limiter"),
         }
     }
 }
 
 impl ParseErrorKind {
-    /// The error for a word that is not what was expected.
-    pub(super) fn unexpected(word: &str, expected: impl Into<Cow<'static, str>>) -> ParseErrorKind {
+    /// The error for a token that is not what was expected.
+    pub(super) fn unexpected(
+        token: &str,
+        expected: impl Into<Cow<'static, str>>,
+    ) -> ParseErrorKind {
         ParseErrorKind::Expected {
             expected: expected.into(),
-            found: Found::Word(word.into()),
+            found: Found::Token(token.into()),
         }
     }
 }
--- a/crates/emberpin-simulator/src/scenario/mod.rs
+++ b/crates/emberpin-simulator/src/scenario/mod.rs
@@ -4,7 +4,7 @@
 mod error;
 mod parser;
 mod patch;
-mod words;
+mod tokens;
 
 pub use error::{ParseError, ParseErrorKind};
 pub use parser::parse;
--- a/crates/emberpin-simulator/src/scenario/parser.rs
+++ b/crates/emberpin-simulator/src/scenario/parser.rs
@@ -6,7 +6,7 @@
 };
 use super::error::{ParseError, ParseErrorKind};
 use super::patch::parse_patch_body;
-use super::words::{parse_machine, parse_time, parse_word, Words};
+use super::tokens::{parse_machine, parse_time, parse_token, Tokens};
 use super::{Scenario, Step};
 use crate::machine::{Machine, ProxyId};
 use crate::mutants::{Guards, MUTANTS};
@@ -71,26 +71,26 @@
     if let Some(mutants) = line.strip_prefix("wrong build:") {
         return parse_mutants(scenario, mutants);
     }
-    let mut words = Words::new(line, scenario.cores, scenario.proxies);
-    let (at, command) = match words.next("a step")? {
+    let mut tokens = Tokens::new(line, scenario.cores, scenario.proxies);
+    let (at, command) = match tokens.next("a step")? {
         "at" => {
-            let at = words.duration()?;
-            (at, parse_command(scenario, &mut words)?)
+            let at = tokens.duration()?;
+            (at, parse_command(scenario, &mut tokens)?)
         }
         "expect" => {
-            words.keyword("at")?;
-            let at = words.duration()?;
+            tokens.keyword("at")?;
+            let at = tokens.duration()?;
             (
                 at,
-                Command::Expect(parse_expectation(scenario, &mut words)?),
+                Command::Expect(parse_expectation(scenario, &mut tokens)?),
             )
         }
         setting => {
-            parse_setting(scenario, setting, &mut words)?;
-            return words.expect_end();
+            parse_setting(scenario, setting, &mut tokens)?;
+            return tokens.expect_end();
         }
     };
-    words.expect_end()?;
+    tokens.expect_end()?;
     let earliest = time_of_last_step(scenario);
     if at < earliest {
         return Err(ParseErrorKind::OutOfOrder {
@@ -120,40 +120,40 @@
 fn parse_setting(
     scenario: &mut Scenario,
     setting: &str,
-    words: &mut Words,
+    tokens: &mut Tokens,
 ) -> Result<(), ParseErrorKind> {
     match setting {
-        "cores" => scenario.cores = words.number("how many machines")?,
-        "limiters" => scenario.proxies = words.number("how many limiters")?,
+        "cores" => scenario.cores = tokens.number("how many machines")?,
+        "limiters" => scenario.proxies = tokens.number("how many limiters")?,
         "zones" => {
-            scenario.zones = words.rest().map(str::to_owned).collect();
+            scenario.zones = tokens.rest().map(str::to_owned).collect();
             if scenario.zones.is_empty() {
                 return Err(ParseErrorKind::Missing("the names of zones"));
             }
         }
-        "tolerance" => scenario.tolerance = words.number("how many disks may be lost")?,
-        "seed" => scenario.seed = words.number("a seed")?,
+        "tolerance" => scenario.tolerance = tokens.number("how many disks may be lost")?,
+        "seed" => scenario.seed = tokens.number("a seed")?,
         "end" => {
-            words.keyword("at")?;
-            scenario.end = words.duration()?;
+            tokens.keyword("at")?;
+            scenario.end = tokens.duration()?;
         }
         other => return Err(ParseErrorKind::unexpected(other, SETTINGS)),
     }
     Ok(())
 }
 
-fn parse_command(scenario: &Scenario, words: &mut Words) -> Result<Command, ParseErrorKind> {
-    match words.next("what happens")? {
+fn parse_command(scenario: &Scenario, tokens: &mut Tokens) -> Result<Command, ParseErrorKind> {
+    match tokens.next("what happens")? {
         "operator" => Ok(Command::Operator {
-            operator: words.next(OPERATOR_NAME)?.into(),
-            command: parse_operator_command(scenario, words)?,
+            operator: tokens.next(OPERATOR_NAME)?.into(),
+            command: parse_operator_command(scenario, tokens)?,
         }),
         "server" => {
-            let server: String = words.next(SERVER_NAME)?.into();
-            let command = parse_server_command(scenario, &server, words)?;
+            let server: String = tokens.next(SERVER_NAME)?.into();
+            let command = parse_server_command(scenario, &server, tokens)?;
             Ok(Command::Server { server, command })
         }
-        fault => parse_fault(fault, words).map(Command::Fault),
+        fault => parse_fault(fault, tokens).map(Command::Fault),
     }
 }
 
@@ -161,23 +161,23 @@
 
 fn parse_operator_command(
     scenario: &Scenario,
-    words: &mut Words,
+    tokens: &mut Tokens,
 ) -> Result<OperatorCommand, ParseErrorKind> {
-    Ok(match words.next(OPERATOR_COMMANDS)? {
+    Ok(match tokens.next(OPERATOR_COMMANDS)? {
         "patch" => OperatorCommand::Send {
-            target: parse_call_target(words)?,
-            request: OperatorRequest::Patch(parse_patch_body(words)?),
+            target: parse_call_target(tokens)?,
+            request: OperatorRequest::Patch(parse_patch_body(tokens)?),
         },
         "evac" => {
-            let request = parse_evacuation(scenario, words)?;
-            let target = parse_call_target(words)?;
+            let request = parse_evacuation(scenario, tokens)?;
+            let target = parse_call_target(tokens)?;
             OperatorCommand::Send { target, request }
         }
         "get" => OperatorCommand::Read {
-            target: parse_call_target(words)?,
+            target: parse_call_target(tokens)?,
         },
         "again" => OperatorCommand::Repeat {
-            target: parse_call_target(words)?,
+            target: parse_call_target(tokens)?,
         },
         other => return Err(ParseErrorKind::unexpected(other, OPERATOR_COMMANDS)),
     })
@@ -185,9 +185,9 @@
 
 fn parse_evacuation(
     scenario: &Scenario,
-    words: &mut Words,
+    tokens: &mut Tokens,
 ) -> Result<OperatorRequest, ParseErrorKind> {
-    let zone = words.next("a zone")?.to_owned();
+    let zone = tokens.next("a zone")?.to_owned();
     if !scenario.zones.contains(&zone) {
         let expected = format!("one of the zones {:?}", scenario.zones);
         return Err(ParseErrorKind::unexpected(&zone, expected));
@@ -196,15 +196,15 @@
         ("begin", EvacuationChange::Begin),
         ("finish", EvacuationChange::End),
     ];
-    let change = words.one_of("begin or finish", &choices)?;
+    let change = tokens.one_of("begin or finish", &choices)?;
     Ok(OperatorRequest::Evacuate { zone, change })
 }
 
-fn parse_call_target(words: &mut Words) -> Result<CallTarget, ParseErrorKind> {
-    Ok(if words.take("via") {
-        CallTarget::First(words.core()?)
-    } else if words.take("only") {
-        CallTarget::Only(words.core()?)
+fn parse_call_target(tokens: &mut Tokens) -> Result<CallTarget, ParseErrorKind> {
+    Ok(if tokens.take("via") {
+        CallTarget::First(tokens.core()?)
+    } else if tokens.take("only") {
+        CallTarget::Only(tokens.core()?)
     } else {
         CallTarget::Any
     })
@@ -215,20 +215,20 @@
 fn parse_server_command(
     scenario: &Scenario,
     server: &str,
-    words: &mut Words,
+    tokens: &mut Tokens,
 ) -> Result<ServerCommand, ParseErrorKind> {
-    Ok(match words.next(SERVER_COMMANDS)? {
-        "up" => parse_server_start(scenario, server, words)?,
+    Ok(match tokens.next(SERVER_COMMANDS)? {
+        "up" => parse_server_start(scenario, server, tokens)?,
         "drain" => ServerCommand::Drain,
         "leave" => ServerCommand::Leave,
         "crash" => ServerCommand::Crash,
-        "cold" => ServerCommand::WarmUp(words.duration()?),
+        "cold" => ServerCommand::WarmUp(tokens.duration()?),
         "says" => {
-            let draining = words.one_of("up or drain", &[("up", false), ("drain", true)])?;
-            words.keyword("seq")?;
-            let seq = words.number("a number")?;
-            words.keyword("to")?;
-            let core = words.core()?;
+            let draining = tokens.one_of("up or drain", &[("up", false), ("drain", true)])?;
+            tokens.keyword("seq")?;
+            let seq = tokens.number("a number")?;
+            tokens.keyword("to")?;
+            let core = tokens.core()?;
             ServerCommand::LateHeartbeat {
                 draining,
                 seq,
@@ -242,21 +242,21 @@
 fn parse_server_start(
     scenario: &Scenario,
     server: &str,
-    words: &mut Words,
+    tokens: &mut Tokens,
 ) -> Result<ServerCommand, ParseErrorKind> {
     let (mut service, mut zone) = (None, scenario.zones[0].clone());
     let (mut port, mut warmup) = (default_port(server), Duration::ZERO);
-    for word in words.rest() {
-        match word.split_once('=') {
+    for token in tokens.rest() {
+        match token.split_once('=') {
             Some(("svc", name)) => service = Some(name.to_owned()),
             Some(("zone", name)) if scenario.zones.iter().any(|zone| zone == name) => {
                 zone = name.into();
             }
-            Some(("addr", number)) => port = parse_word(number, "a number")?,
+            Some(("addr", number)) => port = parse_token(number, "a number")?,
             Some(("cold", time)) => warmup = parse_time(time)?,
             _ => {
                 let expected = "svc=, zone= (a known one), addr= or cold=";
-                return Err(ParseErrorKind::unexpected(word, expected));
+                return Err(ParseErrorKind::unexpected(token, expected));
             }
         }
     }
@@ -278,78 +278,78 @@
 
 // ---- faults
 
-fn parse_fault(fault: &str, words: &mut Words) -> Result<Fault, ParseErrorKind> {
+fn parse_fault(fault: &str, tokens: &mut Tokens) -> Result<Fault, ParseErrorKind> {
     Ok(match fault {
-        "kill" => Fault::Kill(words.machines()?),
+        "kill" => Fault::Kill(tokens.machines()?),
         "power" => {
-            let unsynced = if words.take("hard") {
+            let unsynced = if tokens.take("hard") {
                 UnsyncedWrites::DropAll
             } else {
                 UnsyncedWrites::KeepSome
             };
-            let machines = words.machines()?;
+            let machines = tokens.machines()?;
             Fault::CutPower { machines, unsynced }
         }
-        "wipe" => Fault::WipeDisk(words.machines()?),
-        "start" => Fault::Start(words.machines()?),
-        "bootstrap" => Fault::Bootstrap(words.machines()?),
+        "wipe" => Fault::WipeDisk(tokens.machines()?),
+        "start" => Fault::Start(tokens.machines()?),
+        "bootstrap" => Fault::Bootstrap(tokens.machines()?),
         "seeds" => {
-            let machines = words.machines()?;
+            let machines = tokens.machines()?;
             Fault::SetSeeds(machines.into_iter().filter_map(Machine::as_core).collect())
         }
         "stall" => Fault::StallDisk {
-            duration: words.duration()?,
-            machines: words.machines()?,
+            duration: tokens.duration()?,
+            machines: tokens.machines()?,
         },
         "replace" => Fault::Replace {
-            old: words.core()?,
-            new: words.core()?,
+            old: tokens.core()?,
+            new: tokens.core()?,
         },
-        "freeze" => Fault::Freeze(words.machines()?),
-        "thaw" => Fault::Thaw(words.machines()?),
-        "clock" => parse_clock_rate(words)?,
-        network_fault => return parse_network_fault(network_fault, words),
+        "freeze" => Fault::Freeze(tokens.machines()?),
+        "thaw" => Fault::Thaw(tokens.machines()?),
+        "clock" => parse_clock_rate(tokens)?,
+        network_fault => return parse_network_fault(network_fault, tokens),
     })
 }
 
-fn parse_clock_rate(words: &mut Words) -> Result<Fault, ParseErrorKind> {
-    let machine = words.machine()?;
-    match words.percent()? {
+fn parse_clock_rate(tokens: &mut Tokens) -> Result<Fault, ParseErrorKind> {
+    let machine = tokens.machine()?;
+    match tokens.percent()? {
         percent @ 50..=200 => Ok(Fault::SetClockRate { machine, percent }),
         _ => Err(ParseErrorKind::Missing("a rate of 50% to 200%")),
     }
 }
 
-fn parse_network_fault(fault: &str, words: &mut Words) -> Result<Fault, ParseErrorKind> {
+fn parse_network_fault(fault: &str, tokens: &mut Tokens) -> Result<Fault, ParseErrorKind> {
     Ok(match fault {
-        "cut" => Fault::Partition(parse_links(words)?),
+        "cut" => Fault::Partition(parse_links(tokens)?),
         "slow" => Fault::Slow {
-            delay: words.duration_range()?,
-            links: parse_links(words)?,
+            delay: tokens.duration_range()?,
+            links: parse_links(tokens)?,
         },
-        "lose" => parse_message_loss(words)?,
+        "lose" => parse_message_loss(tokens)?,
         "lose-nothing" => Fault::EndMessageLoss,
-        "heal" if words.is_at_end() => Fault::Heal(Vec::new()),
-        "heal" => Fault::Heal(words.machines()?),
+        "heal" if tokens.is_at_end() => Fault::Heal(Vec::new()),
+        "heal" => Fault::Heal(tokens.machines()?),
         "answers" => {
-            words.keyword("lost")?;
-            let percent = words.percent()?;
+            tokens.keyword("lost")?;
+            let percent = tokens.percent()?;
             Fault::LoseResponses { percent }
         }
-        "network" => parse_network_settings(words)?,
-        "disk" => Fault::SetSyncTime(words.duration_range()?),
+        "network" => parse_network_settings(tokens)?,
+        "disk" => Fault::SetSyncTime(tokens.duration_range()?),
         other => return Err(ParseErrorKind::unexpected(other, COMMANDS)),
     })
 }
 
-fn parse_links(words: &mut Words) -> Result<Links, ParseErrorKind> {
-    let from = words.machines()?;
-    let one_way = words.next(LINK_SIGN)? == ">";
-    let to = words.machines()?;
+fn parse_links(tokens: &mut Tokens) -> Result<Links, ParseErrorKind> {
+    let from = tokens.machines()?;
+    let one_way = tokens.next(LINK_SIGN)? == ">";
+    let to = tokens.machines()?;
     Ok(Links { from, to, one_way })
 }
 
-fn parse_message_loss(words: &mut Words) -> Result<Fault, ParseErrorKind> {
+fn parse_message_loss(tokens: &mut Tokens) -> Result<Fault, ParseErrorKind> {
     let kinds = [
         ("prepare", StoreMessageKind::Prepare),
         ("accept", StoreMessageKind::Accept),
@@ -358,23 +358,23 @@
         ("promise", StoreMessageKind::Promise),
         ("seats", StoreMessageKind::RosterChange),
     ];
-    let kind = words.one_of(
+    let kind = tokens.one_of(
         "prepare, accept, chosen, exchange, promise or seats",
         &kinds,
     )?;
-    let from = words.machines()?;
-    words.keyword(">")?;
-    let to = words.machines()?;
+    let from = tokens.machines()?;
+    tokens.keyword(">")?;
+    let to = tokens.machines()?;
     Ok(Fault::LoseMessages { kind, from, to })
 }
 
-fn parse_network_settings(words: &mut Words) -> Result<Fault, ParseErrorKind> {
-    words.keyword("delay")?;
-    let delay = words.duration_range()?;
-    words.keyword("late")?;
-    let late_percent = words.percent()?;
-    words.keyword("twice")?;
-    let duplicate_percent = words.percent()?;
+fn parse_network_settings(tokens: &mut Tokens) -> Result<Fault, ParseErrorKind> {
+    tokens.keyword("delay")?;
+    let delay = tokens.duration_range()?;
+    tokens.keyword("late")?;
+    let late_percent = tokens.percent()?;
+    tokens.keyword("twice")?;
+    let duplicate_percent = tokens.percent()?;
     Ok(Fault::SetNetwork {
         delay,
         late_percent,
@@ -386,20 +386,21 @@
 
 fn parse_expectation(
     scenario: &Scenario,
-    words: &mut Words,
+    tokens: &mut Tokens,
 ) -> Result<Expectation, ParseErrorKind> {
-    match words.next("what is expected")? {
-        "operator" => parse_operator_status(words),
-        "get" => parse_expected_item(words).map(Expectation::Read),
-        "voters" => Ok(Expectation::Voters(words.number("how many voters")?)),
+    match tokens.next("what is expected")? {
+        "operator" => parse_operator_status(tokens),
+        "get" => parse_expected_item(tokens).map(Expectation::Read),
+        "voters" => Ok(Expectation::Voters(tokens.number("how many voters")?)),
         "limiters" => {
             let proxies = (1..=scenario.proxies).map(ProxyId).collect();
-            parse_proxy_expectation(proxies, words)
+            parse_proxy_expectation(proxies, tokens)
         }
         name => match parse_machine(name) {
-            Ok(Machine::Proxy(proxy)) => parse_proxy_expectation(vec![proxy], words),
+            Ok(Machine::Proxy(proxy)) => parse_proxy_expectation(vec![proxy], tokens),
             Ok(Machine::Core(core)) => {
-                let votes = words.one_of("votes or waits", &[("votes", true), ("waits", false)])?;
+                let votes =
+                    tokens.one_of("votes or waits", &[("votes", true), ("waits", false)])?;
                 Ok(Expectation::Votes { core, votes })
             }
             Err(_) => Err(ParseErrorKind::unexpected(name, EXPECTATIONS)),
@@ -407,24 +408,24 @@
     }
 }
 
-fn parse_operator_status(words: &mut Words) -> Result<Expectation, ParseErrorKind> {
+fn parse_operator_status(tokens: &mut Tokens) -> Result<Expectation, ParseErrorKind> {
     let expected = "a status or nothing";
-    let operator = words.next(OPERATOR_NAME)?.into();
-    words.keyword("told")?;
-    let status = match words.next(expected)? {
+    let operator = tokens.next(OPERATOR_NAME)?.into();
+    tokens.keyword("told")?;
+    let status = match tokens.next(expected)? {
         "nothing" => None,
-        status => Some(parse_word(status, expected)?),
+        status => Some(parse_token(status, expected)?),
     };
     Ok(Expectation::OperatorStatus { operator, status })
 }
 
-fn parse_expected_item(words: &mut Words) -> Result<ExpectedItem, ParseErrorKind> {
-    let is_shown = words.one_of("holds or lacks", &[("holds", true), ("lacks", false)])?;
-    let kind = words.one_of("route or svc", &[("route", "route"), ("svc", "svc")])?;
-    let name = words.next("a name")?.to_owned();
+fn parse_expected_item(tokens: &mut Tokens) -> Result<ExpectedItem, ParseErrorKind> {
+    let is_shown = tokens.one_of("holds or lacks", &[("holds", true), ("lacks", false)])?;
+    let kind = tokens.one_of("route or svc", &[("route", "route"), ("svc", "svc")])?;
+    let name = tokens.next("a name")?.to_owned();
     let version = if is_shown {
-        words.keyword("ver")?;
-        Some(words.number("a version")?)
+        tokens.keyword("ver")?;
+        Some(tokens.number("a version")?)
     } else {
         None
     };
@@ -437,22 +438,22 @@
 
 fn parse_proxy_expectation(
     proxies: Vec<ProxyId>,
-    words: &mut Words,
+    tokens: &mut Tokens,
 ) -> Result<Expectation, ParseErrorKind> {
-    Ok(match words.next(PROXY_EXPECTATIONS)? {
+    Ok(match tokens.next(PROXY_EXPECTATIONS)? {
         "route" => {
-            let (host, path) = parse_host_and_path(words)?;
-            words.keyword("ver")?;
+            let (host, path) = parse_host_and_path(tokens)?;
+            tokens.keyword("ver")?;
             Expectation::Route {
                 proxies,
                 host,
                 path,
-                version: Some(words.number("a version")?),
+                version: Some(tokens.number("a version")?),
             }
         }
         "no" => {
-            words.keyword("route")?;
-            let (host, path) = parse_host_and_path(words)?;
+            tokens.keyword("route")?;
+            let (host, path) = parse_host_and_path(tokens)?;
             Expectation::Route {
                 proxies,
                 host,
@@ -461,13 +462,13 @@
             }
         }
         "server" => {
-            let server = words.next(SERVER_NAME)?.into();
+            let server = tokens.next(SERVER_NAME)?.into();
             let choices = [
                 ("usable", Availability::Available),
                 ("held", Availability::Draining),
                 ("gone", Availability::Removed),
             ];
-            let availability = words.one_of("usable, held or gone", &choices)?;
+            let availability = tokens.one_of("usable, held or gone", &choices)?;
             Expectation::ServerAvailability {
                 proxies,
                 server,
@@ -486,11 +487,11 @@
     })
 }
 
-fn parse_host_and_path(words: &mut Words) -> Result<(String, String), ParseErrorKind> {
+fn parse_host_and_path(tokens: &mut Tokens) -> Result<(String, String), ParseErrorKind> {
     let expected = "HOST/PREFIX/";
-    let word = words.next(expected)?;
-    let (host, path) = word
+    let token = tokens.next(expected)?;
+    let (host, path) = token
         .split_once('/')
-        .ok_or_else(|| ParseErrorKind::unexpected(word, expected))?;
+        .ok_or_else(|| ParseErrorKind::unexpected(token, expected))?;
     Ok((host.into(), format!("/{path}")))
 }
--- a/crates/emberpin-simulator/src/scenario/patch.rs
+++ b/crates/emberpin-simulator/src/scenario/patch.rs
@@ -1,7 +1,7 @@
 //! Builds the body of an operator's patch from its short form in a scenario.
 
 use super::error::ParseErrorKind;
-use super::words::{parse_word, Words};
+use super::tokens::{parse_token, Tokens};
 
 const PARTS: &str = "svc=, route=, drop=, dropsvc=, ver=, timeout= or torn";
 const VERSION: &str = "a version";
@@ -25,19 +25,19 @@
 }
 
 /// Reads the rest of a line as a patch, and returns the body of its call.
-pub(super) fn parse_patch_body(words: &mut Words) -> Result<Vec<u8>, ParseErrorKind> {
+pub(super) fn parse_patch_body(tokens: &mut Tokens) -> Result<Vec<u8>, ParseErrorKind> {
     let (mut default_version, mut timeout, mut is_torn) = (None, DEFAULT_TIMEOUT, false);
     let mut parts = Vec::new();
-    for word in words.rest() {
-        match word.split_once('=') {
-            Some(("ver", number)) => default_version = Some(parse_word::<u64>(number, VERSION)?),
+    for token in tokens.rest() {
+        match token.split_once('=') {
+            Some(("ver", number)) => default_version = Some(parse_token::<u64>(number, VERSION)?),
             Some(("timeout", time)) => timeout = time,
             Some(("svc", item)) => parts.push((ItemForm::Service, item)),
             Some(("route", item)) => parts.push((ItemForm::Route, item)),
             Some(("drop", item)) => parts.push((ItemForm::DropRoute, item)),
             Some(("dropsvc", item)) => parts.push((ItemForm::DropService, item)),
-            None if word == "torn" => is_torn = true,
-            _ => return Err(ParseErrorKind::unexpected(word, PARTS)),
+            None if token == "torn" => is_torn = true,
+            _ => return Err(ParseErrorKind::unexpected(token, PARTS)),
         }
     }
     let mut items = PatchItems::default();
@@ -57,7 +57,7 @@
 /// Splits `ITEM@VERSION`; without a version of its own, an item has that of the call.
 fn split_version(part: &str, default: Option<u64>) -> Result<(&str, u64), ParseErrorKind> {
     match part.split_once('@') {
-        Some((item, version)) => Ok((item, parse_word(version, VERSION)?)),
+        Some((item, version)) => Ok((item, parse_token(version, VERSION)?)),
         None => {
             let missing = ParseErrorKind::Missing("ver=NUMBER, or @NUMBER after each item");
             Ok((part, default.ok_or(missing)?))
--- a/crates/emberpin-simulator/src/scenario/words.rs
+++ b/crates/emberpin-simulator/src/scenario/tokens.rs
@@ -1,4 +1,4 @@
-//! The words of a line, read one after the other.
+//! The tokens of a line, read one after the other.
 
 use super::error::{Found, ParseErrorKind};
 use crate::machine::{CoreId, Machine, ProxyId};
@@ -9,55 +9,55 @@
 use std::str::{FromStr, SplitWhitespace};
 use std::time::Duration;
 
-/// The words that separate two lists of machines.
+/// The tokens that separate two lists of machines.
 const LINK_SIGNS: [&str; 2] = ["|", ">"];
 const TIME: &str = "a time such as 2s or 1500ms";
 const PERCENT: &str = "a part such as 5%";
 
-pub(super) struct Words<'a> {
-    words: Peekable<SplitWhitespace<'a>>,
+pub(super) struct Tokens<'a> {
+    tokens: Peekable<SplitWhitespace<'a>>,
     /// What `cores` and `limiters` stand for.
     cores: u8,
     proxies: u8,
 }
 
-impl<'a> Words<'a> {
-    pub(super) fn new(line: &'a str, cores: u8, proxies: u8) -> Words<'a> {
-        Words {
-            words: line.split_whitespace().peekable(),
+impl<'a> Tokens<'a> {
+    pub(super) fn new(line: &'a str, cores: u8, proxies: u8) -> Tokens<'a> {
+        Tokens {
+            tokens: line.split_whitespace().peekable(),
             cores,
             proxies,
         }
     }
 
-    /// The next word.
+    /// The next token.
     pub(super) fn next(
         &mut self,
         expected: impl Into<Cow<'static, str>>,
     ) -> Result<&'a str, ParseErrorKind> {
-        self.words.next().ok_or_else(|| ParseErrorKind::Expected {
+        self.tokens.next().ok_or_else(|| ParseErrorKind::Expected {
             expected: expected.into(),
             found: Found::EndOfLine,
         })
     }
 
-    /// All words that are left.
+    /// All tokens that are left.
     pub(super) fn rest(&mut self) -> impl Iterator<Item = &'a str> + use<'_, 'a> {
-        self.words.by_ref()
+        self.tokens.by_ref()
     }
 
-    /// Takes the next word if it is this one, and returns whether it is.
-    pub(super) fn take(&mut self, word: &str) -> bool {
-        self.words.next_if(|next| *next == word).is_some()
+    /// Takes the next token if it is this one, and returns whether it is.
+    pub(super) fn take(&mut self, token: &str) -> bool {
+        self.tokens.next_if(|next| *next == token).is_some()
     }
 
     pub(super) fn is_at_end(&mut self) -> bool {
-        self.words.peek().is_none()
+        self.tokens.peek().is_none()
     }
 
     pub(super) fn expect_end(&mut self) -> Result<(), ParseErrorKind> {
-        match self.words.next() {
-            Some(word) => Err(ParseErrorKind::unexpected(word, "the end of the line")),
+        match self.tokens.next() {
+            Some(token) => Err(ParseErrorKind::unexpected(token, "the end of the line")),
             None => Ok(()),
         }
     }
@@ -70,25 +70,25 @@
         }
     }
 
-    /// One of these words, by its meaning.
+    /// One of these tokens, by its meaning.
     pub(super) fn one_of<T: Copy>(
         &mut self,
         expected: &'static str,
         choices: &[(&str, T)],
     ) -> Result<T, ParseErrorKind> {
-        let word = self.next(expected)?;
+        let token = self.next(expected)?;
         choices
             .iter()
-            .find(|(choice, _)| *choice == word)
+            .find(|(choice, _)| *choice == token)
             .map(|(_, meaning)| *meaning)
-            .ok_or_else(|| ParseErrorKind::unexpected(word, expected))
+            .ok_or_else(|| ParseErrorKind::unexpected(token, expected))
     }
 
     pub(super) fn number<T: FromStr>(
         &mut self,
         expected: &'static str,
     ) -> Result<T, ParseErrorKind> {
-        parse_word(self.next(expected)?, expected)
+        parse_token(self.next(expected)?, expected)
     }
 
     pub(super) fn duration(&mut self) -> Result<Duration, ParseErrorKind> {
@@ -97,21 +97,21 @@
 
     /// A range such as `1ms..8ms` that is not empty.
     pub(super) fn duration_range(&mut self) -> Result<Range<Duration>, ParseErrorKind> {
-        let word = self.next("two times such as 1ms..8ms")?;
-        let (low, high) = word
+        let token = self.next("two times such as 1ms..8ms")?;
+        let (low, high) = token
             .split_once("..")
-            .ok_or_else(|| ParseErrorKind::unexpected(word, "1ms..8ms"))?;
+            .ok_or_else(|| ParseErrorKind::unexpected(token, "1ms..8ms"))?;
         let range = parse_time(low)?..parse_time(high)?;
         if range.is_empty() {
-            return Err(ParseErrorKind::unexpected(word, "a span that isn't empty"));
+            return Err(ParseErrorKind::unexpected(token, "a span that isn't empty"));
         }
         Ok(range)
     }
 
     pub(super) fn percent(&mut self) -> Result<u64, ParseErrorKind> {
-        let word = self.next(PERCENT)?;
-        let number = word.strip_suffix('%').unwrap_or("-");
-        parse_word(number, PERCENT)
+        let token = self.next(PERCENT)?;
+        let number = token.strip_suffix('%').unwrap_or("-");
+        parse_token(number, PERCENT)
     }
 
     pub(super) fn machine(&mut self) -> Result<Machine, ParseErrorKind> {
@@ -131,8 +131,8 @@
     /// Machines, up to the end of the line or to a sign.
     pub(super) fn machines(&mut self) -> Result<Vec<Machine>, ParseErrorKind> {
         let mut machines = Vec::new();
-        while let Some(word) = self.words.next_if(|word| !LINK_SIGNS.contains(word)) {
-            match word {
+        while let Some(token) = self.tokens.next_if(|token| !LINK_SIGNS.contains(token)) {
+            match token {
                 "cores" => machines.extend(self.all_cores()),
                 "limiters" => machines.extend(self.all_proxies()),
                 one => machines.push(parse_machine(one)?),
@@ -153,25 +153,26 @@
     }
 }
 
-/// Parses a word, or a part of one.
-pub(super) fn parse_word<T: FromStr>(
-    word: &str,
+/// Parses a token, or a part of one.
+pub(super) fn parse_token<T: FromStr>(
+    token: &str,
     expected: &'static str,
 ) -> Result<T, ParseErrorKind> {
-    word.parse()
-        .map_err(|_| ParseErrorKind::unexpected(word, expected))
+    token
+        .parse()
+        .map_err(|_| ParseErrorKind::unexpected(token, expected))
 }
 
 /// Parses a time; fractions of a millisecond are cut off.
-pub(super) fn parse_time(word: &str) -> Result<Duration, ParseErrorKind> {
-    let time = parse_duration(word).ok_or_else(|| ParseErrorKind::unexpected(word, TIME))?;
+pub(super) fn parse_time(token: &str) -> Result<Duration, ParseErrorKind> {
+    let time = parse_duration(token).ok_or_else(|| ParseErrorKind::unexpected(token, TIME))?;
     Ok(Duration::from_millis(time.as_millis() as u64))
 }
 
 /// Parses the name of a machine.
-pub(super) fn parse_machine(word: &str) -> Result<Machine, ParseErrorKind> {
-    let unexpected = || ParseErrorKind::unexpected(word, "a machine such as core-1 or limiter-1");
-    let (kind, number) = word.split_once('-').ok_or_else(unexpected)?;
+pub(super) fn parse_machine(token: &str) -> Result<Machine, ParseErrorKind> {
+    let unexpected = || ParseErrorKind::unexpected(token, "a machine such as core-1 or limiter-1");
+    let (kind, number) = token.split_once('-').ok_or_else(unexpected)?;
     let number = number.parse().map_err(|_| unexpected())?;
     match kind {
         "core" => Ok(Machine::Core(CoreId(number))),
--- a/crates/emberpin-simulator/src/simulation/clients.rs
+++ b/crates/emberpin-simulator/src/simulation/clients.rs
@@ -6,18 +6,13 @@
 impl Simulation {
     pub(super) fn on_client_event(&mut self, event: Event) {
         match event {
-            Event::OperatorCall {
-                call,
-                attempt,
-                core,
-            } => self.on_operator_call(call, attempt, core),
+            Event::OperatorCall { attempt, core } => self.on_operator_call(attempt, core),
             Event::OperatorResponse {
-                call,
                 attempt,
                 status,
                 body,
-            } => self.on_operator_response(call, attempt, status, &body),
-            Event::OperatorRetry { call, attempt } => self.attempt_operator_call(call, attempt),
+            } => self.on_operator_response(attempt, status, &body),
+            Event::OperatorRetry { attempt } => self.attempt_operator_call(attempt),
             Event::ServerHeartbeat {
                 server,
                 incarnation,
--- a/crates/emberpin-simulator/src/simulation/connections.rs
+++ b/crates/emberpin-simulator/src/simulation/connections.rs
@@ -5,6 +5,7 @@
 use crate::scenario::Links;
 use crate::state::event::Event;
 use crate::state::network::{ConnectionId, Direction, Frame};
+use crate::state::process::ProcessIncarnation;
 use emberpin_membership::ids::SessionId;
 use emberpin_membership::registry;
 use std::ops::Range;
@@ -27,9 +28,9 @@
     // ---- links
 
     pub(super) fn partition(&mut self, links: &Links) {
-        self.network.cut(links);
+        self.network.partition(links);
         let at = self.now + UNACKNOWLEDGED_TIMEOUT;
-        for connection in self.network.cut_connections() {
+        for connection in self.network.partitioned_connections() {
             self.schedule(at, Event::UnacknowledgedTimeout { connection });
         }
     }
@@ -61,7 +62,7 @@
         if machines.is_empty() {
             self.network.end_losses();
         }
-        for (connection, frames) in self.network.take_held() {
+        for (connection, frames) in self.network.take_blocked() {
             for (direction, frame) in frames {
                 self.send_frame(connection, direction, frame);
             }
@@ -72,7 +73,7 @@
 
     /// Opens a connection; `None` if the callee cannot be reached.
     pub(super) fn connect(&mut self, caller: Machine, callee: Machine) -> Option<ConnectionId> {
-        if self.network.is_cut_either_way(caller, callee) || !self.is_running(callee) {
+        if self.network.is_partitioned_either_way(caller, callee) || !self.is_running(callee) {
             return None;
         }
         Some(self.network.open(caller, callee, self.now))
@@ -105,10 +106,10 @@
             return;
         };
         let (from, to) = connection.ends(direction);
-        let is_held_up = self.network.is_cut(from, to) || connection.holds(direction);
-        if is_held_up {
+        let is_blocked = self.network.is_partitioned(from, to) || connection.is_blocked(direction);
+        if is_blocked {
             if let Some(connection) = self.network.connection_mut(id) {
-                connection.held.push((direction, frame));
+                connection.blocked.push((direction, frame));
             }
             return;
         }
@@ -148,7 +149,7 @@
         };
         if self
             .network
-            .is_cut_either_way(connection.caller, connection.callee)
+            .is_partitioned_either_way(connection.caller, connection.callee)
         {
             self.break_connection(id, BreakNotice::Sent);
         }
@@ -161,7 +162,8 @@
         };
         let (caller, callee) = (connection.caller, connection.callee);
         for (machine, other) in [(caller, callee), (callee, caller)] {
-            let is_told = notice == BreakNotice::Sent && !self.network.is_cut(other, machine);
+            let is_told =
+                notice == BreakNotice::Sent && !self.network.is_partitioned(other, machine);
             let delay = if is_told {
                 LEAST_BREAK_DELAY + self.draw_time_below(BREAK_DELAY_SPREAD)
             } else {
@@ -190,7 +192,7 @@
         &mut self,
         id: ConnectionId,
         machine: Machine,
-        incarnation: u64,
+        incarnation: ProcessIncarnation,
         other: Machine,
     ) {
         if self.incarnation(machine) != incarnation || !self.is_running(machine) {
--- a/crates/emberpin-simulator/src/simulation/contact.rs
+++ b/crates/emberpin-simulator/src/simulation/contact.rs
@@ -63,6 +63,7 @@
     }
 
     fn is_joined(&self, one: Machine, other: Machine) -> bool {
-        !self.network.is_cut_either_way(one, other) && !self.network.is_slow_either_way(one, other)
+        !self.network.is_partitioned_either_way(one, other)
+            && !self.network.is_slow_either_way(one, other)
     }
 }
--- a/crates/emberpin-simulator/src/simulation/core_nodes.rs
+++ b/crates/emberpin-simulator/src/simulation/core_nodes.rs
@@ -4,6 +4,7 @@
 use crate::machine::CoreId;
 use crate::state::core_node::CoreProcess;
 use crate::state::event::Event;
+use crate::state::process::ProcessIncarnation;
 use crate::state::HEARTBEAT_INTERVAL;
 use emberpin_config::Item;
 use emberpin_consensus::{Replica, ReplicaOptions, WriteBatch, WriteToken};
@@ -76,7 +77,7 @@
     pub(super) fn running_incarnation(
         &mut self,
         core: CoreId,
-        incarnation: u64,
+        incarnation: ProcessIncarnation,
     ) -> Option<&mut CoreProcess> {
         let node = self.cores.get_mut(&core)?;
         if node.process.incarnation != incarnation {
@@ -140,7 +141,13 @@
         self.schedule(at, event);
     }
 
-    fn on_disk_synced(&mut self, core: CoreId, incarnation: u64, token: WriteToken, writes: usize) {
+    fn on_disk_synced(
+        &mut self,
+        core: CoreId,
+        incarnation: ProcessIncarnation,
+        token: WriteToken,
+        writes: usize,
+    ) {
         if self.running_incarnation(core, incarnation).is_none() {
             return;
         }
--- a/crates/emberpin-simulator/src/simulation/faults.rs
+++ b/crates/emberpin-simulator/src/simulation/faults.rs
@@ -126,7 +126,7 @@
         self.network.end_losses();
         self.network.reset_delivery();
         self.sync_time = USUAL_SYNC_TIME;
-        self.lost_response_percent = 0;
+        self.response_loss_percent = 0;
         let cores = self.cores.keys().copied().map(Machine::Core);
         let proxies = self.proxies.keys().copied().map(Machine::Proxy);
         let machines: Vec<Machine> = cores.chain(proxies).collect();
--- a/crates/emberpin-simulator/src/simulation/final_checks.rs
+++ b/crates/emberpin-simulator/src/simulation/final_checks.rs
@@ -60,16 +60,16 @@
     /// Makes a call and waits until it is acknowledged. Returns the body of its response.
     fn make_final_call(&mut self, name: &str, request: Option<OperatorRequest>) -> String {
         self.call_as_operator(name, CallTarget::Any, request, None);
-        let Some(call) = self.operators.latest_index(name) else {
+        let Some(call) = self.operators.latest_id(name) else {
             return String::new();
         };
         let until = self.now + FINAL_CALL_LIMIT;
         let has_response =
-            |simulation: &Simulation| simulation.operators.calls[call].status.is_some();
+            |simulation: &Simulation| simulation.operators.call(call).status.is_some();
         while self.violation.is_none() && !has_response(self) && self.now < until {
             self.run_until(self.now + POLL_INTERVAL);
         }
-        let call = &self.operators.calls[call];
+        let call = self.operators.call(call);
         let (status, body) = (call.status, call.body.clone());
         if status != Some(OK) {
             self.fail(Violation::NotServed {
--- a/crates/emberpin-simulator/src/simulation/mod.rs
+++ b/crates/emberpin-simulator/src/simulation/mod.rs
@@ -26,7 +26,7 @@
 use crate::state::event::Event;
 use crate::state::network::Network;
 use crate::state::operator::Operators;
-use crate::state::process::Process;
+use crate::state::process::{Process, ProcessIncarnation};
 use crate::state::proxy::{ProxyNode, ProxyProcess};
 use crate::state::server::{Server, ServerCall};
 use crate::state::USUAL_SYNC_TIME;
@@ -82,7 +82,7 @@
     has_no_time_limits: bool,
     is_slow_start_load_scheduled: bool,
     /// How many of a hundred responses to operators are lost.
-    lost_response_percent: u64,
+    response_loss_percent: u64,
     /// The seeds that processes are configured with at their start, unless they are the first machines in use.
     seeds: Option<Vec<CoreId>>,
     /// The calls of servers that have no reply, by their ids at registries.
@@ -111,7 +111,7 @@
             sync_time: USUAL_SYNC_TIME,
             has_no_time_limits: false,
             is_slow_start_load_scheduled: false,
-            lost_response_percent: 0,
+            response_loss_percent: 0,
             seeds: None,
             pending_server_calls: BTreeMap::new(),
             queue: BTreeMap::new(),
@@ -323,16 +323,20 @@
         }
     }
 
-    fn incarnation(&self, machine: Machine) -> u64 {
+    fn incarnation(&self, machine: Machine) -> ProcessIncarnation {
         match machine {
             Machine::Core(core) => self
                 .cores
                 .get(&core)
-                .map_or(0, |node| node.process.incarnation),
+                .map_or(ProcessIncarnation::default(), |node| {
+                    node.process.incarnation
+                }),
             Machine::Proxy(proxy) => self
                 .proxies
                 .get(&proxy)
-                .map_or(0, |node| node.process.incarnation),
+                .map_or(ProcessIncarnation::default(), |node| {
+                    node.process.incarnation
+                }),
         }
     }
 
--- a/crates/emberpin-simulator/src/simulation/operators.rs
+++ b/crates/emberpin-simulator/src/simulation/operators.rs
@@ -5,7 +5,7 @@
 use crate::machine::{CoreId, Machine};
 use crate::scenario::{CallTarget, OperatorRequest};
 use crate::state::event::{Effect, Event};
-use crate::state::operator::{OperatorCall, ReadExpectation};
+use crate::state::operator::{OperatorAttempt, OperatorCall, ReadExpectation};
 use crate::violation::Violation;
 use emberpin_consensus::{self as consensus, Call, CallId, EvacuationChange};
 use emberpin_membership::timing::bounds::APPLY;
@@ -39,51 +39,46 @@
         let call = self
             .operators
             .add(now, operator, target, request, expectation);
-        self.attempt_operator_call(call, 0);
+        self.attempt_operator_call(OperatorAttempt { call, number: 0 });
     }
 
     /// Makes the next attempt after this one, unless the call has ended or a later attempt is under way.
-    pub(super) fn attempt_operator_call(&mut self, call: usize, attempt: u32) {
+    pub(super) fn attempt_operator_call(&mut self, previous: OperatorAttempt) {
         let drawn_core = self.draw_core();
         let now = self.now;
         let jitter = self.draw_time_below(INITIAL_BACKOFF);
-        let Some(state) = self.operators.calls.get_mut(call) else {
+        let Some(call) = self.operators.call_in_progress(previous) else {
             return;
         };
-        if state.status.is_some() || state.attempts != attempt {
-            return;
-        }
-        if attempt > 0 {
-            state.is_clear = false;
+        let is_first = previous.number == 0;
+        if !is_first {
+            call.is_clear = false;
         }
-        state.core = match state.target {
-            CallTarget::Only(_) if attempt > 0 => return,
+        call.core = match call.target {
+            CallTarget::Only(_) if !is_first => return,
             CallTarget::Only(core) => core,
-            CallTarget::First(core) if attempt == 0 => core,
+            CallTarget::First(core) if is_first => core,
             CallTarget::First(_) | CallTarget::Any => drawn_core,
         };
-        state.attempts += 1;
-        state.last_attempt_at = now;
-        let (attempt, core) = (state.attempts, state.core);
+        call.attempts += 1;
+        call.last_attempt_at = now;
+        let core = call.core;
+        let attempt = OperatorAttempt {
+            call: previous.call,
+            number: call.attempts,
+        };
         if self.is_running(Machine::Core(core)) {
-            let event = Event::OperatorCall {
-                call,
-                attempt,
-                core,
-            };
-            self.schedule(now + CLIENT_DELAY, event);
-            self.schedule(now + CALL_TIMEOUT, Event::OperatorRetry { call, attempt });
+            self.schedule(now + CLIENT_DELAY, Event::OperatorCall { attempt, core });
+            self.schedule(now + CALL_TIMEOUT, Event::OperatorRetry { attempt });
         } else {
-            let at = now + jitter + backoff(attempt);
-            self.schedule(at, Event::OperatorRetry { call, attempt });
+            let at = now + jitter + backoff(attempt.number);
+            self.schedule(at, Event::OperatorRetry { attempt });
         }
     }
 
-    pub(super) fn on_operator_call(&mut self, call: usize, attempt: u32, core: CoreId) {
-        let Some(state) = self.operators.calls.get(call) else {
-            return;
-        };
-        let store_call = match &state.request {
+    pub(super) fn on_operator_call(&mut self, attempt: OperatorAttempt, core: CoreId) {
+        let call = self.operators.call(attempt.call);
+        let store_call = match &call.request {
             None => Call::Get,
             Some(OperatorRequest::Patch(body)) => Call::Patch(body.clone()),
             Some(OperatorRequest::Evacuate { zone, change }) => Call::Evacuate {
@@ -92,7 +87,7 @@
             },
         };
         let call_id = self.operators.next_call_id();
-        self.operators.register_attempt(call_id, call, attempt);
+        self.operators.register_attempt(call_id, attempt);
         let event = consensus::Event::Call {
             call_id: CallId(call_id),
             call: store_call,
@@ -102,17 +97,16 @@
 
     /// Sends a store's response to the operator; it may be lost.
     pub(super) fn send_operator_response(&mut self, call_id: u64, status: u16, body: String) {
-        let Some((call, attempt)) = self.operators.take_attempt(call_id) else {
+        let Some(attempt) = self.operators.take_attempt(call_id) else {
             return;
         };
-        if self.lost_response_percent > 0 && self.draw_percent(self.lost_response_percent) {
+        if self.response_loss_percent > 0 && self.draw_percent(self.response_loss_percent) {
             return;
         }
         let at = self.now + CLIENT_DELAY;
         self.schedule(
             at,
             Event::OperatorResponse {
-                call,
                 attempt,
                 status,
                 body,
@@ -122,36 +116,32 @@
 
     pub(super) fn on_operator_response(
         &mut self,
-        call: usize,
-        attempt: u32,
+        attempt: OperatorAttempt,
         status: u16,
         body: &str,
     ) {
         let now = self.now;
         let pause = INITIAL_BACKOFF + self.draw_time_below(INITIAL_BACKOFF * 3);
-        let Some(state) = self.operators.calls.get_mut(call) else {
-            return;
-        };
         // An operator that has gone on to another machine gets no response of an earlier one.
-        if state.status.is_some() || state.attempts != attempt {
+        let Some(call) = self.operators.call_in_progress(attempt) else {
             return;
-        }
+        };
         if status == SERVICE_UNAVAILABLE {
-            state.is_clear = false;
-            return self.schedule(now + pause, Event::OperatorRetry { call, attempt });
+            call.is_clear = false;
+            return self.schedule(now + pause, Event::OperatorRetry { attempt });
         }
-        state.status = Some(status);
-        state.body = body.into();
-        state.ended_at = now;
-        let state = state.clone();
-        if let Some(expectation) = &state.expectation {
+        call.status = Some(status);
+        call.body = body.into();
+        call.ended_at = now;
+        let call = call.clone();
+        if let Some(expectation) = &call.expectation {
             let result = check_read(body, &expectation.item);
             self.check(result.map_err(|failure| Violation::Step {
                 line: expectation.line,
                 failure,
             }));
         } else if status == OK {
-            self.on_acknowledged(state);
+            self.on_acknowledged(call);
         }
     }
 
--- a/crates/emberpin-simulator/src/simulation/proxy_sessions.rs
+++ b/crates/emberpin-simulator/src/simulation/proxy_sessions.rs
@@ -5,6 +5,7 @@
 use crate::machine::{CoreId, Machine, ProxyId};
 use crate::state::event::Event;
 use crate::state::network::{ConnectionId, Direction, Frame};
+use crate::state::process::ProcessIncarnation;
 use crate::state::proxy::{timestamp, ProxyProcess, SESSIONS};
 use crate::violation::{ProxyViolation, Violation};
 use emberpin_membership::candidates::Confirmation;
@@ -46,7 +47,7 @@
     }
 
     /// Ends sessions that are silent or whose lease has expired, sends keep-alives, and begins new sessions.
-    pub(super) fn on_proxy_timer(&mut self, proxy: ProxyId, incarnation: u64) {
+    pub(super) fn on_proxy_timer(&mut self, proxy: ProxyId, incarnation: ProcessIncarnation) {
         if self.incarnation(Machine::Proxy(proxy)) != incarnation {
             return;
         }
@@ -139,7 +140,7 @@
         let node = self.proxies.get(&proxy)?;
         let running = node.running.as_ref()?;
         let now = node.process.local_time(self.now);
-        let incarnation = u64::from(proxy.0) << 32 | node.process.incarnation;
+        let incarnation = u64::from(proxy.0) << 32 | node.process.incarnation.0;
         let progress = running.progress.get(&core);
         let mut instances = running.router.endpoints.known_instances(now);
         // The table lists them as its hash map has them, in another order in each run.
--- a/crates/emberpin-simulator/src/simulation/registries.rs
+++ b/crates/emberpin-simulator/src/simulation/registries.rs
@@ -7,6 +7,7 @@
 use crate::machine::{CoreId, Machine};
 use crate::state::event::Event;
 use crate::state::network::{ConnectionId, Direction, Frame};
+use crate::state::process::ProcessIncarnation;
 use crate::state::proxy::timestamp;
 use emberpin_config::Item;
 use emberpin_membership::ids::{Nonce, SessionId};
@@ -25,13 +26,18 @@
 impl Simulation {
     // ---- from the store beside it
 
-    pub(super) fn on_items_chosen(&mut self, core: CoreId, incarnation: u64, items: Vec<Item>) {
+    pub(super) fn on_items_chosen(
+        &mut self,
+        core: CoreId,
+        incarnation: ProcessIncarnation,
+        items: Vec<Item>,
+    ) {
         if self.running_incarnation(core, incarnation).is_some() {
             self.handle_registry_event(core, registry::Event::Items(items));
         }
     }
 
-    pub(super) fn on_voters_report(&mut self, core: CoreId, incarnation: u64) {
+    pub(super) fn on_voters_report(&mut self, core: CoreId, incarnation: ProcessIncarnation) {
         let now = self.now;
         let node = self.cores.get(&core);
         let Some(node) = node.filter(|node| node.process.incarnation == incarnation) else {
@@ -48,7 +54,7 @@
     pub(super) fn on_store_age(
         &mut self,
         core: CoreId,
-        incarnation: u64,
+        incarnation: ProcessIncarnation,
         nonce: Nonce,
         age: Option<Duration>,
     ) {
@@ -59,7 +65,7 @@
 
     // ---- events and actions
 
-    pub(super) fn on_registry_timer(&mut self, core: CoreId, incarnation: u64) {
+    pub(super) fn on_registry_timer(&mut self, core: CoreId, incarnation: ProcessIncarnation) {
         let now = self.now;
         let running = self.running_incarnation(core, incarnation);
         let Some(running) = running.filter(|running| running.registry_timer_at <= now) else {
@@ -88,7 +94,7 @@
         self.schedule_registry_timer(core, incarnation);
     }
 
-    fn schedule_registry_timer(&mut self, core: CoreId, incarnation: u64) {
+    fn schedule_registry_timer(&mut self, core: CoreId, incarnation: ProcessIncarnation) {
         let now = self.now;
         let Some(node) = self.cores.get_mut(&core) else {
             return;
@@ -104,7 +110,12 @@
         }
     }
 
-    fn apply_registry_action(&mut self, core: CoreId, incarnation: u64, action: Action) {
+    fn apply_registry_action(
+        &mut self,
+        core: CoreId,
+        incarnation: ProcessIncarnation,
+        action: Action,
+    ) {
         if !self.is_running(Machine::Core(core)) {
             return;
         }
@@ -140,7 +151,7 @@
     }
 
     /// Asks a store for the age of its state. Its answer comes after the items that are on their way.
-    fn query_store(&mut self, core: CoreId, incarnation: u64, nonce: Nonce) {
+    fn query_store(&mut self, core: CoreId, incarnation: ProcessIncarnation, nonce: Nonce) {
         let now = self.now;
         let Some(node) = self.cores.get(&core) else {
             return;
@@ -173,7 +184,7 @@
         }
     }
 
-    fn connect_peer(&mut self, core: CoreId, incarnation: u64, peer: Ipv4Addr) {
+    fn connect_peer(&mut self, core: CoreId, incarnation: ProcessIncarnation, peer: Ipv4Addr) {
         let peer = CoreId::from_address(peer);
         if let Some(running) = self.running_core(core) {
             running.outgoing.insert(peer, None);
@@ -193,7 +204,13 @@
         }
     }
 
-    fn schedule_dial(&mut self, at: Duration, core: CoreId, incarnation: u64, peer: CoreId) {
+    fn schedule_dial(
+        &mut self,
+        at: Duration,
+        core: CoreId,
+        incarnation: ProcessIncarnation,
+        peer: CoreId,
+    ) {
         self.schedule(
             at,
             Event::PeerDial {
@@ -204,7 +221,12 @@
         );
     }
 
-    pub(super) fn dial_peer(&mut self, core: CoreId, incarnation: u64, peer: CoreId) {
+    pub(super) fn dial_peer(
+        &mut self,
+        core: CoreId,
+        incarnation: ProcessIncarnation,
+        peer: CoreId,
+    ) {
         let is_wanted = self
             .running_incarnation(core, incarnation)
             .is_some_and(|running| running.outgoing.get(&peer) == Some(&None));
--- a/crates/emberpin-simulator/src/simulation/steps.rs
+++ b/crates/emberpin-simulator/src/simulation/steps.rs
@@ -160,7 +160,7 @@
                 self.sync_time = range.clone();
                 self.has_no_time_limits |= range.end > MAX_TIMELY_SYNC;
             }
-            Fault::LoseResponses { percent } => self.lost_response_percent = *percent,
+            Fault::LoseResponses { percent } => self.response_loss_percent = *percent,
             _ => {}
         }
     }
--- a/crates/emberpin-simulator/src/simulation/stores.rs
+++ b/crates/emberpin-simulator/src/simulation/stores.rs
@@ -4,6 +4,7 @@
 use super::Simulation;
 use crate::machine::{CoreId, Machine};
 use crate::state::event::Event;
+use crate::state::process::ProcessIncarnation;
 use crate::violation::Violation;
 use emberpin_config::Item;
 use emberpin_consensus::{self as consensus, Action, Message};
@@ -22,7 +23,7 @@
     fn send_store_message(&mut self, from: CoreId, to: CoreId, message: &Message) {
         let (sender, receiver) = (Machine::Core(from), Machine::Core(to));
         let is_lost = self.network.loses(sender, receiver, message);
-        if self.network.is_cut(sender, receiver) || is_lost {
+        if self.network.is_partitioned(sender, receiver) || is_lost {
             return;
         }
         let is_duplicated = self.draw_percent(self.network.duplicate_percent);
@@ -41,14 +42,17 @@
 
     pub(super) fn on_store_message(&mut self, from: CoreId, to: CoreId, message: Message) {
         // A partition that began while the message was under way holds it up too.
-        if self.network.is_cut(Machine::Core(from), Machine::Core(to)) {
+        if self
+            .network
+            .is_partitioned(Machine::Core(from), Machine::Core(to))
+        {
             return;
         }
         let from = from.address();
         self.handle_store_event(to, consensus::Event::Message { from, message });
     }
 
-    pub(super) fn on_store_timer(&mut self, core: CoreId, incarnation: u64) {
+    pub(super) fn on_store_timer(&mut self, core: CoreId, incarnation: ProcessIncarnation) {
         let now = self.now;
         let running = self.running_incarnation(core, incarnation);
         let Some(running) = running.filter(|running| running.store_timer_at <= now) else {
--- a/crates/emberpin-simulator/src/state/event.rs
+++ b/crates/emberpin-simulator/src/state/event.rs
@@ -1,6 +1,8 @@
 //! What is scheduled to happen.
 
 use super::network::{ConnectionId, Direction, Frame};
+use super::operator::OperatorAttempt;
+use super::process::ProcessIncarnation;
 use super::server::ServerCall;
 use crate::machine::{CoreId, Machine, ProxyId};
 use emberpin_config::Item;
@@ -21,40 +23,40 @@
     /// A disk has synced its first `writes` writes.
     DiskSynced {
         core: CoreId,
-        incarnation: u64,
+        incarnation: ProcessIncarnation,
         token: WriteToken,
         writes: usize,
     },
     StoreTimer {
         core: CoreId,
-        incarnation: u64,
+        incarnation: ProcessIncarnation,
     },
     RegistryTimer {
         core: CoreId,
-        incarnation: u64,
+        incarnation: ProcessIncarnation,
     },
     /// Chosen items arrive at a registry from the store beside it.
     ItemsChosen {
         core: CoreId,
-        incarnation: u64,
+        incarnation: ProcessIncarnation,
         items: Vec<Item>,
     },
     /// A store reports its voters to the registry beside it.
     VotersReport {
         core: CoreId,
-        incarnation: u64,
+        incarnation: ProcessIncarnation,
     },
     /// A store answers its registry how old its state is.
     StoreAge {
         core: CoreId,
-        incarnation: u64,
+        incarnation: ProcessIncarnation,
         nonce: Nonce,
         age: Option<Duration>,
     },
     /// A registry connects to another one.
     PeerDial {
         core: CoreId,
-        incarnation: u64,
+        incarnation: ProcessIncarnation,
         peer: CoreId,
     },
     FrameArrives {
@@ -62,7 +64,7 @@
         direction: Direction,
         frame: Box<Frame>,
     },
-    /// A connection that was cut breaks, if it still is cut.
+    /// A connection over a partitioned link breaks, if the link still is partitioned.
     UnacknowledgedTimeout {
         connection: ConnectionId,
     },
@@ -70,30 +72,27 @@
     ConnectionBroken {
         connection: ConnectionId,
         machine: Machine,
-        incarnation: u64,
+        incarnation: ProcessIncarnation,
         other: Machine,
     },
     /// A proxy checks its sessions.
     ProxyTimer {
         proxy: ProxyId,
-        incarnation: u64,
+        incarnation: ProcessIncarnation,
     },
     /// An operator's call arrives at a core machine.
     OperatorCall {
-        call: usize,
-        attempt: u32,
+        attempt: OperatorAttempt,
         core: CoreId,
     },
     OperatorResponse {
-        call: usize,
-        attempt: u32,
+        attempt: OperatorAttempt,
         status: u16,
         body: String,
     },
     /// An attempt of an operator's call has timed out or failed.
     OperatorRetry {
-        call: usize,
-        attempt: u32,
+        attempt: OperatorAttempt,
     },
     ServerHeartbeat {
         server: String,
--- a/crates/emberpin-simulator/src/state/network.rs
+++ b/crates/emberpin-simulator/src/state/network.rs
@@ -41,8 +41,8 @@
     pub callee: Machine,
     latest_arrival_at_callee: Duration,
     latest_arrival_at_caller: Duration,
-    /// The frames that a partition holds up, in their order.
-    pub held: Vec<(Direction, Frame)>,
+    /// The frames that a partition blocks, in their order.
+    pub blocked: Vec<(Direction, Frame)>,
 }
 
 impl Connection {
@@ -52,7 +52,7 @@
             callee,
             latest_arrival_at_callee: open_at,
             latest_arrival_at_caller: open_at,
-            held: Vec::new(),
+            blocked: Vec::new(),
         }
     }
 
@@ -78,8 +78,10 @@
         *latest
     }
 
-    pub fn holds(&self, direction: Direction) -> bool {
-        self.held.iter().any(|(held, _)| *held == direction)
+    pub fn is_blocked(&self, direction: Direction) -> bool {
+        self.blocked
+            .iter()
+            .any(|(blocked, _)| *blocked == direction)
     }
 }
 
@@ -89,7 +91,7 @@
 /// All links and connections between machines.
 #[derive(Debug)]
 pub(crate) struct Network {
-    cut_links: BTreeSet<Link>,
+    partitioned_links: BTreeSet<Link>,
     /// Links on which messages arrive later, by a time drawn from the range.
     slow_links: BTreeMap<Link, Range<Duration>>,
     /// When the last message over a slow link arrives; zero if there was none.
@@ -108,7 +110,7 @@
 impl Default for Network {
     fn default() -> Network {
         Network {
-            cut_links: BTreeSet::new(),
+            partitioned_links: BTreeSet::new(),
             slow_links: BTreeMap::new(),
             slow_until: Duration::ZERO,
             losses: Vec::new(),
@@ -123,21 +125,21 @@
 
 impl Network {
     /// Whether nothing gets through from one machine to another one.
-    pub fn is_cut(&self, from: Machine, to: Machine) -> bool {
-        self.cut_links.contains(&(from, to))
+    pub fn is_partitioned(&self, from: Machine, to: Machine) -> bool {
+        self.partitioned_links.contains(&(from, to))
     }
 
     /// Whether nothing gets through in one direction at least.
-    pub fn is_cut_either_way(&self, one: Machine, other: Machine) -> bool {
-        self.is_cut(one, other) || self.is_cut(other, one)
+    pub fn is_partitioned_either_way(&self, one: Machine, other: Machine) -> bool {
+        self.is_partitioned(one, other) || self.is_partitioned(other, one)
     }
 
     pub fn is_slow_either_way(&self, one: Machine, other: Machine) -> bool {
         self.slow_links.contains_key(&(one, other)) || self.slow_links.contains_key(&(other, one))
     }
 
-    pub fn cut(&mut self, links: &Links) {
-        self.cut_links.extend(links_of(links));
+    pub fn partition(&mut self, links: &Links) {
+        self.partitioned_links.extend(links_of(links));
     }
 
     pub fn slow_down(&mut self, links: &Links, delay: &Range<Duration>) {
@@ -151,15 +153,15 @@
         self.slow_links.get(&(from, to)).cloned()
     }
 
-    /// Ends the partitions and slow links of these machines, or all if there are none. Returns the links that were cut.
+    /// Ends the partitions and slow links of these machines, or all if there are none. Returns the links that were partitioned.
     pub fn heal(&mut self, machines: &[Machine]) -> BTreeSet<Link> {
         let concerns = |(one, other): &Link| {
             machines.is_empty() || machines.contains(one) || machines.contains(other)
         };
-        let (healed, still_cut) = std::mem::take(&mut self.cut_links)
+        let (healed, still_cut) = std::mem::take(&mut self.partitioned_links)
             .into_iter()
             .partition(concerns);
-        self.cut_links = still_cut;
+        self.partitioned_links = still_cut;
         self.slow_links.retain(|link, _| !concerns(link));
         healed
     }
@@ -225,9 +227,9 @@
         Some(receiver)
     }
 
-    pub fn cut_connections(&self) -> Vec<ConnectionId> {
+    pub fn partitioned_connections(&self) -> Vec<ConnectionId> {
         self.connections_where(|connection| {
-            self.is_cut_either_way(connection.caller, connection.callee)
+            self.is_partitioned_either_way(connection.caller, connection.callee)
         })
     }
 
@@ -244,10 +246,10 @@
     }
 
     /// Takes all frames that partitions hold up.
-    pub fn take_held(&mut self) -> Vec<(ConnectionId, Vec<(Direction, Frame)>)> {
+    pub fn take_blocked(&mut self) -> Vec<(ConnectionId, Vec<(Direction, Frame)>)> {
         self.connections
             .iter_mut()
-            .map(|(id, connection)| (*id, std::mem::take(&mut connection.held)))
+            .map(|(id, connection)| (*id, std::mem::take(&mut connection.blocked)))
             .collect()
     }
 }
--- a/crates/emberpin-simulator/src/state/operator.rs
+++ b/crates/emberpin-simulator/src/state/operator.rs
@@ -6,6 +6,17 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// Identifies a call of an operator, by its place among all calls of the run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(crate) struct OperatorCallId(usize);
+
+/// One attempt of a call. Attempts are counted from 1; 0 stands for the time before the first one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct OperatorAttempt {
+    pub call: OperatorCallId,
+    pub number: u32,
+}
+
 /// What a read is expected to show.
 #[derive(Clone, Debug)]
 pub(crate) struct ReadExpectation {
@@ -82,14 +93,14 @@
 #[derive(Debug, Default)]
 pub(crate) struct Operators {
     pub calls: Vec<OperatorCall>,
-    latest_calls: BTreeMap<String, usize>,
-    /// The call and the attempt of each call id at a store.
-    attempts_at_stores: BTreeMap<u64, (usize, u32)>,
+    latest_calls: BTreeMap<String, OperatorCallId>,
+    /// The attempt that each call id at a store stands for.
+    attempts_at_stores: BTreeMap<u64, OperatorAttempt>,
     last_call_id: u64,
 }
 
 impl Operators {
-    /// Adds a call, and returns its index.
+    /// Adds a call.
     pub fn add(
         &mut self,
         now: Duration,
@@ -97,21 +108,33 @@
         target: CallTarget,
         request: Option<OperatorRequest>,
         expectation: Option<ReadExpectation>,
-    ) -> usize {
-        let index = self.calls.len();
+    ) -> OperatorCallId {
+        let id = OperatorCallId(self.calls.len());
         let call = OperatorCall::new(now, operator, target, request, expectation);
         self.calls.push(call);
-        self.latest_calls.insert(operator.into(), index);
-        index
+        self.latest_calls.insert(operator.into(), id);
+        id
+    }
+
+    /// The call of this id, which [`Operators::add`] returned.
+    pub fn call(&self, id: OperatorCallId) -> &OperatorCall {
+        &self.calls[id.0]
+    }
+
+    /// The call of an attempt, if the attempt is its latest one and the call has not ended.
+    pub fn call_in_progress(&mut self, attempt: OperatorAttempt) -> Option<&mut OperatorCall> {
+        self.calls
+            .get_mut(attempt.call.0)
+            .filter(|call| call.status.is_none() && call.attempts == attempt.number)
     }
 
-    /// The index of an operator's latest call.
-    pub fn latest_index(&self, operator: &str) -> Option<usize> {
+    /// The id of an operator's latest call.
+    pub fn latest_id(&self, operator: &str) -> Option<OperatorCallId> {
         self.latest_calls.get(operator).copied()
     }
 
     pub fn latest(&self, operator: &str) -> Option<&OperatorCall> {
-        self.calls.get(self.latest_index(operator)?)
+        Some(self.call(self.latest_id(operator)?))
     }
 
     /// A new id of a call at a store or a registry, unique in the run.
@@ -121,11 +144,11 @@
     }
 
     /// Remembers which attempt a call id at a store stands for.
-    pub fn register_attempt(&mut self, call_id: u64, call: usize, attempt: u32) {
-        self.attempts_at_stores.insert(call_id, (call, attempt));
+    pub fn register_attempt(&mut self, call_id: u64, attempt: OperatorAttempt) {
+        self.attempts_at_stores.insert(call_id, attempt);
     }
 
-    pub fn take_attempt(&mut self, call_id: u64) -> Option<(usize, u32)> {
+    pub fn take_attempt(&mut self, call_id: u64) -> Option<OperatorAttempt> {
         self.attempts_at_stores.remove(&call_id)
     }
 }
--- a/crates/emberpin-simulator/src/state/process.rs
+++ b/crates/emberpin-simulator/src/state/process.rs
@@ -3,6 +3,17 @@
 use super::event::Event;
 use std::time::Duration;
 
+/// Identifies a run of a process on its machine. It rises with each start and each end, so that an event for an earlier
+/// run is recognized.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(crate) struct ProcessIncarnation(pub u64);
+
+impl ProcessIncarnation {
+    fn advance(&mut self) {
+        self.0 += 1;
+    }
+}
+
 /// The rate of a clock that keeps time.
 const EXACT_RATE_PERCENT: u64 = 100;
 
@@ -10,8 +21,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Process {
     pub zone: String,
-    /// Rises with each start and each end, so that an event for an earlier run is recognized.
-    pub incarnation: u64,
+    pub incarnation: ProcessIncarnation,
     /// When the process started or its clock's rate changed last, in simulated time.
     pub clock_set_at: Duration,
     /// What its clock showed then.
@@ -30,7 +40,7 @@
     pub fn new(zone: &str) -> Process {
         Process {
             zone: zone.into(),
-            incarnation: 0,
+            incarnation: ProcessIncarnation::default(),
             clock_set_at: Duration::ZERO,
             clock_base: Duration::ZERO,
             clock_rate_percent: EXACT_RATE_PERCENT,
@@ -42,7 +52,7 @@
     }
 
     pub fn start(&mut self, now: Duration) {
-        self.incarnation += 1;
+        self.incarnation.advance();
         self.clock_set_at = now;
         self.clock_base = Duration::ZERO;
         self.is_frozen = false;
@@ -50,7 +60,7 @@
     }
 
     pub fn end(&mut self) {
-        self.incarnation += 1;
+        self.incarnation.advance();
         self.is_frozen = false;
         self.deferred.clear();
     }
