--- a/crates/emberpin-consensus/src/guards.rs
+++ b/crates/emberpin-consensus/src/guards.rs
@@ -43,8 +43,8 @@
     pub restore_history: bool,
     /// So are checkpoints, which say what is known of removed tombstones.
     pub restore_checkpoint: bool,
-    /// How many versions and tombstones are kept. Not a safeguard, but tests need smaller bounds.
-    pub bounds: Retention,
+    /// How many versions and tombstones are kept. Not a safeguard, but tests need less retention.
+    pub retention: Retention,
     /// Timeouts follow the measured delays, and unanswered messages are sent again.
     pub adaptive_timeouts: bool,
     /// A promise does not count if its voter has lost its disk since.
@@ -92,7 +92,7 @@
             propose_superseded: true,
             restore_history: true,
             restore_checkpoint: true,
-            bounds: Retention::default(),
+            retention: Retention::default(),
             adaptive_timeouts: true,
             void_stale_promises: true,
             restore_after_disk_failure: true,
--- a/crates/emberpin-consensus/src/task.rs
+++ b/crates/emberpin-consensus/src/task.rs
@@ -123,7 +123,7 @@
 }
 
 fn evaluate_patch(patch: &Patch, configuration: &Configuration, guards: &Guards) -> Verdict {
-    match validate_for_commit(configuration, patch, &guards.bounds) {
+    match validate_for_commit(configuration, patch, &guards.retention) {
         PatchOutcome::Apply(items) => match guards.filter_proposal(items) {
             items if items.is_empty() => Verdict::Complete(String::new()),
             items => Verdict::Propose(items),
--- a/crates/emberpin-consensus/tests/random_retries.rs
+++ b/crates/emberpin-consensus/tests/random_retries.rs
@@ -20,7 +20,7 @@
         guards
     } else {
         Guards {
-            bounds: SMALL_RETENTION,
+            retention: SMALL_RETENTION,
             ..guards
         }
     };
--- a/crates/emberpin-consensus/tests/retries.rs
+++ b/crates/emberpin-consensus/tests/retries.rs
@@ -10,9 +10,9 @@
 use emberpin_consensus::{Call, Guards};
 use googletest::prelude::*;
 
-fn small_bounds() -> Guards {
+fn guards_with_small_retention() -> Guards {
     Guards {
-        bounds: SMALL_RETENTION,
+        retention: SMALL_RETENTION,
         ..Guards::default()
     }
 }
@@ -200,7 +200,7 @@
 #[gtest]
 fn version_below_removed_tombstones_is_answered_503() {
     expect_that!(
-        retries_below_removed_tombstones(small_bounds()),
+        retries_below_removed_tombstones(guards_with_small_retention()),
         eq(&StatusesBelowTombstone {
             retry: 503,
             other_content: 503,
@@ -209,7 +209,7 @@
     expect_that!(
         retries_below_removed_tombstones(Guards {
             restore_checkpoint: false,
-            ..small_bounds()
+            ..guards_with_small_retention()
         }),
         eq(&StatusesBelowTombstone {
             retry: 200,
@@ -220,7 +220,7 @@
 
 #[gtest]
 fn versions_beyond_the_history_bound_are_answered_503() {
-    let mut cluster = settled_cluster(4, small_bounds());
+    let mut cluster = settled_cluster(4, guards_with_small_retention());
     for version in 1..=8 {
         expect_that!(
             status_at(
--- a/crates/emberpin-store/tests/recordings/recorder.rs
+++ b/crates/emberpin-store/tests/recordings/recorder.rs
@@ -48,7 +48,7 @@
         let (disk, state) = Disk::open(folder, OWNER).expect("a disk");
         let mut actions = Vec::new();
         let guards = Guards {
-            bounds: RETENTION,
+            retention: RETENTION,
             ..Guards::default()
         };
         let replica = Replica::with_guards(
