--- a/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/adapter.rs
+++ b/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/adapter.rs
@@ -90,7 +90,7 @@
     /// # Errors
     ///
     /// When the line is no message, or one that does not fit what came before it.
-    pub fn handle_text(&mut self, text: Option<&Vec<u8>>) -> Result<Progress, LineError> {
+    pub fn handle_text(&mut self, text: Option<&[u8]>) -> Result<Progress, LineError> {
         let Some(text) = text else {
             return match self.batch {
                 Some(_) => Err(LineError::UnfinishedBatch),
--- a/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/main.rs
+++ b/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/main.rs
@@ -35,7 +35,7 @@
     for number in 1u64.. {
         text.clear();
         let progress = read_line(&mut input, &mut text)
-            .and_then(|more| adapter.handle_text(more.then_some(&text)))
+            .and_then(|more| adapter.handle_text(more.then_some(text.as_slice())))
             .and_then(|progress| {
                 if progress == Progress::BatchComplete {
                     adapter.flush_output(&mut output)?;
--- a/crates/emberpin-balancer/src/gossip.rs
+++ b/crates/emberpin-balancer/src/gossip.rs
@@ -1,9 +1,9 @@
 //! Encoding of the messages between gateways; no decision is taken here.
 //!
-//! A message is the version byte, the sender's incarnation (4 bytes, big endian), its attempts in flight and its answers
-//! a second (a byte each, in steps of a sixteenth of a doubling), then entries. An entry is a tag, 4 bytes of the
-//! customer's hash, and for [`Entry::Advice`] a chance (one byte), for [`Entry::Count`] four numbers of variable length:
-//! the set's first gateway, its size, and the units admitted and requested, in halves.
+//! A message is the version byte, the sender's incarnation (4 bytes, big endian), its attempts in flight and its
+//! answers a second (a byte each, in steps of a sixteenth of a doubling), then entries. An entry is a tag, 4 bytes
+//! of the customer's hash, and for [`Entry::Advice`] a chance (one byte), for [`Entry::Count`] four numbers of
+//! variable length: the set's first gateway, its size, and the units admitted and requested, in halves.
 
 use crate::interface::Millis;
 
@@ -41,7 +41,8 @@
         first: u32,
         /// How many gateways the set has.
         size: u32,
-        /// Units that the sender admitted since its start. Cumulative, so that the next message makes up for a lost one.
+        /// Units that the sender admitted since its start. Cumulative, so that the next message makes up for a lost
+        /// one.
         units: f64,
         /// Units that were requested of the sender since its last count.
         requested: f64,
@@ -68,9 +69,9 @@
     pub entries: Vec<Entry>,
 }
 
-/// An incarnation (the milliseconds at which a gateway started) of which only the low 32 bits came: the latest that fits,
-/// by the clock that all gateways share. Were it cut off or saturated instead, incarnations would look alike after a
-/// restart, and the peers would refund what was used.
+/// An incarnation (the milliseconds at which a gateway started) of which only the low 32 bits came: the latest that
+/// fits, by the clock that all gateways share. Were it cut off or saturated instead, incarnations would look alike
+/// after a restart, and the peers would refund what was used.
 pub fn full_incarnation(low: u32, now: Millis) -> u64 {
     let latest = now.max(0.0) as u64 + MAX_CLOCK_AHEAD;
     latest
--- a/crates/emberpin-balancer/src/handover.rs
+++ b/crates/emberpin-balancer/src/handover.rs
@@ -180,9 +180,9 @@
         }
     }
 
-    /// A gateway that goes on where another process left off, on the same clock and with this endpoint list. What was
-    /// learned under other settings than these is dropped, but for which servers are out of service for maintenance; the
-    /// second value says whether the whole state was taken over.
+    /// A gateway that goes on where another process left off, on the same clock and with this endpoint list. What
+    /// was learned under other settings than these is dropped, but for which servers are out of service for
+    /// maintenance; the second value says whether the whole state was taken over.
     pub fn from_handover(
         settings: Settings,
         seed: u64,
--- a/crates/emberpin-balancer/src/host_config.rs
+++ b/crates/emberpin-balancer/src/host_config.rs
@@ -1,6 +1,6 @@
-//! The configuration and the endpoint list as hosts get them, translated for the decisions. The simulator and a real
-//! limiter use the same names and units; a field whose name in JSON differs from its term carries it in `serde(rename)`.
-//! No decision is taken here.
+//! The configuration and the endpoint list as hosts get them, translated for the decisions. The simulator and a
+//! real limiter use the same names and units; a field whose name in JSON differs from its term carries it in
+//! `serde(rename)`. No decision is taken here.
 
 use crate::gossip;
 use crate::interface::*;
@@ -112,8 +112,8 @@
     report
 }
 
-/// Hashes a customer's name by FNV-1a, folded to [`gossip::ID_MASK`]. It is the same at every gateway and in every build,
-/// as gateways know customers by it in gossip.
+/// Hashes a customer's name by FNV-1a, folded to [`gossip::ID_MASK`]. It is the same at every gateway and in every
+/// build, as gateways know customers by it in gossip.
 pub fn stable_hash(name: &str) -> u64 {
     let whole = name.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| {
         (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
--- a/crates/emberpin-balancer/src/host_queries.rs
+++ b/crates/emberpin-balancer/src/host_queries.rs
@@ -1,5 +1,5 @@
-//! What hosts ask of a gateway and set at it beside events: classes that become known while it runs, how many servers it
-//! has to choose from, and whether a retry would follow. No decision is taken here.
+//! What hosts ask of a gateway and set at it beside events: classes that become known while it runs, how many
+//! servers it has to choose from, and whether a retry would follow. No decision is taken here.
 
 use crate::decisions::initial_latency;
 use crate::interface::{
--- a/crates/emberpin-balancer/src/interface/actions.rs
+++ b/crates/emberpin-balancer/src/interface/actions.rs
@@ -11,7 +11,8 @@
         request: RequestId,
         /// The server to send it to.
         server: ServerId,
-        /// Milliseconds after which the attempt is broken off and ends as [`Outcome::Timeout`](crate::Outcome::Timeout).
+        /// Milliseconds after which the attempt is broken off and ends as
+        /// [`Outcome::Timeout`](crate::Outcome::Timeout).
         timeout: Millis,
     },
     /// Final answer: rejected. The client may safely retry.
--- a/crates/emberpin-balancer/src/interface/events.rs
+++ b/crates/emberpin-balancer/src/interface/events.rs
@@ -99,8 +99,8 @@
     SiblingUsage(Usage),
     /// The endpoint list changed.
     Membership(MembershipUpdate),
-    /// A request came in. Exactly one final answer follows: an answered attempt, [`Action::Reject`](crate::Action::Reject)
-    /// or [`Action::Fail`](crate::Action::Fail).
+    /// A request came in. Exactly one final answer follows: an answered attempt,
+    /// [`Action::Reject`](crate::Action::Reject) or [`Action::Fail`](crate::Action::Fail).
     Request(Request),
     /// The client began to receive a streamed answer: no other attempt may follow, and the gateway owes no answer.
     ResponseStarted {
--- a/crates/emberpin-balancer/src/state/load.rs
+++ b/crates/emberpin-balancer/src/state/load.rs
@@ -28,7 +28,8 @@
     pub peers_in_flight: f64,
     /// Answers a second of a mean peer.
     pub peers_throughput: f64,
-    /// What a warm server of capacity 1 was seen to carry, in answers a second over all gateways; 0 before any was seen.
+    /// What a warm server of capacity 1 was seen to carry, in answers a second over all gateways; 0 before any was
+    /// seen.
     pub warm_capacity: f64,
     /// Share of this gateway's answers that came from warm servers.
     pub warm_share: f64,
--- a/crates/emberpin-balancer/tests/large_group.rs
+++ b/crates/emberpin-balancer/tests/large_group.rs
@@ -98,9 +98,9 @@
     }
 }
 
-/// Gateways that have just started with all their servers, none of which was ever seen warm: sends by server, and the share
-/// of the requests that were admitted, at one request of each gateway in `every` steps of 100 ms. Servers say how many wait
-/// there, or nothing.
+/// Gateways that have just started with all their servers, none of which was ever seen warm: sends by server, and
+/// the share of the requests that were admitted, at one request of each gateway in `every` steps of 100 ms. Servers
+/// say how many wait there, or nothing.
 fn all_cold(group: u32, fleet: u32, every: u32, waits: Option<f64>) -> (Vec<Vec<f64>>, f64) {
     let mut gateways: Vec<Harness> = (0..group)
         .map(|me| Harness::fresh(one_of(me, group), 0))
@@ -612,7 +612,7 @@
             else {
                 continue;
             };
-            let entries = gossip::read(&bytes).expect("expected").entries;
+            let entries = gossip::read(&bytes).expect("readable").entries;
             sent.extend(entries.iter().filter_map(|entry| match entry {
                 gossip::Entry::Count { units, .. } if to == owners[0] => Some(*units),
                 _ => None,
