--- a/crates/emberpin-limiter/src/front/answers.rs
+++ b/crates/emberpin-limiter/src/front/answers.rs
@@ -1,14 +1,14 @@
 //! How answers are worded for clients, beneath all who give one.
 
 use crate::front::stream::Content;
-use crate::messages::{Answer, Head};
+use crate::messages::{Answer, ResponseHead};
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
 
 /// The answer as its client gets it.
 pub fn written(answer: Answer) -> Response<Content> {
     match answer {
-        Answer::Served(served) => headed(served.head, Content::Whole(Some(served.body))),
+        Answer::Served(served) => headed(served.head, Content::Buffered(Some(served.body))),
         Answer::Refused { retry_after } => {
             let mut response = plain(StatusCode::TOO_MANY_REQUESTS);
             let seconds = format!("{:.3}", retry_after / 1000.0);
@@ -22,7 +22,7 @@
 }
 
 /// An answer that begins so, with this body.
-pub fn headed(head: Head, content: Content) -> Response<Content> {
+pub fn headed(head: ResponseHead, content: Content) -> Response<Content> {
     let mut response = Response::new(content);
     (*response.status_mut(), *response.headers_mut()) = (head.status, head.headers);
     response
@@ -30,7 +30,7 @@
 
 /// An answer of this status with nothing in it.
 pub fn plain(status: StatusCode) -> Response<Content> {
-    let mut response = Response::new(Content::Whole(None));
+    let mut response = Response::new(Content::Buffered(None));
     *response.status_mut() = status;
     response
 }
--- a/crates/emberpin-limiter/src/front/clients.rs
+++ b/crates/emberpin-limiter/src/front/clients.rs
@@ -5,8 +5,10 @@
 use crate::front::connections::{ClientLimits, Connection};
 use crate::front::reception::{Phase, Reception, RequestHandler};
 use crate::front::room::Room;
-use crate::front::stream::{Content, Passed, Passing, Upload};
-use crate::messages::{Answer, Call, Gate, Input, Outgoing, Reply, Upstreamed, MAX_BODY};
+use crate::front::stream::{Content, StreamedContent, StreamedResponse, Upload};
+use crate::messages::{
+    AdmittedRequest, Answer, Gate, Input, Reply, RequestBody, UpstreamRequest, MAX_BODY,
+};
 use crate::operate::config::Config;
 use crate::operate::figures::{Active, Ending, Figures};
 use crate::stages::idempotency::{Idempotency, Keyed};
@@ -82,7 +84,7 @@
             return;
         }
         if let Err(mpsc::error::TrySendError::Full(gone)) =
-            self.front.inputs.try_send(Input::Gone(self.id))
+            self.front.inputs.try_send(Input::ClientGone(self.id))
         {
             let inputs = self.front.inputs.clone();
             spawn_local(async move { _ = inputs.send(gone).await });
@@ -168,7 +170,7 @@
             .max(asked.patience / 2);
         let mut active = self.figures.taken(asked.class);
         let (body, expires) = match rest {
-            None => (Upstreamed::Whole(held), Instant::now() + patience),
+            None => (RequestBody::Buffered(held), Instant::now() + patience),
             Some(rest) => {
                 let Ok(room) = self.uploads.clone().try_acquire_owned() else {
                     spawn_local(run_out(rest));
@@ -176,24 +178,27 @@
                     return Err(StatusCode::SERVICE_UNAVAILABLE);
                 };
                 let upload = Rc::new(Upload::new(held, length, rest, room));
-                (Upstreamed::Coming(upload), Instant::now() + UPLOAD_LIMIT)
+                (
+                    RequestBody::Uploading(upload),
+                    Instant::now() + UPLOAD_LIMIT,
+                )
             }
         };
-        let outgoing = Outgoing {
+        let outgoing = UpstreamRequest {
             method: parts.method,
             uri: parts.uri,
             headers: parts.headers,
             body,
-            may_pass: self.idempotency.is_none(),
-            freshness: None,
+            may_stream: self.idempotency.is_none(),
+            max_idle_time: None,
             gate: None,
             withdrawn: Default::default(),
         };
         let reply = self.taken(asked, outgoing, patience, expires).await;
         let response = match reply {
             Err(status) => Err(status),
-            Ok(Replied::Whole(response)) => Ok(response),
-            Ok(Replied::Passing(passing)) => {
+            Ok(Replied::Complete(response)) => Ok(response),
+            Ok(Replied::Streamed(passing)) => {
                 match timeout(PASSING_WAIT, self.downloads.clone().acquire_owned()).await {
                     Ok(Ok(room)) => {
                         return Ok(passed_on(passing, active, connection.clone(), room))
@@ -220,7 +225,7 @@
     async fn taken(
         self: &Rc<Self>,
         asked: Admitted,
-        mut outgoing: Outgoing,
+        mut outgoing: UpstreamRequest,
         patience: Duration,
         expires: Instant,
     ) -> Result<Replied, StatusCode> {
@@ -244,9 +249,9 @@
             set_size: asked.set_size,
             set_first: asked.set_first,
         };
-        let (answer, answered) = oneshot::channel();
+        let (reply_to, reply) = oneshot::channel();
         let outgoing = Rc::new(outgoing);
-        let call = Call {
+        let call = AdmittedRequest {
             id: waiting.id,
             class: asked.class,
             plan: asked.plan,
@@ -255,15 +260,15 @@
             set_size: asked.set_size,
             set_first: asked.set_first,
             ran: None,
-            patience,
+            time_limit: patience,
             expires,
             outgoing: outgoing.clone(),
-            answer,
+            reply_to,
         };
-        let asking = ask(waiting, call, answered);
+        let asking = ask(waiting, call, reply);
         let body = match &outgoing.body {
-            Upstreamed::Whole(body) => body,
-            Upstreamed::Coming(upload) => {
+            RequestBody::Buffered(body) => body,
+            RequestBody::Uploading(upload) => {
                 // What keeps it from its place in the table is a client's silence, not its slowness.
                 let silent = async {
                     while upload.silence() < UPLOAD_SILENCE {
@@ -296,10 +301,10 @@
             let asking = async move {
                 match asking.await {
                     Reply::Answer(answer) => answer,
-                    Reply::Passing(_) => Answer::Failed,
+                    Reply::Streamed(_) => Answer::Failed,
                 }
             };
-            return Ok(Replied::Whole(stage.serve(keyed, asking).await));
+            return Ok(Replied::Complete(stage.serve(keyed, asking).await));
         }
         Ok(asking.await.into())
     }
@@ -318,15 +323,15 @@
 
 /// What a request came to.
 enum Replied {
-    Whole(Response<Content>),
-    Passing(Passing),
+    Complete(Response<Content>),
+    Streamed(StreamedResponse),
 }
 
 impl From<Reply> for Replied {
     fn from(reply: Reply) -> Replied {
         match reply {
-            Reply::Answer(answer) => Replied::Whole(written(answer)),
-            Reply::Passing(passing) => Replied::Passing(passing),
+            Reply::Answer(answer) => Replied::Complete(written(answer)),
+            Reply::Streamed(response) => Replied::Streamed(response),
         }
     }
 }
@@ -368,19 +373,19 @@
 
 /// The answer that a server has begun, for its client.
 pub fn passed_on(
-    mut passing: Passing,
+    mut response: StreamedResponse,
     active: Active,
     connection: Rc<Connection>,
-    room: OwnedSemaphorePermit,
+    buffer_permit: OwnedSemaphorePermit,
 ) -> Response<Content> {
-    let head = std::mem::take(&mut passing.head);
+    let head = std::mem::take(&mut response.head);
     headed(
         head,
-        Content::Passing(Box::new(Passed {
-            passing,
+        Content::Streamed(Box::new(StreamedContent {
+            response,
             active,
             connection,
-            _room: room,
+            _buffer_permit: buffer_permit,
         })),
     )
 }
@@ -395,9 +400,9 @@
         let id = RequestId(next.replace(next.get().wrapping_add(1) | TAKEN));
         let inputs = inputs.clone();
         Box::pin(async move {
-            let (answer, answered) = oneshot::channel();
+            let (reply_to, reply) = oneshot::channel();
             let terms = taken.terms;
-            let call = Call {
+            let call = AdmittedRequest {
                 id,
                 class: terms.class,
                 plan: terms.plan,
@@ -406,15 +411,15 @@
                 set_size: terms.set_size,
                 set_first: terms.set_first,
                 ran: Some(taken.ran),
-                patience: taken.patience,
+                time_limit: taken.patience,
                 expires: Instant::now() + taken.patience,
                 outgoing: Rc::new(taken.outgoing),
-                answer,
+                reply_to,
             };
-            match inputs.send(Input::Call(call)).await {
-                Ok(()) => match answered.await {
+            match inputs.send(Input::Request(call)).await {
+                Ok(()) => match reply.await {
                     Ok(Reply::Answer(answer)) => answer,
-                    Ok(Reply::Passing(_)) | Err(_) => Answer::Failed,
+                    Ok(Reply::Streamed(_)) | Err(_) => Answer::Failed,
                 },
                 Err(_) => Answer::Failed,
             }
@@ -423,9 +428,13 @@
 }
 
 /// Asks the driver, and waits for the one answer.
-async fn ask(mut waiting: Waiting, call: Call, answered: oneshot::Receiver<Reply>) -> Reply {
-    let reply = match waiting.front.inputs.send(Input::Call(call)).await {
-        Ok(()) => answered.await.unwrap_or(Reply::Answer(Answer::Failed)),
+async fn ask(
+    mut waiting: Waiting,
+    call: AdmittedRequest,
+    reply: oneshot::Receiver<Reply>,
+) -> Reply {
+    let reply = match waiting.front.inputs.send(Input::Request(call)).await {
+        Ok(()) => reply.await.unwrap_or(Reply::Answer(Answer::Failed)),
         Err(_) => Reply::Answer(Answer::Failed),
     };
     waiting.answered = true;
--- a/crates/emberpin-limiter/src/front/reception.rs
+++ b/crates/emberpin-limiter/src/front/reception.rs
@@ -149,7 +149,7 @@
                         .headers_mut()
                         .insert(header::CONNECTION, HeaderValue::from_static("close"));
                 }
-                if let Content::Whole(_) = response.body() {
+                if let Content::Buffered(_) = response.body() {
                     connection.close();
                 }
                 Ok::<_, Infallible>(response)
--- a/crates/emberpin-limiter/src/front/stream.rs
+++ b/crates/emberpin-limiter/src/front/stream.rs
@@ -1,8 +1,8 @@
-//! Bodies that are too long to be held: passed on in pieces, each taken only when the other side has taken the one
-//! before.
+//! Bodies that are too long to buffer: streamed, with back pressure, since a chunk is read only when the other side has
+//! taken the one before.
 
 use crate::front::connections::Connection;
-use crate::messages::Head;
+use crate::messages::ResponseHead;
 use crate::operate::figures::{Active, Ending};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -14,51 +14,52 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit};
 use tokio::time::Instant;
 
-/// The body cannot be passed on to its end.
+/// The body broke off before its end.
 #[derive(Debug)]
-pub struct Cut;
+pub struct BodyInterrupted;
 
-impl fmt::Display for Cut {
+impl fmt::Display for BodyInterrupted {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(to, "the body broke off")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for BodyInterrupted {}
 
-/// A client's body that is passed on while it comes. What came first is held, so that an attempt that broke before
-/// anything else went out can be followed by another.
+/// A client's body that is streamed to a server while the client sends it. Its beginning is buffered, so that an attempt
+/// that broke before any later chunk was taken can be retried.
 pub struct Upload {
-    /// What came first.
+    /// The beginning of the body.
     pub held: Bytes,
-    /// The whole length, where the client told it.
+    /// The length of the body, where the client stated it.
     pub length: Option<u64>,
-    /// Gone while a refused request's body is let run out.
+    /// The rest; `None` once [`Upload::take_rest`] has taken it.
     rest: RefCell<Option<Incoming>>,
-    /// Something that is not held was handed over.
+    /// A chunk that is not buffered was handed over, so no other attempt can send it.
     spent: Cell<bool>,
-    /// When the last byte came.
+    /// When the last byte arrived.
     ended: Cell<Option<Instant>>,
     finished: Notify,
-    /// Since when the client is waited for.
+    /// Since when a chunk is awaited from the client.
     waiting: Cell<Option<Instant>>,
-    /// Bytes that it may have in all, and those that have come.
-    most: u64,
+    /// The body may not be longer than this.
+    max_size: u64,
+    /// Bytes that have arrived.
     size: Cell<u64>,
-    /// More than that has come.
+    /// More than `max_size` bytes have arrived.
     exceeded: Cell<bool>,
     overflowed: Notify,
-    /// Its part of the process's budget of bytes.
-    _room: OwnedSemaphorePermit,
+    /// Its part of the process's budget for buffers.
+    _buffer_permit: OwnedSemaphorePermit,
 }
 
 impl Upload {
-    /// A body of which this has come, and `rest` brings what follows.
+    /// A body of which `held` has arrived, and `rest` brings what follows.
     pub fn new(
         held: Bytes,
         length: Option<u64>,
         rest: Incoming,
-        room: OwnedSemaphorePermit,
+        buffer_permit: OwnedSemaphorePermit,
     ) -> Upload {
         let size = Cell::new(held.len() as u64);
         Upload {
@@ -69,28 +70,28 @@
             ended: Cell::new(None),
             finished: Notify::new(),
             waiting: Cell::new(None),
-            most: u64::MAX,
+            max_size: u64::MAX,
             size,
             exceeded: Cell::new(false),
             overflowed: Notify::new(),
-            _room: room,
+            _buffer_permit: buffer_permit,
         }
     }
 
-    /// It may have so many bytes in all: the piece that passes that is not handed over, nor anything behind it, so that
+    /// Limits the body to `max_size` bytes: the chunk that exceeds it is not handed over, nor anything behind it, so that
     /// no server sees the body's end.
-    pub fn bounded(self, most: u64) -> Upload {
-        Upload { most, ..self }
+    pub fn bounded(self, max_size: u64) -> Upload {
+        Upload { max_size, ..self }
     }
 
-    /// Returns when more bytes have come than it may have.
+    /// Returns when more bytes have arrived than the body may have.
     pub async fn exceeded(&self) {
         while !self.exceeded.get() {
             self.overflowed.notified().await;
         }
     }
 
-    /// Its last byte has come.
+    /// Records that the last byte has arrived.
     fn end(&self) {
         if self.ended.get().is_none() {
             self.ended.set(Some(Instant::now()));
@@ -99,22 +100,22 @@
         }
     }
 
-    /// Counts what has come; whether that is more than it may have.
-    fn overflows(&self, come: usize) -> bool {
-        self.size.set(self.size.get().saturating_add(come as u64));
-        let exceeded = self.size.get() > self.most;
+    /// Counts an arrived chunk; returns whether the body is too long by now.
+    fn overflows(&self, chunk: usize) -> bool {
+        self.size.set(self.size.get().saturating_add(chunk as u64));
+        let exceeded = self.size.get() > self.max_size;
         if exceeded && !self.exceeded.replace(true) {
             self.overflowed.notify_one();
         }
         exceeded
     }
 
-    /// Whether another attempt would find all that went out before.
-    pub fn is_held(&self) -> bool {
+    /// Whether another attempt could send everything that earlier ones sent.
+    pub fn is_replayable(&self) -> bool {
         !self.spent.get()
     }
 
-    /// Returns when the client's last byte has come: its time counts from then.
+    /// Returns when the client's last byte has arrived; the request's time limit counts from then.
     pub async fn ended(&self) -> Instant {
         loop {
             if let Some(at) = self.ended.get() {
@@ -124,23 +125,23 @@
         }
     }
 
-    /// For how long its client has given nothing that was asked for.
+    /// For how long a chunk has been awaited from the client; zero while none is.
     pub fn silence(&self) -> std::time::Duration {
         self.waiting
             .get()
             .map_or_else(Default::default, |since| since.elapsed())
     }
 
-    /// What is left of it, to be let run out; attempts get nothing more.
+    /// Takes the rest of the body, to be drained; attempts get nothing more of it.
     pub fn take_rest(&self) -> Option<Incoming> {
         self.rest.borrow_mut().take()
     }
 
-    /// The next piece behind what is held.
-    pub fn poll_rest(&self, context: &mut Context) -> Poll<Option<Result<Bytes, Cut>>> {
+    /// Polls for the next chunk behind the buffered beginning.
+    pub fn poll_rest(&self, context: &mut Context) -> Poll<Option<Result<Bytes, BodyInterrupted>>> {
         let mut rest = self.rest.borrow_mut();
         let Some(body) = rest.as_mut().filter(|_| !self.exceeded.get()) else {
-            return Poll::Ready(Some(Err(Cut)));
+            return Poll::Ready(Some(Err(BodyInterrupted)));
         };
         loop {
             return match Pin::new(&mut *body).poll_frame(context) {
@@ -161,12 +162,16 @@
                                 if self.length.is_some_and(|length| self.size.get() >= length) {
                                     self.end();
                                 }
-                                Poll::Ready(Some(if overflows { Err(Cut) } else { Ok(data) }))
+                                Poll::Ready(Some(if overflows {
+                                    Err(BodyInterrupted)
+                                } else {
+                                    Ok(data)
+                                }))
                             }
-                            // Trailers concern nobody behind this limiter.
+                            // Trailers are not forwarded.
                             Err(_) => continue,
                         },
-                        Some(Err(_)) => Poll::Ready(Some(Err(Cut))),
+                        Some(Err(_)) => Poll::Ready(Some(Err(BodyInterrupted))),
                         None => {
                             self.end();
                             Poll::Ready(None)
@@ -178,41 +183,41 @@
     }
 }
 
-/// What a client gets as a body.
+/// The body of a response to a client.
 pub enum Content {
     /// All of it.
-    Whole(Option<Bytes>),
-    /// What a server gives, while it gives it.
-    Passing(Box<Passed>),
+    Buffered(Option<Bytes>),
+    /// A server's body, streamed while the server sends it.
+    Streamed(Box<StreamedContent>),
 }
 
-/// An answer that is passed on in pieces: nothing is read from its server before its client has taken what came.
-pub struct Passing {
-    /// How it begins.
-    pub head: Head,
-    /// What it is made of.
-    pub pieces: Box<dyn Pieces>,
+/// A response that is streamed: nothing is read from the server before the client has taken what came.
+pub struct StreamedResponse {
+    /// Its head, as the client receives it.
+    pub head: ResponseHead,
+    /// Its body.
+    pub stream: Box<dyn ResponseStream>,
 }
 
-/// Where the pieces of an answer come from.
-pub trait Pieces {
-    /// How many bytes are still to come, where that is told.
-    fn left(&self) -> Option<u64>;
+/// The body of a streamed response.
+pub trait ResponseStream {
+    /// How many bytes are still to come, where the server stated the length.
+    fn remaining(&self) -> Option<u64>;
 
-    /// The next piece.
-    fn poll_next(&mut self, context: &mut Context) -> Poll<Option<Result<Bytes, Cut>>>;
+    /// Polls for the next chunk; `None` at the end of the body.
+    fn poll_next(&mut self, context: &mut Context) -> Poll<Option<Result<Bytes, BodyInterrupted>>>;
 }
 
-/// An answer on its way, and who must hear of its end.
-pub struct Passed {
-    pub passing: Passing,
+/// A streamed response on its way to its client, with what is to be informed of its end.
+pub struct StreamedContent {
+    pub response: StreamedResponse,
     pub active: Active,
     pub connection: Rc<Connection>,
-    /// Its part of the process's budget of bytes.
-    pub _room: OwnedSemaphorePermit,
+    /// Its part of the process's budget for buffers.
+    pub _buffer_permit: OwnedSemaphorePermit,
 }
 
-impl Drop for Passed {
+impl Drop for StreamedContent {
     fn drop(&mut self) {
         self.connection.close();
     }
@@ -220,26 +225,26 @@
 
 impl Body for Content {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = BodyInterrupted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyInterrupted>>> {
         match self.get_mut() {
-            Content::Whole(bytes) => Poll::Ready(
+            Content::Buffered(bytes) => Poll::Ready(
                 bytes
                     .take()
                     .filter(|bytes| !bytes.is_empty())
                     .map(|bytes| Ok(Frame::data(bytes))),
             ),
-            Content::Passing(passed) => {
-                let next = passed.passing.pieces.poll_next(context);
+            Content::Streamed(streamed) => {
+                let next = streamed.response.stream.poll_next(context);
                 match &next {
-                    Poll::Ready(None) => passed.active.ends(Ending::Ok),
-                    Poll::Ready(Some(Err(Cut))) => {
-                        passed.active.ends(Ending::Errors);
-                        passed.connection.cut();
+                    Poll::Ready(None) => streamed.active.ends(Ending::Ok),
+                    Poll::Ready(Some(Err(BodyInterrupted))) => {
+                        streamed.active.ends(Ending::Errors);
+                        streamed.connection.cut();
                     }
                     Poll::Ready(Some(Ok(_))) | Poll::Pending => {}
                 }
@@ -250,18 +255,18 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Content::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
-            Content::Passing(_) => false,
+            Content::Buffered(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            Content::Streamed(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Content::Whole(bytes) => {
+            Content::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            Content::Passing(passed) => match passed.passing.pieces.left() {
-                Some(left) => SizeHint::with_exact(left),
+            Content::Streamed(streamed) => match streamed.response.stream.remaining() {
+                Some(remaining) => SizeHint::with_exact(remaining),
                 None => SizeHint::default(),
             },
         }
--- a/crates/emberpin-limiter/src/host.rs
+++ b/crates/emberpin-limiter/src/host.rs
@@ -6,11 +6,14 @@
 pub use crate::front::connections::{ClientLimits, Connection, HEAD_BYTES};
 pub use crate::front::reception::{Phase, Reception, RequestHandler};
 pub use crate::front::room::Room;
-pub use crate::front::stream::{Content, Passing, Upload};
-pub use crate::messages::{Answer, Call, Ended, Head, Input, Outgoing, Reply, Served, Upstreamed};
+pub use crate::front::stream::{Content, StreamedResponse, Upload};
+pub use crate::messages::{
+    AdmittedRequest, Answer, AttemptEnd, Input, Reply, RequestBody, ResponseHead, ServerResponse,
+    UpstreamRequest,
+};
 pub use crate::operate::clock::Clock;
 pub use crate::operate::figures::{Active, Ending, Figures};
 pub use crate::upstream::engine::Engine;
-pub use crate::upstream::roster::Place;
+pub use crate::upstream::roster::ServerInstance;
 pub use crate::upstream::server::{Pool, PoolLimits, Upstream};
 pub use crate::upstream::wire::{Described, Wire};
--- a/crates/emberpin-limiter/src/messages.rs
+++ b/crates/emberpin-limiter/src/messages.rs
@@ -1,7 +1,7 @@
-//! What the limiter's parts tell each other: requests, answers, attempts and news, beneath them all so that
-//! none of them needs another for its types.
+//! The messages between the limiter's parts: requests, answers, ends of attempts, and inputs of the driver. They lie
+//! beneath all parts, so that none depends on another for its types.
 
-use crate::front::stream::{Passing, Upload};
+use crate::front::stream::{StreamedResponse, Upload};
 use crate::upstream::listing::Listing;
 use bytes::Bytes;
 use emberpin_balancer::{
@@ -19,11 +19,12 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Bodies up to this are held whole; longer ones are passed on in pieces.
+/// Longer bodies are streamed; shorter ones are buffered.
 pub const MAX_BODY: usize = 64 * 1024;
-/// What a request's attempts pass.
+
+/// Decides before each attempt whether it may be sent, where a request outlives the limiter that received it.
 pub trait Gate {
-    /// Whether an attempt may go to a server of this zone and cell; asked within the time that it has.
+    /// Whether an attempt may go to a server of this zone and cell; answered within the time that the attempt has.
     fn opens<'a>(
         &'a self,
         attempt: u32,
@@ -32,9 +33,9 @@
     ) -> Pin<Box<dyn Future<Output = bool> + 'a>>;
 }
 
-/// A client's request as it goes on to servers.
+/// A client's request as it is forwarded to servers.
 #[derive(Clone)]
-pub struct Outgoing {
+pub struct UpstreamRequest {
     /// As the client wrote it.
     pub method: Method,
     /// As the client wrote it.
@@ -42,110 +43,110 @@
     /// Without those that concern the client's connection.
     pub headers: HeaderMap,
     /// What it carries.
-    pub body: Upstreamed,
-    /// Answers that are too long to be held may be passed on in pieces.
-    pub may_pass: bool,
-    /// It goes on no connection that has been idle for longer, where that is bounded: what is sent on one that the
-    /// server has just given up may have run.
-    pub freshness: Option<Duration>,
-    /// Asked before each attempt, where work outlives its limiter.
+    pub body: RequestBody,
+    /// A response that is too long to buffer may be streamed; otherwise it counts as an error.
+    pub may_stream: bool,
+    /// It is sent on no connection that has been idle for longer: the server may just have closed that one, and the
+    /// request would count as one that may have run. `None` for no bound.
+    pub max_idle_time: Option<Duration>,
+    /// Asked before each attempt; `None` where the request does not outlive its limiter.
     pub gate: Option<Rc<dyn Gate>>,
-    /// Whoever sent it on has taken it back: nothing is written of an attempt that has not begun to be.
+    /// The sender has withdrawn it: an attempt of which nothing is written yet ends as not sent.
     pub withdrawn: Cell<bool>,
 }
 
 /// A request's body.
 #[derive(Clone)]
-pub enum Upstreamed {
-    /// All of it is here.
-    Whole(Bytes),
-    /// It is still coming.
-    Coming(Rc<Upload>),
+pub enum RequestBody {
+    /// All of it has arrived.
+    Buffered(Bytes),
+    /// The client is still sending it.
+    Uploading(Rc<Upload>),
 }
 
-impl Outgoing {
-    /// Whether another attempt would find all that went out before.
-    pub fn is_held(&self) -> bool {
+impl UpstreamRequest {
+    /// Whether another attempt could send everything that earlier ones sent.
+    pub fn is_replayable(&self) -> bool {
         match &self.body {
-            Upstreamed::Whole(_) => true,
-            Upstreamed::Coming(upload) => upload.is_held(),
+            RequestBody::Buffered(_) => true,
+            RequestBody::Uploading(upload) => upload.is_replayable(),
         }
     }
 }
 
-/// What a client is told: the one final answer, or the beginning of one that is passed on in pieces.
+/// The one final answer to a client, complete or as a stream.
 pub enum Reply {
     /// All of it.
     Answer(Answer),
-    /// Its beginning, and what brings the rest.
-    Passing(Passing),
+    /// The head of a server's response, and the stream that brings its body.
+    Streamed(StreamedResponse),
 }
 
-/// How an answer begins, as its client gets it.
+/// The head of a response, as its client receives it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Head {
-    /// Its status.
+pub struct ResponseHead {
+    /// The status code.
     pub status: StatusCode,
-    /// Its headers, without those that concern one connection.
+    /// The headers, without those that concern one connection.
     pub headers: HeaderMap,
 }
 
-impl Head {
-    /// A good answer of which only the type of its body is passed on.
-    pub fn of_type(content_type: Option<HeaderValue>) -> Head {
+impl ResponseHead {
+    /// The head of a good response of which only the content type is forwarded.
+    pub fn of_type(content_type: Option<HeaderValue>) -> ResponseHead {
         let headers = content_type
             .map(|kind| (CONTENT_TYPE, kind))
             .into_iter()
             .collect();
-        Head {
+        ResponseHead {
             status: StatusCode::OK,
             headers,
         }
     }
 }
 
-/// A server's answer.
+/// A server's response, received completely.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Served {
-    /// How it begins.
-    pub head: Head,
+pub struct ServerResponse {
+    /// Its head, as the client receives it.
+    pub head: ResponseHead,
     /// All of its body.
     pub body: Bytes,
 }
 
-/// How an attempt or a probe ended. Its connection is closed or back in the pool by then.
-pub struct Ended {
-    /// How.
+/// How an attempt or a health check ended. Unless the response is streamed, its connection is closed or back in the pool
+/// by then.
+pub struct AttemptEnd {
+    /// The result as the decision module counts it.
     pub outcome: Outcome,
-    /// How long it took.
+    /// From the start of the attempt, or the last byte of an upload, to the end, in milliseconds.
     pub elapsed: Millis,
-    /// What the server said of its load.
-    pub report: LoadReport,
-    /// The customer's metered use as a share of its rate.
+    /// The load that the server reported.
+    pub load: LoadReport,
+    /// The customer's metered use as a share of its rate, where the server reported it.
     pub metered: Option<f64>,
-    /// The good answer, if it is one.
-    pub served: Option<Reply>,
-    /// What the server said where that is no good answer: its client gets it if no attempt brings a better one.
-    pub told: Option<Reply>,
+    /// The response, if the outcome is [`Outcome::Ok`].
+    pub response: Option<Reply>,
+    /// A response that is not good but that the client may receive, if no other attempt brings a better one.
+    pub error_response: Option<Reply>,
     /// Another server answered than the one that was meant.
     pub misdirected: bool,
-    /// The server's machine gave no sign of life, or takes no connection.
+    /// The server's machine gave no sign of life, or accepted no connection.
     pub unreachable: bool,
-    /// Something of the request went out.
+    /// At least one byte of the request was sent.
     pub sent: bool,
 }
 
-impl Ended {
-    /// One that never began.
-    pub fn unsent() -> Ended {
-        let report = LoadReport::default();
-        Ended {
+impl AttemptEnd {
+    /// The end of an attempt that never began.
+    pub fn unsent() -> AttemptEnd {
+        AttemptEnd {
             outcome: Outcome::NotSent,
             elapsed: 0.0,
-            report,
+            load: LoadReport::default(),
             metered: None,
-            served: None,
-            told: None,
+            response: None,
+            error_response: None,
             misdirected: false,
             unreachable: false,
             sent: false,
@@ -153,52 +154,53 @@
     }
 }
 
-/// A request that a client made; dropping its answer's receiver says nothing, [`Input::Gone`] does.
-pub struct Call {
-    /// Names it at this limiter.
+/// A client's request that passed admission. Dropping the receiver of its reply does not abandon it;
+/// [`Input::ClientGone`] does.
+pub struct AdmittedRequest {
+    /// Its id, unique within this limiter.
     pub id: RequestId,
-    /// Its class.
+    /// The traffic class, which has a latency target and a priority.
     pub class: ClassId,
-    /// Its customer's plan.
+    /// The customer's plan.
     pub plan: PlanId,
-    /// Its customer.
+    /// The customer whose quota it draws on.
     pub customer: CustomerId,
-    /// What it draws from the quota.
+    /// How much it draws from the quota.
     pub units: f64,
-    /// How many limiters the customer comes through.
+    /// Over how many limiters the customer's requests are spread.
     pub set_size: u32,
-    /// The first of them.
+    /// The first of those limiters.
     pub set_first: GatewayId,
-    /// Where it may have run, if it is taken over from another limiter.
+    /// Where it may have run, if it was taken over from another limiter.
     pub ran: Option<PriorAttempt>,
-    /// How long the module may take, once the last byte of the request has come.
-    pub patience: Duration,
-    /// When the last byte of its answer must be out; far off while its body is still coming.
+    /// How long the decision module may take, counted from the last byte of the request.
+    pub time_limit: Duration,
+    /// When the last byte of its answer must be out; far in the future while its body is uploaded.
     pub expires: Instant,
-    /// What goes on to a server.
-    pub outgoing: Rc<Outgoing>,
-    /// Who waits for the one answer.
-    pub answer: oneshot::Sender<Reply>,
+    /// What is forwarded to a server.
+    pub outgoing: Rc<UpstreamRequest>,
+    /// Receives the one reply.
+    pub reply_to: oneshot::Sender<Reply>,
 }
 
-/// The one final answer.
+/// The final answer to a request, complete.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(from = "Carried", into = "Carried")]
+#[serde(from = "StoredAnswer", into = "StoredAnswer")]
 pub enum Answer {
-    /// What a server said.
-    Served(Served),
-    /// It has not run; the client may come back.
+    /// A server's response.
+    Served(ServerResponse),
+    /// It has not run; the client may retry.
     Refused {
-        /// After how long; 0 for no advice.
+        /// After this many milliseconds; 0 for no advice.
         retry_after: Millis,
     },
-    /// Nothing is promised.
+    /// It may have run; nothing is known of its effect.
     Failed,
 }
 
-/// An answer as a log and other limiters have it.
+/// An answer as logs and peers store it. Their bytes are recorded in tests: variants and fields keep their order.
 #[derive(Clone, Serialize, Deserialize)]
-enum Carried {
+enum StoredAnswer {
     Served {
         content_type: Option<Vec<u8>>,
         body: Vec<u8>,
@@ -209,75 +211,75 @@
     Failed,
 }
 
-impl From<Answer> for Carried {
-    fn from(answer: Answer) -> Carried {
+impl From<Answer> for StoredAnswer {
+    fn from(answer: Answer) -> StoredAnswer {
         match answer {
-            Answer::Served(Served { head, body }) => Carried::Served {
+            Answer::Served(ServerResponse { head, body }) => StoredAnswer::Served {
                 content_type: head
                     .headers
                     .get(CONTENT_TYPE)
                     .map(|value| value.as_bytes().to_vec()),
                 body: body.to_vec(),
             },
-            Answer::Refused { retry_after } => Carried::Refused { retry_after },
-            Answer::Failed => Carried::Failed,
+            Answer::Refused { retry_after } => StoredAnswer::Refused { retry_after },
+            Answer::Failed => StoredAnswer::Failed,
         }
     }
 }
 
-impl From<Carried> for Answer {
-    fn from(carried: Carried) -> Answer {
-        match carried {
-            Carried::Served { content_type, body } => Answer::Served(Served {
-                head: Head::of_type(
+impl From<StoredAnswer> for Answer {
+    fn from(stored: StoredAnswer) -> Answer {
+        match stored {
+            StoredAnswer::Served { content_type, body } => Answer::Served(ServerResponse {
+                head: ResponseHead::of_type(
                     content_type.and_then(|bytes| HeaderValue::from_bytes(&bytes).ok()),
                 ),
                 body: body.into(),
             }),
-            Carried::Refused { retry_after } => Answer::Refused { retry_after },
-            Carried::Failed => Answer::Failed,
+            StoredAnswer::Refused { retry_after } => Answer::Refused { retry_after },
+            StoredAnswer::Failed => Answer::Failed,
         }
     }
 }
 
-/// What the driver hears of.
+/// An event for the owner of an engine.
 pub enum Input {
-    /// A request came.
-    Call(Call),
-    /// A client went away without its answer.
-    Gone(RequestId),
+    /// A client's request passed admission.
+    Request(AdmittedRequest),
+    /// The client of a request disconnected before its answer.
+    ClientGone(RequestId),
     /// An attempt ended.
-    Ended {
-        /// Of which request.
+    AttemptEnded {
+        /// The request that it was an attempt of.
         request: RequestId,
-        /// The attempt's number within the request.
+        /// The attempt's number within the request, from 0.
         attempt: u32,
-        /// At which server.
+        /// The server that it was sent to.
         server: ServerId,
-        /// How.
-        ended: Ended,
+        /// Its result.
+        ended: AttemptEnd,
     },
-    /// An attempt has had the time that the module gives it, and goes on.
+    /// An attempt has used up the time that the decision module gave it, and goes on.
     Overdue {
-        /// Of which request.
+        /// The request that it is an attempt of.
         request: RequestId,
-        /// The attempt's number within the request.
+        /// The attempt's number within the request, from 0.
         attempt: u32,
     },
-    /// A probe ended.
-    Probed {
-        /// At which server.
+    /// A health check ended.
+    ProbeEnded {
+        /// The server that was checked.
         server: ServerId,
-        /// How.
-        ended: Ended,
+        /// Its result.
+        ended: AttemptEnd,
     },
-    /// News of the list of servers.
+    /// A list of servers, or changes to it.
     Listing(Listing),
-    /// A message of another limiter.
+    /// A message from another limiter.
     Peer {
-        /// The sender.
+        /// The limiter that sent it.
         from: GatewayId,
-        /// Its bytes.
+        /// The encoded message, for the decision module to decode.
         bytes: Vec<u8>,
     },
 }
--- a/crates/emberpin-limiter/src/operate/entry.rs
+++ b/crates/emberpin-limiter/src/operate/entry.rs
@@ -4,7 +4,7 @@
 use crate::front::admission::Admission;
 use crate::front::answers::written;
 use crate::front::clients::strip;
-use crate::messages::{Answer, Head, Served};
+use crate::messages::{Answer, ResponseHead, ServerResponse};
 use crate::operate::config::Config;
 use crate::operate::operator::Operator;
 use crate::upstream::listing::Entry as Listed;
@@ -115,8 +115,8 @@
             units: None,
             metered: None,
         }));
-        written(Answer::Served(Served {
-            head: Head::default(),
+        written(Answer::Served(ServerResponse {
+            head: ResponseHead::default(),
             body: Bytes::new(),
         }))
         .status()
--- a/crates/emberpin-limiter/src/stages/idempotency.rs
+++ b/crates/emberpin-limiter/src/stages/idempotency.rs
@@ -6,7 +6,7 @@
 use crate::between::tls;
 use crate::front::answers::{plain, written};
 use crate::front::stream::Content;
-use crate::messages::{Answer, Outgoing, MAX_BODY};
+use crate::messages::{Answer, UpstreamRequest, MAX_BODY};
 use crate::operate::config::Config;
 use crate::operate::die;
 use crate::operate::operator::{self, Keys, Repeats};
@@ -96,7 +96,7 @@
 
 /// A keyed request, as the stage sees it.
 pub struct Keyed<'a> {
-    pub outgoing: &'a Outgoing,
+    pub outgoing: &'a UpstreamRequest,
     pub gate: Option<Rc<WorkGate>>,
     pub terms: Terms,
     pub body: &'a Bytes,
@@ -735,7 +735,7 @@
     let title = status.canonical_reason().unwrap_or("Problem");
     let body = serde_json::json!({"type": "about:blank", "title": title, "status": status.as_u16(), "detail": detail});
     let mut response = plain(status);
-    *response.body_mut() = Content::Whole(Some(body.to_string().into()));
+    *response.body_mut() = Content::Buffered(Some(body.to_string().into()));
     let kind = HeaderValue::from_static("application/problem+json");
     response.headers_mut().insert(header::CONTENT_TYPE, kind);
     let seconds = retry_after.map(|millis| format!("{:.3}", millis / 1000.0));
--- a/crates/emberpin-limiter/src/stages/takeover.rs
+++ b/crates/emberpin-limiter/src/stages/takeover.rs
@@ -2,7 +2,7 @@
 //! and goes on with the work of a limiter that is gone. Who may is decided in `emberpin_failover`.
 
 use crate::between::link::{Link, News, WORK};
-use crate::messages::{Answer, Gate, Outgoing, Upstreamed};
+use crate::messages::{Answer, Gate, RequestBody, UpstreamRequest};
 use crate::operate::config::Config;
 use crate::operate::die;
 use crate::operate::takeover::Takeover as Settings;
@@ -152,7 +152,7 @@
 /// A request that is gone on with here.
 pub struct Taken {
     pub terms: Terms,
-    pub outgoing: Outgoing,
+    pub outgoing: UpstreamRequest,
     pub ran: PriorAttempt,
     pub patience: Duration,
 }
@@ -266,12 +266,12 @@
     pub fn carry(
         &self,
         gate: &WorkGate,
-        outgoing: &Outgoing,
+        outgoing: &UpstreamRequest,
         terms: &Terms,
         key: Key,
         fingerprint: Fingerprint,
     ) {
-        let Upstreamed::Whole(body) = &outgoing.body else {
+        let RequestBody::Buffered(body) = &outgoing.body else {
             return;
         };
         let headers = outgoing
@@ -474,13 +474,13 @@
                 set_size: carried.set_size,
                 set_first: GatewayId(carried.set_first),
             },
-            outgoing: Outgoing {
+            outgoing: UpstreamRequest {
                 method: carried.method.parse().ok()?,
                 uri: carried.uri.parse().ok()?,
                 headers,
-                body: Upstreamed::Whole(carried.body.into()),
-                may_pass: false,
-                freshness: None,
+                body: RequestBody::Buffered(carried.body.into()),
+                may_stream: false,
+                max_idle_time: None,
                 gate: Some(Rc::new(gate)),
                 withdrawn: Default::default(),
             },
--- a/crates/emberpin-limiter/src/upstream/driver.rs
+++ b/crates/emberpin-limiter/src/upstream/driver.rs
@@ -252,9 +252,9 @@
 
     fn take(&mut self, input: Input) {
         match input {
-            Input::Call(call) => self.engine.call(call),
-            Input::Gone(request) => self.engine.gone(request),
-            Input::Ended {
+            Input::Request(call) => self.engine.call(call),
+            Input::ClientGone(request) => self.engine.gone(request),
+            Input::AttemptEnded {
                 request,
                 attempt,
                 server,
@@ -264,11 +264,11 @@
             }
             // Attempts here end with the time that the module gives them.
             Input::Overdue { .. } => {}
-            Input::Probed { server, ended } => self.engine.feed(Event::ProbeEnded {
+            Input::ProbeEnded { server, ended } => self.engine.feed(Event::ProbeEnded {
                 server,
                 outcome: ended.outcome,
                 elapsed: ended.elapsed,
-                load: ended.report,
+                load: ended.load,
             }),
             Input::Listing(listing) => self.told(listing),
             Input::Peer { from, bytes } => {
--- a/crates/emberpin-limiter/src/upstream/engine.rs
+++ b/crates/emberpin-limiter/src/upstream/engine.rs
@@ -1,7 +1,9 @@
 //! Hosts one decision module: feeds it what happened and carries out what it says about requests and attempts. Keeps its
 //! timers and the table of requests. No decision is taken here.
 
-use crate::messages::{Answer, Call, Ended, Input, Outgoing, Reply, Upstreamed};
+use crate::messages::{
+    AdmittedRequest, Answer, AttemptEnd, Input, Reply, RequestBody, UpstreamRequest,
+};
 use crate::operate::clock::Clock;
 use crate::upstream::server::Upstream;
 use emberpin_balancer::*;
@@ -15,7 +17,7 @@
 
 /// A request that is owed an answer or still has an attempt out.
 struct Held {
-    outgoing: Rc<Outgoing>,
+    outgoing: Rc<UpstreamRequest>,
     expires: Instant,
     /// How long it may take once its body has ended.
     patience: Duration,
@@ -101,12 +103,12 @@
     }
 
     /// A client's request: one answer is owed.
-    pub fn call(&mut self, call: Call) {
+    pub fn call(&mut self, call: AdmittedRequest) {
         let held = Held {
             outgoing: call.outgoing,
             expires: call.expires,
-            patience: call.patience,
-            answer: Some(call.answer),
+            patience: call.time_limit,
+            answer: Some(call.reply_to),
             attempts: 0,
             out: None,
             ran: call.ran.is_some(),
@@ -118,7 +120,7 @@
             class: call.class,
             plan: call.plan,
             customer: call.customer,
-            remaining: call.patience.min(left(call.expires)).as_secs_f64() * 1000.0,
+            remaining: call.time_limit.min(left(call.expires)).as_secs_f64() * 1000.0,
             units: call.units,
             gateways: GatewaySet {
                 first: call.set_first,
@@ -155,7 +157,7 @@
         request: RequestId,
         attempt: u32,
         server: ServerId,
-        ended: Ended,
+        ended: AttemptEnd,
         again: bool,
     ) {
         let Some(held) = self.requests.get_mut(&request) else {
@@ -163,10 +165,10 @@
         };
         held.out = None;
         held.ran |= !ended.outcome.never_ran();
-        if ended.told.is_some() {
-            held.told = ended.told;
+        if ended.error_response.is_some() {
+            held.told = ended.error_response;
         }
-        if let Some(served) = ended.served {
+        if let Some(served) = ended.response {
             if let Some(answer) = held.answer.take() {
                 _ = answer.send(served);
             }
@@ -178,8 +180,8 @@
             outcome: ended.outcome,
             elapsed: ended.elapsed,
             answered: held.answer.is_none(),
-            replayable: again && held.outgoing.is_held(),
-            load: ended.report,
+            replayable: again && held.outgoing.is_replayable(),
+            load: ended.load,
             units: None,
             metered: ended.metered,
         });
@@ -193,7 +195,7 @@
             .requests
             .get(&request)
             .filter(|held| held.attempts == attempt + 1);
-        let held = held.filter(|held| held.outgoing.is_held());
+        let held = held.filter(|held| held.outgoing.is_replayable());
         held.and_then(|held| held.out.as_ref())
             .is_some_and(|out| out.cancel.is_some())
     }
@@ -205,7 +207,7 @@
             .requests
             .get_mut(&request)
             .filter(|held| held.attempts == attempt + 1);
-        let held = held.filter(|held| held.outgoing.is_held());
+        let held = held.filter(|held| held.outgoing.is_replayable());
         let cancel = held
             .and_then(|held| held.out.as_mut())
             .and_then(|out| out.cancel.take());
@@ -265,7 +267,7 @@
                 let inputs = self.inputs.clone();
                 spawn_local(async move {
                     let ended = upstream.probe().await;
-                    _ = inputs.send(Input::Probed { server, ended }).await;
+                    _ = inputs.send(Input::ProbeEnded { server, ended }).await;
                 });
             }
             Action::CloseIdle { server } => {
@@ -313,7 +315,7 @@
                 outcome: Outcome::NotSent,
                 elapsed: 0.0,
                 answered: held.answer.is_none(),
-                replayable: held.outgoing.is_held(),
+                replayable: held.outgoing.is_replayable(),
                 load: LoadReport::default(),
                 units: None,
                 metered: None,
@@ -334,9 +336,9 @@
             false => timeout.min(whole),
             true => {
                 let whole = match &outgoing.body {
-                    Upstreamed::Whole(_) => whole,
+                    RequestBody::Buffered(_) => whole,
                     // Its time begins with its last byte, and is no longer than any other's.
-                    Upstreamed::Coming(_) => held.patience,
+                    RequestBody::Uploading(_) => held.patience,
                 };
                 if timeout < whole {
                     let inputs = inputs.clone();
@@ -358,10 +360,10 @@
             let left = timeout.saturating_sub(asked.elapsed());
             let ended = match may_go && !left.is_zero() {
                 true => upstream.attempt(outgoing, left, cancelled).await,
-                false => Ended::unsent(),
+                false => AttemptEnd::unsent(),
             };
             _ = inputs
-                .send(Input::Ended {
+                .send(Input::AttemptEnded {
                     request,
                     attempt,
                     server,
--- a/crates/emberpin-limiter/src/upstream/roster.rs
+++ b/crates/emberpin-limiter/src/upstream/roster.rs
@@ -12,7 +12,7 @@
 
 /// Where a life of a server is reached.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Place {
+pub struct ServerInstance {
     /// Where it listens.
     pub address: SocketAddr,
     /// When it started, in Unix milliseconds; 0 where that is not told.
@@ -86,12 +86,12 @@
     }
 
     /// Where it is reached, if the list has it ready.
-    pub fn place(&self, id: ServerId) -> Option<Place> {
+    pub fn place(&self, id: ServerId) -> Option<ServerInstance> {
         let target = self
             .listed
             .get(&id)
             .filter(|target| target.state == State::Ready)?;
-        Some(Place {
+        Some(ServerInstance {
             address: target.endpoint?,
             boot_ms: target.boot_ms,
         })
--- a/crates/emberpin-limiter/src/upstream/server/exchange.rs
+++ b/crates/emberpin-limiter/src/upstream/server/exchange.rs
@@ -7,7 +7,7 @@
 use super::upstream::Upstream;
 use super::write_progress::WriteProgress;
 use crate::front::stream::Upload;
-use crate::messages::{Outgoing, Upstreamed};
+use crate::messages::{RequestBody, UpstreamRequest};
 use crate::upstream::wire::Wire;
 use bytes::Bytes;
 use emberpin_balancer::Outcome;
@@ -60,8 +60,8 @@
     /// connection broke before the last byte was written; where servers may run a part of a request, before the first.
     pub(super) async fn exchange(
         self: &Rc<Self>,
-        mut request: Request<Upstreamed>,
-        outgoing: Option<&Outgoing>,
+        mut request: Request<RequestBody>,
+        outgoing: Option<&UpstreamRequest>,
         started: Instant,
         timeout: Duration,
     ) -> Exchange {
@@ -75,8 +75,8 @@
             return Exchange::unsent(Outcome::NotSent);
         }
         let upload = match request.body() {
-            Upstreamed::Whole(_) => None,
-            Upstreamed::Coming(upload) => Some(upload.clone()),
+            RequestBody::Buffered(_) => None,
+            RequestBody::Uploading(upload) => Some(upload.clone()),
         };
         let deadline = started + timeout;
         let left = match &upload {
@@ -89,7 +89,7 @@
         let rules = ResponseRules {
             wire: &*wire,
             mark: mark.as_ref(),
-            may_stream: outgoing.is_some_and(|outgoing| outgoing.may_pass),
+            may_stream: outgoing.is_some_and(|outgoing| outgoing.may_stream),
             buffer_limit: self.pool.limits.hold,
         };
         let (progress, idle_time) = (connection.progress.clone(), connection.idle_time);
@@ -130,11 +130,11 @@
     /// A connection within the attempt's time, else how the exchange ends without one.
     async fn connect_for(
         &self,
-        outgoing: Option<&Outgoing>,
+        outgoing: Option<&UpstreamRequest>,
         started: Instant,
         timeout: Duration,
     ) -> Result<ServerConnection, Exchange> {
-        let max_idle_time = outgoing.and_then(|outgoing| outgoing.freshness);
+        let max_idle_time = outgoing.and_then(|outgoing| outgoing.max_idle_time);
         let connecting = timeout_at(
             started + timeout.min(self.pool.limits.connect),
             self.connect(max_idle_time),
--- a/crates/emberpin-limiter/src/upstream/server/request_body.rs
+++ b/crates/emberpin-limiter/src/upstream/server/request_body.rs
@@ -1,8 +1,8 @@
 //! The body of a request as one attempt sends it: buffered, or streamed while its client uploads it.
 
 use super::write_progress::WriteProgress;
-use crate::front::stream::{Cut, Upload};
-use crate::messages::Upstreamed;
+use crate::front::stream::{BodyInterrupted, Upload};
+use crate::messages::RequestBody;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use std::pin::Pin;
@@ -26,14 +26,14 @@
 }
 
 impl SentBody {
-    pub(super) fn new(body: Upstreamed, progress: Rc<WriteProgress>) -> SentBody {
+    pub(super) fn new(body: RequestBody, progress: Rc<WriteProgress>) -> SentBody {
         match body {
-            Upstreamed::Whole(bytes) => SentBody {
+            RequestBody::Buffered(bytes) => SentBody {
                 buffered: Some(bytes),
                 upload: None,
                 progress,
             },
-            Upstreamed::Coming(upload) => SentBody {
+            RequestBody::Uploading(upload) => SentBody {
                 buffered: Some(upload.held.clone()),
                 upload: Some(RemainingUpload {
                     length: upload.length,
@@ -47,12 +47,12 @@
 
 impl Body for SentBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = BodyInterrupted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyInterrupted>>> {
         let buffered = self.buffered.take().filter(|bytes| !bytes.is_empty());
         let Some(RemainingUpload { upload, length }) = &mut self.upload else {
             self.progress.end_body();
--- a/crates/emberpin-limiter/src/upstream/server/streamed_response.rs
+++ b/crates/emberpin-limiter/src/upstream/server/streamed_response.rs
@@ -2,7 +2,7 @@
 
 use super::connection::ServerConnection;
 use super::upstream::Upstream;
-use crate::front::stream::{Cut, Pieces};
+use crate::front::stream::{BodyInterrupted, ResponseStream};
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
 use std::collections::VecDeque;
@@ -28,13 +28,13 @@
 
 impl PartialResponse {
     /// Polls for the next chunk behind the buffered ones, and drives the connection that carries it.
-    fn poll_body(&mut self, context: &mut Context) -> Poll<Option<Result<Bytes, Cut>>> {
+    fn poll_body(&mut self, context: &mut Context) -> Poll<Option<Result<Bytes, BodyInterrupted>>> {
         loop {
             self.connection.poll(context);
             return match Pin::new(&mut self.body).poll_frame(context) {
                 Poll::Pending => Poll::Pending,
                 Poll::Ready(None) => Poll::Ready(None),
-                Poll::Ready(Some(Err(_))) => Poll::Ready(Some(Err(Cut))),
+                Poll::Ready(Some(Err(_))) => Poll::Ready(Some(Err(BodyInterrupted))),
                 Poll::Ready(Some(Ok(frame))) => match frame.into_data() {
                     Ok(data) => Poll::Ready(Some(Ok(data))),
                     // Trailers are not forwarded.
@@ -75,12 +75,12 @@
     }
 }
 
-impl Pieces for StreamedBody {
-    fn left(&self) -> Option<u64> {
+impl ResponseStream for StreamedBody {
+    fn remaining(&self) -> Option<u64> {
         self.remaining
     }
 
-    fn poll_next(&mut self, context: &mut Context) -> Poll<Option<Result<Bytes, Cut>>> {
+    fn poll_next(&mut self, context: &mut Context) -> Poll<Option<Result<Bytes, BodyInterrupted>>> {
         let Some(response) = &mut self.response else {
             return Poll::Ready(None);
         };
@@ -94,7 +94,7 @@
                     return Poll::Pending;
                 }
                 self.response = None;
-                return Poll::Ready(Some(Err(Cut)));
+                return Poll::Ready(Some(Err(BodyInterrupted)));
             }
             Poll::Ready(Some(Ok(chunk))) => {
                 self.remaining = self
@@ -104,7 +104,7 @@
                     .as_mut()
                     .reset(Instant::now() + STALL_TIMEOUT);
             }
-            Poll::Ready(Some(Err(Cut))) => self.response = None,
+            Poll::Ready(Some(Err(BodyInterrupted))) => self.response = None,
             Poll::Ready(None) => self.on_end(context),
         }
         next
--- a/crates/emberpin-limiter/src/upstream/server/upstream.rs
+++ b/crates/emberpin-limiter/src/upstream/server/upstream.rs
@@ -3,9 +3,9 @@
 use super::connection::{ConnectError, ServerConnection};
 use super::exchange::{Exchange, ExchangedResponse};
 use super::pool::{Pool, UpstreamKey};
-use crate::front::stream::Passing;
-use crate::messages::{Answer, Ended, Outgoing, Reply, Served, Upstreamed};
-use crate::upstream::roster::Place;
+use crate::front::stream::StreamedResponse;
+use crate::messages::{Answer, AttemptEnd, Reply, RequestBody, ServerResponse, UpstreamRequest};
+use crate::upstream::roster::ServerInstance;
 use crate::upstream::wire::Described;
 use bytes::Bytes;
 use emberpin_balancer::Outcome;
@@ -20,7 +20,7 @@
 /// The way to one incarnation of one server.
 pub struct Upstream {
     /// Where it is reached.
-    pub place: Place,
+    pub place: ServerInstance,
     /// What distinguishes this incarnation from another, where requests say which one they are meant for.
     pub(super) instance: Option<HeaderValue>,
     pub(super) pool: Rc<Pool>,
@@ -31,13 +31,13 @@
 
 impl Upstream {
     /// The way to a server at this place.
-    pub fn new(place: Place, pool: Rc<Pool>) -> Rc<Upstream> {
+    pub fn new(place: ServerInstance, pool: Rc<Pool>) -> Rc<Upstream> {
         Upstream::of_instance(place, None, pool)
     }
 
     /// The way to this incarnation of a server, which requests name by `instance`.
     pub fn of_instance(
-        place: Place,
+        place: ServerInstance,
         instance: Option<HeaderValue>,
         pool: Rc<Pool>,
     ) -> Rc<Upstream> {
@@ -71,10 +71,10 @@
     /// sending the outcome to report, or by being dropped, which reports [`Outcome::Cancelled`].
     pub async fn attempt(
         self: Rc<Self>,
-        outgoing: Rc<Outgoing>,
+        outgoing: Rc<UpstreamRequest>,
         timeout: Duration,
         cancelled: oneshot::Receiver<Outcome>,
-    ) -> Ended {
+    ) -> AttemptEnd {
         let started = Instant::now();
         let mut request = Request::new(outgoing.body.clone());
         *request.method_mut() = outgoing.method.clone();
@@ -92,9 +92,9 @@
     }
 
     /// Sends a health check.
-    pub async fn probe(self: Rc<Self>) -> Ended {
+    pub async fn probe(self: Rc<Self>) -> AttemptEnd {
         let started = Instant::now();
-        let mut request = Request::new(Upstreamed::Whole(Bytes::new()));
+        let mut request = Request::new(RequestBody::Buffered(Bytes::new()));
         *request.uri_mut() = Uri::from_static("/health/live");
         request
             .headers_mut()
@@ -105,7 +105,7 @@
     }
 
     /// The end of an exchange as its caller receives it.
-    fn describe(&self, started: Instant, exchange: Exchange) -> Ended {
+    fn describe(&self, started: Instant, exchange: Exchange) -> AttemptEnd {
         let Exchange {
             outcome,
             response,
@@ -119,12 +119,12 @@
             * 1000.0;
         let (response, body) = match response {
             None => {
-                return Ended {
+                return AttemptEnd {
                     outcome,
                     elapsed,
                     unreachable,
                     sent,
-                    ..Ended::unsent()
+                    ..AttemptEnd::unsent()
                 }
             }
             Some(ExchangedResponse::Complete(response, bytes)) => (response, Ok(bytes)),
@@ -132,29 +132,29 @@
         };
         let Described {
             head,
-            report,
+            load,
             metered,
             misdirected,
             stands,
         } = self.pool.wire.describe(outcome, response);
         let reply = match body {
-            Ok(body) => Reply::Answer(Answer::Served(Served { head, body })),
-            Err(stream) => Reply::Passing(Passing {
+            Ok(body) => Reply::Answer(Answer::Served(ServerResponse { head, body })),
+            Err(stream) => Reply::Streamed(StreamedResponse {
                 head,
-                pieces: Box::new(stream),
+                stream: Box::new(stream),
             }),
         };
-        let (served, told) = match outcome {
+        let (response, error_response) = match outcome {
             Outcome::Ok => (Some(reply), None),
             _ => (None, Some(reply).filter(|_| stands)),
         };
-        Ended {
+        AttemptEnd {
             outcome,
             elapsed,
-            report,
+            load,
             metered,
-            served,
-            told,
+            response,
+            error_response,
             misdirected,
             unreachable,
             sent,
--- a/crates/emberpin-limiter/src/upstream/wire.rs
+++ b/crates/emberpin-limiter/src/upstream/wire.rs
@@ -1,6 +1,6 @@
 //! How requests and answers are worded between a limiter and its servers: the host of connections is given it.
 
-use crate::messages::Head;
+use crate::messages::ResponseHead;
 use emberpin_balancer::host_config::load_report_field;
 use emberpin_balancer::{LoadReport, Outcome};
 use hyper::header::{HeaderMap, HeaderValue, CONTENT_TYPE};
@@ -37,9 +37,9 @@
 /// What an answer says, beside its body.
 pub struct Described {
     /// How it begins for its client.
-    pub head: Head,
+    pub head: ResponseHead,
     /// What the server said of its load.
-    pub report: LoadReport,
+    pub load: LoadReport,
     /// The customer's metered use as a share of its rate.
     pub metered: Option<f64>,
     /// Another server answered than the one that was meant.
@@ -107,8 +107,8 @@
             }
         }
         Described {
-            head: Head::of_type(response.headers().get(CONTENT_TYPE).cloned()),
-            report,
+            head: ResponseHead::of_type(response.headers().get(CONTENT_TYPE).cloned()),
+            load: report,
             metered: used.map(|percent| percent / 100.0),
             misdirected: false,
             stands: false,
--- a/crates/emberpin-proxy/src/command.rs
+++ b/crates/emberpin-proxy/src/command.rs
@@ -2,7 +2,7 @@
 //! health checks. They lie beneath all of these, so that none depends on another for its types.
 
 use emberpin_balancer::{RequestId, ServerId};
-use emberpin_limiter::host::{Outgoing, Reply};
+use emberpin_limiter::host::{Reply, UpstreamRequest};
 use emberpin_membership::instance::Instance;
 use emberpin_membership::session::ToProxy;
 use std::fmt;
@@ -27,7 +27,7 @@
     /// Host for which routes are looked up.
     pub host: String,
     /// Method, target, headers and body that are forwarded to a server.
-    pub outgoing: Outgoing,
+    pub outgoing: UpstreamRequest,
     /// When the request's head was complete. Time limits count from here unless the body is still being uploaded.
     pub arrived_at: Instant,
     /// How long the client waits for the response, if it states that.
--- a/crates/emberpin-proxy/src/controller/attempts.rs
+++ b/crates/emberpin-proxy/src/controller/attempts.rs
@@ -5,7 +5,7 @@
 use crate::command::RouteRequest;
 use crate::service::Service;
 use emberpin_balancer::{RequestId, ServerId};
-use emberpin_limiter::host::{Ended, Input};
+use emberpin_limiter::host::{AttemptEnd, Input};
 use std::time::Duration;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -18,16 +18,16 @@
     /// Handles the end of an attempt, or its time running out, as its engine reports them.
     pub(super) fn on_input(&mut self, input: Input) {
         match input {
-            Input::Ended {
+            Input::AttemptEnded {
                 request,
                 attempt,
                 server,
                 ended,
             } => self.on_attempt_ended(request, attempt, server, ended),
             Input::Overdue { request, attempt } => self.on_attempt_overdue(request, attempt),
-            Input::Call(_)
-            | Input::Gone(_)
-            | Input::Probed { .. }
+            Input::Request(_)
+            | Input::ClientGone(_)
+            | Input::ProbeEnded { .. }
             | Input::Listing(_)
             | Input::Peer { .. } => {}
         }
@@ -38,7 +38,7 @@
         request: RequestId,
         attempt: u32,
         server: ServerId,
-        ended: Ended,
+        ended: AttemptEnd,
     ) {
         let Some(in_flight) = self.in_flight.get_mut(&request) else {
             return;
@@ -95,7 +95,7 @@
         &mut self,
         service: &str,
         request: RequestId,
-        ended: &Ended,
+        ended: &AttemptEnd,
     ) -> Option<RouteRequest> {
         if !ended.outcome.never_ran() {
             return None;
--- a/crates/emberpin-proxy/src/controller/in_flight_request.rs
+++ b/crates/emberpin-proxy/src/controller/in_flight_request.rs
@@ -2,7 +2,7 @@
 
 use crate::command::RouteRequest;
 use emberpin_balancer::RequestId;
-use emberpin_limiter::host::{Outgoing, Reply};
+use emberpin_limiter::host::{Reply, UpstreamRequest};
 use emberpin_routing::Route;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,7 +16,7 @@
     pub(super) route: Rc<Route>,
     pub(super) service: String,
     pub(super) host: String,
-    pub(super) outgoing: Rc<Outgoing>,
+    pub(super) outgoing: Rc<UpstreamRequest>,
     pub(super) arrived_at: Instant,
     pub(super) deadline: Option<Duration>,
     /// Attempts handed to servers, less those that ended before any byte went out.
@@ -33,7 +33,7 @@
         RouteRequest {
             id,
             host: self.host.clone(),
-            outgoing: Outgoing {
+            outgoing: UpstreamRequest {
                 withdrawn: Cell::new(false),
                 ..(*self.outgoing).clone()
             },
--- a/crates/emberpin-proxy/src/controller/replies.rs
+++ b/crates/emberpin-proxy/src/controller/replies.rs
@@ -1,18 +1,18 @@
 //! Replies of the proxy's own, for requests that are not forwarded.
 
 use bytes::Bytes;
-use emberpin_limiter::host::{Answer, Head, Reply, Served};
+use emberpin_limiter::host::{Answer, Reply, ResponseHead, ServerResponse};
 use hyper::header::HeaderMap;
 use hyper::StatusCode;
 use std::time::Duration;
 
 /// A response with this status and neither headers nor body.
 pub(super) fn empty_response(status: StatusCode) -> Reply {
-    let head = Head {
+    let head = ResponseHead {
         status,
         headers: HeaderMap::new(),
     };
-    Reply::Answer(Answer::Served(Served {
+    Reply::Answer(Answer::Served(ServerResponse {
         head,
         body: Bytes::new(),
     }))
--- a/crates/emberpin-proxy/src/controller/routing.rs
+++ b/crates/emberpin-proxy/src/controller/routing.rs
@@ -8,7 +8,7 @@
 use crate::service::Service;
 use crate::wire::TRY_ID;
 use emberpin_balancer::{ClassId, CustomerId, GatewayId, PlanId};
-use emberpin_limiter::host::{Call, Outgoing, Reply, Upstreamed};
+use emberpin_limiter::host::{AdmittedRequest, Reply, RequestBody, UpstreamRequest};
 use emberpin_routing::{traffic_split, RetryBudget, Route, RouteKind};
 use hyper::StatusCode;
 use std::rc::Rc;
@@ -141,16 +141,20 @@
 }
 
 /// Splits a routed request into the call that the service's engine takes and the record that the controller keeps.
-fn prepare_call(request: RouteRequest, target: Target, class: ClassId) -> (Call, InFlightRequest) {
+fn prepare_call(
+    request: RouteRequest,
+    target: Target,
+    class: ClassId,
+) -> (AdmittedRequest, InFlightRequest) {
     let patience = response_time_limit(request.deadline, target.route.timeout);
     let mut outgoing = request.outgoing;
-    outgoing.freshness = max_connection_idle(&outgoing, target.route.kind);
+    outgoing.max_idle_time = max_connection_idle(&outgoing, target.route.kind);
     let expires = match &outgoing.body {
-        Upstreamed::Whole(_) => request.arrived_at + patience,
-        Upstreamed::Coming(_) => Instant::now() + UPLOAD_TIME_LIMIT,
+        RequestBody::Buffered(_) => request.arrived_at + patience,
+        RequestBody::Uploading(_) => Instant::now() + UPLOAD_TIME_LIMIT,
     };
     let outgoing = Rc::new(outgoing);
-    let call = Call {
+    let call = AdmittedRequest {
         id: request.id,
         class,
         // The proxy enforces no quotas: all requests are of one customer with one plan, at this proxy only.
@@ -160,10 +164,10 @@
         set_size: 1,
         set_first: GatewayId(0),
         ran: None,
-        patience,
+        time_limit: patience,
         expires,
         outgoing: outgoing.clone(),
-        answer: request.reply_to,
+        reply_to: request.reply_to,
     };
     let in_flight = InFlightRequest {
         route: target.route,
@@ -185,7 +189,7 @@
 }
 
 /// For how long the connection that carries a request may have been idle, where that is bounded.
-fn max_connection_idle(outgoing: &Outgoing, kind: RouteKind) -> Option<Duration> {
+fn max_connection_idle(outgoing: &UpstreamRequest, kind: RouteKind) -> Option<Duration> {
     match kind {
         // A request without an id gets a new connection: on a reused one, a late response to an earlier request
         // without an id could not be told from its own.
--- a/crates/emberpin-proxy/src/frontend/mod.rs
+++ b/crates/emberpin-proxy/src/frontend/mod.rs
@@ -10,8 +10,8 @@
 use bytes::Bytes;
 use emberpin_balancer::{ClassId, RequestId};
 use emberpin_limiter::host::{
-    passed_on, plain, run_out, strip, take_in, Active, Answer, Connection, Content, Figures,
-    Outgoing, Reply, RequestHandler, Upload, Upstreamed,
+    passed_on, plain, run_out, strip, take_in, Active, Answer, Connection, Content, Figures, Reply,
+    RequestBody, RequestHandler, Upload, UpstreamRequest,
 };
 use hyper::body::{Body, Incoming};
 use hyper::{Request, Response, StatusCode};
@@ -54,7 +54,7 @@
 /// A request whose head was accepted, and as much of its body as fits in a buffer.
 struct ReceivedRequest {
     host: String,
-    outgoing: Outgoing,
+    outgoing: UpstreamRequest,
     arrived_at: Instant,
     deadline: Option<Duration>,
 }
@@ -118,13 +118,13 @@
         let mut headers = parts.headers;
         strip(&mut headers);
         headers.remove("keep-alive");
-        let outgoing = Outgoing {
+        let outgoing = UpstreamRequest {
             method: parts.method,
             uri: parts.uri,
             headers,
             body,
-            may_pass: true,
-            freshness: None,
+            may_stream: true,
+            max_idle_time: None,
             gate: None,
             withdrawn: Cell::default(),
         };
@@ -141,7 +141,7 @@
         &self,
         body: Incoming,
         max_body_bytes: u64,
-    ) -> Result<Upstreamed, Rejection> {
+    ) -> Result<RequestBody, Rejection> {
         let stated_length = body.size_hint().exact();
         let (buffered, rest) = if body.is_end_stream() {
             (Bytes::new(), None)
@@ -155,14 +155,14 @@
             return Err(StatusCode::PAYLOAD_TOO_LARGE.into());
         }
         let Some(rest) = rest else {
-            return Ok(Upstreamed::Whole(buffered));
+            return Ok(RequestBody::Buffered(buffered));
         };
         let Ok(slot) = self.upload_slots.clone().try_acquire_owned() else {
             spawn_local(run_out(rest));
             return Err(Rejection::RetryLater(RETRY_AFTER_NO_UPLOAD_SLOT));
         };
         let upload = Upload::new(buffered, stated_length, rest, slot).bounded(max_body_bytes);
-        Ok(Upstreamed::Coming(Rc::new(upload)))
+        Ok(RequestBody::Uploading(Rc::new(upload)))
     }
 
     /// Has the controller route a request, and waits for the one reply.
@@ -172,8 +172,8 @@
                 .replace(self.next_request.get().wrapping_add(1)),
         );
         let upload = match &request.outgoing.body {
-            Upstreamed::Whole(_) => None,
-            Upstreamed::Coming(upload) => Some(upload.clone()),
+            RequestBody::Buffered(_) => None,
+            RequestBody::Uploading(upload) => Some(upload.clone()),
         };
         let mut pending = PendingReply::new(self.commands.clone(), id);
         let reply = self.route(id, request);
@@ -225,7 +225,7 @@
     ) -> Response<Content> {
         let response = match reply {
             Reply::Answer(answer) => answer_response(answer),
-            Reply::Passing(passing) => {
+            Reply::Streamed(passing) => {
                 let slot = self.download_slots.clone().acquire_owned();
                 match timeout(DOWNLOAD_SLOT_TIMEOUT, slot).await {
                     Ok(Ok(slot)) => return passed_on(passing, active, connection.clone(), slot),
--- a/crates/emberpin-proxy/src/frontend/response.rs
+++ b/crates/emberpin-proxy/src/frontend/response.rs
@@ -1,6 +1,6 @@
 //! Responses to clients, other than streamed ones.
 
-use emberpin_limiter::host::{headed, plain, Active, Answer, Content, Ending, Served};
+use emberpin_limiter::host::{headed, plain, Active, Answer, Content, Ending, ServerResponse};
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 use std::time::Duration;
@@ -30,7 +30,9 @@
 /// The response that carries a complete reply.
 pub(super) fn answer_response(answer: Answer) -> Response<Content> {
     match answer {
-        Answer::Served(Served { head, body }) => headed(head, Content::Whole(Some(body))),
+        Answer::Served(ServerResponse { head, body }) => {
+            headed(head, Content::Buffered(Some(body)))
+        }
         Answer::Refused { retry_after } => {
             retry_later(Duration::try_from_secs_f64(retry_after / 1000.0).unwrap_or_default())
         }
--- a/crates/emberpin-proxy/src/service/mod.rs
+++ b/crates/emberpin-proxy/src/service/mod.rs
@@ -5,7 +5,7 @@
 mod traffic_class;
 
 use emberpin_balancer::{ClassId, Event, Gateway, MembershipUpdate, RequestId, Server, ServerId};
-use emberpin_limiter::host::{Clock, Engine, Input, Place, Pool, Upstream};
+use emberpin_limiter::host::{Clock, Engine, Input, Pool, ServerInstance, Upstream};
 use emberpin_routing::{Availability, Route};
 use endpoint::KnownEndpoint;
 use hyper::header::HeaderValue;
@@ -174,7 +174,7 @@
         if self.engine.upstreams.contains_key(&server) {
             return;
         }
-        let place = Place {
+        let place = ServerInstance {
             address: endpoint.change.address,
             boot_ms: 0.0,
         };
--- a/crates/emberpin-proxy/src/wire.rs
+++ b/crates/emberpin-proxy/src/wire.rs
@@ -1,7 +1,7 @@
 //! The HTTP headers between the gateway and its servers, and how a response decides the outcome of an attempt.
 
 use emberpin_balancer::{LoadReport, Outcome};
-use emberpin_limiter::host::{strip, Described, Head, Wire};
+use emberpin_limiter::host::{strip, Described, ResponseHead, Wire};
 use emberpin_routing::attempt::is_misdirected;
 use emberpin_routing::AttemptVerdict;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_ENCODING};
@@ -90,8 +90,8 @@
                 | StatusCode::SERVICE_UNAVAILABLE
         );
         Described {
-            head: Head { status, headers },
-            report: LoadReport::default(),
+            head: ResponseHead { status, headers },
+            load: LoadReport::default(),
             metered: None,
             misdirected: is_misdirected(status.as_u16()),
             stands: outcome == Outcome::Error && !status.is_success() && !claims_not_run,
--- a/crates/emberpin-proxy/tests/attempt_timeouts.rs
+++ b/crates/emberpin-proxy/tests/attempt_timeouts.rs
@@ -164,7 +164,8 @@
     verify_that!(client.status().await, some(eq(200)))
 }
 
-/// Guards `Outgoing::is_held` in `give_up`: a long body that has been streamed cannot be sent again, so no attempt could
+/// Guards `UpstreamRequest::is_replayable` in `give_up`: a long body that has been streamed cannot be sent again, so no attempt
+/// could
 /// follow.
 #[tokio::test]
 async fn an_attempt_is_awaited_where_the_body_has_been_streamed() -> googletest::Result<()> {
--- a/crates/emberpin-proxy/tests/response_integrity_proptest/main.rs
+++ b/crates/emberpin-proxy/tests/response_integrity_proptest/main.rs
@@ -167,7 +167,7 @@
 }
 
 /// Guards the whole way of a response: `belongs`, the checks of idle connections, `judge`, what is framed and buffered,
-/// `Cut`, what may have run, and what may be retried.
+/// `BodyInterrupted`, what may have run, and what may be retried.
 #[test]
 fn no_client_receives_a_byte_of_another_response() {
     let cases = std::env::var("EMBERPIN_ANSWER_CASES")
--- a/crates/emberpin-proxy/tests/responses.rs
+++ b/crates/emberpin-proxy/tests/responses.rs
@@ -146,7 +146,7 @@
     Ok(())
 }
 
-/// Guards `Cut` in the streamed response: the client sees a truncation as clearly as the proxy did.
+/// Guards `BodyInterrupted` in the streamed response: the client sees a truncation as clearly as the proxy did.
 #[tokio::test]
 async fn a_streamed_response_that_is_truncated_breaks_off_at_the_client_too(
 ) -> googletest::Result<()> {
--- a/crates/emberpin-proxy/tests/server_selection.rs
+++ b/crates/emberpin-proxy/tests/server_selection.rs
@@ -7,7 +7,7 @@
 use emberpin_balancer::Outcome;
 use emberpin_config::ItemKind;
 use emberpin_limiter::host::{
-    Figures, Outgoing, Place, Pool, PoolLimits, Room, Upstream, Upstreamed,
+    Figures, Pool, PoolLimits, RequestBody, Room, ServerInstance, Upstream, UpstreamRequest,
 };
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_proxy::wire::GatewayWire;
@@ -259,7 +259,9 @@
 }
 
 /// Asserts that nothing of a request is written if `change` happens while its attempt waits for a connection.
-async fn expect_unsent_after(change: impl FnOnce(&Upstream, &Outgoing)) -> googletest::Result<()> {
+async fn expect_unsent_after(
+    change: impl FnOnce(&Upstream, &UpstreamRequest),
+) -> googletest::Result<()> {
     let mut server = Server::start().await;
     let limits = PoolLimits {
         connect: common::WAIT_LIMIT,
@@ -277,19 +279,19 @@
         Rc::new(Room::new(None)),
     );
     let upstream = Upstream::new(
-        Place {
+        ServerInstance {
             address: server.address,
             boot_ms: 0.0,
         },
         pool,
     );
-    let outgoing = Outgoing {
+    let outgoing = UpstreamRequest {
         method: "POST".parse()?,
         uri: "/write/a".parse()?,
         headers: HeaderMap::new(),
-        body: Upstreamed::Whole(bytes::Bytes::new()),
-        may_pass: true,
-        freshness: None,
+        body: RequestBody::Buffered(bytes::Bytes::new()),
+        may_stream: true,
+        max_idle_time: None,
         gate: None,
         withdrawn: Default::default(),
     };
