--- a/crates/emberpin-limiter/src/upstream/asking.rs
+++ b/crates/emberpin-limiter/src/upstream/asking.rs
@@ -1,9 +1,9 @@
-//! When this limiter calls the list service: the decisions of `emberpin_startup::calls` with a clock, a random source and
-//! the messages of peers.
+//! When this limiter calls the list service: the decisions of `emberpin_startup::call_schedule` with a clock, a random
+//! source and the messages of peers.
 
 use crate::operate::config::Config;
 use emberpin_balancer::{gossip, GatewayId};
-use emberpin_startup::calls::{Calls, Ended, Place};
+use emberpin_startup::call_schedule::{CallOutcome, CallSchedule, GroupPosition, PeerStart};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 
 /// The calls of this life.
 pub struct Asking {
-    calls: RefCell<Calls>,
+    calls: RefCell<CallSchedule>,
     random: RefCell<oorandom::Rand64>,
     began: Instant,
     /// The same on the clock that all limiters share, in milliseconds.
@@ -29,7 +29,7 @@
     /// another process asks at once.
     pub fn new(config: &Config, now: f64, goes_on: bool) -> Rc<Asking> {
         let mut random = oorandom::Rand64::new(u128::from(config.seed));
-        let place = Place {
+        let place = GroupPosition {
             number: config.settings.gateway_id.0,
             size: config.settings.group_size,
         };
@@ -40,8 +40,8 @@
             .as_ref()
             .and_then(|start| start.list_calls_per_s);
         let calls = match may_wait {
-            true => Calls::new(place, power, random.rand_float()),
-            false => Calls::at_once(place),
+            true => CallSchedule::staggered(place, power, random.rand_float()),
+            false => CallSchedule::immediate(place),
         };
         Rc::new(Asking {
             calls: RefCell::new(calls),
@@ -56,7 +56,7 @@
     /// Waits until the first call is due.
     pub async fn first(&self) {
         while !self.asked.get() {
-            let due = self.began + self.calls.borrow().first();
+            let due = self.began + self.calls.borrow().first_call_at();
             tokio::select! {
                 () = sleep_until(due) => self.asked.set(true),
                 () = self.heard.notified() => {}
@@ -66,7 +66,7 @@
 
     /// The slot of this limiter, since the start or since it lacks what it would be told.
     pub fn slot(&self) -> Duration {
-        self.calls.borrow().first()
+        self.calls.borrow().first_call_at()
     }
 
     /// The first call is made now.
@@ -88,20 +88,22 @@
             return;
         };
         let life = gossip::full_incarnation(message.incarnation, self.life) as f64;
-        self.calls
-            .borrow_mut()
-            .heard(from.0, life + TOGETHER >= self.life);
+        let start = match life + TOGETHER >= self.life {
+            true => PeerStart::Together,
+            false => PeerStart::Earlier,
+        };
+        self.calls.borrow_mut().on_peer_heard(from.0, start);
         self.heard.notify_one();
     }
 
     /// The pause after a call that ended so.
-    pub fn pause(&self, ended: Ended) -> Duration {
+    pub fn pause(&self, ended: CallOutcome) -> Duration {
         let draw = self.random.borrow_mut().rand_float();
-        self.calls.borrow_mut().pause(ended, draw)
+        self.calls.borrow_mut().next_delay(ended, draw)
     }
 
     /// The service is another one from now on.
     pub fn moved(&self) {
-        self.calls.borrow_mut().moved();
+        self.calls.borrow_mut().on_service_changed();
     }
 }
--- a/crates/emberpin-limiter/src/upstream/believed.rs
+++ b/crates/emberpin-limiter/src/upstream/believed.rs
@@ -4,8 +4,8 @@
 use crate::operate::config::Config;
 use crate::upstream::kept::Kept;
 use crate::upstream::listing::Target;
-use emberpin_startup::ready::Ready;
-use emberpin_startup::trust::{Limits, List, Trust, Verdict};
+use emberpin_startup::list_guard::{GuardConfig, ListGuard, ListScope, ListSummary, Verdict};
+use emberpin_startup::readiness::Readiness;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::sync::{watch, Notify};
@@ -15,8 +15,8 @@
 /// The doubts, the snapshot and the readiness of one limiter.
 pub struct Believed {
     began: Instant,
-    trust: RefCell<Trust>,
-    ready: RefCell<Ready>,
+    trust: RefCell<ListGuard>,
+    ready: RefCell<Readiness>,
     /// When it is ready whatever is known.
     limit: Instant,
     is_ready: watch::Sender<bool>,
@@ -34,11 +34,11 @@
         let began = Instant::now();
         Some(Rc::new(Believed {
             began,
-            trust: RefCell::new(Trust::new(Limits {
-                keep_share: start.keep_share,
-                keep: start.keep,
+            trust: RefCell::new(ListGuard::new(GuardConfig {
+                min_retained_share: start.keep_share,
+                max_doubt: start.keep,
             })),
-            ready: RefCell::new(Ready::new(start.ready_within)),
+            ready: RefCell::new(Readiness::new(start.ready_within)),
             limit: began + start.ready_within,
             is_ready: watch::Sender::new(false),
             kept,
@@ -54,26 +54,31 @@
         tokio::select! {
             _ = ready.wait_for(|ready| *ready) => {}
             () = sleep_until(self.limit) => {
-                self.ready.borrow_mut().see(self.began.elapsed(), 0);
+                self.ready.borrow_mut().update(self.began.elapsed(), 0);
             }
         }
     }
 
     /// What becomes of what was told; one that is doubted is asked for again.
-    pub fn judge(self: &Rc<Self>, held: List, told: List, whole: bool) -> Verdict {
+    pub fn judge(
+        self: &Rc<Self>,
+        held: ListSummary,
+        told: ListSummary,
+        scope: ListScope,
+    ) -> Verdict {
         let verdict = self
             .trust
             .borrow_mut()
-            .judge(self.began.elapsed(), held, told, whole);
-        if matches!(verdict, Verdict::Keep | Verdict::Ignore) {
+            .evaluate(self.began.elapsed(), held, told, scope);
+        if matches!(verdict, Verdict::Merge | Verdict::Reject) {
             eprintln!(
                 "emberpin: a list of version {} with {} servers is doubted, version {} with {} is held; SIGHUP has it \
                  believed",
-                told.rev, told.servers, held.rev, held.servers
+                told.revision, told.servers, held.revision, held.servers
             );
         }
         let draw = self.random.borrow_mut().rand_float();
-        let again = self.trust.borrow().again(draw);
+        let again = self.trust.borrow().refetch_delay(draw);
         if let (Some(pause), false) = (again, self.asks_again.replace(again.is_some())) {
             let believed = self.clone();
             spawn_local(async move {
@@ -87,17 +92,20 @@
 
     /// A peer doubted this whole list and believes it now.
     pub fn take(&self) {
-        self.trust.borrow_mut().take();
+        self.trust.borrow_mut().on_full_list_accepted();
     }
 
     /// Whether what was told last is doubted.
     pub fn doubts(&self) -> bool {
-        self.trust.borrow().doubts()
+        self.trust.borrow().is_doubting()
     }
 
     /// So many servers of the list may be sent to.
     pub fn see(&self, servers: usize) {
-        let ready = self.ready.borrow_mut().see(self.began.elapsed(), servers);
+        let ready = self
+            .ready
+            .borrow_mut()
+            .update(self.began.elapsed(), servers);
         self.is_ready
             .send_if_modified(|was| !std::mem::replace(was, ready) && ready);
     }
@@ -115,7 +123,7 @@
 
     /// The operator's word: what the list service tells holds.
     pub fn believe(&self) {
-        if self.trust.borrow_mut().believe() {
+        if self.trust.borrow_mut().override_doubt() {
             eprintln!("emberpin: the next whole list is believed");
             self.refetch.notify_one();
         }
--- a/crates/emberpin-limiter/src/upstream/discovery.rs
+++ b/crates/emberpin-limiter/src/upstream/discovery.rs
@@ -6,7 +6,7 @@
 use crate::upstream::listing::Listing;
 use crate::upstream::told::{Told, Watch};
 use bytes::Bytes;
-use emberpin_startup::calls::Ended;
+use emberpin_startup::call_schedule::CallOutcome;
 use http_body_util::{BodyExt, Empty};
 use hyper::client::conn::http1;
 use hyper::header::RETRY_AFTER;
@@ -107,11 +107,11 @@
             }
             // A watch that told something was sound: only fruitless ones are spaced out.
             let ended = match watched {
-                Watched { told: true, .. } => Ended::Told,
+                Watched { told: true, .. } => CallOutcome::Delivered,
                 Watched {
                     busy: Some(wait), ..
-                } => Ended::Busy { wait },
-                Watched { answered, .. } => Ended::Failed {
+                } => CallOutcome::RetryAfter { delay: wait },
+                Watched { answered, .. } => CallOutcome::Failed {
                     after: answered.unwrap_or_else(|| began.elapsed()),
                 },
             };
--- a/crates/emberpin-limiter/src/upstream/driver.rs
+++ b/crates/emberpin-limiter/src/upstream/driver.rs
@@ -17,7 +17,7 @@
 use crate::upstream::server::{Pool, Upstream};
 use emberpin_balancer::host_config::IndexNames;
 use emberpin_balancer::*;
-use emberpin_startup::trust::{List, Verdict};
+use emberpin_startup::list_guard::{ListScope, ListSummary, Verdict};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -315,14 +315,14 @@
         let here =
             |entry: &&Entry| matches!(entry, Entry::Target(target) if target.state != State::Gone);
         let servers = listing.targets.iter().filter(here).count();
-        let told = List {
-            place: listing.place,
-            rev: listing.rev,
+        let told = ListSummary {
+            service_generation: listing.place,
+            revision: listing.rev,
             servers,
         };
-        let held = List {
-            place: self.place,
-            rev: self.rev,
+        let held = ListSummary {
+            service_generation: self.place,
+            revision: self.rev,
             servers: self.roster.count(),
         };
         let teller = listing.teller;
@@ -333,27 +333,31 @@
         if teller != Teller::Service && behind && !sure {
             return;
         }
+        let scope = match listing.whole {
+            true => ListScope::Full,
+            false => ListScope::Delta,
+        };
         let verdict = match sure {
             true => {
                 believed.take();
-                Verdict::Take
+                Verdict::Accept
             }
-            false => believed.judge(held, told, listing.whole),
+            false => believed.judge(held, told, scope),
         };
         match verdict {
-            Verdict::Take | Verdict::Believe => self.list(listing),
-            Verdict::Keep => self.list(Listing {
+            Verdict::Accept | Verdict::AcceptDespiteDoubt => self.list(listing),
+            Verdict::Merge => self.list(Listing {
                 whole: false,
                 ..listing
             }),
-            Verdict::Ignore => return,
+            Verdict::Reject => return,
         }
         believed.keep(self.rev, || self.roster.listed());
         if let (Some(fed), false) = (&self.fed, believed.doubts()) {
             fed.hold(
                 self.rev,
                 teller,
-                verdict == Verdict::Believe,
+                verdict == Verdict::AcceptDespiteDoubt,
                 &self.roster.listed(),
             );
         }
--- a/crates/emberpin-limiter/src/upstream/fed.rs
+++ b/crates/emberpin-limiter/src/upstream/fed.rs
@@ -1,11 +1,14 @@
-//! Lists told by peers over the link: the decisions of `emberpin_startup::feed` with a clock, the link and the list.
+//! Lists told by peers over the link: the decisions of `emberpin_startup::list_dissemination` with a clock, the link and
+//! the list.
 
 use crate::between::link::{Link, News, LISTS, LONGEST};
 use crate::messages::Input;
 use crate::operate::config::Config;
 use crate::upstream::asking::Asking;
 use crate::upstream::listing::{Entry, Listing, Target, Teller};
-use emberpin_startup::feed::{neighbours, Action, Feed, Limits, Said, Version};
+use emberpin_startup::list_dissemination::{Action, DisseminationConfig, ListDissemination};
+use emberpin_startup::list_messages::{ListMessage, ListVersion};
+use emberpin_startup::topology::neighbours;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -24,7 +27,7 @@
 
 /// What peers and this limiter tell each other of the list.
 pub struct Fed {
-    core: RefCell<Feed>,
+    core: RefCell<ListDissemination>,
     link: Rc<Link>,
     began: Instant,
     /// Which list service versions are of.
@@ -39,7 +42,7 @@
 
 #[derive(Default)]
 struct Told {
-    version: Version,
+    version: ListVersion,
     entries: Vec<u8>,
 }
 
@@ -73,17 +76,17 @@
             .iter()
             .map(|member| member.number)
             .collect();
-        let limits = Limits {
-            callers,
-            pulse: PULSE,
-            fresh: PULSE.mul_f64(MISSED),
+        let limits = DisseminationConfig {
+            watchers: callers,
+            heartbeat_interval: PULSE,
+            watcher_timeout: PULSE.mul_f64(MISSED),
         };
         let life = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_millis();
         let known = Some(config.known.rev).filter(|_| !config.known.targets.is_empty());
-        let core = Feed::new(
+        let core = ListDissemination::new(
             *number,
             u64::try_from(life).unwrap_or(u64::MAX),
             &members,
@@ -118,7 +121,7 @@
     /// Returns when this limiter is to call the service itself.
     pub async fn turn(&self, asking: &Asking) {
         loop {
-            let due = self.core.borrow().due(asking.slot());
+            let due = self.core.borrow().call_due_at(asking.slot());
             let due = async {
                 match due {
                     Some(due) => sleep_until(self.began + due).await,
@@ -135,21 +138,24 @@
 
     /// Returns when this limiter's watch is one too many.
     pub async fn surplus(&self) {
-        while !self.core.borrow().is_surplus(self.began.elapsed()) {
+        while !self.core.borrow().is_surplus_watcher(self.began.elapsed()) {
             self.changed.notified().await;
         }
     }
 
     /// The version that a call may ask the changes after.
     pub fn held(&self) -> Option<u64> {
-        self.core.borrow().held().map(|held| held.rev)
+        self.core.borrow().version().map(|held| held.revision)
     }
 
     /// This limiter's own watch tells, or does not any more.
     pub fn watch(&self, on: bool) {
         // A list that does not fit into a message is told to nobody: each asks for itself.
         let on = on && !self.too_long.get();
-        self.with(|core, now, actions| core.watch(now, on, actions));
+        self.with(|core, now, actions| match on {
+            true => core.on_watch_started(now, actions),
+            false => core.on_watch_ended(now),
+        });
     }
 
     /// This list is held, and not doubted any more if it was.
@@ -171,26 +177,29 @@
         let word = match teller {
             Teller::Peer { word, .. } => word,
             Teller::Service => {
-                let held = self.core.borrow().held().map_or(0, |held| held.word);
+                let held = self.core.borrow().version().map_or(0, |held| held.epoch);
                 held.saturating_add(u32::from(doubted))
             }
         };
-        let version = Version { word, rev };
+        let version = ListVersion {
+            epoch: word,
+            revision: rev,
+        };
         *self.list.borrow_mut() = Told { version, entries };
-        self.with(|core, now, actions| core.hold(now, version, actions));
+        self.with(|core, now, actions| core.on_list_accepted(now, version, actions));
     }
 
     /// The service is another one from now on.
     pub fn moved(&self, address: SocketAddr) {
         *self.service.borrow_mut() = address.to_string();
         self.place.set(self.place.get() + 1);
-        self.with(|core, now, _| core.moved(now));
+        self.with(|core, now, _| core.on_service_changed(now));
     }
 
     fn hear(&self, from: u32, body: &[u8]) {
-        match postcard::from_bytes::<(String, Said)>(body) {
+        match postcard::from_bytes::<(String, ListMessage)>(body) {
             Ok((service, said)) if service == *self.service.borrow() => {
-                self.with(|core, now, actions| core.hear(now, from, said, actions));
+                self.with(|core, now, actions| core.on_message(now, from, said, actions));
             }
             // Of another service, its versions mean nothing here.
             Ok(_) => {}
@@ -201,7 +210,7 @@
     }
 
     /// Feeds the core and carries out what it says.
-    fn with(&self, feed: impl FnOnce(&mut Feed, Duration, &mut Vec<Action>)) {
+    fn with(&self, feed: impl FnOnce(&mut ListDissemination, Duration, &mut Vec<Action>)) {
         let mut actions = Vec::new();
         feed(
             &mut self.core.borrow_mut(),
@@ -211,38 +220,39 @@
         self.changed.notify_one();
         for action in actions {
             match action {
-                Action::Say { to, said } => self.say(to, &said),
-                Action::Tell { to } => {
+                Action::Send { to, message } => self.say(to, &message),
+                Action::SendList { to } => {
                     let Told { version, entries } = &*self.list.borrow();
                     self.say(
                         to,
-                        &Said::List {
+                        &ListMessage::List {
                             version: *version,
                             entries: entries.clone(),
                         },
                     );
                 }
-                Action::Judge {
+                Action::EvaluateList {
                     version,
-                    sure,
+                    confirmed,
                     entries,
-                } => self.offer(version, sure, &entries),
+                } => self.offer(version, confirmed, &entries),
             }
         }
     }
 
-    fn say(&self, to: u32, said: &Said) {
+    fn say(&self, to: u32, said: &ListMessage) {
         if let Ok(body) = postcard::to_allocvec(&(&*self.service.borrow(), said)) {
             self.link.tell(to, LISTS, body);
         }
     }
 
-    fn offer(&self, Version { word, rev }: Version, sure: bool, entries: &[u8]) {
+    fn offer(&self, version: ListVersion, sure: bool, entries: &[u8]) {
         match serde_json::from_slice::<Vec<Entry>>(entries) {
             Ok(targets) => {
+                let word = version.epoch;
                 let (place, teller) = (self.place.get(), Teller::Peer { word, sure });
                 let listing = Listing {
-                    rev,
+                    rev: version.revision,
                     whole: true,
                     targets,
                     place,
@@ -252,7 +262,10 @@
                 _ = self.inputs.try_send(Input::Listing(listing));
             }
             Err(e) => {
-                eprintln!("emberpin: link: a list of version {rev} cannot be read: {e}; not used");
+                eprintln!(
+                    "emberpin: link: a list of version {} cannot be read: {e}; not used",
+                    version.revision
+                );
             }
         }
     }
@@ -272,7 +285,10 @@
         match news {
             Ok(Some(News::Told { from, body })) if near.contains(&from) => fed.hear(from, &body),
             Ok(Some(News::Changed { member, belief })) if near.contains(&member) => {
-                fed.with(|core, now, actions| core.reach(now, member, belief.reachable, actions));
+                fed.with(|core, now, actions| match belief.reachable {
+                    true => core.on_neighbour_reachable(now, member, actions),
+                    false => core.on_neighbour_unreachable(member),
+                });
             }
             Ok(Some(News::Superseded)) => _ = superseded.send(()),
             Ok(None) => return,
@@ -280,7 +296,7 @@
         }
         if Instant::now() >= next {
             next = Instant::now() + TICK;
-            fed.with(Feed::tick);
+            fed.with(ListDissemination::on_tick);
         }
     }
 }
--- a/crates/emberpin-limiter/src/upstream/kept.rs
+++ b/crates/emberpin-limiter/src/upstream/kept.rs
@@ -3,12 +3,12 @@
 
 use crate::operate::config::Config;
 use crate::upstream::listing::{Entry, Listing, Target, Teller};
-use emberpin_startup::snapshot::{decode, encode, Label, MAX_BYTES};
+use emberpin_startup::snapshot::{decode, encode, SnapshotHeader, MAX_BYTES};
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, SystemTime};
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
@@ -77,17 +77,17 @@
                 return None;
             }
         };
-        match decode(&bytes, &self.owner, now_ms(), most) {
+        match decode(&bytes, &self.owner, SystemTime::now(), most) {
             Ok((label, entries)) => match serde_json::from_slice::<Vec<Target>>(entries) {
                 Ok(targets) => {
                     eprintln!(
                         "emberpin: {shown}: {} servers of version {}",
                         targets.len(),
-                        label.rev
+                        label.revision
                     );
                     let targets = targets.into_iter().map(Entry::Target).collect();
                     Some(Listing {
-                        rev: label.rev,
+                        rev: label.revision,
                         whole: true,
                         targets,
                         place: 0,
@@ -111,10 +111,10 @@
         let Ok(entries) = serde_json::to_vec(targets) else {
             return;
         };
-        let label = Label {
+        let label = SnapshotHeader {
             owner: self.owner.clone(),
-            written_ms: now_ms(),
-            rev,
+            written_at: SystemTime::now(),
+            revision: rev,
         };
         let (next, wake) = &*self.next;
         *next.lock().unwrap_or_else(PoisonError::into_inner) = Some(encode(&label, &entries));
@@ -122,12 +122,6 @@
     }
 }
 
-fn now_ms() -> u64 {
-    SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .map_or(0, |time| time.as_millis() as u64)
-}
-
 fn read(path: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     File::open(path)?
--- a/crates/emberpin-limiter/tests/recorded_disk.rs
+++ b/crates/emberpin-limiter/tests/recorded_disk.rs
@@ -16,7 +16,7 @@
 use sockets::*;
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, MutexGuard, PoisonError};
-use std::time::{Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Instant, SystemTime};
 
 /// A record of the log as this test reads it; the limiter's own type is private to it.
 #[derive(Debug, Serialize, Deserialize)]
@@ -343,17 +343,11 @@
     std::fs::read(&path).expect("read")
 }
 
-fn now_ms() -> u64 {
-    SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .expect("after 1970")
-        .as_millis() as u64
-}
-
 /// Label and endpoints of a list file, whatever its age.
-fn open_list(bytes: &[u8]) -> (snapshot::Label, String) {
+fn open_list(bytes: &[u8]) -> (snapshot::SnapshotHeader, String) {
     let any_age = std::time::Duration::MAX;
-    let (label, entries) = snapshot::decode(bytes, "t/n0", now_ms(), any_age).expect("a kept list");
+    let (label, entries) =
+        snapshot::decode(bytes, "t/n0", SystemTime::now(), any_age).expect("a kept list");
     (label, String::from_utf8(entries.to_vec()).expect("text"))
 }
 
@@ -363,7 +357,7 @@
     entries.replace(list[0]["endpoint"].as_str().expect("an endpoint"), address)
 }
 
-fn recorded_list() -> (snapshot::Label, String) {
+fn recorded_list() -> (snapshot::SnapshotHeader, String) {
     open_list(&file("kept-list", || {
         write_list(&mut Site::with_kept_list())
     }))
@@ -372,11 +366,11 @@
 #[test]
 fn a_limiter_starts_from_the_recorded_endpoint_list() {
     let (label, entries) = recorded_list();
-    assert_eq!((label.owner.as_str(), label.rev), ("t/n0", 42));
+    assert_eq!((label.owner.as_str(), label.revision), ("t/n0", 42));
     let mut site = Site::with_kept_list();
     let entries = moved(&entries, &site.server.address.to_string());
-    let fresh = snapshot::Label {
-        written_ms: now_ms(),
+    let fresh = snapshot::SnapshotHeader {
+        written_at: SystemTime::now(),
         ..label
     };
     std::fs::create_dir_all(&site.folder).expect("made");
--- a/crates/emberpin-limiter/tests/recorded_peers.rs
+++ b/crates/emberpin-limiter/tests/recorded_peers.rs
@@ -12,7 +12,7 @@
 use emberpin_failover::{Ballot, Member, Said as OfWork, Work, WorkId};
 use emberpin_idempotency::claims::{Claim, Said as OfKeys};
 use emberpin_idempotency::{Fingerprint, Key};
-use emberpin_startup::feed::{Pulse, Said as OfLists, Version};
+use emberpin_startup::list_messages::{ListMessage, ListVersion, WatcherHeartbeat};
 use peer::{Peer, Told};
 use recording::{hex, lines, Recorded};
 use serde::{Deserialize, Serialize};
@@ -446,24 +446,25 @@
 }
 
 /// What is told of endpoint lists, with the list service that it is of.
-fn of_lists(body: &[u8]) -> (String, OfLists) {
+fn of_lists(body: &[u8]) -> (String, ListMessage) {
     postcard::from_bytes(body).expect("of lists")
 }
 
-fn pulse(told: &Told) -> Option<Pulse> {
+fn pulse(told: &Told) -> Option<WatcherHeartbeat> {
     match (told.kind == LISTS).then(|| of_lists(&told.body))? {
-        (_, OfLists::Pulse(pulse)) => Some(pulse),
+        (_, ListMessage::Heartbeat(pulse)) => Some(pulse),
         _ => None,
     }
 }
 
 fn list(told: &Told) -> Option<()> {
-    (told.kind == LISTS && matches!(of_lists(&told.body), (_, OfLists::List { .. }))).then_some(())
+    (told.kind == LISTS && matches!(of_lists(&told.body), (_, ListMessage::List { .. })))
+        .then_some(())
 }
 
-fn want(told: &Told) -> Option<Version> {
+fn want(told: &Told) -> Option<ListVersion> {
     match (told.kind == LISTS).then(|| of_lists(&told.body))? {
-        (_, OfLists::Want { version }) => Some(version),
+        (_, ListMessage::Request { version }) => Some(version),
         _ => None,
     }
 }
@@ -474,14 +475,14 @@
     site.limiter
         .watch()
         .list(42, true, &[target("s-1", site.server.address, "ready")]);
-    let (pulse, Pulse { version, .. }) =
-        site.next(0, |told| pulse(told).filter(|it| it.version.rev == 42));
-    site.peers[0].say(LISTS, encode(&("lists", OfLists::Want { version })));
+    let (pulse, WatcherHeartbeat { version, .. }) =
+        site.next(0, |told| pulse(told).filter(|it| it.version.revision == 42));
+    site.peers[0].say(LISTS, encode(&("lists", ListMessage::Request { version })));
     let (list, ()) = site.next(0, list);
     vec![("pulse".into(), pulse), ("list".into(), list)]
 }
 
-fn recorded_lists(name: &str) -> (String, OfLists, Vec<u8>) {
+fn recorded_lists(name: &str) -> (String, ListMessage, Vec<u8>) {
     let body = find(lines("peers-lists.txt", write_lists), name);
     let (service, said) = of_lists(&body);
     (service, said, body)
@@ -502,10 +503,10 @@
 /// A peer has a later list, which names the server at another address.
 #[test]
 fn a_limiter_wants_the_recorded_list_of_a_peer_and_goes_by_it() {
-    let (service, OfLists::Pulse(pulse), _) = recorded_lists("pulse") else {
+    let (service, ListMessage::Heartbeat(pulse), _) = recorded_lists("pulse") else {
         panic!("no pulse")
     };
-    let (_, OfLists::List { version, entries }, _) = recorded_lists("list") else {
+    let (_, ListMessage::List { version, entries }, _) = recorded_lists("list") else {
         panic!("no list")
     };
     let site = Site::start();
@@ -516,10 +517,13 @@
         list[0]["endpoint"].as_str().expect("an endpoint"),
         &moved.address.to_string(),
     );
-    let pulse = Pulse { caller: 1, ..pulse };
-    site.peers[0].say(LISTS, encode(&(&service, OfLists::Pulse(pulse))));
+    let pulse = WatcherHeartbeat {
+        watcher: 1,
+        ..pulse
+    };
+    site.peers[0].say(LISTS, encode(&(&service, ListMessage::Heartbeat(pulse))));
     assert_eq!(site.next(0, want).1, version);
-    let list = OfLists::List {
+    let list = ListMessage::List {
         version,
         entries: entries.into_bytes(),
     };
--- /dev/null
+++ b/crates/emberpin-startup/src/list_messages.rs
@@ -0,0 +1,46 @@
+//! The messages about endpoint lists between limiters. Encoded with postcard, so the order of variants and fields is
+//! the wire format.
+
+use serde::{Deserialize, Serialize};
+
+/// Orders the lists of one discovery service: by epoch, then by revision.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct ListVersion {
+    /// How often a list that had been doubted was accepted after all, as far as known. A rise lets a list with an older
+    /// revision supersede the current one.
+    pub epoch: u32,
+    /// The discovery service's own revision.
+    pub revision: u64,
+}
+
+/// A statement of a watcher that its watch of the discovery service works.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct WatcherHeartbeat {
+    /// The watcher's member number.
+    pub watcher: u32,
+    /// Identifies the watcher's process; a restart has a higher one.
+    pub incarnation: u64,
+    /// Counts the heartbeats of an incarnation from 1. One that is not higher than the last seen is a duplicate.
+    pub sequence: u64,
+    /// The list that the watcher has.
+    pub version: ListVersion,
+}
+
+/// A message from one limiter to a neighbour.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum ListMessage {
+    /// A watcher's heartbeat, forwarded on first sight by every limiter whose own list is as new.
+    Heartbeat(WatcherHeartbeat),
+    /// Asks the receiver for its list.
+    Request {
+        /// The oldest version that is of use to the sender.
+        version: ListVersion,
+    },
+    /// A full list, in answer to a request.
+    List {
+        /// The version of the list in `entries`; a receiver drops one that is not newer than its own.
+        version: ListVersion,
+        /// The servers, in the host's encoding.
+        entries: Vec<u8>,
+    },
+}
--- /dev/null
+++ b/crates/emberpin-startup/src/readiness.rs
@@ -0,0 +1,31 @@
+//! When a limiter reports ready: once it knows a server that it may send to, or at a deadline.
+//!
+//! A limiter that is ready and knows no server rejects every request, and takes that work from limiters that could
+//! serve it; one that waits for a list that never comes is a failed start. While the discovery service stays down, a
+//! limiter without any list is ready at the deadline, and tells clients to retry later.
+
+use std::time::Duration;
+
+/// The readiness of one process; once ready, it stays so until the process shuts down.
+#[derive(Clone, Debug)]
+pub struct Readiness {
+    deadline: Duration,
+    ready: bool,
+}
+
+impl Readiness {
+    /// Not ready yet; ready at `deadline`, in time since the start, with or without servers.
+    pub fn new(deadline: Duration) -> Readiness {
+        Readiness {
+            deadline,
+            ready: false,
+        }
+    }
+
+    /// Records how many servers requests may be sent to `now`, in time since the start. Returns whether the limiter
+    /// is ready.
+    pub fn update(&mut self, now: Duration, servers: usize) -> bool {
+        self.ready |= servers > 0 || now >= self.deadline;
+        self.ready
+    }
+}
--- a/crates/emberpin-startup/src/snapshot.rs
+++ b/crates/emberpin-startup/src/snapshot.rs
@@ -1,119 +1,121 @@
-//! The last list, as bytes for a disk that outlasts the process: a line that says what it is, and the servers' entries
-//! as the list service words them. Anything but a whole snapshot of this instance that is young enough is refused, with
-//! the reason; a limiter starts without one.
+//! The last endpoint list as a file: one header line, then the servers in the host's encoding.
+//!
+//! ```text
+//! emberpin-list-1 TAB owner TAB written, Unix ms TAB revision TAB bytes of entries TAB crc32, hex NEWLINE entries
+//! ```
+//!
+//! The checksum covers the header up to it and the entries. A file that is incomplete, from another instance or too old
+//! is refused with the reason; the limiter then starts without one.
 
-use std::fmt;
-use std::time::Duration;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+/// The first field of the header; its number rises with every change of the format.
 const MAGIC: &str = "emberpin-list-1";
-/// Most bytes of a snapshot that is read.
+/// How many bytes of a file a host reads: bounds the memory that a wrong file can take.
 pub const MAX_BYTES: usize = 16 << 20;
 
-/// Whose list it is and which.
+/// Which list a snapshot holds, and whose.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Label {
-    /// The site, then the instance: another one reaches servers at other addresses.
+pub struct SnapshotHeader {
+    /// `site/instance`. Another instance may reach the servers at other addresses, so its snapshot is of no use here.
     pub owner: String,
-    /// When it was written, in milliseconds of Unix time.
-    pub written_ms: u64,
-    /// The list's version.
-    pub rev: u64,
+    /// When it was written, to the millisecond.
+    pub written_at: SystemTime,
+    /// The discovery service's revision of the list.
+    pub revision: u64,
 }
 
 /// Why a snapshot is not used.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unusable {
-    /// It is no snapshot, or one of another version of this program.
-    Foreign,
-    /// Its bytes are not all there, or not as written.
-    Torn,
-    /// It is another site's or instance's.
-    Elsewhere {
-        /// Whose.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SnapshotError {
+    /// It does not start with the header of this format.
+    #[error("it is no snapshot of a list, or one of another version")]
+    UnknownFormat,
+    /// Bytes are missing, or are not those that were written.
+    #[error("it is torn: not what was written")]
+    Corrupt,
+    /// It belongs to another site or instance.
+    #[error("it belongs to {owner:?}")]
+    WrongOwner {
+        /// The owner that its header names.
         owner: String,
     },
-    /// It is too old, or from the future by as much.
-    Old {
-        /// How old.
+    /// It is too old, or was written as far in the future.
+    #[error("it is {} s old", age.as_secs())]
+    TooOld {
+        /// The distance between now and the time of writing.
         age: Duration,
     },
 }
 
-impl fmt::Display for Unusable {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Unusable::Foreign => {
-                write!(to, "it is no snapshot of a list, or one of another version")
-            }
-            Unusable::Torn => write!(to, "it is torn: not what was written"),
-            Unusable::Elsewhere { owner } => write!(to, "it belongs to {owner:?}"),
-            Unusable::Old { age } => write!(to, "it is {} s old", age.as_secs()),
-        }
-    }
-}
-
-/// The bytes of a snapshot with this label and these entries.
-pub fn encode(label: &Label, entries: &[u8]) -> Vec<u8> {
-    let owner = label.owner.replace(['\n', '\t'], " ");
-    let head = format!(
+/// The bytes of a snapshot. Tabs and line ends in the owner's name become spaces.
+pub fn encode(header: &SnapshotHeader, entries: &[u8]) -> Vec<u8> {
+    let owner = header.owner.replace(['\n', '\t'], " ");
+    let line = format!(
         "{MAGIC}\t{owner}\t{}\t{}\t{}",
-        label.written_ms,
-        label.rev,
+        unix_millis(header.written_at),
+        header.revision,
         entries.len()
     );
-    let mut sum = crc32fast::Hasher::new();
-    sum.update(head.as_bytes());
-    sum.update(entries);
-    let mut bytes = format!("{head}\t{:08x}\n", sum.finalize()).into_bytes();
+    let checksum = checksum(&line, entries);
+    let mut bytes = format!("{line}\t{checksum}\n").into_bytes();
     bytes.extend_from_slice(entries);
     bytes
 }
 
-/// Label and entries of a snapshot of this owner that is no older than `most`, at `now_ms` of Unix time.
+/// The header and the entries of `owner`'s snapshot, if it is complete and no older than `max_age` at `now`.
 ///
 /// # Errors
 ///
-/// Why it is not used.
+/// [`SnapshotError`], with the reason why it cannot be used.
 pub fn decode<'a>(
     bytes: &'a [u8],
     owner: &str,
-    now_ms: u64,
-    most: Duration,
-) -> Result<(Label, &'a [u8]), Unusable> {
-    let end = bytes.iter().position(|byte| *byte == b'\n');
-    let (head, entries) = bytes.split_at(end.ok_or(Unusable::Foreign)?);
-    let head = std::str::from_utf8(head).map_err(|_| Unusable::Foreign)?;
-    let parts: Vec<&str> = head.split('\t').collect();
-    let [MAGIC, of, written, rev, length, sum] = parts[..] else {
-        return Err(Unusable::Foreign);
+    now: SystemTime,
+    max_age: Duration,
+) -> Result<(SnapshotHeader, &'a [u8]), SnapshotError> {
+    let line_end = bytes.iter().position(|byte| *byte == b'\n');
+    let (line, rest) = bytes.split_at(line_end.ok_or(SnapshotError::UnknownFormat)?);
+    let entries = rest.get(1..).unwrap_or_default();
+    let line = std::str::from_utf8(line).map_err(|_| SnapshotError::UnknownFormat)?;
+    let fields: Vec<&str> = line.split('\t').collect();
+    let [MAGIC, found_owner, written, revision, length, found_checksum] = fields[..] else {
+        return Err(SnapshotError::UnknownFormat);
     };
-    let entries = entries.get(1..).unwrap_or_default();
-    let mut own = crc32fast::Hasher::new();
-    own.update(
-        head.rsplit_once('\t')
-            .map_or("", |(before, _)| before)
-            .as_bytes(),
-    );
-    own.update(entries);
-    if format!("{:08x}", own.finalize()) != sum || length != entries.len().to_string() {
-        return Err(Unusable::Torn);
+    let covered = line.rsplit_once('\t').map_or("", |(covered, _)| covered);
+    if checksum(covered, entries) != found_checksum || length != entries.len().to_string() {
+        return Err(SnapshotError::Corrupt);
     }
-    let (Ok(written_ms), Ok(rev)) = (written.parse(), rev.parse()) else {
-        return Err(Unusable::Torn);
+    let (Ok(written), Ok(revision)) = (written.parse::<u64>(), revision.parse()) else {
+        return Err(SnapshotError::Corrupt);
     };
-    if of != owner {
-        return Err(Unusable::Elsewhere { owner: of.into() });
+    if found_owner != owner {
+        return Err(SnapshotError::WrongOwner {
+            owner: found_owner.into(),
+        });
     }
-    let age = Duration::from_millis(now_ms.abs_diff(written_ms));
-    if age > most {
-        return Err(Unusable::Old { age });
+    let age = Duration::from_millis(unix_millis(now).abs_diff(written));
+    if age > max_age {
+        return Err(SnapshotError::TooOld { age });
     }
-    Ok((
-        Label {
-            owner: of.into(),
-            written_ms,
-            rev,
-        },
-        entries,
-    ))
+    let header = SnapshotHeader {
+        owner: found_owner.into(),
+        written_at: UNIX_EPOCH + Duration::from_millis(written),
+        revision,
+    };
+    Ok((header, entries))
+}
+
+/// CRC-32 of the header's covered fields and the entries, as eight hexadecimal digits.
+fn checksum(covered: &str, entries: &[u8]) -> String {
+    let mut hasher = crc32fast::Hasher::new();
+    hasher.update(covered.as_bytes());
+    hasher.update(entries);
+    format!("{:08x}", hasher.finalize())
+}
+
+/// Milliseconds since 1970; 0 for a time before.
+fn unix_millis(time: SystemTime) -> u64 {
+    time.duration_since(UNIX_EPOCH)
+        .map_or(0, |time| time.as_millis() as u64)
 }
--- a/crates/emberpin-startup/tests/calls.rs
+++ b/crates/emberpin-startup/tests/calls.rs
@@ -1,7 +1,7 @@
 //! Groups of limiters that call one service, in virtual time.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
-use emberpin_startup::calls::{Calls, Ended, Place};
+use emberpin_startup::call_schedule::{CallOutcome, CallSchedule, GroupPosition, PeerStart};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     fn meets(
         &self,
         first: &[Duration],
-        mut pause: impl FnMut(u32, Ended) -> Duration,
+        mut pause: impl FnMut(u32, CallOutcome) -> Duration,
         seconds: f64,
     ) -> Seen {
         const STEP: f64 = 0.005;
@@ -48,7 +48,7 @@
                         Some(
                             now + pause(
                                 k as u32,
-                                Ended::Failed {
+                                CallOutcome::Failed {
                                     after: Duration::ZERO,
                                 },
                             )
@@ -68,7 +68,7 @@
                     seen.served.push(now);
                 } else if late {
                     seen.failed += 1;
-                    let ended = Ended::Failed {
+                    let ended = CallOutcome::Failed {
                         after: Duration::from_secs_f64(now - since),
                     };
                     next[*k] = Some(now + pause(*k as u32, ended).as_secs_f64());
@@ -83,7 +83,9 @@
 #[test]
 fn every_limiter_of_a_group_has_a_slot_of_its_own() {
     for size in 2..400 {
-        let first = |number| Calls::new(Place { number, size }, Some(1.0), 0.0).first();
+        let first = |number| {
+            CallSchedule::staggered(GroupPosition { number, size }, Some(1.0), 0.0).first_call_at()
+        };
         let mut all: Vec<Duration> = (0..size).map(first).collect();
         all.sort();
         let least = Duration::from_secs(u64::from(size).min(60)).mul_f64(0.99 / f64::from(size));
@@ -91,6 +93,14 @@
     }
 }
 
+fn peer_start(together: bool) -> PeerStart {
+    if together {
+        PeerStart::Together
+    } else {
+        PeerStart::Earlier
+    }
+}
+
 /// Draws that repeat with the seed.
 fn draws(seed: u64) -> impl FnMut() -> f64 {
     let mut state = seed;
@@ -112,14 +122,14 @@
     seconds: f64,
 ) -> Seen {
     let mut draw = draws(seed);
-    let place = |number| Place { number, size: told };
-    let mut all: Vec<Calls> = (0..size)
-        .map(|k| Calls::new(place(k), power, draw()))
+    let place = |number| GroupPosition { number, size: told };
+    let mut all: Vec<CallSchedule> = (0..size)
+        .map(|k| CallSchedule::staggered(place(k), power, draw()))
         .collect();
-    let first: Vec<Duration> = all.iter().map(Calls::first).collect();
+    let first: Vec<Duration> = all.iter().map(CallSchedule::first_call_at).collect();
     service.meets(
         &first,
-        |k, ended| all[k as usize].pause(ended, draw()),
+        |k, ended| all[k as usize].next_delay(ended, draw()),
         seconds,
     )
 }
@@ -221,11 +231,13 @@
 fn a_group_whose_watches_all_break_at_once_is_back_soon_whatever_its_size() {
     for size in [3, 30, 100, 300] {
         let mut draw = draws(5);
-        let place = |number| Place { number, size };
-        let mut all: Vec<Calls> = (0..size).map(|k| Calls::new(place(k), None, 0.0)).collect();
+        let place = |number| GroupPosition { number, size };
+        let mut all: Vec<CallSchedule> = (0..size)
+            .map(|k| CallSchedule::staggered(place(k), None, 0.0))
+            .collect();
         let first: Vec<Duration> = all
             .iter_mut()
-            .map(|calls| calls.pause(Ended::Told, draw()))
+            .map(|calls| calls.next_delay(CallOutcome::Delivered, draw()))
             .collect();
         let service = Service {
             power: (f64::from(size) / 4.0).max(10.0),
@@ -233,7 +245,7 @@
         };
         let seen = service.meets(
             &first,
-            |k, ended| all[k as usize].pause(ended, draw()),
+            |k, ended| all[k as usize].next_delay(ended, draw()),
             20.0,
         );
         assert!(
@@ -264,65 +276,70 @@
 #[test]
 fn one_that_comes_back_among_peers_that_serve_asks_soon() {
     let late = |number: &u32| {
-        Calls::new(
-            Place {
+        CallSchedule::staggered(
+            GroupPosition {
                 number: *number,
                 size: 300,
             },
             None,
             0.9,
         )
-        .first()
+        .first_call_at()
     };
     let last = (0..300).max_by_key(late).expect("some");
-    let mut one = Calls::new(
-        Place {
+    let mut one = CallSchedule::staggered(
+        GroupPosition {
             number: last,
             size: 300,
         },
         None,
         0.9,
     );
-    assert!(one.first() > Duration::from_secs_f64(3.9));
-    (0..40).for_each(|peer| one.heard(peer, false));
-    assert!(one.first() < Duration::from_millis(100));
+    assert!(one.first_call_at() > Duration::from_secs_f64(3.9));
+    (0..40).for_each(|peer| one.on_peer_heard(peer, PeerStart::Earlier));
+    assert!(one.first_call_at() < Duration::from_millis(100));
     // Seven in ten started with it: they need seven tenths of the round.
-    let mut many = Calls::new(
-        Place {
+    let mut many = CallSchedule::staggered(
+        GroupPosition {
             number: last,
             size: 300,
         },
         None,
         0.9,
     );
-    (0..100).for_each(|peer| many.heard(peer, peer % 10 < 7));
-    assert!(many.first() > Duration::from_secs_f64(2.5) && many.first() < Duration::from_secs(3));
+    (0..100).for_each(|peer| many.on_peer_heard(peer, peer_start(peer % 10 < 7)));
+    assert!(
+        many.first_call_at() > Duration::from_secs_f64(2.5)
+            && many.first_call_at() < Duration::from_secs(3)
+    );
 }
 
 #[test]
 fn one_that_may_not_wait_asks_at_once_and_spaces_later_calls() {
-    let mut calls = Calls::at_once(Place {
+    let mut calls = CallSchedule::immediate(GroupPosition {
         number: 77,
         size: 300,
     });
-    assert_eq!(calls.first(), Duration::ZERO);
-    calls.heard(3, true);
-    assert_eq!(calls.first(), Duration::ZERO);
-    let late = Ended::Failed {
+    assert_eq!(calls.first_call_at(), Duration::ZERO);
+    calls.on_peer_heard(3, PeerStart::Together);
+    assert_eq!(calls.first_call_at(), Duration::ZERO);
+    let late = CallOutcome::Failed {
         after: Duration::from_secs(2),
     };
-    assert!(calls.pause(late, 0.9) > Duration::from_secs(10));
+    assert!(calls.next_delay(late, 0.9) > Duration::from_secs(10));
 }
 
 #[test]
 fn a_lone_limiter_asks_at_once() {
     for power in [None, Some(0.1)] {
         assert_eq!(
-            Calls::new(Place { number: 0, size: 1 }, power, 0.9).first(),
+            CallSchedule::staggered(GroupPosition { number: 0, size: 1 }, power, 0.9)
+                .first_call_at(),
             Duration::ZERO
         );
         assert_eq!(
-            Calls::new(Place { number: 0, size: 0 }, power, 0.9).first(),
+            CallSchedule::staggered(GroupPosition { number: 0, size: 0 }, power, 0.9)
+                .first_call_at(),
             Duration::ZERO
         );
     }
@@ -331,35 +348,36 @@
 #[test]
 fn a_few_limiters_ask_again_at_once_and_never_wait_long_for_a_service_that_fails_at_once() {
     let mut draw = draws(6);
-    let mut few = Calls::new(Place { number: 1, size: 3 }, None, 0.5);
-    let failed = Ended::Failed {
+    let mut few = CallSchedule::staggered(GroupPosition { number: 1, size: 3 }, None, 0.5);
+    let failed = CallOutcome::Failed {
         after: Duration::ZERO,
     };
-    assert!((0..100).all(|_| few.pause(Ended::Told, draw()) <= Duration::from_millis(150)));
-    assert!((0..100).all(|_| few.pause(failed, draw()) <= LONG));
+    assert!((0..100)
+        .all(|_| few.next_delay(CallOutcome::Delivered, draw()) <= Duration::from_millis(150)));
+    assert!((0..100).all(|_| few.next_delay(failed, draw()) <= LONG));
     assert!(
-        (0..100).map(|_| few.pause(failed, draw())).max() > Some(LONG / 2),
+        (0..100).map(|_| few.next_delay(failed, draw())).max() > Some(LONG / 2),
         "fruitless ones are spaced out"
     );
-    few.moved();
-    assert!(few.pause(failed, draw()) <= Duration::from_millis(300));
+    few.on_service_changed();
+    assert!(few.next_delay(failed, draw()) <= Duration::from_millis(300));
 }
 
 #[test]
 fn a_call_that_took_long_to_fail_widens_the_pauses_at_once() {
-    let mut few = Calls::new(Place { number: 1, size: 3 }, None, 0.5);
-    let failed = Ended::Failed {
+    let mut few = CallSchedule::staggered(GroupPosition { number: 1, size: 3 }, None, 0.5);
+    let failed = CallOutcome::Failed {
         after: Duration::from_secs(2),
     };
-    assert_eq!(few.pause(failed, 1.0), Duration::from_secs(4));
-    assert_eq!(few.pause(failed, 1.0), Duration::from_secs(8));
-    assert_eq!(few.pause(failed, 1.0), Duration::from_secs(8));
+    assert_eq!(few.next_delay(failed, 1.0), Duration::from_secs(4));
+    assert_eq!(few.next_delay(failed, 1.0), Duration::from_secs(8));
+    assert_eq!(few.next_delay(failed, 1.0), Duration::from_secs(8));
 }
 
 #[test]
 fn a_service_that_says_when_is_not_asked_before() {
-    let mut calls = Calls::new(
-        Place {
+    let mut calls = CallSchedule::staggered(
+        GroupPosition {
             number: 1,
             size: 30,
         },
@@ -367,10 +385,10 @@
         0.5,
     );
     let wait = Duration::from_secs(7);
-    assert!(calls.pause(Ended::Busy { wait }, 0.0) >= wait);
+    assert!(calls.next_delay(CallOutcome::RetryAfter { delay: wait }, 0.0) >= wait);
     let ever = Duration::from_secs(1 << 40);
     assert!(
-        calls.pause(Ended::Busy { wait: ever }, 1.0) <= Duration::from_secs(120),
+        calls.next_delay(CallOutcome::RetryAfter { delay: ever }, 1.0) <= Duration::from_secs(120),
         "and not for ever"
     );
 }
@@ -383,15 +401,15 @@
         ends in proptest::collection::vec((0u8..3, any::<u64>(), 0.0..1.0f64), 0..20),
     ) {
         let size = size % 1_000_000;
-        let mut calls = Calls::new(Place { number, size }, power, draw);
-        prop_assert!(calls.first() <= Duration::from_secs(60));
-        let before = calls.first();
-        peers.iter().for_each(|(peer, together)| calls.heard(*peer, *together));
-        prop_assert!(calls.first() <= before, "what is heard makes nobody wait longer");
+        let mut calls = CallSchedule::staggered(GroupPosition { number, size }, power, draw);
+        prop_assert!(calls.first_call_at() <= Duration::from_secs(60));
+        let before = calls.first_call_at();
+        peers.iter().for_each(|(peer, together)| calls.on_peer_heard(*peer, peer_start(*together)));
+        prop_assert!(calls.first_call_at() <= before, "what is heard makes nobody wait longer");
         for (kind, value, draw) in ends {
             let time = Duration::from_millis(value);
-            let ended = [Ended::Told, Ended::Failed { after: time }, Ended::Busy { wait: time }][usize::from(kind)];
-            let pause = calls.pause(ended, draw);
+            let ended = [CallOutcome::Delivered, CallOutcome::Failed { after: time }, CallOutcome::RetryAfter { delay: time }][usize::from(kind)];
+            let pause = calls.next_delay(ended, draw);
             let longest = Duration::from_millis(50) * size.max(1);
             prop_assert!(pause <= Duration::from_secs(120).max(longest), "{pause:?}");
         }
@@ -402,32 +420,33 @@
 #[test]
 fn one_that_is_bound_is_back_within_6_s_of_the_silence_of_its_watch_whatever_the_size() {
     for size in [1, 3, 60, 300, 1_000] {
-        let mut calls = Calls::at_once(Place { number: 0, size });
+        let mut calls = CallSchedule::immediate(GroupPosition { number: 0, size });
         let silent = Duration::from_millis(4_500);
         assert!(
-            silent + calls.pause(Ended::Told, 0.999) < Duration::from_millis(5_800),
+            silent + calls.next_delay(CallOutcome::Delivered, 0.999) < Duration::from_millis(5_800),
             "{size}"
         );
         // A service that is silent for 8 s finds a call of each when it speaks again.
         for _ in 0..2 {
             assert!(
-                calls.pause(Ended::Failed { after: silent }, 0.999) <= Duration::from_millis(200),
+                calls.next_delay(CallOutcome::Failed { after: silent }, 0.999)
+                    <= Duration::from_millis(200),
                 "{size}"
             );
         }
-        let third = calls.pause(Ended::Failed { after: silent }, 0.5);
+        let third = calls.next_delay(CallOutcome::Failed { after: silent }, 0.5);
         assert!(
             third > Duration::from_millis(500),
             "and then it backs off: {third:?}"
         );
         // A service that answers, and late, is a crowded one.
-        let mut calls = Calls::at_once(Place {
+        let mut calls = CallSchedule::immediate(GroupPosition {
             number: 0,
             size: 300,
         });
         assert!(
-            calls.pause(
-                Ended::Failed {
+            calls.next_delay(
+                CallOutcome::Failed {
                     after: Duration::from_secs(2)
                 },
                 0.5
--- a/crates/emberpin-startup/tests/feed.rs
+++ b/crates/emberpin-startup/tests/feed.rs
@@ -1,23 +1,25 @@
 //! Lists told by peers, in virtual time: limiters die, stand still, are cut off both ways or one, and lose the service.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
-use emberpin_startup::calls::{Calls, Place};
-use emberpin_startup::feed::{neighbours, Action, Feed, Limits, Pulse, Said, Version};
+use emberpin_startup::call_schedule::{CallSchedule, GroupPosition};
+use emberpin_startup::list_dissemination::{Action, DisseminationConfig, ListDissemination};
+use emberpin_startup::list_messages::{ListMessage, ListVersion, WatcherHeartbeat};
+use emberpin_startup::topology::neighbours;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 const K: usize = 3;
-const LIMITS: Limits = Limits {
-    callers: K,
-    pulse: Duration::from_millis(1000),
-    fresh: Duration::from_millis(3500),
+const CONFIG: DisseminationConfig = DisseminationConfig {
+    watchers: K,
+    heartbeat_interval: Duration::from_millis(1000),
+    watcher_timeout: Duration::from_millis(3500),
 };
 /// Steps of the played time.
 const STEP: u64 = 10;
 
-fn of(rev: u64) -> Version {
-    Version { word: 0, rev }
+fn of(revision: u64) -> ListVersion {
+    ListVersion { epoch: 0, revision }
 }
 
 fn ms(time: u64) -> Duration {
@@ -25,7 +27,7 @@
 }
 
 struct Node {
-    feed: Feed,
+    feed: ListDissemination,
     began: u64,
     slot: Duration,
     /// The answer to its call comes then.
@@ -51,7 +53,7 @@
     members: BTreeSet<u32>,
     nodes: BTreeMap<u32, Node>,
     /// On the way: when it comes, from, to.
-    mail: BTreeMap<(u64, u64), (u32, u32, Said)>,
+    mail: BTreeMap<(u64, u64), (u32, u32, ListMessage)>,
     sent: u64,
     now: u64,
     rev: u64,
@@ -86,10 +88,11 @@
     fn start(&mut self, number: u32) {
         self.lives += 1;
         let size = self.members.len() as u32;
-        let slot = Calls::new(Place { number, size }, None, 0.5).first();
-        let mut feed = Feed::new(number, self.lives, &self.members, LIMITS, None);
+        let slot =
+            CallSchedule::staggered(GroupPosition { number, size }, None, 0.5).first_call_at();
+        let mut feed = ListDissemination::new(number, self.lives, &self.members, CONFIG, None);
         for other in neighbours(number, &self.members) {
-            feed.reach(Duration::ZERO, other, true, &mut Vec::new());
+            feed.on_neighbour_reachable(Duration::ZERO, other, &mut Vec::new());
         }
         let node = Node {
             feed,
@@ -126,41 +129,45 @@
         self.troubles.iter().any(dead)
     }
 
-    fn with(&mut self, number: u32, event: &mut dyn FnMut(&mut Feed, Duration, &mut Vec<Action>)) {
+    fn with(
+        &mut self,
+        number: u32,
+        event: &mut dyn FnMut(&mut ListDissemination, Duration, &mut Vec<Action>),
+    ) {
         let mut actions = Vec::new();
         let Some(node) = self.nodes.get_mut(&number) else {
             return;
         };
         let now = ms(self.now - node.began);
-        let before = node.feed.held();
+        let before = node.feed.version();
         event(&mut node.feed, now, &mut actions);
         assert!(
-            node.feed.held() >= before,
+            node.feed.version() >= before,
             "{number} went back from {before:?} by what peers told"
         );
         for action in actions {
             match action {
-                Action::Say { to, said } => self.send(number, to, said),
-                Action::Tell { to } => {
+                Action::Send { to, message } => self.send(number, to, message),
+                Action::SendList { to } => {
                     let version = self.nodes[&number]
                         .feed
-                        .held()
+                        .version()
                         .expect("it holds what it tells");
                     self.send(
                         number,
                         to,
-                        Said::List {
+                        ListMessage::List {
                             version,
                             entries: vec![7; 3],
                         },
                     );
                 }
-                Action::Judge {
+                Action::EvaluateList {
                     version, entries, ..
                 } => {
                     assert_eq!(entries, vec![7; 3]);
                     self.with(number, &mut |feed, now, actions| {
-                        feed.hold(now, version, actions);
+                        feed.on_list_accepted(now, version, actions);
                     });
                 }
             }
@@ -170,14 +177,14 @@
     fn stop_watching(&mut self, number: u32) {
         if let Some(node) = self.nodes.get_mut(&number) {
             if std::mem::take(&mut node.watching) {
-                self.with(number, &mut |feed, now, actions| {
-                    feed.watch(now, false, actions);
+                self.with(number, &mut |feed, now, _| {
+                    feed.on_watch_ended(now);
                 });
             }
         }
     }
 
-    fn send(&mut self, from: u32, to: u32, said: Said) {
+    fn send(&mut self, from: u32, to: u32, said: ListMessage) {
         if self.holds_back(from, to) {
             return;
         }
@@ -221,7 +228,7 @@
                 // To one that stands still it comes when it goes on; to one that is dead, too: an old life's.
                 true => _ = self.mail.insert((away, sent), (from, to, said)),
                 false => self.with(to, &mut |feed, now, actions| {
-                    feed.hear(now, from, said.clone(), actions);
+                    feed.on_message(now, from, said.clone(), actions);
                 }),
             }
         }
@@ -232,17 +239,17 @@
             if node.away > self.now {
                 continue;
             }
-            if node.watching && (dead || node.feed.is_surplus(ms(self.now - node.began))) {
+            if node.watching && (dead || node.feed.is_surplus_watcher(ms(self.now - node.began))) {
                 self.stop_watching(number);
             }
-            if self.nodes[&number].watching && self.nodes[&number].feed.held() < Some(of(rev)) {
+            if self.nodes[&number].watching && self.nodes[&number].feed.version() < Some(of(rev)) {
                 self.with(number, &mut |feed, now, actions| {
-                    feed.hold(now, of(rev), actions);
+                    feed.on_list_accepted(now, of(rev), actions);
                 });
             }
             self.call(number, dead);
             if self.now.is_multiple_of(200) {
-                self.with(number, &mut |feed, now, actions| feed.tick(now, actions));
+                self.with(number, &mut |feed, now, actions| feed.on_tick(now, actions));
             }
         }
     }
@@ -259,14 +266,14 @@
                 node.asked = None;
                 node.watching = true;
                 self.with(number, &mut |feed, now, actions| {
-                    feed.watch(now, true, actions);
-                    feed.hold(now, of(rev), actions);
+                    feed.on_watch_started(now, actions);
+                    feed.on_list_accepted(now, of(rev), actions);
                 });
             }
             None => {
                 let due = node
                     .feed
-                    .due(node.slot)
+                    .call_due_at(node.slot)
                     .is_some_and(|due| ms(now - node.began) >= due);
                 if !node.watching && due && node.rests <= now {
                     self.calls.push((now, number));
@@ -294,7 +301,7 @@
         let behind: Vec<&u32> = self
             .nodes
             .iter()
-            .filter(|(_, n)| n.feed.held() != Some(of(self.rev)))
+            .filter(|(_, n)| n.feed.version() != Some(of(self.rev)))
             .map(|(n, _)| n)
             .collect();
         let watching = self.nodes.values().filter(|node| node.watching).count();
@@ -352,7 +359,7 @@
     let held = fleet
         .nodes
         .values()
-        .filter(|node| node.feed.held() == Some(of(2)))
+        .filter(|node| node.feed.version() == Some(of(2)))
         .count();
     assert_eq!(held, 100 - K, "all that live");
 }
@@ -373,36 +380,39 @@
 #[test]
 fn an_older_list_is_followed_under_a_further_word_alone() {
     let (mut actions, now) = (Vec::new(), ms(1));
-    let mut feed = Feed::new(0, 1, &BTreeSet::from([0, 1, 2]), LIMITS, Some(9));
+    let mut feed = ListDissemination::new(0, 1, &BTreeSet::from([0, 1, 2]), CONFIG, Some(9));
     let pulse = |seq, version| {
-        Said::Pulse(Pulse {
-            caller: 1,
-            life: 1,
-            seq,
+        ListMessage::Heartbeat(WatcherHeartbeat {
+            watcher: 1,
+            incarnation: 1,
+            sequence: seq,
             version,
         })
     };
-    feed.hear(now, 1, pulse(1, of(8)), &mut actions);
+    feed.on_message(now, 1, pulse(1, of(8)), &mut actions);
     assert_eq!(
-        (feed.callers(now), actions.len()),
+        (feed.watcher_count(now), actions.len()),
         (0, 0),
         "an older one is not wanted and no ground to wait"
     );
-    feed.hold(now, of(8), &mut actions);
-    assert_eq!(feed.held(), Some(of(9)));
-    let believed = Version { word: 1, rev: 4 };
-    feed.hear(now, 1, pulse(2, believed), &mut actions);
+    feed.on_list_accepted(now, of(8), &mut actions);
+    assert_eq!(feed.version(), Some(of(9)));
+    let believed = ListVersion {
+        epoch: 1,
+        revision: 4,
+    };
+    feed.on_message(now, 1, pulse(2, believed), &mut actions);
     assert_eq!(
         actions,
-        vec![Action::Say {
+        vec![Action::Send {
             to: 1,
-            said: Said::Want { version: believed }
+            message: ListMessage::Request { version: believed }
         }]
     );
-    feed.hear(
+    feed.on_message(
         now,
         1,
-        Said::List {
+        ListMessage::List {
             version: believed,
             entries: vec![],
         },
@@ -410,26 +420,26 @@
     );
     assert_eq!(
         actions[1],
-        Action::Judge {
+        Action::EvaluateList {
             version: believed,
-            sure: true,
+            confirmed: true,
             entries: vec![]
         }
     );
-    feed.hold(now, believed, &mut actions);
+    feed.on_list_accepted(now, believed, &mut actions);
     actions.clear();
-    feed.hear(now, 1, pulse(3, of(10)), &mut actions);
-    feed.hear(
+    feed.on_message(now, 1, pulse(3, of(10)), &mut actions);
+    feed.on_message(
         now,
         1,
-        Said::List {
+        ListMessage::List {
             version: of(10),
             entries: vec![],
         },
         &mut actions,
     );
     assert!(
-        actions.is_empty() && feed.held() == Some(believed),
+        actions.is_empty() && feed.version() == Some(believed),
         "not back again: {actions:?}"
     );
 }
--- a/crates/emberpin-testbed/src/links.rs
+++ b/crates/emberpin-testbed/src/links.rs
@@ -3,7 +3,7 @@
 
 use crate::peers::Split;
 use crate::servers::World;
-use emberpin_startup::feed::neighbours;
+use emberpin_startup::topology::neighbours;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
 use std::net::SocketAddr;
--- a/crates/emberpin-testbed/tests/start.rs
+++ b/crates/emberpin-testbed/tests/start.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{answered, called_after, calls, count, holds, killed, listed, play, play_with, who};
-use emberpin_startup::snapshot::{decode, encode, Label};
+use emberpin_startup::snapshot::{decode, encode, SnapshotHeader};
 use emberpin_testbed::report::Summary;
 use emberpin_testbed::starts::Starts;
 use emberpin_testbed::trace::{Event, Standing, What, SECOND};
@@ -298,10 +298,10 @@
     let month = 30 * 86_400_000;
     let names: Vec<String> = (0..24).map(|number| format!("n{number}")).collect();
     let good = |name: &str, site: &str, age: u64| {
-        let label = Label {
+        let label = SnapshotHeader {
             owner: format!("{site}/{name}"),
-            written_ms: now - age,
-            rev: 9_999,
+            written_at: unix_time(now - age),
+            revision: 9_999,
         };
         encode(&label, b"[]")
     };
@@ -347,9 +347,14 @@
     );
     let kept = |name: &String| {
         let bytes = std::fs::read(folder.path().join(name).join("list")).ok()?;
-        decode(&bytes, &format!("t/{name}"), now, Duration::from_secs(3600))
-            .map(|(label, _)| label.rev)
-            .ok()
+        decode(
+            &bytes,
+            &format!("t/{name}"),
+            unix_time(now),
+            Duration::from_secs(3600),
+        )
+        .map(|(label, _)| label.revision)
+        .ok()
     };
     for (number, name) in names.iter().enumerate() {
         match number % 8 {
@@ -523,6 +528,10 @@
     assert_eq!(told.len(), 24, "within 5 s {told:?} were told again");
 }
 
+fn unix_time(millis: u64) -> SystemTime {
+    UNIX_EPOCH + Duration::from_millis(millis)
+}
+
 /// Two that start from old snapshots while the service is dead do not make them seem young.
 #[test]
 fn a_start_leaves_the_age_of_its_snapshot_as_it_is() {
@@ -534,12 +543,12 @@
     let target =
         "[{\"uid\":\"s-000-0\",\"endpoint\":\"127.0.0.1:9\",\"az\":\"a\",\"model\":null,\"pod_group\":null,\
                   \"state\":\"ready\",\"capacity_hint\":null,\"boot_ms\":0.0}]";
-    let written_ms = now - 3_600_000;
+    let written_at = unix_time(now - 3_600_000);
     for name in ["n0", "n1"] {
-        let label = Label {
+        let label = SnapshotHeader {
             owner: format!("t/{name}"),
-            written_ms,
-            rev: 9_999,
+            written_at,
+            revision: 9_999,
         };
         std::fs::create_dir_all(folder.path().join(name)).expect("made");
         std::fs::write(
@@ -562,9 +571,18 @@
     );
     for name in ["n0", "n1"] {
         let bytes = std::fs::read(folder.path().join(name).join("list")).expect("there");
-        let (label, _) =
-            decode(&bytes, &format!("t/{name}"), now, Duration::from_secs(7200)).expect("whole");
-        assert_eq!((label.written_ms, label.rev), (written_ms, 9_999), "{name}");
+        let (label, _) = decode(
+            &bytes,
+            &format!("t/{name}"),
+            unix_time(now),
+            Duration::from_secs(7200),
+        )
+        .expect("whole");
+        assert_eq!(
+            (label.written_at, label.revision),
+            (written_at, 9_999),
+            "{name}"
+        );
     }
 }
 
