--- a/crates/emberpin-balancer/src/interface/actions.rs
+++ b/crates/emberpin-balancer/src/interface/actions.rs
@@ -11,7 +11,7 @@
         request: RequestId,
         /// The server to send it to.
         server: ServerId,
-        /// Milliseconds after which the attempt is broken off and ends as
+        /// Milliseconds after which the host may break the attempt off; it then ends as
         /// [`Outcome::Timeout`](crate::Outcome::Timeout).
         timeout: Millis,
     },
@@ -34,12 +34,12 @@
         /// The attempt's number.
         attempt: u32,
     },
-    /// Probe a server.
+    /// Probe a server. No decision asks for it yet.
     Probe {
         /// The server to probe.
         server: ServerId,
     },
-    /// Close idle connections to a server.
+    /// Close idle connections to a server. No decision asks for it yet.
     CloseIdle {
         /// The server whose idle connections to close.
         server: ServerId,
@@ -58,14 +58,14 @@
         /// The encoded message, at most [`gossip::MAX_BYTES`](crate::gossip::MAX_BYTES).
         bytes: Vec<u8>,
     },
-    /// Fetch the whole endpoint list once.
+    /// Fetch the whole endpoint list once. No decision asks for it yet.
     FetchServers,
     /// Subscribe to changes of the endpoint list, or unsubscribe.
     WatchServers {
         /// Whether to subscribe.
         on: bool,
     },
-    /// Add to a counter of the counter service.
+    /// Add to a counter of the counter service. No decision asks for it yet.
     AddToCounter {
         /// The counter to add to.
         counter: u64,
--- a/crates/emberpin-balancer/src/interface/settings.rs
+++ b/crates/emberpin-balancer/src/interface/settings.rs
@@ -40,9 +40,9 @@
     pub latency_target: Millis,
     /// Milliseconds after which the client gives up, over all its own retries.
     pub deadline: Millis,
-    /// Value of one request answered within the latency target.
+    /// Value of one request answered within the latency target. No decision uses it.
     pub value: f64,
-    /// Share of the value that an answer after the latency target still earns, from 0 to 1.
+    /// Share of the value that an answer after the latency target still earns, from 0 to 1. No decision uses it.
     pub late_value: f64,
     /// Whether a request that may have run can be sent again.
     pub idempotency: Idempotency,
@@ -61,7 +61,7 @@
     pub limit_rate: f64,
     /// Size of the hard rate limit's token bucket in units.
     pub limit_burst: f64,
-    /// Multiplier on the value of the plan's requests.
+    /// Multiplier on the value of the plan's requests. No decision uses it.
     pub price: f64,
     /// Share of its value that a request beyond the quota earns.
     pub over_quota_value: f64,
@@ -100,7 +100,8 @@
     pub slow_start: SlowStart,
     /// Attempts that one request may have in all.
     pub max_attempts: u32,
-    /// Whether hedged requests are allowed: two attempts of one request in flight. The decisions make no use of them.
+    /// Whether hedged requests are allowed: two attempts of one request in flight. No decision uses it: there is one at
+    /// most.
     pub hedging: bool,
     /// Longest delay in milliseconds that a client honours before it retries; 0 where it cannot be given one.
     pub max_retry_after: Millis,
@@ -110,18 +111,18 @@
     pub subscribe_servers: bool,
     /// Whether attempts may be cancelled.
     pub can_cancel: bool,
-    /// Whether servers may be probed.
+    /// Whether servers may be probed. No decision uses it: none is probed.
     pub can_probe: bool,
     /// Whether the units of a request are an estimate that its answer corrects.
     pub units_are_estimates: bool,
-    /// Period in milliseconds of the usage meter that answers may carry; 0 for no meter.
+    /// Period in milliseconds of the usage meter that answers may carry; 0 for no meter. No decision uses it.
     pub meter_period: Millis,
-    /// Whether there is a counter service that all gateways share.
+    /// Whether there is a counter service that all gateways share. No decision uses it.
     pub shared_counter: bool,
     /// How many times as slow a server of another zone counts when a server is chosen; 1 for no preference.
     pub cross_zone_slowdown: f64,
-    /// Points that it costs when every attempt leaves the zone.
+    /// Points that it costs when every attempt leaves the zone. No decision uses it.
     pub cross_zone_price: f64,
-    /// Points that one full peer message a request costs.
+    /// Points that one full peer message a request costs. No decision uses it.
     pub peer_message_price: f64,
 }
