--- a/crates/emberpin-limiter/src/between/link.rs
+++ b/crates/emberpin-limiter/src/between/link.rs
@@ -6,7 +6,7 @@
 use crate::operate::operator::{self, Member};
 use crate::stages::memory::{boot_clock, random};
 use emberpin_peering::{
-    Action, Belief, Closing, ConnectionId, Event, Life, Link as Core, Refused, Settings,
+    Action, Belief, Closing, ConnectionId, Event, Incarnation, Link as Core, Refused, Settings,
 };
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -80,7 +80,7 @@
     /// By kind.
     users: RefCell<BTreeMap<u16, mpsc::UnboundedSender<News>>>,
     hello_within: Duration,
-    life: Life,
+    life: Incarnation,
 }
 
 impl Link {
@@ -110,7 +110,7 @@
         let started = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        let life = Life {
+        let life = Incarnation {
             number: u64::try_from(started.as_millis()).unwrap_or(u64::MAX),
             nonce: u64::from_le_bytes(random()?),
         };
@@ -167,7 +167,7 @@
     }
 
     /// This limiter's own life.
-    pub fn life(&self) -> Life {
+    pub fn life(&self) -> Incarnation {
         self.life
     }
 
--- a/crates/emberpin-limiter/src/stages/idempotency.rs
+++ b/crates/emberpin-limiter/src/stages/idempotency.rs
@@ -19,7 +19,7 @@
     owner, Customer, Fingerprint, Form, Keeper, Key, Limits, Secret, Sweep, Table, Telling, Ticket,
     Weight,
 };
-use emberpin_peering::Life;
+use emberpin_peering::Incarnation;
 use emberpin_wal::{Note, Ticket as RecordTicket};
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::{Response, StatusCode};
@@ -82,7 +82,7 @@
     memory: Option<Memory>,
     link: Option<Rc<Link>>,
     /// The life of each member that was heard of last.
-    lives: RefCell<HashMap<u32, Life>>,
+    lives: RefCell<HashMap<u32, Incarnation>>,
     next_tick: Cell<Instant>,
     secret: Secret,
     /// Its bytes, to be written anew with all that is still wanted.
--- a/crates/emberpin-limiter/src/stages/takeover.rs
+++ b/crates/emberpin-limiter/src/stages/takeover.rs
@@ -13,7 +13,7 @@
 use emberpin_failover::{Action, Event, Hall, Hands, Member, Rules, Verdict, Went, Work, WorkId};
 use emberpin_idempotency::claims::{Claim, Holding, Member as Holder};
 use emberpin_idempotency::{Customer, Fingerprint, Key};
-use emberpin_peering::{Belief, Life};
+use emberpin_peering::{Belief, Incarnation};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, OnceCell, RefCell};
@@ -172,7 +172,7 @@
     /// Outcomes of which keepers are being told.
     closing: RefCell<HashMap<WorkId, Rc<WorkGate>>>,
     /// The life of each member that was heard of last.
-    lives: RefCell<HashMap<u32, Life>>,
+    lives: RefCell<HashMap<u32, Incarnation>>,
     /// Members whose connection was ended while they were well, and from when on they are gone.
     ending: RefCell<HashMap<u32, Instant>>,
     /// How long the halls drop a repeat, by class.
--- a/crates/emberpin-limiter/tests/common/peer.rs
+++ b/crates/emberpin-limiter/tests/common/peer.rs
@@ -1,7 +1,7 @@
 //! A peer of a limiter, played by the test: the link's decisions on plain sockets, with what is told handed over.
 #![allow(dead_code, missing_docs, reason = "each test file uses a part of it")]
 
-use emberpin_peering::{Action, ConnectionId, Event, Life, Link, Settings};
+use emberpin_peering::{Action, ConnectionId, Event, Incarnation, Link, Settings};
 use std::collections::{HashMap, VecDeque};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -17,7 +17,7 @@
     pub kind: u16,
     pub body: Vec<u8>,
     /// The limiter's life that told it.
-    pub life: Life,
+    pub life: Incarnation,
 }
 
 enum Input {
@@ -29,17 +29,17 @@
 }
 
 pub struct Peer {
-    pub life: Life,
+    pub life: Incarnation,
     inputs: Sender<Input>,
     told: Receiver<Told>,
-    reached: Receiver<Life>,
-    limiter: std::cell::OnceCell<Life>,
+    reached: Receiver<Incarnation>,
+    limiter: std::cell::OnceCell<Incarnation>,
 }
 
 impl Peer {
     /// A peer of this name that listens here, and dials the limiter there.
     pub fn start(name: &str, listener: TcpListener, limiter: SocketAddr) -> Peer {
-        let life = Life {
+        let life = Incarnation {
             number: 1_700_000_000_123,
             nonce: 7,
         };
@@ -84,7 +84,7 @@
         self.limiter.set(life).expect("once");
     }
 
-    pub fn life_of_limiter(&self) -> Life {
+    pub fn life_of_limiter(&self) -> Incarnation {
         *self.limiter.get().expect("reached")
     }
 
@@ -113,7 +113,7 @@
     }
 }
 
-fn settings(name: &str, life: Life) -> Settings {
+fn settings(name: &str, life: Incarnation) -> Settings {
     Settings {
         cluster: "norr".into(),
         me: name.into(),
@@ -139,7 +139,7 @@
     next: u64,
     inputs: Sender<Input>,
     tell: Sender<Told>,
-    reach: Sender<Life>,
+    reach: Sender<Incarnation>,
 }
 
 impl Host {
--- a/crates/emberpin-peering/src/lib.rs
+++ b/crates/emberpin-peering/src/lib.rs
@@ -17,4 +17,7 @@
 pub use link::{
     Action, Belief, Closing, ConnectionId, Event, Link, Member, Millis, Refused, Settings, Standing,
 };
-pub use message::{Life, Message, Rejection, Unreadable, OPTIONAL, VERSIONS};
+pub use message::{Incarnation, Message, Rejection, Unreadable, OPTIONAL, VERSIONS};
+
+/// The former name of [`Incarnation`], until `emberpin-failover` has moved on.
+pub type Life = Incarnation;
--- a/crates/emberpin-peering/src/link.rs
+++ b/crates/emberpin-peering/src/link.rs
@@ -6,7 +6,7 @@
 //! is not heard.
 
 use crate::frame::{Frames, TooLong};
-use crate::message::{Life, Message, Rejection, Unreadable, VERSIONS};
+use crate::message::{Incarnation, Message, Rejection, Unreadable, VERSIONS};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Milliseconds of the host's steady clock; only differences have a meaning.
@@ -24,7 +24,7 @@
     /// This instance's name.
     pub me: String,
     /// Its life.
-    pub life: Life,
+    pub life: Incarnation,
     /// The epoch of the set of members.
     pub epoch: u64,
     /// The names of the others.
@@ -160,7 +160,7 @@
         /// Who.
         from: String,
         /// In which life.
-        life: Life,
+        life: Incarnation,
         /// Whose it is.
         kind: u16,
         /// What.
@@ -221,7 +221,7 @@
     /// Whether it is there.
     pub standing: Standing,
     /// Its life, as last heard.
-    pub life: Option<Life>,
+    pub life: Option<Incarnation>,
     /// The epoch that it said it goes by.
     pub epoch: u64,
     /// When this came to be believed.
@@ -294,7 +294,7 @@
     /// A member opened it.
     Taken {
         from: String,
-        life: Life,
+        life: Incarnation,
         seen: u64,
         heard: Millis,
     },
@@ -336,7 +336,7 @@
     }
 
     /// This instance's life, as members know it.
-    pub fn life(&self) -> Life {
+    pub fn life(&self) -> Incarnation {
         self.settings.life
     }
 
@@ -563,7 +563,7 @@
         cluster: &str,
         from: &str,
         to: &str,
-        life: Life,
+        life: Incarnation,
         certified: Option<&[String]>,
     ) -> Result<u16, Rejection> {
         let version = versions.1.min(VERSIONS.1);
@@ -595,7 +595,7 @@
         connection: ConnectionId,
         version: u16,
         from: String,
-        life: Life,
+        life: Incarnation,
         epoch: u64,
         actions: &mut Vec<Action>,
     ) {
@@ -701,7 +701,13 @@
     }
 
     /// A sign of life of a member.
-    fn hear_of(&mut self, name: &str, life: Life, epoch: Option<u64>, actions: &mut Vec<Action>) {
+    fn hear_of(
+        &mut self,
+        name: &str,
+        life: Incarnation,
+        epoch: Option<u64>,
+        actions: &mut Vec<Action>,
+    ) {
         let now = self.now;
         let Some(peer) = self.peers.get_mut(name) else {
             return;
@@ -740,7 +746,7 @@
         }
     }
 
-    fn leads_to_another(&self, name: &str, life: Life) -> bool {
+    fn leads_to_another(&self, name: &str, life: Incarnation) -> bool {
         let outgoing = self.peers.get(name).map(|peer| &peer.outgoing);
         matches!(outgoing, Some(Outgoing::Up(up)) if up.nonce != life.nonce)
     }
--- a/crates/emberpin-peering/src/message.rs
+++ b/crates/emberpin-peering/src/message.rs
@@ -12,7 +12,7 @@
 
 /// One life of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life {
+pub struct Incarnation {
     /// Rises with each start.
     pub number: u64,
     /// Drawn at the start, so that two that have the same number are told apart.
@@ -48,7 +48,7 @@
         /// For whom it is meant.
         to: String,
         /// The opener's life.
-        life: Life,
+        life: Incarnation,
         /// The epoch of members that the opener goes by.
         epoch: u64,
     },
@@ -57,7 +57,7 @@
         /// The version spoken from now on.
         version: u16,
         /// The answerer's life.
-        life: Life,
+        life: Incarnation,
         /// The epoch that it goes by.
         epoch: u64,
     },
@@ -208,7 +208,7 @@
 
     /// Every message with its bytes, as version 1 has them for ever.
     fn golden() -> Vec<(Message, &'static str)> {
-        let life = Life {
+        let life = Incarnation {
             number: 300,
             nonce: 7,
         };
--- a/crates/emberpin-peering/tests/network.rs
+++ b/crates/emberpin-peering/tests/network.rs
@@ -12,7 +12,7 @@
     format!("n{n}")
 }
 
-fn settings(me: usize, of: usize, life: Life) -> Settings {
+fn settings(me: usize, of: usize, life: Incarnation) -> Settings {
     Settings {
         cluster: "norr".into(),
         me: name(me),
@@ -48,9 +48,9 @@
 struct Host {
     link: Option<Link>,
     paused: bool,
-    life: Life,
+    life: Incarnation,
     /// From whom, in which life, what, and the receiver's own life then.
-    delivered: Vec<(String, Life, Vec<u8>, u64)>,
+    delivered: Vec<(String, Incarnation, Vec<u8>, u64)>,
     refused: Vec<Refused>,
     superseded: bool,
     closed: Vec<Closing>,
@@ -77,7 +77,7 @@
             cut: BTreeSet::new(),
         };
         for n in 0..hosts {
-            let life = Life {
+            let life = Incarnation {
                 number: 100,
                 nonce: 1000 + n as u64,
             };
@@ -224,7 +224,7 @@
         }
     }
 
-    fn start(&mut self, host: usize, life: Life) {
+    fn start(&mut self, host: usize, life: Incarnation) {
         let of = self.hosts.len();
         let now = self.now + self.hosts[host].skew;
         self.hosts[host].life = life;
@@ -368,7 +368,7 @@
     net.run(100.0);
     net.start(
         2,
-        Life {
+        Incarnation {
             number: 101,
             nonce: 77,
         },
@@ -389,7 +389,7 @@
     );
     assert_eq!(
         net.belief(0, 2).life,
-        Some(Life {
+        Some(Incarnation {
             number: 101,
             nonce: 77
         })
@@ -405,7 +405,7 @@
     net.run(100.0);
     net.start(
         1,
-        Life {
+        Incarnation {
             number: 95,
             nonce: 9,
         },
@@ -455,7 +455,7 @@
         cluster: "norr".into(),
         from: from.into(),
         to: "n0".into(),
-        life: Life {
+        life: Incarnation {
             number: 100,
             nonce: 1,
         },
@@ -617,7 +617,7 @@
             from,
             to,
             epoch,
-            life: Life { number, nonce },
+            life: Incarnation { number, nonce },
         },
         other => other,
     };
@@ -748,7 +748,7 @@
                 }
                 Step::Start(n) if net.hosts[n].link.is_none() => {
                     life += 1;
-                    net.start(n, Life { number: life, nonce: life });
+                    net.start(n, Incarnation { number: life, nonce: life });
                 }
                 Step::Send(a, b) if a != b => {
                     number += 1;
@@ -766,7 +766,7 @@
             net.hosts[n].paused = false;
             if net.hosts[n].link.is_none() {
                 life += 1;
-                net.start(n, Life { number: life, nonce: life });
+                net.start(n, Incarnation { number: life, nonce: life });
             }
         }
         net.run(4000.0);
--- a/crates/emberpin-peering/tests/recorded.rs
+++ b/crates/emberpin-peering/tests/recorded.rs
@@ -4,10 +4,10 @@
 #[path = "common/recording.rs"]
 mod recording;
 
-use emberpin_peering::{Frames, Life, Message, Rejection};
+use emberpin_peering::{Frames, Incarnation, Message, Rejection};
 use recording::assert_recorded;
 
-const LIFE: Life = Life {
+const LIFE: Incarnation = Incarnation {
     number: 1_700_000_000_123,
     nonce: 0x8c1f_30d2_7a5b_e964,
 };
