--- a/crates/emberpin-registry/src/connection.rs
+++ b/crates/emberpin-registry/src/connection.rs
@@ -54,7 +54,7 @@
 ///
 /// # Errors
 ///
-/// [`Broken::Refused`] if the peer is of another version or system; [`Broken::Connection`] if the connection
+/// [`ConnectionError::Handshake`] if the peer is of another version or system; [`ConnectionError::Io`] if the connection
 /// fails or the time limit passes.
 pub async fn receive_preamble(
     identity: &ProcessIdentity,
@@ -70,7 +70,7 @@
 ///
 /// # Errors
 ///
-/// [`Broken`]: the connection is of no use after it. A passed time limit is a [`Broken::Connection`].
+/// [`ConnectionError`]: the connection is of no use after it. A passed time limit is a [`ConnectionError::Io`].
 pub async fn read_message<T: DeserializeOwned>(
     reader: &mut (impl AsyncRead + Unpin),
     within: Duration,
@@ -84,7 +84,7 @@
 ///
 /// # Errors
 ///
-/// [`Broken::Connection`] if a write fails.
+/// [`ConnectionError::Io`] if a write fails.
 pub async fn write_frames(
     writer: &mut (impl AsyncWrite + Unpin),
     queue: &mut mpsc::Receiver<Bytes>,
--- a/crates/emberpin-registry/src/http_api/calls.rs
+++ b/crates/emberpin-registry/src/http_api/calls.rs
@@ -83,7 +83,7 @@
     ///
     /// # Errors
     ///
-    /// [`CallError`] if the body of the request cannot be used.
+    /// `CallError` if the body of the request cannot be used.
     pub async fn call(
         &self,
         route: Route,
--- a/crates/emberpin-registry/src/tcp.rs
+++ b/crates/emberpin-registry/src/tcp.rs
@@ -51,7 +51,7 @@
 ///
 /// # Errors
 ///
-/// What the system reports, or [`io::ErrorKind::TimedOut`] after [`CONNECT_TIMEOUT`].
+/// What the system reports, or [`io::ErrorKind::TimedOut`] after `CONNECT_TIMEOUT`.
 pub async fn connect(machine: Ipv4Addr, port: u16) -> io::Result<TcpStream> {
     let connecting = TcpStream::connect((machine, port));
     let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting)
--- a/crates/emberpin-scale-bench/src/hollow.rs
+++ b/crates/emberpin-scale-bench/src/hollow.rs
@@ -168,7 +168,7 @@
 ///
 /// # Errors
 ///
-/// [`Broken`].
+/// [`ConnectionError`].
 pub async fn snapshot(registry: SocketAddr) -> Result<usize, ConnectionError> {
     let mut stream = TcpStream::connect(registry).await?;
     stream.set_nodelay(true)?;
