--- a/crates/emberpin-consensus/src/replica/proposer.rs
+++ b/crates/emberpin-consensus/src/replica/proposer.rs
@@ -27,9 +27,7 @@
             .take_if(|next| next.version != roster.version.next());
         let recovers = !self.acceptor.voting;
         let repairs = self.repair_at.is_some_and(|at| self.now >= at) && self.is_voter();
-        let has_work =
-            !self.tasks.is_empty() || self.next_roster.is_some() || self.roster_unconfirmed;
-        if !has_work && !recovers && !repairs {
+        if !self.has_round_work() && !recovers && !repairs {
             return;
         }
         if repairs {
--- a/crates/emberpin-consensus/src/replica/timers.rs
+++ b/crates/emberpin-consensus/src/replica/timers.rs
@@ -1,17 +1,13 @@
 //! Timers: when the next one is due, and what happens then.
 
 use super::{Action, Replica, COMPARISON_INTERVAL};
+use crate::round::Round;
 use crate::time::Timestamp;
 
 impl Replica {
     /// When [`Event::Tick`](crate::Event::Tick) is due, unless another event comes earlier.
     pub fn next_tick_at(&self) -> Timestamp {
-        let proposed = self.round.iter().flat_map(|round| &round.outcomes);
-        let deadlines = self
-            .tasks
-            .iter()
-            .chain(proposed.map(|outcome| &outcome.task))
-            .map(|task| task.deadline);
+        let deadlines = self.all_tasks().map(|task| task.deadline);
         let round = self
             .round
             .iter()
@@ -32,9 +28,7 @@
             return None;
         }
         let earliest = self.earliest_round_at();
-        let has_work =
-            !self.tasks.is_empty() || self.next_roster.is_some() || self.roster_unconfirmed;
-        if has_work || !self.acceptor.voting {
+        if self.has_round_work() || !self.acceptor.voting {
             return Some(earliest);
         }
         self.repair_at
@@ -42,6 +36,11 @@
             .map(|at| at.max(earliest))
     }
 
+    /// Whether a voter has a reason for a round, other than what it accepted and does not know to be chosen.
+    pub(super) fn has_round_work(&self) -> bool {
+        !self.tasks.is_empty() || self.next_roster.is_some() || self.roster_unconfirmed
+    }
+
     /// Before this no round begins.
     pub(super) fn earliest_round_at(&self) -> Timestamp {
         self.next_round_at
@@ -50,12 +49,8 @@
 
     /// Does everything that is due.
     pub(super) fn handle_timers(&mut self, actions: &mut Vec<Action>) {
-        let round_expired = |now| {
-            self.round
-                .as_ref()
-                .is_some_and(|round| now >= round.deadline)
-        };
-        if round_expired(self.now) {
+        let is_expired = |round: &Round| self.now >= round.deadline;
+        if self.round.as_ref().is_some_and(is_expired) {
             self.fail_round();
         }
         self.expire_tasks(actions);
