--- a/crates/emberpin-balancer/src/decisions/admission.rs
+++ b/crates/emberpin-balancer/src/decisions/admission.rs
@@ -1,7 +1,10 @@
 //! Admission control: whether a request that arrives is sent to a server or rejected at once.
 
 use super::congestion::REJECT_CHANCE;
-use super::*;
+use super::{
+    gossip, Action, Gateway, Millis, PendingRequest, Request, RequestId, ATTEMPT_TARGET_SHARE,
+    RETRY_BUDGET_MAX, RETRY_BUDGET_RATIO,
+};
 
 /// Whether a request may be sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/emberpin-balancer/src/decisions/announcements.rs
+++ b/crates/emberpin-balancer/src/decisions/announcements.rs
@@ -1,7 +1,10 @@
 //! Gossip that is sent: what this gateway admitted for customers, and its advice on those whose quota it
 //! owns.
 
-use super::*;
+use super::{
+    gossip, quotas, Action, BTreeMap, CustomerState, Entry, Gateway, GatewayId, Millis,
+    GOSSIP_SHARE, MAX_GOSSIP_PERIOD, TICK_PERIOD,
+};
 
 /// Counts are gathered for this time before they are announced.
 const ANNOUNCE_INTERVAL: Millis = 300.0;
--- a/crates/emberpin-balancer/src/decisions/attempts.rs
+++ b/crates/emberpin-balancer/src/decisions/attempts.rs
@@ -1,6 +1,10 @@
 //! Attempts: how long each may take, whether and where a retry goes, and the final answer.
 
-use super::*;
+use super::{
+    gossip, Action, AttemptResult, DedupScope, FirstRun, Gateway, Idempotency, InFlightAttempt,
+    Millis, PendingRequest, PriorAttempt, Request, RequestId, RetryScope, ServerId, ServerStatus,
+    Usage,
+};
 
 /// Deviations that an attempt may take beyond the mean latency, where a retry would still be in time.
 const TIMEOUT_DEVIATIONS: f64 = 6.0;
--- a/crates/emberpin-balancer/src/decisions/balancing.rs
+++ b/crates/emberpin-balancer/src/decisions/balancing.rs
@@ -1,6 +1,8 @@
 //! Load balancing: the choice of a server.
 
-use super::*;
+use super::{
+    health, Gateway, InFlightAttempt, Millis, RetryScope, ServerId, ServerState, ServerStatus,
+};
 
 /// Expected latencies of silence from which a server looks slower.
 const STALL_MULTIPLE: f64 = 3.0;
--- a/crates/emberpin-balancer/src/decisions/congestion.rs
+++ b/crates/emberpin-balancer/src/decisions/congestion.rs
@@ -1,6 +1,8 @@
 //! Congestion control by hysteresis: when this gateway counts as congested, and how strongly.
 
-use super::*;
+use super::{
+    Action, Gateway, Millis, ServerState, ATTEMPT_TARGET_SHARE, THROUGHPUT_WINDOW, TICK_PERIOD,
+};
 
 /// Onset of the paper's examples, in attempts in flight: used until a throughput is known.
 const PAPER_ONSET: f64 = 62.0;
--- a/crates/emberpin-balancer/src/decisions/health.rs
+++ b/crates/emberpin-balancer/src/decisions/health.rs
@@ -1,6 +1,9 @@
 //! What is learned from the end of an attempt: latencies, and which servers are ejected as outliers.
 
-use super::*;
+use super::{
+    slow_start, Action, AttemptResult, Gateway, Millis, Outcome, ServerId, ServerState,
+    ServerStatus, ATTEMPT_TARGET_SHARE,
+};
 
 /// Weight of the newest result in averages.
 const AVERAGE_GAIN: f64 = 0.1;
--- a/crates/emberpin-balancer/src/decisions/housekeeping.rs
+++ b/crates/emberpin-balancer/src/decisions/housekeeping.rs
@@ -1,6 +1,6 @@
 //! The tick: averages, what warm servers carry, gossip, and what may be forgotten.
 
-use super::*;
+use super::{quotas, Action, Gateway, Millis, PEAK_WINDOW, THROUGHPUT_WINDOW, TICK_TOKEN};
 
 /// The state of an idle customer is dropped after this time, or twice that in which its quota refills.
 pub(super) const IDLE_TIMEOUT: Millis = 60_000.0;
--- a/crates/emberpin-balancer/src/decisions/membership.rs
+++ b/crates/emberpin-balancer/src/decisions/membership.rs
@@ -1,6 +1,8 @@
 //! Which servers there are: the endpoint list, and servers that operators take out of service.
 
-use super::*;
+use super::{
+    Action, Gateway, MembershipUpdate, Millis, Server, ServerId, ServerState, ServerStatus,
+};
 
 impl Gateway {
     /// The endpoint list changed. A removed server is kept while attempts at it are in flight; one of a new
--- a/crates/emberpin-balancer/src/decisions/mod.rs
+++ b/crates/emberpin-balancer/src/decisions/mod.rs
@@ -20,8 +20,15 @@
 pub(crate) use congestion::CONGESTION_LEVELS;
 
 use crate::gossip::{self, Entry};
-use crate::interface::*;
-use crate::state::*;
+use crate::interface::{
+    Action, AttemptResult, Class, CustomerId, DedupScope, Event, GatewayId, GatewaySet,
+    Idempotency, MembershipUpdate, Millis, Outcome, Plan, PlanId, PriorAttempt, Request, RequestId,
+    Server, ServerId, ServerStatus, Settings, Usage,
+};
+use crate::state::{
+    mix, Advice, ClassLatency, CustomerState, FirstRun, InFlightAttempt, Latency, LoadState,
+    PeerCount, PendingRequest, RetryScope, ServerState, TokenBucket,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 // Constants of several files. Each has its reason; none comes from a deployment's figures.
--- a/crates/emberpin-balancer/src/decisions/peers.rs
+++ b/crates/emberpin-balancer/src/decisions/peers.rs
@@ -1,6 +1,9 @@
 //! Gossip that is received: the load of peers, what they admitted, and what the owners of quotas advise.
 
-use super::*;
+use super::{
+    gossip, housekeeping, Advice, CustomerId, Entry, Gateway, GatewayId, GatewaySet, Millis,
+    PeerCount, PlanId, ISOLATION_TIMEOUT,
+};
 
 /// Messages that a mean over the peers is taken over, where there are that many peers.
 const MEAN_MESSAGES: f64 = 20.0;
--- a/crates/emberpin-balancer/src/decisions/quotas.rs
+++ b/crates/emberpin-balancer/src/decisions/quotas.rs
@@ -1,7 +1,10 @@
 //! Customers' quotas and hard rate limits: their token buckets, and what is taken from them.
 
 use super::admission::Admission;
-use super::*;
+use super::{
+    gossip, mix, Action, CustomerId, CustomerState, Gateway, GatewayId, GatewaySet, Millis, Plan,
+    PlanId, TokenBucket, Usage, ISOLATION_TIMEOUT, TICK_PERIOD,
+};
 
 /// Share of the onset below which a gateway counts as quiet enough for paid requests beyond quotas.
 const QUIET_SHARE: f64 = 0.5;
--- a/crates/emberpin-balancer/src/decisions/slow_start.rs
+++ b/crates/emberpin-balancer/src/decisions/slow_start.rs
@@ -1,6 +1,6 @@
 //! The slow start of servers: how much a server that warms up may be sent, and by which gateways.
 
-use super::*;
+use super::{mix, Gateway, Millis, Server, ServerId, ServerState, TokenBucket, TICK_PERIOD};
 
 /// Share of the load that would overload a server which the gateways together may send to it.
 const SLOW_START_SHARE: f64 = 0.5;
--- a/crates/emberpin-balancer/src/handover.rs
+++ b/crates/emberpin-balancer/src/handover.rs
@@ -6,7 +6,9 @@
 //! [`Usage`]. The types here are encoded by position, so that the order of their fields must not change.
 
 use crate::decisions::{Gateway, CONGESTION_LEVELS};
-use crate::interface::*;
+use crate::interface::{
+    Event, GatewayId, MembershipUpdate, Millis, Plan, Server, ServerId, Settings,
+};
 use crate::state::{Advice, ClassLatency, CustomerState, LoadState, ServerState, TokenBucket};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/emberpin-balancer/src/host_config.rs
+++ b/crates/emberpin-balancer/src/host_config.rs
@@ -3,7 +3,10 @@
 //! `serde(rename)`. No decision is taken here.
 
 use crate::gossip;
-use crate::interface::*;
+use crate::interface::{
+    Class, ClassId, DedupScope, GatewayId, Idempotency, LoadReport, Millis, Plan, PlanId, Server,
+    ServerId, ServerStatus, Settings, SlowStart,
+};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
--- a/crates/emberpin-limiter/src/operate/operator.rs
+++ b/crates/emberpin-limiter/src/operate/operator.rs
@@ -498,6 +498,10 @@
 }
 
 /// A number within its bounds, or an error that names both.
+///
+/// # Errors
+///
+/// What is no number, or lies outside of the bounds.
 pub fn within<'de, D: Deserializer<'de>>(
     from: D,
     bounds: RangeInclusive<f64>,
@@ -520,6 +524,10 @@
 }
 
 /// A count within its bounds, or an error that names both.
+///
+/// # Errors
+///
+/// What is no whole number, or lies outside of the bounds.
 pub fn count<'de, D: Deserializer<'de>>(
     from: D,
     bounds: RangeInclusive<u32>,
--- a/crates/emberpin-testbed/src/scenario.rs
+++ b/crates/emberpin-testbed/src/scenario.rs
@@ -541,7 +541,11 @@
         Ok(())
     }
 
-    /// Reads one from text; `file` is named in errors, which are those of [`Scenario::read`].
+    /// Reads one from text; `file` is named in errors.
+    ///
+    /// # Errors
+    ///
+    /// Those of [`Scenario::read`].
     pub fn parse(file: &str, text: &str) -> Result<Scenario, String> {
         let raw: File = toml::from_str(text)
             .map_err(|e| emberpin_limiter::operate::operator::place(file, text, &e))?;
--- a/crates/emberpin-wal/src/storage.rs
+++ b/crates/emberpin-wal/src/storage.rs
@@ -16,26 +16,70 @@
 /// Errors are the operating system's; after one, what a write has done is unknown until it is truncated.
 pub trait Storage {
     /// All names in the folder, in any order.
+    ///
+    /// # Errors
+    ///
+    /// The folder cannot be read.
     fn names(&mut self) -> io::Result<Vec<String>>;
     /// Makes an empty file; one that is there already is an error.
+    ///
+    /// # Errors
+    ///
+    /// The file exists already, or cannot be made.
     fn create(&mut self, name: &str) -> io::Result<()>;
     /// What tells this file from its copies.
+    ///
+    /// # Errors
+    ///
+    /// The file is not there, or cannot be read.
     fn identity(&mut self, name: &str) -> io::Result<FileIdentity>;
     /// Writes at the end of a file, which may be written in part when this fails.
+    ///
+    /// # Errors
+    ///
+    /// The bytes were not written, or only in part.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
     /// Writes over a file's bytes from `at` on, lengthening it if need be.
+    ///
+    /// # Errors
+    ///
+    /// The bytes were not written, or only in part.
     fn overwrite(&mut self, name: &str, at: u64, bytes: &[u8]) -> io::Result<()>;
     /// Reads from `at` on; 0 at the end.
+    ///
+    /// # Errors
+    ///
+    /// The file is not there, or cannot be read.
     fn read(&mut self, name: &str, at: u64, into: &mut [u8]) -> io::Result<usize>;
     /// Cuts a file to `length` bytes.
+    ///
+    /// # Errors
+    ///
+    /// The file keeps its length.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
     /// Returns once a file's bytes outlast a loss of power (fdatasync(2)).
+    ///
+    /// # Errors
+    ///
+    /// Nothing written since the last success may be taken to outlast a loss of power.
     fn sync(&mut self, name: &str) -> io::Result<()>;
     /// The same for the folder: names made and removed.
+    ///
+    /// # Errors
+    ///
+    /// No name made, changed or removed since the last success may be taken to outlast one.
     fn sync_folder(&mut self) -> io::Result<()>;
     /// Gives a file another name, in place of any that has it.
+    ///
+    /// # Errors
+    ///
+    /// The file keeps its name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
+    ///
+    /// # Errors
+    ///
+    /// The file stays.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
