--- a/crates/emberpin-limiter/src/host.rs
+++ b/crates/emberpin-limiter/src/host.rs
@@ -13,7 +13,7 @@
 };
 pub use crate::operate::clock::Clock;
 pub use crate::operate::figures::{Active, Ending, Figures};
-pub use crate::upstream::engine::Engine;
+pub use crate::upstream::engine::{Engine, OverdueAttempts, SentAttempt, TimerGrid};
 pub use crate::upstream::roster::ServerInstance;
 pub use crate::upstream::server::{Pool, PoolLimits, Upstream};
 pub use crate::upstream::wire::{Described, Wire};
--- a/crates/emberpin-limiter/src/upstream/driver.rs
+++ b/crates/emberpin-limiter/src/upstream/driver.rs
@@ -145,7 +145,7 @@
         let timer = sleep_until(Instant::now());
         tokio::pin!(timer);
         loop {
-            let due = self.engine.due();
+            let due = self.engine.next_timer();
             if let Some(due) = due.filter(|due| *due != timer.deadline()) {
                 timer.as_mut().reset(due);
             }
@@ -167,7 +167,7 @@
     }
 
     fn fire(&mut self) {
-        self.engine.fire();
+        self.engine.fire_timers();
         self.carry_on();
         self.show_pool();
     }
@@ -252,19 +252,20 @@
 
     fn take(&mut self, input: Input) {
         match input {
-            Input::Request(call) => self.engine.call(call),
-            Input::ClientGone(request) => self.engine.gone(request),
+            Input::Request(request) => self.engine.on_request(request),
+            Input::ClientGone(request) => self.engine.on_client_gone(request),
             Input::AttemptEnded {
                 request,
                 attempt,
                 server,
                 ended,
             } => {
-                self.engine.ended(request, attempt, server, ended, true);
+                self.engine
+                    .on_attempt_ended(request, attempt, server, ended, true);
             }
             // Attempts here end with the time that the module gives them.
             Input::Overdue { .. } => {}
-            Input::ProbeEnded { server, ended } => self.engine.feed(Event::ProbeEnded {
+            Input::ProbeEnded { server, ended } => self.engine.handle_event(Event::ProbeEnded {
                 server,
                 outcome: ended.outcome,
                 elapsed: ended.elapsed,
@@ -280,14 +281,14 @@
 
     /// Gives the module an event and does what it says.
     fn feed(&mut self, event: Event) {
-        self.engine.feed(event);
+        self.engine.handle_event(event);
         self.carry_on();
     }
 
     /// Does what the module wants that concerns no request.
     fn carry_on(&mut self) {
-        self.engine.sent.clear();
-        for action in std::mem::take(&mut self.engine.beyond) {
+        self.engine.sent_attempts.clear();
+        for action in std::mem::take(&mut self.engine.other_actions) {
             match action {
                 Action::SendToPeer { to, bytes } => {
                     if let Some(peers) = &self.peers {
--- /dev/null
+++ b/crates/emberpin-limiter/src/upstream/engine/request_table.rs
@@ -0,0 +1,70 @@
+//! The requests that an engine has in flight.
+
+use crate::messages::{AdmittedRequest, Answer, Reply, UpstreamRequest};
+use emberpin_balancer::Outcome;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+/// A request that awaits its answer, or has an attempt running.
+pub(super) struct InFlightRequest {
+    pub(super) outgoing: Rc<UpstreamRequest>,
+    pub(super) expires: Instant,
+    /// How long it may take once its body has ended.
+    pub(super) time_limit: Duration,
+    /// Receives the reply; `None` once it has one, or needs none as its client is gone.
+    pub(super) reply_to: Option<oneshot::Sender<Reply>>,
+    /// Attempts so far, those that were not sent included.
+    pub(super) attempts: u32,
+    pub(super) running: Option<RunningAttempt>,
+    pub(super) may_have_run: bool,
+    /// A server's latest response that is not good, for the client if no attempt brings a better one.
+    pub(super) error_response: Option<Reply>,
+}
+
+/// An attempt whose end has not arrived.
+pub(super) struct RunningAttempt {
+    /// Cancels the attempt when dropped, or ends it with the outcome that is sent; `None` once either was done.
+    pub(super) cancel: Option<oneshot::Sender<Outcome>>,
+}
+
+impl InFlightRequest {
+    pub(super) fn new(admitted: AdmittedRequest) -> InFlightRequest {
+        InFlightRequest {
+            outgoing: admitted.outgoing,
+            expires: admitted.expires,
+            time_limit: admitted.time_limit,
+            reply_to: Some(admitted.reply_to),
+            attempts: 0,
+            running: None,
+            may_have_run: admitted.ran.is_some(),
+            error_response: None,
+        }
+    }
+
+    /// Whether `attempt` is the number of the latest attempt.
+    pub(super) fn has_latest_attempt(&self, attempt: u32) -> bool {
+        self.attempts == attempt + 1
+    }
+
+    /// Whether nothing is left to do for it.
+    pub(super) fn is_finished(&self) -> bool {
+        self.reply_to.is_none() && self.running.is_none()
+    }
+
+    /// Sends the reply, unless there was one before.
+    pub(super) fn reply(&mut self, reply: Reply) {
+        if let Some(reply_to) = self.reply_to.take() {
+            _ = reply_to.send(reply);
+        }
+    }
+
+    /// Sends a server's response that is not good, if there is one, in place of an answer of the limiter's own.
+    pub(super) fn reply_with_error_response_or(&mut self, answer: Answer) {
+        if let Some(reply_to) = self.reply_to.take() {
+            let reply = self.error_response.take();
+            _ = reply_to.send(reply.unwrap_or(Reply::Answer(answer)));
+        }
+    }
+}
--- a/crates/emberpin-proxy/src/controller/attempts.rs
+++ b/crates/emberpin-proxy/src/controller/attempts.rs
@@ -64,7 +64,9 @@
             .then(|| self.take_back(&service, request, &ended))
             .flatten();
         if let Some(service) = self.services.get_mut(&service) {
-            service.engine.ended(request, attempt, server, ended, retry);
+            service
+                .engine
+                .on_attempt_ended(request, attempt, server, ended, retry);
         }
         self.record_sent_attempts(&service);
         self.forget_if_finished(request);
@@ -100,7 +102,7 @@
         if !ended.outcome.never_ran() {
             return None;
         }
-        let reply_to = self.services.get_mut(service)?.engine.take_back(request)?;
+        let reply_to = self.services.get_mut(service)?.engine.withdraw(request)?;
         let in_flight = self.in_flight.get(&request)?;
         Some(in_flight.to_route_request(request, reply_to))
     }
@@ -122,8 +124,8 @@
             return;
         };
         if within_budget && engine.gateway.would_retry(engine.clock.now(), request) {
-            engine.give_up(request, attempt);
-        } else if engine.is_out(request, attempt) {
+            engine.time_out(request, attempt);
+        } else if engine.can_time_out(request, attempt) {
             self.recheck_overdue_later(request, attempt);
         }
     }
@@ -143,7 +145,7 @@
         };
         let name = in_flight.service.clone();
         if let Some(service) = self.services.get_mut(&name) {
-            service.engine.gone(request);
+            service.engine.on_client_gone(request);
         }
         self.record_sent_attempts(&name);
         self.forget_if_finished(request);
@@ -156,7 +158,7 @@
             return;
         };
         // Actions that concern no request, such as messages to peers, have no meaning for a proxy.
-        service.engine.beyond.clear();
+        service.engine.other_actions.clear();
         for (request, instance) in service.take_sent_attempts() {
             let now = self.now();
             if let Some(in_flight) = self.in_flight.get_mut(&request) {
@@ -180,7 +182,7 @@
         if !self
             .services
             .get(&in_flight.service)
-            .is_some_and(|service| service.engine.holds(request))
+            .is_some_and(|service| service.engine.has_request(request))
         {
             self.in_flight.remove(&request);
         }
--- a/crates/emberpin-proxy/src/controller/mod.rs
+++ b/crates/emberpin-proxy/src/controller/mod.rs
@@ -141,7 +141,7 @@
     fn next_timer(&self) -> Option<Instant> {
         self.services
             .values()
-            .filter_map(|service| service.engine.due())
+            .filter_map(|service| service.engine.next_timer())
             .min()
     }
 
@@ -150,12 +150,12 @@
         let due: Vec<String> = self
             .services
             .iter()
-            .filter(|(_, service)| service.engine.due().is_some_and(|due| due <= now))
+            .filter(|(_, service)| service.engine.next_timer().is_some_and(|due| due <= now))
             .map(|(name, _)| name.clone())
             .collect();
         for name in due {
             if let Some(service) = self.services.get_mut(&name) {
-                service.engine.fire();
+                service.engine.fire_timers();
             }
             self.record_sent_attempts(&name);
         }
--- a/crates/emberpin-proxy/src/controller/routing.rs
+++ b/crates/emberpin-proxy/src/controller/routing.rs
@@ -76,7 +76,7 @@
         let class = service.class(&target.route);
         let (call, in_flight) = prepare_call(request, target, class);
         self.in_flight.insert(id, in_flight);
-        service.engine.call(call);
+        service.engine.on_request(call);
         self.record_sent_attempts(&name);
         self.forget_if_finished(id);
     }
--- a/crates/emberpin-proxy/src/service/mod.rs
+++ b/crates/emberpin-proxy/src/service/mod.rs
@@ -5,7 +5,9 @@
 mod traffic_class;
 
 use emberpin_balancer::{ClassId, Event, Gateway, MembershipUpdate, RequestId, Server, ServerId};
-use emberpin_limiter::host::{Clock, Engine, Input, Pool, ServerInstance, Upstream};
+use emberpin_limiter::host::{
+    Clock, Engine, Input, OverdueAttempts, Pool, SentAttempt, ServerInstance, TimerGrid, Upstream,
+};
 use emberpin_routing::{Availability, Route};
 use endpoint::KnownEndpoint;
 use hyper::header::HeaderValue;
@@ -58,10 +60,13 @@
         let gateway = Gateway::new(settings::decision_settings(), seed, clock.now());
         let mut engine = Engine::new(gateway, clock, inputs);
         // A 503 of the gateway promises its client that the request has not run.
-        engine.refusals_promise = true;
+        engine.reject_only_unexecuted = true;
         // The controller gives up overdue attempts, only where its limits allow a retry.
-        engine.patient = true;
-        engine.grid = Some((started_at, TIMER_GRID));
+        engine.overdue_attempts = OverdueAttempts::Report;
+        engine.timer_grid = Some(TimerGrid {
+            origin: started_at,
+            step: TIMER_GRID,
+        });
         Service {
             engine,
             pool,
@@ -118,9 +123,11 @@
 
     /// Attempts that were sent since the last call, each as its request and the id of the instance that it went to.
     pub fn take_sent_attempts(&mut self) -> Vec<(RequestId, String)> {
-        let sent = std::mem::take(&mut self.engine.sent);
-        let with_instance =
-            |(request, _, server)| Some((request, self.instance_ids.get(&server)?.clone()));
+        let sent = std::mem::take(&mut self.engine.sent_attempts);
+        let with_instance = |attempt: SentAttempt| {
+            let instance = self.instance_ids.get(&attempt.server)?.clone();
+            Some((attempt.request, instance))
+        };
         sent.into_iter().filter_map(with_instance).collect()
     }
 
@@ -224,7 +231,7 @@
 
     fn notify_membership(&mut self, entry: Server) {
         self.engine
-            .feed(Event::Membership(MembershipUpdate::Changes(vec![entry])));
+            .handle_event(Event::Membership(MembershipUpdate::Changes(vec![entry])));
         self.update_min_congestion_threshold();
     }
 
--- a/crates/emberpin-proxy/tests/attempt_timeouts.rs
+++ b/crates/emberpin-proxy/tests/attempt_timeouts.rs
@@ -17,7 +17,7 @@
 /// A server that stays silent for this long is overdue several times over, and the client still waits.
 const SILENCE: Duration = Duration::from_millis(1_500);
 
-/// Guards `give_up` in `on_attempt_overdue`: the one case in which an attempt is not awaited.
+/// Guards `Engine::time_out` in `on_attempt_overdue`: the one case in which an attempt is not awaited.
 #[tokio::test]
 async fn an_attempt_is_given_up_where_another_can_follow() -> googletest::Result<()> {
     let (mut one, mut other, instances) = two_servers().await;
@@ -164,9 +164,8 @@
     verify_that!(client.status().await, some(eq(200)))
 }
 
-/// Guards `UpstreamRequest::is_replayable` in `give_up`: a long body that has been streamed cannot be sent again, so no attempt
-/// could
-/// follow.
+/// Guards `UpstreamRequest::is_replayable` in `Engine::time_out`: a long body that has been streamed cannot be sent again,
+/// so no attempt could follow.
 #[tokio::test]
 async fn an_attempt_is_awaited_where_the_body_has_been_streamed() -> googletest::Result<()> {
     let (mut one, mut other, instances) = two_servers().await;
--- a/crates/emberpin-proxy/tests/retries.rs
+++ b/crates/emberpin-proxy/tests/retries.rs
@@ -91,7 +91,7 @@
 }
 
 /// Guards `max_attempts` in `may_retry`: a third server is available, and the retry budget would allow it. Guards
-/// `refusals_promise` too: a request that may have run is not refused with 503.
+/// `reject_only_unexecuted` too: a request that may have run is not refused with 503.
 #[tokio::test]
 async fn a_readonly_request_is_attempted_as_often_as_its_route_allows() -> googletest::Result<()> {
     let mut servers = Vec::new();
