--- a/crates/emberpin-startup/tests/recorded.rs
+++ b/crates/emberpin-startup/tests/recorded.rs
@@ -1,4 +1,4 @@
-//! What limiters tell each other about lists, and the list that one keeps on its disk, as an earlier build wrote them.
+//! The messages about lists between limiters, and a list snapshot, as an earlier build wrote them.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "../../emberpin-peering/tests/common/recording.rs"]
@@ -16,28 +16,31 @@
 const WRITTEN_MS: u64 = 1_700_000_000_123;
 const ENTRIES: &[u8] = br#"[{"uid":"s-1","endpoint":"127.0.0.1:8080","az":"a","model":"std","pod_group":1,"state":"ready","capacity_hint":1.0,"boot_ms":0.0}]"#;
 
-/// Each with the list service that it is of, as the limiter sends it.
+/// Each with the address of its discovery service, as the limiter sends it.
 fn messages() -> Vec<(&'static str, (String, ListMessage))> {
-    let of = |said| ("10.0.0.1:7000".to_string(), said);
-    let pulse = WatcherHeartbeat {
+    let of_service = |message| ("10.0.0.1:7000".to_string(), message);
+    let heartbeat = WatcherHeartbeat {
         watcher: 3,
         incarnation: WRITTEN_MS,
         sequence: 129,
         version: VERSION,
     };
     vec![
-        ("pulse", of(ListMessage::Heartbeat(pulse))),
-        ("want", of(ListMessage::Request { version: VERSION })),
+        ("pulse", of_service(ListMessage::Heartbeat(heartbeat))),
+        (
+            "want",
+            of_service(ListMessage::Request { version: VERSION }),
+        ),
         (
             "list",
-            of(ListMessage::List {
+            of_service(ListMessage::List {
                 version: VERSION,
                 entries: ENTRIES.to_vec(),
             }),
         ),
         (
             "list-empty",
-            of(ListMessage::List {
+            of_service(ListMessage::List {
                 version: ListVersion {
                     epoch: 0,
                     revision: 0,
@@ -48,7 +51,7 @@
     ]
 }
 
-fn label() -> SnapshotHeader {
+fn header() -> SnapshotHeader {
     SnapshotHeader {
         owner: "norr/n-3".into(),
         written_at: UNIX_EPOCH + Duration::from_millis(WRITTEN_MS),
@@ -57,18 +60,18 @@
 }
 
 #[test]
-fn every_message_about_a_list_is_read_and_written_as_it_was_recorded() {
-    let encode = |said: &(String, ListMessage)| postcard::to_allocvec(said).expect("encoded");
+fn every_recorded_message_about_a_list_is_decoded_and_encoded_as_it_was() {
+    let encode = |message: &(String, ListMessage)| postcard::to_allocvec(message).expect("encoded");
     let decode = |bytes: &[u8]| postcard::from_bytes(bytes).expect("a message");
     assert_recorded("lists.txt", &messages(), encode, decode);
 }
 
 #[test]
-fn a_kept_list_is_read_and_written_as_it_was_recorded() {
-    let recorded = file("kept-list", || encode(&label(), ENTRIES));
-    let soon_after = label().written_at + Duration::from_secs(1);
+fn a_recorded_snapshot_is_decoded_and_encoded_as_it_was() {
+    let recorded = file("kept-list", || encode(&header(), ENTRIES));
+    let soon_after = header().written_at + Duration::from_secs(1);
     let (read, entries) =
-        decode(&recorded, "norr/n-3", soon_after, Duration::from_secs(60)).expect("a kept list");
-    assert_eq!((&read, entries), (&label(), ENTRIES));
+        decode(&recorded, "norr/n-3", soon_after, Duration::from_secs(60)).expect("a snapshot");
+    assert_eq!((&read, entries), (&header(), ENTRIES));
     assert_eq!(encode(&read, entries), recorded);
 }
