--- a/crates/emberpin-demo/src/clients.rs
+++ b/crates/emberpin-demo/src/clients.rs
@@ -1,11 +1,11 @@
 //! Clients: they come through the edge of their zone, and keep the promises of the protocol.
 
-use crate::books::{Asked, Books, Ending, Try};
+use crate::http::{self, Connection, HttpResponse, SendError};
+use crate::invariants::guarantees_not_run;
 use crate::machines::{Deployment, ZONES};
 use crate::operator::{CHANGED, HOSTS};
-use crate::referee::is_promise;
+use crate::record::{Attempt, ClientRequest, Outcome, Recorder};
 use crate::servers::seal;
-use crate::wire::{self, Answer, Sender, Unanswered};
 use http_body_util::Full;
 use hyper::{Method, Request};
 use std::net::SocketAddr;
@@ -77,7 +77,7 @@
     readyz: SocketAddr,
     zone: &'static str,
     missed: AtomicU32,
-    idle: Mutex<Vec<Sender>>,
+    idle: Mutex<Vec<Connection>>,
 }
 
 /// All clients.
@@ -85,7 +85,7 @@
     edges: Vec<Edge>,
     random: Mutex<oorandom::Rand32>,
     next: AtomicU64,
-    books: Books,
+    recorder: Recorder,
 }
 
 fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -94,7 +94,7 @@
 
 impl Clients {
     /// Clients of these edges.
-    pub fn new(deployment: &Deployment, seed: u64, books: &Books) -> Arc<Clients> {
+    pub fn new(deployment: &Deployment, seed: u64, recorder: &Recorder) -> Arc<Clients> {
         let addresses = deployment.http().into_iter().zip(deployment.readyz());
         let edges = addresses
             .zip(&deployment.edges)
@@ -109,7 +109,7 @@
             edges: edges.collect(),
             random: Mutex::new(oorandom::Rand32::new(seed)),
             next: AtomicU64::new(0),
-            books: books.clone(),
+            recorder: recorder.clone(),
         })
     }
 
@@ -157,44 +157,46 @@
         let began = Instant::now();
         let zone = ZONES[self.draw(ZONES.len())];
         let mut tried = Vec::new();
-        let (ending, try_id) = loop {
+        let (outcome, attempt_id) = loop {
             let left = route.deadline.saturating_sub(began.elapsed());
             let edge = self.choose(zone, &tried);
             tried.push(edge);
-            let (try_id, answer) = self.attempt(edge, tried.len() > 1, route, left).await;
+            let (attempt_id, answer) = self.attempt(edge, tried.len() > 1, route, left).await;
             let again = match &answer {
-                Ok(Tried {
+                Ok(AttemptResponse {
                     status: 200..=299,
                     is_own,
                     ..
                 }) => {
                     break (
                         if *is_own {
-                            Ending::Served
+                            Outcome::Served
                         } else {
-                            Ending::Failed
+                            Outcome::Failed
                         },
-                        try_id,
+                        attempt_id,
                     );
                 }
-                Ok(Tried {
+                Ok(AttemptResponse {
                     status: 400 | 401 | 404 | 413 | 431,
                     ..
-                }) => break (Ending::Failed, try_id),
-                Ok(Tried { status, .. }) => is_promise(*status) || !route.is_mutating,
-                Err(Unanswered::Unsent) => true,
-                Err(Unanswered::Broken) => !route.is_mutating,
+                }) => break (Outcome::Failed, attempt_id),
+                Ok(AttemptResponse { status, .. }) => {
+                    guarantees_not_run(*status) || !route.is_mutating
+                }
+                Err(SendError::NotSent) => true,
+                Err(SendError::Broken) => !route.is_mutating,
             };
             let left = route.deadline.saturating_sub(began.elapsed());
             if !again || left.is_zero() || tried.len() >= TRIES as usize {
-                let refused = matches!(&answer, Ok(Tried { status, .. }) if is_promise(*status));
+                let refused = matches!(&answer, Ok(AttemptResponse { status, .. }) if guarantees_not_run(*status));
                 break (
                     if refused {
-                        Ending::Refused
+                        Outcome::Refused
                     } else {
-                        Ending::Failed
+                        Outcome::Failed
                     },
-                    try_id,
+                    attempt_id,
                 );
             }
             let pause = answer
@@ -203,20 +205,20 @@
                 .unwrap_or(PAUSE);
             sleep(pause.min(left / 3)).await;
         };
-        let waited = began.elapsed();
-        let ending = if waited > route.deadline {
-            Ending::Failed
+        let latency = began.elapsed();
+        let outcome = if latency > route.deadline {
+            Outcome::Failed
         } else {
-            ending
+            outcome
         };
-        let asked = Asked {
+        let asked = ClientRequest {
             route: route.name,
-            ending,
-            waited,
-            try_id,
-            at_once: tried.len() == 1,
+            outcome,
+            latency,
+            attempt_id,
+            is_first_attempt: tried.len() == 1,
         };
-        self.books.pages().asked.push(asked);
+        self.recorder.lock().requests.push(asked);
     }
 
     /// An edge of the zone that is ready, or of another; another than those that were tried, if there is.
@@ -257,29 +259,30 @@
         anew: bool,
         route: &Route,
         left: Duration,
-    ) -> (String, Result<Tried, Unanswered>) {
+    ) -> (String, Result<AttemptResponse, SendError>) {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let id = format!("try-{number:08}");
         let noted = {
-            let mut pages = self.books.pages();
-            let sent = Try {
+            let mut record = self.recorder.lock();
+            let sent = Attempt {
                 id: id.clone(),
                 is_mutating: route.is_mutating,
                 status: None,
-                is_foreign: false,
+                has_foreign_response: false,
             };
-            pages.tries.push(sent);
-            pages.tries.len() - 1
+            record.attempts.push(sent);
+            record.attempts.len() - 1
         };
         let exchange = self.exchange(&self.edges[edge], anew, route, &id, left);
         let answer = timeout(left, exchange)
             .await
-            .unwrap_or(Err(Unanswered::Broken));
-        let tried = answer.map(|answer| Tried::of(&answer, &id));
+            .unwrap_or(Err(SendError::Broken));
+        let tried = answer.map(|answer| AttemptResponse::of(&answer, &id));
         if let Ok(tried) = &tried {
-            let mut pages = self.books.pages();
-            pages.tries[noted].status = Some(tried.status);
-            pages.tries[noted].is_foreign = (200..300).contains(&tried.status) && !tried.is_own;
+            let mut record = self.recorder.lock();
+            record.attempts[noted].status = Some(tried.status);
+            record.attempts[noted].has_foreign_response =
+                (200..300).contains(&tried.status) && !tried.is_own;
         }
         (id, tried)
     }
@@ -291,7 +294,7 @@
         route: &Route,
         id: &str,
         left: Duration,
-    ) -> Result<Answer, Unanswered> {
+    ) -> Result<HttpResponse, SendError> {
         let (method, body) = if route.is_mutating {
             (Method::POST, "entry")
         } else {
@@ -304,13 +307,13 @@
             .header("try-id", id)
             .header("deadline", left.as_millis().to_string())
             .body(Full::from(body))
-            .map_err(|_| Unanswered::Unsent)?;
+            .map_err(|_| SendError::NotSent)?;
         let kept = if anew { None } else { edge.kept() };
         let mut sender = match kept {
             Some(sender) => sender,
-            None => wire::connect(edge.http).await?,
+            None => http::connect(edge.http).await?,
         };
-        let answer = wire::ask(&mut sender, request).await?;
+        let answer = http::send(&mut sender, request).await?;
         if answer
             .headers
             .get("connection")
@@ -336,18 +339,18 @@
                 sleep(LOOKS).await;
             }
         }
-        self.books.now()
+        self.recorder.now()
     }
 }
 
 impl Edge {
     async fn is_ready(&self) -> bool {
-        let answer = wire::call(self.readyz, Method::GET, "/readyz", String::new(), PROBES).await;
+        let answer = http::call(self.readyz, Method::GET, "/readyz", String::new(), PROBES).await;
         answer.is_some_and(|answer| answer.status == 200)
     }
 
     /// A connection that is open and idle.
-    fn kept(&self) -> Option<Sender> {
+    fn kept(&self) -> Option<Connection> {
         let mut idle = locked(&self.idle);
         while let Some(sender) = idle.pop() {
             if !sender.is_closed() {
@@ -359,15 +362,15 @@
 }
 
 /// An answer, as a client looks at it.
-struct Tried {
+struct AttemptResponse {
     status: u16,
     /// Its seal and its body are those of the server for this very try.
     is_own: bool,
     retry_after: Option<Duration>,
 }
 
-impl Tried {
-    fn of(answer: &Answer, id: &str) -> Tried {
+impl AttemptResponse {
+    fn of(answer: &HttpResponse, id: &str) -> AttemptResponse {
         let text = |name| {
             answer
                 .headers
@@ -381,7 +384,7 @@
                 .strip_suffix('\n')
         });
         let seconds = text("retry-after").and_then(|seconds| seconds.parse().ok());
-        Tried {
+        AttemptResponse {
             status: answer.status,
             is_own: server.is_some_and(|server| text("seal") == Some(seal(server, id).as_str())),
             retry_after: seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok()),
--- a/crates/emberpin-demo/src/wire.rs
+++ b/crates/emberpin-demo/src/http.rs
@@ -12,13 +12,13 @@
 use tokio::time::timeout;
 
 /// A connection on which one request at a time is sent.
-pub type Sender = SendRequest<Full<Bytes>>;
+pub type Connection = SendRequest<Full<Bytes>>;
 
 /// A new connection is allowed so long to come up.
 const CONNECT: Duration = Duration::from_secs(1);
 
 /// A whole answer.
-pub struct Answer {
+pub struct HttpResponse {
     /// Its status.
     pub status: u16,
     /// Its headers.
@@ -29,10 +29,10 @@
 
 /// Why there is no answer.
 #[derive(Debug, thiserror::Error)]
-pub enum Unanswered {
+pub enum SendError {
     /// Nothing of the request was read by anybody.
     #[error("not sent")]
-    Unsent,
+    NotSent,
     /// It broke off, or its time was over.
     #[error("broke off")]
     Broken,
@@ -42,16 +42,16 @@
 ///
 /// # Errors
 ///
-/// [`Unanswered::Unsent`].
-pub async fn connect(to: SocketAddr) -> Result<Sender, Unanswered> {
+/// [`SendError::NotSent`].
+pub async fn connect(to: SocketAddr) -> Result<Connection, SendError> {
     let stream = timeout(CONNECT, TcpStream::connect(to))
         .await
-        .map_err(|_| Unanswered::Unsent)?;
-    let stream = stream.map_err(|_| Unanswered::Unsent)?;
+        .map_err(|_| SendError::NotSent)?;
+    let stream = stream.map_err(|_| SendError::NotSent)?;
     _ = stream.set_nodelay(true);
     let (sender, connection) = handshake(TokioIo::new(stream))
         .await
-        .map_err(|_| Unanswered::Unsent)?;
+        .map_err(|_| SendError::NotSent)?;
     tokio::spawn(async move { _ = connection.await });
     Ok(sender)
 }
@@ -60,17 +60,20 @@
 ///
 /// # Errors
 ///
-/// [`Unanswered`].
-pub async fn ask(sender: &mut Sender, request: Request<Full<Bytes>>) -> Result<Answer, Unanswered> {
+/// [`SendError`].
+pub async fn send(
+    connection: &mut Connection,
+    request: Request<Full<Bytes>>,
+) -> Result<HttpResponse, SendError> {
     let sent = |e: hyper::Error| {
         if e.is_canceled() {
-            Unanswered::Unsent
+            SendError::NotSent
         } else {
-            Unanswered::Broken
+            SendError::Broken
         }
     };
-    sender.ready().await.map_err(|_| Unanswered::Unsent)?;
-    let (parts, body) = sender
+    connection.ready().await.map_err(|_| SendError::NotSent)?;
+    let (parts, body) = connection
         .send_request(request)
         .await
         .map_err(sent)?
@@ -78,9 +81,9 @@
     let body = body
         .collect()
         .await
-        .map_err(|_| Unanswered::Broken)?
+        .map_err(|_| SendError::Broken)?
         .to_bytes();
-    Ok(Answer {
+    Ok(HttpResponse {
         status: parts.status.as_u16(),
         headers: parts.headers,
         body,
@@ -94,7 +97,7 @@
     path: &str,
     body: String,
     within: Duration,
-) -> Option<Answer> {
+) -> Option<HttpResponse> {
     let request = Request::builder()
         .method(method)
         .uri(path)
@@ -103,6 +106,6 @@
         .header("content-type", "application/json")
         .body(Full::from(body))
         .ok()?;
-    let calling = async { ask(&mut connect(to).await?, request).await };
+    let calling = async { send(&mut connect(to).await?, request).await };
     timeout(within, calling).await.ok()?.ok()
 }
--- a/crates/emberpin-demo/src/referee.rs
+++ b/crates/emberpin-demo/src/invariants.rs
@@ -1,15 +1,15 @@
-//! The referee: judges the stand-ins' books, and nothing that the gateway says of itself.
+//! The invariant checker: judges the record of the stand-ins, and nothing that the gateway says of itself.
 
-use crate::books::Pages;
+use crate::record::Record;
 use std::collections::HashMap;
 use std::time::Duration;
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Breach {
+pub enum Violation {
     /// A mutating try ran more than once.
     #[error("mutating try {id} ran {runs} times")]
-    Twice {
+    RanTwice {
         /// Which.
         id: String,
         /// How often.
@@ -17,7 +17,7 @@
     },
     /// A mutating try was refused with a promise, and yet it ran.
     #[error("mutating try {id} was answered {status}, and yet it ran")]
-    Refused {
+    RanAfterRejection {
         /// Which.
         id: String,
         /// The promise.
@@ -25,7 +25,7 @@
     },
     /// A request that reached an evacuated zone too late.
     #[error("try {id} reached the evacuated zone {zone} {late:.1?} after its time")]
-    Evacuated {
+    ReachedEvacuatedZone {
         /// Which.
         id: String,
         /// Where.
@@ -43,13 +43,13 @@
     },
     /// A client's success that is not its server's answer.
     #[error("try {id} got a success that is not its server's answer")]
-    Foreign {
+    ForeignResponse {
         /// Which.
         id: String,
     },
     /// A server ran what no client sent.
     #[error("a server ran {id}, which no client sent")]
-    Unasked {
+    UnknownAttempt {
         /// Its name.
         id: String,
     },
@@ -58,33 +58,33 @@
     Unacknowledged(String),
     /// A process that nobody told to end.
     #[error("{0}")]
-    Ended(String),
+    ProcessExited(String),
 }
 
 /// All breaches of these books.
-pub fn judge(pages: &Pages) -> Vec<Breach> {
-    let mut breaches = Vec::new();
+pub fn check(record: &Record) -> Vec<Violation> {
+    let mut violations = Vec::new();
     let mut runs: HashMap<&str, usize> = HashMap::new();
-    for arrival in pages.arrivals.iter().filter(|arrival| arrival.ran) {
-        *runs.entry(&arrival.try_id).or_default() += 1;
+    for arrival in record.arrivals.iter().filter(|arrival| arrival.ran) {
+        *runs.entry(&arrival.attempt_id).or_default() += 1;
     }
-    for sent in &pages.tries {
+    for sent in &record.attempts {
         let runs = runs.remove(sent.id.as_str()).unwrap_or(0);
         if sent.is_mutating && runs > 1 {
-            breaches.push(Breach::Twice {
+            violations.push(Violation::RanTwice {
                 id: sent.id.clone(),
                 runs,
             });
         }
-        let promise = sent.status.filter(|status| is_promise(*status));
+        let promise = sent.status.filter(|status| guarantees_not_run(*status));
         if let Some(status) = promise.filter(|_| sent.is_mutating && runs > 0) {
-            breaches.push(Breach::Refused {
+            violations.push(Violation::RanAfterRejection {
                 id: sent.id.clone(),
                 status,
             });
         }
-        if sent.is_foreign {
-            breaches.push(Breach::Foreign {
+        if sent.has_foreign_response {
+            violations.push(Violation::ForeignResponse {
                 id: sent.id.clone(),
             });
         }
@@ -92,22 +92,22 @@
     // What is left belongs to no try.
     let mut unasked: Vec<&str> = runs.into_keys().collect();
     unasked.sort_unstable();
-    breaches.extend(
+    violations.extend(
         unasked
             .into_iter()
-            .map(|id| Breach::Unasked { id: id.into() }),
+            .map(|id| Violation::UnknownAttempt { id: id.into() }),
     );
-    for evacuation in &pages.evacuations {
-        let from = evacuation.acknowledged + evacuation.bound;
-        let until = evacuation.finish.unwrap_or(Duration::MAX);
-        for late in pages
+    for evacuation in &record.evacuations {
+        let from = evacuation.acknowledged_at + evacuation.bound;
+        let until = evacuation.finish_requested_at.unwrap_or(Duration::MAX);
+        for late in record
             .arrivals
             .iter()
             .filter(|arrival| arrival.zone == evacuation.zone)
         {
             if late.at > from && late.at < until {
-                let (id, zone) = (late.try_id.clone(), late.zone.clone());
-                breaches.push(Breach::Evacuated {
+                let (id, zone) = (late.attempt_id.clone(), late.zone.clone());
+                violations.push(Violation::ReachedEvacuatedZone {
                     id,
                     zone,
                     late: late.at - from,
@@ -115,45 +115,51 @@
             }
         }
     }
-    read_back(pages, &mut breaches);
-    breaches.extend(
-        pages
-            .unacknowledged
+    read_back(record, &mut violations);
+    violations.extend(
+        record
+            .unacknowledged_commands
             .iter()
             .cloned()
-            .map(Breach::Unacknowledged),
+            .map(Violation::Unacknowledged),
     );
-    breaches.extend(pages.ended.iter().cloned().map(Breach::Ended));
-    breaches
+    violations.extend(
+        record
+            .exited_processes
+            .iter()
+            .cloned()
+            .map(Violation::ProcessExited),
+    );
+    violations
 }
 
 /// The request has not run, and never will.
-pub fn is_promise(status: u16) -> bool {
+pub fn guarantees_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
 
-fn read_back(pages: &Pages, breaches: &mut Vec<Breach>) {
-    let mut breach = |item: &str, what| {
-        breaches.push(Breach::ReadBack {
+fn read_back(record: &Record, violations: &mut Vec<Violation>) {
+    let mut violation = |item: &str, what| {
+        violations.push(Violation::ReadBack {
             item: item.into(),
             what,
         });
     };
-    let Some(read) = &pages.read_back else {
-        return breach("the configuration", "did not come");
+    let Some(read) = &record.read_back else {
+        return violation("the configuration", "did not come");
     };
-    for (item, value) in &pages.acknowledged {
+    for (item, value) in &record.acknowledged_items {
         match read.get(item) {
-            None => breach(item, "is missing"),
-            Some(read) if read["ver"] != value["ver"] => breach(item, "has another version"),
-            Some(read) if read != value => breach(item, "differs"),
+            None => violation(item, "is missing"),
+            Some(read) if read["ver"] != value["ver"] => violation(item, "has another version"),
+            Some(read) if read != value => violation(item, "differs"),
             Some(_) => {}
         }
     }
     for item in read
         .keys()
-        .filter(|item| !pages.acknowledged.contains_key(*item))
+        .filter(|item| !record.acknowledged_items.contains_key(*item))
     {
-        breach(item, "is there, though it was dropped or never sent");
+        violation(item, "is there, though it was dropped or never sent");
     }
 }
--- a/crates/emberpin-demo/src/lib.rs
+++ b/crates/emberpin-demo/src/lib.rs
@@ -1,15 +1,16 @@
-//! A roadstead is where ships lie at anchor: the whole gateway at work on loopback, for whoever meets it first.
+//! The whole gateway at work on loopback, for whoever meets it first.
 //!
-//! Core machines and edges are processes of their own; servers, an operator and clients are stand-ins in this one, and
-//! keep books. A core machine is killed and a server crashes meanwhile; at the end a referee goes through the books.
+//! Core machines and edges are processes of their own; servers, an operator and clients are stand-ins in this process
+//! and record what they observe. Meanwhile a core machine is killed and a server crashes; at the end the invariant
+//! checker goes through the record.
 #![forbid(unsafe_code)]
 
-pub mod books;
 pub mod clients;
-pub mod demo;
+pub mod http;
+pub mod invariants;
 pub mod machines;
 pub mod operator;
-pub mod referee;
+pub mod record;
 pub mod report;
+pub mod scenario;
 pub mod servers;
-pub mod wire;
--- a/crates/emberpin-demo/src/machines.rs
+++ b/crates/emberpin-demo/src/machines.rs
@@ -26,7 +26,7 @@
 
 /// Why the deployment could not be set up.
 #[derive(Debug, thiserror::Error)]
-pub enum Unplayable {
+pub enum DemoError {
     /// No ports that are free on all machines.
     #[error("no {PORTS} ports in a row are free on every machine's address; the last try: {0}")]
     NoPorts(io::Error),
@@ -44,7 +44,7 @@
     Late(String, Duration),
     /// A process that ended before its time.
     #[error("{0}")]
-    Ended(String),
+    ProcessExited(String),
     /// Somebody wants it to end.
     #[error("interrupted")]
     Interrupted,
@@ -65,7 +65,7 @@
     const ALL: [Role; 3] = [Role::Store, Role::Registry, Role::Proxy];
 
     /// The word by which this executable runs itself again.
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Role::Store => "store",
             Role::Registry => "registry",
@@ -74,8 +74,8 @@
     }
 
     /// The program of this word.
-    pub fn from_word(word: &str) -> Option<Role> {
-        Role::ALL.into_iter().find(|role| role.word() == word)
+    pub fn from_name(word: &str) -> Option<Role> {
+        Role::ALL.into_iter().find(|role| role.name() == word)
     }
 
     /// Runs the program in this process; the first argument is the id of the process that started it.
@@ -97,7 +97,7 @@
 
 /// Where a machine is.
 #[derive(Clone, Copy, Debug)]
-pub struct Place {
+pub struct Machine {
     /// Its address.
     pub ip: Ipv4Addr,
     /// Its zone.
@@ -108,9 +108,9 @@
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// Core machines.
-    pub core: Vec<Place>,
+    pub core: Vec<Machine>,
     /// Edges.
-    pub edges: Vec<Place>,
+    pub edges: Vec<Machine>,
     port: u16,
 }
 
@@ -128,8 +128,8 @@
     ///
     /// # Errors
     ///
-    /// [`Unplayable::NoPorts`].
-    pub fn find(edges: usize) -> Result<Deployment, Unplayable> {
+    /// [`DemoError::NoPorts`].
+    pub fn find(edges: usize) -> Result<Deployment, DemoError> {
         let rows = u32::from((FIRST_PORTS.1 - FIRST_PORTS.0) / PORTS);
         // Runs side by side begin far from each other.
         let row = |turn: u32| std::process::id().wrapping_mul(97).wrapping_add(turn * 131) % rows;
@@ -143,17 +143,17 @@
     ///
     /// # Errors
     ///
-    /// [`Unplayable::NoPorts`].
+    /// [`DemoError::NoPorts`].
     pub fn among(
         edges: usize,
         first_ports: impl Iterator<Item = u16>,
-    ) -> Result<Deployment, Unplayable> {
-        let place = |first: u8, number: usize| Place {
+    ) -> Result<Deployment, DemoError> {
+        let place = |first: u8, number: usize| Machine {
             ip: Ipv4Addr::new(127, 0, 0, first + number as u8),
             zone: ZONES[number % ZONES.len()],
         };
-        let core: Vec<Place> = (0..CORE).map(|number| place(11, number)).collect();
-        let edges: Vec<Place> = (0..edges).map(|number| place(21, number)).collect();
+        let core: Vec<Machine> = (0..CORE).map(|number| place(11, number)).collect();
+        let edges: Vec<Machine> = (0..edges).map(|number| place(21, number)).collect();
         let mut last = io::Error::other("none was tried");
         for port in first_ports {
             match core
@@ -165,7 +165,7 @@
                 Err(problem) => last = problem,
             }
         }
-        Err(Unplayable::NoPorts(last))
+        Err(DemoError::NoPorts(last))
     }
 
     /// Where servers and the operator call.
@@ -196,7 +196,7 @@
     fn settings(
         &self,
         role: Role,
-        place: Place,
+        place: Machine,
         disk: &Path,
         bootstrap: bool,
         bounds: Bounds,
@@ -212,7 +212,7 @@
         let mut text = format!(
             "[self]\nnodename = \"{mclass}-{zone}-{ip}\"\nrole = \"{}\"\nmclass = \"{mclass}\"\nserves = [{serves}]\n\
              ip = \"{ip}\"\naz = \"{zone}\"\nrgn = \"{REGION}\"\nvoting = {is_core}\nbootstrap = {bootstrap}\n",
-            role.word()
+            role.name()
         );
         if is_core {
             _ = writeln!(text, "datadir = \"{}\"", disk.display());
@@ -274,32 +274,32 @@
     ///
     /// # Errors
     ///
-    /// [`Unplayable`].
+    /// [`DemoError`].
     pub fn start(
         deployment: &Deployment,
         role: Role,
-        place: Place,
+        place: Machine,
         folder: &Path,
         bootstrap: bool,
         bounds: Bounds,
-    ) -> Result<Process, Unplayable> {
-        let name = format!("{} on {}", role.word(), place.ip);
-        let file = |end: &str| folder.join(format!("{}-{}.{end}", role.word(), place.ip));
+    ) -> Result<Process, DemoError> {
+        let name = format!("{} on {}", role.name(), place.ip);
+        let file = |end: &str| folder.join(format!("{}-{}.{end}", role.name(), place.ip));
         let (settings, log) = (file("toml"), file("log"));
         let disk = folder.join(format!("disk-{}", place.ip));
         let text = deployment.settings(role, place, &disk, bootstrap, bounds);
         if role == Role::Store {
-            std::fs::create_dir_all(&disk).map_err(|e| Unplayable::File(disk.clone(), e))?;
+            std::fs::create_dir_all(&disk).map_err(|e| DemoError::File(disk.clone(), e))?;
         }
-        std::fs::write(&settings, text).map_err(|e| Unplayable::File(settings.clone(), e))?;
+        std::fs::write(&settings, text).map_err(|e| DemoError::File(settings.clone(), e))?;
         let out = std::fs::File::options()
             .create(true)
             .append(true)
             .open(&log);
-        let out = out.map_err(|e| Unplayable::File(log.clone(), e))?;
+        let out = out.map_err(|e| DemoError::File(log.clone(), e))?;
         let child = std::env::current_exe().and_then(|program| {
             let mut command = Command::new(program);
-            command.arg(role.word()).arg(std::process::id().to_string());
+            command.arg(role.name()).arg(std::process::id().to_string());
             command.env("EMBERPIN_NODE_FILE", &settings);
             command
                 .stdin(Stdio::null())
@@ -308,7 +308,7 @@
                 .spawn()
         });
         Ok(Process {
-            child: child.map_err(|e| Unplayable::Start(name.clone(), e))?,
+            child: child.map_err(|e| DemoError::Start(name.clone(), e))?,
             name,
             log,
         })
--- a/crates/emberpin-demo/src/main.rs
+++ b/crates/emberpin-demo/src/main.rs
@@ -1,8 +1,8 @@
 //! `emberpin-demo`: the newcomer's command, and, by a first word, each of the gateway's programs.
 #![forbid(unsafe_code)]
 
-use emberpin_demo::demo::{self, Plan};
 use emberpin_demo::machines::Role;
+use emberpin_demo::scenario::{self, DemoOptions};
 use getopts::{Matches, Options};
 use std::process::ExitCode;
 use std::str::FromStr;
@@ -14,7 +14,7 @@
     let mut arguments = std::env::args_os().skip(1);
     if let Some(role) = std::env::args()
         .nth(1)
-        .and_then(|word| Role::from_word(&word))
+        .and_then(|word| Role::from_name(&word))
     {
         arguments.next();
         return role.run(arguments);
@@ -45,7 +45,8 @@
         print!("{}", options.usage(brief));
         return ExitCode::SUCCESS;
     }
-    match plan(&asked).and_then(|plan| demo::play(&plan).map_err(|problem| problem.to_string())) {
+    match plan(&asked).and_then(|plan| scenario::run(&plan).map_err(|problem| problem.to_string()))
+    {
         Ok(report) => {
             print!("{report}");
             if report.is_good() {
@@ -58,8 +59,8 @@
     }
 }
 
-fn plan(asked: &Matches) -> Result<Plan, String> {
-    let plan = Plan {
+fn plan(asked: &Matches) -> Result<DemoOptions, String> {
+    let plan = DemoOptions {
         seconds: number(asked, "seconds", 10.0)?,
         seed: number(asked, "seed", 1)?,
         edges: number(asked, "edges", 3)?,
--- a/crates/emberpin-demo/src/operator.rs
+++ b/crates/emberpin-demo/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operator: sends configurations, evacuates a zone, and reads back what stands.
 
-use crate::books::{Books, Evacuation, Items};
-use crate::wire;
+use crate::http;
+use crate::record::{ConfigItems, Evacuation, Recorder};
 use hyper::Method;
 use jzon::{array, object, JsonValue};
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 /// The operator.
 pub struct Operator {
     ctl: Vec<SocketAddr>,
-    books: Books,
+    recorder: Recorder,
 }
 
 fn route(name: &str, prefix: &str, service: usize, timeout: &str, ver: u64) -> JsonValue {
@@ -69,9 +69,9 @@
 }
 
 /// The items in these lists, each under its kind and name.
-pub fn items(lists: &JsonValue) -> Items {
+pub fn items(lists: &JsonValue) -> ConfigItems {
     let name = |item: &JsonValue| item["name"].as_str().unwrap_or_default().to_string();
-    let mut items: Items = lists["svcs"]
+    let mut items: ConfigItems = lists["svcs"]
         .members()
         .map(|item| (format!("service {}", name(item)), item.clone()))
         .collect();
@@ -90,8 +90,8 @@
 
 impl Operator {
     /// Calls these addresses.
-    pub fn new(ctl: Vec<SocketAddr>, books: Books) -> Operator {
-        Operator { ctl, books }
+    pub fn new(ctl: Vec<SocketAddr>, recorder: Recorder) -> Operator {
+        Operator { ctl, recorder }
     }
 
     /// Sends the first configuration until it is taken; returns when it was.
@@ -106,10 +106,10 @@
 
     async fn patch(&self, what: &str, patch: &JsonValue) -> Option<Duration> {
         let acknowledged = self.order(what, "/config/patch", patch.dump()).await?;
-        let mut pages = self.books.pages();
-        pages.acknowledged.extend(items(&patch["upsert"]));
+        let mut record = self.recorder.lock();
+        record.acknowledged_items.extend(items(&patch["upsert"]));
         for removed in patch["remove"]["rtab"].members() {
-            pages.acknowledged.remove(&format!(
+            record.acknowledged_items.remove(&format!(
                 "route {}",
                 removed["name"].as_str().unwrap_or_default()
             ));
@@ -123,25 +123,25 @@
         let acknowledged = self.order("the evacuation", &order, String::new()).await?;
         let evacuation = Evacuation {
             zone: zone.into(),
-            acknowledged,
+            acknowledged_at: acknowledged,
             bound,
-            finish: None,
+            finish_requested_at: None,
         };
-        self.books.pages().evacuations.push(evacuation);
+        self.recorder.lock().evacuations.push(evacuation);
         Some(acknowledged)
     }
 
     /// Takes the evacuation of a zone back; returns when that was asked for.
     pub async fn take_back(&self, zone: &str) -> Duration {
-        let asked = self.books.now();
+        let asked = self.recorder.now();
         for evacuation in self
-            .books
-            .pages()
+            .recorder
+            .lock()
             .evacuations
             .iter_mut()
             .filter(|one| one.zone == zone)
         {
-            evacuation.finish = Some(asked);
+            evacuation.finish_requested_at = Some(asked);
         }
         self.order(
             "the evacuation's end",
@@ -156,17 +156,17 @@
     pub async fn read_back(&self) {
         let read = self.ask(Method::GET, "/config/get", String::new()).await;
         let lists = read.ok().and_then(|body| jzon::parse(&body).ok());
-        self.books.pages().read_back = lists.map(|lists| items(&lists));
+        self.recorder.lock().read_back = lists.map(|lists| items(&lists));
     }
 
     /// Sends an order until it is acknowledged or refused; returns when it was acknowledged.
     async fn order(&self, what: &str, path: &str, body: String) -> Option<Duration> {
         match self.ask(Method::POST, path, body).await {
-            Ok(_) => Some(self.books.now()),
+            Ok(_) => Some(self.recorder.now()),
             Err(last) => {
-                self.books
-                    .pages()
-                    .unacknowledged
+                self.recorder
+                    .lock()
+                    .unacknowledged_commands
                     .push(format!("{what} ({last})"));
                 None
             }
@@ -183,7 +183,7 @@
             .cycle()
             .take_while(|_| began.elapsed() < GIVEN_UP)
         {
-            let answer = wire::call(*to, method.clone(), path, body.clone(), SILENCE).await;
+            let answer = http::call(*to, method.clone(), path, body.clone(), SILENCE).await;
             let status = answer.as_ref().map_or(0, |answer| answer.status);
             let said =
                 answer.map(|answer| String::from_utf8_lossy(&answer.body).trim().to_string());
--- a/crates/emberpin-demo/src/books.rs
+++ b/crates/emberpin-demo/src/record.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins saw on their own sockets, noted as it happens.
+//! What the stand-ins observed on their own sockets, recorded as it happens.
 
 use jzon::JsonValue;
 use std::collections::BTreeMap;
@@ -11,18 +11,18 @@
     /// When, since the beginning.
     pub at: Duration,
     /// The try that it belongs to.
-    pub try_id: String,
+    pub attempt_id: String,
     /// The zone of the server.
     pub zone: String,
     /// The server began to work on it.
     pub ran: bool,
     /// How long the server had it, once it was answered.
-    pub took: Option<Duration>,
+    pub service_time: Option<Duration>,
 }
 
 /// One try of a client.
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct Attempt {
     /// Its name.
     pub id: String,
     /// It may run once at most.
@@ -30,12 +30,12 @@
     /// The status that came back, if any.
     pub status: Option<u16>,
     /// A success that is not the server's own answer to this try.
-    pub is_foreign: bool,
+    pub has_foreign_response: bool,
 }
 
 /// How a request of a client ended, all its tries together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum Outcome {
     /// In time, with the server's own answer.
     Served,
     /// With the promise that it has not run and never will.
@@ -46,17 +46,17 @@
 
 /// One request of a client.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct ClientRequest {
     /// The route.
     pub route: &'static str,
     /// How it ended.
-    pub ending: Ending,
+    pub outcome: Outcome,
     /// How long the client waited.
-    pub waited: Duration,
+    pub latency: Duration,
     /// The last try.
-    pub try_id: String,
+    pub attempt_id: String,
     /// It took one try.
-    pub at_once: bool,
+    pub is_first_attempt: bool,
 }
 
 /// The evacuation of a zone.
@@ -65,61 +65,61 @@
     /// Which zone.
     pub zone: String,
     /// When it was acknowledged.
-    pub acknowledged: Duration,
+    pub acknowledged_at: Duration,
     /// Nothing goes there so long after that.
     pub bound: Duration,
     /// When its end was asked for.
-    pub finish: Option<Duration>,
+    pub finish_requested_at: Option<Duration>,
 }
 
 /// The configuration, item by item: what each is, and its version and fields.
-pub type Items = BTreeMap<String, JsonValue>;
+pub type ConfigItems = BTreeMap<String, JsonValue>;
 
 /// All that was noted.
 #[derive(Clone, Debug, Default)]
-pub struct Pages {
+pub struct Record {
     /// What servers saw.
     pub arrivals: Vec<Arrival>,
     /// What clients sent.
-    pub tries: Vec<Try>,
+    pub attempts: Vec<Attempt>,
     /// What became of the clients' requests.
-    pub asked: Vec<Asked>,
+    pub requests: Vec<ClientRequest>,
     /// What the operator evacuated.
     pub evacuations: Vec<Evacuation>,
     /// What stands by the calls that were acknowledged.
-    pub acknowledged: Items,
+    pub acknowledged_items: ConfigItems,
     /// What was read back; `None` if no answer came.
-    pub read_back: Option<Items>,
+    pub read_back: Option<ConfigItems>,
     /// Proper orders of the operator that nobody acknowledged.
-    pub unacknowledged: Vec<String>,
+    pub unacknowledged_commands: Vec<String>,
     /// Processes that ended by themselves, and their last words.
-    pub ended: Vec<String>,
+    pub exited_processes: Vec<String>,
 }
 
 /// The books, shared by all stand-ins.
 #[derive(Clone)]
-pub struct Books {
+pub struct Recorder {
     began: Instant,
-    pages: Arc<Mutex<Pages>>,
+    record: Arc<Mutex<Record>>,
 }
 
-impl Default for Books {
-    fn default() -> Books {
-        Books {
+impl Default for Recorder {
+    fn default() -> Recorder {
+        Recorder {
             began: Instant::now(),
-            pages: Arc::default(),
+            record: Arc::default(),
         }
     }
 }
 
-impl Books {
+impl Recorder {
     /// Time since the beginning.
     pub fn now(&self) -> Duration {
         self.began.elapsed()
     }
 
-    /// The pages, to write on or read.
-    pub fn pages(&self) -> MutexGuard<'_, Pages> {
-        self.pages.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the record, to add to it or to read it.
+    pub fn lock(&self) -> MutexGuard<'_, Record> {
+        self.record.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/emberpin-demo/src/report.rs
+++ b/crates/emberpin-demo/src/report.rs
@@ -1,8 +1,8 @@
 //! What a run comes to: a few lines, and the verdict.
 
-use crate::books::{Asked, Ending, Pages};
 use crate::clients::ROUTES;
-use crate::referee::{judge, Breach};
+use crate::invariants::{check, Violation};
+use crate::record::{ClientRequest, Outcome, Record};
 use std::collections::HashMap;
 use std::fmt;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 
 /// What became of the requests on a route.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Line {
+pub struct RouteSummary {
     /// The route.
     pub route: &'static str,
     /// Requests, and how they ended.
@@ -36,37 +36,42 @@
     /// What was played.
     pub played: String,
     /// Route by route.
-    pub lines: Vec<Line>,
+    pub lines: Vec<RouteSummary>,
     /// What happened meanwhile, one line each.
     pub happened: Vec<String>,
     /// Rules that were broken.
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
 }
 
 impl Report {
-    /// Judges these pages.
-    pub fn of(played: String, happened: Vec<String>, pages: &Pages) -> Report {
-        let took: HashMap<&str, Duration> = pages
+    /// Checks the record and sums it up by route.
+    pub fn of(played: String, happened: Vec<String>, record: &Record) -> Report {
+        let service_time: HashMap<&str, Duration> = record
             .arrivals
             .iter()
-            .filter_map(|arrival| Some((arrival.try_id.as_str(), arrival.took?)))
+            .filter_map(|arrival| Some((arrival.attempt_id.as_str(), arrival.service_time?)))
             .collect();
         let lines = ROUTES.iter().map(|route| {
-            let asked: Vec<&Asked> = pages
-                .asked
+            let asked: Vec<&ClientRequest> = record
+                .requests
                 .iter()
                 .filter(|asked| asked.route == route.name)
                 .collect();
-            let count = |ending| asked.iter().filter(|asked| asked.ending == ending).count();
+            let count = |outcome| {
+                asked
+                    .iter()
+                    .filter(|asked| asked.outcome == outcome)
+                    .count()
+            };
             let served = asked
                 .iter()
-                .filter(|asked| asked.at_once && asked.ending == Ending::Served);
+                .filter(|asked| asked.is_first_attempt && asked.outcome == Outcome::Served);
             let mut added: Vec<Duration> = served
                 .filter_map(|asked| {
                     Some(
                         asked
-                            .waited
-                            .saturating_sub(*took.get(asked.try_id.as_str())?),
+                            .latency
+                            .saturating_sub(*service_time.get(asked.attempt_id.as_str())?),
                     )
                 })
                 .collect();
@@ -76,12 +81,12 @@
                     .get(((added.len() as f64 * part) as usize).min(added.len() - 1))
                     .copied()
             };
-            Line {
+            RouteSummary {
                 route: route.name,
                 requests: asked.len(),
-                served: count(Ending::Served),
-                refused: count(Ending::Refused),
-                failed: count(Ending::Failed),
+                served: count(Outcome::Served),
+                refused: count(Outcome::Refused),
+                failed: count(Outcome::Failed),
                 added: if added.is_empty() {
                     None
                 } else {
@@ -93,13 +98,13 @@
             played,
             lines: lines.collect(),
             happened,
-            breaches: judge(pages),
+            violations: check(record),
         }
     }
 
     /// The part of all requests that was served; nothing of nothing.
     pub fn served(&self) -> f64 {
-        let sum = |of: fn(&Line) -> usize| self.lines.iter().map(of).sum::<usize>();
+        let sum = |of: fn(&RouteSummary) -> usize| self.lines.iter().map(of).sum::<usize>();
         match sum(|line| line.requests) {
             0 => 0.0,
             requests => sum(|line| line.served) as f64 / requests as f64,
@@ -108,7 +113,7 @@
 
     /// Every rule held, and enough was served.
     pub fn is_good(&self) -> bool {
-        self.breaches.is_empty() && self.served() >= SERVED
+        self.violations.is_empty() && self.served() >= SERVED
     }
 }
 
@@ -135,7 +140,7 @@
             "{route:<9}{requests:>9}{served:>9}{refused:>9}{failed:>9}{middle:>11}{slow:>11}"
         )?;
         for line in &self.lines {
-            let Line {
+            let RouteSummary {
                 route,
                 requests,
                 served,
@@ -162,17 +167,17 @@
             self.served() * 100.0,
             SERVED * 100.0
         )?;
-        if self.breaches.is_empty() {
+        if self.violations.is_empty() {
             return writeln!(f, "verdict: every rule held");
         }
         writeln!(
             f,
             "verdict: rules were broken {} times",
-            self.breaches.len()
+            self.violations.len()
         )?;
-        self.breaches
+        self.violations
             .iter()
             .take(SHOWN)
-            .try_for_each(|breach| writeln!(f, "  {breach}"))
+            .try_for_each(|violation| writeln!(f, "  {violation}"))
     }
 }
--- a/crates/emberpin-demo/src/demo.rs
+++ b/crates/emberpin-demo/src/scenario.rs
@@ -1,12 +1,12 @@
 //! One run: sets the deployment up, lets things happen, and has the books judged.
 
-use crate::books::Books;
 use crate::clients::{Clients, ROUTES};
-use crate::machines::{Bounds, Deployment, Place, Process, Role, Unplayable, ZONES};
+use crate::http;
+use crate::machines::{Bounds, DemoError, Deployment, Machine, Process, Role, ZONES};
 use crate::operator::{Operator, SERVICES};
+use crate::record::Recorder;
 use crate::report::{millis, Report};
 use crate::servers::Server;
-use crate::wire;
 use hyper::Method;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
 
 /// What is played.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct DemoOptions {
     /// How long clients send.
     pub seconds: f64,
     /// What the stand-ins draw from.
@@ -49,9 +49,9 @@
 ///
 /// # Errors
 ///
-/// [`Unplayable`].
-pub fn play(plan: &Plan) -> Result<Report, Unplayable> {
-    let system = |what| move |e| Unplayable::System(what, e);
+/// [`DemoError`].
+pub fn run(plan: &DemoOptions) -> Result<Report, DemoError> {
+    let system = |what| move |e| DemoError::System(what, e);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -61,15 +61,15 @@
         let mut interrupt = signal(SignalKind::interrupt()).map_err(system("SIGINT"))?;
         // All processes end as the run is dropped.
         tokio::select! {
-            played = run(plan) => played,
-            _ = interrupt.recv() => Err(Unplayable::Interrupted),
-            _ = term.recv() => Err(Unplayable::Interrupted),
+            played = run_until_end(plan) => played,
+            _ = interrupt.recv() => Err(DemoError::Interrupted),
+            _ = term.recv() => Err(DemoError::Interrupted),
         }
     })
 }
 
 /// The processes of the gateway.
-struct Fleet<'a> {
+struct GatewayProcesses<'a> {
     deployment: &'a Deployment,
     folder: &'a Path,
     bounds: Bounds,
@@ -77,8 +77,8 @@
     edges: Vec<Process>,
 }
 
-impl Fleet<'_> {
-    fn start(&self, role: Role, place: Place, bootstrap: bool) -> Result<Process, Unplayable> {
+impl GatewayProcesses<'_> {
+    fn start(&self, role: Role, place: Machine, bootstrap: bool) -> Result<Process, DemoError> {
         Process::start(
             self.deployment,
             role,
@@ -89,7 +89,7 @@
         )
     }
 
-    fn start_core(&self, place: Place, bootstrap: bool) -> Result<Vec<Process>, Unplayable> {
+    fn start_core(&self, place: Machine, bootstrap: bool) -> Result<Vec<Process>, DemoError> {
         [Role::Store, Role::Registry]
             .into_iter()
             .map(|role| self.start(role, place, bootstrap))
@@ -111,37 +111,37 @@
         &mut self,
         what: &str,
         waited: impl Future<Output = T>,
-    ) -> Result<T, Unplayable> {
+    ) -> Result<T, DemoError> {
         let mut looks = interval(LOOKS);
         let waited = timeout(STANDS, waited);
         tokio::pin!(waited);
         loop {
             tokio::select! {
-                done = &mut waited => return done.map_err(|_| Unplayable::Late(what.into(), STANDS)),
+                done = &mut waited => return done.map_err(|_| DemoError::Late(what.into(), STANDS)),
                 _ = looks.tick() => if let Some(ended) = self.ended().pop() {
-                    return Err(Unplayable::Ended(ended));
+                    return Err(DemoError::ProcessExited(ended));
                 },
             }
         }
     }
 }
 
-async fn run(plan: &Plan) -> Result<Report, Unplayable> {
+async fn run_until_end(plan: &DemoOptions) -> Result<Report, DemoError> {
     let deployment = Deployment::find(plan.edges)?;
     let folder = tempfile::Builder::new()
         .prefix("emberpin-demo-")
         .disable_cleanup(plan.keep)
         .tempdir();
     // Dropped after the processes that have their disks in it.
-    let folder = folder.map_err(|e| Unplayable::System("a temporary folder", e))?;
+    let folder = folder.map_err(|e| DemoError::System("a temporary folder", e))?;
     let part = |(most, part): (f64, f64)| Duration::from_secs_f64(most.min(plan.seconds * part));
     let bounds = Bounds {
         drain: part(DRAIN),
         evac: part(EVAC),
     };
-    let books = Books::default();
+    let recorder = Recorder::default();
     let (mut core, mut edges) = (Vec::new(), Vec::new());
-    let mut fleet = Fleet {
+    let mut fleet = GatewayProcesses {
         deployment: &deployment,
         folder: folder.path(),
         bounds,
@@ -163,10 +163,10 @@
             .seed
             .wrapping_mul(1_000)
             .wrapping_add(id.bytes().map(u64::from).sum());
-        let (ctl, books) = (&ctl, &books);
+        let (ctl, recorder) = (&ctl, &recorder);
         async move {
-            let started = Server::start((service, zone), id, is_cold, ctl, seed, books).await;
-            started.map_err(|e| Unplayable::System("a stand-in server", e))
+            let started = Server::start((service, zone), id, is_cold, ctl, seed, recorder).await;
+            started.map_err(|e| DemoError::System("a stand-in server", e))
         }
     };
     let mut servers = Vec::new();
@@ -178,15 +178,15 @@
             servers.push(((service, zone), server(service, zone, number, false).await?));
         }
     }
-    let operator = Operator::new(ctl.clone(), books.clone());
-    let clients = Clients::new(&deployment, plan.seed, &books);
+    let operator = Operator::new(ctl.clone(), recorder.clone());
+    let clients = Clients::new(&deployment, plan.seed, &recorder);
     fleet
         .stands("no configuration was taken", operator.begin())
         .await?;
     fleet
         .stands("not every edge was ready", clients.all_ready())
         .await?;
-    let stood = books.now();
+    let stood = recorder.now();
 
     let began = Instant::now();
     let at = |part: f64| sleep_until((began + Duration::from_secs_f64(plan.seconds * part)).into());
@@ -219,17 +219,17 @@
     let changed = operator.change().await;
 
     at(0.5).await;
-    let killed = books.now();
+    let killed = recorder.now();
     fleet.core[KILLED].clear();
 
     at(0.55).await;
-    let crashed = books.now();
+    let crashed = recorder.now();
     drop(take(&mut servers, (SERVICES[0], CRASHES)));
 
     at(0.65).await;
-    let back = books.now();
+    let back = recorder.now();
     fleet.core[KILLED] = fleet.start_core(deployment.core[KILLED], false)?;
-    let answers = tokio::spawn(timeout(SETTLES, answers(ctl[KILLED], books.clone())));
+    let answers = tokio::spawn(timeout(SETTLES, answers(ctl[KILLED], recorder.clone())));
 
     at(0.75).await;
     let restarted = server(SERVICES[0], CRASHES, SERVERS, true).await?;
@@ -244,8 +244,8 @@
     let left = leaving.await.unwrap_or(false);
     operator.read_back().await;
     let ended = fleet.ended();
-    let mut pages = books.pages();
-    pages.ended = ended;
+    let mut record = recorder.lock();
+    record.exited_processes = ended;
 
     let span = |from: Duration, to: Duration| millis(to.saturating_sub(from));
     let on = |time: Duration| format!("{:.1} s", time.saturating_sub(stood).as_secs_f64());
@@ -299,7 +299,7 @@
         plan.seconds,
         plan.seed
     );
-    Ok(Report::of(played, happened, &pages))
+    Ok(Report::of(played, happened, &record))
 }
 
 /// Takes one of these servers out.
@@ -312,9 +312,9 @@
 }
 
 /// When a machine reads the configuration out again.
-async fn answers(ctl: SocketAddr, books: Books) -> Duration {
+async fn answers(ctl: SocketAddr, recorder: Recorder) -> Duration {
     loop {
-        let answer = wire::call(
+        let answer = http::call(
             ctl,
             Method::GET,
             "/config/get",
@@ -323,7 +323,7 @@
         )
         .await;
         if answer.is_some_and(|answer| answer.status == 200) {
-            return books.now();
+            return recorder.now();
         }
         sleep(LOOKS).await;
     }
--- a/crates/emberpin-demo/src/servers.rs
+++ b/crates/emberpin-demo/src/servers.rs
@@ -1,8 +1,8 @@
 //! Stand-in servers: each life beats, serves, and drains, leaves or crashes as it is told.
 
-use crate::books::{Arrival, Books};
+use crate::http;
 use crate::machines::BEAT;
-use crate::wire;
+use crate::record::{Arrival, Recorder};
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Bytes, Incoming};
 use hyper::header::HeaderMap;
@@ -52,7 +52,7 @@
     leaving: AtomicBool,
     seq: AtomicU64,
     random: Mutex<oorandom::Rand32>,
-    books: Books,
+    recorder: Recorder,
 }
 
 /// Counts a request for as long as the server has it.
@@ -76,7 +76,7 @@
         is_cold: bool,
         ctl: &[SocketAddr],
         seed: u64,
-        books: &Books,
+        recorder: &Recorder,
     ) -> std::io::Result<Server> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let life = Arc::new(Instance {
@@ -92,7 +92,7 @@
             leaving: AtomicBool::new(false),
             seq: AtomicU64::new(0),
             random: Mutex::new(oorandom::Rand32::new(seed)),
-            books: books.clone(),
+            recorder: recorder.clone(),
         });
         let lives = life.clone();
         let task =
@@ -161,7 +161,7 @@
         let first = usize::from(self.address.port());
         let others = (0..self.ctl.len()).map(|turn| self.ctl[(first + turn) % self.ctl.len()]);
         for to in told.into_iter().chain(others) {
-            let answer = wire::call(to, Method::POST, path, body.clone(), ACKNOWLEDGED).await;
+            let answer = http::call(to, Method::POST, path, body.clone(), ACKNOWLEDGED).await;
             if let Some(answer) = answer.filter(|answer| (200..300).contains(&answer.status)) {
                 let body = std::str::from_utf8(&answer.body)
                     .ok()
@@ -212,30 +212,30 @@
         if parts.uri.path() == "/healthz" {
             return self.health().await;
         }
-        let Some(try_id) = text(&parts.headers, "try-id") else {
+        let Some(attempt_id) = text(&parts.headers, "try-id") else {
             return not_run(400, "");
         };
         if text(&parts.headers, "want-instance").is_some_and(|wanted| wanted != self.id) {
-            return not_run(421, &try_id);
+            return not_run(421, &attempt_id);
         }
         let begun = Instant::now();
         let deadline = text(&parts.headers, "deadline").and_then(|millis| millis.parse().ok());
-        let arrival = self.arrived(&try_id);
+        let arrival = self.arrived(&attempt_id);
         if self.held.fetch_add(1, Ordering::Relaxed) >= SLOTS + QUEUE {
             drop(Held(&self.held));
-            return not_run(503, &try_id);
+            return not_run(503, &attempt_id);
         }
         let _held = Held(&self.held);
         if body.collect().await.is_err() {
-            return not_run(400, &try_id);
+            return not_run(400, &attempt_id);
         }
         let Ok(_slot) = self.slots.acquire().await else {
-            return not_run(503, &try_id);
+            return not_run(503, &attempt_id);
         };
         if deadline.is_some_and(|millis| begun.elapsed() >= Duration::from_millis(millis)) {
-            return not_run(503, &try_id);
+            return not_run(503, &attempt_id);
         }
-        self.books.pages().arrivals[arrival].ran = true;
+        self.recorder.lock().arrivals[arrival].ran = true;
         let work = locked(&self.random).rand_range(WORK.0..WORK.1);
         let factor = if self.cold_left() > Duration::ZERO {
             COLD_FACTOR
@@ -243,24 +243,24 @@
             1
         };
         tokio::time::sleep(Duration::from_millis(u64::from(work * factor))).await;
-        self.books.pages().arrivals[arrival].took = Some(begun.elapsed());
-        let mut answer = Response::new(Full::from(format!("{try_id} by {}\n", self.id)));
-        head(&mut answer, "try-id", &try_id);
-        head(&mut answer, "seal", &seal(&self.id, &try_id));
+        self.recorder.lock().arrivals[arrival].service_time = Some(begun.elapsed());
+        let mut answer = Response::new(Full::from(format!("{attempt_id} by {}\n", self.id)));
+        head(&mut answer, "try-id", &attempt_id);
+        head(&mut answer, "seal", &seal(&self.id, &attempt_id));
         answer
     }
 
-    fn arrived(&self, try_id: &str) -> usize {
+    fn arrived(&self, attempt_id: &str) -> usize {
         let arrival = Arrival {
-            at: self.books.now(),
-            try_id: try_id.into(),
+            at: self.recorder.now(),
+            attempt_id: attempt_id.into(),
             zone: self.zone.into(),
             ran: false,
-            took: None,
+            service_time: None,
         };
-        let mut pages = self.books.pages();
-        pages.arrivals.push(arrival);
-        pages.arrivals.len() - 1
+        let mut record = self.recorder.lock();
+        record.arrivals.push(arrival);
+        record.arrivals.len() - 1
     }
 
     async fn health(&self) -> Response<Full<Bytes>> {
@@ -284,8 +284,8 @@
 }
 
 /// A server's stamp on its answer to a try.
-pub fn seal(id: &str, try_id: &str) -> String {
-    format!("{id}.{try_id}")
+pub fn seal(id: &str, attempt_id: &str) -> String {
+    format!("{id}.{attempt_id}")
 }
 
 fn text(headers: &HeaderMap, name: &str) -> Option<String> {
@@ -298,12 +298,12 @@
     }
 }
 
-fn not_run(status: u16, try_id: &str) -> Response<Full<Bytes>> {
+fn not_run(status: u16, attempt_id: &str) -> Response<Full<Bytes>> {
     let mut answer = Response::new(Full::default());
     *answer.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
     head(&mut answer, "not-run", "1");
-    if !try_id.is_empty() {
-        head(&mut answer, "try-id", try_id);
+    if !attempt_id.is_empty() {
+        head(&mut answer, "try-id", attempt_id);
     }
     answer
 }
--- a/crates/emberpin-demo/tests/deployed/mod.rs
+++ b/crates/emberpin-demo/tests/deployed_system/mod.rs
@@ -1,7 +1,7 @@
 //! Machines on loopback whose processes are those that `deploy/system.toml` names.
 
+use emberpin_demo::http;
 use emberpin_demo::machines::Role;
-use emberpin_demo::wire;
 use hyper::Method;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -53,7 +53,7 @@
         let serves = role["serves"].as_array().expect("a list");
         DeployedRole {
             role: program
-                .and_then(Role::from_word)
+                .and_then(Role::from_name)
                 .expect("a program of the gateway"),
             class: text("on"),
             share: role["share"].as_float().expect("a share"),
@@ -80,7 +80,7 @@
 }
 
 /// Three core machines and an edge.
-pub struct Site {
+pub struct DeployedSystem {
     roles: Vec<DeployedRole>,
     machines: Vec<Machine>,
     port: u16,
@@ -90,9 +90,9 @@
     processes: BTreeMap<(usize, usize), Child>,
 }
 
-impl Site {
+impl DeployedSystem {
     /// Starts the whole system for the first time, on addresses `127.0.net.*`; no two tests have the same.
-    pub fn start(net: u8) -> Site {
+    pub fn start(net: u8) -> DeployedSystem {
         let machine = |class, number: usize, last: u8| Machine {
             ip: Ipv4Addr::new(127, 0, net, last + number as u8),
             class,
@@ -103,7 +103,7 @@
             .collect();
         machines.push(machine("edge", 0, 21));
         let port = free_ports(&machines);
-        let mut site = Site {
+        let mut site = DeployedSystem {
             roles: roles(),
             machines,
             port,
@@ -132,7 +132,7 @@
 
     fn spawn(&self, machine: usize, index: usize, bootstrap: bool) -> Child {
         let (place, role) = (&self.machines[machine], &self.roles[index]);
-        let name = format!("{}-{}", role.role.word(), place.ip);
+        let name = format!("{}-{}", role.role.name(), place.ip);
         let settings = self.folder.path().join(format!("{name}.toml"));
         let log = self.folder.path().join(format!("{name}.log"));
         std::fs::create_dir_all(self.disk(machine)).expect("a folder");
@@ -144,7 +144,7 @@
             .open(log)
             .expect("a log");
         Command::new(env!("CARGO_BIN_EXE_emberpin-demo"))
-            .arg(role.role.word())
+            .arg(role.role.name())
             .arg(std::process::id().to_string())
             .env("EMBERPIN_NODE_FILE", settings)
             .stdin(Stdio::null())
@@ -196,7 +196,7 @@
              sync_time = \"4s\"\ndrain = \"2500ms\"\ngrace = \"6s\"\nlost = \"200ms\"\napply = \"2500ms\"\n\
              revert = \"250ms\"\nskew = \"8000ms\"\nretry_ratio = 0.2\nretry_win = \"10s\"\nretry_extra = 60\n\
              warm_excess = 1.5\nwarm_extra = 5\nevac = \"5000ms\"\nrecover = \"15s\"\n",
-            word = role.role.word(),
+            word = role.role.name(),
             serves = role.serves,
             first = self.port,
             last = self.port + PEER_PORTS - 1,
@@ -247,7 +247,7 @@
         path: &str,
         body: &str,
     ) -> Option<(u16, String)> {
-        let call = wire::call(self.ctl(core), method, path, body.to_owned(), SILENCE);
+        let call = http::call(self.ctl(core), method, path, body.to_owned(), SILENCE);
         let answer = self.runtime.block_on(call)?;
         Some((
             answer.status,
@@ -284,7 +284,7 @@
     }
 }
 
-impl Drop for Site {
+impl Drop for DeployedSystem {
     fn drop(&mut self) {
         for child in self.processes.values_mut() {
             _ = child.kill();
--- a/crates/emberpin-demo/tests/referee.rs
+++ b/crates/emberpin-demo/tests/invariants.rs
@@ -1,9 +1,11 @@
-//! Wrong books, one rule each: the referee must find what is wrong in them, and nothing else.
+//! Wrong records, one invariant each: the checker must find what is wrong in them, and nothing else.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
-use emberpin_demo::books::{Arrival, Asked, Ending, Evacuation, Items, Pages, Try};
+use emberpin_demo::invariants::{check, Violation};
 use emberpin_demo::operator::items;
-use emberpin_demo::referee::{judge, Breach};
+use emberpin_demo::record::{
+    Arrival, Attempt, ClientRequest, ConfigItems, Evacuation, Outcome, Record,
+};
 use emberpin_demo::report::Report;
 use googletest::prelude::*;
 use std::time::Duration;
@@ -12,26 +14,26 @@
     Duration::from_millis(millis)
 }
 
-fn sent(id: &str, is_mutating: bool, status: Option<u16>) -> Try {
-    Try {
+fn sent(id: &str, is_mutating: bool, status: Option<u16>) -> Attempt {
+    Attempt {
         id: id.into(),
         is_mutating,
         status,
-        is_foreign: false,
+        has_foreign_response: false,
     }
 }
 
-fn arrived(try_id: &str, at: u64, ran: bool) -> Arrival {
+fn arrived(attempt_id: &str, at: u64, ran: bool) -> Arrival {
     Arrival {
         at: ms(at),
-        try_id: try_id.into(),
+        attempt_id: attempt_id.into(),
         zone: "north-quay".into(),
         ran,
-        took: ran.then(|| ms(10)),
+        service_time: ran.then(|| ms(10)),
     }
 }
 
-fn configuration(ver: u64, timeout: &str) -> Items {
+fn configuration(ver: u64, timeout: &str) -> ConfigItems {
     let text = format!(
         r#"{{"svcs":[{{"name":"ledger","ver":7}}],"limits":{{"idle":"5s","ver":7}},
             "vhosts":[{{"hostname":"a.example","locs":[{{"name":"commit","timeout":"{timeout}","ver":{ver}}}]}}]}}"#
@@ -39,10 +41,10 @@
     items(&jzon::parse(&text).expect("lists"))
 }
 
-/// Books in which every rule holds: a readonly try that ran twice, a refusal that did not run, one that may have run
+/// A record in which every rule holds: a readonly try that ran twice, a refusal that did not run, one that may have run
 /// as it promised nothing, and an evacuation that was obeyed.
-fn right() -> Pages {
-    Pages {
+fn right() -> Record {
+    Record {
         arrivals: vec![
             arrived("read", 100, true),
             arrived("read", 120, true),
@@ -54,7 +56,7 @@
             arrived("early", 1_500, true),
             arrived("late", 4_000, true),
         ],
-        tries: vec![
+        attempts: vec![
             sent("read", false, Some(200)),
             sent("refused", true, Some(503)),
             sent("broken", true, Some(502)),
@@ -62,40 +64,40 @@
             sent("early", true, Some(200)),
             sent("late", true, None),
         ],
-        asked: Vec::new(),
+        requests: Vec::new(),
         evacuations: vec![Evacuation {
             zone: "north-quay".into(),
-            acknowledged: ms(1_000),
+            acknowledged_at: ms(1_000),
             bound: ms(1_000),
-            finish: Some(ms(3_000)),
+            finish_requested_at: Some(ms(3_000)),
         }],
-        acknowledged: configuration(9, "2s"),
+        acknowledged_items: configuration(9, "2s"),
         read_back: Some(configuration(9, "2s")),
-        unacknowledged: Vec::new(),
-        ended: Vec::new(),
+        unacknowledged_commands: Vec::new(),
+        exited_processes: Vec::new(),
     }
 }
 
-fn breaches(change: impl FnOnce(&mut Pages)) -> Vec<String> {
-    let mut pages = right();
-    change(&mut pages);
-    judge(&pages).iter().map(ToString::to_string).collect()
+fn violations(change: impl FnOnce(&mut Record)) -> Vec<String> {
+    let mut record = right();
+    change(&mut record);
+    check(&record).iter().map(ToString::to_string).collect()
 }
 
 #[gtest]
-fn books_in_order_have_no_breach() {
-    expect_that!(judge(&right()), is_empty());
+fn a_record_in_order_has_no_violation() {
+    expect_that!(check(&right()), is_empty());
 }
 
 #[gtest]
 fn a_mutating_try_that_runs_twice_is_found() {
-    let found = judge(&Pages {
+    let found = check(&Record {
         arrivals: [right().arrivals, vec![arrived("write", 260, true)]].concat(),
         ..right()
     });
     expect_that!(
         found,
-        elements_are![eq(&Breach::Twice {
+        elements_are![eq(&Violation::RanTwice {
             id: "write".into(),
             runs: 2
         })]
@@ -105,9 +107,9 @@
 #[gtest]
 fn each_status_that_promises_is_held_to_it() {
     for status in [408, 421, 429, 503] {
-        let found = breaches(|pages| {
-            pages.tries[1].status = Some(status);
-            pages.arrivals[2].ran = true;
+        let found = violations(|record| {
+            record.attempts[1].status = Some(status);
+            record.arrivals[2].ran = true;
         });
         let expected = format!("mutating try refused was answered {status}, and yet it ran");
         expect_that!(found, elements_are![eq(&expected)]);
@@ -116,14 +118,14 @@
 
 #[gtest]
 fn a_readonly_try_may_run_and_be_refused() {
-    let found = breaches(|pages| pages.tries[0].status = Some(503));
+    let found = violations(|record| record.attempts[0].status = Some(503));
     expect_that!(found, is_empty());
 }
 
 #[gtest]
 fn a_request_that_reaches_an_evacuated_zone_too_late_is_found_though_it_did_not_run() {
     for at in [2_001, 2_999] {
-        let found = breaches(|pages| pages.arrivals[2].at = ms(at));
+        let found = violations(|record| record.arrivals[2].at = ms(at));
         expect_that!(
             found,
             elements_are![starts_with(
@@ -131,16 +133,16 @@
             )]
         );
     }
-    let elsewhere = breaches(|pages| {
-        pages.arrivals[2].at = ms(2_500);
-        pages.arrivals[2].zone = "east-quay".into();
+    let elsewhere = violations(|record| {
+        record.arrivals[2].at = ms(2_500);
+        record.arrivals[2].zone = "east-quay".into();
     });
     expect_that!(elsewhere, is_empty());
 }
 
 #[gtest]
 fn an_evacuation_that_is_not_taken_back_holds_to_the_end() {
-    let found = breaches(|pages| pages.evacuations[0].finish = None);
+    let found = violations(|record| record.evacuations[0].finish_requested_at = None);
     expect_that!(
         found,
         elements_are![starts_with("try late reached the evacuated zone")]
@@ -149,9 +151,9 @@
 
 #[gtest]
 fn each_difference_of_what_is_read_back_is_found() {
-    let read = |items: Items| breaches(|pages| pages.read_back = Some(items));
+    let read = |items: ConfigItems| violations(|record| record.read_back = Some(items));
     expect_that!(
-        breaches(|pages| pages.read_back = None),
+        violations(|record| record.read_back = None),
         elements_are![contains_substring("did not come")]
     );
     expect_that!(
@@ -182,13 +184,13 @@
     moved
         .entry("route commit".into())
         .and_modify(|route| route["hostname"] = "b.example".into());
-    let found = breaches(|pages| pages.read_back = Some(moved));
+    let found = violations(|record| record.read_back = Some(moved));
     expect_that!(found, elements_are![eq("read back: route commit differs")]);
 }
 
 #[gtest]
 fn an_answer_that_is_not_the_servers_is_found() {
-    let found = breaches(|pages| pages.tries[3].is_foreign = true);
+    let found = violations(|record| record.attempts[3].has_foreign_response = true);
     expect_that!(
         found,
         elements_are![eq(
@@ -199,7 +201,7 @@
 
 #[gtest]
 fn what_no_client_sent_must_not_run() {
-    let found = breaches(|pages| pages.arrivals.push(arrived("smuggled", 300, true)));
+    let found = violations(|record| record.arrivals.push(arrived("smuggled", 300, true)));
     expect_that!(
         found,
         elements_are![eq("a server ran smuggled, which no client sent")]
@@ -208,11 +210,11 @@
 
 #[gtest]
 fn orders_without_acknowledgement_and_processes_that_end_are_found() {
-    let found = breaches(|pages| pages.unacknowledged.push("the change".into()));
+    let found = violations(|record| record.unacknowledged_commands.push("the change".into()));
     expect_that!(found, elements_are![eq("the change was not acknowledged")]);
-    let found = breaches(|pages| {
-        pages
-            .ended
+    let found = violations(|record| {
+        record
+            .exited_processes
             .push("proxy on 127.0.0.21 ended by itself".into());
     });
     expect_that!(
@@ -221,23 +223,23 @@
     );
 }
 
-fn report(served: usize, of: usize, pages: Pages) -> Report {
-    let asked = |number| Asked {
+fn report(served: usize, of: usize, record: Record) -> Report {
+    let asked = |number| ClientRequest {
         route: "commit",
-        ending: if number < served {
-            Ending::Served
+        outcome: if number < served {
+            Outcome::Served
         } else {
-            Ending::Failed
+            Outcome::Failed
         },
-        waited: ms(25),
-        try_id: "write".into(),
-        at_once: true,
+        latency: ms(25),
+        attempt_id: "write".into(),
+        is_first_attempt: true,
     };
-    let pages = Pages {
-        asked: (0..of).map(asked).collect(),
-        ..pages
+    let record = Record {
+        requests: (0..of).map(asked).collect(),
+        ..record
     };
-    Report::of("played".into(), Vec::new(), &pages)
+    Report::of("played".into(), Vec::new(), &record)
 }
 
 #[gtest]
@@ -249,7 +251,7 @@
         report(
             100,
             100,
-            Pages {
+            Record {
                 read_back: None,
                 ..right()
             }
--- a/crates/emberpin-demo/tests/system.rs
+++ b/crates/emberpin-demo/tests/system.rs
@@ -1,9 +1,11 @@
 //! The worst days of the control side, over processes that the deploy file names: what an operator sees at `ctl`.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
-mod deployed;
+mod deployed_system;
 
-use deployed::{drop_route, first, service, set, shown, vhost, Site, ACK, LONG, SYNC_TIME};
+use deployed_system::{
+    drop_route, first, service, set, shown, vhost, DeployedSystem, ACK, LONG, SYNC_TIME,
+};
 use googletest::prelude::*;
 use hyper::Method;
 use nix::sys::signal::Signal;
@@ -15,7 +17,7 @@
 const UNCLEAR: u16 = 503;
 
 /// Sends an order to each machine in turn; none may refuse it.
-fn never_refused(site: &Site, order: &str) {
+fn never_refused(site: &DeployedSystem, order: &str) {
     for core in 0..3 {
         let told = site
             .once(core, Method::POST, "/config/patch", order)
@@ -26,7 +28,7 @@
 
 #[gtest]
 fn an_order_that_was_taken_is_never_refused_later() {
-    let site = Site::start(41);
+    let site = DeployedSystem::start(41);
     expect_that!(site.patch(0, &first()), eq(200));
     let (five, six, seven) = (set("x", 5, 1_500), set("x", 6, 1_600), drop_route("x", 7));
     expect_that!(site.patch(0, &five), eq(200));
@@ -41,7 +43,7 @@
 
 #[gtest]
 fn another_content_under_a_confirmed_number_is_refused_in_any_call() {
-    let site = Site::start(42);
+    let site = DeployedSystem::start(42);
     expect_that!(site.patch(0, &first()), eq(200));
     expect_that!(site.patch(0, &set("x", 5, 1_500)), eq(200));
     expect_that!(site.patch(1, &set("x", 6, 1_600)), eq(200));
@@ -61,14 +63,14 @@
 
 #[gtest]
 fn of_eight_operators_who_race_for_one_number_one_is_confirmed() {
-    let site = Site::start(43);
+    let site = DeployedSystem::start(43);
     expect_that!(site.patch(0, &first()), eq(200));
     for round in 1..=10 {
         let start = Barrier::new(8);
         let race = |operator: u64| {
             let order = set("x", round, 1_000 + operator);
             // Each has a connection of its own, and no runtime in common.
-            let call = emberpin_demo::wire::call(
+            let call = emberpin_demo::http::call(
                 site.ctl(operator as usize % 3),
                 Method::POST,
                 "/config/patch",
@@ -105,7 +107,7 @@
 
 #[gtest]
 fn a_second_disk_may_go_sync_time_after_the_first_is_back() {
-    let mut site = Site::start(44);
+    let mut site = DeployedSystem::start(44);
     expect_that!(site.patch(0, &first()), eq(200));
     for (ver, core) in [(1, 0), (2, 1), (3, 2), (4, 0)] {
         expect_that!(site.patch(core, &set("x", ver, 1_000 + ver)), eq(200));
@@ -123,7 +125,7 @@
 
 #[gtest]
 fn a_wiped_disk_that_comes_with_bootstrap_founds_nothing() {
-    let mut site = Site::start(45);
+    let mut site = DeployedSystem::start(45);
     expect_that!(site.patch(0, &first()), eq(200));
     expect_that!(site.patch(0, &set("x", 5, 1_500)), eq(200));
     site.wipe_machine(0);
@@ -152,7 +154,7 @@
 
 #[gtest]
 fn a_machine_that_was_frozen_says_nothing_old_and_the_others_answer_meanwhile() {
-    let site = Site::start(46);
+    let site = DeployedSystem::start(46);
     expect_that!(site.patch(0, &first()), eq(200));
     expect_that!(site.patch(0, &set("x", 1, 1_001)), eq(200));
     for (round, span) in [(1, 1), (2, 6)] {
@@ -185,7 +187,7 @@
 #[gtest]
 fn six_hundred_changes_outlast_a_restart_of_each_machine() {
     const CHANGES: u64 = 600;
-    let mut site = Site::start(47);
+    let mut site = DeployedSystem::start(47);
     expect_that!(site.patch(0, &first()), eq(200));
     for ver in 1..=CHANGES {
         let name = format!("x{}", ver % 20);
