--- a/crates/emberpin-limiter/src/limiter.rs
+++ b/crates/emberpin-limiter/src/limiter.rs
@@ -1,7 +1,7 @@
-//! One limiter, put together in the order in which a request meets its parts:
+//! Composes one limiter, in the order in which a request meets its parts:
 //!
 //! ```text
-//! client ─ clients + connections ─ admission ─ [idempotency] ─ driver + emberpin-balancer ─ servers ─ server
+//! client ─ clients + connections ─ admission ─ [idempotency] ─ driver + emberpin-balancer ─ upstream ─ server
 //!                                                                 │
 //!                                                  discovery, peers, timers
 //! ```
@@ -14,7 +14,9 @@
 use crate::between::peers::Peers;
 use crate::front::clients::{take_over, Front};
 use crate::front::passed;
+use crate::front::reception::Reception;
 use crate::front::room::{Held, Room};
+use crate::messages::Input;
 use crate::operate::clock::Clock;
 use crate::operate::config::Config;
 use crate::operate::door;
@@ -34,14 +36,16 @@
 use std::rc::Rc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
+use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, LocalSet};
 
-/// Most inputs that wait for the driver; whoever has more waits, or drops what may be lost.
-const INPUTS: usize = 1024;
-const BACKLOG: u32 = 512;
+/// Most inputs queued for the driver; whoever has more waits, or drops what may be lost.
+const MAX_QUEUED_INPUTS: usize = 1024;
+/// The length of the operating system's queue of connections that are not accepted yet.
+const ACCEPT_BACKLOG: u32 = 512;
 
 /// Runs one limiter on this thread until it is told to end.
 ///
@@ -56,43 +60,27 @@
     LocalSet::new().block_on(&runtime, run(config))
 }
 
-/// Serves until SIGTERM, then leaves without losing what was taken.
+/// Serves until SIGTERM, then drains: what was accepted is answered.
 ///
 /// # Errors
 ///
 /// One line that says what could not be had: a signal, a socket, a part that ended before its time.
 async fn run(mut config: Config) -> Result<(), String> {
-    let caught = |kind| signal(kind).map_err(|e| format!("no signals: {e}"));
-    let (mut terminated, hung_up) = (
-        caught(SignalKind::terminate())?,
-        caught(SignalKind::hangup())?,
-    );
-    let (inputs, received) = mpsc::channel(INPUTS);
-
-    let passed = passed::listener(config.listen)?;
-    let shared = passed.is_some();
-    let listener = match passed {
-        Some(listener) => {
-            TcpListener::from_std(listener).map_err(|e| format!("the inherited socket: {e}"))?
-        }
-        None => listen(config.listen)?,
-    };
+    let mut terminated = catch(SignalKind::terminate())?;
+    let hung_up = catch(SignalKind::hangup())?;
+    let (inputs, received) = mpsc::channel(MAX_QUEUED_INPUTS);
+    let (listener, inherited) = bind(config.listen)?;
     let figures = Figures::new(&config.names.class_names())?;
     let ready = Arc::new(AtomicBool::new(false));
-    // Kept here, so that without a door nobody seems to have closed it.
+    // The sender is kept, so that without a door its channel does not seem closed.
     let (_no_door, no_orders) = mpsc::channel(1);
     let orders = match config.ops {
         Some(at) => door::open(at, ready.clone(), figures.clone())?,
         None => no_orders,
     };
+    // The sender is kept, so that without a link its channel does not seem closed.
     let (supersede, mut superseded) = mpsc::unbounded_channel();
-    // Kept here, so that without a link nobody seems to have said it.
-    let link = match &config.link {
-        Some((settings, number)) if config.idempotency.is_some() || config.tells_lists() => Some(
-            Link::start(settings, *number, &config, &spoken_to(&config, *number))?,
-        ),
-        _ => None,
-    };
+    let link = start_link(&config)?;
     let idempotency = match &config.idempotency {
         Some(settings) => Some(Idempotency::start(
             settings,
@@ -102,32 +90,18 @@
         )?),
         None => None,
     };
-    // All that may fail is done: now the process before this one, if it is there, gives what it knows.
+    // What may fail is done, so the previous process, if there is one, can hand over its state now.
     let mut process = Process::default();
-    let meeting = if shared {
-        handover::meeting_point()
-    } else {
-        None
-    };
+    let meeting = inherited.then(handover::meeting_point).flatten();
     let (given, older) = handover::take(&mut process, meeting.as_deref())
         .await?
         .unzip();
     let clock = given
         .as_ref()
         .map_or_else(Clock::start, |given| Clock::go_on(given.clock));
-    let peers = config
-        .peer_listen
-        .map(|at| Peers::start(at, &config, inputs.clone()));
-    if let (Some(peers), false) = (&peers, shared) {
-        peers.open_now()?;
-    }
-    let (prompts, pairings) = mpsc::channel(INPUTS);
-    // Until the older process has told what it holds, half of all is taken to be its.
-    let half = Held {
-        clients: config.client_sockets / 2,
-        servers: config.server_sockets / 2,
-    };
-    let room = Rc::new(Room::new(older.as_ref().map(|_| half)));
+    let peers = start_peers(&config, &inputs, inherited)?;
+    let (prompts, pairings) = mpsc::channel(MAX_QUEUED_INPUTS);
+    let room = Rc::new(Room::new(older.as_ref().map(|_| half_of_sockets(&config))));
     let upgrade = Upgrade::start(
         process,
         meeting,
@@ -137,11 +111,8 @@
         room.clone(),
     );
     let kept = Kept::start(&config)?;
-    if let (Some(kept), Some(start), None) = (&kept, &config.start, &given) {
-        let left = kept.read(start.disk, start.snapshot_age).await;
-        if let Some(left) = left.filter(|left| left.rev > config.known.rev) {
-            config.known = left;
-        }
+    if given.is_none() {
+        read_snapshot(&mut config, kept.as_ref()).await;
     }
     let rev = given.as_ref().map_or(config.known.rev, |given| given.rev);
     let asking = Asking::new(&config, clock.now(), given.is_some());
@@ -172,7 +143,7 @@
         room.clone(),
     );
     let reception = front.reception.clone();
-    let accepting = spawn_local(reception.clone().accept(front, listener, shared));
+    let accepting = spawn_local(reception.clone().accept(front, listener, inherited));
     let pool = Pool::new(
         config.pool_limits(),
         Rc::new(PlatformWire),
@@ -181,33 +152,21 @@
     );
     spawn_local(pool.clone().share());
     let callers = Callers { orders, pairings };
-    let driver = Driver::new(
-        config,
-        Parts {
-            clock,
-            inputs,
-            peers,
-            asking,
-            believed: believed.clone(),
-            fed,
-            refetch,
-            figures,
-            pool,
-        },
-        given,
-    );
-    let driver = spawn_local(driver.run(received, callers));
-    let opening = async {
-        if let Some(believed) = believed {
-            believed.ready().await;
-        }
-        reception.open();
-        ready.store(true, Ordering::Release);
-        std::future::pending::<()>().await;
+    let parts = Parts {
+        clock,
+        inputs,
+        peers,
+        asking,
+        believed: believed.clone(),
+        fed,
+        refetch,
+        figures,
+        pool,
     };
+    let driver = spawn_local(Driver::new(config, parts, given).run(received, callers));
 
     tokio::select! {
-        () = opening => {}
+        () = become_ready(believed, &reception, &ready) => {}
         _ = terminated.recv() => {}
         _ = superseded.recv() => return Err("another life of this instance has its name".into()),
         ended = driver => return Err(format!("the driver ended: {ended:?}")),
@@ -215,13 +174,89 @@
     }
     ready.store(false, Ordering::Release);
     upgrade.terminate().await;
+    drain(&reception, leaving, longest).await;
+    Ok(())
+}
+
+fn catch(kind: SignalKind) -> Result<Signal, String> {
+    signal(kind).map_err(|e| format!("no signals: {e}"))
+}
+
+/// The clients' socket, and whether it was inherited from whoever started this process.
+fn bind(at: SocketAddr) -> Result<(TcpListener, bool), String> {
+    match passed::listener(at)? {
+        Some(inherited) => {
+            let listener = TcpListener::from_std(inherited)
+                .map_err(|e| format!("the inherited socket: {e}"))?;
+            Ok((listener, true))
+        }
+        None => Ok((listen(at)?, false)),
+    }
+}
+
+/// The link to other limiters, if a subsystem that is on needs one.
+fn start_link(config: &Config) -> Result<Option<Rc<Link>>, String> {
+    match &config.link {
+        Some((settings, number)) if config.idempotency.is_some() || config.tells_lists() => {
+            let spoken_to = spoken_to(config, *number);
+            Link::start(settings, *number, config, &spoken_to).map(Some)
+        }
+        _ => Ok(None),
+    }
+}
+
+/// The other limiters' messages. Where the clients' socket is inherited, a previous process may still listen for them.
+fn start_peers(
+    config: &Config,
+    inputs: &mpsc::Sender<Input>,
+    inherited: bool,
+) -> Result<Option<Rc<Peers>>, String> {
+    let peers = config
+        .peer_listen
+        .map(|at| Peers::start(at, config, inputs.clone()));
+    if let (Some(peers), false) = (&peers, inherited) {
+        peers.open_now()?;
+    }
+    Ok(peers)
+}
+
+/// What a previous process is taken to hold until it has said how much that is.
+fn half_of_sockets(config: &Config) -> Held {
+    Held {
+        clients: config.client_sockets / 2,
+        servers: config.server_sockets / 2,
+    }
+}
+
+/// Starts from the snapshot of the list of servers, if it is newer than what the configuration knows.
+async fn read_snapshot(config: &mut Config, kept: Option<&Kept>) {
+    let (Some(kept), Some(start)) = (kept, &config.start) else {
+        return;
+    };
+    let snapshot = kept.read(start.disk, start.snapshot_age).await;
+    if let Some(snapshot) = snapshot.filter(|snapshot| snapshot.rev > config.known.rev) {
+        config.known = snapshot;
+    }
+}
+
+/// Accepts clients once enough is known of the servers, and never returns.
+async fn become_ready(believed: Option<Rc<Believed>>, reception: &Reception, ready: &AtomicBool) {
+    if let Some(believed) = believed {
+        believed.ready().await;
+    }
+    reception.open();
+    ready.store(true, Ordering::Release);
+    std::future::pending::<()>().await;
+}
+
+/// Drains: for `leaving`, requests are still accepted, so that load balancers can notice that readiness is off; then what
+/// was accepted is answered. `longest` bounds that, as a client that has sent half a request must not keep the process
+/// for ever.
+async fn drain(reception: &Reception, leaving: Duration, longest: Duration) {
     reception.leave();
     tokio::time::sleep(leaving).await;
     reception.close();
-    // What was taken is answered within the longest deadline: a client that has sent half a request must
-    // not keep the process for ever.
     _ = tokio::time::timeout(longest, reception.empty()).await;
-    Ok(())
 }
 
 /// The clients' socket, where it is this process's own.
@@ -235,7 +270,7 @@
     let listening = socket.and_then(|socket| {
         socket.set_reuseaddr(true)?;
         socket.bind(at)?;
-        socket.listen(BACKLOG)
+        socket.listen(ACCEPT_BACKLOG)
     });
     listening.map_err(|e| format!("cannot listen on {at}: {e}"))
 }
