--- a/crates/emberpin-limiter/src/between/handover.rs
+++ b/crates/emberpin-limiter/src/between/handover.rs
@@ -5,7 +5,7 @@
 use crate::front::room::{Held, Room};
 use crate::upstream::listing::Target;
 use emberpin_balancer::{Handover, Millis, Usage};
-use emberpin_upgrade::frame::{self, Note, HEAD, HELLO};
+use emberpin_upgrade::frame::{self, Message, HEADER_LEN, HELLO_LEN};
 use emberpin_upgrade::process::{Action, Event, Process};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
@@ -133,26 +133,25 @@
             .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())),
         None => Err(io::ErrorKind::NotFound.into()),
     };
-    process.handle(
-        Event::Begin {
-            older: found.is_ok(),
-        },
-        &mut actions,
-    );
+    let started = match found.is_ok() {
+        true => Event::StartedWithPredecessor,
+        false => Event::StartedAlone,
+    };
+    process.handle(started, &mut actions);
     let Ok(stream) = found else { return Ok(None) };
     let (event, given) = match timeout(PATIENCE, ask(stream)).await {
-        Ok(Ok((Note::Given(body), stream))) => match postcard::from_bytes::<Given>(&body) {
-            Ok(given) => (Event::Given, Some((given, Older { stream }))),
+        Ok(Ok((Message::State(body), stream))) => match postcard::from_bytes::<Given>(&body) {
+            Ok(given) => (Event::StateReceived, Some((given, Older { stream }))),
             Err(problem) => useless(&problem.to_string()),
         },
-        Ok(Ok((Note::Refused, _))) => (Event::Refused, None),
-        Ok(Ok((Note::Shared(_), _))) => useless("it did not give first"),
+        Ok(Ok((Message::Refused, _))) => (Event::StateRefused, None),
+        Ok(Ok((Message::Update(_), _))) => useless("it did not give first"),
         Ok(Err(problem)) => useless(&problem),
         Err(_) => useless("it did not answer in time"),
     };
     actions.clear();
     process.handle(event, &mut actions);
-    if actions.contains(&Action::GiveUp) {
+    if actions.contains(&Action::AbortStart) {
         return Err(
             "another upgrade of this limiter is under way: try again once the older process is gone".into()
         );
@@ -164,32 +163,35 @@
     eprintln!(
         "emberpin: nothing taken over from the process before, starting as after a kill: {problem}"
     );
-    (Event::Useless, None)
+    (Event::StateUnusable, None)
 }
 
-async fn ask(mut stream: UnixStream) -> Result<(Note<Shared>, UnixStream), String> {
+async fn ask(mut stream: UnixStream) -> Result<(Message<Shared>, UnixStream), String> {
     stream
-        .write_all(&frame::hello())
+        .write_all(&frame::encode_hello())
         .await
         .map_err(|e| e.to_string())?;
     let note = read(&mut stream).await?;
     Ok((note, stream))
 }
 
-async fn read(from: &mut (impl AsyncReadExt + Unpin)) -> Result<Note<Shared>, String> {
-    let mut head = [0; HEAD];
+async fn read(from: &mut (impl AsyncReadExt + Unpin)) -> Result<Message<Shared>, String> {
+    let mut head = [0; HEADER_LEN];
     from.read_exact(&mut head)
         .await
         .map_err(|e| e.to_string())?;
-    let mut body = vec![0; frame::body_of(&head).map_err(|e| e.to_string())?];
+    let mut body = vec![0; frame::body_len(&head).map_err(|e| e.to_string())?];
     from.read_exact(&mut body)
         .await
         .map_err(|e| e.to_string())?;
-    frame::read(&head, &body).map_err(|e| e.to_string())
+    frame::decode(&head, &body).map_err(|e| e.to_string())
 }
 
-async fn write(to: &mut (impl AsyncWriteExt + Unpin), note: &Note<Shared>) -> Result<(), String> {
-    let bytes = frame::write(note).map_err(|e| e.to_string())?;
+async fn write(
+    to: &mut (impl AsyncWriteExt + Unpin),
+    note: &Message<Shared>,
+) -> Result<(), String> {
+    let bytes = frame::encode(note).map_err(|e| e.to_string())?;
     to.write_all(&bytes).await.map_err(|e| e.to_string())
 }
 
@@ -221,7 +223,7 @@
                 let (tell, told) = mpsc::channel(NOTES);
                 _ = upgrade.driver.send(Pairing::Paired(tell)).await;
                 upgrade.clone().talk(stream, told).await;
-                upgrade.handle(Event::OlderGone).await;
+                upgrade.handle(Event::PredecessorGone).await;
             });
         }
         upgrade
@@ -229,7 +231,7 @@
 
     /// Told to go. Whether a younger process takes the clients meanwhile makes no difference.
     pub async fn terminate(self: &Rc<Self>) {
-        self.handle(Event::Terminate).await;
+        self.handle(Event::TerminationRequested).await;
     }
 
     /// Feeds the machine and carries out all but what needs the connection; those actions come back.
@@ -238,30 +240,30 @@
         self.process.borrow_mut().handle(event, &mut actions);
         for action in &actions {
             match action {
-                Action::TakePort => {
+                Action::OpenPeerPort => {
                     if let Some(peers) = &self.peers {
                         peers.want(true);
                     }
                 }
-                Action::LeavePort => {
+                Action::ClosePeerPort => {
                     if let Some(peers) = &self.peers {
                         peers.leave().await;
                     }
                 }
-                Action::Meet => self.meet(),
+                Action::BindHandoverSocket => self.meet(),
                 // Nothing is held by the next process yet; it tells as soon as it does.
-                Action::Share => self.room.tell(Some(Held::default())),
-                Action::Whole => {
+                Action::ShareDescriptors => self.room.tell(Some(Held::default())),
+                Action::ReclaimDescriptors => {
                     self.room.tell(None);
                     _ = self.driver.send(Pairing::Alone).await;
                 }
                 // Done by whoever feeds the event.
-                Action::Ask
-                | Action::ServeOn
-                | Action::ServeAnew
-                | Action::Give
-                | Action::Refuse => {}
-                Action::Leave | Action::Exit | Action::GiveUp => {}
+                Action::RequestState
+                | Action::ServeWithState
+                | Action::ServeWithoutState
+                | Action::SendState
+                | Action::RefuseState => {}
+                Action::Drain | Action::Exit | Action::AbortStart => {}
             }
         }
         actions
@@ -304,21 +306,21 @@
             if stream.peer_cred().map_or(true, |who| who.uid() != own) {
                 continue;
             }
-            let mut hello = [0; HELLO];
+            let mut hello = [0; HELLO_LEN];
             match timeout(HELLO_LIMIT, stream.read_exact(&mut hello)).await {
                 Ok(Ok(_)) => {}
                 Ok(Err(_)) | Err(_) => continue,
             }
-            if let Err(problem) = frame::read_hello(&hello) {
+            if let Err(problem) = frame::check_hello(&hello) {
                 eprintln!("emberpin: nothing handed over: {problem}");
                 continue;
             }
-            let actions = self.handle(Event::Asked).await;
-            if actions.contains(&Action::Give) {
+            let actions = self.handle(Event::StateRequested).await;
+            if actions.contains(&Action::SendState) {
                 // Apart from this loop, so that another that asks is refused meanwhile.
                 spawn_local(self.clone().give(stream));
             } else {
-                _ = timeout(HELLO_LIMIT, write(&mut stream, &Note::Refused)).await;
+                _ = timeout(HELLO_LIMIT, write(&mut stream, &Message::Refused)).await;
             }
         }
     }
@@ -333,7 +335,7 @@
                 .map_err(|_| "no driver")?;
             let given = given.await.map_err(|_| "the driver gave nothing")?;
             let body = postcard::to_allocvec(&given).map_err(|e| e.to_string())?;
-            write(&mut stream, &Note::Given(body)).await
+            write(&mut stream, &Message::State(body)).await
         };
         match timeout(PATIENCE, sent).await {
             Ok(Ok(())) => {
@@ -343,7 +345,7 @@
             Ok(Err(problem)) => eprintln!("emberpin: not handed over: {problem}"),
             Err(_) => eprintln!("emberpin: not handed over: the next process does not read"),
         }
-        self.handle(Event::YoungerGone).await;
+        self.handle(Event::SuccessorGone).await;
     }
 
     /// Tells and hears until the other process is gone.
@@ -362,7 +364,7 @@
     }
 
     async fn hear(self: Rc<Self>, mut from: OwnedReadHalf) {
-        while let Ok(Note::Shared(shared)) = read(&mut from).await {
+        while let Ok(Message::Update(shared)) = read(&mut from).await {
             if let Shared::Held(held) = shared {
                 self.room.tell(Some(held));
                 continue;
@@ -387,7 +389,7 @@
             } else {
                 Shared::Held(held)
             };
-            if write(&mut to, &Note::Shared(shared)).await.is_err() {
+            if write(&mut to, &Message::Update(shared)).await.is_err() {
                 return;
             }
         }
--- a/crates/emberpin-limiter/tests/recorded_upgrade.rs
+++ b/crates/emberpin-limiter/tests/recorded_upgrade.rs
@@ -8,7 +8,7 @@
 mod sockets;
 
 use emberpin_balancer::{Handover, Usage};
-use emberpin_upgrade::frame::{self, Note, HEAD, HELLO};
+use emberpin_upgrade::frame::{self, HEADER_LEN, HELLO_LEN};
 use recording::{hex, lines, Recorded};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
@@ -154,7 +154,7 @@
     fn come_as_next(&self) -> (UnixStream, Vec<u8>) {
         let mut stream = UnixStream::connect(self.meeting_point()).expect("met");
         stream.set_read_timeout(Some(LONG)).expect("set");
-        stream.write_all(&frame::hello()).expect("said");
+        stream.write_all(&frame::encode_hello()).expect("said");
         let state = read_frame(&mut stream);
         (stream, state)
     }
@@ -165,9 +165,9 @@
         let state = state.to_vec();
         let giving = std::thread::spawn(move || {
             let (mut stream, _) = meeting.accept().expect("comes");
-            let mut hello = [0; HELLO];
+            let mut hello = [0; HELLO_LEN];
             stream.read_exact(&mut hello).expect("a hello");
-            assert_eq!(frame::read_hello(&hello), Ok(()));
+            assert_eq!(frame::check_hello(&hello), Ok(()));
             stream.write_all(&state).expect("a state");
             stream
         });
@@ -179,27 +179,27 @@
 }
 
 fn read_frame(stream: &mut UnixStream) -> Vec<u8> {
-    let mut head = [0; HEAD];
+    let mut head = [0; HEADER_LEN];
     stream.read_exact(&mut head).expect("a head");
-    let mut body = vec![0; frame::body_of(&head).expect("short enough")];
+    let mut body = vec![0; frame::body_len(&head).expect("short enough")];
     stream.read_exact(&mut body).expect("a body");
     [head.to_vec(), body].concat()
 }
 
-fn decode(bytes: &[u8]) -> Note<Shared> {
-    let (head, body) = bytes.split_first_chunk::<HEAD>().expect("a head");
-    frame::read(head, body).expect("a note")
+fn decode(bytes: &[u8]) -> frame::Message<Shared> {
+    let (head, body) = bytes.split_first_chunk::<HEADER_LEN>().expect("a head");
+    frame::decode(head, body).expect("a note")
 }
 
 fn encode(shared: Shared) -> Vec<u8> {
-    frame::write(&Note::Shared(shared)).expect("encoded")
+    frame::encode(&frame::Message::Update(shared)).expect("encoded")
 }
 
 /// The next frame that tells something else than how many connections are held.
 fn next_told(stream: &mut UnixStream) -> Vec<u8> {
     loop {
         let bytes = read_frame(stream);
-        if !matches!(decode(&bytes), Note::Shared(Shared::Held(_))) {
+        if !matches!(decode(&bytes), frame::Message::Update(Shared::Held(_))) {
             return bytes;
         }
     }
@@ -227,7 +227,10 @@
     site.start();
     let (mut stream, _) = site.come_as_next();
     let held = read_frame(&mut stream);
-    assert!(matches!(decode(&held), Note::Shared(Shared::Held(_))));
+    assert!(matches!(
+        decode(&held),
+        frame::Message::Update(Shared::Held(_))
+    ));
     site.order("/ops/servers/down/s-2");
     let order = next_told(&mut stream);
     site.served_by_first("a");
@@ -251,7 +254,7 @@
 #[test]
 fn what_is_handed_over_is_read_and_written_as_it_was_recorded() {
     let recorded = recorded_state();
-    let Note::Given(body) = decode(&recorded) else {
+    let frame::Message::State(body) = decode(&recorded) else {
         panic!("no state")
     };
     let state: State = postcard::from_bytes(&body).expect("a state");
@@ -263,7 +266,7 @@
         hex(&postcard::to_allocvec(&state).expect("encoded")),
         hex(&body)
     );
-    let again = frame::write::<Shared>(&Note::Given(body)).expect("short enough");
+    let again = frame::encode::<Shared>(&frame::Message::State(body)).expect("short enough");
     assert_eq!(hex(&again), hex(&recorded));
 }
 
@@ -271,7 +274,7 @@
 fn what_is_told_is_read_and_written_as_it_was_recorded() {
     for name in ["held", "order", "spent"] {
         let recorded = recorded_told(name);
-        let Note::Shared(shared) = decode(&recorded) else {
+        let frame::Message::Update(shared) = decode(&recorded) else {
             panic!("{name} is not told")
         };
         assert_eq!(hex(&encode(shared)), hex(&recorded), "{name}");
@@ -280,7 +283,7 @@
 
 /// The recorded frame with the endpoints of this site's servers in place of those that are gone by now.
 fn state_for(site: &Site) -> Vec<u8> {
-    let Note::Given(body) = decode(&recorded_state()) else {
+    let frame::Message::State(body) = decode(&recorded_state()) else {
         panic!("no state")
     };
     let mut state: State = postcard::from_bytes(&body).expect("a state");
@@ -291,7 +294,7 @@
     }
     state.targets = targets.to_string().into_bytes();
     let body = postcard::to_allocvec(&state).expect("encoded");
-    frame::write::<Shared>(&Note::Given(body)).expect("short enough")
+    frame::encode::<Shared>(&frame::Message::State(body)).expect("short enough")
 }
 
 #[test]
@@ -302,7 +305,7 @@
     assert!(
         matches!(
             decode(&read_frame(&mut stream)),
-            Note::Shared(Shared::Held(_))
+            frame::Message::Update(Shared::Held(_))
         ),
         "it has taken over"
     );
--- a/crates/emberpin-upgrade/src/frame.rs
+++ b/crates/emberpin-upgrade/src/frame.rs
@@ -1,124 +1,123 @@
-//! The frames between the two processes of a limiter, over a byte stream.
+//! The encoding of the messages between the two processes of a limiter, over a byte stream.
 //!
 //! ```text
-//! hello   "EMBERPIN" | version u16          from the one that asks, alone
+//! hello   "EMBERPIN" | version u16                 from the successor, once
 //! frame   length u32 | crc32 of body | body (postcard)
 //! ```
 //!
-//! Integers are little-endian. The first frame back is [`Note::Given`] or [`Note::Refused`]; after that both sides tell
-//! what they spend. A process of another version is answered by the end of the connection.
+//! Integers are little-endian. The predecessor answers the hello with [`Message::State`] or [`Message::Refused`]; after
+//! a state both sides send updates. A hello of another version is answered by the end of the connection.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use std::fmt;
 
-/// The version of what is exchanged; rises with every change of it.
+/// The version of the protocol; rises with every change of what is exchanged.
 pub const VERSION: u16 = 1;
-/// Bytes of a hello.
-pub const HELLO: usize = 10;
-/// Bytes before a body.
-pub const HEAD: usize = 8;
-/// Most bytes of a body.
-pub const LONGEST: usize = 16 << 20;
+/// The length of a hello in bytes.
+pub const HELLO_LEN: usize = 10;
+/// The length of a frame's header in bytes: what precedes its body.
+pub const HEADER_LEN: usize = 8;
+/// The longest body in bytes, which bounds what a receiver allocates.
+pub const MAX_BODY_LEN: usize = 16 << 20;
 const MAGIC: [u8; 8] = *b"EMBERPIN";
 
-/// What one process tells the other; `S` is what one tells as it spends.
+/// A message between the two processes; `U` is the host's type of updates. The order of variants is the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Note<S> {
-    /// What the older process knows, in the host's own form.
-    Given(Vec<u8>),
-    /// Another upgrade is under way.
+pub enum Message<U> {
+    /// The predecessor's state, in the host's encoding.
+    State(Vec<u8>),
+    /// The predecessor is in another upgrade.
     Refused,
-    /// Something that both must know of at once.
-    Shared(S),
+    /// A change that both processes must know of at once.
+    Update(U),
 }
 
-/// Why bytes are none of ours.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
-    /// Not a process of this program, or a torn frame.
-    Foreign,
-    /// Another version of it.
-    Version(u16),
-    /// More than is ever sent.
+/// Why bytes cannot be sent or are not understood.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum FrameError {
+    /// A hello that does not begin as one of this program.
+    #[error("the other process is not one of this program")]
+    UnknownProgram,
+    /// A hello of another version.
+    #[error("the other process speaks version {0}; this one speaks only version {VERSION}")]
+    UnsupportedVersion(u16),
+    /// A body longer than [`MAX_BODY_LEN`].
+    #[error("a message has {0} bytes; at most {MAX_BODY_LEN} are allowed")]
     TooLong(usize),
+    /// A body of another length or checksum than its header says.
+    #[error("a message is truncated or corrupt")]
+    Corrupt,
+    /// A body that is no message of this version, or a message that cannot be encoded.
+    #[error("a message cannot be encoded or decoded: {0}")]
+    Codec(#[from] postcard::Error),
 }
 
-impl fmt::Display for Broken {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Broken::Foreign => write!(to, "what came is no message of this program, or is damaged"),
-            Broken::Version(found) => {
-                write!(to, "version {found}; this one speaks {VERSION} alone")
-            }
-            Broken::TooLong(found) => write!(to, "{found} bytes; at most {LONGEST} are taken"),
-        }
-    }
-}
-
-/// The first bytes of whoever asks.
-pub fn hello() -> [u8; HELLO] {
-    let mut bytes = [0; HELLO];
-    bytes[..8].copy_from_slice(&MAGIC);
-    bytes[8..].copy_from_slice(&VERSION.to_le_bytes());
+/// The first bytes that a successor sends.
+pub fn encode_hello() -> [u8; HELLO_LEN] {
+    let mut bytes = [0; HELLO_LEN];
+    bytes[..MAGIC.len()].copy_from_slice(&MAGIC);
+    bytes[MAGIC.len()..].copy_from_slice(&VERSION.to_le_bytes());
     bytes
 }
 
-/// Whether they are those of a process that this one understands.
+/// Checks that a hello comes from a process that this one understands.
 ///
 /// # Errors
 ///
-/// What they are instead.
-pub fn read_hello(bytes: &[u8; HELLO]) -> Result<(), Broken> {
-    let (magic, version) = bytes.split_at(8);
+/// [`FrameError::UnknownProgram`] or [`FrameError::UnsupportedVersion`].
+pub fn check_hello(hello: &[u8; HELLO_LEN]) -> Result<(), FrameError> {
+    let (magic, version) = hello.split_at(MAGIC.len());
     if magic != MAGIC {
-        return Err(Broken::Foreign);
+        return Err(FrameError::UnknownProgram);
     }
     match u16::from_le_bytes([version[0], version[1]]) {
         VERSION => Ok(()),
-        other => Err(Broken::Version(other)),
+        other => Err(FrameError::UnsupportedVersion(other)),
     }
 }
 
-/// A whole frame.
+/// The bytes of a frame with this message.
 ///
 /// # Errors
 ///
-/// When it would be longer than any may be.
-pub fn write<S: Serialize>(note: &Note<S>) -> Result<Vec<u8>, Broken> {
-    let body = postcard::to_allocvec(note).map_err(|_| Broken::Foreign)?;
-    if body.len() > LONGEST {
-        return Err(Broken::TooLong(body.len()));
+/// [`FrameError::TooLong`] if the host's state is too large, [`FrameError::Codec`] if its update cannot be encoded.
+pub fn encode<U: Serialize>(message: &Message<U>) -> Result<Vec<u8>, FrameError> {
+    let body = postcard::to_allocvec(message)?;
+    if body.len() > MAX_BODY_LEN {
+        return Err(FrameError::TooLong(body.len()));
     }
-    let mut bytes = Vec::with_capacity(HEAD + body.len());
-    bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
-    bytes.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
-    bytes.extend_from_slice(&body);
-    Ok(bytes)
+    let mut frame = Vec::with_capacity(HEADER_LEN + body.len());
+    frame.extend_from_slice(&(body.len() as u32).to_le_bytes());
+    frame.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
+    frame.extend_from_slice(&body);
+    Ok(frame)
 }
 
-/// How many bytes follow this head.
+/// How many bytes of body follow this header.
 ///
 /// # Errors
 ///
-/// When they are more than are taken.
-pub fn body_of(head: &[u8; HEAD]) -> Result<usize, Broken> {
-    let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
-    if length > LONGEST {
-        return Err(Broken::TooLong(length));
+/// [`FrameError::TooLong`], before anything is allocated for the body.
+pub fn body_len(header: &[u8; HEADER_LEN]) -> Result<usize, FrameError> {
+    let length = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
+    if length > MAX_BODY_LEN {
+        return Err(FrameError::TooLong(length));
     }
     Ok(length)
 }
 
-/// What a head and its body say.
+/// The message of a frame.
 ///
 /// # Errors
 ///
-/// When they do not go together.
-pub fn read<S: DeserializeOwned>(head: &[u8; HEAD], body: &[u8]) -> Result<Note<S>, Broken> {
-    let crc = u32::from_le_bytes([head[4], head[5], head[6], head[7]]);
-    if body_of(head)? != body.len() || crc != crc32fast::hash(body) {
-        return Err(Broken::Foreign);
+/// [`FrameError`], if header and body do not belong together or the body is no message.
+pub fn decode<U: DeserializeOwned>(
+    header: &[u8; HEADER_LEN],
+    body: &[u8],
+) -> Result<Message<U>, FrameError> {
+    let checksum = u32::from_le_bytes([header[4], header[5], header[6], header[7]]);
+    if body_len(header)? != body.len() || checksum != crc32fast::hash(body) {
+        return Err(FrameError::Corrupt);
     }
-    postcard::from_bytes(body).map_err(|_| Broken::Foreign)
+    Ok(postcard::from_bytes(body)?)
 }
--- a/crates/emberpin-upgrade/src/lib.rs
+++ b/crates/emberpin-upgrade/src/lib.rs
@@ -1,8 +1,12 @@
-//! An upgrade puts a second process of one limiter beside the first. This package decides what each of the two does:
-//! who owns what only one may own, when room is shared, what follows when either dies ([`process`]); and it has the
-//! frames that they exchange ([`frame`]). No I/O and no clock.
+//! Upgrade of a limiter without downtime: a successor process starts beside the one that serves, gets its state, and
+//! serves with it until the predecessor has drained.
 //!
-//! What is handed over is the host's: to this package it is a body of bytes.
+//! - [`process`]: the state machine that both processes run: who serves, who owns the peer port, when descriptors are
+//!   shared, what follows when either process dies;
+//! - [`frame`]: the encoding of the messages between them.
+//!
+//! No I/O and no clock: hosts pass in events and carry out the actions that come back. The state that is handed over is
+//! opaque bytes here.
 #![forbid(unsafe_code)]
 
 pub mod frame;
--- a/crates/emberpin-upgrade/src/process.rs
+++ b/crates/emberpin-upgrade/src/process.rs
@@ -1,180 +1,238 @@
-//! One process of a limiter through its life: starting, taking over, serving; handing over, leaving, gone.
+//! The state machine of one process of a limiter, from start to exit.
 //!
-//! Both processes of an upgrade run the same machine. The one that starts asks the one that serves; that gives up what
-//! only one may own (the port for messages between limiters) before it answers, so that at no instant both own it.
-//! Until the older one is gone they share the descriptors. Whichever dies, the other goes on alone with all.
+//! Both processes of an upgrade run it: the successor requests the state of the one that serves, its predecessor. The
+//! predecessor closes the peer port, which only one process may own, before it sends its state, so that at no instant
+//! both own it. The two share the descriptors until one of them is gone; whichever dies, the other goes on alone.
 
-/// Where a process stands.
+/// Where a process is in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Stage {
     /// Nothing is open yet.
     Starting,
-    /// An older process was asked for what it knows.
-    Taking,
-    /// Takes clients.
+    /// A predecessor has been asked for its state.
+    RequestingState,
+    /// The process accepts clients.
     Serving,
-    /// Told to go; answers what it took.
-    Leaving,
-    /// Ended.
-    Gone,
+    /// The process was told to shut down, and answers the requests that it has accepted.
+    Draining,
+    /// The process has ended, or is about to.
+    Ended,
 }
 
-/// What happened.
+/// What happened to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// The process begins; whether somebody answers at the meeting point.
-    Begin {
-        /// Somebody does.
-        older: bool,
-    },
-    /// The older one gave what it knows, whole and of this version.
-    Given,
-    /// What came is of no use: nothing in time, half a message, another version.
-    Useless,
-    /// The older one is in another upgrade.
-    Refused,
-    /// A younger process asks.
-    Asked,
-    /// The connection to the older process ended.
-    OlderGone,
-    /// The connection to the younger process ended.
-    YoungerGone,
-    /// Told to go.
-    Terminate,
-    /// Nothing that was taken is left to answer.
-    Empty,
+    /// The process starts, and no other one answers at the handover socket.
+    StartedAlone,
+    /// The process starts, and a predecessor answers at the handover socket.
+    StartedWithPredecessor,
+    /// The predecessor's state arrived, complete and of this version.
+    StateReceived,
+    /// No usable state arrived: none in time, an incomplete one, or one of another version.
+    StateUnusable,
+    /// The predecessor is in another upgrade.
+    StateRefused,
+    /// A successor requests this process's state.
+    StateRequested,
+    /// The connection to the predecessor ended.
+    PredecessorGone,
+    /// The connection to the successor ended.
+    SuccessorGone,
+    /// The process was told to shut down.
+    TerminationRequested,
+    /// All requests that were accepted have been answered.
+    Drained,
 }
 
-/// What is to be done, in this order.
+/// What the host does, in the order of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Ask the older process.
-    Ask,
-    /// Take clients, with what was given.
-    ServeOn,
-    /// Take clients as after a kill: knowing nothing.
-    ServeAnew,
-    /// Open the port for messages between limiters, as soon as it is free.
-    TakePort,
-    /// Close it.
-    LeavePort,
-    /// Give what is known to the younger process, and tell it from now on what is spent.
-    Give,
-    /// Tell the one that asks that this is no time.
-    Refuse,
-    /// Take over the meeting point, so that the next one comes here.
-    Meet,
-    /// Keep off the descriptors that the other one holds.
-    Share,
-    /// All of them are its own again.
-    Whole,
-    /// Take no more clients, answer those there are.
-    Leave,
-    /// End well.
+    /// Request the predecessor's state.
+    RequestState,
+    /// Accept clients, with the state received.
+    ServeWithState,
+    /// Accept clients without a state, as after a crash.
+    ServeWithoutState,
+    /// Open the peer port, as soon as it is free.
+    OpenPeerPort,
+    /// Close the peer port.
+    ClosePeerPort,
+    /// Send the state to the successor, and updates from then on.
+    SendState,
+    /// Tell the process that requests the state that another upgrade is in progress.
+    RefuseState,
+    /// Listen at the handover socket, in place of any other process.
+    BindHandoverSocket,
+    /// Leave the descriptors that the other process uses to it.
+    ShareDescriptors,
+    /// Use all descriptors again.
+    ReclaimDescriptors,
+    /// Accept no more clients, and answer the requests accepted so far.
+    Drain,
+    /// Exit with success.
     Exit,
-    /// End at once, as one that could not start: another upgrade is under way.
-    GiveUp,
+    /// Exit with an error: another upgrade is in progress.
+    AbortStart,
 }
 
-/// One process.
+/// One process of a limiter, and what it knows of the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Process {
     stage: Stage,
-    older: bool,
-    younger: bool,
-    port: bool,
+    has_predecessor: bool,
+    has_successor: bool,
+    owns_peer_port: bool,
 }
 
 impl Default for Process {
     fn default() -> Process {
         Process {
             stage: Stage::Starting,
-            older: false,
-            younger: false,
-            port: false,
+            has_predecessor: false,
+            has_successor: false,
+            owns_peer_port: false,
         }
     }
 }
 
 impl Process {
-    /// Where it stands.
+    /// Where the process is in its life.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Whether the port is its own (or will be once it is free).
-    pub fn owns_port(&self) -> bool {
-        self.port
+    /// Whether the peer port is this process's own, or will be once it is free.
+    pub fn owns_peer_port(&self) -> bool {
+        self.owns_peer_port
     }
 
-    /// Whether another process of this limiter is there, as far as this one knows.
+    /// Whether another process of this limiter is alive, as far as this one knows.
     pub fn is_paired(&self) -> bool {
-        self.older || self.younger
+        self.has_predecessor || self.has_successor
     }
 
-    /// Takes one event; what is to be done is appended. Events that mean nothing where it stands are passed over.
+    /// Handles an event, and appends what is to be done. Events without a meaning in the current stage are ignored.
     pub fn handle(&mut self, event: Event, actions: &mut Vec<Action>) {
-        use Action::{
-            Ask, Exit, Give, GiveUp, Leave, LeavePort, Meet, Refuse, ServeAnew, ServeOn, Share,
-            TakePort, Whole,
-        };
-        match (self.stage, event) {
-            (Stage::Starting, Event::Begin { older: true }) => {
-                self.stage = Stage::Taking;
-                actions.push(Ask);
-            }
-            (Stage::Starting, Event::Begin { older: false })
-            | (Stage::Taking, Event::Useless | Event::OlderGone) => {
-                self.stage = Stage::Serving;
-                self.port = true;
-                actions.extend([ServeAnew, TakePort, Meet]);
-            }
-            (Stage::Taking, Event::Given) => {
-                self.stage = Stage::Serving;
-                (self.older, self.port) = (true, true);
-                actions.extend([Share, ServeOn, TakePort, Meet]);
-            }
-            (Stage::Taking, Event::Refused) => {
-                self.stage = Stage::Gone;
-                actions.push(GiveUp);
-            }
-            (Stage::Starting | Stage::Taking, Event::Terminate) => {
-                self.stage = Stage::Gone;
-                actions.push(Exit);
-            }
-            (Stage::Serving | Stage::Leaving, Event::Asked) if self.is_paired() => {
-                actions.push(Refuse);
-            }
-            (Stage::Serving | Stage::Leaving, Event::Asked) => {
-                self.younger = true;
-                if std::mem::take(&mut self.port) {
-                    actions.push(LeavePort);
-                }
-                actions.extend([Give, Share]);
-            }
-            // Nobody can be given anything: not before it serves, nor when it is gone.
-            (_, Event::Asked) => actions.push(Refuse),
-            (Stage::Serving | Stage::Leaving, Event::OlderGone) if self.older => {
-                self.older = false;
-                actions.push(Whole);
-            }
-            (Stage::Serving, Event::YoungerGone) if self.younger => {
-                (self.younger, self.port) = (false, true);
-                actions.extend([Whole, TakePort, Meet]);
-            }
-            (Stage::Leaving, Event::YoungerGone) if self.younger => {
-                self.younger = false;
-                actions.push(Whole);
-            }
-            (Stage::Serving, Event::Terminate) => {
-                self.stage = Stage::Leaving;
-                actions.push(Leave);
+        match event {
+            Event::StartedAlone => self.on_started_alone(actions),
+            Event::StartedWithPredecessor => self.on_started_with_predecessor(actions),
+            Event::StateReceived => self.on_state_received(actions),
+            Event::StateUnusable => self.on_state_unusable(actions),
+            Event::StateRefused => self.on_state_refused(actions),
+            Event::StateRequested => self.on_state_requested(actions),
+            Event::PredecessorGone => self.on_predecessor_gone(actions),
+            Event::SuccessorGone => self.on_successor_gone(actions),
+            Event::TerminationRequested => self.on_termination_requested(actions),
+            Event::Drained => self.on_drained(actions),
+        }
+    }
+
+    fn on_started_alone(&mut self, actions: &mut Vec<Action>) {
+        if self.stage == Stage::Starting {
+            self.serve_without_state(actions);
+        }
+    }
+
+    fn on_started_with_predecessor(&mut self, actions: &mut Vec<Action>) {
+        if self.stage == Stage::Starting {
+            self.stage = Stage::RequestingState;
+            actions.push(Action::RequestState);
+        }
+    }
+
+    fn on_state_received(&mut self, actions: &mut Vec<Action>) {
+        if self.stage != Stage::RequestingState {
+            return;
+        }
+        self.stage = Stage::Serving;
+        self.has_predecessor = true;
+        self.owns_peer_port = true;
+        actions.extend([
+            Action::ShareDescriptors,
+            Action::ServeWithState,
+            Action::OpenPeerPort,
+            Action::BindHandoverSocket,
+        ]);
+    }
+
+    fn on_state_unusable(&mut self, actions: &mut Vec<Action>) {
+        if self.stage == Stage::RequestingState {
+            self.serve_without_state(actions);
+        }
+    }
+
+    fn on_state_refused(&mut self, actions: &mut Vec<Action>) {
+        if self.stage == Stage::RequestingState {
+            self.stage = Stage::Ended;
+            actions.push(Action::AbortStart);
+        }
+    }
+
+    /// A process gives its state only while it serves or drains, and to one successor at a time.
+    fn on_state_requested(&mut self, actions: &mut Vec<Action>) {
+        if !self.has_clients() || self.is_paired() {
+            actions.push(Action::RefuseState);
+            return;
+        }
+        self.has_successor = true;
+        if std::mem::take(&mut self.owns_peer_port) {
+            actions.push(Action::ClosePeerPort);
+        }
+        actions.extend([Action::SendState, Action::ShareDescriptors]);
+    }
+
+    fn on_predecessor_gone(&mut self, actions: &mut Vec<Action>) {
+        if self.stage == Stage::RequestingState {
+            self.serve_without_state(actions);
+        } else if self.has_clients() && std::mem::take(&mut self.has_predecessor) {
+            actions.push(Action::ReclaimDescriptors);
+        }
+    }
+
+    /// A process that serves takes back what it gave up; one that drains ends without it.
+    fn on_successor_gone(&mut self, actions: &mut Vec<Action>) {
+        if !self.has_clients() || !std::mem::take(&mut self.has_successor) {
+            return;
+        }
+        actions.push(Action::ReclaimDescriptors);
+        if self.stage == Stage::Serving {
+            self.owns_peer_port = true;
+            actions.extend([Action::OpenPeerPort, Action::BindHandoverSocket]);
+        }
+    }
+
+    fn on_termination_requested(&mut self, actions: &mut Vec<Action>) {
+        match self.stage {
+            Stage::Starting | Stage::RequestingState => {
+                self.stage = Stage::Ended;
+                actions.push(Action::Exit);
             }
-            (Stage::Leaving, Event::Empty) => {
-                self.stage = Stage::Gone;
-                actions.push(Exit);
+            Stage::Serving => {
+                self.stage = Stage::Draining;
+                actions.push(Action::Drain);
             }
-            _ => {}
+            Stage::Draining | Stage::Ended => {}
         }
     }
+
+    fn on_drained(&mut self, actions: &mut Vec<Action>) {
+        if self.stage == Stage::Draining {
+            self.stage = Stage::Ended;
+            actions.push(Action::Exit);
+        }
+    }
+
+    fn serve_without_state(&mut self, actions: &mut Vec<Action>) {
+        self.stage = Stage::Serving;
+        self.owns_peer_port = true;
+        actions.extend([
+            Action::ServeWithoutState,
+            Action::OpenPeerPort,
+            Action::BindHandoverSocket,
+        ]);
+    }
+
+    fn has_clients(&self) -> bool {
+        matches!(self.stage, Stage::Serving | Stage::Draining)
+    }
 }
--- a/crates/emberpin-upgrade/tests/recorded.rs
+++ b/crates/emberpin-upgrade/tests/recorded.rs
@@ -1,45 +1,47 @@
-//! Frames between the two processes of a limiter, as an earlier build wrote them. What they share is a text here; the
+//! Messages between the two processes of a limiter, as an earlier build wrote them. The update is a text here; the
 //! limiter's own is recorded with the limiter.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "../../emberpin-peering/tests/common/recording.rs"]
 mod recording;
 
-use emberpin_upgrade::frame::{body_of, hello, read, read_hello, write, Note, HEAD, HELLO};
+use emberpin_upgrade::frame::{
+    body_len, check_hello, decode, encode, encode_hello, Message, HEADER_LEN, HELLO_LEN,
+};
 use recording::{assert_recorded, file};
 
-fn notes() -> Vec<(&'static str, Note<String>)> {
+fn messages() -> Vec<(&'static str, Message<String>)> {
     vec![
         (
             "state",
-            Note::Given(b"what the older process knows".to_vec()),
+            Message::State(b"what the older process knows".to_vec()),
         ),
-        ("state-empty", Note::Given(Vec::new())),
-        ("refused", Note::Refused),
-        ("shared", Note::Shared("spent".into())),
+        ("state-empty", Message::State(Vec::new())),
+        ("refused", Message::Refused),
+        ("shared", Message::Update("spent".into())),
     ]
 }
 
-fn decode(frame: &[u8]) -> Note<String> {
-    let (head, body) = frame.split_first_chunk::<HEAD>().expect("a head");
-    assert_eq!(body_of(head), Ok(body.len()));
-    read(head, body).expect("a note")
+fn decode_frame(frame: &[u8]) -> Message<String> {
+    let (header, body) = frame.split_first_chunk::<HEADER_LEN>().expect("a header");
+    assert_eq!(body_len(header), Ok(body.len()));
+    decode(header, body).expect("a message")
 }
 
 #[test]
-fn every_note_is_read_and_written_as_it_was_recorded() {
+fn every_recorded_message_is_decoded_and_encoded_as_it_was() {
     assert_recorded(
         "notes.txt",
-        &notes(),
-        |note| write(note).expect("short enough"),
-        decode,
+        &messages(),
+        |message| encode(message).expect("short enough"),
+        decode_frame,
     );
 }
 
 #[test]
-fn the_hello_of_an_earlier_build_is_understood_and_still_the_same() {
-    let recorded = file("hello", || hello().to_vec());
-    let recorded: [u8; HELLO] = recorded.try_into().expect("a hello's length");
-    assert_eq!(read_hello(&recorded), Ok(()));
-    assert_eq!(hello(), recorded);
+fn the_recorded_hello_is_understood_and_encoded_as_it_was() {
+    let recorded = file("hello", || encode_hello().to_vec());
+    let recorded: [u8; HELLO_LEN] = recorded.try_into().expect("a hello's length");
+    assert_eq!(check_hello(&recorded), Ok(()));
+    assert_eq!(encode_hello(), recorded);
 }
