--- a/crates/emberpin-failover/src/event.rs
+++ b/crates/emberpin-failover/src/event.rs
@@ -17,13 +17,13 @@
     /// An attempt is to be sent for a work started or taken over here. Answered by [`Action::AllowAttempt`] or
     /// [`Action::DenyAttempt`], unless another request replaces it or its work is completed first.
     AttemptRequested {
-        /// The work.
+        /// The work, as named when it was started or taken over.
         work_id: WorkId,
         /// Number of the attempt, repeated in the answer.
         attempt: u32,
-        /// Where it is to be sent.
+        /// The servers it is to be sent to.
         group: ServerGroup,
-        /// The request.
+        /// The request, as a candidate is to send it.
         work: Work,
     },
     /// A work started or taken over here has an outcome, and the holders of its key were sent it.
@@ -32,7 +32,7 @@
     TakeoverFailed(WorkId),
     /// This limiter has granted the key of a work, and is to take it over if its owner is lost.
     KeyGranted {
-        /// The work.
+        /// The work that claimed the key.
         work_id: WorkId,
         /// The holders of its key.
         acceptors: Vec<Member>,
@@ -41,7 +41,7 @@
     KeyReleased(WorkId),
     /// A member runs in this incarnation.
     IncarnationObserved {
-        /// The member.
+        /// The member that runs in it.
         member: Member,
         /// Its current incarnation.
         incarnation: Life,
@@ -52,16 +52,16 @@
     MemberUnreachable(Member),
     /// An incarnation of a member has ended; silence alone is no end.
     IncarnationEnded {
-        /// The member.
+        /// The member that ran in it.
         member: Member,
         /// The incarnation that ended.
         incarnation: Life,
     },
     /// A message from another member arrived.
     MessageReceived {
-        /// The sender.
+        /// The member at the other end of the link.
         from: Member,
-        /// Its message.
+        /// Decoded by the host.
         message: Message,
     },
     /// Time has passed: due timers run.
@@ -73,28 +73,28 @@
 pub enum Action {
     /// Send a message to another member.
     Send {
-        /// The receiver.
+        /// Never this limiter itself.
         to: Member,
-        /// The message.
+        /// To be encoded by the host.
         message: Message,
     },
     /// Send the attempt: a majority has accepted it.
     AllowAttempt {
-        /// The work.
+        /// The work of the request for an attempt.
         work_id: WorkId,
-        /// Number of the attempt.
+        /// Its number there.
         attempt: u32,
     },
     /// Do not send the attempt: another limiter runs the work, or no majority accepted in time.
     DenyAttempt {
-        /// The work.
+        /// The work of the request for an attempt.
         work_id: WorkId,
-        /// Number of the attempt.
+        /// Its number there.
         attempt: u32,
     },
     /// Run this work of another limiter; report [`Event::WorkCompleted`] or [`Event::TakeoverFailed`].
     TakeOver {
-        /// The work.
+        /// The work, under the identity that its claimant gave it.
         work_id: WorkId,
         /// The request; its time left counts from now.
         work: Work,
@@ -106,7 +106,7 @@
     CompletionConfirmed(WorkId),
     /// Nobody runs this work; the holders of its key are to be told so.
     Abandoned {
-        /// The work.
+        /// The work whose key was granted here.
         work_id: WorkId,
         /// What its key is to say.
         verdict: Verdict,
--- a/crates/emberpin-failover/src/failover.rs
+++ b/crates/emberpin-failover/src/failover.rs
@@ -7,10 +7,10 @@
 
 use crate::config::Config;
 use crate::event::{Action, Event};
-use crate::message::Message;
+use crate::message::{AcceptedAttempt, Message};
 use crate::time::Timestamp;
 use crate::work::{Member, Verdict, WorkId};
-use acceptor::{Outcome, WorkRecord};
+use acceptor::WorkRecord;
 use candidate::{Grant, TakeoverBudget};
 use emberpin_peering::Life;
 use owner::{OwnedWork, PendingCompletion};
@@ -165,9 +165,12 @@
                 first_attempt,
                 work,
             } => {
-                let accepted =
-                    self.accept(work_id, ballot, acceptor_incarnation, first_attempt, work);
-                self.answer_accept(from, work_id, ballot, accepted, actions);
+                let attempt = AcceptedAttempt {
+                    ballot,
+                    first_attempt,
+                    work,
+                };
+                self.on_accept(from, work_id, acceptor_incarnation, attempt, actions);
             }
             Message::Accepted { work_id, ballot } => {
                 self.on_accepted(work_id, ballot, from, actions);
@@ -191,18 +194,13 @@
                 accepted,
             } => self.on_promise(work_id, ballot, from, accepted, actions),
             Message::Completed(work_id) => {
-                self.record_outcome(work_id, Outcome::Completed);
-                self.grants.remove(&work_id);
-                self.send(from, Message::CompletionAcknowledged(work_id), actions);
+                self.on_completed(from, work_id, actions);
             }
             Message::CompletionAcknowledged(work_id) => {
                 self.on_completion_acknowledged(work_id, from, actions);
             }
             Message::Abandoned(work_id, verdict) => {
-                self.record_outcome(work_id, Outcome::Abandoned(verdict));
-                if self.grants.remove(&work_id).is_some() {
-                    actions.push(Action::Abandoned { work_id, verdict });
-                }
+                self.on_abandoned(work_id, verdict, actions);
             }
         }
     }
--- a/crates/emberpin-failover/src/failover/acceptor.rs
+++ b/crates/emberpin-failover/src/failover/acceptor.rs
@@ -72,15 +72,16 @@
 }
 
 impl Failover {
-    pub(super) fn answer_accept(
+    pub(super) fn on_accept(
         &mut self,
         from: Member,
         work_id: WorkId,
-        ballot: Ballot,
-        accepted: Result<(), Rejection>,
+        acceptor_incarnation: Life,
+        attempt: AcceptedAttempt,
         actions: &mut Vec<Action>,
     ) {
-        let answer = match accepted {
+        let ballot = attempt.ballot;
+        let answer = match self.accept(work_id, acceptor_incarnation, attempt) {
             Ok(()) => {
                 self.yield_to(work_id, ballot);
                 Message::Accepted { work_id, ballot }
@@ -116,14 +117,35 @@
         self.send(from, answer, actions);
     }
 
-    /// Records where an attempt is about to be sent.
-    pub(super) fn accept(
+    pub(super) fn on_completed(
+        &mut self,
+        from: Member,
+        work_id: WorkId,
+        actions: &mut Vec<Action>,
+    ) {
+        self.record_outcome(work_id, Outcome::Completed);
+        self.grants.remove(&work_id);
+        self.send(from, Message::CompletionAcknowledged(work_id), actions);
+    }
+
+    pub(super) fn on_abandoned(
+        &mut self,
+        work_id: WorkId,
+        verdict: Verdict,
+        actions: &mut Vec<Action>,
+    ) {
+        self.record_outcome(work_id, Outcome::Abandoned(verdict));
+        if self.grants.remove(&work_id).is_some() {
+            actions.push(Action::Abandoned { work_id, verdict });
+        }
+    }
+
+    /// Records where an attempt is about to be sent, in place of what was accepted before.
+    fn accept(
         &mut self,
         work_id: WorkId,
-        ballot: Ballot,
         acceptor_incarnation: Life,
-        first_attempt: FirstAttempt,
-        work: Work,
+        attempt: AcceptedAttempt,
     ) -> Result<(), Rejection> {
         // A restarted acceptor may have promised the work to a candidate, and forgotten it.
         if acceptor_incarnation != self.config.incarnation {
@@ -133,37 +155,24 @@
         if known.is_some_and(|record| record.outcome.is_some()) {
             return Err(Rejection::HasOutcome);
         }
-        if let Some(record) = known.filter(|record| record.promised > ballot) {
+        if let Some(record) = known.filter(|record| record.promised > attempt.ballot) {
             return Err(Rejection::HigherBallot(record.promised));
         }
         let replaced = known.and_then(|record| record.accepted.as_ref());
         let replaced_bytes = replaced.map_or(0, |accepted| accepted.work.payload.len());
-        let record_bytes = self.record_bytes - replaced_bytes + work.payload.len();
+        let record_bytes = self.record_bytes - replaced_bytes + attempt.work.payload.len();
         let table_full = known.is_none() && self.records.len() >= self.config.max_entries;
         if table_full || record_bytes > self.config.max_bytes {
             return Err(Rejection::Full);
         }
         self.record_bytes = record_bytes;
-        // An age that is no number counts as past every window.
-        let age_ms = if first_attempt.age_ms.is_finite() {
-            first_attempt.age_ms.max(0.0)
-        } else {
-            f64::MAX
-        };
         let retention_ms = as_millis(self.config.retention);
-        let time_left_ms = work.time_left_ms.clamp(0.0, retention_ms);
-        let expires_at = self.now.plus_millis(time_left_ms).plus_millis(retention_ms);
-        let accepted = AcceptedRecord {
-            ballot,
-            group: first_attempt.group,
-            first_at: self.now.minus_millis(age_ms),
-            work,
-        };
+        let time_left_ms = attempt.work.time_left_ms.clamp(0.0, retention_ms);
         let record = WorkRecord {
-            promised: ballot,
-            accepted: Some(accepted),
+            promised: attempt.ballot,
+            accepted: Some(AcceptedRecord::new(attempt, self.now)),
             outcome: None,
-            expires_at,
+            expires_at: self.now.plus_millis(time_left_ms).plus_millis(retention_ms),
         };
         self.records.insert(work_id, record);
         Ok(())
@@ -257,6 +266,23 @@
 }
 
 impl AcceptedRecord {
+    /// The record of an attempt that is accepted now.
+    fn new(attempt: AcceptedAttempt, now: Timestamp) -> AcceptedRecord {
+        let age_ms = attempt.first_attempt.age_ms;
+        // An age that is not finite counts as past every window.
+        let age_ms = if age_ms.is_finite() {
+            age_ms.max(0.0)
+        } else {
+            f64::MAX
+        };
+        AcceptedRecord {
+            ballot: attempt.ballot,
+            group: attempt.first_attempt.group,
+            first_at: now.minus_millis(age_ms),
+            work: attempt.work,
+        }
+    }
+
     /// The attempt as a message tells it: with its age, and at most this much time left.
     fn as_of(&self, now: Timestamp, time_left_ms: f64) -> AcceptedAttempt {
         let first_attempt = FirstAttempt {
--- a/crates/emberpin-failover/src/failover/owner.rs
+++ b/crates/emberpin-failover/src/failover/owner.rs
@@ -1,5 +1,5 @@
-//! The owner of a work: its claimant, or the member that took it over. Asks the acceptors before each attempt, and tells
-//! them the outcome.
+//! The owner of a work: its claimant, or the member that took it over. Asks the acceptors before each attempt, and
+//! tells them the outcome.
 
 use super::{is_majority, Acceptor, Failover};
 use crate::event::Action;
--- a/crates/emberpin-failover/src/message.rs
+++ b/crates/emberpin-failover/src/message.rs
@@ -1,6 +1,13 @@
 //! Messages between limiters about work in flight.
 //!
-//! Encoded with postcard: the order of variants and fields is the wire format, and `tests/recorded.rs` holds it.
+//! | step | from | to | message | answer |
+//! | --- | --- | --- | --- | --- |
+//! | before each attempt | owner | acceptors | `Accept` | `Accepted` or `Rejected` |
+//! | owner lost | candidate | acceptors | `Prepare` | `Promise`, `Rejected`, or the outcome |
+//! | outcome known | owner | acceptors | `Completed` | `CompletionAcknowledged` |
+//! | no outcome of its own | candidate or owner | acceptors | `Abandoned` | none |
+//!
+//! Encoded with postcard: the order of variants and fields is the wire format. `tests/recorded.rs` fails if it changes.
 
 use crate::work::{Ballot, FirstAttempt, Verdict, Work, WorkId};
 use emberpin_peering::Life;
@@ -11,7 +18,7 @@
 pub enum Message {
     /// Asks an acceptor to accept an attempt that is about to be sent.
     Accept {
-        /// The work.
+        /// The work whose attempt it is.
         work_id: WorkId,
         /// The ballot under which the sender runs the work.
         ballot: Ballot,
@@ -19,19 +26,19 @@
         acceptor_incarnation: Life,
         /// The attempt from which the deduplication window counts.
         first_attempt: FirstAttempt,
-        /// The request.
+        /// The request, for a candidate to send it.
         work: Work,
     },
     /// The attempt is accepted.
     Accepted {
-        /// The work.
+        /// The work of the [`Message::Accept`].
         work_id: WorkId,
         /// The ballot of the [`Message::Accept`].
         ballot: Ballot,
     },
     /// An [`Message::Accept`] or [`Message::Prepare`] is rejected.
     Rejected {
-        /// The work.
+        /// The work of the rejected message.
         work_id: WorkId,
         /// The ballot that is rejected.
         ballot: Ballot,
@@ -41,16 +48,16 @@
     },
     /// Asks an acceptor to promise a ballot.
     Prepare {
-        /// The work.
+        /// The work that the sender is a candidate for.
         work_id: WorkId,
         /// The candidate's ballot.
         ballot: Ballot,
-        /// The acceptor's incarnation when the key was granted. A later one has forgotten what it accepted, and rejects.
+        /// The acceptor's incarnation when the key was granted. A later one may have forgotten an attempt, and rejects.
         acceptor_incarnation: Life,
     },
     /// The sender accepts nothing of a lower ballot from now on.
     Promise {
-        /// The work.
+        /// The work of the [`Message::Prepare`].
         work_id: WorkId,
         /// The ballot that is promised.
         ballot: Ballot,
@@ -72,6 +79,6 @@
     pub ballot: Ballot,
     /// The attempt from which the deduplication window counts.
     pub first_attempt: FirstAttempt,
-    /// The request.
+    /// The request, with the time that is left for it now.
     pub work: Work,
 }
