--- a/crates/emberpin-failover/src/config.rs
+++ b/crates/emberpin-failover/src/config.rs
@@ -1,7 +1,7 @@
 //! Options of the failover core, fixed while its process runs.
 
 use crate::work::Member;
-use emberpin_peering::Life;
+use emberpin_peering::Incarnation;
 use std::time::Duration;
 
 /// Options of [`Failover`](crate::Failover). There are no defaults; the host derives them from its settings.
@@ -10,7 +10,7 @@
     /// The number of this limiter. It breaks ties between ballots of one round, so no two limiters may have the same.
     pub member: Member,
     /// The incarnation of this process. Requests that name another one are rejected.
-    pub incarnation: Life,
+    pub incarnation: Incarnation,
     /// How long to wait for a majority of acceptors, for an attempt and for a takeover. If it is too short, attempts
     /// are denied while acceptors are only slow; each candidate waits this much longer than the one before it.
     pub reply_timeout: Duration,
--- a/crates/emberpin-failover/src/event.rs
+++ b/crates/emberpin-failover/src/event.rs
@@ -2,7 +2,7 @@
 
 use crate::message::Message;
 use crate::work::{FirstAttempt, Member, ServerGroup, Verdict, Work, WorkId};
-use emberpin_peering::Life;
+use emberpin_peering::Incarnation;
 
 /// An input of [`Failover::handle`](crate::Failover::handle).
 #[derive(Clone, Debug, PartialEq)]
@@ -44,7 +44,7 @@
         /// The member that runs in it.
         member: Member,
         /// Its current incarnation.
-        incarnation: Life,
+        incarnation: Incarnation,
     },
     /// Messages to this member are delivered again.
     MemberReachable(Member),
@@ -55,7 +55,7 @@
         /// The member that ran in it.
         member: Member,
         /// The incarnation that ended.
-        incarnation: Life,
+        incarnation: Incarnation,
     },
     /// A message from another member arrived.
     MessageReceived {
--- a/crates/emberpin-failover/src/failover.rs
+++ b/crates/emberpin-failover/src/failover.rs
@@ -12,7 +12,7 @@
 use crate::work::{Member, Verdict, WorkId};
 use acceptor::WorkRecord;
 use candidate::{Grant, TakeoverBudget};
-use emberpin_peering::Life;
+use emberpin_peering::Incarnation;
 use owner::{OwnedWork, PendingCompletion};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,7 +24,7 @@
     config: Config,
     now: Timestamp,
     /// Current incarnations of the members, as far as observed.
-    incarnations: BTreeMap<Member, Life>,
+    incarnations: BTreeMap<Member, Incarnation>,
     unreachable: BTreeSet<Member>,
     /// Works that this limiter runs.
     owned: BTreeMap<WorkId, OwnedWork>,
@@ -55,7 +55,7 @@
 struct Acceptor {
     member: Member,
     /// Its incarnation when the work began. None, if it was not known: it cannot be asked then.
-    incarnation: Option<Life>,
+    incarnation: Option<Incarnation>,
 }
 
 impl Failover {
--- a/crates/emberpin-failover/src/failover/acceptor.rs
+++ b/crates/emberpin-failover/src/failover/acceptor.rs
@@ -5,7 +5,7 @@
 use crate::message::{AcceptedAttempt, Message};
 use crate::time::{as_millis, Timestamp};
 use crate::work::{Ballot, FirstAttempt, Member, ServerGroup, Verdict, Work, WorkId};
-use emberpin_peering::Life;
+use emberpin_peering::Incarnation;
 
 /// What this acceptor knows of a work.
 #[derive(Clone, Debug)]
@@ -76,7 +76,7 @@
         &mut self,
         from: Member,
         work_id: WorkId,
-        acceptor_incarnation: Life,
+        acceptor_incarnation: Incarnation,
         attempt: AcceptedAttempt,
         actions: &mut Vec<Action>,
     ) {
@@ -96,7 +96,7 @@
         from: Member,
         work_id: WorkId,
         ballot: Ballot,
-        acceptor_incarnation: Life,
+        acceptor_incarnation: Incarnation,
         actions: &mut Vec<Action>,
     ) {
         let record = self.records.get(&work_id);
@@ -144,7 +144,7 @@
     fn accept(
         &mut self,
         work_id: WorkId,
-        acceptor_incarnation: Life,
+        acceptor_incarnation: Incarnation,
         attempt: AcceptedAttempt,
     ) -> Result<(), Rejection> {
         // A restarted acceptor may have promised the work to a candidate, and forgotten it.
@@ -183,7 +183,7 @@
         &mut self,
         work_id: WorkId,
         ballot: Ballot,
-        acceptor_incarnation: Life,
+        acceptor_incarnation: Incarnation,
     ) -> Result<Option<AcceptedAttempt>, Rejection> {
         // A restarted acceptor does not know whether the work was sent.
         if acceptor_incarnation != self.config.incarnation {
--- a/crates/emberpin-failover/src/failover/candidate.rs
+++ b/crates/emberpin-failover/src/failover/candidate.rs
@@ -7,7 +7,7 @@
 use crate::message::{AcceptedAttempt, Message};
 use crate::time::{as_millis, Timestamp};
 use crate::work::{Ballot, Member, Verdict, Work, WorkId};
-use emberpin_peering::Life;
+use emberpin_peering::Incarnation;
 use std::collections::BTreeMap;
 
 /// Share of a server group's deduplication window that is left unused, as an attempt takes time to reach its server.
@@ -76,7 +76,7 @@
     }
 
     /// Whether the loss of a member's incarnation is that of the work's owner.
-    fn is_owned_by(&self, work_id: &WorkId, member: Member, incarnation: Life) -> bool {
+    fn is_owned_by(&self, work_id: &WorkId, member: Member, incarnation: Incarnation) -> bool {
         match self.successor {
             Some(successor) => successor == member,
             None => work_id.claimant == member && work_id.incarnation == incarnation,
@@ -100,7 +100,7 @@
 
     /// Schedules takeovers of what a lost incarnation ran. Candidates follow each other in the acceptors' order, so
     /// that most often only one of them prepares a ballot.
-    pub(super) fn schedule_takeovers_from(&mut self, member: Member, incarnation: Life) {
+    pub(super) fn schedule_takeovers_from(&mut self, member: Member, incarnation: Incarnation) {
         let me = self.config.member;
         let step_ms = as_millis(self.config.reply_timeout);
         for (work_id, grant) in &mut self.grants {
--- a/crates/emberpin-failover/src/message.rs
+++ b/crates/emberpin-failover/src/message.rs
@@ -10,7 +10,7 @@
 //! Encoded with postcard: the order of variants and fields is the wire format. `tests/recorded.rs` fails if it changes.
 
 use crate::work::{Ballot, FirstAttempt, Verdict, Work, WorkId};
-use emberpin_peering::Life;
+use emberpin_peering::Incarnation;
 use serde::{Deserialize, Serialize};
 
 /// A message from one limiter to another.
@@ -23,7 +23,7 @@
         /// The ballot under which the sender runs the work.
         ballot: Ballot,
         /// The acceptor's incarnation when the work began. A later one may have forgotten a promise, and rejects.
-        acceptor_incarnation: Life,
+        acceptor_incarnation: Incarnation,
         /// The attempt from which the deduplication window counts.
         first_attempt: FirstAttempt,
         /// The request, for a candidate to send it.
@@ -53,7 +53,7 @@
         /// The candidate's ballot.
         ballot: Ballot,
         /// The acceptor's incarnation when the key was granted. A later one may have forgotten an attempt, and rejects.
-        acceptor_incarnation: Life,
+        acceptor_incarnation: Incarnation,
     },
     /// The sender accepts nothing of a lower ballot from now on.
     Promise {
--- a/crates/emberpin-failover/src/work.rs
+++ b/crates/emberpin-failover/src/work.rs
@@ -1,6 +1,6 @@
 //! Work, its identity, and who may run it. These types are part of messages: their fields keep their order.
 
-use emberpin_peering::Life;
+use emberpin_peering::Incarnation;
 use serde::{Deserialize, Serialize};
 
 /// The number of a limiter, the same in the settings of all.
@@ -13,7 +13,7 @@
     /// The limiter that received the request.
     pub claimant: Member,
     /// The claimant's incarnation at that time. Its end makes the work subject to takeover.
-    pub incarnation: Life,
+    pub incarnation: Incarnation,
     /// Number of the claim, unique within that incarnation.
     pub claim_number: u64,
 }
--- a/crates/emberpin-failover/tests/common/mod.rs
+++ b/crates/emberpin-failover/tests/common/mod.rs
@@ -6,7 +6,7 @@
     Action, Ballot, Config, Event, Failover, FirstAttempt, Member, Message, ServerGroup, Timestamp,
     Usage, Verdict, Work, WorkId,
 };
-use emberpin_peering::Life;
+use emberpin_peering::Incarnation;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -30,8 +30,8 @@
 };
 
 /// The first incarnation of each member.
-pub fn first_incarnation(member: usize) -> Life {
-    Life {
+pub fn first_incarnation(member: usize) -> Incarnation {
+    Incarnation {
         number: 1,
         nonce: member as u64,
     }
@@ -49,7 +49,7 @@
     }
 }
 
-pub fn config(index: usize, incarnation: Life, max_takeovers_per_s: f64) -> Config {
+pub fn config(index: usize, incarnation: Incarnation, max_takeovers_per_s: f64) -> Config {
     Config {
         member: member(index),
         incarnation,
@@ -72,7 +72,7 @@
 pub struct Cluster {
     pub now_ms: f64,
     pub nodes: Vec<Option<Failover>>,
-    pub incarnations: Vec<Life>,
+    pub incarnations: Vec<Incarnation>,
     /// Messages in flight, by sender and receiver.
     pub links: BTreeMap<(usize, usize), VecDeque<Message>>,
     pub sent: Vec<SentAttempt>,
@@ -86,7 +86,7 @@
 
 impl Cluster {
     pub fn new(deduplication_window_ms: Option<f64>, max_takeovers_per_s: f64) -> Cluster {
-        let incarnations: Vec<Life> = (0..MEMBERS).map(first_incarnation).collect();
+        let incarnations: Vec<Incarnation> = (0..MEMBERS).map(first_incarnation).collect();
         let start = |index: usize| {
             let config = config(index, incarnations[index], max_takeovers_per_s);
             Some(Failover::new(config, Timestamp::from_millis(0.0)))
@@ -269,7 +269,7 @@
 
     /// Has a member believe that an incarnation of another one has ended, whether it has or not.
     pub fn report_ended(&mut self, index: usize, ended: usize, incarnation_number: u64) {
-        let incarnation = Life {
+        let incarnation = Incarnation {
             number: incarnation_number,
             nonce: self.incarnations[ended].nonce,
         };
--- a/crates/emberpin-failover/tests/recorded.rs
+++ b/crates/emberpin-failover/tests/recorded.rs
@@ -8,10 +8,10 @@
 use emberpin_failover::{
     AcceptedAttempt, Ballot, FirstAttempt, Member, Message, ServerGroup, Verdict, Work, WorkId,
 };
-use emberpin_peering::Life;
+use emberpin_peering::Incarnation;
 use recording::assert_recorded;
 
-const INCARNATION: Life = Life {
+const INCARNATION: Incarnation = Incarnation {
     number: 1_700_000_000_123,
     nonce: 7,
 };
@@ -38,7 +38,7 @@
 }
 
 fn messages() -> Vec<(&'static str, Message)> {
-    let acceptor_incarnation = Life {
+    let acceptor_incarnation = Incarnation {
         number: 9,
         nonce: u64::MAX,
     };
--- a/crates/emberpin-peering/src/lib.rs
+++ b/crates/emberpin-peering/src/lib.rs
@@ -36,6 +36,3 @@
 pub use peering::Peering;
 pub use settings::{Backoff, Settings};
 pub use time::Timestamp;
-
-/// The former name of [`Incarnation`], until `emberpin-failover` has moved on.
-pub type Life = Incarnation;
