--- a/crates/emberpin-demo/src/clients.rs
+++ b/crates/emberpin-demo/src/clients.rs
@@ -1,392 +1,294 @@
-//! Clients: they come through the edge of their zone, and keep the promises of the protocol.
+//! Stand-in clients: they connect to the edges of their zone, and retry only what is safe to retry.
 
-use crate::http::{self, Connection, HttpResponse, SendError};
+use crate::deployment::{Deployment, ZONES};
+use crate::edge::{ConnectionChoice, Edge, READINESS_PROBE_INTERVAL};
+use crate::http::{is_success, HttpResponse, SendError};
 use crate::invariants::guarantees_not_run;
-use crate::machines::{Deployment, ZONES};
-use crate::operator::{CHANGED, HOSTS};
-use crate::record::{Attempt, ClientRequest, Outcome, Recorder};
-use crate::servers::seal;
+use crate::record::{lock, Attempt, ClientRequest, Outcome, Recorder};
+use crate::routes::{Route, RouteKind, ADDED_ROUTE, REMOVED_ROUTE};
+use crate::server::seal;
 use http_body_util::Full;
+use hyper::body::Bytes;
 use hyper::{Method, Request};
-use std::net::SocketAddr;
-use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 use tokio::time::{interval, sleep, sleep_until, timeout, MissedTickBehavior};
 
-/// A request is tried so often at most.
-const TRIES: u32 = 4;
-/// Where nothing is said, the next try comes after so long.
-const PAUSE: Duration = Duration::from_millis(20);
-/// The platform asks edges for readiness, and goes by two misses.
-const PROBES: Duration = Duration::from_secs(1);
-const MISSES: u32 = 2;
+/// Attempts at one request, with the first.
+const MAX_ATTEMPTS: usize = 4;
+/// The backoff before a retry, unless the response has a `retry-after` header.
+const RETRY_BACKOFF: Duration = Duration::from_millis(20);
+/// A backoff takes at most this part of the time that is left.
+const BACKOFF_DIVISOR: u32 = 3;
+/// How often an edge is asked during the start whether it is ready.
+const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How often an edge is asked whether a change is in force.
-const LOOKS: Duration = Duration::from_millis(5);
+const CHANGE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What clients ask for.
-pub struct Route {
-    /// As in the configuration.
-    pub name: &'static str,
-    host: &'static str,
-    prefix: &'static str,
-    is_mutating: bool,
-    deadline: Duration,
-    /// Requests a second.
-    per_s: f64,
-}
-
-/// The routes that clients use all the time.
-pub static ROUTES: [Route; 2] = [
-    Route {
-        name: "look-up",
-        host: HOSTS[0],
-        prefix: "/charts/",
-        is_mutating: false,
-        deadline: Duration::from_millis(1500),
-        per_s: 60.0,
-    },
-    Route {
-        name: "commit",
-        host: HOSTS[1],
-        prefix: "/entries/",
-        is_mutating: true,
-        deadline: Duration::from_millis(2000),
-        per_s: 30.0,
-    },
-];
-
-/// Those by which an edge is asked whether the change is in force: one must be there, the other must not.
-static LOOKED_AT: [Route; 2] = [looked_at(CHANGED[0]), looked_at(CHANGED[1])];
-
-const fn looked_at(prefix: &'static str) -> Route {
-    let deadline = Duration::from_secs(1);
-    Route {
-        name: "",
-        host: HOSTS[0],
-        prefix,
-        is_mutating: false,
-        deadline,
-        per_s: 0.0,
-    }
-}
-
-struct Edge {
-    http: SocketAddr,
-    readyz: SocketAddr,
-    zone: &'static str,
-    missed: AtomicU32,
-    idle: Mutex<Vec<Connection>>,
-}
-
-/// All clients.
+/// All clients, which share their connections and their random numbers.
 pub struct Clients {
     edges: Vec<Edge>,
     random: Mutex<oorandom::Rand32>,
-    next: AtomicU64,
+    next_attempt: AtomicU64,
     recorder: Recorder,
 }
 
-fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+/// What a response means for the request.
+enum NextStep {
+    /// No further attempt.
+    End(Outcome),
+    /// A retry is safe; without one, the request ends so.
+    RetryOr(Outcome),
+}
+
+/// An attempt that has ended.
+struct EndedAttempt {
+    id: String,
+    response: Result<AttemptResponse, SendError>,
+}
+
+/// What a client takes from a response.
+struct AttemptResponse {
+    status: u16,
+    /// Whether the seal and the body are those of a server for this very attempt.
+    is_own: bool,
+    retry_after: Option<Duration>,
 }
 
 impl Clients {
-    /// Clients of these edges.
+    /// Clients of the edges of a deployment.
     pub fn new(deployment: &Deployment, seed: u64, recorder: &Recorder) -> Arc<Clients> {
-        let addresses = deployment.http().into_iter().zip(deployment.readyz());
-        let edges = addresses
-            .zip(&deployment.edges)
-            .map(|((http, readyz), place)| Edge {
-                http,
-                readyz,
-                zone: place.zone,
-                missed: AtomicU32::new(0),
-                idle: Mutex::default(),
-            });
+        let edges = deployment.edges.iter().map(|machine| {
+            Edge::new(
+                machine.zone,
+                deployment.http_address(*machine),
+                deployment.readyz_address(*machine),
+            )
+        });
         Arc::new(Clients {
             edges: edges.collect(),
             random: Mutex::new(oorandom::Rand32::new(seed)),
-            next: AtomicU64::new(0),
+            next_attempt: AtomicU64::new(0),
             recorder: recorder.clone(),
         })
     }
 
-    /// Until every edge has said that it is ready.
-    pub async fn all_ready(&self) {
+    /// Waits until every edge has said that it is ready.
+    pub async fn wait_until_edges_are_ready(&self) {
         for edge in &self.edges {
             while !edge.is_ready().await {
-                sleep(PAUSE).await;
+                sleep(READINESS_POLL_INTERVAL).await;
             }
         }
     }
 
-    /// Asks edges for their readiness, for as long as it is not aborted.
-    pub async fn probe(self: Arc<Clients>) {
+    /// Probes the edges for their readiness until the task is aborted.
+    pub async fn probe_edges(self: Arc<Clients>) {
         loop {
             for edge in &self.edges {
-                match edge.is_ready().await {
-                    true => edge.missed.store(0, Ordering::Relaxed),
-                    false => _ = edge.missed.fetch_add(1, Ordering::Relaxed),
-                }
+                edge.probe().await;
             }
-            sleep(PROBES).await;
+            sleep(READINESS_PROBE_INTERVAL).await;
         }
     }
 
-    /// Sends requests on a route at its pace until then, and waits for the last.
-    pub async fn send(self: Arc<Clients>, route: &'static Route, until: Instant) {
+    /// Sends requests at the rate of a route until `end`, and waits for the last response.
+    pub async fn send_requests(self: Arc<Clients>, route: &'static Route, end: Instant) {
         let mut requests = JoinSet::new();
-        let mut beat = interval(Duration::from_secs_f64(1.0 / route.per_s));
-        beat.set_missed_tick_behavior(MissedTickBehavior::Burst);
-        let end = sleep_until(until.into());
+        let mut ticks = interval(Duration::from_secs_f64(1.0 / route.requests_per_second));
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Burst);
+        let end = sleep_until(end.into());
         tokio::pin!(end);
         loop {
             tokio::select! {
                 biased;
                 () = &mut end => break,
-                _ = beat.tick() => { requests.spawn(self.clone().request(route)); }
+                _ = ticks.tick() => { requests.spawn(self.clone().request(route)); }
             }
             while requests.try_join_next().is_some() {}
         }
         while requests.join_next().await.is_some() {}
     }
 
+    /// Waits until the configuration change is in force at every edge; returns when it was at the last.
+    pub async fn wait_until_change_is_in_force(self: Arc<Clients>) -> Duration {
+        for edge in 0..self.edges.len() {
+            while !self.is_change_in_force(edge).await {
+                sleep(CHANGE_POLL_INTERVAL).await;
+            }
+        }
+        self.recorder.now()
+    }
+
+    async fn is_change_in_force(&self, edge: usize) -> bool {
+        let added = self.probe_route(edge, &ADDED_ROUTE).await;
+        let removed = self.probe_route(edge, &REMOVED_ROUTE).await;
+        (added, removed) == (Some(200), Some(404))
+    }
+
+    async fn probe_route(&self, edge: usize, route: &Route) -> Option<u16> {
+        let choice = ConnectionChoice::Reuse;
+        let attempt = self.attempt(edge, choice, route, route.deadline).await;
+        attempt.response.ok().map(|response| response.status)
+    }
+
+    /// Sends one request with its retries, and records how it ended.
     async fn request(self: Arc<Clients>, route: &'static Route) {
         let began = Instant::now();
-        let zone = ZONES[self.draw(ZONES.len())];
-        let mut tried = Vec::new();
+        let zone = ZONES[self.random_index(ZONES.len())];
+        let mut tried_edges = Vec::new();
         let (outcome, attempt_id) = loop {
-            let left = route.deadline.saturating_sub(began.elapsed());
-            let edge = self.choose(zone, &tried);
-            tried.push(edge);
-            let (attempt_id, answer) = self.attempt(edge, tried.len() > 1, route, left).await;
-            let again = match &answer {
-                Ok(AttemptResponse {
-                    status: 200..=299,
-                    is_own,
-                    ..
-                }) => {
-                    break (
-                        if *is_own {
-                            Outcome::Served
-                        } else {
-                            Outcome::Failed
-                        },
-                        attempt_id,
-                    );
-                }
-                Ok(AttemptResponse {
-                    status: 400 | 401 | 404 | 413 | 431,
-                    ..
-                }) => break (Outcome::Failed, attempt_id),
-                Ok(AttemptResponse { status, .. }) => {
-                    guarantees_not_run(*status) || !route.is_mutating
-                }
-                Err(SendError::NotSent) => true,
-                Err(SendError::Broken) => !route.is_mutating,
+            let edge = self.choose_edge(zone, &tried_edges);
+            let choice = match tried_edges.is_empty() {
+                true => ConnectionChoice::Reuse,
+                false => ConnectionChoice::New,
+            };
+            tried_edges.push(edge);
+            let remaining = route.deadline.saturating_sub(began.elapsed());
+            let attempt = self.attempt(edge, choice, route, remaining).await;
+            let outcome = match next_step(&attempt.response, route.kind) {
+                NextStep::End(outcome) => break (outcome, attempt.id),
+                NextStep::RetryOr(outcome) => outcome,
             };
-            let left = route.deadline.saturating_sub(began.elapsed());
-            if !again || left.is_zero() || tried.len() >= TRIES as usize {
-                let refused = matches!(&answer, Ok(AttemptResponse { status, .. }) if guarantees_not_run(*status));
-                break (
-                    if refused {
-                        Outcome::Refused
-                    } else {
-                        Outcome::Failed
-                    },
-                    attempt_id,
-                );
+            let remaining = route.deadline.saturating_sub(began.elapsed());
+            if remaining.is_zero() || tried_edges.len() >= MAX_ATTEMPTS {
+                break (outcome, attempt.id);
             }
-            let pause = answer
+            let retry_after = attempt
+                .response
                 .ok()
-                .and_then(|tried| tried.retry_after)
-                .unwrap_or(PAUSE);
-            sleep(pause.min(left / 3)).await;
+                .and_then(|response| response.retry_after);
+            let backoff = retry_after.unwrap_or(RETRY_BACKOFF);
+            sleep(backoff.min(remaining / BACKOFF_DIVISOR)).await;
         };
         let latency = began.elapsed();
-        let outcome = if latency > route.deadline {
-            Outcome::Failed
-        } else {
-            outcome
-        };
-        let asked = ClientRequest {
+        let is_late = latency > route.deadline;
+        self.recorder.lock().requests.push(ClientRequest {
             route: route.name,
-            outcome,
+            outcome: if is_late { Outcome::Failed } else { outcome },
             latency,
             attempt_id,
-            is_first_attempt: tried.len() == 1,
-        };
-        self.recorder.lock().requests.push(asked);
+            is_first_attempt: tried_edges.len() == 1,
+        });
     }
 
-    /// An edge of the zone that is ready, or of another; another than those that were tried, if there is.
-    fn choose(&self, zone: &str, tried: &[usize]) -> usize {
-        let all: Vec<usize> = (0..self.edges.len()).collect();
-        let part = |of: &[usize], keep: &dyn Fn(&Edge) -> bool| -> Vec<usize> {
-            let kept: Vec<usize> = of
-                .iter()
-                .copied()
-                .filter(|edge| keep(&self.edges[*edge]))
-                .collect();
-            if kept.is_empty() {
-                of.to_vec()
-            } else {
-                kept
-            }
-        };
-        let ready = part(&all, &|edge| edge.missed.load(Ordering::Relaxed) < MISSES);
-        let fresh: Vec<usize> = ready
-            .iter()
-            .copied()
-            .filter(|edge| !tried.contains(edge))
-            .collect();
-        let near = part(if fresh.is_empty() { &ready } else { &fresh }, &|edge| {
-            edge.zone == zone
-        });
-        near[self.draw(near.len())]
+    /// Draws an edge: of those in use, one that was not tried, in the client's zone. Each condition is dropped if no
+    /// edge meets it.
+    fn choose_edge(&self, zone: &str, tried: &[usize]) -> usize {
+        let all = (0..self.edges.len()).collect();
+        let in_use = narrow(all, |edge| self.edges[edge].is_in_use());
+        let untried = narrow(in_use, |edge| !tried.contains(&edge));
+        let in_zone = narrow(untried, |edge| self.edges[edge].zone == zone);
+        in_zone[self.random_index(in_zone.len())]
     }
 
-    fn draw(&self, count: usize) -> usize {
-        locked(&self.random).rand_range(0..count as u32) as usize
+    fn random_index(&self, len: usize) -> usize {
+        lock(&self.random).rand_range(0..len as u32) as usize
     }
 
-    /// One try, under an id of its own.
+    /// Sends a request once, under an id of its own, and records the attempt.
     async fn attempt(
         &self,
         edge: usize,
-        anew: bool,
+        choice: ConnectionChoice,
         route: &Route,
-        left: Duration,
-    ) -> (String, Result<AttemptResponse, SendError>) {
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
+        remaining: Duration,
+    ) -> EndedAttempt {
+        let number = self.next_attempt.fetch_add(1, Ordering::Relaxed);
         let id = format!("try-{number:08}");
-        let noted = {
-            let mut record = self.recorder.lock();
-            let sent = Attempt {
-                id: id.clone(),
-                is_mutating: route.is_mutating,
-                status: None,
-                has_foreign_response: false,
-            };
-            record.attempts.push(sent);
-            record.attempts.len() - 1
+        let index = self.record_attempt(&id, route.kind);
+        let exchange = async {
+            let request = build_request(route, &id, remaining).ok_or(SendError::NotSent)?;
+            self.edges[edge].send(request, choice).await
         };
-        let exchange = self.exchange(&self.edges[edge], anew, route, &id, left);
-        let answer = timeout(left, exchange)
-            .await
-            .unwrap_or(Err(SendError::Broken));
-        let tried = answer.map(|answer| AttemptResponse::of(&answer, &id));
-        if let Ok(tried) = &tried {
-            let mut record = self.recorder.lock();
-            record.attempts[noted].status = Some(tried.status);
-            record.attempts[noted].has_foreign_response =
-                (200..300).contains(&tried.status) && !tried.is_own;
+        let response = timeout(remaining, exchange).await;
+        let response = response
+            .unwrap_or(Err(SendError::Broken))
+            .map(|response| AttemptResponse::of(&response, &id));
+        if let Ok(response) = &response {
+            let attempt = &mut self.recorder.lock().attempts[index];
+            attempt.status = Some(response.status);
+            attempt.has_foreign_response = is_success(response.status) && !response.is_own;
         }
-        (id, tried)
+        EndedAttempt { id, response }
     }
 
-    async fn exchange(
-        &self,
-        edge: &Edge,
-        anew: bool,
-        route: &Route,
-        id: &str,
-        left: Duration,
-    ) -> Result<HttpResponse, SendError> {
-        let (method, body) = if route.is_mutating {
-            (Method::POST, "entry")
-        } else {
-            (Method::GET, "")
-        };
-        let request = Request::builder()
-            .method(method)
-            .uri(format!("{}{id}", route.prefix))
-            .header("host", route.host)
-            .header("try-id", id)
-            .header("deadline", left.as_millis().to_string())
-            .body(Full::from(body))
-            .map_err(|_| SendError::NotSent)?;
-        let kept = if anew { None } else { edge.kept() };
-        let mut sender = match kept {
-            Some(sender) => sender,
-            None => http::connect(edge.http).await?,
-        };
-        let answer = http::send(&mut sender, request).await?;
-        if answer
-            .headers
-            .get("connection")
-            .is_none_or(|value| value != "close")
-        {
-            locked(&edge.idle).push(sender);
-        }
-        Ok(answer)
-    }
-
-    /// Asks every edge until the change is in force there; returns when it was at the last.
-    pub async fn in_force(self: Arc<Clients>) -> Duration {
-        for edge in 0..self.edges.len() {
-            loop {
-                let mut seen = [0; 2];
-                for (seen, route) in seen.iter_mut().zip(&LOOKED_AT) {
-                    let (_, tried) = self.attempt(edge, false, route, route.deadline).await;
-                    *seen = tried.map_or(0, |tried| tried.status);
-                }
-                if seen == [200, 404] {
-                    break;
-                }
-                sleep(LOOKS).await;
-            }
-        }
-        self.recorder.now()
+    /// Records an attempt before it is sent; returns its index.
+    fn record_attempt(&self, id: &str, kind: RouteKind) -> usize {
+        let mut record = self.recorder.lock();
+        record.attempts.push(Attempt {
+            id: id.into(),
+            is_mutating: kind == RouteKind::Mutating,
+            status: None,
+            has_foreign_response: false,
+        });
+        record.attempts.len() - 1
     }
 }
 
-impl Edge {
-    async fn is_ready(&self) -> bool {
-        let answer = http::call(self.readyz, Method::GET, "/readyz", String::new(), PROBES).await;
-        answer.is_some_and(|answer| answer.status == 200)
+/// Keeps the edges that meet a condition, or all if none does.
+fn narrow(edges: Vec<usize>, condition: impl Fn(usize) -> bool) -> Vec<usize> {
+    let kept: Vec<usize> = edges
+        .iter()
+        .copied()
+        .filter(|edge| condition(*edge))
+        .collect();
+    if kept.is_empty() {
+        edges
+    } else {
+        kept
     }
+}
 
-    /// A connection that is open and idle.
-    fn kept(&self) -> Option<Connection> {
-        let mut idle = locked(&self.idle);
-        while let Some(sender) = idle.pop() {
-            if !sender.is_closed() {
-                return Some(sender);
-            }
-        }
-        None
-    }
+fn build_request(route: &Route, id: &str, remaining: Duration) -> Option<Request<Full<Bytes>>> {
+    let (method, body) = match route.kind {
+        RouteKind::Mutating => (Method::POST, "entry"),
+        RouteKind::Readonly => (Method::GET, ""),
+    };
+    Request::builder()
+        .method(method)
+        .uri(format!("{}{id}", route.prefix))
+        .header("host", route.host)
+        .header("try-id", id)
+        .header("deadline", remaining.as_millis().to_string())
+        .body(Full::from(body))
+        .ok()
 }
 
-/// An answer, as a client looks at it.
-struct AttemptResponse {
-    status: u16,
-    /// Its seal and its body are those of the server for this very try.
-    is_own: bool,
-    retry_after: Option<Duration>,
+/// Whether a request ends with this attempt. One that may have run is retried on a readonly route alone.
+fn next_step(response: &Result<AttemptResponse, SendError>, kind: RouteKind) -> NextStep {
+    let retry_if_readonly = match kind {
+        RouteKind::Readonly => NextStep::RetryOr(Outcome::Failed),
+        RouteKind::Mutating => NextStep::End(Outcome::Failed),
+    };
+    match response {
+        Ok(response) => match response.status {
+            200..=299 if response.is_own => NextStep::End(Outcome::Served),
+            // A success of somebody else's, or a request that no attempt makes valid.
+            200..=299 | 400 | 401 | 404 | 413 | 431 => NextStep::End(Outcome::Failed),
+            status if guarantees_not_run(status) => NextStep::RetryOr(Outcome::Refused),
+            _ => retry_if_readonly,
+        },
+        Err(SendError::NotSent) => NextStep::RetryOr(Outcome::Failed),
+        Err(SendError::Broken) => retry_if_readonly,
+    }
 }
 
 impl AttemptResponse {
-    fn of(answer: &HttpResponse, id: &str) -> AttemptResponse {
-        let text = |name| {
-            answer
-                .headers
-                .get(name)
-                .and_then(|value: &hyper::header::HeaderValue| value.to_str().ok())
-        };
-        let body = std::str::from_utf8(&answer.body).ok();
-        let server = body.and_then(|body| {
-            body.strip_prefix(id)?
+    fn of(response: &HttpResponse, attempt_id: &str) -> AttemptResponse {
+        let server = response.text().and_then(|body| {
+            body.strip_prefix(attempt_id)?
                 .strip_prefix(" by ")?
                 .strip_suffix('\n')
         });
-        let seconds = text("retry-after").and_then(|seconds| seconds.parse().ok());
+        let seal_of = |server| response.header("seal") == Some(&seal(server, attempt_id));
+        let retry_after = response.header("retry-after");
+        let seconds = retry_after.and_then(|seconds| seconds.parse().ok());
         AttemptResponse {
-            status: answer.status,
-            is_own: server.is_some_and(|server| text("seal") == Some(seal(server, id).as_str())),
+            status: response.status,
+            is_own: server.is_some_and(seal_of),
             retry_after: seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok()),
         }
     }
--- a/crates/emberpin-demo/src/http.rs
+++ b/crates/emberpin-demo/src/http.rs
@@ -1,9 +1,9 @@
-//! HTTP/1.1 for the stand-ins.
+//! HTTP/1.1 for the stand-ins: connections, and whole responses.
 
 use http_body_util::{BodyExt, Full};
 use hyper::body::Bytes;
 use hyper::client::conn::http1::{handshake, SendRequest};
-use hyper::header::{HeaderMap, HOST};
+use hyper::header::{HeaderMap, CONTENT_TYPE, HOST};
 use hyper::{Method, Request};
 use hyper_util::rt::TokioIo;
 use std::net::SocketAddr;
@@ -11,40 +11,61 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A connection on which one request at a time is sent.
+/// A connection that carries one request at a time.
 pub type Connection = SendRequest<Full<Bytes>>;
 
-/// A new connection is allowed so long to come up.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A whole answer.
+/// A response that was read to its end.
 pub struct HttpResponse {
-    /// Its status.
+    /// The status code.
     pub status: u16,
-    /// Its headers.
+    /// The headers, without trailers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The whole body.
     pub body: Bytes,
 }
 
-/// Why there is no answer.
+impl HttpResponse {
+    /// Whether the status is one of the 2xx.
+    pub fn is_success(&self) -> bool {
+        is_success(self.status)
+    }
+
+    /// The value of a header, if it is there and text.
+    pub fn header(&self, name: &str) -> Option<&str> {
+        self.headers.get(name)?.to_str().ok()
+    }
+
+    /// The body, if it is text.
+    pub fn text(&self) -> Option<&str> {
+        std::str::from_utf8(&self.body).ok()
+    }
+}
+
+/// Why a request has no response.
 #[derive(Debug, thiserror::Error)]
 pub enum SendError {
-    /// Nothing of the request was read by anybody.
+    /// No byte of the request reached the other side: it is safe to send it again.
     #[error("not sent")]
     NotSent,
-    /// It broke off, or its time was over.
+    /// The connection broke or the time was over after the request had begun: it may have run.
     #[error("broke off")]
     Broken,
 }
 
-/// Connects.
+/// Whether a status is one of the 2xx.
+pub fn is_success(status: u16) -> bool {
+    (200..300).contains(&status)
+}
+
+/// Opens a connection.
 ///
 /// # Errors
 ///
-/// [`SendError::NotSent`].
+/// [`SendError::NotSent`] if it does not come up in time.
 pub async fn connect(to: SocketAddr) -> Result<Connection, SendError> {
-    let stream = timeout(CONNECT, TcpStream::connect(to))
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(to))
         .await
         .map_err(|_| SendError::NotSent)?;
     let stream = stream.map_err(|_| SendError::NotSent)?;
@@ -56,56 +77,50 @@
     Ok(sender)
 }
 
-/// Sends a request, and reads the answer to its end.
+/// Sends a request and reads the response to its end.
 ///
 /// # Errors
 ///
-/// [`SendError`].
+/// [`SendError`] tells whether the request may have run.
 pub async fn send(
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
 ) -> Result<HttpResponse, SendError> {
-    let sent = |e: hyper::Error| {
-        if e.is_canceled() {
-            SendError::NotSent
-        } else {
-            SendError::Broken
-        }
-    };
     connection.ready().await.map_err(|_| SendError::NotSent)?;
-    let (parts, body) = connection
-        .send_request(request)
-        .await
-        .map_err(sent)?
-        .into_parts();
-    let body = body
-        .collect()
-        .await
-        .map_err(|_| SendError::Broken)?
-        .to_bytes();
+    let response = connection.send_request(request).await;
+    let (parts, body) = response.map_err(send_error)?.into_parts();
+    let body = body.collect().await.map_err(|_| SendError::Broken)?;
     Ok(HttpResponse {
         status: parts.status.as_u16(),
         headers: parts.headers,
-        body,
+        body: body.to_bytes(),
     })
 }
 
-/// One call on a connection of its own; `None` if it is not answered within this time.
+/// hyper cancels a request of which it has written nothing.
+fn send_error(error: hyper::Error) -> SendError {
+    if error.is_canceled() {
+        SendError::NotSent
+    } else {
+        SendError::Broken
+    }
+}
+
+/// Sends one request with a JSON body on a connection of its own; `None` if there is no response in time.
 pub async fn call(
     to: SocketAddr,
     method: Method,
     path: &str,
     body: String,
-    within: Duration,
+    limit: Duration,
 ) -> Option<HttpResponse> {
     let request = Request::builder()
         .method(method)
         .uri(path)
-        .header(HOST, to.to_string());
-    let request = request
-        .header("content-type", "application/json")
+        .header(HOST, to.to_string())
+        .header(CONTENT_TYPE, "application/json")
         .body(Full::from(body))
         .ok()?;
-    let calling = async { send(&mut connect(to).await?, request).await };
-    timeout(within, calling).await.ok()?.ok()
+    let exchange = async { send(&mut connect(to).await?, request).await };
+    timeout(limit, exchange).await.ok()?.ok()
 }
--- a/crates/emberpin-demo/src/invariants.rs
+++ b/crates/emberpin-demo/src/invariants.rs
@@ -1,165 +1,165 @@
 //! The invariant checker: judges the record of the stand-ins, and nothing that the gateway says of itself.
 
-use crate::record::Record;
+use crate::record::{Attempt, Evacuation, Record};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A rule that was broken.
+/// An invariant that was violated.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Violation {
-    /// A mutating try ran more than once.
+    /// A mutating attempt ran more than once.
     #[error("mutating try {id} ran {runs} times")]
     RanTwice {
-        /// Which.
+        /// The `try-id` of the attempt.
         id: String,
-        /// How often.
+        /// How many servers, or runs of one, worked on it.
         runs: usize,
     },
-    /// A mutating try was refused with a promise, and yet it ran.
+    /// A mutating attempt got a status that guarantees that it has not run, and yet it ran.
     #[error("mutating try {id} was answered {status}, and yet it ran")]
     RanAfterRejection {
-        /// Which.
+        /// The `try-id` of the attempt.
         id: String,
-        /// The promise.
+        /// The status that the client got.
         status: u16,
     },
-    /// A request that reached an evacuated zone too late.
+    /// A request reached an evacuated zone after the bound.
     #[error("try {id} reached the evacuated zone {zone} {late:.1?} after its time")]
     ReachedEvacuatedZone {
-        /// Which.
+        /// The `try-id` of the attempt.
         id: String,
-        /// Where.
+        /// The evacuated zone.
         zone: String,
-        /// How much too late.
+        /// How long after the bound it arrived.
         late: Duration,
     },
     /// The configuration that was read back is not the one that was acknowledged.
     #[error("read back: {item} {what}")]
     ReadBack {
-        /// The item.
+        /// Kind and name of the item that differs.
         item: String,
-        /// What is the matter with it.
+        /// How it differs, as the rest of the sentence.
         what: &'static str,
     },
-    /// A client's success that is not its server's answer.
+    /// A client got a success that no server gave to its attempt.
     #[error("try {id} got a success that is not its server's answer")]
     ForeignResponse {
-        /// Which.
+        /// The `try-id` of the attempt.
         id: String,
     },
-    /// A server ran what no client sent.
+    /// A server ran an attempt that no client sent.
     #[error("a server ran {id}, which no client sent")]
     UnknownAttempt {
-        /// Its name.
+        /// The `try-id` header that the server saw.
         id: String,
     },
-    /// A proper order of the operator that nobody acknowledged.
+    /// A valid command of the operator was not acknowledged.
     #[error("{0} was not acknowledged")]
     Unacknowledged(String),
-    /// A process that nobody told to end.
+    /// A process ended without having been killed.
     #[error("{0}")]
     ProcessExited(String),
 }
 
-/// All breaches of these books.
+/// Whether a status guarantees that the request has not run and never will.
+pub fn guarantees_not_run(status: u16) -> bool {
+    matches!(status, 408 | 421 | 429 | 503)
+}
+
+/// Checks a record against all invariants.
 pub fn check(record: &Record) -> Vec<Violation> {
-    let mut violations = Vec::new();
+    let mut violations = check_attempts(record);
+    for evacuation in &record.evacuations {
+        violations.extend(check_evacuation(record, evacuation));
+    }
+    violations.extend(check_read_back(record));
+    let commands = record.unacknowledged_commands.iter().cloned();
+    violations.extend(commands.map(Violation::Unacknowledged));
+    let processes = record.exited_processes.iter().cloned();
+    violations.extend(processes.map(Violation::ProcessExited));
+    violations
+}
+
+fn check_attempts(record: &Record) -> Vec<Violation> {
     let mut runs: HashMap<&str, usize> = HashMap::new();
     for arrival in record.arrivals.iter().filter(|arrival| arrival.ran) {
         *runs.entry(&arrival.attempt_id).or_default() += 1;
     }
-    for sent in &record.attempts {
-        let runs = runs.remove(sent.id.as_str()).unwrap_or(0);
-        if sent.is_mutating && runs > 1 {
-            violations.push(Violation::RanTwice {
-                id: sent.id.clone(),
-                runs,
-            });
-        }
-        let promise = sent.status.filter(|status| guarantees_not_run(*status));
-        if let Some(status) = promise.filter(|_| sent.is_mutating && runs > 0) {
-            violations.push(Violation::RanAfterRejection {
-                id: sent.id.clone(),
-                status,
-            });
-        }
-        if sent.has_foreign_response {
-            violations.push(Violation::ForeignResponse {
-                id: sent.id.clone(),
-            });
-        }
+    let mut violations = Vec::new();
+    for attempt in &record.attempts {
+        let runs = runs.remove(attempt.id.as_str()).unwrap_or(0);
+        violations.extend(check_attempt(attempt, runs));
     }
-    // What is left belongs to no try.
-    let mut unasked: Vec<&str> = runs.into_keys().collect();
-    unasked.sort_unstable();
-    violations.extend(
-        unasked
-            .into_iter()
-            .map(|id| Violation::UnknownAttempt { id: id.into() }),
-    );
-    for evacuation in &record.evacuations {
-        let from = evacuation.acknowledged_at + evacuation.bound;
-        let until = evacuation.finish_requested_at.unwrap_or(Duration::MAX);
-        for late in record
-            .arrivals
-            .iter()
-            .filter(|arrival| arrival.zone == evacuation.zone)
-        {
-            if late.at > from && late.at < until {
-                let (id, zone) = (late.attempt_id.clone(), late.zone.clone());
-                violations.push(Violation::ReachedEvacuatedZone {
-                    id,
-                    zone,
-                    late: late.at - from,
-                });
-            }
-        }
+    // The runs that are left belong to no attempt.
+    let mut unknown: Vec<&str> = runs.into_keys().collect();
+    unknown.sort_unstable();
+    let unknown = unknown.into_iter().map(str::to_owned);
+    violations.extend(unknown.map(|id| Violation::UnknownAttempt { id }));
+    violations
+}
+
+fn check_attempt(attempt: &Attempt, runs: usize) -> Vec<Violation> {
+    let id = attempt.id.clone();
+    let mut violations = Vec::new();
+    if attempt.is_mutating && runs > 1 {
+        violations.push(Violation::RanTwice {
+            id: id.clone(),
+            runs,
+        });
+    }
+    let rejection = attempt.status.filter(|status| guarantees_not_run(*status));
+    if let Some(status) = rejection.filter(|_| attempt.is_mutating && runs > 0) {
+        violations.push(Violation::RanAfterRejection {
+            id: id.clone(),
+            status,
+        });
+    }
+    if attempt.has_foreign_response {
+        violations.push(Violation::ForeignResponse { id });
     }
-    read_back(record, &mut violations);
-    violations.extend(
-        record
-            .unacknowledged_commands
-            .iter()
-            .cloned()
-            .map(Violation::Unacknowledged),
-    );
-    violations.extend(
-        record
-            .exited_processes
-            .iter()
-            .cloned()
-            .map(Violation::ProcessExited),
-    );
     violations
 }
 
-/// The request has not run, and never will.
-pub fn guarantees_not_run(status: u16) -> bool {
-    matches!(status, 408 | 421 | 429 | 503)
+fn check_evacuation(record: &Record, evacuation: &Evacuation) -> Vec<Violation> {
+    let from = evacuation.acknowledged_at + evacuation.bound;
+    let until = evacuation.finish_requested_at.unwrap_or(Duration::MAX);
+    let in_zone = record
+        .arrivals
+        .iter()
+        .filter(|arrival| arrival.zone == evacuation.zone);
+    in_zone
+        .filter(|arrival| arrival.at > from && arrival.at < until)
+        .map(|arrival| Violation::ReachedEvacuatedZone {
+            id: arrival.attempt_id.clone(),
+            zone: arrival.zone.clone(),
+            late: arrival.at - from,
+        })
+        .collect()
 }
 
-fn read_back(record: &Record, violations: &mut Vec<Violation>) {
-    let mut violation = |item: &str, what| {
-        violations.push(Violation::ReadBack {
-            item: item.into(),
-            what,
-        });
+fn check_read_back(record: &Record) -> Vec<Violation> {
+    let violation = |item: &str, what| Violation::ReadBack {
+        item: item.into(),
+        what,
     };
-    let Some(read) = &record.read_back else {
-        return violation("the configuration", "did not come");
+    let Some(read_back) = &record.read_back else {
+        return vec![violation("the configuration", "did not come")];
     };
-    for (item, value) in &record.acknowledged_items {
-        match read.get(item) {
-            None => violation(item, "is missing"),
-            Some(read) if read["ver"] != value["ver"] => violation(item, "has another version"),
-            Some(read) if read != value => violation(item, "differs"),
-            Some(_) => {}
-        }
+    let mut violations = Vec::new();
+    for (item, acknowledged) in &record.acknowledged_items {
+        let difference = match read_back.get(item) {
+            None => Some("is missing"),
+            Some(shown) if shown["ver"] != acknowledged["ver"] => Some("has another version"),
+            Some(shown) if shown != acknowledged => Some("differs"),
+            Some(_) => None,
+        };
+        violations.extend(difference.map(|what| violation(item, what)));
     }
-    for item in read
-        .keys()
-        .filter(|item| !record.acknowledged_items.contains_key(*item))
-    {
-        violation(item, "is there, though it was dropped or never sent");
+    for item in read_back.keys() {
+        if !record.acknowledged_items.contains_key(item) {
+            let what = "is there, though it was dropped or never sent";
+            violations.push(violation(item, what));
+        }
     }
+    violations
 }
--- a/crates/emberpin-demo/src/lib.rs
+++ b/crates/emberpin-demo/src/lib.rs
@@ -1,16 +1,28 @@
 //! The whole gateway at work on loopback, for whoever meets it first.
 //!
-//! Core machines and edges are processes of their own; servers, an operator and clients are stand-ins in this process
-//! and record what they observe. Meanwhile a core machine is killed and a server crashes; at the end the invariant
-//! checker goes through the record.
+//! [`scenario`] runs the demonstration. The core machines and edges of a [`deployment`] are processes of their own, which
+//! [`gateway`] starts and kills; the servers, the operator and the clients are stand-ins in this process, and note in the
+//! [`record`] what they observe. Meanwhile a core machine is killed and a server crashes. At the end the [`report`] sums
+//! the record up, with every violation that [`invariants`] finds in it.
 #![forbid(unsafe_code)]
 
 pub mod clients;
+pub mod command_line;
+pub mod configuration;
+pub mod deployment;
+pub mod edge;
+pub mod error;
+pub mod gateway;
 pub mod http;
 pub mod invariants;
-pub mod machines;
+pub mod node_settings;
 pub mod operator;
+pub mod process;
 pub mod record;
 pub mod report;
+pub mod role;
+pub mod routes;
 pub mod scenario;
-pub mod servers;
+pub mod server;
+pub mod server_pool;
+pub mod timeline;
--- a/crates/emberpin-demo/src/operator.rs
+++ b/crates/emberpin-demo/src/operator.rs
@@ -1,203 +1,166 @@
-//! The operator: sends configurations, evacuates a zone, and reads back what stands.
+//! The stand-in operator: sends configurations, evacuates a zone, and reads the configuration back.
 
-use crate::http;
-use crate::record::{ConfigItems, Evacuation, Recorder};
+use crate::configuration::{apply_patch, change_patch, first_patch, items};
+use crate::http::{self, HttpResponse};
+use crate::record::{Evacuation, Recorder};
 use hyper::Method;
-use jzon::{array, object, JsonValue};
+use jzon::JsonValue;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// The service of the readonly routes, and that of the mutating one.
-pub const SERVICES: [&str; 2] = ["chartroom", "ledger"];
-/// The hosts of both.
-pub const HOSTS: [&str; 2] = ["charts.demo.example", "ledger.demo.example"];
-/// The prefix of the route that the change adds, and of the one that it removes.
-pub const CHANGED: [&str; 2] = ["/notices/", "/almanac/"];
-/// Versions before and after the change.
-const VERSIONS: [u64; 2] = [7, 9];
-/// One second of silence, and the next one is asked, after a pause that grows.
-const SILENCE: Duration = Duration::from_secs(1);
-const PAUSE: Duration = Duration::from_millis(50);
-/// An order that nobody has acknowledged by then is given up.
-const GIVEN_UP: Duration = Duration::from_secs(10);
+/// A registry that does not respond in this time is passed over.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// The backoff before the first retry; each is twice the one before, up to the longest.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
+/// A command that no registry has acknowledged by then is given up.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The operator.
+/// Calls the registries in turn, and records what they acknowledge.
 pub struct Operator {
-    ctl: Vec<SocketAddr>,
+    registries: Vec<SocketAddr>,
     recorder: Recorder,
 }
 
-fn route(name: &str, prefix: &str, service: usize, timeout: &str, ver: u64) -> JsonValue {
-    let kind = ["readonly", "mutating"][service];
-    object! {
-        name: name, pfx: prefix, type: kind, timeout: timeout, target_time: "250ms",
-        prio: 1, svc: SERVICES[service], tries: 2, ver: ver,
-    }
-}
-
-/// The first configuration.
-fn first() -> JsonValue {
-    let ver = VERSIONS[0];
-    let mut services = array![];
-    for name in SERVICES {
-        _ = services.push(object! {
-            name: name, hcheck: "/healthz", maxconn: 120, proto: "h1", tls: false, warmup: "1s",
-            warmup_per_s: 20.0, ver: ver,
-        });
-    }
-    object! { upsert: {
-        svcs: services,
-        limits: {
-            hdr_max_bytes: 16384, body_max_bytes: 1048576, hdr_read: "3000ms", idle: "15000ms", ver: ver,
-        },
-        vhosts: [
-            { hostname: HOSTS[0], locs: [
-                route("look-up", "/charts/", 0, "1500ms", ver), route("almanac", CHANGED[1], 0, "1500ms", ver),
-            ] },
-            { hostname: HOSTS[1], locs: [route("commit", "/entries/", 1, "2000ms", ver)] },
-        ],
-    }, remove: { rtab: [] } }
+/// Why a command has no success: what the last registry said.
+#[derive(Clone, Debug, thiserror::Error)]
+enum CommandError {
+    #[error("nobody was asked")]
+    NotSent,
+    #[error("{0} did not answer")]
+    NoResponse(SocketAddr),
+    #[error("{registry} answered {status}: {body}")]
+    Rejected {
+        registry: SocketAddr,
+        status: u16,
+        body: String,
+    },
 }
 
-/// The change: a route has another time-out, one comes and one goes.
-fn change() -> JsonValue {
-    let ver = VERSIONS[1];
-    object! { upsert: { vhosts: [{ hostname: HOSTS[0], locs: [
-        route("look-up", "/charts/", 0, "1600ms", ver), route("notices", CHANGED[0], 0, "1500ms", ver),
-    ] }] }, remove: { rtab: [{ name: "almanac", ver: ver }] } }
-}
-
-/// The items in these lists, each under its kind and name.
-pub fn items(lists: &JsonValue) -> ConfigItems {
-    let name = |item: &JsonValue| item["name"].as_str().unwrap_or_default().to_string();
-    let mut items: ConfigItems = lists["svcs"]
-        .members()
-        .map(|item| (format!("service {}", name(item)), item.clone()))
-        .collect();
-    for vhost in lists["vhosts"].members() {
-        for item in vhost["locs"].members() {
-            let mut whole = item.clone();
-            whole["hostname"] = vhost["hostname"].clone();
-            items.insert(format!("route {}", name(item)), whole);
+impl CommandError {
+    /// Whether every registry would respond so: the command itself is at fault.
+    fn is_final(&self) -> bool {
+        match self {
+            CommandError::NotSent | CommandError::NoResponse(_) => false,
+            CommandError::Rejected { status, .. } => {
+                matches!(status, 400 | 404 | 409 | 412 | 413 | 422)
+            }
         }
     }
-    if !lists["limits"].is_null() {
-        items.insert("limits".into(), lists["limits"].clone());
-    }
-    items
 }
 
 impl Operator {
-    /// Calls these addresses.
-    pub fn new(ctl: Vec<SocketAddr>, recorder: Recorder) -> Operator {
-        Operator { ctl, recorder }
+    /// An operator who calls these registries, the first one first.
+    pub fn new(registries: Vec<SocketAddr>, recorder: Recorder) -> Operator {
+        Operator {
+            registries,
+            recorder,
+        }
     }
 
-    /// Sends the first configuration until it is taken; returns when it was.
-    pub async fn begin(&self) -> Option<Duration> {
-        self.patch("the first configuration", &first()).await
+    /// Sends the first configuration; returns when it was acknowledged.
+    pub async fn send_first_configuration(&self) -> Option<Duration> {
+        self.patch("the first configuration", &first_patch()).await
     }
 
-    /// Sends the change; returns when it was acknowledged.
-    pub async fn change(&self) -> Option<Duration> {
-        self.patch("the change", &change()).await
+    /// Sends the configuration change; returns when it was acknowledged.
+    pub async fn change_configuration(&self) -> Option<Duration> {
+        self.patch("the change", &change_patch()).await
     }
 
-    async fn patch(&self, what: &str, patch: &JsonValue) -> Option<Duration> {
-        let acknowledged = self.order(what, "/config/patch", patch.dump()).await?;
-        let mut record = self.recorder.lock();
-        record.acknowledged_items.extend(items(&patch["upsert"]));
-        for removed in patch["remove"]["rtab"].members() {
-            record.acknowledged_items.remove(&format!(
-                "route {}",
-                removed["name"].as_str().unwrap_or_default()
-            ));
-        }
-        Some(acknowledged)
+    async fn patch(&self, command: &str, patch: &JsonValue) -> Option<Duration> {
+        let acknowledged_at = self.post(command, "/config/patch", patch.dump()).await?;
+        apply_patch(&mut self.recorder.lock().acknowledged_items, patch);
+        Some(acknowledged_at)
     }
 
-    /// Evacuates a zone; nothing may go there so long after the acknowledgement.
-    pub async fn evacuate(&self, zone: &str, bound: Duration) -> Option<Duration> {
-        let order = format!("/evac/{zone}/begin");
-        let acknowledged = self.order("the evacuation", &order, String::new()).await?;
-        let evacuation = Evacuation {
+    /// Evacuates a zone, which no request may reach once `bound` has passed since the acknowledgement; returns when
+    /// that was.
+    pub async fn begin_evacuation(&self, zone: &str, bound: Duration) -> Option<Duration> {
+        let path = format!("/evac/{zone}/begin");
+        let acknowledged_at = self.post("the evacuation", &path, String::new()).await?;
+        self.recorder.lock().evacuations.push(Evacuation {
             zone: zone.into(),
-            acknowledged_at: acknowledged,
+            acknowledged_at,
             bound,
             finish_requested_at: None,
-        };
-        self.recorder.lock().evacuations.push(evacuation);
-        Some(acknowledged)
+        });
+        Some(acknowledged_at)
     }
 
-    /// Takes the evacuation of a zone back; returns when that was asked for.
-    pub async fn take_back(&self, zone: &str) -> Duration {
-        let asked = self.recorder.now();
-        for evacuation in self
-            .recorder
-            .lock()
-            .evacuations
-            .iter_mut()
-            .filter(|one| one.zone == zone)
-        {
-            evacuation.finish_requested_at = Some(asked);
+    /// Ends the evacuation of a zone; returns when that was asked for.
+    pub async fn finish_evacuation(&self, zone: &str) -> Duration {
+        let requested_at = self.recorder.now();
+        // Recorded first: requests may reach the zone before the acknowledgement comes.
+        for evacuation in &mut self.recorder.lock().evacuations {
+            if evacuation.zone == zone {
+                evacuation.finish_requested_at = Some(requested_at);
+            }
         }
-        self.order(
-            "the evacuation's end",
-            &format!("/evac/{zone}/finish"),
-            String::new(),
-        )
-        .await;
-        asked
+        let path = format!("/evac/{zone}/finish");
+        self.post("the evacuation's end", &path, String::new())
+            .await;
+        requested_at
     }
 
-    /// Reads the configuration back.
+    /// Reads the configuration back into the record.
     pub async fn read_back(&self) {
-        let read = self.ask(Method::GET, "/config/get", String::new()).await;
-        let lists = read.ok().and_then(|body| jzon::parse(&body).ok());
-        self.recorder.lock().read_back = lists.map(|lists| items(&lists));
+        let body = self.call(Method::GET, "/config/get", String::new()).await;
+        let configuration = body.ok().and_then(|body| jzon::parse(&body).ok());
+        self.recorder.lock().read_back = configuration.as_ref().map(items);
     }
 
-    /// Sends an order until it is acknowledged or refused; returns when it was acknowledged.
-    async fn order(&self, what: &str, path: &str, body: String) -> Option<Duration> {
-        match self.ask(Method::POST, path, body).await {
+    /// Sends a command until it is acknowledged or rejected; returns when it was acknowledged.
+    async fn post(&self, command: &str, path: &str, body: String) -> Option<Duration> {
+        match self.call(Method::POST, path, body).await {
             Ok(_) => Some(self.recorder.now()),
-            Err(last) => {
-                self.recorder
-                    .lock()
-                    .unacknowledged_commands
-                    .push(format!("{what} ({last})"));
+            Err(error) => {
+                let mut record = self.recorder.lock();
+                let command = format!("{command} ({error})");
+                record.unacknowledged_commands.push(command);
                 None
             }
         }
     }
 
-    /// Asks one address after the other until one has a clear answer: the body of a success, or else what the last said.
-    async fn ask(&self, method: Method, path: &str, body: String) -> Result<String, String> {
-        let (began, mut pause) = (Instant::now(), PAUSE);
-        let mut last = "nobody was asked".to_string();
-        for to in self
-            .ctl
-            .iter()
-            .cycle()
-            .take_while(|_| began.elapsed() < GIVEN_UP)
-        {
-            let answer = http::call(*to, method.clone(), path, body.clone(), SILENCE).await;
-            let status = answer.as_ref().map_or(0, |answer| answer.status);
-            let said =
-                answer.map(|answer| String::from_utf8_lossy(&answer.body).trim().to_string());
-            match (status, said) {
-                (200..=299, said) => return Ok(said.unwrap_or_default()),
-                (0, _) => last = format!("{to} did not answer"),
-                (_, said) => last = format!("{to} answered {status}: {}", said.unwrap_or_default()),
+    /// Calls one registry after the other until one has a clear answer; returns the body of a success.
+    async fn call(&self, method: Method, path: &str, body: String) -> Result<String, CommandError> {
+        let began = Instant::now();
+        let mut backoff = INITIAL_BACKOFF;
+        let mut last_error = CommandError::NotSent;
+        for registry in self.registries.iter().cycle() {
+            if began.elapsed() >= COMMAND_TIMEOUT {
+                break;
             }
-            if matches!(status, 400 | 404 | 409 | 412 | 413 | 422) {
+            let (method, body) = (method.clone(), body.clone());
+            let response = http::call(*registry, method, path, body, CALL_TIMEOUT).await;
+            match success_body(*registry, response) {
+                Ok(body) => return Ok(body),
+                Err(error) => last_error = error,
+            }
+            if last_error.is_final() {
                 break;
             }
-            sleep(pause).await;
-            pause = (pause * 2).min(SILENCE);
+            sleep(backoff).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
-        Err(last)
+        Err(last_error)
+    }
+}
+
+fn success_body(
+    registry: SocketAddr,
+    response: Option<HttpResponse>,
+) -> Result<String, CommandError> {
+    let response = response.ok_or(CommandError::NoResponse(registry))?;
+    let body = String::from_utf8_lossy(&response.body).trim().to_string();
+    if response.is_success() {
+        return Ok(body);
     }
+    Err(CommandError::Rejected {
+        registry,
+        status: response.status,
+        body,
+    })
 }
--- a/crates/emberpin-demo/src/record.rs
+++ b/crates/emberpin-demo/src/record.rs
@@ -1,102 +1,102 @@
-//! What the stand-ins observed on their own sockets, recorded as it happens.
+//! What the stand-ins observe on their own sockets, recorded as it happens.
 
 use jzon::JsonValue;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A request that reached a server which did not answer 421.
+/// A request that reached a server and was meant for it: one that names another instance is not recorded.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// When, since the beginning.
+    /// When the request came, since the recorder was made.
     pub at: Duration,
-    /// The try that it belongs to.
+    /// The `try-id` header, which names the client's attempt.
     pub attempt_id: String,
-    /// The zone of the server.
+    /// The zone of the server, checked against evacuations.
     pub zone: String,
-    /// The server began to work on it.
+    /// Whether the server began to work on it, rather than reject it.
     pub ran: bool,
-    /// How long the server had it, once it was answered.
+    /// From the arrival to the response; `None` if there was no success.
     pub service_time: Option<Duration>,
 }
 
-/// One try of a client.
+/// One attempt of a client at a request.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Its name.
+    /// The unique value of the `try-id` header.
     pub id: String,
-    /// It may run once at most.
+    /// Whether it may run once at most.
     pub is_mutating: bool,
-    /// The status that came back, if any.
+    /// The status of the response; `None` until one came.
     pub status: Option<u16>,
-    /// A success that is not the server's own answer to this try.
+    /// Whether the response was a success that no server gave to this attempt.
     pub has_foreign_response: bool,
 }
 
-/// How a request of a client ended, all its tries together.
+/// How a client's request ended, over all its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// In time, with the server's own answer.
+    /// Within its deadline, with the server's own response.
     Served,
-    /// With the promise that it has not run and never will.
+    /// With a status that guarantees that it has not run.
     Refused,
-    /// Without one.
+    /// Too late, with an error, or without a response.
     Failed,
 }
 
-/// One request of a client.
+/// A request of a client, once it has ended.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// The route.
+    /// The name of its route, by which the report groups requests.
     pub route: &'static str,
     /// How it ended.
     pub outcome: Outcome,
-    /// How long the client waited.
+    /// From the first attempt to the end of the last, with the pauses between them.
     pub latency: Duration,
-    /// The last try.
+    /// The last attempt, which connects it with an [`Arrival`].
     pub attempt_id: String,
-    /// It took one try.
+    /// Whether there was only one attempt.
     pub is_first_attempt: bool,
 }
 
 /// The evacuation of a zone.
 #[derive(Clone, Debug)]
 pub struct Evacuation {
-    /// Which zone.
+    /// The zone that no request may reach.
     pub zone: String,
-    /// When it was acknowledged.
+    /// When its begin was acknowledged.
     pub acknowledged_at: Duration,
-    /// Nothing goes there so long after that.
+    /// How long after the acknowledgement requests may still arrive.
     pub bound: Duration,
-    /// When its end was asked for.
+    /// When the operator asked for its end; requests may arrive again from then on.
     pub finish_requested_at: Option<Duration>,
 }
 
-/// The configuration, item by item: what each is, and its version and fields.
+/// The configuration by item: the key is kind and name, the value has the version and all fields.
 pub type ConfigItems = BTreeMap<String, JsonValue>;
 
-/// All that was noted.
+/// All that was observed in a run.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
-    /// What servers saw.
+    /// Requests that reached servers, in order.
     pub arrivals: Vec<Arrival>,
-    /// What clients sent.
+    /// Attempts that clients sent, in order.
     pub attempts: Vec<Attempt>,
-    /// What became of the clients' requests.
+    /// The clients' requests, in the order in which they ended.
     pub requests: Vec<ClientRequest>,
-    /// What the operator evacuated.
+    /// Evacuations whose begin was acknowledged.
     pub evacuations: Vec<Evacuation>,
-    /// What stands by the calls that were acknowledged.
+    /// The configuration that results from all acknowledged changes.
     pub acknowledged_items: ConfigItems,
-    /// What was read back; `None` if no answer came.
+    /// The configuration as the gateway shows it at the end; `None` if no response came.
     pub read_back: Option<ConfigItems>,
-    /// Proper orders of the operator that nobody acknowledged.
+    /// Valid commands of the operator that were not acknowledged, each with the last response.
     pub unacknowledged_commands: Vec<String>,
-    /// Processes that ended by themselves, and their last words.
+    /// Processes that ended without having been killed, each with its status and last log line.
     pub exited_processes: Vec<String>,
 }
 
-/// The books, shared by all stand-ins.
+/// Shares one record among all stand-ins, with one clock.
 #[derive(Clone)]
 pub struct Recorder {
     began: Instant,
@@ -113,13 +113,18 @@
 }
 
 impl Recorder {
-    /// Time since the beginning.
+    /// Time since the recorder was made.
     pub fn now(&self) -> Duration {
         self.began.elapsed()
     }
 
     /// Locks the record, to add to it or to read it.
     pub fn lock(&self) -> MutexGuard<'_, Record> {
-        self.record.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.record)
     }
 }
+
+/// Locks a mutex of the stand-ins, also after a panic of another task: each change of what they guard is complete.
+pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
--- a/crates/emberpin-demo/src/scenario.rs
+++ b/crates/emberpin-demo/src/scenario.rs
@@ -1,330 +1,313 @@
-//! One run: sets the deployment up, lets things happen, and has the books judged.
+//! One run: starts the deployment and the stand-ins, injects the events, and has the record judged.
 
-use crate::clients::{Clients, ROUTES};
+use crate::clients::Clients;
+use crate::configuration::{CHARTS_SERVICE, LEDGER_SERVICE, SERVICES};
+use crate::deployment::{Bounds, Deployment, ZONES};
+use crate::error::DemoError;
+use crate::gateway::Gateway;
 use crate::http;
-use crate::machines::{Bounds, DemoError, Deployment, Machine, Process, Role, ZONES};
-use crate::operator::{Operator, SERVICES};
+use crate::operator::Operator;
 use crate::record::Recorder;
-use crate::report::{millis, Report};
-use crate::servers::Server;
+use crate::report::Report;
+use crate::routes::ROUTES;
+use crate::server::{ServerGroup, StartState};
+use crate::server_pool::{ServerPool, SERVERS_PER_GROUP};
+use crate::timeline::Timeline;
 use hyper::Method;
-use std::future::Future;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::sync::Arc;
 use std::time::{Duration, Instant};
+use tempfile::TempDir;
 use tokio::signal::unix::{signal, SignalKind};
-use tokio::task::JoinSet;
-use tokio::time::{interval, sleep, sleep_until, timeout};
+use tokio::task::{JoinHandle, JoinSet};
+use tokio::time::error::Elapsed;
+use tokio::time::{sleep, sleep_until, timeout};
 
-/// Servers of each service in each zone.
-const SERVERS: usize = 2;
-/// Far longer than it takes to stand up; only a failure waits for it.
-const STANDS: Duration = Duration::from_secs(30);
-/// What must be in force or back by then is asked for no longer.
-const SETTLES: Duration = Duration::from_secs(10);
-/// How often it is looked whether processes still run, and whether a machine is back.
-const LOOKS: Duration = Duration::from_millis(20);
-/// The core machine that is killed, the zone that is evacuated, the one where a server crashes and leaves.
-const KILLED: usize = 1;
-const EVACUATED: &str = ZONES[2];
-const CRASHES: &str = ZONES[0];
-/// The bounds, where a run is long enough for them, and else these parts of it.
-const DRAIN: (f64, f64) = (2.5, 0.25);
-const EVAC: (f64, f64) = (5.0, 0.5);
+/// How long a change may take to be in force, and a core machine to answer again, before the report says that it did
+/// not.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(10);
+/// How often it is checked whether the core machine that was killed answers again.
+const RECOVERY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+const RECOVERY_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What is played.
+/// The core machine that is killed and started again, by its index.
+const KILLED_CORE: usize = 1;
+const EVACUATED_ZONE: &str = ZONES[2];
+/// The group in which a server crashes and another one starts.
+const CRASH_GROUP: ServerGroup = ServerGroup {
+    service: CHARTS_SERVICE,
+    zone: ZONES[0],
+};
+/// The group in which a server shuts down gracefully.
+const LEAVE_GROUP: ServerGroup = ServerGroup {
+    service: LEDGER_SERVICE,
+    zone: ZONES[0],
+};
+
+/// When events happen, as fractions of the time that clients send.
+mod schedule {
+    pub const EVACUATION_BEGIN: f64 = 0.15;
+    pub const GRACEFUL_LEAVE: f64 = 0.3;
+    pub const CONFIGURATION_CHANGE: f64 = 0.4;
+    pub const CORE_KILL: f64 = 0.5;
+    pub const SERVER_CRASH: f64 = 0.55;
+    pub const CORE_RESTART: f64 = 0.65;
+    pub const SERVER_START: f64 = 0.75;
+    pub const EVACUATION_FINISH: f64 = 0.85;
+}
+
+/// What the newcomer's command can be told.
 #[derive(Clone, Copy, Debug)]
 pub struct DemoOptions {
-    /// How long clients send.
-    pub seconds: f64,
-    /// What the stand-ins draw from.
+    /// How long clients send requests.
+    pub duration: Duration,
+    /// The seed of all random numbers of the stand-ins.
     pub seed: u64,
-    /// How many edges.
+    /// The number of edges.
     pub edges: usize,
-    /// The folder stays.
-    pub keep: bool,
+    /// Whether the folder with settings, disks and logs stays after the run.
+    pub keep_folder: bool,
 }
 
-/// Plays it.
+/// Runs the demonstration to its end, or until SIGINT or SIGTERM comes.
 ///
 /// # Errors
 ///
-/// [`DemoError`].
-pub fn run(plan: &DemoOptions) -> Result<Report, DemoError> {
-    let system = |what| move |e| DemoError::System(what, e);
+/// [`DemoError`] if the deployment cannot be started, or is interrupted; its processes have ended then.
+pub fn run(options: &DemoOptions) -> Result<Report, DemoError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    runtime.map_err(system("runtime"))?.block_on(async {
+    let runtime = runtime.map_err(DemoError::system("runtime"))?;
+    runtime.block_on(async {
         // Before the first process is there.
-        let mut term = signal(SignalKind::terminate()).map_err(system("SIGTERM"))?;
-        let mut interrupt = signal(SignalKind::interrupt()).map_err(system("SIGINT"))?;
-        // All processes end as the run is dropped.
+        let mut terminate =
+            signal(SignalKind::terminate()).map_err(DemoError::system("SIGTERM"))?;
+        let mut interrupt = signal(SignalKind::interrupt()).map_err(DemoError::system("SIGINT"))?;
+        // Dropping the scenario kills all processes.
         tokio::select! {
-            played = run_until_end(plan) => played,
+            report = run_to_end(options) => report,
             _ = interrupt.recv() => Err(DemoError::Interrupted),
-            _ = term.recv() => Err(DemoError::Interrupted),
+            _ = terminate.recv() => Err(DemoError::Interrupted),
         }
     })
 }
 
-/// The processes of the gateway.
-struct GatewayProcesses<'a> {
-    deployment: &'a Deployment,
-    folder: &'a Path,
-    bounds: Bounds,
-    core: Vec<Vec<Process>>,
-    edges: Vec<Process>,
+async fn run_to_end(options: &DemoOptions) -> Result<Report, DemoError> {
+    let mut scenario = Scenario::start(options).await?;
+    let timeline = scenario.send_traffic_and_inject_events().await?;
+    Ok(scenario.report(&timeline))
 }
 
-impl GatewayProcesses<'_> {
-    fn start(&self, role: Role, place: Machine, bootstrap: bool) -> Result<Process, DemoError> {
-        Process::start(
-            self.deployment,
-            role,
-            place,
-            self.folder,
-            bootstrap,
-            self.bounds,
-        )
-    }
+/// The gateway and all stand-ins of a run.
+struct Scenario<'a> {
+    options: &'a DemoOptions,
+    gateway: Gateway,
+    servers: ServerPool,
+    operator: Operator,
+    clients: Arc<Clients>,
+    recorder: Recorder,
+    /// When every edge was ready, on the recorder's clock.
+    ready_at: Duration,
+    /// When clients began to send.
+    began: Instant,
+}
 
-    fn start_core(&self, place: Machine, bootstrap: bool) -> Result<Vec<Process>, DemoError> {
-        [Role::Store, Role::Registry]
-            .into_iter()
-            .map(|role| self.start(role, place, bootstrap))
-            .collect()
-    }
+/// The events of a run, of which some still go on in the background.
+struct InjectedEvents {
+    evacuation_acknowledged_at: Option<Duration>,
+    graceful_leave: JoinHandle<bool>,
+    change_acknowledged_at: Option<Duration>,
+    change_in_force: JoinHandle<Result<Duration, Elapsed>>,
+    core_killed_at: Duration,
+    server_crashed_at: Duration,
+    core_restarted_at: Duration,
+    core_answers: JoinHandle<Result<Duration, Elapsed>>,
+    evacuation_finished_at: Duration,
+}
 
-    /// Those that have ended by themselves.
-    fn ended(&mut self) -> Vec<String> {
-        self.core
-            .iter_mut()
-            .flatten()
-            .chain(&mut self.edges)
-            .filter_map(Process::ended)
-            .collect()
+impl<'a> Scenario<'a> {
+    /// Starts everything, and waits until every edge is ready.
+    async fn start(options: &'a DemoOptions) -> Result<Scenario<'a>, DemoError> {
+        let deployment = Deployment::find(options.edges)?;
+        let folder = temporary_folder(options)?;
+        let registries = deployment.ctl_addresses();
+        let recorder = Recorder::default();
+        let clients = Clients::new(&deployment, options.seed, &recorder);
+        let bounds = Bounds::for_run(options.duration);
+        let mut gateway = Gateway::start(deployment, folder, bounds)?;
+        let servers = ServerPool::start(registries.clone(), options.seed, recorder.clone()).await?;
+        let operator = Operator::new(registries, recorder.clone());
+        gateway
+            .wait_for(
+                "no configuration was taken",
+                operator.send_first_configuration(),
+            )
+            .await?;
+        gateway
+            .wait_for(
+                "not every edge was ready",
+                clients.wait_until_edges_are_ready(),
+            )
+            .await?;
+        Ok(Scenario {
+            options,
+            gateway,
+            servers,
+            operator,
+            clients,
+            ready_at: recorder.now(),
+            recorder,
+            began: Instant::now(),
+        })
     }
 
-    /// Waits for something without which nothing can be played.
-    async fn stands<T>(
-        &mut self,
-        what: &str,
-        waited: impl Future<Output = T>,
-    ) -> Result<T, DemoError> {
-        let mut looks = interval(LOOKS);
-        let waited = timeout(STANDS, waited);
-        tokio::pin!(waited);
-        loop {
-            tokio::select! {
-                done = &mut waited => return done.map_err(|_| DemoError::Late(what.into(), STANDS)),
-                _ = looks.tick() => if let Some(ended) = self.ended().pop() {
-                    return Err(DemoError::ProcessExited(ended));
-                },
-            }
+    /// Sends traffic for the whole run, injects the events meanwhile, and reads the configuration back at the end.
+    async fn send_traffic_and_inject_events(&mut self) -> Result<Timeline, DemoError> {
+        let mut probes = JoinSet::new();
+        probes.spawn(self.clients.clone().probe_edges());
+        let mut traffic = JoinSet::new();
+        let end = self.began + self.options.duration;
+        for route in &ROUTES {
+            traffic.spawn(self.clients.clone().send_requests(route, end));
         }
+        let events = self.inject_events().await?;
+        while traffic.join_next().await.is_some() {}
+        let timeline = self.finish_events(events).await;
+        self.operator.read_back().await;
+        self.recorder.lock().exited_processes = self.gateway.exited_processes();
+        Ok(timeline)
     }
-}
 
-async fn run_until_end(plan: &DemoOptions) -> Result<Report, DemoError> {
-    let deployment = Deployment::find(plan.edges)?;
-    let folder = tempfile::Builder::new()
-        .prefix("emberpin-demo-")
-        .disable_cleanup(plan.keep)
-        .tempdir();
-    // Dropped after the processes that have their disks in it.
-    let folder = folder.map_err(|e| DemoError::System("a temporary folder", e))?;
-    let part = |(most, part): (f64, f64)| Duration::from_secs_f64(most.min(plan.seconds * part));
-    let bounds = Bounds {
-        drain: part(DRAIN),
-        evac: part(EVAC),
-    };
-    let recorder = Recorder::default();
-    let (mut core, mut edges) = (Vec::new(), Vec::new());
-    let mut fleet = GatewayProcesses {
-        deployment: &deployment,
-        folder: folder.path(),
-        bounds,
-        core: vec![],
-        edges: vec![],
-    };
-    for place in &deployment.core {
-        core.push(fleet.start_core(*place, true)?);
-    }
-    for place in &deployment.edges {
-        edges.push(fleet.start(Role::Proxy, *place, true)?);
-    }
-    (fleet.core, fleet.edges) = (core, edges);
+    /// Injects the events at their times.
+    async fn inject_events(&mut self) -> Result<InjectedEvents, DemoError> {
+        self.sleep_until(schedule::EVACUATION_BEGIN).await;
+        let bound = self.gateway.bounds().evacuation;
+        let evacuation_acknowledged_at =
+            self.operator.begin_evacuation(EVACUATED_ZONE, bound).await;
 
-    let ctl = deployment.ctl();
-    let server = |service, zone, number: usize, is_cold| {
-        let id = format!("{service}-{zone}-{number}");
-        let seed = plan
-            .seed
-            .wrapping_mul(1_000)
-            .wrapping_add(id.bytes().map(u64::from).sum());
-        let (ctl, recorder) = (&ctl, &recorder);
-        async move {
-            let started = Server::start((service, zone), id, is_cold, ctl, seed, recorder).await;
-            started.map_err(|e| DemoError::System("a stand-in server", e))
-        }
-    };
-    let mut servers = Vec::new();
-    for (service, zone) in SERVICES
-        .into_iter()
-        .flat_map(|service| ZONES.map(|zone| (service, zone)))
-    {
-        for number in 0..SERVERS {
-            servers.push(((service, zone), server(service, zone, number, false).await?));
-        }
-    }
-    let operator = Operator::new(ctl.clone(), recorder.clone());
-    let clients = Clients::new(&deployment, plan.seed, &recorder);
-    fleet
-        .stands("no configuration was taken", operator.begin())
-        .await?;
-    fleet
-        .stands("not every edge was ready", clients.all_ready())
-        .await?;
-    let stood = recorder.now();
+        self.sleep_until(schedule::GRACEFUL_LEAVE).await;
+        let graceful_leave = self.begin_graceful_leave();
 
-    let began = Instant::now();
-    let at = |part: f64| sleep_until((began + Duration::from_secs_f64(plan.seconds * part)).into());
-    let mut happened = vec![format!(
-        "up: every edge was ready {:.1} s after the start",
-        stood.as_secs_f64()
-    )];
-    let mut background = JoinSet::new();
-    background.spawn(clients.clone().probe());
-    let mut traffic = JoinSet::new();
-    for route in &ROUTES {
-        let until = began + Duration::from_secs_f64(plan.seconds);
-        traffic.spawn(clients.clone().send(route, until));
-    }
+        self.sleep_until(schedule::CONFIGURATION_CHANGE).await;
+        let in_force = self.clients.clone().wait_until_change_is_in_force();
+        let change_in_force = tokio::spawn(timeout(CONVERGENCE_TIMEOUT, in_force));
+        let change_acknowledged_at = self.operator.change_configuration().await;
 
-    at(0.15).await;
-    let evacuated = operator.evacuate(EVACUATED, bounds.evac).await;
+        self.sleep_until(schedule::CORE_KILL).await;
+        let core_killed_at = self.recorder.now();
+        self.gateway.kill_core(KILLED_CORE);
 
-    at(0.3).await;
-    let leaves = take(&mut servers, (SERVICES[1], CRASHES));
-    let leaving = tokio::spawn(async move {
-        match leaves {
-            Some(server) => server.leave(bounds.drain).await,
-            None => false,
-        }
-    });
+        self.sleep_until(schedule::SERVER_CRASH).await;
+        let server_crashed_at = self.recorder.now();
+        drop(self.servers.remove(CRASH_GROUP));
 
-    at(0.4).await;
-    let in_force = tokio::spawn(timeout(SETTLES, clients.clone().in_force()));
-    let changed = operator.change().await;
+        self.sleep_until(schedule::CORE_RESTART).await;
+        let core_restarted_at = self.recorder.now();
+        self.gateway.restart_core(KILLED_CORE)?;
+        let registry = self.gateway.deployment().ctl_addresses()[KILLED_CORE];
+        let answer = wait_until_configuration_is_shown(registry, self.recorder.clone());
+        let core_answers = tokio::spawn(timeout(CONVERGENCE_TIMEOUT, answer));
 
-    at(0.5).await;
-    let killed = recorder.now();
-    fleet.core[KILLED].clear();
+        self.sleep_until(schedule::SERVER_START).await;
+        self.servers
+            .start_server(CRASH_GROUP, SERVERS_PER_GROUP, StartState::WarmingUp)
+            .await?;
 
-    at(0.55).await;
-    let crashed = recorder.now();
-    drop(take(&mut servers, (SERVICES[0], CRASHES)));
+        self.sleep_until(schedule::EVACUATION_FINISH).await;
+        let evacuation_finished_at = self.operator.finish_evacuation(EVACUATED_ZONE).await;
 
-    at(0.65).await;
-    let back = recorder.now();
-    fleet.core[KILLED] = fleet.start_core(deployment.core[KILLED], false)?;
-    let answers = tokio::spawn(timeout(SETTLES, answers(ctl[KILLED], recorder.clone())));
+        Ok(InjectedEvents {
+            evacuation_acknowledged_at,
+            graceful_leave,
+            change_acknowledged_at,
+            change_in_force,
+            core_killed_at,
+            server_crashed_at,
+            core_restarted_at,
+            core_answers,
+            evacuation_finished_at,
+        })
+    }
 
-    at(0.75).await;
-    let restarted = server(SERVICES[0], CRASHES, SERVERS, true).await?;
-    servers.push(((SERVICES[0], CRASHES), restarted));
+    /// Waits for the events that still go on.
+    async fn finish_events(&self, events: InjectedEvents) -> Timeline {
+        let change_in_force = events.change_in_force.await;
+        let core_answers = events.core_answers.await;
+        let graceful_leave = events.graceful_leave.await;
+        Timeline {
+            ready_at: self.ready_at,
+            change_acknowledged_at: events.change_acknowledged_at,
+            change_in_force_at: change_in_force.ok().and_then(Result::ok),
+            change_timeout: CONVERGENCE_TIMEOUT,
+            evacuated_zone: EVACUATED_ZONE,
+            evacuation_acknowledged_at: events.evacuation_acknowledged_at,
+            evacuation_finished_at: events.evacuation_finished_at,
+            bounds: self.gateway.bounds(),
+            killed_core: self.gateway.deployment().core[KILLED_CORE].ip,
+            core_killed_at: events.core_killed_at,
+            core_restarted_at: events.core_restarted_at,
+            core_answered_at: core_answers.ok().and_then(Result::ok),
+            server_crashed_at: events.server_crashed_at,
+            graceful_leave_acknowledged: graceful_leave.unwrap_or(false),
+        }
+    }
 
-    at(0.85).await;
-    let taken_back = operator.take_back(EVACUATED).await;
+    /// Shuts a server down in the background; the task returns whether its drain and leave were acknowledged.
+    fn begin_graceful_leave(&mut self) -> JoinHandle<bool> {
+        let server = self.servers.remove(LEAVE_GROUP);
+        let drain_bound = self.gateway.bounds().drain;
+        tokio::spawn(async move {
+            match server {
+                Some(server) => server.leave(drain_bound).await,
+                None => false,
+            }
+        })
+    }
 
-    while traffic.join_next().await.is_some() {}
-    let in_force = in_force.await.ok().and_then(Result::ok);
-    let answered = answers.await.ok().and_then(Result::ok);
-    let left = leaving.await.unwrap_or(false);
-    operator.read_back().await;
-    let ended = fleet.ended();
-    let mut record = recorder.lock();
-    record.exited_processes = ended;
+    /// Sleeps until a fraction of the run has passed.
+    async fn sleep_until(&self, fraction: f64) {
+        let time = self.began + self.options.duration.mul_f64(fraction);
+        sleep_until(time.into()).await;
+    }
 
-    let span = |from: Duration, to: Duration| millis(to.saturating_sub(from));
-    let on = |time: Duration| format!("{:.1} s", time.saturating_sub(stood).as_secs_f64());
-    happened.push(match (changed, in_force) {
-        (Some(changed), Some(in_force)) => {
-            format!(
-                "change: in force at every edge {} after its acknowledgement",
-                span(changed, in_force)
-            )
+    fn report(&self, timeline: &Timeline) -> Report {
+        let mut events = timeline.lines();
+        if self.options.keep_folder {
+            events.push(format!("folder: {}", self.gateway.folder().display()));
         }
-        (None, _) => "change: not acknowledged".into(),
-        (_, None) => format!("change: not in force at every edge within {SETTLES:?}"),
-    });
-    if let Some(evacuated) = evacuated {
-        let watched = taken_back.saturating_sub(evacuated + bounds.evac);
-        happened.push(format!(
-            "evacuation: {EVACUATED} from {} to {}, nothing may reach it after {:.1} s: watched for {:.1} s",
-            on(evacuated),
-            on(taken_back),
-            bounds.evac.as_secs_f64(),
-            watched.as_secs_f64(),
-        ));
+        Report::of(self.title(), events, &self.recorder.lock())
     }
-    let answered = answered.map_or("did not answer again".into(), |at| {
-        format!("answered {} later", span(back, at))
-    });
-    let ip = deployment.core[KILLED].ip;
-    happened.push(format!(
-        "core: {ip} killed at {}, started at {}, {answered}",
-        on(killed),
-        on(back)
-    ));
-    let left = if left {
-        "drained and left"
-    } else {
-        "left, not acknowledged"
-    };
-    happened.push(format!(
-        "servers: one crashed at {}, one {left}",
-        on(crashed)
-    ));
-    if plan.keep {
-        happened.push(format!("folder: {}", folder.path().display()));
+
+    fn title(&self) -> String {
+        format!(
+            "emberpin-demo: {} core machines, {} edges, {} servers in {} zones, {} s, seed {}",
+            self.gateway.deployment().core.len(),
+            self.options.edges,
+            SERVICES.len() * ZONES.len() * SERVERS_PER_GROUP,
+            ZONES.len(),
+            self.options.duration.as_secs_f64(),
+            self.options.seed
+        )
     }
-    let played = format!(
-        "emberpin-demo: {} core machines, {} edges, {} servers in {} zones, {} s, seed {}",
-        deployment.core.len(),
-        plan.edges,
-        SERVICES.len() * ZONES.len() * SERVERS,
-        ZONES.len(),
-        plan.seconds,
-        plan.seed
-    );
-    Ok(Report::of(played, happened, &record))
 }
 
-/// Takes one of these servers out.
-fn take(
-    servers: &mut Vec<((&'static str, &'static str), Server)>,
-    of: (&'static str, &'static str),
-) -> Option<Server> {
-    let at = servers.iter().position(|(place, _)| *place == of)?;
-    Some(servers.remove(at).1)
+fn temporary_folder(options: &DemoOptions) -> Result<TempDir, DemoError> {
+    tempfile::Builder::new()
+        .prefix("emberpin-demo-")
+        .disable_cleanup(options.keep_folder)
+        .tempdir()
+        .map_err(DemoError::system("a temporary folder"))
 }
 
-/// When a machine reads the configuration out again.
-async fn answers(ctl: SocketAddr, recorder: Recorder) -> Duration {
+/// Waits until a registry shows the configuration; returns when it did.
+async fn wait_until_configuration_is_shown(registry: SocketAddr, recorder: Recorder) -> Duration {
     loop {
-        let answer = http::call(
-            ctl,
-            Method::GET,
-            "/config/get",
-            String::new(),
-            Duration::from_secs(1),
-        )
-        .await;
-        if answer.is_some_and(|answer| answer.status == 200) {
+        let (path, body) = ("/config/get", String::new());
+        let response = http::call(registry, Method::GET, path, body, RECOVERY_CALL_TIMEOUT).await;
+        if response.is_some_and(|response| response.status == 200) {
             return recorder.now();
         }
-        sleep(LOOKS).await;
+        sleep(RECOVERY_POLL_INTERVAL).await;
     }
 }
--- /dev/null
+++ b/crates/emberpin-demo/src/server.rs
@@ -0,0 +1,145 @@
+//! A stand-in server: it sends heartbeats, serves requests, and drains, leaves or crashes when it is told to.
+
+mod heartbeat;
+mod requests;
+
+use crate::record::Recorder;
+use heartbeat::ServerState;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+use tokio::net::TcpListener;
+use tokio::sync::Semaphore;
+use tokio::task::AbortHandle;
+
+pub use heartbeat::HEARTBEAT_INTERVAL;
+pub use requests::seal;
+
+/// How many requests a server works on at once.
+const SLOTS: usize = 4;
+/// How long a server that starts during traffic is warming up.
+const WARM_UP: Duration = Duration::from_secs(1);
+/// How long a server that leaves goes on serving after the drain's bound, for requests under way.
+const LEAVE_MARGIN: Duration = Duration::from_millis(200);
+
+/// The servers of one service in one zone.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ServerGroup {
+    /// The service of the configuration that they serve.
+    pub service: &'static str,
+    /// The failure domain that they are in.
+    pub zone: &'static str,
+}
+
+/// Whether a server serves at full speed from the start.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum StartState {
+    /// At full speed.
+    Warm,
+    /// Slowly at first: it starts during traffic.
+    WarmingUp,
+}
+
+/// One incarnation of a server. Dropping it is a crash: nothing is sent, and its connections are closed.
+pub struct Server {
+    instance: Arc<Instance>,
+    task: AbortHandle,
+}
+
+/// What the heartbeats and the requests of one incarnation share.
+struct Instance {
+    id: String,
+    group: ServerGroup,
+    address: SocketAddr,
+    registries: Vec<SocketAddr>,
+    /// Where the last acknowledgement said that the next heartbeat should go.
+    assigned_registry: Mutex<Option<SocketAddr>>,
+    warm_at: Instant,
+    slots: Semaphore,
+    pending_requests: AtomicUsize,
+    is_draining: AtomicBool,
+    heartbeat_seq: AtomicU64,
+    random: Mutex<oorandom::Rand32>,
+    recorder: Recorder,
+}
+
+impl Server {
+    /// Starts an incarnation on a port of the system's choice.
+    ///
+    /// # Errors
+    ///
+    /// As the system says, if no port can be bound.
+    pub async fn start(
+        group: ServerGroup,
+        id: String,
+        start_state: StartState,
+        registries: &[SocketAddr],
+        seed: u64,
+        recorder: &Recorder,
+    ) -> std::io::Result<Server> {
+        let listener = TcpListener::bind("127.0.0.1:0").await?;
+        let warm_up = match start_state {
+            StartState::Warm => Duration::ZERO,
+            StartState::WarmingUp => WARM_UP,
+        };
+        let instance = Arc::new(Instance {
+            id,
+            group,
+            address: listener.local_addr()?,
+            registries: registries.to_vec(),
+            assigned_registry: Mutex::default(),
+            warm_at: Instant::now() + warm_up,
+            slots: Semaphore::new(SLOTS),
+            pending_requests: AtomicUsize::new(0),
+            is_draining: AtomicBool::new(false),
+            heartbeat_seq: AtomicU64::new(0),
+            random: Mutex::new(oorandom::Rand32::new(seed)),
+            recorder: recorder.clone(),
+        });
+        let running = instance.clone();
+        let task = tokio::spawn(async move {
+            tokio::join!(running.clone().serve(listener), running.send_heartbeats())
+        });
+        Ok(Server {
+            instance,
+            task: task.abort_handle(),
+        })
+    }
+
+    /// The group that the server belongs to.
+    pub fn group(&self) -> ServerGroup {
+        self.instance.group
+    }
+
+    /// Shuts down gracefully: announces the drain, serves on until its bound has passed, announces that it leaves, and
+    /// ends. Returns whether both announcements were acknowledged.
+    pub async fn leave(self, drain_bound: Duration) -> bool {
+        self.instance.is_draining.store(true, Ordering::Relaxed);
+        let drain_acknowledged = self.instance.send_heartbeat().await;
+        tokio::time::sleep(drain_bound + LEAVE_MARGIN).await;
+        let leave_acknowledged = self.instance.send_leave().await;
+        drain_acknowledged && leave_acknowledged
+    }
+}
+
+impl Drop for Server {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
+
+impl Instance {
+    fn state(&self) -> ServerState {
+        if self.is_draining.load(Ordering::Relaxed) {
+            ServerState::Draining
+        } else {
+            ServerState::Up
+        }
+    }
+
+    /// How long the server is still warming up.
+    fn warm_up_left(&self) -> Duration {
+        self.warm_at.saturating_duration_since(Instant::now())
+    }
+}
--- a/crates/emberpin-demo/tests/deployed_system/mod.rs
+++ b/crates/emberpin-demo/tests/deployed_system/mod.rs
@@ -1,7 +1,7 @@
 //! Machines on loopback whose processes are those that `deploy/system.toml` names.
 
 use emberpin_demo::http;
-use emberpin_demo::machines::Role;
+use emberpin_demo::role::Role;
 use hyper::Method;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
--- a/crates/emberpin-demo/tests/invariants.rs
+++ b/crates/emberpin-demo/tests/invariants.rs
@@ -1,12 +1,12 @@
 //! Wrong records, one invariant each: the checker must find what is wrong in them, and nothing else.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
+use emberpin_demo::configuration::items;
 use emberpin_demo::invariants::{check, Violation};
-use emberpin_demo::operator::items;
 use emberpin_demo::record::{
     Arrival, Attempt, ClientRequest, ConfigItems, Evacuation, Outcome, Record,
 };
-use emberpin_demo::report::Report;
+use emberpin_demo::report::{AddedLatency, Report};
 use googletest::prelude::*;
 use std::time::Duration;
 
@@ -264,14 +264,25 @@
 #[gtest]
 fn what_the_gateway_added_is_counted_over_the_servers_own_time() {
     let report = report(10, 10, right());
-    let line = report
-        .lines
+    let summary = report
+        .routes
         .iter()
-        .find(|line| line.route == "commit")
-        .expect("a line");
-    expect_that!(line.added, some(eq((ms(15), ms(15)))));
+        .find(|summary| summary.route == "commit")
+        .expect("a summary");
     expect_that!(
-        (line.requests, line.served, line.refused, line.failed),
+        summary.added,
+        some(eq(AddedLatency {
+            p50: ms(15),
+            p99: ms(15)
+        }))
+    );
+    expect_that!(
+        (
+            summary.requests,
+            summary.served,
+            summary.refused,
+            summary.failed
+        ),
         eq((10, 10, 0, 0))
     );
 }
