--- a/crates/emberpin-limiter/src/between/handover.rs
+++ b/crates/emberpin-limiter/src/between/handover.rs
@@ -2,7 +2,7 @@
 //! what is carried over it. Who does what when is decided in `emberpin_upgrade`.
 
 use crate::between::peers::Peers;
-use crate::front::room::{Held, Room};
+use crate::front::socket_budget::{SocketBudget, SocketCounts};
 use crate::upstream::listing::Target;
 use emberpin_balancer::{Handover, Millis, Usage};
 use emberpin_upgrade::frame::{self, Message, HEADER_LEN, HELLO_LEN};
@@ -78,7 +78,7 @@
         out: bool,
     },
     /// So many connections are held.
-    Held(Held),
+    Held(SocketCounts),
 }
 
 /// What the driver hears of the other process.
@@ -99,7 +99,7 @@
     peers: Option<Rc<Peers>>,
     driver: mpsc::Sender<Pairing>,
     /// What of the descriptors the other process holds.
-    room: Rc<Room>,
+    socket_budget: Rc<SocketBudget>,
     listening: RefCell<Option<JoinHandle<()>>>,
 }
 
@@ -203,14 +203,14 @@
         older: Option<Older>,
         peers: Option<Rc<Peers>>,
         driver: mpsc::Sender<Pairing>,
-        room: Rc<Room>,
+        socket_budget: Rc<SocketBudget>,
     ) -> Rc<Upgrade> {
         let upgrade = Rc::new(Upgrade {
             process: RefCell::new(process),
             meeting,
             peers,
             driver,
-            room,
+            socket_budget,
             listening: RefCell::default(),
         });
         if let Some(peers) = &upgrade.peers {
@@ -252,9 +252,11 @@
                 }
                 Action::BindHandoverSocket => self.meet(),
                 // Nothing is held by the next process yet; it tells as soon as it does.
-                Action::ShareDescriptors => self.room.tell(Some(Held::default())),
+                Action::ShareDescriptors => self
+                    .socket_budget
+                    .set_sibling(Some(SocketCounts::default())),
                 Action::ReclaimDescriptors => {
-                    self.room.tell(None);
+                    self.socket_budget.set_sibling(None);
                     _ = self.driver.send(Pairing::Alone).await;
                 }
                 // Done by whoever feeds the event.
@@ -366,7 +368,7 @@
     async fn hear(self: Rc<Self>, mut from: OwnedReadHalf) {
         while let Ok(Message::Update(shared)) = read(&mut from).await {
             if let Shared::Held(held) = shared {
-                self.room.tell(Some(held));
+                self.socket_budget.set_sibling(Some(held));
                 continue;
             }
             if self.driver.send(Pairing::Heard(shared)).await.is_err() {
@@ -379,7 +381,7 @@
     async fn tell(self: Rc<Self>, mut to: OwnedWriteHalf, mut told: mpsc::Receiver<Shared>) {
         let mut known = None;
         loop {
-            let held = self.room.held();
+            let held = self.socket_budget.in_use();
             let shared = if known.replace(held) == Some(held) {
                 match timeout(HELD_LOOK, told.recv()).await {
                     Ok(Some(shared)) => shared,
--- a/crates/emberpin-limiter/src/front/clients.rs
+++ b/crates/emberpin-limiter/src/front/clients.rs
@@ -4,7 +4,7 @@
 use crate::front::answers::{headed, plain, written};
 use crate::front::connections::{ClientLimits, Connection};
 use crate::front::reception::{Phase, Reception, RequestHandler};
-use crate::front::room::Room;
+use crate::front::socket_budget::SocketBudget;
 use crate::front::stream::{Content, StreamedContent, StreamedResponse, Upload};
 use crate::messages::{
     AdmittedRequest, Answer, Gate, Input, Reply, RequestBody, UpstreamRequest, MAX_BODY,
@@ -116,7 +116,7 @@
         idempotency: Option<Rc<Idempotency>>,
         inputs: mpsc::Sender<Input>,
         figures: Arc<Figures>,
-        room: Rc<Room>,
+        socket_budget: Rc<SocketBudget>,
     ) -> Rc<Front> {
         // As the platform has it: ready at once.
         let phase = if config.start.is_some() {
@@ -130,7 +130,12 @@
             inputs,
             next: Cell::new(0),
             open: RefCell::default(),
-            reception: Reception::new(phase, config.client_sockets, ClientLimits::default(), room),
+            reception: Reception::new(
+                phase,
+                config.client_sockets,
+                ClientLimits::default(),
+                socket_budget,
+            ),
             uploads: Arc::new(Semaphore::new(config.passing)),
             downloads: Arc::new(Semaphore::new(config.passing)),
             figures,
@@ -172,12 +177,12 @@
         let (body, expires) = match rest {
             None => (RequestBody::Buffered(held), Instant::now() + patience),
             Some(rest) => {
-                let Ok(room) = self.uploads.clone().try_acquire_owned() else {
+                let Ok(buffer_permit) = self.uploads.clone().try_acquire_owned() else {
                     spawn_local(run_out(rest));
                     active.ends(Ending::Shed);
                     return Err(StatusCode::SERVICE_UNAVAILABLE);
                 };
-                let upload = Rc::new(Upload::new(held, length, rest, room));
+                let upload = Rc::new(Upload::new(held, length, rest, buffer_permit));
                 (
                     RequestBody::Uploading(upload),
                     Instant::now() + UPLOAD_LIMIT,
@@ -198,10 +203,15 @@
         let response = match reply {
             Err(status) => Err(status),
             Ok(Replied::Complete(response)) => Ok(response),
-            Ok(Replied::Streamed(passing)) => {
+            Ok(Replied::Streamed(streamed)) => {
                 match timeout(PASSING_WAIT, self.downloads.clone().acquire_owned()).await {
-                    Ok(Ok(room)) => {
-                        return Ok(passed_on(passing, active, connection.clone(), room))
+                    Ok(Ok(buffer_permit)) => {
+                        return Ok(passed_on(
+                            streamed,
+                            active,
+                            connection.clone(),
+                            buffer_permit,
+                        ))
                     }
                     // Too many pass on already: nothing of it was told yet.
                     Ok(Err(_)) | Err(_) => Err(StatusCode::BAD_GATEWAY),
--- a/crates/emberpin-limiter/src/front/connections.rs
+++ b/crates/emberpin-limiter/src/front/connections.rs
@@ -1,7 +1,7 @@
 //! The connections that clients hold: how many, what each waits for and since when, and which must go.
 
 use crate::front::framing::Framing;
-use crate::front::room::Room;
+use crate::front::socket_budget::SocketBudget;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -172,18 +172,18 @@
     most: usize,
     limits: Cell<ClientLimits>,
     /// What another process of this limiter holds of them.
-    room: Rc<Room>,
+    socket_budget: Rc<SocketBudget>,
     list: RefCell<Vec<Rc<Connection>>>,
     count: watch::Sender<usize>,
 }
 
 impl Connections {
-    pub fn new(most: usize, limits: ClientLimits, room: Rc<Room>) -> Connections {
+    pub fn new(most: usize, limits: ClientLimits, socket_budget: Rc<SocketBudget>) -> Connections {
         let limits = Cell::new(limits);
         Connections {
             most,
             limits,
-            room,
+            socket_budget,
             list: RefCell::default(),
             count: watch::Sender::new(0),
         }
@@ -201,7 +201,7 @@
 
     fn most(&self) -> usize {
         self.most
-            .saturating_sub(self.room.clients_elsewhere())
+            .saturating_sub(self.socket_budget.sibling_clients())
             .max(LEAST)
     }
 
@@ -219,7 +219,7 @@
         });
         self.list.borrow_mut().push(connection.clone());
         self.count.send_modify(|count| *count += 1);
-        self.room.hold_clients(*self.count.borrow());
+        self.socket_budget.set_clients(*self.count.borrow());
         Place {
             connections: self.clone(),
             connection,
@@ -288,8 +288,8 @@
             .retain(|other| !Rc::ptr_eq(other, &self.connection));
         self.connections.count.send_modify(|count| *count -= 1);
         self.connections
-            .room
-            .hold_clients(*self.connections.count.borrow());
+            .socket_budget
+            .set_clients(*self.connections.count.borrow());
     }
 }
 
--- a/crates/emberpin-limiter/src/front/reception.rs
+++ b/crates/emberpin-limiter/src/front/reception.rs
@@ -1,7 +1,7 @@
 //! Takes requests off clients' connections and writes the answers, whoever gives those.
 
 use crate::front::connections::{ClientLimits, Connection, Connections, Place, Watched};
-use crate::front::room::Room;
+use crate::front::socket_budget::SocketBudget;
 use crate::front::stream::Content;
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
@@ -54,8 +54,13 @@
 
 impl Reception {
     /// For so many connections at most.
-    pub fn new(phase: Phase, most: usize, limits: ClientLimits, room: Rc<Room>) -> Rc<Reception> {
-        let connections = Rc::new(Connections::new(most, limits, room));
+    pub fn new(
+        phase: Phase,
+        most: usize,
+        limits: ClientLimits,
+        socket_budget: Rc<SocketBudget>,
+    ) -> Rc<Reception> {
+        let connections = Rc::new(Connections::new(most, limits, socket_budget));
         Rc::new(Reception {
             phase: watch::Sender::new(phase),
             connections,
--- a/crates/emberpin-limiter/src/host.rs
+++ b/crates/emberpin-limiter/src/host.rs
@@ -5,7 +5,7 @@
 pub use crate::front::clients::{passed_on, run_out, strip, take_in};
 pub use crate::front::connections::{ClientLimits, Connection, HEAD_BYTES};
 pub use crate::front::reception::{Phase, Reception, RequestHandler};
-pub use crate::front::room::Room;
+pub use crate::front::socket_budget::SocketBudget;
 pub use crate::front::stream::{Content, StreamedResponse, Upload};
 pub use crate::messages::{
     AdmittedRequest, Answer, AttemptEnd, Input, Reply, RequestBody, ResponseHead, ServerResponse,
--- a/crates/emberpin-limiter/src/limiter.rs
+++ b/crates/emberpin-limiter/src/limiter.rs
@@ -13,9 +13,9 @@
 use crate::between::link::Link;
 use crate::between::peers::Peers;
 use crate::front::clients::{take_over, Front};
-use crate::front::passed;
+use crate::front::inherited_socket;
 use crate::front::reception::Reception;
-use crate::front::room::{Held, Room};
+use crate::front::socket_budget::{SocketBudget, SocketCounts};
 use crate::messages::Input;
 use crate::operate::clock::Clock;
 use crate::operate::config::Config;
@@ -23,12 +23,12 @@
 use crate::operate::figures::Figures;
 use crate::operate::operator::Operator;
 use crate::stages::idempotency::Idempotency;
-use crate::upstream::asking::Asking;
-use crate::upstream::believed::Believed;
 use crate::upstream::discovery::Discovery;
 use crate::upstream::driver::{Callers, Driver, Parts};
-use crate::upstream::fed::{spoken_to, Fed};
-use crate::upstream::kept::Kept;
+use crate::upstream::list_calls::ListCalls;
+use crate::upstream::list_snapshot::ListSnapshot;
+use crate::upstream::list_trust::ListTrust;
+use crate::upstream::peer_lists::{spoken_to, PeerLists};
 use crate::upstream::server::Pool;
 use crate::upstream::wire::PlatformWire;
 use emberpin_upgrade::process::Process;
@@ -101,34 +101,36 @@
         .map_or_else(Clock::start, |given| Clock::go_on(given.clock));
     let peers = start_peers(&config, &inputs, inherited)?;
     let (prompts, pairings) = mpsc::channel(MAX_QUEUED_INPUTS);
-    let room = Rc::new(Room::new(older.as_ref().map(|_| half_of_sockets(&config))));
+    let socket_budget = Rc::new(SocketBudget::new(
+        older.as_ref().map(|_| half_of_sockets(&config)),
+    ));
     let upgrade = Upgrade::start(
         process,
         meeting,
         older,
         peers.clone(),
         prompts,
-        room.clone(),
+        socket_budget.clone(),
     );
-    let kept = Kept::start(&config)?;
+    let snapshot = ListSnapshot::start(&config)?;
     if given.is_none() {
-        read_snapshot(&mut config, kept.as_ref()).await;
+        read_snapshot(&mut config, snapshot.as_ref()).await;
     }
     let rev = given.as_ref().map_or(config.known.rev, |given| given.rev);
-    let asking = Asking::new(&config, clock.now(), given.is_some());
-    let fed = Fed::start(&config, link.as_ref(), supersede.clone(), inputs.clone());
+    let list_calls = ListCalls::new(&config, clock.now(), given.is_some());
+    let peer_lists = PeerLists::start(&config, link.as_ref(), supersede.clone(), inputs.clone());
     let discovery = Discovery::start(
         config.discovery,
         rev,
-        (asking.clone(), fed.clone()),
+        (list_calls.clone(), peer_lists.clone()),
         inputs.clone(),
     );
     let refetch = discovery.refetch();
-    let believed = Believed::start(&config, kept, refetch.clone());
+    let list_trust = ListTrust::start(&config, snapshot, refetch.clone());
     spawn_local(reload(
         hung_up,
         discovery,
-        believed.clone(),
+        list_trust.clone(),
         figures.clone(),
     ));
     let (longest, leaving) = (config.longest_deadline(), config.connections.leaving);
@@ -140,7 +142,7 @@
         idempotency,
         inputs.clone(),
         figures.clone(),
-        room.clone(),
+        socket_budget.clone(),
     );
     let reception = front.reception.clone();
     let accepting = spawn_local(reception.clone().accept(front, listener, inherited));
@@ -148,17 +150,17 @@
         config.pool_limits(),
         Rc::new(PlatformWire),
         figures.clone(),
-        room,
+        socket_budget,
     );
-    spawn_local(pool.clone().share());
+    spawn_local(pool.clone().track_sibling());
     let callers = Callers { orders, pairings };
     let parts = Parts {
         clock,
         inputs,
         peers,
-        asking,
-        believed: believed.clone(),
-        fed,
+        list_calls,
+        list_trust: list_trust.clone(),
+        peer_lists,
         refetch,
         figures,
         pool,
@@ -166,7 +168,7 @@
     let driver = spawn_local(Driver::new(config, parts, given).run(received, callers));
 
     tokio::select! {
-        () = become_ready(believed, &reception, &ready) => {}
+        () = become_ready(list_trust, &reception, &ready) => {}
         _ = terminated.recv() => {}
         _ = superseded.recv() => return Err("another life of this instance has its name".into()),
         ended = driver => return Err(format!("the driver ended: {ended:?}")),
@@ -184,7 +186,7 @@
 
 /// The clients' socket, and whether it was inherited from whoever started this process.
 fn bind(at: SocketAddr) -> Result<(TcpListener, bool), String> {
-    match passed::listener(at)? {
+    match inherited_socket::listener(at)? {
         Some(inherited) => {
             let listener = TcpListener::from_std(inherited)
                 .map_err(|e| format!("the inherited socket: {e}"))?;
@@ -221,28 +223,32 @@
 }
 
 /// What a previous process is taken to hold until it has said how much that is.
-fn half_of_sockets(config: &Config) -> Held {
-    Held {
+fn half_of_sockets(config: &Config) -> SocketCounts {
+    SocketCounts {
         clients: config.client_sockets / 2,
         servers: config.server_sockets / 2,
     }
 }
 
 /// Starts from the snapshot of the list of servers, if it is newer than what the configuration knows.
-async fn read_snapshot(config: &mut Config, kept: Option<&Kept>) {
-    let (Some(kept), Some(start)) = (kept, &config.start) else {
+async fn read_snapshot(config: &mut Config, snapshot: Option<&ListSnapshot>) {
+    let (Some(snapshot), Some(start)) = (snapshot, &config.start) else {
         return;
     };
-    let snapshot = kept.read(start.disk, start.snapshot_age).await;
-    if let Some(snapshot) = snapshot.filter(|snapshot| snapshot.rev > config.known.rev) {
-        config.known = snapshot;
+    let newest = snapshot.read(start.disk, start.snapshot_age).await;
+    if let Some(list) = newest.filter(|list| list.rev > config.known.rev) {
+        config.known = list;
     }
 }
 
 /// Accepts clients once enough is known of the servers, and never returns.
-async fn become_ready(believed: Option<Rc<Believed>>, reception: &Reception, ready: &AtomicBool) {
-    if let Some(believed) = believed {
-        believed.ready().await;
+async fn become_ready(
+    list_trust: Option<Rc<ListTrust>>,
+    reception: &Reception,
+    ready: &AtomicBool,
+) {
+    if let Some(list_trust) = list_trust {
+        list_trust.ready().await;
     }
     reception.open();
     ready.store(true, Ordering::Release);
@@ -280,7 +286,7 @@
 async fn reload(
     mut hung_up: Signal,
     discovery: Discovery,
-    believed: Option<Rc<Believed>>,
+    list_trust: Option<Rc<ListTrust>>,
     figures: Arc<Figures>,
 ) {
     // What operators set holds for the process's life.
@@ -293,8 +299,8 @@
                     config.discovery
                 );
                 discovery.move_to(config.discovery);
-                if let Some(believed) = &believed {
-                    believed.believe();
+                if let Some(list_trust) = &list_trust {
+                    list_trust.believe();
                 }
                 figures.config_applied.inc();
             }
--- a/crates/emberpin-limiter/src/operate/config.rs
+++ b/crates/emberpin-limiter/src/operate/config.rs
@@ -127,10 +127,10 @@
         PoolLimits {
             connect: self.connect_timeout,
             idle: self.idle_limit,
-            most_idle: self.connections.idle_per_server,
+            max_idle_per_server: self.connections.idle_per_server,
             sockets: self.server_sockets,
             unacknowledged: None,
-            hold: MAX_BODY,
+            buffered_response_bytes: MAX_BODY,
         }
     }
 
--- a/crates/emberpin-limiter/src/upstream/discovery.rs
+++ b/crates/emberpin-limiter/src/upstream/discovery.rs
@@ -1,10 +1,10 @@
 //! Discovery: the list of servers, its watch, and how to get back in step when that breaks.
 
 use crate::messages::Input;
-use crate::upstream::asking::Asking;
-use crate::upstream::fed::Fed;
+use crate::upstream::list_calls::ListCalls;
+use crate::upstream::list_watch::{WatchEvent, WatchParser};
 use crate::upstream::listing::Listing;
-use crate::upstream::told::{Told, Watch};
+use crate::upstream::peer_lists::PeerLists;
 use bytes::Bytes;
 use emberpin_startup::call_schedule::CallOutcome;
 use http_body_util::{BodyExt, Empty};
@@ -36,7 +36,7 @@
     pub fn start(
         address: SocketAddr,
         rev: u64,
-        (asking, fed): (Rc<Asking>, Option<Rc<Fed>>),
+        (list_calls, peer_lists): (Rc<ListCalls>, Option<Rc<PeerLists>>),
         inputs: mpsc::Sender<Input>,
     ) -> Discovery {
         let discovery = Discovery {
@@ -47,7 +47,7 @@
             discovery.address.subscribe(),
             discovery.refetch.clone(),
             rev,
-            (asking, fed),
+            (list_calls, peer_lists),
             inputs,
         ));
         discovery
@@ -69,41 +69,41 @@
     mut address: watch::Receiver<SocketAddr>,
     refetch: Rc<Notify>,
     rev: u64,
-    (asking, fed): (Rc<Asking>, Option<Rc<Fed>>),
+    (list_calls, peer_lists): (Rc<ListCalls>, Option<Rc<PeerLists>>),
     inputs: mpsc::Sender<Input>,
 ) {
     let mut since = Some(rev);
     let (mut place, mut whole) = (0, false);
-    if fed.is_none() {
-        asking.first().await;
+    if peer_lists.is_none() {
+        list_calls.first().await;
     }
     loop {
         let at = *address.borrow_and_update();
         let watching = async {
             // The whole list is wanted, or it is this limiter's turn to hold a watch.
-            if let (Some(fed), false) = (&fed, std::mem::take(&mut whole)) {
+            if let (Some(peer_lists), false) = (&peer_lists, std::mem::take(&mut whole)) {
                 tokio::select! {
-                    () = fed.turn(&asking) => since = fed.held().or(since),
+                    () = peer_lists.turn(&list_calls) => since = peer_lists.held().or(since),
                     () = refetch.notified() => since = None,
                 }
             }
             let (began, mut watched) = (Instant::now(), Watched::default());
             let surplus = async {
-                match &fed {
-                    Some(fed) => fed.surplus().await,
+                match &peer_lists {
+                    Some(peer_lists) => peer_lists.surplus().await,
                     None => std::future::pending().await,
                 }
             };
             let yielded = tokio::select! {
-                () = hold((at, place), &mut since, &mut watched, fed.as_deref(), &inputs) => false,
+                () = hold((at, place), &mut since, &mut watched, peer_lists.as_deref(), &inputs) => false,
                 () = refetch.notified() => {
                     (since, whole) = (None, true);
                     false
                 }
                 () = surplus => true,
             };
-            if let Some(fed) = &fed {
-                fed.watch(false);
+            if let Some(peer_lists) = &peer_lists {
+                peer_lists.watch(false);
             }
             // A watch that told something was sound: only fruitless ones are spaced out.
             let ended = match watched {
@@ -116,7 +116,7 @@
                 },
             };
             if !yielded {
-                tokio::time::sleep(asking.pause(ended)).await;
+                tokio::time::sleep(list_calls.pause(ended)).await;
             }
         };
         tokio::select! {
@@ -127,9 +127,9 @@
                 }
                 // Versions of one place mean nothing at another: the whole list is taken there.
                 (since, place) = (None, place + 1);
-                asking.moved();
-                if let Some(fed) = &fed {
-                    fed.moved(*address.borrow());
+                list_calls.moved();
+                if let Some(peer_lists) = &peer_lists {
+                    peer_lists.moved(*address.borrow());
                 }
             }
         }
@@ -152,7 +152,7 @@
     (address, place): (SocketAddr, u32),
     since: &mut Option<u64>,
     watched: &mut Watched,
-    fed: Option<&Fed>,
+    peer_lists: Option<&PeerLists>,
     inputs: &mpsc::Sender<Input>,
 ) {
     let path = match since {
@@ -187,11 +187,13 @@
             return;
         }
         // It tells what is newer than the version held, if anything is.
-        if let Some(fed) = fed.filter(|fed| since.is_some() && fed.held() == *since) {
-            fed.watch(true);
+        if let Some(peer_lists) =
+            peer_lists.filter(|peer_lists| since.is_some() && peer_lists.held() == *since)
+        {
+            peer_lists.watch(true);
         }
         let mut body = response.into_body();
-        let mut watch = Watch::default();
+        let mut watch = WatchParser::default();
         while let Some(Some(Ok(frame))) = patient(body.frame()).await {
             let Ok(data) = frame.into_data() else {
                 continue;
@@ -199,14 +201,14 @@
             let Ok(all) = watch.take(&data) else { return };
             for told in all {
                 watched.told = true;
-                if let Told::Listing(listing) = told {
+                if let WatchEvent::Listing(listing) = told {
                     let listing = Listing { place, ..listing };
                     *since = Some(listing.rev);
                     if inputs.send(Input::Listing(listing)).await.is_err() {
                         return;
                     }
                 }
-                fed.inspect(|fed| fed.watch(true));
+                peer_lists.inspect(|peer_lists| peer_lists.watch(true));
             }
         }
     };
--- a/crates/emberpin-limiter/src/upstream/driver.rs
+++ b/crates/emberpin-limiter/src/upstream/driver.rs
@@ -1,5 +1,5 @@
-//! The only owner of the decision module: takes inputs, the list of servers, orders by hand and what another process
-//! tells, and gives them to the engine that hosts it. No decision is taken here.
+//! The only owner of the engine: takes inputs, the list of servers, operators' orders and the messages of a sibling
+//! process, and passes them to the decision module. No decision is taken here.
 
 use crate::between::handover::{Given, Pairing, Shared};
 use crate::between::peers::Peers;
@@ -8,11 +8,11 @@
 use crate::operate::config::Config;
 use crate::operate::door::{Order, Unknown};
 use crate::operate::figures::Figures;
-use crate::upstream::asking::Asking;
-use crate::upstream::believed::Believed;
 use crate::upstream::engine::Engine;
-use crate::upstream::fed::Fed;
+use crate::upstream::list_calls::ListCalls;
+use crate::upstream::list_trust::ListTrust;
 use crate::upstream::listing::{server_id, Entry, Listing, State, Teller};
+use crate::upstream::peer_lists::PeerLists;
 use crate::upstream::roster::Roster;
 use crate::upstream::server::{Pool, Upstream};
 use emberpin_balancer::host_config::IndexNames;
@@ -32,54 +32,54 @@
     roster: Roster,
     figures: Arc<Figures>,
     peers: Option<Rc<Peers>>,
-    asking: Rc<Asking>,
+    list_calls: Rc<ListCalls>,
     refetch: Rc<Notify>,
     /// Where `[start]` is on: which lists hold.
-    believed: Option<Rc<Believed>>,
-    fed: Option<Rc<Fed>>,
+    list_trust: Option<Rc<ListTrust>>,
+    peer_lists: Option<Rc<PeerLists>>,
     /// The version of the list, and which list service it is from.
     rev: u64,
     place: u32,
-    /// The other process of this limiter, during an upgrade.
+    /// The sibling process of this limiter, during an upgrade.
     other: Option<mpsc::Sender<Shared>>,
 }
 
-/// What the driver works with.
+/// The limiter's parts that the driver uses.
 pub struct Parts {
     pub clock: Clock,
     pub inputs: mpsc::Sender<Input>,
     pub peers: Option<Rc<Peers>>,
-    pub asking: Rc<Asking>,
-    pub believed: Option<Rc<Believed>>,
-    pub fed: Option<Rc<Fed>>,
+    pub list_calls: Rc<ListCalls>,
+    pub list_trust: Option<Rc<ListTrust>>,
+    pub peer_lists: Option<Rc<PeerLists>>,
     pub refetch: Rc<Notify>,
     pub figures: Arc<Figures>,
     pub pool: Rc<Pool>,
 }
 
-/// What the driver takes beside inputs, and before them.
+/// What the driver receives beside inputs, and before them.
 pub struct Callers {
-    /// From the operators' door.
+    /// Orders of operators.
     pub orders: mpsc::Receiver<Order>,
-    /// From the host of an upgrade.
+    /// Events of an upgrade to or from a sibling process.
     pub pairings: mpsc::Receiver<Pairing>,
 }
 
 impl Driver {
-    /// Knows what the process before this one gave, if it did.
+    /// Starts with the state that the previous process handed over, if there was one.
     pub fn new(config: Config, parts: Parts, given: Option<Given>) -> Driver {
         let Parts {
             clock,
             inputs,
             peers,
-            asking,
-            believed,
-            fed,
+            list_calls,
+            list_trust,
+            peer_lists,
             refetch,
             figures,
             pool,
         } = parts;
-        spawn_local(pool.clone().retire());
+        spawn_local(pool.clone().expire_idle());
         let mut roster = Roster::default();
         let (gateway, known) = match given {
             None => (
@@ -128,12 +128,12 @@
             roster,
             figures,
             peers,
-            asking,
-            believed,
-            fed,
+            list_calls,
+            list_trust,
+            peer_lists,
             refetch,
         };
-        driver.list(Listing {
+        driver.apply_list(Listing {
             whole: true,
             ..known
         });
@@ -153,12 +153,12 @@
                 biased;
                 // First, as answers to them are due however much else there is.
                 Some(order) = callers.orders.recv() => self.carry_out_order(order),
-                Some(pairing) = callers.pairings.recv() => self.pair(pairing),
-                () = timer.as_mut(), if due.is_some() => self.fire(),
+                Some(pairing) = callers.pairings.recv() => self.on_pairing(pairing),
+                () = timer.as_mut(), if due.is_some() => self.on_timer(),
                 input = inputs.recv() => match input {
                     Some(input) => {
-                        self.take(input);
-                        self.carry_on();
+                        self.on_input(input);
+                        self.carry_out_other_actions();
                     }
                     None => return,
                 },
@@ -166,20 +166,20 @@
         }
     }
 
-    fn fire(&mut self) {
+    fn on_timer(&mut self) {
         self.engine.fire_timers();
-        self.carry_on();
-        self.show_pool();
+        self.carry_out_other_actions();
+        self.publish_pool_size();
     }
 
-    /// The module's timer comes often enough for figures that may be half a second late.
-    fn show_pool(&self) {
+    /// Publishes the number of servers. The module's timers fire often enough for figures that may be half a second late.
+    fn publish_pool_size(&self) {
         let PoolSize { listed, avoided } = self.engine.gateway.pool_size(self.engine.clock.now());
         self.figures.pool_size.set(listed as i64);
         self.figures.pool_ejected.set(avoided as i64);
     }
 
-    /// Takes a server out of service by hand, or puts it back; both may be said again.
+    /// Takes a server out of service for an operator, or puts it back; repeating either changes nothing.
     fn carry_out_order(&mut self, order: Order) {
         let Order {
             server: name,
@@ -194,14 +194,14 @@
             _ = done.send(Err(Unknown));
             return;
         };
-        self.maintain(server, &name, out);
+        self.set_maintenance(server, &name, out);
         if let Some(other) = &self.other {
             _ = other.try_send(Shared::Order { server: name, out });
         }
         _ = done.send(Ok(()));
     }
 
-    fn maintain(&mut self, server: ServerId, name: &str, out: bool) {
+    fn set_maintenance(&mut self, server: ServerId, name: &str, out: bool) {
         if self.engine.gateway.is_in_maintenance(server) != out {
             eprintln!(
                 "server {name} {} by hand",
@@ -212,20 +212,20 @@
                 }
             );
         }
-        self.feed(Event::Maintenance {
+        self.handle_event(Event::Maintenance {
             server,
             out_of_service: out,
         });
-        self.reach(server);
-        self.show_pool();
+        self.update_upstream(server);
+        self.publish_pool_size();
     }
 
-    /// Another process of this limiter came, went, or told something.
-    fn pair(&mut self, pairing: Pairing) {
+    /// A sibling process of this limiter came, went, or sent something.
+    fn on_pairing(&mut self, pairing: Pairing) {
         match pairing {
             Pairing::Give(give, other) => {
                 self.other = Some(other);
-                self.feed(Event::SiblingChanged { running: true });
+                self.handle_event(Event::SiblingChanged { running: true });
                 let (targets, names) = self.roster.all();
                 let (clock, gateway) = (self.engine.clock.now(), self.engine.gateway.to_handover());
                 // Nobody waits for it any more if the next process has died: its end is told, too.
@@ -233,24 +233,24 @@
             }
             Pairing::Paired(other) => {
                 self.other = Some(other);
-                self.feed(Event::SiblingChanged { running: true });
+                self.handle_event(Event::SiblingChanged { running: true });
             }
-            Pairing::Heard(Shared::Spent(spent)) => self.feed(Event::SiblingUsage(spent)),
+            Pairing::Heard(Shared::Spent(spent)) => self.handle_event(Event::SiblingUsage(spent)),
             Pairing::Heard(Shared::Order { server: name, out }) => {
                 let server = server_id(&name);
                 self.roster.name(server, &name);
-                self.maintain(server, &name, out);
+                self.set_maintenance(server, &name, out);
             }
             // The host of the upgrade has it.
             Pairing::Heard(Shared::Held(_)) => {}
             Pairing::Alone => {
                 self.other = None;
-                self.feed(Event::SiblingChanged { running: false });
+                self.handle_event(Event::SiblingChanged { running: false });
             }
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn on_input(&mut self, input: Input) {
         match input {
             Input::Request(request) => self.engine.on_request(request),
             Input::ClientGone(request) => self.engine.on_client_gone(request),
@@ -271,22 +271,22 @@
                 elapsed: ended.elapsed,
                 load: ended.load,
             }),
-            Input::Listing(listing) => self.told(listing),
+            Input::Listing(listing) => self.on_listing(listing),
             Input::Peer { from, bytes } => {
-                self.asking.heard(from, &bytes);
-                self.feed(Event::PeerMessage { from, bytes });
+                self.list_calls.heard(from, &bytes);
+                self.handle_event(Event::PeerMessage { from, bytes });
             }
         }
     }
 
-    /// Gives the module an event and does what it says.
-    fn feed(&mut self, event: Event) {
+    /// Passes an event to the decision module, and carries out its actions.
+    fn handle_event(&mut self, event: Event) {
         self.engine.handle_event(event);
-        self.carry_on();
+        self.carry_out_other_actions();
     }
 
-    /// Does what the module wants that concerns no request.
-    fn carry_on(&mut self) {
+    /// Carries out the module's actions that concern no request.
+    fn carry_out_other_actions(&mut self) {
         self.engine.sent_attempts.clear();
         for action in std::mem::take(&mut self.engine.other_actions) {
             match action {
@@ -308,10 +308,10 @@
         }
     }
 
-    /// Discovery has told something: where lists may be doubted, it holds as far as it is believed.
-    fn told(&mut self, listing: Listing) {
-        let Some(believed) = self.believed.clone() else {
-            return self.list(listing);
+    /// A list, or changes to it, arrived. Where lists may be doubted, it is applied only as far as it is trusted.
+    fn on_listing(&mut self, listing: Listing) {
+        let Some(list_trust) = self.list_trust.clone() else {
+            return self.apply_list(listing);
         };
         let here =
             |entry: &&Entry| matches!(entry, Entry::Target(target) if target.state != State::Gone);
@@ -340,22 +340,22 @@
         };
         let verdict = match sure {
             true => {
-                believed.take();
+                list_trust.take();
                 Verdict::Accept
             }
-            false => believed.judge(held, told, scope),
+            false => list_trust.judge(held, told, scope),
         };
         match verdict {
-            Verdict::Accept | Verdict::AcceptDespiteDoubt => self.list(listing),
-            Verdict::Merge => self.list(Listing {
+            Verdict::Accept | Verdict::AcceptDespiteDoubt => self.apply_list(listing),
+            Verdict::Merge => self.apply_list(Listing {
                 whole: false,
                 ..listing
             }),
             Verdict::Reject => return,
         }
-        believed.keep(self.rev, || self.roster.listed());
-        if let (Some(fed), false) = (&self.fed, believed.doubts()) {
-            fed.hold(
+        list_trust.keep(self.rev, || self.roster.listed());
+        if let (Some(peer_lists), false) = (&self.peer_lists, list_trust.doubts()) {
+            peer_lists.hold(
                 self.rev,
                 teller,
                 verdict == Verdict::AcceptDespiteDoubt,
@@ -365,7 +365,7 @@
     }
 
     /// Applies the list to the servers here first, so that what is being sent sees a drain at once.
-    fn list(&mut self, listing: Listing) {
+    fn apply_list(&mut self, listing: Listing) {
         (self.rev, self.place) = (listing.rev, listing.place);
         let mut named = BTreeSet::new();
         let mut lines = Vec::new();
@@ -377,7 +377,7 @@
             named.insert(id);
             let line = target.server(&self.names);
             self.roster.note(id, target);
-            self.reach(id);
+            self.update_upstream(id);
             lines.extend(line);
         }
         if listing.whole {
@@ -389,36 +389,36 @@
                 .filter(|id| !named.contains(id))
                 .copied()
                 .collect();
-            missing.into_iter().for_each(|id| self.reach(id));
+            missing.into_iter().for_each(|id| self.update_upstream(id));
         }
-        self.feed(Event::Membership(match listing.whole {
+        self.handle_event(Event::Membership(match listing.whole {
             true => MembershipUpdate::Full(lines),
             false => MembershipUpdate::Changes(lines),
         }));
-        if let Some(believed) = &self.believed {
-            believed.see(self.engine.upstreams.len());
+        if let Some(list_trust) = &self.list_trust {
+            list_trust.see(self.engine.upstreams.len());
         }
     }
 
-    /// Opens or shuts the way to a server, by the list and by hand; a new life or address of it starts without
-    /// connections.
-    fn reach(&mut self, id: ServerId) {
+    /// Opens or closes the upstream of a server, by the list and by maintenance; a new incarnation or address of it starts
+    /// without connections.
+    fn update_upstream(&mut self, id: ServerId) {
         let place = self
             .roster
-            .place(id)
+            .ready_instance(id)
             .filter(|_| !self.engine.gateway.is_in_maintenance(id));
         if place.is_some()
             && self
                 .engine
                 .upstreams
                 .get(&id)
-                .map(|upstream| upstream.place)
+                .map(|upstream| upstream.server)
                 == place
         {
             return;
         }
         if let Some(known) = self.engine.upstreams.remove(&id) {
-            known.shut();
+            known.close();
         }
         if let Some(place) = place {
             self.engine
--- a/crates/emberpin-limiter/src/upstream/asking.rs
+++ b/crates/emberpin-limiter/src/upstream/list_calls.rs
@@ -10,24 +10,24 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-/// Lives that began within this time of each other, in milliseconds, are one common start.
+/// Incarnations that began within this time of each other, in milliseconds, are one common start.
 const TOGETHER: f64 = 2_000.0;
 
-/// The calls of this life.
-pub struct Asking {
+/// When this incarnation of the limiter calls the list service.
+pub struct ListCalls {
     calls: RefCell<CallSchedule>,
     random: RefCell<oorandom::Rand64>,
     began: Instant,
-    /// The same on the clock that all limiters share, in milliseconds.
+    /// When this incarnation began, in milliseconds of the clock that all limiters share.
     life: f64,
     asked: Cell<bool>,
     heard: Notify,
 }
 
-impl Asking {
-    /// For a life that starts now, at so many milliseconds of the clock that all limiters share; one that goes on for
-    /// another process asks at once.
-    pub fn new(config: &Config, now: f64, goes_on: bool) -> Rc<Asking> {
+impl ListCalls {
+    /// Starts at `now` milliseconds of the clock that all limiters share. With `goes_on`, which means that another process
+    /// handed over its state, the first call is made at once.
+    pub fn new(config: &Config, now: f64, goes_on: bool) -> Rc<ListCalls> {
         let mut random = oorandom::Rand64::new(u128::from(config.seed));
         let place = GroupPosition {
             number: config.settings.gateway_id.0,
@@ -43,7 +43,7 @@
             true => CallSchedule::staggered(place, power, random.rand_float()),
             false => CallSchedule::immediate(place),
         };
-        Rc::new(Asking {
+        Rc::new(ListCalls {
             calls: RefCell::new(calls),
             random: RefCell::new(random),
             began: Instant::now(),
@@ -69,7 +69,7 @@
         self.calls.borrow().first_call_at()
     }
 
-    /// The first call is made now.
+    /// Records that the first call is made now.
     pub fn ask(&self) {
         self.asked.set(true);
     }
@@ -79,7 +79,7 @@
         self.heard.notified().await;
     }
 
-    /// A message of a peer came.
+    /// Takes a peer's message, which shows that the peer runs and since when.
     pub fn heard(&self, from: GatewayId, bytes: &[u8]) {
         if self.asked.get() {
             return;
@@ -96,13 +96,13 @@
         self.heard.notify_one();
     }
 
-    /// The pause after a call that ended so.
+    /// The delay before the next call, after one that ended with this outcome.
     pub fn pause(&self, ended: CallOutcome) -> Duration {
         let draw = self.random.borrow_mut().rand_float();
         self.calls.borrow_mut().next_delay(ended, draw)
     }
 
-    /// The service is another one from now on.
+    /// Another list service is used from now on.
     pub fn moved(&self) {
         self.calls.borrow_mut().on_service_changed();
     }
--- a/crates/emberpin-limiter/src/upstream/kept.rs
+++ b/crates/emberpin-limiter/src/upstream/list_snapshot.rs
@@ -18,24 +18,24 @@
 const EVERY: Duration = Duration::from_secs(1);
 
 /// Where one instance's snapshot is.
-pub struct Kept {
+pub struct ListSnapshot {
     folder: PathBuf,
     owner: String,
     /// What is to be written next; a newer list takes its place.
     next: Arc<(Mutex<Option<Vec<u8>>>, Condvar)>,
 }
 
-impl Kept {
+impl ListSnapshot {
     /// The instance's snapshot, if the operator wants one.
     ///
     /// # Errors
     ///
     /// No thread can be had.
-    pub fn start(config: &Config) -> Result<Option<Kept>, String> {
+    pub fn start(config: &Config) -> Result<Option<ListSnapshot>, String> {
         let (Some(start), Some(folder)) = (&config.start, &config.snapshot) else {
             return Ok(None);
         };
-        let kept = Kept {
+        let kept = ListSnapshot {
             folder: folder.clone(),
             owner: format!("{}/{}", start.site, config.name),
             next: Arc::default(),
--- a/crates/emberpin-limiter/src/upstream/believed.rs
+++ b/crates/emberpin-limiter/src/upstream/list_trust.rs
@@ -2,7 +2,7 @@
 //! `emberpin_startup` with a clock, a random source and a disk.
 
 use crate::operate::config::Config;
-use crate::upstream::kept::Kept;
+use crate::upstream::list_snapshot::ListSnapshot;
 use crate::upstream::listing::Target;
 use emberpin_startup::list_guard::{GuardConfig, ListGuard, ListScope, ListSummary, Verdict};
 use emberpin_startup::readiness::Readiness;
@@ -13,26 +13,30 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 /// The doubts, the snapshot and the readiness of one limiter.
-pub struct Believed {
+pub struct ListTrust {
     began: Instant,
     trust: RefCell<ListGuard>,
     ready: RefCell<Readiness>,
     /// When it is ready whatever is known.
     limit: Instant,
     is_ready: watch::Sender<bool>,
-    kept: Option<Kept>,
+    kept: Option<ListSnapshot>,
     random: RefCell<oorandom::Rand64>,
     refetch: Rc<Notify>,
     /// The whole list will be asked for again.
     asks_again: Cell<bool>,
 }
 
-impl Believed {
+impl ListTrust {
     /// Nothing is doubted yet; `None` where `[start]` is off.
-    pub fn start(config: &Config, kept: Option<Kept>, refetch: Rc<Notify>) -> Option<Rc<Believed>> {
+    pub fn start(
+        config: &Config,
+        kept: Option<ListSnapshot>,
+        refetch: Rc<Notify>,
+    ) -> Option<Rc<ListTrust>> {
         let start = config.start.as_ref()?;
         let began = Instant::now();
-        Some(Rc::new(Believed {
+        Some(Rc::new(ListTrust {
             began,
             trust: RefCell::new(ListGuard::new(GuardConfig {
                 min_retained_share: start.keep_share,
--- a/crates/emberpin-limiter/src/upstream/told.rs
+++ b/crates/emberpin-limiter/src/upstream/list_watch.rs
@@ -1,41 +1,45 @@
-//! What a watch of the list service tells, cut out of its bytes: one listing a line or indented over several lines, and empty
-//! lines while there is nothing new. No I/O.
+//! Parses the stream of a watch of the list service: listings, each on one line or indented over several, and empty lines
+//! as keep-alives. No I/O.
 
 use crate::upstream::listing::Listing;
 
 /// Longest listing; a watch that sends more is broken.
 const LONGEST: usize = 1 << 20;
 
-/// One thing that a watch told.
+/// One event of a watch.
 #[derive(Debug)]
-pub enum Told {
-    /// The service lives, and has nothing newer.
+pub enum WatchEvent {
+    /// A keep-alive: the service has nothing newer.
     Nothing,
     /// A list, or changes to it.
     Listing(Listing),
 }
 
-/// A listing cannot be read, and may have held a drain: what it said is to be asked for again.
+/// A listing cannot be parsed. It may have said that a server drains, so the list must be fetched again.
 #[derive(Debug, PartialEq)]
-pub struct Garbled;
+pub struct InvalidListing;
 
-/// The bytes of one watch.
+/// The state of parsing one watch.
 #[derive(Debug, Default)]
-pub struct Watch {
+pub struct WatchParser {
     held: Vec<u8>,
-    /// So many of them were looked at.
+    /// How many of these bytes were parsed.
     seen: usize,
-    /// The line that is looked at began here.
+    /// Where the present line began.
     line: usize,
-    /// Objects and arrays that are open.
+    /// How many objects and arrays are open.
     depth: usize,
     in_text: bool,
     escaped: bool,
 }
 
-impl Watch {
-    /// Takes bytes in, and says what they told. After [`Garbled`] the watch is to be begun anew.
-    pub fn take(&mut self, bytes: &[u8]) -> Result<Vec<Told>, Garbled> {
+impl WatchParser {
+    /// Takes bytes of the stream, and returns the events that they complete.
+    ///
+    /// # Errors
+    ///
+    /// [`InvalidListing`] for what is no listing or too long; the watch must be started anew.
+    pub fn take(&mut self, bytes: &[u8]) -> Result<Vec<WatchEvent>, InvalidListing> {
         self.held.extend_from_slice(bytes);
         let mut told = Vec::new();
         while let Some(byte) = self.held.get(self.seen).copied() {
@@ -55,18 +59,18 @@
             }
         }
         if self.held.len() > LONGEST {
-            return Err(Garbled);
+            return Err(InvalidListing);
         }
         Ok(told)
     }
 
     /// A line has ended: a listing with it, if nothing is open any more.
-    fn ends_line(&mut self) -> Result<Option<Told>, Garbled> {
+    fn ends_line(&mut self) -> Result<Option<WatchEvent>, InvalidListing> {
         let line = self.held[self.line..self.seen].trim_ascii();
         let first = self.line == 0;
         if first && line.is_empty() {
             self.begin();
-            return Ok(Some(Told::Nothing));
+            return Ok(Some(WatchEvent::Nothing));
         }
         if self.depth > 0 {
             // An indented listing opens on a line of its own, and holds no empty line and no other's beginning. What else
@@ -80,20 +84,21 @@
             return if goes_on && !self.in_text {
                 Ok(None)
             } else {
-                Err(Garbled)
+                Err(InvalidListing)
             };
         }
-        let listing = serde_json::from_slice(&self.held[..self.seen]).map_err(|_| Garbled)?;
+        let listing =
+            serde_json::from_slice(&self.held[..self.seen]).map_err(|_| InvalidListing)?;
         self.begin();
-        Ok(Some(Told::Listing(listing)))
+        Ok(Some(WatchEvent::Listing(listing)))
     }
 
     /// The next thing begins.
     fn begin(&mut self) {
         self.held.drain(..self.seen);
-        *self = Watch {
+        *self = WatchParser {
             held: std::mem::take(&mut self.held),
-            ..Watch::default()
+            ..WatchParser::default()
         };
     }
 }
@@ -110,13 +115,15 @@
     }
 
     /// What all of this told, in words, byte by byte or at once.
-    fn told(text: &str, piece: usize) -> Result<Vec<String>, Garbled> {
-        let mut watch = Watch::default();
+    fn told(text: &str, piece: usize) -> Result<Vec<String>, InvalidListing> {
+        let mut watch = WatchParser::default();
         let mut all = Vec::new();
         for bytes in text.as_bytes().chunks(piece) {
             all.extend(watch.take(bytes)?.into_iter().map(|told| match told {
-                Told::Nothing => "nothing".to_string(),
-                Told::Listing(listing) => format!("{} of {}", listing.targets.len(), listing.rev),
+                WatchEvent::Nothing => "nothing".to_string(),
+                WatchEvent::Listing(listing) => {
+                    format!("{} of {}", listing.targets.len(), listing.rev)
+                }
             }));
         }
         Ok(all)
@@ -153,7 +160,7 @@
         for text in garbled {
             assert_eq!(
                 told(&text, 512).expect_err("garbled"),
-                Garbled,
+                InvalidListing,
                 "{text:.80}"
             );
         }
@@ -162,7 +169,7 @@
     proptest::proptest! {
         #[test]
         fn no_bytes_panic_or_are_held_without_bound(bytes in proptest::collection::vec(proptest::prelude::any::<u8>(), 0..400)) {
-            let mut watch = Watch::default();
+            let mut watch = WatchParser::default();
             _ = watch.take(&bytes);
             proptest::prop_assert!(watch.held.len() <= 400);
         }
--- a/crates/emberpin-limiter/src/upstream/fed.rs
+++ b/crates/emberpin-limiter/src/upstream/peer_lists.rs
@@ -4,7 +4,7 @@
 use crate::between::link::{Link, News, LISTS, LONGEST};
 use crate::messages::Input;
 use crate::operate::config::Config;
-use crate::upstream::asking::Asking;
+use crate::upstream::list_calls::ListCalls;
 use crate::upstream::listing::{Entry, Listing, Target, Teller};
 use emberpin_startup::list_dissemination::{Action, DisseminationConfig, ListDissemination};
 use emberpin_startup::list_messages::{Incarnation, ListMessage, ListVersion};
@@ -26,7 +26,7 @@
 const AROUND: usize = 1024;
 
 /// What peers and this limiter tell each other of the list.
-pub struct Fed {
+pub struct PeerLists {
     core: RefCell<ListDissemination>,
     link: Rc<Link>,
     began: Instant,
@@ -61,14 +61,14 @@
     }
 }
 
-impl Fed {
+impl PeerLists {
     /// `None` where lists are not told over the link.
     pub fn start(
         config: &Config,
         link: Option<&Rc<Link>>,
         superseded: mpsc::UnboundedSender<()>,
         inputs: mpsc::Sender<Input>,
-    ) -> Option<Rc<Fed>> {
+    ) -> Option<Rc<PeerLists>> {
         let callers = config.start.as_ref()?.callers?;
         let ((settings, number), link) = (config.link.as_ref()?, link?);
         let members: BTreeSet<u32> = settings
@@ -97,7 +97,7 @@
             .start
             .as_ref()
             .and_then(|start| start.list_service.clone());
-        let fed = Rc::new(Fed {
+        let fed = Rc::new(PeerLists {
             core: RefCell::new(core),
             link: link.clone(),
             began: Instant::now(),
@@ -119,7 +119,7 @@
     }
 
     /// Returns when this limiter is to call the service itself.
-    pub async fn turn(&self, asking: &Asking) {
+    pub async fn turn(&self, asking: &ListCalls) {
         loop {
             let due = self.core.borrow().call_due_at(asking.slot());
             let due = async {
@@ -273,7 +273,7 @@
 
 /// Carries out what neighbours tell, and lets time pass.
 async fn listen(
-    fed: Weak<Fed>,
+    fed: Weak<PeerLists>,
     mut heard: mpsc::UnboundedReceiver<News>,
     near: BTreeSet<u32>,
     superseded: mpsc::UnboundedSender<()>,
--- a/crates/emberpin-limiter/src/upstream/roster.rs
+++ b/crates/emberpin-limiter/src/upstream/roster.rs
@@ -10,12 +10,12 @@
 /// Most names that are remembered; the one that was named first gives way.
 const MOST: usize = 65_536;
 
-/// Where a life of a server is reached.
+/// One incarnation of a server, and where it is reached.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerInstance {
     /// Where it listens.
     pub address: SocketAddr,
-    /// When it started, in Unix milliseconds; 0 where that is not told.
+    /// When it started, in Unix milliseconds; 0 where that is unknown.
     pub boot_ms: f64,
 }
 
@@ -86,7 +86,7 @@
     }
 
     /// Where it is reached, if the list has it ready.
-    pub fn place(&self, id: ServerId) -> Option<ServerInstance> {
+    pub fn ready_instance(&self, id: ServerId) -> Option<ServerInstance> {
         let target = self
             .listed
             .get(&id)
@@ -123,12 +123,15 @@
         let ready = target("s-1", 1, State::Ready);
         roster.note(ready.id(), &ready);
         let id = roster.find("s-1").expect("listed");
-        assert_eq!(roster.place(id).expect("ready").address.port(), 1);
+        assert_eq!(roster.ready_instance(id).expect("ready").address.port(), 1);
         roster.keep(|_| false);
-        assert_eq!((roster.find("s-1"), roster.place(id)), (Some(id), None));
+        assert_eq!(
+            (roster.find("s-1"), roster.ready_instance(id)),
+            (Some(id), None)
+        );
         let moved = target("s-1", 2, State::Ready);
         roster.note(moved.id(), &moved);
-        assert_eq!(roster.place(id).expect("ready").address.port(), 2);
+        assert_eq!(roster.ready_instance(id).expect("ready").address.port(), 2);
         assert_eq!(roster.find("s-2"), None);
     }
 
--- a/crates/emberpin-limiter/src/upstream/server/exchange.rs
+++ b/crates/emberpin-limiter/src/upstream/server/exchange.rs
@@ -90,7 +90,7 @@
             wire: &*wire,
             mark: mark.as_ref(),
             may_stream: outgoing.is_some_and(|outgoing| outgoing.may_stream),
-            buffer_limit: self.pool.limits.hold,
+            buffer_limit: self.pool.limits.buffered_response_bytes,
         };
         let (progress, idle_time) = (connection.progress.clone(), connection.idle_time);
         let request = request.map(|body| SentBody::new(body, progress.clone()));
--- a/crates/emberpin-limiter/src/upstream/server/pool.rs
+++ b/crates/emberpin-limiter/src/upstream/server/pool.rs
@@ -1,7 +1,7 @@
 //! The idle connections to all servers, and the process's limit on sockets to them.
 
 use super::connection::{ConnectError, ServerConnection};
-use crate::front::room::Room;
+use crate::front::socket_budget::SocketBudget;
 use crate::operate::figures::Figures;
 use crate::upstream::lifetimes::Lifetimes;
 use crate::upstream::wire::Wire;
@@ -26,7 +26,7 @@
     pub(super) wire: Rc<dyn Wire>,
     pub(super) figures: Arc<Figures>,
     sockets: Arc<Semaphore>,
-    room: Rc<Room>,
+    socket_budget: Rc<SocketBudget>,
     /// The longest idle first.
     idle: RefCell<Vec<IdleConnection>>,
     /// How long idle connections really last, learned from use, whatever the settings say.
@@ -42,14 +42,14 @@
     /// An idle connection is closed after this time, or earlier where the server has said so.
     pub idle: Duration,
     /// Most idle connections to one server.
-    pub most_idle: usize,
+    pub max_idle_per_server: usize,
     /// Most connections to all servers.
     pub sockets: usize,
     /// A connection ends when the server's machine has acknowledged nothing for this long; `None` leaves that to the
     /// operating system.
     pub unacknowledged: Option<Duration>,
     /// Bytes of a response that are buffered: one that breaks off within them may be retried.
-    pub hold: usize,
+    pub buffered_response_bytes: usize,
 }
 
 /// Which upstream a connection belongs to; unique within a pool, so that connections to an earlier incarnation are
@@ -69,13 +69,13 @@
         limits: PoolLimits,
         wire: Rc<dyn Wire>,
         figures: Arc<Figures>,
-        room: Rc<Room>,
+        socket_budget: Rc<SocketBudget>,
     ) -> Rc<Pool> {
         Rc::new(Pool {
             sockets: Arc::new(Semaphore::new(limits.sockets)),
             limits,
             wire,
-            room,
+            socket_budget,
             idle: RefCell::default(),
             lifetimes: RefCell::default(),
             next_key: Cell::new(0),
@@ -89,13 +89,13 @@
 
     /// Leaves to a sibling process of this limiter the sockets that it holds, for as long as the process runs. Idle
     /// connections are closed for them first.
-    pub async fn share(self: Rc<Self>) {
-        let mut changes = self.room.changes();
+    pub async fn track_sibling(self: Rc<Self>) {
+        let mut changes = self.socket_budget.changes();
         let mut reserved: Option<OwnedSemaphorePermit> = None;
         loop {
             self.reserve_for_sibling(&mut reserved);
             let reserved_count = permits(&reserved);
-            self.room.hold_servers(
+            self.socket_budget.set_servers(
                 self.limits.sockets - reserved_count - self.sockets.available_permits(),
             );
             // Without a sibling nobody reads the count, so the loop sleeps until one appears.
@@ -112,8 +112,8 @@
     /// allow.
     fn reserve_for_sibling(&self, reserved: &mut Option<OwnedSemaphorePermit>) {
         let wanted = self
-            .room
-            .servers_elsewhere()
+            .socket_budget
+            .sibling_servers()
             .min(self.limits.sockets.saturating_sub(MIN_SOCKETS));
         let has = permits(reserved);
         if wanted < has {
@@ -139,7 +139,7 @@
     }
 
     /// Closes idle connections that have expired or can carry no request any more, for as long as the process runs.
-    pub async fn retire(self: Rc<Self>) {
+    pub async fn expire_idle(self: Rc<Self>) {
         let mut ticks = interval(IDLE_CHECK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -211,7 +211,7 @@
     /// Keeps a connection for the next request, or closes it if the upstream has enough idle ones.
     pub(super) fn keep(&self, key: UpstreamKey, connection: ServerConnection) {
         let mut idle = self.idle.borrow_mut();
-        if idle.iter().filter(|idle| idle.key == key).count() < self.limits.most_idle {
+        if idle.iter().filter(|idle| idle.key == key).count() < self.limits.max_idle_per_server {
             idle.push(IdleConnection {
                 key,
                 connection,
--- a/crates/emberpin-limiter/src/upstream/server/upstream.rs
+++ b/crates/emberpin-limiter/src/upstream/server/upstream.rs
@@ -20,7 +20,7 @@
 /// The way to one incarnation of one server.
 pub struct Upstream {
     /// Where it is reached.
-    pub place: ServerInstance,
+    pub server: ServerInstance,
     /// What distinguishes this incarnation from another, where requests say which one they are meant for.
     pub(super) instance: Option<HeaderValue>,
     pub(super) pool: Rc<Pool>,
@@ -31,19 +31,19 @@
 
 impl Upstream {
     /// The way to a server at this place.
-    pub fn new(place: ServerInstance, pool: Rc<Pool>) -> Rc<Upstream> {
-        Upstream::of_instance(place, None, pool)
+    pub fn new(server: ServerInstance, pool: Rc<Pool>) -> Rc<Upstream> {
+        Upstream::of_instance(server, None, pool)
     }
 
     /// The way to this incarnation of a server, which requests name by `instance`.
     pub fn of_instance(
-        place: ServerInstance,
+        server: ServerInstance,
         instance: Option<HeaderValue>,
         pool: Rc<Pool>,
     ) -> Rc<Upstream> {
         let key = pool.new_key();
         Rc::new(Upstream {
-            place,
+            server,
             instance,
             pool,
             key,
@@ -57,7 +57,7 @@
     }
 
     /// Stops new attempts, those that are still connecting included. Attempts under way go on.
-    pub fn shut(&self) {
+    pub fn close(&self) {
         self.open.set(false);
         self.close_idle();
     }
@@ -163,7 +163,7 @@
 
     /// Whether the server accepts a connection now, which is kept for the next request. True also if no socket is free to
     /// find out.
-    pub async fn answers(&self) -> bool {
+    pub async fn accepts_connections(&self) -> bool {
         match timeout(self.pool.limits.connect, self.connect(None)).await {
             Ok(Ok(connection)) => {
                 self.pool.keep(self.key, connection);
@@ -180,7 +180,7 @@
         max_idle_time: Option<Duration>,
     ) -> Result<ServerConnection, ConnectError> {
         self.pool
-            .connect(self.key, self.place.address, max_idle_time)
+            .connect(self.key, self.server.address, max_idle_time)
             .await
     }
 
--- a/crates/emberpin-proxy/src/connection_pool.rs
+++ b/crates/emberpin-proxy/src/connection_pool.rs
@@ -1,7 +1,7 @@
 //! The connections that the process may have, and the pool of those to servers.
 
 use crate::wire::GatewayWire;
-use emberpin_limiter::host::{Figures, Pool, PoolLimits, Room};
+use emberpin_limiter::host::{Figures, Pool, PoolLimits, SocketBudget};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -49,16 +49,25 @@
 }
 
 /// Starts the pool of connections to servers.
-pub fn start_pool(max_sockets: usize, figures: &Arc<Figures>, room: &Rc<Room>) -> Rc<Pool> {
+pub fn start_pool(
+    max_sockets: usize,
+    figures: &Arc<Figures>,
+    socket_budget: &Rc<SocketBudget>,
+) -> Rc<Pool> {
     let limits = PoolLimits {
         connect: CONNECT_TIMEOUT,
         idle: IDLE_TIMEOUT,
-        most_idle: MAX_IDLE_PER_SERVER,
+        max_idle_per_server: MAX_IDLE_PER_SERVER,
         sockets: max_sockets,
         unacknowledged: Some(UNACKNOWLEDGED_TIMEOUT),
-        hold: BUFFERED_RESPONSE_BYTES,
+        buffered_response_bytes: BUFFERED_RESPONSE_BYTES,
     };
-    let pool = Pool::new(limits, Rc::new(GatewayWire), figures.clone(), room.clone());
-    spawn_local(pool.clone().retire());
+    let pool = Pool::new(
+        limits,
+        Rc::new(GatewayWire),
+        figures.clone(),
+        socket_budget.clone(),
+    );
+    spawn_local(pool.clone().expire_idle());
     pool
 }
--- a/crates/emberpin-proxy/src/controller/probing.rs
+++ b/crates/emberpin-proxy/src/controller/probing.rs
@@ -64,7 +64,7 @@
         if !upstream.is_open() {
             return;
         }
-        if upstream.answers().await {
+        if upstream.accepts_connections().await {
             break;
         }
         pause = (pause * 2).min(PROBE_BACKOFF.max);
--- a/crates/emberpin-proxy/src/lib.rs
+++ b/crates/emberpin-proxy/src/lib.rs
@@ -29,7 +29,7 @@
 
 use connection_pool::{start_pool, ConnectionBudget};
 use controller::Controller;
-use emberpin_limiter::host::{ClientLimits, Figures, Phase, Reception, Room};
+use emberpin_limiter::host::{ClientLimits, Figures, Phase, Reception, SocketBudget};
 use emberpin_runtime::settings::Settings;
 use frontend::{ClientFrontend, ReadinessHandler};
 use listener::listen;
@@ -107,14 +107,14 @@
         let (http, readyz) = (listen(http)?, listen(readyz)?);
         let budget = ConnectionBudget::of(settings.max_open_files);
         let figures = Figures::new(&["all".to_string()]).map_err(ProxyError::Metrics)?;
-        let room = Rc::new(Room::new(None));
-        let pool = start_pool(budget.servers, &figures, &room);
+        let socket_budget = Rc::new(SocketBudget::new(None));
+        let pool = start_pool(budget.servers, &figures, &socket_budget);
         let (commands, queued_commands) = mpsc::channel(MAX_QUEUED_COMMANDS);
         let reception = Reception::new(
             Phase::Serving,
             budget.clients,
             ClientLimits::default(),
-            room.clone(),
+            socket_budget.clone(),
         );
         let controller = Controller::new(&settings, pool, reception.clone(), &commands);
         let published = controller.published_state();
@@ -122,7 +122,7 @@
         let frontend =
             ClientFrontend::new(published.clone(), commands.clone(), figures, stream_slots);
         let accepting = spawn_local(reception.clone().accept(frontend, http, false));
-        serve_readiness(published.clone(), readyz, room);
+        serve_readiness(published.clone(), readyz, socket_budget);
         let sessions = RegistrySessions::start(settings, commands);
         let controller = spawn_local(controller.run(queued_commands));
         Ok(Proxy {
@@ -135,12 +135,16 @@
     }
 }
 
-fn serve_readiness(published: Rc<PublishedState>, listener: TcpListener, room: Rc<Room>) {
+fn serve_readiness(
+    published: Rc<PublishedState>,
+    listener: TcpListener,
+    socket_budget: Rc<SocketBudget>,
+) {
     let reception = Reception::new(
         Phase::Serving,
         MAX_READINESS_CONNECTIONS,
         ClientLimits::default(),
-        room,
+        socket_budget,
     );
     let handler = Rc::new(ReadinessHandler(published));
     spawn_local(reception.accept(handler, listener, false));
--- a/crates/emberpin-proxy/src/service/mod.rs
+++ b/crates/emberpin-proxy/src/service/mod.rs
@@ -173,7 +173,7 @@
 
     fn close_connections(&mut self, server: ServerId) {
         if let Some(upstream) = self.engine.upstreams.remove(&server) {
-            upstream.shut();
+            upstream.close();
         }
     }
 
--- a/crates/emberpin-proxy/tests/server_selection.rs
+++ b/crates/emberpin-proxy/tests/server_selection.rs
@@ -7,7 +7,7 @@
 use emberpin_balancer::Outcome;
 use emberpin_config::ItemKind;
 use emberpin_limiter::host::{
-    Figures, Pool, PoolLimits, RequestBody, Room, ServerInstance, Upstream, UpstreamRequest,
+    Figures, Pool, PoolLimits, RequestBody, ServerInstance, SocketBudget, Upstream, UpstreamRequest,
 };
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_proxy::wire::GatewayWire;
@@ -266,17 +266,17 @@
     let limits = PoolLimits {
         connect: common::WAIT_LIMIT,
         idle: common::WAIT_LIMIT,
-        most_idle: 4,
+        max_idle_per_server: 4,
         sockets: 40,
         unacknowledged: None,
-        hold: 1 << 20,
+        buffered_response_bytes: 1 << 20,
     };
     let figures = Figures::new(&["all".to_string()]).expect("figures");
     let pool = Pool::new(
         limits,
         Rc::new(GatewayWire),
         figures,
-        Rc::new(Room::new(None)),
+        Rc::new(SocketBudget::new(None)),
     );
     let upstream = Upstream::new(
         ServerInstance {
@@ -317,7 +317,7 @@
 #[tokio::test]
 async fn a_request_that_waits_for_a_connection_is_not_sent_to_a_draining_server(
 ) -> googletest::Result<()> {
-    expect_unsent_after(|upstream, _| upstream.shut()).await
+    expect_unsent_after(|upstream, _| upstream.close()).await
 }
 
 /// Guards the check of `withdrawn` at the same point: its route leads elsewhere by then.
--- a/crates/emberpin-proxy/tests/traffic_classes.rs
+++ b/crates/emberpin-proxy/tests/traffic_classes.rs
@@ -2,7 +2,7 @@
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_config::{Target, Version};
-use emberpin_limiter::host::{Figures, Pool, PoolLimits, Room};
+use emberpin_limiter::host::{Figures, Pool, PoolLimits, SocketBudget};
 use emberpin_proxy::service::{ClassCounts, Service};
 use emberpin_proxy::wire::GatewayWire;
 use emberpin_routing::{Route, RouteKind};
@@ -19,17 +19,17 @@
     let limits = PoolLimits {
         connect: Duration::from_millis(150),
         idle: Duration::from_secs(5),
-        most_idle: 4,
+        max_idle_per_server: 4,
         sockets: 40,
         unacknowledged: None,
-        hold: 1 << 20,
+        buffered_response_bytes: 1 << 20,
     };
     let figures = Figures::new(&["all".to_string()]).expect("figures");
     let pool = Pool::new(
         limits,
         Rc::new(GatewayWire),
         figures,
-        Rc::new(Room::new(None)),
+        Rc::new(SocketBudget::new(None)),
     );
     Service::new(pool, mpsc::channel(1).0, 7, Instant::now())
 }
