--- a/crates/emberpin-peering/src/peer.rs
+++ b/crates/emberpin-peering/src/peer.rs
@@ -115,7 +115,7 @@
     /// When something was last received from it, on either connection.
     pub last_contact_at: Timestamp,
     /// The last pause before an attempt to connect; zero since the last successful handshake.
-    pub reconnect_pause: Duration,
+    pub reconnect_delay: Duration,
     pub outgoing: OutgoingConnection,
     /// The connection that the peer opened, after its handshake.
     pub incoming: Option<ConnectionId>,
@@ -136,7 +136,7 @@
                 closed_by_peer: false,
             },
             last_contact_at: now,
-            reconnect_pause: Duration::ZERO,
+            reconnect_delay: Duration::ZERO,
             outgoing: OutgoingConnection::Idle { retry_at: now },
             incoming: None,
             accepted_this_incarnation: false,
@@ -145,13 +145,13 @@
 
     /// Schedules the next attempt to connect, after an attempt failed or the connection ended.
     pub fn schedule_reconnect(&mut self, now: Timestamp, backoff: Backoff) {
-        self.reconnect_pause = if self.reconnect_pause.is_zero() {
+        self.reconnect_delay = if self.reconnect_delay.is_zero() {
             backoff.initial
         } else {
-            self.reconnect_pause.saturating_mul(2).min(backoff.max)
+            self.reconnect_delay.saturating_mul(2).min(backoff.max)
         };
         self.outgoing = OutgoingConnection::Idle {
-            retry_at: now + self.reconnect_pause,
+            retry_at: now + self.reconnect_delay,
         };
     }
 }
--- a/crates/emberpin-peering/src/peering/handshake.rs
+++ b/crates/emberpin-peering/src/peering/handshake.rs
@@ -222,7 +222,7 @@
             incarnation.nonce,
             self.now,
         ));
-        peer.reconnect_pause = Duration::ZERO;
+        peer.reconnect_delay = Duration::ZERO;
         peer.accepted_this_incarnation = true;
         peer.state.closed_by_peer = false;
         self.record_contact(peer_name, incarnation, Some(epoch), actions);
