--- a/crates/emberpin-demo/tests/command.rs
+++ b/crates/emberpin-demo/tests/command.rs
@@ -4,14 +4,14 @@
 use googletest::prelude::*;
 use std::process::{Command, Output};
 
-fn demo(arguments: &[&str]) -> Output {
+fn run_demo(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_emberpin-demo"))
         .args(arguments)
         .output()
         .expect("it runs")
 }
 
-fn said(bytes: &[u8]) -> String {
+fn text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
@@ -28,14 +28,14 @@
 }
 
 #[gtest]
-fn a_run_of_four_seconds_keeps_every_rule() {
-    let played = demo(&["--seconds", "4", "--seed", "7"]);
-    let report = said(&played.stdout);
+fn a_run_of_four_seconds_violates_no_invariant() {
+    let output = run_demo(&["--seconds", "4", "--seed", "7"]);
+    let report = text(&output.stdout);
     expect_that!(
-        played.status.code(),
+        output.status.code(),
         some(eq(0)),
         "{report}{}",
-        said(&played.stderr)
+        text(&output.stderr)
     );
     expect_that!(
         report,
@@ -71,7 +71,7 @@
 }
 
 #[gtest]
-fn what_cannot_be_played_is_said_in_one_line() {
+fn an_invalid_option_is_an_error_of_one_line() {
     for (arguments, expected) in [
         (
             &["--seconds", "1"][..],
@@ -87,8 +87,8 @@
         ),
         (&["now"], "emberpin-demo: unexpected: now\n"),
     ] {
-        let played = demo(arguments);
-        expect_that!(played.status.code(), some(eq(2)));
-        expect_that!(said(&played.stderr), eq(expected));
+        let output = run_demo(arguments);
+        expect_that!(output.status.code(), some(eq(2)));
+        expect_that!(text(&output.stderr), eq(expected));
     }
 }
--- a/crates/emberpin-demo/tests/deployed_system/mod.rs
+++ b/crates/emberpin-demo/tests/deployed_system/mod.rs
@@ -1,7 +1,10 @@
 //! Machines on loopback whose processes are those that `deploy/system.toml` names.
 
+mod deploy_file;
+mod patches;
+
+use deploy_file::{read_roles, DeployedRole};
 use emberpin_demo::http;
-use emberpin_demo::role::Role;
 use hyper::Method;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -13,63 +16,27 @@
 use tempfile::TempDir;
 use tokio::runtime::{Builder, Runtime};
 
-/// An order or a read that has no answer after so long fails its test.
-pub const LONG: Duration = Duration::from_secs(30);
-/// `sync_time` and `ack` of the settings.
+pub use patches::{drop_route_patch, first_patch, route_patch, service, shown_route, vhost};
+
+/// A command or read without a clear answer in this time fails its test.
+pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
+/// `sync_time` of the settings: how long after a repair another disk may be lost.
 pub const SYNC_TIME: Duration = Duration::from_secs(4);
+/// `ack` of the settings: how long a call may take while a machine is down.
 pub const ACK: Duration = Duration::from_secs(5);
-/// One second of silence, and the operator asks the next machine.
-const SILENCE: Duration = Duration::from_secs(1);
-const PAUSE: Duration = Duration::from_millis(50);
+/// A machine that does not respond in this time is passed over.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+const RETRY_BACKOFF: Duration = Duration::from_millis(50);
 const ZONES: [&str; 3] = ["north-quay", "east-quay", "south-quay"];
 /// Each zone has one core machine, and the first has an edge.
 const CORES: usize = 3;
-/// From the first port on: those that processes talk over, then `ctl`, `http` and `readyz`.
+/// Each machine has the same consecutive ports: those that processes connect to each other over, then `ctl`, `http`
+/// and `readyz`.
 const PEER_PORTS: u16 = 4;
-const PORTS: u16 = PEER_PORTS + 3;
-/// Below the ports that the system gives out by itself; apart from those of other tests.
-const FIRST_PORTS: (u16, u16) = (7_000, 12_000);
-
-/// One role of the deploy file.
-struct DeployedRole {
-    role: Role,
-    class: String,
-    share: f64,
-    serves: Vec<String>,
-}
-
-/// Reads the roles of the deploy file; a `run` line names a program whose code this executable has, too.
-fn roles() -> Vec<DeployedRole> {
-    let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/system.toml");
-    let text = std::fs::read_to_string(file).expect("the deploy file");
-    let deploy: toml::Table = text.parse().expect("TOML");
-    let role = |role: &toml::Value| {
-        let text = |name: &str| role[name].as_str().expect("a text").to_owned();
-        let run = text("run");
-        let program = run
-            .rsplit('/')
-            .next()
-            .and_then(|name| name.strip_prefix("emberpin-"));
-        let serves = role["serves"].as_array().expect("a list");
-        DeployedRole {
-            role: program
-                .and_then(Role::from_name)
-                .expect("a program of the gateway"),
-            class: text("on"),
-            share: role["share"].as_float().expect("a share"),
-            serves: serves
-                .iter()
-                .filter_map(|what| what.as_str().map(str::to_owned))
-                .collect(),
-        }
-    };
-    deploy["roles"]
-        .as_table()
-        .expect("roles")
-        .values()
-        .map(role)
-        .collect()
-}
+const PORTS_PER_MACHINE: u16 = PEER_PORTS + 3;
+/// Below the ports that the system assigns by itself; apart from those of other tests.
+const LOWEST_PORT: u16 = 7_000;
+const HIGHEST_PORT: u16 = 12_000;
 
 /// A machine.
 #[derive(Clone)]
@@ -86,7 +53,7 @@
     port: u16,
     folder: TempDir,
     runtime: Runtime,
-    /// By the machine's place in `machines` and the role's in `roles`.
+    /// By the machine's index in `machines` and the role's in `roles`.
     processes: BTreeMap<(usize, usize), Child>,
 }
 
@@ -102,9 +69,9 @@
             .map(|number| machine("core", number, 11))
             .collect();
         machines.push(machine("edge", 0, 21));
-        let port = free_ports(&machines);
-        let mut site = DeployedSystem {
-            roles: roles(),
+        let port = find_free_ports(&machines);
+        let mut system = DeployedSystem {
+            roles: read_roles(),
             machines,
             port,
             folder: TempDir::new().expect("a folder"),
@@ -114,8 +81,8 @@
                 .expect("a runtime"),
             processes: BTreeMap::new(),
         };
-        (0..site.machines.len()).for_each(|machine| site.start_machine(machine, true));
-        site
+        (0..system.machines.len()).for_each(|machine| system.start_machine(machine, true));
+        system
     }
 
     /// Starts the processes of a machine that the deploy file gives it.
@@ -131,8 +98,8 @@
     }
 
     fn spawn(&self, machine: usize, index: usize, bootstrap: bool) -> Child {
-        let (place, role) = (&self.machines[machine], &self.roles[index]);
-        let name = format!("{}-{}", role.role.name(), place.ip);
+        let (host, role) = (&self.machines[machine], &self.roles[index]);
+        let name = format!("{}-{}", role.role.name(), host.ip);
         let settings = self.folder.path().join(format!("{name}.toml"));
         let log = self.folder.path().join(format!("{name}.log"));
         std::fs::create_dir_all(self.disk(machine)).expect("a folder");
@@ -161,8 +128,8 @@
     }
 
     fn settings(&self, machine: usize, index: usize, bootstrap: bool) -> String {
-        let (place, role) = (&self.machines[machine], &self.roles[index]);
-        let (ip, zone, class) = (place.ip, place.zone, place.class);
+        let (host, role) = (&self.machines[machine], &self.roles[index]);
+        let (ip, zone, class) = (host.ip, host.zone, host.class);
         let is_core = class == "core";
         let datadir = match is_core {
             true => format!("datadir = \"{}\"\n", self.disk(machine).display()),
@@ -213,13 +180,13 @@
 
     /// Kills the processes of a machine.
     pub fn kill_machine(&mut self, machine: usize) {
-        for (place, child) in &mut self.processes {
-            if place.0 == machine {
+        for ((index, _), child) in &mut self.processes {
+            if *index == machine {
                 _ = child.kill();
                 _ = child.wait();
             }
         }
-        self.processes.retain(|place, _| place.0 != machine);
+        self.processes.retain(|(index, _), _| *index != machine);
     }
 
     /// Kills the processes of a machine and takes away its disk.
@@ -229,9 +196,9 @@
     }
 
     /// Sends a signal to the processes of a machine.
-    pub fn signal(&self, machine: usize, signal: Signal) {
-        for (place, child) in &self.processes {
-            if place.0 == machine {
+    pub fn send_signal(&self, machine: usize, signal: Signal) {
+        for ((index, _), child) in &self.processes {
+            if *index == machine {
                 kill(Pid::from_raw(child.id() as i32), signal).expect("a signal");
             }
         }
@@ -239,48 +206,56 @@
 
     // ---- the operator
 
-    /// One try of a call at a core machine: its status and body, if it was answered within a second.
-    pub fn once(
+    /// Calls a core machine once: status and body, if it responds within a second.
+    pub fn call_once(
         &self,
         core: usize,
         method: Method,
         path: &str,
         body: &str,
     ) -> Option<(u16, String)> {
-        let call = http::call(self.ctl(core), method, path, body.to_owned(), SILENCE);
-        let answer = self.runtime.block_on(call)?;
+        let call = http::call(self.ctl(core), method, path, body.to_owned(), CALL_TIMEOUT);
+        let response = self.runtime.block_on(call)?;
         Some((
-            answer.status,
-            String::from_utf8_lossy(&answer.body).into_owned(),
+            response.status,
+            String::from_utf8_lossy(&response.body).into_owned(),
         ))
     }
 
     /// Calls one machine after the other, beginning with this one, until one has a clear answer.
-    pub fn ask(&self, first: usize, method: Method, path: &str, body: &str) -> (u16, String) {
+    pub fn call_until_clear(
+        &self,
+        first: usize,
+        method: Method,
+        path: &str,
+        body: &str,
+    ) -> (u16, String) {
         let began = Instant::now();
         for core in (0..CORES).cycle().skip(first) {
-            match self.once(core, method.clone(), path, body) {
+            match self.call_once(core, method.clone(), path, body) {
                 Some((status, body)) if status < 500 && ![408, 429].contains(&status) => {
                     return (status, body)
                 }
-                _ => std::thread::sleep(PAUSE),
+                _ => std::thread::sleep(RETRY_BACKOFF),
             }
             assert!(
-                began.elapsed() < LONG,
-                "no clear answer within {LONG:?} to {path} {body}"
+                began.elapsed() < ANSWER_TIMEOUT,
+                "no clear answer within {ANSWER_TIMEOUT:?} to {path} {body}"
             );
         }
         unreachable!("there are core machines")
     }
 
-    /// The clear answer to a configuration.
+    /// Sends a configuration change; returns the status of the clear answer.
     pub fn patch(&self, first: usize, body: &str) -> u16 {
-        self.ask(first, Method::POST, "/config/patch", body).0
+        self.call_until_clear(first, Method::POST, "/config/patch", body)
+            .0
     }
 
-    /// All items, as they are read back.
-    pub fn get(&self, first: usize) -> String {
-        self.ask(first, Method::GET, "/config/get", "").1
+    /// Reads the configuration back.
+    pub fn read_back(&self, first: usize) -> String {
+        self.call_until_clear(first, Method::GET, "/config/get", "")
+            .1
     }
 }
 
@@ -293,64 +268,22 @@
     }
 }
 
-/// The first of some ports in a row that are free on all machines, from a place on that differs from process to process.
-fn free_ports(machines: &[Machine]) -> u16 {
-    let rows = u32::from((FIRST_PORTS.1 - FIRST_PORTS.0) / PORTS);
-    let row = |turn: u32| std::process::id().wrapping_mul(97).wrapping_add(turn * 131) % rows;
+/// The first of some ports in a row that are free on all machines, beginning at one that differs from
+/// process to process.
+fn find_free_ports(machines: &[Machine]) -> u16 {
+    let ranges = u32::from((HIGHEST_PORT - LOWEST_PORT) / PORTS_PER_MACHINE);
+    let range = |probe: u32| {
+        std::process::id()
+            .wrapping_mul(97)
+            .wrapping_add(probe * 131)
+            % ranges
+    };
     let is_free = |first: &u16| {
         machines.iter().all(|machine| {
-            (*first..first + PORTS).all(|port| TcpListener::bind((machine.ip, port)).is_ok())
+            (*first..first + PORTS_PER_MACHINE)
+                .all(|port| TcpListener::bind((machine.ip, port)).is_ok())
         })
     };
-    let mut ports = (0..rows).map(|turn| FIRST_PORTS.0 + row(turn) as u16 * PORTS);
+    let mut ports = (0..ranges).map(|probe| LOWEST_PORT + range(probe) as u16 * PORTS_PER_MACHINE);
     ports.find(is_free).expect("free ports")
 }
-
-/// A service and a route to it, whose time-out tells contents apart.
-pub fn set(route: &str, ver: u64, timeout_ms: u64) -> String {
-    format!(
-        "{{\"upsert\":{{\"svcs\":[],\"vhosts\":[{}]}}}}",
-        vhost(route, ver, timeout_ms)
-    )
-}
-
-/// A route in its host.
-pub fn vhost(route: &str, ver: u64, timeout_ms: u64) -> String {
-    format!(
-        "{{\"hostname\":\"{route}.example\",\"locs\":[{{\"name\":\"{route}\",\"pfx\":\"/p/\",\"type\":\"readonly\",\
-         \"timeout\":\"{timeout_ms}ms\",\"target_time\":\"250ms\",\"prio\":1,\"svc\":\"chartroom\",\"tries\":2,\
-         \"ver\":{ver}}}]}}"
-    )
-}
-
-/// The service of all routes.
-pub fn service(name: &str, ver: u64) -> String {
-    format!(
-        "{{\"name\":\"{name}\",\"hcheck\":\"/healthz\",\"maxconn\":120,\"proto\":\"h1\",\"tls\":false,\
-         \"warmup\":\"1s\",\"warmup_per_s\":20.0,\"ver\":{ver}}}"
-    )
-}
-
-/// The first configuration: the service alone.
-pub fn first() -> String {
-    format!("{{\"upsert\":{{\"svcs\":[{}]}}}}", service("chartroom", 1))
-}
-
-/// Drops a route.
-pub fn drop_route(route: &str, ver: u64) -> String {
-    format!("{{\"remove\":{{\"rtab\":[{{\"name\":\"{route}\",\"ver\":{ver}}}]}}}}")
-}
-
-/// The version and time-out of a route in what was read back.
-pub fn shown(body: &str, route: &str) -> Option<(u64, String)> {
-    let all = jzon::parse(body).expect("JSON");
-    let routes = all["vhosts"]
-        .members()
-        .flat_map(|vhost| vhost["locs"].members());
-    let mut found = routes.filter(|item| item["name"].as_str() == Some(route));
-    let route = found.next()?;
-    Some((
-        route["ver"].as_u64()?,
-        route["timeout"].as_str()?.to_owned(),
-    ))
-}
--- a/crates/emberpin-demo/tests/invariants.rs
+++ b/crates/emberpin-demo/tests/invariants.rs
@@ -14,7 +14,7 @@
     Duration::from_millis(millis)
 }
 
-fn sent(id: &str, is_mutating: bool, status: Option<u16>) -> Attempt {
+fn attempt(id: &str, is_mutating: bool, status: Option<u16>) -> Attempt {
     Attempt {
         id: id.into(),
         is_mutating,
@@ -23,7 +23,7 @@
     }
 }
 
-fn arrived(attempt_id: &str, at: u64, ran: bool) -> Arrival {
+fn arrival(attempt_id: &str, at: u64, ran: bool) -> Arrival {
     Arrival {
         at: ms(at),
         attempt_id: attempt_id.into(),
@@ -41,28 +41,28 @@
     items(&jzon::parse(&text).expect("lists"))
 }
 
-/// A record in which every rule holds: a readonly try that ran twice, a refusal that did not run, one that may have run
-/// as it promised nothing, and an evacuation that was obeyed.
-fn right() -> Record {
+/// A record in which every rule holds: a readonly attempt that ran twice, a rejection that did not run, one that may
+/// have run as its status guarantees nothing, and an evacuation that was obeyed.
+fn valid_record() -> Record {
     Record {
         arrivals: vec![
-            arrived("read", 100, true),
-            arrived("read", 120, true),
-            arrived("refused", 150, false),
-            arrived("broken", 160, true),
-            arrived("write", 200, true),
-            arrived("write", 190, false),
-            // In the zone: before its time, and once it is taken back.
-            arrived("early", 1_500, true),
-            arrived("late", 4_000, true),
+            arrival("read", 100, true),
+            arrival("read", 120, true),
+            arrival("refused", 150, false),
+            arrival("broken", 160, true),
+            arrival("write", 200, true),
+            arrival("write", 190, false),
+            // In the zone: before the bound, and after the evacuation was finished.
+            arrival("early", 1_500, true),
+            arrival("late", 4_000, true),
         ],
         attempts: vec![
-            sent("read", false, Some(200)),
-            sent("refused", true, Some(503)),
-            sent("broken", true, Some(502)),
-            sent("write", true, Some(200)),
-            sent("early", true, Some(200)),
-            sent("late", true, None),
+            attempt("read", false, Some(200)),
+            attempt("refused", true, Some(503)),
+            attempt("broken", true, Some(502)),
+            attempt("write", true, Some(200)),
+            attempt("early", true, Some(200)),
+            attempt("late", true, None),
         ],
         requests: Vec::new(),
         evacuations: vec![Evacuation {
@@ -78,22 +78,22 @@
     }
 }
 
-fn violations(change: impl FnOnce(&mut Record)) -> Vec<String> {
-    let mut record = right();
+fn violations_after(change: impl FnOnce(&mut Record)) -> Vec<String> {
+    let mut record = valid_record();
     change(&mut record);
     check(&record).iter().map(ToString::to_string).collect()
 }
 
 #[gtest]
-fn a_record_in_order_has_no_violation() {
-    expect_that!(check(&right()), is_empty());
+fn a_valid_record_has_no_violation() {
+    expect_that!(check(&valid_record()), is_empty());
 }
 
 #[gtest]
-fn a_mutating_try_that_runs_twice_is_found() {
+fn a_mutating_attempt_that_runs_twice_is_a_violation() {
     let found = check(&Record {
-        arrivals: [right().arrivals, vec![arrived("write", 260, true)]].concat(),
-        ..right()
+        arrivals: [valid_record().arrivals, vec![arrival("write", 260, true)]].concat(),
+        ..valid_record()
     });
     expect_that!(
         found,
@@ -105,9 +105,9 @@
 }
 
 #[gtest]
-fn each_status_that_promises_is_held_to_it() {
+fn a_mutating_attempt_that_ran_must_not_get_a_status_that_guarantees_that_it_did_not() {
     for status in [408, 421, 429, 503] {
-        let found = violations(|record| {
+        let found = violations_after(|record| {
             record.attempts[1].status = Some(status);
             record.arrivals[2].ran = true;
         });
@@ -117,15 +117,15 @@
 }
 
 #[gtest]
-fn a_readonly_try_may_run_and_be_refused() {
-    let found = violations(|record| record.attempts[0].status = Some(503));
+fn a_readonly_attempt_may_run_and_be_rejected() {
+    let found = violations_after(|record| record.attempts[0].status = Some(503));
     expect_that!(found, is_empty());
 }
 
 #[gtest]
-fn a_request_that_reaches_an_evacuated_zone_too_late_is_found_though_it_did_not_run() {
+fn a_request_that_reaches_an_evacuated_zone_too_late_is_a_violation_though_it_did_not_run() {
     for at in [2_001, 2_999] {
-        let found = violations(|record| record.arrivals[2].at = ms(at));
+        let found = violations_after(|record| record.arrivals[2].at = ms(at));
         expect_that!(
             found,
             elements_are![starts_with(
@@ -133,7 +133,7 @@
             )]
         );
     }
-    let elsewhere = violations(|record| {
+    let elsewhere = violations_after(|record| {
         record.arrivals[2].at = ms(2_500);
         record.arrivals[2].zone = "east-quay".into();
     });
@@ -141,8 +141,8 @@
 }
 
 #[gtest]
-fn an_evacuation_that_is_not_taken_back_holds_to_the_end() {
-    let found = violations(|record| record.evacuations[0].finish_requested_at = None);
+fn an_evacuation_that_is_not_finished_holds_to_the_end() {
+    let found = violations_after(|record| record.evacuations[0].finish_requested_at = None);
     expect_that!(
         found,
         elements_are![starts_with("try late reached the evacuated zone")]
@@ -150,10 +150,10 @@
 }
 
 #[gtest]
-fn each_difference_of_what_is_read_back_is_found() {
-    let read = |items: ConfigItems| violations(|record| record.read_back = Some(items));
+fn each_difference_of_the_configuration_that_is_read_back_is_a_violation() {
+    let read = |items: ConfigItems| violations_after(|record| record.read_back = Some(items));
     expect_that!(
-        violations(|record| record.read_back = None),
+        violations_after(|record| record.read_back = None),
         elements_are![contains_substring("did not come")]
     );
     expect_that!(
@@ -184,13 +184,13 @@
     moved
         .entry("route commit".into())
         .and_modify(|route| route["hostname"] = "b.example".into());
-    let found = violations(|record| record.read_back = Some(moved));
+    let found = violations_after(|record| record.read_back = Some(moved));
     expect_that!(found, elements_are![eq("read back: route commit differs")]);
 }
 
 #[gtest]
-fn an_answer_that_is_not_the_servers_is_found() {
-    let found = violations(|record| record.attempts[3].has_foreign_response = true);
+fn a_response_that_is_not_the_servers_is_a_violation() {
+    let found = violations_after(|record| record.attempts[3].has_foreign_response = true);
     expect_that!(
         found,
         elements_are![eq(
@@ -200,8 +200,8 @@
 }
 
 #[gtest]
-fn what_no_client_sent_must_not_run() {
-    let found = violations(|record| record.arrivals.push(arrived("smuggled", 300, true)));
+fn an_attempt_that_no_client_sent_must_not_run() {
+    let found = violations_after(|record| record.arrivals.push(arrival("smuggled", 300, true)));
     expect_that!(
         found,
         elements_are![eq("a server ran smuggled, which no client sent")]
@@ -209,10 +209,10 @@
 }
 
 #[gtest]
-fn orders_without_acknowledgement_and_processes_that_end_are_found() {
-    let found = violations(|record| record.unacknowledged_commands.push("the change".into()));
+fn commands_without_acknowledgement_and_processes_that_exit_are_violations() {
+    let found = violations_after(|record| record.unacknowledged_commands.push("the change".into()));
     expect_that!(found, elements_are![eq("the change was not acknowledged")]);
-    let found = violations(|record| {
+    let found = violations_after(|record| {
         record
             .exited_processes
             .push("proxy on 127.0.0.21 ended by itself".into());
@@ -224,7 +224,7 @@
 }
 
 fn report(served: usize, of: usize, record: Record) -> Report {
-    let asked = |number| ClientRequest {
+    let request = |number| ClientRequest {
         route: "commit",
         outcome: if number < served {
             Outcome::Served
@@ -236,24 +236,24 @@
         is_first_attempt: true,
     };
     let record = Record {
-        requests: (0..of).map(asked).collect(),
+        requests: (0..of).map(request).collect(),
         ..record
     };
     Report::of("played".into(), Vec::new(), &record)
 }
 
 #[gtest]
-fn a_run_is_good_if_enough_was_served_and_no_rule_was_broken() {
-    expect_that!(report(95, 100, right()).is_good(), eq(true));
-    expect_that!(report(94, 100, right()).is_good(), eq(false));
-    expect_that!(report(0, 0, right()).is_good(), eq(false));
+fn a_run_is_good_if_enough_was_served_and_no_invariant_was_violated() {
+    expect_that!(report(95, 100, valid_record()).is_good(), eq(true));
+    expect_that!(report(94, 100, valid_record()).is_good(), eq(false));
+    expect_that!(report(0, 0, valid_record()).is_good(), eq(false));
     expect_that!(
         report(
             100,
             100,
             Record {
                 read_back: None,
-                ..right()
+                ..valid_record()
             }
         )
         .is_good(),
@@ -262,8 +262,8 @@
 }
 
 #[gtest]
-fn what_the_gateway_added_is_counted_over_the_servers_own_time() {
-    let report = report(10, 10, right());
+fn the_added_latency_is_the_clients_less_the_servers_own_time() {
+    let report = report(10, 10, valid_record());
     let summary = report
         .routes
         .iter()
--- a/crates/emberpin-demo/tests/process_cleanup.rs
+++ b/crates/emberpin-demo/tests/process_cleanup.rs
@@ -1,4 +1,4 @@
-//! Nothing is left of a run that is ended from outside.
+//! A run that is ended from outside leaves no process and no file.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use googletest::prelude::*;
@@ -10,24 +10,24 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// Nothing that is waited for takes longer.
-const SOON: Duration = Duration::from_secs(20);
+/// Everything that a test waits for happens within this time.
+const TIMEOUT: Duration = Duration::from_secs(20);
 /// Three core machines with two processes each, and three edges.
 const PROCESSES: usize = 9;
 
-fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+fn wait_until<T>(what: &str, mut condition: impl FnMut() -> Option<T>) -> T {
     let since = Instant::now();
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = condition() {
             return found;
         }
-        assert!(since.elapsed() < SOON, "not in time: {what}");
+        assert!(since.elapsed() < TIMEOUT, "not in time: {what}");
         sleep(Duration::from_millis(10));
     }
 }
 
 /// Starts a run with its files in this folder, and waits until all of its processes are there.
-fn started(folder: &TempDir) -> (Child, Vec<u32>) {
+fn start_run(folder: &TempDir) -> (Child, Vec<u32>) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_emberpin-demo"));
     let run = command
         .args(["--seconds", "60"])
@@ -37,7 +37,7 @@
         .spawn();
     let run = run.expect("it starts");
     let children = format!("/proc/{0}/task/{0}/children", run.id());
-    let processes = until("its processes", || {
+    let processes = wait_until("its processes", || {
         let text = std::fs::read_to_string(&children).ok()?;
         let processes: Vec<u32> = text
             .split_whitespace()
@@ -48,8 +48,8 @@
     (run, processes)
 }
 
-fn all_gone(processes: &[u32]) {
-    until("the end of its processes", || {
+fn expect_all_ended(processes: &[u32]) {
+    wait_until("the end of its processes", || {
         processes
             .iter()
             .all(|id| !Path::new(&format!("/proc/{id}")).exists())
@@ -57,23 +57,23 @@
     });
 }
 
-fn tell(run: &Child, signal: Signal) {
-    kill(Pid::from_raw(run.id() as i32), signal).expect("told");
+fn send_signal(run: &Child, signal: Signal) {
+    kill(Pid::from_raw(run.id() as i32), signal).expect("a signal");
 }
 
 #[gtest]
 fn a_run_that_is_interrupted_ends_its_processes() {
     for signal in [Signal::SIGINT, Signal::SIGTERM] {
         let folder = TempDir::new().expect("a folder");
-        let (run, processes) = started(&folder);
-        tell(&run, signal);
+        let (run, processes) = start_run(&folder);
+        send_signal(&run, signal);
         let ended = run.wait_with_output().expect("it ends");
         expect_that!(ended.status.code(), some(eq(2)));
         expect_that!(
             String::from_utf8_lossy(&ended.stderr),
             eq("emberpin-demo: interrupted\n")
         );
-        all_gone(&processes);
+        expect_all_ended(&processes);
         expect_that!(
             std::fs::read_dir(folder.path()).expect("listed").count(),
             eq(0)
@@ -84,8 +84,8 @@
 #[gtest]
 fn a_run_that_is_killed_leaves_no_processes() {
     let folder = TempDir::new().expect("a folder");
-    let (mut run, processes) = started(&folder);
-    tell(&run, Signal::SIGKILL);
+    let (mut run, processes) = start_run(&folder);
+    send_signal(&run, Signal::SIGKILL);
     run.wait().expect("it ends");
-    all_gone(&processes);
+    expect_all_ended(&processes);
 }
--- a/crates/emberpin-demo/tests/system.rs
+++ b/crates/emberpin-demo/tests/system.rs
@@ -1,10 +1,11 @@
-//! The worst days of the control side, over processes that the deploy file names: what an operator sees at `ctl`.
+//! Faults of core machines, over processes that the deploy file names: what an operator sees at `ctl`.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod deployed_system;
 
 use deployed_system::{
-    drop_route, first, service, set, shown, vhost, DeployedSystem, ACK, LONG, SYNC_TIME,
+    drop_route_patch, first_patch, route_patch, service, shown_route, vhost, DeployedSystem, ACK,
+    ANSWER_TIMEOUT, SYNC_TIME,
 };
 use googletest::prelude::*;
 use hyper::Method;
@@ -13,69 +14,73 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Refused, or left without a clear answer.
-const UNCLEAR: u16 = 503;
+/// Stands for a call without a response.
+const NO_RESPONSE: u16 = 503;
 
-/// Sends an order to each machine in turn; none may refuse it.
-fn never_refused(site: &DeployedSystem, order: &str) {
+/// Sends a patch to each core machine in turn; none may reject it.
+fn expect_never_rejected(system: &DeployedSystem, patch: &str) {
     for core in 0..3 {
-        let told = site
-            .once(core, Method::POST, "/config/patch", order)
-            .map_or(UNCLEAR, |(status, _)| status);
-        expect_that!(told, any![eq(200), ge(500)], "machine {core}: {order}");
+        let status = system
+            .call_once(core, Method::POST, "/config/patch", patch)
+            .map_or(NO_RESPONSE, |(status, _)| status);
+        expect_that!(status, any![eq(200), ge(500)], "machine {core}: {patch}");
     }
 }
 
 #[gtest]
-fn an_order_that_was_taken_is_never_refused_later() {
-    let site = DeployedSystem::start(41);
-    expect_that!(site.patch(0, &first()), eq(200));
-    let (five, six, seven) = (set("x", 5, 1_500), set("x", 6, 1_600), drop_route("x", 7));
-    expect_that!(site.patch(0, &five), eq(200));
-    expect_that!(site.patch(1, &six), eq(200));
-    never_refused(&site, &five);
-    expect_that!(site.patch(2, &seven), eq(200));
-    for order in [&five, &six, &seven] {
-        never_refused(&site, order);
+fn an_accepted_patch_is_never_rejected_later() {
+    let system = DeployedSystem::start(41);
+    expect_that!(system.patch(0, &first_patch()), eq(200));
+    let (five, six, seven) = (
+        route_patch("x", 5, 1_500),
+        route_patch("x", 6, 1_600),
+        drop_route_patch("x", 7),
+    );
+    expect_that!(system.patch(0, &five), eq(200));
+    expect_that!(system.patch(1, &six), eq(200));
+    expect_never_rejected(&system, &five);
+    expect_that!(system.patch(2, &seven), eq(200));
+    for patch in [&five, &six, &seven] {
+        expect_never_rejected(&system, patch);
     }
-    expect_that!(shown(&site.get(0), "x"), none());
+    expect_that!(shown_route(&system.read_back(0), "x"), none());
 }
 
 #[gtest]
-fn another_content_under_a_confirmed_number_is_refused_in_any_call() {
-    let site = DeployedSystem::start(42);
-    expect_that!(site.patch(0, &first()), eq(200));
-    expect_that!(site.patch(0, &set("x", 5, 1_500)), eq(200));
-    expect_that!(site.patch(1, &set("x", 6, 1_600)), eq(200));
+fn other_content_under_an_acknowledged_version_is_rejected_in_any_call() {
+    let system = DeployedSystem::start(42);
+    expect_that!(system.patch(0, &first_patch()), eq(200));
+    expect_that!(system.patch(0, &route_patch("x", 5, 1_500)), eq(200));
+    expect_that!(system.patch(1, &route_patch("x", 6, 1_600)), eq(200));
     let mixed = format!(
         "{{\"upsert\":{{\"svcs\":[{}],\"vhosts\":[{}]}}}}",
         service("new", 1),
         vhost("x", 5, 1_700)
     );
     for core in 0..3 {
-        let told = site.patch(core, &mixed);
-        expect_that!(told, all![ge(400), lt(500)], "machine {core}");
+        let status = system.patch(core, &mixed);
+        expect_that!(status, all![ge(400), lt(500)], "machine {core}");
     }
-    let all = site.get(2);
-    expect_that!(shown(&all, "x"), some(eq(&(6, "1600ms".to_owned()))));
+    let all = system.read_back(2);
+    expect_that!(shown_route(&all, "x"), some(eq(&(6, "1600ms".to_owned()))));
     expect_that!(all, not(contains_substring("\"new\"")));
 }
 
 #[gtest]
-fn of_eight_operators_who_race_for_one_number_one_is_confirmed() {
-    let site = DeployedSystem::start(43);
-    expect_that!(site.patch(0, &first()), eq(200));
+fn of_eight_operators_who_race_for_one_version_at_most_one_is_acknowledged() {
+    let system = DeployedSystem::start(43);
+    expect_that!(system.patch(0, &first_patch()), eq(200));
     for round in 1..=10 {
         let start = Barrier::new(8);
         let race = |operator: u64| {
-            let order = set("x", round, 1_000 + operator);
+            let patch = route_patch("x", round, 1_000 + operator);
             // Each has a connection of its own, and no runtime in common.
             let call = emberpin_demo::http::call(
-                site.ctl(operator as usize % 3),
+                system.ctl(operator as usize % 3),
                 Method::POST,
                 "/config/patch",
-                order,
-                LONG,
+                patch,
+                ANSWER_TIMEOUT,
             );
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
@@ -84,7 +89,7 @@
             start.wait();
             runtime.block_on(call).map(|answer| answer.status)
         };
-        let told: Vec<Option<u16>> = std::thread::scope(|scope| {
+        let statuses: Vec<Option<u16>> = std::thread::scope(|scope| {
             let racers: Vec<_> = (0..8)
                 .map(|operator| scope.spawn(move || race(operator)))
                 .collect();
@@ -94,10 +99,11 @@
                 .collect()
         });
         let winners: Vec<u64> = (0..8)
-            .filter(|racer| told[*racer as usize] == Some(200))
+            .filter(|racer| statuses[*racer as usize] == Some(200))
             .collect();
-        expect_that!(winners.len(), le(1), "round {round}: {told:?}");
-        let (ver, timeout) = shown(&site.get(round as usize % 3), "x").unwrap_or_default();
+        expect_that!(winners.len(), le(1), "round {round}: {statuses:?}");
+        let (ver, timeout) =
+            shown_route(&system.read_back(round as usize % 3), "x").unwrap_or_default();
         expect_that!(ver, eq(round));
         if let Some(winner) = winners.first() {
             expect_that!(timeout, eq(&format!("{}ms", 1_000 + winner)));
@@ -106,78 +112,91 @@
 }
 
 #[gtest]
-fn a_second_disk_may_go_sync_time_after_the_first_is_back() {
-    let mut site = DeployedSystem::start(44);
-    expect_that!(site.patch(0, &first()), eq(200));
+fn a_second_disk_may_be_lost_sync_time_after_the_first_is_back() {
+    let mut system = DeployedSystem::start(44);
+    expect_that!(system.patch(0, &first_patch()), eq(200));
     for (ver, core) in [(1, 0), (2, 1), (3, 2), (4, 0)] {
-        expect_that!(site.patch(core, &set("x", ver, 1_000 + ver)), eq(200));
+        expect_that!(
+            system.patch(core, &route_patch("x", ver, 1_000 + ver)),
+            eq(200)
+        );
         // Right after the acknowledgement.
-        site.wipe_machine(core);
-        site.start_machine(core, false);
-        // The span is part of the promise.
+        system.wipe_machine(core);
+        system.start_machine(core, false);
+        // `sync_time` is guaranteed to be enough.
         sleep(SYNC_TIME);
         expect_that!(
-            shown(&site.get(core), "x"),
+            shown_route(&system.read_back(core), "x"),
             some(eq(&(ver, format!("{}ms", 1_000 + ver))))
         );
     }
 }
 
 #[gtest]
-fn a_wiped_disk_that_comes_with_bootstrap_founds_nothing() {
-    let mut site = DeployedSystem::start(45);
-    expect_that!(site.patch(0, &first()), eq(200));
-    expect_that!(site.patch(0, &set("x", 5, 1_500)), eq(200));
-    site.wipe_machine(0);
-    site.start_machine(0, true);
+fn a_wiped_disk_that_starts_with_bootstrap_founds_no_second_deployment() {
+    let mut system = DeployedSystem::start(45);
+    expect_that!(system.patch(0, &first_patch()), eq(200));
+    expect_that!(system.patch(0, &route_patch("x", 5, 1_500)), eq(200));
+    system.wipe_machine(0);
+    system.start_machine(0, true);
     let until = Instant::now() + SYNC_TIME;
     // Whatever it says meanwhile, it shows all that was acknowledged, and lets no other content pass.
     while Instant::now() < until {
-        if let Some((200, body)) = site.once(0, Method::GET, "/config/get", "") {
-            expect_that!(shown(&body, "x"), some(eq(&(5, "1500ms".to_owned()))));
+        if let Some((200, body)) = system.call_once(0, Method::GET, "/config/get", "") {
+            expect_that!(shown_route(&body, "x"), some(eq(&(5, "1500ms".to_owned()))));
         }
-        let other = site.once(0, Method::POST, "/config/patch", &set("x", 5, 1_700));
+        let other = system.call_once(
+            0,
+            Method::POST,
+            "/config/patch",
+            &route_patch("x", 5, 1_700),
+        );
         expect_that!(other.map(|(status, _)| status), not(some(eq(200))));
     }
     // A second machine goes: what was acknowledged is on the disk of the one that came back.
-    site.wipe_machine(1);
+    system.wipe_machine(1);
     expect_that!(
-        shown(&site.get(0), "x"),
+        shown_route(&system.read_back(0), "x"),
         some(eq(&(5, "1500ms".to_owned())))
     );
-    expect_that!(site.patch(0, &set("x", 6, 1_600)), eq(200));
+    expect_that!(system.patch(0, &route_patch("x", 6, 1_600)), eq(200));
     expect_that!(
-        shown(&site.get(2), "x"),
+        shown_route(&system.read_back(2), "x"),
         some(eq(&(6, "1600ms".to_owned())))
     );
 }
 
 #[gtest]
-fn a_machine_that_was_frozen_says_nothing_old_and_the_others_answer_meanwhile() {
-    let site = DeployedSystem::start(46);
-    expect_that!(site.patch(0, &first()), eq(200));
-    expect_that!(site.patch(0, &set("x", 1, 1_001)), eq(200));
+fn a_frozen_machine_sends_nothing_old_and_the_others_respond_meanwhile() {
+    let system = DeployedSystem::start(46);
+    expect_that!(system.patch(0, &first_patch()), eq(200));
+    expect_that!(system.patch(0, &route_patch("x", 1, 1_001)), eq(200));
     for (round, span) in [(1, 1), (2, 6)] {
-        site.signal(0, Signal::SIGSTOP);
+        system.send_signal(0, Signal::SIGSTOP);
         let until = Instant::now() + Duration::from_secs(span);
         let mut ver = round * 1_000;
         while Instant::now() < until {
             ver += 1;
-            let asked = Instant::now();
+            let sent = Instant::now();
             expect_that!(
-                site.patch(1 + ver as usize % 2, &set("x", ver, ver)),
+                system.patch(1 + ver as usize % 2, &route_patch("x", ver, ver)),
                 eq(200)
             );
-            expect_that!(asked.elapsed(), lt(ACK));
+            expect_that!(sent.elapsed(), lt(ACK));
         }
-        site.signal(0, Signal::SIGCONT);
+        system.send_signal(0, Signal::SIGCONT);
         let thawed = Instant::now();
         let mut reads = 0;
         // Until it answers again, and for a while after that.
-        while thawed.elapsed() < Duration::from_secs(2) || (reads == 0 && thawed.elapsed() < LONG) {
-            if let Some((200, body)) = site.once(0, Method::GET, "/config/get", "") {
+        while thawed.elapsed() < Duration::from_secs(2)
+            || (reads == 0 && thawed.elapsed() < ANSWER_TIMEOUT)
+        {
+            if let Some((200, body)) = system.call_once(0, Method::GET, "/config/get", "") {
                 reads += 1;
-                expect_that!(shown(&body, "x"), some(eq(&(ver, format!("{ver}ms")))));
+                expect_that!(
+                    shown_route(&body, "x"),
+                    some(eq(&(ver, format!("{ver}ms"))))
+                );
             }
         }
         expect_that!(reads, gt(0));
@@ -185,36 +204,42 @@
 }
 
 #[gtest]
-fn six_hundred_changes_outlast_a_restart_of_each_machine() {
+fn six_hundred_changes_survive_a_restart_of_each_machine() {
     const CHANGES: u64 = 600;
-    let mut site = DeployedSystem::start(47);
-    expect_that!(site.patch(0, &first()), eq(200));
+    let mut system = DeployedSystem::start(47);
+    expect_that!(system.patch(0, &first_patch()), eq(200));
     for ver in 1..=CHANGES {
         let name = format!("x{}", ver % 20);
-        let order = if ver % 50 == 7 {
-            drop_route(&name, ver)
+        let patch = if ver % 50 == 7 {
+            drop_route_patch(&name, ver)
         } else {
-            set(&name, ver, 1_000 + ver)
+            route_patch(&name, ver, 1_000 + ver)
         };
-        verify_that!(site.patch(ver as usize % 3, &order), eq(200)).and_log_failure();
+        verify_that!(system.patch(ver as usize % 3, &patch), eq(200)).and_log_failure();
     }
     for core in 0..3 {
-        site.kill_machine(core);
-        site.start_machine(core, false);
+        system.kill_machine(core);
+        system.start_machine(core, false);
         let restarted = Instant::now();
         let body = loop {
-            match site.once(core, Method::GET, "/config/get", "") {
+            match system.call_once(core, Method::GET, "/config/get", "") {
                 Some((200, body)) => break body,
-                _ => assert!(restarted.elapsed() < LONG, "machine {core} does not answer"),
+                _ => assert!(
+                    restarted.elapsed() < ANSWER_TIMEOUT,
+                    "machine {core} does not answer"
+                ),
             }
         };
         for name in 0..20 {
             let last = CHANGES - (CHANGES - name) % 20;
             let last = if last > CHANGES { last - 20 } else { last };
             let expected = (last % 50 != 7).then(|| (last, format!("{}ms", 1_000 + last)));
-            expect_that!(shown(&body, &format!("x{name}")), eq(&expected));
+            expect_that!(shown_route(&body, &format!("x{name}")), eq(&expected));
         }
         let next = CHANGES + 1 + core as u64;
-        expect_that!(site.patch(core, &set("after", next, next)), eq(200));
+        expect_that!(
+            system.patch(core, &route_patch("after", next, next)),
+            eq(200)
+        );
     }
 }
