--- a/crates/emberpin-failover/tests/acceptor.rs
+++ b/crates/emberpin-failover/tests/acceptor.rs
@@ -3,15 +3,20 @@
 
 mod common;
 
-use common::{
-    config, first_incarnation, member, work_id, CLAIMANT, CLAIMANT_BALLOT, FIRST_ATTEMPT,
-};
+use common::{config, first_incarnation, work_id, CLAIMANT_BALLOT, FIRST_ATTEMPT};
 use emberpin_failover::{
     Action, Ballot, Config, Event, Failover, FirstAttempt, Member, Message, Timestamp, Work,
 };
 
 const ACCEPTOR: usize = 1;
 
+fn ballot(round: u32, proposer: u32) -> Ballot {
+    Ballot {
+        round,
+        proposer: Member(proposer),
+    }
+}
+
 fn answers(acceptor: &mut Failover, from: Member, message: Message) -> Vec<Message> {
     let mut actions = Vec::new();
     let event = Event::MessageReceived { from, message };
@@ -34,10 +39,15 @@
         .any(|answer| matches!(answer, Message::Promise { .. }))
 }
 
-fn accepts(acceptor: &mut Failover, claim_number: u64, payload_bytes: usize) -> bool {
+fn accepts(
+    acceptor: &mut Failover,
+    claim_number: u64,
+    ballot: Ballot,
+    payload_bytes: usize,
+) -> bool {
     let accept = Message::Accept {
         work_id: work_id(claim_number),
-        ballot: CLAIMANT_BALLOT,
+        ballot,
         acceptor_incarnation: first_incarnation(ACCEPTOR),
         first_attempt: FirstAttempt {
             age_ms: f64::NAN,
@@ -49,7 +59,7 @@
             time_left_ms: f64::INFINITY,
         },
     };
-    answers(acceptor, member(CLAIMANT), accept)
+    answers(acceptor, ballot.proposer, accept)
         .iter()
         .any(|answer| matches!(answer, Message::Accepted { .. }))
 }
@@ -58,10 +68,6 @@
 fn an_acceptor_promises_no_ballot_below_one_it_has_promised() {
     let config = config(ACCEPTOR, first_incarnation(ACCEPTOR), 1.0);
     let mut acceptor = Failover::new(config, Timestamp::from_millis(0.0));
-    let ballot = |round, proposer| Ballot {
-        round,
-        proposer: Member(proposer),
-    };
     assert!(promises(&mut acceptor, ballot(2, 2)));
     assert!(
         !promises(&mut acceptor, ballot(1, 3)),
@@ -70,6 +76,19 @@
     assert!(promises(&mut acceptor, ballot(2, 3)));
 }
 
+#[test]
+fn an_acceptor_accepts_no_attempt_below_a_ballot_it_has_promised() {
+    let config = config(ACCEPTOR, first_incarnation(ACCEPTOR), 1.0);
+    let mut acceptor = Failover::new(config, Timestamp::from_millis(0.0));
+    assert!(promises(&mut acceptor, ballot(2, 2)));
+    assert!(
+        !accepts(&mut acceptor, 1, CLAIMANT_BALLOT, 100),
+        "the candidate was promised that the claimant's attempt is not allowed"
+    );
+    assert!(!accepts(&mut acceptor, 1, ballot(1, 3), 100));
+    assert!(accepts(&mut acceptor, 1, ballot(2, 2), 100));
+}
+
 #[test]
 fn an_acceptor_without_capacity_rejects_new_work() {
     let config = Config {
@@ -77,7 +96,13 @@
         ..config(ACCEPTOR, first_incarnation(ACCEPTOR), 1.0)
     };
     let mut acceptor = Failover::new(config, Timestamp::from_millis(0.0));
-    assert!(!accepts(&mut acceptor, 1, 20_000), "above the byte limit");
-    assert!(accepts(&mut acceptor, 2, 100));
-    assert!(!accepts(&mut acceptor, 3, 100), "above the entry limit");
+    assert!(
+        !accepts(&mut acceptor, 1, CLAIMANT_BALLOT, 20_000),
+        "above the byte limit"
+    );
+    assert!(accepts(&mut acceptor, 2, CLAIMANT_BALLOT, 100));
+    assert!(
+        !accepts(&mut acceptor, 3, CLAIMANT_BALLOT, 100),
+        "above the entry limit"
+    );
 }
