--- a/crates/emberpin-limiter/src/stages/idempotency.rs
+++ b/crates/emberpin-limiter/src/stages/idempotency.rs
@@ -20,7 +20,7 @@
     Weight,
 };
 use emberpin_peering::Incarnation;
-use emberpin_wal::{Note, Ticket as RecordTicket};
+use emberpin_wal::{LogEvent, Ticket as RecordTicket};
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::{Response, StatusCode};
 use std::cell::{Cell, RefCell};
@@ -503,13 +503,13 @@
         }
     }
 
-    fn noted(&self, note: Note) {
+    fn noted(&self, note: LogEvent) {
         let of = |ticket: &RecordTicket| Ticket(ticket.0);
         match note {
-            Note::Durable(tickets) => tickets.iter().for_each(|ticket| {
+            LogEvent::Durable(tickets) => tickets.iter().for_each(|ticket| {
                 self.handle(Event::Written { ticket: of(ticket) });
             }),
-            Note::Unwritten(tickets, problem) => {
+            LogEvent::Failed(tickets, problem) => {
                 eprintln!(
                     "emberpin: log: {} keyed requests not let on: {problem}",
                     tickets.len()
@@ -519,7 +519,7 @@
                 });
             }
             // The sweep that asked for it hears of it.
-            Note::Rotated(_) => {}
+            LogEvent::Rotated(_) => {}
         }
     }
 }
@@ -588,8 +588,10 @@
 }
 
 impl Renewal {
-    fn noted(&mut self, note: &Note) {
-        let Note::Rotated(result) = note else { return };
+    fn noted(&mut self, note: &LogEvent) {
+        let LogEvent::Rotated(result) = note else {
+            return;
+        };
         self.rotating = false;
         match result {
             Ok(segment) => (self.sweep, self.segment) = (Some(Sweep::default()), *segment),
@@ -627,7 +629,7 @@
 /// at the start. Ends with the stage.
 async fn keep(
     stage: Weak<Idempotency>,
-    mut noted: mpsc::UnboundedReceiver<Note>,
+    mut noted: mpsc::UnboundedReceiver<LogEvent>,
     first_segment: u64,
 ) {
     let mut renewal = Renewal {
--- a/crates/emberpin-limiter/src/stages/memory.rs
+++ b/crates/emberpin-limiter/src/stages/memory.rs
@@ -7,7 +7,8 @@
 use crate::operate::{die, lies};
 use emberpin_idempotency::{Millis, Record};
 use emberpin_wal::{
-    boot_id, Files, Identity, Log, Note, Record as Written, Recovery, Service, Ticket, Unusable,
+    boot_id, Files, Identity, Log, LogEvent, OpenError, Record as Written, Recovery, Service,
+    Ticket,
 };
 use nix::time::{clock_gettime, ClockId};
 use serde::{Deserialize, Serialize};
@@ -106,7 +107,7 @@
         settings: &Settings,
         folder: &Path,
         retention: Millis,
-        notes: mpsc::UnboundedSender<Note>,
+        notes: mpsc::UnboundedSender<LogEvent>,
     ) -> Result<(Memory, Recalled), String> {
         let shown = folder.display().to_string();
         let mut recalled = Recalled {
@@ -127,7 +128,7 @@
         let identity = identity(config)?;
         let opened = Log::open(die::Storage(lies::of(take(folder)?)), &identity, visit);
         let (mut log, recovery) =
-            opened.map_err(|problem: Unusable| format!("log {shown}: {problem}"))?;
+            opened.map_err(|problem: OpenError| format!("log {shown}: {problem}"))?;
         let Recovery {
             records,
             bytes,
@@ -139,7 +140,7 @@
         // Quiet as long as an earlier start said, within a whole retention; a loss without its word is a new one.
         recalled.quiet_until = match (&lost, quiet) {
             (None, None) if foreign == 0 => 0.0,
-            (Some(emberpin_wal::Lost::Before) | None, Some(until)) if foreign == 0 => {
+            (Some(emberpin_wal::DataLoss::EarlierLoss) | None, Some(until)) if foreign == 0 => {
                 until.min(whole)
             }
             _ => whole,
--- a/crates/emberpin-wal/src/frame.rs
+++ b/crates/emberpin-wal/src/frame.rs
@@ -16,9 +16,9 @@
 /// The version of the format that this build writes, and the only one that it reads.
 pub const VERSION: u16 = 1;
 /// Most bytes of one record.
-pub const LONGEST: usize = 1 << 20;
+pub const MAX_RECORD_BYTES: usize = 1 << 20;
 /// Most bytes of a header.
-pub const HEADER_LONGEST: usize = 1024;
+pub const MAX_HEADER_BYTES: usize = 1024;
 const MAGIC: [u8; 8] = *b"EMBERLOG";
 /// Magic, version, length.
 const HEADER_FIXED: usize = 12;
@@ -47,7 +47,7 @@
 
 /// Why bytes are no header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeaderProblem {
+pub enum HeaderError {
     /// The file ends within it.
     Short,
     /// The file is something else.
@@ -73,37 +73,37 @@
         bytes
     }
 
-    /// Reads one from a file's first bytes, of which there are [`HEADER_LONGEST`] or all.
+    /// Reads one from a file's first bytes, of which there are [`MAX_HEADER_BYTES`] or all.
     ///
     /// # Errors
     ///
     /// Why it is none.
-    pub fn decode(bytes: &[u8]) -> Result<(Header, Scanner), HeaderProblem> {
+    pub fn decode(bytes: &[u8]) -> Result<(Header, Scanner), HeaderError> {
         let known = bytes.len().min(MAGIC.len());
         if bytes[..known] != MAGIC[..known] {
-            return Err(HeaderProblem::NotALog);
+            return Err(HeaderError::NotALog);
         }
         let Some(fixed) = bytes.get(..HEADER_FIXED) else {
-            return Err(HeaderProblem::Short);
+            return Err(HeaderError::Short);
         };
         let number = |at: usize| u16::from_le_bytes([fixed[at], fixed[at + 1]]);
         // Before the checksum, as another version may have another one.
         if number(8) != VERSION {
-            return Err(HeaderProblem::Version(number(8)));
+            return Err(HeaderError::Version(number(8)));
         }
         let end = HEADER_FIXED + usize::from(number(10));
-        if end + CRC > HEADER_LONGEST {
-            return Err(HeaderProblem::Damaged);
+        if end + CRC > MAX_HEADER_BYTES {
+            return Err(HeaderError::Damaged);
         }
         let Some(crc) = bytes.get(end..end + CRC) else {
-            return Err(HeaderProblem::Short);
+            return Err(HeaderError::Short);
         };
         let hashed = crc32fast::hash(&bytes[..end]);
         if hashed.to_le_bytes() != crc {
-            return Err(HeaderProblem::Damaged);
+            return Err(HeaderError::Damaged);
         }
         let header: Header =
-            postcard::from_bytes(&bytes[HEADER_FIXED..end]).map_err(|_| HeaderProblem::Damaged)?;
+            postcard::from_bytes(&bytes[HEADER_FIXED..end]).map_err(|_| HeaderError::Damaged)?;
         let scanner = Scanner {
             salt: hashed,
             next: header.first,
@@ -132,7 +132,7 @@
     hasher.finalize()
 }
 
-/// Appends the frame of one record of at most [`LONGEST`] bytes.
+/// Appends the frame of one record of at most [`MAX_RECORD_BYTES`] bytes.
 pub(crate) fn encode(salt: u32, seq: u64, payload: &[u8], into: &mut Vec<u8>) {
     let length = payload.len() as u32;
     into.extend_from_slice(&length.to_le_bytes());
@@ -211,7 +211,7 @@
         let (length, crc) = (word(0), word(12));
         let seq = u64::from(word(4)) | u64::from(word(8)) << 32;
         let sound = crc == head_crc(self.salt, length, seq)
-            && length as usize <= LONGEST
+            && length as usize <= MAX_RECORD_BYTES
             && seq == self.next;
         if !sound {
             self.over = true;
--- a/crates/emberpin-wal/src/inspect.rs
+++ b/crates/emberpin-wal/src/inspect.rs
@@ -1,7 +1,7 @@
 //! A look at a log's files, whoever has them open: what each holds, and where it is not what was written.
 
 use crate::files::Files;
-use crate::frame::{Damage, Header, HeaderProblem};
+use crate::frame::{Damage, Header, HeaderError};
 use crate::log::{marked, read, segments};
 use crate::storage::Storage;
 use serde::Serialize;
@@ -12,18 +12,18 @@
 /// What a file holds.
 #[derive(Debug, Serialize)]
 pub struct SegmentReport {
-    /// Its name.
+    /// Name of the file.
     pub file: String,
     /// Its header, or why it has none.
     #[serde(flatten)]
     pub header: HeaderReport,
-    /// Bytes read.
+    /// Length of the file, in bytes.
     pub bytes: u64,
-    /// Records that are whole.
+    /// Number of valid records.
     pub records: u64,
-    /// Bytes of a record that the file's end cuts off.
+    /// Length of an incomplete record at the end, in bytes.
     pub torn: u64,
-    /// What is not what was written.
+    /// Parts that do not match their checksums.
     pub damage: Vec<Damage>,
     /// It is a copy of the file that was written.
     pub copied: bool,
@@ -42,11 +42,11 @@
 /// What a log's files hold.
 #[derive(Debug, Serialize)]
 pub struct Report {
-    /// Each file.
+    /// The segments, the oldest first.
     pub segments: Vec<SegmentReport>,
-    /// The last number that counted, if a mark says so.
+    /// Last durable sequence number, if there is a watermark.
     pub counted: Option<u64>,
-    /// Nothing is wrong with them.
+    /// Whether all segments are valid and none is a copy.
     pub sound: bool,
 }
 
@@ -109,17 +109,17 @@
     Ok(report)
 }
 
-fn unreadable(problem: HeaderProblem) -> String {
+fn unreadable(problem: HeaderError) -> String {
     match problem {
-        HeaderProblem::Short => "ends within its header".into(),
-        HeaderProblem::NotALog => "is no log".into(),
-        HeaderProblem::Version(found) => {
+        HeaderError::Short => "ends within its header".into(),
+        HeaderError::NotALog => "is no log".into(),
+        HeaderError::Version(found) => {
             format!(
                 "is of version {found}, this program reads {}",
                 crate::VERSION
             )
         }
-        HeaderProblem::Damaged => "its header is damaged".into(),
+        HeaderError::Damaged => "its header is damaged".into(),
     }
 }
 
--- a/crates/emberpin-wal/src/lib.rs
+++ b/crates/emberpin-wal/src/lib.rs
@@ -1,12 +1,11 @@
-//! What must outlast a limiter's life: records are appended, are on the disk before they count, and are read
-//! again at the next start, together with a verdict on whether all that counted is still there.
+//! A write-ahead log: records are appended, synced to the disk, and recovered at the next start, together with a
+//! verdict on whether all durable records are still there.
 //!
-//! It knows nothing of what the records mean; who writes them says what a lost one would cost. [`Log`] decides over a
-//! [`Storage`], which in service is a folder ([`Files`]) and in tests whatever breaks. [`Service`] runs one on a thread
-//! of its own and gathers what comes meanwhile into one fsync (group commit).
+//! The records are bytes to this package. [`Log`] works over a [`Storage`], which is a folder in production ([`Files`])
+//! and a faulty disk in tests. [`Service`] runs a log on a thread of its own, with group commit.
 //!
-//! It is not a database: nothing is looked up in it, and what is not wanted any more goes only when its writer
-//! has written again what it still wants ([`Log::rotate`], [`Log::retire`]).
+//! The log is not a database: nothing is looked up in it. It is compacted by its writer, which starts a new segment
+//! ([`Log::rotate`]), writes again what it still needs, and removes the older segments ([`Log::retire`]).
 #![forbid(unsafe_code)]
 
 mod files;
@@ -18,9 +17,9 @@
 
 pub use files::{boot_id, Files};
 pub use frame::{
-    Damage, Header, HeaderProblem, Scanned, Scanner, HEADER_LONGEST, LONGEST, VERSION,
+    Damage, Header, HeaderError, Scanned, Scanner, MAX_HEADER_BYTES, MAX_RECORD_BYTES, VERSION,
 };
 pub use inspect::{inspect, Report, SegmentReport};
-pub use log::{Identity, Log, Lost, Record, Recovery, Unusable, WriteProblem};
-pub use service::{Busy, Note, Service, Ticket};
+pub use log::{DataLoss, Identity, Log, OpenError, Record, Recovery, WriteError};
+pub use service::{LogEvent, QueueFull, Service, Ticket};
 pub use storage::{FileIdentity, Storage};
--- a/crates/emberpin-wal/src/log.rs
+++ b/crates/emberpin-wal/src/log.rs
@@ -1,20 +1,19 @@
-//! The log over a storage: what is begun, recovered, written, turned over and let go, and what a failure of each
+//! The log over a storage: creation, recovery, writes, rotation and removal of segments, and what a failure of each
 //! leaves behind.
 //!
-//! What a recovery proves. A record counts once [`Log::write`] has returned with `durable`, and not before. After a
-//! crash all that counted is read again, or [`Recovery::lost`] says that something may be missing:
+//! A record is durable once [`Log::write`] has returned with `durable`, and not before. After a crash, recovery returns
+//! all durable records, or [`Recovery::lost`] says that some may be missing:
 //!
-//! - a cut or torn end is told from the mark beside the segments, which holds the last sequence number that
-//!   counted;
-//! - a changed byte from checksums, a missing file from the numbers of segments and records;
-//! - a copy put in place of the log, of an hour ago say, from the file's inode and time of birth, which stand in
-//!   its header.
+//! - a truncated or torn end is detected by the watermark (the file `mark` beside the segments), which holds the last
+//!   durable sequence number;
+//! - a changed byte is detected by checksums, a missing file by the numbers of segments and records;
+//! - a copy put in place of the log is detected by the file's inode and time of creation, which its header holds.
 //!
-//! What no file can tell is a folder put back to an earlier state with all of its inodes, as a snapshot of a whole
-//! disk does. Only somebody else's memory can.
+//! A folder that was restored with all of its inodes, as by a snapshot of a whole disk, cannot be detected by the log;
+//! only another machine can tell.
 
 use crate::frame::{
-    encode, Damage, Header, HeaderProblem, Scanned, HEADER_LONGEST, LONGEST, VERSION,
+    encode, Damage, Header, HeaderError, Scanned, MAX_HEADER_BYTES, MAX_RECORD_BYTES, VERSION,
 };
 use crate::storage::Storage;
 use serde::Serialize;
@@ -27,156 +26,159 @@
 const CHUNK: usize = 64 * 1024;
 const ASIDE: &str = "damaged";
 
-/// Who opens a log.
+/// Identifies the opener of a log.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// The instance whose log it is.
     pub instance: String,
-    /// This boot of the machine.
+    /// Id of the machine's current boot; all zero if it is not known.
     pub boot: [u8; 16],
-    /// Drawn by the caller from the system's random source; names the log if one is begun.
+    /// Random id, from the system's random source, that the log gets if it is created by this opening.
     pub fresh: [u8; 16],
 }
 
-/// One record read again.
+/// A recovered record.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Record<'a> {
-    /// Its number; they rise without gaps.
+    /// Sequence number; records of a log are numbered without gaps, but for one after a loss.
     pub seq: u64,
-    /// What was written.
+    /// The bytes that were written.
     pub payload: &'a [u8],
     /// Written in this boot of the machine, so that its readings of a boot-time clock mean something now.
     pub same_boot: bool,
 }
 
-/// Why something that counted may be missing.
+/// Why durable records may be missing. The serialized names are those of the first release.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub enum Lost {
-    /// There is no log, and nobody has said that there never was one.
+pub enum DataLoss {
+    /// There is no log, and none was created with [`Log::begin`].
     NoLog,
-    /// A file holds what was not written there.
+    /// A file does not match its checksums.
     Damaged {
-        /// Which.
+        /// Name of the file.
         file: String,
-        /// Where in it, in bytes.
+        /// Offset of the first damage, in bytes.
         at: u64,
     },
-    /// A segment or records between two are not there.
+    /// A segment, or records between two segments, are missing.
     Missing {
-        /// The file before which they should be.
+        /// Name of the segment that should follow them.
         before: String,
     },
-    /// It ends before what counted.
+    /// The log ends before the last durable record.
     Rewound {
-        /// The last number that counted.
+        /// Last durable sequence number, by the watermark.
         counted: u64,
-        /// The last number that is there.
+        /// Last sequence number that was found.
         found: u64,
     },
     /// A file is a copy of the one that was written.
     Copied {
-        /// Which.
+        /// Name of the file.
         file: String,
     },
-    /// What says how far the log counted is not there, or not readable.
-    NoMark,
-    /// An earlier start found something lost, and the log goes on from there.
-    Before,
+    /// The watermark is missing or damaged.
+    #[serde(rename = "NoMark")]
+    NoWatermark,
+    /// An earlier opening found records lost, and the log was continued.
+    #[serde(rename = "Before")]
+    EarlierLoss,
 }
 
-impl fmt::Display for Lost {
+impl fmt::Display for DataLoss {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Lost::NoLog => write!(to, "there is no log"),
-            Lost::Damaged { file, at } => write!(to, "{file} is damaged at byte {at}"),
-            Lost::Missing { before } => write!(to, "records before {before} are missing"),
-            Lost::Rewound { counted, found } => {
+            DataLoss::NoLog => write!(to, "there is no log"),
+            DataLoss::Damaged { file, at } => write!(to, "{file} is damaged at byte {at}"),
+            DataLoss::Missing { before } => write!(to, "records before {before} are missing"),
+            DataLoss::Rewound { counted, found } => {
                 write!(to, "it ends at record {found}, and {counted} had counted")
             }
-            Lost::Copied { file } => write!(to, "{file} is a copy, not the file that was written"),
-            Lost::NoMark => write!(to, "its mark is missing or damaged"),
-            Lost::Before => write!(to, "an earlier start found records lost"),
+            DataLoss::Copied { file } => {
+                write!(to, "{file} is a copy, not the file that was written")
+            }
+            DataLoss::NoWatermark => write!(to, "its mark is missing or damaged"),
+            DataLoss::EarlierLoss => write!(to, "an earlier start found records lost"),
         }
     }
 }
 
-/// What an opening found.
+/// The result of a recovery.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Recovery {
-    /// Records read.
+    /// Number of records that were recovered.
     pub records: u64,
-    /// Bytes read.
+    /// Total length of the segments, in bytes.
     pub bytes: u64,
-    /// Bytes of a record that the last life did not finish writing.
+    /// Length of an incomplete record at the end, whose write a crash interrupted, in bytes.
     pub torn: u64,
-    /// Why something that counted may be missing; the first reason found.
-    pub lost: Option<Lost>,
+    /// Why durable records may be missing; the first reason found.
+    pub lost: Option<DataLoss>,
 }
 
-/// Why a log cannot be opened at all; each is for a person to mend.
+/// Why a log cannot be opened. Each cause needs the operator.
 #[derive(Debug)]
-pub enum Unusable {
-    /// Another version's.
+pub enum OpenError {
+    /// A segment has a format version that this build does not read.
     Version {
-        /// Which file.
+        /// Name of the file.
         file: String,
-        /// Its version.
+        /// Its format version.
         found: u16,
     },
-    /// Another instance's.
+    /// A segment belongs to another instance.
     OtherInstance {
-        /// Which file.
+        /// Name of the file.
         file: String,
-        /// Whose it is.
+        /// Name of the instance that it belongs to.
         found: String,
     },
-    /// One is there already where one was to be begun.
-    Begun,
-    /// The operating system's word.
+    /// [`Log::begin`] found a log.
+    AlreadyExists,
+    /// An operation of the file system failed.
     Io {
-        /// What was being done.
+        /// The operation, as "cannot read FILE".
         doing: String,
-        /// What it said.
+        /// Its error.
         error: io::Error,
     },
 }
 
-impl fmt::Display for Unusable {
+impl fmt::Display for OpenError {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unusable::Version { file, found } => write!(
+            OpenError::Version { file, found } => write!(
                 to,
                 "{file} is of version {found}, this program reads {VERSION}: start the version that wrote it, or move \
                  the folder away and begin without it"
             ),
-            Unusable::OtherInstance { file, found } => {
+            OpenError::OtherInstance { file, found } => {
                 write!(to, "{file} belongs to the instance '{found}': give each instance a folder of its own")
             }
-            Unusable::Begun => write!(to, "a log is there already"),
-            Unusable::Io { doing, error } => write!(to, "{doing}: {error}"),
+            OpenError::AlreadyExists => write!(to, "a log is there already"),
+            OpenError::Io { doing, error } => write!(to, "{doing}: {error}"),
         }
     }
 }
 
 /// Why records were not written.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum WriteProblem {
-    /// One of them is longer than [`LONGEST`].
+pub enum WriteError {
+    /// One of them is longer than [`MAX_RECORD_BYTES`].
     TooLong,
-    /// None of them is in the log, which goes on: the disk is full, say.
+    /// None of them is in the log, which stays usable; the disk may be full.
     NotWritten(String),
-    /// What is on the disk is unknown: an fsync failed, or what was half written could not be cut off. Nothing is
-    /// written any more until the log is opened again: an fsync that is tried again may succeed without having
-    /// written what failed before.
+    /// The state of the disk is unknown: an fsync failed, or a partial write could not be truncated. The log refuses
+    /// all writes until it is opened again, as a second fsync may succeed without having written what failed before.
     Failed(String),
 }
 
-impl fmt::Display for WriteProblem {
+impl fmt::Display for WriteError {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            WriteProblem::TooLong => write!(to, "a record is longer than {LONGEST} bytes"),
-            WriteProblem::NotWritten(why) => write!(to, "not written: {why}"),
-            WriteProblem::Failed(why) => write!(to, "the log ended: {why}"),
+            WriteError::TooLong => write!(to, "a record is longer than {MAX_RECORD_BYTES} bytes"),
+            WriteError::NotWritten(why) => write!(to, "not written: {why}"),
+            WriteError::Failed(why) => write!(to, "the log ended: {why}"),
         }
     }
 }
@@ -186,7 +188,7 @@
     damaged: bool,
 }
 
-/// A log that is open.
+/// An open log.
 pub struct Log<S> {
     storage: S,
     identity: Identity,
@@ -196,9 +198,9 @@
     segments: BTreeMap<u64, Segment>,
     current: u64,
     next: u64,
-    /// The last number that counts.
+    /// Last durable sequence number.
     durable: u64,
-    /// Something is written that does not count yet.
+    /// Whether records were written since the last fsync.
     unsynced: bool,
     failed: Option<String>,
 }
@@ -218,9 +220,9 @@
         .flatten()
 }
 
-fn doing(what: &str, file: &str) -> impl FnOnce(io::Error) -> Unusable {
+fn doing(what: &str, file: &str) -> impl FnOnce(io::Error) -> OpenError {
     let doing = format!("cannot {what} {file}");
-    move |error| Unusable::Io { doing, error }
+    move |error| OpenError::Io { doing, error }
 }
 
 /// The numbers of the segments there are, rising.
@@ -236,7 +238,7 @@
 
 /// What one segment holds, read without keeping it.
 pub(crate) struct Read {
-    pub header: Result<Header, HeaderProblem>,
+    pub header: Result<Header, HeaderError>,
     pub records: u64,
     pub next: u64,
     pub bytes: u64,
@@ -252,11 +254,11 @@
 ) -> io::Result<Read> {
     let mut chunk = vec![0; CHUNK];
     let mut head = Vec::new();
-    while head.len() < HEADER_LONGEST {
+    while head.len() < MAX_HEADER_BYTES {
         match storage.read(
             file,
             head.len() as u64,
-            &mut chunk[..HEADER_LONGEST - head.len()],
+            &mut chunk[..MAX_HEADER_BYTES - head.len()],
         )? {
             0 => break,
             n => head.extend_from_slice(&chunk[..n]),
@@ -346,12 +348,12 @@
     /// # Errors
     ///
     /// One is there already, or the operating system's.
-    pub fn begin(mut storage: S, identity: &Identity) -> Result<(), Unusable> {
+    pub fn begin(mut storage: S, identity: &Identity) -> Result<(), OpenError> {
         if !segments(&mut storage)
             .map_err(doing("list", "the folder"))?
             .is_empty()
         {
-            return Err(Unusable::Begun);
+            return Err(OpenError::AlreadyExists);
         }
         Log::make(storage, identity, identity.fresh, 1, 1, 0, false).map(|_| ())
     }
@@ -366,14 +368,14 @@
         mut storage: S,
         identity: &Identity,
         mut visit: impl FnMut(Record<'_>),
-    ) -> Result<(Log<S>, Recovery), Unusable> {
+    ) -> Result<(Log<S>, Recovery), OpenError> {
         let mut recovery = Recovery::default();
         let mut kept: BTreeMap<u64, Segment> = BTreeMap::new();
         let mut log = None;
         let mut next = None;
         let numbers = segments(&mut storage).map_err(doing("list", "the folder"))?;
         let last = numbers.last().copied();
-        let lose = |recovery: &mut Recovery, lost: Lost| {
+        let lose = |recovery: &mut Recovery, lost: DataLoss| {
             recovery.lost.get_or_insert(lost);
         };
         let mut before = None;
@@ -395,16 +397,14 @@
             let header = match found.header {
                 Ok(header) => header,
                 // The last life ended while it made this file; whether more went with it, the mark tells.
-                Err(HeaderProblem::Short) if Some(segment) == last && before.is_some() => {
+                Err(HeaderError::Short) if Some(segment) == last && before.is_some() => {
                     recovery.torn += found.torn;
                     storage.remove(&file).map_err(doing("remove", &file))?;
                     continue;
                 }
-                Err(HeaderProblem::Version(found)) => {
-                    return Err(Unusable::Version { file, found })
-                }
-                Err(HeaderProblem::Short | HeaderProblem::NotALog | HeaderProblem::Damaged) => {
-                    lose(&mut recovery, Lost::Damaged { file, at: 0 });
+                Err(HeaderError::Version(found)) => return Err(OpenError::Version { file, found }),
+                Err(HeaderError::Short | HeaderError::NotALog | HeaderError::Damaged) => {
+                    lose(&mut recovery, DataLoss::Damaged { file, at: 0 });
                     kept.insert(
                         segment,
                         Segment {
@@ -417,7 +417,7 @@
                 }
             };
             if header.instance != identity.instance {
-                return Err(Unusable::OtherInstance {
+                return Err(OpenError::OtherInstance {
                     file,
                     found: header.instance,
                 });
@@ -429,21 +429,21 @@
             if !follows {
                 lose(
                     &mut recovery,
-                    Lost::Missing {
+                    DataLoss::Missing {
                         before: file.clone(),
                     },
                 );
             }
             if storage.identity(&file).map_err(doing("look at", &file))? != header.file {
-                lose(&mut recovery, Lost::Copied { file: file.clone() });
+                lose(&mut recovery, DataLoss::Copied { file: file.clone() });
             }
             if header.after_loss {
-                lose(&mut recovery, Lost::Before);
+                lose(&mut recovery, DataLoss::EarlierLoss);
             }
             if let Some(damage) = found.damage.first() {
                 lose(
                     &mut recovery,
-                    Lost::Damaged {
+                    DataLoss::Damaged {
                         file,
                         at: damage.at,
                     },
@@ -470,12 +470,12 @@
         let found = next.map_or(0, |next| next - 1);
         let mut counted = found;
         match log.map(|log| marked(&mut storage, &log)) {
-            None => lose(&mut recovery, Lost::NoLog),
-            Some(None) => lose(&mut recovery, Lost::NoMark),
+            None => lose(&mut recovery, DataLoss::NoLog),
+            Some(None) => lose(&mut recovery, DataLoss::NoWatermark),
             Some(Some(marked)) if marked > found => {
                 lose(
                     &mut recovery,
-                    Lost::Rewound {
+                    DataLoss::Rewound {
                         counted: marked,
                         found,
                     },
@@ -503,7 +503,7 @@
         first: u64,
         durable: u64,
         after_loss: bool,
-    ) -> Result<Log<S>, Unusable> {
+    ) -> Result<Log<S>, OpenError> {
         let mut log = Log {
             storage,
             identity: identity.clone(),
@@ -589,14 +589,14 @@
         &mut self,
         payloads: &[impl AsRef<[u8]>],
         durable: bool,
-    ) -> Result<(), WriteProblem> {
+    ) -> Result<(), WriteError> {
         if let Some(why) = &self.failed {
-            return Err(WriteProblem::Failed(why.clone()));
+            return Err(WriteError::Failed(why.clone()));
         }
         let mut frames = Vec::new();
         for (seq, payload) in (self.next..).zip(payloads) {
-            if payload.as_ref().len() > LONGEST {
-                return Err(WriteProblem::TooLong);
+            if payload.as_ref().len() > MAX_RECORD_BYTES {
+                return Err(WriteError::TooLong);
             }
             encode(self.salt, seq, payload.as_ref(), &mut frames);
         }
@@ -608,7 +608,7 @@
         if !frames.is_empty() {
             if let Err(why) = self.storage.append(&file, &frames) {
                 return match self.storage.truncate(&file, length) {
-                    Ok(()) => Err(WriteProblem::NotWritten(why.to_string())),
+                    Ok(()) => Err(WriteError::NotWritten(why.to_string())),
                     Err(e) => Err(self.fail(format!(
                         "{why}, and what was half written is not cut off: {e}"
                     ))),
@@ -627,7 +627,7 @@
     }
 
     /// Makes all that is written count.
-    fn sync(&mut self) -> Result<(), WriteProblem> {
+    fn sync(&mut self) -> Result<(), WriteError> {
         if !self.unsynced {
             return Ok(());
         }
@@ -645,9 +645,9 @@
         Ok(())
     }
 
-    fn fail(&mut self, why: String) -> WriteProblem {
+    fn fail(&mut self, why: String) -> WriteError {
         self.failed = Some(why.clone());
-        WriteProblem::Failed(why)
+        WriteError::Failed(why)
     }
 
     /// Turns to a new segment. Once its writer has written again all that it still wants, [`Log::retire`] lets go of
@@ -656,15 +656,15 @@
     /// # Errors
     ///
     /// The old segment is written to as before if the new one could not be made.
-    pub fn rotate(&mut self) -> Result<u64, WriteProblem> {
+    pub fn rotate(&mut self) -> Result<u64, WriteError> {
         if let Some(why) = &self.failed {
-            return Err(WriteProblem::Failed(why.clone()));
+            return Err(WriteError::Failed(why.clone()));
         }
         self.sync()?;
         let segment = self.current + 1;
         match self.turn_to(segment, false) {
             Ok(()) => Ok(segment),
-            Err(why) => Err(WriteProblem::NotWritten(why.to_string())),
+            Err(why) => Err(WriteError::NotWritten(why.to_string())),
         }
     }
 
@@ -674,7 +674,7 @@
     /// # Errors
     ///
     /// What is left will go the next time.
-    pub fn retire(&mut self, before: u64) -> Result<(), WriteProblem> {
+    pub fn retire(&mut self, before: u64) -> Result<(), WriteError> {
         self.sync()?;
         let old: Vec<u64> = self
             .segments
@@ -691,12 +691,12 @@
                 true => self.storage.rename(&file, ASIDE),
                 false => self.storage.remove(&file),
             };
-            gone.map_err(|e| WriteProblem::NotWritten(format!("cannot let go of {file}: {e}")))?;
+            gone.map_err(|e| WriteError::NotWritten(format!("cannot let go of {file}: {e}")))?;
             self.segments.remove(&segment);
         }
         self.storage
             .sync_folder()
-            .map_err(|e| WriteProblem::NotWritten(e.to_string()))
+            .map_err(|e| WriteError::NotWritten(e.to_string()))
     }
 
     /// The segment that is written to.
--- a/crates/emberpin-wal/src/service.rs
+++ b/crates/emberpin-wal/src/service.rs
@@ -1,26 +1,26 @@
-//! One log on a thread of its own, with group commit: what comes while one fsync runs shares the next.
+//! A log on a thread of its own, with group commit: records that arrive during one fsync share the next.
 
-use crate::log::{Log, WriteProblem};
+use crate::log::{Log, WriteError};
 use crate::storage::Storage;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender, TrySendError};
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// Commands that wait for the thread, at most.
+/// Bound of the queued commands.
 const QUEUE: usize = 8192;
-/// Bytes of records that wait, at most.
+/// Bound of the queued records, in bytes.
 const QUEUED_BYTES: usize = 16 << 20;
-/// Bytes that share one write, about at most.
+/// A write is not extended by further records beyond this many bytes.
 const GROUP_BYTES: usize = 1 << 20;
 
-/// What the writer knows a record by until it counts.
+/// The caller's id of a record until it is durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// The queue is full: nothing was taken. Of all that wait, it is the newest that gives way.
+/// The queue is full, or its thread has ended; the command was not queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Busy;
+pub struct QueueFull;
 
 enum Command {
     Append {
@@ -31,18 +31,18 @@
     Retire(u64),
 }
 
-/// What the thread tells.
+/// What has become of the queued commands.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
-    /// These records count.
+pub enum LogEvent {
+    /// These records are durable.
     Durable(Vec<Ticket>),
-    /// None of these counts, and why.
-    Unwritten(Vec<Ticket>, WriteProblem),
-    /// What is appended from now on goes to this segment, or why it does not.
-    Rotated(Result<u64, WriteProblem>),
+    /// None of these records is durable, and why.
+    Failed(Vec<Ticket>, WriteError),
+    /// Records appended from now on go to this segment; or why the log was not rotated.
+    Rotated(Result<u64, WriteError>),
 }
 
-/// The writer's end. The thread ends, with all that was taken written, when this goes.
+/// Handle of the thread. When it is dropped, the thread writes all queued records and ends.
 pub struct Service {
     commands: Option<SyncSender<Command>>,
     thread: Option<JoinHandle<()>>,
@@ -52,14 +52,14 @@
 }
 
 impl Service {
-    /// Starts the thread; it calls `tell` with what it has to tell.
+    /// Starts the thread, which calls `notify` for each event.
     ///
     /// # Errors
     ///
-    /// The operating system gives no thread.
+    /// If the operating system starts no thread.
     pub fn start<S: Storage + Send + 'static>(
         log: Log<S>,
-        tell: impl Fn(Note) + Send + 'static,
+        notify: impl Fn(LogEvent) + Send + 'static,
     ) -> std::io::Result<Service> {
         let (commands, received) = sync_channel(QUEUE);
         let queued = Arc::new(AtomicUsize::new(0));
@@ -74,7 +74,7 @@
         };
         let thread = std::thread::Builder::new()
             .name("emberpin-wal".into())
-            .spawn(move || worker.run(&tell))?;
+            .spawn(move || worker.run(&notify))?;
         Ok(Service {
             commands: Some(commands),
             thread: Some(thread),
@@ -84,17 +84,17 @@
         })
     }
 
-    /// Appends a record. With a ticket it is told when the record counts, or that it does not; without one it is
-    /// written soon, and counts with the next that has one.
+    /// Queues a record. With a ticket, [`LogEvent::Durable`] or [`LogEvent::Failed`] follows; without one it is written
+    /// soon, and becomes durable with the next record that has one.
     ///
     /// # Errors
     ///
-    /// Too much waits already.
-    pub fn append(&self, payload: Vec<u8>, ticket: Option<Ticket>) -> Result<(), Busy> {
+    /// If the queue is full.
+    pub fn append(&self, payload: Vec<u8>, ticket: Option<Ticket>) -> Result<(), QueueFull> {
         let size = payload.len();
         if self.queued.fetch_add(size, Ordering::Relaxed) + size > QUEUED_BYTES {
             self.queued.fetch_sub(size, Ordering::Relaxed);
-            return Err(Busy);
+            return Err(QueueFull);
         }
         self.send(Command::Append { payload, ticket })
             .inspect_err(|_| {
@@ -102,39 +102,39 @@
             })
     }
 
-    /// Turns to a new segment; [`Note::Rotated`] tells which.
+    /// Queues a rotation to a new segment; [`LogEvent::Rotated`] follows.
     ///
     /// # Errors
     ///
-    /// Too much waits already.
-    pub fn rotate(&self) -> Result<(), Busy> {
+    /// If the queue is full.
+    pub fn rotate(&self) -> Result<(), QueueFull> {
         self.send(Command::Rotate)
     }
 
-    /// Lets go of the segments before this one, once all that was appended before counts.
+    /// Queues the removal of the segments before this one, once all that was appended earlier is durable.
     ///
     /// # Errors
     ///
-    /// Too much waits already.
-    pub fn retire(&self, before: u64) -> Result<(), Busy> {
+    /// If the queue is full.
+    pub fn retire(&self, before: u64) -> Result<(), QueueFull> {
         self.send(Command::Retire(before))
     }
 
-    fn send(&self, command: Command) -> Result<(), Busy> {
+    fn send(&self, command: Command) -> Result<(), QueueFull> {
         let Some(commands) = &self.commands else {
-            return Err(Busy);
+            return Err(QueueFull);
         };
         commands.try_send(command).map_err(|problem| match problem {
-            TrySendError::Full(_) | TrySendError::Disconnected(_) => Busy,
+            TrySendError::Full(_) | TrySendError::Disconnected(_) => QueueFull,
         })
     }
 
-    /// Bytes of all segments.
+    /// Total length of the segments, in bytes.
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
 
-    /// Groups that were made to count, so far.
+    /// Number of groups synced so far, failed ones included.
     pub fn groups(&self) -> u64 {
         self.syncs.load(Ordering::Relaxed)
     }
@@ -159,12 +159,12 @@
 }
 
 impl<S: Storage> Worker<S> {
-    fn run(mut self, tell: &dyn Fn(Note)) {
-        let mut held = None;
-        while let Some(command) = held.take().or_else(|| self.received.recv().ok()) {
+    fn run(mut self, notify: &dyn Fn(LogEvent)) {
+        let mut next = None;
+        while let Some(command) = next.take().or_else(|| self.received.recv().ok()) {
             match command {
-                Command::Append { payload, ticket } => held = self.group(payload, ticket, tell),
-                Command::Rotate => tell(Note::Rotated(self.log.rotate())),
+                Command::Append { payload, ticket } => next = self.group(payload, ticket, notify),
+                Command::Rotate => notify(LogEvent::Rotated(self.log.rotate())),
                 // What is left goes the next time.
                 Command::Retire(before) => _ = self.log.retire(before),
             }
@@ -174,12 +174,12 @@
         _ = self.log.write(&[] as &[Vec<u8>], true);
     }
 
-    /// Writes what waits as one; returns the first command that is no record.
+    /// Writes the queued records as one group; returns the first command that is not a record.
     fn group(
         &mut self,
         payload: Vec<u8>,
         ticket: Option<Ticket>,
-        tell: &dyn Fn(Note),
+        notify: &dyn Fn(LogEvent),
     ) -> Option<Command> {
         let mut size = payload.len();
         let (mut payloads, mut tickets) = (vec![payload], Vec::from_iter(ticket));
@@ -202,9 +202,9 @@
         self.queued.fetch_sub(size, Ordering::Relaxed);
         if !tickets.is_empty() {
             self.syncs.fetch_add(1, Ordering::Relaxed);
-            tell(match written {
-                Ok(()) => Note::Durable(tickets),
-                Err(problem) => Note::Unwritten(tickets, problem),
+            notify(match written {
+                Ok(()) => LogEvent::Durable(tickets),
+                Err(problem) => LogEvent::Failed(tickets, problem),
             });
         }
         other
--- a/crates/emberpin-wal/src/storage.rs
+++ b/crates/emberpin-wal/src/storage.rs
@@ -5,9 +5,9 @@
 /// Tells a file from a copy of it: a copy has another number, or another time of birth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct FileIdentity {
-    /// Its inode.
+    /// Inode number.
     pub inode: u64,
-    /// When it was made, in nanoseconds since 1970, where the file system says so.
+    /// Time of creation in nanoseconds since 1970, if the file system records it.
     pub born_ns: Option<u64>,
 }
 
--- a/crates/emberpin-wal/tests/common/mod.rs
+++ b/crates/emberpin-wal/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A storage in memory that breaks as told: it dies at a given step, runs full, or fails an fsync.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-use emberpin_wal::{FileIdentity, Identity, Log, Record, Recovery, Storage, Unusable};
+use emberpin_wal::{FileIdentity, Identity, Log, OpenError, Record, Recovery, Storage};
 use std::collections::BTreeMap;
 use std::io;
 
@@ -234,7 +234,7 @@
 pub type Opened<S> = (Log<S>, Recovery, Vec<Vec<u8>>);
 
 /// Opens, and tells what was read.
-pub fn open<S: Storage>(storage: S) -> Result<Opened<S>, Unusable> {
+pub fn open<S: Storage>(storage: S) -> Result<Opened<S>, OpenError> {
     let mut read = Vec::new();
     let (log, recovery) = Log::open(storage, &identity(), |Record { payload, .. }| {
         read.push(payload.to_vec());
--- a/crates/emberpin-wal/tests/recorded.rs
+++ b/crates/emberpin-wal/tests/recorded.rs
@@ -128,7 +128,7 @@
     let (_, recovery, _) = open(log).expect("open");
     assert_eq!(
         recovery.lost,
-        Some(emberpin_wal::Lost::Rewound {
+        Some(emberpin_wal::DataLoss::Rewound {
             counted: 4,
             found: 3
         })
--- a/crates/emberpin-wal/tests/recovery.rs
+++ b/crates/emberpin-wal/tests/recovery.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use emberpin_wal::{inspect, Files, Log, Lost, Storage, Unusable, WriteProblem};
+use emberpin_wal::{inspect, DataLoss, Files, Log, OpenError, Storage, WriteError};
 use proptest::prelude::*;
 
 const FIRST: &str = "0000000001.log";
@@ -52,7 +52,7 @@
         assert!(read.len() < 12, "cut at {cut}");
         // All twelve had counted: the mark says so, whatever the cut left.
         assert!(
-            matches!(recovery.lost, Some(Lost::Rewound { counted: 12, .. })),
+            matches!(recovery.lost, Some(DataLoss::Rewound { counted: 12, .. })),
             "cut at {cut}: {recovery:?}"
         );
     }
@@ -76,7 +76,9 @@
                         );
                     }
                     // The version's own two bytes.
-                    Err(Unusable::Version { .. }) => assert!((8..10).contains(&at), "{file}, {at}"),
+                    Err(OpenError::Version { .. }) => {
+                        assert!((8..10).contains(&at), "{file}, {at}");
+                    }
                     Err(other) => panic!("{file}, {at}: {other}"),
                 }
             }
@@ -157,9 +159,9 @@
     log.storage_mut().room = Some(7);
     assert!(matches!(
         log.write(&[record(2)], true),
-        Err(WriteProblem::NotWritten(_))
+        Err(WriteError::NotWritten(_))
     ));
-    assert!(matches!(log.rotate(), Err(WriteProblem::NotWritten(_))));
+    assert!(matches!(log.rotate(), Err(WriteError::NotWritten(_))));
     log.storage_mut().room = None;
     log.write(&[record(3)], true).expect("written");
     assert_eq!(log.rotate(), Ok(3));
@@ -180,18 +182,18 @@
     log.storage_mut().fault = Some((steps + 2, Fault::Sync));
     assert!(matches!(
         log.write(&[record(2)], true),
-        Err(WriteProblem::Failed(_))
+        Err(WriteError::Failed(_))
     ));
     // The kernel would say that all is well now, with the pages thrown away.
     assert!(matches!(
         log.write(&[record(3)], true),
-        Err(WriteProblem::Failed(_))
+        Err(WriteError::Failed(_))
     ));
     assert!(matches!(
         log.write(&[] as &[Vec<u8>], true),
-        Err(WriteProblem::Failed(_))
+        Err(WriteError::Failed(_))
     ));
-    assert!(matches!(log.rotate(), Err(WriteProblem::Failed(_))));
+    assert!(matches!(log.rotate(), Err(WriteError::Failed(_))));
     assert_eq!(log.durable(), 1);
     let left = log.storage_mut().without_power(0);
     drop(log);
@@ -234,7 +236,7 @@
     let (mut log, recovery, read) = open(&mut restored).expect("open");
     assert_eq!(
         (read.len(), recovery.lost),
-        (3, Some(Lost::Copied { file: FIRST.into() }))
+        (3, Some(DataLoss::Copied { file: FIRST.into() }))
     );
     // It stays found out over a death right after, until all that is wanted is written again.
     log.write(&[record(9)], true).expect("written");
@@ -258,7 +260,7 @@
     let (_, recovery, _) = open(over).expect("open");
     assert_eq!(
         recovery.lost,
-        Some(Lost::Rewound {
+        Some(DataLoss::Rewound {
             counted: 4,
             found: 3
         })
@@ -269,12 +271,15 @@
 fn no_log_a_missing_segment_and_a_missing_mark_are_losses() {
     let lost = |memory: Memory| open(memory).expect("open").1.lost;
     let mut empty = Memory::default();
-    assert_eq!(open(&mut empty).expect("open").1.lost, Some(Lost::NoLog));
+    assert_eq!(
+        open(&mut empty).expect("open").1.lost,
+        Some(DataLoss::NoLog)
+    );
     // A death right after does not make it a log that was begun.
-    assert_eq!(lost(empty), Some(Lost::Before));
+    assert_eq!(lost(empty), Some(DataLoss::EarlierLoss));
     let mut memory = written(3);
     memory.files.remove("mark");
-    assert_eq!(lost(memory), Some(Lost::NoMark));
+    assert_eq!(lost(memory), Some(DataLoss::NoWatermark));
     let mut memory = written(3);
     let (mut log, ..) = open(&mut memory).expect("open");
     log.write(&[record(4)], true).expect("written");
@@ -282,13 +287,13 @@
     memory.files.remove(SECOND);
     assert_eq!(
         lost(memory),
-        Some(Lost::Missing {
+        Some(DataLoss::Missing {
             before: "0000000003.log".into()
         })
     );
     assert!(matches!(
         Log::begin(written(1), &identity()),
-        Err(Unusable::Begun)
+        Err(OpenError::AlreadyExists)
     ));
 }
 
@@ -300,7 +305,7 @@
     bytes[last] ^= 1;
     let damaged = bytes.clone();
     let (mut log, recovery, read) = open(&mut memory).expect("open");
-    assert!(matches!(recovery.lost, Some(Lost::Damaged { .. })));
+    assert!(matches!(recovery.lost, Some(DataLoss::Damaged { .. })));
     assert_eq!(read, [record(1), record(2)], "what can be read is");
     log.write(&read, true).expect("written");
     log.retire(log.segment()).expect("let go");
@@ -342,7 +347,7 @@
         .extend_from_slice(tail);
     let (_, recovery, read) = open(memory).expect("open");
     assert_eq!(read, (1..=5).map(record).collect::<Vec<_>>());
-    assert!(matches!(recovery.lost, Some(Lost::Damaged { .. })));
+    assert!(matches!(recovery.lost, Some(DataLoss::Damaged { .. })));
 }
 
 #[test]
@@ -387,7 +392,7 @@
     std::fs::copy(folder.path().join(FIRST), copy.path().join(FIRST)).expect("copied");
     std::fs::copy(folder.path().join("mark"), copy.path().join("mark")).expect("copied");
     let (_, recovery, _) = open(Files::take(copy.path()).expect("free")).expect("open");
-    assert_eq!(recovery.lost, Some(Lost::Copied { file: FIRST.into() }));
+    assert_eq!(recovery.lost, Some(DataLoss::Copied { file: FIRST.into() }));
 }
 
 #[derive(Clone, Debug)]
--- a/crates/emberpin-wal/tests/service.rs
+++ b/crates/emberpin-wal/tests/service.rs
@@ -4,7 +4,9 @@
 mod common;
 
 use common::*;
-use emberpin_wal::{Busy, FileIdentity, Note, Service, Storage, Ticket, WriteProblem, LONGEST};
+use emberpin_wal::{
+    FileIdentity, LogEvent, QueueFull, Service, Storage, Ticket, WriteError, MAX_RECORD_BYTES,
+};
 use std::collections::BTreeSet;
 use std::sync::mpsc::{channel, Receiver};
 
@@ -77,7 +79,7 @@
     let mut tickets = BTreeSet::new();
     while tickets.len() < 668 {
         match told.recv().expect("told") {
-            Note::Durable(some) => some
+            LogEvent::Durable(some) => some
                 .into_iter()
                 .for_each(|ticket| assert!(tickets.insert(ticket))),
             other => panic!("{other:?}"),
@@ -100,7 +102,9 @@
     let service =
         Service::start(log, move |note| tell.send(note).expect("heard")).expect("a thread");
     let mut taken = 0u64;
-    while taken < 100 && service.append(vec![0; LONGEST], Some(Ticket(taken))) != Err(Busy) {
+    while taken < 100
+        && service.append(vec![0; MAX_RECORD_BYTES], Some(Ticket(taken))) != Err(QueueFull)
+    {
         taken += 1;
     }
     drop(go);
@@ -108,16 +112,16 @@
     let mut heard = 0;
     while heard < taken {
         match told.recv().expect("told") {
-            Note::Durable(tickets) => heard += tickets.len() as u64,
+            LogEvent::Durable(tickets) => heard += tickets.len() as u64,
             other => panic!("{other:?}"),
         }
     }
     service
-        .append(vec![0; LONGEST + 1], Some(Ticket(taken)))
+        .append(vec![0; MAX_RECORD_BYTES + 1], Some(Ticket(taken)))
         .expect("taken");
     assert_eq!(
         told.recv(),
-        Ok(Note::Unwritten(vec![Ticket(taken)], WriteProblem::TooLong))
+        Ok(LogEvent::Failed(vec![Ticket(taken)], WriteError::TooLong))
     );
 }
 
