--- a/crates/emberpin-limiter/src/front/clients.rs
+++ b/crates/emberpin-limiter/src/front/clients.rs
@@ -1,4 +1,4 @@
-//! The client side: takes requests off connections, asks the driver, writes the one answer.
+//! The client side: receives requests, forwards them to the driver, and writes the one answer.
 
 use crate::front::admission::{self, Admission, Admitted};
 use crate::front::answers::{headed, plain, written};
@@ -28,19 +28,21 @@
 use tokio::task::spawn_local;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// A deadline counts from the client's sending: so much earlier the answer must be on its way.
-const MARGIN: Duration = Duration::from_millis(20);
-/// As much of a body as is held has come by then, counted from the end of its head: at 64 kB a second, and some more.
-const BODY_LIMIT: Duration = Duration::from_secs(3);
-/// A longer body has ended by then, and its client is silent for no longer than the second.
-const UPLOAD_LIMIT: Duration = Duration::from_secs(900);
-const UPLOAD_SILENCE: Duration = Duration::from_secs(10);
-/// How often that silence is looked at.
-const UPLOAD_LOOK: Duration = Duration::from_millis(500);
-/// A body that nobody wants any more is read for so long.
-const RUN_OUT: Duration = Duration::from_secs(30);
-/// An answer that has begun waits so long for others to be passed on.
-const PASSING_WAIT: Duration = Duration::from_millis(1_500);
+/// How long before the client's deadline the answer must be sent, as the deadline counts from when the client sent the
+/// request.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(20);
+/// The buffered part of a body must arrive within this time after the head: at 64 kB a second, with a margin.
+const BUFFERING_TIMEOUT: Duration = Duration::from_secs(3);
+/// A streamed body must end within this time.
+const UPLOAD_TIMEOUT: Duration = Duration::from_secs(900);
+/// A client may send nothing of a streamed body for this long.
+const UPLOAD_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// How often [`UPLOAD_IDLE_TIMEOUT`] is checked.
+const UPLOAD_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// How long the rest of a refused body is read and discarded.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long a streamed response waits for a download slot.
+const DOWNLOAD_SLOT_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Headers that concern one connection only, or that are written anew.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
@@ -53,9 +55,9 @@
     header::UPGRADE,
 ];
 
-/// What all client connections share.
+/// The state that all client connections share.
 pub struct Front {
-    /// Where it is on: recognises repeats of keyed requests.
+    /// Recognises repeats of keyed requests; `None` where the operator has it off.
     idempotency: Option<Rc<Idempotency>>,
     admission: Admission,
     inputs: mpsc::Sender<Input>,
@@ -63,13 +65,14 @@
     /// The ids of the requests that are open here.
     open: RefCell<HashSet<String>>,
     pub reception: Rc<Reception>,
-    /// Places for bodies that are passed on in pieces, requests' and answers'.
+    /// Slots for streamed request bodies.
     uploads: Arc<Semaphore>,
+    /// Slots for streamed responses.
     downloads: Arc<Semaphore>,
     figures: Arc<Figures>,
 }
 
-/// A request that is open: tells the driver when its client goes away, unless the answer came first.
+/// A request in flight. Dropped before its answer, as when its client disconnects, it notifies the driver.
 struct Waiting {
     front: Rc<Front>,
     name: String,
@@ -142,13 +145,13 @@
         })
     }
 
-    /// One request of a client: checked, taken in as far as it is held, and answered.
+    /// Admits a request, buffers the beginning of its body, and returns the answer.
     async fn serve(
         self: &Rc<Self>,
         request: Request<Incoming>,
         connection: &Rc<Connection>,
     ) -> Result<Response<Content>, StatusCode> {
-        // Guards against requests hidden in bodies, for whoever follows the other framing.
+        // Of two contradicting framings a server could follow the other one, and find a request hidden in the body.
         if connection.is_doubtful() {
             return Err(StatusCode::BAD_REQUEST);
         }
@@ -160,7 +163,7 @@
         } else {
             take_in(body).await?
         };
-        // Guards against repeats that the stage does not see: it tells requests apart by their whole body.
+        // The idempotency stage compares whole bodies, so with it on, a body that is not buffered completely is refused.
         let rest = match rest {
             Some(rest) if self.idempotency.is_some() => {
                 spawn_local(run_out(rest));
@@ -168,10 +171,10 @@
             }
             rest => rest,
         };
-        // Its time counts from its last byte.
+        // The time limit counts from the last byte of the request.
         let patience = asked
             .patience
-            .saturating_sub(MARGIN)
+            .saturating_sub(RESPONSE_MARGIN)
             .max(asked.patience / 2);
         let mut active = self.figures.taken(asked.class);
         let (body, expires) = match rest {
@@ -185,7 +188,7 @@
                 let upload = Rc::new(Upload::new(held, length, rest, buffer_permit));
                 (
                     RequestBody::Uploading(upload),
-                    Instant::now() + UPLOAD_LIMIT,
+                    Instant::now() + UPLOAD_TIMEOUT,
                 )
             }
         };
@@ -204,7 +207,12 @@
             Err(status) => Err(status),
             Ok(Replied::Complete(response)) => Ok(response),
             Ok(Replied::Streamed(streamed)) => {
-                match timeout(PASSING_WAIT, self.downloads.clone().acquire_owned()).await {
+                match timeout(
+                    DOWNLOAD_SLOT_TIMEOUT,
+                    self.downloads.clone().acquire_owned(),
+                )
+                .await
+                {
                     Ok(Ok(buffer_permit)) => {
                         return Ok(passed_on(
                             streamed,
@@ -213,7 +221,7 @@
                             buffer_permit,
                         ))
                     }
-                    // Too many pass on already: nothing of it was told yet.
+                    // All slots are in use; the client has received nothing of the response yet.
                     Ok(Err(_)) | Err(_) => Err(StatusCode::BAD_GATEWAY),
                 }
             }
@@ -231,7 +239,7 @@
         response
     }
 
-    /// A request that was taken in, until its answer.
+    /// Forwards an admitted request, and waits for its answer.
     async fn taken(
         self: &Rc<Self>,
         asked: Admitted,
@@ -239,13 +247,13 @@
         patience: Duration,
         expires: Instant,
     ) -> Result<Replied, StatusCode> {
-        // Guards against a mix-up: an id stands for one request, and the first one goes on.
+        // An id stands for one request: a second one with the same id is refused, and the first goes on.
         if !self.open.borrow_mut().insert(asked.id.clone()) {
             return Err(StatusCode::CONFLICT);
         }
         let waiting = self.open_request(asked.id);
         strip(&mut outgoing.headers);
-        // A key on a class that is safe to repeat means nothing.
+        // A key on a request that is safe to repeat is ignored.
         let keyed = outgoing.method == Method::POST && admission::key(&outgoing.headers).is_some();
         let stage = self.idempotency.as_ref().filter(|_| keyed);
         let takeover = stage.and_then(|stage| stage.takeover());
@@ -281,8 +289,8 @@
             RequestBody::Uploading(upload) => {
                 // What keeps it from its place in the table is a client's silence, not its slowness.
                 let silent = async {
-                    while upload.silence() < UPLOAD_SILENCE {
-                        tokio::time::sleep(UPLOAD_LOOK).await;
+                    while upload.silence() < UPLOAD_IDLE_TIMEOUT {
+                        tokio::time::sleep(UPLOAD_CHECK_INTERVAL).await;
                     }
                 };
                 let reply = tokio::select! {
@@ -307,7 +315,7 @@
                 key,
                 expires,
             };
-            // Nothing is passed on in pieces where the stage is on.
+            // Nothing is streamed where the stage is on.
             let asking = async move {
                 match asking.await {
                     Reply::Answer(answer) => answer,
@@ -321,7 +329,10 @@
 
     /// A request is open here from now on, until what is returned is dropped.
     fn open_request(self: &Rc<Self>, name: String) -> Waiting {
-        let id = RequestId(self.next.replace(self.next.get().wrapping_add(1) & !TAKEN));
+        let id = RequestId(
+            self.next
+                .replace(self.next.get().wrapping_add(1) & !FIRST_TAKEN_OVER_ID),
+        );
         Waiting {
             front: self.clone(),
             name,
@@ -348,7 +359,7 @@
 
 /// As much of a body as is held: all of it, or its beginning and what brings the rest.
 pub async fn take_in(mut body: Incoming) -> Result<(Bytes, Option<Incoming>), StatusCode> {
-    let by = Instant::now() + BODY_LIMIT;
+    let by = Instant::now() + BUFFERING_TIMEOUT;
     let mut pieces: Vec<Bytes> = Vec::new();
     let mut size = 0;
     let mut ended = false;
@@ -375,13 +386,14 @@
     Ok((held, Some(body).filter(|_| !ended)))
 }
 
-/// Lets a body that nobody wants run out.
+/// Reads and discards the rest of a body: a connection closed with unread bytes on it could lose the answer.
 pub async fn run_out(mut body: Incoming) {
-    let over = async { while let Ok(Some(Ok(_))) = timeout(UPLOAD_SILENCE, body.frame()).await {} };
-    _ = timeout(RUN_OUT, over).await;
+    let over =
+        async { while let Ok(Some(Ok(_))) = timeout(UPLOAD_IDLE_TIMEOUT, body.frame()).await {} };
+    _ = timeout(DISCARD_TIMEOUT, over).await;
 }
 
-/// The answer that a server has begun, for its client.
+/// A streamed response to a client.
 pub fn passed_on(
     mut response: StreamedResponse,
     active: Active,
@@ -400,14 +412,14 @@
     )
 }
 
-/// Where the ids of requests that were taken over begin: clients' requests have those below.
-const TAKEN: u32 = 1 << 31;
+/// Ids of requests that were taken over begin here; those of clients' requests are below.
+const FIRST_TAKEN_OVER_ID: u32 = 1 << 31;
 
-/// Asks the driver for requests of limiters that are gone; no client of this one waits for them.
+/// Forwards requests of limiters that have failed to the driver; no client of this one waits for their answers.
 pub fn take_over(inputs: mpsc::Sender<Input>) -> Runner {
-    let next = Cell::new(TAKEN);
+    let next = Cell::new(FIRST_TAKEN_OVER_ID);
     Box::new(move |taken| {
-        let id = RequestId(next.replace(next.get().wrapping_add(1) | TAKEN));
+        let id = RequestId(next.replace(next.get().wrapping_add(1) | FIRST_TAKEN_OVER_ID));
         let inputs = inputs.clone();
         Box::pin(async move {
             let (reply_to, reply) = oneshot::channel();
@@ -437,7 +449,7 @@
     })
 }
 
-/// Asks the driver, and waits for the one answer.
+/// Forwards a request to the driver, and waits for the one reply.
 async fn ask(
     mut waiting: Waiting,
     call: AdmittedRequest,
@@ -451,7 +463,7 @@
     reply
 }
 
-/// Removes what concerns this connection only, as listed or as the client names it.
+/// Removes the headers that concern this connection only: the well-known ones, and those that `Connection` names.
 pub fn strip(headers: &mut HeaderMap) {
     let named = headers
         .get_all(header::CONNECTION)
--- a/crates/emberpin-limiter/src/front/connections.rs
+++ b/crates/emberpin-limiter/src/front/connections.rs
@@ -17,17 +17,17 @@
 /// How much of a connection's time a client may take.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClientLimits {
-    /// From its first byte a head is whole by the first time; or by the second if it still grows.
+    /// A head must be complete within the first time after its first byte; within the second while it still grows.
     pub head: (Duration, Duration),
-    /// A connection's first request begins by then.
+    /// The first request on a connection must begin within this time.
     pub silence: Duration,
-    /// Between an answer and the next request, where that is bounded.
+    /// The next request must begin within this time after an answer; `None` for no bound.
     pub idle: Option<Duration>,
-    /// Bytes of a head that are read: a longer one is refused with 431 as soon as so many have come.
+    /// The longest head: a longer one is refused with 431 as soon as this many bytes have arrived.
     pub head_bytes: usize,
 }
 
-/// Bytes of a head that are read where nothing else is said.
+/// The longest head, unless [`ClientLimits`] says otherwise.
 pub const HEAD_BYTES: usize = 16 * 1024;
 
 impl Default for ClientLimits {
@@ -43,61 +43,62 @@
     }
 }
 
-/// With less than this part of the places left, a connection ends with its first answer: idle ones are not
-/// closed before their time, so a crowd that asks once and stays would fill the places faster than they go.
-const CROWDED_PART: usize = 8;
-/// With so few places left connections must go for new ones: those that never asked for anything after the
-/// first time, idle ones after the second.
-const NEARLY_FULL: usize = 8;
-const CROWDED_SILENCE: Duration = Duration::from_millis(250);
-/// And heads that have stopped half way after this time: slow clients pause between pieces.
-const CROWDED_STOP: Duration = Duration::from_millis(600);
-const CROWDED_IDLE: Duration = Duration::from_secs(2);
-/// A connection is new for so long: its first request may be under way.
-const NEW: Duration = Duration::from_millis(250);
-/// So many may be held whatever another process holds.
-const LEAST: usize = 16;
-/// How often the limits are looked at.
-const SWEEP: Duration = Duration::from_millis(250);
+/// With less than one in this many slots free, a connection ends with its first answer. Idle connections are not closed
+/// before their time, so many clients that send one request and stay would fill the slots faster than they become free.
+const CROWDED_FRACTION: usize = 8;
+/// With no more free slots than this, connections are closed for new ones.
+const MIN_FREE: usize = 8;
+/// Then a connection without any request is closed after this time.
+const CROWDED_FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
+/// Then one whose head has stopped half way is closed after this time: slow clients pause between chunks.
+const CROWDED_HEAD_STALL_TIMEOUT: Duration = Duration::from_millis(600);
+/// Then one that is idle after an answer is closed after this time.
+const CROWDED_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// For this long a connection is new, and its first request may be under way.
+const NEW_CONNECTION_AGE: Duration = Duration::from_millis(250);
+/// Connections that this process may have however many a sibling process has.
+const MIN_CONNECTIONS: usize = 16;
+/// How often the limits are checked.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derive(Clone, Copy, PartialEq)]
 enum Stage {
-    /// No request is open and no byte of the next one has come.
+    /// No request is open, and no byte of the next one has arrived.
     Idle,
-    /// Part of a head has come.
+    /// A part of a head has arrived.
     Head,
     /// A request is open.
     Open,
 }
 
-/// One connection.
+/// The state of a client's connection.
 pub struct Connection {
     stage: Cell<Stage>,
     since: Cell<Instant>,
-    /// When the last byte of a head came.
+    /// When the last byte of a head arrived.
     moved: Cell<Instant>,
     requests: Cell<u64>,
     framing: RefCell<Framing>,
-    /// An answer on it broke off: its end must not look like that of the answer.
+    /// A response on it broke off. Its end must not look like that of the response, so it is reset.
     cut: Cell<bool>,
-    /// Told to go.
+    /// It was notified to end.
     ending: Cell<bool>,
     end: Notify,
 }
 
 impl Connection {
-    /// The head of a request is whole.
+    /// Records that the head of a request is complete.
     pub fn open(&self) {
         self.stage.set(Stage::Open);
         self.requests.set(self.requests.get() + 1);
     }
 
-    /// Whether a request on it told the end of its body in two ways.
+    /// Whether a request on it had two contradicting framings.
     pub fn is_doubtful(&self) -> bool {
         self.framing.borrow().is_doubtful()
     }
 
-    /// An answer on it broke off.
+    /// Records that a response on it broke off.
     pub fn cut(&self) {
         self.cut.set(true);
     }
@@ -111,7 +112,7 @@
     pub fn is_expecting(&self) -> bool {
         match self.stage.get() {
             Stage::Head => true,
-            Stage::Idle => !self.asked() && self.since.get().elapsed() < NEW,
+            Stage::Idle => !self.asked() && self.since.get().elapsed() < NEW_CONNECTION_AGE,
             Stage::Open => false,
         }
     }
@@ -120,7 +121,7 @@
         self.requests.get() > 0
     }
 
-    /// The request has its answer.
+    /// Records that the request has its answer.
     pub fn close(&self) {
         self.stage.set(Stage::Idle);
         self.since.set(Instant::now());
@@ -147,7 +148,9 @@
         let since = self.since.get().elapsed();
         let (head, most) = limits.head;
         match self.stage.get() {
-            Stage::Head => since >= most || since >= head && self.moved.get().elapsed() >= SWEEP,
+            Stage::Head => {
+                since >= most || since >= head && self.moved.get().elapsed() >= SWEEP_INTERVAL
+            }
             Stage::Idle if self.asked() => limits.idle.is_some_and(|idle| since >= idle),
             Stage::Idle => since >= limits.silence,
             Stage::Open => false,
@@ -158,16 +161,16 @@
     /// has stopped counts from there.
     fn excess(&self) -> Option<f64> {
         let (since, patience) = match (self.stage.get(), self.asked()) {
-            (Stage::Head, _) => (self.moved.get(), CROWDED_STOP),
-            (_, false) => (self.since.get(), CROWDED_SILENCE),
-            (_, true) => (self.since.get(), CROWDED_IDLE),
+            (Stage::Head, _) => (self.moved.get(), CROWDED_HEAD_STALL_TIMEOUT),
+            (_, false) => (self.since.get(), CROWDED_FIRST_REQUEST_TIMEOUT),
+            (_, true) => (self.since.get(), CROWDED_IDLE_TIMEOUT),
         };
         let excess = since.elapsed().as_secs_f64() / patience.as_secs_f64();
         (self.stage.get() != Stage::Open && !self.ending.get() && excess >= 1.0).then_some(excess)
     }
 }
 
-/// All of them.
+/// All connections of clients.
 pub struct Connections {
     most: usize,
     limits: Cell<ClientLimits>,
@@ -202,7 +205,7 @@
     fn most(&self) -> usize {
         self.most
             .saturating_sub(self.socket_budget.sibling_clients())
-            .max(LEAST)
+            .max(MIN_CONNECTIONS)
     }
 
     /// Takes a place until dropped; wait for [`Self::room`] before.
@@ -227,7 +230,7 @@
     }
 
     pub fn are_crowded(&self) -> bool {
-        *self.count.borrow() + self.most() / CROWDED_PART >= self.most()
+        *self.count.borrow() + self.most() / CROWDED_FRACTION >= self.most()
     }
 
     /// Returns once there is a place. Guards the limit on descriptors, and new clients against a crowd: with
@@ -235,7 +238,7 @@
     pub async fn room(&self) {
         loop {
             let count = *self.count.borrow();
-            if count + NEARLY_FULL >= self.most() {
+            if count + MIN_FREE >= self.most() {
                 let list = self.list.borrow();
                 let idle = list
                     .iter()
@@ -249,7 +252,7 @@
             }
             // Somebody leaves, or has been idle for long enough by then.
             let left = async { _ = self.count.subscribe().wait_for(|now| *now < count).await };
-            _ = tokio::time::timeout(SWEEP / 10, left).await;
+            _ = tokio::time::timeout(SWEEP_INTERVAL / 10, left).await;
         }
     }
 
@@ -260,7 +263,7 @@
 
     /// Ends what is overdue, for good.
     pub async fn sweep(self: Rc<Self>) {
-        let mut ticks = interval(SWEEP);
+        let mut ticks = interval(SWEEP_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
--- a/crates/emberpin-limiter/src/upstream/lifetimes.rs
+++ b/crates/emberpin-limiter/src/upstream/lifetimes.rs
@@ -12,17 +12,19 @@
 /// Ages below this are young, and every doubling of it begins a class of its own.
 const YOUNG: Duration = Duration::from_millis(25);
 const CLASSES: usize = 13;
-/// So many requests must have gone out at an age before it is judged. Their share that was lost must be higher than
-/// that of young connections, taken to be no less than the second figure, by so much and by so many deviations of
-/// chance.
-const JUDGED: f64 = 8.0;
-const LEAST_LOST: f64 = 0.02;
-const MORE_LOST: f64 = 0.1;
-const DEVIATIONS: f64 = 4.0;
-/// The newest counts for one of so many: at an age, and of young connections, which the ages are held against.
-const REMEMBERED: f64 = 32.0;
-const YOUNG_REMEMBERED: f64 = 512.0;
-/// For how long an age stays closed, at first and at most.
+/// Uses of connections of an age before it may be closed.
+const MIN_USES: f64 = 8.0;
+/// The loss ratio of young connections is taken to be at least this.
+const MIN_USUAL_LOSS: f64 = 0.02;
+/// An age is closed only if its loss ratio exceeds that of young connections by this much,
+const MIN_EXCESS_LOSS: f64 = 0.1;
+/// and by this many standard deviations.
+const MIN_DEVIATIONS: f64 = 4.0;
+/// The moving average over the uses of connections of an age spans this many.
+const AGE_WINDOW: f64 = 32.0;
+/// The same for young connections, the baseline of all ages.
+const YOUNG_WINDOW: f64 = 512.0;
+/// How long an age stays closed, at first and at most; the time doubles.
 const CLOSED: (Duration, Duration) = (Duration::from_secs(10), Duration::from_secs(320));
 
 #[derive(Clone, Copy, Default)]
@@ -69,14 +71,14 @@
         lost: bool,
     ) -> Option<(Duration, Duration)> {
         let Some(class) = Lifetimes::class(idle) else {
-            self.young.add(lost, YOUNG_REMEMBERED);
+            self.young.add(lost, YOUNG_WINDOW);
             return None;
         };
         let age = &mut self.ages[class];
-        age.share.add(lost, REMEMBERED);
-        let usual = self.young.lost.clamp(LEAST_LOST, 1.0 - LEAST_LOST);
-        let chance = DEVIATIONS * (usual * (1.0 - usual) / age.share.seen).sqrt();
-        if age.share.seen < JUDGED || age.share.lost <= usual + chance.max(MORE_LOST) {
+        age.share.add(lost, AGE_WINDOW);
+        let usual = self.young.lost.clamp(MIN_USUAL_LOSS, 1.0 - MIN_USUAL_LOSS);
+        let chance = MIN_DEVIATIONS * (usual * (1.0 - usual) / age.share.seen).sqrt();
+        if age.share.seen < MIN_USES || age.share.lost <= usual + chance.max(MIN_EXCESS_LOSS) {
             return None;
         }
         let pause = (age.pause * 2).clamp(CLOSED.0, CLOSED.1);
--- a/crates/emberpin-limiter/tests/common/peer.rs
+++ b/crates/emberpin-limiter/tests/common/peer.rs
@@ -218,7 +218,7 @@
                     kind,
                     body,
                     life: incarnation,
-                })
+                });
             }
             Action::PeerChanged { state, .. } => {
                 if let (true, Some(life)) = (state.reachable, state.incarnation) {
