--- a/crates/emberpin-peering/tests/failure_detection.rs
+++ b/crates/emberpin-peering/tests/failure_detection.rs
@@ -4,8 +4,8 @@
 #[path = "common/network.rs"]
 mod network;
 
-use emberpin_peering::{Event, Liveness, SendError};
-use network::{millis, Network};
+use emberpin_peering::{CloseReason, Event, Liveness, SendError};
+use network::{hello, millis, Network};
 
 #[test]
 fn a_partition_makes_both_sides_suspect_each_other_and_heals() {
@@ -68,6 +68,18 @@
     assert!(!network.hosts[2].superseded);
 }
 
+#[test]
+fn an_accepted_connection_without_heartbeats_times_out() {
+    let mut network = Network::new(2);
+    network.kill(1);
+    let connection = network.accept_raw(Some(vec!["n1".into()]));
+    network.receive_message(connection, &hello("n1"));
+    network.run(millis(1490));
+    assert_eq!(network.hosts[0].close_reasons, []);
+    network.run(millis(10));
+    assert_eq!(network.hosts[0].close_reasons, [CloseReason::TimedOut]);
+}
+
 #[test]
 fn clocks_that_differ_by_5_s_have_no_effect() {
     let mut network = Network::new(3);
