--- a/crates/emberpin-failover/tests/acceptor.rs
+++ b/crates/emberpin-failover/tests/acceptor.rs
@@ -5,7 +5,8 @@
 
 use common::{config, first_incarnation, work_id, CLAIMANT_BALLOT, FIRST_ATTEMPT};
 use emberpin_failover::{
-    Action, Ballot, Config, Event, Failover, FirstAttempt, Member, Message, Timestamp, Work,
+    Action, Ballot, Config, Event, Failover, FirstAttempt, Member, Message, Timestamp, Verdict,
+    Work,
 };
 
 const ACCEPTOR: usize = 1;
@@ -28,13 +29,16 @@
     actions.into_iter().filter_map(message).collect()
 }
 
-fn promises(acceptor: &mut Failover, ballot: Ballot) -> bool {
-    let prepare = Message::Prepare {
+fn prepare(ballot: Ballot) -> Message {
+    Message::Prepare {
         work_id: work_id(1),
         ballot,
         acceptor_incarnation: first_incarnation(ACCEPTOR),
-    };
-    answers(acceptor, ballot.proposer, prepare)
+    }
+}
+
+fn promises(acceptor: &mut Failover, ballot: Ballot) -> bool {
+    answers(acceptor, ballot.proposer, prepare(ballot))
         .iter()
         .any(|answer| matches!(answer, Message::Promise { .. }))
 }
@@ -89,6 +93,20 @@
     assert!(accepts(&mut acceptor, 1, ballot(2, 2), 100));
 }
 
+#[test]
+fn an_acceptor_answers_a_candidate_with_the_outcome_that_it_knows() {
+    for verdict in [Verdict::NotSent, Verdict::MayHaveRun] {
+        let config = config(ACCEPTOR, first_incarnation(ACCEPTOR), 1.0);
+        let mut acceptor = Failover::new(config, Timestamp::from_millis(0.0));
+        let abandoned = Message::Abandoned(work_id(1), verdict);
+        assert!(answers(&mut acceptor, Member(2), abandoned.clone()).is_empty());
+        assert_eq!(
+            answers(&mut acceptor, Member(3), prepare(ballot(2, 3))),
+            [abandoned]
+        );
+    }
+}
+
 #[test]
 fn an_acceptor_without_capacity_rejects_new_work() {
     let config = Config {
