--- a/crates/emberpin-wal/src/log.rs
+++ b/crates/emberpin-wal/src/log.rs
@@ -342,6 +342,123 @@
     slot
 }
 
+/// The segments that an opening has recovered so far, the oldest first.
+#[derive(Default)]
+struct SegmentChain {
+    recovery: Recovery,
+    segments: BTreeMap<u64, Segment>,
+    /// Id of the log, by the last readable header.
+    log_id: Option<[u8; 16]>,
+    /// Sequence number that the next record must have.
+    next: Option<u64>,
+    last_segment: Option<u64>,
+}
+
+impl SegmentChain {
+    /// Recovers the next segment, and checks that it continues those before.
+    fn recover<S: Storage>(
+        &mut self,
+        storage: &mut S,
+        identity: &Identity,
+        segment: u64,
+        is_newest: bool,
+        visit: &mut impl FnMut(Record<'_>),
+    ) -> Result<(), OpenError> {
+        let file = name(segment);
+        let found = read(storage, &file, |header, seq, payload| {
+            let same_boot = header.boot == identity.boot && header.boot != [0; 16];
+            if header.instance == identity.instance {
+                visit(Record {
+                    seq,
+                    payload,
+                    same_boot,
+                });
+            }
+        })
+        .map_err(doing("read", &file))?;
+        self.recovery.records += found.records;
+        self.recovery.bytes += found.bytes;
+        let header = match found.header {
+            Ok(header) => header,
+            // A crash interrupted the creation of this file. The watermark tells whether records are missing.
+            Err(HeaderError::Short) if is_newest && self.last_segment.is_some() => {
+                self.recovery.torn += found.torn;
+                return storage.remove(&file).map_err(doing("remove", &file));
+            }
+            Err(HeaderError::Version(found)) => return Err(OpenError::Version { file, found }),
+            Err(HeaderError::Short | HeaderError::NotALog | HeaderError::Damaged) => {
+                self.report_loss(DataLoss::Damaged { file, at: 0 });
+                self.push(segment, found.bytes, true);
+                return Ok(());
+            }
+        };
+        if header.instance != identity.instance {
+            return Err(OpenError::OtherInstance {
+                file,
+                found: header.instance,
+            });
+        }
+        if !self.is_continued_by(segment, &header) {
+            self.report_loss(DataLoss::Missing {
+                before: file.clone(),
+            });
+        }
+        if storage.identity(&file).map_err(doing("look at", &file))? != header.file {
+            self.report_loss(DataLoss::Copied { file: file.clone() });
+        }
+        if header.after_loss {
+            self.report_loss(DataLoss::EarlierLoss);
+        }
+        if let Some(damage) = found.damage.first() {
+            self.report_loss(DataLoss::Damaged {
+                file,
+                at: damage.at,
+            });
+        }
+        self.recovery.torn += found.torn;
+        self.push(segment, found.bytes, !found.damage.is_empty());
+        self.log_id = Some(header.log);
+        self.next = Some(found.next);
+        Ok(())
+    }
+
+    /// Whether a segment with this header follows those before without a gap.
+    fn is_continued_by(&self, segment: u64, header: &Header) -> bool {
+        self.last_segment.is_none_or(|last| last + 1 == segment)
+            && self.next.is_none_or(|next| next == header.first)
+            && self.log_id.is_none_or(|log_id| log_id == header.log)
+            && header.segment == segment
+    }
+
+    fn push(&mut self, segment: u64, bytes: u64, damaged: bool) {
+        self.segments.insert(segment, Segment { bytes, damaged });
+        self.last_segment = Some(segment);
+    }
+
+    /// Keeps the first loss that is found.
+    fn report_loss(&mut self, loss: DataLoss) {
+        self.recovery.lost.get_or_insert(loss);
+    }
+
+    /// Compares the last recovered record with the watermark, and returns the higher sequence number.
+    fn check_watermark<S: Storage>(&mut self, storage: &mut S) -> u64 {
+        let found = self.next.map_or(0, |next| next - 1);
+        match self.log_id.map(|log_id| marked(storage, &log_id)) {
+            None => self.report_loss(DataLoss::NoLog),
+            Some(None) => self.report_loss(DataLoss::NoWatermark),
+            Some(Some(marked)) if marked > found => {
+                self.report_loss(DataLoss::Rewound {
+                    counted: marked,
+                    found,
+                });
+                return marked;
+            }
+            Some(Some(_)) => {}
+        }
+        found
+    }
+}
+
 impl<S: Storage> Log<S> {
     /// Begins a log where none is, saying that there never was one: nothing is lost at its next opening.
     ///
@@ -369,129 +486,30 @@
         identity: &Identity,
         mut visit: impl FnMut(Record<'_>),
     ) -> Result<(Log<S>, Recovery), OpenError> {
-        let mut recovery = Recovery::default();
-        let mut kept: BTreeMap<u64, Segment> = BTreeMap::new();
-        let mut log = None;
-        let mut next = None;
+        let mut chain = SegmentChain::default();
         let numbers = segments(&mut storage).map_err(doing("list", "the folder"))?;
-        let last = numbers.last().copied();
-        let lose = |recovery: &mut Recovery, lost: DataLoss| {
-            recovery.lost.get_or_insert(lost);
-        };
-        let mut before = None;
+        let newest = numbers.last().copied();
         for segment in numbers {
-            let file = name(segment);
-            let found = read(&mut storage, &file, |header, seq, payload| {
-                let same_boot = header.boot == identity.boot && header.boot != [0; 16];
-                if header.instance == identity.instance {
-                    visit(Record {
-                        seq,
-                        payload,
-                        same_boot,
-                    });
-                }
-            })
-            .map_err(doing("read", &file))?;
-            recovery.records += found.records;
-            recovery.bytes += found.bytes;
-            let header = match found.header {
-                Ok(header) => header,
-                // The last life ended while it made this file; whether more went with it, the mark tells.
-                Err(HeaderError::Short) if Some(segment) == last && before.is_some() => {
-                    recovery.torn += found.torn;
-                    storage.remove(&file).map_err(doing("remove", &file))?;
-                    continue;
-                }
-                Err(HeaderError::Version(found)) => return Err(OpenError::Version { file, found }),
-                Err(HeaderError::Short | HeaderError::NotALog | HeaderError::Damaged) => {
-                    lose(&mut recovery, DataLoss::Damaged { file, at: 0 });
-                    kept.insert(
-                        segment,
-                        Segment {
-                            bytes: found.bytes,
-                            damaged: true,
-                        },
-                    );
-                    before = Some(segment);
-                    continue;
-                }
-            };
-            if header.instance != identity.instance {
-                return Err(OpenError::OtherInstance {
-                    file,
-                    found: header.instance,
-                });
-            }
-            let follows = before.is_none_or(|before| before + 1 == segment)
-                && next.is_none_or(|next| next == header.first)
-                && log.is_none_or(|log| log == header.log)
-                && header.segment == segment;
-            if !follows {
-                lose(
-                    &mut recovery,
-                    DataLoss::Missing {
-                        before: file.clone(),
-                    },
-                );
-            }
-            if storage.identity(&file).map_err(doing("look at", &file))? != header.file {
-                lose(&mut recovery, DataLoss::Copied { file: file.clone() });
-            }
-            if header.after_loss {
-                lose(&mut recovery, DataLoss::EarlierLoss);
-            }
-            if let Some(damage) = found.damage.first() {
-                lose(
-                    &mut recovery,
-                    DataLoss::Damaged {
-                        file,
-                        at: damage.at,
-                    },
-                );
-            }
-            recovery.torn += found.torn;
-            kept.insert(
-                segment,
-                Segment {
-                    bytes: found.bytes,
-                    damaged: !found.damage.is_empty(),
-                },
-            );
-            log = Some(header.log);
-            next = Some(found.next);
-            before = Some(segment);
+            let is_newest = Some(segment) == newest;
+            chain.recover(&mut storage, identity, segment, is_newest, &mut visit)?;
         }
-        // What the last life wrote without making it count was read, so it must stay, or the next segment would
-        // begin behind a gap.
-        if let Some(segment) = before {
+        // Records that were written and never synced have been visited. They must stay, or the next segment would begin
+        // after a gap.
+        if let Some(segment) = chain.last_segment {
             let file = name(segment);
             storage.sync(&file).map_err(doing("sync", &file))?;
         }
-        let found = next.map_or(0, |next| next - 1);
-        let mut counted = found;
-        match log.map(|log| marked(&mut storage, &log)) {
-            None => lose(&mut recovery, DataLoss::NoLog),
-            Some(None) => lose(&mut recovery, DataLoss::NoWatermark),
-            Some(Some(marked)) if marked > found => {
-                lose(
-                    &mut recovery,
-                    DataLoss::Rewound {
-                        counted: marked,
-                        found,
-                    },
-                );
-                counted = marked;
-            }
-            Some(Some(_)) => {}
-        }
-        let after_loss = recovery.lost.is_some();
-        // A gap in the numbers after a loss, so that it is seen again if this life ends at once.
-        let first = counted + 1 + u64::from(after_loss);
-        let log = log.unwrap_or(identity.fresh);
-        let segment = before.unwrap_or(0) + 1;
-        let mut log = Log::make(storage, identity, log, segment, first, counted, after_loss)?;
-        log.segments.append(&mut kept);
-        Ok((log, recovery))
+        let durable = chain.check_watermark(&mut storage);
+        let after_loss = chain.recovery.lost.is_some();
+        // A gap in the numbers after a loss, so that the next opening detects it too if this process ends at once.
+        let first = durable + 1 + u64::from(after_loss);
+        let log_id = chain.log_id.unwrap_or(identity.fresh);
+        let segment = chain.last_segment.unwrap_or(0) + 1;
+        let mut log = Log::make(
+            storage, identity, log_id, segment, first, durable, after_loss,
+        )?;
+        log.segments.append(&mut chain.segments);
+        Ok((log, chain.recovery))
     }
 
     /// Makes a segment and the log that writes to it.
