--- a/crates/emberpin-wal/src/files.rs
+++ b/crates/emberpin-wal/src/files.rs
@@ -11,21 +11,21 @@
 /// The file whose lock (flock(2)) tells that a process uses the folder.
 const LOCK: &str = "lock";
 
-/// A folder of its owner's alone.
+/// A folder of files, locked by one process.
 #[derive(Debug)]
 pub struct Files {
     folder: PathBuf,
     open: BTreeMap<String, File>,
-    /// Held until this goes.
+    /// The lock is held until this is dropped.
     _lock: Option<File>,
 }
 
 impl Files {
-    /// Takes a folder for this process alone, making it if it is not there.
+    /// Locks a folder for this process, and creates it if it does not exist.
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::WouldBlock`] if another process has it; else the operating system's.
+    /// [`io::ErrorKind::WouldBlock`] if another process has locked it; otherwise the error of the file system.
     pub fn take(folder: &Path) -> io::Result<Files> {
         std::fs::DirBuilder::new()
             .recursive(true)
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A folder to look at only, whoever has it.
+    /// A folder to be read only, without locking it.
     pub fn look(folder: &Path) -> Files {
         Files {
             folder: folder.into(),
@@ -141,8 +141,8 @@
     }
 }
 
-/// What the kernel drew for this boot of the machine (random(4)); zeros where it does not say, and then no two starts
-/// are taken for the same boot.
+/// The kernel's random id of the machine's current boot (random(4)); zeros if it is not available, and then no two
+/// starts count as the same boot.
 pub fn boot_id() -> [u8; 16] {
     let text = std::fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
     let digits: Vec<u8> = text
--- a/crates/emberpin-wal/src/frame.rs
+++ b/crates/emberpin-wal/src/frame.rs
@@ -15,9 +15,9 @@
 
 /// The version of the format that this build writes, and the only one that it reads.
 pub const VERSION: u16 = 1;
-/// Most bytes of one record.
+/// Bound of the payload of one record, in bytes.
 pub const MAX_RECORD_BYTES: usize = 1 << 20;
-/// Most bytes of a header.
+/// Bound of an encoded header, in bytes.
 pub const MAX_HEADER_BYTES: usize = 1024;
 const MAGIC: [u8; 8] = *b"EMBERLOG";
 /// Magic, version, length.
@@ -26,40 +26,40 @@
 const FRAME_HEAD: usize = 16;
 const CRC: usize = 4;
 
-/// What a segment says of itself.
+/// The header of a segment. The order of its fields is the encoding.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Header {
-    /// Whose log it is.
+    /// Name of the instance that the log belongs to.
     pub instance: String,
-    /// Drawn when the log was begun; the same in all of its segments.
+    /// Random id of the log, the same in all of its segments.
     pub log: [u8; 16],
-    /// The segment's number; they have no gaps.
+    /// Number of the segment; segments are numbered without gaps.
     pub segment: u64,
-    /// The sequence number of its first record.
+    /// Sequence number of the segment's first record.
     pub first: u64,
-    /// The file that it was written into.
+    /// Identity of the file that the header was written to; a copy of the file has another one.
     pub file: FileIdentity,
-    /// The machine's boot in which it was written: clocks that count from the boot can be compared within one.
+    /// Id of the machine's boot during which the segment was written. Boot-time clocks compare only within one boot.
     pub boot: [u8; 16],
-    /// It was begun by a start that found records lost.
+    /// Whether the opening that created the segment found records lost.
     pub after_loss: bool,
 }
 
-/// Why bytes are no header.
+/// Why bytes are not a header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeaderError {
-    /// The file ends within it.
+    /// The file ends within the header.
     Short,
-    /// The file is something else.
+    /// The file is not a segment.
     NotALog,
-    /// Of a version that this build does not read.
+    /// The format version is not [`VERSION`].
     Version(u16),
-    /// Its checksum, or what stands in it, is wrong.
+    /// The checksum or the fields are invalid.
     Damaged,
 }
 
 impl Header {
-    /// Its bytes.
+    /// The encoded header, with its checksum.
     pub fn encode(&self) -> Vec<u8> {
         // A body of this type always encodes: it is held in memory and has no maps or floats.
         let body = postcard::to_allocvec(self).unwrap_or_default();
@@ -73,11 +73,12 @@
         bytes
     }
 
-    /// Reads one from a file's first bytes, of which there are [`MAX_HEADER_BYTES`] or all.
+    /// Decodes a header from the first [`MAX_HEADER_BYTES`] of a file, or all of them if it is shorter; also returns the
+    /// scanner of the frames that follow.
     ///
     /// # Errors
     ///
-    /// Why it is none.
+    /// If the bytes are not a complete, valid header of this version.
     pub fn decode(bytes: &[u8]) -> Result<(Header, Scanner), HeaderError> {
         let known = bytes.len().min(MAGIC.len());
         if bytes[..known] != MAGIC[..known] {
@@ -142,43 +143,43 @@
     into.extend_from_slice(&payload_crc(salt, seq, payload).to_le_bytes());
 }
 
-/// Bytes that are not what was written.
+/// A part of a segment that does not match its checksums.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Damage {
-    /// Where in the file, in bytes.
+    /// Offset in the file, in bytes.
     pub at: u64,
-    /// Nothing after it in this file can be read.
+    /// Whether the rest of the file is unreadable, as the next frame cannot be found.
     pub rest_unreadable: bool,
 }
 
-/// What stands next.
+/// The next element of a segment.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Scanned {
-    /// A record that is whole.
+    /// A valid record.
     Record {
         /// Its sequence number.
         seq: u64,
         /// What was written.
         payload: Vec<u8>,
     },
-    /// Something that is not what was written.
+    /// A damaged part.
     Damaged(Damage),
 }
 
-/// Reads frames as a file's bytes come, without holding more than one of them.
+/// Decodes the frames of a segment incrementally, buffering at most one of them beside the bytes fed last.
 #[derive(Clone, Debug)]
 pub struct Scanner {
     salt: u32,
     next: u64,
     buffer: Vec<u8>,
     used: usize,
-    /// Where in the file the unread part of the buffer begins.
+    /// Offset in the file of the unread part of the buffer.
     at: u64,
     over: bool,
 }
 
 impl Scanner {
-    /// Where the first frame, or the next, begins.
+    /// Offset in the file of the next frame.
     pub fn at(&self) -> u64 {
         self.at
     }
@@ -192,14 +193,14 @@
         self.salt
     }
 
-    /// Takes the file's next bytes.
+    /// Appends the next bytes of the file.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.drain(..self.used);
         self.used = 0;
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// What stands next; `None` if it is not all there yet.
+    /// The next element; `None` until all of it was fed, and after damage that makes the rest unreadable.
     pub fn scan(&mut self) -> Option<Scanned> {
         let unread = self.buffer.get(self.used..)?;
         if self.over || unread.len() < FRAME_HEAD {
@@ -240,7 +241,7 @@
         Some(scanned)
     }
 
-    /// Bytes of a record that the file's end cuts off, once all is fed and scanned.
+    /// Length of an incomplete record at the end, in bytes, once the file is fed and scanned completely.
     pub fn torn(&self) -> usize {
         if self.over {
             return 0;
