--- a/crates/emberpin-demo/src/gateway.rs
+++ b/crates/emberpin-demo/src/gateway.rs
@@ -2,7 +2,7 @@
 
 use crate::deployment::{Bounds, Deployment, Machine};
 use crate::error::DemoError;
-use crate::node_settings::StartMode;
+use crate::node_settings::{NodeSettings, StartMode};
 use crate::process::Process;
 use crate::role::Role;
 use std::future::Future;
@@ -136,14 +136,13 @@
         machine: Machine,
         start_mode: StartMode,
     ) -> Result<Process, DemoError> {
-        let folder = self.folder.path();
-        Process::start(
-            &self.deployment,
+        let settings = NodeSettings {
+            deployment: &self.deployment,
+            bounds: self.bounds,
             role,
             machine,
-            folder,
             start_mode,
-            self.bounds,
-        )
+        };
+        Process::start(&settings, self.folder.path())
     }
 }
--- a/crates/emberpin-demo/src/node_settings.rs
+++ b/crates/emberpin-demo/src/node_settings.rs
@@ -17,67 +17,78 @@
     Restart,
 }
 
-/// The text of the settings file of one process.
-pub fn settings_file(
-    deployment: &Deployment,
-    role: Role,
-    machine: Machine,
-    disk: &Path,
-    start_mode: StartMode,
-    bounds: Bounds,
-) -> String {
-    let mut text = self_section(role, machine, disk, start_mode);
-    text += "[self.limits]\ncpu_quota = 1.0\nncpu = 1\nmem_mb = 260\nnofile = 1000\nlink_mbps = 1000.0\n";
-    text += &network_sections(deployment, role, machine);
-    text += &bounds_sections(bounds);
-    text
+/// What the settings of one process depend on.
+#[derive(Clone, Copy, Debug)]
+pub struct NodeSettings<'a> {
+    /// The addresses of all machines.
+    pub deployment: &'a Deployment,
+    /// The time bounds, the same for all processes.
+    pub bounds: Bounds,
+    /// The program that the process runs.
+    pub role: Role,
+    /// The machine that it runs on.
+    pub machine: Machine,
+    /// Whether the machine founds the deployment.
+    pub start_mode: StartMode,
 }
 
-fn self_section(role: Role, machine: Machine, disk: &Path, start_mode: StartMode) -> String {
-    let (ip, zone) = (machine.ip, machine.zone);
-    let (class, serves) = match role {
-        Role::Store => ("core", ""),
-        Role::Registry => ("core", "\"ctl\""),
-        Role::Proxy => ("edge", "\"edge\""),
-    };
-    let is_core = class == "core";
-    let bootstrap = start_mode == StartMode::Bootstrap;
-    let mut text = format!(
-        "[self]\nnodename = \"{class}-{zone}-{ip}\"\nrole = \"{}\"\nmclass = \"{class}\"\nserves = [{serves}]\n\
-         ip = \"{ip}\"\naz = \"{zone}\"\nrgn = \"{REGION}\"\nvoting = {is_core}\nbootstrap = {bootstrap}\n",
-        role.name()
-    );
-    // Both processes of a core machine are given the disk; only the store writes to it.
-    if is_core {
-        _ = writeln!(text, "datadir = \"{}\"", disk.display());
+impl NodeSettings<'_> {
+    /// The text of the settings file, with the folder that is the machine's disk.
+    pub fn to_toml(&self, disk: &Path) -> String {
+        let mut text = self.self_section(disk);
+        text += "[self.limits]\ncpu_quota = 1.0\nncpu = 1\nmem_mb = 260\nnofile = 1000\nlink_mbps = 1000.0\n";
+        text += &self.network_sections();
+        text += &bounds_sections(self.bounds);
+        text
     }
-    text
-}
 
-fn network_sections(deployment: &Deployment, role: Role, machine: Machine) -> String {
-    let ports = deployment.peer_ports();
-    let seeds: Vec<String> = deployment
-        .ctl_addresses()
-        .iter()
-        .map(|seed| format!("\"{seed}\""))
-        .collect();
-    let listen = match role {
-        Role::Store => String::new(),
-        Role::Registry => format!("ctl = \"{}\"\n", deployment.ctl_address(machine)),
-        Role::Proxy => format!(
-            "http = \"{}\"\nreadyz = \"{}\"\n",
-            deployment.http_address(machine),
-            deployment.readyz_address(machine)
-        ),
-    };
-    let zones = ZONES.map(|zone| format!("{zone} = \"{REGION}\"\n"));
-    format!(
+    fn self_section(&self, disk: &Path) -> String {
+        let (ip, zone) = (self.machine.ip, self.machine.zone);
+        let (class, serves) = match self.role {
+            Role::Store => ("core", ""),
+            Role::Registry => ("core", "\"ctl\""),
+            Role::Proxy => ("edge", "\"edge\""),
+        };
+        let is_core = class == "core";
+        let bootstrap = self.start_mode == StartMode::Bootstrap;
+        let mut text = format!(
+            "[self]\nnodename = \"{class}-{zone}-{ip}\"\nrole = \"{}\"\nmclass = \"{class}\"\nserves = [{serves}]\n\
+             ip = \"{ip}\"\naz = \"{zone}\"\nrgn = \"{REGION}\"\nvoting = {is_core}\nbootstrap = {bootstrap}\n",
+            self.role.name()
+        );
+        // Both processes of a core machine are given the disk; only the store writes to it.
+        if is_core {
+            _ = writeln!(text, "datadir = \"{}\"", disk.display());
+        }
+        text
+    }
+
+    fn network_sections(&self) -> String {
+        let (deployment, machine) = (self.deployment, self.machine);
+        let ports = deployment.peer_ports();
+        let seeds: Vec<String> = deployment
+            .ctl_addresses()
+            .iter()
+            .map(|seed| format!("\"{seed}\""))
+            .collect();
+        let listen = match self.role {
+            Role::Store => String::new(),
+            Role::Registry => format!("ctl = \"{}\"\n", deployment.ctl_address(machine)),
+            Role::Proxy => format!(
+                "http = \"{}\"\nreadyz = \"{}\"\n",
+                deployment.http_address(machine),
+                deployment.readyz_address(machine)
+            ),
+        };
+        let zones = ZONES.map(|zone| format!("{zone} = \"{REGION}\"\n"));
+        format!(
         "[network]\nport_range = [{},{}]\nseeds = [{}]\n[network.listen]\n{listen}[network.zones]\n{}",
         ports.start(),
         ports.end(),
         seeds.join(","),
         zones.concat(),
     )
+    }
 }
 
 fn bounds_sections(bounds: Bounds) -> String {
--- a/crates/emberpin-demo/src/process.rs
+++ b/crates/emberpin-demo/src/process.rs
@@ -1,8 +1,7 @@
 //! One process of the gateway: this executable again, in a role.
 
-use crate::deployment::{Bounds, Deployment, Machine};
 use crate::error::DemoError;
-use crate::node_settings::{settings_file, StartMode};
+use crate::node_settings::NodeSettings;
 use crate::role::Role;
 use std::fs::{self, File};
 use std::io;
@@ -17,32 +16,25 @@
 }
 
 impl Process {
-    /// Starts this executable again in a role; its settings, log and disk are in `folder`.
+    /// Starts this executable again in the role of the settings; its settings file, log and disk are in `folder`.
     ///
     /// # Errors
     ///
     /// [`DemoError::File`] if the files cannot be written, [`DemoError::ProcessStart`] if the process does not start.
-    pub fn start(
-        deployment: &Deployment,
-        role: Role,
-        machine: Machine,
-        folder: &Path,
-        start_mode: StartMode,
-        bounds: Bounds,
-    ) -> Result<Process, DemoError> {
-        let ip = machine.ip;
-        let settings = folder.join(format!("{}-{ip}.toml", role.name()));
+    pub fn start(settings: &NodeSettings<'_>, folder: &Path) -> Result<Process, DemoError> {
+        let (role, ip) = (settings.role, settings.machine.ip);
+        let settings_file = folder.join(format!("{}-{ip}.toml", role.name()));
         let log = folder.join(format!("{}-{ip}.log", role.name()));
         let disk = folder.join(format!("disk-{ip}"));
         if role == Role::Store {
             fs::create_dir_all(&disk).map_err(file_error(&disk))?;
         }
-        let text = settings_file(deployment, role, machine, &disk, start_mode, bounds);
-        fs::write(&settings, text).map_err(file_error(&settings))?;
+        let text = settings.to_toml(&disk);
+        fs::write(&settings_file, text).map_err(file_error(&settings_file))?;
         let log_file = File::options().create(true).append(true).open(&log);
         let log_file = log_file.map_err(file_error(&log))?;
         let name = format!("{} on {ip}", role.name());
-        match spawn(role, &settings, log_file) {
+        match spawn(role, &settings_file, log_file) {
             Ok(child) => Ok(Process { name, log, child }),
             Err(source) => Err(DemoError::ProcessStart {
                 process: name,
@@ -70,11 +62,11 @@
     }
 }
 
-fn spawn(role: Role, settings: &Path, log: File) -> io::Result<Child> {
+fn spawn(role: Role, settings_file: &Path, log: File) -> io::Result<Child> {
     Command::new(std::env::current_exe()?)
         .arg(role.name())
         .arg(std::process::id().to_string())
-        .env("EMBERPIN_NODE_FILE", settings)
+        .env("EMBERPIN_NODE_FILE", settings_file)
         .stdin(Stdio::null())
         .stdout(Stdio::null())
         .stderr(log)
--- a/crates/emberpin-demo/src/scenario.rs
+++ b/crates/emberpin-demo/src/scenario.rs
@@ -56,7 +56,7 @@
     pub const EVACUATION_FINISH: f64 = 0.85;
 }
 
-/// What the newcomer's command can be told.
+/// The options of the newcomer's command.
 #[derive(Clone, Copy, Debug)]
 pub struct DemoOptions {
     /// How long clients send requests.
--- a/crates/emberpin-demo/src/timeline.rs
+++ b/crates/emberpin-demo/src/timeline.rs
@@ -9,11 +9,11 @@
 pub struct Timeline {
     /// When every edge was ready; the times that are printed count from here.
     pub ready_at: Duration,
-    /// The configuration change: when it was acknowledged, and when it was in force at every edge.
+    /// When the configuration change was acknowledged.
     pub change_acknowledged_at: Option<Duration>,
     /// When the change was in force at the last edge.
     pub change_in_force_at: Option<Duration>,
-    /// How long it was waited for that.
+    /// How long the run waited for the change to be in force.
     pub change_timeout: Duration,
     /// The zone that was evacuated.
     pub evacuated_zone: &'static str,
--- a/crates/emberpin-demo/tests/deployed_system/mod.rs
+++ b/crates/emberpin-demo/tests/deployed_system/mod.rs
@@ -5,6 +5,7 @@
 
 use deploy_file::{read_roles, DeployedRole};
 use emberpin_demo::http;
+use emberpin_demo::node_settings::StartMode;
 use hyper::Method;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -81,29 +82,30 @@
                 .expect("a runtime"),
             processes: BTreeMap::new(),
         };
-        (0..system.machines.len()).for_each(|machine| system.start_machine(machine, true));
+        (0..system.machines.len())
+            .for_each(|machine| system.start_machine(machine, StartMode::Bootstrap));
         system
     }
 
     /// Starts the processes of a machine that the deploy file gives it.
-    pub fn start_machine(&mut self, machine: usize, bootstrap: bool) {
+    pub fn start_machine(&mut self, machine: usize, start_mode: StartMode) {
         for index in 0..self.roles.len() {
             let role = &self.roles[index];
             // One machine of a class in each zone: whatever the share, it has the role.
             if role.class == self.machines[machine].class && role.share > 0.0 {
-                let child = self.spawn(machine, index, bootstrap);
+                let child = self.spawn(machine, index, start_mode);
                 self.processes.insert((machine, index), child);
             }
         }
     }
 
-    fn spawn(&self, machine: usize, index: usize, bootstrap: bool) -> Child {
+    fn spawn(&self, machine: usize, index: usize, start_mode: StartMode) -> Child {
         let (host, role) = (&self.machines[machine], &self.roles[index]);
         let name = format!("{}-{}", role.role.name(), host.ip);
         let settings = self.folder.path().join(format!("{name}.toml"));
         let log = self.folder.path().join(format!("{name}.log"));
         std::fs::create_dir_all(self.disk(machine)).expect("a folder");
-        std::fs::write(&settings, self.settings(machine, index, bootstrap))
+        std::fs::write(&settings, self.settings(machine, index, start_mode))
             .expect("a settings file");
         let log = std::fs::File::options()
             .create(true)
@@ -127,10 +129,11 @@
             .join(format!("disk-{}", self.machines[machine].ip))
     }
 
-    fn settings(&self, machine: usize, index: usize, bootstrap: bool) -> String {
+    fn settings(&self, machine: usize, index: usize, start_mode: StartMode) -> String {
         let (host, role) = (&self.machines[machine], &self.roles[index]);
         let (ip, zone, class) = (host.ip, host.zone, host.class);
         let is_core = class == "core";
+        let bootstrap = start_mode == StartMode::Bootstrap;
         let datadir = match is_core {
             true => format!("datadir = \"{}\"\n", self.disk(machine).display()),
             false => String::new(),
--- a/crates/emberpin-demo/tests/system.rs
+++ b/crates/emberpin-demo/tests/system.rs
@@ -7,6 +7,7 @@
     drop_route_patch, first_patch, route_patch, service, shown_route, vhost, DeployedSystem, ACK,
     ANSWER_TIMEOUT, SYNC_TIME,
 };
+use emberpin_demo::node_settings::StartMode;
 use googletest::prelude::*;
 use hyper::Method;
 use nix::sys::signal::Signal;
@@ -122,7 +123,7 @@
         );
         // Right after the acknowledgement.
         system.wipe_machine(core);
-        system.start_machine(core, false);
+        system.start_machine(core, StartMode::Restart);
         // `sync_time` is guaranteed to be enough.
         sleep(SYNC_TIME);
         expect_that!(
@@ -138,7 +139,7 @@
     expect_that!(system.patch(0, &first_patch()), eq(200));
     expect_that!(system.patch(0, &route_patch("x", 5, 1_500)), eq(200));
     system.wipe_machine(0);
-    system.start_machine(0, true);
+    system.start_machine(0, StartMode::Bootstrap);
     let until = Instant::now() + SYNC_TIME;
     // Whatever it says meanwhile, it shows all that was acknowledged, and lets no other content pass.
     while Instant::now() < until {
@@ -219,7 +220,7 @@
     }
     for core in 0..3 {
         system.kill_machine(core);
-        system.start_machine(core, false);
+        system.start_machine(core, StartMode::Restart);
         let restarted = Instant::now();
         let body = loop {
             match system.call_once(core, Method::GET, "/config/get", "") {
