--- a/crates/emberpin-limiter/src/front/clients.rs
+++ b/crates/emberpin-limiter/src/front/clients.rs
@@ -21,6 +21,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
+use std::future::Future;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -226,16 +227,10 @@
                 }
             }
         };
-        active.ends(
-            match response
-                .as_ref()
-                .map_or_else(|status| *status, Response::status)
-            {
-                StatusCode::OK => Ending::Ok,
-                StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Ending::Shed,
-                _ => Ending::Errors,
-            },
-        );
+        let status = response
+            .as_ref()
+            .map_or_else(|status| *status, Response::status);
+        active.ends(ending_of(status));
         response
     }
 
@@ -287,22 +282,7 @@
         let body = match &outgoing.body {
             RequestBody::Buffered(body) => body,
             RequestBody::Uploading(upload) => {
-                // What keeps it from its place in the table is a client's silence, not its slowness.
-                let silent = async {
-                    while upload.silence() < UPLOAD_IDLE_TIMEOUT {
-                        tokio::time::sleep(UPLOAD_CHECK_INTERVAL).await;
-                    }
-                };
-                let reply = tokio::select! {
-                    biased;
-                    reply = asking => reply,
-                    () = silent => return Err(StatusCode::REQUEST_TIMEOUT),
-                };
-                // Answered before all of it came: the rest runs out, as an end of the connection with something
-                // unread on it would take the answer with it.
-                if let Some(rest) = upload.take_rest() {
-                    spawn_local(run_out(rest));
-                }
+                let reply = reply_to_upload(asking, upload).await?;
                 return Ok(reply.into());
             }
         };
@@ -342,7 +322,40 @@
     }
 }
 
-/// What a request came to.
+/// Awaits the reply to a request whose body is uploaded, unless its client is silent for too long: a slow client keeps its
+/// request, a silent one does not.
+async fn reply_to_upload(
+    asking: impl Future<Output = Reply>,
+    upload: &Upload,
+) -> Result<Reply, StatusCode> {
+    let silent = async {
+        while upload.silence() < UPLOAD_IDLE_TIMEOUT {
+            tokio::time::sleep(UPLOAD_CHECK_INTERVAL).await;
+        }
+    };
+    let reply = tokio::select! {
+        biased;
+        reply = asking => reply,
+        () = silent => return Err(StatusCode::REQUEST_TIMEOUT),
+    };
+    // The answer came before all of the body: the rest is discarded, as closing a connection with unread bytes on it could
+    // lose the answer.
+    if let Some(rest) = upload.take_rest() {
+        spawn_local(run_out(rest));
+    }
+    Ok(reply)
+}
+
+/// How the figures count a request that was answered with this status.
+fn ending_of(status: StatusCode) -> Ending {
+    match status {
+        StatusCode::OK => Ending::Ok,
+        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Ending::Shed,
+        _ => Ending::Errors,
+    }
+}
+
+/// The answer to a request, or the beginning of a streamed one.
 enum Replied {
     Complete(Response<Content>),
     Streamed(StreamedResponse),
--- a/crates/emberpin-limiter/src/upstream/driver.rs
+++ b/crates/emberpin-limiter/src/upstream/driver.rs
@@ -87,35 +87,8 @@
                 config.known,
             ),
             Some(given) => {
-                given
-                    .names
-                    .iter()
-                    .for_each(|name| roster.name(server_id(name), name));
-                let targets = given.targets();
-                let lines = targets
-                    .iter()
-                    .filter_map(|target| target.server(&config.names).ok())
-                    .collect();
-                let (settings, seed) = (config.settings, config.seed);
-                let (gateway, whole) =
-                    Gateway::from_handover(settings, seed, clock.now(), given.gateway, lines);
-                let what = if whole {
-                    "all"
-                } else {
-                    "the list and what is out by hand, as the settings differ"
-                };
-                eprintln!("emberpin: taken over from the process before: {what}");
-                let targets = targets.into_iter().map(Entry::Target).collect();
-                (
-                    gateway,
-                    Listing {
-                        rev: given.rev,
-                        whole: true,
-                        targets,
-                        place: 0,
-                        teller: Teller::Service,
-                    },
-                )
+                let Config { settings, seed, .. } = config;
+                resume(given, settings, seed, &config.names, clock, &mut roster)
             }
         };
         let mut driver = Driver {
@@ -427,3 +400,39 @@
         }
     }
 }
+
+/// The decision module and the list of servers that the previous process handed over. All names of servers that it knew go
+/// to the roster.
+fn resume(
+    given: Given,
+    settings: Settings,
+    seed: u64,
+    names: &IndexNames,
+    clock: Clock,
+    roster: &mut Roster,
+) -> (Gateway, Listing) {
+    for name in &given.names {
+        roster.name(server_id(name), name);
+    }
+    let targets = given.targets();
+    let lines = targets
+        .iter()
+        .filter_map(|target| target.server(names).ok())
+        .collect();
+    let (gateway, whole) =
+        Gateway::from_handover(settings, seed, clock.now(), given.gateway, lines);
+    let what = if whole {
+        "all"
+    } else {
+        "the list and what is out by hand, as the settings differ"
+    };
+    eprintln!("emberpin: taken over from the process before: {what}");
+    let listing = Listing {
+        rev: given.rev,
+        whole: true,
+        targets: targets.into_iter().map(Entry::Target).collect(),
+        place: 0,
+        teller: Teller::Service,
+    };
+    (gateway, listing)
+}
