--- a/crates/emberpin-demo/src/node_settings.rs
+++ b/crates/emberpin-demo/src/node_settings.rs
@@ -82,12 +82,12 @@
         };
         let zones = ZONES.map(|zone| format!("{zone} = \"{REGION}\"\n"));
         format!(
-        "[network]\nport_range = [{},{}]\nseeds = [{}]\n[network.listen]\n{listen}[network.zones]\n{}",
-        ports.start(),
-        ports.end(),
-        seeds.join(","),
-        zones.concat(),
-    )
+            "[network]\nport_range = [{},{}]\nseeds = [{}]\n[network.listen]\n{listen}[network.zones]\n{}",
+            ports.start(),
+            ports.end(),
+            seeds.join(","),
+            zones.concat(),
+        )
     }
 }
 
