--- a/crates/emberpin-limiter/src/front/clients.rs
+++ b/crates/emberpin-limiter/src/front/clients.rs
@@ -371,6 +371,10 @@
 }
 
 /// As much of a body as is held: all of it, or its beginning and what brings the rest.
+///
+/// # Errors
+///
+/// 408 if the body comes too slowly, 400 if it breaks off.
 pub async fn take_in(mut body: Incoming) -> Result<(Bytes, Option<Incoming>), StatusCode> {
     let by = Instant::now() + BUFFERING_TIMEOUT;
     let mut pieces: Vec<Bytes> = Vec::new();
--- a/crates/emberpin-limiter/src/upstream/driver.rs
+++ b/crates/emberpin-limiter/src/upstream/driver.rs
@@ -16,7 +16,7 @@
 use crate::upstream::roster::Roster;
 use crate::upstream::server::{Pool, Upstream};
 use emberpin_balancer::host_config::IndexNames;
-use emberpin_balancer::*;
+use emberpin_balancer::{Action, Event, Gateway, MembershipUpdate, PoolSize, ServerId, Settings};
 use emberpin_startup::list_guard::{ListScope, ListSummary, Verdict};
 use std::collections::BTreeSet;
 use std::rc::Rc;
