--- a/crates/emberpin-balancer/src/handover.rs
+++ b/crates/emberpin-balancer/src/handover.rs
@@ -3,7 +3,7 @@
 //! decision is taken here.
 //!
 //! Requests are not handed over: the process that took them answers them, and shares what it still uses up as
-//! [`Usage`]. The types here are encoded by position, so that the order of their fields must not change.
+//! [`Usage`](crate::Usage). The types here are encoded by position, so that the order of their fields must not change.
 
 use crate::decisions::{Gateway, CONGESTION_LEVELS};
 use crate::interface::{
