--- a/crates/emberpin-balancer/src/decisions/admission.rs
+++ b/crates/emberpin-balancer/src/decisions/admission.rs
@@ -60,6 +60,7 @@
             in_flight: None,
             sent_at: now,
             first_run: None,
+            retry_reserved: false,
         };
         self.pending.insert(id, pending);
         self.send_attempt(now, id, server, actions);
--- a/crates/emberpin-balancer/src/decisions/attempts.rs
+++ b/crates/emberpin-balancer/src/decisions/attempts.rs
@@ -41,6 +41,7 @@
                 sent_at,
                 location: prior.location,
             }),
+            retry_reserved: false,
         };
         // Servers discard what begins to run within the window: it may have to wait at its server first.
         let latency = self.latencies[class].of(units);
@@ -197,8 +198,15 @@
 
     /// The server of a retry, if idempotency, time and the retry budget allow one.
     fn retry_server(&mut self, now: Millis, id: RequestId, last: ServerId) -> Option<ServerId> {
-        let pending = self.pending.get(&id)?;
+        let pending = self.pending.get_mut(&id)?;
         let (class, units) = (pending.request.class.0, pending.request.units);
+        if std::mem::take(&mut pending.retry_reserved) {
+            return self
+                .choose_server(now, class, units, Some(last), None)
+                // Rather the same server than no answer for a request that was broken off on purpose.
+                .or_else(|| self.choose_server(now, class, units, None, None));
+        }
+        let pending = self.pending.get(&id)?;
         let expected = self.latencies[class].of(units).mean;
         let too_late = now + expected * 0.5 > pending.deadline;
         if pending.attempts >= self.settings.max_attempts || too_late {
--- a/crates/emberpin-balancer/src/host_queries.rs
+++ b/crates/emberpin-balancer/src/host_queries.rs
@@ -65,6 +65,23 @@
             && self.retry_budget >= 1.0
     }
 
+    /// Reserves the retry after the attempt in flight, if [`Gateway::would_retry`], and says whether it did. It is spent
+    /// from the retry budget now, and follows whatever the load and the budget are when the attempt ends; so a host may
+    /// break the attempt off without leaving the request unanswered.
+    pub fn reserve_retry(&mut self, now: Millis, request: RequestId) -> bool {
+        if !self.would_retry(now, request) {
+            return false;
+        }
+        let Some(pending) = self.pending.get_mut(&request) else {
+            return false;
+        };
+        if !pending.retry_reserved {
+            pending.retry_reserved = true;
+            self.retry_budget -= 1.0;
+        }
+        true
+    }
+
     /// Sets how many attempts the servers say that this gateway may have in flight, its share of what they accept in
     /// all; 0 where they do not say. It becomes the lower bound of the congestion onset, in place of a fixed figure for
     /// each server.
--- a/crates/emberpin-balancer/src/state/request.rs
+++ b/crates/emberpin-balancer/src/state/request.rs
@@ -17,6 +17,9 @@
     pub sent_at: Millis,
     /// The first attempt that may have run. From then on only a repeat that is known to do no harm may be sent.
     pub first_run: Option<FirstRun>,
+    /// The retry after the attempt in flight is granted already: see
+    /// [`Gateway::reserve_retry`](crate::Gateway::reserve_retry).
+    pub retry_reserved: bool,
 }
 
 /// The first attempt of a request that may have run.
--- a/crates/emberpin-balancer/tests/host_queries.rs
+++ b/crates/emberpin-balancer/tests/host_queries.rs
@@ -355,6 +355,70 @@
     assert!(!would_retry(&harness, request));
 }
 
+/// A request whose attempt is broken off while the gateway is quiet, and ends once it is congested.
+fn retried_although_congested(reserve: bool) -> bool {
+    let mut harness = quiet();
+    let (request, actions) = harness.arrive(SAFE, 0, 1);
+    let to = sent_to(&actions).expect("is sent");
+    if reserve {
+        assert!(harness.gateway.reserve_retry(harness.now, request));
+    }
+    assert!(is_congested_with(&mut harness, 40));
+    let actions = harness.end_attempt(request, 0, to, Outcome::Timeout);
+    sent_to(&actions).is_some_and(|again| again != to)
+}
+
+#[test]
+fn a_reserved_retry_follows_whatever_the_load_is_by_then() {
+    assert!(retried_although_congested(true));
+    assert!(!retried_although_congested(false));
+}
+
+#[test]
+fn a_reserved_retry_goes_to_the_same_server_if_no_other_is_left() {
+    let mut harness = Harness::fresh(alone(), 2);
+    let (request, actions) = harness.arrive(SAFE, 0, 1);
+    let to = sent_to(&actions).expect("is sent");
+    assert!(harness.gateway.reserve_retry(harness.now, request));
+    harness.update_membership(MembershipUpdate::Changes(vec![Server {
+        status: ServerStatus::Removed,
+        ..server(1 - to.0)
+    }]));
+    let actions = harness.end_attempt(request, 0, to, Outcome::Timeout);
+    assert_eq!(sent_to(&actions), Some(to));
+}
+
+#[test]
+fn a_reserved_retry_is_spent_once() {
+    let mut harness = Harness::fresh(alone(), 12);
+    let mut reserved = 0;
+    loop {
+        let (request, _) = harness.arrive(SAFE, 0, 1);
+        if !harness.gateway.reserve_retry(harness.now, request) {
+            assert!(!would_retry(&harness, request));
+            break;
+        }
+        // Asked again, it holds and costs nothing more.
+        assert!(
+            !would_retry(&harness, request) || harness.gateway.reserve_retry(harness.now, request)
+        );
+        reserved += 1;
+        assert!(reserved < 100, "there is no end to it");
+    }
+    let mut spent = Harness::fresh(alone(), 12);
+    let mut repeats = 0;
+    while let (request, Some(to)) = {
+        let (request, actions) = spent.arrive(SAFE, 0, 1);
+        (request, sent_to(&actions))
+    } {
+        if sent_to(&spent.end_attempt(request, 0, to, Outcome::Error)).is_none() {
+            break;
+        }
+        repeats += 1;
+    }
+    assert_eq!(reserved, repeats);
+}
+
 /// And the retry that would not follow does not.
 #[test]
 fn no_retry_would_follow_beyond_the_budget() {
--- a/crates/emberpin-proxy/src/controller/attempts.rs
+++ b/crates/emberpin-proxy/src/controller/attempts.rs
@@ -81,7 +81,9 @@
         let Some(in_flight) = self.in_flight.get(&request) else {
             return false;
         };
-        let within_budget = in_flight.attempts_sent == 0 || self.budget_allows_retry(in_flight);
+        let within_budget = in_flight.attempts_sent == 0
+            || in_flight.retry_reserved
+            || self.budget_allows_retry(in_flight);
         in_flight.attempts_sent < in_flight.route.max_attempts
             && within_budget
             && !in_flight.outgoing.withdrawn.get()
@@ -120,16 +122,31 @@
             return;
         }
         let within_budget = self.budget_allows_retry(in_flight);
-        let Some(Service { engine, .. }) = self.services.get_mut(&in_flight.service) else {
+        let name = in_flight.service.clone();
+        let Some(Service { engine, .. }) = self.services.get_mut(&name) else {
             return;
         };
-        if within_budget && engine.gateway.would_retry(engine.clock.now(), request) {
+        if !engine.can_time_out(request, attempt) {
+            return;
+        }
+        // The end of the attempt arrives later, when the load and the budgets may be others: its retry must not depend
+        // on them, or the client would get a refusal for a request at which a server was at work.
+        if within_budget && engine.gateway.reserve_retry(engine.clock.now(), request) {
             engine.time_out(request, attempt);
-        } else if engine.can_time_out(request, attempt) {
+            self.reserve_retry(&name, request);
+        } else {
             self.recheck_overdue_later(request, attempt);
         }
     }
 
+    fn reserve_retry(&mut self, service_name: &str, request: RequestId) {
+        let now = self.now();
+        if let Some(in_flight) = self.in_flight.get_mut(&request) {
+            in_flight.retry_reserved = true;
+            self.retry_budget.record_retry(now, service_name);
+        }
+    }
+
     fn recheck_overdue_later(&self, request: RequestId, attempt: u32) {
         let inputs = self.inputs.clone();
         spawn_local(async move {
@@ -163,7 +180,8 @@
             let now = self.now();
             if let Some(in_flight) = self.in_flight.get_mut(&request) {
                 in_flight.attempts_sent += 1;
-                if in_flight.attempts_sent > 1 {
+                let is_charged = std::mem::take(&mut in_flight.retry_reserved);
+                if in_flight.attempts_sent > 1 && !is_charged {
                     self.retry_budget.record_retry(now, service_name);
                 }
             }
--- a/crates/emberpin-proxy/src/controller/in_flight_request.rs
+++ b/crates/emberpin-proxy/src/controller/in_flight_request.rs
@@ -21,6 +21,8 @@
     pub(super) deadline: Option<Duration>,
     /// Attempts handed to servers, less those that ended before any byte went out.
     pub(super) attempts_sent: u32,
+    /// The attempt at a server was broken off for a retry, which is granted and charged to the budget already.
+    pub(super) retry_reserved: bool,
 }
 
 impl InFlightRequest {
--- a/crates/emberpin-proxy/src/controller/routing.rs
+++ b/crates/emberpin-proxy/src/controller/routing.rs
@@ -177,6 +177,7 @@
         arrived_at: request.arrived_at,
         deadline: request.deadline,
         attempts_sent: request.attempts_sent,
+        retry_reserved: false,
     };
     (call, in_flight)
 }
