--- a/crates/emberpin-limiter/src/front/connections.rs
+++ b/crates/emberpin-limiter/src/front/connections.rs
@@ -112,12 +112,13 @@
     pub fn is_expecting(&self) -> bool {
         match self.stage.get() {
             Stage::Head => true,
-            Stage::Idle => !self.asked() && self.since.get().elapsed() < NEW_CONNECTION_AGE,
+            Stage::Idle => !self.has_requested() && self.since.get().elapsed() < NEW_CONNECTION_AGE,
             Stage::Open => false,
         }
     }
 
-    fn asked(&self) -> bool {
+    /// Whether a request has come on it.
+    pub fn has_requested(&self) -> bool {
         self.requests.get() > 0
     }
 
@@ -151,7 +152,7 @@
             Stage::Head => {
                 since >= most || since >= head && self.moved.get().elapsed() >= SWEEP_INTERVAL
             }
-            Stage::Idle if self.asked() => limits.idle.is_some_and(|idle| since >= idle),
+            Stage::Idle if self.has_requested() => limits.idle.is_some_and(|idle| since >= idle),
             Stage::Idle => since >= limits.silence,
             Stage::Open => false,
         }
@@ -160,7 +161,7 @@
     /// How far beyond the time that a crowd leaves it, if it is. A head that still grows is a slow client's; one that
     /// has stopped counts from there.
     fn excess(&self) -> Option<f64> {
-        let (since, patience) = match (self.stage.get(), self.asked()) {
+        let (since, patience) = match (self.stage.get(), self.has_requested()) {
             (Stage::Head, _) => (self.moved.get(), CROWDED_HEAD_STALL_TIMEOUT),
             (_, false) => (self.since.get(), CROWDED_FIRST_REQUEST_TIMEOUT),
             (_, true) => (self.since.get(), CROWDED_IDLE_TIMEOUT),
--- a/crates/emberpin-limiter/src/front/reception.rs
+++ b/crates/emberpin-limiter/src/front/reception.rs
@@ -174,6 +174,10 @@
             () = must_go.as_mut() => return,
             () = self.ends_idle(&place.connection) => {}
         }
+        if !place.connection.has_requested() {
+            // hyper's graceful shutdown would wait for the first request, for as long as the client stays silent.
+            return;
+        }
         served.as_mut().graceful_shutdown();
         tokio::select! {
             biased;
--- a/crates/emberpin-proxy/src/frontend/mod.rs
+++ b/crates/emberpin-proxy/src/frontend/mod.rs
@@ -84,6 +84,10 @@
         request: Request<Incoming>,
         connection: &Rc<Connection>,
     ) -> Result<Response<Content>, Rejection> {
+        if self.published.rejects_requests() {
+            spawn_local(run_out(request.into_body()));
+            return Err(Rejection::RetryLater(Duration::ZERO));
+        }
         let request = self.receive(request, connection).await?;
         let active = self.figures.taken(ClassId(0));
         let reply = self.forward(request).await?;
--- a/crates/emberpin-proxy/src/published_state.rs
+++ b/crates/emberpin-proxy/src/published_state.rs
@@ -10,6 +10,7 @@
 pub struct PublishedState {
     ready: Cell<bool>,
     draining: Cell<bool>,
+    rejects_requests: Cell<bool>,
     max_body_bytes: Cell<u64>,
     max_head_bytes: Cell<u64>,
 }
@@ -20,6 +21,7 @@
         PublishedState {
             ready: Cell::new(false),
             draining: Cell::new(false),
+            rejects_requests: Cell::new(false),
             max_body_bytes: Cell::new(DEFAULT_MAX_BODY_BYTES),
             max_head_bytes: Cell::new(max_head_bytes),
         }
@@ -46,6 +48,16 @@
         self.draining.get()
     }
 
+    /// From now on requests are rejected, as too little of the grace period is left to finish them.
+    pub fn start_rejecting_requests(&self) {
+        self.rejects_requests.set(true);
+    }
+
+    /// Whether requests are rejected because the process is about to end.
+    pub fn rejects_requests(&self) -> bool {
+        self.rejects_requests.get()
+    }
+
     /// Longest request body that is accepted.
     pub fn max_body_bytes(&self) -> u64 {
         self.max_body_bytes.get()
--- a/crates/emberpin-proxy/src/shutdown.rs
+++ b/crates/emberpin-proxy/src/shutdown.rs
@@ -12,6 +12,9 @@
 /// Fraction of the grace period during which a draining proxy still accepts connections: the platform polls readiness
 /// every second and stops directing connections here after two failures.
 const DRAIN_ACCEPT_SHARE: f64 = 0.42;
+/// Fraction of the grace period after which requests are rejected: their servers might still be at work on them when
+/// the process ends.
+const DRAIN_REQUEST_SHARE: f64 = 0.5;
 /// Fraction of the grace period after which the process ends, whatever is still open.
 const DRAIN_END_SHARE: f64 = 0.95;
 
@@ -46,12 +49,22 @@
 }
 
 /// Drains: withdraws readiness, keeps accepting connections while the platform may still direct some here, then closes
-/// the listener and waits for the open connections until the grace period is nearly over.
+/// the listener and waits for the open connections until the grace period is nearly over. A request that comes after
+/// half of it, on a connection that was kept open for it, is rejected.
 pub async fn drain(published: &PublishedState, reception: &Reception, grace: Duration) {
     let started = Instant::now();
     published.start_draining();
     reception.leave();
     sleep(grace.mul_f64(DRAIN_ACCEPT_SHARE)).await;
     reception.close();
-    _ = timeout_at(started + grace.mul_f64(DRAIN_END_SHARE), reception.empty()).await;
+    let empty = reception.empty();
+    tokio::pin!(empty);
+    if timeout_at(started + grace.mul_f64(DRAIN_REQUEST_SHARE), &mut empty)
+        .await
+        .is_ok()
+    {
+        return;
+    }
+    published.start_rejecting_requests();
+    _ = timeout_at(started + grace.mul_f64(DRAIN_END_SHARE), empty).await;
 }
--- a/crates/emberpin-proxy/tests/graceful_shutdown.rs
+++ b/crates/emberpin-proxy/tests/graceful_shutdown.rs
@@ -6,6 +6,8 @@
 use common::{instance, service, Bounds, Proxy, RouteSpec, Server, DEFAULT_BOUNDS, READONLY_ROUTE};
 use googletest::prelude::*;
 use std::time::{Duration, Instant};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
 use tokio::time::{sleep_until, timeout};
 
 /// Long enough for an attempt to become overdue while new connections are still accepted.
@@ -124,3 +126,51 @@
         all![gt(Duration::from_secs(5)), lt(Duration::from_secs(6))]
     )
 }
+
+/// A proxy with this grace period, a route, and a server.
+async fn start_proxy(grace: &'static str) -> (Proxy, Server) {
+    let server = Server::start().await;
+    let items = vec![service("s", 1, 10.0), READONLY_ROUTE.item()];
+    let bounds = Bounds {
+        grace,
+        ..DEFAULT_BOUNDS
+    };
+    let instances = vec![instance("i-1", server.address)];
+    let (proxy, _session) = Proxy::start_ready(bounds, items, instances).await;
+    (proxy, server)
+}
+
+/// A request on such a connection could come so late that its server is still at work when the process ends.
+#[tokio::test]
+async fn a_connection_without_a_request_ends_with_the_listener() -> googletest::Result<()> {
+    let grace = Duration::from_secs(4);
+    let (mut proxy, _server) = start_proxy("4s").await;
+    let mut silent = TcpStream::connect(proxy.http).await?;
+    proxy.wait_readiness(200).await;
+    proxy.terminate();
+    let ended = timeout(grace.mul_f64(0.6), silent.read(&mut [0])).await;
+    verify_that!(matches!(ended, Ok(Ok(0))), eq(true))?;
+    verify_that!(proxy.exit_code().await, some(eq(0)))
+}
+
+#[tokio::test]
+async fn a_request_that_is_complete_only_late_in_the_grace_period_is_rejected(
+) -> googletest::Result<()> {
+    let grace = Duration::from_secs(4);
+    let (mut proxy, mut server) = start_proxy("4s").await;
+    let mut slow = TcpStream::connect(proxy.http).await?;
+    slow.write_all(b"GET /read/a HTTP/1.1\r\nHost: a.example\r\n")
+        .await?;
+    proxy.wait_readiness(200).await;
+    let terminated_at = tokio::time::Instant::now();
+    proxy.terminate();
+    sleep_until(terminated_at + grace.mul_f64(0.6)).await;
+    slow.write_all(b"Try-Id: t1\r\n\r\n").await?;
+    let mut response = Vec::new();
+    timeout(grace, slow.read_to_end(&mut response)).await??;
+    let response = String::from_utf8(response)?.to_lowercase();
+    verify_that!(response, starts_with("http/1.1 503 "))?;
+    verify_that!(response, contains_substring("connection: close"))?;
+    verify_that!(server.has_no_request(), eq(true))?;
+    verify_that!(proxy.exit_code().await, some(eq(0)))
+}
