--- a/crates/emberpin-membership/src/lib.rs
+++ b/crates/emberpin-membership/src/lib.rs
@@ -15,6 +15,7 @@
 pub mod change_log;
 pub mod clock;
 #[doc(hidden)]
+pub mod deployment_bounds;
 pub mod guards;
 pub mod ids;
 pub mod instance;
--- a/crates/emberpin-membership/src/timing.rs
+++ b/crates/emberpin-membership/src/timing.rs
@@ -33,6 +33,11 @@
 };
 /// How often a proxy checks whether the lease of a session has expired.
 pub const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// How long a call of the operator may take at a registry: an operator passes one over after
+/// [`OPERATOR_SILENCE_TIMEOUT`].
+pub const OPERATOR_CALL_TIMEOUT: Duration = Duration::from_millis(950);
+/// How long an operator waits for a registry that sends nothing.
+pub const OPERATOR_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How long a registry collects changes before it sends them to its sessions in one message.
 pub const CHANGE_BATCH_DELAY: Duration = Duration::from_millis(5);
 /// How long a proxy tries a registry last after it could not connect to it or left it unconfirmed.
--- a/crates/emberpin-registry/src/program.rs
+++ b/crates/emberpin-registry/src/program.rs
@@ -8,6 +8,7 @@
 use crate::store_state::StoreState;
 use crate::store_subscription::StoreSubscription;
 use crate::tcp::{self, ListenError};
+use emberpin_membership::deployment_bounds::DeploymentBounds;
 use emberpin_membership::ids::Incarnation;
 use emberpin_membership::registry::{RegistryConfig, SNAPSHOT_PART_BYTES};
 use emberpin_runtime::identity::ProcessIdentity;
@@ -68,10 +69,17 @@
         Ok(settings) => settings,
         Err(error) => return fail(&error.to_string()),
     };
+    let exceeded = deployment_bounds(&settings).exceeded();
     if matches.opt_present("check") {
+        for bound in exceeded {
+            println!("{bound}");
+        }
         return ExitCode::SUCCESS;
     }
     logs::init(log::LevelFilter::Info);
+    for bound in exceeded {
+        log::warn!("bound is below the sum of delays: {bound}");
+    }
     match run(&settings, ctl) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => fail(&error.to_string()),
@@ -95,6 +103,17 @@
     Ok((settings, ctl))
 }
 
+fn deployment_bounds(settings: &Settings) -> DeploymentBounds {
+    let bounds = &settings.bounds;
+    DeploymentBounds {
+        ack: bounds.ack_deadline,
+        apply: bounds.propagation_deadline,
+        drain: bounds.drain_deadline,
+        evac: bounds.evacuation_deadline,
+        contact: bounds.contact_period,
+    }
+}
+
 /// Runs the registry on this thread until SIGTERM.
 fn run(settings: &Settings, ctl: SocketAddr) -> Result<(), StartError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/emberpin-registry/tests/common/registry_process.rs
+++ b/crates/emberpin-registry/tests/common/registry_process.rs
@@ -70,6 +70,24 @@
         }
     }
 
+    /// What `--check` prints for a machine whose `apply` is this, and its exit status.
+    pub fn check(apply: &str) -> (String, Option<i32>) {
+        let local = Ipv4Addr::LOCALHOST;
+        let settings = settings(local, &[local])
+            .replace("apply = \"2500ms\"", &format!("apply = \"{apply}\""));
+        let mut settings_file = tempfile::NamedTempFile::new().expect("a file");
+        settings_file
+            .write_all(settings.as_bytes())
+            .expect("written");
+        let output = Command::new(env!("CARGO_BIN_EXE_emberpin-registry"))
+            .arg("--check")
+            .env("EMBERPIN_NODE_FILE", settings_file.path())
+            .output()
+            .expect("runs");
+        let printed = String::from_utf8(output.stdout).expect("text");
+        (printed, output.status.code())
+    }
+
     pub fn id(&self) -> u32 {
         self.child.id()
     }
--- a/crates/emberpin-runtime/src/settings/mod.rs
+++ b/crates/emberpin-runtime/src/settings/mod.rs
@@ -82,21 +82,25 @@
     pub last: u16,
 }
 
-/// The bounds that the platform sets (`defs.bounds`). All are required, although nothing depends on some of them: the
-/// timing of the processes is derived for the bounds of the known deployments, not from these.
+/// The bounds that the platform sets (`defs.bounds`). All are required. The timing of the processes is derived for the
+/// bounds of the known deployments, not from these; a registry says at its start which of them are below the sums of
+/// its delays.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// How long after an acknowledged drain a server may still get new requests (`drain`). Not used.
+    /// How long after an acknowledged drain a server may still get new requests (`drain`). Checked at a registry's start.
     pub drain_deadline: Duration,
     /// How long a process has from SIGTERM until it is killed (`grace`). A proxy ends its connections within it.
     pub shutdown_grace: Duration,
-    /// How long after the acknowledgement of a change all proxies follow it (`apply`). Not used.
+    /// How long after the acknowledgement of a change all proxies follow it (`apply`). Checked at a registry's
+    /// start.
     pub propagation_deadline: Duration,
-    /// How long after the acknowledgement of an evacuation the zone may still get requests (`evac`). Not used.
+    /// How long after the acknowledgement of an evacuation the zone may still get requests (`evac`). Checked
+    /// at a registry's start.
     pub evacuation_deadline: Duration,
-    /// How soon a call must be acknowledged (`ack`). Not used.
+    /// How soon a call must be acknowledged (`ack`). Checked at a registry's start.
     pub ack_deadline: Duration,
-    /// How long a machine must be without faults until it counts as in contact (`contact`). Not used.
+    /// How long a machine must be without faults until it counts as in contact (`contact`).
+    /// Checked at a registry's start.
     pub contact_period: Duration,
     /// The retry budget of a service, of all proxies together, as a share of its requests in `retry_window`
     /// (`retry_ratio`). More retries than this and `retry_allowance` are not sent.
