--- a/crates/emberpin-proxy/tests/request_bodies.rs
+++ b/crates/emberpin-proxy/tests/request_bodies.rs
@@ -139,3 +139,49 @@
         .stream;
     (listener.accept().await.expect("accepted").0, connecting)
 }
+
+/// A server may answer before it has read a long body, and read on: it must find the rest of that body or the end of the
+/// connection, and no other request.
+#[tokio::test]
+async fn after_an_early_response_a_server_reads_no_bytes_of_another_request(
+) -> googletest::Result<()> {
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
+    let instances = vec![instance("i-1", listener.local_addr()?)];
+    let (proxy, _session) = Proxy::start_ready(DEFAULT_BOUNDS, default_items(), instances).await;
+    let body: Vec<u8> = (0..300_000u32).map(|at| (at % 251) as u8).collect();
+    let mut client = proxy.connect().await;
+    let head = format!(
+        "POST /write/a HTTP/1.1\r\nhost: h.example\r\ntry-id: t1\r\ncontent-length: {}\r\n\r\n",
+        body.len()
+    );
+    client.write(head.as_bytes()).await;
+    client.write(&body[..150_000]).await;
+    let (mut server, _) = within_limit("a connection", listener.accept()).await?;
+    let mut beginning = vec![0; 100_000];
+    within_limit(
+        "the beginning of the body",
+        server.read_exact(&mut beginning),
+    )
+    .await?;
+    server
+        .write_all(b"HTTP/1.1 200 X\r\ntry-id: t1\r\nseal: s\r\ncontent-length: 0\r\n\r\n")
+        .await?;
+    verify_that!(client.status().await, some(eq(200)))?;
+    let mut other = proxy.connect().await;
+    other
+        .send("POST", "/write/b", &[("try-id", "t2")], b"other")
+        .await;
+    let (mut second, _) = within_limit("another connection", listener.accept()).await?;
+    let request = within_limit("a request", read_message(&mut second, MessageKind::Request)).await;
+    verify_that!(
+        request.map(|request| request.body),
+        some(eq(b"other".as_slice()))
+    )?;
+    drop(client);
+    let mut rest = Vec::new();
+    _ = within_limit("the end", server.read_to_end(&mut rest)).await;
+    let received = beginning.len() - head_length(&beginning) + rest.len();
+    verify_that!(received, le(body.len()))?;
+    let expected = &body[received - rest.len()..received];
+    verify_that!(rest == expected, eq(true))
+}
--- a/crates/emberpin-proxy/tests/responses.rs
+++ b/crates/emberpin-proxy/tests/responses.rs
@@ -247,3 +247,38 @@
     }
     Ok(())
 }
+
+/// A response without a length, which its server says it ends with the connection; `tear` resets the connection instead.
+async fn unframed_response(tear: bool) -> googletest::Result<Option<(u16, bool, String)>> {
+    let (proxy, _session, mut server) = start_with_one_server().await;
+    let mut client = proxy.connect().await;
+    client
+        .send("POST", "/write/a", &[("try-id", "t1")], b"")
+        .await;
+    let mut request = server.next_request().await;
+    request
+        .write(b"HTTP/1.1 200 X\r\ntry-id: t1\r\nseal: s.t1\r\nconnection: close\r\n\r\nto the end")
+        .await;
+    if tear {
+        // Closed with a pending reset.
+        socket2::SockRef::from(&request.stream).set_linger(Some(std::time::Duration::ZERO))?;
+    }
+    drop(request);
+    let response = client.response().await;
+    Ok(response.map(|response| (response.status, response.message.complete, response.text())))
+}
+
+#[tokio::test]
+async fn a_response_without_a_length_ends_with_its_connection() -> googletest::Result<()> {
+    let response = unframed_response(false).await?;
+    verify_that!(response, some(eq(&(200, true, "to the end".to_string()))))
+}
+
+#[tokio::test]
+async fn a_response_without_a_length_that_is_reset_is_not_forwarded_as_complete(
+) -> googletest::Result<()> {
+    let response = unframed_response(true).await?;
+    let is_complete_success =
+        response.is_some_and(|(status, complete, _)| status == 200 && complete);
+    verify_that!(is_complete_success, eq(false))
+}
