--- a/crates/emberpin-consensus/src/guards.rs
+++ b/crates/emberpin-consensus/src/guards.rs
@@ -29,6 +29,10 @@
     pub atomic_calls: bool,
     /// An evacuation changes nothing unless it is as its caller was told.
     pub evacuation_precondition: bool,
+    /// A replica that is no voter begins a round again at once if its ballot was outdated.
+    pub restart_outdated_rounds: bool,
+    /// A replica takes the place of a voter that is gone, whether or not others may be gone too.
+    pub replace_without_delay: bool,
     /// A call is rejected early if no majority answers.
     pub contact_check: bool,
     /// Comparisons include what a voter has accepted and does not know to be chosen.
@@ -85,6 +89,8 @@
             evaluate_on_quorum_state: true,
             atomic_calls: true,
             evacuation_precondition: true,
+            restart_outdated_rounds: true,
+            replace_without_delay: true,
             contact_check: true,
             compare_accepted: true,
             tolerance_quorum: true,
--- a/crates/emberpin-consensus/src/replica.rs
+++ b/crates/emberpin-consensus/src/replica.rs
@@ -24,7 +24,7 @@
 use crate::hash::{mix, SplitMix64};
 use crate::message::{ComparisonId, ItemVersion, Message};
 use crate::quorum::majority;
-use crate::roster::voters;
+use crate::roster::{roster_key, voters};
 use crate::round::Round;
 use crate::state::{is_for_followers, State};
 use crate::storage::{PersistedState, WriteToken};
@@ -77,6 +77,8 @@
     next_comparison_at: Timestamp,
     tasks: VecDeque<Task>,
     round: Option<Round>,
+    /// How often the round in progress was restarted since the last failure, as its ballot was outdated.
+    round_restarts: u32,
     /// No round of this replica begins earlier.
     next_round_at: Timestamp,
     /// No round begins earlier than this either, as another replica's is in progress.
@@ -143,6 +145,7 @@
             next_comparison_at: now,
             tasks: VecDeque::new(),
             round: None,
+            round_restarts: 0,
             next_round_at: now,
             yields_until: None,
             pacing,
@@ -236,6 +239,10 @@
                 .learned
                 .extend(new.iter().map(|item| item.key.clone()));
         }
+        if new.iter().any(|item| item.key == roster_key()) && !self.is_voter() {
+            // Whatever it asked for is void by now; it asks again with the next comparison.
+            self.next_comparison_at = self.now;
+        }
         let has_unchosen_items = self.acceptor.has_unchosen_items();
         if !has_unchosen_items {
             self.repair_at = None;
--- a/crates/emberpin-consensus/src/replica/membership.rs
+++ b/crates/emberpin-consensus/src/replica/membership.rs
@@ -11,12 +11,13 @@
 
 /// A replica that is no voter is compared with as long as it was heard from within this time.
 const PEER_TIMEOUT: Duration = Duration::from_millis(6_000);
-/// How long a replica without a vote listens before it asks for one. It also asks for none while a voter has been
-/// unresponsive for longer than this but not yet for [`REPLACEMENT_TIMEOUT`], as that voter may return soon or never.
+/// How long a replica without a vote listens before it asks for one. Nor does it ask for a larger roster while a voter has
+/// been unresponsive for longer than this but not yet for [`REPLACEMENT_TIMEOUT`], as that voter may return soon or
+/// never.
 const JOIN_DELAY: Duration = COMPARISON_INTERVAL.saturating_mul(3);
 /// A voter that was unresponsive for this long is replaced by a replica that has no vote. Well below the `sync_time` that an
 /// operator waits after the start of a new machine before another disk may be lost.
-const REPLACEMENT_TIMEOUT: Duration = Duration::from_millis(3_000);
+const REPLACEMENT_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A voter that was unresponsive for this long is removed without a replacement, as long as the others can bear further
 /// losses.
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(12_000);
@@ -144,13 +145,6 @@
         if is_listening && self.guards().listen_before_joining {
             return None;
         }
-        let may_return = |voter: &Ipv4Addr| {
-            self.is_unresponsive(*voter, JOIN_DELAY)
-                && !self.is_unresponsive(*voter, REPLACEMENT_TIMEOUT)
-        };
-        if current.iter().any(may_return) {
-            return None;
-        }
         let mut wanted = current.to_vec();
         wanted.push(self.options.address);
         let minority = current.len() - majority(current);
@@ -160,7 +154,14 @@
             removable -= usize::from(is_removed);
             !is_removed
         });
-        Some(wanted)
+        let may_return = |voter: &Ipv4Addr| {
+            self.is_unresponsive(*voter, JOIN_DELAY)
+                && !self.is_unresponsive(*voter, REPLACEMENT_TIMEOUT)
+        };
+        // In the place of a voter that is gone, it does not wait for others: were they gone too, that place would be
+        // missing when the next one is lost.
+        let grows = wanted.len() > current.len() || !self.guards().replace_without_delay;
+        (!grows || !current.iter().any(may_return)).then_some(wanted)
     }
 
     /// Whether no message of another replica has arrived for this long. Before its first message, the time counts from
--- a/crates/emberpin-consensus/src/replica/messages.rs
+++ b/crates/emberpin-consensus/src/replica/messages.rs
@@ -23,7 +23,7 @@
             Message::Promise(promise) => self.on_promise(from, promise, actions),
             Message::Accept(accept) => self.on_accept(from, accept, actions),
             Message::Accepted(accepted) => self.on_accepted(from, accepted, actions),
-            Message::Rejected(rejected) => self.on_rejected(from, rejected),
+            Message::Rejected(rejected) => self.on_rejected(from, rejected, actions),
             // Nothing to do: the voter is not counted, and the round goes on with the others.
             Message::NotVoting(_) => {}
             Message::StaleRoster(stale) => self.on_stale_roster(stale, actions),
--- a/crates/emberpin-consensus/src/replica/pacing.rs
+++ b/crates/emberpin-consensus/src/replica/pacing.rs
@@ -28,6 +28,9 @@
 const DELAY_HALF_LIFE: Duration = Duration::from_millis(5_000);
 /// How often failed rounds double the timeouts of the next one.
 const MAX_DOUBLINGS: u32 = 6;
+/// How often failed rounds double the bound of the backoff. Enough for one proposer on each of a few machines; a replica
+/// that waits longer misses its turn among calls that come all the time.
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 /// How often failed rounds double the delay before a voter finishes what it accepted.
 const MAX_REPAIR_DOUBLINGS: u32 = 3;
 
@@ -106,7 +109,8 @@
         if !self.is_adaptive() {
             return BASE_BACKOFF / 2 * (1 << self.failures.min(4));
         }
-        let backoff = (BASE_BACKOFF + self.phase(now)) * self.failure_factor() / 2;
+        let doublings = self.failures.min(MAX_BACKOFF_DOUBLINGS);
+        let backoff = (BASE_BACKOFF + self.phase(now)) * (1 << doublings) / 2;
         backoff.min(MAX_ROUND_TIMEOUT)
     }
 
--- a/crates/emberpin-consensus/src/replica/proposer.rs
+++ b/crates/emberpin-consensus/src/replica/proposer.rs
@@ -11,6 +11,10 @@
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 
+/// How often a round with an outdated ballot is begun again at once before it counts as a failure. Others may begin rounds
+/// in the meantime, which makes it outdated again.
+const MAX_ROUND_RESTARTS: u32 = 3;
+
 impl Replica {
     /// Begins a round, if there is a reason for one.
     pub(super) fn begin_round(&mut self, actions: &mut Vec<Action>) {
@@ -162,6 +166,7 @@
         let Some(round) = self.round.as_ref().filter(has_quorum) else {
             return;
         };
+        self.round_restarts = 0;
         let (sent_at, roster_ver) = (round.sent_at, round.roster.version);
         let newest_roster = self.state().roster();
         if newest_roster.is_some_and(|newest| newest.version > roster_ver) {
@@ -213,7 +218,12 @@
     }
 
     /// A voter has promised a higher ballot. The round goes on for a while, as the other voters may be a majority.
-    pub(super) fn on_rejected(&mut self, from: Ipv4Addr, rejected: Rejected) {
+    pub(super) fn on_rejected(
+        &mut self,
+        from: Ipv4Addr,
+        rejected: Rejected,
+        actions: &mut Vec<Action>,
+    ) {
         let Rejected { ballot, promised } = rejected;
         self.highest_counter = self.highest_counter.max(promised.counter);
         if promised <= ballot {
@@ -227,10 +237,33 @@
         let grace = self.pacing.rejected_grace(self.now);
         round.deadline = round.deadline.min(self.now + grace);
         if round.is_quorum_impossible() {
-            self.fail_round();
+            if self.has_outdated_ballot() {
+                self.restart_round(actions);
+            } else {
+                self.fail_round();
+            }
         }
     }
 
+    /// Whether the round in progress was rejected because its ballot was outdated from the start. That of a replica
+    /// which is no voter mostly is, as it is sent no [`Prepare`] of others.
+    fn has_outdated_ballot(&self) -> bool {
+        let is_unpromised = |round: &Round| round.proposal.is_none() && round.promises.is_empty();
+        self.guards().restart_outdated_rounds
+            && !self.is_voter()
+            && self.round_restarts < MAX_ROUND_RESTARTS
+            && self.round.as_ref().is_some_and(is_unpromised)
+    }
+
+    /// Begins the round again at once, above the ballots that its voters have promised. It is no failure: after a backoff
+    /// the ballot would be outdated again, and a replica that is to join the roster would not get its turn for as long as
+    /// others take calls.
+    fn restart_round(&mut self, actions: &mut Vec<Action>) {
+        self.round_restarts += 1;
+        self.end_round();
+        self.begin_round(actions);
+    }
+
     /// The round went by a roster that has been replaced: starts over by the newer one.
     pub(super) fn on_stale_roster(&mut self, stale: StaleRoster, actions: &mut Vec<Action>) {
         let StaleRoster { ballot, roster } = stale;
@@ -259,19 +292,22 @@
         if self.round.is_none() {
             return;
         }
+        self.round_restarts = 0;
         self.end_round();
         self.pacing.record_failure();
         let backoff = self.random_delay(self.pacing.max_backoff(self.now));
         self.next_round_at = self.now + backoff;
     }
 
-    /// A replica whose last round failed yields to the round that it has just promised. It does not yield again before
-    /// that time is over, so that it gets its turn however many others there are.
+    /// A replica whose last round failed yields to the round that it has just promised, and any replica to that of one
+    /// which is no voter: it may join the roster by it. It does not yield again before that time is over, so that it gets
+    /// its turn however many others there are.
     pub(super) fn yield_to(&mut self, from: Ipv4Addr, answer: &Message) {
         let has_promised_other =
             matches!(answer, Message::Promise(_)) && from != self.options.address;
+        let is_joining = self.guards().restart_outdated_rounds && !self.voters().contains(&from);
         if has_promised_other
-            && self.pacing.is_contended()
+            && (is_joining || self.pacing.is_contended())
             && self.round.is_none()
             && self.now >= self.earliest_round_at()
         {
--- a/crates/emberpin-consensus/tests/roster_changes.rs
+++ b/crates/emberpin-consensus/tests/roster_changes.rs
@@ -315,3 +315,90 @@
         some(contains_substring("lost"))
     );
 }
+
+/// How often voters get a call while replacements join, in milliseconds.
+const CALL_INTERVAL: u64 = 25;
+/// `sync_time` of deployments that bear two losses at once, in milliseconds.
+const SYNC_TIME_OF_TWO: u64 = 6_000;
+
+/// How long after their start the replacements of as many machines as may be lost are on the roster, while voters take
+/// calls all the time, in milliseconds; `None` if they are not within 12 s.
+fn time_until_joined_under_load(seed: u64, tolerated: u8, guards: Guards) -> Option<u64> {
+    let count = 2 * tolerated + 1;
+    let mut cluster = Cluster::new(seed, count, tolerated.into(), guards);
+    cluster.run(1_000);
+    let replacements: Vec<u8> = (count + 1..=count + tolerated).collect();
+    for new in &replacements {
+        cluster.decommission(ip(new - count));
+        cluster.add_machine(ip(*new));
+        cluster.start(ip(*new), Start::Normal);
+    }
+    let started_at = cluster.now;
+    for version in 1..600 {
+        let voter = tolerated + 1 + (version % u64::from(tolerated + 1)) as u8;
+        cluster.call(ip(voter), set_service("a", version, 1));
+        cluster.run(CALL_INTERVAL);
+        let roster = cluster.newest_roster();
+        if replacements.iter().all(|new| roster.contains(&ip(*new))) {
+            return Some(cluster.now - started_at);
+        }
+    }
+    None
+}
+
+#[gtest]
+fn replacements_join_in_time_however_many_calls_the_voters_take() {
+    for (tolerated, sync_time) in [(1, SYNC_TIME), (2, SYNC_TIME_OF_TWO)] {
+        for seed in 0..30 {
+            expect_that!(
+                time_until_joined_under_load(seed, tolerated, Guards::default()),
+                some(le(sync_time)),
+                "{tolerated} replaced, seed {seed}"
+            );
+        }
+    }
+}
+
+#[gtest]
+fn without_a_restart_at_once_replacements_miss_their_turn() {
+    let guards = Guards {
+        restart_outdated_rounds: false,
+        ..Guards::default()
+    };
+    let is_late = |seed: &u64| {
+        let took = time_until_joined_under_load(*seed, 2, guards);
+        took.is_none_or(|took| took > SYNC_TIME_OF_TWO)
+    };
+    expect_that!((0..30).filter(is_late).count(), gt(0));
+}
+
+/// How long the first of two replacements needs to join, whose machines are lost a second apart, in milliseconds.
+fn time_until_first_joined(seed: u64, guards: Guards) -> u64 {
+    let mut cluster = Cluster::new(seed, 5, 2, guards);
+    cluster.run(1_000);
+    let started_at = cluster.now;
+    for (old, new) in [(5, 6), (4, 7)] {
+        cluster.decommission(ip(old));
+        cluster.add_machine(ip(new));
+        cluster.start(ip(new), Start::Normal);
+        cluster.run(1_000);
+    }
+    cluster.run_while(8_000, |cluster| !cluster.newest_roster().contains(&ip(6)));
+    cluster.now - started_at
+}
+
+#[gtest]
+fn a_replacement_takes_its_place_whoever_else_is_silent() {
+    let longest = |guards| {
+        (0..10)
+            .map(|seed| time_until_first_joined(seed, guards))
+            .max()
+    };
+    // Silence of 2.5 s, a comparison, and the rounds.
+    expect_that!(longest(Guards::default()), some(le(3_200)));
+    let waiting = Guards {
+        replace_without_delay: false,
+        ..Guards::default()
+    };
+    expect_that!(longest(waiting), some(gt(3_400)));
+}
--- a/crates/emberpin-simulator/src/generator/dense/faults.rs
+++ b/crates/emberpin-simulator/src/generator/dense/faults.rs
@@ -70,7 +70,7 @@
         self.add_step_at(return_at, format!("start core-{core}"));
     }
 
-    fn replace(&mut self) {
+    pub(super) fn replace(&mut self) {
         if self.next_core > MAX_CORE {
             return;
         }
@@ -130,7 +130,7 @@
         self.add_step_at(return_at, format!("heal core-{core}"));
     }
 
-    fn stall_disk(&mut self) {
+    pub(super) fn stall_disk(&mut self) {
         let span = self.draw_fault_length();
         let Some(core) = self.lose_core(self.now_ms + span) else {
             return;
--- a/crates/emberpin-simulator/src/generator/dense/operators.rs
+++ b/crates/emberpin-simulator/src/generator/dense/operators.rs
@@ -18,7 +18,7 @@
     }
 
     /// The name of an operator for a new call.
-    fn next_operator(&mut self, route: Option<RouteVersion>) -> String {
+    pub(super) fn next_operator(&mut self, route: Option<RouteVersion>) -> String {
         self.calls += 1;
         let operator = format!("c{}", self.calls);
         self.sent_calls.push(SentCall {
@@ -28,7 +28,7 @@
         operator
     }
 
-    fn next_version(&mut self) -> u64 {
+    pub(super) fn next_version(&mut self) -> u64 {
         self.last_version += 1 + self.draw_below(3);
         self.last_version
     }
--- a/crates/emberpin-simulator/src/simulation/final_checks.rs
+++ b/crates/emberpin-simulator/src/simulation/final_checks.rs
@@ -145,8 +145,8 @@
                 continue;
             };
             let is_concurrent = |other: &EvacuationCall| {
+                // Two calls of one moment may take effect in either order.
                 other.change != last.change
-                    && other.sent_at < last.sent_at
                     && other.acknowledged_at.is_none_or(|at| at >= last.sent_at)
             };
             if last.acknowledged_at.is_some() && !calls.iter().any(is_concurrent) {
