--- a/crates/emberpin-testbed/src/bin/cold-start.rs
+++ b/crates/emberpin-testbed/src/bin/cold-start.rs
@@ -153,7 +153,7 @@
             // Servers could do all of it while cold.
             0.5,
         );
-        Scenario::parse("cold-start", &text)
+        Scenario::parse("cold-start", &text).map_err(|error| error.to_string())
     }
 
     fn program(&self) -> Result<Program, String> {
--- a/crates/emberpin-testbed/src/main.rs
+++ b/crates/emberpin-testbed/src/main.rs
@@ -124,7 +124,7 @@
 impl Line {
     fn scenario(&self) -> Result<Scenario, String> {
         let mut scenario = match &self.scenario {
-            Some(path) => Scenario::read(path)?,
+            Some(path) => Scenario::read(path).map_err(|error| error.to_string())?,
             None => Scenario::calm(),
         };
         if let Some(length) = self.seconds {
--- a/crates/emberpin-testbed/src/scenario.rs
+++ b/crates/emberpin-testbed/src/scenario.rs
@@ -1,8 +1,14 @@
 //! Scenarios: site, load and faults as data. Read from TOML with unknown keys refused; every error is one line
 //! that names file, line, column, what was found and what was expected.
 
-use crate::figures::PLANS;
+mod bounds;
+mod error;
+mod fault_table;
+
+pub use error::{Problem, ScenarioError};
+
 use crate::trace::{Micros, SECOND};
+use bounds::{count, number, range};
 use serde::Deserialize;
 use std::path::Path;
 use toml::Spanned;
@@ -523,10 +529,12 @@
     /// # Errors
     ///
     /// One line that names file, line, column, what was found and what was expected.
-    pub fn read(path: &Path) -> Result<Scenario, String> {
+    pub fn read(path: &Path) -> Result<Scenario, ScenarioError> {
         let shown = path.display().to_string();
-        let text =
-            std::fs::read_to_string(path).map_err(|e| format!("cannot read {shown}: {e}"))?;
+        let text = std::fs::read_to_string(path).map_err(|source| ScenarioError::Unreadable {
+            path: shown.clone(),
+            source,
+        })?;
         Scenario::parse(&shown, &text)
     }
 
@@ -535,7 +543,7 @@
     /// # Errors
     ///
     /// A length out of bounds, with the bounds.
-    pub fn set_seconds(&mut self, seconds: f64) -> Result<(), String> {
+    pub fn set_seconds(&mut self, seconds: f64) -> Result<(), Problem> {
         number("seconds", seconds, LEAST_SECONDS, MOST_SECONDS)?;
         self.length = micros(seconds);
         Ok(())
@@ -546,12 +554,20 @@
     /// # Errors
     ///
     /// Those of [`Scenario::read`].
-    pub fn parse(file: &str, text: &str) -> Result<Scenario, String> {
-        let raw: File = toml::from_str(text)
-            .map_err(|e| emberpin_limiter::operate::operator::place(file, text, &e))?;
-        let at = |offset: usize, problem: String| {
+    pub fn parse(file: &str, text: &str) -> Result<Scenario, ScenarioError> {
+        let raw: File = toml::from_str(text).map_err(|error| {
+            ScenarioError::Syntax(emberpin_limiter::operate::operator::place(
+                file, text, &error,
+            ))
+        })?;
+        let at = |offset: usize, problem: Problem| {
             let (line, column) = emberpin_limiter::operate::operator::position(text, offset);
-            format!("{file}:{line}:{column}: {problem}")
+            ScenarioError::Value {
+                file: file.into(),
+                line,
+                column,
+                problem: Box::new(problem),
+            }
         };
         let seconds = *raw.seconds.get_ref();
         number("seconds", seconds, LEAST_SECONDS, MOST_SECONDS)
@@ -566,10 +582,11 @@
             faults.extend(checked.map_err(|problem| at(fault.span().start, problem))?);
         }
         if faults.len() > MOST_FAULTS {
-            return Err(format!(
-                "{file}: found {} faults, expected {MOST_FAULTS} at most",
-                faults.len()
-            ));
+            return Err(ScenarioError::TooManyFaults {
+                file: file.into(),
+                count: faults.len(),
+                most: MOST_FAULTS,
+            });
         }
         faults.sort_by_key(|fault| fault.at);
         Ok(Scenario {
@@ -597,7 +614,7 @@
 }
 
 impl Site {
-    fn check(&self) -> Result<(), String> {
+    fn check(&self) -> Result<(), Problem> {
         count("limiters", self.limiters, 1, MOST_LIMITERS)?;
         count("halls", self.halls, 1, 26)?;
         count("servers", self.servers, 1, MOST_SERVERS)?;
@@ -619,7 +636,7 @@
 }
 
 impl Load {
-    fn check(&self) -> Result<(), String> {
+    fn check(&self) -> Result<(), Problem> {
         number("rate", self.rate, 0.1, MOST_RATE)?;
         number("submit", self.submit, 0.0, 1.0)?;
         number("release", self.release, 0.0, 1.0 - self.submit)?;
@@ -641,396 +658,3 @@
 fn micros(seconds: f64) -> Micros {
     (seconds * SECOND as f64).round() as Micros
 }
-
-fn number(name: &str, value: f64, least: f64, most: f64) -> Result<(), String> {
-    match (least..=most).contains(&value) {
-        true => Ok(()),
-        false => Err(format!(
-            "found {name} = {value}, expected {least} to {most}"
-        )),
-    }
-}
-
-fn count(name: &str, value: usize, least: usize, most: usize) -> Result<(), String> {
-    match (least..=most).contains(&value) {
-        true => Ok(()),
-        false => Err(format!(
-            "found {name} = {value}, expected {least} to {most}"
-        )),
-    }
-}
-
-fn range(name: &str, [low, high]: [f64; 2], least: f64, most: f64) -> Result<(), String> {
-    number(name, low, least, most)?;
-    match (low..=most).contains(&high) {
-        true => Ok(()),
-        false => Err(format!(
-            "found {name} = [{low}, {high}], expected the second from {low} to {most}"
-        )),
-    }
-}
-
-/// What a fault needs, taken out of its table; whatever is left over then is of no use to it.
-struct Taking<'a> {
-    raw: RawFault,
-    site: &'a Site,
-}
-
-impl Taking<'_> {
-    fn limiter(&mut self) -> Result<usize, String> {
-        index("limiter", self.raw.limiter.take(), self.site.limiters)
-    }
-
-    fn server(&mut self) -> Result<usize, String> {
-        index("server", self.raw.server.take(), self.site.servers)
-    }
-
-    fn hall(&mut self) -> Result<usize, String> {
-        index("hall", self.raw.hall.take(), self.site.halls)
-    }
-
-    fn length(&mut self) -> Result<Micros, String> {
-        time("for_s", self.raw.for_s.take(), 1.0)
-    }
-
-    fn back(&mut self) -> Result<Micros, String> {
-        time("back_s", self.raw.back_s.take(), 1.0)
-    }
-
-    fn every(&mut self) -> Result<Micros, String> {
-        time("every_s", self.raw.every_s.take(), 1.0)
-    }
-
-    fn delay(&mut self) -> Result<Micros, String> {
-        time("delay_ms", self.raw.delay_ms.take(), 1000.0)
-    }
-
-    fn share(&mut self) -> Result<f64, String> {
-        needed("share", self.raw.share.take())
-            .and_then(|v| number("share", v, 0.0, 1.0).map(|()| v))
-    }
-
-    fn times(&mut self) -> Result<f64, String> {
-        needed("times", self.raw.times.take())
-            .and_then(|v| number("times", v, 0.0, 1000.0).map(|()| v))
-    }
-
-    fn plan(&mut self) -> Result<usize, String> {
-        let name = needed("plan", self.raw.plan.take())?;
-        PLANS
-            .iter()
-            .position(|plan| plan.name == name)
-            .ok_or_else(|| {
-                let names: Vec<&str> = PLANS.iter().map(|plan| plan.name).collect();
-                format!(
-                    "found plan = \"{name}\", expected one of {}",
-                    names.join(", ")
-                )
-            })
-    }
-
-    /// One of the words that this fault knows.
-    fn how<T: for<'a> Deserialize<'a>>(&mut self) -> Result<T, String> {
-        let word = needed("how", self.raw.how.take())?;
-        let found = format!("found how = \"{word}\"");
-        T::deserialize(toml::Value::String(word)).map_err(|e| {
-            let wanted = e
-                .message()
-                .split_once("expected")
-                .map_or("", |(_, wanted)| wanted)
-                .trim();
-            format!("{found}, expected {wanted}")
-        })
-    }
-
-    fn group(&mut self) -> Result<Vec<usize>, String> {
-        let group = needed("group", self.raw.group.take())?;
-        for limiter in &group {
-            index("group", Some(*limiter), self.site.limiters)?;
-        }
-        Ok(group)
-    }
-
-    /// Guards against a value that its writer believes to matter.
-    fn rest(&self) -> Result<(), String> {
-        let raw = &self.raw;
-        let left = [
-            ("limiter", raw.limiter.is_some()),
-            ("server", raw.server.is_some()),
-            ("hall", raw.hall.is_some()),
-            ("plan", raw.plan.is_some()),
-            ("for_s", raw.for_s.is_some()),
-            ("back_s", raw.back_s.is_some()),
-            ("every_s", raw.every_s.is_some()),
-            ("share", raw.share.is_some()),
-            ("times", raw.times.is_some()),
-            ("delay_ms", raw.delay_ms.is_some()),
-            ("point", raw.point.is_some()),
-            ("lie", raw.lie.is_some()),
-            ("how", raw.how.is_some()),
-            ("way", raw.way.is_some()),
-            ("group", raw.group.is_some()),
-        ];
-        match left.iter().find(|(_, left)| *left) {
-            None => Ok(()),
-            Some((name, _)) => Err(format!(
-                "found {name}, which this fault has no use for; take it out"
-            )),
-        }
-    }
-}
-
-fn needed<T>(name: &str, value: Option<T>) -> Result<T, String> {
-    value.ok_or_else(|| format!("expected {name}, which this fault needs"))
-}
-
-fn index(name: &str, value: Option<usize>, count: usize) -> Result<usize, String> {
-    let value = needed(name, value)?;
-    match value < count {
-        true => Ok(value),
-        false => Err(format!(
-            "found {name} = {value}, expected 0 to {}",
-            count - 1
-        )),
-    }
-}
-
-fn time(name: &str, value: Option<f64>, per_second: f64) -> Result<Micros, String> {
-    let value = needed(name, value)?;
-    number(name, value, 0.0, MOST_SECONDS * per_second)?;
-    Ok(micros(value / per_second))
-}
-
-impl RawFault {
-    fn check(&self, site: &Site) -> Result<Vec<TimedFault>, String> {
-        number("at_s", self.at_s, 0.0, MOST_SECONDS)?;
-        let at = micros(self.at_s);
-        let mut of = Taking {
-            raw: self.clone(),
-            site,
-        };
-        let one = |fault| vec![TimedFault { at, fault }];
-        let faults = match self.what {
-            Kind::LimiterKilled => one(Fault::LimiterKilled {
-                limiter: of.limiter()?,
-                back: of.back()?,
-            }),
-            Kind::LimiterRestarted => one(Fault::LimiterRestarted {
-                limiter: of.limiter()?,
-            }),
-            Kind::LimitersRolled => {
-                let every = of.every()?;
-                let each = |limiter: usize| TimedFault {
-                    at: at + every * limiter as Micros,
-                    fault: Fault::LimiterRestarted { limiter },
-                };
-                (0..site.limiters).map(each).collect()
-            }
-            Kind::ServerKilled => one(Fault::ServerKilled {
-                server: of.server()?,
-                back: of.back()?,
-            }),
-            Kind::ServerReplaced => one(Fault::ServerReplaced {
-                server: of.server()?,
-            }),
-            Kind::ServersRolled => {
-                let every = of.every()?;
-                let each = |server: usize| TimedFault {
-                    at: at + every * server as Micros,
-                    fault: Fault::ServerReplaced { server },
-                };
-                (0..site.servers).map(each).collect()
-            }
-            Kind::ServerDrained => one(Fault::ServerDrained {
-                server: of.server()?,
-                length: of.length()?,
-            }),
-            Kind::ServerStalled => one(Fault::ServerStalled {
-                server: of.server()?,
-                length: of.length()?,
-            }),
-            Kind::ServerSpoils => one(Fault::ServerSpoils {
-                server: of.server()?,
-                how: of.how()?,
-                share: of.share()?,
-                length: of.length()?,
-            }),
-            Kind::ServerRefuses => one(Fault::ServerRefuses {
-                server: of.server()?,
-                length: of.length()?,
-            }),
-            Kind::ServerMoved => one(Fault::ServerMoved {
-                server: of.server()?,
-            }),
-            Kind::HallLost => one(Fault::HallLost {
-                hall: of.hall()?,
-                back: of.back()?,
-            }),
-            Kind::LinkCut => one(Fault::LinkCut {
-                limiter: of.limiter()?,
-                hall: of.hall()?,
-                way: needed("way", of.raw.way.take())?,
-                length: of.length()?,
-            }),
-            Kind::LinkSlow => one(Fault::LinkSlow {
-                limiter: of.limiter()?,
-                hall: of.hall()?,
-                delay: of.delay()?,
-                length: of.length()?,
-            }),
-            Kind::PeersSplit => {
-                let way = of.raw.way.take().unwrap_or(Way::Both);
-                one(Fault::PeersSplit {
-                    group: of.group()?,
-                    way,
-                    length: of.length()?,
-                })
-            }
-            Kind::PeersPoor => one(Fault::PeersPoor {
-                loss: of.share()?,
-                delay: of.delay()?,
-                length: of.length()?,
-            }),
-            Kind::DiscoverySilent => one(Fault::DiscoverySilent {
-                length: of.length()?,
-            }),
-            Kind::DiscoveryDead => one(Fault::DiscoveryDead {
-                length: of.length()?,
-            }),
-            Kind::DiscoveryTells => {
-                let group = of.raw.group.is_some().then(|| of.group()).transpose()?;
-                one(Fault::DiscoveryTells {
-                    how: of.how()?,
-                    group,
-                    length: of.length()?,
-                })
-            }
-            Kind::LimiterPaused => one(Fault::LimiterPaused {
-                limiter: of.limiter()?,
-                length: of.length()?,
-            }),
-            Kind::DiskLies => {
-                let (limiter, lie) = (of.limiter()?, needed("lie", of.raw.lie.take())?);
-                one(Fault::DiskLies { limiter, lie })
-            }
-            Kind::LimiterStops => {
-                let back = of.raw.back_s.is_some().then(|| of.back()).transpose()?;
-                let point = needed("point", of.raw.point.take())?;
-                let (limiter, length) = (of.limiter()?, of.length()?);
-                one(Fault::LimiterStops {
-                    limiter,
-                    point,
-                    length,
-                    back,
-                })
-            }
-            Kind::LimitersKilled => {
-                let count = (of.share()? * site.limiters as f64).round() as usize;
-                one(Fault::LimitersKilled {
-                    count,
-                    back: of.back()?,
-                })
-            }
-            Kind::CallersKilled => {
-                let count = (of.share()? * site.limiters as f64).round() as usize;
-                one(Fault::CallersKilled {
-                    count,
-                    back: of.back()?,
-                })
-            }
-            Kind::LimiterHungUp => one(Fault::LimiterHungUp {
-                limiter: of.limiter()?,
-            }),
-            Kind::FirmsHop => one(Fault::FirmsHop { share: of.share()? }),
-            Kind::FirmHammers => one(Fault::FirmHammers {
-                plan: of.plan()?,
-                times: of.times()?,
-                length: of.length()?,
-            }),
-            Kind::Rush => one(Fault::Rush {
-                times: of.times()?,
-                length: of.length()?,
-            }),
-        };
-        of.rest()?;
-        Ok(faults)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const HEAD: &str = "name = \"t\"\nabout = \"t\"\nseed = 1\nseconds = 2\n";
-
-    #[test]
-    fn errors_name_the_place_what_was_found_and_what_was_expected() {
-        let cases = [
-            ("[site]\nlimiters = 0", "t.toml:5:1: found limiters = 0, expected 1 to 400"),
-            ("[site]\nserver = 3", "t.toml:6:1: unknown field `server`, expected one of"),
-            ("[load]\nsubmit = 1.5", "t.toml:5:1: found submit = 1.5, expected 0 to 1"),
-            ("[load]\npatience = [0.9, 0.1]", "t.toml:5:1: found patience = [0.9, 0.1], expected the second"),
-            (
-                "[[fault]]\nat_s = 1\nwhat = \"meteor\"",
-                "t.toml:7:8: unknown variant `meteor`, expected one of",
-            ),
-            ("[[fault]]\nat_s = 1\nwhat = \"rush\"\ntimes = 2", "t.toml:5:1: expected for_s"),
-            (
-                "[[fault]]\nat_s = 1\nwhat = \"server-moved\"\nserver = 9",
-                "t.toml:5:1: found server = 9, expected 0 to 8",
-            ),
-            (
-                "[[fault]]\nat_s = 1\nwhat = \"server-moved\"\nserver = 1\nshare = 0.5",
-                "t.toml:5:1: found share, which this fault has no use for",
-            ),
-            (
-                "[[fault]]\nat_s = 1\nwhat = \"firm-hammers\"\nplan = \"gold\"\ntimes = 2\nfor_s = 1",
-                "t.toml:5:1: found plan = \"gold\", expected one of bas, mellan, stor",
-            ),
-            ("seconds = 3", "t.toml:5:1: duplicate key"),
-        ];
-        for (text, expected) in cases {
-            let problem = Scenario::parse("t.toml", &format!("{HEAD}{text}")).expect_err(text);
-            assert!(problem.starts_with(expected), "{text:?}: {problem}");
-            assert!(!problem.contains('\n'), "{problem:?}");
-        }
-        let endless = HEAD.replace("seconds = 2", "seconds = 1e9");
-        let problem = Scenario::parse("t.toml", &endless).expect_err("endless");
-        assert_eq!(
-            problem,
-            "t.toml:4:11: found seconds = 1000000000, expected 0.1 to 7200"
-        );
-        assert!(Scenario::parse("t.toml", &HEAD.replace("seconds = 2", "seconds = nan")).is_err());
-    }
-
-    #[test]
-    fn a_rolling_deploy_is_one_replacement_after_the_other() {
-        let text = format!("{HEAD}[[fault]]\nat_s = 1\nwhat = \"servers-rolled\"\nevery_s = 0.5");
-        let scenario = Scenario::parse("t.toml", &text).expect("sound");
-        assert_eq!(scenario.faults.len(), 9);
-        assert_eq!(
-            scenario.faults[8],
-            TimedFault {
-                at: 5 * SECOND,
-                fault: Fault::ServerReplaced { server: 8 }
-            }
-        );
-    }
-
-    #[test]
-    fn every_scenario_of_the_folder_is_sound_and_says_what_to_see() {
-        let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
-        let mut count = 0;
-        for entry in std::fs::read_dir(folder).expect("a folder") {
-            let path = entry.expect("an entry").path();
-            let scenario = Scenario::read(&path).expect("sound");
-            assert!(scenario.about.len() > 20, "{}", path.display());
-            assert_eq!(
-                path.file_stem().and_then(|s| s.to_str()),
-                Some(scenario.name.as_str())
-            );
-            count += 1;
-        }
-        assert!(count >= 12, "{count} scenarios");
-    }
-}
