--- a/crates/emberpin-consensus/src/replica/contact.rs
+++ b/crates/emberpin-consensus/src/replica/contact.rs
@@ -23,9 +23,9 @@
 /// What shows that a majority can be reached for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ContactCheck {
-    /// A majority has to answer this comparison, or a later one,
+    /// The comparison that a majority has to answer; an answer to a later one counts too.
     comparison_id: ComparisonId,
-    /// until then.
+    /// When the call is rejected, unless a majority has answered by then.
     pub deadline: Timestamp,
 }
 
--- a/crates/emberpin-proxy/tests/abandoned_requests.rs
+++ b/crates/emberpin-proxy/tests/abandoned_requests.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{
-    instance, service, start_with_one_server, Proxy, RouteSpec, Server, DEFAULT_BOUNDS,
+    instance, service, start_with_one_server, Client, Proxy, RouteSpec, Server, DEFAULT_BOUNDS,
     READONLY_ROUTE,
 };
 use googletest::prelude::*;
@@ -15,19 +15,18 @@
 /// How long after a client has left a server may still be at work on its request.
 const NOTICE: Duration = Duration::from_millis(500);
 
+/// A request on the readonly route whose client would wait for 8 s.
+async fn send_patient_request(client: &mut Client) {
+    let headers = [("try-id", "t1"), ("deadline", "8000")];
+    client.send("GET", "/read/a", &headers, b"").await;
+}
+
 #[tokio::test]
 async fn a_repeatable_request_is_cancelled_at_its_server_when_the_client_leaves(
 ) -> googletest::Result<()> {
     let (proxy, _session, mut server) = start_with_one_server().await;
     let mut client = proxy.connect().await;
-    client
-        .send(
-            "GET",
-            "/read/a",
-            &[("try-id", "t1"), ("deadline", "8000")],
-            b"",
-        )
-        .await;
+    send_patient_request(&mut client).await;
     let mut at_work = server.next_request().await;
     drop(client);
     let ended = timeout(NOTICE, at_work.stream.read(&mut [0])).await;
@@ -39,14 +38,7 @@
 ) -> googletest::Result<()> {
     let (proxy, _session, mut server) = start_with_one_server().await;
     let mut client = proxy.connect().await;
-    client
-        .send(
-            "GET",
-            "/read/a",
-            &[("try-id", "t1"), ("deadline", "8000")],
-            b"",
-        )
-        .await;
+    send_patient_request(&mut client).await;
     let at_work = server.next_request().await;
     drop(client);
     sleep(NOTICE).await;
@@ -74,14 +66,7 @@
     .await;
     let mut client = proxy.connect().await;
     let sent_at = Instant::now();
-    client
-        .send(
-            "GET",
-            "/read/a",
-            &[("try-id", "t1"), ("deadline", "8000")],
-            b"",
-        )
-        .await;
+    send_patient_request(&mut client).await;
     let _silent = server.next_request().await;
     let status = client.status().await;
     verify_that!(status, some(any![eq(503), eq(504), eq(502)]))?;
