--- a/crates/emberpin-consensus/src/message.rs
+++ b/crates/emberpin-consensus/src/message.rs
@@ -2,7 +2,7 @@
 //!
 //! A round takes [`Prepare`] and [`Promise`], then [`Accept`] and [`Accepted`]; [`Chosen`] spreads its result. Replicas
 //! compare what they know by [`CompareDigest`] and what follows it. The first roster comes to be by [`BootstrapQuery`],
-//! [`BootstrapReply`] and [`FirstRoster`].
+//! [`BootstrapReply`] and [`FirstRoster`]; [`CandidacyQuery`] and [`CandidacyReply`] may precede it.
 //!
 //! The order of variants and of fields is the encoding on the wire.
 
@@ -11,6 +11,7 @@
 use crate::incarnation::{Incarnation, LatestIncarnations};
 use emberpin_config::{Item, ItemKey, Version};
 use serde::{Deserialize, Serialize};
+use std::net::Ipv4Addr;
 
 /// Identifies one comparison of states, unique within the process that began it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -62,6 +63,10 @@
     BucketItems(BucketItems),
     /// A voter cannot write to its disk.
     DiskUnavailable(DiskUnavailable),
+    /// A seed that is no candidate asks another one whether it knows a roster.
+    CandidacyQuery(CandidacyQuery),
+    /// A seed knows no roster, and has the seeds of the query.
+    CandidacyReply(CandidacyReply),
 }
 
 /// Phase 1, from a proposer to all voters of its roster. A voter that has promised no higher ballot answers [`Promise`]
@@ -176,6 +181,26 @@
     pub roster: Item,
 }
 
+/// From a seed that knows no roster and is no candidate to all other seeds. One that knows a roster answers with
+/// [`Chosen`], one that has the same seeds with [`CandidacyReply`], and any other not at all.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct CandidacyQuery {
+    /// Tells the answers to this query from those to others.
+    pub query_nonce: BootstrapNonce,
+    /// The seeds that the sender's settings name, sorted.
+    pub seeds: Vec<Ipv4Addr>,
+}
+
+/// Answers [`CandidacyQuery`]: the sender knows no roster, and has the same seeds. Once all seeds have said so, and one
+/// of them is a candidate, the receiver becomes one, too.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct CandidacyReply {
+    /// The nonce of the query.
+    pub query_nonce: BootstrapNonce,
+    /// Whether the sender is a candidate, by its disk.
+    pub is_candidate: bool,
+}
+
 /// Tells items that are known to be chosen: from a proposer to all replicas that it knows when its round is over, and
 /// from any replica to one that lacks them. The receiver learns them; there is no answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/emberpin-consensus/src/replica.rs
+++ b/crates/emberpin-consensus/src/replica.rs
@@ -7,6 +7,7 @@
 mod comparison;
 mod contact;
 mod disk_failure;
+mod late_candidacy;
 mod membership;
 mod messages;
 mod pacing;
@@ -34,6 +35,7 @@
 use comparison::{Comparisons, COMPARISON_VALIDITY};
 use disk_failure::DiskState;
 use emberpin_config::Item;
+use late_candidacy::LateCandidacy;
 use pacing::{Adaptation, Pacing};
 use persistence::{AcceptedChange, DeferredMessage};
 use std::collections::{BTreeMap, VecDeque};
@@ -85,6 +87,7 @@
     yields_until: Option<Timestamp>,
     pacing: Pacing,
     bootstrap: Bootstrap,
+    late_candidacy: LateCandidacy,
     /// A change of the roster that some voter accepted and that has to be finished by a round with joint quorums.
     next_roster: Option<Item>,
     /// The process is about to end: the replica leaves the roster, and does not join it again.
@@ -150,6 +153,7 @@
             yields_until: None,
             pacing,
             bootstrap: Bootstrap::default(),
+            late_candidacy: LateCandidacy::default(),
             next_roster: None,
             is_leaving: false,
             roster_unconfirmed: false,
--- a/crates/emberpin-consensus/src/replica/bootstrap.rs
+++ b/crates/emberpin-consensus/src/replica/bootstrap.rs
@@ -6,6 +6,8 @@
 //! are candidates, the initiator writes version 1 of the roster, which names the candidates' nonces. A candidate votes
 //! once it learns a first roster with its own nonce; any other replica catches up like one that lost its disk.
 //!
+//! A seed without a nonce may become a candidate later ([`super::late_candidacy`]).
+//!
 //! So a seed whose disk was lost while the system lives writes no second first roster, whatever its settings say, as
 //! long as one of the seeds knows the roster, or most of them are not candidates.
 
@@ -40,9 +42,7 @@
 impl Replica {
     /// Becomes a candidate, unless the disk says that this replica is one already.
     pub(super) fn begin_bootstrap(&mut self, actions: &mut Vec<Action>) {
-        let mut seeds = self.options.seeds.clone();
-        seeds.sort_unstable();
-        seeds.dedup();
+        let seeds = self.sorted_seeds();
         if !self.acceptor.guards.bootstrap_agreement {
             self.acceptor.voting = seeds.contains(&self.options.address);
             self.learn(&[roster_item(Version(1), &seeds)], actions);
@@ -52,6 +52,19 @@
         if self.acceptor.bootstrap_candidate.is_some() || !seeds.contains(&self.options.address) {
             return;
         }
+        self.become_candidate(seeds, actions);
+    }
+
+    /// The seeds that the settings name, sorted.
+    pub(super) fn sorted_seeds(&self) -> Vec<Ipv4Addr> {
+        let mut seeds = self.options.seeds.clone();
+        seeds.sort_unstable();
+        seeds.dedup();
+        seeds
+    }
+
+    /// Draws a nonce, and writes it before anything else is sent.
+    pub(super) fn become_candidate(&mut self, seeds: Vec<Ipv4Addr>, actions: &mut Vec<Action>) {
         let nonce = BootstrapNonce(self.random.below(u64::MAX).max(1));
         self.acceptor.bootstrap_candidate = Some(BootstrapCandidate { nonce, seeds });
         self.persist_metadata(actions);
@@ -59,7 +72,7 @@
     }
 
     /// This replica's candidacy, once it is on the disk and as long as there is no roster.
-    fn candidacy(&self) -> Option<&BootstrapCandidate> {
+    pub(super) fn candidacy(&self) -> Option<&BootstrapCandidate> {
         let is_open = self.bootstrap.unsynced_nonce.is_none() && self.state().roster().is_none();
         self.acceptor
             .bootstrap_candidate
--- a/crates/emberpin-consensus/src/replica/messages.rs
+++ b/crates/emberpin-consensus/src/replica/messages.rs
@@ -37,6 +37,8 @@
             Message::FetchBuckets(fetch) => self.on_fetch_buckets(from, &fetch, actions),
             Message::BucketItems(answer) => self.on_bucket_items(from, &answer, actions),
             Message::DiskUnavailable(unavailable) => self.on_disk_unavailable(from, unavailable),
+            Message::CandidacyQuery(query) => self.on_candidacy_query(from, query, actions),
+            Message::CandidacyReply(reply) => self.on_candidacy_reply(from, reply, actions),
         }
     }
 
--- a/crates/emberpin-consensus/src/replica/timers.rs
+++ b/crates/emberpin-consensus/src/replica/timers.rs
@@ -18,6 +18,7 @@
             .chain(round)
             .chain(self.next_round_due_at())
             .chain(self.next_bootstrap_query_at())
+            .chain(self.next_candidacy_query_at())
             .fold(self.next_comparison_at, Timestamp::min)
     }
 
@@ -63,6 +64,7 @@
             self.maintain_roster();
         }
         self.drive_bootstrap(actions);
+        self.drive_late_candidacy(actions);
         if self.is_leaving {
             // Again, as another change of the roster may have come first.
             self.request_removal();
--- a/crates/emberpin-consensus/tests/bootstrap.rs
+++ b/crates/emberpin-consensus/tests/bootstrap.rs
@@ -17,7 +17,11 @@
 
 /// Seeds of which none has been started.
 fn cluster_of_stopped_seeds(seed: u64, count: u8) -> Cluster {
-    let mut cluster = Cluster::new(seed, count, 1, Guards::default());
+    cluster_of_stopped_seeds_with(seed, count, Guards::default())
+}
+
+fn cluster_of_stopped_seeds_with(seed: u64, count: u8, guards: Guards) -> Cluster {
+    let mut cluster = Cluster::new(seed, count, 1, guards);
     // Nothing is left of the bootstrap that a cluster begins with.
     for host in 1..=count {
         cluster.lose_disk(ip(host));
@@ -99,6 +103,83 @@
     }
 }
 
+/// The nonces of these seeds are synced when all three lose power; then all are started again, `pauses` apart, as they
+/// are at any later start.
+fn bootstrap_ended_after_syncs_of(synced: &[u8], seed: u64, guards: Guards) -> Cluster {
+    let mut cluster = cluster_of_stopped_seeds_with(seed, 3, guards);
+    for host in synced {
+        cluster.start(ip(*host), Start::Bootstrap);
+    }
+    cluster.run(10);
+    for host in synced {
+        cluster.lose_power_and_unsynced_writes(ip(*host));
+    }
+    for nth in 0..3 {
+        cluster.start(ip(1 + (nth + seed as u8) % 3), Start::Normal);
+        let pause = cluster.below(1_500);
+        cluster.run(pause);
+    }
+    cluster.run_while(3_000, |cluster| !all_vote(cluster, 3));
+    cluster
+}
+
+#[gtest]
+fn bootstrap_ended_before_most_seeds_synced_goes_on_by_itself() {
+    for seed in 0..30 {
+        for synced in [&[1][..], &[2], &[3], &[1, 2], &[2, 3]] {
+            let mut cluster = bootstrap_ended_after_syncs_of(synced, seed, Guards::default());
+            expect_that!(
+                all_vote(&cluster, 3),
+                eq(true),
+                "seed {seed}, synced {synced:?}"
+            );
+            expect_that!(cluster.status_of(ip(2), &set_service("a", 1, 1)), eq(200));
+            cluster.heal_and_check();
+            expect_that!(cluster.violation, none());
+        }
+    }
+}
+
+#[gtest]
+fn seeds_that_are_all_without_a_disk_bootstrap_nothing() {
+    for seed in 0..10 {
+        let cluster = bootstrap_ended_after_syncs_of(&[], seed, Guards::default());
+        expect_that!(cluster.newest_roster(), is_empty(), "seed {seed}");
+    }
+}
+
+#[gtest]
+fn seed_that_lost_its_disk_becomes_no_candidate_while_another_one_knows_the_roster() {
+    let mut founded = 0;
+    for seed in 0..60 {
+        // 3 is a candidate that has learned of nothing, 1 loses its disk, and 2 is away.
+        let mut cluster = cluster_of_stopped_seeds(seed, 3);
+        for host in 1..=3 {
+            cluster.start(ip(host), Start::Bootstrap);
+        }
+        cluster.run(7);
+        cluster.kill(ip(3));
+        cluster.run_while(2_000, |cluster| !all_vote(cluster, 2));
+        if !all_vote(&cluster, 2) {
+            // 3 was killed before it answered the initiator.
+            continue;
+        }
+        founded += 1;
+        cluster.call_until_done(ip(1), set_service("a", 1, 1));
+        cluster.kill(ip(2));
+        cluster.lose_disk(ip(1));
+        cluster.start(ip(1), Start::Normal);
+        cluster.start(ip(3), Start::Normal);
+        cluster.run(5_000);
+        expect_that!(cluster.status_of(ip(3), &set_service("b", 1, 1)), eq(503));
+        cluster.start(ip(2), Start::Normal);
+        cluster.heal_and_check();
+        expect_that!(cluster.violation, none());
+        expect_that!(all_vote(&cluster, 3), eq(true));
+    }
+    expect_that!(founded, ge(10));
+}
+
 #[gtest]
 fn seed_that_lost_power_before_its_first_sync_joins_by_catching_up() {
     for seed in 0..30 {
@@ -160,7 +241,10 @@
 fn bootstrap_needs_a_majority_of_candidates() {
     for seed in 0..10 {
         let mut cluster = cluster_of_stopped_seeds(seed, 3);
-        // As if one seed had lost its disk, and the other two were new machines that know no roster yet.
+        // One seed has lost its disk; the other two are new machines that know no roster yet. Their settings name
+        // machines that are up.
+        cluster.add_machine(ip(4));
+        cluster.node(ip(1)).delisted = true;
         for host in [2, 3] {
             cluster.start(ip(host), Start::Normal);
         }
--- a/crates/emberpin-registry/tests/recorded_messages.rs
+++ b/crates/emberpin-registry/tests/recorded_messages.rs
@@ -156,10 +156,9 @@
 
 #[gtest]
 fn every_variant_of_each_message_is_recorded() {
-    let to_store = recorded::frames(MESSAGES, "to-store");
+    let to_store = recorded::frames(MESSAGES_OF_VERSION_3, "to-store");
     expect_all_recorded::<ToStore>(&to_store, &[]);
-    let requests = recorded::frames(MESSAGES_OF_VERSION_3, "to-store");
-    expect_all_recorded::<ToStore>(&requests, &[0]);
+    expect_all_recorded::<ToStore>(&to_store, &[0]);
     expect_all_recorded::<ToStore>(&to_store, &[1, 10, 1, 0, 7]);
     expect_all_recorded::<StoreReply>(&recorded::frames(MESSAGES, "from-store"), &[]);
     let to_registry = recorded::frames(MESSAGES, "to-registry");
@@ -176,7 +175,8 @@
 fn every_message_has_as_many_variants_as_in_version_3() {
     // Version 2 has five.
     expect_that!(variants::<StoreRequest>(&[]).len(), eq(6));
-    expect_that!(variants::<Message>(&[]).len(), eq(17));
+    // Version 2 has 17.
+    expect_that!(variants::<Message>(&[]).len(), eq(19));
     expect_that!(variants::<StoreReply>(&[]).len(), eq(4));
     expect_that!(variants::<DiskState>(&[]).len(), eq(4));
     expect_that!(variants::<FromProxy>(&[]).len(), eq(3));
--- a/crates/emberpin-registry/tests/samples/mod.rs
+++ b/crates/emberpin-registry/tests/samples/mod.rs
@@ -6,9 +6,9 @@
 
 use emberpin_config::{Item, ItemKey, ItemKind, Version};
 use emberpin_consensus::message::{
-    Accept, Accepted, BootstrapQuery, BootstrapReply, BucketItems, Chosen, CompareDigest,
-    ComparisonId, DigestDiffers, DigestMatches, DiskUnavailable, FetchBuckets, FirstRoster,
-    ItemVersion, NotVoting, Prepare, Promise, Rejected, StaleRoster,
+    Accept, Accepted, BootstrapQuery, BootstrapReply, BucketItems, CandidacyQuery, CandidacyReply,
+    Chosen, CompareDigest, ComparisonId, DigestDiffers, DigestMatches, DiskUnavailable,
+    FetchBuckets, FirstRoster, ItemVersion, NotVoting, Prepare, Promise, Rejected, StaleRoster,
 };
 use emberpin_consensus::{
     AcceptedProposal, Ballot, BootstrapNonce, EvacuationChange, Incarnation, LatestIncarnations,
@@ -221,7 +221,23 @@
             precondition: Version(7),
         })
     };
-    changes.into_iter().map(request).collect()
+    let requests = changes.into_iter().map(request);
+    let query_nonce = BootstrapNonce(21);
+    let messages = [
+        Message::CandidacyQuery(CandidacyQuery {
+            query_nonce,
+            seeds: vec![MACHINE],
+        }),
+        Message::CandidacyReply(CandidacyReply {
+            query_nonce,
+            is_candidate: true,
+        }),
+    ];
+    let messages = messages.map(|message| ToStore::Consensus {
+        from: MACHINE,
+        message,
+    });
+    requests.chain(messages).collect()
 }
 
 /// Every message from a store.
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -10,8 +10,9 @@
 use crate::item_batches::item_batches;
 use crate::loop_event::{EventSources, LoopEvent};
 use crate::peer_links::PeerLinks;
-use crate::protocol::{DiskState, StoreReply, StoreRequest, ToStore};
+use crate::protocol::{oldest_version, DiskState, StoreReply, StoreRequest, ToStore};
 use crate::registry_sessions::RegistrySessions;
+use crate::send_queue::Frame;
 use crate::signals::Signal;
 use crate::system_record::{self, SystemRecord};
 use emberpin_consensus::{Action, Call, Event, Message, Replica, Timestamp};
@@ -290,12 +291,13 @@
     }
 
     fn send_to_peer(&mut self, peer: Ipv4Addr, message: Message) {
+        let oldest_version = oldest_version(&message);
         let frame = frames::encode(&ToStore::Consensus {
             from: self.settings.ip,
             message,
         });
         match frame {
-            Ok(frame) => self.peers.send(peer, Arc::new(frame)),
+            Ok(frame) => self.peers.send(peer, Frame::since(oldest_version, frame)),
             Err(error) => {
                 log::warn!("message to another store cannot be encoded: peer={peer} error={error}");
             }
--- a/crates/emberpin-store/src/protocol.rs
+++ b/crates/emberpin-store/src/protocol.rs
@@ -8,7 +8,7 @@
 //! their order must not as long as peers of this protocol version are in service.
 
 use emberpin_config::{Item, Version};
-use emberpin_consensus::EvacuationChange;
+use emberpin_consensus::{EvacuationChange, Message};
 use emberpin_runtime::protocol_version::ProtocolVersion;
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
@@ -24,7 +24,7 @@
         /// The sender's address, which identifies it in the roster.
         from: Ipv4Addr,
         /// The consensus message itself.
-        message: emberpin_consensus::Message,
+        message: Message,
     },
 }
 
@@ -175,3 +175,11 @@
     /// Limit from `self.limits.disk_mb`, in bytes; 0 if the settings have none, and nothing is measured.
     pub limit_bytes: u64,
 }
+
+/// The oldest version of the protocol in which a store understands a message of another one.
+pub fn oldest_version(message: &Message) -> ProtocolVersion {
+    match message {
+        Message::CandidacyQuery(_) | Message::CandidacyReply(_) => ProtocolVersion::V3,
+        _ => ProtocolVersion::V2,
+    }
+}
--- a/crates/emberpin-store/src/registry_sessions.rs
+++ b/crates/emberpin-store/src/registry_sessions.rs
@@ -3,14 +3,13 @@
 use crate::input::ConnectionId;
 use crate::item_batches::item_batches;
 use crate::protocol::{FreshnessNonce, RequestId, StoreReply};
-use crate::send_queue::SendQueue;
+use crate::send_queue::{Frame, SendQueue};
 use emberpin_config::Item;
 use emberpin_consensus::CallId;
 use emberpin_runtime::frames;
 use emberpin_runtime::protocol_version::ProtocolVersion;
 use std::collections::BTreeMap;
 use std::net::IpAddr;
-use std::sync::Arc;
 use std::time::Duration;
 
 /// One connected registry.
@@ -27,7 +26,7 @@
     /// again, subscribes, and receives the complete configuration.
     fn send(&self, reply: &StoreReply) -> bool {
         let sent = match frames::encode(reply) {
-            Ok(frame) => self.replies.try_send(Arc::new(frame)).is_ok(),
+            Ok(frame) => self.replies.try_send(Frame::new(frame)).is_ok(),
             Err(error) => {
                 log::warn!(
                     "reply to a registry cannot be encoded: peer={} error={error}",
--- a/crates/emberpin-store/src/send_queue.rs
+++ b/crates/emberpin-store/src/send_queue.rs
@@ -1,7 +1,7 @@
 //! A bounded queue of encoded frames for one connection.
 
 use emberpin_runtime::frames;
-use emberpin_runtime::protocol_version::ProtocolVersion;
+use emberpin_runtime::protocol_version::{ProtocolVersion, VersionRange};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use tokio::io::{AsyncWrite, AsyncWriteExt};
@@ -14,8 +14,33 @@
 /// A peer that accepts a frame no sooner than this is unreachable.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// An encoded frame, shared by the queues of all its receivers.
-pub type Frame = Arc<Vec<u8>>;
+/// An encoded message, whose bytes are shared by the queues of all its receivers.
+#[derive(Clone, Debug)]
+pub struct Frame {
+    bytes: Arc<Vec<u8>>,
+    /// A peer that speaks an older version of the protocol is not sent the message.
+    oldest_version: ProtocolVersion,
+}
+
+impl Frame {
+    /// The frames of a message that every peer understands.
+    pub fn new(bytes: Vec<u8>) -> Frame {
+        Frame::since(VersionRange::SUPPORTED.oldest, bytes)
+    }
+
+    /// The frames of a message that the protocol has had since this version.
+    pub fn since(oldest_version: ProtocolVersion, bytes: Vec<u8>) -> Frame {
+        Frame {
+            bytes: Arc::new(bytes),
+            oldest_version,
+        }
+    }
+
+    /// How many bytes the frames are.
+    pub fn len(&self) -> usize {
+        self.bytes.len()
+    }
+}
 
 /// The queue is full, or nobody reads from it any more. The frame is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -107,14 +132,17 @@
     }
 }
 
-/// Writes a frame to a peer with this version of the protocol; `false` if the connection broke or the peer accepted it
-/// too late.
+/// Writes a frame to a peer with this version of the protocol, unless the peer would not understand it; `false` if the
+/// connection broke or the peer accepted it too late.
 pub async fn write_frame(
     writer: &mut (impl AsyncWrite + Unpin),
     frame: &Frame,
     version: ProtocolVersion,
 ) -> bool {
-    let bytes = frames::for_version(frame, version);
+    if version < frame.oldest_version {
+        return true;
+    }
+    let bytes = frames::for_version(&frame.bytes, version);
     matches!(
         timeout(WRITE_TIMEOUT, writer.write_all(&bytes)).await,
         Ok(Ok(()))
