--- a/crates/emberpin-config/src/configuration.rs
+++ b/crates/emberpin-config/src/configuration.rs
@@ -118,23 +118,6 @@
         }
     }
 
-    /// A copy of all that decides whether the configuration is valid. Histories are the larger part of one that
-    /// changed often.
-    pub(crate) fn without_histories(&self) -> Configuration {
-        let items = self
-            .items
-            .iter()
-            .filter(|(key, _)| key.kind != ItemKind::History);
-        Configuration {
-            items: items
-                .map(|(key, item)| (key.clone(), item.clone()))
-                .collect(),
-            parsed_routes: self.parsed_routes.clone(),
-            removable_tombstones: self.removable_tombstones.clone(),
-            checkpoint: self.checkpoint.clone(),
-        }
-    }
-
     /// Which tombstones were removed.
     pub fn checkpoint(&self) -> &Checkpoint {
         &self.checkpoint
@@ -194,12 +177,10 @@
             .filter_map(|route| route.as_ref().ok())
     }
 
-    /// A live item of a route as parsed, or why it is invalid.
-    pub(crate) fn parsed_route(&self, item: &Item) -> Result<Route, ValidationError> {
-        self.parsed_routes
-            .get(&item.key.name)
-            .cloned()
-            .unwrap_or_else(|| Route::from_item(item))
+    /// A live route as parsed, or why it is invalid; `None` for other items.
+    pub(crate) fn parsed_route(&self, item: &Item) -> Option<&Result<Route, ValidationError>> {
+        let is_route = item.key.kind == ItemKind::Route;
+        self.parsed_routes.get(&item.key.name).filter(|_| is_route)
     }
 }
 
--- a/crates/emberpin-config/src/consistency.rs
+++ b/crates/emberpin-config/src/consistency.rs
@@ -1,88 +1,43 @@
 //! What is invalid about the configuration as a whole.
 
 use crate::{
-    Configuration, ItemKey, ItemKind, Limits, Problem, Route, Service, Target, ValidationError,
+    Configuration, Item, ItemKey, ItemKind, Limits, Problem, Route, Service, ValidationError,
 };
 use std::collections::BTreeMap;
 
-/// One reason for which the configuration as a whole is invalid.
-pub(crate) struct Inconsistency {
-    /// The items that share it; a change of any one of them could end it.
-    pub(crate) items: Vec<ItemKey>,
-    /// The service that a route names and that does not exist.
-    pub(crate) unknown_service: Option<String>,
-    /// The error for the caller.
-    pub(crate) error: ValidationError,
-}
-
 impl Configuration {
     /// Checks that the configuration is valid as a whole: every item is, no route names an unknown service, and no
     /// two routes have the same host and prefix.
     ///
     /// # Errors
     ///
-    /// The first problem that was found.
+    /// The first problem that was found: invalid items come first, then unknown services, then colliding routes.
     pub fn check(&self) -> Result<(), ValidationError> {
-        self.inconsistencies()
-            .into_iter()
-            .next()
-            .map_or(Ok(()), |inconsistency| Err(inconsistency.error))
-    }
-
-    /// All reasons for which the configuration is invalid: invalid items, unknown services, colliding routes, in this
-    /// order.
-    pub(crate) fn inconsistencies(&self) -> Vec<Inconsistency> {
-        let mut found = self.invalid_items();
-        found.extend(self.unknown_services());
-        found.extend(self.route_collisions());
-        found
+        self.live()
+            .try_for_each(|item| self.check_known_item(item))?;
+        self.check_targets()?;
+        self.check_collisions()
     }
 
-    fn invalid_items(&self) -> Vec<Inconsistency> {
-        let mut found = Vec::new();
-        for item in self.live() {
-            let parsed = match item.key.kind {
-                ItemKind::Service => Service::from_item(item).map(drop),
-                ItemKind::Limits => Limits::from_item(item).map(drop),
-                ItemKind::Route => self.parsed_route(item).map(drop),
-                ItemKind::Roster
-                | ItemKind::Evacuation
-                | ItemKind::History
-                | ItemKind::Checkpoint => Ok(()),
-            };
-            if let Err(error) = parsed {
-                found.push(Inconsistency {
-                    items: vec![item.key.clone()],
-                    unknown_service: None,
-                    error,
-                });
-            }
+    /// As [`check_item`], without another parse of a route.
+    fn check_known_item(&self, item: &Item) -> Result<(), ValidationError> {
+        match self.parsed_route(item) {
+            Some(parsed) => parsed.as_ref().map(drop).map_err(ValidationError::clone),
+            None => check_item(item),
         }
-        found
     }
 
-    fn unknown_services(&self) -> Vec<Inconsistency> {
-        let mut found = Vec::new();
+    fn check_targets(&self) -> Result<(), ValidationError> {
         for route in self.routes() {
-            let key = route_key(route);
-            for Target { service, .. } in &route.targets {
-                if self.has_service(service) {
-                    continue;
-                }
-                let problem = Problem::UnknownService {
-                    service: service.clone(),
-                };
-                found.push(Inconsistency {
-                    items: vec![key.clone()],
-                    unknown_service: Some(service.clone()),
-                    error: ValidationError::new(key.to_string(), problem),
-                });
+            let mut services = route.targets.iter().map(|target| &target.service);
+            if let Some(service) = services.find(|service| !self.has_service(service)) {
+                return Err(unknown_service(route, service));
             }
         }
-        found
+        Ok(())
     }
 
-    fn route_collisions(&self) -> Vec<Inconsistency> {
+    fn check_collisions(&self) -> Result<(), ValidationError> {
         let mut by_host_and_prefix = BTreeMap::<(&str, &str), Vec<&Route>>::new();
         for route in self.routes() {
             by_host_and_prefix
@@ -90,27 +45,47 @@
                 .or_default()
                 .push(route);
         }
-        let mut found = Vec::new();
-        for ((host, prefix), routes) in by_host_and_prefix {
-            let [first, second, ..] = routes[..] else {
-                continue;
-            };
-            let problem = Problem::RouteCollision {
-                host: host.to_owned(),
-                prefix: prefix.to_owned(),
-                other: first.name.clone(),
-            };
-            found.push(Inconsistency {
-                items: routes.iter().copied().map(route_key).collect(),
-                unknown_service: None,
-                error: ValidationError::new(route_key(second).to_string(), problem),
-            });
+        by_host_and_prefix
+            .into_values()
+            .find_map(|routes| route_collision(&routes))
+            .map_or(Ok(()), Err)
+    }
+}
+
+/// Checks that an item is valid by itself.
+pub(crate) fn check_item(item: &Item) -> Result<(), ValidationError> {
+    match item.key.kind {
+        ItemKind::Service => Service::from_item(item).map(drop),
+        ItemKind::Limits => Limits::from_item(item).map(drop),
+        ItemKind::Route => Route::from_item(item).map(drop),
+        ItemKind::Roster | ItemKind::Evacuation | ItemKind::History | ItemKind::Checkpoint => {
+            Ok(())
         }
-        found
     }
 }
 
-fn route_key(route: &Route) -> ItemKey {
+/// The error of a route to a service that does not exist.
+pub(crate) fn unknown_service(route: &Route, service: &str) -> ValidationError {
+    let problem = Problem::UnknownService {
+        service: service.to_owned(),
+    };
+    ValidationError::new(route_key(route).to_string(), problem)
+}
+
+/// The error of routes with the same host and prefix, in the order of their names, if there are several.
+pub(crate) fn route_collision(routes: &[&Route]) -> Option<ValidationError> {
+    let [first, second, ..] = routes else {
+        return None;
+    };
+    let problem = Problem::RouteCollision {
+        host: second.hostname.clone(),
+        prefix: second.prefix.clone(),
+        other: first.name.clone(),
+    };
+    Some(ValidationError::new(route_key(second).to_string(), problem))
+}
+
+pub(crate) fn route_key(route: &Route) -> ItemKey {
     ItemKey {
         kind: ItemKind::Route,
         name: route.name.clone(),
--- a/crates/emberpin-config/src/lib.rs
+++ b/crates/emberpin-config/src/lib.rs
@@ -14,7 +14,8 @@
 //! | read it back | [`export_json`] |
 #![forbid(unsafe_code)]
 
-pub mod checkpoint;
+pub mod change_consistency;
+mod checkpoint;
 pub mod commit;
 pub mod configuration;
 mod consistency;
--- a/crates/emberpin-config/src/validate.rs
+++ b/crates/emberpin-config/src/validate.rs
@@ -1,10 +1,8 @@
 //! Whether a call takes effect, is a duplicate or is rejected, on top of the newest items.
 
+use crate::change_consistency::new_inconsistency;
 use crate::patch::is_same_change;
-use crate::{
-    Configuration, History, Item, ItemKey, PastVersion, Patch, Problem, ValidationError, Version,
-};
-use std::collections::BTreeSet;
+use crate::{Configuration, History, Item, PastVersion, Patch, Problem, ValidationError, Version};
 
 /// What becomes of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -128,22 +126,3 @@
         _ => Ok(newer),
     }
 }
-
-/// Why the configuration is invalid with these items, if they are among the causes.
-fn new_inconsistency(newest: &Configuration, newer: &[Item]) -> Option<ValidationError> {
-    let changed: BTreeSet<&ItemKey> = newer.iter().map(|item| &item.key).collect();
-    let mut merged = newest.without_histories();
-    for item in newer {
-        merged.merge(item.clone());
-    }
-    let mut inconsistencies = merged.inconsistencies().into_iter();
-    // What the call leaves alone was inconsistent before, except where it removes the service.
-    let caused = inconsistencies.find(|found| {
-        let removes_service = found
-            .unknown_service
-            .as_ref()
-            .is_some_and(|service| newest.has_service(service));
-        removes_service || found.items.iter().any(|key| changed.contains(key))
-    });
-    caused.map(|found| found.error)
-}
--- a/crates/emberpin-config/tests/validate.rs
+++ b/crates/emberpin-config/tests/validate.rs
@@ -6,6 +6,7 @@
 use common::*;
 use emberpin_config::*;
 use googletest::prelude::*;
+use proptest::prelude::*;
 
 /// A patch in one line: `svc NAME VERSION [CONNECTIONS]`, `route NAME HOST/PREFIX SERVICE VERSION`,
 /// `-svc NAME VERSION`, `-route NAME VERSION`, separated by `;`.
@@ -340,3 +341,62 @@
         eq("apply t 1")
     );
 }
+
+/// A change of one item: its kind, name, version, and for a route its place and service; `None` removes it.
+type DrawnChange = (bool, usize, u64, Option<(usize, usize)>);
+
+fn drawn_changes() -> impl Strategy<Value = Vec<DrawnChange>> {
+    let one = (
+        any::<bool>(),
+        0..4usize,
+        1..5u64,
+        proptest::option::weighted(0.7, (0..3usize, 0..4usize)),
+    );
+    proptest::collection::vec(one, 0..8)
+}
+
+/// The changes as `patch_of` reads them; of several of one item the first.
+fn line_of(changes: &[DrawnChange]) -> String {
+    let mut seen = std::collections::BTreeSet::new();
+    let first_of_each = changes
+        .iter()
+        .filter(|(is_route, name, ..)| seen.insert((*is_route, *name)));
+    let line = |(is_route, name, version, content): &DrawnChange| match (is_route, content) {
+        (true, Some((place, service))) => format!("route r{name} h/{place}/ s{service} {version}"),
+        (true, None) => format!("-route r{name} {version}"),
+        (false, Some((connections, _))) => format!("svc s{name} {version} {}", 100 + connections),
+        (false, None) => format!("-svc s{name} {version}"),
+    };
+    first_of_each.map(line).collect::<Vec<_>>().join(";")
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { failure_persistence: None, cases: 2_000, ..ProptestConfig::default() })]
+
+    /// Validation looks at what a change touches; the check of the whole configuration finds the same problem.
+    #[test]
+    fn a_patch_is_valid_if_the_whole_configuration_is_valid_with_it(
+        earlier in proptest::collection::vec(drawn_changes(), 0..6),
+        changes in drawn_changes(),
+    ) {
+        let mut configuration = Configuration::new();
+        for changes in earlier {
+            if let PatchOutcome::Apply(items) = validate(&configuration, &patch_of(&line_of(&changes))) {
+                for item in items {
+                    configuration.merge(item);
+                }
+            }
+        }
+        prop_assert_eq!(configuration.check(), Ok(()));
+        let patch = patch_of(&line_of(&changes));
+        let mut changed = configuration.clone();
+        for item in patch.items.clone() {
+            changed.merge(item);
+        }
+        match validate(&configuration, &patch) {
+            PatchOutcome::Apply(_) | PatchOutcome::Duplicate => prop_assert_eq!(changed.check(), Ok(())),
+            PatchOutcome::Invalid(error) => prop_assert_eq!(changed.check(), Err(error)),
+            PatchOutcome::Conflict(_) | PatchOutcome::Indeterminate(_) => {}
+        }
+    }
+}
--- a/crates/emberpin-consensus/src/replica/proposal.rs
+++ b/crates/emberpin-consensus/src/replica/proposal.rs
@@ -88,7 +88,8 @@
             configuration.to_mut().merge(item.clone());
         }
         let mut items = carried;
-        for mut task in std::mem::take(&mut self.tasks) {
+        let mut tasks = std::mem::take(&mut self.tasks);
+        while let Some(mut task) = tasks.pop_front() {
             if self.acceptor.guards.joint_quorums && waits(&task, round, finishes_change) {
                 self.tasks.push_back(task);
                 continue;
@@ -98,8 +99,11 @@
                 .evaluate(&configuration, &self.acceptor.guards);
             let result = match verdict {
                 Verdict::Propose(new) => {
-                    for item in &new {
-                        configuration.to_mut().merge(item.clone());
+                    // For the next task only: the first change of a round copies the whole configuration.
+                    if !tasks.is_empty() {
+                        for item in &new {
+                            configuration.to_mut().merge(item.clone());
+                        }
                     }
                     items.extend(new);
                     task.proposed = true;
