--- a/crates/emberpin-simulator/src/lib.rs
+++ b/crates/emberpin-simulator/src/lib.rs
@@ -65,6 +65,7 @@
 pub mod runner;
 pub mod scenario;
 pub mod search;
+pub mod shrink;
 mod simulation;
 mod state;
 pub mod violation;
--- a/crates/emberpin-simulator/src/main.rs
+++ b/crates/emberpin-simulator/src/main.rs
@@ -5,6 +5,7 @@
 use emberpin_simulator::runner::run;
 use emberpin_simulator::scenario::{parse, ParseError};
 use emberpin_simulator::search;
+use emberpin_simulator::shrink::shrink;
 use getopts::{Matches, Options};
 use std::process::ExitCode;
 
@@ -34,6 +35,12 @@
     options.optopt("", "most", "stop at so many failures (1)", "COUNT");
     options.optopt("", "wrong", "on a build without this guard", "NAME");
     options.optopt("", "draw", "print the scenario of a seed", "SEED");
+    options.optopt(
+        "",
+        "shrink",
+        "print the fewest lines of a seed's scenario that fail in the same way",
+        "SEED",
+    );
     options.optflag("h", "help", "print this");
     options
 }
@@ -95,6 +102,28 @@
     Ok(result.failures.is_empty())
 }
 
+/// Shrinks the scenario of a seed. Returns whether it holds, so that there is nothing to shrink.
+fn run_shrink(seed: u64, guards: Guards) -> bool {
+    let text = search::generate(seed);
+    match shrink(&format!("seed-{seed}.scn"), &text, guards) {
+        Some(shrunk) => {
+            print!("{}", shrunk.text);
+            println!("# {}", shrunk.failure);
+            println!(
+                "# {} of {} lines, after {} runs",
+                shrunk.text.lines().count(),
+                text.lines().count(),
+                shrunk.runs
+            );
+            false
+        }
+        None => {
+            println!("seed {seed}: held");
+            true
+        }
+    }
+}
+
 /// Does what the arguments say. Returns whether all scenarios held.
 fn run_program() -> Result<bool, UsageError> {
     let options = options();
@@ -109,6 +138,9 @@
         print!("{}", search::generate(number(&matches, "draw", 0)?));
         return Ok(true);
     }
+    if matches.opt_present("shrink") {
+        return Ok(run_shrink(number(&matches, "shrink", 0)?, guards));
+    }
     let files_held = run_files(&matches.free, guards)?;
     Ok(run_seeds(&matches, guards)? && files_held)
 }
--- a/crates/emberpin-simulator/tests/search.rs
+++ b/crates/emberpin-simulator/tests/search.rs
@@ -2,8 +2,10 @@
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_simulator::mutants::Guards;
+use emberpin_simulator::runner::run;
 use emberpin_simulator::scenario::parse;
 use emberpin_simulator::search::{generate, search};
+use emberpin_simulator::shrink::shrink;
 use googletest::prelude::*;
 
 /// The threads that a search runs on.
@@ -68,3 +70,35 @@
         }
     }
 }
+
+/// The first seed that detects a mutant, and the guards of that mutant.
+fn first_detection(mutant: &str) -> (u64, Guards) {
+    let mut guards = Guards::default();
+    assert_that!(guards.disable(mutant), eq(true));
+    let result = search(0..400, THREADS, 1, guards);
+    let seed = result.failures.first().map(|failed| failed.seed);
+    (seed.expect("a seed that fails"), guards)
+}
+
+#[gtest]
+fn a_scenario_that_fails_is_shrunk_to_few_lines_that_fail_alike() {
+    for (mutant, max_lines) in [("no-history", 12), ("no-spread", 40)] {
+        let (seed, guards) = first_detection(mutant);
+        let text = generate(seed);
+        let shrunk = shrink("shrunk", &text, guards).expect("a failure");
+        expect_that!(shrunk.text.lines().count(), le(max_lines), "{mutant}");
+        let scenario = parse("shrunk", &shrunk.text).expect("a scenario");
+        expect_that!(run(&scenario, guards), err(eq(&shrunk.failure)), "{mutant}");
+        // What is left shows the mutant's fault, and not that a fault has no end.
+        expect_that!(
+            run(&scenario, Guards::default()),
+            ok(anything()),
+            "{mutant}"
+        );
+    }
+}
+
+#[gtest]
+fn a_scenario_that_holds_is_not_shrunk() {
+    expect_that!(shrink("seed", &generate(0), Guards::default()), none());
+}
