--- /dev/null
+++ b/crates/emberpin-simulator/src/fault_effects.rs
@@ -0,0 +1,81 @@
+//! Which faults of a run took effect: a kill of a process that does not run, a cut without a message, or a stall in
+//! which nothing is written tests nothing.
+
+use crate::scenario::StoreMessageKind;
+use std::fmt::{self, Display};
+use std::ops::AddAssign;
+
+/// How many kinds of messages between stores can be lost on purpose.
+const MESSAGE_KINDS: usize = StoreMessageKind::ALL.len();
+
+/// How often faults took effect, by their kind.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct FaultEffects {
+    /// Core machines whose process was ended by a kill, a loss of power, a wiped disk or a replacement.
+    pub ended_processes: u64,
+    /// Writes that a loss of power took away, as they were not synced.
+    pub lost_writes: u64,
+    /// Disks that were wiped with something on them.
+    pub wiped_disks: u64,
+    /// Events that waited for the end of a freeze.
+    pub deferred_events: u64,
+    /// Syncs that a stalled disk delayed.
+    pub delayed_syncs: u64,
+    /// Messages between stores that a partition stopped.
+    pub partitioned_messages: u64,
+    /// Messages between stores that were lost on purpose, in the order of [`StoreMessageKind::ALL`].
+    lost_messages: [u64; MESSAGE_KINDS],
+}
+
+impl FaultEffects {
+    /// Counts a message between stores that was lost on purpose.
+    pub(crate) fn count_lost_message(&mut self, kind: StoreMessageKind) {
+        let position = StoreMessageKind::ALL.iter().position(|one| *one == kind);
+        if let Some(count) = position.and_then(|position| self.lost_messages.get_mut(position)) {
+            *count += 1;
+        }
+    }
+
+    /// Each kind of effect, with how often it occurred.
+    pub fn counts(&self) -> Vec<(String, u64)> {
+        let named = [
+            ("ended processes", self.ended_processes),
+            ("lost writes", self.lost_writes),
+            ("wiped disks", self.wiped_disks),
+            ("deferred events", self.deferred_events),
+            ("delayed syncs", self.delayed_syncs),
+            ("partitioned messages", self.partitioned_messages),
+        ];
+        let lost = StoreMessageKind::ALL.iter().zip(self.lost_messages);
+        named
+            .into_iter()
+            .map(|(name, count)| (name.to_owned(), count))
+            .chain(lost.map(|(kind, count)| (format!("lost messages ({kind:?})"), count)))
+            .collect()
+    }
+}
+
+impl AddAssign for FaultEffects {
+    fn add_assign(&mut self, other: FaultEffects) {
+        self.ended_processes += other.ended_processes;
+        self.lost_writes += other.lost_writes;
+        self.wiped_disks += other.wiped_disks;
+        self.deferred_events += other.deferred_events;
+        self.delayed_syncs += other.delayed_syncs;
+        self.partitioned_messages += other.partitioned_messages;
+        for (sum, count) in self.lost_messages.iter_mut().zip(other.lost_messages) {
+            *sum += count;
+        }
+    }
+}
+
+impl Display for FaultEffects {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let counts: Vec<String> = self
+            .counts()
+            .into_iter()
+            .map(|(name, count)| format!("{name}: {count}"))
+            .collect();
+        formatter.write_str(&counts.join(", "))
+    }
+}
--- a/crates/emberpin-simulator/src/generator/dense/faults.rs
+++ b/crates/emberpin-simulator/src/generator/dense/faults.rs
@@ -67,7 +67,13 @@
             return;
         };
         self.add_step(format!("wipe core-{core}"));
-        self.add_step_at(return_at, format!("start core-{core}"));
+        // Some operators leave the settings of the first start as they are.
+        let start = if self.has_first_seeds && self.chance(25) {
+            "bootstrap"
+        } else {
+            "start"
+        };
+        self.add_step_at(return_at, format!("{start} core-{core}"));
     }
 
     pub(super) fn replace(&mut self) {
@@ -80,6 +86,7 @@
         let new = self.next_core;
         self.next_core += 1;
         self.cores.retain(|one| *one != core);
+        self.has_first_seeds = false;
         // A process whose seeds are all removed for good would reach nobody.
         self.add_step(format!("seeds{}", names_of(&self.cores)));
         self.cores.push(new);
@@ -190,6 +197,7 @@
         ];
         seeds.sort_unstable();
         seeds.dedup();
+        self.has_first_seeds = false;
         self.add_step(format!("seeds{}", names_of(&seeds)));
     }
 
--- a/crates/emberpin-simulator/src/generator/dense/mod.rs
+++ b/crates/emberpin-simulator/src/generator/dense/mod.rs
@@ -47,6 +47,8 @@
     initial_cores: u8,
     cores: Vec<u8>,
     next_core: u8,
+    /// Whether processes are still configured with the seeds of the first start.
+    has_first_seeds: bool,
     /// Until when a machine counts as lost.
     lost_until: BTreeMap<u8, u64>,
     proxies: u8,
@@ -237,6 +239,7 @@
         initial_cores: count,
         cores: (1..=count).collect(),
         next_core: count + 1,
+        has_first_seeds: true,
         lost_until: BTreeMap::new(),
         proxies,
         tolerance: tolerance.into(),
--- a/crates/emberpin-simulator/src/generator/dense/targeted.rs
+++ b/crates/emberpin-simulator/src/generator/dense/targeted.rs
@@ -5,11 +5,24 @@
 
 use super::super::{names_of, ROSTER_COMPLETE_MS, ROSTER_MS_PER_MACHINE};
 use super::{DenseScenario, SYNC_TIME_MS};
+use std::ops::Range;
 
 /// The kinds of messages between stores that a scenario can lose.
 const MESSAGE_KINDS: [&str; 6] = [
-    "prepare", "promise", "accept", "chosen", "exchange", "seats",
+    "prepare",
+    "promise",
+    "accept",
+    "chosen",
+    "exchange",
+    ROSTER_CHANGE,
 ];
+/// Accepts that change the roster.
+const ROSTER_CHANGE: &str = "seats";
+/// How long after a replacement the roster changes, about: the new machine listens first.
+const ROSTER_CHANGE_DELAY_MS: Range<u64> = 2_200..2_700;
+/// How long messages are lost, at most: some rounds, or some attempts to change the roster.
+const MAX_LOSS_MS: u64 = 700;
+const MAX_ROSTER_CHANGE_LOSS_MS: u64 = 2_000;
 /// The faults that strike during a round.
 const FAULTS: [TargetedFault; 9] = [
     TargetedFault::Kill,
@@ -59,6 +72,12 @@
     }
 
     fn add_struck_round(&mut self, kind: &str, fault: TargetedFault) {
+        let joining = if kind == ROSTER_CHANGE {
+            self.begin_roster_change()
+        } else {
+            None
+        };
+        let max_loss_ms = joining.map_or(MAX_LOSS_MS, |_| MAX_ROSTER_CHANGE_LOSS_MS);
         let proposer = self.choose_core();
         let mut receivers = self.cores.clone();
         let kept = self.draw_below(receivers.len() as u64) as usize;
@@ -82,14 +101,28 @@
         ));
         self.now_ms = self.now_ms.max(begun_at) + self.draw_below(STRIKE_WINDOW_MS);
         self.strike(fault, proposer);
-        self.now_ms += 1 + self.draw_below(700);
+        self.now_ms += 1 + self.draw_below(max_loss_ms);
         self.add_step("lose-nothing".into());
+        if let Some(joining) = joining {
+            // While it was kept from joining, it was as good as cut off.
+            let until = self.lost_until.entry(joining).or_default();
+            *until = (self.now_ms + SYNC_TIME_MS).max(*until);
+        }
         if self.chance(60) {
             // Another machine gets a call before the first one is back.
             self.add_operator_call();
         }
     }
 
+    /// Replaces a machine, and waits until the new one is about to join. Returns the new one, if a machine may be lost.
+    fn begin_roster_change(&mut self) -> Option<u8> {
+        let joining = self.next_core;
+        self.replace();
+        let Range { start, end } = ROSTER_CHANGE_DELAY_MS;
+        self.now_ms += self.draw_between(start, end);
+        self.cores.contains(&joining).then_some(joining)
+    }
+
     fn strike(&mut self, fault: TargetedFault, proposer: u8) {
         let at_proposer = self.chance(60);
         match fault {
@@ -132,6 +165,16 @@
         let until = self.now_ms + self.draw_between(100, 4_000);
         self.add_step(format!("cut{one} |{other}"));
         self.add_step_at(until, format!("heal{one}{other}"));
+        // No disk may be lost until what was lost before the cut is repaired.
+        self.count_all_as_lost(until + SYNC_TIME_MS);
+    }
+
+    /// No machine may be lost before this time.
+    fn count_all_as_lost(&mut self, until: u64) {
+        for core in self.cores.clone() {
+            let lost_until = self.lost_until.entry(core).or_default();
+            *lost_until = until.max(*lost_until);
+        }
     }
 
     /// All machines lose power and come back within a second; the disk of `wiped` is lost.
@@ -143,10 +186,7 @@
         }
         let return_at = self.now_ms + self.draw_between(50, 1_000);
         self.add_step_at(return_at, format!("start{}", names_of(&all)));
-        for core in all {
-            let until = self.lost_until.entry(core).or_default();
-            *until = (return_at + SYNC_TIME_MS).max(*until);
-        }
+        self.count_all_as_lost(return_at + SYNC_TIME_MS);
         self.now_ms = return_at;
     }
 
--- a/crates/emberpin-simulator/src/lib.rs
+++ b/crates/emberpin-simulator/src/lib.rs
@@ -57,6 +57,7 @@
 //! data), `simulation` (what happens to them), `runner` (one run), `search` (many).
 #![forbid(unsafe_code)]
 
+pub mod fault_effects;
 mod generator;
 pub mod history;
 mod invariants;
--- a/crates/emberpin-simulator/src/main.rs
+++ b/crates/emberpin-simulator/src/main.rs
@@ -99,6 +99,7 @@
         result.failures.len(),
         result.total
     );
+    println!("faults that took effect: {}", result.total.fault_effects);
     Ok(result.failures.is_empty())
 }
 
--- a/crates/emberpin-simulator/src/runner.rs
+++ b/crates/emberpin-simulator/src/runner.rs
@@ -1,5 +1,6 @@
 //! Runs one scenario.
 
+use crate::fault_effects::FaultEffects;
 use crate::mutants::Guards;
 use crate::scenario::{ParseError, Scenario};
 use crate::simulation::Simulation;
@@ -23,6 +24,8 @@
     pub checked_operations: usize,
     /// Operations in histories that were too long to be checked.
     pub unchecked_operations: usize,
+    /// How often faults took effect.
+    pub fault_effects: FaultEffects,
 }
 
 impl Display for RunStatistics {
@@ -48,6 +51,7 @@
         self.acknowledged_calls += other.acknowledged_calls;
         self.checked_operations += other.checked_operations;
         self.unchecked_operations += other.unchecked_operations;
+        self.fault_effects += other.fault_effects;
     }
 }
 
@@ -117,5 +121,6 @@
         acknowledged_calls: calls.filter(|call| call.status == Some(200)).count(),
         checked_operations: counters.checked_operations,
         unchecked_operations: counters.unchecked_operations,
+        fault_effects: counters.fault_effects,
     }
 }
--- a/crates/emberpin-simulator/src/scenario/commands.rs
+++ b/crates/emberpin-simulator/src/scenario/commands.rs
@@ -109,6 +109,18 @@
     RosterChange,
 }
 
+impl StoreMessageKind {
+    /// All kinds.
+    pub(crate) const ALL: [StoreMessageKind; 6] = [
+        StoreMessageKind::Prepare,
+        StoreMessageKind::Accept,
+        StoreMessageKind::Chosen,
+        StoreMessageKind::Comparison,
+        StoreMessageKind::Promise,
+        StoreMessageKind::RosterChange,
+    ];
+}
+
 /// A fault, or the end of one.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Fault {
--- a/crates/emberpin-simulator/src/shrink.rs
+++ b/crates/emberpin-simulator/src/shrink.rs
@@ -2,7 +2,8 @@
 //!
 //! Delta debugging: runs of lines are left out, at first half of all, at last single ones, as long as the rest is a
 //! scenario that fails with a violation of the same kind. On a mutant the rest must also hold on the system, so that a
-//! line that only ends a fault is not left out.
+//! line that only ends a fault is not left out; on the system, where nothing tells, the ends of faults stay. What precedes the first step, and the state of the network, say which time
+//! limits hold and how many machines may be lost, and always stay.
 
 use crate::mutants::Guards;
 use crate::runner::{run, Failure, FailureCause};
@@ -74,10 +75,20 @@
         let mut from = 0;
         while from < self.lines.len() {
             let to = (from + length).min(self.lines.len());
-            let rest = [&self.lines[..from], &self.lines[to..]].concat();
+            let is_system = self.guards == Guards::default();
+            let kept = self.lines[from..to]
+                .iter()
+                .filter(|line| must_stay(line) || (is_system && ends_a_fault(line)));
+            let kept: Vec<String> = kept.cloned().collect();
+            if kept.len() == to - from {
+                from = to;
+                continue;
+            }
+            let rest = [&self.lines[..from], &kept, &self.lines[to..]].concat();
             if let Some(failure) = self.same_failure(&rest.join("\n")) {
                 self.lines = rest;
                 self.failure = failure;
+                from += kept.len();
                 left_out_some = true;
             } else {
                 from = to;
@@ -100,6 +111,19 @@
     }
 }
 
+/// Whether a line ends a fault.
+fn ends_a_fault(line: &str) -> bool {
+    [" start ", " thaw ", " heal ", " lose-nothing"]
+        .iter()
+        .any(|word| line.contains(word))
+}
+
+/// Whether a line decides what the scenario demands.
+fn must_stay(line: &str) -> bool {
+    let is_step = line.starts_with("at ") || line.starts_with("expect ");
+    !is_step || line.contains(" network ") || line.contains(" disk ")
+}
+
 /// How the scenario of this text fails; `None` if it holds, or is no scenario.
 fn failure_of(name: &str, text: &str, guards: Guards) -> Option<Failure> {
     run(&parse(name, text).ok()?, guards).err()
--- a/crates/emberpin-simulator/src/simulation/core_nodes.rs
+++ b/crates/emberpin-simulator/src/simulation/core_nodes.rs
@@ -126,12 +126,14 @@
         let Some(node) = self.cores.get_mut(&core) else {
             return;
         };
+        let is_stalled = node.disk.stalled_until > now;
         let at = node.disk.stalled_until.max(now) + sync_time;
         let is_synced = write.sync;
         node.disk.write(write);
         if !is_synced {
             return;
         }
+        self.counters.fault_effects.delayed_syncs += u64::from(is_stalled);
         let event = Event::DiskSynced {
             core,
             incarnation: node.process.incarnation,
--- a/crates/emberpin-simulator/src/simulation/faults.rs
+++ b/crates/emberpin-simulator/src/simulation/faults.rs
@@ -49,7 +49,8 @@
                 let Some(node) = self.cores.get_mut(&core) else {
                     return;
                 };
-                node.running = None;
+                let was_running = node.running.take().is_some();
+                self.counters.fault_effects.ended_processes += u64::from(was_running);
                 node.process.end();
             }
             Machine::Proxy(proxy) => {
@@ -67,10 +68,11 @@
         let draw = self.random.rand_u64();
         let core = machine.as_core();
         if let Some(node) = core.and_then(|core| self.cores.get_mut(&core)) {
-            node.disk.lose_power(match unsynced {
+            let lost = node.disk.lose_power(match unsynced {
                 UnsyncedWrites::KeepSome => Some(draw),
                 UnsyncedWrites::DropAll => None,
             });
+            self.counters.fault_effects.lost_writes += lost;
         }
         self.stop(machine, BreakNotice::NotSent);
     }
@@ -78,7 +80,9 @@
     pub(super) fn wipe_disk(&mut self, machine: Machine) {
         let core = machine.as_core();
         if let Some(node) = core.and_then(|core| self.cores.get_mut(&core)) {
+            let was_used = node.disk.write_count() > 0;
             node.disk.wipe();
+            self.counters.fault_effects.wiped_disks += u64::from(was_used);
         }
         self.stop(machine, BreakNotice::NotSent);
     }
--- a/crates/emberpin-simulator/src/simulation/mod.rs
+++ b/crates/emberpin-simulator/src/simulation/mod.rs
@@ -18,6 +18,7 @@
 mod steps;
 mod stores;
 
+use crate::fault_effects::FaultEffects;
 use crate::invariants::Record;
 use crate::machine::{CoreId, Machine, ProxyId};
 use crate::mutants::Guards;
@@ -54,6 +55,8 @@
     pub checked_operations: usize,
     /// Operations in histories that were too long to check.
     pub unchecked_operations: usize,
+    /// How often faults took effect.
+    pub fault_effects: FaultEffects,
 }
 
 /// A violation, and when it was found.
@@ -249,6 +252,7 @@
         if let Some(process) = owner.and_then(|machine| self.process_mut(machine)) {
             if process.is_frozen {
                 process.deferred.push(event);
+                self.counters.fault_effects.deferred_events += 1;
                 return;
             }
         }
--- a/crates/emberpin-simulator/src/simulation/stores.rs
+++ b/crates/emberpin-simulator/src/simulation/stores.rs
@@ -22,8 +22,12 @@
     /// Sends a message between stores: it may be lost, late or duplicated, and overtake others.
     fn send_store_message(&mut self, from: CoreId, to: CoreId, message: &Message) {
         let (sender, receiver) = (Machine::Core(from), Machine::Core(to));
-        let is_lost = self.network.loses(sender, receiver, message);
-        if self.network.is_partitioned(sender, receiver) || is_lost {
+        if self.network.is_partitioned(sender, receiver) {
+            self.counters.fault_effects.partitioned_messages += 1;
+            return;
+        }
+        if let Some(kind) = self.network.loss_of(sender, receiver, message) {
+            self.counters.fault_effects.count_lost_message(kind);
             return;
         }
         let is_duplicated = self.draw_percent(self.network.duplicate_percent);
@@ -46,6 +50,7 @@
             .network
             .is_partitioned(Machine::Core(from), Machine::Core(to))
         {
+            self.counters.fault_effects.partitioned_messages += 1;
             return;
         }
         let from = from.address();
--- a/crates/emberpin-simulator/src/state/core_node.rs
+++ b/crates/emberpin-simulator/src/state/core_node.rs
@@ -65,12 +65,13 @@
     }
 
     /// Of the writes that were not synced, some of the first ones stay as `draw` says, or none. The one after them may be
-    /// torn, and counts as lost then.
-    pub fn lose_power(&mut self, draw: Option<u64>) {
+    /// torn, and counts as lost then. Returns how many are lost.
+    pub fn lose_power(&mut self, draw: Option<u64>) -> u64 {
         let unsynced = (self.writes.len() - self.synced) as u64;
         let kept = draw.map_or(0, |draw| draw % (unsynced + 1)) as usize;
         self.writes.truncate(self.synced + kept);
         self.synced = self.writes.len();
+        unsynced - kept as u64
     }
 
     pub fn wipe(&mut self) {
--- a/crates/emberpin-simulator/src/state/network.rs
+++ b/crates/emberpin-simulator/src/state/network.rs
@@ -183,20 +183,17 @@
         self.losses.clear();
     }
 
-    pub fn loses(&self, from: Machine, to: Machine, message: &Message) -> bool {
-        let is_lost = |kind| self.losses.contains(&(kind, from, to));
-        match message {
-            Message::Prepare(_) => is_lost(StoreMessageKind::Prepare),
-            Message::Accept(Accept { items, .. }) => {
-                let changes_roster = items.iter().any(|item| item.key.kind == ItemKind::Roster);
-                (changes_roster && is_lost(StoreMessageKind::RosterChange))
-                    || is_lost(StoreMessageKind::Accept)
-            }
-            Message::Promise(_) => is_lost(StoreMessageKind::Promise),
-            Message::Chosen(_) => is_lost(StoreMessageKind::Chosen),
-            Message::CompareDigest(_) => is_lost(StoreMessageKind::Comparison),
-            _ => false,
-        }
+    /// The kind as which a message between stores is lost, if it is.
+    pub fn loss_of(
+        &self,
+        from: Machine,
+        to: Machine,
+        message: &Message,
+    ) -> Option<StoreMessageKind> {
+        kinds_of(message)
+            .iter()
+            .copied()
+            .find(|kind| self.losses.contains(&(*kind, from, to)))
     }
 
     // ---- connections
@@ -254,6 +251,24 @@
     }
 }
 
+/// The kinds that a message is of.
+fn kinds_of(message: &Message) -> &'static [StoreMessageKind] {
+    match message {
+        Message::Prepare(_) => &[StoreMessageKind::Prepare],
+        Message::Accept(Accept { items, .. }) => {
+            if items.iter().any(|item| item.key.kind == ItemKind::Roster) {
+                &[StoreMessageKind::RosterChange, StoreMessageKind::Accept]
+            } else {
+                &[StoreMessageKind::Accept]
+            }
+        }
+        Message::Promise(_) => &[StoreMessageKind::Promise],
+        Message::Chosen(_) => &[StoreMessageKind::Chosen],
+        Message::CompareDigest(_) => &[StoreMessageKind::Comparison],
+        _ => &[],
+    }
+}
+
 /// Each link between a machine of the first list and another one of the second.
 fn links_of(links: &Links) -> Vec<Link> {
     let mut all = Vec::new();
--- a/crates/emberpin-simulator/tests/search.rs
+++ b/crates/emberpin-simulator/tests/search.rs
@@ -27,6 +27,10 @@
     expect_that!(result.total.slow_start_requests, gt(0));
     expect_that!(result.total.effect_checks, gt(0));
     expect_that!(result.total.acknowledged_calls, gt(0));
+    // And faults of each kind took effect.
+    for (kind, count) in result.total.fault_effects.counts() {
+        expect_that!(count, gt(0), "{kind}");
+    }
 }
 
 #[gtest]
