--- a/crates/emberpin-proxy/src/registry_sessions/session.rs
+++ b/crates/emberpin-proxy/src/registry_sessions/session.rs
@@ -10,13 +10,13 @@
 use emberpin_membership::session::{ConnectionRole, FromProxy, Revision, ToProxy};
 use emberpin_membership::timing::{CONNECT_TIMEOUT, KEEP_ALIVE_INTERVAL, LEASE_CHECK_INTERVAL};
 use emberpin_runtime::frames::{self, ConnectionError};
-use emberpin_runtime::protocol_version::ProtocolVersion;
 use socket2::SockRef;
 use std::cell::RefCell;
 use std::convert::Infallible;
 use std::io;
 use std::net::Ipv4Addr;
 use std::time::Duration;
+use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
 use tokio::sync::{oneshot, Notify};
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Exchanges preambles, and then messages until the connection ends.
+    /// Exchanges preambles, says who this proxy is, and exchanges messages until the connection ends.
     async fn serve(
         &self,
         reader: &mut OwnedReadHalf,
@@ -111,10 +111,21 @@
         hello: &FromProxy,
     ) -> Result<Infallible, SessionError> {
         let process = &self.shared.process;
-        let preamble = process.handshake(reader, writer).await?;
-        let version = process.common_version(&preamble);
+        process.send_preamble(writer).await?;
+        frames::write(writer, &ConnectionRole::Proxy).await?;
+        let hello = frames::encode(hello)?;
+        // One frame is the same in each version, and does not wait for that of the registry.
+        let waits_for_version = frames::is_split(&hello);
+        if !waits_for_version {
+            write_all(writer, &hello).await?;
+        }
+        let preamble = process.receive_preamble(reader).await?;
+        if waits_for_version {
+            let version = process.common_version(&preamble);
+            write_all(writer, &frames::for_version(&hello, version)).await?;
+        }
         tokio::select! {
-            Err(error) = self.send(writer, hello, version) => Err(SessionError::Protocol(error)),
+            Err(error) = self.send(writer) => Err(SessionError::Protocol(error)),
             ended = self.receive(reader) => ended,
         }
     }
@@ -151,16 +162,9 @@
         progress.complete_revision(self.registry)
     }
 
-    /// Says who this proxy is, then sends a keep-alive in each period, and asks for the next part of the snapshot whenever
-    /// `fetch_snapshot_part` is notified.
-    async fn send(
-        &self,
-        writer: &mut OwnedWriteHalf,
-        hello: &FromProxy,
-        version: ProtocolVersion,
-    ) -> Result<Infallible, ConnectionError> {
-        frames::write(writer, &ConnectionRole::Proxy).await?;
-        frames::write_for_version(writer, hello, version).await?;
+    /// Sends a keep-alive in each period, and asks for the next part of the snapshot whenever `fetch_snapshot_part` is
+    /// notified.
+    async fn send(&self, writer: &mut OwnedWriteHalf) -> Result<Infallible, ConnectionError> {
         let mut keep_alives = interval(KEEP_ALIVE_INTERVAL);
         keep_alives.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -265,6 +269,10 @@
     }
 }
 
+async fn write_all(writer: &mut OwnedWriteHalf, bytes: &[u8]) -> Result<(), ConnectionError> {
+    Ok(writer.write_all(bytes).await?)
+}
+
 async fn connect(registry: (Ipv4Addr, u16)) -> Result<TcpStream, SessionError> {
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(registry))
         .await
--- a/crates/emberpin-runtime/src/frames.rs
+++ b/crates/emberpin-runtime/src/frames.rs
@@ -91,25 +91,12 @@
     Cow::Owned([&head[..], &message].concat())
 }
 
-/// Whether a message has more than one frame.
-fn is_split(frames: &[u8]) -> bool {
+/// Whether a message, as [`encode`] returns it, has more than one frame. Then its bytes differ between versions of the
+/// protocol.
+pub fn is_split(frames: &[u8]) -> bool {
     frames.len() > HEAD_BYTES + MAX_FRAME_BYTES
 }
 
-/// Writes one message to a peer with this version of the protocol.
-///
-/// # Errors
-///
-/// [`ConnectionError`]; the connection cannot be used after it.
-pub async fn write_for_version<T: Serialize>(
-    to: &mut (impl AsyncWrite + Unpin),
-    message: &T,
-    version: ProtocolVersion,
-) -> Result<(), ConnectionError> {
-    let frames = encode(message)?;
-    Ok(to.write_all(&for_version(&frames, version)).await?)
-}
-
 /// Writes one message to a peer of this build's version.
 ///
 /// # Errors
