--- a/crates/emberpin-config/src/change_consistency.rs
+++ b/crates/emberpin-config/src/change_consistency.rs
@@ -57,9 +57,10 @@
     fn route_to_unknown_service(&self) -> Option<ValidationError> {
         let removed = self.removed_services();
         let unchanged = self
-            .unchanged_routes()
-            .filter(|_| !removed.is_empty())
-            .filter_map(|route| Some((route, first_target(route, |name| removed.contains(name))?)));
+            .newest
+            .routes()
+            .filter_map(|route| Some((route, first_target(route, |name| removed.contains(name))?)))
+            .filter(|(route, _)| !self.changes(route));
         let changed = self.routes.values().filter_map(|route| {
             Some((route, first_target(route, |name| !self.has_service(name))?))
         });
@@ -90,10 +91,9 @@
         }
     }
 
-    fn unchanged_routes(&self) -> impl Iterator<Item = &Route> {
-        self.newest
-            .routes()
-            .filter(|route| !self.items.contains_key(&route_key(route)))
+    /// Whether the change sets or removes a route.
+    fn changes(&self, route: &Route) -> bool {
+        self.items.contains_key(&route_key(route))
     }
 
     /// Two routes of one host and prefix, of which the change sets at least one.
@@ -108,11 +108,12 @@
                 .or_default()
                 .push(route);
         }
-        for route in self.unchanged_routes() {
-            if let Some(routes) =
-                by_host_and_prefix.get_mut(&(route.hostname.as_str(), route.prefix.as_str()))
-            {
-                routes.push(route);
+        for route in self.newest.routes() {
+            let place = (route.hostname.as_str(), route.prefix.as_str());
+            if let Some(routes) = by_host_and_prefix.get_mut(&place) {
+                if !self.changes(route) {
+                    routes.push(route);
+                }
             }
         }
         by_host_and_prefix.into_values().find_map(|mut routes| {
--- a/crates/emberpin-config/src/lib.rs
+++ b/crates/emberpin-config/src/lib.rs
@@ -14,8 +14,8 @@
 //! | read it back | [`export_json`] |
 #![forbid(unsafe_code)]
 
-pub mod change_consistency;
-mod checkpoint;
+mod change_consistency;
+pub mod checkpoint;
 pub mod commit;
 pub mod configuration;
 mod consistency;
--- a/crates/emberpin-registry/src/store_connection.rs
+++ b/crates/emberpin-registry/src/store_connection.rs
@@ -17,7 +17,8 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-/// A store that is not connected and has not answered with its preamble by then is passed over, so that time is left for the next one.
+/// A store that is not connected or has not answered with its preamble by then is passed over, so that time is left for
+/// the next one.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Requests that may wait to be written; a caller beyond these waits.
 const REQUEST_QUEUE_CAPACITY: usize = 64;
