--- a/crates/emberpin-startup/src/call_schedule.rs
+++ b/crates/emberpin-startup/src/call_schedule.rs
@@ -96,6 +96,10 @@
     stagger: Duration,
     /// When the first call is due, since the start, if the whole group starts together.
     slot: Duration,
+    /// The shortest window after a call that reached no service, where the service's rate is configured. The mean delay
+    /// is half the window, so a group whose windows are twice the stagger calls no more often than the service
+    /// answers, at whatever moment it comes back.
+    recovery_window: Duration,
     /// The peers heard of before the first call.
     peers: BTreeMap<u32, PeerStart>,
     /// The window that the last delay was drawn from.
@@ -128,6 +132,7 @@
         CallSchedule {
             position,
             stagger,
+            recovery_window: calls_per_second.map_or(Duration::ZERO, |_| stagger * 2),
             slot: slot_start(position.number, size, stagger, random),
             peers: BTreeMap::new(),
             window: WINDOW_PER_LIMITER * size,
@@ -194,18 +199,19 @@
     }
 
     fn delay_after_failure(&mut self, after: Duration, random: f64) -> Duration {
-        let limit = if after < FAST_FAILURE {
-            // A service that was down and comes back gets no more calls than it answers: the mean delay is half the
-            // window.
-            MIN_WINDOW_LIMIT.max(self.stagger * 2)
+        self.window = if after < FAST_FAILURE {
+            (self.window * 2)
+                .max(self.recovery_window)
+                .min(MIN_WINDOW_LIMIT.max(self.stagger * 2))
         } else {
-            self.usual_window_limit()
-                .max(after.saturating_mul(SLOW_FAILURE_WINDOW_LIMIT))
-        };
-        self.window = (self.window * 2)
-            .max(after.saturating_mul(SLOW_FAILURE_WINDOW))
-            .min(limit)
-            .min(MAX_BACKOFF);
+            let limit = self
+                .usual_window_limit()
+                .max(after.saturating_mul(SLOW_FAILURE_WINDOW_LIMIT));
+            (self.window * 2)
+                .max(after.saturating_mul(SLOW_FAILURE_WINDOW))
+                .min(limit)
+        }
+        .min(MAX_BACKOFF);
         self.window.mul_f64(random)
     }
 
--- a/crates/emberpin-startup/tests/call_schedule_groups.rs
+++ b/crates/emberpin-startup/tests/call_schedule_groups.rs
@@ -266,3 +266,27 @@
         Service::with_capacity(25.0).observe(&[Duration::ZERO; 100], without_jitter, 20.0);
     assert!(observed.answered_at.is_empty());
 }
+
+/// The first windows after a refused call were shorter than the service needs for a call of each member: whoever had
+/// called last before the recovery called again at once, and a service that was short of nothing else failed them.
+#[test]
+fn a_service_that_recovers_while_first_calls_still_come_is_not_overloaded() {
+    for (size, outage) in [(24, 2.0), (24, 5.0), (100, 5.0), (300, 5.0)] {
+        let service_rate = f64::from(size) / 4.0;
+        let service = Service {
+            calls_per_second: service_rate,
+            down_until: outage,
+        };
+        let group = Group {
+            service_rate: Some(service_rate),
+            ..Group::of(size)
+        };
+        for seed in 0..100 {
+            let observed = group.start(&service, seed, 60.0);
+            let case = format!("{size} limiters, down for {outage} s, seed {seed}");
+            assert_eq!(observed.answered_at.len(), size as usize, "{case}");
+            let failed = observed.failed_at.iter().filter(|at| **at >= outage);
+            assert_eq!(failed.count(), 0, "after the recovery: {case}");
+        }
+    }
+}
