--- a/crates/emberpin-simulator/src/generator/mod.rs
+++ b/crates/emberpin-simulator/src/generator/mod.rs
@@ -1,6 +1,7 @@
-//! Draws scenarios from seeds: faults within the stores' tolerance.
+//! Draws scenarios from seeds: faults within the stores' tolerance, and variations of the recorded scenarios.
 
 mod dense;
+mod variations;
 mod wide;
 
 /// Seeds go through the kinds of scenarios in turn.
@@ -19,6 +20,7 @@
 /// The text of the scenario of a seed; the same each time.
 pub fn generate(seed: u64) -> String {
     match seed % KINDS {
+        0 if (seed / KINDS).is_multiple_of(2) => variations::generate(seed, seed / KINDS / 2),
         0 | 3 => wide::generate(seed),
         1 | 4 => dense::generate(seed),
         2 => dense::generate_targeted(seed, 3 * (seed / KINDS)),
--- a/crates/emberpin-simulator/tests/search.rs
+++ b/crates/emberpin-simulator/tests/search.rs
@@ -106,3 +106,31 @@
 fn a_scenario_that_holds_is_not_shrunk() {
     expect_that!(shrink("seed", &generate(0), Guards::default()), none());
 }
+
+/// The variations that keep the times of a recorded scenario come first, one of each scenario, in the order of names.
+const EXACT_VARIATION_SEEDS: u64 = 32;
+
+#[gtest]
+fn variations_of_the_recorded_scenarios_hold_and_detect_their_mutants() {
+    let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/scenarios");
+    let mut files: Vec<_> = std::fs::read_dir(folder)
+        .expect("the folder can be read")
+        .map(|entry| entry.expect("an entry").path())
+        .collect();
+    files.sort();
+    for (index, file) in files.iter().enumerate() {
+        let name = file.file_name().and_then(|name| name.to_str());
+        let name = name.expect("a file's name");
+        let recorded = std::fs::read_to_string(file).expect("the file can be read");
+        let recorded = parse(name, &recorded).expect("a scenario");
+        let text = generate(EXACT_VARIATION_SEEDS * index as u64);
+        expect_that!(text, starts_with(format!("# A variation of {name}.")));
+        let variation = parse(name, &text).expect("a scenario");
+        expect_that!(run(&variation, Guards::default()), ok(anything()), "{name}");
+        for mutant in &recorded.mutants {
+            let mut guards = Guards::default();
+            expect_that!(guards.disable(mutant), eq(true));
+            expect_that!(run(&variation, guards), err(anything()), "{mutant} {name}");
+        }
+    }
+}
