--- a/crates/emberpin-config/src/configuration.rs
+++ b/crates/emberpin-config/src/configuration.rs
@@ -14,6 +14,10 @@
     /// The tombstones that a checkpoint may remove, in the order of their versions.
     removable_tombstones: BTreeSet<(Version, ItemKey)>,
     checkpoint: Checkpoint,
+    /// The encoded size of all items, about.
+    bytes: usize,
+    /// How many histories there are.
+    history_count: usize,
 }
 
 /// What a merge changed.
@@ -69,7 +73,11 @@
         if let Some(known) = self.items.get(&item.key) {
             self.removable_tombstones
                 .remove(&(known.version, item.key.clone()));
+            self.bytes -= known.encoded_len();
+        } else {
+            self.history_count += usize::from(item.key.kind == ItemKind::History);
         }
+        self.bytes += item.encoded_len();
         if item.key.kind == ItemKind::Route {
             if item.is_tombstone() {
                 self.parsed_routes.remove(&item.key.name);
@@ -91,6 +99,8 @@
         let removed: Vec<Item> = inadmissible.cloned().collect();
         for item in &removed {
             self.items.remove(&item.key);
+            self.bytes -= item.encoded_len();
+            self.history_count -= usize::from(item.key.kind == ItemKind::History);
             self.removable_tombstones
                 .remove(&(item.version, item.key.clone()));
             if item.key.kind == ItemKind::Route {
@@ -153,6 +163,23 @@
         self.items.len()
     }
 
+    /// The encoded size of all items, about, in bytes.
+    pub fn encoded_len(&self) -> usize {
+        self.bytes
+    }
+
+    /// How much larger these items, merged, make the configuration, in bytes; 0, if they make it smaller.
+    pub(crate) fn growth_by(&self, items: &[Item]) -> usize {
+        let former = |item: &Item| self.get(&item.key).map_or(0, Item::encoded_len);
+        let added: usize = items.iter().map(Item::encoded_len).sum();
+        added.saturating_sub(items.iter().map(former).sum())
+    }
+
+    /// How many histories there are.
+    pub(crate) fn history_count(&self) -> usize {
+        self.history_count
+    }
+
     /// Whether there are no items, not even tombstones.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
--- a/crates/emberpin-config/src/error.rs
+++ b/crates/emberpin-config/src/error.rs
@@ -133,6 +133,15 @@
         other: String,
     },
 
+    /// The configuration would exceed the size that the stores keep.
+    #[error("would have {bytes} bytes, of {limit} that the stores keep; remove items first")]
+    ConfigurationTooLarge {
+        /// The size with the call.
+        bytes: usize,
+        /// The largest size.
+        limit: usize,
+    },
+
     /// The version was acknowledged with another content.
     #[error("version {version} is known with another content")]
     VersionConflict {
--- a/crates/emberpin-config/src/item.rs
+++ b/crates/emberpin-config/src/item.rs
@@ -82,6 +82,9 @@
     }
 }
 
+/// What an item takes besides its name and body, at most: kind, version and lengths.
+const ITEM_OVERHEAD_BYTES: usize = 24;
+
 /// One version of an item. The order of its fields is that of the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
@@ -99,4 +102,9 @@
     pub fn is_tombstone(&self) -> bool {
         self.body.is_none()
     }
+
+    /// The size of the item as replicas send and write it, about, in bytes.
+    pub fn encoded_len(&self) -> usize {
+        ITEM_OVERHEAD_BYTES + self.key.name.len() + self.body.as_ref().map_or(0, String::len)
+    }
 }
--- a/crates/emberpin-config/src/lib.rs
+++ b/crates/emberpin-config/src/lib.rs
@@ -32,7 +32,7 @@
 pub mod version;
 
 pub use checkpoint::{Checkpoint, MAX_TOMBSTONES};
-pub use commit::{validate_for_commit, Retention};
+pub use commit::{validate_for_commit, Retention, MAX_CONFIGURATION_BYTES, MAX_HISTORY_BYTES};
 pub use configuration::{Configuration, MergeOutcome};
 pub use digest::Digest;
 pub use effective_routes::effective_routes;
--- a/crates/emberpin-config/src/validate.rs
+++ b/crates/emberpin-config/src/validate.rs
@@ -20,6 +20,8 @@
     Indeterminate(ValidationError),
     /// Rejected, as 400: the configuration would be invalid with the call.
     Invalid(ValidationError),
+    /// Rejected, as 507: the configuration would be larger than replicas can exchange.
+    TooLarge(ValidationError),
 }
 
 /// How the version and content of one item compare with what is known.
--- a/crates/emberpin-config/tests/history.rs
+++ b/crates/emberpin-config/tests/history.rs
@@ -12,6 +12,8 @@
 const RETENTION: Retention = Retention {
     max_versions: 3,
     max_tombstones: 4,
+    max_history_bytes: MAX_HISTORY_BYTES,
+    max_configuration_bytes: MAX_CONFIGURATION_BYTES,
 };
 
 fn set(name: &str, version: u64, content: u64) -> Item {
@@ -35,6 +37,7 @@
         PatchOutcome::Conflict(_) => return 409,
         PatchOutcome::Indeterminate(_) => return 503,
         PatchOutcome::Invalid(_) => return 400,
+        PatchOutcome::TooLarge(_) => return 507,
     }
     200
 }
@@ -418,3 +421,109 @@
         }
     }
 }
+
+/// A name without digits: `set` replaces some.
+fn service_name(number: u8) -> String {
+    format!(
+        "service-{}{}",
+        char::from(b'a' + number / 16),
+        char::from(b'a' + number % 16)
+    )
+}
+
+/// A configuration of so many services, each set so many times.
+fn grown(names: u8, versions: u64, retention: &Retention) -> Configuration {
+    let mut newest = Configuration::new();
+    for version in 1..=versions {
+        for name in 0..names {
+            let call = patch_of(&[set(&service_name(name), version, version)]);
+            match validate_for_commit(&newest, &call, retention) {
+                PatchOutcome::Apply(items) => {
+                    items.into_iter().for_each(|item| _ = newest.merge(item))
+                }
+                other => panic!("{other:?}"),
+            }
+        }
+    }
+    newest
+}
+
+#[gtest]
+fn histories_of_many_names_keep_fewer_versions_within_their_bytes() {
+    let retention = Retention {
+        max_history_bytes: 64 << 10,
+        ..Retention::default()
+    };
+    let history_bytes = |configuration: &Configuration| -> usize {
+        let histories = configuration
+            .iter()
+            .filter(|item| item.key.kind == ItemKind::History);
+        histories.map(Item::encoded_len).sum()
+    };
+    let kept = |configuration: &Configuration| {
+        let history =
+            History::find(configuration, &set("service-aa", 1, 1).key).expect("a history");
+        (1..80)
+            .filter(|version| {
+                history.lookup(&set("service-aa", *version, *version)) == PastVersion::SameContent
+            })
+            .count()
+    };
+    let few = grown(10, 80, &retention);
+    expect_that!(kept(&few), eq(MAX_RETAINED_VERSIONS));
+    let many = grown(200, 40, &retention);
+    expect_that!(kept(&many), all![gt(3), lt(20)]);
+    expect_that!(
+        history_bytes(&many),
+        lt(3 * retention.max_history_bytes / 2)
+    );
+    // A duplicate of a version that is no longer kept is not rejected.
+    let old = patch_of(&[set("service-aa", 2, 2)]);
+    expect_that!(
+        validate_for_commit(&many, &old, &retention),
+        matches_pattern!(PatchOutcome::Indeterminate(_))
+    );
+}
+
+#[gtest]
+fn a_configuration_of_the_largest_size_takes_only_what_does_not_enlarge_it() {
+    let retention = Retention {
+        max_configuration_bytes: 8 << 10,
+        ..RETENTION
+    };
+    let mut newest = grown(20, 1, &retention);
+    let call = |name: &str, version| patch_of(&[set(name, version, version)]);
+    let mut added = 0;
+    let refused = loop {
+        let name = format!("added-{}", service_name(added));
+        match validate_for_commit(&newest, &call(&name, 1), &retention) {
+            PatchOutcome::Apply(items) => items.into_iter().for_each(|item| _ = newest.merge(item)),
+            outcome => break outcome,
+        }
+        added += 1;
+    };
+    expect_that!(refused, matches_pattern!(PatchOutcome::TooLarge(_)));
+    expect_that!(newest.encoded_len(), le(retention.max_configuration_bytes));
+    expect_that!(added, gt(5));
+    // What was acknowledged is acknowledged again, and items can be removed, which makes room.
+    expect_that!(
+        validate_for_commit(&newest, &call("added-service-aa", 1), &retention),
+        eq(&PatchOutcome::Duplicate)
+    );
+    for name in 0..added {
+        let removal = patch_of(&[Item {
+            body: None,
+            ..set(&format!("added-{}", service_name(name)), 2, 2)
+        }]);
+        match validate_for_commit(&newest, &removal, &retention) {
+            PatchOutcome::Apply(items) => items.into_iter().for_each(|item| _ = newest.merge(item)),
+            outcome => panic!("{outcome:?}"),
+        }
+    }
+    expect_that!(
+        validate_for_commit(&newest, &call("another", 9), &retention),
+        matches_pattern!(PatchOutcome::Apply(_))
+    );
+    let recounted: Configuration = newest.iter().cloned().collect();
+    expect_that!(recounted.encoded_len(), eq(newest.encoded_len()));
+}
--- a/crates/emberpin-config/tests/validate.rs
+++ b/crates/emberpin-config/tests/validate.rs
@@ -61,6 +61,7 @@
         PatchOutcome::Conflict(error) => format!("conflict {error}"),
         PatchOutcome::Indeterminate(error) => format!("indeterminate {error}"),
         PatchOutcome::Invalid(error) => format!("invalid {error}"),
+        PatchOutcome::TooLarge(error) => format!("too large {error}"),
     }
 }
 
@@ -396,7 +397,7 @@
         match validate(&configuration, &patch) {
             PatchOutcome::Apply(_) | PatchOutcome::Duplicate => prop_assert_eq!(changed.check(), Ok(())),
             PatchOutcome::Invalid(error) => prop_assert_eq!(changed.check(), Err(error)),
-            PatchOutcome::Conflict(_) | PatchOutcome::Indeterminate(_) => {}
+            PatchOutcome::Conflict(_) | PatchOutcome::Indeterminate(_) | PatchOutcome::TooLarge(_) => {}
         }
     }
 }
--- a/crates/emberpin-consensus/src/error.rs
+++ b/crates/emberpin-consensus/src/error.rs
@@ -15,6 +15,9 @@
     /// An item is so old that it is not known any more whether it was acknowledged.
     #[error(transparent)]
     Indeterminate(ValidationError),
+    /// The configuration would be larger than replicas can exchange: items have to be removed first.
+    #[error(transparent)]
+    TooLarge(ValidationError),
     /// The replica's disk takes no writes; another replica may take the call.
     #[error("{reason}")]
     DiskUnavailable {
@@ -39,11 +42,13 @@
 }
 
 impl CallError {
-    /// The HTTP status of the reply. After a 503 the call may take effect or not, and can be sent again.
+    /// The HTTP status of the reply. After a 503 the call may take effect or not, and can be sent again;
+    /// after a 507 (Insufficient Storage, RFC 4918) it has not.
     pub fn status(&self) -> u16 {
         match self {
             CallError::Invalid(_) => 400,
             CallError::Conflict(_) => 409,
+            CallError::TooLarge(_) => 507,
             CallError::Indeterminate(_)
             | CallError::DiskUnavailable { .. }
             | CallError::QueueFull
--- a/crates/emberpin-consensus/src/task.rs
+++ b/crates/emberpin-consensus/src/task.rs
@@ -143,6 +143,7 @@
         PatchOutcome::Conflict(error) => Verdict::Reject(CallError::Conflict(error)),
         PatchOutcome::Indeterminate(error) => Verdict::Reject(CallError::Indeterminate(error)),
         PatchOutcome::Invalid(error) => Verdict::Reject(CallError::Invalid(error)),
+        PatchOutcome::TooLarge(error) => Verdict::Reject(CallError::TooLarge(error)),
     }
 }
 
--- a/crates/emberpin-consensus/tests/cluster/mod.rs
+++ b/crates/emberpin-consensus/tests/cluster/mod.rs
@@ -15,7 +15,9 @@
 pub use clients::{ClientCall, HistoryEvent, Reply};
 
 use checks::Observations;
-use emberpin_config::{Item, ItemKey, ItemKind, Retention};
+use emberpin_config::{
+    Item, ItemKey, ItemKind, Retention, MAX_CONFIGURATION_BYTES, MAX_HISTORY_BYTES,
+};
 use emberpin_consensus::{
     Action, Ballot, Event, Guards, Message, Replica, ReplicaOptions, Timestamp, WriteBatch,
     WriteToken,
@@ -40,6 +42,8 @@
 pub const SMALL_RETENTION: Retention = Retention {
     max_versions: 3,
     max_tombstones: 4,
+    max_history_bytes: MAX_HISTORY_BYTES,
+    max_configuration_bytes: MAX_CONFIGURATION_BYTES,
 };
 
 /// The reason that clients are given while a disk is full.
--- a/crates/emberpin-ctl/src/run.rs
+++ b/crates/emberpin-ctl/src/run.rs
@@ -145,7 +145,8 @@
         PatchOutcome::Duplicate => Ok(format!("{count} items, all of them known")),
         PatchOutcome::Conflict(error)
         | PatchOutcome::Indeterminate(error)
-        | PatchOutcome::Invalid(error) => Err(error.into()),
+        | PatchOutcome::Invalid(error)
+        | PatchOutcome::TooLarge(error) => Err(error.into()),
     }
 }
 
--- a/crates/emberpin-store/tests/recordings/recorder.rs
+++ b/crates/emberpin-store/tests/recordings/recorder.rs
@@ -3,7 +3,9 @@
 
 use super::packed_folder::pack;
 use super::{disk_file, fixture, item_lines, OWNER, PEERS};
-use emberpin_config::{Item, ItemKey, ItemKind, Retention, Version};
+use emberpin_config::{
+    Item, ItemKey, ItemKind, Retention, Version, MAX_CONFIGURATION_BYTES, MAX_HISTORY_BYTES,
+};
 use emberpin_consensus::{
     AcceptedProposal, Action, Ballot, BootstrapCandidate, BootstrapNonce, Call, CallId,
     EvacuationChange, Event, Guards, Incarnation, LatestIncarnations, Replica, ReplicaOptions,
@@ -19,6 +21,8 @@
 const RETENTION: Retention = Retention {
     max_versions: 3,
     max_tombstones: 2,
+    max_history_bytes: MAX_HISTORY_BYTES,
+    max_configuration_bytes: MAX_CONFIGURATION_BYTES,
 };
 /// Length of a body, and the number of its versions, that together are more than a memtable of `fjall`.
 const LARGE_BODY_BYTES: usize = 512 << 10;
