--- a/crates/emberpin-consensus/src/replica/contact.rs
+++ b/crates/emberpin-consensus/src/replica/contact.rs
@@ -2,7 +2,8 @@
 //! deadline, so that its caller goes on to another replica.
 //!
 //! Votes do not show it in time, as they wait for disks. Comparisons do: any running replica answers them at once. So
-//! a call begins a comparison unless one was begun shortly before, and is rejected if no majority answers that.
+//! a call begins a comparison unless one was begun shortly before, and is rejected if no majority answers that. A call
+//! that still waits when its check has passed begins the next one: the partition may have come after the comparison.
 
 use super::{Action, Replica};
 use crate::error::CallError;
@@ -48,8 +49,8 @@
         })
     }
 
-    /// Looks at the checks of waiting calls whose deadline has come: they have passed, or their calls are rejected, or
-    /// they begin anew if this process was paused.
+    /// Looks at the checks of waiting calls whose deadline has come. Those that have passed are renewed, and so are all if
+    /// this process was paused; the calls of the others are rejected.
     pub(super) fn finish_contact_checks(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let is_due = |check: &ContactCheck| now >= check.deadline;
@@ -60,19 +61,19 @@
         let was_paused = due
             .iter()
             .any(|check| now > check.deadline + PAUSE_TOLERANCE);
-        let renewed = was_paused
+        let (passed, failed): (Vec<_>, Vec<_>) = due
+            .into_iter()
+            .partition(|check| was_paused || self.has_contact(*check));
+        let renewed = (!passed.is_empty())
             .then(|| self.begin_contact_check(actions))
             .flatten();
-        for check in due {
-            if self.has_contact(check) {
-                self.replace_contact_check(check, None);
-            } else if renewed.is_some() {
-                self.replace_contact_check(check, renewed);
-            } else {
-                self.reject_tasks(CallError::NoContact, actions, |task| {
-                    task.contact_check == Some(check)
-                });
-            }
+        for check in passed {
+            self.replace_contact_check(check, renewed);
+        }
+        for check in failed {
+            self.reject_tasks(CallError::NoContact, actions, |task| {
+                task.contact_check == Some(check)
+            });
         }
     }
 
--- a/crates/emberpin-consensus/tests/contact.rs
+++ b/crates/emberpin-consensus/tests/contact.rs
@@ -32,6 +32,20 @@
     expect_that!(statuses, each(eq(Some(503))));
 }
 
+/// The check of the first call has passed by then, on disks that keep the round waiting.
+#[gtest]
+fn a_call_whose_replica_is_partitioned_while_it_waits_is_rejected_soon() {
+    let mut cluster = running_cluster(Guards::default());
+    cluster.sync_time = 700..800;
+    let calls = [set_service("a", 1, 1), Call::Get].map(|call| cluster.call(ip(1), call));
+    cluster.run(20);
+    cluster.kill(ip(2));
+    cluster.kill(ip(3));
+    cluster.run(2 * IMMEDIATELY);
+    let statuses = calls.map(|call| cluster.calls[call].status());
+    expect_that!(statuses, each(eq(Some(503))));
+}
+
 #[gtest]
 fn without_the_contact_check_a_call_in_a_minority_waits() {
     let guards = Guards {
--- a/crates/emberpin-demo/tests/system.rs
+++ b/crates/emberpin-demo/tests/system.rs
@@ -204,6 +204,56 @@
     }
 }
 
+/// `recover`: how soon after a loss of any number of machines the system serves again.
+const RECOVER: Duration = Duration::from_secs(15);
+/// Two checks of the contact with a majority: it may be lost right after the first has begun.
+const TWO_CONTACT_CHECKS: Duration = Duration::from_millis(650);
+
+/// The status of one call, which is answered within `limit`.
+fn status_within(
+    system: &DeployedSystem,
+    limit: Duration,
+    (method, path, body): (Method, &str, &str),
+) -> u16 {
+    let sent = Instant::now();
+    let response = system.call_once(0, method, path, body);
+    expect_that!(sent.elapsed(), lt(limit), "{path}");
+    response.expect("a response").0
+}
+
+/// The others neither answer nor close their connections, as behind a network partition.
+#[gtest]
+fn a_machine_that_just_lost_its_majority_rejects_calls_soon_and_recovers() {
+    let system = DeployedSystem::start(48);
+    expect_that!(system.patch(0, &first_patch()), eq(200));
+    expect_that!(system.patch(0, &route_patch("x", 1, 1_001)), eq(200));
+    let freeze = |signal| [1, 2].map(|machine| system.send_signal(machine, signal));
+    for round in 1..=2 {
+        let ver = round * 1_000;
+        freeze(Signal::SIGSTOP);
+        let long_name = "y".repeat(3_000);
+        let long_patch = route_patch(&long_name, ver, 1_500);
+        for patch in [route_patch("x", ver, 1_900), long_patch] {
+            let call = (Method::POST, "/config/patch", patch.as_str());
+            expect_that!(status_within(&system, TWO_CONTACT_CHECKS, call), eq(503));
+        }
+        let read = (Method::GET, "/config/get", "");
+        expect_that!(status_within(&system, TWO_CONTACT_CHECKS, read), eq(503));
+        sleep(Duration::from_secs(3));
+        freeze(Signal::SIGCONT);
+        let thawed = Instant::now();
+        expect_that!(
+            system.patch(round as usize, &route_patch("x", ver + 1, 1_100 + round)),
+            eq(200)
+        );
+        expect_that!(thawed.elapsed(), lt(RECOVER));
+        expect_that!(
+            shown_route(&system.read_back(0), "x"),
+            some(eq(&(ver + 1, format!("{}ms", 1_100 + round))))
+        );
+    }
+}
+
 #[gtest]
 fn six_hundred_changes_survive_a_restart_of_each_machine() {
     const CHANGES: u64 = 600;
