--- a/crates/emberpin-consensus/src/state.rs
+++ b/crates/emberpin-consensus/src/state.rs
@@ -76,6 +76,16 @@
         self.configuration.get(key)
     }
 
+    /// How many items there are, including tombstones and histories.
+    pub fn item_count(&self) -> usize {
+        self.configuration.len()
+    }
+
+    /// The encoded size of all items, about, in bytes.
+    pub fn encoded_len(&self) -> usize {
+        self.configuration.encoded_len()
+    }
+
     /// All items, including tombstones and histories.
     pub fn iter(&self) -> impl Iterator<Item = &Item> {
         self.configuration.iter()
--- a/crates/emberpin-consensus/src/storage.rs
+++ b/crates/emberpin-consensus/src/storage.rs
@@ -55,7 +55,7 @@
 impl WriteToken {
     /// The token of the write that follows this one.
     #[must_use]
-    pub(crate) fn next(self) -> WriteToken {
+    pub fn next(self) -> WriteToken {
         WriteToken(self.0 + 1)
     }
 }
--- a/crates/emberpin-demo/tests/deployed_system/deploy_file.rs
+++ b/crates/emberpin-demo/tests/deployed_system/deploy_file.rs
@@ -6,6 +6,8 @@
 pub struct DeployedRole {
     /// The program.
     pub role: Role,
+    /// What the program is started with.
+    pub arguments: Vec<String>,
     /// The class of machines that it runs on.
     pub class: String,
     /// The share of those machines.
@@ -22,15 +24,18 @@
     let role = |role: &toml::Value| {
         let text = |name: &str| role[name].as_str().expect("a text").to_owned();
         let run = text("run");
-        let program = run
-            .rsplit('/')
-            .next()
+        let mut words = run.split(' ').map(str::to_owned);
+        let program = words.next();
+        let program = program
+            .as_deref()
+            .and_then(|program| program.rsplit('/').next())
             .and_then(|name| name.strip_prefix("emberpin-"));
         let serves = role["serves"].as_array().expect("a list");
         DeployedRole {
             role: program
                 .and_then(Role::from_name)
                 .expect("a program of the gateway"),
+            arguments: words.collect(),
             class: text("on"),
             share: role["share"].as_float().expect("a share"),
             serves: serves
--- a/crates/emberpin-demo/tests/deployed_system/mod.rs
+++ b/crates/emberpin-demo/tests/deployed_system/mod.rs
@@ -204,9 +204,16 @@
             .append(true)
             .open(log)
             .expect("a log");
-        Command::new(self.builds[&(machine, index)].program())
+        let build = self.builds[&(machine, index)];
+        // An earlier build may not know them.
+        let arguments = role
+            .arguments
+            .iter()
+            .filter(|_| matches!(build, Build::Current));
+        Command::new(build.program())
             .arg(role.role.name())
             .arg(std::process::id().to_string())
+            .args(arguments)
             .env("EMBERPIN_NODE_FILE", settings)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
@@ -285,6 +292,23 @@
         response.is_some_and(|response| response.status == 200)
     }
 
+    /// The metrics of a machine's process of this role, from where its arguments say.
+    pub fn metrics(&self, machine: usize, role: Role) -> String {
+        let deployed = self
+            .roles
+            .iter()
+            .find(|deployed| deployed.role.name() == role.name());
+        let endpoint = deployed.and_then(|deployed| deployed.arguments.get(1));
+        let (port, path) = endpoint
+            .and_then(|endpoint| endpoint.split_once('/'))
+            .expect("--metrics PORT/PATH");
+        let address = (self.machines[machine].ip, port.parse().expect("a port")).into();
+        let path = format!("/{path}");
+        let call = http::call(address, Method::GET, &path, String::new(), CALL_TIMEOUT);
+        let response = self.runtime.block_on(call).expect("a response");
+        String::from_utf8_lossy(&response.body).into_owned()
+    }
+
     // ---- faults
 
     /// Kills the processes of a machine.
--- a/crates/emberpin-demo/tests/system.rs
+++ b/crates/emberpin-demo/tests/system.rs
@@ -8,6 +8,7 @@
     ANSWER_TIMEOUT, SYNC_TIME,
 };
 use emberpin_demo::node_settings::StartMode;
+use emberpin_demo::role::Role;
 use googletest::prelude::*;
 use hyper::Method;
 use nix::sys::signal::Signal;
@@ -204,6 +205,67 @@
     }
 }
 
+/// The sum of a metric over the core machines; its labels may be any that contain these.
+fn sum_over_core(system: &DeployedSystem, role: Role, metric: &str, labels: &str) -> f64 {
+    let mut sum = 0.0;
+    for core in 0..3 {
+        let text = system.metrics(core, role);
+        let of_metric = |line: &&str| line.starts_with(metric) && line.contains(labels);
+        let values = text
+            .lines()
+            .filter(of_metric)
+            .filter_map(|line| line.rsplit_once(' '));
+        sum += values
+            .map(|(_, value)| value.parse::<f64>().expect("a number"))
+            .sum::<f64>();
+    }
+    sum
+}
+
+#[gtest]
+fn each_program_serves_its_metrics_where_the_deploy_file_says() {
+    let system = DeployedSystem::start(49);
+    expect_that!(system.patch(0, &first_patch()), eq(200));
+    expect_that!(system.patch(1, &route_patch("x", 1, 1_001)), eq(200));
+    for (role, metric, labels) in [
+        (
+            Role::Registry,
+            "emberpin_registry_calls_total{",
+            "call=\"config_patch\",status=\"200\"",
+        ),
+        (Role::Store, "emberpin_store_calls_total{", "status=\"200\""),
+    ] {
+        expect_that!(
+            sum_over_core(&system, role, metric, labels),
+            eq(2.0),
+            "{metric}"
+        );
+    }
+    let synced = sum_over_core(
+        &system,
+        Role::Store,
+        "emberpin_store_sync_seconds_count",
+        "",
+    );
+    expect_that!(synced, ge(4.0));
+    // Gauges follow within a second.
+    let since = Instant::now();
+    let all_confirmed = || {
+        let confirmed = sum_over_core(&system, Role::Registry, "emberpin_registry_confirmed", "");
+        let voters = sum_over_core(&system, Role::Store, "emberpin_store_voters", "");
+        (confirmed, voters) == (3.0, 9.0)
+    };
+    while !all_confirmed() && since.elapsed() < ANSWER_TIMEOUT {
+        sleep(Duration::from_millis(100));
+    }
+    expect_that!(all_confirmed(), eq(true));
+    let proxy = system.metrics(3, Role::Proxy);
+    expect_that!(
+        proxy,
+        contains_substring("emberpin_proxy_requests_in_flight 0")
+    );
+}
+
 /// `recover`: how soon after a loss of any number of machines the system serves again.
 const RECOVER: Duration = Duration::from_secs(15);
 /// Two checks of the contact with a majority: it may be lost right after the first has begun.
--- a/crates/emberpin-proxy/src/controller/attempts.rs
+++ b/crates/emberpin-proxy/src/controller/attempts.rs
@@ -53,6 +53,7 @@
         if !self.services.contains_key(&service) {
             return;
         }
+        self.metrics.count_attempt(&service, ended.outcome);
         if ended.unreachable {
             self.on_server_unreachable(&service, server);
         }
@@ -180,6 +181,9 @@
             let now = self.now();
             if let Some(in_flight) = self.in_flight.get_mut(&request) {
                 in_flight.attempts_sent += 1;
+                if in_flight.attempts_sent > 1 {
+                    self.metrics.count_retry(service_name);
+                }
                 let is_charged = std::mem::take(&mut in_flight.retry_reserved);
                 if in_flight.attempts_sent > 1 && !is_charged {
                     self.retry_budget.record_retry(now, service_name);
--- a/crates/emberpin-proxy/src/controller/mod.rs
+++ b/crates/emberpin-proxy/src/controller/mod.rs
@@ -18,6 +18,7 @@
 mod zone_table;
 
 use crate::command::Command;
+use crate::metrics::{gauge_value, ProxyMetrics};
 use crate::published_state::PublishedState;
 use crate::random_seed::random_seed;
 use crate::service::Service;
@@ -25,6 +26,7 @@
 use emberpin_config::Configuration;
 use emberpin_limiter::host::{Input, Pool, Reception, HEAD_BYTES};
 use emberpin_routing::{RetryBudget, Router, WarmupTolerance};
+use emberpin_runtime::metrics::GAUGE_PERIOD;
 use emberpin_runtime::settings::Settings;
 use in_flight_request::InFlightRequest;
 use session_sync::SessionSync;
@@ -59,6 +61,9 @@
     session_sync: SessionSync,
     random: oorandom::Rand64,
     published: Rc<PublishedState>,
+    metrics: Rc<ProxyMetrics>,
+    /// Whether gauges are kept up to date, as somebody may read them.
+    updates_gauges: bool,
     reception: Rc<Reception>,
     pool: Rc<Pool>,
     /// For health checks. Weak: the controller ends with the last sender elsewhere.
@@ -74,6 +79,7 @@
         pool: Rc<Pool>,
         reception: Rc<Reception>,
         commands: &mpsc::Sender<Command>,
+        metrics: Rc<ProxyMetrics>,
     ) -> Controller {
         let (inputs, queued_inputs) = mpsc::channel(MAX_QUEUED_INPUTS);
         Controller {
@@ -90,6 +96,8 @@
             session_sync: SessionSync::default(),
             random: oorandom::Rand64::new(u128::from(random_seed())),
             published: Rc::new(PublishedState::new(HEAD_BYTES as u64)),
+            metrics,
+            updates_gauges: false,
             reception,
             pool,
             commands: commands.downgrade(),
@@ -103,6 +111,11 @@
         self.published.clone()
     }
 
+    /// From now on gauges are kept up to date.
+    pub fn update_gauges(&mut self) {
+        self.updates_gauges = true;
+    }
+
     /// Handles events until the last sender of commands is dropped.
     ///
     /// Timers come before ends of attempts, and those before new commands: a decision about a new request then counts
@@ -112,6 +125,8 @@
         tokio::pin!(timer);
         let mut slow_start_checks = interval(SLOW_START_CHECK_PERIOD);
         slow_start_checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut gauge_updates = interval(GAUGE_PERIOD);
+        gauge_updates.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let next_timer = self.next_timer();
             if let Some(due) = next_timer.filter(|due| *due != timer.deadline()) {
@@ -128,10 +143,29 @@
                 _ = slow_start_checks.tick(), if !self.warming_instances.is_empty() => {
                     self.refresh_warming_instances();
                 }
+                _ = gauge_updates.tick(), if self.updates_gauges => self.set_gauges(),
             }
         }
     }
 
+    fn set_gauges(&self) {
+        let metrics = &self.metrics;
+        let counts = [
+            (&metrics.requests_in_flight, self.in_flight.len()),
+            (&metrics.warming_instances, self.warming_instances.len()),
+            (&metrics.evacuated_zones, self.evacuated_zones.len()),
+            (&metrics.ready, usize::from(self.published.is_ready())),
+            (&metrics.proxies, self.proxy_count as usize),
+        ];
+        for (gauge, count) in counts {
+            gauge.set(gauge_value(count));
+        }
+        for (name, service) in &self.services {
+            let (available, unavailable) = service.server_counts();
+            metrics.set_servers(name, available, unavailable);
+        }
+    }
+
     /// Time since the start, on which the router and the retry budget run.
     fn now(&self) -> Duration {
         self.started_at.elapsed()
--- a/crates/emberpin-proxy/src/controller/routing.rs
+++ b/crates/emberpin-proxy/src/controller/routing.rs
@@ -5,6 +5,7 @@
 use super::replies::{empty_response, retry_later};
 use super::Controller;
 use crate::command::RouteRequest;
+use crate::metrics::RejectionCause;
 use crate::service::Service;
 use crate::wire::TRY_ID;
 use emberpin_balancer::{ClassId, CustomerId, GatewayId, PlanId};
@@ -36,23 +37,16 @@
     service: String,
 }
 
-/// Why a request is not forwarded to any service.
-enum Rejection {
-    /// No configuration has come yet, so nobody has said that there is no such route.
-    NotConfigured,
-    /// No route of the configuration matches.
-    RouteNotFound,
-    /// No server of the route's services is known, or the attempt limit or the retry budget is spent.
-    NoServer,
-}
-
-impl Rejection {
-    fn reply(&self) -> Reply {
-        match self {
-            Rejection::NotConfigured => retry_later(RETRY_AFTER_NO_CONFIGURATION),
-            Rejection::RouteNotFound => empty_response(StatusCode::NOT_FOUND),
-            Rejection::NoServer => retry_later(RETRY_AFTER_NO_SERVER),
-        }
+/// The reply to a request that is not forwarded to any service.
+fn rejection_reply(cause: RejectionCause) -> Reply {
+    match cause {
+        // Nobody has said yet that there is no such route.
+        RejectionCause::NotConfigured => retry_later(RETRY_AFTER_NO_CONFIGURATION),
+        RejectionCause::RouteNotFound => empty_response(StatusCode::NOT_FOUND),
+        RejectionCause::NoServer
+        | RejectionCause::RetryBudget
+        | RejectionCause::ShuttingDown
+        | RejectionCause::Request => retry_later(RETRY_AFTER_NO_SERVER),
     }
 }
 
@@ -61,16 +55,17 @@
     pub(super) fn route_request(&mut self, request: RouteRequest) {
         let target = match self.choose_target(&request) {
             Ok(target) => target,
-            Err(rejection) => return reject(request, &rejection),
+            Err(cause) => return self.reject(request, cause),
         };
         let now = self.now();
-        let Some(service) = self.services.get_mut(&target.service) else {
-            return reject(request, &Rejection::NoServer);
-        };
         let budget = &mut self.retry_budget;
         if !budget_allows(budget, now, self.proxy_count, &request, &target) {
-            return reject(request, &Rejection::NoServer);
+            return self.reject(request, RejectionCause::RetryBudget);
         }
+        let Some(service) = self.services.get_mut(&target.service) else {
+            return self.reject(request, RejectionCause::NoServer);
+        };
+        self.metrics.count_request(&target.service);
         let id = request.id;
         let name = target.service.clone();
         let class = service.class(&target.route);
@@ -81,13 +76,18 @@
         self.forget_if_finished(id);
     }
 
-    fn choose_target(&mut self, request: &RouteRequest) -> Result<Target, Rejection> {
+    fn reject(&self, request: RouteRequest, cause: RejectionCause) {
+        self.metrics.count_rejection(cause);
+        _ = request.reply_to.send(rejection_reply(cause));
+    }
+
+    fn choose_target(&mut self, request: &RouteRequest) -> Result<Target, RejectionCause> {
         let path = request.outgoing.uri.path();
         let Some(route) = self.router.routes.find(&request.host, path).cloned() else {
             return Err(if self.configuration.is_empty() {
-                Rejection::NotConfigured
+                RejectionCause::NotConfigured
             } else {
-                Rejection::RouteNotFound
+                RejectionCause::RouteNotFound
             });
         };
         let services = &self.services;
@@ -99,7 +99,7 @@
         let draw = self.random.rand_float();
         let service = traffic_split::choose_service(&route.targets, draw, available)
             .map(str::to_string)
-            .ok_or(Rejection::NoServer)?;
+            .ok_or(RejectionCause::NoServer)?;
         Ok(Target { route, service })
     }
 
@@ -119,10 +119,6 @@
     }
 }
 
-fn reject(request: RouteRequest, rejection: &Rejection) {
-    _ = request.reply_to.send(rejection.reply());
-}
-
 /// Charges the retry budget for a request that is about to be routed. First attempts are counted and always allowed;
 /// a request that was withdrawn from another service after an attempt needs budget at the new one.
 fn budget_allows(
--- a/crates/emberpin-proxy/src/frontend/mod.rs
+++ b/crates/emberpin-proxy/src/frontend/mod.rs
@@ -6,6 +6,7 @@
 mod response;
 
 use crate::command::{Command, RouteRequest};
+use crate::metrics::{ProxyMetrics, RejectionCause};
 use crate::published_state::PublishedState;
 use bytes::Bytes;
 use emberpin_balancer::{ClassId, RequestId};
@@ -45,6 +46,7 @@
     /// Wraps around; a number is free again long before.
     next_request: Cell<u32>,
     figures: Arc<Figures>,
+    metrics: Rc<ProxyMetrics>,
     /// Slots for request bodies that are streamed to a server, each of which holds a buffer.
     upload_slots: Arc<Semaphore>,
     /// Slots for response bodies that are streamed to a client.
@@ -66,6 +68,7 @@
         published: Rc<PublishedState>,
         commands: mpsc::Sender<Command>,
         figures: Arc<Figures>,
+        metrics: Rc<ProxyMetrics>,
         stream_slots: usize,
     ) -> Rc<ClientFrontend> {
         let slots = || Arc::new(Semaphore::new(stream_slots.max(MIN_STREAM_SLOTS)));
@@ -74,6 +77,7 @@
             commands,
             next_request: Cell::new(0),
             figures,
+            metrics,
             upload_slots: slots(),
             download_slots: slots(),
         })
@@ -86,9 +90,14 @@
     ) -> Result<Response<Content>, Rejection> {
         if self.published.rejects_requests() {
             spawn_local(run_out(request.into_body()));
+            self.metrics.count_rejection(RejectionCause::ShuttingDown);
             return Err(Rejection::RetryLater(Duration::ZERO));
         }
-        let request = self.receive(request, connection).await?;
+        let received = self.receive(request, connection).await;
+        if received.is_err() {
+            self.metrics.count_rejection(RejectionCause::Request);
+        }
+        let request = received?;
         let active = self.figures.taken(ClassId(0));
         let reply = self.forward(request).await?;
         Ok(self.respond_with(reply, active, connection).await)
@@ -249,9 +258,14 @@
         request: Request<Incoming>,
         connection: Rc<Connection>,
     ) -> Response<Content> {
-        self.handle(request, &connection)
+        let started = Instant::now();
+        let response = self
+            .handle(request, &connection)
             .await
-            .unwrap_or_else(Rejection::into_response)
+            .unwrap_or_else(Rejection::into_response);
+        self.metrics
+            .count_response(response.status(), started.elapsed());
+        response
     }
 }
 
--- a/crates/emberpin-proxy/src/lib.rs
+++ b/crates/emberpin-proxy/src/lib.rs
@@ -19,6 +19,7 @@
 mod error;
 mod frontend;
 mod listener;
+mod metrics;
 pub mod program;
 mod published_state;
 mod random_seed;
@@ -30,9 +31,11 @@
 use connection_pool::{start_pool, ConnectionBudget};
 use controller::Controller;
 use emberpin_limiter::host::{ClientLimits, Figures, Phase, Reception, SocketBudget};
+use emberpin_runtime::metrics::{self as metrics_server, MetricSet, MetricsEndpoint};
 use emberpin_runtime::settings::Settings;
 use frontend::{ClientFrontend, ReadinessHandler};
 use listener::listen;
+use metrics::ProxyMetrics;
 use published_state::PublishedState;
 use registry_sessions::RegistrySessions;
 use shutdown::{drain, reload_on_hangup, Signals};
@@ -50,23 +53,23 @@
 /// MiB of the memory limit for each body that may be streamed at a time in each direction.
 const MIB_PER_STREAM_SLOT: usize = 4;
 
-/// Runs the proxy on this thread until it is terminated.
+/// Runs the proxy on this thread until it is terminated, and serves metrics if there is an endpoint for them.
 ///
 /// # Errors
 ///
 /// [`ProxyError`], if it cannot start or one of its tasks ends.
-pub fn serve(settings: Settings) -> Result<(), ProxyError> {
+pub fn serve(settings: Settings, metrics: Option<MetricsEndpoint>) -> Result<(), ProxyError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(ProxyError::Runtime)?;
-    LocalSet::new().block_on(&runtime, run(settings))
+    LocalSet::new().block_on(&runtime, run(settings, metrics))
 }
 
-async fn run(settings: Settings) -> Result<(), ProxyError> {
+async fn run(settings: Settings, metrics: Option<MetricsEndpoint>) -> Result<(), ProxyError> {
     let mut signals = Signals::install()?;
     let grace = settings.bounds.shutdown_grace;
-    let proxy = Proxy::start(settings)?;
+    let proxy = Proxy::start(settings, metrics)?;
     let Proxy {
         published,
         reception,
@@ -97,7 +100,7 @@
 impl Proxy {
     /// Composes the parts. Sockets listen first, so that nothing runs if an address is taken; the controller exists
     /// before the frontend and the sessions, which send it commands.
-    fn start(settings: Settings) -> Result<Proxy, ProxyError> {
+    fn start(settings: Settings, endpoint: Option<MetricsEndpoint>) -> Result<Proxy, ProxyError> {
         let http = settings
             .http_address
             .ok_or(ProxyError::MissingSetting("network.listen.http"))?;
@@ -116,11 +119,28 @@
             ClientLimits::default(),
             socket_budget.clone(),
         );
-        let controller = Controller::new(&settings, pool, reception.clone(), &commands);
+        let set = MetricSet::new("emberpin_proxy");
+        let metrics = Rc::new(ProxyMetrics::new(&set));
+        let mut controller = Controller::new(
+            &settings,
+            pool,
+            reception.clone(),
+            &commands,
+            metrics.clone(),
+        );
+        if let Some(endpoint) = endpoint {
+            controller.update_gauges();
+            tokio::spawn(metrics_server::serve(settings.ip, endpoint, set));
+        }
         let published = controller.published_state();
         let stream_slots = settings.memory_mib as usize / MIB_PER_STREAM_SLOT;
-        let frontend =
-            ClientFrontend::new(published.clone(), commands.clone(), figures, stream_slots);
+        let frontend = ClientFrontend::new(
+            published.clone(),
+            commands.clone(),
+            figures,
+            metrics,
+            stream_slots,
+        );
         let accepting = spawn_local(reception.clone().accept(frontend, http, false));
         serve_readiness(published.clone(), readyz, socket_budget);
         let sessions = RegistrySessions::start(settings, commands);
--- a/crates/emberpin-proxy/src/program.rs
+++ b/crates/emberpin-proxy/src/program.rs
@@ -1,5 +1,8 @@
 //! The command line of `emberpin-proxy`.
 
+use emberpin_runtime::metrics::{
+    MetricsEndpoint, METRICS_OPTION, METRICS_OPTION_HELP, METRICS_OPTION_HINT,
+};
 use emberpin_runtime::settings::Settings;
 use getopts::Options;
 use std::ffi::OsString;
@@ -30,6 +33,10 @@
         println!("emberpin-proxy {}", env!("CARGO_PKG_VERSION"));
         return ExitCode::SUCCESS;
     }
+    let metrics = match matches.opt_get::<MetricsEndpoint>(METRICS_OPTION) {
+        Ok(metrics) => metrics,
+        Err(error) => return usage_error(&error.to_string()),
+    };
     let settings = match Settings::from_env() {
         Ok(settings) => settings,
         Err(error) => return usage_error(&error.to_string()),
@@ -38,7 +45,7 @@
         println!("{settings:#?}");
         return ExitCode::SUCCESS;
     }
-    run(settings)
+    run(settings, metrics)
 }
 
 fn options() -> Options {
@@ -50,12 +57,13 @@
         "check",
         "read the settings, say what is in force, and start nothing",
     );
+    options.optopt("", METRICS_OPTION, METRICS_OPTION_HELP, METRICS_OPTION_HINT);
     options
 }
 
-fn run(settings: Settings) -> ExitCode {
+fn run(settings: Settings, metrics: Option<MetricsEndpoint>) -> ExitCode {
     emberpin_runtime::logs::init(log::LevelFilter::Info);
-    match crate::serve(settings) {
+    match crate::serve(settings, metrics) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             log::error!("proxy failed: error={error}");
--- a/crates/emberpin-proxy/src/service/mod.rs
+++ b/crates/emberpin-proxy/src/service/mod.rs
@@ -105,6 +105,12 @@
         self.available_count > 0
     }
 
+    /// How many endpoints are available, as far as registries say, and how many are known besides.
+    pub fn server_counts(&self) -> (usize, usize) {
+        let unavailable = self.endpoints.len().saturating_sub(self.available_count);
+        (self.available_count, unavailable)
+    }
+
     /// Sets how many proxies share the servers, which scales the congestion threshold.
     pub fn set_proxy_count(&mut self, proxy_count: u32) {
         self.proxy_count = proxy_count.max(1);
--- a/crates/emberpin-proxy/tests/common/proxy.rs
+++ b/crates/emberpin-proxy/tests/common/proxy.rs
@@ -18,6 +18,7 @@
 /// back for the proxy were at times still taken when it came to listen.
 const HTTP_PORT: u16 = 21_001;
 const READINESS_PORT: u16 = 21_002;
+const METRICS_PORT: u16 = 21_003;
 /// The deadline header of a request that is to wait for its response, in milliseconds.
 const DEADLINE_MS: &str = "8000";
 
@@ -125,6 +126,8 @@
             .write_all(settings_text(ip, registry_port, bounds).as_bytes())
             .expect("written");
         let child = Command::new(env!("CARGO_BIN_EXE_emberpin-proxy"))
+            .arg("--metrics")
+            .arg(format!("{METRICS_PORT}/metrics"))
             .env("EMBERPIN_NODE_FILE", settings.path())
             .stdout(Stdio::null())
             .stderr(Stdio::null())
@@ -174,6 +177,14 @@
         client.status().await
     }
 
+    /// The response of the metrics endpoint to a request of this path.
+    pub async fn metrics(&self, path: &str) -> Response {
+        let address = SocketAddr::from((self.ip, METRICS_PORT));
+        let mut client = poll_until("a connection", || Client::try_connect(address)).await;
+        client.send("GET", path, &[], b"").await;
+        client.response().await.expect("a response")
+    }
+
     pub async fn connect(&self) -> Client {
         poll_until("a connection", || Client::try_connect(self.http)).await
     }
--- a/crates/emberpin-proxy/tests/routing.rs
+++ b/crates/emberpin-proxy/tests/routing.rs
@@ -11,7 +11,7 @@
 use emberpin_membership::instance::Instance;
 use googletest::prelude::*;
 
-/// Guards `Rejection::NotConfigured`, and `Retry-After`.
+/// Guards `RejectionCause::NotConfigured`, and `Retry-After`.
 #[tokio::test]
 async fn without_a_configuration_clients_are_told_to_retry() -> googletest::Result<()> {
     let proxy = Proxy::start(DEFAULT_BOUNDS).await;
@@ -34,7 +34,7 @@
     Ok(())
 }
 
-/// Guards `Rejection::RouteNotFound`, the tombstone of a removed route, and the host in the route match.
+/// Guards `RejectionCause::RouteNotFound`, the tombstone of a removed route, and the host in the route match.
 #[tokio::test]
 async fn routes_that_are_not_in_force_get_404() -> googletest::Result<()> {
     let server = Server::start().await;
--- a/crates/emberpin-registry/src/host.rs
+++ b/crates/emberpin-registry/src/host.rs
@@ -3,6 +3,7 @@
 
 use crate::commands::{self, Command, CommandSender};
 use crate::connection::{FrameSender, UnreadableFrames};
+use crate::metrics::RegistryMetrics;
 use crate::outbound::PeerConnection;
 use crate::status_report::{self, ProcessStatus};
 use crate::store_state::StoreState;
@@ -14,13 +15,14 @@
 use emberpin_membership::session::ToProxy;
 use emberpin_runtime::frames;
 use emberpin_runtime::identity::ProcessIdentity;
+use emberpin_runtime::metrics::GAUGE_PERIOD;
 use emberpin_store::protocol::DiskStatus;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
-use tokio::time::{sleep_until, Instant};
+use tokio::time::{interval, sleep_until, Instant, MissedTickBehavior};
 
 /// Commands that are taken from the queue at once. The timer is checked between such batches.
 const MAX_COMMANDS_PER_TURN: usize = 64;
@@ -64,6 +66,8 @@
     inbound_peers: HashMap<Ipv4Addr, FrameSender>,
     /// Other registries that this one connects to, for messages.
     outbound_peers: BTreeMap<Ipv4Addr, OutboundPeer>,
+    /// The gauges that are kept up to date, if somebody may read them.
+    gauges: Option<Arc<RegistryMetrics>>,
     /// Events that were caused by actions; handled once all actions of the current event are applied.
     deferred_events: VecDeque<Event>,
 }
@@ -89,6 +93,7 @@
             sessions: HashMap::new(),
             inbound_peers: HashMap::new(),
             outbound_peers: BTreeMap::new(),
+            gauges: None,
             deferred_events: VecDeque::new(),
         };
         (host, commands)
@@ -99,8 +104,15 @@
         Timestamp::ZERO + self.started_at.elapsed()
     }
 
+    /// From now on gauges are kept up to date.
+    pub fn update_gauges(&mut self, metrics: Arc<RegistryMetrics>) {
+        self.gauges = Some(metrics);
+    }
+
     /// Runs for as long as the process does.
     pub async fn run(mut self) {
+        let mut gauge_updates = interval(GAUGE_PERIOD);
+        gauge_updates.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut commands = Vec::new();
         loop {
             let deadline = self
@@ -114,10 +126,21 @@
                     }
                 }
                 () = sleep_until(self.started_at + deadline) => self.handle_event(Event::Tick),
+                _ = gauge_updates.tick(), if self.gauges.is_some() => self.set_gauges(),
             }
         }
     }
 
+    fn set_gauges(&self) {
+        if let Some(metrics) = &self.gauges {
+            metrics.set_gauges(&self.registry, self.now());
+            metrics.set_rejections(
+                self.identity.unreadable_frames.count(),
+                self.identity.process.rejected_peers(),
+            );
+        }
+    }
+
     fn handle_command(&mut self, command: Command) {
         match command {
             Command::Heartbeat { instance, response } => {
--- a/crates/emberpin-registry/src/http_api.rs
+++ b/crates/emberpin-registry/src/http_api.rs
@@ -11,4 +11,5 @@
 mod server;
 
 pub use calls::Calls;
+pub use route::Route;
 pub use server::HttpServer;
--- a/crates/emberpin-registry/src/http_api/route.rs
+++ b/crates/emberpin-registry/src/http_api/route.rs
@@ -24,6 +24,21 @@
     Status,
 }
 
+impl Route {
+    /// The call's name in metrics.
+    pub fn name(self) -> &'static str {
+        match self {
+            Route::Heartbeat => "heartbeat",
+            Route::Leave => "leave",
+            Route::PatchConfig => "config_patch",
+            Route::GetConfig => "config_get",
+            Route::BeginEvacuation => "evac_begin",
+            Route::FinishEvacuation => "evac_finish",
+            Route::Status => "status",
+        }
+    }
+}
+
 /// Why a method and a path are no call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
--- a/crates/emberpin-registry/src/http_api/server.rs
+++ b/crates/emberpin-registry/src/http_api/server.rs
@@ -3,6 +3,7 @@
 use super::calls::{CallError, Calls};
 use super::response::{self, HttpResponse};
 use super::route::{self, RouteError};
+use crate::metrics::RegistryMetrics;
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, ALLOW};
 use hyper::service::service_fn;
@@ -14,7 +15,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::time::sleep;
+use tokio::time::{sleep, Instant};
 
 /// The longest head of a request.
 const MAX_HEAD_BYTES: usize = 64 << 10;
@@ -32,15 +33,17 @@
 /// The server of the HTTP API.
 pub struct HttpServer {
     calls: Calls,
+    metrics: Arc<RegistryMetrics>,
     open_connections: AtomicUsize,
     shutting_down: AtomicBool,
 }
 
 impl HttpServer {
     /// A server that serves nothing yet.
-    pub fn new(calls: Calls) -> HttpServer {
+    pub fn new(calls: Calls, metrics: Arc<RegistryMetrics>) -> HttpServer {
         HttpServer {
             calls,
+            metrics,
             open_connections: AtomicUsize::new(0),
             shutting_down: AtomicBool::new(false),
         }
@@ -97,14 +100,18 @@
         }
         let method = request.method().as_str().to_string();
         let path = request.uri().path().to_string();
-        match route::find(&method, &path) {
-            Ok((route, subject)) => self
-                .calls
-                .call(route, &subject, request)
-                .await
-                .unwrap_or_else(|error| rejected(&method, &path, &error)),
-            Err(error) => unrouted(&method, &path, error),
-        }
+        let started = Instant::now();
+        let (route, response) = match route::find(&method, &path) {
+            Ok((route, subject)) => {
+                let called = self.calls.call(route, &subject, request).await;
+                let response = called.unwrap_or_else(|error| rejected(&method, &path, &error));
+                (Some(route), response)
+            }
+            Err(error) => (None, unrouted(&method, &path, error)),
+        };
+        self.metrics
+            .count_call(route, response.status(), started.elapsed());
+        response
     }
 }
 
--- a/crates/emberpin-registry/src/lib.rs
+++ b/crates/emberpin-registry/src/lib.rs
@@ -17,6 +17,7 @@
 pub mod host;
 pub mod http_api;
 pub mod inbound;
+pub mod metrics;
 pub mod outbound;
 pub mod program;
 pub mod status_report;
--- /dev/null
+++ b/crates/emberpin-registry/src/metrics.rs
@@ -0,0 +1,100 @@
+//! The registry's metrics.
+
+use crate::http_api::Route;
+use emberpin_membership::clock::Timestamp;
+use emberpin_membership::instance::Status;
+use emberpin_membership::registry::Registry;
+use emberpin_runtime::metrics::MetricSet;
+use hyper::StatusCode;
+use prometheus::{Histogram, IntCounterVec, IntGauge, IntGaugeVec};
+use std::time::Duration;
+
+/// The label of a request that is no call.
+const NO_CALL: &str = "none";
+
+/// The metrics of one registry.
+pub struct RegistryMetrics {
+    calls: IntCounterVec,
+    call_time: Histogram,
+    instances: IntGaugeVec,
+    proxies: IntGauge,
+    proxy_lag: IntGauge,
+    registries: IntGauge,
+    voters: IntGauge,
+    confirmed: IntGauge,
+    items: IntGauge,
+    unreadable_frames: IntGauge,
+    rejected_peers: IntGauge,
+}
+
+impl RegistryMetrics {
+    /// Adds the registry's metrics to a set.
+    pub fn new(set: &MetricSet) -> RegistryMetrics {
+        RegistryMetrics {
+            calls: set.counters(
+                "calls_total",
+                "Calls of servers and operators, by status",
+                &["call", "status"],
+            ),
+            call_time: set.latencies("call_seconds", "Time from a call's head to its response"),
+            instances: set.gauges("instances", "Instances of servers, by status", &["status"]),
+            proxies: set.gauge("proxies", "Proxies with a session here"),
+            proxy_lag: set.gauge(
+                "proxy_lag_changes",
+                "Changes that the proxy furthest behind has yet to acknowledge",
+            ),
+            registries: set.gauge("registries", "Registries in contact, with this one"),
+            voters: set.gauge("voters", "Voters of the newest roster"),
+            confirmed: set.gauge(
+                "confirmed",
+                "1 while what is known here is confirmed by a majority",
+            ),
+            items: set.gauge("items", "Items of the configuration"),
+            unreadable_frames: set.gauge(
+                "unreadable_frames",
+                "Connections that ended at an unreadable frame, since the start",
+            ),
+            rejected_peers: set.gauge(
+                "rejected_peers",
+                "Peers of another version or system, since the start",
+            ),
+        }
+    }
+
+    /// Counts a call and its response; `None` for a request that is no call.
+    pub fn count_call(&self, route: Option<Route>, status: StatusCode, elapsed: Duration) {
+        let call = route.map_or(NO_CALL, Route::name);
+        self.calls.with_label_values(&[call, status.as_str()]).inc();
+        self.call_time.observe(elapsed.as_secs_f64());
+    }
+
+    /// Updates the gauges from what the registry knows.
+    pub fn set_gauges(&self, registry: &Registry, now: Timestamp) {
+        let (mut up, mut draining, mut removed) = (0, 0, 0);
+        for (_, entry) in registry.instances().iter() {
+            match entry.instance(now).status {
+                Status::Up => up += 1,
+                Status::Draining => draining += 1,
+                Status::Removed => removed += 1,
+            }
+        }
+        for (status, count) in [("up", up), ("draining", draining), ("removed", removed)] {
+            self.instances.with_label_values(&[status]).set(count);
+        }
+        let furthest_behind = registry.proxy_lags().map(|lag| lag.changes_behind).max();
+        self.proxies.set(registry.proxy_lags().count() as i64);
+        self.proxy_lag
+            .set(furthest_behind.map_or(0, |changes| changes as i64));
+        self.registries
+            .set(registry.registries_in_contact(now).len() as i64);
+        self.voters.set(registry.voters().len() as i64);
+        self.confirmed.set(i64::from(registry.is_confirmed(now)));
+        self.items.set(registry.item_count() as i64);
+    }
+
+    /// Sets how many connections ended at an unreadable frame, and how many peers were rejected.
+    pub fn set_rejections(&self, unreadable_frames: u64, rejected_peers: u64) {
+        self.unreadable_frames.set(unreadable_frames as i64);
+        self.rejected_peers.set(rejected_peers as i64);
+    }
+}
--- a/crates/emberpin-registry/src/program.rs
+++ b/crates/emberpin-registry/src/program.rs
@@ -4,6 +4,7 @@
 use crate::host::{Host, HostIdentity};
 use crate::http_api::{Calls, HttpServer};
 use crate::inbound::InboundServer;
+use crate::metrics::RegistryMetrics;
 use crate::store_client::StoreClient;
 use crate::store_state::StoreState;
 use crate::store_subscription::StoreSubscription;
@@ -13,6 +14,10 @@
 use emberpin_membership::registry::{RegistryConfig, SNAPSHOT_PART_BYTES};
 use emberpin_runtime::identity::ProcessIdentity;
 use emberpin_runtime::logs;
+use emberpin_runtime::metrics::{
+    self as metrics_server, MetricSet, MetricsEndpoint, METRICS_OPTION, METRICS_OPTION_HELP,
+    METRICS_OPTION_HINT,
+};
 use emberpin_runtime::settings::{FieldProblem, Settings, SettingsError};
 use std::ffi::OsString;
 use std::io;
@@ -49,6 +54,7 @@
     options.optflag("", "check", "read the settings, and end");
     options.optflag("h", "help", "show this");
     options.optflag("V", "version", "show the version");
+    options.optopt("", METRICS_OPTION, METRICS_OPTION_HELP, METRICS_OPTION_HINT);
     let matches = match options.parse(arguments) {
         Ok(matches) if matches.free.is_empty() => matches,
         Ok(matches) => return fail(&format!("{}: no such argument", matches.free[0])),
@@ -65,6 +71,10 @@
         println!("emberpin-registry {}", env!("CARGO_PKG_VERSION"));
         return ExitCode::SUCCESS;
     }
+    let metrics = match matches.opt_get::<MetricsEndpoint>(METRICS_OPTION) {
+        Ok(metrics) => metrics,
+        Err(error) => return fail(&error.to_string()),
+    };
     let (settings, ctl) = match read_settings() {
         Ok(settings) => settings,
         Err(error) => return fail(&error.to_string()),
@@ -80,7 +90,7 @@
     for bound in exceeded {
         log::warn!("bound is below the sum of delays: {bound}");
     }
-    match run(&settings, ctl) {
+    match run(&settings, ctl, metrics) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => fail(&error.to_string()),
     }
@@ -115,15 +125,23 @@
 }
 
 /// Runs the registry on this thread until SIGTERM.
-fn run(settings: &Settings, ctl: SocketAddr) -> Result<(), StartError> {
+fn run(
+    settings: &Settings,
+    ctl: SocketAddr,
+    metrics: Option<MetricsEndpoint>,
+) -> Result<(), StartError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(StartError::Runtime)?;
-    runtime.block_on(serve(settings, ctl))
+    runtime.block_on(serve(settings, ctl, metrics))
 }
 
-async fn serve(settings: &Settings, ctl: SocketAddr) -> Result<(), StartError> {
+async fn serve(
+    settings: &Settings,
+    ctl: SocketAddr,
+    metrics: Option<MetricsEndpoint>,
+) -> Result<(), StartError> {
     let mut terminate = listen_for_signal("SIGTERM", SignalKind::terminate())?;
     // Registered so that SIGHUP does not end the process; settings are read at the next start.
     let _hangup = listen_for_signal("SIGHUP", SignalKind::hangup())?;
@@ -132,7 +150,7 @@
     let http_listener = tcp::listen(ctl, "ctl")?;
     let registry_listener = tcp::listen(registry_address, "registry")?;
 
-    let (http_server, inbound) = start(settings, incarnation, ctl.port());
+    let (http_server, inbound) = start(settings, incarnation, ctl.port(), metrics);
     let inbound = tokio::spawn(inbound.serve(registry_listener));
     let http = tokio::spawn(http_server.clone().serve(http_listener));
     terminate.recv().await;
@@ -148,6 +166,7 @@
     settings: &Settings,
     incarnation: u64,
     ctl_port: u16,
+    metrics_endpoint: Option<MetricsEndpoint>,
 ) -> (Arc<HttpServer>, Arc<InboundServer>) {
     let process =
         Arc::new(ProcessIdentity::new(incarnation).with_versions(settings.protocol_versions));
@@ -159,7 +178,9 @@
         process: process.clone(),
         unreadable_frames: unreadable_frames.clone(),
     };
-    let (host, commands) = Host::new(
+    let metric_set = MetricSet::new("emberpin_registry");
+    let metrics = Arc::new(RegistryMetrics::new(&metric_set));
+    let (mut host, commands) = Host::new(
         identity,
         registry_config(settings, incarnation),
         stores.clone(),
@@ -171,9 +192,13 @@
         stores.clone(),
     ));
     StoreSubscription::new(process.clone(), store_port, stores, commands.clone()).start();
+    if let Some(endpoint) = metrics_endpoint {
+        host.update_gauges(metrics.clone());
+        tokio::spawn(metrics_server::serve(settings.ip, endpoint, metric_set));
+    }
     tokio::spawn(host.run());
     let calls = Calls::new(commands.clone(), client, ctl_port);
-    let http_server = Arc::new(HttpServer::new(calls));
+    let http_server = Arc::new(HttpServer::new(calls, metrics));
     let inbound = Arc::new(InboundServer::new(process, commands, unreadable_frames));
     (http_server, inbound)
 }
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -9,6 +9,7 @@
 use crate::input::{ConnectionId, Input};
 use crate::item_batches::item_batches;
 use crate::loop_event::{EventSources, LoopEvent};
+use crate::metrics::StoreMetrics;
 use crate::peer_links::PeerLinks;
 use crate::protocol::{oldest_version, DiskState, StoreReply, StoreRequest, ToStore};
 use crate::registry_sessions::RegistrySessions;
@@ -56,6 +57,7 @@
     registries: RegistrySessions,
     identity: Arc<ProcessIdentity>,
     system: SystemRecord,
+    metrics: StoreMetrics,
     /// The health that was published last.
     health: Health,
     next_status_at: Instant,
@@ -73,6 +75,7 @@
         peers: PeerLinks,
         identity: Arc<ProcessIdentity>,
         system: SystemRecord,
+        metrics: StoreMetrics,
     ) -> Host<'a> {
         let started_at = Instant::now();
         Host {
@@ -84,6 +87,7 @@
             registries: RegistrySessions::default(),
             identity,
             system,
+            metrics,
             health: Health::default(),
             next_status_at: started_at,
             next_link_check_at: started_at + LINK_IDLE_INTERVAL,
@@ -222,6 +226,7 @@
             }
         };
         if let Some((status, reason)) = self.rejection(&call) {
+            self.metrics.count_call(status);
             return self
                 .registries
                 .respond(connection, request_id, status, reason);
@@ -274,6 +279,7 @@
                     status,
                     body,
                 } => {
+                    self.metrics.count_call(status);
                     self.registries.complete_call(call_id, status, body);
                 }
                 Action::Learned { items } => {
@@ -283,7 +289,14 @@
                 }
             }
         }
-        if !writes.is_empty() && self.disk.submit(writes, sync_token).is_err() {
+        if writes.is_empty() {
+            return;
+        }
+        if let Some(token) = sync_token {
+            self.metrics.on_submitted(token);
+        }
+        if self.disk.submit(writes, sync_token).is_err() {
+            self.metrics.on_disk_failed();
             self.handle_in_replica(Event::DiskFailed {
                 reason: DISK_STALLED_REASON.into(),
             });
@@ -306,12 +319,16 @@
 
     pub fn handle_disk_event(&mut self, event: DiskEvent) -> Result<(), DiskError> {
         match event {
-            DiskEvent::Synced { token } => self.handle_in_replica(Event::Persisted { token }),
+            DiskEvent::Synced { token } => {
+                self.metrics.on_synced(token);
+                self.handle_in_replica(Event::Persisted { token });
+            }
             DiskEvent::Failed(error) => {
                 log::error!(
                     "disk failed, votes and changes are rejected until it is restored: error={error}"
                 );
                 self.disk.on_failed();
+                self.metrics.on_disk_failed();
                 self.handle_in_replica(Event::DiskFailed {
                     reason: DISK_FULL_REASON.into(),
                 });
@@ -340,6 +357,7 @@
             self.replace_health(health);
             let status = self.status_reply();
             self.registries.publish(&status);
+            self.set_gauges();
         }
         if now >= self.next_link_check_at {
             self.next_link_check_at = now + LINK_IDLE_INTERVAL;
@@ -347,6 +365,13 @@
         }
     }
 
+    fn set_gauges(&self) {
+        let disk = self.disk.status(self.health.disk);
+        let rejected_peers = self.identity.rejected_peers();
+        self.metrics
+            .set_gauges(&self.replica, self.health.up_to_date, disk, rejected_peers);
+    }
+
     fn current_health(&mut self) -> Health {
         Health {
             up_to_date: self.replica.is_up_to_date(self.replica_now()),
--- a/crates/emberpin-store/src/lib.rs
+++ b/crates/emberpin-store/src/lib.rs
@@ -23,6 +23,7 @@
 pub mod item_batches;
 mod listener;
 mod loop_event;
+mod metrics;
 mod peer_links;
 pub mod program;
 pub mod protocol;
--- /dev/null
+++ b/crates/emberpin-store/src/metrics.rs
@@ -0,0 +1,114 @@
+//! The store's metrics.
+
+use crate::protocol::{DiskState, DiskStatus};
+use emberpin_consensus::{Replica, WriteToken};
+use emberpin_runtime::metrics::MetricSet;
+use prometheus::{Histogram, IntCounterVec, IntGauge, IntGaugeVec};
+use std::collections::BTreeMap;
+use std::time::Instant;
+
+/// Writes whose syncs are timed at once; later ones are not timed until some of these are synced.
+const MAX_TIMED_SYNCS: usize = 256;
+
+/// The metrics of one store.
+pub struct StoreMetrics {
+    calls: IntCounterVec,
+    sync_time: Histogram,
+    voters: IntGauge,
+    is_voter: IntGauge,
+    up_to_date: IntGauge,
+    disk_states: IntGaugeVec,
+    disk_used: IntGauge,
+    disk_limit: IntGauge,
+    items: IntGauge,
+    configuration_bytes: IntGauge,
+    rejected_peers: IntGauge,
+    /// When the writes that are not synced were submitted.
+    submitted: BTreeMap<WriteToken, Instant>,
+}
+
+impl StoreMetrics {
+    /// Adds the store's metrics to a set.
+    pub fn new(set: &MetricSet) -> StoreMetrics {
+        StoreMetrics {
+            calls: set.counters(
+                "calls_total",
+                "Calls, by the status of the answer",
+                &["status"],
+            ),
+            sync_time: set.latencies(
+                "sync_seconds",
+                "Time from the submission of a write to its sync",
+            ),
+            voters: set.gauge("voters", "Voters of the newest roster"),
+            is_voter: set.gauge("is_voter", "1 while this store is on the roster"),
+            up_to_date: set.gauge(
+                "up_to_date",
+                "1 while everything acknowledged is known here",
+            ),
+            disk_states: set.gauges("disk_state", "1 for the state of the disk", &["state"]),
+            disk_used: set.gauge("disk_used_bytes", "Bytes that the files take"),
+            disk_limit: set.gauge(
+                "disk_limit_bytes",
+                "Bytes that the files may take; 0 for no limit",
+            ),
+            items: set.gauge(
+                "items",
+                "Items of the configuration, with histories and tombstones",
+            ),
+            configuration_bytes: set.gauge(
+                "configuration_bytes",
+                "Size of the configuration; calls that enlarge it beyond 6291456 get 507",
+            ),
+            rejected_peers: set.gauge(
+                "rejected_peers",
+                "Peers of another version or system, since the start",
+            ),
+            submitted: BTreeMap::new(),
+        }
+    }
+
+    /// Counts the answer to a call.
+    pub fn count_call(&self, status: u16) {
+        self.calls.with_label_values(&[&status.to_string()]).inc();
+    }
+
+    /// Notes that a write was submitted that is to be synced.
+    pub fn on_submitted(&mut self, token: WriteToken) {
+        if self.submitted.len() < MAX_TIMED_SYNCS {
+            self.submitted.insert(token, Instant::now());
+        }
+    }
+
+    /// Observes the times of all writes up to this one, which are synced.
+    pub fn on_synced(&mut self, token: WriteToken) {
+        let unsynced = self.submitted.split_off(&token.next());
+        for submitted_at in std::mem::replace(&mut self.submitted, unsynced).into_values() {
+            self.sync_time.observe(submitted_at.elapsed().as_secs_f64());
+        }
+    }
+
+    /// Forgets the writes that a disk which failed will not sync.
+    pub fn on_disk_failed(&mut self) {
+        self.submitted.clear();
+    }
+
+    /// Updates the gauges.
+    pub fn set_gauges(&self, replica: &Replica, up_to_date: bool, disk: DiskStatus, rejected: u64) {
+        self.voters.set(replica.voters().len() as i64);
+        self.is_voter.set(i64::from(replica.is_voter()));
+        self.up_to_date.set(i64::from(up_to_date));
+        for state in DiskState::ALL {
+            let is_current = i64::from(state == disk.state);
+            self.disk_states
+                .with_label_values(&[state.as_str()])
+                .set(is_current);
+        }
+        self.disk_used.set(disk.used_bytes as i64);
+        self.disk_limit.set(disk.limit_bytes as i64);
+        self.items.set(replica.state().item_count() as i64);
+        self.configuration_bytes
+            .set(replica.state().encoded_len() as i64);
+        self.rejected_peers.set(rejected as i64);
+    }
+}
--- a/crates/emberpin-store/src/program.rs
+++ b/crates/emberpin-store/src/program.rs
@@ -3,6 +3,10 @@
 use crate::error::StoreError;
 use crate::startup;
 use emberpin_runtime::logs;
+use emberpin_runtime::metrics::{
+    InvalidMetricsEndpoint, MetricsEndpoint, METRICS_OPTION, METRICS_OPTION_HELP,
+    METRICS_OPTION_HINT,
+};
 use emberpin_runtime::settings::{Settings, SettingsError};
 use getopts::Options;
 use log::LevelFilter;
@@ -13,7 +17,7 @@
 /// The exit status of a store that could not start, or whose disk was found damaged.
 const EXIT_FAILURE: u8 = 2;
 
-const USAGE: &str = "Usage: emberpin-store [--help | --version | --check]\n\nKeeps the configuration. Its settings \
+const USAGE: &str = "Usage: emberpin-store [--help | --version | --check | --metrics PORT/PATH]\n\nKeeps the configuration. Its settings \
                      are in the file that EMBERPIN_NODE_FILE names.";
 
 /// Why the program ended with a failure.
@@ -24,6 +28,8 @@
     #[error("{0:?}: is not an option; --help says which there are")]
     UnknownArgument(String),
     #[error(transparent)]
+    Metrics(#[from] InvalidMetricsEndpoint),
+    #[error(transparent)]
     Settings(#[from] SettingsError),
     #[error("cannot start the runtime: {0}")]
     Runtime(#[source] io::Error),
@@ -51,6 +57,7 @@
         "check",
         "read the settings, say what is wrong with them, and end",
     );
+    options.optopt("", METRICS_OPTION, METRICS_OPTION_HELP, METRICS_OPTION_HINT);
     options
 }
 
@@ -68,6 +75,10 @@
     if let Some(argument) = matches.free.first() {
         return Err(ProgramError::UnknownArgument(argument.clone()));
     }
+    let metrics = matches
+        .opt_str(METRICS_OPTION)
+        .map(|text| text.parse::<MetricsEndpoint>())
+        .transpose()?;
     let settings = Settings::from_env()?;
     if settings.data_dir.is_none() {
         return Err(StoreError::MissingDataDir.into());
@@ -81,5 +92,5 @@
         .max_blocking_threads(1)
         .build()
         .map_err(ProgramError::Runtime)?;
-    Ok(runtime.block_on(startup::run(&settings))?)
+    Ok(runtime.block_on(startup::run(&settings, metrics))?)
 }
--- a/crates/emberpin-store/src/protocol.rs
+++ b/crates/emberpin-store/src/protocol.rs
@@ -154,6 +154,14 @@
 }
 
 impl DiskState {
+    /// All states.
+    pub const ALL: [DiskState; 4] = [
+        DiskState::Writable,
+        DiskState::NearlyFull,
+        DiskState::Full,
+        DiskState::Stalled,
+    ];
+
     /// The state's name in `GET /status` and in log lines.
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/emberpin-store/src/startup.rs
+++ b/crates/emberpin-store/src/startup.rs
@@ -8,11 +8,13 @@
 use crate::host::Host;
 use crate::listener::listen;
 use crate::loop_event::EventSources;
+use crate::metrics::StoreMetrics;
 use crate::peer_links::PeerLinks;
 use crate::signals::Signals;
 use crate::system_record::SystemRecord;
 use emberpin_consensus::{Replica, ReplicaOptions, Timestamp};
 use emberpin_runtime::identity::ProcessIdentity;
+use emberpin_runtime::metrics::{self as metrics_server, MetricSet, MetricsEndpoint};
 use emberpin_runtime::settings::Settings;
 use std::net::{IpAddr, SocketAddrV4};
 use std::sync::Arc;
@@ -27,12 +29,15 @@
 /// Longest wait for the last sync at the end. No message depends on it: each was sent after its own sync.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Runs a store until SIGTERM or SIGINT.
+/// Runs a store until SIGTERM or SIGINT, and serves metrics if there is an endpoint for them.
 ///
 /// # Errors
 ///
 /// [`StoreError`]: the store could not start, or its disk was found damaged.
-pub async fn run(settings: &Settings) -> Result<(), StoreError> {
+pub async fn run(
+    settings: &Settings,
+    metrics_endpoint: Option<MetricsEndpoint>,
+) -> Result<(), StoreError> {
     let signals = Signals::install().map_err(StoreError::Signals)?;
     let data_dir = settings
         .data_dir
@@ -53,6 +58,7 @@
     };
     let (disk, mut disk_events) = DiskQueue::start(disk, data_dir, settings.ip, measurement)
         .map_err(StoreError::StartDiskWorker)?;
+    let metrics = MetricSet::new("emberpin_store");
     let mut host = Host::new(
         settings,
         replica,
@@ -60,9 +66,13 @@
         PeerLinks::new(settings.store_port(), identity.clone(), seeds),
         identity.clone(),
         system,
+        StoreMetrics::new(&metrics),
     );
     host.apply_actions(actions);
     wait_for_first_sync(&mut host, &mut disk_events).await?;
+    if let Some(endpoint) = metrics_endpoint {
+        tokio::spawn(metrics_server::serve(settings.ip, endpoint, metrics));
+    }
     let (inputs, queued_inputs) = mpsc::channel(INPUT_QUEUE_LENGTH);
     tokio::spawn(listen(listener, identity, inputs));
     let mut sources = EventSources {
