--- a/crates/emberpin-config/tests/history.rs
+++ b/crates/emberpin-config/tests/history.rs
@@ -439,7 +439,7 @@
             let call = patch_of(&[set(&service_name(name), version, version)]);
             match validate_for_commit(&newest, &call, retention) {
                 PatchOutcome::Apply(items) => {
-                    items.into_iter().for_each(|item| _ = newest.merge(item))
+                    items.into_iter().for_each(|item| _ = newest.merge(item));
                 }
                 other => panic!("{other:?}"),
             }
