--- a/crates/emberpin-testbed/src/scenario.rs
+++ b/crates/emberpin-testbed/src/scenario.rs
@@ -4,6 +4,7 @@
 mod bounds;
 mod error;
 mod fault_table;
+mod fault_text;
 
 pub use error::{Problem, ScenarioError};
 
--- a/crates/emberpin-testbed/src/site.rs
+++ b/crates/emberpin-testbed/src/site.rs
@@ -1,6 +1,8 @@
 //! One run: everything stood up, the load and the faults played, everything taken down, and the trace judged.
 //! It is bounded whatever the scenario says: in time by its length, a run-out and an end.
 
+mod fault_injection;
+
 use crate::clients::Clients;
 use crate::discovery::Discovery;
 use crate::links::LinkNet;
@@ -8,10 +10,10 @@
 use crate::peers::{PeerNet, Split};
 use crate::process::{Limiter, Program, Usage};
 use crate::referee::{judge, Judgement, Terms};
-use crate::scenario::{Fault, Scenario, Way};
+use crate::scenario::{Fault, Scenario};
 use crate::schedule::Schedule;
 use crate::servers::{Server, World};
-use crate::trace::{seconds, Event, Micros, Recorder, Standing, What};
+use crate::trace::{Event, Micros, Recorder, What};
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
 use std::net::Ipv4Addr;
@@ -21,7 +23,7 @@
 use std::time::Duration;
 use tokio::sync::Mutex;
 use tokio::task::{spawn_local, LocalSet};
-use tokio::time::{interval, sleep, sleep_until, Instant, MissedTickBehavior};
+use tokio::time::{interval, sleep_until, Instant, MissedTickBehavior};
 
 /// The stand-ins run late if one of their own timers is late by this much: half of what the rules allow.
 const LATE: Duration = Duration::from_millis(25);
@@ -30,11 +32,6 @@
 const SAMPLE: Duration = Duration::from_millis(500);
 /// After the last arrival: the longest deadline, and retries.
 const RUN_OUT: Duration = Duration::from_secs(6);
-/// After its grace a drained server's process ends; so much of the drain is left to what it has.
-const DRAIN_LEFT: Duration = Duration::from_millis(900);
-/// A server that drains waits no longer for what it has.
-const DRAIN_MOST: Duration = Duration::from_secs(4);
-const SUCCESSOR: Duration = Duration::from_millis(200);
 
 /// What a run gave.
 pub struct Outcome {
@@ -174,7 +171,7 @@
         let stage = stage.clone();
         spawn_local(async move {
             sleep_until(began + Duration::from_micros(timed.at)).await;
-            stage.bring_about(timed.fault).await;
+            stage.inject(timed.fault).await;
         });
     }
     let begun = Rc::new(Cell::new(0));
@@ -427,376 +424,4 @@
     fn note(&self, name: String) {
         self.world.recorder.note(What::Fault { name });
     }
-
-    /// Brings a fault about, and ends it.
-    async fn bring_about(self: Rc<Self>, fault: Fault) {
-        self.note(describe(&fault));
-        let span = |length: &Micros| Duration::from_micros(*length);
-        match &fault {
-            Fault::LimiterKilled { limiter, back } => {
-                let _busy = self.busy[*limiter].lock().await;
-                self.clients.down(*limiter);
-                self.limiters[*limiter].kill().await;
-                sleep(span(back)).await;
-                self.restart(*limiter).await;
-            }
-            Fault::LimiterRestarted { limiter } => {
-                let _busy = self.busy[*limiter].lock().await;
-                self.clients.down(*limiter);
-                self.limiters[*limiter].measure();
-                self.limiters[*limiter].leave().await;
-                self.restart(*limiter).await;
-            }
-            Fault::ServerKilled { server, back } => {
-                let server = &self.servers[*server];
-                let Some(process) = server.process() else {
-                    return;
-                };
-                server.kill().await;
-                self.discovery
-                    .withdraw(server, process.life, process.boot_ms);
-                sleep(span(back)).await;
-                self.start_server(server).await;
-            }
-            Fault::ServerReplaced { server } => self.replace(&self.servers[*server]).await,
-            Fault::ServerDrained { server, length } => {
-                let server = &self.servers[*server];
-                self.discovery.announce(server, Standing::Draining);
-                sleep(span(length)).await;
-                self.discovery.announce(server, Standing::Ready);
-            }
-            Fault::ServerStalled { server, length } => {
-                let Some(process) = self.servers[*server].process() else {
-                    return;
-                };
-                process.stall(true);
-                sleep(span(length)).await;
-                process.stall(false);
-            }
-            Fault::ServerSpoils {
-                server,
-                how,
-                share,
-                length,
-            } => {
-                let Some(process) = self.servers[*server].process() else {
-                    return;
-                };
-                process.spoil(Some((*how, *share)));
-                sleep(span(length)).await;
-                process.spoil(None);
-            }
-            Fault::ServerRefuses { server, length } => {
-                let Some(process) = self.servers[*server].process() else {
-                    return;
-                };
-                process.refuse(true);
-                sleep(span(length)).await;
-                process.refuse(false);
-            }
-            Fault::ServerMoved { server } => {
-                let server = &self.servers[*server];
-                let Some(process) = server.process() else {
-                    return;
-                };
-                if let Err(e) = server.move_away().await {
-                    *self.problem.borrow_mut() = Some(format!("a server's new address: {e}"));
-                    return;
-                }
-                self.discovery.announce(server, Standing::Ready);
-                sleep(self.notice() + Duration::from_secs(1)).await;
-                process.leave_old_addresses();
-            }
-            Fault::HallLost { hall, back } => {
-                let world = &self.world;
-                let cut = |way| {
-                    world
-                        .links
-                        .iter()
-                        .for_each(|links| links[*hall].set_cut(way));
-                };
-                let lost: Vec<_> = self
-                    .servers
-                    .iter()
-                    .filter(|server| world.hall(server.number) == *hall)
-                    .collect();
-                cut(Some(Way::Both));
-                for server in &lost {
-                    if let Some(process) = server.process() {
-                        self.discovery
-                            .withdraw(server, process.life, process.boot_ms);
-                    }
-                }
-                sleep(span(back)).await;
-                for server in &lost {
-                    server.kill().await;
-                }
-                cut(None);
-                for server in &lost {
-                    self.start_server(server).await;
-                }
-            }
-            Fault::LinkCut {
-                limiter,
-                hall,
-                way,
-                length,
-            } => {
-                let link = &self.world.links[*limiter][*hall];
-                link.set_cut(Some(*way));
-                sleep(span(length)).await;
-                link.set_cut(None);
-            }
-            Fault::LinkSlow {
-                limiter,
-                hall,
-                delay,
-                length,
-            } => {
-                let link = &self.world.links[*limiter][*hall];
-                link.set_delay(*delay);
-                sleep(span(length)).await;
-                link.set_delay(0);
-            }
-            Fault::PeersSplit { group, way, length } => {
-                self.split(Some(Split {
-                    group: group.clone(),
-                    way: *way,
-                }));
-                sleep(span(length)).await;
-                self.split(None);
-            }
-            Fault::PeersPoor {
-                loss,
-                delay,
-                length,
-            } => {
-                self.peers.make_poor(*loss, span(delay));
-                sleep(span(length)).await;
-                self.peers.make_poor(0.0, Duration::ZERO);
-            }
-            Fault::DiscoverySilent { length } => {
-                self.discovery.set_silent(true);
-                sleep(span(length)).await;
-                self.discovery.set_silent(false);
-            }
-            Fault::DiscoveryDead { length } => {
-                self.discovery.set_dead(true);
-                sleep(span(length)).await;
-                self.discovery.set_dead(false);
-            }
-            Fault::DiscoveryTells { how, group, length } => {
-                self.discovery.set_untrue(Some((*how, group.clone())));
-                sleep(span(length)).await;
-                self.discovery.set_untrue(None);
-            }
-            Fault::LimiterPaused { limiter, length } => {
-                let limiter = &self.limiters[*limiter];
-                limiter.pause(true);
-                sleep(TICK).await;
-                if !limiter.is_paused() {
-                    self.note(format!("limiter {} does not stand still", limiter.number));
-                }
-                sleep(span(length)).await;
-                limiter.pause(false);
-            }
-            Fault::DiskLies { limiter, lie } => {
-                while !self.limiters[*limiter].lie_said().exists() {
-                    if self.over.get() {
-                        return;
-                    }
-                    sleep(TICK).await;
-                }
-                return self.note(format!("the disk of limiter {limiter} lies: {lie}"));
-            }
-            Fault::LimiterStops {
-                limiter: number,
-                point,
-                length,
-                back,
-            } => {
-                let limiter = &self.limiters[*number];
-                while !limiter.is_paused() {
-                    if self.over.get() {
-                        return;
-                    }
-                    sleep(TICK).await;
-                }
-                self.note(format!("limiter {number} stands still at {point}"));
-                sleep(span(length)).await;
-                match back {
-                    Some(back) => self.clone().kill(*number, span(back)).await,
-                    None => limiter.pause(false),
-                }
-            }
-            Fault::LimiterHungUp { limiter } => self.limiters[*limiter].hang_up(),
-            Fault::CallersKilled { count, back } => {
-                let mut calls = self.discovery.calls();
-                let mut killing = Vec::new();
-                while let (true, Some(number)) = (killing.len() < *count, calls.recv().await) {
-                    killing.push(spawn_local(self.clone().kill_at_once(number, span(back))));
-                }
-                for killed in killing {
-                    _ = killed.await;
-                }
-            }
-            Fault::LimitersKilled { count, back } => {
-                let killing: Vec<_> = (0..*count)
-                    .map(|number| spawn_local(self.clone().kill(number, span(back))))
-                    .collect();
-                for killed in killing {
-                    _ = killed.await;
-                }
-            }
-            // Drawn into the schedule already; here they only last.
-            Fault::FirmHammers { length, .. } | Fault::Rush { length, .. } => {
-                sleep(span(length)).await;
-            }
-            Fault::FirmsHop { .. } => return,
-        }
-        self.note(format!("over: {}", describe(&fault)));
-    }
-
-    /// kill -9 to a limiter, which starts again after a while.
-    async fn kill(self: Rc<Self>, number: usize, back: Duration) {
-        let _busy = self.busy[number].lock().await;
-        self.clients.down(number);
-        self.limiters[number].kill().await;
-        sleep(back).await;
-        self.restart(number).await;
-    }
-
-    /// The same, while it may still be starting.
-    async fn kill_at_once(self: Rc<Self>, number: usize, back: Duration) {
-        self.clients.down(number);
-        self.limiters[number].kill().await;
-        self.kill(number, back).await;
-    }
-
-    /// A server is up again, cold, under whatever id it has now.
-    async fn start_server(&self, server: &Rc<Server>) {
-        if self.over.get() || server.process().is_some() {
-            return;
-        }
-        match server.start(true).await {
-            Ok(()) => self.discovery.announce(server, Standing::Ready),
-            Err(e) => {
-                *self.problem.borrow_mut() = Some(format!("server {} again: {e}", server.number));
-            }
-        }
-    }
-
-    /// All limiters have been told of a change after this.
-    fn notice(&self) -> Duration {
-        Duration::from_secs_f64(self.world.scenario.site.notice_ms[1] / 1000.0)
-    }
-
-    /// Drains a server, ends its process once that is done, and starts a successor at the same addresses.
-    async fn replace(&self, server: &Rc<Server>) {
-        let Some(process) = server.process() else {
-            return;
-        };
-        self.discovery.announce(server, Standing::Draining);
-        sleep(self.notice() + DRAIN_LEFT).await;
-        let latest = Instant::now() + DRAIN_MOST;
-        while !process.is_idle() && Instant::now() < latest {
-            sleep(TICK).await;
-        }
-        server.kill().await;
-        self.discovery
-            .withdraw(server, process.life, process.boot_ms);
-        server.generation.set(server.generation.get() + 1);
-        sleep(SUCCESSOR).await;
-        self.start_server(server).await;
-    }
-}
-
-/// A fault in words.
-pub fn describe(fault: &Fault) -> String {
-    match fault {
-        Fault::LimiterKilled { limiter, back } => {
-            format!(
-                "limiter {limiter} killed, back after {:.1} s",
-                seconds(*back)
-            )
-        }
-        Fault::LimiterRestarted { limiter } => format!("limiter {limiter} restarted"),
-        Fault::ServerKilled { server, back } => {
-            format!(
-                "server {server} killed, back cold after {:.1} s",
-                seconds(*back)
-            )
-        }
-        Fault::ServerReplaced { server } => format!("server {server} replaced"),
-        Fault::ServerDrained { server, .. } => format!("server {server} drained"),
-        Fault::ServerStalled { server, .. } => format!("server {server} stands still"),
-        Fault::ServerSpoils {
-            server, how, share, ..
-        } => {
-            format!(
-                "server {server} spoils {:.0} % of its answers: {how:?}",
-                share * 100.0
-            )
-        }
-        Fault::ServerRefuses { server, .. } => format!("server {server} refuses connections"),
-        Fault::ServerMoved { server } => format!("server {server} moved to another address"),
-        Fault::HallLost { hall, .. } => format!("hall {hall} lost"),
-        Fault::LinkCut {
-            limiter, hall, way, ..
-        } => {
-            format!("link of limiter {limiter} to hall {hall} cut: {way:?}")
-        }
-        Fault::LinkSlow {
-            limiter,
-            hall,
-            delay,
-            ..
-        } => {
-            format!(
-                "link of limiter {limiter} to hall {hall} slower by {:.0} ms",
-                seconds(*delay) * 1000.0
-            )
-        }
-        Fault::PeersSplit { group, way, .. } => {
-            format!("limiters {group:?} split from the rest: {way:?}")
-        }
-        Fault::PeersPoor { loss, .. } => {
-            format!("{:.0} % of the peers' messages lost", loss * 100.0)
-        }
-        Fault::DiscoverySilent { .. } => "discovery silent".into(),
-        Fault::DiscoveryDead { .. } => "the list service dead".into(),
-        Fault::DiscoveryTells { how, .. } => {
-            format!("the list service tells an untrue list: {how:?}")
-        }
-        Fault::LimiterPaused { limiter, length } => {
-            format!("limiter {limiter} paused for {:.1} s", seconds(*length))
-        }
-        Fault::DiskLies { limiter, lie } => {
-            format!("the disk of limiter {limiter} is to lie: {lie}")
-        }
-        Fault::LimiterStops { limiter, point, .. } => {
-            format!("limiter {limiter} is to stop at {point}")
-        }
-        Fault::LimiterHungUp { limiter } => format!("limiter {limiter} hung up"),
-        Fault::CallersKilled { count, back } => {
-            format!(
-                "the next {count} callers of the list service killed as they call, back after {:.1} s",
-                seconds(*back)
-            )
-        }
-        Fault::LimitersKilled { count, back } => {
-            format!(
-                "{count} limiters killed, back after {:.1} s",
-                seconds(*back)
-            )
-        }
-        Fault::FirmsHop { share } => format!("{:.0} % of the firms move", share * 100.0),
-        Fault::FirmHammers { plan, times, .. } => {
-            format!(
-                "a firm of plan {} asks {times} times its quota",
-                crate::figures::PLANS[*plan].name
-            )
-        }
-        Fault::Rush { times, .. } => format!("{times} times the load"),
-    }
 }
--- /dev/null
+++ b/crates/emberpin-testbed/src/site/fault_injection.rs
@@ -0,0 +1,428 @@
+//! Injects the faults of a scenario into a running site, and ends them.
+
+use super::{Stage, TICK};
+use crate::peers::Split;
+use crate::scenario::{Fault, Way};
+use crate::servers::{Process, Server};
+use crate::trace::{Micros, Standing};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::task::spawn_local;
+use tokio::time::{sleep, Instant};
+
+/// How much of its drain a server keeps for the requests that it has, after all limiters were notified.
+const DRAIN_REMAINDER: Duration = Duration::from_millis(900);
+/// The longest that a draining server waits for the requests that it has.
+const MAX_DRAIN: Duration = Duration::from_secs(4);
+/// The pause between the end of a replaced server and the start of its successor.
+const SUCCESSOR_DELAY: Duration = Duration::from_millis(200);
+/// For how long a moved server still answers at its old address after limiters were notified.
+const OLD_ADDRESS_GRACE: Duration = Duration::from_secs(1);
+
+/// Whether the trace is to have a line when a fault is over.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum FaultEnd {
+    /// It took effect and ended.
+    Over,
+    /// It had no effect that could end, or noted its end itself.
+    Silent,
+}
+
+fn duration(length: Micros) -> Duration {
+    Duration::from_micros(length)
+}
+
+impl Stage {
+    /// Injects a fault, and returns once it is over.
+    pub(super) async fn inject(self: Rc<Self>, fault: Fault) {
+        self.note(fault.to_string());
+        let end = match &fault {
+            Fault::LimiterKilled { .. }
+            | Fault::LimiterRestarted { .. }
+            | Fault::LimiterPaused { .. }
+            | Fault::DiskLies { .. }
+            | Fault::LimiterStops { .. }
+            | Fault::LimiterHungUp { .. }
+            | Fault::CallersKilled { .. }
+            | Fault::LimitersKilled { .. } => self.clone().inject_at_limiters(&fault).await,
+            Fault::ServerKilled { .. }
+            | Fault::ServerReplaced { .. }
+            | Fault::ServerDrained { .. }
+            | Fault::ServerStalled { .. }
+            | Fault::ServerSpoils { .. }
+            | Fault::ServerRefuses { .. }
+            | Fault::ServerMoved { .. }
+            | Fault::HallLost { .. } => self.inject_at_servers(&fault).await,
+            Fault::LinkCut { .. }
+            | Fault::LinkSlow { .. }
+            | Fault::PeersSplit { .. }
+            | Fault::PeersPoor { .. } => self.inject_at_links(&fault).await,
+            Fault::DiscoverySilent { .. }
+            | Fault::DiscoveryDead { .. }
+            | Fault::DiscoveryTells { .. } => self.inject_at_discovery(&fault).await,
+            // Drawn into the schedule already; here they only last.
+            Fault::FirmHammers { length, .. } | Fault::Rush { length, .. } => {
+                sleep(duration(*length)).await;
+                FaultEnd::Over
+            }
+            Fault::FirmsHop { .. } => FaultEnd::Silent,
+        };
+        if end == FaultEnd::Over {
+            self.note(format!("over: {fault}"));
+        }
+    }
+
+    async fn inject_at_limiters(self: Rc<Self>, fault: &Fault) -> FaultEnd {
+        match fault {
+            Fault::LimiterKilled { limiter, back } => {
+                self.kill_limiter(*limiter, duration(*back)).await;
+            }
+            Fault::LimiterRestarted { limiter } => self.restart_limiter(*limiter).await,
+            Fault::LimiterPaused { limiter, length } => {
+                self.pause_limiter(*limiter, duration(*length)).await;
+            }
+            Fault::DiskLies { limiter, lie } => {
+                self.wait_for_disk_lie(*limiter, lie).await;
+                return FaultEnd::Silent;
+            }
+            Fault::LimiterStops {
+                limiter,
+                point,
+                length,
+                back,
+            } => {
+                let back = back.map(duration);
+                return self
+                    .stop_limiter_at(*limiter, point, duration(*length), back)
+                    .await;
+            }
+            Fault::LimiterHungUp { limiter } => self.limiters[*limiter].hang_up(),
+            Fault::CallersKilled { count, back } => {
+                self.kill_callers(*count, duration(*back)).await;
+            }
+            Fault::LimitersKilled { count, back } => {
+                self.kill_limiters(*count, duration(*back)).await;
+            }
+            _ => return FaultEnd::Silent,
+        }
+        FaultEnd::Over
+    }
+
+    async fn inject_at_servers(&self, fault: &Fault) -> FaultEnd {
+        let injected = match fault {
+            Fault::ServerKilled { server, back } => self.kill_server(*server, *back).await,
+            Fault::ServerReplaced { server } => {
+                self.replace_server(&self.servers[*server]).await;
+                Some(())
+            }
+            Fault::ServerDrained { server, length } => {
+                self.drain_server(*server, *length).await;
+                Some(())
+            }
+            Fault::ServerStalled { server, length } => {
+                let set = |process: &Process, stalls| process.stall(stalls);
+                self.disturb_server(*server, *length, set).await
+            }
+            Fault::ServerSpoils {
+                server,
+                how,
+                share,
+                length,
+            } => {
+                let set = |process: &Process, spoils: bool| {
+                    process.spoil(spoils.then_some((*how, *share)));
+                };
+                self.disturb_server(*server, *length, set).await
+            }
+            Fault::ServerRefuses { server, length } => {
+                let set = |process: &Process, refuses| process.refuse(refuses);
+                self.disturb_server(*server, *length, set).await
+            }
+            Fault::ServerMoved { server } => self.move_server(*server).await,
+            Fault::HallLost { hall, back } => {
+                self.lose_hall(*hall, *back).await;
+                Some(())
+            }
+            _ => None,
+        };
+        injected.map_or(FaultEnd::Silent, |()| FaultEnd::Over)
+    }
+
+    async fn inject_at_links(&self, fault: &Fault) -> FaultEnd {
+        match fault {
+            Fault::LinkCut {
+                limiter,
+                hall,
+                way,
+                length,
+            } => {
+                let link = &self.world.links[*limiter][*hall];
+                link.set_cut(Some(*way));
+                sleep(duration(*length)).await;
+                link.set_cut(None);
+            }
+            Fault::LinkSlow {
+                limiter,
+                hall,
+                delay,
+                length,
+            } => {
+                let link = &self.world.links[*limiter][*hall];
+                link.set_delay(*delay);
+                sleep(duration(*length)).await;
+                link.set_delay(0);
+            }
+            Fault::PeersSplit { group, way, length } => {
+                self.split(Some(Split {
+                    group: group.clone(),
+                    way: *way,
+                }));
+                sleep(duration(*length)).await;
+                self.split(None);
+            }
+            Fault::PeersPoor {
+                loss,
+                delay,
+                length,
+            } => {
+                self.peers.make_poor(*loss, duration(*delay));
+                sleep(duration(*length)).await;
+                self.peers.make_poor(0.0, Duration::ZERO);
+            }
+            _ => return FaultEnd::Silent,
+        }
+        FaultEnd::Over
+    }
+
+    async fn inject_at_discovery(&self, fault: &Fault) -> FaultEnd {
+        let discovery = &self.discovery;
+        match fault {
+            Fault::DiscoverySilent { length } => {
+                discovery.set_silent(true);
+                sleep(duration(*length)).await;
+                discovery.set_silent(false);
+            }
+            Fault::DiscoveryDead { length } => {
+                discovery.set_dead(true);
+                sleep(duration(*length)).await;
+                discovery.set_dead(false);
+            }
+            Fault::DiscoveryTells { how, group, length } => {
+                discovery.set_untrue(Some((*how, group.clone())));
+                sleep(duration(*length)).await;
+                discovery.set_untrue(None);
+            }
+            _ => return FaultEnd::Silent,
+        }
+        FaultEnd::Over
+    }
+
+    // ---- limiters
+
+    /// Kills a limiter, which starts again after a while.
+    async fn kill_limiter(&self, number: usize, back: Duration) {
+        let _busy = self.busy[number].lock().await;
+        self.clients.down(number);
+        self.limiters[number].kill().await;
+        sleep(back).await;
+        self.restart(number).await;
+    }
+
+    /// The same, while it may still be starting.
+    async fn kill_starting_limiter(&self, number: usize, back: Duration) {
+        self.clients.down(number);
+        self.limiters[number].kill().await;
+        self.kill_limiter(number, back).await;
+    }
+
+    async fn restart_limiter(&self, number: usize) {
+        let _busy = self.busy[number].lock().await;
+        self.clients.down(number);
+        self.limiters[number].measure();
+        self.limiters[number].leave().await;
+        self.restart(number).await;
+    }
+
+    async fn pause_limiter(&self, number: usize, length: Duration) {
+        let limiter = &self.limiters[number];
+        limiter.pause(true);
+        sleep(TICK).await;
+        if !limiter.is_paused() {
+            self.note(format!("limiter {number} does not stand still"));
+        }
+        sleep(length).await;
+        limiter.pause(false);
+    }
+
+    /// Waits until the limiter's disk has lied, or the run is over.
+    async fn wait_for_disk_lie(&self, number: usize, lie: &str) {
+        while !self.limiters[number].lie_said().exists() {
+            if self.over.get() {
+                return;
+            }
+            sleep(TICK).await;
+        }
+        self.note(format!("the disk of limiter {number} lies: {lie}"));
+    }
+
+    /// Waits until the limiter stops itself at a point of its code, and kills it or has it go on after a while.
+    async fn stop_limiter_at(
+        &self,
+        number: usize,
+        point: &str,
+        length: Duration,
+        back: Option<Duration>,
+    ) -> FaultEnd {
+        let limiter = &self.limiters[number];
+        while !limiter.is_paused() {
+            if self.over.get() {
+                return FaultEnd::Silent;
+            }
+            sleep(TICK).await;
+        }
+        self.note(format!("limiter {number} stands still at {point}"));
+        sleep(length).await;
+        match back {
+            Some(back) => self.kill_limiter(number, back).await,
+            None => limiter.pause(false),
+        }
+        FaultEnd::Over
+    }
+
+    /// Kills the next limiters that call the discovery service, each as it calls.
+    async fn kill_callers(self: Rc<Self>, count: usize, back: Duration) {
+        let mut calls = self.discovery.calls();
+        let mut killing = Vec::new();
+        while let (true, Some(number)) = (killing.len() < count, calls.recv().await) {
+            let stage = self.clone();
+            killing.push(spawn_local(async move {
+                stage.kill_starting_limiter(number, back).await;
+            }));
+        }
+        for killed in killing {
+            _ = killed.await;
+        }
+    }
+
+    async fn kill_limiters(self: Rc<Self>, count: usize, back: Duration) {
+        let kill = |number| {
+            let stage = self.clone();
+            spawn_local(async move { stage.kill_limiter(number, back).await })
+        };
+        let killing: Vec<_> = (0..count).map(kill).collect();
+        for killed in killing {
+            _ = killed.await;
+        }
+    }
+
+    // ---- servers
+
+    /// Has a server's process misbehave for a while; `None` if it does not run.
+    async fn disturb_server(
+        &self,
+        server: usize,
+        length: Micros,
+        set: impl Fn(&Process, bool),
+    ) -> Option<()> {
+        let process = self.servers[server].process()?;
+        set(&process, true);
+        sleep(duration(length)).await;
+        set(&process, false);
+        Some(())
+    }
+
+    async fn kill_server(&self, server: usize, back: Micros) -> Option<()> {
+        let server = &self.servers[server];
+        let process = server.process()?;
+        server.kill().await;
+        self.discovery
+            .withdraw(server, process.life, process.boot_ms);
+        sleep(duration(back)).await;
+        self.start_server(server).await;
+        Some(())
+    }
+
+    async fn drain_server(&self, server: usize, length: Micros) {
+        let server = &self.servers[server];
+        self.discovery.announce(server, Standing::Draining);
+        sleep(duration(length)).await;
+        self.discovery.announce(server, Standing::Ready);
+    }
+
+    async fn move_server(&self, server: usize) -> Option<()> {
+        let server = &self.servers[server];
+        let process = server.process()?;
+        if let Err(e) = server.move_away().await {
+            *self.problem.borrow_mut() = Some(format!("a server's new address: {e}"));
+            return None;
+        }
+        self.discovery.announce(server, Standing::Ready);
+        sleep(self.notice() + OLD_ADDRESS_GRACE).await;
+        process.leave_old_addresses();
+        Some(())
+    }
+
+    /// Cuts a hall off, and restarts its servers before it is back.
+    async fn lose_hall(&self, hall: usize, back: Micros) {
+        let in_hall = |server: &&Rc<Server>| self.world.hall(server.number) == hall;
+        let lost: Vec<_> = self.servers.iter().filter(in_hall).collect();
+        self.set_hall_cut(hall, Some(Way::Both));
+        for server in &lost {
+            if let Some(process) = server.process() {
+                self.discovery
+                    .withdraw(server, process.life, process.boot_ms);
+            }
+        }
+        sleep(duration(back)).await;
+        for server in &lost {
+            server.kill().await;
+        }
+        self.set_hall_cut(hall, None);
+        for server in &lost {
+            self.start_server(server).await;
+        }
+    }
+
+    fn set_hall_cut(&self, hall: usize, way: Option<Way>) {
+        for links in &self.world.links {
+            links[hall].set_cut(way);
+        }
+    }
+
+    /// A server is up again, cold, under whatever id it has now.
+    async fn start_server(&self, server: &Rc<Server>) {
+        if self.over.get() || server.process().is_some() {
+            return;
+        }
+        match server.start(true).await {
+            Ok(()) => self.discovery.announce(server, Standing::Ready),
+            Err(e) => {
+                *self.problem.borrow_mut() = Some(format!("server {} again: {e}", server.number));
+            }
+        }
+    }
+
+    /// After this time all limiters have been notified of a change.
+    fn notice(&self) -> Duration {
+        Duration::from_secs_f64(self.world.scenario.site.notice_ms[1] / 1000.0)
+    }
+
+    /// Drains a server, ends its process once that is done, and starts a successor at the same addresses.
+    async fn replace_server(&self, server: &Rc<Server>) {
+        let Some(process) = server.process() else {
+            return;
+        };
+        self.discovery.announce(server, Standing::Draining);
+        sleep(self.notice() + DRAIN_REMAINDER).await;
+        let latest = Instant::now() + MAX_DRAIN;
+        while !process.is_idle() && Instant::now() < latest {
+            sleep(TICK).await;
+        }
+        server.kill().await;
+        self.discovery
+            .withdraw(server, process.life, process.boot_ms);
+        server.generation.set(server.generation.get() + 1);
+        sleep(SUCCESSOR_DELAY).await;
+        self.start_server(server).await;
+    }
+}
