--- a/crates/emberpin-testbed/src/bin/cold-start.rs
+++ b/crates/emberpin-testbed/src/bin/cold-start.rs
@@ -112,7 +112,8 @@
                     Needs::of(&scenario.site, false)
                 );
             }
-            let outcome = run(&scenario, &line.program()?, |_| ())?;
+            let outcome =
+                run(&scenario, &line.program()?, |_| ()).map_err(|error| error.to_string())?;
             if outcome.judgement.is_broken() {
                 sound = false;
                 eprintln!(
--- a/crates/emberpin-testbed/src/lib.rs
+++ b/crates/emberpin-testbed/src/lib.rs
@@ -8,6 +8,7 @@
 
 pub mod clients;
 pub mod discovery;
+pub mod error;
 pub mod figures;
 pub mod http;
 pub mod link;
--- a/crates/emberpin-testbed/src/main.rs
+++ b/crates/emberpin-testbed/src/main.rs
@@ -104,7 +104,8 @@
     println!("{}: {}", scenario.name, scenario.about);
     println!("it {}", Needs::of(&scenario.site, program.links));
     let shown = Shown::new(scenario.length);
-    let outcome = site::run(&scenario, &program, move |progress| shown.show(progress))?;
+    let outcome = site::run(&scenario, &program, move |progress| shown.show(progress))
+        .map_err(|error| error.to_string())?;
     let summary = Summary::of(&outcome);
     println!("{}", summary.to_text());
     line.write(&outcome, &summary)?;
--- a/crates/emberpin-testbed/src/needs.rs
+++ b/crates/emberpin-testbed/src/needs.rs
@@ -1,5 +1,6 @@
 //! What a run takes of the machine, told before it starts: descriptors of this process, and memory.
 
+use crate::error::ResourceError;
 use crate::links::MESH;
 use crate::scenario::Site;
 use nix::sys::resource::{getrlimit, setrlimit, Resource};
@@ -47,24 +48,24 @@
     ///
     /// # Errors
     ///
-    /// One line with the figure that is not there, and what would do.
-    pub fn check(&self) -> Result<(), String> {
-        let limit = |e| format!("the limit on descriptors: {e}");
+    /// [`ResourceError`], with the figure that is not there, and what would do.
+    pub fn check(&self) -> Result<(), ResourceError> {
+        let limit = ResourceError::DescriptorLimit;
         let (soft, hard) = getrlimit(Resource::RLIMIT_NOFILE).map_err(limit)?;
         if soft < self.descriptors {
             if hard < self.descriptors {
-                return Err(format!(
-                    "this site needs {} descriptors, and this machine gives {hard}: take fewer limiters or servers",
-                    self.descriptors
-                ));
+                return Err(ResourceError::Descriptors {
+                    needed: self.descriptors,
+                    available: hard,
+                });
             }
             setrlimit(Resource::RLIMIT_NOFILE, self.descriptors, hard).map_err(limit)?;
         }
         match available_mib() {
-            Some(there) if there < self.memory_mib => Err(format!(
-                "this site needs {} MiB of memory, and {there} are available: take fewer limiters",
-                self.memory_mib
-            )),
+            Some(available) if available < self.memory_mib => Err(ResourceError::Memory {
+                needed: self.memory_mib,
+                available,
+            }),
             _ => Ok(()),
         }
     }
@@ -105,12 +106,14 @@
         };
         assert!(needs
             .check()
-            .is_err_and(|e| e.contains(&needs.descriptors.to_string())));
+            .is_err_and(|e| e.to_string().contains(&needs.descriptors.to_string())));
         let needs = Needs {
             descriptors: 1,
             memory_mib: 1 << 40,
         };
-        assert!(needs.check().is_err_and(|e| e.contains("MiB of memory")));
+        assert!(needs
+            .check()
+            .is_err_and(|e| e.to_string().contains("MiB of memory")));
         let site = Site {
             limiters: 300,
             servers: 20,
--- a/crates/emberpin-testbed/src/process.rs
+++ b/crates/emberpin-testbed/src/process.rs
@@ -1,5 +1,6 @@
 //! Limiters as processes of their own: started, watched, killed, measured. A limiter is met on sockets only.
 
+use crate::error::{LimiterError, LimiterFile};
 use crate::http::Wire;
 use crate::scenario::Site;
 use crate::settings;
@@ -106,18 +107,18 @@
     ///
     /// # Errors
     ///
-    /// It does not start, or does not become ready.
-    pub async fn start(self: &Rc<Self>, config: Value) -> Result<bool, String> {
+    /// [`LimiterError`]: it does not start, or does not become ready.
+    pub async fn start(self: &Rc<Self>, config: Value) -> Result<bool, LimiterError> {
         let number = self.number;
         let file = self.folder.join(format!("limiter-{number}.json"));
         let log = self.folder.join(format!("limiter-{number}.log"));
-        let context = |what: &str, e: std::io::Error| format!("limiter {number}: {what}: {e}");
-        std::fs::write(&file, config.to_string()).map_err(|e| context("its configuration", e))?;
+        std::fs::write(&file, config.to_string())
+            .map_err(self.file_error(LimiterFile::Configuration))?;
         let log_file = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
             .open(&log);
-        let log_file = log_file.map_err(|e| context("its log", e))?;
+        let log_file = log_file.map_err(self.file_error(LimiterFile::Log))?;
         let with_log = self.with_log(&file)?;
         let mut child = Command::new(&self.program.path)
             .args(&self.program.arguments)
@@ -136,7 +137,7 @@
             .stderr(log_file)
             .kill_on_drop(true)
             .spawn()
-            .map_err(|e| context(&format!("cannot start {}", self.program.path.display()), e))?;
+            .map_err(|source| self.spawn_error(source))?;
         self.pid.set(child.id());
         self.expected.set(None);
         self.ended.send_replace(false);
@@ -151,11 +152,14 @@
         let started = tokio::select! {
             ended = child.wait() => {
                 let said = std::fs::read_to_string(&log).unwrap_or_default();
-                let last = said.lines().last().unwrap_or("nothing").to_string();
-                Err(format!("limiter {number} ended before it was ready ({ended:?}); it said: {last}"))
+                Err(LimiterError::Ended {
+                    number,
+                    status: format!("{ended:?}"),
+                    last_line: said.lines().last().unwrap_or("nothing").to_string(),
+                })
             }
             late = tokio::time::timeout(START, ready) => {
-                late.map_err(|_| format!("limiter {number} is not ready after {} s", START.as_secs()))
+                late.map_err(|_| LimiterError::NotReady { number, seconds: START.as_secs() })
             }
         };
         if let Err(problem) = started {
@@ -172,8 +176,26 @@
         Ok(true)
     }
 
+    /// For `map_err`: a file of this limiter could not be made.
+    fn file_error(&self, file: LimiterFile) -> impl FnOnce(std::io::Error) -> LimiterError {
+        let number = self.number;
+        move |source| LimiterError::File {
+            number,
+            file,
+            source,
+        }
+    }
+
+    fn spawn_error(&self, source: std::io::Error) -> LimiterError {
+        LimiterError::Spawn {
+            number: self.number,
+            program: self.program.path.clone(),
+            source,
+        }
+    }
+
     /// The arguments that give it a log; before its first start the log is begun, as an operator does it.
-    fn with_log(&self, config: &Path) -> Result<Vec<OsString>, String> {
+    fn with_log(&self, config: &Path) -> Result<Vec<OsString>, LimiterError> {
         if !self.program.logs {
             return Ok(Vec::new());
         }
@@ -182,8 +204,7 @@
             "[log]\nfolder = \"{}/log-{{name}}\"\n",
             self.folder.display()
         );
-        std::fs::write(&file, table)
-            .map_err(|e| format!("limiter {}: its operator file: {e}", self.number))?;
+        std::fs::write(&file, table).map_err(self.file_error(LimiterFile::Operator))?;
         let with = vec!["--with".into(), file.into_os_string()];
         if self.usage.get().starts == 0 {
             let begun = std::process::Command::new(&self.program.path)
@@ -192,14 +213,12 @@
                 .args(["log", "init"])
                 .env("GW_CONFIG", config)
                 .output();
-            let begun =
-                begun.map_err(|e| format!("cannot start {}: {e}", self.program.path.display()))?;
+            let begun = begun.map_err(|source| self.spawn_error(source))?;
             if !begun.status.success() {
-                let said = String::from_utf8_lossy(&begun.stderr).trim().to_string();
-                return Err(format!(
-                    "limiter {}: its log is not begun: {said}",
-                    self.number
-                ));
+                return Err(LimiterError::LogInit {
+                    number: self.number,
+                    output: String::from_utf8_lossy(&begun.stderr).trim().to_string(),
+                });
             }
         }
         Ok(with)
--- a/crates/emberpin-testbed/src/scenario.rs
+++ b/crates/emberpin-testbed/src/scenario.rs
@@ -236,92 +236,92 @@
 pub enum Fault {
     /// kill -9; the limiter starts again after `back`.
     LimiterKilled {
-        /// Which.
+        /// The limiter's number, from 0.
         limiter: usize,
-        /// After how long.
+        /// The time from the fault to the next start.
         back: Micros,
     },
     /// SIGTERM; it starts again as soon as it has left.
     LimiterRestarted {
-        /// Which.
+        /// The limiter's number, from 0.
         limiter: usize,
     },
     /// Its process dies; the same server comes back cold.
     ServerKilled {
-        /// Which.
+        /// The server's number, from 0.
         server: usize,
-        /// After how long.
+        /// The time from the fault to the next start.
         back: Micros,
     },
     /// It drains, and a successor with a new id starts cold at the same address.
     ServerReplaced {
-        /// Which.
+        /// The server's number, from 0.
         server: usize,
     },
     /// It drains for a while and then takes work again.
     ServerDrained {
-        /// Which.
+        /// The server's number, from 0.
         server: usize,
-        /// How long.
+        /// How long the fault lasts.
         length: Micros,
     },
     /// It stands still: takes connections, answers nothing.
     ServerStalled {
-        /// Which.
+        /// The server's number, from 0.
         server: usize,
-        /// How long.
+        /// How long the fault lasts.
         length: Micros,
     },
     /// It spoils answers.
     ServerSpoils {
-        /// Which.
+        /// The server's number, from 0.
         server: usize,
-        /// How.
+        /// What is wrong with it.
         how: Spoil,
         /// What share of them.
         share: f64,
-        /// How long.
+        /// How long the fault lasts.
         length: Micros,
     },
     /// It takes no new connections.
     ServerRefuses {
-        /// Which.
+        /// The server's number, from 0.
         server: usize,
-        /// How long.
+        /// How long the fault lasts.
         length: Micros,
     },
     /// It listens elsewhere from now on; discovery tells so.
     ServerMoved {
-        /// Which.
+        /// The server's number, from 0.
         server: usize,
     },
     /// All servers of a hall fall silent and come back cold.
     HallLost {
-        /// Which.
+        /// The hall's number, from 0.
         hall: usize,
-        /// After how long.
+        /// The time from the fault to the next start.
         back: Micros,
     },
     /// The link between a limiter and a hall is cut.
     LinkCut {
-        /// Which limiter.
+        /// The limiter's number, from 0.
         limiter: usize,
-        /// Which hall.
+        /// The hall's number, from 0.
         hall: usize,
-        /// Which way.
+        /// The direction in which nothing passes.
         way: Way,
-        /// How long.
+        /// How long the fault lasts.
         length: Micros,
     },
     /// The link between a limiter and a hall is slow.
     LinkSlow {
-        /// Which limiter.
+        /// The limiter's number, from 0.
         limiter: usize,
-        /// Which hall.
+        /// The hall's number, from 0.
         hall: usize,
         /// So much later each way.
         delay: Micros,
-        /// How long.
+        /// How long the fault lasts.
         length: Micros,
     },
     /// Limiters hear only those of their own group.
@@ -330,7 +330,7 @@
         group: Vec<usize>,
         /// Which way nothing passes, as the group sees it.
         way: Way,
-        /// How long.
+        /// How long the fault lasts.
         length: Micros,
     },
     /// Messages between limiters are lost or late, and overtake each other.
@@ -339,70 +339,70 @@
         loss: f64,
         /// The rest comes up to so much later.
         delay: Micros,
-        /// How long.
+        /// How long the fault lasts.
         length: Micros,
     },
     /// Discovery tells nothing.
     DiscoverySilent {
-        /// How long.
+        /// How long the fault lasts.
         length: Micros,
     },
     /// The list service is dead: watches break, and calls are reset.
     DiscoveryDead {
-        /// How long.
+        /// How long the fault lasts.
         length: Micros,
     },
     /// The list service tells whole lists that are not so.
     DiscoveryTells {
-        /// What it tells.
+        /// What is wrong with it.
         how: Untrue,
         /// To whom; to all without it.
         group: Option<Vec<usize>>,
-        /// How long.
+        /// How long the fault lasts.
         length: Micros,
     },
     /// SIGSTOP; SIGCONT follows.
     LimiterPaused {
-        /// Which.
+        /// The limiter's number, from 0.
         limiter: usize,
-        /// How long.
+        /// How long the fault lasts.
         length: Micros,
     },
     /// It stands still when it meets a point of its code for the Nth time, in its first life; test builds only.
     LimiterStops {
-        /// Which.
+        /// The limiter's number, from 0.
         limiter: usize,
         /// The point and which time, as its environment has it.
         point: String,
-        /// For how long.
+        /// How long the fault lasts.
         length: Micros,
         /// It is killed then and not woken, and starts again after so long.
         back: Option<Micros>,
     },
     /// The disk under its log lies, in all its lives; test builds only.
     DiskLies {
-        /// Which.
+        /// The limiter's number, from 0.
         limiter: usize,
         /// How, and from which append on, as its environment has it.
         lie: String,
     },
     /// kill -9 to the first limiters of a share at one instant; they start again.
     LimitersKilled {
-        /// How many.
+        /// How many limiters are affected.
         count: usize,
-        /// After how long.
+        /// The time from the fault to the next start.
         back: Micros,
     },
     /// SIGHUP.
     LimiterHungUp {
-        /// Which.
+        /// The limiter's number, from 0.
         limiter: usize,
     },
     /// kill -9 to the next limiters that call the list service, each just as it calls; they start again.
     CallersKilled {
-        /// How many.
+        /// How many limiters are affected.
         count: usize,
-        /// After how long.
+        /// The time from the fault to the next start.
         back: Micros,
     },
     /// Customers move to others of their limiters at one stroke.
@@ -412,18 +412,18 @@
     },
     /// The first customer of a plan asks for a multiple of its quota, and never waits as advised.
     FirmHammers {
-        /// Which plan.
+        /// The index of the plan.
         plan: usize,
-        /// The multiple.
+        /// The multiple of the usual load.
         times: f64,
-        /// How long.
+        /// How long the fault lasts.
         length: Micros,
     },
     /// All customers ask for so many times as much.
     Rush {
-        /// The multiple.
+        /// The multiple of the usual load.
         times: f64,
-        /// How long.
+        /// How long the fault lasts.
         length: Micros,
     },
 }
--- a/crates/emberpin-testbed/src/site.rs
+++ b/crates/emberpin-testbed/src/site.rs
@@ -5,6 +5,7 @@
 
 use crate::clients::Clients;
 use crate::discovery::Discovery;
+use crate::error::{SiteError, StandIn};
 use crate::links::LinkNet;
 use crate::needs::Needs;
 use crate::peers::{PeerNet, Split};
@@ -73,16 +74,16 @@
 ///
 /// # Errors
 ///
-/// What kept the site from standing up, or a limiter from starting again, in one line.
+/// [`SiteError`], if the site did not start, or a server or limiter did not start again after a fault.
 pub fn run(
     scenario: &Scenario,
     program: &Program,
     progress: impl Fn(Progress) + 'static,
-) -> Result<Outcome, String> {
+) -> Result<Outcome, SiteError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
+    let runtime = runtime.map_err(SiteError::Runtime)?;
     LocalSet::new().block_on(
         &runtime,
         play(scenario.clone(), program.clone(), Rc::new(progress)),
@@ -93,12 +94,13 @@
 struct Folder(PathBuf);
 
 impl Folder {
-    fn make(number: u32) -> Result<Folder, String> {
+    fn make(number: u32) -> Result<Folder, SiteError> {
         let path =
             std::env::temp_dir().join(format!("emberpin-testbed-{}-{number}", std::process::id()));
-        std::fs::create_dir_all(&path)
-            .map_err(|e| format!("cannot make {}: {e}", path.display()))?;
-        Ok(Folder(path))
+        match std::fs::create_dir_all(&path) {
+            Ok(()) => Ok(Folder(path)),
+            Err(source) => Err(SiteError::Folder { path, source }),
+        }
     }
 }
 
@@ -127,7 +129,8 @@
     /// One fault at a time does something to a limiter's process.
     busy: Vec<Mutex<()>>,
     clients: Rc<Clients>,
-    problem: RefCell<Option<String>>,
+    /// What a fault left that could not be started again; it ends the run.
+    problem: RefCell<Option<SiteError>>,
     /// Nothing is started any more.
     over: Cell<bool>,
 }
@@ -136,7 +139,7 @@
     scenario: Scenario,
     program: Program,
     progress: Rc<dyn Fn(Progress)>,
-) -> Result<Outcome, String> {
+) -> Result<Outcome, SiteError> {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let folder = Folder::make(number)?;
@@ -233,12 +236,16 @@
 }
 
 /// Starts all servers, and lists them.
-async fn stand_up(servers: &[Rc<Server>], discovery: &Discovery, cold: bool) -> Result<(), String> {
+async fn stand_up(
+    servers: &[Rc<Server>],
+    discovery: &Discovery,
+    cold: bool,
+) -> Result<(), SiteError> {
     for server in servers {
         server
             .start(cold)
             .await
-            .map_err(|e| format!("server {}: {e}", server.number))?;
+            .map_err(SiteError::stand_in(StandIn::Server(server.number)))?;
         discovery.list(server);
     }
     Ok(())
@@ -251,11 +258,7 @@
         program: Program,
         folder: &Folder,
         host: Ipv4Addr,
-    ) -> Result<Rc<Stage>, String> {
-        let text = |what: &str| {
-            let what = what.to_string();
-            move |e: std::io::Error| format!("{what}: {e}")
-        };
+    ) -> Result<Rc<Stage>, SiteError> {
         Needs::of(&scenario.site, program.links).check()?;
         let schedule = Schedule::draw(&scenario);
         let (site, seed) = (scenario.site.clone(), scenario.seed);
@@ -263,23 +266,24 @@
         let world = World::new(recorder.clone(), scenario, schedule, host);
         let mut servers = Vec::new();
         for number in 0..site.servers {
-            let server = Server::new(world.clone(), number).map_err(text("a server's port"))?;
+            let server = Server::new(world.clone(), number)
+                .map_err(SiteError::stand_in(StandIn::ServerPort))?;
             servers.push(server);
         }
         let discovery = Discovery::start(world.clone())
             .await
-            .map_err(text("discovery"))?;
+            .map_err(SiteError::stand_in(StandIn::Discovery))?;
         if !site.together {
             stand_up(&servers, &discovery, site.cold).await?;
         }
         let peers = PeerNet::start(&world)
             .await
-            .map_err(text("the peers' network"))?;
+            .map_err(SiteError::stand_in(StandIn::PeerNetwork))?;
         let links = match program.links {
             true => Some(
                 LinkNet::start(&world, site.limiters)
                     .await
-                    .map_err(text("the links between limiters"))?,
+                    .map_err(SiteError::stand_in(StandIn::LinkNetwork))?,
             ),
             false => None,
         };
@@ -289,12 +293,14 @@
             if let Some(links) = &links {
                 let file = links
                     .write(&folder.0, number, seed)
-                    .map_err(text("a limiter's link"))?;
+                    .map_err(SiteError::stand_in(StandIn::LinkFile))?;
                 program
                     .arguments
                     .extend(["--with".into(), file.into_os_string()]);
             }
-            let address = world.address().map_err(text("a limiter's port"))?;
+            let address = world
+                .address()
+                .map_err(SiteError::stand_in(StandIn::LimiterPort))?;
             let recorder = recorder.clone();
             let limiter = Limiter::new(number, address, recorder, program, &folder.0, seed);
             for fault in &world.scenario.faults {
@@ -330,24 +336,21 @@
             })
             .collect();
         for started in starting {
-            started
-                .await
-                .map_err(|e| format!("a limiter's start: {e}"))??;
+            started.await??;
         }
         Ok(stage)
     }
 
-    async fn start_limiter(&self, number: usize) -> Result<bool, String> {
+    async fn start_limiter(&self, number: usize) -> Result<bool, SiteError> {
         let limiter = &self.limiters[number];
         let peers = self
             .peers
             .addresses(number)
-            .map_err(|e| format!("the peers' network: {e}"))?;
+            .map_err(SiteError::stand_in(StandIn::PeerNetwork))?;
         let site = &self.world.scenario.site;
         let known = self.discovery.known(number);
-        limiter
-            .start(limiter.config(site, self.discovery.address(number), known, peers))
-            .await
+        let config = limiter.config(site, self.discovery.address(number), known, peers);
+        Ok(limiter.start(config).await?)
     }
 
     /// Splits the limiters' datagrams and links.
--- a/crates/emberpin-testbed/src/site/fault_injection.rs
+++ b/crates/emberpin-testbed/src/site/fault_injection.rs
@@ -1,6 +1,7 @@
 //! Injects the faults of a scenario into a running site, and ends them.
 
 use super::{Stage, TICK};
+use crate::error::{SiteError, StandIn};
 use crate::peers::Split;
 use crate::scenario::{Fault, Way};
 use crate::servers::{Process, Server};
@@ -352,8 +353,8 @@
     async fn move_server(&self, server: usize) -> Option<()> {
         let server = &self.servers[server];
         let process = server.process()?;
-        if let Err(e) = server.move_away().await {
-            *self.problem.borrow_mut() = Some(format!("a server's new address: {e}"));
+        if let Err(source) = server.move_away().await {
+            self.fail(SiteError::stand_in(StandIn::NewAddress)(source));
             return None;
         }
         self.discovery.announce(server, Standing::Ready);
@@ -389,6 +390,11 @@
         }
     }
 
+    /// Ends the run with this error.
+    fn fail(&self, error: SiteError) {
+        *self.problem.borrow_mut() = Some(error);
+    }
+
     /// A server is up again, cold, under whatever id it has now.
     async fn start_server(&self, server: &Rc<Server>) {
         if self.over.get() || server.process().is_some() {
@@ -396,9 +402,7 @@
         }
         match server.start(true).await {
             Ok(()) => self.discovery.announce(server, Standing::Ready),
-            Err(e) => {
-                *self.problem.borrow_mut() = Some(format!("server {} again: {e}", server.number));
-            }
+            Err(source) => self.fail(SiteError::stand_in(StandIn::Server(server.number))(source)),
         }
     }
 
--- a/crates/emberpin-testbed/tests/catches.rs
+++ b/crates/emberpin-testbed/tests/catches.rs
@@ -5,6 +5,7 @@
 #[path = "common/turns.rs"]
 mod turns;
 
+use emberpin_testbed::error::SiteError;
 use emberpin_testbed::process::Program;
 use emberpin_testbed::referee::Rule;
 use emberpin_testbed::report::stories;
@@ -38,7 +39,7 @@
 }
 
 /// Plays a scenario once it is its turn.
-fn run_in_turn(scenario: &Scenario, program: &Program) -> Result<Outcome, String> {
+fn run_in_turn(scenario: &Scenario, program: &Program) -> Result<Outcome, SiteError> {
     let _turn = Turn::take();
     run(scenario, program, |_| ())
 }
@@ -210,14 +211,18 @@
         logs: false,
         links: false,
     };
-    let problem = run_in_turn(&scenario, &nobody).err().expect("no limiter");
+    let problem = run_in_turn(&scenario, &nobody)
+        .err()
+        .expect("no limiter")
+        .to_string();
     assert!(
         problem.contains("cannot start /nonexistent/limiter"),
         "{problem}"
     );
     let problem = run_in_turn(&scenario, &wrong("what"))
         .err()
-        .expect("ends at once");
+        .expect("ends at once")
+        .to_string();
     assert!(
         problem.contains("ended before it was ready") && problem.contains("unknown wrong"),
         "{problem}"
@@ -232,7 +237,8 @@
     let began = std::time::Instant::now();
     let problem = run_in_turn(&scenario, &wrong("starts-once"))
         .err()
-        .expect("it does not start again");
+        .expect("it does not start again")
+        .to_string();
     assert!(
         problem.contains("ended before it was ready") && problem.contains("only once"),
         "{problem}"
