--- a/crates/emberpin-proxy/src/controller/configuration.rs
+++ b/crates/emberpin-proxy/src/controller/configuration.rs
@@ -11,6 +11,7 @@
     /// ones.
     pub(super) fn apply_configuration(&mut self) {
         let routes: Vec<Route> = effective_routes(&self.configuration);
+        self.retain_split_draws(&routes);
         self.router.routes.replace(routes);
         self.update_in_flight_routes();
         let mut warmup_profiles = HashMap::new();
@@ -32,6 +33,13 @@
         self.apply_evacuations(evacuated_zones);
     }
 
+    /// Drops the draws of routes that are no longer in force.
+    fn retain_split_draws(&mut self, routes: &[Route]) {
+        let names: BTreeSet<&str> = routes.iter().map(|route| route.name.as_str()).collect();
+        self.split_draws
+            .retain(|name, _| names.contains(name.as_str()));
+    }
+
     fn apply_limits(&self, limits: &Limits) {
         self.published
             .set_size_limits(limits.max_header_bytes, limits.max_body_bytes);
--- a/crates/emberpin-proxy/src/controller/mod.rs
+++ b/crates/emberpin-proxy/src/controller/mod.rs
@@ -25,7 +25,7 @@
 use emberpin_balancer::RequestId;
 use emberpin_config::Configuration;
 use emberpin_limiter::host::{Input, Pool, Reception, HEAD_BYTES};
-use emberpin_routing::{RetryBudget, Router, WarmupTolerance};
+use emberpin_routing::{DrawSequence, RetryBudget, Router, WarmupTolerance};
 use emberpin_runtime::metrics::GAUGE_PERIOD;
 use emberpin_runtime::settings::Settings;
 use in_flight_request::InFlightRequest;
@@ -60,6 +60,8 @@
     evacuated_zones: BTreeSet<String>,
     session_sync: SessionSync,
     random: oorandom::Rand64,
+    /// By route name, for the routes in force that share their requests among services.
+    split_draws: BTreeMap<String, DrawSequence>,
     published: Rc<PublishedState>,
     metrics: Rc<ProxyMetrics>,
     /// Whether gauges are kept up to date, as somebody may read them.
@@ -95,6 +97,7 @@
             evacuated_zones: BTreeSet::new(),
             session_sync: SessionSync::default(),
             random: oorandom::Rand64::new(u128::from(random_seed())),
+            split_draws: BTreeMap::new(),
             published: Rc::new(PublishedState::new(HEAD_BYTES as u64)),
             metrics,
             updates_gauges: false,
--- a/crates/emberpin-proxy/src/controller/routing.rs
+++ b/crates/emberpin-proxy/src/controller/routing.rs
@@ -10,7 +10,7 @@
 use crate::wire::TRY_ID;
 use emberpin_balancer::{ClassId, CustomerId, GatewayId, PlanId};
 use emberpin_limiter::host::{AdmittedRequest, Reply, RequestBody, UpstreamRequest};
-use emberpin_routing::{traffic_split, RetryBudget, Route, RouteKind};
+use emberpin_routing::{traffic_split, DrawSequence, RetryBudget, Route, RouteKind};
 use hyper::StatusCode;
 use std::rc::Rc;
 use std::time::Duration;
@@ -90,19 +90,34 @@
                 RejectionCause::RouteNotFound
             });
         };
+        let draw = self.draw_for_split(&route);
         let services = &self.services;
         let available = |name: &str| {
             services
                 .get(name)
                 .is_some_and(Service::has_available_server)
         };
-        let draw = self.random.rand_float();
         let service = traffic_split::choose_service(&route.targets, draw, available)
             .map(str::to_string)
             .ok_or(RejectionCause::NoServer)?;
         Ok(Target { route, service })
     }
 
+    /// The draw by which a request of this route gets its service. Routes with one service need none.
+    fn draw_for_split(&mut self, route: &Route) -> f64 {
+        if route.targets.len() <= 1 {
+            return 0.0;
+        }
+        if !self.split_draws.contains_key(&route.name) {
+            let start = self.random.rand_float();
+            let sequence = DrawSequence::starting_at(start);
+            self.split_draws.insert(route.name.clone(), sequence);
+        }
+        self.split_draws
+            .get_mut(&route.name)
+            .map_or(0.0, DrawSequence::draw)
+    }
+
     /// Updates the route of each request in flight after a change of routes. A request whose service its route no longer
     /// leads to is withdrawn: nothing more is written of it, and if it never ran it is routed again.
     pub(super) fn update_in_flight_routes(&mut self) {
--- a/crates/emberpin-routing/src/lib.rs
+++ b/crates/emberpin-routing/src/lib.rs
@@ -25,4 +25,5 @@
 pub use route_matcher::RouteMatcher;
 pub use router::Router;
 pub use slow_start::SlowStart;
+pub use traffic_split::DrawSequence;
 pub use warmup::{WarmupLimit, WarmupProfile, WarmupTolerance};
--- a/crates/emberpin-routing/tests/traffic_split.rs
+++ b/crates/emberpin-routing/tests/traffic_split.rs
@@ -2,7 +2,7 @@
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_config::Target;
-use emberpin_routing::traffic_split::choose_service;
+use emberpin_routing::traffic_split::{choose_service, DrawSequence};
 use googletest::prelude::*;
 
 fn targets(weights: &[(&str, u32)]) -> Vec<Target> {
@@ -85,3 +85,49 @@
         some(anything())
     );
 }
+
+/// Of each span of so many requests, over all proxies, by how much of them the share of the second service is off its weight
+/// at most. Requests reach the proxies in turn.
+fn worst_share_error(proxies: usize, span: usize, weights: &[(&str, u32)]) -> f64 {
+    const SPANS: usize = 50;
+    let targets = targets(weights);
+    let total: u32 = weights.iter().map(|(_, weight)| weight).sum();
+    let wanted = f64::from(weights[1].1) / f64::from(total);
+    let mut starts = oorandom::Rand64::new(7);
+    let mut sequences: Vec<DrawSequence> = (0..proxies)
+        .map(|_| DrawSequence::starting_at(starts.rand_float()))
+        .collect();
+    let mut worst = 0.0_f64;
+    for first in 0..SPANS {
+        let mut chosen = 0;
+        for request in first * span..(first + 1) * span {
+            let draw = sequences[request % proxies].draw();
+            chosen += usize::from(choose_service(&targets, draw, |_| true) == Some(weights[1].0));
+        }
+        worst = worst.max((chosen as f64 / span as f64 - wanted).abs());
+    }
+    worst
+}
+
+#[gtest]
+fn the_shares_of_short_spans_are_those_of_the_weights_at_one_proxy_and_over_many() {
+    for weights in [
+        [("a", 90), ("b", 10)],
+        [("a", 50), ("b", 50)],
+        [("a", 2), ("b", 1)],
+    ] {
+        for (proxies, span, limit) in [
+            (1, 30, 0.08),
+            (1, 300, 0.01),
+            (10, 300, 0.03),
+            (70, 300, 0.06),
+        ] {
+            let error = worst_share_error(proxies, span, &weights);
+            expect_that!(
+                error,
+                le(limit),
+                "{weights:?} at {proxies} proxies, {span} requests"
+            );
+        }
+    }
+}
