--- a/crates/emberpin-simulator/src/main.rs
+++ b/crates/emberpin-simulator/src/main.rs
@@ -4,7 +4,7 @@
 use emberpin_simulator::mutants::{Guards, MUTANTS};
 use emberpin_simulator::runner::run;
 use emberpin_simulator::scenario::{parse, ParseError};
-use emberpin_simulator::search;
+use emberpin_simulator::search::{self, Seeds};
 use emberpin_simulator::shrink::shrink;
 use getopts::{Matches, Options};
 use std::process::ExitCode;
@@ -31,6 +31,12 @@
     let mut options = Options::new();
     options.optopt("", "seeds", "so many seeds are searched", "COUNT");
     options.optopt("", "from", "the first seed (0)", "SEED");
+    options.optopt(
+        "",
+        "step",
+        "the distance from one seed to the next (1); 8 searches one kind of scenarios alone",
+        "COUNT",
+    );
     options.optopt("", "threads", "on so many threads (3)", "COUNT");
     options.optopt("", "most", "stop at so many failures (1)", "COUNT");
     options.optopt("", "wrong", "on a build without this guard", "NAME");
@@ -89,7 +95,12 @@
     }
     let threads = number(matches, "threads", 3)? as usize;
     let max_failures = number(matches, "most", 1)? as usize;
-    let result = search::search(first..first + count, threads, max_failures, guards);
+    let seeds = Seeds {
+        first,
+        count,
+        step: number(matches, "step", 1)?,
+    };
+    let result = search::search(seeds, threads, max_failures, guards);
     for failed in &result.failures {
         println!("seed {}: {}\n{}", failed.seed, failed.failure, failed.text);
     }
--- a/crates/emberpin-simulator/src/search.rs
+++ b/crates/emberpin-simulator/src/search.rs
@@ -3,7 +3,6 @@
 use crate::mutants::Guards;
 use crate::runner::{run, Failure, FailureCause, RunStatistics};
 use crate::scenario::parse;
-use std::ops::Range;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
@@ -31,23 +30,48 @@
     pub text: String,
 }
 
+/// The seeds of a search.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Seeds {
+    /// The first seed.
+    pub first: u64,
+    /// How many seeds there are.
+    pub count: u64,
+    /// The distance from one seed to the next. Seeds go through the kinds of scenarios in turn, so that a distance of eight
+    /// searches one kind alone.
+    pub step: u64,
+}
+
+impl Seeds {
+    /// Consecutive seeds.
+    pub fn consecutive(first: u64, count: u64) -> Seeds {
+        Seeds {
+            first,
+            count,
+            step: 1,
+        }
+    }
+
+    /// The seed of this number, counted from 0; `None` after the last.
+    fn get(self, number: u64) -> Option<u64> {
+        (number < self.count).then(|| self.first + number * self.step)
+    }
+}
+
 /// Runs the scenarios of these seeds on `threads` threads, and stops at `max_failures` failures. Scenarios that other
 /// threads have begun by then are run to their end.
-pub fn search(
-    seeds: Range<u64>,
-    threads: usize,
-    max_failures: usize,
-    guards: Guards,
-) -> SearchResult {
-    let next_seed = AtomicU64::new(seeds.start);
+pub fn search(seeds: Seeds, threads: usize, max_failures: usize, guards: Guards) -> SearchResult {
+    let next_number = AtomicU64::new(0);
     let result = Mutex::new(SearchResult::default());
     let work = || loop {
-        let seed = next_seed.fetch_add(1, Ordering::Relaxed);
+        let Some(seed) = seeds.get(next_number.fetch_add(1, Ordering::Relaxed)) else {
+            return;
+        };
         // Nothing that holds the lock panics, so it is never poisoned.
         let is_over = result
             .lock()
             .map_or(true, |result| result.failures.len() >= max_failures);
-        if seed >= seeds.end || is_over {
+        if is_over {
             return;
         }
         let text = generate(seed);
--- a/crates/emberpin-simulator/tests/search.rs
+++ b/crates/emberpin-simulator/tests/search.rs
@@ -4,7 +4,7 @@
 use emberpin_simulator::mutants::Guards;
 use emberpin_simulator::runner::run;
 use emberpin_simulator::scenario::parse;
-use emberpin_simulator::search::{generate, search};
+use emberpin_simulator::search::{generate, search, Seeds};
 use emberpin_simulator::shrink::shrink;
 use googletest::prelude::*;
 
@@ -17,7 +17,7 @@
         .ok()
         .and_then(|seeds| seeds.parse().ok())
         .unwrap_or(120);
-    let result = search(0..seeds, THREADS, 1, Guards::default());
+    let result = search(Seeds::consecutive(0, seeds), THREADS, 1, Guards::default());
     for failed in &result.failures {
         add_failure!("seed {}: {}\n{}", failed.seed, failed.failure, failed.text);
     }
@@ -45,7 +45,7 @@
 #[gtest]
 fn a_seed_gives_the_same_run_each_time() {
     for seed in [100_040, 100_099] {
-        let run = || search(seed..seed + 1, 1, 1, Guards::default()).total;
+        let run = || search(Seeds::consecutive(seed, 1), 1, 1, Guards::default()).total;
         let first = run();
         for _ in 0..8 {
             expect_that!(run(), eq(first), "{seed}");
@@ -67,7 +67,7 @@
     ] {
         let mut guards = Guards::default();
         expect_that!(guards.disable(mutant), eq(true));
-        let result = search(0..120, THREADS, 1, guards);
+        let result = search(Seeds::consecutive(0, 120), THREADS, 1, guards);
         match result.failures.first() {
             Some(failed) => println!("{mutant}: {}", failed.failure),
             None => add_failure!("{mutant} holds over {} seeds", result.runs),
@@ -79,7 +79,7 @@
 fn first_detection(mutant: &str) -> (u64, Guards) {
     let mut guards = Guards::default();
     assert_that!(guards.disable(mutant), eq(true));
-    let result = search(0..400, THREADS, 1, guards);
+    let result = search(Seeds::consecutive(0, 400), THREADS, 1, guards);
     let seed = result.failures.first().map(|failed| failed.seed);
     (seed.expect("a seed that fails"), guards)
 }
