--- a/crates/emberpin-testbed/src/report.rs
+++ b/crates/emberpin-testbed/src/report.rs
@@ -21,7 +21,7 @@
     pub asked: u64,
     /// Served within the class's aim, counted from the first try.
     pub in_time: u64,
-    /// Served later.
+    /// Requests that were served after their latency target.
     pub late: u64,
     /// The last try was refused.
     pub refused: u64,
@@ -38,7 +38,7 @@
 /// What one limiter did and used.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct LimiterRow {
-    /// Its number.
+    /// The limiter's number, from 0.
     pub limiter: usize,
     /// Tries that came to it.
     pub asked: u64,
@@ -57,17 +57,17 @@
 pub struct Summary {
     /// The scenario's name.
     pub scenario: String,
-    /// Its seed.
+    /// The seed of all that was drawn in the run.
     pub seed: u64,
     /// Seconds of load.
     pub seconds: f64,
-    /// All work.
+    /// The requests of all classes and plans.
     pub total: Row,
-    /// By class.
+    /// The requests of each class.
     pub classes: Vec<Row>,
-    /// By plan.
+    /// The requests of each plan.
     pub plans: Vec<Row>,
-    /// By limiter.
+    /// What each limiter did and used.
     pub limiters: Vec<LimiterRow>,
     /// Attempts that came whole to servers.
     pub attempts: u64,
@@ -77,7 +77,7 @@
     pub stand_ins_late_ms: f64,
     /// The trace was cut short.
     pub cut_short: bool,
-    /// By rule.
+    /// How often each rule was broken.
     pub verdict: Vec<Finding>,
 }
 
--- a/crates/emberpin-testbed/src/trace.rs
+++ b/crates/emberpin-testbed/src/trace.rs
@@ -33,11 +33,11 @@
 /// What a server's entry in the list says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Standing {
-    /// Takes work.
+    /// It takes requests.
     Ready,
     /// Finishes what it has.
     Draining,
-    /// Removed.
+    /// It is no longer listed.
     Gone,
 }
 
@@ -74,7 +74,7 @@
 pub enum What {
     /// A client's try: its last byte was written to a connection that the limiter's machine had accepted.
     Asked {
-        /// Which try.
+        /// The id of the attempt at a limiter, which the client drew for it.
         what: Try,
         /// The first try of the same piece of work.
         first: Try,
@@ -84,7 +84,7 @@
         class: usize,
         /// Index of its plan.
         plan: usize,
-        /// Its customer.
+        /// The customer that the request is of.
         customer: u32,
         /// Units that it takes from the quota.
         units: f64,
@@ -97,9 +97,9 @@
     },
     /// A whole answer came to a try.
     Answered {
-        /// Which try.
+        /// The id of the attempt at a limiter, which the client drew for it.
         what: Try,
-        /// HTTP status.
+        /// The HTTP status of the answer.
         status: u16,
         /// A 200 whose body some server made for this very try, or any other answer.
         sound: bool,
@@ -108,24 +108,24 @@
     },
     /// A try's connection ended with no whole answer.
     Dropped {
-        /// Which try.
+        /// The id of the attempt at a limiter, which the client drew for it.
         what: Try,
         /// Part of an answer had come.
         begun: bool,
     },
     /// A client gave its try up, its whole patience and the slack after it being over.
     GaveUp {
-        /// Which try.
+        /// The id of the attempt at a limiter, which the client drew for it.
         what: Try,
     },
     /// A client left before its time.
     Left {
-        /// Which try.
+        /// The id of the attempt at a limiter, which the client drew for it.
         what: Try,
     },
     /// No connection to the limiter came up for a try.
     Unreached {
-        /// Which try.
+        /// The id of the attempt at a limiter, which the client drew for it.
         what: Try,
         /// The limiter tried.
         limiter: usize,
@@ -139,16 +139,16 @@
     },
     /// An attempt's first byte came to a server.
     Begun {
-        /// Which attempt.
+        /// The id of the attempt at a server.
         attempt: AttemptId,
         /// At which life of which server.
         life: Life,
-        /// From which limiter.
+        /// The limiter's number, from 0.
         limiter: usize,
     },
     /// An attempt's last byte came.
     Whole {
-        /// Which attempt.
+        /// The id of the attempt at a server.
         attempt: AttemptId,
         /// Of which try, where a client sent one of that id.
         what: Option<Try>,
@@ -157,7 +157,7 @@
     },
     /// Its work began, or was passed over as a repeat.
     Ran {
-        /// Which attempt.
+        /// The id of the attempt at a server.
         attempt: AttemptId,
         /// The key's effect had been had before, anywhere, and this is a second one.
         second: bool,
@@ -166,14 +166,14 @@
     },
     /// It is over at its server.
     Ended {
-        /// Which attempt.
+        /// The id of the attempt at a server.
         attempt: AttemptId,
-        /// How.
+        /// How the attempt ended, as the server saw it.
         how: AttemptEnd,
     },
     /// A server's process started.
     ServerUp {
-        /// Which life.
+        /// The server's incarnation.
         life: Life,
         /// Of which server.
         server: usize,
@@ -186,57 +186,57 @@
     },
     /// A server's process ended.
     ServerDown {
-        /// Which life.
+        /// The server's incarnation.
         life: Life,
     },
     /// A limiter was told of a server's standing: the line was written to it.
     Told {
-        /// Which limiter.
+        /// The limiter's number, from 0.
         limiter: usize,
-        /// Of which life.
+        /// The server's incarnation.
         life: Life,
-        /// What.
+        /// The status of the server that the line states.
         standing: Standing,
     },
     /// A limiter asked the list service.
     ListAsked {
-        /// Which.
+        /// The limiter's number, from 0.
         limiter: usize,
     },
     /// A call of the list service was answered, or failed there for want of power or of life.
     ListAnswered {
-        /// Of which limiter.
+        /// The limiter's number, from 0.
         limiter: usize,
         /// It was answered.
         well: bool,
     },
     /// A new connection came to a server.
     Connected {
-        /// To which life.
+        /// The server's incarnation.
         life: Life,
-        /// From which limiter.
+        /// The limiter's number, from 0.
         limiter: usize,
     },
     /// A limiter's process is ready for clients.
     LimiterUp {
-        /// Which.
+        /// The limiter's number, from 0.
         limiter: usize,
     },
     /// SIGTERM was sent.
     Terminated {
-        /// To which.
+        /// The limiter's number, from 0.
         limiter: usize,
     },
     /// A limiter's process ended.
     LimiterDown {
-        /// Which.
+        /// The limiter's number, from 0.
         limiter: usize,
-        /// How.
+        /// How the process ended.
         how: ProcessEnd,
     },
     /// A fault of the scenario began or ended.
     Fault {
-        /// What, in words.
+        /// The fault in words; `over: ` precedes those of its end.
         name: String,
     },
     /// The stand-ins themselves ran late by so much until now.
@@ -249,9 +249,9 @@
 /// One thing and its time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Event {
-    /// When.
+    /// When it happened, since the run began.
     pub at: Micros,
-    /// What.
+    /// What happened.
     pub what: What,
 }
 
