--- a/crates/emberpin-coordination/src/cell.rs
+++ b/crates/emberpin-coordination/src/cell.rs
@@ -1,4 +1,4 @@
-//! Cells.
+//! Reads and writes cells.
 
 use crate::evaluate::Evaluation;
 use crate::history;
@@ -7,16 +7,16 @@
 use crate::register::{read, write, InvalidRegister, RegisterKey, RegisterKind, Registers};
 use serde::{Deserialize, Serialize};
 
-/// The register of a cell.
+/// The content of a cell's register, stored as JSON under these field names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Cell {
     value: String,
-    /// The revision of the last change; [`Revision::NONE`] before the first.
+    /// The revision of the last write; [`Revision::NONE`] before the first.
     revision: Revision,
 }
 
-/// Writes a cell if it has the expected revision, if there is one. A value that was written before is not written again:
-/// its first revision is told, as far as the search goes back.
+/// Writes a cell if it has the `expected` revision; with `None`, in any case. A value that was written before is not
+/// written again: the outcome has its first revision, if that is within the range that [`history::find_write`] searches.
 pub fn put(
     registers: &impl Registers,
     name: &str,
@@ -52,8 +52,8 @@
     Ok(Evaluation::Complete { outcome, changes })
 }
 
-/// The revision at which the value was written by an earlier attempt. It is above the expected one, at which the value
-/// was not written yet.
+/// The revision at which an earlier attempt wrote the value, if one did. Only revisions above the expected one are
+/// searched, since the value was not written yet at that one.
 fn earlier_write(
     registers: &impl Registers,
     name: &str,
@@ -68,7 +68,7 @@
     if cell.value == value {
         return Ok(Some(cell.revision));
     }
-    history::find(registers, name, value, after)
+    history::find_write(registers, name, value, after)
 }
 
 /// Reads a cell.
--- a/crates/emberpin-coordination/src/counter.rs
+++ b/crates/emberpin-coordination/src/counter.rs
@@ -1,18 +1,18 @@
-//! Counters.
+//! Draws numbers from counters.
 
 use crate::evaluate::Evaluation;
 use crate::outcome::Outcome;
 use crate::register::{read, write, InvalidRegister, RegisterKey, RegisterKind, Registers};
 use serde::{Deserialize, Serialize};
 
-/// The register of a counter.
+/// The content of a counter's register, stored as JSON under this field name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Counter {
-    /// The number given last; 0 before the first.
+    /// The last number that was returned; 0 before the first.
     last: u64,
 }
 
-/// The next number. One whose caller is never told is skipped.
+/// Increments the counter. A number whose response is lost is skipped.
 pub fn next_number(
     registers: &impl Registers,
     counter: &str,
--- a/crates/emberpin-coordination/src/evaluate.rs
+++ b/crates/emberpin-coordination/src/evaluate.rs
@@ -1,33 +1,33 @@
-//! Judges operations on the registers.
+//! Evaluates operations on the registers.
 
 use crate::operation::{Operation, Revision};
 use crate::outcome::Outcome;
-use crate::register::{subject, Change, InvalidRegister, Registers};
+use crate::register::{created_register, Change, InvalidRegister, Registers};
 use crate::{cell, counter, history, lock};
 
-/// Most bytes of all registers together, about. With more, no operation makes another lock, counter or cell: replicas
-/// that catch up exchange all registers in one message.
+/// The approximate byte limit of all registers together. At or above it, no operation creates another lock, counter or
+/// cell, because replicas that catch up exchange all registers in one message.
 const MAX_REGISTER_BYTES: usize = 4 << 20;
 
-/// What becomes of an operation.
+/// The result of evaluating an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Evaluation {
-    /// The caller gets this outcome once the changes are chosen.
+    /// The operation is complete once its changes are chosen.
     Complete {
-        /// What the caller is told.
+        /// The outcome for the caller.
         outcome: Outcome,
-        /// What has to be chosen before; empty if nothing changes.
+        /// The changes that consensus must choose before the caller gets the outcome; empty if nothing changes.
         changes: Vec<Change>,
     },
-    /// The operation waits for a change of this group.
+    /// The operation waits for the next change of its group.
     AwaitChange {
-        /// The group's present revision.
+        /// The group's current revision.
         revision: Revision,
     },
 }
 
 impl Evaluation {
-    /// An outcome that rests on no change.
+    /// A complete evaluation that changes no register.
     pub(crate) fn unchanged(outcome: Outcome) -> Evaluation {
         Evaluation::Complete {
             outcome,
@@ -36,11 +36,11 @@
     }
 }
 
-/// Judges an operation on the registers.
+/// Evaluates an operation on the registers.
 ///
 /// # Errors
 ///
-/// [`InvalidRegister`]: a register that the operation needs was written by another build.
+/// [`InvalidRegister`] if the content of a register that the operation needs cannot be parsed: another build wrote it.
 pub fn evaluate(
     operation: &Operation,
     registers: &impl Registers,
@@ -73,7 +73,8 @@
     }
 }
 
+/// Whether the operation would create a register although the byte limit is reached.
 fn would_exceed_limit(operation: &Operation, registers: &impl Registers) -> bool {
     registers.size_bytes() >= MAX_REGISTER_BYTES
-        && subject(operation).is_some_and(|key| registers.content(&key).is_none())
+        && created_register(operation).is_some_and(|key| registers.content(&key).is_none())
 }
--- a/crates/emberpin-coordination/src/history.rs
+++ b/crates/emberpin-coordination/src/history.rs
@@ -1,7 +1,7 @@
-//! The history of a group of cells: its last changes, in segments that are used in turn.
+//! The history of a group of cells: its latest changes, in a ring of segments.
 //!
-//! A segment holds consecutive changes. When all segments are full, the oldest one is begun anew: so a history is
-//! bounded without any clock. Each change rewrites one segment.
+//! A segment holds consecutive changes, and each change rewrites one segment. When all segments are full, the oldest one
+//! is cleared and reused, so the size of a history is bounded without a clock.
 
 use crate::evaluate::Evaluation;
 use crate::operation::{group_of, Revision};
@@ -9,25 +9,26 @@
 use crate::register::{read, write, Change, InvalidRegister, RegisterKey, RegisterKind, Registers};
 use serde::{Deserialize, Serialize};
 
-/// How many changes a segment holds.
+/// The maximum number of changes in a segment.
 const SEGMENT_EVENTS: u64 = 8;
-/// How many segments a group has.
+/// The number of segments of a group.
 const SEGMENTS: u64 = 1_024;
-/// How many segments are searched for an earlier attempt of a write.
+/// The maximum number of segments that are searched for an earlier attempt of a write.
 const MAX_SEARCHED_SEGMENTS: usize = 256;
-/// Most changes that one response holds; the caller asks again for those that follow.
+/// A response has no further segments once it has this many changes. The caller sends another request for the changes
+/// that follow.
 const MAX_RESPONSE_EVENTS: usize = 256;
-/// How many changes of a group are kept at least.
+/// The minimum number of changes that are retained per group, once there are that many.
 pub const MIN_RETAINED_EVENTS: u64 = SEGMENT_EVENTS * (SEGMENTS - 1);
 
-/// The register of a group.
+/// The content of a group's register, stored as JSON under this field name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Group {
     /// The revision of the last change; [`Revision::NONE`] before the first.
     revision: Revision,
 }
 
-/// The register of a segment.
+/// The content of a segment's register, stored as JSON under this field name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Segment {
     /// Changes in the order of their revisions, without gaps.
@@ -40,7 +41,7 @@
     Ok(revision)
 }
 
-/// The registers with one more change.
+/// The changes of registers that append an event to the history of a group.
 pub fn append(
     registers: &impl Registers,
     group: &str,
@@ -59,9 +60,9 @@
     ])
 }
 
-/// The revision above this one at which a value was written to a cell, if that is among the last changes of the group:
-/// callers repeat a call for some seconds only.
-pub fn find(
+/// The revision above `after` at which a value was written to a cell. Only the latest [`MAX_SEARCHED_SEGMENTS`] segments
+/// of the group are searched, as callers retry a request for a few seconds only.
+pub fn find_write(
     registers: &impl Registers,
     cell: &str,
     value: &str,
@@ -75,11 +76,11 @@
     let searched = (oldest..=newest).rev().take(MAX_SEARCHED_SEGMENTS);
     for segment in searched {
         let key = segment_key(group, segment);
-        // Most segments do not hold the value, and need no parsing.
-        let may_hold = registers
+        // Most segments do not contain the value; these are skipped without parsing.
+        let may_contain = registers
             .content(&key)
             .is_some_and(|content| content.contains(&encoded_value));
-        if !may_hold {
+        if !may_contain {
             continue;
         }
         let Segment { events } = read(registers, &key)?;
@@ -91,7 +92,8 @@
     Ok(None)
 }
 
-/// The changes above a revision; the caller waits if there are none. For [`Revision::NONE`], the present revision only.
+/// Reads the changes after a revision; the caller waits if there are none. For [`Revision::NONE`], returns the current
+/// revision without changes.
 pub fn watch(
     registers: &impl Registers,
     group: &str,
@@ -119,8 +121,8 @@
     Ok(Evaluation::unchanged(Outcome::Events { events, revision }))
 }
 
-/// The changes above a revision, the first [`MAX_RESPONSE_EVENTS`] or a few more, up to the first one that is missing: a
-/// replica that does not lead may know later ones only.
+/// The first changes after a revision: whole segments until there are [`MAX_RESPONSE_EVENTS`] changes or more, without
+/// those that follow a gap. A replica that is not the leader may know later changes and lack earlier ones.
 fn events_after(
     registers: &impl Registers,
     group: &str,
@@ -144,7 +146,7 @@
     Ok(events)
 }
 
-/// The oldest revision that is kept when this one is the last.
+/// The oldest revision that is retained when `last` is the latest one.
 fn oldest_kept(last: Revision) -> Revision {
     let oldest_segment = (segment_of(last) + 1).saturating_sub(SEGMENTS);
     Revision(oldest_segment * SEGMENT_EVENTS + 1)
@@ -154,7 +156,7 @@
     (revision.0 - 1).is_multiple_of(SEGMENT_EVENTS)
 }
 
-/// The number of the segment that holds a revision. Segments count on when their registers are used again.
+/// The number of the segment with this revision. Segment numbers keep increasing when registers are reused.
 fn segment_of(revision: Revision) -> u64 {
     revision.0.saturating_sub(1) / SEGMENT_EVENTS
 }
--- a/crates/emberpin-coordination/src/lib.rs
+++ b/crates/emberpin-coordination/src/lib.rs
@@ -1,11 +1,12 @@
-//! Locks, counters and cells: what an operation makes of the registers that replicas agree on.
+//! The coordination service for applications: locks, counters and cells (key-value entries with revisions).
 //!
-//! A lock, a counter and a cell are [registers](RegisterKey): named texts, each of which a majority of replicas holds.
-//! [`evaluate`] judges an [`Operation`] on the registers as a majority knows them, and returns the [`Outcome`] for the
-//! caller together with the registers that have to be chosen before the caller may be told.
+//! Each of them is stored in [registers](RegisterKey): named texts that a majority of the replicas agrees on.
+//! [`evaluate`] applies an [`Operation`] of an application to the registers as a majority knows them. It returns the
+//! [`Outcome`] for the caller and the [`Change`]s of registers that consensus must choose before the caller gets that
+//! outcome.
 //!
-//! There is no I/O, no clock and no randomness in this crate: whoever evaluates an operation says for how long each
-//! register has had its content. The design is described in `docs/design/coordination.md`.
+//! This crate has no I/O, no clock and no randomness: the implementation of [`Registers`] supplies the age of each
+//! register's content. The design is described in `docs/design/coordination.md`.
 #![forbid(unsafe_code)]
 
 mod cell;
--- a/crates/emberpin-coordination/src/lock.rs
+++ b/crates/emberpin-coordination/src/lock.rs
@@ -1,9 +1,9 @@
-//! Locks.
+//! Grants, renews, releases and lists locks with leases.
 //!
-//! A holder counts its lease from the moment at which it sent the call, on its own clock. Replicas count from the moment
-//! at which they learned the lease, which is later. So a replica that has known a lease for longer than the lease itself,
-//! and than the clocks may differ in that time, knows that the holder no longer counts itself as one. A replica that
-//! starts counts from its start: a lock may be free later than it could be, and never sooner.
+//! A lease holder counts its lease from the moment at which it sent the request, on its own clock. A replica counts from
+//! the moment at which it learned of the lease, which is later. So once a replica has known a lease for longer than the
+//! lease's duration plus the clock tolerance, the holder no longer considers itself the holder. A replica that restarts
+//! counts from its start: it may consider a lock free too late, but never too early.
 
 use crate::evaluate::Evaluation;
 use crate::operation::FencingToken;
@@ -12,42 +12,44 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Two steady clocks differ by less than one part in this many.
+/// Over any period, two monotonic clocks differ by less than the period divided by this.
 const MAX_CLOCK_DRIFT_DIVISOR: u32 = 200;
 /// The resolution of replicas' clocks, with a margin.
 const CLOCK_RESOLUTION: Duration = Duration::from_millis(5);
 
-/// How many locks, held or not, one list goes through. The caller asks again for those that follow.
+/// The maximum number of locks, held or not, that one list request examines. The caller sends another request for the
+/// locks that follow.
 pub const MAX_LISTED_LOCKS: usize = 1_024;
 
-/// A lease.
+/// The lease in a lock's register, stored as JSON under these field names.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Lease {
     owner: String,
-    /// How long it lasts from its last renewal on, in milliseconds.
+    /// The duration of the lease, counted from its last renewal, in milliseconds.
     millis: u64,
 }
 
-/// The register of a lock.
+/// The content of a lock's register, stored as JSON under these field names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Lock {
-    /// The token granted last; 0 before the first.
+    /// The fencing token of the latest grant; 0 before the first.
     fence: FencingToken,
-    /// The token of the present owner's first call. It may not have been told of the later ones.
+    /// The fencing token of the first grant in the current tenure: the time in which one owner holds the lock without a
+    /// release or another owner in between. The responses with the later tokens may have been lost.
     first_fence: FencingToken,
-    /// The present lease; `None` if the lock was released.
+    /// The current lease, which may have expired; `None` if the lock was released.
     lease: Option<Lease>,
-    /// How often the lock was granted or renewed. Makes the content of each renewal differ from the one before.
+    /// The number of grants and renewals, so that the content changes with each of them.
     renewals: u64,
 }
 
-/// By how much longer than its duration a replica waits for the end of a lease.
+/// How long a replica waits beyond the duration of a lease before it considers the lease expired.
 pub fn clock_tolerance(lease: Duration) -> Duration {
     lease / MAX_CLOCK_DRIFT_DIVISOR + CLOCK_RESOLUTION
 }
 
-/// Grants the lock if it is free or its lease is over. The present owner gets its lease anew. Each grant has a token of its
-/// own, so that a release which comes late does not end a later lease of the same owner.
+/// Grants the lock if it is free, if its lease has expired, or if the caller is the current lease holder. Each grant has
+/// a new fencing token, so that a delayed release does not end a later lease of the same owner.
 pub fn acquire(
     registers: &impl Registers,
     name: &str,
@@ -59,7 +61,7 @@
     let age = registers.age(&key);
     match &lock.lease {
         Some(held) if held.owner == owner => {}
-        Some(held) if !is_over(held, age) => {
+        Some(held) if !has_expired(held, age) => {
             return Ok(Evaluation::unchanged(Outcome::LockDenied));
         }
         _ => lock.first_fence = lock.fence.next(),
@@ -69,8 +71,9 @@
     Ok(extend(key, lock, owner, lease, age, outcome))
 }
 
-/// Renews the lock if the owner still has it, also when its lease is over and nobody else came. Any token of its tenure
-/// will do: it may not have been told of the last one.
+/// Renews the lease if the owner still has the lock, even after the lease has expired, as long as nobody else acquired
+/// the lock. Any fencing token of the current tenure is valid, since the response with the latest one may have been
+/// lost.
 pub fn renew(
     registers: &impl Registers,
     name: &str,
@@ -80,15 +83,15 @@
 ) -> Result<Evaluation, InvalidRegister> {
     let key = RegisterKey::new(RegisterKind::Lock, name);
     let lock: Lock = read(registers, &key)?;
-    let is_of_tenure = (lock.first_fence..=lock.fence).contains(&fence);
-    if !is_held_by(&lock, owner) || !is_of_tenure {
+    let is_token_of_tenure = (lock.first_fence..=lock.fence).contains(&fence);
+    if !is_held_by(&lock, owner) || !is_token_of_tenure {
         return Ok(Evaluation::unchanged(Outcome::LockDenied));
     }
     let age = registers.age(&key);
     Ok(extend(key, lock, owner, lease, age, Outcome::LockRenewed))
 }
 
-/// Releases the lock if the owner has it with this very token; otherwise there is nothing to do.
+/// Releases the lock if the owner holds it and `fence` is the latest fencing token; otherwise changes nothing.
 pub fn release(
     registers: &impl Registers,
     name: &str,
@@ -107,7 +110,7 @@
     })
 }
 
-/// The locks that are held, of the first [`MAX_LISTED_LOCKS`] after a name.
+/// Lists those locks that are held among the first [`MAX_LISTED_LOCKS`] whose names sort after `after`.
 pub fn list(registers: &impl Registers, after: &str) -> Result<Evaluation, InvalidRegister> {
     let names = registers.names_after(RegisterKind::Lock, after, MAX_LISTED_LOCKS);
     let next_after = names
@@ -133,8 +136,8 @@
     Ok(Evaluation::unchanged(Outcome::Locks { locks, next_after }))
 }
 
-/// The lock with a new lease of the owner. It does not end before the owner's present one: the owner counts by that one
-/// if the response to this call is lost.
+/// Writes the lock with a new lease of the owner. The new lease does not end before the owner's current one, by which
+/// the owner still counts if the response to this request is lost.
 fn extend(
     key: RegisterKey,
     mut lock: Lock,
@@ -143,8 +146,8 @@
     age: Duration,
     outcome: Outcome,
 ) -> Evaluation {
-    let present = lock.lease.filter(|held| held.owner == owner);
-    let remaining = present.map_or(Duration::ZERO, |held| latest_end(&held).saturating_sub(age));
+    let current = lock.lease.filter(|held| held.owner == owner);
+    let remaining = current.map_or(Duration::ZERO, |held| latest_end(&held).saturating_sub(age));
     lock.lease = Some(Lease {
         owner: owner.into(),
         millis: whole_millis(lease.max(remaining)),
@@ -162,18 +165,18 @@
         .is_some_and(|lease| lease.owner == owner)
 }
 
-/// Whether a lease that was chosen this long ago, at least, is over by its holder's clock.
-fn is_over(lease: &Lease, age: Duration) -> bool {
+/// Whether a lease has expired by its holder's clock. `age` is a lower bound of the time since the lease was chosen.
+fn has_expired(lease: &Lease, age: Duration) -> bool {
     age > latest_end(lease)
 }
 
-/// How long after a lease was chosen its holder may count itself as one, by any clock.
+/// The longest time after a lease was chosen in which its holder may consider itself the holder, by any clock.
 fn latest_end(lease: &Lease) -> Duration {
     let duration = Duration::from_millis(lease.millis);
     duration + clock_tolerance(duration)
 }
 
-/// A duration in whole milliseconds, rounded up.
+/// The duration in whole milliseconds, rounded up.
 fn whole_millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros().div_ceil(1000)).unwrap_or(u64::MAX)
 }
--- a/crates/emberpin-coordination/src/operation.rs
+++ b/crates/emberpin-coordination/src/operation.rs
@@ -1,9 +1,9 @@
-//! What applications ask for.
+//! The operations that applications request.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The fencing token of a lock's holder. That of a later holder is higher.
+/// The fencing token of a lock grant. Each grant of a lock has a higher token than the grants before it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -18,8 +18,8 @@
     }
 }
 
-/// The number of a change in a group of cells: the first one is 1. The revision of a cell is that of its last change;
-/// 0 for a cell that does not exist.
+/// The sequence number of a change within a group of cells, counted from 1. The revision of a cell is that of its last
+/// change; 0 for a cell that does not exist.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -37,54 +37,54 @@
     }
 }
 
-/// An operation on a lock, a counter or a cell. Each may be executed twice without harm, as long as the second time
-/// comes before its caller has gone on.
+/// An operation on a lock, a counter or a cell. Executing an operation twice does no harm if the second execution comes
+/// before the caller has proceeded to its next step.
 ///
-/// The order of variants and fields is the encoding on the wire.
+/// Variants and fields are encoded by position on the wire, so their order must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Operation {
     /// Acquires a lock, or renews it for the owner that holds it.
     AcquireLock {
         /// The lock's name.
         lock: String,
-        /// Who acquires it. A caller keeps this name from one lease to the next.
+        /// The name of the caller that acquires the lock. A caller uses the same name for all its leases.
         owner: String,
-        /// How long the caller counts itself holder, from the moment at which it sent the call.
+        /// How long the caller considers itself the lease holder, counted from the moment at which it sent the request.
         lease: Duration,
     },
-    /// Renews a lock.
+    /// Renews the lease of a lock.
     RenewLock {
         /// The lock's name.
         lock: String,
-        /// Who holds it.
+        /// The name of the lease holder.
         owner: String,
-        /// The token that the holder was granted.
+        /// The fencing token that the holder was granted.
         fence: FencingToken,
-        /// How long the caller counts itself holder, from the moment at which it sent the call.
+        /// How long the caller considers itself the lease holder, counted from the moment at which it sent the request.
         lease: Duration,
     },
     /// Releases a lock, if the owner still holds it.
     ReleaseLock {
         /// The lock's name.
         lock: String,
-        /// Who held it.
+        /// The name of the lease holder.
         owner: String,
-        /// The token that the holder was granted.
+        /// The fencing token that the holder was granted.
         fence: FencingToken,
     },
-    /// Takes a number that is above all that the counter has given before.
+    /// Returns a number greater than all that the counter has returned before.
     NextNumber {
         /// The counter's name.
         counter: String,
     },
-    /// Writes a cell. No two values of a cell are the same, so a value that was written already is one of an earlier
-    /// attempt.
+    /// Writes a cell. Callers never write the same value to a cell twice, so a value that the cell had before comes from
+    /// an earlier attempt of the same request.
     PutCell {
         /// The cell's name.
         cell: String,
-        /// What is written.
+        /// The new value.
         value: String,
-        /// The revision that the cell must have: [`Revision::NONE`] if it must not exist, `None` for any.
+        /// The revision that the cell must have: [`Revision::NONE`] if it must not exist, `None` for any revision.
         expected: Option<Revision>,
     },
     /// Reads a cell.
@@ -92,19 +92,19 @@
         /// The cell's name.
         cell: String,
     },
-    /// Reads the changes of a group above a revision, and waits for the first one if there are none.
+    /// Reads the changes of a group after a revision, and waits for the first one if there are none.
     WatchGroup {
         /// The group's name; see [`group_of`].
         group: String,
-        /// The revision up to which the caller knows all changes; [`Revision::NONE`] asks for the present revision
+        /// The revision up to which the caller knows all changes; [`Revision::NONE`] requests the current revision
         /// only.
         after: Revision,
         /// How long to wait for a change.
         wait: Duration,
     },
-    /// Reads which locks are held, for operators.
+    /// Lists the locks that are held, for operators.
     ListLocks {
-        /// Only locks whose names come after this one; empty for the first ones.
+        /// Only locks whose names sort after this one are listed; empty to start from the first lock.
         after: String,
     },
 }
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Whether the operation changes nothing.
+    /// Whether the operation never changes a register.
     pub fn is_read(&self) -> bool {
         matches!(
             self,
--- a/crates/emberpin-coordination/src/outcome.rs
+++ b/crates/emberpin-coordination/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What applications are told.
+//! The results that applications receive.
 
 use crate::operation::{FencingToken, Revision};
 use serde::{Deserialize, Serialize};
@@ -9,83 +9,84 @@
 pub struct CellEvent {
     /// The cell's name.
     pub name: String,
-    /// What was written.
+    /// The value that was written.
     pub value: String,
     /// The revision of the change.
     pub revision: Revision,
 }
 
-/// A lock that somebody holds, or held last without releasing it.
+/// A lock with a lease that was not released. The lease may have expired.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldLock {
     /// The lock's name.
     pub name: String,
-    /// Who holds it.
+    /// The name of the lease holder.
     pub owner: String,
-    /// The holder's token.
+    /// The fencing token of the latest grant.
     pub fence: FencingToken,
-    /// How long the lease lasts from its last renewal on.
+    /// The duration of the lease, counted from its last renewal.
     pub lease: Duration,
-    /// For how long the replica that was asked has known the last renewal: a lower bound of its age.
+    /// How long the replica that answers has known the last renewal: a lower bound of the renewal's age.
     pub known_for: Duration,
 }
 
 /// The result of an operation.
 ///
-/// The order of variants and fields is the encoding on the wire.
+/// Variants and fields are encoded by position on the wire, so their order must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// The caller holds the lock.
     LockGranted {
-        /// Its fencing token.
+        /// The fencing token of the grant.
         fence: FencingToken,
     },
-    /// The caller still holds the lock, for another lease.
+    /// The caller still holds the lock; its lease was renewed.
     LockRenewed,
-    /// The caller does not hold the lock.
+    /// The caller does not hold the lock, whether or not it did before.
     LockReleased,
     /// Another owner holds the lock, or the caller's lease was lost.
     LockDenied,
-    /// A number of a counter.
+    /// The next number of a counter.
     Number {
         /// The number.
         value: u64,
     },
-    /// The cell was written, now or by an earlier attempt of the same call.
+    /// The cell was written, now or by an earlier attempt of the same request.
     CellWritten {
         /// The revision of the change.
         revision: Revision,
     },
-    /// The cell does not have the expected revision, and nothing was written.
+    /// The cell does not have the expected revision; nothing was written.
     CellChanged {
-        /// The cell's revision.
+        /// The cell's current revision.
         revision: Revision,
     },
-    /// What a cell holds.
+    /// The content of a cell.
     Cell {
         /// Its value.
         value: String,
         /// Its revision.
         revision: Revision,
     },
-    /// There is no such cell.
+    /// The cell does not exist.
     NoCell,
-    /// The changes of a group above the revision that the caller named, in the order of their revisions.
+    /// The changes of a group after the revision in the request, in the order of their revisions.
     Events {
-        /// The changes; empty if there were none while the caller waited, or if it asked for the revision only.
+        /// The changes; empty if there were none while the caller waited, or if it requested the revision only.
         events: Vec<CellEvent>,
-        /// The revision up to which the changes are complete.
+        /// The revision up to which `events` is complete.
         revision: Revision,
     },
-    /// Some of the changes that the caller asked for are no longer kept.
+    /// Some of the requested changes are no longer retained.
     EventsDropped,
-    /// There is no room for another lock, counter or cell. Nothing was done.
+    /// The byte limit of all registers does not allow another lock, counter or cell. Nothing was changed.
     OutOfSpace,
-    /// Locks that are held.
+    /// One page of the locks that are held.
     Locks {
         /// The locks, in the order of their names.
         locks: Vec<HeldLock>,
-        /// The name after which the list goes on; `None` if this is its end.
+        /// The cursor for the next page: the `after` of the next [`ListLocks`](crate::Operation::ListLocks) request;
+        /// `None` if this is the last page.
         next_after: Option<String>,
     },
 }
--- a/crates/emberpin-coordination/src/register.rs
+++ b/crates/emberpin-coordination/src/register.rs
@@ -1,4 +1,4 @@
-//! Registers: the units that replicas agree on.
+//! Registers: named texts, the units on which replicas agree by consensus.
 
 use crate::operation::Operation;
 use serde::de::DeserializeOwned;
@@ -8,7 +8,7 @@
 /// The kinds of registers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RegisterKind {
-    /// A lock: its holder and its last fencing token.
+    /// A lock: its lease and its last fencing token.
     Lock,
     /// A counter: its last number.
     Counter,
@@ -16,11 +16,11 @@
     Cell,
     /// A group of cells: its last revision.
     CellGroup,
-    /// A part of a group's history: consecutive changes.
+    /// A segment of a group's history: consecutive changes.
     HistorySegment,
 }
 
-/// What identifies a register.
+/// The key that identifies a register.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RegisterKey {
     /// The kind of the register.
@@ -30,7 +30,7 @@
 }
 
 impl RegisterKey {
-    /// The register of a kind with this name.
+    /// The key of the register of this kind and name.
     pub fn new(kind: RegisterKind, name: impl Into<String>) -> RegisterKey {
         RegisterKey {
             kind,
@@ -44,17 +44,18 @@
     /// The content of a register; `None` if it was never written.
     fn content(&self, key: &RegisterKey) -> Option<&str>;
 
-    /// A lower bound of the time since the register got its content, on a steady clock; zero if it is not known.
+    /// A lower bound of the time since the register got its current content, on a monotonic clock; zero if that time
+    /// is unknown.
     fn age(&self, key: &RegisterKey) -> Duration;
 
-    /// The first names of the registers of a kind that come after this one, in their order; at most `limit`.
+    /// The names of the registers of a kind that sort after `after`, in order; at most the first `limit`.
     fn names_after(&self, kind: RegisterKind, after: &str, limit: usize) -> Vec<String>;
 
-    /// How many bytes all registers take, about.
+    /// The approximate size of all registers together, in bytes.
     fn size_bytes(&self) -> usize;
 }
 
-/// A new content of a register.
+/// A write to a register.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     /// The register.
@@ -63,18 +64,18 @@
     pub content: String,
 }
 
-/// The content of a register is none that this build has written.
+/// The error of a register whose content this build cannot parse.
 #[derive(Debug, thiserror::Error)]
 #[error("the register {key:?} cannot be read: {source}")]
 pub struct InvalidRegister {
     /// The register.
     pub key: RegisterKey,
-    /// What is wrong with its content.
+    /// The parse error.
     #[source]
     pub source: serde_json::Error,
 }
 
-/// Reads a register; its default if it was never written.
+/// Parses the content of a register; the default value if it was never written.
 pub(crate) fn read<T: DeserializeOwned + Default>(
     registers: &impl Registers,
     key: &RegisterKey,
@@ -88,15 +89,15 @@
     })
 }
 
-/// A change that gives a register this content.
+/// The change that writes this content to a register.
 pub(crate) fn write<T: Serialize>(key: RegisterKey, content: &T) -> Change {
     let content = serde_json::to_string(content)
-        .expect("registers are structs of numbers and texts, which JSON can express");
+        .expect("registers are structs of numbers and strings, which JSON can express");
     Change { key, content }
 }
 
-/// The register that an operation would make if it does not exist yet.
-pub(crate) fn subject(operation: &Operation) -> Option<RegisterKey> {
+/// The key of the register that an operation creates if it does not exist yet; `None` if the operation creates none.
+pub(crate) fn created_register(operation: &Operation) -> Option<RegisterKey> {
     match operation {
         Operation::AcquireLock { lock, .. } => Some(RegisterKey::new(RegisterKind::Lock, lock)),
         Operation::NextNumber { counter } => Some(RegisterKey::new(RegisterKind::Counter, counter)),
--- a/crates/emberpin-coordination/tests/counters.rs
+++ b/crates/emberpin-coordination/tests/counters.rs
@@ -1,4 +1,4 @@
-//! Counters.
+//! Counters: numbers increase, and each counter has its own sequence.
 
 mod memory;
 
@@ -7,7 +7,7 @@
 use memory::Memory;
 
 #[gtest]
-fn each_counter_gives_rising_numbers_of_its_own() {
+fn each_counter_returns_its_own_increasing_numbers() {
     let mut memory = Memory::default();
     for value in 1..=3 {
         for counter in ["n", "m"] {
--- a/crates/emberpin-coordination/tests/lock_list.rs
+++ b/crates/emberpin-coordination/tests/lock_list.rs
@@ -1,4 +1,4 @@
-//! Which locks the list for operators has.
+//! The list of held locks for operators: its content, and its division into pages.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod memory;
@@ -13,19 +13,19 @@
 const LEASE: Duration = Duration::from_secs(3);
 const AGE: Duration = Duration::from_millis(700);
 
-fn begin(registers: &mut Memory, lock: &str, owner: &str) {
-    registers.operate(&Operation::AcquireLock {
+fn acquire(registers: &mut Memory, lock: &str, owner: &str) {
+    registers.execute(&Operation::AcquireLock {
         lock: lock.into(),
         owner: owner.into(),
         lease: LEASE,
     });
 }
 
-/// The list of the locks after a name.
+/// The page of locks whose names sort after `after`.
 fn list(registers: &mut Memory, after: &str) -> Outcome {
     let after = after.into();
-    let outcome = registers.operate(&Operation::ListLocks { after });
-    outcome.expect("a list does not wait")
+    let outcome = registers.execute(&Operation::ListLocks { after });
+    outcome.expect("a list request completes without waiting")
 }
 
 fn held(name: &str, owner: &str) -> HeldLock {
@@ -39,20 +39,20 @@
 }
 
 #[gtest]
-fn the_list_has_the_locks_that_are_held_and_no_other_registers() {
+fn the_list_has_exactly_the_held_locks_in_the_order_of_their_names() {
     let mut registers = Memory::default();
-    begin(&mut registers, "b", "one");
-    begin(&mut registers, "a", "two");
-    begin(&mut registers, "released", "two");
-    registers.operate(&Operation::ReleaseLock {
+    acquire(&mut registers, "b", "one");
+    acquire(&mut registers, "a", "two");
+    acquire(&mut registers, "released", "two");
+    registers.execute(&Operation::ReleaseLock {
         lock: "released".into(),
         owner: "two".into(),
         fence: FencingToken(1),
     });
-    registers.operate(&Operation::NextNumber {
+    registers.execute(&Operation::NextNumber {
         counter: "c".into(),
     });
-    registers.pass(AGE);
+    registers.advance(AGE);
     let expected = |locks| Outcome::Locks {
         locks,
         next_after: None,
@@ -69,17 +69,17 @@
 }
 
 #[gtest]
-fn a_list_that_is_too_long_for_one_response_goes_on_after_the_name_that_it_tells() {
+fn a_list_that_exceeds_one_page_continues_after_the_returned_cursor() {
     let mut registers = Memory::default();
     for n in 0..=MAX_LISTED_LOCKS {
-        begin(&mut registers, &format!("l{n:05}"), "o");
+        acquire(&mut registers, &format!("l{n:05}"), "o");
     }
-    registers.pass(AGE);
+    registers.advance(AGE);
     let Outcome::Locks { locks, next_after } = list(&mut registers, "") else {
         panic!("no list");
     };
     expect_that!(locks.len(), eq(MAX_LISTED_LOCKS));
-    let after = next_after.expect("there is one more");
+    let after = next_after.expect("a second page");
     let Outcome::Locks { locks, next_after } = list(&mut registers, &after) else {
         panic!("no list");
     };
@@ -91,9 +91,9 @@
 #[gtest]
 fn a_list_changes_nothing() {
     let mut registers = Memory::default();
-    begin(&mut registers, "a", "one");
+    acquire(&mut registers, "a", "one");
     let list = Operation::ListLocks { after: "".into() };
-    let evaluation = evaluate(&list, &registers).expect("registers of this build");
+    let evaluation = evaluate(&list, &registers).expect("registers written by this build");
     expect_that!(list.is_read(), eq(true));
     expect_that!(
         matches!(evaluation, Evaluation::Complete { changes, .. } if changes.is_empty()),
--- a/crates/emberpin-coordination/tests/memory/mod.rs
+++ b/crates/emberpin-coordination/tests/memory/mod.rs
@@ -1,4 +1,4 @@
-//! Registers in memory, and the operations of tests on them.
+//! Registers in memory, and shorthands for the operations of the tests.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use emberpin_coordination::{
@@ -8,17 +8,17 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A register's content, and when it got it.
+/// The content of a register, and the time of its last write.
 struct Content {
     text: String,
     since: Duration,
 }
 
-/// Registers on a clock that a test sets.
+/// Registers in memory, with a clock that the test advances.
 #[derive(Default)]
 pub struct Memory {
     pub now: Duration,
-    /// How many bytes the registers are said to take.
+    /// The size that the registers report, whatever they contain.
     pub size_bytes: usize,
     contents: BTreeMap<RegisterKey, Content>,
 }
@@ -45,9 +45,9 @@
 }
 
 impl Memory {
-    /// Carries an operation out; `None` if it waits for a change.
-    pub fn operate(&mut self, operation: &Operation) -> Option<Outcome> {
-        let evaluation = evaluate(operation, self).expect("registers of this build");
+    /// Evaluates an operation and applies its changes; `None` if it waits for a change.
+    pub fn execute(&mut self, operation: &Operation) -> Option<Outcome> {
+        let evaluation = evaluate(operation, self).expect("registers written by this build");
         let Evaluation::Complete { outcome, changes } = evaluation else {
             return None;
         };
@@ -61,53 +61,57 @@
         Some(outcome)
     }
 
-    pub fn pass(&mut self, span: Duration) {
+    /// Advances the clock.
+    pub fn advance(&mut self, span: Duration) {
         self.now += span;
     }
 
-    pub fn begin(&mut self, owner: &str, lease: Duration) -> Option<Outcome> {
-        self.operate(&Operation::AcquireLock {
+    /// Acquires the lock `l`.
+    pub fn acquire(&mut self, owner: &str, lease: Duration) -> Option<Outcome> {
+        self.execute(&Operation::AcquireLock {
             lock: "l".into(),
             owner: owner.into(),
             lease,
         })
     }
 
-    pub fn renew(&mut self, owner: &str, fence: u64, lease: Duration) -> Option<Outcome> {
-        self.operate(&Operation::RenewLock {
+    /// Renews the lease of the lock `l`.
+    pub fn renew(&mut self, owner: &str, token: u64, lease: Duration) -> Option<Outcome> {
+        self.execute(&Operation::RenewLock {
             lock: "l".into(),
             owner: owner.into(),
-            fence: FencingToken(fence),
+            fence: FencingToken(token),
             lease,
         })
     }
 
-    pub fn finish(&mut self, owner: &str, fence: u64) -> Option<Outcome> {
-        self.operate(&Operation::ReleaseLock {
+    /// Releases the lock `l`.
+    pub fn release(&mut self, owner: &str, token: u64) -> Option<Outcome> {
+        self.execute(&Operation::ReleaseLock {
             lock: "l".into(),
             owner: owner.into(),
-            fence: FencingToken(fence),
+            fence: FencingToken(token),
         })
     }
 
     pub fn next_number(&mut self, counter: &str) -> Option<Outcome> {
-        self.operate(&Operation::NextNumber {
+        self.execute(&Operation::NextNumber {
             counter: counter.into(),
         })
     }
 
-    /// Puts a value if the cell has this revision.
+    /// Writes a value if the cell has the expected revision.
     pub fn put(&mut self, cell: &str, value: &str, expected: u64) -> Option<Outcome> {
         self.put_if(cell, value, Some(Revision(expected)))
     }
 
-    /// Puts a value whatever revision the cell has.
-    pub fn put_always(&mut self, cell: &str, value: &str) -> Option<Outcome> {
+    /// Writes a value whatever the cell's revision is.
+    pub fn put_unconditionally(&mut self, cell: &str, value: &str) -> Option<Outcome> {
         self.put_if(cell, value, None)
     }
 
     fn put_if(&mut self, cell: &str, value: &str, expected: Option<Revision>) -> Option<Outcome> {
-        self.operate(&Operation::PutCell {
+        self.execute(&Operation::PutCell {
             cell: cell.into(),
             value: value.into(),
             expected,
@@ -115,12 +119,12 @@
     }
 
     pub fn get(&mut self, cell: &str) -> Option<Outcome> {
-        self.operate(&Operation::GetCell { cell: cell.into() })
+        self.execute(&Operation::GetCell { cell: cell.into() })
     }
 
-    /// Asks for the changes of the group `g.`.
+    /// Requests the changes of the group `g.` after a revision.
     pub fn watch(&mut self, after: u64) -> Option<Outcome> {
-        self.operate(&Operation::WatchGroup {
+        self.execute(&Operation::WatchGroup {
             group: "g.".into(),
             after: Revision(after),
             wait: Duration::from_secs(1),
@@ -128,9 +132,9 @@
     }
 }
 
-pub fn granted(fence: u64) -> Outcome {
+pub fn granted(token: u64) -> Outcome {
     Outcome::LockGranted {
-        fence: FencingToken(fence),
+        fence: FencingToken(token),
     }
 }
 
