--- a/crates/emberpin-coordination/src/cell.rs
+++ b/crates/emberpin-coordination/src/cell.rs
@@ -16,7 +16,8 @@
 }
 
 /// Writes a cell if it has the `expected` revision; with `None`, in any case. A value that was written before is not
-/// written again: the outcome has its first revision, if that is within the range that [`history::find_write`] searches.
+/// written again: the outcome has its first revision, if that is within the range that [`history::find_write`]
+/// searches.
 pub fn put(
     registers: &impl Registers,
     name: &str,
--- a/crates/emberpin-coordination/src/history.rs
+++ b/crates/emberpin-coordination/src/history.rs
@@ -1,7 +1,7 @@
 //! The history of a group of cells: its latest changes, in a ring of segments.
 //!
-//! A segment holds consecutive changes, and each change rewrites one segment. When all segments are full, the oldest one
-//! is cleared and reused, so the size of a history is bounded without a clock.
+//! A segment holds consecutive changes, and each change rewrites one segment. When all segments are full, the oldest
+//! one is cleared and reused, so the size of a history is bounded without a clock.
 
 use crate::evaluate::Evaluation;
 use crate::operation::{group_of, Revision};
@@ -60,8 +60,8 @@
     ])
 }
 
-/// The revision above `after` at which a value was written to a cell. Only the latest [`MAX_SEARCHED_SEGMENTS`] segments
-/// of the group are searched, as callers retry a request for a few seconds only.
+/// The revision above `after` at which a value was written to a cell. Only the latest [`MAX_SEARCHED_SEGMENTS`]
+/// segments of the group are searched, as callers retry a request for a few seconds only.
 pub fn find_write(
     registers: &impl Registers,
     cell: &str,
--- a/crates/emberpin-coordination/src/lock.rs
+++ b/crates/emberpin-coordination/src/lock.rs
@@ -1,9 +1,9 @@
 //! Grants, renews, releases and lists locks with leases.
 //!
-//! A lease holder counts its lease from the moment at which it sent the request, on its own clock. A replica counts from
-//! the moment at which it learned of the lease, which is later. So once a replica has known a lease for longer than the
-//! lease's duration plus the clock tolerance, the holder no longer considers itself the holder. A replica that restarts
-//! counts from its start: it may consider a lock free too late, but never too early.
+//! A lease holder counts its lease from the moment at which it sent the request, on its own clock. A replica counts
+//! from the moment at which it learned of the lease, which is later. So once a replica has known a lease for longer
+//! than the lease's duration plus the clock tolerance, the holder no longer considers itself the holder. A replica that
+//! restarts counts from its start: it may consider a lock free too late, but never too early.
 
 use crate::evaluate::Evaluation;
 use crate::operation::FencingToken;
@@ -48,8 +48,8 @@
     lease / MAX_CLOCK_DRIFT_DIVISOR + CLOCK_RESOLUTION
 }
 
-/// Grants the lock if it is free, if its lease has expired, or if the caller is the current lease holder. Each grant has
-/// a new fencing token, so that a delayed release does not end a later lease of the same owner.
+/// Grants the lock if it is free, if its lease has expired, or if the caller is the current lease holder. Each grant
+/// has a new fencing token, so that a delayed release does not end a later lease of the same owner.
 pub fn acquire(
     registers: &impl Registers,
     name: &str,
--- a/crates/emberpin-coordination/src/operation.rs
+++ b/crates/emberpin-coordination/src/operation.rs
@@ -77,8 +77,8 @@
         /// The counter's name.
         counter: String,
     },
-    /// Writes a cell. Callers never write the same value to a cell twice, so a value that the cell had before comes from
-    /// an earlier attempt of the same request.
+    /// Writes a cell. Callers never write the same value to a cell twice, so a value that the cell had before comes
+    /// from an earlier attempt of the same request.
     PutCell {
         /// The cell's name.
         cell: String,
