--- a/crates/emberpin-config/src/change_consistency.rs
+++ b/crates/emberpin-config/src/change_consistency.rs
@@ -1,32 +1,36 @@
-//! Whether a change leaves the configuration valid. Only what the change touches is looked at, so that a change does not
-//! cost a copy, or a parse, of all other items.
+//! Checks whether a change leaves the configuration valid. It examines only the items that the change affects, so a
+//! change does not cost a copy or a parse of all other items.
 
 use crate::consistency::{check_item, route_collision, route_key, unknown_service};
 use crate::{Configuration, Item, ItemKey, ItemKind, Route, Target, ValidationError};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Why the configuration is invalid with these items, which are newer than what is known, if they are among the causes:
-/// invalid items first, then unknown services, then colliding routes.
+/// The first problem that the `newer` items cause or leave in host_and_prefix, if any: invalid items come first, then
+/// unknown services, then colliding routes. The items must be newer than those of the configuration.
 ///
-/// What the items leave alone was inconsistent before, except where they remove a service.
-pub(crate) fn new_inconsistency(newest: &Configuration, newer: &[Item]) -> Option<ValidationError> {
-    let change = Change::new(newest, newer);
+/// Problems among other items are not reported: they existed before, except for routes to a service that the change
+/// removes.
+pub(crate) fn new_inconsistency(
+    current: &Configuration,
+    newer: &[Item],
+) -> Option<ValidationError> {
+    let change = Change::new(current, newer);
     change
         .invalid_item()
         .or_else(|| change.route_to_unknown_service())
         .or_else(|| change.colliding_route())
 }
 
-/// Items on top of a configuration that is not copied.
+/// Changed items as an overlay over a configuration, which is not copied.
 struct Change<'a> {
-    newest: &'a Configuration,
+    current: &'a Configuration,
     items: BTreeMap<&'a ItemKey, &'a Item>,
-    /// The changed routes that are live and valid by themselves, by name.
+    /// The changed routes that are not removed and are valid by themselves, by name.
     routes: BTreeMap<&'a str, Route>,
 }
 
 impl<'a> Change<'a> {
-    fn new(newest: &'a Configuration, newer: &'a [Item]) -> Change<'a> {
+    fn new(current: &'a Configuration, newer: &'a [Item]) -> Change<'a> {
         let mut items = BTreeMap::<&ItemKey, &Item>::new();
         for item in newer {
             let latest = items.entry(&item.key).or_insert(item);
@@ -40,7 +44,7 @@
             .filter_map(|item| Some((item.key.name.as_str(), Route::from_item(item).ok()?)))
             .collect();
         Change {
-            newest,
+            current,
             items,
             routes,
         }
@@ -53,30 +57,32 @@
             .find_map(|item| check_item(item).err())
     }
 
-    /// A changed route to a service that does not exist, or an unchanged one to a service that the change removes.
+    /// The error of a changed route to a service that does not exist, or of an unchanged one to a service that the
+    /// change removes. If there are several, that of the route with the smallest name.
     fn route_to_unknown_service(&self) -> Option<ValidationError> {
         let removed = self.removed_services();
         let unchanged = self
-            .newest
+            .current
             .routes()
-            .filter_map(|route| Some((route, first_target(route, |name| removed.contains(name))?)))
+            .filter_map(|route| Some((route, find_target(route, |name| removed.contains(name))?)))
             .filter(|(route, _)| !self.changes(route));
-        let changed = self.routes.values().filter_map(|route| {
-            Some((route, first_target(route, |name| !self.has_service(name))?))
-        });
+        let changed = self
+            .routes
+            .values()
+            .filter_map(|route| Some((route, find_target(route, |name| !self.has_service(name))?)));
         let (route, service) = unchanged
             .chain(changed)
             .min_by(|(one, _), (other, _)| one.name.cmp(&other.name))?;
         Some(unknown_service(route, service))
     }
 
-    /// The services that exist now, and do not with the change.
+    /// The services that the change removes.
     fn removed_services(&self) -> BTreeSet<&str> {
         self.items
             .iter()
             .filter(|(key, item)| key.kind == ItemKind::Service && item.is_tombstone())
             .map(|(key, _)| key.name.as_str())
-            .filter(|name| self.newest.has_service(name))
+            .filter(|name| self.current.has_service(name))
             .collect()
     }
 
@@ -87,7 +93,7 @@
         };
         match self.items.get(&key) {
             Some(item) => !item.is_tombstone(),
-            None => self.newest.has_service(name),
+            None => self.current.has_service(name),
         }
     }
 
@@ -96,7 +102,7 @@
         self.items.contains_key(&route_key(route))
     }
 
-    /// Two routes of one host and prefix, of which the change sets at least one.
+    /// The error of two routes with the same host and prefix, at least one of which the change sets.
     fn colliding_route(&self) -> Option<ValidationError> {
         if self.routes.is_empty() {
             return None;
@@ -108,9 +114,9 @@
                 .or_default()
                 .push(route);
         }
-        for route in self.newest.routes() {
-            let place = (route.hostname.as_str(), route.prefix.as_str());
-            if let Some(routes) = by_host_and_prefix.get_mut(&place) {
+        for route in self.current.routes() {
+            let host_and_prefix = (route.hostname.as_str(), route.prefix.as_str());
+            if let Some(routes) = by_host_and_prefix.get_mut(&host_and_prefix) {
                 if !self.changes(route) {
                     routes.push(route);
                 }
@@ -123,11 +129,11 @@
     }
 }
 
-/// The first service of a route for which this holds.
-fn first_target(route: &Route, is_wanted: impl Fn(&str) -> bool) -> Option<&str> {
+/// The first target service of a route that satisfies the predicate.
+fn find_target(route: &Route, predicate: impl Fn(&str) -> bool) -> Option<&str> {
     let mut services = route
         .targets
         .iter()
         .map(|Target { service, .. }| service.as_str());
-    services.find(|service| is_wanted(service))
+    services.find(|service| predicate(service))
 }
--- a/crates/emberpin-config/src/checkpoint.rs
+++ b/crates/emberpin-config/src/checkpoint.rs
@@ -1,32 +1,33 @@
-//! The bound on tombstones: which of them were removed.
+//! Checkpoints, which bound the number of tombstones: they record which of them were removed.
 
 use crate::json::decode_string;
 use crate::{Configuration, Item, ItemKey, ItemKind, Version};
 use std::collections::BTreeMap;
 
-/// The most tombstones of routes and services. A call that would exceed it carries a [`Checkpoint`], which removes those
-/// of the lowest versions.
+/// The maximum number of tombstones of routes and services. A patch that would exceed it is committed together with a
+/// [`Checkpoint`], which removes the tombstones with the lowest versions.
 pub const MAX_TOMBSTONES: usize = 50_000;
-/// A checkpoint removes `1 / REMOVED_FRACTION` of the tombstones that are allowed. With a higher number checkpoints,
-/// each of which lists live items, come more often.
+/// Besides the excess, a checkpoint removes `1 / REMOVED_FRACTION` of the maximum number of tombstones. With a higher
+/// value, checkpoints become more frequent, and each of them lists live items.
 const REMOVED_FRACTION: usize = 8;
 
-/// Which versions of routes and services are still known, up to a floor; all others were removed.
+/// The versions of routes and services that were kept up to a certain version, the floor. All others up to the floor
+/// were removed.
 ///
-/// A checkpoint is an item itself and is chosen like any other, so that all replicas remove the same, in whatever
-/// order they learn of it: a version at or below the floor is admitted only if the checkpoint lists its item, with
-/// that version or a lower one. So a replica that missed the removal of an item removes it when it learns of the
-/// checkpoint, and a live item may be removed by a version below the floor.
+/// A checkpoint is itself an item that consensus chooses like any other, so all replicas remove the same tombstones, in
+/// whatever order they receive items. A version at or below the floor is admitted only if the checkpoint lists its item
+/// with that version or a lower one. So a replica that missed the removal of an item removes it when it receives the
+/// checkpoint, and a live item can still be removed by a version below the floor.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Checkpoint {
     floor: Option<Version>,
     max_history_version: Version,
-    /// The items that were live with a version at or below the floor, and that version.
+    /// The items that were live with a version at or below the floor, each with that version.
     live: BTreeMap<ItemKey, Version>,
 }
 
 impl Checkpoint {
-    /// The key of the one item of this kind.
+    /// The key of the checkpoint item, of which there is only one.
     pub fn key() -> ItemKey {
         ItemKey {
             kind: ItemKind::Checkpoint,
@@ -34,18 +35,19 @@
         }
     }
 
-    /// The version above which nothing was removed; `None`, if nothing was removed at all.
+    /// The highest version of a removed tombstone; `None` if no tombstone was removed.
     pub fn floor(&self) -> Option<Version> {
         self.floor
     }
 
-    /// The highest version that any history had. A history that begins anew gets a higher one, so that an old copy of
-    /// a history that was removed never passes for newer.
+    /// The highest version of any history so far. A history that is created again gets a higher version, so an old copy
+    /// of a removed history is never mistaken for the newer one.
     pub fn max_history_version(&self) -> Version {
         self.max_history_version
     }
 
-    /// Whether this version of a route or service was not removed.
+    /// Whether this version of an item may be merged: false if it is a version of a route or service that the
+    /// checkpoint removed.
     pub fn admits(&self, key: &ItemKey, version: Version) -> bool {
         let is_above_floor = self.floor.is_none_or(|floor| version > floor);
         is_above_floor
@@ -53,7 +55,7 @@
             || self.live.get(key).is_some_and(|live| version >= *live)
     }
 
-    /// The next checkpoint, if the configuration has more tombstones than `max_tombstones`.
+    /// The item of the next checkpoint, if the configuration has more than `max_tombstones` removable tombstones.
     pub fn next_if_due(configuration: &Configuration, max_tombstones: usize) -> Option<Item> {
         let tombstones = configuration.removable_tombstones();
         let excess = tombstones
@@ -85,8 +87,8 @@
         Some(next.to_item(current_version.next()))
     }
 
-    /// Reads a checkpoint from its item. One that cannot be read, as a build with another format wrote it, removes
-    /// nothing.
+    /// Reads a checkpoint from its item. A checkpoint that cannot be parsed, because a build with another format wrote
+    /// it, counts as one that removes nothing.
     pub fn from_item(item: &Item) -> Checkpoint {
         item.body
             .as_deref()
@@ -105,7 +107,8 @@
         })
     }
 
-    /// The checkpoint as an item: `FLOOR MAX_HISTORY_VERSION`, then a line `KIND VERSION "NAME"` for each live item.
+    /// The checkpoint as an item of this version. Its body is the line `FLOOR MAX_HISTORY_VERSION`, followed by a line
+    /// `KIND VERSION "NAME"` for each live item.
     fn to_item(&self, version: Version) -> Item {
         let mut body = format!(
             "{} {}",
@@ -125,7 +128,7 @@
     }
 }
 
-/// The key and version of a live item, from its line.
+/// Parses the line of a live item: its key and version.
 fn parse_live(line: &str) -> Option<(ItemKey, Version)> {
     let mut fields = line.splitn(3, ' ');
     let kind = ItemKind::from_tag(fields.next()?)?;
--- a/crates/emberpin-config/src/configuration.rs
+++ b/crates/emberpin-config/src/configuration.rs
@@ -1,31 +1,32 @@
-//! The newest version of every item, and how replicas merge what they hold.
+//! The configuration: the newest version of every item, and the merge of items from other replicas.
 
 use crate::{Checkpoint, History, Item, ItemKey, ItemKind, Route, ValidationError, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The newest version of every item, tombstones included.
 ///
-/// A state-based CRDT: replicas that merged the same items, in whatever order and however often, are equal.
+/// A state-based CRDT: replicas that have merged the same items are equal, regardless of order and repetition.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
     items: BTreeMap<ItemKey, Item>,
-    /// The live routes as parsed, by name, so that a change does not cost a parse of all others.
+    /// The result of parsing each live route, by name, so that a change does not cost a parse of all other routes.
     parsed_routes: BTreeMap<String, Result<Route, ValidationError>>,
     /// The tombstones that a checkpoint may remove, in the order of their versions.
     removable_tombstones: BTreeSet<(Version, ItemKey)>,
     checkpoint: Checkpoint,
-    /// The encoded size of all items, about.
+    /// The approximate encoded size of all items, in bytes.
     bytes: usize,
-    /// How many histories there are.
+    /// The number of histories.
     history_count: usize,
 }
 
-/// What a merge changed.
+/// The effect of a merge.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MergeOutcome {
-    /// Whether the merged item is now the newest one of its key. If not, nothing changed.
+    /// Whether the item was newer than the known one and was applied. If not, nothing changed.
     pub is_newer: bool,
-    /// The items that the merged item, a checkpoint, removed. What keeps them elsewhere has to remove them, too.
+    /// The items that were removed because the merged item is a checkpoint. A caller that stores items elsewhere has to
+    /// remove them there, too.
     pub removed: Vec<Item>,
 }
 
@@ -35,14 +36,14 @@
         Configuration::default()
     }
 
-    /// Merges an item: it is applied if its version is above the known one and the [`Checkpoint`] admits it. Whether
-    /// it is.
+    /// Merges an item: applies it if its version is above the known one and the [`Checkpoint`] admits it. Returns
+    /// whether it was applied.
     pub fn merge(&mut self, item: Item) -> bool {
         self.merge_and_prune(item).is_newer
     }
 
-    /// As [`Configuration::merge`], for those who keep items elsewhere as well: also returns what a new checkpoint
-    /// removes.
+    /// Merges an item like [`Configuration::merge`], and also returns the items that a new checkpoint removes, for
+    /// callers that store items elsewhere as well.
     pub fn merge_and_prune(&mut self, item: Item) -> MergeOutcome {
         let is_known = self
             .get(&item.key)
@@ -86,7 +87,8 @@
                     .insert(item.key.name.clone(), Route::from_item(&item));
             }
         }
-        // Those of evacuations stay: there are few, and an evacuation that came back would take a zone out of use.
+        // Tombstones of evacuations are kept forever: there are few of them, and an old evacuation that reappeared
+        // would take a zone out of use.
         if item.is_tombstone() && item.key.is_removable() {
             self.removable_tombstones
                 .insert((item.version, item.key.clone()));
@@ -110,8 +112,8 @@
         removed
     }
 
-    /// Whether the checkpoint allows this version of an item. A version that it does not allow belongs to an item whose
-    /// tombstone was removed; applying it could bring the item back.
+    /// Whether the checkpoint admits this version of an item. If not, the item's tombstone was removed, and applying
+    /// the version could bring the item back.
     pub fn admits(&self, item: &Item) -> bool {
         if self.checkpoint.floor().is_none() {
             return true;
@@ -130,22 +132,22 @@
         }
     }
 
-    /// Which tombstones were removed.
+    /// The latest checkpoint, which records the removed tombstones.
     pub fn checkpoint(&self) -> &Checkpoint {
         &self.checkpoint
     }
 
-    /// How many tombstones there are that a checkpoint may remove.
+    /// The number of tombstones that a checkpoint may remove.
     pub fn tombstone_count(&self) -> usize {
         self.removable_tombstones.len()
     }
 
-    /// The tombstones that a checkpoint may remove, from the lowest version on.
+    /// The tombstones that a checkpoint may remove, in the order of their versions.
     pub(crate) fn removable_tombstones(&self) -> &BTreeSet<(Version, ItemKey)> {
         &self.removable_tombstones
     }
 
-    /// The newest version of an item, which may be a tombstone.
+    /// The newest version of an item, possibly a tombstone.
     pub fn get(&self, key: &ItemKey) -> Option<&Item> {
         self.items.get(key)
     }
@@ -155,29 +157,29 @@
         self.items.values()
     }
 
-    /// The items that are no tombstones, in the order of their keys.
+    /// All items except tombstones, in the order of their keys.
     pub fn live(&self) -> impl Iterator<Item = &Item> + '_ {
         self.iter().filter(|item| !item.is_tombstone())
     }
 
-    /// How many items there are, tombstones included.
+    /// The number of items, tombstones included.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// The encoded size of all items, about, in bytes.
+    /// The approximate encoded size of all items, in bytes.
     pub fn encoded_len(&self) -> usize {
         self.bytes
     }
 
-    /// How much larger these items, merged, make the configuration, in bytes; 0, if they make it smaller.
+    /// By how many bytes the configuration grows if these items replace its own; 0 if it shrinks.
     pub(crate) fn growth_by(&self, items: &[Item]) -> usize {
-        let former = |item: &Item| self.get(&item.key).map_or(0, Item::encoded_len);
+        let replaced = |item: &Item| self.get(&item.key).map_or(0, Item::encoded_len);
         let added: usize = items.iter().map(Item::encoded_len).sum();
-        added.saturating_sub(items.iter().map(former).sum())
+        added.saturating_sub(items.iter().map(replaced).sum())
     }
 
-    /// How many histories there are.
+    /// The number of histories.
     pub(crate) fn history_count(&self) -> usize {
         self.history_count
     }
@@ -187,7 +189,7 @@
         self.items.is_empty()
     }
 
-    /// Whether a service of this name exists and was not removed.
+    /// Whether a service of this name exists and is not a tombstone.
     pub fn has_service(&self, service: &str) -> bool {
         let key = ItemKey {
             kind: ItemKind::Service,
@@ -198,15 +200,15 @@
             .is_some_and(|item| !item.is_tombstone())
     }
 
-    /// The live routes that are valid by themselves, in the order of their names. Those that proxies follow are
-    /// [`effective_routes`](crate::effective_routes()).
+    /// The live routes that are valid by themselves, in the order of their names. See
+    /// [`effective_routes`](crate::effective_routes()) for the routes that proxies use.
     pub fn routes(&self) -> impl Iterator<Item = &Route> + '_ {
         self.parsed_routes
             .values()
             .filter_map(|route| route.as_ref().ok())
     }
 
-    /// A live route as parsed, or why it is invalid; `None` for other items.
+    /// The result of parsing the live route of this item; `None` for other items.
     pub(crate) fn parsed_route(&self, item: &Item) -> Option<&Result<Route, ValidationError>> {
         let is_route = item.key.kind == ItemKind::Route;
         self.parsed_routes.get(&item.key.name).filter(|_| is_route)
--- a/crates/emberpin-config/src/consistency.rs
+++ b/crates/emberpin-config/src/consistency.rs
@@ -1,4 +1,4 @@
-//! What is invalid about the configuration as a whole.
+//! The consistency checks of the configuration as a whole.
 
 use crate::{
     Configuration, Item, ItemKey, ItemKind, Limits, Problem, Route, Service, ValidationError,
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 
 impl Configuration {
-    /// Checks that the configuration is valid as a whole: every item is, no route names an unknown service, and no
-    /// two routes have the same host and prefix.
+    /// Checks that the configuration is valid as a whole: every item is valid, no route refers to an unknown service,
+    /// and no two routes have the same host and prefix.
     ///
     /// # Errors
     ///
-    /// The first problem that was found: invalid items come first, then unknown services, then colliding routes.
+    /// The first problem: invalid items come first, then unknown services, then colliding routes.
     pub fn check(&self) -> Result<(), ValidationError> {
         self.live()
             .try_for_each(|item| self.check_known_item(item))?;
@@ -19,7 +19,7 @@
         self.check_collisions()
     }
 
-    /// As [`check_item`], without another parse of a route.
+    /// Checks an item of this configuration like [`check_item`], without parsing a route again.
     fn check_known_item(&self, item: &Item) -> Result<(), ValidationError> {
         match self.parsed_route(item) {
             Some(parsed) => parsed.as_ref().map(drop).map_err(ValidationError::clone),
@@ -66,7 +66,7 @@
     }
 }
 
-/// The error of a route to a service that does not exist.
+/// The error of a route that refers to a service that does not exist.
 pub(crate) fn unknown_service(route: &Route, service: &str) -> ValidationError {
     let problem = Problem::UnknownService {
         service: service.to_owned(),
@@ -74,7 +74,8 @@
     ValidationError::new(route_key(route).to_string(), problem)
 }
 
-/// The error of routes with the same host and prefix, in the order of their names, if there are several.
+/// The error of several routes that share one host and prefix; `None` if there is at most one. `routes` are sorted by
+/// name.
 pub(crate) fn route_collision(routes: &[&Route]) -> Option<ValidationError> {
     let [first, second, ..] = routes else {
         return None;
--- a/crates/emberpin-config/src/digest.rs
+++ b/crates/emberpin-config/src/digest.rs
@@ -1,20 +1,20 @@
-//! Digests of the contents of items, by which a version that is sent again is recognized.
+//! Digests of the contents of items, used to recognize a version that is sent again.
 
 use crate::json::{decode_string, elements, members, parse_decimal};
 use crate::Item;
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_128;
 
-/// A digest of an item's content, of 128 bits. The stores keep it in histories, so its bytes must not change.
+/// A 128-bit digest of an item's content. The stores keep digests in histories, so the algorithm must not change.
 ///
-/// Two items of one key have the same digest exactly where [`validate`](crate::validate()) finds their contents
-/// equal, but for collisions: of two contents drawn at random one in 2^128. XXH3 does not withstand anybody who
-/// looks for collisions on purpose; whoever may change the configuration needs none.
+/// Two items of one key have the same digest exactly when [`validate`](crate::validate()) considers their contents
+/// equal, except for collisions, which have a probability of 2^-128 for two random contents. XXH3 does not resist
+/// deliberate collisions, but whoever could exploit one may change the configuration anyway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Digest(u128);
 
 impl Digest {
-    /// The digest of an item's content, which a tombstone has as well. The version is no part of it.
+    /// The digest of an item's content, without its version. Tombstones have a digest, too.
     pub fn of(item: &Item) -> Digest {
         let mut canonical = Vec::new();
         match &item.body {
@@ -35,8 +35,9 @@
     }
 }
 
-/// Appends the canonical form of a compact value, which two values share exactly where `json::is_same_value` holds:
-/// each part with its kind and its length before it, fields in the order of their names.
+/// Appends the canonical form of a compact value. Two values have the same canonical form exactly when
+/// `json::is_same_value` holds for them. Each part is preceded by a byte for its kind and by its length; fields are
+/// sorted by name.
 fn write_value(raw: &str, canonical: &mut Vec<u8>) {
     if let Some(mut members) = members(raw) {
         members.sort();
--- a/crates/emberpin-config/src/export.rs
+++ b/crates/emberpin-config/src/export.rs
@@ -1,11 +1,11 @@
-//! The configuration as operators read it back.
+//! Exports the configuration for operators.
 
 use crate::schema::split_route_body;
 use crate::{Configuration, ItemKind};
 use std::collections::BTreeMap;
 
-/// The body of `GET /config/get`: all items but tombstones, each with its content as it was sent, laid out as the
-/// `upsert` of a call.
+/// The response body of `GET /config/get`: the live services, limits and routes, each with its content as it was sent,
+/// in the format of a patch's `upsert`.
 pub fn export_json(configuration: &Configuration) -> String {
     let mut services = Vec::new();
     let mut limits = String::new();
--- a/crates/emberpin-config/src/history.rs
+++ b/crates/emberpin-config/src/history.rs
@@ -1,43 +1,43 @@
-//! The acknowledged versions of an item below its newest one, by which a call that is sent again is distinguished from
-//! another call that reuses its versions.
+//! Histories: the acknowledged versions of an item below its newest one. They distinguish a patch that is sent again
+//! from a different patch that reuses its versions.
 
 use crate::digest::Digest;
 use crate::{Configuration, Item, ItemKey, ItemKind, Version};
 use std::collections::BTreeMap;
 
-/// How many versions of each item a history keeps, besides the newest one. When another one is recorded, the lowest is
-/// removed, and a duplicate of it can no longer be distinguished from a conflict.
+/// The maximum number of versions that a history retains besides the newest one. When it would be exceeded, the lowest
+/// version is removed, and a duplicate of that version can no longer be distinguished from a conflict.
 pub const MAX_RETAINED_VERSIONS: usize = 64;
 
-/// What a history knows of a version below the newest one.
+/// The record of a version below the newest one in a history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PastVersion {
-    /// It was acknowledged with the content that was asked about.
+    /// The version was acknowledged with the same content.
     SameContent,
-    /// It was acknowledged with another content.
+    /// The version was acknowledged with a different content.
     OtherContent,
-    /// It is not above the floor, so whether it was acknowledged is not known any more.
+    /// The version is at or below the floor and not recorded, so it is no longer known whether it was acknowledged.
     BelowFloor,
-    /// It was never acknowledged.
+    /// The version was never acknowledged.
     NeverAcknowledged,
 }
 
 /// The acknowledged versions of one item, its subject, below its newest one, with digests of their contents.
 ///
-/// A history is an item itself, whose versions the stores assign. Each state is a function of the one before, and is
-/// proposed together with the change that it records; so each version of a history has one content.
+/// A history is itself an item, whose versions the stores assign. Each state of a history is a function of the state
+/// before it, and is proposed together with the change that it records, so each version of a history has one content.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct History {
     subject: ItemKey,
     newest: Version,
-    /// The highest version that was removed. Nothing is known of the versions up to it but those in `versions`.
+    /// The highest version that was removed from the history. Up to it, only the versions in `versions` are known.
     floor: Option<Version>,
     versions: BTreeMap<Version, Digest>,
 }
 
 impl History {
-    /// A history without versions, of an item whose newest version is `newest`. Up to `floor`, if there is one, it
-    /// is not known which versions were acknowledged.
+    /// A history without versions, of an item whose newest version is `newest`. Up to `floor`, if any, it is unknown
+    /// which versions were acknowledged.
     pub fn new(subject: ItemKey, newest: Version, floor: Option<Version>) -> History {
         History {
             subject,
@@ -47,8 +47,8 @@
         }
     }
 
-    /// The key of the history of an item: the tag of its kind, then its name. Only items whose versions calls choose
-    /// have a history: routes, services and limits.
+    /// The key of the history of an item: the tag of its kind followed by its name. Only items whose versions operators
+    /// choose have a history: routes, services and limits.
     pub fn key(subject: &ItemKey) -> ItemKey {
         ItemKey {
             kind: ItemKind::History,
@@ -56,18 +56,18 @@
         }
     }
 
-    /// The history of an item, if it has one.
+    /// Looks up the history of an item; `None` if it has none.
     pub fn find(configuration: &Configuration, subject: &ItemKey) -> Option<History> {
         History::from_item(configuration.get(&History::key(subject))?)
     }
 
-    /// The history of an item, given its newest version; an empty one, if it has none.
+    /// The history of an item, given its newest version; an empty history if it has none.
     pub(crate) fn find_or_new(configuration: &Configuration, newest: &Item) -> History {
         History::find(configuration, &newest.key)
             .unwrap_or_else(|| History::new(newest.key.clone(), newest.version, None))
     }
 
-    /// Reads a history from its item. `None`, if it cannot be read: a build with another format wrote it.
+    /// Reads a history from its item. `None` if it cannot be parsed, because a build with another format wrote it.
     pub fn from_item(item: &Item) -> Option<History> {
         let (tag, name) = item.key.name.split_at_checked(1)?;
         let subject = ItemKey {
@@ -93,7 +93,7 @@
         })
     }
 
-    /// The history as an item of this version: `NEWEST FLOOR VERSION:DIGEST ...`, a `-` for no floor.
+    /// The history as an item of this version. Its body is `NEWEST FLOOR VERSION:DIGEST ...`, with `-` for no floor.
     pub fn to_item(&self, version: Version) -> Item {
         let mut body = format!("{} ", self.newest);
         match self.floor {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The key of the item whose versions these are.
+    /// The key of the item whose versions the history records.
     pub fn subject(&self) -> &ItemKey {
         &self.subject
     }
@@ -120,7 +120,7 @@
         self.newest
     }
 
-    /// What is known of the version of an item, which is below the newest one.
+    /// Looks up the version of an item, which must be below the newest one.
     pub fn lookup(&self, item: &Item) -> PastVersion {
         match self.versions.get(&item.version) {
             Some(digest) if *digest == Digest::of(item) => PastVersion::SameContent,
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Records a version below the newest one of which nothing was known. Beyond `max_versions` the lowest versions
-    /// are removed and raise the floor.
+    /// Records a version below the newest one. If there are more than `max_versions`, the lowest versions are removed
+    /// and the floor is raised to them.
     pub fn record(&mut self, item: &Item, max_versions: usize) {
         self.versions.insert(item.version, Digest::of(item));
         while self.versions.len() > max_versions {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Records that `former`, the newest version until now, is superseded by the version `newest`.
+    /// Records that version `newest` supersedes `former`, the newest version so far.
     pub fn supersede(&mut self, former: &Item, newest: Version, max_versions: usize) {
         self.record(former, max_versions);
         self.newest = newest;
--- a/crates/emberpin-config/src/item.rs
+++ b/crates/emberpin-config/src/item.rs
@@ -1,35 +1,35 @@
-//! What the configuration is made of: items, each with a key and a version of its own.
+//! Items, the units of the configuration, each with a key and its own version.
 
 use crate::Version;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The kinds of items. Their order is that of the wire and of the store's disk.
+/// The kinds of items. Their order is part of the encoding on the wire and on the store's disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ItemKind {
-    /// The voters of consensus: the addresses of the stores. Only the stores themselves write it, never a call.
+    /// The voters of consensus: the addresses of the stores. Written by the stores only, never by a patch.
     Roster,
-    /// A zone whose servers get no requests. The stores assign its versions.
+    /// The evacuation of a zone, whose servers get no new requests. The stores assign its versions.
     Evacuation,
-    /// The limits on what clients may send. There is one such item, whose name is empty.
+    /// The limits on requests and connections of clients. There is only one such item; its name is empty.
     Limits,
-    /// A service: a group of servers that answer alike. See [`Service`](crate::Service).
+    /// A service: a group of interchangeable servers. See [`Service`](crate::Service).
     Service,
     /// A route of requests to services. See [`Route`](crate::Route).
     Route,
-    /// The versions of another item below its newest one; see [`History`](crate::History). Only the stores write it,
-    /// and it is not sent to any other process.
+    /// The versions of another item below its newest one; see [`History`](crate::History). Written by the stores only,
+    /// and not sent to any other process.
     History,
-    /// Which tombstones were removed; see [`Checkpoint`](crate::Checkpoint). Only the stores write it.
+    /// The record of removed tombstones; see [`Checkpoint`](crate::Checkpoint). Written by the stores only.
     Checkpoint,
-    /// A lock, counter or cell of applications, or what belongs to one. The stores write it for calls of applications,
-    /// and keep it apart from the configuration.
+    /// A lock, counter or cell of applications, or a part of a cell group's state. The stores write it for requests of
+    /// applications, and keep it separate from the configuration.
     Register,
 }
 
 impl ItemKind {
-    /// The letter by which histories and checkpoints name the kind. Stored, so it must not change. Kinds that neither
-    /// names share one.
+    /// The letter for the kind in histories and checkpoints. It is stored, so it must not change. All kinds that occur
+    /// in neither share one letter.
     pub(crate) fn tag(self) -> char {
         match self {
             ItemKind::Service => 's',
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The kind that has this tag.
+    /// The kind with this tag; `None` for any other tag, including the one that several kinds share.
     pub(crate) fn from_tag(tag: &str) -> Option<ItemKind> {
         match tag {
             "s" => Some(ItemKind::Service),
@@ -54,24 +54,24 @@
     }
 }
 
-/// What identifies an item.
+/// The key that identifies an item.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ItemKey {
     /// The kind of the item.
     pub kind: ItemKind,
-    /// Its name, unique among the items of its kind; empty where there is only one of a kind.
+    /// Its name, unique among the items of its kind; empty if the kind has only one item.
     pub name: String,
 }
 
 impl ItemKey {
-    /// Whether operators remove items of this kind by name. Their tombstones are removed by a
-    /// [`Checkpoint`](crate::Checkpoint) once there are too many; all other tombstones stay.
+    /// Whether operators can remove the item by its name. A [`Checkpoint`](crate::Checkpoint) removes the tombstones of
+    /// such items when there are too many; all other tombstones are kept.
     pub fn is_removable(&self) -> bool {
         matches!(self.kind, ItemKind::Route | ItemKind::Service)
     }
 }
 
-/// As messages to callers name the item: `route r-1`, `limits`.
+/// The form in error messages: `route r-1`, `limits`.
 impl fmt::Display for ItemKey {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let name = &self.name;
@@ -88,17 +88,17 @@
     }
 }
 
-/// What an item takes besides its name and body, at most: kind, version and lengths.
+/// The maximum encoded size of an item without its name and body: kind, version and lengths.
 const ITEM_OVERHEAD_BYTES: usize = 24;
 
-/// One version of an item. The order of its fields is that of the wire.
+/// One version of an item. Fields are encoded by position on the wire, so their order must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// Which item it is.
+    /// The key of the item.
     pub key: ItemKey,
     /// The version of this content. Of two versions of one key the higher one wins.
     pub version: Version,
-    /// The content as compact JSON, spelled as the operator sent it; that of a route is
+    /// The content as compact JSON, spelled as the operator sent it. The body of a route is
     /// `{"hostname": H, "loc": {...}}`. `None` for a tombstone: the item was removed in this version.
     pub body: Option<String>,
 }
@@ -109,7 +109,7 @@
         self.body.is_none()
     }
 
-    /// The size of the item as replicas send and write it, about, in bytes.
+    /// The approximate size of the item as replicas send and store it, in bytes.
     pub fn encoded_len(&self) -> usize {
         ITEM_OVERHEAD_BYTES + self.key.name.len() + self.body.as_ref().map_or(0, String::len)
     }
--- a/crates/emberpin-config/src/json/compact.rs
+++ b/crates/emberpin-config/src/json/compact.rs
@@ -1,22 +1,23 @@
-//! Checks the JSON of a call and removes its blanks; the rest stays as it was sent.
+//! Checks the JSON of a patch and removes its whitespace; the rest stays as it was sent.
 
 use super::decode_string;
 use crate::error::SyntaxError;
 use crate::{Problem, ValidationError};
 use std::collections::HashSet;
 
-/// How deep arrays and objects of a call may be nested; a deeper call is rejected. Bounds the recursion of all that
-/// reads values, and so the stack that a call can take.
+/// The maximum nesting depth of arrays and objects in a patch; a deeper one is rejected. Bounds the recursion of all
+/// code that reads values, and so its stack usage.
 pub const MAX_JSON_DEPTH: usize = 32;
-/// The longest number of a call, in bytes; a longer one is rejected. Bounds what the comparison of two numbers by value
-/// takes.
+/// The maximum length of a number in a patch, in bytes; a patch with a longer one is rejected. Bounds the cost of
+/// comparing two numbers by value.
 const MAX_NUMBER_BYTES: usize = 64;
 
-/// The text without blanks, if it is one JSON value of bounded depth in which no object names a field twice.
+/// Checks that the body is one JSON value of bounded depth without duplicate fields, and returns it without whitespace
+/// between its tokens.
 ///
 /// # Errors
 ///
-/// [`Problem::NotUtf8`] or [`Problem::Syntax`], with the offset of the byte at which reading ended as the path.
+/// [`Problem::NotUtf8`], or [`Problem::Syntax`] with the byte offset of the error as its path.
 pub(crate) fn compact(body: &[u8]) -> Result<String, ValidationError> {
     let text =
         std::str::from_utf8(body).map_err(|_| ValidationError::new("body", Problem::NotUtf8))?;
@@ -25,16 +26,15 @@
         position: 0,
         output: String::with_capacity(text.len()),
     };
-    let compacted = compactor.compact_text();
-    compacted
-        .map_err(|error| ValidationError::new(format!("byte {}", compactor.position), error))?;
+    let result = compactor.compact_text();
+    result.map_err(|error| ValidationError::new(format!("byte {}", compactor.position), error))?;
     Ok(compactor.output)
 }
 
-/// Reads a text value by value, and copies all but the blanks.
+/// A recursive-descent parser that copies its input without whitespace.
 struct Compactor<'a> {
     text: &'a str,
-    /// The offset of the next byte to read; after an error, of the byte that is reported.
+    /// The offset of the next byte to read; after an error, the offset to report.
     position: usize,
     output: String,
 }
@@ -52,7 +52,7 @@
         self.text.as_bytes().get(self.position).copied()
     }
 
-    /// Skips blanks; the byte after them, which is not consumed.
+    /// Skips whitespace and returns the byte after it, which is not consumed.
     fn next_token(&mut self) -> Option<u8> {
         while matches!(self.current_byte(), Some(b' ' | b'\t' | b'\n' | b'\r')) {
             self.position += 1;
@@ -60,7 +60,7 @@
         self.current_byte()
     }
 
-    /// Consumes and copies this punctuation mark, if it comes next; whether it does.
+    /// Consumes and copies this punctuation mark if it is the next token. Returns whether it is.
     fn consume(&mut self, mark: u8) -> bool {
         let is_next = self.next_token() == Some(mark);
         if is_next {
@@ -94,7 +94,7 @@
             if self.next_token() != Some(b'"') {
                 return Err(SyntaxError::ExpectedFieldName);
             }
-            // Of two values for one field only one could be kept.
+            // Only one of two values for the same field could be kept.
             let name = self.string()?;
             if !names.insert(name) {
                 return Err(SyntaxError::DuplicateField);
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Copies a string literal; its content.
+    /// Copies a string literal, and returns its decoded content.
     fn string(&mut self) -> Result<String, SyntaxError> {
         let start = self.position;
         self.position += 1;
@@ -151,7 +151,7 @@
         Ok(content)
     }
 
-    /// Consumes digits; how many.
+    /// Consumes digits, and returns their number.
     fn digits(&mut self) -> usize {
         let start = self.position;
         while matches!(self.current_byte(), Some(b'0'..=b'9')) {
--- a/crates/emberpin-config/src/json/mod.rs
+++ b/crates/emberpin-config/src/json/mod.rs
@@ -1,7 +1,7 @@
-//! JSON that is passed on as it was sent.
+//! JSON handling that preserves the text of values as the operator sent it.
 //!
-//! A parsed number loses what it cannot hold (`0.0`, or more digits than fit), so items are kept as their text,
-//! without blanks, and only the fields that this build uses are parsed.
+//! Parsing a number can change its spelling (`0.0`) or lose digits, so items are stored as JSON text without whitespace
+//! ("compact"), and only the fields that this build uses are parsed.
 
 mod compact;
 mod value;
--- a/crates/emberpin-config/src/json/value.rs
+++ b/crates/emberpin-config/src/json/value.rs
@@ -1,6 +1,6 @@
-//! Compact JSON values: their parts, and whether two of them mean the same.
+//! Splits compact JSON values into their parts and compares them by value.
 
-/// The content of a string literal; `None` for any other value.
+/// The decoded content of a string literal; `None` for any other value.
 pub(crate) fn decode_string(literal: &str) -> Option<String> {
     let inner = literal.strip_prefix('"')?.strip_suffix('"')?;
     if inner.contains(['\\', '"']) {
@@ -15,7 +15,7 @@
     split_at_commas(raw.strip_prefix('[')?.strip_suffix(']')?)
 }
 
-/// The fields of a compact object, in their order; `None` for any other value.
+/// The names and raw values of the fields of a compact object, in the order of the text; `None` for any other value.
 pub(crate) fn members(raw: &str) -> Option<Vec<(String, &str)>> {
     split_at_commas(raw.strip_prefix('{')?.strip_suffix('}')?)?
         .into_iter()
@@ -23,7 +23,7 @@
         .collect()
 }
 
-/// The parts between those commas that are in no string, array or object.
+/// Splits at the commas that are not within a string, array or object.
 fn split_at_commas(inner: &str) -> Option<Vec<&str>> {
     if inner.is_empty() {
         return Some(Vec::new());
@@ -50,7 +50,7 @@
     (depth == 0 && !in_string).then_some(parts)
 }
 
-/// The name and the value of `"name":value`.
+/// The name and the raw value of `"name":value`.
 fn split_member(member: &str) -> Option<(String, &str)> {
     let mut escaped = false;
     let (end_of_name, _) = member.bytes().enumerate().skip(1).find(|&(_, byte)| {
@@ -62,8 +62,7 @@
     Some((decode_string(name)?, value.strip_prefix(':')?))
 }
 
-/// Whether two compact values mean the same: the order of fields, escapes and the spelling of numbers do not
-/// matter.
+/// Whether two compact values are equal, regardless of the order of fields, of escapes and of the spelling of numbers.
 pub(crate) fn is_same_value(a: &str, b: &str) -> bool {
     if a == b {
         return true;
@@ -84,10 +83,10 @@
     matches!((parse_decimal(a), parse_decimal(b)), (Some(a), Some(b)) if a == b)
 }
 
-/// A number in the one form that all its spellings share: `digits * 10^exponent`, negative or not.
+/// The normalized form of a number, in which all its spellings are equal: `digits * 10^exponent`, with a sign.
 #[derive(PartialEq, Eq)]
 pub(crate) struct Decimal {
-    /// False for zero, however it is spelled.
+    /// Whether the number is below zero; false for every spelling of zero.
     pub(crate) is_negative: bool,
     /// The significant digits, without zeros at either end; empty for zero.
     pub(crate) digits: String,
@@ -95,7 +94,7 @@
     pub(crate) exponent: i32,
 }
 
-/// A JSON number; `None` for any other value, and for an exponent that an `i32` does not hold.
+/// Parses a JSON number; `None` for any other value, and if the exponent exceeds an `i32`.
 pub(crate) fn parse_decimal(raw: &str) -> Option<Decimal> {
     let (is_negative, rest) = match raw.strip_prefix('-') {
         Some(rest) => (true, rest),
--- a/crates/emberpin-config/src/lib.rs
+++ b/crates/emberpin-config/src/lib.rs
@@ -1,17 +1,21 @@
-//! The configuration of the gateway: routes, services, limits and what the stores keep beside them, as items with a
-//! version each.
+//! The configuration of the gateway: versioned items such as routes, services and limits, and the items that the stores
+//! themselves need.
 //!
-//! No I/O, no clock, no randomness. Replicas merge item by item: of two versions of an item the higher one wins, be it
-//! set or removed. How a call is read, whether it takes effect, and how the configuration is written out is decided
-//! here and nowhere else.
+//! Operators change the configuration with patches: JSON bodies of API requests, which set and remove items. An
+//! operator chooses the version of each item. Replicas merge item by item: of two versions of an item the higher one
+//! wins, whether it sets or removes the item. A removed item leaves a tombstone, an item without a body. Patches may be
+//! sent again, so the stores also keep the [`History`] of each item, to recognize versions that were acknowledged
+//! before, and a [`Checkpoint`] that bounds the number of tombstones.
+//!
+//! All parsing, validation and export of the configuration is in this crate. It has no I/O, no clock and no randomness.
 //!
 //! | step | entry point |
 //! | --- | --- |
-//! | read a call | [`parse_patch`] |
-//! | decide what becomes of it | [`validate`](validate()), [`validate_for_commit`] in the stores |
-//! | merge what was committed | [`Configuration::merge`] |
-//! | follow the configuration | [`effective_routes`](effective_routes()), [`Service::from_item`], [`Limits::from_item`] |
-//! | read it back | [`export_json`] |
+//! | parse a patch | [`parse_patch`] |
+//! | decide whether it takes effect | [`validate`](validate()), [`validate_for_commit`] in the stores |
+//! | merge the committed items | [`Configuration::merge`] |
+//! | use the configuration | [`effective_routes`](effective_routes()), [`Service::from_item`], [`Limits::from_item`] |
+//! | export it | [`export_json`] |
 #![forbid(unsafe_code)]
 
 mod change_consistency;
--- a/crates/emberpin-config/src/patch.rs
+++ b/crates/emberpin-config/src/patch.rs
@@ -1,45 +1,47 @@
-//! The items that a call of the operator sets and removes.
+//! Patches: the items that an operator's request sets and removes.
 
 use crate::json::{compact, is_same_value};
 use crate::schema::{join_route_body, parse_hostname, Fields, Limits, Route, Service};
 use crate::{Item, ItemKey, ItemKind, Problem, ValidationError, Version};
 use std::collections::BTreeMap;
 
-/// The longest body of a call, in bytes; a longer one is rejected.
+/// The maximum length of a patch, in bytes; a longer one is rejected.
 pub const MAX_PATCH_BYTES: usize = 8 << 20;
-/// The most items that one call sets and removes; a call with more is rejected. Bounds the size of a proposal in the
-/// stores.
+/// The maximum number of items that a patch sets and removes; a patch with more is rejected. Bounds the size of a
+/// proposal in the stores.
 pub const MAX_PATCH_ITEMS: usize = 20_000;
 
-/// The items of one call, each key once, in the order of their keys.
+/// The items that one request sets and removes, each key once, in the order of their keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Patch {
-    /// The items, tombstones for those that the call removes. All of them take effect, or none.
+    /// The items, with a tombstone for each removed one. Either all of them take effect or none.
     pub items: Vec<Item>,
 }
 
-/// Reads the body of a call. Each item of the result is valid by itself; whether the configuration is so with all of
-/// them, [`validate`](crate::validate()) decides.
+/// Parses the body of a request. Each item of the result is valid by itself; [`validate`](crate::validate()) decides
+/// whether the configuration is valid with all of them.
 ///
 /// # Errors
 ///
-/// [`ValidationError`], if the body is too long, is no JSON, has an invalid item, or has anything that could not be
-/// returned by a later read: two contents for one key, or a field outside of items that this build does not know and
-/// that might hold items. Unknown fields inside items are kept.
+/// [`ValidationError`] if the body is too long, is not JSON, has an invalid item, or has a part that a later export
+/// could not return: two contents for one key, or a field outside of items that this build does not know and that might
+/// contain items. Unknown fields inside items are kept.
 pub fn parse_patch(body: &[u8]) -> Result<Patch, ValidationError> {
     if body.len() > MAX_PATCH_BYTES {
         return Err(ValidationError::new("body", Problem::BodyTooLong));
     }
     let text = compact(body)?;
-    let call =
+    let patch =
         Fields::parse("", &text).map_err(|_| ValidationError::new("body", Problem::NotAnObject))?;
     let mut items = PatchItems::default();
-    for (name, raw) in call.iter() {
+    for (name, raw) in patch.iter() {
         match name {
             "upsert" => add_upserts(raw, &mut items)?,
             "remove" => add_removals(raw, &mut items)?,
-            // An array or an object might hold items; nothing is lost with any other value.
-            _ if raw.starts_with(['{', '[']) => return Err(call.error(name, Problem::UnknownField)),
+            // An array or an object might contain items; ignoring any other value loses nothing.
+            _ if raw.starts_with(['{', '[']) => {
+                return Err(patch.error(name, Problem::UnknownField))
+            }
             _ => {}
         }
     }
@@ -48,14 +50,14 @@
     })
 }
 
-/// The items of a call that were read so far.
+/// The items of a patch that have been parsed so far.
 #[derive(Default)]
 struct PatchItems {
     by_key: BTreeMap<ItemKey, Item>,
 }
 
 impl PatchItems {
-    /// Adds the item that the call has at this path, unless it has the same one already.
+    /// Adds the item at this path of the patch. Adding the same content and version again has no effect.
     fn add(&mut self, path: &str, item: Item) -> Result<(), ValidationError> {
         let problem = match self.by_key.get(&item.key) {
             Some(other) if is_same_change(other, &item) => return Ok(()),
@@ -82,7 +84,7 @@
         }
 }
 
-fn set(kind: ItemKind, name: String, version: Version, body: String) -> Item {
+fn live_item(kind: ItemKind, name: String, version: Version, body: String) -> Item {
     Item {
         key: ItemKey { kind, name },
         version,
@@ -98,7 +100,7 @@
             "limits" => {
                 let path = "upsert.limits";
                 let limits = Limits::parse(path, raw)?;
-                let item = set(
+                let item = live_item(
                     ItemKind::Limits,
                     String::new(),
                     limits.version,
@@ -121,7 +123,7 @@
     for (index, raw) in upsert.list("svcs")?.into_iter().enumerate() {
         let path = format!("upsert.svcs[{index}]");
         let service = Service::parse(&path, raw)?;
-        let item = set(
+        let item = live_item(
             ItemKind::Service,
             service.name,
             service.version,
@@ -142,13 +144,13 @@
         return Err(host.error(name, Problem::UnknownField));
     }
     let raw_hostname = host.required("hostname")?;
-    // Also where the host has no routes.
+    // Checked here as well, since a host without routes is never passed to `Route::parse`.
     parse_hostname(path, raw_hostname)?;
     for (index, raw) in host.list("locs")?.into_iter().enumerate() {
         let route_path = format!("{path}.locs[{index}]");
         let route = Route::parse(path, raw_hostname, &route_path, raw)?;
         let body = join_route_body(raw_hostname, raw);
-        let item = set(ItemKind::Route, route.name, route.version, body);
+        let item = live_item(ItemKind::Route, route.name, route.version, body);
         items.add(&route_path, item)?;
     }
     Ok(())
--- a/crates/emberpin-config/src/schema/duration.rs
+++ b/crates/emberpin-config/src/schema/duration.rs
@@ -1,15 +1,15 @@
-//! Durations as calls and items spell them.
+//! Parses durations as they are written in patches and items.
 
 use std::time::Duration;
 
-/// A duration: a number without sign or exponent, and its unit, as in `1500ms` or `2.5s`. `None` for any other text,
-/// and for more than a [`Duration`] holds.
+/// Parses a duration: a number without sign or exponent followed by its unit, as in `1500ms` or `2.5s`. `None` for any
+/// other text, and if a [`Duration`] cannot hold the value.
 pub fn parse_duration(text: &str) -> Option<Duration> {
     let (number, seconds_per_unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 1e-3),
         None => (text.strip_suffix('s')?, 1.0),
     };
-    // `f64::from_str` also takes signs, `inf`, `nan` and exponents.
+    // `f64::from_str` also accepts signs, `inf`, `nan` and exponents.
     let is_plain = number.starts_with(|first: char| first.is_ascii_digit())
         && number
             .bytes()
--- a/crates/emberpin-config/src/schema/fields.rs
+++ b/crates/emberpin-config/src/schema/fields.rs
@@ -1,4 +1,4 @@
-//! The fields of one JSON object, read by name.
+//! Access to the fields of a JSON object by name.
 
 use super::parse_duration;
 use crate::json::{decode_string, elements, members};
@@ -6,19 +6,20 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// The longest name of a service or route, in bytes; a call with a longer one is rejected. The store keeps items by
-/// their names, and its disk bounds the length of a key.
+/// The maximum length of the name of a service or route, in bytes; a patch with a longer one is rejected. The store
+/// uses names as keys on disk, where the length of a key is limited.
 pub const MAX_NAME_BYTES: usize = 4 << 10;
 
-/// The fields of one object, and the path by which errors name it. The methods that read a field fail with
-/// [`Problem::Missing`] where it is not there, and else with the problem of its type.
+/// The fields of a JSON object, and the object's path for error messages. The methods that read a required field fail
+/// with [`Problem::Missing`] if it is absent, and with a problem such as [`Problem::NotAString`] if its value has the
+/// wrong type.
 pub(crate) struct Fields<'a> {
     path: String,
     members: Vec<(String, &'a str)>,
 }
 
 impl<'a> Fields<'a> {
-    /// Reads a compact object that errors name by `path`; empty for the call itself.
+    /// Parses a compact object. `path` is its path in error messages; empty for the patch itself.
     pub(crate) fn parse(path: &str, raw: &'a str) -> Result<Fields<'a>, ValidationError> {
         let members =
             members(raw).ok_or_else(|| ValidationError::new(path, Problem::NotAnObject))?;
@@ -28,7 +29,7 @@
         })
     }
 
-    /// The names and raw values of all fields, in their order.
+    /// The names and raw values of all fields, in the order of the text.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&str, &'a str)> + '_ {
         self.members.iter().map(|(name, raw)| (name.as_str(), *raw))
     }
@@ -41,12 +42,12 @@
         }
     }
 
-    /// An error that names a field.
+    /// An error at a field.
     pub(crate) fn error(&self, field: &str, problem: Problem) -> ValidationError {
         ValidationError::new(self.path_of(field), problem)
     }
 
-    /// The raw value of a field, if there is one.
+    /// The raw value of a field; `None` if it is absent.
     pub(crate) fn get(&self, field: &str) -> Option<&'a str> {
         self.members
             .iter()
@@ -70,7 +71,7 @@
         decode_string(self.required(field)?).ok_or_else(|| self.error(field, Problem::NotAString))
     }
 
-    /// The name of an item, neither empty nor beyond [`MAX_NAME_BYTES`].
+    /// The name of an item, which must not be empty or exceed [`MAX_NAME_BYTES`].
     pub(crate) fn name(&self) -> Result<String, ValidationError> {
         match self.string("name")? {
             name if name.is_empty() => Err(self.error("name", Problem::Empty)),
@@ -79,22 +80,22 @@
         }
     }
 
-    /// The version of an item. It is read exactly, as a version that is rounded would be another one.
+    /// The version of an item. It is parsed as an integer, since a rounded version would be a different version.
     pub(crate) fn version(&self) -> Result<Version, ValidationError> {
         self.u64("ver").map(Version)
     }
 
-    /// An integer, without sign, fraction or exponent.
+    /// An integer without sign, fraction or exponent, up to `u64::MAX`.
     pub(super) fn u64(&self, field: &str) -> Result<u64, ValidationError> {
         self.parse_field(field, Problem::NotAU64)
     }
 
-    /// An integer, without sign, fraction or exponent.
+    /// An integer without sign, fraction or exponent, up to `u32::MAX`.
     pub(super) fn u32(&self, field: &str) -> Result<u32, ValidationError> {
         self.parse_field(field, Problem::NotAU32)
     }
 
-    /// A number that is finite and not negative.
+    /// A finite number of at least 0.
     pub(super) fn rate(&self, field: &str) -> Result<f64, ValidationError> {
         let rate: f64 = self.parse_field(field, Problem::NotARate)?;
         if rate.is_finite() && rate >= 0.0 {
--- a/crates/emberpin-config/src/schema/limits.rs
+++ b/crates/emberpin-config/src/schema/limits.rs
@@ -1,17 +1,17 @@
-//! The limits on what clients may send.
+//! The limits on requests and connections of clients.
 
-use super::{check_key, content_of, Fields};
+use super::{body_of_kind, check_key, Fields};
 use crate::{Item, ItemKind, ValidationError, Version};
 use std::time::Duration;
 
-/// The limits that every proxy enforces on its clients, for all routes alike.
+/// The limits that every proxy enforces on its clients; they are the same for all routes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The longest request head, in bytes.
+    /// The maximum length of a request head, in bytes.
     pub max_header_bytes: u64,
-    /// The longest request body, in bytes.
+    /// The maximum length of a request body, in bytes.
     pub max_body_bytes: u64,
-    /// How long a request head may take to arrive.
+    /// The maximum time until a request head has arrived completely.
     pub header_read_timeout: Duration,
     /// How long a connection without a request stays open.
     pub idle_timeout: Duration,
@@ -24,9 +24,9 @@
     ///
     /// # Errors
     ///
-    /// [`ValidationError`], if the item is of another kind, a tombstone or invalid.
+    /// [`ValidationError`] if the item is of another kind, a tombstone or invalid.
     pub fn from_item(item: &Item) -> Result<Limits, ValidationError> {
-        let (path, body) = content_of(item, ItemKind::Limits)?;
+        let (path, body) = body_of_kind(item, ItemKind::Limits)?;
         let limits = Limits::parse(&path, body)?;
         check_key(item, &path, "", limits.version)?;
         Ok(limits)
--- a/crates/emberpin-config/src/schema/mod.rs
+++ b/crates/emberpin-config/src/schema/mod.rs
@@ -1,5 +1,5 @@
-//! The content of items, read from their JSON: routes, services and limits, and what is invalid about one of them
-//! alone.
+//! The typed content of items (routes, services and limits), parsed from their JSON, and the validation of a single
+//! item.
 
 mod duration;
 mod fields;
@@ -17,8 +17,8 @@
 
 use crate::{Item, ItemKind, Problem, ValidationError, Version};
 
-/// The content of an item of this kind, and the path by which errors name it.
-fn content_of(item: &Item, kind: ItemKind) -> Result<(String, &str), ValidationError> {
+/// The path of an item for error messages, and its body. Fails if the item is of another kind or a tombstone.
+fn body_of_kind(item: &Item, kind: ItemKind) -> Result<(String, &str), ValidationError> {
     let path = item.key.to_string();
     match &item.body {
         _ if item.key.kind != kind => Err(ValidationError::new(path, Problem::WrongKind)),
@@ -27,7 +27,8 @@
     }
 }
 
-/// Checks that the content states the name and version of its item. Items also come from other processes.
+/// Checks that the name and version in the body are those of the item. Items also come from other processes, so the two
+/// may differ.
 fn check_key(
     item: &Item,
     path: &str,
--- a/crates/emberpin-config/src/schema/route.rs
+++ b/crates/emberpin-config/src/schema/route.rs
@@ -1,50 +1,50 @@
-//! A route: which requests go to which services, and under what terms.
+//! Routes: which requests go to which services, with what time-outs and how many attempts.
 
-use super::{check_key, content_of, Fields};
+use super::{body_of_kind, check_key, Fields};
 use crate::json::decode_string;
 use crate::{Item, ItemKind, Problem, ValidationError, Version};
 use std::time::Duration;
 
-/// The latency target of a route may exceed its timeout by less than this; a call in which it does not is rejected.
+/// A patch is rejected if the latency target of a route exceeds the route's timeout by this or more.
 const MAX_LATENCY_TARGET_EXCESS: Duration = Duration::from_secs(60);
 
-/// What the gateway may do with the requests of a route.
+/// How the gateway may treat the requests of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// Requests without effects: they may run more than once, so one may be sent again after any failure.
+    /// Requests without effects: a request may run more than once, so it may be retried after any failure.
     Readonly,
-    /// Requests with effects: one that may have run on a server is not sent to another.
+    /// Requests with effects: a request that may have run on one server is not sent to another.
     Mutating,
-    /// As `Readonly`, with large responses.
+    /// Like `Readonly`, with large responses.
     Pull,
 }
 
 /// A route: the requests of one host whose paths share a prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The name, which identifies the route whatever its host and prefix.
+    /// The name, which identifies the route even when its host or prefix changes.
     pub name: String,
-    /// The host of its requests, in lower case, as hosts are compared without regard to case.
+    /// The host of its requests, in lower case, as hosts are compared case-insensitively.
     pub hostname: String,
-    /// What the paths of its requests begin with. It begins and ends with a slash.
+    /// The prefix of the paths of its requests. It begins and ends with a slash.
     pub prefix: String,
-    /// What may be done with its requests.
+    /// How its requests may be treated.
     pub kind: RouteKind,
-    /// How long a request may be in flight or wait for a server, all attempts together; never zero.
+    /// The maximum time of a request, in flight or waiting for a server, over all attempts; never zero.
     pub timeout: Duration,
-    /// The latency target: an answer within it has its full value.
+    /// The latency target: a response within it has its full value.
     pub latency_target: Duration,
-    /// The priority of its requests; 0 is the highest. Checked and kept, but no decision depends on it.
+    /// The priority of its requests; 0 is the highest. Validated and stored, but no decision depends on it.
     pub priority: u32,
-    /// The services that share its requests, one of them at least with a weight above 0.
+    /// The services that share its requests. At least one has a weight above 0.
     pub targets: Vec<Target>,
-    /// How many servers one request may be sent to at most, the first one included.
+    /// The maximum number of servers that one request is sent to, including the first one.
     pub max_attempts: u32,
     /// The version of the route.
     pub version: Version,
 }
 
-/// A service that a route sends requests to, and its share of them.
+/// A service that receives requests of a route, and its share of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// The name of the service.
@@ -59,9 +59,9 @@
     ///
     /// # Errors
     ///
-    /// [`ValidationError`], if the item is of another kind, a tombstone or invalid.
+    /// [`ValidationError`] if the item is of another kind, a tombstone or invalid.
     pub fn from_item(item: &Item) -> Result<Route, ValidationError> {
-        let (path, body) = content_of(item, ItemKind::Route)?;
+        let (path, body) = body_of_kind(item, ItemKind::Route)?;
         let (hostname, raw) = split_route_body(body)
             .ok_or_else(|| ValidationError::new(&*path, Problem::NotARoute))?;
         let route = Route::parse(&path, hostname, &path, raw)?;
@@ -69,7 +69,8 @@
         Ok(route)
     }
 
-    /// Reads a route from the raw values of its host and of itself, which errors name by these paths.
+    /// Parses a route from its raw JSON and that of its host name. `host_path` and `path` are the paths of the host and
+    /// of the route in error messages.
     pub(crate) fn parse(
         host_path: &str,
         raw_hostname: &str,
@@ -111,7 +112,7 @@
     }
 }
 
-/// The timeout and the latency target.
+/// Parses the timeout and the latency target, in this order.
 fn parse_times(fields: &Fields) -> Result<(Duration, Duration), ValidationError> {
     let timeout = fields.duration("timeout")?;
     let latency_target = fields.duration("target_time")?;
@@ -124,7 +125,7 @@
     Ok((timeout, latency_target))
 }
 
-/// The targets: of one service in `svc`, which gets all requests, or of several in `dist`.
+/// Parses the targets: either one service in `svc`, which gets all requests, or several in `dist`.
 fn parse_targets(fields: &Fields) -> Result<Vec<Target>, ValidationError> {
     match (fields.get("svc"), fields.get("dist")) {
         (Some(_), None) => match fields.string("svc")? {
@@ -151,20 +152,21 @@
     Ok(targets)
 }
 
-/// The raw values of the host and of the route in the body of a route's item.
+/// Splits the body of a route's item into the raw JSON of its host name and of the route. The inverse of
+/// [`join_route_body`].
 pub(crate) fn split_route_body(body: &str) -> Option<(&str, &str)> {
     let rest = body.strip_prefix("{\"hostname\":")?.strip_suffix('}')?;
-    // The host is a string, in which quotes are escaped; so the first such text is where the route begins.
+    // Quotes within the host's string are escaped, so the first match is the end of the host.
     let (hostname, route) = rest.split_once(",\"loc\":")?;
     decode_string(hostname).map(|_| (hostname, route))
 }
 
-/// The body of a route's item, from the raw values of its host and of itself.
+/// The body of a route's item, from the raw JSON of its host name and of the route.
 pub(crate) fn join_route_body(raw_hostname: &str, raw: &str) -> String {
     format!("{{\"hostname\":{raw_hostname},\"loc\":{raw}}}")
 }
 
-/// A host that is not empty, in lower case.
+/// Parses a host name, which must not be empty, and converts it to lower case.
 pub(crate) fn parse_hostname(path: &str, raw: &str) -> Result<String, ValidationError> {
     let path = format!("{path}.hostname");
     match decode_string(raw) {
--- a/crates/emberpin-config/src/schema/service.rs
+++ b/crates/emberpin-config/src/schema/service.rs
@@ -1,22 +1,23 @@
-//! A service: what proxies know of the servers behind a name.
+//! Services: the configuration that all servers of one service share.
 
-use super::{check_key, content_of, Fields};
+use super::{body_of_kind, check_key, Fields};
 use crate::{Item, ItemKind, Problem, ValidationError, Version};
 use std::time::Duration;
 
-/// A service. Its servers are not part of the configuration; they report themselves to the registries.
+/// A service. Its servers are not part of the configuration; they register with the registries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// The name, by which routes and servers refer to the service.
     pub name: String,
-    /// The path of a server's health check; it begins with a slash. Checked and kept, but no decision depends on it.
+    /// The path of a server's health check; it begins with a slash. Validated and stored, but no decision depends on
+    /// it.
     pub health_path: String,
-    /// The most connections that one server accepts from all proxies together. Checked and kept, but no decision depends
-    /// on it.
+    /// The maximum number of connections that one server accepts from all proxies together. Validated and stored, but
+    /// no decision depends on it.
     pub max_connections: u32,
-    /// How long a server that starts during traffic is in slow start. Zero, if not stated: no slow start.
+    /// How long a server that starts during traffic is in slow start. Zero by default: no slow start.
     pub warmup: Duration,
-    /// How many requests a second a server bears in slow start. Infinite, if not stated.
+    /// The rate that a server can process in slow start, in requests per second. Infinite by default.
     pub warmup_requests_per_s: f64,
     /// The version of the service.
     pub version: Version,
@@ -27,9 +28,9 @@
     ///
     /// # Errors
     ///
-    /// [`ValidationError`], if the item is of another kind, a tombstone or invalid.
+    /// [`ValidationError`] if the item is of another kind, a tombstone or invalid.
     pub fn from_item(item: &Item) -> Result<Service, ValidationError> {
-        let (path, body) = content_of(item, ItemKind::Service)?;
+        let (path, body) = body_of_kind(item, ItemKind::Service)?;
         let service = Service::parse(&path, body)?;
         check_key(item, &path, &service.name, service.version)?;
         Ok(service)
--- a/crates/emberpin-config/src/validate.rs
+++ b/crates/emberpin-config/src/validate.rs
@@ -1,45 +1,48 @@
-//! Whether a call takes effect, is a duplicate or is rejected, on top of the newest items.
+//! Decides whether a patch takes effect, is a duplicate or is rejected.
 
 use crate::change_consistency::new_inconsistency;
 use crate::patch::is_same_change;
 use crate::{Configuration, History, Item, PastVersion, Patch, Problem, ValidationError, Version};
 
-/// What becomes of a call.
+/// The decision about a patch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PatchOutcome {
-    /// These items are newer than what is known, in the order of their keys. All others of the call were acknowledged
-    /// with the same content, or are superseded. The call may be acknowledged once these are committed.
+    /// The items of the patch that are newer than the configuration, in the order of their keys. All other items of the
+    /// patch were acknowledged with the same content, or are superseded. The patch may be acknowledged once these items
+    /// are committed.
     Apply(Vec<Item>),
-    /// No item is newer, and some were acknowledged with the same content, or the call has no items: a duplicate of
-    /// an earlier call, to be acknowledged again.
+    /// A duplicate of an earlier patch, to be acknowledged again: no item is newer and at least one was acknowledged
+    /// with the same content, or the patch has no items.
     Duplicate,
-    /// Rejected, as 409: an item has another content than the one that was acknowledged with its version, or all items
-    /// are superseded and none of them was ever acknowledged.
+    /// Rejected with status 409: an item has a different content than the one acknowledged with its version, or all
+    /// items are superseded and none of them was ever acknowledged.
     Conflict(ValidationError),
-    /// Neither acknowledged nor rejected, as 503: an item is so old that it is not known whether it was acknowledged.
+    /// Neither acknowledged nor rejected, status 503: the version of an item is so old that it is unknown whether it
+    /// was acknowledged.
     Indeterminate(ValidationError),
-    /// Rejected, as 400: the configuration would be invalid with the call.
+    /// Rejected with status 400: the configuration would be invalid with the patch.
     Invalid(ValidationError),
-    /// Rejected, as 507: the configuration would be larger than replicas can exchange.
+    /// Rejected with status 507: the configuration would be larger than replicas can exchange.
     TooLarge(ValidationError),
 }
 
-/// How the version and content of one item compare with what is known.
+/// How the version and content of one item compare with the configuration and its histories.
 pub(crate) enum ItemStatus {
     /// The item is unknown, or its version is above the newest one.
     Newer,
     /// The version was acknowledged with the same content.
     Duplicate,
-    /// The version was acknowledged with another content.
+    /// The version was acknowledged with a different content.
     Conflict,
-    /// It is not known any more whether the version was acknowledged.
+    /// It is no longer known whether the version was acknowledged.
     Forgotten,
     /// The version is below the newest one and was never acknowledged.
     Superseded,
 }
 
 impl ItemStatus {
-    pub(crate) fn of(item: &Item, configuration: &Configuration) -> ItemStatus {
+    /// Compares an item with the configuration and, if it is older, with the history of its key.
+    pub(crate) fn classify(item: &Item, configuration: &Configuration) -> ItemStatus {
         let Some(newest) = configuration.get(&item.key) else {
             return if configuration.admits(item) {
                 ItemStatus::Newer
@@ -66,33 +69,33 @@
     }
 }
 
-/// Decides what becomes of a call on top of the newest items.
+/// Decides whether a patch takes effect on the configuration.
 ///
-/// Only one content of a version is ever acknowledged, so another one rejects the whole call, also where higher
-/// versions are known. A call of which one item is newer or was acknowledged goes on although others are superseded:
+/// Only one content of a version is ever acknowledged, so an item with a different content rejects the whole patch,
+/// even if a higher version exists. If one item is newer or was acknowledged, superseded items do not reject the patch:
 /// it must take effect as a whole, and be acknowledged when it is sent again.
 ///
-/// Two changes that were each valid alone may have merged into an invalid configuration. Later calls are not rejected
-/// for that, unless they set an item that is part of the problem and leave the problem in place: otherwise no call
-/// could correct a part of it.
-pub fn validate(newest: &Configuration, patch: &Patch) -> PatchOutcome {
-    let newer = match newer_items(newest, patch) {
+/// Two changes that were each valid alone may have merged into an invalid configuration. A later patch is rejected for
+/// that only if it sets an item that is part of the problem and leaves the problem in place; otherwise no patch could
+/// correct only a part of it.
+pub fn validate(current: &Configuration, patch: &Patch) -> PatchOutcome {
+    let newer = match newer_items(current, patch) {
         Ok(newer) if newer.is_empty() => return PatchOutcome::Duplicate,
         Ok(newer) => newer,
         Err(rejected) => return rejected,
     };
-    match new_inconsistency(newest, &newer) {
+    match new_inconsistency(current, &newer) {
         Some(error) => PatchOutcome::Invalid(error),
         None => PatchOutcome::Apply(newer),
     }
 }
 
-/// The items of a call that are newer than what is known; none, if the call is a duplicate.
+/// The items of a patch that are newer than the configuration; empty if the patch is a duplicate.
 ///
 /// # Errors
 ///
-/// The outcome of the call, if its versions decide that it takes no effect.
-fn newer_items(newest: &Configuration, patch: &Patch) -> Result<Vec<Item>, PatchOutcome> {
+/// The outcome of the patch if its versions alone decide that it does not take effect.
+fn newer_items(current: &Configuration, patch: &Patch) -> Result<Vec<Item>, PatchOutcome> {
     let mut newer = Vec::new();
     let mut has_duplicate = false;
     let mut first_superseded = None;
@@ -100,10 +103,10 @@
     for item in &patch.items {
         let version = item.version;
         let error = |problem| ValidationError::new(item.key.to_string(), problem);
-        match ItemStatus::of(item, newest) {
+        match ItemStatus::classify(item, current) {
             ItemStatus::Newer => newer.push(item.clone()),
             ItemStatus::Duplicate => has_duplicate = true,
-            // No part of this call was ever acknowledged, whatever is not known of its other items.
+            // The patch was never acknowledged, so this is a conflict even if the status of another item is unknown.
             ItemStatus::Conflict => {
                 let problem = Problem::VersionConflict { version };
                 return Err(PatchOutcome::Conflict(error(problem)));
@@ -112,7 +115,7 @@
                 first_forgotten.get_or_insert_with(|| error(Problem::VersionForgotten { version }));
             }
             ItemStatus::Superseded => {
-                let newest = newest
+                let newest = current
                     .get(&item.key)
                     .map_or(Version(0), |known| known.version);
                 first_superseded
--- a/crates/emberpin-config/src/version.rs
+++ b/crates/emberpin-config/src/version.rs
@@ -7,9 +7,9 @@
 
 /// The version of one item, which orders the changes of that item and of no other.
 ///
-/// Operators choose it for routes, services and limits, with any step between two versions; the stores assign
-/// it to all other items, each one above the former. Of two versions of one item the higher one wins wherever
-/// items are merged, and only one content of a version is ever acknowledged.
+/// Operators choose the versions of routes, services and limits, with any step between two versions. The stores assign
+/// the versions of all other items in increasing order. Of two versions of one item the higher one wins wherever items
+/// are merged, and only one content of a version is ever acknowledged.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -17,10 +17,11 @@
 pub struct Version(pub u64);
 
 impl Version {
-    /// Stands for an item that was never set, of those to which the stores assign versions: they begin above it.
+    /// The version of an item that was never set, for items whose versions the stores assign. Assigned versions are
+    /// higher.
     pub const NEVER_SET: Version = Version(0);
 
-    /// The version that the stores assign to the successor of an item of this version.
+    /// The version that the stores assign to the next change of an item of this version.
     #[must_use]
     pub fn next(self) -> Version {
         Version(self.0 + 1)
--- a/crates/emberpin-config/tests/configuration.rs
+++ b/crates/emberpin-config/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The newest items: how replicas merge, what is inconsistent, what is exported and which routes are effective.
+//! The configuration: merging of replicas, consistency checks, export and effective routes.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -17,7 +17,7 @@
             ItemKind::Service,
             ItemKind::Route,
         ][kind];
-        // One content per key and version, as validation ensures.
+        // Validation ensures that there is only one content per key and version.
         let body = (version % 3 != 0).then(|| format!("{name} {version}"));
         Item {
             key: key(kind, ["a", "b", "c"][name]),
@@ -72,23 +72,23 @@
 
 #[gtest]
 fn a_checkpoint_removes_the_oldest_tombstones_beyond_the_limit() {
-    let most = MAX_TOMBSTONES as u64;
-    let mut configuration: Configuration = (0..most)
+    let limit = MAX_TOMBSTONES as u64;
+    let mut configuration: Configuration = (0..limit)
         .map(|n| tombstone(ItemKind::Route, &format!("r{n}"), n + 10))
         .collect();
-    // Neither live items, nor removed ones that were set again, nor the tombstones of evacuations count.
+    // Live items, items that were set again after their removal, and tombstones of evacuations do not count.
     configuration.merge(tombstone(ItemKind::Evacuation, "z", 1));
     configuration.merge(patch(&[service("s", 1)], &[], &[], &[]).items.remove(0));
     configuration.merge(Item {
         body: Some("{}".into()),
-        ..tombstone(ItemKind::Route, "r5", most + 50)
+        ..tombstone(ItemKind::Route, "r5", limit + 50)
     });
     configuration.merge(tombstone(ItemKind::Service, "t", 12));
     expect_that!(
         Checkpoint::next_if_due(&configuration, MAX_TOMBSTONES),
         none()
     );
-    configuration.merge(tombstone(ItemKind::Route, "new", most + 60));
+    configuration.merge(tombstone(ItemKind::Route, "new", limit + 60));
     let checkpoint =
         Checkpoint::next_if_due(&configuration, MAX_TOMBSTONES).expect("one tombstone too many");
     let removed = configuration.merge_and_prune(checkpoint).removed;
@@ -96,12 +96,12 @@
         configuration.tombstone_count(),
         all![le(MAX_TOMBSTONES), ge(MAX_TOMBSTONES / 2)]
     );
-    // Each removed tombstone has a lower version than each that is left.
+    // All removed tombstones have lower versions than the remaining ones.
     let highest = removed
         .iter()
         .map(|item| item.version)
         .max()
-        .expect("some are removed");
+        .expect("some tombstones are removed");
     let remaining = configuration
         .iter()
         .filter(|item| item.key.is_removable() && item.body.is_none());
@@ -109,7 +109,7 @@
         remaining
             .map(|item| item.version)
             .min()
-            .expect("most are left"),
+            .expect("most tombstones remain"),
         gt(highest)
     );
     for (kind, name) in [
@@ -147,7 +147,7 @@
             .map_err(|error| error.to_string())
     };
     expect_that!(
-        configuration(&[parse_patch(FIRST.as_bytes()).expect("the example")]).check(),
+        configuration(&[parse_patch(INITIAL_PATCH.as_bytes()).expect("the example")]).check(),
         ok(eq(&()))
     );
     expect_that!(
@@ -164,9 +164,9 @@
         problem(&[s()], &[to_s("a", "h/")], &[removal("s", 2)]),
         err(eq(unknown))
     );
-    let part = route("a", "h/", &[("s", 1), ("t", 0)], 1);
+    let partly_unknown = route("a", "h/", &[("s", 1), ("t", 0)], 1);
     expect_that!(
-        problem(&[s()], &[part], &[]),
+        problem(&[s()], &[partly_unknown], &[]),
         err(eq("route a: names the service t, which is unknown"))
     );
     let shared = "route b: has the host h and the prefix /x/ of route a";
@@ -202,7 +202,8 @@
 
 #[gtest]
 fn live_items_are_exported_as_they_were_sent() {
-    let mut configuration = configuration(&[parse_patch(FIRST.as_bytes()).expect("the example")]);
+    let mut configuration =
+        configuration(&[parse_patch(INITIAL_PATCH.as_bytes()).expect("the example")]);
     let all = export_json(&configuration);
     expect_that!(
         all,
@@ -215,11 +216,11 @@
         contains_substring(format!(r#","limits":{LIMITS},"vhosts":[{{"hostname":"#))
     );
     expect_that!(all.matches("\"hostname\"").count(), eq(2));
-    let again = parse_patch(format!("{{\"upsert\":{all}}}").as_bytes())
-        .expect("what was written can be read");
+    let again =
+        parse_patch(format!("{{\"upsert\":{all}}}").as_bytes()).expect("an export can be parsed");
     expect_that!(
         again,
-        eq(&parse_patch(FIRST.as_bytes()).expect("the example"))
+        eq(&parse_patch(INITIAL_PATCH.as_bytes()).expect("the example"))
     );
     configuration.merge(tombstone(ItemKind::Route, "r-hh2b9wu", 8));
     configuration.merge(tombstone(ItemKind::Service, "lovo22d", 8));
@@ -247,7 +248,7 @@
 }
 
 #[gtest]
-fn of_colliding_routes_the_newer_one_is_effective_then_the_smaller_name() {
+fn among_colliding_routes_the_higher_version_is_effective_then_the_smaller_name() {
     let s = [service("s", 1)];
     let to_s = |name: &str, at: &str, version| route(name, at, &[("s", 1)], version);
     let effective = |hosts: &[String]| {
@@ -280,7 +281,7 @@
         route("a", "h/a/", &[("gone", 3)], 1),
         route("b", "h/b/", &[("s", 1), ("gone", 3)], 1),
         route("c", "h/c/", &[("s", 0), ("gone", 3)], 1),
-        // A newer route without a service does not displace the older one.
+        // A newer route without a known service does not replace the older one.
         route("d", "h/d/", &[("s", 1)], 1),
         route("e", "h/d/", &[("gone", 1)], 2),
     ];
--- a/crates/emberpin-config/tests/json.rs
+++ b/crates/emberpin-config/tests/json.rs
@@ -1,4 +1,4 @@
-//! Which bodies of calls are rejected as JSON, whatever items they hold.
+//! Patches that are rejected as JSON, regardless of their items: syntax errors and exceeded limits.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -8,7 +8,7 @@
 use googletest::prelude::*;
 use proptest::prelude::*;
 
-/// Why a body is rejected, or what it is parsed as.
+/// The error message of a body, or `parsed: ` and the patch if it is valid.
 fn rejection(body: &[u8]) -> String {
     parse_patch(body).map_or_else(
         |error| error.to_string(),
@@ -17,7 +17,7 @@
 }
 
 #[gtest]
-fn what_is_not_json_is_rejected() {
+fn invalid_json_is_rejected() {
     for body in [
         "",
         " ",
@@ -113,12 +113,12 @@
 
 #[gtest]
 fn a_truncated_patch_is_rejected_at_every_byte() {
-    for call in [FIRST, CHANGE] {
-        for at in 0..call.len() {
+    for patch in [INITIAL_PATCH, CHANGE_PATCH] {
+        for length in 0..patch.len() {
             expect_that!(
-                parse_patch(&call.as_bytes()[..at]),
+                parse_patch(&patch.as_bytes()[..length]),
                 err(anything()),
-                "cut at {at}"
+                "truncated to {length} bytes"
             );
         }
     }
@@ -129,21 +129,21 @@
 
     #[test]
     fn mutated_patches_are_rejected_or_parsed_without_panic(
-        flips in proptest::collection::vec((0..FIRST.len(), any::<u8>()), 1..6),
-        cut in 0..FIRST.len(),
-        cuts in any::<bool>(),
+        flips in proptest::collection::vec((0..INITIAL_PATCH.len(), any::<u8>()), 1..6),
+        truncated_length in 0..INITIAL_PATCH.len(),
+        is_truncated in any::<bool>(),
     ) {
-        let mut body = FIRST.as_bytes().to_vec();
+        let mut body = INITIAL_PATCH.as_bytes().to_vec();
         for (at, byte) in flips {
             body[at] = byte;
         }
-        if cuts {
-            body.truncate(cut);
+        if is_truncated {
+            body.truncate(truncated_length);
         }
         if let Ok(patch) = parse_patch(&body) {
             let _ = validate(&configuration(&[]), &patch);
             let all = export_json(&configuration(std::slice::from_ref(&patch)));
-            let again = parse_patch(format!("{{\"upsert\":{all}}}").as_bytes()).expect("what was written can be read");
+            let again = parse_patch(format!("{{\"upsert\":{all}}}").as_bytes()).expect("an export can be parsed");
             let live: Vec<_> = patch.items.into_iter().filter(|item| item.body.is_some()).collect();
             prop_assert_eq!(again.items, live);
         }
--- a/crates/emberpin-config/tests/patch.rs
+++ b/crates/emberpin-config/tests/patch.rs
@@ -1,4 +1,4 @@
-//! How the body of a call is parsed, and which of its items are rejected.
+//! Parsing of patches: the resulting items, and the error messages of invalid ones.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -7,18 +7,19 @@
 use emberpin_config::*;
 use googletest::prelude::*;
 
-/// A call around the example's pieces, `SVC`, `LIM` and `LOC`, with one text in it replaced.
+/// A patch with the examples [`SERVICE`], [`LIMITS`] and [`ROUTE`], in which the first occurrence of `from` is
+/// replaced.
 fn with_replacement(from: &str, to: &str) -> String {
-    let call = r#"{"upsert":{"svcs":[SVC],"limits":LIM,"vhosts":[{"hostname":"h.example","locs":[LOC]}]},"remove":{"rtab":[{"name":"gone","ver":9}],"svcs":[]}}"#;
-    let call = call
+    let patch = r#"{"upsert":{"svcs":[SVC],"limits":LIM,"vhosts":[{"hostname":"h.example","locs":[LOC]}]},"remove":{"rtab":[{"name":"gone","ver":9}],"svcs":[]}}"#;
+    let patch = patch
         .replace("SVC", SERVICE)
         .replace("LIM", LIMITS)
         .replace("LOC", ROUTE);
-    assert_that!(call, contains_substring(from));
-    call.replacen(from, to, 1)
+    assert_that!(patch, contains_substring(from));
+    patch.replacen(from, to, 1)
 }
 
-/// Why a body is rejected, or what it is parsed as.
+/// The error message of a body, or `parsed: ` and the patch if it is valid.
 fn rejection(body: &[u8]) -> String {
     parse_patch(body).map_or_else(
         |error| error.to_string(),
@@ -28,7 +29,7 @@
 
 #[gtest]
 fn items_are_parsed_and_their_json_is_kept_as_sent() {
-    let patch = parse_patch(FIRST.as_bytes()).expect("the example");
+    let patch = parse_patch(INITIAL_PATCH.as_bytes()).expect("the example");
     let names: Vec<_> = patch
         .items
         .iter()
@@ -62,12 +63,13 @@
 
 #[gtest]
 fn removals_become_tombstones() {
-    let patch = parse_patch(CHANGE.as_bytes()).expect("the example");
+    let patch = parse_patch(CHANGE_PATCH.as_bytes()).expect("the example");
     expect_that!(
         patch.items,
         contains(eq(&tombstone(ItemKind::Route, "r-old", 9)))
     );
-    let services = parse_patch(br#"{"remove":{"svcs":[{"name":"s","ver":3}]}}"#).expect("a call");
+    let services =
+        parse_patch(br#"{"remove":{"svcs":[{"name":"s","ver":3}]}}"#).expect("a valid patch");
     expect_that!(
         services.items,
         elements_are![eq(&tombstone(ItemKind::Service, "s", 3))]
@@ -75,7 +77,7 @@
 }
 
 #[gtest]
-fn a_patch_may_omit_what_it_does_not_change() {
+fn every_part_of_a_patch_is_optional() {
     for body in [
         "{}",
         r#"{"upsert":{}}"#,
@@ -117,9 +119,10 @@
             ok(contains_substring(format!("\"extra\":{raw},\"ver\":7}}")))
         );
     }
-    let blanks = with_replacement("\"ver\":7}", " \"ver\"\t: \r\n 7 , \"a b\" : \" c \" }");
-    let body =
-        parse_patch(blanks.as_bytes()).map(|patch| patch.items[1].body.clone().unwrap_or_default());
+    let with_whitespace =
+        with_replacement("\"ver\":7}", " \"ver\"\t: \r\n 7 , \"a b\" : \" c \" }");
+    let body = parse_patch(with_whitespace.as_bytes())
+        .map(|patch| patch.items[1].body.clone().unwrap_or_default());
     expect_that!(body, ok(ends_with("10.0,\"ver\":7,\"a b\":\" c \"}")));
 }
 
@@ -128,7 +131,7 @@
     let route = "upsert.vhosts[0].locs[0]";
     let dist = |shares: &str| format!("\"dist\":[{shares}]");
     let table = [
-        // The frame of a call.
+        // Fields outside of items.
         (
             "\"upsert\":",
             "\"upsert\":[],\"was\":",
--- a/crates/emberpin-config/tests/schema.rs
+++ b/crates/emberpin-config/tests/schema.rs
@@ -1,4 +1,4 @@
-//! The parsed forms of items.
+//! Parsing of items into routes, services, limits and durations, and rejection of invalid items.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -42,7 +42,7 @@
             version: Version(7),
         }))
     );
-    let split = parse_patch(FIRST.as_bytes())
+    let split = parse_patch(INITIAL_PATCH.as_bytes())
         .map(|patch| Route::from_item(&patch.items[6]).expect("a route"));
     expect_that!(
         split.map(|route| (route.kind, route.targets)),
@@ -60,13 +60,13 @@
             ]
         )))
     );
-    let mutating = parse_patch(FIRST.as_bytes())
+    let mutating = parse_patch(INITIAL_PATCH.as_bytes())
         .map(|patch| Route::from_item(&patch.items[5]).expect("a route").kind);
     expect_that!(mutating, ok(eq(&RouteKind::Mutating)));
 }
 
 #[gtest]
-fn a_host_that_looks_like_a_route_stays_a_host() {
+fn a_hostname_that_contains_the_route_separator_is_parsed() {
     let host = r#""a,\"loc\":{b""#;
     let body = route_body().replace("\"H.example\"", host);
     expect_that!(
@@ -76,7 +76,7 @@
 }
 
 #[gtest]
-fn a_service_is_parsed_also_without_a_warm_up() {
+fn a_service_is_parsed_with_and_without_a_warm_up() {
     let mut service = Service {
         name: "s1".into(),
         health_path: "/healthz".into(),
@@ -200,9 +200,9 @@
 }
 
 #[gtest]
-fn durations_are_a_number_and_a_unit() {
+fn durations_consist_of_a_number_and_a_unit() {
     let ms = Duration::from_millis;
-    for (text, read) in [
+    for (text, expected) in [
         ("1500ms", Some(ms(1500))),
         ("2.5s", Some(ms(2500))),
         ("0s", Some(ms(0))),
@@ -222,6 +222,6 @@
         ("1m", None),
         ("99999999999999999999999999s", None),
     ] {
-        expect_that!(parse_duration(text), eq(read), "{text}");
+        expect_that!(parse_duration(text), eq(expected), "{text}");
     }
 }
--- a/crates/emberpin-config/tests/validate.rs
+++ b/crates/emberpin-config/tests/validate.rs
@@ -1,4 +1,4 @@
-//! What becomes of a patch, by its versions and contents, on top of the newest items.
+//! Validation of patches: the outcome for each combination of versions and contents with the configuration.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -8,7 +8,7 @@
 use googletest::prelude::*;
 use proptest::prelude::*;
 
-/// A patch in one line: `svc NAME VERSION [CONNECTIONS]`, `route NAME HOST/PREFIX SERVICE VERSION`,
+/// Parses a patch in a one-line notation: `svc NAME VERSION [CONNECTIONS]`, `route NAME HOST/PREFIX SERVICE VERSION`,
 /// `-svc NAME VERSION`, `-route NAME VERSION`, separated by `;`.
 fn patch_of(line: &str) -> Patch {
     let (mut services, mut hosts, mut removed_routes, mut removed_services) =
@@ -28,11 +28,11 @@
                         .replace("120", max_connections),
                 );
             }
-            ["route", name, at, to, version] => {
+            ["route", name, location, service, version] => {
                 hosts.push(route(
                     name,
-                    at,
-                    &[(to, 1)],
+                    location,
+                    &[(service, 1)],
                     version.parse().expect("a version"),
                 ));
             }
@@ -66,8 +66,8 @@
 }
 
 #[gtest]
-fn validation_decides_what_becomes_of_a_patch() {
-    // The configuration, the patch, its outcome.
+fn the_outcome_of_a_patch_depends_on_versions_contents_and_consistency() {
+    // The configuration, the patch and its outcome.
     let table = [
         ("", "", "duplicate"),
         ("", "svc s 1; route r h/ s 1", "apply s 1, r 1"),
@@ -77,7 +77,7 @@
             "duplicate",
         ),
         ("svc s 1", "svc s 2", "apply s 2"),
-        // Equal versions: one content only.
+        // Equal versions: only the same content is accepted.
         (
             "svc s 1",
             "svc s 1 99",
@@ -99,7 +99,7 @@
             "conflict service s: version 1 is known with another content",
         ),
         ("-svc s 1", "-svc s 1", "duplicate"),
-        // Lower versions: superseded, and rejected if there is nothing else.
+        // Lower versions: superseded, and rejected if the patch has nothing else.
         (
             "svc s 5",
             "svc s 4",
@@ -113,7 +113,7 @@
         ("svc s 5", "svc s 4; svc t 4", "apply t 4"),
         ("svc s 5; svc t 4", "svc s 4; svc t 4", "duplicate"),
         ("svc s 5; svc t 4", "svc s 4; svc t 4; svc u 4", "apply u 4"),
-        // A removed item may be set again, by a higher version only.
+        // A removed item can be set again only with a higher version.
         ("-svc s 5", "svc s 6", "apply s 6"),
         (
             "-svc s 5",
@@ -122,7 +122,7 @@
         ),
         ("-svc s 5", "-svc s 6", "apply s 6"),
         ("", "-svc s 6; -route r 6", "apply s 6, r 6"),
-        // The configuration as a whole.
+        // Consistency of the configuration as a whole.
         (
             "",
             "route r h/ s 1",
@@ -169,7 +169,7 @@
             "route q h/x/ s 2; route r h/x/ s 2",
             "invalid route r: has the host h and the prefix /x/ of route q",
         ),
-        // Superseded items are not part of the configuration.
+        // Superseded items do not become part of the configuration.
         (
             "svc s 1; -route r 9",
             "route r h/ s 5; svc s 1",
@@ -200,12 +200,12 @@
 
 #[gtest]
 fn content_is_compared_by_value_not_by_spelling() {
-    let newest = configuration(&[parse_patch(FIRST.as_bytes()).expect("the example")]);
-    let again = |from: &str, to: &str| {
-        assert_that!(FIRST, contains_substring(from));
+    let newest = configuration(&[parse_patch(INITIAL_PATCH.as_bytes()).expect("the example")]);
+    let outcome_with_replacement = |from: &str, to: &str| {
+        assert_that!(INITIAL_PATCH, contains_substring(from));
         describe(validate(
             &newest,
-            &parse_patch(FIRST.replacen(from, to, 1).as_bytes()).expect("a call"),
+            &parse_patch(INITIAL_PATCH.replacen(from, to, 1).as_bytes()).expect("a valid patch"),
         ))
     };
     let huvo = "conflict service huvo11a: version 7 is known with another content";
@@ -246,7 +246,11 @@
             "conflict route r-hh2b9wu: version 7 is known with another content",
         ),
     ] {
-        expect_that!(again(from, to), eq(outcome), "{from} -> {to}");
+        expect_that!(
+            outcome_with_replacement(from, to),
+            eq(outcome),
+            "{from} -> {to}"
+        );
     }
 }
 
@@ -284,8 +288,8 @@
 
 #[gtest]
 fn existing_inconsistencies_reject_only_patches_that_touch_them() {
-    // Each of two changes was valid alone: the service was removed while a route to it was set, and two routes got the
-    // same host and prefix.
+    // The result of merging changes that were each valid alone: service t was removed while a route to it was set, and
+    // routes p and q got the same host and prefix.
     let newest = "svc s 1; -svc t 5; route r h/ t 6; route p g/ s 6; route q g/ s 7";
     let at_r = "invalid route r: names the service t, which is unknown";
     let at_q = "invalid route q: has the host g and the prefix /";
@@ -294,13 +298,13 @@
         ("route o o/ s 8", "apply o 8"),
         ("svc s 8", "apply s 8"),
         ("-svc t 8", "apply t 8"),
-        // Either inconsistency may be corrected while the other stays.
+        // Each inconsistency can be corrected while the other one remains.
         ("svc t 8", "apply t 8"),
         ("-route r 8", "apply r 8"),
         ("route r h/ s 8", "apply r 8"),
         ("-route p 8", "apply p 8"),
         ("route q g/x/ s 8", "apply q 8"),
-        // A patch that sets an item and leaves its inconsistency, or adds one, is rejected.
+        // A patch is rejected if it sets an item without correcting its inconsistency, or adds an inconsistency.
         ("route r h/ t 8", at_r),
         ("route p g/ s 8", &format!("{at_q} of route p")),
         (
@@ -324,7 +328,7 @@
 }
 
 #[gtest]
-fn items_that_were_not_parsed_from_a_patch_are_validated() {
+fn an_invalid_item_is_rejected_but_one_in_the_configuration_does_not_block_other_patches() {
     let broken = Item {
         body: Some("{}".into()),
         ..tombstone(ItemKind::Service, "s", 3)
@@ -343,10 +347,12 @@
     );
 }
 
-/// A change of one item: its kind, name, version, and for a route its place and service; `None` removes it.
-type DrawnChange = (bool, usize, u64, Option<(usize, usize)>);
+/// A random change of one item: whether it is a route (or else a service), the number in its name, its version and its
+/// content. The content of a route is the numbers in its prefix and in its service's name; that of a service, its
+/// connections (the second number is unused). `None` removes the item.
+type RandomChange = (bool, usize, u64, Option<(usize, usize)>);
 
-fn drawn_changes() -> impl Strategy<Value = Vec<DrawnChange>> {
+fn random_changes() -> impl Strategy<Value = Vec<RandomChange>> {
     let one = (
         any::<bool>(),
         0..4usize,
@@ -356,14 +362,16 @@
     proptest::collection::vec(one, 0..8)
 }
 
-/// The changes as `patch_of` reads them; of several of one item the first.
-fn line_of(changes: &[DrawnChange]) -> String {
+/// The changes in the notation of `patch_of`, with only the first change of each item.
+fn line_of(changes: &[RandomChange]) -> String {
     let mut seen = std::collections::BTreeSet::new();
     let first_of_each = changes
         .iter()
         .filter(|(is_route, name, ..)| seen.insert((*is_route, *name)));
-    let line = |(is_route, name, version, content): &DrawnChange| match (is_route, content) {
-        (true, Some((place, service))) => format!("route r{name} h/{place}/ s{service} {version}"),
+    let line = |(is_route, name, version, content): &RandomChange| match (is_route, content) {
+        (true, Some((prefix, service))) => {
+            format!("route r{name} h/{prefix}/ s{service} {version}")
+        }
         (true, None) => format!("-route r{name} {version}"),
         (false, Some((connections, _))) => format!("svc s{name} {version} {}", 100 + connections),
         (false, None) => format!("-svc s{name} {version}"),
@@ -374,11 +382,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, cases: 2_000, ..ProptestConfig::default() })]
 
-    /// Validation looks at what a change touches; the check of the whole configuration finds the same problem.
+    /// `validate` checks only the items that a patch affects; it must find the same problem as a check of the whole
+    /// configuration.
     #[test]
     fn a_patch_is_valid_if_the_whole_configuration_is_valid_with_it(
-        earlier in proptest::collection::vec(drawn_changes(), 0..6),
-        changes in drawn_changes(),
+        earlier in proptest::collection::vec(random_changes(), 0..6),
+        changes in random_changes(),
     ) {
         let mut configuration = Configuration::new();
         for changes in earlier {
