--- a/crates/emberpin-routing/src/endpoints/changes.rs
+++ b/crates/emberpin-routing/src/endpoints/changes.rs
@@ -1,4 +1,5 @@
-//! What the holder of the connections to servers has yet to learn about them.
+//! Tracks changes of endpoints that have not been reported yet to the part of the proxy that manages the connections to
+//! servers.
 
 use emberpin_membership::instance::Instance;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,11 +8,11 @@
 /// Whether an instance may get requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Availability {
-    /// It may: the server is up.
+    /// The instance is up and may get requests.
     Available,
-    /// It finishes its requests in flight and gets no new ones: the server drains, or its zone is evacuated.
+    /// The instance finishes its requests in flight and gets no new ones: the server drains, or its zone is evacuated.
     Draining,
-    /// It gets no new requests, and no responses come from it any more.
+    /// The instance gets no new requests, and no more responses are expected from it.
     Removed,
 }
 
@@ -26,17 +27,18 @@
     pub address: SocketAddr,
     /// The zone of the server.
     pub zone: String,
-    /// The number of requests that the server processes at a time.
+    /// The number of requests that the server processes concurrently.
     pub slots: u32,
-    /// Whether it may get requests.
+    /// Whether the instance may get requests.
     pub availability: Availability,
 }
 
-/// Finds which marked instances differ from what was last reported.
+/// Remembers the last reported state of each instance, to report only differences.
 #[derive(Debug, Default)]
 pub(super) struct ChangeTracker {
+    /// The ids of the instances that may have changed since the last report.
     marked: BTreeSet<String>,
-    /// The last reported change of each instance that was not reported as removed.
+    /// The last reported state of each instance, except of those reported as removed.
     reported: BTreeMap<String, EndpointChange>,
 }
 
@@ -46,12 +48,13 @@
         self.marked.insert(id.into());
     }
 
+    /// Returns the ids of the marked instances, and clears the marks.
     pub(super) fn take_marked(&mut self) -> BTreeSet<String> {
         std::mem::take(&mut self.marked)
     }
 
-    /// The change to report, if the state of an instance differs from what was last reported. `instance` is `None` if it
-    /// is no longer known.
+    /// The change to report, if the state of an instance differs from the last reported one. `instance` is `None` if
+    /// the instance is no longer known.
     pub(super) fn report(
         &mut self,
         id: &str,
@@ -78,7 +81,7 @@
             return None;
         }
         if availability == Availability::Removed {
-            // Who never heard of the instance need not hear of its removal.
+            // The removal of an instance that was never reported need not be reported either.
             self.reported.remove(id)?;
         } else {
             self.reported.insert(id.into(), change.clone());
--- a/crates/emberpin-routing/src/endpoints/endpoint.rs
+++ b/crates/emberpin-routing/src/endpoints/endpoint.rs
@@ -1,4 +1,4 @@
-//! One known instance with what this proxy has concluded about it.
+//! A known instance: the latest report about it, and the conclusions of this proxy about its warm-up and address.
 
 use emberpin_membership::clock::to_wire_precision;
 use emberpin_membership::instance::{Instance, Status};
@@ -12,7 +12,7 @@
 }
 
 impl ReportOrder {
-    pub(super) fn of(report: &Instance) -> ReportOrder {
+    pub(super) fn from_report(report: &Instance) -> ReportOrder {
         ReportOrder {
             status: report.status,
             seq: report.seq,
@@ -20,25 +20,28 @@
     }
 }
 
-/// The warm-up that is assumed after the evacuation of a server's zone has ended, until a heartbeat from after that
-/// moment says how long it really takes.
+/// The warm-up that is assumed after the evacuation of a server's zone has ended, until a heartbeat that the server
+/// sent after the end of the evacuation reports the actual warm-up.
 #[derive(Clone, Copy, Debug)]
 struct WarmupAfterEvacuation {
+    /// The end of the assumed warm-up.
     until: Duration,
-    /// Reports from before are not trusted: their heartbeat may be from before the end of the evacuation.
+    /// Reports that arrive before this time are not trusted, since the server may have sent the heartbeat before the
+    /// end of the evacuation.
     trusted_from: Duration,
-    /// The sequence number at the end of the evacuation; only a higher one is news.
+    /// The sequence number at the end of the evacuation. A report must have a higher one to be trusted.
     seq: u64,
 }
 
+/// An instance that this proxy knows. All times are on the proxy's monotonic clock.
 #[derive(Clone, Debug)]
 pub(super) struct Endpoint {
     pub(super) instance: Instance,
     /// The end of the warm-up that the server reported.
     reported_warmup_until: Duration,
     after_evacuation: Option<WarmupAfterEvacuation>,
-    /// The sequence number at which its address was found to be another instance's.
-    misdirected_at: Option<u64>,
+    /// The sequence number of the instance when a 421 response showed that another instance is at its address.
+    misdirected_seq: Option<u64>,
 }
 
 impl Endpoint {
@@ -47,11 +50,11 @@
             instance: report.clone(),
             reported_warmup_until: now + report.warmup_left,
             after_evacuation: None,
-            misdirected_at: None,
+            misdirected_seq: None,
         }
     }
 
-    /// The end of the warm-up on the proxy's clock.
+    /// The end of the warm-up: the reported or the assumed one, whichever is later.
     pub(super) fn warmup_until(&self) -> Duration {
         match self.after_evacuation {
             Some(assumed) => self.reported_warmup_until.max(assumed.until),
@@ -59,11 +62,11 @@
         }
     }
 
-    /// Takes in the warm-up time of a report that is not older than the known one. Returns whether the reported warm-up
-    /// now ends later.
+    /// Merges the warm-up time of a report that is not older than the known one. Returns whether the reported warm-up
+    /// now ends later than before.
     pub(super) fn merge_warmup(&mut self, now: Duration, report: &Instance) -> bool {
         let mut until = now + report.warmup_left;
-        // A repeated heartbeat says nothing new about the remaining time; the later end is the safe one.
+        // A repeated heartbeat has no new information about the remaining time, and the later end is the safe choice.
         let is_newer = report.seq > self.instance.seq;
         if !is_newer {
             until = until.max(self.reported_warmup_until);
@@ -79,7 +82,7 @@
         ends_later
     }
 
-    /// Returns whether the reported warm-up now ends later.
+    /// Extends the reported warm-up to this time, unless it ends later already. Returns whether it was extended.
     pub(super) fn extend_warmup(&mut self, until: Duration) -> bool {
         let ends_later = until > self.reported_warmup_until;
         if ends_later {
@@ -88,6 +91,7 @@
         ends_later
     }
 
+    /// Assumes that the server warms up from now on, because the evacuation of its zone has ended.
     pub(super) fn begin_warmup_after_evacuation(
         &mut self,
         now: Duration,
@@ -101,7 +105,8 @@
         });
     }
 
-    /// Takes over a report. A later status may come with a lower sequence number than was seen; the higher one stays.
+    /// Replaces the report about the instance, but keeps the highest sequence number so far: a report with a later
+    /// status may have a lower one.
     pub(super) fn replace_instance(&mut self, report: &Instance) {
         let seq = self.instance.seq.max(report.seq);
         self.instance = Instance {
@@ -110,16 +115,19 @@
         };
     }
 
+    /// Records that another instance is at the address of this one.
     pub(super) fn mark_misdirected(&mut self) {
-        self.misdirected_at = Some(self.instance.seq);
+        self.misdirected_seq = Some(self.instance.seq);
     }
 
+    /// Whether the instance was marked as misdirected and no report with a higher sequence number has arrived since.
     pub(super) fn is_misdirected(&self) -> bool {
-        self.misdirected_at
+        self.misdirected_seq
             .is_some_and(|seq| self.instance.seq <= seq)
     }
 
-    /// The instance as this proxy reports it to a registry, with the whole milliseconds that are left of its warm-up.
+    /// The instance as this proxy reports it to a registry, with the remaining warm-up in the precision of the wire
+    /// format.
     pub(super) fn to_report(&self, now: Duration) -> Instance {
         let remaining = self.warmup_until().saturating_sub(now);
         Instance {
--- a/crates/emberpin-routing/src/endpoints/mod.rs
+++ b/crates/emberpin-routing/src/endpoints/mod.rs
@@ -1,8 +1,8 @@
-//! The instances of servers that this proxy knows, and which of them may get requests now.
+//! The endpoint table: the instances of servers that this proxy knows, and which of them may get requests now.
 //!
-//! Of two reports about an instance the one with the later status wins, then the one with the higher sequence number,
-//! in whatever order they arrive; so a late `Up` after `Drain` has no effect. Reports only add and change: an instance
-//! that is not named is kept, except by a complete snapshot.
+//! Of two reports about an instance, the one with the later status wins; if the statuses are equal, the one with the
+//! higher sequence number. The order of arrival does not matter, so an `Up` that arrives late, after `Draining`, has no
+//! effect. An instance that a report does not contain is kept, unless the report is a complete snapshot.
 
 mod changes;
 mod endpoint;
@@ -19,19 +19,19 @@
 use std::time::Duration;
 use tombstones::Tombstones;
 
-/// How long a server is assumed to warm up if its service has no profile.
+/// The assumed warm-up duration of a server whose service has no warm-up profile.
 const DEFAULT_WARMUP: Duration = Duration::from_secs(10);
 
-/// Whether a snapshot names every instance that its registry knows.
+/// Whether a snapshot contains every instance that its registry knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SnapshotScope {
-    /// It does: instances that it does not name are removed.
+    /// The snapshot contains all instances: those that it does not contain are removed.
     Complete,
-    /// It may not, so instances that it does not name are kept.
+    /// The snapshot may lack instances: those that it does not contain are kept.
     Partial,
 }
 
-/// All instances that this proxy knows. All times are on its monotonic clock.
+/// All instances that this proxy knows. All times are on the proxy's monotonic clock.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     heartbeat_interval: Duration,
@@ -63,7 +63,7 @@
         self.warmup_profiles.get(service).copied()
     }
 
-    /// Merges reports that arrived at `now`; their remaining warm-up times count from then on.
+    /// Merges reports that arrived at `now`, from which their remaining warm-up times count.
     pub fn update(&mut self, now: Duration, reports: &[Instance]) {
         for report in reports {
             self.merge(now, report);
@@ -92,22 +92,22 @@
     }
 
     fn merge(&mut self, now: Duration, report: &Instance) {
-        let reported = ReportOrder::of(report);
+        let reported = ReportOrder::from_report(report);
         let monotonic = self.guards.monotonic_status;
-        let is_buried = |last: ReportOrder| reported <= last;
-        if monotonic && self.tombstones.get(&report.id).is_some_and(is_buried) {
+        let is_outdated = |last: ReportOrder| reported <= last;
+        if monotonic && self.tombstones.get(&report.id).is_some_and(is_outdated) {
             return;
         }
         let Some(endpoint) = self.endpoints.get_mut(&report.id) else {
             self.insert(now, report);
             return;
         };
-        let known = ReportOrder::of(&endpoint.instance);
+        let known = ReportOrder::from_report(&endpoint.instance);
         if monotonic && reported < known {
             return;
         }
         let replaces = reported > known || !monotonic;
-        // Before the instance is replaced, since it compares sequence numbers.
+        // Must come before the instance is replaced, since it compares the old and new sequence numbers.
         if endpoint.merge_warmup(now, report) {
             self.generation += 1;
         }
@@ -123,10 +123,11 @@
 
     fn insert(&mut self, now: Duration, report: &Instance) {
         if report.status == Status::Removed {
-            self.tombstones.insert(&report.id, ReportOrder::of(report));
+            self.tombstones
+                .insert(&report.id, ReportOrder::from_report(report));
             return;
         }
-        // The report wins over the tombstone, or it would not have come here.
+        // `merge` has checked that the report is newer than the tombstone.
         self.tombstones.remove(&report.id);
         self.endpoints
             .insert(report.id.clone(), Endpoint::new(now, report));
@@ -136,12 +137,12 @@
     fn remove(&mut self, id: &str) {
         if let Some(endpoint) = self.endpoints.remove(id) {
             self.tombstones
-                .insert(id, ReportOrder::of(&endpoint.instance));
+                .insert(id, ReportOrder::from_report(&endpoint.instance));
             self.mark_changed(id);
         }
     }
 
-    /// Replaces the set of evacuated zones. The servers of a zone that is no longer in it count as warming up.
+    /// Replaces the set of evacuated zones. The servers of a zone that is no longer in the set count as warming up.
     pub fn set_evacuated_zones(&mut self, now: Duration, zones: BTreeSet<String>) {
         if zones == self.evacuated_zones {
             return;
@@ -166,8 +167,8 @@
         }
     }
 
-    /// Records that a server answered 421: this instance is not at its address. It counts as removed until a report with
-    /// a higher sequence number.
+    /// Records that a server responded with 421: another instance is at the address of this one. This instance counts
+    /// as removed until a report with a higher sequence number arrives.
     pub fn mark_misdirected(&mut self, id: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.mark_misdirected();
@@ -196,8 +197,8 @@
         self.endpoints.get(id).map(|endpoint| &endpoint.instance)
     }
 
-    /// All instances except misdirected ones, in no particular order, each with what is left of its warm-up, for a
-    /// registry that may know less.
+    /// All instances except misdirected ones, in no particular order, each with its remaining warm-up, for reports to a
+    /// registry that may know fewer instances.
     pub fn known_instances(&self, now: Duration) -> Vec<Instance> {
         self.endpoints
             .values()
@@ -213,8 +214,8 @@
             .is_some_and(|endpoint| now < endpoint.warmup_until())
     }
 
-    /// Extends the warm-up of an instance to what its server said in a response (`Cold-Ms`). A shorter time than the
-    /// known one has no effect.
+    /// Extends the warm-up of an instance to the remaining time that its server sent in a response (`Cold-Ms`). An end
+    /// earlier than the known one has no effect.
     pub fn extend_warmup(&mut self, now: Duration, id: &str, remaining: Duration) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             if endpoint.extend_warmup(now + remaining) {
@@ -223,16 +224,16 @@
         }
     }
 
-    /// Whether a service has an instance that may get requests. Slow start may still forbid each of them; it is asked
-    /// when a request is sent.
+    /// Whether a service has an instance that may get requests. Slow start is not considered; it may still reject a
+    /// request to each of the instances when the request is sent.
     pub fn has_available(&self, service: &str) -> bool {
         self.endpoints.iter().any(|(id, endpoint)| {
             endpoint.instance.service == service && self.availability(id) == Availability::Available
         })
     }
 
-    /// What has changed since the last call, in the order of the instances' ids. A caller that applies every change
-    /// knows the availability of all instances.
+    /// The changes since the last call, in the order of the instances' ids. A caller that applies all changes knows the
+    /// availability of all instances.
     pub fn take_changes(&mut self) -> Vec<EndpointChange> {
         let mut changes = Vec::new();
         for id in self.changes.take_marked() {
@@ -243,12 +244,12 @@
         changes
     }
 
-    /// Rises whenever something changes that could forbid a request to a server.
+    /// A number that increases with each change that could forbid a request to a server.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// The number of removed instances that are remembered, at most 4096.
+    /// The number of tombstones (removed instances that are remembered), at most 4096.
     pub fn tombstones(&self) -> usize {
         self.tombstones.len()
     }
--- a/crates/emberpin-routing/src/endpoints/tombstones.rs
+++ b/crates/emberpin-routing/src/endpoints/tombstones.rs
@@ -1,20 +1,22 @@
-//! Removed instances, so that an older report that arrives late does not bring one back.
+//! Tombstones: a record of removed instances, so that an older report that arrives late does not bring one back.
 
 use super::endpoint::ReportOrder;
 use std::collections::{HashMap, VecDeque};
 
-/// The most instances that are remembered. Beyond, the oldest are forgotten.
+/// The maximum number of tombstones. When it is exceeded, the oldest ones are removed.
 const MAX_TOMBSTONES: usize = 4_096;
 
+/// The last reports about the instances that were removed most recently.
 #[derive(Debug, Default)]
 pub(super) struct Tombstones {
     last_reports: HashMap<String, ReportOrder>,
-    /// In the order of removal. An id whose tombstone was taken away stays here until it is the oldest; it does no harm.
+    /// The ids in the order of removal. An id whose tombstone was removed stays here until it is the oldest one, which
+    /// does no harm.
     removal_order: VecDeque<String>,
 }
 
 impl Tombstones {
-    /// The last report about a removed instance.
+    /// The order of the last report about a removed instance.
     pub(super) fn get(&self, id: &str) -> Option<ReportOrder> {
         self.last_reports.get(id).copied()
     }
--- a/crates/emberpin-routing/src/guards.rs
+++ b/crates/emberpin-routing/src/guards.rs
@@ -1,19 +1,20 @@
-//! Safety checks that a test can switch off, to show that it would notice their absence.
+//! Safety checks that a test can switch off, to show that it detects their absence.
 
-/// The safety checks of a proxy's choice of servers. All are on outside tests.
+/// The safety checks in a proxy's choice of servers. Outside of tests, all are on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Guards {
-    /// The reported status of an instance only advances, in whatever order reports arrive.
+    /// The status of an instance only advances, in whatever order reports arrive.
     pub monotonic_status: bool,
     /// The servers of a zone whose evacuation has ended count as warming up.
     pub warmup_after_evacuation: bool,
-    /// A new instance sends nothing to warming servers before the requests of its last instance are over.
+    /// A proxy process sends nothing to warming servers for some time after its start, as the previous process of the
+    /// proxy may have sent requests just before its end.
     pub quiet_period: bool,
-    /// The highest proxy count that was reported stays in force.
+    /// The highest proxy count reported so far is used, not the latest.
     pub highest_proxy_count: bool,
-    /// Where not all proxies may send requests to a warming server, only those with a low hash do.
+    /// If only some proxies may send requests to a warming server, they are selected by a hash.
     pub hashed_admission: bool,
-    /// A request in flight follows the newest routes.
+    /// A request in flight must still be allowed by the newest routes.
     pub newest_routes: bool,
 }
 
--- a/crates/emberpin-routing/src/lib.rs
+++ b/crates/emberpin-routing/src/lib.rs
@@ -1,8 +1,12 @@
-//! Decides where a request may go: route matching, traffic splits, retries and their budget, slow start of servers that
-//! are warming up, and zone evacuation.
+//! Decides where a proxy may send a request: route matching, traffic splits, retries and their budget, slow start of
+//! servers that are warming up, and zone evacuation.
 //!
-//! No I/O, no clock, no randomness: the caller passes times of one monotonic clock, measured from any fixed moment, and
-//! random draws in [0, 1).
+//! The state of one proxy is in a [`Router`]: the configured routes, the instances of servers that the registries have
+//! reported, and the rate limits for servers that are warming up. An instance is one run of a server process, with an
+//! id of its own.
+//!
+//! This crate has no I/O, no clock and no randomness: the caller passes times of one monotonic clock, measured from any
+//! fixed moment, and random draws in [0, 1).
 #![forbid(unsafe_code)]
 
 pub mod attempt;
--- a/crates/emberpin-routing/src/retry.rs
+++ b/crates/emberpin-routing/src/retry.rs
@@ -1,21 +1,22 @@
-//! What happens to a request after attempts that gave no response for its client.
+//! Decides whether a request is retried, rejected or failed after attempts without a response that the client could
+//! get.
 
 use crate::attempt::AttemptVerdict;
 use crate::RouteKind;
 
-/// What to do with a request.
+/// The decision about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RetryDecision {
-    /// Send it to another server.
+    /// Send the request to another server.
     Retry,
-    /// Answer with 429 or 503, which promise that it has not run and never will.
+    /// Respond with 429 or 503, which guarantee that the request has not run and never will.
     Reject,
-    /// Answer with 502 or 504, which promise nothing.
+    /// Respond with 502 or 504, which guarantee nothing.
     Fail,
 }
 
-/// Decides about a request of this kind after these attempts. `can_retry` says that its attempts, its deadline and the
-/// retry budget leave room for one more.
+/// Decides about a request of this kind after these attempts. `can_retry` is whether the maximum number of attempts,
+/// the deadline and the retry budget allow another attempt.
 pub fn decide(kind: RouteKind, attempts: &[AttemptVerdict], can_retry: bool) -> RetryDecision {
     let has_not_run = attempts
         .iter()
--- a/crates/emberpin-routing/src/retry_budget.rs
+++ b/crates/emberpin-routing/src/retry_budget.rs
@@ -1,37 +1,42 @@
-//! The retry budget: how often this proxy may send a request to a server after its first one. Hedged requests count
-//! as retries.
+//! The retry budget: limits how many attempts after the first one this proxy may send to the servers of a service.
+//! Hedged requests count as retries.
 //!
-//! The rule is a sum over all proxies: in every window `[a, a+W]` the retries at a service stay under `ratio x
-//! requests + extra`, where the requests of `[a, a+W]` or of `[a-W, a]` count, whichever are more. The proxies do not
-//! coordinate. Each spends at `t` only if its retries in `(t-W, t]`, this one included, are at most `ratio x SHARE x
-//! own requests in (t-W, t] + floor(extra x SHARE / proxies)`.
+//! The limit applies to the sum over all proxies: in every window `[a, a+W]`, the number of retries at a service is at
+//! most `ratio x requests + extra`, where `requests` is the number of requests in `[a, a+W]` or in `[a-W, a]`,
+//! whichever is greater. The proxies do not coordinate. Each one retries at time `t` only if its own retries in
+//! `(t-W, t]`, including the new one, are at most
+//! `ratio x SHARE x own requests in (t-W, t] + floor(extra x SHARE / proxies)`.
 //!
-//! Why the sum holds. Let `t` be the last time in `[a, a+W]` at which an instance of any proxy retries. What it spent
-//! in `[a, a+W]` lies in `(t-W, t]`, and the requests it was counted against lie in `[a-W, a+W]`. Each request is
-//! counted by one instance only, so all instances together spend at most `ratio x SHARE x requests in [a-W, a+W]`,
-//! which with `SHARE` = 1/2 is at most `ratio x` the greater of both halves: for any number of proxies and any
-//! restarts, as a new instance knows only requests of its own. The extra is not backed by requests, and a restart
-//! forgets what was spent of it; so an instance has none before it is one window old, and two instances of a proxy
-//! never spend it in the same window. The sum of extras holds while there are at most `1 / SHARE` times as many
-//! proxies as each of them counts.
+//! The limit holds for the following reason. A proxy may restart; call each run of its process an instance. For each
+//! instance, let `t` be the time of its last retry in `[a, a+W]`. All its retries in `[a, a+W]` are in `(t-W, t]`, and
+//! the requests that back them are in `[a-W, a+W]`. Each request is counted by one instance only, so all instances
+//! together retry at most `ratio x SHARE x requests in [a-W, a+W]` times. With `SHARE` = 1/2, that is at most `ratio`
+//! times the requests of the window `[a-W, a]` or `[a, a+W]`, whichever has more. This is true for any number of
+//! proxies and restarts, since a new instance counts only its own requests.
+//!
+//! The extra is not backed by requests, and a restarted proxy does not know how much of it the previous instance used.
+//! So an instance has no extra until it is one window old, and two instances of a proxy never use it in the same
+//! window. The sum of the extras is within the limit while there are at most `1 / SHARE` times as many proxies as each
+//! proxy assumes.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The part of the budget that proxies use. One half makes the sum over all of them hold, as shown above.
+/// The fraction of the budget that proxies use. With one half, the limit holds for the sum over all proxies, as
+/// explained in the module's documentation.
 const SHARE: f64 = 0.5;
-/// Requests and retries are counted per slot, a sixteenth of the window, rather than one by one.
+/// The number of slots of time per window. Requests and retries are counted per slot rather than recorded one by one.
 const SLOTS_PER_WINDOW: u64 = 16;
-/// The slots that are kept: those of a window, and the one before it, which may reach into the window.
+/// The number of slots that are kept: those of a window, and the one before, which may overlap with the window.
 const RING_LENGTH: usize = SLOTS_PER_WINDOW as usize + 1;
 /// The proxy count that is assumed until a registry has reported one.
 const DEFAULT_PROXY_COUNT: u32 = 100;
-/// The most services that are tracked. While the table is full, other services get no retries.
+/// The maximum number of tracked services. While the table is full, other services get no retries.
 const MAX_SERVICES: usize = 4_096;
-/// The shortest window, so that a slot has a length.
+/// The minimum window, so that the length of a slot is not zero.
 const MIN_WINDOW: Duration = Duration::from_millis(1);
 
-/// The counts of one slot of time.
+/// The counts of one slot of time. Slot `number` covers the time from `number` times the length of a slot on.
 #[derive(Clone, Copy, Debug, Default)]
 struct Slot {
     number: u64,
@@ -60,8 +65,8 @@
 }
 
 impl RetryBudget {
-    /// The budget of an instance that starts at `now`. `ratio`, `window` and `extra` are the settings `retry_ratio`,
-    /// `retry_win` and `retry_extra`.
+    /// The budget of a proxy process that starts at `now`. `ratio`, `window` and `extra` are the settings
+    /// `retry_ratio`, `retry_win` and `retry_extra`.
     pub fn new(now: Duration, ratio: f64, window: Duration, extra: f64) -> RetryBudget {
         let slot_length = window.max(MIN_WINDOW) / SLOTS_PER_WINDOW as u32;
         let first_slot = now.div_duration_f64(slot_length) as u64;
@@ -75,7 +80,7 @@
         }
     }
 
-    /// Counts a client's request for a service, which backs retries there for one window.
+    /// Counts a client's request to a service, which adds to the budget of that service for one window.
     pub fn record_request(&mut self, now: Duration, service: &str) {
         if let Some(slot) = self.slot_mut(now, service) {
             slot.requests = slot.requests.saturating_add(1);
@@ -83,30 +88,30 @@
     }
 
     /// Whether the budget of a service allows one more retry. `proxy_count` is the number of proxies that share
-    /// `retry_extra`; 0 means that no registry has reported one, and 100 are assumed.
+    /// `retry_extra`. If it is 0, no registry has reported a count, and 100 proxies are assumed.
     pub fn allows_retry(&self, now: Duration, service: &str, proxy_count: u32) -> bool {
         let current = self.slot_number(now);
         let Some(ring) = self.services.get(service) else {
             return false;
         };
-        let latest = |slots: u64| {
+        let latest_slots = |slots: u64| {
             ring.iter()
                 .filter(move |slot| slot.number + slots > current)
         };
-        // Rounded to the safe side: retries in the slot that only reaches into the window count, requests do not.
-        let requests: u64 = latest(SLOTS_PER_WINDOW)
+        // A conservative count: in the slot that only partly overlaps with the window, retries count, requests do not.
+        let requests: u64 = latest_slots(SLOTS_PER_WINDOW)
             .map(|slot| u64::from(slot.requests))
             .sum();
-        let retries: u64 = latest(SLOTS_PER_WINDOW + 1)
+        let retries: u64 = latest_slots(SLOTS_PER_WINDOW + 1)
             .map(|slot| u64::from(slot.retries))
             .sum();
         let extra = self.extra_retries(current, proxy_count);
         (retries + 1) as f64 <= self.ratio * SHARE * requests as f64 + extra
     }
 
-    /// This proxy's part of the retries that need no requests to back them.
+    /// This proxy's part of the extra: the retries that are allowed regardless of the number of requests.
     fn extra_retries(&self, current_slot: u64, proxy_count: u32) -> f64 {
-        // The instance before this one may have spent its part in the same window.
+        // Until then, the previous process of this proxy may have used its part in the same window.
         let is_window_old = current_slot > self.first_slot + SLOTS_PER_WINDOW;
         if !is_window_old {
             return 0.0;
@@ -120,19 +125,20 @@
             .max(0.0)
     }
 
-    /// Counts an attempt of a request after its first one.
+    /// Counts a retry: any attempt of a request after the first one.
     pub fn record_retry(&mut self, now: Duration, service: &str) {
         if let Some(slot) = self.slot_mut(now, service) {
             slot.retries = slot.retries.saturating_add(1);
         }
     }
 
-    /// The number of services that are tracked, at most 4096.
+    /// The number of tracked services, at most 4096.
     pub fn tracked_services(&self) -> usize {
         self.services.len()
     }
 
-    /// The slot of a time. It never goes back, since an earlier slot of the ring may hold a later time by now.
+    /// The number of the slot at a time, but at least the latest number so far, since the ring entry of an earlier slot
+    /// may have been reused for a later one.
     fn slot_number(&self, now: Duration) -> u64 {
         (now.div_duration_f64(self.slot_length) as u64).max(self.latest_slot)
     }
@@ -159,7 +165,7 @@
         Some(slot)
     }
 
-    /// Frees services without a request or retry in the latest window.
+    /// Removes services without a request or retry in the latest window.
     fn drop_idle_services(&mut self) {
         let latest = self.latest_slot;
         self.services.retain(|_, ring| {
--- a/crates/emberpin-routing/src/route_matcher.rs
+++ b/crates/emberpin-routing/src/route_matcher.rs
@@ -1,18 +1,18 @@
-//! Finds the route of a request: the one with the longest matching prefix among those of its host.
+//! Finds the route of a request: among the routes of its host, the one with the longest matching path prefix.
 
 use crate::Route;
 use std::borrow::Cow;
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// A node of the tree over path segments. Its prefix is the path from the root.
+/// A node of a tree over path segments. The path from the root to the node is the prefix of its route.
 #[derive(Debug, Default)]
 struct Node {
     route: Option<Rc<Route>>,
     children: HashMap<Box<str>, Node>,
 }
 
-/// The routes in force, with a tree over path segments for each host.
+/// The current routes, in one tree over path segments for each host.
 #[derive(Debug, Default)]
 pub struct RouteMatcher {
     hosts: HashMap<Box<str>, Node>,
@@ -21,15 +21,15 @@
 }
 
 impl RouteMatcher {
-    /// A matcher for these routes. See [`RouteMatcher::replace`].
+    /// Creates a matcher for these routes. See [`RouteMatcher::replace`].
     pub fn new(routes: Vec<Route>) -> RouteMatcher {
         let mut matcher = RouteMatcher::default();
         matcher.replace(routes);
         matcher
     }
 
-    /// Replaces all routes. An unchanged route keeps its `Rc`. A prefix that does not begin and end with a slash matches
-    /// nothing.
+    /// Replaces all routes. An unchanged route keeps its `Rc`. A route whose prefix does not begin and end with a slash
+    /// matches nothing.
     pub fn replace(&mut self, routes: Vec<Route>) {
         let before = std::mem::take(&mut self.routes_by_name);
         self.hosts.clear();
@@ -63,12 +63,12 @@
         node.route = Some(route);
     }
 
-    /// The route for a `Host` header and a path without its query.
+    /// The route for a `Host` header and a path without query string.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let mut node = self.hosts.get(normalized_host(host).as_ref())?;
         let mut rest = path.strip_prefix('/')?;
         let mut longest = node.route.as_ref();
-        // A segment counts only with the slash behind it: "/leny950" does not begin with "/leny950/".
+        // A segment matches only if a slash follows: the path "/leny950" does not have the prefix "/leny950/".
         while let Some((segment, after)) = rest.split_once('/') {
             let Some(child) = node.children.get(segment) else {
                 break;
@@ -85,18 +85,19 @@
         self.routes_by_name.get(name)
     }
 
-    /// All routes in force, in no particular order.
+    /// All current routes, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Rc<Route>> {
         self.routes_by_name.values()
     }
 
-    /// Rises with each replacement, so that a holder of a route can tell whether to look it up again.
+    /// A number that increases with each replacement, so that a caller that keeps a route knows when to look it up
+    /// again.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 }
 
-/// A host as it is compared: without its port, in lower case.
+/// Normalizes a host for comparison: without its port, in lower case.
 fn normalized_host(host: &str) -> Cow<'_, str> {
     let host = match host.rsplit_once(':') {
         // A colon within brackets belongs to an IPv6 address.
--- a/crates/emberpin-routing/src/router.rs
+++ b/crates/emberpin-routing/src/router.rs
@@ -1,5 +1,5 @@
-//! The routing state of one proxy: routes, endpoints and slow start together. It binds a request when its server is
-//! chosen, and afterwards while the request waits for a connection or a retry.
+//! The routing state of one proxy: routes, endpoints and slow start. It decides about a request when its server is
+//! chosen, and again when the state changes while the request is in flight or waits for a connection or a retry.
 
 use crate::endpoints::EndpointTable;
 use crate::guards::Guards;
@@ -16,7 +16,7 @@
     proxy_name: String,
     tolerance: WarmupTolerance,
     proxy_count: u32,
-    /// The routes in force.
+    /// The current routes.
     pub routes: RouteMatcher,
     /// The known instances of servers.
     pub endpoints: EndpointTable,
@@ -24,8 +24,8 @@
 }
 
 impl Router {
-    /// The router of an instance of a proxy that starts at `now`. `heartbeat_interval` is the interval at which servers
-    /// send heartbeats to their registries.
+    /// Creates the router of a proxy process that starts at `now`. `heartbeat_interval` is the interval at which
+    /// servers send heartbeats to their registries.
     pub fn new(
         now: Duration,
         proxy_name: &str,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// As [`Router::new`], with safety checks switched off by a test.
+    /// Creates a router like [`Router::new`], for tests that switch safety checks off.
     #[doc(hidden)]
     pub fn with_guards(
         now: Duration,
@@ -57,19 +57,21 @@
         router
     }
 
-    /// Takes in the proxy count of a registry that reaches a majority of the registries. Before the first one, no
-    /// request is admitted to a warming server.
+    /// Sets the number of proxies, as reported by a registry that reaches a majority of the registries. Before the
+    /// first call, no request is admitted to a warming server.
     pub fn set_proxy_count(&mut self, now: Duration, proxy_count: u32) {
         self.proxy_count = proxy_count;
         self.slow_start.set_proxy_count(now, proxy_count);
     }
 
-    /// The current route of a request in flight that was forwarded to `service` by the route `chosen`. The request may go
-    /// on under it if it is of the same kind and still gives `service` a weight; otherwise the result is `None`, and
-    /// nothing more of the request may be written. To be asked for all requests in flight whenever routes have changed.
+    /// The current route of a request in flight that was forwarded to `service` by the route `chosen`. The request may
+    /// continue under the current route if that is of the same kind and still gives `service` a weight above 0.
+    /// Otherwise the result is `None`, and nothing more of the request may be written. The caller must check all
+    /// requests in flight whenever routes have changed.
     ///
-    /// Changes of servers reach those requests by [`EndpointTable::take_changes`], and [`Router::record_send`] has
-    /// counted their share of a warming server when it was chosen, so neither is checked again here.
+    /// The state of the server is not checked here: the caller learns of its changes through
+    /// [`EndpointTable::take_changes`]. Nor is slow start, as [`Router::record_send`] counted the request when its
+    /// server was chosen.
     pub fn current_route(
         &self,
         host: &str,
@@ -88,15 +90,15 @@
         (gives_service_a_weight && newest.kind == chosen.kind).then(|| newest.clone())
     }
 
-    /// Counts a request that is sent to this instance, if it is warming up.
+    /// Counts a request that is sent to this instance, if the instance is warming up.
     pub fn record_send(&mut self, now: Duration, instance_id: &str) {
         if self.endpoints.is_warming_up(now, instance_id) {
             self.slow_start.record_send(now, instance_id);
         }
     }
 
-    /// Whether slow start allows this proxy to send a request to this instance now. Always, if it is not warming up;
-    /// never, if it is and its service has no warm-up profile.
+    /// Whether slow start allows this proxy to send a request to this instance now. Always true if the instance is not
+    /// warming up; always false if it is and its service has no warm-up profile.
     pub fn slow_start_admits(&mut self, service: &str, instance_id: &str, now: Duration) -> bool {
         if !self.endpoints.is_warming_up(now, instance_id) {
             return true;
--- a/crates/emberpin-routing/src/slow_start.rs
+++ b/crates/emberpin-routing/src/slow_start.rs
@@ -1,42 +1,43 @@
-//! Slow start: how many requests this proxy may send to a server that is warming up, so that all proxies together
-//! stay under the server's limit `B` ([`WarmupLimit::max_requests_per_second`]) in every second, also when proxies are
+//! Slow start: limits the requests of this proxy to a server that is warming up, so that all proxies together stay
+//! within the server's limit `B` ([`WarmupLimit::max_requests_per_second`]) in every second, even if proxies are
 //! partitioned, restarted or unknown to each other.
 //!
-//! The proxies do not coordinate. With `N` the highest proxy count that was reported to this instance, at least
-//! [`MIN_PROXY_COUNT`]:
+//! The proxies do not coordinate. Let `N` be the highest proxy count that was reported to this proxy process, but at
+//! least [`MIN_PROXY_COUNT`]:
 //!
-//! - `2N <= B`: each proxy may send `floor(B / 2N)` in any second. This is strict while there are at most `2N`
-//!   proxies.
-//! - `2N > B`: a proxy may send one request in any second, and only if the hash of the server's id and its own name,
-//!   as a fraction of all hashes, lies under `p`. With `2N` proxies the number of admitted ones is a binomial sum with
-//!   mean `2Np`; by Chernoff's bound it exceeds `B` with a probability of at most `exp(-2N x KL((B+1)/2N || p))`, and
-//!   `p` is the greatest for which this is at most `MAX_OVERLOAD_PROBABILITY` for a server. So `B` holds even with
+//! - `2N <= B`: each proxy may send `floor(B / 2N)` requests in any second. The limit is guaranteed as long as there
+//!   are at most `2N` proxies.
+//! - `2N > B`: a proxy may send one request in any second, and only if the hash of the server's id and its own name, as
+//!   a fraction of all hashes, is below `p`. With `2N` proxies, the number of admitted proxies is a binomial sum with
+//!   mean `2Np`. By Chernoff's bound it exceeds `B` with a probability of at most `exp(-2N x KL((B+1)/2N || p))`, and
+//!   `p` is the greatest value for which this is at most `MAX_OVERLOAD_PROBABILITY` per server. So `B` holds even with
 //!   twice as many proxies as reported, whatever they know of each other.
 //!
-//! The count is a lower bound of what each proxy knew: one that is partitioned keeps its highest count. An instance
-//! sends nothing to warming servers before [`QUIET_PERIOD`] has passed since its start and since the count last rose by
-//! more than an eighth: the instance before it may have sent just before its end, and registries that start at the same
-//! time count up from zero.
+//! A proxy never lowers its count, so one that is partitioned keeps the highest count that was reported to it. A proxy
+//! process sends nothing to warming servers until [`QUIET_PERIOD`] has passed since its start and since the count last
+//! rose by more than an eighth: the previous process of the proxy may have sent requests just before its end, and
+//! registries that start at the same time count the proxies up from zero.
 
 use crate::guards::Guards;
 use crate::warmup::WarmupLimit;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// The window in which this proxy counts its requests to a warming server. It is longer than the second of the limit,
-/// as a request may wait a little between its count here and its first byte on the wire.
+/// The sliding window in which this proxy counts its requests to a warming server. It is longer than the second of the
+/// limit, because some time may pass between the count of a request and its first byte on the wire.
 const WINDOW: Duration = Duration::from_millis(1_250);
-/// For how long an instance must have run, and the proxy count been steady, before requests go to warming servers.
+/// The minimum time since the start of the proxy process, and since the last considerable rise of the proxy count,
+/// before requests go to warming servers.
 pub const QUIET_PERIOD: Duration = Duration::from_millis(2_500);
-/// The least proxy count that is assumed: the first reports after a start are too low.
+/// The minimum proxy count that is assumed, because the first counts reported after a start are too low.
 pub const MIN_PROXY_COUNT: u32 = 8;
 /// The limits hold with up to this many times the reported proxy count.
 const COUNT_SAFETY_FACTOR: u32 = 2;
-/// A rise of the proxy count by more than this part of it starts the quiet period again.
+/// A rise of the proxy count by more than the count divided by this restarts the quiet period.
 const STEADY_COUNT_DIVISOR: u32 = 8;
-/// The highest probability with which more proxies are admitted to one warming server than its limit allows.
+/// The maximum probability that more proxies are admitted to a warming server than its limit allows.
 const MAX_OVERLOAD_PROBABILITY: f64 = 1e-7;
-/// Bisection steps that find the admitted fraction.
+/// The number of bisection steps in the search for the admitted fraction.
 const BISECTION_STEPS: usize = 40;
 
 /// One proxy's share of the requests to a warming server.
@@ -44,12 +45,12 @@
 pub struct ProxyShare {
     /// The fraction of all proxies that may send requests, in [0, 1].
     pub admitted_fraction: f64,
-    /// The requests that each admitted proxy may send in any second.
+    /// The maximum number of requests of each admitted proxy in any second.
     pub requests_per_second: u32,
 }
 
 impl ProxyShare {
-    /// The share for a limit on the requests of all proxies in a second and a proxy count.
+    /// The share for `limit`, the maximum number of requests of all proxies per second, and the reported proxy count.
     pub fn new(limit: u32, proxy_count: u32) -> ProxyShare {
         let assumed_count = proxy_count
             .max(MIN_PROXY_COUNT)
@@ -73,12 +74,13 @@
     }
 }
 
-/// The greatest probability of admission at which more than `limit` of `proxy_count` proxies are admitted with a
-/// probability of at most [`MAX_OVERLOAD_PROBABILITY`].
+/// The greatest admitted fraction for which the probability that more than `limit` of `proxy_count` proxies are
+/// admitted is at most [`MAX_OVERLOAD_PROBABILITY`].
 fn greatest_safe_fraction(limit: u32, proxy_count: u32) -> f64 {
     let (trials, overload) = (f64::from(proxy_count), f64::from(limit) + 1.0);
     let overload_fraction = overload / trials;
-    // Chernoff's bound on the exponent; the second term of the divergence vanishes if all trials are needed.
+    // Chernoff's bound, compared by its exponent. The second term of the divergence is zero if an overload takes all
+    // proxies.
     let is_safe = |p: f64| {
         let rest = if overload_fraction < 1.0 {
             (1.0 - overload_fraction) * ((1.0 - overload_fraction) / (1.0 - p)).ln()
@@ -100,7 +102,8 @@
     low
 }
 
-/// A share with the arguments that it was computed for: computing it takes forty logarithms, and few limits differ.
+/// The latest computed share with its arguments. It is cached because the computation takes logarithms in each of
+/// [`BISECTION_STEPS`] steps, and there are few different limits.
 #[derive(Clone, Copy, Debug)]
 struct CachedShare {
     limit: u32,
@@ -108,7 +111,7 @@
     share: ProxyShare,
 }
 
-/// Admission of this proxy's requests to warming servers. All times are on the proxy's monotonic clock.
+/// Controls the admission of this proxy's requests to warming servers. All times are on the proxy's monotonic clock.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
     quiet_until: Duration,
@@ -120,7 +123,7 @@
 }
 
 impl SlowStart {
-    /// For an instance that starts at `now`.
+    /// The state of a proxy process that starts at `now`.
     pub fn new(now: Duration) -> SlowStart {
         SlowStart {
             quiet_until: now + QUIET_PERIOD,
@@ -132,10 +135,10 @@
         }
     }
 
-    /// Takes in the proxy count of a registry that reaches a majority of the registries.
+    /// Updates the proxy count, as reported by a registry that reaches a majority of the registries.
     pub fn set_proxy_count(&mut self, now: Duration, proxy_count: u32) {
-        let steady = self.proxy_count / STEADY_COUNT_DIVISOR;
-        if proxy_count > self.proxy_count.saturating_add(steady) {
+        let tolerated_rise = self.proxy_count / STEADY_COUNT_DIVISOR;
+        if proxy_count > self.proxy_count.saturating_add(tolerated_rise) {
             self.quiet_until = self.quiet_until.max(now + QUIET_PERIOD);
         }
         self.proxy_count = if self.guards.highest_proxy_count {
@@ -146,7 +149,7 @@
     }
 
     /// Whether the proxy of this name may send one more request to a warming server now. `proxy_count` is 0 if no
-    /// registry has reported one yet; then no request is admitted.
+    /// registry has reported a count yet; then no request is admitted.
     pub fn admits(
         &mut self,
         now: Duration,
@@ -173,8 +176,8 @@
         })
     }
 
-    /// Counts a request to a warming server. To be called in the same step in which [`SlowStart::admits`] allowed it, so
-    /// that no second request is admitted in between.
+    /// Counts a request to a warming server. Must be called immediately after [`SlowStart::admits`] allowed the
+    /// request, so that no second request is admitted in between.
     pub fn record_send(&mut self, now: Duration, instance_id: &str) {
         if now.saturating_sub(self.last_sweep) >= WINDOW {
             self.last_sweep = now;
@@ -188,7 +191,8 @@
         sends.push_back(now);
     }
 
-    /// The number of servers with requests in the latest window, as of the last sweep.
+    /// The number of servers for which requests are recorded. Servers without a request in the latest window are
+    /// removed at most once per window, when a request is recorded.
     pub fn tracked_servers(&self) -> usize {
         self.recent_sends.len()
     }
@@ -216,11 +220,11 @@
     now.saturating_sub(at) < WINDOW
 }
 
-/// The hash that decides whether a proxy is admitted to a warming server, in [0, 1). It is the same in every process
-/// and build, so that proxies that do not know of each other still agree on how many of them are admitted.
+/// The hash, in [0, 1), that decides whether a proxy is admitted to a warming server. It is the same in every process
+/// and build, so that the number of admitted proxies is as intended even if they do not know of each other.
 pub fn admission_hash(instance_id: &str, proxy_name: &str) -> f64 {
     let bytes = instance_id.bytes().chain([0]).chain(proxy_name.bytes());
-    // FNV-1a spreads the last bytes badly, and names differ in their last bytes.
+    // The result is mixed, since FNV-1a spreads the last bytes badly, and names differ mostly in their last bytes.
     let hash = mix(fnv_1a(bytes));
     (hash >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/emberpin-routing/src/traffic_split.rs
+++ b/crates/emberpin-routing/src/traffic_split.rs
@@ -1,22 +1,22 @@
-//! Chooses among the services that share a route's requests by weight.
+//! Chooses one of a route's target services by weight.
 
 use emberpin_config::Target;
 
-/// The fractional part of the golden ratio: its multiples, modulo 1, spread more evenly over [0, 1) than those of any
-/// other number, however many there are.
+/// The fractional part of the golden ratio. For any count, its multiples modulo 1 are spread more evenly over [0, 1)
+/// than those of any other number.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
-/// The draws of one route at one proxy: a sequence of low discrepancy. Of `n` requests each service gets its share within a
-/// few requests, where independent draws miss it by about the square root of `n`. So the shares hold at each proxy
-/// and over all of them, also in a short time.
+/// The draws of one route at one proxy: a low-discrepancy sequence. Of `n` requests, each service gets its share to
+/// within a few requests, whereas independent draws deviate by about the square root of `n`. So the shares are accurate
+/// even over a short time, both at each proxy and over all proxies.
 #[derive(Clone, Debug)]
 pub struct DrawSequence {
     next: f64,
 }
 
 impl DrawSequence {
-    /// A sequence that begins at this number in [0, 1). Proxies begin at random ones, so that few requests at each of many
-    /// proxies do not all go to the same service.
+    /// A sequence whose first draw is `start`, in [0, 1). Each proxy starts at a random number, so that the first
+    /// requests at many proxies do not all go to the same service.
     pub fn starting_at(start: f64) -> DrawSequence {
         DrawSequence {
             next: start.rem_euclid(1.0),
@@ -31,10 +31,10 @@
     }
 }
 
-/// The service for a request, chosen by weight among those for which `is_usable` says that they have a server. If none
-/// has, the choice is among all, and the request may wait there.
+/// Chooses the service for a request by weight among the targets for which `is_usable` holds, which means that they
+/// have an available server. If there are none, chooses among all targets, and the request may wait for a server there.
 ///
-/// `draw` is a uniform random number in [0, 1). A weight of 0 gets nothing; `None` if no service has a weight.
+/// `draw` is a uniform random number in [0, 1). A target of weight 0 is never chosen; `None` if all weights are 0.
 pub fn choose_service(
     targets: &[Target],
     draw: f64,
