--- a/crates/emberpin-routing/tests/attempt.rs
+++ b/crates/emberpin-routing/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt says about whether a server has run it.
+//! The verdict on an attempt: whether the server has run the request.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_routing::attempt::is_misdirected;
@@ -6,9 +6,9 @@
 use googletest::prelude::*;
 use AttemptVerdict::{MayHaveRun, NotRun, Ran};
 
-/// Covers the arms of `AttemptVerdict::from_response`, each with one line.
+/// Covers each arm of `AttemptVerdict::from_response`.
 #[gtest]
-fn only_the_header_or_a_421_says_that_an_attempt_has_not_run() {
+fn only_the_header_or_a_421_means_that_the_request_was_not_run() {
     for status in [400, 421, 429, 503] {
         expect_that!(
             AttemptVerdict::from_response(status, true),
@@ -34,13 +34,13 @@
 }
 
 #[gtest]
-fn an_attempt_without_a_response_has_not_run_only_if_nothing_was_sent() {
+fn without_a_response_a_request_was_certainly_not_run_only_if_nothing_was_sent() {
     expect_that!(AttemptVerdict::from_unanswered(false), eq(NotRun));
     expect_that!(AttemptVerdict::from_unanswered(true), eq(MayHaveRun));
 }
 
 #[gtest]
-fn only_a_421_says_that_the_endpoint_table_is_out_of_date() {
+fn only_a_421_means_that_the_endpoint_table_is_out_of_date() {
     expect_true!(is_misdirected(421));
     expect_false!(is_misdirected(503));
 }
--- a/crates/emberpin-routing/tests/common/mod.rs
+++ b/crates/emberpin-routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures of the tests.
+//! Routes and instances for the tests.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use emberpin_config::{Target, Version};
@@ -6,7 +6,7 @@
 use emberpin_routing::{Route, RouteKind};
 use std::time::Duration;
 
-/// A time on the proxy's clock.
+/// A duration, or a time on the proxy's clock, in milliseconds.
 pub const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
--- a/crates/emberpin-routing/tests/endpoints.rs
+++ b/crates/emberpin-routing/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! Which servers may get requests, in whatever order reports about them arrive.
+//! The endpoint table: which servers may get requests, in whatever order reports about them arrive.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -31,6 +31,7 @@
     names.iter().map(|name| (*name).into()).collect()
 }
 
+/// The ids and availabilities of the changes since the last call.
 fn taken_changes(endpoints: &mut EndpointTable) -> Vec<(String, Availability)> {
     endpoints
         .take_changes()
@@ -57,7 +58,8 @@
     expect_false!(endpoints.has_available("s"));
 }
 
-/// Covers the order of `ReportOrder`: a drain that overtook a heartbeat has the lower sequence number.
+/// Covers the order of `ReportOrder`: a drain report can have a lower sequence number than a heartbeat that arrived
+/// before it.
 #[gtest]
 fn a_drain_with_a_lower_sequence_number_still_wins() {
     let mut endpoints = endpoint_table();
@@ -81,7 +83,7 @@
         ],
     );
     expect_that!(endpoints.availability("i"), eq(Availability::Removed));
-    // Its end was reported before any heartbeat.
+    // The removal is also remembered if it is the first report about an instance.
     endpoints.update(
         Duration::ZERO,
         &[instance("j", Removed, 5), instance("j", Up, 4)],
@@ -92,7 +94,7 @@
 
 /// Covers `remove_all_except` and `reported <= last`.
 #[gtest]
-fn only_a_complete_snapshot_removes_what_it_does_not_name() {
+fn only_a_complete_snapshot_removes_the_instances_that_it_does_not_contain() {
     let mut endpoints = endpoint_table();
     endpoints.update(
         Duration::ZERO,
@@ -113,7 +115,7 @@
     expect_that!(endpoints.availability("j"), eq(Availability::Available));
     endpoints.update(Duration::ZERO, &[instance("i", Up, 4)]);
     expect_that!(endpoints.availability("i"), eq(Availability::Removed));
-    // A later heartbeat than the known one shows that it is up.
+    // A later heartbeat than the last known one shows that the instance is up.
     endpoints.update(Duration::ZERO, &[instance("i", Up, 5)]);
     expect_that!(endpoints.availability("i"), eq(Availability::Available));
 }
@@ -131,14 +133,14 @@
 
 /// Covers `is_misdirected` in `availability`, and its `<=`.
 #[gtest]
-fn a_misdirected_instance_gets_nothing_until_a_later_heartbeat() {
+fn a_misdirected_instance_gets_no_requests_until_a_later_heartbeat() {
     let mut endpoints = endpoint_table();
     endpoints.update(Duration::ZERO, &[instance("i", Up, 4)]);
     endpoints.mark_misdirected("i");
     expect_that!(endpoints.availability("i"), eq(Availability::Removed));
     endpoints.update(Duration::ZERO, &[instance("i", Up, 4)]);
     expect_that!(endpoints.availability("i"), eq(Availability::Removed));
-    // Covers the filter of `known_instances`: a registry gets no report of a misdirected instance.
+    // Covers the filter of `known_instances`: a misdirected instance is not reported to registries.
     expect_that!(endpoints.known_instances(Duration::ZERO), is_empty());
     endpoints.update(Duration::ZERO, &[instance("i", Up, 5)]);
     expect_that!(endpoints.availability("i"), eq(Availability::Available));
@@ -147,7 +149,7 @@
 
 /// Covers the check of the zone in `availability`.
 #[gtest]
-fn an_evacuated_zone_gets_nothing() {
+fn an_evacuated_zone_gets_no_requests() {
     let mut endpoints = endpoint_table();
     endpoints.update(
         Duration::ZERO,
@@ -162,14 +164,15 @@
     endpoints.set_evacuated_zones(Duration::ZERO, zones(&["umea"]));
     expect_that!(endpoints.availability("i"), eq(Availability::Draining));
     expect_that!(endpoints.availability("j"), eq(Availability::Available));
-    // A server that starts in the zone during its evacuation.
+    // The same holds for a server that starts in the zone during its evacuation.
     endpoints.update(Duration::ZERO, &[instance("k", Up, 1)]);
     expect_that!(endpoints.availability("k"), eq(Availability::Draining));
     endpoints.set_evacuated_zones(Duration::ZERO, zones(&[]));
     expect_that!(endpoints.availability("i"), eq(Availability::Available));
 }
 
-/// Covers `begin_warmup_after_evacuation`: the zone's servers may have begun to warm up shortly before.
+/// Covers `begin_warmup_after_evacuation`: the servers of the zone may have begun to warm up shortly before the
+/// evacuation ended.
 #[gtest]
 fn after_an_evacuation_all_servers_of_the_zone_warm_up() {
     let mut endpoints = endpoint_table();
@@ -201,9 +204,9 @@
     expect_true!(endpoints.is_warming_up(ms(10_000), "i"));
 }
 
-/// Covers `is_superseded` in `merge_warmup`: a heartbeat may be from before the end of the evacuation.
+/// Covers `is_superseded` in `merge_warmup`: the server may have sent a heartbeat before the end of the evacuation.
 #[gtest]
-fn only_a_heartbeat_from_after_an_evacuation_ends_the_warmup() {
+fn only_a_heartbeat_sent_after_an_evacuation_ends_the_assumed_warmup() {
     let mut endpoints = endpoint_table();
     endpoints.update(Duration::ZERO, &[instance("i", Up, 4)]);
     endpoints.set_evacuated_zones(Duration::ZERO, zones(&["umea"]));
@@ -216,33 +219,37 @@
         endpoints.is_warming_up(ms(11_400), "i"),
         "reported too early"
     );
-    let mut twin = endpoint_table();
-    twin.update(Duration::ZERO, &[instance("i", Up, 4)]);
-    twin.set_evacuated_zones(Duration::ZERO, zones(&["umea"]));
-    twin.set_evacuated_zones(ms(10_000), zones(&[]));
-    twin.update(ms(11_400), &[instance("i", Up, 4)]);
+    let mut other = endpoint_table();
+    other.update(Duration::ZERO, &[instance("i", Up, 4)]);
+    other.set_evacuated_zones(Duration::ZERO, zones(&["umea"]));
+    other.set_evacuated_zones(ms(10_000), zones(&[]));
+    other.update(ms(11_400), &[instance("i", Up, 4)]);
     expect_true!(
-        twin.is_warming_up(ms(11_400), "i"),
+        other.is_warming_up(ms(11_400), "i"),
         "the same heartbeat again"
     );
-    twin.update(ms(11_400), &[instance("i", Up, 5)]);
+    other.update(ms(11_400), &[instance("i", Up, 5)]);
     expect_false!(
-        twin.is_warming_up(ms(11_400), "i"),
+        other.is_warming_up(ms(11_400), "i"),
         "a later heartbeat, reported late enough"
     );
-    twin.update(
+    other.update(
         ms(12_000),
         &[Instance {
             warmup_left: ms(500),
             ..instance("i", Up, 6)
         }],
     );
-    expect_true!(twin.is_warming_up(ms(12_400), "i"), "its own report counts");
+    expect_true!(
+        other.is_warming_up(ms(12_400), "i"),
+        "the warm-up that the server reports"
+    );
 }
 
-/// Covers `until.max(self.reported_warmup_until)` for the same heartbeat, and that a later one may say less.
+/// Covers `until.max(self.reported_warmup_until)` for a repeated heartbeat, and that a later heartbeat can shorten the
+/// warm-up.
 #[gtest]
-fn a_remaining_warmup_counts_from_when_it_is_reported() {
+fn a_remaining_warmup_counts_from_the_arrival_of_its_report() {
     let mut endpoints = endpoint_table();
     endpoints.update(
         ms(1_000),
@@ -273,7 +280,7 @@
         }],
     );
     expect_false!(endpoints.is_warming_up(ms(1_200), "i"));
-    // The response of a server may extend its warm-up at any time.
+    // A response of the server can extend its warm-up at any time, but not shorten it.
     endpoints.extend_warmup(ms(2_000), "i", ms(300));
     expect_true!(endpoints.is_warming_up(ms(2_299), "i"));
     endpoints.extend_warmup(ms(2_000), "i", Duration::ZERO);
@@ -282,21 +289,24 @@
 
 /// Covers the comparison in `ChangeTracker::report`, and that the removal of an unreported instance is not reported.
 #[gtest]
-fn each_difference_is_reported_once() {
+fn each_change_is_reported_once() {
     let mut endpoints = endpoint_table();
-    let beat = |seq, slots| Instance {
+    let heartbeat = |seq, slots| Instance {
         slots,
         ..instance("i", Up, seq)
     };
-    endpoints.update(Duration::ZERO, &[beat(1, 2), instance("j", Draining, 1)]);
+    endpoints.update(
+        Duration::ZERO,
+        &[heartbeat(1, 2), instance("j", Draining, 1)],
+    );
     let all = [
         ("i".into(), Availability::Available),
         ("j".into(), Availability::Draining),
     ];
     expect_that!(taken_changes(&mut endpoints), container_eq(all));
-    endpoints.update(Duration::ZERO, &[beat(2, 2)]);
+    endpoints.update(Duration::ZERO, &[heartbeat(2, 2)]);
     expect_that!(taken_changes(&mut endpoints), is_empty());
-    endpoints.update(Duration::ZERO, &[beat(3, 4)]);
+    endpoints.update(Duration::ZERO, &[heartbeat(3, 4)]);
     expect_that!(
         endpoints.take_changes(),
         elements_are![field!(EndpointChange.slots, eq(&4))]
@@ -306,7 +316,7 @@
         taken_changes(&mut endpoints),
         container_eq([("i".into(), Availability::Removed)])
     );
-    endpoints.update(Duration::ZERO, &[beat(4, 4)]);
+    endpoints.update(Duration::ZERO, &[heartbeat(4, 4)]);
     expect_that!(
         taken_changes(&mut endpoints),
         container_eq([("i".into(), Availability::Available)])
@@ -332,7 +342,7 @@
 
 /// Covers `self.generation += 1` in `mark_changed`, in `merge` and in `extend_warmup`.
 #[gtest]
-fn the_generation_rises_with_whatever_could_forbid_a_request() {
+fn the_generation_increases_with_each_change_that_could_forbid_a_request() {
     let mut endpoints = endpoint_table();
     endpoints.update(
         Duration::ZERO,
@@ -343,7 +353,7 @@
         ],
     );
     let mut last = endpoints.generation();
-    let mut rises = |endpoints: &EndpointTable, what: &str| {
+    let mut expect_increase = |endpoints: &EndpointTable, what: &str| {
         expect_that!(endpoints.generation(), gt(last), "{what}");
         last = endpoints.generation();
     };
@@ -354,19 +364,19 @@
             ..instance("i", Up, 4)
         }],
     );
-    rises(&endpoints, "warming up");
+    expect_increase(&endpoints, "warming up");
     endpoints.extend_warmup(Duration::ZERO, "i", ms(200));
-    rises(&endpoints, "warm-up extended by a response");
+    expect_increase(&endpoints, "warm-up extended by a response");
     endpoints.set_evacuated_zones(Duration::ZERO, zones(&["umea"]));
-    rises(&endpoints, "evacuated");
+    expect_increase(&endpoints, "evacuated");
     endpoints.set_evacuated_zones(Duration::ZERO, zones(&[]));
-    rises(&endpoints, "warming up after an evacuation");
+    expect_increase(&endpoints, "warming up after an evacuation");
     endpoints.update(Duration::ZERO, &[instance("i", Draining, 5)]);
-    rises(&endpoints, "drain");
+    expect_increase(&endpoints, "drain");
     endpoints.mark_misdirected("j");
-    rises(&endpoints, "misdirected");
+    expect_increase(&endpoints, "misdirected");
     endpoints.apply_snapshot(Duration::ZERO, &[], SnapshotScope::Complete);
-    rises(&endpoints, "not named");
+    expect_increase(&endpoints, "not in a complete snapshot");
 }
 
 /// Covers that the removal by a snapshot leaves a tombstone.
@@ -386,9 +396,10 @@
 }
 
 proptest! {
-    /// Covers the order in `merge`: the same reports in any order, also repeated, lead to the same servers.
+    /// Covers the order in `merge`: the same reports result in the same availabilities, regardless of order and
+    /// repetition.
     #[test]
-    fn reports_in_any_order_lead_to_the_same_servers(
+    fn reports_in_any_order_result_in_the_same_availabilities(
         (one, other) in proptest::collection::vec(report(), 0..24)
             .prop_flat_map(|reports| (Just(reports.clone()), Just([reports.clone(), reports].concat()).prop_shuffle())),
     ) {
@@ -398,18 +409,19 @@
         for id in ["i-0", "i-1", "i-2", "i-3"] {
             prop_assert_eq!(left.availability(id), right.availability(id));
             let top = one.iter().filter(|instance| instance.id == id).map(|instance| (instance.status, instance.seq)).max();
-            let work = match top {
+            let expected = match top {
                 None | Some((Removed, _)) => Availability::Removed,
                 Some((Draining, _)) => Availability::Draining,
                 Some((Up, _)) => Availability::Available,
             };
-            prop_assert_eq!(left.availability(id), work);
+            prop_assert_eq!(left.availability(id), expected);
         }
     }
 
-    /// Covers the comparison in `ChangeTracker::report`: the changes add up to what the table knows.
+    /// Covers the comparison in `ChangeTracker::report`: a caller that applies all changes has the same availabilities
+    /// as the table.
     #[test]
-    fn the_changes_add_up_to_the_availability_of_all_instances(steps in proptest::collection::vec((0..5, report()), 0..40)) {
+    fn applying_all_changes_results_in_the_availability_of_all_instances(steps in proptest::collection::vec((0..5, report()), 0..40)) {
         let mut endpoints = endpoint_table();
         let mut follower: HashMap<String, Availability> = HashMap::new();
         for (what, instance) in &steps {
@@ -433,7 +445,7 @@
     }
 }
 
-/// Covers `reported < known` for the warm-up: an older heartbeat says nothing about now.
+/// Covers `reported < known` for the warm-up: the remaining time in an older heartbeat is out of date.
 #[gtest]
 fn an_older_heartbeat_does_not_extend_the_warmup() {
     let mut endpoints = endpoint_table();
@@ -450,7 +462,7 @@
     expect_false!(endpoints.is_warming_up(ms(1_000), "i"));
 }
 
-/// Covers `max(report.seq)`: a drain with a lower sequence number does not lower the reported one.
+/// Covers `max(report.seq)`: a drain report with a lower sequence number does not lower the known one.
 #[gtest]
 fn the_highest_sequence_number_is_kept() {
     let mut endpoints = endpoint_table();
--- a/crates/emberpin-routing/tests/retry.rs
+++ b/crates/emberpin-routing/tests/retry.rs
@@ -1,4 +1,4 @@
-//! What happens to a request after failed attempts.
+//! The decision to retry, reject or fail a request after its attempts.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_routing::retry::decide;
@@ -6,8 +6,8 @@
 use googletest::prelude::*;
 use AttemptVerdict::{MayHaveRun, NotRun, Ran};
 
-/// Covers `has_not_run || is_idempotent`, and that `Reject` requires `has_not_run`: over all histories of up to three
-/// attempts.
+/// Covers `has_not_run || is_idempotent`, and that `Reject` requires `has_not_run`, with all sequences of up to three
+/// verdicts.
 #[gtest]
 fn a_mutating_request_is_retried_or_rejected_only_if_no_attempt_can_have_run() {
     let all = [NotRun, MayHaveRun, Ran];
@@ -51,12 +51,16 @@
                 eq(RetryDecision::Retry),
                 "{history:?}"
             );
-            let end = if has_not_run {
+            let final_decision = if has_not_run {
                 RetryDecision::Reject
             } else {
                 RetryDecision::Fail
             };
-            expect_that!(decide(kind, history, false), eq(end), "{history:?}");
+            expect_that!(
+                decide(kind, history, false),
+                eq(final_decision),
+                "{history:?}"
+            );
         }
     }
     expect_that!(histories.len(), eq(1 + 3 + 9 + 27));
--- a/crates/emberpin-routing/tests/retry_budget.rs
+++ b/crates/emberpin-routing/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget: of one proxy, and as a sum over proxies that restart at any time.
+//! The retry budget: of one proxy, and summed over proxies that restart at any time.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -16,7 +16,7 @@
     (0..count).for_each(|_| budget.record_request(now, "s"));
 }
 
-/// Retries as often as the budget allows, and returns how often that was.
+/// Retries as often as the budget allows, and returns the number of retries.
 fn retry_all(budget: &mut RetryBudget, now: Duration, proxy_count: u32) -> u32 {
     let mut retries = 0;
     while retries < 10_000 && budget.allows_retry(now, "s", proxy_count) {
@@ -26,9 +26,9 @@
     retries
 }
 
-/// Covers `SHARE` before the requests.
+/// Covers `SHARE` as a factor of the requests.
 #[gtest]
-fn a_proxy_spends_half_of_the_ratio_of_its_own_requests() {
+fn a_proxy_retries_at_most_half_the_ratio_times_its_own_requests() {
     let mut budget = RetryBudget::new(Duration::ZERO, RATIO, WINDOW, 0.0);
     expect_that!(retry_all(&mut budget, Duration::ZERO, 1), eq(0));
     record_requests(&mut budget, Duration::ZERO, 100);
@@ -36,7 +36,8 @@
     expect_false!(budget.allows_retry(Duration::ZERO, "another", 1));
 }
 
-/// Covers `latest(SLOTS_PER_WINDOW)` for the requests: those of a slot that only reaches into the window are too old.
+/// Covers `latest_slots(SLOTS_PER_WINDOW)` for the requests: those in a slot that only partly overlaps with the window
+/// do not count.
 #[gtest]
 fn requests_older_than_a_window_back_no_retries() {
     let mut budget = RetryBudget::new(Duration::ZERO, RATIO, WINDOW, 0.0);
@@ -45,7 +46,8 @@
     expect_false!(budget.allows_retry(ms(11_060), "s", 1));
 }
 
-/// Covers `latest(SLOTS_PER_WINDOW + 1)` for the retries: a slot that reaches into the window counts whole.
+/// Covers `latest_slots(SLOTS_PER_WINDOW + 1)` for the retries: those in a slot that only partly overlaps with the
+/// window count.
 #[gtest]
 fn retries_within_a_window_still_count() {
     let mut budget = RetryBudget::new(Duration::ZERO, 0.0, WINDOW, 2.0);
@@ -56,9 +58,9 @@
     expect_true!(budget.allows_retry(ms(11_070), "s", 1));
 }
 
-/// Covers `if !is_window_old`: the instance before may have spent the extra in the same window.
+/// Covers `if !is_window_old`: the previous process of the proxy may have used the extra in the same window.
 #[gtest]
-fn an_instance_has_no_extra_before_it_is_a_window_old() {
+fn a_proxy_has_no_extra_in_the_first_window_after_its_start() {
     let mut budget = RetryBudget::new(ms(50_030), 0.0, WINDOW, 60.0);
     record_requests(&mut budget, ms(50_040), 1);
     expect_false!(budget.allows_retry(ms(50_040), "s", 1));
@@ -68,7 +70,8 @@
     expect_that!(retry_all(&mut budget, ms(51_125), 1), eq(30));
 }
 
-/// Covers the division of the extra by the proxy count, its floor, and the count that is assumed for an unknown one.
+/// Covers the division of the extra by the proxy count, the rounding down, and the count that is assumed if none was
+/// reported.
 #[gtest]
 fn all_proxies_share_the_extra() {
     for (extra, proxy_count, share) in [
@@ -88,7 +91,7 @@
     }
 }
 
-/// Covers `max(self.latest_slot)`: an earlier time must not open an old window again.
+/// Covers `max(self.latest_slot)`: an earlier time must not reopen an old slot.
 #[gtest]
 fn requests_and_retries_at_an_earlier_time_count_in_the_latest_slot() {
     let mut budget = RetryBudget::new(Duration::ZERO, RATIO, WINDOW, 0.0);
@@ -109,6 +112,7 @@
     expect_that!(budget.tracked_services(), eq(1));
 }
 
+/// An event at one proxy.
 #[derive(Clone, Debug)]
 enum Event {
     Requests(u32),
@@ -124,7 +128,7 @@
     ]
 }
 
-/// Mostly short, at times a whole window: then the extra comes into force.
+/// The time between two events. Mostly short, sometimes about a whole window, after which the extra becomes available.
 fn pause() -> impl Strategy<Value = Duration> {
     prop_oneof![
         8 => 0u64..40_000_000,
@@ -133,8 +137,8 @@
     .prop_map(Duration::from_nanos)
 }
 
-/// How many of these times lie in the window that begins at `from`, both ends included.
-fn within(times: &[Duration], from: Duration) -> usize {
+/// The number of these times in the window that begins at `from`, both ends included.
+fn count_in_window(times: &[Duration], from: Duration) -> usize {
     times
         .iter()
         .filter(|at| (from..=from + WINDOW).contains(*at))
@@ -144,17 +148,17 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    /// Up to five proxies and any number of restarts: every window keeps the bound, where the requests of the window
-    /// or of the one before it count. Covers the whole of `RetryBudget::allows_retry`.
+    /// With up to five proxies and any number of restarts, the retries in every window stay within the bound, which is
+    /// based on the requests in that window or in the one before. Covers all of `RetryBudget::allows_retry`.
     #[test]
-    fn the_sum_over_proxies_keeps_the_bound_whatever_restarts(
+    fn the_retries_of_all_proxies_stay_within_the_bound_despite_restarts(
         proxy_count in 1u32..6,
         extra in 0u32..60,
         events in proptest::collection::vec((0u32..6, pause(), event()), 1..150),
     ) {
         let nanosecond = Duration::from_nanos(1);
         let new = |now| RetryBudget::new(now, RATIO, WINDOW, f64::from(extra));
-        // Late enough that the windows below begin after zero.
+        // Late enough for the windows below to begin after time zero.
         let mut now = WINDOW * 3;
         let mut budgets: Vec<RetryBudget> = (0..proxy_count).map(|_| new(now)).collect();
         let (mut requests, mut retries) = (Vec::new(), Vec::new());
@@ -167,38 +171,38 @@
                     requests.extend((0..*count).map(|_| now));
                 }
                 Event::Retries => {
-                    let spent = retry_all(budget, now, proxy_count);
-                    retries.extend((0..spent).map(|_| now));
+                    let count = retry_all(budget, now, proxy_count);
+                    retries.extend((0..count).map(|_| now));
                 }
                 Event::Restart => *budget = new(now),
             }
         }
-        // A window is at its worst where it begins with a retry or just after a request, or ends so.
+        // The worst windows begin or end at a retry or just beside a request.
         let edges = retries.iter().chain(&requests).flat_map(|at| [*at, *at + nanosecond, *at - WINDOW, *at - WINDOW - nanosecond]);
         let mut edges: Vec<Duration> = edges.collect();
         edges.sort();
         edges.dedup();
         for from in edges {
-            let backed = within(&requests, from).max(within(&requests, from - WINDOW));
-            let bound = RATIO * backed as f64 + f64::from(extra);
-            let spent = within(&retries, from);
-            prop_assert!(spent as f64 <= bound, "{} of {} from {:?}", spent, bound, from);
+            let counted_requests = count_in_window(&requests, from).max(count_in_window(&requests, from - WINDOW));
+            let bound = RATIO * counted_requests as f64 + f64::from(extra);
+            let retries_in_window = count_in_window(&retries, from);
+            prop_assert!(retries_in_window as f64 <= bound, "{} of {} from {:?}", retries_in_window, bound, from);
         }
     }
 }
 
-/// Covers `max(self.latest_slot)` in `slot_number`: a retry at an earlier time counts now.
+/// Covers `max(self.latest_slot)` in `slot_number`: a retry at an earlier time must not be lost.
 #[gtest]
-fn a_retry_at_an_earlier_time_counts_now() {
+fn a_retry_at_an_earlier_time_counts_in_the_latest_slot() {
     let mut budget = RetryBudget::new(Duration::ZERO, RATIO, WINDOW, 0.0);
     record_requests(&mut budget, ms(10_000), 10);
     expect_that!(retry_all(&mut budget, ms(5_000), 1), eq(1));
     expect_that!(retry_all(&mut budget, ms(10_000), 1), eq(0));
 }
 
-/// Covers `Slot::new` for a slot of the ring that is used again.
+/// Covers `Slot::new` for an entry of the ring that is reused.
 #[gtest]
-fn a_slot_that_is_used_again_begins_at_zero() {
+fn a_reused_slot_starts_with_counts_of_zero() {
     let mut budget = RetryBudget::new(Duration::ZERO, RATIO, WINDOW, 0.0);
     record_requests(&mut budget, Duration::ZERO, 10);
     record_requests(&mut budget, ms(500), 1);
--- a/crates/emberpin-routing/tests/route_matcher.rs
+++ b/crates/emberpin-routing/tests/route_matcher.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes.
+//! Matching of requests to routes by host and path prefix.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -10,6 +10,7 @@
 use proptest::prelude::*;
 use std::rc::Rc;
 
+/// The name of the route that the matcher finds.
 fn name<'a>(matcher: &'a RouteMatcher, host: &str, path: &str) -> Option<&'a str> {
     matcher.find(host, path).map(|route| route.name.as_str())
 }
@@ -30,7 +31,7 @@
         name(&matcher, "a.example", "/leny950/2f/x"),
         some(eq("long"))
     );
-    // Covers `or(longest)`: a node on the way to a longer prefix has no route of its own.
+    // Covers `or(longest)`: the path shares only a part of the longer prefix.
     expect_that!(
         name(&matcher, "a.example", "/leny950/2g/x"),
         some(eq("short"))
@@ -40,7 +41,7 @@
     expect_that!(name(&matcher, "c.example", "/leny950/2f"), none());
 }
 
-/// Covers `or(longest)`: the nodes between two prefixes have no route.
+/// Covers `or(longest)`: the nodes between two prefixes have no routes of their own.
 #[gtest]
 fn a_node_without_a_route_does_not_hide_the_shorter_prefix() {
     let matcher = RouteMatcher::new(vec![
@@ -50,9 +51,9 @@
     expect_that!(name(&matcher, "a", "/x/y/w"), some(eq("short")));
 }
 
-/// Covers `split_once('/')` in `find`: a last segment without a slash is no part of a prefix.
+/// Covers `split_once('/')` in `find`: a last path segment without a slash must not match a segment of a prefix.
 #[gtest]
-fn a_prefix_without_its_slash_does_not_match() {
+fn a_path_without_the_last_slash_of_a_prefix_does_not_match() {
     let matcher = RouteMatcher::new(vec![route("r", "a", "/leny950/")]);
     expect_that!(name(&matcher, "a", "/leny950/2f"), some(eq("r")));
     expect_that!(name(&matcher, "a", "/leny950/"), some(eq("r")));
@@ -65,7 +66,7 @@
 
 /// Covers `normalized_host` in `find` and in `insert`.
 #[gtest]
-fn hosts_are_compared_without_case_and_port() {
+fn hosts_are_compared_regardless_of_case_and_port() {
     let matcher = RouteMatcher::new(vec![
         route("r", "Hulo84.example", "/"),
         route("six", "[::1]", "/"),
@@ -78,9 +79,9 @@
     expect_that!(name(&matcher, "hulo84.example:x", "/"), none());
 }
 
-/// Covers `self.hosts.clear()`, and the arm that keeps an unchanged route.
+/// Covers `self.hosts.clear()`, and the arm of `replace` that keeps an unchanged route.
 #[gtest]
-fn a_replacement_drops_missing_routes_and_keeps_unchanged_ones() {
+fn a_replacement_removes_missing_routes_and_keeps_unchanged_ones() {
     let mut matcher = RouteMatcher::new(vec![route("keep", "a", "/x/"), route("drop", "a", "/y/")]);
     let kept = matcher.find("a", "/x/").cloned();
     let before = matcher.generation();
@@ -106,7 +107,8 @@
     );
 }
 
-/// Covers the check of the last slash: such a prefix is not valid, and must not match a part of itself.
+/// Covers the check of the last slash in `insert`: such a prefix is invalid, and the part of it up to its last slash
+/// must not match either.
 #[gtest]
 fn a_prefix_that_does_not_end_with_a_slash_matches_nothing() {
     let matcher = RouteMatcher::new(vec![route("r", "a", "/x/y")]);
@@ -114,19 +116,19 @@
     expect_that!(name(&matcher, "a", "/x/"), none());
 }
 
-/// The specification: of the routes of that host, the one with the longest prefix that begins the path.
-fn by_scan<'a>(routes: &'a [Route], host: &str, path: &str) -> Option<&'a str> {
-    let fits = |route: &&Route| route.hostname == host && path.starts_with(&route.prefix);
+/// The reference implementation: a linear scan for the longest prefix of the path among the routes of the host.
+fn find_by_scan<'a>(routes: &'a [Route], host: &str, path: &str) -> Option<&'a str> {
+    let matches = |route: &&Route| route.hostname == host && path.starts_with(&route.prefix);
     routes
         .iter()
-        .filter(fits)
+        .filter(matches)
         .max_by_key(|route| route.prefix.len())
         .map(|route| route.name.as_str())
 }
 
 proptest! {
     #[test]
-    fn the_tree_finds_the_same_route_as_a_scan(
+    fn the_tree_finds_the_same_route_as_a_linear_scan(
         prefixes in proptest::collection::btree_set(("[ab]", "/([ab]{0,2}/){0,3}"), 0..30),
         requests in proptest::collection::vec(("[abc]", "/?([ab]{0,2}/?){0,4}"), 1..30),
     ) {
@@ -134,7 +136,7 @@
         let routes: Vec<Route> = named.map(|(k, (host, prefix))| route(&format!("r{k}"), host, prefix)).collect();
         let matcher = RouteMatcher::new(routes.clone());
         for (host, path) in &requests {
-            prop_assert_eq!(name(&matcher, host, path), by_scan(&routes, host, path), "{} {}", host, path);
+            prop_assert_eq!(name(&matcher, host, path), find_by_scan(&routes, host, path), "{} {}", host, path);
         }
     }
 }
--- a/crates/emberpin-routing/tests/router.rs
+++ b/crates/emberpin-routing/tests/router.rs
@@ -28,7 +28,7 @@
     requests_per_second: 10.0,
 };
 
-/// One route, one server that is not warming up, ten proxies, long after the start.
+/// A router with one route, one server that is not warming up, and ten proxies. The tests use it long after its start.
 fn router() -> Router {
     let mut router = Router::new(Duration::ZERO, "edge-1", TOLERANCE, HEARTBEAT_INTERVAL);
     router.set_proxy_count(Duration::ZERO, 10);
@@ -41,7 +41,7 @@
     router
 }
 
-/// Whether the only server may get a request of the service `s`.
+/// Whether the server `i` may get a request for the service `s`.
 fn may_choose(router: &mut Router) -> bool {
     let is_available = router.endpoints.availability("i") == Availability::Available;
     let is_of_the_service = router
@@ -51,7 +51,7 @@
     is_available && is_of_the_service && router.slow_start_admits("s", "i", ms(10_000))
 }
 
-/// The version of the current route of a request in flight that was forwarded by the first route.
+/// The version of the current route of a request in flight that was forwarded by the initial route.
 fn current_version(router: &Router) -> Option<Version> {
     let chosen = Rc::new(route("r", "a", "/x/"));
     router
@@ -59,10 +59,10 @@
         .map(|newest| newest.version)
 }
 
-/// Each update of a server takes it away from a request that was routed before, and is reported as a change. Covers each
-/// condition of `availability`.
+/// After each of these updates, a server must not get a request that was routed before the update, and the change must
+/// be reported. Covers each condition of `availability`.
 #[gtest]
-fn an_update_of_a_server_binds_a_request_that_was_routed_before_it() {
+fn an_unavailable_server_gets_no_request_that_was_routed_before_the_update() {
     type Update = (&'static str, fn(&mut Router));
     let updates: [Update; 4] = [
         ("a drain", |router| {
@@ -70,7 +70,7 @@
                 .endpoints
                 .update(Duration::ZERO, &[instance("i", Draining, 2)]);
         }),
-        ("its end", |router| {
+        ("a removal", |router| {
             router
                 .endpoints
                 .apply_snapshot(Duration::ZERO, &[], SnapshotScope::Complete);
@@ -100,12 +100,13 @@
     }
 }
 
-/// Each update of routes binds a request that was routed before. Covers each condition of `current_route`.
+/// An update of the routes also applies to a request that was routed before it. Covers each condition of
+/// `current_route`.
 #[gtest]
-fn an_update_of_a_route_binds_a_request_that_was_routed_before_it() {
+fn an_update_of_routes_applies_to_requests_in_flight() {
     type Update = (&'static str, fn() -> Vec<Route>, Option<Version>);
     let updates: [Update; 7] = [
-        ("the route's end", Vec::new, None),
+        ("the removal of the route", Vec::new, None),
         (
             "a later version",
             || {
@@ -190,9 +191,10 @@
     }
 }
 
-/// The mutant: a request in flight that keeps its route goes where no route leads any more.
+/// Shows that the tests above detect the absence of the check: without it, a request in flight continues under a route
+/// that was removed.
 #[gtest]
-fn without_the_newest_routes_a_dropped_one_is_still_followed() {
+fn with_the_check_of_newest_routes_switched_off_a_removed_route_is_still_used() {
     let guards = Guards {
         newest_routes: false,
         ..Guards::default()
@@ -208,9 +210,9 @@
     expect_that!(current_version(&router), some(eq(Version(1))));
 }
 
-/// Covers the later report in `merge`: an instance that is reported as another service's is not the route's.
+/// Covers a report in `merge` that changes the service of an instance: it must not get requests for its former service.
 #[gtest]
-fn an_instance_of_another_service_gets_nothing_of_a_route() {
+fn an_instance_that_changes_its_service_gets_no_requests_for_the_former_one() {
     let mut router = router();
     router.endpoints.update(
         Duration::ZERO,
@@ -224,7 +226,7 @@
 
 /// Covers `slow_start_admits` and `record_send`.
 #[gtest]
-fn a_warming_server_gets_no_more_than_the_proxies_share() {
+fn a_warming_server_gets_no_more_than_this_proxys_share() {
     let mut router = router();
     for _ in 0..100 {
         expect_true!(may_choose(&mut router));
@@ -247,20 +249,20 @@
     expect_false!(may_choose(&mut router));
 }
 
-/// Covers the proxy count that `set_proxy_count` passes on.
+/// Covers the initial proxy count of zero, before the first call of `set_proxy_count`.
 #[gtest]
 fn without_a_proxy_count_nothing_is_sent_to_a_warming_server() {
-    let mut uncounted = Router::new(Duration::ZERO, "edge-1", TOLERANCE, HEARTBEAT_INTERVAL);
-    uncounted.routes.replace(vec![route("r", "a", "/x/")]);
-    uncounted
+    let mut router = Router::new(Duration::ZERO, "edge-1", TOLERANCE, HEARTBEAT_INTERVAL);
+    router.routes.replace(vec![route("r", "a", "/x/")]);
+    router
         .endpoints
         .set_warmup_profiles(HashMap::from([("s".into(), PROFILE)]));
-    uncounted.endpoints.update(
+    router.endpoints.update(
         ms(10_000),
         &[Instance {
             warmup_left: ms(5_000),
             ..instance("i", Up, 1)
         }],
     );
-    expect_false!(may_choose(&mut uncounted));
+    expect_false!(may_choose(&mut router));
 }
--- a/crates/emberpin-routing/tests/traffic_split.rs
+++ b/crates/emberpin-routing/tests/traffic_split.rs
@@ -1,4 +1,4 @@
-//! The choice among the services of a route by weight.
+//! The choice of one of a route's services by weight.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_config::Target;
@@ -15,16 +15,16 @@
         .collect()
 }
 
-/// How often each target is chosen in a thousand evenly spread draws.
+/// The number of times that each target is chosen in a thousand evenly spread draws.
 fn counts(targets: &[Target], is_usable: impl Fn(&str) -> bool) -> Vec<usize> {
     let mut counts = vec![0; targets.len()];
     for k in 0..1_000 {
         let chosen = choose_service(targets, f64::from(k) / 1_000.0, &is_usable);
-        if let Some(at) = targets
+        if let Some(index) = targets
             .iter()
             .position(|target| Some(target.service.as_str()) == chosen)
         {
-            counts[at] += 1;
+            counts[index] += 1;
         }
     }
     counts
@@ -39,9 +39,9 @@
     );
 }
 
-/// Covers `filter(|(service, _)| is_usable(service))`.
+/// Covers the filter by `is_usable` in `choose_service`.
 #[gtest]
-fn a_service_without_a_server_gets_nothing_if_another_has_one() {
+fn a_service_without_a_server_is_not_chosen_if_another_has_one() {
     let targets = targets(&[("a", 90), ("b", 5), ("c", 5)]);
     expect_that!(
         counts(&targets, |service| service != "a"),
@@ -49,9 +49,9 @@
     );
 }
 
-/// Covers the branch for no usable service.
+/// Covers the branch of `choose_service` for no usable service.
 #[gtest]
-fn without_any_server_services_are_chosen_by_weight() {
+fn if_no_service_has_a_server_services_are_chosen_by_weight() {
     let targets = targets(&[("a", 90), ("b", 10)]);
     expect_that!(
         counts(&targets, |_| false),
@@ -59,9 +59,9 @@
     );
 }
 
-/// Covers `*weight > 0` in `weighted`, and for the only service.
+/// Covers `weight > 0` in `weighted`, and for an only service.
 #[gtest]
-fn a_weight_of_zero_gets_nothing() {
+fn a_service_of_weight_zero_is_never_chosen() {
     let both = targets(&[("a", 0), ("b", 10)]);
     expect_that!(
         counts(&both, |service| service == "a"),
@@ -86,13 +86,13 @@
     );
 }
 
-/// Of each span of so many requests, over all proxies, by how much of them the share of the second service is off its weight
-/// at most. Requests reach the proxies in turn.
+/// The greatest deviation of the second service's share from its weight, over successive spans of `span` requests,
+/// which are distributed over the proxies in turn.
 fn worst_share_error(proxies: usize, span: usize, weights: &[(&str, u32)]) -> f64 {
     const SPANS: usize = 50;
     let targets = targets(weights);
     let total: u32 = weights.iter().map(|(_, weight)| weight).sum();
-    let wanted = f64::from(weights[1].1) / f64::from(total);
+    let expected_share = f64::from(weights[1].1) / f64::from(total);
     let mut starts = oorandom::Rand64::new(7);
     let mut sequences: Vec<DrawSequence> = (0..proxies)
         .map(|_| DrawSequence::starting_at(starts.rand_float()))
@@ -104,13 +104,13 @@
             let draw = sequences[request % proxies].draw();
             chosen += usize::from(choose_service(&targets, draw, |_| true) == Some(weights[1].0));
         }
-        worst = worst.max((chosen as f64 / span as f64 - wanted).abs());
+        worst = worst.max((chosen as f64 / span as f64 - expected_share).abs());
     }
     worst
 }
 
 #[gtest]
-fn the_shares_of_short_spans_are_those_of_the_weights_at_one_proxy_and_over_many() {
+fn shares_match_the_weights_over_short_spans_at_one_proxy_and_over_many() {
     for weights in [
         [("a", 90), ("b", 10)],
         [("a", 50), ("b", 50)],
