--- a/crates/emberpin-config/src/change_consistency.rs
+++ b/crates/emberpin-config/src/change_consistency.rs
@@ -5,7 +5,7 @@
 use crate::{Configuration, Item, ItemKey, ItemKind, Route, Target, ValidationError};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The first problem that the `newer` items cause or leave in host_and_prefix, if any: invalid items come first, then
+/// The first problem that the `newer` items cause or leave in place, if any: invalid items come first, then
 /// unknown services, then colliding routes. The items must be newer than those of the configuration.
 ///
 /// Problems among other items are not reported: they existed before, except for routes to a service that the change
--- a/crates/emberpin-config/tests/configuration.rs
+++ b/crates/emberpin-config/tests/configuration.rs
@@ -135,8 +135,8 @@
 
 #[gtest]
 fn a_check_reports_invalid_items_unknown_services_and_colliding_routes() {
-    let s = || service("s", 1);
-    let to_s = |name: &str, at: &str| route(name, at, &[("s", 1)], 1);
+    let service_s = || service("s", 1);
+    let route_to_s = |name: &str, at: &str| route(name, at, &[("s", 1)], 1);
     let problem = |services: &[String], hosts: &[String], removed: &[String]| {
         let patches = [
             patch(services, hosts, &[], &[]),
@@ -152,27 +152,38 @@
     );
     expect_that!(
         problem(
-            &[s()],
-            &[to_s("a", "h/"), to_s("b", "h/x/"), to_s("c", "i/")],
+            &[service_s()],
+            &[
+                route_to_s("a", "h/"),
+                route_to_s("b", "h/x/"),
+                route_to_s("c", "i/")
+            ],
             &[]
         ),
         ok(eq(&()))
     );
     let unknown = "route a: names the service s, which is unknown";
-    expect_that!(problem(&[], &[to_s("a", "h/")], &[]), err(eq(unknown)));
     expect_that!(
-        problem(&[s()], &[to_s("a", "h/")], &[removal("s", 2)]),
+        problem(&[], &[route_to_s("a", "h/")], &[]),
+        err(eq(unknown))
+    );
+    expect_that!(
+        problem(&[service_s()], &[route_to_s("a", "h/")], &[removal("s", 2)]),
         err(eq(unknown))
     );
     let partly_unknown = route("a", "h/", &[("s", 1), ("t", 0)], 1);
     expect_that!(
-        problem(&[s()], &[partly_unknown], &[]),
+        problem(&[service_s()], &[partly_unknown], &[]),
         err(eq("route a: names the service t, which is unknown"))
     );
-    let shared = "route b: has the host h and the prefix /x/ of route a";
+    let collision = "route b: has the host h and the prefix /x/ of route a";
     expect_that!(
-        problem(&[s()], &[to_s("b", "h/x/"), to_s("a", "H/x/")], &[]),
-        err(eq(shared))
+        problem(
+            &[service_s()],
+            &[route_to_s("b", "h/x/"), route_to_s("a", "H/x/")],
+            &[]
+        ),
+        err(eq(collision))
     );
     for (kind, name, message) in [
         (ItemKind::Service, "s", "service s: is not an object"),
@@ -216,10 +227,10 @@
         contains_substring(format!(r#","limits":{LIMITS},"vhosts":[{{"hostname":"#))
     );
     expect_that!(all.matches("\"hostname\"").count(), eq(2));
-    let again =
+    let reparsed =
         parse_patch(format!("{{\"upsert\":{all}}}").as_bytes()).expect("an export can be parsed");
     expect_that!(
-        again,
+        reparsed,
         eq(&parse_patch(INITIAL_PATCH.as_bytes()).expect("the example"))
     );
     configuration.merge(tombstone(ItemKind::Route, "r-hh2b9wu", 8));
@@ -240,8 +251,12 @@
 
 #[gtest]
 fn routes_of_one_host_are_exported_together() {
-    let to_s = |name: &str, at: &str| route(name, at, &[("s", 1)], 1);
-    let hosts = [to_s("a", "h/"), to_s("b", "i/"), to_s("c", "h/x/")];
+    let route_to_s = |name: &str, at: &str| route(name, at, &[("s", 1)], 1);
+    let hosts = [
+        route_to_s("a", "h/"),
+        route_to_s("b", "i/"),
+        route_to_s("c", "h/x/"),
+    ];
     let all = export_json(&configuration(&[patch(&[], &hosts, &[], &[])]));
     expect_that!(all.matches("\"hostname\":\"h\"").count(), eq(1));
     expect_that!(all.matches("\"hostname\"").count(), eq(2));
@@ -250,7 +265,7 @@
 #[gtest]
 fn among_colliding_routes_the_higher_version_is_effective_then_the_smaller_name() {
     let s = [service("s", 1)];
-    let to_s = |name: &str, at: &str, version| route(name, at, &[("s", 1)], version);
+    let route_to_s = |name: &str, at: &str, version| route(name, at, &[("s", 1)], version);
     let effective = |hosts: &[String]| {
         effective_routes(&configuration(&[patch(&s, hosts, &[], &[])]))
             .into_iter()
@@ -258,19 +273,19 @@
             .collect::<Vec<_>>()
     };
     expect_that!(
-        effective(&[to_s("a", "h/", 5), to_s("b", "h/", 6)]),
+        effective(&[route_to_s("a", "h/", 5), route_to_s("b", "h/", 6)]),
         elements_are![eq("b")]
     );
     expect_that!(
-        effective(&[to_s("a", "h/", 6), to_s("b", "H/", 5)]),
+        effective(&[route_to_s("a", "h/", 6), route_to_s("b", "H/", 5)]),
         elements_are![eq("a")]
     );
     expect_that!(
-        effective(&[to_s("b", "h/", 5), to_s("a", "h/", 5)]),
+        effective(&[route_to_s("b", "h/", 5), route_to_s("a", "h/", 5)]),
         elements_are![eq("a")]
     );
     expect_that!(
-        effective(&[to_s("b", "h/", 5), to_s("a", "h/x/", 5)]),
+        effective(&[route_to_s("b", "h/", 5), route_to_s("a", "h/x/", 5)]),
         elements_are![eq("b"), eq("a")]
     );
 }
--- a/crates/emberpin-config/tests/json.rs
+++ b/crates/emberpin-config/tests/json.rs
@@ -97,16 +97,16 @@
     expect_that!(parse_patch(&large), ok(anything()));
     large.push(b' ');
     expect_that!(rejection(&large), starts_with("body: is longer than"));
-    let many = |n: usize| {
+    let with_removals = |n: usize| {
         let removals: Vec<String> = (0..n).map(|at| removal(&format!("r{at}"), 1)).collect();
         body(&[], &[], &removals, &[])
     };
     expect_that!(
-        parse_patch(many(MAX_PATCH_ITEMS).as_bytes()),
+        parse_patch(with_removals(MAX_PATCH_ITEMS).as_bytes()),
         ok(anything())
     );
     expect_that!(
-        rejection(many(MAX_PATCH_ITEMS + 1).as_bytes()),
+        rejection(with_removals(MAX_PATCH_ITEMS + 1).as_bytes()),
         contains_substring("more than 20000 items")
     );
 }
@@ -143,9 +143,9 @@
         if let Ok(patch) = parse_patch(&body) {
             let _ = validate(&configuration(&[]), &patch);
             let all = export_json(&configuration(std::slice::from_ref(&patch)));
-            let again = parse_patch(format!("{{\"upsert\":{all}}}").as_bytes()).expect("an export can be parsed");
+            let reparsed = parse_patch(format!("{{\"upsert\":{all}}}").as_bytes()).expect("an export can be parsed");
             let live: Vec<_> = patch.items.into_iter().filter(|item| item.body.is_some()).collect();
-            prop_assert_eq!(again.items, live);
+            prop_assert_eq!(reparsed.items, live);
         }
     }
 
--- a/crates/emberpin-config/tests/patch.rs
+++ b/crates/emberpin-config/tests/patch.rs
@@ -439,17 +439,18 @@
 
 #[gtest]
 fn a_key_may_occur_twice_only_with_one_content() {
-    let twice = |a: &str, b: &str| rejection(body(&[a.into(), b.into()], &[], &[], &[]).as_bytes());
+    let two_services =
+        |a: &str, b: &str| rejection(body(&[a.into(), b.into()], &[], &[], &[]).as_bytes());
     let plain = r#"{"name":"s","hcheck":"/","maxconn":10,"ver":7}"#;
-    let spelled = r#"{"ver":7,"name":"\u0073","maxconn":10,"hcheck":"\/"}"#;
-    expect_that!(twice(plain, plain), starts_with("parsed"));
-    expect_that!(twice(plain, spelled), starts_with("parsed"));
+    let respelled = r#"{"ver":7,"name":"\u0073","maxconn":10,"hcheck":"\/"}"#;
+    expect_that!(two_services(plain, plain), starts_with("parsed"));
+    expect_that!(two_services(plain, respelled), starts_with("parsed"));
     expect_that!(
-        twice(plain, &plain.replace('7', "8")),
+        two_services(plain, &plain.replace('7', "8")),
         eq("upsert.svcs[1]: service s stands twice in the call")
     );
     expect_that!(
-        twice(plain, &plain.replace("10", "11")),
+        two_services(plain, &plain.replace("10", "11")),
         eq("upsert.svcs[1]: service s stands twice in the call")
     );
     let removals = |versions: [u64; 2]| {
@@ -484,7 +485,7 @@
 
 #[gtest]
 fn a_name_beyond_the_limit_is_rejected() {
-    let named = |length: usize| {
+    let parse_with_name_of_length = |length: usize| {
         let name = "n".repeat(length);
         let bodies = [
             body(&[service(&name, 1)], &[], &[], &[]),
@@ -494,7 +495,10 @@
         ];
         bodies.map(|body| parse_patch(body.as_bytes()).map(|patch| patch.items.len()))
     };
-    expect_that!(named(MAX_NAME_BYTES), each(ok(eq(&1))));
-    expect_that!(named(MAX_NAME_BYTES + 1), each(err(anything())));
-    expect_that!(named(70_000), each(err(anything())));
+    expect_that!(parse_with_name_of_length(MAX_NAME_BYTES), each(ok(eq(&1))));
+    expect_that!(
+        parse_with_name_of_length(MAX_NAME_BYTES + 1),
+        each(err(anything()))
+    );
+    expect_that!(parse_with_name_of_length(70_000), each(err(anything())));
 }
--- a/crates/emberpin-config/tests/validate.rs
+++ b/crates/emberpin-config/tests/validate.rs
@@ -208,7 +208,7 @@
             &parse_patch(INITIAL_PATCH.replacen(from, to, 1).as_bytes()).expect("a valid patch"),
         ))
     };
-    let huvo = "conflict service huvo11a: version 7 is known with another content";
+    let service_conflict = "conflict service huvo11a: version 7 is known with another content";
     for (from, to, outcome) in [
         ("{\"upsert\"", "{ \"upsert\"", "duplicate"),
         (
@@ -224,17 +224,25 @@
         ("7.9", "7.90", "duplicate"),
         ("7.9", "79e-1", "duplicate"),
         ("7.9", "0.79E+1", "duplicate"),
-        ("7.9", "7.8", huvo),
-        ("7.9", "79", huvo),
-        ("7.9", "7.900000000000000000000000001", huvo),
-        ("false", "true", huvo),
-        ("false", "0", huvo),
-        ("\"h1\"", "[]", huvo),
-        ("\"h1\"", "\"h2\"", huvo),
-        ("\"proto\":\"h1\",", "", huvo),
-        ("\"warmup_per_s\":7.9,", "", huvo),
-        ("\"tls\":false", "\"tls\":false,\"zone\":1", huvo),
-        ("\"proto\":\"h1\"", "\"proto\":\"h1\",\"extra\":1", huvo),
+        ("7.9", "7.8", service_conflict),
+        ("7.9", "79", service_conflict),
+        ("7.9", "7.900000000000000000000000001", service_conflict),
+        ("false", "true", service_conflict),
+        ("false", "0", service_conflict),
+        ("\"h1\"", "[]", service_conflict),
+        ("\"h1\"", "\"h2\"", service_conflict),
+        ("\"proto\":\"h1\",", "", service_conflict),
+        ("\"warmup_per_s\":7.9,", "", service_conflict),
+        (
+            "\"tls\":false",
+            "\"tls\":false,\"zone\":1",
+            service_conflict,
+        ),
+        (
+            "\"proto\":\"h1\"",
+            "\"proto\":\"h1\",\"extra\":1",
+            service_conflict,
+        ),
         (
             "\"hulo84.example\"",
             "\"HULO84.example\"",
@@ -291,8 +299,8 @@
     // The result of merging changes that were each valid alone: service t was removed while a route to it was set, and
     // routes p and q got the same host and prefix.
     let newest = "svc s 1; -svc t 5; route r h/ t 6; route p g/ s 6; route q g/ s 7";
-    let at_r = "invalid route r: names the service t, which is unknown";
-    let at_q = "invalid route q: has the host g and the prefix /";
+    let error_at_r = "invalid route r: names the service t, which is unknown";
+    let error_at_q = "invalid route q: has the host g and the prefix /";
     for (patch, outcome) in [
         ("svc u 8", "apply u 8"),
         ("route o o/ s 8", "apply o 8"),
@@ -305,8 +313,8 @@
         ("-route p 8", "apply p 8"),
         ("route q g/x/ s 8", "apply q 8"),
         // A patch is rejected if it sets an item without correcting its inconsistency, or adds an inconsistency.
-        ("route r h/ t 8", at_r),
-        ("route p g/ s 8", &format!("{at_q} of route p")),
+        ("route r h/ t 8", error_at_r),
+        ("route p g/ s 8", &format!("{error_at_q} of route p")),
         (
             "route o g/ s 8",
             "invalid route p: has the host g and the prefix / of route o",
--- a/crates/emberpin-routing/tests/route_matcher.rs
+++ b/crates/emberpin-routing/tests/route_matcher.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 
 /// The name of the route that the matcher finds.
-fn name<'a>(matcher: &'a RouteMatcher, host: &str, path: &str) -> Option<&'a str> {
+fn route_name<'a>(matcher: &'a RouteMatcher, host: &str, path: &str) -> Option<&'a str> {
     matcher.find(host, path).map(|route| route.name.as_str())
 }
 
@@ -24,21 +24,21 @@
         route("other", "b.example", "/leny950/2f/"),
     ]);
     expect_that!(
-        name(&matcher, "a.example", "/leny950/2f"),
+        route_name(&matcher, "a.example", "/leny950/2f"),
         some(eq("short"))
     );
     expect_that!(
-        name(&matcher, "a.example", "/leny950/2f/x"),
+        route_name(&matcher, "a.example", "/leny950/2f/x"),
         some(eq("long"))
     );
     // Covers `or(longest)`: the path shares only a part of the longer prefix.
     expect_that!(
-        name(&matcher, "a.example", "/leny950/2g/x"),
+        route_name(&matcher, "a.example", "/leny950/2g/x"),
         some(eq("short"))
     );
-    expect_that!(name(&matcher, "a.example", "/x"), some(eq("all")));
-    expect_that!(name(&matcher, "b.example", "/leny950/2f"), none());
-    expect_that!(name(&matcher, "c.example", "/leny950/2f"), none());
+    expect_that!(route_name(&matcher, "a.example", "/x"), some(eq("all")));
+    expect_that!(route_name(&matcher, "b.example", "/leny950/2f"), none());
+    expect_that!(route_name(&matcher, "c.example", "/leny950/2f"), none());
 }
 
 /// Covers `or(longest)`: the nodes between two prefixes have no routes of their own.
@@ -48,20 +48,20 @@
         route("short", "a", "/x/"),
         route("long", "a", "/x/y/z/"),
     ]);
-    expect_that!(name(&matcher, "a", "/x/y/w"), some(eq("short")));
+    expect_that!(route_name(&matcher, "a", "/x/y/w"), some(eq("short")));
 }
 
 /// Covers `split_once('/')` in `find`: a last path segment without a slash must not match a segment of a prefix.
 #[gtest]
 fn a_path_without_the_last_slash_of_a_prefix_does_not_match() {
     let matcher = RouteMatcher::new(vec![route("r", "a", "/leny950/")]);
-    expect_that!(name(&matcher, "a", "/leny950/2f"), some(eq("r")));
-    expect_that!(name(&matcher, "a", "/leny950/"), some(eq("r")));
-    expect_that!(name(&matcher, "a", "/leny950"), none());
-    expect_that!(name(&matcher, "a", "/leny9500/"), none());
-    expect_that!(name(&matcher, "a", "leny950/2f"), none());
-    expect_that!(name(&matcher, "a", "*"), none());
-    expect_that!(name(&matcher, "a", ""), none());
+    expect_that!(route_name(&matcher, "a", "/leny950/2f"), some(eq("r")));
+    expect_that!(route_name(&matcher, "a", "/leny950/"), some(eq("r")));
+    expect_that!(route_name(&matcher, "a", "/leny950"), none());
+    expect_that!(route_name(&matcher, "a", "/leny9500/"), none());
+    expect_that!(route_name(&matcher, "a", "leny950/2f"), none());
+    expect_that!(route_name(&matcher, "a", "*"), none());
+    expect_that!(route_name(&matcher, "a", ""), none());
 }
 
 /// Covers `normalized_host` in `find` and in `insert`.
@@ -72,11 +72,11 @@
         route("six", "[::1]", "/"),
     ]);
     for host in ["hulo84.example", "HULO84.Example", "hulo84.example:8080"] {
-        expect_that!(name(&matcher, host, "/x"), some(eq("r")), "{host}");
+        expect_that!(route_name(&matcher, host, "/x"), some(eq("r")), "{host}");
     }
-    expect_that!(name(&matcher, "[::1]:80", "/"), some(eq("six")));
-    expect_that!(name(&matcher, "[::1]", "/"), some(eq("six")));
-    expect_that!(name(&matcher, "hulo84.example:x", "/"), none());
+    expect_that!(route_name(&matcher, "[::1]:80", "/"), some(eq("six")));
+    expect_that!(route_name(&matcher, "[::1]", "/"), some(eq("six")));
+    expect_that!(route_name(&matcher, "hulo84.example:x", "/"), none());
 }
 
 /// Covers `self.hosts.clear()`, and the arm of `replace` that keeps an unchanged route.
@@ -91,8 +91,8 @@
     };
     matcher.replace(vec![route("keep", "a", "/x/"), changed]);
     expect_that!(matcher.generation(), gt(before));
-    expect_that!(name(&matcher, "a", "/y/"), none());
-    expect_that!(name(&matcher, "a", "/z/"), some(eq("new")));
+    expect_that!(route_name(&matcher, "a", "/y/"), none());
+    expect_that!(route_name(&matcher, "a", "/z/"), some(eq("new")));
     let (Some(kept), Some(now)) = (kept, matcher.find("a", "/x/")) else {
         panic!("a route is missing")
     };
@@ -112,8 +112,8 @@
 #[gtest]
 fn a_prefix_that_does_not_end_with_a_slash_matches_nothing() {
     let matcher = RouteMatcher::new(vec![route("r", "a", "/x/y")]);
-    expect_that!(name(&matcher, "a", "/x/y"), none());
-    expect_that!(name(&matcher, "a", "/x/"), none());
+    expect_that!(route_name(&matcher, "a", "/x/y"), none());
+    expect_that!(route_name(&matcher, "a", "/x/"), none());
 }
 
 /// The reference implementation: a linear scan for the longest prefix of the path among the routes of the host.
@@ -136,7 +136,7 @@
         let routes: Vec<Route> = named.map(|(k, (host, prefix))| route(&format!("r{k}"), host, prefix)).collect();
         let matcher = RouteMatcher::new(routes.clone());
         for (host, path) in &requests {
-            prop_assert_eq!(name(&matcher, host, path), find_by_scan(&routes, host, path), "{} {}", host, path);
+            prop_assert_eq!(route_name(&matcher, host, path), find_by_scan(&routes, host, path), "{} {}", host, path);
         }
     }
 }
--- a/crates/emberpin-routing/tests/slow_start.rs
+++ b/crates/emberpin-routing/tests/slow_start.rs
@@ -176,17 +176,17 @@
         eq(1)
     );
     slow_start.set_proxy_count(ms(5_000), 11);
-    let me = (0..).map(proxy).find(|me| {
-        admission_hash("i", me)
+    let admitted_proxy = (0..).map(proxy).find(|name| {
+        admission_hash("i", name)
             < ProxyShare::new(LIMIT.max_requests_per_second(), 20).admitted_fraction
     });
-    let Some(me) = me else {
+    let Some(admitted_proxy) = admitted_proxy else {
         return fail!("no proxy is admitted");
     };
-    expect_true!(slow_start.admits(ms(5_000), "i", &LIMIT, 11, &me));
-    expect_false!(slow_start.admits(ms(5_001), "i", &LIMIT, 20, &me));
-    expect_false!(slow_start.admits(ms(5_000) + QUIET_PERIOD, "i", &LIMIT, 20, &me));
-    expect_true!(slow_start.admits(ms(5_001) + QUIET_PERIOD, "i", &LIMIT, 20, &me));
+    expect_true!(slow_start.admits(ms(5_000), "i", &LIMIT, 11, &admitted_proxy));
+    expect_false!(slow_start.admits(ms(5_001), "i", &LIMIT, 20, &admitted_proxy));
+    expect_false!(slow_start.admits(ms(5_000) + QUIET_PERIOD, "i", &LIMIT, 20, &admitted_proxy));
+    expect_true!(slow_start.admits(ms(5_001) + QUIET_PERIOD, "i", &LIMIT, 20, &admitted_proxy));
     Ok(())
 }
 
