--- a/crates/emberpin-config/src/commit.rs
+++ b/crates/emberpin-config/src/commit.rs
@@ -104,7 +104,8 @@
     }
 }
 
-/// Validates a patch on top of the configuration that remains after a checkpoint, and commits the checkpoint with it.
+/// Validates a patch on top of the configuration that remains after a checkpoint, and adds the checkpoint to the items
+/// to commit.
 fn validate_after_checkpoint(
     current: &Configuration,
     patch: &Patch,
