--- a/crates/emberpin-membership/src/candidates.rs
+++ b/crates/emberpin-membership/src/candidates.rs
@@ -1,39 +1,43 @@
-//! Which registry a proxy opens its next session with.
+//! The choice of the registry with which a proxy opens its next session.
 
 use crate::clock::Timestamp;
 use crate::timing::AVOIDANCE_PERIOD;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
 
-/// The greatest number of hinted registries, and of avoided ones, that are remembered.
+/// The maximum number of hinted registries, and also of avoided ones, that are remembered.
 const MAX_REMEMBERED: usize = 64;
 
 /// Whether a registry is confirmed by a majority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Confirmation {
-    /// It is: the registries that it names are those that exist.
+    /// The registry is confirmed: the registries that it names are those that exist.
     Confirmed,
-    /// It is not, or could not be reached: the registries that it names are hints.
+    /// The registry is not confirmed, or could not be reached: the registries that it names are only hints.
     Unconfirmed,
 }
 
-/// The registries that a proxy knows beside the seeds of its settings, and those that it avoids for a while.
+/// The registries that a proxy knows in addition to the seeds of its settings, and those that it avoids for a while. A
+/// proxy has a fixed number of sessions; a slot is the index of one of them.
 #[derive(Clone, Debug, Default)]
 pub struct RegistryCandidates {
-    /// Named by a confirmed registry.
+    /// The registries named by a confirmed registry.
     confirmed: BTreeSet<Ipv4Addr>,
-    /// Named by an unconfirmed registry. They may have been removed long ago, but are needed when all seeds are cut off.
+    /// The registries named by an unconfirmed registry. They may have been removed from the system long ago, but are
+    /// needed when all seeds are cut off.
     hinted: BTreeSet<Ipv4Addr>,
-    /// The registry that each session slot is connected to, or tries to connect to.
+    /// The registry that each slot is connected to, or tries to connect to.
     in_use: BTreeMap<usize, Ipv4Addr>,
-    /// When registries were left unconfirmed; they are tried last for [`AVOIDANCE_PERIOD`].
+    /// The registries whose last session ended unconfirmed, with the time at which it ended. They are chosen last for
+    /// [`AVOIDANCE_PERIOD`].
     avoided: BTreeMap<Ipv4Addr, Timestamp>,
 }
 
 impl RegistryCandidates {
-    /// Chooses a registry that no session is connected to, by a random number. In order of preference: one named by a
-    /// confirmed registry, one of the others, one that is avoided. The registry that the slot was connected to last is
-    /// chosen only if there is no other. `None` if no registry is left.
+    /// Chooses a registry for `slot` that no session is connected to. In order of preference: one named by a confirmed
+    /// registry, any other that is not avoided, one that is avoided; `random` decides among equals. The registry
+    /// `last`, to which the slot was connected before, is chosen only if there is no other. `None` if no registry is
+    /// left.
     pub fn choose(
         &mut self,
         now: Timestamp,
@@ -43,7 +47,7 @@
         random: u64,
     ) -> Option<Ipv4Addr> {
         self.avoided
-            .retain(|_, left_at| now.duration_since(*left_at) < AVOIDANCE_PERIOD);
+            .retain(|_, ended_at| now.duration_since(*ended_at) < AVOIDANCE_PERIOD);
         let known = self.available(seeds, last);
         let preferred: Vec<Ipv4Addr> = known
             .iter()
@@ -65,7 +69,7 @@
         Some(chosen)
     }
 
-    /// All known registries that no session is connected to, without `last` if there is another.
+    /// All known registries that no session is connected to, without `last` unless it is the only one.
     fn available(
         &self,
         seeds: impl Iterator<Item = Ipv4Addr>,
@@ -84,8 +88,8 @@
         known
     }
 
-    /// Takes note that the session of a slot has ended. Its registry is avoided for a while if it was unconfirmed,
-    /// unless too many are avoided already.
+    /// Records that the session of a slot has ended. Its registry is avoided for a while if it was unconfirmed, unless
+    /// too many registries are avoided already.
     pub fn on_session_ended(&mut self, now: Timestamp, slot: usize, confirmation: Confirmation) {
         let Some(registry) = self.in_use.remove(&slot) else {
             return;
@@ -97,8 +101,8 @@
         }
     }
 
-    /// Takes the registries that a registry has named: from a confirmed one they replace all that were named before,
-    /// from an unconfirmed one they are added as hints.
+    /// Records the registries that a registry has named. Those of a confirmed registry replace all that were named
+    /// before; those of an unconfirmed one are added as hints.
     pub fn on_registries_named(&mut self, registries: Vec<Ipv4Addr>, confirmation: Confirmation) {
         match confirmation {
             Confirmation::Confirmed => {
--- a/crates/emberpin-membership/src/change_log.rs
+++ b/crates/emberpin-membership/src/change_log.rs
@@ -1,12 +1,12 @@
-//! The log of changes that proxies follow. It records which entry changed at which revision; the entry itself is read
-//! from the tables when the change is sent.
+//! The log of changes that a registry sends to proxies. It records which entry of the tables changed at which revision;
+//! the entry itself is read from the tables when the change is sent.
 
 use crate::ids::Incarnation;
 use crate::session::Revision;
 use emberpin_config::ItemKey;
 use std::collections::{BTreeSet, VecDeque};
 
-/// The number of changes that the log keeps. A proxy that is further behind gets a snapshot.
+/// The maximum number of changes that the log keeps. A proxy that is further behind gets a snapshot.
 pub const CAPACITY: usize = 4096;
 
 /// An entry of the tables that has changed.
@@ -22,11 +22,11 @@
 #[derive(Clone, Debug)]
 pub struct ChangeLog {
     incarnation: Incarnation,
-    /// The number of the last change.
+    /// The number of the last change, counted from 1; 0 before the first change.
     number: u64,
-    /// The last changes; the last of them has `number`, those before it one less each.
+    /// The most recent changes in consecutive order; the last of them has the number `number`.
     changes: VecDeque<Change>,
-    /// Changes that have not been sent to the sessions yet.
+    /// The changes that have not been sent to the sessions yet.
     unsent: BTreeSet<Change>,
 }
 
@@ -59,13 +59,13 @@
         }
     }
 
-    /// Takes the changes that have not been sent to the sessions yet.
+    /// Removes and returns the changes that have not been sent to the sessions yet.
     pub fn take_unsent(&mut self) -> BTreeSet<Change> {
         std::mem::take(&mut self.unsent)
     }
 
-    /// The entries that have changed after `revision`. `None` if the log does not reach back to it, or it is a revision
-    /// of another incarnation or of the future; then only a snapshot helps.
+    /// The entries that have changed after `revision`. `None` if the log does not reach back to it, or if it belongs to
+    /// another incarnation or is newer than the log; a proxy then needs a snapshot.
     pub fn since(&self, revision: Revision) -> Option<BTreeSet<Change>> {
         let behind = self.number.checked_sub(revision.number)?;
         let skip = self
--- a/crates/emberpin-membership/src/clock.rs
+++ b/crates/emberpin-membership/src/clock.rs
@@ -1,4 +1,4 @@
-//! Points in time on the host's monotonic clock, and the millisecond encoding of durations on the wire.
+//! Points in time on the host's monotonic clock, and the encoding of durations as milliseconds in messages.
 
 use std::ops::Add;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 /// A point in time: milliseconds on a monotonic clock of this process, since an origin that the host chooses (usually
 /// the start of the process).
 ///
-/// Timestamps never leave the process: messages carry ages, which need no agreement of clocks.
+/// Timestamps never leave the process: messages carry ages, which do not require synchronized clocks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Timestamp(u64);
 
@@ -29,7 +29,7 @@
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// The point in time before this one by `duration`, or the origin if that is later.
+    /// The point in time `duration` before this one, but no earlier than the origin.
     pub fn saturating_sub(self, duration: Duration) -> Timestamp {
         Timestamp(self.0.saturating_sub(millis(duration)))
     }
@@ -38,18 +38,18 @@
 impl Add<Duration> for Timestamp {
     type Output = Timestamp;
 
-    /// Fractions of a millisecond are cut off.
+    /// Fractions of a millisecond are truncated.
     fn add(self, duration: Duration) -> Timestamp {
         Timestamp(self.0.saturating_add(millis(duration)))
     }
 }
 
-/// The whole milliseconds of a duration.
+/// The whole milliseconds of a duration, at most `u64::MAX`.
 pub(crate) fn millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Cuts a duration to what messages can carry of it: whole milliseconds, of which 32 bits count.
+/// Reduces a duration to the precision and range of messages: whole milliseconds, at most `u32::MAX`.
 pub fn to_wire_precision(duration: Duration) -> Duration {
     Duration::from_millis(u64::from(millis_u32(duration)))
 }
@@ -78,7 +78,7 @@
     }
 }
 
-/// Encodes an optional duration as optional whole milliseconds, for `#[serde(with)]`.
+/// Encodes an optional duration as 64 bits of whole milliseconds or none, for `#[serde(with)]`.
 pub(crate) mod optional_millis_encoding {
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
     use std::time::Duration;
--- a/crates/emberpin-membership/src/deployment_bounds.rs
+++ b/crates/emberpin-membership/src/deployment_bounds.rs
@@ -1,7 +1,8 @@
-//! The sums of delays, held against the bounds that a deployment states.
+//! Compares the bounds that a deployment's settings state with the delays of the control plane (stores and registries).
 //!
-//! The intervals in [`crate::timing`] are fixed, and chosen for the bounds of the known deployments. Where another one
-//! states less, control cannot keep its bounds whatever it does, and its operator is to know that from the start.
+//! The intervals in [`crate::timing`] are fixed, and chosen for the bounds of the known deployments. If another
+//! deployment states a shorter bound, the control plane cannot guarantee it, and the operator must learn that when the
+//! process starts.
 
 use crate::timing::{
     recovery_time, OPERATOR_CALL_TIMEOUT, OPERATOR_SILENCE_TIMEOUT, PROXY_LEASE_DURATION,
@@ -10,18 +11,18 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The bounds of a deployment that depend on delays of control.
+/// The bounds of a deployment that depend on delays of the control plane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeploymentBounds {
-    /// How soon an operator's call is acknowledged.
+    /// How long an operator's call may take until it is acknowledged.
     pub ack: Duration,
-    /// How long after the acknowledgement of a change all proxies follow it.
+    /// How long after the acknowledgement of a change a proxy may still not apply it.
     pub apply: Duration,
     /// How long after the acknowledgement of a drain the server may still get new requests.
     pub drain: Duration,
     /// How long after the acknowledgement of an evacuation its zone may still get requests.
     pub evac: Duration,
-    /// How long after the last fault a machine is in contact again.
+    /// How long after the last fault a machine may be without contact.
     pub contact: Duration,
 }
 
@@ -41,7 +42,7 @@
 }
 
 impl Bound {
-    /// Its name in the settings file.
+    /// The name of the bound in the settings file, below `defs.bounds`.
     pub fn name(self) -> &'static str {
         match self {
             Bound::Ack => "ack",
@@ -53,14 +54,14 @@
     }
 }
 
-/// A bound that is below the delays that add up to it.
+/// A bound that is shorter than the sum of delays that it must cover.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExceededBound {
-    /// Which bound.
+    /// The bound that is too short.
     pub bound: Bound,
-    /// What the deployment states.
+    /// The value that the deployment states.
     pub limit: Duration,
-    /// What the delays add up to, without a fault but the one that the bound is for.
+    /// The sum of the delays, assuming no fault other than the one that the bound covers.
     pub sum: Duration,
 }
 
@@ -77,7 +78,7 @@
 }
 
 impl DeploymentBounds {
-    /// The bounds that control cannot be sure to keep.
+    /// The bounds that the control plane cannot guarantee.
     pub fn exceeded(&self) -> Vec<ExceededBound> {
         let sums = [
             (Bound::Ack, self.ack, ACKNOWLEDGEMENT_TIME),
@@ -94,11 +95,13 @@
     }
 }
 
-/// An operator's call at a registry that is silent, and then at one that needs all of its time.
+/// The time until an operator's call is acknowledged if the first registry is silent and the second one uses its whole
+/// time limit.
 const ACKNOWLEDGEMENT_TIME: Duration =
     OPERATOR_SILENCE_TIMEOUT.saturating_add(OPERATOR_CALL_TIMEOUT);
 
-/// A proxy that misses a change is told it again, or its lease expires and it goes to another registry.
+/// The time until a proxy that has missed a change applies it or stops routing by the old state: either the change is
+/// sent again, or the proxy's lease expires and it opens a session with another registry.
 const DELIVERY_TIME: Duration = if PROXY_LEASE_DURATION.as_nanos() > REDELIVERY_DELAY.as_nanos() {
     PROXY_LEASE_DURATION
 } else {
--- a/crates/emberpin-membership/src/ids.rs
+++ b/crates/emberpin-membership/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers. Those that messages carry are encoded as the number alone.
+//! Identifiers of processes, queries, messages, sessions and calls. Messages carry them as bare integers.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,26 +6,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// Identifies a lease query, so that an answer renews the lease from the time at which its query was sent. Unique for
-/// one [`crate::lease::Lease`].
+/// Identifies a lease query, so that its answer renews the lease from the time at which the query was sent. Unique
+/// within one [`crate::lease::Lease`].
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Nonce(pub u64);
 
-/// Identifies a change that a registry wants acknowledged by its peers. Unique for the sender's incarnation.
+/// Identifies a change that a registry wants acknowledged by its peers. Unique within the sender's incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AckId(pub u64);
 
-/// A digest of the instances that a registry owns. Two registries whose digests are equal agree on their ids and
-/// status.
+/// A digest of the instances that a registry owns. Two registries that compute the same digest agree on the ids and the
+/// status of these instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Digest(pub u64);
 
-/// Identifies a proxy's session with this registry, unique within the process. Drawn by the host.
+/// Identifies a proxy's session with this registry, unique within the process. Assigned by the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
-/// Identifies a server's call that waits for its reply, unique within the process. Drawn by the host.
+/// Identifies a server's call until it is replied to, unique within the process. Assigned by the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
--- a/crates/emberpin-membership/src/instance_table.rs
+++ b/crates/emberpin-membership/src/instance_table.rs
@@ -1,9 +1,9 @@
 //! The table of servers' instances, and how reports about one instance merge: registries that have received the same
 //! reports agree, in whatever order they received them.
 //!
-//! The status that a server reports only advances (up, draining, removed), and so does its `seq`. An eviction is not a
-//! report of the server but a mark on the `seq` of its last heartbeat: a later heartbeat takes it off, whereas an
-//! instance whose server has reported its end stays removed.
+//! The status that a server reports only advances (up, draining, removed), and so does its `seq`. An eviction is not
+//! reported by the server: it sets a flag for the `seq` of the last heartbeat. A heartbeat with a higher `seq` clears
+//! the flag, whereas an instance whose server has reported its exit stays removed.
 
 mod entry;
 
@@ -21,25 +21,26 @@
 
 /// How long a removed instance is remembered, so that a heartbeat that arrives late does not revive it.
 const TOMBSTONE_RETENTION: Duration = Duration::from_millis(600_000);
-/// The greatest number of removed instances that are remembered; beyond it, the oldest are dropped.
+/// The maximum number of removed instances that are remembered; beyond it, the oldest are dropped.
 const MAX_TOMBSTONES: usize = 10_000;
-/// How long a removed instance is part of the table that a new peer gets; no heartbeat arrives later than that.
+/// How long after its removal an instance is included in the table that a new peer gets. No heartbeat is delayed by
+/// more than that.
 const TOMBSTONE_REPLICATION: Duration = Duration::from_millis(60_000);
 
-/// What merging a report has changed.
+/// The changes that merging a report has made.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MergeOutcome {
-    /// The instance was not known before.
+    /// Whether the instance was not known before.
     pub is_new: bool,
-    /// What proxies see of the instance has changed.
+    /// Whether the state of the instance that is sent to proxies has changed.
     pub visibly_changed: bool,
-    /// Another registry than before receives the instance's heartbeats.
+    /// Whether another registry than before receives the instance's heartbeats.
     pub owner_changed: bool,
-    /// The server is now known to have reported its drain or its end.
+    /// Whether the report is the first of this drain or exit of the server.
     pub shutdown_reported: bool,
 }
 
-/// A removed instance, to be forgotten some time after it was removed.
+/// The record of a removal, by which the instance is deleted from the table some time later.
 #[derive(Clone, Debug)]
 struct Tombstone {
     removed_at: Timestamp,
@@ -50,9 +51,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct InstanceTable {
     entries: BTreeMap<String, InstanceEntry>,
-    /// Removed instances, the oldest first.
+    /// The removals, the oldest first.
     tombstones: VecDeque<Tombstone>,
-    /// A report may move the status back; see [`crate::guards::Guards::monotonic_status`].
+    /// Whether a report may move the status back; see [`crate::guards::Guards::monotonic_status`].
     pub(crate) accepts_status_regression: bool,
 }
 
@@ -62,44 +63,47 @@
         self.entries.get(instance_id)
     }
 
-    /// All entries in the order of their ids, those of removed instances among them.
+    /// All entries in the order of their ids, including those of removed instances.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &InstanceEntry)> {
         self.entries.iter()
     }
 
-    /// All entries from a bound on, in the order of their ids.
+    /// The entries whose ids are not below the bound `from`, in the order of their ids.
     pub fn range_from(&self, from: Bound<&str>) -> impl Iterator<Item = (&String, &InstanceEntry)> {
         self.entries.range::<str, _>((from, Bound::Unbounded))
     }
 
-    /// The instance as proxies get it; a forgotten one is removed.
+    /// The instance as it is sent to proxies. If the table has no entry of it, a removed instance is returned.
     pub fn instance(&self, now: Timestamp, instance_id: &str) -> Instance {
-        self.entries
-            .get(instance_id)
-            .map_or_else(|| unknown(instance_id), |entry| entry.instance(now))
+        self.entries.get(instance_id).map_or_else(
+            || removed_instance(instance_id),
+            |entry| entry.instance(now),
+        )
     }
 
-    /// The records that a peer gets when it connects: all but those of instances that were removed long ago.
+    /// The records that a peer gets when it connects: all but those of instances that were removed more than a minute
+    /// ago.
     pub fn records_for_new_peer(&self, now: Timestamp) -> Vec<InstanceRecord> {
-        let is_wanted = |entry: &&InstanceEntry| {
+        let is_included = |entry: &&InstanceEntry| {
             entry.status() != Status::Removed
                 || now.duration_since(entry.removed_at) < TOMBSTONE_REPLICATION
         };
         self.entries
             .values()
-            .filter(is_wanted)
+            .filter(is_included)
             .map(|entry| entry.record(now))
             .collect()
     }
 
-    /// The entries of instances that are not removed and send their heartbeats to this registry.
+    /// The entries of instances that are not removed and whose heartbeats the registry `owner` receives.
     pub fn owned_by(&self, owner: Ipv4Addr) -> impl Iterator<Item = (&String, &InstanceEntry)> {
         self.entries.iter().filter(move |(_, entry)| {
             entry.owner == Some(owner) && entry.status() != Status::Removed
         })
     }
 
-    /// A digest of the instances that a registry owns; equal in two tables if they agree on their ids and status.
+    /// A digest of the instances that a registry owns. Two tables that agree on the ids and status of these instances
+    /// have equal digests.
     pub fn digest(&self, owner: Ipv4Addr) -> Digest {
         let combined = self
             .owned_by(owner)
@@ -108,8 +112,8 @@
         Digest(combined)
     }
 
-    /// Merges a record of an instance: from a server's heartbeat (`owner` is this registry then), from another registry,
-    /// or from a proxy.
+    /// Merges a record of an instance, which comes from a server's heartbeat (`owner` is this registry then), from
+    /// another registry, or from a proxy.
     pub fn merge(&mut self, now: Timestamp, record: InstanceRecord) -> MergeOutcome {
         let Some(entry) = self.entries.get_mut(&record.instance.id) else {
             return self.insert(now, record);
@@ -159,12 +163,12 @@
         outcome
     }
 
-    /// Takes a server's report of its end, which may come before a drain, or for an instance that is not known.
-    pub fn leave(&mut self, now: Timestamp, instance_id: &str) -> MergeOutcome {
+    /// Records a server's report of its exit. The server need not have drained before, and its instance may be unknown.
+    pub fn record_exit(&mut self, now: Timestamp, instance_id: &str) -> MergeOutcome {
         let known = match self.entries.get(instance_id) {
             Some(entry) => entry.record(now),
             None => InstanceRecord {
-                instance: unknown(instance_id),
+                instance: removed_instance(instance_id),
                 expired: false,
                 owner: None,
             },
@@ -180,7 +184,8 @@
         self.merge(now, record)
     }
 
-    /// Takes note that a majority of the registries has the status that a server reported, if it is still the same.
+    /// Records that a majority of the registries has the status that a server reported, unless the status has advanced
+    /// since.
     pub fn mark_replicated(&mut self, instance_id: &str, status: Status) {
         if let Some(entry) = self.entries.get_mut(instance_id) {
             if entry.instance.status == status {
@@ -189,7 +194,7 @@
         }
     }
 
-    /// Takes note that the owner does not know the instance any more. Its eviction timeout starts anew.
+    /// Clears the owner of an instance that its owner no longer knows. The instance's eviction timeout starts anew.
     pub fn clear_owner(&mut self, now: Timestamp, instance_id: &str) {
         if let Some(entry) = self.entries.get_mut(instance_id) {
             entry.owner = None;
@@ -212,8 +217,8 @@
         }
     }
 
-    /// Evicts the instances that had the address of a new one before, even if they have not reported their end; gives
-    /// their ids.
+    /// Evicts all other instances with the address of the new instance `instance_id`, even if their servers have not
+    /// reported their exit. Returns the ids of the evicted instances.
     pub fn evict_displaced(&mut self, now: Timestamp, instance_id: &str) -> Vec<String> {
         let Some(address) = self
             .entries
@@ -235,9 +240,10 @@
         displaced
     }
 
-    /// Has servers of a zone warm up again, each for the warm-up time of its service, as the zone's evacuation has
-    /// ended. Until `assumed_until` no report makes them less so, as it may be from before. Gives the ids of the
-    /// instances whose end of the warm-up has changed.
+    /// Restarts the warm-up of the servers of a zone whose evacuation has ended, as far as `is_affected` holds for
+    /// them. Each warms up for the time that `warmup` returns for its service. Until `assumed_until` no report shortens
+    /// the warm-up, as the report may date from before the end of the evacuation. Returns the ids of the instances
+    /// whose end of the warm-up has changed.
     pub fn restart_warmup(
         &mut self,
         now: Timestamp,
@@ -251,8 +257,8 @@
             let is_in_zone = entry.instance.zone == zone && entry.status() != Status::Removed;
             if is_in_zone && is_affected(id, entry) {
                 entry.warmup_assumed_until = assumed_until;
-                let warm_at = now + warmup(&entry.instance.service);
-                if entry.update_warm_at(now, entry.warm_at.max(warm_at)) {
+                let warmup_ends_at = now + warmup(&entry.instance.service);
+                if entry.update_warmup_end(now, entry.warmup_ends_at.max(warmup_ends_at)) {
                     changed.push(id.clone());
                 }
             }
@@ -260,18 +266,23 @@
         changed
     }
 
-    /// Forgets instances that were removed long ago, and the oldest of too many.
+    /// Deletes the entries of instances that were removed longer ago than `TOMBSTONE_RETENTION`, and the oldest removed
+    /// ones beyond `MAX_TOMBSTONES`.
     pub fn prune_tombstones(&mut self, now: Timestamp) {
         while let Some(oldest) = self.tombstones.front() {
             let is_recent = now.duration_since(oldest.removed_at) < TOMBSTONE_RETENTION;
             if is_recent && self.tombstones.len() <= MAX_TOMBSTONES {
                 break;
             }
-            // One that was revived and removed again has a later tombstone.
-            let is_same = |entry: &InstanceEntry| {
+            // An instance that was revived since is kept, and one that was also removed again has a later tombstone.
+            let is_of_this_removal = |entry: &InstanceEntry| {
                 entry.status() == Status::Removed && entry.removed_at == oldest.removed_at
             };
-            if self.entries.get(&oldest.instance_id).is_some_and(is_same) {
+            if self
+                .entries
+                .get(&oldest.instance_id)
+                .is_some_and(is_of_this_removal)
+            {
                 self.entries.remove(&oldest.instance_id);
             }
             self.tombstones.pop_front();
@@ -279,8 +290,8 @@
     }
 }
 
-/// An instance of which nothing but its end is known.
-fn unknown(instance_id: &str) -> Instance {
+/// A removed instance of which only the id is known.
+fn removed_instance(instance_id: &str) -> Instance {
     Instance {
         id: instance_id.to_string(),
         service: String::new(),
--- a/crates/emberpin-membership/src/instance_table/entry.rs
+++ b/crates/emberpin-membership/src/instance_table/entry.rs
@@ -1,4 +1,4 @@
-//! What a registry knows of one instance, and how a record of it merges.
+//! The entry of one instance in the table, and how a record is merged into it.
 
 use crate::clock::Timestamp;
 use crate::instance::{Instance, Status};
@@ -6,30 +6,32 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// How much later than the known end of a warm-up a reported one may be and still count as the same: reports of one end
-/// differ by their delays.
-const WARM_AT_TOLERANCE_LATER: Duration = Duration::from_millis(50);
-/// How much earlier it may be and still count as the same.
-const WARM_AT_TOLERANCE_EARLIER: Duration = Duration::from_millis(250);
+/// A reported end of a warm-up that is later than the known one by no more than this counts as unchanged: reports of
+/// the same warm-up differ by their delays.
+const WARMUP_END_TOLERANCE_LATER: Duration = Duration::from_millis(50);
+/// A reported end of a warm-up that is earlier than the known one by no more than this counts as unchanged.
+const WARMUP_END_TOLERANCE_EARLIER: Duration = Duration::from_millis(250);
 
-/// What the registry knows of one instance.
+/// The state of one instance as the registry knows it.
 #[derive(Clone, Debug)]
 pub struct InstanceEntry {
     /// The instance with the status that the server reported; its `warmup_left` is unused.
     pub(super) instance: Instance,
-    /// Evicted, as no heartbeat has followed the one with `instance.seq`.
+    /// Whether the instance was evicted because no heartbeat followed the one with `instance.seq`.
     pub(super) expired: bool,
-    /// The registry that receives the instance's heartbeats, if it is known.
+    /// The registry that receives the instance's heartbeats, or `None` if it is not known.
     pub owner: Option<Ipv4Addr>,
-    /// When the server is expected to have warmed up.
-    pub(super) warm_at: Timestamp,
-    /// When the last heartbeat, or a record with a higher `seq`, was received, or the owner was cleared.
+    /// When the server's warm-up ends.
+    pub(super) warmup_ends_at: Timestamp,
+    /// When the last heartbeat or record with a higher `seq` was received, or the owner was cleared, whichever is
+    /// later.
     pub(crate) last_contact: Timestamp,
-    /// The zone's evacuation has just ended: until then, no report makes `warm_at` earlier, as it may be from before.
+    /// Until this time no report makes `warmup_ends_at` earlier. Set when the evacuation of the zone ends, as reports
+    /// may date from before that.
     pub(super) warmup_assumed_until: Timestamp,
-    /// A majority of the registries has the status that the server reported.
+    /// Whether a majority of the registries has the status that the server reported.
     pub(crate) is_replicated: bool,
-    /// When the instance was found to be removed.
+    /// When the instance was last removed, or first known if it was already removed then.
     pub(super) removed_at: Timestamp,
 }
 
@@ -39,7 +41,7 @@
         InstanceEntry {
             expired: record.expired,
             owner: record.owner,
-            warm_at: warm_at(now, &record),
+            warmup_ends_at: warmup_ends_at(now, &record),
             last_contact: now,
             warmup_assumed_until: Timestamp::ZERO,
             is_replicated: false,
@@ -48,7 +50,7 @@
         }
     }
 
-    /// The effective status: removed if the instance has expired, else as reported.
+    /// The effective status: removed if the instance was evicted, else as reported.
     pub fn status(&self) -> Status {
         if self.expired {
             Status::Removed
@@ -57,7 +59,7 @@
         }
     }
 
-    /// The status that the server itself has reported, whether or not it has expired since.
+    /// The status that the server itself has reported, even if the instance has been evicted since.
     pub fn reported_status(&self) -> Status {
         self.instance.status
     }
@@ -71,7 +73,7 @@
     pub fn instance(&self, now: Timestamp) -> Instance {
         Instance {
             status: self.status(),
-            warmup_left: self.warm_at.duration_since(now),
+            warmup_left: self.warmup_ends_at.duration_since(now),
             ..self.instance.clone()
         }
     }
@@ -79,7 +81,7 @@
     /// The record that is replicated to other registries.
     pub fn record(&self, now: Timestamp) -> InstanceRecord {
         let instance = Instance {
-            warmup_left: self.warm_at.duration_since(now),
+            warmup_left: self.warmup_ends_at.duration_since(now),
             ..self.instance.clone()
         };
         InstanceRecord {
@@ -89,22 +91,23 @@
         }
     }
 
-    /// What proxies see of the instance, its warm-up aside.
+    /// The state of the instance that proxies depend on, except the warm-up: status, address and number of slots.
     pub(super) fn visible_state(&self) -> (Status, SocketAddr, u32) {
         (self.status(), self.instance.address, self.instance.slots)
     }
 
-    /// Merges a record of the same instance; whether the end of its warm-up has changed. The status is left to the
-    /// caller.
+    /// Merges a record of the same instance, except for the reported status, which the caller sets. Returns whether the
+    /// end of the warm-up has changed.
     pub(super) fn merge_record(&mut self, now: Timestamp, record: InstanceRecord) -> bool {
-        let reported = warm_at(now, &record);
+        let reported = warmup_ends_at(now, &record);
         let mut changed = false;
         if record.instance.seq > self.instance.seq {
             self.expired = record.expired;
             self.owner = record.owner.or(self.owner);
             self.last_contact = now;
-            changed = self.update_warm_at(now, reported);
-            // A record without a description, of an instance that left before it was known, takes nothing away.
+            changed = self.update_warmup_end(now, reported);
+            // A record without a service is of an instance whose exit was reported before anything else was known of
+            // it; it must not overwrite the known description.
             if !record.instance.service.is_empty() {
                 self.instance = without_warmup(record.instance);
             }
@@ -112,7 +115,7 @@
         }
         if record.instance.seq == self.instance.seq {
             self.expired |= record.expired;
-            changed = self.update_warm_at(now, reported.max(self.warm_at));
+            changed = self.update_warmup_end(now, reported.max(self.warmup_ends_at));
         }
         if self.instance.service.is_empty() {
             self.instance = Instance {
@@ -123,25 +126,26 @@
         changed
     }
 
-    /// Takes a reported end of the warm-up unless it is the known one with some delay; whether it differs.
-    pub(super) fn update_warm_at(&mut self, now: Timestamp, reported: Timestamp) -> bool {
+    /// Sets the end of the warm-up to the reported one unless they differ by no more than the tolerances. Returns
+    /// whether it was set.
+    pub(super) fn update_warmup_end(&mut self, now: Timestamp, reported: Timestamp) -> bool {
         let reported = if now < self.warmup_assumed_until {
-            reported.max(self.warm_at)
+            reported.max(self.warmup_ends_at)
         } else {
             reported
         };
-        let (reported, known) = (reported.max(now), self.warm_at.max(now));
-        let differs = reported > known + WARM_AT_TOLERANCE_LATER
-            || known > reported + WARM_AT_TOLERANCE_EARLIER;
+        let (reported, known) = (reported.max(now), self.warmup_ends_at.max(now));
+        let differs = reported > known + WARMUP_END_TOLERANCE_LATER
+            || known > reported + WARMUP_END_TOLERANCE_EARLIER;
         if differs {
-            self.warm_at = reported;
+            self.warmup_ends_at = reported;
         }
         differs
     }
 }
 
-/// When the instance of a record that is received now will have warmed up.
-fn warm_at(now: Timestamp, record: &InstanceRecord) -> Timestamp {
+/// When the warm-up ends of the instance of a record that is received now.
+fn warmup_ends_at(now: Timestamp, record: &InstanceRecord) -> Timestamp {
     now + record.instance.warmup_left
 }
 
--- a/crates/emberpin-membership/src/lease.rs
+++ b/crates/emberpin-membership/src/lease.rs
@@ -1,9 +1,10 @@
-//! Read leases: how long state that was received from a peer may be relied on.
+//! Read leases, which bound how long state received from a peer may be relied on. The peer of a lease is the other side
+//! of a connection: a store, a registry, or, for a proxy, the registry of a session.
 //!
-//! A lease is renewed by answers to queries alone. An answer carries the age of the state behind it, not a clock
-//! reading, so no clocks are compared; the lease then runs from the local time at which the *query* was sent, less
-//! that age. Whatever delays the answer, a queue, a link that delivers late or a process that was paused, makes it
-//! older, never younger.
+//! A lease is renewed only by answers to queries. An answer carries the age of the peer's state, not a clock reading,
+//! so no clocks are compared; the lease then runs from the local time at which the *query* was sent, less that age. A
+//! delay of the answer, by a queue, a slow link or a paused process, therefore makes the state count as older, never as
+//! younger.
 
 use crate::clock::{millis, Timestamp};
 use crate::ids::Nonce;
@@ -11,7 +12,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The number of queries that may wait for an answer. Older ones are forgotten, and an answer to them renews nothing.
+/// The maximum number of pending queries. Beyond it, the oldest query is forgotten, and an answer to it renews nothing.
 const MAX_PENDING_QUERIES: usize = 16;
 
 /// A query that waits for its answer.
@@ -27,13 +28,13 @@
     last_nonce: Nonce,
     /// Queries in flight, the oldest first.
     pending: VecDeque<PendingQuery>,
-    /// Everything that was known to the peer by then has been received; in milliseconds on the clock of
-    /// [`Timestamp`]. Negative if that was before the clock's origin.
+    /// The time up to which everything that the peer knew has been received, in milliseconds on the clock of
+    /// [`Timestamp`]; negative if before the clock's origin. `None` before the first confirmation.
     confirmed_at_ms: Option<i64>,
 }
 
 impl Lease {
-    /// Begins a query that is sent now; its nonce goes with it.
+    /// Begins a query that is sent now. Returns the nonce that the query must carry.
     pub fn begin_query(&mut self, now: Timestamp) -> Nonce {
         let nonce = Nonce(self.last_nonce.0 + 1);
         self.last_nonce = nonce;
@@ -47,8 +48,8 @@
         nonce
     }
 
-    /// Takes the answer to a query, with the age of the state behind it; `None` if the peer can confirm nothing. An
-    /// answer to an unknown query, or to one older than the last that was answered, changes nothing.
+    /// Handles the answer to a query. `age` is the age of the peer's state, or `None` if the peer can confirm nothing.
+    /// An answer to an unknown query, or to one that was sent before the last answered one, changes nothing.
     pub fn on_answer(&mut self, nonce: Nonce, age: Option<Duration>) {
         let Some(index) = self.pending.iter().position(|query| query.nonce == nonce) else {
             return;
@@ -59,7 +60,8 @@
         self.renew(age_ms.map(|age_ms| signed(sent_at.as_millis()).saturating_sub(age_ms)));
     }
 
-    /// Counts the answer from its arrival, as a build without [`crate::guards::Guards::lease_from_query`] does.
+    /// Handles an answer as if its state had no age on arrival. Used instead of [`Lease::on_answer`] where
+    /// [`crate::guards::Guards::lease_from_query`] is off.
     #[doc(hidden)]
     pub fn on_answer_from_arrival(&mut self, now: Timestamp, age: Option<Duration>) {
         self.renew(age.map(|_| signed(now.as_millis())));
@@ -69,14 +71,15 @@
         self.confirmed_at_ms = self.confirmed_at_ms.max(confirmed_at_ms);
     }
 
-    /// The greatest age that the received state may have; `None` before the first confirmation.
+    /// The greatest possible age of the received state; `None` before the first confirmation.
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
         let confirmed_at_ms = self.confirmed_at_ms?;
         let age_ms = signed(now.as_millis()).saturating_sub(confirmed_at_ms);
         Some(Duration::from_millis(u64::try_from(age_ms).unwrap_or(0)))
     }
 
-    /// The time of the last confirmation, or the clock's origin if that is later; `None` before the first one.
+    /// The time up to which everything that the peer knew has been received, but no earlier than the clock's origin;
+    /// `None` before the first confirmation.
     pub fn confirmed_at(&self) -> Option<Timestamp> {
         let confirmed_at_ms = self.confirmed_at_ms?;
         Some(Timestamp::from_millis(
@@ -90,12 +93,12 @@
     }
 }
 
-/// Milliseconds as a signed number, in which every time of a process fits by far.
+/// Converts milliseconds to a signed number. It saturates, but no process runs for that long.
 fn signed(millis: u64) -> i64 {
     i64::try_from(millis).unwrap_or(i64::MAX)
 }
 
-/// A proxy's lease on the state received from one registry, for the time of one session.
+/// A proxy's lease on the state received from one registry, for the duration of one session.
 #[derive(Clone, Debug)]
 pub struct SessionLease {
     lease: Lease,
@@ -117,12 +120,12 @@
         self.lease.begin_query(now)
     }
 
-    /// Takes the answer to a query; see [`Lease::on_answer`].
+    /// Handles the answer to a query; see [`Lease::on_answer`].
     pub fn on_answer(&mut self, nonce: Nonce, age: Option<Duration>) {
         self.lease.on_answer(nonce, age);
     }
 
-    /// Takes note that a part of the snapshot has arrived, which extends the time for the first confirmation.
+    /// Records that a part of the snapshot has arrived, which restarts the time-out of the first confirmation.
     pub fn on_snapshot_progress(&mut self, now: Timestamp) {
         self.last_progress = now;
     }
@@ -132,8 +135,8 @@
         self.lease.is_valid(now, PROXY_LEASE_DURATION)
     }
 
-    /// Whether the proxy is to end the session and try another registry: the lease has expired, or was not confirmed
-    /// within [`FIRST_CONFIRMATION_TIMEOUT`].
+    /// Whether the proxy must end the session and try another registry: the lease is not valid, and more than
+    /// [`FIRST_CONFIRMATION_TIMEOUT`] has passed since the start of the session or its last snapshot part.
     pub fn is_expired(&self, now: Timestamp) -> bool {
         !self.is_confirmed(now)
             && now.duration_since(self.last_progress) > FIRST_CONFIRMATION_TIMEOUT
--- a/crates/emberpin-membership/src/peers.rs
+++ b/crates/emberpin-membership/src/peers.rs
@@ -1,10 +1,12 @@
-//! The messages between registries, which replicate the table of instances by change notification and anti-entropy.
+//! The messages between registries, which replicate the table of instances by change notifications and anti-entropy
+//! (comparison of digests).
 //!
 //! Each registry opens one connection to every other one, sends [`RegistryMessage`]s over it and receives only [`Ack`]s
-//! on it; the answer to a message travels over the receiver's own connection.
+//! on it. Any other answer to a message is itself a [`RegistryMessage`], which the receiver sends over its own
+//! connection.
 //!
-//! The order of the variants and of their fields is the wire format (postcard): new ones go to the end, and only with
-//! a new protocol version.
+//! The order of the variants and of their fields is the wire format (postcard): new ones are appended, and only with a
+//! new protocol version.
 
 use crate::ids::{AckId, Digest, Incarnation, Nonce};
 use crate::instance::Instance;
@@ -14,12 +16,12 @@
 /// The state of one instance as a registry knows it and replicates it to its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceRecord {
-    /// The instance with the status that its server reported last, whether or not it has expired since.
+    /// The instance with the status that its server reported last, even if it has been evicted since.
     pub instance: Instance,
-    /// The instance was evicted because no heartbeat followed the one with this `seq`. A heartbeat with a higher `seq`
-    /// revives it.
+    /// Whether the instance was evicted because no heartbeat followed the one with the `seq` of `instance`. A heartbeat
+    /// with a higher `seq` revives the instance.
     pub expired: bool,
-    /// The registry that receives the instance's heartbeats, if it is known.
+    /// The registry that receives the instance's heartbeats, or `None` if it is not known.
     pub owner: Option<Ipv4Addr>,
 }
 
@@ -37,28 +39,29 @@
 /// A message from one registry to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RegistryMessage {
-    /// The first message of a connection, sent again for each further batch of the table. The receiver merges the records.
+    /// The first message of a connection, repeated for each further batch of the table. The receiver merges the
+    /// records.
     Hello {
         /// The zone of the sender's machine; servers are directed to registries of their own zone.
         zone: String,
         /// As in [`RegistryMessage::Heartbeat`].
         confirmed: bool,
-        /// A batch of the sender's table, long-removed instances aside.
+        /// A batch of the sender's table, without instances that were removed more than a minute ago.
         instances: Vec<InstanceRecord>,
         /// The proxies that have a session with the sender.
         proxies: Vec<ProxyIdentity>,
     },
-    /// Sent when instances change. The receiver merges the records, and passes a server's drain or end on to the other
+    /// Sent when instances change. The receiver merges the records, and forwards a server's drain or exit to the other
     /// registries once.
     Changed {
-        /// If set, the sender waits for an [`Ack`] with this id before it acknowledges a drain or an end.
+        /// If set, the sender waits for an [`Ack`] with this id before it acknowledges a drain or an exit.
         ack_id: Option<AckId>,
         /// The records that have changed.
         instances: Vec<InstanceRecord>,
     },
-    /// Sent every [`crate::timing::PEER_HEARTBEAT_INTERVAL`] in place of the heartbeats of all servers that the sender
-    /// owns. The receiver answers with [`RegistryMessage::HeartbeatAck`], and with [`RegistryMessage::FetchOwned`] if its
-    /// own digest differs.
+    /// Sent every [`crate::timing::PEER_HEARTBEAT_INTERVAL`] in place of the heartbeats of all servers whose instances
+    /// the sender owns. The receiver answers with [`RegistryMessage::HeartbeatAck`], and with
+    /// [`RegistryMessage::FetchOwned`] if its own digest differs.
     Heartbeat {
         /// Whether the sender's state is confirmed by a majority ([`crate::registry::Registry::is_confirmed`]).
         confirmed: bool,
@@ -69,21 +72,22 @@
         digest: Digest,
     },
     /// Answers [`RegistryMessage::Heartbeat`] and renews the receiver's lease on the sender: everything that the sender
-    /// had to report before has come earlier on this connection.
+    /// had to report until then was sent earlier on the same connection.
     HeartbeatAck {
         /// The nonce of the heartbeat.
         nonce: Nonce,
     },
-    /// Requests all instances that the receiver owns, as its digest differs from the sender's. Answered by
-    /// [`RegistryMessage::OwnedInstances`].
+    /// Requests all instances that the receiver owns, because the receiver's digest differs from the one that the
+    /// sender computed. Answered by [`RegistryMessage::OwnedInstances`].
     FetchOwned,
-    /// Answers [`RegistryMessage::FetchOwned`]. The receiver merges the records and clears the owner of instances that it
-    /// took for the sender's and that are not listed.
+    /// Answers [`RegistryMessage::FetchOwned`]. The receiver merges the records, and clears the owner of instances that
+    /// its table lists as owned by the sender but that are not among the records.
     OwnedInstances {
         /// The records of all instances that the sender owns.
         instances: Vec<InstanceRecord>,
     },
-    /// Sent with the next heartbeat after the sender's sessions have changed. The receiver counts proxies by it.
+    /// Sent with the next heartbeat after the sender's sessions have changed. The receiver counts the proxies of all
+    /// registries.
     ProxySessions {
         /// The proxies that have a session with the sender.
         proxies: Vec<ProxyIdentity>,
@@ -92,10 +96,10 @@
 
 /// The size in bytes at which a batch of records is closed.
 const RECORD_BATCH_BYTES: usize = 64 << 10;
-/// The estimated size in bytes of a record without its texts.
+/// The estimated size in bytes of a record without its strings.
 const RECORD_OVERHEAD_BYTES: usize = 48;
 
-/// Records in batches for messages of bounded size; at least one batch, which may be empty.
+/// Splits records into batches for messages of bounded size. Returns at least one batch, which may be empty.
 pub(crate) fn record_batches(records: Vec<InstanceRecord>) -> Vec<Vec<InstanceRecord>> {
     let mut batches = vec![Vec::new()];
     let mut bytes = 0;
@@ -116,8 +120,8 @@
     batches
 }
 
-/// Answers a [`RegistryMessage::Changed`] that carries an `ack_id`: the records are merged. Sent back over the
-/// connection on which the message came.
+/// Answers a [`RegistryMessage::Changed`] that carries an `ack_id`, once the records are merged. Sent back over the
+/// connection on which the message arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ack {
     /// The `ack_id` of the message.
--- a/crates/emberpin-membership/src/registry.rs
+++ b/crates/emberpin-membership/src/registry.rs
@@ -1,14 +1,20 @@
 //! The state machine of one registry, which owns the tables of instances, configuration items and sessions. Its host
 //! passes in [`Event`]s and carries out [`Action`]s.
 //!
-//! Each instance is owned by the registry that receives its heartbeats. The other registries are sent changes of the
-//! instance and, twice a second, a digest of all that the owner owns, but not the heartbeats: traffic between zones is
-//! paid for.
+//! Each instance is owned by the registry that receives its heartbeats. The owner sends the other registries changes of
+//! the instance and, twice a second, a digest of all instances that it owns. It does not forward heartbeats, because
+//! traffic between zones costs money.
 //!
-//! One file for each concern: [`events`](Event) has the inputs and actions, `servers` the calls of servers, `shutdown`
-//! the acknowledgement of their drains and ends, `peers` the other registries, `replication` what they send each other
-//! about instances, `sessions`, `snapshot` and `repair` the proxies, `configuration` the store, `evacuation` the operator's evacuations, `quorum` what may be
-//! confirmed, `timers` everything periodic, `status` what the operator sees.
+//! The files:
+//! - [`events`](Event): the inputs and the actions;
+//! - `servers`: the calls of servers, and `shutdown`: the acknowledgement of their drains and exits;
+//! - `peers`: connections to the other registries, and `replication`: the exchange of instances with them;
+//! - `sessions`, `snapshot` and `repair`: the proxies;
+//! - `configuration`: items and voters from the store, and `evacuation`: the operator's requests to change an
+//!   evacuation;
+//! - `quorum`: contact with majorities, and the age up to which the state is confirmed;
+//! - `timers`: periodic work;
+//! - `status`: the state as reported to the operator.
 
 mod configuration;
 mod evacuation;
@@ -50,45 +56,46 @@
     config: RegistryConfig,
     guards: Guards,
     started_at: Timestamp,
-    /// When the last event was handled. A gap reveals that the process was paused.
+    /// When the last event was handled. A long gap shows that the process was paused.
     last_event_at: Timestamp,
 
     /// The instances of servers.
     instances: InstanceTable,
-    /// The configuration items, tombstones of deleted ones among them.
+    /// The configuration items, including tombstones of deleted ones.
     items: BTreeMap<ItemKey, Item>,
     /// The warm-up time of each service.
     warmups: BTreeMap<String, Duration>,
-    /// Zones whose evacuation had ended already in the first items of this incarnation, and until when that may have
-    /// happened just now.
-    returned_zones: BTreeMap<String, Timestamp>,
-    /// Every change of the tables above, which sessions follow.
+    /// The zones whose evacuation had already ended in the first items that this incarnation received. It may have
+    /// ended just before; until the time given here, instances learned from proxies may date from before its end.
+    zones_after_evacuation: BTreeMap<String, Timestamp>,
+    /// Every change of the tables above, in the order in which sessions receive them.
     change_log: ChangeLog,
-    /// When the changes that wait in the log are sent to the sessions; `None` if none wait.
+    /// When the unsent changes of the log are sent to the sessions; `None` if there are none.
     flush_at: Option<Timestamp>,
 
-    /// The machines whose stores vote, as a store has named them. Empty until then.
+    /// The machines whose stores vote, as last named by a store. Empty until a store has named them.
     voters: Vec<Ipv4Addr>,
-    /// The lease on the followed store's state: it had compared itself with a majority, and delivered every item that
-    /// it knew by then.
+    /// The lease on the state of the store that the registry follows. By the time that the lease confirms, the store
+    /// had compared itself with a majority, and every item that it knew then has been delivered.
     store_lease: Lease,
-    /// When the store is queried next.
+    /// When the store is next queried for the age of its state.
     store_query_at: Timestamp,
-    /// Since when the registry has been confirmed without a break, as of the last heartbeat to the peers.
+    /// Since when the registry has been confirmed without interruption; checked at each heartbeat to the peers. `None`
+    /// if it is not confirmed.
     confirmed_since: Option<Timestamp>,
 
     /// The other registries.
     peers: BTreeMap<Ipv4Addr, Peer>,
     /// When the next heartbeat is sent to the peers.
     peer_heartbeat_at: Timestamp,
-    /// Drains and ends that wait for a majority.
+    /// Drains and exits that wait for the acknowledgement of a majority.
     pending_shutdowns: Vec<PendingShutdown>,
-    /// The last [`crate::ids::AckId`] that was used.
+    /// The last [`crate::ids::AckId`] that was assigned.
     last_ack_id: u64,
 
     /// The sessions of proxies with this registry.
     sessions: BTreeMap<SessionId, Session>,
-    /// The sessions have changed since the peers were sent the list of proxies.
+    /// Whether the sessions have changed since the peers were last sent the list of proxies.
     sessions_changed: bool,
     /// When each proxy last had a session with any registry, by the name of its machine.
     proxies_seen: BTreeMap<String, Timestamp>,
@@ -104,7 +111,7 @@
             instances: InstanceTable::default(),
             items: BTreeMap::new(),
             warmups: BTreeMap::new(),
-            returned_zones: BTreeMap::new(),
+            zones_after_evacuation: BTreeMap::new(),
             change_log: ChangeLog::new(config.incarnation),
             flush_at: None,
             voters: Vec::new(),
@@ -122,7 +129,7 @@
         }
     }
 
-    /// A registry without some of its safety checks, for tests that show that they would notice.
+    /// A registry with some of its safety checks turned off, for tests that show that they detect their absence.
     #[doc(hidden)]
     pub fn with_guards(now: Timestamp, config: RegistryConfig, guards: Guards) -> Registry {
         let mut registry = Registry {
@@ -133,7 +140,7 @@
         registry
     }
 
-    /// Handles one event and appends what the host is to do to `actions`. Timestamps must not decrease from call to
+    /// Handles one event, and appends to `actions` what the host must do. Timestamps must not decrease from call to
     /// call. The host calls again with [`Event::Tick`] at [`Registry::next_deadline`] unless another event comes first.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.detect_pause(now);
--- a/crates/emberpin-membership/src/registry/configuration.rs
+++ b/crates/emberpin-membership/src/registry/configuration.rs
@@ -1,4 +1,4 @@
-//! What the store delivers: configuration items and the voters.
+//! Configuration items and voters, as the store delivers them.
 
 use super::{Action, Registry};
 use crate::change_log::Change;
@@ -12,12 +12,12 @@
 /// The warm-up time of a service whose item does not name one.
 const DEFAULT_WARMUP: Duration = Duration::from_millis(3_000);
 
-/// Whether items are the first that this incarnation of the registry gets.
+/// Whether items are the first that this incarnation of the registry receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Delivery {
-    /// They are: what they say may have been so for long.
+    /// The first items: their content may be much older than their arrival.
     Initial,
-    /// They are not: what they say has just changed.
+    /// Later items: their content has just changed.
     Update,
 }
 
@@ -47,14 +47,15 @@
         }
     }
 
-    /// Whether the zone of an evacuation's item may have been evacuated shortly before this version: not if the version
-    /// before it is known, and was the end of an evacuation itself.
+    /// Whether the zone of an evacuation's item may have been evacuated just before this version of the item. That is
+    /// ruled out only if the version directly before it is known and has no body, which means that the zone was not
+    /// evacuated.
     fn may_have_been_evacuated(&self, item: &Item) -> bool {
         let known = self.items.get(&item.key);
         known.is_none_or(|known| known.body.is_some() || known.version.next() != item.version)
     }
 
-    /// Stores an item unless the known version is as new; whether it was stored.
+    /// Stores an item unless the known version is as new or newer. Returns whether it was stored.
     fn store_item(&mut self, item: &Item) -> bool {
         match self.items.entry(item.key.clone()) {
             Entry::Occupied(mut known) => {
@@ -71,11 +72,13 @@
         }
     }
 
-    /// The evacuation of a zone has ended; its servers must warm up again, as they got no requests meanwhile.
+    /// Restarts the warm-up of a zone's servers when the evacuation of the zone has ended, as they got no requests
+    /// during it.
     ///
-    /// If the item is one of the first of this incarnation, the evacuation may have ended long ago. Then the peers know
-    /// for how long their servers warm up; but what proxies report where all registries have just restarted may be from
-    /// before.
+    /// If the item is one of the first of this incarnation, the evacuation may have ended long ago. The warm-up of
+    /// instances with an owner is then left as the owner reports it. Instances without an owner warm up again: if all
+    /// registries have just restarted, such instances are known only from proxies, whose information may date from
+    /// before the end of the evacuation.
     fn on_evacuation_ended(
         &mut self,
         now: Timestamp,
@@ -87,7 +90,7 @@
             return;
         }
         if delivery == Delivery::Initial {
-            self.returned_zones
+            self.zones_after_evacuation
                 .insert(zone.to_string(), now + self.config.heartbeat_interval);
         }
         let changed = self.restart_warmup(now, zone, |_, entry| {
@@ -101,12 +104,13 @@
                     .is_some_and(|entry| entry.owner == Some(self.config.address))
             })
             .collect();
-        // For registries that have just started, which cannot tell it from the items.
+        // Peers that have just started cannot derive the restarted warm-up from their items.
         self.replicate(now, &owned, actions);
     }
 
-    /// Has servers of a zone warm up again, until they have had time for a new heartbeat; gives the ids of those whose end
-    /// of the warm-up has changed.
+    /// Restarts the warm-up of the servers of a zone for which `is_affected` holds. Reports do not shorten it until the
+    /// servers have had time for a new heartbeat. Returns the ids of the instances whose end of the warm-up has
+    /// changed.
     pub(super) fn restart_warmup(
         &mut self,
         now: Timestamp,
@@ -138,7 +142,7 @@
     }
 }
 
-/// The `warmup` of a service's item, in seconds or milliseconds; `None` if it names none that is valid.
+/// The `warmup` of a service's item, which is a number with the unit `s` or `ms`; `None` if it is missing or invalid.
 fn parse_warmup(body: &str) -> Option<Duration> {
     let item = jzon::parse(body).ok()?;
     let text = item["warmup"].as_str()?;
--- a/crates/emberpin-membership/src/registry/events.rs
+++ b/crates/emberpin-membership/src/registry/events.rs
@@ -1,4 +1,4 @@
-//! The inputs of a registry's state machine, and the actions that it asks its host for.
+//! The inputs of a registry's state machine, and the actions that its host must carry out.
 
 use crate::ids::{CallId, Incarnation, Nonce, SessionId};
 use crate::instance::Instance;
@@ -15,16 +15,16 @@
     pub address: Ipv4Addr,
     /// The zone of the registry's machine. Servers are directed to registries of their own zone first.
     pub zone: String,
-    /// The registry's incarnation, drawn at random when its process starts. It tells revisions of its change log from
-    /// those of an earlier process.
+    /// The registry's incarnation, drawn at random when its process starts. It distinguishes revisions of its change
+    /// log from those of an earlier process.
     pub incarnation: Incarnation,
-    /// The interval at which servers send heartbeats. An instance without one for four intervals, and at least four
-    /// seconds, is evicted.
+    /// The interval at which servers send heartbeats. An instance is evicted when it has sent none for four intervals,
+    /// and for at least four seconds.
     pub heartbeat_interval: Duration,
-    /// The machines that are taken for those with registries until a store has named the voters.
+    /// The machines that are assumed to run registries until a store has named the voters.
     pub seeds: Vec<Ipv4Addr>,
-    /// The size at which a part of a snapshot is closed, in bytes. [`super::SNAPSHOT_PART_BYTES`] in production; tests
-    /// lower it to get many parts.
+    /// The size in bytes at which a part of a snapshot is closed. [`super::SNAPSHOT_PART_BYTES`] in production; tests
+    /// use a smaller size to get many parts.
     pub snapshot_part_bytes: usize,
 }
 
@@ -38,23 +38,25 @@
         /// The instance as the server describes it; `warmup_left` counts from now.
         instance: Instance,
     },
-    /// A server has announced that it shuts down. Answered by [`Action::Reply`].
+    /// A server has reported its exit. Answered by [`Action::Reply`].
     Leave {
         /// Identifies the call in [`Action::Reply`].
         call: CallId,
         /// The id of the server's instance.
         instance_id: String,
     },
-    /// The store that is followed has delivered configuration items. An item that is no newer than the known
+    /// The store that the registry follows has delivered configuration items. An item that is no newer than the known
     /// one is ignored.
     Items(Vec<Item>),
-    /// The store that is followed has named the machines whose stores vote. Their registries make up the majority.
+    /// The store that the registry follows has named the machines whose stores vote. Majorities are counted among the
+    /// registries of these machines.
     VotersChanged(Vec<Ipv4Addr>),
-    /// The store that is followed has answered [`Action::QueryStore`], after all items that it had by then.
+    /// The store that the registry follows has answered [`Action::QueryStore`], and all items that it had by then have
+    /// been delivered before.
     StoreConfirmed {
         /// The nonce of the query.
         nonce: Nonce,
-        /// The age of the store's comparison with a majority; `None` if it can confirm nothing.
+        /// The time since the store compared itself with a majority; `None` if the store can confirm nothing.
         age: Option<Duration>,
     },
     /// The connection to a peer, requested by [`Action::ConnectPeer`], is open.
@@ -78,12 +80,12 @@
     PeerAcknowledged {
         /// The peer's address.
         peer: Ipv4Addr,
-        /// Which message it acknowledges.
+        /// The acknowledgement, which names the message.
         ack: Ack,
     },
     /// A message from a proxy has arrived.
     ProxyMessage {
-        /// The session of the proxy.
+        /// The session in which it arrived.
         session: SessionId,
         /// The decoded message.
         message: FromProxy,
@@ -100,23 +102,23 @@
 /// The reply to a server's heartbeat or leave call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerReply {
-    /// The registry has taken the call in; a drain or an end is known to a majority of the registries.
+    /// The registry has recorded the call; a drain or exit is known to a majority of the registries.
     Acknowledged {
-        /// The registry that the server is to send its next heartbeat to.
+        /// The registry to which the server must send its next heartbeat.
         heartbeat_target: Ipv4Addr,
     },
-    /// The call is not acknowledged; the server is to retry at another registry.
+    /// The call is not acknowledged; the server must retry at another registry.
     NotAcknowledged,
 }
 
-/// What the host is to do for the registry.
+/// An action that the host must carry out for the registry.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Reply to a server's call.
     Reply {
-        /// The call, as named by [`Event::Heartbeat`] or [`Event::Leave`].
+        /// The call of [`Event::Heartbeat`] or [`Event::Leave`].
         call: CallId,
-        /// What the server is answered.
+        /// The reply to send to the server.
         reply: ServerReply,
     },
     /// Open a connection to a peer, and reopen it whenever it closes.
@@ -140,7 +142,7 @@
     AcknowledgePeer {
         /// The peer's address.
         peer: Ipv4Addr,
-        /// Names the message that is acknowledged.
+        /// The acknowledgement, which names the message.
         ack: Ack,
     },
     /// Send a message to proxies. A session whose queue is full is closed instead.
@@ -150,12 +152,12 @@
         /// The message, the same for all of them.
         message: ToProxy,
     },
-    /// Ask the store that is followed for the age of its state. Answered by [`Event::StoreConfirmed`].
+    /// Query the store that the registry follows for the age of its state. Answered by [`Event::StoreConfirmed`].
     QueryStore {
-        /// Identifies the query.
+        /// Identifies the query; repeated in the answer.
         nonce: Nonce,
     },
-    /// Close a proxy's connection. The registry does not know the session any more.
+    /// Close a proxy's connection. The registry has already dropped the session, or does not know it.
     CloseSession {
         /// The session to close.
         session: SessionId,
--- a/crates/emberpin-membership/src/registry/peers.rs
+++ b/crates/emberpin-membership/src/registry/peers.rs
@@ -1,4 +1,5 @@
-//! The other registries: connections and contact with them, change notification, and anti-entropy by digests.
+//! The other registries: connections to them, contact with them by heartbeats, and requests for their instances when
+//! digests differ.
 
 use super::replication::RecordSource;
 use super::{Action, Registry};
@@ -11,25 +12,26 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// The greatest number of peers beside the voters' registries: those of machines that are about to join.
+/// The maximum number of peers in addition to the voters' registries. They run on machines that are about to join.
 const MAX_NON_VOTING_PEERS: usize = 16;
 /// A peer that does not belong to a voter is dropped after this time without contact.
 const NON_VOTING_PEER_TIMEOUT: Duration = Duration::from_millis(60_000);
 
-/// What is known of another registry.
+/// The state that this registry keeps about another one.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peer {
-    /// The zone of its machine; empty until it has sent its hello.
+    /// The zone of its machine; empty until its hello has arrived.
     pub(super) zone: String,
-    /// Its state was confirmed by a majority when it last reported.
+    /// Whether its state was confirmed by a majority when it last reported.
     pub(super) is_confirmed: bool,
-    /// The lease on its state: it was alive, and had reported everything by then.
+    /// The lease on its state. By the time that the lease confirms, the peer was running and had reported all its
+    /// state.
     pub(super) lease: Lease,
-    /// When it became known; one that never answers is dropped some time after that.
+    /// When it became known. A non-voting peer that never answers is dropped some time after that.
     known_since: Timestamp,
     /// Whether the connection to it is open.
     pub(super) is_connected: bool,
-    /// When the instances that it owns were requested last, as the digests differed.
+    /// When the instances that it owns were last requested because the digests differed.
     owned_requested_at: Timestamp,
     /// The proxies that have a session with it.
     pub(super) proxies: Vec<ProxyIdentity>,
@@ -43,14 +45,15 @@
         }
     }
 
-    /// Whether it has reported everything recently enough to be relied on.
+    /// Whether it has reported all its state no longer than [`REGISTRY_LEASE_DURATION`] ago.
     pub(super) fn is_in_contact(&self, now: Timestamp) -> bool {
         self.lease.is_valid(now, REGISTRY_LEASE_DURATION)
     }
 }
 
 impl Registry {
-    /// Connects to the registries of the voters, and drops other peers that have not been in contact for long.
+    /// Connects to the registries of the voters, and drops other peers that have been without contact for
+    /// `NON_VOTING_PEER_TIMEOUT`.
     pub(super) fn update_peers(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let registries = self.voting_registries();
         for address in &registries {
@@ -65,16 +68,17 @@
         self.peers.retain(|address, peer| {
             let confirmed_at = peer.lease.confirmed_at().unwrap_or(Timestamp::ZERO);
             let last_contact = confirmed_at.max(peer.known_since);
-            let stays = registries.contains(address)
+            let is_kept = registries.contains(address)
                 || now.duration_since(last_contact) < NON_VOTING_PEER_TIMEOUT;
-            if !stays {
+            if !is_kept {
                 actions.push(Action::DisconnectPeer { peer: *address });
             }
-            stays
+            is_kept
         });
     }
 
-    /// Sends the whole table over a new connection, and what waits for this peer's acknowledgement.
+    /// Sends the whole table over a new connection, then the shutdowns that wait for acknowledgements, then a
+    /// heartbeat.
     pub(super) fn on_peer_connected(
         &mut self,
         now: Timestamp,
@@ -156,7 +160,7 @@
         }
     }
 
-    /// Adds the sender of a message as a peer unless there are too many; whether it is one now.
+    /// Adds the sender of a message as a peer unless there are too many. Returns whether it is a peer now.
     fn admit_peer(&mut self, now: Timestamp, from: Ipv4Addr, actions: &mut Vec<Action>) -> bool {
         if self.peers.contains_key(&from) {
             return true;
@@ -187,9 +191,9 @@
             peers: vec![from],
             message: RegistryMessage::HeartbeatAck { nonce },
         });
-        // Not with every heartbeat: the sender's answer may be in flight.
-        let may_request = now.duration_since(peer.owned_requested_at) >= PEER_HEARTBEAT_INTERVAL;
-        if self.instances.digest(from) != digest && may_request {
+        // At most one request per heartbeat interval, as the answer to the previous one may be in flight.
+        let can_request = now.duration_since(peer.owned_requested_at) >= PEER_HEARTBEAT_INTERVAL;
+        if self.instances.digest(from) != digest && can_request {
             peer.owned_requested_at = now;
             actions.push(Action::SendToPeers {
                 peers: vec![from],
@@ -216,7 +220,7 @@
         self.count_proxies(now);
     }
 
-    /// Sends a heartbeat to one peer, which is also the query that renews the lease on it.
+    /// Sends a heartbeat to one peer. It is also the query whose answer renews the lease on the peer.
     pub(super) fn send_heartbeat(
         &mut self,
         now: Timestamp,
--- a/crates/emberpin-membership/src/registry/quorum.rs
+++ b/crates/emberpin-membership/src/registry/quorum.rs
@@ -1,5 +1,5 @@
-//! What the registry may confirm: contact with a majority of the registries, and a store that compared itself with a
-//! majority of the stores.
+//! The conditions under which the registry confirms its state: contact with a majority of the registries, and a store
+//! that has compared itself with a majority of the stores.
 
 use super::{Action, Registry};
 use crate::clock::Timestamp;
@@ -9,20 +9,20 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// Where a call of the operator is to be handled.
+/// Where a call of the operator must be handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorCallTarget {
-    /// At the store that this registry follows.
+    /// By this registry, with the store that it follows.
     Local,
-    /// At this registry, which was confirmed when it last reported.
+    /// By the registry of this address, which was confirmed when it last reported.
     Peer(Ipv4Addr),
-    /// Nowhere: no confirmed registry is known.
+    /// No confirmed registry is known.
     Unavailable,
 }
 
 impl Registry {
-    /// The machines whose registries make up the majority: those of the voters, or of the seeds until a store has named
-    /// the voters.
+    /// The machines whose registries count for majorities: those of the voters, or this machine and the seeds until a
+    /// store has named the voters.
     pub(super) fn voting_registries(&self) -> BTreeSet<Ipv4Addr> {
         if self.voters.is_empty() {
             let seeds = self.config.seeds.iter().copied();
@@ -32,12 +32,13 @@
         }
     }
 
-    /// Whether this registry and the peers for which `holds` is true are a majority.
-    pub(super) fn is_majority(&self, holds: impl Fn(&Ipv4Addr) -> bool) -> bool {
+    /// Whether this registry and the voting peers for which `is_counted` is true are a majority of the voting
+    /// registries.
+    pub(super) fn is_majority(&self, is_counted: impl Fn(&Ipv4Addr) -> bool) -> bool {
         let registries = self.voting_registries();
         let count = registries
             .iter()
-            .filter(|registry| **registry == self.config.address || holds(registry))
+            .filter(|registry| **registry == self.config.address || is_counted(registry))
             .count();
         count > registries.len() / 2
     }
@@ -48,8 +49,8 @@
             .is_some_and(|age| age <= REGISTRY_LEASE_DURATION)
     }
 
-    /// The time since a majority of the registries had reported everything to this one; `None` if that was never the
-    /// case.
+    /// The time that has passed since a majority of the registries had last reported all their state to this one;
+    /// `None` if that was never the case.
     fn contact_age(&self, now: Timestamp) -> Option<Duration> {
         let registries = self.voting_registries();
         let age = |registry: &Ipv4Addr| {
@@ -64,10 +65,11 @@
         ages.get(registries.len() / 2).copied()
     }
 
-    /// The greatest age of what this registry sends to proxies: everything that a majority of the stores and of the
-    /// registries had by then has been sent. `None` if it is older than [`REGISTRY_LEASE_DURATION`], or unknown.
+    /// The greatest age of the state that this registry has sent to proxies: everything that a majority of the stores
+    /// and of the registries knew that long ago has been sent. `None` if the age exceeds [`REGISTRY_LEASE_DURATION`] or
+    /// is unknown.
     pub fn confirmed_age(&self, now: Timestamp) -> Option<Duration> {
-        // Changes that wait for their batch were recorded since then.
+        // The oldest unsent change was recorded one batch delay before the flush is due.
         let unsent = self.flush_at.map_or(Duration::ZERO, |flush_at| {
             now.duration_since(flush_at.saturating_sub(CHANGE_BATCH_DELAY))
         });
@@ -92,8 +94,8 @@
                 .is_some_and(|since| now.duration_since(since) >= self.completeness_delay())
     }
 
-    /// Where a call of the operator is to be handled. A call that this registry's store cannot confirm would only be
-    /// delayed here, so it goes to the peer that was confirmed most recently.
+    /// Where a call of the operator must be handled. This registry would only delay a call that its store cannot
+    /// confirm, so such a call goes to the confirmed peer with the most recent contact.
     pub fn operator_call_target(&self, now: Timestamp) -> OperatorCallTarget {
         let is_store_confirmed = self.store_lease.is_valid(now, REGISTRY_LEASE_DURATION);
         if is_store_confirmed || !self.guards.operator_redirect {
@@ -111,7 +113,7 @@
             })
     }
 
-    /// Asks the store for the age of its state, which renews the lease on it.
+    /// Queries the store for the age of its state. The answer renews the lease on the store.
     pub(super) fn query_store(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let nonce = self.store_lease.begin_query(now);
         actions.push(Action::QueryStore { nonce });
--- a/crates/emberpin-membership/src/registry/repair.rs
+++ b/crates/emberpin-membership/src/registry/repair.rs
@@ -1,4 +1,4 @@
-//! Repair from proxies: they keep the instances that they know when registries lose them.
+//! Repair from proxies: instances that registries have lost are restored from those that proxies still know.
 
 use super::servers::AddressConflict;
 use super::{Action, Registry};
@@ -7,8 +7,8 @@
 use crate::peers::InstanceRecord;
 
 impl Registry {
-    /// Restores what the registries have lost from the instances that a proxy knows. Gives the ids of those that the
-    /// proxy knows with another status than this registry.
+    /// Adds instances, and drains, that this registry does not know from those that a proxy knows. Returns the ids of
+    /// the other instances that the proxy knows with another status than this registry.
     pub(super) fn repair_from_proxy(
         &mut self,
         now: Timestamp,
@@ -47,21 +47,21 @@
         self.on_merged(now, id, outcome, AddressConflict::Ignore);
     }
 
-    /// Has instances that were learned from a proxy warm up again if the evacuation of their zone may have just ended: the
-    /// proxy may know them from before.
+    /// Restarts the warm-up of instances that were learned from a proxy if the evacuation of their zone may have just
+    /// ended: what the proxy knows of their warm-up may date from before that.
     fn restart_learned_warmup(&mut self, now: Timestamp, learned: &[String]) {
-        self.returned_zones.retain(|_, until| now < *until);
-        let zones: Vec<String> = self.returned_zones.keys().cloned().collect();
+        self.zones_after_evacuation.retain(|_, until| now < *until);
+        let zones: Vec<String> = self.zones_after_evacuation.keys().cloned().collect();
         for zone in zones {
             self.restart_warmup(now, &zone, |id, entry| {
-                entry.owner.is_none() && learned.iter().any(|learned| learned == id)
+                entry.owner.is_none() && learned.iter().any(|learned_id| learned_id == id)
             });
         }
     }
 }
 
-/// The record of an instance that only a proxy knows. If it is removed, it may merely have been evicted, which a later
-/// heartbeat is to undo.
+/// The record of an instance that the proxy knows and the registry does not. If the proxy knows it as removed, it may
+/// merely have been evicted, so the record lets a later heartbeat revive it.
 fn unknown_instance_record(instance: Instance) -> InstanceRecord {
     let expired = instance.status == Status::Removed;
     let status = if expired { Status::Up } else { instance.status };
@@ -72,6 +72,7 @@
     }
 }
 
+/// The record of a draining instance as a proxy knows it, without an owner.
 fn unowned_record(instance: Instance) -> InstanceRecord {
     InstanceRecord {
         instance,
--- a/crates/emberpin-membership/src/registry/replication.rs
+++ b/crates/emberpin-membership/src/registry/replication.rs
@@ -1,4 +1,4 @@
-//! Replication of instances among registries: change notification, and anti-entropy for what it has missed.
+//! Replication of instances among registries: change notifications, and anti-entropy for changes that were missed.
 
 use super::servers::AddressConflict;
 use super::{Action, Registry};
@@ -8,17 +8,17 @@
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 
-/// Where records of instances come from.
+/// The kind of message that carried the records of instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RecordSource {
     /// A change notification.
     Changes,
-    /// A table that was sent as a whole, which may list what has long been known.
+    /// A whole table, or all instances that the sender owns. It may list shutdowns that were reported long ago.
     Table,
 }
 
 impl Registry {
-    /// Merges changed records, and acknowledges them if the sender waits for that.
+    /// Merges changed records, and acknowledges them if the sender has set `ack_id`.
     pub(super) fn on_changed(
         &mut self,
         now: Timestamp,
@@ -54,7 +54,8 @@
         });
     }
 
-    /// Merges the instances that the sender owns; others that it was taken for the owner of have none now.
+    /// Merges the instances that the sender owns, and clears the owner of those that were recorded as its own but are
+    /// not listed.
     pub(super) fn on_owned_instances(
         &mut self,
         now: Timestamp,
@@ -78,8 +79,8 @@
         self.merge_records(now, from, instances, RecordSource::Table, actions);
     }
 
-    /// Merges records from another registry. Drains and ends that were not known are passed on once, as their sender may
-    /// fail before it has reached everybody.
+    /// Merges records from another registry. Drains and exits that were not known are forwarded once to the other
+    /// peers, as the sender may fail before it has reached all of them.
     pub(super) fn merge_records(
         &mut self,
         now: Timestamp,
@@ -91,28 +92,37 @@
         let mut shutdowns = Vec::new();
         for mut record in records {
             let id = record.instance.id.clone();
-            // A sender without contact to the instance's owner cannot know that its heartbeats have stopped.
-            record.expired &= !self.hears_from_owner(now, &id, from);
+            // An eviction is ignored while this registry is in contact with the instance's owner: a sender without that
+            // contact cannot know that the heartbeats have stopped.
+            record.expired &= !self.is_in_contact_with_owner(now, &id, from);
             let outcome = self.instances.merge(now, record);
             let address_conflict = match source {
                 RecordSource::Changes => AddressConflict::Evict,
                 RecordSource::Table => AddressConflict::Ignore,
             };
             self.on_merged(now, &id, outcome, address_conflict);
-            // Tables list many ends that everybody knows.
-            let is_news = source == RecordSource::Changes || !outcome.is_new;
-            if outcome.shutdown_reported && is_news {
+            // A table may list instances that are new here with shutdowns that all peers know.
+            let may_be_unknown_to_peers = source == RecordSource::Changes || !outcome.is_new;
+            if outcome.shutdown_reported && may_be_unknown_to_peers {
                 shutdowns.push(id);
             }
         }
-        let others = self.connected_peers();
-        let others = others.into_iter().filter(|peer| *peer != from).collect();
-        self.replicate_to(now, others, &shutdowns, actions);
+        let other_peers = self.connected_peers();
+        let other_peers = other_peers
+            .into_iter()
+            .filter(|peer| *peer != from)
+            .collect();
+        self.replicate_to(now, other_peers, &shutdowns, actions);
     }
 
-    /// Whether this registry is, or is in contact with, the owner of an instance; not if the owner is `sender`, who
-    /// speaks for itself.
-    fn hears_from_owner(&self, now: Timestamp, instance_id: &str, sender: Ipv4Addr) -> bool {
+    /// Whether this registry is the owner of an instance, or is in contact with the owner. `false` if `sender` is the
+    /// owner, as its records are authoritative for the instances that it owns.
+    fn is_in_contact_with_owner(
+        &self,
+        now: Timestamp,
+        instance_id: &str,
+        sender: Ipv4Addr,
+    ) -> bool {
         let owner = self
             .instances
             .get(instance_id)
@@ -127,7 +137,7 @@
                 .is_some_and(|peer| peer.is_in_contact(now))
     }
 
-    /// Sends the records of changed instances to all connected peers.
+    /// Sends the records of changed instances to all connected peers, without waiting for acknowledgements.
     pub(super) fn replicate(
         &self,
         now: Timestamp,
--- a/crates/emberpin-membership/src/registry/servers.rs
+++ b/crates/emberpin-membership/src/registry/servers.rs
@@ -1,4 +1,4 @@
-//! Calls of servers: heartbeats and leave calls.
+//! The calls of servers: heartbeats, and leave calls, by which a server reports its exit.
 
 use super::{Action, Registry, ServerReply};
 use crate::change_log::Change;
@@ -10,17 +10,18 @@
 use crate::rendezvous;
 use std::net::Ipv4Addr;
 
-/// What becomes of instances that had the address of a new instance before.
+/// The treatment of other instances that have the address of a new instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AddressConflict {
-    /// They are evicted, even if their servers have not reported their end.
+    /// They are evicted, even if their servers have not reported their exit.
     Evict,
-    /// They stay: the new instance may only be new to this registry.
+    /// They are kept: the instance may only be new to this registry.
     Ignore,
 }
 
 impl Registry {
-    /// Takes a heartbeat in and replies at once, unless it reports a drain that no majority has yet.
+    /// Records a heartbeat. Replies at once, unless the heartbeat reports a drain or exit that is not known to a
+    /// majority yet.
     pub(super) fn on_heartbeat(
         &mut self,
         now: Timestamp,
@@ -42,12 +43,12 @@
             .instances
             .get(&id)
             .is_some_and(|entry| entry.is_replicated || entry.reported_status() == Status::Removed);
-        let may_reply = reported == Status::Up || is_replicated;
-        if may_reply && (outcome.visibly_changed || outcome.owner_changed) {
+        let can_reply_now = reported == Status::Up || is_replicated;
+        if can_reply_now && (outcome.visibly_changed || outcome.owner_changed) {
             changed.push(id.clone());
         }
         self.replicate(now, &changed, actions);
-        if may_reply {
+        if can_reply_now {
             let reply = self.heartbeat_reply(now, &id, &zone, reported);
             actions.push(Action::Reply { call, reply });
         } else {
@@ -55,9 +56,9 @@
         }
     }
 
-    /// A registry without contact to a majority does not acknowledge that a server is up, as proxies on the other side
-    /// of the partition would not learn of it: the server is to try their registries. One that has just started does, as
-    /// it had no time for contact yet.
+    /// The reply to a heartbeat. A registry without contact to a majority does not acknowledge that a server is up, as
+    /// proxies on the other side of a partition would not learn of it: the server must try the registries there. A
+    /// registry that has just started does acknowledge it, as it had no time to establish contact.
     fn heartbeat_reply(
         &self,
         now: Timestamp,
@@ -74,7 +75,8 @@
         }
     }
 
-    /// Takes a server's report of its end in. The reply waits for a majority unless that has it already.
+    /// Records a server's report of its exit. The reply waits for a majority unless a majority has recorded the exit
+    /// already.
     pub(super) fn on_leave(
         &mut self,
         now: Timestamp,
@@ -82,7 +84,7 @@
         instance_id: String,
         actions: &mut Vec<Action>,
     ) {
-        let outcome = self.instances.leave(now, &instance_id);
+        let outcome = self.instances.record_exit(now, &instance_id);
         self.on_merged(now, &instance_id, outcome, AddressConflict::Ignore);
         let is_replicated = self
             .instances
@@ -98,7 +100,8 @@
         }
     }
 
-    /// Records what a merge has changed. On an address conflict, gives the ids of the instances that were evicted.
+    /// Appends the outcome of a merge to the change log. If the instance is new and up and `address_conflict` is
+    /// `Evict`, evicts other instances with its address and returns their ids.
     pub(super) fn on_merged(
         &mut self,
         now: Timestamp,
@@ -127,8 +130,8 @@
         displaced
     }
 
-    /// The registry that an instance is to send its heartbeats to: by rendezvous hashing one of the confirmed registries
-    /// of its zone, or of all zones if there is none.
+    /// The registry to which an instance must send its heartbeats. Rendezvous hashing chooses one of the confirmed
+    /// registries of its zone, or of all zones if its zone has none; without any confirmed registry it is this one.
     pub(super) fn heartbeat_target(
         &self,
         now: Timestamp,
@@ -140,9 +143,9 @@
             .iter()
             .filter(|(_, peer)| peer.is_connected && peer.is_confirmed && peer.is_in_contact(now))
             .map(|(address, peer)| (*address, peer.zone.as_str()));
-        let this = (self.config.address, self.config.zone.as_str());
+        let this_registry = (self.config.address, self.config.zone.as_str());
         let confirmed: Vec<(Ipv4Addr, &str)> = peers
-            .chain(self.is_confirmed(now).then_some(this))
+            .chain(self.is_confirmed(now).then_some(this_registry))
             .collect();
         let in_zone = confirmed
             .iter()
--- a/crates/emberpin-membership/src/registry/sessions.rs
+++ b/crates/emberpin-membership/src/registry/sessions.rs
@@ -1,4 +1,5 @@
-//! Sessions of proxies: they get snapshots and changes, renew their leases, and restore what the registry has lost.
+//! The sessions of proxies: how a proxy is brought up to date when its session opens, receives changes, and renews its
+//! lease; and how proxies are counted.
 
 use super::snapshot::SnapshotPart;
 use super::{Action, Registry};
@@ -12,7 +13,7 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// How long a proxy is counted after its last session ended, as it may go on routing requests meanwhile.
+/// How long a proxy is still counted after its last session has ended, as it may go on routing requests meanwhile.
 const PROXY_RETENTION: Duration = Duration::from_millis(30_000);
 
 /// A proxy's session with this registry.
@@ -21,7 +22,7 @@
     pub(super) proxy: ProxyIdentity,
     /// The revision up to which every change is in force at the proxy, as it last reported.
     pub(super) applied: Option<Revision>,
-    /// When the last message arrived.
+    /// When the last message of the proxy arrived.
     pub(super) last_message_at: Timestamp,
 }
 
@@ -106,7 +107,7 @@
         });
     }
 
-    /// The answer to a keep-alive.
+    /// The answer to a keep-alive with this nonce.
     fn confirmation(&self, now: Timestamp, nonce: Nonce) -> ToProxy {
         let age = self.confirmed_age(now);
         // A registry that can confirm nothing names every peer: the proxy may know no other registry.
@@ -157,8 +158,9 @@
         self.sessions_changed |= self.sessions.remove(&session).is_some();
     }
 
-    /// Brings a proxy from its revision to that of the change log: by the changes between them, or by a snapshot if
-    /// the log does not reach back. Either way it gets the instances whose status it has wrong.
+    /// Brings a proxy from the revision `resume_from` to that of the change log: by the changes since then, or by a
+    /// snapshot if the log does not reach back that far. Either message also corrects the proxy's status of the
+    /// `outdated` instances.
     fn send_initial_state(
         &mut self,
         now: Timestamp,
@@ -167,9 +169,9 @@
         outdated: Vec<String>,
         actions: &mut Vec<Action>,
     ) {
-        let unchecked = (!self.guards.revision_check).then(BTreeSet::new);
-        let changes =
-            resume_from.and_then(|revision| self.change_log.since(revision).or(unchecked));
+        let no_changes_if_unchecked = (!self.guards.revision_check).then(BTreeSet::new);
+        let changes = resume_from
+            .and_then(|revision| self.change_log.since(revision).or(no_changes_if_unchecked));
         let message = match changes {
             Some(mut changes) => {
                 changes.extend(outdated.into_iter().map(Change::Instance));
@@ -183,7 +185,8 @@
         });
     }
 
-    /// The first part of a snapshot, with the instances that the proxy takes for alive although they are removed.
+    /// The first part of a snapshot, with those of the `outdated` instances that are removed: a snapshot lists no other
+    /// removed instances.
     fn snapshot_message(&self, now: Timestamp, outdated: &[String]) -> ToProxy {
         let SnapshotPart {
             items,
@@ -204,7 +207,8 @@
         }
     }
 
-    /// The message that brings a proxy to the revision of the change log.
+    /// The message with the current state of the changed entries, which brings a proxy to the revision of the change
+    /// log.
     fn changes_message(&self, now: Timestamp, changes: BTreeSet<Change>) -> ToProxy {
         let (mut items, mut instances) = (Vec::new(), Vec::new());
         for change in changes {
@@ -220,7 +224,7 @@
         }
     }
 
-    /// Sends the changes of the last batch to all sessions.
+    /// Sends the changes that have not been sent yet to all sessions, in one message.
     pub(super) fn send_unsent_changes(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let changes = self.change_log.take_unsent();
         if self.sessions.is_empty() {
@@ -241,15 +245,15 @@
             .collect()
     }
 
-    /// Takes note of all proxies that have a session with any registry in contact. Counting too many does no harm; with
-    /// too few, the limits that they share would be exceeded.
+    /// Records all proxies that have a session with this registry or with a peer in contact. A count that is too high
+    /// does no harm; with one that is too low, the proxies would exceed the limits that they share.
     pub(super) fn count_proxies(&mut self, now: Timestamp) {
         let peers = self.peers.values().filter(|peer| peer.is_in_contact(now));
-        let of_peers = peers
+        let peer_proxies = peers
             .flat_map(|peer| &peer.proxies)
             .map(|proxy| &proxy.name);
         let own = self.sessions.values().map(|session| &session.proxy.name);
-        for name in of_peers.chain(own) {
+        for name in peer_proxies.chain(own) {
             match self.proxies_seen.get_mut(name) {
                 Some(seen_at) => *seen_at = now,
                 None => _ = self.proxies_seen.insert(name.clone(), now),
--- a/crates/emberpin-membership/src/registry/shutdown.rs
+++ b/crates/emberpin-membership/src/registry/shutdown.rs
@@ -1,5 +1,5 @@
-//! Drains and ends of servers, which are acknowledged only once a majority of the registries has them: whichever
-//! machine fails then, the shutdown is known.
+//! The acknowledgement of drains and exits of servers. A drain or exit is acknowledged only once a majority of the
+//! registries has recorded it, so that it remains known whichever machine fails afterwards.
 
 use super::{Action, Registry, ServerReply};
 use crate::clock::Timestamp;
@@ -10,31 +10,33 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// How long a shutdown waits for all connected registries; each that has it tells its proxies.
+/// How long the reply to a shutdown waits for the acknowledgements of all connected registries, each of which notifies
+/// its proxies. After that, a majority suffices.
 const ALL_PEERS_TIMEOUT: Duration = Duration::from_millis(150);
-/// How long a shutdown waits for a majority. Below the second after which the server tries another registry.
+/// How long the reply to a shutdown waits for a majority. Shorter than the second after which the server tries another
+/// registry.
 const MAJORITY_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A server's drain or end that waits for the acknowledgements of the peers.
+/// A server's drain or exit that waits for the acknowledgements of the peers.
 #[derive(Clone, Debug)]
 pub(super) struct PendingShutdown {
     call: CallId,
     instance_id: String,
     status: Status,
     ack_id: AckId,
-    since: Timestamp,
-    /// Connected peers that have not acknowledged it yet.
+    waiting_since: Timestamp,
+    /// The connected peers that have not acknowledged it yet.
     awaited: BTreeSet<Ipv4Addr>,
     acknowledged_by: BTreeSet<Ipv4Addr>,
 }
 
 impl PendingShutdown {
-    /// When it is to be looked at again, if no acknowledgement comes first.
+    /// When the shutdown must be checked again if no acknowledgement comes first.
     pub(super) fn deadline(&self, now: Timestamp) -> Timestamp {
-        if now.duration_since(self.since) < ALL_PEERS_TIMEOUT {
-            self.since + ALL_PEERS_TIMEOUT
+        if now.duration_since(self.waiting_since) < ALL_PEERS_TIMEOUT {
+            self.waiting_since + ALL_PEERS_TIMEOUT
         } else {
-            self.since + MAJORITY_TIMEOUT
+            self.waiting_since + MAJORITY_TIMEOUT
         }
     }
 
@@ -49,7 +51,7 @@
 }
 
 impl Registry {
-    /// Sends a drain or an end to all connected peers; the server's reply waits for their acknowledgements.
+    /// Sends a drain or exit to all connected peers. The reply to the server waits for their acknowledgements.
     pub(super) fn await_majority(
         &mut self,
         now: Timestamp,
@@ -80,7 +82,7 @@
             instance_id,
             status,
             ack_id,
-            since: now,
+            waiting_since: now,
             awaited,
             acknowledged_by: BTreeSet::new(),
         });
@@ -116,10 +118,10 @@
         }
     }
 
-    /// Replies to servers whose shutdown a majority has acknowledged, or has not acknowledged in time.
+    /// Replies to the servers whose shutdown has been acknowledged by a majority, or has timed out.
     pub(super) fn check_pending_shutdowns(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         for pending in std::mem::take(&mut self.pending_shutdowns) {
-            let waited = now.duration_since(pending.since);
+            let waited = now.duration_since(pending.waiting_since);
             if self.is_acknowledged(&pending, waited) {
                 self.acknowledge_shutdown(now, &pending, actions);
             } else if waited >= MAJORITY_TIMEOUT {
@@ -133,7 +135,8 @@
         }
     }
 
-    /// Whether a majority has the shutdown, and no connected peer is awaited any more.
+    /// Whether a majority has recorded the shutdown, and either all connected peers have or `ALL_PEERS_TIMEOUT` has
+    /// passed.
     fn is_acknowledged(&self, pending: &PendingShutdown, waited: Duration) -> bool {
         if !self.guards.majority_acknowledgement {
             return true;
--- a/crates/emberpin-membership/src/registry/snapshot.rs
+++ b/crates/emberpin-membership/src/registry/snapshot.rs
@@ -1,9 +1,9 @@
-//! Snapshots, in parts of bounded size.
+//! Snapshots of the tables, which proxies fetch in parts of bounded size.
 //!
-//! A proxy requests each part with the cursor of the one before. So a slow proxy delays nobody, at most one part
-//! waits for it, and a new session goes on where the last one ended. Each part is read from the tables when it is
-//! requested. A change of an entry before the cursor is sent like any change, as the session follows the log from the
-//! first part on.
+//! A proxy requests each part with the cursor of the previous one. A slow proxy therefore does not delay others, at
+//! most one part is queued for it, and a new session resumes where the last one ended. Each part is read from the
+//! tables when it is requested. Entries before the cursor that change later are not missed: from the first part on, the
+//! session is also sent every change of the log.
 
 use super::Registry;
 use crate::clock::Timestamp;
@@ -12,9 +12,9 @@
 use emberpin_config::Item;
 use std::ops::Bound;
 
-/// The size in bytes at which a part of a snapshot is closed. An item that is larger is a part of its own.
+/// The size in bytes at which a part of a snapshot is closed. The entry that reaches the size is still included.
 pub const SNAPSHOT_PART_BYTES: usize = 64 << 10;
-/// The estimated size in bytes of an item or an instance without its texts.
+/// The estimated size in bytes of an item or an instance without its strings.
 const ENTRY_OVERHEAD_BYTES: usize = 48;
 
 /// One part of a snapshot.
@@ -22,12 +22,12 @@
 pub(super) struct SnapshotPart {
     pub(super) items: Vec<Item>,
     pub(super) instances: Vec<Instance>,
-    /// Where the next part begins; `None` if this is the last one.
+    /// The cursor after which the next part begins; `None` if this is the last part.
     pub(super) next_part: Option<SnapshotCursor>,
 }
 
 impl Registry {
-    /// The part of the snapshot after a cursor, or the first one.
+    /// The part of the snapshot that begins after a cursor; the first part without one.
     pub(super) fn snapshot_part(
         &self,
         now: Timestamp,
@@ -42,7 +42,8 @@
         part
     }
 
-    /// Adds items until the part is full, and sets its cursor then.
+    /// Adds items after the cursor `after` until the part is full; sets the part's `next_part` then. Adds the estimated
+    /// sizes to `bytes`.
     fn fill_with_items(
         &self,
         part: &mut SnapshotPart,
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Adds instances until the part is full, and sets its cursor then.
+    /// Adds instances after the cursor `after` until the part is full, as `fill_with_items` does with items.
     fn fill_with_instances(
         &self,
         part: &mut SnapshotPart,
--- a/crates/emberpin-membership/src/registry/status.rs
+++ b/crates/emberpin-membership/src/registry/status.rs
@@ -1,4 +1,4 @@
-//! What the operator sees of a registry.
+//! The state of a registry as reported to the operator.
 
 use super::Registry;
 use crate::clock::Timestamp;
@@ -22,18 +22,18 @@
         &self.instances
     }
 
-    /// The configuration items, tombstones of deleted ones among them.
+    /// The configuration items, including tombstones of deleted ones.
     pub fn items(&self) -> impl Iterator<Item = &Item> {
         self.items.values()
     }
 
-    /// The number of configuration items, tombstones of deleted ones among them.
+    /// The number of configuration items, including tombstones of deleted ones.
     pub fn item_count(&self) -> usize {
         self.items.len()
     }
 
-    /// The time of the last contact with an instance: by a heartbeat here, or by contact with the registry that owns
-    /// it.
+    /// The time of the last contact with an instance, either directly by a heartbeat or a newer record, or through the
+    /// registry that owns it.
     pub fn last_contact(&self, entry: &InstanceEntry) -> Timestamp {
         let owner = entry.owner.and_then(|owner| self.peers.get(&owner));
         let owner_confirmed_at = owner.and_then(|peer| peer.lease.confirmed_at());
@@ -42,12 +42,12 @@
             .max(owner_confirmed_at.unwrap_or(Timestamp::ZERO))
     }
 
-    /// The machines whose stores vote, as far as a store has named them.
+    /// The machines whose stores vote, as last named by a store; empty until a store has named them.
     pub fn voters(&self) -> &[Ipv4Addr] {
         &self.voters
     }
 
-    /// The registries that this one is in contact with, itself among them.
+    /// The registries with which this one is in contact, including itself.
     pub fn registries_in_contact(&self, now: Timestamp) -> Vec<Ipv4Addr> {
         let peers = self
             .peers
@@ -57,7 +57,7 @@
         peers.chain([self.config.address]).collect()
     }
 
-    /// The proxies that have a session with this registry, and how far each is behind.
+    /// The lag of every proxy that has a session with this registry.
     pub fn proxy_lags(&self) -> impl Iterator<Item = ProxyLag> + '_ {
         let newest = self.change_log.revision().number;
         self.sessions.values().map(move |session| {
--- a/crates/emberpin-membership/src/registry/timers.rs
+++ b/crates/emberpin-membership/src/registry/timers.rs
@@ -1,4 +1,4 @@
-//! Everything that happens by the clock: heartbeats to the peers, queries to the store, batches of changes, time-outs.
+//! Periodic and timed work: heartbeats to the peers, queries to the store, batches of changes, time-outs.
 
 use super::{Action, Registry};
 use crate::change_log::Change;
@@ -9,12 +9,12 @@
 use crate::timing::{CHANGE_BATCH_DELAY, PEER_HEARTBEAT_INTERVAL, STORE_QUERY_INTERVAL};
 use std::time::Duration;
 
-/// A session without a message for this long is closed.
+/// A session in which no message has arrived for this long is closed.
 const SESSION_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// A process that has handled no event for this long was paused, and knows nothing of what happened meanwhile. Leases
-/// need no such check, as they expire by themselves.
+/// A process that has handled no event for this long is considered to have been paused, and to have missed what
+/// happened meanwhile. Leases need no such check, as they expire by themselves.
 const PAUSE_DETECTION_THRESHOLD: Duration = Duration::from_millis(1_000);
-/// An instance without a heartbeat for this many intervals is evicted.
+/// An instance is evicted after this number of heartbeat intervals without a heartbeat.
 const EVICTION_HEARTBEATS: u32 = 4;
 /// The shortest eviction timeout, whatever the heartbeat interval.
 const MIN_EVICTION_TIMEOUT: Duration = Duration::from_millis(4_000);
@@ -32,7 +32,7 @@
         )
     }
 
-    /// Does everything that is due. Runs after every event.
+    /// Does all work that is due. Called after every event.
     pub(super) fn run_timers(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         if !self.pending_shutdowns.is_empty() {
             self.check_pending_shutdowns(now, actions);
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Recognizes that the process was paused. Sessions get a new time-out then, as their messages may wait unread, and
-    /// the registry must be confirmed anew before it evicts instances.
+    /// Detects that the process was paused. If so, the time-out of every session starts anew, as messages may still be
+    /// queued unread, and so does the time for which the registry must have been confirmed before it evicts instances.
     pub(super) fn detect_pause(&mut self, now: Timestamp) {
         if now.duration_since(self.last_event_at) >= PAUSE_DETECTION_THRESHOLD {
             for session in self.sessions.values_mut() {
@@ -68,14 +68,16 @@
         (EVICTION_HEARTBEATS * self.config.heartbeat_interval).max(MIN_EVICTION_TIMEOUT)
     }
 
-    /// The time for which a registry must have been confirmed before its table is complete: every live server has sent
-    /// two heartbeats, and half an interval is left for them to arrive.
+    /// The time for which a registry must have been confirmed before its table counts as complete: two and a half
+    /// heartbeat intervals. Every live server has sent two heartbeats by then, with half an interval for them to
+    /// arrive.
     pub(super) fn completeness_delay(&self) -> Duration {
-        // In whole milliseconds, as timestamps are.
+        // Calculated in whole milliseconds, the precision of timestamps.
         Duration::from_millis(5 * millis(self.config.heartbeat_interval) / 2)
     }
 
-    /// Sends a heartbeat to the peers, and maintains the tables.
+    /// Does the work of each heartbeat interval: maintains peers, tables and sessions, and sends a heartbeat to the
+    /// peers.
     fn on_peer_heartbeat_due(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         self.update_peers(now, actions);
         self.confirmed_since = self
@@ -142,7 +144,8 @@
         }
     }
 
-    /// Appends a change to the log; it is sent to the sessions together with those of the next milliseconds.
+    /// Appends a change to the log. It is sent to the sessions in one batch with the changes of the next
+    /// [`CHANGE_BATCH_DELAY`].
     pub(super) fn record_change(&mut self, now: Timestamp, change: Change) {
         self.change_log.append(change);
         self.flush_at.get_or_insert(now + CHANGE_BATCH_DELAY);
--- a/crates/emberpin-membership/src/rendezvous.rs
+++ b/crates/emberpin-membership/src/rendezvous.rs
@@ -1,4 +1,5 @@
-//! Rendezvous hashing: which registry owns an instance. When a registry fails, only the instances that it owned move.
+//! Rendezvous hashing, which chooses the registry that owns an instance. When a registry fails, only the instances that
+//! it owned move to other registries.
 
 use std::net::Ipv4Addr;
 
@@ -20,13 +21,13 @@
         }
         hash = (hash ^ PART_SEPARATOR).wrapping_mul(FNV_PRIME);
     }
-    // FNV mixes its last bytes badly into the high bits, by which ranks differ.
+    // FNV-1a mixes the last bytes poorly into the high bits, and the high bits decide the order of ranks.
     hash ^= hash >> 32;
     hash = hash.wrapping_mul(MIX_MULTIPLIER);
     hash ^ (hash >> 32)
 }
 
-/// The registry with the highest rank for the instance of this id; `None` without registries.
+/// The registry with the highest rank for the instance of this id; `None` if there are no registries.
 pub fn choose(instance_id: &str, registries: impl Iterator<Item = Ipv4Addr>) -> Option<Ipv4Addr> {
     registries.max_by_key(|registry| {
         let rank = hash(&[&registry.octets(), instance_id.as_bytes()]);
--- a/crates/emberpin-membership/src/timing.rs
+++ b/crates/emberpin-membership/src/timing.rs
@@ -1,24 +1,24 @@
-//! The intervals and limits along the path store, registry, proxy, and the sum of delays that they add up to.
+//! The intervals and age limits along the path from store to registry to proxy, and the sums of delays that result.
 //!
-//! There is one limit at the registry ([`REGISTRY_LEASE_DURATION`]) and one at the proxy ([`PROXY_LEASE_DURATION`]). An
-//! age is carried along the whole path, so delays on the way do not add to the limits: the state that a proxy routes by
-//! is no older than [`PROXY_LEASE_DURATION`], or its session has ended.
+//! The age of the state is limited at the registry ([`REGISTRY_LEASE_DURATION`]) and at the proxy
+//! ([`PROXY_LEASE_DURATION`]). Messages carry the age along the whole path, so delays on the way do not add to the
+//! limits: a proxy routes by state that is no older than [`PROXY_LEASE_DURATION`], or its session has ended.
 
 use std::time::Duration;
 
 /// How often a store compares its state with the other stores; `COMPARISON_INTERVAL` of `emberpin-consensus`.
 pub const STORE_COMPARISON_INTERVAL: Duration = Duration::from_millis(500);
-/// How often a registry asks its store for the age of its state.
+/// How often a registry queries its store for the age of the store's state.
 pub const STORE_QUERY_INTERVAL: Duration = Duration::from_millis(250);
 /// How often a registry sends a heartbeat to its peers, which is also its lease query.
 pub const PEER_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// How often a proxy sends a keep-alive in a session, which is also its lease query.
 pub const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(500);
-/// The time that a query and its answer are assumed to take on any of these links without a fault.
+/// The time that a query and its answer are assumed to take on any link of the path without a fault.
 pub const ROUND_TRIP: Duration = Duration::from_millis(100);
 
-/// The age up to which a registry confirms its state. Beyond it, the registry answers keep-alives without an age, evicts
-/// no instances, and redirects calls of the operator.
+/// The greatest age at which a registry confirms its state. When the state is older, the registry answers keep-alives
+/// without an age, evicts no instances, and redirects calls of the operator.
 pub const REGISTRY_LEASE_DURATION: Duration = Duration::from_millis(1_200);
 /// The age of the received state beyond which a proxy ends its session with a registry.
 pub const PROXY_LEASE_DURATION: Duration = Duration::from_millis(2_000);
@@ -26,33 +26,34 @@
 pub const FIRST_CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(700);
 /// How long a proxy waits for a connection to a registry.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// The pauses of a proxy between two sessions.
+/// The backoff of a proxy between two sessions.
 pub const RECONNECT_BACKOFF: Backoff = Backoff {
     initial: Duration::from_millis(100),
     max: Duration::from_millis(800),
 };
 /// How often a proxy checks whether the lease of a session has expired.
 pub const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a call of the operator may take at a registry: an operator passes one over after
-/// [`OPERATOR_SILENCE_TIMEOUT`].
+/// How long a call of the operator may take at a registry. Shorter than [`OPERATOR_SILENCE_TIMEOUT`], after which the
+/// operator skips a registry.
 pub const OPERATOR_CALL_TIMEOUT: Duration = Duration::from_millis(950);
-/// How long an operator waits for a registry that sends nothing.
+/// How long an operator waits for a registry that sends nothing before skipping it.
 pub const OPERATOR_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How long a registry collects changes before it sends them to its sessions in one message.
 pub const CHANGE_BATCH_DELAY: Duration = Duration::from_millis(5);
-/// How long a proxy tries a registry last after it could not connect to it or left it unconfirmed.
+/// How long a proxy tries a registry only after all others, once it could not connect to it or has ended an unconfirmed
+/// session with it.
 pub const AVOIDANCE_PERIOD: Duration = Duration::from_millis(5_000);
-/// The time that the connection, the snapshot and the first answer of a new session are assumed to take without a
+/// The time that the connection, the snapshot and the first confirmation of a new session are assumed to take without a
 /// fault.
 pub const CATCH_UP: Duration = Duration::from_millis(400);
 
-/// The greatest age of a registry's state without a fault but one failed comparison of stores.
+/// The greatest age of a registry's state if one comparison of the stores fails and there is no other fault.
 pub const MAX_REGISTRY_AGE: Duration = sum(&[
     STORE_COMPARISON_INTERVAL,
     STORE_COMPARISON_INTERVAL,
     ROUND_TRIP,
 ]);
-/// The greatest age of a proxy's state without a fault but one failed keep-alive.
+/// The greatest age of a proxy's state if one keep-alive fails and there is no other fault.
 pub const MAX_PROXY_AGE: Duration = sum(&[
     STORE_COMPARISON_INTERVAL,
     STORE_QUERY_INTERVAL,
@@ -61,7 +62,8 @@
     ROUND_TRIP,
     ROUND_TRIP,
 ]);
-/// The time until a change is delivered if its first message was lost: the stores compare, and both hops batch.
+/// The time until a change is delivered if its first message was lost: until the next comparison of the stores, two
+/// round trips, and the delay of a batch.
 pub const REDELIVERY_DELAY: Duration = sum(&[
     STORE_COMPARISON_INTERVAL,
     ROUND_TRIP,
@@ -69,35 +71,37 @@
     CHANGE_BATCH_DELAY,
 ]);
 
-/// A pause that doubles from attempt to attempt. Each pause is drawn between half of its value and one and a half of it.
+/// An exponential backoff: the pause doubles from attempt to attempt up to a maximum. The pause that is actually waited
+/// is drawn at random between half and one and a half times this value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
-    /// The value of the first pause.
+    /// The first pause, before randomization.
     pub initial: Duration,
-    /// The value that later pauses grow to.
+    /// The maximum of later pauses, before randomization.
     pub max: Duration,
 }
 
 impl Backoff {
-    /// The value of the pause after one of this value.
+    /// The pause that follows `pause`, both before randomization.
     pub const fn next(self, pause: Duration) -> Duration {
         let doubled = pause.saturating_mul(2);
-        if is_less(doubled, self.max) {
+        if is_shorter(doubled, self.max) {
             doubled
         } else {
             self.max
         }
     }
 
-    /// The longest pause that may be drawn for this value.
+    /// The longest pause that randomization can make of `pause`.
     pub const fn longest(pause: Duration) -> Duration {
         Duration::from_millis(pause.as_millis() as u64 * 3 / 2)
     }
 }
 
-/// The time from a network partition until a proxy whose sessions are all cut off is confirmed by a registry in contact
-/// with a majority, if it first tries `failed_attempts` registries that are not: its leases expire, it notices, pauses,
-/// tries those, and catches up.
+/// The time from a network partition that cuts off all sessions of a proxy until a registry in contact with a majority
+/// confirms the proxy's state, if the proxy first tries `failed_attempts` registries without that contact. It is the
+/// sum of the lease duration, the interval at which the proxy checks its leases, the backoff, the failed attempts and
+/// the catch-up of the new session.
 pub const fn recovery_time(failed_attempts: u64) -> Duration {
     let mut total = sum(&[
         PROXY_LEASE_DURATION,
@@ -116,18 +120,20 @@
     total
 }
 
-/// The bounds that the intervals above are chosen for, as settings files of small and of grown sites state them. A
-/// registry that could confirm nothing is not tried again, so a partition that takes `n` registries costs `n - 2` failed
-/// attempts.
+/// The deployment bounds for which the intervals above are chosen, as the settings files of small and of large sites
+/// state them.
+///
+/// A proxy does not try a registry again that could confirm nothing, and its two sessions may be with two registries
+/// that are cut off. So a partition that cuts off `n` registries costs a proxy at most `n - 2` failed attempts.
 pub mod bounds {
     use std::time::Duration;
 
-    /// `apply` and `drain` of a small site; those of a grown one are longer.
+    /// `apply` and `drain` of a small site; those of a large site are longer.
     pub const APPLY: Duration = Duration::from_millis(2_500);
     /// `contact` of a small site: at most five core machines, of which two may be cut off.
     pub const CONTACT: Duration = Duration::from_millis(3_000);
-    /// `contact` of a grown site: at most nine core machines, of which four may be cut off.
-    pub const GROWN_CONTACT: Duration = Duration::from_millis(5_000);
+    /// `contact` of a large site: at most nine core machines, of which four may be cut off.
+    pub const LARGE_SITE_CONTACT: Duration = Duration::from_millis(5_000);
 }
 
 const fn sum(durations: &[Duration]) -> Duration {
@@ -140,12 +146,12 @@
     total
 }
 
-const fn is_less(one: Duration, other: Duration) -> bool {
-    one.as_nanos() < other.as_nanos()
+const fn is_shorter(duration: Duration, than: Duration) -> bool {
+    duration.as_nanos() < than.as_nanos()
 }
 
 const fn longer(one: Duration, other: Duration) -> Duration {
-    if is_less(other, one) {
+    if is_shorter(other, one) {
         one
     } else {
         other
@@ -153,7 +159,7 @@
 }
 
 const fn is_within(duration: Duration, bound: Duration) -> bool {
-    !is_less(bound, duration)
+    !is_shorter(bound, duration)
 }
 
 const _: () = assert!(
@@ -161,8 +167,8 @@
     "a proxy does not recover within `contact` on a small site"
 );
 const _: () = assert!(
-    is_within(recovery_time(2), bounds::GROWN_CONTACT),
-    "a proxy does not recover within `contact` on a grown site"
+    is_within(recovery_time(2), bounds::LARGE_SITE_CONTACT),
+    "a proxy does not recover within `contact` on a large site"
 );
 const _: () = assert!(
     is_within(PROXY_LEASE_DURATION, bounds::APPLY),
--- a/crates/emberpin-membership/tests/instance_table.rs
+++ b/crates/emberpin-membership/tests/instance_table.rs
@@ -14,7 +14,7 @@
 fn tombstones_are_bounded_in_time_and_number() -> googletest::Result<()> {
     let mut instances = InstanceTable::default();
     for number in 0..10_100 {
-        instances.leave(Timestamp::from_millis(number), &format!("s-{number}"));
+        instances.record_exit(Timestamp::from_millis(number), &format!("s-{number}"));
     }
     instances.prune_tombstones(Timestamp::from_millis(10_100));
     verify_that!(instances.iter().count(), eq(10_000))?;
