--- a/crates/emberpin-membership/src/registry.rs
+++ b/crates/emberpin-membership/src/registry.rs
@@ -75,8 +75,8 @@
 
     /// The machines whose stores vote, as last named by a store. Empty until a store has named them.
     voters: Vec<Ipv4Addr>,
-    /// The lease on the state of the store that the registry follows. By the time that the lease confirms, the store
-    /// had compared itself with a majority, and every item that it knew then has been delivered.
+    /// The lease on the state of the store that the registry follows. At the time that the lease confirms, the store
+    /// had compared itself with a majority; every item that it knew then has been delivered to this registry.
     store_lease: Lease,
     /// When the store is next queried for the age of its state.
     store_query_at: Timestamp,
--- a/crates/emberpin-membership/tests/candidates.rs
+++ b/crates/emberpin-membership/tests/candidates.rs
@@ -1,4 +1,4 @@
-//! With which registry a proxy opens its next session.
+//! The choice of the registry with which a proxy opens its next session.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_membership::candidates::{Confirmation, RegistryCandidates};
@@ -16,11 +16,12 @@
 }
 
 #[gtest]
-fn registries_that_were_left_unconfirmed_are_the_last_choice() {
+fn registries_of_unconfirmed_sessions_are_chosen_last() {
     let mut candidates = RegistryCandidates::default();
     let seeds = [ip(1), ip(2), ip(9)];
     candidates.on_registries_named((1..=5).map(ip).collect(), Confirmation::Confirmed);
-    // Both sessions are with the two that are cut off; whatever is drawn, neither goes to the other's.
+    // Both sessions were with the two registries that are cut off. Whichever random number is drawn, the next session
+    // must not try the registry of the other one.
     for random in 0..20 {
         let mut candidates = candidates.clone();
         for (slot, registry) in [(0, ip(1)), (1, ip(2))] {
@@ -45,7 +46,7 @@
 }
 
 #[gtest]
-fn where_no_other_registry_is_known_an_avoided_one_is_tried_again() {
+fn an_avoided_registry_is_chosen_if_no_other_is_known() {
     let mut candidates = RegistryCandidates::default();
     let choose = |candidates: &mut RegistryCandidates, now| {
         candidates.choose(now, 0, [ip(1)].into_iter(), None, 0)
@@ -54,7 +55,8 @@
     candidates.on_session_ended(at(0), 0, Confirmation::Unconfirmed);
     expect_that!(choose(&mut candidates, at(1)), some(eq(ip(1))));
     candidates.on_session_ended(at(1), 0, Confirmation::Unconfirmed);
-    // One that is only named by an unconfirmed registry comes first now, and no more after that.
+    // A registry that only an unconfirmed one has named is preferred to the avoided one, until a confirmed registry
+    // names others.
     candidates.on_registries_named(vec![ip(1), ip(7)], Confirmation::Unconfirmed);
     expect_that!(choose(&mut candidates, at(2)), some(eq(ip(7))));
     candidates.on_session_ended(at(2), 0, Confirmation::Confirmed);
--- a/crates/emberpin-membership/tests/common/cluster.rs
+++ b/crates/emberpin-membership/tests/common/cluster.rs
@@ -19,56 +19,58 @@
 pub const HEARTBEAT_INTERVAL_MS: u64 = 1_300;
 /// Four heartbeat intervals.
 pub const EVICTION_TIMEOUT_MS: u64 = 5_200;
+/// The step of the simulated time.
 const STEP_MS: u64 = 5;
 /// How often a store names the voters.
 const STORE_STATUS_INTERVAL_MS: u64 = 500;
+/// How often a session sends keep-alives in [`Cluster::run_with_session`].
 const KEEP_ALIVE_INTERVAL_MS: u64 = 500;
 /// How long a server waits for the reply to its call.
 const REPLY_TIMEOUT_MS: u64 = 700;
 
-/// How the store on a machine answers queries of its registry.
+/// How the store on a machine answers the queries of its registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreState {
     /// It has just compared itself with a majority.
     Confirming,
     /// It answers that it can confirm nothing.
     Unconfirmed,
-    /// It says nothing at all.
+    /// It does not answer.
     Silent,
 }
 
 struct Node {
     registry: Registry,
     store: StoreState,
-    /// The process is paused: events wait.
+    /// Whether the process is paused; events are then queued.
     is_paused: bool,
     events: VecDeque<Event>,
-    /// When and how calls of servers were replied to.
+    /// The replies to calls of servers, each with the time at which it was sent.
     replies: BTreeMap<CallId, (u64, ServerReply)>,
-    /// Messages to proxies that no test has taken yet, by session.
+    /// Messages to proxies that the test has not read yet, by session.
     messages: BTreeMap<u64, Vec<ToProxy>>,
     closed_sessions: BTreeSet<u64>,
 }
 
-/// A server that sends heartbeats by itself.
+/// A server that sends heartbeats automatically.
 pub struct Server {
     pub instance: Instance,
-    /// The machine whose registry gets its heartbeats.
+    /// The machine whose registry receives its heartbeats.
     pub target: u8,
     next_heartbeat_at: u64,
 }
 
 pub struct Cluster {
-    /// Milliseconds since the start.
+    /// The simulated time in milliseconds since the start.
     pub now: u64,
     pub servers: Vec<Server>,
-    /// The size of snapshot parts of registries that start from now on.
+    /// The size in bytes of snapshot parts of registries that are started afterwards.
     pub snapshot_part_bytes: usize,
-    /// Messages between registries, answers to heartbeats aside.
+    /// The number of messages sent between registries, without answers to heartbeats.
     pub peer_message_count: u64,
-    /// Answers to heartbeats between registries.
+    /// The number of answers to heartbeats sent between registries.
     pub heartbeat_ack_count: u64,
-    /// Connections that registries have requested.
+    /// The number of connections that registries have requested.
     pub connect_count: u64,
     voters: Vec<Ipv4Addr>,
     nodes: BTreeMap<u8, Node>,
@@ -79,7 +81,7 @@
 }
 
 impl Cluster {
-    /// Machines 1 to `size`, which have just started, with stores that confirm.
+    /// Machines 1 to `size`, which have just started, with stores in the state `Confirming`.
     pub fn new(size: u8) -> Cluster {
         let mut cluster = Cluster {
             now: 0,
@@ -153,7 +155,7 @@
         self.node_mut(machine).registry = registry;
     }
 
-    /// Ends a machine; its tables are lost.
+    /// Kills a machine; its tables are lost.
     pub fn kill(&mut self, machine: u8) {
         self.nodes.remove(&machine);
         for link in self.network.remove_machine(machine) {
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Pauses the process of a machine: it handles nothing, and messages to it wait.
+    /// Pauses the process of a machine: it handles no events, and messages to it are queued.
     pub fn pause(&mut self, machine: u8) {
         self.node_mut(machine).is_paused = true;
     }
@@ -184,7 +186,7 @@
         instances.get(id).expect("the instance is known")
     }
 
-    /// The status of an instance at a machine; `None` if it is not known there.
+    /// The status of an instance at the registry of a machine; `None` if it is not known there.
     pub fn status(&self, machine: u8, id: &str) -> Option<Status> {
         let instances = self.registry(machine).instances();
         instances.get(id).map(InstanceEntry::status)
@@ -196,7 +198,7 @@
 
     // The network.
 
-    /// Partitions a machine from others: nothing gets through, and connections break after a while.
+    /// Partitions a machine from others: no messages are delivered between them, and connections break after a while.
     pub fn partition(&mut self, one: u8, others: &[u8]) {
         self.network.partition(one, others);
     }
@@ -205,9 +207,9 @@
         self.network.heal(one, others);
     }
 
-    /// Has links hold back what goes over them; connections stay.
-    pub fn hold_messages(&mut self, one: u8, others: &[u8]) {
-        self.network.hold_messages(one, others);
+    /// Has the links between a machine and others queue their messages; connections stay open.
+    pub fn queue_messages(&mut self, one: u8, others: &[u8]) {
+        self.network.queue_messages(one, others);
     }
 
     pub fn release_messages(&mut self, one: u8, others: &[u8]) {
@@ -301,7 +303,8 @@
 
     // Events and actions.
 
-    /// Has the registry of a machine handle an event, unless it is down; later if it is paused.
+    /// Passes an event to the registry of a machine. A paused one handles it after it resumes; one that is down loses
+    /// it.
     pub fn handle_event(&mut self, machine: u8, event: Event) {
         if let Some(node) = self.nodes.get_mut(&machine) {
             node.events.push_back(event);
@@ -386,14 +389,14 @@
         });
     }
 
-    /// Sends a heartbeat; gives the call.
+    /// Sends a heartbeat to the registry of a machine. Returns the id of the call.
     pub fn send_heartbeat(&mut self, machine: u8, instance: Instance) -> CallId {
         let call = self.next_call();
         self.handle_event(machine, Event::Heartbeat { call, instance });
         call
     }
 
-    /// Sends a server's leave call; gives the call.
+    /// Sends a server's leave call to the registry of a machine. Returns the id of the call.
     pub fn send_leave(&mut self, machine: u8, id: &str) -> CallId {
         let call = self.next_call();
         let instance_id = id.into();
@@ -406,13 +409,13 @@
         CallId(self.last_call)
     }
 
-    /// The reply to a call that has come already, and when it did.
+    /// The time at which a call was replied to, and the reply; `None` if there is none yet.
     pub fn reply(&self, machine: u8, call: CallId) -> Option<(u64, ServerReply)> {
         self.nodes.get(&machine)?.replies.get(&call).copied()
     }
 
-    /// Runs until the reply to a call has come, at most as long as a server waits for it. Gives how long it took from
-    /// now on, and the reply.
+    /// Runs until a call is replied to, at most for `REPLY_TIMEOUT_MS`. Returns the milliseconds until the reply,
+    /// counted from now, and the reply.
     pub fn await_reply(&mut self, machine: u8, call: CallId) -> Option<(u64, ServerReply)> {
         let since = self.now;
         while self.now - since <= REPLY_TIMEOUT_MS {
@@ -424,7 +427,7 @@
         None
     }
 
-    /// Runs until the reply to a call has come; whether the call is acknowledged.
+    /// Runs as [`Cluster::await_reply`] does. Returns whether the call was acknowledged.
     pub fn is_acknowledged(&mut self, machine: u8, call: CallId) -> bool {
         matches!(
             self.await_reply(machine, call),
@@ -480,7 +483,7 @@
         self.handle_event(machine, Event::SessionClosed { session });
     }
 
-    /// Takes the messages that were sent in a session since the last time.
+    /// Returns the messages that were sent in a session since the last call.
     pub fn take_messages(&mut self, machine: u8, session: u64) -> Vec<ToProxy> {
         self.nodes
             .get_mut(&machine)
@@ -493,7 +496,8 @@
         &self.nodes[&machine].closed_sessions
     }
 
-    /// Whether the registry confirms its state in a session when asked now; `None` if it does not answer.
+    /// Sends a keep-alive in a session. Returns whether the answer confirms the registry's state; `None` if there is no
+    /// answer.
     pub fn query_confirmation(&mut self, machine: u8, session: u64) -> Option<bool> {
         self.send_keep_alive(machine, session);
         let messages = self.take_messages(machine, session);
--- a/crates/emberpin-membership/tests/common/mod.rs
+++ b/crates/emberpin-membership/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures: instances and items, a cluster of registries over an in-memory network, and what a proxy knows.
+//! Fixtures: instances and items, a cluster of registries over an in-memory network, and the view of a proxy.
 #![allow(
     dead_code,
     unused_imports,
@@ -18,22 +18,22 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// The address of a machine.
+/// The address of the machine with this number.
 pub fn ip(machine: u8) -> Ipv4Addr {
     Ipv4Addr::new(10, machine, 0, 1)
 }
 
-/// The machine of an address.
+/// The number of the machine with this address.
 pub fn machine(ip: Ipv4Addr) -> u8 {
     ip.octets()[1]
 }
 
-/// The zone of a machine.
+/// The zone of a machine. There are three zones.
 pub fn zone(machine: u8) -> String {
     format!("zone-{}", machine % 3)
 }
 
-/// An instance that is up, in the zone of machine 1.
+/// An instance that is up, in the zone of machine 1. Its port is derived from its id.
 pub fn instance(id: &str, seq: u64) -> Instance {
     let port = 8000 + id.bytes().fold(0, |sum, byte| sum + u16::from(byte));
     Instance {
@@ -48,7 +48,7 @@
     }
 }
 
-/// The same instance, draining.
+/// The instance that [`instance`] returns, draining.
 pub fn draining(id: &str, seq: u64) -> Instance {
     Instance {
         status: Status::Draining,
@@ -56,7 +56,7 @@
     }
 }
 
-/// The same instance, warming up.
+/// The instance that [`instance`] returns, warming up for this many milliseconds more.
 pub fn warming_up(id: &str, seq: u64, warmup_left_ms: u64) -> Instance {
     Instance {
         warmup_left: Duration::from_millis(warmup_left_ms),
@@ -64,7 +64,7 @@
     }
 }
 
-/// A configuration item; one without a body is deleted.
+/// A configuration item. Without a body it is the tombstone of a deleted one.
 pub fn item(kind: ItemKind, name: &str, version: u64, body: Option<&str>) -> Item {
     Item {
         key: ItemKey {
--- a/crates/emberpin-membership/tests/common/network.rs
+++ b/crates/emberpin-membership/tests/common/network.rs
@@ -1,4 +1,5 @@
-//! The in-memory network between registries: links with a delay, network partitions, and links that hold messages back.
+//! The in-memory network between registries. Links deliver messages with a delay. A test can partition machines, which
+//! breaks their links after a while, or have links queue their messages.
 
 use super::{ip, machine};
 use emberpin_membership::peers::{Ack, RegistryMessage};
@@ -6,14 +7,14 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::Ipv4Addr;
 
-/// How long a message takes.
+/// The delay of each message, in milliseconds.
 const DELAY_MS: u64 = 10;
-/// A link over which nothing is acknowledged for this long breaks.
+/// A partitioned link breaks after this time, like a connection without acknowledgements.
 const UNACKNOWLEDGED_TIMEOUT_MS: u64 = 1_500;
-/// How often a closed link is tried again.
+/// How often a machine tries to open a closed link.
 const CONNECT_INTERVAL_MS: u64 = 100;
 
-/// A link, named by the machine that keeps it open and the one that it leads to.
+/// Identifies a link by the machine that opens it (the caller) and the one that it leads to (the callee).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkId {
     pub caller: u8,
@@ -38,24 +39,25 @@
     partitioned_since: Option<u64>,
 }
 
-/// What happens to a link at a point in time.
+/// What has happened to a link in one step.
 pub enum LinkProgress {
     Unchanged,
     Opened,
     Broken,
-    /// Events that reach machines.
+    /// The events that arrive, each with the machine that receives it.
     Delivered(Vec<(u8, Event)>),
 }
 
 #[derive(Default)]
 pub struct Network {
     links: BTreeMap<LinkId, Link>,
-    /// Pairs of machines between which nothing gets through; links break after a while.
+    /// Pairs of caller and callee whose links deliver nothing, and break after a while.
     partitions: BTreeSet<(u8, u8)>,
-    /// Pairs of machines between which messages wait; links stay.
-    held: BTreeSet<(u8, u8)>,
+    /// Pairs of caller and callee whose links queue their messages and stay open.
+    queueing: BTreeSet<(u8, u8)>,
 }
 
+/// The pairs of a machine with each of the others, in both directions.
 fn pairs(one: u8, others: &[u8]) -> impl Iterator<Item = (u8, u8)> + '_ {
     others
         .iter()
@@ -73,13 +75,13 @@
         }
     }
 
-    pub fn hold_messages(&mut self, one: u8, others: &[u8]) {
-        self.held.extend(pairs(one, others));
+    pub fn queue_messages(&mut self, one: u8, others: &[u8]) {
+        self.queueing.extend(pairs(one, others));
     }
 
     pub fn release_messages(&mut self, one: u8, others: &[u8]) {
         for pair in pairs(one, others) {
-            self.held.remove(&pair);
+            self.queueing.remove(&pair);
         }
     }
 
@@ -102,21 +104,22 @@
         self.links.keys().copied().collect()
     }
 
-    /// A machine fails: its own links go, those of others to it break. Gives the latter.
+    /// Removes the links that a failed machine has opened. Returns the links of other machines to it, which the caller
+    /// must close.
     pub fn remove_machine(&mut self, machine: u8) -> Vec<LinkId> {
         self.links.retain(|id, _| id.caller != machine);
         let ids = self.links.keys().copied();
         ids.filter(|id| id.callee == machine).collect()
     }
 
-    /// Closes a link, which loses what is in flight; whether it was open.
+    /// Closes a link, which loses the messages in flight. Returns whether it was open.
     pub fn close(&mut self, id: LinkId) -> bool {
         self.links
             .get_mut(&id)
             .is_some_and(|link| std::mem::take(link).is_open)
     }
 
-    /// Sends a message over the caller's link; lost if it is not open.
+    /// Sends a message over the caller's link. The message is lost if the link is not open.
     pub fn send(&mut self, now: u64, caller: u8, peer: Ipv4Addr, message: RegistryMessage) {
         let callee = machine(peer);
         let link = self.links.get_mut(&LinkId { caller, callee });
@@ -128,7 +131,7 @@
         }
     }
 
-    /// Sends an acknowledgement back over the link that the peer has opened; lost if it is not open.
+    /// Sends an acknowledgement back over the link that the peer has opened. It is lost if the link is not open.
     pub fn acknowledge(&mut self, now: u64, callee: u8, peer: Ipv4Addr, ack: Ack) {
         let caller = machine(peer);
         let link = self.links.get_mut(&LinkId { caller, callee });
@@ -140,7 +143,7 @@
         }
     }
 
-    /// What happens to a link now.
+    /// Advances a link to the time `now`.
     pub fn advance(
         &mut self,
         now: u64,
@@ -150,7 +153,7 @@
     ) -> LinkProgress {
         let pair = (id.caller, id.callee);
         let is_partitioned = self.partitions.contains(&pair);
-        let is_held = self.held.contains(&pair);
+        let is_queueing = self.queueing.contains(&pair);
         let link = self.links.get_mut(&id).expect("the link exists");
         link.partitioned_since = is_partitioned.then(|| link.partitioned_since.unwrap_or(now));
         let is_timed_out = link
@@ -159,7 +162,7 @@
         if link.is_open && is_timed_out {
             return LinkProgress::Broken;
         }
-        if is_partitioned || !callee_is_up || is_held {
+        if is_partitioned || !callee_is_up || is_queueing {
             return LinkProgress::Unchanged;
         }
         if link.is_open {
--- a/crates/emberpin-membership/tests/common/proxy_view.rs
+++ b/crates/emberpin-membership/tests/common/proxy_view.rs
@@ -1,4 +1,4 @@
-//! What a proxy knows after the messages of a session.
+//! The state of a proxy after it has applied the messages of a session.
 
 use emberpin_config::{Item, ItemKey};
 use emberpin_membership::instance::{Instance, Status};
@@ -10,10 +10,10 @@
 pub struct ProxyView {
     pub revision: Option<Revision>,
     pub items: BTreeMap<ItemKey, Item>,
-    /// Instances that are not removed.
+    /// The status of the instances that are not removed.
     pub instances: BTreeMap<String, Status>,
     pub snapshot_count: usize,
-    /// The last snapshot was complete.
+    /// Whether the last snapshot was complete.
     pub is_complete: bool,
 }
 
@@ -53,7 +53,10 @@
                 .items
                 .entry(item.key.clone())
                 .or_insert_with(|| item.clone());
-            assert!(known.version <= item.version, "an item goes back");
+            assert!(
+                known.version <= item.version,
+                "an older version of an item replaces a newer one"
+            );
             *known = item.clone();
         }
         for instance in instances {
@@ -64,8 +67,8 @@
         }
     }
 
-    /// The instances that a proxy knows which has received everything from this registry.
-    pub fn instances_of(registry: &Registry) -> BTreeMap<String, Status> {
+    /// The instances that are not removed at this registry, which a proxy must know once it has received every change.
+    pub fn live_instances(registry: &Registry) -> BTreeMap<String, Status> {
         let all = registry
             .instances()
             .iter()
--- a/crates/emberpin-membership/tests/confirmation.rs
+++ b/crates/emberpin-membership/tests/confirmation.rs
@@ -1,4 +1,5 @@
-//! What a registry confirms to its sessions: nothing without a majority, or after a pause.
+//! Confirmations in sessions: a registry must not confirm its state without a majority, or by answers that were delayed
+//! by a pause.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -8,23 +9,23 @@
 use emberpin_membership::session::ToProxy;
 use googletest::prelude::*;
 
-/// A registry is paused again and again, each time too briefly to notice, while links hold back what was sent to it
-/// before. Gives what it confirms after each pause.
+/// Pauses a registry repeatedly, each time too briefly for it to detect the pause, while links queue the messages to
+/// it. Returns whether it confirms its state after each pause.
 fn confirmations_after_repeated_pauses(guards: Guards) -> Vec<bool> {
     let mut cluster = Cluster::new(3);
     cluster.restart_with_guards(1, guards);
     cluster.run_until_confirmed();
     cluster.open_session(1, 9, None, vec![]);
     cluster.run(20);
-    cluster.hold_messages(1, &[2, 3]);
+    cluster.queue_messages(1, &[2, 3]);
     let mut confirmed = Vec::new();
     for _ in 0..8 {
         cluster.pause(1);
         cluster.run(900);
-        // Links deliver for a moment what they hold back.
+        // Links deliver their queued messages for a moment.
         cluster.release_messages(1, &[2, 3]);
         cluster.run(5);
-        cluster.hold_messages(1, &[2, 3]);
+        cluster.queue_messages(1, &[2, 3]);
         cluster.resume(1);
         cluster.run(5);
         confirmed.extend(cluster.query_confirmation(1, 9));
@@ -33,7 +34,7 @@
 }
 
 #[gtest]
-fn late_answers_confirm_nothing_however_often_a_process_is_paused() {
+fn late_answers_confirm_nothing_after_repeated_pauses() {
     let confirmed = confirmations_after_repeated_pauses(Guards::default());
     expect_that!(confirmed[2..], each(eq(&false)));
     let without_guard = confirmations_after_repeated_pauses(Guards {
@@ -44,7 +45,8 @@
 }
 
 #[gtest]
-fn a_session_in_a_minority_learns_in_time_that_nothing_is_confirmed() -> googletest::Result<()> {
+fn a_registry_in_a_minority_stops_confirming_its_state_and_the_majority_goes_on(
+) -> googletest::Result<()> {
     let mut cluster = Cluster::confirmed(3);
     for machine in 1..=3 {
         cluster.open_session(machine, 9, None, vec![]);
@@ -71,7 +73,7 @@
 }
 
 #[gtest]
-fn a_session_learns_that_the_store_is_silent() -> googletest::Result<()> {
+fn a_registry_stops_confirming_its_state_when_its_store_is_silent() -> googletest::Result<()> {
     let mut cluster = Cluster::confirmed(1);
     cluster.open_session(1, 9, None, vec![]);
     cluster.run(600);
@@ -82,13 +84,13 @@
 }
 
 #[gtest]
-fn answers_that_waited_while_a_process_was_paused_confirm_nothing() -> googletest::Result<()> {
+fn answers_that_were_queued_during_a_pause_confirm_nothing() -> googletest::Result<()> {
     let mut cluster = Cluster::confirmed(3);
     cluster.open_session(1, 9, None, vec![]);
     cluster.run(600);
     cluster.pause(1);
     cluster.run(3_000);
-    // By the time at which it receives what the others sent before, they are out of contact.
+    // When it receives the messages that the peers sent before, it is partitioned from them.
     cluster.partition(1, &[2, 3]);
     _ = cluster.take_messages(1, 9);
     cluster.resume(1);
@@ -99,7 +101,7 @@
             eq(false)
         )?;
     }
-    // The same with its store.
+    // The same with answers of its store.
     let mut cluster = Cluster::confirmed(1);
     cluster.open_session(1, 9, None, vec![]);
     cluster.run(600);
--- a/crates/emberpin-membership/tests/deployment_bounds.rs
+++ b/crates/emberpin-membership/tests/deployment_bounds.rs
@@ -1,4 +1,5 @@
-//! Bounds of a deployment that control cannot keep are named with the sum that does not fit.
+//! Bounds of a deployment that the control plane cannot guarantee are reported with the sum of delays that exceeds
+//! them.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_membership::deployment_bounds::{Bound, DeploymentBounds};
@@ -9,7 +10,7 @@
     Duration::from_millis(millis)
 }
 
-/// The sums as they are.
+/// The tightest bounds that can be guaranteed: each equals its sum of delays.
 const TIGHTEST: DeploymentBounds = DeploymentBounds {
     ack: ms(1_950),
     apply: ms(2_000),
@@ -18,6 +19,7 @@
     contact: ms(2_600),
 };
 
+/// The exceeded bounds, each with the stated limit and the sum of delays.
 fn exceeded(bounds: DeploymentBounds) -> Vec<(Bound, Duration, Duration)> {
     let exceeded = bounds.exceeded();
     exceeded
@@ -27,12 +29,12 @@
 }
 
 #[gtest]
-fn bounds_as_long_as_the_sums_fit() {
+fn bounds_equal_to_their_sums_are_not_exceeded() {
     expect_that!(exceeded(TIGHTEST), is_empty());
 }
 
 #[gtest]
-fn each_bound_below_its_sum_is_named() {
+fn each_bound_below_its_sum_is_reported() {
     let cases = [
         (
             DeploymentBounds {
--- a/crates/emberpin-membership/tests/eviction.rs
+++ b/crates/emberpin-membership/tests/eviction.rs
@@ -10,7 +10,8 @@
 use googletest::prelude::*;
 
 #[gtest]
-fn the_owner_evicts_a_server_whose_heartbeats_stop_and_replicates_it() -> googletest::Result<()> {
+fn the_owner_evicts_a_server_whose_heartbeats_stop_and_replicates_the_eviction(
+) -> googletest::Result<()> {
     let mut cluster = Cluster::confirmed(3);
     cluster.add_server(1, "a");
     cluster.add_server(1, "b");
@@ -23,7 +24,7 @@
         verify_that!(cluster.status(machine, "a"), some(eq(Status::Removed)))?;
         verify_that!(cluster.status(machine, "b"), some(eq(Status::Up)))?;
     }
-    // Its heartbeats go on, and it is up everywhere; one that merely arrives late does not revive it.
+    // A heartbeat that merely arrives late does not revive the server; a newer one does, at all registries.
     let seq = cluster.entry(1, "a").instance(cluster.timestamp()).seq;
     cluster.send_heartbeat(2, instance("a", seq));
     verify_that!(cluster.status(2, "a"), some(eq(Status::Removed)))?;
@@ -36,8 +37,9 @@
 }
 
 #[gtest]
-fn an_unconfirmed_registry_evicts_nobody() -> googletest::Result<()> {
-    // Without contact to the others, or to the store in one of two ways.
+fn an_unconfirmed_registry_evicts_no_server() -> googletest::Result<()> {
+    // Unconfirmed because of a partition from the peers, a store that confirms nothing, or a store that does not
+    // answer.
     for (is_partitioned, store) in [
         (true, StoreState::Confirming),
         (false, StoreState::Unconfirmed),
@@ -56,7 +58,7 @@
             (is_partitioned, store, cluster.status(1, "a")),
             eq((is_partitioned, store, Some(Status::Up)))
         )?;
-        // Confirmed again, it waits for a whole eviction timeout once more: heartbeats may have been delayed.
+        // Once it is confirmed again, it waits for a whole eviction timeout, as heartbeats may have been delayed.
         cluster.heal(1, &[2, 3]);
         cluster.set_store(1, StoreState::Confirming);
         if !is_partitioned {
@@ -76,13 +78,13 @@
 }
 
 #[gtest]
-fn a_process_that_was_paused_evicts_nobody_at_once() -> googletest::Result<()> {
+fn a_registry_evicts_no_server_right_after_a_pause() -> googletest::Result<()> {
     let mut cluster = Cluster::confirmed(1);
     for number in 0..5 {
         cluster.add_server(1, &format!("s-{number}"));
     }
     cluster.run(2_000);
-    // It is the only registry, so answers of its store from before are all that can confirm it.
+    // It is the only registry, so only answers of its store from before the pause could confirm it.
     cluster.servers.clear();
     cluster.pause(1);
     cluster.run(2 * EVICTION_TIMEOUT_MS);
@@ -136,7 +138,7 @@
 }
 
 #[gtest]
-fn a_registry_that_lost_its_table_gives_up_its_servers() -> googletest::Result<()> {
+fn servers_that_fail_while_their_owner_loses_its_table_are_evicted() -> googletest::Result<()> {
     let mut cluster = Cluster::confirmed(3);
     cluster.add_server(1, "a");
     cluster.run(2_000);
@@ -158,7 +160,7 @@
     cluster.pause(1);
     cluster.run(EVICTION_TIMEOUT_MS + 2_000);
     verify_that!(cluster.status(2, "a"), some(eq(Status::Removed)))?;
-    // The registry has not noticed the pause of its process: for it, the server is up as before.
+    // The registry did not notice the pause of its process: it considers the server up, as before the pause.
     cluster.resume(1);
     cluster.run(2 * HEARTBEAT_INTERVAL_MS);
     for machine in 1..=3 {
@@ -172,7 +174,7 @@
     let mut cluster = Cluster::confirmed(3);
     cluster.add_server(1, "a");
     cluster.run(2 * EVICTION_TIMEOUT_MS);
-    // The server moves to another registry, which has no contact with the third one; then it fails.
+    // The server moves to another registry, which has no contact with the third one. Then the server fails.
     cluster.partition(2, &[3]);
     cluster.run(2_000);
     cluster.servers[0].target = 2;
--- a/crates/emberpin-membership/tests/heartbeats.rs
+++ b/crates/emberpin-membership/tests/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of servers: what is acknowledged, replicated, and directed to which registry.
+//! Heartbeats of servers: when they are acknowledged and replicated, and to which registry servers are directed.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -32,7 +32,7 @@
 }
 
 #[gtest]
-fn a_new_instance_evicts_the_one_that_had_its_address() -> googletest::Result<()> {
+fn a_new_instance_evicts_an_older_one_with_its_address() -> googletest::Result<()> {
     let mut cluster = Cluster::confirmed(3);
     cluster.send_heartbeat(1, instance("old", 4));
     cluster.run(50);
@@ -48,7 +48,8 @@
         verify_that!(cluster.status(machine, "old"), some(eq(Status::Removed)))?;
         verify_that!(cluster.status(machine, "new"), some(eq(Status::Up)))?;
     }
-    // If the older one is alive after all, both are up: requests name the instance that they are for.
+    // If the older instance is still running and sends a heartbeat, both are up: requests name the instance that they
+    // are for.
     cluster.send_heartbeat(1, instance("old", 5));
     cluster.run(50);
     for machine in 1..=3 {
@@ -77,7 +78,7 @@
         eq(&vec![ip(1), ip(4)])
     )?;
     verify_that!(targets.values().all(|count| *count >= 10), eq(true))?;
-    // All registries direct it to the same one.
+    // All registries direct the same server to the same registry.
     let call = cluster.send_heartbeat(3, instance("s-0", 2));
     let same = cluster.await_reply(3, call);
     let call = cluster.send_heartbeat(5, instance("s-0", 3));
@@ -137,7 +138,7 @@
     _ = cluster.take_messages(1, 9);
     let (message_count, ack_count) = (cluster.peer_message_count, cluster.heartbeat_ack_count);
     cluster.run_with_session(1, 9, 10_000);
-    // Six connections, two heartbeats a second on each, and an answer to each.
+    // Three registries have six connections, with two heartbeats a second on each, and one answer to each heartbeat.
     verify_that!(cluster.peer_message_count - message_count, le(6 * 2 * 10))?;
     verify_that!(cluster.heartbeat_ack_count - ack_count, le(6 * 2 * 10))?;
     verify_that!(
--- a/crates/emberpin-membership/tests/instance_table.rs
+++ b/crates/emberpin-membership/tests/instance_table.rs
@@ -1,4 +1,4 @@
-//! The table of instances by itself.
+//! The table of instances: limits of tombstones, and merging in any order.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -22,7 +22,7 @@
     instances.prune_tombstones(Timestamp::from_millis(600_000 + 5_000));
     verify_that!(instances.get("s-5001").is_some(), eq(true))?;
     verify_that!(instances.get("s-4999").is_none(), eq(true))?;
-    // One that was revived is not forgotten by its first tombstone.
+    // An instance that was revived is not deleted by the tombstone of its earlier removal.
     let mut instances = InstanceTable::default();
     let record = |seq| InstanceRecord {
         instance: instance("a", seq),
@@ -45,7 +45,8 @@
                 let seq = u64::from(random.rand_range(1..4));
                 let status = [Status::Up, Status::Up, Status::Draining, Status::Removed];
                 let status = status[random.rand_range(0..4) as usize];
-                // Who evicted it knew it by this seq; a server reports one status under one seq.
+                // Whether the registry that sent the record had evicted the instance after the heartbeat with this
+                // `seq`. A server reports one status under one `seq`; the records drawn here need not.
                 let expired = random.rand_range(0..4) == 0;
                 InstanceRecord {
                     instance: Instance {
--- a/crates/emberpin-membership/tests/operator_calls.rs
+++ b/crates/emberpin-membership/tests/operator_calls.rs
@@ -1,4 +1,4 @@
-//! Where calls of the operator are handled.
+//! The registry by which calls of the operator are handled.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -8,7 +8,8 @@
 use emberpin_membership::registry::OperatorCallTarget;
 use googletest::prelude::*;
 
-/// Machine 1 is partitioned from the others, and its lease has expired.
+/// A cluster of three in which machine 1 is partitioned from the others and its store confirms nothing, until its
+/// leases have expired.
 fn partitioned_cluster(guards: Guards) -> Cluster {
     let mut cluster = Cluster::new(3);
     cluster.restart_with_guards(1, guards);
@@ -32,7 +33,7 @@
         eq(true)
     )?;
     verify_that!(target(&cluster, 2), eq(OperatorCallTarget::Local))?;
-    // Once it is in contact with a majority again, and so is its store, it handles them itself.
+    // Once the registry and its store are in contact with a majority again, it handles calls itself.
     cluster.heal(1, &[2, 3]);
     cluster.set_store(1, StoreState::Confirming);
     cluster.run(2_500);
--- a/crates/emberpin-membership/tests/peers.rs
+++ b/crates/emberpin-membership/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Registries beside those of the voters.
+//! Registries on machines without a vote, and the table that a new peer is sent.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -15,8 +15,8 @@
 use std::time::Duration;
 
 #[gtest]
-fn a_registry_without_a_vote_gets_everything_but_counts_for_no_majority() -> googletest::Result<()>
-{
+fn a_registry_without_a_vote_receives_all_changes_but_counts_for_no_majority(
+) -> googletest::Result<()> {
     let mut cluster = Cluster::confirmed(3);
     cluster.add_server(2, "a");
     cluster.start(4);
@@ -37,7 +37,7 @@
             .registries_in_contact(cluster.timestamp()),
         contains(eq(&ip(4)))
     )?;
-    // Without contact for long, it is not connected to any more.
+    // After a minute without contact, the others no longer connect to it.
     cluster.kill(4);
     verify_that!(cluster.has_link(1, 4), eq(true))?;
     cluster.run(62_000);
@@ -47,7 +47,7 @@
     )
 }
 
-/// What a registry with this many servers sends a peer when the connection to it opens.
+/// The hello messages that a registry with this number of servers sends a peer when the connection to it opens.
 fn hellos(server_count: u32) -> Vec<RegistryMessage> {
     let (now, mut actions) = (Timestamp::ZERO, Vec::new());
     let config = RegistryConfig {
--- a/crates/emberpin-membership/tests/random_faults.rs
+++ b/crates/emberpin-membership/tests/random_faults.rs
@@ -1,5 +1,5 @@
-//! Random faults, one machine at a time as `tolerance` allows: nothing that was acknowledged is lost, and afterwards all
-//! registries agree on the servers that exist.
+//! Random faults of one machine at a time, as the setting `tolerance` allows. No acknowledged drain or exit may be
+//! lost, and afterwards all registries must agree on the servers that exist.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -12,16 +12,16 @@
 use std::collections::BTreeMap;
 
 const SIZE: u8 = 5;
-/// The time from the end of a fault until a machine must know what was acknowledged.
+/// The time from the end of a fault until all machines must know every acknowledged shutdown, in milliseconds.
 const RECOVERY_MS: u64 = 2_500;
-/// The time from an acknowledgement until a machine without a fault must know of it.
+/// The time from an acknowledgement until every machine without a fault must know the shutdown, in milliseconds.
 const REPLICATION_MS: u64 = 100;
 
 #[derive(Clone, Copy, PartialEq)]
 enum FaultKind {
     Killed,
     Paused,
-    /// Partitioned from the first `count` of these machines.
+    /// Partitioned from the first `count` machines of `others`.
     Partitioned {
         others: [u8; 2],
         count: usize,
@@ -34,7 +34,7 @@
     until: u64,
 }
 
-/// A drain or an end that a server has reported, and whose reply has not come yet.
+/// A drain or exit that a server has reported and that has not been replied to yet.
 struct PendingShutdown {
     machine: u8,
     instance_id: String,
@@ -45,10 +45,12 @@
     cluster: Cluster,
     random: oorandom::Rand32,
     fault: Option<Fault>,
+    /// When the last fault ended.
     healthy_since: u64,
     server_count: u32,
     pending: BTreeMap<CallId, PendingShutdown>,
-    /// The status that was acknowledged to each server, and when.
+    /// The status that was acknowledged to each server, by the id of its instance, with the time of the
+    /// acknowledgement.
     acknowledged: BTreeMap<String, (Status, u64)>,
 }
 
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Servers retry at another registry when theirs does not answer.
+    /// Moves all servers of one registry to another: servers retry there when theirs does not answer.
     fn move_servers(&mut self, from: u8, to: u8) {
         for server in &mut self.cluster.servers {
             if server.target == from {
@@ -160,7 +162,7 @@
         let index = self.draw(count) as usize;
         let (step, healthy) = (self.draw(4), self.draw_healthy_machine());
         match step {
-            // It fails without a report.
+            // The server fails without a report.
             0 => _ = self.cluster.servers.swap_remove(index),
             1 => self.cluster.servers[index].target = healthy,
             2 => self.drain(index),
@@ -194,7 +196,7 @@
         self.pending.insert(call, pending);
     }
 
-    /// Records what was acknowledged, and checks that every machine that must know of it does.
+    /// Records new acknowledgements, and checks that all machines that must know an acknowledged shutdown do.
     fn check(&mut self, seed: u64) -> googletest::Result<()> {
         self.record_replies();
         let now = self.cluster.now;
@@ -236,7 +238,7 @@
 }
 
 #[gtest]
-fn what_was_acknowledged_survives_the_failure_of_any_one_machine() -> googletest::Result<()> {
+fn acknowledged_shutdowns_survive_the_failure_of_any_one_machine() -> googletest::Result<()> {
     let mut acknowledged_count = 0;
     for seed in 0..60 {
         let mut explorer = Explorer::new(seed);
@@ -260,11 +262,11 @@
             .map(|server| (server.instance.id.clone(), server.instance.status))
             .collect();
         for machine in 1..=SIZE {
-            let known = ProxyView::instances_of(explorer.cluster.registry(machine));
+            let known = ProxyView::live_instances(explorer.cluster.registry(machine));
             verify_that!((seed, machine, &known), eq((seed, machine, &servers)))?;
         }
     }
-    // The faults and shutdowns did happen.
+    // Enough shutdowns were acknowledged for the test to be meaningful.
     verify_that!(acknowledged_count, gt(500))
 }
 
--- a/crates/emberpin-membership/tests/repair.rs
+++ b/crates/emberpin-membership/tests/repair.rs
@@ -1,4 +1,4 @@
-//! Registries that start with empty tables, and what they learn from proxies.
+//! Repair from proxies: registries that start with empty tables learn instances and drains from the proxies' sessions.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -8,7 +8,7 @@
 use googletest::prelude::*;
 
 #[gtest]
-fn a_registry_that_has_just_started_evicts_nobody() -> googletest::Result<()> {
+fn a_registry_that_has_just_started_evicts_no_server() -> googletest::Result<()> {
     let mut cluster = Cluster::confirmed(1);
     cluster.kill(1);
     cluster.start(1);
@@ -25,7 +25,7 @@
     let mut other = ProxyView::default();
     other.apply(&cluster.take_messages(1, 8));
     verify_that!(other.is_complete, eq(false))?;
-    // What proxies report stands until the registry has been confirmed for a whole eviction timeout.
+    // Instances that proxies report are kept until the registry has been confirmed for a whole eviction timeout.
     while cluster.now < started_at + EVICTION_TIMEOUT_MS - 100 {
         cluster.run_with_session(1, 9, 500);
         view.apply(&cluster.take_messages(1, 9));
--- a/crates/emberpin-membership/tests/sessions.rs
+++ b/crates/emberpin-membership/tests/sessions.rs
@@ -28,7 +28,7 @@
     cluster.send_heartbeat(1, instance("c", 1));
     cluster.send_leave(1, "a");
     cluster.run(10);
-    // The session gets only the changes since then.
+    // The new session receives only the changes since then.
     cluster.open_session(1, 2, view.revision, vec![]);
     let messages = cluster.take_messages(1, 2);
     verify_that!(
@@ -40,9 +40,10 @@
     view.apply(&messages);
     verify_that!(
         view.instances,
-        eq(&ProxyView::instances_of(cluster.registry(1)))
+        eq(&ProxyView::live_instances(cluster.registry(1)))
     )?;
-    // A revision of another incarnation, of the future, or behind the log gets a snapshot.
+    // A proxy with a revision that is newer than the log, of another incarnation, or too old for the log gets a
+    // snapshot.
     let revision = view.revision.expect("a revision");
     let future = Revision {
         number: revision.number + 1,
@@ -81,7 +82,7 @@
 }
 
 #[gtest]
-fn no_change_is_missed_however_often_a_proxy_reconnects() -> googletest::Result<()> {
+fn a_proxy_that_reconnects_repeatedly_misses_no_change() -> googletest::Result<()> {
     for seed in 0..200 {
         let mut random = oorandom::Rand32::new(seed);
         let mut cluster = Cluster::confirmed(1);
@@ -90,7 +91,7 @@
         for _ in 0..120 {
             match random.rand_range(0..8) {
                 0 if is_connected => {
-                    // What is in flight is lost with the connection, or was received before.
+                    // Messages in flight are either lost with the connection, or were received before.
                     let messages = cluster.take_messages(1, session);
                     if random.rand_range(0..2) == 0 {
                         view.apply(&messages);
@@ -135,7 +136,7 @@
         let registry = cluster.registry(1);
         verify_that!(
             (seed, &view.instances),
-            eq((seed, &ProxyView::instances_of(registry)))
+            eq((seed, &ProxyView::live_instances(registry)))
         )?;
         verify_that!(view.items.len(), eq(registry.item_count()))?;
     }
@@ -181,7 +182,7 @@
 }
 
 #[gtest]
-fn a_proxy_gets_the_instances_whose_status_it_has_wrong() -> googletest::Result<()> {
+fn a_proxy_is_sent_the_instances_that_it_lists_with_a_wrong_status() -> googletest::Result<()> {
     let mut cluster = Cluster::confirmed(1);
     cluster.open_session(1, 1, None, vec![]);
     let mut view = ProxyView::default();
@@ -198,7 +199,7 @@
         cluster.run(10);
         cluster.open_session(1, 2, None, vec![]);
         view.apply(&cluster.take_messages(1, 2));
-        // Both with a snapshot and when it resumes from its revision.
+        // Both with a snapshot and when the session resumes from a revision.
         for (session, resume_from) in [(3, None), (4, view.revision)] {
             cluster.open_session(1, session, resume_from, vec![instance(&id, 1)]);
             let messages = cluster.take_messages(1, session);
@@ -226,7 +227,7 @@
             _ => None,
         })
     };
-    // The second proxy has sessions with two registries, as all do.
+    // The second proxy has sessions with two registries, as all proxies have in production.
     for (machine, session) in [(1, 1), (1, 2), (2, 2), (3, 3)] {
         cluster.open_session(machine, session, None, vec![]);
     }
--- a/crates/emberpin-membership/tests/shutdown.rs
+++ b/crates/emberpin-membership/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Drains and ends of servers, which are acknowledged with a majority.
+//! Drains and exits of servers, which must be acknowledged only once a majority has recorded them.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -19,7 +19,7 @@
     cluster.kill(1);
     for machine in [2, 3] {
         verify_that!(cluster.status(machine, "a"), some(eq(Status::Draining)))?;
-        // A proxy that connects with what it knew before learns of it.
+        // A proxy that connects with its state from before the drain learns of the drain.
         cluster.open_session(machine, 9, None, vec![instance("a", 1)]);
         let mut view = ProxyView::default();
         view.apply(&cluster.take_messages(machine, 9));
@@ -28,7 +28,8 @@
             eq(&BTreeMap::from([("a".to_string(), Status::Draining)]))
         )?;
     }
-    // The failed machine starts with an empty table, and learns of it before it could send anything else.
+    // The failed machine restarts with an empty table, and learns of the drain from its peers before it could send them
+    // anything else.
     cluster.start(1);
     cluster.run(300);
     verify_that!(cluster.status(1, "a"), some(eq(Status::Draining)))
@@ -43,7 +44,7 @@
         (took < 60, matches!(reply, ServerReply::Acknowledged { .. })),
         eq((true, true))
     )?;
-    // A registry that does not answer delays it a little.
+    // A registry that does not answer delays the acknowledgement by a limited time.
     cluster.pause(5);
     let call = cluster.send_heartbeat(1, draining("b", 1));
     let (took, reply) = cluster.await_reply(1, call).expect("a reply");
@@ -55,7 +56,7 @@
         ),
         eq((true, true, true))
     )?;
-    // With two of five registries it is not acknowledged, and the reply says so in time.
+    // With two of five registries it is not acknowledged, and that reply arrives within the server's time-out.
     cluster.resume(5);
     cluster.partition(1, &[3, 4, 5]);
     cluster.partition(2, &[3, 4, 5]);
@@ -75,7 +76,7 @@
     // The other side of the partition acknowledges it.
     let call = cluster.send_heartbeat(3, draining("c", 2));
     verify_that!(cluster.is_acknowledged(3, call), eq(true))?;
-    // What was acknowledged before is acknowledged again at once.
+    // A drain that was acknowledged before is acknowledged again at once.
     let call = cluster.send_heartbeat(3, draining("c", 3));
     verify_that!(cluster.reply(3, call).is_some(), eq(true))
 }
@@ -85,7 +86,7 @@
     let mut cluster = Cluster::confirmed(1);
     cluster.send_heartbeat(1, instance("a", 5));
     cluster.send_heartbeat(1, draining("a", 6));
-    // Neither a late heartbeat nor a later one moves it back.
+    // Neither a delayed nor a newer heartbeat moves the status back.
     for seq in [4, 7] {
         let call = cluster.send_heartbeat(1, instance("a", seq));
         verify_that!(cluster.is_acknowledged(1, call), eq(true))?;
@@ -106,7 +107,7 @@
 }
 
 #[gtest]
-fn the_end_of_a_draining_server_needs_a_majority_of_its_own() -> googletest::Result<()> {
+fn the_exit_of_a_draining_server_needs_its_own_majority() -> googletest::Result<()> {
     let mut cluster = Cluster::confirmed(3);
     let call = cluster.send_heartbeat(1, draining("a", 1));
     verify_that!(cluster.is_acknowledged(1, call), eq(true))?;
@@ -116,7 +117,7 @@
 }
 
 #[gtest]
-fn a_pending_drain_is_sent_to_registries_that_connect_meanwhile() -> googletest::Result<()> {
+fn a_pending_drain_is_sent_to_registries_that_connect_later() -> googletest::Result<()> {
     let mut cluster = Cluster::confirmed(3);
     cluster.partition(1, &[2, 3]);
     cluster.run(3_000);
@@ -127,7 +128,7 @@
 }
 
 #[gtest]
-fn a_shutdown_is_passed_on_to_registries_that_its_first_one_cannot_reach() -> googletest::Result<()>
+fn a_shutdown_is_forwarded_to_registries_that_the_first_one_cannot_reach() -> googletest::Result<()>
 {
     let mut cluster = Cluster::confirmed(3);
     cluster.open_session(3, 9, None, vec![]);
@@ -143,7 +144,7 @@
     ] {
         verify_that!(cluster.is_acknowledged(1, call), eq(true))?;
     }
-    // What it has not delivered yet is lost with it.
+    // Messages that the first registry has not delivered yet are lost with it.
     cluster.kill(1);
     cluster.run(50);
     verify_that!(cluster.status(3, "a"), some(eq(Status::Draining)))?;
--- a/crates/emberpin-membership/tests/snapshots.rs
+++ b/crates/emberpin-membership/tests/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots in parts.
+//! Snapshots, which proxies fetch in parts.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -11,7 +11,7 @@
 use googletest::prelude::*;
 use std::collections::BTreeMap;
 
-/// Fetches the parts of a snapshot until it is complete; gives how many were requested.
+/// Fetches the parts of a snapshot until it is complete. Returns the number of parts that were requested.
 fn fetch_all_parts(
     cluster: &mut Cluster,
     session: u64,
@@ -47,6 +47,7 @@
     }
 }
 
+/// Routes with the numbers `from..to`, each with a body of 300 bytes.
 fn routes(from: usize, to: usize, version: u64) -> Vec<Item> {
     let body = "x".repeat(300);
     (from..to)
@@ -61,7 +62,7 @@
         .collect()
 }
 
-/// The parts are bounded at each size, and their number grows with the whole.
+/// The size of a part does not depend on the size of the table; the number of parts does.
 #[gtest]
 fn a_snapshot_is_sent_in_parts_of_bounded_size() -> googletest::Result<()> {
     for size in [100, 1_000, 10_000] {
@@ -72,6 +73,7 @@
         let (mut progress, mut items) = (None, BTreeMap::new());
         let parts = fetch_all_parts(&mut cluster, 1, &mut progress, &mut items);
         println!("{size} routes: {} parts", parts + 1);
+        // Each route counts 355 bytes: 48 of overhead, 7 of its name and 300 of its body.
         verify_that!(
             (items.len(), parts),
             eq((size, size * 355 / SNAPSHOT_PART_BYTES))
@@ -80,7 +82,8 @@
     Ok(())
 }
 
-/// With changes before and after the cursor, sessions that end between parts, and more changes than the log keeps.
+/// Changes happen before and after the cursor, sessions end between parts, and at times there are more changes than the
+/// log keeps. No item may be missed.
 #[gtest]
 fn a_snapshot_resumes_from_its_cursor_while_changes_go_on() -> googletest::Result<()> {
     for seed in 0..20 {
@@ -106,6 +109,7 @@
                 version += 1;
                 let first = random.rand_range(0..110) as usize;
                 let count = if random.rand_range(0..60) == 0 {
+                    // More changes than the log keeps.
                     4_200
                 } else {
                     1
--- a/crates/emberpin-membership/tests/timing.rs
+++ b/crates/emberpin-membership/tests/timing.rs
@@ -1,4 +1,4 @@
-//! The sum of delays. The bounds themselves are asserted in `src/timing.rs`, which does not compile beyond them.
+//! The intervals and the sums of delays. `src/timing.rs` asserts at compile time that the sums stay within the bounds.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_membership::timing;
@@ -10,7 +10,7 @@
     Duration::from_millis(millis)
 }
 
-/// The numbers that `docs/design/parts/contact.md` states.
+/// The values that `docs/design/parts/contact.md` states.
 #[gtest]
 fn recovery_from_a_partition_takes_as_long_as_the_design_states() {
     expect_that!(
@@ -23,7 +23,7 @@
 }
 
 #[gtest]
-fn every_interval_keeps_its_number() {
+fn every_interval_keeps_its_value() {
     expect_that!(timing::STORE_COMPARISON_INTERVAL, eq(ms(500)));
     expect_that!(timing::STORE_QUERY_INTERVAL, eq(ms(250)));
     expect_that!(timing::PEER_HEARTBEAT_INTERVAL, eq(ms(500)));
@@ -40,7 +40,7 @@
 }
 
 #[gtest]
-fn a_reconnect_pause_doubles_up_to_its_maximum() {
+fn the_reconnect_backoff_doubles_up_to_its_maximum() {
     let backoff = timing::RECONNECT_BACKOFF;
     let mut pause = backoff.initial;
     let mut pauses = vec![pause];
--- a/crates/emberpin-membership/tests/warmup.rs
+++ b/crates/emberpin-membership/tests/warmup.rs
@@ -11,6 +11,7 @@
 use googletest::prelude::*;
 use std::time::Duration;
 
+/// The remaining warm-up time of an instance at the registry of a machine, in milliseconds.
 fn warmup_left_ms(cluster: &Cluster, machine: u8, id: &str) -> u128 {
     cluster
         .entry(machine, id)
@@ -20,7 +21,7 @@
 }
 
 #[gtest]
-fn warmups_are_replicated_and_run_down() -> googletest::Result<()> {
+fn warmups_are_replicated_and_their_remaining_time_decreases() -> googletest::Result<()> {
     let mut cluster = Cluster::confirmed(3);
     cluster.send_heartbeat(1, warming_up("a", 1, 3_000));
     cluster.run(1_000);
@@ -30,7 +31,7 @@
             all![ge(1_950), le(2_050)]
         )?;
     }
-    // A server may have to warm up again at any time.
+    // A server may report at any time that it warms up again.
     cluster.run(3_000);
     cluster.send_heartbeat(1, warming_up("a", 2, 2_000));
     cluster.run(50);
@@ -44,7 +45,7 @@
 }
 
 #[gtest]
-fn servers_warm_up_after_an_evacuation_until_they_report_anew() -> googletest::Result<()> {
+fn servers_warm_up_after_an_evacuation_until_a_later_heartbeat() -> googletest::Result<()> {
     let mut cluster = Cluster::confirmed(1);
     let service = item(
         ItemKind::Service,
@@ -82,14 +83,15 @@
         ),
         eq((true, 0))
     )?;
-    // The item and the instances that warm up are sent together.
+    // The item and the instances that warm up again are sent in one message.
     let messages = cluster.take_messages(1, 9);
     let together = |message: &ToProxy| {
         matches!(message, ToProxy::Changes { items, instances, .. }
         if items.len() == 1 && instances.len() == 1 && instances[0].warmup_left > Duration::from_millis(3_900))
     };
     verify_that!(messages.iter().any(together), eq(true))?;
-    // A heartbeat that may have been sent before does not count, a later one does.
+    // A heartbeat that may have been sent before the end of the evacuation does not shorten the warm-up; a later one
+    // does.
     cluster.run(HEARTBEAT_INTERVAL_MS / 2);
     cluster.send_heartbeat(1, instance("a", 2));
     verify_that!(warmup_left_ms(&cluster, 1, "a"), gt(3_000))?;
@@ -105,7 +107,7 @@
     cluster.handle_event(1, ended(2));
     cluster.run(HEARTBEAT_INTERVAL_MS * 2);
     cluster.send_heartbeat(1, instance("a", 1));
-    // The operator has ended what had ended: the zone got requests all the time.
+    // The evacuation is ended twice in a row, so the zone got requests all the time.
     cluster.handle_event(1, ended(3));
     verify_that!(warmup_left_ms(&cluster, 1, "a"), eq(0))?;
     // Between these two versions the zone may have been evacuated.
@@ -113,6 +115,7 @@
     verify_that!(warmup_left_ms(&cluster, 1, "a"), gt(0))
 }
 
+/// The delivery of an item that ends the evacuation of the servers' zone.
 fn evacuation_ended() -> Event {
     Event::Items(vec![item(ItemKind::Evacuation, &zone(1), 2, None)])
 }
@@ -151,7 +154,7 @@
 }
 
 #[gtest]
-fn where_all_registries_have_restarted_instances_known_to_proxies_must_warm_up(
+fn instances_learned_from_proxies_warm_up_if_all_registries_have_restarted(
 ) -> googletest::Result<()> {
     for items_first in [true, false] {
         let mut cluster = Cluster::new(3);
@@ -179,7 +182,7 @@
             eq((items_first, true))
         )?;
         verify_that!(warmup_left_ms(&cluster, 1, "b"), eq(0))?;
-        // Reported once more, its warm-up does not begin anew.
+        // When a proxy reports the instance once more, its warm-up does not begin anew.
         cluster.run(HEARTBEAT_INTERVAL_MS / 2);
         cluster.open_session(1, 11, None, vec![instance("a", 7), instance("d", 7)]);
         verify_that!(
@@ -189,11 +192,11 @@
             ),
             eq((true, true))
         )?;
-        // What the servers themselves report counts after a heartbeat interval.
+        // Reports of the servers themselves are accepted after a heartbeat interval.
         cluster.run(HEARTBEAT_INTERVAL_MS);
         cluster.send_heartbeat(1, instance("a", 8));
         verify_that!(warmup_left_ms(&cluster, 1, "a"), eq(0))?;
-        // What proxies report later is not from before.
+        // Reports of proxies that come later do not date from before the end of the evacuation.
         cluster.open_session(1, 10, None, vec![instance("c", 7)]);
         verify_that!(warmup_left_ms(&cluster, 1, "c"), eq(0))?;
     }
