--- a/crates/emberpin-membership/src/candidates.rs
+++ b/crates/emberpin-membership/src/candidates.rs
@@ -28,8 +28,8 @@
     hinted: BTreeSet<Ipv4Addr>,
     /// The registry that each slot is connected to, or tries to connect to.
     in_use: BTreeMap<usize, Ipv4Addr>,
-    /// The registries whose last session ended unconfirmed, with the time at which it ended. They are chosen last for
-    /// [`AVOIDANCE_PERIOD`].
+    /// The registries with which a session or an attempt to open one ended unconfirmed, each with the time of that end.
+    /// They are chosen last for [`AVOIDANCE_PERIOD`].
     avoided: BTreeMap<Ipv4Addr, Timestamp>,
 }
 
--- a/crates/emberpin-membership/src/session.rs
+++ b/crates/emberpin-membership/src/session.rs
@@ -162,7 +162,7 @@
     Confirmation {
         /// The nonce of the keep-alive.
         nonce: Nonce,
-        /// The greatest age of the state that this session has received: everything that a majority knew at that time
+        /// The greatest age of the state that this session has received: everything that a majority knew that long ago
         /// has been sent in the session. In milliseconds on the wire; `None` if the registry can confirm nothing, as
         /// its contact with a majority is missing or too old.
         #[serde(with = "crate::clock::optional_millis_encoding")]
@@ -171,7 +171,7 @@
         /// that they have in common.
         proxies: u32,
         /// The machines whose registries are in contact with this one, its own among them. If the registry can confirm
-        /// nothing, all machines that it knows as peers, in contact or not.
+        /// nothing, all its peers are listed, in contact or not.
         registries: Vec<Ipv4Addr>,
     },
     /// Answers [`FromProxy::FetchSnapshotPart`] with the next part of the snapshot.
--- a/crates/emberpin-membership/src/timing.rs
+++ b/crates/emberpin-membership/src/timing.rs
@@ -40,8 +40,8 @@
 pub const OPERATOR_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How long a registry collects changes before it sends them to its sessions in one message.
 pub const CHANGE_BATCH_DELAY: Duration = Duration::from_millis(5);
-/// How long a proxy tries a registry only after all others, once it could not connect to it or has ended an unconfirmed
-/// session with it.
+/// How long a proxy avoids a registry, which means that it tries the registry only after all others, once it could not
+/// connect to it or has ended an unconfirmed session with it.
 pub const AVOIDANCE_PERIOD: Duration = Duration::from_millis(5_000);
 /// The time that the connection, the snapshot and the first confirmation of a new session are assumed to take without a
 /// fault.
@@ -123,8 +123,9 @@
 /// The deployment bounds for which the intervals above are chosen, as the settings files of small and of large sites
 /// state them.
 ///
-/// A proxy does not try a registry again that could confirm nothing, and its two sessions may be with two registries
-/// that are cut off. So a partition that cuts off `n` registries costs a proxy at most `n - 2` failed attempts.
+/// A partition matters to a proxy if both registries of its two sessions are cut off. The proxy does not try these
+/// again, nor any other registry that could confirm nothing. So a partition that cuts off `n` registries costs `n - 2`
+/// failed attempts.
 pub mod bounds {
     use std::time::Duration;
 
