--- a/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/adapter.rs
+++ b/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/adapter.rs
@@ -1,4 +1,4 @@
-//! The gateways that the simulator started, and the dispatch of its lines to them.
+//! Hosts the gateways that the simulator started, and dispatches its lines to them.
 
 use crate::translate::{self, Translator};
 use crate::wire::{
@@ -10,28 +10,28 @@
 use std::io::Write;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Why a line of input cannot be carried out.
+/// Error in the handling of a line of input.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
     /// The input or the output failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// The line is not a known message, or an answer cannot be encoded.
+    /// The line is not a known message, or a reply cannot be encoded.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A batch begins before the one before it ended.
+    /// A batch begins before the previous one has ended.
     #[error("'clock' within a batch")]
     NestedBatch,
-    /// A message comes before the clock of its batch.
+    /// A message comes before a `clock` line has opened a batch.
     #[error("no 'clock' opens this batch")]
     NoBatch,
-    /// The input ends before its last batch does.
+    /// The input ends before its last batch has ended.
     #[error("the input ends within a batch")]
     UnfinishedBatch,
-    /// A message is for a gateway that was not started or was stopped.
+    /// A message is for a gateway that was not started or was already stopped.
     #[error("limiter {0} was not started")]
     UnknownInstance(InstanceId),
-    /// A server list update refers to a list that never came.
+    /// A server list update refers to a list that was not received.
     #[error("no list has number {0}")]
     UnknownList(ListId),
     /// A server list update has no list.
@@ -51,18 +51,18 @@
     Base64(#[from] base64::DecodeError),
 }
 
-/// How far a line brought the conversation.
+/// State of the input after a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// The batch goes on, or none is open.
+    /// The batch continues, or none is open.
     Continue,
-    /// The batch is complete and its output is to be sent.
+    /// The batch is complete; its output has to be flushed.
     BatchComplete,
-    /// No further line comes.
+    /// There are no further lines.
     InputEnded,
 }
 
-/// One hosted gateway, and the names that its settings gave to the indices.
+/// One hosted gateway, and the translation of its settings' names.
 struct Instance {
     gateway: Gateway,
     translator: Translator,
@@ -75,7 +75,7 @@
     sequence: u64,
 }
 
-/// Hosts gateways and feeds them the simulator's lines.
+/// Hosts gateways and passes the simulator's messages to them.
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<InstanceId, Instance>,
@@ -85,11 +85,11 @@
 }
 
 impl Adapter {
-    /// Handles one line of input; `None` is the input's end. Blank lines are skipped.
+    /// Handles one line of input; `None` is the end of the input. Blank lines are skipped.
     ///
     /// # Errors
     ///
-    /// When the line is no message, or one that does not fit what came before it.
+    /// When the line is not a message, or does not fit the messages before it.
     pub fn handle_text(&mut self, text: Option<&[u8]>) -> Result<Progress, LineError> {
         let Some(text) = text else {
             return match self.batch {
@@ -103,7 +103,7 @@
         self.handle_input(serde_json::from_slice(text)?)
     }
 
-    /// Writes the lines of output that gathered in the batch, and flushes them.
+    /// Writes and flushes the output of the batch.
     ///
     /// # Errors
     ///
@@ -135,36 +135,36 @@
             Input::ServerList { list, hosts } => drop(self.server_lists.insert(list, hosts)),
             Input::ServerListUpdate(update) => {
                 let event = self.membership_event(&update)?;
-                self.feed(update.instance, now, event)?;
+                self.handle_event(update.instance, now, event)?;
             }
             Input::Request(request) => {
                 let event = self
                     .instance(request.instance)?
                     .translator
                     .request(&request)?;
-                self.feed(request.instance, now, event)?;
+                self.handle_event(request.instance, now, event)?;
             }
             Input::ResponseStarted { instance, request } => {
-                self.feed(instance, now, Event::ResponseStarted { request })?;
+                self.handle_event(instance, now, Event::ResponseStarted { request })?;
             }
             Input::Abandoned { instance, request } => {
-                self.feed(instance, now, Event::Abandoned { request })?;
+                self.handle_event(instance, now, Event::Abandoned { request })?;
             }
             Input::AttemptEnded(ended) => {
-                self.feed(ended.instance, now, translate::attempt_ended(ended))?;
+                self.handle_event(ended.instance, now, translate::attempt_ended(ended))?;
             }
             Input::Timer { instance, token } => {
-                self.feed(instance, now, Event::Timer { token })?;
+                self.handle_event(instance, now, Event::Timer { token })?;
             }
             Input::CounterReply(reply) => {
-                self.feed(reply.instance, now, translate::counter_reply(&reply))?;
+                self.handle_event(reply.instance, now, translate::counter_reply(&reply))?;
             }
             Input::ProbeEnded(ended) => {
-                self.feed(ended.instance, now, translate::probe_ended(ended))?;
+                self.handle_event(ended.instance, now, translate::probe_ended(ended))?;
             }
             Input::PeerMessage(message) => {
                 let event = translate::peer_message(&message)?;
-                self.feed(message.instance, now, event)?;
+                self.handle_event(message.instance, now, event)?;
             }
         }
         Ok(Progress::Continue)
@@ -178,8 +178,8 @@
 
     fn start(&mut self, start: StartGateway, now: Millis) -> Result<(), LineError> {
         let (settings, names) = start.settings.to_settings()?;
-        let create = || Gateway::new(settings, start.seed, now);
-        let Ok(gateway) = catch_unwind(AssertUnwindSafe(create)) else {
+        let create_gateway = || Gateway::new(settings, start.seed, now);
+        let Ok(gateway) = catch_unwind(AssertUnwindSafe(create_gateway)) else {
             return self.write(&Output::Panicked {
                 instance: start.instance,
                 text: "the module panicked at its start",
@@ -207,9 +207,9 @@
         Ok(instance.translator.membership(update, hosts)?)
     }
 
-    /// Hands an event to a gateway and writes its actions. A panic of the gateway is reported as a line: the simulator
-    /// decides what it means.
-    fn feed(&mut self, id: InstanceId, now: Millis, event: Event) -> Result<(), LineError> {
+    /// Passes an event to a gateway and writes its actions. A panic of the gateway is reported to the simulator as
+    /// a line of output; the adapter continues.
+    fn handle_event(&mut self, id: InstanceId, now: Millis, event: Event) -> Result<(), LineError> {
         let Some(instance) = self.instances.get_mut(&id) else {
             return Err(LineError::UnknownInstance(id));
         };
--- a/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/translate.rs
+++ b/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/translate.rs
@@ -1,4 +1,4 @@
-//! Translation between the simulator's messages and the decision module's events and actions.
+//! Translation between the simulator's messages and the events and actions of the decision module.
 
 use crate::adapter::LineError;
 use crate::wire::{
@@ -13,22 +13,22 @@
 };
 use std::collections::BTreeMap;
 
-/// Translates what names classes, plans and zones, by the names of one gateway's settings.
+/// Translates messages that name classes, plans and zones, by the settings of one gateway.
 pub struct Translator {
     names: IndexNames,
 }
 
 impl Translator {
-    /// A translator by these names.
+    /// Creates a translator for these names.
     pub fn new(names: IndexNames) -> Translator {
         Translator { names }
     }
 
-    /// A request as an event.
+    /// Translates a request to an event.
     ///
     /// # Errors
     ///
-    /// When the settings do not name its class or its plan.
+    /// When the settings do not have its class or its plan.
     pub fn request(&self, request: &wire::Request) -> Result<Event, LineError> {
         let class = self
             .names
@@ -53,7 +53,7 @@
         }))
     }
 
-    /// A server list update as an event, with the hosts of the list that it refers to.
+    /// Translates a server list update to an event, with the hosts of the list that it refers to.
     ///
     /// # Errors
     ///
@@ -86,7 +86,7 @@
     }
 }
 
-/// The end of an attempt as an event.
+/// Translates the end of an attempt to an event.
 pub fn attempt_ended(ended: AttemptEnded) -> Event {
     Event::AttemptEnded(AttemptResult {
         request: ended.request,
@@ -105,12 +105,12 @@
     })
 }
 
-/// The wire counts metered use in percent and from 1, as 0 stands for no meter.
+/// Converts metered use from the wire, where it is in percent plus 1, as 0 stands for no meter.
 fn metered_share(metered: f64) -> f64 {
     (metered - 1.0) / 100.0
 }
 
-/// The end of a probe as an event.
+/// Translates the end of a probe to an event.
 pub fn probe_ended(ended: ProbeEnded) -> Event {
     Event::ProbeEnded {
         server: ended.server,
@@ -120,7 +120,7 @@
     }
 }
 
-/// The counter service's reply as an event.
+/// Translates a reply of the counter service to an event.
 pub fn counter_reply(reply: &CounterReply) -> Event {
     let succeeded = reply.outcome == Outcome::Ok;
     Event::CounterReply {
@@ -129,7 +129,7 @@
     }
 }
 
-/// A peer's message as an event.
+/// Translates a peer's message to an event.
 ///
 /// # Errors
 ///
@@ -146,7 +146,7 @@
     host_config::load_report(|name| values.get(name).copied())
 }
 
-/// An action of a gateway as a line of output.
+/// Translates an action of a gateway to a line of output.
 pub fn output(instance: InstanceId, action: &Action) -> Output<'_> {
     match action {
         Action::Send {
@@ -198,10 +198,10 @@
             lifetime,
         } => counter_output(instance, *counter, *amount, *lifetime),
         Action::Log(text) => Output::Log { instance, text },
-        // The simulator runs one process of each gateway, so that a gateway never learns of a sibling.
+        // The simulator runs one process of each gateway, so usage is never shared.
         Action::ShareUsage(_) => Output::Log {
             instance,
-            text: "nobody to share with",
+            text: "usage not shared: this gateway has no second process",
         },
     }
 }
--- a/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/wire.rs
+++ b/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/wire.rs
@@ -1,12 +1,12 @@
-//! The simulator's messages, one line of JSON each. The names on the wire are the simulator's; where they differ from
-//! the decision module's terms, a field carries its wire name in `serde(rename)`.
+//! The simulator's messages, one line of JSON each. The wire names are the simulator's; where they differ from the
+//! terms of the decision module, a field carries its wire name in `serde(rename)`.
 
 use emberpin_balancer::host_config::HostConfig;
 use emberpin_balancer::{GatewayId, Millis, Outcome, RequestId, ServerId, ServerStatus};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One hosted gateway: its number at the simulator, which a restarted one keeps.
+/// The simulator's number of a hosted gateway; a restarted gateway keeps it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct InstanceId(u64);
 
@@ -16,7 +16,7 @@
     }
 }
 
-/// A server list that the simulator sent once, for updates to refer to.
+/// The number of a server list that the simulator sent for updates to refer to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 pub struct ListId(usize);
 
@@ -30,12 +30,12 @@
 #[derive(Deserialize)]
 #[serde(tag = "verb")]
 pub enum Input {
-    /// A batch of events begins that all happen now.
+    /// A batch of events begins that all happen at the same time.
     #[serde(rename = "clock")]
     BatchStarted {
         #[serde(rename = "moment-ms")]
         now: Millis,
-        /// Repeated at the end of the batch's output.
+        /// Repeated when the batch's output ends.
         #[serde(rename = "seq")]
         sequence: u64,
     },
@@ -50,7 +50,7 @@
         #[serde(rename = "limiter-id")]
         instance: InstanceId,
     },
-    /// A server list for updates to refer to.
+    /// A server list that updates can refer to.
     #[serde(rename = "catalog")]
     ServerList {
         #[serde(rename = "buffer")]
@@ -92,7 +92,7 @@
     PeerMessage(PeerMessage),
 }
 
-/// A gateway starts with these settings, and knows nothing.
+/// A gateway starts with these settings and no other state.
 #[derive(Deserialize)]
 pub struct StartGateway {
     #[serde(rename = "limiter-id")]
@@ -104,35 +104,35 @@
     pub settings: Box<HostConfig>,
 }
 
-/// A gateway learns of a server list.
+/// A gateway receives a server list.
 #[derive(Deserialize)]
 pub struct ServerListUpdate {
     #[serde(rename = "limiter-id")]
     pub instance: InstanceId,
-    /// The list; there is none when the update is refused.
+    /// The list; absent when the update is refused.
     #[serde(rename = "buffer")]
     pub list: Option<ListId>,
     pub form: UpdateForm,
 }
 
-/// What the list of a [`ServerListUpdate`] holds.
+/// Meaning of the list of a [`ServerListUpdate`].
 #[derive(Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum UpdateForm {
     /// Changed servers only.
     Changes,
-    /// Every server there is: one that is missing is removed.
+    /// All servers: one that is missing is removed.
     All,
     /// All servers, as the simulator's registry last knew them.
     Remembered,
-    /// The list could not be had.
+    /// The list could not be fetched.
     Refused,
 }
 
 /// One server of a list.
 #[derive(Deserialize, Clone)]
 pub struct Host {
-    /// Start of the present incarnation; absent or 0 for long ago.
+    /// Start of the current incarnation; absent or 0 if that is long ago.
     #[serde(rename = "last-start-ms")]
     pub started_at: Option<Millis>,
     pub zone: String,
@@ -162,7 +162,7 @@
     pub remaining: Millis,
     #[serde(rename = "weight")]
     pub units: Option<f64>,
-    /// How many gateways the customer's requests come through.
+    /// Number of gateways that the customer's requests come through.
     #[serde(rename = "set-size")]
     pub gateways: Option<u32>,
     #[serde(rename = "from-no")]
@@ -176,10 +176,10 @@
     pub instance: InstanceId,
     #[serde(rename = "handle")]
     pub request: RequestId,
-    /// The true units; absent or 0 where the request's own hold.
+    /// The true units; absent or 0 if the request's own units are right.
     #[serde(rename = "actual")]
     pub units: Option<f64>,
-    /// The customer's metered use, in percent and from 1; absent or 0 for no meter.
+    /// The customer's metered use in percent plus 1; absent or 0 for no meter.
     #[serde(rename = "quota-use")]
     pub metered: Option<f64>,
     #[serde(rename = "duration-ms")]
@@ -222,7 +222,7 @@
     pub outcome: Outcome,
 }
 
-/// A message of another gateway.
+/// A message from another gateway.
 #[derive(Deserialize)]
 pub struct PeerMessage {
     #[serde(rename = "limiter-id")]
@@ -332,7 +332,7 @@
         #[serde(rename = "note-text")]
         text: &'a str,
     },
-    /// The gateway panicked at an event, and its actions for it are lost.
+    /// The gateway panicked while it handled an event; its actions for the event are lost.
     #[serde(rename = "fault")]
     Panicked {
         #[serde(rename = "limiter-id")]
@@ -348,7 +348,7 @@
     },
 }
 
-/// Who gets a peer message.
+/// The recipient of a peer message.
 #[derive(Serialize)]
 #[serde(untagged)]
 pub enum Recipient {
--- a/crates/emberpin-balancer/src/decisions/admission.rs
+++ b/crates/emberpin-balancer/src/decisions/admission.rs
@@ -1,6 +1,6 @@
 //! Admission control: whether a request that arrives is sent to a server or rejected at once.
 
-use super::congestion::REJECT_CHANCE;
+use super::congestion::REJECT_PROBABILITY;
 use super::{
     gossip, Action, Gateway, Millis, PendingRequest, Request, RequestId, ATTEMPT_TARGET_SHARE,
     RETRY_BUDGET_MAX, RETRY_BUDGET_RATIO,
@@ -9,11 +9,11 @@
 /// Whether a request may be sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Admission {
-    /// Yes, at the expense of the customer's quota.
+    /// Admitted and charged to the customer's quota.
     WithinQuota,
-    /// Yes, though the customer's quota is used up.
+    /// Admitted although the customer's quota is used up.
     BeyondQuota,
-    /// No, and the client is to be advised when to retry.
+    /// Rejected; the client is advised when to retry.
     Rejected {
         /// Milliseconds for which the client should wait before it retries.
         retry_after: Millis,
@@ -21,8 +21,8 @@
 }
 
 impl Gateway {
-    /// A request arrives: throttling, quota and rate limit, then a server. Whatever says no rejects it at
-    /// once.
+    /// Handles a new request: throttling, quota and rate limit, then the choice of a server. It is rejected
+    /// at once if any of them fails.
     pub(super) fn on_request(&mut self, now: Millis, request: Request, actions: &mut Vec<Action>) {
         let (id, class, units) = (request.id, request.class.0, request.units);
         if self.pending.contains_key(&id) {
@@ -46,7 +46,7 @@
         let Some(server) = self.choose_server(now, class, units, None, None) else {
             self.log(
                 now,
-                "no server may take work: none in service, or all cold ones spent",
+                "no server can accept a request: none in service, or slow-start budgets used up",
                 actions,
             );
             return self.reject(id, self.attempt_target(class), actions);
@@ -66,11 +66,11 @@
         self.send_attempt(now, id, server, actions);
     }
 
-    /// Throttling, quota and rate limit. Every request of a customer is counted as demand, but for those
-    /// that throttling rejects.
+    /// Applies throttling, quota and rate limit. A customer's requests count as demand unless throttling
+    /// rejects them.
     fn admit(&mut self, now: Millis, request: &Request) -> Admission {
         let level = self.load.congestion_level;
-        let throttled = level > 0 && self.rng.rand_float() < REJECT_CHANCE[level];
+        let throttled = level > 0 && self.rng.rand_float() < REJECT_PROBABILITY[level];
         self.ensure_customer(now, request.customer, request.plan, request.gateways);
         if throttled {
             let retry_after = self.attempt_target(request.class.0);
@@ -84,8 +84,8 @@
         }
     }
 
-    /// The time that an attempt may take without congestion, which is also when a throttled client may come
-    /// back.
+    /// Time that an attempt may take without congestion, in milliseconds; also the retry delay of a
+    /// throttled client.
     fn attempt_target(&self, class: usize) -> Millis {
         self.settings.classes[class].latency_target * ATTEMPT_TARGET_SHARE
     }
--- a/crates/emberpin-balancer/src/decisions/attempts.rs
+++ b/crates/emberpin-balancer/src/decisions/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: how long each may take, whether and where a retry goes, and the final answer.
+//! Attempts of a request: their time-outs, whether and where a retry is sent, and the final answer.
 
 use super::{
     gossip, Action, AttemptResult, DedupScope, FirstRun, Gateway, Idempotency, InFlightAttempt,
@@ -6,17 +6,18 @@
     Usage,
 };
 
-/// Deviations that an attempt may take beyond the mean latency, where a retry would still be in time.
+/// Mean deviations beyond the mean latency after which an attempt times out, where a retry would still be
+/// in time.
 const TIMEOUT_DEVIATIONS: f64 = 6.0;
-/// Mean latencies that an attempt leaves of the latency target, for a retry to meet it.
+/// Mean latencies of the latency target that an attempt's time-out leaves for a retry.
 const RETRY_MEANS: f64 = 2.0;
-/// A repeat of a keyed request must leave this share of its deduplication window unused.
+/// Share of the deduplication window that must be left when a keyed request is sent again.
 const WINDOW_MARGIN: f64 = 0.1;
 
 impl Gateway {
     /// Resumes a request that another gateway had sent: where and when it may have run decides whether and
-    /// where it is sent again. Its units were taken there, and it is no surge to be throttled; how many
-    /// come is up to the host.
+    /// where it is sent again. The other gateway already charged its units, and it is not throttled, as it
+    /// is not new load; the host limits how many are resumed.
     pub(super) fn resume_request(
         &mut self,
         now: Millis,
@@ -43,10 +44,11 @@
             }),
             retry_reserved: false,
         };
-        // Servers discard what begins to run within the window: it may have to wait at its server first.
-        let latency = self.latencies[class].of(units);
-        let begins = now + latency.mean + TIMEOUT_DEVIATIONS * 0.5 * latency.deviation;
-        let permission = self.retry_permission(begins, &pending);
+        // Servers discard a repeat only if it begins to run within the window, and it may have to wait at
+        // its server first.
+        let latency = self.latencies[class].expected_for(units);
+        let expected_start = now + latency.mean + TIMEOUT_DEVIATIONS * 0.5 * latency.deviation;
+        let permission = self.retry_permission(expected_start, &pending);
         self.pending.insert(id, pending);
         let server = match permission {
             RetryPermission::Anywhere => self.choose_server(now, class, units, None, None),
@@ -57,12 +59,12 @@
         };
         match server {
             Some(server) => self.send_attempt(now, id, server, actions),
-            None => self.give_up(id, actions),
+            None => self.reject_or_fail(id, actions),
         }
     }
 
-    /// Sends an attempt. All attempts are sent here, so that none is sent while another is in flight, and
-    /// none to a server that drains.
+    /// Sends an attempt. All attempts are sent by this method, which ensures that no other attempt of the
+    /// request is in flight and that the server is in service, not draining.
     pub(super) fn send_attempt(
         &mut self,
         now: Millis,
@@ -84,7 +86,7 @@
             return;
         }
         let latency = &self.latencies[pending.request.class.0];
-        let expected = latency.of(pending.request.units).mean;
+        let expected = latency.expected_for(pending.request.units).mean;
         let attempt = InFlightAttempt {
             sent_at: now,
             expected,
@@ -105,13 +107,14 @@
         }
     }
 
-    /// How long the next attempt may take: all the time that is left, unless a retry could still be in
-    /// time.
+    /// Time-out of the next attempt in milliseconds: all the time that is left, or less if a retry could
+    /// still be in time after it.
     fn attempt_timeout(&self, now: Millis, id: RequestId) -> Option<Millis> {
         let pending = self.pending.get(&id)?;
         let class = &self.settings.classes[pending.request.class.0];
         let mut left = pending.deadline - now;
-        // A resumed request is given up with its window: what waits at a server until then must not run.
+        // A resumed request must end with its deduplication window: an attempt still queued at a server
+        // after that must not run.
         if let (Some(_), Some(first), Idempotency::Keyed { window, .. }) = (
             pending.request.prior_attempt,
             pending.first_run,
@@ -119,25 +122,27 @@
         ) {
             left = left.min(first.sent_at + window - now);
         }
-        let latency = self.latencies[pending.request.class.0].of(pending.request.units);
-        let usual = (latency.mean + TIMEOUT_DEVIATIONS * latency.deviation)
+        let latency = self.latencies[pending.request.class.0].expected_for(pending.request.units);
+        let early_timeout = (latency.mean + TIMEOUT_DEVIATIONS * latency.deviation)
             .max(class.latency_target - RETRY_MEANS * latency.mean);
-        let repeatable = class.idempotency != Idempotency::Unsafe && pending.attempts == 0;
+        let first_repeatable_attempt =
+            class.idempotency != Idempotency::Unsafe && pending.attempts == 0;
         let in_window = match class.idempotency {
-            Idempotency::Keyed { window, .. } => usual < window * (1.0 - WINDOW_MARGIN),
+            Idempotency::Keyed { window, .. } => early_timeout < window * (1.0 - WINDOW_MARGIN),
             _ => true,
         };
         let retry_in_time = self.load.congestion_level == 0
-            && usual + latency.mean < left
+            && early_timeout + latency.mean < left
             && self.settings.max_attempts > 1;
-        Some(if repeatable && in_window && retry_in_time {
-            usual
+        Some(if first_repeatable_attempt && in_window && retry_in_time {
+            early_timeout
         } else {
             left
         })
     }
 
-    /// An attempt ended: the request is answered, sent again, or given up.
+    /// Handles the end of an attempt: the request is complete, is sent again, or is answered without a
+    /// result.
     pub(super) fn on_attempt_ended(
         &mut self,
         now: Millis,
@@ -168,10 +173,11 @@
         };
         match next {
             Some(next) => self.send_attempt(now, id, next, actions),
-            None => self.give_up(id, actions),
+            None => self.reject_or_fail(id, actions),
         }
     }
 
+    /// Records the first attempt of a request that may have run.
     fn record_first_run(&mut self, id: RequestId, server: ServerId) {
         let location = self.location(server).unwrap_or_default();
         if let Some(pending) = self.pending.get_mut(&id) {
@@ -182,8 +188,8 @@
         }
     }
 
-    /// The client left or its time is up. Nobody waits for the attempt in flight any more: cancelling it
-    /// spares the server work that the client repeats elsewhere.
+    /// Handles a request whose client has disconnected or whose deadline has passed. Nobody waits for the
+    /// attempt in flight any more: cancelling it saves the server work that the client repeats elsewhere.
     pub(super) fn on_abandoned(&mut self, request: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.close_request(request) else {
             return;
@@ -196,18 +202,19 @@
         }
     }
 
-    /// The server of a retry, if idempotency, time and the retry budget allow one.
+    /// The server for a retry, if idempotency, the time left and the retry budget allow one.
     fn retry_server(&mut self, now: Millis, id: RequestId, last: ServerId) -> Option<ServerId> {
         let pending = self.pending.get_mut(&id)?;
         let (class, units) = (pending.request.class.0, pending.request.units);
         if std::mem::take(&mut pending.retry_reserved) {
             return self
                 .choose_server(now, class, units, Some(last), None)
-                // Rather the same server than no answer for a request that was broken off on purpose.
+                // The host ended this attempt on purpose, so a retry at the same server is better than no
+                // answer.
                 .or_else(|| self.choose_server(now, class, units, None, None));
         }
         let pending = self.pending.get(&id)?;
-        let expected = self.latencies[class].of(units).mean;
+        let expected = self.latencies[class].expected_for(units).mean;
         let too_late = now + expected * 0.5 > pending.deadline;
         if pending.attempts >= self.settings.max_attempts || too_late {
             return None;
@@ -226,7 +233,8 @@
         self.choose_server(now, class, units, Some(last), scope)
     }
 
-    /// Whether a request may be sent again: one that may have run, only where a repeat does no harm.
+    /// Whether and where a request may be sent again. One that may have run is sent again only where a
+    /// repeat does no harm.
     fn retry_permission(&self, now: Millis, pending: &PendingRequest) -> RetryPermission {
         let class = &self.settings.classes[pending.request.class.0];
         let Some(first) = pending.first_run else {
@@ -248,9 +256,9 @@
         }
     }
 
-    /// The final answer, at once: a rejection with advice when to retry if a retry does no harm, else a
-    /// failure.
-    fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+    /// Sends the final answer of a request that gets no further attempt: a rejection with a retry delay if
+    /// a retry by the client does no harm, otherwise a failure.
+    fn reject_or_fail(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.close_request(id) else {
             return;
         };
@@ -260,18 +268,18 @@
             (_, Idempotency::Keyed { scope, .. }) => scope == DedupScope::All,
             (_, Idempotency::Unsafe) => false,
         };
-        let pause = self.latencies[class].overall.mean;
+        let retry_after = self.latencies[class].overall.mean;
         actions.push(if harmless {
             Action::Reject {
                 request: id,
-                retry_after: pause.min(self.settings.max_retry_after),
+                retry_after: retry_after.min(self.settings.max_retry_after),
             }
         } else {
             Action::Fail { request: id }
         });
     }
 
-    /// Forgets a request that needs no answer of this gateway any more.
+    /// Removes a request that this gateway no longer has to answer.
     pub(super) fn close_request(&mut self, id: RequestId) -> Option<PendingRequest> {
         let pending = self.pending.remove(&id)?;
         let customer = pending.request.customer.0 & gossip::ID_MASK;
@@ -286,7 +294,7 @@
 enum RetryPermission {
     /// To any server.
     Anywhere,
-    /// To the servers that know its key.
+    /// To the servers that recognize its idempotency key.
     Within(RetryScope),
     /// To no server: a repeat might run it twice.
     Denied,
--- a/crates/emberpin-balancer/src/decisions/health.rs
+++ b/crates/emberpin-balancer/src/decisions/health.rs
@@ -1,25 +1,25 @@
-//! What is learned from the end of an attempt: latencies, and which servers are ejected as outliers.
+//! Learning from the ends of attempts: latencies, failure rates, and outlier ejection of servers.
 
 use super::{
     slow_start, Action, AttemptResult, Gateway, Millis, Outcome, ServerId, ServerState,
     ServerStatus, ATTEMPT_TARGET_SHARE,
 };
 
-/// Weight of the newest result in averages.
+/// Weight of the newest result in moving averages.
 const AVERAGE_GAIN: f64 = 0.1;
-/// Strikes from which a server may be ejected.
+/// Strikes at which a server may be ejected.
 pub(super) const EJECTION_STRIKES: f64 = 2.0;
-/// Multiple of the mean strikes of the servers in service that an outlier must have.
+/// Multiple of the mean strikes of the servers in service that an outlier must reach.
 const STRIKES_OVER_MEAN: f64 = 1.5;
 /// Multiple of the other servers' median failure rate that an outlier must exceed.
 const FAILURE_RATE_OVER_MEDIAN: f64 = 2.0;
-/// Margin by which its failure rate must lie above that.
+/// Margin by which its failure rate must exceed that multiple.
 const FAILURE_RATE_MARGIN: f64 = 0.15;
-/// Length of a first ejection; each further one is twice as long.
+/// Duration of a first ejection; each further one takes twice as long as the last.
 const MIN_EJECTION: Millis = 1_000.0;
-/// Bound on the length of an ejection, however often a server is ejected.
+/// Longest duration of an ejection, however often a server is ejected.
 const MAX_EJECTION: Millis = 8_000.0;
-/// Share of the servers in service that may be ejected as outliers at a time.
+/// Share of the servers in service that may be ejected as outliers at the same time.
 const MAX_EJECTED_SHARE: f64 = 0.5;
 
 /// A failure that counts against a server.
@@ -27,7 +27,7 @@
 enum Strike {
     /// It rejected the attempt.
     Rejected,
-    /// It answered with an error, not in time, or lost the connection.
+    /// It answered with an error or too late, or the connection was lost.
     Failed,
     /// It accepted no connection.
     Unreachable,
@@ -43,24 +43,25 @@
     }
 }
 
-/// How the servers in service do as a whole.
+/// Summary of the servers in service.
 struct FleetHealth {
-    /// How many there are.
+    /// Number of servers in service.
     servers: f64,
     mean_strikes: f64,
-    /// How many are ejected now.
+    /// Number of servers that are ejected now.
     ejected: f64,
 }
 
 impl Gateway {
-    /// Learns from the end of an attempt of its server, its class and the load.
+    /// Updates what is known of the server, the class and the load from the end of an attempt.
     pub(super) fn learn_from_attempt(
         &mut self,
         now: Millis,
         result: &AttemptResult,
         actions: &mut Vec<Action>,
     ) {
-        // What was sent before a pause of this gateway says nothing of the server.
+        // An attempt that was sent before a pause of this gateway's own process says nothing about the
+        // server.
         let before_pause = now - result.elapsed < self.resumed_at;
         self.record_result(now, result, before_pause);
         match result.outcome {
@@ -81,7 +82,7 @@
         self.check_congestion(now, actions);
     }
 
-    /// Takes the attempt off its server and notes what the server reported.
+    /// Removes the attempt from its server's attempts in flight and records the server's load report.
     fn record_result(&mut self, now: Millis, result: &AttemptResult, before_pause: bool) {
         let Some(server) = self.servers.get_mut(&result.server) else {
             return;
@@ -94,12 +95,13 @@
         }
         let warm = self.is_warm(now, &self.servers[&result.server].info);
         if let (Some(queue), false) = (result.load.queue_length, warm) {
-            let newest = queue - self.load.cold_queue;
-            self.load.cold_queue += newest * slow_start::COLD_QUEUE_GAIN;
-            self.load.cold_reported_at = now;
+            let difference = queue - self.load.warming_queue_length;
+            self.load.warming_queue_length += difference * slow_start::QUEUE_REPORT_GAIN;
+            self.load.warming_reported_at = now;
         }
     }
 
+    /// Learns from a successful attempt, and reduces the strikes of its server.
     fn learn_latency(&mut self, now: Millis, result: &AttemptResult) {
         self.load.answered += 1.0;
         let Some(pending) = self.pending.get(&result.request) else {
@@ -107,23 +109,27 @@
         };
         let (class, units) = (pending.request.class.0, pending.request.units);
         let target = self.settings.classes[class].latency_target;
-        let serves =
+        let is_warm_in_service =
             |server: &ServerState| self.accepts_requests(server) && self.is_warm(now, &server.info);
-        let warm = self.servers.get(&result.server).is_some_and(serves);
+        let warm = self
+            .servers
+            .get(&result.server)
+            .is_some_and(is_warm_in_service);
         self.load.warm_share += (f64::from(u8::from(warm)) - self.load.warm_share) * AVERAGE_GAIN;
         if result.elapsed <= target * ATTEMPT_TARGET_SHARE {
             self.load.last_on_target = now;
         }
-        // The mean of all answers so far at first: where traffic is thin, a new incarnation would else go
-        // by the least of the targets for most of a minute, and reject what could wait.
+        // At first this is the plain mean of all answers. Otherwise a new incarnation with little traffic
+        // would use the lowest of the latency targets for most of a minute, and reject requests that could
+        // wait.
         self.load.target_samples += 1.0;
         let gain = (AVERAGE_GAIN * AVERAGE_GAIN).max(1.0 / self.load.target_samples);
         self.mean_latency_target += (target - self.mean_latency_target) * gain;
         let latency = &mut self.latencies[class];
         latency.learn(units, result.elapsed, AVERAGE_GAIN);
-        // Both count as a millisecond at least: else a server that answers sooner seems faster than any
-        // that has not answered yet.
-        let relative = result.elapsed.max(1.0) / latency.of(units).mean.max(1.0);
+        // Both latencies count as at least one millisecond. Otherwise a server that answers faster than
+        // that would look faster than any server that has not answered yet.
+        let relative = result.elapsed.max(1.0) / latency.expected_for(units).mean.max(1.0);
         let class_mean = latency.overall.mean;
         let mean = if self.load.mean_latency > 0.0 {
             self.load.mean_latency
@@ -140,9 +146,10 @@
         }
     }
 
-    /// Outlier ejection: covers servers that are silent, down, reject or report errors, whatever the cause;
-    /// a fault that all servers share ejects none. Harm: a few unlucky results eject a sound server for a
-    /// second.
+    /// Outlier ejection: records a failure and ejects the server if it fails far more than the others.
+    /// Covers servers that do not answer, are down, reject requests or report errors, whatever the cause; a
+    /// fault that all servers share ejects none. Drawback: a few chance failures eject a healthy server for
+    /// a second.
     fn record_strike(
         &mut self,
         now: Millis,
@@ -160,16 +167,16 @@
             && server.strikes >= STRIKES_OVER_MEAN * fleet.mean_strikes
             && server.failure_rate > FAILURE_RATE_OVER_MEDIAN * median + FAILURE_RATE_MARGIN;
         let may_eject = fleet.ejected + 1.0 <= fleet.servers * MAX_EJECTED_SHARE;
-        // One that accepts no connection is ejected whatever the others do: they may keep connections that
-        // still work, past a full table or a partition. Where none is left, the choice of a server falls
-        // back on all.
+        // A server that accepts no connection is ejected regardless of the other servers: they may have
+        // connections that still work despite a full connection table or a partition. Where no server is
+        // left, the choice of a server falls back on ejected ones.
         let eject = strike == Strike::Unreachable || (outlier && may_eject);
         if eject && now >= server.ejected_until {
             server.ejection_time = (server.ejection_time * 2.0).clamp(MIN_EJECTION, MAX_EJECTION);
             server.ejected_until = now + server.ejection_time;
             self.log(
                 now,
-                "ejected a server: it fails more than its fellows",
+                "ejected a server as an outlier: it fails more often than the other servers",
                 actions,
             );
         }
@@ -193,9 +200,9 @@
         }
     }
 
-    /// Median failure rate of the other servers in service; 0 without any. Held against it, a server is not
-    /// ejected for what strikes all of them: of connections that break by chance, some break twice running
-    /// at whichever server.
+    /// Median failure rate of the other servers in service; 0 without any. Compared with it, a server is
+    /// not ejected for a fault that affects all of them: where connections break by chance, any server
+    /// sometimes has two failures in a row.
     fn median_failure_rate_without(&self, id: ServerId) -> f64 {
         let mut rates: Vec<f64> = self
             .servers
--- a/crates/emberpin-balancer/src/decisions/housekeeping.rs
+++ b/crates/emberpin-balancer/src/decisions/housekeeping.rs
@@ -1,16 +1,19 @@
-//! The tick: averages, what warm servers carry, gossip, and what may be forgotten.
+//! The periodic tick: moving averages, the learned throughput of warm servers, outgoing gossip, and expiry
+//! of unused state.
 
 use super::{quotas, Action, Gateway, Millis, PEAK_WINDOW, THROUGHPUT_WINDOW, TICK_TOKEN};
 
-/// The state of an idle customer is dropped after this time, or twice that in which its quota refills.
+/// Time after which the state of an idle customer is dropped; at least twice the time in which its quota
+/// refills.
 pub(super) const IDLE_TIMEOUT: Millis = 60_000.0;
-/// For this time after an isolation peers may still announce what they admitted during it.
+/// Time after an isolation for which peers may still announce units that they admitted during it.
 const CATCH_UP_TIME: Millis = 1_000.0;
-/// Time in which what a warm server is held to carry may double, or fall to nothing.
+/// Time scale on which the learned throughput of a warm server changes: in each tick it may rise or fall at
+/// most by the tick's share of this time, relative to its value.
 const CAPACITY_WINDOW: Millis = 20_000.0;
 
 impl Gateway {
-    /// The timer expired.
+    /// Handles the expiry of the timer and sets it again.
     pub(super) fn on_tick(&mut self, now: Millis, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer {
             delay: self.gossip_period(),
@@ -20,17 +23,17 @@
         self.ticked_at = now;
         let throughput = self.learn_throughput(now, span);
         self.learn_warm_capacity(now, span, throughput);
-        self.adapt_cold_multiple(now, span);
+        self.adapt_rate_multiple(now, span);
         if !self.gossips_to_all() && !self.is_isolated(now) {
-            // One gateway of many has an outcome too seldom to step down by outcomes alone.
+            // A gateway of a large group has outcomes too rarely for the level to fall by outcomes alone.
             self.check_congestion(now, actions);
         }
         self.send_gossip(now, actions);
         self.expire_state(now);
     }
 
-    /// Averages this gateway's throughput and attempts in flight over the span since the last tick. Returns
-    /// the mean throughput of the gateways.
+    /// Averages this gateway's throughput and attempts in flight over `span`, the milliseconds since the
+    /// last tick. Returns the mean throughput of the gateways in answers per second.
     fn learn_throughput(&mut self, now: Millis, span: Millis) -> f64 {
         let gain = (span / THROUGHPUT_WINDOW.min(now - self.started_at)).clamp(0.0, 1.0);
         let measured = self.load.answered * 1000.0 / span;
@@ -44,11 +47,11 @@
         mean
     }
 
-    /// Learns what a warm server carries, from warm servers alone: were those that warm up counted as if
-    /// they carried their part, though they are held back, the figure would fall, with it what they are
-    /// allowed, and so on. Answers of servers that left are not put down to those that stay. The figure
-    /// falls slowly: that less is asked of warm servers than a moment ago, as others come to their help,
-    /// does not make them able to carry less.
+    /// Learns the throughput of a warm server, from warm servers alone. If servers that are warming up
+    /// counted with their full capacity although their load is limited, the value would fall, which would
+    /// lower their limit and thereby the value again. Answers of removed servers are not attributed to the
+    /// remaining ones. The value falls slowly: when other servers take over some of the load, warm servers
+    /// can still serve as much as before.
     fn learn_warm_capacity(&mut self, now: Millis, span: Millis, throughput: f64) {
         let warm_capacity = self
             .servers
@@ -60,19 +63,19 @@
         if warm_capacity <= 0.0 {
             return;
         }
-        let known = self.load.warm_capacity;
+        let previous = self.load.warm_capacity;
         let measured = throughput * self.load.warm_share * self.group_size() / warm_capacity;
-        let rise = (measured - known).min(known.max(1.0)) * span / CAPACITY_WINDOW;
-        let fallen = known * (1.0 - span / CAPACITY_WINDOW).max(0.0);
+        let increase = (measured - previous).min(previous.max(1.0)) * span / CAPACITY_WINDOW;
+        let lower_bound = previous * (1.0 - span / CAPACITY_WINDOW).max(0.0);
         let just_started = now - self.started_at < PEAK_WINDOW;
         self.load.warm_capacity = if just_started {
             measured
         } else {
-            measured.min(known + rise.max(0.0)).max(fallen)
+            measured.min(previous + increase.max(0.0)).max(lower_bound)
         };
     }
 
-    /// Drops what is no longer of use, so that no table grows without bound.
+    /// Drops state that is no longer needed, so that no table grows without bound.
     fn expire_state(&mut self, now: Millis) {
         let caught_up = !self.is_isolated(now) && now - self.rejoined_at > CATCH_UP_TIME;
         let plans = &self.settings.plans;
--- a/crates/emberpin-balancer/src/decisions/membership.rs
+++ b/crates/emberpin-balancer/src/decisions/membership.rs
@@ -1,12 +1,12 @@
-//! Which servers there are: the endpoint list, and servers that operators take out of service.
+//! Membership of servers: updates of the endpoint list, and servers that operators take out of service.
 
 use super::{
     Action, Gateway, MembershipUpdate, Millis, Server, ServerId, ServerState, ServerStatus,
 };
 
 impl Gateway {
-    /// The endpoint list changed. A removed server is kept while attempts at it are in flight; one of a new
-    /// incarnation starts without anything known of it but those attempts.
+    /// Applies an update of the endpoint list. A removed server is kept while attempts at it are in flight.
+    /// A server with a new incarnation starts without learned state; only its attempts in flight are kept.
     pub(super) fn on_membership(&mut self, now: Millis, update: MembershipUpdate) {
         let entries = match update {
             MembershipUpdate::Full(entries) => {
@@ -24,24 +24,26 @@
         });
         let count = self.servers.len() as f64;
         for (position, server) in self.servers.values_mut().enumerate() {
-            server.turn = position as f64 / count;
+            server.turn_offset = position as f64 / count;
         }
     }
 
-    fn remove_missing(&mut self, listed: &[Server]) {
+    /// Marks the servers that are not in a full list as removed.
+    fn remove_missing(&mut self, endpoints: &[Server]) {
         for (id, server) in &mut self.servers {
-            if !listed.iter().any(|entry| entry.id == *id) {
+            if !endpoints.iter().any(|entry| entry.id == *id) {
                 server.info.status = ServerStatus::Removed;
             }
         }
     }
 
+    /// Adds a server, or updates its entry.
     fn update_server(&mut self, now: Millis, entry: Server) {
         let gateway_rank = self.gateway_rank(&entry);
         match self.servers.get_mut(&entry.id) {
             Some(server) if server.info.started_at == entry.started_at => server.info = entry,
-            known => {
-                let in_flight = known
+            previous => {
+                let in_flight = previous
                     .map(|old| std::mem::take(&mut old.in_flight))
                     .unwrap_or_default();
                 let server = ServerState {
@@ -54,7 +56,7 @@
         }
     }
 
-    /// An operator takes a server out of service. A second time changes nothing.
+    /// Takes a server out of service for an operator. Repeating it changes nothing.
     pub(super) fn take_out_of_service(
         &mut self,
         now: Millis,
@@ -75,8 +77,8 @@
         }
     }
 
-    /// An operator puts a server back: as one that has just started and of which nothing is known, since it
-    /// was most likely taken out to be restarted. Nothing changes for a server that is in service.
+    /// Puts a server back into service for an operator. It counts as just started, without learned state,
+    /// since it was most likely taken out to be restarted. Nothing changes for a server that is in service.
     pub(super) fn return_to_service(&mut self, now: Millis, id: ServerId) {
         if !self.in_maintenance.remove(&id) {
             return;
@@ -86,7 +88,7 @@
             *server = ServerState {
                 in_flight: std::mem::take(&mut server.in_flight),
                 gateway_rank: server.gateway_rank,
-                turn: server.turn,
+                turn_offset: server.turn_offset,
                 ..ServerState::new(server.info.clone(), now)
             };
         }
--- a/crates/emberpin-balancer/src/decisions/mod.rs
+++ b/crates/emberpin-balancer/src/decisions/mod.rs
@@ -1,9 +1,9 @@
-//! Every decision of a gateway, one file for each concern. An event passes from [`Gateway::handle`] to the
-//! function that is named for what happened; a request meets admission, congestion, quotas, balancing and
-//! attempts in turn.
+//! All decisions of a gateway, one file for each concern. [`Gateway::handle`] dispatches each event to the
+//! method that is named after it. A request passes through admission control, congestion control, quotas,
+//! load balancing and attempts, in this order.
 //!
-//! The ordinary path follows Roughan and Pearce, "A Martingale Analysis of Hysteretic Overload Control";
-//! `docs/DESIGN.md` says what is not from there.
+//! Congestion control follows Roughan and Pearce, "A Martingale Analysis of Hysteretic Overload Control";
+//! `docs/DESIGN.md` lists what differs from that paper.
 
 mod admission;
 mod announcements;
@@ -26,102 +26,109 @@
     Server, ServerId, ServerStatus, Settings, Usage,
 };
 use crate::state::{
-    mix, Advice, ClassLatency, CustomerState, FirstRun, InFlightAttempt, Latency, LoadState,
+    mix_hash, Advice, ClassLatency, CustomerState, FirstRun, InFlightAttempt, Latency, LoadState,
     PeerCount, PendingRequest, RetryScope, ServerState, TokenBucket,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-// Constants of several files. Each has its reason; none comes from a deployment's figures.
+// Constants that several files use. None is derived from the figures of a deployment.
 
-/// Share of the latency target that queueing and service may take before a gateway counts as congested.
+/// Share of the latency target that queueing and service of one attempt may take before a gateway counts as
+/// congested.
 const ATTEMPT_TARGET_SHARE: f64 = 0.32;
-/// Throughput is averaged over this time.
+/// Time over which throughput is averaged.
 const THROUGHPUT_WINDOW: Millis = 1_000.0;
-/// The peak of the throughput is remembered for this time.
+/// Time constant with which the recorded peak of the throughput decays.
 const PEAK_WINDOW: Millis = 5_000.0;
-/// Period of gossip and housekeeping, where peers can receive that often.
+/// Shortest period of gossip and housekeeping. It is longer where peers cannot receive messages that often.
 const TICK_PERIOD: Millis = 100.0;
-/// Share of the messages that peers can receive which gossip may fill.
+/// Share of a peer's message rate that gossip may use.
 const GOSSIP_SHARE: f64 = 0.75;
-/// Longest gossip period. Where it would have to be longer, peers are too many for each to be sent every
-/// announcement.
+/// Longest gossip period at which every peer is sent every announcement. A group that would need a longer
+/// one uses a few owners for each customer instead.
 const MAX_GOSSIP_PERIOD: Millis = 500.0;
-/// A gateway that receives no message of any peer for this time counts as isolated.
+/// A gateway that has received no peer message for this time counts as isolated.
 const ISOLATION_TIMEOUT: Millis = 1_500.0;
-/// A gateway that gets no event for this time beyond the period was paused itself.
+/// Time without any event, beyond the gossip period, after which a gateway concludes that its own process
+/// was paused.
 const PAUSE_THRESHOLD: Millis = 300.0;
-/// Retries of what may have run are held to this share of the requests.
+/// Share of the requests that may be retried after an attempt that may have run.
 const RETRY_BUDGET_RATIO: f64 = 0.1;
-/// Retries that the budget holds at most.
+/// Capacity of the retry budget, in retries.
 const RETRY_BUDGET_MAX: f64 = 10.0;
-/// Retries in the budgets of all gateways together at a common start; each has one at least.
+/// Retries in the budgets of all gateways together at a common start; each gateway starts with at least
+/// one.
 const INITIAL_GROUP_RETRIES: f64 = 60.0;
-/// Before any answer, requests are taken to need this share of their latency target.
+/// Mean latency that is assumed before the first answer, as a share of the latency target.
 const INITIAL_LATENCY_SHARE: f64 = 0.25;
-/// And to deviate by this share of it.
+/// Mean deviation that is assumed before the first answer, as a share of the latency target.
 const INITIAL_DEVIATION_SHARE: f64 = 0.1;
-/// The same line is logged once in this time at most.
+/// Shortest time between two log lines with the same text.
 const LOG_INTERVAL: Millis = 5_000.0;
-/// Token of the only timer, which calls for the next tick.
+/// Token of the only timer; it triggers the next tick.
 const TICK_TOKEN: u64 = 0;
 
-/// One gateway's decisions: feed it events and carry out the actions that it appends.
+/// The state machine of one gateway: [`Gateway::handle`] receives events and appends the actions that the
+/// host has to carry out.
 #[derive(Debug)]
 pub struct Gateway {
     pub(crate) settings: Settings,
-    /// The only source of randomness. The order of draws is part of the behaviour: equal events give equal
-    /// actions.
+    /// The only source of randomness. The order of draws is part of the behaviour: equal seeds and events
+    /// give equal actions.
     pub(crate) rng: oorandom::Rand64,
     pub(crate) started_at: Millis,
-    /// Start of this incarnation in whole milliseconds. Peers take a higher one for a restart and begin to
-    /// count anew.
+    /// Start of this incarnation in whole milliseconds. Peers treat a higher value as a restart and reset
+    /// the counts of this gateway.
     pub(crate) incarnation: u64,
-    /// When the last event came; `None` before the first.
+    /// When the last event was received; `None` before the first.
     pub(crate) last_event_at: Option<Millis>,
-    /// When the last pause of this gateway ended. What was sent before is no measure of the load or the
-    /// servers.
+    /// When the last pause of this gateway's process ended. Results of attempts sent before say nothing
+    /// about the load or the servers.
     pub(crate) resumed_at: Millis,
+    /// When the last tick ran.
     pub(crate) ticked_at: Millis,
     pub(crate) servers: BTreeMap<ServerId, ServerState>,
-    /// Servers that an operator took out of service.
+    /// Servers that an operator has taken out of service.
     pub(crate) in_maintenance: BTreeSet<ServerId>,
-    /// When servers were lately put back into service. They count as started then.
+    /// When an operator put servers back into service, for as long as their slow start lasts. They count as
+    /// started at that time.
     pub(crate) returned_at: BTreeMap<ServerId, Millis>,
     pub(crate) pending: BTreeMap<RequestId, PendingRequest>,
-    /// Customers by their hash within [`gossip::ID_MASK`].
+    /// Customers, keyed by their hash within [`gossip::ID_MASK`].
     pub(crate) customers: BTreeMap<u64, CustomerState>,
     /// The newest incarnation of each peer.
     pub(crate) peer_incarnations: BTreeMap<GatewayId, u64>,
-    /// Whether the peers were seen to have started together with this gateway, so that no quota was used
+    /// Whether this gateway and its peers are known to have started together, so that no quota was used
     /// before.
     pub(crate) common_start: bool,
-    /// Customers whose counts are to be announced.
+    /// Customers whose counts have yet to be announced to peers.
     pub(crate) unannounced: BTreeSet<u64>,
-    /// Customers of whose few owners this gateway is one.
+    /// Customers that have only a few owners, of which this gateway is one.
     pub(crate) owned: BTreeSet<u64>,
-    /// The newest advice of a customer's owners.
+    /// The newest advice from a customer's owners.
     pub(crate) advice: BTreeMap<u64, Advice>,
-    /// Messages that may be sent to peers.
+    /// Budget of messages to peers.
     pub(crate) message_budget: TokenBucket,
-    /// Learned latencies, at the index of the class.
+    /// Learned latencies, indexed by class.
     pub(crate) latencies: Vec<ClassLatency>,
     pub(crate) load: LoadState,
-    /// Mean latency target of what was answered.
+    /// Mean latency target of the answered requests.
     pub(crate) mean_latency_target: Millis,
-    /// When a message of a peer last came.
+    /// When a peer message was last received.
     pub(crate) last_peer_message_at: Millis,
-    /// When peers were heard again after this gateway was isolated.
+    /// When a peer message first arrived after this gateway had been isolated.
     pub(crate) rejoined_at: Millis,
-    /// Retries of what may have run that are left.
+    /// Retries that are left for requests that may have run.
     pub(crate) retry_budget: f64,
-    /// Whether a second process of this gateway runs beside this one.
+    /// Whether a second process of this gateway is running, as during an upgrade.
     pub(crate) sibling_running: bool,
-    /// When each line was last logged.
+    /// When each log text was last written.
     pub(crate) logged_at: BTreeMap<&'static str, Millis>,
 }
 
 impl Gateway {
-    /// A gateway that starts now and knows only its settings. Equal seeds and events give equal actions.
+    /// Creates a gateway that starts now, without any learned state. Equal seeds and events give equal
+    /// actions.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Gateway {
         let group_size = f64::from(settings.group_size.max(1));
         Gateway {
@@ -148,7 +155,7 @@
             latencies: settings.classes.iter().map(initial_latency).collect(),
             load: LoadState {
                 warm_share: 1.0,
-                cold_reported_at: now - 2.0 * slow_start::COLD_REPORT_VALIDITY,
+                warming_reported_at: now - 2.0 * slow_start::QUEUE_REPORT_VALIDITY,
                 ..LoadState::default()
             },
             mean_latency_target: settings
@@ -165,8 +172,8 @@
         }
     }
 
-    /// Takes one event and appends what has to be done to `actions`. It never fails: what makes no sense,
-    /// such as the end of an attempt that nobody knows, is ignored.
+    /// Handles one event and appends the resulting actions to `actions`. It never fails: an event without a
+    /// meaning, such as the end of an unknown attempt, is ignored.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         match self.last_event_at.replace(now) {
             Some(last) => self.detect_pause(now, now - last),
@@ -175,7 +182,7 @@
         match event {
             Event::Request(request) => self.on_request(now, request, actions),
             Event::AttemptEnded(result) => {
-                // First what is learned of the server, as it decides where the request goes next.
+                // Learn from the result first: it affects which server the request is sent to next.
                 self.learn_from_attempt(now, &result, actions);
                 self.on_attempt_ended(now, &result, actions);
             }
@@ -208,9 +215,9 @@
         }
     }
 
-    /// Detects a pause of this gateway itself: it finds its timers late and all events in a pile. That is
-    /// no fault of peers or servers, and what it had in flight has long ended. Harm: a host that drops
-    /// timers makes it forget what is in flight.
+    /// Detects that this gateway's own process was paused: its timers are late, and events arrive all at
+    /// once. Peers and servers are not at fault, and the attempts in flight have ended long ago. Drawback:
+    /// a host that drops timers makes the gateway reset its smoothed count of attempts in flight.
     fn detect_pause(&mut self, now: Millis, gap: Millis) {
         if gap > self.gossip_period() + PAUSE_THRESHOLD {
             self.resumed_at = now;
@@ -220,6 +227,7 @@
         }
     }
 
+    /// Logs a line, unless the same text was logged within [`LOG_INTERVAL`].
     fn log(&mut self, now: Millis, text: &'static str, actions: &mut Vec<Action>) {
         let due = |at: &Millis| now - *at >= LOG_INTERVAL;
         if self.logged_at.get(text).is_none_or(due) {
@@ -228,13 +236,13 @@
         }
     }
 
-    /// How many gateways there are, itself included.
+    /// Number of gateways in the group, including this one; at least 1.
     fn group_size(&self) -> f64 {
         f64::from(self.settings.group_size.max(1))
     }
 }
 
-/// What is taken for the latencies of a class before any answer.
+/// The latency that is assumed for a class before its first answer.
 pub(crate) fn initial_latency(class: &Class) -> ClassLatency {
     ClassLatency::new(Latency {
         mean: class.latency_target * INITIAL_LATENCY_SHARE,
--- a/crates/emberpin-balancer/src/decisions/peers.rs
+++ b/crates/emberpin-balancer/src/decisions/peers.rs
@@ -1,25 +1,27 @@
-//! Gossip that is received: the load of peers, what they admitted, and what the owners of quotas advise.
+//! Incoming gossip: the load of peers, the units they admitted, and advice from the owners of quotas.
 
 use super::{
     gossip, housekeeping, Advice, CustomerId, Entry, Gateway, GatewayId, GatewaySet, Millis,
     PeerCount, PlanId, ISOLATION_TIMEOUT,
 };
 
-/// Messages that a mean over the peers is taken over, where there are that many peers.
+/// Number of messages over which the peers' means are averaged; the group size where that is smaller.
 const MEAN_MESSAGES: f64 = 20.0;
-/// Incarnations that began within this time of each other are one common start.
+/// Largest difference between the starts of incarnations that count as one common start.
 const COMMON_START_WINDOW: Millis = 2_000.0;
-/// Peers, or all of them, that must have been heard for a common start to be certain.
+/// Number of peers whose messages must have arrived before a common start is certain; all peers in a
+/// smaller group.
 const COMMON_START_PEERS: usize = 8;
 
 impl Gateway {
-    /// Whether no peer was heard for [`ISOLATION_TIMEOUT`]: this gateway then goes by its own figures.
+    /// Whether no peer message was received for [`ISOLATION_TIMEOUT`]. An isolated gateway relies on its
+    /// own measurements.
     pub(super) fn is_isolated(&self, now: Millis) -> bool {
         now - self.last_peer_message_at > ISOLATION_TIMEOUT
     }
 
-    /// A message of a peer came. One that is garbled, of a gateway outside the group or of an older
-    /// incarnation is ignored.
+    /// Handles a message from a peer. A message is ignored if it is garbled, comes from outside the group
+    /// or belongs to an older incarnation of the peer.
     pub(super) fn on_peer_message(&mut self, now: Millis, from: GatewayId, bytes: &[u8]) {
         let Some(message) = gossip::read(bytes) else {
             return;
@@ -35,9 +37,12 @@
         for entry in message.entries {
             match entry {
                 Entry::Count { .. } => self.on_count(now, from, entry),
-                Entry::Advice { customer, chance } => {
+                Entry::Advice {
+                    customer,
+                    probability,
+                } => {
                     let advice = Advice {
-                        chance,
+                        probability,
                         received_at: now,
                     };
                     self.advice.insert(customer, advice);
@@ -46,8 +51,9 @@
         }
     }
 
-    /// Notes a peer's incarnation; `false` for a message of an older one. A new incarnation counts from
-    /// nothing, so that a restart refunds nothing that was used before.
+    /// Records a peer's incarnation, of which `low` holds the low 32 bits; returns `false` for a message of
+    /// an older one. The counts of a new incarnation start at zero, so a restart refunds no units that were
+    /// used before.
     fn accept_incarnation(&mut self, now: Millis, from: GatewayId, low: u32) -> bool {
         let incarnation = gossip::full_incarnation(low, now);
         let known = self.peer_incarnations.entry(from);
@@ -66,8 +72,8 @@
 
     fn learn_peer_load(&mut self, now: Millis, message: &gossip::Message) {
         let isolated = self.is_isolated(now);
-        let messages = MEAN_MESSAGES.min(f64::from(self.settings.group_size));
-        let gain = if isolated { 1.0 } else { 1.0 / messages };
+        let samples = MEAN_MESSAGES.min(f64::from(self.settings.group_size));
+        let gain = if isolated { 1.0 } else { 1.0 / samples };
         let load = &mut self.load;
         load.peers_in_flight += (message.in_flight - load.peers_in_flight) * gain;
         load.peers_throughput += (message.throughput - load.peers_throughput) * gain;
@@ -77,13 +83,13 @@
         self.last_peer_message_at = now;
     }
 
-    /// Detects a common start: enough peers were heard, and none is much older than this incarnation. Then
-    /// nobody used any quota before, and bursts need not be held back.
+    /// Detects a common start: messages arrived from enough peers, and none is much older than this
+    /// incarnation. Then no quota was used before, and bursts need not be withheld.
     fn detect_common_start(&mut self) {
         let peers = self.settings.group_size.max(1) as usize - 1;
-        let enough = COMMON_START_PEERS.min(peers);
+        let required = COMMON_START_PEERS.min(peers);
         if self.common_start
-            || self.peer_incarnations.len() < enough
+            || self.peer_incarnations.len() < required
             || self
                 .peer_incarnations
                 .values()
@@ -100,13 +106,13 @@
         }
     }
 
-    /// Whether an incarnation began well before this gateway's own.
+    /// Whether an incarnation began before this gateway's own by more than [`COMMON_START_WINDOW`].
     fn is_older(&self, incarnation: u64) -> bool {
         incarnation as f64 + COMMON_START_WINDOW < self.incarnation as f64
     }
 
-    /// A peer announced a customer's count. Among many gateways, an owner may hear of a customer that never
-    /// came through it.
+    /// Handles a peer's count of a customer. In a large group, an owner may receive counts of a customer
+    /// whose requests never came through it.
     fn on_count(&mut self, now: Millis, from: GatewayId, entry: Entry) {
         let Entry::Count {
             customer,
@@ -129,8 +135,8 @@
         self.apply_count(now, from, customer, units, requested);
     }
 
-    /// Takes what a peer admitted from the quota here. Counts are cumulative: a later one makes up for one
-    /// that was lost, and an earlier one that comes late changes nothing.
+    /// Takes the units that a peer admitted from the quota. Counts are cumulative: a later one makes up for
+    /// a lost one, and an earlier one that arrives late changes nothing.
     fn apply_count(&mut self, now: Millis, from: GatewayId, id: u64, units: f64, requested: f64) {
         let older = self.is_older(self.peer_incarnations[&from]);
         let Some(customer) = self.customers.get_mut(&id) else {
@@ -140,19 +146,19 @@
             return;
         }
         let plan = &self.settings.plans[customer.plan];
-        // The first count of an incarnation older than this one holds use from before this one's start:
-        // only what comes on top of it counts.
-        let unknown = PeerCount {
+        // The first count from an incarnation older than this one includes use from before this one
+        // started; only the increase after it is charged.
+        let initial = PeerCount {
             units: if older { units } else { 0.0 },
             received_at: now,
         };
-        let known = customer.peer_counts.get(&from).copied().unwrap_or(unknown);
-        let fresh = if units >= known.units {
+        let known = customer.peer_counts.get(&from).copied().unwrap_or(initial);
+        let new_units = if units >= known.units {
             units - known.units
         } else if now - known.received_at < housekeeping::IDLE_TIMEOUT / 2.0 {
             return;
         } else {
-            // The peer forgot the idle customer meanwhile and counts from nothing.
+            // The peer dropped the idle customer in the meantime, so its count restarted at zero.
             units
         };
         let count = PeerCount {
@@ -160,13 +166,16 @@
             received_at: now,
         };
         customer.peer_counts.insert(from, count);
-        // What peers admitted during an isolation comes in one sum, a part of which was withheld here.
-        let covered = fresh.min(customer.withheld);
-        customer.withheld -= covered;
+        // Units that peers admitted during an isolation arrive in one sum; part of them was already
+        // withheld here.
+        let withheld_part = new_units.min(customer.withheld);
+        customer.withheld -= withheld_part;
         customer
             .quota
             .refill(now, plan.quota_rate, plan.quota_burst);
-        customer.quota.take(fresh - covered, -plan.quota_burst);
+        customer
+            .quota
+            .withdraw(new_units - withheld_part, -plan.quota_burst);
         customer.add_demand(now, requested);
     }
 }
--- a/crates/emberpin-balancer/src/decisions/quotas.rs
+++ b/crates/emberpin-balancer/src/decisions/quotas.rs
@@ -1,54 +1,63 @@
-//! Customers' quotas and hard rate limits: their token buckets, and what is taken from them.
+//! Customers' quotas and hard rate limits: their token buckets, and how requests are charged to them.
+//!
+//! The gateways of a customer's set own its quota together and announce their counts to each other. In a
+//! group too large for that, two gateways of the set own the quota and advise the others with what
+//! probability to admit requests.
 
 use super::admission::Admission;
 use super::{
-    gossip, mix, Action, CustomerId, CustomerState, Gateway, GatewayId, GatewaySet, Millis, Plan,
-    PlanId, TokenBucket, Usage, ISOLATION_TIMEOUT, TICK_PERIOD,
+    gossip, mix_hash, Action, CustomerId, CustomerState, Gateway, GatewayId, GatewaySet, Millis,
+    Plan, PlanId, TokenBucket, Usage, ISOLATION_TIMEOUT, TICK_PERIOD,
 };
 
-/// Share of the onset below which a gateway counts as quiet enough for paid requests beyond quotas.
+/// Share of the congestion onset below which a gateway is quiet enough to admit paid requests beyond
+/// quotas.
 const QUIET_SHARE: f64 = 0.5;
-/// Gateways of a customer's set that own its quota, where peers are too many for all of them to own it.
+/// Number of owners of a customer's quota where the group is too large for the whole set to own it.
 const MAX_OWNERS: usize = 2;
-/// Share of the messages that peers can receive which each owner may spend to advise on one customer.
+/// Rate of an owner's advice on one customer, as a multiple of the messages that a peer can receive.
 pub(super) const ADVICE_SHARE: f64 = 1.5;
-/// An owner's estimate of the demand looks back for this time.
+/// Time constant of an owner's exponentially decaying estimate of the demand.
 const DEMAND_WINDOW: Millis = 3_000.0;
-/// An owner lets a full quota be used up over this time.
+/// Time over which an owner lets the tokens of a quota be spent.
 const DRAIN_TIME: Millis = 1_000.0;
-/// Advice counts for this time.
+/// Time for which received advice stays valid.
 pub(super) const ADVICE_VALIDITY: Millis = 15_000.0;
-/// Share of the burst that an owner leaves in a quota under pressure: held at nothing, chance alone
-/// overruns it.
+/// Share of the burst that an owner keeps in reserve while demand exceeds the quota. Without a reserve,
+/// random variation alone would overrun the quota.
 const BUCKET_RESERVE: f64 = 0.3;
-/// How often a change of a customer's count is announced: twice, so that one lost message does no harm.
+/// How many times a change of a customer's count is announced: twice, so that one lost message does no
+/// harm.
 const ANNOUNCEMENTS: u32 = 2;
 
 impl CustomerState {
+    /// Takes the units of an admitted request from the quota and the rate limit.
     fn spend(&mut self, plan: &Plan, units: f64) {
-        self.quota.take(units, -plan.quota_burst);
-        self.rate_limit.take(units, -plan.limit_burst);
+        self.quota.withdraw(units, -plan.quota_burst);
+        self.rate_limit.withdraw(units, -plan.limit_burst);
         self.admitted += units;
     }
 
-    /// Counts units that were requested, here or at a peer.
+    /// Adds units that were requested here or at a peer to the estimated demand.
     pub(super) fn add_demand(&mut self, now: Millis, units: f64) {
-        self.demand = self.faded_demand(now) + units;
+        self.demand = self.decayed_demand(now) + units;
         self.demand_at = now;
     }
 
-    fn faded_demand(&self, now: Millis) -> f64 {
+    /// The demand estimate, decayed to this moment.
+    fn decayed_demand(&self, now: Millis) -> f64 {
         self.demand * ((self.demand_at - now) / DEMAND_WINDOW).exp()
     }
 
-    /// With what chance an owner lets requests be admitted. Exception for sets of gateways too large for
-    /// every one to be sent every announcement, where a token bucket cannot be kept in step: percentage
-    /// throttling for one customer, by what its rate and its tokens allow over a short time as a share of
-    /// the demand.
-    pub(super) fn admission_chance(&self, now: Millis, plan: &Plan) -> f64 {
-        let observed = self.observed_since - now;
-        let seen_share = 1.0 - (observed.min(-DRAIN_TIME) / DEMAND_WINDOW).exp();
-        let demand = self.faded_demand(now) * 1000.0 / DEMAND_WINDOW / seen_share;
+    /// Probability with which an owner wants requests of this customer to be admitted: the rate that the
+    /// quota and its tokens allow over [`DRAIN_TIME`], as a share of the demand. Exception to token
+    /// buckets: used in groups too large for every gateway to be sent every announcement, where the buckets
+    /// cannot be kept in step.
+    pub(super) fn admission_probability(&self, now: Millis, plan: &Plan) -> f64 {
+        // Negative, as the exponent of the share of the window that was observed.
+        let minus_observed_time = self.observed_since - now;
+        let observed_share = 1.0 - (minus_observed_time.min(-DRAIN_TIME) / DEMAND_WINDOW).exp();
+        let demand = self.decayed_demand(now) * 1000.0 / DEMAND_WINDOW / observed_share;
         let refilled = (now - self.quota.updated_at) * plan.quota_rate / 1000.0;
         let tokens = (self.quota.tokens + refilled).min(plan.quota_burst);
         let spare = tokens - plan.quota_burst * BUCKET_RESERVE;
@@ -56,30 +65,31 @@
         (allowed / demand.max(1e-6)).clamp(0.01, 1.0)
     }
 
-    /// Refills the quota and returns its tokens. While the gateway is isolated, what the other gateways of
-    /// the set admit is unknown, so that each refills at its share of the rate; the rest is withheld. Harm:
-    /// a customer that comes through one gateway only gets no more than that share meanwhile.
+    /// Refills the quota and returns its tokens. `isolated_for` is the time without a peer message while
+    /// this gateway is isolated. What the other gateways of the set admit is then unknown, so each refills
+    /// only at its share of the rate, and the rest is recorded as withheld. Drawback: a customer whose
+    /// requests come through one gateway only gets no more than that share meanwhile.
     fn refill_quota(&mut self, now: Millis, plan: &Plan, isolated_for: Option<Millis>) -> f64 {
         let rate = match isolated_for {
             Some(_) => plan.quota_rate / f64::from(self.gateways.size),
             None => plan.quota_rate,
         };
         let since_refill = (now - self.quota.updated_at).max(0.0);
-        let span = since_refill.min(isolated_for.unwrap_or(0.0));
-        self.withheld += (plan.quota_rate - rate) * span / 1000.0;
+        let isolated_span = since_refill.min(isolated_for.unwrap_or(0.0));
+        self.withheld += (plan.quota_rate - rate) * isolated_span / 1000.0;
         self.quota.refill(now, rate, plan.quota_burst)
     }
 
     /// Refills this gateway's share of the hard rate limit and returns its tokens.
     fn refill_rate_limit(&mut self, now: Millis, plan: &Plan) -> f64 {
-        let set = f64::from(self.gateways.size);
+        let set_size = f64::from(self.gateways.size);
         self.rate_limit
-            .refill(now, plan.limit_rate / set, plan.limit_burst / set)
+            .refill(now, plan.limit_rate / set_size, plan.limit_burst / set_size)
     }
 }
 
 impl Gateway {
-    /// Makes sure that a customer has its state, and marks it as used.
+    /// Creates the state of a customer if there is none, and otherwise marks it as used.
     pub(super) fn ensure_customer(
         &mut self,
         now: Millis,
@@ -131,54 +141,55 @@
             tokens: self.initial_quota(now, &customer, plan),
             updated_at: now,
         };
-        // A fresh incarnation may follow one that had spent its share of the rate limit, so that the share
-        // fills from the start of this one; unless the whole group was seen to start.
-        let unspent = if self.common_start {
+        // A previous incarnation may have spent its share of the rate limit, so the share fills from the
+        // start of this one, unless the whole group is known to have started together.
+        let initial_share = if self.common_start {
             plan.limit_burst / f64::from(gateways.size)
         } else {
             0.0
         };
         customer.rate_limit = TokenBucket {
-            tokens: unspent,
+            tokens: initial_share,
             updated_at: self.started_at,
         };
         customer
     }
 
-    /// The gateways that own a customer's quota: all of its set, or a few that a hash picks where peers are
-    /// too many.
+    /// The gateways that own a customer's quota: its whole set, or [`MAX_OWNERS`] of it chosen by a hash
+    /// where the group is too large.
     fn choose_owners(&self, id: u64, gateways: GatewaySet) -> Vec<GatewayId> {
         let group = self.settings.group_size.max(1);
         let mut owners: Vec<GatewayId> = (0..gateways.size)
             .map(|offset| GatewayId((gateways.first.0 + offset) % group))
             .collect();
         if !self.gossips_to_all() && owners.len() > 2 * MAX_OWNERS {
-            owners.sort_by_key(|peer| mix(id ^ mix(u64::from(peer.0) + 1)));
+            owners.sort_by_key(|peer| mix_hash(id ^ mix_hash(u64::from(peer.0) + 1)));
             owners.truncate(MAX_OWNERS);
         }
         owners
     }
 
-    /// Tokens of a customer that was not seen before. The quota is full where every peer of the set would
-    /// have announced its use by now; else the burst is split over the set until counts arrive. A gateway
-    /// that does not own the quota starts with all of it, as its owners guard it.
+    /// Initial tokens of a new customer. The quota is full where every peer of the set would have announced
+    /// its use by now; otherwise the burst is split over the set until counts arrive. A gateway that does
+    /// not own the quota starts with the whole burst, as the owners enforce the quota.
     fn initial_quota(&self, now: Millis, customer: &CustomerState, plan: &Plan) -> f64 {
         let refilled = (now - self.started_at) * plan.quota_rate / 1000.0;
-        let settled = refilled >= plan.quota_burst && !self.is_isolated(now);
-        let guarded_by_others = customer.has_few_owners() && !customer.is_owner;
-        if self.common_start || settled || guarded_by_others {
+        let announced_by_peers = refilled >= plan.quota_burst && !self.is_isolated(now);
+        let owned_by_others = customer.has_few_owners() && !customer.is_owner;
+        if self.common_start || announced_by_peers || owned_by_others {
             plan.quota_burst
         } else {
             plan.quota_burst / f64::from(customer.gateways.size)
         }
     }
 
-    /// `None` when the customer's quota and rate limit allow the units; else how long until they would.
+    /// `None` when the customer's quota and rate limit allow the units; otherwise the milliseconds until
+    /// they would. Adds the units to the customer's demand in either case.
     pub(super) fn quota_delay(&mut self, now: Millis, id: u64, units: f64) -> Option<Millis> {
-        let advised = self.advised_chance(now, id);
-        let roll = self.rng.rand_float();
+        let advised = self.advised_probability(now, id);
+        let draw = self.rng.rand_float();
         let isolated = self.is_isolated(now) && now - self.started_at > ISOLATION_TIMEOUT;
-        let silence = now - self.last_peer_message_at;
+        let since_peer_message = now - self.last_peer_message_at;
         let customer = self.customers.get_mut(&id)?;
         let plan = &self.settings.plans[customer.plan];
         customer.requested += units;
@@ -186,44 +197,46 @@
         self.unannounced.insert(id);
         let mut delay = 0.0f64;
         if plan.quota_rate > 0.0 {
-            // Not where owners advise: their last advice stands.
-            let isolated_for = (isolated && !customer.has_few_owners()).then_some(silence);
+            // Does not apply to a customer with few owners: their last advice stays in force.
+            let isolated_for =
+                (isolated && !customer.has_few_owners()).then_some(since_peer_message);
             let tokens = customer.refill_quota(now, plan, isolated_for);
             customer.add_demand(now, units);
             let advises = customer.has_few_owners() && customer.is_owner;
-            let chance = if advises {
-                customer.admission_chance(now, plan)
+            let probability = if advises {
+                customer.admission_probability(now, plan)
             } else {
                 advised
             };
-            if roll >= chance || (!advises && tokens < units) {
+            if draw >= probability || (!advises && tokens < units) {
                 delay = (units - tokens).max(units) * 1000.0 / plan.quota_rate;
             }
         }
-        let set = f64::from(customer.gateways.size);
+        let set_size = f64::from(customer.gateways.size);
         if plan.limit_rate > 0.0 {
             let tokens = customer.refill_rate_limit(now, plan);
-            delay = delay.max((units - tokens) * 1000.0 / (plan.limit_rate / set));
+            delay = delay.max((units - tokens) * 1000.0 / (plan.limit_rate / set_size));
         }
-        let max_in_flight = (plan.max_in_flight / set).max(1.0);
+        let max_in_flight = (plan.max_in_flight / set_size).max(1.0);
         if plan.max_in_flight > 0.0 && f64::from(customer.in_flight) >= max_in_flight {
             delay = delay.max(TICK_PERIOD);
         }
         Some(delay).filter(|delay| *delay > 0.0)
     }
 
-    /// The chance that a customer's owners advised; 1 without advice that counts. The last advice stands
-    /// while this gateway is isolated.
-    fn advised_chance(&self, now: Millis, id: u64) -> f64 {
+    /// The admission probability that a customer's owners advised; 1 without valid advice. While this
+    /// gateway is isolated, the last advice stays valid.
+    fn advised_probability(&self, now: Millis, id: u64) -> f64 {
         self.advice
             .get(&id)
             .filter(|advice| now - advice.received_at < ADVICE_VALIDITY || self.is_isolated(now))
-            .map_or(1.0, |advice| advice.chance)
+            .map_or(1.0, |advice| advice.probability)
     }
 
-    /// Exception to "an empty quota rejects": where a plan's requests beyond the quota earn more than they
-    /// cost and have no hard limit, they are admitted while less is in flight than a quiet gateway has.
-    /// Harm: they load servers that a sudden surge within the quotas then finds busier.
+    /// Whether a request beyond its quota may be admitted. Exception to the rule that an empty quota
+    /// rejects: where such requests earn more than they cost and the plan has no hard limit, they are
+    /// admitted while this gateway is quiet. Drawback: they occupy servers that a sudden surge within the
+    /// quotas then finds busier.
     pub(super) fn may_exceed_quota(&self, now: Millis, customer: u64) -> bool {
         let Some(customer) = self.customers.get(&customer) else {
             return false;
@@ -235,8 +248,8 @@
         quiet && pays && plan.limit_rate <= 0.0 && plan.max_in_flight <= 0.0
     }
 
-    /// Takes the units of an admitted request from its customer's quota and rate limit; none beyond the
-    /// quota.
+    /// Counts an admitted request as in flight and, if it is within the quota, takes its units from the
+    /// customer's quota and rate limit.
     pub(super) fn charge(
         &mut self,
         id: u64,
@@ -262,20 +275,20 @@
         }
     }
 
-    /// Corrects what a request took from its customer's quota once its true units are known.
+    /// Corrects the customer's quota and count once the true units of a request are known.
     pub(super) fn correct_units(&mut self, id: u64, estimated: f64, units: f64) {
         let Some(customer) = self.customers.get_mut(&id) else {
             return;
         };
-        let more = units - estimated;
-        customer.quota.tokens -= more;
-        customer.admitted = (customer.admitted + more).max(0.0);
+        let difference = units - estimated;
+        customer.quota.tokens -= difference;
+        customer.admitted = (customer.admitted + difference).max(0.0);
         customer.announcements_due = ANNOUNCEMENTS;
     }
 
-    /// Counts what the second process of this gateway used up as its own, so that quotas, rate limits and
-    /// the slow start of servers hold for both together; it takes effect later by the time that the message
-    /// took.
+    /// Counts usage of the second process of this gateway as its own, so that quotas, rate limits and the
+    /// slow start of servers hold for both together. It takes effect later by the transit time of the
+    /// message.
     pub(super) fn on_sibling_usage(&mut self, now: Millis, usage: Usage) {
         match usage {
             Usage::Units {
@@ -292,6 +305,7 @@
         }
     }
 
+    /// Charges units that the second process admitted.
     fn spend_for_sibling(&mut self, now: Millis, id: u64, units: f64) {
         let Some(customer) = self.customers.get_mut(&id) else {
             return;
--- a/crates/emberpin-balancer/src/decisions/slow_start.rs
+++ b/crates/emberpin-balancer/src/decisions/slow_start.rs
@@ -1,45 +1,51 @@
-//! The slow start of servers: how much a server that warms up may be sent, and by which gateways.
+//! Slow start: how much load a server that is warming up may be sent, and by which gateways.
+//!
+//! A server fails when it is sent a multiple of its present capacity for some time
+//! ([`SlowStart`](crate::SlowStart)). The gateways keep their common load below that without messages: a
+//! hash selects a few gateways for each server, and each sends within its part of the limit. Where no
+//! server is warm, all gateways take turns instead.
 
-use super::{mix, Gateway, Millis, Server, ServerId, ServerState, TokenBucket, TICK_PERIOD};
+use super::{mix_hash, Gateway, Millis, Server, ServerId, ServerState, TokenBucket, TICK_PERIOD};
 
 /// Share of the load that would overload a server which the gateways together may send to it.
 const SLOW_START_SHARE: f64 = 0.5;
-/// Share of that which may come in one burst.
+/// Share of a gateway's allowance over the overload time that it may send in one burst.
 const SLOW_START_BURST: f64 = 0.25;
-/// Share of the overload limit that bounds how many gateways may send, as each may be one request over its
-/// part.
+/// Bound on the number of gateways that may send to a server, as a share of its overload limit in requests:
+/// each gateway may exceed its part by one request.
 const SLOW_START_GATEWAY_SHARE: f64 = 0.2;
-/// Gateways that may send in any case; fewer where the limit is less than so many requests for each.
+/// Gateways that may send in any case; fewer where the limit is less than this many requests for each.
 const SLOW_START_MIN_GATEWAYS: f64 = 3.0;
-/// Where all servers warm up, what they are held to carry may grow by this part a second while they report
-/// no queue.
-const COLD_MULTIPLE_GROWTH: f64 = 0.5;
-/// Requests in a queue below which it counts as empty.
+/// Growth of the estimated capacity per second, as a share of it, while no server is warm and reports show
+/// empty queues.
+const RATE_MULTIPLE_GROWTH: f64 = 0.5;
+/// Mean number of queued requests below which queues count as empty.
 const EMPTY_QUEUE: f64 = 0.5;
-/// Multiple of the first guess that it may grow to.
-const MAX_COLD_MULTIPLE: f64 = 8.0;
-/// A report of a server that warms up counts for this time.
-pub(super) const COLD_REPORT_VALIDITY: Millis = 2_000.0;
-/// Weight of the newest report in the average of queues.
-pub(super) const COLD_QUEUE_GAIN: f64 = 0.5;
-/// The fractional part of the golden ratio: steps of it round a circle never come close to one another.
+/// Bound on the estimated capacity, as a multiple of the initial estimate.
+const MAX_RATE_MULTIPLE: f64 = 8.0;
+/// Time for which a queue length reported by a warming-up server stays valid.
+pub(super) const QUEUE_REPORT_VALIDITY: Millis = 2_000.0;
+/// Weight of the newest report in the average queue length of warming-up servers.
+pub(super) const QUEUE_REPORT_GAIN: f64 = 0.5;
+/// The fractional part of the golden ratio. Multiples of it are spread evenly round a circle: no two come
+/// close to each other.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 
-/// What a server that warms up may get.
+/// Bounds on the load of a server that is warming up.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SlowStartLimit {
-    /// Requests of mean work a second that are held to overload it.
+    /// Requests of mean work per second that are assumed to overload it.
     rate: f64,
-    /// How many gateways may send to it.
+    /// Number of gateways that may send to it.
     pub(super) gateways: f64,
 }
 
 impl Gateway {
-    /// Share of its capacity that a server has at least by now, from 0.01 to 1.
+    /// Share of its capacity that a server has at least at this moment, from 0.01 to 1.
     pub(super) fn warm_up_share(&self, now: Millis, info: &Server) -> f64 {
         let slow_start = &self.settings.slow_start;
-        // A server that an operator put back was most likely restarted, of which the endpoint list may
-        // learn late or not at all.
+        // A server that an operator put back into service was most likely restarted; the endpoint list may
+        // report that late or not at all.
         let started_at = info
             .started_at
             .into_iter()
@@ -47,35 +53,35 @@
             .reduce(f64::max);
         match started_at {
             Some(at) if slow_start.duration > 0.0 && now - at < slow_start.duration => {
-                let part = (now - at).max(0.0) / slow_start.duration;
+                let elapsed_share = (now - at).max(0.0) / slow_start.duration;
                 let initial = slow_start.initial_capacity;
-                (initial + (1.0 - initial) * part).clamp(0.01, 1.0)
+                (initial + (1.0 - initial) * elapsed_share).clamp(0.01, 1.0)
             }
             _ => 1.0,
         }
     }
 
-    /// Whether a server has its whole capacity.
+    /// Whether a server has its full capacity.
     pub(super) fn is_warm(&self, now: Millis, info: &Server) -> bool {
         self.warm_up_share(now, info) >= 1.0
     }
 
-    /// Whether a server is warm or may get another request. One that warms up gets requests from a few
-    /// gateways only, that a hash picks without any message, and from each within its part of the common
-    /// limit. Covers restarts, deployments and replacements of all kinds, and any number of gateways that
-    /// are isolated from each other. Harm: when every server warms up, requests are rejected that they
-    /// might have carried.
+    /// Whether a server is warm or its slow-start budget allows another request. A server that is warming
+    /// up receives requests from a few gateways only, which a hash selects without any message, each within
+    /// its part of the common limit. This covers restarts, deployments and replacements, with any number of
+    /// gateways isolated from each other. Drawback: while no server is warm, requests are rejected that the
+    /// servers might have served.
     pub(super) fn has_slow_start_budget(
         &self,
         now: Millis,
         server: &ServerState,
-        all_cold: bool,
+        all_warming_up: bool,
     ) -> bool {
         self.is_warm(now, &server.info)
-            || self.slow_start_budget(now, server, all_cold).tokens > 0.0
+            || self.slow_start_budget(now, server, all_warming_up).tokens > 0.0
     }
 
-    /// Whether no server is warm, and none was ever seen to be.
+    /// Whether no server is warm and no warm server was observed before.
     pub(super) fn all_warming_up(&self, now: Millis) -> bool {
         self.load.warm_capacity <= 0.0
             && self
@@ -84,74 +90,77 @@
                 .all(|server| !self.is_warm(now, &server.info))
     }
 
-    /// What would overload a server that warms up, by its present share of what a warm one carries.
+    /// The load that would overload a server that is warming up, by its present share of a warm server's
+    /// throughput. `all_warming_up` is the result of [`Gateway::all_warming_up`].
     pub(super) fn slow_start_limit(
         &self,
         now: Millis,
         server: &ServerState,
-        all_cold: bool,
+        all_warming_up: bool,
     ) -> SlowStartLimit {
         let slow_start = &self.settings.slow_start;
-        let carries = if self.load.warm_capacity > 0.0 {
+        let warm_rate = if self.load.warm_capacity > 0.0 {
             self.load.warm_capacity * server.info.capacity
         } else {
-            // No warm server was ever seen. One that runs at all serves one mean request after the other,
-            // and answers show how long one takes.
+            // No warm server was observed yet. A running server serves at least one mean request after the
+            // other, and answers show how long one takes.
             let capacity = server.info.capacity.min(1.0);
-            capacity * 1000.0 / self.mean_latency() * self.cold_multiple()
+            capacity * 1000.0 / self.mean_latency() * self.rate_multiple()
         };
-        let warm_share = self.warm_up_share(now, &server.info);
-        let rate = (slow_start.overload_multiple * warm_share * carries).max(0.0);
+        let capacity_share = self.warm_up_share(now, &server.info);
+        let rate = (slow_start.overload_multiple * capacity_share * warm_rate).max(0.0);
         let limit = rate * slow_start.overload_time / 1000.0;
-        let gateways = if all_cold {
+        let gateways = if all_warming_up {
             SLOW_START_SHARE * limit
         } else {
-            let few = SLOW_START_MIN_GATEWAYS.min(limit / SLOW_START_MIN_GATEWAYS);
-            (SLOW_START_GATEWAY_SHARE * limit).max(few)
+            let min_gateways = SLOW_START_MIN_GATEWAYS.min(limit / SLOW_START_MIN_GATEWAYS);
+            (SLOW_START_GATEWAY_SHARE * limit).max(min_gateways)
         };
         SlowStartLimit {
             rate,
-            // No more than there are: the part of any further one would be nobody's.
+            // At most the whole group: the part of a gateway that does not exist would never be sent.
             gateways: gateways.max(1.0).floor().min(self.group_size()),
         }
     }
 
-    /// Adapts what servers are held to carry while all of them warm up. For good, one request after the
-    /// other would be little for a server of several cores, whose answers are slow while it is cold. Queues
-    /// fill long before a server is overloaded, so that the gateways ask for more, little by little, while
-    /// reports say that queues are empty. Covers servers that report their queue. Harm: a gateway that
-    /// rarely hears of them asks for less.
-    pub(super) fn adapt_cold_multiple(&mut self, now: Millis, span: Millis) {
-        let report_age = now - self.load.cold_reported_at;
-        if report_age > COLD_REPORT_VALIDITY || !self.all_warming_up(now) {
+    /// Adapts the estimated capacity of servers while all of them are warming up. The initial estimate, one
+    /// request after the other, is too low for a server with several cores whose answers are slow at first.
+    /// Queues fill long before a server is overloaded, so the estimate grows gradually while reports show
+    /// empty queues, and shrinks otherwise. Covers servers that report their queue length. Drawback: a
+    /// gateway that rarely receives reports sends less.
+    pub(super) fn adapt_rate_multiple(&mut self, now: Millis, span: Millis) {
+        let report_age = now - self.load.warming_reported_at;
+        if report_age > QUEUE_REPORT_VALIDITY || !self.all_warming_up(now) {
             return;
         }
         let step = span.min(TICK_PERIOD * 2.0) / 1000.0;
-        self.load.cold_multiple = if self.load.cold_queue < EMPTY_QUEUE {
-            self.cold_multiple() * (1.0 + COLD_MULTIPLE_GROWTH * step)
+        self.load.rate_multiple = if self.load.warming_queue_length < EMPTY_QUEUE {
+            self.rate_multiple() * (1.0 + RATE_MULTIPLE_GROWTH * step)
         } else {
-            self.cold_multiple() / (1.0 + step)
+            self.rate_multiple() / (1.0 + step)
         };
     }
 
-    /// How many times the first guess servers are held to carry.
-    fn cold_multiple(&self) -> f64 {
-        self.load.cold_multiple.clamp(1.0, MAX_COLD_MULTIPLE)
+    /// The estimated capacity as a multiple of the initial estimate, which is one request after the other.
+    fn rate_multiple(&self) -> f64 {
+        self.load.rate_multiple.clamp(1.0, MAX_RATE_MULTIPLE)
     }
 
-    /// What this gateway may still send to a server that warms up, in requests of mean work.
+    /// This gateway's budget for a server that is warming up, refilled to this moment, in requests of mean
+    /// work.
     pub(super) fn slow_start_budget(
         &self,
         now: Millis,
         server: &ServerState,
-        all_cold: bool,
+        all_warming_up: bool,
     ) -> TokenBucket {
         let overload_time = self.settings.slow_start.overload_time;
-        let limit = self.slow_start_limit(now, server, all_cold);
+        let limit = self.slow_start_limit(now, server, all_warming_up);
         let group = self.group_size();
-        let (picked, shared_by) = if all_cold && limit.gateways < group {
-            // No warm server is there for the gateways that are not picked. They take turns, each as long
-            // as it takes to overload a server, and share the rate over all turns.
+        let (selected, shared_by) = if all_warming_up && limit.gateways < group {
+            // The gateways that are not selected have no warm server to use instead. So all gateways take
+            // turns, each for the time that it takes to overload a server, and share the rate over all
+            // turns.
             (self.has_turn(now, server, limit), group)
         } else {
             (
@@ -159,39 +168,45 @@
                 limit.gateways,
             )
         };
-        let rate = f64::from(u8::from(picked)) * SLOW_START_SHARE * limit.rate / shared_by;
+        let rate = f64::from(u8::from(selected)) * SLOW_START_SHARE * limit.rate / shared_by;
         let burst = rate * (overload_time / 1000.0) * SLOW_START_BURST;
         let mut budget = server.slow_start_budget;
         budget.refill(now, rate, burst);
         budget
     }
 
-    /// Whether it is this gateway's turn to send to a server. Steps of the golden ratio deal turns out
-    /// evenly, and alike at all gateways that know the same servers, whatever else each has learned.
+    /// Whether it is this gateway's turn to send to a server. Multiples of the golden ratio distribute
+    /// turns evenly and give the same order at all gateways that know the same servers, whatever else each
+    /// has learned.
     fn has_turn(&self, now: Millis, server: &ServerState, limit: SlowStartLimit) -> bool {
         let turn = (now / self.settings.slow_start.overload_time).floor()
             + f64::from(self.settings.gateway_id.0);
-        (turn * GOLDEN_RATIO + server.turn).fract() < limit.gateways / self.group_size()
+        (turn * GOLDEN_RATIO + server.turn_offset).fract() < limit.gateways / self.group_size()
     }
 
-    /// Takes an attempt's work from the budget of a server that warms up.
+    /// Takes an attempt's work, in requests of mean work, from the budget of a server that is warming up.
     pub(super) fn spend_slow_start_budget(&mut self, now: Millis, id: ServerId, work: f64) {
-        let all_cold = self.all_warming_up(now);
+        let all_warming_up = self.all_warming_up(now);
         let Some(server) = self.servers.get(&id) else {
             return;
         };
-        let mut budget = self.slow_start_budget(now, server, all_cold);
+        let mut budget = self.slow_start_budget(now, server, all_warming_up);
         budget.tokens -= work;
         if let Some(server) = self.servers.get_mut(&id) {
             server.slow_start_budget = budget;
         }
     }
 
-    /// How many gateways come before this one in the hashed order for the incarnation of a server.
+    /// Number of gateways that precede this one in the hashed order for an incarnation of a server.
     pub(super) fn gateway_rank(&self, server: &Server) -> u32 {
         let started_at = server.started_at.unwrap_or(0.0);
         let incarnation = u64::from(server.id.0) << 32 ^ started_at.to_bits();
-        let score = |gateway: u32| (mix(incarnation ^ mix(u64::from(gateway))), gateway);
+        let score = |gateway: u32| {
+            (
+                mix_hash(incarnation ^ mix_hash(u64::from(gateway))),
+                gateway,
+            )
+        };
         let own = score(self.settings.gateway_id.0);
         (0..self.settings.group_size)
             .filter(|other| score(*other) < own)
--- a/crates/emberpin-balancer/src/handover.rs
+++ b/crates/emberpin-balancer/src/handover.rs
@@ -1,9 +1,9 @@
-//! What the next process of a gateway takes over from the one before it, so that an upgrade forgets nothing that the
-//! decisions rest on: quotas and rate limits, slow start, ejections, maintenance, congestion, what peers announced. No
-//! decision is taken here.
+//! The state that a process of a gateway hands over to its successor during an upgrade: quotas and rate limits,
+//! slow start, ejections, maintenance, congestion, and the counts of peers. No decision is taken here.
 //!
-//! Requests are not handed over: the process that took them answers them, and shares what it still uses up as
-//! [`Usage`](crate::Usage). The types here are encoded by position, so that the order of their fields must not change.
+//! Requests are not handed over: the process that accepted them answers them, and shares the units and budgets that
+//! it still uses as [`Usage`](crate::Usage). The types here are encoded by position, so the order of their fields
+//! must not change.
 
 use crate::decisions::{Gateway, CONGESTION_LEVELS};
 use crate::interface::{
@@ -13,10 +13,10 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is known of a server beside its entry of the endpoint list.
+/// Learned state of a server, apart from its entry of the endpoint list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct ServerHistory {
-    /// The incarnation that it is known of.
+struct LearnedServerState {
+    /// Start of the server's incarnation that the state belongs to.
     started_at: Option<Millis>,
     latency_ratio: f64,
     queue_length: f64,
@@ -27,9 +27,9 @@
     slow_start_budget: TokenBucket,
 }
 
-impl ServerHistory {
-    fn of(server: &ServerState) -> ServerHistory {
-        ServerHistory {
+impl LearnedServerState {
+    fn from_server(server: &ServerState) -> LearnedServerState {
+        LearnedServerState {
             started_at: server.info.started_at,
             latency_ratio: server.latency_ratio,
             queue_length: server.queue_length,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Restores it at the same incarnation of the server; of another one it says nothing.
+    /// Restores the state if the server is still in the same incarnation.
     fn restore(&self, server: &mut ServerState) {
         if self.started_at != server.info.started_at {
             return;
@@ -56,17 +56,17 @@
     }
 }
 
-/// The settings that the figures depend on: under other ones they mean nothing.
+/// The settings that the state depends on; under other settings it is meaningless.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Deployment {
     gateway_id: GatewayId,
     group_size: u32,
     classes: usize,
-    plans: Vec<PlanFigures>,
+    plans: Vec<PlanSettings>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct PlanFigures {
+struct PlanSettings {
     quota_rate: f64,
     quota_burst: f64,
     limit_rate: f64,
@@ -74,8 +74,8 @@
 }
 
 impl Deployment {
-    fn of(settings: &Settings) -> Deployment {
-        let figures = |plan: &Plan| PlanFigures {
+    fn from_settings(settings: &Settings) -> Deployment {
+        let plan_settings = |plan: &Plan| PlanSettings {
             quota_rate: plan.quota_rate,
             quota_burst: plan.quota_burst,
             limit_rate: plan.limit_rate,
@@ -85,12 +85,12 @@
             gateway_id: settings.gateway_id,
             group_size: settings.group_size,
             classes: settings.classes.len(),
-            plans: settings.plans.iter().map(figures).collect(),
+            plans: settings.plans.iter().map(plan_settings).collect(),
         }
     }
 }
 
-/// The state of a gateway for its next process.
+/// The state of a gateway that its next process restores.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Handover {
     deployment: Deployment,
@@ -98,7 +98,7 @@
     returned_at: BTreeMap<ServerId, Millis>,
     started_at: Millis,
     incarnation: u64,
-    servers: BTreeMap<ServerId, ServerHistory>,
+    servers: BTreeMap<ServerId, LearnedServerState>,
     customers: BTreeMap<u64, CustomerState>,
     peer_incarnations: BTreeMap<GatewayId, u64>,
     common_start: bool,
@@ -115,9 +115,9 @@
 }
 
 impl Handover {
-    /// Whether the decisions can go on with it: its figures are finite, and its plans, classes and congestion level
-    /// exist. It comes from another process and may be of another version.
-    fn is_sound(&self) -> bool {
+    /// Whether the state can be used: its figures are finite, and its plans, classes and congestion level exist. It
+    /// comes from another process, which may be of another version.
+    fn is_valid(&self) -> bool {
         let load = [
             self.load.throughput,
             self.load.peak_throughput,
@@ -125,20 +125,20 @@
             self.load.in_flight,
             self.mean_latency_target,
             self.retry_budget,
-            self.load.cold_queue,
-            self.load.cold_reported_at,
-            self.load.cold_multiple,
+            self.load.warming_queue_length,
+            self.load.warming_reported_at,
+            self.load.rate_multiple,
         ];
         self.customers
             .values()
-            .all(|customer| self.is_sound_customer(customer))
+            .all(|customer| self.is_valid_customer(customer))
             && load.iter().all(|figure| figure.is_finite())
             && self.latencies.len() == self.deployment.classes
             && self.load.congestion_level < CONGESTION_LEVELS
     }
 
-    fn is_sound_customer(&self, customer: &CustomerState) -> bool {
-        let figures = [
+    fn is_valid_customer(&self, customer: &CustomerState) -> bool {
+        let amounts = [
             customer.quota.tokens,
             customer.rate_limit.tokens,
             customer.admitted,
@@ -148,15 +148,15 @@
         ];
         customer.plan < self.deployment.plans.len()
             && customer.gateways.size >= 1
-            && figures.iter().all(|figure| figure.is_finite())
+            && amounts.iter().all(|amount| amount.is_finite())
     }
 }
 
 impl Gateway {
-    /// The state for the next process; this gateway goes on as before.
+    /// Copies the state for the next process; this gateway continues unchanged.
     pub fn to_handover(&self) -> Handover {
         Handover {
-            deployment: Deployment::of(&self.settings),
+            deployment: Deployment::from_settings(&self.settings),
             in_maintenance: self.in_maintenance.clone(),
             returned_at: self.returned_at.clone(),
             started_at: self.started_at,
@@ -164,7 +164,7 @@
             servers: self
                 .servers
                 .iter()
-                .map(|(id, server)| (*id, ServerHistory::of(server)))
+                .map(|(id, server)| (*id, LearnedServerState::from_server(server)))
                 .collect(),
             customers: self.customers.clone(),
             peer_incarnations: self.peer_incarnations.clone(),
@@ -182,9 +182,9 @@
         }
     }
 
-    /// A gateway that goes on where another process left off, on the same clock and with this endpoint list. What
-    /// was learned under other settings than these is dropped, but for which servers are out of service for
-    /// maintenance; the second value says whether the whole state was taken over.
+    /// Creates a gateway from the state of another process, on the same clock and with this endpoint list. State
+    /// that was learned under different settings is dropped, except for the servers that are out of service for
+    /// maintenance. The second value is whether the whole state was restored.
     pub fn from_handover(
         settings: Settings,
         seed: u64,
@@ -195,26 +195,27 @@
         let mut gateway = Gateway::new(settings, seed, now);
         gateway.in_maintenance = handover.in_maintenance.clone();
         gateway.returned_at = handover.returned_at.clone();
-        let same_deployment = handover.deployment == Deployment::of(&gateway.settings);
-        let usable = same_deployment && handover.is_sound();
-        let mut histories = BTreeMap::new();
+        let same_deployment = handover.deployment == Deployment::from_settings(&gateway.settings);
+        let usable = same_deployment && handover.is_valid();
+        let mut learned_states = BTreeMap::new();
         if usable {
-            histories = gateway.restore(handover);
+            learned_states = gateway.restore(handover);
         }
         let membership = Event::Membership(MembershipUpdate::Full(servers));
         gateway.handle(now, membership, &mut Vec::new());
-        // The first event sets the timer. The actions of this one are lost, so that the next has to count as the first.
+        // The first event sets the timer. The actions of this event are discarded, so the next event has to count
+        // as the first.
         gateway.last_event_at = None;
         for (id, server) in &mut gateway.servers {
-            if let Some(history) = histories.get(id) {
-                history.restore(server);
+            if let Some(learned_state) = learned_states.get(id) {
+                learned_state.restore(server);
             }
         }
         (gateway, usable)
     }
 
-    /// Restores all but the servers, whose histories it returns.
-    fn restore(&mut self, handover: Handover) -> BTreeMap<ServerId, ServerHistory> {
+    /// Restores all state but that of the servers, which it returns.
+    fn restore(&mut self, handover: Handover) -> BTreeMap<ServerId, LearnedServerState> {
         self.started_at = handover.started_at;
         self.incarnation = handover.incarnation;
         self.peer_incarnations = handover.peer_incarnations;
@@ -231,7 +232,7 @@
         self.retry_budget = handover.retry_budget;
         self.customers = handover.customers;
         for customer in self.customers.values_mut() {
-            // The requests in flight are the other process's.
+            // The other process answers the requests in flight.
             customer.in_flight = 0;
         }
         let customers = &self.customers;
--- a/crates/emberpin-balancer/src/host_config.rs
+++ b/crates/emberpin-balancer/src/host_config.rs
@@ -1,6 +1,6 @@
-//! The configuration and the endpoint list as hosts get them, translated for the decisions. The simulator and a
-//! real limiter use the same names and units; a field whose name in JSON differs from its term carries it in
-//! `serde(rename)`. No decision is taken here.
+//! The JSON configuration and the endpoint list of hosts, translated to the types of the decisions. The simulator
+//! and the limiter use the same names and units; a field whose JSON name differs from its name here carries the
+//! JSON name in `serde(rename)`. No decision is taken here.
 
 use crate::gossip;
 use crate::interface::{
@@ -15,7 +15,7 @@
 #[error("unknown zone '{0}'")]
 pub struct UnknownZone(pub String);
 
-/// The names that the configuration gave to the indices in [`Settings`].
+/// Indices in [`Settings`] by the names of the configuration.
 #[derive(Clone, Debug)]
 pub struct IndexNames {
     classes: BTreeMap<String, usize>,
@@ -44,12 +44,12 @@
 }
 
 impl IndexNames {
-    /// The class of this name.
+    /// The class with this name.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.classes.get(name).copied().map(ClassId)
     }
 
-    /// The classes' names, each at its index.
+    /// The names of the classes, in the order of their indices.
     pub fn class_names(&self) -> Vec<String> {
         let mut names: Vec<(usize, &String)> =
             self.classes.iter().map(|(name, at)| (*at, name)).collect();
@@ -57,7 +57,7 @@
         names.into_iter().map(|(_, name)| name.clone()).collect()
     }
 
-    /// The plan of this name.
+    /// The plan with this name.
     pub fn plan(&self, name: &str) -> Option<PlanId> {
         self.plans.get(name).copied().map(PlanId)
     }
@@ -87,10 +87,10 @@
     }
 }
 
-/// The names that servers report their load by.
+/// The names under which servers report their load.
 const LOAD_REPORT_NAMES: [&str; 4] = ["mean_ms", "depth", "concurrent", "load_share"];
 
-/// The value of a load report that a server sends by this name; `None` for a name that is not known.
+/// The field of a load report that servers send under this name; `None` for an unknown name.
 pub fn load_report_field<'a>(
     report: &'a mut LoadReport,
     name: &str,
@@ -104,7 +104,7 @@
     })
 }
 
-/// A load report from its values by name.
+/// Builds a load report; `value` returns the reported value of a name.
 pub fn load_report(value: impl Fn(&str) -> Option<f64>) -> LoadReport {
     let mut report = LoadReport::default();
     for name in LOAD_REPORT_NAMES {
@@ -115,16 +115,16 @@
     report
 }
 
-/// Hashes a customer's name by FNV-1a, folded to [`gossip::ID_MASK`]. It is the same at every gateway and in every
-/// build, as gateways know customers by it in gossip.
+/// Hashes a customer's name with FNV-1a, folded to [`gossip::ID_MASK`]. The result must be the same at every
+/// gateway and in every build, as gossip identifies customers by it.
 pub fn stable_hash(name: &str) -> u64 {
-    let whole = name.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| {
-        (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
+    let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325u64, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3)
     });
-    (whole ^ whole >> 40) & gossip::ID_MASK
+    (hash ^ hash >> 40) & gossip::ID_MASK
 }
 
-/// The configuration as it stands in JSON; opaque but for what a host itself needs of it.
+/// The JSON configuration. Its fields are private, except for the values that hosts themselves need.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct HostConfig {
@@ -167,7 +167,7 @@
     late_value: f64,
     #[serde(rename = "semantics")]
     idempotency: IdempotencyKind,
-    /// For keyed classes; a cell if absent.
+    /// Only for keyed classes; a cell if absent.
     #[serde(rename = "group")]
     dedup_scope: Option<DedupScope>,
     /// For keyed classes.
@@ -204,7 +204,7 @@
     over_quota_cost: f64,
 }
 
-/// What gateways may do.
+/// Optional features of a gateway and their limits.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 struct Capabilities {
@@ -225,13 +225,13 @@
     idle_timeout: Option<Millis>,
 }
 
-/// What surrounds gateways.
+/// Properties of a gateway's environment.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 struct Environment {
     #[serde(rename = "mail-per-s")]
     peer_messages_per_second: f64,
-    /// 0 where it is not known.
+    /// 0 if unknown.
     max_units: f64,
     #[serde(rename = "settles")]
     units_are_estimates: bool,
@@ -262,17 +262,18 @@
 }
 
 impl HostConfig {
-    /// The settings of the decisions, and the names of the indices in them.
+    /// Translates the configuration to the settings of the decisions, and returns the indices of its names with
+    /// them.
     ///
     /// # Errors
     ///
     /// When the gateway's zone is none of the configuration's.
     pub fn to_settings(&self) -> Result<(Settings, IndexNames), UnknownZone> {
         let names = IndexNames {
-            classes: index(self.classes.iter().map(|class| &class.name)),
-            plans: index(self.plans.iter().map(|plan| &plan.name)),
-            zones: index(self.zones.iter()),
-            kinds: index(self.kinds.iter()),
+            classes: index_by_name(self.classes.iter().map(|class| &class.name)),
+            plans: index_by_name(self.plans.iter().map(|plan| &plan.name)),
+            zones: index_by_name(self.zones.iter()),
+            kinds: index_by_name(self.kinds.iter()),
         };
         let zone = *names
             .zones
@@ -281,18 +282,18 @@
         Ok((self.settings(zone), names))
     }
 
-    /// Milliseconds after which a connection that is not up counts as failed, where that is configured.
+    /// Milliseconds after which an attempt to connect fails, if configured.
     pub fn connect_timeout(&self) -> Option<Millis> {
         self.capabilities.connect_timeout
     }
 
-    /// Most units of a request, where that is configured.
+    /// Largest number of units of a request, if configured.
     pub fn max_units(&self) -> Option<f64> {
-        Some(self.environment.max_units).filter(|most| *most > 0.0)
+        Some(self.environment.max_units).filter(|max_units| *max_units > 0.0)
     }
 
-    /// Milliseconds after which servers close an idle connection, where that is configured. A connection that was idle
-    /// for nearly as long must not be used again, as the server may close it just then.
+    /// Milliseconds after which servers close an idle connection, if configured. A connection that was idle for
+    /// almost that long must not be reused, as the server may close it at the same moment.
     pub fn idle_timeout(&self) -> Option<Millis> {
         self.capabilities.idle_timeout
     }
@@ -302,9 +303,9 @@
             gateway_id: self.gateway_id,
             group_size: self.group_size,
             zone,
-            classes: self.classes.iter().map(ClassConfig::class).collect(),
-            plans: self.plans.iter().map(PlanConfig::plan).collect(),
-            slow_start: self.slow_start.slow_start(),
+            classes: self.classes.iter().map(ClassConfig::to_class).collect(),
+            plans: self.plans.iter().map(PlanConfig::to_plan).collect(),
+            slow_start: self.slow_start.to_slow_start(),
             max_attempts: self.capabilities.max_attempts,
             hedging: self.capabilities.hedging,
             max_retry_after: self.capabilities.max_retry_after(),
@@ -326,8 +327,8 @@
     }
 }
 
-/// The position of each name.
-fn index<'a>(names: impl Iterator<Item = &'a String>) -> BTreeMap<String, usize> {
+/// Maps each name to its position.
+fn index_by_name<'a>(names: impl Iterator<Item = &'a String>) -> BTreeMap<String, usize> {
     names
         .enumerate()
         .map(|(position, name)| (name.clone(), position))
@@ -335,7 +336,7 @@
 }
 
 impl ClassConfig {
-    fn class(&self) -> Class {
+    fn to_class(&self) -> Class {
         Class {
             latency_target: self.latency_target,
             deadline: self.deadline,
@@ -354,7 +355,7 @@
 }
 
 impl PlanConfig {
-    fn plan(&self) -> Plan {
+    fn to_plan(&self) -> Plan {
         Plan {
             quota_rate: self.quota_rate,
             quota_burst: self.quota_burst,
@@ -369,7 +370,7 @@
 }
 
 impl SlowStartConfig {
-    fn slow_start(&self) -> SlowStart {
+    fn to_slow_start(&self) -> SlowStart {
         SlowStart {
             initial_capacity: self.initial_capacity,
             duration: self.duration,
@@ -380,7 +381,7 @@
 }
 
 impl Capabilities {
-    /// 0 where a client cannot be given one.
+    /// The configured bound on retry delays; 0 if clients cannot be given one.
     fn max_retry_after(&self) -> Millis {
         if self.retry_after {
             self.max_retry_after
--- a/crates/emberpin-balancer/src/host_queries.rs
+++ b/crates/emberpin-balancer/src/host_queries.rs
@@ -1,5 +1,5 @@
-//! What hosts ask of a gateway and set at it beside events: classes that become known while it runs, how many
-//! servers it has to choose from, and whether a retry would follow. No decision is taken here.
+//! Methods for hosts beside the handling of events: classes that are added at run time, the number of available
+//! servers, reported capacity, and whether a retry would follow. No decision is taken here.
 
 use crate::decisions::initial_latency;
 use crate::interface::{
@@ -9,7 +9,7 @@
 use crate::Gateway;
 
 impl Gateway {
-    /// How many servers are ejected as outliers now.
+    /// Number of servers that are ejected as outliers now.
     pub fn ejected_count(&self, now: Millis) -> u32 {
         self.servers
             .values()
@@ -17,19 +17,20 @@
             .sum()
     }
 
-    /// Whether an operator took a server out of service, see [`Event::Maintenance`](crate::Event::Maintenance).
+    /// Whether an operator has taken a server out of service, see
+    /// [`Event::Maintenance`](crate::Event::Maintenance).
     pub fn is_in_maintenance(&self, server: ServerId) -> bool {
         self.in_maintenance.contains(&server)
     }
 
-    /// The failure domains of a server; `None` for a server that is not known, or not any more.
+    /// The failure domains of a server; `None` for a server that is unknown or was removed.
     pub fn location(&self, server: ServerId) -> Option<Location> {
         self.servers
             .get(&server)
             .map(|server| server.info.location())
     }
 
-    /// How many servers the endpoint list names, and how many of them get no requests now.
+    /// Number of servers in the endpoint list, and of those among them that receive no requests now.
     pub fn pool_size(&self, now: Millis) -> PoolSize {
         let listed = self
             .servers
@@ -44,14 +45,17 @@
         }
     }
 
-    /// Whether a retry would follow if the attempt in flight ended now without an answer, as far as the request's
-    /// idempotency, its time, the servers in service and the retry budget go. It holds for this moment only.
+    /// Whether a retry would follow if the attempt in flight ended now without an answer, judging by the request's
+    /// idempotency, its remaining time, the servers in service, the congestion level and the retry budget. The
+    /// result holds only for this moment.
     pub fn would_retry(&self, now: Millis, request: RequestId) -> bool {
         let Some(pending) = self.pending.get(&request) else {
             return false;
         };
         let class = pending.request.class.0;
-        let expected = self.latencies[class].of(pending.request.units).mean;
+        let expected = self.latencies[class]
+            .expected_for(pending.request.units)
+            .mean;
         let in_time = now + expected <= pending.deadline;
         let safe = self.settings.classes[class].idempotency == Idempotency::Safe;
         let second_server = self
@@ -65,9 +69,9 @@
             && self.retry_budget >= 1.0
     }
 
-    /// Reserves the retry after the attempt in flight, if [`Gateway::would_retry`], and says whether it did. It is spent
-    /// from the retry budget now, and follows whatever the load and the budget are when the attempt ends; so a host may
-    /// break the attempt off without leaving the request unanswered.
+    /// Reserves the retry after the attempt in flight if [`Gateway::would_retry`], and returns whether it is
+    /// reserved. The retry is charged to the retry budget now, and it follows whatever the load and the budget are
+    /// when the attempt ends. So a host may abort the attempt without leaving the request unanswered.
     pub fn reserve_retry(&mut self, now: Millis, request: RequestId) -> bool {
         if !self.would_retry(now, request) {
             return false;
@@ -82,14 +86,13 @@
         true
     }
 
-    /// Sets how many attempts the servers say that this gateway may have in flight, its share of what they accept in
-    /// all; 0 where they do not say. It becomes the lower bound of the congestion onset, in place of a fixed figure for
-    /// each server.
+    /// Sets this gateway's share of the concurrent requests that servers report to accept; 0 where they report
+    /// nothing. It replaces the fixed number for each server as the lower bound on the congestion onset.
     pub fn set_reported_capacity(&mut self, attempts: f64) {
         self.load.reported_capacity = attempts;
     }
 
-    /// Adds a class; requests may be of it from now on. Nothing is known yet of its latencies.
+    /// Adds a class, which requests may use from now on. Its latencies start at the initial estimate.
     pub fn add_class(&mut self, class: Class) -> ClassId {
         self.mean_latency_target = self.mean_latency_target.min(class.latency_target);
         self.latencies.push(initial_latency(&class));
@@ -97,20 +100,20 @@
         ClassId(self.settings.classes.len() - 1)
     }
 
-    /// How many classes there are.
+    /// Number of classes.
     pub fn class_count(&self) -> usize {
         self.settings.classes.len()
     }
 
-    /// Replaces a class that no pending request is of. What was learned of the old one is forgotten. Where there is no
-    /// such class, nothing changes.
+    /// Replaces a class that no pending request uses, and drops its learned latencies. Does nothing if the class
+    /// does not exist.
     pub fn replace_class(&mut self, id: ClassId, class: Class) {
-        let known = self
+        let entry = self
             .settings
             .classes
             .get_mut(id.0)
             .zip(self.latencies.get_mut(id.0));
-        let Some((old, latency)) = known else { return };
+        let Some((old, latency)) = entry else { return };
         self.mean_latency_target = self.mean_latency_target.min(class.latency_target);
         *latency = initial_latency(&class);
         *old = class;
--- a/crates/emberpin-balancer/src/interface/actions.rs
+++ b/crates/emberpin-balancer/src/interface/actions.rs
@@ -1,8 +1,8 @@
-//! What a gateway asks its host to do.
+//! Actions that a gateway requests of its host.
 
 use super::{GatewayId, Millis, RequestId, ServerId, Usage};
 
-/// What the host has to do. Actions are carried out in the order in which they were appended.
+/// An action for the host. Actions must be carried out in the order in which they were appended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send the next attempt of a request.
@@ -11,7 +11,7 @@
         request: RequestId,
         /// The server to send it to.
         server: ServerId,
-        /// Milliseconds after which the host may break the attempt off; it then ends as
+        /// Milliseconds after which the host may abort the attempt; it then ends as
         /// [`Outcome::Timeout`](crate::Outcome::Timeout).
         timeout: Millis,
     },
@@ -34,19 +34,19 @@
         /// The attempt's number.
         attempt: u32,
     },
-    /// Probe a server. No decision asks for it yet.
+    /// Probe a server. No decision uses it yet.
     Probe {
         /// The server to probe.
         server: ServerId,
     },
-    /// Close idle connections to a server. No decision asks for it yet.
+    /// Close idle connections to a server. No decision uses it yet.
     CloseIdle {
         /// The server whose idle connections to close.
         server: ServerId,
     },
     /// Deliver [`Event::Timer`](crate::Event::Timer) later.
     SetTimer {
-        /// Milliseconds until then.
+        /// Milliseconds until the event.
         delay: Millis,
         /// The token to deliver.
         token: u64,
@@ -58,24 +58,24 @@
         /// The encoded message, at most [`gossip::MAX_BYTES`](crate::gossip::MAX_BYTES).
         bytes: Vec<u8>,
     },
-    /// Fetch the whole endpoint list once. No decision asks for it yet.
+    /// Fetch the full endpoint list once. No decision uses it yet.
     FetchServers,
     /// Subscribe to changes of the endpoint list, or unsubscribe.
     WatchServers {
         /// Whether to subscribe.
         on: bool,
     },
-    /// Add to a counter of the counter service. No decision asks for it yet.
+    /// Add to a counter of the counter service. No decision uses it yet.
     AddToCounter {
         /// The counter to add to.
         counter: u64,
-        /// What to add.
+        /// The amount to add.
         amount: f64,
         /// Milliseconds after which a counter that this call creates expires.
         lifetime: Millis,
     },
-    /// Send what was used up to the second process of this gateway.
+    /// Report usage to the second process of this gateway.
     ShareUsage(Usage),
-    /// Write a line to the operators' log; the same text comes once in five seconds at most.
+    /// Write a line to the operators' log. The same text is appended at most once in five seconds.
     Log(String),
 }
--- a/crates/emberpin-balancer/src/interface/events.rs
+++ b/crates/emberpin-balancer/src/interface/events.rs
@@ -1,4 +1,4 @@
-//! What the host reports to a gateway.
+//! Events that the host reports to a gateway.
 
 use super::{
     ClassId, CustomerId, GatewayId, GatewaySet, LoadReport, Location, MembershipUpdate, Millis,
@@ -6,42 +6,42 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// A request of a client as it arrives.
+/// A client's request.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// Its id, unique among the pending requests; a second one with the same id is ignored.
     pub id: RequestId,
-    /// Its class. A class that the settings do not have is rejected.
+    /// Its class. A request whose class the settings do not have is rejected.
     pub class: ClassId,
-    /// Its customer's plan. A plan that the settings do not have is rejected.
+    /// Its customer's plan. A request whose plan the settings do not have is rejected.
     pub plan: PlanId,
     /// The customer whose quota it is charged to.
     pub customer: CustomerId,
-    /// Milliseconds until the client gives up waiting for this request.
+    /// Milliseconds until the client stops waiting for this request.
     pub remaining: Millis,
-    /// Units that it takes from the customer's quota; its work is estimated by them too.
+    /// Units that it takes from the customer's quota; they are also the estimate of its work.
     pub units: f64,
     /// The gateways that the customer's requests come through.
     pub gateways: GatewaySet,
-    /// An attempt that another gateway, now lost, may have made of it. Such a request was admitted there and takes no
-    /// units here; it is sent again only where its idempotency allows it.
+    /// An attempt that another gateway may have made before it was lost. Such a request was admitted there and is
+    /// not charged here; it is sent again only where its idempotency allows it.
     pub prior_attempt: Option<PriorAttempt>,
 }
 
 /// Where and when a request may have run before it came to this gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PriorAttempt {
-    /// Upper bound on the milliseconds since the first attempt was sent. A bound that is too low lets a repeat out
-    /// after its deduplication window.
+    /// Upper bound on the milliseconds since the first attempt was sent. Too low a bound allows a repeat after the
+    /// deduplication window.
     pub age: Millis,
-    /// Where the server is that it was sent to.
+    /// The failure domains of the server that it was sent to.
     pub location: Location,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// The request that it was an attempt of.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
     /// The attempt's number within the request, from 0.
     pub attempt: u32,
@@ -51,20 +51,20 @@
     pub outcome: Outcome,
     /// Milliseconds since it was sent.
     pub elapsed: Millis,
-    /// Whether the client has its answer; otherwise the gateway still owes one.
+    /// Whether the client has received its answer; otherwise the gateway still has to answer it.
     pub answered: bool,
-    /// Whether the host still has the complete request, so that it can be sent once more.
+    /// Whether the host still has the complete request, so that it can send it again.
     pub replayable: bool,
     /// The load that the server reported.
     pub load: LoadReport,
-    /// The true units, where [`Settings::units_are_estimates`](crate::Settings::units_are_estimates).
+    /// The true units, where [`Settings::units_are_estimates`](crate::Settings::units_are_estimates) is set.
     pub units: Option<f64>,
     /// The customer's metered use as a share of its rate, where there is a meter.
     pub metered: Option<f64>,
 }
 
-/// What one of two processes of the same gateway used up during an upgrade; the other counts it as its own use, so that
-/// quotas, rate limits and the slow start of servers hold for both together.
+/// Units or budget that one of two processes of the same gateway used during an upgrade. The other process counts
+/// it as its own usage, so that quotas, rate limits and the slow start of servers hold for both together.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Usage {
     /// A request was admitted within a customer's quota.
@@ -87,35 +87,37 @@
     },
 }
 
-/// What happened to a gateway, for [`Gateway::handle`](crate::Gateway::handle).
+/// An event for [`Gateway::handle`](crate::Gateway::handle).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A second process of this gateway started or stopped, as during an upgrade. While it runs, use is shared with it.
+    /// A second process of this gateway started or stopped, as during an upgrade. While it is running, usage is
+    /// shared with it.
     SiblingChanged {
         /// Whether the second process runs.
         running: bool,
     },
-    /// The second process of this gateway used up something.
+    /// The second process of this gateway reports usage.
     SiblingUsage(Usage),
     /// The endpoint list changed.
     Membership(MembershipUpdate),
-    /// A request came in. Exactly one final answer follows: an answered attempt,
+    /// A request arrived. Exactly one final answer follows: an answered attempt,
     /// [`Action::Reject`](crate::Action::Reject) or [`Action::Fail`](crate::Action::Fail).
     Request(Request),
-    /// The client began to receive a streamed answer: no other attempt may follow, and the gateway owes no answer.
+    /// The client began to receive a streamed answer: no other attempt follows, and the gateway no longer has to
+    /// answer.
     ResponseStarted {
         /// The request that is being answered.
         request: RequestId,
     },
     /// An attempt ended; exactly one such event follows each [`Action::Send`](crate::Action::Send).
     AttemptEnded(AttemptResult),
-    /// The client left or its time is up; the gateway owes no answer.
+    /// The client disconnected or its deadline passed; the gateway no longer has to answer.
     Abandoned {
-        /// The request that nobody waits for.
+        /// The abandoned request.
         request: RequestId,
     },
-    /// An operator takes a server out of service at this gateway, or puts it back. It holds whatever the endpoint list
-    /// says meanwhile.
+    /// An operator takes a server out of service at this gateway, or puts it back. This stays in effect whatever
+    /// the endpoint list reports.
     Maintenance {
         /// The server that is taken out or put back.
         server: ServerId,
@@ -138,7 +140,7 @@
         /// The load that the server reported.
         load: LoadReport,
     },
-    /// A message of another gateway came in, as bytes of [`gossip`](crate::gossip).
+    /// A message from another gateway arrived, encoded as in [`gossip`](crate::gossip).
     PeerMessage {
         /// The gateway that sent it.
         from: GatewayId,
@@ -147,7 +149,7 @@
     },
     /// The counter service replied.
     CounterReply {
-        /// The counter that was added to.
+        /// The counter that was incremented.
         counter: u64,
         /// Its value after the addition; `None` where the call failed.
         total: Option<f64>,
--- a/crates/emberpin-balancer/src/interface/ids.rs
+++ b/crates/emberpin-balancer/src/interface/ids.rs
@@ -2,11 +2,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds on the clock that the host hands in, as an instant or as a span. Only differences of instants have a
-/// meaning.
+/// Milliseconds on the host's clock, as an instant or as a duration. Only differences of instants have a meaning.
 pub type Millis = f64;
 
-/// A server of the endpoint list; every gateway knows it by the same number.
+/// A server of the endpoint list; its number is the same at every gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ServerId(pub u32);
 
@@ -14,12 +13,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestId(pub u32);
 
-/// A stable hash of the customer's name, equal at every gateway; only the low 32 bits are used
+/// A stable hash of the customer's name, the same at every gateway; only the low 32 bits are used
 /// ([`gossip::ID_MASK`](crate::gossip::ID_MASK)).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CustomerId(pub u64);
 
-/// A gateway's number within its group, from 0 to [`Settings::group_size`](crate::Settings::group_size) less one.
+/// A gateway's number within its group, from 0 to [`Settings::group_size`](crate::Settings::group_size) - 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct GatewayId(pub u32);
 
@@ -37,6 +36,6 @@
 pub struct GatewaySet {
     /// The first gateway.
     pub first: GatewayId,
-    /// How many gateways there are.
+    /// Number of gateways in the set.
     pub size: u32,
 }
--- a/crates/emberpin-balancer/src/interface/mod.rs
+++ b/crates/emberpin-balancer/src/interface/mod.rs
@@ -1,6 +1,6 @@
-//! What goes into and comes out of the decision module: settings, events, actions and the types they are made of.
+//! The interface of the decision module: settings, events, actions and the types they consist of.
 //!
-//! Classes, plans, zones and machine kinds are indices into [`Settings`]; no name reaches the decisions.
+//! Classes, plans, zones and machine kinds are indices into [`Settings`]; the decisions do not use names.
 
 mod actions;
 mod events;
--- a/crates/emberpin-balancer/src/interface/servers.rs
+++ b/crates/emberpin-balancer/src/interface/servers.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, and what a server's answers say of it.
+//! Types of the endpoint list, of outcomes, and of the load that servers report.
 
 use super::{Millis, ServerId};
 use serde::Deserialize;
@@ -9,10 +9,10 @@
 pub enum ServerStatus {
     /// In service: it accepts requests.
     InService,
-    /// Completes the requests it has; must not get new ones.
+    /// Completes its requests and must not receive new ones.
     #[serde(rename = "terminating")]
     Draining,
-    /// Removed from the list. Its attempts in flight still end one by one.
+    /// Removed from the list. Its attempts in flight still end individually.
     #[serde(rename = "terminated")]
     Removed,
 }
@@ -26,12 +26,12 @@
     pub cell: u32,
 }
 
-/// How many servers a gateway has to choose from.
+/// Number of servers that a gateway can choose from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolSize {
-    /// Servers that the endpoint list names.
+    /// Servers in the endpoint list.
     pub listed: usize,
-    /// Those of them that get no requests: ejected as outliers, or out of service for maintenance.
+    /// Servers among them that receive no requests: ejected as outliers, or out of service for maintenance.
     pub avoided: usize,
 }
 
@@ -46,17 +46,17 @@
     pub kind: usize,
     /// Its cell, the smallest failure domain.
     pub cell: u32,
-    /// Its stated capacity, relative to other servers'.
+    /// Its configured capacity, relative to other servers.
     pub capacity: f64,
-    /// When its present incarnation started, on the host's clock; `None` for long ago. A different value is a different
-    /// incarnation, of which nothing is known yet.
+    /// When its current incarnation started, on the host's clock; `None` if that is long ago. A different value
+    /// denotes a different incarnation, without any learned state.
     pub started_at: Option<Millis>,
     /// Whether it accepts requests.
     pub status: ServerStatus,
 }
 
 impl Server {
-    /// The failure domains that it is in.
+    /// The server's failure domains.
     pub fn location(&self) -> Location {
         Location {
             zone: self.zone,
@@ -68,11 +68,11 @@
 /// A change of the endpoint list.
 #[derive(Clone, Debug)]
 pub enum MembershipUpdate {
-    /// The whole list: a server that is missing from it is removed.
+    /// The full list: a server that is missing from it is removed.
     Full(Vec<Server>),
     /// Changed entries only.
     Changes(Vec<Server>),
-    /// The list could not be had. The one that is known stays in force.
+    /// The list could not be fetched; the last known list stays in force.
     Unavailable,
 }
 
@@ -80,7 +80,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The server answered, and without an error of its own.
+    /// The server answered without an error of its own.
     Ok,
     /// The server reported an error; the request may have run.
     Error,
@@ -109,7 +109,7 @@
         )
     }
 
-    /// How much this outcome counts as a failure of the server, from 0 to 1; `None` where it says nothing about it.
+    /// Weight of this outcome as a failure of the server, from 0 to 1; `None` if it says nothing about the server.
     pub fn failure_weight(self) -> Option<f64> {
         match self {
             Outcome::Ok => Some(0.0),
@@ -127,10 +127,10 @@
 pub struct LoadReport {
     /// Recent service time in milliseconds, without queueing.
     pub service_time: Option<Millis>,
-    /// Requests that wait in the server's queue.
+    /// Number of requests in the server's queue.
     pub queue_length: Option<f64>,
-    /// Requests in flight at the server, waiting or running.
+    /// Number of requests at the server, queued or running.
     pub in_flight: Option<f64>,
-    /// Share of its processors that is busy, from 0 to 1.
+    /// Utilization of its processors, from 0 to 1.
     pub utilization: Option<f64>,
 }
--- a/crates/emberpin-balancer/src/interface/settings.rs
+++ b/crates/emberpin-balancer/src/interface/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one gateway, fixed at its start but for its classes.
+//! The settings of one gateway. Only the classes can change after its start.
 
 use super::{GatewayId, Millis};
 use serde::Deserialize;
@@ -25,10 +25,10 @@
     Keyed {
         /// The servers that discard repeats.
         scope: DedupScope,
-        /// How long the servers remember the key, in milliseconds.
+        /// Time for which the servers remember the key, in milliseconds.
         window: Millis,
     },
-    /// Not idempotent: an attempt that may have run is the last.
+    /// Not idempotent: no attempt may follow one that may have run.
     Unsafe,
 }
 
@@ -38,7 +38,7 @@
     /// Time in milliseconds within which an answer earns its full value. Congestion thresholds and attempt timeouts
     /// derive from it.
     pub latency_target: Millis,
-    /// Milliseconds after which the client gives up, over all its own retries.
+    /// Milliseconds after which the client gives up, including all its own retries.
     pub deadline: Millis,
     /// Value of one request answered within the latency target. No decision uses it.
     pub value: f64,
@@ -48,16 +48,16 @@
     pub idempotency: Idempotency,
 }
 
-/// A customer's plan. Its figures hold for each customer over all gateways together.
+/// A customer's plan. Its limits apply to each customer over all gateways together.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Units a second that refill the quota's token bucket; 0 for no quota.
+    /// Rate at which the quota's token bucket refills, in units per second; 0 for no quota.
     pub quota_rate: f64,
     /// Size of the quota's token bucket in units.
     pub quota_burst: f64,
-    /// Requests that may be in flight at a time; 0 for no limit.
+    /// Largest number of requests in flight at the same time; 0 for no limit.
     pub max_in_flight: f64,
-    /// Units a second that refill the hard rate limit's token bucket; 0 for no rate limit.
+    /// Rate at which the hard rate limit's token bucket refills, in units per second; 0 for no rate limit.
     pub limit_rate: f64,
     /// Size of the hard rate limit's token bucket in units.
     pub limit_burst: f64,
@@ -70,25 +70,25 @@
     pub over_quota_cost: f64,
 }
 
-/// How much a server that has just started can take before it is overloaded.
+/// Load that a server can take after its start before it is overloaded.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
     /// Share of its capacity that a server has at least when it starts, from 0 to 1; it grows linearly from there.
     pub initial_capacity: f64,
-    /// Milliseconds after its start at which a server has its whole capacity; 0 where servers need no slow start.
+    /// Milliseconds after its start at which a server has its full capacity; 0 if servers need no slow start.
     pub duration: Millis,
-    /// Multiple of its present capacity at which a server that is warming up fails.
+    /// Multiple of its current capacity at which a server that is warming up fails.
     pub overload_multiple: f64,
-    /// Milliseconds for which that multiple must last for the server to fail.
+    /// Milliseconds for which that load must last for the server to fail.
     pub overload_time: Millis,
 }
 
-/// Everything a gateway is given at its start.
+/// The settings that a gateway is created with.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This gateway's number.
     pub gateway_id: GatewayId,
-    /// How many gateways there are.
+    /// Number of gateways in the group, this one included.
     pub group_size: u32,
     /// Index of this gateway's zone.
     pub zone: usize,
@@ -96,22 +96,22 @@
     pub classes: Vec<Class>,
     /// The customers' plans.
     pub plans: Vec<Plan>,
-    /// What servers can take while they warm up.
+    /// Load that servers can take while they are warming up.
     pub slow_start: SlowStart,
-    /// Attempts that one request may have in all.
+    /// Largest number of attempts of one request.
     pub max_attempts: u32,
-    /// Whether hedged requests are allowed: two attempts of one request in flight. No decision uses it: there is one at
-    /// most.
+    /// Whether hedged requests are allowed: two attempts of one request in flight. No decision uses it: at most one
+    /// attempt is in flight.
     pub hedging: bool,
-    /// Longest delay in milliseconds that a client honours before it retries; 0 where it cannot be given one.
+    /// Longest delay in milliseconds that a client observes before it retries; 0 if clients cannot be given one.
     pub max_retry_after: Millis,
-    /// Messages a second that a gateway can receive from its peers; 0 where peers cannot be messaged.
+    /// Messages per second that a gateway can receive from its peers; 0 if peers cannot be messaged.
     pub peer_messages_per_second: f64,
-    /// Whether the endpoint list has to be subscribed to; without it the host pushes the list unasked.
+    /// Whether the gateway has to subscribe to the endpoint list; otherwise the host pushes the list unprompted.
     pub subscribe_servers: bool,
     /// Whether attempts may be cancelled.
     pub can_cancel: bool,
-    /// Whether servers may be probed. No decision uses it: none is probed.
+    /// Whether servers may be probed. No decision uses it.
     pub can_probe: bool,
     /// Whether the units of a request are an estimate that its answer corrects.
     pub units_are_estimates: bool,
@@ -119,10 +119,10 @@
     pub meter_period: Millis,
     /// Whether there is a counter service that all gateways share. No decision uses it.
     pub shared_counter: bool,
-    /// How many times as slow a server of another zone counts when a server is chosen; 1 for no preference.
+    /// Factor by which a server of another zone counts as slower when a server is chosen; 1 for no preference.
     pub cross_zone_slowdown: f64,
-    /// Points that it costs when every attempt leaves the zone. No decision uses it.
+    /// Cost, in points, of all attempts leaving the zone. No decision uses it.
     pub cross_zone_price: f64,
-    /// Points that one full peer message a request costs. No decision uses it.
+    /// Cost, in points, of one full peer message per request. No decision uses it.
     pub peer_message_price: f64,
 }
--- a/crates/emberpin-balancer/src/lib.rs
+++ b/crates/emberpin-balancer/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of a gateway that holds customers to their quotas before a shared back end.
+//! The decisions of a gateway that enforces customers' quotas and balances load in front of a shared back end.
 //!
-//! The library is a state machine without I/O: feed [`Gateway::handle`] what happened and carry out
-//! the [`Action`]s it appends. Types are in [`interface`], every decision is in [`decisions`], the byte
-//! layout of messages between gateways is in [`gossip`], and the hosts' JSON in [`host_config`].
+//! The library is a state machine without I/O: pass each event to [`Gateway::handle`] and carry out the [`Action`]s
+//! that it appends. The types of both are in [`interface`], all decisions are in [`decisions`], the encoding of
+//! messages between gateways is in [`gossip`], and the JSON configuration of hosts is in [`host_config`].
 #![forbid(unsafe_code)]
 
 pub mod decisions;
--- a/crates/emberpin-balancer/src/state/customer.rs
+++ b/crates/emberpin-balancer/src/state/customer.rs
@@ -6,39 +6,39 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a peer last announced that it had admitted of a customer.
+/// The last announcement of a peer about a customer.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct PeerCount {
-    /// Units that it admitted since its start.
+    /// Units that the peer admitted since its start.
     pub units: f64,
-    /// When the announcement came.
+    /// When the announcement was received.
     pub received_at: Millis,
 }
 
-/// What an owner of a customer's quota advises.
+/// Advice of an owner of a customer's quota.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Advice {
-    /// With what chance to admit the customer's requests.
-    pub chance: f64,
-    /// When the advice came.
+    /// Probability with which to admit the customer's requests, from 0 to 1.
+    pub probability: f64,
+    /// When the advice was received.
     pub received_at: Millis,
 }
 
-/// What a gateway knows of one customer.
+/// A gateway's state of one customer.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct CustomerState {
     /// Index of the customer's plan.
     pub plan: usize,
     /// The gateways that its requests come through.
     pub gateways: GatewaySet,
-    /// The other gateways that keep the customer's quota; this one announces its use to them.
+    /// The other gateways that own the customer's quota; this one announces its usage to them.
     pub owners: Vec<GatewayId>,
-    /// Whether this gateway keeps the customer's quota itself.
+    /// Whether this gateway itself owns the customer's quota.
     pub is_owner: bool,
-    /// The quota, less what this gateway and its peers admitted.
+    /// The quota's tokens, less the units that this gateway and its peers admitted.
     pub quota: TokenBucket,
     /// Units not refilled while this gateway was isolated, as the other gateways of the set may have admitted them.
-    /// What they announce afterwards is taken from here first.
+    /// Units that they announce afterwards are deducted from here first.
     pub withheld: f64,
     /// This gateway's share of the hard rate limit.
     pub rate_limit: TokenBucket,
@@ -48,36 +48,38 @@
     pub requested: f64,
     /// When the count was last announced.
     pub announced_at: Millis,
-    /// How many more times the count is to be announced, so that one lost message does no harm.
+    /// Number of announcements of the count that are still due; more than one, so that one lost message does no
+    /// harm.
     pub announcements_due: u32,
     /// The newest count of each peer.
     pub peer_counts: BTreeMap<GatewayId, PeerCount>,
-    /// Units requested of all gateways lately, fading exponentially; kept by owners.
+    /// Recently requested units over all gateways, decaying exponentially; maintained by owners.
     pub demand: f64,
     /// When `demand` was last updated.
     pub demand_at: Millis,
-    /// Since when demand is observed. Until a whole window has passed, the estimate allows for what was not seen.
+    /// Since when demand is observed. Until a whole window has passed, the estimate is scaled up for the unobserved
+    /// time.
     pub observed_since: Millis,
-    /// The next gateway of the set that an owner advises, counted from the set's first.
+    /// Position within the set of the gateway that an owner advises next.
     pub advice_cursor: u32,
-    /// How many gateways of the set are still to be advised.
+    /// Number of gateways of the set that are still to be advised.
     pub advice_due: u32,
     /// When a gateway of the set was last advised.
     pub advised_at: Millis,
     /// Requests in flight at this gateway.
     pub in_flight: u32,
-    /// When the customer was last seen. An idle customer is forgotten.
+    /// When the customer last sent a request or a peer announced it. An idle customer is dropped.
     pub used_at: Millis,
 }
 
 impl CustomerState {
-    /// Whether its set of gateways is so large that only a few of them own its quota.
+    /// Whether only a few gateways of the customer's set own its quota, as the group is too large for all.
     pub fn has_few_owners(&self) -> bool {
         self.owners.len() + usize::from(self.is_owner) < self.gateways.size as usize
     }
 
-    /// The announcement of what this gateway admitted.
-    pub fn count(&self, id: u64) -> Entry {
+    /// The gossip entry that announces the units admitted by this gateway. `id` is the customer's hash.
+    pub fn count_entry(&self, id: u64) -> Entry {
         Entry::Count {
             customer: id,
             plan: self.plan,
--- a/crates/emberpin-balancer/src/state/load.rs
+++ b/crates/emberpin-balancer/src/state/load.rs
@@ -3,43 +3,43 @@
 use crate::interface::Millis;
 use serde::{Deserialize, Serialize};
 
-/// What a gateway knows of the load.
+/// The measured load.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct LoadState {
-    /// Attempts that may be in flight by the servers' own reports, this gateway's share; 0 where there are none.
+    /// This gateway's share of the concurrent requests that servers report to accept; 0 without reports.
     pub reported_capacity: f64,
     /// The congestion level, from 0 for none.
     pub congestion_level: usize,
     /// Answers since the last tick.
     pub answered: f64,
-    /// This gateway's answers a second, averaged.
+    /// This gateway's answers per second, averaged.
     pub throughput: f64,
-    /// The highest mean throughput of the gateways lately, in answers a second; it decays.
+    /// Recent peak of the gateways' mean throughput, in answers per second; it decays.
     pub peak_throughput: f64,
     /// This gateway's attempts in flight, smoothed.
     pub in_flight: f64,
-    /// How many answers the mean latency target is taken over.
+    /// Number of answers that the mean latency target is averaged over.
     pub target_samples: f64,
-    /// When an answer last came well within its latency target.
+    /// When an answer last arrived within the share of the latency target that one attempt may take.
     pub last_on_target: Millis,
     /// Mean latency of the answers over all classes, in milliseconds; 0 before the first.
     pub mean_latency: Millis,
-    /// Attempts in flight of a mean peer.
+    /// Mean number of attempts in flight of a peer.
     pub peers_in_flight: f64,
-    /// Answers a second of a mean peer.
+    /// Mean number of answers per second of a peer.
     pub peers_throughput: f64,
-    /// What a warm server of capacity 1 was seen to carry, in answers a second over all gateways; 0 before any was
-    /// seen.
+    /// Learned throughput of a warm server of capacity 1, in answers per second over all gateways; 0 before any was
+    /// observed.
     pub warm_capacity: f64,
     /// Share of this gateway's answers that came from warm servers.
     pub warm_share: f64,
-    /// Queue length of the servers that warm up, averaged over their newest reports.
+    /// Average of the newest queue lengths reported by servers that are warming up.
     #[serde(default)]
-    pub cold_queue: f64,
-    /// When a server that warms up last reported its queue.
+    pub warming_queue_length: f64,
+    /// When a server that is warming up last reported its queue length.
     #[serde(default)]
-    pub cold_reported_at: Millis,
-    /// How many times the first guess servers are held to carry where all of them warm up.
+    pub warming_reported_at: Millis,
+    /// While all servers are warming up: their estimated capacity as a multiple of the initial estimate.
     #[serde(default)]
-    pub cold_multiple: f64,
+    pub rate_multiple: f64,
 }
--- a/crates/emberpin-balancer/src/state/request.rs
+++ b/crates/emberpin-balancer/src/state/request.rs
@@ -2,22 +2,22 @@
 
 use crate::interface::{DedupScope, Location, Millis, Request, Server, ServerId};
 
-/// A request that still owes its client an answer.
+/// A request that this gateway has not answered yet.
 #[derive(Debug)]
 pub struct PendingRequest {
-    /// The request as it came in.
+    /// The request as it was received.
     pub request: Request,
-    /// When the client gives up.
+    /// When the client stops waiting.
     pub deadline: Millis,
-    /// How many attempts were sent.
+    /// Number of attempts that were sent.
     pub attempts: u32,
     /// The server of the attempt in flight.
     pub in_flight: Option<ServerId>,
     /// When the newest attempt was sent.
     pub sent_at: Millis,
-    /// The first attempt that may have run. From then on only a repeat that is known to do no harm may be sent.
+    /// The first attempt that may have run. After it, only a repeat that is known to do no harm may be sent.
     pub first_run: Option<FirstRun>,
-    /// The retry after the attempt in flight is granted already: see
+    /// Whether the retry after the attempt in flight is already granted, see
     /// [`Gateway::reserve_retry`](crate::Gateway::reserve_retry).
     pub retry_reserved: bool,
 }
@@ -31,17 +31,17 @@
     pub location: Location,
 }
 
-/// The servers that a repeat of a keyed request may be sent to: those that know its key from the first attempt.
+/// The servers that a keyed request may be sent to again: those that recognize its key from the first attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryScope {
-    /// The servers that share their keys.
+    /// Which servers share their keys.
     pub scope: DedupScope,
     /// Where the server of the first attempt is.
     pub location: Location,
 }
 
 impl RetryScope {
-    /// Whether a server is among them.
+    /// Whether a server is in this scope.
     pub fn contains(&self, server: &Server) -> bool {
         match self.scope {
             DedupScope::All => true,
--- a/crates/emberpin-balancer/src/state/server.rs
+++ b/crates/emberpin-balancer/src/state/server.rs
@@ -9,11 +9,11 @@
 pub struct InFlightAttempt {
     /// When it was sent.
     pub sent_at: Millis,
-    /// The mean latency of requests like it, in milliseconds, as it was known then.
+    /// The expected latency in milliseconds when it was sent.
     pub expected: Millis,
 }
 
-/// A server as this gateway sees it.
+/// This gateway's view of a server.
 #[derive(Debug)]
 pub struct ServerState {
     /// Its entry of the endpoint list.
@@ -30,21 +30,21 @@
     pub strikes: f64,
     /// Share of its newest attempts that failed, from 0 to 1.
     pub failure_rate: f64,
-    /// It is ejected as an outlier until then.
+    /// Until when it is ejected as an outlier.
     pub ejected_until: Millis,
-    /// Length of its last ejection in milliseconds; the next one is twice as long. 0 once it has recovered.
+    /// Duration of its last ejection in milliseconds; the next one takes twice as long. 0 once it has recovered.
     pub ejection_time: Millis,
     /// This gateway's budget for it while it warms up, in requests of mean work.
     pub slow_start_budget: TokenBucket,
-    /// How many gateways come before this one in the hashed order for the server's incarnation. The first few of that
-    /// order may send to it while it warms up.
+    /// Number of gateways that precede this one in the hashed order for the server's incarnation. The first few of
+    /// that order may send to it while it is warming up.
     pub gateway_rank: u32,
-    /// Its position among all servers, from 0 to 1: it sets when its turn comes where gateways take turns.
-    pub turn: f64,
+    /// Its position among all servers, from 0 to 1. It staggers the turns of servers where gateways take turns.
+    pub turn_offset: f64,
 }
 
 impl ServerState {
-    /// A server of which nothing is known but its entry of the endpoint list.
+    /// A server without any learned state.
     pub fn new(info: Server, now: Millis) -> ServerState {
         ServerState {
             info,
@@ -61,7 +61,7 @@
                 updated_at: now,
             },
             gateway_rank: 0,
-            turn: 0.0,
+            turn_offset: 0.0,
         }
     }
 }
--- a/crates/emberpin-balancer/tests/gossip.rs
+++ b/crates/emberpin-balancer/tests/gossip.rs
@@ -110,7 +110,7 @@
         let mut message = gossip::Writer::new(harness.now as u32, 0.0, 0.0);
         assert!(message.push(gossip::Entry::Advice {
             customer: 500_000 + number,
-            chance: 0.5
+            probability: 0.5
         }));
         receive(&mut harness, 1, message.finish());
     }
--- a/crates/emberpin-balancer/tests/large_group.rs
+++ b/crates/emberpin-balancer/tests/large_group.rs
@@ -374,7 +374,7 @@
     let mut writer = gossip::Writer::new(member.now as u32, 0.0, 0.0);
     assert!(writer.push(gossip::Entry::Advice {
         customer: 9,
-        chance: 0.25
+        probability: 0.25
     }));
     member.handle(Event::PeerMessage {
         from: GatewayId(1),
--- a/crates/emberpin-balancer/tests/recorded.rs
+++ b/crates/emberpin-balancer/tests/recorded.rs
@@ -59,21 +59,21 @@
             "advice-none",
             message(vec![Entry::Advice {
                 customer: 7,
-                chance: 0.0,
+                probability: 0.0,
             }]),
         ),
         (
             "advice-part",
             message(vec![Entry::Advice {
                 customer: 7,
-                chance: 51.0 / 255.0,
+                probability: 51.0 / 255.0,
             }]),
         ),
         (
             "advice-all",
             message(vec![Entry::Advice {
                 customer: 7,
-                chance: 1.0,
+                probability: 1.0,
             }]),
         ),
         (
@@ -82,7 +82,7 @@
                 count(1),
                 Entry::Advice {
                     customer: 1,
-                    chance: 1.0,
+                    probability: 1.0,
                 },
                 count(2),
             ]),
