--- a/crates/emberpin-balancer/src/decisions/housekeeping.rs
+++ b/crates/emberpin-balancer/src/decisions/housekeeping.rs
@@ -10,7 +10,7 @@
 const CATCH_UP_TIME: Millis = 1_000.0;
 /// Time scale on which the learned throughput of a warm server changes: in each tick it may rise or fall at
 /// most by the tick's share of this time, relative to its value.
-const CAPACITY_WINDOW: Millis = 20_000.0;
+const WARM_THROUGHPUT_WINDOW: Millis = 20_000.0;
 
 impl Gateway {
     /// Handles the expiry of the timer and sets it again.
@@ -22,7 +22,7 @@
         let span = (now - self.ticked_at).max(1.0);
         self.ticked_at = now;
         let throughput = self.learn_throughput(now, span);
-        self.learn_warm_capacity(now, span, throughput);
+        self.learn_warm_throughput(now, span, throughput);
         self.adapt_rate_multiple(now, span);
         if !self.gossips_to_all() && !self.is_isolated(now) {
             // A gateway of a large group has outcomes too rarely for the level to fall by outcomes alone.
@@ -52,7 +52,7 @@
     /// lower their limit and thereby the value again. Answers of removed servers are not attributed to the
     /// remaining ones. The value falls slowly: when other servers take over some of the load, warm servers
     /// can still serve as much as before.
-    fn learn_warm_capacity(&mut self, now: Millis, span: Millis, throughput: f64) {
+    fn learn_warm_throughput(&mut self, now: Millis, span: Millis, throughput: f64) {
         let warm_capacity = self
             .servers
             .values()
@@ -63,12 +63,12 @@
         if warm_capacity <= 0.0 {
             return;
         }
-        let previous = self.load.warm_capacity;
+        let previous = self.load.warm_throughput;
         let measured = throughput * self.load.warm_share * self.group_size() / warm_capacity;
-        let increase = (measured - previous).min(previous.max(1.0)) * span / CAPACITY_WINDOW;
-        let lower_bound = previous * (1.0 - span / CAPACITY_WINDOW).max(0.0);
+        let increase = (measured - previous).min(previous.max(1.0)) * span / WARM_THROUGHPUT_WINDOW;
+        let lower_bound = previous * (1.0 - span / WARM_THROUGHPUT_WINDOW).max(0.0);
         let just_started = now - self.started_at < PEAK_WINDOW;
-        self.load.warm_capacity = if just_started {
+        self.load.warm_throughput = if just_started {
             measured
         } else {
             measured.min(previous + increase.max(0.0)).max(lower_bound)
--- a/crates/emberpin-balancer/src/decisions/slow_start.rs
+++ b/crates/emberpin-balancer/src/decisions/slow_start.rs
@@ -16,12 +16,12 @@
 const SLOW_START_GATEWAY_SHARE: f64 = 0.2;
 /// Gateways that may send in any case; fewer where the limit is less than this many requests for each.
 const SLOW_START_MIN_GATEWAYS: f64 = 3.0;
-/// Growth of the estimated capacity per second, as a share of it, while no server is warm and reports show
+/// Growth of the estimated throughput per second, as a share of it, while no server is warm and reports show
 /// empty queues.
 const RATE_MULTIPLE_GROWTH: f64 = 0.5;
 /// Mean number of queued requests below which queues count as empty.
 const EMPTY_QUEUE: f64 = 0.5;
-/// Bound on the estimated capacity, as a multiple of the initial estimate.
+/// Bound on the estimated throughput, as a multiple of the initial estimate.
 const MAX_RATE_MULTIPLE: f64 = 8.0;
 /// Time for which a queue length reported by a warming-up server stays valid.
 pub(super) const QUEUE_REPORT_VALIDITY: Millis = 2_000.0;
@@ -83,7 +83,7 @@
 
     /// Whether no server is warm and no warm server was observed before.
     pub(super) fn all_warming_up(&self, now: Millis) -> bool {
-        self.load.warm_capacity <= 0.0
+        self.load.warm_throughput <= 0.0
             && self
                 .servers
                 .values()
@@ -99,8 +99,8 @@
         all_warming_up: bool,
     ) -> SlowStartLimit {
         let slow_start = &self.settings.slow_start;
-        let warm_rate = if self.load.warm_capacity > 0.0 {
-            self.load.warm_capacity * server.info.capacity
+        let warm_rate = if self.load.warm_throughput > 0.0 {
+            self.load.warm_throughput * server.info.capacity
         } else {
             // No warm server was observed yet. A running server serves at least one mean request after the
             // other, and answers show how long one takes.
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Adapts the estimated capacity of servers while all of them are warming up. The initial estimate, one
+    /// Adapts the estimated throughput of servers while all of them are warming up. The initial estimate, one
     /// request after the other, is too low for a server with several cores whose answers are slow at first.
     /// Queues fill long before a server is overloaded, so the estimate grows gradually while reports show
     /// empty queues, and shrinks otherwise. Covers servers that report their queue length. Drawback: a
@@ -141,7 +141,7 @@
         };
     }
 
-    /// The estimated capacity as a multiple of the initial estimate, which is one request after the other.
+    /// The estimated throughput as a multiple of the initial estimate, which is one request after the other.
     fn rate_multiple(&self) -> f64 {
         self.load.rate_multiple.clamp(1.0, MAX_RATE_MULTIPLE)
     }
--- a/crates/emberpin-balancer/src/handover.rs
+++ b/crates/emberpin-balancer/src/handover.rs
@@ -121,7 +121,7 @@
         let load = [
             self.load.throughput,
             self.load.peak_throughput,
-            self.load.warm_capacity,
+            self.load.warm_throughput,
             self.load.in_flight,
             self.mean_latency_target,
             self.retry_budget,
--- a/crates/emberpin-balancer/src/state/load.rs
+++ b/crates/emberpin-balancer/src/state/load.rs
@@ -30,7 +30,7 @@
     pub peers_throughput: f64,
     /// Learned throughput of a warm server of capacity 1, in answers per second over all gateways; 0 before any was
     /// observed.
-    pub warm_capacity: f64,
+    pub warm_throughput: f64,
     /// Share of this gateway's answers that came from warm servers.
     pub warm_share: f64,
     /// Average of the newest queue lengths reported by servers that are warming up.
@@ -39,7 +39,7 @@
     /// When a server that is warming up last reported its queue length.
     #[serde(default)]
     pub warming_reported_at: Millis,
-    /// While all servers are warming up: their estimated capacity as a multiple of the initial estimate.
+    /// While all servers are warming up: their estimated throughput as a multiple of the initial estimate.
     #[serde(default)]
     pub rate_multiple: f64,
 }
--- a/crates/emberpin-balancer/tests/adapter.rs
+++ b/crates/emberpin-balancer/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter fed with wire text; replies are compared.
+//! The adapter as a process: lines of input are written to it, and its replies are compared.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use serde_json::{json, Value};
@@ -20,7 +20,7 @@
     output
 }
 
-/// The actions of each reply, and that the run ended well.
+/// Runs the adapter, asserts that it succeeds, and returns the lines of each reply.
 fn replies(input: &str) -> Vec<Vec<Value>> {
     let output = run(input);
     assert!(
@@ -42,9 +42,13 @@
     all
 }
 
-fn problem(input: &str) -> String {
+/// Runs the adapter, asserts that it fails with one line on standard error, and returns that line.
+fn error_of(input: &str) -> String {
     let output = run(input);
-    assert!(!output.status.success(), "must not succeed");
+    assert!(
+        !output.status.success(),
+        "the adapter succeeded on invalid input"
+    );
     for line in String::from_utf8_lossy(&output.stdout).lines() {
         assert!(
             serde_json::from_str::<Value>(line).is_ok(),
@@ -52,7 +56,7 @@
         );
     }
     let text = String::from_utf8(output.stderr).expect("text");
-    assert_eq!(text.lines().count(), 1, "one plain line: {text}");
+    assert_eq!(text.lines().count(), 1, "not one line: {text}");
     assert!(!text.contains("panicked"), "{text}");
     text
 }
@@ -102,7 +106,7 @@
 }
 
 #[test]
-fn empty_batches_are_echoed_and_the_end_of_input_is_no_error() {
+fn empty_batches_are_answered_and_the_end_of_input_is_no_error() {
     let all = replies(&text(&[clock(1, 0.5), end(), clock(2, 3.0), end()]));
     assert_eq!(
         all,
@@ -159,7 +163,7 @@
 }
 
 #[test]
-fn every_other_event_is_accepted() {
+fn all_other_events_are_accepted() {
     let all = replies(&text(&[
         clock(1, 10.0),
         init(0),
@@ -202,14 +206,14 @@
     ]));
     let sends: Vec<_> = all[0]
         .iter()
-        .filter(|a| a["verb"] == "send")
-        .map(|a| a["server"].clone())
+        .filter(|action| action["verb"] == "send")
+        .map(|action| action["server"].clone())
         .collect();
     assert_eq!(sends, vec![json!(11), json!(22)]);
 }
 
 #[test]
-fn halt_and_init_in_one_batch_start_a_new_incarnation() {
+fn a_halt_and_an_init_in_one_batch_start_a_new_incarnation() {
     let all = replies(&text(&[
         clock(1, 10.0),
         init(0),
@@ -225,30 +229,37 @@
         call(0, 2),
         end(),
     ]));
-    let send = all[1].iter().find(|a| a["verb"] == "send").expect("sent");
+    let send = all[1]
+        .iter()
+        .find(|action| action["verb"] == "send")
+        .expect("sent");
     assert_eq!(send["server"], 12);
 }
 
 #[test]
-fn one_process_and_several_act_alike() {
+fn gateways_act_alike_in_one_process_and_in_several() {
     let script = |limiters: &[u64]| {
         let mut lines = vec![clock(1, 10.0)];
-        lines.extend(limiters.iter().map(|l| init(*l)));
+        lines.extend(limiters.iter().map(|limiter| init(*limiter)));
         lines.push(catalog(0, 11));
-        lines.extend(limiters.iter().map(|l| update(*l, 0, "remembered")));
+        lines.extend(
+            limiters
+                .iter()
+                .map(|limiter| update(*limiter, 0, "remembered")),
+        );
         for handle in 0..40 {
-            lines.extend(limiters.iter().map(|l| call(*l, handle)));
+            lines.extend(limiters.iter().map(|limiter| call(*limiter, handle)));
         }
         lines.push(end());
         let mut all = replies(&text(&lines)).remove(0);
         all.pop();
         all
     };
-    let mut apart = script(&[0]);
-    apart.extend(script(&[1]));
-    let mut together = script(&[0, 1]);
-    together.sort_by_key(|a| a["limiter-id"].as_u64());
-    assert_eq!(together, apart);
+    let mut separate = script(&[0]);
+    separate.extend(script(&[1]));
+    let mut combined = script(&[0, 1]);
+    combined.sort_by_key(|action| action["limiter-id"].as_u64());
+    assert_eq!(combined, separate);
 }
 
 #[test]
@@ -265,7 +276,7 @@
     assert_eq!(
         all[0]
             .iter()
-            .filter(|a| a["verb"] == "send" || a["verb"] == "not-now")
+            .filter(|action| action["verb"] == "send" || action["verb"] == "not-now")
             .count(),
         20_000
     );
@@ -274,7 +285,7 @@
 #[test]
 fn an_error_names_the_line_of_bad_input() {
     let open = text(&[clock(1, 10.0), init(0)]);
-    for (bad, number, word) in [
+    for (bad, number, expected) in [
         ("{\"verb\":", 3, "EOF"),
         ("{\"verb\":\"sing\",\"limiter-id\":0}", 3, "sing"),
         ("{\"verb\":\"timer\",\"limiter-id\":0}", 3, "label"),
@@ -301,13 +312,13 @@
         ),
         ("", 4, "within a batch"),
     ] {
-        let said = problem(&format!("{open}{bad}\n"));
+        let message = error_of(&format!("{open}{bad}\n"));
         assert!(
-            said.contains(&format!("line {number}:")) && said.contains(word),
-            "{bad}: {said}"
+            message.contains(&format!("line {number}:")) && message.contains(expected),
+            "{bad}: {message}"
         );
     }
-    assert!(problem("{\"verb\":\"end\"}\n").contains("line 1:"));
+    assert!(error_of("{\"verb\":\"end\"}\n").contains("line 1:"));
     let unknown = call(0, 1).to_string().replace("basic", "gold");
-    assert!(problem(&format!("{open}{unknown}\n")).contains("gold"));
+    assert!(error_of(&format!("{open}{unknown}\n")).contains("gold"));
 }
--- a/crates/emberpin-balancer/tests/attempts.rs
+++ b/crates/emberpin-balancer/tests/attempts.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_request_is_rejected_when_its_time_is_used_up() {
+fn a_request_is_rejected_after_its_deadline() {
     let mut harness = Harness::new(settings(), 12);
     let (id, actions) = harness.arrive(SAFE, 0, 1);
     let server = sent_to(&actions).expect("sent");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn an_unsafe_request_is_never_sent_again_once_it_may_have_run() {
+fn an_unsafe_request_is_not_retried_once_it_may_have_run() {
     for outcome in [
         Outcome::Error,
         Outcome::Timeout,
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_keyed_request_is_sent_again_only_in_its_scope_and_window() {
+fn a_keyed_request_is_retried_only_within_its_scope_and_window() {
     for _ in 0..20 {
         let mut harness = Harness::new(settings(), 12);
         let (id, actions) = harness.arrive(KEYED_ZONE, 0, 1);
@@ -64,7 +64,7 @@
         let after = harness.end_attempt(id, 1, second, Outcome::Timeout);
         assert!(
             sent_to(&after).is_none() && failed(&after),
-            "past the window: failed, as its group is a zone"
+            "past the window: failed, as its deduplication scope is a zone"
         );
     }
     let mut harness = Harness::new(settings(), 12);
@@ -73,12 +73,13 @@
     let after = harness.end_attempt(id, 0, sent_to(&actions).expect("sent"), Outcome::Timeout);
     assert!(
         sent_to(&after).is_none() && rejected(&after),
-        "every server drops repeats: refusable"
+        "every server discards repeats, so a rejection is safe"
     );
 }
 
-/// An attempt that is cut off early is a heavy request's, as slow at the next server and late then: it may
-/// take all of the latency target but what a retry needs.
+/// Guards against time-outs that are too short: an attempt that exceeds one mostly belongs to a large request,
+/// which is as slow at the next server and then late. So an attempt may take all of the latency target except the
+/// time that a retry needs.
 #[test]
 fn an_attempt_times_out_early_only_when_a_retry_can_still_meet_the_latency_target() {
     let mut harness = Harness::new(settings(), 12);
@@ -91,9 +92,9 @@
     assert!((400.0..480.0).contains(timeout), "{timeout}");
 }
 
-/// Where units go by the work, the mean of a class says little of any of its requests.
+/// Guards against time-outs by the mean latency of the class alone, where units reflect a request's work.
 #[test]
-fn a_large_request_does_not_time_out_for_being_large() {
+fn the_timeout_of_an_attempt_depends_on_its_units() {
     let mut harness = Harness::new(settings(), 12);
     for k in 0..60 {
         answer_new_request(&mut harness, 1.0, 20.0);
@@ -108,12 +109,12 @@
     );
     assert!(
         small < 480.0,
-        "another would still meet the latency target: {small}"
+        "a retry would still meet the latency target: {small}"
     );
 }
 
-/// What may have run at a server of zone 0, so long ago.
-fn resume(harness: &mut Harness, class: usize, ago: Millis) -> (RequestId, Vec<Action>) {
+/// Resumes a request that may have run at a server of zone 0 `age` milliseconds ago.
+fn resume(harness: &mut Harness, class: usize, age: Millis) -> (RequestId, Vec<Action>) {
     let id = RequestId(1 << 31);
     let request = Request {
         id,
@@ -127,7 +128,7 @@
             size: 3,
         },
         prior_attempt: Some(PriorAttempt {
-            age: ago,
+            age,
             location: Location::default(),
         }),
     };
@@ -144,23 +145,19 @@
     assert_eq!(
         harness.gateway.location(to).map(|location| location.zone),
         Some(0),
-        "where a repeat is dropped"
+        "the zone whose servers discard a repeat"
     );
     harness.end_attempt(id, 0, to, Outcome::Ok);
     let (_, late) = resume(&mut harness, KEYED_ZONE, 100_000.0);
     assert_eq!(sent_to(&late), None, "past its window");
-    // So near the window's end that it might wait past it at its server.
+    // So close to the end of the window that it might still be queued when the window ends.
     let Idempotency::Keyed { window, .. } = settings().classes[KEYED_ZONE].idempotency else {
         panic!("keyed")
     };
     let (_, late) = resume(&mut harness, KEYED_ZONE, window * 0.89);
-    assert_eq!(
-        sent_to(&late),
-        None,
-        "it would begin to run when the window is over"
-    );
+    assert_eq!(sent_to(&late), None, "it might start after the window");
     let (_, never) = resume(&mut harness, UNSAFE, 0.0);
-    assert_eq!(sent_to(&never), None, "what may never run twice");
+    assert_eq!(sent_to(&never), None, "an unsafe request may not run twice");
     assert!(
         never
             .iter()
@@ -170,13 +167,13 @@
 }
 
 #[test]
-fn a_resumed_request_is_given_up_with_its_window() {
+fn an_attempt_of_a_resumed_request_times_out_when_its_window_ends() {
     let Idempotency::Keyed { window, .. } = settings().classes[KEYED_ZONE].idempotency else {
         panic!("keyed")
     };
     let mut sends = 0;
     for part in 0..18 {
-        // No further attempt is hoped for, so that this one has all the time that is left.
+        // No further attempt is allowed, so this one has all the remaining time.
         let mut harness = Harness::new(
             Settings {
                 max_attempts: 1,
@@ -184,14 +181,14 @@
             },
             6,
         );
-        let ago = window * f64::from(part) * 0.05;
-        let (_, actions) = resume(&mut harness, KEYED_ZONE, ago);
+        let age = window * f64::from(part) * 0.05;
+        let (_, actions) = resume(&mut harness, KEYED_ZONE, age);
         for action in actions {
             if let Action::Send { timeout, .. } = action {
                 sends += 1;
                 assert!(
-                    timeout <= window - ago + 1.0,
-                    "{timeout} at {ago} of {window}"
+                    timeout <= window - age + 1.0,
+                    "{timeout} at {age} of {window}"
                 );
             }
         }
--- a/crates/emberpin-balancer/tests/balancing.rs
+++ b/crates/emberpin-balancer/tests/balancing.rs
@@ -1,4 +1,4 @@
-//! The choice of a server, by the work in flight, latency and silence; and servers that drain.
+//! The choice of a server by work in flight, latency and time without a result; and draining servers.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -9,9 +9,9 @@
 #[test]
 fn a_draining_server_gets_no_new_request() {
     let mut harness = Harness::new(settings(), 2);
-    let mut line = server(0);
-    line.status = ServerStatus::Draining;
-    harness.update_membership(MembershipUpdate::Changes(vec![line]));
+    let mut entry = server(0);
+    entry.status = ServerStatus::Draining;
+    harness.update_membership(MembershipUpdate::Changes(vec![entry]));
     for k in 0..50 {
         assert_eq!(
             sent_to(&harness.arrive(SAFE, 0, 100 + k).1),
@@ -20,11 +20,11 @@
     }
     harness.update_membership(MembershipUpdate::Full(vec![]));
     let (_, actions) = harness.arrive(SAFE, 0, 999);
-    assert!(rejected(&actions), "nobody is left");
+    assert!(rejected(&actions), "no server is left");
 }
 
 #[test]
-fn a_silent_server_is_passed_over() {
+fn a_server_that_does_not_answer_is_chosen_less_often() {
     let mut harness = Harness::new(settings(), 2);
     harness.serve_for(50.0, 5_000.0);
     let silent = loop {
@@ -37,33 +37,33 @@
         harness.end_attempt(id, 0, to, Outcome::Ok);
     };
     harness.now += 400.0;
-    let both = (0..200).filter(|k| {
+    let to_silent_server = (0..200).filter(|k| {
         let (id, actions) = harness.arrive(SAFE, 0, 9_000 + k);
         let to = sent_to(&actions).expect("sent");
         harness.end_attempt(id, 0, to, Outcome::Ok);
         to == ServerId(0)
     });
     assert!(
-        both.count() < 80,
-        "{silent:?} is still out: two choices avoid its server"
+        to_silent_server.count() < 80,
+        "{silent:?} is still in flight, so its server should be avoided"
     );
 }
 
 #[test]
-fn requests_are_spread_by_their_work_and_not_by_their_number() {
+fn requests_are_balanced_by_their_work_and_not_by_their_number() {
     let mut harness = harness_with_latencies_by_units(2);
     let large = sent_to(&harness.arrive_with(SAFE, 0, 1, 4.0, 3).1).expect("sent");
     for k in 0..5 {
         let small = sent_to(&harness.arrive_with(SAFE, 0, 2 + k, 1.0, 3).1).expect("sent");
         assert_ne!(
             small, large,
-            "one of 300 ms is in flight there, and {k} of 20 ms at the other"
+            "a request of 300 ms is in flight there, and {k} requests of 20 ms at the other server"
         );
     }
 }
 
 #[test]
-fn a_server_is_not_slow_for_the_large_requests_that_it_answered() {
+fn a_server_that_answers_large_requests_does_not_count_as_slow() {
     let mut harness = harness_with_latencies_by_units(2);
     let only = |harness: &mut Harness, id: u32| {
         let draining = Server {
@@ -76,7 +76,7 @@
     for _ in 0..40 {
         answer_new_request(&mut harness, 4.0, 300.0);
     }
-    // The other one is slow for small ones.
+    // The other server is slow with small requests.
     only(&mut harness, 1);
     for _ in 0..6 {
         answer_new_request(&mut harness, 1.0, 40.0);
@@ -85,11 +85,11 @@
     assert_eq!(sent_to(&harness.arrive(SAFE, 0, 1).1), Some(ServerId(0)));
 }
 
-/// What is assumed of answers before any was seen must not make those that were used first look quick for long: who
-/// comes later would get nothing.
+/// Guards against the initial latency estimate making the servers that answer first look fast for long: a server
+/// added later would receive no requests.
 #[test]
-fn a_server_that_comes_later_is_no_slower_than_those_that_were_used_first() {
-    let mut harness = Harness::fresh(settings(), 2);
+fn a_server_added_later_does_not_count_as_slower_than_those_used_first() {
+    let mut harness = Harness::just_started(settings(), 2);
     for _ in 0..10 {
         answer_new_request(&mut harness, 1.0, 20.0);
     }
@@ -98,20 +98,21 @@
         harness.arrive_with(SAFE, 0, 500 + k, 1.0, 3);
     }
     let next = sent_to(&harness.arrive_with(SAFE, 0, 600, 1.0, 3).1).expect("sent");
-    let out =
+    let remaining =
         (0..2).map(|k| sent_to(&harness.arrive_with(SAFE, 0, 700 + k, 1.0, 3).1).expect("sent"));
-    let used: BTreeSet<ServerId> = out.chain([next]).collect();
+    let used: BTreeSet<ServerId> = remaining.chain([next]).collect();
     assert_eq!(
         used.len(),
         3,
-        "six are in flight at three servers: two each"
+        "six requests are in flight at three servers: two at each"
     );
 }
 
-/// A large request in flight for no longer than requests of its size take is no silence of its server.
+/// Guards against taking a server for stalled while a large request is in flight for no longer than requests of its
+/// size usually take.
 #[test]
-fn a_server_that_works_on_a_large_request_is_not_taken_for_stalled() {
-    for (since, expected) in [(500.0, 0), (1_500.0, 1)] {
+fn a_server_with_a_large_request_in_flight_does_not_count_as_stalled() {
+    for (elapsed, expected) in [(500.0, 0), (1_500.0, 1)] {
         let mut harness = harness_with_latencies_by_units(2);
         let only = |harness: &mut Harness, id: u32| {
             let draining = Server {
@@ -122,8 +123,8 @@
         };
         only(&mut harness, 0);
         harness.arrive_with(SAFE, 0, 1, 4.0, 3);
-        harness.now += since;
-        // A little more than that is in flight at the other, since just now.
+        harness.now += elapsed;
+        // The other server has slightly more work in flight, sent just now.
         only(&mut harness, 1);
         harness.arrive_with(SAFE, 0, 2, 4.0, 3);
         for k in 0..4 {
@@ -133,7 +134,7 @@
         assert_eq!(
             sent_to(&harness.arrive_with(SAFE, 0, 5, 1.0, 3).1),
             Some(ServerId(expected)),
-            "{since} ms"
+            "{elapsed} ms"
         );
     }
 }
--- a/crates/emberpin-balancer/tests/common/fleet.rs
+++ b/crates/emberpin-balancer/tests/common/fleet.rs
@@ -1,23 +1,25 @@
-//! A whole fleet in virtual time: gateways, servers with a queue and a slow start, endpoint lists that come late, and
-//! messages that are lost. One seed gives one run, and a failure names its seed.
+//! A simulated fleet in virtual time: gateways, servers with a queue and a slow start, membership updates that
+//! arrive late, and messages that are lost. Equal seeds give equal runs; a failing test names its seed.
 
 use emberpin_balancer::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// How large a fleet is, and how much load it gets.
+/// The size of a fleet and its load.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     pub gateways: u32,
     pub servers: u32,
-    /// Requests a second that a warm server carries.
+    /// Requests per second that a warm server can serve.
     pub server_rate: f64,
-    /// Requests a second, as a share of what all servers carry when warm.
+    /// Requests per second, as a share of what all servers can serve when warm.
     pub load: f64,
     pub seed: u64,
 }
 
+/// A scheduled event. An event for an older incarnation of its gateway is dropped.
 enum Event {
+    /// The next request arrives.
     Arrival,
     Feed {
         to: usize,
@@ -33,14 +35,15 @@
 
 struct SimulatedServer {
     info: Server,
-    /// When it has completed the requests it has.
+    /// When it will have completed its queued requests.
     idle_at: Millis,
     in_flight: u32,
-    /// What it was sent while cold: when, and what that is of a second of its capacity then.
-    sent_while_cold: Vec<(Millis, f64)>,
+    /// The attempts that it was sent while warming up: when, and their work in seconds of its capacity at that
+    /// time.
+    sent_while_warming: Vec<(Millis, f64)>,
 }
 
-/// What became of the requests that came in a span of time.
+/// Numbers of requests in a span of time, by their outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcomes {
     pub requested: u32,
@@ -54,11 +57,15 @@
     pub settings: Settings,
     size: Size,
     random: oorandom::Rand64,
+    /// The queue of scheduled events: their time in microseconds and their number.
     events: BinaryHeap<Reverse<(u64, u64)>>,
     pending_events: BTreeMap<u64, Event>,
+    /// Each gateway with its incarnation, counted from 0.
     gateways: Vec<(Gateway, u32)>,
     servers: BTreeMap<ServerId, SimulatedServer>,
+    /// Pending requests: their gateway, when they arrived, and the number of their attempts.
     requests: BTreeMap<RequestId, (usize, Millis, u32)>,
+    /// For each gateway, the messages that it can receive, and when that was updated.
     message_budgets: Vec<(Millis, f64)>,
     next: u32,
     scheduled: u64,
@@ -66,7 +73,7 @@
 }
 
 impl Fleet {
-    /// A fleet that starts now, all of it together.
+    /// Creates a fleet whose gateways all start now, with warm servers.
     pub fn new(settings: Settings, size: Size) -> Fleet {
         let now = 1_000_000.0;
         let mut fleet = Fleet {
@@ -88,34 +95,34 @@
             },
         };
         for id in 0..size.servers {
-            fleet.boot(id, None);
+            fleet.add_server(id, None);
         }
-        for me in 0..size.gateways {
-            let gateway = fleet.gateway(me);
+        for gateway_number in 0..size.gateways {
+            let gateway = fleet.gateway(gateway_number);
             fleet.gateways.push((gateway, 0));
             let entries = fleet
                 .servers
                 .values()
                 .map(|server_model| server_model.info.clone())
                 .collect();
-            fleet.feed(
-                me as usize,
+            fleet.handle_event(
+                gateway_number as usize,
                 emberpin_balancer::Event::Membership(MembershipUpdate::Full(entries)),
             );
         }
-        fleet.at(now, Event::Arrival);
+        fleet.schedule(now, Event::Arrival);
         fleet
     }
 
-    fn gateway(&mut self, me: u32) -> Gateway {
+    fn gateway(&mut self, gateway_number: u32) -> Gateway {
         let settings = Settings {
-            gateway_id: GatewayId(me),
+            gateway_id: GatewayId(gateway_number),
             ..self.settings.clone()
         };
         Gateway::new(settings, self.random.rand_u64(), self.now)
     }
 
-    fn boot(&mut self, id: u32, started: Option<Millis>) -> ServerId {
+    fn add_server(&mut self, id: u32, started: Option<Millis>) -> ServerId {
         let info = Server {
             started_at: started,
             ..super::server(id)
@@ -127,13 +134,13 @@
                 info,
                 idle_at: self.now,
                 in_flight: 0,
-                sent_while_cold: Vec::new(),
+                sent_while_warming: Vec::new(),
             },
         );
         id
     }
 
-    fn at(&mut self, when: Millis, event: Event) {
+    fn schedule(&mut self, when: Millis, event: Event) {
         self.scheduled += 1;
         self.pending_events.insert(self.scheduled, event);
         self.events.push(Reverse((
@@ -150,22 +157,23 @@
         -mean * (1.0 - self.random.rand_float()).ln()
     }
 
-    /// Replaces the first `count` servers by cold ones under new names; each gateway hears of it within `late`.
-    pub fn replace(&mut self, count: u32, late: Millis) {
+    /// Replaces the first `count` servers by cold ones with new numbers; each gateway receives the update within
+    /// `late` milliseconds.
+    pub fn replace(&mut self, count: u32, max_delay: Millis) {
         let mut entries = Vec::new();
         for id in 0..count {
             let mut old = super::server(id);
             old.status = ServerStatus::Draining;
             entries.push(old);
-            let id = self.boot(10_000 + id, Some(self.now));
+            let id = self.add_server(10_000 + id, Some(self.now));
             entries.push(self.servers[&id].info.clone());
         }
         for to in 0..self.gateways.len() {
-            let when = self.now + self.uniform(0.0, late);
+            let when = self.now + self.uniform(0.0, max_delay);
             let event =
                 emberpin_balancer::Event::Membership(MembershipUpdate::Changes(entries.clone()));
             let incarnation = self.gateways[to].1;
-            self.at(
+            self.schedule(
                 when,
                 Event::Feed {
                     to,
@@ -176,25 +184,25 @@
         }
     }
 
-    /// Kills the first `count` gateways at this instant; each is back at once, with nothing but the list.
+    /// Kills the first `count` gateways now; each restarts at once, with the endpoint list as its only state.
     pub fn restart(&mut self, count: u32) {
-        for me in 0..count {
-            let incarnation = self.gateways[me as usize].1 + 1;
-            self.gateways[me as usize] = (self.gateway(me), incarnation);
+        for gateway_number in 0..count {
+            let incarnation = self.gateways[gateway_number as usize].1 + 1;
+            self.gateways[gateway_number as usize] = (self.gateway(gateway_number), incarnation);
             let entries = self
                 .servers
                 .values()
                 .map(|server_model| server_model.info.clone())
                 .collect();
-            self.feed(
-                me as usize,
+            self.handle_event(
+                gateway_number as usize,
                 emberpin_balancer::Event::Membership(MembershipUpdate::Full(entries)),
             );
         }
     }
 
-    /// Plays on for `time`, and returns what became of the requests that ended in it.
-    pub fn play(&mut self, time: Millis) -> Outcomes {
+    /// Runs the fleet for `time` milliseconds, and returns the outcomes of the requests in that span.
+    pub fn run(&mut self, time: Millis) -> Outcomes {
         let end = self.now + time;
         self.outcomes = Outcomes::default();
         while let Some(Reverse((when, number))) = self.events.peek().copied() {
@@ -210,7 +218,7 @@
                     incarnation,
                     event,
                 }) if self.gateways[to].1 == incarnation => {
-                    self.feed(to, event);
+                    self.handle_event(to, event);
                 }
                 Some(Event::Ended {
                     to,
@@ -226,14 +234,14 @@
 
     fn arrive(&mut self) {
         let rate = self.size.load * self.size.server_rate * f64::from(self.size.servers);
-        let pause = self.exponential(1000.0 / rate);
-        self.at(self.now + pause, Event::Arrival);
+        let interval = self.exponential(1000.0 / rate);
+        self.schedule(self.now + interval, Event::Arrival);
         let to = self.random.rand_range(0..self.gateways.len() as u64) as usize;
         let (id, group) = (RequestId(self.next), self.size.gateways);
         self.next += 1;
         self.requests.insert(id, (to, self.now, 0));
         self.outcomes.requested += 1;
-        self.feed(
+        self.handle_event(
             to,
             emberpin_balancer::Event::Request(Request {
                 id,
@@ -251,7 +259,7 @@
         );
     }
 
-    fn feed(&mut self, to: usize, event: emberpin_balancer::Event) {
+    fn handle_event(&mut self, to: usize, event: emberpin_balancer::Event) {
         let mut actions = Vec::new();
         self.gateways[to].0.handle(self.now, event, &mut actions);
         let incarnation = self.gateways[to].1;
@@ -268,7 +276,7 @@
                 }
                 Action::SetTimer { delay, token } => {
                     let event = emberpin_balancer::Event::Timer { token };
-                    self.at(
+                    self.schedule(
                         self.now + delay,
                         Event::Feed {
                             to,
@@ -286,20 +294,21 @@
         }
     }
 
-    /// Delivers a message. One in twenty is lost, and whatever is over what a gateway can receive.
+    /// Delivers a message. One in twenty is lost, and so is any message beyond the rate that the gateway can
+    /// receive.
     fn deliver(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         let (at, level) = self.message_budgets[to];
         let budget =
             (level + (self.now - at) / 1000.0 * self.settings.peer_messages_per_second).min(5.0);
-        let taken = budget >= 1.0 && self.random.rand_float() > 0.05;
-        self.message_budgets[to] = (self.now, if taken { budget - 1.0 } else { budget });
-        if taken {
+        let is_delivered = budget >= 1.0 && self.random.rand_float() > 0.05;
+        self.message_budgets[to] = (self.now, if is_delivered { budget - 1.0 } else { budget });
+        if is_delivered {
             let (when, incarnation) = (self.now + self.uniform(1.0, 36.0), self.gateways[to].1);
             let event = emberpin_balancer::Event::PeerMessage {
                 from: GatewayId(from as u32),
                 bytes,
             };
-            self.at(
+            self.schedule(
                 when,
                 Event::Feed {
                     to,
@@ -312,10 +321,10 @@
 
     fn warm_up_share(&self, info: &Server) -> f64 {
         let slow_start = &self.settings.slow_start;
-        let part = info
+        let elapsed_share = info
             .started_at
             .map_or(1.0, |at| ((self.now - at) / slow_start.duration).min(1.0));
-        slow_start.initial_capacity + (1.0 - slow_start.initial_capacity) * part
+        slow_start.initial_capacity + (1.0 - slow_start.initial_capacity) * elapsed_share
     }
 
     fn send(&mut self, to: usize, request: RequestId, server: ServerId, timeout: Millis) {
@@ -329,22 +338,23 @@
         let server_model = self
             .servers
             .get_mut(&server)
-            .expect("only what was listed is sent to");
+            .expect("attempts are sent to listed servers only");
         server_model.idle_at = server_model.idle_at.max(now) + work / warm_up_share;
         server_model.in_flight += 1;
         if warm_up_share < 1.0 {
-            // In requests of mean work, as gateways know no more; the limit's own slack is for chance.
+            // Counted in requests of mean work, as gateways know no more; the margin of the limit allows for the
+            // variation.
             server_model
-                .sent_while_cold
+                .sent_while_warming
                 .push((now, 1.0 / (self.size.server_rate * warm_up_share)));
         }
-        let took = server_model.idle_at - now;
-        let outcome = if took <= timeout {
+        let total_time = server_model.idle_at - now;
+        let outcome = if total_time <= timeout {
             Outcome::Ok
         } else {
             Outcome::Timeout
         };
-        let elapsed = took.min(timeout);
+        let elapsed = total_time.min(timeout);
         let incarnation = self.gateways[to].1;
         let attempt = AttemptResult {
             request,
@@ -358,7 +368,7 @@
             units: None,
             metered: None,
         };
-        self.at(
+        self.schedule(
             now + elapsed,
             Event::Ended {
                 to,
@@ -386,17 +396,18 @@
             }
         }
         if self.gateways[to].1 == incarnation {
-            self.feed(to, emberpin_balancer::Event::AttemptEnded(attempt));
+            self.handle_event(to, emberpin_balancer::Event::AttemptEnded(attempt));
         }
     }
 
-    /// The most that any cold server was sent within the overload time, as a share of what overloads it.
+    /// The largest load that any cold server was sent within the overload time, as a share of the load that
+    /// overloads it.
     pub fn nearest_to_overload(&self) -> f64 {
         let slow_start = &self.settings.slow_start;
-        let most = |server_model: &SimulatedServer| {
-            let windows = server_model.sent_while_cold.iter().map(|(from, _)| {
+        let peak_load = |server_model: &SimulatedServer| {
+            let windows = server_model.sent_while_warming.iter().map(|(from, _)| {
                 let within = server_model
-                    .sent_while_cold
+                    .sent_while_warming
                     .iter()
                     .filter(|(at, _)| (*from..*from + slow_start.overload_time).contains(at));
                 within.map(|(_, seconds)| seconds).sum::<f64>()
@@ -404,6 +415,6 @@
             windows.fold(0.0, f64::max)
                 / (slow_start.overload_multiple * slow_start.overload_time / 1000.0)
         };
-        self.servers.values().map(most).fold(0.0, f64::max)
+        self.servers.values().map(peak_load).fold(0.0, f64::max)
     }
 }
--- a/crates/emberpin-balancer/tests/common/mod.rs
+++ b/crates/emberpin-balancer/tests/common/mod.rs
@@ -1,45 +1,47 @@
-//! A gateway driven by hand: a hand-set clock, no servers modelled.
+//! A harness for one gateway: a clock that the test sets, no modelled servers, and helpers to send requests and end
+//! attempts.
 #![allow(dead_code, missing_docs, reason = "each test file uses a part of it")]
 
 use emberpin_balancer::*;
 
 pub mod fleet;
 
-/// Indices of the classes of [`settings`].
+/// Indices of the classes in [`settings`].
 pub const SAFE: usize = 0;
 pub const UNSAFE: usize = 1;
 pub const KEYED_ALL: usize = 2;
 pub const KEYED_ZONE: usize = 3;
 
+/// One gateway, the time on its clock in milliseconds, and the id of its next request.
 pub struct Harness {
     pub gateway: Gateway,
     pub now: Millis,
-    next: u32,
+    next_id: u32,
 }
 
-pub fn class(effect: Idempotency) -> Class {
+pub fn class(idempotency_kind: Idempotency) -> Class {
     Class {
         latency_target: 500.0,
         deadline: 2000.0,
         value: 1.0,
         late_value: 0.0,
-        idempotency: effect,
+        idempotency: idempotency_kind,
     }
 }
 
 pub fn settings() -> Settings {
-    let keyed = |group| {
+    let keyed = |dedup_scope| {
         class(Idempotency::Keyed {
-            scope: group,
+            scope: dedup_scope,
             window: 1500.0,
         })
     };
-    let plan = |ceiling_rate, ceiling_burst| Plan {
+    let plan = |rate_limit, rate_limit_burst| Plan {
         quota_rate: 10.0,
         quota_burst: 20.0,
         max_in_flight: 0.0,
-        limit_rate: ceiling_rate,
-        limit_burst: ceiling_burst,
+        limit_rate: rate_limit,
+        limit_burst: rate_limit_burst,
         price: 1.0,
         over_quota_value: 0.0,
         over_quota_cost: 0.5,
@@ -91,19 +93,19 @@
 }
 
 impl Harness {
-    /// A gateway that has run for a minute of quiet with `servers` warm servers.
+    /// A gateway that has run without requests for a minute, with `servers` warm servers.
     pub fn new(settings: Settings, servers: u32) -> Harness {
-        let mut harness = Harness::fresh(settings, servers);
+        let mut harness = Harness::just_started(settings, servers);
         harness.advance(60_000.0);
         harness
     }
 
-    /// A gateway that starts at this moment.
-    pub fn fresh(settings: Settings, servers: u32) -> Harness {
+    /// A gateway that has just started, with `servers` warm servers.
+    pub fn just_started(settings: Settings, servers: u32) -> Harness {
         let mut harness = Harness {
             gateway: Gateway::new(settings, 7, 1_000_000.0),
             now: 1_000_000.0,
-            next: 0,
+            next_id: 0,
         };
         harness.update_membership(MembershipUpdate::Full((0..servers).map(server).collect()));
         harness
@@ -115,11 +117,11 @@
         actions
     }
 
-    pub fn update_membership(&mut self, news: MembershipUpdate) -> Vec<Action> {
-        self.handle(Event::Membership(news))
+    pub fn update_membership(&mut self, update: MembershipUpdate) -> Vec<Action> {
+        self.handle(Event::Membership(update))
     }
 
-    /// Lets time pass in housekeeping steps; returns what was done.
+    /// Advances the clock in steps of one tick (100 ms); returns the actions of the ticks.
     pub fn advance(&mut self, time: Millis) -> Vec<Action> {
         let end = self.now + time;
         let mut actions = Vec::new();
@@ -130,6 +132,7 @@
         actions
     }
 
+    /// Sends a request of one unit whose customer comes through a set of three gateways.
     pub fn arrive(&mut self, class: usize, plan: usize, customer: u64) -> (RequestId, Vec<Action>) {
         self.arrive_with(class, plan, customer, 1.0, 3)
     }
@@ -154,8 +157,8 @@
         set_size: u32,
         remaining: Millis,
     ) -> (RequestId, Vec<Action>) {
-        let id = RequestId(self.next);
-        self.next += 1;
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
         let request = Request {
             id,
             class: ClassId(class),
@@ -172,6 +175,7 @@
         (id, self.handle(Event::Request(request)))
     }
 
+    /// Ends an attempt after 20 ms; only [`Outcome::Ok`] answers the client.
     pub fn end_attempt(
         &mut self,
         id: RequestId,
@@ -182,13 +186,13 @@
         self.end_attempt_as(id, attempt, at, outcome, outcome == Outcome::Ok)
     }
 
-    /// A good answer with a load report.
+    /// Ends an attempt with an answer that carries a load report.
     pub fn answer_with_load(
         &mut self,
         id: RequestId,
         attempt: u32,
         at: ServerId,
-        report: LoadReport,
+        load: LoadReport,
     ) -> Vec<Action> {
         self.handle(Event::AttemptEnded(AttemptResult {
             request: id,
@@ -198,18 +202,18 @@
             elapsed: 20.0,
             answered: true,
             replayable: true,
-            load: report,
+            load,
             units: None,
             metered: None,
         }))
     }
 
-    /// The gateway killed and started again at this moment.
+    /// A new harness whose gateway was killed and has just restarted.
     pub fn restarted(&self, settings: Settings, servers: u32) -> Harness {
         let mut harness = Harness {
             gateway: Gateway::new(settings, 8, self.now),
             now: self.now,
-            next: self.next,
+            next_id: self.next_id,
         };
         harness.update_membership(MembershipUpdate::Full((0..servers).map(server).collect()));
         harness
@@ -221,7 +225,7 @@
         attempt: u32,
         at: ServerId,
         outcome: Outcome,
-        ended: bool,
+        answered: bool,
     ) -> Vec<Action> {
         self.handle(Event::AttemptEnded(AttemptResult {
             request: id,
@@ -229,7 +233,7 @@
             server: at,
             outcome,
             elapsed: 20.0,
-            answered: ended,
+            answered,
             replayable: true,
             load: LoadReport::default(),
             units: None,
@@ -237,9 +241,9 @@
         }))
     }
 
-    /// Sends one request of a new customer and answers it at once.
+    /// Sends one request of a new customer and answers it at once; returns whether it was admitted.
     pub fn serve(&mut self) -> bool {
-        let customer = 1_000_000 + u64::from(self.next);
+        let customer = 1_000_000 + u64::from(self.next_id);
         let (id, actions) = self.arrive(0, 0, customer);
         match sent_to(&actions) {
             Some(server) => {
@@ -250,7 +254,7 @@
         }
     }
 
-    /// Serves `rate` requests a second for `time`.
+    /// Serves `rate` requests per second for `time` milliseconds.
     pub fn serve_for(&mut self, rate: f64, time: Millis) {
         let end = self.now + time;
         let mut tick = self.now;
@@ -270,24 +274,28 @@
 }
 
 pub fn sent_to(actions: &[Action]) -> Option<ServerId> {
-    actions.iter().find_map(|a| match a {
+    actions.iter().find_map(|action| match action {
         Action::Send { server, .. } => Some(*server),
         _ => None,
     })
 }
 
 pub fn rejected(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { .. }))
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Fail { .. }))
 }
 
 pub fn messages_to(actions: &[Action], to: u32) -> Vec<Vec<u8>> {
     actions
         .iter()
-        .filter_map(|a| match a {
+        .filter_map(|action| match action {
             Action::SendToPeer { to: peer, bytes } if peer.is_none_or(|p| p == GatewayId(to)) => {
                 Some(bytes.clone())
             }
@@ -296,7 +304,7 @@
         .collect()
 }
 
-/// A count of a customer of the first plan whose set is the whole group of three.
+/// A count entry of a customer of the first plan whose set is the whole group of three.
 pub fn count(customer: u64, units: f64) -> gossip::Entry {
     gossip::Entry::Count {
         customer,
@@ -308,7 +316,7 @@
     }
 }
 
-/// A peer's message: its incarnation and one customer's cumulative units.
+/// A peer's message with one count: its incarnation and a customer's cumulative units.
 pub fn count_message(incarnation: u32, customer: u64, units: f64) -> Vec<u8> {
     let mut writer = gossip::Writer::new(incarnation, 0.0, 0.0);
     assert!(writer.push(count(customer, units)));
@@ -322,9 +330,9 @@
     });
 }
 
-/// Admits up to `tries` requests of one customer and answers each at once.
-pub fn admit(harness: &mut Harness, plan: usize, customer: u64, tries: usize) -> usize {
-    (0..tries)
+/// Sends `requests` requests of one customer and answers each admitted one at once; returns the number admitted.
+pub fn admit(harness: &mut Harness, plan: usize, customer: u64, requests: usize) -> usize {
+    (0..requests)
         .filter(|_| {
             let (id, actions) = harness.arrive(SAFE, plan, customer);
             match sent_to(&actions) {
@@ -338,7 +346,7 @@
         .count()
 }
 
-/// Fills a gateway of unknown throughput with `count` attempts in flight.
+/// Sends `count` requests, which stay in flight, to a gateway whose throughput is unknown.
 pub fn fill_in_flight(harness: &mut Harness, count: usize) -> Vec<(RequestId, ServerId)> {
     (0..count)
         .map(|k| {
@@ -348,12 +356,13 @@
         .collect()
 }
 
-pub fn count_rejections(harness: &mut Harness, tries: usize) -> usize {
+/// Sends `requests` requests of different customers; returns the number rejected.
+pub fn count_rejections(harness: &mut Harness, requests: usize) -> usize {
     let mut count = 0;
-    for k in 0..tries {
+    for k in 0..requests {
         let (id, actions) = harness.arrive(SAFE, 0, 50_000 + k as u64);
         match sent_to(&actions) {
-            // The outcome leaves the count as it was before this arrival.
+            // Abandoning it leaves the number in flight as it was before this request.
             Some(_) => drop(harness.handle(Event::Abandoned { request: id })),
             None => count += 1,
         }
@@ -361,7 +370,7 @@
     count
 }
 
-/// A request of a class sent on and answered after `elapsed`.
+/// Sends a request of a new customer and answers it after `elapsed` milliseconds; returns its server.
 pub fn answer_new_request(harness: &mut Harness, units: f64, elapsed: Millis) -> ServerId {
     let customer = 80_000 + harness.now as u64;
     harness.now += 1.0;
@@ -386,7 +395,7 @@
     }));
 }
 
-/// Shows a gateway that requests of one unit take 20 ms and of four take 300, in one class.
+/// Makes a gateway learn that requests of one unit take 20 ms and requests of four units 300 ms, in one class.
 pub fn learn_latencies_by_units(harness: &mut Harness) {
     for _ in 0..60 {
         answer_new_request(harness, 1.0, 20.0);
--- a/crates/emberpin-balancer/tests/congestion.rs
+++ b/crates/emberpin-balancer/tests/congestion.rs
@@ -1,4 +1,4 @@
-//! Congestion control: onset, abatement, the ladder of rejections.
+//! Congestion control: onset, abatement, and the levels of rejection.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -7,9 +7,9 @@
 
 #[test]
 fn a_gateway_is_congested_strictly_above_the_onset() {
-    let mut harness = Harness::fresh(settings(), 12);
-    let out = fill_in_flight(&mut harness, 63);
-    harness.end_attempt(out[0].0, 0, out[0].1, Outcome::Ok);
+    let mut harness = Harness::just_started(settings(), 12);
+    let in_flight = fill_in_flight(&mut harness, 63);
+    harness.end_attempt(in_flight[0].0, 0, in_flight[0].1, Outcome::Ok);
     assert_eq!(
         count_rejections(&mut harness, 50),
         0,
@@ -18,27 +18,30 @@
 }
 
 #[test]
-fn the_first_level_rejects_its_share_and_holds_down_to_the_abatement() {
-    let mut harness = Harness::fresh(settings(), 12);
-    let out = fill_in_flight(&mut harness, 64);
-    harness.end_attempt(out[0].0, 0, out[0].1, Outcome::Ok);
-    let cut = count_rejections(&mut harness, 400);
-    assert!((60..100).contains(&cut), "a fifth: {cut} of 400 rejected");
+fn the_first_level_rejects_its_share_until_the_abatement_is_reached() {
+    let mut harness = Harness::just_started(settings(), 12);
+    let in_flight = fill_in_flight(&mut harness, 64);
+    harness.end_attempt(in_flight[0].0, 0, in_flight[0].1, Outcome::Ok);
+    let rejections = count_rejections(&mut harness, 400);
+    assert!(
+        (60..100).contains(&rejections),
+        "a fifth: {rejections} of 400 rejected"
+    );
 
-    let mut harness = Harness::fresh(settings(), 12);
-    let out = fill_in_flight(&mut harness, 64);
-    for (id, server) in &out[..13] {
+    let mut harness = Harness::just_started(settings(), 12);
+    let in_flight = fill_in_flight(&mut harness, 64);
+    for (id, server) in &in_flight[..13] {
         harness.end_attempt(*id, 0, *server, Outcome::Ok);
     }
-    let cut = count_rejections(&mut harness, 100);
+    let rejections = count_rejections(&mut harness, 100);
     assert!(
-        cut > 10,
-        "51 in flight: the state holds between the thresholds ({cut} of 100)"
+        rejections > 10,
+        "51 in flight: the level stays between the thresholds ({rejections} of 100)"
     );
 
-    let mut harness = Harness::fresh(settings(), 12);
-    let out = fill_in_flight(&mut harness, 64);
-    for (id, server) in &out[..14] {
+    let mut harness = Harness::just_started(settings(), 12);
+    let in_flight = fill_in_flight(&mut harness, 64);
+    for (id, server) in &in_flight[..14] {
         harness.end_attempt(*id, 0, *server, Outcome::Ok);
     }
     assert_eq!(
@@ -49,31 +52,34 @@
 }
 
 #[test]
-fn a_surge_beyond_the_first_level_meets_further_levels() {
-    let mut harness = Harness::fresh(settings(), 12);
-    let out = fill_in_flight(&mut harness, 120);
-    for (id, server) in &out[..5] {
+fn a_large_surge_raises_the_level_beyond_the_first() {
+    let mut harness = Harness::just_started(settings(), 12);
+    let in_flight = fill_in_flight(&mut harness, 120);
+    for (id, server) in &in_flight[..5] {
         harness.end_attempt(*id, 0, *server, Outcome::Ok);
     }
-    let cut = count_rejections(&mut harness, 200);
+    let rejections = count_rejections(&mut harness, 200);
     assert!(
-        cut > 170,
-        "115 in flight after five outcomes: the last level refuses nearly all ({cut} of 200)"
+        rejections > 170,
+        "115 in flight after five outcomes: the last level rejects nearly all ({rejections} of 200)"
     );
 }
 
 #[test]
-fn attempts_stuck_at_a_few_silent_servers_are_no_congestion() {
-    let mut harness = Harness::fresh(settings(), 12);
-    let out = fill_in_flight(&mut harness, 120);
+fn attempts_at_servers_that_do_not_answer_do_not_count_as_congestion() {
+    let mut harness = Harness::just_started(settings(), 12);
+    let in_flight = fill_in_flight(&mut harness, 120);
     harness.now += 600.0;
-    let spoken: Vec<_> = out.iter().filter(|(_, server)| server.0 >= 6).collect();
-    for (id, server) in &spoken[..spoken.len() - 10] {
+    let at_answering_servers: Vec<_> = in_flight
+        .iter()
+        .filter(|(_, server)| server.0 >= 6)
+        .collect();
+    for (id, server) in &at_answering_servers[..at_answering_servers.len() - 10] {
         harness.end_attempt(*id, 0, *server, Outcome::Ok);
     }
     assert_eq!(
         count_rejections(&mut harness, 50),
         0,
-        "six servers hold 60 attempts in silence, the rest 10"
+        "six servers have 60 attempts in flight without a result, the others 10"
     );
 }
--- a/crates/emberpin-balancer/tests/decision_files.rs
+++ b/crates/emberpin-balancer/tests/decision_files.rs
@@ -1,14 +1,15 @@
-//! What holds for the files that take decisions.
+//! Checks on the source files of the decisions: all are listed in the deploy file, and no function or line is too
+//! long.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::Path;
 
-/// No decision may hide in a function that is too long to be read at once.
+/// Longest function in lines, so that a decision can be read at once.
 const MAX_FUNCTION_LINES: usize = 100;
 
-/// The width of the default `rustfmt`; a line beyond it is a string or a comment that it cannot break.
+/// Longest line in characters. `rustfmt` keeps code shorter, but does not break strings and comments.
 const MAX_LINE_WIDTH: usize = 110;
 
 /// The length of the longest function of a file, in lines: from its `fn` to the brace at the same indentation.
@@ -45,16 +46,19 @@
     let (list, _) = list.split_once(']').expect("the list ends");
     let listed: BTreeSet<&str> = list.split('"').skip(1).step_by(2).collect();
     let folder = "crates/emberpin-balancer/src/decisions";
-    let there = fs::read_dir(root.join(folder))
+    let present = fs::read_dir(root.join(folder))
         .expect("the policy's folder")
         .map(|entry| {
             let name = entry.expect("readable").file_name();
             format!("{folder}/{}", name.to_str().expect("a plain name"))
         });
-    let there: BTreeSet<String> = there.collect();
+    let present: BTreeSet<String> = present.collect();
     assert!(
-        there.iter().map(String::as_str).eq(listed.iter().copied()),
-        "{there:?} but {listed:?} listed"
+        present
+            .iter()
+            .map(String::as_str)
+            .eq(listed.iter().copied()),
+        "{present:?} but {listed:?} listed"
     );
     for path in listed {
         let text = read(path);
--- a/crates/emberpin-balancer/tests/ejection.rs
+++ b/crates/emberpin-balancer/tests/ejection.rs
@@ -6,9 +6,9 @@
 use emberpin_balancer::*;
 
 #[test]
-fn a_server_that_fails_alone_is_ejected_and_comes_back() {
+fn a_server_that_fails_alone_is_ejected_and_used_again_later() {
     let mut harness = Harness::new(settings(), 6);
-    // The healthy ones answer only after all were tried.
+    // The healthy servers answer only after all servers were tried.
     let mut in_flight = Vec::new();
     for k in 0..20 {
         let (id, actions) = harness.arrive(SAFE, 0, 100 + k);
@@ -24,13 +24,13 @@
     for (id, attempt, to) in in_flight {
         harness.end_attempt(id, attempt, to, Outcome::Ok);
     }
-    let to_bad = (0..50).filter(|k| {
+    let to_failing = (0..50).filter(|k| {
         let (id, actions) = harness.arrive(SAFE, 0, 1000 + k);
         let to = sent_to(&actions).expect("sent");
         harness.end_attempt(id, 0, to, Outcome::Ok);
         to == ServerId(2)
     });
-    assert_eq!(to_bad.count(), 0, "ejected");
+    assert_eq!(to_failing.count(), 0, "ejected");
     harness.advance(20_000.0);
     let mut trial = None;
     for k in 0..30 {
@@ -48,43 +48,43 @@
             .find(|(_, actions)| sent_to(actions) == Some(ServerId(2)))
             .map(|(id, _)| id);
     }
-    assert!(trial.is_some(), "chosen as before");
+    assert!(trial.is_some(), "chosen as often as before");
 }
 
-/// Serves with two attempts in flight for each server; an attempt is reset if `breaks` says so of its server. Returns
-/// the share of the servers that are ejected meanwhile.
-fn ejected_share(breaks: impl Fn(u64, ServerId) -> bool) -> f64 {
+/// Serves requests with two attempts in flight for each server; an attempt is reset if `is_reset` returns true for
+/// its number and server. Returns the mean share of ejected servers.
+fn ejected_share(is_reset: impl Fn(u64, ServerId) -> bool) -> f64 {
     const SERVERS: u32 = 9;
     let mut harness = Harness::new(settings(), SERVERS);
-    let (mut rested, mut looks) = (0, 0);
-    let mut out = std::collections::VecDeque::new();
+    let (mut ejected, mut samples) = (0, 0);
+    let mut in_flight = std::collections::VecDeque::new();
     for k in 0..3_000u64 {
         harness.now += 10.0;
         let (id, actions) = harness.arrive(SAFE, 0, 100_000 + k);
-        out.extend(sent_to(&actions).map(|to| (id, 0, to)));
-        if out.len() > 2 * SERVERS as usize {
-            let (id, attempt, to) = out.pop_front().expect("not empty");
-            let outcome = if breaks(k, to) {
+        in_flight.extend(sent_to(&actions).map(|to| (id, 0, to)));
+        if in_flight.len() > 2 * SERVERS as usize {
+            let (id, attempt, to) = in_flight.pop_front().expect("not empty");
+            let outcome = if is_reset(k, to) {
                 Outcome::Reset
             } else {
                 Outcome::Ok
             };
-            out.extend(
+            in_flight.extend(
                 sent_to(&harness.end_attempt(id, attempt, to, outcome))
                     .map(|to| (id, attempt + 1, to)),
             );
         }
         if k % 50 == 49 {
-            rested += harness.gateway.ejected_count(harness.now);
-            looks += SERVERS;
+            ejected += harness.gateway.ejected_count(harness.now);
+            samples += SERVERS;
         }
     }
-    f64::from(rested) / f64::from(looks)
+    f64::from(ejected) / f64::from(samples)
 }
 
-/// Connections that break by chance, at any server, must not eject one server after the other.
+/// Guards against ejecting one server after the other when connections break by chance at any server.
 #[test]
-fn resets_that_strike_all_servers_alike_eject_none() {
+fn resets_that_affect_all_servers_alike_eject_none() {
     let chance = |k: u64, _| k.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32 & 7 == 0;
     let share = ejected_share(chance);
     assert!(
@@ -103,10 +103,10 @@
 }
 
 #[test]
-fn half_of_the_servers_failing_together_are_ejected_but_never_all() {
+fn half_of_the_servers_can_be_ejected_together_but_not_all() {
     let mut harness = Harness::new(settings(), 6);
     for k in 0..30 {
-        // The healthy ones do not answer, so that the dead ones look idle and are tried.
+        // The healthy servers do not answer, so the failing ones look idle and are tried.
         let (id, actions) = harness.arrive(SAFE, 0, 100 + k);
         let mut to = sent_to(&actions);
         let mut attempt = 0;
@@ -115,13 +115,13 @@
             attempt += 1;
         }
     }
-    let to_dead = (0..30).filter(|k| {
+    let to_unreachable = (0..30).filter(|k| {
         sent_to(&harness.arrive(SAFE, 0, 1000 + k).1)
             .expect("sent")
             .0
             < 3
     });
-    assert_eq!(to_dead.count(), 0, "all three are ejected");
+    assert_eq!(to_unreachable.count(), 0, "all three are ejected");
 
     let mut harness = Harness::new(settings(), 6);
     for k in 0..60 {
@@ -135,12 +135,12 @@
     }
     assert!(
         sent_to(&harness.arrive(SAFE, 0, 999).1).is_some(),
-        "a fault that all share ejects none for good"
+        "a fault that all servers share must not leave none to choose"
     );
 }
 
 #[test]
-fn a_server_that_accepts_no_connection_is_ejected_even_if_all_but_one_do_the_same() {
+fn unreachable_servers_are_ejected_even_if_only_one_is_left() {
     let mut harness = Harness::new(settings(), 6);
     for k in 0..30 {
         let (id, actions) = harness.arrive(SAFE, 0, 100 + k);
--- a/crates/emberpin-balancer/tests/fleet.rs
+++ b/crates/emberpin-balancer/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! What is harmless in one gateway and harmful in a hundred: whole fleets in virtual time.
+//! Faults that only show in a large group of gateways, tested on whole simulated fleets.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -6,7 +6,7 @@
 use common::settings;
 use emberpin_balancer::*;
 
-/// No quota, and peers that cannot receive every announcement once they are many.
+/// Settings without quotas, where many peers cannot receive every announcement.
 fn without_quotas() -> Settings {
     let mut settings = settings();
     settings.classes[0].latency_target = 1_000.0;
@@ -30,15 +30,16 @@
     )
 }
 
-/// Cold successors once stood idle while the servers that stayed were overloaded: the few gateways picked for each sent
-/// it their own small share only, and what they did not send lowered what the next were allowed.
+/// Guards against cold replacements staying idle while the remaining servers are overloaded: the few gateways
+/// selected for each replacement sent only their own small share to it, and the throughput learned from that
+/// lowered the limits further.
 #[test]
-fn six_in_ten_servers_replaced_carry_their_share_and_none_is_overloaded() {
+fn replacements_of_six_in_ten_servers_are_used_and_not_overloaded() {
     for (gateways, seed) in [(3, 1), (30, 2), (100, 3), (100, 5)] {
         let mut fleet = fleet(gateways, seed);
-        fleet.play(8_000.0);
+        fleet.run(8_000.0);
         fleet.replace(36, 1_000.0);
-        let after = fleet.play(12_000.0);
+        let after = fleet.run(12_000.0);
         let share = f64::from(after.in_time) / f64::from(after.requested);
         assert!(
             share > 0.75,
@@ -53,14 +54,14 @@
 }
 
 #[test]
-fn nine_in_ten_gateways_killed_at_once_and_again_soon_after_serve_on() {
+fn requests_are_served_in_time_after_nine_in_ten_gateways_are_killed_twice() {
     for (gateways, seed) in [(30, 2), (100, 3), (100, 5)] {
         let mut fleet = fleet(gateways, seed);
-        fleet.play(8_000.0);
+        fleet.run(8_000.0);
         fleet.restart(gateways * 9 / 10);
-        let first = fleet.play(3_000.0);
+        let first = fleet.run(3_000.0);
         fleet.restart(gateways * 9 / 10);
-        let second = fleet.play(5_000.0);
+        let second = fleet.run(5_000.0);
         for after in [first, second] {
             let share = f64::from(after.in_time) / f64::from(after.requested);
             assert!(
@@ -71,10 +72,11 @@
     }
 }
 
-/// Each of hundreds has far less than one attempt in flight: thresholds below one were crossed by chance, by what few
-/// gateways sent of the moment in which they had something to announce.
+/// Guards against false congestion: each of hundreds of gateways has far less than one attempt in flight, and
+/// gateways that report their load only while they have something to announce made chance exceed thresholds below
+/// one.
 #[test]
-fn hundreds_of_gateways_with_hardly_anything_in_flight_do_not_throttle_an_idle_back_end() {
+fn hundreds_of_gateways_with_little_in_flight_do_not_throttle_an_idle_back_end() {
     for (gateways, seed) in [(3, 1), (100, 2), (300, 3), (300, 4)] {
         let size = Size {
             gateways,
@@ -90,19 +92,19 @@
             },
             size,
         );
-        fleet.play(3_000.0);
-        let calm = fleet.play(12_000.0);
-        let share = f64::from(calm.in_time) / f64::from(calm.requested);
+        fleet.run(3_000.0);
+        let idle = fleet.run(12_000.0);
+        let share = f64::from(idle.in_time) / f64::from(idle.requested);
         assert!(
             share > 0.97,
-            "{gateways} gateways, seed {seed}: {share} in time of {calm:?}"
+            "{gateways} gateways, seed {seed}: {share} in time of {idle:?}"
         );
     }
 }
 
-/// And a back end that is full is detected all the same.
+/// Counterpart of the test above: an overloaded back end is still detected.
 #[test]
-fn hundreds_of_gateways_throttle_a_back_end_that_is_full() {
+fn hundreds_of_gateways_throttle_an_overloaded_back_end() {
     for (gateways, seed) in [(3, 1), (100, 2), (300, 3)] {
         let size = Size {
             gateways,
@@ -112,12 +114,12 @@
             seed,
         };
         let mut fleet = Fleet::new(without_quotas(), size);
-        fleet.play(4_000.0);
-        let rush = fleet.play(10_000.0);
-        let share = f64::from(rush.in_time) / f64::from(rush.requested);
+        fleet.run(4_000.0);
+        let overloaded = fleet.run(10_000.0);
+        let share = f64::from(overloaded.in_time) / f64::from(overloaded.requested);
         assert!(
             share > 0.45,
-            "{gateways} gateways, seed {seed}: {share} in time of {rush:?}"
+            "{gateways} gateways, seed {seed}: {share} in time of {overloaded:?}"
         );
     }
 }
--- a/crates/emberpin-balancer/tests/gossip.rs
+++ b/crates/emberpin-balancer/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Messages between gateways: who gets them, what they mean when lost, late or garbled.
+//! Messages between gateways: their recipients, and the effect of lost, late or garbled ones.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -6,12 +6,12 @@
 use emberpin_balancer::*;
 
 #[test]
-fn lost_and_reordered_counts_are_made_up_for() {
+fn a_later_count_makes_up_for_lost_and_reordered_ones() {
     let mut harness = Harness::new(settings(), 12);
     let incarnation = harness.now as u32;
     admit(&mut harness, 0, 5, 1);
     harness.advance(3000.0);
-    // 4 was lost; 12 arrives before 8.
+    // The count of 4 was lost, and 12 arrives before 8.
     receive(&mut harness, 1, count_message(incarnation, 5, 12.0));
     receive(&mut harness, 1, count_message(incarnation, 5, 8.0));
     receive(&mut harness, 1, count_message(incarnation, 5, 12.0));
@@ -30,9 +30,10 @@
     assert_eq!(admit(&mut harness, 0, 5, 30), 5, "20 - 12 - 3");
 }
 
-/// Unix milliseconds do not fit the 32 bits that travel: saturated, all incarnations would look alike.
+/// Guards against saturating incarnations: Unix milliseconds do not fit the 32 bits of a message, and all
+/// incarnations would look alike.
 #[test]
-fn incarnations_differ_on_any_clock() {
+fn incarnations_are_reconstructed_on_any_clock() {
     for started in [
         1_000.0,
         1_794_000_000_000.0,
@@ -43,21 +44,21 @@
             assert_eq!(
                 gossip::full_incarnation(low, started + later),
                 started as u64,
-                "{started} seen {later} later"
+                "{started} received {later} ms later"
             );
         }
     }
     let ahead = gossip::full_incarnation(5_000_000, 4_000_000.0);
-    assert_eq!(ahead, 5_000_000, "a clock that is a little ahead");
+    assert_eq!(ahead, 5_000_000, "the clock of the peer is slightly ahead");
 }
 
 #[test]
-fn counts_are_sent_twice_and_to_the_customers_set_only() {
+fn counts_are_announced_twice_and_to_the_customers_set_only() {
     let mut harness = Harness::new(settings(), 12);
     harness.arrive_with(SAFE, 0, 77, 2.0, 2);
     let first = harness.advance(100.0);
     let second = harness.advance(100.0);
-    for (actions, asked) in [(&first, 2.0), (&second, 0.0)] {
+    for (actions, requested) in [(&first, 2.0), (&second, 0.0)] {
         let to_one = gossip::read(&messages_to(actions, 1)[0]).expect("readable");
         assert_eq!(
             to_one.entries,
@@ -67,7 +68,7 @@
                 first: 0,
                 size: 2,
                 units: 2.0,
-                requested: asked
+                requested
             }]
         );
         for bytes in messages_to(actions, 2) {
@@ -82,14 +83,14 @@
     admit(&mut harness, 0, 5, 1);
     harness.advance(6000.0);
     let good = count_message(harness.now as u32, 5, 15.0);
-    let mut foreign = good.clone();
-    foreign[0] ^= 0xff;
+    let mut other_version = good.clone();
+    other_version[0] ^= 0xff;
     let mut long = good.clone();
     long.resize(300, 0);
     for bytes in [
         vec![],
         good[..good.len() - 1].to_vec(),
-        foreign,
+        other_version,
         long,
         vec![1; 9],
     ] {
@@ -100,7 +101,7 @@
     assert_eq!(admit(&mut harness, 0, 5, 30), 20);
 }
 
-/// Advice on customers that are not known here must not stay for ever.
+/// Guards against a leak: advice on customers unknown at this gateway must expire.
 #[test]
 fn advice_on_unknown_customers_expires() {
     let mut harness = Harness::new(settings(), 12);
@@ -114,7 +115,7 @@
         }));
         receive(&mut harness, 1, message.finish());
     }
-    assert!(size(&harness) > before + 20_000, "heard");
+    assert!(size(&harness) > before + 20_000, "the advice is stored");
     harness.advance(20_000.0);
     assert!(
         size(&harness) < before + 2_000,
--- a/crates/emberpin-balancer/tests/handover.rs
+++ b/crates/emberpin-balancer/tests/handover.rs
@@ -1,4 +1,4 @@
-//! One gateway whose process is replaced: what the next one knows, and what both count while both run.
+//! Handover of a gateway's state to its next process, and shared usage while both processes run.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -7,27 +7,27 @@
 
 const WITH_RATE_LIMIT: usize = 1;
 
-/// The next process, beside the one of this harness.
-fn next(harness: &Harness, settings: Settings, servers: u32) -> (Harness, bool) {
-    let listed = (0..servers).map(server).collect();
+/// Starts the next process from the handover of this harness; returns it and whether the whole state was restored.
+fn successor(harness: &Harness, settings: Settings, servers: u32) -> (Harness, bool) {
+    let endpoints = (0..servers).map(server).collect();
     let handover = harness.gateway.to_handover();
-    let (gateway, complete) = Gateway::from_handover(settings, 9, harness.now, handover, listed);
+    let (gateway, complete) = Gateway::from_handover(settings, 9, harness.now, handover, endpoints);
     let mut after = harness.restarted(common::settings(), servers);
     after.gateway = gateway;
     (after, complete)
 }
 
-/// How many of so many requests of a customer are admitted; each is answered at once, and its usage is shared with
-/// the other process.
+/// Sends `requests` requests of a customer, answers each admitted one at once and shares its usage with the other
+/// process; returns the number admitted.
 fn admit(
     harness: &mut Harness,
     other: Option<&mut Harness>,
     plan: usize,
     customer: u64,
-    tries: usize,
+    requests: usize,
 ) -> usize {
     let (mut count, mut shared) = (0, Vec::new());
-    for _ in 0..tries {
+    for _ in 0..requests {
         let (id, actions) = harness.arrive(SAFE, plan, customer);
         let Some(server) = sent_to(&actions) else {
             continue;
@@ -48,25 +48,25 @@
 }
 
 #[test]
-fn spent_quotas_and_rate_limits_stay_spent() {
+fn used_quotas_and_rate_limits_stay_used_after_a_handover() {
     for plan in [0, WITH_RATE_LIMIT] {
         let mut old = Harness::new(settings(), 3);
         let first = admit(&mut old, None, plan, 5, 200);
         assert!(first > 0);
-        let (mut new, complete) = next(&old, settings(), 3);
+        let (mut new, complete) = successor(&old, settings(), 3);
         assert!(complete);
         assert_eq!(admit(&mut new, None, plan, 5, 200), 0, "after {first}");
-        // As after a kill it would be a part of the burst again.
+        // After a kill instead of a handover, a part of the burst is available again.
         let mut killed = old.restarted(settings(), 3);
         assert!(plan == WITH_RATE_LIMIT || admit(&mut killed, None, plan, 5, 200) > 0);
     }
 }
 
 #[test]
-fn what_either_process_admits_is_counted_by_both_while_both_run() {
+fn units_admitted_by_either_process_count_at_both() {
     let mut old = Harness::new(settings(), 3);
     let alone = admit(&mut Harness::new(settings(), 3), None, 0, 5, 200);
-    let (mut new, _) = next(&old, settings(), 3);
+    let (mut new, _) = successor(&old, settings(), 3);
     for harness in [&mut old, &mut new] {
         harness.handle(Event::SiblingChanged { running: true });
     }
@@ -80,9 +80,9 @@
         all += admit(one, Some(other), 0, 5, 10);
     }
     assert_eq!(all, alone, "two processes admit what one would");
-    // The control: a process that does not learn of the other's usage admits as much again.
+    // Control: a process that does not receive the other's usage admits as much again.
     let mut unaware = Harness::new(settings(), 3);
-    let (mut other, _) = next(&unaware, settings(), 3);
+    let (mut other, _) = successor(&unaware, settings(), 3);
     assert_eq!(
         admit(&mut unaware, None, 0, 5, 200) + admit(&mut other, None, 0, 5, 200),
         2 * alone
@@ -90,9 +90,9 @@
 }
 
 #[test]
-fn a_cold_server_gets_one_gateways_share_from_both_processes() {
+fn two_processes_together_send_a_cold_server_one_gateways_share() {
     let cold_sends = |shares: bool| {
-        let mut old = Harness::fresh(settings(), 2);
+        let mut old = Harness::just_started(settings(), 2);
         old.serve_for(200.0, 8_000.0);
         let entries = |now| {
             vec![Server {
@@ -107,14 +107,14 @@
             ..server(0)
         }]));
         let handover = old.gateway.to_handover();
-        let listed = vec![
+        let endpoints = vec![
             Server {
                 status: ServerStatus::Draining,
                 ..server(0)
             },
             entries(now).remove(0),
         ];
-        let (gateway, _) = Gateway::from_handover(settings(), 9, now, handover, listed);
+        let (gateway, _) = Gateway::from_handover(settings(), 9, now, handover, endpoints);
         let mut new = old.restarted(settings(), 2);
         new.gateway = gateway;
         old.handle(Event::SiblingChanged { running: shares });
@@ -133,20 +133,20 @@
         }
         count
     };
-    let (shared, apart) = (cold_sends(true), cold_sends(false));
+    let (shared, separate) = (cold_sends(true), cold_sends(false));
     assert!(
-        shared > 0 && shared * 3 < apart * 2,
-        "{shared} sharing, {apart} apart"
+        shared > 0 && shared * 3 < separate * 2,
+        "{shared} sharing, {separate} without"
     );
 }
 
 #[test]
-fn ejections_and_maintenance_go_on() {
+fn ejections_and_maintenance_survive_a_handover() {
     let mut old = Harness::new(settings(), 4);
     old.serve_for(100.0, 5_000.0);
     while old.gateway.ejected_count(old.now) == 0 {
         let (id, actions) = old.arrive(SAFE, 0, old.now as u64);
-        let at = sent_to(&actions).expect("there are others");
+        let at = sent_to(&actions).expect("sent");
         let outcome = if at == ServerId(3) {
             Outcome::ConnectFailed
         } else {
@@ -159,13 +159,13 @@
         server: ServerId(1),
         out_of_service: true,
     });
-    let (new, _) = next(&old, settings(), 4);
+    let (new, _) = successor(&old, settings(), 4);
     assert!(new.gateway.is_in_maintenance(ServerId(1)));
     assert_eq!(new.gateway.pool_size(new.now), pool_size(4, 2));
 }
 
 #[test]
-fn under_other_settings_only_maintenance_is_taken_over() {
+fn under_different_settings_only_maintenance_is_restored() {
     let mut old = Harness::new(settings(), 3);
     admit(&mut old, None, 0, 5, 200);
     old.handle(Event::Maintenance {
@@ -174,7 +174,7 @@
     });
     let mut changed = settings();
     changed.plans[0].quota_rate *= 2.0;
-    let (mut new, complete) = next(&old, changed, 3);
+    let (mut new, complete) = successor(&old, changed, 3);
     assert!(!complete && new.gateway.is_in_maintenance(ServerId(1)));
     assert!(admit(&mut new, None, 0, 5, 200) > 0, "as after a kill");
 }
--- a/crates/emberpin-balancer/tests/host_queries.rs
+++ b/crates/emberpin-balancer/tests/host_queries.rs
@@ -1,13 +1,13 @@
-//! What hosts ask and set beside events: classes that are added later, reported capacity, whether a retry would follow,
-//! and the preference for the own zone.
+//! Methods for hosts beside events: classes that are added later, reported capacity, the preference for the own
+//! zone, and whether a retry would follow.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 use common::*;
 use emberpin_balancer::*;
 
-/// As the proxy has it: one gateway alone, in zone 0, and no quota.
-fn alone() -> Settings {
+/// Settings as the proxy uses them: one gateway alone, in zone 0, without a quota.
+fn single_gateway() -> Settings {
     let mut settings = Settings {
         group_size: 1,
         ..settings()
@@ -29,13 +29,13 @@
 
 // Classes
 
-/// A request of a class that is not there is rejected.
+/// A request of an unknown class is rejected.
 #[test]
-fn a_class_is_known_once_it_is_added() {
-    let mut harness = Harness::fresh(
+fn requests_of_a_class_are_accepted_once_it_is_added() {
+    let mut harness = Harness::just_started(
         Settings {
             classes: vec![],
-            ..alone()
+            ..single_gateway()
         },
         2,
     );
@@ -51,58 +51,66 @@
     assert!(rejected(&harness.arrive(2, 0, 1).1));
 }
 
-/// Its first latency is a quarter of the target and its deviation a tenth, as for initial classes.
+/// The initial latency of an added class is a quarter of its target and the deviation a tenth, as for initial
+/// classes.
 #[test]
 fn an_added_class_has_the_attempt_timeout_of_an_initial_one() {
-    let added = |aim: Millis, effect: Idempotency| {
-        let mut harness = Harness::fresh(
+    let added = |latency_target: Millis, idempotency: Idempotency| {
+        let mut harness = Harness::just_started(
             Settings {
                 classes: vec![],
-                ..alone()
+                ..single_gateway()
             },
             2,
         );
         let class = harness.gateway.add_class(Class {
-            latency_target: aim,
-            ..class(effect)
+            latency_target,
+            ..class(idempotency)
         });
         timeout(&harness.arrive(class.0, 0, 1).1)
     };
-    let known = |aim: Millis, effect: Idempotency| {
+    let initial = |latency_target: Millis, idempotency: Idempotency| {
         let classes = vec![Class {
-            latency_target: aim,
-            ..class(effect)
+            latency_target,
+            ..class(idempotency)
         }];
         timeout(
-            &Harness::fresh(Settings { classes, ..alone() }, 2)
-                .arrive(0, 0, 1)
-                .1,
+            &Harness::just_started(
+                Settings {
+                    classes,
+                    ..single_gateway()
+                },
+                2,
+            )
+            .arrive(0, 0, 1)
+            .1,
         )
     };
     assert_eq!(added(400.0, Idempotency::Safe), Some(340.0));
     assert_eq!(
         added(400.0, Idempotency::Safe),
-        known(400.0, Idempotency::Safe)
+        initial(400.0, Idempotency::Safe)
     );
     assert_eq!(
         added(800.0, Idempotency::Safe),
-        known(800.0, Idempotency::Safe)
+        initial(800.0, Idempotency::Safe)
     );
-    // What must not run twice has all of its time.
+    // An unsafe request has all of its time.
     assert_eq!(added(400.0, Idempotency::Unsafe), Some(2_000.0));
     assert_eq!(
         added(400.0, Idempotency::Unsafe),
-        known(400.0, Idempotency::Unsafe)
+        initial(400.0, Idempotency::Unsafe)
     );
 }
 
-/// The target that `add_class` lowers: without it a gateway that began with no class has no finite onset.
+/// `add_class` lowers the mean latency target. Otherwise a gateway that started without classes would have no
+/// finite onset.
 #[test]
-fn an_added_class_counts_for_the_onset() {
-    let mut harness = Harness::fresh(
+fn an_added_class_takes_part_in_the_onset() {
+    let mut harness = Harness::just_started(
         Settings {
             classes: vec![],
-            ..alone()
+            ..single_gateway()
         },
         2,
     );
@@ -113,74 +121,75 @@
 
 // Reported capacity
 
-/// Whether a gateway is congested above `out` attempts in flight. Chance misses it in under one of 10,000 runs.
-fn is_congested_with(harness: &mut Harness, out: usize) -> bool {
-    let in_flight: Vec<_> = (0..=out)
+/// Whether a gateway is congested with more than `count` attempts in flight. The first congestion level rejects at
+/// random; the probability that none of the 50 requests is rejected is below 1 in 10,000.
+fn is_congested_with(harness: &mut Harness, count: usize) -> bool {
+    let in_flight: Vec<_> = (0..=count)
         .map(|k| harness.arrive(SAFE, 0, 100 + k as u64))
         .collect();
     let (first, actions) = &in_flight[0];
-    harness.end_attempt(*first, 0, sent_to(actions).expect("is sent"), Outcome::Ok);
-    let mut turned_away = false;
+    harness.end_attempt(*first, 0, sent_to(actions).expect("sent"), Outcome::Ok);
+    let mut any_rejected = false;
     for k in 0..50 {
         let (request, actions) = harness.arrive(SAFE, 0, 50_000 + k);
         match sent_to(&actions) {
             Some(_) => drop(harness.handle(Event::Abandoned { request })),
-            None => turned_away = true,
+            None => any_rejected = true,
         }
     }
-    turned_away
+    any_rejected
 }
 
-/// A gateway whose throughput is known and so small that the lower bound of the onset decides.
+/// A gateway whose throughput is known and so low that the lower bound on the onset applies.
 fn quiet() -> Harness {
-    let mut harness = Harness::fresh(alone(), 12);
+    let mut harness = Harness::just_started(single_gateway(), 12);
     harness.serve_for(20.0, 3_000.0);
     harness
 }
 
-/// Without reports the bound is two attempts for each of twelve servers.
+/// Without reports the lower bound is two attempts for each of twelve servers.
 #[test]
-fn the_least_onset_is_guessed_by_the_number_of_servers() {
+fn the_lower_bound_of_the_onset_depends_on_the_number_of_servers() {
     assert!(!is_congested_with(&mut quiet(), 24));
     assert!(is_congested_with(&mut quiet(), 25));
 }
 
-/// The reported capacity may lie above the guess and below it.
+/// The reported capacity may be above or below the default bound.
 #[test]
-fn reported_capacity_replaces_the_guess_of_the_least_onset() {
-    let with_reported_capacity = |out: f64| {
+fn reported_capacity_replaces_the_default_lower_bound_of_the_onset() {
+    let with_reported_capacity = |count: f64| {
         let mut harness = quiet();
-        harness.gateway.set_reported_capacity(out);
+        harness.gateway.set_reported_capacity(count);
         harness
     };
     assert!(
         !is_congested_with(&mut with_reported_capacity(40.0), 40),
-        "more than the guess"
+        "above the default bound"
     );
     assert!(is_congested_with(&mut with_reported_capacity(40.0), 41));
     assert!(
         !is_congested_with(&mut with_reported_capacity(6.0), 6),
-        "less than the guess"
+        "below the default bound"
     );
     assert!(is_congested_with(&mut with_reported_capacity(6.0), 7));
-    // A measured onset above it still counts: 100 a second, of a target of half a second, and a third of that.
-    let mut harness = Harness::fresh(alone(), 12);
+    // A higher measured onset still applies: 100 requests per second, times a third of a target of half a second.
+    let mut harness = Harness::just_started(single_gateway(), 12);
     harness.serve_for(100.0, 5_000.0);
     harness.gateway.set_reported_capacity(3.0);
     assert!(!is_congested_with(&mut harness, 12));
-    // Without reports the guess counts again.
+    // Without reports the default bound applies again.
     assert!(!is_congested_with(&mut with_reported_capacity(0.0), 24));
     assert!(is_congested_with(&mut with_reported_capacity(0.0), 25));
 }
 
 // The preference for the own zone
 
-/// Server 0 is in this gateway's zone, server 1 is not.
-fn same_zone_and_other_zone(away: f64) -> Harness {
-    Harness::fresh(
+/// A gateway with two servers: server 0 is in its zone, server 1 is not.
+fn same_zone_and_other_zone(cross_zone_slowdown: f64) -> Harness {
+    Harness::just_started(
         Settings {
-            cross_zone_slowdown: away,
-            ..alone()
+            cross_zone_slowdown,
+            ..single_gateway()
         },
         2,
     )
@@ -188,16 +197,16 @@
 
 fn chosen(harness: &mut Harness) -> (RequestId, u32) {
     let (id, actions) = harness.arrive(SAFE, 0, 1);
-    (id, sent_to(&actions).expect("is sent").0)
+    (id, sent_to(&actions).expect("sent").0)
 }
 
 /// The cross-zone slowdown multiplies the expected wait.
 #[test]
-fn a_server_of_the_same_zone_is_preferred_until_it_is_as_many_times_slower() {
+fn a_server_of_the_same_zone_is_preferred_until_its_wait_reaches_the_slowdown() {
     let mut harness = same_zone_and_other_zone(2.5);
     let to: Vec<u32> = (0..3).map(|_| chosen(&mut harness).1).collect();
-    // At the same zone's server it would be the third in line and wait for three mean answers; at the other it is the
-    // first, for two and a half.
+    // In the same zone the request would be the third in line and wait for three mean answers; in the other zone it
+    // would be the first, which counts as two and a half.
     assert_eq!(to, [0, 0, 1]);
     let mut harness = same_zone_and_other_zone(2.0);
     for _ in 0..50 {
@@ -207,8 +216,9 @@
     }
 }
 
-/// The server of the next request, with none in flight, after the same zone's answers took `same_zone` times as long.
-fn next_server_where_the_same_zone_takes(same_zone: f64) -> u32 {
+/// The server chosen for the next request, with none in flight, after answers of the same zone took `slowdown`
+/// times as long as the other zone's.
+fn next_server_where_the_same_zone_takes(slowdown: f64) -> u32 {
     let mut harness = same_zone_and_other_zone(2.0);
     for _ in 0..40 {
         let in_flight: Vec<_> = (0..6).map(|_| chosen(&mut harness)).collect();
@@ -217,7 +227,7 @@
         );
         for (request, to) in in_flight {
             harness.now += 1.0;
-            let elapsed = if to == 0 { 20.0 * same_zone } else { 20.0 };
+            let elapsed = if to == 0 { 20.0 * slowdown } else { 20.0 };
             harness.handle(Event::AttemptEnded(AttemptResult {
                 request,
                 attempt: 0,
@@ -235,7 +245,7 @@
     chosen(&mut harness).1
 }
 
-/// Traffic between zones costs, and slowness costs more.
+/// Crossing zones has a cost, but a much slower server costs more.
 #[test]
 fn a_server_of_another_zone_is_preferred_where_the_same_zone_is_far_slower() {
     assert_eq!(next_server_where_the_same_zone_takes(1.0), 0);
@@ -243,15 +253,15 @@
     assert_eq!(next_server_where_the_same_zone_takes(4.0), 1);
 }
 
-/// Latencies count as a millisecond at least: else a server of the own zone that has not answered yet would never be
-/// chosen beside one that answers within a part of a millisecond.
+/// Guards against a starved server: latencies count as at least a millisecond, as otherwise a server that has not
+/// answered yet would never be chosen beside one that answers within a fraction of a millisecond.
 #[test]
 fn a_server_that_answers_within_a_millisecond_is_not_taken_for_faster_than_one_that_has_not_answered(
 ) {
     let mut harness = same_zone_and_other_zone(2.0);
-    let same_zone = |condition| {
+    let same_zone = |status| {
         MembershipUpdate::Changes(vec![Server {
-            status: condition,
+            status,
             ..server(0)
         }])
     };
@@ -277,9 +287,9 @@
     assert_eq!(chosen(&mut harness).1, 0);
 }
 
-/// The limiter of one service sets 1, where zones make no difference.
+/// The limiter uses 1, where zones make no difference.
 #[test]
-fn zones_are_alike_without_a_cross_zone_slowdown() {
+fn zones_make_no_difference_without_a_cross_zone_slowdown() {
     let mut harness = same_zone_and_other_zone(1.0);
     let mut to: Vec<u32> = (0..2).map(|_| chosen(&mut harness).1).collect();
     to.sort_unstable();
@@ -302,11 +312,8 @@
 
 #[test]
 fn only_a_safe_request_would_be_retried() {
-    let mut harness = Harness::fresh(alone(), 2);
-    assert!(
-        !would_retry(&harness, RequestId(99)),
-        "one that is not known"
-    );
+    let mut harness = Harness::just_started(single_gateway(), 2);
+    assert!(!would_retry(&harness, RequestId(99)), "an unknown request");
     for (class, expected) in [(SAFE, true), (UNSAFE, false), (KEYED_ALL, false)] {
         let (request, actions) = harness.arrive(class, 0, 1);
         assert!(sent_to(&actions).is_some());
@@ -314,10 +321,10 @@
     }
 }
 
-/// A mean answer of 125 ms must fit in the time that is left.
+/// The mean latency of 125 ms must fit into the remaining time.
 #[test]
-fn no_retry_would_follow_that_could_not_end_in_time() {
-    let mut harness = Harness::fresh(alone(), 2);
+fn no_retry_would_follow_without_enough_time() {
+    let mut harness = Harness::just_started(single_gateway(), 2);
     let (request, _) = harness.arrive_for(SAFE, 0, 1, 1.0, 1, 1_000.0);
     harness.now += 875.0;
     assert!(would_retry(&harness, request));
@@ -325,10 +332,10 @@
     assert!(!would_retry(&harness, request));
 }
 
-/// In each way in which a server accepts no requests.
+/// Covers each state in which a server accepts no requests.
 #[test]
 fn no_retry_would_follow_without_another_server() {
-    let mut harness = Harness::fresh(alone(), 1);
+    let mut harness = Harness::just_started(single_gateway(), 1);
     let (request, _) = harness.arrive(SAFE, 0, 1);
     assert!(!would_retry(&harness, request));
     harness.update_membership(MembershipUpdate::Changes(vec![server(1)]));
@@ -355,30 +362,31 @@
     assert!(!would_retry(&harness, request));
 }
 
-/// A request whose attempt is broken off while the gateway is quiet, and ends once it is congested.
+/// Whether a request is retried whose attempt was in flight while the gateway was quiet and ends once it is
+/// congested.
 fn retried_although_congested(reserve: bool) -> bool {
     let mut harness = quiet();
     let (request, actions) = harness.arrive(SAFE, 0, 1);
-    let to = sent_to(&actions).expect("is sent");
+    let to = sent_to(&actions).expect("sent");
     if reserve {
         assert!(harness.gateway.reserve_retry(harness.now, request));
     }
     assert!(is_congested_with(&mut harness, 40));
     let actions = harness.end_attempt(request, 0, to, Outcome::Timeout);
-    sent_to(&actions).is_some_and(|again| again != to)
+    sent_to(&actions).is_some_and(|retried_at| retried_at != to)
 }
 
 #[test]
-fn a_reserved_retry_follows_whatever_the_load_is_by_then() {
+fn a_reserved_retry_follows_even_when_congested_by_then() {
     assert!(retried_although_congested(true));
     assert!(!retried_although_congested(false));
 }
 
 #[test]
 fn a_reserved_retry_goes_to_the_same_server_if_no_other_is_left() {
-    let mut harness = Harness::fresh(alone(), 2);
+    let mut harness = Harness::just_started(single_gateway(), 2);
     let (request, actions) = harness.arrive(SAFE, 0, 1);
-    let to = sent_to(&actions).expect("is sent");
+    let to = sent_to(&actions).expect("sent");
     assert!(harness.gateway.reserve_retry(harness.now, request));
     harness.update_membership(MembershipUpdate::Changes(vec![Server {
         status: ServerStatus::Removed,
@@ -390,7 +398,7 @@
 
 #[test]
 fn a_reserved_retry_is_spent_once() {
-    let mut harness = Harness::fresh(alone(), 12);
+    let mut harness = Harness::just_started(single_gateway(), 12);
     let mut reserved = 0;
     loop {
         let (request, _) = harness.arrive(SAFE, 0, 1);
@@ -398,53 +406,53 @@
             assert!(!would_retry(&harness, request));
             break;
         }
-        // Asked again, it holds and costs nothing more.
+        // Reserving it again succeeds and costs nothing more.
         assert!(
             !would_retry(&harness, request) || harness.gateway.reserve_retry(harness.now, request)
         );
         reserved += 1;
-        assert!(reserved < 100, "there is no end to it");
+        assert!(reserved < 100, "the retry budget never ends");
     }
-    let mut spent = Harness::fresh(alone(), 12);
-    let mut repeats = 0;
+    let mut unreserved = Harness::just_started(single_gateway(), 12);
+    let mut retries = 0;
     while let (request, Some(to)) = {
-        let (request, actions) = spent.arrive(SAFE, 0, 1);
+        let (request, actions) = unreserved.arrive(SAFE, 0, 1);
         (request, sent_to(&actions))
     } {
-        if sent_to(&spent.end_attempt(request, 0, to, Outcome::Error)).is_none() {
+        if sent_to(&unreserved.end_attempt(request, 0, to, Outcome::Error)).is_none() {
             break;
         }
-        repeats += 1;
+        retries += 1;
     }
-    assert_eq!(reserved, repeats);
+    assert_eq!(reserved, retries);
 }
 
-/// And the retry that would not follow does not.
+/// The answer agrees with what happens: where no retry would follow, none does.
 #[test]
 fn no_retry_would_follow_beyond_the_budget() {
-    let mut harness = Harness::fresh(alone(), 12);
-    let mut repeats = 0;
+    let mut harness = Harness::just_started(single_gateway(), 12);
+    let mut retries = 0;
     loop {
         let (request, actions) = harness.arrive(SAFE, 0, 1);
-        let to = sent_to(&actions).expect("is sent");
+        let to = sent_to(&actions).expect("sent");
         let expected = would_retry(&harness, request);
-        let again = sent_to(&harness.end_attempt(request, 0, to, Outcome::Error));
-        assert_eq!(again.is_some(), expected, "after {repeats}");
-        let Some(again) = again else { break };
-        harness.end_attempt(request, 1, again, Outcome::Ok);
-        repeats += 1;
-        assert!(repeats < 100, "there is no end to it");
+        let retried_at = sent_to(&harness.end_attempt(request, 0, to, Outcome::Error));
+        assert_eq!(retried_at.is_some(), expected, "after {retries}");
+        let Some(retried_at) = retried_at else { break };
+        harness.end_attempt(request, 1, retried_at, Outcome::Ok);
+        retries += 1;
+        assert!(retries < 100, "the retry budget never ends");
     }
-    assert!(repeats >= 10, "{repeats}");
+    assert!(retries >= 10, "{retries}");
 }
 
-/// Idempotency, timeout and what was learned are the new class's.
+/// Idempotency, time-out and learned latencies are those of the new class.
 #[test]
-fn a_replaced_class_is_as_one_that_was_added() {
-    let mut harness = Harness::fresh(
+fn a_replaced_class_behaves_like_an_added_one() {
+    let mut harness = Harness::just_started(
         Settings {
             classes: vec![class(Idempotency::Unsafe)],
-            ..alone()
+            ..single_gateway()
         },
         2,
     );
@@ -457,7 +465,7 @@
         },
     );
     assert_eq!(timeout(&harness.arrive(0, 0, 1).1), Some(340.0));
-    // What is not there is not replaced.
+    // An unknown class cannot be replaced.
     harness
         .gateway
         .replace_class(ClassId(7), class(Idempotency::Safe));
--- a/crates/emberpin-balancer/tests/invariants.rs
+++ b/crates/emberpin-balancer/tests/invariants.rs
@@ -1,5 +1,5 @@
-//! Invariants that one gateway holds by itself, under arbitrary legal sequences of events. Outcomes are drawn, not
-//! modelled: this is no simulator.
+//! Invariants of one gateway under arbitrary legal sequences of events. The outcomes of attempts are drawn at
+//! random; no servers are modelled.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -89,7 +89,7 @@
     first_run: Option<(Millis, ServerId)>,
 }
 
-/// A gateway's share of a rate limit, counted independently: what it alone may admit.
+/// An independent count of one gateway's share of a rate limit: what it may admit on its own.
 struct ShareBucket {
     tokens: f64,
     updated_at: Millis,
@@ -98,7 +98,7 @@
 }
 
 impl ShareBucket {
-    fn draw(&mut self, now: f64, units: f64) -> f64 {
+    fn withdraw(&mut self, now: f64, units: f64) -> f64 {
         let refilled = self.tokens + (now - self.updated_at) * self.rate / 1000.0;
         self.tokens = refilled.min(self.burst) - units;
         self.updated_at = now;
@@ -106,6 +106,7 @@
     }
 }
 
+/// The gateway under test, and the expected state of its requests and servers.
 struct Model {
     harness: Harness,
     settings: Settings,
@@ -113,13 +114,14 @@
     statuses: BTreeMap<ServerId, ServerStatus>,
     shares: BTreeMap<(u64, u32), ShareBucket>,
     started_at: BTreeMap<ServerId, f64>,
-    /// Answers since this incarnation began: before the first, nothing is known of what servers carry.
+    /// Answers in this incarnation. Before the first, the throughput of servers is unknown.
     answered: u32,
-    /// When servers that warm up were sent requests before any answer.
-    cold_sends: BTreeMap<ServerId, Vec<f64>>,
+    /// When servers that are warming up were sent requests before any answer.
+    sends_to_cold_servers: BTreeMap<ServerId, Vec<f64>>,
 }
 
 impl Model {
+    /// Checks the actions against the expected state, and updates it.
     fn check(&mut self, actions: &[Action]) -> Result<(), TestCaseError> {
         let now = self.harness.now;
         for action in actions {
@@ -129,17 +131,14 @@
                     server,
                     timeout,
                 } => {
-                    let seen = self
-                        .requests
-                        .get_mut(request)
-                        .expect("a request it was given");
-                    prop_assert!(!seen.closed, "sent after the answer");
-                    prop_assert!(seen.in_flight.is_none(), "two attempts in flight");
+                    let expected = self.requests.get_mut(request).expect("a known request");
+                    prop_assert!(!expected.closed, "sent after the final answer");
+                    prop_assert!(expected.in_flight.is_none(), "two attempts in flight");
                     prop_assert!(
-                        now + timeout <= seen.deadline + 0.001,
-                        "longer than the client waits"
+                        now + timeout <= expected.deadline + 0.001,
+                        "times out after the deadline of the client"
                     );
-                    prop_assert!(seen.attempts < self.settings.max_attempts.max(1));
+                    prop_assert!(expected.attempts < self.settings.max_attempts.max(1));
                     let status = self
                         .statuses
                         .get(server)
@@ -151,21 +150,24 @@
                         .get(server)
                         .copied()
                         .unwrap_or(f64::NEG_INFINITY);
-                    let cold = now - started_at < self.settings.slow_start.duration;
-                    if cold && self.answered == 0 {
-                        // Nothing supports more than one mean request after the other (125 ms), twice over.
-                        let sends = self.cold_sends.entry(*server).or_default();
+                    let is_warming_up = now - started_at < self.settings.slow_start.duration;
+                    if is_warming_up && self.answered == 0 {
+                        // Without any answer, the estimate is one mean request (125 ms) after the other; twice that
+                        // overloads a server.
+                        let sends = self.sends_to_cold_servers.entry(*server).or_default();
                         sends.retain(|at| now - at < self.settings.slow_start.overload_time);
                         sends.push(now);
                         prop_assert!(
                             sends.len() <= 9,
-                            "a cold server was sent more than anything supports"
+                            "a cold server was sent more than the initial estimate allows"
                         );
                     }
-                    if let Some((at, first)) = seen.first_run {
-                        match self.settings.classes[seen.class].idempotency {
+                    if let Some((at, first)) = expected.first_run {
+                        match self.settings.classes[expected.class].idempotency {
                             Idempotency::Safe => {}
-                            Idempotency::Unsafe => prop_assert!(false, "unsafe again"),
+                            Idempotency::Unsafe => {
+                                prop_assert!(false, "an unsafe request was sent again")
+                            }
                             Idempotency::Keyed { scope, window } => {
                                 prop_assert!(now - at < window, "past the window");
                                 let distance = match scope {
@@ -173,35 +175,32 @@
                                     DedupScope::Zone => (first.0 % 3).abs_diff(server.0 % 3),
                                     DedupScope::Cell => (first.0 % 2).abs_diff(server.0 % 2),
                                 };
-                                prop_assert_eq!(distance, 0, "outside its scope");
+                                prop_assert_eq!(distance, 0, "outside its deduplication scope");
                             }
                         }
                     }
-                    seen.in_flight = Some(*server);
-                    seen.sent_at = now;
-                    seen.attempts += 1;
+                    expected.in_flight = Some(*server);
+                    expected.sent_at = now;
+                    expected.attempts += 1;
                 }
                 Action::Reject { request, .. } | Action::Fail { request } => {
-                    let seen = self
-                        .requests
-                        .get_mut(request)
-                        .expect("a request it was given");
-                    prop_assert!(!seen.closed, "answered twice");
+                    let expected = self.requests.get_mut(request).expect("a known request");
+                    prop_assert!(!expected.closed, "answered twice");
                     prop_assert!(
-                        seen.in_flight.is_none(),
+                        expected.in_flight.is_none(),
                         "answered with an attempt in flight"
                     );
-                    seen.closed = true;
-                    if matches!(action, Action::Reject { .. }) && seen.first_run.is_some() {
+                    expected.closed = true;
+                    if matches!(action, Action::Reject { .. }) && expected.first_run.is_some() {
                         let harmless = matches!(
-                            self.settings.classes[seen.class].idempotency,
+                            self.settings.classes[expected.class].idempotency,
                             Idempotency::Safe
                                 | Idempotency::Keyed {
                                     scope: DedupScope::All,
                                     ..
                                 }
                         );
-                        prop_assert!(harmless, "rejected what may have run");
+                        prop_assert!(harmless, "rejected although it may have run");
                     }
                 }
                 Action::SendToPeer { bytes, .. } => prop_assert!(bytes.len() <= gossip::MAX_BYTES),
@@ -211,11 +210,11 @@
         Ok(())
     }
 
-    fn play(&mut self, step: Step) -> Result<(), TestCaseError> {
+    fn apply(&mut self, step: Step) -> Result<(), TestCaseError> {
         let in_flight: Vec<RequestId> = self
             .requests
             .iter()
-            .filter(|(_, w)| w.in_flight.is_some())
+            .filter(|(_, request)| request.in_flight.is_some())
             .map(|(id, _)| *id)
             .collect();
         match step {
@@ -249,17 +248,17 @@
                         rate,
                         burst,
                     });
-                    let tokens = share.draw(now, units);
+                    let tokens = share.withdraw(now, units);
                     prop_assert!(
                         tokens > -0.001,
-                        "over its share of the rate limit: {}",
+                        "beyond its share of the rate limit: {}",
                         tokens
                     );
                 }
                 self.check(&actions)?;
-                let seen = &self.requests[&id];
+                let expected = &self.requests[&id];
                 prop_assert!(
-                    seen.closed || seen.in_flight.is_some(),
+                    expected.closed || expected.in_flight.is_some(),
                     "neither sent nor answered"
                 );
             }
@@ -268,26 +267,26 @@
                     return Ok(());
                 };
                 let outcome = OUTCOMES[outcome];
-                let seen = self
+                let expected = self
                     .requests
                     .get_mut(&id)
                     .expect("a request with an attempt in flight");
-                let server = seen.in_flight.take().expect("an attempt in flight");
+                let server = expected.in_flight.take().expect("an attempt in flight");
                 if !outcome.never_ran() {
-                    seen.first_run.get_or_insert((seen.sent_at, server));
+                    expected.first_run.get_or_insert((expected.sent_at, server));
                 }
                 let ended = outcome == Outcome::Ok;
-                let attempt = seen.attempts - 1;
+                let attempt = expected.attempts - 1;
                 self.answered += u32::from(ended);
-                let was_closed = seen.closed;
-                seen.closed |= ended;
+                let was_closed = expected.closed;
+                expected.closed |= ended;
                 let actions =
                     self.harness
                         .end_attempt_as(id, attempt, server, outcome, ended || was_closed);
                 self.check(&actions)?;
-                let seen = &self.requests[&id];
+                let expected = &self.requests[&id];
                 prop_assert!(
-                    seen.closed || seen.in_flight.is_some(),
+                    expected.closed || expected.in_flight.is_some(),
                     "left without an answer"
                 );
             }
@@ -303,23 +302,25 @@
                 self.check(&actions)?;
             }
             Step::Wait { time } => {
-                // No attempt outlives its time-out by more than the batch that reports its end.
+                // An attempt ends at its time-out, reported with the batch that follows it.
                 let actions = self.harness.advance(time);
                 self.check(&actions)?;
-                let late: Vec<RequestId> = self
+                let overdue: Vec<RequestId> = self
                     .requests
                     .iter()
-                    .filter(|(_, w)| w.in_flight.is_some() && self.harness.now >= w.deadline)
+                    .filter(|(_, request)| {
+                        request.in_flight.is_some() && self.harness.now >= request.deadline
+                    })
                     .map(|(id, _)| *id)
                     .collect();
-                for id in late {
-                    let seen = self
+                for id in overdue {
+                    let expected = self
                         .requests
                         .get_mut(&id)
                         .expect("a request with an attempt in flight");
-                    let server = seen.in_flight.take().expect("an attempt in flight");
-                    seen.first_run.get_or_insert((seen.sent_at, server));
-                    let (attempt, closed) = (seen.attempts - 1, seen.closed);
+                    let server = expected.in_flight.take().expect("an attempt in flight");
+                    expected.first_run.get_or_insert((expected.sent_at, server));
+                    let (attempt, closed) = (expected.attempts - 1, expected.closed);
                     let actions =
                         self.harness
                             .end_attempt_as(id, attempt, server, Outcome::Timeout, closed);
@@ -373,7 +374,7 @@
                 self.requests.clear();
                 self.started_at.clear();
                 self.answered = 0;
-                self.cold_sends.clear();
+                self.sends_to_cold_servers.clear();
                 self.statuses = (0..6)
                     .map(|id| (ServerId(id), ServerStatus::InService))
                     .collect();
@@ -396,7 +397,7 @@
     let result = runner.run(&steps, |steps| {
         let settings = settings();
         let mut model = Model {
-            harness: Harness::fresh(settings.clone(), 6),
+            harness: Harness::just_started(settings.clone(), 6),
             settings,
             requests: BTreeMap::new(),
             statuses: (0..6)
@@ -405,11 +406,11 @@
             shares: BTreeMap::new(),
             started_at: BTreeMap::new(),
             answered: 0,
-            cold_sends: BTreeMap::new(),
+            sends_to_cold_servers: BTreeMap::new(),
         };
-        steps.into_iter().try_for_each(|step| model.play(step))
+        steps.into_iter().try_for_each(|step| model.apply(step))
     });
-    if let Err(problem) = result {
-        panic!("{problem}");
+    if let Err(failure) = result {
+        panic!("{failure}");
     }
 }
--- a/crates/emberpin-balancer/tests/large_group.rs
+++ b/crates/emberpin-balancer/tests/large_group.rs
@@ -1,15 +1,15 @@
-//! Groups of so many gateways that each customer's quota has a few owners. A gateway gets from its peers only the
-//! messages that the test delivers.
+//! Groups so large that each customer's quota has a few owners. A gateway receives only the peer messages that the
+//! test delivers.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 use common::*;
 use emberpin_balancer::*;
 
-/// Gateway `me` of `group`, whose peers cannot receive every announcement.
-fn one_of(me: u32, group: u32) -> Settings {
+/// Settings of gateway `number` in a group of `group` gateways whose peers cannot receive every announcement.
+fn one_of(number: u32, group: u32) -> Settings {
     Settings {
-        gateway_id: GatewayId(me),
+        gateway_id: GatewayId(number),
         group_size: group,
         peer_messages_per_second: 40.0,
         ..settings()
@@ -21,7 +21,7 @@
     number: u32,
     plan: usize,
     customer: u64,
-    set: u32,
+    set_size: u32,
 ) -> (RequestId, Vec<Action>) {
     let id = RequestId(1_000_000 + number);
     let request = Request {
@@ -33,14 +33,14 @@
         units: 1.0,
         gateways: GatewaySet {
             first: GatewayId(0),
-            size: set,
+            size: set_size,
         },
         prior_attempt: None,
     };
     (id, harness.handle(Event::Request(request)))
 }
 
-/// A message with a header only.
+/// A message without entries.
 fn header_only(incarnation: u32) -> Vec<u8> {
     gossip::Writer::new(incarnation, 0.0, 0.0).finish()
 }
@@ -51,12 +51,12 @@
     const FLEET: u32 = 24;
     // Each gateway serves 5 requests a second, which is 25 a second for each warm server.
     let mut gateways: Vec<Harness> = (0..GROUP)
-        .map(|me| Harness::fresh(one_of(me, GROUP), FLEET))
+        .map(|number| Harness::just_started(one_of(number, GROUP), FLEET))
         .collect();
     for harness in &mut gateways {
         harness.serve_for(5.0, 8_000.0);
     }
-    // One server restarts and all others drain, so that every gateway needs the cold one.
+    // One server restarts and all others drain, so every gateway needs the cold one.
     let start = gateways[0].now;
     for harness in &mut gateways {
         harness.now = start;
@@ -64,15 +64,16 @@
         entries[0].started_at = Some(start);
         entries[1..]
             .iter_mut()
-            .for_each(|line| line.status = ServerStatus::Draining);
+            .for_each(|entry| entry.status = ServerStatus::Draining);
         harness.update_membership(MembershipUpdate::Full(entries));
     }
     let mut sends = Vec::new();
     for step in 1..=80u32 {
-        for (me, harness) in gateways.iter_mut().enumerate() {
+        for (number, harness) in gateways.iter_mut().enumerate() {
             harness.now = start + f64::from(step) * 100.0;
             harness.handle(Event::Timer { token: 0 });
-            let (id, actions) = request(harness, step, 0, u64::from(step) * 1000 + me as u64, 1);
+            let (id, actions) =
+                request(harness, step, 0, u64::from(step) * 1000 + number as u64, 1);
             if let Some(to) = sent_to(&actions) {
                 sends.push(harness.now);
                 harness.end_attempt(id, 0, to, Outcome::Ok);
@@ -98,37 +99,44 @@
     }
 }
 
-/// Gateways that have just started with all their servers, none of which was ever seen warm: sends by server, and
-/// the share of the requests that were admitted, at one request of each gateway in `every` steps of 100 ms. Servers
-/// say how many wait there, or nothing.
-fn all_cold(group: u32, fleet: u32, every: u32, waits: Option<f64>) -> (Vec<Vec<f64>>, f64) {
+/// Runs gateways that have just started with all their servers, none of which was ever observed warm, for 10 s.
+/// Each gateway sends one request in `every` steps of 100 ms, and servers report `queue_length`, if any. Returns
+/// the times of the attempts at each server, and the share of the requests that were admitted.
+fn run_without_warm_servers(
+    group: u32,
+    fleet: u32,
+    every: u32,
+    queue_length: Option<f64>,
+) -> (Vec<Vec<f64>>, f64) {
     let mut gateways: Vec<Harness> = (0..group)
-        .map(|me| Harness::fresh(one_of(me, group), 0))
+        .map(|number| Harness::just_started(one_of(number, group), 0))
         .collect();
     let start = gateways[0].now;
-    let mut cold: Vec<Server> = (0..fleet).map(server).collect();
-    cold.iter_mut()
-        .for_each(|line| line.started_at = Some(start));
+    let mut cold_servers: Vec<Server> = (0..fleet).map(server).collect();
+    cold_servers
+        .iter_mut()
+        .for_each(|entry| entry.started_at = Some(start));
     for harness in &mut gateways {
         harness.now = start;
-        harness.update_membership(MembershipUpdate::Full(cold.clone()));
+        harness.update_membership(MembershipUpdate::Full(cold_servers.clone()));
     }
     let (mut sends, mut requested, mut admitted) = (vec![Vec::new(); fleet as usize], 0, 0);
     for step in 1..=100u32 {
-        for (me, harness) in gateways.iter_mut().enumerate() {
+        for (number, harness) in gateways.iter_mut().enumerate() {
             harness.now = start + f64::from(step) * 100.0;
             harness.handle(Event::Timer { token: 0 });
-            if !(me as u32 + step).is_multiple_of(every) {
+            if !(number as u32 + step).is_multiple_of(every) {
                 continue;
             }
-            let (id, actions) = request(harness, step, 0, u64::from(step) * 1000 + me as u64, 1);
+            let (id, actions) =
+                request(harness, step, 0, u64::from(step) * 1000 + number as u64, 1);
             requested += 1;
             if let Some(to) = sent_to(&actions) {
                 admitted += 1;
                 sends[to.0 as usize].push(harness.now - start);
                 harness.now += 30.0;
                 let report = LoadReport {
-                    queue_length: waits,
+                    queue_length: queue_length,
                     ..LoadReport::default()
                 };
                 harness.answer_with_load(id, 0, to, report);
@@ -139,33 +147,34 @@
 }
 
 #[test]
-fn hundreds_of_gateways_take_turns_at_a_cold_fleet_and_overload_no_server() {
-    for (group, fleet, every, least) in [
+fn hundreds_of_gateways_without_warm_servers_take_turns_and_overload_none() {
+    for (group, fleet, every, min_share) in [
         (300, 20, 10, 0.3),
         (300, 20, 1, 0.03),
         (100, 20, 10, 0.6),
         (30, 6, 10, 0.5),
     ] {
-        let (sends, share) = all_cold(group, fleet, every, None);
-        assert!(share > least, "{group} gateways: {share:.2} admitted");
-        // Servers that report full queues are sent nothing more; those that report empty ones, more and more.
-        let (_, full) = all_cold(group, fleet, every, Some(3.0));
+        let (sends, share) = run_without_warm_servers(group, fleet, every, None);
+        assert!(share > min_share, "{group} gateways: {share:.2} admitted");
+        // Servers that report full queues are sent no more than without reports; those that report empty queues are
+        // sent more and more.
+        let (_, full) = run_without_warm_servers(group, fleet, every, Some(3.0));
         assert!(
             full < share * 1.1,
             "{group} gateways: {full:.2} admitted, against {share:.2}"
         );
         if every == 1 {
-            let (_, empty) = all_cold(group, fleet, every, Some(0.0));
+            let (_, empty) = run_without_warm_servers(group, fleet, every, Some(0.0));
             assert!(
                 empty > 2.5 * share,
                 "{group} gateways: {empty:.2} admitted, against {share:.2}"
             );
         }
         let slow_start = settings().slow_start;
-        let cold = |from: &&f64| **from + slow_start.overload_time <= slow_start.duration;
+        let cold_servers = |from: &&f64| **from + slow_start.overload_time <= slow_start.duration;
         for (sends, from) in sends
             .iter()
-            .flat_map(|all| all.iter().filter(cold).map(move |from| (all, from)))
+            .flat_map(|all| all.iter().filter(cold_servers).map(move |from| (all, from)))
         {
             let within = sends
                 .iter()
@@ -173,7 +182,7 @@
                 .count() as f64;
             let warm_up_share = slow_start.initial_capacity
                 + (1.0 - slow_start.initial_capacity) * from / slow_start.duration;
-            // A server carries one mean request of 30 ms after the other at least.
+            // A server can serve at least one mean request of 30 ms after the other.
             let limit = slow_start.overload_multiple * warm_up_share / 0.030
                 * slow_start.overload_time
                 / 1000.0;
@@ -187,36 +196,36 @@
 
 #[test]
 fn retries_of_hundreds_of_gateways_at_a_common_start_are_bounded_for_all_of_them() {
-    let mut again = 0;
-    for me in 0..300 {
-        let mut harness = Harness::fresh(one_of(me, 300), 20);
+    let mut retries = 0;
+    for number in 0..300 {
+        let mut harness = Harness::just_started(one_of(number, 300), 20);
         for number in 0..5 {
             let (id, mut actions) = request(&mut harness, number, 0, u64::from(number) + 1000, 1);
             let mut attempt = 0;
             while let Some(to) = sent_to(&actions) {
-                again += u32::from(attempt > 0);
+                retries += u32::from(attempt > 0);
                 actions = harness.end_attempt(id, attempt, to, Outcome::Reset);
                 attempt += 1;
             }
         }
     }
-    // Of 1,500 requests a tenth, and one of each.
-    assert!((300..=450).contains(&again), "{again} tried again");
+    // At most a tenth of the 1,500 requests, and one retry of each gateway.
+    assert!((300..=450).contains(&retries), "{retries} retries");
 }
 
 #[test]
 fn a_rate_limit_holds_over_a_set_of_isolated_gateways_that_restart() {
     const SET: u32 = 10;
-    let mut open = one_of(0, 120);
-    open.plans[1].quota_rate = 1000.0;
-    open.plans[1].quota_burst = 1000.0;
+    let mut large_quota = one_of(0, 120);
+    large_quota.plans[1].quota_rate = 1000.0;
+    large_quota.plans[1].quota_burst = 1000.0;
     let mut used = 0;
     let mut gateways: Vec<Harness> = (0..SET)
-        .map(|me| {
-            Harness::fresh(
+        .map(|number| {
+            Harness::just_started(
                 Settings {
-                    gateway_id: GatewayId(me),
-                    ..open.clone()
+                    gateway_id: GatewayId(number),
+                    ..large_quota.clone()
                 },
                 12,
             )
@@ -224,40 +233,40 @@
         .collect();
     let start = gateways[0].now;
     for (round, harness) in (0..3).flat_map(|round| (0..SET as usize).map(move |k| (round, k))) {
-        let seen = &mut gateways[harness];
-        // The first incarnations are seen to start together; half of the gateways restart later.
+        let gateway_harness = &mut gateways[harness];
+        // The first incarnations learn of their common start; half of the gateways restart later.
         if round == 0 {
             (20..30).for_each(|from| {
-                drop(seen.handle(Event::PeerMessage {
+                drop(gateway_harness.handle(Event::PeerMessage {
                     from: GatewayId(from),
                     bytes: header_only(start as u32),
                 }));
             });
         } else if round == 1 && harness % 2 == 0 {
-            *seen = seen.restarted(
+            *gateway_harness = gateway_harness.restarted(
                 Settings {
                     gateway_id: GatewayId(harness as u32),
-                    ..open.clone()
+                    ..large_quota.clone()
                 },
                 12,
             );
             (20..30).for_each(|from| {
-                drop(seen.handle(Event::PeerMessage {
+                drop(gateway_harness.handle(Event::PeerMessage {
                     from: GatewayId(from),
                     bytes: header_only(start as u32),
                 }));
             });
         }
         for k in 0..40 {
-            let (id, actions) = request(seen, 100 * round + k, 1, 7, SET);
+            let (id, actions) = request(gateway_harness, 100 * round + k, 1, 7, SET);
             if let Some(to) = sent_to(&actions) {
                 used += 1;
-                seen.end_attempt(id, 0, to, Outcome::Ok);
+                gateway_harness.end_attempt(id, 0, to, Outcome::Ok);
             }
         }
-        seen.advance(3_000.0);
+        gateway_harness.advance(3_000.0);
     }
-    // Rate 20 and burst 40 for all: 40 at the start and 20 a second for six seconds.
+    // A rate of 20 and a burst of 40 over all gateways: 40 at the start and 20 per second for six seconds.
     assert!(used <= 40 + 20 * 6, "{used} admitted");
     assert!(
         used >= 40,
@@ -266,9 +275,8 @@
 }
 
 #[test]
-fn a_customer_of_a_large_set_is_admitted_at_once_although_its_split_burst_holds_less_than_one_unit()
-{
-    let gateways = (0..100).map(|me| Harness::fresh(one_of(me, 120), 12));
+fn a_customer_of_a_large_set_is_admitted_although_its_split_burst_is_below_one_unit() {
+    let gateways = (0..100).map(|number| Harness::just_started(one_of(number, 120), 12));
     let admitted =
         gateways.map(|mut harness| sent_to(&request(&mut harness, 1, 0, 5, 100).1).is_some());
     assert!(
@@ -277,9 +285,9 @@
     );
 }
 
-/// The gateways of a set of 100 that own the quota of customer 5: they advise once its demand is too high.
+/// The gateways that own the quota of customer 5 in a set of 100: those that advise once its demand is too high.
 fn owners() -> Vec<u32> {
-    let mut harness = Harness::fresh(one_of(110, 120), 12);
+    let mut harness = Harness::just_started(one_of(110, 120), 12);
     let entry = |n| gossip::Entry::Count {
         customer: 5,
         plan: 0,
@@ -288,8 +296,8 @@
         units: n,
         requested: n,
     };
-    let advises = |me: u32| {
-        let mut harness = Harness::fresh(one_of(me, 120), 12);
+    let advises = |number: u32| {
+        let mut harness = Harness::just_started(one_of(number, 120), 12);
         let mut writer = gossip::Writer::new(harness.now as u32, 0.0, 0.0);
         assert!(writer.push(entry(400.0)));
         harness.handle(Event::PeerMessage {
@@ -299,7 +307,7 @@
         advised(&harness.advance(1000.0)) > 0
     };
     assert_eq!(advised(&harness.advance(100.0)), 0);
-    (0..100).filter(|me| advises(*me)).collect()
+    (0..100).filter(|number| advises(*number)).collect()
 }
 
 fn advised(actions: &[Action]) -> usize {
@@ -317,7 +325,7 @@
 fn two_owners_advise_a_large_set_within_what_peers_can_receive() {
     let owners = owners();
     assert_eq!(owners.len(), 2, "{owners:?}");
-    let mut harness = Harness::fresh(one_of(owners[0], 120), 12);
+    let mut harness = Harness::just_started(one_of(owners[0], 120), 12);
     let mut sent = 0;
     for second in 1..=10 {
         let mut writer = gossip::Writer::new(harness.now as u32, 0.0, 0.0);
@@ -348,8 +356,8 @@
 }
 
 #[test]
-fn advice_rejects_by_chance_and_retrying_at_once_gains_no_more_than_the_rate() {
-    let mut harness = Harness::fresh(one_of(owners()[0], 120), 12);
+fn advice_rejects_at_random_and_immediate_retries_gain_no_more_than_the_rate() {
+    let mut harness = Harness::just_started(one_of(owners()[0], 120), 12);
     let start = harness.now;
     let mut admitted = 0;
     for number in 0..6_000 {
@@ -367,10 +375,10 @@
     let rate = f64::from(admitted) / seconds;
     assert!(
         (7.0..13.0).contains(&rate),
-        "200 tries a second, {rate} of 10 admitted"
+        "200 requests per second, {rate} per second admitted of a rate of 10"
     );
 
-    let mut member = Harness::fresh(one_of(105, 120), 12);
+    let mut member = Harness::just_started(one_of(105, 120), 12);
     let mut writer = gossip::Writer::new(member.now as u32, 0.0, 0.0);
     assert!(writer.push(gossip::Entry::Advice {
         customer: 9,
@@ -380,7 +388,7 @@
         from: GatewayId(1),
         bytes: writer.finish(),
     });
-    let tries = (0..400).filter(|number| {
+    let rejections = (0..400).filter(|number| {
         member.now += 100.0;
         member.handle(Event::Timer { token: 0 });
         member.handle(Event::PeerMessage {
@@ -392,28 +400,28 @@
             .inspect(|to| drop(member.end_attempt(id, 0, *to, Outcome::Ok)))
             .is_some()
     });
-    let early = tries.take_while(|number| *number < 150).count();
+    let admitted_early = rejections.take_while(|number| *number < 150).count();
     assert!(
-        (20..60).contains(&early),
-        "a quarter of 150 while the advice is valid: {early}"
+        (20..60).contains(&admitted_early),
+        "a quarter of 150 while the advice is valid: {admitted_early}"
     );
 }
 
 #[test]
-fn a_pause_of_the_gateway_is_no_failure_of_servers_and_no_load() {
-    let mut harness = Harness::fresh(one_of(0, 120), 12);
+fn a_pause_of_the_gateways_process_causes_no_ejection_and_no_congestion() {
+    let mut harness = Harness::just_started(one_of(0, 120), 12);
     harness.serve_for(20.0, 3_000.0);
-    let out: Vec<_> = (0..8)
+    let in_flight: Vec<_> = (0..8)
         .map(|n| request(&mut harness, n, 0, 100 + u64::from(n), 1))
         .collect();
-    // A pause of two seconds, then all outcomes at once: time-outs of what was sent before.
+    // A pause of two seconds, then all outcomes at once: time-outs of attempts that were sent before.
     harness.now += 2_000.0;
     harness.handle(Event::Timer { token: 0 });
-    let servers: Vec<ServerId> = out
+    let servers: Vec<ServerId> = in_flight
         .iter()
         .filter_map(|(_, actions)| sent_to(actions))
         .collect();
-    for ((id, _), to) in out.iter().zip(&servers) {
+    for ((id, _), to) in in_flight.iter().zip(&servers) {
         let actions = harness.handle(Event::AttemptEnded(AttemptResult {
             request: *id,
             attempt: 0,
@@ -433,17 +441,17 @@
             "neither ejected nor congested"
         );
     }
-    let refused =
+    let rejections =
         (0..20).filter(|n| rejected(&request(&mut harness, 100 + n, 0, 900 + u64::from(*n), 1).1));
-    assert_eq!(refused.count(), 0);
+    assert_eq!(rejections.count(), 0);
 }
 
 #[test]
-fn one_attempt_in_flight_is_no_congestion_where_the_mean_gateway_has_few() {
-    let mut harness = Harness::fresh(one_of(0, 120), 24);
-    let peer = |harness: &mut Harness, out: f64| {
+fn one_attempt_in_flight_is_no_congestion_while_the_mean_is_low() {
+    let mut harness = Harness::just_started(one_of(0, 120), 24);
+    let peer = |harness: &mut Harness, in_flight: f64| {
         for from in 1..60 {
-            let bytes = gossip::Writer::new(1_000_000, out, 5.0).finish();
+            let bytes = gossip::Writer::new(1_000_000, in_flight, 5.0).finish();
             harness.handle(Event::PeerMessage {
                 from: GatewayId(from),
                 bytes,
@@ -466,7 +474,7 @@
     assert_eq!(
         count_rejected(&mut harness, 0),
         0,
-        "own single attempts are noise"
+        "a single attempt of this gateway is noise"
     );
     peer(&mut harness, 9.0);
     assert!(
@@ -476,21 +484,21 @@
 }
 
 #[test]
-fn an_isolated_gateway_does_not_take_a_few_attempts_for_noise() {
-    // Recorded day i4b1b07: with all messages lost, three attempts each of 120 gateways were 15 a server.
-    let mut harness = Harness::fresh(one_of(0, 120), 24);
+fn an_isolated_gateway_counts_a_few_attempts_in_flight_as_congestion() {
+    // With all messages lost, three attempts in flight at each of 120 gateways amount to 15 for each server.
+    let mut harness = Harness::just_started(one_of(0, 120), 24);
     harness.serve_for(2.0, 10_000.0);
-    let out: Vec<_> = (0..4)
+    let in_flight: Vec<_> = (0..4)
         .map(|n| request(&mut harness, n, 0, 100 + u64::from(n), 1))
         .collect();
     harness.advance(2_000.0);
-    for (id, actions) in &out[..2] {
+    for (id, actions) in &in_flight[..2] {
         harness.end_attempt(*id, 0, sent_to(actions).expect("sent"), Outcome::Timeout);
     }
-    let tries =
+    let rejections =
         (0..200).filter(|n| rejected(&request(&mut harness, 100 + n, 0, 900 + u64::from(*n), 1).1));
     assert!(
-        tries.count() > 20,
+        rejections.count() > 20,
         "two or more in flight for long at two answers a second is congestion"
     );
 }
@@ -512,8 +520,8 @@
 }
 
 #[test]
-fn odd_messages_in_a_large_group_change_nothing() {
-    let mut harness = Harness::fresh(one_of(0, 120), 12);
+fn malformed_messages_in_a_large_group_change_nothing() {
+    let mut harness = Harness::just_started(one_of(0, 120), 12);
     for (plan, size, first) in [(99, 10, 0), (0, u32::MAX >> 2, 500), (1, 0, 7)] {
         let mut writer = gossip::Writer::new(5, f64::MAX, f64::MAX);
         writer.push(gossip::Entry::Count {
@@ -547,9 +555,10 @@
     assert!(sent_to(&request(&mut harness, 1, 0, 77, 100).1).is_some());
 }
 
-/// What an owner of customer 5 advises after these counts, each of cumulative units and units requested since.
+/// The advice of an owner of customer 5 after these counts, each of cumulative units and units requested since the
+/// previous one.
 fn advice_after(counts: &[(f64, f64)]) -> Vec<gossip::Entry> {
-    let mut harness = Harness::fresh(one_of(owners()[0], 120), 12);
+    let mut harness = Harness::just_started(one_of(owners()[0], 120), 12);
     let incarnation = harness.now as u32;
     harness.advance(3_000.0);
     harness.handle(Event::PeerMessage {
@@ -584,9 +593,10 @@
         .collect()
 }
 
-/// Counts are cumulative: were they increments, customers would get a fifth too much where a message in five is lost.
+/// Counts are cumulative: with increments, customers would be admitted a fifth too much where one message in five
+/// is lost.
 #[test]
-fn what_a_lost_message_announced_comes_with_the_next_count() {
+fn the_next_count_makes_up_for_a_lost_message() {
     let expected = advice_after(&[(3.0, 50.0), (6.0, 0.0), (9.0, 50.0)]);
     let after_a_loss = advice_after(&[(3.0, 50.0), (9.0, 50.0)]);
     assert!(!expected.is_empty(), "its demand is far above its rate");
@@ -594,12 +604,12 @@
 }
 
 #[test]
-fn gateways_of_a_large_set_announce_all_that_they_admitted_so_far() {
+fn gateways_of_a_large_set_announce_cumulative_units() {
     let owners = owners();
     let member = (0..100)
-        .find(|me| !owners.contains(me))
+        .find(|number| !owners.contains(number))
         .expect("most own no quota");
-    let mut harness = Harness::fresh(one_of(member, 120), 12);
+    let mut harness = Harness::just_started(one_of(member, 120), 12);
     let mut sent = Vec::new();
     for number in 0..3 {
         let (id, actions) = request(&mut harness, number, 0, 5, 100);
@@ -626,8 +636,8 @@
 fn the_mean_latency_target_is_known_after_a_few_answers() {
     let mut settings = one_of(0, 120);
     settings.classes[1].latency_target = 5_000.0;
-    let mut harness = Harness::fresh(settings, 24);
-    // Three answers a second of the class that may take ten times as long as the first one.
+    let mut harness = Harness::just_started(settings, 24);
+    // Three answers per second of the class whose latency target is ten times that of the first class.
     let mut answer = |number: u32, elapsed: Millis| {
         let (id, actions) = harness.arrive(1, 0, 10_000 + u64::from(number));
         let to = sent_to(&actions).expect("admitted");
@@ -635,15 +645,20 @@
         harness.end_attempt(id, 0, to, Outcome::Ok);
     };
     (0..15).for_each(|number| answer(number, 333.0));
-    let out: Vec<_> = (0..4)
+    let in_flight: Vec<_> = (0..4)
         .map(|n| request(&mut harness, n, 0, 100 + u64::from(n), 1))
         .collect();
     harness.advance(1_000.0);
-    harness.end_attempt(out[0].0, 0, sent_to(&out[0].1).expect("sent"), Outcome::Ok);
-    let tries =
+    harness.end_attempt(
+        in_flight[0].0,
+        0,
+        sent_to(&in_flight[0].1).expect("sent"),
+        Outcome::Ok,
+    );
+    let rejections =
         (0..200).filter(|n| rejected(&request(&mut harness, 100 + n, 0, 900 + u64::from(*n), 1).1));
     assert_eq!(
-        tries.count(),
+        rejections.count(),
         0,
         "three in flight, where three a second may take a third of 5 s each"
     );
--- a/crates/emberpin-balancer/tests/maintenance.rs
+++ b/crates/emberpin-balancer/tests/maintenance.rs
@@ -6,14 +6,14 @@
 use emberpin_balancer::*;
 use std::collections::BTreeSet;
 
-fn set_maintenance(harness: &mut Harness, id: u32, out: bool) -> Vec<Action> {
+fn set_maintenance(harness: &mut Harness, id: u32, out_of_service: bool) -> Vec<Action> {
     harness.handle(Event::Maintenance {
         server: ServerId(id),
-        out_of_service: out,
+        out_of_service,
     })
 }
 
-/// Which servers get something of so many requests.
+/// The servers that receive any of `requests` requests.
 fn served_by(harness: &mut Harness, requests: usize) -> BTreeSet<u32> {
     (0..requests)
         .filter_map(|k| {
@@ -26,12 +26,12 @@
 }
 
 #[test]
-fn a_server_in_maintenance_gets_nothing_whatever_the_endpoint_list_says() {
+fn a_server_in_maintenance_receives_no_requests_whatever_the_endpoint_list_says() {
     let mut harness = Harness::new(settings(), 3);
     set_maintenance(&mut harness, 1, true);
     assert_eq!(served_by(&mut harness, 60), BTreeSet::from([0, 2]));
     assert_eq!(harness.gateway.pool_size(harness.now), pool_size(3, 1));
-    // It leaves, and comes back as another incarnation.
+    // It is removed, and returns as another incarnation.
     harness.update_membership(MembershipUpdate::Changes(vec![Server {
         status: ServerStatus::Removed,
         ..server(1)
@@ -46,7 +46,7 @@
             .collect(),
     ));
     harness.advance(30_000.0);
-    // A second call changes nothing; one call puts it back.
+    // Taking it out a second time changes nothing; putting it back once is enough.
     set_maintenance(&mut harness, 1, true);
     assert_eq!(served_by(&mut harness, 60), BTreeSet::from([0, 2]));
     set_maintenance(&mut harness, 1, false);
@@ -56,12 +56,12 @@
 }
 
 #[test]
-fn a_server_put_back_warms_up_and_its_failures_are_forgotten() {
-    let mut harness = Harness::fresh(settings(), 4);
+fn a_server_put_back_into_service_warms_up_without_its_earlier_failures() {
+    let mut harness = Harness::just_started(settings(), 4);
     harness.serve_for(100.0, 10_000.0);
     while harness.gateway.ejected_count(harness.now) == 0 {
         let (id, actions) = harness.arrive(SAFE, 0, 1_000 + harness.now as u64);
-        let at = sent_to(&actions).expect("there are others");
+        let at = sent_to(&actions).expect("sent");
         let outcome = if at == ServerId(3) {
             Outcome::ConnectFailed
         } else {
@@ -75,10 +75,10 @@
     assert_eq!(
         harness.gateway.pool_size(harness.now),
         pool_size(4, 0),
-        "its failures before are forgotten"
+        "it is no longer ejected"
     );
-    let mut of = [0u32; 4];
-    let mut out = std::collections::VecDeque::new();
+    let mut requests_by_server = [0u32; 4];
+    let mut in_flight = std::collections::VecDeque::new();
     for k in 0..300 {
         harness.now += 10.0;
         if k % 10 == 0 {
@@ -88,18 +88,21 @@
         let Some(to) = sent_to(&actions) else {
             continue;
         };
-        of[to.0 as usize] += 1;
-        out.push_back((id, to));
-        if out.len() > 20 {
-            let (id, to) = out.pop_front().expect("not empty");
+        requests_by_server[to.0 as usize] += 1;
+        in_flight.push_back((id, to));
+        if in_flight.len() > 20 {
+            let (id, to) = in_flight.pop_front().expect("not empty");
             harness.end_attempt(id, 0, to, Outcome::Ok);
         }
     }
-    assert!(of[3] > 0 && of[3] * 3 < of[0] * 2, "{of:?}");
+    assert!(
+        requests_by_server[3] > 0 && requests_by_server[3] * 3 < requests_by_server[0] * 2,
+        "{requests_by_server:?}"
+    );
 }
 
 #[test]
-fn the_last_server_may_be_taken_out_and_it_is_logged() {
+fn taking_out_the_last_server_is_allowed_and_logged() {
     let mut harness = Harness::new(settings(), 2);
     set_maintenance(&mut harness, 0, true);
     let actions = set_maintenance(&mut harness, 1, true);
--- a/crates/emberpin-balancer/tests/recorded.rs
+++ b/crates/emberpin-balancer/tests/recorded.rs
@@ -1,5 +1,5 @@
-//! What gateways tell each other in datagrams, and what a gateway's process hands over to the next, as an earlier build
-//! wrote it.
+//! Compatibility with recordings of an earlier build: the datagrams between gateways, the usage shared between two
+//! processes, and the handover of a gateway's state.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -11,7 +11,7 @@
 use emberpin_balancer::*;
 use recording::{assert_recorded, hex, lines, Recorded};
 
-const WITH_CEILING: usize = 1;
+const WITH_RATE_LIMIT: usize = 1;
 const CUSTOMER: u64 = 5;
 
 fn count(customer: u64) -> Entry {
@@ -25,7 +25,7 @@
     }
 }
 
-/// Values that the bytes hold exactly: counts in half units, chances in parts of 255.
+/// Messages whose values are encoded without rounding: counts in half units, probabilities in multiples of 1/255.
 fn datagrams() -> Vec<(&'static str, Message)> {
     let incarnation = 0x1234_5678;
     let message = |entries| Message {
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn the_version_and_the_bound_of_a_datagram_are_those_of_the_recording() {
+fn the_version_and_the_size_limit_of_datagrams_are_unchanged() {
     assert_eq!((encode(&datagrams()[0].1)[0], MAX_BYTES), (2, 256));
 }
 
@@ -137,13 +137,13 @@
 
 #[test]
 fn usage_shared_between_processes_is_read_and_written_as_it_was_recorded() {
-    let encode = |spent: &Usage| postcard::to_allocvec(spent).expect("encoded");
+    let encode = |usage: &Usage| postcard::to_allocvec(usage).expect("encoded");
     assert_recorded("spent.txt", &usages(), encode, |bytes| {
-        postcard::from_bytes(bytes).expect("spent")
+        postcard::from_bytes(bytes).expect("a usage")
     });
 }
 
-/// Lets in requests of a customer until it is refused; how many that were.
+/// Sends 200 requests of a customer of a plan and returns the number admitted.
 fn use_up_quota(harness: &mut Harness, plan: usize) -> usize {
     let mut admitted = 0;
     for _ in 0..200 {
@@ -159,7 +159,7 @@
 /// A gateway with two customers that have used up their quotas, and one server in maintenance.
 fn used_gateway() -> Harness {
     let mut harness = Harness::new(settings(), 3);
-    assert!(use_up_quota(&mut harness, 0) > 0 && use_up_quota(&mut harness, WITH_CEILING) > 0);
+    assert!(use_up_quota(&mut harness, 0) > 0 && use_up_quota(&mut harness, WITH_RATE_LIMIT) > 0);
     harness.handle(Event::Maintenance {
         server: ServerId(2),
         out_of_service: true,
@@ -170,10 +170,10 @@
 fn write_handover() -> Vec<Recorded> {
     let harness = used_gateway();
     let bytes = |handover: Handover| postcard::to_allocvec(&handover).expect("encoded");
-    let fresh = Harness::fresh(settings(), 2).gateway.to_handover();
+    let just_started = Harness::just_started(settings(), 2).gateway.to_handover();
     vec![
         ("worn".into(), bytes(harness.gateway.to_handover())),
-        ("fresh".into(), bytes(fresh)),
+        ("fresh".into(), bytes(just_started)),
     ]
 }
 
@@ -199,29 +199,25 @@
 }
 
 #[test]
-fn a_gateway_goes_on_where_the_recorded_handover_left_off() {
+fn a_gateway_continues_from_the_recorded_handover() {
     let (handover, bytes) = recorded_handover("worn");
-    let mut next = Harness::fresh(settings(), 3);
+    let mut next = Harness::just_started(settings(), 3);
     next.now = 1_060_000.0;
-    let listed = (0..3).map(server).collect();
-    let (gateway, whole) = Gateway::from_handover(settings(), 9, next.now, handover, listed);
+    let endpoints = (0..3).map(server).collect();
+    let (gateway, complete) = Gateway::from_handover(settings(), 9, next.now, handover, endpoints);
     next.gateway = gateway;
-    assert!(whole, "its figures are gone on with");
+    assert!(complete, "the whole state is restored");
     assert!(
         next.gateway.is_in_maintenance(ServerId(2)),
-        "out of service by hand"
+        "still in maintenance"
     );
+    assert_eq!(use_up_quota(&mut next, 0), 0, "a used quota stays used");
     assert_eq!(
-        use_up_quota(&mut next, 0),
+        use_up_quota(&mut next, WITH_RATE_LIMIT),
         0,
-        "a quota that is spent stays spent"
+        "a used rate limit stays used"
     );
-    assert_eq!(
-        use_up_quota(&mut next, WITH_CEILING),
-        0,
-        "a rate limit that is spent stays spent"
-    );
-    // What was not spent again is handed over as it came.
+    // A gateway that has admitted nothing since hands over exactly the state that it received.
     let (handover, _) = recorded_handover("worn");
     let (gateway, _) = Gateway::from_handover(
         settings(),
@@ -236,13 +232,14 @@
     );
 }
 
-/// A gateway whose last server of four answers no connection until it is ejected, named by the time of that.
+/// The handover of a gateway after the last of its four servers, which accepts no connections, was ejected. The
+/// recording is named by the time of the ejection.
 fn write_ejected() -> Vec<Recorded> {
     let mut harness = Harness::new(settings(), 4);
     harness.serve_for(100.0, 5_000.0);
     while harness.gateway.ejected_count(harness.now) == 0 {
         let (id, actions) = harness.arrive(SAFE, 0, harness.now as u64);
-        let at = sent_to(&actions).expect("there are others");
+        let at = sent_to(&actions).expect("sent");
         let outcome = if at == ServerId(3) {
             Outcome::ConnectFailed
         } else {
@@ -256,13 +253,13 @@
 }
 
 #[test]
-fn a_server_ejected_in_the_recorded_handover_stays_ejected_for_its_time() {
+fn an_ejection_in_the_recorded_handover_stays_in_effect_until_it_ends() {
     let (time, bytes) = lines("handover-ejected.txt", write_ejected).remove(0);
     let now: Millis = time.parse().expect("a time");
     let handover = postcard::from_bytes(&bytes).expect("a handover");
-    let (gateway, whole) =
+    let (gateway, complete) =
         Gateway::from_handover(settings(), 9, now, handover, (0..4).map(server).collect());
-    assert!(whole);
+    assert!(complete);
     assert_eq!(
         (gateway.ejected_count(now), gateway.pool_size(now)),
         (1, pool_size(4, 1))
@@ -270,6 +267,6 @@
     assert_eq!(
         gateway.ejected_count(now + 600_000.0),
         0,
-        "it is tried again"
+        "the ejection has ended"
     );
 }
