--- a/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/main.rs
+++ b/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/main.rs
@@ -12,7 +12,7 @@
 /// An error that ended the run, with the line of input that it occurred at.
 #[derive(Debug, thiserror::Error)]
 #[error("line {number}: {error}")]
-struct InputError {
+struct RunError {
     /// The line of input, counted from 1.
     number: u64,
     #[source]
@@ -30,7 +30,7 @@
 }
 
 /// Handles lines and answers each batch until the input ends.
-fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), InputError> {
+fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), RunError> {
     let mut adapter = Adapter::default();
     let mut text = Vec::new();
     for number in 1u64.. {
@@ -43,7 +43,7 @@
                 }
                 Ok(progress)
             })
-            .map_err(|error| InputError { number, error })?;
+            .map_err(|error| RunError { number, error })?;
         if progress == Progress::InputEnded {
             break;
         }
--- a/crates/emberpin-balancer/src/decisions/health.rs
+++ b/crates/emberpin-balancer/src/decisions/health.rs
@@ -22,18 +22,19 @@
 /// Share of the servers in service that may be ejected as outliers at the same time.
 const MAX_EJECTED_SHARE: f64 = 0.5;
 
-/// A failure that counts against a server.
+/// A failure of a server, by severity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Strike {
-    /// It rejected the attempt.
+    /// The server rejected the attempt.
     Rejected,
-    /// It answered with an error or too late, or the connection was lost.
+    /// The server answered with an error or too late, or the connection was lost.
     Failed,
-    /// It accepted no connection.
+    /// The server accepted no connection.
     Unreachable,
 }
 
 impl Strike {
+    /// The number of strikes that the failure counts as.
     fn weight(self) -> f64 {
         match self {
             Strike::Rejected => 0.5,
--- a/crates/emberpin-balancer/src/decisions/mod.rs
+++ b/crates/emberpin-balancer/src/decisions/mod.rs
@@ -2,6 +2,10 @@
 //! method that is named after it. A request passes through admission control, congestion control, quotas,
 //! load balancing and attempts, in this order.
 //!
+//! A group of gateways is *small* if every peer can be sent every announcement, and *large* if that would
+//! exceed what peers can receive (`Gateway::gossips_to_all`). Gateways of a large group exchange less: a
+//! few owners handle each customer's quota, and loads are smoothed over time.
+//!
 //! Congestion control follows Roughan and Pearce, "A Martingale Analysis of Hysteretic Overload Control";
 //! `docs/DESIGN.md` lists what differs from that paper.
 
--- a/crates/emberpin-balancer/src/decisions/quotas.rs
+++ b/crates/emberpin-balancer/src/decisions/quotas.rs
@@ -54,7 +54,7 @@
     /// buckets: used in groups too large for every gateway to be sent every announcement, where the buckets
     /// cannot be kept in step.
     pub(super) fn admission_probability(&self, now: Millis, plan: &Plan) -> f64 {
-        // Negative, as the exponent of the share of the window that was observed.
+        // Minus the time for which demand was observed, as it is used in an exponent.
         let minus_observed_time = self.observed_since - now;
         let observed_share = 1.0 - (minus_observed_time.min(-DRAIN_TIME) / DEMAND_WINDOW).exp();
         let demand = self.decayed_demand(now) * 1000.0 / DEMAND_WINDOW / observed_share;
@@ -197,7 +197,7 @@
         self.unannounced.insert(id);
         let mut delay = 0.0f64;
         if plan.quota_rate > 0.0 {
-            // Does not apply to a customer with few owners: their last advice stays in force.
+            // The refill is not reduced for a customer with few owners: their last advice stays in force.
             let isolated_for =
                 (isolated && !customer.has_few_owners()).then_some(since_peer_message);
             let tokens = customer.refill_quota(now, plan, isolated_for);
--- a/crates/emberpin-balancer/tests/attempts.rs
+++ b/crates/emberpin-balancer/tests/attempts.rs
@@ -77,9 +77,9 @@
     );
 }
 
-/// Guards against time-outs that are too short: an attempt that exceeds one mostly belongs to a large request,
-/// which is as slow at the next server and then late. So an attempt may take all of the latency target except the
-/// time that a retry needs.
+/// Guards against time-outs that are too short: an attempt that times out early usually belongs to a large request,
+/// which takes as long at the next server and is late then. So an attempt may take all of the latency target except
+/// the time that a retry needs.
 #[test]
 fn an_attempt_times_out_early_only_when_a_retry_can_still_meet_the_latency_target() {
     let mut harness = Harness::new(settings(), 12);
--- a/crates/emberpin-balancer/tests/common/fleet.rs
+++ b/crates/emberpin-balancer/tests/common/fleet.rs
@@ -158,7 +158,7 @@
     }
 
     /// Replaces the first `count` servers by cold ones with new numbers; each gateway receives the update within
-    /// `late` milliseconds.
+    /// `max_delay` milliseconds.
     pub fn replace(&mut self, count: u32, max_delay: Millis) {
         let mut entries = Vec::new();
         for id in 0..count {
--- a/crates/emberpin-balancer/tests/ejection.rs
+++ b/crates/emberpin-balancer/tests/ejection.rs
@@ -48,7 +48,7 @@
             .find(|(_, actions)| sent_to(actions) == Some(ServerId(2)))
             .map(|(id, _)| id);
     }
-    assert!(trial.is_some(), "chosen as often as before");
+    assert!(trial.is_some(), "chosen again like any other server");
 }
 
 /// Serves requests with two attempts in flight for each server; an attempt is reset if `is_reset` returns true for
--- a/crates/emberpin-balancer/tests/fleet.rs
+++ b/crates/emberpin-balancer/tests/fleet.rs
@@ -72,9 +72,9 @@
     }
 }
 
-/// Guards against false congestion: each of hundreds of gateways has far less than one attempt in flight, and
-/// gateways that report their load only while they have something to announce made chance exceed thresholds below
-/// one.
+/// Guards against false congestion: each of hundreds of gateways has far less than one attempt in flight.
+/// Thresholds below one were exceeded by chance, because only few gateways send at a time, and they reported their
+/// load at the moment when they had something to announce.
 #[test]
 fn hundreds_of_gateways_with_little_in_flight_do_not_throttle_an_idle_back_end() {
     for (gateways, seed) in [(3, 1), (100, 2), (300, 3), (300, 4)] {
--- a/crates/emberpin-balancer/tests/invariants.rs
+++ b/crates/emberpin-balancer/tests/invariants.rs
@@ -165,9 +165,7 @@
                     if let Some((at, first)) = expected.first_run {
                         match self.settings.classes[expected.class].idempotency {
                             Idempotency::Safe => {}
-                            Idempotency::Unsafe => {
-                                prop_assert!(false, "an unsafe request was sent again")
-                            }
+                            Idempotency::Unsafe => prop_assert!(false, "unsafe request resent"),
                             Idempotency::Keyed { scope, window } => {
                                 prop_assert!(now - at < window, "past the window");
                                 let distance = match scope {
--- a/crates/emberpin-balancer/tests/large_group.rs
+++ b/crates/emberpin-balancer/tests/large_group.rs
@@ -136,7 +136,7 @@
                 sends[to.0 as usize].push(harness.now - start);
                 harness.now += 30.0;
                 let report = LoadReport {
-                    queue_length: queue_length,
+                    queue_length,
                     ..LoadReport::default()
                 };
                 harness.answer_with_load(id, 0, to, report);
@@ -171,11 +171,13 @@
             );
         }
         let slow_start = settings().slow_start;
-        let cold_servers = |from: &&f64| **from + slow_start.overload_time <= slow_start.duration;
-        for (sends, from) in sends
-            .iter()
-            .flat_map(|all| all.iter().filter(cold_servers).map(move |from| (all, from)))
-        {
+        let ends_before_warm =
+            |from: &&f64| **from + slow_start.overload_time <= slow_start.duration;
+        for (sends, from) in sends.iter().flat_map(|all| {
+            all.iter()
+                .filter(ends_before_warm)
+                .map(move |from| (all, from))
+        }) {
             let within = sends
                 .iter()
                 .filter(|at| *at >= from && **at < from + slow_start.overload_time)
@@ -232,8 +234,8 @@
         })
         .collect();
     let start = gateways[0].now;
-    for (round, harness) in (0..3).flat_map(|round| (0..SET as usize).map(move |k| (round, k))) {
-        let gateway_harness = &mut gateways[harness];
+    for (round, gateway) in (0..3).flat_map(|round| (0..SET as usize).map(move |k| (round, k))) {
+        let gateway_harness = &mut gateways[gateway];
         // The first incarnations learn of their common start; half of the gateways restart later.
         if round == 0 {
             (20..30).for_each(|from| {
@@ -242,10 +244,10 @@
                     bytes: header_only(start as u32),
                 }));
             });
-        } else if round == 1 && harness % 2 == 0 {
+        } else if round == 1 && gateway % 2 == 0 {
             *gateway_harness = gateway_harness.restarted(
                 Settings {
-                    gateway_id: GatewayId(harness as u32),
+                    gateway_id: GatewayId(gateway as u32),
                     ..large_quota.clone()
                 },
                 12,
@@ -388,7 +390,7 @@
         from: GatewayId(1),
         bytes: writer.finish(),
     });
-    let rejections = (0..400).filter(|number| {
+    let admitted = (0..400).filter(|number| {
         member.now += 100.0;
         member.handle(Event::Timer { token: 0 });
         member.handle(Event::PeerMessage {
@@ -400,7 +402,7 @@
             .inspect(|to| drop(member.end_attempt(id, 0, *to, Outcome::Ok)))
             .is_some()
     });
-    let admitted_early = rejections.take_while(|number| *number < 150).count();
+    let admitted_early = admitted.take_while(|number| *number < 150).count();
     assert!(
         (20..60).contains(&admitted_early),
         "a quarter of 150 while the advice is valid: {admitted_early}"
--- a/crates/emberpin-balancer/tests/slow_start.rs
+++ b/crates/emberpin-balancer/tests/slow_start.rs
@@ -77,7 +77,7 @@
 fn the_learned_throughput_of_warm_servers_survives_a_time_of_low_load() {
     let mut harness = Harness::just_started(settings(), 4);
     harness.serve_for(100.0, 10_000.0);
-    let cold_after = |harness: &mut Harness| {
+    let attempts_at_cold_servers = |harness: &mut Harness| {
         // Two servers restart and are cold; the two warm ones have little load.
         let entries = (2..4).map(|id| Server {
             started_at: Some(harness.now),
@@ -102,7 +102,7 @@
         }
         to_cold
     };
-    let to_cold = cold_after(&mut harness);
+    let to_cold = attempts_at_cold_servers(&mut harness);
     assert!(to_cold >= 10, "{to_cold} of 200 in a second");
 }
 
@@ -110,11 +110,11 @@
 #[test]
 fn a_fleet_without_warm_servers_is_sent_at_least_one_request_after_the_other() {
     let mut harness = Harness::just_started(settings(), 0);
-    let to_cold = |id| Server {
+    let cold_server = |id| Server {
         started_at: Some(1_000_000.0),
         ..server(id)
     };
-    harness.update_membership(MembershipUpdate::Full((0..4).map(to_cold).collect()));
+    harness.update_membership(MembershipUpdate::Full((0..4).map(cold_server).collect()));
     let (start, mut admitted) = (harness.now, 0);
     while harness.now < start + 5_000.0 {
         harness.now += 20.0;
