--- a/crates/emberpin-consensus/src/acceptor.rs
+++ b/crates/emberpin-consensus/src/acceptor.rs
@@ -1,4 +1,5 @@
-//! The acceptor: what this replica has promised and accepted as a voter, and what it knows to be chosen.
+//! The acceptor: the ballot that this replica has promised as a voter, the proposal that it has accepted, and the items
+//! that it knows to be chosen.
 
 use crate::ballot::{AcceptedProposal, Ballot};
 use crate::bootstrap::BootstrapCandidate;
@@ -10,17 +11,17 @@
 use emberpin_config::{Item, ItemKey, ItemKind};
 use std::net::Ipv4Addr;
 
-/// What learning chosen items changed.
+/// The changes of the state from learning chosen items.
 #[derive(Debug, Default)]
 pub(crate) struct Learned {
-    /// The items that were newer than what was known.
+    /// The items that were newer than their known versions.
     pub new: Vec<Item>,
-    /// Keys of items that are gone from the state.
+    /// Keys of items that are no longer in the state.
     pub removed: Vec<ItemKey>,
 }
 
-/// The voting part of a replica. Its fields mirror [`PersistedState`]; whoever changes them has them written before
-/// anything that depends on the change is sent.
+/// The voting part of a replica. Its fields mirror [`PersistedState`]: code that changes them has to have them written
+/// before it sends any message that depends on the change.
 #[derive(Debug)]
 pub(crate) struct Acceptor {
     pub state: State,
@@ -56,12 +57,12 @@
         }
     }
 
-    /// The voter's answer to [`Prepare`](crate::message::Prepare). Only a promise has to be written.
+    /// Handles [`Prepare`](crate::message::Prepare), and returns the voter's answer. Only a promise has to be written.
     pub fn prepare(&mut self, ballot: Ballot, digests: &[u64], recovers: bool) -> Message {
         if !self.voting {
             return Message::NotVoting(NotVoting { ballot });
         }
-        // A promise may have been lost, and is then asked for again.
+        // An earlier answer with this promise may have been lost, so the proposer asks for it again.
         let is_repeated = ballot == self.promised && self.accepted.ballot < ballot;
         if ballot <= self.promised && !is_repeated && self.guards.keep_promises {
             return Message::Rejected(Rejected {
@@ -74,7 +75,7 @@
             self.latest_incarnations
                 .record(Ipv4Addr::from_bits(ballot.proposer), Incarnation(ballot));
         }
-        let buckets = self.state.differing(digests);
+        let buckets = self.state.differing_buckets(digests);
         let chosen = self.state.in_buckets(&buckets);
         Message::Promise(Promise {
             ballot,
@@ -86,7 +87,8 @@
         })
     }
 
-    /// The voter's answer to [`Accept`](crate::message::Accept). The caller learns the chosen items that came along.
+    /// Handles [`Accept`](crate::message::Accept), and returns the voter's answer. Learning the chosen items of the
+    /// message is left to the caller.
     pub fn accept(&mut self, ballot: Ballot, items: Vec<Item>) -> Message {
         if !self.voting {
             return Message::NotVoting(NotVoting { ballot });
@@ -103,13 +105,13 @@
         Message::Accepted(Accepted { ballot })
     }
 
-    /// The voter's answer to [`AcceptLed`](crate::message::AcceptLed). The caller learns the chosen items that came
-    /// along.
+    /// Handles [`AcceptLed`](crate::message::AcceptLed), and returns the voter's answer. Learning the chosen items of
+    /// the message is left to the caller.
     pub fn accept_led(&mut self, ballot: Ballot, next_ballot: Ballot, items: Vec<Item>) -> Message {
         if !self.voting {
             return Message::NotVoting(NotVoting { ballot });
         }
-        // The answer may have been lost, and the proposal is then sent again.
+        // An earlier answer may have been lost, so the proposer sends the proposal again.
         let is_repeated = ballot == self.accepted.ballot && next_ballot == self.promised;
         if ballot < self.promised && !is_repeated && self.guards.keep_promises {
             return Message::Rejected(Rejected {
@@ -128,7 +130,7 @@
         })
     }
 
-    /// Takes chosen items.
+    /// Merges chosen items into the state.
     pub fn learn(&mut self, items: &[Item]) -> Learned {
         let mut learned = Learned::default();
         for item in items {
@@ -140,18 +142,19 @@
                 .removed
                 .extend(removed.into_iter().map(|item| item.key));
         }
-        // An item that was removed by one of these may have been set again by a later one.
+        // An item that was removed by one of the learned items may have been set again by a later one.
         learned.removed.retain(|key| self.state.get(key).is_none());
         self.clear_accepted_if_chosen();
         learned
     }
 
-    /// Whether it has accepted something that it does not know to be chosen.
+    /// Whether the accepted proposal has items that are not known to be chosen.
     pub fn has_unchosen_items(&self) -> bool {
         !self.accepted.items.is_empty()
     }
 
-    /// Clears the accepted items once all are known to be chosen; their ballot stays, see [`AcceptedProposal::ballot`].
+    /// Clears the accepted items once all are known to be chosen. Their ballot is kept, see
+    /// [`AcceptedProposal::ballot`].
     fn clear_accepted_if_chosen(&mut self) {
         let state = &self.state;
         if self.accepted.items.iter().all(|item| state.covers(item)) {
--- a/crates/emberpin-consensus/src/ballot.rs
+++ b/crates/emberpin-consensus/src/ballot.rs
@@ -1,4 +1,4 @@
-//! Ballots, the numbers of rounds, and what a voter has accepted at one of them.
+//! Ballots, which number the rounds, and the proposal that a voter accepted at a ballot.
 
 use emberpin_config::Item;
 use serde::{Deserialize, Serialize};
@@ -20,8 +20,8 @@
 /// The proposal that a voter accepted last.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedProposal {
-    /// The ballot at which it was accepted. It stays when the items are cleared: it tells proposers that items which
-    /// others accepted at lower ballots, and which are not chosen, never will be.
+    /// The ballot at which it was accepted. It is kept when the items are cleared: it shows proposers that items which
+    /// other voters accepted at lower ballots, and which are not chosen, never will be.
     pub ballot: Ballot,
     /// All items of the proposal; empty once the voter knows all of them to be chosen.
     pub items: Vec<Item>,
--- a/crates/emberpin-consensus/src/call.rs
+++ b/crates/emberpin-consensus/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls of clients.
+//! Calls of clients to a replica, and the replies to operations of applications.
 
 use emberpin_config::Version;
 use emberpin_coordination::{Operation, Outcome};
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// What a client asks of a replica.
+/// A client's request to a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
     /// Change the items in this body, a patch as `emberpin-config` reads it.
@@ -22,28 +22,28 @@
         zone: String,
         /// Whether the evacuation begins or ends.
         change: EvacuationChange,
-        /// The version of the zone's evacuation that the caller was told while it waited for an answer;
+        /// The version of the zone's evacuation that the caller was given while it waited for an answer;
         /// [`Version::NEVER_SET`] if the zone had none. The call is rejected once another version is chosen, so that a
-        /// call which its caller has given up changes nothing after a later one was acknowledged.
+        /// call that its caller has abandoned changes nothing after a later one was acknowledged.
         precondition: Version,
     },
     /// An operation of an application on registers. Answered by [`Action::ReplyToApplication`].
     ///
     /// [`Action::ReplyToApplication`]: crate::Action::ReplyToApplication
     Coordinate {
-        /// What to do.
+        /// The operation.
         operation: Operation,
-        /// What this replica does if another one leads.
+        /// How this replica handles the operation if another replica leads.
         when_led: WhenLed,
     },
 }
 
-/// What a replica does with an operation while another replica leads.
+/// How a replica handles an operation while another replica leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WhenLed {
-    /// It names the leader, and leaves the operation to it.
+    /// It replies with the leader's address, and does not carry out the operation.
     Redirect,
-    /// It takes the lead, as the caller has found the leader to be unreachable.
+    /// It takes the lead: the caller has found the leader to be unreachable.
     TakeOver,
 }
 
@@ -66,10 +66,10 @@
     },
 }
 
-/// Whether an operation without an outcome may have taken effect, or may still.
+/// Whether an operation without an outcome may have taken effect, or may still do so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum PossibleEffect {
-    /// It has had no effect, and never will.
+    /// It has had no effect, and never will have one.
     None,
     /// It was proposed, and may be chosen.
     Unknown,
@@ -78,8 +78,8 @@
 /// Whether an evacuation begins or ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EvacuationChange {
-    /// The zone is to be left.
+    /// The evacuation of the zone begins.
     Begin,
-    /// The zone may be used again.
+    /// The evacuation ends: the zone may be used again.
     End,
 }
--- a/crates/emberpin-consensus/src/event.rs
+++ b/crates/emberpin-consensus/src/event.rs
@@ -9,29 +9,30 @@
 /// Options of a replica, fixed while its process runs.
 #[derive(Clone, Debug)]
 pub struct ReplicaOptions {
-    /// The replica's own address, by which others know it.
+    /// The replica's own address, which identifies it to other replicas.
     pub address: Ipv4Addr,
-    /// Addresses of replicas to contact as long as this one has no vote. At the bootstrap they are the first roster.
+    /// Addresses of replicas to contact while this one has no vote. At the bootstrap they are the voters of the first
+    /// roster.
     pub seeds: Vec<Ipv4Addr>,
     /// Whether this is the first start of the whole system, at which the seeds agree on the first roster. Has no
     /// effect on a replica whose disk holds a roster.
     pub bootstrap: bool,
-    /// How many disks may be lost at once. An item counts as chosen only once it is on more disks than this, and a
-    /// roster is kept large enough to have a majority without them.
+    /// How many disks may be lost at once. An item counts as chosen only once it is on more disks than this, and the
+    /// roster is kept large enough that this many losses leave a majority.
     pub tolerated_failures: usize,
-    /// How proposers follow one another.
+    /// Which replica proposes the next round.
     pub rounds: Rounds,
-    /// Seed of the replica's pseudo-random numbers; to be drawn anew at each start, as ballots must not repeat.
+    /// Seed of the replica's pseudo-random numbers. It has to be drawn anew at each start, as ballots must not repeat.
     pub random_seed: u64,
 }
 
-/// How proposers follow one another.
+/// Which replica proposes the next round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rounds {
-    /// Whichever replica takes a call proposes it. Suits changes that are rare.
+    /// The replica that receives a call proposes it. Suits rare changes.
     Leaderless,
     /// The proposer of the last round leads: it begins the next round without phase 1, and other replicas redirect
-    /// callers to it. Suits changes that follow one another.
+    /// callers to it. Suits changes in quick succession.
     Led,
 }
 
@@ -44,38 +45,38 @@
     Message {
         /// The sender's address.
         from: Ipv4Addr,
-        /// What it says.
+        /// The message.
         message: Message,
     },
-    /// A write of [`Action::Persist`], and all before it, are synced to the disk.
+    /// A write of [`Action::Persist`] and all writes before it are synced to the disk.
     Persisted {
         /// The token of the write.
         token: WriteToken,
     },
-    /// A client calls.
+    /// A call of a client arrived.
     Call {
-        /// Repeated in the [`Action::Reply`].
+        /// Repeated in the reply.
         call_id: CallId,
-        /// What the client asks for.
+        /// The call.
         call: Call,
     },
-    /// The disk does not take writes. Writes without an [`Event::Persisted`] may be lost, and the replica asks for
-    /// no others until [`Event::DiskRestored`].
+    /// The disk does not take writes. Writes without an [`Event::Persisted`] may be lost, and the replica requests no
+    /// further writes until [`Event::DiskRestored`].
     DiskFailed {
-        /// Why, as an operator or client reads it.
+        /// The reason, as shown to operators and clients.
         reason: String,
     },
     /// The disk takes writes again, and holds at least all that was synced to it.
     DiskRestored,
-    /// The process is about to end: the replica leaves the roster, if that stays large enough. See
+    /// The process shuts down: the replica leaves the roster if that stays large enough. See
     /// [`Replica::has_left`](crate::Replica::has_left).
     Leave,
 }
 
-/// An output of [`Replica::handle`](crate::Replica::handle). The host carries actions out in their order.
+/// An output of [`Replica::handle`](crate::Replica::handle). The host carries out actions in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Write to the disk, and report [`Event::Persisted`] if the write is to be synced.
+    /// Write to the disk, and report [`Event::Persisted`] once the write is synced if [`WriteBatch::sync`] is set.
     Persist {
         /// Identifies the write.
         token: WriteToken,
@@ -105,7 +106,7 @@
         /// The reply.
         reply: CoordinationReply,
     },
-    /// Tell the followers of the configuration that these items are chosen.
+    /// Notify the followers of the configuration that these items are chosen.
     Learned {
         /// The chosen items, without histories.
         items: Vec<Item>,
--- a/crates/emberpin-consensus/src/guards.rs
+++ b/crates/emberpin-consensus/src/guards.rs
@@ -1,21 +1,21 @@
-//! Safeguards that a test can turn off.
+//! Safeguards of the protocol, which a test can turn off.
 
 use emberpin_config::{History, Item, ItemKey, ItemKind, Retention};
 
-/// Which safeguards are on. All are, outside of tests; a test turns one off to show that it detects the fault which
+/// The safeguards that are on. Outside of tests all are; a test turns one off to show that it detects the fault that
 /// the safeguard prevents.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Guards {
-    /// A replica that lost its disk does not vote before it caught up.
+    /// A replica that lost its disk does not vote before it has caught up.
     pub catch_up_before_voting: bool,
-    /// A replica without a place on the roster listens for a while before it asks for one.
+    /// A replica that is not on the roster waits for a while after its start before it asks to join.
     pub listen_before_joining: bool,
     /// A voter rejects ballots below the one that it promised.
     pub keep_promises: bool,
-    /// A proposer proposes again what voters accepted earlier and may be chosen.
+    /// A proposer proposes again the items that voters accepted earlier and that may be chosen.
     pub repropose_accepted: bool,
-    /// A change of the roster needs majorities of the old and of the new one.
+    /// A change of the roster needs majorities of both the old and the new roster.
     pub joint_quorums: bool,
     /// No message that depends on a write is sent before the write is synced.
     pub sync_before_reply: bool,
@@ -23,52 +23,54 @@
     pub keep_accepted_ballot: bool,
     /// Chosen items that a voter lacks are sent along with a proposal.
     pub transfer_missing_items: bool,
-    /// A call is judged on what a majority knows, not on what this replica knew before its round.
+    /// A call is evaluated on the state that a majority knows, not on the state that this replica knew before its
+    /// round.
     pub evaluate_on_quorum_state: bool,
-    /// Of a call that is rejected, no item is chosen.
+    /// No item of a rejected call is chosen.
     pub atomic_calls: bool,
-    /// An evacuation changes nothing unless it is as its caller was told.
+    /// A change of an evacuation is rejected if the evacuation has another version than its caller was given.
     pub evacuation_precondition: bool,
-    /// A replica that is no voter begins a round again at once if its ballot was outdated.
+    /// A replica that is not a voter restarts its round at once if the ballot was outdated.
     pub restart_outdated_rounds: bool,
-    /// A replica takes the place of a voter that is gone, whether or not others may be gone too.
+    /// A replica replaces an unresponsive voter without waiting to see whether other unresponsive voters return.
     pub replace_without_delay: bool,
-    /// A call is rejected early if no majority answers.
+    /// A call is rejected early if no majority of the voters answers comparisons.
     pub contact_check: bool,
-    /// Comparisons include what a voter has accepted and does not know to be chosen.
+    /// Comparisons include the items that a voter has accepted and does not know to be chosen.
     pub compare_accepted: bool,
     /// An acknowledged item is on the disks of a majority, and on more disks than may be lost.
     pub tolerance_quorum: bool,
     /// Digests of the versions below the newest one of an item are kept.
     pub propose_history: bool,
-    /// So are those of versions that were already superseded when their call was acknowledged.
+    /// Digests of versions that were already superseded when their call was acknowledged are kept, too.
     pub propose_superseded: bool,
-    /// Histories are read from the disk at a start.
+    /// Histories are restored from the disk at a start.
     pub restore_history: bool,
-    /// So are checkpoints, which say what is known of removed tombstones.
+    /// Checkpoints, which summarize the removed tombstones, are restored from the disk at a start.
     pub restore_checkpoint: bool,
-    /// How many versions and tombstones are kept. Not a safeguard, but tests need less retention.
+    /// How many versions and tombstones are kept. Not a safeguard; tests need lower limits to reach them.
     pub retention: Retention,
     /// Timeouts follow the measured delays, and unanswered messages are sent again.
     pub adaptive_timeouts: bool,
-    /// A promise does not count if its voter has lost its disk since.
+    /// A promise does not count if its voter has since lost its disk.
     pub void_stale_promises: bool,
-    /// After a disk failed, replies that waited for it are dropped, and all of memory is synced before the next vote.
+    /// After a disk failure, messages that waited for a sync are dropped, and the whole state in memory is synced
+    /// before the next vote.
     pub restore_after_disk_failure: bool,
     /// A seed that starts for the first time asks the other seeds before it writes a first roster.
     pub bootstrap_agreement: bool,
-    /// An unresponsive voter is evicted early when the others could not bear a further loss.
+    /// An unresponsive voter is evicted early when the others could not tolerate a further loss.
     pub evict_early_without_margin: bool,
     /// A leader sends the items of its last round with its next proposal.
     pub send_last_items: bool,
-    /// A replica that starts counts the leases of locks from its start.
-    pub count_holds_from_start: bool,
-    /// A renewal of a lock begins its hold anew.
+    /// A replica counts the leases of the locks that it reads from its disk from its start.
+    pub count_leases_from_start: bool,
+    /// A renewal of a lock restarts its lease.
     pub renewals_restart_leases: bool,
 }
 
 impl Guards {
-    /// Removes the items that a disabled safeguard leaves out of a proposal.
+    /// Removes the items that disabled safeguards would have kept in a proposal.
     pub(crate) fn filter_proposal(&self, mut items: Vec<Item>) -> Vec<Item> {
         if !self.propose_history {
             items.retain(|item| item.key.kind != ItemKind::History);
@@ -111,7 +113,7 @@
             bootstrap_agreement: true,
             evict_early_without_margin: true,
             send_last_items: true,
-            count_holds_from_start: true,
+            count_leases_from_start: true,
             renewals_restart_leases: true,
         }
     }
--- a/crates/emberpin-consensus/src/incarnation.rs
+++ b/crates/emberpin-consensus/src/incarnation.rs
@@ -1,12 +1,12 @@
-//! Incarnations of voters: which promises were made before their voter lost its disk, and so count no longer.
+//! Incarnations of voters. They identify the promises that a voter made before it lost its disk, which no longer count.
 
 use crate::ballot::Ballot;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// How many voters [`LatestIncarnations`] holds. When it is full, the voter that caught up at the lowest ballot is
-/// dropped; a round that still counts a promise from before that would have to be as old as this many disk losses.
+/// Entry limit of [`LatestIncarnations`]. Beyond it, the voter that caught up at the lowest ballot is dropped: a round
+/// that still counts a promise of that voter from before it caught up would have to be as old as this many disk losses.
 const MAX_VOTERS: usize = 64;
 
 /// Identifies the span between two losses of a voter's disk: the ballot of the round by which the voter caught up,
@@ -19,8 +19,8 @@
 pub struct LatestIncarnations(BTreeMap<Ipv4Addr, Incarnation>);
 
 impl LatestIncarnations {
-    /// Records that a voter catches up, or caught up, by this incarnation's round. Older incarnations of the same
-    /// voter are ignored.
+    /// Records the incarnation of a voter that is catching up, or has caught up, by the round of that ballot. Older
+    /// incarnations of the same voter are ignored.
     pub fn record(&mut self, voter: Ipv4Addr, incarnation: Incarnation) {
         let latest = self.0.entry(voter).or_default();
         *latest = incarnation.max(*latest);
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Whether a promise that the voter made in this incarnation is void, as the voter has since caught up by a later
-    /// round or is about to.
+    /// Whether a promise that the voter made in this incarnation is void, because the voter has since caught up by a
+    /// later round or is doing so.
     pub fn is_superseded(&self, voter: Ipv4Addr, incarnation: Incarnation) -> bool {
         self.0
             .get(&voter)
--- a/crates/emberpin-consensus/src/message.rs
+++ b/crates/emberpin-consensus/src/message.rs
@@ -1,8 +1,9 @@
 //! Messages between replicas. Each may be lost, delayed, reordered or duplicated.
 //!
 //! A round takes [`Prepare`] and [`Promise`], then [`Accept`] and [`Accepted`]; [`Chosen`] spreads its result. Replicas
-//! compare what they know by [`CompareDigest`] and what follows it. The first roster comes to be by [`BootstrapQuery`],
-//! [`BootstrapReply`] and [`FirstRoster`]; [`CandidacyQuery`] and [`CandidacyReply`] may precede it.
+//! compare their chosen items by [`CompareDigest`] and the messages that answer it. The first roster is agreed on by
+//! [`BootstrapQuery`], [`BootstrapReply`] and [`FirstRoster`]; [`CandidacyQuery`] and [`CandidacyReply`] may precede
+//! these. In the rounds of a leader, [`AcceptLed`] and [`AcceptedLed`] take the place of both phases.
 //!
 //! The order of variants and of fields is the encoding on the wire.
 
@@ -17,7 +18,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ComparisonId(pub u64);
 
-/// Names one version of an item.
+/// Identifies one version of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemVersion {
     /// The item's key.
@@ -39,9 +40,9 @@
     Accepted(Accepted),
     /// A voter has promised a higher ballot.
     Rejected(Rejected),
-    /// A replica has no vote, as it lost its disk and has not caught up.
+    /// A replica does not vote, as it lost its disk and has not caught up.
     NotVoting(NotVoting),
-    /// A round goes by a roster that has been replaced.
+    /// The roster of a round has been replaced.
     StaleRoster(StaleRoster),
     /// The initiator of the bootstrap asks whether a seed knows a roster.
     BootstrapQuery(BootstrapQuery),
@@ -63,9 +64,9 @@
     BucketItems(BucketItems),
     /// A voter cannot write to its disk.
     DiskUnavailable(DiskUnavailable),
-    /// A seed that is no candidate asks another one whether it knows a roster.
+    /// A seed that is not a candidate asks another seed whether it knows a roster.
     CandidacyQuery(CandidacyQuery),
-    /// A seed knows no roster, and has the seeds of the query.
+    /// A seed knows no roster, and is configured with the seeds of the query.
     CandidacyReply(CandidacyReply),
     /// Phase 2 of a round of a leader, together with phase 1 of its next one.
     AcceptLed(AcceptLed),
@@ -98,10 +99,11 @@
     pub ballot: Ballot,
     /// The incarnation in which the voter promises.
     pub incarnation: Incarnation,
-    /// The incarnations that the voter knows of others; they void earlier promises of theirs.
+    /// The incarnations of other voters that this voter knows. Promises that those voters made in earlier incarnations
+    /// are void.
     pub latest_incarnations: LatestIncarnations,
-    /// The proposal that the voter accepted last. Among those of its quorum, the proposer has to propose the one of the
-    /// highest ballot again, as it may be chosen.
+    /// The proposal that the voter accepted last. Of the proposals reported by its quorum, the proposer has to propose
+    /// the one with the highest ballot again, as it may be chosen.
     pub accepted: AcceptedProposal,
     /// The buckets in which the voter's chosen items differ from the proposer's.
     pub buckets: Vec<u8>,
@@ -167,8 +169,8 @@
     pub query_nonce: BootstrapNonce,
 }
 
-/// Answers [`BootstrapQuery`]: the sender knows no roster. Once all seeds have said so, and most of them are
-/// candidates, the seed that asked writes the first roster.
+/// Answers [`BootstrapQuery`]: the sender knows no roster. Once all seeds have answered this, and a majority of them
+/// are candidates, the receiver writes the first roster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BootstrapReply {
     /// The nonce of the query.
@@ -187,36 +189,37 @@
     pub roster: Item,
 }
 
-/// From a seed that knows no roster and is no candidate to all other seeds. One that knows a roster answers with
-/// [`Chosen`], one that has the same seeds with [`CandidacyReply`], and any other not at all.
+/// From a seed that knows no roster and is not a candidate, to all other seeds. A seed that knows a roster answers with
+/// [`Chosen`]. A seed without a roster answers with [`CandidacyReply`] if it is configured with the same seeds, and
+/// otherwise not at all.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CandidacyQuery {
-    /// Tells the answers to this query from those to others.
+    /// Distinguishes the answers to this query from those to other queries.
     pub query_nonce: BootstrapNonce,
-    /// The seeds that the sender's settings name, sorted.
+    /// The seeds in the sender's settings, sorted.
     pub seeds: Vec<Ipv4Addr>,
 }
 
-/// Answers [`CandidacyQuery`]: the sender knows no roster, and has the same seeds. Once all seeds have said so, and one
-/// of them is a candidate, the receiver becomes one, too.
+/// Answers [`CandidacyQuery`]: the sender knows no roster, and is configured with the same seeds. Once all seeds have
+/// answered this, and at least one of them is a candidate, the receiver becomes a candidate, too.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CandidacyReply {
     /// The nonce of the query.
     pub query_nonce: BootstrapNonce,
-    /// Whether the sender is a candidate, by its disk.
+    /// Whether the sender is a candidate whose nonce is synced to its disk.
     pub is_candidate: bool,
 }
 
-/// Tells items that are known to be chosen: from a proposer to all replicas that it knows when its round is over, and
-/// from any replica to one that lacks them. The receiver learns them; there is no answer.
+/// Announces items that are known to be chosen: from a proposer to all replicas that it knows once its round is over,
+/// and from any replica to a replica that lacks them. The receiver learns them; there is no answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chosen {
     /// The chosen items.
     pub items: Vec<Item>,
 }
 
-/// From each replica to the others, once in [`COMPARISON_INTERVAL`](crate::COMPARISON_INTERVAL): compares what they
-/// know to be chosen. It is also the heartbeat by which the receiver knows the sender to be alive.
+/// From each replica to the others, once per [`COMPARISON_INTERVAL`](crate::COMPARISON_INTERVAL): compares the items
+/// that they know to be chosen. It is also the heartbeat that shows the receiver that the sender is alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompareDigest {
     /// Repeated in the answer.
@@ -232,13 +235,15 @@
     pub comparison_id: ComparisonId,
     /// Whether the sender counts in quorums.
     pub voting: bool,
-    /// What the sender has accepted and does not know to be chosen. It may have been acknowledged to a caller, so the
-    /// comparison counts only once the receiver knows these versions, or newer ones, to be chosen.
+    /// The versions of the items that the sender has accepted and does not know to be chosen. They may have been
+    /// acknowledged to a caller, so the comparison counts only once the receiver knows these versions, or newer ones,
+    /// to be chosen.
     pub unchosen: Vec<ItemVersion>,
 }
 
 /// Answers [`CompareDigest`]: the chosen items differ. The receiver sends the items that it has in the differing
-/// buckets by [`Chosen`], and asks for the sender's by [`FetchBuckets`].
+/// buckets by [`Chosen`], and asks for the sender's items by [`FetchBuckets`], or by [`FetchNewer`] with
+/// [`Rounds::Led`](crate::Rounds::Led).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestDiffers {
     /// The comparison that this answers.
@@ -270,15 +275,15 @@
 }
 
 /// Answers [`Prepare`] or [`Accept`]: the voter's disk takes no writes, so it neither promises nor accepts. The
-/// proposer goes on with the other voters, as long as they are a majority.
+/// proposer goes on with the other voters as long as they are a majority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DiskUnavailable {
     /// The round's ballot.
     pub ballot: Ballot,
 }
 
-/// Phase 2 of a round of a leader, from the leader to all voters of its roster. A voter that has promised no higher
-/// ballot answers [`AcceptedLed`] once the proposal and the promise are on its disk.
+/// Phase 2 of a leader's round together with phase 1 of its next one, from the leader to all voters of its roster. A
+/// voter that has promised no higher ballot answers [`AcceptedLed`] once the proposal and the promise are on its disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptLed {
     /// The round's ballot.
@@ -294,8 +299,9 @@
     pub items: Vec<Item>,
 }
 
-/// Answers [`AcceptLed`] as [`Accepted`] and [`Promise`] do. Once a quorum has, the items are chosen, and the leader's
-/// next round needs no phase 1: the proposal that each of its promises would tell is this one.
+/// Answers [`AcceptLed`], and takes the place of [`Accepted`] for this round and of [`Promise`] for the leader's next
+/// round. Once a quorum has answered, the items are chosen, and the next round needs no phase 1: the accepted proposal
+/// that each of its promises would report is this one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedLed {
     /// The round's ballot.
@@ -308,8 +314,8 @@
     pub latest_incarnations: LatestIncarnations,
 }
 
-/// Answers [`DigestDiffers`] in place of [`FetchBuckets`] among replicas whose items change all the time. Answered by
-/// [`BucketItems`] with the newer items only.
+/// Answers [`DigestDiffers`] in place of [`FetchBuckets`] with [`Rounds::Led`](crate::Rounds::Led), where items change
+/// all the time. Answered by [`BucketItems`] with only the items that are newer than `known`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FetchNewer {
     /// The comparison that this belongs to.
--- a/crates/emberpin-consensus/src/quorum.rs
+++ b/crates/emberpin-consensus/src/quorum.rs
@@ -1,19 +1,20 @@
-//! Quorums: how many voters of a roster it takes to promise, to choose, and to make a majority impossible.
+//! Quorum sizes: how many voters of a roster have to promise a ballot or accept a proposal.
 
 use std::net::Ipv4Addr;
 
-/// How many voters are more than half.
+/// The smallest number of voters that is more than half of them.
 pub(crate) fn majority(voters: &[Ipv4Addr]) -> usize {
     voters.len() / 2 + 1
 }
 
-/// How many of the voters have to accept a proposal: a majority, and more than may be lost at once.
+/// The number of voters that have to accept a proposal for it to be chosen: a majority, and more than the number of
+/// disks that may be lost at once.
 pub(crate) fn accept_quorum(voters: &[Ipv4Addr], tolerated_failures: usize) -> usize {
     majority(voters).max((tolerated_failures + 1).min(voters.len()))
 }
 
-/// How many of the voters have to promise to a proposer that catches up after it lost its disk. The proposer itself has
-/// no vote: what is chosen is on a majority, of which only its own copy is lost.
+/// The number of voters that have to promise a round by which the proposer catches up after it lost its disk. The
+/// proposer itself has no vote: chosen items are on a majority, of which only the proposer's own copy is lost.
 pub(crate) fn recovery_quorum(voters: &[Ipv4Addr], proposer: Ipv4Addr) -> usize {
     let others = voters.iter().filter(|voter| **voter != proposer).count();
     majority(voters).min(others)
--- a/crates/emberpin-consensus/src/replica.rs
+++ b/crates/emberpin-consensus/src/replica.rs
@@ -1,6 +1,7 @@
-//! One replica: takes calls, runs rounds, votes, compares its state with others, and maintains the roster.
+//! One replica: receives calls, runs rounds, votes, compares its state with other replicas, and maintains the roster.
 //!
-//! [`Replica::handle`] dispatches to a function named for what happens; `now` is the time of the event in progress.
+//! [`Replica::handle`] dispatches each event to a function named after it. The submodules group these functions by
+//! topic.
 
 mod bootstrap;
 mod calls;
@@ -47,18 +48,18 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// What is known of another replica.
+/// The state that this replica keeps about another one.
 #[derive(Clone, Debug, Default)]
 struct Peer {
-    /// When a message of it arrived last; `None`, if none did since this process started.
+    /// When its last message arrived; `None` if none has arrived since this process started.
     last_message_at: Option<Timestamp>,
     comparisons: Comparisons,
-    /// The comparison in progress, and when it was begun.
+    /// The latest comparison with it, begun at `comparison_begun_at`.
     comparison_id: ComparisonId,
     comparison_begun_at: Timestamp,
-    /// The newest comparison that it has answered in any way.
+    /// The newest comparison that it has answered, whatever the answer.
     answered_comparison: ComparisonId,
-    /// The unchosen versions that it reported in that comparison, if the digests differed.
+    /// The unchosen versions that it reported in the comparison `comparison_id`, if the digests differed.
     unchosen: Vec<ItemVersion>,
 }
 
@@ -76,34 +77,36 @@
     /// The time of the event in progress.
     now: Timestamp,
     peers: BTreeMap<Ipv4Addr, Peer>,
-    /// Comparisons with what this replica itself has accepted.
+    /// Comparisons of this replica with itself, which cover the items that it has accepted.
     own_comparisons: Comparisons,
     last_comparison: ComparisonId,
-    /// When that was begun.
+    /// When `last_comparison` was begun.
     comparison_begun_at: Timestamp,
     next_comparison_at: Timestamp,
     tasks: VecDeque<Task>,
     round: Option<Round>,
-    /// How often the round in progress was restarted since the last failure, as its ballot was outdated.
+    /// How often the round in progress was restarted since the last failure, because its ballot was outdated.
     round_restarts: u32,
-    /// No round of this replica begins earlier.
+    /// No round of this replica begins before this time.
     next_round_at: Timestamp,
-    /// No round begins earlier than this either, as another replica's is in progress.
+    /// No round of this replica begins before this time either, because another replica's round is in progress.
     yields_until: Option<Timestamp>,
     pacing: Pacing,
     bootstrap: Bootstrap,
     late_candidacy: LateCandidacy,
-    /// A change of the roster that some voter accepted and that has to be finished by a round with joint quorums.
+    /// A roster that some voter accepted as a change of the current one. A round with joint quorums has to complete the
+    /// change.
     next_roster: Option<Item>,
-    /// The process is about to end: the replica leaves the roster, and does not join it again.
+    /// Whether the process shuts down: the replica leaves the roster, and does not join it again.
     is_leaving: bool,
-    /// A change of the roster is chosen that a majority of its voters may not have on their disks yet.
+    /// Whether a change of the roster is chosen that a majority of its voters may not have on their disks yet.
     roster_unconfirmed: bool,
-    /// When this replica finishes what it has accepted and does not know to be chosen; `None`, if there is nothing.
+    /// When this replica completes, by a round of its own, the proposal that it has accepted and does not know to be
+    /// chosen; `None` if there is none.
     repair_at: Option<Timestamp>,
-    /// The round that this replica may begin without phase 1; `None`, if it does not lead.
+    /// The state for the next round, which this replica may begin without phase 1; `None` if it does not lead.
     leadership: Option<Leadership>,
-    /// The replica whose proposal of a leader was accepted here last.
+    /// The leader whose proposal this replica accepted last.
     known_leader: Option<KnownLeader>,
     coordination: Coordination,
     last_write: WriteToken,
@@ -115,7 +118,8 @@
 }
 
 impl Replica {
-    /// A replica with the state that its disk holds; `None`, if the disk is empty.
+    /// Creates a replica with the state on its disk, which is `None` if the disk is empty. Appends the actions for the
+    /// host.
     pub fn new(
         now: Timestamp,
         options: ReplicaOptions,
@@ -125,7 +129,7 @@
         Replica::with_guards(now, options, persisted, Guards::default(), actions)
     }
 
-    /// For tests: a replica with some safeguards off.
+    /// For tests: creates a replica with some safeguards off.
     #[doc(hidden)]
     pub fn with_guards(
         now: Timestamp,
@@ -177,18 +181,19 @@
             disk_state: DiskState::default(),
             acceptor,
         };
-        // Now and not with the first event: the whole system may be killed right after this, and started with
-        // settings that no longer ask for a bootstrap.
+        // Begun here rather than with the first event: the whole system may be killed right after this, and restarted
+        // with settings that no longer ask for a bootstrap.
         if replica.options.bootstrap && replica.state().roster().is_none() {
             replica.begin_bootstrap(actions);
         }
         replica
     }
 
-    /// Handles one event, and appends what the host has to do. `now` never goes back.
+    /// Handles one event, and appends the actions for the host. `now` must never go back.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
-        // Before the event, so that a process that was paused does not go on with what has expired.
+        // Timers are handled before the event, so that a process that was paused does not continue with rounds and
+        // calls that have expired.
         self.handle_timers(actions);
         match event {
             Event::Tick => {}
@@ -206,7 +211,7 @@
         }
     }
 
-    /// Everything that is known to be chosen.
+    /// The items that this replica knows to be chosen.
     pub fn state(&self) -> &State {
         &self.acceptor.state
     }
@@ -221,15 +226,14 @@
         self.state().roster().map(voters).unwrap_or_default()
     }
 
-    /// Whether everything that a majority of the voters held shortly ago is known here.
+    /// Whether this replica knows everything that a majority of the voters held shortly before `now`.
     pub fn is_up_to_date(&self, now: Timestamp) -> bool {
         self.confirmed_age(now)
             .is_some_and(|age| age <= COMPARISON_VALIDITY)
     }
 
-    /// How long ago this replica began to compare its state with a majority of the voters, all of whose items of then
-    /// are known here now; `None`, if no such comparison has succeeded. Everything acknowledged before that moment is
-    /// in [`Replica::state`].
+    /// How long ago this replica began its latest confirmed comparisons with a majority of the voters; `None` if fewer
+    /// than a majority are confirmed. Everything acknowledged before that moment is in [`Replica::state`].
     pub fn confirmed_age(&self, now: Timestamp) -> Option<Duration> {
         let voters = self.voters();
         let age_of = |voter: &Ipv4Addr| {
@@ -244,7 +248,7 @@
         ages.get(majority(&voters).checked_sub(1)?).copied()
     }
 
-    /// Takes chosen items, writes those that are new, and tells followers of them.
+    /// Learns chosen items, writes those that are new, and notifies followers of them.
     fn learn(&mut self, items: &[Item], actions: &mut Vec<Action>) {
         let had_unchosen_items = self.acceptor.has_unchosen_items();
         let Learned { new, removed } = self.acceptor.learn(items);
@@ -257,7 +261,8 @@
                 .extend(new.iter().map(|item| item.key.clone()));
         }
         if new.iter().any(|item| item.key == roster_key()) && !self.is_voter() {
-            // Whatever it asked for is void by now; it asks again with the next comparison.
+            // A roster change that this replica has requested is void by now. It requests one again with the next
+            // comparison.
             self.next_comparison_at = self.now;
         }
         let has_unchosen_items = self.acceptor.has_unchosen_items();
@@ -286,7 +291,7 @@
         self.vote_as_founder(actions);
     }
 
-    /// Sends a message at once. One to this replica itself is handled before [`Replica::handle`] returns.
+    /// Sends a message at once. A message to this replica itself is handled before [`Replica::handle`] returns.
     fn send(&mut self, to: Ipv4Addr, message: Message, actions: &mut Vec<Action>) {
         if to == self.options.address {
             self.messages_to_self.push_back(message);
--- a/crates/emberpin-consensus/src/replica/bootstrap.rs
+++ b/crates/emberpin-consensus/src/replica/bootstrap.rs
@@ -1,15 +1,16 @@
-//! The bootstrap of the system: who writes the first roster, and who votes by it.
+//! The bootstrap of the system: the agreement on the first roster, and on the replicas that vote from then on.
 //!
 //! A seed that starts for the first time is a *candidate*: it draws a nonce and syncs it before it sends anything. The
-//! seed of the lowest address, the *initiator*, asks all others whether they know a roster. One that does answers with
-//! the roster, which ends all candidacies. Once every seed has answered that it knows none, and a majority of the seeds
-//! are candidates, the initiator writes version 1 of the roster, which names the candidates' nonces. A candidate votes
-//! once it learns a first roster with its own nonce; any other replica catches up like one that lost its disk.
+//! seed with the lowest address, the *initiator*, asks all other seeds whether they know a roster. A seed that knows
+//! one answers with it, which ends all candidacies. Once every seed has answered that it knows none, and a majority of
+//! the seeds are candidates, the initiator writes version 1 of the roster, which names the candidates' nonces. A
+//! candidate votes once it learns a first roster with its own nonce; any other replica has to catch up like a replica
+//! that lost its disk.
 //!
 //! A seed without a nonce may become a candidate later ([`super::late_candidacy`]).
 //!
-//! So a seed whose disk was lost while the system lives writes no second first roster, whatever its settings say, as
-//! long as one of the seeds knows the roster, or most of them are not candidates.
+//! Therefore a seed that lost its disk in a running system does not write another first roster, whatever its settings
+//! say, as long as at least one of the seeds knows the roster, or no majority of them are candidates.
 
 use super::{Action, Replica};
 use crate::bootstrap::{BootstrapCandidate, BootstrapNonce};
@@ -23,7 +24,7 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// How often seeds that have not answered are asked again.
+/// The interval at which seeds that have not answered are asked again.
 const QUERY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The state of the bootstrap at a replica without a roster.
@@ -40,7 +41,7 @@
 }
 
 impl Replica {
-    /// Becomes a candidate, unless the disk says that this replica is one already.
+    /// Becomes a candidate, unless the disk records that this replica already is one.
     pub(super) fn begin_bootstrap(&mut self, actions: &mut Vec<Action>) {
         let seeds = self.sorted_seeds();
         if !self.acceptor.guards.bootstrap_agreement {
@@ -55,7 +56,7 @@
         self.become_candidate(seeds, actions);
     }
 
-    /// The seeds that the settings name, sorted.
+    /// The seeds in the settings, sorted and without duplicates.
     pub(super) fn sorted_seeds(&self) -> Vec<Ipv4Addr> {
         let mut seeds = self.options.seeds.clone();
         seeds.sort_unstable();
@@ -63,7 +64,7 @@
         seeds
     }
 
-    /// Draws a nonce, and writes it before anything else is sent.
+    /// Draws a nonce, and writes it to the disk. No message about the candidacy is sent before the nonce is synced.
     pub(super) fn become_candidate(&mut self, seeds: Vec<Ipv4Addr>, actions: &mut Vec<Action>) {
         let nonce = BootstrapNonce(self.random.below(u64::MAX).max(1));
         self.acceptor.bootstrap_candidate = Some(BootstrapCandidate { nonce, seeds });
@@ -71,7 +72,7 @@
         self.bootstrap.unsynced_nonce = Some(self.last_write);
     }
 
-    /// This replica's candidacy, once it is on the disk and as long as there is no roster.
+    /// This replica's candidacy, if it is synced to the disk and no roster is known.
     pub(super) fn candidacy(&self) -> Option<&BootstrapCandidate> {
         let is_open = self.bootstrap.unsynced_nonce.is_none() && self.state().roster().is_none();
         self.acceptor
@@ -91,7 +92,7 @@
         self.initiator().map(|_| self.bootstrap.next_query_at)
     }
 
-    /// A write and all before it are synced; the candidate's nonce may be among them.
+    /// A write and all writes before it are synced; the candidate's nonce may be among them.
     pub(super) fn on_nonce_synced(&mut self, synced: WriteToken) {
         self.bootstrap
             .unsynced_nonce
@@ -129,7 +130,7 @@
         let mut nonces = std::mem::take(&mut self.bootstrap.replies);
         nonces.insert(self.options.address, Some(nonce));
         if nonces.values().flatten().count() < majority(seeds) {
-            // Without a majority of candidates, all are asked again: more may be candidates by then.
+            // Without a majority of candidates, all seeds are asked again, as more may be candidates by then.
             return;
         }
         let founders: Vec<Founder> = seeds
@@ -151,7 +152,7 @@
         }
     }
 
-    /// The initiator asks whether this replica knows a roster.
+    /// Answers the initiator's query whether this replica knows a roster.
     pub(super) fn on_bootstrap_query(
         &mut self,
         from: Ipv4Addr,
@@ -183,7 +184,7 @@
         let Some(BootstrapCandidate { nonce, seeds }) = self.initiator().cloned() else {
             return;
         };
-        // A reply to the query of an earlier self, whose disk was lost, is void.
+        // A reply to a query that this seed sent before it lost its disk is void.
         if reply.query_nonce != nonce || !seeds.contains(&from) {
             return;
         }
@@ -196,7 +197,8 @@
         }
     }
 
-    /// The initiator has written the first roster. If it lost its disk since and asked again, that roster is void.
+    /// The initiator has written the first roster. The roster is void if the initiator has since lost its disk and
+    /// asked again.
     pub(super) fn on_first_roster(&mut self, first: FirstRoster, actions: &mut Vec<Action>) {
         let answered_query = self.bootstrap.answered_query;
         if answered_query.is_none_or(|answered| answered == first.query_nonce) {
@@ -204,7 +206,7 @@
         }
     }
 
-    /// Votes at once if the first roster names this very candidacy.
+    /// Begins to vote if the first roster records the nonce of this replica's candidacy.
     pub(super) fn vote_as_founder(&mut self, actions: &mut Vec<Action>) {
         if self.acceptor.voting {
             return;
--- a/crates/emberpin-consensus/src/replica/calls.rs
+++ b/crates/emberpin-consensus/src/replica/calls.rs
@@ -7,9 +7,10 @@
 use emberpin_config::parse_patch;
 use std::time::Duration;
 
-/// A call that is not done by then is answered with 503, so that its caller sends it again.
+/// Time limit of a call. A call that is not done by then is answered with 503, so that its caller retries it.
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// How many tasks are queued; further calls are rejected with 503, so that their callers try again later or elsewhere.
+/// Capacity of the task queue. Further calls are rejected with 503, so that their callers retry later or at another
+/// replica.
 const MAX_TASKS: usize = 64;
 
 impl Replica {
@@ -54,7 +55,7 @@
                 precondition,
             },
             Call::Patch(body) => {
-                // An unreadable patch would be rejected by every replica and on top of any configuration.
+                // An unreadable patch is rejected here, as every replica would reject it on top of any configuration.
                 let patch = parse_patch(&body).map_err(CallError::Invalid)?;
                 Operation::Patch { call_id, patch }
             }
@@ -62,7 +63,7 @@
         Ok(Task::new(operation, self.now + CALL_TIMEOUT))
     }
 
-    /// Replies to the calls of a round that is done.
+    /// Replies to the calls of a completed round.
     pub(super) fn complete(&mut self, outcomes: Vec<Outcome>, actions: &mut Vec<Action>) {
         for Outcome { task, result } in outcomes {
             let Some(call_id) = task.operation.call_id() else {
@@ -78,14 +79,14 @@
         }
     }
 
-    /// Replies 503 to the calls whose deadline has passed. Those whose items are proposed are among them: they may
-    /// still come to be chosen, which a 503 leaves open.
+    /// Replies 503 to the calls whose deadline has passed, including those whose items are proposed: these may still be
+    /// chosen, which a 503 leaves open.
     pub(super) fn expire_tasks(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         self.reject_tasks(CallError::Timeout, actions, |task| now >= task.deadline);
     }
 
-    /// Drops these tasks, in the round too, and replies with the error to the calls among them.
+    /// Drops the matching tasks from the queue and from the round, and replies with the error to the calls among them.
     pub(super) fn reject_tasks(
         &mut self,
         error: CallError,
@@ -106,7 +107,7 @@
     }
 }
 
-/// The reply to a task that is given up; `None`, if nobody called for it.
+/// The reply to the call of a rejected task; `None` if no client called for the task.
 pub(super) fn rejection(task: &Task, error: CallError) -> Option<Action> {
     let call_id = task.operation.call_id()?;
     if !task.is_coordination() {
@@ -119,7 +120,7 @@
     })
 }
 
-/// The reply to a call: 200 with a body, or why it is not acknowledged.
+/// The reply to a call: 200 with a body, or the error because of which it is not acknowledged.
 pub(super) fn reply(call_id: CallId, result: Result<String, CallError>) -> Action {
     match result {
         Ok(body) => Action::Reply {
--- a/crates/emberpin-consensus/src/replica/comparison.rs
+++ b/crates/emberpin-consensus/src/replica/comparison.rs
@@ -1,9 +1,10 @@
-//! Comparison of states between replicas: up to which moment everything acknowledged is known here.
+//! Comparison of states between replicas. It shows a replica up to which moment it knows everything that was
+//! acknowledged.
 //!
-//! A proposer may fail after it replied to its caller and before it notified any replica that the items are chosen. A majority
-//! then holds the items as accepted, and nobody knows them to be chosen. So a replica answers a comparison with the
-//! versions that it has accepted and does not know to be chosen, and the comparison counts only once the replica that
-//! began it knows those versions, or newer ones, to be chosen.
+//! A proposer may fail after it replied to its caller and before it notified any replica that the items are chosen. A
+//! majority then holds the items as accepted, and no replica knows them to be chosen. So a replica answers a comparison
+//! with the versions that it has accepted and does not know to be chosen, and the comparison counts only once the
+//! replica that began it knows those versions, or newer ones, to be chosen.
 
 use super::{Action, Replica};
 use crate::event::Rounds;
@@ -17,16 +18,17 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// How often replicas compare what they know to be chosen.
+/// The interval at which replicas compare the items that they know to be chosen.
 pub const COMPARISON_INTERVAL: Duration = Duration::from_millis(500);
-/// How long after its begin a comparison shows that this replica is up to date.
+/// How long after its beginning a comparison shows that this replica is up to date.
 pub(super) const COMPARISON_VALIDITY: Duration = Duration::from_millis(1_200);
-/// How many comparisons with one replica may wait for versions to become known; the oldest is dropped when more come.
-const MAX_WAITING: usize = 4;
+/// Entry limit for comparisons with one replica that wait for versions to become known; beyond it the oldest is
+/// dropped.
+const MAX_PENDING_COMPARISONS: usize = 4;
 
-/// A comparison that counts once all of `unchosen` is known to be chosen.
+/// An answered comparison that is confirmed once all of `unchosen` are known to be chosen.
 #[derive(Clone, Debug)]
-struct WaitingComparison {
+struct PendingComparison {
     begun_at: Timestamp,
     unchosen: Vec<ItemVersion>,
 }
@@ -34,32 +36,32 @@
 /// The comparisons with one replica.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Comparisons {
-    /// When the newest comparison that counts was begun: everything that the other replica held then is known here.
-    /// `None`, if none counts.
+    /// When the newest confirmed comparison was begun: this replica knows everything that the other one held then.
+    /// `None` if none is confirmed.
     pub confirmed_at: Option<Timestamp>,
-    /// Answered comparisons that do not count yet, the oldest first.
-    waiting: Vec<WaitingComparison>,
+    /// Answered comparisons that are not confirmed yet, the oldest first.
+    pending: Vec<PendingComparison>,
 }
 
 impl Comparisons {
     fn push(&mut self, begun_at: Timestamp, unchosen: Vec<ItemVersion>) {
-        if self.waiting.len() == MAX_WAITING {
-            self.waiting.remove(0);
+        if self.pending.len() == MAX_PENDING_COMPARISONS {
+            self.pending.remove(0);
         }
-        self.waiting.push(WaitingComparison { begun_at, unchosen });
+        self.pending.push(PendingComparison { begun_at, unchosen });
     }
 
-    /// Counts the newest waiting comparison of which all versions are known, and drops the older ones.
+    /// Confirms the newest pending comparison of which all versions are known, and drops the older ones.
     fn confirm(&mut self, is_known: impl Fn(&ItemVersion) -> bool) {
         let Some(newest) = self
-            .waiting
+            .pending
             .iter()
             .rposition(|comparison| comparison.unchosen.iter().all(&is_known))
         else {
             return;
         };
-        let begun_at = self.waiting[newest].begun_at;
-        self.waiting.drain(..=newest);
+        let begun_at = self.pending[newest].begun_at;
+        self.pending.drain(..=newest);
         self.confirmed_at = self.confirmed_at.max(Some(begun_at));
     }
 }
@@ -80,7 +82,7 @@
             .collect()
     }
 
-    /// Begins a comparison with each peer. It is the heartbeat too.
+    /// Begins a comparison with each peer. The message is also the heartbeat.
     pub(super) fn compare_with_peers(&mut self, actions: &mut Vec<Action>) {
         let peers = self.comparison_peers();
         self.peers.retain(|peer, _| peers.contains(peer));
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Includes what this replica itself has accepted in the comparison.
+    /// Begins a comparison of this replica with itself, which covers the items that it has accepted.
     fn compare_with_self(&mut self) {
         let unchosen = self.unchosen_versions();
         self.own_comparisons.push(self.now, unchosen);
@@ -132,8 +134,8 @@
         self.send(from, answer, actions);
     }
 
-    /// Notes that a peer is in contact in both directions.
-    fn note_answer(&mut self, from: Ipv4Addr, comparison_id: ComparisonId) {
+    /// Records that a peer has answered a comparison, and thus is in contact in both directions.
+    fn record_answer(&mut self, from: Ipv4Addr, comparison_id: ComparisonId) {
         if let Some(peer) = self.peers.get_mut(&from) {
             peer.answered_comparison = peer.answered_comparison.max(comparison_id);
         }
@@ -145,11 +147,11 @@
             voting,
             unchosen,
         } = matches;
-        self.note_answer(from, comparison_id);
+        self.record_answer(from, comparison_id);
         self.complete_comparison(from, comparison_id, voting, unchosen);
     }
 
-    /// Sends the items that this replica has in the differing buckets, and asks for those of the other one.
+    /// Sends the items that this replica has in the differing buckets, and asks for those of the other replica.
     pub(super) fn on_digest_differs(
         &mut self,
         from: Ipv4Addr,
@@ -161,13 +163,13 @@
             digests,
             unchosen,
         } = differs;
-        self.note_answer(from, comparison_id);
+        self.record_answer(from, comparison_id);
         if let Some(peer) = self.peers.get_mut(&from) {
             if peer.comparison_id == comparison_id {
                 peer.unchosen = unchosen;
             }
         }
-        let buckets = self.state().differing(&digests);
+        let buckets = self.state().differing_buckets(&digests);
         if self.options.rounds == Rounds::Led {
             return self.fetch_newer(from, comparison_id, buckets, actions);
         }
@@ -196,8 +198,8 @@
         self.send(from, Message::BucketItems(answer), actions);
     }
 
-    /// Asks for the items of differing buckets that are newer than those known here: while items change all the time,
-    /// most items of these buckets are the same.
+    /// Asks only for those items of the differing buckets that are newer than the known ones: while items change all
+    /// the time, most items of these buckets are the same.
     fn fetch_newer(
         &mut self,
         from: Ipv4Addr,
@@ -251,7 +253,7 @@
         actions: &mut Vec<Action>,
     ) {
         self.learn(&answer.items, actions);
-        // The unchosen versions that count are those reported with the digests, as these determined the buckets.
+        // The unchosen versions to wait for are those reported with the digests, as the digests determined the buckets.
         let unchosen = self
             .peers
             .get(&from)
@@ -259,8 +261,8 @@
         self.complete_comparison(from, answer.comparison_id, answer.voting, unchosen);
     }
 
-    /// A peer has answered the comparison in progress with it. The answer of one without a vote does not count, and
-    /// voids what counted before.
+    /// Completes the latest comparison with a peer. The answer of a peer that does not vote is not counted, and voids
+    /// the earlier comparisons with it.
     fn complete_comparison(
         &mut self,
         from: Ipv4Addr,
@@ -283,7 +285,7 @@
         }
     }
 
-    /// Counts the comparisons whose versions have become known.
+    /// Confirms the pending comparisons whose versions have become known.
     pub(super) fn confirm_comparisons(&mut self) {
         let state = &self.acceptor.state;
         let is_known = |version: &ItemVersion| state.covers_version(version);
@@ -293,7 +295,8 @@
         }
     }
 
-    /// How long ago everything that this replica itself had accepted was known to be chosen or superseded.
+    /// How long ago this replica had accepted only items that are now known to be chosen or superseded: zero if that is
+    /// so now; `None` if no comparison with itself is confirmed.
     pub(super) fn own_confirmed_age(&self, now: Timestamp) -> Option<Duration> {
         if self.unchosen_versions().is_empty() {
             return Some(Duration::ZERO);
--- a/crates/emberpin-consensus/src/replica/contact.rs
+++ b/crates/emberpin-consensus/src/replica/contact.rs
@@ -1,9 +1,10 @@
-//! Contact with a majority while calls wait: a call at a replica that was just partitioned is answered long before its
-//! deadline, so that its caller goes on to another replica.
+//! Checks of contact with a majority while calls wait: a call at a replica that was just partitioned is rejected long
+//! before its deadline, so that its caller can go on to another replica.
 //!
-//! Votes do not show it in time, as they wait for disks. Comparisons do: any running replica answers them at once. So
-//! a call begins a comparison unless one was begun shortly before, and is rejected if no majority answers that. A call
-//! that still waits when its check has passed begins the next one: the partition may have come after the comparison.
+//! Votes do not show a partition in time, as they wait for disks. Comparisons do, as any running replica answers them
+//! at once. So a call begins a comparison, unless one was begun shortly before, and is rejected if no majority answers
+//! it. If a call still waits when its check has passed, another check begins, as the partition may have begun after the
+//! comparison.
 
 use super::{Action, Replica};
 use crate::error::CallError;
@@ -12,27 +13,27 @@
 use crate::time::Timestamp;
 use std::time::Duration;
 
-/// How long a majority may take to answer a comparison, beside twice the measured time of a round's phase. A call at a
-/// partitioned replica is rejected after it.
+/// How long a majority may take to answer a comparison, in addition to twice the measured time of a round's phase. A
+/// call at a partitioned replica is rejected after this time.
 const CONTACT_TIMEOUT: Duration = Duration::from_millis(200);
-/// A comparison that was begun this long before a call shows contact for it, too. Keeps many calls from restarting
-/// comparisons before they are answered.
+/// A comparison that was begun at most this long before a call also serves as the call's check. This keeps frequent
+/// calls from restarting comparisons before they are answered.
 const COMPARISON_REUSE: Duration = Duration::from_millis(50);
-/// A deadline that is noticed later than this shows that this process was paused, and answers may wait unread.
+/// If a deadline is noticed later than this, this process was paused, and answers may be waiting unread.
 const PAUSE_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// What shows that a majority can be reached for a call.
+/// A check that a majority can be reached for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ContactCheck {
-    /// The comparison that a majority has to answer; an answer to a later one counts too.
+    /// The comparison that a majority has to answer; an answer to a later one counts as well.
     comparison_id: ComparisonId,
     /// When the call is rejected, unless a majority has answered by then.
     pub deadline: Timestamp,
 }
 
 impl Replica {
-    /// Begins the check for a call that has just come. There is none before a roster is known, as a call then waits for
-    /// the bootstrap.
+    /// Begins the check for a call that has just arrived. Returns `None` before a roster is known, as calls then wait
+    /// for the bootstrap.
     pub(super) fn begin_contact_check(
         &mut self,
         actions: &mut Vec<Action>,
@@ -49,8 +50,8 @@
         })
     }
 
-    /// Looks at the checks of waiting calls whose deadline has come. Those that have passed are renewed, and so are all if
-    /// this process was paused; the calls of the others are rejected.
+    /// Finishes the checks of waiting calls whose deadlines have been reached. Checks that have passed are renewed, and
+    /// all are renewed if this process was paused. Calls whose checks failed are rejected.
     pub(super) fn finish_contact_checks(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let is_due = |check: &ContactCheck| now >= check.deadline;
--- a/crates/emberpin-consensus/src/replica/coordination.rs
+++ b/crates/emberpin-consensus/src/replica/coordination.rs
@@ -13,12 +13,12 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// An operation that is not decided by then is given up. Well below the second for which applications wait, so that a
-/// registry can tell them in time.
+/// Time limit of an operation; one that is not decided by then is rejected as undecided. Well below the second for
+/// which applications wait, so that a registry can reply to them in time.
 const OPERATION_TIMEOUT: Duration = Duration::from_millis(600);
-/// How many operations are queued; further ones are rejected.
+/// Capacity of the queue for operations; further ones are rejected.
 const MAX_QUEUED_OPERATIONS: usize = 1_024;
-/// How many operations may wait for changes; further ones are rejected.
+/// Capacity for operations that wait for changes; further ones are rejected.
 const MAX_WATCHES: usize = 1_024;
 
 /// An operation that waits for a change of a group of cells.
@@ -26,20 +26,20 @@
 struct Watch {
     call_id: CallId,
     operation: emberpin_coordination::Operation,
-    /// When it is answered that there was no change.
-    ends_at: Timestamp,
+    /// When it is answered with no events.
+    deadline: Timestamp,
 }
 
-/// What a replica keeps for applications beside the registers.
+/// The state that a replica keeps in memory for applications, in addition to the registers.
 #[derive(Debug, Default)]
 pub(super) struct Coordination {
     watches: Vec<Watch>,
-    /// When this replica learned the present content of each lock that changed since its start.
+    /// When this replica learned the current content of each lock that changed since its start.
     locks_learned_at: BTreeMap<ItemKey, Timestamp>,
 }
 
 impl Coordination {
-    /// Records when locks got their present content.
+    /// Records that the locks among these items got their current content now.
     pub fn record_learned(&mut self, items: &[Item], now: Timestamp, guards: &Guards) {
         for item in items.iter().filter(|item| is_lock(&item.key)) {
             let key = item.key.clone();
@@ -51,14 +51,14 @@
         }
     }
 
-    /// When the first wait for a change ends.
-    pub fn next_watch_end(&self) -> Option<Timestamp> {
-        self.watches.iter().map(|watch| watch.ends_at).min()
+    /// The earliest deadline of the operations that wait for a change.
+    pub fn next_watch_deadline(&self) -> Option<Timestamp> {
+        self.watches.iter().map(|watch| watch.deadline).min()
     }
 }
 
 impl Replica {
-    /// Queues an operation for a round, or rejects it at once.
+    /// Queues an operation for a round, or replies at once that another replica leads or that it cannot be queued.
     pub(super) fn on_operation(
         &mut self,
         call_id: CallId,
@@ -88,8 +88,8 @@
             && self.tasks.len() < MAX_QUEUED_OPERATIONS
     }
 
-    /// Evaluates an operation on everything chosen and on what the round proposes. Returns its result, and the items
-    /// that it changes.
+    /// Evaluates an operation on top of the chosen items and those that the round proposes. Returns its result, and the
+    /// items that it changes.
     pub(super) fn evaluate_operation(
         &self,
         operation: &emberpin_coordination::Operation,
@@ -98,12 +98,13 @@
         let view = self.register_view(proposed);
         match evaluate(operation, &view) {
             Ok(Evaluation::Complete { outcome, changes }) => {
-                let changes = changes.into_iter().map(|change| view.item_of(change));
+                let changes = changes.into_iter().map(|change| view.changed_item(change));
                 let reply = CoordinationReply::Done(outcome);
                 (TaskResult::Application(reply), changes.collect())
             }
             Ok(Evaluation::AwaitChange { .. }) => (TaskResult::AwaitsChange, Vec::new()),
-            // Written by a later build. Nothing was changed, but an earlier attempt may be chosen.
+            // A register was written by a later build. Nothing was changed, but an earlier attempt of the operation may
+            // be chosen.
             Err(_) => {
                 let effect = PossibleEffect::Unknown;
                 let reply = CoordinationReply::Undecided { effect };
@@ -123,7 +124,8 @@
         }
     }
 
-    /// Keeps an operation until there is a change of its group, or its time is over. Rejects it if too many wait.
+    /// Keeps an operation until there is a change of its group or its wait is over. Rejects it if too many operations
+    /// wait.
     pub(super) fn begin_watch(&mut self, task: Task, actions: &mut Vec<Action>) {
         let Operation::Coordinate { call_id, operation } = task.operation else {
             return;
@@ -140,12 +142,12 @@
         self.coordination.watches.push(Watch {
             call_id,
             operation,
-            ends_at: self.now + wait,
+            deadline: self.now + wait,
         });
     }
 
-    /// Answers the operations that waited for what a round of this replica has just chosen. All earlier changes are
-    /// known here, as the round read them from a quorum.
+    /// Answers the operations that waited for the changes that a round of this replica has just chosen. This replica
+    /// knows all earlier changes, as the round read them from a quorum.
     pub(super) fn serve_watches(&mut self, actions: &mut Vec<Action>) {
         let watches = std::mem::take(&mut self.coordination.watches);
         for watch in watches {
@@ -163,17 +165,17 @@
     }
 
     /// Answers the operations whose wait is over.
-    pub(super) fn end_watches(&mut self, actions: &mut Vec<Action>) {
+    pub(super) fn expire_watches(&mut self, actions: &mut Vec<Action>) {
         if self
             .coordination
-            .next_watch_end()
-            .is_none_or(|ends_at| self.now < ends_at)
+            .next_watch_deadline()
+            .is_none_or(|deadline| self.now < deadline)
         {
             return;
         }
         let now = self.now;
-        let is_over = |watch: &mut Watch| now >= watch.ends_at;
-        for watch in self.coordination.watches.extract_if(.., is_over) {
+        let is_expired = |watch: &mut Watch| now >= watch.deadline;
+        for watch in self.coordination.watches.extract_if(.., is_expired) {
             let emberpin_coordination::Operation::WatchGroup { after, .. } = watch.operation else {
                 continue;
             };
@@ -188,7 +190,7 @@
         }
     }
 
-    /// Another replica leads: redirects the applications that wait here to it.
+    /// Another replica leads: replies to all waiting applications with its address.
     pub(super) fn redirect_applications(&mut self, leader: Ipv4Addr, actions: &mut Vec<Action>) {
         let tasks = self.tasks.drain(..);
         let (waiting, others): (VecDeque<Task>, VecDeque<Task>) =
--- a/crates/emberpin-consensus/src/replica/disk_failure.rs
+++ b/crates/emberpin-consensus/src/replica/disk_failure.rs
@@ -1,11 +1,12 @@
-//! What a replica does while its disk takes no writes.
+//! Handling of a disk that takes no writes.
 //!
-//! Memory may be ahead of a disk that failed: a ballot that was promised, a proposal that was accepted, items that were
-//! learned. That is harmless, as each is one of these: an answer that was never sent, which other replicas cannot tell
-//! from one that was lost on its way; or an item that a majority of other disks holds. So the only obligation is to
-//! send nothing that depends on a write before a sync that covers it. Messages that waited for a sync are dropped when
-//! the disk fails, no vote is given and no round begun meanwhile, and votes start again only after all of memory
-//! is synced.
+//! After a disk failure, memory may be ahead of the disk: it may have a promised ballot, an accepted proposal or
+//! learned items that the disk lacks. This is harmless. The answer to a promised ballot or an accepted proposal was
+//! never sent, which other replicas cannot distinguish from an answer that was lost in the network; and learned items
+//! are on a majority of other disks. So the only obligation is to send no message that depends on a write before a sync
+//! that covers the write. When the disk fails, the messages that wait for a sync are dropped. Until the disk is
+//! restored, the replica neither votes nor begins a round, and it votes again only after everything in memory is
+//! synced.
 
 use super::calls::rejection;
 use super::{Action, Replica};
@@ -21,18 +22,18 @@
     #[default]
     Writable,
     Unavailable {
-        /// Why, as an operator or client reads it.
+        /// The reason, as shown to operators and clients.
         reason: String,
     },
     /// The disk takes writes again, and this write of everything in memory is not synced yet.
     Restoring { token: WriteToken },
 }
 
-/// The reply to a call while everything in memory is written to a disk that is back.
+/// The reply to a call while everything in memory is being written to a restored disk.
 const RESTORING: &str = "the disk is being restored";
 
 impl Replica {
-    /// Why nothing that needs a write may begin; `None`, if it may.
+    /// The reason why no operation that needs a write may begin; `None` if the disk takes writes and is up to date.
     pub fn disk_unavailable_reason(&self) -> Option<&str> {
         match &self.disk_state {
             DiskState::Writable => None,
@@ -46,14 +47,14 @@
         matches!(self.disk_state, DiskState::Unavailable { .. })
     }
 
-    /// Drops the messages that waited for writes which did not reach the disk, ends the round, and tells callers to
-    /// try again.
+    /// Drops the messages that waited for writes that did not reach the disk, ends the round, and rejects all calls so
+    /// that callers retry them.
     pub(super) fn on_disk_failed(&mut self, reason: String, actions: &mut Vec<Action>) {
         if self.guards().restore_after_disk_failure {
             self.deferred_messages.clear();
         }
-        // The round's tasks go back to the queue. Those whose items were proposed may still come to be chosen, which
-        // a 503 leaves open.
+        // The round's tasks go back to the queue. Items that were proposed may still be chosen, which a 503 leaves
+        // open.
         self.end_round();
         let error = CallError::DiskUnavailable {
             reason: reason.clone(),
@@ -78,14 +79,15 @@
         };
     }
 
-    /// A write and all before it are synced: if everything in memory is among them, the replica votes again.
+    /// A write and all writes before it are synced: if these include the write of everything in memory, the replica
+    /// votes again.
     pub(super) fn on_restore_synced(&mut self, synced: WriteToken) {
         if matches!(self.disk_state, DiskState::Restoring { token } if synced >= token) {
             self.disk_state = DiskState::Writable;
         }
     }
 
-    /// Tells a proposer that this replica cannot vote in its round.
+    /// Notifies a proposer that this replica cannot vote in its round.
     pub(super) fn reject_without_disk(
         &mut self,
         proposer: Ipv4Addr,
@@ -96,7 +98,7 @@
         self.send(proposer, Message::DiskUnavailable(unavailable), actions);
     }
 
-    /// A voter cannot write: the round goes on with the others, as long as they are a majority.
+    /// A voter's disk takes no writes: the round goes on with the other voters as long as they are a majority.
     pub(super) fn on_disk_unavailable(&mut self, from: Ipv4Addr, unavailable: DiskUnavailable) {
         let DiskUnavailable { ballot } = unavailable;
         let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else {
--- a/crates/emberpin-consensus/src/replica/late_candidacy.rs
+++ b/crates/emberpin-consensus/src/replica/late_candidacy.rs
@@ -1,13 +1,14 @@
-//! How a seed becomes a candidate for the bootstrap although its settings no longer ask for one.
+//! Late candidacy: a seed becomes a candidate for the bootstrap although its settings no longer ask for a bootstrap.
 //!
-//! A bootstrap may be ended at some seeds before the sync of their nonces, and all seeds started again with `bootstrap`
-//! off, as for any later start. The seeds without a nonce look like machines that lost their disks, and too few
-//! candidates may be left for a first roster. So a seed that knows no roster and is no candidate asks all other seeds.
-//! It becomes a candidate once each of them has answered that it knows no roster and has the same list of seeds, and at
-//! least one that it is a candidate. Then the bootstrap goes on as usual: its initiator asks all seeds once more.
+//! A bootstrap may be interrupted at some seeds before their nonces are synced, and all seeds may then be restarted
+//! with `bootstrap` off, as for any later start. The seeds without a nonce look like machines that lost their disks,
+//! and too few candidates may be left for a first roster. So a seed that knows no roster and is not a candidate asks
+//! all other seeds. It becomes a candidate once each of them has answered that it knows no roster and is configured
+//! with the same seeds, and at least one of them has answered that it is a candidate. Then the bootstrap continues as
+//! usual: its initiator asks all seeds again.
 //!
-//! In a system with a roster some seed knows it, as long as no more disks are lost at once than are tolerated. If the
-//! disks of all seeds are lost, none is a candidate, and nothing is written.
+//! In a system with a roster, at least one seed knows it as long as no more disks are lost at once than are tolerated.
+//! If the disks of all seeds are lost, no seed is a candidate, and no roster is written.
 
 use super::{Action, Replica};
 use crate::bootstrap::BootstrapNonce;
@@ -17,23 +18,23 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// How often the other seeds are asked, and how long after the start for the first time. A machine that lost its disk
-/// has learned the roster by then.
+/// The interval at which the other seeds are asked, and the delay of the first query after the start. A machine that
+/// lost its disk has learned the roster by then.
 const QUERY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a seed that is no candidate has heard from the others.
+/// The answers that a seed that is not a candidate has received from the other seeds.
 #[derive(Debug, Default)]
 pub(super) struct LateCandidacy {
     /// The nonce of this process' queries; `None` before the first.
     query_nonce: Option<BootstrapNonce>,
     /// The seeds that know no roster, and whether each is a candidate.
     replies: BTreeMap<Ipv4Addr, bool>,
-    /// When the next queries are sent, if they are due at all.
+    /// When the next queries are sent, if this replica sends any.
     next_query_at: Timestamp,
 }
 
 impl Replica {
-    /// The sorted seeds, if this replica is one of several, knows no roster, and is no candidate.
+    /// The sorted seeds, if this replica is one of several, knows no roster, and is not a candidate.
     fn seeds_without_candidacy(&self) -> Option<Vec<Ipv4Addr>> {
         let is_open = self.guards().bootstrap_agreement
             && self.acceptor.bootstrap_candidate.is_none()
@@ -43,14 +44,14 @@
         (is_open && is_one_of_several).then_some(seeds)
     }
 
-    /// When this replica asks the other seeds.
+    /// When this replica asks the other seeds; `None` if it does not have to.
     pub(super) fn next_candidacy_query_at(&self) -> Option<Timestamp> {
         self.seeds_without_candidacy()?;
         let first_query_at = self.started_at + QUERY_INTERVAL;
         Some(self.late_candidacy.next_query_at.max(first_query_at))
     }
 
-    /// Asks the other seeds, if it is time to.
+    /// Asks the other seeds if that is due.
     pub(super) fn drive_late_candidacy(&mut self, actions: &mut Vec<Action>) {
         if self
             .next_candidacy_query_at()
@@ -74,7 +75,8 @@
         }
     }
 
-    /// Another seed asks whether this replica knows a roster. One with other seeds is not answered.
+    /// Answers another seed's query whether this replica knows a roster. A seed that is configured with other seeds
+    /// gets no answer, unless a roster is known.
     pub(super) fn on_candidacy_query(
         &mut self,
         from: Ipv4Addr,
@@ -98,7 +100,7 @@
         self.send(from, Message::CandidacyReply(reply), actions);
     }
 
-    /// Another seed knows no roster.
+    /// Another seed has answered that it knows no roster.
     pub(super) fn on_candidacy_reply(
         &mut self,
         from: Ipv4Addr,
--- a/crates/emberpin-consensus/src/replica/leadership.rs
+++ b/crates/emberpin-consensus/src/replica/leadership.rs
@@ -1,14 +1,14 @@
 //! Leadership: rounds that need no phase 1.
 //!
 //! A voter that accepts a leader's proposal promises the leader's next ballot with the same write. So a quorum that has
-//! accepted a round has promised the next one, and told with it what every promise would tell: that this proposal is
-//! the last that it accepted, and that the items which came along are chosen. The leader's next proposal carries the
-//! items of this one as chosen. They are announced on their own, too, if no proposal follows soon.
+//! accepted a round has promised the next one, and its answers say the same as promises would: that this proposal is
+//! the last that the voters accepted, and that the items sent with it as chosen are known. The leader's next proposal
+//! carries the items of this one as chosen. If no proposal follows soon, the leader announces them separately.
 //!
-//! What holds for promises holds for these: they are void once their voter has lost its disk, or another proposer has
-//! been promised a higher ballot, which the leader finds out when its proposal is rejected. A leader is no authority:
-//! any replica may begin a round with phase 1, and becomes the leader by it. Replicas redirect applications to the
-//! leader that they know, so that rounds of two proposers do not get in each other's way.
+//! These promises follow the same rules as others: they are void once their voter has lost its disk, or another
+//! proposer has been promised a higher ballot, which the leader finds out when its proposal is rejected. A leader has
+//! no exclusive rights: any replica may begin a round with phase 1, and becomes the leader by it. Replicas redirect
+//! applications to the leader that they know, so that the rounds of two proposers do not contend.
 
 use super::{Action, Replica};
 use crate::ballot::Ballot;
@@ -22,26 +22,27 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// How long the items of a round wait for the leader's next proposal to announce them.
+/// How long the chosen items of a round wait for the leader's next proposal to carry them before they are announced
+/// separately.
 const ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(40);
-/// A leader whose last proposal is older than this is not named to callers: it may have failed.
+/// Callers are not redirected to a leader whose last proposal is older than this, as it may have failed.
 const LEADER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The promises of a quorum for the next round of this replica.
 #[derive(Debug)]
 pub(super) struct Leadership {
     ballot: Ballot,
-    /// The version of the roster by which the promises are a quorum.
+    /// The version of the roster of which the promises are a quorum.
     roster_version: Version,
     promises: BTreeMap<Ipv4Addr, VoterPromise>,
     /// The items of the last round. The next proposal carries them, whether or not they were announced before: an
-    /// announcement may be lost, and a voter that accepts the next proposal forgets that it accepted them.
+    /// announcement may be lost, and a voter that accepts the next proposal no longer records that it accepted them.
     last_items: Vec<Item>,
-    /// When the items are announced on their own; `None` once they are.
+    /// When the items are announced separately; `None` if they already are, or there are none.
     announce_at: Option<Timestamp>,
 }
 
-/// A leader as another replica knows it.
+/// The leader as far as this replica knows.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KnownLeader {
     address: Ipv4Addr,
@@ -50,7 +51,7 @@
 }
 
 impl Replica {
-    /// The replica that leads, if it is another one and proposed something lately.
+    /// The leader, if it is another replica and this one accepted a proposal of it recently.
     pub fn other_leader(&self) -> Option<Ipv4Addr> {
         self.known_leader
             .filter(|leader| self.now < leader.accepted_at + LEADER_TIMEOUT)
@@ -68,8 +69,8 @@
         (self.options.rounds == Rounds::Led).then(|| self.next_ballot())
     }
 
-    /// The next round of this replica as the leader, in which phase 1 is done; `None`, if it does not lead by this
-    /// roster any more.
+    /// Creates the next round of this replica as the leader, whose phase 1 is already done; `None` if the replica does
+    /// not lead, or no longer leads with this roster.
     pub(super) fn begin_led_round(&mut self, roster: &Item, timeout: Duration) -> Option<Round> {
         let leadership = self.leadership.take_if(|leadership| {
             leadership.roster_version == roster.version
@@ -87,8 +88,13 @@
         Some(round)
     }
 
-    /// A round of this replica is chosen whose voters have promised the next ballot.
-    pub(super) fn lead(&mut self, round: &mut Round, next_ballot: Ballot, items: Vec<Item>) {
+    /// Becomes or stays the leader: the proposal of a round is chosen whose voters have promised the next ballot.
+    pub(super) fn become_leader(
+        &mut self,
+        round: &mut Round,
+        next_ballot: Ballot,
+        items: Vec<Item>,
+    ) {
         self.leadership = Some(Leadership {
             ballot: next_ballot,
             roster_version: round.roster.version,
@@ -147,14 +153,14 @@
         if matches!(answer, Message::AcceptedLed(_)) {
             self.highest_counter = self.highest_counter.max(next_ballot.counter);
             self.schedule_repair();
-            self.follow(from, actions);
+            self.record_leader(from, actions);
         }
         self.learn(&chosen, actions);
         self.answer_proposer(from, answer, AcceptedChange::Changed, actions);
     }
 
-    /// Notes a leader, and redirects the applications that wait here to it.
-    fn follow(&mut self, leader: Ipv4Addr, actions: &mut Vec<Action>) {
+    /// Records the leader, and redirects the applications that wait at this replica to it.
+    fn record_leader(&mut self, leader: Ipv4Addr, actions: &mut Vec<Action>) {
         self.known_leader = Some(KnownLeader {
             address: leader,
             accepted_at: self.now,
--- a/crates/emberpin-consensus/src/replica/messages.rs
+++ b/crates/emberpin-consensus/src/replica/messages.rs
@@ -24,7 +24,7 @@
             Message::Accept(accept) => self.on_accept(from, accept, actions),
             Message::Accepted(accepted) => self.on_accepted(from, accepted, actions),
             Message::Rejected(rejected) => self.on_rejected(from, rejected, actions),
-            // Nothing to do: the voter is not counted, and the round goes on with the others.
+            // Nothing to do: the replica is not counted, and the round goes on with the other voters.
             Message::NotVoting(_) => {}
             Message::StaleRoster(stale) => self.on_stale_roster(stale, actions),
             Message::BootstrapQuery(query) => self.on_bootstrap_query(from, query, actions),
@@ -75,19 +75,20 @@
         if matches!(answer, Message::Accepted(_)) {
             self.schedule_repair();
         }
-        // The order of the two writes does not matter: both are on the disk before the answer is sent.
+        // The order of the two writes does not matter, as both are on the disk before the answer is sent.
         self.learn(&chosen, actions);
         self.answer_proposer(from, answer, AcceptedChange::Changed, actions);
     }
 
     fn on_chosen(&mut self, items: &[Item], actions: &mut Vec<Action>) {
-        // The round that this replica yielded to may be over.
+        // The round to which this replica yielded may be over.
         self.yields_until = None;
         self.learn(items, actions);
     }
 
     /// Whether this replica may vote in a round: its disk takes writes, and it knows no newer roster than the round's.
-    /// If not, the proposer is told why. Otherwise the roster is learned, as proposers only use chosen ones.
+    /// If not, this replica sends the reason to the proposer. Otherwise it learns the roster, as proposers only use
+    /// chosen rosters.
     pub(super) fn may_vote(
         &mut self,
         from: Ipv4Addr,
@@ -113,7 +114,7 @@
         true
     }
 
-    /// Sends a voter's answer: a vote once it is on the disk, a rejection at once.
+    /// Sends a voter's answer: a promise or an acceptance once it is on the disk, any other answer at once.
     pub(super) fn answer_proposer(
         &mut self,
         to: Ipv4Addr,
--- a/crates/emberpin-consensus/src/replica/pacing.rs
+++ b/crates/emberpin-consensus/src/replica/pacing.rs
@@ -1,8 +1,8 @@
 //! Timeouts and backoff of rounds, which adapt to the measured delays of disks and network.
 //!
-//! A round has two phases, and each phase waits for up to three syncs one after the other: the one that a voter is
-//! in when the message arrives, the one that the message itself needs, and the one that the proposer is in when the
-//! answer arrives. Timeouts begin at [`BASE_ROUND_TIMEOUT`] and double with each round that failed, up to
+//! A round has two phases, and each phase waits for up to three consecutive syncs: the sync in progress at a voter when
+//! the message arrives, the sync that the message itself needs, and the sync in progress at the proposer when the
+//! answer arrives. Timeouts begin at [`BASE_ROUND_TIMEOUT`] and double with each failed round, up to
 //! [`MAX_ROUND_TIMEOUT`], which is above the six syncs of [`MAX_SYNC_TIME`].
 
 use crate::time::{as_whole_millis, Timestamp};
@@ -12,44 +12,46 @@
 const MAX_SYNC_TIME: Duration = Duration::from_millis(3_000);
 /// Upper bound of all timeouts and backoffs here, however slow the disks.
 const MAX_ROUND_TIMEOUT: Duration = MAX_SYNC_TIME.saturating_mul(7);
-/// A round that takes longer is abandoned for a new one, if no round failed before it and no delay was measured.
+/// Timeout of a round if no round failed before it and no delay was measured. A round that takes longer is abandoned,
+/// and a new one begins.
 const BASE_ROUND_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long a round that a voter rejected goes on: the other voters may be a majority, or may be down.
+/// How long a round continues after a voter rejected it: the other voters may be a majority, or may be down.
 const BASE_REJECTED_GRACE: Duration = Duration::from_millis(150);
-/// How long a voter waits for what it accepted to be chosen before it finishes the round itself.
+/// How long a voter waits for the proposal that it accepted to be chosen before it completes the proposal by a round of
+/// its own.
 const BASE_REPAIR_DELAY: Duration = Duration::from_millis(300);
-/// Twice the bound below which the backoff after a first failed round is drawn.
+/// The bound below which the backoff after a first failed round is drawn.
 const BASE_BACKOFF: Duration = Duration::from_millis(60);
-/// Unanswered messages are sent again after this delay, which doubles each time.
+/// Delay before unanswered messages are resent; it doubles each time.
 const BASE_RESEND_DELAY: Duration = Duration::from_millis(700);
-/// Upper bound of the delay before unanswered messages are sent again.
+/// Upper bound of the delay before unanswered messages are resent.
 const MAX_RESEND_DELAY: Duration = Duration::from_millis(2_000);
-/// A measured delay counts half as much after each such span without another measurement.
+/// The weight of a measured delay halves after each such span without another measurement.
 const DELAY_HALF_LIFE: Duration = Duration::from_millis(5_000);
-/// How often failed rounds double the timeouts of the next one.
+/// How many times failed rounds double the timeouts of the next round.
 const MAX_DOUBLINGS: u32 = 6;
-/// How often failed rounds double the bound of the backoff. Enough for one proposer on each of a few machines; a replica
-/// that waits longer misses its turn among calls that come all the time.
+/// How many times failed rounds double the bound of the backoff. Enough for one proposer on each of a few machines.
+/// With a longer backoff, a replica would not get its turn among proposers that receive calls all the time.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// How often failed rounds double the delay before a voter finishes what it accepted.
+/// How many times failed rounds double the delay before a voter completes the proposal that it accepted.
 const MAX_REPAIR_DOUBLINGS: u32 = 3;
 
 /// Whether timeouts adapt to measured delays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Adaptation {
     Adaptive,
-    /// Only in tests, to show that they detect it: the timeouts suit fast disks, and nothing is sent again.
+    /// Only in tests, which show that they detect it: the timeouts suit fast disks, and nothing is resent.
     Fixed,
 }
 
 /// The measured delays, and the failures since the last success.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Pacing {
-    /// About the longest that a phase of a round, or a sync of this replica, took lately; in whole milliseconds.
+    /// Estimate of the longest recent duration of a round's phase or of a sync of this replica, in whole milliseconds.
     phase_millis: u64,
-    /// When that was measured last.
+    /// When the last duration was measured.
     measured_at: Timestamp,
-    /// How many rounds failed in a row, up to [`MAX_DOUBLINGS`].
+    /// The number of consecutive failed rounds, up to [`MAX_DOUBLINGS`].
     failures: u32,
     adaptation: Adaptation,
 }
@@ -64,8 +66,8 @@
         }
     }
 
-    /// Takes the measured time of a phase or a sync. A longer one replaces the estimate, a shorter one reduces it by a
-    /// quarter.
+    /// Records the measured duration of a phase or a sync. A longer one replaces the estimate, a shorter one reduces it
+    /// by up to a quarter.
     pub fn record_delay(&mut self, now: Timestamp, delay: Duration) {
         let phase = self.phase_millis(now);
         let delay = as_whole_millis(delay.min(MAX_ROUND_TIMEOUT));
@@ -81,12 +83,12 @@
         self.failures = 0;
     }
 
-    /// Whether other proposers got in the way lately, or the disks are slow.
+    /// Whether rounds failed since the last success, because other proposers contended or the disks are slow.
     pub fn is_contended(&self) -> bool {
         self.is_adaptive() && self.failures > 0
     }
 
-    /// After how long a round that begins now is abandoned.
+    /// The time after which a round that begins now is abandoned.
     pub fn round_timeout(&self, now: Timestamp) -> Duration {
         if !self.is_adaptive() {
             return BASE_ROUND_TIMEOUT + Duration::from_millis(300) * self.failures.min(3);
@@ -95,7 +97,7 @@
         timeout.min(MAX_ROUND_TIMEOUT)
     }
 
-    /// How long a round goes on that a voter has rejected.
+    /// How long a round continues after a voter has rejected it.
     pub fn rejected_grace(&self, now: Timestamp) -> Duration {
         if !self.is_adaptive() {
             return BASE_REJECTED_GRACE;
@@ -114,12 +116,12 @@
         backoff.min(MAX_ROUND_TIMEOUT)
     }
 
-    /// How long a replica whose last round failed waits for another proposer's round that it has just promised to.
+    /// How long a replica that yields to another proposer's round waits for that round.
     pub fn yield_time(&self, now: Timestamp) -> Duration {
         BASE_BACKOFF + 2 * self.phase(now)
     }
 
-    /// After how long a replica finishes what it accepted and does not know to be chosen.
+    /// The delay before a replica completes the proposal that it accepted and does not know to be chosen.
     pub fn repair_delay(&self, now: Timestamp) -> Duration {
         if !self.is_adaptive() {
             return BASE_REPAIR_DELAY;
@@ -129,8 +131,8 @@
         delay.min(MAX_ROUND_TIMEOUT)
     }
 
-    /// After how long messages that were sent again this often, and not answered, are sent once more; `None`, if
-    /// nothing is sent again.
+    /// The delay before unanswered messages that were already resent this often are resent once more; `None` if nothing
+    /// is resent.
     pub fn resend_delay(&self, resent: u32) -> Option<Duration> {
         let delay = BASE_RESEND_DELAY * (1 << resent.min(MAX_DOUBLINGS));
         self.is_adaptive().then_some(delay.min(MAX_RESEND_DELAY))
@@ -144,7 +146,7 @@
         1 << self.failures
     }
 
-    /// The measured delay, which counts less the longer ago it was measured.
+    /// The estimated duration of a phase, which decays with the time since the last measurement.
     pub fn phase(&self, now: Timestamp) -> Duration {
         Duration::from_millis(self.phase_millis(now))
     }
--- a/crates/emberpin-consensus/src/replica/persistence.rs
+++ b/crates/emberpin-consensus/src/replica/persistence.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Durability {
     Synced,
-    /// The write reaches the disk with the next sync: what it holds is on a majority of other disks.
+    /// The write reaches the disk with the next sync; its items are on a majority of other disks.
     Buffered,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl Replica {
-    /// Writes and syncs the promise and what goes with it: voting, incarnations and candidacy.
+    /// Writes and syncs the metadata: the promise, whether the replica votes, the incarnations and the candidacy.
     pub(super) fn persist_metadata(&mut self, actions: &mut Vec<Action>) {
         self.persist_items(
             Vec::new(),
@@ -42,7 +42,7 @@
         );
     }
 
-    /// Like [`Replica::persist_metadata`], and sends a message once that is synced.
+    /// Like [`Replica::persist_metadata`], and sends a message once the write is synced.
     pub(super) fn persist_metadata_then_send(
         &mut self,
         to: Ipv4Addr,
@@ -52,8 +52,8 @@
         self.persist_then_send(AcceptedChange::Unchanged, to, message, actions);
     }
 
-    /// Writes and syncs the metadata, with the accepted proposal if it changed, and then sends a message. While the
-    /// disk is unavailable, nothing is written and the message is dropped.
+    /// Writes the metadata, with the accepted proposal if it changed, and sends a message once the write is synced.
+    /// While the disk is unavailable, nothing is written and the message is dropped.
     pub(super) fn persist_then_send(
         &mut self,
         accepted: AcceptedChange,
@@ -103,7 +103,8 @@
         );
     }
 
-    /// The token of the write; `None`, if the disk is unavailable and nothing is written.
+    /// Writes the metadata and these changes. Returns the token of the write; `None` if the disk is unavailable and
+    /// nothing is written.
     fn persist_items(
         &mut self,
         chosen: Vec<Item>,
@@ -134,7 +135,7 @@
         Some(token)
     }
 
-    /// A write and all before it are synced: sends the messages that waited for them.
+    /// A write and all writes before it are synced: sends the messages that waited for them.
     pub(super) fn on_persisted(&mut self, synced: WriteToken, actions: &mut Vec<Action>) {
         self.on_restore_synced(synced);
         self.on_nonce_synced(synced);
@@ -148,7 +149,7 @@
                 Message::Accepted(_) | Message::AcceptedLed(_)
             );
             if is_accepted && self.acceptor.guards.adaptive_timeouts {
-                // Counted anew from here: the round is not late because this disk is.
+                // The repair timer restarts here, so that a slow sync of this disk does not make the round look late.
                 self.schedule_repair();
             }
             self.send(deferred.to, deferred.message, actions);
--- a/crates/emberpin-consensus/src/replica/proposal.rs
+++ b/crates/emberpin-consensus/src/replica/proposal.rs
@@ -1,5 +1,5 @@
-//! Between the two phases of a round: what may be chosen already, the evaluation of tasks on top of it, and the
-//! proposal.
+//! The step between the two phases of a round: finds the items that may already be chosen, evaluates the tasks on top
+//! of them, and makes the proposal.
 
 use super::register_view::ProposedItems;
 use super::{Action, Replica};
@@ -13,16 +13,20 @@
 use std::borrow::Cow;
 
 impl Replica {
-    /// Evaluates the tasks on all that is or may be chosen, and proposes their items.
+    /// Evaluates the tasks on top of all items that are or may be chosen, and proposes the resulting items.
     pub(super) fn propose(&mut self, actions: &mut Vec<Action>) {
         let Some(mut round) = self.round.take() else {
             return;
         };
         let carried = self.possibly_chosen(&round);
-        let change = carried.iter().find(|item| item.key == roster_key());
-        if change.is_some() && change != round.next_roster.as_ref() && self.guards().joint_quorums {
-            // The voters that it adds have to promise too: it is finished by a round with both quorums.
-            self.next_roster = change.cloned();
+        let roster_change = carried.iter().find(|item| item.key == roster_key());
+        if roster_change.is_some()
+            && roster_change != round.next_roster.as_ref()
+            && self.guards().joint_quorums
+        {
+            // The voters that the change adds have to promise too, so the change is completed by a round with joint
+            // quorums.
+            self.next_roster = roster_change.cloned();
             self.round = Some(round);
             return self.end_round();
         }
@@ -50,8 +54,8 @@
         self.start_phase(round, actions);
     }
 
-    /// The items accepted at the highest ballot, as far as they are not known to be chosen. They may be, so they have
-    /// to be proposed again.
+    /// The items accepted at the highest ballot that are not known to be chosen. They may be chosen, so they have to be
+    /// proposed again.
     fn possibly_chosen(&self, round: &Round) -> Vec<Item> {
         if !self.guards().repropose_accepted {
             return Vec::new();
@@ -63,8 +67,8 @@
             .collect()
     }
 
-    /// A replica that lost its disk has caught up: everything that it may have voted for before is known to one of
-    /// those that promised. It takes over what they know, and votes once that is synced.
+    /// Completes the catch-up of a replica that lost its disk: every proposal that it may have voted for before is
+    /// known to one of the voters that promised. The replica adopts their state, and votes once that is synced.
     fn finish_recovery(&mut self, round: &Round, carried: Vec<Item>, actions: &mut Vec<Action>) {
         self.acceptor.promised = self.acceptor.promised.max(round.ballot);
         self.acceptor.incarnation = Incarnation(round.ballot);
@@ -83,10 +87,10 @@
         self.persist_everything(actions);
     }
 
-    /// Evaluates each task on everything chosen, the carried items and the items of the tasks before it. Returns the items
-    /// to propose, and leaves the replies in the round.
+    /// Evaluates each task on top of the chosen items, the carried items (those of an earlier proposal that may be
+    /// chosen) and the items of the tasks before it. Returns the items to propose, and stores the replies in the round.
     fn evaluate_tasks(&mut self, round: &mut Round, carried: Vec<Item>) -> Vec<Item> {
-        let finishes_change = carried.iter().any(|item| item.key == roster_key());
+        let completes_roster_change = carried.iter().any(|item| item.key == roster_key());
         let mut configuration = match round.initial_state.take() {
             Some(initial_state) => Cow::Owned(initial_state),
             None => Cow::Borrowed(self.acceptor.state.configuration()),
@@ -101,7 +105,9 @@
         let mut items = carried;
         let mut tasks = std::mem::take(&mut self.tasks);
         while let Some(mut task) = tasks.pop_front() {
-            if self.acceptor.guards.joint_quorums && waits(&task, round, finishes_change) {
+            if self.acceptor.guards.joint_quorums
+                && is_deferred(&task, round, completes_roster_change)
+            {
                 self.tasks.push_back(task);
                 continue;
             }
@@ -116,19 +122,19 @@
                 .operation
                 .evaluate(&configuration, &self.acceptor.guards);
             let result = match verdict {
-                Verdict::Propose(new) => {
-                    // For the next task only: the first change of a round copies the whole configuration.
+                Verdict::Propose(new_items) => {
+                    // Merged only if another task follows: the first merge of a round copies the whole configuration.
                     if !tasks.is_empty() {
-                        for item in &new {
+                        for item in &new_items {
                             configuration.to_mut().merge(item.clone());
                         }
                     }
-                    items.extend(new);
+                    items.extend(new_items);
                     task.proposed = true;
                     Ok(String::new())
                 }
                 Verdict::Complete(body) => Ok(body),
-                // An earlier proposal of it may be chosen in part, so it is not known to be rejected.
+                // An earlier proposal of the task may be chosen in part, so the task must not be reported as rejected.
                 Verdict::Reject(_) if task.proposed => Err(CallError::Undecided),
                 Verdict::Reject(error) => {
                     if !self.acceptor.guards.atomic_calls {
@@ -146,12 +152,13 @@
     }
 }
 
-/// Whether a task is left for a later round: a change of the roster has a round of its own, and so has all that must
-/// not wait for it.
-fn waits(task: &Task, round: &Round, finishes_change: bool) -> bool {
+/// Whether a task is deferred to a later round: a change of the roster gets a round of its own, so that no other task
+/// is_deferred for it.
+fn is_deferred(task: &Task, round: &Round, completes_roster_change: bool) -> bool {
     match &task.operation {
         Operation::ChangeRoster { version, voters } => {
-            finishes_change || round.next_roster != Some(roster_item(version.next(), voters))
+            completes_roster_change
+                || round.next_roster != Some(roster_item(version.next(), voters))
         }
         _ => round.next_roster.is_some(),
     }
--- a/crates/emberpin-consensus/src/replica/proposer.rs
+++ b/crates/emberpin-consensus/src/replica/proposer.rs
@@ -1,4 +1,4 @@
-//! The proposer's side of a round: beginning, sending, answers, and the end.
+//! The proposer's side of a round: beginning it, sending its messages, handling the answers, and ending it.
 
 use super::{Action, Replica};
 use crate::ballot::Ballot;
@@ -12,12 +12,12 @@
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
 
-/// How often a round with an outdated ballot is begun again at once before it counts as a failure. Others may begin rounds
-/// in the meantime, which makes it outdated again.
+/// How often a round with an outdated ballot is restarted at once before it counts as a failure. Other proposers may
+/// begin rounds in the meantime, which make its ballot outdated again.
 const MAX_ROUND_RESTARTS: u32 = 3;
 
 impl Replica {
-    /// Begins a round, if there is a reason for one.
+    /// Begins a round if there is a reason for one.
     pub(super) fn begin_round(&mut self, actions: &mut Vec<Action>) {
         if self.disk_unavailable_reason().is_some() {
             return;
@@ -25,7 +25,7 @@
         let Some(roster) = self.state().roster().cloned() else {
             return;
         };
-        // Changes of a roster that has been replaced have no effect.
+        // Drops changes of a roster that has been replaced, as they have no effect.
         self.tasks
             .retain(|task| !task.changes_roster() || task.replaces_roster(roster.version));
         self.next_roster
@@ -58,8 +58,8 @@
         self.start_phase(round, actions);
     }
 
-    /// The roster that the next round changes to: one that was seen accepted, or that of the first task. A change of
-    /// the roster has a round of its own, so that no call waits for machines that are yet to join.
+    /// Takes the roster to which the next round changes: one that some voter has accepted, or that of the first task. A
+    /// change of the roster gets a round of its own, so that no call waits for machines that have not joined yet.
     fn take_next_roster(&mut self) -> Option<Item> {
         let accepted = self.next_roster.take();
         accepted.or_else(|| match &self.tasks.front()?.operation {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Sends the messages of a phase that begins now to all voters.
+    /// Begins a phase of a round: sends its message to all voters.
     pub(super) fn start_phase(&mut self, mut round: Round, actions: &mut Vec<Action>) {
         round.sent_at = self.now;
         round.resent = 0;
@@ -89,8 +89,8 @@
         self.send_to_voters(voters, actions);
     }
 
-    /// Sends the messages of the phase again to the voters that have not answered: a message or its answer may have
-    /// been lost, and the round may have a long time yet.
+    /// Resends the message of the phase to the voters that have not answered, if that is due: a message or its answer
+    /// may have been lost, and the deadline of the round may still be far off.
     pub(super) fn resend(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let is_due = |round: &&mut Round| round.resend_at.is_some_and(|at| now >= at);
@@ -183,14 +183,14 @@
             return;
         };
         self.round_restarts = 0;
-        let (sent_at, roster_ver) = (round.sent_at, round.roster.version);
+        let (sent_at, roster_version) = (round.sent_at, round.roster.version);
         let newest_roster = self.state().roster();
-        if newest_roster.is_some_and(|newest| newest.version > roster_ver) {
+        if newest_roster.is_some_and(|newest| newest.version > roster_version) {
             return self.end_round();
         }
         self.pacing
             .record_delay(self.now, self.now.saturating_since(sent_at));
-        // Whoever has promised by this roster has it on its disk.
+        // Voters that promised in a round of this roster have it on their disks.
         self.roster_unconfirmed = false;
         self.propose(actions);
     }
@@ -203,8 +203,8 @@
         accepted: Accepted,
         actions: &mut Vec<Action>,
     ) {
-        let is_of = |round: &&mut Round| round.ballot == accepted.ballot;
-        let Some(round) = self.round.as_mut().filter(is_of) else {
+        let is_this_round = |round: &&mut Round| round.ballot == accepted.ballot;
+        let Some(round) = self.round.as_mut().filter(is_this_round) else {
             return;
         };
         round.accepted.insert(from);
@@ -220,12 +220,13 @@
         let proposal = round.proposal.take();
         let items = proposal.map_or_else(Vec::new, |proposal| proposal.items);
         self.learn(&items, actions);
-        // As long as its own majority may not have a new roster, the loss of one disk could leave nobody who knows it.
+        // While a majority of its voters may lack a new roster, the loss of one disk could leave no replica that knows
+        // it.
         self.roster_unconfirmed |= items.iter().any(|item| item.key == roster_key());
         self.pacing.record_success();
         match round.next_ballot {
             Some(next_ballot) => {
-                self.lead(&mut round, next_ballot, items);
+                self.become_leader(&mut round, next_ballot, items);
                 self.complete(round.outcomes, actions);
                 self.serve_watches(actions);
             }
@@ -258,7 +259,7 @@
         self.highest_counter = self.highest_counter.max(promised.counter);
         let own_next = self.round.as_ref().and_then(|round| round.next_ballot);
         if promised <= ballot || Some(promised) == own_next {
-            // The voter has promised this very round or accepted it, and got its message twice.
+            // The voter has promised or accepted this round, and received its message twice.
             return;
         }
         let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else {
@@ -276,8 +277,8 @@
         }
     }
 
-    /// Whether the round in progress was rejected because its ballot was outdated from the start. That of a replica
-    /// which is no voter mostly is, as it is sent no [`Prepare`] of others.
+    /// Whether the round in progress was rejected because its ballot was outdated from the start. The ballot of a
+    /// replica that is not a voter usually is, as it receives no [`Prepare`] of other proposers.
     fn has_outdated_ballot(&self) -> bool {
         let is_unpromised = |round: &Round| round.proposal.is_none() && round.promises.is_empty();
         self.guards().restart_outdated_rounds
@@ -286,16 +287,16 @@
             && self.round.as_ref().is_some_and(is_unpromised)
     }
 
-    /// Begins the round again at once, above the ballots that its voters have promised. It is no failure: after a backoff
-    /// the ballot would be outdated again, and a replica that is to join the roster would not get its turn for as long as
-    /// others take calls.
+    /// Restarts the round at once, above the ballots that its voters have promised. This does not count as a failure:
+    /// after a backoff the ballot would be outdated again, and a replica that wants to join the roster would not get
+    /// its turn as long as other replicas receive calls.
     fn restart_round(&mut self, actions: &mut Vec<Action>) {
         self.round_restarts += 1;
         self.end_round();
         self.begin_round(actions);
     }
 
-    /// The round went by a roster that has been replaced: starts over by the newer one.
+    /// The round's roster has been replaced: ends the round, so that the next one uses the newer roster.
     pub(super) fn on_stale_roster(&mut self, stale: StaleRoster, actions: &mut Vec<Action>) {
         let StaleRoster { ballot, roster } = stale;
         let newer_version = roster.version;
@@ -307,7 +308,7 @@
         }
     }
 
-    /// Ends the round. Its tasks go back to the front of the queue, for a round that may begin at once.
+    /// Ends the round. Its tasks go back to the front of the queue, and the next round may begin at once.
     pub(super) fn end_round(&mut self) {
         let Some(round) = self.round.take() else {
             return;
@@ -330,9 +331,9 @@
         self.next_round_at = self.now + backoff;
     }
 
-    /// A replica whose last round failed yields to the round that it has just promised, and any replica to that of one
-    /// which is no voter: it may join the roster by it. It does not yield again before that time is over, so that it gets
-    /// its turn however many others there are.
+    /// Postpones this replica's rounds in favour of the round that it has just promised, if its own last round failed,
+    /// or if the proposer is not a voter and may join the roster by that round. The replica does not yield again before
+    /// the postponement is over, so that it gets its turn however many other proposers there are.
     pub(super) fn yield_to(&mut self, from: Ipv4Addr, answer: &Message) {
         let has_promised_other =
             matches!(answer, Message::Promise(_)) && from != self.options.address;
@@ -346,8 +347,8 @@
         }
     }
 
-    /// Waits from now on for what was accepted here to be chosen; when that takes too long, this replica finishes it by
-    /// a round of its own. Does nothing but clear the timer, if there is nothing that is not known to be chosen.
+    /// Restarts the repair timer: if the proposal that this replica accepted is not known to be chosen when the timer
+    /// expires, the replica completes it by a round of its own. Clears the timer if there is no such proposal.
     pub(super) fn schedule_repair(&mut self) {
         let delay = self.pacing.repair_delay(self.now);
         self.repair_at = if self.acceptor.has_unchosen_items() {
@@ -357,7 +358,7 @@
         };
     }
 
-    /// The tasks that wait, and those whose items are proposed.
+    /// The queued tasks, and those that are proposed in the round in progress.
     pub(super) fn all_tasks(&self) -> impl Iterator<Item = &Task> {
         let outcomes = self.round.iter().flat_map(|round| &round.outcomes);
         self.tasks
--- a/crates/emberpin-consensus/src/replica/register_view.rs
+++ b/crates/emberpin-consensus/src/replica/register_view.rs
@@ -1,4 +1,5 @@
-//! Registers as a proposer sees them in a round: what is chosen, and on top of it what the round proposes.
+//! The registers on which a round evaluates operations: the chosen items, overlaid with the items that the round
+//! proposes.
 
 use crate::guards::Guards;
 use crate::time::Timestamp;
@@ -7,16 +8,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Items that a round proposes, by key: of several changes of an item only the last one.
+/// Items that a round proposes, by key; of several changes of an item only the last one.
 pub(super) type ProposedItems = BTreeMap<ItemKey, Item>;
 
-/// The registers in a round.
+/// A view of the registers during a round.
 pub(super) struct RegisterView<'a> {
     pub chosen: &'a Configuration,
     pub proposed: &'a ProposedItems,
-    /// When this replica learned the present content of each lock.
+    /// When this replica learned the current content of each lock.
     pub locks_learned_at: &'a BTreeMap<ItemKey, Timestamp>,
-    /// When this replica started: it has known since then what its disk held.
+    /// When this replica started; since then it has known the locks that it read from its disk.
     pub started_at: Timestamp,
     pub now: Timestamp,
     pub guards: Guards,
@@ -27,8 +28,8 @@
         self.proposed.get(key).or_else(|| self.chosen.get(key))
     }
 
-    /// The item that a change of a register makes.
-    pub fn item_of(&self, change: Change) -> Item {
+    /// The item that results from a change of a register.
+    pub fn changed_item(&self, change: Change) -> Item {
         let key = item_key(&change.key);
         let version = self
             .item(&key)
@@ -53,7 +54,7 @@
         }
         let learned_at = match self.locks_learned_at.get(&key) {
             Some(learned_at) => learned_at,
-            None if self.guards.count_holds_from_start => &self.started_at,
+            None if self.guards.count_leases_from_start => &self.started_at,
             None => return Duration::MAX,
         };
         self.now.saturating_since(*learned_at)
@@ -77,7 +78,7 @@
     key.kind == ItemKind::Register && key.name.starts_with(prefix(RegisterKind::Lock))
 }
 
-/// The item of a register. Stored, so it must not change.
+/// The key of the item of a register. Keys are stored, so their form must not change.
 fn item_key(key: &RegisterKey) -> ItemKey {
     ItemKey {
         kind: ItemKind::Register,
--- a/crates/emberpin-consensus/src/replica/timers.rs
+++ b/crates/emberpin-consensus/src/replica/timers.rs
@@ -1,4 +1,4 @@
-//! Timers: when the next one is due, and what happens then.
+//! Timers: when the next one is due, and the handling of those that are due.
 
 use super::{Action, Replica, COMPARISON_INTERVAL};
 use crate::round::Round;
@@ -20,11 +20,11 @@
             .chain(self.next_bootstrap_query_at())
             .chain(self.next_candidacy_query_at())
             .chain(self.next_announcement_at())
-            .chain(self.coordination.next_watch_end())
+            .chain(self.coordination.next_watch_deadline())
             .fold(self.next_comparison_at, Timestamp::min)
     }
 
-    /// When the next round begins; `None`, if one is in progress, or there is no reason for one, or no way.
+    /// When the next round begins; `None` if one is in progress, or there is no reason for one, or none can begin.
     fn next_round_due_at(&self) -> Option<Timestamp> {
         let may_begin = self.round.is_none()
             && self.state().roster().is_some()
@@ -41,18 +41,19 @@
             .map(|at| at.max(earliest))
     }
 
-    /// Whether a voter has a reason for a round, other than what it accepted and does not know to be chosen.
+    /// Whether there is a reason for a round other than catching up, or completing a proposal that this replica
+    /// accepted.
     pub(super) fn has_round_work(&self) -> bool {
         !self.tasks.is_empty() || self.next_roster.is_some() || self.roster_unconfirmed
     }
 
-    /// Before this no round begins.
+    /// The earliest time at which a round may begin.
     pub(super) fn earliest_round_at(&self) -> Timestamp {
         self.next_round_at
             .max(self.yields_until.unwrap_or_default())
     }
 
-    /// Does everything that is due.
+    /// Runs all timers that are due.
     pub(super) fn handle_timers(&mut self, actions: &mut Vec<Action>) {
         let is_expired = |round: &Round| self.now >= round.deadline;
         if self.round.as_ref().is_some_and(is_expired) {
@@ -60,7 +61,7 @@
         }
         self.expire_tasks(actions);
         self.finish_contact_checks(actions);
-        self.end_watches(actions);
+        self.expire_watches(actions);
         if self.now >= self.next_comparison_at {
             self.next_comparison_at = self.now + COMPARISON_INTERVAL;
             self.compare_with_peers(actions);
@@ -69,7 +70,7 @@
         self.drive_bootstrap(actions);
         self.drive_late_candidacy(actions);
         if self.is_leaving {
-            // Again, as another change of the roster may have come first.
+            // Requested again, as another change of the roster may have been chosen first.
             self.request_removal();
         }
         if self.round.is_none() && self.now >= self.earliest_round_at() {
--- a/crates/emberpin-consensus/src/roster.rs
+++ b/crates/emberpin-consensus/src/roster.rs
@@ -1,7 +1,7 @@
-//! The roster of voters, as an item of the configuration. Replicas alone write it.
+//! The roster of voters, stored as an item of the configuration. Only replicas write it.
 //!
-//! Its body is a JSON array of addresses. The body of version 1 also has the nonces of the founders' candidacies, in
-//! the order of the addresses, behind them.
+//! Its body is a JSON array of addresses. In version 1, the addresses are followed by the nonces of the founders'
+//! candidacies, in the same order.
 
 use crate::bootstrap::BootstrapNonce;
 use emberpin_config::{Item, ItemKey, ItemKind, Version};
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Founder {
     pub address: Ipv4Addr,
-    /// The nonce of its candidacy; `None` for a seed that is no candidate, and has to catch up before it votes.
+    /// The nonce of its candidacy; `None` for a seed that is not a candidate and has to catch up before it votes.
     pub nonce: Option<BootstrapNonce>,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// A roster as an item.
+/// Builds the item of a roster.
 pub(crate) fn roster_item(version: Version, voters: &[Ipv4Addr]) -> Item {
     let voters: Vec<String> = voters.iter().map(|voter| format!("\"{voter}\"")).collect();
     Item {
@@ -33,7 +33,7 @@
     }
 }
 
-/// The first roster as an item. A founder without a nonce is written with the nonce 0, which no candidate draws.
+/// Builds the item of the first roster. A founder without a nonce is written with nonce 0, which no candidate draws.
 pub(crate) fn first_roster_item(founders: &[Founder]) -> Item {
     let addresses = founders
         .iter()
@@ -49,7 +49,8 @@
     }
 }
 
-/// The nonce under which the first roster names a founder; later rosters name none.
+/// The nonce that the first roster records for a founder. `None` for later rosters, which record no nonces, and for a
+/// founder without a nonce.
 pub(crate) fn founder_nonce(roster: &Item, founder: Ipv4Addr) -> Option<BootstrapNonce> {
     let position = voters(roster).iter().position(|voter| *voter == founder)?;
     let body = roster
--- a/crates/emberpin-consensus/src/round.rs
+++ b/crates/emberpin-consensus/src/round.rs
@@ -1,4 +1,5 @@
-//! One round: a ballot, who has promised it, what it proposes, and who has accepted that.
+//! The state of one round at its proposer: the ballot, the voters that have promised it, the proposal, and the voters
+//! that have accepted the proposal.
 
 use crate::ballot::{AcceptedProposal, Ballot};
 use crate::incarnation::{Incarnation, LatestIncarnations};
@@ -12,12 +13,12 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// What a voter reported with its promise.
+/// The information that a voter reported with its promise.
 #[derive(Debug)]
 pub(crate) struct VoterPromise {
     /// The incarnation in which the voter promised.
     pub incarnation: Incarnation,
-    /// The incarnations that the voter knows of others.
+    /// The incarnations of other voters that this voter knows.
     pub latest_incarnations: LatestIncarnations,
     /// The buckets in which its chosen items differed from the proposer's.
     pub buckets: Vec<u8>,
@@ -25,12 +26,12 @@
     pub versions: BTreeMap<ItemKey, Version>,
 }
 
-/// What a round proposes.
+/// The proposal of a round.
 #[derive(Debug)]
 pub(crate) struct Proposal {
-    /// The items that are to be chosen.
+    /// The items to be chosen.
     pub items: Vec<Item>,
-    /// Chosen items that some voter lacked when it promised; they are sent along.
+    /// Chosen items that some voter lacked when it promised; they are sent with the proposal.
     pub transferred: Vec<Item>,
 }
 
@@ -38,48 +39,52 @@
 #[derive(Debug)]
 pub(crate) struct Round {
     pub ballot: Ballot,
-    /// When it is abandoned for a new one.
+    /// When it is abandoned and a new round begins.
     pub deadline: Timestamp,
-    /// When its messages were sent last. An answer to earlier ones makes its phase look shorter than it was; but an
-    /// answer that came late because of a network partition does not make it look longer.
+    /// When the messages of its phase were last sent; the duration of the phase is measured from then. An answer to an
+    /// earlier transmission makes the phase look shorter than it was, but an answer that a network partition delayed
+    /// does not make it look longer.
     pub sent_at: Timestamp,
-    /// When messages that were not answered are sent again; `None`, if they are not.
+    /// When unanswered messages are sent again; `None` if they are not resent.
     pub resend_at: Option<Timestamp>,
-    /// How often messages of this phase were sent again.
+    /// How often the messages of this phase were resent.
     pub resent: u32,
-    /// The roster by which it counts quorums.
+    /// The roster of which it needs quorums.
     pub roster: Item,
     /// The voters of that roster.
     pub voters: Vec<Ipv4Addr>,
-    /// The roster that is to replace it; the round needs quorums of both.
+    /// The roster that this round proposes to replace it with, if any; the round then needs quorums of both.
     pub next_roster: Option<Item>,
-    /// The voters of the next roster; empty, if there is none.
+    /// The voters of the next roster; empty if there is none.
     pub next_voters: Vec<Ipv4Addr>,
-    /// Whether the proposer lost its disk: the round only reads, and the proposer itself does not count.
+    /// Whether the proposer lost its disk and catches up by this round: the round only reads, and the proposer itself
+    /// does not count in its quorums.
     pub recovers: bool,
-    /// The promises that count.
+    /// The valid promises, by voter.
     pub promises: BTreeMap<Ipv4Addr, VoterPromise>,
-    /// Of the proposals that voters accepted in earlier rounds, the one of the highest ballot.
+    /// The proposal with the highest ballot among those that the voters accepted in earlier rounds.
     pub highest_accepted: AcceptedProposal,
-    /// What the proposer learned since it sent its digests.
+    /// The keys of the items that the proposer learned since it sent its digests.
     pub learned: BTreeSet<ItemKey>,
-    /// What it proposes, once it does.
+    /// The proposal; `None` in phase 1.
     pub proposal: Option<Proposal>,
     /// The voters that have accepted the proposal.
     pub accepted: BTreeSet<Ipv4Addr>,
-    /// The voters that have promised a higher ballot, or cannot write.
+    /// The voters that have promised a higher ballot, or whose disks take no writes.
     pub rejected: BTreeSet<Ipv4Addr>,
-    /// Whether the proposer leads: its last round had this round's phase 1.
+    /// Whether this is a led round: its phase 1 was part of the proposer's last round.
     pub is_led: bool,
-    /// If it does: the chosen items of its last round, which voters may not know to be chosen.
+    /// In a led round: the chosen items of the leader's last round, which voters may not know to be chosen yet.
     pub last_items: Vec<Item>,
-    /// The ballot that voters promise when they accept; `None`, if the proposer does not become the leader.
+    /// The ballot that voters promise when they accept the proposal; `None` if the proposer does not become the leader
+    /// by this round.
     pub next_ballot: Option<Ballot>,
-    /// The promises of that ballot.
+    /// The promises of `next_ballot`, by voter.
     pub next_promises: BTreeMap<Ipv4Addr, VoterPromise>,
     /// Replies to send once the proposal is chosen.
     pub outcomes: Vec<Outcome>,
-    /// For tests with [`crate::Guards::evaluate_on_quorum_state`] off: what was known when the round began.
+    /// For tests with [`crate::Guards::evaluate_on_quorum_state`] off: the configuration that was known when the round
+    /// began.
     pub initial_state: Option<Configuration>,
 }
 
@@ -117,7 +122,7 @@
         }
     }
 
-    /// All voters, of both rosters if there are two.
+    /// All voters, of both rosters if the round changes the roster.
     pub fn all_voters(&self) -> BTreeSet<Ipv4Addr> {
         self.voters
             .iter()
@@ -137,8 +142,8 @@
         voters
     }
 
-    /// Takes a promise, and drops those that have become void: a voter that lost its disk may since have accepted what
-    /// this round would have to know. Such a voter is asked again.
+    /// Adds a promise, and drops the promises that have become void: a voter that lost its disk after its promise may
+    /// since have accepted a proposal that this round would have to know. Such a voter is asked again.
     pub fn add_promise(&mut self, from: Ipv4Addr, promise: VoterPromise) {
         let is_newest = self
             .promises
@@ -155,8 +160,8 @@
             .retain(|voter, promise| !latest.is_superseded(*voter, promise.incarnation));
     }
 
-    /// Whether the proposal is sent to voters even if it is empty: a leader learns only from their answers that no other
-    /// one was promised a higher ballot since, and becomes or stays the leader by them.
+    /// Whether the proposal is sent to the voters even if it is empty. Only their answers show a leader that no other
+    /// proposer has been promised a higher ballot since, and only by them does a proposer become or stay the leader.
     pub fn needs_acceptance(&self) -> bool {
         self.is_led
             || self
@@ -165,9 +170,9 @@
                 .any(|outcome| outcome.task.is_coordination())
     }
 
-    /// Whether enough voters have promised for the round to go on.
+    /// Whether enough voters have promised for phase 2 to begin.
     pub fn has_promise_quorum(&self, proposer: Ipv4Addr) -> bool {
-        self.in_each_roster(|voters| {
+        self.holds_in_each_roster(|voters| {
             let required = if self.recovers {
                 recovery_quorum(voters, proposer)
             } else {
@@ -180,26 +185,26 @@
 
     /// Whether enough voters have accepted the proposal for it to be chosen.
     pub fn is_chosen(&self, tolerated_failures: usize) -> bool {
-        self.in_each_roster(|voters| {
+        self.holds_in_each_roster(|voters| {
             let accepted = |voter: &&Ipv4Addr| self.accepted.contains(*voter);
             voters.iter().filter(accepted).count() >= accept_quorum(voters, tolerated_failures)
         })
     }
 
-    /// Whether the voters that have not rejected the round are no majority.
+    /// Whether too many voters have rejected the round for the others to be a majority.
     pub fn is_quorum_impossible(&self) -> bool {
-        !self.in_each_roster(|voters| {
-            let not_rejected = |voter: &&Ipv4Addr| !self.rejected.contains(*voter);
-            voters.iter().filter(not_rejected).count() >= majority(voters)
+        !self.holds_in_each_roster(|voters| {
+            let has_not_rejected = |voter: &&Ipv4Addr| !self.rejected.contains(*voter);
+            voters.iter().filter(has_not_rejected).count() >= majority(voters)
         })
     }
 
     /// Whether the condition holds for the voters of the roster, and of the next roster if there is one.
-    fn in_each_roster(&self, condition: impl Fn(&[Ipv4Addr]) -> bool) -> bool {
+    fn holds_in_each_roster(&self, condition: impl Fn(&[Ipv4Addr]) -> bool) -> bool {
         condition(&self.voters) && (self.next_voters.is_empty() || condition(&self.next_voters))
     }
 
-    /// The chosen items that some voter which promised lacks; all chosen items, if the roster changes.
+    /// The chosen items that some voter lacked when it promised; all chosen items if the round changes the roster.
     pub fn missing_items(&self, state: &State) -> Vec<Item> {
         let changes_roster = !self.next_voters.is_empty();
         state
@@ -212,7 +217,7 @@
     fn is_missing(&self, item: &Item) -> bool {
         let (bucket, learned) = (bucket(&item.key), self.learned.contains(&item.key));
         self.promises.values().any(|promise| {
-            // In any other bucket, the voter has what the proposer had when it sent its digests.
+            // In all other buckets, the voter has the same items as the proposer had when it sent its digests.
             let differs = learned || promise.buckets.contains(&bucket);
             let voter_version = promise.versions.get(&item.key);
             differs && voter_version.is_none_or(|version| *version < item.version)
--- a/crates/emberpin-consensus/src/state.rs
+++ b/crates/emberpin-consensus/src/state.rs
@@ -1,28 +1,28 @@
-//! The items that a replica knows to be chosen, and digests to compare them by.
+//! The items that a replica knows to be chosen, and digests by which replicas compare them.
 
 use crate::hash::{fnv1a, mix};
 use crate::message::ItemVersion;
 use crate::roster::roster_key;
 use emberpin_config::{Configuration, Item, ItemKey, ItemKind, MergeOutcome};
 
-/// How many buckets the keys are hashed into. Replicas exchange one digest for each bucket, and then only the items
-/// of those that differ. Part of the protocol.
+/// How many buckets the keys are hashed into. Replicas exchange one digest for each bucket, and then only the items of
+/// the buckets that differ. Part of the protocol: replicas have to agree on it.
 const BUCKET_COUNT: u8 = 64;
 
 /// The newest known version of each chosen item. Versions only rise.
 #[derive(Clone, Debug)]
 pub struct State {
     configuration: Configuration,
-    /// Of each bucket, the sum of its items' digests, so that it can be updated item by item.
+    /// The digest of each bucket: the sum of its items' digests, so that it can be updated item by item.
     digests: Vec<u64>,
 }
 
-/// What learning an item did to the state.
+/// The changes of the state from learning one item.
 #[derive(Debug)]
 pub(crate) struct Merged {
-    /// Whether the item was newer than what was known.
+    /// Whether the item was newer than its known version.
     pub is_newer: bool,
-    /// Tombstones that the item, a checkpoint, made obsolete.
+    /// Tombstones that the item made obsolete, if it is a checkpoint.
     pub removed: Vec<Item>,
 }
 
@@ -36,13 +36,13 @@
 }
 
 impl State {
-    /// Takes a chosen item, if it is newer than what is known.
+    /// Merges a chosen item if it is newer than its known version.
     pub(crate) fn learn(&mut self, item: &Item) -> Merged {
-        let old = self.get(&item.key).map_or(0, item_digest);
+        let old_digest = self.get(&item.key).map_or(0, item_digest);
         let MergeOutcome { is_newer, removed } = self.configuration.merge_and_prune(item.clone());
         if is_newer {
             let sum = &mut self.digests[usize::from(bucket(&item.key))];
-            *sum = sum.wrapping_sub(old).wrapping_add(item_digest(item));
+            *sum = sum.wrapping_sub(old_digest).wrapping_add(item_digest(item));
         }
         for item in &removed {
             let sum = &mut self.digests[usize::from(bucket(&item.key))];
@@ -51,7 +51,7 @@
         Merged { is_newer, removed }
     }
 
-    /// Whether this version of the item or a newer one is known, or was and its tombstone has been removed.
+    /// Whether this version of the item or a newer one is known, or was known before its tombstone was removed.
     pub fn covers(&self, item: &Item) -> bool {
         self.get(&item.key)
             .is_some_and(|known| known.version >= item.version)
@@ -66,7 +66,7 @@
         })
     }
 
-    /// All items for followers of the configuration: all but histories, which only replicas need.
+    /// The items that followers of the configuration receive: all but histories, which only replicas need.
     pub fn follower_items(&self) -> impl Iterator<Item = &Item> {
         self.iter().filter(|item| is_for_followers(item))
     }
@@ -81,7 +81,7 @@
         self.configuration.len()
     }
 
-    /// The encoded size of all items, about, in bytes.
+    /// The approximate encoded size of all items, in bytes.
     pub fn encoded_len(&self) -> usize {
         self.configuration.encoded_len()
     }
@@ -91,7 +91,7 @@
         self.configuration.iter()
     }
 
-    /// The newest known roster of voters; `None` before the bootstrap.
+    /// The newest known roster of voters; `None` if no roster is known, as before the bootstrap.
     pub fn roster(&self) -> Option<&Item> {
         self.get(&roster_key())
     }
@@ -113,7 +113,7 @@
     }
 
     /// The buckets whose digests differ from another replica's.
-    pub(crate) fn differing(&self, digests: &[u64]) -> Vec<u8> {
+    pub(crate) fn differing_buckets(&self, digests: &[u64]) -> Vec<u8> {
         let differs = |bucket: &u8| {
             let index = usize::from(*bucket);
             digests.get(index) != self.digests.get(index)
--- a/crates/emberpin-consensus/src/storage.rs
+++ b/crates/emberpin-consensus/src/storage.rs
@@ -1,11 +1,11 @@
-//! What a replica keeps on its disk: the state that it reads at its start, and the writes that change it.
+//! The state of a replica on its disk: the state that it reads at its start, and the writes that change it.
 
 use crate::ballot::{AcceptedProposal, Ballot};
 use crate::bootstrap::BootstrapCandidate;
 use crate::incarnation::{Incarnation, LatestIncarnations};
 use emberpin_config::{Item, ItemKey};
 
-/// What a replica reads from its disk at its start: the sum of all [`WriteBatch`]es that reached it.
+/// The state that a replica reads from its disk at its start: the result of all [`WriteBatch`]es that reached the disk.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistedState {
     /// Items known to be chosen.
@@ -24,16 +24,17 @@
     pub bootstrap_candidate: Option<BootstrapCandidate>,
 }
 
-/// One atomic write. Writes reach the disk in the order in which they are handed out, each completely or not at all.
+/// One atomic write. Writes reach the disk in the order of their [`Action::Persist`](crate::Action::Persist), each
+/// completely or not at all.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WriteBatch {
     /// Chosen items to insert or replace.
     pub chosen: Vec<Item>,
     /// Keys of items to delete.
     pub removed: Vec<ItemKey>,
-    /// Replaces the promise.
+    /// Replaces [`PersistedState::promised`].
     pub promised: Ballot,
-    /// Replaces the accepted proposal; `None` leaves it as it is.
+    /// Replaces the accepted proposal; `None` leaves it unchanged.
     pub accepted: Option<AcceptedProposal>,
     /// Replaces [`PersistedState::voting`].
     pub voting: bool,
--- a/crates/emberpin-consensus/src/task.rs
+++ b/crates/emberpin-consensus/src/task.rs
@@ -1,4 +1,5 @@
-//! Tasks of a replica: what clients or the replica itself want, and how it is judged on everything that is chosen.
+//! Tasks of a replica: operations requested by clients or by the replica itself, and their evaluation on top of the
+//! chosen items.
 
 use crate::call::{CallId, CoordinationReply, EvacuationChange, PossibleEffect};
 use crate::error::CallError;
@@ -16,15 +17,15 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Task {
     pub operation: Operation,
-    /// When it is answered with 503, so that its caller sends it again.
+    /// When it is rejected as undecided, with status 503 for an operator's call, so that its caller retries it.
     pub deadline: Timestamp,
-    /// What shows that a majority can be reached for it; `None` once that has been shown.
+    /// The pending check that a majority can be reached for it; `None` if there is no check.
     pub contact_check: Option<ContactCheck>,
-    /// Whether items of it were sent in a proposal, so that they may be chosen even if a later round rejects them.
+    /// Whether items of it were proposed, so that they may be chosen even if a later round rejects them.
     pub proposed: bool,
 }
 
-/// What a task is to do.
+/// The operation of a task.
 #[derive(Clone, Debug)]
 pub(crate) enum Operation {
     Patch {
@@ -45,21 +46,21 @@
         call_id: CallId,
         operation: emberpin_coordination::Operation,
     },
-    /// Replaces the roster of the version `ver`; no client asks for it.
+    /// Replaces the roster of this version. Requested by the replica itself, never by a client.
     ChangeRoster {
         version: Version,
         voters: Vec<Ipv4Addr>,
     },
 }
 
-/// What becomes of an operation on top of a configuration.
+/// The result of evaluating an operation on top of a configuration.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Verdict {
-    /// These items have to be chosen before it is acknowledged.
+    /// These items have to be chosen before the operation is acknowledged.
     Propose(Vec<Item>),
-    /// Nothing has to be chosen: acknowledge it with this body.
+    /// Nothing has to be chosen: the operation is acknowledged with this body.
     Complete(String),
-    /// Answer that it is not acknowledged, and why.
+    /// The operation is rejected for this reason.
     Reject(CallError),
 }
 
@@ -70,10 +71,10 @@
     pub result: TaskResult,
 }
 
-/// What the caller of a task is told.
+/// The result that is reported to the caller of a task.
 #[derive(Debug)]
 pub(crate) enum TaskResult {
-    /// The body of an acknowledgement, or why there is none.
+    /// For a call of an operator: the body of the acknowledgement, or the reason why there is none.
     Operator(Result<String, CallError>),
     /// The reply to an application.
     Application(CoordinationReply),
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Whether it changes the roster, and not on behalf of a client.
+    /// Whether it changes the roster, which only the replica itself requests.
     pub fn changes_roster(&self) -> bool {
         matches!(self.operation, Operation::ChangeRoster { .. })
     }
@@ -117,7 +118,7 @@
 }
 
 impl Operation {
-    /// The call to reply to; `None` for what the replica does for itself.
+    /// The call to reply to; `None` for an operation that the replica itself requested.
     pub fn call_id(&self) -> Option<CallId> {
         match self {
             Operation::Patch { call_id, .. }
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Judges the operation on top of a configuration.
+    /// Evaluates the operation on top of a configuration.
     pub fn evaluate(&self, configuration: &Configuration, guards: &Guards) -> Verdict {
         match self {
             Operation::Get { .. } => Verdict::Complete(export_json(configuration)),
@@ -179,9 +180,9 @@
     }
 }
 
-/// Every change has a version of its own, also one that leaves the zone as it was: then the preconditions of all calls
-/// that were sent before it no longer hold. Only a call that finds exactly its own effect, by an earlier round or a
-/// retry, is acknowledged without another version.
+/// Evaluates a change of a zone's evacuation. Every change gets a version of its own, even if it leaves the zone as it
+/// was, so that the preconditions of all calls sent before it no longer hold. Only a call that finds exactly its own
+/// effect, chosen by an earlier round or an earlier attempt, is acknowledged without another version.
 fn evaluate_evacuation(
     zone: &str,
     change: EvacuationChange,
@@ -203,8 +204,9 @@
         let version = chosen.next();
         return Verdict::Propose(vec![Item { key, version, body }]);
     }
-    let has_effect = precondition.next() == chosen && known.is_some_and(|item| item.body == body);
-    if has_effect {
+    let is_already_applied =
+        precondition.next() == chosen && known.is_some_and(|item| item.body == body);
+    if is_already_applied {
         Verdict::Complete(String::new())
     } else {
         Verdict::Reject(CallError::EvacuationChanged)
--- a/crates/emberpin-consensus/src/time.rs
+++ b/crates/emberpin-consensus/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as a replica sees it.
+//! Timestamps of the host's clock.
 
 use std::ops::Add;
 use std::time::Duration;
@@ -23,7 +23,7 @@
         self.0
     }
 
-    /// How long after an earlier moment this one is; zero, if it is before.
+    /// The time since an earlier moment; zero if that moment is later than this one.
     #[must_use]
     pub const fn saturating_since(self, earlier: Timestamp) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
--- a/crates/emberpin-consensus/tests/random_registers.rs
+++ b/crates/emberpin-consensus/tests/random_registers.rs
@@ -191,7 +191,7 @@
 #[gtest]
 fn random_registers_detect_locks_that_are_free_at_a_start() {
     let guards = Guards {
-        count_holds_from_start: false,
+        count_leases_from_start: false,
         ..Guards::default()
     };
     let found = violation_with("locks that are free at a start", guards);
