--- a/crates/emberpin-consensus/tests/register_callers/mod.rs
+++ b/crates/emberpin-consensus/tests/register_callers/mod.rs
@@ -5,12 +5,12 @@
 //! requests may be late or lost, and so may the replies.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-mod facts;
+mod invariants;
 mod registry;
 
 use crate::cluster::Cluster;
 use emberpin_coordination::{group_of, FencingToken, Operation, Outcome, Revision};
-use facts::Facts;
+use invariants::Facts;
 use registry::{LateRequests, Registry};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -45,7 +45,7 @@
     operation: Operation,
     at: u64,
     /// What an answer must be above or at least; see [`Facts::floors`].
-    floors: facts::Floors,
+    floors: invariants::Floors,
 }
 
 /// A lock that a caller counts itself holder of.
