--- a/crates/emberpin-consensus/src/replica/membership.rs
+++ b/crates/emberpin-consensus/src/replica/membership.rs
@@ -91,19 +91,17 @@
             return;
         }
         let current = voters(roster);
-        let requested = if current.contains(&self.options.address) {
+        let target = if current.contains(&self.options.address) {
             Some(self.roster_without_unresponsive_voter(&current))
         } else {
             self.roster_with_this_replica(&current)
         };
-        let Some(mut requested) = requested else {
-            return;
-        };
-        requested.sort_unstable();
-        if requested != current {
+        let Some(mut target) = target else { return };
+        target.sort_unstable();
+        if target != current {
             let operation = Operation::ChangeRoster {
                 version: roster.version,
-                voters: requested,
+                voters: target,
             };
             self.tasks
                 .push_back(Task::new(operation, self.now + CALL_TIMEOUT));
@@ -132,14 +130,14 @@
         } else {
             REPLACEMENT_TIMEOUT
         };
-        let mut requested = current.to_vec();
+        let mut target = current.to_vec();
         let unresponsive = current
             .iter()
             .position(|voter| self.is_unresponsive(*voter, timeout));
         if let Some(unresponsive) = unresponsive.filter(|_| current.len() > self.min_voters()) {
-            requested.remove(unresponsive);
+            target.remove(unresponsive);
         }
-        requested
+        target
     }
 
     /// The roster with this replica, in place of unresponsive voters as far as the roster stays large enough; `None`
@@ -149,11 +147,11 @@
         if is_too_early && self.guards().listen_before_joining {
             return None;
         }
-        let mut requested = current.to_vec();
-        requested.push(self.options.address);
+        let mut target = current.to_vec();
+        target.push(self.options.address);
         let minority = current.len() - majority(current);
-        let mut removable = minority.min(requested.len().saturating_sub(self.min_voters()));
-        requested.retain(|voter| {
+        let mut removable = minority.min(target.len().saturating_sub(self.min_voters()));
+        target.retain(|voter| {
             let is_removed = removable > 0 && self.is_unresponsive(*voter, REPLACEMENT_TIMEOUT);
             removable -= usize::from(is_removed);
             !is_removed
@@ -164,8 +162,8 @@
         };
         // If it replaces an unresponsive voter, this replica does not wait for others to return: if they are gone, too,
         // the replacement would be missing when the next voter is lost.
-        let grows = requested.len() > current.len() || !self.guards().replace_without_delay;
-        (!grows || !current.iter().any(may_return)).then_some(requested)
+        let grows = target.len() > current.len() || !self.guards().replace_without_delay;
+        (!grows || !current.iter().any(may_return)).then_some(target)
     }
 
     /// Whether no message of another replica has arrived for this long. Until its first message, the time counts from
--- a/crates/emberpin-consensus/src/replica/proposal.rs
+++ b/crates/emberpin-consensus/src/replica/proposal.rs
@@ -153,7 +153,7 @@
 }
 
 /// Whether a task is deferred to a later round: a change of the roster gets a round of its own, so that no other task
-/// is_deferred for it.
+/// waits for it.
 fn is_deferred(task: &Task, round: &Round, completes_roster_change: bool) -> bool {
     match &task.operation {
         Operation::ChangeRoster { version, voters } => {
