--- a/crates/emberpin-consensus/examples/search_model.rs
+++ b/crates/emberpin-consensus/examples/search_model.rs
@@ -1,9 +1,9 @@
-//! Searches the model of the protocol for every order of the proposers' ballots:
-//! `cargo run --release -p emberpin-consensus --example search_model -- 0123`, where each digit is a round of the
-//! first writer (0), the second one (1), the proposer of a roster change (2), or a voter that lost its disk (3).
-//! `[rounds] [disk losses] [power losses] [spread items] [threads] [voters] [seconds] [states] [leaders]` change the bounds. There
-//! are 3 or 5 voters, no search begins after that many seconds, and each ends at about that many states, counted with
-//! repetitions. Of the two writers none, the first or both lead.
+//! Searches the model of the protocol for every order of the proposers' ballots: `cargo run --release -p
+//! emberpin-consensus --example search_model -- 0123`, where each digit is a round of the first writer (0), the second
+//! one (1), the proposer of a roster change (2), or a voter that lost its disk (3). All arguments are `[rounds] [disk
+//! losses] [power losses] [spread items] [threads] [voters] [seconds] [states] [leaders]`. There are 3 or 5 voters. No
+//! search begins after the given number of seconds, and each search ends at about the given number of states, counted
+//! with repetitions. `leaders` is the number of writers that lead: 0, 1 (the first) or 2.
 
 #[path = "../tests/model/register.rs"]
 mod register;
@@ -12,14 +12,14 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// All distinct orders of these.
-fn orders(of: &[u8]) -> BTreeSet<Vec<u8>> {
-    if of.is_empty() {
+/// All distinct orders of these rounds.
+fn orders(rounds: &[u8]) -> BTreeSet<Vec<u8>> {
+    if rounds.is_empty() {
         return BTreeSet::from([Vec::new()]);
     }
     let mut all = BTreeSet::new();
-    for (nth, first) in of.iter().enumerate() {
-        let rest = [&of[..nth], &of[nth + 1..]].concat();
+    for (nth, first) in rounds.iter().enumerate() {
+        let rest = [&rounds[..nth], &rounds[nth + 1..]].concat();
         all.extend(
             orders(&rest)
                 .into_iter()
@@ -30,7 +30,7 @@
 }
 
 /// The peak memory of the process in MB, where the system reports it.
-fn most_memory() -> Option<u64> {
+fn peak_memory_mb() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find(|line| line.starts_with("VmHWM"))?;
     line.split_whitespace()
@@ -42,17 +42,17 @@
 
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let number = |nth: usize, unset: u8| {
+    let number = |nth: usize, default_value: u8| {
         arguments
             .get(nth)
             .and_then(|text| text.parse().ok())
-            .unwrap_or(unset)
+            .unwrap_or(default_value)
     };
     let rounds: Vec<u8> = arguments
         .first()
         .map_or("0123", String::as_str)
         .bytes()
-        .map(|b| b - b'0')
+        .map(|byte| byte - b'0')
         .collect();
     let (disk_losses, power_losses, spread_items, threads) =
         (number(1, 1), number(2, 0), number(3, 0), number(4, 3));
@@ -68,7 +68,7 @@
     let leaders = number(8, 0);
     let (mut finished, mut ended_early, mut skipped) = (0, 0, 0);
     let (started, mut states, mut depth, mut largest) = (Instant::now(), 0, 0, 0);
-    let mut ever = BTreeSet::new();
+    let mut reached_properties = BTreeSet::new();
     let orders = orders(&rounds);
     for same_version in [true, false] {
         for order in &orders {
@@ -89,27 +89,27 @@
                 leaders,
                 ..base
             };
-            let found = search_up_to(bounds, usize::from(threads), max_states);
-            for (name, trace) in &found.violated {
+            let result = search_up_to(bounds, usize::from(threads), max_states);
+            for (name, trace) in &result.violated {
                 println!(
                     "violated, with the ballots of {order:?}, same version {same_version}: {name}"
                 );
                 trace.iter().for_each(|action| println!("  {action:?}"));
             }
-            if !found.violated.is_empty() {
+            if !result.violated.is_empty() {
                 std::process::exit(1);
             }
             (states, depth, largest) = (
-                states + found.states,
-                depth.max(found.depth),
-                largest.max(found.states),
+                states + result.states,
+                depth.max(result.depth),
+                largest.max(result.states),
             );
-            if found.complete {
+            if result.complete {
                 finished += 1;
             } else {
                 ended_early += 1;
             }
-            ever.extend(found.happened);
+            reached_properties.extend(result.reached);
         }
         let took = started.elapsed().as_secs_f64();
         println!(
@@ -122,8 +122,10 @@
         orders.len()
     );
     println!("{finished} searches complete, {ended_early} ended early, {skipped} not begun");
-    most_memory()
+    peak_memory_mb()
         .iter()
         .for_each(|memory| println!("at most {memory} MB"));
-    ever.iter().for_each(|name| println!("reached: {name}"));
+    reached_properties
+        .iter()
+        .for_each(|name| println!("reached: {name}"));
 }
--- a/crates/emberpin-consensus/tests/bootstrap.rs
+++ b/crates/emberpin-consensus/tests/bootstrap.rs
@@ -1,4 +1,5 @@
-//! The bootstrap of the system: in any order of starts, interrupted, and repeated by a seed that lost its disk.
+//! The bootstrap of the system: with any order of starts, after interruptions, and when a seed that lost its disk asks
+//! for it again.
 
 mod cluster;
 
@@ -7,7 +8,7 @@
 use emberpin_consensus::{Call, Guards, Replica};
 use googletest::prelude::*;
 
-/// How long the bootstrap may take once all seeds run, in milliseconds: some round trips and two syncs.
+/// Time limit of the bootstrap once all seeds run, in milliseconds: some round trips and two syncs.
 const MAX_BOOTSTRAP_TIME: u64 = 150;
 
 fn all_vote(cluster: &Cluster, hosts: u8) -> bool {
@@ -15,14 +16,14 @@
     (1..=hosts).all(is_voter)
 }
 
-/// Seeds of which none has been started.
+/// Creates a cluster of seeds of which none has been started.
 fn cluster_of_stopped_seeds(seed: u64, count: u8) -> Cluster {
     cluster_of_stopped_seeds_with(seed, count, Guards::default())
 }
 
 fn cluster_of_stopped_seeds_with(seed: u64, count: u8, guards: Guards) -> Cluster {
     let mut cluster = Cluster::new(seed, count, 1, guards);
-    // Nothing is left of the bootstrap that a cluster begins with.
+    // Discards the bootstrap that a new cluster begins with.
     for host in 1..=count {
         cluster.lose_disk(ip(host));
     }
@@ -63,7 +64,7 @@
     PowerLoss,
 }
 
-/// All processes end some milliseconds after their start, and are started again without `bootstrap`.
+/// Stops all processes `after` milliseconds after their start, and restarts them without `bootstrap`.
 fn interrupted_bootstrap(seed: u64, after: u64, interruption: Interruption) -> Cluster {
     let mut cluster = cluster_of_stopped_seeds(seed, 3);
     for host in 1..=3 {
@@ -86,7 +87,8 @@
 #[gtest]
 fn interrupted_bootstrap_continues_after_a_restart() {
     for seed in 0..4 {
-        // From the first sync on, which takes up to 6 ms: before it, nothing is sent and nothing is on a disk.
+        // Interruptions begin after the first sync, which takes up to 6 ms: before it, nothing is sent and nothing is
+        // on a disk.
         for after in 6..60 {
             for interruption in [Interruption::Kill, Interruption::PowerLoss] {
                 let mut cluster = interrupted_bootstrap(seed, after, interruption);
@@ -103,9 +105,9 @@
     }
 }
 
-/// The nonces of these seeds are synced when all three lose power; then all are started again, `pauses` apart, as they
-/// are at any later start.
-fn bootstrap_ended_after_syncs_of(synced: &[u8], seed: u64, guards: Guards) -> Cluster {
+/// The nonces of the seeds in `synced` are synced when these seeds lose power. Then all three seeds are started without
+/// `bootstrap`, as at any later start, with random pauses in between.
+fn bootstrap_interrupted_after_syncs_of(synced: &[u8], seed: u64, guards: Guards) -> Cluster {
     let mut cluster = cluster_of_stopped_seeds_with(seed, 3, guards);
     for host in synced {
         cluster.start(ip(*host), Start::Bootstrap);
@@ -124,10 +126,10 @@
 }
 
 #[gtest]
-fn bootstrap_ended_before_most_seeds_synced_goes_on_by_itself() {
+fn bootstrap_interrupted_before_most_seeds_synced_continues() {
     for seed in 0..30 {
         for synced in [&[1][..], &[2], &[3], &[1, 2], &[2, 3]] {
-            let mut cluster = bootstrap_ended_after_syncs_of(synced, seed, Guards::default());
+            let mut cluster = bootstrap_interrupted_after_syncs_of(synced, seed, Guards::default());
             expect_that!(
                 all_vote(&cluster, 3),
                 eq(true),
@@ -143,16 +145,16 @@
 #[gtest]
 fn seeds_that_are_all_without_a_disk_bootstrap_nothing() {
     for seed in 0..10 {
-        let cluster = bootstrap_ended_after_syncs_of(&[], seed, Guards::default());
+        let cluster = bootstrap_interrupted_after_syncs_of(&[], seed, Guards::default());
         expect_that!(cluster.newest_roster(), is_empty(), "seed {seed}");
     }
 }
 
 #[gtest]
-fn seed_that_lost_its_disk_becomes_no_candidate_while_another_one_knows_the_roster() {
-    let mut founded = 0;
+fn seed_that_lost_its_disk_becomes_no_candidate_while_another_seed_knows_the_roster() {
+    let mut runs_with_a_roster = 0;
     for seed in 0..60 {
-        // 3 is a candidate that has learned of nothing, 1 loses its disk, and 2 is away.
+        // 3 is a candidate that knows no roster, 1 loses its disk, and 2 is down.
         let mut cluster = cluster_of_stopped_seeds(seed, 3);
         for host in 1..=3 {
             cluster.start(ip(host), Start::Bootstrap);
@@ -164,7 +166,7 @@
             // 3 was killed before it answered the initiator.
             continue;
         }
-        founded += 1;
+        runs_with_a_roster += 1;
         cluster.call_until_done(ip(1), set_service("a", 1, 1));
         cluster.kill(ip(2));
         cluster.lose_disk(ip(1));
@@ -177,7 +179,7 @@
         expect_that!(cluster.violation, none());
         expect_that!(all_vote(&cluster, 3), eq(true));
     }
-    expect_that!(founded, ge(10));
+    expect_that!(runs_with_a_roster, ge(10));
 }
 
 #[gtest]
@@ -199,7 +201,8 @@
     }
 }
 
-/// 1 and 2 know an item; 1 loses its disk and is started for a bootstrap, while 2 is down and 3 is behind. Then 3 reads.
+/// 1 and 2 know an item that 3 lacks. 1 loses its disk and is started with `bootstrap` while 2 is down. Then 3 reads;
+/// returns the status of the read.
 fn seed_bootstraps_again_after_it_lost_its_disk(guards: Guards) -> (u16, Cluster) {
     let mut cluster = Cluster::new(2, 3, 1, guards);
     cluster.run(1_000);
@@ -241,8 +244,8 @@
 fn bootstrap_needs_a_majority_of_candidates() {
     for seed in 0..10 {
         let mut cluster = cluster_of_stopped_seeds(seed, 3);
-        // One seed has lost its disk; the other two are new machines that know no roster yet. Their settings name
-        // machines that are up.
+        // One seed has lost its disk; the other two are new machines that know no roster yet. Their settings do not
+        // name the first seed.
         cluster.add_machine(ip(4));
         cluster.node(ip(1)).delisted = true;
         for host in [2, 3] {
@@ -251,7 +254,7 @@
         cluster.start(ip(1), Start::Bootstrap);
         cluster.run(5_000);
         expect_that!(cluster.newest_roster(), is_empty(), "seed {seed}");
-        // Started for a bootstrap themselves, they agree to it.
+        // Once the other two are started with `bootstrap` themselves, the bootstrap succeeds.
         for host in [2, 3] {
             cluster.kill(ip(host));
         }
--- a/crates/emberpin-consensus/tests/call_limits.rs
+++ b/crates/emberpin-consensus/tests/call_limits.rs
@@ -1,4 +1,4 @@
-//! Calls that cannot be done: without a majority, unreadable, or too many at once.
+//! Calls that cannot be carried out: without a majority, unreadable, or beyond the capacity of the queue.
 
 mod cluster;
 
--- a/crates/emberpin-consensus/tests/catch_up.rs
+++ b/crates/emberpin-consensus/tests/catch_up.rs
@@ -1,4 +1,4 @@
-//! Catching up: a voter that lost its disk does not vote before it knows what it may have voted for.
+//! Catching up: a voter that lost its disk does not vote before it knows all proposals that it may have voted for.
 
 mod cluster;
 
@@ -8,7 +8,8 @@
 use emberpin_consensus::{Call, Guards};
 use googletest::prelude::*;
 
-/// Two of three know an item; one of these loses its disk while the other is down. Then the third reads.
+/// Two of three replicas know an item. One of these loses its disk while the other one is down; then the third replica
+/// reads.
 fn read_with_a_voter_that_lost_its_disk(guards: Guards) -> Cluster {
     let mut cluster = Cluster::new(2, 3, 1, guards);
     cluster.run(100);
@@ -52,10 +53,11 @@
     second: Option<u16>,
 }
 
-/// Of five, 2 has the promise of 3 alone, which then loses its disk and catches up from the others, at a ballot below that
-/// of 2. A call is chosen by 1, 3 and 4, and another content of it is proposed by 2 once 5 has promised too.
+/// Of five voters, 2 has only the promise of 3, which then loses its disk and catches up from the others, at a ballot
+/// below that of 2. A call is chosen by 1, 3 and 4. Once 5 has promised too, 2 proposes another content of the same
+/// version.
 fn promise_of_a_disk_that_was_lost_since(guards: Guards) -> (Statuses, Cluster) {
-    // The call at 2 has to wait while 2 is in a minority.
+    // Without contact checks, the call at 2 waits while 2 is in a minority.
     let guards = Guards {
         contact_check: false,
         ..guards
@@ -66,7 +68,7 @@
     for other in [1, 4, 5] {
         cluster.partition(ip(2), ip(other));
     }
-    // Rounds fail, so that the ballots of 2 rise, and its rounds last longer.
+    // The rounds of 2 fail, so that its ballots rise and its rounds last longer.
     cluster.call(ip(2), set_service("a", 1, 2));
     cluster.run(2_900);
     cluster.call(ip(2), set_service("a", 1, 2));
--- a/crates/emberpin-consensus/tests/comparison.rs
+++ b/crates/emberpin-consensus/tests/comparison.rs
@@ -1,4 +1,4 @@
-//! Comparison of states: when a replica knows everything that was acknowledged.
+//! Comparison of states: a comparison counts only once the replica knows everything that may have been acknowledged.
 
 mod cluster;
 
@@ -16,8 +16,8 @@
     after_learning_the_item: bool,
 }
 
-/// Machine 3 proposed an item, which 1 has accepted. 3 acknowledged it and is down; 2 knows nothing of it, and compares
-/// its state with 1.
+/// Machine 3 has proposed and acknowledged an item, which 1 has accepted, and is down. 2 does not know the item, and
+/// compares its state with 1.
 fn compare_with_a_voter_that_accepted_an_item(guards: Guards) -> Confirmation {
     let (mut acceptor, mut replica) = (voter(1, guards), voter(2, guards));
     let item = Item {
--- a/crates/emberpin-consensus/tests/concurrent_calls.rs
+++ b/crates/emberpin-consensus/tests/concurrent_calls.rs
@@ -1,4 +1,4 @@
-//! Concurrent calls at several replicas: of those that exclude each other one is acknowledged.
+//! Concurrent calls at several replicas: of calls that exclude each other, exactly one is acknowledged.
 
 mod cluster;
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// The outcome of two calls, the one that removes a service and the one that routes to it.
+/// The outcome of two concurrent calls, one that removes a service and one that adds a route to it.
 #[derive(Debug, PartialEq)]
 struct ConcurrentCalls {
     /// In ascending order.
@@ -40,7 +40,7 @@
     violation: Option<String>,
 }
 
-/// Two replicas are called at once: one removes a service, and the other one routes to it.
+/// Calls two replicas at once: one to remove a service, and the other one to add a route to it.
 fn concurrent_changes_that_exclude_each_other(seed: u64, guards: Guards) -> ConcurrentCalls {
     let mut cluster = Cluster::new(seed, 3, 1, guards);
     cluster.network_delay = 1..30;
@@ -81,7 +81,8 @@
     }
 }
 
-/// 1 alone has accepted the removal of a service. The other replicas choose a route to it, and know that it is chosen.
+/// Only 1 has accepted the removal of a service. The other replicas choose a route to it, and know that the route is
+/// chosen.
 fn removal_accepted_by_its_proposer_alone(guards: Guards) -> Option<String> {
     let mut cluster = Cluster::new(12, 3, 1, guards);
     cluster.run(100);
--- a/crates/emberpin-consensus/tests/contact.rs
+++ b/crates/emberpin-consensus/tests/contact.rs
@@ -1,4 +1,5 @@
-//! Calls at a replica that was just partitioned are answered at once; those that only wait for disks are not rejected.
+//! Contact checks: calls at a replica that was just partitioned are rejected early; calls that only wait for disks are
+//! not.
 
 mod cluster;
 
@@ -7,8 +8,9 @@
 use emberpin_consensus::{Call, Guards};
 use googletest::prelude::*;
 
-/// In milliseconds. A caller at a partitioned machine is to have an answer within 300.
-const IMMEDIATELY: u64 = 260;
+/// Time limit of an early rejection, in milliseconds. A caller at a partitioned machine has to get an answer within 300
+/// ms.
+const MAX_REJECTION_TIME: u64 = 260;
 
 fn running_cluster(guards: Guards) -> Cluster {
     let mut cluster = Cluster::new(10, 3, 1, guards);
@@ -16,7 +18,7 @@
     cluster
 }
 
-/// The statuses of a change and a read at a replica whose peers are killed right before, this long after.
+/// The statuses of a change and a read at a replica whose peers were killed right before, `after` milliseconds later.
 fn statuses_in_a_minority(guards: Guards, after: u64) -> [Option<u16>; 2] {
     let mut cluster = running_cluster(guards);
     cluster.kill(ip(2));
@@ -28,11 +30,12 @@
 
 #[gtest]
 fn a_call_in_a_minority_is_rejected_at_once() {
-    let statuses = statuses_in_a_minority(Guards::default(), IMMEDIATELY);
+    let statuses = statuses_in_a_minority(Guards::default(), MAX_REJECTION_TIME);
     expect_that!(statuses, each(eq(Some(503))));
 }
 
-/// The check of the first call has passed by then, on disks that keep the round waiting.
+/// The first contact check has passed when the peers are killed, and slow disks still keep the round waiting, so a
+/// further check has to fail.
 #[gtest]
 fn a_call_whose_replica_is_partitioned_while_it_waits_is_rejected_soon() {
     let mut cluster = running_cluster(Guards::default());
@@ -41,7 +44,7 @@
     cluster.run(20);
     cluster.kill(ip(2));
     cluster.kill(ip(3));
-    cluster.run(2 * IMMEDIATELY);
+    cluster.run(2 * MAX_REJECTION_TIME);
     let statuses = calls.map(|call| cluster.calls[call].status());
     expect_that!(statuses, each(eq(Some(503))));
 }
@@ -52,7 +55,10 @@
         contact_check: false,
         ..Guards::default()
     };
-    expect_that!(statuses_in_a_minority(guards, IMMEDIATELY), each(none()));
+    expect_that!(
+        statuses_in_a_minority(guards, MAX_REJECTION_TIME),
+        each(none())
+    );
 }
 
 #[gtest]
--- a/crates/emberpin-consensus/tests/disk_failures.rs
+++ b/crates/emberpin-consensus/tests/disk_failures.rs
@@ -1,4 +1,4 @@
-//! Disks that are full or stall: nothing is answered before it is synced.
+//! Full and stalled disks: a replica answers nothing that depends on a write before the write is synced.
 
 mod cluster;
 
@@ -10,7 +10,7 @@
 use googletest::prelude::*;
 
 /// A stall of a disk that is longer than any round or call waits, in milliseconds.
-const STALL: u64 = 5_000;
+const STALL_DURATION: u64 = 5_000;
 
 fn acknowledgement() -> Reply {
     Reply {
@@ -20,11 +20,12 @@
 }
 
 #[gtest]
-fn replica_with_a_full_disk_rejects_calls_and_recovers_once_there_is_room() {
+fn replica_with_a_full_disk_rejects_calls_and_recovers_once_the_disk_is_freed() {
     let mut cluster = Cluster::new(21, 3, 1, Guards::default());
     cluster.run(100);
     cluster.fill_disk(ip(1));
-    // Longer than the grace of a rejected round: a voter that cannot vote must not cut the time of the others.
+    // Syncs take longer than the grace of a rejected round: a voter that cannot vote must not shorten the time that the
+    // other voters have.
     cluster.sync_time = 200..260;
     let rejected = cluster.call(ip(1), set_service("a", 1, 1));
     cluster.run(10);
@@ -42,7 +43,7 @@
         some(eq(&acknowledgement()))
     );
     cluster.run(100);
-    // Learning goes on, as it needs no sync.
+    // The replica with the full disk still learns chosen items, as this needs no sync.
     expect_that!(cluster.service_version(1, "b"), some(eq(1)));
     cluster.sync_time = 2..6;
     cluster.free_disk(ip(1));
@@ -91,8 +92,8 @@
     expect_that!(is_rejected(actions), eq(false));
 }
 
-/// 2 accepts a proposal while its disk is full, and then has room again. When 1 has answered the call, all lose power, and 1
-/// its disk.
+/// 2 accepts a proposal while its disk is full, and its disk is freed afterwards. Once 1 has answered the call, all
+/// machines lose power, and 1 loses its disk.
 fn proposal_accepted_on_a_disk_that_was_full(guards: Guards) -> Option<String> {
     let mut cluster = Cluster::new(3, 3, 1, guards);
     cluster.run(100);
@@ -140,7 +141,7 @@
 fn stalled_disk_delays_neither_other_replicas_nor_learning() {
     let mut cluster = Cluster::new(22, 3, 1, Guards::default());
     cluster.run(100);
-    let until = cluster.now + STALL;
+    let until = cluster.now + STALL_DURATION;
     cluster.node(ip(1)).stalled_until = until;
     let at_stalled = cluster.call(ip(1), set_service("a", 1, 1));
     let at_other = cluster.call(ip(2), set_service("b", 1, 1));
@@ -148,7 +149,7 @@
     expect_that!(cluster.calls[at_other].reply, some(eq(&acknowledgement())));
     expect_that!(cluster.calls[at_stalled].reply, some(anything()));
     expect_that!(cluster.service_version(1, "b"), some(eq(1)));
-    cluster.run(STALL);
+    cluster.run(STALL_DURATION);
     expect_that!(cluster.status_of(ip(1), &set_service("c", 1, 1)), eq(200));
     cluster.heal_and_check();
     expect_that!(cluster.violation, none());
@@ -161,18 +162,20 @@
     violation: Option<String>,
 }
 
-/// The disk of 2 stalls, and 3 is partitioned. When the call at 1 is answered, or the stall is nearly over, all lose power,
-/// and 1 its disk.
+/// The disk of 2 stalls, and 3 is partitioned. When the call at 1 is answered, or the stall is nearly over, all
+/// machines lose power, and 1 loses its disk.
 fn power_loss_during_a_stall(guards: Guards) -> StalledCall {
     let mut cluster = Cluster::new(23, 3, 1, guards);
     cluster.run(100);
     for other in [1, 2] {
         cluster.partition(ip(3), ip(other));
     }
-    let until = cluster.now + STALL;
+    let until = cluster.now + STALL_DURATION;
     cluster.node(ip(2)).stalled_until = until;
     let sent = cluster.call(ip(1), set_service("a", 1, 1));
-    cluster.run_while(STALL - 100, |cluster| cluster.calls[sent].reply.is_none());
+    cluster.run_while(STALL_DURATION - 100, |cluster| {
+        cluster.calls[sent].reply.is_none()
+    });
     let status = cluster.calls[sent].status();
     for host in 1..=3 {
         cluster.lose_power_and_unsynced_writes(ip(host));
--- a/crates/emberpin-consensus/tests/durability.rs
+++ b/crates/emberpin-consensus/tests/durability.rs
@@ -1,4 +1,4 @@
-//! Durability: acknowledged items survive losses of power, of disks and of proposers.
+//! Durability: acknowledged items survive the loss of power, disks and proposers.
 
 mod cluster;
 
@@ -8,7 +8,7 @@
 use emberpin_consensus::{Call, Guards};
 use googletest::prelude::*;
 
-/// All lose power when a call is acknowledged, and one of them its disk.
+/// When a call is acknowledged, all machines lose power, and one of them loses its disk.
 fn power_loss_at_acknowledgement(seed: u64, guards: Guards) -> Option<String> {
     let mut cluster = Cluster::new(seed, 3, 1, guards);
     cluster.run(100);
@@ -64,7 +64,7 @@
     expect_that!(cluster.violation, none());
 }
 
-/// A call is proposed, the messages that a test holds back are lost, and the proposer is killed.
+/// A call is proposed, the messages that match `hold_back` are lost, and the proposer is killed.
 fn proposer_killed_during_phase_two(hold_back: fn(&Message) -> bool) -> Cluster {
     let mut cluster = Cluster::new(4, 3, 1, Guards::default());
     cluster.run(100);
@@ -104,7 +104,7 @@
     expect_that!(cluster.status_of(ip(3), &set_service("a", 6, 3)), eq(200));
     cluster.heal_and_check();
     expect_that!(cluster.violation, none());
-    // Other rounds went by without it, so that none of it may be chosen any more.
+    // Later rounds did not see the proposal, so none of its items may be chosen any more.
     expect_that!(
         (
             cluster.service_version(1, "a"),
@@ -125,10 +125,10 @@
     );
 }
 
-/// Of five, one knows an item to be chosen, and two have accepted it. A round with promises of others replaces what these
-/// two have accepted.
+/// Of five voters, one knows an item to be chosen, and two have accepted it. A round with the promises of other voters
+/// replaces the proposal that these two have accepted.
 fn round_replaces_an_accepted_proposal(seed: u64, guards: Guards) -> Option<String> {
-    // The comparison that it begins would repair what the voters lack.
+    // Without contact checks: the comparison that a check begins would transfer the items that the voters lack.
     let guards = Guards {
         contact_check: false,
         ..guards
@@ -184,7 +184,7 @@
         transfer_missing_items: false,
         ..Guards::default()
     };
-    // Whether the round gets just these promises depends on draws.
+    // Whether the round gets exactly these promises depends on the random delays.
     let loses = |seed: &u64| {
         round_replaces_an_accepted_proposal(*seed, guards)
             .is_some_and(|violation| violation.contains("lost"))
--- a/crates/emberpin-consensus/tests/evacuation.rs
+++ b/crates/emberpin-consensus/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuations of a zone.
+//! Evacuations of a zone: a late call does not undo a change that was acknowledged after it was sent.
 
 mod cluster;
 
@@ -76,8 +76,8 @@
     }
 }
 
-/// The operator begins an evacuation, gives that call up, and ends the evacuation elsewhere. Then the call arrives that it
-/// gave up. Whether the zone is evacuated at the end.
+/// An operator begins an evacuation, abandons that call, and ends the evacuation at another replica. Then the abandoned
+/// call arrives. Returns whether the zone is evacuated at the end.
 fn begins_again_after_the_end(guards: Guards, begun_before: bool) -> bool {
     let mut cluster = Cluster::new(10, 3, 1, guards);
     cluster.run(100);
--- a/crates/emberpin-consensus/tests/former_voters.rs
+++ b/crates/emberpin-consensus/tests/former_voters.rs
@@ -1,4 +1,5 @@
-//! Former voters: machines that were replaced return with their disks, alone or as a majority of the first roster.
+//! Former voters: machines that were replaced return with their old disks, alone or as a majority of the first roster.
+//! They must not decide anything.
 
 mod cluster;
 
@@ -12,8 +13,8 @@
 /// How long a replacement runs before the machine that it replaces is shut down, in milliseconds.
 const SYNC_TIME: u64 = 4_000;
 
-/// Each of the first voters is replaced, one after the other. Then a call is acknowledged, and the former voters are
-/// partitioned from the new ones.
+/// Replaces the first voters one after the other. Then a call is acknowledged, and the former voters are partitioned
+/// from the new ones.
 fn cluster_with_all_voters_replaced(seed: u64) -> Cluster {
     let mut cluster = Cluster::new(seed, 3, 1, Guards::default());
     cluster.run(1_000);
--- a/crates/emberpin-consensus/tests/linearizability.rs
+++ b/crates/emberpin-consensus/tests/linearizability.rs
@@ -1,5 +1,5 @@
-//! Linearizability: the replies of a short run can be explained by its calls taking effect one after the other. The
-//! specification never forgets a version, so it also covers retries and contents that conflict.
+//! Linearizability: the replies of a short run are explained by some order in which its calls take effect one after the
+//! other. The specification never forgets a version, so it also covers retries and conflicting contents.
 
 mod cluster;
 
@@ -12,12 +12,12 @@
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
 use std::collections::BTreeMap;
 
-/// How many calls a run has; few, as the checker tries all their orders.
+/// The number of calls in a run; small, as the checker tries all their orders.
 const CALLS: u64 = 12;
-/// How many calls may stay undecided, so that they may have taken effect at any time or never.
+/// Maximum number of undecided calls, which may have taken effect at any time or never.
 const MAX_UNDECIDED_CALLS: usize = 3;
 
-/// The items as clients may know them: every version that was ever acknowledged.
+/// The sequential specification: every version that was ever acknowledged.
 #[derive(Clone, Default)]
 struct AcknowledgedVersions {
     contents: BTreeMap<(ItemKey, Version), Option<String>>,
@@ -38,8 +38,8 @@
 }
 
 impl AcknowledgedVersions {
-    /// The status of a change. It is a conflict, if a version of it has another content already, or if nothing of it is
-    /// newer than what is known or acknowledged already.
+    /// The status of a change. It is a conflict if one of its versions already has another content, or if none of its
+    /// items is already acknowledged or newer than the newest version.
     fn change(&mut self, items: &[Item]) -> u16 {
         let version_of = |item: &Item| (item.key.clone(), item.version);
         let is_known = |item: &Item| self.contents.get(&version_of(item)) == Some(&item.body);
@@ -62,7 +62,10 @@
     }
 
     fn items(&self) -> Vec<(ItemKey, Version)> {
-        let versions = self.newest.iter().map(|(key, ver)| (key.clone(), *ver));
+        let versions = self
+            .newest
+            .iter()
+            .map(|(key, version)| (key.clone(), *version));
         versions
             .filter(|version| self.contents[version].is_some())
             .collect()
@@ -81,7 +84,7 @@
     }
 }
 
-/// The outcome that a reply tells; `None`, if it leaves undecided whether the call took effect.
+/// The outcome that a reply reports; `None` if it leaves undecided whether the call took effect.
 fn decided_outcome(call: &Call, status: u16, body: &str) -> Option<Outcome> {
     if status == 503 {
         return None;
@@ -97,8 +100,8 @@
     ))
 }
 
-/// Whether the calls and replies of a run can be explained by one order. Looks at the beginning of the run only, up to the
-/// call that would be one undecided call too many.
+/// Whether some order of the calls explains the replies of a run. Only the beginning of the run is checked, up to the
+/// call that would exceed [`MAX_UNDECIDED_CALLS`].
 fn is_linearizable(cluster: &Cluster) -> bool {
     let mut tester = LinearizabilityTester::new(AcknowledgedVersions::default());
     let mut undecided_calls = 0;
@@ -132,7 +135,8 @@
     tester.is_consistent()
 }
 
-/// Two to four clients call with few names and versions, each of which is used again, and replicas are killed.
+/// Runs one seed: two to four clients send calls with few names and versions, so that these are reused, and replicas
+/// are killed.
 fn run(seed: u64, guards: Guards) -> Option<String> {
     let mut cluster = Cluster::new(seed, 3, 1, guards);
     cluster.run(100);
--- a/crates/emberpin-consensus/tests/model.rs
+++ b/crates/emberpin-consensus/tests/model.rs
@@ -1,16 +1,17 @@
-//! The model of the protocol, searched within small bounds; `examples/search_model.rs` searches larger ones. Each mutation
-//! of the protocol has to be found.
+//! Searches the model of the protocol within small bounds; `examples/search_model.rs` searches larger ones. The
+//! unchanged protocol must have no violation, and each mutation that breaks a property must be detected.
 
 #[path = "model/register.rs"]
 mod register;
 
 use googletest::prelude::*;
 use register::{
-    search, Action, Mutation, RegisterModel, ACKNOWLEDGED, CAUGHT_UP, CHANGED, FIRST_WRITER, LED,
-    RECOVERING, REFUSED, ROSTER_CHANGER, SECOND_WRITER, STALE_READ, TWO_CHOSEN,
+    search, Action, Mutation, RegisterModel, ACKNOWLEDGED, CAUGHT_UP, FIRST_WRITER,
+    LED_ROUND_CHOSEN, RECOVERING, REJECTED, ROSTER_CHANGED, ROSTER_CHANGER, SECOND_WRITER,
+    STALE_READ, TWO_CHOSEN,
 };
 
-/// A model with these rounds and no faults; the tests add those that they need.
+/// A model with these rounds and no faults; the tests add the faults that they need.
 fn only_rounds(order: &[u8]) -> RegisterModel {
     RegisterModel {
         order: order.to_vec(),
@@ -21,33 +22,33 @@
     }
 }
 
-/// Searches without a violation; returns the properties that hold at some time.
+/// Searches, and expects no violation. Returns the `sometimes` properties that were reached.
 fn search_without_violation(bounds: RegisterModel) -> Vec<&'static str> {
-    let found = search(bounds.clone(), 2);
+    let result = search(bounds.clone(), 2);
     println!(
         "{} states, depth {}, in {bounds:?}",
-        found.states, found.depth
+        result.states, result.depth
     );
-    expect_that!(found.violated, is_empty());
-    expect_that!(found.complete, eq(true));
-    found.happened
+    expect_that!(result.violated, is_empty());
+    expect_that!(result.complete, eq(true));
+    result.reached
 }
 
-/// The property that a mutation violates. Other tests show that without a mutation none is violated within the same
-/// bounds.
+/// The property that a mutation violates. Other tests show that without a mutation no property is violated within the
+/// same bounds.
 fn violation_with(mutation: Mutation, bounds: RegisterModel) -> Option<&'static str> {
-    let found = search(
+    let result = search(
         RegisterModel {
             mutation: Some(mutation),
             ..bounds
         },
         1,
     );
-    let (name, trace): (_, Vec<Action>) = found.violated.into_iter().next()?;
+    let (name, trace): (_, Vec<Action>) = result.violated.into_iter().next()?;
     println!(
         "{mutation:?} violates \"{name}\" in {} steps, of {} states:",
         trace.len(),
-        found.states
+        result.states
     );
     trace.iter().for_each(|action| println!("  {action:?}"));
     Some(name)
@@ -56,23 +57,23 @@
 #[gtest]
 fn lost_disk_loses_no_acknowledged_item() {
     let bounds = only_rounds(&[FIRST_WRITER, RECOVERING, SECOND_WRITER]);
-    let happened = search_without_violation(RegisterModel {
+    let reached = search_without_violation(RegisterModel {
         disk_losses: 1,
         ..bounds
     });
     expect_that!(
-        happened,
-        unordered_elements_are![eq(&ACKNOWLEDGED), eq(&REFUSED), eq(&CAUGHT_UP)]
+        reached,
+        unordered_elements_are![eq(&ACKNOWLEDGED), eq(&REJECTED), eq(&CAUGHT_UP)]
     );
 }
 
 #[gtest]
 fn roster_change_loses_no_acknowledged_item() {
-    let happened =
+    let reached =
         search_without_violation(only_rounds(&[FIRST_WRITER, ROSTER_CHANGER, SECOND_WRITER]));
     expect_that!(
-        happened,
-        unordered_elements_are![eq(&ACKNOWLEDGED), eq(&REFUSED), eq(&CHANGED)]
+        reached,
+        unordered_elements_are![eq(&ACKNOWLEDGED), eq(&REJECTED), eq(&ROSTER_CHANGED)]
     );
 }
 
@@ -125,17 +126,17 @@
     );
 }
 
-/// A proposal based on a stale promise must not be accepted by any voter, as other proposers would take it for the
-/// latest.
+/// Checking incarnations when a voter accepts is not enough: a proposal based on a stale promise must not be accepted
+/// by any voter, as other proposers would take it for the latest one.
 #[gtest]
-fn search_detects_fencing_of_accepts_only() {
+fn search_detects_checking_incarnations_on_accept_only() {
     let bounds = RegisterModel {
         shortest: false,
         disk_losses: 1,
         ..only_rounds(&[RECOVERING, FIRST_WRITER, SECOND_WRITER, FIRST_WRITER])
     };
     expect_that!(
-        violation_with(Mutation::FenceAcceptsOnly, bounds),
+        violation_with(Mutation::CheckIncarnationsOnAcceptOnly, bounds),
         some(eq(TWO_CHOSEN))
     );
 }
@@ -253,7 +254,7 @@
     });
 }
 
-/// The first writer leads: each of its rounds after the first one may go without a phase 1.
+/// A model in which the first writer leads: each of its rounds after the first one may do without a phase 1.
 fn led_rounds(order: &[u8]) -> RegisterModel {
     RegisterModel {
         leaders: 1,
@@ -263,13 +264,13 @@
 
 #[gtest]
 fn led_rounds_lose_no_acknowledged_item() {
-    let happened = search_without_violation(RegisterModel {
+    let reached = search_without_violation(RegisterModel {
         power_losses: 1,
         ..led_rounds(&[FIRST_WRITER, SECOND_WRITER, FIRST_WRITER])
     });
     expect_that!(
-        happened,
-        unordered_elements_are![eq(&ACKNOWLEDGED), eq(&REFUSED), eq(&LED)]
+        reached,
+        unordered_elements_are![eq(&ACKNOWLEDGED), eq(&REJECTED), eq(&LED_ROUND_CHOSEN)]
     );
     search_without_violation(RegisterModel {
         power_losses: 1,
@@ -280,32 +281,37 @@
 
 #[gtest]
 fn led_rounds_around_a_lost_disk_lose_no_acknowledged_item() {
-    let happened = search_without_violation(RegisterModel {
+    let reached = search_without_violation(RegisterModel {
         disk_losses: 1,
         ..led_rounds(&[FIRST_WRITER, RECOVERING, FIRST_WRITER])
     });
     expect_that!(
-        happened,
-        unordered_elements_are![eq(&ACKNOWLEDGED), eq(&CAUGHT_UP), eq(&LED)]
+        reached,
+        unordered_elements_are![eq(&ACKNOWLEDGED), eq(&CAUGHT_UP), eq(&LED_ROUND_CHOSEN)]
     );
 }
 
 #[gtest]
 fn led_rounds_around_a_roster_change_lose_no_acknowledged_item() {
-    let happened = search_without_violation(led_rounds(&[
+    let reached = search_without_violation(led_rounds(&[
         FIRST_WRITER,
         FIRST_WRITER,
         ROSTER_CHANGER,
         SECOND_WRITER,
     ]));
     expect_that!(
-        happened,
-        unordered_elements_are![eq(&ACKNOWLEDGED), eq(&REFUSED), eq(&CHANGED), eq(&LED)]
+        reached,
+        unordered_elements_are![
+            eq(&ACKNOWLEDGED),
+            eq(&REJECTED),
+            eq(&ROSTER_CHANGED),
+            eq(&LED_ROUND_CHOSEN)
+        ]
     );
 }
 
 #[gtest]
-fn search_detects_telling_the_promise_of_the_next_ballot_before_its_sync() {
+fn search_detects_reporting_the_promise_of_the_next_ballot_before_its_sync() {
     let bounds = RegisterModel {
         power_losses: 1,
         ..led_rounds(&[FIRST_WRITER, SECOND_WRITER, FIRST_WRITER])
@@ -317,7 +323,7 @@
 }
 
 #[gtest]
-fn search_detects_last_items_that_are_not_sent_along() {
+fn search_detects_proposals_without_the_items_of_the_last_round() {
     let bounds = led_rounds(&[FIRST_WRITER, FIRST_WRITER, SECOND_WRITER]);
     expect_that!(
         violation_with(Mutation::OmitLastItems, bounds),
@@ -325,9 +331,9 @@
     );
 }
 
-/// What was announced may be lost with the power, as voters write it without a sync.
+/// Announced items may be lost with the power, as voters write them without a sync.
 #[gtest]
-fn search_detects_last_items_that_are_not_sent_along_once_all_voters_learned_them() {
+fn search_detects_proposals_without_last_items_that_all_voters_have_learned() {
     let bounds = RegisterModel {
         power_losses: 1,
         spread_items: 2,
@@ -348,7 +354,7 @@
     );
 }
 
-/// Searches with a mutation that violates nothing, but reaches states that are not reached without it.
+/// Searches with a mutation that violates no property, but reaches states that are not reached without it.
 fn search_with_harmless_mutation(mutation: Mutation, bounds: RegisterModel) {
     let without = RegisterModel {
         reduced: false,
@@ -369,21 +375,21 @@
     expect_that!(with.states, gt(without.states));
 }
 
-/// Whoever catches up after it promised the next ballot of a leader whose round is chosen does so by a higher ballot,
-/// and accepts nothing below that: its promise is kept, whether or not the leader counts it.
+/// A voter that catches up after it promised the next ballot of a leader whose proposal is chosen does so at a higher
+/// ballot, and accepts no lower one. So its promise is kept whether or not the leader counts it.
 #[gtest]
-fn void_promises_of_the_next_ballot_are_kept_anyway() {
+fn counting_void_promises_of_the_next_ballot_violates_nothing() {
     let bounds = RegisterModel {
         disk_losses: 1,
         ..led_rounds(&[RECOVERING, FIRST_WRITER, FIRST_WRITER, SECOND_WRITER])
     };
-    search_with_harmless_mutation(Mutation::CountStaleKeptPromises, bounds);
+    search_with_harmless_mutation(Mutation::CountStaleNextPromises, bounds);
 }
 
-/// A change of the roster that is chosen after the next ballot was promised has a higher ballot, which a majority of the
-/// new roster promised.
+/// A change of the roster that is chosen after the next ballot was promised has a higher ballot, which a majority of
+/// the new roster has promised.
 #[gtest]
-fn next_ballots_of_a_replaced_roster_are_rejected_anyway() {
+fn leading_with_the_next_ballot_of_a_replaced_roster_violates_nothing() {
     let bounds = RegisterModel {
         spread_items: 1,
         ..led_rounds(&[FIRST_WRITER, FIRST_WRITER, ROSTER_CHANGER])
--- a/crates/emberpin-consensus/tests/model/led_rounds.rs
+++ b/crates/emberpin-consensus/tests/model/led_rounds.rs
@@ -1,27 +1,27 @@
-//! Led rounds in the model: a voter that accepts a leader's proposal promises the leader's next ballot by the same write,
-//! so that the leader's next round has its phase 1 from this one.
+//! Led rounds in the model: a voter that accepts a leader's proposal promises the leader's next ballot in the same
+//! write, so that the leader's next round needs no phase 1 of its own.
 
 use super::{
     proposer, Action, Ballot, Call, Items, Mutation, Proposal, RegisterModel, Reply, Round, State,
     FIRST, NODES, PROPOSERS, ROSTER, SECOND,
 };
 
-/// What a voter tells when it accepts a leader's proposal, besides that.
+/// The promise of a leader's next ballot, which a voter reports when it accepts the leader's proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct KeptPromise {
+pub struct NextBallotPromise {
     pub incarnation: Ballot,
     pub latest_incarnations: [Ballot; NODES],
 }
 
-/// What a leader has from its last round, which is chosen.
+/// The state that a leader keeps from its last round, whose proposal is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Leadership {
     pub ballot: Ballot,
     pub uses_second_roster: bool,
-    promises: [Option<KeptPromise>; NODES],
+    promises: [Option<NextBallotPromise>; NODES],
     /// All chosen items that it knows.
     known: Items,
-    /// Those of the last round.
+    /// The chosen items of the last round.
     last_items: Items,
 }
 
@@ -31,7 +31,7 @@
         number < self.leaders
     }
 
-    /// What the caller of a proposer's round may ask for.
+    /// The calls that a round of a proposer may serve.
     pub(super) fn calls(&self, state: &State, number: u8) -> Vec<Call> {
         match self.leads(number) {
             false => vec![Call::Write],
@@ -40,7 +40,8 @@
         }
     }
 
-    /// The ballot that voters promise when they accept this round. It is used by a led round or not at all.
+    /// Reserves the ballot that voters promise when they accept the proposal of this round. Only a led round may use
+    /// it.
     pub(super) fn reserve_next_ballot(&self, state: &mut State, nth: usize) {
         let round = &mut state.rounds[nth];
         let number = proposer(round.ballot);
@@ -55,45 +56,45 @@
     /// The rounds that leaders may begin without a phase 1.
     pub(super) fn lead_actions(&self, state: &State, actions: &mut Vec<Action>) {
         for (number, owner) in (0..PROPOSERS).zip(&state.proposers) {
-            let Some(kept) = owner.leadership else {
+            let Some(leadership) = owner.leadership else {
                 continue;
             };
-            let knows_second = state.nodes[usize::from(number)].now.chosen & ROSTER != 0;
-            let is_replaced = knows_second && !kept.uses_second_roster;
+            let knows_second = state.nodes[usize::from(number)].memory.chosen & ROSTER != 0;
+            let is_replaced = knows_second && !leadership.uses_second_roster;
             if is_replaced && !self.has(Mutation::LeadAfterRosterChange) {
                 continue;
             }
-            if !self.has_valid_quorum(&kept) && !self.has(Mutation::CountStaleKeptPromises) {
+            if !self.has_valid_quorum(&leadership) && !self.has(Mutation::CountStaleNextPromises) {
                 continue;
             }
             let mut calls = self.calls(state, number);
-            if self.has(Mutation::LeadRosterChange) && kept.known & ROSTER == 0 {
+            if self.has(Mutation::LeadRosterChange) && leadership.known & ROSTER == 0 {
                 calls.push(Call::ChangeRoster);
             }
-            let ballot = kept.ballot;
+            let ballot = leadership.ballot;
             actions.extend(calls.into_iter().map(|call| Action::Lead { ballot, call }));
         }
     }
 
     /// Whether the voters whose promises are not void are a quorum.
-    fn has_valid_quorum(&self, kept: &Leadership) -> bool {
-        let roster = self.roster(kept.uses_second_roster);
+    fn has_valid_quorum(&self, leadership: &Leadership) -> bool {
+        let roster = self.roster(leadership.uses_second_roster);
         let promising = (0..NODES)
-            .filter(|voter| kept.promises[*voter].is_some())
+            .filter(|voter| leadership.promises[*voter].is_some())
             .fold(0, |promising, voter| promising | 1 << voter);
         (1..1u8 << NODES)
             .filter(|quorum| quorum & !promising == 0)
-            .any(|quorum| super::is_majority(quorum, roster) && are_valid(kept, quorum))
+            .any(|quorum| super::is_majority(quorum, roster) && are_valid(leadership, quorum))
     }
 
-    /// A leader proposes at the ballot that its last round was accepted with.
+    /// A leader proposes at the ballot that voters promised when they accepted the proposal of its last round.
     pub(super) fn lead(&self, state: &mut State, ballot: Ballot, call: Call) {
         let number = proposer(ballot);
-        let Some(kept) = state.proposers[usize::from(number)].leadership.take() else {
+        let Some(leadership) = state.proposers[usize::from(number)].leadership.take() else {
             return;
         };
         let replica = &state.nodes[usize::from(number)];
-        let known = kept.known | (replica.now.chosen & !self.covered(kept.known));
+        let known = leadership.known | (replica.memory.chosen & !self.covered(leadership.known));
         let (wanted, other) = match call {
             Call::ChangeRoster => (ROSTER, 0),
             _ if number == super::FIRST_WRITER => (FIRST, SECOND),
@@ -102,19 +103,21 @@
         let (items, outcome) = match call {
             Call::Read => (0, Reply::Nothing),
             _ if known & wanted != 0 => (0, Reply::Acknowledged),
-            _ if known & other != 0 => (0, Reply::Refused),
+            _ if known & other != 0 => (0, Reply::Rejected),
             _ => (wanted, Reply::Acknowledged),
         };
-        let roster = self.roster(kept.uses_second_roster);
+        let roster = self.roster(leadership.uses_second_roster);
         let all_learned = (0..NODES)
             .filter(|voter| roster & 1 << voter != 0)
-            .all(|voter| kept.last_items & !self.covered(state.nodes[voter].now.chosen) == 0);
+            .all(|voter| {
+                leadership.last_items & !self.covered(state.nodes[voter].memory.chosen) == 0
+            });
         let omits = self.has(Mutation::OmitLastItems)
             || (self.has(Mutation::OmitLearnedItems) && all_learned);
-        let chosen = if omits { 0 } else { kept.last_items };
+        let chosen = if omits { 0 } else { leadership.last_items };
         state.rounds.push(Round {
             ballot,
-            uses_second_roster: kept.uses_second_roster || known & ROSTER != 0,
+            uses_second_roster: leadership.uses_second_roster || known & ROSTER != 0,
             joint: false,
             promises: [None; NODES],
             proposal: Some(Proposal { chosen, items }),
@@ -133,7 +136,8 @@
         self.reserve_next_ballot(state, nth);
     }
 
-    /// A round is chosen, whose proposer may lead from now on. Only now is a led round known to have read everything.
+    /// The proposal of a round is chosen, and its proposer may lead from now on. Only now is a led round known to have
+    /// read everything.
     pub(super) fn finish_led(&self, state: &mut State, nth: usize, items: Items) {
         let round = state.rounds[nth];
         let number = usize::from(proposer(round.ballot));
@@ -152,13 +156,13 @@
         }
         let changes_roster = round.is_led && items & ROSTER != 0;
         if changes_roster && round.outcome == Reply::Acknowledged {
-            // The reply to the writer's own call comes later.
+            // The reply to the writer's own call is sent later.
             state.acknowledged |= ROSTER;
             state.rounds[nth].outcome = Reply::Nothing;
         }
     }
 
-    /// The leaders on these replicas have lost what they had in memory.
+    /// Ends the leaderships of proposers on these replicas, which have lost their memory.
     pub(super) fn end_leaderships(&self, state: &mut State, replicas: u8) {
         for (number, proposer) in state.proposers.iter_mut().enumerate() {
             if replicas & 1 << number != 0 {
@@ -168,12 +172,12 @@
     }
 }
 
-/// Whether of these voters' promises, none is void because another one tells a later incarnation of its voter.
-fn are_valid(kept: &Leadership, quorum: u8) -> bool {
+/// Whether none of these voters' promises is void because another one reports a later incarnation of its voter.
+fn are_valid(leadership: &Leadership, quorum: u8) -> bool {
     let promises = || {
         (0..NODES)
             .filter(|voter| quorum & 1 << voter != 0)
-            .filter_map(|voter| Some((voter, kept.promises[voter]?)))
+            .filter_map(|voter| Some((voter, leadership.promises[voter]?)))
     };
     promises().all(|(voter, promise)| {
         promises().all(|(_, other)| other.latest_incarnations[voter] <= promise.incarnation)
--- a/crates/emberpin-consensus/tests/model/register.rs
+++ b/crates/emberpin-consensus/tests/model/register.rs
@@ -1,58 +1,59 @@
-//! A model of the protocol for `stateright`: rounds of ballots over voters whose roster changes and of which some lose
-//! their disks. It is an abstraction with types of its own, as replicas have clocks and queues that a search need not
-//! tell apart; `docs/design/consensus.md` says which functions each action stands for.
+//! A model of the protocol for `stateright`: rounds with ballots among voters whose roster changes, and of which some
+//! lose their disks. It is an abstraction with types of its own, as replicas have clocks and queues whose states a
+//! search need not distinguish. `docs/design/consensus.md` lists the functions that each action stands for.
 //!
-//! The network is a set that only grows: messages may be delivered late, twice, or never.
+//! The network is a set of messages that only grows: a message may be delivered late, twice, or never.
 
 mod led_rounds;
 
-use led_rounds::{KeptPromise, Leadership};
+use led_rounds::{Leadership, NextBallotPromise};
 use stateright::{Checker, HasDiscoveries, Model, Path, Property};
 
-/// Three voters, and the one that is to replace the last of them; or five voters, whose roster stays.
+/// The number of machines: three voters, and one that is to replace the last of them; or five voters whose roster does
+/// not change.
 const NODES: usize = 5;
 const PROPOSERS: u8 = 4;
 pub const FIRST_WRITER: u8 = 0;
 pub const SECOND_WRITER: u8 = 1;
-/// The proposer of the change of the roster; its replica joins.
+/// The proposer of the change of the roster; its replica joins the roster.
 pub const ROSTER_CHANGER: u8 = 2;
-/// Any voter that lost its disk and catches up.
+/// The proposer on any voter that lost its disk and catches up.
 pub const RECOVERING: u8 = 3;
 
 const ROSTERS: [u8; 2] = [0b0111, 0b1011];
 const FIVE_VOTERS: u8 = 0b11111;
 
-/// Items, as a set of bits. The first two conflict: one version with two contents, or two changes that are not valid
-/// together.
+/// A set of items, one bit for each. The first two items conflict: they are two contents of one version, or two changes
+/// that are not valid together.
 pub type Items = u8;
 const FIRST: Items = 1;
 const SECOND: Items = 2;
 const ROSTER: Items = 4;
 
-/// The counter times the number of proposers, and the proposer's number; 0 for none. As only the order of
-/// ballots matters, no two counters are the same.
+/// The counter times the number of proposers, plus the proposer's number; 0 for none. As only the order of ballots
+/// matters, no two ballots have the same counter.
 pub type Ballot = u8;
 
-/// A fault in the protocol, which the search has to find.
+/// A fault in the protocol, which the search has to detect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mutation {
-    /// A voter that lost its disk votes before it caught up.
+    /// A voter that lost its disk votes before it has caught up.
     VoteBeforeCatchUp,
-    /// A voter catches up by reading what others know, without their promises.
+    /// A voter catches up by reading what other voters know, without their promises.
     CatchUpWithoutPromises,
-    /// A promise counts although its voter has lost its disk since, and caught up at a lower ballot.
+    /// A promise counts although its voter has since lost its disk and caught up at a lower ballot.
     CountStalePromises,
-    /// A voter that catches up does not take over the incarnations that others know.
+    /// A voter that catches up does not adopt the incarnations that other voters know.
     ForgetIncarnations,
-    /// Stale promises count, but a voter accepts only in the incarnation in which it promised.
-    FenceAcceptsOnly,
-    /// A change of the roster needs a majority of the old one only.
+    /// Stale promises count, and only a voter's acceptance is restricted to the incarnation in which it promised.
+    CheckIncarnationsOnAcceptOnly,
+    /// A change of the roster needs a majority of the old roster only.
     OldMajorityAlone,
     /// A change of the roster does not transfer the chosen items.
     NoTransfer,
-    /// What may be chosen is not proposed again.
+    /// Items that may be chosen are not proposed again.
     NoReproposal,
-    /// Of two accepted proposals, the one of the highest ballot is not preferred.
+    /// Of several accepted proposals, the one with the highest ballot is not preferred.
     IgnoreBallotOrder,
     /// A voter forgets the ballot of its accepted proposal once it knows the items to be chosen.
     ForgetAcceptedBallot,
@@ -60,50 +61,54 @@
     AnswerBeforeSync,
     /// A voter accepts ballots below the one that it promised.
     BreakPromises,
-    /// A voter tells that it promised a leader's next ballot before that promise is on its disk.
+    /// A voter reports its promise of a leader's next ballot before that promise is on its disk.
     AnswerBeforePromiseSync,
     /// A leader's proposal does not carry the items of its last round.
     OmitLastItems,
-    /// It does not carry them once all voters have learned them, which write them without a sync.
+    /// A leader's proposal does not carry the items of its last round once all voters have learned them, although
+    /// voters write learned items without a sync.
     OmitLearnedItems,
-    /// A promise of a leader's next ballot counts although its voter has lost its disk since.
-    CountStaleKeptPromises,
-    /// A leader uses its next ballot although the roster was replaced, by the new one.
+    /// A promise of a leader's next ballot counts although its voter has since lost its disk.
+    CountStaleNextPromises,
+    /// A leader uses its next ballot with a new roster although the voters of the old one promised it.
     LeadAfterRosterChange,
     /// A leader changes the roster by its next ballot, without a joint round.
     LeadRosterChange,
 }
 
-/// What the caller of a round asks for.
+/// The request of a round's caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     /// The proposer's own item; a conflict is rejected.
     Write,
-    /// Only a leader's.
+    /// Reads the chosen items; only in the rounds of a leader.
     Read,
-    /// Only for [`Mutation::LeadRosterChange`]; other changes are the calls of [`ROSTER_CHANGER`].
+    /// Changes the roster in a led round, only for [`Mutation::LeadRosterChange`]; other changes of the roster are
+    /// proposed by [`ROSTER_CHANGER`].
     ChangeRoster,
 }
 
-/// What is searched, and within which bounds.
+/// The protocol or mutation to search, and the bounds of the search.
 #[derive(Clone, Debug)]
 pub struct RegisterModel {
     pub mutation: Option<Mutation>,
-    /// Whether the conflicting items share a name and version, so that one chosen covers the other.
+    /// Whether the conflicting items share a name and version, so that a chosen one covers the other.
     pub same_version: bool,
-    /// The owners of the ballots, from the lowest on. A proposer begins at most one round with each of its own.
+    /// The proposers that own the ballots, in ascending order of ballots. A proposer begins at most one round with each
+    /// of its ballots.
     pub order: Vec<u8>,
     pub disk_losses: u8,
-    /// Five voters, of which two may be without their disks at a time; else three, and one.
+    /// Whether there are five voters, of which two may be without their disks at a time; otherwise there are three
+    /// voters, of which one may be.
     pub five_voters: bool,
     pub power_losses: u8,
     /// How often a chosen item may be spread outside of rounds.
     pub spread_items: u8,
-    /// How many of the writers lead: none, the first, or both.
+    /// The number of writers that lead: 0, 1 (the first) or 2.
     pub leaders: u8,
-    /// Whether rounds that have no further effect are dropped, so that there are fewer states.
+    /// Whether rounds that have no further effect are dropped, which reduces the number of states.
     pub reduced: bool,
-    /// Whether further searches look for a shortest trace.
+    /// Whether further searches look for the shortest trace to a violation.
     pub shortest: bool,
 }
 
@@ -131,23 +136,23 @@
     pub items: Items,
 }
 
-/// What a voter has on its disk.
+/// The state that a voter writes to its disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PersistedState {
     pub promised: Ballot,
     pub accepted: AcceptedProposal,
     pub chosen: Items,
     pub voting: bool,
-    /// Its incarnation: the ballot by which it caught up.
+    /// Its incarnation: the ballot of the round by which it caught up.
     pub incarnation: Ballot,
-    /// Of each voter, the highest ballot by which it has asked this one to catch up.
+    /// For each voter, the highest ballot of a catch-up round that this voter has promised to it.
     pub latest_incarnations: [Ballot; NODES],
 }
 
-/// A voter: what it has in memory, and what of that is synced.
+/// A voter: its state in memory, and the state that is synced to its disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Node {
-    pub now: PersistedState,
+    pub memory: PersistedState,
     pub synced: PersistedState,
 }
 
@@ -165,34 +170,34 @@
     pub items: Items,
 }
 
-/// A round, and all that was sent for it.
+/// A round, and all messages that were sent for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Round {
     pub ballot: Ballot,
-    /// Whether it goes by the second roster.
+    /// Whether it uses the second roster.
     pub uses_second_roster: bool,
     /// Whether it changes the first roster to the second.
     pub joint: bool,
     pub promises: [Option<Promise>; NODES],
     pub proposal: Option<Proposal>,
-    /// The ballot that voters promise when they accept, or 0.
+    /// The ballot that voters promise when they accept the proposal, or 0.
     pub next_ballot: Ballot,
-    /// Those promises.
-    pub next_promises: [Option<KeptPromise>; NODES],
-    /// Whether phase 1 was done by the proposer's last round.
+    /// The promises of `next_ballot`.
+    pub next_promises: [Option<NextBallotPromise>; NODES],
+    /// Whether its phase 1 was part of the proposer's last round.
     pub is_led: bool,
     /// The chosen items that a leader evaluated the call on.
     pub known: Items,
-    /// The incarnation in which each voter promised; only for [`Mutation::FenceAcceptsOnly`].
+    /// The incarnation in which each voter promised; only for [`Mutation::CheckIncarnationsOnAcceptOnly`].
     pub promising_incarnations: [Option<Ballot>; NODES],
     pub accepted: u8,
     /// The reply to its caller once the proposal is chosen.
     pub outcome: Reply,
-    /// What was acknowledged before it began.
+    /// The items that were acknowledged before it began.
     pub acknowledged_before: Items,
-    /// Where its proposer runs.
+    /// The replica on which its proposer runs.
     pub replica: u8,
-    /// Its proposer abandoned it, crashed, or is done.
+    /// Whether its proposer has abandoned or completed it, or crashed.
     pub is_over: bool,
 }
 
@@ -201,19 +206,19 @@
     #[default]
     Nothing,
     Acknowledged,
-    Refused,
+    Rejected,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Proposer {
     pub rounds: u8,
-    /// It saw an accepted change of the roster: its next round is joint.
+    /// Whether it saw an accepted change of the roster, so that its next round is joint.
     pub saw_roster_change: bool,
-    /// Its caller has got a reply, and there is no other call.
+    /// Whether its caller has a reply and makes no other call.
     pub done: bool,
-    /// Only of a leader: its write was answered; it goes on with reads.
+    /// Only for a leader: whether its write was answered; it goes on with reads.
     pub has_replied: bool,
-    /// What a leader has from its last round.
+    /// The state that a leader keeps from its last round.
     pub leadership: Option<Leadership>,
 }
 
@@ -221,29 +226,30 @@
 pub struct State {
     pub nodes: [Node; NODES],
     pub proposers: [Proposer; 4],
-    /// By ballot.
+    /// Sorted by ballot.
     pub rounds: Vec<Round>,
-    /// Who lost its disk and has not caught up.
+    /// The set of voters that lost their disks and have not caught up.
     pub without_disk: u8,
     pub disk_losses: u8,
     pub power_losses: u8,
     pub items_spread: u8,
     /// The items whose calls were acknowledged.
     pub acknowledged: Items,
-    /// A call was rejected as a conflict.
-    pub refused: bool,
+    /// Whether a call was rejected as a conflict.
+    pub rejected: bool,
     /// The items that a quorum has accepted.
     pub chosen: Items,
     pub caught_up: bool,
-    /// A round read a state without an item that was acknowledged before it began.
+    /// Whether a round read a state without an item that was acknowledged before the round began.
     pub read_is_stale: bool,
-    /// A round without a phase 1 of its own was chosen.
+    /// Whether the proposal of a round without a phase 1 of its own was chosen.
     pub led: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// A proposer begins a round, which ends its earlier one. A crash is a proposer that does nothing more.
+    /// A proposer begins a round, which ends its earlier one. A crash is modelled as a proposer that takes no further
+    /// action.
     Begin {
         ballot: Ballot,
         replica: u8,
@@ -261,7 +267,7 @@
         quorum: u8,
         call: Call,
     },
-    /// A leader begins its next round, which has its phase 1 from the last one, and proposes.
+    /// A leader begins its next round, which needs no phase 1 of its own, and proposes.
     Lead {
         ballot: Ballot,
         call: Call,
@@ -271,7 +277,7 @@
         ballot: Ballot,
         voter: u8,
     },
-    /// A quorum has accepted, and the proposer knows.
+    /// The proposer has received the acceptances of a quorum.
     Finish {
         ballot: Ballot,
     },
@@ -293,8 +299,8 @@
     ballot % PROPOSERS
 }
 
-fn is_majority(of: u8, roster: u8) -> bool {
-    2 * (of & roster).count_ones() > roster.count_ones()
+fn is_majority(voters: u8, roster: u8) -> bool {
+    2 * (voters & roster).count_ones() > roster.count_ones()
 }
 
 impl RegisterModel {
@@ -311,7 +317,7 @@
             .map(|(counter, _)| counter * PROPOSERS + number)
     }
 
-    /// The items that these cover: themselves, and another content of the same version.
+    /// The items that the chosen ones cover: themselves, and another content of the same version.
     fn covered(&self, chosen: Items) -> Items {
         match self.same_version && chosen & (FIRST | SECOND) != 0 {
             true => chosen | FIRST | SECOND,
@@ -365,14 +371,14 @@
         }
     }
 
-    fn has_quorum(&self, round: &Round, of: u8, of_others: Option<usize>) -> bool {
+    fn has_quorum(&self, round: &Round, voters: u8, excluded_voter: Option<usize>) -> bool {
         let has_quorum = |roster: u8| {
-            // A replica that lost its disk does not count itself.
-            let others = of_others.map_or(roster, |me| roster & !(1 << me));
-            is_majority(of & others, roster)
+            // A replica that lost its disk does not count itself in the quorum.
+            let others = excluded_voter.map_or(roster, |excluded| roster & !(1 << excluded));
+            is_majority(voters & others, roster)
         };
-        let now = has_quorum(self.roster(round.uses_second_roster));
-        now && (!round.joint || has_quorum(ROSTERS[1]))
+        let has_current = has_quorum(self.roster(round.uses_second_roster));
+        has_current && (!round.joint || has_quorum(ROSTERS[1]))
     }
 
     fn begin(
@@ -388,7 +394,7 @@
         (own.rounds, own.saw_roster_change) = (own.rounds + 1, false);
         own.leadership = None;
         if uses_second_roster {
-            self.learn(&mut state.nodes[usize::from(replica)].now, ROSTER);
+            self.learn(&mut state.nodes[usize::from(replica)].memory, ROSTER);
         }
         let own = |round: &&mut Round| {
             proposer(round.ballot) == proposer(ballot) && round.replica == replica
@@ -423,11 +429,11 @@
         let promises =
             !(self.has(Mutation::CatchUpWithoutPromises) && proposer(ballot) == RECOVERING);
         if promises {
-            node.now.promised = ballot;
+            node.memory.promised = ballot;
             if proposer(ballot) == RECOVERING {
-                node.now.latest_incarnations[usize::from(round.replica)] = ballot;
+                node.memory.latest_incarnations[usize::from(round.replica)] = ballot;
             }
-            node.synced = node.now;
+            node.synced = node.memory;
         }
         let PersistedState {
             incarnation,
@@ -435,7 +441,7 @@
             accepted,
             chosen,
             ..
-        } = node.now;
+        } = node.memory;
         Promise {
             incarnation,
             latest_incarnations,
@@ -451,9 +457,9 @@
         let promises = || {
             (0..NODES)
                 .filter(|voter| quorum & 1 << voter != 0)
-                .filter_map(|v| round.promises[v])
+                .filter_map(|voter| round.promises[voter])
         };
-        let mut known = state.nodes[replica].now;
+        let mut known = state.nodes[replica].memory;
         known.accepted = AcceptedProposal::default();
         promises().for_each(|promise| self.learn(&mut known, promise.chosen));
         let known = known.chosen;
@@ -484,7 +490,7 @@
         };
         self.learn(&mut configuration, possibly_chosen);
         let configuration = configuration.chosen;
-        // This is the read: it must see everything that was acknowledged before the round began.
+        // This is where the round reads: it must see everything that was acknowledged before it began.
         state.read_is_stale |= round.acknowledged_before & !configuration != 0;
         if number == RECOVERING {
             let accepted = AcceptedProposal {
@@ -500,7 +506,7 @@
         round.outcome = match () {
             () if waits || call == Call::Read => Reply::Nothing,
             () if configuration & wanted != 0 => Reply::Acknowledged,
-            () if configuration & other != 0 => Reply::Refused,
+            () if configuration & other != 0 => Reply::Rejected,
             () => {
                 items |= wanted;
                 Reply::Acknowledged
@@ -518,7 +524,7 @@
             false => missing,
         };
         round.proposal = Some(Proposal { chosen, items });
-        if self.has(Mutation::FenceAcceptsOnly) {
+        if self.has(Mutation::CheckIncarnationsOnAcceptOnly) {
             for voter in (0..NODES).filter(|voter| quorum & 1 << voter != 0) {
                 round.promising_incarnations[voter] =
                     round.promises[voter].map(|promise| promise.incarnation);
@@ -543,23 +549,23 @@
         let round = &mut state.rounds[nth];
         let replica = usize::from(round.replica);
         let node = &mut state.nodes[replica];
-        node.now.promised = node.now.promised.max(round.ballot);
-        node.now.accepted = accepted;
-        self.learn(&mut node.now, chosen);
-        (node.now.voting, node.now.incarnation) = (true, round.ballot);
+        node.memory.promised = node.memory.promised.max(round.ballot);
+        node.memory.accepted = accepted;
+        self.learn(&mut node.memory, chosen);
+        (node.memory.voting, node.memory.incarnation) = (true, round.ballot);
         if !self.has(Mutation::ForgetIncarnations) {
-            node.now.latest_incarnations = RegisterModel::latest_incarnations(round, quorum);
+            node.memory.latest_incarnations = RegisterModel::latest_incarnations(round, quorum);
         }
-        node.synced = node.now;
+        node.synced = node.memory;
         state.without_disk &= !(1 << replica);
         (round.is_over, state.caught_up) = (true, true);
     }
 
-    /// The latest incarnation of each voter, as far as these promises tell.
+    /// The latest incarnation of each voter that the promises of this quorum report.
     fn latest_incarnations(round: &Round, quorum: u8) -> [Ballot; NODES] {
         let promises = (0..NODES)
             .filter(|voter| quorum & 1 << voter != 0)
-            .filter_map(|v| round.promises[v]);
+            .filter_map(|voter| round.promises[voter]);
         promises.fold([0; NODES], |latest_incarnations, promise| {
             std::array::from_fn(|voter| {
                 latest_incarnations[voter].max(promise.latest_incarnations[voter])
@@ -567,16 +573,16 @@
         })
     }
 
-    /// Whether none of these promises is stale: by a voter that lost its disk since, and caught up before one of the others
-    /// promised.
+    /// Whether none of these promises is stale. A promise is stale if its voter has since lost its disk, and has caught
+    /// up before one of the other voters promised.
     fn are_promises_valid(&self, round: &Round, quorum: u8) -> bool {
         let latest_incarnations = RegisterModel::latest_incarnations(round, quorum);
         let are_promises_valid = |voter: usize| {
             round.promises[voter]
                 .is_none_or(|promise| promise.incarnation >= latest_incarnations[voter])
         };
-        let unchecked =
-            self.has(Mutation::CountStalePromises) || self.has(Mutation::FenceAcceptsOnly);
+        let unchecked = self.has(Mutation::CountStalePromises)
+            || self.has(Mutation::CheckIncarnationsOnAcceptOnly);
         unchecked
             || (0..NODES)
                 .filter(|voter| quorum & 1 << voter != 0)
@@ -585,16 +591,17 @@
 
     /// Whether a voter accepts the proposal when it receives it.
     fn accepts(&self, round: &Round, voter: usize, node: &Node) -> bool {
-        let is_repeated =
-            node.now.accepted.ballot == round.ballot && node.now.promised == round.next_ballot;
-        let rejects =
-            round.ballot < node.now.promised && !is_repeated && !self.has(Mutation::BreakPromises);
-        let fenced = self.has(Mutation::FenceAcceptsOnly)
-            && round.promising_incarnations[voter] != Some(node.now.incarnation);
-        node.now.voting && !rejects && !fenced
+        let is_repeated = node.memory.accepted.ballot == round.ballot
+            && node.memory.promised == round.next_ballot;
+        let rejects = round.ballot < node.memory.promised
+            && !is_repeated
+            && !self.has(Mutation::BreakPromises);
+        let has_other_incarnation = self.has(Mutation::CheckIncarnationsOnAcceptOnly)
+            && round.promising_incarnations[voter] != Some(node.memory.incarnation);
+        node.memory.voting && !rejects && !has_other_incarnation
     }
 
-    /// A round is over: its proposer replies to its caller.
+    /// Completes a round: its proposer replies to its caller.
     fn reply(&self, state: &mut State, nth: usize) {
         let round = &mut state.rounds[nth];
         round.is_over = true;
@@ -608,7 +615,7 @@
             state.proposers[number].done = true;
         }
         let acknowledged = round.outcome == Reply::Acknowledged;
-        state.refused |= !acknowledged;
+        state.rejected |= !acknowledged;
         state.acknowledged |=
             [(FIRST, SECOND), (SECOND, FIRST), (ROSTER, 0)][number].pick(acknowledged);
     }
@@ -620,22 +627,26 @@
         };
         let node = &mut state.nodes[voter];
         let last_synced = node.synced;
-        node.now.promised = node.now.promised.max(round.ballot).max(round.next_ballot);
-        node.now.accepted = AcceptedProposal {
+        node.memory.promised = node
+            .memory
+            .promised
+            .max(round.ballot)
+            .max(round.next_ballot);
+        node.memory.accepted = AcceptedProposal {
             ballot: round.ballot,
             items: proposal.items,
         };
         let roster = if round.uses_second_roster { ROSTER } else { 0 };
-        self.learn(&mut node.now, proposal.chosen | roster);
+        self.learn(&mut node.memory, proposal.chosen | roster);
         if !self.has(Mutation::AnswerBeforeSync) {
-            node.synced = node.now;
+            node.synced = node.memory;
         }
         if self.has(Mutation::AnswerBeforePromiseSync) {
             node.synced.promised = last_synced.promised.max(round.ballot);
         }
-        round.next_promises[voter] = (round.next_ballot != 0).then_some(KeptPromise {
-            incarnation: node.now.incarnation,
-            latest_incarnations: node.now.latest_incarnations,
+        round.next_promises[voter] = (round.next_ballot != 0).then_some(NextBallotPromise {
+            incarnation: node.memory.incarnation,
+            latest_incarnations: node.memory.latest_incarnations,
         });
         round.accepted |= 1 << voter;
         if self.has_quorum(round, round.accepted, None) {
@@ -643,7 +654,7 @@
         }
     }
 
-    /// Drops what has no further effect, so that there are fewer states.
+    /// Drops state that has no further effect, which reduces the number of states.
     fn reduce(&self, state: &mut State) {
         let State {
             nodes, disk_losses, ..
@@ -655,11 +666,14 @@
             may_reduce && voters.all(|voter| rejects(voter, round))
         };
         let cannot_promise = |round: &Round| {
-            let may = |voter: &usize| round.promises[*voter].is_some() || !rejects(*voter, round);
-            let may = (0..NODES)
-                .filter(may)
-                .fold(0, |may, voter| may | 1 << voter);
-            may_reduce && disk_losses == self.disk_losses && !self.has_quorum(round, may, None)
+            let can_promise =
+                |voter: &usize| round.promises[*voter].is_some() || !rejects(*voter, round);
+            let can_promise = (0..NODES)
+                .filter(can_promise)
+                .fold(0, |can_promise, voter| can_promise | 1 << voter);
+            may_reduce
+                && disk_losses == self.disk_losses
+                && !self.has_quorum(round, can_promise, None)
         };
         state.rounds.retain(|round| match round.proposal {
             Some(_) => !round.is_over || !is_rejected(round),
@@ -671,10 +685,10 @@
                 has_replied,
                 ..
             } = *proposer;
-            let leadership = leadership.filter(|kept| {
+            let leadership = leadership.filter(|leadership| {
                 let mut voters = (0..NODES)
-                    .filter(|voter| self.roster(kept.uses_second_roster) & 1 << voter != 0);
-                !may_reduce || voters.any(|voter| nodes[voter].synced.promised <= kept.ballot)
+                    .filter(|voter| self.roster(leadership.uses_second_roster) & 1 << voter != 0);
+                !may_reduce || voters.any(|voter| nodes[voter].synced.promised <= leadership.ballot)
             });
             proposer.leadership = leadership;
             if proposer.done || self.ballot(number, proposer.rounds).is_none() {
@@ -700,7 +714,7 @@
     }
 }
 
-fn wrote(state: &State) -> bool {
+fn has_acknowledged_write(state: &State) -> bool {
     state.acknowledged & (FIRST | SECOND) != 0
 }
 
@@ -726,11 +740,16 @@
                 continue;
             };
             for replica in self.replicas(state, number) {
-                let knows = state.nodes[usize::from(replica)].now.chosen & ROSTER != 0;
-                let somebody = state.nodes.iter().any(|node| node.now.chosen & ROSTER != 0);
-                // Any replica may have learned a new roster, and one without a disk also the old one.
-                let rosters: &[bool] = match somebody {
-                    true if knows => &[true],
+                let knows_second_roster =
+                    state.nodes[usize::from(replica)].memory.chosen & ROSTER != 0;
+                let is_known_anywhere = state
+                    .nodes
+                    .iter()
+                    .any(|node| node.memory.chosen & ROSTER != 0);
+                // Any replica may have learned a new roster, and a replica without a disk may also have learned the old
+                // one.
+                let rosters: &[bool] = match is_known_anywhere {
+                    true if knows_second_roster => &[true],
                     true => &[false, true],
                     false => &[false],
                 };
@@ -749,20 +768,21 @@
         }
     }
 
-    /// What voters may do with the messages of a round.
+    /// The actions of voters on the messages of a round.
     fn voter_actions(&self, state: &State, round: &Round, actions: &mut Vec<Action>) {
         let ballot = round.ballot;
         let targets = (0..NODES as u8).filter(|voter| self.targets(round) & 1 << voter != 0);
-        let by_roster = |node: &Node| round.uses_second_roster || node.now.chosen & ROSTER == 0;
+        let knows_no_newer_roster =
+            |node: &Node| round.uses_second_roster || node.memory.chosen & ROSTER == 0;
         for voter in targets {
             let node = &state.nodes[usize::from(voter)];
-            if !node.now.voting || !by_roster(node) {
+            if !node.memory.voting || !knows_no_newer_roster(node) {
                 continue;
             }
-            let keeps = !self.has(Mutation::BreakPromises);
-            let has_promised = keeps && ballot <= node.now.promised;
+            let keeps_promises = !self.has(Mutation::BreakPromises);
+            let has_promised = keeps_promises && ballot <= node.memory.promised;
             let is_unanswered = round.promises[usize::from(voter)]
-                .is_none_or(|promise| promise.incarnation != node.now.incarnation);
+                .is_none_or(|promise| promise.incarnation != node.memory.incarnation);
             if !round.is_over && round.proposal.is_none() && !has_promised && is_unanswered {
                 actions.push(Action::Prepare { ballot, voter });
             }
@@ -772,7 +792,7 @@
         }
     }
 
-    /// What a round's proposer may do with the answers.
+    /// The actions of a round's proposer on the answers.
     fn proposer_actions(&self, state: &State, round: &Round, actions: &mut Vec<Action>) {
         let ballot = round.ballot;
         if round.is_over {
@@ -785,16 +805,16 @@
             return;
         }
         let promising = (0..NODES)
-            .filter(|v| round.promises[*v].is_some())
-            .fold(0, |promising, v| promising | 1 << v);
-        let me = (proposer(ballot) == RECOVERING).then_some(usize::from(round.replica));
+            .filter(|voter| round.promises[*voter].is_some())
+            .fold(0, |promising, voter| promising | 1 << voter);
+        let excluded = (proposer(ballot) == RECOVERING).then_some(usize::from(round.replica));
         for quorum in (1..1u8 << NODES).filter(|quorum| quorum & !promising == 0) {
-            let one_less = |last: usize| {
-                quorum & 1 << last != 0 && !self.has_quorum(round, quorum & !(1 << last), me)
+            let is_needed = |last: usize| {
+                quorum & 1 << last != 0 && !self.has_quorum(round, quorum & !(1 << last), excluded)
             };
             if self.are_promises_valid(round, quorum)
-                && self.has_quorum(round, quorum, me)
-                && (0..NODES).any(one_less)
+                && self.has_quorum(round, quorum, excluded)
+                && (0..NODES).any(is_needed)
             {
                 let calls = self.calls(state, proposer(ballot)).into_iter();
                 actions.extend(calls.map(|call| Action::Propose {
@@ -813,8 +833,11 @@
         }
         for (voter, node) in (0..).zip(&state.nodes) {
             for item in [FIRST, SECOND, ROSTER] {
-                let known = state.nodes.iter().any(|other| other.now.chosen & item != 0);
-                if known && self.covered(node.now.chosen) & item == 0 {
+                let known = state
+                    .nodes
+                    .iter()
+                    .any(|other| other.memory.chosen & item != 0);
+                if known && self.covered(node.memory.chosen) & item == 0 {
                     actions.push(Action::Spread { voter, item });
                 }
             }
@@ -838,7 +861,7 @@
         if state.power_losses < self.power_losses {
             let unsynced = (0..NODES as u8).filter(|voter| {
                 let node = &state.nodes[usize::from(*voter)];
-                node.now != node.synced
+                node.memory != node.synced
             });
             let all = unsynced.clone().fold(0u8, |all, voter| all | 1 << voter);
             actions.extend(unsynced.map(|voter| Action::PowerLoss { voters: 1 << voter }));
@@ -860,7 +883,7 @@
         };
         vec![State {
             nodes: [Node {
-                now: disk,
+                memory: disk,
                 synced: disk,
             }; NODES],
             proposers: Default::default(),
@@ -870,7 +893,7 @@
             power_losses: 0,
             items_spread: 0,
             acknowledged: 0,
-            refused: false,
+            rejected: false,
             chosen: 0,
             caught_up: false,
             read_is_stale: false,
@@ -906,7 +929,7 @@
                 let nth = nth(ballot)?;
                 let node = &mut state.nodes[usize::from(voter)];
                 if state.rounds[nth].uses_second_roster {
-                    self.learn(&mut node.now, ROSTER);
+                    self.learn(&mut node.memory, ROSTER);
                 }
                 let promise = self.prepare(node, &last.rounds[nth]);
                 state.rounds[nth].promises[usize::from(voter)] = Some(promise);
@@ -924,13 +947,13 @@
                 let nth = nth(ballot)?;
                 let replica = usize::from(state.rounds[nth].replica);
                 let items = state.rounds[nth].proposal?.items;
-                self.learn(&mut state.nodes[replica].now, items);
+                self.learn(&mut state.nodes[replica].memory, items);
                 self.finish_led(&mut state, nth, items);
                 self.reply(&mut state, nth);
             }
             Action::Spread { voter, item } => {
                 state.items_spread += 1;
-                self.learn(&mut state.nodes[usize::from(voter)].now, item);
+                self.learn(&mut state.nodes[usize::from(voter)].memory, item);
             }
             Action::LoseDisk { voter } => {
                 state.disk_losses += 1;
@@ -941,10 +964,10 @@
                 };
                 let node = &mut state.nodes[usize::from(voter)];
                 *node = Node {
-                    now: disk,
+                    memory: disk,
                     synced: disk,
                 };
-                // The proposer on this replica ends with it.
+                // The proposer on this replica crashes with it.
                 state
                     .rounds
                     .iter_mut()
@@ -955,7 +978,7 @@
                 state.power_losses += 1;
                 for (voter, node) in state.nodes.iter_mut().enumerate() {
                     if voters & 1 << voter != 0 {
-                        node.now = node.synced;
+                        node.memory = node.synced;
                     }
                 }
                 state.rounds.iter_mut().for_each(|round| {
@@ -976,16 +999,24 @@
             }),
         ];
         if self.mutation.is_none() && self.leaders > 0 {
-            all.push(Property::sometimes(LED, |_, state: &State| state.led));
+            all.push(Property::sometimes(LED_ROUND_CHOSEN, |_, state: &State| {
+                state.led
+            }));
         }
         if self.mutation.is_none() {
             all.extend([
-                Property::sometimes(ACKNOWLEDGED, |_, state: &State| wrote(state)),
-                Property::sometimes(REFUSED, |_, state: &State| state.refused),
+                Property::sometimes(ACKNOWLEDGED, |_, state: &State| {
+                    has_acknowledged_write(state)
+                }),
+                Property::sometimes(REJECTED, |_, state: &State| state.rejected),
                 Property::sometimes(CAUGHT_UP, |_, state: &State| state.caught_up),
-                Property::sometimes(CHANGED, |_, state: &State| state.acknowledged & ROSTER != 0),
-                Property::sometimes(ALL, |_, state: &State| {
-                    state.caught_up && state.acknowledged & ROSTER != 0 && wrote(state)
+                Property::sometimes(ROSTER_CHANGED, |_, state: &State| {
+                    state.acknowledged & ROSTER != 0
+                }),
+                Property::sometimes(ALL_IN_ONE_RUN, |_, state: &State| {
+                    state.caught_up
+                        && state.acknowledged & ROSTER != 0
+                        && has_acknowledged_write(state)
                 }),
             ]);
         }
@@ -994,37 +1025,38 @@
 }
 
 pub const ACKNOWLEDGED: &str = "a write is acknowledged";
-pub const REFUSED: &str = "a conflict is rejected";
+pub const REJECTED: &str = "a conflict is rejected";
 pub const CAUGHT_UP: &str = "a voter without a disk catches up";
-pub const CHANGED: &str = "the roster is changed";
-pub const ALL: &str = "a write, a recovery and a change of the roster in one run";
-pub const LED: &str = "a round without a phase 1 of its own is chosen";
+pub const ROSTER_CHANGED: &str = "the roster is changed";
+pub const ALL_IN_ONE_RUN: &str = "a write, a recovery and a change of the roster in one run";
+pub const LED_ROUND_CHOSEN: &str = "a round without a phase 1 of its own is chosen";
 pub const STALE_READ: &str = "a read sees everything acknowledged before it";
 pub const TWO_CHOSEN: &str = "of two items that conflict one at most is chosen";
 
 /// The result of a search.
-pub struct Found {
+pub struct SearchResult {
     pub states: usize,
     /// Whether all states within the bounds were searched.
     pub complete: bool,
     pub depth: usize,
     /// The violated properties, each with a trace to its violation.
     pub violated: Vec<(&'static str, Vec<Action>)>,
-    /// The properties that are to hold at some time, as far as they did.
-    pub happened: Vec<&'static str>,
+    /// The properties of the `sometimes` kind that were reached.
+    pub reached: Vec<&'static str>,
 }
 
 /// Searches breadth first, and returns a shortest trace to each violation.
 #[allow(dead_code, reason = "the example searches up to a number of states")]
-pub fn search(model: RegisterModel, threads: usize) -> Found {
+pub fn search(model: RegisterModel, threads: usize) -> SearchResult {
     search_up_to(model, threads, usize::MAX)
 }
 
-/// As [`search`], up to about so many states.
-pub fn search_up_to(model: RegisterModel, threads: usize, max_states: usize) -> Found {
-    let mut found = search_to(model.clone(), threads, None, max_states);
-    // Among states of nearly the same depth the checker keeps what it saw_roster_change last.
-    while let Some(steps) = found.violated.iter().map(|(_, trace)| trace.len()).min() {
+/// Like [`search`], up to about `max_states` states.
+pub fn search_up_to(model: RegisterModel, threads: usize, max_states: usize) -> SearchResult {
+    let mut result = search_to(model.clone(), threads, None, max_states);
+    // Among states of nearly the same depth the checker keeps the one that it saw last, so the first trace need not be
+    // a shortest one.
+    while let Some(steps) = result.violated.iter().map(|(_, trace)| trace.len()).min() {
         if !model.shortest {
             break;
         }
@@ -1036,18 +1068,18 @@
         {
             break;
         }
-        found.violated = shorter.violated;
+        result.violated = shorter.violated;
     }
-    found
+    result
 }
 
-/// Searches traces of fewer steps than this.
+/// Searches up to about `max_states` states, and only traces of fewer than `steps` steps if that is given.
 fn search_to(
     model: RegisterModel,
     threads: usize,
     steps: Option<usize>,
     max_states: usize,
-) -> Found {
+) -> SearchResult {
     let checker = model
         .checker()
         .threads(threads)
@@ -1075,12 +1107,12 @@
         .iter()
         .map(|property| property.name)
         .filter(|name| ![STALE_READ, TWO_CHOSEN].contains(name));
-    Found {
+    SearchResult {
         states: checker.unique_state_count(),
         complete: checker.state_count() < max_states,
         depth: checker.max_depth(),
         violated,
-        happened: sometimes
+        reached: sometimes
             .filter(|name| discoveries.contains_key(name))
             .collect(),
     }
--- a/crates/emberpin-consensus/tests/random_faults.rs
+++ b/crates/emberpin-consensus/tests/random_faults.rs
@@ -1,6 +1,6 @@
-//! Random faults of every kind, drawn from seeds: no acknowledged item is lost, a version has one content, and what
-//! followers are told only rises. A search that finds nothing without one of the safeguards would be too weak, so each
-//! of these is shown to be found.
+//! Random faults of every kind, drawn from seeds: no acknowledged item is lost, a version has one content, and the
+//! versions that followers receive only rise. To show that the search is strong enough, further tests turn off one
+//! safeguard each and require that the search finds a violation.
 
 mod cluster;
 
@@ -15,19 +15,20 @@
 /// How long faults are injected, in milliseconds.
 const FAULT_SPAN: u64 = 9_000;
 
-/// Which faults a run has.
+/// The kinds of faults in a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Faults {
-    /// Processes, power, lost disks, machines and partitions.
+    /// Killed processes, power losses, lost disks, replaced machines and partitions.
     Usual,
-    /// These, and disks that fill up and are freed.
+    /// The usual faults, and disks that fill up and are freed.
     WithFullDisks,
 }
 
-/// One run; the first violation, if there is one.
+/// Runs one seed; returns the first violation.
 fn run(seed: u64, guards: Guards, faults: Faults) -> Option<String> {
     let (count, tolerated) = [(3, 1), (5, 2), (5, 1)][(seed % 3) as usize];
-    // In half of the runs calls wait in a minority for as long as they may, so that more of them meet later faults.
+    // In half of the runs, calls in a minority wait until their deadlines, so that more of them overlap with later
+    // faults.
     let guards = Guards {
         contact_check: guards.contact_check && seed.is_multiple_of(2),
         ..guards
@@ -36,7 +37,7 @@
     cluster.network_delay = 1..2 + cluster.below(40);
     cluster.late_percent = cluster.below(6);
     cluster.duplicate_percent = cluster.below(4);
-    // Most disks are fast; where they are slow, more is lost with the power.
+    // In most runs disks are fast. Where they are slow, more writes are lost with the power.
     let has_slow_disks = cluster.below(4) == 0;
     cluster.sync_time = if has_slow_disks { 20..120 } else { 2..6 };
     let (mut machine_count, mut call_count, mut calls) = (count, 0, Vec::new());
@@ -50,7 +51,7 @@
     };
     let until = cluster.now + span;
     while cluster.now < until && cluster.violation.is_none() {
-        // Often calls come at once, so that their proposers contend.
+        // Calls often follow at once, so that their proposers contend.
         let pause = if cluster.below(3) == 0 {
             cluster.below(6)
         } else {
@@ -68,7 +69,8 @@
         if cluster.below(12) < fault_rate {
             cluster.inject_random_fault(&mut machine_count, tolerated, duration);
         }
-        // Random numbers are drawn for it only in these runs, so that the seeds of the others stay what they are.
+        // Random numbers are drawn for this only in runs with full disks, so that other runs with the same seed do not
+        // change.
         if faults == Faults::WithFullDisks && cluster.below(3) == 0 {
             fill_or_free_a_disk(&mut cluster, tolerated);
         }
@@ -78,7 +80,7 @@
     Some(format!("seed {seed}: {violation}"))
 }
 
-/// A call, new or again.
+/// A random call, either new or a repetition of an earlier one.
 fn random_call(cluster: &mut Cluster, number: u64, calls: &[Call]) -> Call {
     let name = cluster.choose(&["a", "b", "c"]);
     let version = 1 + number / 4 + cluster.below(4);
@@ -98,8 +100,8 @@
     }
 }
 
-/// Fills or frees a disk for long; or, mostly, fills one for a moment during a call, and takes the power of all machines
-/// at the next acknowledgement, and the disk of the replica that got the call.
+/// Fills or frees a disk until a later fault; or, usually, fills a disk for a moment during a call, and at the next
+/// acknowledgement cuts the power of all machines and loses the disk of the replica that received the call.
 fn fill_or_free_a_disk(cluster: &mut Cluster, tolerated: usize) {
     let all: Vec<Ipv4Addr> = cluster
         .nodes
@@ -147,7 +149,7 @@
     }
 }
 
-/// The violation that a missing safeguard leads to.
+/// The first violation that is found with a safeguard off.
 fn violation_with(name: &str, guards: Guards, faults: Faults) -> Option<String> {
     first_violation(name, MUTANT_RUNS, |seed| run(seed, guards, faults))
 }
@@ -164,9 +166,10 @@
     expect_that!(first_violation("full disks", sound_runs(), run), none());
 }
 
-/// Found by long searches. 14994: the only disk that had a chosen roster was lost. 9715: of five voters that may lose two,
-/// two were decommissioned while a third, which had just proposed itself for the roster, was without its disk. 35820: a
-/// new machine was told of three others, all of which were gone for good.
+/// Seeds whose faults once led to violations in long searches. 14994: the only disk that had a chosen roster was lost.
+/// 9715: of five voters, of which two may be lost, two were decommissioned while a third, which had just proposed
+/// itself for the roster, was without its disk. 35820: the seeds of a new machine were three machines that were all
+/// gone for good.
 #[gtest]
 fn seeds_of_past_failures_pass() {
     for seed in [14_994, 9_715, 35_820] {
--- a/crates/emberpin-consensus/tests/random_registers.rs
+++ b/crates/emberpin-consensus/tests/random_registers.rs
@@ -1,9 +1,9 @@
-//! Locks, counters and cells under random faults of every kind, drawn from seeds: no two callers hold a lock, numbers and
-//! revisions rise, reads are not stale, and nothing acknowledged is lost. A search that finds nothing without one of the
-//! safeguards would be too weak, so each of these is shown to be found.
+//! Locks, counters and cells under random faults of every kind, drawn from seeds: no two callers hold a lock, numbers
+//! and revisions rise, reads are not stale, and nothing acknowledged is lost. To show that the search is strong enough,
+//! further tests turn off one safeguard each and require that the search finds a violation.
 //!
-//! `EMBERPIN_RUNS` sets how many seeds are searched, `EMBERPIN_FIRST_SEED` the first one, and `EMBERPIN_TRACE` has a
-//! violation come with what callers were told.
+//! `EMBERPIN_RUNS` sets how many seeds are searched, and `EMBERPIN_FIRST_SEED` the first seed. If `EMBERPIN_TRACE` is
+//! set, a violation is reported with a trace of the callers' operations and results.
 
 mod cluster;
 mod register_callers;
@@ -20,12 +20,12 @@
 const FAULT_SPAN: u64 = 7_000;
 /// How long a process that shuts down waits for its replica to leave the roster.
 const LEAVE_TIMEOUT: u64 = 700;
-/// How many seeds are searched in the usual test run; a run takes longer than those of other searches.
+/// How many seeds are searched by default. Fewer than in other searches, as each run takes longer.
 const DEFAULT_RUNS: u64 = 60;
 /// How many seeds it may take to detect a missing safeguard.
 const MUTANT_RUNS: u64 = 400;
 
-/// One run; the first violation, if there is one.
+/// Runs one seed; returns the first violation.
 fn run(seed: u64, guards: Guards) -> Option<String> {
     let (count, tolerated) = [(3, 1), (5, 2), (5, 1)][(seed % 3) as usize];
     let mut cluster = Cluster::with_rounds(Rounds::Led, seed, count, tolerated, guards);
@@ -36,7 +36,7 @@
     cluster.sync_time = if has_slow_disks { 10..60 } else { 1..6 };
     let mut callers = RegisterCallers::new(&mut cluster);
     let mut machine_count = count;
-    // In some runs faults are rare, so that leaders lead for long.
+    // In some runs faults are rare, so that leaders keep the lead for long.
     let max_pause = cluster.choose(&[250, 700, 1_500]);
     let fault_rate = 1 + cluster.below(12);
     callers.max_pause = cluster.choose(&[8, 60]);
@@ -64,7 +64,7 @@
         }
     }
     if cluster.violation.is_none() {
-        for host in all(&cluster) {
+        for host in all_machines(&cluster) {
             cluster.wake(host);
             cluster.node(host).stalled_until = 0;
         }
@@ -80,14 +80,14 @@
     Some(format!("seed {seed}: {violation}\n{}", callers.trace()))
 }
 
-fn all(cluster: &Cluster) -> Vec<Ipv4Addr> {
+fn all_machines(cluster: &Cluster) -> Vec<Ipv4Addr> {
     cluster.nodes.keys().copied().collect()
 }
 
-/// Freezes a machine or wakes all frozen ones; has a disk stall for seconds, or fill up, or frees the full ones; has a
-/// replica leave the roster; or takes all power at an answer.
+/// Injects one fault at random: freezes a machine, wakes all frozen ones, stalls a disk for seconds, fills a disk,
+/// frees the full disks, shuts down a replica, or cuts the power of all machines at the moment of an answer.
 fn freeze_or_stall(cluster: &mut Cluster, callers: &mut RegisterCallers) {
-    let all = all(cluster);
+    let all = all_machines(cluster);
     let one = cluster.choose(&all);
     let now = cluster.now;
     match cluster.below(12) {
@@ -101,7 +101,8 @@
         0..3 => {
             callers.note_fault(now, &format!("{one} freezes"));
             cluster.freeze(one);
-            // Mostly for as long as it takes others to take the lead, at times through further faults.
+            // Usually until another replica has taken the lead; in one of four cases the machine stays frozen during
+            // further faults.
             if cluster.below(4) > 0 {
                 let span = cluster.below(1_200);
                 callers.run(cluster, span);
@@ -127,7 +128,7 @@
     }
 }
 
-/// All machines lose their power, and everything that is not synced, at the moment of an answer; then they start.
+/// All machines lose power and their unsynced writes at the moment of an answer; then they are restarted.
 fn lose_power_at_an_answer(cluster: &mut Cluster, callers: &mut RegisterCallers) {
     let before = callers.done_count();
     let until = cluster.now + 300;
@@ -135,7 +136,7 @@
         callers.run(cluster, 1);
     }
     callers.note_fault(cluster.now, "all lose their power");
-    let all = all(cluster);
+    let all = all_machines(cluster);
     for host in &all {
         cluster.lose_power_and_unsynced_writes(*host);
     }
@@ -146,13 +147,13 @@
     std::env::var(name).ok()?.parse().ok()
 }
 
-/// The violation that a missing safeguard leads to.
+/// The first violation that is found with a safeguard off.
 fn violation_with(name: &str, guards: Guards) -> Option<String> {
     first_violation(name, MUTANT_RUNS, |seed| run(seed, guards))
 }
 
 #[gtest]
-fn locks_counters_and_cells_keep_their_rules_with_random_faults() {
+fn locks_counters_and_cells_keep_their_invariants_with_random_faults() {
     let runs = environment_number("EMBERPIN_RUNS").unwrap_or(DEFAULT_RUNS);
     let first = environment_number("EMBERPIN_FIRST_SEED").unwrap_or_default();
     let run = |seed| run(first + seed, Guards::default());
@@ -189,7 +190,7 @@
 }
 
 #[gtest]
-fn random_registers_detect_locks_that_are_free_at_a_start() {
+fn random_registers_detect_locks_that_expire_at_a_start() {
     let guards = Guards {
         count_leases_from_start: false,
         ..Guards::default()
@@ -199,7 +200,7 @@
 }
 
 #[gtest]
-fn random_registers_detect_locks_that_are_free_in_spite_of_renewals() {
+fn random_registers_detect_locks_that_expire_despite_renewals() {
     let guards = Guards {
         renewals_restart_leases: false,
         ..Guards::default()
--- a/crates/emberpin-consensus/tests/random_retries.rs
+++ b/crates/emberpin-consensus/tests/random_retries.rs
@@ -1,5 +1,5 @@
-//! Retries with random faults of every kind: a call that was acknowledged is acknowledged again or left undecided, and
-//! never a conflict.
+//! Retries with random faults of every kind: when an acknowledged call is sent again, it is acknowledged again or left
+//! undecided (503), but never rejected as a conflict (409).
 
 mod cluster;
 
@@ -13,7 +13,7 @@
 /// How long faults are injected, in milliseconds.
 const FAULT_SPAN: u64 = 5_000;
 
-/// One run with every kind of fault; the first violation, if there is one.
+/// Runs one seed with every kind of fault; returns the first violation.
 fn run(seed: u64, guards: Guards) -> Option<String> {
     let (count, tolerated) = [(3, 1), (5, 2), (5, 1)][(seed % 3) as usize];
     let guards = if seed.is_multiple_of(2) {
@@ -48,7 +48,7 @@
         }
     }
     cluster.heal_and_check();
-    // Each call once more, whatever was replied to it.
+    // Sends each call once more, whatever its reply was.
     for call in calls {
         if cluster.violation.is_none() {
             let running = cluster.running();
@@ -60,7 +60,7 @@
     Some(format!("seed {seed}: {violation}"))
 }
 
-/// Sends a call to a random replica, which now and then is killed soon after.
+/// Sends a call to a random replica, which is killed soon after in one of twelve cases.
 fn send_and_maybe_kill(cluster: &mut Cluster, call: Call) {
     let running = cluster.running();
     if running.is_empty() {
@@ -75,7 +75,7 @@
     }
 }
 
-/// A call, new or again; each new one has a content of its own.
+/// A random call, either new or a repetition of an earlier one. Each new call has a content of its own.
 fn random_call(cluster: &mut Cluster, number: u64, calls: &mut Vec<Call>) -> Call {
     let name = cluster.choose(&["a", "b", "c", "d", "e", "f", "g", "h"]);
     let version = 1 + number / 6 + cluster.below(6);
--- a/crates/emberpin-consensus/tests/retries.rs
+++ b/crates/emberpin-consensus/tests/retries.rs
@@ -1,5 +1,5 @@
-//! Retries: a call that was acknowledged is acknowledged again, whatever happened since; and of two contents of one
-//! version, one at most is ever acknowledged.
+//! Retries: an acknowledged call is acknowledged again, whatever faults or changes happened since; and of two contents
+//! of one version, at most one is ever acknowledged.
 
 mod cluster;
 
@@ -37,8 +37,8 @@
     ]
 }
 
-/// Sends four calls, lets something happen, and sends all of them again, and others of the same versions with other
-/// contents. Returns what was not as it should be.
+/// Sends four calls, runs `event`, and sends all of them again, followed by calls with other contents of the same
+/// versions. Returns the first unexpected status.
 fn retry_after(guards: Guards, event: fn(&mut Cluster)) -> Option<String> {
     let mut cluster = settled_cluster(1, guards);
     for (nth, call) in acknowledged_calls().iter().enumerate() {
@@ -171,7 +171,7 @@
     other_content: u16,
 }
 
-/// Removes so many services that the tombstone of x is removed, and restarts all replicas.
+/// Removes enough services for the tombstone of x to be removed, and restarts all replicas.
 fn retries_below_removed_tombstones(guards: Guards) -> StatusesBelowTombstone {
     let mut cluster = settled_cluster(3, guards);
     for call in [set_service("x", 5, 1), remove_service("x", 6)] {
@@ -260,7 +260,7 @@
             cluster.call(ip(host(nth)), call.clone());
         }
         cluster.run(4_000);
-        // Each client sends its call again, as if it had got no reply.
+        // Each client sends its call again, as if it had received no reply.
         let again: Vec<u16> = calls
             .iter()
             .enumerate()
@@ -286,11 +286,11 @@
     }
 }
 
-/// 1 proposes x at version 6, some messages are lost, and 1 is killed before it replies.
-fn proposer_killed_after_sending(hold: fn(&Message) -> bool) -> Cluster {
+/// 1 proposes x at version 6, the messages that match `hold_back` are lost, and 1 is killed before it replies.
+fn proposer_killed_after_sending(hold_back: fn(&Message) -> bool) -> Cluster {
     let mut cluster = settled_cluster(5, Guards::default());
     status_at(&mut cluster, 2, &set_service("x", 5, 1));
-    cluster.hold_back = Some(hold);
+    cluster.hold_back = Some(hold_back);
     cluster.call(ip(1), set_service("x", 6, 2));
     cluster.run(50);
     cluster.kill(ip(1));
@@ -302,7 +302,7 @@
 fn retry_of_a_call_accepted_by_a_majority_is_acknowledged() {
     let mut cluster =
         proposer_killed_after_sending(|message| matches!(message, Message::Accepted(_)));
-    // Another version comes first: its round completes the proposal, which may be chosen.
+    // Another version is set first. Its round completes the proposal, which may already be chosen.
     expect_that!(status_at(&mut cluster, 2, &set_service("x", 7, 3)), eq(200));
     expect_that!(status_at(&mut cluster, 3, &set_service("x", 6, 2)), eq(200));
     expect_that!(
--- a/crates/emberpin-consensus/tests/roster_changes.rs
+++ b/crates/emberpin-consensus/tests/roster_changes.rs
@@ -9,7 +9,7 @@
 use emberpin_consensus::{Call, Guards, Replica};
 use googletest::prelude::*;
 
-/// How long a machine counts as lost after the start of its replacement, in milliseconds.
+/// How long after the start of its replacement a machine counts as lost, in milliseconds.
 const SYNC_TIME: u64 = 4_000;
 
 #[gtest]
@@ -35,7 +35,7 @@
     started_at: u64,
 }
 
-/// 3 is decommissioned, and 4 replaces it; stops as soon as the first follower is told the new roster.
+/// 3 is decommissioned, and 4 replaces it. Returns as soon as the first follower is notified of the new roster.
 fn replacement(seed: u64) -> Replacement {
     let mut cluster = Cluster::new(seed, 3, 1, Guards::default());
     cluster.run(1_000);
@@ -53,7 +53,7 @@
 
 #[gtest]
 fn decommissioned_machine_counts_as_lost_until_a_majority_has_the_new_roster() {
-    // Found by random faults, seed 14994: the one replica that knew the new roster lost its disk at once.
+    // The failure of seed 14994 of the random faults: the only replica that knew the new roster lost its disk at once.
     for seed in 0..30 {
         let Replacement { mut cluster, .. } = replacement(seed);
         expect_that!(cluster.lost_machines(), eq(1), "right after it is chosen");
@@ -176,7 +176,7 @@
 }
 
 #[gtest]
-fn replica_without_a_majority_gives_up_leaving() {
+fn replica_without_a_majority_stops_leaving_after_a_timeout() {
     let mut cluster = Cluster::new(15, 5, 1, Guards::default());
     cluster.run(1_000);
     for host in 1..=4 {
@@ -203,7 +203,7 @@
     expect_that!(cluster.newest_roster(), eq(&vec![ip(1), ip(2), ip(3)]));
 }
 
-/// Five are partitioned into two, and on each side a new machine asks to join the roster.
+/// Five voters are partitioned into two sides, and on each side a new machine asks to join the roster.
 fn roster_changes_on_both_sides_of_a_partition(seed: u64, guards: Guards) -> Option<String> {
     let mut cluster = Cluster::new(seed, 5, 1, guards);
     cluster.run(1_000);
@@ -243,9 +243,9 @@
     }
 }
 
-/// Of five, 4 and 5 are partitioned from a new machine 6, which therefore proposes the roster 1, 2, 3, 6; its proposal
-/// reaches 3 alone. 4 completes the change by a round of its own, with 3 and 5. 6 learns of it from 3, and reads from 1 and
-/// 2.
+/// Of five voters, 4 and 5 are partitioned from a new machine 6, which therefore proposes the roster 1, 2, 3, 6. Its
+/// proposal reaches only 3. 4 completes the change by a round of its own, with 3 and 5. 6 learns of the change from 3,
+/// and reads from 1 and 2.
 fn roster_change_finished_by_another_proposer(guards: Guards) -> Option<String> {
     let mut cluster = Cluster::new(11, 5, 1, guards);
     cluster.add_machine(ip(6));
@@ -253,13 +253,13 @@
         cluster.partition(ip(6), ip(host));
     }
     cluster.start(ip(6), Start::Normal);
-    let proposes_roster = |message: &Message| match message {
+    let is_roster_proposal = |message: &Message| match message {
         Message::Accept(Accept { items, .. }) => {
             items.iter().any(|item| item.key.kind == ItemKind::Roster)
         }
         _ => false,
     };
-    cluster.hold_back = Some(proposes_roster);
+    cluster.hold_back = Some(is_roster_proposal);
     cluster.run_while(20_000, |cluster| {
         cluster.held_back.iter().all(|held| held.to != ip(3))
     });
@@ -276,7 +276,7 @@
     cluster.run(20);
     cluster.kill(ip(4));
     cluster.kill(ip(5));
-    // Of what 3 sends, only the roster arrives.
+    // Only messages that carry the roster get through.
     cluster.hold_back =
         Some(|message| !matches!(message, Message::Prepare(_) | Message::StaleRoster(_)));
     cluster.start(ip(6), Start::Normal);
@@ -318,11 +318,11 @@
 
 /// How often voters get a call while replacements join, in milliseconds.
 const CALL_INTERVAL: u64 = 25;
-/// `sync_time` of deployments that bear two losses at once, in milliseconds.
-const SYNC_TIME_OF_TWO: u64 = 6_000;
+/// `sync_time` of deployments that tolerate two losses at once, in milliseconds.
+const SYNC_TIME_WITH_TWO_LOSSES: u64 = 6_000;
 
-/// How long after their start the replacements of as many machines as may be lost are on the roster, while voters take
-/// calls all the time, in milliseconds; `None` if they are not within 12 s.
+/// Replaces as many machines as may be lost while the voters receive calls all the time. Returns how long after their
+/// start all replacements are on the roster, in milliseconds; `None` if they are not after 599 calls, about 15 s.
 fn time_until_joined_under_load(seed: u64, tolerated: u8, guards: Guards) -> Option<u64> {
     let count = 2 * tolerated + 1;
     let mut cluster = Cluster::new(seed, count, tolerated.into(), guards);
@@ -348,7 +348,7 @@
 
 #[gtest]
 fn replacements_join_in_time_however_many_calls_the_voters_take() {
-    for (tolerated, sync_time) in [(1, SYNC_TIME), (2, SYNC_TIME_OF_TWO)] {
+    for (tolerated, sync_time) in [(1, SYNC_TIME), (2, SYNC_TIME_WITH_TWO_LOSSES)] {
         for seed in 0..30 {
             expect_that!(
                 time_until_joined_under_load(seed, tolerated, Guards::default()),
@@ -360,19 +360,20 @@
 }
 
 #[gtest]
-fn without_a_restart_at_once_replacements_miss_their_turn() {
+fn without_an_immediate_restart_replacements_join_late() {
     let guards = Guards {
         restart_outdated_rounds: false,
         ..Guards::default()
     };
     let is_late = |seed: &u64| {
         let took = time_until_joined_under_load(*seed, 2, guards);
-        took.is_none_or(|took| took > SYNC_TIME_OF_TWO)
+        took.is_none_or(|took| took > SYNC_TIME_WITH_TWO_LOSSES)
     };
     expect_that!((0..30).filter(is_late).count(), gt(0));
 }
 
-/// How long the first of two replacements needs to join, whose machines are lost a second apart, in milliseconds.
+/// Replaces two machines that are lost a second apart. Returns how long the first replacement takes to join, in
+/// milliseconds.
 fn time_until_first_joined(seed: u64, guards: Guards) -> u64 {
     let mut cluster = Cluster::new(seed, 5, 2, guards);
     cluster.run(1_000);
@@ -388,17 +389,17 @@
 }
 
 #[gtest]
-fn a_replacement_takes_its_place_whoever_else_is_silent() {
+fn a_replacement_joins_in_time_while_another_voter_is_unresponsive() {
     let longest = |guards| {
         (0..10)
             .map(|seed| time_until_first_joined(seed, guards))
             .max()
     };
-    // Silence of 2.5 s, a comparison, and the rounds.
+    // The lost machine has to be unresponsive for 2.5 s; a comparison and the rounds follow.
     expect_that!(longest(Guards::default()), some(le(3_200)));
-    let waiting = Guards {
+    let with_delay = Guards {
         replace_without_delay: false,
         ..Guards::default()
     };
-    expect_that!(longest(waiting), some(gt(3_400)));
+    expect_that!(longest(with_delay), some(gt(3_400)));
 }
--- a/crates/emberpin-consensus/tests/slow_disks.rs
+++ b/crates/emberpin-consensus/tests/slow_disks.rs
@@ -1,4 +1,4 @@
-//! Slow and stalling disks: timeouts adapt, so that rounds succeed at any sync time up to the longest.
+//! Slow and stalling disks: timeouts adapt, so that rounds succeed at any sync time up to [`LONGEST_SYNC`].
 
 mod cluster;
 
@@ -13,14 +13,14 @@
 /// The longest sync at which calls are acknowledged, in milliseconds: a majority has to promise within a call's timeout
 /// of 3 s.
 const LONGEST_SYNC_OF_CALLS: u64 = 2_000;
-/// A run that does not succeed within this time makes no progress; in milliseconds.
+/// A run that does not succeed within this time counts as making no progress; in milliseconds.
 const PROGRESS_TIMEOUT: u64 = 300_000;
 /// How long a call, or the completion of a proposal, may take after a partition or a stall; in milliseconds.
 const MAX_TIME_AFTER_FAULT: u64 = 3_000;
 /// How many seeds each test runs.
 const SEEDS: u64 = 20;
 
-/// The simulated milliseconds that a run took, or why it failed.
+/// The simulated time that a run took, in milliseconds, or the reason why it failed.
 type TimeTaken = std::result::Result<u64, String>;
 
 fn cluster_with_slow_disks(
@@ -37,7 +37,7 @@
     cluster
 }
 
-/// Sends calls to replicas, and again after each 503, until all are acknowledged.
+/// Sends calls to replicas, and retries them after each 503, until all are acknowledged.
 fn time_until_acknowledged(cluster: &mut Cluster, calls: &[(u8, Call)], timeout: u64) -> TimeTaken {
     let began_at = cluster.now;
     let mut ids: Vec<usize> = calls
@@ -85,7 +85,7 @@
     cluster.violation.map_or(Ok(took), Err)
 }
 
-/// 3 is behind, 2 knows everything, 1 lost its disk; all are called at once.
+/// 3 lacks an acknowledged item, 2 knows everything, and 1 has lost its disk. All three are called at once.
 fn calls_after_a_lost_disk(seed: u64, sync: u64, guards: Guards) -> TimeTaken {
     let mut cluster = Cluster::new(seed, 3, 1, guards);
     cluster.host_blocks_on_sync = true;
@@ -138,7 +138,8 @@
     cluster.violation.map_or(Ok(longest), Err)
 }
 
-/// A replica that lost its disk catches up, and a proposal that two have accepted is completed, without any call.
+/// Without any call, a replica that lost its disk catches up, and a proposal that the two other replicas have accepted
+/// is completed.
 fn repair_at_longest_sync(seed: u64, guards: Guards) -> TimeTaken {
     let mut cluster = Cluster::new(seed, 3, 1, guards);
     cluster.host_blocks_on_sync = true;
@@ -270,7 +271,8 @@
     }
 }
 
-/// The proposer is killed before it learns that its proposal is accepted: how long another replica takes to complete it.
+/// Kills a proposer before it learns that its proposal is accepted. Returns how long another replica takes to complete
+/// the proposal, in milliseconds.
 fn time_until_completed_without_the_proposer(cluster: &mut Cluster) -> u64 {
     cluster.hold_back = Some(|message| matches!(message, Message::Accepted(_)));
     cluster.call(ip(1), set_service("r", 1, 1));
--- a/crates/emberpin-consensus/tests/successive_losses.rs
+++ b/crates/emberpin-consensus/tests/successive_losses.rs
@@ -1,6 +1,6 @@
-//! Successive losses for an hour of simulated time, each as soon as the last one no longer counts: disks, machines that
-//! are replaced, planned replacements, and machines that return with an old disk. `EMBERPIN_HOURS` sets how many hours
-//! each system is run.
+//! Successive losses for an hour of simulated time, each as soon as the last one no longer counts: lost disks, replaced
+//! machines, planned replacements, and machines that return with an old disk. `EMBERPIN_HOURS` sets how many hours each
+//! system runs.
 
 mod cluster;
 
@@ -13,7 +13,8 @@
 /// The span of a run, in milliseconds.
 const HOUR: u64 = 3_600_000;
 
-/// What an operator relies on: how many disks may be lost at once, and after which time a loss no longer counts.
+/// A deployment: its number of voters, how many disks may be lost at once, and after how many milliseconds a loss no
+/// longer counts.
 #[derive(Clone, Copy, Debug)]
 struct System {
     voters: u8,
@@ -44,14 +45,14 @@
     },
 ];
 
-/// How many machines may be set aside: more than a majority of the largest system.
+/// Maximum number of machines that are set aside: more than a majority of the largest system.
 const MAX_SET_ASIDE: usize = 6;
 
 struct Run {
     cluster: Cluster,
     /// The number of the newest machine.
     last_host: u32,
-    /// Machines that were replaced lately, and that may return with their disks; up to [`MAX_SET_ASIDE`].
+    /// Recently replaced machines that may return with their disks; up to [`MAX_SET_ASIDE`].
     set_aside: Vec<Ipv4Addr>,
 }
 
@@ -117,7 +118,7 @@
         self.add_replacement();
         self.cluster.run(sync_time);
         if self.cluster.below(3) == 0 {
-            // Killed while it leaves.
+            // The machine is killed while it leaves.
             self.cluster.begin_leaving(leaving);
             let pause = self.cluster.below(40);
             self.cluster.run(pause);
@@ -129,7 +130,7 @@
     }
 }
 
-/// One run; the first violation, if there is one.
+/// Runs one seed; returns the first violation.
 fn run(seed: u64, system: System, span: u64, guards: Guards) -> Option<String> {
     let System {
         voters,
--- a/crates/emberpin-consensus/tests/tombstones.rs
+++ b/crates/emberpin-consensus/tests/tombstones.rs
@@ -1,4 +1,4 @@
-//! Removal of tombstones: replicas agree on what they removed, on disks and in digests.
+//! Removal of tombstones: replicas agree on the removed tombstones, on their disks and in their digests.
 
 mod cluster;
 
@@ -17,7 +17,8 @@
     }
 }
 
-/// One tombstone more than is kept, from the lowest version on; and the checkpoint that removes the first of them.
+/// One tombstone more than the limit, in ascending order of versions; and the checkpoint that removes the first of
+/// them.
 fn tombstones_and_checkpoint() -> (Vec<Item>, Item) {
     let tombstones: Vec<Item> = (0..=MAX_TOMBSTONES)
         .map(|number| Item {
@@ -45,7 +46,7 @@
     }
 }
 
-/// The version before a tombstone of the lowest version.
+/// The live version of the item before its tombstone.
 fn live_version_of(tombstone: &Item) -> Item {
     Item {
         version: Version(0),
@@ -63,8 +64,8 @@
 #[gtest]
 fn digests_match_after_tombstones_were_removed() {
     let (tombstones, checkpoint) = tombstones_and_checkpoint();
-    // One replica had the oldest tombstone and removed it. The other one knew neither it nor the service that it
-    // removed, and learns the checkpoint first.
+    // The first replica had the oldest tombstone and removed it. The second one knew only the live version of that
+    // service, and learns the checkpoint before the tombstones.
     let first = [&tombstones[..], std::slice::from_ref(&checkpoint)].concat();
     let live = live_version_of(&tombstones[0]);
     let second = [&[live.clone(), checkpoint, live], &tombstones[1..]].concat();
@@ -89,10 +90,10 @@
     expect_that!(replica.state().get(&tombstones[0].key), none());
     let again = chosen(&tombstones[..1]);
     expect_that!(receive(&mut replica, again), is_empty());
-    // Nor is the version that it removed.
+    // The version that the tombstone removed is not learned again either.
     let live = chosen(&[live_version_of(&tombstones[0])]);
     expect_that!(receive(&mut replica, live), is_empty());
-    // A service that lives is removed also by so low a version.
+    // A live service can still be removed by a version below the checkpoint.
     expect_that!(replica.state().get(&service.key), some(eq(&service)));
     let removal = Item {
         version: Version(1),
