--- a/crates/emberpin-consensus/tests/cluster/applications.rs
+++ b/crates/emberpin-consensus/tests/cluster/applications.rs
@@ -5,7 +5,8 @@
 use emberpin_coordination::{Operation, Outcome};
 use std::net::Ipv4Addr;
 
-/// The longest time until an operation is answered that does not wait, in milliseconds: its timeout, and a timer.
+/// The longest time until an operation that does not wait for a change is answered, in milliseconds: its timeout, and
+/// the delay of a timer.
 const MAX_OPERATION_TIME: u64 = 600 + 2;
 
 impl Cluster {
@@ -27,7 +28,8 @@
         index
     }
 
-    /// Has a replica carry out an operation, as the leader if need be; the outcome, unless it is undecided.
+    /// Has a replica carry out an operation, for which it takes the lead if necessary. Returns the outcome; `None` if
+    /// the operation is undecided.
     pub fn operate(&mut self, to: Ipv4Addr, operation: Operation) -> Option<Outcome> {
         let index = self.send_operation(to, operation, WhenLed::TakeOver);
         self.run_while(MAX_OPERATION_TIME, |cluster| {
@@ -39,7 +41,7 @@
         }
     }
 
-    /// An application gets its reply: once.
+    /// An application receives a reply. Checks that it is the only one.
     pub(super) fn on_application_reply(&mut self, call_id: CallId, reply: CoordinationReply) {
         let index = call_id.0 as usize;
         if self.operations[index].replace(reply).is_some() {
--- a/crates/emberpin-consensus/tests/cluster/checks.rs
+++ b/crates/emberpin-consensus/tests/cluster/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of what replicas tell their clients and followers.
+//! Invariant checks of the replies to clients and of the items that followers receive.
 
 use super::{ClientCall, Cluster, HistoryEvent, Reply, Start, MAX_REPLY_TIME};
 use emberpin_config::{Checkpoint, Configuration, Item, ItemKey, ItemKind, Version};
@@ -6,29 +6,29 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// How a call was answered, whenever it was sent.
+/// The replies to a call over all times that it was sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Statuses {
     acknowledged: bool,
     conflicted: bool,
 }
 
-/// What was observed so far, and must stay true.
+/// The observations so far, against which further ones are checked.
 #[derive(Debug, Default)]
 pub struct Observations {
-    /// The one content of each version that followers were notified of or that was acknowledged.
+    /// The only content of each version of which followers were notified.
     contents: BTreeMap<(ItemKey, Version), Option<String>>,
     /// The highest acknowledged version of each item.
     acknowledged: BTreeMap<ItemKey, Version>,
-    /// The one content of each acknowledged version, superseded ones included.
+    /// The only content of each acknowledged version, superseded ones included.
     acknowledged_contents: BTreeMap<(ItemKey, Version), Option<String>>,
-    /// By the body of the call.
+    /// The replies to patches, by the body of the call.
     statuses: BTreeMap<Vec<u8>, Statuses>,
-    /// Everything that was ever chosen, merged.
+    /// All items of which followers were notified, merged.
     merged: Configuration,
 }
 
-/// A roster, as it was chosen.
+/// A chosen roster.
 struct ObservedRoster {
     version: Version,
     voters: Vec<Ipv4Addr>,
@@ -42,7 +42,7 @@
             .get_or_insert_with(|| format!("at {now} ms: {violation}"));
     }
 
-    /// The rosters that followers were notified of, by their versions.
+    /// The rosters of which followers were notified, sorted by version.
     fn observed_rosters(&self) -> Vec<ObservedRoster> {
         let contents = self.observed.contents.iter();
         let rosters = contents.filter(|((key, _), _)| key.kind == ItemKind::Roster);
@@ -56,17 +56,17 @@
         rosters
     }
 
-    /// The voters of the newest roster that any follower was notified of.
+    /// The voters of the newest roster of which any follower was notified.
     pub fn newest_roster(&self) -> Vec<Ipv4Addr> {
         let newest = self.observed_rosters().pop();
         newest.map(|roster| roster.voters).unwrap_or_default()
     }
 
-    /// The voters of the newest roster that a majority of them has on its disks.
+    /// The voters of the newest roster that is on the disks of a majority of its voters.
     ///
-    /// An operator counts a decommissioned machine as lost until `sync_time` after the start of its replacement, and only
-    /// then may another disk be lost. This is sooner, as soon as the replicas can bear it: while one replica alone knows
-    /// of a chosen roster, its disk must not be the next one lost.
+    /// An operator counts a decommissioned machine as lost until `sync_time` after the start of its replacement, and
+    /// only then may another disk be lost. These tests lose the next disk earlier, as soon as the replicas can tolerate
+    /// it: while only one replica knows a chosen roster, its disk must not be the next one lost.
     fn roster_on_majority(&self) -> Vec<Ipv4Addr> {
         let version_on_disk = |ip: &Ipv4Addr| {
             let node = self.nodes.get(ip);
@@ -90,8 +90,8 @@
             .unwrap_or_default()
     }
 
-    /// How many machines have no disk, or have not caught up since. All machines that run count, whether or not they are
-    /// on the roster, as `tolerance` counts machines; a decommissioned one counts as long as it is on the roster.
+    /// How many machines have lost their disks and have not caught up since. All machines count, whether or not they
+    /// are on the roster, as `tolerance` counts machines; a decommissioned one counts as long as it is on the roster.
     pub fn lost_machines(&self) -> usize {
         let roster = self.roster_on_majority();
         let nodes = self.nodes.iter();
@@ -106,7 +106,7 @@
             .count()
     }
 
-    /// A version has one content.
+    /// Checks that a version has one content.
     fn check_content(&mut self, item: &Item) {
         let key = (item.key.clone(), item.version);
         let contents = &mut self.observed.contents;
@@ -120,8 +120,9 @@
         }
     }
 
-    /// A replica tells its followers of chosen items: each set leaves the whole valid, as the first replica to tell a set
-    /// tells with it everything that was chosen before; and at each replica versions only rise.
+    /// A replica notifies its followers of chosen items. Checks that the merged configuration stays valid with each set
+    /// of items, as the first replica that reports a set has reported everything that was chosen before; and that
+    /// versions only rise at each replica.
     pub(super) fn on_learned(&mut self, ip: Ipv4Addr, items: &[Item]) {
         let merged = &mut self.observed.merged;
         let mut has_new = false;
@@ -130,7 +131,9 @@
         }
         if has_new {
             if let Err(error) = merged.check() {
-                self.fail(format!("what is chosen is not valid as a whole: {error}"));
+                self.fail(format!(
+                    "the set of chosen items is not valid as a whole: {error}"
+                ));
             }
         }
         for item in items {
@@ -146,13 +149,13 @@
         }
     }
 
-    /// A client gets its reply: once, and in time.
+    /// A client receives a reply. Checks that it is the only one, and in time.
     pub(super) fn on_reply(&mut self, id: usize, reply: Reply) {
         let call = self.calls[id].clone();
         if call.reply.is_some() {
             return self.fail(format!("call {id} was answered twice"));
         }
-        // A host that waits for syncs replies after the current sync, and the one that follows it.
+        // A host that blocks on syncs replies after the current sync and the following one.
         let syncs = if self.host_blocks_on_sync {
             2 * (self.sync_time.end + self.sync_stalls.duration)
         } else {
@@ -175,8 +178,8 @@
         self.calls[id].reply = Some(reply);
     }
 
-    /// A call that was acknowledged is never a conflict, nor the other way around, whenever it is sent; and of an
-    /// acknowledged version there is one content.
+    /// Checks that a call is not both acknowledged and rejected as a conflict, however often it is sent, and that an
+    /// acknowledged version has one content.
     fn check_status(&mut self, call: &ClientCall, status: u16) {
         let Call::Patch(body) = &call.call else {
             return;
@@ -186,7 +189,9 @@
         statuses.conflicted |= status == 409;
         if statuses.acknowledged && statuses.conflicted {
             let body = String::from_utf8_lossy(body);
-            self.fail(format!("{body:?} was acknowledged and refused"));
+            self.fail(format!(
+                "{body:?} was acknowledged and rejected as a conflict"
+            ));
         }
         for item in call.items.iter().filter(|_| status == 200) {
             let key = (item.key.clone(), item.version);
@@ -201,8 +206,7 @@
         }
     }
 
-    /// Ends all faults, and checks that the replicas catch up, have everything that was acknowledged, and nothing that
-    /// was refused.
+    /// Ends all faults, and checks that the replicas catch up, and have all acknowledged items and no rejected ones.
     pub fn heal_and_check(&mut self) {
         self.partitions.clear();
         self.hold_back = None;
@@ -233,11 +237,11 @@
             }
             self.check_acknowledged_items(ip);
         }
-        for item in self.items_only_refused() {
+        for item in self.items_only_rejected() {
             let key = (item.key.clone(), item.version);
             if self.observed.contents.get(&key) == Some(&item.body) {
                 self.fail(format!(
-                    "{:?} {} was refused and is chosen",
+                    "{:?} {} was rejected and is chosen",
                     item.key, item.version
                 ));
             }
@@ -254,13 +258,15 @@
         let mut violation = configuration
             .check()
             .err()
-            .map(|error| format!("the whole is invalid: {error}"));
+            .map(|error| format!("the state as a whole is invalid: {error}"));
         let checkpoint = state
             .get(&Checkpoint::key())
             .map(Checkpoint::from_item)
             .unwrap_or_default();
         let acknowledged = self.observed.acknowledged.iter();
-        for (key, version) in acknowledged.filter(|(key, ver)| checkpoint.admits(key, **ver)) {
+        for (key, version) in
+            acknowledged.filter(|(key, version)| checkpoint.admits(key, **version))
+        {
             let item = state.get(key);
             if item.is_none_or(|item| item.version < *version) {
                 violation = Some(format!(
@@ -283,19 +289,19 @@
         }
     }
 
-    /// Items of calls that were refused, and never answered in any other way.
-    fn items_only_refused(&self) -> Vec<Item> {
-        let is_refused = |call: &ClientCall| matches!(call.status(), Some(400..=499));
-        let is_only_refused = |call: &&ClientCall| {
+    /// Items of calls that were rejected, and never answered in any other way.
+    fn items_only_rejected(&self) -> Vec<Item> {
+        let is_rejected = |call: &ClientCall| matches!(call.status(), Some(400..=499));
+        let is_only_rejected = |call: &&ClientCall| {
             let mut same = self.calls.iter().filter(|other| other.call == call.call);
-            is_refused(call) && same.all(is_refused)
+            is_rejected(call) && same.all(is_rejected)
         };
-        let calls = self.calls.iter().filter(is_only_refused);
+        let calls = self.calls.iter().filter(is_only_rejected);
         calls.flat_map(|call| call.items.clone()).collect()
     }
 }
 
-/// The addresses in the body of a roster, which replicas alone read otherwise.
+/// Parses the addresses in the body of a roster.
 fn parse_voters(body: &str) -> Vec<Ipv4Addr> {
     body.split(['[', ']', '"', ','])
         .filter_map(|part| part.parse().ok())
--- a/crates/emberpin-consensus/tests/cluster/clients.rs
+++ b/crates/emberpin-consensus/tests/cluster/clients.rs
@@ -5,7 +5,7 @@
 use emberpin_consensus::{Call, CallId, Event};
 use std::net::Ipv4Addr;
 
-/// A client's call.
+/// A client's call, and its reply once there is one.
 #[derive(Clone, Debug)]
 pub struct ClientCall {
     pub to: Ipv4Addr,
@@ -61,7 +61,8 @@
         id
     }
 
-    /// Sends a call and waits for its reply; after a 503 it is sent again, as operators do.
+    /// Sends a call and waits for its reply, and retries it after a 503 as operators do. Returns the last reply, or a
+    /// 503 after 20 attempts.
     pub fn call_until_done(&mut self, to: Ipv4Addr, call: Call) -> Reply {
         for _ in 0..20 {
             let id = self.call(to, call.clone());
--- a/crates/emberpin-consensus/tests/cluster/faults.rs
+++ b/crates/emberpin-consensus/tests/cluster/faults.rs
@@ -9,7 +9,7 @@
 pub enum FaultDuration {
     /// Partitions heal often.
     Short,
-    /// Partitions mostly last, so that machines are evicted from the roster.
+    /// Partitions usually last, so that machines are evicted from the roster.
     Long,
 }
 
@@ -17,12 +17,12 @@
 const MAX_MACHINES: u8 = 14;
 
 impl Cluster {
-    /// Ends a process; everything written stays on the disk.
+    /// Kills a process; all its writes stay on the disk.
     pub fn kill(&mut self, ip: Ipv4Addr) {
         self.node(ip).replica = None;
     }
 
-    /// Ends a process by a loss of power: of the unsynced writes, a random number of the first ones stays.
+    /// Ends a process by a power loss: of the unsynced writes, a random number of the first ones survive.
     pub fn lose_power(&mut self, ip: Ipv4Addr) {
         let node = self.node(ip);
         let unsynced = (node.disk.len() - node.synced) as u64;
@@ -33,7 +33,7 @@
         node.synced = node.disk.len();
     }
 
-    /// Ends a process by a loss of power: no unsynced write stays.
+    /// Ends a process by a power loss: no unsynced write survives.
     pub fn lose_power_and_unsynced_writes(&mut self, ip: Ipv4Addr) {
         let node = self.node(ip);
         node.replica = None;
@@ -46,7 +46,7 @@
         node.is_frozen = node.replica.is_some();
     }
 
-    /// Wakes a frozen process: it handles at once all that came meanwhile.
+    /// Wakes a frozen process: it handles all events that arrived meanwhile at once.
     pub fn wake(&mut self, ip: Ipv4Addr) {
         let node = self.node(ip);
         node.is_frozen = false;
@@ -60,14 +60,14 @@
         self.node(ip).disk_full = true;
     }
 
-    /// The disk takes writes again, and the replica is told so.
+    /// The disk takes writes again, and the replica is notified.
     pub fn free_disk(&mut self, ip: Ipv4Addr) {
         if std::mem::take(&mut self.node(ip).disk_full) {
             self.handle(ip, Event::DiskRestored);
         }
     }
 
-    /// Loses what is not synced, and tells the replica that its disk failed.
+    /// Loses the unsynced writes, and notifies the replica that its disk failed.
     pub(super) fn lose_unsynced_writes(&mut self, ip: Ipv4Addr) {
         let node = self.node(ip);
         node.disk.truncate(node.synced);
@@ -76,7 +76,7 @@
         self.handle(ip, Event::DiskFailed { reason });
     }
 
-    /// Tells a replica to leave the roster.
+    /// Requests a replica to leave the roster.
     pub fn begin_leaving(&mut self, ip: Ipv4Addr) {
         self.handle(ip, Event::Leave);
     }
@@ -98,19 +98,19 @@
         node.disk_lost = true;
     }
 
-    /// Takes a machine away for good, with its disk.
+    /// Removes a machine and its disk for good.
     pub fn decommission(&mut self, ip: Ipv4Addr) {
         self.lose_disk(ip);
         self.node(ip).decommissioned = true;
     }
 
-    /// Loses all messages between two machines, in both directions.
+    /// From now on, loses all messages between two machines, in both directions.
     pub fn partition(&mut self, one: Ipv4Addr, other: Ipv4Addr) {
         self.partitions.insert((one, other));
         self.partitions.insert((other, one));
     }
 
-    /// Loses all messages between the machines of two groups.
+    /// From now on, loses all messages between the machines of two groups.
     pub fn partition_groups(&mut self, group: &[u8], others: &[u8]) {
         for one in group {
             for other in others {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Ends the processes of all these machines by a loss of power.
+    /// Ends the processes of all these machines by a power loss.
     pub fn lose_power_of_all(&mut self, ips: &[Ipv4Addr]) {
         for ip in ips {
             self.lose_power(*ip);
@@ -183,7 +183,7 @@
             self.lose_power_of_all(all);
         }
         self.lose_disk(ip);
-        // Now and then its settings still ask for a bootstrap.
+        // In about one of three cases its settings still ask for a bootstrap.
         let start = if self.now.is_multiple_of(3) {
             Start::Bootstrap
         } else {
--- a/crates/emberpin-consensus/tests/cluster/mod.rs
+++ b/crates/emberpin-consensus/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A cluster of replicas on simulated time, with delays and faults drawn from a seed, and checks of everything that
-//! its replicas tell their clients and followers.
+//! A cluster of replicas on simulated time, with delays and faults drawn from a seed, and invariant checks of
+//! everything that its replicas report to their clients and followers.
 //!
 //! Times are milliseconds. Running a cluster stops at the first violation, which [`Cluster::violation`] describes.
 #![allow(dead_code, reason = "each test file uses a part of it")]
@@ -30,7 +30,7 @@
 use std::net::Ipv4Addr;
 use std::ops::Range;
 
-/// The longest time until a call is answered: the timeout of a call, and a timer.
+/// The longest time until a call is answered: the timeout of a call, and the delay of a timer.
 const MAX_REPLY_TIME: u64 = 3_000 + 2;
 
 /// How long a process that shuts down waits for its replica to leave the roster.
@@ -39,7 +39,7 @@
 /// How many events a host handles before it syncs once for all of them.
 const MAX_EVENTS_PER_SYNC: usize = 32;
 
-/// Bounds that are reached after few changes.
+/// Retention limits that are reached after few changes.
 pub const SMALL_RETENTION: Retention = Retention {
     max_versions: 3,
     max_tombstones: 4,
@@ -47,7 +47,7 @@
     max_configuration_bytes: MAX_CONFIGURATION_BYTES,
 };
 
-/// The reason that clients are given while a disk is full.
+/// The reason that is reported to clients while a disk is full.
 pub const DISK_FULL: &str = "the disk is full";
 
 /// An event that is scheduled on simulated time.
@@ -56,7 +56,8 @@
     Deliver {
         from: Ipv4Addr,
         to: Ipv4Addr,
-        /// The receiver's process when the message was sent; a connection ends with it.
+        /// The receiver's process when the message was sent. The connection closes when this process ends, so the
+        /// message is then lost.
         process: u64,
         message: Message,
     },
@@ -65,7 +66,7 @@
         process: u64,
         disk_failures: u64,
         token: WriteToken,
-        /// How many writes of the disk are synced then.
+        /// How many writes of the disk are synced by this sync.
         writes: usize,
     },
     Tick {
@@ -83,61 +84,62 @@
     Normal,
 }
 
-/// A message that a test holds back.
+/// A message that a test has held back.
 #[derive(Clone, Debug)]
-pub struct HeldMessage {
+pub struct HeldBackMessage {
     pub from: Ipv4Addr,
     pub to: Ipv4Addr,
     pub message: Message,
 }
 
-/// Syncs that take longer than others.
+/// Random stalls of syncs.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SyncStalls {
-    /// Of a hundred syncs, how many stall.
+    /// The percentage of syncs that stall.
     pub percent: u64,
-    /// How much longer these take.
+    /// How much longer a stalled sync takes.
     pub duration: u64,
 }
 
 pub struct Cluster {
     pub now: u64,
     pub nodes: BTreeMap<Ipv4Addr, Node>,
-    /// Links on which messages are lost: from one machine to another.
+    /// Links on which messages are lost, each from the first machine to the second.
     pub partitions: BTreeSet<(Ipv4Addr, Ipv4Addr)>,
     pub calls: Vec<ClientCall>,
     pub history: Vec<HistoryEvent>,
     /// The replies to the operations of applications, in the order in which these were sent.
     pub operations: Vec<Option<CoordinationReply>>,
-    /// What was observed so far, and must stay true.
+    /// The observations so far, against which further ones are checked.
     pub observed: Observations,
     /// The first violation.
     pub violation: Option<String>,
-    /// Which messages a test holds back.
+    /// Selects the messages that a test holds back.
     pub hold_back: Option<fn(&Message) -> bool>,
-    pub held_back: Vec<HeldMessage>,
+    pub held_back: Vec<HeldBackMessage>,
     pub random: Rand64,
     guards: Guards,
     rounds: Rounds,
     seeds: Vec<Ipv4Addr>,
     tolerated_failures: usize,
-    /// Times and numbers of scheduled events, the earliest first.
+    /// The times and numbers of scheduled events, the earliest first; the numbers are keys of `scheduled`.
     schedule: BinaryHeap<Reverse<(u64, u64)>>,
     scheduled: BTreeMap<u64, ScheduledEvent>,
     last_scheduled: u64,
     pub network_delay: Range<u64>,
     pub sync_time: Range<u64>,
     pub sync_stalls: SyncStalls,
-    /// Of a hundred messages, how many are late by up to 1.5 s.
+    /// The percentage of messages that are late by up to 1.5 s.
     pub late_percent: u64,
-    /// Of a hundred messages, how many arrive twice.
+    /// The percentage of messages that arrive twice.
     pub duplicate_percent: u64,
-    /// Whether a host does nothing while its disk syncs, and then handles the events that came meanwhile with one
-    /// further sync.
+    /// Whether a host handles nothing while its disk syncs, and afterwards handles the events that arrived meanwhile
+    /// with one further sync.
     pub host_blocks_on_sync: bool,
 }
 
-/// Whether a message spreads chosen items outside of rounds. Without these, a replica knows only what its rounds tell.
+/// Whether a message spreads chosen items outside of rounds. Without such messages, a replica learns items only in
+/// rounds.
 pub fn spreads_chosen_items(message: &Message) -> bool {
     matches!(
         message,
@@ -151,7 +153,7 @@
 }
 
 impl Cluster {
-    /// A cluster of seeds, all of which are started for its bootstrap.
+    /// Creates a cluster of seeds, and starts all of them with `bootstrap`.
     pub fn new(seed: u64, seed_count: u8, tolerated_failures: usize, guards: Guards) -> Cluster {
         Cluster::with_rounds(
             Rounds::Leaderless,
@@ -162,7 +164,7 @@
         )
     }
 
-    /// A cluster whose proposers follow one another in this way.
+    /// Like [`Cluster::new`], with or without a leader among the proposers.
     pub fn with_rounds(
         rounds: Rounds,
         seed: u64,
@@ -219,7 +221,7 @@
         from[self.below(from.len() as u64) as usize].clone()
     }
 
-    fn below_range(&mut self, range: &Range<u64>) -> u64 {
+    fn random_in(&mut self, range: &Range<u64>) -> u64 {
         range.start + self.below(range.end - range.start)
     }
 
@@ -238,7 +240,7 @@
         self.nodes[&ip].replica.as_ref()
     }
 
-    /// What the replica of a machine knows of an item.
+    /// The newest version of an item that the replica of a machine knows.
     pub fn known_item(&self, host: u8, kind: ItemKind, name: &str) -> Option<Item> {
         let key = ItemKey {
             kind,
@@ -247,7 +249,7 @@
         self.replica(ip(host))?.state().get(&key).cloned()
     }
 
-    /// Which version of a service the replica of a machine knows.
+    /// The newest version of a service that the replica of a machine knows.
     pub fn service_version(&self, host: u8, name: &str) -> Option<u64> {
         let service = self.known_item(host, ItemKind::Service, name)?;
         Some(service.version.0)
@@ -265,7 +267,7 @@
     /// Starts a process, unless it runs or the machine is decommissioned.
     pub fn start(&mut self, ip: Ipv4Addr, start: Start) {
         let (now, guards, random_seed) = (self.now, self.guards, self.random.rand_u64());
-        // As the operator's list stands when the settings are written: some may be down, none is gone for good.
+        // The settings name machines from the operator's current list: some may be down, none is gone for good.
         let listed = self
             .nodes
             .iter()
@@ -313,7 +315,7 @@
         }
     }
 
-    /// The ballot that a machine's disk holds a promise of.
+    /// The promised ballot on a machine's disk.
     pub fn promised_ballot(&self, ip: Ipv4Addr) -> Option<Ballot> {
         self.nodes[&ip].disk.last().map(|write| write.promised)
     }
@@ -343,7 +345,7 @@
         self.apply(ip, actions);
     }
 
-    /// A sync is over: the host handles that, and the events that came meanwhile.
+    /// A sync has ended: the host handles this, and the events that arrived meanwhile.
     fn on_synced(&mut self, ip: Ipv4Addr, token: WriteToken) {
         let node = self.node(ip);
         node.is_syncing = false;
@@ -356,7 +358,7 @@
         let waiting = self.take_waiting_events(ip);
         let synced = std::iter::once(Event::Persisted { token });
         self.handle_all(ip, synced.chain(waiting));
-        // Events that led to no sync let the next ones follow at once.
+        // If the handled events led to no sync, the next ones follow at once.
         while !self.node(ip).is_syncing && !self.node(ip).waiting_events.is_empty() {
             let waiting = self.take_waiting_events(ip);
             self.handle_all(ip, waiting);
@@ -409,7 +411,7 @@
         let SyncStalls { percent, duration } = self.sync_stalls;
         let is_stalled = percent > 0 && self.below(100) < percent;
         let stall = if is_stalled { duration } else { 0 };
-        let sync_time = self.below_range(&self.sync_time.clone()) + stall;
+        let sync_time = self.random_in(&self.sync_time.clone()) + stall;
         let now = self.now;
         let node = self.node(ip);
         if node.disk_full {
@@ -447,12 +449,12 @@
             return;
         }
         if self.hold_back.is_some_and(|is_held| is_held(&message)) {
-            self.held_back.push(HeldMessage { from, to, message });
+            self.held_back.push(HeldBackMessage { from, to, message });
             return;
         }
         let is_duplicated = self.below(100) < self.duplicate_percent;
         for _ in 0..if is_duplicated { 2 } else { 1 } {
-            let mut delay = self.below_range(&self.network_delay.clone());
+            let mut delay = self.random_in(&self.network_delay.clone());
             if self.below(100) < self.late_percent {
                 delay += self.below(1500);
             }
@@ -468,9 +470,9 @@
 
     /// Delivers the first message from one machine to another that was held back.
     pub fn release(&mut self, from: Ipv4Addr, to: Ipv4Addr) {
-        let is_wanted = |held: &HeldMessage| (held.from, held.to) == (from, to);
-        if let Some(position) = self.held_back.iter().position(is_wanted) {
-            let HeldMessage { from, to, message } = self.held_back.remove(position);
+        let is_on_link = |held: &HeldBackMessage| (held.from, held.to) == (from, to);
+        if let Some(position) = self.held_back.iter().position(is_on_link) {
+            let HeldBackMessage { from, to, message } = self.held_back.remove(position);
             self.handle(to, Event::Message { from, message });
         }
     }
@@ -482,7 +484,7 @@
         self.now = self.now.max(until);
     }
 
-    /// Lets time pass as long as a condition holds, up to a span.
+    /// Lets time pass while a condition holds, up to a span.
     pub fn run_while(&mut self, span: u64, mut condition: impl FnMut(&Cluster) -> bool) {
         let until = self.now + span;
         while self.violation.is_none() && condition(self) {
@@ -545,7 +547,7 @@
     }
 }
 
-/// What became of a write.
+/// The result of a write.
 enum Written {
     /// The disk takes no writes.
     Lost,
--- a/crates/emberpin-consensus/tests/cluster/node.rs
+++ b/crates/emberpin-consensus/tests/cluster/node.rs
@@ -8,7 +8,7 @@
 #[derive(Default)]
 pub struct Node {
     pub replica: Option<Replica>,
-    /// Counts the starts of its process.
+    /// The number of starts of its process, which identifies its current incarnation.
     pub(super) process: u64,
     pub(super) disk: Vec<WriteBatch>,
     /// How many writes of the disk are synced.
@@ -16,30 +16,30 @@
     /// No sync of its disk ends before this.
     pub stalled_until: u64,
     pub(super) disk_full: bool,
-    /// Counts the failures of its disk: a sync that began before the last one is not reported.
+    /// The number of failures of its disk. A sync that began before the last failure is not reported.
     pub(super) disk_failures: u64,
-    /// Its disk was lost, and does not say yet that the replica has caught up.
+    /// Whether its disk was lost, and does not record yet that the replica has caught up.
     pub disk_lost: bool,
-    /// It never comes back.
+    /// Whether it is gone for good.
     pub decommissioned: bool,
-    /// The operator has taken it off the list of machines: no seeds name it.
+    /// Whether the operator has removed it from the list of machines, so that no settings name it as a seed.
     pub delisted: bool,
-    /// When its next tick is scheduled; 0, if none is.
+    /// When its next tick is scheduled; 0 if none is.
     pub(super) next_tick_at: u64,
-    /// The host waits for a sync; see [`Cluster::host_blocks_on_sync`].
+    /// Whether the host waits for a sync; see [`Cluster::host_blocks_on_sync`].
     pub(super) is_syncing: bool,
     /// Events that wait for the end of that sync.
     pub(super) waiting_events: VecDeque<Event>,
-    /// Its process is frozen: it handles nothing until it wakes. What it wrote before is synced all the same.
+    /// Whether its process is frozen: it handles nothing until it wakes. Its earlier writes are still synced.
     pub is_frozen: bool,
-    /// Events that came meanwhile.
+    /// Events that arrived while it was frozen.
     pub(super) frozen_events: VecDeque<Event>,
-    /// The versions that its followers were notified of by this process.
+    /// The newest versions of which this process has notified its followers.
     pub(super) learned_versions: BTreeMap<ItemKey, Version>,
 }
 
 impl Node {
-    /// What a replica reads from the disk at its start; `None`, if nothing is written.
+    /// The state that a replica reads from the disk at its start; `None` if nothing was written.
     pub(super) fn persisted_state(&self) -> Option<PersistedState> {
         if self.disk.is_empty() {
             return None;
--- a/crates/emberpin-consensus/tests/cluster/replica.rs
+++ b/crates/emberpin-consensus/tests/cluster/replica.rs
@@ -11,7 +11,7 @@
 /// When [`voter`] starts.
 const START: Timestamp = Timestamp::from_millis(1);
 
-/// A voter that knows nothing but the roster of the machines 1, 2 and 3.
+/// A voter that knows only the roster of the machines 1, 2 and 3.
 pub fn voter(host: u8, guards: Guards) -> Replica {
     let options = ReplicaOptions {
         address: ip(host),
--- a/crates/emberpin-consensus/tests/cluster/seeds.rs
+++ b/crates/emberpin-consensus/tests/cluster/seeds.rs
@@ -1,10 +1,10 @@
-//! Searches over seeds. `EMBERPIN_RUNS` sets how many seeds a search of the unchanged protocol takes.
+//! Searches over seeds. `EMBERPIN_RUNS` sets how many seeds a search runs with the unchanged protocol.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// How many seeds are searched in the usual test run.
+/// How many seeds are searched by default.
 const DEFAULT_RUNS: u64 = 150;
 /// How many seeds it may take to detect a missing safeguard.
 pub const MUTANT_RUNS: u64 = 400;
@@ -19,7 +19,8 @@
         .unwrap_or(DEFAULT_RUNS)
 }
 
-/// Runs seeds from 0 on until one finds a violation; returns that of the lowest seed found.
+/// Runs the seeds from 0 to `runs` until one of them finds a violation; returns the violation of the lowest seed among
+/// those found.
 pub fn first_violation(
     name: &str,
     runs: u64,
--- a/crates/emberpin-consensus/tests/random_registers.rs
+++ b/crates/emberpin-consensus/tests/random_registers.rs
@@ -195,7 +195,7 @@
         count_leases_from_start: false,
         ..Guards::default()
     };
-    let found = violation_with("locks that are free at a start", guards);
+    let found = violation_with("locks that expire at a start", guards);
     expect_that!(found, some(anything()));
 }
 
@@ -205,6 +205,6 @@
         renewals_restart_leases: false,
         ..Guards::default()
     };
-    let found = violation_with("locks that are free in spite of renewals", guards);
+    let found = violation_with("locks that expire despite renewals", guards);
     expect_that!(found, some(anything()));
 }
--- a/crates/emberpin-consensus/tests/register_callers/invariants.rs
+++ b/crates/emberpin-consensus/tests/register_callers/invariants.rs
@@ -1,5 +1,8 @@
-//! What callers were told of locks, counters and cells, and the rules that it must not break: ONE, ORDER, STALE, MIXED,
-//! REFUSED and LOST.
+//! Checks the results of operations on locks, counters and cells against invariants. Each violation begins with the
+//! name of its invariant: ONE (a lock has one holder at a time, and fencing tokens rise), ORDER (numbers and revisions
+//! rise, and none is given twice), STALE (a result is not older than what was known when the operation was sent), MIXED
+//! (cells show only values that were put to them, each with one revision), REFUSED (a rejected put is never shown) and
+//! LOST (acknowledged changes remain).
 
 use super::{group, OperationResult};
 use emberpin_coordination::{CellEvent, FencingToken, Operation, Outcome, Revision};
@@ -9,13 +12,13 @@
 /// How many events a trace shows.
 const TRACE_EVENTS: usize = 400;
 
-/// What was known when a call was sent, so that its answer must not fall behind it.
+/// The state that was known when an operation was sent: lower bounds of its result.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Floors {
-    /// The highest fence that another caller got, of the lock.
-    other_fence: FencingToken,
-    /// The highest fence that this caller got, of the lock.
-    own_fence: FencingToken,
+pub struct LowerBounds {
+    /// The highest fencing token of the lock that another caller received.
+    other_fencing_token: FencingToken,
+    /// The highest fencing token of the lock that this caller received.
+    own_fencing_token: FencingToken,
     /// The highest number of the counter.
     number: u64,
     /// The highest revision of the cell.
@@ -24,47 +27,47 @@
     group: Revision,
 }
 
-/// A put, whose value is its own.
+/// A put, identified by its unique value.
 #[derive(Debug)]
 struct Put {
     cell: String,
     expected: Option<Revision>,
-    /// The highest revision of its group when it was sent first.
-    group_floor: Revision,
-    /// Some call of it was not answered clearly, or is not answered yet.
-    is_unclear: bool,
-    /// Answered by 412.
-    is_changed: bool,
-    /// The last call of it was answered by 503, and no other one was unclear.
+    /// The highest known revision of its group when it was first sent.
+    group_lower_bound: Revision,
+    /// Whether the result of some attempt is unknown.
+    is_unknown: bool,
+    /// Whether it was rejected because the cell had another revision than expected (412).
+    is_rejected: bool,
+    /// Whether the last attempt was answered by 503, and no attempt has an unknown result.
     is_unavailable: bool,
     revision: Option<Revision>,
 }
 
 #[derive(Debug, Default)]
-pub struct Facts {
+pub struct InvariantChecker {
     violation: Option<String>,
-    /// By lock and owner: until when the owner counts itself holder.
+    /// Until when an owner considers itself the holder of a lock, by lock and owner.
     leases: BTreeMap<(String, String), u64>,
-    /// By lock: who got which fence.
-    fences: BTreeMap<String, BTreeMap<FencingToken, String>>,
+    /// The owner that received each fencing token, by lock.
+    fencing_tokens: BTreeMap<String, BTreeMap<FencingToken, String>>,
     numbers: BTreeSet<u64>,
     puts: BTreeMap<String, Put>,
-    /// By group and revision: the cell and its value.
+    /// The cell and the value that were shown at a revision, by group and revision.
     shown: BTreeMap<(String, Revision), (String, String)>,
     /// The highest revision that was shown of each cell.
     cells: BTreeMap<String, Revision>,
-    /// Cells and revisions that a 412 named.
-    named: Vec<(String, Revision)>,
+    /// The cells and revisions that were reported in rejections (412).
+    reported: Vec<(String, Revision)>,
     traces: bool,
     trace: VecDeque<String>,
     done_count: u64,
 }
 
-impl Facts {
-    pub fn new() -> Facts {
-        Facts {
+impl InvariantChecker {
+    pub fn new() -> InvariantChecker {
+        InvariantChecker {
             traces: std::env::var_os("EMBERPIN_TRACE").is_some(),
-            ..Facts::default()
+            ..InvariantChecker::default()
         }
     }
 
@@ -87,14 +90,14 @@
 
     pub fn summary(&self) -> String {
         let written = self.puts.values().filter(|put| put.revision.is_some());
-        let refused = self.puts.values().filter(|put| put.is_changed);
+        let rejected = self.puts.values().filter(|put| put.is_rejected);
         let unavailable = self.puts.values().filter(|put| put.is_unavailable);
-        let fences: Vec<usize> = self.fences.values().map(BTreeMap::len).collect();
+        let fencing_tokens: Vec<usize> = self.fencing_tokens.values().map(BTreeMap::len).collect();
         format!(
-            "{} done; puts: {} written, {} refused, {} unavailable, of {}; fences {fences:?}, numbers {}",
+            "{} done; puts: {} written, {} rejected, {} unavailable, of {}; fencing tokens {fencing_tokens:?}, numbers {}",
             self.done_count,
             written.count(),
-            refused.count(),
+            rejected.count(),
             unavailable.count(),
             self.puts.len(),
             self.numbers.len()
@@ -115,31 +118,31 @@
         }
     }
 
-    pub fn floors(&self, operation: &Operation, owner: &str) -> Floors {
-        let mut floors = Floors::default();
+    pub fn lower_bounds(&self, operation: &Operation, owner: &str) -> LowerBounds {
+        let mut lower_bounds = LowerBounds::default();
         match operation {
             Operation::AcquireLock { lock, .. } => {
-                for (fence, holder) in self.fences.get(lock).into_iter().flatten() {
+                for (fence, holder) in self.fencing_tokens.get(lock).into_iter().flatten() {
                     if holder == owner {
-                        floors.own_fence = *fence;
+                        lower_bounds.own_fencing_token = *fence;
                     } else {
-                        floors.other_fence = *fence;
+                        lower_bounds.other_fencing_token = *fence;
                     }
                 }
             }
             Operation::NextNumber { .. } => {
-                floors.number = self.numbers.last().copied().unwrap_or_default();
+                lower_bounds.number = self.numbers.last().copied().unwrap_or_default();
             }
             Operation::PutCell { cell, .. } | Operation::GetCell { cell } => {
-                floors.cell = self.cells.get(cell).copied().unwrap_or_default();
-                floors.group = self.last_revision(&group(cell));
+                lower_bounds.cell = self.cells.get(cell).copied().unwrap_or_default();
+                lower_bounds.group = self.last_revision(&group(cell));
             }
-            Operation::WatchGroup { group, .. } => floors.group = self.last_revision(group),
+            Operation::WatchGroup { group, .. } => lower_bounds.group = self.last_revision(group),
             Operation::RenewLock { .. }
             | Operation::ReleaseLock { .. }
             | Operation::ListLocks { .. } => {}
         }
-        floors
+        lower_bounds
     }
 
     fn last_revision(&self, group: &str) -> Revision {
@@ -148,7 +151,7 @@
         of_group.next().map(|key| key.1).unwrap_or_default()
     }
 
-    pub fn on_sent(&mut self, operation: &Operation, floors: &Floors) {
+    pub fn on_sent(&mut self, operation: &Operation, lower_bounds: &LowerBounds) {
         if let Operation::PutCell {
             cell,
             value,
@@ -158,9 +161,9 @@
             let put = self.puts.entry(value.clone()).or_insert_with(|| Put {
                 cell: cell.clone(),
                 expected: *expected,
-                group_floor: floors.group,
-                is_unclear: false,
-                is_changed: false,
+                group_lower_bound: lower_bounds.group,
+                is_unknown: false,
+                is_rejected: false,
                 is_unavailable: false,
                 revision: None,
             });
@@ -168,19 +171,19 @@
         }
     }
 
-    pub fn on_finish_sent(&mut self, lock: &str, owner: &str) {
+    pub fn on_release_sent(&mut self, lock: &str, owner: &str) {
         self.leases.remove(&(lock.into(), owner.into()));
     }
 
-    pub fn on_given_up(&mut self, lock: &str, owner: &str) {
-        self.on_finish_sent(lock, owner);
+    pub fn on_lease_abandoned(&mut self, lock: &str, owner: &str) {
+        self.on_release_sent(lock, owner);
     }
 
-    pub fn on_death(&mut self, owner: &str) {
+    pub fn on_crash(&mut self, owner: &str) {
         self.leases.retain(|(_, holder), _| holder != owner);
     }
 
-    /// A caller counts itself holder from now on.
+    /// From now on, a caller considers itself the holder of a lock until `until`.
     pub fn on_lease(&mut self, lock: &str, owner: &str, now: u64, until: u64) {
         let key = (lock.to_owned(), owner.to_owned());
         if until <= now {
@@ -200,17 +203,22 @@
         }
     }
 
-    pub fn on_result(&mut self, operation: &Operation, floors: &Floors, result: &OperationResult) {
+    pub fn on_result(
+        &mut self,
+        operation: &Operation,
+        lower_bounds: &LowerBounds,
+        result: &OperationResult,
+    ) {
         let outcome = match result {
             OperationResult::Done(outcome) => outcome,
             OperationResult::Unavailable | OperationResult::Unknown => {
-                return self.on_no_outcome(operation, result);
+                return self.on_unresolved(operation, result);
             }
         };
         self.done_count += 1;
         match (operation, outcome) {
             (Operation::AcquireLock { lock, owner, .. }, Outcome::LockGranted { fence }) => {
-                self.on_fence(lock, owner, *fence, floors);
+                self.on_fencing_token(lock, owner, *fence, lower_bounds);
             }
             (Operation::AcquireLock { .. }, Outcome::LockDenied)
             | (Operation::RenewLock { .. }, Outcome::LockRenewed | Outcome::LockDenied)
@@ -218,8 +226,8 @@
             (Operation::NextNumber { .. }, Outcome::Number { value }) => {
                 let is_new = self.numbers.insert(*value);
                 self.require(is_new, || format!("ORDER: number {value} was given twice"));
-                self.require(*value > floors.number, || {
-                    format!("ORDER: number {value} is not above {}", floors.number)
+                self.require(*value > lower_bounds.number, || {
+                    format!("ORDER: number {value} is not above {}", lower_bounds.number)
                 });
             }
             (Operation::PutCell { cell, value, .. }, Outcome::CellWritten { revision }) => {
@@ -237,34 +245,34 @@
                     expected.is_some_and(|expected| expected != *revision),
                     || {
                         format!(
-                            "MIXED: {value} was refused at {revision:?}, and expects {expected:?}"
+                            "MIXED: {value} was rejected at {revision:?}, and expects {expected:?}"
                         )
                     },
                 );
-                self.require(*revision >= floors.cell, || {
-                    format!("STALE: a put was refused at {revision:?} of {cell}, known: {floors:?}")
+                self.require(*revision >= lower_bounds.cell, || {
+                    format!("STALE: a put was rejected at {revision:?} of {cell}, known: {lower_bounds:?}")
                 });
                 if *revision != Revision::NONE {
-                    self.named.push((cell.clone(), *revision));
+                    self.reported.push((cell.clone(), *revision));
                 }
                 if let Some(put) = self.puts.get_mut(value) {
-                    put.is_changed = true;
+                    put.is_rejected = true;
                 }
-                self.check_refused(value);
+                self.check_rejected(value);
             }
             (Operation::GetCell { cell }, Outcome::NoCell) => {
-                self.require(floors.cell == Revision::NONE, || {
-                    format!("STALE: {cell} does not exist, known: {floors:?}")
+                self.require(lower_bounds.cell == Revision::NONE, || {
+                    format!("STALE: {cell} does not exist, known: {lower_bounds:?}")
                 });
             }
             (Operation::GetCell { cell }, Outcome::Cell { value, revision }) => {
                 self.show(cell, value, *revision);
-                self.require(*revision >= floors.cell, || {
-                    format!("STALE: {cell} has {revision:?}, known: {floors:?}")
+                self.require(*revision >= lower_bounds.cell, || {
+                    format!("STALE: {cell} has {revision:?}, known: {lower_bounds:?}")
                 });
             }
             (Operation::WatchGroup { group, after, .. }, Outcome::Events { events, revision }) => {
-                self.on_events(group, *after, events, *revision, floors);
+                self.on_events(group, *after, events, *revision, lower_bounds);
             }
             (Operation::WatchGroup { .. }, Outcome::EventsDropped) => {
                 self.require(false, || "LOST: events were dropped".into());
@@ -273,26 +281,35 @@
         }
     }
 
-    fn on_no_outcome(&mut self, operation: &Operation, result: &OperationResult) {
+    fn on_unresolved(&mut self, operation: &Operation, result: &OperationResult) {
         let Operation::PutCell { value, .. } = operation else {
             return;
         };
         if let Some(put) = self.puts.get_mut(value) {
-            put.is_unclear |= *result == OperationResult::Unknown;
-            put.is_unavailable = !put.is_unclear;
+            put.is_unknown |= *result == OperationResult::Unknown;
+            put.is_unavailable = !put.is_unknown;
         }
-        self.check_refused(value);
+        self.check_rejected(value);
     }
 
-    fn on_fence(&mut self, lock: &str, owner: &str, fence: FencingToken, floors: &Floors) {
-        self.require(fence > floors.other_fence, || {
-            format!("ONE: {owner} got {fence:?} of {lock}, known: {floors:?}")
+    fn on_fencing_token(
+        &mut self,
+        lock: &str,
+        owner: &str,
+        fence: FencingToken,
+        lower_bounds: &LowerBounds,
+    ) {
+        self.require(fence > lower_bounds.other_fencing_token, || {
+            format!("ONE: {owner} got {fence:?} of {lock}, known: {lower_bounds:?}")
         });
-        self.require(fence >= floors.own_fence, || {
-            format!("ONE: {owner} got {fence:?} of {lock} after a higher one: {floors:?}")
+        self.require(fence >= lower_bounds.own_fencing_token, || {
+            format!("ONE: {owner} got {fence:?} of {lock} after a higher one: {lower_bounds:?}")
         });
-        let fences = self.fences.entry(lock.into()).or_default();
-        let holder = fences.entry(fence).or_insert_with(|| owner.into()).clone();
+        let fencing_tokens = self.fencing_tokens.entry(lock.into()).or_default();
+        let holder = fencing_tokens
+            .entry(fence)
+            .or_insert_with(|| owner.into())
+            .clone();
         self.require(holder == owner, || {
             format!("ONE: {owner} and {holder} got {fence:?} of {lock}")
         });
@@ -300,13 +317,13 @@
 
     fn on_written(&mut self, cell: &str, value: &str, revision: Revision) {
         self.show(cell, value, revision);
-        let group_floor = self.puts[value].group_floor;
-        self.require(revision > group_floor, || {
-            format!("ORDER: {value} got {revision:?}, which is not above {group_floor:?}")
+        let group_lower_bound = self.puts[value].group_lower_bound;
+        self.require(revision > group_lower_bound, || {
+            format!("ORDER: {value} got {revision:?}, which is not above {group_lower_bound:?}")
         });
     }
 
-    /// A cell was shown to have this value at this revision.
+    /// Records that a cell was shown with this value at this revision.
     fn show(&mut self, cell: &str, value: &str, revision: Revision) {
         let key = (group(cell), revision);
         let new = (cell.to_owned(), value.to_owned());
@@ -314,8 +331,8 @@
         self.require(shown == new, || {
             format!("ORDER: {revision:?} is of {shown:?} and of {new:?}")
         });
-        let highest = self.cells.entry(cell.into()).or_default();
-        *highest = revision.max(*highest);
+        let highest_shown = self.cells.entry(cell.into()).or_default();
+        *highest_shown = revision.max(*highest_shown);
         let Some(put) = self.puts.get_mut(value).filter(|put| put.cell == cell) else {
             return self.require(false, || format!("MIXED: nobody put {value} to {cell}"));
         };
@@ -323,16 +340,16 @@
         self.require(first == revision, || {
             format!("MIXED: {value} has {first:?} and {revision:?}")
         });
-        self.check_refused(value);
+        self.check_rejected(value);
     }
 
-    /// A put that was turned away is never shown.
-    fn check_refused(&mut self, value: &str) {
+    /// Checks that a rejected put is never shown.
+    fn check_rejected(&mut self, value: &str) {
         let Some(put) = self.puts.get(value) else {
             return;
         };
-        let is_refused = put.is_changed || put.is_unavailable;
-        if is_refused && put.revision.is_some() {
+        let must_not_be_shown = put.is_rejected || put.is_unavailable;
+        if must_not_be_shown && put.revision.is_some() {
             let violation = format!("REFUSED: {value} is shown: {put:?}");
             self.require(false, || violation);
         }
@@ -344,11 +361,11 @@
         after: Revision,
         events: &[CellEvent],
         revision: Revision,
-        floors: &Floors,
+        lower_bounds: &LowerBounds,
     ) {
         if after == Revision::NONE {
-            self.require(events.is_empty() && revision >= floors.group, || {
-                format!("STALE: {group} has {revision:?}, known: {floors:?}")
+            self.require(events.is_empty() && revision >= lower_bounds.group, || {
+                format!("STALE: {group} has {revision:?}, known: {lower_bounds:?}")
             });
             return;
         }
@@ -365,8 +382,8 @@
         });
     }
 
-    /// At the end, when the whole history was shown: no put passed over a later revision than it expected, and 412s named
-    /// revisions of their cells.
+    /// Checks at the end, when the whole history was shown, that no put was applied although its cell had a later
+    /// revision than expected, and that rejections (412) reported revisions of their cells.
     pub fn check_all(&mut self) {
         let mut violations = Vec::new();
         for (value, put) in &self.puts {
@@ -374,19 +391,19 @@
                 continue;
             };
             let group = group(&put.cell);
-            let between = self
+            let between_revisions = self
                 .shown
                 .range((group.clone(), expected.next())..(group, revision));
-            let mut of_cell = between.filter(|(_, (cell, _))| *cell == put.cell);
-            if let Some(((_, passed), _)) = of_cell.next() {
+            let mut of_cell = between_revisions.filter(|(_, (cell, _))| *cell == put.cell);
+            if let Some(((_, passed_revision), _)) = of_cell.next() {
                 violations.push(format!(
-                    "ORDER: {value} expected {expected:?} and has {revision:?}, above {passed:?}"
+                    "ORDER: {value} expected {expected:?} and has {revision:?}, above {passed_revision:?}"
                 ));
             }
         }
-        for (cell, revision) in &self.named {
+        for (cell, revision) in &self.reported {
             let shown = self.shown.get(&(group(cell), *revision));
-            // Watches show everything but the first revision of a group.
+            // Watches show all revisions of a group but the first.
             let is_known = shown.is_some_and(|(shown, _)| shown == cell)
                 || (*revision == Revision(1) && shown.is_none());
             if !is_known {
--- a/crates/emberpin-consensus/tests/register_callers/mod.rs
+++ b/crates/emberpin-consensus/tests/register_callers/mod.rs
@@ -1,8 +1,8 @@
-//! Callers of locks, counters and cells in a simulated cluster, each behind a registry of its own that follows leaders as
-//! `emberpin-registry` does.
+//! Simulated callers of locks, counters and cells in a cluster, each behind a registry of its own that follows leaders
+//! as `emberpin-registry` does.
 //!
-//! Callers hold locks and let them lapse, sleep beyond their time, and die and come back under the same owner name. Their
-//! requests may be late or lost, and so may the replies.
+//! Callers hold locks and let them expire, sleep beyond their leases, and crash and restart under the same owner name.
+//! Their requests and the replies may be late or lost.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 mod invariants;
@@ -10,7 +10,7 @@
 
 use crate::cluster::Cluster;
 use emberpin_coordination::{group_of, FencingToken, Operation, Outcome, Revision};
-use invariants::Facts;
+use invariants::InvariantChecker;
 use registry::{LateRequests, Registry};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,38 +19,38 @@
 const COUNTER: &str = "n";
 const CELLS: [&str; 3] = ["g.a", "g.b", "g.c"];
 const GROUP: &str = "g.";
-/// How many callers there are, watchers included.
+/// The number of callers, including watchers.
 const CALLERS: usize = 10;
 const WATCHERS: usize = 2;
 /// The longest lease, in milliseconds.
 const MAX_LEASE: u64 = 1_500;
-/// How often a put without a clear answer is sent again.
+/// How often a put with an unknown result is sent again.
 const PUT_RESENDS: u32 = 4;
-/// How often an operation is tried at the end; each attempt takes up to 900 ms.
-const FINAL_TRIES: u32 = 20;
+/// Maximum number of attempts of an operation at the end; each attempt takes up to 900 ms.
+const FINAL_ATTEMPTS: u32 = 20;
 
-/// What a registry makes of an operation.
+/// The result of an operation that a registry reports to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperationResult {
     Done(Outcome),
-    /// It was not carried out, and will not be.
+    /// The operation was not carried out, and will not be.
     Unavailable,
-    /// It may have been carried out, or may still be.
+    /// The operation may have been carried out, or may still be.
     Unknown,
 }
 
-/// A call of an application that is not answered yet.
+/// A caller's operation that is not answered yet.
 #[derive(Clone, Debug)]
-struct Sent {
+struct SentOperation {
     operation: Operation,
     at: u64,
-    /// What an answer must be above or at least; see [`Facts::floors`].
-    floors: invariants::Floors,
+    /// The lower bounds of the answer; see [`InvariantChecker::lower_bounds`].
+    lower_bounds: invariants::LowerBounds,
 }
 
-/// A lock that a caller counts itself holder of.
+/// A lock of which a caller considers itself the holder.
 #[derive(Clone, Debug)]
-struct Holding {
+struct HeldLock {
     lock: String,
     fence: FencingToken,
     until: u64,
@@ -59,27 +59,27 @@
 struct Caller {
     owner: String,
     registry: Registry,
-    sent: Option<Sent>,
-    /// The result of the call, until the caller is awake.
+    sent: Option<SentOperation>,
+    /// The result of the operation, until the caller is awake to handle it.
     result: Option<OperationResult>,
-    holding: Option<Holding>,
-    /// It sleeps, or is dead, until then.
+    held_lock: Option<HeldLock>,
+    /// Until when it sleeps, or is down after a crash.
     absent_until: u64,
     watches: bool,
     watched_up_to: Revision,
-    /// A put without a clear answer, and how often it is sent again.
-    unclear_put: Option<(Operation, u32)>,
-    /// The last revisions that it was told of.
+    /// A put with an unknown result, and how often it is still sent again.
+    unresolved_put: Option<(Operation, u32)>,
+    /// The highest revision of each cell that it was given.
     known: BTreeMap<String, Revision>,
-    /// By how many thousandths its clock is slower than those of the replicas.
+    /// By how many thousandths its clock is slower than the clocks of the replicas.
     clock_lag: u64,
 }
 
-/// All callers, and what they were told.
+/// All callers, and the checker of their results.
 pub struct RegisterCallers {
     callers: Vec<Caller>,
     late: LateRequests,
-    facts: Facts,
+    checker: InvariantChecker,
     last_value: u64,
     /// The longest pause between two calls of a caller, in milliseconds.
     pub max_pause: u64,
@@ -93,18 +93,18 @@
             registry: Registry::new(is_in_order),
             sent: None,
             result: None,
-            holding: None,
+            held_lock: None,
             absent_until: 0,
             watches: number < WATCHERS,
             watched_up_to: Revision::NONE,
-            unclear_put: None,
+            unresolved_put: None,
             known: BTreeMap::new(),
             clock_lag: number as u64 % 5,
         });
         RegisterCallers {
             callers: callers.collect(),
             late: LateRequests::default(),
-            facts: Facts::new(),
+            checker: InvariantChecker::new(),
             last_value: 0,
             max_pause: 60,
         }
@@ -119,29 +119,29 @@
             for index in 0..self.callers.len() {
                 self.step(cluster, index);
             }
-            if let Some(violation) = self.facts.take_violation() {
+            if let Some(violation) = self.checker.take_violation() {
                 cluster.fail(violation);
             }
         }
     }
 
     pub fn note_fault(&mut self, now: u64, fault: &str) {
-        self.facts.note(now, || fault.to_owned());
+        self.checker.note(now, || fault.to_owned());
     }
 
-    /// What callers sent and were told, the last events; empty unless `EMBERPIN_TRACE` is set.
+    /// The callers' last operations and results; empty unless `EMBERPIN_TRACE` is set.
     pub fn trace(&self) -> String {
-        self.facts.trace()
+        self.checker.trace()
     }
 
-    /// What was done, in numbers.
+    /// The numbers of completed operations and their results.
     pub fn summary(&self) -> String {
-        self.facts.summary()
+        self.checker.summary()
     }
 
     /// How many operations were done.
     pub fn done_count(&self) -> u64 {
-        self.facts.done_count()
+        self.checker.done_count()
     }
 
     fn step(&mut self, cluster: &mut Cluster, index: usize) {
@@ -155,65 +155,69 @@
         if let Some(result) = caller.result.take() {
             self.on_result(cluster, index, result);
         } else if self.callers[index].sent.is_none() {
-            self.act(cluster, index);
+            self.step_awake(cluster, index);
         }
     }
 
     fn send(&mut self, cluster: &mut Cluster, index: usize, operation: Operation) {
         let caller = &mut self.callers[index];
-        let floors = self.facts.floors(&operation, &caller.owner);
-        self.facts.on_sent(&operation, &floors);
+        let lower_bounds = self.checker.lower_bounds(&operation, &caller.owner);
+        self.checker.on_sent(&operation, &lower_bounds);
         let owner = &caller.owner;
-        self.facts
+        self.checker
             .note(cluster.now, || format!("{owner} sends {operation:?}"));
         caller.registry.begin(cluster, operation.clone());
-        caller.sent = Some(Sent {
+        caller.sent = Some(SentOperation {
             operation,
             at: cluster.now,
-            floors,
+            lower_bounds,
         });
     }
 
-    /// Does something next: mostly a call, at times nothing for long.
-    fn act(&mut self, cluster: &mut Cluster, index: usize) {
+    /// Performs a caller's next step: usually an operation, sometimes a long sleep or a crash.
+    fn step_awake(&mut self, cluster: &mut Cluster, index: usize) {
         let now = cluster.now;
         let caller = &mut self.callers[index];
-        caller.holding.take_if(|holding| now >= holding.until);
+        caller.held_lock.take_if(|held_lock| now >= held_lock.until);
         caller.absent_until = now + cluster.below(self.max_pause);
         match cluster.below(400) {
-            // It sleeps, at times beyond its lease.
+            // The caller sleeps, sometimes beyond its lease.
             0..4 => caller.absent_until = now + cluster.below(2 * MAX_LEASE),
-            4 => return self.die(cluster, index),
+            4 => return self.crash(cluster, index),
             _ => {}
         }
         let operation = self.next_operation(cluster, index);
         if let Operation::ReleaseLock { lock, .. } = &operation {
             let caller = &mut self.callers[index];
-            caller.holding = None;
-            self.facts.on_finish_sent(lock, &caller.owner);
+            caller.held_lock = None;
+            self.checker.on_release_sent(lock, &caller.owner);
         }
         self.send(cluster, index, operation);
         match cluster.below(200) {
-            // It sleeps, or dies, while the call is under way.
+            // The caller sleeps, or crashes, while the operation is in flight.
             0 => self.callers[index].absent_until = now + cluster.below(2 * MAX_LEASE),
-            1 => self.die(cluster, index),
+            1 => self.crash(cluster, index),
             _ => {}
         }
     }
 
-    /// A caller dies, and comes back under the same name. It knows nothing of its leases and calls.
-    fn die(&mut self, cluster: &mut Cluster, index: usize) {
+    /// A caller crashes, and restarts later under the same name without its leases and pending operations.
+    fn crash(&mut self, cluster: &mut Cluster, index: usize) {
         let caller = &mut self.callers[index];
         let owner = &caller.owner;
-        self.facts.note(cluster.now, || format!("{owner} dies"));
-        self.facts.on_death(owner);
+        self.checker
+            .note(cluster.now, || format!("{owner} crashes"));
+        self.checker.on_crash(owner);
         if let Some(sent) = caller.sent.take() {
             caller.registry.abandon(&mut self.late);
-            self.facts
-                .on_result(&sent.operation, &sent.floors, &OperationResult::Unknown);
+            self.checker.on_result(
+                &sent.operation,
+                &sent.lower_bounds,
+                &OperationResult::Unknown,
+            );
         }
-        caller.holding = None;
-        caller.unclear_put = None;
+        caller.held_lock = None;
+        caller.unresolved_put = None;
         caller.absent_until = cluster.now + cluster.below(MAX_LEASE);
     }
 
@@ -226,22 +230,22 @@
                 wait: Duration::from_millis(cluster.below(400)),
             };
         }
-        if let Some((put, resends)) = caller.unclear_put.take() {
+        if let Some((put, resends)) = caller.unresolved_put.take() {
             if resends > 0 {
-                caller.unclear_put = Some((put.clone(), resends - 1));
+                caller.unresolved_put = Some((put.clone(), resends - 1));
                 return put;
             }
         }
         let owner = caller.owner.clone();
         let lease = Duration::from_millis(20 + cluster.below(MAX_LEASE - 20));
         match cluster.below(20) {
-            0..11 => match caller.holding.clone() {
+            0..11 => match caller.held_lock.clone() {
                 None => Operation::AcquireLock {
                     lock: cluster.choose(&LOCKS).into(),
                     owner,
                     lease,
                 },
-                Some(Holding { lock, fence, .. }) => match cluster.below(6) {
+                Some(HeldLock { lock, fence, .. }) => match cluster.below(6) {
                     0..3 => Operation::RenewLock {
                         lock,
                         owner,
@@ -278,29 +282,29 @@
         }
     }
 
-    /// A caller is told the result of its call.
+    /// A caller receives the result of its operation.
     fn on_result(&mut self, cluster: &mut Cluster, index: usize, result: OperationResult) {
         let now = cluster.now;
         let caller = &mut self.callers[index];
         let Some(sent) = caller.sent.take() else {
             return;
         };
-        let Sent {
+        let SentOperation {
             operation,
             at,
-            floors,
+            lower_bounds,
         } = sent;
         let owner = &caller.owner;
-        self.facts.note(now, || {
+        self.checker.note(now, || {
             format!("{owner} gets {result:?} for {operation:?} of {at} ms")
         });
-        self.facts.on_result(&operation, &floors, &result);
+        self.checker.on_result(&operation, &lower_bounds, &result);
         if let Operation::PutCell { .. } = operation {
             match result {
-                OperationResult::Unknown if caller.unclear_put.is_none() => {
-                    caller.unclear_put = Some((operation.clone(), PUT_RESENDS));
+                OperationResult::Unknown if caller.unresolved_put.is_none() => {
+                    caller.unresolved_put = Some((operation.clone(), PUT_RESENDS));
                 }
-                OperationResult::Done(_) => caller.unclear_put = None,
+                OperationResult::Done(_) => caller.unresolved_put = None,
                 _ => {}
             }
         }
@@ -308,25 +312,25 @@
             return;
         };
         caller.note_revisions(&operation, &outcome);
-        caller.record_lease(now, at, &operation, &outcome, &mut self.facts);
+        caller.record_lease(now, at, &operation, &outcome, &mut self.checker);
     }
 
-    /// After all faults ended: what was acknowledged is still there.
+    /// Checks after the end of all faults that everything acknowledged is still there.
     pub fn check_at_end(&mut self, cluster: &mut Cluster) {
         self.drop_calls();
         let watched: Vec<Revision> = self.callers[..WATCHERS]
             .iter()
             .map(|caller| caller.watched_up_to)
             .collect();
-        // All leases are over then.
+        // After this time all leases have expired.
         self.pass_time(cluster, 2 * MAX_LEASE);
         for lock in LOCKS {
-            let begin = Operation::AcquireLock {
+            let acquire = Operation::AcquireLock {
                 lock: lock.into(),
                 owner: self.callers[0].owner.clone(),
                 lease: Duration::from_millis(MAX_LEASE),
             };
-            self.operate_at_end(cluster, begin);
+            self.operate_at_end(cluster, acquire);
         }
         let counter = COUNTER.into();
         self.operate_at_end(cluster, Operation::NextNumber { counter });
@@ -345,8 +349,8 @@
                 }
             }
         }
-        self.facts.check_all();
-        if let Some(violation) = self.facts.take_violation() {
+        self.checker.check_all();
+        if let Some(violation) = self.checker.take_violation() {
             cluster.fail(violation);
         }
     }
@@ -381,7 +385,7 @@
     }
 
     fn operate_at_end(&mut self, cluster: &mut Cluster, operation: Operation) -> Option<Outcome> {
-        for _ in 0..FINAL_TRIES {
+        for _ in 0..FINAL_ATTEMPTS {
             self.send(cluster, 0, operation.clone());
             let result = loop {
                 if cluster.violation.is_some() {
@@ -394,9 +398,9 @@
                 }
             };
             self.callers[0].result = None;
-            let floors = self.callers[0].sent.take()?.floors;
-            self.facts.on_result(&operation, &floors, &result);
-            if let Some(violation) = self.facts.take_violation() {
+            let lower_bounds = self.callers[0].sent.take()?.lower_bounds;
+            self.checker.on_result(&operation, &lower_bounds, &result);
+            if let Some(violation) = self.checker.take_violation() {
                 cluster.fail(violation);
                 return None;
             }
@@ -430,14 +434,15 @@
         }
     }
 
-    /// A caller counts itself holder from the answer on until the lease is over that began when it sent the call.
+    /// A caller considers itself the holder from the answer on until the end of its lease, which it counts from when it
+    /// sent the operation.
     fn record_lease(
         &mut self,
         now: u64,
         sent_at: u64,
         operation: &Operation,
         outcome: &Outcome,
-        facts: &mut Facts,
+        checker: &mut InvariantChecker,
     ) {
         let (Operation::AcquireLock { lock, lease, .. } | Operation::RenewLock { lock, lease, .. }) =
             operation
@@ -446,21 +451,21 @@
         };
         let lease = lease.as_millis() as u64;
         let until = sent_at + lease + lease * self.clock_lag / 1_000;
-        let held = self
-            .holding
-            .take_if(|holding| holding.lock == *lock && now < holding.until);
-        let fence = match (outcome, held) {
+        let previous = self
+            .held_lock
+            .take_if(|held_lock| held_lock.lock == *lock && now < held_lock.until);
+        let fence = match (outcome, previous) {
             (Outcome::LockGranted { fence }, _) => *fence,
-            (Outcome::LockRenewed, Some(held)) => held.fence,
-            // Denied, or a renewal that came too late: it gives the lock up.
-            _ => return facts.on_given_up(lock, &self.owner),
+            (Outcome::LockRenewed, Some(previous)) => previous.fence,
+            // Denied, or renewed too late: the caller no longer considers itself the holder.
+            _ => return checker.on_lease_abandoned(lock, &self.owner),
         };
-        self.holding = Some(Holding {
+        self.held_lock = Some(HeldLock {
             lock: lock.clone(),
             fence,
             until,
         });
-        facts.on_lease(lock, &self.owner, now, until);
+        checker.on_lease(lock, &self.owner, now, until);
     }
 }
 
--- a/crates/emberpin-consensus/tests/register_callers/registry.rs
+++ b/crates/emberpin-consensus/tests/register_callers/registry.rs
@@ -1,4 +1,4 @@
-//! A registry: which replica an operation is sent to, and what becomes of silence.
+//! A simulated registry: chooses the replica to which an operation is sent, and handles time-outs.
 
 use super::OperationResult;
 use crate::cluster::Cluster;
@@ -7,20 +7,22 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// An operation is answered within this time, beside the time that it waits for changes; in milliseconds.
+/// Time limit of an operation, in addition to the time that it waits for changes; in milliseconds.
 const OPERATION_TIMEOUT: u64 = 900;
-/// A replica that sends no reply for this long is suspected.
+/// A replica that sends no reply for this long is suspected to be down; in milliseconds.
 const REPLY_TIMEOUT: u64 = 250;
-/// How long a replica is suspected. Shorter than in a registry, so that more is sent.
+/// How long a replica stays suspected, in milliseconds. Shorter than in a real registry, so that more operations are
+/// sent.
 const SUSPICION_PERIOD: u64 = 700;
-/// Of a hundred requests or replies, how many are lost, and how many requests are late by up to [`MAX_LATENESS`].
+/// The percentage of requests and replies that are lost, and of requests that are late by up to [`MAX_LATENESS`]
+/// milliseconds.
 const LOST_PERCENT: u64 = 1;
 const LATE_PERCENT: u64 = 3;
 const MAX_LATENESS: u64 = 1_500;
-/// The usual time of a request or reply is below this.
+/// The usual delay of a request or reply is below this; in milliseconds.
 const DELAY: u64 = 4;
 
-/// Requests that arrive after their registry has given up waiting for them.
+/// Requests in flight whose registry has stopped waiting for the reply. They still arrive later.
 #[derive(Default)]
 pub struct LateRequests(Vec<Request>);
 
@@ -33,10 +35,10 @@
 }
 
 #[derive(Debug)]
-enum State {
-    Underway(Request),
+enum AttemptState {
+    InFlight(Request),
     Lost,
-    /// The replica has it; the index of its reply.
+    /// The replica has received it; holds the index of its reply.
     Arrived(usize),
     Replied {
         at: u64,
@@ -48,8 +50,8 @@
 #[derive(Debug)]
 struct Attempt {
     to: Ipv4Addr,
-    silent_at: u64,
-    state: State,
+    times_out_at: u64,
+    state: AttemptState,
 }
 
 /// The call in progress.
@@ -67,13 +69,13 @@
 pub struct Registry {
     leader: Option<Ipv4Addr>,
     suspects: BTreeMap<Ipv4Addr, u64>,
-    /// Whether it goes to replicas in the order of their addresses.
+    /// Whether it tries replicas in the order of their addresses.
     is_in_order: bool,
     call: Option<Call>,
 }
 
 impl LateRequests {
-    /// Delivers those that arrive by now.
+    /// Delivers the requests that have arrived by now.
     pub fn deliver(&mut self, cluster: &mut Cluster) {
         let now = cluster.now;
         let arriving = self.0.extract_if(.., |request| now >= request.arrives_at);
@@ -110,14 +112,14 @@
         });
     }
 
-    /// Gives up the call in progress. Its request may still arrive.
+    /// Abandons the call in progress. Its request may still arrive.
     pub fn abandon(&mut self, late: &mut LateRequests) {
         if let Some(call) = self.call.take() {
             call.abandon_attempt(late);
         }
     }
 
-    /// The result of the call, once there is one.
+    /// Advances the call in progress. Returns its result once there is one.
     pub fn step(
         &mut self,
         cluster: &mut Cluster,
@@ -165,9 +167,9 @@
             delay += cluster.below(MAX_LATENESS);
         }
         let state = if cluster.below(100) < LOST_PERCENT {
-            State::Lost
+            AttemptState::Lost
         } else {
-            State::Underway(Request {
+            AttemptState::InFlight(Request {
                 arrives_at: now + delay,
                 to,
                 operation: call.operation.clone(),
@@ -176,12 +178,13 @@
         };
         call.attempt = Some(Attempt {
             to,
-            silent_at: now + call.wait + REPLY_TIMEOUT,
+            times_out_at: now + call.wait + REPLY_TIMEOUT,
             state,
         });
     }
 
-    /// The leader, or another replica that is not suspected; it takes the lead if the leader is suspected.
+    /// The target of the next attempt: the leader, or another replica that is not suspected, which takes the lead if
+    /// the leader is suspected.
     fn target(&self, cluster: &mut Cluster) -> Option<(Ipv4Addr, WhenLed)> {
         let now = cluster.now;
         let is_suspected = |to: &Ipv4Addr| self.suspects.get(to).is_some_and(|until| now < *until);
@@ -217,33 +220,33 @@
         let now = cluster.now;
         let to = attempt.to;
         match attempt.state {
-            State::Underway(request) if now >= request.arrives_at => {
+            AttemptState::InFlight(request) if now >= request.arrives_at => {
                 if cluster.replica(to).is_none() {
                     call.effect = call.effect_before_attempt;
                     self.suspect(to, now);
                     return None;
                 }
                 let index = cluster.send_operation(to, request.operation, request.when_led);
-                attempt.state = State::Arrived(index);
+                attempt.state = AttemptState::Arrived(index);
             }
-            State::Arrived(index) => {
+            AttemptState::Arrived(index) => {
                 if let Some(reply) = cluster.operations[index].clone() {
                     let at = now + cluster.below(DELAY);
                     attempt.state = if cluster.below(100) < LOST_PERCENT {
-                        State::Lost
+                        AttemptState::Lost
                     } else {
-                        State::Replied { at, reply }
+                        AttemptState::Replied { at, reply }
                     };
                 }
             }
-            State::Replied { at, reply } if now >= at => {
+            AttemptState::Replied { at, reply } if now >= at => {
                 return self.on_reply(now, call, to, reply)
             }
             _ => {}
         }
-        let silent_at = attempt.silent_at;
+        let times_out_at = attempt.times_out_at;
         call.attempt = Some(attempt);
-        if now >= silent_at {
+        if now >= times_out_at {
             self.suspect(to, now);
             call.abandon_attempt_in_place(late);
         }
@@ -287,7 +290,7 @@
 
     fn abandon_attempt_in_place(&mut self, late: &mut LateRequests) {
         if let Some(Attempt {
-            state: State::Underway(request),
+            state: AttemptState::InFlight(request),
             ..
         }) = self.attempt.take()
         {
