--- a/crates/emberpin-consensus/tests/cluster/seeds.rs
+++ b/crates/emberpin-consensus/tests/cluster/seeds.rs
@@ -12,7 +12,7 @@
 const THREADS: usize = 4;
 
 /// How many seeds the unchanged protocol has to pass.
-pub fn sound_runs() -> u64 {
+pub fn unmutated_runs() -> u64 {
     std::env::var("EMBERPIN_RUNS")
         .ok()
         .and_then(|runs| runs.parse().ok())
--- a/crates/emberpin-consensus/tests/linearizability.rs
+++ b/crates/emberpin-consensus/tests/linearizability.rs
@@ -4,7 +4,7 @@
 mod cluster;
 
 use cluster::calls::{remove_service, set_services};
-use cluster::seeds::{first_violation, sound_runs, MUTANT_RUNS};
+use cluster::seeds::{first_violation, unmutated_runs, MUTANT_RUNS};
 use cluster::{ip, Cluster, HistoryEvent, Start};
 use emberpin_config::{Item, ItemKey, Version};
 use emberpin_consensus::{Call, Guards};
@@ -184,7 +184,7 @@
 fn replies_are_linearizable() {
     let run = |seed| run(seed, Guards::default());
     expect_that!(
-        first_violation("linearizability", sound_runs(), run),
+        first_violation("linearizability", unmutated_runs(), run),
         none()
     );
 }
--- a/crates/emberpin-consensus/tests/model/register.rs
+++ b/crates/emberpin-consensus/tests/model/register.rs
@@ -2,7 +2,8 @@
 //! lose their disks. It is an abstraction with types of its own, as replicas have clocks and queues whose states a
 //! search need not distinguish. `docs/design/consensus.md` lists the functions that each action stands for.
 //!
-//! The network is a set of messages that only grows: a message may be delivered late, twice, or never.
+//! The network is a set of messages that only grows: a message may be delivered late, twice, or never. Sets of machines
+//! (voters, quorums, rosters) are bit masks by machine number.
 
 mod led_rounds;
 
@@ -20,7 +21,9 @@
 /// The proposer on any voter that lost its disk and catches up.
 pub const RECOVERING: u8 = 3;
 
+/// The first and the second roster.
 const ROSTERS: [u8; 2] = [0b0111, 0b1011];
+/// The only roster if there are five voters.
 const FIVE_VOTERS: u8 = 0b11111;
 
 /// A set of items, one bit for each. The first two items conflict: they are two contents of one version, or two changes
@@ -257,10 +260,7 @@
         joint: bool,
     },
     /// A voter receives a prepare; its promise is synced before it is sent.
-    Prepare {
-        ballot: Ballot,
-        voter: u8,
-    },
+    Prepare { ballot: Ballot, voter: u8 },
     /// The proposer has promises of this quorum, and proposes.
     Propose {
         ballot: Ballot,
@@ -268,37 +268,25 @@
         call: Call,
     },
     /// A leader begins its next round, which needs no phase 1 of its own, and proposes.
-    Lead {
-        ballot: Ballot,
-        call: Call,
-    },
+    Lead { ballot: Ballot, call: Call },
     /// A voter receives a proposal; it is synced before the answer is sent.
-    Accept {
-        ballot: Ballot,
-        voter: u8,
-    },
+    Accept { ballot: Ballot, voter: u8 },
     /// The proposer has received the acceptances of a quorum.
-    Finish {
-        ballot: Ballot,
-    },
+    Finish { ballot: Ballot },
     /// A voter learns outside of rounds that an item is chosen, and writes it without a sync.
-    Spread {
-        voter: u8,
-        item: Items,
-    },
-    LoseDisk {
-        voter: u8,
-    },
+    Spread { voter: u8, item: Items },
+    /// A voter loses its disk, and its process is restarted without it.
+    LoseDisk { voter: u8 },
     /// One machine loses its power, or all do.
-    PowerLoss {
-        voters: u8,
-    },
+    PowerLoss { voters: u8 },
 }
 
+/// The number of the proposer that owns a ballot.
 fn proposer(ballot: Ballot) -> u8 {
     ballot % PROPOSERS
 }
 
+/// Whether these voters are a majority of a roster.
 fn is_majority(voters: u8, roster: u8) -> bool {
     2 * (voters & roster).count_ones() > roster.count_ones()
 }
@@ -325,6 +313,7 @@
         }
     }
 
+    /// Learns chosen items, and clears the accepted items once all are known to be chosen.
     fn learn(&self, disk: &mut PersistedState, items: Items) {
         disk.chosen |= items & !self.covered(disk.chosen);
         if disk.accepted.items & !self.covered(disk.chosen) == 0 {
@@ -354,6 +343,7 @@
         }
     }
 
+    /// The voters that receive the messages of a round.
     fn targets(&self, round: &Round) -> u8 {
         if round.joint {
             ROSTERS[0] | ROSTERS[1]
@@ -371,6 +361,7 @@
         }
     }
 
+    /// Whether these voters, without the excluded one, are a quorum for a round.
     fn has_quorum(&self, round: &Round, voters: u8, excluded_voter: Option<usize>) -> bool {
         let has_quorum = |roster: u8| {
             // A replica that lost its disk does not count itself in the quorum.
@@ -714,10 +705,12 @@
     }
 }
 
+/// Whether one of the two writers' items is acknowledged.
 fn has_acknowledged_write(state: &State) -> bool {
     state.acknowledged & (FIRST | SECOND) != 0
 }
 
+/// Selects one item of a pair: the first if the condition holds, else the second.
 trait Pick {
     fn pick(self, first: bool) -> Items;
 }
@@ -1035,9 +1028,11 @@
 
 /// The result of a search.
 pub struct SearchResult {
+    /// How many distinct states were searched.
     pub states: usize,
     /// Whether all states within the bounds were searched.
     pub complete: bool,
+    /// The length of the longest path that was searched.
     pub depth: usize,
     /// The violated properties, each with a trace to its violation.
     pub violated: Vec<(&'static str, Vec<Action>)>,
--- a/crates/emberpin-consensus/tests/random_faults.rs
+++ b/crates/emberpin-consensus/tests/random_faults.rs
@@ -6,7 +6,7 @@
 
 use cluster::calls::{evacuate, remove_service, set_route, set_service, set_services};
 use cluster::faults::FaultDuration;
-use cluster::seeds::{first_violation, sound_runs, MUTANT_RUNS};
+use cluster::seeds::{first_violation, unmutated_runs, MUTANT_RUNS};
 use cluster::{ClientCall, Cluster, Start};
 use emberpin_consensus::{Call, EvacuationChange, Guards};
 use googletest::prelude::*;
@@ -157,13 +157,13 @@
 #[gtest]
 fn no_acknowledged_item_is_lost_with_random_faults() {
     let run = |seed| run(seed, Guards::default(), Faults::Usual);
-    expect_that!(first_violation("faults", sound_runs(), run), none());
+    expect_that!(first_violation("faults", unmutated_runs(), run), none());
 }
 
 #[gtest]
 fn no_acknowledged_item_is_lost_with_full_disks() {
     let run = |seed| run(seed, Guards::default(), Faults::WithFullDisks);
-    expect_that!(first_violation("full disks", sound_runs(), run), none());
+    expect_that!(first_violation("full disks", unmutated_runs(), run), none());
 }
 
 /// Seeds whose faults once led to violations in long searches. 14994: the only disk that had a chosen roster was lost.
--- a/crates/emberpin-consensus/tests/random_retries.rs
+++ b/crates/emberpin-consensus/tests/random_retries.rs
@@ -5,7 +5,7 @@
 
 use cluster::calls::{remove_service, set_service, set_services};
 use cluster::faults::FaultDuration;
-use cluster::seeds::{first_violation, sound_runs, MUTANT_RUNS};
+use cluster::seeds::{first_violation, unmutated_runs, MUTANT_RUNS};
 use cluster::{Cluster, SMALL_RETENTION};
 use emberpin_consensus::{Call, Guards};
 use googletest::prelude::*;
@@ -96,7 +96,7 @@
 #[gtest]
 fn acknowledged_call_is_never_a_conflict_with_random_faults() {
     let run = |seed| run(seed, Guards::default());
-    expect_that!(first_violation("retries", sound_runs(), run), none());
+    expect_that!(first_violation("retries", unmutated_runs(), run), none());
 }
 
 #[gtest]
--- a/crates/emberpin-consensus/tests/register_callers/invariants.rs
+++ b/crates/emberpin-consensus/tests/register_callers/invariants.rs
@@ -58,6 +58,7 @@
     cells: BTreeMap<String, Revision>,
     /// The cells and revisions that were reported in rejections (412).
     reported: Vec<(String, Revision)>,
+    /// Whether events are kept for a trace.
     traces: bool,
     trace: VecDeque<String>,
     done_count: u64,
@@ -118,6 +119,7 @@
         }
     }
 
+    /// The lower bounds of the result of an operation that is sent now.
     pub fn lower_bounds(&self, operation: &Operation, owner: &str) -> LowerBounds {
         let mut lower_bounds = LowerBounds::default();
         match operation {
@@ -281,6 +283,7 @@
         }
     }
 
+    /// Records that a put has no outcome: it was not carried out, or its effect is unknown.
     fn on_unresolved(&mut self, operation: &Operation, result: &OperationResult) {
         let Operation::PutCell { value, .. } = operation else {
             return;
--- a/crates/emberpin-consensus/tests/register_callers/mod.rs
+++ b/crates/emberpin-consensus/tests/register_callers/mod.rs
@@ -65,7 +65,9 @@
     held_lock: Option<HeldLock>,
     /// Until when it sleeps, or is down after a crash.
     absent_until: u64,
+    /// Whether it only watches the group of cells.
     watches: bool,
+    /// The last revision of the group that it received.
     watched_up_to: Revision,
     /// A put with an unknown result, and how often it is still sent again.
     unresolved_put: Option<(Operation, u32)>,
