--- a/crates/emberpin-consensus/src/replica/leadership.rs
+++ b/crates/emberpin-consensus/src/replica/leadership.rs
@@ -2,8 +2,9 @@
 //!
 //! A voter that accepts a leader's proposal promises the leader's next ballot with the same write. So a quorum that has
 //! accepted a round has promised the next one, and its answers say the same as promises would: that this proposal is
-//! the last that the voters accepted, and that the items sent with it as chosen are known. The leader's next proposal
-//! carries the items of this one as chosen. If no proposal follows soon, the leader announces them separately.
+//! the last that the voters accepted, and that they have learned the chosen items that were sent with it. The leader's
+//! next proposal carries the items of this one as chosen. If no proposal follows soon, the leader announces them
+//! separately.
 //!
 //! These promises follow the same rules as others: they are void once their voter has lost its disk, or another
 //! proposer has been promised a higher ballot, which the leader finds out when its proposal is rejected. A leader has
@@ -42,7 +43,7 @@
     announce_at: Option<Timestamp>,
 }
 
-/// The leader as far as this replica knows.
+/// The leader that this replica knows.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KnownLeader {
     address: Ipv4Addr,
--- a/crates/emberpin-consensus/src/replica/membership.rs
+++ b/crates/emberpin-consensus/src/replica/membership.rs
@@ -140,7 +140,7 @@
         target
     }
 
-    /// The roster with this replica, in place of unresponsive voters as far as the roster stays large enough; `None`
+    /// The roster with this replica, in place of unresponsive voters as long as the roster stays large enough; `None`
     /// while it is too early to tell which voters are unresponsive.
     fn roster_with_this_replica(&self, current: &[Ipv4Addr]) -> Option<Vec<Ipv4Addr>> {
         let is_too_early = self.now < self.started_at + JOIN_DELAY && !self.options.bootstrap;
--- a/crates/emberpin-consensus/src/round.rs
+++ b/crates/emberpin-consensus/src/round.rs
@@ -16,7 +16,7 @@
 /// The information that a voter reported with its promise.
 #[derive(Debug)]
 pub(crate) struct VoterPromise {
-    /// The incarnation in which the voter promised.
+    /// The voter's incarnation when it promised.
     pub incarnation: Incarnation,
     /// The incarnations of other voters that this voter knows.
     pub latest_incarnations: LatestIncarnations,
@@ -49,7 +49,7 @@
     pub resend_at: Option<Timestamp>,
     /// How often the messages of this phase were resent.
     pub resent: u32,
-    /// The roster of which it needs quorums.
+    /// The roster whose quorums it needs.
     pub roster: Item,
     /// The voters of that roster.
     pub voters: Vec<Ipv4Addr>,
--- a/crates/emberpin-consensus/tests/cluster/mod.rs
+++ b/crates/emberpin-consensus/tests/cluster/mod.rs
@@ -117,6 +117,7 @@
     /// Selects the messages that a test holds back.
     pub hold_back: Option<fn(&Message) -> bool>,
     pub held_back: Vec<HeldBackMessage>,
+    /// The source of all random numbers of a run.
     pub random: Rand64,
     guards: Guards,
     rounds: Rounds,
@@ -126,7 +127,9 @@
     schedule: BinaryHeap<Reverse<(u64, u64)>>,
     scheduled: BTreeMap<u64, ScheduledEvent>,
     last_scheduled: u64,
+    /// The delay of a message.
     pub network_delay: Range<u64>,
+    /// The duration of a sync.
     pub sync_time: Range<u64>,
     pub sync_stalls: SyncStalls,
     /// The percentage of messages that are late by up to 1.5 s.
--- a/crates/emberpin-consensus/tests/model/register.rs
+++ b/crates/emberpin-consensus/tests/model/register.rs
@@ -296,7 +296,7 @@
         self.mutation == Some(mutation)
     }
 
-    /// The ballot of a proposer's next round.
+    /// The ballot of a proposer's next round, after it has begun `rounds` rounds; `None` if it owns no further ballot.
     fn ballot(&self, number: u8, rounds: u8) -> Option<Ballot> {
         let mut own = (1..)
             .zip(&self.order)
@@ -492,6 +492,7 @@
         }
         let round = &mut state.rounds[nth];
         let (wanted, other) = [(FIRST, SECOND), (SECOND, FIRST), (ROSTER, 0)][usize::from(number)];
+        // A joint round of a writer only completes the roster change; the writer's own call waits for a later round.
         let waits = round.joint && number != ROSTER_CHANGER;
         let mut items = possibly_chosen;
         round.outcome = match () {
