--- a/crates/emberpin-idempotency/src/lib.rs
+++ b/crates/emberpin-idempotency/src/lib.rs
@@ -11,14 +11,14 @@
 
 pub mod claims;
 mod fingerprint;
-mod keeper;
+mod deduplicator;
 mod key;
 mod owner;
 mod record;
 mod table;
 
 pub use fingerprint::{Fingerprint, Secret};
-pub use keeper::Keeper;
+pub use deduplicator::Keeper;
 pub use key::{Form, Key, Malformed, LONGEST};
 pub use owner::owner;
 pub use record::{Customer, Known, Millis, Record};
