--- a/crates/emberpin-idempotency/src/claims.rs
+++ b/crates/emberpin-idempotency/src/claims.rs
@@ -25,13 +25,13 @@
 pub struct Claim(pub u64);
 
 /// Whose claim holds a key.
-pub type Holding = (Member, Claim);
+pub type ClaimId = (Member, Claim);
 
 /// What limiters tell each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Said<A> {
+pub enum Message<A> {
     /// The claimant wants this key.
-    Wants {
+    Request {
         /// Its claim.
         claim: Claim,
         /// Whose key it is.
@@ -46,9 +46,9 @@
     /// The holder grants it.
     Granted(Claim),
     /// Another claim has it and no outcome yet; the holder tells what becomes of it.
-    Waits(Claim, Holding),
+    Queued(Claim, ClaimId),
     /// The holder cannot grant it.
-    Told(Claim, Verdict<A>),
+    Denied(Claim, Denial<A>),
     /// The claimant gives it up; nothing was sent under it.
     Released(Claim),
     /// It may have run, and more will not be heard.
@@ -70,7 +70,7 @@
 
 /// Why a holder does not grant a key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Verdict<A> {
+pub enum Denial<A> {
     /// Its outcome is known.
     Replay(A),
     /// It was served, and the answer is not kept.
@@ -91,7 +91,7 @@
 
 /// How claims are made.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
+pub struct ClaimConfig {
     /// This limiter.
     pub me: Member,
     /// All limiters, this one among them.
@@ -105,10 +105,10 @@
     /// Requests that wait for one claim at its claimant.
     pub waiters_per_key: usize,
     /// Outcomes that are kept for a holder that is not there; the oldest gives way, and its key stays as what may have run.
-    pub owed: usize,
+    pub max_queued_outcomes: usize,
     /// Work outlives its limiter: what a life that is gone was granted stays in flight until it is said what became of it,
     /// or its time is over.
-    pub takes_over: bool,
+    pub takeover_enabled: bool,
     /// Claims are numbered from here on; those of two lives must not meet where work outlives them.
     pub first_claim: u64,
 }
@@ -137,7 +137,7 @@
         answer: A,
     },
     /// A first request was refused, and is known not to have run.
-    Refused {
+    Rejected {
         /// Which.
         ticket: Ticket,
         /// With what.
@@ -151,7 +151,7 @@
         answer: A,
     },
     /// A request's client left.
-    Left {
+    ClientLeft {
         /// Which.
         ticket: Ticket,
     },
@@ -161,38 +161,38 @@
         ticket: Ticket,
     },
     /// A record could not be written.
-    Unwritten {
+    WriteFailed {
         /// By the name that it was given.
         ticket: Ticket,
     },
     /// A member said something.
-    Heard {
+    Received {
         /// Who.
         from: Member,
         /// What.
-        said: Said<A>,
+        message: Message<A>,
     },
     /// Whether something can be told to a member.
-    Reaches {
+    ReachabilityChanged {
         /// Whom.
         member: Member,
         /// Whether.
-        reaches: bool,
+        reachable: bool,
     },
     /// A member has started anew: what it had out may run yet, and nobody will tell.
-    NewLife {
+    NewIncarnation {
         /// Who.
         member: Member,
     },
     /// Nobody goes on with what a claim was granted for.
-    Ended {
+    ClaimEnded {
         /// Whose claim, and which.
-        of: Holding,
+        claim_id: ClaimId,
         /// It may have run; else nothing of it was ever sent.
-        ran: bool,
+        may_have_run: bool,
     },
     /// What another's claim was granted for was served here.
-    Finished {
+    ServedAfterTakeover {
         /// Whose key it is.
         customer: Customer,
         /// The key.
@@ -210,24 +210,24 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action<A> {
     /// Let this first request on, and say what came of it.
-    Pass(Ticket),
+    Forward(Ticket),
     /// Keep it until it is told something, or leaves.
     Hold(Ticket),
     /// Nobody wants this request any more, and nothing of it was sent.
     Drop(Ticket),
     /// Its one answer.
-    Tell(Ticket, Told<A>),
+    Reply(Ticket, Reply<A>),
     /// Append this to the log. With a name, say whether it counts.
     Record(Record<A>, Option<Ticket>),
     /// Tell a member.
-    Say(Member, Said<A>),
+    Send(Member, Message<A>),
 }
 
 /// What a request is told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told<A> {
+pub enum Reply<A> {
     /// As a limiter alone would tell it.
-    Telling(Telling<A>),
+    Standard(Telling<A>),
     /// Too few of those that hold its keys are there; nothing was sent.
     NoMajority,
 }
@@ -236,15 +236,15 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Vote<A> {
     /// Not asked yet: a majority may do without it.
-    Spare,
+    NotAsked,
     Asked,
     Granted,
-    Waits(Holding),
-    Told(Verdict<A>),
+    Queued(ClaimId),
+    Denied(Denial<A>),
     /// Its grant was given back, for a lower claim; it may be asked again.
-    Back,
+    Withdrawn,
     /// Not there.
-    None,
+    Unavailable,
 }
 
 impl<A> Vote<A> {
@@ -256,84 +256,84 @@
         matches!(self, Vote::Granted)
     }
 
-    fn is_back(&self) -> bool {
-        matches!(self, Vote::Back)
+    fn is_withdrawn(&self) -> bool {
+        matches!(self, Vote::Withdrawn)
     }
 }
 
 /// A key that requests here want.
 #[derive(Clone)]
-struct Ask<A> {
+struct PendingClaim<A> {
     claim: Claim,
     fingerprint: Fingerprint,
     /// The request that goes on if the key is granted.
     lead: Ticket,
     /// Its client is there.
-    lead_there: bool,
+    lead_connected: bool,
     waiters: Vec<Ticket>,
     votes: BTreeMap<Member, Vote<A>>,
     /// Until then holders may answer.
-    until: Millis,
+    deadline: Millis,
     /// Nothing is begun for it later.
-    expires: Millis,
-    running: bool,
+    start_deadline: Millis,
+    forwarded: bool,
 }
 
 /// A claim that stands in this holder's table.
 #[derive(Clone)]
-struct Held {
-    of: Holding,
+struct ReceivedClaim {
+    claim_id: ClaimId,
     customer: Customer,
     key: Key,
     /// Whatever its claimant begins under it is begun by then.
-    until: Millis,
+    deadline: Millis,
     granted: bool,
 }
 
-type Name = (Customer, Key);
+type CustomerKey = (Customer, Key);
 
 /// The claims of one limiter.
 #[derive(Clone)]
 pub struct Claims<A> {
-    rules: Rules,
+    config: ClaimConfig,
     now: Millis,
     table: Table<A>,
-    asks: BTreeMap<Name, Ask<A>>,
-    by_claim: BTreeMap<Claim, Name>,
-    by_ticket: BTreeMap<Ticket, Name>,
-    held: BTreeMap<Ticket, Held>,
-    by_holding: BTreeMap<Holding, Ticket>,
-    away: BTreeSet<Member>,
+    pending_claims: BTreeMap<CustomerKey, PendingClaim<A>>,
+    key_by_claim: BTreeMap<Claim, CustomerKey>,
+    key_by_ticket: BTreeMap<Ticket, CustomerKey>,
+    received: BTreeMap<Ticket, ReceivedClaim>,
+    ticket_by_claim: BTreeMap<ClaimId, Ticket>,
+    unreachable: BTreeSet<Member>,
     /// What members that are away are to be told.
-    owed: BTreeMap<Member, Vec<Said<A>>>,
-    next: u64,
+    queued_outcomes: BTreeMap<Member, Vec<Message<A>>>,
+    last_claim: u64,
     /// What this limiter says to itself, in order.
-    own: Vec<Said<A>>,
+    loopback: Vec<Message<A>>,
 }
 
 impl<A: Clone + Weight> Claims<A> {
     /// The claims of a limiter that starts now. All other members are away until it is told otherwise.
-    pub fn new(rules: Rules, limits: Limits, now: Millis) -> Claims<A> {
-        let away = rules
+    pub fn new(config: ClaimConfig, limits: Limits, now: Millis) -> Claims<A> {
+        let unreachable = config
             .members
             .iter()
             .copied()
-            .filter(|member| *member != rules.me)
+            .filter(|member| *member != config.me)
             .collect();
-        let first_claim = rules.first_claim;
+        let first_claim = config.first_claim;
         Claims {
             table: Table::new(limits, now),
-            rules,
+            config,
             now,
-            asks: BTreeMap::new(),
-            by_claim: BTreeMap::new(),
-            by_ticket: BTreeMap::new(),
-            held: BTreeMap::new(),
-            by_holding: BTreeMap::new(),
-            away,
-            owed: BTreeMap::new(),
-            next: first_claim,
-            own: Vec::new(),
+            pending_claims: BTreeMap::new(),
+            key_by_claim: BTreeMap::new(),
+            key_by_ticket: BTreeMap::new(),
+            received: BTreeMap::new(),
+            ticket_by_claim: BTreeMap::new(),
+            unreachable,
+            queued_outcomes: BTreeMap::new(),
+            last_claim: first_claim,
+            loopback: Vec::new(),
         }
     }
 
@@ -350,7 +350,7 @@
     /// Who holds a customer's keys: the heaviest by rendezvous hashing, the same whoever asks.
     pub fn holders(&self, customer: Customer) -> Vec<Member> {
         let mut members: Vec<(u64, Member)> = self
-            .rules
+            .config
             .members
             .iter()
             .map(|member| (crate::owner::weight(customer, member.0), *member))
@@ -358,22 +358,24 @@
         members.sort_unstable_by(|one, other| other.cmp(one));
         members
             .into_iter()
-            .take(self.rules.copies)
+            .take(self.config.copies)
             .map(|(_, member)| member)
             .collect()
     }
 
     /// The claim under which a request of this limiter goes on, and whose key it is.
     pub fn claim_of(&self, ticket: Ticket) -> Option<(Claim, Customer)> {
-        let name = self.by_ticket.get(&ticket)?;
-        self.asks.get(name).map(|ask| (ask.claim, name.0))
+        let customer_key = self.key_by_ticket.get(&ticket)?;
+        self.pending_claims
+            .get(customer_key)
+            .map(|pending| (pending.claim, customer_key.0))
     }
 
     /// Whose key a claim holds here.
-    pub fn customer_of(&self, of: Holding) -> Option<Customer> {
-        self.held
-            .get(self.by_holding.get(&of)?)
-            .map(|held| held.customer)
+    pub fn customer_of(&self, claim_id: ClaimId) -> Option<Customer> {
+        self.received
+            .get(self.ticket_by_claim.get(&claim_id)?)
+            .map(|received| received.customer)
     }
 
     /// Takes an event, and appends what is to be done about it.
@@ -387,42 +389,58 @@
                 fingerprint,
                 within,
             } => {
-                self.arrive(ticket, customer, key, fingerprint, within, actions);
+                self.on_arrival(ticket, customer, key, fingerprint, within, actions);
             }
             Event::Served { ticket, answer } => {
                 self.conclude(ticket, answer, Outcome::Served, actions);
             }
-            Event::Refused { ticket, answer } => {
-                self.conclude(ticket, answer, Outcome::Refused, actions);
+            Event::Rejected { ticket, answer } => {
+                self.conclude(ticket, answer, Outcome::Rejected, actions);
             }
             Event::Failed { ticket, answer } => {
                 self.conclude(ticket, answer, Outcome::Failed, actions);
             }
-            Event::Left { ticket } => self.leave(ticket, actions),
-            Event::Written { ticket } => self.hold(table::Event::Written { ticket }, actions),
-            Event::Unwritten { ticket } => self.hold(table::Event::Unwritten { ticket }, actions),
-            Event::Heard { from, said } => self.hear(from, said, actions),
-            Event::Reaches { member, reaches } => self.reaches(member, reaches, actions),
-            Event::NewLife { member } => self.bereave(member, actions),
-            Event::Ended { of, ran: false } => {
-                self.of_claim(of, |ticket| table::Event::Released { ticket }, actions);
+            Event::ClientLeft { ticket } => self.on_client_left(ticket, actions),
+            Event::Written { ticket } => {
+                self.apply_to_table(table::Event::Written { ticket }, actions)
             }
-            Event::Ended { of, ran: true } => {
-                self.of_claim(of, |ticket| table::Event::Lost { ticket }, actions);
+            Event::WriteFailed { ticket } => {
+                self.apply_to_table(table::Event::WriteFailed { ticket }, actions)
             }
-            Event::Finished {
+            Event::Received { from, message } => self.on_message(from, message, actions),
+            Event::ReachabilityChanged { member, reachable } => {
+                self.set_reachable(member, reachable, actions)
+            }
+            Event::NewIncarnation { member } => self.end_previous_incarnation(member, actions),
+            Event::ClaimEnded {
+                claim_id,
+                may_have_run: false,
+            } => {
+                self.end_claim(
+                    claim_id,
+                    |ticket| table::Event::Released { ticket },
+                    actions,
+                );
+            }
+            Event::ClaimEnded {
+                claim_id,
+                may_have_run: true,
+            } => {
+                self.end_claim(claim_id, |ticket| table::Event::Lost { ticket }, actions);
+            }
+            Event::ServedAfterTakeover {
                 customer,
                 key,
                 fingerprint,
                 answer,
             } => {
-                self.next += 1;
-                let claim = Claim(self.next);
+                self.last_claim += 1;
+                let claim = Claim(self.last_claim);
                 for holder in self.holders(customer) {
                     let (key, answer) = (key.clone(), answer.clone());
-                    self.say(
+                    self.send(
                         holder,
-                        Said::Served {
+                        Message::Served {
                             claim,
                             customer,
                             key,
@@ -436,36 +454,36 @@
             Event::Tick => self.tick(actions),
         }
         // What is said to oneself is heard at once, in order, until nothing more comes of it.
-        while !self.own.is_empty() {
-            for said in std::mem::take(&mut self.own) {
-                self.hear(self.rules.me, said, actions);
+        while !self.loopback.is_empty() {
+            for message in std::mem::take(&mut self.loopback) {
+                self.on_message(self.config.me, message, actions);
             }
         }
     }
 
-    fn say(&mut self, to: Member, said: Said<A>, actions: &mut Vec<Action<A>>) {
-        if to == self.rules.me {
-            self.own.push(said);
-        } else if !self.away.contains(&to) {
-            actions.push(Action::Say(to, said));
+    fn send(&mut self, to: Member, message: Message<A>, actions: &mut Vec<Action<A>>) {
+        if to == self.config.me {
+            self.loopback.push(message);
+        } else if !self.unreachable.contains(&to) {
+            actions.push(Action::Send(to, message));
         } else if matches!(
-            said,
-            Said::Released(_) | Said::Lost(_) | Said::Served { .. }
+            message,
+            Message::Released(_) | Message::Lost(_) | Message::Served { .. }
         ) {
             // An outcome is worth telling late: it turns "may have run" into an answer.
-            let owed = self.owed.entry(to).or_default();
-            if owed.len() >= self.rules.owed && !owed.is_empty() {
-                owed.remove(0);
+            let queue = self.queued_outcomes.entry(to).or_default();
+            if queue.len() >= self.config.max_queued_outcomes && !queue.is_empty() {
+                queue.remove(0);
             }
-            if self.rules.owed > 0 {
-                owed.push(said);
+            if self.config.max_queued_outcomes > 0 {
+                queue.push(message);
             }
         }
     }
 
     // As a claimant.
 
-    fn arrive(
+    fn on_arrival(
         &mut self,
         ticket: Ticket,
         customer: Customer,
@@ -474,70 +492,77 @@
         within: Millis,
         actions: &mut Vec<Action<A>>,
     ) {
-        let name = (customer, key);
-        if let Some(ask) = self.asks.get_mut(&name) {
-            let telling = if ask.fingerprint != fingerprint {
+        let customer_key = (customer, key);
+        if let Some(pending) = self.pending_claims.get_mut(&customer_key) {
+            let telling = if pending.fingerprint != fingerprint {
                 Telling::Mismatch
-            } else if ask.waiters.len() >= self.rules.waiters_per_key {
+            } else if pending.waiters.len() >= self.config.waiters_per_key {
                 Telling::InFlight
             } else {
-                ask.waiters.push(ticket);
-                self.by_ticket.insert(ticket, name);
+                pending.waiters.push(ticket);
+                self.key_by_ticket.insert(ticket, customer_key);
                 return actions.push(Action::Hold(ticket));
             };
-            return actions.push(Action::Tell(ticket, Told::Telling(telling)));
+            return actions.push(Action::Reply(ticket, Reply::Standard(telling)));
         }
-        self.next += 1;
-        let claim = Claim(self.next);
+        self.last_claim += 1;
+        let claim = Claim(self.last_claim);
         let votes = self
             .holders(customer)
             .into_iter()
-            .map(|holder| (holder, Vote::Spare))
+            .map(|holder| (holder, Vote::NotAsked))
             .collect();
-        let (until, running) = (self.now + self.rules.ask_within, false);
-        let (lead, lead_there, waiters) = (ticket, true, Vec::new());
-        let expires = self.now + within;
-        let ask = Ask {
+        let (deadline, forwarded) = (self.now + self.config.ask_within, false);
+        let (lead, lead_connected, waiters) = (ticket, true, Vec::new());
+        let start_deadline = self.now + within;
+        let pending = PendingClaim {
             claim,
             fingerprint,
             lead,
-            lead_there,
+            lead_connected,
             waiters,
             votes,
-            until,
-            expires,
-            running,
+            deadline,
+            start_deadline,
+            forwarded,
         };
-        self.asks.insert(name.clone(), ask);
-        self.by_claim.insert(claim, name.clone());
-        self.by_ticket.insert(ticket, name.clone());
+        self.pending_claims.insert(customer_key.clone(), pending);
+        self.key_by_claim.insert(claim, customer_key.clone());
+        self.key_by_ticket.insert(ticket, customer_key.clone());
         actions.push(Action::Hold(ticket));
-        self.weigh(&name, actions);
+        self.evaluate(&customer_key, actions);
     }
 
     /// Asks the next holder that was not asked yet, this limiter first and then in the customer's own order, so that
     /// claims of one key meet; false if there is none.
-    fn ask_another(&mut self, name: &Name, actions: &mut Vec<Action<A>>) -> bool {
-        let (now, me) = (self.now, self.rules.me);
-        let mut order = self.holders(name.0);
+    fn ask_next_holder(
+        &mut self,
+        customer_key: &CustomerKey,
+        actions: &mut Vec<Action<A>>,
+    ) -> bool {
+        let (now, me) = (self.now, self.config.me);
+        let mut order = self.holders(customer_key.0);
         order.sort_by_key(|holder| *holder != me);
-        let Some(ask) = self.asks.get_mut(name) else {
+        let Some(pending) = self.pending_claims.get_mut(customer_key) else {
             return false;
         };
-        let spare = |holder: &Member| matches!(ask.votes.get(holder), Some(Vote::Spare));
+        let not_asked = |holder: &Member| matches!(pending.votes.get(holder), Some(Vote::NotAsked));
         let next = order
             .into_iter()
-            .filter(|holder| !self.away.contains(holder))
-            .find(spare);
+            .filter(|holder| !self.unreachable.contains(holder))
+            .find(not_asked);
         let Some(holder) = next else { return false };
-        ask.votes.insert(holder, Vote::Asked);
-        ask.until = now + self.rules.ask_within;
-        let (claim, fingerprint, within) =
-            (ask.claim, ask.fingerprint, (ask.expires - now).max(0.0));
-        let (customer, key) = name.clone();
-        self.say(
+        pending.votes.insert(holder, Vote::Asked);
+        pending.deadline = now + self.config.ask_within;
+        let (claim, fingerprint, within) = (
+            pending.claim,
+            pending.fingerprint,
+            (pending.start_deadline - now).max(0.0),
+        );
+        let (customer, key) = customer_key.clone();
+        self.send(
             holder,
-            Said::Wants {
+            Message::Request {
                 claim,
                 customer,
                 key,
@@ -550,99 +575,112 @@
     }
 
     /// Whether what the holders have said so far decides about a key.
-    fn weigh(&mut self, name: &Name, actions: &mut Vec<Action<A>>) {
-        let Some(ask) = self.asks.get_mut(name).filter(|ask| !ask.running) else {
+    fn evaluate(&mut self, customer_key: &CustomerKey, actions: &mut Vec<Action<A>>) {
+        let Some(pending) = self
+            .pending_claims
+            .get_mut(customer_key)
+            .filter(|pending| !pending.forwarded)
+        else {
             return;
         };
-        let majority = ask.votes.len() / 2 + 1;
-        let count =
-            |wanted: fn(&Vote<A>) -> bool| ask.votes.values().filter(|vote| wanted(vote)).count();
+        let majority = pending.votes.len() / 2 + 1;
+        let count = |wanted: fn(&Vote<A>) -> bool| {
+            pending.votes.values().filter(|vote| wanted(vote)).count()
+        };
         let granted = count(Vote::is_granted);
         if granted >= majority {
-            ask.running = true;
-            return actions.push(Action::Pass(ask.lead));
+            pending.forwarded = true;
+            return actions.push(Action::Forward(pending.lead));
         }
         // What has an outcome has it, whoever else would grant it.
-        let replay = ask.votes.values().find_map(|vote| match vote {
-            Vote::Told(Verdict::Replay(answer)) => Some(answer.clone()),
+        let replay = pending.votes.values().find_map(|vote| match vote {
+            Vote::Denied(Denial::Replay(answer)) => Some(answer.clone()),
             _ => None,
         });
         if let Some(answer) = replay {
-            return self.resolve(name, &Told::Telling(Telling::Replay(answer)), actions);
+            return self.end_unsent(
+                customer_key,
+                &Reply::Standard(Telling::Replay(answer)),
+                actions,
+            );
         }
         if granted + count(Vote::is_asked) >= majority {
             return;
         }
-        if self.ask_another(name, actions) {
-            return self.weigh(name, actions);
+        if self.ask_next_holder(customer_key, actions) {
+            return self.evaluate(customer_key, actions);
         }
-        let Some(ask) = self.asks.get(name) else {
+        let Some(pending) = self.pending_claims.get(customer_key) else {
             return;
         };
-        let me = (self.rules.me, ask.claim);
-        let others: Vec<Holding> = ask
+        let own_id = (self.config.me, pending.claim);
+        let competing: Vec<ClaimId> = pending
             .votes
             .values()
             .filter_map(|vote| match vote {
-                Vote::Waits(holding) => Some(*holding),
+                Vote::Queued(claim_id) => Some(*claim_id),
                 _ => None,
             })
             .collect();
-        if others.is_empty() {
-            if ask.votes.values().any(Vote::is_back) {
-                return self.ask_again(name, actions);
+        if competing.is_empty() {
+            if pending.votes.values().any(Vote::is_withdrawn) {
+                return self.ask_withdrawn_again(customer_key, actions);
             }
-            let told = last_word(ask.votes.values());
-            return self.resolve(name, &told, actions);
+            let reply = reply_from_denials(pending.votes.values());
+            return self.end_unsent(customer_key, &reply, actions);
         }
         // Neither has a majority while each keeps what it has: the lower claim keeps it, the other gives way and waits.
-        if others.iter().any(|other| *other < me) {
-            self.give_back(name, actions);
+        if competing.iter().any(|other| *other < own_id) {
+            self.withdraw_grants(customer_key, actions);
         }
     }
 
     /// Gives back what was granted.
-    fn give_back(&mut self, name: &Name, actions: &mut Vec<Action<A>>) {
-        let Some(ask) = self.asks.get_mut(name) else {
+    fn withdraw_grants(&mut self, customer_key: &CustomerKey, actions: &mut Vec<Action<A>>) {
+        let Some(pending) = self.pending_claims.get_mut(customer_key) else {
             return;
         };
-        let claim = ask.claim;
+        let claim = pending.claim;
         let mut granted = Vec::new();
-        for (holder, vote) in &mut ask.votes {
+        for (holder, vote) in &mut pending.votes {
             if vote.is_granted() {
-                *vote = Vote::Back;
+                *vote = Vote::Withdrawn;
                 granted.push(*holder);
             }
         }
         for holder in granted {
-            self.say(holder, Said::Released(claim), actions);
+            self.send(holder, Message::Released(claim), actions);
         }
     }
 
     /// Whoever this one gave way to has given up: asks again where it gave a grant back.
-    fn ask_again(&mut self, name: &Name, actions: &mut Vec<Action<A>>) {
-        let Some(ask) = self.asks.get_mut(name) else {
+    fn ask_withdrawn_again(&mut self, customer_key: &CustomerKey, actions: &mut Vec<Action<A>>) {
+        let Some(pending) = self.pending_claims.get_mut(customer_key) else {
             return;
         };
-        ask.until = self.now + self.rules.ask_within;
+        pending.deadline = self.now + self.config.ask_within;
         let (claim, fingerprint, within) = (
-            ask.claim,
-            ask.fingerprint,
-            (ask.expires - self.now).max(0.0),
+            pending.claim,
+            pending.fingerprint,
+            (pending.start_deadline - self.now).max(0.0),
         );
         let mut again = Vec::new();
-        for (holder, vote) in &mut ask.votes {
-            if vote.is_back() {
-                let away = self.away.contains(holder);
-                *vote = if away { Vote::None } else { Vote::Asked };
-                again.extend((!away).then_some(*holder));
+        for (holder, vote) in &mut pending.votes {
+            if vote.is_withdrawn() {
+                let unreachable = self.unreachable.contains(holder);
+                *vote = if unreachable {
+                    Vote::Unavailable
+                } else {
+                    Vote::Asked
+                };
+                again.extend((!unreachable).then_some(*holder));
             }
         }
         for holder in again {
-            let (customer, key) = name.clone();
-            self.say(
+            let (customer, key) = customer_key.clone();
+            self.send(
                 holder,
-                Said::Wants {
+                Message::Request {
                     claim,
                     customer,
                     key,
@@ -652,28 +690,33 @@
                 actions,
             );
         }
-        self.weigh(name, actions);
+        self.evaluate(customer_key, actions);
     }
 
     /// Nobody here wants a key any more, or all are told.
-    fn resolve(&mut self, name: &Name, told: &Told<A>, actions: &mut Vec<Action<A>>) {
-        let Some(ask) = self.asks.remove(name) else {
+    fn end_unsent(
+        &mut self,
+        customer_key: &CustomerKey,
+        reply: &Reply<A>,
+        actions: &mut Vec<Action<A>>,
+    ) {
+        let Some(pending) = self.pending_claims.remove(customer_key) else {
             return;
         };
-        self.by_claim.remove(&ask.claim);
-        self.by_ticket.remove(&ask.lead);
-        actions.push(Action::Drop(ask.lead));
-        if ask.lead_there {
-            actions.push(Action::Tell(ask.lead, told.clone()));
+        self.key_by_claim.remove(&pending.claim);
+        self.key_by_ticket.remove(&pending.lead);
+        actions.push(Action::Drop(pending.lead));
+        if pending.lead_connected {
+            actions.push(Action::Reply(pending.lead, reply.clone()));
         }
-        for waiter in &ask.waiters {
-            self.by_ticket.remove(waiter);
-            actions.push(Action::Tell(*waiter, told.clone()));
+        for waiter in &pending.waiters {
+            self.key_by_ticket.remove(waiter);
+            actions.push(Action::Reply(*waiter, reply.clone()));
         }
         // Each holder that may have it in its table; one that is away is told later.
-        for (holder, vote) in ask.votes {
-            if !matches!(vote, Vote::Told(_) | Vote::Spare) {
-                self.say(holder, Said::Released(ask.claim), actions);
+        for (holder, vote) in pending.votes {
+            if !matches!(vote, Vote::Denied(_) | Vote::NotAsked) {
+                self.send(holder, Message::Released(pending.claim), actions);
             }
         }
     }
@@ -685,98 +728,99 @@
         outcome: Outcome,
         actions: &mut Vec<Action<A>>,
     ) {
-        let Some(name) = self.by_ticket.remove(&ticket) else {
+        let Some(customer_key) = self.key_by_ticket.remove(&ticket) else {
             return;
         };
         if !self
-            .asks
-            .get(&name)
-            .is_some_and(|ask| ask.running && ask.lead == ticket)
+            .pending_claims
+            .get(&customer_key)
+            .is_some_and(|pending| pending.forwarded && pending.lead == ticket)
         {
             return;
         }
-        let Some(ask) = self.asks.remove(&name) else {
+        let Some(pending) = self.pending_claims.remove(&customer_key) else {
             return;
         };
-        self.by_claim.remove(&ask.claim);
-        if ask.lead_there {
-            actions.push(Action::Tell(
+        self.key_by_claim.remove(&pending.claim);
+        if pending.lead_connected {
+            actions.push(Action::Reply(
                 ticket,
-                Told::Telling(Telling::Own(answer.clone())),
+                Reply::Standard(Telling::Own(answer.clone())),
             ));
         }
-        for waiter in ask.waiters {
-            self.by_ticket.remove(&waiter);
-            actions.push(Action::Tell(
+        for waiter in pending.waiters {
+            self.key_by_ticket.remove(&waiter);
+            actions.push(Action::Reply(
                 waiter,
-                Told::Telling(Telling::Replay(answer.clone())),
+                Reply::Standard(Telling::Replay(answer.clone())),
             ));
         }
-        let (claim, fingerprint, (customer, key)) = (ask.claim, ask.fingerprint, name);
-        for holder in ask.votes.into_keys() {
-            let said = match outcome {
-                Outcome::Served => Said::Served {
+        let (claim, fingerprint, (customer, key)) =
+            (pending.claim, pending.fingerprint, customer_key);
+        for holder in pending.votes.into_keys() {
+            let message = match outcome {
+                Outcome::Served => Message::Served {
                     claim,
                     customer,
                     key: key.clone(),
                     fingerprint,
                     answer: answer.clone(),
                 },
-                Outcome::Refused => Said::Released(claim),
-                Outcome::Failed => Said::Lost(claim),
+                Outcome::Rejected => Message::Released(claim),
+                Outcome::Failed => Message::Lost(claim),
             };
-            self.say(holder, said, actions);
+            self.send(holder, message, actions);
         }
     }
 
-    fn leave(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
-        let Some(name) = self.by_ticket.get(&ticket).cloned() else {
+    fn on_client_left(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
+        let Some(customer_key) = self.key_by_ticket.get(&ticket).cloned() else {
             return;
         };
-        let Some(ask) = self.asks.get_mut(&name) else {
+        let Some(pending) = self.pending_claims.get_mut(&customer_key) else {
             return;
         };
-        if ask.lead == ticket {
-            ask.lead_there = false;
+        if pending.lead == ticket {
+            pending.lead_connected = false;
         } else {
-            ask.waiters.retain(|waiter| *waiter != ticket);
-            self.by_ticket.remove(&ticket);
+            pending.waiters.retain(|waiter| *waiter != ticket);
+            self.key_by_ticket.remove(&ticket);
             actions.push(Action::Drop(ticket));
         }
         // What is out goes on, so that a repeat has its outcome; what is not is dropped with the last who wants it.
-        if !ask.running && !ask.lead_there && ask.waiters.is_empty() {
-            self.resolve(&name, &Told::NoMajority, actions);
+        if !pending.forwarded && !pending.lead_connected && pending.waiters.is_empty() {
+            self.end_unsent(&customer_key, &Reply::NoMajority, actions);
         }
     }
 
     // As a holder.
 
-    fn hear(&mut self, from: Member, said: Said<A>, actions: &mut Vec<Action<A>>) {
-        match said {
-            Said::Wants {
+    fn on_message(&mut self, from: Member, message: Message<A>, actions: &mut Vec<Action<A>>) {
+        match message {
+            Message::Request {
                 claim,
                 customer,
                 key,
                 fingerprint,
                 within,
             } => {
-                let of = (from, claim);
-                if self.by_holding.contains_key(&of) {
+                let claim_id = (from, claim);
+                if self.ticket_by_claim.contains_key(&claim_id) {
                     return;
                 }
-                self.next += 1;
-                let ticket = Ticket(self.next);
-                let until = self.now + within.clamp(0.0, 600_000.0) + self.rules.slack;
-                let held = Held {
-                    of,
+                self.last_claim += 1;
+                let ticket = Ticket(self.last_claim);
+                let deadline = self.now + within.clamp(0.0, 600_000.0) + self.config.slack;
+                let received = ReceivedClaim {
+                    claim_id,
                     customer,
                     key: key.clone(),
-                    until,
+                    deadline,
                     granted: false,
                 };
-                self.held.insert(ticket, held);
-                self.by_holding.insert(of, ticket);
-                self.hold(
+                self.received.insert(ticket, received);
+                self.ticket_by_claim.insert(claim_id, ticket);
+                self.apply_to_table(
                     table::Event::Arrived {
                         ticket,
                         customer,
@@ -786,27 +830,27 @@
                     actions,
                 );
             }
-            Said::Released(claim) => self.of_claim(
+            Message::Released(claim) => self.end_claim(
                 (from, claim),
                 |ticket| table::Event::Released { ticket },
                 actions,
             ),
-            Said::Lost(claim) => self.of_claim(
+            Message::Lost(claim) => self.end_claim(
                 (from, claim),
                 |ticket| table::Event::Lost { ticket },
                 actions,
             ),
-            Said::Served {
+            Message::Served {
                 claim,
                 customer,
                 key,
                 fingerprint,
                 answer,
             } => {
-                if let Some(ticket) = self.by_holding.remove(&(from, claim)) {
-                    self.held.remove(&ticket);
+                if let Some(ticket) = self.ticket_by_claim.remove(&(from, claim)) {
+                    self.received.remove(&ticket);
                 }
-                self.hold(
+                self.apply_to_table(
                     table::Event::Learned {
                         customer,
                         key,
@@ -816,223 +860,242 @@
                     actions,
                 );
             }
-            Said::Granted(claim) => self.vote(from, claim, Vote::Granted, actions),
-            Said::Waits(claim, holding) => self.vote(from, claim, Vote::Waits(holding), actions),
-            Said::Told(claim, verdict) => self.vote(from, claim, Vote::Told(verdict), actions),
+            Message::Granted(claim) => self.record_vote(from, claim, Vote::Granted, actions),
+            Message::Queued(claim, claim_id) => {
+                self.record_vote(from, claim, Vote::Queued(claim_id), actions)
+            }
+            Message::Denied(claim, denial) => {
+                self.record_vote(from, claim, Vote::Denied(denial), actions)
+            }
         }
     }
 
-    fn vote(&mut self, from: Member, claim: Claim, vote: Vote<A>, actions: &mut Vec<Action<A>>) {
-        let name = self.by_claim.get(&claim).cloned();
-        let ask = name.as_ref().and_then(|name| self.asks.get_mut(name));
-        let known = ask.and_then(|ask| ask.votes.get_mut(&from));
-        match (known, name) {
+    fn record_vote(
+        &mut self,
+        from: Member,
+        claim: Claim,
+        vote: Vote<A>,
+        actions: &mut Vec<Action<A>>,
+    ) {
+        let customer_key = self.key_by_claim.get(&claim).cloned();
+        let pending = customer_key
+            .as_ref()
+            .and_then(|customer_key| self.pending_claims.get_mut(customer_key));
+        let known = pending.and_then(|pending| pending.votes.get_mut(&from));
+        match (known, customer_key) {
             // What was given back, or counted as not there, has been released there already, behind the asking.
-            (Some(Vote::None | Vote::Back | Vote::Spare), _) => {}
-            (Some(known), Some(name)) => {
+            (Some(Vote::Unavailable | Vote::Withdrawn | Vote::NotAsked), _) => {}
+            (Some(known), Some(customer_key)) => {
                 *known = vote;
-                self.weigh(&name, actions);
+                self.evaluate(&customer_key, actions);
             }
             // Nobody here wants it any more.
-            _ if vote.is_granted() => self.say(from, Said::Released(claim), actions),
+            _ if vote.is_granted() => self.send(from, Message::Released(claim), actions),
             _ => {}
         }
     }
 
-    fn of_claim(
+    fn end_claim(
         &mut self,
-        of: Holding,
+        claim_id: ClaimId,
         event: impl FnOnce(Ticket) -> table::Event<A>,
         actions: &mut Vec<Action<A>>,
     ) {
-        if let Some(ticket) = self.by_holding.remove(&of) {
-            self.held.remove(&ticket);
-            self.hold(event(ticket), actions);
+        if let Some(ticket) = self.ticket_by_claim.remove(&claim_id) {
+            self.received.remove(&ticket);
+            self.apply_to_table(event(ticket), actions);
         }
     }
 
     /// Feeds the table, and tells claimants what it says.
-    fn hold(&mut self, event: table::Event<A>, actions: &mut Vec<Action<A>>) {
-        let mut told = Vec::new();
-        self.table.handle(self.now, event, &mut told);
-        for action in told {
+    fn apply_to_table(&mut self, event: table::Event<A>, actions: &mut Vec<Action<A>>) {
+        let mut table_actions = Vec::new();
+        self.table.handle(self.now, event, &mut table_actions);
+        for action in table_actions {
             match action {
                 table::Action::Record(record, ticket) => {
                     actions.push(Action::Record(record, ticket));
                 }
-                table::Action::Pass(ticket) => {
-                    let Some(held) = self.held.get_mut(&ticket) else {
+                table::Action::Forward(ticket) => {
+                    let Some(received) = self.received.get_mut(&ticket) else {
                         continue;
                     };
-                    held.granted = true;
-                    let (to, claim) = held.of;
-                    self.say(to, Said::Granted(claim), actions);
+                    received.granted = true;
+                    let (to, claim) = received.claim_id;
+                    self.send(to, Message::Granted(claim), actions);
                 }
                 table::Action::Hold(ticket) => {
-                    let Some(held) = self.held.get(&ticket) else {
+                    let Some(received) = self.received.get(&ticket) else {
                         continue;
                     };
                     let first = self
                         .table
-                        .first(held.customer, &held.key)
+                        .first_in_flight(received.customer, &received.key)
                         .filter(|first| *first != ticket);
-                    let (to, claim) = held.of;
+                    let (to, claim) = received.claim_id;
                     // One that waits only for its own record is told when that counts.
-                    if let Some(holding) = first
-                        .and_then(|first| self.held.get(&first))
-                        .map(|held| held.of)
+                    if let Some(claim_id) = first
+                        .and_then(|first| self.received.get(&first))
+                        .map(|received| received.claim_id)
                     {
-                        self.say(to, Said::Waits(claim, holding), actions);
+                        self.send(to, Message::Queued(claim, claim_id), actions);
                     }
                 }
                 table::Action::Drop(_) => {}
                 table::Action::Tell(ticket, telling) => {
-                    let Some(held) = self.held.remove(&ticket) else {
+                    let Some(received) = self.received.remove(&ticket) else {
                         continue;
                     };
-                    self.by_holding.remove(&held.of);
-                    let (to, claim) = held.of;
-                    self.say(to, Said::Told(claim, verdict(telling)), actions);
+                    self.ticket_by_claim.remove(&received.claim_id);
+                    let (to, claim) = received.claim_id;
+                    self.send(to, Message::Denied(claim, denial_for(telling)), actions);
                 }
             }
         }
     }
 
-    fn reaches(&mut self, member: Member, reaches: bool, actions: &mut Vec<Action<A>>) {
-        if reaches {
-            self.away.remove(&member);
-            for said in self.owed.remove(&member).unwrap_or_default() {
-                self.say(member, said, actions);
+    fn set_reachable(&mut self, member: Member, reachable: bool, actions: &mut Vec<Action<A>>) {
+        if reachable {
+            self.unreachable.remove(&member);
+            for message in self.queued_outcomes.remove(&member).unwrap_or_default() {
+                self.send(member, message, actions);
             }
             return;
         }
-        self.away.insert(member);
+        self.unreachable.insert(member);
         // Whatever it was asked may have reached it: it is told later that it was given up.
-        let names: Vec<Name> = self
-            .asks
+        let customer_keys: Vec<CustomerKey> = self
+            .pending_claims
             .iter()
-            .filter(|(_, ask)| !ask.running)
-            .map(|(name, _)| name.clone())
+            .filter(|(_, pending)| !pending.forwarded)
+            .map(|(customer_key, _)| customer_key.clone())
             .collect();
-        for name in names {
-            self.miss(&name, member, actions);
+        for customer_key in customer_keys {
+            self.mark_unavailable(&customer_key, member, actions);
         }
     }
 
     /// A holder that has not answered, or that others are waited for at, is not there any more.
-    fn miss(&mut self, name: &Name, member: Member, actions: &mut Vec<Action<A>>) {
-        let Some(ask) = self.asks.get_mut(name) else {
+    fn mark_unavailable(
+        &mut self,
+        customer_key: &CustomerKey,
+        member: Member,
+        actions: &mut Vec<Action<A>>,
+    ) {
+        let Some(pending) = self.pending_claims.get_mut(customer_key) else {
             return;
         };
-        let claim = ask.claim;
-        match ask.votes.get_mut(&member) {
-            Some(vote @ (Vote::Asked | Vote::Waits(_))) => *vote = Vote::None,
+        let claim = pending.claim;
+        match pending.votes.get_mut(&member) {
+            Some(vote @ (Vote::Asked | Vote::Queued(_))) => *vote = Vote::Unavailable,
             _ => return,
         }
-        self.say(member, Said::Released(claim), actions);
-        self.weigh(name, actions);
+        self.send(member, Message::Released(claim), actions);
+        self.evaluate(customer_key, actions);
     }
 
     /// A member's earlier life is over, with all that it had out or wanted.
-    fn bereave(&mut self, member: Member, actions: &mut Vec<Action<A>>) {
-        let over = |held: &Held| held.of.0 == member && !(held.granted && self.rules.takes_over);
-        let of: Vec<Ticket> = self
-            .held
+    fn end_previous_incarnation(&mut self, member: Member, actions: &mut Vec<Action<A>>) {
+        let expired = |received: &ReceivedClaim| {
+            received.claim_id.0 == member && !(received.granted && self.config.takeover_enabled)
+        };
+        let tickets: Vec<Ticket> = self
+            .received
             .iter()
-            .filter(|(_, held)| over(held))
+            .filter(|(_, received)| expired(received))
             .map(|(ticket, _)| *ticket)
             .collect();
-        for ticket in of {
-            self.give_up(ticket, actions);
+        for ticket in tickets {
+            self.end_without_outcome(ticket, actions);
         }
     }
 
     /// Nothing more will be heard of a claim: it may have run if it was granted.
-    fn give_up(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
-        let Some(held) = self.held.remove(&ticket) else {
+    fn end_without_outcome(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
+        let Some(received) = self.received.remove(&ticket) else {
             return;
         };
-        self.by_holding.remove(&held.of);
-        let event = match held.granted {
+        self.ticket_by_claim.remove(&received.claim_id);
+        let event = match received.granted {
             true => table::Event::Lost { ticket },
             false => table::Event::Released { ticket },
         };
-        self.hold(event, actions);
+        self.apply_to_table(event, actions);
     }
 
     fn tick(&mut self, actions: &mut Vec<Action<A>>) {
-        let late: Vec<(Name, Member)> = self
-            .asks
+        let overdue: Vec<(CustomerKey, Member)> = self
+            .pending_claims
             .iter()
-            .filter(|(_, ask)| !ask.running && ask.until <= self.now)
-            .flat_map(|(name, ask)| {
-                let asked = ask.votes.iter().filter(|(_, vote)| vote.is_asked());
-                asked.map(|(holder, _)| (name.clone(), *holder))
+            .filter(|(_, pending)| !pending.forwarded && pending.deadline <= self.now)
+            .flat_map(|(customer_key, pending)| {
+                let asked = pending.votes.iter().filter(|(_, vote)| vote.is_asked());
+                asked.map(|(holder, _)| (customer_key.clone(), *holder))
             })
             .collect();
-        for (name, holder) in late {
-            self.miss(&name, holder, actions);
+        for (customer_key, holder) in overdue {
+            self.mark_unavailable(&customer_key, holder, actions);
         }
-        let over: Vec<Ticket> = self
-            .held
+        let expired: Vec<Ticket> = self
+            .received
             .iter()
-            .filter(|(_, held)| held.until <= self.now)
+            .filter(|(_, received)| received.deadline <= self.now)
             .map(|(ticket, _)| *ticket)
             .collect();
-        for ticket in over {
-            self.give_up(ticket, actions);
+        for ticket in expired {
+            self.end_without_outcome(ticket, actions);
         }
-        self.hold(table::Event::Tick, actions);
+        self.apply_to_table(table::Event::Tick, actions);
     }
 }
 
 /// What a request is told when its key cannot be had: what says most of those who said anything.
-fn last_word<'a, A: Clone + 'a>(votes: impl Iterator<Item = &'a Vote<A>>) -> Told<A> {
-    let rank = |verdict: &Verdict<A>| match verdict {
-        Verdict::Replay(_) => 0,
-        Verdict::NotKept => 1,
-        Verdict::Unknown => 2,
-        Verdict::Mismatch => 3,
-        Verdict::Quiet => 4,
-        Verdict::InFlight => 5,
-        Verdict::NotWritten => 6,
-        Verdict::Full(_) => 7,
+fn reply_from_denials<'a, A: Clone + 'a>(votes: impl Iterator<Item = &'a Vote<A>>) -> Reply<A> {
+    let rank = |denial: &Denial<A>| match denial {
+        Denial::Replay(_) => 0,
+        Denial::NotKept => 1,
+        Denial::Unknown => 2,
+        Denial::Mismatch => 3,
+        Denial::Quiet => 4,
+        Denial::InFlight => 5,
+        Denial::NotWritten => 6,
+        Denial::Full(_) => 7,
     };
-    let told = votes.filter_map(|vote| match vote {
-        Vote::Told(verdict) => Some(verdict),
+    let denials = votes.filter_map(|vote| match vote {
+        Vote::Denied(denial) => Some(denial),
         _ => None,
     });
-    let Some(verdict) = told.min_by_key(|verdict| rank(verdict)) else {
-        return Told::NoMajority;
+    let Some(denial) = denials.min_by_key(|denial| rank(denial)) else {
+        return Reply::NoMajority;
     };
-    Told::Telling(match verdict.clone() {
-        Verdict::Replay(answer) => Telling::Replay(answer),
-        Verdict::NotKept => Telling::NotKept,
-        Verdict::Mismatch => Telling::Mismatch,
-        Verdict::Unknown => Telling::Unknown,
-        Verdict::InFlight => Telling::InFlight,
-        Verdict::Quiet => Telling::Quiet,
-        Verdict::Full(retry_after) => Telling::Full { retry_after },
-        Verdict::NotWritten => Telling::NotWritten,
+    Reply::Standard(match denial.clone() {
+        Denial::Replay(answer) => Telling::Replay(answer),
+        Denial::NotKept => Telling::NotKept,
+        Denial::Mismatch => Telling::Mismatch,
+        Denial::Unknown => Telling::Unknown,
+        Denial::InFlight => Telling::InFlight,
+        Denial::Quiet => Telling::Quiet,
+        Denial::Full(retry_after) => Telling::Full { retry_after },
+        Denial::NotWritten => Telling::NotWritten,
     })
 }
 
-fn verdict<A>(telling: Telling<A>) -> Verdict<A> {
+fn denial_for<A>(telling: Telling<A>) -> Denial<A> {
     match telling {
-        Telling::Own(answer) | Telling::Replay(answer) => Verdict::Replay(answer),
-        Telling::Mismatch => Verdict::Mismatch,
-        Telling::InFlight => Verdict::InFlight,
-        Telling::Unknown => Verdict::Unknown,
-        Telling::NotKept => Verdict::NotKept,
-        Telling::Full { retry_after } => Verdict::Full(retry_after),
-        Telling::Quiet => Verdict::Quiet,
-        Telling::NotWritten => Verdict::NotWritten,
+        Telling::Own(answer) | Telling::Replay(answer) => Denial::Replay(answer),
+        Telling::Mismatch => Denial::Mismatch,
+        Telling::InFlight => Denial::InFlight,
+        Telling::Unknown => Denial::Unknown,
+        Telling::NotKept => Denial::NotKept,
+        Telling::Full { retry_after } => Denial::Full(retry_after),
+        Telling::Quiet => Denial::Quiet,
+        Telling::NotWritten => Denial::NotWritten,
     }
 }
 
 #[derive(Clone, Copy, PartialEq)]
 enum Outcome {
     Served,
-    Refused,
+    Rejected,
     Failed,
 }
--- a/crates/emberpin-idempotency/src/fingerprint.rs
+++ b/crates/emberpin-idempotency/src/fingerprint.rs
@@ -16,8 +16,8 @@
 }
 
 impl fmt::Debug for Secret {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        to.write_str("Secret(not shown)")
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str("Secret(not shown)")
     }
 }
 
@@ -39,9 +39,9 @@
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
-        let mut cut = [0; 16];
-        cut.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
-        Fingerprint(cut)
+        let mut truncated = [0; 16];
+        truncated.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
+        Fingerprint(truncated)
     }
 }
 
@@ -50,22 +50,22 @@
     use super::*;
 
     #[test]
-    fn every_part_counts_and_none_flows_into_the_next() {
+    fn every_part_changes_the_fingerprint_and_parts_do_not_run_together() {
         let secret = Secret::new([7; 32]);
-        let of =
+        let fingerprint_of =
             |method, path, class, body: &[u8]| Fingerprint::of(&secret, method, path, class, body);
-        let first = of("POST", "/api", 1, b"image");
-        assert_eq!(first, of("POST", "/api", 1, b"image"));
-        for other in [
-            of("PUT", "/api", 1, b"image"),
-            of("POST", "/apj", 1, b"image"),
-            of("POST", "/api", 2, b"image"),
-            of("POST", "/api", 1, b"imagf"),
-            of("POST", "/api", 1, b"image\0"),
-            of("POST/", "api", 1, b"image"),
+        let reference = fingerprint_of("POST", "/api", 1, b"image");
+        assert_eq!(reference, fingerprint_of("POST", "/api", 1, b"image"));
+        for changed in [
+            fingerprint_of("PUT", "/api", 1, b"image"),
+            fingerprint_of("POST", "/apj", 1, b"image"),
+            fingerprint_of("POST", "/api", 2, b"image"),
+            fingerprint_of("POST", "/api", 1, b"imagf"),
+            fingerprint_of("POST", "/api", 1, b"image\0"),
+            fingerprint_of("POST/", "api", 1, b"image"),
             Fingerprint::of(&Secret::new([8; 32]), "POST", "/api", 1, b"image"),
         ] {
-            assert_ne!(first, other);
+            assert_ne!(reference, changed);
         }
     }
 
--- a/crates/emberpin-idempotency/src/key.rs
+++ b/crates/emberpin-idempotency/src/key.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 
 /// Most characters of a key.
-pub const LONGEST: usize = 255;
+pub const MAX_KEY_LENGTH: usize = 255;
 
 /// Which forms of the field are taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,24 +23,31 @@
 
 /// Why a field's value is no key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Malformed {
+pub enum InvalidKey {
     /// Nothing stands in it.
     Empty,
     /// More than [`LONGEST`] characters.
     TooLong,
     /// It is not in a form that is taken.
-    NoString,
+    NotAString,
     /// A character that may not stand there, at this place from 0.
     Character(usize),
 }
 
-impl fmt::Display for Malformed {
-    fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
+impl fmt::Display for InvalidKey {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Malformed::Empty => write!(to, "the key is empty"),
-            Malformed::TooLong => write!(to, "the key has more than {LONGEST} characters"),
-            Malformed::NoString => write!(to, "the key is no string in double quotes"),
-            Malformed::Character(at) => write!(to, "character {} may not stand in a key", at + 1),
+            InvalidKey::Empty => write!(formatter, "the key is empty"),
+            InvalidKey::TooLong => write!(
+                formatter,
+                "the key has more than {MAX_KEY_LENGTH} characters"
+            ),
+            InvalidKey::NotAString => write!(formatter, "the key is no string in double quotes"),
+            InvalidKey::Character(position) => write!(
+                formatter,
+                "character {} may not stand in a key",
+                position + 1
+            ),
         }
     }
 }
@@ -51,17 +58,17 @@
     /// # Errors
     ///
     /// Why it is no key.
-    pub fn parse(value: &str, form: Form) -> Result<Key, Malformed> {
+    pub fn parse(value: &str, form: Form) -> Result<Key, InvalidKey> {
         let value = value.trim_matches([' ', '\t']);
         let key = match value.strip_prefix('"') {
-            Some(rest) => unquote(rest)?,
-            None if form == Form::Quoted => return Err(Malformed::NoString),
-            None => bare(value)?,
+            Some(after_quote) => unquote(after_quote)?,
+            None if form == Form::Quoted => return Err(InvalidKey::NotAString),
+            None => parse_bare(value)?,
         };
         match key.len() {
-            0 => Err(Malformed::Empty),
-            1..=LONGEST => Ok(Key(key.into())),
-            _ => Err(Malformed::TooLong),
+            0 => Err(InvalidKey::Empty),
+            1..=MAX_KEY_LENGTH => Ok(Key(key.into())),
+            _ => Err(InvalidKey::TooLong),
         }
     }
 
@@ -72,37 +79,37 @@
 }
 
 /// What stands between the quotes; the first is taken off already. Parameters are not taken: none is defined.
-fn unquote(rest: &str) -> Result<String, Malformed> {
-    let mut key = String::with_capacity(rest.len());
-    let mut characters = rest.char_indices();
-    while let Some((at, character)) = characters.next() {
+fn unquote(after_quote: &str) -> Result<String, InvalidKey> {
+    let mut key = String::with_capacity(after_quote.len());
+    let mut characters = after_quote.char_indices();
+    while let Some((position, character)) = characters.next() {
         match character {
             '"' => {
-                let after = at + 1;
-                return if after == rest.len() {
+                let after = position + 1;
+                return if after == after_quote.len() {
                     Ok(key)
                 } else {
-                    Err(Malformed::Character(after + 1))
+                    Err(InvalidKey::Character(after + 1))
                 };
             }
             '\\' => match characters.next() {
                 Some((_, escaped @ ('"' | '\\'))) => key.push(escaped),
-                _ => return Err(Malformed::Character(at + 1)),
+                _ => return Err(InvalidKey::Character(position + 1)),
             },
             ' '..='~' => key.push(character),
-            _ => return Err(Malformed::Character(at + 1)),
+            _ => return Err(InvalidKey::Character(position + 1)),
         }
     }
-    Err(Malformed::NoString)
+    Err(InvalidKey::NotAString)
 }
 
-fn bare(value: &str) -> Result<String, Malformed> {
-    let fits = |c: char| c.is_ascii_graphic() && !matches!(c, '"' | ',' | ';' | '\\');
+fn parse_bare(value: &str) -> Result<String, InvalidKey> {
+    let is_allowed = |c: char| c.is_ascii_graphic() && !matches!(c, '"' | ',' | ';' | '\\');
     match value
         .char_indices()
-        .find(|(_, character)| !fits(*character))
+        .find(|(_, character)| !is_allowed(*character))
     {
-        Some((at, _)) => Err(Malformed::Character(at)),
+        Some((position, _)) => Err(InvalidKey::Character(position)),
         None => Ok(value.into()),
     }
 }
@@ -113,13 +120,13 @@
     use proptest::prelude::*;
 
     #[test]
-    fn quoted_and_bare_name_the_same_key() {
-        let bare = Key::parse(" 5c0f6e1a ", Form::QuotedOrBare).expect("a key");
+    fn quoted_and_bare_forms_give_the_same_key() {
+        let from_bare = Key::parse(" 5c0f6e1a ", Form::QuotedOrBare).expect("a key");
         assert_eq!(
-            bare,
+            from_bare,
             Key::parse("\"5c0f6e1a\"", Form::Quoted).expect("a key")
         );
-        assert_eq!(bare.as_str(), "5c0f6e1a");
+        assert_eq!(from_bare.as_str(), "5c0f6e1a");
         assert_eq!(
             Key::parse("\"a \\\"b\\\\\"", Form::Quoted)
                 .expect("a key")
@@ -129,36 +136,43 @@
     }
 
     #[test]
-    fn what_is_no_key_says_why() {
-        let long = "k".repeat(LONGEST + 1);
+    fn an_invalid_value_is_rejected_with_its_reason() {
+        let too_long = "k".repeat(MAX_KEY_LENGTH + 1);
         let cases = [
-            ("", Malformed::Empty),
-            ("\"\"", Malformed::Empty),
-            ("\"open", Malformed::NoString),
-            ("\"a\"b", Malformed::Character(3)),
-            ("\"a\\b\"", Malformed::Character(2)),
-            ("\"a\u{7f}\"", Malformed::Character(2)),
-            ("\"å\"", Malformed::Character(1)),
-            ("a b", Malformed::Character(1)),
-            ("a;p=1", Malformed::Character(1)),
-            (&long, Malformed::TooLong),
+            ("", InvalidKey::Empty),
+            ("\"\"", InvalidKey::Empty),
+            ("\"open", InvalidKey::NotAString),
+            ("\"a\"b", InvalidKey::Character(3)),
+            ("\"a\\b\"", InvalidKey::Character(2)),
+            ("\"a\u{7f}\"", InvalidKey::Character(2)),
+            ("\"å\"", InvalidKey::Character(1)),
+            ("a b", InvalidKey::Character(1)),
+            ("a;p=1", InvalidKey::Character(1)),
+            (&too_long, InvalidKey::TooLong),
         ];
-        for (value, why) in cases {
-            assert_eq!(Key::parse(value, Form::QuotedOrBare), Err(why), "{value:?}");
+        for (value, reason) in cases {
+            assert_eq!(
+                Key::parse(value, Form::QuotedOrBare),
+                Err(reason),
+                "{value:?}"
+            );
         }
-        assert_eq!(Key::parse("bare", Form::Quoted), Err(Malformed::NoString));
+        assert_eq!(
+            Key::parse("bare", Form::Quoted),
+            Err(InvalidKey::NotAString)
+        );
     }
 
     proptest! {
         #[test]
-        fn any_value_is_read_or_refused(value in ".{0,300}") {
+        fn any_value_is_parsed_or_rejected_without_a_panic(value in ".{0,300}") {
             if let Ok(key) = Key::parse(&value, Form::QuotedOrBare) {
-                prop_assert!((1..=LONGEST).contains(&key.as_str().len()) && key.as_str().is_ascii());
+                prop_assert!((1..=MAX_KEY_LENGTH).contains(&key.as_str().len()) && key.as_str().is_ascii());
             }
         }
 
         #[test]
-        fn what_is_quoted_comes_back(text in "[ -~]{1,255}") {
+        fn a_quoted_and_escaped_key_parses_to_the_original_text(text in "[ -~]{1,255}") {
             let quoted = format!("\"{}\"", text.replace('\\', "\\\\").replace('"', "\\\""));
             let key = Key::parse(&quoted, Form::Quoted).expect("a key");
             prop_assert_eq!(key.as_str(), text);
--- a/crates/emberpin-idempotency/src/lib.rs
+++ b/crates/emberpin-idempotency/src/lib.rs
@@ -10,16 +10,16 @@
 #![forbid(unsafe_code)]
 
 pub mod claims;
-mod fingerprint;
 mod deduplicator;
+mod fingerprint;
 mod key;
 mod owner;
 mod record;
 mod table;
 
+pub use deduplicator::Deduplicator;
 pub use fingerprint::{Fingerprint, Secret};
-pub use deduplicator::Keeper;
-pub use key::{Form, Key, Malformed, LONGEST};
+pub use key::{Form, InvalidKey, Key, MAX_KEY_LENGTH};
 pub use owner::owner;
-pub use record::{Customer, Known, Millis, Record};
-pub use table::{Action, Event, Limits, Sweep, Table, Telling, Ticket, Weight};
+pub use record::{Customer, KeyStatus, Millis, Record};
+pub use table::{Action, Event, Limits, SweepCursor, Table, Telling, Ticket, Weight};
--- a/crates/emberpin-idempotency/src/owner.rs
+++ b/crates/emberpin-idempotency/src/owner.rs
@@ -7,7 +7,7 @@
 /// The number of the owner among the limiters of a customer's set: `size` of them in a row from `first`, counted
 /// round in a group of `group`. `None` for a set of nobody.
 pub fn owner(customer: Customer, first: u32, size: u32, group: u32) -> Option<u32> {
-    let members = (0..size.min(group)).map(|n| (first % group + n) % group);
+    let members = (0..size.min(group)).map(|offset| (first % group + offset) % group);
     members.max_by_key(|member| (weight(customer, *member), *member))
 }
 
@@ -18,9 +18,9 @@
     input[..8].copy_from_slice(&customer.0.to_le_bytes());
     input[8..].copy_from_slice(&member.to_le_bytes());
     let hash = blake3::hash(&input);
-    let mut cut = [0; 8];
-    cut.copy_from_slice(&hash.as_bytes()[..8]);
-    u64::from_le_bytes(cut)
+    let mut prefix = [0; 8];
+    prefix.copy_from_slice(&hash.as_bytes()[..8]);
+    u64::from_le_bytes(prefix)
 }
 
 #[cfg(test)]
@@ -34,10 +34,12 @@
         for group in 1..6u32 {
             for first in 0..group {
                 for size in 1..=group {
-                    let members: BTreeSet<u32> = (0..size).map(|n| (first + n) % group).collect();
+                    let members: BTreeSet<u32> =
+                        (0..size).map(|offset| (first + offset) % group).collect();
                     for customer in 0..50 {
-                        let own = owner(Customer(customer), first, size, group).expect("an owner");
-                        assert!(members.contains(&own));
+                        let owner_number =
+                            owner(Customer(customer), first, size, group).expect("an owner");
+                        assert!(members.contains(&owner_number));
                     }
                 }
             }
@@ -47,7 +49,7 @@
     }
 
     #[test]
-    fn owners_are_spread_evenly_and_move_only_from_who_left() {
+    fn owners_are_spread_evenly_and_only_keys_of_a_removed_limiter_move() {
         let mut counts = [0u32; 3];
         for customer in 0..3000 {
             let before = owner(Customer(customer), 0, 3, 3).expect("an owner");
--- a/crates/emberpin-idempotency/src/record.rs
+++ b/crates/emberpin-idempotency/src/record.rs
@@ -23,12 +23,12 @@
     /// When this came to be known, by the writer's clock.
     pub at: Millis,
     /// What is known.
-    pub known: Known<A>,
+    pub status: KeyStatus<A>,
 }
 
 /// What is known of a key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Known<A> {
+pub enum KeyStatus<A> {
     /// Its first request is let on, if nothing else is heard: it may have run.
     Claimed,
     /// Served, with this answer unless it gave way.
@@ -36,5 +36,5 @@
     /// It may have run.
     Unknown,
     /// It never ran, or its time is over.
-    Gone,
+    Removed,
 }
--- a/crates/emberpin-idempotency/src/table.rs
+++ b/crates/emberpin-idempotency/src/table.rs
@@ -7,7 +7,7 @@
 
 use crate::fingerprint::Fingerprint;
 use crate::key::Key;
-use crate::record::{Customer, Known, Millis, Record};
+use crate::record::{Customer, KeyStatus, Millis, Record};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// One request as the host names it; never used again.
@@ -65,7 +65,7 @@
         answer: A,
     },
     /// A first request was refused, and is known not to have run.
-    Refused {
+    Rejected {
         /// Which.
         ticket: Ticket,
         /// With what.
@@ -79,7 +79,7 @@
         answer: A,
     },
     /// A request's client left, or its patience is over: it is owed nothing more. A first request goes on.
-    Left {
+    ClientLeft {
         /// Which.
         ticket: Ticket,
     },
@@ -110,7 +110,7 @@
         ticket: Ticket,
     },
     /// The record of a first request could not be written.
-    Unwritten {
+    WriteFailed {
         /// Which.
         ticket: Ticket,
     },
@@ -122,7 +122,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action<A> {
     /// This is the first of its key: let it on, and say what came of it.
-    Pass(Ticket),
+    Forward(Ticket),
     /// Keep it until it is told something, or leaves.
     Hold(Ticket),
     /// Nobody wants this request any more, and nothing of it was sent: forget it.
@@ -170,7 +170,7 @@
     InFlight {
         first: Option<Ticket>,
         waiters: Vec<Ticket>,
-        writing: bool,
+        record_pending: bool,
     },
     /// Served; the answer unless it gave way.
     Served { answer: Option<A> },
@@ -190,19 +190,19 @@
 
 /// What one customer holds.
 #[derive(Clone, Default)]
-struct Holding {
+struct CustomerUsage {
     entries: usize,
     bytes: usize,
     waiters: usize,
     /// Its entries with an outcome, the oldest first.
-    done: VecDeque<EntryId>,
+    concluded: VecDeque<EntryId>,
     /// Those of them whose answer is kept.
     answers: VecDeque<EntryId>,
 }
 
 /// How far a sweep over all entries has come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sweep(u64);
+pub struct SweepCursor(u64);
 
 /// The table.
 #[derive(Clone)]
@@ -211,18 +211,18 @@
     /// The latest time seen: a clock that steps back stands still here.
     now: Millis,
     /// The quiet time after the start ends then.
-    opens: Millis,
+    quiet_until: Millis,
     /// Later for these customers, each of whom holds its whole share.
-    extended: BTreeMap<Customer, Millis>,
-    next: u64,
+    extended_quiet: BTreeMap<Customer, Millis>,
+    next_id: u64,
     bytes: usize,
     entries: BTreeMap<EntryId, Entry<A>>,
     by_key: BTreeMap<(Customer, Key), EntryId>,
     /// First requests that are out, and requests that wait.
     tickets: BTreeMap<Ticket, EntryId>,
-    customers: BTreeMap<Customer, Holding>,
+    customers: BTreeMap<Customer, CustomerUsage>,
     /// Entries with an outcome, the oldest first: all are kept for the same time.
-    done: VecDeque<EntryId>,
+    concluded: VecDeque<EntryId>,
     /// Customers by the bytes that they hold.
     by_bytes: BTreeSet<(usize, Customer)>,
 }
@@ -230,19 +230,19 @@
 impl<A: Clone + Weight> Table<A> {
     /// An empty table of a process that starts now.
     pub fn new(limits: Limits, now: Millis) -> Table<A> {
-        let opens = now + limits.quiet;
+        let quiet_until = now + limits.quiet;
         Table {
             limits,
             now,
-            opens,
-            extended: BTreeMap::new(),
-            next: 0,
+            quiet_until,
+            extended_quiet: BTreeMap::new(),
+            next_id: 0,
             bytes: 0,
             entries: BTreeMap::new(),
             by_key: BTreeMap::new(),
             tickets: BTreeMap::new(),
             customers: BTreeMap::new(),
-            done: VecDeque::new(),
+            concluded: VecDeque::new(),
             by_bytes: BTreeSet::new(),
         }
     }
@@ -268,35 +268,35 @@
                 key,
                 fingerprint,
             } => {
-                let action = self.arrive(ticket, customer, key, fingerprint);
-                if let (Action::Hold(_), Some(record)) = (&action, self.claim(ticket)) {
+                let action = self.on_arrival(ticket, customer, key, fingerprint);
+                if let (Action::Hold(_), Some(record)) = (&action, self.claim_record(ticket)) {
                     actions.push(Action::Record(record, Some(ticket)));
                 }
                 actions.push(action);
             }
-            Event::Released { ticket } => self.release(ticket, actions),
-            Event::Lost { ticket } => self.lose(ticket, actions),
+            Event::Released { ticket } => self.on_released(ticket, actions),
+            Event::Lost { ticket } => self.mark_unknown(ticket, actions),
             Event::Learned {
                 customer,
                 key,
                 fingerprint,
                 answer,
             } => {
-                self.learn(customer, key, fingerprint, answer, actions);
+                self.on_served_elsewhere(customer, key, fingerprint, answer, actions);
             }
-            Event::Written { ticket } => self.written(ticket, actions),
-            Event::Unwritten { ticket } => self.unwritten(ticket, actions),
+            Event::Written { ticket } => self.on_written(ticket, actions),
+            Event::WriteFailed { ticket } => self.on_write_failed(ticket, actions),
             Event::Served { ticket, answer } => {
                 self.conclude(ticket, answer, Outcome::Served, actions);
             }
-            Event::Refused { ticket, answer } => {
-                self.conclude(ticket, answer, Outcome::Refused, actions);
+            Event::Rejected { ticket, answer } => {
+                self.conclude(ticket, answer, Outcome::Rejected, actions);
             }
             Event::Failed { ticket, answer } => {
                 self.conclude(ticket, answer, Outcome::Failed, actions);
             }
-            Event::Left { ticket } => {
-                if self.leave(ticket) {
+            Event::ClientLeft { ticket } => {
+                if self.remove_waiter(ticket) {
                     actions.push(Action::Drop(ticket));
                 }
             }
@@ -304,21 +304,22 @@
         }
     }
 
-    fn arrive(
+    fn on_arrival(
         &mut self,
         ticket: Ticket,
         customer: Customer,
         key: Key,
         fingerprint: Fingerprint,
     ) -> Action<A> {
-        let known = self.by_key.get(&(customer, key.clone())).copied();
-        let Some((id, entry)) = known.and_then(|id| Some((id, self.entries.get_mut(&id)?))) else {
-            return self.begin(ticket, customer, key, fingerprint);
+        let known_id = self.by_key.get(&(customer, key.clone())).copied();
+        let Some((id, entry)) = known_id.and_then(|id| Some((id, self.entries.get_mut(&id)?)))
+        else {
+            return self.handle_unknown_key(ticket, customer, key, fingerprint);
         };
         if entry.fingerprint != fingerprint {
             return Action::Tell(ticket, Telling::Mismatch);
         }
-        let holding = self.customers.entry(customer).or_default();
+        let usage = self.customers.entry(customer).or_default();
         match &mut entry.state {
             State::Served {
                 answer: Some(answer),
@@ -326,13 +327,13 @@
             State::Served { answer: None } => Action::Tell(ticket, Telling::NotKept),
             State::Unknown => Action::Tell(ticket, Telling::Unknown),
             State::InFlight { waiters, .. } => {
-                let room = waiters.len() < self.limits.waiters_per_key
-                    && holding.waiters < self.limits.waiters_per_customer;
-                if !self.limits.wait || !room {
+                let has_capacity = waiters.len() < self.limits.waiters_per_key
+                    && usage.waiters < self.limits.waiters_per_customer;
+                if !self.limits.wait || !has_capacity {
                     return Action::Tell(ticket, Telling::InFlight);
                 }
                 waiters.push(ticket);
-                holding.waiters += 1;
+                usage.waiters += 1;
                 self.tickets.insert(ticket, id);
                 Action::Hold(ticket)
             }
@@ -340,36 +341,39 @@
     }
 
     /// A key that is not known: the first of it, if there is a place.
-    fn begin(
+    fn handle_unknown_key(
         &mut self,
         ticket: Ticket,
         customer: Customer,
         key: Key,
         fingerprint: Fingerprint,
     ) -> Action<A> {
-        let own = self.customers.get(&customer);
+        let own_usage = self.customers.get(&customer);
         let full = self.entries.len() >= self.limits.entries;
-        let own_full = own.is_some_and(|own| own.entries >= self.share(self.limits.entries));
-        let opens = self
-            .extended
+        let own_full =
+            own_usage.is_some_and(|own_usage| own_usage.entries >= self.share(self.limits.entries));
+        let quiet_until = self
+            .extended_quiet
             .get(&customer)
-            .map_or(self.opens, |opens| opens.max(self.opens));
-        if self.now < opens {
+            .map_or(self.quiet_until, |quiet_until| {
+                quiet_until.max(self.quiet_until)
+            });
+        if self.now < quiet_until {
             let later = self.now + self.limits.retention;
             // What is seen now may have run before the start. Told to come back, it would be taken for new work then:
             // so it is kept as what may have run. Where no place is left for that, the quiet lasts on, for whom
             // there is none.
             if full {
-                self.opens = later;
+                self.quiet_until = later;
             } else if own_full {
-                self.extended.insert(customer, later);
+                self.extended_quiet.insert(customer, later);
             } else {
                 let id = self.insert(customer, key, fingerprint, State::Unknown, later);
-                self.done.push_back(id);
+                self.concluded.push_back(id);
                 self.customers
                     .entry(customer)
                     .or_default()
-                    .done
+                    .concluded
                     .push_back(id);
             }
             return Action::Tell(ticket, Telling::Quiet);
@@ -377,53 +381,57 @@
         if full || own_full {
             // Of both that are in the way the later to go counts. While all are in flight, one of them goes, at
             // the soonest, a whole retention from now.
-            let goes = |done: Option<&VecDeque<EntryId>>| {
-                let oldest = done
-                    .and_then(|done| done.front())
+            let earliest_expiry = |concluded: Option<&VecDeque<EntryId>>| {
+                let oldest = concluded
+                    .and_then(|concluded| concluded.front())
                     .and_then(|id| self.entries.get(id));
                 oldest.map_or(self.limits.retention, |entry| entry.expires - self.now)
             };
-            let table = if full { goes(Some(&self.done)) } else { 0.0 };
-            let share = if own_full {
-                goes(own.map(|own| &own.done))
+            let table_wait = if full {
+                earliest_expiry(Some(&self.concluded))
+            } else {
+                0.0
+            };
+            let share_wait = if own_full {
+                earliest_expiry(own_usage.map(|own_usage| &own_usage.concluded))
             } else {
                 0.0
             };
             return Action::Tell(
                 ticket,
                 Telling::Full {
-                    retry_after: table.max(share),
+                    retry_after: table_wait.max(share_wait),
                 },
             );
         }
-        let writing = self.limits.recorded;
+        let record_pending = self.limits.recorded;
         let state = State::InFlight {
             first: Some(ticket),
             waiters: Vec::new(),
-            writing,
+            record_pending,
         };
         let id = self.insert(customer, key, fingerprint, state, f64::INFINITY);
         self.tickets.insert(ticket, id);
-        match writing {
+        match record_pending {
             true => Action::Hold(ticket),
-            false => Action::Pass(ticket),
+            false => Action::Forward(ticket),
         }
     }
 
     /// The record that a first request waits for; none for one that waits for something else.
-    fn claim(&self, ticket: Ticket) -> Option<Record<A>> {
+    fn claim_record(&self, ticket: Ticket) -> Option<Record<A>> {
         let entry = self.entries.get(self.tickets.get(&ticket)?)?;
         match &entry.state {
             State::InFlight {
                 first,
-                writing: true,
+                record_pending: true,
                 ..
-            } if *first == Some(ticket) => Some(self.record(entry, Known::Claimed)),
+            } if *first == Some(ticket) => Some(self.record(entry, KeyStatus::Claimed)),
             _ => None,
         }
     }
 
-    fn record(&self, entry: &Entry<A>, known: Known<A>) -> Record<A> {
+    fn record(&self, entry: &Entry<A>, status: KeyStatus<A>) -> Record<A> {
         let Entry {
             customer,
             key,
@@ -435,11 +443,11 @@
             key: key.clone(),
             fingerprint: *fingerprint,
             at: self.now,
-            known,
+            status,
         }
     }
 
-    fn written(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
+    fn on_written(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
         let Some(id) = self.tickets.get(&ticket).copied() else {
             return;
         };
@@ -449,29 +457,29 @@
         let State::InFlight {
             first,
             waiters,
-            writing,
+            record_pending,
         } = &mut entry.state
         else {
             return;
         };
-        if !std::mem::take(writing) {
+        if !std::mem::take(record_pending) {
             return;
         }
         if first.is_some() || !waiters.is_empty() {
-            actions.push(Action::Pass(ticket));
+            actions.push(Action::Forward(ticket));
             return;
         }
         // Whoever wanted it left before anything was sent: the key is as if it had never come.
         self.tickets.remove(&ticket);
         if let Some(entry) = self.entries.get(&id) {
-            actions.push(Action::Record(self.record(entry, Known::Gone), None));
+            actions.push(Action::Record(self.record(entry, KeyStatus::Removed), None));
         }
         actions.push(Action::Drop(ticket));
-        self.forget(id);
+        self.remove_entry(id);
     }
 
     /// The request that holds a key that has no outcome yet.
-    pub fn first(&self, customer: Customer, key: &Key) -> Option<Ticket> {
+    pub fn first_in_flight(&self, customer: Customer, key: &Key) -> Option<Ticket> {
         match &self
             .entries
             .get(self.by_key.get(&(customer, key.clone()))?)?
@@ -482,7 +490,7 @@
         }
     }
 
-    fn release(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
+    fn on_released(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
         let Some(id) = self.tickets.get(&ticket).copied() else {
             return;
         };
@@ -492,42 +500,42 @@
         let State::InFlight {
             first,
             waiters,
-            writing,
+            record_pending,
         } = &mut entry.state
         else {
             return;
         };
         if *first != Some(ticket) {
-            self.leave(ticket);
+            self.remove_waiter(ticket);
             return;
         }
         self.tickets.remove(&ticket);
         if waiters.is_empty() {
             if self.limits.recorded {
                 if let Some(entry) = self.entries.get(&id) {
-                    actions.push(Action::Record(self.record(entry, Known::Gone), None));
+                    actions.push(Action::Record(self.record(entry, KeyStatus::Removed), None));
                 }
             }
-            return self.forget(id);
+            return self.remove_entry(id);
         }
         let next = waiters.remove(0);
         *first = Some(next);
-        let writing = *writing;
-        if let Some(holding) = self.customers.get_mut(&entry.customer) {
-            holding.waiters -= 1;
+        let record_pending = *record_pending;
+        if let Some(usage) = self.customers.get_mut(&entry.customer) {
+            usage.waiters -= 1;
         }
         match self.entries.get(&id) {
-            Some(entry) if writing => {
+            Some(entry) if record_pending => {
                 actions.push(Action::Record(
-                    self.record(entry, Known::Claimed),
+                    self.record(entry, KeyStatus::Claimed),
                     Some(next),
                 ));
             }
-            _ => actions.push(Action::Pass(next)),
+            _ => actions.push(Action::Forward(next)),
         }
     }
 
-    fn lose(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
+    fn mark_unknown(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
         let Some(id) = self.tickets.get(&ticket).copied() else {
             return;
         };
@@ -535,7 +543,7 @@
             return;
         };
         if !matches!(&entry.state, State::InFlight { first, .. } if *first == Some(ticket)) {
-            self.leave(ticket);
+            self.remove_waiter(ticket);
             return;
         }
         let State::InFlight { waiters, .. } = std::mem::replace(&mut entry.state, State::Unknown)
@@ -543,35 +551,35 @@
             return;
         };
         self.tickets.remove(&ticket);
-        self.settle(id, waiters, &Telling::Unknown, actions);
+        self.conclude_with_reply(id, waiters, &Telling::Unknown, actions);
         if let (true, Some(entry)) = (self.limits.recorded, self.entries.get(&id)) {
-            actions.push(Action::Record(self.record(entry, Known::Unknown), None));
+            actions.push(Action::Record(self.record(entry, KeyStatus::Unknown), None));
         }
     }
 
     /// An entry has an outcome from now on, and these that waited are told so.
-    fn settle(
+    fn conclude_with_reply(
         &mut self,
         id: EntryId,
         waiters: Vec<Ticket>,
-        told: &Telling<A>,
+        telling: &Telling<A>,
         actions: &mut Vec<Action<A>>,
     ) {
         let Some(entry) = self.entries.get_mut(&id) else {
             return;
         };
         entry.expires = self.now + self.limits.retention;
-        let holding = self.customers.entry(entry.customer).or_default();
-        holding.waiters -= waiters.len();
-        holding.done.push_back(id);
-        self.done.push_back(id);
+        let usage = self.customers.entry(entry.customer).or_default();
+        usage.waiters -= waiters.len();
+        usage.concluded.push_back(id);
+        self.concluded.push_back(id);
         for waiter in waiters {
             self.tickets.remove(&waiter);
-            actions.push(Action::Tell(waiter, told.clone()));
+            actions.push(Action::Tell(waiter, telling.clone()));
         }
     }
 
-    fn learn(
+    fn on_served_elsewhere(
         &mut self,
         customer: Customer,
         key: Key,
@@ -579,8 +587,8 @@
         answer: A,
         actions: &mut Vec<Action<A>>,
     ) {
-        let known = self.by_key.get(&(customer, key.clone())).copied();
-        let id = match known.and_then(|id| self.entries.get_mut(&id).map(|entry| (id, entry))) {
+        let known_id = self.by_key.get(&(customer, key.clone())).copied();
+        let id = match known_id.and_then(|id| self.entries.get_mut(&id).map(|entry| (id, entry))) {
             Some((_, entry)) if entry.fingerprint != fingerprint => return,
             Some((id, entry)) => match &mut entry.state {
                 State::Served { .. } => return,
@@ -596,7 +604,12 @@
                         self.tickets.remove(&first);
                         actions.push(Action::Tell(first, Telling::Own(answer.clone())));
                     }
-                    self.settle(id, waiters, &Telling::Replay(answer.clone()), actions);
+                    self.conclude_with_reply(
+                        id,
+                        waiters,
+                        &Telling::Replay(answer.clone()),
+                        actions,
+                    );
                     id
                 }
             },
@@ -609,20 +622,20 @@
                     State::Served { answer: None },
                     0.0,
                 );
-                self.settle(id, Vec::new(), &Telling::NotKept, actions);
+                self.conclude_with_reply(id, Vec::new(), &Telling::NotKept, actions);
                 id
             }
         };
         if let (true, Some(entry)) = (self.limits.recorded, self.entries.get(&id)) {
             actions.push(Action::Record(
-                self.record(entry, Known::Served(Some(answer.clone()))),
+                self.record(entry, KeyStatus::Served(Some(answer.clone()))),
                 None,
             ));
         }
-        self.keep(id, customer, answer);
+        self.store_answer(id, customer, answer);
     }
 
-    fn unwritten(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
+    fn on_write_failed(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
         let Some(id) = self.tickets.get(&ticket).copied() else {
             return;
         };
@@ -632,22 +645,22 @@
         let State::InFlight {
             first,
             waiters,
-            writing: true,
+            record_pending: true,
         } = &mut entry.state
         else {
             return;
         };
         let (first, waiters, customer) = (*first, std::mem::take(waiters), entry.customer);
         self.tickets.remove(&ticket);
-        if let Some(holding) = self.customers.get_mut(&customer) {
-            holding.waiters -= waiters.len();
+        if let Some(usage) = self.customers.get_mut(&customer) {
+            usage.waiters -= waiters.len();
         }
         actions.push(Action::Drop(ticket));
         for waiter in first.into_iter().chain(waiters) {
             self.tickets.remove(&waiter);
             actions.push(Action::Tell(waiter, Telling::NotWritten));
         }
-        self.forget(id);
+        self.remove_entry(id);
     }
 
     /// Takes a record that an earlier life wrote. Records come in the order in which they were written, before any
@@ -659,22 +672,22 @@
             key,
             fingerprint,
             at,
-            known,
+            status,
         } = record;
         if let Some(id) = self.by_key.get(&(customer, key.clone())).copied() {
-            self.forget_with_answer(id);
+            self.remove_entry_with_answer(id);
         }
-        let kept = if same_clock {
+        let concluded_at = if same_clock {
             at.min(self.now)
         } else {
             self.now
         };
-        let (expires, answer) = match known {
-            Known::Gone => return,
+        let (expires, answer) = match status {
+            KeyStatus::Removed => return,
             // It may have run until that life's end, which nothing tells.
-            Known::Claimed => (self.now + self.limits.retention, None),
-            Known::Unknown => (kept + self.limits.retention, None),
-            Known::Served(answer) => (kept + self.limits.retention, Some(answer)),
+            KeyStatus::Claimed => (self.now + self.limits.retention, None),
+            KeyStatus::Unknown => (concluded_at + self.limits.retention, None),
+            KeyStatus::Served(answer) => (concluded_at + self.limits.retention, Some(answer)),
         };
         if expires <= self.now {
             return;
@@ -685,54 +698,54 @@
         };
         let id = self.insert(customer, key, fingerprint, state, expires);
         if let Some(Some(answer)) = answer {
-            self.keep(id, customer, answer);
+            self.store_answer(id, customer, answer);
         }
     }
 
     /// All that earlier lives wrote has been taken.
-    pub fn restored(&mut self) {
+    pub fn finish_restore(&mut self) {
         let mut ids: Vec<(Millis, EntryId)> = self
             .entries
             .iter()
             .map(|(id, entry)| (entry.expires, *id))
             .collect();
         ids.sort_by(|one, other| one.0.total_cmp(&other.0).then(one.1.cmp(&other.1)));
-        for holding in self.customers.values_mut() {
-            holding.done.clear();
-            holding.answers.clear();
+        for usage in self.customers.values_mut() {
+            usage.concluded.clear();
+            usage.answers.clear();
         }
-        self.done = ids.iter().map(|(_, id)| *id).collect();
+        self.concluded = ids.iter().map(|(_, id)| *id).collect();
         for (_, id) in ids {
             let Some(entry) = self.entries.get(&id) else {
                 continue;
             };
-            let holding = self.customers.entry(entry.customer).or_default();
-            holding.done.push_back(id);
+            let usage = self.customers.entry(entry.customer).or_default();
+            usage.concluded.push_back(id);
             if matches!(entry.state, State::Served { answer: Some(_) }) {
-                holding.answers.push_back(id);
+                usage.answers.push_back(id);
             }
         }
     }
 
     /// The records of some entries more, and how far that is; all have been told when it comes back without a place.
     /// What is told to the log of changes meanwhile stands behind these there, and so holds.
-    pub fn sweep(&self, from: Sweep, most: usize) -> (Vec<Record<A>>, Option<Sweep>) {
+    pub fn sweep(&self, cursor: SweepCursor, most: usize) -> (Vec<Record<A>>, Option<SweepCursor>) {
         let mut records = Vec::new();
-        for (id, entry) in self.entries.range(EntryId(from.0)..) {
+        for (id, entry) in self.entries.range(EntryId(cursor.0)..) {
             if records.len() >= most {
-                return (records, Some(Sweep(id.0)));
+                return (records, Some(SweepCursor(id.0)));
             }
-            let (known, at) = match &entry.state {
-                State::InFlight { .. } => (Known::Claimed, self.now),
+            let (status, at) = match &entry.state {
+                State::InFlight { .. } => (KeyStatus::Claimed, self.now),
                 State::Served { answer } => (
-                    Known::Served(answer.clone()),
+                    KeyStatus::Served(answer.clone()),
                     entry.expires - self.limits.retention,
                 ),
-                State::Unknown => (Known::Unknown, entry.expires - self.limits.retention),
+                State::Unknown => (KeyStatus::Unknown, entry.expires - self.limits.retention),
             };
             records.push(Record {
                 at,
-                ..self.record(entry, known)
+                ..self.record(entry, status)
             });
         }
         (records, None)
@@ -746,8 +759,8 @@
         state: State<A>,
         expires: Millis,
     ) -> EntryId {
-        let id = EntryId(self.next);
-        self.next += 1;
+        let id = EntryId(self.next_id);
+        self.next_id += 1;
         self.entries.insert(
             id,
             Entry {
@@ -764,8 +777,8 @@
     }
 
     /// A customer's part of a bound: one at least.
-    fn share(&self, of: usize) -> usize {
-        ((of as f64 * self.limits.customer_share) as usize).max(1)
+    fn share(&self, limit: usize) -> usize {
+        ((limit as f64 * self.limits.customer_share) as usize).max(1)
     }
 
     fn conclude(
@@ -783,7 +796,7 @@
         };
         let state = match outcome {
             Outcome::Served => State::Served { answer: None },
-            Outcome::Refused | Outcome::Failed => State::Unknown,
+            Outcome::Rejected | Outcome::Failed => State::Unknown,
         };
         let State::InFlight { first, waiters, .. } = std::mem::replace(&mut entry.state, state)
         else {
@@ -794,41 +807,41 @@
         if first.is_some() {
             actions.push(Action::Tell(ticket, Telling::Own(answer.clone())));
         }
-        if let Some(holding) = self.customers.get_mut(&customer) {
-            holding.waiters -= waiters.len();
+        if let Some(usage) = self.customers.get_mut(&customer) {
+            usage.waiters -= waiters.len();
         }
         for waiter in waiters {
             self.tickets.remove(&waiter);
             actions.push(Action::Tell(waiter, Telling::Replay(answer.clone())));
         }
         if let (true, Some(entry)) = (self.limits.recorded, self.entries.get(&id)) {
-            let known = match outcome {
-                Outcome::Served => Known::Served(Some(answer.clone())),
-                Outcome::Refused => Known::Gone,
-                Outcome::Failed => Known::Unknown,
+            let status = match outcome {
+                Outcome::Served => KeyStatus::Served(Some(answer.clone())),
+                Outcome::Rejected => KeyStatus::Removed,
+                Outcome::Failed => KeyStatus::Unknown,
             };
-            actions.push(Action::Record(self.record(entry, known), None));
+            actions.push(Action::Record(self.record(entry, status), None));
         }
         match outcome {
             // It never ran: a repeat is new work.
-            Outcome::Refused => self.forget(id),
+            Outcome::Rejected => self.remove_entry(id),
             Outcome::Served | Outcome::Failed => {
-                self.done.push_back(id);
+                self.concluded.push_back(id);
                 self.customers
                     .entry(customer)
                     .or_default()
-                    .done
+                    .concluded
                     .push_back(id);
             }
         }
         if outcome == Outcome::Served {
-            self.keep(id, customer, answer);
+            self.store_answer(id, customer, answer);
         }
     }
 
     /// Keeps an answer, within the customer's share and the whole; the oldest of its own gives way first, then the
     /// oldest of whoever holds most.
-    fn keep(&mut self, id: EntryId, customer: Customer, answer: A) {
+    fn store_answer(&mut self, id: EntryId, customer: Customer, answer: A) {
         let weight = answer.weight();
         let share = self
             .share(self.limits.answer_bytes)
@@ -836,10 +849,12 @@
         if weight > share {
             return;
         }
-        while self.held(customer) + weight > share && self.let_go_of_answer(customer) {}
+        while self.answer_bytes_of(customer) + weight > share && self.evict_oldest_answer(customer)
+        {
+        }
         while self.bytes + weight > self.limits.answer_bytes {
-            let most = self.by_bytes.last().map(|(_, customer)| *customer);
-            if !most.is_some_and(|customer| self.let_go_of_answer(customer)) {
+            let largest = self.by_bytes.last().map(|(_, customer)| *customer);
+            if !largest.is_some_and(|customer| self.evict_oldest_answer(customer)) {
                 return;
             }
         }
@@ -852,44 +867,42 @@
                 .or_default()
                 .answers
                 .push_back(id);
-            self.change_bytes(customer, weight, 0);
+            self.update_bytes(customer, weight, 0);
         }
     }
 
-    fn held(&self, customer: Customer) -> usize {
-        self.customers
-            .get(&customer)
-            .map_or(0, |holding| holding.bytes)
+    fn answer_bytes_of(&self, customer: Customer) -> usize {
+        self.customers.get(&customer).map_or(0, |usage| usage.bytes)
     }
 
     /// Lets go of a customer's oldest kept answer; false if there is none.
-    fn let_go_of_answer(&mut self, customer: Customer) -> bool {
+    fn evict_oldest_answer(&mut self, customer: Customer) -> bool {
         let oldest = self
             .customers
             .get_mut(&customer)
-            .and_then(|holding| holding.answers.pop_front());
+            .and_then(|usage| usage.answers.pop_front());
         let Some(entry) = oldest.and_then(|id| self.entries.get_mut(&id)) else {
             return false;
         };
         if let State::Served { answer } = &mut entry.state {
             let weight = answer.take().map_or(0, |answer| answer.weight());
-            self.change_bytes(customer, 0, weight);
+            self.update_bytes(customer, 0, weight);
         }
         true
     }
 
-    fn change_bytes(&mut self, customer: Customer, more: usize, less: usize) {
-        let holding = self.customers.entry(customer).or_default();
-        self.by_bytes.remove(&(holding.bytes, customer));
-        holding.bytes = holding.bytes + more - less;
-        self.bytes = self.bytes + more - less;
-        if holding.bytes > 0 {
-            self.by_bytes.insert((holding.bytes, customer));
+    fn update_bytes(&mut self, customer: Customer, added: usize, removed: usize) {
+        let usage = self.customers.entry(customer).or_default();
+        self.by_bytes.remove(&(usage.bytes, customer));
+        usage.bytes = usage.bytes + added - removed;
+        self.bytes = self.bytes + added - removed;
+        if usage.bytes > 0 {
+            self.by_bytes.insert((usage.bytes, customer));
         }
     }
 
     /// Takes a request out that waits; false if it is a first, or none.
-    fn leave(&mut self, ticket: Ticket) -> bool {
+    fn remove_waiter(&mut self, ticket: Ticket) -> bool {
         let Some(id) = self.tickets.get(&ticket).copied() else {
             return false;
         };
@@ -905,23 +918,24 @@
             return false;
         }
         // A first that has left already is none of the waiters.
-        let Some(place) = waiters.iter().position(|waiter| *waiter == ticket) else {
+        let Some(position) = waiters.iter().position(|waiter| *waiter == ticket) else {
             return false;
         };
-        waiters.remove(place);
+        waiters.remove(position);
         self.tickets.remove(&ticket);
-        if let Some(holding) = self.customers.get_mut(&entry.customer) {
-            holding.waiters -= 1;
+        if let Some(usage) = self.customers.get_mut(&entry.customer) {
+            usage.waiters -= 1;
         }
         true
     }
 
     /// Forgets what has been kept for its time.
     fn expire(&mut self) {
-        if !self.extended.is_empty() {
-            self.extended.retain(|_, opens| *opens > self.now);
+        if !self.extended_quiet.is_empty() {
+            self.extended_quiet
+                .retain(|_, quiet_until| *quiet_until > self.now);
         }
-        while let Some(id) = self.done.front().copied() {
+        while let Some(id) = self.concluded.front().copied() {
             let Some(entry) = self.entries.get(&id) else {
                 return;
             };
@@ -929,19 +943,19 @@
                 return;
             }
             let customer = entry.customer;
-            self.done.pop_front();
-            if let Some(holding) = self.customers.get_mut(&customer) {
-                holding.done.pop_front();
-                if holding.answers.front() == Some(&id) {
-                    self.let_go_of_answer(customer);
+            self.concluded.pop_front();
+            if let Some(usage) = self.customers.get_mut(&customer) {
+                usage.concluded.pop_front();
+                if usage.answers.front() == Some(&id) {
+                    self.evict_oldest_answer(customer);
                 }
             }
-            self.forget(id);
+            self.remove_entry(id);
         }
     }
 
     /// Forgets an entry whose answer may be kept and which stands in no order of outcomes.
-    fn forget_with_answer(&mut self, id: EntryId) {
+    fn remove_entry_with_answer(&mut self, id: EntryId) {
         if let Some(Entry {
             customer,
             state: State::Served {
@@ -951,22 +965,22 @@
         }) = self.entries.get(&id)
         {
             let (customer, weight) = (*customer, answer.weight());
-            self.change_bytes(customer, 0, weight);
-            if let Some(holding) = self.customers.get_mut(&customer) {
-                holding.answers.retain(|kept| *kept != id);
+            self.update_bytes(customer, 0, weight);
+            if let Some(usage) = self.customers.get_mut(&customer) {
+                usage.answers.retain(|kept| *kept != id);
             }
         }
-        self.forget(id);
+        self.remove_entry(id);
     }
 
-    fn forget(&mut self, id: EntryId) {
+    fn remove_entry(&mut self, id: EntryId) {
         let Some(entry) = self.entries.remove(&id) else {
             return;
         };
         self.by_key.remove(&(entry.customer, entry.key));
-        if let Some(holding) = self.customers.get_mut(&entry.customer) {
-            holding.entries -= 1;
-            if holding.entries == 0 {
+        if let Some(usage) = self.customers.get_mut(&entry.customer) {
+            usage.entries -= 1;
+            if usage.entries == 0 {
                 self.customers.remove(&entry.customer);
             }
         }
@@ -976,6 +990,6 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Outcome {
     Served,
-    Refused,
+    Rejected,
     Failed,
 }
--- a/crates/emberpin-idempotency/tests/claims.rs
+++ b/crates/emberpin-idempotency/tests/claims.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Answer {
     Signed(u64),
-    Refused,
+    Rejected,
     Failed,
 }
 
@@ -22,13 +22,13 @@
 }
 
 const RETENTION: Millis = 20_000.0;
-const PATIENCE: Millis = 500.0;
+const CLIENT_TIMEOUT: Millis = 500.0;
 const KEYS: u64 = 3;
 
 /// xorshift64*: a seed gives the same run on every machine.
-struct Draw(u64);
+struct Random(u64);
 
-impl Draw {
+impl Random {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 ^= self.0 >> 12;
         self.0 ^= self.0 << 25;
@@ -51,16 +51,16 @@
     }
 }
 
-fn rules(me: u32, of: u32, copies: usize) -> Rules {
-    Rules {
+fn claim_config(me: u32, limiters: u32, copies: usize) -> ClaimConfig {
+    ClaimConfig {
         me: Member(me),
-        members: (0..of).map(Member).collect(),
+        members: (0..limiters).map(Member).collect(),
         copies,
         ask_within: 200.0,
         slack: 300.0,
         waiters_per_key: 50,
-        owed: 100,
-        takes_over: false,
+        max_queued_outcomes: 100,
+        takeover_enabled: false,
         first_claim: 0,
     }
 }
@@ -76,78 +76,78 @@
     /// On the way there.
     writing: VecDeque<(Record<Answer>, Option<Ticket>)>,
     /// Requests that were let on here and have no outcome yet.
-    out: Vec<(Ticket, u64)>,
+    in_flight: Vec<(Ticket, u64)>,
 }
 
-struct World {
+struct Cluster {
     copies: usize,
     logs: bool,
     now: Millis,
-    draw: Draw,
+    random: Random,
     nodes: Vec<Node>,
-    wires: BTreeMap<(usize, usize), VecDeque<Said<Answer>>>,
+    connections: BTreeMap<(usize, usize), VecDeque<Message<Answer>>>,
     cut: BTreeSet<(usize, usize)>,
-    next: u64,
+    next_ticket: u64,
     /// Requests without an answer: at which limiter, for which key, until when.
-    open: BTreeMap<(usize, Ticket), (u64, Millis)>,
+    unanswered: BTreeMap<(usize, Ticket), (u64, Millis)>,
     /// The same of all that ever came.
-    asked: BTreeMap<(usize, Ticket), (u64, Millis)>,
+    all_requests: BTreeMap<(usize, Ticket), (u64, Millis)>,
     /// When a key's work may last have run.
-    ran: BTreeMap<u64, Millis>,
-    twice: Option<u64>,
+    last_ran_at: BTreeMap<u64, Millis>,
+    forwarded_twice: Option<u64>,
     signed: u64,
-    told: BTreeMap<&'static str, u64>,
+    replies: BTreeMap<&'static str, u64>,
     messages: u64,
 }
 
-impl World {
-    fn new(seed: u64, of: u32, copies: usize, logs: bool) -> World {
-        let mut world = World {
+impl Cluster {
+    fn new(seed: u64, limiters: u32, copies: usize, logs: bool) -> Cluster {
+        let mut cluster = Cluster {
             copies,
             logs,
             now: 0.0,
-            draw: Draw(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1),
+            random: Random(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1),
             nodes: Vec::new(),
-            wires: BTreeMap::new(),
+            connections: BTreeMap::new(),
             cut: BTreeSet::new(),
-            next: 0,
-            open: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            ran: BTreeMap::new(),
-            twice: None,
+            next_ticket: 0,
+            unanswered: BTreeMap::new(),
+            all_requests: BTreeMap::new(),
+            last_ran_at: BTreeMap::new(),
+            forwarded_twice: None,
             signed: 0,
-            told: BTreeMap::new(),
+            replies: BTreeMap::new(),
             messages: 0,
         };
-        for n in 0..of {
-            let claims = Claims::new(rules(n, of, copies), limits(logs, 0.0), 0.0);
-            world.nodes.push(Node {
+        for n in 0..limiters {
+            let claims = Claims::new(claim_config(n, limiters, copies), limits(logs, 0.0), 0.0);
+            cluster.nodes.push(Node {
                 claims: Some(claims),
                 log: Vec::new(),
                 writing: VecDeque::new(),
-                out: Vec::new(),
+                in_flight: Vec::new(),
             });
         }
-        world.meet();
-        world
+        cluster.report_reachability();
+        cluster
     }
 
     /// Whoever has a connection hears of it, on both sides.
-    fn meet(&mut self) {
+    fn report_reachability(&mut self) {
         for a in 0..self.nodes.len() {
             for b in 0..self.nodes.len() {
                 if a != b {
-                    let reaches = self.nodes[b].claims.is_some()
+                    let reachable = self.nodes[b].claims.is_some()
                         && !self.cut.contains(&(a, b))
                         && !self.cut.contains(&(b, a));
-                    if !reaches {
-                        self.wires.remove(&(a, b));
+                    if !reachable {
+                        self.connections.remove(&(a, b));
                     }
-                    self.feed(
+                    self.handle_at(
                         a,
-                        Event::Reaches {
+                        Event::ReachabilityChanged {
                             member: Member(b as u32),
-                            reaches,
+                            reachable,
                         },
                     );
                 }
@@ -155,7 +155,7 @@
         }
     }
 
-    fn feed(&mut self, at: usize, event: Event<Answer>) {
+    fn handle_at(&mut self, at: usize, event: Event<Answer>) {
         let Some(claims) = self.nodes[at].claims.as_mut() else {
             return;
         };
@@ -163,140 +163,140 @@
         claims.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Pass(ticket) => self.pass(at, ticket),
+                Action::Forward(ticket) => self.forward(at, ticket),
                 Action::Hold(_) | Action::Drop(_) => {}
-                Action::Tell(ticket, told) => {
+                Action::Reply(ticket, reply) => {
                     assert!(
-                        self.open.remove(&(at, ticket)).is_some(),
-                        "a second answer to {ticket:?} at {at}"
+                        self.unanswered.remove(&(at, ticket)).is_some(),
+                        "a second reply to {ticket:?} at {at}"
                     );
-                    let word = match told {
-                        Told::NoMajority => "no majority",
-                        Told::Telling(Telling::Own(_)) => "own",
-                        Told::Telling(Telling::Replay(_)) => "replay",
-                        Told::Telling(Telling::Unknown) => "unknown",
-                        Told::Telling(_) => "other",
+                    let kind = match reply {
+                        Reply::NoMajority => "no majority",
+                        Reply::Standard(Telling::Own(_)) => "own",
+                        Reply::Standard(Telling::Replay(_)) => "replay",
+                        Reply::Standard(Telling::Unknown) => "unknown",
+                        Reply::Standard(_) => "other",
                     };
-                    *self.told.entry(word).or_default() += 1;
+                    *self.replies.entry(kind).or_default() += 1;
                 }
                 Action::Record(record, ticket) => {
                     self.nodes[at].writing.push_back((record, ticket));
                 }
-                Action::Say(to, said) => {
+                Action::Send(to, message) => {
                     self.messages += 1;
-                    self.wires
+                    self.connections
                         .entry((at, to.0 as usize))
                         .or_default()
-                        .push_back(said);
+                        .push_back(message);
                 }
             }
         }
     }
 
-    fn pass(&mut self, at: usize, ticket: Ticket) {
+    fn forward(&mut self, at: usize, ticket: Ticket) {
         // Its client may have left, where a repeat waits for it.
-        let (key, until) = self.asked[&(at, ticket)];
-        self.run(at, ticket, key, until);
+        let (key, until) = self.all_requests[&(at, ticket)];
+        self.start_attempt(at, ticket, key, until);
     }
 
-    fn run(&mut self, at: usize, ticket: Ticket, key: u64, until: Millis) {
+    fn start_attempt(&mut self, at: usize, ticket: Ticket, key: u64, until: Millis) {
         if self.now >= until {
             // The driver begins nothing for a client that has given up.
-            return self.feed(
+            return self.handle_at(
                 at,
-                Event::Refused {
+                Event::Rejected {
                     ticket,
-                    answer: Answer::Refused,
+                    answer: Answer::Rejected,
                 },
             );
         }
         if self
-            .ran
+            .last_ran_at
             .get(&key)
-            .is_some_and(|ran| self.now < ran + RETENTION)
+            .is_some_and(|last_ran_at| self.now < last_ran_at + RETENTION)
         {
-            self.twice = Some(key);
+            self.forwarded_twice = Some(key);
         }
-        self.ran.insert(key, self.now);
-        self.nodes[at].out.push((ticket, key));
+        self.last_ran_at.insert(key, self.now);
+        self.nodes[at].in_flight.push((ticket, key));
     }
 
     fn arrive(&mut self, at: usize, number: u64) {
         if self.nodes[at].claims.is_none() {
             return;
         }
-        self.next += 1;
-        let ticket = Ticket(self.next);
-        let until = self.now + PATIENCE;
-        self.open.insert((at, ticket), (number, until));
-        self.asked.insert((at, ticket), (number, until));
+        self.next_ticket += 1;
+        let ticket = Ticket(self.next_ticket);
+        let until = self.now + CLIENT_TIMEOUT;
+        self.unanswered.insert((at, ticket), (number, until));
+        self.all_requests.insert((at, ticket), (number, until));
         let fingerprint =
             Fingerprint::of(&Secret::new([1; 32]), "POST", "/", 1, &number.to_le_bytes());
         let (customer, key) = (Customer(number % 2), key(number));
-        self.feed(
+        self.handle_at(
             at,
             Event::Arrived {
                 ticket,
                 customer,
                 key,
                 fingerprint,
-                within: PATIENCE,
+                within: CLIENT_TIMEOUT,
             },
         );
     }
 
     /// The oldest message on a drawn wire arrives.
     fn deliver(&mut self) {
-        let full: Vec<(usize, usize)> = self
-            .wires
+        let nonempty: Vec<(usize, usize)> = self
+            .connections
             .iter()
-            .filter(|(wire, said)| !said.is_empty() && !self.cut.contains(wire))
-            .map(|(wire, _)| *wire)
+            .filter(|(connection, message)| !message.is_empty() && !self.cut.contains(connection))
+            .map(|(connection, _)| *connection)
             .collect();
-        if full.is_empty() {
+        if nonempty.is_empty() {
             return;
         }
-        let (from, to) = full[self.draw.below(full.len() as u64) as usize];
-        let said = self
-            .wires
+        let (from, to) = nonempty[self.random.below(nonempty.len() as u64) as usize];
+        let message = self
+            .connections
             .get_mut(&(from, to))
             .and_then(VecDeque::pop_front)
             .expect("one");
-        self.feed(
+        self.handle_at(
             to,
-            Event::Heard {
+            Event::Received {
                 from: Member(from as u32),
-                said,
+                message,
             },
         );
     }
 
-    fn write(&mut self, at: usize) {
+    fn complete_write(&mut self, at: usize) {
         if let Some((record, ticket)) = self.nodes[at].writing.pop_front() {
             self.nodes[at].log.push(record);
             if let Some(ticket) = ticket {
-                self.feed(at, Event::Written { ticket });
+                self.handle_at(at, Event::Written { ticket });
             }
         }
     }
 
     fn finish(&mut self, at: usize) {
-        if self.nodes[at].out.is_empty() {
+        if self.nodes[at].in_flight.is_empty() {
             return;
         }
-        let which = self.draw.below(self.nodes[at].out.len() as u64) as usize;
-        let (ticket, key) = self.nodes[at].out.remove(which);
-        let event = match self.draw.below(6) {
+        let which = self.random.below(self.nodes[at].in_flight.len() as u64) as usize;
+        let (ticket, key) = self.nodes[at].in_flight.remove(which);
+        let event = match self.random.below(6) {
             0 => {
                 // Known never to have run.
-                self.ran.remove(&key);
-                Event::Refused {
+                self.last_ran_at.remove(&key);
+                Event::Rejected {
                     ticket,
-                    answer: Answer::Refused,
+                    answer: Answer::Rejected,
                 }
             }
             1 => {
-                self.ran.insert(key, self.now);
+                self.last_ran_at.insert(key, self.now);
                 Event::Failed {
                     ticket,
                     answer: Answer::Failed,
@@ -304,14 +304,14 @@
             }
             _ => {
                 self.signed += 1;
-                self.ran.insert(key, self.now);
+                self.last_ran_at.insert(key, self.now);
                 Event::Served {
                     ticket,
                     answer: Answer::Signed(key),
                 }
             }
         };
-        self.feed(at, event);
+        self.handle_at(at, event);
     }
 
     fn kill(&mut self, at: usize) {
@@ -319,7 +319,7 @@
             return;
         }
         // Of what was on its way to the disk, any part came there.
-        let kept = self.draw.below(self.nodes[at].writing.len() as u64 + 1);
+        let kept = self.random.below(self.nodes[at].writing.len() as u64 + 1);
         for _ in 0..kept {
             if let Some((record, _)) = self.nodes[at].writing.pop_front() {
                 self.nodes[at].log.push(record);
@@ -327,22 +327,22 @@
         }
         self.nodes[at].writing.clear();
         // What was out may run until now.
-        for (_, key) in std::mem::take(&mut self.nodes[at].out) {
-            self.ran.insert(key, self.now);
+        for (_, key) in std::mem::take(&mut self.nodes[at].in_flight) {
+            self.last_ran_at.insert(key, self.now);
         }
-        self.open.retain(|(node, _), _| *node != at);
-        self.wires.retain(|(a, b), _| *a != at && *b != at);
-        self.meet();
+        self.unanswered.retain(|(node, _), _| *node != at);
+        self.connections.retain(|(a, b), _| *a != at && *b != at);
+        self.report_reachability();
     }
 
     fn start(&mut self, at: usize) {
         if self.nodes[at].claims.is_some() {
             return;
         }
-        let of = self.nodes.len() as u32;
+        let limiters = self.nodes.len() as u32;
         let quiet = if self.logs { 0.0 } else { RETENTION };
         let mut claims = Claims::new(
-            rules(at as u32, of, self.copies),
+            claim_config(at as u32, limiters, self.copies),
             limits(self.logs, quiet),
             self.now,
         );
@@ -351,74 +351,74 @@
                 claims.table_mut().restore(record.clone(), true);
             }
         }
-        claims.table_mut().restored();
+        claims.table_mut().finish_restore();
         self.nodes[at].claims = Some(claims);
         for other in (0..self.nodes.len()).filter(|other| *other != at) {
-            self.feed(
+            self.handle_at(
                 other,
-                Event::NewLife {
+                Event::NewIncarnation {
                     member: Member(at as u32),
                 },
             );
         }
-        self.meet();
+        self.report_reachability();
     }
 
     fn pass_time(&mut self, time: Millis) {
         self.now += time;
         let late: Vec<(usize, Ticket)> = self
-            .open
+            .unanswered
             .iter()
             .filter(|(_, (_, until))| *until <= self.now)
             .map(|(name, _)| *name)
             .collect();
         for (at, ticket) in late {
-            self.open.remove(&(at, ticket));
-            self.feed(at, Event::Left { ticket });
+            self.unanswered.remove(&(at, ticket));
+            self.handle_at(at, Event::ClientLeft { ticket });
         }
         for at in 0..self.nodes.len() {
-            self.feed(at, Event::Tick);
+            self.handle_at(at, Event::Tick);
         }
     }
 
     fn step(&mut self) {
         let nodes = self.nodes.len() as u64;
         let (a, b) = (
-            self.draw.below(nodes) as usize,
-            self.draw.below(nodes) as usize,
+            self.random.below(nodes) as usize,
+            self.random.below(nodes) as usize,
         );
-        match self.draw.below(100) {
+        match self.random.below(100) {
             0..=14 => {
-                let number = self.draw.below(KEYS);
+                let number = self.random.below(KEYS);
                 self.arrive(a, number);
             }
             15..=54 => self.deliver(),
-            55..=69 => self.write(a),
+            55..=69 => self.complete_write(a),
             70..=79 => self.finish(a),
             80..=89 => {
-                let time = self.draw.below(120) as f64;
+                let time = self.random.below(120) as f64;
                 self.pass_time(time);
             }
             90..=92 => self.kill(a),
             93..=95 => self.start(a),
             96 | 97 if a != b => {
                 self.cut.insert((a, b));
-                self.meet();
+                self.report_reachability();
             }
             _ => {
                 self.cut.clear();
-                self.meet();
+                self.report_reachability();
             }
         }
     }
 
     /// All is well from now on, and everything that is on its way arrives.
-    fn settle(&mut self) {
+    fn heal_and_drain(&mut self) {
         self.cut.clear();
         for at in 0..self.nodes.len() {
             self.start(at);
         }
-        self.meet();
+        self.report_reachability();
         // Longer than any claim that was out can stand in a holder's way.
         for _ in 0..90 {
             for _ in 0..100 {
@@ -426,12 +426,12 @@
             }
             for at in 0..self.nodes.len() {
                 while !self.nodes[at].writing.is_empty() {
-                    self.write(at);
+                    self.complete_write(at);
                 }
-                while let Some((ticket, key)) = self.nodes[at].out.pop() {
+                while let Some((ticket, key)) = self.nodes[at].in_flight.pop() {
                     self.signed += 1;
-                    self.ran.insert(key, self.now);
-                    self.feed(
+                    self.last_ran_at.insert(key, self.now);
+                    self.handle_at(
                         at,
                         Event::Served {
                             ticket,
@@ -452,90 +452,100 @@
         .unwrap_or(120)
 }
 
-fn explore(of: u32, copies: usize, logs: bool) -> BTreeMap<&'static str, u64> {
+fn explore(limiters: u32, copies: usize, logs: bool) -> BTreeMap<&'static str, u64> {
     let mut all = BTreeMap::new();
     for seed in 0..seeds() {
-        let mut world = World::new(seed, of, copies, logs);
+        let mut cluster = Cluster::new(seed, limiters, copies, logs);
         for _ in 0..300 {
-            world.step();
-            assert_eq!(world.twice, None, "seed {seed}: a key was let on twice");
+            cluster.step();
+            assert_eq!(
+                cluster.forwarded_twice, None,
+                "seed {seed}: a key was forwarded twice"
+            );
         }
-        world.settle();
-        assert_eq!(world.twice, None, "seed {seed}: a key was let on twice");
+        cluster.heal_and_drain();
+        assert_eq!(
+            cluster.forwarded_twice, None,
+            "seed {seed}: a key was forwarded twice"
+        );
         assert!(
-            world.open.is_empty(),
-            "seed {seed}: {:?} without an answer",
-            world.open
+            cluster.unanswered.is_empty(),
+            "seed {seed}: {:?} without a reply",
+            cluster.unanswered
         );
         if logs {
             // Whatever came before: a new key is served wherever it comes, with one attempt.
-            for at in 0..of as usize {
-                let (number, signed) = (100 + at as u64, world.signed);
-                world.arrive(at, number);
-                world.arrive(at, number);
-                world.arrive((at + 1) % of as usize, number);
-                world.settle();
-                assert_eq!(world.signed, signed + 1, "seed {seed}: a new key at {at}");
-                assert!(world.open.is_empty(), "seed {seed}");
+            for at in 0..limiters as usize {
+                let (number, signed) = (100 + at as u64, cluster.signed);
+                cluster.arrive(at, number);
+                cluster.arrive(at, number);
+                cluster.arrive((at + 1) % limiters as usize, number);
+                cluster.heal_and_drain();
+                assert_eq!(cluster.signed, signed + 1, "seed {seed}: a new key at {at}");
+                assert!(cluster.unanswered.is_empty(), "seed {seed}");
             }
         }
-        for (word, count) in world.told {
-            *all.entry(word).or_default() += count;
+        for (kind, count) in cluster.replies {
+            *all.entry(kind).or_default() += count;
         }
     }
     all
 }
 
 #[test]
-fn three_limiters_with_logs_let_no_key_on_twice_and_serve_once_all_is_well() {
-    let told = explore(3, 3, true);
+fn three_limiters_with_logs_forward_no_key_twice_and_serve_new_keys_after_faults() {
+    let replies = explore(3, 3, true);
     // Refusing all would pass the rest: most are served, or told what came of the first.
-    let of = |word| told.get(word).copied().unwrap_or(0);
+    let count_of = |kind| replies.get(kind).copied().unwrap_or(0);
     assert!(
-        of("own") > 2 * seeds() && of("replay") > 4 * seeds(),
-        "{told:?}"
+        count_of("own") > 2 * seeds() && count_of("replay") > 4 * seeds(),
+        "{replies:?}"
     );
 }
 
 #[test]
-fn five_limiters_with_three_holders_and_one_limiter_alone_do_so_too() {
+fn five_limiters_with_three_holders_and_a_single_limiter_forward_no_key_twice() {
     explore(5, 3, true);
     explore(1, 1, true);
 }
 
 #[test]
-fn without_logs_a_limiter_that_starts_grants_nothing_for_a_retention_and_no_key_is_let_on_twice() {
+fn without_logs_a_restarted_limiter_is_quiet_for_a_retention_and_no_key_is_forwarded_twice() {
     explore(3, 3, false);
 }
 
 /// Two limiters of three with the third away, each granted the key by itself: the lower claim wins, and both are served.
 #[test]
-fn a_vote_that_is_split_is_decided() {
-    let mut world = World::new(1, 3, 3, true);
-    world.kill(2);
-    world.arrive(0, 1);
-    world.arrive(1, 1);
+fn a_split_vote_is_decided_for_the_lower_claim() {
+    let mut cluster = Cluster::new(1, 3, 3, true);
+    cluster.kill(2);
+    cluster.arrive(0, 1);
+    cluster.arrive(1, 1);
     for at in [0, 1] {
-        while !world.nodes[at].writing.is_empty() {
-            world.write(at);
+        while !cluster.nodes[at].writing.is_empty() {
+            cluster.complete_write(at);
         }
     }
     for _ in 0..100 {
-        world.deliver();
+        cluster.deliver();
         for at in [0, 1] {
-            world.write(at);
+            cluster.complete_write(at);
         }
     }
     assert_eq!(
-        world.nodes.iter().map(|node| node.out.len()).sum::<usize>(),
+        cluster
+            .nodes
+            .iter()
+            .map(|node| node.in_flight.len())
+            .sum::<usize>(),
         1
     );
-    world.settle();
+    cluster.heal_and_drain();
     assert_eq!(
         (
-            world.signed,
-            world.told.get("own"),
-            world.told.get("replay")
+            cluster.signed,
+            cluster.replies.get("own"),
+            cluster.replies.get("replay")
         ),
         (1, Some(&1), Some(&1))
     );
@@ -543,146 +553,162 @@
 
 /// Who gave way asks again once whom it gave way to is gone.
 #[test]
-fn a_grant_that_was_given_back_is_asked_for_again() {
-    let mut world = World::new(1, 3, 3, true);
-    world.kill(2);
-    world.arrive(0, 1);
-    world.arrive(1, 1);
+fn a_withdrawn_claim_is_requested_again_after_the_other_one_ends() {
+    let mut cluster = Cluster::new(1, 3, 3, true);
+    cluster.kill(2);
+    cluster.arrive(0, 1);
+    cluster.arrive(1, 1);
     for at in [0, 1] {
-        while !world.nodes[at].writing.is_empty() {
-            world.write(at);
+        while !cluster.nodes[at].writing.is_empty() {
+            cluster.complete_write(at);
         }
     }
     // Each hears that the other holds its own place; 1 gives way, and what it gave back is on its way to 0.
-    for wire in [(1, 0), (0, 1), (0, 1)] {
-        if let Some(said) = world.wires.get_mut(&wire).and_then(VecDeque::pop_front) {
-            world.feed(
-                wire.1,
-                Event::Heard {
-                    from: Member(wire.0 as u32),
-                    said,
+    for connection in [(1, 0), (0, 1), (0, 1)] {
+        if let Some(message) = cluster
+            .connections
+            .get_mut(&connection)
+            .and_then(VecDeque::pop_front)
+        {
+            cluster.handle_at(
+                connection.1,
+                Event::Received {
+                    from: Member(connection.0 as u32),
+                    message,
                 },
             );
         }
     }
-    let lead = *world
-        .open
+    let lead = *cluster
+        .unanswered
         .keys()
         .find(|(at, _)| *at == 0)
         .expect("the lead at 0");
-    world.open.remove(&lead);
-    world.feed(0, Event::Left { ticket: lead.1 });
-    world.settle();
-    assert_eq!((world.signed, world.told.get("own")), (1, Some(&1)));
+    cluster.unanswered.remove(&lead);
+    cluster.handle_at(0, Event::ClientLeft { ticket: lead.1 });
+    cluster.heal_and_drain();
+    assert_eq!((cluster.signed, cluster.replies.get("own")), (1, Some(&1)));
 }
 
 /// One request let on at 0, granted by 0 and 1.
-fn let_on(world: &mut World) {
-    world.arrive(0, 1);
+fn forward_one_request(cluster: &mut Cluster) {
+    cluster.arrive(0, 1);
     for _ in 0..20 {
-        world.deliver();
-        (0..world.nodes.len()).for_each(|at| world.write(at));
+        cluster.deliver();
+        (0..cluster.nodes.len()).for_each(|at| cluster.complete_write(at));
     }
-    assert_eq!(world.nodes[0].out.len(), 1);
+    assert_eq!(cluster.nodes[0].in_flight.len(), 1);
 }
 
 #[test]
-fn what_a_claimant_never_reports_may_have_run_once_its_time_is_over() {
-    let mut world = World::new(1, 3, 3, true);
-    let_on(&mut world);
-    world.cut = [(0, 1), (1, 0), (0, 2), (2, 0)].into();
-    world.meet();
-    world.pass_time(PATIENCE + 400.0);
-    world.arrive(1, 1);
+fn a_granted_claim_without_an_outcome_becomes_unknown_after_its_deadline() {
+    let mut cluster = Cluster::new(1, 3, 3, true);
+    forward_one_request(&mut cluster);
+    cluster.cut = [(0, 1), (1, 0), (0, 2), (2, 0)].into();
+    cluster.report_reachability();
+    cluster.pass_time(CLIENT_TIMEOUT + 400.0);
+    cluster.arrive(1, 1);
     for _ in 0..20 {
-        world.deliver();
-        (1..3).for_each(|at| world.write(at));
+        cluster.deliver();
+        (1..3).for_each(|at| cluster.complete_write(at));
     }
-    assert_eq!(world.told.get("unknown"), Some(&1), "{:?}", world.told);
+    assert_eq!(
+        cluster.replies.get("unknown"),
+        Some(&1),
+        "{:?}",
+        cluster.replies
+    );
 }
 
 #[test]
-fn an_outcome_that_could_not_be_told_is_told_once_the_holder_is_there_again() {
-    let mut world = World::new(1, 3, 3, true);
-    world.kill(2);
-    let_on(&mut world);
-    world.cut = [(0, 1), (1, 0)].into();
-    world.meet();
-    let (ticket, key) = world.nodes[0].out.remove(0);
-    world.feed(
+fn an_outcome_for_an_unreachable_holder_is_sent_once_it_is_reachable() {
+    let mut cluster = Cluster::new(1, 3, 3, true);
+    cluster.kill(2);
+    forward_one_request(&mut cluster);
+    cluster.cut = [(0, 1), (1, 0)].into();
+    cluster.report_reachability();
+    let (ticket, key) = cluster.nodes[0].in_flight.remove(0);
+    cluster.handle_at(
         0,
         Event::Served {
             ticket,
             answer: Answer::Signed(key),
         },
     );
-    world.cut.clear();
-    world.meet();
+    cluster.cut.clear();
+    cluster.report_reachability();
     for _ in 0..20 {
-        world.deliver();
+        cluster.deliver();
     }
-    world.kill(0);
-    world.start(2);
-    world.arrive(1, 1);
+    cluster.kill(0);
+    cluster.start(2);
+    cluster.arrive(1, 1);
     for _ in 0..20 {
-        world.deliver();
-        (1..3).for_each(|at| world.write(at));
+        cluster.deliver();
+        (1..3).for_each(|at| cluster.complete_write(at));
     }
     assert_eq!(
-        (world.told.get("replay"), world.twice),
+        (cluster.replies.get("replay"), cluster.forwarded_twice),
         (Some(&1), None),
         "{:?}",
-        world.told
+        cluster.replies
     );
 }
 
 #[test]
-fn one_limiter_that_is_gone_refuses_nobody_and_two_refuse_with_nothing_sent() {
-    let mut world = World::new(1, 3, 3, true);
-    world.kill(2);
-    world.arrive(0, 1);
+fn with_one_of_three_limiters_down_requests_are_served_and_with_two_down_nothing_is_sent() {
+    let mut cluster = Cluster::new(1, 3, 3, true);
+    cluster.kill(2);
+    cluster.arrive(0, 1);
     for _ in 0..20 {
-        world.deliver();
-        (0..2).for_each(|at| world.write(at));
+        cluster.deliver();
+        (0..2).for_each(|at| cluster.complete_write(at));
     }
-    assert_eq!(world.nodes[0].out.len(), 1, "two of three are enough");
-    world.kill(1);
-    world.arrive(0, 2);
-    world.pass_time(300.0);
     assert_eq!(
-        (world.told.get("no majority"), world.nodes[0].out.len()),
+        cluster.nodes[0].in_flight.len(),
+        1,
+        "two of three are enough"
+    );
+    cluster.kill(1);
+    cluster.arrive(0, 2);
+    cluster.pass_time(300.0);
+    assert_eq!(
+        (
+            cluster.replies.get("no majority"),
+            cluster.nodes[0].in_flight.len()
+        ),
         (Some(&1), 1)
     );
     // What was promised to it is given back, so that the key is free once they are there again.
-    world.start(1);
-    world.start(2);
-    world.arrive(1, 2);
-    world.settle();
-    assert_eq!(world.signed, 2);
+    cluster.start(1);
+    cluster.start(2);
+    cluster.arrive(1, 2);
+    cluster.heal_and_drain();
+    assert_eq!(cluster.signed, 2);
 }
 
 #[test]
-fn a_thousand_repeats_through_three_limiters_ask_a_few_times_and_run_once() {
-    let mut world = World::new(1, 3, 3, true);
+fn a_thousand_repeats_at_three_limiters_send_few_messages_and_run_once() {
+    let mut cluster = Cluster::new(1, 3, 3, true);
     for n in 0..1000 {
-        world.arrive(n % 3, 1);
+        cluster.arrive(n % 3, 1);
     }
-    world.settle();
-    assert_eq!(world.signed, 1);
+    cluster.heal_and_drain();
+    assert_eq!(cluster.signed, 1);
     // Each limiter asks once while its first is out; what is over its bound is told that the first is in flight.
-    assert!(world.messages < 60, "{}", world.messages);
-    let served = world.told.get("own").copied().unwrap_or(0)
-        + world.told.get("replay").copied().unwrap_or(0);
-    assert!(served >= 150, "{:?}", world.told);
+    assert!(cluster.messages < 60, "{}", cluster.messages);
+    let served = cluster.replies.get("own").copied().unwrap_or(0)
+        + cluster.replies.get("replay").copied().unwrap_or(0);
+    assert!(served >= 150, "{:?}", cluster.replies);
 }
 
 #[test]
-fn holders_are_the_same_whoever_asks_and_every_limiter_has_its_part() {
-    let of = |me| Claims::<Answer>::new(rules(me, 5, 3), limits(true, 0.0), 0.0);
+fn every_limiter_computes_the_same_holders_and_they_are_spread_evenly() {
+    let claims_of = |me| Claims::<Answer>::new(claim_config(me, 5, 3), limits(true, 0.0), 0.0);
     let mut counts = [0; 5];
     for customer in 0..1000 {
-        let holders = of(0).holders(Customer(customer));
-        assert_eq!(holders, of(4).holders(Customer(customer)));
+        let holders = claims_of(0).holders(Customer(customer));
+        assert_eq!(holders, claims_of(4).holders(Customer(customer)));
         assert_eq!(holders.iter().collect::<BTreeSet<_>>().len(), 3);
         holders
             .iter()
--- a/crates/emberpin-idempotency/tests/explore.rs
+++ b/crates/emberpin-idempotency/tests/explore.rs
@@ -22,15 +22,15 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     /// The request, or a repeat of it, comes to a limiter.
-    Arrives(u32),
+    Arrive(u32),
     Served,
-    Refused,
+    Rejected,
     Failed,
     /// A limiter is killed and starts anew; what it had out may run yet.
-    Killed(u32),
-    Passes(Millis),
+    Kill(u32),
+    Elapse(Millis),
     /// A limiter's clock steps back.
-    StepsBack(u32),
+    StepClockBack(u32),
 }
 
 #[derive(Clone)]
@@ -39,15 +39,15 @@
     time: Millis,
     tables: Vec<Table<Nothing>>,
     /// Each limiter's clock is so far from the true time.
-    skew: Vec<Millis>,
+    clock_offset: Vec<Millis>,
     arrivals: u64,
     /// The first that is out, and where.
-    out: Option<(u32, Ticket)>,
+    in_flight: Option<(u32, Ticket)>,
     /// The key's work may have run; the latest time at which that was so.
-    ran: Option<Millis>,
+    last_ran_at: Option<Millis>,
     /// The key was let on although it may have run within its retention.
-    twice: bool,
-    let_on: u32,
+    forwarded_twice: bool,
+    forwarded: u32,
 }
 
 impl World {
@@ -64,36 +64,36 @@
             recorded: false,
         };
         // The clocks of two limiters are five seconds apart; all have long been up.
-        let skew = vec![0.0, 5000.0, -5000.0];
-        let tables = skew
+        let clock_offset = vec![0.0, 5000.0, -5000.0];
+        let tables = clock_offset
             .iter()
-            .map(|skew| Table::new(limits.clone(), skew - 10.0 * RETENTION))
+            .map(|clock_offset| Table::new(limits.clone(), clock_offset - 10.0 * RETENTION))
             .collect();
-        let (time, arrivals, out, ran) = (0.0, 0, None, None);
+        let (time, arrivals, in_flight, last_ran_at) = (0.0, 0, None, None);
         World {
             limits,
             time,
             tables,
-            skew,
+            clock_offset,
             arrivals,
-            out,
-            ran,
-            twice: false,
-            let_on: 0,
+            in_flight,
+            last_ran_at,
+            forwarded_twice: false,
+            forwarded: 0,
         }
     }
 
-    fn tell(&mut self, limiter: u32, event: Event<Nothing>) -> Vec<Action<Nothing>> {
+    fn handle_at(&mut self, limiter: u32, event: Event<Nothing>) -> Vec<Action<Nothing>> {
         let mut actions = Vec::new();
-        let now = self.time + self.skew[limiter as usize];
+        let now = self.time + self.clock_offset[limiter as usize];
         self.tables[limiter as usize].handle(now, event, &mut actions);
         actions
     }
 
     /// Whether the step can come now; it has then.
-    fn take(&mut self, step: Step) -> bool {
+    fn perform(&mut self, step: Step) -> bool {
         match step {
-            Step::Arrives(limiter) => {
+            Step::Arrive(limiter) => {
                 if self.arrivals == ARRIVALS {
                     return false;
                 }
@@ -111,44 +111,46 @@
                     key,
                     fingerprint,
                 };
-                if self.tell(limiter, arrived) == [Action::Pass(ticket)] {
-                    self.twice |= self.out.is_some();
-                    self.twice |= self.ran.is_some_and(|at| self.time < at + RETENTION);
-                    self.let_on += 1;
-                    self.out = Some((limiter, ticket));
+                if self.handle_at(limiter, arrived) == [Action::Forward(ticket)] {
+                    self.forwarded_twice |= self.in_flight.is_some();
+                    self.forwarded_twice |= self
+                        .last_ran_at
+                        .is_some_and(|at| self.time < at + RETENTION);
+                    self.forwarded += 1;
+                    self.in_flight = Some((limiter, ticket));
                 }
                 true
             }
-            Step::Served | Step::Refused | Step::Failed => {
-                let Some((limiter, ticket)) = self.out.take() else {
+            Step::Served | Step::Rejected | Step::Failed => {
+                let Some((limiter, ticket)) = self.in_flight.take() else {
                     return false;
                 };
                 let answer = Nothing;
                 let event = match step {
                     Step::Served => Event::Served { ticket, answer },
-                    Step::Refused => Event::Refused { ticket, answer },
+                    Step::Rejected => Event::Rejected { ticket, answer },
                     _ => Event::Failed { ticket, answer },
                 };
-                if !matches!(step, Step::Refused) {
-                    self.ran = Some(self.time);
+                if !matches!(step, Step::Rejected) {
+                    self.last_ran_at = Some(self.time);
                 }
-                self.tell(limiter, event);
+                self.handle_at(limiter, event);
                 true
             }
-            Step::Killed(limiter) => {
-                if self.out.take_if(|(at, _)| *at == limiter).is_some() {
-                    self.ran = Some(self.time);
+            Step::Kill(limiter) => {
+                if self.in_flight.take_if(|(at, _)| *at == limiter).is_some() {
+                    self.last_ran_at = Some(self.time);
                 }
-                let now = self.time + self.skew[limiter as usize];
+                let now = self.time + self.clock_offset[limiter as usize];
                 self.tables[limiter as usize] = Table::new(self.limits.clone(), now);
                 true
             }
-            Step::Passes(time) => {
+            Step::Elapse(time) => {
                 self.time += time;
                 true
             }
-            Step::StepsBack(limiter) => {
-                self.skew[limiter as usize] -= RETENTION / 2.0;
+            Step::StepClockBack(limiter) => {
+                self.clock_offset[limiter as usize] -= RETENTION / 2.0;
                 true
             }
         }
@@ -158,46 +160,46 @@
 /// What came of all ways to a depth.
 #[derive(Default)]
 struct Explored {
-    ways: u64,
+    sequences: u64,
     /// The first way that let the work on twice.
-    twice: Option<Vec<Step>>,
+    forwarded_twice: Option<Vec<Step>>,
     /// Ways on which it was let on again rightly.
-    again: u64,
+    forwarded_again: u64,
 }
 
 fn explore(
     world: &World,
     steps: &[Step],
     depth: usize,
-    way: &mut Vec<Step>,
+    sequence: &mut Vec<Step>,
     explored: &mut Explored,
 ) {
-    explored.ways += 1;
-    explored.again += u64::from(world.let_on > 1);
-    if world.twice && explored.twice.is_none() {
-        explored.twice = Some(way.clone());
+    explored.sequences += 1;
+    explored.forwarded_again += u64::from(world.forwarded > 1);
+    if world.forwarded_twice && explored.forwarded_twice.is_none() {
+        explored.forwarded_twice = Some(sequence.clone());
     }
-    if depth == 0 || explored.twice.is_some() {
+    if depth == 0 || explored.forwarded_twice.is_some() {
         return;
     }
     for step in steps {
         let mut next = world.clone();
-        if next.take(*step) {
-            way.push(*step);
-            explore(&next, steps, depth - 1, way, explored);
-            way.pop();
+        if next.perform(*step) {
+            sequence.push(*step);
+            explore(&next, steps, depth - 1, sequence, explored);
+            sequence.pop();
         }
     }
 }
 
-fn all(quiet: Millis, limiters: &[u32], depth: usize) -> Explored {
-    let mut steps = vec![Step::Served, Step::Refused, Step::Failed];
-    steps.extend([Step::Passes(RETENTION / 2.0), Step::Passes(RETENTION)]);
+fn explore_all(quiet: Millis, limiters: &[u32], depth: usize) -> Explored {
+    let mut steps = vec![Step::Served, Step::Rejected, Step::Failed];
+    steps.extend([Step::Elapse(RETENTION / 2.0), Step::Elapse(RETENTION)]);
     for limiter in limiters {
         steps.extend([
-            Step::Arrives(*limiter),
-            Step::Killed(*limiter),
-            Step::StepsBack(*limiter),
+            Step::Arrive(*limiter),
+            Step::Kill(*limiter),
+            Step::StepClockBack(*limiter),
         ]);
     }
     let mut explored = Explored::default();
@@ -212,26 +214,35 @@
 }
 
 #[test]
-fn no_way_signs_twice_within_the_retention() {
+fn no_sequence_of_events_forwards_a_request_twice_within_the_retention() {
     // All three limiters, then deeper with the owner alone: only what comes to it can change anything.
-    let own = owner(CUSTOMER, 0, GROUP, GROUP).expect("an owner");
-    for (limiters, depth) in [(vec![0, 1, 2], 5), (vec![own], 7)] {
-        let explored = all(RETENTION, &limiters, depth);
-        assert!(explored.twice.is_none(), "{:?}", explored.twice);
+    let owner_number = owner(CUSTOMER, 0, GROUP, GROUP).expect("an owner");
+    for (limiters, depth) in [(vec![0, 1, 2], 5), (vec![owner_number], 7)] {
+        let explored = explore_all(RETENTION, &limiters, depth);
         assert!(
-            explored.ways > 100_000 && explored.again > 1000,
+            explored.forwarded_twice.is_none(),
+            "{:?}",
+            explored.forwarded_twice
+        );
+        assert!(
+            explored.sequences > 100_000 && explored.forwarded_again > 1000,
             "{} {}",
-            explored.ways,
-            explored.again
+            explored.sequences,
+            explored.forwarded_again
         );
     }
 }
 
 /// What the other test shows means nothing unless a table that forgets too soon is found out.
 #[test]
-fn a_quiet_time_shorter_than_the_retention_is_found_out() {
-    let own = owner(CUSTOMER, 0, GROUP, GROUP).expect("an owner");
+fn a_quiet_period_shorter_than_the_retention_forwards_a_request_twice() {
+    let owner_number = owner(CUSTOMER, 0, GROUP, GROUP).expect("an owner");
     for quiet in [0.0, RETENTION / 2.0] {
-        assert!(all(quiet, &[own], 5).twice.is_some(), "{quiet}");
+        assert!(
+            explore_all(quiet, &[owner_number], 5)
+                .forwarded_twice
+                .is_some(),
+            "{quiet}"
+        );
     }
 }
--- a/crates/emberpin-idempotency/tests/recorded.rs
+++ b/crates/emberpin-idempotency/tests/recorded.rs
@@ -5,8 +5,8 @@
 #[path = "../../emberpin-peering/tests/common/recording.rs"]
 mod recording;
 
-use emberpin_idempotency::claims::{Claim, Member, Said, Verdict};
-use emberpin_idempotency::{Customer, Fingerprint, Form, Key, Known, Record, Secret};
+use emberpin_idempotency::claims::{Claim, Denial, Member, Message};
+use emberpin_idempotency::{Customer, Fingerprint, Form, Key, KeyStatus, Record, Secret};
 use recording::assert_recorded;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -22,10 +22,10 @@
     Fingerprint::of(&Secret::new([7; 32]), "POST", "/api?a=b", 1, b"body")
 }
 
-fn messages() -> Vec<(&'static str, Said<String>)> {
-    let told = |verdict| Said::Told(CLAIM, verdict);
+fn messages() -> Vec<(&'static str, Message<String>)> {
+    let denied = |denial| Message::Denied(CLAIM, denial);
     let (customer, key, fingerprint) = (CUSTOMER, key(), fingerprint());
-    let wants = Said::Wants {
+    let request = Message::Request {
         claim: CLAIM,
         customer,
         key: key.clone(),
@@ -33,22 +33,25 @@
         within: 30_000.0,
     };
     vec![
-        ("wants", wants),
-        ("granted", Said::Granted(CLAIM)),
-        ("waits", Said::Waits(CLAIM, (Member(2), Claim(u64::MAX)))),
-        ("told-replay", told(Verdict::Replay("signed".into()))),
-        ("told-not-kept", told(Verdict::NotKept)),
-        ("told-mismatch", told(Verdict::Mismatch)),
-        ("told-unknown", told(Verdict::Unknown)),
-        ("told-in-flight", told(Verdict::InFlight)),
-        ("told-quiet", told(Verdict::Quiet)),
-        ("told-full", told(Verdict::Full(250.5))),
-        ("told-not-written", told(Verdict::NotWritten)),
-        ("released", Said::Released(CLAIM)),
-        ("lost", Said::Lost(CLAIM)),
+        ("wants", request),
+        ("granted", Message::Granted(CLAIM)),
+        (
+            "waits",
+            Message::Queued(CLAIM, (Member(2), Claim(u64::MAX))),
+        ),
+        ("told-replay", denied(Denial::Replay("signed".into()))),
+        ("told-not-kept", denied(Denial::NotKept)),
+        ("told-mismatch", denied(Denial::Mismatch)),
+        ("told-unknown", denied(Denial::Unknown)),
+        ("told-in-flight", denied(Denial::InFlight)),
+        ("told-quiet", denied(Denial::Quiet)),
+        ("told-full", denied(Denial::Full(250.5))),
+        ("told-not-written", denied(Denial::NotWritten)),
+        ("released", Message::Released(CLAIM)),
+        ("lost", Message::Lost(CLAIM)),
         (
             "served",
-            Said::Served {
+            Message::Served {
                 claim: CLAIM,
                 customer,
                 key,
@@ -60,19 +63,19 @@
 }
 
 fn records() -> Vec<(&'static str, Record<String>)> {
-    let record = |known| Record {
+    let record = |status| Record {
         customer: CUSTOMER,
         key: key(),
         fingerprint: fingerprint(),
         at: 12_345.5,
-        known,
+        status,
     };
     vec![
-        ("claimed", record(Known::Claimed)),
-        ("served", record(Known::Served(Some("signed".into())))),
-        ("served-without-answer", record(Known::Served(None))),
-        ("unknown", record(Known::Unknown)),
-        ("gone", record(Known::Gone)),
+        ("claimed", record(KeyStatus::Claimed)),
+        ("served", record(KeyStatus::Served(Some("signed".into())))),
+        ("served-without-answer", record(KeyStatus::Served(None))),
+        ("unknown", record(KeyStatus::Unknown)),
+        ("gone", record(KeyStatus::Removed)),
     ]
 }
 
@@ -85,18 +88,18 @@
 }
 
 #[test]
-fn every_message_about_a_key_is_read_and_written_as_it_was_recorded() {
+fn recorded_messages_decode_and_encode_to_the_same_bytes() {
     assert_recorded("claims.txt", &messages(), encode, decode);
 }
 
 #[test]
-fn every_record_of_a_key_is_read_and_written_as_it_was_recorded() {
+fn recorded_log_records_decode_and_encode_to_the_same_bytes() {
     assert_recorded("records.txt", &records(), encode, decode);
 }
 
 /// Limiters of two builds must come to the same fingerprint of one request.
 #[test]
-fn the_fingerprint_of_a_request_is_the_recorded_one() {
+fn fingerprints_match_the_recorded_ones() {
     assert_recorded(
         "fingerprints.txt",
         &[("post", fingerprint())],
@@ -107,7 +110,7 @@
 
 /// Limiters of two builds must name the same owner of a customer's keys.
 #[test]
-fn the_owners_of_customers_are_the_recorded_ones() {
+fn owners_match_the_recorded_ones() {
     let owners: Vec<u32> = (0..64)
         .map(|customer| emberpin_idempotency::owner(Customer(customer), 1, 3, 5).expect("an owner"))
         .collect();
--- a/crates/emberpin-idempotency/tests/table.rs
+++ b/crates/emberpin-idempotency/tests/table.rs
@@ -30,8 +30,8 @@
     }
 }
 
-fn looks(like: u8) -> Fingerprint {
-    Fingerprint::of(&Secret::new([1; 32]), "POST", "/api", 1, &[like])
+fn fingerprint_of(variant: u8) -> Fingerprint {
+    Fingerprint::of(&Secret::new([1; 32]), "POST", "/api", 1, &[variant])
 }
 
 fn answer(text: &str) -> Answer {
@@ -43,15 +43,15 @@
 }
 
 /// A table played by hand.
-struct Bench {
+struct Fixture {
     table: Table<Answer>,
     now: Millis,
     next: u64,
 }
 
-impl Bench {
-    fn new(limits: Limits) -> Bench {
-        Bench {
+impl Fixture {
+    fn new(limits: Limits) -> Fixture {
+        Fixture {
             table: Table::new(limits, 0.0),
             now: 0.0,
             next: 0,
@@ -64,7 +64,7 @@
         actions
     }
 
-    fn arrives_as(&mut self, customer: u64, key: &str, like: u8) -> (Ticket, Action<Answer>) {
+    fn arrive_with(&mut self, customer: u64, key: &str, variant: u8) -> (Ticket, Action<Answer>) {
         let ticket = Ticket(self.next);
         self.next += 1;
         let key = key_of(key);
@@ -72,40 +72,36 @@
             ticket,
             customer: Customer(customer),
             key,
-            fingerprint: looks(like),
+            fingerprint: fingerprint_of(variant),
         };
         let mut actions = self.handle(arrived);
-        assert_eq!(
-            actions.len(),
-            1,
-            "exactly one thing is done about an arrival"
-        );
+        assert_eq!(actions.len(), 1, "an arrival leads to exactly one action");
         (ticket, actions.remove(0))
     }
 
-    fn arrives(&mut self, customer: u64, key: &str) -> (Ticket, Action<Answer>) {
-        self.arrives_as(customer, key, 0)
+    fn arrive(&mut self, customer: u64, key: &str) -> (Ticket, Action<Answer>) {
+        self.arrive_with(customer, key, 0)
     }
 
     /// A first request that is let on.
-    fn passes(&mut self, customer: u64, key: &str) -> Ticket {
-        let (ticket, action) = self.arrives(customer, key);
-        assert_eq!(action, Action::Pass(ticket), "{key}");
+    fn forward(&mut self, customer: u64, key: &str) -> Ticket {
+        let (ticket, action) = self.arrive(customer, key);
+        assert_eq!(action, Action::Forward(ticket), "{key}");
         ticket
     }
 
     /// One that is let on and served.
-    fn serves(&mut self, customer: u64, key: &str, text: &str) {
-        let ticket = self.passes(customer, key);
-        let told = self.handle(Event::Served {
+    fn serve(&mut self, customer: u64, key: &str, text: &str) {
+        let ticket = self.forward(customer, key);
+        let replies = self.handle(Event::Served {
             ticket,
             answer: answer(text),
         });
-        assert_eq!(told, [Action::Tell(ticket, Telling::Own(answer(text)))]);
+        assert_eq!(replies, [Action::Tell(ticket, Telling::Own(answer(text)))]);
     }
 
-    fn told(&mut self, customer: u64, key: &str) -> Telling<Answer> {
-        match self.arrives(customer, key) {
+    fn reply_to(&mut self, customer: u64, key: &str) -> Telling<Answer> {
+        match self.arrive(customer, key) {
             (_, Action::Tell(_, telling)) => telling,
             (_, other) => panic!("{other:?}"),
         }
@@ -114,315 +110,315 @@
 
 #[test]
 fn a_repeat_in_flight_waits_and_gets_the_same_outcome() {
-    let mut bench = Bench::new(limits());
-    let first = bench.passes(1, "k");
-    let (second, held) = bench.arrives(1, "k");
+    let mut fixture = Fixture::new(limits());
+    let first = fixture.forward(1, "k");
+    let (second, held) = fixture.arrive(1, "k");
     assert_eq!(held, Action::Hold(second));
-    let told = bench.handle(Event::Served {
+    let replies = fixture.handle(Event::Served {
         ticket: first,
         answer: answer("signed"),
     });
     assert_eq!(
-        told,
+        replies,
         [
             Action::Tell(first, Telling::Own(answer("signed"))),
             Action::Tell(second, Telling::Replay(answer("signed")))
         ]
     );
-    assert_eq!(bench.told(1, "k"), Telling::Replay(answer("signed")));
+    assert_eq!(fixture.reply_to(1, "k"), Telling::Replay(answer("signed")));
 }
 
 #[test]
 fn another_customers_key_of_the_same_name_is_another_key() {
-    let mut bench = Bench::new(limits());
-    bench.serves(1, "k", "one");
-    bench.serves(2, "k", "two");
-    assert_eq!(bench.told(1, "k"), Telling::Replay(answer("one")));
+    let mut fixture = Fixture::new(limits());
+    fixture.serve(1, "k", "one");
+    fixture.serve(2, "k", "two");
+    assert_eq!(fixture.reply_to(1, "k"), Telling::Replay(answer("one")));
 }
 
 #[test]
-fn a_body_that_differs_by_one_byte_is_a_mismatch_at_every_stage() {
-    let mut bench = Bench::new(limits());
-    let first = bench.passes(1, "k");
-    let (ticket, action) = bench.arrives_as(1, "k", 1);
+fn a_body_that_differs_by_one_byte_is_a_mismatch_in_every_state() {
+    let mut fixture = Fixture::new(limits());
+    let first = fixture.forward(1, "k");
+    let (ticket, action) = fixture.arrive_with(1, "k", 1);
     assert_eq!(action, Action::Tell(ticket, Telling::Mismatch));
-    bench.handle(Event::Served {
+    fixture.handle(Event::Served {
         ticket: first,
         answer: answer("a"),
     });
-    let (ticket, action) = bench.arrives_as(1, "k", 1);
+    let (ticket, action) = fixture.arrive_with(1, "k", 1);
     assert_eq!(action, Action::Tell(ticket, Telling::Mismatch));
-    let failing = bench.passes(1, "u");
-    bench.handle(Event::Failed {
+    let failing = fixture.forward(1, "u");
+    fixture.handle(Event::Failed {
         ticket: failing,
         answer: answer("502"),
     });
-    let (ticket, action) = bench.arrives_as(1, "u", 1);
+    let (ticket, action) = fixture.arrive_with(1, "u", 1);
     assert_eq!(action, Action::Tell(ticket, Telling::Mismatch));
 }
 
 #[test]
-fn what_was_refused_never_ran_and_is_new_work() {
-    let mut bench = Bench::new(limits());
-    let first = bench.passes(1, "k");
-    let (waiter, _) = bench.arrives(1, "k");
-    let told = bench.handle(Event::Refused {
+fn a_rejected_request_never_ran_and_its_repeat_is_new_work() {
+    let mut fixture = Fixture::new(limits());
+    let first = fixture.forward(1, "k");
+    let (waiter, _) = fixture.arrive(1, "k");
+    let replies = fixture.handle(Event::Rejected {
         ticket: first,
         answer: answer("429"),
     });
     assert_eq!(
-        told[1],
+        replies[1],
         Action::Tell(waiter, Telling::Replay(answer("429")))
     );
-    assert_eq!(bench.table.entries(), 0);
-    bench.passes(1, "k");
+    assert_eq!(fixture.table.entries(), 0);
+    fixture.forward(1, "k");
 }
 
 #[test]
-fn what_may_have_run_is_told_so_until_its_time_is_over() {
-    let mut bench = Bench::new(limits());
-    let first = bench.passes(1, "k");
-    bench.handle(Event::Failed {
+fn a_failed_request_is_reported_as_unknown_until_its_retention_ends() {
+    let mut fixture = Fixture::new(limits());
+    let first = fixture.forward(1, "k");
+    fixture.handle(Event::Failed {
         ticket: first,
         answer: answer("502"),
     });
-    bench.now = RETENTION - 1.0;
-    assert_eq!(bench.told(1, "k"), Telling::Unknown);
-    bench.now = RETENTION;
-    bench.passes(1, "k");
+    fixture.now = RETENTION - 1.0;
+    assert_eq!(fixture.reply_to(1, "k"), Telling::Unknown);
+    fixture.now = RETENTION;
+    fixture.forward(1, "k");
 }
 
 #[test]
-fn a_first_whose_client_leaves_goes_on() {
-    let mut bench = Bench::new(limits());
-    let first = bench.passes(1, "k");
-    let (waiter, _) = bench.arrives(1, "k");
-    assert_eq!(bench.handle(Event::Left { ticket: first }), []);
-    let told = bench.handle(Event::Served {
+fn a_first_request_continues_after_its_client_disconnects() {
+    let mut fixture = Fixture::new(limits());
+    let first = fixture.forward(1, "k");
+    let (waiter, _) = fixture.arrive(1, "k");
+    assert_eq!(fixture.handle(Event::ClientLeft { ticket: first }), []);
+    let replies = fixture.handle(Event::Served {
         ticket: first,
         answer: answer("a"),
     });
     assert_eq!(
-        told,
+        replies,
         [Action::Tell(waiter, Telling::Replay(answer("a")))],
-        "nobody else is there"
+        "the first client has left, so only the waiter gets a reply"
     );
 }
 
 #[test]
-fn a_waiter_that_leaves_takes_nothing_with_it() {
-    let mut bench = Bench::new(limits());
-    let first = bench.passes(1, "k");
-    let (waiter, _) = bench.arrives(1, "k");
-    bench.handle(Event::Left { ticket: waiter });
-    let told = bench.handle(Event::Served {
+fn a_waiter_that_disconnects_gets_no_reply_and_the_first_request_continues() {
+    let mut fixture = Fixture::new(limits());
+    let first = fixture.forward(1, "k");
+    let (waiter, _) = fixture.arrive(1, "k");
+    fixture.handle(Event::ClientLeft { ticket: waiter });
+    let replies = fixture.handle(Event::Served {
         ticket: first,
         answer: answer("a"),
     });
-    assert_eq!(told, [Action::Tell(first, Telling::Own(answer("a")))]);
+    assert_eq!(replies, [Action::Tell(first, Telling::Own(answer("a")))]);
 }
 
 #[test]
-fn a_thousand_repeats_of_one_key_are_bounded_and_one_goes_on() {
-    let mut bench = Bench::new(limits());
-    let first = bench.passes(1, "k");
+fn a_thousand_repeats_of_one_key_are_limited_and_one_request_is_forwarded() {
+    let mut fixture = Fixture::new(limits());
+    let first = fixture.forward(1, "k");
     let (mut held, mut in_flight) = (0, 0);
     for _ in 0..1000 {
-        match bench.arrives(1, "k").1 {
+        match fixture.arrive(1, "k").1 {
             Action::Hold(_) => held += 1,
             Action::Tell(_, Telling::InFlight) => in_flight += 1,
             other => panic!("{other:?}"),
         }
     }
     assert_eq!((held, in_flight), (50, 950));
-    let told = bench.handle(Event::Served {
+    let replies = fixture.handle(Event::Served {
         ticket: first,
         answer: answer("a"),
     });
-    assert_eq!(told.len(), 51);
+    assert_eq!(replies.len(), 51);
 }
 
 #[test]
-fn a_customers_waiters_are_bounded_over_its_keys() {
-    let mut bench = Bench::new(limits());
+fn the_waiters_of_a_customer_are_limited_over_all_its_keys() {
+    let mut fixture = Fixture::new(limits());
     for key in ["a", "b"] {
-        bench.passes(1, key);
-        (0..50).for_each(|_| drop(bench.arrives(1, key)));
+        fixture.forward(1, key);
+        (0..50).for_each(|_| drop(fixture.arrive(1, key)));
     }
     assert!(matches!(
-        bench.arrives(1, "b").1,
+        fixture.arrive(1, "b").1,
         Action::Tell(_, Telling::InFlight)
     ));
-    bench.passes(2, "b");
+    fixture.forward(2, "b");
     assert!(
-        matches!(bench.arrives(2, "b").1, Action::Hold(_)),
-        "another customer's are its own"
+        matches!(fixture.arrive(2, "b").1, Action::Hold(_)),
+        "the limit is per customer"
     );
 }
 
 #[test]
-fn where_the_operator_wants_no_waiting_a_repeat_is_told_of_the_flight() {
-    let mut bench = Bench::new(Limits {
+fn without_waiting_a_repeat_is_told_that_the_first_request_is_in_flight() {
+    let mut fixture = Fixture::new(Limits {
         wait: false,
         ..limits()
     });
-    bench.passes(1, "k");
-    assert_eq!(bench.told(1, "k"), Telling::InFlight);
+    fixture.forward(1, "k");
+    assert_eq!(fixture.reply_to(1, "k"), Telling::InFlight);
 }
 
 #[test]
-fn a_firm_with_millions_of_keys_fills_its_share_and_nobody_elses() {
-    let mut bench = Bench::new(limits());
+fn a_customer_with_many_keys_fills_only_its_own_share() {
+    let mut fixture = Fixture::new(limits());
     for number in 0..50 {
-        bench.serves(1, &format!("k{number}"), "");
+        fixture.serve(1, &format!("k{number}"), "");
     }
-    bench.now = 1000.0;
+    fixture.now = 1000.0;
     for number in 50..10_000 {
-        let Telling::Full { retry_after } = bench.told(1, &format!("k{number}")) else {
-            panic!("no place")
+        let Telling::Full { retry_after } = fixture.reply_to(1, &format!("k{number}")) else {
+            panic!("not rejected as full")
         };
         assert_eq!(
             retry_after,
             RETENTION - 1000.0,
-            "when the oldest of its own goes"
+            "the time until the customer's oldest entry expires"
         );
     }
     assert_eq!(
-        bench.told(1, "k0"),
+        fixture.reply_to(1, "k0"),
         Telling::Replay(answer("")),
-        "nothing that ran was forgotten"
+        "no entry of served work was removed"
     );
-    bench.serves(2, "k", "");
+    fixture.serve(2, "k", "");
     // Who comes back at the stated time is let on.
-    bench.now = RETENTION;
-    bench.passes(1, "k50");
+    fixture.now = RETENTION;
+    fixture.forward(1, "k50");
 }
 
 #[test]
-fn the_whole_table_full_is_refused_with_an_honest_time() {
-    let mut bench = Bench::new(limits());
+fn a_full_table_rejects_a_new_key_with_the_time_until_an_entry_expires() {
+    let mut fixture = Fixture::new(limits());
     for customer in 0..4 {
         for number in 0..25 {
-            bench.serves(customer, &format!("k{number}"), "");
+            fixture.serve(customer, &format!("k{number}"), "");
         }
-        bench.now += 100.0;
+        fixture.now += 100.0;
     }
-    let Telling::Full { retry_after } = bench.told(9, "k") else {
-        panic!("no place")
+    let Telling::Full { retry_after } = fixture.reply_to(9, "k") else {
+        panic!("not rejected as full")
     };
-    bench.now += retry_after;
-    bench.passes(9, "k");
+    fixture.now += retry_after;
+    fixture.forward(9, "k");
 }
 
 #[test]
-fn an_answer_gives_way_before_any_entry_and_the_oldest_of_the_firms_own_first() {
-    let mut bench = Bench::new(limits());
+fn answers_are_evicted_before_entries_and_the_oldest_of_the_same_customer_first() {
+    let mut fixture = Fixture::new(limits());
     let text = "a".repeat(200);
     ["a", "b", "c"]
         .iter()
-        .for_each(|key| bench.serves(1, key, &text));
-    assert_eq!(bench.table.answer_bytes(), 400, "its share is 500");
-    assert_eq!(bench.told(1, "a"), Telling::NotKept);
-    assert_eq!(bench.told(1, "b"), Telling::Replay(answer(&text)));
+        .for_each(|key| fixture.serve(1, key, &text));
+    assert_eq!(fixture.table.answer_bytes(), 400, "its share is 500");
+    assert_eq!(fixture.reply_to(1, "a"), Telling::NotKept);
+    assert_eq!(fixture.reply_to(1, "b"), Telling::Replay(answer(&text)));
     // Others fill the whole: whoever holds most gives way.
-    bench.serves(2, "a", &text);
-    bench.serves(3, "a", &text);
-    bench.serves(4, "a", &text);
-    assert_eq!(bench.table.answer_bytes(), 1000);
-    bench.serves(5, "a", &text);
-    assert_eq!(bench.told(1, "b"), Telling::NotKept);
-    assert_eq!(bench.told(2, "a"), Telling::Replay(answer(&text)));
+    fixture.serve(2, "a", &text);
+    fixture.serve(3, "a", &text);
+    fixture.serve(4, "a", &text);
+    assert_eq!(fixture.table.answer_bytes(), 1000);
+    fixture.serve(5, "a", &text);
+    assert_eq!(fixture.reply_to(1, "b"), Telling::NotKept);
+    assert_eq!(fixture.reply_to(2, "a"), Telling::Replay(answer(&text)));
 }
 
 #[test]
-fn an_answer_larger_than_a_share_is_not_kept_and_pushes_nothing_out() {
-    let mut bench = Bench::new(limits());
-    bench.serves(1, "a", "small");
-    bench.serves(1, "b", &"b".repeat(501));
-    assert_eq!(bench.told(1, "b"), Telling::NotKept);
-    assert_eq!(bench.told(1, "a"), Telling::Replay(answer("small")));
+fn an_answer_larger_than_a_share_is_not_kept_and_evicts_nothing() {
+    let mut fixture = Fixture::new(limits());
+    fixture.serve(1, "a", "small");
+    fixture.serve(1, "b", &"b".repeat(501));
+    assert_eq!(fixture.reply_to(1, "b"), Telling::NotKept);
+    assert_eq!(fixture.reply_to(1, "a"), Telling::Replay(answer("small")));
 }
 
 /// What comes while it is not known whether it ran before is not let on then, and not later either: who came back
 /// as told would be signed twice.
 #[test]
-fn what_comes_soon_after_a_start_is_never_let_on_under_its_key() {
-    let mut bench = Bench::new(Limits {
+fn a_key_that_arrives_in_the_quiet_period_is_never_forwarded() {
+    let mut fixture = Fixture::new(Limits {
         quiet: RETENTION,
         ..limits()
     });
-    bench.now = 1000.0;
-    assert_eq!(bench.told(1, "k"), Telling::Quiet);
-    bench.now = RETENTION;
-    assert_eq!(bench.told(1, "k"), Telling::Unknown);
-    bench.passes(1, "new");
-    bench.now = RETENTION + 1000.0;
-    bench.passes(1, "k");
+    fixture.now = 1000.0;
+    assert_eq!(fixture.reply_to(1, "k"), Telling::Quiet);
+    fixture.now = RETENTION;
+    assert_eq!(fixture.reply_to(1, "k"), Telling::Unknown);
+    fixture.forward(1, "new");
+    fixture.now = RETENTION + 1000.0;
+    fixture.forward(1, "k");
 }
 
 #[test]
-fn where_no_place_is_left_to_remember_the_quiet_lasts_on_for_that_customer_alone() {
-    let mut bench = Bench::new(Limits {
+fn a_full_share_extends_the_quiet_period_for_that_customer_alone() {
+    let mut fixture = Fixture::new(Limits {
         quiet: RETENTION,
         ..limits()
     });
     for number in 0..60 {
-        assert_eq!(bench.told(1, &format!("k{number}")), Telling::Quiet);
-        bench.now += 10.0;
+        assert_eq!(fixture.reply_to(1, &format!("k{number}")), Telling::Quiet);
+        fixture.now += 10.0;
     }
-    assert_eq!(bench.table.entries(), 50, "its share");
-    bench.now = RETENTION + 300.0;
-    bench.passes(2, "k");
+    assert_eq!(fixture.table.entries(), 50, "its share");
+    fixture.now = RETENTION + 300.0;
+    fixture.forward(2, "k");
     assert_eq!(
-        bench.told(1, "k59"),
+        fixture.reply_to(1, "k59"),
         Telling::Quiet,
-        "one of those that found no place"
+        "a key that could not be recorded in the quiet period"
     );
-    bench.now = 3.0 * RETENTION;
-    bench.passes(1, "k59");
+    fixture.now = 3.0 * RETENTION;
+    fixture.forward(1, "k59");
 }
 
 #[test]
-fn a_clock_that_steps_back_stands_still() {
-    let mut bench = Bench::new(limits());
-    bench.now = 5000.0;
-    bench.serves(1, "k", "a");
-    bench.now = 0.0;
-    assert_eq!(bench.told(1, "k"), Telling::Replay(answer("a")));
-    bench.now = 5000.0 + RETENTION - 1.0;
-    assert_eq!(bench.told(1, "k"), Telling::Replay(answer("a")));
-    bench.now = 5000.0 + RETENTION;
-    bench.passes(1, "k");
+fn a_clock_that_steps_back_extends_no_retention() {
+    let mut fixture = Fixture::new(limits());
+    fixture.now = 5000.0;
+    fixture.serve(1, "k", "a");
+    fixture.now = 0.0;
+    assert_eq!(fixture.reply_to(1, "k"), Telling::Replay(answer("a")));
+    fixture.now = 5000.0 + RETENTION - 1.0;
+    assert_eq!(fixture.reply_to(1, "k"), Telling::Replay(answer("a")));
+    fixture.now = 5000.0 + RETENTION;
+    fixture.forward(1, "k");
 }
 
 /// What happens next, to which of what there is.
 #[derive(Clone, Debug)]
 enum Step {
-    Arrives { customer: u64, key: u8, like: u8 },
+    Arrive { customer: u64, key: u8, variant: u8 },
     Served { which: usize, bytes: usize },
-    Refused { which: usize },
+    Rejected { which: usize },
     Failed { which: usize },
-    Leaves { which: usize },
-    Passes { time: u16 },
-    Returns { time: u16 },
+    Leave { which: usize },
+    Elapse { time: u16 },
+    StepClockBack { time: u16 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         8 => (0..4u64, 0..6u8, 0..20u8)
-            .prop_map(|(customer, key, like)| Step::Arrives { customer, key, like: like / 19 }),
+            .prop_map(|(customer, key, variant)| Step::Arrive { customer, key, variant: variant / 19 }),
         3 => (any::<usize>(), 0..300usize).prop_map(|(which, bytes)| Step::Served { which, bytes }),
-        1 => any::<usize>().prop_map(|which| Step::Refused { which }),
+        1 => any::<usize>().prop_map(|which| Step::Rejected { which }),
         1 => any::<usize>().prop_map(|which| Step::Failed { which }),
-        2 => any::<usize>().prop_map(|which| Step::Leaves { which }),
-        2 => (0..4000u16).prop_map(|time| Step::Passes { time }),
-        1 => (0..4000u16).prop_map(|time| Step::Returns { time }),
+        2 => any::<usize>().prop_map(|which| Step::Leave { which }),
+        2 => (0..4000u16).prop_map(|time| Step::Elapse { time }),
+        1 => (0..4000u16).prop_map(|time| Step::StepClockBack { time }),
     ]
 }
 
 /// What the model knows of a key: only what may never be got wrong.
 #[derive(Clone, Debug)]
-enum Seen {
+enum ModelState {
     InFlight,
     Served(Answer, Millis),
     MayHaveRun(Millis),
@@ -434,73 +430,73 @@
     /// Whatever happens: a key's work is let on once for its retention unless it is known never to have run;
     /// everybody is told exactly one thing; a replay is what the first had; and every bound holds.
     #[test]
-    fn the_table_keeps_its_promises(
+    fn random_events_match_the_model(
         steps in prop::collection::vec(step(), 1..200),
         entries in 2..12usize,
         wait in any::<bool>(),
     ) {
         let limits = Limits { entries, answer_bytes: 600, waiters_per_key: 3, waiters_per_customer: 4, wait, ..limits() };
-        let mut bench = Bench::new(limits.clone());
-        let mut latest: Millis = 0.0;
-        let mut known: BTreeMap<(u64, u8), (u8, Seen)> = BTreeMap::new();
-        let mut out: Vec<(Ticket, (u64, u8))> = Vec::new();
+        let mut fixture = Fixture::new(limits.clone());
+        let mut latest_now: Millis = 0.0;
+        let mut known: BTreeMap<(u64, u8), (u8, ModelState)> = BTreeMap::new();
+        let mut in_flight: Vec<(Ticket, (u64, u8))> = Vec::new();
         let mut waiting: BTreeMap<Ticket, (u64, u8)> = BTreeMap::new();
         let mut left: BTreeSet<Ticket> = BTreeSet::new();
         for step in steps {
             match step {
-                Step::Passes { time } => {
-                    bench.now += f64::from(time);
-                    latest = latest.max(bench.now);
-                    bench.handle(Event::Tick);
+                Step::Elapse { time } => {
+                    fixture.now += f64::from(time);
+                    latest_now = latest_now.max(fixture.now);
+                    fixture.handle(Event::Tick);
                 }
-                Step::Returns { time } => bench.now = (bench.now - f64::from(time)).max(0.0),
-                Step::Arrives { customer, key, like } => {
-                    latest = latest.max(bench.now);
+                Step::StepClockBack { time } => fixture.now = (fixture.now - f64::from(time)).max(0.0),
+                Step::Arrive { customer, key, variant } => {
+                    latest_now = latest_now.max(fixture.now);
                     known.retain(|_, (_, known)| match known {
-                        Seen::InFlight => true,
-                        Seen::Served(_, until) | Seen::MayHaveRun(until) => *until > latest,
+                        ModelState::InFlight => true,
+                        ModelState::Served(_, until) | ModelState::MayHaveRun(until) => *until > latest_now,
                     });
-                    let (ticket, action) = bench.arrives_as(customer, &format!("k{key}"), like);
-                    let at = (customer, key);
-                    match (known.get(&at), action) {
-                        (None, Action::Pass(_)) => {
-                            known.insert(at, (like, Seen::InFlight));
-                            out.push((ticket, at));
+                    let (ticket, action) = fixture.arrive_with(customer, &format!("k{key}"), variant);
+                    let customer_key = (customer, key);
+                    match (known.get(&customer_key), action) {
+                        (None, Action::Forward(_)) => {
+                            known.insert(customer_key, (variant, ModelState::InFlight));
+                            in_flight.push((ticket, customer_key));
                         }
                         (None, Action::Tell(_, Telling::Full { retry_after })) => {
-                            let own = known.keys().filter(|(whose, _)| *whose == customer).count();
+                            let own = known.keys().filter(|(owner, _)| *owner == customer).count();
                             let share = ((entries as f64 * 0.5) as usize).max(1);
                             prop_assert!(known.len() >= entries || own >= share);
                             prop_assert!(retry_after > 0.0 && retry_after <= RETENTION);
                         }
-                        (Some((as_first, _)), Action::Tell(_, Telling::Mismatch)) => {
-                            prop_assert!(*as_first != like);
+                        (Some((first_variant, _)), Action::Tell(_, Telling::Mismatch)) => {
+                            prop_assert!(*first_variant != variant);
                         }
-                        (Some((as_first, Seen::InFlight)), Action::Hold(_)) => {
-                            prop_assert!(*as_first == like && wait);
-                            waiting.insert(ticket, at);
+                        (Some((first_variant, ModelState::InFlight)), Action::Hold(_)) => {
+                            prop_assert!(*first_variant == variant && wait);
+                            waiting.insert(ticket, customer_key);
                         }
-                        (Some((as_first, Seen::InFlight)), Action::Tell(_, Telling::InFlight)) => {
-                            let same = waiting.values().filter(|other| **other == at).count();
-                            let own = waiting.values().filter(|(whose, _)| *whose == customer).count();
-                            prop_assert!(*as_first == like && (!wait || same >= 3 || own >= 4));
+                        (Some((first_variant, ModelState::InFlight)), Action::Tell(_, Telling::InFlight)) => {
+                            let same = waiting.values().filter(|other| **other == customer_key).count();
+                            let own = waiting.values().filter(|(owner, _)| *owner == customer).count();
+                            prop_assert!(*first_variant == variant && (!wait || same >= 3 || own >= 4));
                         }
-                        (Some((as_first, Seen::Served(kept, _))), Action::Tell(_, telling)) => {
-                            prop_assert!(*as_first == like);
+                        (Some((first_variant, ModelState::Served(kept, _))), Action::Tell(_, telling)) => {
+                            prop_assert!(*first_variant == variant);
                             prop_assert!(telling == Telling::Replay(kept.clone()) || telling == Telling::NotKept);
                         }
-                        (Some((as_first, Seen::MayHaveRun(_))), Action::Tell(_, Telling::Unknown)) => {
-                            prop_assert!(*as_first == like);
+                        (Some((first_variant, ModelState::MayHaveRun(_))), Action::Tell(_, Telling::Unknown)) => {
+                            prop_assert!(*first_variant == variant);
                         }
                         (known, action) => prop_assert!(false, "{known:?}: {action:?}"),
                     }
                 }
-                Step::Leaves { which } => {
+                Step::Leave { which } => {
                     let all: Vec<Ticket> =
-                        out.iter().map(|(ticket, _)| *ticket).chain(waiting.keys().copied()).collect();
+                        in_flight.iter().map(|(ticket, _)| *ticket).chain(waiting.keys().copied()).collect();
                     if let Some(ticket) = all.get(which % all.len().max(1)).copied() {
                         // Nobody is told anything; one that waited is not needed any more, a first goes on.
-                        let done = bench.handle(Event::Left { ticket });
+                        let done = fixture.handle(Event::ClientLeft { ticket });
                         match waiting.remove(&ticket) {
                             Some(_) => prop_assert_eq!(done, vec![Action::Drop(ticket)]),
                             None => prop_assert_eq!(done, vec![]),
@@ -508,57 +504,57 @@
                         left.insert(ticket);
                     }
                 }
-                Step::Served { which, .. } | Step::Refused { which } | Step::Failed { which } => {
-                    if out.is_empty() {
+                Step::Served { which, .. } | Step::Rejected { which } | Step::Failed { which } => {
+                    if in_flight.is_empty() {
                         continue;
                     }
-                    let (ticket, at) = out.swap_remove(which % out.len());
-                    latest = latest.max(bench.now);
+                    let (ticket, customer_key) = in_flight.swap_remove(which % in_flight.len());
+                    latest_now = latest_now.max(fixture.now);
                     let bytes = if let Step::Served { bytes, .. } = step { bytes } else { 3 };
-                    let given = Answer(vec![at.1; bytes]);
+                    let given = Answer(vec![customer_key.1; bytes]);
                     let answer = given.clone();
                     let (event, outcome) = match step {
                         Step::Served { .. } => (
                             Event::Served { ticket, answer },
-                            Some(Seen::Served(given.clone(), latest + RETENTION)),
+                            Some(ModelState::Served(given.clone(), latest_now + RETENTION)),
                         ),
-                        Step::Refused { .. } => (Event::Refused { ticket, answer }, None),
-                        _ => (Event::Failed { ticket, answer }, Some(Seen::MayHaveRun(latest + RETENTION))),
+                        Step::Rejected { .. } => (Event::Rejected { ticket, answer }, None),
+                        _ => (Event::Failed { ticket, answer }, Some(ModelState::MayHaveRun(latest_now + RETENTION))),
                     };
-                    let mut told: BTreeSet<Ticket> = BTreeSet::new();
-                    for action in bench.handle(event) {
-                        let Action::Tell(whom, telling) = action else { panic!("{action:?}") };
-                        prop_assert!(told.insert(whom) && !left.contains(&whom));
-                        let expected = if whom == ticket { Telling::Own(given.clone()) } else { Telling::Replay(given.clone()) };
+                    let mut replies: BTreeSet<Ticket> = BTreeSet::new();
+                    for action in fixture.handle(event) {
+                        let Action::Tell(receiver, telling) = action else { panic!("{action:?}") };
+                        prop_assert!(replies.insert(receiver) && !left.contains(&receiver));
+                        let expected = if receiver == ticket { Telling::Own(given.clone()) } else { Telling::Replay(given.clone()) };
                         prop_assert_eq!(telling, expected);
                     }
-                    let mut owed: BTreeSet<Ticket> =
-                        waiting.iter().filter(|(_, other)| **other == at).map(|(waiter, _)| *waiter).collect();
+                    let mut expected_tickets: BTreeSet<Ticket> =
+                        waiting.iter().filter(|(_, other)| **other == customer_key).map(|(waiter, _)| *waiter).collect();
                     if !left.contains(&ticket) {
-                        owed.insert(ticket);
+                        expected_tickets.insert(ticket);
                     }
-                    prop_assert_eq!(&told, &owed);
-                    waiting.retain(|_, other| *other != at);
+                    prop_assert_eq!(&replies, &expected_tickets);
+                    waiting.retain(|_, other| *other != customer_key);
                     match outcome {
                         Some(outcome) => {
-                            if let Some((_, known)) = known.get_mut(&at) {
+                            if let Some((_, known)) = known.get_mut(&customer_key) {
                                 *known = outcome;
                             }
                         }
-                        None => drop(known.remove(&at)),
+                        None => drop(known.remove(&customer_key)),
                     }
                     // An outcome comes once.
-                    let again = bench.handle(Event::Failed { ticket, answer: Answer(vec![]) });
-                    prop_assert_eq!(again, vec![]);
+                    let second = fixture.handle(Event::Failed { ticket, answer: Answer(vec![]) });
+                    prop_assert_eq!(second, vec![]);
                 }
             }
-            prop_assert!(bench.table.entries() <= entries);
-            prop_assert!(bench.table.answer_bytes() <= 600);
+            prop_assert!(fixture.table.entries() <= entries);
+            prop_assert!(fixture.table.answer_bytes() <= 600);
         }
     }
 }
 
-fn recorded() -> Limits {
+fn recorded_limits() -> Limits {
     Limits {
         recorded: true,
         ..limits()
@@ -575,12 +571,17 @@
 }
 
 /// A table that read these records at its start.
-fn restored(limits: Limits, now: Millis, log: &[Record<Answer>], same_clock: bool) -> Bench {
+fn restored_table(
+    limits: Limits,
+    now: Millis,
+    log: &[Record<Answer>],
+    same_clock: bool,
+) -> Fixture {
     let mut table = Table::new(limits, now);
     log.iter()
         .for_each(|record| table.restore(record.clone(), same_clock));
-    table.restored();
-    Bench {
+    table.finish_restore();
+    Fixture {
         table,
         now,
         next: 1000,
@@ -588,11 +589,11 @@
 }
 
 #[test]
-fn a_first_goes_on_only_once_its_record_counts() {
-    let mut bench = Bench::new(recorded());
-    let (customer, key, fingerprint) = (Customer(1), key_of("k"), looks(1));
+fn a_first_request_is_forwarded_only_once_its_record_is_durable() {
+    let mut fixture = Fixture::new(recorded_limits());
+    let (customer, key, fingerprint) = (Customer(1), key_of("k"), fingerprint_of(1));
     let ticket = Ticket(0);
-    let actions = bench.handle(Event::Arrived {
+    let actions = fixture.handle(Event::Arrived {
         ticket,
         customer,
         key,
@@ -600,7 +601,7 @@
     });
     assert!(
         matches!(&actions[..], [Action::Record(record, Some(Ticket(0))), Action::Hold(Ticket(0))]
-        if record.known == Known::Claimed)
+        if record.status == KeyStatus::Claimed)
     );
     // A repeat waits without a record of its own.
     let repeat = Event::Arrived {
@@ -609,38 +610,45 @@
         key: key_of("k"),
         fingerprint,
     };
-    assert_eq!(bench.handle(repeat), [Action::Hold(Ticket(7))]);
+    assert_eq!(fixture.handle(repeat), [Action::Hold(Ticket(7))]);
     assert_eq!(
-        bench.handle(Event::Written { ticket }),
-        [Action::Pass(ticket)]
+        fixture.handle(Event::Written { ticket }),
+        [Action::Forward(ticket)]
     );
-    assert_eq!(bench.handle(Event::Written { ticket }), []);
+    assert_eq!(fixture.handle(Event::Written { ticket }), []);
 }
 
 #[test]
-fn a_first_whose_record_cannot_be_written_is_told_so_with_all_that_wait_and_the_key_is_free() {
-    let mut bench = Bench::new(recorded());
-    let (customer, key, fingerprint) = (Customer(1), key_of("k"), looks(1));
-    let (ticket, waits) = (Ticket(0), Ticket(7));
-    bench.handle(Event::Arrived {
+fn a_failed_write_is_reported_to_all_waiters_and_frees_the_key() {
+    let mut fixture = Fixture::new(recorded_limits());
+    let (customer, key, fingerprint) = (Customer(1), key_of("k"), fingerprint_of(1));
+    let (ticket, waiter) = (Ticket(0), Ticket(7));
+    fixture.handle(Event::Arrived {
         ticket,
         customer,
         key: key.clone(),
         fingerprint,
     });
-    bench.handle(Event::Arrived {
-        ticket: waits,
+    fixture.handle(Event::Arrived {
+        ticket: waiter,
         customer,
         key: key.clone(),
         fingerprint,
     });
-    let actions = bench.handle(Event::Unwritten { ticket });
-    let told = |ticket| Action::Tell(ticket, Telling::NotWritten);
-    assert_eq!(actions, [Action::Drop(ticket), told(ticket), told(waits)]);
-    assert_eq!(bench.table.entries(), 0);
+    let actions = fixture.handle(Event::WriteFailed { ticket });
+    let not_written = |ticket| Action::Tell(ticket, Telling::NotWritten);
+    assert_eq!(
+        actions,
+        [
+            Action::Drop(ticket),
+            not_written(ticket),
+            not_written(waiter)
+        ]
+    );
+    assert_eq!(fixture.table.entries(), 0);
     let ticket = Ticket(8);
     assert_eq!(
-        bench
+        fixture
             .handle(Event::Arrived {
                 ticket,
                 customer,
@@ -653,41 +661,41 @@
 }
 
 #[test]
-fn a_first_whose_client_left_before_anything_was_sent_is_dropped_unless_a_repeat_waits() {
-    for waits in [false, true] {
-        let mut bench = Bench::new(recorded());
-        let (customer, key, fingerprint) = (Customer(1), key_of("k"), looks(1));
+fn a_first_request_whose_client_left_before_the_write_is_dropped_unless_a_repeat_waits() {
+    for waiter in [false, true] {
+        let mut fixture = Fixture::new(recorded_limits());
+        let (customer, key, fingerprint) = (Customer(1), key_of("k"), fingerprint_of(1));
         let ticket = Ticket(0);
-        bench.handle(Event::Arrived {
+        fixture.handle(Event::Arrived {
             ticket,
             customer,
             key: key.clone(),
             fingerprint,
         });
-        if waits {
-            bench.handle(Event::Arrived {
+        if waiter {
+            fixture.handle(Event::Arrived {
                 ticket: Ticket(7),
                 customer,
                 key,
                 fingerprint,
             });
         }
-        bench.handle(Event::Left { ticket });
-        let actions = bench.handle(Event::Written { ticket });
-        match waits {
-            true => assert_eq!(actions, [Action::Pass(ticket)]),
+        fixture.handle(Event::ClientLeft { ticket });
+        let actions = fixture.handle(Event::Written { ticket });
+        match waiter {
+            true => assert_eq!(actions, [Action::Forward(ticket)]),
             false => {
-                assert_eq!(records(&actions)[0].known, Known::Gone);
+                assert_eq!(records(&actions)[0].status, KeyStatus::Removed);
                 assert_eq!(actions[1], Action::Drop(ticket));
-                assert_eq!(bench.table.entries(), 0);
+                assert_eq!(fixture.table.entries(), 0);
             }
         }
     }
 }
 
 /// One key with each outcome, and the log of it.
-fn a_life() -> Vec<Record<Answer>> {
-    let mut bench = Bench::new(recorded());
+fn log_of_one_incarnation() -> Vec<Record<Answer>> {
+    let mut fixture = Fixture::new(recorded_limits());
     let mut log = Vec::new();
     for (ticket, key) in ["served", "refused", "failed", "out"].iter().enumerate() {
         let ticket = Ticket(ticket as u64);
@@ -695,15 +703,15 @@
             ticket,
             customer: Customer(1),
             key: key_of(key),
-            fingerprint: looks(1),
+            fingerprint: fingerprint_of(1),
         };
-        log.extend(records(&bench.handle(arrived)));
-        bench.handle(Event::Written { ticket });
+        log.extend(records(&fixture.handle(arrived)));
+        fixture.handle(Event::Written { ticket });
         let answer = answer(key);
         log.extend(match *key {
-            "served" => records(&bench.handle(Event::Served { ticket, answer })),
-            "refused" => records(&bench.handle(Event::Refused { ticket, answer })),
-            "failed" => records(&bench.handle(Event::Failed { ticket, answer })),
+            "served" => records(&fixture.handle(Event::Served { ticket, answer })),
+            "refused" => records(&fixture.handle(Event::Rejected { ticket, answer })),
+            "failed" => records(&fixture.handle(Event::Failed { ticket, answer })),
             _ => Vec::new(),
         });
     }
@@ -711,27 +719,27 @@
 }
 
 #[test]
-fn the_next_life_knows_each_key_from_the_log() {
-    let log = a_life();
-    let mut bench = restored(recorded(), 5_000.0, &log, true);
+fn the_next_incarnation_restores_each_key_from_the_log() {
+    let log = log_of_one_incarnation();
+    let mut fixture = restored_table(recorded_limits(), 5_000.0, &log, true);
     assert!(
-        matches!(bench.arrives_as(1, "served", 1).1, Action::Tell(_, Telling::Replay(a)) if a == answer("served"))
+        matches!(fixture.arrive_with(1, "served", 1).1, Action::Tell(_, Telling::Replay(a)) if a == answer("served"))
     );
     assert!(matches!(
-        bench.arrives_as(1, "served", 2).1,
+        fixture.arrive_with(1, "served", 2).1,
         Action::Tell(_, Telling::Mismatch)
     ));
     assert!(matches!(
-        bench.arrives_as(1, "failed", 1).1,
+        fixture.arrive_with(1, "failed", 1).1,
         Action::Tell(_, Telling::Unknown)
     ));
     // It was out when the life ended, so it may have run.
     assert!(matches!(
-        bench.arrives_as(1, "out", 1).1,
+        fixture.arrive_with(1, "out", 1).1,
         Action::Tell(_, Telling::Unknown)
     ));
     // It never ran, and is new work; so is any other key, at once.
-    let (customer, fingerprint) = (Customer(1), looks(1));
+    let (customer, fingerprint) = (Customer(1), fingerprint_of(1));
     for (ticket, key) in [(50, "refused"), (51, "another")] {
         let arrived = Event::Arrived {
             ticket: Ticket(ticket),
@@ -739,77 +747,80 @@
             key: key_of(key),
             fingerprint,
         };
-        assert_eq!(records(&bench.handle(arrived))[0].known, Known::Claimed);
+        assert_eq!(
+            records(&fixture.handle(arrived))[0].status,
+            KeyStatus::Claimed
+        );
     }
 }
 
 #[test]
-fn a_restored_key_is_kept_for_its_retention_and_a_whole_one_where_clocks_cannot_be_compared() {
-    let log = a_life();
+fn a_restored_key_keeps_its_expiry_or_gets_a_whole_retention_if_clocks_differ() {
+    let log = log_of_one_incarnation();
     // Served at 0: kept until 10 s in the same boot. What was out is kept from the start on.
-    let mut bench = restored(recorded(), RETENTION - 1.0, &log, true);
-    assert_eq!(bench.table.entries(), 3);
-    bench.now = RETENTION + 1.0;
-    bench.handle(Event::Tick);
-    assert_eq!(bench.table.entries(), 1);
-    bench.now = 2.0 * RETENTION;
-    bench.handle(Event::Tick);
-    assert_eq!(bench.table.entries(), 0);
-    let other_boot = restored(recorded(), RETENTION * 1000.0, &log, false);
+    let mut fixture = restored_table(recorded_limits(), RETENTION - 1.0, &log, true);
+    assert_eq!(fixture.table.entries(), 3);
+    fixture.now = RETENTION + 1.0;
+    fixture.handle(Event::Tick);
+    assert_eq!(fixture.table.entries(), 1);
+    fixture.now = 2.0 * RETENTION;
+    fixture.handle(Event::Tick);
+    assert_eq!(fixture.table.entries(), 0);
+    let other_boot = restored_table(recorded_limits(), RETENTION * 1000.0, &log, false);
     assert_eq!(other_boot.table.entries(), 3);
     assert_eq!(other_boot.table.answer_bytes(), "served".len());
-    let same_boot = restored(recorded(), RETENTION * 1000.0, &log, true);
+    let same_boot = restored_table(recorded_limits(), RETENTION * 1000.0, &log, true);
     assert_eq!(
         same_boot.table.entries(),
         1,
-        "only what was out may still run"
+        "only the key in flight is kept"
     );
 }
 
 proptest! {
     /// What a sweep tells, in steps of any size with changes in between, restores the same as the table holds.
     #[test]
-    fn a_sweep_in_steps_stands_for_the_whole_log(
+    fn a_sweep_in_steps_replaces_the_whole_log(
         outcomes in proptest::collection::vec((0..3u8, 0..4u64), 1..40),
         later in proptest::collection::vec((0..3u8, 0..4u64), 0..10),
         step in 1..7usize,
     ) {
-        let mut bench = Bench::new(recorded());
+        let mut fixture = Fixture::new(recorded_limits());
         let mut ticket = 0;
-        let mut play = |bench: &mut Bench, (outcome, customer): (u8, u64)| {
+        let mut run = |fixture: &mut Fixture, (outcome, customer): (u8, u64)| {
             ticket += 1;
-            bench.now += 1.0;
+            fixture.now += 1.0;
             let (ticket, key) = (Ticket(ticket), key_of(&format!("k{ticket}")));
-            let arrived = Event::Arrived { ticket, customer: Customer(customer), key, fingerprint: looks(1) };
-            let mut log = records(&bench.handle(arrived));
-            bench.handle(Event::Written { ticket });
+            let arrived = Event::Arrived { ticket, customer: Customer(customer), key, fingerprint: fingerprint_of(1) };
+            let mut log = records(&fixture.handle(arrived));
+            fixture.handle(Event::Written { ticket });
             let answer = answer("a");
-            log.extend(records(&bench.handle(match outcome {
+            log.extend(records(&fixture.handle(match outcome {
                 0 => Event::Served { ticket, answer },
-                1 => Event::Refused { ticket, answer },
+                1 => Event::Rejected { ticket, answer },
                 _ => Event::Failed { ticket, answer },
             })));
             log
         };
         for outcome in outcomes {
-            play(&mut bench, outcome);
+            run(&mut fixture, outcome);
         }
         let (mut log, mut later) = (Vec::new(), later.into_iter());
-        let mut place = Some(Sweep::default());
-        while let Some(from) = place {
-            let (records, next) = bench.table.sweep(from, step);
+        let mut cursor = Some(SweepCursor::default());
+        while let Some(from) = cursor {
+            let (records, next) = fixture.table.sweep(from, step);
             log.extend(records);
-            place = next;
+            cursor = next;
             if let Some(outcome) = later.next() {
-                log.extend(play(&mut bench, outcome));
+                log.extend(run(&mut fixture, outcome));
             }
         }
         for outcome in later {
-            log.extend(play(&mut bench, outcome));
+            log.extend(run(&mut fixture, outcome));
         }
-        let again = restored(recorded(), bench.now, &log, true);
-        prop_assert_eq!(again.table.entries(), bench.table.entries());
-        prop_assert_eq!(again.table.answer_bytes(), bench.table.answer_bytes());
-        prop_assert_eq!(again.table.sweep(Sweep::default(), 1000).0.len(), bench.table.entries());
+        let rebuilt = restored_table(recorded_limits(), fixture.now, &log, true);
+        prop_assert_eq!(rebuilt.table.entries(), fixture.table.entries());
+        prop_assert_eq!(rebuilt.table.answer_bytes(), fixture.table.answer_bytes());
+        prop_assert_eq!(rebuilt.table.sweep(SweepCursor::default(), 1000).0.len(), fixture.table.entries());
     }
 }
