--- a/crates/emberpin-limiter/src/stages/idempotency.rs
+++ b/crates/emberpin-limiter/src/stages/idempotency.rs
@@ -14,10 +14,12 @@
 use crate::stages::takeover::{Keys as TakenKeys, Takeover, Terms, WorkGate};
 use bytes::Bytes;
 use emberpin_failover::WorkId;
-use emberpin_idempotency::claims::{Action, Claims, Event, Holding, Member, Rules, Said, Told};
+use emberpin_idempotency::claims::{
+    Action, ClaimConfig, ClaimId, Claims, Event, Member, Message, Reply,
+};
 use emberpin_idempotency::{
-    owner, Customer, Fingerprint, Form, Keeper, Key, Limits, Secret, Sweep, Table, Telling, Ticket,
-    Weight,
+    owner, Customer, Deduplicator, Fingerprint, Form, Key, Limits, Secret, SweepCursor, Table,
+    Telling, Ticket, Weight,
 };
 use emberpin_peering::Incarnation;
 use emberpin_wal::{LogEvent, Ticket as RecordTicket};
@@ -71,9 +73,9 @@
 
 /// The stage.
 pub struct Idempotency {
-    keeper: RefCell<Keeper<Answer>>,
+    keeper: RefCell<Deduplicator<Answer>>,
     /// Whoever is to be told something.
-    waiting: RefCell<HashMap<Ticket, oneshot::Sender<Told<Answer>>>>,
+    waiting: RefCell<HashMap<Ticket, oneshot::Sender<Reply<Answer>>>>,
     /// Requests that may go on yet.
     unsent: RefCell<HashMap<Ticket, First>>,
     /// The gates of requests that are open here.
@@ -120,7 +122,7 @@
             .remove(&self.ticket)
             .is_some()
         {
-            self.stage.handle(Event::Left {
+            self.stage.handle(Event::ClientLeft {
                 ticket: self.ticket,
             });
         }
@@ -180,11 +182,11 @@
         };
         let (mut keeper, secret) = match &config.link {
             None => (
-                Keeper::Alone(Box::new(Table::new(limits, now))),
+                Deduplicator::Single(Box::new(Table::new(limits, now))),
                 recalled.secret,
             ),
             Some((link, number)) => {
-                let rules = Rules {
+                let rules = ClaimConfig {
                     me: Member(*number),
                     members: link
                         .members
@@ -195,8 +197,8 @@
                     ask_within: millis(link.ask_within),
                     slack: millis(link.dead_after),
                     waiters_per_key: settings.waiters_per_key,
-                    owed: OWED,
-                    takes_over: config.takeover.is_some(),
+                    max_queued_outcomes: OWED,
+                    takeover_enabled: config.takeover.is_some(),
                     first_claim: match config.takeover {
                         Some(_) => u64::from_le_bytes(random()?) >> 1,
                         None => 0,
@@ -205,7 +207,7 @@
                 // All must see the same request as the same, so they share what fingerprints are made with.
                 let secret = tls::secret(Path::new(&link.keys))?;
                 (
-                    Keeper::Together(Box::new(Claims::new(rules, limits, now))),
+                    Deduplicator::Replicated(Box::new(Claims::new(rules, limits, now))),
                     secret,
                 )
             }
@@ -213,7 +215,7 @@
         for (record, same_clock) in recalled.records {
             keeper.table_mut().restore(record, same_clock);
         }
-        keeper.table_mut().restored();
+        keeper.table_mut().finish_restore();
         let takeover = match (&config.takeover, &link, &config.link) {
             (Some(settings), Some(link), Some((_, number))) => {
                 Some(Takeover::start(settings, config, link, *number))
@@ -325,7 +327,7 @@
         });
         let telling = timeout_at(request.expires, told).await;
         drop(owed);
-        if let (Some(gate), Ok(Ok(Told::Telling(Telling::Own(_))))) = (&gate, &telling) {
+        if let (Some(gate), Ok(Ok(Reply::Standard(Telling::Own(_))))) = (&gate, &telling) {
             _ = timeout_at(request.expires, gate.closed()).await;
         }
         die::here("reply");
@@ -355,7 +357,7 @@
         let served = matches!(answer, Answer::Served(_));
         self.handle(match answer {
             Answer::Served(_) => Event::Served { ticket, answer },
-            Answer::Refused { .. } => Event::Refused { ticket, answer },
+            Answer::Refused { .. } => Event::Rejected { ticket, answer },
             Answer::Failed => Event::Failed { ticket, answer },
         });
         if let Some((gate, takeover)) = work {
@@ -372,7 +374,7 @@
             .handle(boot_clock(), event, &mut actions);
         for action in actions {
             match action {
-                Action::Pass(ticket) => {
+                Action::Forward(ticket) => {
                     self.begin(ticket);
                     if let Some(first) = self.unsent.borrow_mut().remove(&ticket) {
                         spawn_local(first);
@@ -389,10 +391,10 @@
                     die::here("claim");
                     // An outcome that is not taken leaves the key as what may have run, in the next life.
                     if let Some(ticket) = ticket.filter(|_| !taken) {
-                        self.handle(Event::Unwritten { ticket });
+                        self.handle(Event::WriteFailed { ticket });
                     }
                 }
-                Action::Tell(ticket, told) => {
+                Action::Reply(ticket, told) => {
                     self.gates.borrow_mut().remove(&ticket);
                     self.unsent.borrow_mut().remove(&ticket);
                     if let Some(waiting) = self.waiting.borrow_mut().remove(&ticket) {
@@ -400,7 +402,7 @@
                         _ = waiting.send(told);
                     }
                 }
-                Action::Say(member, said) => {
+                Action::Send(member, said) => {
                     self.note_grant(member, &said);
                     if let (Some(link), Ok(body)) = (&self.link, postcard::to_allocvec(&said)) {
                         link.tell(member.0, KEYS, body);
@@ -433,8 +435,8 @@
     }
 
     /// What this limiter grants it may have to take over.
-    fn note_grant(&self, to: Member, said: &Said<Answer>) {
-        let (Some(takeover), Said::Granted(claim)) = (&self.takeover, said) else {
+    fn note_grant(&self, to: Member, said: &Message<Answer>) {
+        let (Some(takeover), Message::Granted(claim)) = (&self.takeover, said) else {
             return;
         };
         let holders = self.keeper.borrow().claims().and_then(|claims| {
@@ -448,13 +450,15 @@
     }
 
     /// Whether what a member says of its own claim still counts.
-    fn counts(&self, from: Member, said: &Said<Answer>) -> bool {
+    fn counts(&self, from: Member, said: &Message<Answer>) -> bool {
         let Some(takeover) = &self.takeover else {
             return true;
         };
         match said {
-            Said::Released(claim) | Said::Lost(claim) => takeover.settled(from, *claim, false),
-            Said::Served { claim, .. } => takeover.settled(from, *claim, true),
+            Message::Released(claim) | Message::Lost(claim) => {
+                takeover.settled(from, *claim, false)
+            }
+            Message::Served { claim, .. } => takeover.settled(from, *claim, true),
             _ => true,
         }
     }
@@ -462,10 +466,10 @@
     fn hear(&self, news: News) {
         match news {
             News::Told { from, body } => match postcard::from_bytes(&body) {
-                Ok(said) if self.counts(Member(from), &said) => {
-                    self.handle(Event::Heard {
+                Ok(message) if self.counts(Member(from), &message) => {
+                    self.handle(Event::Received {
                         from: Member(from),
-                        said,
+                        message,
                     });
                 }
                 Ok(_) => {}
@@ -482,12 +486,12 @@
                 if let Some(life) = state.incarnation {
                     let before = self.lives.borrow_mut().insert(member, life);
                     if before.is_some_and(|before| before != life) {
-                        self.handle(Event::NewLife { member: of });
+                        self.handle(Event::NewIncarnation { member: of });
                     }
                 }
-                self.handle(Event::Reaches {
+                self.handle(Event::ReachabilityChanged {
                     member: of,
-                    reaches: state.reachable,
+                    reachable: state.reachable,
                 });
             }
             News::Superseded => {}
@@ -515,7 +519,7 @@
                     tickets.len()
                 );
                 tickets.iter().for_each(|ticket| {
-                    self.handle(Event::Unwritten { ticket: of(ticket) });
+                    self.handle(Event::WriteFailed { ticket: of(ticket) });
                 });
             }
             // The sweep that asked for it hears of it.
@@ -525,8 +529,11 @@
 }
 
 impl TakenKeys for Idempotency {
-    fn ended(&self, of: Holding, ran: bool) {
-        self.handle(Event::Ended { of, ran });
+    fn ended(&self, claim_id: ClaimId, may_have_run: bool) {
+        self.handle(Event::ClaimEnded {
+            claim_id,
+            may_have_run,
+        });
     }
 
     fn taken_over(
@@ -542,7 +549,7 @@
         };
         match answer {
             Answer::Served(_) => {
-                self.handle(Event::Finished {
+                self.handle(Event::ServedAfterTakeover {
                     customer,
                     key,
                     fingerprint,
@@ -578,7 +585,7 @@
 /// How far the log's host is with writing all that is still wanted anew.
 struct Renewal {
     /// The next entries to be written, while a sweep is on.
-    sweep: Option<Sweep>,
+    sweep: Option<SweepCursor>,
     /// The segment that the sweep writes to; all before it go with its end.
     segment: u64,
     /// Bytes that the log held after the last sweep.
@@ -594,7 +601,7 @@
         };
         self.rotating = false;
         match result {
-            Ok(segment) => (self.sweep, self.segment) = (Some(Sweep::default()), *segment),
+            Ok(segment) => (self.sweep, self.segment) = (Some(SweepCursor::default()), *segment),
             // Looked at again after a while; nothing is lost by a log that is too long.
             Err(problem) => eprintln!("emberpin: log: cannot be turned over: {problem}"),
         }
@@ -633,7 +640,7 @@
     first_segment: u64,
 ) {
     let mut renewal = Renewal {
-        sweep: Some(Sweep::default()),
+        sweep: Some(SweepCursor::default()),
         segment: first_segment,
         then: 0,
         rotating: false,
@@ -662,8 +669,8 @@
 
 impl Idempotency {
     /// Writes some entries anew; `None` if they were not taken.
-    fn sweep(&self, memory: &Memory, from: Sweep) -> Option<Option<Sweep>> {
-        if from == Sweep::default() {
+    fn sweep(&self, memory: &Memory, from: SweepCursor) -> Option<Option<SweepCursor>> {
+        if from == SweepCursor::default() {
             let quiet = self.quiet_until > boot_clock();
             if !memory.secret(self.secret_bytes, Some(RecordTicket(NO_TICKET)))
                 || quiet && !memory.quiet(self.quiet_until)
@@ -681,10 +688,10 @@
 
 /// What a request is told, as its answer. 429 and 503 say that trying again does no harm, so they are given only
 /// to what was never sent.
-fn worded(told: Told<Answer>) -> Response<Content> {
+fn worded(told: Reply<Answer>) -> Response<Content> {
     let telling = match told {
-        Told::Telling(telling) => telling,
-        Told::NoMajority => {
+        Reply::Standard(telling) => telling,
+        Reply::NoMajority => {
             let what = "too few of the limiters that hold this customer's keys are there; nothing was sent";
             return problem(StatusCode::SERVICE_UNAVAILABLE, what, Some(AWAY_RETRY));
         }
--- a/crates/emberpin-limiter/src/stages/takeover.rs
+++ b/crates/emberpin-limiter/src/stages/takeover.rs
@@ -14,7 +14,7 @@
     Action, Config as FailoverConfig, Event, Failover, FirstAttempt, Member, ServerGroup,
     Timestamp, Verdict, Work, WorkId,
 };
-use emberpin_idempotency::claims::{Claim, Holding, Member as Holder};
+use emberpin_idempotency::claims::{Claim, ClaimId, Member as Holder};
 use emberpin_idempotency::{Customer, Fingerprint, Key};
 use emberpin_peering::{Incarnation, PeerState};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
@@ -35,7 +35,7 @@
 /// Whose keys work is taken over under.
 pub trait Keys {
     /// Nobody goes on with what a claim was granted for.
-    fn ended(&self, of: Holding, ran: bool);
+    fn ended(&self, claim_id: ClaimId, may_have_run: bool);
 
     /// What came of another's work that was gone on with here.
     fn taken_over(
--- a/crates/emberpin-limiter/tests/recorded_disk.rs
+++ b/crates/emberpin-limiter/tests/recorded_disk.rs
@@ -7,7 +7,7 @@
 #[path = "common/sockets.rs"]
 mod sockets;
 
-use emberpin_idempotency::{Known, Record};
+use emberpin_idempotency::{KeyStatus, Record};
 use emberpin_startup::snapshot;
 use emberpin_wal::{Files, Header, Identity, Log, Scanned};
 use recording::{file, hex, lines, Recorded};
@@ -235,10 +235,10 @@
 
 #[test]
 fn recorded_keys_are_claimed_before_they_are_served() {
-    let records: Vec<(String, Known<Answer>)> = recorded_keys()
+    let records: Vec<(String, KeyStatus<Answer>)> = recorded_keys()
         .iter()
         .filter_map(|(_, payload)| match decode(payload) {
-            Entry::Key(record) => Some((record.key.as_str().to_string(), record.known)),
+            Entry::Key(record) => Some((record.key.as_str().to_string(), record.status)),
             Entry::Secret(_) | Entry::Quiet(_) => None,
         })
         .collect();
@@ -247,9 +247,9 @@
         body: b"signed".to_vec(),
     };
     let written_down = [
-        ("first".to_string(), Known::Claimed),
-        ("first".to_string(), Known::Served(Some(answer))),
-        ("second".to_string(), Known::Claimed),
+        ("first".to_string(), KeyStatus::Claimed),
+        ("first".to_string(), KeyStatus::Served(Some(answer))),
+        ("second".to_string(), KeyStatus::Claimed),
     ];
     assert_eq!(records, written_down);
 }
@@ -258,7 +258,7 @@
 fn served(records: &[Recorded]) -> Record<Answer> {
     let is_served = |(_, payload): &Recorded| match decode(payload) {
         Entry::Key(record) => {
-            Some(record).filter(|record| matches!(record.known, Known::Served(_)))
+            Some(record).filter(|record| matches!(record.status, KeyStatus::Served(_)))
         }
         Entry::Secret(_) | Entry::Quiet(_) => None,
     };
--- a/crates/emberpin-limiter/tests/recorded_peers.rs
+++ b/crates/emberpin-limiter/tests/recorded_peers.rs
@@ -10,7 +10,7 @@
 mod sockets;
 
 use emberpin_failover::{Ballot, FirstAttempt, Member, Message as OfWork, Work, WorkId};
-use emberpin_idempotency::claims::{Claim, Said as OfKeys};
+use emberpin_idempotency::claims::{Claim, Message as OfKeys};
 use emberpin_idempotency::{Fingerprint, Key};
 use emberpin_startup::list_messages::{ListMessage, ListVersion, WatcherHeartbeat};
 use peer::{Peer, Told};
@@ -170,7 +170,7 @@
 fn understand(told: &Told) -> Option<(&'static str, Option<Vec<u8>>)> {
     if told.kind == KEYS {
         return match of_keys(&told.body) {
-            OfKeys::Wants { claim, key, .. } if key.as_str() == "first" => {
+            OfKeys::Request { claim, key, .. } if key.as_str() == "first" => {
                 Some(("wants", Some(encode(&OfKeys::<Answer>::Granted(claim)))))
             }
             OfKeys::Served { .. } => Some(("served", None)),
@@ -271,7 +271,7 @@
 
 fn claim_of(wants: &[u8]) -> Claim {
     match of_keys(wants) {
-        OfKeys::Wants { claim, .. } => claim,
+        OfKeys::Request { claim, .. } => claim,
         other => panic!("{other:?}"),
     }
 }
@@ -279,12 +279,12 @@
 /// What is told of keys, with this claim and time in place of those that each run has of its own.
 fn at_claim(body: &[u8], now: Claim) -> OfKeys<Answer> {
     match of_keys(body) {
-        OfKeys::Wants {
+        OfKeys::Request {
             customer,
             key,
             fingerprint,
             ..
-        } => OfKeys::Wants {
+        } => OfKeys::Request {
             claim: now,
             customer,
             key,
