--- a/crates/emberpin-idempotency/src/claims.rs
+++ b/crates/emberpin-idempotency/src/claims.rs
@@ -1,13 +1,18 @@
-//! One key, one first, over several limiters: a request goes on only once a majority of the limiters that hold its
+//! Coordinates the keys of several limiters: a request is forwarded only once a majority of the limiters that hold its
 //! customer's keys has granted it the key, each with its record on disk.
 //!
-//! Any two majorities share a limiter, and a limiter grants a key once within its retention. So two requests of a key
-//! are never both let on, whoever is cut off, paused or away; and one limiter of three may be gone for long without
-//! a request being refused for it. There is no leader to lose, no lease to run out, and no clock that two must share.
+//! Any two majorities have a limiter in common, and a limiter grants a key once within its retention period. So two
+//! requests of one key are never both forwarded, whichever limiters are partitioned, paused or down. One limiter of
+//! three may be down for long without a request being rejected for it. There is no leader that can fail, no lease that
+//! can expire, and no clock that limiters must share.
 //!
-//! Each limiter plays two parts. As a *holder* it has a [`Table`], in which other limiters' claims stand where requests
-//! stand at a limiter alone. As a *claimant* it asks the holders for the keys of the requests that came to it, and gathers
-//! the repeats that come meanwhile, so that a thousand of them ask once.
+//! Each limiter has two roles. As a *holder* it has a [`Table`], in which the claims of limiters take the place of the
+//! requests that a single limiter would enter. As a *claimant* it requests the keys of the requests that it received
+//! from their holders. Repeats that arrive at the claimant meanwhile wait for the same claim, so that a thousand of
+//! them send its messages once.
+//!
+//! If two claimants are each granted a part of the holders, so that neither has a majority, the one with the higher
+//! [`ClaimId`] withdraws its claim and waits for the other.
 
 use crate::fingerprint::Fingerprint;
 use crate::key::Key;
@@ -16,54 +21,56 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A limiter, by its number.
+/// The number of a limiter, the same in the settings of all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member(pub u32);
 
-/// One claim of a limiter's; never used again in its life.
+/// The number of a claim, unique within an incarnation of its claimant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Claim(pub u64);
 
-/// Whose claim holds a key.
+/// Identifies a claim among all limiters: its claimant and its number.
 pub type ClaimId = (Member, Claim);
 
-/// What limiters tell each other.
+/// A message between limiters about a claim. Encoded by position (postcard): the order of variants and fields is the
+/// wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message<A> {
-    /// The claimant wants this key.
+    /// From claimant to holder: requests a key.
     Request {
-        /// Its claim.
+        /// The claim that the key is requested for.
         claim: Claim,
-        /// Whose key it is.
+        /// The customer that the key belongs to.
         customer: Customer,
         /// The key.
         key: Key,
-        /// What the request looks like.
+        /// The fingerprint of the request.
         fingerprint: Fingerprint,
-        /// No attempt is begun under this claim later than so long from its sending.
+        /// Attempts under the claim start within this many milliseconds after the message is sent, none later.
         within: Millis,
     },
-    /// The holder grants it.
+    /// From holder to claimant: the key is granted.
     Granted(Claim),
-    /// Another claim has it and no outcome yet; the holder tells what becomes of it.
+    /// From holder to claimant: another claim has the key and no outcome yet. The holder sends another message once
+    /// that claim ends.
     Queued(Claim, ClaimId),
-    /// The holder cannot grant it.
+    /// From holder to claimant: the key is not granted, and the claim has ended at this holder.
     Denied(Claim, Denial<A>),
-    /// The claimant gives it up; nothing was sent under it.
+    /// From claimant to holder: the claim is withdrawn; nothing was sent under it.
     Released(Claim),
-    /// It may have run, and more will not be heard.
+    /// From claimant to holder: the request may have run, and no outcome will follow.
     Lost(Claim),
-    /// It was served.
+    /// To the holder: the request was served.
     Served {
-        /// Under which claim.
+        /// The claim under which the request was forwarded. After a takeover, a new number that stands for no claim.
         claim: Claim,
-        /// Whose key it is.
+        /// The customer that the key belongs to.
         customer: Customer,
         /// The key.
         key: Key,
-        /// What the request looks like.
+        /// The fingerprint of the request.
         fingerprint: Fingerprint,
-        /// With what.
+        /// The answer to the request.
         answer: A,
     },
 }
@@ -71,179 +78,183 @@
 /// Why a holder does not grant a key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Denial<A> {
-    /// Its outcome is known.
+    /// The key's request was served, with this answer.
     Replay(A),
-    /// It was served, and the answer is not kept.
+    /// The key's request was served, and its answer is not kept any more.
     NotKept,
-    /// It stands for another request.
+    /// The key was used for a request with another fingerprint.
     Mismatch,
-    /// It may have run.
+    /// The key's request may have run.
     Unknown,
-    /// As many wait as may.
+    /// The maximum number of claims waits for the key already.
     InFlight,
-    /// The holder does not know what ran before its start.
+    /// The holder has started recently and does not know what ran before its start.
     Quiet,
-    /// The holder has no place for it for so long.
+    /// The holder has no capacity for another key for this many milliseconds.
     Full(Millis),
-    /// The holder cannot write it down.
+    /// The holder could not write its record.
     NotWritten,
 }
 
-/// How claims are made.
+/// Configuration of [`Claims`]. There are no defaults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClaimConfig {
-    /// This limiter.
+    /// The number of this limiter.
     pub me: Member,
-    /// All limiters, this one among them.
+    /// All limiters, including this one.
     pub members: Vec<Member>,
-    /// How many hold each customer's keys: 1, or an odd number.
+    /// The number of holders of each customer's keys: 1, or an odd number.
     pub copies: usize,
-    /// A holder that has not answered by then counts as not there.
+    /// A holder that has not answered within this many milliseconds counts as unavailable for the claim.
     pub ask_within: Millis,
-    /// What a clock may gain on another's, and a message take, while a claim is out.
+    /// The margin, in milliseconds, that a holder adds to the time in which attempts may start under a claim. It covers
+    /// the delay of a message and the drift between two clocks during that time.
     pub slack: Millis,
-    /// Requests that wait for one claim at its claimant.
+    /// Maximum number of requests that wait for one claim at its claimant.
     pub waiters_per_key: usize,
-    /// Outcomes that are kept for a holder that is not there; the oldest gives way, and its key stays as what may have run.
+    /// Maximum number of outcomes that are queued for one unreachable holder. Beyond it the oldest is dropped, and the
+    /// holder then treats the key as one whose request may have run.
     pub max_queued_outcomes: usize,
-    /// Work outlives its limiter: what a life that is gone was granted stays in flight until it is said what became of it,
-    /// or its time is over.
+    /// Whether another limiter may take over work of a lost one. If so, a granted claim of an ended incarnation stays
+    /// in flight until its outcome is reported or its time is over.
     pub takeover_enabled: bool,
-    /// Claims are numbered from here on; those of two lives must not meet where work outlives them.
+    /// Claims get the numbers above this one. If `takeover_enabled`, numbers of two incarnations must not overlap.
     pub first_claim: u64,
 }
 
-/// What happened.
+/// An input of [`Claims::handle`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event<A> {
-    /// A keyed request came.
+    /// A request with a key arrived.
     Arrived {
-        /// Its name from now on.
+        /// Identifies the request from now on.
         ticket: Ticket,
-        /// Whose it is.
+        /// The customer that sent the request.
         customer: Customer,
-        /// Its key.
+        /// The key of the request.
         key: Key,
-        /// What it looks like.
+        /// The fingerprint of the request.
         fingerprint: Fingerprint,
-        /// So long from now its client gives up, and nothing is begun for it.
+        /// Milliseconds until the client times out. No attempt starts later.
         within: Millis,
     },
     /// A first request was served.
     Served {
-        /// Which.
+        /// The ticket of the request.
         ticket: Ticket,
-        /// With what.
+        /// The answer to the request.
         answer: A,
     },
-    /// A first request was refused, and is known not to have run.
+    /// A first request was rejected, and is known not to have run.
     Rejected {
-        /// Which.
+        /// The ticket of the request.
         ticket: Ticket,
-        /// With what.
+        /// The answer to the request.
         answer: A,
     },
     /// A first request failed, and may have run.
     Failed {
-        /// Which.
+        /// The ticket of the request.
         ticket: Ticket,
-        /// With what.
+        /// The answer to the request.
         answer: A,
     },
-    /// A request's client left.
+    /// The client of a request disconnected.
     ClientLeft {
-        /// Which.
+        /// The ticket of the request.
         ticket: Ticket,
     },
-    /// A record counts.
+    /// A record is durable.
     Written {
-        /// By the name that it was given.
+        /// The ticket that the [`Action::Record`] named.
         ticket: Ticket,
     },
     /// A record could not be written.
     WriteFailed {
-        /// By the name that it was given.
+        /// The ticket that the [`Action::Record`] named.
         ticket: Ticket,
     },
-    /// A member said something.
+    /// A message from another limiter arrived.
     Received {
-        /// Who.
+        /// The limiter in question.
         from: Member,
-        /// What.
+        /// The message.
         message: Message<A>,
     },
-    /// Whether something can be told to a member.
+    /// A limiter has become reachable or unreachable.
     ReachabilityChanged {
-        /// Whom.
+        /// The limiter in question.
         member: Member,
-        /// Whether.
+        /// Whether messages to it are delivered.
         reachable: bool,
     },
-    /// A member has started anew: what it had out may run yet, and nobody will tell.
+    /// A limiter has restarted. What its previous incarnation had in flight may still run, and it will not report the
+    /// outcome.
     NewIncarnation {
-        /// Who.
+        /// The limiter in question.
         member: Member,
     },
-    /// Nobody goes on with what a claim was granted for.
+    /// No limiter continues the work of a claim.
     ClaimEnded {
-        /// Whose claim, and which.
+        /// The claim that has ended.
         claim_id: ClaimId,
-        /// It may have run; else nothing of it was ever sent.
+        /// Whether the work may have run. Otherwise nothing of it was ever sent.
         may_have_run: bool,
     },
-    /// What another's claim was granted for was served here.
+    /// This limiter has taken over work of another limiter's claim, and it was served.
     ServedAfterTakeover {
-        /// Whose key it is.
+        /// The customer that the key belongs to.
         customer: Customer,
         /// The key.
         key: Key,
-        /// What the request looks like.
+        /// The fingerprint of the request.
         fingerprint: Fingerprint,
-        /// With what.
+        /// The answer to the request.
         answer: A,
     },
-    /// Time has passed.
+    /// Time has passed: time-outs are checked and expired entries removed.
     Tick,
 }
 
-/// What the host is to do.
+/// An output of [`Claims::handle`], to be carried out by the host in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action<A> {
-    /// Let this first request on, and say what came of it.
+    /// Forward this first request, and report its outcome.
     Forward(Ticket),
-    /// Keep it until it is told something, or leaves.
+    /// Hold this request until a later action forwards, answers or drops it.
     Hold(Ticket),
-    /// Nobody wants this request any more, and nothing of it was sent.
+    /// Discard this request: it will not be forwarded, and nothing of it was sent.
     Drop(Ticket),
-    /// Its one answer.
+    /// Send the one reply that this request gets.
     Reply(Ticket, Reply<A>),
-    /// Append this to the log. With a name, say whether it counts.
+    /// Append this record to the log. If there is a ticket, report with it whether the record became durable
+    /// ([`Event::Written`] or [`Event::WriteFailed`]).
     Record(Record<A>, Option<Ticket>),
-    /// Tell a member.
+    /// Send a message to another limiter.
     Send(Member, Message<A>),
 }
 
-/// What a request is told.
+/// The reply to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply<A> {
-    /// As a limiter alone would tell it.
+    /// A reply that a limiter deciding on its own could give too.
     Standard(Telling<A>),
-    /// Too few of those that hold its keys are there; nothing was sent.
+    /// Too few holders of the key are available for a majority; nothing was sent.
     NoMajority,
 }
 
-/// What a claimant knows from one holder.
+/// The state of a claim at one holder, as its claimant knows it.
 #[derive(Clone, Debug, PartialEq)]
 enum Vote<A> {
-    /// Not asked yet: a majority may do without it.
+    /// Not asked yet: a majority may be reached without it.
     NotAsked,
     Asked,
     Granted,
     Queued(ClaimId),
     Denied(Denial<A>),
-    /// Its grant was given back, for a lower claim; it may be asked again.
+    /// The claimant has withdrawn the claim after a grant, in favour of a lower claim. It may be requested again.
     Withdrawn,
-    /// Not there.
+    /// The holder is unreachable or did not answer in time.
     Unavailable,
 }
 
@@ -261,58 +272,64 @@
     }
 }
 
-/// A key that requests here want.
+/// A claim of this limiter, from the arrival of its first request to its outcome.
 #[derive(Clone)]
 struct PendingClaim<A> {
     claim: Claim,
     fingerprint: Fingerprint,
-    /// The request that goes on if the key is granted.
+    /// The request that is forwarded if the key is granted.
     lead: Ticket,
-    /// Its client is there.
+    /// Whether the client of `lead` is still connected.
     lead_connected: bool,
     waiters: Vec<Ticket>,
     votes: BTreeMap<Member, Vote<A>>,
-    /// Until then holders may answer.
+    /// Holders that have not answered by then count as unavailable.
     deadline: Millis,
-    /// Nothing is begun for it later.
+    /// No attempt starts later than this.
     start_deadline: Millis,
     forwarded: bool,
 }
 
-/// A claim that stands in this holder's table.
+/// A claim that this limiter has received as a holder, and that is in its table.
 #[derive(Clone)]
 struct ReceivedClaim {
     claim_id: ClaimId,
     customer: Customer,
     key: Key,
-    /// Whatever its claimant begins under it is begun by then.
+    /// All attempts under the claim have started by then. Without an outcome the claim ends then.
     deadline: Millis,
     granted: bool,
 }
 
 type CustomerKey = (Customer, Key);
 
-/// The claims of one limiter.
+/// Claimant and holder of one limiter. A state machine: see [`Claims::handle`].
 #[derive(Clone)]
 pub struct Claims<A> {
     config: ClaimConfig,
     now: Millis,
     table: Table<A>,
+    /// The claims of this limiter as a claimant.
     pending_claims: BTreeMap<CustomerKey, PendingClaim<A>>,
+    /// The keys in `pending_claims`, by the number of their claim.
     key_by_claim: BTreeMap<Claim, CustomerKey>,
+    /// The keys in `pending_claims`, by the tickets of their requests.
     key_by_ticket: BTreeMap<Ticket, CustomerKey>,
+    /// Claims in the table, by the ticket under which the table knows them.
     received: BTreeMap<Ticket, ReceivedClaim>,
     ticket_by_claim: BTreeMap<ClaimId, Ticket>,
     unreachable: BTreeSet<Member>,
-    /// What members that are away are to be told.
+    /// Outcomes to be sent to unreachable limiters once they are reachable again.
     queued_outcomes: BTreeMap<Member, Vec<Message<A>>>,
-    last_claim: u64,
-    /// What this limiter says to itself, in order.
+    /// The last number given to a claim of this limiter, or to a received claim as its ticket.
+    last_id: u64,
+    /// Messages of this limiter to itself, delivered in order before [`Claims::handle`] returns.
     loopback: Vec<Message<A>>,
 }
 
 impl<A: Clone + Weight> Claims<A> {
-    /// The claims of a limiter that starts now. All other members are away until it is told otherwise.
+    /// Creates the state of a limiter that starts at `now`. All other limiters count as unreachable until
+    /// [`Event::ReachabilityChanged`] says otherwise.
     pub fn new(config: ClaimConfig, limits: Limits, now: Millis) -> Claims<A> {
         let unreachable = config
             .members
@@ -332,22 +349,22 @@
             ticket_by_claim: BTreeMap::new(),
             unreachable,
             queued_outcomes: BTreeMap::new(),
-            last_claim: first_claim,
+            last_id: first_claim,
             loopback: Vec::new(),
         }
     }
 
-    /// What this limiter holds.
+    /// The table of this limiter as a holder.
     pub fn table(&self) -> &Table<A> {
         &self.table
     }
 
-    /// The same, to restore it before the first event.
+    /// The table, to be restored before the first event.
     pub fn table_mut(&mut self) -> &mut Table<A> {
         &mut self.table
     }
 
-    /// Who holds a customer's keys: the heaviest by rendezvous hashing, the same whoever asks.
+    /// The holders of a customer's keys: the limiters with the highest rendezvous weights, the same at every limiter.
     pub fn holders(&self, customer: Customer) -> Vec<Member> {
         let mut members: Vec<(u64, Member)> = self
             .config
@@ -363,7 +380,7 @@
             .collect()
     }
 
-    /// The claim under which a request of this limiter goes on, and whose key it is.
+    /// The claim of a request that this limiter received, and the customer of its key.
     pub fn claim_of(&self, ticket: Ticket) -> Option<(Claim, Customer)> {
         let customer_key = self.key_by_ticket.get(&ticket)?;
         self.pending_claims
@@ -371,14 +388,15 @@
             .map(|pending| (pending.claim, customer_key.0))
     }
 
-    /// Whose key a claim holds here.
+    /// The customer of a claim that this limiter has received as a holder.
     pub fn customer_of(&self, claim_id: ClaimId) -> Option<Customer> {
         self.received
             .get(self.ticket_by_claim.get(&claim_id)?)
             .map(|received| received.customer)
     }
 
-    /// Takes an event, and appends what is to be done about it.
+    /// Handles an event, and appends the actions that follow from it. A `now` before an earlier one counts as the
+    /// earlier one.
     pub fn handle(&mut self, now: Millis, event: Event<A>, actions: &mut Vec<Action<A>>) {
         self.now = self.now.max(now);
         match event {
@@ -434,8 +452,8 @@
                 fingerprint,
                 answer,
             } => {
-                self.last_claim += 1;
-                let claim = Claim(self.last_claim);
+                self.last_id += 1;
+                let claim = Claim(self.last_id);
                 for holder in self.holders(customer) {
                     let (key, answer) = (key.clone(), answer.clone());
                     self.send(
@@ -453,7 +471,7 @@
             }
             Event::Tick => self.tick(actions),
         }
-        // What is said to oneself is heard at once, in order, until nothing more comes of it.
+        // Delivers messages of this limiter to itself until there are no more.
         while !self.loopback.is_empty() {
             for message in std::mem::take(&mut self.loopback) {
                 self.on_message(self.config.me, message, actions);
@@ -470,7 +488,7 @@
             message,
             Message::Released(_) | Message::Lost(_) | Message::Served { .. }
         ) {
-            // An outcome is worth telling late: it turns "may have run" into an answer.
+            // An outcome is useful even if it is late: it turns "may have run" into an answer.
             let queue = self.queued_outcomes.entry(to).or_default();
             if queue.len() >= self.config.max_queued_outcomes && !queue.is_empty() {
                 queue.remove(0);
@@ -481,7 +499,7 @@
         }
     }
 
-    // As a claimant.
+    // Methods of the claimant.
 
     fn on_arrival(
         &mut self,
@@ -505,8 +523,8 @@
             };
             return actions.push(Action::Reply(ticket, Reply::Standard(telling)));
         }
-        self.last_claim += 1;
-        let claim = Claim(self.last_claim);
+        self.last_id += 1;
+        let claim = Claim(self.last_id);
         let votes = self
             .holders(customer)
             .into_iter()
@@ -533,8 +551,9 @@
         self.evaluate(&customer_key, actions);
     }
 
-    /// Asks the next holder that was not asked yet, this limiter first and then in the customer's own order, so that
-    /// claims of one key meet; false if there is none.
+    /// Requests the key from the next available holder that was not asked yet: this limiter first, then the others in
+    /// the customer's order, so that concurrent claims of one key meet at the same holders. Returns false if there is
+    /// none.
     fn ask_next_holder(
         &mut self,
         customer_key: &CustomerKey,
@@ -574,7 +593,8 @@
         true
     }
 
-    /// Whether what the holders have said so far decides about a key.
+    /// Forwards the first request if a majority has granted the key. Otherwise asks another holder, replies or
+    /// withdraws the claim, if the answers so far decide on that.
     fn evaluate(&mut self, customer_key: &CustomerKey, actions: &mut Vec<Action<A>>) {
         let Some(pending) = self
             .pending_claims
@@ -592,7 +612,7 @@
             pending.forwarded = true;
             return actions.push(Action::Forward(pending.lead));
         }
-        // What has an outcome has it, whoever else would grant it.
+        // A known outcome takes precedence, whichever other holders would grant the key.
         let replay = pending.votes.values().find_map(|vote| match vote {
             Vote::Denied(Denial::Replay(answer)) => Some(answer.clone()),
             _ => None,
@@ -629,13 +649,14 @@
             let reply = reply_from_denials(pending.votes.values());
             return self.end_unsent(customer_key, &reply, actions);
         }
-        // Neither has a majority while each keeps what it has: the lower claim keeps it, the other gives way and waits.
+        // Neither claim gets a majority while each keeps its grants. The lower claim keeps them; the other one
+        // withdraws and waits.
         if competing.iter().any(|other| *other < own_id) {
             self.withdraw_grants(customer_key, actions);
         }
     }
 
-    /// Gives back what was granted.
+    /// Withdraws the claim at the holders that have granted it.
     fn withdraw_grants(&mut self, customer_key: &CustomerKey, actions: &mut Vec<Action<A>>) {
         let Some(pending) = self.pending_claims.get_mut(customer_key) else {
             return;
@@ -653,7 +674,8 @@
         }
     }
 
-    /// Whoever this one gave way to has given up: asks again where it gave a grant back.
+    /// Requests the key again from the holders where the claim was withdrawn, as the claim that it gave way to has
+    /// ended without an outcome.
     fn ask_withdrawn_again(&mut self, customer_key: &CustomerKey, actions: &mut Vec<Action<A>>) {
         let Some(pending) = self.pending_claims.get_mut(customer_key) else {
             return;
@@ -693,7 +715,7 @@
         self.evaluate(customer_key, actions);
     }
 
-    /// Nobody here wants a key any more, or all are told.
+    /// Ends a claim under which nothing was sent: replies to its requests, and withdraws it at the holders.
     fn end_unsent(
         &mut self,
         customer_key: &CustomerKey,
@@ -713,7 +735,7 @@
             self.key_by_ticket.remove(waiter);
             actions.push(Action::Reply(*waiter, reply.clone()));
         }
-        // Each holder that may have it in its table; one that is away is told later.
+        // Sent to each holder that may have the claim in its table. For an unreachable one the message is queued.
         for (holder, vote) in pending.votes {
             if !matches!(vote, Vote::Denied(_) | Vote::NotAsked) {
                 self.send(holder, Message::Released(pending.claim), actions);
@@ -787,13 +809,14 @@
             self.key_by_ticket.remove(&ticket);
             actions.push(Action::Drop(ticket));
         }
-        // What is out goes on, so that a repeat has its outcome; what is not is dropped with the last who wants it.
+        // A forwarded request continues, so that repeats get its outcome. One that was not forwarded is dropped once no
+        // client waits for it.
         if !pending.forwarded && !pending.lead_connected && pending.waiters.is_empty() {
             self.end_unsent(&customer_key, &Reply::NoMajority, actions);
         }
     }
 
-    // As a holder.
+    // Methods of the holder.
 
     fn on_message(&mut self, from: Member, message: Message<A>, actions: &mut Vec<Action<A>>) {
         match message {
@@ -808,8 +831,9 @@
                 if self.ticket_by_claim.contains_key(&claim_id) {
                     return;
                 }
-                self.last_claim += 1;
-                let ticket = Ticket(self.last_claim);
+                self.last_id += 1;
+                let ticket = Ticket(self.last_id);
+                // At most 10 minutes count, whatever the message says.
                 let deadline = self.now + within.clamp(0.0, 600_000.0) + self.config.slack;
                 let received = ReceivedClaim {
                     claim_id,
@@ -881,15 +905,16 @@
         let pending = customer_key
             .as_ref()
             .and_then(|customer_key| self.pending_claims.get_mut(customer_key));
-        let known = pending.and_then(|pending| pending.votes.get_mut(&from));
-        match (known, customer_key) {
-            // What was given back, or counted as not there, has been released there already, behind the asking.
+        let known_vote = pending.and_then(|pending| pending.votes.get_mut(&from));
+        match (known_vote, customer_key) {
+            // A claim that was withdrawn or counted as unavailable has been released at the holder already, by a
+            // message that follows the request.
             (Some(Vote::Unavailable | Vote::Withdrawn | Vote::NotAsked), _) => {}
-            (Some(known), Some(customer_key)) => {
-                *known = vote;
+            (Some(known_vote), Some(customer_key)) => {
+                *known_vote = vote;
                 self.evaluate(&customer_key, actions);
             }
-            // Nobody here wants it any more.
+            // The claim has ended here: its grant is released.
             _ if vote.is_granted() => self.send(from, Message::Released(claim), actions),
             _ => {}
         }
@@ -907,7 +932,7 @@
         }
     }
 
-    /// Feeds the table, and tells claimants what it says.
+    /// Passes an event to the table, and sends the resulting messages to the claimants.
     fn apply_to_table(&mut self, event: table::Event<A>, actions: &mut Vec<Action<A>>) {
         let mut table_actions = Vec::new();
         self.table.handle(self.now, event, &mut table_actions);
@@ -933,7 +958,7 @@
                         .first_in_flight(received.customer, &received.key)
                         .filter(|first| *first != ticket);
                     let (to, claim) = received.claim_id;
-                    // One that waits only for its own record is told when that counts.
+                    // A claim that waits only for its own record gets its grant once the record is durable.
                     if let Some(claim_id) = first
                         .and_then(|first| self.received.get(&first))
                         .map(|received| received.claim_id)
@@ -963,7 +988,7 @@
             return;
         }
         self.unreachable.insert(member);
-        // Whatever it was asked may have reached it: it is told later that it was given up.
+        // The holder may have received the requests, so the claims are released there.
         let customer_keys: Vec<CustomerKey> = self
             .pending_claims
             .iter()
@@ -975,7 +1000,7 @@
         }
     }
 
-    /// A holder that has not answered, or that others are waited for at, is not there any more.
+    /// Counts a holder as unavailable for a claim, if it has not answered or has the claim queued behind another one.
     fn mark_unavailable(
         &mut self,
         customer_key: &CustomerKey,
@@ -994,15 +1019,15 @@
         self.evaluate(customer_key, actions);
     }
 
-    /// A member's earlier life is over, with all that it had out or wanted.
+    /// Ends the claims of a limiter's previous incarnation, except granted ones that another limiter may take over.
     fn end_previous_incarnation(&mut self, member: Member, actions: &mut Vec<Action<A>>) {
-        let expired = |received: &ReceivedClaim| {
+        let has_ended = |received: &ReceivedClaim| {
             received.claim_id.0 == member && !(received.granted && self.config.takeover_enabled)
         };
         let tickets: Vec<Ticket> = self
             .received
             .iter()
-            .filter(|(_, received)| expired(received))
+            .filter(|(_, received)| has_ended(received))
             .map(|(ticket, _)| *ticket)
             .collect();
         for ticket in tickets {
@@ -1010,7 +1035,7 @@
         }
     }
 
-    /// Nothing more will be heard of a claim: it may have run if it was granted.
+    /// Ends a claim without an outcome. If it was granted, its request may have run.
     fn end_without_outcome(&mut self, ticket: Ticket, actions: &mut Vec<Action<A>>) {
         let Some(received) = self.received.remove(&ticket) else {
             return;
@@ -1049,7 +1074,8 @@
     }
 }
 
-/// What a request is told when its key cannot be had: what says most of those who said anything.
+/// The reply to a request whose key cannot be granted: that of the holder whose denial says most about the request, in
+/// the order of `rank`.
 fn reply_from_denials<'a, A: Clone + 'a>(votes: impl Iterator<Item = &'a Vote<A>>) -> Reply<A> {
     let rank = |denial: &Denial<A>| match denial {
         Denial::Replay(_) => 0,
--- a/crates/emberpin-idempotency/src/deduplicator.rs
+++ b/crates/emberpin-idempotency/src/deduplicator.rs
@@ -1,20 +1,20 @@
-//! The keys of one limiter, alone or together with others, behind one set of events and actions.
+//! One interface to the keys of a limiter, whether it decides on its own or together with other limiters.
 
 use crate::claims::{Action, Claims, Event, Reply};
 use crate::record::Millis;
 use crate::table::{self, Table, Weight};
 
-/// Who decides about keys here.
+/// Deduplicates the keyed requests of one limiter.
 #[derive(Clone)]
 pub enum Deduplicator<A> {
-    /// This limiter by itself.
+    /// This limiter decides on its own.
     Single(Box<Table<A>>),
-    /// A majority of those that hold a customer's keys.
+    /// A majority of the limiters that hold a customer's keys decides.
     Replicated(Box<Claims<A>>),
 }
 
 impl<A: Clone + Weight> Deduplicator<A> {
-    /// What this limiter holds.
+    /// The key table of this limiter.
     pub fn table(&self) -> &Table<A> {
         match self {
             Deduplicator::Single(table) => table,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The same, to restore it before the first event.
+    /// The key table, to be restored before the first event.
     pub fn table_mut(&mut self) -> &mut Table<A> {
         match self {
             Deduplicator::Single(table) => table,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The claims, where a majority decides.
+    /// The claims, if a majority decides.
     pub fn claims(&self) -> Option<&Claims<A>> {
         match self {
             Deduplicator::Single(_) => None,
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Takes an event, and appends what is to be done about it. What others say is nothing to one that is alone.
+    /// Handles an event, and appends the actions that follow from it. Events about other limiters have no effect in the
+    /// single mode.
     pub fn handle(&mut self, now: Millis, event: Event<A>, actions: &mut Vec<Action<A>>) {
         let table = match self {
             Deduplicator::Replicated(claims) => return claims.handle(now, event, actions),
--- a/crates/emberpin-idempotency/src/fingerprint.rs
+++ b/crates/emberpin-idempotency/src/fingerprint.rs
@@ -1,15 +1,15 @@
-//! The fingerprint of a request (section 2.4 of the draft): a keyed hash, so that nobody without the secret can
-//! make two requests that look the same. BLAKE3 in its keyed mode, cut to 128 bits.
+//! The fingerprint of a request (section 2.4 of the draft): a keyed hash, so that nobody without the secret can make
+//! two requests with the same fingerprint. It is BLAKE3 in its keyed mode, truncated to 128 bits.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// What the limiters of a site share; never shown.
+/// The secret key of the hash, shared by the limiters of a site. Its `Debug` output does not show it.
 #[derive(Clone)]
 pub struct Secret([u8; 32]);
 
 impl Secret {
-    /// A secret of these bytes, from whatever random source the host has.
+    /// Creates a secret from 32 bytes of the host's random source.
     pub fn new(bytes: [u8; 32]) -> Secret {
         Secret(bytes)
     }
@@ -21,13 +21,13 @@
     }
 }
 
-/// What a request looks like.
+/// Identifies the content of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint([u8; 16]);
 
 impl Fingerprint {
-    /// The fingerprint of a request's method, path with query, class and body. Each part is hashed with its length
-    /// before it, so that no byte can move from one into the next.
+    /// The fingerprint of a request's method, path with query, class and body. The length of each part is hashed before
+    /// it, so that moving a byte from one part to the next changes the fingerprint.
     pub fn of(secret: &Secret, method: &str, path: &str, class: usize, body: &[u8]) -> Fingerprint {
         let mut hasher = blake3::Hasher::new_keyed(&secret.0);
         for part in [
--- a/crates/emberpin-idempotency/src/key.rs
+++ b/crates/emberpin-idempotency/src/key.rs
@@ -1,36 +1,37 @@
 //! The `Idempotency-Key` field. The draft (section 2.1) makes it a Structured Field string (RFC 9651, section 3.3.3):
-//! printable ASCII in double quotes, with `\"` and `\\` escaped. Many clients send the bare value; where the
-//! operator allows it, that is taken too, and means the same key as the quoted one.
+//! printable ASCII in double quotes, with `\"` and `\\` escaped. Many clients send the bare value. Where the operator
+//! allows it, the bare value is accepted too and means the same key as the quoted one.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Most characters of a key.
+/// The maximum length of a key, in characters.
 pub const MAX_KEY_LENGTH: usize = 255;
 
-/// Which forms of the field are taken.
+/// The accepted forms of the field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Form {
     /// Only a Structured Field string.
     Quoted,
-    /// That, or the bare value: visible ASCII without quotes, commas and semicolons.
+    /// A Structured Field string, or the bare value: visible ASCII without quotes, commas, semicolons and backslashes.
     QuotedOrBare,
 }
 
-/// A key as its client chose it, unquoted: 1 to [`LONGEST`] printable ASCII characters.
+/// A key as its client chose it, unquoted: 1 to [`MAX_KEY_LENGTH`] printable ASCII characters.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key(Box<str>);
 
-/// Why a field's value is no key.
+/// Why a field value is not a valid key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InvalidKey {
-    /// Nothing stands in it.
+    /// The key is empty.
     Empty,
-    /// More than [`LONGEST`] characters.
+    /// The key has more than [`MAX_KEY_LENGTH`] characters.
     TooLong,
-    /// It is not in a form that is taken.
+    /// The value is not in an accepted form, or its closing quote is missing.
     NotAString,
-    /// A character that may not stand there, at this place from 0.
+    /// An invalid character, at this position counted from 0. For a quoted value, positions count from the opening
+    /// quote.
     Character(usize),
 }
 
@@ -53,11 +54,11 @@
 }
 
 impl Key {
-    /// Reads the field's value.
+    /// Parses the value of the field.
     ///
     /// # Errors
     ///
-    /// Why it is no key.
+    /// Returns the reason if the value is not a valid key.
     pub fn parse(value: &str, form: Form) -> Result<Key, InvalidKey> {
         let value = value.trim_matches([' ', '\t']);
         let key = match value.strip_prefix('"') {
@@ -72,13 +73,14 @@
         }
     }
 
-    /// Its characters.
+    /// The unquoted characters of the key.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
-/// What stands between the quotes; the first is taken off already. Parameters are not taken: none is defined.
+/// Unquotes a Structured Field string whose opening quote has been removed. Parameters after the string are rejected:
+/// none is defined.
 fn unquote(after_quote: &str) -> Result<String, InvalidKey> {
     let mut key = String::with_capacity(after_quote.len());
     let mut characters = after_quote.char_indices();
--- a/crates/emberpin-idempotency/src/lib.rs
+++ b/crates/emberpin-idempotency/src/lib.rs
@@ -1,12 +1,17 @@
-//! Recognises repeats of keyed requests at the edge: which request is the first of its key and goes on, which
-//! waits for it, and which is told what came of it.
+//! Deduplicates requests that carry an `Idempotency-Key`. For each request it decides whether it is the first of its
+//! key and is forwarded, whether it waits for the first one, or which reply it gets.
 //!
-//! It decides nothing about servers: whether a first request gets one, and whether again, is `emberpin-balancer`'s. It has no
-//! I/O, no clock and no randomness: [`Table::handle`] takes what happened and appends what is to be done.
+//! [`Table`] holds the keys of one limiter. [`claims::Claims`] coordinates several limiters: a request is forwarded
+//! only once a majority of the limiters that hold its customer's keys has granted it the key. [`Deduplicator`] puts
+//! both behind one interface.
 //!
-//! Sources: draft-ietf-httpapi-idempotency-key-header-07 (sections 2.1 on the field, 2.2 on uniqueness, 2.4 on
-//! the fingerprint, 2.6 and 2.7 on enforcement and errors) and RFC 9110 (section 9.2.2 on idempotent methods, 15.5
-//! on client errors).
+//! The crate does not choose servers: whether a first request gets one, and whether it is retried, is decided by
+//! `emberpin-balancer`. It has no I/O, no clock and no randomness: [`Table::handle`] takes an event with the time and
+//! appends the actions that the host is to carry out.
+//!
+//! Sources: draft-ietf-httpapi-idempotency-key-header-07 (sections 2.1 on the field, 2.2 on uniqueness, 2.4 on the
+//! fingerprint, 2.6 and 2.7 on enforcement and errors) and RFC 9110 (section 9.2.2 on idempotent methods, 15.5 on
+//! client errors).
 #![forbid(unsafe_code)]
 
 pub mod claims;
--- a/crates/emberpin-idempotency/src/owner.rs
+++ b/crates/emberpin-idempotency/src/owner.rs
@@ -1,18 +1,19 @@
-//! Which limiter a customer's keys belong to, with no message: rendezvous hashing (Thaler and Ravishankar, 1998).
-//! Every limiter weighs the members of the customer's set by a hash of both, and the heaviest owns its keys. All come
-//! to the same owner, and when a set changes, only what belonged to the limiter that left moves.
+//! Assigns each customer's keys to a limiter without messages, by rendezvous hashing (Thaler and Ravishankar, 1998).
+//! Every limiter computes a weight for each member of the customer's set from a hash of both, and the member with the
+//! highest weight owns the keys. All limiters compute the same owner, and when a limiter leaves a set, only the keys
+//! that it owned move.
 
 use crate::record::Customer;
 
-/// The number of the owner among the limiters of a customer's set: `size` of them in a row from `first`, counted
-/// round in a group of `group`. `None` for a set of nobody.
+/// The number of the limiter that owns a customer's keys. The customer's set consists of `size` consecutive limiters
+/// starting at `first`, wrapping around in a group of `group` limiters. `None` if the set is empty.
 pub fn owner(customer: Customer, first: u32, size: u32, group: u32) -> Option<u32> {
     let members = (0..size.min(group)).map(|offset| (first % group + offset) % group);
     members.max_by_key(|member| (weight(customer, *member), *member))
 }
 
-/// BLAKE3 of customer and limiter. Nobody gains by an owner of choice, so it needs no secret, and a limiter with
-/// another secret still comes to the same.
+/// The rendezvous weight of a limiter for a customer: the first 64 bits of the BLAKE3 hash of both. Nobody gains from
+/// choosing an owner, so the hash needs no secret, and limiters with different secrets compute the same owner.
 pub(crate) fn weight(customer: Customer, member: u32) -> u64 {
     let mut input = [0; 12];
     input[..8].copy_from_slice(&customer.0.to_le_bytes());
@@ -28,7 +29,7 @@
     use super::*;
     use std::collections::BTreeSet;
 
-    /// Exhaustive over small groups: exactly one owner, of the set, the same whoever asks.
+    /// Exhaustive over small groups: each set has exactly one owner, which is a member of the set.
     #[test]
     fn every_set_has_one_owner_that_is_a_member() {
         for group in 1..6u32 {
--- a/crates/emberpin-idempotency/src/record.rs
+++ b/crates/emberpin-idempotency/src/record.rs
@@ -1,40 +1,41 @@
-//! What a log keeps of a key, so that the next life knows it.
+//! The log records of keys, from which the next incarnation of a limiter restores its table. They are encoded by
+//! position (postcard), so the order of fields and variants is part of the format.
 
 use crate::fingerprint::Fingerprint;
 use crate::key::Key;
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds of the host's steady clock; only differences have a meaning.
+/// Milliseconds of the host's monotonic clock. Only differences are meaningful.
 pub type Millis = f64;
 
-/// A customer, equal at every limiter.
+/// Identifies a customer, with the same number at every limiter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Customer(pub u64);
 
-/// All that is known of one key; a later record of a key stands in place of an earlier one.
+/// The state of one key. A later record of a key replaces an earlier one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record<A> {
-    /// Whose key it is.
+    /// The customer that the key belongs to.
     pub customer: Customer,
     /// The key.
     pub key: Key,
-    /// What its request looks like.
+    /// The fingerprint of the key's request.
     pub fingerprint: Fingerprint,
-    /// When this came to be known, by the writer's clock.
+    /// When the key got this status, by the writer's clock.
     pub at: Millis,
-    /// What is known.
+    /// The status of the key.
     pub status: KeyStatus<A>,
 }
 
-/// What is known of a key.
+/// The recorded status of a key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum KeyStatus<A> {
-    /// Its first request is let on, if nothing else is heard: it may have run.
+    /// Its first request is about to be forwarded. Without a later record it may have run.
     Claimed,
-    /// Served, with this answer unless it gave way.
+    /// Its request was served. The answer is `None` if it was evicted.
     Served(Option<A>),
-    /// It may have run.
+    /// Its request may have run.
     Unknown,
-    /// It never ran, or its time is over.
+    /// Its request never ran, or its retention period is over: the key is free.
     Removed,
 }
--- a/crates/emberpin-idempotency/src/table.rs
+++ b/crates/emberpin-idempotency/src/table.rs
@@ -1,180 +1,192 @@
-//! The table of keys: who is first, who waits, who is told what came of it, and what gives way when it is full.
+//! The table of keys of one limiter. It decides which request of a key is the first and is forwarded, which requests
+//! wait for it, which reply each of them gets, and what is evicted when the table is full.
 //!
-//! An entry whose request has run, or may have, is never forgotten before its retention time is over: forgetting it
-//! could sign twice. What gives way is the *answer* kept with it: a repeat is then told that the work is done
-//! and that its answer is not kept any more. When no entry can be made, new work is refused with the time at
-//! which the oldest entry goes.
+//! An entry whose request has run, or may have run, is never removed before its retention period is over: without the
+//! entry, a repeat would be signed a second time. Only the *answer* kept with an entry is evicted early; a repeat is
+//! then told that the work is done and that its answer is not kept any more. When there is no capacity for another
+//! entry, new work is rejected with the time until the oldest entry expires.
+//!
+//! After a start without the records of the previous incarnation, no request is forwarded during a *quiet* period, as
+//! it may have run before the start.
 
 use crate::fingerprint::Fingerprint;
 use crate::key::Key;
 use crate::record::{Customer, KeyStatus, Millis, Record};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// One request as the host names it; never used again.
+/// Identifies one request to the host and the table. Never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// What is kept of an answer has a size.
+/// The size of an answer, for the limit of kept bytes.
 pub trait Weight {
-    /// Bytes that it holds.
+    /// The size in bytes.
     fn weight(&self) -> usize;
 }
 
-/// The bounds. A customer's are its share of the table's, so that no one firm can push out the others' keys.
+/// The limits of a table. A customer may use at most its share of the table's limits, so that no customer can evict the
+/// keys of others.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Entries in all.
+    /// Maximum number of entries, over all customers.
     pub entries: usize,
-    /// Bytes of kept answers in all.
+    /// Maximum size of the kept answers in bytes, over all customers.
     pub answer_bytes: usize,
-    /// Requests that wait for the first of their key.
+    /// Maximum number of requests that wait for the first request of one key.
     pub waiters_per_key: usize,
-    /// Requests of one customer that wait.
+    /// Maximum number of waiting requests of one customer.
     pub waiters_per_customer: usize,
-    /// The part of entries and of bytes that one customer may hold, above 0 and at most 1.
+    /// The share of `entries` and of `answer_bytes` that one customer may use, above 0 and at most 1. It is rounded
+    /// down, but never to less than one entry or byte.
     pub customer_share: f64,
-    /// How long an outcome is kept.
+    /// How long an entry is kept after its outcome, in milliseconds.
     pub retention: Millis,
-    /// Nothing is let on so soon after the start, as what the life before let on is forgotten.
+    /// For this long after the start, in milliseconds, no request is forwarded, as the table does not know what the
+    /// previous incarnation forwarded.
     pub quiet: Millis,
-    /// A repeat waits for the first; else it is told that the first is in flight.
+    /// Whether a repeat waits for the first request. Otherwise it is told at once that the first one is in flight.
     pub wait: bool,
-    /// Records are written to a log, and a first request goes on only once its record counts there.
+    /// Whether records are written to a log. If so, a first request is forwarded only once its record is durable.
     pub recorded: bool,
 }
 
-/// What happened.
+/// An input of [`Table::handle`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event<A> {
-    /// A keyed request came.
+    /// A request with a key arrived.
     Arrived {
-        /// Its name from now on.
+        /// Identifies the request from now on.
         ticket: Ticket,
-        /// Whose it is.
+        /// The customer that sent the request.
         customer: Customer,
-        /// Its key.
+        /// The key of the request.
         key: Key,
-        /// What it looks like.
+        /// The fingerprint of the request.
         fingerprint: Fingerprint,
     },
     /// A first request was served.
     Served {
-        /// Which.
+        /// The ticket of the first request.
         ticket: Ticket,
-        /// With what.
+        /// The answer to the request.
         answer: A,
     },
-    /// A first request was refused, and is known not to have run.
+    /// A first request was rejected, and is known not to have run.
     Rejected {
-        /// Which.
+        /// The ticket of the first request.
         ticket: Ticket,
-        /// With what.
+        /// The answer to the request.
         answer: A,
     },
     /// A first request failed, and may have run.
     Failed {
-        /// Which.
+        /// The ticket of the first request.
         ticket: Ticket,
-        /// With what.
+        /// The answer to the request.
         answer: A,
     },
-    /// A request's client left, or its patience is over: it is owed nothing more. A first request goes on.
+    /// The client of a request disconnected or timed out: it gets no reply any more. A first request continues, a
+    /// waiting one is dropped.
     ClientLeft {
-        /// Which.
+        /// The ticket of the first request.
         ticket: Ticket,
     },
-    /// A first request was given up before anything of it was sent; the next that waits stands in its place.
+    /// A first request was abandoned before anything of it was sent. The next waiting request takes its place. If the
+    /// ticket is that of a waiting request, it is removed.
     Released {
-        /// Which.
+        /// The ticket of the first request.
         ticket: Ticket,
     },
-    /// What came of a first request will never be heard: it may have run.
+    /// The outcome of a first request will never be known: it may have run. If the ticket is that of a waiting request,
+    /// it is removed.
     Lost {
-        /// Which.
+        /// The ticket of the first request.
         ticket: Ticket,
     },
-    /// A key's request was served, whoever let it on.
+    /// The request of a key was served, no matter which limiter forwarded it.
     Learned {
-        /// Whose it is.
+        /// The customer that sent the request.
         customer: Customer,
-        /// Its key.
+        /// The key of the request.
         key: Key,
-        /// What it looks like.
+        /// The fingerprint of the request.
         fingerprint: Fingerprint,
-        /// With what.
+        /// The answer to the request.
         answer: A,
     },
-    /// The record of a first request counts.
+    /// The record of a first request is durable.
     Written {
-        /// Which.
+        /// The ticket of the first request.
         ticket: Ticket,
     },
     /// The record of a first request could not be written.
     WriteFailed {
-        /// Which.
+        /// The ticket of the first request.
         ticket: Ticket,
     },
-    /// Time has passed.
+    /// Time has passed: expired entries are removed.
     Tick,
 }
 
-/// What the host is to do.
+/// An output of [`Table::handle`], to be carried out by the host in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action<A> {
-    /// This is the first of its key: let it on, and say what came of it.
+    /// Forward this request, the first of its key, and report its outcome.
     Forward(Ticket),
-    /// Keep it until it is told something, or leaves.
+    /// Hold this request until a later action forwards, answers or drops it.
     Hold(Ticket),
-    /// Nobody wants this request any more, and nothing of it was sent: forget it.
+    /// Discard this request: no client waits for it any more, and nothing of it was sent.
     Drop(Ticket),
-    /// Append this to the log. With a ticket, say whether it counts.
+    /// Append this record to the log. If there is a ticket, report with it whether the record became durable
+    /// ([`Event::Written`] or [`Event::WriteFailed`]).
     Record(Record<A>, Option<Ticket>),
-    /// Its one answer.
+    /// Send the one reply that this request gets.
     Tell(Ticket, Telling<A>),
 }
 
-/// What a request is told.
+/// The reply to a request. The numbers are the HTTP statuses that the host answers with.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Telling<A> {
-    /// To the first: its own outcome.
+    /// For the first request: its own outcome.
     Own(A),
-    /// To a repeat: the outcome of the first, as it was.
+    /// For a repeat: the outcome of the first request, unchanged.
     Replay(A),
-    /// The key stands for another request: 422.
+    /// The key was used for a request with another fingerprint: 422.
     Mismatch,
-    /// The first is in flight: 409. Also when as many wait as may.
+    /// The first request is in flight: 409. Also sent when the maximum number of requests waits already.
     InFlight,
-    /// The first failed and may have run; it is never sent again under this key: 409.
+    /// The first request failed and may have run. No request is sent again under this key: 409.
     Unknown,
-    /// The first was served, and its answer is not kept any more: 409.
+    /// The first request was served, and its answer is not kept any more: 409.
     NotKept,
-    /// There is no place for another key: come back after this time.
+    /// There is no capacity for another key. The client may retry after `retry_after`.
     Full {
-        /// Until the entry that is in the way goes.
+        /// Milliseconds until the blocking entry expires.
         retry_after: Millis,
     },
-    /// Too soon after a start to know whether it ran before; it is never sent under this key: 409.
+    /// The request arrived in the quiet period after a start, so it is unknown whether it ran before. It is never sent
+    /// under this key: 409.
     Quiet,
-    /// The log cannot be written, so nothing was sent: come back later.
+    /// The log could not be written, so nothing was sent. The client may retry later.
     NotWritten,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EntryId(u64);
 
-/// What is known of a key.
+/// The state of an entry.
 #[derive(Clone)]
 enum State<A> {
-    /// The first is out, and these wait for it; it is told its outcome unless it has left. It is not out yet while
-    /// its record is being written.
+    /// The first request is in flight, or waits for its record to become durable (`record_pending`). `first` is `None`
+    /// once its client has disconnected: its outcome is then sent to `waiters` only.
     InFlight {
         first: Option<Ticket>,
         waiters: Vec<Ticket>,
         record_pending: bool,
     },
-    /// Served; the answer unless it gave way.
+    /// The request was served. The answer is `None` if it was not kept or was evicted.
     Served { answer: Option<A> },
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
@@ -184,51 +196,51 @@
     key: Key,
     fingerprint: Fingerprint,
     state: State<A>,
-    /// When it is forgotten, once it has an outcome.
+    /// When the entry is removed. Meaningful only once there is an outcome.
     expires: Millis,
 }
 
-/// What one customer holds.
+/// The part of the table that one customer uses.
 #[derive(Clone, Default)]
 struct CustomerUsage {
     entries: usize,
     bytes: usize,
     waiters: usize,
-    /// Its entries with an outcome, the oldest first.
+    /// The customer's entries with an outcome, the oldest first.
     concluded: VecDeque<EntryId>,
-    /// Those of them whose answer is kept.
+    /// The entries of `concluded` whose answer is kept, the oldest first.
     answers: VecDeque<EntryId>,
 }
 
-/// How far a sweep over all entries has come.
+/// The position of a sweep over all entries, from which [`Table::sweep`] continues. The default is the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SweepCursor(u64);
 
-/// The table.
+/// The key table of one limiter. A state machine: see [`Table::handle`].
 #[derive(Clone)]
 pub struct Table<A> {
     limits: Limits,
-    /// The latest time seen: a clock that steps back stands still here.
+    /// The latest time passed in. An earlier time than this is ignored.
     now: Millis,
-    /// The quiet time after the start ends then.
+    /// The end of the quiet period after the start.
     quiet_until: Millis,
-    /// Later for these customers, each of whom holds its whole share.
+    /// Later ends of the quiet period for customers whose share of entries was full during it.
     extended_quiet: BTreeMap<Customer, Millis>,
     next_id: u64,
     bytes: usize,
     entries: BTreeMap<EntryId, Entry<A>>,
     by_key: BTreeMap<(Customer, Key), EntryId>,
-    /// First requests that are out, and requests that wait.
+    /// The entries of first requests in flight and of waiting requests.
     tickets: BTreeMap<Ticket, EntryId>,
     customers: BTreeMap<Customer, CustomerUsage>,
-    /// Entries with an outcome, the oldest first: all are kept for the same time.
+    /// Entries with an outcome, the oldest first. All are kept for the same time, so they expire in this order.
     concluded: VecDeque<EntryId>,
-    /// Customers by the bytes that they hold.
+    /// Customers by the size of their kept answers.
     by_bytes: BTreeSet<(usize, Customer)>,
 }
 
 impl<A: Clone + Weight> Table<A> {
-    /// An empty table of a process that starts now.
+    /// Creates an empty table for a process that starts at `now`.
     pub fn new(limits: Limits, now: Millis) -> Table<A> {
         let quiet_until = now + limits.quiet;
         Table {
@@ -247,17 +259,18 @@
         }
     }
 
-    /// Entries that there are.
+    /// The number of entries.
     pub fn entries(&self) -> usize {
         self.entries.len()
     }
 
-    /// Bytes of answers that are kept.
+    /// The size of the kept answers, in bytes.
     pub fn answer_bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Takes an event, and appends what is to be done about it.
+    /// Handles an event, and appends the actions that follow from it. A `now` before an earlier one counts as the
+    /// earlier one.
     pub fn handle(&mut self, now: Millis, event: Event<A>, actions: &mut Vec<Action<A>>) {
         self.now = self.now.max(now);
         self.expire();
@@ -340,7 +353,7 @@
         }
     }
 
-    /// A key that is not known: the first of it, if there is a place.
+    /// Handles the first request of an unknown key, if there is capacity for another entry.
     fn handle_unknown_key(
         &mut self,
         ticket: Ticket,
@@ -360,9 +373,10 @@
             });
         if self.now < quiet_until {
             let later = self.now + self.limits.retention;
-            // What is seen now may have run before the start. Told to come back, it would be taken for new work then:
-            // so it is kept as what may have run. Where no place is left for that, the quiet lasts on, for whom
-            // there is none.
+            // The request may have run before the start. If its client were asked to retry, the retry would count as
+            // new work after the quiet period. So the key is recorded as one that may have run. Where there is no
+            // capacity for that, the quiet period is extended: for all customers if the table is full, or for this
+            // customer if its share is.
             if full {
                 self.quiet_until = later;
             } else if own_full {
@@ -379,8 +393,8 @@
             return Action::Tell(ticket, Telling::Quiet);
         }
         if full || own_full {
-            // Of both that are in the way the later to go counts. While all are in flight, one of them goes, at
-            // the soonest, a whole retention from now.
+            // If both limits are reached, the one that is freed later counts. If all entries are in flight, the
+            // earliest that one can expire is a whole retention period from now.
             let earliest_expiry = |concluded: Option<&VecDeque<EntryId>>| {
                 let oldest = concluded
                     .and_then(|concluded| concluded.front())
@@ -418,7 +432,7 @@
         }
     }
 
-    /// The record that a first request waits for; none for one that waits for something else.
+    /// The record that a first request waits for. `None` for a request that waits for another one.
     fn claim_record(&self, ticket: Ticket) -> Option<Record<A>> {
         let entry = self.entries.get(self.tickets.get(&ticket)?)?;
         match &entry.state {
@@ -469,7 +483,7 @@
             actions.push(Action::Forward(ticket));
             return;
         }
-        // Whoever wanted it left before anything was sent: the key is as if it had never come.
+        // All clients disconnected before anything was sent, so the key is free again.
         self.tickets.remove(&ticket);
         if let Some(entry) = self.entries.get(&id) {
             actions.push(Action::Record(self.record(entry, KeyStatus::Removed), None));
@@ -478,7 +492,7 @@
         self.remove_entry(id);
     }
 
-    /// The request that holds a key that has no outcome yet.
+    /// The first request of a key that has no outcome yet. `None` if its client has disconnected.
     pub fn first_in_flight(&self, customer: Customer, key: &Key) -> Option<Ticket> {
         match &self
             .entries
@@ -557,7 +571,7 @@
         }
     }
 
-    /// An entry has an outcome from now on, and these that waited are told so.
+    /// Marks an entry as concluded now, and sends a reply to its waiting requests.
     fn conclude_with_reply(
         &mut self,
         id: EntryId,
@@ -592,7 +606,7 @@
             Some((_, entry)) if entry.fingerprint != fingerprint => return,
             Some((id, entry)) => match &mut entry.state {
                 State::Served { .. } => return,
-                // It has its place among the outcomes already.
+                // The entry is in the queues of concluded entries already.
                 State::Unknown => {
                     entry.state = State::Served { answer: None };
                     id
@@ -613,7 +627,7 @@
                     id
                 }
             },
-            // More than the bound if need be: what has run is never forgotten.
+            // Exceeds the entry limit if necessary: work that has run is always recorded.
             None => {
                 let id = self.insert(
                     customer,
@@ -663,9 +677,9 @@
         self.remove_entry(id);
     }
 
-    /// Takes a record that an earlier life wrote. Records come in the order in which they were written, before any
-    /// event; [`Table::restored`] follows the last. `same_clock` if that life's clock can be compared with this
-    /// one's.
+    /// Restores a record that an earlier incarnation wrote. Records are passed in the order in which they were written
+    /// and before any event; [`Table::finish_restore`] follows the last one. `same_clock` says whether the clock of
+    /// that incarnation is comparable with the current one.
     pub fn restore(&mut self, record: Record<A>, same_clock: bool) {
         let Record {
             customer,
@@ -684,7 +698,7 @@
         };
         let (expires, answer) = match status {
             KeyStatus::Removed => return,
-            // It may have run until that life's end, which nothing tells.
+            // The request may have run until the end of that incarnation, and the log does not tell when that was.
             KeyStatus::Claimed => (self.now + self.limits.retention, None),
             KeyStatus::Unknown => (concluded_at + self.limits.retention, None),
             KeyStatus::Served(answer) => (concluded_at + self.limits.retention, Some(answer)),
@@ -702,7 +716,7 @@
         }
     }
 
-    /// All that earlier lives wrote has been taken.
+    /// Ends the restore, after the last record: rebuilds the queues of concluded entries in the order of expiry.
     pub fn finish_restore(&mut self) {
         let mut ids: Vec<(Millis, EntryId)> = self
             .entries
@@ -727,8 +741,9 @@
         }
     }
 
-    /// The records of some entries more, and how far that is; all have been told when it comes back without a place.
-    /// What is told to the log of changes meanwhile stands behind these there, and so holds.
+    /// Returns the records of up to `most` entries from a position on, and the position of the next call, or `None`
+    /// once all entries have been returned. The host uses them to rewrite its log. Records of changes during a sweep
+    /// are appended behind those of the sweep, and so take precedence.
     pub fn sweep(&self, cursor: SweepCursor, most: usize) -> (Vec<Record<A>>, Option<SweepCursor>) {
         let mut records = Vec::new();
         for (id, entry) in self.entries.range(EntryId(cursor.0)..) {
@@ -776,7 +791,7 @@
         id
     }
 
-    /// A customer's part of a bound: one at least.
+    /// A customer's share of a limit, at least 1.
     fn share(&self, limit: usize) -> usize {
         ((limit as f64 * self.limits.customer_share) as usize).max(1)
     }
@@ -823,7 +838,7 @@
             actions.push(Action::Record(self.record(entry, status), None));
         }
         match outcome {
-            // It never ran: a repeat is new work.
+            // The request never ran, so a repeat is new work.
             Outcome::Rejected => self.remove_entry(id),
             Outcome::Served | Outcome::Failed => {
                 self.concluded.push_back(id);
@@ -839,8 +854,9 @@
         }
     }
 
-    /// Keeps an answer, within the customer's share and the whole; the oldest of its own gives way first, then the
-    /// oldest of whoever holds most.
+    /// Keeps an answer within the customer's share and the total limit. If the share is full, the customer's own oldest
+    /// answers are evicted; if the total is, the oldest answers of the customer that uses most bytes. An answer that is
+    /// larger than the share is not kept.
     fn store_answer(&mut self, id: EntryId, customer: Customer, answer: A) {
         let weight = answer.weight();
         let share = self
@@ -875,7 +891,7 @@
         self.customers.get(&customer).map_or(0, |usage| usage.bytes)
     }
 
-    /// Lets go of a customer's oldest kept answer; false if there is none.
+    /// Evicts a customer's oldest kept answer. Returns false if there is none.
     fn evict_oldest_answer(&mut self, customer: Customer) -> bool {
         let oldest = self
             .customers
@@ -901,7 +917,7 @@
         }
     }
 
-    /// Takes a request out that waits; false if it is a first, or none.
+    /// Removes a waiting request. Returns false for a first or an unknown one.
     fn remove_waiter(&mut self, ticket: Ticket) -> bool {
         let Some(id) = self.tickets.get(&ticket).copied() else {
             return false;
@@ -913,11 +929,12 @@
             return false;
         };
         if *first == Some(ticket) {
-            // It goes on if it is out, so that a repeat has its outcome; its ticket stays, to say what came of it.
+            // A request that was forwarded continues, so that repeats get its outcome. Its ticket stays valid for
+            // reporting the outcome.
             *first = None;
             return false;
         }
-        // A first that has left already is none of the waiters.
+        // A first request whose client has disconnected before is not among the waiting ones.
         let Some(position) = waiters.iter().position(|waiter| *waiter == ticket) else {
             return false;
         };
@@ -929,7 +946,7 @@
         true
     }
 
-    /// Forgets what has been kept for its time.
+    /// Removes entries whose retention period is over.
     fn expire(&mut self) {
         if !self.extended_quiet.is_empty() {
             self.extended_quiet
@@ -954,7 +971,7 @@
         }
     }
 
-    /// Forgets an entry whose answer may be kept and which stands in no order of outcomes.
+    /// Removes an entry and its answer, if one is kept. The entry must not be in a queue of concluded entries.
     fn remove_entry_with_answer(&mut self, id: EntryId) {
         if let Some(Entry {
             customer,
--- a/crates/emberpin-idempotency/tests/claims.rs
+++ b/crates/emberpin-idempotency/tests/claims.rs
@@ -1,5 +1,6 @@
-//! Claims of three and five limiters over a network that loses, cuts and holds, with kills, logs and hops, drawn from seeds:
-//! no key is let on twice within its retention, every request has one answer, and once all is well keys are served.
+//! Claims of several limiters over a simulated network that delays, loses and cuts, with kills, restarts and logs,
+//! drawn from seeds. No key may be forwarded twice within its retention period, every request must get exactly one
+//! reply, and once all faults are healed new keys must be served.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_idempotency::claims::*;
@@ -71,11 +72,11 @@
 
 struct Node {
     claims: Option<Claims<Answer>>,
-    /// On the disk.
+    /// Durable records.
     log: Vec<Record<Answer>>,
-    /// On the way there.
+    /// Records that are being written.
     writing: VecDeque<(Record<Answer>, Option<Ticket>)>,
-    /// Requests that were let on here and have no outcome yet.
+    /// Requests that were forwarded here and have no outcome yet, with the number of their key.
     in_flight: Vec<(Ticket, u64)>,
 }
 
@@ -88,11 +89,11 @@
     connections: BTreeMap<(usize, usize), VecDeque<Message<Answer>>>,
     cut: BTreeSet<(usize, usize)>,
     next_ticket: u64,
-    /// Requests without an answer: at which limiter, for which key, until when.
+    /// Requests without a reply, by limiter and ticket: the number of the key, and when the client times out.
     unanswered: BTreeMap<(usize, Ticket), (u64, Millis)>,
-    /// The same of all that ever came.
+    /// The same for all requests since the start.
     all_requests: BTreeMap<(usize, Ticket), (u64, Millis)>,
-    /// When a key's work may last have run.
+    /// When the request of a key may last have run.
     last_ran_at: BTreeMap<u64, Millis>,
     forwarded_twice: Option<u64>,
     signed: u64,
@@ -132,7 +133,7 @@
         cluster
     }
 
-    /// Whoever has a connection hears of it, on both sides.
+    /// Reports to each limiter which others it can reach. Messages on broken connections are lost.
     fn report_reachability(&mut self) {
         for a in 0..self.nodes.len() {
             for b in 0..self.nodes.len() {
@@ -194,14 +195,14 @@
     }
 
     fn forward(&mut self, at: usize, ticket: Ticket) {
-        // Its client may have left, where a repeat waits for it.
+        // The client may have disconnected, if a repeat waits for the request.
         let (key, until) = self.all_requests[&(at, ticket)];
         self.start_attempt(at, ticket, key, until);
     }
 
     fn start_attempt(&mut self, at: usize, ticket: Ticket, key: u64, until: Millis) {
         if self.now >= until {
-            // The driver begins nothing for a client that has given up.
+            // As in the host, no attempt starts for a client that has timed out.
             return self.handle_at(
                 at,
                 Event::Rejected {
@@ -245,7 +246,7 @@
         );
     }
 
-    /// The oldest message on a drawn wire arrives.
+    /// Delivers the oldest message of a random connection.
     fn deliver(&mut self) {
         let nonempty: Vec<(usize, usize)> = self
             .connections
@@ -318,7 +319,7 @@
         if self.nodes[at].claims.take().is_none() {
             return;
         }
-        // Of what was on its way to the disk, any part came there.
+        // Any number of the pending records has become durable, in order.
         let kept = self.random.below(self.nodes[at].writing.len() as u64 + 1);
         for _ in 0..kept {
             if let Some((record, _)) = self.nodes[at].writing.pop_front() {
@@ -326,7 +327,7 @@
             }
         }
         self.nodes[at].writing.clear();
-        // What was out may run until now.
+        // Requests in flight may have run until now.
         for (_, key) in std::mem::take(&mut self.nodes[at].in_flight) {
             self.last_ran_at.insert(key, self.now);
         }
@@ -412,14 +413,14 @@
         }
     }
 
-    /// All is well from now on, and everything that is on its way arrives.
+    /// Heals all faults, restarts all limiters, and delivers all messages.
     fn heal_and_drain(&mut self) {
         self.cut.clear();
         for at in 0..self.nodes.len() {
             self.start(at);
         }
         self.report_reachability();
-        // Longer than any claim that was out can stand in a holder's way.
+        // Longer than a holder keeps a claim without an outcome.
         for _ in 0..90 {
             for _ in 0..100 {
                 self.deliver();
@@ -474,7 +475,7 @@
             cluster.unanswered
         );
         if logs {
-            // Whatever came before: a new key is served wherever it comes, with one attempt.
+            // After any faults a new key is served at each limiter, and its request runs once.
             for at in 0..limiters as usize {
                 let (number, signed) = (100 + at as u64, cluster.signed);
                 cluster.arrive(at, number);
@@ -495,7 +496,7 @@
 #[test]
 fn three_limiters_with_logs_forward_no_key_twice_and_serve_new_keys_after_faults() {
     let replies = explore(3, 3, true);
-    // Refusing all would pass the rest: most are served, or told what came of the first.
+    // Rejecting all requests would pass the checks so far, so most must be served or get the first one's outcome.
     let count_of = |kind| replies.get(kind).copied().unwrap_or(0);
     assert!(
         count_of("own") > 2 * seeds() && count_of("replay") > 4 * seeds(),
@@ -514,7 +515,8 @@
     explore(3, 3, false);
 }
 
-/// Two limiters of three with the third away, each granted the key by itself: the lower claim wins, and both are served.
+/// Two of three limiters, with the third one down, have each granted the key to themselves. The lower claim gets it,
+/// and the other client gets the replay.
 #[test]
 fn a_split_vote_is_decided_for_the_lower_claim() {
     let mut cluster = Cluster::new(1, 3, 3, true);
@@ -551,7 +553,8 @@
     );
 }
 
-/// Who gave way asks again once whom it gave way to is gone.
+/// A claim that was withdrawn in favour of another must be requested again when the other one ends without an outcome,
+/// or its request would never be served.
 #[test]
 fn a_withdrawn_claim_is_requested_again_after_the_other_one_ends() {
     let mut cluster = Cluster::new(1, 3, 3, true);
@@ -563,7 +566,8 @@
             cluster.complete_write(at);
         }
     }
-    // Each hears that the other holds its own place; 1 gives way, and what it gave back is on its way to 0.
+    // Each learns that the other one has its own grant. Limiter 1 withdraws its claim, and its release is on its way to
+    // 0.
     for connection in [(1, 0), (0, 1), (0, 1)] {
         if let Some(message) = cluster
             .connections
@@ -590,7 +594,7 @@
     assert_eq!((cluster.signed, cluster.replies.get("own")), (1, Some(&1)));
 }
 
-/// One request let on at 0, granted by 0 and 1.
+/// Forwards one request at limiter 0, granted by 0 and 1.
 fn forward_one_request(cluster: &mut Cluster) {
     cluster.arrive(0, 1);
     for _ in 0..20 {
@@ -679,7 +683,7 @@
         ),
         (Some(&1), 1)
     );
-    // What was promised to it is given back, so that the key is free once they are there again.
+    // The grants of the rejected request are released, so that the key is free once the others are back.
     cluster.start(1);
     cluster.start(2);
     cluster.arrive(1, 2);
@@ -695,7 +699,8 @@
     }
     cluster.heal_and_drain();
     assert_eq!(cluster.signed, 1);
-    // Each limiter asks once while its first is out; what is over its bound is told that the first is in flight.
+    // Each limiter sends its requests once while its first request is in flight. Repeats above the limit of waiters are
+    // told that the first request is in flight.
     assert!(cluster.messages < 60, "{}", cluster.messages);
     let served = cluster.replies.get("own").copied().unwrap_or(0)
         + cluster.replies.get("replay").copied().unwrap_or(0);
--- a/crates/emberpin-idempotency/tests/explore.rs
+++ b/crates/emberpin-idempotency/tests/explore.rs
@@ -1,6 +1,6 @@
-//! Every way in which a few events can come, explored to a depth: one key of one customer, three limiters, a first
-//! and two repeats, outcomes, kills with the attempt out, time, and clocks that step back. No way may let the
-//! key's work on twice within its retention unless it is known never to have run.
+//! Explores all sequences of a few events up to a depth: one key of one customer at three limiters, a first request and
+//! two repeats, outcomes, kills with a request in flight, elapsed time, and clocks that step back. No sequence may
+//! forward the key's request a second time within its retention period, unless it is known never to have run.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_idempotency::*;
@@ -21,12 +21,12 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// The request, or a repeat of it, comes to a limiter.
+    /// The request, or a repeat of it, arrives at a limiter.
     Arrive(u32),
     Served,
     Rejected,
     Failed,
-    /// A limiter is killed and starts anew; what it had out may run yet.
+    /// A limiter is killed and restarts. The request that it had in flight may still run.
     Kill(u32),
     Elapse(Millis),
     /// A limiter's clock steps back.
@@ -38,14 +38,14 @@
     limits: Limits,
     time: Millis,
     tables: Vec<Table<Nothing>>,
-    /// Each limiter's clock is so far from the true time.
+    /// The offset of each limiter's clock from the true time.
     clock_offset: Vec<Millis>,
     arrivals: u64,
-    /// The first that is out, and where.
+    /// The first request in flight, and the limiter that forwarded it.
     in_flight: Option<(u32, Ticket)>,
-    /// The key's work may have run; the latest time at which that was so.
+    /// The latest time at which the request may have run, if it may.
     last_ran_at: Option<Millis>,
-    /// The key was let on although it may have run within its retention.
+    /// Whether the request was forwarded although it may have run within the retention period, or was still in flight.
     forwarded_twice: bool,
     forwarded: u32,
 }
@@ -63,7 +63,8 @@
             wait: true,
             recorded: false,
         };
-        // The clocks of two limiters are five seconds apart; all have long been up.
+        // The clocks of two limiters differ from the true time by five seconds each way. All limiters started ten
+        // retention periods ago.
         let clock_offset = vec![0.0, 5000.0, -5000.0];
         let tables = clock_offset
             .iter()
@@ -90,7 +91,7 @@
         actions
     }
 
-    /// Whether the step can come now; it has then.
+    /// Performs a step. Returns false if it is not possible in this state.
     fn perform(&mut self, step: Step) -> bool {
         match step {
             Step::Arrive(limiter) => {
@@ -99,7 +100,7 @@
                 }
                 let ticket = Ticket(self.arrivals);
                 self.arrivals += 1;
-                // As the host does it: another limiter's keys are sent away.
+                // As in the host, a request for another limiter's key does not reach the table.
                 if owner(CUSTOMER, 0, GROUP, GROUP) != Some(limiter) {
                     return true;
                 }
@@ -157,13 +158,13 @@
     }
 }
 
-/// What came of all ways to a depth.
+/// The results of all sequences up to a depth.
 #[derive(Default)]
 struct Explored {
     sequences: u64,
-    /// The first way that let the work on twice.
+    /// The first sequence that forwarded the request twice.
     forwarded_twice: Option<Vec<Step>>,
-    /// Ways on which it was let on again rightly.
+    /// The number of sequences that rightly forwarded the request again.
     forwarded_again: u64,
 }
 
@@ -215,7 +216,7 @@
 
 #[test]
 fn no_sequence_of_events_forwards_a_request_twice_within_the_retention() {
-    // All three limiters, then deeper with the owner alone: only what comes to it can change anything.
+    // All three limiters, then deeper with the owner alone: only requests at the owner reach a table.
     let owner_number = owner(CUSTOMER, 0, GROUP, GROUP).expect("an owner");
     for (limiters, depth) in [(vec![0, 1, 2], 5), (vec![owner_number], 7)] {
         let explored = explore_all(RETENTION, &limiters, depth);
@@ -233,7 +234,7 @@
     }
 }
 
-/// What the other test shows means nothing unless a table that forgets too soon is found out.
+/// The exploration must be able to detect a table that forgets a key too early.
 #[test]
 fn a_quiet_period_shorter_than_the_retention_forwards_a_request_twice() {
     let owner_number = owner(CUSTOMER, 0, GROUP, GROUP).expect("an owner");
--- a/crates/emberpin-idempotency/tests/recorded.rs
+++ b/crates/emberpin-idempotency/tests/recorded.rs
@@ -1,5 +1,6 @@
-//! What limiters tell each other about keys, and what their logs keep of a key, as an earlier build wrote it. An answer is
-//! a text here; the limiter's own is recorded with the limiter.
+//! The messages about keys between limiters, and the log records of keys, must be encoded and decoded as earlier builds
+//! did: limiters of different builds run side by side, and a new build reads the log of an older one. An answer is a
+//! plain string here; the limiter's own answers are covered by the limiter's recorded tests.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "../../emberpin-peering/tests/common/recording.rs"]
@@ -97,7 +98,7 @@
     assert_recorded("records.txt", &records(), encode, decode);
 }
 
-/// Limiters of two builds must come to the same fingerprint of one request.
+/// Limiters of two builds must compute the same fingerprint for a request.
 #[test]
 fn fingerprints_match_the_recorded_ones() {
     assert_recorded(
@@ -108,7 +109,7 @@
     );
 }
 
-/// Limiters of two builds must name the same owner of a customer's keys.
+/// Limiters of two builds must compute the same owner for a customer's keys.
 #[test]
 fn owners_match_the_recorded_ones() {
     let owners: Vec<u32> = (0..64)
--- a/crates/emberpin-idempotency/tests/table.rs
+++ b/crates/emberpin-idempotency/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table against a small model, and its hard cases by name.
+//! The key table of one limiter: its rules and edge cases one by one, and random events checked against a small model.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_idempotency::*;
@@ -42,7 +42,7 @@
     Key::parse(text, Form::QuotedOrBare).expect("a key")
 }
 
-/// A table played by hand.
+/// A table with a clock and a counter of tickets, driven by the tests.
 struct Fixture {
     table: Table<Answer>,
     now: Millis,
@@ -83,14 +83,14 @@
         self.arrive_with(customer, key, 0)
     }
 
-    /// A first request that is let on.
+    /// Sends a first request, which must be forwarded, and returns its ticket.
     fn forward(&mut self, customer: u64, key: &str) -> Ticket {
         let (ticket, action) = self.arrive(customer, key);
         assert_eq!(action, Action::Forward(ticket), "{key}");
         ticket
     }
 
-    /// One that is let on and served.
+    /// Sends a first request and serves it with this answer.
     fn serve(&mut self, customer: u64, key: &str, text: &str) {
         let ticket = self.forward(customer, key);
         let replies = self.handle(Event::Served {
@@ -289,7 +289,7 @@
         "no entry of served work was removed"
     );
     fixture.serve(2, "k", "");
-    // Who comes back at the stated time is let on.
+    // A client that retries at the stated time is served.
     fixture.now = RETENTION;
     fixture.forward(1, "k50");
 }
@@ -320,7 +320,7 @@
     assert_eq!(fixture.table.answer_bytes(), 400, "its share is 500");
     assert_eq!(fixture.reply_to(1, "a"), Telling::NotKept);
     assert_eq!(fixture.reply_to(1, "b"), Telling::Replay(answer(&text)));
-    // Others fill the whole: whoever holds most gives way.
+    // Other customers fill the table: answers of the customer that uses most bytes are evicted.
     fixture.serve(2, "a", &text);
     fixture.serve(3, "a", &text);
     fixture.serve(4, "a", &text);
@@ -339,8 +339,8 @@
     assert_eq!(fixture.reply_to(1, "a"), Telling::Replay(answer("small")));
 }
 
-/// What comes while it is not known whether it ran before is not let on then, and not later either: who came back
-/// as told would be signed twice.
+/// A request that arrives in the quiet period may have run before. It must be forwarded neither then nor on a retry:
+/// either would sign it a second time.
 #[test]
 fn a_key_that_arrives_in_the_quiet_period_is_never_forwarded() {
     let mut fixture = Fixture::new(Limits {
@@ -391,7 +391,7 @@
     fixture.forward(1, "k");
 }
 
-/// What happens next, to which of what there is.
+/// One step of the random test. `which` selects one of the requests that the step applies to.
 #[derive(Clone, Debug)]
 enum Step {
     Arrive { customer: u64, key: u8, variant: u8 },
@@ -416,7 +416,7 @@
     ]
 }
 
-/// What the model knows of a key: only what may never be got wrong.
+/// The state of a key in the model.
 #[derive(Clone, Debug)]
 enum ModelState {
     InFlight,
@@ -427,8 +427,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
-    /// Whatever happens: a key's work is let on once for its retention unless it is known never to have run;
-    /// everybody is told exactly one thing; a replay is what the first had; and every bound holds.
+    /// For all events: a key's request is forwarded once within its retention period, unless it is known never to have
+    /// run; each request gets exactly one reply; a replay equals the first outcome; and all limits hold.
     #[test]
     fn random_events_match_the_model(
         steps in prop::collection::vec(step(), 1..200),
@@ -495,7 +495,7 @@
                     let all: Vec<Ticket> =
                         in_flight.iter().map(|(ticket, _)| *ticket).chain(waiting.keys().copied()).collect();
                     if let Some(ticket) = all.get(which % all.len().max(1)).copied() {
-                        // Nobody is told anything; one that waited is not needed any more, a first goes on.
+                        // No client gets a reply. A waiting request is dropped, a first one continues.
                         let done = fixture.handle(Event::ClientLeft { ticket });
                         match waiting.remove(&ticket) {
                             Some(_) => prop_assert_eq!(done, vec![Action::Drop(ticket)]),
@@ -543,7 +543,7 @@
                         }
                         None => drop(known.remove(&customer_key)),
                     }
-                    // An outcome comes once.
+                    // A second outcome of the same request has no effect.
                     let second = fixture.handle(Event::Failed { ticket, answer: Answer(vec![]) });
                     prop_assert_eq!(second, vec![]);
                 }
@@ -561,7 +561,7 @@
     }
 }
 
-/// What stands in the log after these actions.
+/// The records that these actions append to the log.
 fn records(actions: &[Action<Answer>]) -> Vec<Record<Answer>> {
     let record = |action: &Action<Answer>| match action {
         Action::Record(record, _) => Some(record.clone()),
@@ -570,7 +570,7 @@
     actions.iter().filter_map(record).collect()
 }
 
-/// A table that read these records at its start.
+/// A table restored from these records at its start.
 fn restored_table(
     limits: Limits,
     now: Millis,
@@ -662,7 +662,7 @@
 
 #[test]
 fn a_first_request_whose_client_left_before_the_write_is_dropped_unless_a_repeat_waits() {
-    for waiter in [false, true] {
+    for has_waiter in [false, true] {
         let mut fixture = Fixture::new(recorded_limits());
         let (customer, key, fingerprint) = (Customer(1), key_of("k"), fingerprint_of(1));
         let ticket = Ticket(0);
@@ -672,7 +672,7 @@
             key: key.clone(),
             fingerprint,
         });
-        if waiter {
+        if has_waiter {
             fixture.handle(Event::Arrived {
                 ticket: Ticket(7),
                 customer,
@@ -682,7 +682,7 @@
         }
         fixture.handle(Event::ClientLeft { ticket });
         let actions = fixture.handle(Event::Written { ticket });
-        match waiter {
+        match has_waiter {
             true => assert_eq!(actions, [Action::Forward(ticket)]),
             false => {
                 assert_eq!(records(&actions)[0].status, KeyStatus::Removed);
@@ -693,7 +693,7 @@
     }
 }
 
-/// One key with each outcome, and the log of it.
+/// The log of an incarnation with one key for each outcome, and one still in flight at its end.
 fn log_of_one_incarnation() -> Vec<Record<Answer>> {
     let mut fixture = Fixture::new(recorded_limits());
     let mut log = Vec::new();
@@ -733,12 +733,12 @@
         fixture.arrive_with(1, "failed", 1).1,
         Action::Tell(_, Telling::Unknown)
     ));
-    // It was out when the life ended, so it may have run.
+    // It was in flight when the incarnation ended, so it may have run.
     assert!(matches!(
         fixture.arrive_with(1, "out", 1).1,
         Action::Tell(_, Telling::Unknown)
     ));
-    // It never ran, and is new work; so is any other key, at once.
+    // It never ran, so it is new work; so is any unknown key, without a quiet period.
     let (customer, fingerprint) = (Customer(1), fingerprint_of(1));
     for (ticket, key) in [(50, "refused"), (51, "another")] {
         let arrived = Event::Arrived {
@@ -757,7 +757,8 @@
 #[test]
 fn a_restored_key_keeps_its_expiry_or_gets_a_whole_retention_if_clocks_differ() {
     let log = log_of_one_incarnation();
-    // Served at 0: kept until 10 s in the same boot. What was out is kept from the start on.
+    // The served and the failed key have outcomes at 0, and are kept until 10 s if the clock is the same. The key in
+    // flight is kept for a whole retention period after the start.
     let mut fixture = restored_table(recorded_limits(), RETENTION - 1.0, &log, true);
     assert_eq!(fixture.table.entries(), 3);
     fixture.now = RETENTION + 1.0;
@@ -778,7 +779,7 @@
 }
 
 proptest! {
-    /// What a sweep tells, in steps of any size with changes in between, restores the same as the table holds.
+    /// The records of a sweep, in steps of any size with changes in between, restore the same table as the swept one.
     #[test]
     fn a_sweep_in_steps_replaces_the_whole_log(
         outcomes in proptest::collection::vec((0..3u8, 0..4u64), 1..40),
