--- a/crates/emberpin-failover/src/event.rs
+++ b/crates/emberpin-failover/src/event.rs
@@ -7,15 +7,16 @@
 /// An input of [`Failover::handle`](crate::Failover::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A request of this limiter's own got its key; attempts may be requested for it.
+    /// A request that this limiter received was granted its key. Attempts may be requested for it from now on.
     WorkStarted {
         /// Its identity from now on.
         work_id: WorkId,
         /// The holders of its key.
         acceptors: Vec<Member>,
     },
-    /// An attempt is to be sent for a work started or taken over here. Answered by [`Action::AllowAttempt`] or
-    /// [`Action::DenyAttempt`], unless another request replaces it or its work is completed first.
+    /// Asks whether an attempt may be sent for a work that was started or taken over here. Answered by
+    /// [`Action::AllowAttempt`] or [`Action::DenyAttempt`], unless another request replaces this one or the work is
+    /// completed first.
     AttemptRequested {
         /// The work, as named when it was started or taken over.
         work_id: WorkId,
@@ -23,23 +24,23 @@
         attempt: u32,
         /// The servers it is to be sent to.
         group: ServerGroup,
-        /// The request, as a candidate is to send it.
+        /// The request, in the form that a candidate needs to send it.
         work: Work,
     },
-    /// A work started or taken over here has an outcome, and the holders of its key were sent it.
+    /// A work that was started or taken over here has an outcome, which was sent to the holders of its key.
     WorkCompleted(WorkId),
     /// A work taken over here could not be run.
     TakeoverFailed(WorkId),
-    /// This limiter has granted the key of a work, and is to take it over if its owner is lost.
+    /// This limiter has granted the key of a work, and may have to take the work over if its owner is lost.
     KeyGranted {
         /// The work that claimed the key.
         work_id: WorkId,
         /// The holders of its key.
         acceptors: Vec<Member>,
     },
-    /// The key of a work has an outcome here, or is free: it is not to be taken over.
+    /// The key of a work has an outcome here, or is free: the work must not be taken over.
     KeyReleased(WorkId),
-    /// A member runs in this incarnation.
+    /// The current incarnation of a member is known.
     IncarnationObserved {
         /// The member that runs in it.
         member: Member,
@@ -50,7 +51,7 @@
     MemberReachable(Member),
     /// Messages to this member are not delivered.
     MemberUnreachable(Member),
-    /// An incarnation of a member has ended; silence alone is no end.
+    /// An incarnation of a member has ended. Silence alone does not count as its end.
     IncarnationEnded {
         /// The member that ran in it.
         member: Member,
@@ -61,7 +62,7 @@
     MessageReceived {
         /// The member at the other end of the link.
         from: Member,
-        /// Decoded by the host.
+        /// The message, decoded by the host.
         message: Message,
     },
     /// Time has passed: due timers run.
@@ -73,23 +74,23 @@
 pub enum Action {
     /// Send a message to another member.
     Send {
-        /// Never this limiter itself.
+        /// The receiver; never this limiter itself.
         to: Member,
-        /// To be encoded by the host.
+        /// The message, to be encoded by the host.
         message: Message,
     },
     /// Send the attempt: a majority has accepted it.
     AllowAttempt {
         /// The work of the request for an attempt.
         work_id: WorkId,
-        /// Its number there.
+        /// The number of the attempt in that request.
         attempt: u32,
     },
     /// Do not send the attempt: another limiter runs the work, or no majority accepted in time.
     DenyAttempt {
         /// The work of the request for an attempt.
         work_id: WorkId,
-        /// Its number there.
+        /// The number of the attempt in that request.
         attempt: u32,
     },
     /// Run this work of another limiter; report [`Event::WorkCompleted`] or [`Event::TakeoverFailed`].
@@ -98,17 +99,17 @@
         work_id: WorkId,
         /// The request; its time left counts from now.
         work: Work,
-        /// Where it may have run already.
+        /// The servers where it may have run already, and how long ago.
         first_attempt: FirstAttempt,
     },
-    /// The client may get the outcome: a majority knows of it, the time for that is over, or this limiter has no say
-    /// in the work any more.
+    /// The client may be sent the outcome: a majority has acknowledged it, the completion time-out is over, or this
+    /// limiter no longer owns the work.
     CompletionConfirmed(WorkId),
-    /// Nobody runs this work; the holders of its key are to be told so.
+    /// No member runs this work. The host ends its key with this verdict.
     Abandoned {
         /// The work whose key was granted here.
         work_id: WorkId,
-        /// What its key is to say.
+        /// Whether the work may have run.
         verdict: Verdict,
     },
 }
--- a/crates/emberpin-failover/src/failover.rs
+++ b/crates/emberpin-failover/src/failover.rs
@@ -1,5 +1,5 @@
-//! State and dispatch of the failover core. Its three roles are in files of their own: [`owner`] sends attempts,
-//! [`acceptor`] keeps work for others, [`candidate`] takes work over.
+//! State and dispatch of the failover core. Its three roles have modules of their own: [`owner`] requests permission
+//! for attempts, [`acceptor`] keeps the state of other members' work, [`candidate`] takes work over.
 
 mod acceptor;
 mod candidate;
@@ -28,9 +28,9 @@
     unreachable: BTreeSet<Member>,
     /// Works that this limiter runs.
     owned: BTreeMap<WorkId, OwnedWork>,
-    /// Completed works of which no majority has acknowledged the outcome yet.
+    /// Completed works whose outcome no majority has acknowledged yet.
     completing: BTreeMap<WorkId, PendingCompletion>,
-    /// Works that this limiter is an acceptor of.
+    /// Works for which this limiter is an acceptor.
     records: BTreeMap<WorkId, WorkRecord>,
     /// Bytes of payload in `records`.
     record_bytes: usize,
@@ -41,7 +41,7 @@
     loopback: Vec<Message>,
 }
 
-/// What an acceptor keeps for others.
+/// The state that an acceptor keeps for other members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Works, promises and outcomes. Bounded by [`Config::max_entries`](crate::Config::max_entries).
@@ -50,16 +50,16 @@
     pub bytes: usize,
 }
 
-/// An acceptor of a work, as the key's grant found it.
+/// An acceptor of a work, as known when the work's key was granted.
 #[derive(Clone, Copy, Debug)]
 struct Acceptor {
     member: Member,
-    /// Its incarnation when the work began. None, if it was not known: it cannot be asked then.
+    /// Its incarnation when the work began. `None` if the incarnation was unknown: the acceptor cannot be asked then.
     incarnation: Option<Incarnation>,
 }
 
 impl Failover {
-    /// A core without any work, which knows no member but its own.
+    /// Creates a core without any work, which knows the incarnation of its own member only.
     #[must_use]
     pub fn new(config: Config, now: Timestamp) -> Failover {
         let incarnations = BTreeMap::from([(config.member, config.incarnation)]);
@@ -79,7 +79,7 @@
         }
     }
 
-    /// What is kept for others as an acceptor.
+    /// The state kept for other members as an acceptor.
     #[must_use]
     pub fn usage(&self) -> Usage {
         Usage {
@@ -97,8 +97,8 @@
         })
     }
 
-    /// Whether this acceptor has promised a work to another member than its claimant. What the claimant reports of it
-    /// is to be ignored then.
+    /// Whether this acceptor has promised a work to another member than its claimant. The claimant's reports about the
+    /// work must be ignored then.
     #[must_use]
     pub fn is_promised_to_candidate(&self, work_id: &WorkId) -> bool {
         self.records
@@ -106,7 +106,8 @@
             .is_some_and(|record| record.promised.round > 0)
     }
 
-    /// Handles an event, and appends the actions that follow from it. A `now` before an earlier one counts as that.
+    /// Handles an event, and appends the actions that follow from it. A `now` before an earlier one counts as the
+    /// earlier one.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.dispatch(event, actions);
@@ -224,7 +225,7 @@
         members.into_iter().map(with_incarnation).collect()
     }
 
-    /// Sends a message, to this limiter itself by way of `loopback`. One to an unreachable member is dropped.
+    /// Sends a message. One to this limiter itself goes through `loopback`; one to an unreachable member is dropped.
     fn send(&mut self, to: Member, message: Message, actions: &mut Vec<Action>) {
         if to == self.config.member {
             self.loopback.push(message);
--- a/crates/emberpin-failover/src/failover/acceptor.rs
+++ b/crates/emberpin-failover/src/failover/acceptor.rs
@@ -7,13 +7,13 @@
 use crate::work::{Ballot, FirstAttempt, Member, ServerGroup, Verdict, Work, WorkId};
 use emberpin_peering::Incarnation;
 
-/// What this acceptor knows of a work.
+/// The state of a work at this acceptor.
 #[derive(Clone, Debug)]
 pub(super) struct WorkRecord {
-    /// Nothing of a lower ballot is accepted or promised.
+    /// No lower ballot is accepted or promised.
     pub(super) promised: Ballot,
     accepted: Option<AcceptedRecord>,
-    /// Kept for candidates that ask later: one that was partitioned away may not have heard of it.
+    /// Kept for candidates that ask later: one that was partitioned may not have received it.
     outcome: Option<Outcome>,
     expires_at: Timestamp,
 }
@@ -140,14 +140,14 @@
         }
     }
 
-    /// Records where an attempt is about to be sent, in place of what was accepted before.
+    /// Records which server group an attempt is about to be sent to, replacing the attempt accepted before.
     fn accept(
         &mut self,
         work_id: WorkId,
         acceptor_incarnation: Incarnation,
         attempt: AcceptedAttempt,
     ) -> Result<(), Rejection> {
-        // A restarted acceptor may have promised the work to a candidate, and forgotten it.
+        // A restarted acceptor may have promised the work to a candidate, and lost that promise.
         if acceptor_incarnation != self.config.incarnation {
             return Err(Rejection::Restarted);
         }
@@ -213,8 +213,8 @@
         Ok(accepted.map(|accepted| accepted.as_of(self.now, time_left_ms)))
     }
 
-    /// Records that a work has ended. Its payload is dropped; promise and outcome remain until they expire, as the
-    /// claimant may resume after a pause, and candidates may ask that have not heard of the outcome.
+    /// Records that a work has ended. Its payload is dropped. Promise and outcome remain until they expire, as the
+    /// claimant may resume after a pause, and candidates may ask that have not received the outcome.
     pub(super) fn record_outcome(&mut self, work_id: WorkId, outcome: Outcome) {
         self.drop_payload(&work_id);
         if let Some(record) = self.records.get_mut(&work_id) {
@@ -252,7 +252,7 @@
         }
     }
 
-    /// When a record expires that begins without an attempt.
+    /// The expiry of a record that begins without an attempt.
     fn bare_record_expiry(&self) -> Timestamp {
         self.now.plus_millis(2.0 * as_millis(self.config.retention))
     }
@@ -283,7 +283,7 @@
         }
     }
 
-    /// The attempt as a message tells it: with its age, and at most this much time left.
+    /// The attempt as sent in a message: with its current age, and with at most `time_left_ms` left.
     fn as_of(&self, now: Timestamp, time_left_ms: f64) -> AcceptedAttempt {
         let first_attempt = FirstAttempt {
             group: self.group,
--- a/crates/emberpin-failover/src/failover/candidate.rs
+++ b/crates/emberpin-failover/src/failover/candidate.rs
@@ -18,12 +18,12 @@
 pub(super) struct Grant {
     acceptors: Vec<Acceptor>,
     expires_at: Timestamp,
-    /// When this limiter becomes a candidate; set while the owner is lost.
+    /// When this limiter becomes a candidate. Set while the owner is lost.
     takeover_at: Option<Timestamp>,
     /// A member other than the claimant that runs the work, or is a candidate. While it is set, only the loss of that
     /// member leads to a takeover.
     successor: Option<Member>,
-    /// Highest round seen of this work.
+    /// The highest round seen for this work.
     round: u32,
     prepare: Option<PendingPrepare>,
 }
@@ -116,7 +116,8 @@
         }
     }
 
-    /// A claimant is reachable again in the same incarnation: its work is its own, unless a ballot is prepared already.
+    /// Cancels takeovers from a claimant that is reachable again in the same incarnation and so still owns its work,
+    /// unless a ballot is prepared already.
     pub(super) fn cancel_takeovers_from(&mut self, member: Member) {
         let incarnation = self.incarnations.get(&member).copied();
         for (work_id, grant) in &mut self.grants {
@@ -176,7 +177,7 @@
         }
     }
 
-    /// An acceptor has promised a higher ballot than this limiter's: its proposer goes first.
+    /// Yields to the proposer of a higher ballot that an acceptor has promised.
     pub(super) fn on_prepare_rejected(
         &mut self,
         work_id: WorkId,
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Takes a work over that may have run, if the servers still drop a duplicate of it, and abandons it otherwise.
+    /// Takes over a work that may have run if the servers still drop a duplicate of it, and abandons it otherwise.
     fn decide(
         &mut self,
         work_id: WorkId,
@@ -266,8 +267,8 @@
         });
     }
 
-    /// Tells the acceptors that nobody runs a work. The host learns of it by this limiter's own message, if it is one
-    /// of them.
+    /// Notifies the acceptors that no member runs a work. If this limiter is one of them, its own message produces the
+    /// action for the host.
     fn abandon(
         &mut self,
         work_id: WorkId,
--- a/crates/emberpin-failover/src/failover/owner.rs
+++ b/crates/emberpin-failover/src/failover/owner.rs
@@ -1,5 +1,5 @@
 //! The owner of a work: its claimant, or the member that took it over. Asks the acceptors before each attempt, and
-//! tells them the outcome.
+//! notifies them of the outcome.
 
 use super::{is_majority, Acceptor, Failover};
 use crate::event::Action;
@@ -13,9 +13,9 @@
 pub(super) struct OwnedWork {
     pub(super) ballot: Ballot,
     pub(super) acceptors: Vec<Acceptor>,
-    /// When the first attempt was about to be sent. The deduplication window counts from here, also for later ones.
+    /// When the first attempt was about to be sent. The deduplication window counts from here, also for later attempts.
     pub(super) first_attempt_at: Option<Timestamp>,
-    /// An acceptor has promised a higher ballot: no attempt is sent any more.
+    /// An acceptor has promised a higher ballot: no further attempt is sent.
     pub(super) fenced: bool,
     /// The attempt that waits for its acceptors.
     pub(super) pending: Option<PendingAttempt>,
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Ends the ownership of a work, and tells its acceptors how it ended. An owner that is fenced has no say in that.
+    /// Ends the ownership of a work, and notifies its acceptors of how it ended. A fenced owner sends nothing.
     pub(super) fn finish_owned(
         &mut self,
         work_id: WorkId,
--- a/crates/emberpin-failover/src/message.rs
+++ b/crates/emberpin-failover/src/message.rs
@@ -26,7 +26,7 @@
         acceptor_incarnation: Incarnation,
         /// The attempt from which the deduplication window counts.
         first_attempt: FirstAttempt,
-        /// The request, for a candidate to send it.
+        /// The request, in the form that a candidate needs to send it.
         work: Work,
     },
     /// The attempt is accepted.
@@ -61,10 +61,10 @@
         work_id: WorkId,
         /// The ballot that is promised.
         ballot: Ballot,
-        /// What the sender accepted last.
+        /// The attempt that the sender accepted last, if any.
         accepted: Option<AcceptedAttempt>,
     },
-    /// The work has an outcome that its key's holders know; nobody is to take it over.
+    /// The work has an outcome, which the holders of its key know: no member may take it over.
     Completed(WorkId),
     /// Acknowledges a [`Message::Completed`].
     CompletionAcknowledged(WorkId),
@@ -72,10 +72,10 @@
     Abandoned(WorkId, Verdict),
 }
 
-/// What an acceptor accepted last for a work.
+/// The attempt that an acceptor accepted last for a work.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedAttempt {
-    /// The ballot under which it was accepted. Of several the highest is followed.
+    /// The ballot under which it was accepted. A candidate follows the attempt with the highest ballot.
     pub ballot: Ballot,
     /// The attempt from which the deduplication window counts.
     pub first_attempt: FirstAttempt,
--- a/crates/emberpin-failover/src/time.rs
+++ b/crates/emberpin-failover/src/time.rs
@@ -19,7 +19,7 @@
         Timestamp(self.0.max(other.0))
     }
 
-    /// Milliseconds since an earlier moment; negative, if that one is later.
+    /// Milliseconds since another moment; negative if that moment is later.
     pub(crate) fn millis_since(self, earlier: Timestamp) -> f64 {
         self.0 - earlier.0
     }
--- a/crates/emberpin-failover/src/work.rs
+++ b/crates/emberpin-failover/src/work.rs
@@ -7,12 +7,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member(pub u32);
 
-/// Identity of a work: a claim to an idempotency key, made by one incarnation of a limiter.
+/// The identity of a work: a claim to an idempotency key, made by one incarnation of a limiter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WorkId {
     /// The limiter that received the request.
     pub claimant: Member,
-    /// The claimant's incarnation at that time. Its end makes the work subject to takeover.
+    /// The claimant's incarnation at that time. When this incarnation ends, the work may be taken over.
     pub incarnation: Incarnation,
     /// Number of the claim, unique within that incarnation.
     pub claim_number: u64,
@@ -47,7 +47,7 @@
     pub age_ms: f64,
 }
 
-/// A request, as another limiter needs it.
+/// A request, in the form that another limiter needs to send it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Work {
     /// The request as the host encodes it; opaque here.
--- a/crates/emberpin-failover/tests/common/mod.rs
+++ b/crates/emberpin-failover/tests/common/mod.rs
@@ -13,7 +13,7 @@
 pub const DEDUPLICATION_WINDOW_MS: f64 = 1_500.0;
 pub const REPLY_TIMEOUT_MS: f64 = 100.0;
 pub const MEMBERS: usize = 4;
-/// The claimant is an acceptor of its own work, and so are the next two; the fourth is none.
+/// The claimant and the next two members are acceptors of the work; the fourth member is not.
 pub const ACCEPTORS: [Member; 3] = [Member(0), Member(1), Member(2)];
 pub const GROUP: ServerGroup = ServerGroup { zone: 1, cell: 0 };
 pub const CLAIMANT: usize = 0;
@@ -219,7 +219,7 @@
         _ = link.and_then(VecDeque::pop_front);
     }
 
-    /// Repeats the oldest message of a link behind all others.
+    /// Appends a copy of the oldest message of a link behind all others.
     pub fn duplicate(&mut self, from: usize, to: usize) {
         let Some(link) = self.links.get_mut(&(from, to)) else {
             return;
@@ -267,7 +267,7 @@
         (0..MEMBERS).for_each(|other| self.observe_incarnation(other, index));
     }
 
-    /// Has a member believe that an incarnation of another one has ended, whether it has or not.
+    /// Reports to a member that an incarnation of another one has ended, whether it has or not.
     pub fn report_ended(&mut self, index: usize, ended: usize, incarnation_number: u64) {
         let incarnation = Incarnation {
             number: incarnation_number,
@@ -281,7 +281,7 @@
         self.handle(index, event);
     }
 
-    /// Has both other acceptors believe that the claimant's first incarnation has ended.
+    /// Reports to both other acceptors that the claimant's first incarnation has ended.
     pub fn report_claimant_ended(&mut self) {
         (1..3).for_each(|index| self.report_ended(index, CLAIMANT, 1));
     }
--- a/crates/emberpin-failover/tests/random_faults.rs
+++ b/crates/emberpin-failover/tests/random_faults.rs
@@ -1,5 +1,5 @@
-//! Drawn runs with lost, duplicated and delayed messages, kills, restarts, and members that are believed lost while
-//! they are only slow.
+//! Random runs with lost, duplicated and delayed messages, kills, restarts, and members that are reported lost while
+//! they are only slow. No attempt may be sent that could run a second time or contradicts a verdict.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
--- a/crates/emberpin-failover/tests/takeover.rs
+++ b/crates/emberpin-failover/tests/takeover.rs
@@ -53,7 +53,7 @@
 fn an_attempt_that_no_majority_has_accepted_is_never_sent_after_a_takeover() {
     let mut cluster = Cluster::new(None, 10.0);
     cluster.start_work();
-    // The claimant is slow, not dead: its messages have not arrived when the others believe its end.
+    // The claimant is slow, but running: its messages have not arrived when the others learn of its supposed end.
     let delayed: Vec<_> = std::mem::take(&mut cluster.links).into_iter().collect();
     for index in 1..3 {
         cluster.handle(index, Event::MemberUnreachable(Member(0)));
@@ -95,7 +95,7 @@
     }
     cluster.run_for(90.0);
     assert!(cluster.verdicts.contains(&Verdict::NotSent));
-    // The acceptor forgets its promise, and the claimant's request arrives only after that.
+    // The acceptor loses its promise in a restart, and the claimant's request arrives only after that.
     cluster.kill(1, false);
     cluster.restart(1);
     let link = delayed.get_mut(&(CLAIMANT, 1));
@@ -212,7 +212,7 @@
     assert_candidate_learns_outcome(cluster);
 }
 
-/// Two acceptors know of the outcome. The third one could not be reached, and becomes a candidate.
+/// Two acceptors know the outcome. The third one was unreachable, and becomes a candidate.
 fn assert_candidate_learns_outcome(mut cluster: Cluster) {
     cluster.run_for(60.0);
     cluster.kill(CLAIMANT, false);
