--- a/crates/emberpin-idempotency/src/claims.rs
+++ b/crates/emberpin-idempotency/src/claims.rs
@@ -170,7 +170,7 @@
         ticket: Ticket,
     },
     /// A record could not be written.
-    WriteFailed {
+    Unwritten {
         /// The ticket that the [`Action::Record`] named.
         ticket: Ticket,
     },
@@ -182,7 +182,7 @@
         message: Message<A>,
     },
     /// A limiter has become reachable or unreachable.
-    ReachabilityChanged {
+    Reachable {
         /// The limiter in question.
         member: Member,
         /// Whether messages to it are delivered.
@@ -228,7 +228,7 @@
     /// Send the one reply that this request gets.
     Reply(Ticket, Reply<A>),
     /// Append this record to the log. If there is a ticket, report with it whether the record became durable
-    /// ([`Event::Written`] or [`Event::WriteFailed`]).
+    /// ([`Event::Written`] or [`Event::Unwritten`]).
     Record(Record<A>, Option<Ticket>),
     /// Send a message to another limiter.
     Send(Member, Message<A>),
@@ -329,7 +329,7 @@
 
 impl<A: Clone + Weight> Claims<A> {
     /// Creates the state of a limiter that starts at `now`. All other limiters count as unreachable until
-    /// [`Event::ReachabilityChanged`] says otherwise.
+    /// [`Event::Reachable`] says otherwise.
     pub fn new(config: ClaimConfig, limits: Limits, now: Millis) -> Claims<A> {
         let unreachable = config
             .members
@@ -419,16 +419,10 @@
                 self.conclude(ticket, answer, Outcome::Failed, actions);
             }
             Event::ClientLeft { ticket } => self.on_client_left(ticket, actions),
-            Event::Written { ticket } => {
-                self.apply_to_table(table::Event::Written { ticket }, actions)
-            }
-            Event::WriteFailed { ticket } => {
-                self.apply_to_table(table::Event::WriteFailed { ticket }, actions)
-            }
+            Event::Written { ticket } => self.apply(table::Event::Written { ticket }, actions),
+            Event::Unwritten { ticket } => self.apply(table::Event::Unwritten { ticket }, actions),
             Event::Received { from, message } => self.on_message(from, message, actions),
-            Event::ReachabilityChanged { member, reachable } => {
-                self.set_reachable(member, reachable, actions)
-            }
+            Event::Reachable { member, reachable } => self.on_reachable(member, reachable, actions),
             Event::NewIncarnation { member } => self.end_previous_incarnation(member, actions),
             Event::ClaimEnded {
                 claim_id,
@@ -844,7 +838,7 @@
                 };
                 self.received.insert(ticket, received);
                 self.ticket_by_claim.insert(claim_id, ticket);
-                self.apply_to_table(
+                self.apply(
                     table::Event::Arrived {
                         ticket,
                         customer,
@@ -874,7 +868,7 @@
                 if let Some(ticket) = self.ticket_by_claim.remove(&(from, claim)) {
                     self.received.remove(&ticket);
                 }
-                self.apply_to_table(
+                self.apply(
                     table::Event::Learned {
                         customer,
                         key,
@@ -884,23 +878,14 @@
                     actions,
                 );
             }
-            Message::Granted(claim) => self.record_vote(from, claim, Vote::Granted, actions),
-            Message::Queued(claim, claim_id) => {
-                self.record_vote(from, claim, Vote::Queued(claim_id), actions)
-            }
-            Message::Denied(claim, denial) => {
-                self.record_vote(from, claim, Vote::Denied(denial), actions)
-            }
+            Message::Granted(claim) => self.vote(from, claim, Vote::Granted, actions),
+            Message::Queued(claim, other) => self.vote(from, claim, Vote::Queued(other), actions),
+            Message::Denied(claim, denial) => self.vote(from, claim, Vote::Denied(denial), actions),
         }
     }
 
-    fn record_vote(
-        &mut self,
-        from: Member,
-        claim: Claim,
-        vote: Vote<A>,
-        actions: &mut Vec<Action<A>>,
-    ) {
+    /// Records the answer of a holder to a claim of this limiter.
+    fn vote(&mut self, from: Member, claim: Claim, vote: Vote<A>, actions: &mut Vec<Action<A>>) {
         let customer_key = self.key_by_claim.get(&claim).cloned();
         let pending = customer_key
             .as_ref()
@@ -920,6 +905,7 @@
         }
     }
 
+    /// Ends a received claim, if it has not ended yet, and applies the event to the table under its ticket.
     fn end_claim(
         &mut self,
         claim_id: ClaimId,
@@ -928,12 +914,12 @@
     ) {
         if let Some(ticket) = self.ticket_by_claim.remove(&claim_id) {
             self.received.remove(&ticket);
-            self.apply_to_table(event(ticket), actions);
+            self.apply(event(ticket), actions);
         }
     }
 
-    /// Passes an event to the table, and sends the resulting messages to the claimants.
-    fn apply_to_table(&mut self, event: table::Event<A>, actions: &mut Vec<Action<A>>) {
+    /// Applies an event to the table, and sends the resulting messages to the claimants.
+    fn apply(&mut self, event: table::Event<A>, actions: &mut Vec<Action<A>>) {
         let mut table_actions = Vec::new();
         self.table.handle(self.now, event, &mut table_actions);
         for action in table_actions {
@@ -979,7 +965,7 @@
         }
     }
 
-    fn set_reachable(&mut self, member: Member, reachable: bool, actions: &mut Vec<Action<A>>) {
+    fn on_reachable(&mut self, member: Member, reachable: bool, actions: &mut Vec<Action<A>>) {
         if reachable {
             self.unreachable.remove(&member);
             for message in self.queued_outcomes.remove(&member).unwrap_or_default() {
@@ -1045,7 +1031,7 @@
             true => table::Event::Lost { ticket },
             false => table::Event::Released { ticket },
         };
-        self.apply_to_table(event, actions);
+        self.apply(event, actions);
     }
 
     fn tick(&mut self, actions: &mut Vec<Action<A>>) {
@@ -1070,7 +1056,7 @@
         for ticket in expired {
             self.end_without_outcome(ticket, actions);
         }
-        self.apply_to_table(table::Event::Tick, actions);
+        self.apply(table::Event::Tick, actions);
     }
 }
 
--- a/crates/emberpin-idempotency/src/deduplicator.rs
+++ b/crates/emberpin-idempotency/src/deduplicator.rs
@@ -63,10 +63,10 @@
             Event::Failed { ticket, answer } => table::Event::Failed { ticket, answer },
             Event::ClientLeft { ticket } => table::Event::ClientLeft { ticket },
             Event::Written { ticket } => table::Event::Written { ticket },
-            Event::WriteFailed { ticket } => table::Event::WriteFailed { ticket },
+            Event::Unwritten { ticket } => table::Event::Unwritten { ticket },
             Event::Tick => table::Event::Tick,
             Event::Received { .. }
-            | Event::ReachabilityChanged { .. }
+            | Event::Reachable { .. }
             | Event::NewIncarnation { .. }
             | Event::ClaimEnded { .. }
             | Event::ServedAfterTakeover { .. } => return,
--- a/crates/emberpin-idempotency/src/table.rs
+++ b/crates/emberpin-idempotency/src/table.rs
@@ -120,7 +120,7 @@
         ticket: Ticket,
     },
     /// The record of a first request could not be written.
-    WriteFailed {
+    Unwritten {
         /// The ticket of the first request.
         ticket: Ticket,
     },
@@ -138,7 +138,7 @@
     /// Discard this request: no client waits for it any more, and nothing of it was sent.
     Drop(Ticket),
     /// Append this record to the log. If there is a ticket, report with it whether the record became durable
-    /// ([`Event::Written`] or [`Event::WriteFailed`]).
+    /// ([`Event::Written`] or [`Event::Unwritten`]).
     Record(Record<A>, Option<Ticket>),
     /// Send the one reply that this request gets.
     Tell(Ticket, Telling<A>),
@@ -298,7 +298,7 @@
                 self.on_served_elsewhere(customer, key, fingerprint, answer, actions);
             }
             Event::Written { ticket } => self.on_written(ticket, actions),
-            Event::WriteFailed { ticket } => self.on_write_failed(ticket, actions),
+            Event::Unwritten { ticket } => self.on_write_failed(ticket, actions),
             Event::Served { ticket, answer } => {
                 self.conclude(ticket, answer, Outcome::Served, actions);
             }
--- a/crates/emberpin-idempotency/tests/claims.rs
+++ b/crates/emberpin-idempotency/tests/claims.rs
@@ -146,7 +146,7 @@
                     }
                     self.handle_at(
                         a,
-                        Event::ReachabilityChanged {
+                        Event::Reachable {
                             member: Member(b as u32),
                             reachable,
                         },
--- a/crates/emberpin-idempotency/tests/explore.rs
+++ b/crates/emberpin-idempotency/tests/explore.rs
@@ -30,7 +30,7 @@
     Kill(u32),
     Elapse(Millis),
     /// A limiter's clock steps back.
-    StepClockBack(u32),
+    ClockSetBack(u32),
 }
 
 #[derive(Clone)]
@@ -150,7 +150,7 @@
                 self.time += time;
                 true
             }
-            Step::StepClockBack(limiter) => {
+            Step::ClockSetBack(limiter) => {
                 self.clock_offset[limiter as usize] -= RETENTION / 2.0;
                 true
             }
@@ -200,7 +200,7 @@
         steps.extend([
             Step::Arrive(*limiter),
             Step::Kill(*limiter),
-            Step::StepClockBack(*limiter),
+            Step::ClockSetBack(*limiter),
         ]);
     }
     let mut explored = Explored::default();
--- a/crates/emberpin-idempotency/tests/table.rs
+++ b/crates/emberpin-idempotency/tests/table.rs
@@ -400,7 +400,7 @@
     Failed { which: usize },
     Leave { which: usize },
     Elapse { time: u16 },
-    StepClockBack { time: u16 },
+    ClockSetBack { time: u16 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -412,7 +412,7 @@
         1 => any::<usize>().prop_map(|which| Step::Failed { which }),
         2 => any::<usize>().prop_map(|which| Step::Leave { which }),
         2 => (0..4000u16).prop_map(|time| Step::Elapse { time }),
-        1 => (0..4000u16).prop_map(|time| Step::StepClockBack { time }),
+        1 => (0..4000u16).prop_map(|time| Step::ClockSetBack { time }),
     ]
 }
 
@@ -449,7 +449,7 @@
                     latest_now = latest_now.max(fixture.now);
                     fixture.handle(Event::Tick);
                 }
-                Step::StepClockBack { time } => fixture.now = (fixture.now - f64::from(time)).max(0.0),
+                Step::ClockSetBack { time } => fixture.now = (fixture.now - f64::from(time)).max(0.0),
                 Step::Arrive { customer, key, variant } => {
                     latest_now = latest_now.max(fixture.now);
                     known.retain(|_, (_, known)| match known {
@@ -635,7 +635,7 @@
         key: key.clone(),
         fingerprint,
     });
-    let actions = fixture.handle(Event::WriteFailed { ticket });
+    let actions = fixture.handle(Event::Unwritten { ticket });
     let not_written = |ticket| Action::Tell(ticket, Telling::NotWritten);
     assert_eq!(
         actions,
--- a/crates/emberpin-limiter/src/stages/idempotency.rs
+++ b/crates/emberpin-limiter/src/stages/idempotency.rs
@@ -391,7 +391,7 @@
                     die::here("claim");
                     // An outcome that is not taken leaves the key as what may have run, in the next life.
                     if let Some(ticket) = ticket.filter(|_| !taken) {
-                        self.handle(Event::WriteFailed { ticket });
+                        self.handle(Event::Unwritten { ticket });
                     }
                 }
                 Action::Reply(ticket, told) => {
@@ -489,7 +489,7 @@
                         self.handle(Event::NewIncarnation { member: of });
                     }
                 }
-                self.handle(Event::ReachabilityChanged {
+                self.handle(Event::Reachable {
                     member: of,
                     reachable: state.reachable,
                 });
@@ -519,7 +519,7 @@
                     tickets.len()
                 );
                 tickets.iter().for_each(|ticket| {
-                    self.handle(Event::WriteFailed { ticket: of(ticket) });
+                    self.handle(Event::Unwritten { ticket: of(ticket) });
                 });
             }
             // The sweep that asked for it hears of it.
