--- a/crates/emberpin-idempotency/src/table.rs
+++ b/crates/emberpin-idempotency/src/table.rs
@@ -37,7 +37,7 @@
     /// Maximum number of waiting requests of one customer.
     pub waiters_per_customer: usize,
     /// The share of `entries` and of `answer_bytes` that one customer may use, above 0 and at most 1. It is rounded
-    /// down, but never to less than one entry or byte.
+    /// down, with a minimum of one entry.
     pub customer_share: f64,
     /// How long an entry is kept after its outcome, in milliseconds.
     pub retention: Millis,
@@ -66,21 +66,21 @@
     },
     /// A first request was served.
     Served {
-        /// The ticket of the first request.
+        /// The ticket of the request.
         ticket: Ticket,
         /// The answer to the request.
         answer: A,
     },
     /// A first request was rejected, and is known not to have run.
     Rejected {
-        /// The ticket of the first request.
+        /// The ticket of the request.
         ticket: Ticket,
         /// The answer to the request.
         answer: A,
     },
     /// A first request failed, and may have run.
     Failed {
-        /// The ticket of the first request.
+        /// The ticket of the request.
         ticket: Ticket,
         /// The answer to the request.
         answer: A,
@@ -88,19 +88,19 @@
     /// The client of a request disconnected or timed out: it gets no reply any more. A first request continues, a
     /// waiting one is dropped.
     ClientLeft {
-        /// The ticket of the first request.
+        /// The ticket of the request.
         ticket: Ticket,
     },
     /// A first request was abandoned before anything of it was sent. The next waiting request takes its place. If the
     /// ticket is that of a waiting request, it is removed.
     Released {
-        /// The ticket of the first request.
+        /// The ticket of the request.
         ticket: Ticket,
     },
     /// The outcome of a first request will never be known: it may have run. If the ticket is that of a waiting request,
     /// it is removed.
     Lost {
-        /// The ticket of the first request.
+        /// The ticket of the request.
         ticket: Ticket,
     },
     /// The request of a key was served, no matter which limiter forwarded it.
@@ -116,12 +116,12 @@
     },
     /// The record of a first request is durable.
     Written {
-        /// The ticket of the first request.
+        /// The ticket of the request.
         ticket: Ticket,
     },
     /// The record of a first request could not be written.
     Unwritten {
-        /// The ticket of the first request.
+        /// The ticket of the request.
         ticket: Ticket,
     },
     /// Time has passed: expired entries are removed.
@@ -698,7 +698,7 @@
         };
         let (expires, answer) = match status {
             KeyStatus::Removed => return,
-            // The request may have run until the end of that incarnation, and the log does not tell when that was.
+            // The request may have run until the end of that incarnation, and the log does not contain that time.
             KeyStatus::Claimed => (self.now + self.limits.retention, None),
             KeyStatus::Unknown => (concluded_at + self.limits.retention, None),
             KeyStatus::Served(answer) => (concluded_at + self.limits.retention, Some(answer)),
--- a/crates/emberpin-idempotency/tests/claims.rs
+++ b/crates/emberpin-idempotency/tests/claims.rs
@@ -553,8 +553,7 @@
     );
 }
 
-/// A claim that was withdrawn in favour of another must be requested again when the other one ends without an outcome,
-/// or its request would never be served.
+/// A claim that was withdrawn in favour of another must be requested again when the other one ends without an outcome.
 #[test]
 fn a_withdrawn_claim_is_requested_again_after_the_other_one_ends() {
     let mut cluster = Cluster::new(1, 3, 3, true);
