--- a/crates/emberpin-store/src/disk.rs
+++ b/crates/emberpin-store/src/disk.rs
@@ -1,7 +1,8 @@
-//! What a store persists, in a `fjall` keyspace that is read at the start and only written from then on.
+//! The persistent state of a replica, in a `fjall` keyspace that is read once when it is opened and only written
+//! afterwards.
 //!
-//! Each write carries a watermark, and each sync records the watermark that it covers in a file of its own. A start
-//! compares the two, so that it notices if the disk lost what was synced to it.
+//! Each write contains a watermark. The watermark of the last synced write is recorded in a separate file, the sync
+//! record. Opening the disk compares the two, and so detects that the disk lost synced writes.
 
 mod error;
 mod item_versions;
@@ -31,7 +32,7 @@
 
 pub use watermark::WriteNumber;
 
-/// The open disk of a store.
+/// The open disk of a replica.
 pub struct Disk {
     keyspace: StoreKeyspace,
     /// The keyspace's folder.
@@ -39,25 +40,25 @@
     journal: JournalReader,
     sync_record: SyncRecord,
     versions: ItemVersions,
-    /// Number of the last write.
+    /// The number of the last write.
     write_number: WriteNumber,
-    /// The keyspace still has the previous format; the next write updates it.
+    /// Whether the keyspace still has the previous format, which the next write updates.
     has_previous_format: bool,
 }
 
 impl Disk {
-    /// Opens the disk in a data folder and reads it; `None` if nothing was ever written there. A folder that is empty
-    /// or missing becomes the disk of this machine.
+    /// Opens the disk in a data folder, and reads its state; the state is `None` if nothing was ever written there. A
+    /// missing or empty folder becomes the disk of this machine.
     ///
     /// # Errors
     ///
-    /// [`DiskError`]: the folder cannot be used, belongs to another machine, or holds less than was synced to it. What
-    /// was synced is left as it is.
+    /// [`DiskError`]: the folder cannot be used, belongs to another machine, or lacks synced writes. Synced data is left
+    /// unchanged.
     pub fn open(
         folder: &Path,
         own_ip: Ipv4Addr,
     ) -> Result<(Disk, Option<PersistedState>), DiskError> {
-        let path = keyspace::path_in(folder);
+        let path = keyspace::keyspace_path(folder);
         fs::create_dir_all(folder).map_err(FileOperation::CreateFolder.failed_at(folder))?;
         let sync_record =
             SyncRecord::open(folder).map_err(FileOperation::OpenSyncRecord.failed_at(folder))?;
@@ -74,7 +75,7 @@
         discard_incomplete_writes(&path, synced)?;
         let mut disk = Disk::open_keyspace(&path, sync_record)?;
         disk.check_identity(own_ip)?;
-        let state = disk.read()?;
+        let state = disk.read_state()?;
         disk.check_completeness(synced)?;
         if synced.is_none() {
             let watermark = disk.watermark();
@@ -86,9 +87,10 @@
         Ok((disk, state))
     }
 
+    /// Opens the keyspace, and positions the journal reader at the next write.
     fn open_keyspace(path: &Path, sync_record: SyncRecord) -> Result<Disk, DiskError> {
         let newest_before =
-            journal::newest(path).map_err(FileOperation::ReadJournal.failed_at(path))?;
+            journal::newest_number(path).map_err(FileOperation::ReadJournal.failed_at(path))?;
         let keyspace =
             StoreKeyspace::open(path).map_err(KeyspaceOperation::Open.failed_at(path))?;
         let journal = JournalReader::at_end(path, newest_before)
@@ -125,12 +127,13 @@
         Ok(())
     }
 
-    fn read(&mut self) -> Result<Option<PersistedState>, DiskError> {
+    /// Reads the persisted state; `None` if there is no write yet. Collects the versions of the items for watermarks.
+    fn read_state(&mut self) -> Result<Option<PersistedState>, DiskError> {
         let Some((promised, voting)) = self.decode_meta(meta_key::PROMISED)? else {
             return Ok(None);
         };
-        // Both records may be missing: builds without incarnations wrote none, and `pending` comes with the first
-        // accepted proposal.
+        // Either record can be missing: builds without incarnations did not write `incarnations`, and `pending` is first
+        // written with the first accepted proposal.
         let (incarnation, latest_incarnations, bootstrap_candidate) = self
             .decode_meta(meta_key::INCARNATIONS)?
             .unwrap_or_default();
@@ -159,10 +162,10 @@
         Ok(items)
     }
 
-    /// Checks that the items read are those that the last write left, and that no synced write is missing.
+    /// Checks that the items read match the watermark of the last write, and that no synced write is missing.
     fn check_completeness(&mut self, synced: Option<WriteNumber>) -> Result<(), DiskError> {
         let Some(bytes) = self.meta(meta_key::WATERMARK)? else {
-            // Builds without watermarks wrote no sync record either.
+            // Builds without watermarks did not write sync records either.
             return match synced {
                 None | Some(WriteNumber::NONE) => Ok(()),
                 Some(_) => Err(missing_writes(&self.path, WriteNumber::NONE, synced)),
@@ -189,11 +192,11 @@
         Ok(())
     }
 
-    /// Appends a write to the journal. It survives a loss of power once a later [`Disk::sync`] has returned.
+    /// Appends a write to the journal. The write survives a power failure once a later [`Disk::sync`] has returned.
     ///
     /// # Errors
     ///
-    /// [`DiskError`]: what the disk holds is unknown until it is opened again.
+    /// [`DiskError`]: the contents of the disk are unknown until it is opened again.
     pub fn write(&mut self, write: &WriteBatch) -> Result<(), DiskError> {
         let mut batch = self.keyspace.keyspace.batch();
         for item in &write.chosen {
@@ -233,11 +236,12 @@
         self.commit(batch, watermark)
     }
 
+    /// Commits a batch, and checks that it is in the journal file.
     fn commit(&mut self, batch: fjall::Batch, watermark: Watermark) -> Result<(), DiskError> {
         batch
             .commit()
             .map_err(KeyspaceOperation::Write.failed_at(&self.path))?;
-        // `commit` ignores errors of the journal.
+        // `fjall`'s `commit` ignores errors when it writes the journal.
         self.keyspace
             .keyspace
             .persist(PersistMode::Buffer)
@@ -254,7 +258,7 @@
         Ok(())
     }
 
-    /// Returns once all writes are on the disk, and that is recorded.
+    /// Syncs all writes, and records that in the sync record.
     ///
     /// # Errors
     ///
@@ -264,7 +268,7 @@
         self.record_sync()
     }
 
-    /// Returns once all writes are on the disk.
+    /// Syncs all writes, without an update of the sync record.
     ///
     /// # Errors
     ///
@@ -276,7 +280,7 @@
             .map_err(KeyspaceOperation::Sync.failed_at(&self.path))
     }
 
-    /// Records that all writes are synced, which they must be.
+    /// Records in the sync record that all writes are synced. To be called after [`Disk::sync_journal`].
     ///
     /// # Errors
     ///
@@ -291,7 +295,7 @@
             .map_err(FileOperation::WriteSyncRecord.failed_at(&self.path))
     }
 
-    /// The watermark of the last write.
+    /// Returns the watermark of the last write.
     fn watermark(&self) -> Watermark {
         self.versions.watermark(self.write_number)
     }
@@ -331,10 +335,11 @@
     }
 }
 
-/// Cuts off a last batch that is incomplete or damaged, if it was never synced: no message depends on it. `fjall`
-/// would cut off everything behind damage, synced or not, so this comes before it opens the keyspace.
+/// Truncates the newest journal after its last intact batch, or fails if synced writes are missing. No message depends
+/// on unsynced writes. `fjall` would truncate everything behind damage, synced or not, so this runs before `fjall` opens the
+/// keyspace.
 fn discard_incomplete_writes(path: &Path, synced: Option<WriteNumber>) -> Result<(), DiskError> {
-    let prefix = IntactPrefix::of_newest_journal(path)
+    let prefix = IntactPrefix::find_in_newest_journal(path)
         .map_err(FileOperation::ReadJournal.failed_at(path))?;
     let Some(prefix) = prefix else {
         return Ok(());
@@ -350,6 +355,7 @@
         .map_err(FileOperation::TruncateJournal.failed_at(path))
 }
 
+/// The error for a keyspace whose last write is `found`, less than `synced` from the sync record, if that exists.
 fn missing_writes(path: &Path, found: WriteNumber, synced: Option<WriteNumber>) -> DiskError {
     let loss = match synced {
         Some(synced) => DataLoss::Writes { synced, found },
--- a/crates/emberpin-store/src/disk/error.rs
+++ b/crates/emberpin-store/src/disk/error.rs
@@ -1,4 +1,4 @@
-//! Why the disk of a store cannot be used.
+//! Errors of a store's disk.
 
 use super::watermark::WriteNumber;
 use std::fmt;
@@ -29,7 +29,7 @@
         /// What `fjall` reported.
         source: fjall::Error,
     },
-    /// The folder is intact, and not one that this store may use.
+    /// The folder is readable, but this store must not use it.
     #[error("{path}: {mismatch}")]
     Mismatch {
         /// The folder of the keyspace.
@@ -37,7 +37,7 @@
         /// What does not match.
         mismatch: FolderMismatch,
     },
-    /// A record exists that cannot be decoded: a fault of this build or of the disk.
+    /// A record cannot be decoded, because of a bug in this build or a fault of the disk.
     #[error("{path}: cannot decode the record {record:?}: {source}; treat the disk as wiped")]
     Undecodable {
         /// The folder of the keyspace.
@@ -47,15 +47,15 @@
         /// What the decoder reported.
         source: postcard::Error,
     },
-    /// The watermark exists with another length than this build writes.
+    /// The watermark has a length other than the one this build writes.
     #[error("{path}: the record of the last write has {length} bytes; treat the disk as wiped")]
     WatermarkLength {
         /// The folder of the keyspace.
         path: PathBuf,
-        /// The length found.
+        /// The length found, in bytes.
         length: usize,
     },
-    /// A value could not be encoded, so that the write was not attempted.
+    /// A value could not be encoded. The write was not attempted.
     #[error("{path}: cannot encode the record {record:?}: {source}")]
     Unencodable {
         /// The folder of the keyspace.
@@ -65,7 +65,7 @@
         /// What the encoder reported.
         source: postcard::Error,
     },
-    /// Less is on the disk than was synced to it.
+    /// Synced data is missing from the disk.
     #[error("{path}: holds less than was synced to it: {loss}; treat the disk as wiped")]
     DataLoss {
         /// The folder of the keyspace.
@@ -73,7 +73,7 @@
         /// What is missing.
         loss: DataLoss,
     },
-    /// `fjall` reported success, and the write is not in its journal.
+    /// `fjall` reported success, but the write is not in its journal.
     #[error("{path}: a write did not reach the journal; make room if the disk is full")]
     WriteNotInJournal {
         /// The folder of the keyspace.
@@ -82,7 +82,7 @@
 }
 
 impl DiskError {
-    /// Whether the contents are wrong, so that neither room on the disk nor another attempt helps.
+    /// Whether the error is permanent: the contents are wrong, so that neither free disk space nor a retry helps.
     pub fn is_damage(&self) -> bool {
         match self {
             DiskError::Mismatch { .. }
@@ -106,26 +106,26 @@
 pub enum FileOperation {
     /// Create the data folder.
     CreateFolder,
-    /// Find out whether a folder exists.
+    /// Check whether a folder exists.
     Probe,
-    /// Open the record of what was synced.
+    /// Open the sync record.
     OpenSyncRecord,
-    /// Write and sync the record of what was synced.
+    /// Write and sync the sync record.
     WriteSyncRecord,
     /// Read the newest journal.
     ReadJournal,
-    /// Cut off an incomplete batch at the journal's end.
+    /// Truncate the journal at an incomplete or damaged batch.
     TruncateJournal,
     /// Remove a keyspace whose creation was interrupted.
     RemoveIncomplete,
-    /// Give a new keyspace its final name.
+    /// Rename a new keyspace to its final name.
     RenameNew,
     /// Sync the data folder.
     SyncFolder,
 }
 
 impl FileOperation {
-    /// Turns an error of this operation into a [`DiskError`], for `map_err`.
+    /// Returns a function for `map_err` that converts an error of this operation on `path` into a [`DiskError`].
     pub(super) fn failed_at(self, path: &Path) -> impl FnOnce(io::Error) -> DiskError + '_ {
         move |source| DiskError::File {
             operation: self,
@@ -154,7 +154,7 @@
 /// An operation of the `fjall` keyspace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyspaceOperation {
-    /// Make a new keyspace.
+    /// Create a new keyspace.
     Create,
     /// Open an existing keyspace.
     Open,
@@ -167,7 +167,7 @@
 }
 
 impl KeyspaceOperation {
-    /// Turns an error of this operation into a [`DiskError`], for `map_err`.
+    /// Returns a function for `map_err` that converts an error of this operation on `path` into a [`DiskError`].
     pub(super) fn failed_at(self, path: &Path) -> impl FnOnce(fjall::Error) -> DiskError + '_ {
         move |source| DiskError::Keyspace {
             operation: self,
@@ -189,16 +189,16 @@
     }
 }
 
-/// Why a folder is not one that this store may use.
+/// Why this store must not use a folder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FolderMismatch {
-    /// It is a keyspace of some other program.
+    /// The keyspace was written by another program.
     #[error("is not the folder of a store")]
     NotAStore,
-    /// It was written by a build that this one does not know.
+    /// The keyspace has a format that this build does not know.
     #[error("has a format that this build does not know; start the build that wrote it")]
     UnknownFormat,
-    /// It was written by the store of another machine.
+    /// The keyspace was written by the store of another machine.
     #[error("belongs to another machine than {own_ip}; give the store an empty folder")]
     OtherMachine {
         /// The address of this store.
@@ -206,10 +206,10 @@
     },
 }
 
-/// How it shows that the disk lost data.
+/// The evidence that the disk lost data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DataLoss {
-    /// The last write found is older than the last one that was synced.
+    /// The last write present is older than the last synced one.
     #[error("{synced} writes were synced, {found} are present")]
     Writes {
         /// Number of the last write that was synced.
@@ -217,20 +217,20 @@
         /// Number of the last write that is present.
         found: WriteNumber,
     },
-    /// There are writes, and no record of which were synced.
+    /// Writes are present, but the sync record is not.
     #[error("{found} writes are present, and the record of what was synced is not")]
     SyncRecord {
         /// Number of the last write that is present.
         found: WriteNumber,
     },
-    /// The items are not those that the last write left.
+    /// The items do not match the watermark of the last write.
     #[error(
         "{written_count} items were written, {found_count} are present, or have other versions"
     )]
     Items {
-        /// How many items there were after the last write.
+        /// Number of items after the last write.
         written_count: u64,
-        /// How many items are present.
+        /// Number of items that are present.
         found_count: u64,
     },
 }
--- a/crates/emberpin-store/src/disk/journal.rs
+++ b/crates/emberpin-store/src/disk/journal.rs
@@ -1,10 +1,11 @@
-//! Reads back the newest journal of `fjall`: to confirm that a write is in the file, and to find the end of the last
-//! intact batch.
+//! Reads the newest journal of `fjall`, to confirm that a write is in the file and to find the end of the last intact
+//! batch.
 //!
 //! `fjall` encodes a batch as
 //!
-//! - a start: the tag 1, the number of entries (4 bytes), a sequence number (8), and two zero bytes;
-//! - the entries: each the tag 2, a kind, the partition's name (its length in 1 byte), the key (2) and the value (4);
+//! - a start: the tag 1, the number of entries (4 bytes), a sequence number (8 bytes), and two zero bytes;
+//! - the entries: each is the tag 2, a kind (1 byte), the partition's name (preceded by its length in 1 byte), the key
+//!   (preceded by its length in 2 bytes) and the value (preceded by its length in 4 bytes);
 //! - an end: the tag 3, a checksum over the entries (8 bytes), and `FJL` with the byte 2.
 //!
 //! Integers are big-endian.
@@ -17,26 +18,27 @@
 use std::path::{Path, PathBuf};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Name of the folder with the journals in the keyspace's folder.
+/// Name of the journals' folder in the keyspace's folder.
 const JOURNALS_FOLDER: &str = "journals";
-/// The partition with the watermark.
+/// Name of the partition with the watermark.
 const META_PARTITION: &[u8] = b"meta";
 
 const START_TAG: u8 = 1;
 const ENTRY_TAG: u8 = 2;
 const END_TAG: u8 = 3;
-/// Bytes of a batch's start and end.
+/// Lengths in bytes of a batch's start and end.
 const START_LENGTH: usize = 15;
 const END_LENGTH: usize = 13;
 /// The last bytes of each batch.
 const TRAILER: &[u8] = b"FJL\x02";
 
-fn path(keyspace: &Path, number: u64) -> PathBuf {
+/// Returns the path of a journal. `keyspace` is the keyspace's folder, as in all functions of this module.
+fn journal_path(keyspace: &Path, number: u64) -> PathBuf {
     keyspace.join(JOURNALS_FOLDER).join(number.to_string())
 }
 
-/// The numbers of a keyspace's journals, ascending.
-fn numbers(keyspace: &Path) -> io::Result<Vec<u64>> {
+/// Returns the numbers of a keyspace's journals, in ascending order.
+fn journal_numbers(keyspace: &Path) -> io::Result<Vec<u64>> {
     let entries = match fs::read_dir(keyspace.join(JOURNALS_FOLDER)) {
         Err(error) if error.kind() == ErrorKind::NotFound => return Ok(Vec::new()),
         entries => entries?,
@@ -54,14 +56,15 @@
     Ok(numbers)
 }
 
-/// The number of a keyspace's newest journal; `None` if it has none.
-pub fn newest(keyspace: &Path) -> io::Result<Option<u64>> {
-    Ok(numbers(keyspace)?.pop())
+/// Returns the number of a keyspace's newest journal; `None` if there is none.
+pub fn newest_number(keyspace: &Path) -> io::Result<Option<u64>> {
+    Ok(journal_numbers(keyspace)?.pop())
 }
 
-/// The part of a journal before the first batch that is incomplete or damaged.
+/// The part of a journal before its first incomplete or damaged batch.
 pub struct IntactPrefix {
     path: PathBuf,
+    /// Length of the prefix in bytes.
     length: u64,
     /// The watermark of the last intact batch that has one; `None` if the last write is in an earlier journal or in
     /// the tables.
@@ -74,20 +77,20 @@
     /// # Errors
     ///
     /// The journal could not be read. A damaged batch is no error: it ends the prefix.
-    pub fn of_newest_journal(keyspace: &Path) -> io::Result<Option<IntactPrefix>> {
-        let Some(number) = newest(keyspace)? else {
+    pub fn find_in_newest_journal(keyspace: &Path) -> io::Result<Option<IntactPrefix>> {
+        let Some(number) = newest_number(keyspace)? else {
             return Ok(None);
         };
-        let path = path(keyspace, number);
+        let path = journal_path(keyspace, number);
         let file = File::open(&path)?;
         let mut batches = BatchReader::new(&file, 0)?;
-        let (mut length, mut last) = (0, None);
+        let (mut length, mut last_watermark) = (0, None);
         while let Some(batch) = batches.next()? {
             length = batches.offset;
-            last = batch.watermark.or(last);
+            last_watermark = batch.watermark.or(last_watermark);
         }
-        // Before the very first journal nothing was written.
-        let watermark = last.or((number == 0).then(Watermark::default));
+        // Nothing was written before the first journal, so without a watermark in it there is no write at all.
+        let watermark = last_watermark.or((number == 0).then(Watermark::default));
         Ok(Some(IntactPrefix {
             path,
             length,
@@ -95,7 +98,7 @@
         }))
     }
 
-    /// Cuts off what follows the prefix.
+    /// Truncates the journal at the end of the prefix.
     ///
     /// # Errors
     ///
@@ -110,7 +113,7 @@
     }
 }
 
-/// Reads each write back from the newest journal.
+/// Reads each write from the newest journal after it was written.
 pub struct JournalReader {
     keyspace: PathBuf,
     number: u64,
@@ -120,16 +123,16 @@
 }
 
 impl JournalReader {
-    /// Positions a reader where the next write of a keyspace that was just opened will be. `newest_before` is the
-    /// newest journal before it was opened: one that is new since then is written from its beginning, although its
-    /// file is longer than that.
+    /// Creates a reader that is positioned at the next write of a keyspace that was just opened. `newest_before` is the
+    /// number of the newest journal before the keyspace was opened. A journal that is newer is read from its beginning,
+    /// although its file already has a length.
     ///
     /// # Errors
     ///
     /// There is no journal, or it could not be opened.
     pub fn at_end(keyspace: &Path, newest_before: Option<u64>) -> io::Result<JournalReader> {
-        let number = newest(keyspace)?.ok_or(ErrorKind::NotFound)?;
-        let file = File::open(path(keyspace, number))?;
+        let number = newest_number(keyspace)?.ok_or(ErrorKind::NotFound)?;
+        let file = File::open(journal_path(keyspace, number))?;
         let offset = if newest_before == Some(number) {
             file.metadata()?.len()
         } else {
@@ -149,15 +152,15 @@
     ///
     /// A journal could not be read.
     pub fn confirm(&mut self, written: Watermark) -> io::Result<bool> {
-        if self.next_is(written)? {
+        if self.next_batch_has(written)? {
             return Ok(true);
         }
-        // `fjall` may have begun another journal since the last write, and one more after this write.
-        for number in numbers(&self.keyspace)?
+        // `fjall` can have begun another journal since the last write, and one more after this write.
+        for number in journal_numbers(&self.keyspace)?
             .into_iter()
             .filter(|number| *number > self.number)
         {
-            let file = match File::open(path(&self.keyspace, number)) {
+            let file = match File::open(journal_path(&self.keyspace, number)) {
                 Err(error) if error.kind() == ErrorKind::NotFound => continue,
                 file => file?,
             };
@@ -167,7 +170,7 @@
                 file,
                 offset: 0,
             };
-            if next.next_is(written)? {
+            if next.next_batch_has(written)? {
                 *self = next;
                 return Ok(true);
             }
@@ -175,7 +178,8 @@
         Ok(false)
     }
 
-    fn next_is(&mut self, written: Watermark) -> io::Result<bool> {
+    /// Reads the next batch of this journal, and returns whether it is intact and has this watermark.
+    fn next_batch_has(&mut self, written: Watermark) -> io::Result<bool> {
         let mut batches = BatchReader::new(&self.file, self.offset)?;
         let batch = batches.next()?;
         self.offset = batches.offset;
@@ -185,12 +189,14 @@
 
 /// An intact batch.
 struct Batch {
+    /// Length in bytes, from its start to its end.
     length: u64,
-    /// The watermark in it; `None` if the batch has none.
+    /// The watermark that the batch writes; `None` if it writes none.
     watermark: Option<Watermark>,
 }
 
-/// An entry with its tag and lengths, as the checksum covers it.
+/// An entry of a batch. `bytes` includes its tag and lengths, as the checksum covers them; the ranges are offsets in
+/// `bytes`.
 struct Entry {
     bytes: Vec<u8>,
     partition: Range<usize>,
@@ -209,11 +215,12 @@
     }
 }
 
-/// Reads the intact batches of a journal, from an offset on.
+/// Reads the intact batches of a journal, starting at an offset.
 struct BatchReader<'a> {
     input: BufReader<&'a File>,
+    /// Length of the journal in bytes.
     file_bytes: u64,
-    /// The end of the last intact batch.
+    /// The end of the last intact batch, where the next one begins.
     offset: u64,
 }
 
@@ -240,6 +247,7 @@
         }
     }
 
+    /// Reads a batch; `None` if it is damaged. Fails with [`ErrorKind::UnexpectedEof`] if it is incomplete.
     fn read_batch(&mut self) -> io::Result<Option<Batch>> {
         let Some(entry_count) = self.read_start()? else {
             return Ok(None);
@@ -262,7 +270,7 @@
         Ok(is_intact.then_some(Batch { length, watermark }))
     }
 
-    /// Reads a batch's start and returns its number of entries; `None` if this is no start.
+    /// Reads a batch's start, and returns the number of entries; `None` if the bytes are no valid start.
     fn read_start(&mut self) -> io::Result<Option<u32>> {
         let mut start = [0; START_LENGTH];
         self.input.read_exact(&mut start)?;
@@ -274,7 +282,8 @@
         ])))
     }
 
-    /// Reads an entry into an empty or used buffer; `None` if this is no entry, or one beyond the file's end.
+    /// Reads an entry. `bytes` is a buffer for reuse, whose contents are discarded. Returns `None` if the bytes are no
+    /// valid entry, or the entry exceeds the file.
     fn read_entry(&mut self, mut bytes: Vec<u8>) -> io::Result<Option<Entry>> {
         bytes.clear();
         if !self.append(&mut bytes, 3)? || bytes[0] != ENTRY_TAG {
@@ -285,12 +294,12 @@
         if !self.append(&mut bytes, partition_length + 2)? {
             return Ok(None);
         }
-        let key_length = usize::from(u16::from_be_bytes(last(&bytes)));
+        let key_length = usize::from(u16::from_be_bytes(last_bytes(&bytes)));
         let key = bytes.len()..bytes.len() + key_length;
         if !self.append(&mut bytes, key_length + 4)? {
             return Ok(None);
         }
-        let value_length = u32::from_be_bytes(last(&bytes)) as usize;
+        let value_length = u32::from_be_bytes(last_bytes(&bytes)) as usize;
         let value = bytes.len()..bytes.len() + value_length;
         if !self.append(&mut bytes, value_length)? {
             return Ok(None);
@@ -303,28 +312,28 @@
         }))
     }
 
-    /// Reads a batch's end; whether it has this checksum.
+    /// Reads a batch's end, and returns whether it is valid and has this checksum.
     fn read_end(&mut self, checksum: u64) -> io::Result<bool> {
         let mut end = [0; END_LENGTH];
         self.input.read_exact(&mut end)?;
         Ok(end[0] == END_TAG && end[1..9] == checksum.to_be_bytes() && end[9..] == *TRAILER)
     }
 
-    /// Appends the next bytes of the file; `false` if the file is too short for them. Checked first, so that a
-    /// damaged length allocates no more than the file has.
+    /// Appends the next `length` bytes of the file; `false` if the file is too short. The length is checked before the
+    /// buffer grows, so that a damaged length allocates no more than the file's size.
     fn append(&mut self, bytes: &mut Vec<u8>, length: usize) -> io::Result<bool> {
         if length as u64 > self.file_bytes.saturating_sub(self.offset) {
             return Ok(false);
         }
-        let from = bytes.len();
-        bytes.resize(from + length, 0);
-        self.input.read_exact(&mut bytes[from..])?;
+        let start = bytes.len();
+        bytes.resize(start + length, 0);
+        self.input.read_exact(&mut bytes[start..])?;
         Ok(true)
     }
 }
 
-/// The last bytes, which were just read.
-fn last<const N: usize>(bytes: &[u8]) -> [u8; N] {
+/// Returns the last `N` bytes of a buffer to which at least as many were appended.
+fn last_bytes<const N: usize>(bytes: &[u8]) -> [u8; N] {
     bytes
         .last_chunk()
         .copied()
--- a/crates/emberpin-store/src/disk/keyspace.rs
+++ b/crates/emberpin-store/src/disk/keyspace.rs
@@ -1,4 +1,4 @@
-//! The `fjall` keyspace of a store: where it is, how it is configured, and how a new one is created.
+//! The `fjall` keyspace of a replica: its location, configuration and creation.
 
 use super::error::{DiskError, FileOperation, KeyspaceOperation};
 use fjall::{Config, Keyspace, PartitionCreateOptions, PartitionHandle, PersistMode};
@@ -9,12 +9,13 @@
 
 /// Name of the keyspace's folder in the data folder.
 const KEYSPACE_FOLDER: &str = "store";
-/// Name of a keyspace that is being created. It is renamed once it is complete.
+/// Name of the folder of a keyspace that is being created. It is renamed to [`KEYSPACE_FOLDER`] once it is complete.
 const INCOMPLETE_FOLDER: &str = "forming";
 
-/// What the record `format` says. The number rises when an older build could not read the keyspace.
+/// Value of the record `format`. Its number is increased whenever older builds cannot read the new format.
 pub const FORMAT: &[u8] = b"emberpin-store 2";
-/// The format before, without histories and checkpoints. It can be read, and the next write updates it to [`FORMAT`].
+/// The previous format, without histories and checkpoints. This build reads it, and the next write updates it to
+/// [`FORMAT`].
 pub const PREVIOUS_FORMAT: &[u8] = b"emberpin-store 1";
 
 /// Keys in the partition `meta`.
@@ -23,22 +24,22 @@
     pub const FORMAT: &str = "format";
     /// Address of the machine that the keyspace belongs to.
     pub const NODE: &str = "node";
-    /// The promised ballot, and whether the store votes.
+    /// The promised ballot, and whether the replica votes.
     pub const PROMISED: &str = "promised";
     /// The proposal that was accepted and is not known to be chosen.
     pub const PENDING: &str = "pending";
-    /// The store's incarnation, those of its peers that it noted, and its candidacy as a founder.
+    /// The replica's incarnation, the latest known incarnations of its peers, and its candidacy as a founder.
     pub const INCARNATIONS: &str = "incarnations";
     /// The [`Watermark`](crate::disk::watermark::Watermark) of the last write.
     pub const WATERMARK: &str = "mark";
 }
 
-/// Size at which `fjall` flushes a memtable to tables and begins another journal. That occupies the disk for a while,
+/// Size in bytes at which `fjall` flushes a memtable to tables and begins another journal. A flush keeps the disk busy,
 /// so it should be rare.
 const MEMTABLE_BYTES: u32 = 8 << 20;
-/// Size of the cache for tables, which are read only at the start.
+/// Size in bytes of the cache for tables, which are read only when the disk is opened.
 const CACHE_BYTES: u64 = 256 << 10;
-/// Limits on the journals and on the write buffers of all partitions.
+/// Limits in bytes on all journals, and on the write buffers of all partitions.
 const JOURNAL_BYTES: u64 = 24 << 20;
 const WRITE_BUFFER_BYTES: u64 = 16 << 20;
 
@@ -52,7 +53,7 @@
 }
 
 impl StoreKeyspace {
-    /// Opens the keyspace in a folder, and creates an empty one where there is none.
+    /// Opens the keyspace in a folder, or creates an empty one if there is none.
     ///
     /// # Errors
     ///
@@ -77,13 +78,13 @@
     }
 }
 
-/// The keyspace's folder in a data folder.
-pub fn path_in(data_folder: &Path) -> PathBuf {
+/// Returns the keyspace's folder in a data folder.
+pub fn keyspace_path(data_folder: &Path) -> PathBuf {
     data_folder.join(KEYSPACE_FOLDER)
 }
 
-/// Creates an empty keyspace that belongs to this machine. It gets its final name only once it is complete and synced,
-/// so an interrupted creation is begun again.
+/// Creates an empty keyspace that belongs to this machine. The folder receives its final name only once it is complete
+/// and synced; the next start repeats an interrupted creation.
 ///
 /// # Errors
 ///
@@ -97,13 +98,14 @@
     }
     write_identity(&incomplete, own_ip)
         .map_err(KeyspaceOperation::Create.failed_at(&incomplete))?;
-    let keyspace = path_in(data_folder);
+    let keyspace = keyspace_path(data_folder);
     fs::rename(&incomplete, &keyspace).map_err(FileOperation::RenameNew.failed_at(&keyspace))?;
     sync_folder(data_folder)?;
     sync_parent(data_folder);
     Ok(())
 }
 
+/// Creates a keyspace with the records of its format and its machine, and syncs it.
 fn write_identity(folder: &Path, own_ip: Ipv4Addr) -> fjall::Result<()> {
     let StoreKeyspace { keyspace, meta, .. } = StoreKeyspace::open(folder)?;
     let mut batch = keyspace.batch();
@@ -113,7 +115,7 @@
     keyspace.persist(PersistMode::SyncAll)
 }
 
-/// Makes the names in a folder durable.
+/// Syncs a folder, so that the names in it survive a power failure.
 ///
 /// # Errors
 ///
@@ -122,8 +124,8 @@
     open_and_sync(folder).map_err(FileOperation::SyncFolder.failed_at(folder))
 }
 
-/// Makes the data folder's own name durable, if its parent can be opened: the platform creates the data folder, and
-/// the store may have no access to what is above it.
+/// Syncs the parent of the data folder, so that the data folder's own name survives a power failure. Ignores errors: the
+/// platform creates the data folder, and the store possibly has no access to the parent.
 fn sync_parent(folder: &Path) {
     let parent = folder
         .parent()
--- a/crates/emberpin-store/src/disk/queue.rs
+++ b/crates/emberpin-store/src/disk/queue.rs
@@ -1,4 +1,4 @@
-//! The event loop's end of the queue of batches for the disk.
+//! The event loop's end of the queue of write batches for the disk worker.
 
 use super::worker::{
     item_bytes, DiskCommand, DiskEvent, DiskWorker, Generation, Progress, SyncRecording,
@@ -15,36 +15,37 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc as events;
 
-/// Most batches that may wait; one more is rejected with [`QueueFull`].
+/// Maximum number of queued batches; further ones are rejected with [`QueueFull`].
 const MAX_QUEUED_BATCHES: usize = MAX_BATCHES_PER_SYNC;
-/// Most bytes of items that may wait. A larger batch is accepted while nothing else waits.
+/// Maximum number of queued item bytes. A batch that alone exceeds the limit is accepted while the queue is empty.
 const MAX_QUEUED_BYTES: usize = 16 << 20;
-/// A disk that completes no batch for this long while some wait is stalled.
+/// A disk that completes no batch for this long while batches are queued is stalled.
 const STALL_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// The batch was not accepted, as too much waits already.
+/// The queue is full: the batch or command was not accepted.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("too many writes wait for the disk")]
 pub struct QueueFull;
 
-/// Submits batches to the disk's worker, and tells whether the worker keeps up.
+/// Submits batches to the disk worker, and monitors its progress.
 pub struct DiskQueue {
     commands: SyncSender<DiskCommand>,
     progress: Arc<Progress>,
     generation: Generation,
+    /// Number of batches submitted so far.
     submitted_batches: u64,
-    /// How many batches were completed when that was last looked at.
+    /// Number of completed batches when the progress was last observed.
     completed_batches: u64,
-    /// When a batch was last seen completed, or was submitted while none waited.
+    /// When a completed batch was last observed, or a batch was submitted to an empty queue.
     progressed_at: Instant,
 }
 
 impl DiskQueue {
-    /// Starts the worker with an open disk. Its events come on the receiver.
+    /// Starts the worker thread with an open disk. Returns the queue, and a receiver for the worker's events.
     ///
     /// # Errors
     ///
-    /// The operating system started no thread.
+    /// The operating system could not start the thread.
     pub fn start(
         disk: Disk,
         folder: PathBuf,
@@ -78,8 +79,8 @@
         Ok((queue, reported_events))
     }
 
-    /// Submits a batch. The token, if there is one, is reported with [`DiskEvent::Synced`] once the batch and all
-    /// before it are synced.
+    /// Submits a batch. If there is a `sync_token`, [`DiskEvent::Synced`] reports it or the token of a later batch once
+    /// the batch and all earlier ones are synced.
     ///
     /// # Errors
     ///
@@ -116,12 +117,12 @@
         Ok(())
     }
 
-    /// To be called for each [`DiskEvent::Failed`]: batches submitted before are dropped, later ones are written.
+    /// To be called for each [`DiskEvent::Failed`]. The worker drops the batches submitted before, and writes later ones.
     pub fn on_disk_failed(&mut self) {
         self.generation = self.generation.next();
     }
 
-    /// Whether batches wait and none was completed for [`STALL_THRESHOLD`].
+    /// Whether batches are queued and none was completed for [`STALL_THRESHOLD`].
     pub fn is_stalled(&mut self, now: Instant) -> bool {
         self.observe_progress(now);
         self.has_queued() && now.saturating_duration_since(self.progressed_at) >= STALL_THRESHOLD
@@ -132,27 +133,28 @@
         self.progress.completed_batches.load(Ordering::Acquire) == self.submitted_batches
     }
 
-    /// Bytes that the files took when they were last measured; 0 if they are not measured.
+    /// Bytes that the files occupied when they were last measured; 0 if they are not measured.
     pub fn used_bytes(&self) -> u64 {
         self.progress.used_bytes.load(Ordering::Relaxed)
     }
 
-    /// Asks the worker to sync and end, which [`DiskEvent::Closed`] confirms.
+    /// Asks the worker to sync all batches and end, which [`DiskEvent::Closed`] confirms.
     ///
     /// # Errors
     ///
-    /// [`QueueFull`]: the worker goes on.
+    /// [`QueueFull`]: the worker keeps running.
     pub fn close(&self) -> Result<(), QueueFull> {
         self.commands
             .try_send(DiskCommand::Close)
             .map_err(|_| QueueFull)
     }
 
-    /// Whether batches waited when the progress was last observed.
+    /// Whether batches were queued when the progress was last observed.
     fn has_queued(&self) -> bool {
         self.completed_batches < self.submitted_batches
     }
 
+    /// Updates the number of completed batches, and the time of the last progress.
     fn observe_progress(&mut self, now: Instant) {
         let completed = self.progress.completed_batches.load(Ordering::Acquire);
         if completed != self.completed_batches {
--- a/crates/emberpin-store/src/disk/sync_record.rs
+++ b/crates/emberpin-store/src/disk/sync_record.rs
@@ -1,5 +1,5 @@
-//! The sync record: a small file that says which write was synced last, with a sync of its own. A start that finds
-//! fewer writes than it says knows that the disk lost some.
+//! The sync record: a small file with the watermark of the last synced write, which is synced separately from the
+//! journal. Opening a disk with fewer writes than the record states detects that the disk lost some.
 
 use super::watermark::{Watermark, WriteNumber, ENCODED_LENGTH};
 use std::fs::{File, OpenOptions};
@@ -10,21 +10,22 @@
 
 /// Name of the file in the data folder.
 const FILE_NAME: &str = "synced";
-/// Offsets of the two slots, which are written in turn: if a crash tears one, the other is still valid.
+/// Offsets of the two slots, which are written alternately: if a crash interrupts the write of one slot, the other is
+/// still valid.
 const SLOT_OFFSETS: [u64; 2] = [0, 4096];
-/// Bytes of a slot: a watermark and its checksum.
+/// Length in bytes of a slot: a watermark and its 8-byte checksum.
 const SLOT_LENGTH: usize = ENCODED_LENGTH + 8;
 
 /// The open sync record.
 pub struct SyncRecord {
     file: File,
     write_number: Option<WriteNumber>,
-    /// The slot that the next update overwrites.
+    /// Index of the slot that the next update overwrites.
     next_slot: usize,
 }
 
 impl SyncRecord {
-    /// Opens the record in a data folder, and creates an empty one where there is none.
+    /// Opens the record in a data folder, or creates an empty one if there is none.
     ///
     /// # Errors
     ///
@@ -49,12 +50,12 @@
         })
     }
 
-    /// Number of the last write that was synced; `None` if nothing was recorded.
+    /// Returns the number of the last synced write; `None` if no sync was recorded.
     pub fn write_number(&self) -> Option<WriteNumber> {
         self.write_number
     }
 
-    /// Records that all writes up to this one are synced, and syncs that.
+    /// Records that all writes up to and including this one are synced, and syncs the record.
     ///
     /// # Errors
     ///
@@ -71,7 +72,7 @@
     }
 }
 
-/// Reads a slot; `None` if it is missing or torn.
+/// Reads a slot; `None` if it is missing or has a wrong checksum.
 fn read_slot(file: &File, offset: u64) -> Option<Watermark> {
     let mut slot = [0; SLOT_LENGTH];
     file.read_exact_at(&mut slot, offset).ok()?;
--- a/crates/emberpin-store/src/disk/watermark.rs
+++ b/crates/emberpin-store/src/disk/watermark.rs
@@ -1,16 +1,16 @@
-//! The watermark that each write carries, from which a start tells whether any write is missing.
+//! The watermark in each write, by which opening the disk detects missing writes.
 
 use std::fmt;
 
-/// Bytes of an encoded watermark.
+/// Length in bytes of an encoded watermark.
 pub const ENCODED_LENGTH: usize = 24;
 
-/// Number of a write: how many writes there were on this disk up to and including it; 0 before the first.
+/// Sequence number of a write on a disk: 1 for the first write, 0 before it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WriteNumber(pub u64);
 
 impl WriteNumber {
-    /// Before the first write.
+    /// The number before the first write.
     pub const NONE: WriteNumber = WriteNumber(0);
 
     /// The number of the next write.
@@ -29,9 +29,9 @@
 /// Identifies a write, and summarizes all items that are present after it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Watermark {
-    /// The write that carries this watermark.
+    /// The write that contains this watermark.
     pub write_number: WriteNumber,
-    /// How many chosen items are present.
+    /// Number of chosen items that are present.
     pub item_count: u64,
     /// Digest of the keys and versions of these items, independent of their order.
     pub versions_digest: u64,
--- a/crates/emberpin-store/src/disk/worker.rs
+++ b/crates/emberpin-store/src/disk/worker.rs
@@ -1,9 +1,9 @@
-//! The thread that owns the disk, so that the event loop never waits for it.
+//! The worker thread that owns the disk, so that the event loop never waits for the disk.
 //!
-//! The worker writes all batches that wait, syncs once for all of them (group commit), and reports the last token that
-//! is synced. After a failure it reopens the disk with a growing backoff, and checks that nothing that was synced is
-//! missing. Batches submitted before the event loop learned of the failure are dropped, as the replica drops the messages
-//! that wait for them.
+//! The worker writes all queued batches, syncs once for all of them (group commit), and reports the last token that is
+//! synced. After a failure it reopens the disk with an exponential backoff, and checks that no synced write is missing.
+//! Batches submitted before the event loop received the failure are dropped, as the replica drops the messages that wait
+//! for them.
 
 use super::usage::used_bytes;
 use super::{Disk, DiskError};
@@ -17,31 +17,31 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc as events;
 
-/// Most batches that share a sync.
+/// Maximum number of batches that share a sync.
 pub const MAX_BATCHES_PER_SYNC: usize = 64;
-/// Backoff between attempts to reopen a disk that failed, doubled from the first to the last.
+/// Range of the backoff before attempts to reopen a failed disk, which doubles with each attempt.
 const MIN_REOPEN_BACKOFF: Duration = Duration::from_millis(500);
 const MAX_REOPEN_BACKOFF: Duration = Duration::from_secs(8);
-/// Shortest time between records of syncs that are recorded periodically.
+/// Minimum time between updates of the sync record with [`SyncRecording::Periodic`].
 const SYNC_RECORDING_INTERVAL: Duration = Duration::from_secs(1);
-/// Shortest time between measurements of the disk's usage after writes.
+/// Minimum time between measurements of the disk's usage after writes.
 const MEASURE_INTERVAL: Duration = Duration::from_millis(450);
-/// Time between measurements while nothing is written, as `fjall` may have merged tables since.
+/// Time between measurements while nothing is written: `fjall` merges tables in the background, which changes the usage.
 const IDLE_MEASURE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Counts how often the disk failed. A batch of an earlier generation is dropped: it was submitted before the event
-/// loop learned of the last failure, and builds on writes that are lost.
+/// Counts the failures of the disk. A batch of an earlier generation is dropped: it was submitted before the event loop
+/// received the last failure, and builds on writes that are lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Generation(u64);
 
 impl Generation {
-    /// The generation after another failure.
+    /// Returns the generation after another failure.
     pub fn next(self) -> Generation {
         Generation(self.0 + 1)
     }
 }
 
-/// What the event loop asks of the worker.
+/// A command from the event loop to the worker.
 pub enum DiskCommand {
     /// Write a batch.
     Write {
@@ -49,61 +49,61 @@
         generation: Generation,
         /// The writes, in their order.
         writes: Vec<WriteBatch>,
-        /// Report this token once the batch is synced; `None` if no sync is needed.
+        /// The token to report once the batch is synced; `None` if the batch needs no sync.
         sync_token: Option<WriteToken>,
     },
-    /// Sync everything, and end.
+    /// Sync all writes, and end the worker.
     Close,
 }
 
-/// What the worker reports to the event loop.
+/// An event that the worker reports to the event loop.
 #[derive(Debug)]
 pub enum DiskEvent {
-    /// All writes up to this token are synced.
+    /// All writes up to and including those of this token are synced.
     Synced {
-        /// The last token.
+        /// The last token that is synced.
         token: WriteToken,
     },
-    /// A write or a sync failed: nothing after the last [`DiskEvent::Synced`] is known to be on the disk.
+    /// A write or a sync failed. It is unknown whether writes after the last [`DiskEvent::Synced`] are on the disk.
     Failed(DiskError),
-    /// The disk was opened again and holds all that was synced to it.
+    /// The disk was reopened, and no synced write is missing.
     Reopened,
-    /// The disk lost data or is not this store's. The worker ends.
+    /// The disk lost data, or does not belong to this store. The worker ends.
     Damaged(DiskError),
-    /// All that was submitted before [`DiskCommand::Close`] is synced. The worker ends.
+    /// The worker ends after [`DiskCommand::Close`]. All earlier writes are synced, unless the disk had failed.
     Closed,
 }
 
 /// Counters that the event loop reads without waiting for the worker.
 #[derive(Default)]
 pub struct Progress {
-    /// Batches that are synced, failed or dropped.
+    /// Number of batches that were synced, failed or dropped.
     pub completed_batches: AtomicU64,
-    /// Bytes of items in batches that wait.
+    /// Bytes of items in queued batches.
     pub queued_bytes: AtomicUsize,
-    /// Bytes that the files took when they were last measured.
+    /// Bytes that the files occupied when they were last measured.
     pub used_bytes: AtomicU64,
 }
 
-/// Whether the worker measures how much room the files take.
+/// Whether the worker measures the disk usage of the files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UsageMeasurement {
-    /// At the start, after writes, and now and then.
+    /// At the start, after writes, and every [`IDLE_MEASURE_INTERVAL`] without writes.
     Periodic,
-    /// Not at all, as the settings limit nothing.
+    /// Never, as no limit applies or another worker's measurement covers the folder.
     Off,
 }
 
-/// How soon a sync is recorded. A start that finds fewer writes than were recorded knows that the disk lost some.
+/// When a sync is recorded in the sync record. Opening a disk with fewer writes than recorded detects the loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncRecording {
-    /// With each sync, which takes another one. Suits writes that are rare.
+    /// With each sync, which costs a second sync. Suitable for rare writes.
     Immediate,
-    /// At most once in [`SYNC_RECORDING_INTERVAL`]. Suits writes that follow one another.
+    /// At most once per [`SYNC_RECORDING_INTERVAL`]. Suitable for frequent writes.
     Periodic,
 }
 
-/// Bytes of the items in a batch, which dominate its size.
+/// Returns the bytes of the items' bodies in a batch, which dominate its size.
 pub fn item_bytes(writes: &[WriteBatch]) -> usize {
     let item_bytes = |write: &WriteBatch| {
         let accepted = write.accepted.iter().flat_map(|accepted| &accepted.items);
@@ -117,23 +117,25 @@
     writes.iter().map(item_bytes).sum()
 }
 
-/// What the worker does after a group of commands.
+/// The worker's next step after a group of commands.
 enum NextStep {
     Continue,
     Reopen,
     End,
 }
 
-/// Commands that share a sync, carried out up to it.
-struct Group {
+/// A group of commands that share a sync, after its writes and before its sync.
+struct CommandGroup {
+    /// Number of batches in the group, including failed and dropped ones.
     batches: u64,
-    /// The last token to report once the group is synced.
+    /// The last token, to be reported once the group is synced; `None` if no sync is needed.
     sync_token: Option<WriteToken>,
-    closes: bool,
+    /// Whether the group contains [`DiskCommand::Close`].
+    close_requested: bool,
     result: Result<(), DiskError>,
 }
 
-/// The state of the thread.
+/// The state of the worker thread.
 pub struct DiskWorker {
     folder: PathBuf,
     own_ip: Ipv4Addr,
@@ -143,14 +145,14 @@
     generation: Generation,
     reopen_backoff: Duration,
     sync_recording: SyncRecording,
-    /// When a sync was recorded last.
+    /// When a sync was last recorded.
     recorded_at: Instant,
-    /// When the usage was last measured; `None` if it is not measured.
+    /// When the usage was last measured; `None` if it is never measured.
     measured_at: Option<Instant>,
 }
 
 impl DiskWorker {
-    /// A worker for the disk in a data folder. Measures the usage at once, if it is to be measured.
+    /// Creates a worker for the disk in a data folder, and measures the usage, if it is to be measured.
     pub fn new(
         folder: PathBuf,
         own_ip: Ipv4Addr,
@@ -177,7 +179,7 @@
         worker
     }
 
-    /// Carries out commands until the event loop closes the disk or is gone, or the disk is found damaged.
+    /// Carries out commands until the event loop closes the disk or ends, or the disk is found damaged.
     pub fn run(mut self, mut disk: Disk) {
         loop {
             let step = match self.next_command() {
@@ -192,7 +194,7 @@
                 NextStep::Continue => {}
                 NextStep::End => return,
                 NextStep::Reopen => {
-                    // Its files are closed first: what they still buffer is written or lost by then.
+                    // Closes the old files first, so that their buffers are written or lost before the disk is reopened.
                     drop(disk);
                     match self.reopen() {
                         Some(reopened) => disk = reopened,
@@ -203,7 +205,7 @@
         }
     }
 
-    /// Waits for a command; times out when the usage is due to be measured.
+    /// Waits for a command. Times out when the usage is due to be measured.
     fn next_command(&self) -> Result<DiskCommand, RecvTimeoutError> {
         match self.measured_at {
             None => self
@@ -214,12 +216,12 @@
         }
     }
 
-    /// Carries out a command and those that wait behind it, with one sync.
+    /// Carries out a command and further queued ones, with at most one sync for all of them.
     fn process_group(&mut self, disk: &mut Disk, first: DiskCommand) -> NextStep {
         let mut group = self.write_group(disk, first);
-        if group.result.is_ok() && (group.sync_token.is_some() || group.closes) {
+        if group.result.is_ok() && (group.sync_token.is_some() || group.close_requested) {
             fault_injection::delay_sync();
-            group.result = self.sync(disk, group.closes);
+            group.result = self.sync(disk, group.close_requested);
         }
         self.progress
             .completed_batches
@@ -228,13 +230,13 @@
         self.report_group(group)
     }
 
-    /// Syncs all writes, and records that if it is due.
-    fn sync(&mut self, disk: &mut Disk, closes: bool) -> Result<(), DiskError> {
+    /// Syncs all writes, and updates the sync record if that is due.
+    fn sync(&mut self, disk: &mut Disk, close_requested: bool) -> Result<(), DiskError> {
         disk.sync_journal()?;
         let is_due = match self.sync_recording {
             SyncRecording::Immediate => true,
             SyncRecording::Periodic => {
-                closes || self.recorded_at.elapsed() >= SYNC_RECORDING_INTERVAL
+                close_requested || self.recorded_at.elapsed() >= SYNC_RECORDING_INTERVAL
             }
         };
         if is_due {
@@ -245,17 +247,17 @@
     }
 
     /// Writes the batches of a group, without a sync. Stops writing at the first failure.
-    fn write_group(&mut self, disk: &mut Disk, first: DiskCommand) -> Group {
-        let mut group = Group {
+    fn write_group(&mut self, disk: &mut Disk, first: DiskCommand) -> CommandGroup {
+        let mut group = CommandGroup {
             batches: 0,
             sync_token: None,
-            closes: false,
+            close_requested: false,
             result: Ok(()),
         };
         let mut next = Some(first);
         while let Some(command) = next.take() {
             match command {
-                DiskCommand::Close => group.closes = true,
+                DiskCommand::Close => group.close_requested = true,
                 DiskCommand::Write {
                     generation,
                     writes,
@@ -269,21 +271,21 @@
                     }
                 }
             }
-            if !group.closes && group.batches < MAX_BATCHES_PER_SYNC as u64 {
+            if !group.close_requested && group.batches < MAX_BATCHES_PER_SYNC as u64 {
                 next = self.commands.try_recv().ok();
             }
         }
         group
     }
 
-    /// Reports the outcome of a group, and decides what comes next.
-    fn report_group(&mut self, group: Group) -> NextStep {
+    /// Reports the result of a group, and returns the next step.
+    fn report_group(&mut self, group: CommandGroup) -> NextStep {
         let is_synced = group.sync_token.is_some();
         match group.result {
             Err(failed) => {
                 self.generation = self.generation.next();
-                let ends = group.closes || !self.report(DiskEvent::Failed(failed));
-                return if ends {
+                let should_end = group.close_requested || !self.report(DiskEvent::Failed(failed));
+                return if should_end {
                     NextStep::End
                 } else {
                     NextStep::Reopen
@@ -292,20 +294,20 @@
             Ok(()) if is_synced => self.reopen_backoff = MIN_REOPEN_BACKOFF,
             Ok(()) => {}
         }
-        let is_heard = group
+        let is_received = group
             .sync_token
             .is_none_or(|token| self.report(DiskEvent::Synced { token }));
-        if group.closes {
+        if group.close_requested {
             self.report(DiskEvent::Closed);
         }
-        if is_heard && !group.closes {
+        if is_received && !group.close_requested {
             NextStep::Continue
         } else {
             NextStep::End
         }
     }
 
-    /// Reopens the disk once that succeeds; `None` if the worker is to end instead.
+    /// Attempts to reopen the disk until that succeeds; `None` if the worker is to end instead.
     fn reopen(&mut self) -> Option<Disk> {
         loop {
             self.back_off()?;
@@ -320,7 +322,7 @@
         }
     }
 
-    /// Waits for the backoff, and drops batches that come meanwhile; `None` if the worker is to end.
+    /// Waits for the backoff, and drops batches that arrive meanwhile; `None` if the worker is to end.
     fn back_off(&mut self) -> Option<()> {
         let until = Instant::now() + self.reopen_backoff;
         self.reopen_backoff = (self.reopen_backoff * 2).min(MAX_REOPEN_BACKOFF);
@@ -345,13 +347,14 @@
         }
     }
 
+    /// Subtracts a batch that left the queue from the queued bytes.
     fn release_queued_bytes(&self, writes: &[WriteBatch]) {
         self.progress
             .queued_bytes
             .fetch_sub(item_bytes(writes), Ordering::Relaxed);
     }
 
-    /// Reports an event; `false` if the event loop is gone.
+    /// Reports an event; `false` if the event loop has ended.
     fn report(&self, event: DiskEvent) -> bool {
         self.events.blocking_send(event).is_ok()
     }
--- a/crates/emberpin-store/src/disk_monitor.rs
+++ b/crates/emberpin-store/src/disk_monitor.rs
@@ -1,32 +1,32 @@
-//! The condition of the disk, as the event loop sees it.
+//! Tracks the condition of a disk for the event loop.
 
 use crate::disk::queue::{DiskQueue, QueueFull};
 use crate::protocol::{DiskState, DiskStatus};
 use emberpin_consensus::{WriteBatch, WriteToken};
 use std::time::Instant;
 
-/// Percentage of the disk's limit from which changes are rejected: what other stores have chosen, and compaction, still
-/// need room.
+/// Percentage of the disk's byte limit from which changes are rejected: items chosen by other stores, and compaction,
+/// still need disk space.
 const DISK_FULL_PERCENT: u64 = 80;
 
-/// Why a store rejects changes, as callers read it.
+/// Reasons for rejecting changes, sent to callers in response bodies.
 pub const DISK_FULL_REASON: &str = "the disk is full";
 pub const DISK_STALLED_REASON: &str = "the disk does not answer";
 const DISK_NEARLY_FULL_REASON: &str = "the disk is nearly full";
 
-/// The queue of the disk, with what is known of its failures.
+/// The queue of a disk, with the disk's limit and known failures.
 pub struct DiskMonitor {
     pub queue: DiskQueue,
-    /// Limit from the settings in bytes; 0 for none.
+    /// Limit from the settings, in bytes; 0 for no limit.
     limit_bytes: u64,
-    /// A write failed, and the disk was not reopened yet.
+    /// Whether a write failed and the disk has not been reopened since.
     has_failed: bool,
-    /// A batch did not fit into the queue, which counts as a failure of the disk for the replica.
+    /// Whether a batch did not fit into the queue, which the replica treats as a failure of the disk.
     has_overflowed: bool,
 }
 
 impl DiskMonitor {
-    /// Watches a disk that works.
+    /// Monitors a disk that was just opened.
     pub fn new(queue: DiskQueue, limit_bytes: u64) -> DiskMonitor {
         DiskMonitor {
             queue,
@@ -36,11 +36,11 @@
         }
     }
 
-    /// Submits writes.
+    /// Submits a batch of writes. The token, if there is one, is reported once the batch is synced.
     ///
     /// # Errors
     ///
-    /// [`QueueFull`]: the disk counts as stalled until [`DiskMonitor::take_drained_overflow`].
+    /// [`QueueFull`]: the disk counts as stalled until [`DiskMonitor::take_drained_overflow`] returns `true`.
     pub fn submit(
         &mut self,
         writes: Vec<WriteBatch>,
@@ -51,19 +51,19 @@
         submitted
     }
 
-    /// Notes that a write or sync failed. It ends an overflow: the queue is dropped.
+    /// Records that a write or sync failed. The queued batches are dropped, which ends an overflow.
     pub fn on_failed(&mut self) {
         self.queue.on_disk_failed();
         self.has_failed = true;
         self.has_overflowed = false;
     }
 
-    /// Notes that the disk was reopened.
+    /// Records that the disk was reopened.
     pub fn on_reopened(&mut self) {
         self.has_failed = false;
     }
 
-    /// Whether the queue overflowed and is empty now; once for each overflow.
+    /// Returns `true` once for each overflow, as soon as the queue is empty again.
     pub fn take_drained_overflow(&mut self) -> bool {
         let is_drained = self.has_overflowed && self.queue.is_idle();
         if is_drained {
@@ -72,8 +72,8 @@
         is_drained
     }
 
-    /// Which writes the disk accepts. `replica_rejects`: whether the replica itself does not write, until its complete
-    /// state is synced again.
+    /// Returns which writes the disk accepts. `replica_rejects` says that the replica itself rejects changes until its
+    /// complete state is synced again.
     pub fn state(&mut self, replica_rejects: bool) -> DiskState {
         if self.has_overflowed || self.queue.is_stalled(Instant::now()) {
             DiskState::Stalled
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The status for subscribers, with a state that was determined before.
+    /// Returns the status for subscribers, with a state that [`DiskMonitor::state`] returned.
     pub fn status(&self, state: DiskState) -> DiskStatus {
         DiskStatus {
             state,
@@ -101,7 +101,7 @@
     }
 }
 
-/// Why a change is rejected while the disk is in this state; `None` if it is accepted.
+/// Returns the reason for rejecting changes while the disk is in this state; `None` if they are accepted.
 pub fn rejection_reason(state: DiskState) -> Option<&'static str> {
     match state {
         DiskState::Writable => None,
--- a/crates/emberpin-store/src/error.rs
+++ b/crates/emberpin-store/src/error.rs
@@ -1,10 +1,10 @@
-//! Why a store ends with a failure.
+//! The errors with which a store exits.
 
 use crate::disk::DiskError;
 use std::io;
 use std::net::SocketAddrV4;
 
-/// Why the store could not start, or had to end.
+/// An error that prevents the store from starting, or makes it exit.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// The disk cannot be used, or was found damaged when it was reopened.
@@ -13,7 +13,7 @@
     /// The settings name no data folder.
     #[error("self.datadir: is missing; a store needs a disk")]
     MissingDataDir,
-    /// The store's address is taken or not one of this machine.
+    /// The store's address is already in use, or is not an address of this machine.
     #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address from the settings.
@@ -24,13 +24,13 @@
     /// A signal handler could not be installed.
     #[error("cannot install signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// The disk's thread could not be started.
+    /// The disk thread could not be started.
     #[error("cannot start the disk's thread: {0}")]
     StartDiskWorker(#[source] io::Error),
-    /// The disk's thread ended by itself.
+    /// The disk thread ended unexpectedly.
     #[error("the disk's thread ended")]
     DiskWorkerEnded,
-    /// The operating system has no random bytes.
+    /// The operating system supplied no random bytes.
     #[error("cannot draw a random seed: {0}")]
     Random(#[source] getrandom::Error),
 }
--- a/crates/emberpin-store/src/fault_injection.rs
+++ b/crates/emberpin-store/src/fault_injection.rs
@@ -1,9 +1,10 @@
-//! Injected disk faults, for tests of the process. Only builds with debug assertions read these variables:
+//! Disk faults that tests inject into the process through environment variables. Only builds with debug assertions read
+//! them:
 //!
 //! - `EMBERPIN_STORE_STALL` names a file: no sync returns while it exists.
-//! - `EMBERPIN_STORE_SYNC_MS` is a number of milliseconds that each sync takes longer.
+//! - `EMBERPIN_STORE_SYNC_MS` is a delay in milliseconds that is added to each sync.
 
-/// Delays a sync as the environment says.
+/// Delays a sync as the environment variables demand.
 #[cfg(debug_assertions)]
 pub fn delay_sync() {
     use std::time::Duration;
@@ -22,6 +23,6 @@
     }
 }
 
-/// Does nothing: a release build injects no faults.
+/// Does nothing: builds without debug assertions inject no faults.
 #[cfg(not(debug_assertions))]
 pub fn delay_sync() {}
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -1,6 +1,6 @@
-//! The event loop around the replicas: it passes events to them, and carries out the actions that come back.
+//! The event loop around the replicas: passes events to them, and carries out the actions that they return.
 //!
-//! What is decided, and when, is up to [`Replica`]. The host has the clocks, the sockets and the disks.
+//! Decisions and their timing are up to [`Replica`]. The host provides the clocks, the sockets and the disks.
 
 use crate::disk::worker::DiskEvent;
 use crate::disk::DiskError;
@@ -29,18 +29,18 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
 
-/// Most inputs that are handled before their actions are carried out, so that they share a sync.
+/// Maximum number of inputs that are handled before their actions are carried out, so that they share a sync.
 const MAX_EVENTS_PER_SYNC: usize = 32;
-/// Longest time between two statuses to subscribers.
+/// Maximum time between two status messages to subscribers.
 const STATUS_INTERVAL: Duration = Duration::from_millis(450);
-/// Links to other stores that are unused for this long are closed.
+/// Interval between checks for unused links: a link to another store that carried no message in between is closed.
 const LINK_IDLE_INTERVAL: Duration = Duration::from_secs(10);
-/// Longest wait to be removed from the roster after SIGTERM.
+/// Maximum time to wait for removal from the roster after SIGTERM.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Shortest sleep of the event loop: the timers have a resolution of a millisecond.
+/// Minimum sleep of the event loop: timers have a resolution of one millisecond.
 const MIN_SLEEP: Duration = Duration::from_millis(2);
 
-/// Health of the store, as subscribers know it.
+/// Health of the store, as published to subscribers.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Health {
     up_to_date: bool,
@@ -48,14 +48,14 @@
     disk: DiskState,
 }
 
-/// What the replicas want done after some inputs.
+/// The actions that the replicas returned for a group of inputs.
 #[derive(Default)]
 struct ReplicaActions {
     configuration: Vec<Action>,
     registers: Vec<Action>,
 }
 
-/// The replicas with everything around them.
+/// The replicas of this store with their connections, metrics and health.
 pub struct Host<'a> {
     settings: &'a Settings,
     /// The replica of the configuration.
@@ -67,16 +67,16 @@
     identity: Arc<ProcessIdentity>,
     system: SystemRecord,
     metrics: StoreMetrics,
-    /// The health that was published last.
+    /// The last published health.
     health: Health,
     next_status_at: Instant,
     next_link_check_at: Instant,
-    /// When the store ends even if it is still on the roster; `None` before SIGTERM.
+    /// When the store exits even if it is still on the roster; `None` before SIGTERM.
     leave_deadline: Option<Instant>,
 }
 
 impl Host<'_> {
-    /// A host without registers whose replica of the configuration was just created.
+    /// Creates a host without registers. The replica of the configuration must be newly created.
     pub fn new<'a>(
         settings: &'a Settings,
         configuration: HostedReplica,
@@ -102,11 +102,11 @@
         }
     }
 
-    /// Handles events until the store is to end.
+    /// Handles events until the store is to exit.
     ///
     /// # Errors
     ///
-    /// [`StoreError`]: the disk was found damaged, or its thread ended.
+    /// [`StoreError`]: a disk was found damaged, or its thread ended.
     pub async fn run_event_loop(&mut self, sources: &mut EventSources) -> Result<(), StoreError> {
         loop {
             let event = sources.next(self.time_until_due()).await;
@@ -117,7 +117,7 @@
         }
     }
 
-    /// How long the event loop may sleep.
+    /// Returns how long the event loop can sleep until the next timer, but at least [`MIN_SLEEP`].
     fn time_until_due(&self) -> Duration {
         let configuration = self.configuration.time_until_due();
         let registers = self
@@ -136,7 +136,7 @@
             .max(MIN_SLEEP)
     }
 
-    /// Whether the store shuts down and has left the rosters, or waited for that long enough.
+    /// Whether the store is shutting down and has left all rosters, or [`LEAVE_TIMEOUT`] has passed.
     fn has_left(&self) -> bool {
         let mut replicas = self.registers.iter().chain([&self.configuration]);
         self.leave_deadline.is_some_and(|at| {
@@ -166,7 +166,7 @@
         Ok(ControlFlow::Continue(()))
     }
 
-    /// Leaves the roster before the store ends. A second SIGTERM ends the store at once.
+    /// Begins to leave the rosters; the store exits afterwards. A second SIGTERM makes the store exit at once.
     fn on_terminate(&mut self) -> ControlFlow<()> {
         if self.leave_deadline.is_some() {
             return ControlFlow::Break(());
@@ -176,7 +176,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Handles an input and those that wait behind it, and then carries out the actions of all.
+    /// Handles an input and further queued ones, up to [`MAX_EVENTS_PER_SYNC`], and then carries out the actions of all.
     fn handle_inputs(&mut self, first: Input, inputs: &mut mpsc::Receiver<Input>) {
         let mut actions = ReplicaActions::default();
         self.handle_input(first, &mut actions);
@@ -262,7 +262,8 @@
         self.configuration.handle(event, &mut actions.configuration);
     }
 
-    /// Passes an operation of an application to the replica of the registers, unless its disk takes no writes.
+    /// Passes an application's operation to the replica of the registers. Replies that it had no effect if there are no
+    /// registers or their disk rejects writes.
     fn coordinate(
         &mut self,
         connection: ConnectionId,
@@ -293,7 +294,7 @@
         registers.handle(Event::Call { call_id, call }, &mut actions.registers);
     }
 
-    /// Sends the complete configuration and the status, and all changes from now on.
+    /// Subscribes a connection to changes, and sends it the complete configuration and the status.
     fn subscribe(&mut self, connection: ConnectionId) {
         let state = self.configuration.replica.state();
         let items = state.follower_items().cloned().collect();
@@ -303,7 +304,8 @@
         self.registries.send(connection, &status);
     }
 
-    /// The status and reason with which a call is rejected before the replica sees it.
+    /// Returns the HTTP status and reason for rejecting a call before the replica receives it; `None` if the call is
+    /// passed on.
     fn rejection(&mut self, call: &Call) -> Option<(u16, String)> {
         match call {
             Call::Evacuate { zone, .. } if !self.settings.zone_regions.contains_key(zone) => {
@@ -351,7 +353,8 @@
         }
     }
 
-    /// Carries out the actions of the replica of the registers. Nobody follows what it learns.
+    /// Carries out the actions of the replica of the registers. What it learns is not published, as registers have no
+    /// subscribers.
     pub fn apply_register_actions(&mut self, actions: Vec<Action>) {
         let Some(registers) = &mut self.registers else {
             return;
@@ -366,7 +369,7 @@
         }
     }
 
-    /// Passes an event of the configuration's disk on.
+    /// Passes an event of the configuration's disk to its replica.
     pub fn handle_disk_event(&mut self, event: DiskEvent) -> Result<(), DiskError> {
         let mut actions = Vec::new();
         self.configuration.handle_disk_event(event, &mut actions)?;
@@ -374,7 +377,7 @@
         Ok(())
     }
 
-    /// Passes an event of the registers' disk on.
+    /// Passes an event of the registers' disk to its replica.
     pub fn handle_register_disk_event(&mut self, event: DiskEvent) -> Result<(), DiskError> {
         let mut actions = Vec::new();
         if let Some(registers) = &mut self.registers {
@@ -384,14 +387,14 @@
         Ok(())
     }
 
-    /// Whether the disk of the registers has writes that wait.
-    pub fn has_unsynced_registers(&self) -> bool {
+    /// Whether the registers' disk has queued writes.
+    pub fn has_queued_register_writes(&self) -> bool {
         self.registers
             .as_ref()
             .is_some_and(|registers| !registers.disk.queue.is_idle())
     }
 
-    /// Restores the replicas whose disks had fallen behind and have caught up.
+    /// Restores the replicas whose disk queues overflowed and are empty again.
     fn restore_after_overflow(&mut self) {
         let mut actions = ReplicaActions::default();
         self.configuration
@@ -403,11 +406,12 @@
         self.apply_register_actions(actions.registers);
     }
 
-    /// Sends what is due after the actions of an event: confirmations, and the status if it changed or is due.
+    /// Runs after the actions of an event: sends the deferred confirmations, sends the status if it changed or is due,
+    /// and closes idle links if their check is due.
     fn publish_status(&mut self) {
         self.restore_after_overflow();
         self.registries.send_confirmations();
-        self.update_system();
+        self.update_system_record();
         let health = self.current_health();
         let now = Instant::now();
         if now >= self.next_status_at || health != self.health {
@@ -467,8 +471,8 @@
         }
     }
 
-    /// Records the system that this store belongs to, once it is known.
-    fn update_system(&mut self) {
+    /// Saves the id of the system that this store belongs to, once it is known.
+    fn update_system_record(&mut self) {
         let (replica, up_to_date) = (&self.configuration.replica, self.health.up_to_date);
         self.system.update(|| {
             if !up_to_date {
@@ -479,7 +483,7 @@
     }
 }
 
-/// The system that the voters founded, if theirs is the first roster.
+/// Returns the id of the system that the voters founded, if their roster is the first one.
 fn founded_system(replica: &Replica) -> Option<SystemId> {
     let roster = replica.state().roster()?;
     system_record::founded_by(roster.version, &replica.voters())
--- a/crates/emberpin-store/src/hosted_replica.rs
+++ b/crates/emberpin-store/src/hosted_replica.rs
@@ -1,4 +1,4 @@
-//! A replica with its clock, its disk, and the envelope of its messages.
+//! A replica with its clock and its disk, and the encoding of its messages to other stores.
 
 use crate::disk::worker::DiskEvent;
 use crate::disk::DiskError;
@@ -13,7 +13,7 @@
 use std::net::Ipv4Addr;
 use std::time::{Duration, Instant};
 
-/// What a store's replicas agree on.
+/// The data that a replica replicates. A store has one replica of each kind, if its deployment has registers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaKind {
     /// The configuration.
@@ -23,15 +23,15 @@
 }
 
 impl ReplicaKind {
-    /// The frame of a message to another store's replica of the same kind.
-    fn envelope(self, from: Ipv4Addr, message: Message) -> ToStore {
+    /// Wraps a message to another store's replica of the same kind.
+    fn wrap_message(self, from: Ipv4Addr, message: Message) -> ToStore {
         match self {
             ReplicaKind::Configuration => ToStore::Consensus { from, message },
             ReplicaKind::Registers => ToStore::RegisterConsensus { from, message },
         }
     }
 
-    /// The name in log lines.
+    /// The name of the kind in log lines.
     fn as_str(self) -> &'static str {
         match self {
             ReplicaKind::Configuration => "configuration",
@@ -40,7 +40,7 @@
     }
 }
 
-/// A replica and what it runs on.
+/// A replica with its clock and its disk.
 pub struct HostedReplica {
     kind: ReplicaKind,
     address: Ipv4Addr,
@@ -52,7 +52,7 @@
 }
 
 impl HostedReplica {
-    /// A replica that was just created at the zero of its clock.
+    /// Takes a replica that was just created at [`Timestamp::ZERO`], and starts its clock.
     pub fn new(
         kind: ReplicaKind,
         address: Ipv4Addr,
@@ -70,26 +70,27 @@
         }
     }
 
-    /// The time of the replica's clock.
+    /// Returns the current time of the replica's clock.
     pub fn now(&self) -> Timestamp {
         Timestamp::ZERO + self.started_at.elapsed()
     }
 
-    /// How long until the replica's next timer.
+    /// Returns the time until the replica's next timer.
     pub fn time_until_due(&self) -> Duration {
         let due = Duration::from_millis(self.replica.next_tick_at().as_millis());
         due.saturating_sub(self.started_at.elapsed())
     }
 
-    /// Passes an event to the replica, and appends what it wants done.
+    /// Passes an event to the replica, and appends the actions that it returns.
     pub fn handle(&mut self, event: Event, actions: &mut Vec<Action>) {
         let now = self.now();
         self.replica.handle(now, event, actions);
     }
 
-    /// Sends messages, and submits all writes as one batch. Returns the other actions: replies and notifications.
+    /// Sends messages, and submits all writes as one batch. If the disk's queue rejects the batch, informs the replica,
+    /// and carries out the resulting actions. Returns the remaining actions: replies and notifications.
     pub fn carry_out(&mut self, actions: Vec<Action>, peers: &mut PeerLinks) -> Vec<Action> {
-        let mut others = Vec::new();
+        let mut remaining = Vec::new();
         let mut pending = actions;
         while !pending.is_empty() {
             let (mut writes, mut sync_token) = (Vec::new(), None);
@@ -100,7 +101,7 @@
                         writes.push(write);
                     }
                     Action::Send { to, message } => self.send(to, message, peers),
-                    other => others.push(other),
+                    other => remaining.push(other),
                 }
             }
             if !self.submit(writes, sync_token) {
@@ -108,10 +109,10 @@
                 self.handle(Event::DiskFailed { reason }, &mut pending);
             }
         }
-        others
+        remaining
     }
 
-    /// Submits writes; `false` if the disk's queue is full.
+    /// Submits writes to the disk; `false` if its queue is full.
     fn submit(&mut self, writes: Vec<WriteBatch>, sync_token: Option<WriteToken>) -> bool {
         if writes.is_empty() {
             return true;
@@ -131,8 +132,8 @@
             ReplicaKind::Configuration => oldest_version(&message),
             ReplicaKind::Registers => ProtocolVersion::V4,
         };
-        match frames::encode(&self.kind.envelope(self.address, message)) {
-            Ok(frame) => peers.send(peer, Frame::since(oldest_version, frame)),
+        match frames::encode(&self.kind.wrap_message(self.address, message)) {
+            Ok(frame) => peers.send(peer, Frame::with_oldest_version(oldest_version, frame)),
             Err(error) => {
                 log::warn!("message to another store cannot be encoded: peer={peer} error={error}");
             }
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Which writes the disk accepts.
+    /// Returns which writes the disk accepts.
     pub fn disk_state(&mut self) -> DiskState {
         let replica_rejects = self.replica.disk_unavailable_reason().is_some();
         self.disk.state(replica_rejects)
--- a/crates/emberpin-store/src/input.rs
+++ b/crates/emberpin-store/src/input.rs
@@ -1,4 +1,4 @@
-//! What the event loop receives from connections.
+//! The inputs that the event loop receives from accepted connections.
 
 use crate::protocol::StoreRequest;
 use crate::send_queue::SendQueue;
@@ -6,7 +6,7 @@
 use emberpin_runtime::protocol_version::ProtocolVersion;
 use std::net::{IpAddr, Ipv4Addr};
 
-/// Number of an accepted connection, unique within this process.
+/// Identifies an accepted connection within this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
@@ -16,14 +16,14 @@
     PeerMessage {
         /// The address by which the roster knows the sender.
         from: Ipv4Addr,
-        /// Passed to the replica as it is.
+        /// The message, which is passed to the replica unchanged.
         message: Message,
     },
-    /// A message from another store's replica of the registers.
+    /// A message from another store's replica of the registers (the coordination state of applications).
     PeerRegisterMessage {
         /// The address by which the roster knows the sender.
         from: Ipv4Addr,
-        /// Passed to the replica as it is.
+        /// The message, which is passed to the replica unchanged.
         message: Message,
     },
     /// A request from a registry.
@@ -32,16 +32,16 @@
         connection: ConnectionId,
         /// The address of the registry, for log lines.
         peer: IpAddr,
-        /// The version of the protocol that the registry speaks with this store.
+        /// The protocol version that the registry and this store use on the connection.
         version: ProtocolVersion,
-        /// What the registry asks for.
+        /// The request itself.
         request: StoreRequest,
-        /// Where replies go.
+        /// The send queue for replies to this registry.
         replies: SendQueue,
     },
-    /// A connection ended. Nothing more arrives on it.
+    /// A connection ended. It delivers no further inputs.
     Closed {
-        /// Its pending calls and its subscription end with it.
+        /// The connection, whose pending calls and subscription are discarded.
         connection: ConnectionId,
     },
 }
--- a/crates/emberpin-store/src/item_batches.rs
+++ b/crates/emberpin-store/src/item_batches.rs
@@ -1,15 +1,15 @@
-//! Items for registries, in messages of bounded size: one of the complete configuration would hold up all that is sent
-//! after it, and take its whole size in memory at once on both sides.
+//! Splits items for registries into messages of bounded size. A single message with the complete configuration would
+//! delay all messages after it, and occupy its whole size in memory at once on both sides.
 
 use emberpin_config::{Item, ItemKind};
 
-/// The size in bytes at which a batch is closed. An item that is larger is a batch of its own.
+/// The estimated size in bytes from which a batch accepts no further item. The last item can exceed the limit.
 pub const ITEM_BATCH_BYTES: usize = 64 << 10;
-/// The estimated size in bytes of an item without its texts.
+/// The estimated size in bytes of an item without its name and body.
 const ITEM_OVERHEAD_BYTES: usize = 48;
 
-/// The items in batches; at least one, which may be empty. Evacuations come first: a registry takes those of its first
-/// batch for older than itself, and any later one for a change.
+/// Splits items into batches. Returns at least one batch, which is empty if there are no items. Evacuations come first: a
+/// registry takes those in its first batch for older than itself, and any later one for a change.
 pub fn item_batches(mut items: Vec<Item>) -> Vec<Vec<Item>> {
     items.sort_by_key(|item| item.key.kind != ItemKind::Evacuation);
     let mut batches = vec![Vec::new()];
--- a/crates/emberpin-store/src/lib.rs
+++ b/crates/emberpin-store/src/lib.rs
@@ -1,8 +1,8 @@
-//! The store of configuration: a replica of `emberpin_consensus`, which keeps the configuration on the disks of a
+//! The configuration store: hosts a replica of `emberpin_consensus`, which keeps the configuration on the disks of a
 //! majority of the voters.
 //!
-//! What is chosen, and when, is decided by the replica. This package has what it runs on: the disk, the connections,
-//! and the clock.
+//! The replica decides which values are chosen, and when. This package provides its environment: the disk, the
+//! connections and the clock. The arrows below show which module uses which:
 //!
 //! ```text
 //! program → startup → listener                  → input, send_queue, socket
--- a/crates/emberpin-store/src/listener.rs
+++ b/crates/emberpin-store/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections from stores and registries, and passes what arrives on them to the event loop.
+//! Accepts connections from stores and registries, and passes their frames to the event loop.
 
 use crate::input::{ConnectionId, Input};
 use crate::protocol::ToStore;
@@ -18,15 +18,15 @@
 use tokio::sync::{mpsc, Semaphore};
 use tokio::time::{sleep, timeout};
 
-/// Most connections at a time. Further ones wait until one ends.
+/// Maximum number of concurrent connections. Further ones are accepted once another ends.
 const MAX_CONNECTIONS: usize = 256;
-/// A peer that sends no first frame, or a store that sends nothing at all for this long, is gone. Stores compare their
-/// states twice a second. Registries may be silent.
+/// Time without a frame after which a connection is closed: before its first frame, and between the frames of a store.
+/// Stores compare their states twice a second, whereas registries can be idle for any time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time before the next attempt if a connection could not be accepted.
+/// Time before the next attempt after a connection could not be accepted.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Accepts connections for as long as the process runs.
+/// Accepts connections until the process exits.
 pub async fn listen(
     listener: TcpListener,
     identity: Arc<ProcessIdentity>,
@@ -60,7 +60,8 @@
     }
 }
 
-/// A malformed frame hints at a fault of some build, unlike a connection that breaks.
+/// Logs a malformed frame, which indicates a bug in some build, but not a broken connection. `malformed_frames` counts
+/// the malformed frames so far.
 fn log_if_malformed(peer: IpAddr, error: &ConnectionError, malformed_frames: &AtomicU64) {
     if let ConnectionError::Malformed(_)
     | ConnectionError::MessageTooLong(_)
@@ -73,7 +74,7 @@
     }
 }
 
-/// Exchanges preambles, and reads the connection to its end.
+/// Exchanges preambles, and passes frames to the event loop until the connection ends.
 async fn serve(
     stream: TcpStream,
     id: ConnectionId,
@@ -83,7 +84,7 @@
 ) -> Result<(), ConnectionError> {
     socket::configure(&stream)?;
     let (mut reader, mut writer) = stream.into_split();
-    let preamble = within(IDLE_TIMEOUT, identity.receive_preamble(&mut reader)).await?;
+    let preamble = with_timeout(IDLE_TIMEOUT, identity.receive_preamble(&mut reader)).await?;
     identity.send_preamble(&mut writer).await?;
     let connection = Connection {
         id,
@@ -97,10 +98,10 @@
     connection.read_to_end(inputs).await
 }
 
-/// Who is at the other end, as its frames show.
+/// Kind of the process at the other end, known from its frames.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum PeerKind {
-    /// It has sent no frame yet.
+    /// The peer has sent no frame yet.
     Unknown,
     Registry,
     Store,
@@ -110,17 +111,19 @@
 struct Connection {
     id: ConnectionId,
     peer: IpAddr,
-    /// The version of the protocol that both ends speak.
+    /// The newest protocol version that both ends support.
     version: ProtocolVersion,
     reader: OwnedReadHalf,
-    /// Taken by the task that writes replies, which starts at the first request.
+    /// Moved to the task that writes replies, which starts at the first request.
     writer: Option<OwnedWriteHalf>,
+    /// Queue of the replies; `None` before the first request.
     replies: Option<SendQueue>,
     peer_kind: PeerKind,
 }
 
 impl Connection {
-    /// Passes frames to the event loop until the connection ends, its replies are not taken, or the loop is gone.
+    /// Passes frames to the event loop until the connection ends, the peer stops reading replies, or the event loop has
+    /// ended.
     async fn read_to_end(mut self, inputs: &mpsc::Sender<Input>) -> Result<(), ConnectionError> {
         while let Some(frame) = self.next_frame().await? {
             let input = match frame {
@@ -152,7 +155,7 @@
         Ok(())
     }
 
-    /// Reads a frame; `None` if the replies to a registry are not taken any more.
+    /// Reads a frame; `None` if a registry has stopped reading its replies.
     async fn next_frame(&mut self) -> Result<Option<ToStore>, ConnectionError> {
         let frame = frames::read(&mut self.reader);
         match (self.peer_kind, &self.replies) {
@@ -160,11 +163,11 @@
                 frame = frame => frame.map(Some),
                 () = replies.closed() => Ok(None),
             },
-            _ => within(IDLE_TIMEOUT, frame).await.map(Some),
+            _ => with_timeout(IDLE_TIMEOUT, frame).await.map(Some),
         }
     }
 
-    /// The queue of replies, whose writer starts at the first request.
+    /// Returns the queue of replies. The first call starts the task that writes them.
     fn reply_queue(&mut self) -> SendQueue {
         let (writer, version) = (&mut self.writer, self.version);
         self.replies
@@ -179,8 +182,8 @@
     }
 }
 
-/// Fails with [`io::ErrorKind::TimedOut`] if it takes too long.
-async fn within<T>(
+/// Awaits an operation, and fails with [`io::ErrorKind::TimedOut`] if it takes longer than `limit`.
+async fn with_timeout<T>(
     limit: Duration,
     operation: impl Future<Output = Result<T, ConnectionError>>,
 ) -> Result<T, ConnectionError> {
@@ -190,7 +193,7 @@
     }
 }
 
-/// Writes replies until the registry does not take them any more or nothing is left to send.
+/// Writes replies until the connection breaks, the registry accepts a reply too late, or the queue is closed.
 async fn write_replies(
     mut writer: OwnedWriteHalf,
     mut frames: QueuedFrames,
--- a/crates/emberpin-store/src/loop_event.rs
+++ b/crates/emberpin-store/src/loop_event.rs
@@ -1,4 +1,4 @@
-//! What wakes the event loop: signals, events of the disk, inputs of connections, and timers.
+//! Events that wake the event loop: signals, disk events, inputs from connections, and timers.
 
 use crate::disk::worker::DiskEvent;
 use crate::input::Input;
@@ -6,11 +6,11 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Where events come from.
+/// The channels and signal handlers from which the event loop receives its events.
 pub struct EventSources {
     pub signals: Signals,
     pub disk_events: mpsc::Receiver<DiskEvent>,
-    /// `None` if there are no registers.
+    /// `None` if this deployment has no registers.
     pub register_disk_events: Option<mpsc::Receiver<DiskEvent>>,
     pub inputs: mpsc::Receiver<Input>,
 }
@@ -19,32 +19,33 @@
 pub enum LoopEvent {
     /// The process received a signal.
     Signal(Signal),
-    /// `None` if the disk's thread ended by itself.
+    /// An event of the configuration's disk; `None` if the disk thread ended unexpectedly.
     Disk(Option<DiskEvent>),
-    /// An event of the disk of the registers; `None` if its thread ended by itself.
+    /// An event of the registers' disk; `None` if its thread ended unexpectedly.
     RegisterDisk(Option<DiskEvent>),
-    /// `None` if the listener ended.
+    /// An input from a connection; `None` if the listener ended.
     Input(Option<Input>),
-    /// Something is due.
+    /// A timer has expired.
     Timer,
 }
 
 impl EventSources {
-    /// Waits for an event, at most for a time. Signals and the disk come before inputs.
+    /// Waits for an event, and returns [`LoopEvent::Timer`] if none arrives within `sleep`. Signals and disk events take
+    /// precedence over inputs.
     pub async fn next(&mut self, sleep: Duration) -> LoopEvent {
         tokio::select! {
             biased;
             signal = self.signals.next() => LoopEvent::Signal(signal),
             event = self.disk_events.recv() => LoopEvent::Disk(event),
-            event = next_event(&mut self.register_disk_events) => LoopEvent::RegisterDisk(event),
+            event = next_disk_event(&mut self.register_disk_events) => LoopEvent::RegisterDisk(event),
             input = self.inputs.recv() => LoopEvent::Input(input),
             () = tokio::time::sleep(sleep) => LoopEvent::Timer,
         }
     }
 }
 
-/// The next event of a disk; never, if there is no such disk.
-async fn next_event(events: &mut Option<mpsc::Receiver<DiskEvent>>) -> Option<DiskEvent> {
+/// Waits for the next event of a disk. Never returns if there is no such disk.
+async fn next_disk_event(events: &mut Option<mpsc::Receiver<DiskEvent>>) -> Option<DiskEvent> {
     match events {
         Some(events) => events.recv().await,
         None => std::future::pending().await,
--- a/crates/emberpin-store/src/main.rs
+++ b/crates/emberpin-store/src/main.rs
@@ -1,4 +1,4 @@
-//! The store's program; everything is in the library.
+//! The store's executable, a wrapper around the library.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/crates/emberpin-store/src/metrics.rs
+++ b/crates/emberpin-store/src/metrics.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// Writes whose syncs are timed at once; later ones are not timed until some of these are synced.
+/// Maximum number of unsynced writes that are timed. Writes beyond it are not timed.
 const MAX_TIMED_SYNCS: usize = 256;
 
 /// The metrics of one store.
@@ -27,15 +27,15 @@
     rejected_peers: IntGauge,
 }
 
-/// The times of the syncs of one replica.
+/// Measures the times from submission to sync of one replica's writes.
 pub struct SyncMetrics {
     sync_time: Histogram,
-    /// When the writes that are not synced were submitted.
-    submitted: BTreeMap<WriteToken, Instant>,
+    /// Submission times of the unsynced writes.
+    submitted_at_by_token: BTreeMap<WriteToken, Instant>,
 }
 
 impl StoreMetrics {
-    /// Adds the store's metrics to a set.
+    /// Registers the store's metrics in a set.
     pub fn new(set: &MetricSet) -> StoreMetrics {
         StoreMetrics {
             calls: set.counters(
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Counts the answer to a call.
+    /// Counts the response to a call by its HTTP status.
     pub fn count_call(&self, status: u16) {
         self.calls.with_label_values(&[&status.to_string()]).inc();
     }
@@ -118,7 +118,7 @@
 }
 
 impl SyncMetrics {
-    /// Adds the times of the syncs of a replica of this kind to a set.
+    /// Registers the sync times of a replica of this kind in a set.
     pub fn new(set: &MetricSet, kind: ReplicaKind) -> SyncMetrics {
         let (name, help) = match kind {
             ReplicaKind::Configuration => (
@@ -132,32 +132,34 @@
         };
         SyncMetrics {
             sync_time: set.latencies(name, help),
-            submitted: BTreeMap::new(),
+            submitted_at_by_token: BTreeMap::new(),
         }
     }
 
-    /// Notes that a write was submitted that is to be synced.
+    /// Records that a write was submitted that is to be synced.
     pub fn on_submitted(&mut self, token: WriteToken) {
-        if self.submitted.len() < MAX_TIMED_SYNCS {
-            self.submitted.insert(token, Instant::now());
+        if self.submitted_at_by_token.len() < MAX_TIMED_SYNCS {
+            self.submitted_at_by_token.insert(token, Instant::now());
         }
     }
 
-    /// Observes the times of all writes up to this one, which are synced.
+    /// Observes the sync times of all writes up to and including this one.
     pub fn on_synced(&mut self, token: WriteToken) {
-        let unsynced = self.submitted.split_off(&token.next());
-        for submitted_at in std::mem::replace(&mut self.submitted, unsynced).into_values() {
+        let unsynced = self.submitted_at_by_token.split_off(&token.next());
+        for submitted_at in
+            std::mem::replace(&mut self.submitted_at_by_token, unsynced).into_values()
+        {
             self.sync_time.observe(submitted_at.elapsed().as_secs_f64());
         }
     }
 
-    /// Forgets the writes that a disk which failed will not sync.
+    /// Discards all unsynced writes, which a failed disk will not sync.
     pub fn on_disk_failed(&mut self) {
-        self.submitted.clear();
+        self.submitted_at_by_token.clear();
     }
 }
 
-/// The outcome's name in metrics.
+/// Returns the outcome's name in metrics.
 fn outcome_name(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::LockGranted { .. } => "granted",
--- a/crates/emberpin-store/src/peer_links.rs
+++ b/crates/emberpin-store/src/peer_links.rs
@@ -1,4 +1,4 @@
-//! Outgoing connections to other stores, one to each, which carry consensus messages in one direction.
+//! Outgoing connections to other stores, one per store. Each carries consensus messages in one direction only.
 
 use crate::send_queue::{write_frame, Frame, QueuedFrames, SendQueue};
 use crate::socket::{self, UNREACHABLE_TIMEOUT};
@@ -11,15 +11,15 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Backoff between attempts to connect, doubled from the first to the last.
+/// Range of the backoff between attempts to connect, which doubles with each failed attempt.
 const MIN_RECONNECT_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_RECONNECT_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Links to other stores, opened at the first message to each.
+/// Links to other stores. A link is opened at the first message to its store.
 pub struct PeerLinks {
     port: u16,
     identity: Arc<ProcessIdentity>,
-    /// Machines that the settings name: their system is this store's.
+    /// Seeds from the settings. This store adopts the system id that they send.
     seeds: Vec<Ipv4Addr>,
     links: BTreeMap<Ipv4Addr, PeerLink>,
 }
@@ -31,7 +31,7 @@
 }
 
 impl PeerLinks {
-    /// No links yet. All stores listen on this port.
+    /// Creates a set without links. All stores listen on `port`.
     pub fn new(port: u16, identity: Arc<ProcessIdentity>, seeds: Vec<Ipv4Addr>) -> PeerLinks {
         PeerLinks {
             port,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Sends a frame to a store. It is lost if the queue is full or the connection breaks.
+    /// Queues a frame for a store. The frame is lost if the queue is full or the connection breaks.
     pub fn send(&mut self, peer: Ipv4Addr, frame: Frame) {
         let PeerLinks {
             port,
@@ -80,13 +80,13 @@
     }
 }
 
-/// How a connection ended.
+/// Why writing to a connection ended.
 enum ConnectionEnd {
-    /// It broke after at least one frame was written.
+    /// The connection broke after at least one frame was written.
     BrokenAfterWrite,
-    /// It broke before any frame was written, or the peer rejected it.
+    /// The connection broke before any frame was written, or the peer rejected it.
     BrokenUnused,
-    /// The link was closed.
+    /// The link was closed, so that no reconnection is needed.
     LinkClosed,
 }
 
@@ -94,11 +94,12 @@
 struct Connector {
     address: SocketAddrV4,
     identity: Arc<ProcessIdentity>,
-    /// The peer is named by the settings, so that its system may be adopted.
+    /// Whether the peer is a seed from the settings, so that its system id is adopted.
     is_seed: bool,
 }
 
 impl Connector {
+    /// Connects, writes frames, and reconnects with a backoff, until the link is closed.
     async fn run(self, mut frames: QueuedFrames) {
         let mut backoff = MIN_RECONNECT_BACKOFF;
         loop {
@@ -117,7 +118,7 @@
             }
             sleep(backoff).await;
             backoff = (backoff * 2).min(MAX_RECONNECT_BACKOFF);
-            // The rounds that these messages belong to are over.
+            // The consensus rounds that the queued messages belong to are over.
             frames.discard();
             if frames.is_closed() {
                 return;
@@ -157,7 +158,8 @@
     }
 }
 
-/// Returns when the peer closes the connection: after the handshake it sends nothing more.
+/// Waits until the peer closes the connection. After the handshake it sends nothing, so any result of a read means that
+/// the connection is unusable.
 async fn closed_by_peer(reader: &mut (impl AsyncRead + Unpin)) {
     _ = reader.read(&mut [0; 1]).await;
 }
--- a/crates/emberpin-store/src/program.rs
+++ b/crates/emberpin-store/src/program.rs
@@ -1,4 +1,4 @@
-//! The command line, and the process around the store.
+//! The command line of the store, and its process: arguments, settings, logging and runtime.
 
 use crate::error::StoreError;
 use crate::startup;
@@ -20,7 +20,7 @@
 const USAGE: &str = "Usage: emberpin-store [--help | --version | --check | --metrics PORT/PATH]\n\nKeeps the configuration. Its settings \
                      are in the file that EMBERPIN_NODE_FILE names.";
 
-/// Why the program ended with a failure.
+/// An error with which the program exits.
 #[derive(Debug, thiserror::Error)]
 enum ProgramError {
     #[error(transparent)]
@@ -37,7 +37,7 @@
     Store(#[from] StoreError),
 }
 
-/// Runs the program with the arguments that follow its name.
+/// Runs the program. `arguments` excludes the program's name.
 pub fn main(arguments: impl Iterator<Item = OsString>) -> ExitCode {
     match run(arguments) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/emberpin-store/src/protocol.rs
+++ b/crates/emberpin-store/src/protocol.rs
@@ -4,8 +4,8 @@
 //! store sends [`StoreReply`] frames back. Stores send each other [`ToStore::Consensus`] frames on connections of
 //! their own, which carry nothing in the other direction.
 //!
-//! The encoding is `postcard`, which writes the position of a variant or field and not its name: names may change,
-//! their order must not as long as peers of this protocol version are in service.
+//! The encoding is `postcard`, which writes the position of a variant or field and not its name. Names can therefore
+//! change, but their order must not as long as peers of this protocol version are in service.
 
 use emberpin_config::{Item, Version};
 use emberpin_consensus::{CoordinationReply, EvacuationChange, Message, WhenLed};
@@ -19,7 +19,7 @@
 pub enum ToStore {
     /// Sent by a registry. Replies come back on the same connection as [`StoreReply`].
     Request(StoreRequest),
-    /// Sent by another store. It is never answered on this connection: a reply is a `Consensus` frame on the
+    /// Sent by another store. Replies never come back on this connection: a reply is a `Consensus` frame on the
     /// connection that the receiver opens to the sender.
     Consensus {
         /// The sender's address, which identifies it in the roster.
@@ -27,7 +27,7 @@
         /// The consensus message itself.
         message: Message,
     },
-    /// As [`ToStore::Consensus`], between the replicas of the registers of applications.
+    /// Like [`ToStore::Consensus`], between the replicas of the registers of applications.
     RegisterConsensus {
         /// The sender's address, which identifies it in the roster.
         from: Ipv4Addr,
@@ -62,8 +62,8 @@
         /// Repeated in the response.
         id: RequestId,
     },
-    /// What registries of earlier builds send in place of [`StoreRequest::ChangeEvacuation`]. The response is 503, as
-    /// nothing tells whether the operator still waits for it.
+    /// Sent by registries of earlier builds in place of [`StoreRequest::ChangeEvacuation`]. The response is 503, as the
+    /// store cannot determine whether the operator still waits for the change.
     Evacuate {
         /// Repeated in the response.
         id: RequestId,
@@ -73,24 +73,25 @@
         begin: bool,
     },
     /// Sent once after connecting. The store replies at once with all chosen items in one or more
-    /// [`StoreReply::Items`] and a [`StoreReply::Status`], and from then on pushes each change and its status.
+    /// [`StoreReply::Items`] and a [`StoreReply::Status`]. Afterwards it sends each change, and its status, in further
+    /// such messages.
     Subscribe,
-    /// Sent to learn how old the items received on this connection may be. The store replies with one
+    /// Sent to learn the maximum age of the items received on this connection. The store replies with one
     /// [`StoreReply::FreshnessConfirmed`].
     ConfirmFreshness {
-        /// Echoed in the reply, so that the registry can tell when it asked.
+        /// Repeated in the reply, so that the registry knows when it sent the request.
         nonce: FreshnessNonce,
     },
     /// Sent for `POST /evac/ZONE/begin` and `POST /evac/ZONE/finish`. Answered like [`StoreRequest::Patch`].
     ChangeEvacuation {
         /// Repeated in the response.
         id: RequestId,
-        /// Name of the zone. The store answers 404 if its settings do not list it.
+        /// Name of the zone. The store replies 404 if its settings do not list the zone.
         zone: String,
         /// Whether the evacuation begins or ends.
         change: EvacuationChange,
-        /// The version of the zone's evacuation that the operator was told. The store answers 503 once another one is
-        /// chosen.
+        /// The version of the zone's evacuation that the operator last received. The store replies 503 once another
+        /// version is chosen.
         precondition: Version,
     },
     /// Sent for calls of applications. The store replies with one [`StoreReply::Coordinated`] of the same id, unless the
@@ -98,15 +99,15 @@
     Coordinate {
         /// Repeated in the reply.
         id: RequestId,
-        /// What the application asks for.
+        /// The operation that the application requests.
         operation: Operation,
-        /// What the store does if another one leads.
+        /// How the operation is handled if another store is the leader.
         when_led: WhenLed,
     },
 }
 
 impl StoreRequest {
-    /// The oldest version of the protocol in which a store understands the request.
+    /// Returns the oldest protocol version that has the request.
     pub fn oldest_version(&self) -> ProtocolVersion {
         match self {
             StoreRequest::ChangeEvacuation { .. } => ProtocolVersion::V3,
@@ -123,37 +124,37 @@
     Response {
         /// The id of the request.
         id: RequestId,
-        /// An HTTP status: 200, a 4xx that no retry changes, or 503 if the request may be retried.
+        /// An HTTP status: 200, a 4xx that a retry does not change, or 503 if the request can be retried.
         status: u16,
         /// The HTTP body. For a 4xx, one line that names the field and the cause.
         body: String,
     },
-    /// Chosen items and tombstones, sent to subscribers. Those after [`StoreRequest::Subscribe`] and before the first
-    /// [`StoreReply::Status`] are together the complete configuration, with the evacuations in the first; each later
-    /// one is a change.
+    /// Chosen items and tombstones, sent to subscribers. The `Items` messages between [`StoreRequest::Subscribe`] and the
+    /// first [`StoreReply::Status`] together contain the complete configuration, with all evacuations in the first
+    /// message. Each later `Items` message contains changes.
     Items {
         /// The items, in no particular order.
         items: Vec<Item>,
     },
     /// Health of the store, sent to subscribers when it changes and at least twice a second.
     Status {
-        /// Whether the store knows everything that a majority of the voters knew shortly ago; see
+        /// Whether the store has everything that a majority of the voters had a short time ago; see
         /// [`Replica::is_up_to_date`](emberpin_consensus::Replica::is_up_to_date).
         up_to_date: bool,
         /// Addresses of the machines whose stores vote.
         voters: Vec<Ipv4Addr>,
         /// Condition and usage of the store's disk.
         disk: DiskStatus,
-        /// Peers of another protocol version or system that were rejected since the store started.
+        /// Number of peers with another protocol version or system that were rejected since the store started.
         rejected_peers: u64,
     },
-    /// Answers [`StoreRequest::ConfirmFreshness`]. It is sent after all items that the store knew when it took the
-    /// request, so that the age holds for everything received before it.
+    /// Answers [`StoreRequest::ConfirmFreshness`]. It is sent after all items that the store knew when it received the
+    /// request, so that the age applies to everything that the registry receives before it.
     FreshnessConfirmed {
         /// The nonce of the request.
         nonce: FreshnessNonce,
-        /// Milliseconds since the store began the comparison that shows its items to be those of a majority of the
-        /// voters; `None` if it has not completed such a comparison.
+        /// Milliseconds since the store began the last completed comparison that showed its items to be those of a
+        /// majority of the voters; `None` if it has not completed such a comparison.
         age_ms: Option<u64>,
     },
     /// Answers [`StoreRequest::Coordinate`].
@@ -171,11 +172,12 @@
     /// Every write is accepted.
     #[default]
     Writable,
-    /// Changes are rejected, so that room is left for votes and for items that other stores have chosen.
+    /// Changes are rejected, so that disk space remains for votes and for items that other stores have chosen.
     NearlyFull,
     /// A write failed. Votes and changes are rejected until the complete state is synced again.
     Full,
-    /// The disk has completed no batch for a second while some wait. Changes are rejected until it has.
+    /// The disk has completed no batch for a second although batches are queued, or its queue has overflowed. Changes are
+    /// rejected until the disk has caught up.
     Stalled,
 }
 
@@ -188,7 +190,7 @@
         DiskState::Stalled,
     ];
 
-    /// The state's name in `GET /status` and in log lines.
+    /// Returns the state's name in `GET /status` and in log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             DiskState::Writable => "writable",
@@ -206,11 +208,11 @@
     pub state: DiskState,
     /// Bytes that the store's files occupied when they were last measured.
     pub used_bytes: u64,
-    /// Limit from `self.limits.disk_mb`, in bytes; 0 if the settings have none, and nothing is measured.
+    /// Limit from `self.limits.disk_mb`, in bytes; 0 if the settings have no limit, in which case usage is not measured.
     pub limit_bytes: u64,
 }
 
-/// The oldest version of the protocol in which a store understands a message of another one.
+/// Returns the oldest protocol version that has this message between stores.
 pub fn oldest_version(message: &Message) -> ProtocolVersion {
     match message {
         Message::CandidacyQuery(_) | Message::CandidacyReply(_) => ProtocolVersion::V3,
--- a/crates/emberpin-store/src/registry_sessions.rs
+++ b/crates/emberpin-store/src/registry_sessions.rs
@@ -1,4 +1,4 @@
-//! Registries that are connected: their subscriptions, their pending calls, and replies that wait.
+//! Sessions of connected registries: their subscriptions, pending calls, and deferred confirmations.
 
 use crate::input::ConnectionId;
 use crate::item_batches::item_batches;
@@ -12,7 +12,7 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// One connected registry.
+/// The connection of one registry.
 struct Session {
     peer: IpAddr,
     version: ProtocolVersion,
@@ -22,8 +22,9 @@
 }
 
 impl Session {
-    /// Sends a reply; `false` if the registry does not read its replies, whose connection is then closed. It connects
-    /// again, subscribes, and receives the complete configuration.
+    /// Queues a reply. If the registry reads its replies too slowly, or the reply cannot be encoded, closes the
+    /// connection and returns `false`. The registry then reconnects, subscribes, and receives the complete
+    /// configuration.
     fn send(&self, reply: &StoreReply) -> bool {
         let sent = match frames::encode(reply) {
             Ok(frame) => self.replies.try_send(Frame::new(frame)).is_ok(),
@@ -42,34 +43,35 @@
     }
 }
 
-/// A call that the replica has not replied to yet.
+/// A call to which the replica has not replied yet.
 struct PendingCall {
     connection: ConnectionId,
     /// The id of the request on its connection.
     request_id: RequestId,
-    /// The name of an operation on registers, for metrics; `None` for other calls.
+    /// The operation's name in metrics, if the call is an operation on registers; `None` for other calls.
     operation: Option<&'static str>,
 }
 
-/// A confirmation that is sent after all items that the store knew when the registry asked.
+/// A reply to a freshness request, to be sent after all items that the store knew when it received the request.
 struct DeferredConfirmation {
     connection: ConnectionId,
     nonce: FreshnessNonce,
+    /// The confirmed age of the items when the request arrived; `None` if the store had not confirmed them yet.
     age: Option<Duration>,
 }
 
-/// All connected registries.
+/// The sessions of all connected registries.
 #[derive(Default)]
 pub struct RegistrySessions {
     sessions: BTreeMap<ConnectionId, Session>,
-    /// Calls that the replica has not replied to.
+    /// Calls to which the replica has not replied yet.
     pending_calls: BTreeMap<CallId, PendingCall>,
     last_call_id: CallId,
     deferred_confirmations: Vec<DeferredConfirmation>,
 }
 
 impl RegistrySessions {
-    /// Notes a connection at its first request.
+    /// Opens a session at the first request of a connection. Has no effect on an open session.
     pub fn open(
         &mut self,
         connection: ConnectionId,
@@ -85,14 +87,14 @@
         });
     }
 
-    /// Forgets a connection that ended, with its pending calls.
+    /// Removes the session of a connection that ended, with its pending calls.
     pub fn close(&mut self, connection: ConnectionId) {
         self.sessions.remove(&connection);
         self.pending_calls
             .retain(|_, call| call.connection != connection);
     }
 
-    /// Sends changes and the status to this connection from now on.
+    /// Makes a connection receive notifications, that is, changes and the status.
     pub fn subscribe(&mut self, connection: ConnectionId) {
         if let Some(session) = self.sessions.get_mut(&connection) {
             session.is_subscribed = true;
@@ -110,8 +112,8 @@
         }
     }
 
-    /// Sends the complete configuration: in batches or, to a registry of version 2 of the protocol, in one message, as it
-    /// takes the first one for all.
+    /// Sends the complete configuration in batches. A registry of protocol version 2 receives it in one message, as it
+    /// takes the first message for the complete configuration.
     pub fn send_all_items(&mut self, connection: ConnectionId, items: Vec<Item>) {
         let Some(session) = self.sessions.get(&connection) else {
             return;
@@ -132,7 +134,7 @@
             .retain(|_, session| !session.is_subscribed || session.send(notification));
     }
 
-    /// Notes a call that goes to the replica, and returns its id there.
+    /// Adds a pending call, and returns the id under which it is passed to the replica.
     pub fn add_call(&mut self, connection: ConnectionId, request_id: RequestId) -> CallId {
         self.add_pending(PendingCall {
             connection,
@@ -141,7 +143,7 @@
         })
     }
 
-    /// As [`RegistrySessions::add_call`], for an operation on registers.
+    /// Like [`RegistrySessions::add_call`], for an operation on registers with this name in metrics.
     pub fn add_operation(
         &mut self,
         connection: ConnectionId,
@@ -161,12 +163,12 @@
         self.last_call_id
     }
 
-    /// The name of an operation that waits for its reply.
+    /// Returns the name of a pending operation on registers.
     pub fn operation_name(&self, call_id: CallId) -> Option<&'static str> {
         self.pending_calls.get(&call_id)?.operation
     }
 
-    /// Sends the reply to an operation to whoever asked for it.
+    /// Sends the replica's reply to a pending operation to the registry that requested the operation.
     pub fn complete_operation(&mut self, call_id: CallId, reply: CoordinationReply) {
         if let Some(call) = self.pending_calls.remove(&call_id) {
             let id = call.request_id;
@@ -174,14 +176,14 @@
         }
     }
 
-    /// Sends the replica's reply to whoever made the call.
+    /// Sends the replica's reply to a pending call to the registry that made the call.
     pub fn complete_call(&mut self, call_id: CallId, status: u16, body: String) {
         if let Some(call) = self.pending_calls.remove(&call_id) {
             self.respond(call.connection, call.request_id, status, body);
         }
     }
 
-    /// Sends the response to a request.
+    /// Sends the response to a request, with an HTTP status and body.
     pub fn respond(
         &mut self,
         connection: ConnectionId,
@@ -197,7 +199,7 @@
         self.send(connection, &response);
     }
 
-    /// Notes a confirmation for [`RegistrySessions::send_confirmations`].
+    /// Defers a confirmation until [`RegistrySessions::send_confirmations`].
     pub fn defer_confirmation(
         &mut self,
         connection: ConnectionId,
@@ -211,18 +213,19 @@
         });
     }
 
-    /// Sends the confirmations that wait. To be called once the items known so far are sent.
+    /// Sends the deferred confirmations. To be called once all items known so far are sent.
     pub fn send_confirmations(&mut self) {
         for confirmation in std::mem::take(&mut self.deferred_confirmations) {
             let reply = StoreReply::FreshnessConfirmed {
                 nonce: confirmation.nonce,
-                age_ms: confirmation.age.map(full_millis),
+                age_ms: confirmation.age.map(whole_millis),
             };
             self.send(confirmation.connection, &reply);
         }
     }
 }
 
-fn full_millis(duration: Duration) -> u64 {
+/// Returns the whole milliseconds of a duration, at most [`u64::MAX`].
+fn whole_millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/emberpin-store/src/send_queue.rs
+++ b/crates/emberpin-store/src/send_queue.rs
@@ -8,46 +8,46 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{timeout, Duration};
 
-/// Most frames that may wait for a connection, and most bytes of these.
+/// Maximum number of queued frames of a connection, and of their bytes.
 const MAX_QUEUED_FRAMES: usize = 512;
 const MAX_QUEUED_BYTES: usize = 12 << 20;
-/// A peer that accepts a frame no sooner than this is unreachable.
+/// A peer that has not accepted a frame within this time is unreachable.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// An encoded message, whose bytes are shared by the queues of all its receivers.
+/// An encoded message in one or more frames. The send queues of all its receivers share the bytes.
 #[derive(Clone, Debug)]
 pub struct Frame {
     bytes: Arc<Vec<u8>>,
-    /// A peer that speaks an older version of the protocol is not sent the message.
+    /// The message is not sent to a peer with an older protocol version.
     oldest_version: ProtocolVersion,
 }
 
 impl Frame {
-    /// The frames of a message that every peer understands.
+    /// The frames of a message that all supported protocol versions have.
     pub fn new(bytes: Vec<u8>) -> Frame {
-        Frame::since(VersionRange::SUPPORTED.oldest, bytes)
+        Frame::with_oldest_version(VersionRange::SUPPORTED.oldest, bytes)
     }
 
-    /// The frames of a message that the protocol has had since this version.
-    pub fn since(oldest_version: ProtocolVersion, bytes: Vec<u8>) -> Frame {
+    /// The frames of a message that exists only in this protocol version and newer ones.
+    pub fn with_oldest_version(oldest_version: ProtocolVersion, bytes: Vec<u8>) -> Frame {
         Frame {
             bytes: Arc::new(bytes),
             oldest_version,
         }
     }
 
-    /// How many bytes the frames are.
+    /// The length of the frames in bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 }
 
-/// The queue is full, or nobody reads from it any more. The frame is lost.
+/// The queue is full, or its receiving end was dropped. The frame is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the send queue is full or closed")]
 pub struct SendQueueFull;
 
-/// The sending end.
+/// The sending end of the queue.
 #[derive(Clone)]
 pub struct SendQueue {
     frames: mpsc::Sender<Frame>,
@@ -55,14 +55,14 @@
     close_requested: Arc<Notify>,
 }
 
-/// The end that writes the frames to the connection.
+/// The receiving end, from which frames are written to the connection.
 pub struct QueuedFrames {
     frames: mpsc::Receiver<Frame>,
     queued_bytes: Arc<AtomicUsize>,
 }
 
 impl SendQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new() -> (SendQueue, QueuedFrames) {
         let (sender, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
         let queued_bytes = Arc::<AtomicUsize>::default();
@@ -82,7 +82,7 @@
     ///
     /// # Errors
     ///
-    /// [`SendQueueFull`].
+    /// [`SendQueueFull`]: the frame is lost.
     pub fn try_send(&self, frame: Frame) -> Result<(), SendQueueFull> {
         let length = frame.len();
         if self.queued_bytes.load(Ordering::Relaxed) + length > MAX_QUEUED_BYTES {
@@ -98,7 +98,7 @@
         self.close_requested.notify_one();
     }
 
-    /// Returns once the other end is gone or a close was requested.
+    /// Returns once the receiving end was dropped or a close was requested.
     pub async fn closed(&self) {
         tokio::select! {
             () = self.frames.closed() => {}
@@ -108,32 +108,33 @@
 }
 
 impl QueuedFrames {
-    /// Waits for the next frame; `None` once all senders are gone.
+    /// Waits for the next frame; `None` once all senders were dropped and the queue is empty.
     pub async fn next(&mut self) -> Option<Frame> {
         let frame = self.frames.recv().await?;
         self.release(&frame);
         Some(frame)
     }
 
-    /// Drops all frames that wait.
+    /// Drops all queued frames.
     pub fn discard(&mut self) {
         while let Ok(frame) = self.frames.try_recv() {
             self.release(&frame);
         }
     }
 
-    /// Whether all senders are gone.
+    /// Whether all senders were dropped.
     pub fn is_closed(&self) -> bool {
         self.frames.is_closed()
     }
 
+    /// Subtracts a frame that left the queue from the queued bytes.
     fn release(&self, frame: &Frame) {
         self.queued_bytes.fetch_sub(frame.len(), Ordering::Relaxed);
     }
 }
 
-/// Writes a frame to a peer with this version of the protocol, unless the peer would not understand it; `false` if the
-/// connection broke or the peer accepted it too late.
+/// Writes a frame to a peer with this protocol version, or skips a frame that exists only in newer versions. Returns
+/// `false` if the connection broke or the peer did not accept the frame within [`WRITE_TIMEOUT`].
 pub async fn write_frame(
     writer: &mut (impl AsyncWrite + Unpin),
     frame: &Frame,
--- a/crates/emberpin-store/src/signals.rs
+++ b/crates/emberpin-store/src/signals.rs
@@ -6,15 +6,15 @@
 /// A signal that arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGTERM: leave the roster, and end.
+    /// SIGTERM: leave the roster, and exit.
     Terminate,
-    /// SIGINT: end at once.
+    /// SIGINT: exit at once.
     Interrupt,
     /// SIGHUP: ignored, as no setting of a store changes while it runs.
     Hangup,
 }
 
-/// Handlers of the signals, which replace the kernel's default of ending the process.
+/// Handlers for the signals, which replace the kernel's default of terminating the process.
 pub struct Signals {
     terminate: SignalStream,
     interrupt: SignalStream,
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     ///
-    /// The operating system refused one.
+    /// The operating system rejected one of the handlers.
     pub fn install() -> io::Result<Signals> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
@@ -35,7 +35,7 @@
         })
     }
 
-    /// Waits for a signal. May be cancelled without losing one.
+    /// Waits for a signal. Cancel-safe: no signal is lost.
     pub async fn next(&mut self) -> Signal {
         tokio::select! {
             biased;
--- a/crates/emberpin-store/src/startup.rs
+++ b/crates/emberpin-store/src/startup.rs
@@ -1,4 +1,5 @@
-//! Starts a store: opens the disk and the listener, syncs what a first start writes, and runs the event loop.
+//! Starts a store: opens the disks and the listener, waits until the writes of a first start are synced, and runs the
+//! event loop.
 
 use crate::disk::queue::DiskQueue;
 use crate::disk::worker::{DiskEvent, SyncRecording, UsageMeasurement};
@@ -25,13 +26,13 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Name of the folder in the data folder with the disk of the registers.
+/// Name of the subfolder of the data folder that contains the registers' disk.
 const REGISTERS_FOLDER: &str = "registers";
-/// Inputs that may wait for the event loop. Connections wait for room.
+/// Capacity of the event loop's input queue. While it is full, connections wait before they read on.
 const INPUT_QUEUE_LENGTH: usize = 256;
-/// Longest wait for the first sync before the store listens.
+/// Maximum wait for each of the first syncs before the store accepts connections.
 const FIRST_SYNC_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest wait for the last sync at the end. No message depends on it: each was sent after its own sync.
+/// Maximum wait for the last sync at shutdown. No message depends on that sync: each message was sent after its own.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Runs a store until SIGTERM or SIGINT, and serves metrics if there is an endpoint for them.
@@ -59,15 +60,15 @@
     let identity = Arc::new(ProcessIdentity::new(seed).with_versions(settings.protocol_versions));
     let metrics = MetricSet::new("emberpin_store");
     let (inputs, queued_inputs) = mpsc::channel(INPUT_QUEUE_LENGTH);
-    let starter = Starter {
+    let replica_starter = ReplicaStarter {
         settings,
         seed,
         metrics: &metrics,
     };
     let system = SystemRecord::load(data_dir.clone(), identity.clone());
-    let configuration = starter.start(ReplicaKind::Configuration, data_dir, disk)?;
+    let configuration = replica_starter.start(ReplicaKind::Configuration, data_dir, disk)?;
     let registers = register_disk
-        .map(|disk| starter.start(ReplicaKind::Registers, register_dir, disk))
+        .map(|disk| replica_starter.start(ReplicaKind::Registers, register_dir, disk))
         .transpose()?;
     let mut sources = EventSources {
         signals,
@@ -100,34 +101,34 @@
     Ok(())
 }
 
-/// A replica that was started, with the events of its disk and what it wants done first.
-struct Started {
+/// A started replica, the actions that it returned at its start, and the events of its disk.
+struct StartedReplica {
     replica: HostedReplica,
     actions: Vec<Action>,
     disk_events: mpsc::Receiver<DiskEvent>,
 }
 
-/// What the replicas of a store have in common at their start.
-struct Starter<'a> {
+/// Starts the replicas of a store with the parameters that they have in common.
+struct ReplicaStarter<'a> {
     settings: &'a Settings,
-    /// Drawn anew at each start of the process.
+    /// Random seed, drawn at each start of the process.
     seed: u64,
     metrics: &'a MetricSet,
 }
 
-impl Starter<'_> {
-    /// Starts a replica with its disk, which was opened in this folder.
+impl ReplicaStarter<'_> {
+    /// Starts a replica on a disk that was opened in `folder`, from the state that was read there.
     fn start(
         &self,
         kind: ReplicaKind,
         folder: PathBuf,
         (disk, state): (Disk, Option<PersistedState>),
-    ) -> Result<Started, StoreError> {
+    ) -> Result<StartedReplica, StoreError> {
         let settings = self.settings;
         let mut actions = Vec::new();
         let options = replica_options(settings, self.seed, kind);
         let replica = Replica::new(Timestamp::ZERO, options, state, &mut actions);
-        // The folder of the configuration holds that of the registers, too.
+        // The configuration's folder contains the registers' folder, so its measurement covers both.
         let measurement = match (settings.disk_mib, kind) {
             (0, _) | (_, ReplicaKind::Registers) => UsageMeasurement::Off,
             (_, ReplicaKind::Configuration) => UsageMeasurement::Periodic,
@@ -146,7 +147,7 @@
             DiskMonitor::new(queue, settings.disk_mib << 20),
             SyncMetrics::new(self.metrics, kind),
         );
-        Ok(Started {
+        Ok(StartedReplica {
             replica,
             actions,
             disk_events,
@@ -166,7 +167,7 @@
     Ok(u64::from_be_bytes(seed))
 }
 
-/// The machines that the settings name as seeds.
+/// Returns the IPv4 addresses of the seeds in the settings.
 fn seed_addresses(settings: &Settings) -> Vec<Ipv4Addr> {
     let seeds = settings.seeds.iter().filter_map(|seed| match seed.ip() {
         IpAddr::V4(ip) => Some(ip),
@@ -189,8 +190,8 @@
     }
 }
 
-/// Waits until what a first start writes is synced, so that nobody hears of this store before that. A disk that
-/// stalls is not waited for.
+/// Waits until the writes of a first start are synced, so that no other process communicates with this store before
+/// that. Stops waiting for a disk that reports no event within [`FIRST_SYNC_TIMEOUT`].
 async fn wait_for_first_syncs(
     host: &mut Host<'_>,
     sources: &mut EventSources,
@@ -204,7 +205,7 @@
     let Some(events) = &mut sources.register_disk_events else {
         return Ok(());
     };
-    while host.has_unsynced_registers() {
+    while host.has_queued_register_writes() {
         match timeout(FIRST_SYNC_TIMEOUT, events.recv()).await {
             Ok(Some(event)) => host.handle_register_disk_event(event)?,
             _ => break,
@@ -213,7 +214,7 @@
     Ok(())
 }
 
-/// Waits for the last syncs of all disks.
+/// Closes all disks, and waits for their last syncs.
 async fn close_disks(host: &Host<'_>, sources: &mut EventSources) {
     close_disk(&host.configuration.disk.queue, &mut sources.disk_events).await;
     if let (Some(registers), Some(events)) = (&host.registers, &mut sources.register_disk_events) {
@@ -221,7 +222,7 @@
     }
 }
 
-/// Waits for the last sync, up to [`CLOSE_TIMEOUT`].
+/// Closes a disk, and waits for its last sync, up to [`CLOSE_TIMEOUT`].
 async fn close_disk(disk: &DiskQueue, disk_events: &mut mpsc::Receiver<DiskEvent>) {
     if disk.close().is_err() {
         return;
--- a/crates/emberpin-store/src/system_record.rs
+++ b/crates/emberpin-store/src/system_record.rs
@@ -1,10 +1,11 @@
-//! The id of the system that a store belongs to, a digest of the first roster.
+//! The id of the system that a store belongs to: a digest of the system's first roster.
 //!
-//! Founders compute it once a majority of them agrees on the roster; all others learn it from the machines that their
-//! settings name. It is saved in a file of the data folder. A process that does not know its id yet accepts all peers,
-//! and is accepted by all.
+//! Founders compute the id once a majority of them agrees on the roster; all other stores learn it from the seeds in
+//! their settings. The id is saved in a file of the data folder. A process that does not know the id yet accepts all
+//! peers, and is accepted by all.
 //!
-//! The id tells systems with different founders apart, not two that the same addresses founded one after the other.
+//! The id distinguishes systems with different founders, but not two systems that the same addresses founded one after
+//! the other.
 
 use emberpin_config::Version;
 use emberpin_runtime::identity::ProcessIdentity;
@@ -18,12 +19,12 @@
 
 /// Name of the file in the data folder.
 const FILE_NAME: &str = "system";
-/// Name of the file while it is written. It is renamed once it is complete.
+/// Name of the file until it is complete. Then it is renamed to [`FILE_NAME`].
 const INCOMPLETE_FILE_NAME: &str = "system.forming";
-/// The version of the roster that founders begin with.
+/// The version of the first roster, which the founders create.
 const FIRST_ROSTER_VERSION: Version = Version(1);
 
-/// The id of the system that these voters founded; `None` if this version of the roster is a later one.
+/// Returns the id of the system that these voters founded; `None` if the roster with this version is not the first one.
 pub fn founded_by(roster_version: Version, voters: &[Ipv4Addr]) -> Option<SystemId> {
     if roster_version != FIRST_ROSTER_VERSION {
         return None;
@@ -32,18 +33,18 @@
     SystemId::new(xxh3_64(&bytes))
 }
 
-/// The system's id as the process knows it and as the data folder has it.
+/// Keeps the id that the process knows saved in the data folder.
 pub struct SystemRecord {
     folder: PathBuf,
     identity: Arc<ProcessIdentity>,
-    /// Whether the id is in the file, or on its way there.
+    /// Whether the id is in the file, or the task that saves it was started.
     is_saved: bool,
 }
 
 impl SystemRecord {
-    /// Reads the id from a data folder, if it is there, and has the process adopt it.
+    /// Reads the id from a data folder, if the file exists, and makes the process adopt it.
     pub fn load(folder: PathBuf, identity: Arc<ProcessIdentity>) -> SystemRecord {
-        let system = read(&folder);
+        let system = read_system_id(&folder);
         if let Some(system) = system {
             identity.learn_system(system);
         }
@@ -54,8 +55,8 @@
         }
     }
 
-    /// Saves the id once the process knows it. If it was not learned from a peer, it is the id of the system that this
-    /// store founded, if there is such a system.
+    /// Saves the id once the process knows it. If the process learned no id from a peer, it adopts the one that
+    /// `founded_system` returns, if any.
     pub fn update(&mut self, founded_system: impl FnOnce() -> Option<SystemId>) {
         if self.is_saved {
             return;
@@ -69,7 +70,7 @@
             self.is_saved = true;
             let folder = self.folder.clone();
             tokio::task::spawn_blocking(move || {
-                if let Err(error) = save(&folder, system) {
+                if let Err(error) = save_system_id(&folder, system) {
                     log::warn!("id of the system cannot be saved: system={system} error={error}");
                 }
             });
@@ -77,8 +78,8 @@
     }
 }
 
-/// Reads the id from its file; `None` if there is none or it is malformed.
-fn read(folder: &Path) -> Option<SystemId> {
+/// Reads the id from its file; `None` if the file is missing or malformed.
+fn read_system_id(folder: &Path) -> Option<SystemId> {
     let path = folder.join(FILE_NAME);
     let text = fs::read_to_string(&path).ok()?;
     let system = u64::from_str_radix(text.trim(), 16)
@@ -93,8 +94,8 @@
     system
 }
 
-/// Writes the id to its file, which is complete or absent after a crash.
-fn save(folder: &Path, system: SystemId) -> io::Result<()> {
+/// Writes the id to its file so that after a crash the file is either complete or absent.
+fn save_system_id(folder: &Path, system: SystemId) -> io::Result<()> {
     let incomplete = folder.join(INCOMPLETE_FILE_NAME);
     let mut file = File::create(&incomplete)?;
     writeln!(file, "{system}")?;
