--- a/crates/emberpin-store/src/disk/error.rs
+++ b/crates/emberpin-store/src/disk/error.rs
@@ -12,21 +12,21 @@
     /// A file or folder could not be accessed.
     #[error("{path}: cannot {operation}: {source}")]
     File {
-        /// What was attempted.
+        /// The operation that failed.
         operation: FileOperation,
         /// The file or folder.
         path: PathBuf,
-        /// What the operating system reported.
+        /// The error from the operating system.
         source: io::Error,
     },
     /// The `fjall` keyspace reported an error.
     #[error("{path}: cannot {operation}: {source}")]
     Keyspace {
-        /// What was attempted.
+        /// The operation that failed.
         operation: KeyspaceOperation,
         /// The folder of the keyspace.
         path: PathBuf,
-        /// What `fjall` reported.
+        /// The error from `fjall`.
         source: fjall::Error,
     },
     /// The folder is readable, but this store must not use it.
@@ -34,7 +34,7 @@
     Mismatch {
         /// The folder of the keyspace.
         path: PathBuf,
-        /// What does not match.
+        /// The mismatch.
         mismatch: FolderMismatch,
     },
     /// A record cannot be decoded, because of a bug in this build or a fault of the disk.
@@ -44,7 +44,7 @@
         path: PathBuf,
         /// The key of the record.
         record: &'static str,
-        /// What the decoder reported.
+        /// The error from the decoder.
         source: postcard::Error,
     },
     /// The watermark has a length other than the one this build writes.
@@ -62,7 +62,7 @@
         path: PathBuf,
         /// The key of the record.
         record: &'static str,
-        /// What the encoder reported.
+        /// The error from the encoder.
         source: postcard::Error,
     },
     /// Synced data is missing from the disk.
@@ -70,7 +70,7 @@
     DataLoss {
         /// The folder of the keyspace.
         path: PathBuf,
-        /// What is missing.
+        /// The evidence of the loss.
         loss: DataLoss,
     },
     /// `fjall` reported success, but the write is not in its journal.
--- a/crates/emberpin-store/src/disk/keyspace.rs
+++ b/crates/emberpin-store/src/disk/keyspace.rs
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     ///
-    /// `fjall` could not open it; its files may be damaged.
+    /// `fjall` could not open the keyspace, possibly because its files are damaged.
     pub fn open(folder: &Path) -> fjall::Result<StoreKeyspace> {
         let keyspace = Config::new(folder)
             .flush_workers(1)
--- a/crates/emberpin-store/src/disk/queue.rs
+++ b/crates/emberpin-store/src/disk/queue.rs
@@ -117,7 +117,8 @@
         Ok(())
     }
 
-    /// To be called for each [`DiskEvent::Failed`]. The worker drops the batches submitted before, and writes later ones.
+    /// To be called for each [`DiskEvent::Failed`]. The worker drops the batches submitted before this call, and writes
+    /// later ones.
     pub fn on_disk_failed(&mut self) {
         self.generation = self.generation.next();
     }
--- a/crates/emberpin-store/src/disk/watermark.rs
+++ b/crates/emberpin-store/src/disk/watermark.rs
@@ -48,7 +48,7 @@
         bytes
     }
 
-    /// Decodes what [`Watermark::encode`] returned; `None` if the length is not [`ENCODED_LENGTH`].
+    /// Decodes a watermark from [`Watermark::encode`]; `None` if the length is not [`ENCODED_LENGTH`].
     pub fn decode(bytes: &[u8]) -> Option<Watermark> {
         let bytes: &[u8; ENCODED_LENGTH] = bytes.try_into().ok()?;
         let mut numbers = bytes
--- a/crates/emberpin-store/src/disk/worker.rs
+++ b/crates/emberpin-store/src/disk/worker.rs
@@ -324,12 +324,12 @@
 
     /// Waits for the backoff, and drops batches that arrive meanwhile; `None` if the worker is to end.
     fn back_off(&mut self) -> Option<()> {
-        let until = Instant::now() + self.reopen_backoff;
+        let deadline = Instant::now() + self.reopen_backoff;
         self.reopen_backoff = (self.reopen_backoff * 2).min(MAX_REOPEN_BACKOFF);
         loop {
             match self
                 .commands
-                .recv_timeout(until.saturating_duration_since(Instant::now()))
+                .recv_timeout(deadline.saturating_duration_since(Instant::now()))
             {
                 Ok(DiskCommand::Write { writes, .. }) => {
                     self.release_queued_bytes(&writes);
--- a/crates/emberpin-store/src/disk_monitor.rs
+++ b/crates/emberpin-store/src/disk_monitor.rs
@@ -7,7 +7,7 @@
 
 /// Percentage of the disk's byte limit from which changes are rejected: items chosen by other stores, and compaction,
 /// still need disk space.
-const DISK_FULL_PERCENT: u64 = 80;
+const DISK_NEARLY_FULL_PERCENT: u64 = 80;
 
 /// Reasons for rejecting changes, sent to callers in response bodies.
 pub const DISK_FULL_REASON: &str = "the disk is full";
@@ -96,7 +96,7 @@
     }
 
     fn is_nearly_full(&self) -> bool {
-        let threshold = self.limit_bytes / 100 * DISK_FULL_PERCENT;
+        let threshold = self.limit_bytes / 100 * DISK_NEARLY_FULL_PERCENT;
         threshold > 0 && self.queue.used_bytes() >= threshold
     }
 }
--- a/crates/emberpin-store/src/error.rs
+++ b/crates/emberpin-store/src/error.rs
@@ -18,7 +18,7 @@
     Listen {
         /// The address from the settings.
         address: SocketAddrV4,
-        /// What the operating system reported.
+        /// The error from the operating system.
         source: io::Error,
     },
     /// A signal handler could not be installed.
--- a/crates/emberpin-store/src/host.rs
+++ b/crates/emberpin-store/src/host.rs
@@ -30,11 +30,11 @@
 use tokio::sync::mpsc;
 
 /// Maximum number of inputs that are handled before their actions are carried out, so that they share a sync.
-const MAX_EVENTS_PER_SYNC: usize = 32;
+const MAX_INPUTS_PER_SYNC: usize = 32;
 /// Maximum time between two status messages to subscribers.
 const STATUS_INTERVAL: Duration = Duration::from_millis(450);
 /// Interval between checks for unused links: a link to another store that carried no message in between is closed.
-const LINK_IDLE_INTERVAL: Duration = Duration::from_secs(10);
+const LINK_CHECK_INTERVAL: Duration = Duration::from_secs(10);
 /// Maximum time to wait for removal from the roster after SIGTERM.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Minimum sleep of the event loop: timers have a resolution of one millisecond.
@@ -60,7 +60,7 @@
     settings: &'a Settings,
     /// The replica of the configuration.
     pub configuration: HostedReplica,
-    /// The replica of the registers of applications; `None` if there are none in this deployment.
+    /// The replica of the registers, the coordination state of applications; `None` if this deployment has no registers.
     pub registers: Option<HostedReplica>,
     peers: PeerLinks,
     registries: RegistrySessions,
@@ -97,7 +97,7 @@
             metrics,
             health: Health::default(),
             next_status_at: started_at,
-            next_link_check_at: started_at + LINK_IDLE_INTERVAL,
+            next_link_check_at: started_at + LINK_CHECK_INTERVAL,
             leave_deadline: None,
         }
     }
@@ -176,11 +176,11 @@
         ControlFlow::Continue(())
     }
 
-    /// Handles an input and further queued ones, up to [`MAX_EVENTS_PER_SYNC`], and then carries out the actions of all.
+    /// Handles an input and further queued ones, up to [`MAX_INPUTS_PER_SYNC`], and then carries out the actions of all.
     fn handle_inputs(&mut self, first: Input, inputs: &mut mpsc::Receiver<Input>) {
         let mut actions = ReplicaActions::default();
         self.handle_input(first, &mut actions);
-        for _ in 1..MAX_EVENTS_PER_SYNC {
+        for _ in 1..MAX_INPUTS_PER_SYNC {
             let Ok(input) = inputs.try_recv() else { break };
             self.handle_input(input, &mut actions);
         }
@@ -353,8 +353,8 @@
         }
     }
 
-    /// Carries out the actions of the replica of the registers. What it learns is not published, as registers have no
-    /// subscribers.
+    /// Carries out the actions of the replica of the registers. Learned items are not published, as registers have
+    /// no subscribers.
     pub fn apply_register_actions(&mut self, actions: Vec<Action>) {
         let Some(registers) = &mut self.registers else {
             return;
@@ -422,7 +422,7 @@
             self.set_gauges();
         }
         if now >= self.next_link_check_at {
-            self.next_link_check_at = now + LINK_IDLE_INTERVAL;
+            self.next_link_check_at = now + LINK_CHECK_INTERVAL;
             self.peers.close_idle();
         }
     }
--- a/crates/emberpin-store/src/hosted_replica.rs
+++ b/crates/emberpin-store/src/hosted_replica.rs
@@ -18,7 +18,7 @@
 pub enum ReplicaKind {
     /// The configuration.
     Configuration,
-    /// The registers of applications.
+    /// The registers, which are the coordination state of applications.
     Registers,
 }
 
--- a/crates/emberpin-store/src/protocol.rs
+++ b/crates/emberpin-store/src/protocol.rs
@@ -129,8 +129,8 @@
         /// The HTTP body. For a 4xx, one line that names the field and the cause.
         body: String,
     },
-    /// Chosen items and tombstones, sent to subscribers. The `Items` messages between [`StoreRequest::Subscribe`] and the
-    /// first [`StoreReply::Status`] together contain the complete configuration, with all evacuations in the first
+    /// Chosen items and tombstones, sent to subscribers. The `Items` messages between [`StoreRequest::Subscribe`] and
+    /// the first [`StoreReply::Status`] together contain the complete configuration, with all evacuations in the first
     /// message. Each later `Items` message contains changes.
     Items {
         /// The items, in no particular order.
@@ -176,8 +176,8 @@
     NearlyFull,
     /// A write failed. Votes and changes are rejected until the complete state is synced again.
     Full,
-    /// The disk has completed no batch for a second although batches are queued, or its queue has overflowed. Changes are
-    /// rejected until the disk has caught up.
+    /// The disk has completed no batch for a second although batches are queued, or its queue has overflowed. Changes
+    /// are rejected until the disk has caught up.
     Stalled,
 }
 
--- a/crates/emberpin-store/tests/common/store_node.rs
+++ b/crates/emberpin-store/tests/common/store_node.rs
@@ -145,14 +145,14 @@
 
     /// Connects as soon as the store accepts connections, and completes the handshake.
     pub async fn connect(&self) -> TcpStream {
-        let until = Instant::now() + TEST_TIMEOUT;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
             let mut stream = self.connect_raw().await;
             // The connection can have been accepted by a process that then exited.
             if handshake(&mut stream).await.is_some() {
                 return stream;
             }
-            assert!(Instant::now() < until, "{}: no handshake", self.ip);
+            assert!(Instant::now() < deadline, "{}: no handshake", self.ip);
         }
     }
 
@@ -171,12 +171,12 @@
 
     /// Connects as soon as the store accepts connections, without a handshake.
     pub async fn connect_raw(&self) -> TcpStream {
-        let until = Instant::now() + TEST_TIMEOUT;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
             if let Ok(stream) = TcpStream::connect((self.ip, self.port)).await {
                 return stream;
             }
-            assert!(Instant::now() < until, "{}: no connection", self.ip);
+            assert!(Instant::now() < deadline, "{}: no connection", self.ip);
             sleep(CONNECT_INTERVAL).await;
         }
     }
@@ -187,15 +187,15 @@
         handshake(&mut stream).await
     }
 
-    /// Sends a request, and retries it after a 503 and after a broken connection, as the operator does. Returns the status
-    /// and body of the final response.
+    /// Sends a request, and retries it after a 503 and after a broken connection, as the operator does. Returns the
+    /// status and body of the final response.
     pub async fn call(&self, request: StoreRequest) -> (u16, String) {
-        let until = Instant::now() + TEST_TIMEOUT;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
             let mut stream = self.connect().await;
             match self.try_call(&mut stream, request.clone()).await {
                 Some((status, body)) if status != 503 => return (status, body),
-                _ => assert!(Instant::now() < until, "{}: no response", self.ip),
+                _ => assert!(Instant::now() < deadline, "{}: no response", self.ip),
             }
         }
     }
--- a/crates/emberpin-store/tests/connections.rs
+++ b/crates/emberpin-store/tests/connections.rs
@@ -67,7 +67,7 @@
 
 /// Waits until a store knows the system that it belongs to, and returns the system's id.
 async fn wait_for_system(node: &StoreNode) -> SystemId {
-    let until = Instant::now() + TEST_TIMEOUT;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
         if let Some(system) = node
             .try_preamble()
@@ -76,7 +76,7 @@
         {
             return system;
         }
-        assert!(Instant::now() < until, "{}: no system", node.ip);
+        assert!(Instant::now() < deadline, "{}: no system", node.ip);
         sleep(Duration::from_millis(20)).await;
     }
 }
