--- a/crates/emberpin-registry/src/backoff.rs
+++ b/crates/emberpin-registry/src/backoff.rs
@@ -1,9 +1,10 @@
-//! The delay before a broken connection is opened again.
+//! The delay before a closed connection is opened again.
 
 use emberpin_membership::timing::Backoff;
 use std::time::Duration;
 
-/// From 100 ms to 1 s. A connection that lasted for longer than the maximum counts as healthy and resets the delay.
+/// From 100 ms to 1 s. A connection that was open for longer than the maximum delay counts as healthy and resets the
+/// delay.
 const BACKOFF: Backoff = Backoff {
     initial: Duration::from_millis(100),
     max: Duration::from_secs(1),
@@ -14,8 +15,8 @@
 pub struct ReconnectDelay(Duration);
 
 impl ReconnectDelay {
-    /// The delay before the next attempt, after a connection that lasted for `connected_for`: doubled if that was
-    /// short, the initial delay again if it was not.
+    /// Returns the delay before the next attempt, after an attempt and connection that lasted for `connected_for`: the
+    /// initial delay if that is more than the maximum delay, otherwise twice the last delay, up to the maximum.
     pub fn next(&mut self, connected_for: Duration) -> Duration {
         self.0 = if connected_for > BACKOFF.max {
             BACKOFF.initial
--- a/crates/emberpin-registry/src/commands.rs
+++ b/crates/emberpin-registry/src/commands.rs
@@ -1,6 +1,7 @@
 //! Commands on the queue of the registry's event loop, and the sending half of that queue.
 //!
-//! This file lies beneath the connections, the HTTP API and [`crate::host`], so that none of them needs another.
+//! The connections, the HTTP API and [`crate::host`] depend on this module, so that they need not depend on one
+//! another.
 
 use crate::connection::FrameSender;
 use emberpin_config::Version;
@@ -11,7 +12,7 @@
 use std::net::Ipv4Addr;
 use tokio::sync::{mpsc, oneshot};
 
-/// Commands that may wait in the queue. A sender beyond these waits, and so reads nothing from its connection.
+/// The most commands in the queue. While it is full, senders wait, and so read nothing from their connections.
 const QUEUE_CAPACITY: usize = 1024;
 
 /// One entry of the event loop's queue.
@@ -20,56 +21,56 @@
     Heartbeat {
         /// The instance as the heartbeat describes it.
         instance: Instance,
-        /// Receives the reply. If it is dropped instead, the server gets a 503.
-        response: oneshot::Sender<ServerReply>,
+        /// Receives the reply. If it is dropped instead, the server is answered with 503.
+        responder: oneshot::Sender<ServerReply>,
     },
-    /// A server leaves.
+    /// A server asks for the removal of its instance (`POST /instances/ID/leave`).
     Leave {
-        /// The id of its instance.
+        /// The id of the server's instance.
         instance_id: String,
-        /// Receives the reply. If it is dropped instead, the server gets a 503.
-        response: oneshot::Sender<ServerReply>,
+        /// Receives the reply. If it is dropped instead, the server is answered with 503.
+        responder: oneshot::Sender<ServerReply>,
     },
-    /// A call of the operator has arrived, which this registry serves or redirects.
+    /// An operator's call was received: asks whether this registry serves it, and otherwise which one does.
     FindOperatorCallTarget {
         /// Receives the target.
-        response: oneshot::Sender<OperatorCallTarget>,
+        responder: oneshot::Sender<OperatorCallTarget>,
     },
-    /// The operator changes the evacuation of a zone.
+    /// An operator's request to change the evacuation of a zone was received: asks for the next step.
     FindEvacuationStep {
         /// The zone's name.
         zone: String,
-        /// The version that the request states.
-        stated: Option<Version>,
-        /// Receives what is to become of the request.
-        response: oneshot::Sender<EvacuationStep>,
+        /// The version of the evacuation that the request names; `None` if it names none.
+        requested_version: Option<Version>,
+        /// Receives the step: whether to forward the request to a store or to redirect the caller.
+        responder: oneshot::Sender<EvacuationStep>,
     },
-    /// `GET /status` of the operator.
+    /// An operator's `GET /status` was received.
     Status {
         /// The disk of the store on this machine, once that store has reported it.
         local_disk: Option<DiskStatus>,
         /// Receives the status as JSON.
-        response: oneshot::Sender<String>,
+        responder: oneshot::Sender<String>,
     },
     /// A proxy opened a session.
     ProxyConnected {
         /// The new session.
         session: SessionId,
-        /// Takes frames for the proxy; once it is dropped, the connection closes.
+        /// Sends frames to the proxy; the connection closes once it is dropped.
         frames: FrameSender,
     },
     /// Another registry connected to this one.
     InboundPeerConnected {
         /// The other registry's machine.
         peer: Ipv4Addr,
-        /// Takes acknowledgements for the peer; once it is dropped, the connection closes.
+        /// Sends acknowledgements to the peer; the connection closes once it is dropped.
         frames: FrameSender,
     },
-    /// The connection from this registry to another one opened.
+    /// The connection from this registry to another one was opened.
     OutboundPeerConnected {
         /// The other registry's machine.
         peer: Ipv4Addr,
-        /// Takes messages for the peer; once it is dropped, the connection closes.
+        /// Sends messages to the peer; the connection closes once it is dropped.
         frames: FrameSender,
     },
     /// The connection from this registry to another one closed.
@@ -77,7 +78,7 @@
         /// The other registry's machine.
         peer: Ipv4Addr,
     },
-    /// An event that the state machine handles as it is.
+    /// An event that is passed to the state machine unchanged.
     Event(Event),
 }
 
@@ -88,8 +89,8 @@
 impl CommandSender {
     /// Puts a command on the queue; waits while the queue is full.
     ///
-    /// The event loop lives as long as the process, so a closed queue means that the process is about to end and
-    /// the command no longer matters.
+    /// The event loop runs for as long as the process, so a closed queue means that the process is about to exit, and
+    /// the command is dropped.
     pub async fn send(&self, command: Command) {
         _ = self.0.send(command).await;
     }
--- a/crates/emberpin-registry/src/connection.rs
+++ b/crates/emberpin-registry/src/connection.rs
@@ -1,5 +1,5 @@
-//! What all connections between processes share: preambles and frames under a time limit, and how the end of a
-//! connection is logged and counted.
+//! Functions shared by all connections between processes: they receive preambles and messages within a time limit,
+//! write queued frames, and log and count the ends of connections.
 
 use bytes::Bytes;
 use emberpin_runtime::frames::{self, ConnectionError};
@@ -15,30 +15,30 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Frames that may wait for a slow reader. One that is further behind is disconnected: it catches up faster from
-/// the snapshot that a new connection begins with.
+/// The most frames that are queued for one connection. A reader too slow for this is disconnected: it catches up faster
+/// from the snapshot that a new connection begins with.
 pub const FRAME_QUEUE_CAPACITY: usize = 128;
 
-/// Takes encoded frames for one connection.
+/// The sending half of the queue of encoded frames of one connection.
 pub type FrameSender = mpsc::Sender<Bytes>;
 
-/// Counts connections with peers and proxies that ended at a frame which could not be read.
+/// Counts connections with other registries and proxies that ended because a frame could not be read.
 #[derive(Debug, Default)]
 pub struct UnreadableFrames(AtomicU64);
 
 impl UnreadableFrames {
-    /// How many there were since the start of the process.
+    /// The number of these connections since the start of the process.
     pub fn count(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 
-    /// Logs why a connection ended, and counts it if a frame was the cause.
-    pub fn record_end(&self, peer: IpAddr, ended: Result<(), ConnectionError>) {
-        match ended {
+    /// Logs why a connection ended, and counts it if an unreadable frame was the cause.
+    pub fn record_end(&self, peer: IpAddr, result: Result<(), ConnectionError>) {
+        match result {
             Err(ConnectionError::Io(error)) => {
                 log::debug!("connection closed: peer={peer} error={error}");
             }
-            // Counted and logged by `ProcessIdentity`, where the peer was rejected.
+            // `ProcessIdentity` has counted and logged it when it rejected the peer.
             Err(ConnectionError::Handshake(_)) => {}
             Err(error) => {
                 let earlier = self.0.fetch_add(1, Ordering::Relaxed);
@@ -55,14 +55,14 @@
 ///
 /// # Errors
 ///
-/// [`ConnectionError::Handshake`] if the peer is of another version or system; [`ConnectionError::Io`] if the connection
-/// fails or the time limit passes.
+/// [`ConnectionError::Handshake`] if the peer has no protocol version in common with this process or belongs to another
+/// system; [`ConnectionError::Io`] if the connection fails or the time limit passes.
 pub async fn receive_preamble(
     identity: &ProcessIdentity,
     reader: &mut (impl AsyncRead + Unpin),
-    within: Duration,
+    time_limit: Duration,
 ) -> Result<Preamble, ConnectionError> {
-    timeout(within, identity.receive_preamble(reader))
+    timeout(time_limit, identity.receive_preamble(reader))
         .await
         .map_err(io::Error::from)?
 }
@@ -71,17 +71,17 @@
 ///
 /// # Errors
 ///
-/// [`ConnectionError`]: the connection is of no use after it. A passed time limit is a [`ConnectionError::Io`].
+/// [`ConnectionError`]: the connection cannot be used after it. A time-out is a [`ConnectionError::Io`].
 pub async fn read_message<T: DeserializeOwned>(
     reader: &mut (impl AsyncRead + Unpin),
-    within: Duration,
+    time_limit: Duration,
 ) -> Result<T, ConnectionError> {
-    timeout(within, frames::read(reader))
+    timeout(time_limit, frames::read(reader))
         .await
         .map_err(io::Error::from)?
 }
 
-/// Writes queued frames to a peer with this version of the protocol, until every sender of the queue is dropped.
+/// Writes queued frames to a peer that speaks `version` of the protocol, until every sender of the queue is dropped.
 ///
 /// # Errors
 ///
--- a/crates/emberpin-registry/src/coordination_client.rs
+++ b/crates/emberpin-registry/src/coordination_client.rs
@@ -1,8 +1,10 @@
-//! Operations of applications on registers: which store they are sent to, and what to make of the replies.
+//! The client for the operations of applications on registers (locks, counters and cells): it chooses the store that an
+//! operation is sent to, and interprets the replies.
 //!
-//! One store leads; it carries out operations fastest, and any other one redirects to it. A store that leaves an
-//! operation without a reply is suspected, and all operations that wait for it go to the next one, which takes the lead.
-//! Operations may be carried out twice, so one whose store fell silent is sent to the next one.
+//! One store is the leader; it carries out operations fastest, and all other stores redirect to it. A store that does
+//! not reply to an operation in time is suspected, and all operations that wait for its reply are sent to the next
+//! store, which takes over as leader. An operation may be carried out twice, so it is sent again although the first
+//! store may have carried it out.
 
 use crate::store_client::StoreClient;
 use crate::store_connection::StoreConnection;
@@ -17,65 +19,68 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
-/// An operation is answered within this time, beside the time that it asks to wait for: applications call elsewhere
-/// after a second of silence.
+/// The time-out of an operation, in addition to the time that a watch asks to wait: applications call another registry
+/// after a second without a response.
 const OPERATION_TIMEOUT: Duration = Duration::from_millis(900);
-/// A store that has sent nothing for this long while an operation waits is suspected. Doubled with each such suspicion, up to
-/// [`MAX_REPLY_TIME`], and reduced by an eighth with each reply: where all stores are slow, a further one is no faster.
+/// The initial and lowest reply time-out: a store that has sent no reply for this long while an operation waits is
+/// suspected. Each such suspicion doubles the time-out, up to [`MAX_REPLY_TIME`], and each reply reduces it by an
+/// eighth: if all stores are slow, the next store is no faster.
 const MIN_REPLY_TIMEOUT: Duration = Duration::from_millis(250);
-/// A store that leaves one operation without a reply for this long is suspected, though it replies to others.
+/// A store that does not reply to an operation for this long is suspected, even if it replies to others.
 const MAX_REPLY_TIME: Duration = Duration::from_millis(700);
-/// How long a store is suspected.
+/// How long a store remains suspected unless it replies.
 const SUSPICION_PERIOD: Duration = Duration::from_secs(3);
-/// The pause before an attempt when all stores are suspected.
+/// The delay before an attempt while all stores are suspected.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The result of an operation for its application.
+/// The result of an operation, as reported to the application.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperationResult {
-    /// The operation is done.
+    /// The operation was carried out, with this outcome.
     Done(Outcome),
-    /// It was not carried out, and will not be.
+    /// The operation had no effect and never will, or it only reads.
     Unavailable,
-    /// It may have been carried out, or may still be.
+    /// The operation may have been carried out, or may be carried out later.
     Unknown,
 }
 
-/// Where an operation is sent to.
+/// The store that an attempt is sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Target {
     store: Ipv4Addr,
+    /// What the store does if another store leads.
     when_led: WhenLed,
-    /// Whether this one is suspected, too: all are.
+    /// Whether the store is suspected, which it is only if all stores are.
     is_suspected: bool,
 }
 
-/// What became of one attempt.
-enum Attempt {
+/// The result of one attempt.
+enum AttemptResult {
     Replied(CoordinationReply),
-    /// The store could not be reached, so it has not seen the operation.
+    /// The operation was not sent: the store could not be reached, speaks too old a version of the protocol, or the
+    /// request could not be encoded.
     NotSent,
-    /// The store has sent no reply.
+    /// The store did not reply in time, or the connection broke before its reply.
     TimedOut,
 }
 
-/// Sends operations to the stores.
+/// Sends the operations of applications to the stores.
 pub struct CoordinationClient {
-    stores: Arc<StoreClient>,
+    store_client: Arc<StoreClient>,
     state: Arc<StoreState>,
-    /// The store that led last, as far as this registry knows.
+    /// The last known leader. Its subscribers are also notified whenever a store is suspected.
     leader: watch::Sender<Option<Ipv4Addr>>,
-    /// Between [`MIN_REPLY_TIMEOUT`] and [`MAX_REPLY_TIME`].
+    /// The current reply time-out, between [`MIN_REPLY_TIMEOUT`] and [`MAX_REPLY_TIME`].
     reply_timeout: Mutex<Duration>,
-    /// When stores were last suspected that have not replied since.
+    /// The stores that have not replied since they were suspected, and when that was last.
     suspects: Mutex<BTreeMap<Ipv4Addr, Instant>>,
 }
 
 impl CoordinationClient {
-    /// A client that knows no leader yet.
-    pub fn new(stores: Arc<StoreClient>, state: Arc<StoreState>) -> CoordinationClient {
+    /// Creates a client that knows no leader yet.
+    pub fn new(store_client: Arc<StoreClient>, state: Arc<StoreState>) -> CoordinationClient {
         CoordinationClient {
-            stores,
+            store_client,
             state,
             leader: watch::Sender::new(None),
             reply_timeout: Mutex::new(MIN_REPLY_TIMEOUT),
@@ -83,7 +88,7 @@
         }
     }
 
-    /// Has an operation carried out.
+    /// Sends an operation to one store after the other until one has carried it out or its deadline has passed.
     pub async fn call(&self, operation: Operation) -> OperationResult {
         let wait = match &operation {
             Operation::WatchGroup { wait, .. } => *wait,
@@ -93,7 +98,7 @@
         let mut effect = PossibleEffect::None;
         let attempts = self.attempt_until_done(&operation, wait, &mut effect);
         match timeout_at(deadline, attempts).await {
-            // An earlier attempt may still find room.
+            // An earlier attempt, whose effect is unknown, may still be carried out if there is space by then.
             Ok(Outcome::OutOfSpace) if effect == PossibleEffect::Unknown => {
                 OperationResult::Unknown
             }
@@ -105,8 +110,8 @@
         }
     }
 
-    /// Sends the operation to one store after the other. `effect` says at any time whether one of them may have carried
-    /// it out.
+    /// Sends the operation to one store after the other until one has carried it out. `effect` is kept up to date, for
+    /// a caller that cancels this: it says whether any store may have carried out the operation or may do so later.
     async fn attempt_until_done(
         &self,
         operation: &Operation,
@@ -114,68 +119,72 @@
         effect: &mut PossibleEffect,
     ) -> Outcome {
         loop {
-            let target = self.target();
+            let target = self.choose_target();
             if target.is_suspected {
                 sleep(RETRY_DELAY).await;
             }
             let earlier_effect = *effect;
-            // Until the attempt has ended otherwise: it may be cut off by the deadline.
+            // Assumed while the attempt runs, as the deadline may cancel it after the operation was sent.
             *effect = PossibleEffect::Unknown;
             match self.attempt(target, operation, wait).await {
-                Attempt::Replied(CoordinationReply::Done(outcome)) => {
+                AttemptResult::Replied(CoordinationReply::Done(outcome)) => {
                     *effect = earlier_effect;
-                    self.trust(target.store);
+                    self.clear_suspicion(target.store);
                     self.shorten_reply_timeout();
                     self.set_leader(target.store);
                     return outcome;
                 }
-                Attempt::Replied(CoordinationReply::NotLeader {
+                AttemptResult::Replied(CoordinationReply::NotLeader {
                     leader,
-                    effect: now,
+                    effect: attempt_effect,
                 }) => {
-                    *effect = earlier_effect.max(now);
-                    self.trust(target.store);
+                    *effect = earlier_effect.max(attempt_effect);
+                    self.clear_suspicion(target.store);
                     self.set_leader(leader);
                 }
-                Attempt::Replied(CoordinationReply::Undecided { effect: now }) => {
-                    *effect = earlier_effect.max(now);
+                AttemptResult::Replied(CoordinationReply::Undecided {
+                    effect: attempt_effect,
+                }) => {
+                    *effect = earlier_effect.max(attempt_effect);
                     self.suspect(target.store);
                 }
-                Attempt::NotSent => {
+                AttemptResult::NotSent => {
                     *effect = earlier_effect;
                     self.suspect(target.store);
                 }
-                Attempt::TimedOut => self.suspect(target.store),
+                AttemptResult::TimedOut => self.suspect(target.store),
             }
         }
     }
 
-    /// The leader, or the first other store that is not suspected; it takes the lead if the leader is suspected. If all
-    /// are suspected, the one that has been for longest: what ails all of them may be over, so none is given up.
-    fn target(&self) -> Target {
+    /// Chooses the store for the next attempt: the leader, or, if it is suspected, the first store that is not, which
+    /// is to take over as leader. While no leader is known, the first store that is not suspected, which redirects if
+    /// another one leads. If all stores are suspected, the one whose last suspicion is the oldest: a fault that
+    /// affects all stores may have ended, so none is excluded.
+    fn choose_target(&self) -> Target {
         let leader = *self.leader.borrow();
         let (suspects, now) = (lock(&self.suspects), Instant::now());
         let suspected_at = |store: &Ipv4Addr| {
             let suspected_at = suspects.get(store).copied();
             suspected_at.filter(|at| now < *at + SUSPICION_PERIOD)
         };
-        // In one order everywhere, so that all registries have the same store take the lead.
+        // Sorted, so that all registries choose the same store as the next leader.
         let mut stores = self.state.other_stores();
         stores.push(self.state.local_ip());
         stores.sort_unstable();
-        let first = stores
+        let first_unsuspected = stores
             .iter()
             .copied()
             .find(|store| suspected_at(store).is_none());
-        let suspected_longest = stores.iter().copied().min_by_key(suspected_at);
-        let (store, when_led, is_suspected) = match (leader, first) {
+        let suspected_earliest = stores.iter().copied().min_by_key(suspected_at);
+        let (store, when_led, is_suspected) = match (leader, first_unsuspected) {
             (Some(leader), _) if suspected_at(&leader).is_none() => {
                 (leader, WhenLed::Redirect, false)
             }
-            (Some(_), Some(first)) => (first, WhenLed::TakeOver, false),
-            (None, Some(first)) => (first, WhenLed::Redirect, false),
+            (Some(_), Some(first_unsuspected)) => (first_unsuspected, WhenLed::TakeOver, false),
+            (None, Some(first_unsuspected)) => (first_unsuspected, WhenLed::Redirect, false),
             (_, None) => {
-                let store = suspected_longest.unwrap_or(self.state.local_ip());
+                let store = suspected_earliest.unwrap_or(self.state.local_ip());
                 (store, WhenLed::Redirect, true)
             }
         };
@@ -194,50 +203,56 @@
         });
     }
 
-    /// Suspects a store, and has the operations that wait for it go elsewhere.
+    /// Marks a store as suspected, and wakes the operations that wait for its reply, which then try another store.
     fn suspect(&self, store: Ipv4Addr) {
         lock(&self.suspects).insert(store, Instant::now());
         self.leader.send_modify(|_| {});
     }
 
-    /// A store that replies is not suspected any more.
-    fn trust(&self, store: Ipv4Addr) {
+    /// Removes the suspicion of a store that has replied.
+    fn clear_suspicion(&self, store: Ipv4Addr) {
         lock(&self.suspects).remove(&store);
     }
 
-    async fn attempt(&self, target: Target, operation: &Operation, wait: Duration) -> Attempt {
-        let connection = self.stores.connection(target.store);
+    /// Sends the operation to one store, and waits for its reply.
+    async fn attempt(
+        &self,
+        target: Target,
+        operation: &Operation,
+        wait: Duration,
+    ) -> AttemptResult {
+        let connection = self.store_client.connection(target.store);
         let Some(connection) = connection.await else {
-            return Attempt::NotSent;
+            return AttemptResult::NotSent;
         };
-        let id = self.stores.next_request_id();
+        let id = self.store_client.next_request_id();
         let request = StoreRequest::Coordinate {
             id,
             operation: operation.clone(),
             when_led: target.when_led,
         };
         if connection.version < request.oldest_version() {
-            return Attempt::NotSent;
+            return AttemptResult::NotSent;
         }
         let Some(frame) = StoreClient::encode(request) else {
-            return Attempt::NotSent;
+            return AttemptResult::NotSent;
         };
         tokio::select! {
             biased;
             reply = connection.request(id, frame) => match reply {
-                Some(StoreReply::Coordinated { reply, .. }) => Attempt::Replied(reply),
-                _ => Attempt::TimedOut,
+                Some(StoreReply::Coordinated { reply, .. }) => AttemptResult::Replied(reply),
+                _ => AttemptResult::TimedOut,
             },
-            () = self.reply_overdue(&connection, wait) => {
+            () = self.wait_until_reply_overdue(&connection, wait) => {
                 self.lengthen_reply_timeout();
-                Attempt::TimedOut
+                AttemptResult::TimedOut
             }
-            () = self.suspected(target.store, Instant::now()) => Attempt::TimedOut,
+            () = self.wait_until_suspected(target.store, Instant::now()) => AttemptResult::TimedOut,
         }
     }
 
-    /// Returns once another operation has found the store to be silent after this moment.
-    async fn suspected(&self, store: Ipv4Addr, after: Instant) {
+    /// Returns once the store is suspected, because of another operation, at a later time than `after`.
+    async fn wait_until_suspected(&self, store: Ipv4Addr, after: Instant) {
         let mut changes = self.leader.subscribe();
         while changes.changed().await.is_ok() {
             let suspected_at = lock(&self.suspects).get(&store).copied();
@@ -247,17 +262,19 @@
         }
     }
 
-    /// Returns once the reply to an operation that is sent now is overdue, beside the time that the operation waits.
-    async fn reply_overdue(&self, connection: &StoreConnection, wait: Duration) {
+    /// Returns once the reply to an operation that is sent now is overdue. `wait` is the time that the operation itself
+    /// asks the store to wait; it is not counted.
+    async fn wait_until_reply_overdue(&self, connection: &StoreConnection, wait: Duration) {
         let timeout = *lock(&self.reply_timeout);
-        let sent_at = Instant::now() + wait;
+        let waits_until = Instant::now() + wait;
         loop {
             let last_reply_at = connection.last_reply_at();
-            let until = (sent_at.max(last_reply_at) + timeout).min(sent_at + MAX_REPLY_TIME);
-            if Instant::now() >= until {
+            let overdue_at =
+                (waits_until.max(last_reply_at) + timeout).min(waits_until + MAX_REPLY_TIME);
+            if Instant::now() >= overdue_at {
                 return;
             }
-            sleep_until(until).await;
+            sleep_until(overdue_at).await;
         }
     }
 
--- a/crates/emberpin-registry/src/host.rs
+++ b/crates/emberpin-registry/src/host.rs
@@ -1,5 +1,7 @@
-//! The event loop of the registry: the only owner of the state machine. It handles commands one after the
-//! other, and applies the actions that the state machine requests.
+//! The event loop of the registry, the only owner of the membership state machine.
+//!
+//! Other tasks put commands on its queue. The loop handles one command after the other: it passes events to the state
+//! machine, and applies the actions that the state machine returns, such as to reply to a call or to send a message.
 
 use crate::commands::{self, Command, CommandSender};
 use crate::connection::{FrameSender, UnreadableFrames};
@@ -24,56 +26,56 @@
 use tokio::task::JoinHandle;
 use tokio::time::{interval, sleep_until, Instant, MissedTickBehavior};
 
-/// Commands that are taken from the queue at once. The timer is checked between such batches.
+/// The most commands that are received from the queue in one batch. The timer is checked between batches.
 const MAX_COMMANDS_PER_TURN: usize = 64;
 
-/// What the event loop knows of its process and machine.
+/// The event loop's process and machine.
 pub struct HostIdentity {
-    /// The machine's name, for the operator.
+    /// The machine's name, as the status reports it.
     pub node_name: String,
-    /// The port of all registries.
+    /// The port at which all registries accept peers and proxies.
     pub registry_port: u16,
-    /// This process, as its preamble describes it.
+    /// The identity that this process sends in its preamble.
     pub process: Arc<ProcessIdentity>,
-    /// Counts frames of peers and proxies that could not be read.
+    /// Counts connections with peers and proxies that ended because a frame could not be read.
     pub unreadable_frames: Arc<UnreadableFrames>,
 }
 
-/// The connection that this registry keeps open to another one.
+/// A connection that this registry keeps open to another one.
 struct OutboundPeer {
-    /// Opens the connection again and again until it is aborted.
+    /// Opens the connection, and opens it again whenever it closes, until the task is aborted.
     task: JoinHandle<()>,
-    /// Takes messages for the peer while the connection is open.
+    /// Sends messages to the peer; `None` while the connection is not open.
     frames: Option<FrameSender>,
 }
 
-/// The event loop and what it owns.
+/// The event loop and the state that it owns.
 pub struct Host {
     identity: HostIdentity,
     local_ip: Ipv4Addr,
     registry: Registry,
     stores: Arc<StoreState>,
     started_at: Instant,
-    /// Given to the tasks of outbound connections.
+    /// Cloned for the tasks of outbound connections, which send commands to this loop.
     commands: CommandSender,
     queue: mpsc::Receiver<Command>,
-    /// Calls of servers that the state machine has not replied to yet.
+    /// The responders of server calls that the state machine has not replied to yet.
     pending_calls: HashMap<CallId, oneshot::Sender<ServerReply>>,
     last_call_id: u64,
-    /// Sessions of proxies; a dropped sender closes the connection.
+    /// Senders to the proxies that have a session here; the connection closes once its sender is dropped.
     sessions: HashMap<SessionId, FrameSender>,
-    /// Other registries that are connected to this one, for acknowledgements.
+    /// Senders of acknowledgements to the other registries that are connected to this one.
     inbound_peers: HashMap<Ipv4Addr, FrameSender>,
-    /// Other registries that this one connects to, for messages.
+    /// The connections on which this registry sends messages to other ones.
     outbound_peers: BTreeMap<Ipv4Addr, OutboundPeer>,
-    /// The gauges that are kept up to date, if somebody may read them.
+    /// The metrics whose gauges the loop updates; `None` if no metrics endpoint is set.
     gauges: Option<Arc<RegistryMetrics>>,
-    /// Events that were caused by actions; handled once all actions of the current event are applied.
+    /// Events caused by actions. They are handled after all actions of the current event are applied.
     deferred_events: VecDeque<Event>,
 }
 
 impl Host {
-    /// An event loop whose registry starts now, and the sender of commands to it.
+    /// Creates an event loop whose state machine starts now, and the sender of commands to it.
     pub fn new(
         identity: HostIdentity,
         config: RegistryConfig,
@@ -99,17 +101,17 @@
         (host, commands)
     }
 
-    /// The time since the start, the clock of the state machine.
+    /// The current time on the state machine's clock, which is 0 at the start of the event loop.
     fn now(&self) -> Timestamp {
         Timestamp::ZERO + self.started_at.elapsed()
     }
 
-    /// From now on gauges are kept up to date.
+    /// Has [`Host::run`] update the gauges of these metrics every [`GAUGE_PERIOD`].
     pub fn update_gauges(&mut self, metrics: Arc<RegistryMetrics>) {
         self.gauges = Some(metrics);
     }
 
-    /// Runs for as long as the process does.
+    /// Runs the event loop for as long as the process runs.
     pub async fn run(mut self) {
         let mut gauge_updates = interval(GAUGE_PERIOD);
         gauge_updates.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -143,29 +145,32 @@
 
     fn handle_command(&mut self, command: Command) {
         match command {
-            Command::Heartbeat { instance, response } => {
-                let call = self.register_call(response);
+            Command::Heartbeat {
+                instance,
+                responder,
+            } => {
+                let call = self.register_call(responder);
                 self.handle_event(Event::Heartbeat { call, instance });
             }
             Command::Leave {
                 instance_id,
-                response,
+                responder,
             } => {
-                let call = self.register_call(response);
+                let call = self.register_call(responder);
                 self.handle_event(Event::Leave { call, instance_id });
             }
-            Command::FindOperatorCallTarget { response } => {
-                _ = response.send(self.registry.operator_call_target(self.now()));
+            Command::FindOperatorCallTarget { responder } => {
+                _ = responder.send(self.registry.operator_call_target(self.now()));
             }
             Command::FindEvacuationStep {
                 zone,
-                stated,
-                response,
-            } => _ = response.send(self.registry.evacuation_step(&zone, stated)),
+                requested_version,
+                responder,
+            } => _ = responder.send(self.registry.evacuation_step(&zone, requested_version)),
             Command::Status {
                 local_disk,
-                response,
-            } => _ = response.send(self.status(local_disk)),
+                responder,
+            } => _ = responder.send(self.status(local_disk)),
             Command::ProxyConnected { session, frames } => {
                 self.sessions.insert(session, frames);
             }
@@ -173,9 +178,9 @@
                 self.inbound_peers.insert(peer, frames);
             }
             Command::OutboundPeerConnected { peer, frames } => {
-                self.set_peer_frames(peer, Some(frames));
+                self.set_peer_sender(peer, Some(frames));
             }
-            Command::OutboundPeerDisconnected { peer } => self.set_peer_frames(peer, None),
+            Command::OutboundPeerDisconnected { peer } => self.set_peer_sender(peer, None),
             Command::Event(event) => {
                 if let Event::SessionClosed { session } = event {
                     self.sessions.remove(&session);
@@ -185,11 +190,11 @@
         }
     }
 
-    /// Stores who waits for the reply to a server's call, and returns the id by which the state machine replies.
-    fn register_call(&mut self, response: oneshot::Sender<ServerReply>) -> CallId {
+    /// Stores the responder of a server's call, and returns the id that the state machine's reply will have.
+    fn register_call(&mut self, responder: oneshot::Sender<ServerReply>) -> CallId {
         self.last_call_id += 1;
         let call = CallId(self.last_call_id);
-        self.pending_calls.insert(call, response);
+        self.pending_calls.insert(call, responder);
         call
     }
 
@@ -203,8 +208,9 @@
         status_report::to_json(&self.registry, &process, self.now())
     }
 
-    fn set_peer_frames(&mut self, peer: Ipv4Addr, frames: Option<FrameSender>) {
-        // The state machine may have given up the peer while this command was queued.
+    /// Sets the sender to a peer, `None` if the connection has closed, and notifies the state machine.
+    fn set_peer_sender(&mut self, peer: Ipv4Addr, frames: Option<FrameSender>) {
+        // The state machine may have disconnected the peer while this command was queued.
         let Some(outbound) = self.outbound_peers.get_mut(&peer) else {
             return;
         };
@@ -217,7 +223,8 @@
         self.handle_event(event);
     }
 
-    /// Passes an event to the state machine, applies its actions, and handles the events that these cause in turn.
+    /// Passes an event to the state machine, applies the resulting actions, and then handles the events that these
+    /// actions caused.
     fn handle_event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.deferred_events.push_back(event);
@@ -245,8 +252,8 @@
     }
 
     fn reply_to_call(&mut self, call: CallId, reply: ServerReply) {
-        if let Some(response) = self.pending_calls.remove(&call) {
-            _ = response.send(reply);
+        if let Some(responder) = self.pending_calls.remove(&call) {
+            _ = responder.send(reply);
         }
     }
 
@@ -290,8 +297,8 @@
                 .as_ref()
                 .map(|frames| frames.try_send(frame.clone()));
             if matches!(sent, Some(Err(_))) {
-                // The queue is full or closed. A frame left out would never be repeated on this connection, so it
-                // ends; the next one begins with the whole state.
+                // The queue is full or closed. A lost frame is never repeated on the same connection, so the connection
+                // is closed; the next one begins with the complete state.
                 outbound.frames = None;
                 self.deferred_events
                     .push_back(Event::PeerDisconnected { peer });
--- a/crates/emberpin-registry/src/http_api.rs
+++ b/crates/emberpin-registry/src/http_api.rs
@@ -1,6 +1,7 @@
-//! The HTTP API at `ctl`: heartbeats of servers, and the operator's calls.
+//! The HTTP API at the `ctl` address, for servers (heartbeats), applications (locks, counters and cells) and operators.
 //!
-//! [`HttpServer`] accepts connections and finds the route of each request; [`Calls`] carries the call out.
+//! A request to one of its routes is named a call. [`HttpServer`] accepts connections and finds the route of each
+//! request; [`CallHandler`] carries the call out.
 
 mod call_query;
 mod calls;
@@ -11,7 +12,7 @@
 mod route;
 mod server;
 
-pub use calls::Calls;
+pub use calls::CallHandler;
 pub use coordination::ApplicationCall;
 pub use route::Route;
 pub use server::HttpServer;
--- a/crates/emberpin-registry/src/http_api/call_query.rs
+++ b/crates/emberpin-registry/src/http_api/call_query.rs
@@ -1,25 +1,26 @@
-//! The query of an operator's call, which only redirects of a registry write.
+//! The query of an operator's call. Only registries write it, into the locations of their redirects.
 
 use emberpin_config::Version;
 use hyper::Uri;
 use std::fmt;
 
-/// Another registry has redirected the call. It goes no further, so that calls never circle.
+/// The query field which says that another registry has redirected the call. The call is then not redirected to a third
+/// one, so that there is no redirect loop.
 const REDIRECTED: &str = "sent-on";
-/// The version of the zone's evacuation that the caller was told.
+/// The query field with the version of the zone's evacuation that an earlier redirect named.
 const EVACUATION_VERSION: &str = "evac-version";
 
-/// What a redirect told the caller to repeat.
+/// The fields that a redirect has added to the query of a call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct CallQuery {
     is_redirected: bool,
-    /// The version of the evacuation that the call changes; `None` before it was redirected with one.
+    /// The version of the evacuation that the call changes; `None` until a redirect has added it.
     pub evacuation_version: Option<Version>,
 }
 
 impl CallQuery {
-    /// The query of a call. What cannot be read counts as absent.
-    pub fn of(uri: &Uri) -> CallQuery {
+    /// Reads the query of a call. A field that cannot be parsed counts as absent.
+    pub fn from_uri(uri: &Uri) -> CallQuery {
         let mut query = CallQuery::default();
         for field in uri.query().unwrap_or_default().split('&') {
             match field.split_once('=') {
@@ -33,7 +34,7 @@
         query
     }
 
-    /// The query of a call that is redirected because this registry is out of contact.
+    /// The query for a redirect to another registry, because this one is not confirmed by a majority.
     pub fn redirected_to_peer() -> CallQuery {
         CallQuery {
             is_redirected: true,
@@ -41,12 +42,12 @@
         }
     }
 
-    /// Whether a call with this query is answered here, whatever this registry is in contact with.
+    /// Whether a registry has redirected the call before, so that this registry must not redirect it to a peer.
     pub fn is_redirected(self) -> bool {
         self.is_redirected || self.evacuation_version.is_some()
     }
 
-    /// The same query with the version of the evacuation that the call changes.
+    /// This query, with the version of the evacuation that the call changes.
     pub fn with_evacuation_version(self, version: Version) -> CallQuery {
         CallQuery {
             evacuation_version: Some(version),
--- a/crates/emberpin-registry/src/http_api/calls.rs
+++ b/crates/emberpin-registry/src/http_api/calls.rs
@@ -1,7 +1,8 @@
-//! The calls of the HTTP API.
+//! Carries out the calls of the HTTP API.
 //!
-//! Heartbeats and the status are answered by the event loop; changes and reads of the configuration are passed to the
-//! stores, or redirected to a registry that can have them confirmed.
+//! The event loop answers heartbeats and status calls. Changes and reads of the configuration are forwarded to the
+//! stores, or redirected to another registry if no majority has recently confirmed this one's store. Operations of
+//! applications are sent to the stores.
 
 use super::call_query::CallQuery;
 use super::coordination::{self, ApplicationCall, InvalidOperation};
@@ -27,50 +28,52 @@
 use tokio::sync::{oneshot, Semaphore};
 use tokio::time::timeout;
 
-/// The longest body of a configuration change: with its request, it fits into one frame to a store.
+/// The most bytes of a configuration change's body: with the rest of its request, it fits into one message to a store.
 const MAX_CHANGE_BYTES: usize = (8 << 20) - 1024;
-/// The longest body of any other call.
+/// The most bytes of any other call's body.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// A server's call is answered within this time: after a second without a response the server calls another registry.
+/// The time-out of a server's call: after a second without a response the server calls another registry.
 const HEARTBEAT_RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
-/// As [`OPERATOR_CALL_TIMEOUT`], for changes with a body of [`LARGE_CHANGE_BYTES`] or more, for which clients wait longer.
+/// The time-out of a large change, in place of [`OPERATOR_CALL_TIMEOUT`]; clients wait longer for such changes.
 const LARGE_CHANGE_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// A change whose body has this many bytes or more is large.
 const LARGE_CHANGE_BYTES: usize = 16 << 10;
-/// KiB of changes that may be in flight at once, being read or passed on: enough for two of the largest, and for one of
-/// less than 6 KiB on every connection, so that small ones never wait for one another.
+/// The most KiB of changes in flight, that is, being read or forwarded to the stores: enough for two changes of the
+/// maximum length, and for one of less than 6 KiB on every connection, so that small changes never wait for one
+/// another.
 const MAX_CHANGE_KIB_IN_FLIGHT: usize = 20 << 10;
 
-/// Carries calls out.
-pub struct Calls {
+/// Carries out calls.
+pub struct CallHandler {
     commands: CommandSender,
-    stores: Arc<StoreClient>,
+    store_client: Arc<StoreClient>,
     /// The port of the HTTP API, the same on all core machines.
     ctl_port: u16,
-    /// Carries out the calls of applications; `None` if there are none in this deployment.
+    /// Carries out the calls of applications; `None` if the settings do not enable coordination.
     coordination: Option<CoordinationClient>,
-    /// A permit for each KiB of changes in flight.
+    /// One permit for each KiB of changes that may be in flight.
     change_permits: Semaphore,
 }
 
 /// Why a call is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// Its body could not be read.
+    /// The body could not be read.
     #[error(transparent)]
     Body(#[from] RequestBodyError),
-    /// Its body is no heartbeat.
+    /// The body is not a heartbeat.
     #[error(transparent)]
     Heartbeat(#[from] InvalidHeartbeat),
-    /// Its body or query is no operation on a lock, a counter or a cell.
+    /// The body or query is not an operation on a lock, a counter or a cell.
     #[error(transparent)]
     Operation(#[from] InvalidOperation),
-    /// Applications cannot call for locks, counters and cells in this deployment.
+    /// The settings do not enable coordination, so there are no calls for locks, counters and cells.
     #[error("there is no such call")]
     NoCoordination,
 }
 
 impl CallError {
-    /// The status that the client is answered with.
+    /// The status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             CallError::Body(error) => error.status(),
@@ -80,28 +83,30 @@
     }
 }
 
-impl Calls {
-    /// Calls that go to the event loop by `commands`, and to `stores`; those of applications by `coordination`.
+impl CallHandler {
+    /// Creates a handler that sends calls to the event loop with `commands`, and forwards them with `store_client` or,
+    /// those of applications, with `coordination`. `ctl_port` is the port of the HTTP API on all core machines.
     pub fn new(
         commands: CommandSender,
-        stores: Arc<StoreClient>,
+        store_client: Arc<StoreClient>,
         coordination: Option<CoordinationClient>,
         ctl_port: u16,
-    ) -> Calls {
-        Calls {
+    ) -> CallHandler {
+        CallHandler {
             commands,
-            stores,
+            store_client,
             ctl_port,
             coordination,
             change_permits: Semaphore::new(MAX_CHANGE_KIB_IN_FLIGHT),
         }
     }
 
-    /// Carries a call out. `subject` is the instance's id or the zone in its path.
+    /// Carries out a call. `subject` is the name in the path: the id of an instance, a zone, or the name of a lock,
+    /// counter, cell or group of cells.
     ///
     /// # Errors
     ///
-    /// `CallError` if the body of the request cannot be used.
+    /// [`CallError`] if the request's body or query is invalid, or coordination is not enabled.
     pub async fn call(
         &self,
         route: Route,
@@ -134,11 +139,14 @@
     ) -> Result<HttpResponse, CallError> {
         let body = request_body::read(body, MAX_BODY_BYTES).await?;
         let instance = heartbeat_body::parse(instance_id, &body)?;
-        let (response, answer) = oneshot::channel();
+        let (responder, reply) = oneshot::channel();
         self.commands
-            .send(Command::Heartbeat { instance, response })
+            .send(Command::Heartbeat {
+                instance,
+                responder,
+            })
             .await;
-        Ok(match timeout(HEARTBEAT_RESPONSE_TIMEOUT, answer).await {
+        Ok(match timeout(HEARTBEAT_RESPONSE_TIMEOUT, reply).await {
             Ok(Ok(ServerReply::Acknowledged { heartbeat_target })) => {
                 let body = format!("{{\"hb_addr\":\"{heartbeat_target}:{}\"}}", self.ctl_port);
                 response::json(StatusCode::OK, body)
@@ -150,22 +158,22 @@
     async fn leave(&self, instance_id: &str, body: Incoming) -> Result<HttpResponse, CallError> {
         request_body::read(body, MAX_BODY_BYTES).await?;
         let instance_id = instance_id.to_string();
-        let (response, answer) = oneshot::channel();
+        let (responder, reply) = oneshot::channel();
         self.commands
             .send(Command::Leave {
                 instance_id,
-                response,
+                responder,
             })
             .await;
-        Ok(match timeout(HEARTBEAT_RESPONSE_TIMEOUT, answer).await {
+        Ok(match timeout(HEARTBEAT_RESPONSE_TIMEOUT, reply).await {
             Ok(Ok(ServerReply::Acknowledged { .. })) => response::empty(),
             _ => response::unavailable(),
         })
     }
 
     async fn patch_config(&self, uri: &Uri, body: Incoming) -> Result<HttpResponse, CallError> {
-        // Held until the stores have responded, and taken before the body is read: it bounds the memory that
-        // bodies take.
+        // Acquired before the body is read, and released when the stores have responded: this bounds the memory that
+        // bodies use.
         let permits = self.change_permits.acquire_many(change_permits(&body));
         let Ok(Ok(_permits)) = timeout(OPERATOR_CALL_TIMEOUT, permits).await else {
             return Ok(response::unavailable());
@@ -174,7 +182,7 @@
         if let Some(response) = self.redirect(uri).await {
             return Ok(response);
         }
-        let within = if body.len() < LARGE_CHANGE_BYTES {
+        let time_limit = if body.len() < LARGE_CHANGE_BYTES {
             OPERATOR_CALL_TIMEOUT
         } else {
             LARGE_CHANGE_RESPONSE_TIMEOUT
@@ -184,7 +192,7 @@
             body: body.clone(),
         };
         Ok(self
-            .call_stores(within, response::plain_text, request)
+            .call_stores(time_limit, response::plain_text, request)
             .await)
     }
 
@@ -226,7 +234,7 @@
             .await)
     }
 
-    /// Has an operation of an application carried out.
+    /// Carries out an operation of an application.
     async fn coordinate(
         &self,
         call: ApplicationCall,
@@ -238,16 +246,16 @@
         let Some(client) = &self.coordination else {
             return Err(CallError::NoCoordination);
         };
-        let operation = coordination::operation(call, subject, uri, &body)?;
+        let operation = coordination::parse_operation(call, subject, uri, &body)?;
         Ok(coordination::respond(client.call(operation).await))
     }
 
     async fn status(&self) -> HttpResponse {
-        let (response, status) = oneshot::channel();
+        let (responder, status) = oneshot::channel();
         self.commands
             .send(Command::Status {
-                local_disk: self.stores.local_disk(),
-                response,
+                local_disk: self.store_client.local_disk(),
+                responder,
             })
             .await;
         match status.await {
@@ -256,50 +264,52 @@
         }
     }
 
-    /// The response to a call that this registry cannot serve, as its store has confirmed nothing recently: 307 to a
-    /// peer that could at its last heartbeat; 503 if there is none, or if the call was redirected already. `None` if
-    /// this registry serves it.
+    /// Returns `None` if this registry can serve the call. Otherwise its store has confirmed nothing recently, and the
+    /// response is 307 to a peer that could serve calls at its last heartbeat, or 503 if there is none or the call was
+    /// already redirected.
     async fn redirect(&self, uri: &Uri) -> Option<HttpResponse> {
-        let (response, target) = oneshot::channel();
+        let (responder, target) = oneshot::channel();
         self.commands
-            .send(Command::FindOperatorCallTarget { response })
+            .send(Command::FindOperatorCallTarget { responder })
             .await;
         match target.await {
             Ok(OperatorCallTarget::Local) => None,
-            Ok(OperatorCallTarget::Peer(peer)) if !CallQuery::of(uri).is_redirected() => {
+            Ok(OperatorCallTarget::Peer(peer)) if !CallQuery::from_uri(uri).is_redirected() => {
                 let registry = SocketAddr::from((peer, self.ctl_port));
                 let query = CallQuery::redirected_to_peer();
                 Some(redirect_to(
                     &registry.to_string(),
                     uri,
                     query,
-                    "no majority is heard here\n",
+                    "the store of this registry is not confirmed by a majority\n",
                 ))
             }
             _ => Some(response::unavailable()),
         }
     }
 
+    /// Asks the event loop how to proceed with a change of a zone's evacuation; `None` if the loop has ended.
     async fn evacuation_step(&self, uri: &Uri, zone: &str) -> Option<EvacuationStep> {
-        let (response, step) = oneshot::channel();
+        let (responder, step) = oneshot::channel();
         self.commands
             .send(Command::FindEvacuationStep {
                 zone: zone.to_string(),
-                stated: CallQuery::of(uri).evacuation_version,
-                response,
+                requested_version: CallQuery::from_uri(uri).evacuation_version,
+                responder,
             })
             .await;
         step.await.ok()
     }
 
-    /// Passes a call to the stores. `on_success` makes the response of a 200; other responses are plain text.
+    /// Forwards a call to the stores, and waits for a response up to `time_limit`. `on_success` builds the response of
+    /// status 200; all others are plain text.
     async fn call_stores(
         &self,
-        within: Duration,
+        time_limit: Duration,
         on_success: fn(StatusCode, String) -> HttpResponse,
         build_request: impl Fn(RequestId) -> StoreRequest,
     ) -> HttpResponse {
-        let Some(stored) = self.stores.call(within, build_request).await else {
+        let Some(stored) = self.store_client.call(time_limit, build_request).await else {
             return response::unavailable();
         };
         let status = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::BAD_GATEWAY);
@@ -311,19 +321,24 @@
     }
 }
 
-/// 307 to the address that the caller has called, with the version of the zone's evacuation.
+/// The response 307 to the address that the caller has used, with the version of the zone's evacuation in the query.
 fn redirect_with_version(head: &Parts, version: Version) -> HttpResponse {
-    let called = head.headers.get(HOST).and_then(|host| host.to_str().ok());
-    let Some(called) = called else {
+    let host = head.headers.get(HOST).and_then(|host| host.to_str().ok());
+    let Some(host) = host else {
         return response::unavailable();
     };
-    let query = CallQuery::of(&head.uri).with_evacuation_version(version);
-    redirect_to(called, &head.uri, query, "send it with this version\n")
+    let query = CallQuery::from_uri(&head.uri).with_evacuation_version(version);
+    redirect_to(
+        host,
+        &head.uri,
+        query,
+        "repeat the request with this version of the evacuation\n",
+    )
 }
 
-/// 307 to a registry.
-fn redirect_to(registry: &str, uri: &Uri, query: CallQuery, reason: &str) -> HttpResponse {
-    let location = format!("http://{registry}{}?{query}", uri.path());
+/// The response 307 to a registry, named by its host and port.
+fn redirect_to(host: &str, uri: &Uri, query: CallQuery, reason: &str) -> HttpResponse {
+    let location = format!("http://{host}{}?{query}", uri.path());
     let Ok(location) = HeaderValue::try_from(location) else {
         return response::unavailable();
     };
@@ -332,7 +347,8 @@
     response
 }
 
-/// How many permits a change needs: one for each begun KiB of its announced length, or of the longest one.
+/// The number of permits that a change needs: its announced length in whole KiB, plus one. Without an announced length
+/// the maximum counts.
 fn change_permits(body: &Incoming) -> u32 {
     let announced = body.size_hint().upper();
     let length = announced
--- a/crates/emberpin-registry/src/http_api/coordination.rs
+++ b/crates/emberpin-registry/src/http_api/coordination.rs
@@ -1,4 +1,7 @@
-//! The calls of applications: their bodies and queries, and the responses to them.
+//! The calls of applications for locks, counters and cells: parses their bodies and queries into operations, and turns
+//! the outcomes of operations into responses.
+//!
+//! In bodies, `hold` is the lease of a lock, `fence` its fencing token, `val` a value and `rev` a revision.
 
 use super::response::{self, HttpResponse};
 use super::route::percent_decode;
@@ -10,25 +13,25 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The longest value of a cell, and the longest name of an owner.
+/// The most bytes of a cell's value, and of an owner's name.
 const MAX_TEXT_BYTES: usize = 512;
 /// The longest lease of a lock.
 const MAX_LEASE: Duration = Duration::from_secs(3_600);
 /// The longest time that a watch waits.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
 
-/// A call of an application that cannot be understood.
+/// Why a call of an application is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidOperation {
-    /// Its body is no JSON of the call's fields.
+    /// The body is not JSON with the fields of the call.
     #[error("body: {0}")]
     Body(#[from] serde_json::Error),
-    /// A field has a value that it cannot have.
+    /// The value of a field is invalid.
     #[error("{field}: expected {expected}")]
     Field {
         /// The field's name.
         field: &'static str,
-        /// What the field can be.
+        /// The values that are valid.
         expected: &'static str,
     },
 }
@@ -57,6 +60,7 @@
 #[derive(Deserialize)]
 struct PutBody {
     val: String,
+    /// If present, the cell is written only while it has this revision.
     when: Option<Revision>,
 }
 
@@ -97,12 +101,12 @@
     }
 }
 
-/// The operation that a call asks for. `subject` is the name in its path.
+/// Parses the operation that a call requests. `subject` is the name in the path of the call.
 ///
 /// # Errors
 ///
-/// [`InvalidOperation`] names what cannot be read.
-pub fn operation(
+/// [`InvalidOperation`] names the field that is invalid.
+pub fn parse_operation(
     call: ApplicationCall,
     subject: &str,
     uri: &Uri,
@@ -111,10 +115,10 @@
     let name = subject.to_string();
     Ok(match call {
         ApplicationCall::AcquireLock => {
-            let BeginBody { owner, lease } = parse(body)?;
+            let BeginBody { owner, lease } = parse_body(body)?;
             Operation::AcquireLock {
                 lock: name,
-                owner: limited("owner", owner)?,
+                owner: check_length("owner", owner)?,
                 lease: parse_lease(&lease)?,
             }
         }
@@ -123,28 +127,28 @@
                 owner,
                 fence,
                 lease,
-            } = parse(body)?;
+            } = parse_body(body)?;
             Operation::RenewLock {
                 lock: name,
-                owner: limited("owner", owner)?,
+                owner: check_length("owner", owner)?,
                 fence,
                 lease: parse_lease(&lease)?,
             }
         }
         ApplicationCall::ReleaseLock => {
-            let FinishBody { owner, fence } = parse(body)?;
+            let FinishBody { owner, fence } = parse_body(body)?;
             Operation::ReleaseLock {
                 lock: name,
-                owner: limited("owner", owner)?,
+                owner: check_length("owner", owner)?,
                 fence,
             }
         }
         ApplicationCall::NextNumber => Operation::NextNumber { counter: name },
         ApplicationCall::PutCell => {
-            let PutBody { val, when } = parse(body)?;
+            let PutBody { val, when } = parse_body(body)?;
             Operation::PutCell {
                 cell: name,
-                value: limited("val", val)?,
+                value: check_length("val", val)?,
                 expected: when,
             }
         }
@@ -160,11 +164,12 @@
     })
 }
 
-fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, InvalidOperation> {
+fn parse_body<T: DeserializeOwned>(body: &[u8]) -> Result<T, InvalidOperation> {
     Ok(serde_json::from_slice(body)?)
 }
 
-fn limited(field: &'static str, text: String) -> Result<String, InvalidOperation> {
+/// Checks the length of a text.
+fn check_length(field: &'static str, text: String) -> Result<String, InvalidOperation> {
     if text.len() > MAX_TEXT_BYTES {
         let expected = "at most 512 bytes";
         return Err(InvalidOperation::Field { field, expected });
@@ -181,13 +186,13 @@
         })
 }
 
-/// The value of a field in the query, as it was sent.
+/// The value of a query field, with its `%` escapes.
 fn query_field<'a>(uri: &'a Uri, name: &str) -> Option<&'a str> {
     let mut fields = uri.query().unwrap_or_default().split('&');
     fields.find_map(|field| field.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// A text in the query; empty if it is absent.
+/// The decoded value of a query field; empty if the field is absent.
 fn query_text(uri: &Uri, name: &'static str) -> Result<String, InvalidOperation> {
     let value = query_field(uri, name).unwrap_or_default();
     let text = percent_decode(value).ok_or(InvalidOperation::Field {
@@ -197,7 +202,7 @@
     Ok(text.into_owned())
 }
 
-/// A number in the query; 0 if it is absent.
+/// The number in a query field; 0 if the field is absent.
 fn query_number(uri: &Uri, name: &'static str) -> Result<u64, InvalidOperation> {
     let Some(value) = query_field(uri, name) else {
         return Ok(0);
@@ -242,7 +247,7 @@
     rev: Revision,
 }
 
-/// A lock that is held, as `emberpinctl` reads it.
+/// A lock that is held, in the format that `emberpinctl` reads.
 #[derive(Serialize)]
 struct LockBody {
     name: String,
@@ -255,12 +260,13 @@
 #[derive(Serialize)]
 struct LocksBody {
     locks: Vec<LockBody>,
-    /// What `after` has to be for the locks that follow; absent if there are none.
+    /// The value of `after` in the next call, which lists the locks that follow; absent if there are none.
     #[serde(skip_serializing_if = "Option::is_none")]
     next_after: Option<String>,
 }
 
-/// The response to a call. 412, 429 and 503 say that the operation had no effect and never will; 504 leaves it open.
+/// Builds the response to a call. 412, 429 and 503 mean that the operation had no effect and never will; 504 means that
+/// this is unknown.
 pub fn respond(result: OperationResult) -> HttpResponse {
     match result {
         OperationResult::Done(outcome) => respond_with(outcome),
--- a/crates/emberpin-registry/src/http_api/heartbeat_body.rs
+++ b/crates/emberpin-registry/src/http_api/heartbeat_body.rs
@@ -1,4 +1,4 @@
-//! The JSON body of a heartbeat, read field by field so that an error names the field.
+//! Parses the JSON body of a heartbeat, field by field so that errors name the field.
 
 use emberpin_membership::clock::to_wire_precision;
 use emberpin_membership::instance::{Instance, Status};
@@ -6,13 +6,13 @@
 use jzon::JsonValue;
 use std::time::Duration;
 
-/// A heartbeat whose body cannot be used.
+/// Why the body of a heartbeat is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {problem}")]
 pub struct InvalidHeartbeat {
-    /// Path of the field, or `body` for the whole.
+    /// The path of the field, or `body` for the whole body.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// What is wrong with the field.
     pub problem: FieldProblem,
 }
 
@@ -20,33 +20,33 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FieldProblem {
     /// The body is not UTF-8.
-    #[error("is no UTF-8")]
+    #[error("is not UTF-8")]
     NotUtf8,
-    /// The body is not JSON; in one line, what the parser says.
+    /// The body is not JSON; contains the parser's message as one line.
     #[error("{0}")]
     NotJson(String),
-    /// The field is missing or has another type; what was expected.
+    /// The field is missing or invalid; contains the description of a valid value.
     #[error("expected {0}")]
     Expected(&'static str),
 }
 
-fn expected(field: &'static str, what: &'static str) -> InvalidHeartbeat {
+fn expected(field: &'static str, description: &'static str) -> InvalidHeartbeat {
     InvalidHeartbeat {
         field,
-        problem: FieldProblem::Expected(what),
+        problem: FieldProblem::Expected(description),
     }
 }
 
-/// Reads the body of a heartbeat of the instance with this id.
+/// Parses the body of a heartbeat of the instance with this id.
 ///
 /// # Errors
 ///
-/// [`InvalidHeartbeat`] names the first field that is missing or cannot be read.
+/// [`InvalidHeartbeat`] names the first field that is missing or invalid.
 pub fn parse(instance_id: &str, body: &[u8]) -> Result<Instance, InvalidHeartbeat> {
     let body = parse_json(body)?;
     let (info, stat) = (&body["sysinfo"], &body["stat"]);
-    let status = status(&stat["state"])?;
-    let warmup_left = warmup_left(&stat["warm_left"])?;
+    let status = parse_status(&stat["state"])?;
+    let warmup_left = parse_warmup_left(&stat["warm_left"])?;
     Ok(Instance {
         id: instance_id.to_string(),
         service: text(&info["svc"], "sysinfo.svc")?,
@@ -77,7 +77,7 @@
     })
 }
 
-fn status(state: &JsonValue) -> Result<Status, InvalidHeartbeat> {
+fn parse_status(state: &JsonValue) -> Result<Status, InvalidHeartbeat> {
     match state.as_str() {
         Some("up") => Ok(Status::Up),
         Some("drain") => Ok(Status::Draining),
@@ -85,8 +85,8 @@
     }
 }
 
-/// How long the server still warms up; a server that does not say is warm.
-fn warmup_left(value: &JsonValue) -> Result<Duration, InvalidHeartbeat> {
+/// The remaining warm-up time of the server; 0 if the heartbeat does not state it.
+fn parse_warmup_left(value: &JsonValue) -> Result<Duration, InvalidHeartbeat> {
     if value.is_null() {
         return Ok(Duration::ZERO);
     }
--- a/crates/emberpin-registry/src/http_api/request_body.rs
+++ b/crates/emberpin-registry/src/http_api/request_body.rs
@@ -1,4 +1,4 @@
-//! Request bodies, read completely within a limit of size and an idle time-out.
+//! Reads complete request bodies, with a byte limit and an idle time-out.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -7,17 +7,18 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// A body without a frame for longer was cut short.
+/// The idle time-out: the longest wait for the next part of a body.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How much of a body that is too long is read and discarded, and for how long at most.
+/// The most bytes that are read and discarded of a body that is too long.
 const MAX_DISCARDED_BYTES: usize = 16 << 20;
+/// The longest time for which a body that is too long is read and discarded.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A request body that could not be read.
+/// Why a request body could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestBodyError {
-    /// Nothing came for [`IDLE_TIMEOUT`].
-    #[error("body: it does not come")]
+    /// Nothing was received for the idle time-out.
+    #[error("body: timed out")]
     TimedOut,
     /// The connection broke, or the body's framing is invalid.
     #[error("body: {0}")]
@@ -25,13 +26,13 @@
     /// The body is longer than the call allows.
     #[error("body: more than {limit} bytes")]
     TooLong {
-        /// The most bytes that the call allows.
+        /// The byte limit of the call.
         limit: usize,
     },
 }
 
 impl RequestBodyError {
-    /// The status that the client is answered with.
+    /// The status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             RequestBodyError::TimedOut => StatusCode::REQUEST_TIMEOUT,
@@ -45,7 +46,7 @@
 ///
 /// # Errors
 ///
-/// [`RequestBodyError`]; a body that is too long has then been read and discarded, as far as that has a bound.
+/// [`RequestBodyError`]. A body that is too long is read and discarded first, up to a byte limit and a time limit.
 pub async fn read(mut body: Incoming, limit: usize) -> Result<Vec<u8>, RequestBodyError> {
     let mut bytes = Vec::new();
     loop {
@@ -59,7 +60,7 @@
             continue;
         };
         if bytes.len() + data.len() > limit {
-            // A connection that is closed with bytes unread is reset, and the response may be lost with it.
+            // If a connection is closed before all bytes are read, it is reset, and the response may be lost.
             _ = timeout(DISCARD_TIMEOUT, discard(&mut body)).await;
             return Err(RequestBodyError::TooLong { limit });
         }
@@ -67,14 +68,14 @@
     }
 }
 
-/// Reads the rest of a body and drops it, up to [`MAX_DISCARDED_BYTES`].
+/// Reads and discards the rest of a body, up to [`MAX_DISCARDED_BYTES`].
 async fn discard(body: &mut Incoming) {
-    let mut allowed = MAX_DISCARDED_BYTES;
+    let mut bytes_left = MAX_DISCARDED_BYTES;
     while let Some(Ok(frame)) = body.frame().await {
         let length = frame.data_ref().map_or(0, Bytes::len);
-        let Some(rest) = allowed.checked_sub(length) else {
+        let Some(rest) = bytes_left.checked_sub(length) else {
             return;
         };
-        allowed = rest;
+        bytes_left = rest;
     }
 }
--- a/crates/emberpin-registry/src/http_api/response.rs
+++ b/crates/emberpin-registry/src/http_api/response.rs
@@ -1,4 +1,4 @@
-//! HTTP responses: one line of text, JSON, or "try again".
+//! Builds HTTP responses: empty, plain text, JSON, or 503 with a `Retry-After` header.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -8,7 +8,7 @@
 /// A response whose whole body is in memory.
 pub type HttpResponse = Response<Full<Bytes>>;
 
-/// Seconds after which a client may send the call again, here or to another registry.
+/// The value of `Retry-After`: the seconds after which a client may repeat the call, at this registry or another one.
 const RETRY_AFTER_SECONDS: &str = "0.2";
 
 /// A response without a body.
@@ -26,12 +26,12 @@
     with_content_type(status, "application/json", body)
 }
 
-/// 503: the call may be sent again, here or to another registry.
+/// The response 503: the client may repeat the call, at this registry or another one.
 pub fn unavailable() -> HttpResponse {
     unavailable_because("not now")
 }
 
-/// 503 with a reason; see [`unavailable`].
+/// The response 503 with a reason; see [`unavailable`].
 pub fn unavailable_because(reason: &str) -> HttpResponse {
     let mut response = plain_text(StatusCode::SERVICE_UNAVAILABLE, format!("{reason}\n"));
     response
@@ -40,7 +40,7 @@
     response
 }
 
-/// Has the connection close after this response.
+/// Adds the header that closes the connection after this response.
 pub fn close_connection(response: &mut HttpResponse) {
     response
         .headers_mut()
--- a/crates/emberpin-registry/src/http_api/route.rs
+++ b/crates/emberpin-registry/src/http_api/route.rs
@@ -1,9 +1,9 @@
-//! Which call a method and a path are: a tree of matchers over the path's segments.
+//! Finds the route of a request by its method and path, with a tree of matchers for the segments of paths.
 
 use super::coordination::ApplicationCall;
 use std::borrow::Cow;
 
-/// A path segment that takes any text is no longer than this.
+/// The most bytes of a subject: the path segment that names an instance, a zone, a lock, a counter, a cell or a group.
 const MAX_SUBJECT_BYTES: usize = 128;
 
 /// The calls of the HTTP API.
@@ -11,7 +11,7 @@
 pub enum Route {
     /// `POST /instances/ID/heartbeat`: a server's heartbeat.
     Heartbeat,
-    /// `POST /instances/ID/leave`: a server leaves.
+    /// `POST /instances/ID/leave`: a server removes its instance.
     Leave,
     /// `POST /config/patch`: a change of the configuration.
     PatchConfig,
@@ -21,7 +21,7 @@
     BeginEvacuation,
     /// `POST /evac/ZONE/finish`: the evacuation of a zone ends.
     FinishEvacuation,
-    /// A call of an application for a lock, a counter or a cell, or an operator's list of locks.
+    /// An application's call for a lock, a counter or a cell, or an operator's call for the list of locks.
     Application(ApplicationCall),
     /// `GET /status`: the status of this registry.
     Status,
@@ -43,29 +43,30 @@
     }
 }
 
-/// Why a method and a path are no call.
+/// Why a request has no route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
-    /// No call has the path.
+    /// No route has the path.
     #[error("no call has this path")]
     NotFound,
-    /// The path's call has another method.
+    /// The route with this path has another method.
     #[error("the method of this path is {allowed}")]
     MethodNotAllowed {
-        /// The call's method.
+        /// The method of the route.
         allowed: &'static str,
     },
 }
 
-/// Matches one path segment; the rest of the path is up to its children.
+/// Matches one path segment; its children match the next segment.
 struct Matcher {
     /// `None` matches any segment, which becomes the call's subject.
     text: Option<&'static str>,
     children: &'static [Matcher],
-    /// Method and call of the path that ends here, if one does.
+    /// The method and the route of the path that ends with this segment; `None` if none does.
     call: Option<(&'static str, Route)>,
 }
 
+/// Matches one text, with further segments.
 const fn literal(text: &'static str, children: &'static [Matcher]) -> Matcher {
     Matcher {
         text: Some(text),
@@ -74,6 +75,7 @@
     }
 }
 
+/// Matches any subject, with further segments.
 const fn subject(children: &'static [Matcher]) -> Matcher {
     Matcher {
         text: None,
@@ -82,6 +84,7 @@
     }
 }
 
+/// Matches one text, as the last segment.
 const fn call(text: &'static str, method: &'static str, route: Route) -> Matcher {
     Matcher {
         text: Some(text),
@@ -90,6 +93,7 @@
     }
 }
 
+/// Matches any subject, as the last segment.
 const fn subject_call(method: &'static str, route: Route) -> Matcher {
     Matcher {
         text: None,
@@ -98,8 +102,13 @@
     }
 }
 
-const fn application(text: &'static str, method: &'static str, route: ApplicationCall) -> Matcher {
-    call(text, method, Route::Application(route))
+/// Matches one text, as the last segment of an application's call.
+const fn application(
+    text: &'static str,
+    method: &'static str,
+    application_call: ApplicationCall,
+) -> Matcher {
+    call(text, method, Route::Application(application_call))
 }
 
 const MATCHERS: &[Matcher] = &[
@@ -157,15 +166,16 @@
     call("status", "GET", Route::Status),
 ];
 
-/// The call that a method and a path are, and its subject: an instance's id or a zone, empty for calls without one.
+/// Finds the route of a request. Returns it with the decoded subject in the path, which is empty for routes without
+/// one.
 ///
 /// # Errors
 ///
-/// [`RouteError`] if the path is no call's, or the method is not the one of its call.
+/// [`RouteError`] if no route has the path, or the route with the path has another method.
 pub fn find<'a>(method: &str, path: &'a str) -> Result<(Route, Cow<'a, str>), RouteError> {
     let segments = path.strip_prefix('/').ok_or(RouteError::NotFound)?;
     let mut subject = Cow::Borrowed("");
-    let (mut matchers, mut matched) = (MATCHERS, None);
+    let (mut matchers, mut matched_call) = (MATCHERS, None);
     for segment in segments.split('/') {
         let matcher = matchers.iter().find(|matcher| match matcher.text {
             Some(text) => text == segment,
@@ -175,16 +185,17 @@
         if matcher.text.is_none() {
             subject = percent_decode(segment).ok_or(RouteError::NotFound)?;
         }
-        (matchers, matched) = (matcher.children, matcher.call);
+        (matchers, matched_call) = (matcher.children, matcher.call);
     }
-    match matched {
+    match matched_call {
         Some((allowed, route)) if allowed == method => Ok((route, subject)),
         Some((allowed, _)) => Err(RouteError::MethodNotAllowed { allowed }),
         None => Err(RouteError::NotFound),
     }
 }
 
-/// A segment without its `%` escapes (RFC 3986, section 2.1); `None` if one is incomplete or the result is not UTF-8.
+/// Decodes the `%` escapes of a segment (RFC 3986, section 2.1). `None` if one is incomplete or the result is not
+/// UTF-8.
 pub(super) fn percent_decode(segment: &str) -> Option<Cow<'_, str>> {
     if !segment.contains('%') {
         return Some(Cow::Borrowed(segment));
--- a/crates/emberpin-registry/src/http_api/server.rs
+++ b/crates/emberpin-registry/src/http_api/server.rs
@@ -1,6 +1,6 @@
 //! The HTTP server: accepts connections, limits their number, and finds the route of each request.
 
-use super::calls::{CallError, Calls};
+use super::calls::{CallError, CallHandler};
 use super::response::{self, HttpResponse};
 use super::route::{self, RouteError};
 use crate::metrics::RegistryMetrics;
@@ -17,44 +17,44 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, Instant};
 
-/// The longest head of a request.
+/// The most bytes of a request's head.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 /// The head of a request must be complete within this time.
 const HEAD_READ_TIMEOUT: Duration = Duration::from_secs(10);
-/// Connections beyond these are closed at once. Together with the connections of [`crate::inbound`] and with files
-/// they stay below 4,096 descriptors.
+/// The most open connections; further ones are closed at once. Together with the connections of [`crate::inbound`] and
+/// with files they stay below 4,096 file descriptors.
 const MAX_CONNECTIONS: usize = 3_200;
-/// With more open connections than these, each closes after its next response, so that there is always room for
-/// the operator when the servers of a lost registry come here.
+/// While more connections than this are open, each connection closes after its next response, so that operators can
+/// still connect when the servers of a lost registry connect to this one.
 const MAX_KEEP_ALIVE_CONNECTIONS: usize = 2_400;
-/// How long no connection is accepted after `accept` failed, as it does when descriptors run out.
+/// The delay after `accept` has failed, as it does when the process is out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// The server of the HTTP API.
 pub struct HttpServer {
-    calls: Calls,
+    call_handler: CallHandler,
     metrics: Arc<RegistryMetrics>,
     open_connections: AtomicUsize,
     shutting_down: AtomicBool,
 }
 
 impl HttpServer {
-    /// A server that serves nothing yet.
-    pub fn new(calls: Calls, metrics: Arc<RegistryMetrics>) -> HttpServer {
+    /// Creates a server, which accepts no connection before [`HttpServer::serve`].
+    pub fn new(call_handler: CallHandler, metrics: Arc<RegistryMetrics>) -> HttpServer {
         HttpServer {
-            calls,
+            call_handler,
             metrics,
             open_connections: AtomicUsize::new(0),
             shutting_down: AtomicBool::new(false),
         }
     }
 
-    /// From now on every call is answered with 503, and its connection closes.
+    /// Has the server respond to every further request with 503 and close its connection.
     pub fn shut_down(&self) {
         self.shutting_down.store(true, Ordering::Relaxed);
     }
 
-    /// Accepts connections for as long as the task is not aborted.
+    /// Accepts connections until the task is aborted.
     pub async fn serve(self: Arc<HttpServer>, listener: TcpListener) {
         loop {
             let Ok((stream, client)) = listener.accept().await else {
@@ -82,12 +82,12 @@
             }
             Ok::<_, Infallible>(response)
         });
-        let served = hyper::server::conn::http1::Builder::new()
+        let serving = hyper::server::conn::http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(HEAD_READ_TIMEOUT)
             .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(TokioIo::new(stream), service);
-        if let Err(error) = served.await {
+        if let Err(error) = serving.await {
             log::debug!("HTTP connection closed: client={client} error={error}");
         }
     }
@@ -100,26 +100,28 @@
         }
         let method = request.method().as_str().to_string();
         let path = request.uri().path().to_string();
-        let started = Instant::now();
+        let started_at = Instant::now();
         let (route, response) = match route::find(&method, &path) {
             Ok((route, subject)) => {
-                let called = self.calls.call(route, &subject, request).await;
-                let response = called.unwrap_or_else(|error| rejected(&method, &path, &error));
+                let result = self.call_handler.call(route, &subject, request).await;
+                let response = result.unwrap_or_else(|error| rejection(&method, &path, &error));
                 (Some(route), response)
             }
-            Err(error) => (None, unrouted(&method, &path, error)),
+            Err(error) => (None, routing_error(&method, &path, error)),
         };
         self.metrics
-            .count_call(route, response.status(), started.elapsed());
+            .count_call(route, response.status(), started_at.elapsed());
         response
     }
 }
 
-fn rejected(method: &str, path: &str, error: &CallError) -> HttpResponse {
+/// The response to a call that is rejected with this error.
+fn rejection(method: &str, path: &str, error: &CallError) -> HttpResponse {
     response::plain_text(error.status(), format!("{method} {path}: {error}\n"))
 }
 
-fn unrouted(method: &str, path: &str, error: RouteError) -> HttpResponse {
+/// The response to a request that no route matches.
+fn routing_error(method: &str, path: &str, error: RouteError) -> HttpResponse {
     match error {
         RouteError::NotFound => response::plain_text(
             StatusCode::NOT_FOUND,
--- a/crates/emberpin-registry/src/inbound.rs
+++ b/crates/emberpin-registry/src/inbound.rs
@@ -1,4 +1,4 @@
-//! Connections that proxies and other registries open to this one.
+//! The server for the connections that proxies and other registries open to this one.
 
 use crate::commands::{Command, CommandSender};
 use crate::connection::{
@@ -21,16 +21,17 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// A connection without a frame for longer is closed: proxies send keep-alives and registries heartbeats twice a second.
+/// The idle time-out, after which a connection is closed: proxies send keep-alives, and registries heartbeats, twice a
+/// second.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// A new connection must bring its preamble, and then its first message, within this time each.
+/// The time limit for receiving the preamble of a new connection, and again for its first message.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long no connection is accepted after `accept` failed, as it does when descriptors run out.
+/// The delay after `accept` has failed, as it does when the process is out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Connections beyond these are closed at once, which leaves descriptors for the HTTP API.
+/// The most open connections; further ones are closed at once, which leaves file descriptors for the HTTP API.
 const MAX_CONNECTIONS: u64 = 640;
 
-/// Accepts proxies and other registries.
+/// Accepts the connections of proxies and of other registries.
 pub struct InboundServer {
     identity: Arc<ProcessIdentity>,
     commands: CommandSender,
@@ -39,7 +40,7 @@
 }
 
 impl InboundServer {
-    /// A server that passes what it reads to the event loop.
+    /// Creates a server that passes the messages it receives to the event loop, with `commands`.
     pub fn new(
         identity: Arc<ProcessIdentity>,
         commands: CommandSender,
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Accepts connections for as long as the task is not aborted.
+    /// Accepts connections until the task is aborted.
     pub async fn serve(self: Arc<InboundServer>, listener: TcpListener) {
         let mut last_session_id = 0;
         loop {
@@ -69,8 +70,8 @@
             self.open_connections.fetch_add(1, Ordering::Relaxed);
             let server = self.clone();
             tokio::spawn(async move {
-                let ended = server.serve_connection(stream, session).await;
-                server.unreadable_frames.record_end(peer.ip(), ended);
+                let result = server.serve_connection(stream, session).await;
+                server.unreadable_frames.record_end(peer.ip(), result);
                 server.open_connections.fetch_sub(1, Ordering::Relaxed);
             });
         }
@@ -94,6 +95,7 @@
         }
     }
 
+    /// Serves the session of a proxy: passes its messages to the event loop, and writes the frames queued for it.
     async fn serve_proxy(
         &self,
         session: SessionId,
@@ -105,7 +107,7 @@
         self.commands
             .send(Command::ProxyConnected { session, frames })
             .await;
-        let reads = async {
+        let receive = async {
             loop {
                 let message: FromProxy = read_message(&mut reader, IDLE_TIMEOUT).await?;
                 self.commands
@@ -113,16 +115,17 @@
                     .await;
             }
         };
-        let ended = tokio::select! {
-            ended = reads => ended,
-            ended = write_frames(&mut writer, &mut queued_frames, version) => ended,
+        let result = tokio::select! {
+            result = receive => result,
+            result = write_frames(&mut writer, &mut queued_frames, version) => result,
         };
         self.commands
             .send_event(Event::SessionClosed { session })
             .await;
-        ended
+        result
     }
 
+    /// Serves another registry: passes its messages to the event loop, and writes the acknowledgements queued for it.
     async fn serve_peer(
         &self,
         peer: Ipv4Addr,
@@ -134,7 +137,7 @@
         self.commands
             .send(Command::InboundPeerConnected { peer, frames })
             .await;
-        let reads = async {
+        let receive = async {
             loop {
                 let message: RegistryMessage = read_message(&mut reader, IDLE_TIMEOUT).await?;
                 self.commands
@@ -143,8 +146,8 @@
             }
         };
         tokio::select! {
-            ended = reads => ended,
-            ended = write_frames(&mut writer, &mut queued_frames, version) => ended,
+            result = receive => result,
+            result = write_frames(&mut writer, &mut queued_frames, version) => result,
         }
     }
 }
--- a/crates/emberpin-registry/src/lib.rs
+++ b/crates/emberpin-registry/src/lib.rs
@@ -1,14 +1,15 @@
-//! The registry's process: sessions of proxies, heartbeats of servers, and the operator's HTTP API.
+//! The registry process: it receives the heartbeats of servers, sends membership updates to proxies over sessions, and
+//! serves the HTTP API for servers, applications and operators.
 //!
-//! Every decision is made by the state machine in `emberpin-membership`. This package is the I/O round it:
+//! Every membership decision is made by the state machine in `emberpin-membership`. This package does the I/O for it:
 //!
-//! - [`program`] reads the settings, opens the listeners and wires the parts below together;
+//! - [`program`] reads the settings, opens the listeners and connects the parts below;
 //! - [`host`] is the event loop, the only owner of the state machine;
-//! - [`commands`] holds what the other tasks put on the queue of that loop;
-//! - [`inbound`] and [`outbound`] are the connections with proxies and with other registries;
-//! - [`store_state`], [`store_subscription`], [`store_connection`] and [`store_client`] talk to the stores of
-//!   the configuration;
-//! - [`http_api`] serves servers and the operator at `ctl`.
+//! - [`commands`] defines the commands that the other tasks put on the event loop's queue;
+//! - [`inbound`] and [`outbound`] serve the connections with proxies and with other registries;
+//! - [`store_state`], [`store_subscription`], [`store_connection`] and [`store_client`] communicate with the stores,
+//!   which replicate the configuration;
+//! - [`http_api`] serves the HTTP API at the `ctl` address.
 #![forbid(unsafe_code)]
 
 pub mod backoff;
--- a/crates/emberpin-registry/src/main.rs
+++ b/crates/emberpin-registry/src/main.rs
@@ -1,4 +1,4 @@
-//! The registry's program; everything is in the library.
+//! The `emberpin-registry` binary; all code is in the library.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/crates/emberpin-registry/src/metrics.rs
+++ b/crates/emberpin-registry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The registry's metrics.
+//! The registry's metrics: HTTP calls, and gauges of the membership, the configuration and rejected connections.
 
 use crate::http_api::Route;
 use emberpin_membership::clock::Timestamp;
@@ -9,8 +9,8 @@
 use prometheus::{Histogram, IntCounterVec, IntGauge, IntGaugeVec};
 use std::time::Duration;
 
-/// The label of a request that is no call.
-const NO_CALL: &str = "none";
+/// The value of the label `call` for a request without a route.
+const NO_ROUTE: &str = "none";
 
 /// The metrics of one registry.
 pub struct RegistryMetrics {
@@ -28,7 +28,7 @@
 }
 
 impl RegistryMetrics {
-    /// Adds the registry's metrics to a set.
+    /// Creates the registry's metrics, and adds them to a set.
     pub fn new(set: &MetricSet) -> RegistryMetrics {
         RegistryMetrics {
             calls: set.counters(
@@ -61,14 +61,15 @@
         }
     }
 
-    /// Counts a call and its response; `None` for a request that is no call.
+    /// Counts a request by its route and the status of its response, and records its duration. `route` is `None` for a
+    /// request without a route.
     pub fn count_call(&self, route: Option<Route>, status: StatusCode, elapsed: Duration) {
-        let call = route.map_or(NO_CALL, Route::name);
+        let call = route.map_or(NO_ROUTE, Route::name);
         self.calls.with_label_values(&[call, status.as_str()]).inc();
         self.call_time.observe(elapsed.as_secs_f64());
     }
 
-    /// Updates the gauges from what the registry knows.
+    /// Sets the gauges from the state machine's state.
     pub fn set_gauges(&self, registry: &Registry, now: Timestamp) {
         let (mut up, mut draining, mut removed) = (0, 0, 0);
         for (_, entry) in registry.instances().iter() {
@@ -81,10 +82,10 @@
         for (status, count) in [("up", up), ("draining", draining), ("removed", removed)] {
             self.instances.with_label_values(&[status]).set(count);
         }
-        let furthest_behind = registry.proxy_lags().map(|lag| lag.changes_behind).max();
+        let max_changes_behind = registry.proxy_lags().map(|lag| lag.changes_behind).max();
         self.proxies.set(registry.proxy_lags().count() as i64);
         self.proxy_lag
-            .set(furthest_behind.map_or(0, |changes| changes as i64));
+            .set(max_changes_behind.map_or(0, |changes| changes as i64));
         self.registries
             .set(registry.registries_in_contact(now).len() as i64);
         self.voters.set(registry.voters().len() as i64);
@@ -92,7 +93,7 @@
         self.items.set(registry.item_count() as i64);
     }
 
-    /// Sets how many connections ended at an unreadable frame, and how many peers were rejected.
+    /// Sets the number of connections that ended because of an unreadable frame, and the number of rejected peers.
     pub fn set_rejections(&self, unreadable_frames: u64, rejected_peers: u64) {
         self.unreadable_frames.set(unreadable_frames as i64);
         self.rejected_peers.set(rejected_peers as i64);
--- a/crates/emberpin-registry/src/outbound.rs
+++ b/crates/emberpin-registry/src/outbound.rs
@@ -1,4 +1,4 @@
-//! The connection that this registry keeps open to another one.
+//! A connection that this registry keeps open to another one: it sends messages and receives acknowledgements.
 
 use crate::backoff::ReconnectDelay;
 use crate::commands::{Command, CommandSender};
@@ -16,22 +16,22 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, Instant};
 
-/// The peer must answer with its preamble within this time.
+/// The time limit for receiving the peer's preamble.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A connection to another registry that is opened again whenever it closes.
 pub struct PeerConnection {
-    /// This process, as its preamble describes it.
+    /// The identity that this process sends in its preamble.
     pub identity: Arc<ProcessIdentity>,
-    /// This registry's machine.
+    /// The address of this registry's machine.
     pub local_ip: Ipv4Addr,
-    /// The other registry's machine.
+    /// The address of the other registry's machine.
     pub peer: Ipv4Addr,
-    /// The port of all registries.
+    /// The port at which all registries accept peers.
     pub port: u16,
-    /// The queue of the event loop.
+    /// Sends commands to the event loop.
     pub commands: CommandSender,
-    /// Counts frames of the peer that cannot be read.
+    /// Counts connections that end because a frame could not be read.
     pub unreadable_frames: Arc<UnreadableFrames>,
 }
 
@@ -41,8 +41,8 @@
         let mut delay = ReconnectDelay::default();
         loop {
             let attempted_at = Instant::now();
-            let ended = self.connect_and_serve().await;
-            self.unreadable_frames.record_end(self.peer.into(), ended);
+            let result = self.connect_and_serve().await;
+            self.unreadable_frames.record_end(self.peer.into(), result);
             sleep(delay.next(attempted_at.elapsed())).await;
         }
     }
@@ -61,23 +61,23 @@
         self.commands
             .send(Command::OutboundPeerConnected { peer, frames })
             .await;
-        let reads = async {
+        let receive = async {
             loop {
-                // No time limit: acknowledgements come only when a message asked for one. A peer that is gone is
-                // found by the socket's keepalive and user time-out.
+                // No time limit: the peer sends an acknowledgement only if a message requests one. TCP keepalive and
+                // the TCP user time-out detect an unreachable peer.
                 let ack: Ack = frames::read(&mut reader).await?;
                 self.commands
                     .send_event(Event::PeerAcknowledged { peer, ack })
                     .await;
             }
         };
-        let ended = tokio::select! {
-            ended = reads => ended,
-            ended = write_frames(&mut writer, &mut queued_frames, version) => ended,
+        let result = tokio::select! {
+            result = receive => result,
+            result = write_frames(&mut writer, &mut queued_frames, version) => result,
         };
         self.commands
             .send(Command::OutboundPeerDisconnected { peer })
             .await;
-        ended
+        result
     }
 }
--- a/crates/emberpin-registry/src/program.rs
+++ b/crates/emberpin-registry/src/program.rs
@@ -1,9 +1,10 @@
-//! The registry's process: the command line, the settings file, and how the parts are wired together on one thread.
+//! The program: reads the command line and the settings file, creates the parts of the registry, and runs them on one
+//! thread.
 
 use crate::connection::UnreadableFrames;
 use crate::coordination_client::CoordinationClient;
 use crate::host::{Host, HostIdentity};
-use crate::http_api::{Calls, HttpServer};
+use crate::http_api::{CallHandler, HttpServer};
 use crate::inbound::InboundServer;
 use crate::metrics::RegistryMetrics;
 use crate::store_client::StoreClient;
@@ -28,9 +29,9 @@
 use std::time::Duration;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// Responses that are being written may finish within this time after SIGTERM.
+/// How long the process waits after SIGTERM before it exits, so that responses in flight can be written.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(250);
-/// The exit status of a process that could not start.
+/// The exit status if the process could not start.
 const EXIT_NOT_STARTED: u8 = 2;
 
 /// Why the process could not start.
@@ -49,12 +50,16 @@
     Listen(#[from] ListenError),
 }
 
-/// Runs the program with these arguments.
+/// Runs the program with these command line arguments, which exclude the program's name.
 pub fn main(arguments: impl Iterator<Item = OsString>) -> ExitCode {
     let mut options = getopts::Options::new();
-    options.optflag("", "check", "read the settings, and end");
-    options.optflag("h", "help", "show this");
-    options.optflag("V", "version", "show the version");
+    options.optflag(
+        "",
+        "check",
+        "check the settings file, print the bounds that control may exceed, and exit",
+    );
+    options.optflag("h", "help", "print this help");
+    options.optflag("V", "version", "print the version");
     options.optopt("", METRICS_OPTION, METRICS_OPTION_HELP, METRICS_OPTION_HINT);
     let matches = match options.parse(arguments) {
         Ok(matches) if matches.free.is_empty() => matches,
@@ -102,7 +107,8 @@
     ExitCode::from(EXIT_NOT_STARTED)
 }
 
-/// The settings, and the address of the HTTP API, without which no registry starts.
+/// Reads the settings file. Returns the settings and the address of the HTTP API, which is optional in the file but
+/// required by a registry.
 fn read_settings() -> Result<(Settings, SocketAddr), SettingsError> {
     let settings = Settings::from_env()?;
     let missing = || SettingsError::Field {
@@ -125,7 +131,7 @@
     }
 }
 
-/// Runs the registry on this thread until SIGTERM.
+/// Runs the registry on the current thread until SIGTERM.
 fn run(
     settings: &Settings,
     ctl: SocketAddr,
@@ -144,25 +150,26 @@
     metrics: Option<MetricsEndpoint>,
 ) -> Result<(), StartError> {
     let mut terminate = listen_for_signal("SIGTERM", SignalKind::terminate())?;
-    // Registered so that SIGHUP does not end the process; settings are read at the next start.
+    // Handled so that SIGHUP does not end the process. Settings are read only at the start.
     let _hangup = listen_for_signal("SIGHUP", SignalKind::hangup())?;
     let incarnation = draw_incarnation()?;
     let registry_address = SocketAddr::from((settings.ip, settings.registry_port()));
     let http_listener = tcp::listen(ctl, "ctl")?;
     let registry_listener = tcp::listen(registry_address, "registry")?;
 
-    let (http_server, inbound) = start(settings, incarnation, ctl.port(), metrics);
-    let inbound = tokio::spawn(inbound.serve(registry_listener));
-    let http = tokio::spawn(http_server.clone().serve(http_listener));
+    let (http_server, inbound_server) = start(settings, incarnation, ctl.port(), metrics);
+    let inbound_task = tokio::spawn(inbound_server.serve(registry_listener));
+    let http_task = tokio::spawn(http_server.clone().serve(http_listener));
     terminate.recv().await;
-    http.abort();
-    inbound.abort();
+    http_task.abort();
+    inbound_task.abort();
     http_server.shut_down();
     tokio::time::sleep(SHUTDOWN_GRACE).await;
     Ok(())
 }
 
-/// Wires the parts together, and starts those that need no listener: the event loop and the subscription to stores.
+/// Creates and connects the parts of the registry. Starts those that need no listener: the event loop, the subscription
+/// to stores and the metrics endpoint.
 fn start(
     settings: &Settings,
     incarnation: u64,
@@ -187,24 +194,24 @@
         stores.clone(),
     );
     let store_port = settings.store_port();
-    let client = Arc::new(StoreClient::new(
+    let store_client = Arc::new(StoreClient::new(
         process.clone(),
         store_port,
         stores.clone(),
     ));
     let coordination = settings
         .has_coordination
-        .then(|| CoordinationClient::new(client.clone(), stores.clone()));
+        .then(|| CoordinationClient::new(store_client.clone(), stores.clone()));
     StoreSubscription::new(process.clone(), store_port, stores, commands.clone()).start();
     if let Some(endpoint) = metrics_endpoint {
         host.update_gauges(metrics.clone());
         tokio::spawn(metrics_server::serve(settings.ip, endpoint, metric_set));
     }
     tokio::spawn(host.run());
-    let calls = Calls::new(commands.clone(), client, coordination, ctl_port);
-    let http_server = Arc::new(HttpServer::new(calls, metrics));
-    let inbound = Arc::new(InboundServer::new(process, commands, unreadable_frames));
-    (http_server, inbound)
+    let call_handler = CallHandler::new(commands.clone(), store_client, coordination, ctl_port);
+    let http_server = Arc::new(HttpServer::new(call_handler, metrics));
+    let inbound_server = Arc::new(InboundServer::new(process, commands, unreadable_frames));
+    (http_server, inbound_server)
 }
 
 fn registry_config(settings: &Settings, incarnation: u64) -> RegistryConfig {
@@ -219,20 +226,20 @@
     }
 }
 
-/// The machines of the seeds; their ports are those of the HTTP API and not used here.
+/// The IPv4 addresses of the seeds. Their ports, those of the HTTP API, are not used here.
 fn seed_ips(settings: &Settings) -> Vec<Ipv4Addr> {
-    let ipv4 = |seed: &SocketAddr| match seed {
+    let ipv4_address = |seed: &SocketAddr| match seed {
         SocketAddr::V4(seed) => Some(*seed.ip()),
         SocketAddr::V6(_) => None,
     };
-    settings.seeds.iter().filter_map(ipv4).collect()
+    settings.seeds.iter().filter_map(ipv4_address).collect()
 }
 
 fn listen_for_signal(name: &'static str, kind: SignalKind) -> Result<Signal, StartError> {
     signal(kind).map_err(|source| StartError::Signal { name, source })
 }
 
-/// Draws the number that tells this start of the process from others.
+/// Draws the random incarnation number of this process.
 fn draw_incarnation() -> Result<u64, StartError> {
     let mut bytes = [0; 8];
     getrandom::fill(&mut bytes).map_err(StartError::Random)?;
--- a/crates/emberpin-registry/src/status_report.rs
+++ b/crates/emberpin-registry/src/status_report.rs
@@ -1,4 +1,4 @@
-//! The JSON response to `GET /status`, which `emberpinctl` reads. Its keys are part of the HTTP interface.
+//! The JSON body of the response to `GET /status`, which `emberpinctl` reads. Its keys are part of the HTTP interface.
 
 use emberpin_membership::clock::Timestamp;
 use emberpin_membership::instance::Status;
@@ -9,19 +9,19 @@
 use std::net::Ipv4Addr;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// What the status says beside what the state machine knows.
+/// The parts of the status that the state machine does not have.
 pub struct ProcessStatus<'a> {
     /// The machine's name.
     pub node_name: &'a str,
-    /// Connections that ended at a frame which could not be read.
+    /// The number of connections that ended because a frame could not be read.
     pub unreadable_frames: u64,
-    /// Peers of another version or system that were rejected.
+    /// The number of peers rejected because of their protocol versions or system.
     pub rejected_peers: u64,
-    /// The disk of the store on this machine, once it has reported that.
+    /// The disk status of the store on this machine; `None` until the store has reported it.
     pub local_disk: Option<DiskStatus>,
 }
 
-/// The status of a registry as JSON text.
+/// Returns the status of a registry as JSON text.
 pub fn to_json(registry: &Registry, process: &ProcessStatus, now: Timestamp) -> String {
     let status = object! {
         name: process.node_name,
@@ -43,7 +43,7 @@
     machines.iter().map(ToString::to_string).collect()
 }
 
-/// Sessions of proxies, each with the number of changes that the proxy has yet to acknowledge.
+/// The proxies with a session, each with the number of changes that it has not acknowledged yet.
 fn proxies(registry: &Registry) -> JsonValue {
     let mut proxies = array![];
     for lag in registry.proxy_lags() {
--- a/crates/emberpin-registry/src/store_client.rs
+++ b/crates/emberpin-registry/src/store_client.rs
@@ -1,4 +1,5 @@
-//! Calls to the stores, with failover from one store to the next.
+//! The client of the stores: forwards the calls of operators, with failover from one store to the next, and provides
+//! connections for the operations of applications.
 
 use crate::store_connection::StoreConnection;
 use crate::store_state::{lock, StoreState};
@@ -13,25 +14,26 @@
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 
-/// A store that rejects a call within this time has begun nothing for it, and the next store is called. One that was
-/// partitioned takes longer: from here the others are as far away.
+/// A store that rejects a call within this time has not begun to carry it out, and the call is sent to the next store.
+/// A store that was partitioned takes longer to reject. Its rejection is then returned, as the other stores are
+/// equally far away from this machine.
 const IMMEDIATE_REJECTION: Duration = Duration::from_millis(150);
-/// The status of a call that may be sent again: 503, Service Unavailable.
+/// The status of a response to a call that may be repeated: 503, Service Unavailable.
 const SERVICE_UNAVAILABLE: u16 = 503;
 
-/// A store's response to a call of the operator.
+/// A store's response to an operator's call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreResponse {
-    /// An HTTP status.
+    /// The HTTP status.
     pub status: u16,
     /// The HTTP body.
     pub body: String,
 }
 
-/// Passes calls to the stores.
+/// Sends requests to the stores.
 pub struct StoreClient {
     identity: Arc<ProcessIdentity>,
-    /// The port of all stores.
+    /// The port at which all stores accept registries.
     port: u16,
     state: Arc<StoreState>,
     connections: Mutex<HashMap<Ipv4Addr, StoreConnection>>,
@@ -39,7 +41,7 @@
 }
 
 impl StoreClient {
-    /// A client of the stores at this port; connections are opened when they are needed.
+    /// Creates a client of the stores at this port. Connections are opened when they are needed.
     pub fn new(identity: Arc<ProcessIdentity>, port: u16, state: Arc<StoreState>) -> StoreClient {
         StoreClient {
             identity,
@@ -50,21 +52,22 @@
         }
     }
 
-    /// The disk of the store on this machine, as last reported.
+    /// The last reported disk status of the store on this machine.
     pub fn local_disk(&self) -> Option<DiskStatus> {
         self.state.local_disk()
     }
 
-    /// Calls the stores in turn until one responds; `None` if none does in time. `build_request` is given the id of
-    /// the request, which differs from attempt to attempt.
+    /// Sends a call to the stores in turn until one responds with anything but an immediate rejection. Returns `None`
+    /// if no store responds within `time_limit`, and the last rejection if all that responded rejected the call.
+    /// `build_request` receives the id of the request, a new one for each attempt.
     ///
-    /// Calls are idempotent, so the next store is called even if a connection broke after the call was sent on it.
+    /// Calls are idempotent, so the next store is called even if the connection broke after the call was sent on it.
     pub async fn call(
         &self,
-        within: Duration,
+        time_limit: Duration,
         build_request: impl Fn(RequestId) -> StoreRequest,
     ) -> Option<StoreResponse> {
-        timeout(within, self.call_in_turn(build_request))
+        timeout(time_limit, self.call_in_turn(build_request))
             .await
             .ok()
             .flatten()
@@ -89,7 +92,7 @@
         rejection
     }
 
-    /// The store on this machine first, or last among several while it could not serve the call.
+    /// All known stores: the one on this machine first, or last while it cannot serve calls.
     fn stores_in_order(&self) -> Vec<Ipv4Addr> {
         let local = std::iter::once(self.state.local_ip());
         let mut stores: Vec<Ipv4Addr> = local.chain(self.state.other_stores()).collect();
@@ -107,7 +110,9 @@
     ) -> Option<StoreResponse> {
         let connection = self.connection(store).await?;
         if connection.version < request.oldest_version() {
-            log::debug!("call needs a store of a newer build: store={store}");
+            log::debug!(
+                "call requires a newer protocol version than the store speaks: store={store}"
+            );
             return None;
         }
         match connection
@@ -119,18 +124,18 @@
         }
     }
 
-    /// The frames of a request; `None` if it is too long.
+    /// Encodes a request as frames; `None` if it is too long.
     pub fn encode(request: StoreRequest) -> Option<Bytes> {
         let frame = frames::encode(&ToStore::Request(request)).ok()?;
         Some(frame.into())
     }
 
-    /// An id that no other request has.
+    /// Returns an id that no other request of this client has.
     pub fn next_request_id(&self) -> RequestId {
         RequestId(self.next_request_id.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// The open connection to a store, or a new one.
+    /// Returns the open connection to a store, or opens one; `None` if the store cannot be reached in time.
     pub async fn connection(&self, store: Ipv4Addr) -> Option<StoreConnection> {
         let open = lock(&self.connections)
             .get(&store)
--- a/crates/emberpin-registry/src/store_connection.rs
+++ b/crates/emberpin-registry/src/store_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to one store over which calls are multiplexed: each has an id, and answers come in any order.
+//! A connection to one store, on which requests are multiplexed: each has an id, and replies arrive in any order.
 
 use crate::connection::{write_frames, FrameSender};
 use crate::store_state::lock;
@@ -17,13 +17,12 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{timeout, Instant};
 
-/// A store that is not connected or has not answered with its preamble by then is passed over, so that time is left for
-/// the next one.
+/// The time-out for connecting to a store and receiving its preamble. It leaves time for the next store.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Requests that may wait to be written; a caller beyond these waits.
+/// The most requests that are queued to be written. While the queue is full, callers wait.
 const REQUEST_QUEUE_CAPACITY: usize = 64;
 
-/// Callers that wait for a reply, by the id of their request.
+/// The responders of callers that wait for a reply, by the ids of their requests.
 type PendingRequests = Arc<Mutex<HashMap<RequestId, oneshot::Sender<StoreReply>>>>;
 
 type StoreReader = BufReader<OwnedReadHalf>;
@@ -35,20 +34,20 @@
     version: ProtocolVersion,
 }
 
-/// A connection to one store; clones share it.
+/// A handle to a connection to one store. Clones share the connection.
 #[derive(Clone)]
 pub struct StoreConnection {
     frames: FrameSender,
     pending: PendingRequests,
-    /// When the store sent a reply last; until it did, when the connection was opened.
+    /// When the last reply was received or, before the first one, when the connection was opened.
     last_reply_at: Arc<Mutex<Instant>>,
-    /// The version of the protocol that both ends speak.
+    /// The protocol version that both ends use on this connection.
     pub version: ProtocolVersion,
 }
 
 impl StoreConnection {
-    /// Connects to a store and serves the connection in a task until it breaks or all clones are dropped. `None` if
-    /// the store cannot be reached in time.
+    /// Connects to a store, and serves the connection in a task until it breaks or all clones are dropped. Returns
+    /// `None` if the store cannot be reached in time.
     pub async fn open(
         store: Ipv4Addr,
         port: u16,
@@ -83,26 +82,26 @@
         self.frames.is_closed()
     }
 
-    /// When the store sent a reply last; until it did, when the connection was opened.
+    /// When the last reply was received or, before the first one, when the connection was opened.
     pub fn last_reply_at(&self) -> Instant {
         *lock(&self.last_reply_at)
     }
 
-    /// Sends an encoded request and waits for the reply to it. `None` if the connection breaks first; the store
-    /// may then have handled the request or not.
+    /// Sends an encoded request, and waits for the reply. Returns `None` if the connection breaks first; whether the
+    /// store has handled the request is then unknown.
     pub async fn request(&self, id: RequestId, frame: Bytes) -> Option<StoreReply> {
-        let (responder, response) = oneshot::channel();
+        let (responder, reply) = oneshot::channel();
         lock(&self.pending).insert(id, responder);
         let _pending = PendingRequest {
             requests: &self.pending,
             id,
         };
         self.frames.send(frame).await.ok()?;
-        response.await.ok()
+        reply.await.ok()
     }
 }
 
-/// Removes a request once its response has come or its caller no longer waits.
+/// Removes a request from the pending requests when it is dropped: after the reply, or when the caller stops waiting.
 struct PendingRequest<'a> {
     requests: &'a PendingRequests,
     id: RequestId,
@@ -114,7 +113,8 @@
     }
 }
 
-/// Connects to a store and exchanges preambles. Returns the version of the protocol that both ends speak.
+/// Connects to a store and exchanges preambles. Returns both halves of the connection, and the protocol version that
+/// both ends use.
 async fn connect(
     store: Ipv4Addr,
     port: u16,
@@ -126,6 +126,7 @@
     Ok((reader, writer, identity.common_version(&preamble)))
 }
 
+/// Writes queued requests and delivers replies until the connection breaks or all its handles are dropped.
 async fn serve(
     reader: StoreReader,
     mut writer: OwnedWriteHalf,
@@ -134,15 +135,15 @@
     pending: PendingRequests,
     last_reply_at: Arc<Mutex<Instant>>,
 ) {
-    let ended = tokio::select! {
-        ended = write_frames(&mut writer, &mut queued_frames, store.version) => ended,
-        ended = deliver_replies(reader, &pending, &last_reply_at) => ended,
+    let result = tokio::select! {
+        result = write_frames(&mut writer, &mut queued_frames, store.version) => result,
+        result = deliver_replies(reader, &pending, &last_reply_at) => result,
     };
-    // The queue closes before the callers are dropped: one that adds itself later fails at the queue instead of
-    // waiting for ever.
+    // The queue is closed before the responders are dropped: a request that is added afterwards fails to be queued, and
+    // so does not wait for ever.
     drop(queued_frames);
     lock(&pending).clear();
-    if let Err(error) = ended {
+    if let Err(error) = result {
         log::debug!(
             "connection for calls to a store closed: store={} error={error}",
             store.address
@@ -150,7 +151,7 @@
     }
 }
 
-/// Hands each reply to its caller, until the connection breaks.
+/// Delivers each reply to the caller that waits for it, until the connection breaks.
 async fn deliver_replies(
     mut reader: impl AsyncRead + Unpin,
     pending: &PendingRequests,
@@ -162,8 +163,8 @@
             continue;
         };
         *lock(last_reply_at) = Instant::now();
-        if let Some(caller) = lock(pending).remove(&id) {
-            _ = caller.send(reply);
+        if let Some(responder) = lock(pending).remove(&id) {
+            _ = responder.send(reply);
         }
     }
 }
--- a/crates/emberpin-registry/src/store_state.rs
+++ b/crates/emberpin-registry/src/store_state.rs
@@ -1,4 +1,4 @@
-//! What the stores last reported, shared by the subscription that writes it and the client that reads it.
+//! The last reported state of the stores. The subscription writes it, and the clients of the stores read it.
 
 use emberpin_membership::ids::Nonce;
 use emberpin_store::protocol::{DiskState, DiskStatus};
@@ -8,32 +8,33 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The store on this machine counts as unreachable after this time without a frame from it; another voter's store is
-/// then the fallback.
+/// The store on this machine counts as unreachable after this time without a frame from it. The subscription then falls
+/// back to the store of another voter.
 pub const LOCAL_STORE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What this registry knows of the stores.
+/// This registry's knowledge of the stores.
 pub struct StoreState {
     local_ip: Ipv4Addr,
-    /// Machines to look for stores on until a store has named the voters.
+    /// The machines whose stores are used until a store has reported the voters.
     seeds: Vec<Ipv4Addr>,
-    /// The machines whose stores vote, as a store last reported.
+    /// The machines whose stores vote, as last reported by a store.
     voters: Mutex<Vec<Ipv4Addr>>,
-    /// When the store on this machine last sent a frame; until it did, when the process started.
+    /// When the last frame of the store on this machine was received or, before the first one, when this state was
+    /// created.
     last_local_frame_at: Mutex<Instant>,
-    /// The disk of the store on this machine, once it has reported that.
+    /// The disk status of the store on this machine; `None` until the store has reported it.
     local_disk: Mutex<Option<DiskStatus>>,
-    /// The nonce of the newest confirmation that the registry requests from the store it is subscribed to.
+    /// The nonce of the newest request for a freshness confirmation to the subscribed store.
     confirmation_request: watch::Sender<Nonce>,
 }
 
-/// Locks a mutex, whether or not a holder panicked: no holder in this package panics halfway through a change.
+/// Locks a mutex even if it is poisoned: no code of this package panics in the middle of a change under a mutex.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl StoreState {
-    /// The state at the start of the process: nothing reported yet.
+    /// Creates the state at the start of the process, when no store has reported anything.
     pub fn new(local_ip: Ipv4Addr, seeds: Vec<Ipv4Addr>) -> StoreState {
         StoreState {
             local_ip,
@@ -45,32 +46,33 @@
         }
     }
 
-    /// The machine of this registry and of the store beside it.
+    /// The address of this machine, on which this registry and the local store run.
     pub fn local_ip(&self) -> Ipv4Addr {
         self.local_ip
     }
 
-    /// The disk of the store on this machine, as last reported.
+    /// The last reported disk status of the store on this machine.
     pub fn local_disk(&self) -> Option<DiskStatus> {
         *lock(&self.local_disk)
     }
 
-    /// Requests from the subscribed store how old its items are; a newer request replaces one not yet sent.
+    /// Requests a confirmation from the subscribed store of how old its items are. A newer request replaces one that is
+    /// not sent yet.
     pub fn request_freshness_confirmation(&self, nonce: Nonce) {
         self.confirmation_request.send_replace(nonce);
     }
 
-    /// Watches the newest request made by [`StoreState::request_freshness_confirmation`].
+    /// Returns a receiver of the newest nonce passed to [`StoreState::request_freshness_confirmation`].
     pub fn confirmation_requests(&self) -> watch::Receiver<Nonce> {
         self.confirmation_request.subscribe()
     }
 
-    /// Records that the store on this machine sent a frame.
+    /// Records that a frame of the store on this machine was received.
     pub fn record_local_frame(&self) {
         *lock(&self.last_local_frame_at) = Instant::now();
     }
 
-    /// Records the disk of the store on this machine.
+    /// Records the disk status of the store on this machine.
     pub fn record_local_disk(&self, disk: DiskStatus) {
         *lock(&self.local_disk) = Some(disk);
     }
@@ -80,19 +82,19 @@
         voters.clone_into(&mut lock(&self.voters));
     }
 
-    /// Whether the store on this machine sent nothing for [`LOCAL_STORE_TIMEOUT`].
+    /// Whether no frame of the store on this machine was received for [`LOCAL_STORE_TIMEOUT`].
     pub fn local_store_timed_out(&self) -> bool {
         lock(&self.last_local_frame_at).elapsed() >= LOCAL_STORE_TIMEOUT
     }
 
-    /// Whether the store on this machine would reject a call or never answer it.
+    /// Whether the store on this machine is expected to reject a call or not to respond to it.
     pub fn local_store_is_unusable(&self) -> bool {
         let unusable =
             |disk: DiskStatus| matches!(disk.state, DiskState::Full | DiskState::Stalled);
         self.local_store_timed_out() || self.local_disk().is_some_and(unusable)
     }
 
-    /// The machines of all other stores: the voters, or the seeds until the voters are known.
+    /// The machines of all other known stores: those of the voters, or of the seeds until the voters are known.
     pub fn other_stores(&self) -> Vec<Ipv4Addr> {
         let voters = lock(&self.voters);
         let known = if voters.is_empty() {
--- a/crates/emberpin-registry/src/store_subscription.rs
+++ b/crates/emberpin-registry/src/store_subscription.rs
@@ -1,7 +1,7 @@
 //! The subscription to a store's items and status.
 //!
-//! The store on this machine is preferred; while it is unreachable, another voter's store is the fallback. Items merge by
-//! their versions, so it does no harm if both are subscribed to for a moment.
+//! The store on this machine is preferred; while it is unreachable, another voter's store is the fallback. Items are
+//! merged by their versions, so two subscriptions at the same time do no harm.
 
 use crate::backoff::ReconnectDelay;
 use crate::commands::CommandSender;
@@ -20,10 +20,9 @@
 use tokio::io::{AsyncRead, AsyncWrite, BufReader};
 use tokio::time::{sleep, Instant};
 
-/// A subscription without a frame for longer is broken: a store sends its status at least twice a second.
+/// The idle time-out, after which a subscription counts as broken: a store sends its status at least twice a second.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// How often it is checked whether the fallback is needed: twice within
-/// [`crate::store_state::LOCAL_STORE_TIMEOUT`].
+/// The interval between checks whether the fallback is needed: half of [`crate::store_state::LOCAL_STORE_TIMEOUT`].
 const FALLBACK_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Why a subscription ended.
@@ -32,22 +31,22 @@
     /// The connection failed or timed out.
     #[error(transparent)]
     Connection(#[from] ConnectionError),
-    /// A fallback is no longer needed.
+    /// The subscription was to a fallback store, which is no longer needed.
     #[error("the local store responds again")]
     LocalStoreReturned,
 }
 
-/// Subscribes to stores, and passes what they send to the event loop.
+/// Subscribes to stores, and passes their items, voters and confirmations to the event loop.
 pub struct StoreSubscription {
     identity: Arc<ProcessIdentity>,
-    /// The port of all stores.
+    /// The port at which all stores accept registries.
     port: u16,
     state: Arc<StoreState>,
     commands: CommandSender,
 }
 
 impl StoreSubscription {
-    /// A subscription that is not started yet.
+    /// Creates a subscription, which [`StoreSubscription::start`] starts.
     pub fn new(
         identity: Arc<ProcessIdentity>,
         port: u16,
@@ -62,13 +61,14 @@
         }
     }
 
-    /// Subscribes for as long as the process runs.
+    /// Starts the tasks that subscribe to stores for as long as the process runs.
     pub fn start(self) {
         let subscription = Arc::new(self);
         tokio::spawn(subscription.clone().run_local_subscription());
         tokio::spawn(subscription.run_fallback_subscription());
     }
 
+    /// Subscribes to the store on this machine, again and again.
     async fn run_local_subscription(self: Arc<StoreSubscription>) {
         let mut delay = ReconnectDelay::default();
         loop {
@@ -82,23 +82,24 @@
 
     /// While the store on this machine is unreachable, subscribes to the other stores in turn.
     async fn run_fallback_subscription(self: Arc<StoreSubscription>) {
-        let mut turn = 0;
+        let mut attempts = 0;
         loop {
             sleep(FALLBACK_CHECK_INTERVAL).await;
             if !self.state.local_store_timed_out() {
                 continue;
             }
             let others = self.state.other_stores();
-            let Some(store) = others.get(turn % others.len().max(1)).copied() else {
+            let Some(store) = others.get(attempts % others.len().max(1)).copied() else {
                 continue;
             };
-            turn += 1;
+            attempts += 1;
             let error = self.subscribe(store).await;
             log::debug!("subscription to a fallback store ended: store={store} error={error}");
         }
     }
 
-    /// Subscribes to one store until the connection breaks, times out, or is a fallback that is no longer needed.
+    /// Subscribes to one store until the connection breaks or times out, or the store is a fallback that is no longer
+    /// needed. Returns the reason.
     async fn subscribe(&self, store: Ipv4Addr) -> SubscriptionError {
         match self.run_subscription(store).await {
             Ok(never) => match never {},
@@ -106,6 +107,7 @@
         }
     }
 
+    /// As [`StoreSubscription::subscribe`]; never returns `Ok`.
     async fn run_subscription(&self, store: Ipv4Addr) -> Result<Infallible, SubscriptionError> {
         let stream = tcp::connect(store, self.port)
             .await
@@ -119,11 +121,12 @@
             self.identity.learn_system(system);
         }
         tokio::select! {
-            ended = self.send_confirmation_requests(&mut writer) => Ok(ended?),
-            ended = self.receive_replies(store, reader) => ended,
+            result = self.send_confirmation_requests(&mut writer) => Ok(result?),
+            result = self.receive_replies(store, reader) => result,
         }
     }
 
+    /// Sends each newest request for a freshness confirmation, beginning with the current one.
     async fn send_confirmation_requests(
         &self,
         writer: &mut (impl AsyncWrite + Unpin),
@@ -135,11 +138,12 @@
                 nonce: FreshnessNonce(nonce),
             });
             frames::write(writer, &confirm).await?;
-            // Its sender is part of `self.state`, so the wait never fails.
+            // `self.state` owns the sender, so waiting for a change never fails.
             _ = requests.changed().await;
         }
     }
 
+    /// Passes the store's replies to the event loop.
     async fn receive_replies(
         &self,
         store: Ipv4Addr,
@@ -151,7 +155,7 @@
             if is_local {
                 self.state.record_local_frame();
             }
-            let Some(event) = self.event_of_reply(reply, is_local) else {
+            let Some(event) = self.reply_to_event(reply, is_local) else {
                 continue;
             };
             self.commands.send_event(event).await;
@@ -161,8 +165,9 @@
         }
     }
 
-    /// Records what the reply says of the stores; the event that the state machine handles, if there is one.
-    fn event_of_reply(&self, reply: StoreReply, is_local: bool) -> Option<Event> {
+    /// Records the voters and the local disk status that a reply reports. Returns the event for the state machine, if
+    /// the reply causes one.
+    fn reply_to_event(&self, reply: StoreReply, is_local: bool) -> Option<Event> {
         match reply {
             StoreReply::Items { items } => Some(Event::Items(items)),
             StoreReply::Status { voters, disk, .. } => {
@@ -176,7 +181,7 @@
                 nonce: Nonce(nonce.0),
                 age: age_ms.map(Duration::from_millis),
             }),
-            // Calls have connections of their own.
+            // Calls use separate connections.
             StoreReply::Response { .. } | StoreReply::Coordinated { .. } => None,
         }
     }
--- a/crates/emberpin-registry/src/tcp.rs
+++ b/crates/emberpin-registry/src/tcp.rs
@@ -6,24 +6,24 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// A connection that is not established by then has failed: a machine behind a partition gives no answer at all.
+/// The time-out for establishing a connection: a machine behind a network partition does not respond at all.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// `TCP_USER_TIMEOUT` (RFC 5482): sent data must be acknowledged within this time, or the connection ends.
+/// `TCP_USER_TIMEOUT` (RFC 5482): the connection fails if sent data is not acknowledged within this time.
 const UNACKNOWLEDGED_DATA_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Keepalive probes on an idle connection: how long before the first one, and between two.
+/// The idle time before the first TCP keepalive probe, and the interval between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Connections that may wait to be accepted.
+/// The most connections that wait to be accepted.
 const ACCEPT_BACKLOG: u32 = 1024;
 
-/// A listener could not be opened.
+/// Why a listener could not be opened.
 #[derive(Debug, thiserror::Error)]
 #[error("{listener}: {address}: {source}")]
 pub struct ListenError {
-    /// Which of the process's listeners: `ctl` or `registry`.
+    /// The name of the listener: `ctl` or `registry`.
     pub listener: &'static str,
     /// The address that could not be bound.
     pub address: SocketAddr,
-    /// What the system reports.
+    /// The error of the operating system.
     pub source: io::Error,
 }
 
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 ///
-/// [`ListenError`] if the address cannot be bound, as when another process has it.
+/// [`ListenError`] if the address cannot be bound, for example because another process uses it.
 pub fn listen(address: SocketAddr, listener: &'static str) -> Result<TcpListener, ListenError> {
     bind(address).map_err(|source| ListenError {
         listener,
@@ -47,11 +47,11 @@
     socket.listen(ACCEPT_BACKLOG)
 }
 
-/// Connects to a process on another machine.
+/// Connects to a process at this address, and sets the socket options of [`configure`].
 ///
 /// # Errors
 ///
-/// What the system reports, or [`io::ErrorKind::TimedOut`] after `CONNECT_TIMEOUT`.
+/// The error of the operating system, or [`io::ErrorKind::TimedOut`] after `CONNECT_TIMEOUT`.
 pub async fn connect(machine: Ipv4Addr, port: u16) -> io::Result<TcpStream> {
     let connecting = TcpStream::connect((machine, port));
     let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting)
@@ -61,11 +61,11 @@
     Ok(stream)
 }
 
-/// Sets the socket options of a connection between processes.
+/// Sets the socket options of a connection between processes: no delay, the user time-out and keepalive.
 ///
 /// # Errors
 ///
-/// What the system reports.
+/// The error of the operating system.
 pub fn configure(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
