--- a/crates/emberpin-runtime/src/frames.rs
+++ b/crates/emberpin-runtime/src/frames.rs
@@ -1,9 +1,9 @@
-//! Frames between the system's own processes.
+//! The frames in which the system's own processes exchange messages.
 //!
-//! A message in `postcard` is carried by one frame or, if it is longer than [`MAX_FRAME_BYTES`], by several in a row.
-//! A frame is four bytes, big-endian, and then its part of the message. The highest bit of the four bytes says whether
-//! the message continues in the next frame, the others are the length of the part. Peers of version 2 of the protocol
-//! read one frame for each message, however long it is.
+//! A message is encoded with `postcard`. It is carried by one frame or, if it is longer than [`MAX_FRAME_BYTES`], split
+//! into several consecutive ones. A frame is a head of four bytes, big-endian, followed by its part of the message. The
+//! highest bit of the head says whether the message continues in the next frame; the other bits are the length of the
+//! part in bytes. Peers that speak version 2 of the protocol read one frame for each message, however long it is.
 
 use crate::preamble::HandshakeError;
 use crate::protocol_version::ProtocolVersion;
@@ -13,16 +13,16 @@
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// The most bytes of a frame after its head, as this build writes them. A longer one is read, as earlier builds write
-/// each message as one frame.
+/// The most bytes of a frame after its head, as this build writes frames. Longer frames are still read, as earlier
+/// builds write each message as one frame.
 pub const MAX_FRAME_BYTES: usize = 256 << 10;
-/// The most bytes of a message; a longer one ends the connection. Bounds the memory that one connection takes.
+/// The most bytes of a message; a longer one ends the connection. This bounds the memory that one connection uses.
 pub const MAX_MESSAGE_BYTES: usize = 8 << 20;
-/// How many bytes the head of a frame takes.
+/// The length of a frame's head, in bytes.
 const HEAD_BYTES: usize = 4;
-/// Set in the head of a frame whose message continues in the next one.
-const CONTINUES: u32 = 1 << 31;
-/// The most memory that is reserved for a message before its bytes arrive.
+/// The bit of the head that is set if the message continues in the next frame.
+const CONTINUATION_FLAG: u32 = 1 << 31;
+/// The most bytes that are reserved at once for a message before its bytes are received.
 const MAX_RESERVED_BYTES: usize = 64 << 10;
 
 /// Why a connection between processes ended.
@@ -31,25 +31,25 @@
     /// The connection failed or was closed.
     #[error("the connection failed: {0}")]
     Io(#[from] io::Error),
-    /// A message of this many bytes or more, beyond [`MAX_MESSAGE_BYTES`].
+    /// A message is longer than [`MAX_MESSAGE_BYTES`]: it has at least this many bytes.
     #[error("a message of {0} bytes exceeds the limit of {MAX_MESSAGE_BYTES}")]
     MessageTooLong(usize),
-    /// A frame without a part of its message that announces another one.
-    #[error("an empty frame announces another one")]
+    /// A frame has an empty part although its message continues in the next frame.
+    #[error("an empty frame has the continuation flag")]
     EmptyFrame,
-    /// The peer is of another version or system.
+    /// The peer has no protocol version in common with this process, or belongs to another system.
     #[error("the peer is rejected: {0}")]
     Handshake(#[from] HandshakeError),
-    /// The bytes of a frame are no message of this protocol.
+    /// The received bytes are not a message of the expected type.
     #[error("a frame is not a message of this protocol: {0}")]
     Malformed(#[from] postcard::Error),
 }
 
-/// The bytes of a message's frames.
+/// Encodes a message as one or more consecutive frames.
 ///
 /// # Errors
 ///
-/// [`ConnectionError::MessageTooLong`], and [`ConnectionError::Malformed`] for what `postcard` cannot encode.
+/// [`ConnectionError::MessageTooLong`], or [`ConnectionError::Malformed`] if `postcard` cannot encode the message.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, ConnectionError> {
     let mut frame = postcard::to_extend(message, vec![0; HEAD_BYTES])?;
     let length = frame.len() - HEAD_BYTES;
@@ -57,19 +57,19 @@
         return Err(ConnectionError::MessageTooLong(length));
     }
     if length > MAX_FRAME_BYTES {
-        return Ok(split(&frame[HEAD_BYTES..]));
+        return Ok(split_into_frames(&frame[HEAD_BYTES..]));
     }
     frame[..HEAD_BYTES].copy_from_slice(&(length as u32).to_be_bytes());
     Ok(frame)
 }
 
-/// The frames of a message that is too long for one.
-fn split(message: &[u8]) -> Vec<u8> {
+/// Splits an encoded message that is too long for one frame into several.
+fn split_into_frames(message: &[u8]) -> Vec<u8> {
     let frame_count = message.len().div_ceil(MAX_FRAME_BYTES);
     let mut frames = Vec::with_capacity(message.len() + frame_count * HEAD_BYTES);
-    for (number, part) in message.chunks(MAX_FRAME_BYTES).enumerate() {
-        let is_last = number + 1 == frame_count;
-        let flag = if is_last { 0 } else { CONTINUES };
+    for (index, part) in message.chunks(MAX_FRAME_BYTES).enumerate() {
+        let is_last = index + 1 == frame_count;
+        let flag = if is_last { 0 } else { CONTINUATION_FLAG };
         let head = part.len() as u32 | flag;
         frames.extend_from_slice(&head.to_be_bytes());
         frames.extend_from_slice(part);
@@ -77,7 +77,8 @@
     frames
 }
 
-/// The frames of one message, as [`encode`] returns them, for a peer with this version of the protocol.
+/// Converts the frames of one message, as [`encode`] returns them, for a peer that speaks `version` of the protocol:
+/// for version 2, several frames are joined into one.
 pub fn for_version(frames: &[u8], version: ProtocolVersion) -> Cow<'_, [u8]> {
     if version >= ProtocolVersion::V3 || !is_split(frames) {
         return Cow::Borrowed(frames);
@@ -91,46 +92,49 @@
     Cow::Owned([&head[..], &message].concat())
 }
 
-/// Whether a message, as [`encode`] returns it, has more than one frame. Then its bytes differ between versions of the
-/// protocol.
+/// Whether an encoded message, as [`encode`] returns it, has more than one frame. If so, its bytes differ between
+/// versions of the protocol.
 pub fn is_split(frames: &[u8]) -> bool {
     frames.len() > HEAD_BYTES + MAX_FRAME_BYTES
 }
 
-/// Writes one message to a peer of this build's version.
+/// Writes one message as [`encode`] returns it, without a conversion for older versions of the protocol.
 ///
 /// # Errors
 ///
 /// [`ConnectionError`]; the connection cannot be used after it.
 pub async fn write<T: Serialize>(
-    to: &mut (impl AsyncWrite + Unpin),
+    writer: &mut (impl AsyncWrite + Unpin),
     message: &T,
 ) -> Result<(), ConnectionError> {
-    Ok(to.write_all(&encode(message)?).await?)
+    Ok(writer.write_all(&encode(message)?).await?)
 }
 
-/// Reads one message. Not cancel safe: part of a frame may have been read.
+/// Reads one message. Not cancellation safe: if the future is dropped, part of a frame may have been read.
 ///
 /// # Errors
 ///
 /// [`ConnectionError`]; the connection cannot be used after it.
 pub async fn read<T: DeserializeOwned>(
-    from: &mut (impl AsyncRead + Unpin),
+    reader: &mut (impl AsyncRead + Unpin),
 ) -> Result<T, ConnectionError> {
     let mut message = Vec::new();
-    while read_frame(from, &mut message).await? {}
+    while read_frame(reader, &mut message).await? {}
     Ok(postcard::from_bytes(&message)?)
 }
 
-/// Reads one frame, and appends its part of the message. Whether the message continues.
+/// Reads one frame, and appends its part to the message. Returns whether the message continues in the next frame.
 async fn read_frame(
-    from: &mut (impl AsyncRead + Unpin),
+    reader: &mut (impl AsyncRead + Unpin),
     message: &mut Vec<u8>,
 ) -> Result<bool, ConnectionError> {
     let mut head = [0; HEAD_BYTES];
-    from.read_exact(&mut head).await?;
+    reader.read_exact(&mut head).await?;
     let head = u32::from_be_bytes(head);
-    let (continues, length) = (head & CONTINUES != 0, (head & !CONTINUES) as usize);
+    let (continues, length) = (
+        head & CONTINUATION_FLAG != 0,
+        (head & !CONTINUATION_FLAG) as usize,
+    );
     let total = message.len() + length;
     if total > MAX_MESSAGE_BYTES {
         return Err(ConnectionError::MessageTooLong(total));
@@ -138,9 +142,9 @@
     if continues && length == 0 {
         return Err(ConnectionError::EmptyFrame);
     }
-    // Grows with the bytes that arrive, so that a length alone takes no memory.
+    // The buffer then grows with the bytes that are received, so that a length alone allocates little memory.
     message.reserve(length.min(MAX_RESERVED_BYTES));
-    let received = from.take(length as u64).read_to_end(message).await?;
+    let received = reader.take(length as u64).read_to_end(message).await?;
     if received < length {
         return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into());
     }
--- a/crates/emberpin-runtime/src/identity.rs
+++ b/crates/emberpin-runtime/src/identity.rs
@@ -1,4 +1,5 @@
-//! The identity of a process, and the handshake in which both ends of a connection exchange their preambles.
+//! The identity of a process, and the handshake in which both ends of a connection exchange their identities as
+//! preambles.
 
 use crate::frames::ConnectionError;
 use crate::preamble::{
@@ -12,24 +13,26 @@
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// At most one rejected peer is logged in this time; all are counted. Keeps a peer that connects again and again from
-/// filling the log.
+/// The shortest time between two log lines about rejected peers; all rejections are counted. Keeps a peer that
+/// reconnects again and again from filling the log.
 const REJECTION_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The system and incarnation of this process, and how many peers it rejected by theirs.
+/// The system, incarnation and protocol versions of this process, and the number of peers that it rejected because of
+/// their preambles.
 #[derive(Debug, Default)]
 pub struct ProcessIdentity {
-    /// 0, until the system is known.
+    /// The id of the system; 0 until it is known.
     system: AtomicU64,
     incarnation_number: u64,
     versions: VersionRange,
     rejected_count: AtomicU64,
-    /// When a rejected peer was logged last.
+    /// When a rejected peer was last logged.
     last_logged_at: Mutex<Option<Instant>>,
 }
 
 impl ProcessIdentity {
-    /// A process with this incarnation, whose system is not known yet.
+    /// Creates the identity of a process with this incarnation, whose system is not known yet, and which speaks all
+    /// protocol versions of this build.
     pub fn new(incarnation: u64) -> ProcessIdentity {
         ProcessIdentity {
             incarnation_number: incarnation,
@@ -37,36 +40,37 @@
         }
     }
 
-    /// The same process, with these versions of the protocol instead of all that this build speaks.
+    /// Returns the same identity, restricted to these versions of the protocol.
     pub fn with_versions(self, versions: VersionRange) -> ProcessIdentity {
         ProcessIdentity { versions, ..self }
     }
 
-    /// The version of the protocol to speak with an accepted peer.
+    /// The newest protocol version in common with an accepted peer, which both use.
     pub fn common_version(&self, peer: &Preamble) -> ProtocolVersion {
         self.versions
             .newest_common(peer.versions)
             .unwrap_or(self.versions.oldest)
     }
 
-    /// The system that the process belongs to, if it is known.
+    /// The system that the process belongs to; `None` until it is known.
     pub fn system(&self) -> Option<SystemId> {
         SystemId::new(self.system.load(Ordering::Relaxed))
     }
 
-    /// Sets the system, unless it is known already. Whether it was set.
+    /// Sets the system unless it is already known. Returns whether it was set.
     pub fn learn_system(&self, system: SystemId) -> bool {
         self.system
             .compare_exchange(0, system.get(), Ordering::Relaxed, Ordering::Relaxed)
             .is_ok()
     }
 
-    /// How many peers were rejected since the start.
+    /// The number of peers rejected since the start of the process.
     pub fn rejected_peers(&self) -> u64 {
         self.rejected_count.load(Ordering::Relaxed)
     }
 
-    /// Counts a rejected peer, and logs it if none was logged in the last ten seconds. Whether it was logged.
+    /// Counts a rejected peer, and logs it unless another one was logged within the last ten seconds. Returns whether
+    /// it was logged.
     pub fn record_rejection(&self, error: HandshakeError) -> bool {
         let count = self.rejected_count.fetch_add(1, Ordering::Relaxed) + 1;
         let mut last_logged_at = self
@@ -94,41 +98,42 @@
     ///
     /// # Errors
     ///
-    /// [`ConnectionError::Io`].
+    /// [`ConnectionError::Io`] if a write fails.
     pub async fn send_preamble(
         &self,
-        to: &mut (impl AsyncWrite + Unpin),
+        writer: &mut (impl AsyncWrite + Unpin),
     ) -> Result<(), ConnectionError> {
-        Ok(to.write_all(&self.preamble().encode()).await?)
+        Ok(writer.write_all(&self.preamble().encode()).await?)
     }
 
-    /// Receives the preamble of the peer, and checks that both have a version in common and the same system. A peer is
-    /// accepted if either side does not know its system yet.
+    /// Receives the preamble of the peer, and checks that both processes have a protocol version in common and belong
+    /// to the same system. The system is not checked while either process does not know its own.
     ///
     /// # Errors
     ///
-    /// [`ConnectionError::Handshake`], which is counted as a rejected peer, and [`ConnectionError::Io`].
+    /// [`ConnectionError::Handshake`] if the peer is rejected, which is also counted, or [`ConnectionError::Io`] if a
+    /// read fails.
     pub async fn receive_preamble(
         &self,
-        from: &mut (impl AsyncRead + Unpin),
+        reader: &mut (impl AsyncRead + Unpin),
     ) -> Result<Preamble, ConnectionError> {
-        let received = read_preamble(from, self.versions).await?;
+        let received = read_preamble(reader, self.versions).await?;
         let accepted = received.and_then(|preamble| self.check_system(preamble));
         Ok(accepted.inspect_err(|error| _ = self.record_rejection(*error))?)
     }
 
-    /// Sends the preamble of this process, and receives that of the peer.
+    /// Sends the preamble of this process, and receives the preamble of the peer.
     ///
     /// # Errors
     ///
-    /// As [`ProcessIdentity::receive_preamble`].
+    /// Those of [`ProcessIdentity::send_preamble`] and [`ProcessIdentity::receive_preamble`].
     pub async fn handshake(
         &self,
-        from: &mut (impl AsyncRead + Unpin),
-        to: &mut (impl AsyncWrite + Unpin),
+        reader: &mut (impl AsyncRead + Unpin),
+        writer: &mut (impl AsyncWrite + Unpin),
     ) -> Result<Preamble, ConnectionError> {
-        self.send_preamble(to).await?;
-        self.receive_preamble(from).await
+        self.send_preamble(writer).await?;
+        self.receive_preamble(reader).await
     }
 
     fn check_system(&self, preamble: Preamble) -> Result<Preamble, HandshakeError> {
@@ -141,21 +146,22 @@
     }
 }
 
-/// Reads a preamble, and no further than needed to reject it: that of a newer version may be shorter.
+/// Reads a preamble, but no more bytes than are needed to reject it: the preamble of a newer version may be shorter.
+/// The outer error is a failed read, the inner one a rejected preamble.
 async fn read_preamble(
-    from: &mut (impl AsyncRead + Unpin),
+    reader: &mut (impl AsyncRead + Unpin),
     ours: VersionRange,
 ) -> Result<Result<Preamble, HandshakeError>, ConnectionError> {
     let mut bytes = [0; PREAMBLE_BYTES];
-    from.read_exact(&mut bytes[..4]).await?;
+    reader.read_exact(&mut bytes[..4]).await?;
     if let Err(error) = check_magic([bytes[0], bytes[1], bytes[2], bytes[3]]) {
         return Ok(Err(error));
     }
-    from.read_exact(&mut bytes[4..6]).await?;
+    reader.read_exact(&mut bytes[4..6]).await?;
     if let Err(error) = check_oldest_version([bytes[4], bytes[5]], ours) {
         return Ok(Err(error));
     }
-    from.read_exact(&mut bytes[6..]).await?;
+    reader.read_exact(&mut bytes[6..]).await?;
     let preamble = Preamble::decode(&bytes);
     Ok(preamble.and_then(|preamble| {
         check_newest_version(preamble.versions, ours)?;
--- a/crates/emberpin-runtime/src/lib.rs
+++ b/crates/emberpin-runtime/src/lib.rs
@@ -1,5 +1,5 @@
-//! What all programs of the gateway share: the settings file, frames between processes with the handshake before them,
-//! logs and metrics.
+//! Code shared by all programs of the gateway: the settings file, the frames and the handshake of connections between
+//! processes, logs and metrics.
 #![forbid(unsafe_code)]
 
 pub mod frames;
--- a/crates/emberpin-runtime/src/logs.rs
+++ b/crates/emberpin-runtime/src/logs.rs
@@ -1,34 +1,34 @@
-//! Logs that cost nothing until something fails: the latest lines are kept in memory, and are written to standard error
-//! when an error is logged.
+//! In-memory logging: the latest log lines are buffered, and are written to standard error only when an error is
+//! logged.
 
 use log::LevelFilter;
 use simplelog::{ConfigBuilder, WriteLogger};
 use std::collections::VecDeque;
 use std::io::{self, Write};
 
-/// The most bytes of log lines that are kept. Beyond it the oldest lines are dropped.
+/// The most bytes of buffered log lines. Beyond this the oldest lines are dropped.
 const MAX_BUFFERED_BYTES: usize = 32 << 10;
-/// How `simplelog` marks the lines of errors.
+/// The text by which `simplelog` marks the lines of errors.
 const ERROR_MARK: &[u8] = b"[ERROR]";
 
-/// Logs from now on at this level and above, into memory; an error writes out all lines that are kept, to standard
-/// error. A second call has no effect.
+/// Starts logging at this level and above. Lines are buffered in memory until an error is logged, which writes all of
+/// them to standard error. A second call has no effect.
 pub fn init(level: LevelFilter) {
     let config = ConfigBuilder::new()
         .set_time_level(LevelFilter::Off)
         .set_target_level(LevelFilter::Error)
         .build();
     let buffer = RingBuffer::new(io::stderr());
-    // Fails if there is a logger already.
+    // Fails if a logger is already set, which is then kept.
     _ = WriteLogger::init(level, config, buffer);
 }
 
-/// Keeps the latest lines that are written to it, and passes all of them on once one is an error.
+/// A writer that buffers the latest lines, and writes all of them to its output when one of them is an error.
 struct RingBuffer<W: Write> {
     lines: VecDeque<Vec<u8>>,
-    /// The length of all `lines`.
+    /// The total length of `lines`.
     buffered_bytes: usize,
-    /// The line that was begun and has no end yet.
+    /// The bytes since the last line break.
     current_line: Vec<u8>,
     output: W,
 }
@@ -84,7 +84,7 @@
         Ok(bytes.len())
     }
 
-    /// Does nothing: lines are written out by errors alone.
+    /// Does nothing: only an error writes out the lines.
     fn flush(&mut self) -> io::Result<()> {
         Ok(())
     }
--- a/crates/emberpin-runtime/src/metrics.rs
+++ b/crates/emberpin-runtime/src/metrics.rs
@@ -1,8 +1,8 @@
 //! Metrics over HTTP, in the Prometheus text format.
 //!
-//! A scrape never waits for a program's event loop: the loop updates atomics, and [`serve`] encodes what they hold. It
-//! serves few connections at a time, and one that is slow is closed, so that scrapes cannot use up the descriptors that
-//! requests need.
+//! A scrape never waits for a program's event loop: the loop updates atomics, and [`serve`] encodes their values.
+//! [`serve`] accepts few connections at a time and closes slow ones, so that scrapes cannot use up the file
+//! descriptors that requests need.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -28,42 +28,42 @@
 
 /// The command line option that names a [`MetricsEndpoint`].
 pub const METRICS_OPTION: &str = "metrics";
-/// What the option is for.
+/// The help text of the option.
 pub const METRICS_OPTION_HELP: &str = "serve metrics on this port of the machine's address";
-/// The form of the option's value.
+/// The format of the option's value, for the help text.
 pub const METRICS_OPTION_HINT: &str = "PORT/PATH";
 
-/// How often programs update those metrics that are states and not counts.
+/// The interval at which programs update their gauges.
 pub const GAUGE_PERIOD: Duration = Duration::from_secs(1);
-/// Upper bounds of the buckets of latencies, in seconds.
+/// The upper bounds of the histogram buckets for latencies, in seconds.
 const LATENCY_BUCKETS: [f64; 12] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0,
 ];
-/// Connections that are served at a time; others wait in the listener's queue.
+/// The most connections served at a time; others wait in the listener's queue.
 const MAX_CONNECTIONS: usize = 2;
-/// How long a connection may take.
+/// The time limit of a connection.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a connection could not be accepted, as when the process is out of descriptors.
+/// The delay after `accept` has failed, as it does when the process is out of file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_secs(1);
-/// The content type of the text format.
+/// The content type of the Prometheus text format.
 const TEXT_FORMAT: HeaderValue = HeaderValue::from_static("text/plain; version=0.0.4");
 
 /// Where a program serves its metrics: `PORT/PATH`, as in `9464/metrics`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MetricsEndpoint {
-    /// The port, at the machine's own address.
+    /// The port, on the machine's own address.
     pub port: u16,
-    /// The path of the URL, with its first slash.
+    /// The path of the URL, with the leading slash.
     pub path: String,
 }
 
-/// Why a text names no [`MetricsEndpoint`].
+/// Why a text is not a [`MetricsEndpoint`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidMetricsEndpoint {
-    /// There is no slash.
+    /// The text has no slash.
     #[error("--metrics {0:?}: expected PORT/PATH, such as 9464/metrics")]
     MissingPath(String),
-    /// What precedes the slash is no port.
+    /// The text before the slash is not a port.
     #[error("--metrics {0:?}: the port is not a number from 1 to 65535")]
     InvalidPort(String),
 }
@@ -87,11 +87,11 @@
     }
 }
 
-/// The metrics of one program. Names get its prefix.
+/// The metrics of one program. The name of each metric begins with the program's prefix.
 ///
 /// # Panics
 ///
-/// All methods that add a metric, if its name is invalid or was added before: both are faults of the program.
+/// All methods that add a metric panic if its name is invalid or already in the set: both are faults of the program.
 #[derive(Clone)]
 pub struct MetricSet {
     registry: Registry,
@@ -99,7 +99,7 @@
 }
 
 impl MetricSet {
-    /// An empty set, for metrics whose names begin with `prefix` and an underscore.
+    /// Creates an empty set, for metrics whose names begin with `prefix` and an underscore.
     pub fn new(prefix: &'static str) -> MetricSet {
         MetricSet {
             registry: Registry::new(),
@@ -112,22 +112,23 @@
         self.add(IntCounter::with_opts(self.options(name, help)))
     }
 
-    /// Adds a counter for each value of the labels. These must be bounded, and never what a client may choose.
+    /// Adds a counter for each combination of label values. The number of values must be bounded, so a client must not
+    /// be able to choose them.
     pub fn counters(&self, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
         self.add(IntCounterVec::new(self.options(name, help), labels))
     }
 
-    /// Adds a gauge.
+    /// Adds a gauge whose value is a whole number.
     pub fn gauge(&self, name: &str, help: &str) -> IntGauge {
         self.add(IntGauge::with_opts(self.options(name, help)))
     }
 
-    /// Adds a gauge that is no whole number.
+    /// Adds a gauge whose value is a floating-point number.
     pub fn fractional_gauge(&self, name: &str, help: &str) -> Gauge {
         self.add(Gauge::with_opts(self.options(name, help)))
     }
 
-    /// Adds a gauge for each value of the labels, which must be bounded.
+    /// Adds a gauge for each combination of label values, whose number must be bounded.
     pub fn gauges(&self, name: &str, help: &str, labels: &[&str]) -> IntGaugeVec {
         self.add(IntGaugeVec::new(self.options(name, help), labels))
     }
@@ -140,7 +141,7 @@
         ))
     }
 
-    /// All metrics in the text format; empty, if they cannot be encoded.
+    /// Encodes all metrics in the text format; empty if they cannot be encoded.
     pub fn encode(&self) -> String {
         let families = self.registry.gather();
         TextEncoder::new()
@@ -164,8 +165,8 @@
     }
 }
 
-/// Serves the metrics for as long as the process runs. If the port cannot be bound, that is logged, and the program goes on
-/// without.
+/// Serves the metrics over HTTP for as long as the process runs. If the port cannot be bound, it logs an error and
+/// returns, and the program runs without a metrics endpoint.
 pub async fn serve(ip: Ipv4Addr, endpoint: MetricsEndpoint, metrics: MetricSet) {
     let listener = match TcpListener::bind((ip, endpoint.port)).await {
         Ok(listener) => listener,
@@ -197,7 +198,7 @@
         let response = respond(&request, &path, &metrics);
         async { Ok::<_, Infallible>(response) }
     };
-    // A scraper that goes away in the middle has no more to be told.
+    // Ignored: an error means that the scraper has closed the connection early, so nobody waits for a response.
     _ = http1::Builder::new()
         .keep_alive(false)
         .serve_connection(TokioIo::new(stream), service_fn(respond))
@@ -205,18 +206,18 @@
 }
 
 fn respond(request: &Request<Incoming>, path: &str, metrics: &MetricSet) -> Response<Full<Bytes>> {
-    let with_status = |status, text| {
+    let response_with = |status, text| {
         let mut response = Response::new(Full::new(Bytes::from(text)));
         *response.status_mut() = status;
         response
     };
     if request.uri().path() != path {
-        return with_status(StatusCode::NOT_FOUND, String::new());
+        return response_with(StatusCode::NOT_FOUND, String::new());
     }
     if request.method() != Method::GET {
-        return with_status(StatusCode::METHOD_NOT_ALLOWED, String::new());
+        return response_with(StatusCode::METHOD_NOT_ALLOWED, String::new());
     }
-    let mut response = with_status(StatusCode::OK, metrics.encode());
+    let mut response = response_with(StatusCode::OK, metrics.encode());
     response.headers_mut().insert(CONTENT_TYPE, TEXT_FORMAT);
     response
 }
--- a/crates/emberpin-runtime/src/preamble.rs
+++ b/crates/emberpin-runtime/src/preamble.rs
@@ -1,24 +1,25 @@
-//! The preamble that each side of a connection between processes sends before any frame: the versions of the
-//! protocol that the sender speaks, the system that it belongs to, and its incarnation. A peer with no version in common, or
-//! of another system, is rejected before any message is read.
+//! The preamble that each side of a connection between processes sends before its first frame: the versions of the
+//! protocol that the sender speaks, the system that it belongs to, and its incarnation. A peer that has no protocol
+//! version in common or belongs to another system is rejected before any message is read.
 //!
-//! 24 bytes, all numbers big-endian:
+//! A preamble has 24 bytes, with all numbers big-endian:
 //!
 //! | bytes | field |
 //! | --- | --- |
 //! | 0 to 3 | magic, `EmPn` |
 //! | 4, 5 | oldest version of the protocol that the sender speaks |
-//! | 6, 7 | newest version; 0, if it is the oldest one, too |
-//! | 8 to 15 | system; 0, if the sender does not know it yet |
+//! | 6, 7 | newest version of the protocol that the sender speaks; 0 if it is the same as the oldest |
+//! | 8 to 15 | system; 0 if the sender does not know it yet |
 //! | 16 to 23 | incarnation |
 //!
-//! Read as the length of a frame, the magic is beyond what a build without preambles takes, so that such a build ends
-//! the connection, too. Builds of version 2 accept a peer whose oldest version is 2, and ignore bytes 6 and 7.
+//! A build without preambles reads the magic as the length of a frame. That length exceeds its limit, so such a build
+//! closes the connection. Builds that speak only version 2 accept a peer whose oldest version is 2, and ignore bytes 6
+//! and 7.
 
 use crate::protocol_version::{ProtocolVersion, VersionRange};
 use crate::system_id::SystemId;
 
-/// How long a preamble is, in bytes.
+/// The length of a preamble, in bytes.
 pub const PREAMBLE_BYTES: usize = 24;
 /// The first bytes of a preamble.
 const MAGIC: [u8; 4] = *b"EmPn";
@@ -26,27 +27,27 @@
 /// Why a peer is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HandshakeError {
-    /// The peer sends something else first, as builds before version 2 do.
-    #[error("it does not begin with a preamble")]
+    /// The peer's first bytes are not a preamble, as with builds before version 2.
+    #[error("peer does not begin with a preamble")]
     MissingPreamble,
     /// The peer speaks only versions of the protocol that are newer than those of this process.
-    #[error("it speaks no version of the protocol before {theirs}, and this process {ours}")]
+    #[error("peer requires protocol version {theirs} or newer, this process speaks {ours}")]
     VersionsTooNew {
-        /// The oldest version of the peer.
+        /// The oldest version that the peer speaks.
         theirs: ProtocolVersion,
-        /// The versions of this process.
+        /// The versions that this process speaks.
         ours: VersionRange,
     },
     /// The peer speaks only versions of the protocol that are older than those of this process.
-    #[error("it speaks no version of the protocol after {theirs}, and this process {ours}")]
+    #[error("peer speaks protocol version {theirs} or older, this process speaks {ours}")]
     VersionsTooOld {
-        /// The newest version of the peer.
+        /// The newest version that the peer speaks.
         theirs: ProtocolVersion,
-        /// The versions of this process.
+        /// The versions that this process speaks.
         ours: VersionRange,
     },
     /// The peer belongs to another system.
-    #[error("it belongs to system {theirs}, and this process to {ours}")]
+    #[error("peer belongs to system {theirs}, this process to {ours}")]
     SystemMismatch {
         /// The system of the peer.
         theirs: SystemId,
@@ -60,15 +61,15 @@
 pub struct Preamble {
     /// The versions of the protocol that the sender speaks.
     pub versions: VersionRange,
-    /// The system that the sender belongs to; `None`, if the sender does not know it yet.
+    /// The system that the sender belongs to; `None` if the sender does not know it yet.
     pub system: Option<SystemId>,
-    /// The incarnation of the sender, another one after each start. By it, receivers tell a process that was restarted
-    /// from the one that had its address before.
+    /// The incarnation of the sender, which differs between starts. Receivers use it to distinguish a restarted process
+    /// from the one that had the same address before.
     pub incarnation: u64,
 }
 
 impl Preamble {
-    /// The bytes of the preamble.
+    /// Encodes the preamble.
     pub fn encode(self) -> [u8; PREAMBLE_BYTES] {
         let mut bytes = [0; PREAMBLE_BYTES];
         bytes[..4].copy_from_slice(&MAGIC);
@@ -81,11 +82,11 @@
         bytes
     }
 
-    /// Reads a preamble.
+    /// Decodes a preamble, without a check of its versions or system.
     ///
     /// # Errors
     ///
-    /// [`HandshakeError::MissingPreamble`].
+    /// [`HandshakeError::MissingPreamble`] if the bytes do not begin with the magic.
     pub fn decode(bytes: &[u8; PREAMBLE_BYTES]) -> Result<Preamble, HandshakeError> {
         check_magic([bytes[0], bytes[1], bytes[2], bytes[3]])?;
         let number_at = |offset: usize| {
@@ -101,6 +102,7 @@
     }
 }
 
+/// Checks the first four bytes of a preamble.
 pub(crate) fn check_magic(bytes: [u8; 4]) -> Result<(), HandshakeError> {
     if bytes == MAGIC {
         Ok(())
@@ -109,6 +111,7 @@
     }
 }
 
+/// Decodes bytes 4 to 7 of a preamble.
 fn decode_versions(bytes: [u8; 4]) -> VersionRange {
     let oldest = ProtocolVersion(u16::from_be_bytes([bytes[0], bytes[1]]));
     let newest = ProtocolVersion(u16::from_be_bytes([bytes[2], bytes[3]]));
@@ -118,7 +121,8 @@
     }
 }
 
-/// Checks the oldest version of a peer, after which nothing may be known of the format of its preamble.
+/// Checks that the oldest version of a peer (bytes 4 and 5) is not newer than all of `ours`. If it is, the format of
+/// the rest of its preamble may be unknown to this build.
 pub(crate) fn check_oldest_version(
     bytes: [u8; 2],
     ours: VersionRange,
@@ -130,7 +134,7 @@
     Ok(())
 }
 
-/// Checks that there is a version in common with a peer whose oldest version passed [`check_oldest_version`].
+/// Checks that a peer whose oldest version passed [`check_oldest_version`] has a version in common with `ours`.
 pub(crate) fn check_newest_version(
     theirs: VersionRange,
     ours: VersionRange,
--- a/crates/emberpin-runtime/src/protocol_version.rs
+++ b/crates/emberpin-runtime/src/protocol_version.rs
@@ -1,22 +1,22 @@
-//! Versions of the protocol between processes, and which of them two processes speak with each other.
+//! Versions of the protocol between processes, and the choice of the version that two processes use with each other.
 //!
-//! A build speaks its own version and that of the build before it, so that machines can be upgraded one after the other.
-//! Two processes speak the newest version that both know.
+//! A build speaks its own version and at least the version of the build before it, so that machines can be upgraded one
+//! after the other. Two processes use the newest version that both speak.
 
 use std::fmt;
 
-/// A version of the protocol between processes. It rises whenever the bytes of any message change.
+/// A version of the protocol between processes. It is increased whenever the encoding of any message changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProtocolVersion(pub u16);
 
 impl ProtocolVersion {
-    /// Each message is one frame, a subscription begins with one message of all items, and evacuations have no
-    /// precondition.
+    /// Each message is sent as one frame, a subscription begins with one message that has all items, and changes of an
+    /// evacuation have no precondition.
     pub const V2: ProtocolVersion = ProtocolVersion(2);
-    /// Long messages are split into several frames, items are sent in batches, and evacuations name the version that
-    /// they change.
+    /// Long messages are split into several frames, items are sent in batches, and changes of an evacuation name the
+    /// version of the evacuation that they change.
     pub const V3: ProtocolVersion = ProtocolVersion(3);
-    /// Stores keep registers for applications.
+    /// Stores keep registers (locks, counters and cells) for applications.
     pub const V4: ProtocolVersion = ProtocolVersion(4);
 }
 
@@ -31,7 +31,7 @@
 pub struct VersionRange {
     /// The oldest version.
     pub oldest: ProtocolVersion,
-    /// The newest version; not below the oldest.
+    /// The newest version, which is not older than `oldest`.
     pub newest: ProtocolVersion,
 }
 
@@ -42,13 +42,13 @@
         newest: ProtocolVersion::V4,
     };
 
-    /// The versions that this build speaks, up to this one; `None` if it speaks none of them.
+    /// The versions that this build speaks, up to `newest`; `None` if this build does not speak `newest`.
     pub fn supported_up_to(newest: ProtocolVersion) -> Option<VersionRange> {
         let VersionRange {
             oldest,
-            newest: own,
+            newest: newest_supported,
         } = VersionRange::SUPPORTED;
-        (oldest..=own)
+        (oldest..=newest_supported)
             .contains(&newest)
             .then_some(VersionRange { oldest, newest })
     }
--- a/crates/emberpin-runtime/src/settings/duration.rs
+++ b/crates/emberpin-runtime/src/settings/duration.rs
@@ -1,9 +1,9 @@
-//! Durations as the settings file spells them.
+//! The format of durations in the settings file.
 
 use std::time::Duration;
 
-/// A duration: a number and its unit, as in `1500ms` or `2.5s`, with or without blanks between. `None` for any other
-/// text, for a negative duration, and for more than a [`Duration`] holds.
+/// Parses a duration: a number and its unit, `ms` or `s`, as in `1500ms` or `2.5s`, with or without spaces between
+/// them. Returns `None` for any other text, for a negative duration, and for one beyond the range of [`Duration`].
 pub fn parse_duration(text: &str) -> Option<Duration> {
     let (number, seconds_per_unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 0.001),
--- a/crates/emberpin-runtime/src/settings/error.rs
+++ b/crates/emberpin-runtime/src/settings/error.rs
@@ -1,11 +1,11 @@
-//! Why a settings file cannot be used. Operators see the messages as the one line that a program prints before it ends;
-//! `docs/operators/gateway.md` says what is in it.
+//! Errors of the settings file. Operators see each message as the one line that a program prints before it exits;
+//! `docs/operators/gateway.md` describes its format.
 
 use super::SETTINGS_FILE_VARIABLE;
 use crate::protocol_version::VersionRange;
 use std::io;
 
-/// Why the settings cannot be used: each message names the file, the field and what was expected.
+/// Why the settings cannot be used. Each message names the file and the field, and says what was expected.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The environment variable that names the file is not set, or is not Unicode.
@@ -16,7 +16,7 @@
     UnreadableFile {
         /// The path of the file.
         file: String,
-        /// What the operating system says.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The file is not TOML.
@@ -24,21 +24,22 @@
     Syntax {
         /// The path of the file.
         file: String,
-        /// Where, and what was expected.
+        /// The parser's error: the position, and what was expected.
         source: Box<toml::de::Error>,
     },
-    /// A field that is needed is missing or of another type.
+    /// A required field is missing, or a field has an invalid value.
     #[error("{file}: {field}: {problem}")]
     Field {
         /// The path of the file.
         file: String,
-        /// The path of the field in the file, with dots.
+        /// The path of the field in the file, with dots, as in `self.limits.nofile`.
         field: String,
-        /// What is wrong with it.
+        /// What is wrong with the field.
         problem: FieldProblem,
     },
 }
 
+/// The message of a TOML error, with line breaks replaced by spaces.
 fn one_line(error: &toml::de::Error) -> String {
     error.to_string().trim().replace('\n', " ")
 }
@@ -46,7 +47,7 @@
 /// What is wrong with a field of the settings file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FieldProblem {
-    /// A required field is not there.
+    /// A required field is missing.
     #[error("is missing")]
     Missing,
     /// The value is not a string.
@@ -70,13 +71,13 @@
     /// The string is not an address of the expected form.
     #[error("expected an address, found \"{found}\"")]
     NotAnAddress {
-        /// The text that stands there instead.
+        /// The text in the file.
         found: String,
     },
     /// The string is not a number with a unit.
     #[error("expected a time such as 1500ms or 2.5s, found \"{found}\"")]
     NotADuration {
-        /// The text that stands there instead.
+        /// The text in the file.
         found: String,
     },
     /// The value is not two ports above 0, the second above the first.
--- a/crates/emberpin-runtime/src/settings/mod.rs
+++ b/crates/emberpin-runtime/src/settings/mod.rs
@@ -1,7 +1,7 @@
-//! The settings file that the platform gives each process: TOML, read field by field.
+//! The settings file that the platform provides for each process. It is TOML, read field by field.
 //!
-//! Fields that this build does not know are ignored. A field that is needed and missing, or cannot be used, is an error
-//! that names file and field, and no program starts with it.
+//! Fields that this build does not know are ignored. If a required field is missing, or a field has an invalid value,
+//! the program does not start, and its error names the file and the field.
 
 mod duration;
 mod error;
@@ -21,13 +21,14 @@
 /// The environment variable that names the settings file.
 pub const SETTINGS_FILE_VARIABLE: &str = "EMBERPIN_NODE_FILE";
 
-/// The settings of one process: its machine, the other machines, and the bounds that all keep. Each field names its key
-/// in the file.
+/// The settings of one process: its machine, the other machines, and the bounds that apply to all. The documentation of
+/// each field names its key in the file.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The name of the machine (`self.nodename`).
     pub node_name: String,
-    /// The address of the machine (`self.ip`), at which other processes reach this one. A store's disk belongs to it.
+    /// The address of the machine (`self.ip`), at which other processes reach this one. The data on a store's disk
+    /// belongs to this address.
     pub ip: Ipv4Addr,
     /// The zone of the machine (`self.az`). Servers in it are preferred, and evacuations name it.
     pub zone: String,
@@ -36,19 +37,19 @@
     /// Whether the loss of the machine counts against `tolerated_node_losses` (`self.voting`; default: false). Not
     /// used.
     pub voting: bool,
-    /// Whether this is the first start of the whole system (`self.bootstrap`; default: false). A store with an empty
-    /// disk then may found a new system, also where most machines of an old one were wiped.
+    /// Whether this is the first start of the whole system (`self.bootstrap`; default: false). If it is, a store with
+    /// an empty disk may bootstrap a new system, even where most machines of an old system were wiped.
     pub bootstrap: bool,
     /// The folder for a store's files (`self.datadir`; default: none). No store starts without it.
     pub data_dir: Option<PathBuf>,
-    /// The most file descriptors of the process (`self.limits.nofile`). A proxy derives from it how many connections it
-    /// accepts from clients and opens to servers.
+    /// The most open file descriptors of the process (`self.limits.nofile`). A proxy derives from it how many
+    /// connections it accepts from clients and opens to servers.
     pub max_open_files: usize,
     /// The most memory of the process, in MiB (`self.limits.mem_mb`). A proxy derives from it how many long bodies it
-    /// passes on at once.
+    /// forwards at once.
     pub memory_mib: u64,
-    /// The size of the disk, in MiB (`self.limits.disk_mb`; default: 0, not known). A store rejects changes when most of
-    /// it is used; with 0 it never does.
+    /// The size of the disk, in MiB (`self.limits.disk_mb`; default: 0, which means unknown). A store rejects changes
+    /// when most of the disk is used; if the size is unknown, it never does.
     pub disk_mib: u64,
     /// The address at which a proxy accepts clients (`network.listen.http`; default: none). No proxy starts without it.
     pub http_address: Option<SocketAddr>,
@@ -61,11 +62,11 @@
     /// The ports for connections between processes (`network.port_range`). They must be the same on all machines.
     pub port_range: PortRange,
     /// The versions of the protocol between processes that this one speaks: those of this build, up to
-    /// `network.max_protocol_version` (default: its newest). An operator who lowers it in the middle of an upgrade has
-    /// the processes of the new build speak as those of the old one do.
+    /// `network.max_protocol_version` (default: its newest). While an operator lowers it during an upgrade,
+    /// processes of the new build use the same protocol version as those of the old build.
     pub protocol_versions: VersionRange,
-    /// The `ctl` addresses of some core machines (`network.seeds`), to find all others. Only their IP addresses are
-    /// used.
+    /// The `ctl` addresses of some core machines (`network.seeds`), by which a process finds all others. Only their IP
+    /// addresses are used.
     pub seeds: Vec<SocketAddr>,
     /// The region of each zone (`network.zones`; default: none). Only zones listed here can be evacuated.
     pub zone_regions: BTreeMap<String, String>,
@@ -77,11 +78,11 @@
     /// Whether applications may call for locks, counters and cells (`defs.invariants` names `coord`; default: false).
     /// Without it, stores keep no registers and registries answer such calls with 404.
     pub has_coordination: bool,
-    /// The bounds that the platform sets.
+    /// The bounds that the platform sets (`defs.bounds`).
     pub bounds: Bounds,
 }
 
-/// The first and the last port for connections between processes. The first is the store's, the next the registry's.
+/// The range of ports for connections between processes. The first port is the store's, the second the registry's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PortRange {
     /// The first port; above 0.
@@ -90,37 +91,38 @@
     pub last: u16,
 }
 
-/// The bounds that the platform sets (`defs.bounds`). All are required. The timing of the processes is derived for the
-/// bounds of the known deployments, not from these; a registry says at its start which of them are below the sums of
-/// its delays.
+/// The bounds that the platform sets (`defs.bounds`). All are required. The timing of the processes is chosen for the
+/// bounds of the known deployments, not derived from these. A registry logs at its start which of them are below the
+/// sum of the delays that they bound.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// How long after an acknowledged drain a server may still get new requests (`drain`). Checked at a registry's start.
+    /// How long after an acknowledged drain a server may still get new requests (`drain`). Checked at a registry's
+    /// start.
     pub drain_deadline: Duration,
     /// How long a process has from SIGTERM until it is killed (`grace`). A proxy ends its connections within it.
     pub shutdown_grace: Duration,
-    /// How long after the acknowledgement of a change all proxies follow it (`apply`). Checked at a registry's
-    /// start.
+    /// How long after the acknowledgement of a change all proxies must have applied it (`apply`). Checked at a
+    /// registry's start.
     pub propagation_deadline: Duration,
     /// How long after the acknowledgement of an evacuation the zone may still get requests (`evac`). Checked
     /// at a registry's start.
     pub evacuation_deadline: Duration,
-    /// How soon a call must be acknowledged (`ack`). Checked at a registry's start.
+    /// The time within which a call must be acknowledged (`ack`). Checked at a registry's start.
     pub ack_deadline: Duration,
-    /// How long a machine must be without faults until it counts as in contact (`contact`).
-    /// Checked at a registry's start.
+    /// How long a machine must have been without faults before it counts as in contact (`contact`). Checked at a
+    /// registry's start.
     pub contact_period: Duration,
-    /// The retry budget of a service, of all proxies together, as a share of its requests in `retry_window`
-    /// (`retry_ratio`). More retries than this and `retry_allowance` are not sent.
+    /// The retry budget of a service, over all proxies, as a fraction of its requests in `retry_window`
+    /// (`retry_ratio`). Retries beyond this and `retry_allowance` are not sent.
     pub retry_ratio: f64,
     /// The window of the retry budget (`retry_win`).
     pub retry_window: Duration,
-    /// How many retries the budget allows in a window in any case (`retry_extra`).
+    /// The number of retries that the budget allows in a window in addition to `retry_ratio` (`retry_extra`).
     pub retry_allowance: f64,
-    /// What an instance in slow start gets at most in any second, as a multiple of its service's `warmup_per_s`, besides
+    /// The most requests a second to an instance in slow start, as a multiple of its service's `warmup_per_s`, without
     /// `slow_start_allowance` (`warm_excess`).
     pub slow_start_factor: f64,
-    /// How many requests a second an instance in slow start may get beyond that (`warm_extra`).
+    /// The requests a second that an instance in slow start may receive beyond `slow_start_factor` (`warm_extra`).
     pub slow_start_allowance: f64,
 }
 
@@ -139,17 +141,17 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError::NoFileNamed`], or as [`Settings::from_file`].
+    /// [`SettingsError::NoFileNamed`], or those of [`Settings::from_file`].
     pub fn from_env() -> Result<Settings, SettingsError> {
         let file = std::env::var(SETTINGS_FILE_VARIABLE).map_err(|_| SettingsError::NoFileNamed)?;
         Settings::from_file(Path::new(&file))
     }
 
-    /// Reads this file.
+    /// Reads and parses this file.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::UnreadableFile`], or as [`Settings::parse`].
+    /// [`SettingsError::UnreadableFile`], or those of [`Settings::parse`].
     pub fn from_file(path: &Path) -> Result<Settings, SettingsError> {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
@@ -158,11 +160,11 @@
         }
     }
 
-    /// Reads the text of a file, whose path errors name.
+    /// Parses the text of a settings file. `file` is its path, which errors name.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Syntax`], [`SettingsError::Field`].
+    /// [`SettingsError::Syntax`] or [`SettingsError::Field`].
     pub fn parse(text: &str, file: &str) -> Result<Settings, SettingsError> {
         let table: Table = text.parse().map_err(|source| SettingsError::Syntax {
             file: file.into(),
@@ -227,7 +229,7 @@
 }
 
 impl PortRange {
-    /// Two ports above 0, the second above the first.
+    /// Parses two ports; `None` unless both are above 0 and the second is above the first.
     fn from_values(values: &[Value]) -> Option<PortRange> {
         let port = |value: &Value| u16::try_from(value.as_integer()?).ok();
         let [first, last] = values else {
@@ -256,7 +258,7 @@
         .collect()
 }
 
-/// Whether `coord` is among the parts of the rules that are in force.
+/// Whether the list of invariants that apply to the deployment names `coord`.
 fn read_has_coordination(table: &SettingsTable) -> Result<bool, SettingsError> {
     const FIELD: &str = "defs.invariants";
     if table.get(FIELD).is_none() {
--- a/crates/emberpin-runtime/src/settings/table.rs
+++ b/crates/emberpin-runtime/src/settings/table.rs
@@ -1,12 +1,12 @@
-//! Typed reads of a settings file's fields by their paths.
+//! Typed access to the fields of a settings file by their paths.
 
 use super::{parse_duration, FieldProblem, SettingsError};
 use std::str::FromStr;
 use std::time::Duration;
 use toml::{Table, Value};
 
-/// The contents of a settings file. A path is the names of tables and of the field, with dots between. Each method that
-/// reads a field fails with [`SettingsError::Field`], with the problem of its type.
+/// The contents of a settings file. A path consists of the names of the tables and of the field, with dots between
+/// them. A method fails with [`SettingsError::Field`] if the field does not have the type that the method reads.
 pub(super) struct SettingsTable<'a> {
     /// The path of the file, for errors.
     pub(super) file: &'a str,
@@ -23,14 +23,14 @@
         }
     }
 
-    /// A field, if it is there.
+    /// A field of any type; `None` if it is missing.
     pub(super) fn get(&self, path: &str) -> Option<&Value> {
         let mut names = path.split('.');
         let first = self.table.get(names.next()?)?;
         names.try_fold(first, |value, name| value.as_table()?.get(name))
     }
 
-    /// A required field.
+    /// A required field of any type.
     fn required(&self, path: &str) -> Result<&Value, SettingsError> {
         self.get(path)
             .ok_or_else(|| self.error(path, FieldProblem::Missing))
@@ -45,7 +45,7 @@
         Ok(string.to_string())
     }
 
-    /// An address in a string, if the field is there.
+    /// An optional address, written as a string; `None` if the field is missing.
     pub(super) fn address<T: FromStr>(&self, path: &str) -> Result<Option<T>, SettingsError> {
         if self.get(path).is_none() {
             return Ok(None);
@@ -57,7 +57,7 @@
         }
     }
 
-    /// A boolean; false, if the field is not there.
+    /// An optional boolean; `false` if the field is missing.
     pub(super) fn boolean(&self, path: &str) -> Result<bool, SettingsError> {
         match self.get(path) {
             None => Ok(false),
