--- a/crates/emberpin-registry/tests/backoff.rs
+++ b/crates/emberpin-registry/tests/backoff.rs
@@ -1,11 +1,13 @@
-//! The delay between attempts to connect.
+//! The delay between attempts to connect: it must grow after short connections and be reset after a long one.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_registry::backoff::ReconnectDelay;
 use googletest::prelude::*;
 use std::time::Duration;
 
+/// The longest connection that does not reset the delay.
 const SHORT: Duration = Duration::from_secs(1);
+/// The shortest connection, in whole milliseconds, that resets the delay.
 const LONG: Duration = Duration::from_millis(1_001);
 
 fn next_delay_ms(delay: &mut ReconnectDelay, connected_for: Duration) -> u128 {
@@ -20,7 +22,7 @@
 }
 
 #[gtest]
-fn the_delay_starts_again_after_a_connection_of_more_than_a_second() {
+fn the_delay_is_reset_after_a_connection_of_more_than_a_second() {
     let mut delay = ReconnectDelay::default();
     next_delay_ms(&mut delay, SHORT);
     expect_that!(next_delay_ms(&mut delay, LONG), eq(100));
--- a/crates/emberpin-registry/tests/common/fake_store.rs
+++ b/crates/emberpin-registry/tests/common/fake_store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a store.
+//! A stand-in for a store, which reports fixed items, voters and disk status, and answers every call at once.
 
 use super::STORE_PORT;
 use emberpin_config::{Item, ItemKey, ItemKind, Version};
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::time::interval;
 
-/// How often it reports its status; a store does so at least twice a second.
+/// The interval at which the stand-in reports its status; a store does so at least twice a second.
 const STATUS_INTERVAL: Duration = Duration::from_millis(400);
 
 pub fn item(kind: ItemKind, name: &str, version: u64, body: Option<&str>) -> Item {
@@ -26,21 +26,21 @@
     }
 }
 
-/// What a stand-in reports, and how it responds to calls.
+/// A stand-in for a store, with the state that it reports.
 #[derive(Clone)]
 pub struct FakeStore {
     voters: Vec<Ipv4Addr>,
     items: Vec<Item>,
-    /// The age that it confirms; without one it confirms nothing, and responds to no call.
+    /// The age in its freshness confirmations. With `None` it confirms nothing, and responds to no call.
     confirmed_age_ms: Option<u64>,
-    /// With a full disk it rejects every call.
+    /// The disk status that it reports. With a full disk it rejects every call.
     disk: DiskStatus,
     /// The versions of the protocol that it speaks.
     versions: VersionRange,
 }
 
 impl FakeStore {
-    /// A store in contact with a majority of these voters, without items.
+    /// Creates a store without items that is in contact with a majority of these voters.
     pub fn new(voters: &[Ipv4Addr]) -> FakeStore {
         FakeStore {
             voters: voters.to_vec(),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A store that speaks no newer version of the protocol than this.
+    /// Limits the protocol versions that the store speaks to `newest` and older ones.
     pub fn with_newest_version(mut self, newest: ProtocolVersion) -> FakeStore {
         self.versions = VersionRange::supported_up_to(newest).expect("a version of this build");
         self
@@ -67,7 +67,7 @@
         self
     }
 
-    /// Partitioned from the other stores: it confirms nothing, and holds calls for ever.
+    /// Partitions the store from the other stores: it confirms nothing, and never responds to calls.
     pub fn partitioned(mut self) -> FakeStore {
         self.confirmed_age_ms = None;
         self
@@ -120,12 +120,12 @@
         }
     }
 
-    /// Sends all items, then its status again and again, and confirms what it is asked to confirm.
+    /// Sends all items, then its status at each interval, and a freshness confirmation for each request.
     async fn serve_subscription(self, stream: TcpStream) {
         let (mut reader, mut writer) = stream.into_split();
         let items = self.items;
         _ = frames::write(&mut writer, &StoreReply::Items { items }).await;
-        let (nonces, mut asked) = unbounded_channel();
+        let (nonces, mut requested_nonces) = unbounded_channel();
         let reads = tokio::spawn(async move {
             while let Ok(ToStore::Request(StoreRequest::ConfirmFreshness { nonce })) =
                 frames::read(&mut reader).await
@@ -137,7 +137,7 @@
         let mut status_due = interval(STATUS_INTERVAL);
         loop {
             let reply = tokio::select! {
-                Some(nonce) = asked.recv() => StoreReply::FreshnessConfirmed { nonce, age_ms },
+                Some(nonce) = requested_nonces.recv() => StoreReply::FreshnessConfirmed { nonce, age_ms },
                 _ = status_due.tick() => StoreReply::Status {
                     up_to_date: age_ms.is_some(),
                     voters: self.voters.clone(),
--- a/crates/emberpin-registry/tests/common/http_client.rs
+++ b/crates/emberpin-registry/tests/common/http_client.rs
@@ -1,4 +1,4 @@
-//! Calls of the HTTP API, each on a connection of its own.
+//! Calls of the HTTP API, each on a new connection.
 
 use super::{connect, HTTP_PORT, TEST_TIMEOUT};
 use std::net::Ipv4Addr;
@@ -6,11 +6,11 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{interval, timeout};
 
-/// The end of the response to a call that the registry neither passes to a store nor redirects.
+/// The body of the response to a call that the registry neither forwards to a store nor redirects.
 const UNAVAILABLE_BODY: &str = "not now\n";
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Makes one call: status, and the whole response as text.
+/// Makes one call. Returns the status and the whole response, including its head, as text.
 pub async fn call(ip: Ipv4Addr, method: &str, path: &str, body: &str) -> (u16, String) {
     let mut stream = connect(ip, HTTP_PORT).await;
     let request = format!(
@@ -32,8 +32,8 @@
     (status, response)
 }
 
-/// As [`call`], repeated while the registry has not yet heard that a store is in contact with a majority and so
-/// passes nothing on.
+/// As [`call`], but repeats the call while the registry forwards none, which is until a store has confirmed that it is
+/// in contact with a majority.
 pub async fn call_once_confirmed(
     ip: Ipv4Addr,
     method: &str,
@@ -53,7 +53,7 @@
     timeout(TEST_TIMEOUT, confirmed).await.expect("in time")
 }
 
-/// The body of a heartbeat.
+/// The JSON body of a heartbeat. `state` is `up` or `drain`, and `seq` increases from one heartbeat to the next.
 pub fn heartbeat(service: &str, port: u16, state: &str, seq: u64) -> String {
     let info = format!("{{\"svc\":\"{service}\",\"ver\":\"v1\",\"az\":\"north\",\"slots\":4}}");
     let stat = format!("{{\"state\":\"{state}\",\"seq\":{seq},\"warm_left\":\"0ms\"}}");
--- a/crates/emberpin-registry/tests/common/mod.rs
+++ b/crates/emberpin-registry/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Registries as processes on loopback addresses, stand-ins for stores, sessions of proxies, and HTTP clients.
+//! Test utilities: registry processes on loopback addresses, stand-ins for stores, sessions of proxies, and HTTP calls.
 #![allow(
     dead_code,
     missing_docs,
@@ -27,17 +27,17 @@
 pub const STORE_PORT: u16 = 7620;
 /// The port of registries.
 pub const REGISTRY_PORT: u16 = STORE_PORT + 1;
-/// Nothing that a test waits for takes longer.
+/// The time-out of everything that a test waits for.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A loopback address for one machine of one test, so that tests may run side by side.
+/// The loopback address of one machine of one test. Each test has its own number, so that tests can run in parallel.
 pub fn loopback(test: u8, machine: u8) -> Ipv4Addr {
     Ipv4Addr::new(127, 77, test, machine)
 }
 
-/// Connects as soon as somebody listens.
+/// Connects to a listener, and retries until there is one.
 pub async fn connect(ip: Ipv4Addr, port: u16) -> TcpStream {
     let mut retry = interval(CONNECT_RETRY_INTERVAL);
     let connecting = async {
--- a/crates/emberpin-registry/tests/common/proxy_session.rs
+++ b/crates/emberpin-registry/tests/common/proxy_session.rs
@@ -1,4 +1,4 @@
-//! A proxy's session with a registry.
+//! A stand-in for a proxy: one session with a registry.
 
 use super::{connect, REGISTRY_PORT, TEST_TIMEOUT};
 use emberpin_config::Item;
@@ -17,13 +17,15 @@
 use tokio::time::{interval, timeout};
 
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(300);
-/// A slow reader reads so many bytes at each of these intervals.
+/// The interval between the reads of a slow reader.
 const SLOW_READ_INTERVAL: Duration = Duration::from_millis(100);
+/// The number of bytes in each read of a slow reader.
 const SLOW_READ_BYTES: usize = 64 << 10;
 
 /// A session that sends keep-alives until its connection closes.
 pub struct ProxySession {
     reader: OwnedReadHalf,
+    /// Has the keep-alive task request the snapshot part after a cursor.
     cursors: UnboundedSender<SnapshotCursor>,
     keep_alives: JoinHandle<()>,
 }
@@ -45,19 +47,20 @@
             instances: vec![],
         };
         frames::write(&mut writer, &hello).await.expect("sent");
-        let (cursors, wanted) = unbounded_channel();
+        let (cursors, requested_cursors) = unbounded_channel();
         ProxySession {
             reader,
             cursors,
-            keep_alives: tokio::spawn(send_keep_alives(writer, wanted)),
+            keep_alives: tokio::spawn(send_keep_alives(writer, requested_cursors)),
         }
     }
 
-    /// Fetches a snapshot and the changes after it until there are `count` items; how many parts it took.
+    /// Receives the parts of a snapshot and the changes after it until there are `count` items. Returns the number of
+    /// parts.
     pub async fn fetch_items(&mut self, count: usize) -> usize {
         let (mut parts, mut keys, cursors) = (0, BTreeSet::new(), self.cursors.clone());
         self.wait_for(|message| {
-            let (items, rest) = match message {
+            let (items, next_part) = match message {
                 ToProxy::Snapshot {
                     items, next_part, ..
                 }
@@ -71,7 +74,7 @@
                 ToProxy::Confirmation { .. } => return None,
             };
             keys.extend(items.iter().map(|item| item.key.clone()));
-            if let Some(after) = rest {
+            if let Some(after) = next_part {
                 _ = cursors.send(after);
             }
             (keys.len() == count).then_some(())
@@ -80,7 +83,7 @@
         parts
     }
 
-    /// Reads, but slowly, until the connection closes.
+    /// Reads slowly until the connection closes.
     pub async fn read_slowly(mut self) {
         let mut read_due = interval(SLOW_READ_INTERVAL);
         let mut bytes = vec![0; SLOW_READ_BYTES];
@@ -90,7 +93,7 @@
         self.keep_alives.abort();
     }
 
-    /// Reads messages until `find` finds what it looks for.
+    /// Reads messages until `find` returns `Some` for one, and returns its value.
     pub async fn wait_for<T>(&mut self, mut find: impl FnMut(&ToProxy) -> Option<T>) -> T {
         let reading = async {
             loop {
@@ -103,12 +106,12 @@
         timeout(TEST_TIMEOUT, reading).await.expect("in time")
     }
 
-    /// Reads any message.
+    /// Reads one message of any kind.
     pub async fn wait_for_message(&mut self) {
         self.wait_for(|_| Some(())).await;
     }
 
-    /// Reads until the registry confirms that what it sent is recent.
+    /// Reads messages until the registry confirms that its data are recent.
     pub async fn wait_until_confirmed(&mut self) {
         let confirmed = |message: &ToProxy| {
             matches!(message, ToProxy::Confirmation { age: Some(_), .. }).then_some(())
@@ -117,7 +120,7 @@
     }
 }
 
-/// The first item of a snapshot or of changes.
+/// The first item of a snapshot or of changes; `None` for other messages, or if there is no item.
 pub fn first_item(message: &ToProxy) -> Option<Item> {
     match message {
         ToProxy::Snapshot { items, .. } | ToProxy::Changes { items, .. } => items.first().cloned(),
@@ -125,7 +128,7 @@
     }
 }
 
-/// The first instance of changes.
+/// The first instance of changes; `None` for other messages, or if there is no instance.
 pub fn first_changed_instance(message: &ToProxy) -> Option<Instance> {
     match message {
         ToProxy::Changes { instances, .. } => instances.first().cloned(),
@@ -133,6 +136,7 @@
     }
 }
 
+/// Sends keep-alives, and requests for snapshot parts, until the connection closes.
 async fn send_keep_alives(
     mut writer: OwnedWriteHalf,
     mut cursors: UnboundedReceiver<SnapshotCursor>,
--- a/crates/emberpin-registry/tests/common/registry_process.rs
+++ b/crates/emberpin-registry/tests/common/registry_process.rs
@@ -1,11 +1,11 @@
-//! A registry as a process of its own on a loopback address.
+//! A registry process on a loopback address.
 
 use super::HTTP_PORT;
 use std::io::Write;
 use std::net::Ipv4Addr;
 use std::process::{Child, Command, Stdio};
 
-/// The settings of one of several core machines.
+/// The text of the settings file of one core machine. `seeds` are the addresses of all core machines.
 fn settings(ip: Ipv4Addr, seeds: &[Ipv4Addr]) -> String {
     let seeds: Vec<String> = seeds
         .iter()
@@ -47,7 +47,7 @@
     )
 }
 
-/// A registry's process; it is killed when this is dropped.
+/// A registry process, which is killed when this value is dropped.
 pub struct RegistryProcess {
     child: Child,
     _settings_file: tempfile::NamedTempFile,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// What `--check` prints for a machine whose `apply` is this, and its exit status.
+    /// Runs `--check` with settings in which the bound `apply` has this value. Returns the output and the exit status.
     pub fn check(apply: &str) -> (String, Option<i32>) {
         let local = Ipv4Addr::LOCALHOST;
         let settings = settings(local, &[local])
@@ -92,7 +92,7 @@
         self.child.id()
     }
 
-    /// Waits for the process to end; its exit status, unless a signal ended it.
+    /// Waits for the process to exit. Returns its exit status, or `None` if a signal ended it.
     pub fn wait(&mut self) -> Option<i32> {
         self.child.wait().expect("ends").code()
     }
--- a/crates/emberpin-registry/tests/heartbeats.rs
+++ b/crates/emberpin-registry/tests/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Heartbeats of servers: how they reach proxies, and who acknowledges a drain.
+//! Heartbeats of servers: they must reach proxies, and a drain must be acknowledged only once a majority of registries
+//! has it.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -62,9 +63,9 @@
         (status, response.contains("content-length: 0")),
         eq((200, true))
     )?;
-    let gone = proxy.wait_for(first_changed_instance).await;
+    let removed = proxy.wait_for(first_changed_instance).await;
     verify_that!(
-        (gone.id.as_str(), gone.status),
+        (removed.id.as_str(), removed.status),
         eq(("i-1", Status::Removed))
     )?;
     proxy.wait_until_confirmed().await;
@@ -82,7 +83,7 @@
     for machine in machines {
         FakeStore::new(&machines).serve(machine);
     }
-    let first = RegistryProcess::start(machines[0], &machines);
+    let first_registry = RegistryProcess::start(machines[0], &machines);
     let (status, _) = call(
         machines[0],
         "POST",
@@ -91,7 +92,7 @@
     )
     .await;
     verify_that!(status, eq(200))?;
-    // One of three registries must not acknowledge it.
+    // One registry of three is no majority, so it must not acknowledge the drain.
     let (status, _) = call(
         machines[0],
         "POST",
@@ -100,7 +101,7 @@
     )
     .await;
     verify_that!(status, eq(503))?;
-    let _second = RegistryProcess::start(machines[1], &machines);
+    let _second_registry = RegistryProcess::start(machines[1], &machines);
     let mut proxy = ProxySession::open(machines[1]).await;
     let draining = |message: &ToProxy| match message {
         ToProxy::Snapshot { instances, .. } | ToProxy::Changes { instances, .. } => instances
@@ -118,8 +119,8 @@
     )
     .await;
     verify_that!(status, eq(200))?;
-    // The registry that acknowledged it is killed; the other one has it.
-    drop(first);
+    // The registry that acknowledged the drain is killed; the other one must still have it.
+    drop(first_registry);
     let (_, response) = call(machines[1], "GET", "/status", "").await;
     verify_that!(response, contains_substring("\"status\":\"drain\""))
 }
--- a/crates/emberpin-registry/tests/http_api.rs
+++ b/crates/emberpin-registry/tests/http_api.rs
@@ -13,35 +13,35 @@
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// A partitioned registry answers a call of the operator within this time.
-const IMMEDIATELY: Duration = Duration::from_millis(300);
+/// The time within which a partitioned registry must respond to an operator's call.
+const IMMEDIATE_RESPONSE: Duration = Duration::from_millis(300);
 
 #[tokio::test]
 async fn invalid_calls_are_rejected_with_field_and_reason() -> googletest::Result<()> {
     let local = loopback(2, 1);
     let _registry = RegistryProcess::start(local, &[local]);
-    let long = " ".repeat(9 << 20);
-    let stateless = heartbeat("a", 80, "", 1);
+    let too_long = " ".repeat(9 << 20);
+    let without_state = heartbeat("a", 80, "", 1);
     let cases = [
         ("GET", "/nothing", "", 404, "/nothing"),
         ("POST", "/instances//heartbeat", "", 404, "no such call"),
         ("GET", "/config/patch", "", 405, "POST"),
         ("POST", "/locks", "", 405, "GET"),
         ("GET", "/locks/l", "", 404, "/locks/l"),
-        // The settings of this registry do not switch coordination on.
+        // The settings of this registry do not enable coordination.
         ("GET", "/locks?after=a%20b", "", 404, "no such call"),
         ("POST", "/instances/i-1/heartbeat", "{", 400, "body"),
         (
             "POST",
             "/instances/i-1/heartbeat",
-            stateless.as_str(),
+            without_state.as_str(),
             400,
             "stat.state: expected up or drain",
         ),
         (
             "POST",
             "/config/patch",
-            long.as_str(),
+            too_long.as_str(),
             413,
             "body: more than",
         ),
@@ -51,7 +51,7 @@
         verify_that!((path, status), eq((path, expected)))?;
         verify_that!(response, contains_substring(reason))?;
     }
-    // There is no store anywhere: the client may try another registry.
+    // No store runs on any machine. The response must come in time for the client to try another registry.
     let called_at = Instant::now();
     let (status, response) = call(local, "POST", "/config/patch", "{}").await;
     verify_that!((status, response.contains("retry-after")), eq((503, true)))?;
@@ -71,35 +71,44 @@
         ("POST", "/evac/north/begin", ""),
         ("POST", "/evac/no%20rth/finish", ""),
     ];
-    // It knows of no other registry that could serve them.
+    // The partitioned registry knows of no other registry that could serve the calls.
     for (method, path, body) in calls {
-        let (status, took) = timed_call(machines[0], method, path, body).await;
-        verify_that!((path, status.0, took < IMMEDIATELY), eq((path, 503, true)))?;
+        let (response, took) = timed_call(machines[0], method, path, body).await;
+        verify_that!(
+            (path, response.0, took < IMMEDIATE_RESPONSE),
+            eq((path, 503, true))
+        )?;
     }
-    let _settled = RegistryProcess::start(machines[1], &machines);
+    let _confirmed = RegistryProcess::start(machines[1], &machines);
     let mut proxy = ProxySession::open(machines[1]).await;
     proxy.wait_until_confirmed().await;
     let mut retry = tokio::time::interval(Duration::from_millis(20));
     let started_at = Instant::now();
-    // It learns of the other registry's state from that one's next heartbeat.
+    // The partitioned registry learns that the other one is confirmed from the next heartbeat between them.
     while call(machines[0], "GET", "/config/get", "").await.0 != 307 {
         retry.tick().await;
         verify_that!(started_at.elapsed(), lt(TEST_TIMEOUT))?;
     }
     for (method, path, body) in calls {
         let ((status, response), took) = timed_call(machines[0], method, path, body).await;
-        verify_that!((path, status, took < IMMEDIATELY), eq((path, 307, true)))?;
+        verify_that!(
+            (path, status, took < IMMEDIATE_RESPONSE),
+            eq((path, 307, true))
+        )?;
         let location = format!("location: http://{}:8649{path}?sent-on\r\n", machines[1]);
         verify_that!(response, contains_substring(location))?;
         let redirected = format!("{path}?sent-on");
         let ((status, _), took) = timed_call(machines[0], method, &redirected, body).await;
-        verify_that!((path, status, took < IMMEDIATELY), eq((path, 503, true)))?;
+        verify_that!(
+            (path, status, took < IMMEDIATE_RESPONSE),
+            eq((path, 503, true))
+        )?;
         let (status, response) = call(machines[1], method, &redirected, body).await;
         if !path.starts_with("/evac/") {
             verify_that!((path, status), eq((path, 200)))?;
             continue;
         }
-        // The second redirect names the version, and is the last that a caller follows.
+        // The second redirect names the version of the evacuation. It is the last one.
         verify_that!((path, status), eq((path, 307)))?;
         let with_version = format!("{redirected}&evac-version=0");
         let location = format!("location: http://here{with_version}\r\n");
@@ -111,8 +120,7 @@
 }
 
 #[tokio::test]
-async fn an_evacuation_changes_only_by_a_request_that_repeats_its_version() -> googletest::Result<()>
-{
+async fn an_evacuation_is_changed_only_by_a_request_with_its_version() -> googletest::Result<()> {
     let local = loopback(15, 1);
     let items = vec![item(ItemKind::Evacuation, "north", 7, Some("{}"))];
     FakeStore::new(&[local]).with_items(items).serve(local);
@@ -122,15 +130,16 @@
     verify_that!(status, eq(307))?;
     let location = format!("location: http://here{path}?evac-version=7\r\n");
     verify_that!(response, contains_substring(location))?;
-    // The stand-in states which request reached it.
+    // The body of the stand-in store's response describes the request that it received.
     let (status, response) = call(local, "POST", &format!("{path}?evac-version=7"), "").await;
     verify_that!(status, eq(200))?;
     verify_that!(response, ends_with("\r\n\r\nnorth End 7"))?;
-    // What is no version counts as none.
+    // An invalid version counts as absent.
     let (status, _) = call(local, "POST", &format!("{path}?evac-version=x"), "").await;
     verify_that!(status, eq(307))
 }
 
+/// Makes a call. Returns its status and response, and the time until the response.
 async fn timed_call(
     ip: Ipv4Addr,
     method: &str,
@@ -149,7 +158,8 @@
     let local = loopback(9, 1);
     FakeStore::new(&[local]).serve(local);
     let _registry = RegistryProcess::start(local, &[local]);
-    // Before it hears from the store, it passes no call on, and the one below would tell nothing about delays.
+    // The registry forwards no call before the store has confirmed its items. Without this wait, the call below would
+    // not show whether truncated bodies delay it.
     let (status, _) = call_once_confirmed(local, "POST", "/config/patch", "{}").await;
     verify_that!(status, eq(200))?;
     let mut truncated = Vec::new();
--- a/crates/emberpin-registry/tests/protocol.rs
+++ b/crates/emberpin-registry/tests/protocol.rs
@@ -1,8 +1,8 @@
-//! Every message between processes encodes to the bytes that were recorded for this version of the protocol, and peers
-//! of other versions are rejected.
+//! Guards against unintended changes of the protocol between processes: every message must encode to the bytes recorded
+//! for this version of the protocol, and peers of other versions must be rejected.
 //!
-//! If a message changes on purpose, raise the newest version of `VersionRange::SUPPORTED` if builds with the old one are
-//! in service, say for each version what is sent to its peers, and record the bytes anew:
+//! If a message changes on purpose, increase the newest version of `VersionRange::SUPPORTED` if builds with the old one
+//! are in service, document for each version what is sent to its peers, and record the bytes again:
 //! `EMBERPIN_RECORD=1 cargo test -p emberpin-registry --test protocol`
 #![allow(missing_docs, reason = "a test has no public interface")]
 
@@ -17,7 +17,7 @@
 use std::net::Ipv4Addr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// The recording of version 1, which had no preamble.
+/// The frames recorded for version 1 of the protocol, which had no preamble.
 const VERSION_1: &str = "protocol-1.txt";
 
 fn recording_of_this_version() -> String {
@@ -32,7 +32,7 @@
         std::fs::write(path, &text).expect("a recording");
     }
     let recorded = recorded::text(&recording_of_this_version());
-    // Compared line by line, as a difference of the whole would be too long to read.
+    // Compared line by line, as the difference of the complete texts would be too long to read.
     expect_that!(text.lines().count(), eq(recorded.lines().count()));
     for (now, recorded) in text.lines().zip(recorded.lines()) {
         expect_that!(
@@ -43,6 +43,7 @@
     }
 }
 
+/// Expects that a registry closes a connection that begins with these bytes, without sending anything.
 async fn expect_rejected(bytes: &[u8], ip: Ipv4Addr) {
     let mut stream = connect(ip, REGISTRY_PORT).await;
     stream.write_all(bytes).await.expect("sent");
--- a/crates/emberpin-registry/tests/proxy_sessions.rs
+++ b/crates/emberpin-registry/tests/proxy_sessions.rs
@@ -1,4 +1,5 @@
-//! Sessions of proxies: slow readers, unreadable frames, and catching up.
+//! Sessions of proxies: a slow reader or an unreadable frame must affect only its own session, and new proxies must
+//! catch up quickly.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -18,7 +19,7 @@
 #[tokio::test]
 async fn a_proxy_that_reads_slowly_is_disconnected_and_delays_no_other() -> googletest::Result<()> {
     let local = loopback(7, 1);
-    // A snapshot that no socket buffer holds.
+    // The snapshot is larger than the socket buffers.
     let body = "x".repeat(7 << 20);
     FakeStore::new(&[local])
         .with_items(vec![item(ItemKind::Route, "large", 1, Some(&body))])
@@ -26,7 +27,7 @@
     let _registry = RegistryProcess::start(local, &[local]);
     let mut other = ProxySession::open(local).await;
     other.wait_for(first_item).await;
-    // It goes on sending keep-alives, but falls ever further behind.
+    // The slow proxy keeps sending keep-alives, but reads more slowly than messages are queued for it.
     let slow = tokio::spawn(ProxySession::open(local).await.read_slowly());
     let mut number = 0;
     while !slow.is_finished() {
@@ -42,14 +43,14 @@
         )
         .await;
         verify_that!(status, eq(200))?;
-        let named = |message: &ToProxy| match message {
+        let has_instance = |message: &ToProxy| match message {
             ToProxy::Changes { instances, .. } => instances
                 .iter()
                 .any(|instance| instance.id == id)
                 .then_some(()),
             _ => None,
         };
-        other.wait_for(named).await;
+        other.wait_for(has_instance).await;
         verify_that!(called_at.elapsed(), lt(Duration::from_millis(500)))?;
         verify_that!(number, lt(2_000))?;
     }
@@ -66,7 +67,7 @@
     ProcessIdentity::new(1)
         .handshake(&mut reader, &mut writer)
         .await
-        .expect("greeted");
+        .expect("handshake");
     stream.write_all(&[0, 0, 0, 2, 99, 99]).await?;
     let mut rest = Vec::new();
     let ended = tokio::time::timeout(TEST_TIMEOUT, stream.read_to_end(&mut rest)).await;
@@ -79,7 +80,7 @@
     verify_that!(response, contains_substring("\"unreadable\":1"))
 }
 
-/// Asserted for each size: a new proxy has every item, and soon. The time is printed.
+/// For each size of the configuration, a new proxy must receive every item within two seconds. The time is printed.
 #[tokio::test]
 async fn a_new_proxy_catches_up_while_changes_continue() -> googletest::Result<()> {
     for (machine, size) in [(1, 100), (2, 1_000), (3, 10_000)] {
@@ -105,7 +106,7 @@
     Ok(())
 }
 
-/// One heartbeat after the other, each of another instance, until one is not acknowledged.
+/// Sends one heartbeat after the other, each of a new instance, until one is not acknowledged.
 async fn send_heartbeats_of_new_instances(local: Ipv4Addr) {
     for number in 0.. {
         let path = format!("/instances/s-{number}/heartbeat");
--- a/crates/emberpin-registry/tests/recorded_messages.rs
+++ b/crates/emberpin-registry/tests/recorded_messages.rs
@@ -1,8 +1,10 @@
-//! The frames that were recorded for version 2 of the protocol decode to the messages that they were, and encode to
-//! the same bytes again. `protocol-2.txt` has one of each message; `protocol-2-values.txt`, of 2 December 2026,
-//! the values that these leave out. Neither is recorded anew as long as builds of version 2 are in service.
+//! Guards the compatibility with earlier builds: recorded frames must decode to the messages that they were recorded
+//! from, and these must encode to the same bytes again.
 //!
-//! The second, if it does not exist, is recorded by
+//! For version 2 of the protocol, `protocol-2.txt` has one of each message, and `protocol-2-values.txt` has values that
+//! these leave out. Neither may be recorded again while builds of version 2 are in service.
+//!
+//! If `protocol-2-values.txt` does not exist, this command records it:
 //! `EMBERPIN_RECORD_VALUES=1 cargo test -p emberpin-registry --test recorded_messages sample_values`
 
 mod samples;
@@ -21,14 +23,16 @@
 use std::fmt::Debug;
 use std::fs;
 
+/// One of each message of version 2.
 const MESSAGES: &str = "protocol-2.txt";
+/// Messages of version 2 with values that [`MESSAGES`] leaves out.
 const VALUES: &str = "protocol-2-values.txt";
-/// One of each message of version 3, which has those of version 2 and some more.
+/// One of each message of version 3, which added some to those of version 2.
 const MESSAGES_OF_VERSION_3: &str = "protocol-3.txt";
-/// One of each message of version 4, which has those of version 3 and some more.
+/// One of each message of version 4, which added some to those of version 3.
 const MESSAGES_OF_VERSION_4: &str = "protocol-4.txt";
 
-/// The message that a process reads from a frame.
+/// Decodes the message of a frame, as a process reads it from a connection.
 fn decode<T: DeserializeOwned>(mut frame: &[u8]) -> std::result::Result<T, ConnectionError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
@@ -38,7 +42,7 @@
     message
 }
 
-/// Each frame decodes to its message, and the message encodes to the same bytes.
+/// Expects that each frame decodes to its message, and that the message encodes to the same bytes.
 fn expect_decoded_as<T>(frames: &[Vec<u8>], messages: &[T])
 where
     T: Debug + DeserializeOwned + PartialEq + Serialize,
@@ -51,8 +55,8 @@
     }
 }
 
-/// The variants of a message: the first bytes, after this prefix, of what can be decoded if zeros follow. Each variant
-/// has one, as every field can be zero.
+/// The numbers of the variants of the enum `T`, which is encoded after `prefix` in a message: those bytes after the
+/// prefix for which the message can be decoded if zeros follow. This finds every variant, as every field can be zero.
 fn variants<T: DeserializeOwned>(prefix: &[u8]) -> Vec<u8> {
     let is_known = |variant: &u8| {
         let message = [prefix, &[*variant], &[0; 64]].concat();
@@ -64,7 +68,7 @@
     (0..0x80).filter(is_known).collect()
 }
 
-/// The variants that can be decoded are those that were recorded.
+/// Expects that the variants of `T` in the recorded frames, after `prefix`, are all variants that can be decoded.
 fn expect_all_recorded<T: DeserializeOwned>(frames: &[Vec<u8>], prefix: &[u8]) {
     let messages = frames
         .iter()
@@ -80,7 +84,7 @@
     );
 }
 
-/// As [`expect_all_recorded`], for messages between stores, whose variants are recorded behind one prefix or another.
+/// As [`expect_all_recorded`], for messages between stores, whose variants are recorded after one of several prefixes.
 fn expect_all_recorded_between(frames: &[Vec<u8>], prefixes: &[&[u8]]) {
     let without_prefix = |frame: &Vec<u8>| {
         let mut messages = prefixes
@@ -152,9 +156,9 @@
 #[gtest]
 fn recorded_frames_to_a_registry_decode_to_their_messages() {
     let frames = recorded::frames(MESSAGES, "to-registry");
-    let (first, rest) = frames.split_at(samples::first().len());
+    let (roles, rest) = frames.split_at(samples::connection_roles().len());
     let (from_proxy, between_registries) = rest.split_at(samples::from_proxy().len());
-    expect_decoded_as(first, &samples::first());
+    expect_decoded_as(roles, &samples::connection_roles());
     expect_decoded_as(from_proxy, &samples::from_proxy());
     expect_decoded_as(between_registries, &samples::between_registries());
     expect_decoded_as(
@@ -203,9 +207,9 @@
     expect_all_recorded::<StoreReply>(&from_store, &[4, 4]);
     expect_all_recorded::<StoreReply>(&from_store, &[4, 4, 0]);
     let to_registry = recorded::frames(MESSAGES, "to-registry");
-    let (first, rest) = to_registry.split_at(samples::first().len());
+    let (roles, rest) = to_registry.split_at(samples::connection_roles().len());
     let (from_proxy, between_registries) = rest.split_at(samples::from_proxy().len());
-    expect_all_recorded::<ConnectionRole>(first, &[]);
+    expect_all_recorded::<ConnectionRole>(roles, &[]);
     expect_all_recorded::<FromProxy>(from_proxy, &[]);
     expect_all_recorded::<RegistryMessage>(between_registries, &[]);
     let from_registry = recorded::frames(MESSAGES, "from-registry");
--- a/crates/emberpin-registry/tests/samples/mod.rs
+++ b/crates/emberpin-registry/tests/samples/mod.rs
@@ -1,4 +1,4 @@
-//! One sample of each message between processes, and their frames.
+//! One sample of each message between processes, and the text format in which their frames are recorded.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 pub mod recorded;
@@ -34,7 +34,7 @@
     proposer: 7,
     start_nonce: 9,
 };
-const PLACE: session::Revision = session::Revision {
+const SESSION_REVISION: session::Revision = session::Revision {
     incarnation: ids::Incarnation(5),
     number: 6,
 };
@@ -103,7 +103,7 @@
     }]
 }
 
-fn consensus() -> Vec<Message> {
+fn consensus_messages() -> Vec<Message> {
     let (ballot, buckets) = (BALLOT, vec![1, 2]);
     let accepted = AcceptedProposal {
         ballot,
@@ -186,7 +186,7 @@
     ]
 }
 
-/// Every message to a store.
+/// Every message to a store in version 2 of the protocol.
 pub fn to_store() -> Vec<ToStore> {
     let requests = [
         StoreRequest::Patch {
@@ -205,14 +205,16 @@
         },
     ];
     let requests = requests.into_iter().map(ToStore::Request);
-    let messages = consensus().into_iter().map(|message| ToStore::Consensus {
-        from: MACHINE,
-        message,
-    });
+    let messages = consensus_messages()
+        .into_iter()
+        .map(|message| ToStore::Consensus {
+            from: MACHINE,
+            message,
+        });
     requests.chain(messages).collect()
 }
 
-/// Messages to a store that version 3 of the protocol has added.
+/// The messages to a store that version 3 of the protocol added.
 pub fn added_to_store() -> Vec<ToStore> {
     let changes = [EvacuationChange::Begin, EvacuationChange::End];
     let request = |change| {
@@ -242,7 +244,8 @@
     requests.chain(messages).collect()
 }
 
-/// The messages to a store that version 4 added: each operation, and the messages of led rounds.
+/// The messages to a store that version 4 of the protocol added: each operation, and the messages between stores for
+/// registers.
 pub fn added_to_store_in_version_4() -> Vec<ToStore> {
     let request = |operation| {
         ToStore::Request(StoreRequest::Coordinate {
@@ -320,7 +323,8 @@
         .collect()
 }
 
-/// The messages from a store that version 4 added: each outcome of an operation, and the replies without one.
+/// The messages from a store that version 4 of the protocol added: each outcome of an operation, and the replies
+/// without an outcome.
 pub fn added_from_store_in_version_4() -> Vec<StoreReply> {
     let fence = FencingToken(41);
     let revision = Revision(931);
@@ -377,7 +381,7 @@
         .collect()
 }
 
-/// Every message from a store.
+/// Every message from a store in version 2 of the protocol.
 pub fn from_store() -> Vec<StoreReply> {
     let disk = DiskStatus {
         state: DiskState::Full,
@@ -404,8 +408,8 @@
     ]
 }
 
-/// Every message that opens a connection to a registry.
-pub fn first() -> Vec<ConnectionRole> {
+/// Every first message of a connection to a registry.
+pub fn connection_roles() -> Vec<ConnectionRole> {
     vec![ConnectionRole::Proxy, ConnectionRole::Registry(MACHINE)]
 }
 
@@ -420,14 +424,14 @@
         incarnation: ids::Incarnation(1),
         name: "edge".into(),
         zone: "z".into(),
-        resume_from: Some(PLACE),
+        resume_from: Some(SESSION_REVISION),
         instances,
     };
     let after = SnapshotCursor::Item(items()[0].key.clone());
     vec![
         hello,
         FromProxy::KeepAlive {
-            applied: Some(PLACE),
+            applied: Some(SESSION_REVISION),
             nonce: Nonce(11),
         },
         FromProxy::FetchSnapshotPart { after },
@@ -466,14 +470,14 @@
     let instances = vec![instance(Status::Up)];
     vec![
         ToProxy::Snapshot {
-            revision: PLACE,
+            revision: SESSION_REVISION,
             items: items(),
             instances: instances.clone(),
             complete: true,
             next_part: None,
         },
         ToProxy::Changes {
-            revision: PLACE,
+            revision: SESSION_REVISION,
             items: items(),
             instances: instances.clone(),
         },
@@ -500,10 +504,10 @@
     messages.iter().map(frame).collect()
 }
 
-/// The frames of all samples as text, one a line.
+/// The frames of all samples as text, one on each line.
 pub fn text() -> String {
     let to_registry = [
-        frames_of(&first()),
+        frames_of(&connection_roles()),
         frames_of(&from_proxy()),
         frames_of(&between_registries()),
     ]
@@ -536,7 +540,7 @@
         .collect()
 }
 
-/// Frames as text, each on a line behind its group.
+/// Frames as text: each on a line, as the name of its group and its bytes in hexadecimal digits.
 pub fn lines(group: &str, frames: &[Vec<u8>]) -> String {
     let line = |frame: &Vec<u8>| {
         let bytes: String = frame.iter().map(|byte| format!("{byte:02x}")).collect();
--- a/crates/emberpin-registry/tests/samples/recorded.rs
+++ b/crates/emberpin-registry/tests/samples/recorded.rs
@@ -1,16 +1,17 @@
-//! The frames that were recorded: a line for each, its group and its bytes in hexadecimal digits.
+//! Reads recorded frames. A recording has a line for each frame, with the name of its group and its bytes in
+//! hexadecimal digits.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Where the recording of this name is.
+/// The path of the recording with this file name.
 pub fn path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../emberpin-runtime/tests/fixtures")
         .join(name)
 }
 
-/// The recording of this name as text.
+/// The text of the recording with this file name.
 pub fn text(name: &str) -> String {
     fs::read_to_string(path(name)).expect("a recording")
 }
@@ -25,9 +26,10 @@
         .collect()
 }
 
+/// Decodes hexadecimal digits.
 fn bytes(digits: &str) -> Vec<u8> {
     let pairs = (0..digits.len()).step_by(2);
     pairs
-        .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).expect("two digits"))
+        .map(|offset| u8::from_str_radix(&digits[offset..offset + 2], 16).expect("two digits"))
         .collect()
 }
--- a/crates/emberpin-registry/tests/samples/values.rs
+++ b/crates/emberpin-registry/tests/samples/values.rs
@@ -1,7 +1,7 @@
-//! Samples with the values that those of each message leave out: `None`, the other variants of each enum, the highest
-//! numbers, empty lists, an IPv6 address.
+//! Samples with values that the sample of each message leaves out: `None`, the other variants of each enum, the highest
+//! numbers, empty lists, and an IPv6 address.
 
-use super::{frames_of, instance, item, lines, BALLOT, MACHINE, PLACE};
+use super::{frames_of, instance, item, lines, BALLOT, MACHINE, SESSION_REVISION};
 use emberpin_config::{Item, ItemKind, Version};
 use emberpin_consensus::message::{
     BootstrapReply, BucketItems, ComparisonId, DigestMatches, Prepare, Promise,
@@ -22,12 +22,12 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-const HIGHEST: Ballot = Ballot {
+const HIGHEST_BALLOT: Ballot = Ballot {
     counter: u64::MAX,
     proposer: u32::MAX,
     start_nonce: u32::MAX,
 };
-const LAST: Revision = Revision {
+const HIGHEST_REVISION: Revision = Revision {
     incarnation: ids::Incarnation(u64::MAX),
     number: u64::MAX,
 };
@@ -53,14 +53,14 @@
 fn many_incarnations() -> LatestIncarnations {
     let mut latest_incarnations = LatestIncarnations::default();
     latest_incarnations.record(MACHINE, Incarnation(BALLOT));
-    latest_incarnations.record(Ipv4Addr::BROADCAST, Incarnation(HIGHEST));
+    latest_incarnations.record(Ipv4Addr::BROADCAST, Incarnation(HIGHEST_BALLOT));
     latest_incarnations.record(Ipv4Addr::UNSPECIFIED, Incarnation::default());
     latest_incarnations
 }
 
 fn promise(latest_incarnations: LatestIncarnations) -> Message {
     Message::Promise(Promise {
-        ballot: HIGHEST,
+        ballot: HIGHEST_BALLOT,
         incarnation: Incarnation::default(),
         latest_incarnations,
         accepted: AcceptedProposal::default(),
@@ -84,7 +84,7 @@
     ];
     let messages = [
         Message::Prepare(Prepare {
-            ballot: HIGHEST,
+            ballot: HIGHEST_BALLOT,
             roster: no_roster(),
             digests: Vec::new(),
             recovers: false,
@@ -199,17 +199,17 @@
 /// Messages from a registry to a proxy.
 pub fn to_proxy() -> Vec<ToProxy> {
     let (items, instances) = (Vec::new(), vec![with_ipv6_address()]);
-    let rest = Some(SnapshotCursor::Item(item(ItemKind::Route, "r", None).key));
+    let next_part = Some(SnapshotCursor::Item(item(ItemKind::Route, "r", None).key));
     vec![
         ToProxy::Snapshot {
-            revision: PLACE,
+            revision: SESSION_REVISION,
             items: items.clone(),
             instances,
             complete: false,
-            next_part: rest,
+            next_part,
         },
         ToProxy::Changes {
-            revision: LAST,
+            revision: HIGHEST_REVISION,
             items: items.clone(),
             instances: Vec::new(),
         },
@@ -234,7 +234,7 @@
     }]
 }
 
-/// Preambles of version 2 of the protocol: of a process that does not know its system, and of one that does.
+/// Preambles of version 2 of the protocol, from a process that does not know its system and from one that does.
 pub fn preambles() -> Vec<Preamble> {
     let system = SystemId::new(0x0123_4567_89ab_cdef);
     let versions = VersionRange {
@@ -255,7 +255,7 @@
     ]
 }
 
-/// The frames of all samples as text, one a line.
+/// The frames of all samples as text, one on each line.
 pub fn text() -> String {
     let preambles: Vec<Vec<u8>> = preambles()
         .iter()
--- a/crates/emberpin-registry/tests/settings_check.rs
+++ b/crates/emberpin-registry/tests/settings_check.rs
@@ -1,4 +1,4 @@
-//! `emberpin-registry --check` says which bounds of the settings are below the sums of delays.
+//! `emberpin-registry --check` must print which bounds of the settings are below the sum of the delays that they bound.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
--- a/crates/emberpin-registry/tests/store_failover.rs
+++ b/crates/emberpin-registry/tests/store_failover.rs
@@ -1,4 +1,5 @@
-//! What a registry does when the store on its machine is down, hangs, or has a full disk.
+//! Store failover: a registry must use another store while the one on its machine is down, does not respond, has a full
+//! disk, or speaks too old a version of the protocol.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -20,8 +21,8 @@
     limit_bytes: 100,
 };
 
-fn service(ver: u64) -> Item {
-    item(ItemKind::Service, "svc-a", ver, Some("{}"))
+fn service(version: u64) -> Item {
+    item(ItemKind::Service, "svc-a", version, Some("{}"))
 }
 
 #[tokio::test]
@@ -43,7 +44,7 @@
         eq((200, true))
     )?;
     verify_that!(called_at.elapsed(), lt(Duration::from_millis(700)))?;
-    // The local store is back, and is subscribed to again.
+    // The local store is started, and must replace the fallback: its item is newer.
     FakeStore::new(&[other])
         .with_items(vec![service(8)])
         .serve(local);
@@ -56,13 +57,13 @@
 async fn a_store_that_accepts_connections_and_never_responds_is_skipped() -> googletest::Result<()>
 {
     let (local, other) = (loopback(8, 1), loopback(8, 2));
-    let _mute = tokio::net::TcpListener::bind((local, STORE_PORT)).await?;
+    let _silent_listener = tokio::net::TcpListener::bind((local, STORE_PORT)).await?;
     FakeStore::new(&[other])
         .with_items(vec![service(7)])
         .serve(other);
     let _registry = RegistryProcess::start(local, &[local, other]);
     let mut proxy = ProxySession::open(local).await;
-    // By then the other store is subscribed to, as the local one has timed out.
+    // The first item shows that the local store has timed out and the other store is subscribed to.
     proxy.wait_for(first_item).await;
     let (status, response) =
         call_once_confirmed(local, "POST", "/evac/north/finish?evac-version=0", "").await;
@@ -124,7 +125,7 @@
     let finish = "/evac/north/finish?evac-version=0";
     let (status, _) = call_once_confirmed(local, "POST", "/config/patch", "{}").await;
     verify_that!(status, eq(200))?;
-    // The only store would change the zone whatever the operator was told.
+    // The only store speaks version 2, in which changes of an evacuation have no precondition. It must not be used.
     let (status, _) = call(local, "POST", finish, "").await;
     verify_that!(status, eq(503))?;
     FakeStore::new(&[local, other]).serve(other);
--- a/crates/emberpin-runtime/tests/frames.rs
+++ b/crates/emberpin-runtime/tests/frames.rs
@@ -1,4 +1,5 @@
-//! Which messages a connection carries, and which bytes end it.
+//! Framing: messages must be read as they were written, and invalid, truncated or too long frames must end the
+//! connection.
 
 use emberpin_runtime::frames::{
     encode, for_version, read, ConnectionError, MAX_FRAME_BYTES, MAX_MESSAGE_BYTES,
@@ -7,7 +8,7 @@
 use googletest::prelude::*;
 use std::io;
 
-/// What is read from these bytes as one message.
+/// Reads one message from these bytes.
 fn read_from(mut bytes: &[u8]) -> std::result::Result<String, ConnectionError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
@@ -15,8 +16,8 @@
     runtime.block_on(read(&mut bytes))
 }
 
-/// The length of a frame, as it precedes the frame.
-fn length(bytes: usize) -> Vec<u8> {
+/// The head of a frame whose message ends with it: the length of its part.
+fn frame_head(bytes: usize) -> Vec<u8> {
     u32::try_from(bytes).expect("a length").to_be_bytes().into()
 }
 
@@ -29,7 +30,7 @@
 
 #[gtest]
 fn a_message_beyond_the_limit_is_neither_written_nor_read() {
-    // A string takes four bytes for its own length here.
+    // The encoding of a string of this length begins with four bytes for its length.
     let longest = "x".repeat(MAX_MESSAGE_BYTES - 4);
     expect_that!(
         read_from(&encode(&longest).expect("a frame")),
@@ -43,14 +44,14 @@
         ))))
     );
     expect_that!(
-        read_from(&length(too_long)),
+        read_from(&frame_head(too_long)),
         err(matches_pattern!(ConnectionError::MessageTooLong(eq(
             &too_long
         ))))
     );
 }
 
-/// The frames in these bytes: whether each continues, and its length.
+/// The frames in these bytes: whether the message continues after each, and the length of its part.
 fn frames_in(mut bytes: &[u8]) -> Vec<(bool, usize)> {
     let mut frames = Vec::new();
     while let Some((head, rest)) = bytes.split_first_chunk() {
@@ -64,7 +65,7 @@
 
 #[gtest]
 fn a_long_message_is_split_into_frames_of_bounded_length() {
-    // A string of this length takes three bytes for its own length.
+    // The encoding of a string of these lengths begins with three bytes for its length.
     for (text_bytes, expected) in [
         (MAX_FRAME_BYTES - 3, vec![(false, MAX_FRAME_BYTES)]),
         (
@@ -87,7 +88,7 @@
 fn a_message_in_one_frame_of_an_earlier_build_is_read() {
     let text = "x".repeat(MAX_FRAME_BYTES);
     let message = postcard::to_allocvec(&text).expect("a message");
-    let frame = [length(message.len()), message].concat();
+    let frame = [frame_head(message.len()), message].concat();
     expect_that!(read_from(&frame), ok(eq(&text)));
 }
 
@@ -111,7 +112,7 @@
 }
 
 #[gtest]
-fn a_truncated_frame_is_an_end_of_the_connection() {
+fn a_truncated_frame_is_reported_as_the_end_of_the_connection() {
     let frame = encode(&"message").expect("a frame");
     for end in 0..frame.len() {
         let error = read_from(&frame[..end]).expect_err("a truncated frame");
@@ -128,7 +129,7 @@
 
 #[gtest]
 fn a_frame_of_another_type_is_malformed() {
-    let frame = [length(2), vec![1, 0xff]].concat();
+    let frame = [frame_head(2), vec![1, 0xff]].concat();
     expect_that!(
         read_from(&frame),
         err(matches_pattern!(ConnectionError::Malformed(anything())))
@@ -136,7 +137,7 @@
 }
 
 #[gtest]
-fn a_peer_of_version_2_is_sent_each_message_as_one_frame() {
+fn a_message_to_a_peer_of_version_2_is_one_frame() {
     for length in [
         1,
         MAX_FRAME_BYTES - 4,
--- a/crates/emberpin-runtime/tests/preamble.rs
+++ b/crates/emberpin-runtime/tests/preamble.rs
@@ -1,4 +1,4 @@
-//! Which peers the handshake accepts, by their preambles.
+//! The handshake must accept peers with a common protocol version and the same system, and reject all others.
 
 use emberpin_runtime::frames::ConnectionError;
 use emberpin_runtime::identity::ProcessIdentity;
@@ -11,15 +11,17 @@
     SystemId::new(number)
 }
 
-fn process(number: u64) -> ProcessIdentity {
+/// A process of the system with this number; 0 for one that does not know its system.
+fn process(system_number: u64) -> ProcessIdentity {
     let process = ProcessIdentity::new(1);
-    system_id(number)
+    system_id(system_number)
         .into_iter()
         .for_each(|system| _ = process.learn_system(system));
     process
 }
 
-/// What a process makes of a peer that sends these bytes; `None` for a connection that failed.
+/// Has a process receive the preamble of a peer that sends these bytes. Returns the preamble, or the reason for which
+/// the peer is rejected, which is `None` if the connection failed instead.
 fn receive(
     process: &ProcessIdentity,
     bytes: &[u8],
@@ -27,9 +29,9 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .expect("a runtime");
-    let mut from = bytes;
+    let mut reader = bytes;
     runtime
-        .block_on(process.receive_preamble(&mut from))
+        .block_on(process.receive_preamble(&mut reader))
         .map_err(|error| match error {
             ConnectionError::Handshake(error) => Some(error),
             _ => None,
@@ -65,7 +67,7 @@
 }
 
 #[gtest]
-fn another_version_is_rejected_before_the_rest_of_its_preamble() {
+fn a_newer_version_is_rejected_before_the_rest_of_its_preamble_is_read() {
     let mut bytes = Preamble {
         versions: VersionRange::SUPPORTED,
         system: None,
@@ -93,7 +95,7 @@
 }
 
 #[gtest]
-fn two_processes_speak_the_newest_version_that_both_know() {
+fn two_processes_use_the_newest_version_that_both_speak() {
     for (ours, theirs, expected) in [
         ((2, 3), (2, 2), Some(2)),
         ((2, 2), (2, 3), Some(2)),
@@ -114,10 +116,10 @@
 
 #[gtest]
 fn a_build_of_version_2_accepts_this_one() {
-    // It compares bytes 4 and 5 with its own version, and ignores the two that follow.
+    // A build of version 2 compares bytes 4 and 5 with its own version, and ignores bytes 6 and 7.
     let bytes = ProcessIdentity::new(1).preamble().encode();
     expect_that!(bytes[4..6], eq(&2_u16.to_be_bytes()[..]));
-    // Its own preamble has zeros there.
+    // In its own preamble, bytes 6 and 7 are 0.
     let preamble = process_with(2, 2).preamble();
     expect_that!(preamble.encode()[6..8], eq(&[0, 0][..]));
     expect_that!(Preamble::decode(&preamble.encode()), ok(eq(preamble)));
--- a/crates/emberpin-runtime/tests/settings.rs
+++ b/crates/emberpin-runtime/tests/settings.rs
@@ -1,10 +1,11 @@
-//! How the settings file is read, and which errors name its fields.
+//! The settings file: optional fields must have their defaults, and errors must name the file, the field and what was
+//! expected.
 
 use emberpin_runtime::protocol_version::{ProtocolVersion, VersionRange};
 use emberpin_runtime::settings::{Settings, SettingsError};
 use googletest::prelude::*;
 
-/// A complete file, with these lines in `self.limits`.
+/// A settings file with all required fields, and with these additional lines in `self.limits`.
 fn settings_file(limits: &str) -> String {
     format!(
         "[self]\nnodename = \"core\"\nip = \"10.0.0.1\"\naz = \"z\"\nrgn = \"r\"\n[self.limits]\nmem_mb = 256\n\
@@ -15,7 +16,7 @@
     )
 }
 
-/// The path of the field that an error names.
+/// The path of the field that an error names; `None` if it names none.
 fn named_field(error: SettingsError) -> Option<String> {
     match error {
         SettingsError::Field { field, .. } => Some(field),
@@ -23,7 +24,7 @@
     }
 }
 
-/// What an operator sees if one text of the file is replaced.
+/// The error message for the complete file with `from` replaced by `to`, or `accepted` if there is no error.
 fn message_after(from: &str, to: &str) -> String {
     let file = settings_file("");
     assert_that!(file, contains_substring(from));
@@ -130,7 +131,7 @@
 }
 
 #[gtest]
-fn a_file_that_is_no_toml_or_not_there_is_reported_in_one_line() {
+fn a_file_that_is_missing_or_not_toml_is_reported_in_one_line() {
     let syntax = message_after("[self]", "[self");
     expect_that!(syntax, starts_with("f: TOML: "));
     expect_that!(syntax, not(contains_substring("\n")));
