--- a/crates/emberpin-proxy/src/command.rs
+++ b/crates/emberpin-proxy/src/command.rs
@@ -1,5 +1,5 @@
 //! Commands to the [`Controller`](crate::controller::Controller), sent by request handlers, registry sessions and
-//! health checks. They lie beneath all of these, so that none depends on another for its types.
+//! health checks. This module depends on none of the senders, so that none of them depends on another for these types.
 
 use emberpin_balancer::{RequestId, ServerId};
 use emberpin_limiter::host::{Reply, UpstreamRequest};
@@ -30,16 +30,16 @@
     pub outgoing: UpstreamRequest,
     /// When the request's head was complete. Time limits count from here unless the body is still being uploaded.
     pub arrived_at: Instant,
-    /// How long the client waits for the response, if it states that.
+    /// How long the client waits for the response, as stated in its `Deadline` header; `None` without one.
     pub deadline: Option<Duration>,
-    /// Attempts already sent to servers, above 0 only if the request was withdrawn from a service that its route no
-    /// longer leads to.
+    /// Attempts already sent to servers. Above 0 only if the request was withdrawn from a service to which its route no
+    /// longer leads.
     pub attempts_sent: u32,
-    /// Receives the one reply.
+    /// Receives the reply, which is sent once.
     pub reply_to: oneshot::Sender<Reply>,
 }
 
-/// What the controller is asked or notified of.
+/// A request to the controller, or an event that it is notified of.
 pub enum Command {
     /// Route and forward a client's request.
     Route(Box<RouteRequest>),
@@ -50,10 +50,11 @@
         session: SessionId,
         message: ToProxy,
     },
-    /// A registry confirmed that what it sent in this session is recent, and counted `proxies` that have sessions.
+    /// A registry confirmed that the state it sent in this session is recent. `proxies` is the number of proxies that
+    /// have sessions, as the registry counts them.
     SessionConfirmed { session: SessionId, proxies: u32 },
-    /// A session was established. `resumed`: it continues at the revision up to which an earlier session with the same
-    /// registry had received everything, so that no further snapshot follows.
+    /// A session was established. If `resumed`, it continues at the revision up to which an earlier session with the
+    /// same registry had received everything, and no further snapshot follows.
     SessionStarted { session: SessionId, resumed: bool },
     /// A session ended, or could not be established.
     SessionEnded { session: SessionId },
--- a/crates/emberpin-proxy/src/connection_pool.rs
+++ b/crates/emberpin-proxy/src/connection_pool.rs
@@ -1,4 +1,4 @@
-//! The connections that the process may have, and the pool of those to servers.
+//! Limits on the connections of the process, and the pool of connections to servers.
 
 use crate::wire::GatewayWire;
 use emberpin_limiter::host::{Figures, Pool, PoolLimits, SocketBudget};
@@ -7,26 +7,26 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// File descriptors set aside for what is neither a client's nor a server's connection: listeners, registry sessions,
-/// the runtime's own, and files.
+/// File descriptors reserved for everything other than client and server connections: listeners, registry sessions, the
+/// runtime and files.
 const RESERVED_DESCRIPTORS: usize = 240;
-/// Fewest descriptors for connections, however low the limit.
+/// Lower bound of the descriptors for connections, however low the limit on open files is.
 const MIN_CONNECTIONS: usize = 40;
 /// Fraction of the remaining descriptors for clients' connections; servers' connections get the rest.
 const CLIENT_CONNECTION_SHARE: f64 = 0.55;
-/// How long a connection to a server may take to come up.
+/// Time-out for establishing a connection to a server.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 /// How long an idle connection is kept if its server states no shorter time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Idle connections that are kept for one server.
+/// Maximum number of idle connections kept for one server.
 const MAX_IDLE_PER_SERVER: usize = 16;
 /// A server that acknowledges nothing for this long counts as unreachable.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(400);
-/// Bytes of a response that are buffered before any of it is passed on. A response that breaks off within them can be
-/// retried; longer ones are streamed, as buffering them would take the time of a slow link twice.
+/// Bytes of a response that are buffered before any of it is forwarded. A response that breaks off within them can be
+/// retried. Longer ones are streamed, since buffering them would take the transfer time of a slow link twice.
 const BUFFERED_RESPONSE_BYTES: usize = 16 << 10;
 
-/// How many connections there may be on each side.
+/// Maximum numbers of connections to clients and to servers.
 pub struct ConnectionBudget {
     /// Connections of clients.
     pub clients: usize,
@@ -35,15 +35,15 @@
 }
 
 impl ConnectionBudget {
-    /// Divides what a process with this limit on open files may have.
-    pub fn of(max_descriptors: usize) -> ConnectionBudget {
-        let all = max_descriptors
+    /// Divides the connections of a process with this limit on open files between clients and servers.
+    pub fn from_descriptor_limit(max_descriptors: usize) -> ConnectionBudget {
+        let total = max_descriptors
             .saturating_sub(RESERVED_DESCRIPTORS)
             .max(MIN_CONNECTIONS);
-        let clients = (all as f64 * CLIENT_CONNECTION_SHARE) as usize;
+        let clients = (total as f64 * CLIENT_CONNECTION_SHARE) as usize;
         ConnectionBudget {
             clients,
-            servers: all - clients,
+            servers: total - clients,
         }
     }
 }
--- a/crates/emberpin-proxy/src/controller/attempts.rs
+++ b/crates/emberpin-proxy/src/controller/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of requests in flight: what follows when one ends or runs out of time, or when the client disconnects.
+//! Attempts of requests in flight: handles their ends and time-outs, and clients that disconnect.
 
 use super::in_flight_request::InFlightRequest;
 use super::Controller;
@@ -10,12 +10,12 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// How soon after an attempt ran out of time without a possible retry the controller checks again: congestion, or a
-/// spent retry budget, is usually over before the client's deadline.
+/// Delay before the controller checks an overdue attempt again that could not be replaced by a retry: congestion, or an
+/// exhausted retry budget, is usually over before the client's deadline.
 const OVERDUE_RECHECK: Duration = Duration::from_millis(150);
 
 impl Controller {
-    /// Handles the end of an attempt, or its time running out, as its engine reports them.
+    /// Handles an engine's report that an attempt has ended or is overdue.
     pub(super) fn on_input(&mut self, input: Input) {
         match input {
             Input::AttemptEnded {
@@ -44,7 +44,7 @@
             return;
         };
         if !ended.sent {
-            // No byte of it went out: the attempt that follows counts as the first, and needs no retry budget.
+            // No byte of it was sent: the attempt that follows takes its place, and needs no retry budget.
             in_flight.attempts_sent = in_flight.attempts_sent.saturating_sub(1);
         }
         let service = in_flight.service.clone();
@@ -70,14 +70,14 @@
                 .on_attempt_ended(request, attempt, server, ended, retry);
         }
         self.record_sent_attempts(&service);
-        self.forget_if_finished(request);
+        self.remove_if_finished(request);
         if let Some(rerouted) = rerouted {
             self.route_request(rerouted);
         }
     }
 
     /// Whether the route's attempt limit and the retry budget allow another attempt of a request that has not been
-    /// withdrawn. Which server gets it, and whether it may run twice, is the decision module's to say.
+    /// withdrawn. The decision module decides which server gets it, and whether the request may run twice.
     fn may_retry(&self, request: RequestId) -> bool {
         let Some(in_flight) = self.in_flight.get(&request) else {
             return false;
@@ -110,8 +110,8 @@
         Some(in_flight.to_route_request(request, reply_to))
     }
 
-    /// An attempt has used up the time that the decision module gives it. Its server may be at work on it, so it is given
-    /// up only where another attempt can follow, and never while this proxy drains.
+    /// Handles an attempt that has used up the time allowed by the decision module. Its server may still be working on
+    /// it, so it is abandoned only where another attempt can follow, and never while this proxy is draining.
     fn on_attempt_overdue(&mut self, request: RequestId, attempt: u32) {
         let Some(in_flight) = self.in_flight.get(&request) else {
             return;
@@ -130,8 +130,8 @@
         if !engine.can_time_out(request, attempt) {
             return;
         }
-        // The end of the attempt arrives later, when the load and the budgets may be others: its retry must not depend
-        // on them, or the client would get a refusal for a request at which a server was at work.
+        // The end of the attempt is reported later, when the load and the budgets may have changed. Its retry must not
+        // depend on them, or the client would get a rejection of a request that a server was working on.
         if within_budget && engine.gateway.reserve_retry(engine.clock.now(), request) {
             engine.time_out(request, attempt);
             self.reserve_retry(&name, request);
@@ -166,11 +166,11 @@
             service.engine.on_client_gone(request);
         }
         self.record_sent_attempts(&name);
-        self.forget_if_finished(request);
+        self.remove_if_finished(request);
     }
 
-    /// Charges retry budget and slow-start shares for the attempts that a service's engine has sent since the last call.
-    /// To be called after every event that was given to the engine.
+    /// Charges retry budget and slow-start shares for the attempts that a service's engine has sent since the last
+    /// call. Must be called after every event passed to the engine.
     pub(super) fn record_sent_attempts(&mut self, service_name: &str) {
         let Some(service) = self.services.get_mut(service_name) else {
             return;
@@ -196,8 +196,8 @@
         }
     }
 
-    /// Drops a request's record once its engine neither owes a reply nor has an attempt at a server.
-    pub(super) fn forget_if_finished(&mut self, request: RequestId) {
+    /// Drops the record of a request if its engine has neither a pending reply to it nor an attempt of it at a server.
+    pub(super) fn remove_if_finished(&mut self, request: RequestId) {
         let Some(in_flight) = self.in_flight.get(&request) else {
             return;
         };
--- a/crates/emberpin-proxy/src/controller/configuration.rs
+++ b/crates/emberpin-proxy/src/controller/configuration.rs
@@ -1,4 +1,4 @@
-//! Application of a changed configuration: routes, warm-up profiles, evacuated zones and client limits.
+//! Applies configuration changes: routes, warm-up profiles, evacuated zones and client limits.
 
 use super::limits::client_limits;
 use super::Controller;
@@ -7,8 +7,8 @@
 use std::collections::{BTreeSet, HashMap};
 
 impl Controller {
-    /// Applies the merged configuration. Routes come first, so that requests in flight and freed classes go by the new
-    /// ones.
+    /// Applies the merged configuration. Routes are replaced first, so that requests in flight are updated, and classes
+    /// are freed, according to the new ones.
     pub(super) fn apply_configuration(&mut self) {
         let routes: Vec<Route> = effective_routes(&self.configuration);
         self.retain_split_draws(&routes);
@@ -37,7 +37,7 @@
         self.apply_evacuations(evacuated_zones);
     }
 
-    /// Drops the draws of routes that are no longer in force.
+    /// Drops the draw sequences of routes that are no longer in force.
     fn retain_split_draws(&mut self, routes: &[Route]) {
         let names: BTreeSet<&str> = routes.iter().map(|route| route.name.as_str()).collect();
         self.split_draws
@@ -89,7 +89,8 @@
     }
 }
 
-/// A service's name, and how long and how much its servers are spared after their start.
+/// A service's name, with the duration of its servers' warm-up after their start and the request rate meanwhile. `None`
+/// if the item is not a valid service.
 fn warmup_profile(item: &Item) -> Option<(String, WarmupProfile)> {
     let service = ServiceItem::from_item(item).ok()?;
     let profile = WarmupProfile {
--- a/crates/emberpin-proxy/src/controller/control_sessions.rs
+++ b/crates/emberpin-proxy/src/controller/control_sessions.rs
@@ -1,4 +1,4 @@
-//! Control sessions: what registries send, and when it makes this proxy ready.
+//! Control sessions: applies the updates that registries send, and decides when they make this proxy ready.
 
 use super::Controller;
 use crate::command::SessionId;
@@ -7,7 +7,7 @@
 use emberpin_membership::session::ToProxy;
 
 impl Controller {
-    /// Applies what a registry has sent.
+    /// Applies a message of a registry.
     pub(super) fn on_registry_update(&mut self, session: SessionId, message: ToProxy) {
         match message {
             ToProxy::Snapshot {
@@ -37,8 +37,9 @@
         }
     }
 
-    /// Takes the number of proxies that share the servers, and declares this one ready once a confirmed session has
-    /// received everything: a new process must not serve what is older than what a majority of the core holds.
+    /// Records the number of proxies that share the servers, and marks this one as ready once a confirmed session has
+    /// received its registry's whole state: a new process must not serve from a state older than that of a majority of
+    /// the core.
     pub(super) fn on_session_confirmed(&mut self, session: SessionId, proxy_count: u32) {
         if proxy_count != self.proxy_count {
             self.proxy_count = proxy_count;
@@ -66,7 +67,8 @@
             self.apply_configuration();
         }
         let now = self.now();
-        // An instance that a registry does not name is kept: another registry may know it. Removals are sent by name.
+        // An instance that is absent from the update is kept, as another registry may know it. Removals are sent
+        // explicitly.
         self.router.endpoints.update(now, instances);
         self.apply_endpoint_changes();
         for instance in instances
--- a/crates/emberpin-proxy/src/controller/in_flight_request.rs
+++ b/crates/emberpin-proxy/src/controller/in_flight_request.rs
@@ -10,23 +10,23 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A request that is owed a reply or has an attempt at a server.
+/// A request whose reply is pending, or that has an attempt at a server.
 pub(super) struct InFlightRequest {
-    /// The newest route under which it may stay at its service.
+    /// The newest route that leads it to `service`.
     pub(super) route: Rc<Route>,
     pub(super) service: String,
     pub(super) host: String,
     pub(super) outgoing: Rc<UpstreamRequest>,
     pub(super) arrived_at: Instant,
     pub(super) deadline: Option<Duration>,
-    /// Attempts handed to servers, less those that ended before any byte went out.
+    /// Attempts sent to servers, less those that ended before any byte was sent.
     pub(super) attempts_sent: u32,
-    /// The attempt at a server was broken off for a retry, which is granted and charged to the budget already.
+    /// The attempt at a server was timed out in favour of a retry, which is already granted and charged to the budget.
     pub(super) retry_reserved: bool,
 }
 
 impl InFlightRequest {
-    /// The request as it arrived, to be routed again for the same waiting client.
+    /// The request, to be routed again for the same waiting client.
     pub(super) fn to_route_request(
         &self,
         id: RequestId,
--- a/crates/emberpin-proxy/src/controller/limits.rs
+++ b/crates/emberpin-proxy/src/controller/limits.rs
@@ -1,13 +1,13 @@
-//! The configuration's limits on client connections, as the reception enforces them.
+//! Converts the configuration's limits on client connections to those that the reception enforces.
 
 use emberpin_config::Limits;
 use emberpin_limiter::host::{ClientLimits, HEAD_BYTES};
 use std::time::Duration;
 
-/// Longest request head that is ever read, whatever the configuration says: each client connection may hold one.
+/// Upper bound of the configured length of a request head, in bytes: each client connection may buffer one.
 const MAX_HEAD_BYTES: usize = 256 << 10;
-/// Added to the time limit of a head, since the client counts from its own sending; three times if the head still
-/// grows.
+/// Added to the time limit of a head, since the client measures from when it sends the head; added three times while
+/// the head is still growing.
 const HEAD_TIME_MARGIN: Duration = Duration::from_millis(500);
 /// Added to the limit on a connection's idle time: the client's next request may be on its way.
 const IDLE_TIME_MARGIN: Duration = Duration::from_secs(1);
--- a/crates/emberpin-proxy/src/controller/mod.rs
+++ b/crates/emberpin-proxy/src/controller/mod.rs
@@ -1,8 +1,8 @@
 //! The single owner of routes, servers, retry budgets and in-flight requests: an event loop over a queue of commands.
 //!
 //! One decision module ([`Service`]) per service chooses the server of each attempt; the controller decides which
-//! service a request is for and whether its route and the retry budget allow another attempt. All state is changed on
-//! one task, so no event sees another one half applied.
+//! service a request is for and whether its route and the retry budget allow another attempt. All state is changed by
+//! one task, so no event observes another one half applied.
 
 mod attempts;
 mod configuration;
@@ -37,10 +37,10 @@
 use tokio::time::{interval, sleep_until, Instant, MissedTickBehavior};
 use zone_table::ZoneTable;
 
-/// How often the controller checks whether a warming server may get another request. Its share is per second, so a
-/// coarser period would leave part of it unused.
+/// How often the controller checks whether a warming server may get another request. This proxy's share of its rate is
+/// per second, so a coarser period would leave part of it unused.
 const SLOW_START_CHECK_PERIOD: Duration = Duration::from_millis(100);
-/// Ends of attempts that may wait in the queue; whoever has more waits.
+/// Capacity of the queue of engines' reports about attempts; senders wait while it is full.
 const MAX_QUEUED_INPUTS: usize = 1024;
 
 /// Owner of the proxy's routing state. See the [module](self) documentation.
@@ -50,7 +50,7 @@
     router: Router,
     configuration: Configuration,
     retry_budget: RetryBudget,
-    /// Proxies that share the servers, as a registry counted last; 0 until one has.
+    /// Proxies that share the servers, as last counted by a registry; 0 before the first count.
     proxy_count: u32,
     services: BTreeMap<String, Service>,
     in_flight: BTreeMap<RequestId, InFlightRequest>,
@@ -59,26 +59,26 @@
     zones: ZoneTable,
     evacuated_zones: BTreeSet<String>,
     session_sync: SessionSync,
-    /// Whether a confirmed session has received everything since the start. Before that, a route that is not known here
-    /// may exist.
+    /// Whether a confirmed session has received its registry's whole state since the start. Until then, a route that is
+    /// unknown to this proxy may exist.
     has_whole_configuration: bool,
     random: oorandom::Rand64,
-    /// By route name, for the routes in force that share their requests among services.
+    /// Draw sequences by route name, for the routes in force that split their requests among services.
     split_draws: BTreeMap<String, DrawSequence>,
     published: Rc<PublishedState>,
     metrics: Rc<ProxyMetrics>,
-    /// Whether gauges are kept up to date, as somebody may read them.
+    /// Whether gauges are kept up to date; false without a metrics endpoint.
     updates_gauges: bool,
     reception: Rc<Reception>,
     pool: Rc<Pool>,
-    /// For health checks. Weak: the controller ends with the last sender elsewhere.
+    /// Given to health checks. Weak, since the controller ends once all other senders are dropped.
     commands: mpsc::WeakSender<Command>,
     inputs: mpsc::Sender<Input>,
     queued_inputs: mpsc::Receiver<Input>,
 }
 
 impl Controller {
-    /// Starts without configuration and servers, which registries send once their sessions stand.
+    /// Starts without configuration and servers, which registries send once their sessions are established.
     pub fn new(
         settings: &Settings,
         pool: Rc<Pool>,
@@ -118,15 +118,15 @@
         self.published.clone()
     }
 
-    /// From now on gauges are kept up to date.
-    pub fn update_gauges(&mut self) {
+    /// Keeps gauges up to date from now on.
+    pub fn enable_gauge_updates(&mut self) {
         self.updates_gauges = true;
     }
 
     /// Handles events until the last sender of commands is dropped.
     ///
-    /// Timers come before ends of attempts, and those before new commands: a decision about a new request then counts
-    /// what has ended before it.
+    /// Timers are handled before ends of attempts, and those before new commands, so that a decision about a new
+    /// request takes account of everything that has ended before it.
     pub async fn run(mut self, mut commands: mpsc::Receiver<Command>) {
         let timer = sleep_until(Instant::now());
         tokio::pin!(timer);
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Time since the start, on which the router and the retry budget run.
+    /// The time since the start, as passed to the router and the retry budget.
     fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
@@ -213,9 +213,9 @@
                 self.on_session_confirmed(session, proxies);
             }
             Command::SessionStarted { session, resumed } => {
-                self.session_sync.started(session, resumed);
+                self.session_sync.on_started(session, resumed);
             }
-            Command::SessionEnded { session } => self.session_sync.ended(session),
+            Command::SessionEnded { session } => self.session_sync.on_ended(session),
             Command::ServerReachable { service, server } => {
                 self.on_server_reachable(&service, server);
             }
--- a/crates/emberpin-proxy/src/controller/probing.rs
+++ b/crates/emberpin-proxy/src/controller/probing.rs
@@ -1,5 +1,5 @@
-//! Health checks of unreachable servers: a server that takes no connection is probed until it does, and gets no
-//! requests meanwhile.
+//! Health checks of unreachable servers: a server that accepts no connection is probed until it does, and gets no
+//! requests in the meantime.
 
 use super::Controller;
 use crate::command::Command;
@@ -17,15 +17,15 @@
     max: Duration,
 }
 
-/// Backoff between probes of an unreachable server. Its initial pause bounds how soon a server that was restarted on the
-/// spot gets requests again.
+/// Backoff between probes of an unreachable server. The initial pause bounds how soon a server that restarts at the
+/// same address gets requests again.
 const PROBE_BACKOFF: Backoff = Backoff {
     initial: Duration::from_millis(200),
     max: Duration::from_millis(800),
 };
 
 impl Controller {
-    /// Takes a server that gave no sign of life out of service, and starts to probe it unless that is under way.
+    /// Takes an unreachable server out of service, and starts a health check of it unless one is running.
     pub(super) fn on_server_unreachable(&mut self, service: &str, server: ServerId) {
         let upstream = self
             .services
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Puts a server back into service that accepted a probe's connection.
+    /// Puts a server that accepted a probe's connection back into service.
     pub(super) fn on_server_reachable(&mut self, service_name: &str, server: ServerId) {
         if let Some(service) = self.services.get_mut(service_name) {
             service.mark_reachable(server);
@@ -51,7 +51,7 @@
     }
 }
 
-/// Probes a server until it accepts a connection, or until nothing may go there any more.
+/// Probes a server until it accepts a connection, or until no request may be sent to it any more.
 async fn probe_until_reachable(
     upstream: Rc<Upstream>,
     service: String,
--- a/crates/emberpin-proxy/src/controller/replies.rs
+++ b/crates/emberpin-proxy/src/controller/replies.rs
@@ -1,4 +1,4 @@
-//! Replies of the proxy's own, for requests that are not forwarded.
+//! Replies of the proxy itself, to requests that are not forwarded.
 
 use bytes::Bytes;
 use emberpin_limiter::host::{Answer, Reply, ResponseHead, ServerResponse};
@@ -18,7 +18,7 @@
     }))
 }
 
-/// A refusal of a request that has not run and never will; the client may retry after this time.
+/// A rejection of a request that has not run and never will; the client may retry after this time.
 pub(super) fn retry_later(after: Duration) -> Reply {
     Reply::Answer(Answer::Refused {
         retry_after: after.as_secs_f64() * 1000.0,
--- a/crates/emberpin-proxy/src/controller/routing.rs
+++ b/crates/emberpin-proxy/src/controller/routing.rs
@@ -1,5 +1,5 @@
-//! Routing of requests: which service a request is forwarded to, under which limits, and what becomes of requests in
-//! flight when routes change.
+//! Routing of requests: chooses the service that a request is forwarded to and the limits that apply to it, and updates
+//! requests in flight when routes change.
 
 use super::in_flight_request::InFlightRequest;
 use super::replies::{empty_response, retry_later};
@@ -16,22 +16,22 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long before the client's deadline the response must be on its way: the client counts from its sending, the
-/// proxy from the head's arrival.
+/// How long before the client's deadline the response must be on its way: the client measures from when it sends the
+/// request, the proxy from when the head arrives.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(12);
 /// Time limit of a request whose body is still being uploaded. Its route's time limit starts with the last byte of the
-/// body, which must come within this.
+/// body, which must arrive within this time.
 const UPLOAD_TIME_LIMIT: Duration = Duration::from_secs(900);
-/// `Retry-After` where no server of the route's services is known, or the retry budget is spent.
+/// `Retry-After` where no server of the route's services is known, or the retry budget is exhausted.
 const RETRY_AFTER_NO_SERVER: Duration = Duration::from_millis(300);
-/// `Retry-After` before the whole configuration has come.
+/// `Retry-After` before the whole configuration has been received.
 const RETRY_AFTER_NO_CONFIGURATION: Duration = Duration::from_millis(500);
-/// Longest idle time of a connection that carries a request which must not run twice: a server that is gone or has
-/// dropped an idle connection would leave in doubt whether the request ran, whereas a connection that comes up shows
-/// that the server is there.
+/// Longest idle time of a connection that is reused for a request that must not run twice. If the server is gone or has
+/// dropped an idle connection, it is unknown whether the request ran; a newly established connection shows that the
+/// server is there.
 const MAX_IDLE_FOR_MUTATING: Duration = Duration::from_millis(50);
 
-/// Service and route that were chosen for a request.
+/// The service and the route chosen for a request.
 struct Target {
     route: Rc<Route>,
     service: String,
@@ -40,7 +40,7 @@
 /// The reply to a request that is not forwarded to any service.
 fn rejection_reply(cause: RejectionCause) -> Reply {
     match cause {
-        // Nobody has said yet that there is no such route.
+        // The configuration that has not been received yet may contain the route.
         RejectionCause::NotConfigured => retry_later(RETRY_AFTER_NO_CONFIGURATION),
         RejectionCause::RouteNotFound => empty_response(StatusCode::NOT_FOUND),
         RejectionCause::NoServer
@@ -73,7 +73,7 @@
         self.in_flight.insert(id, in_flight);
         service.engine.on_request(call);
         self.record_sent_attempts(&name);
-        self.forget_if_finished(id);
+        self.remove_if_finished(id);
     }
 
     fn reject(&self, request: RouteRequest, cause: RejectionCause) {
@@ -103,7 +103,7 @@
         Ok(Target { route, service })
     }
 
-    /// The draw by which a request of this route gets its service. Routes with one service need none.
+    /// The draw that selects the service of a request on this route; 0 for a route with one service, which needs none.
     fn draw_for_split(&mut self, route: &Route) -> f64 {
         if route.targets.len() <= 1 {
             return 0.0;
@@ -118,8 +118,8 @@
             .map_or(0.0, DrawSequence::draw)
     }
 
-    /// Updates the route of each request in flight after a change of routes. A request whose service its route no longer
-    /// leads to is withdrawn: nothing more is written of it, and if it never ran it is routed again.
+    /// Updates the route of each request in flight after a change of routes. A request whose route no longer leads to
+    /// its service is withdrawn: no more of it is written, and if it never ran, it is routed again.
     pub(super) fn update_in_flight_routes(&mut self) {
         for request in self.in_flight.values_mut() {
             let path = request.outgoing.uri.path();
@@ -134,8 +134,8 @@
     }
 }
 
-/// Charges the retry budget for a request that is about to be routed. First attempts are counted and always allowed;
-/// a request that was withdrawn from another service after an attempt needs budget at the new one.
+/// Whether the retry budget allows a request to be routed. First attempts are counted and always allowed; a request
+/// that was withdrawn from another service after an attempt needs budget at the new one.
 fn budget_allows(
     budget: &mut RetryBudget,
     now: Duration,
@@ -157,11 +157,11 @@
     target: Target,
     class: ClassId,
 ) -> (AdmittedRequest, InFlightRequest) {
-    let patience = response_time_limit(request.deadline, target.route.timeout);
+    let response_limit = response_time_limit(request.deadline, target.route.timeout);
     let mut outgoing = request.outgoing;
     outgoing.max_idle_time = max_connection_idle(&outgoing, target.route.kind);
     let expires = match &outgoing.body {
-        RequestBody::Buffered(_) => request.arrived_at + patience,
+        RequestBody::Buffered(_) => request.arrived_at + response_limit,
         RequestBody::Uploading(_) => Instant::now() + UPLOAD_TIME_LIMIT,
     };
     let outgoing = Rc::new(outgoing);
@@ -175,7 +175,7 @@
         set_size: 1,
         set_first: GatewayId(0),
         ran: None,
-        time_limit: patience,
+        time_limit: response_limit,
         expires,
         outgoing: outgoing.clone(),
         reply_to: request.reply_to,
@@ -193,14 +193,14 @@
     (call, in_flight)
 }
 
-/// How long a response may take: the shorter of the client's and the route's limit less the margin, of which a very
-/// short limit loses no more than half.
+/// Time limit of a response: the shorter of the client's and the route's limit, less [`DEADLINE_MARGIN`], which takes
+/// no more than half of a very short limit.
 fn response_time_limit(deadline: Option<Duration>, timeout: Duration) -> Duration {
     let limit = deadline.map_or(timeout, |deadline| deadline.min(timeout));
     limit.saturating_sub(DEADLINE_MARGIN).max(limit / 2)
 }
 
-/// For how long the connection that carries a request may have been idle, where that is bounded.
+/// Longest time for which the connection that carries a request may have been idle; `None` for any time.
 fn max_connection_idle(outgoing: &UpstreamRequest, kind: RouteKind) -> Option<Duration> {
     match kind {
         // A request without an id gets a new connection: on a reused one, a late response to an earlier request
--- a/crates/emberpin-proxy/src/controller/servers.rs
+++ b/crates/emberpin-proxy/src/controller/servers.rs
@@ -1,4 +1,4 @@
-//! Changes of server instances, as the services' decision modules learn of them.
+//! Notifies the services' decision modules of changes of server instances.
 
 use super::Controller;
 use crate::random_seed::random_seed;
@@ -6,7 +6,7 @@
 use emberpin_balancer::ServerId;
 
 impl Controller {
-    /// Passes on to the decision modules what has changed about server instances since the last call.
+    /// Notifies the decision modules of all changes of server instances since the last call.
     pub(super) fn apply_endpoint_changes(&mut self) {
         for change in self.router.endpoints.take_changes() {
             let now = self.now();
@@ -44,13 +44,13 @@
         service
     }
 
-    /// A server answered 421: another process has its address. The instance gets nothing until a registry sends a later
-    /// heartbeat of it.
+    /// Handles a response with status 421: another process has the instance's address. The instance gets no requests
+    /// until a registry sends a later heartbeat of it.
     pub(super) fn on_request_misdirected(&mut self, service: &str, server: ServerId) {
         let instance = self
             .services
             .get(service)
-            .and_then(|service| service.instance(server));
+            .and_then(|service| service.instance_id(server));
         if let Some(instance) = instance {
             self.router.endpoints.mark_misdirected(instance);
         }
--- a/crates/emberpin-proxy/src/controller/slow_start.rs
+++ b/crates/emberpin-proxy/src/controller/slow_start.rs
@@ -4,15 +4,16 @@
 use crate::service::Endpoint;
 
 impl Controller {
-    /// Checks all warming instances again: their shares are per second, so time alone may admit a request.
+    /// Checks all warming instances again: their shares are per second, so the passing of time alone may admit a
+    /// request.
     pub(super) fn refresh_warming_instances(&mut self) {
         for id in self.warming_instances.clone() {
             self.refresh_slow_start(&id);
         }
     }
 
-    /// Checks all instances that are warming up now, also those that were not before: the servers of a zone whose
-    /// evacuation has ended start cold.
+    /// Checks all instances that are warming up now, including those that were not before: the servers of a zone have
+    /// to warm up again when its evacuation ends.
     pub(super) fn refresh_returned_instances(&mut self) {
         let now = self.now();
         let instances: Vec<String> = self
--- a/crates/emberpin-proxy/src/controller/zone_table.rs
+++ b/crates/emberpin-proxy/src/controller/zone_table.rs
@@ -1,6 +1,6 @@
-//! The indexes under which decision modules know zones.
+//! The indexes by which decision modules identify zones.
 
-/// Zones by the index under which decision modules know them. An index is never reused.
+/// Zone names by the index with which decision modules identify zones. An index is never reused.
 pub(super) struct ZoneTable {
     names: Vec<String>,
 }
--- a/crates/emberpin-proxy/src/error.rs
+++ b/crates/emberpin-proxy/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the proxy could not start, or ended before it was asked to.
+//! Errors that prevent the proxy from starting, or end it without a request to shut down.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,10 +15,10 @@
     /// A signal handler could not be installed.
     #[error("could not install a signal handler: {0}")]
     Signal(#[source] io::Error),
-    /// The proxy could not listen on one of its addresses; another process may hold it.
+    /// The proxy could not listen on one of its addresses; another process may be using it.
     #[error("could not listen on {address}: {error}")]
     Listen {
-        /// Where, as the settings say.
+        /// The address, as stated in the settings.
         address: SocketAddr,
         /// What the operating system reported.
         #[source]
@@ -27,7 +27,7 @@
     /// The metrics of the limiter's library could not be registered.
     #[error("could not register metrics: {0}")]
     Metrics(String),
-    /// A task that runs for as long as the process has ended.
+    /// A task that must run for the lifetime of the process has ended.
     #[error("the {0} task ended unexpectedly")]
     TaskEnded(&'static str),
 }
--- a/crates/emberpin-proxy/src/frontend/mod.rs
+++ b/crates/emberpin-proxy/src/frontend/mod.rs
@@ -1,4 +1,4 @@
-//! The clients' side: receives requests, has the controller route them, and writes the one response to each.
+//! The clients' side: receives requests, has the controller route them, and writes one response to each.
 
 mod pending_reply;
 mod readiness;
@@ -30,21 +30,21 @@
 
 /// Longest time for which a client may send nothing of a body that it is uploading.
 const UPLOAD_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often that is checked.
+/// How often the idle time of an upload is checked.
 const UPLOAD_IDLE_CHECK_PERIOD: Duration = Duration::from_millis(500);
 /// Longest wait of a streamed response for one of the download slots.
 const DOWNLOAD_SLOT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// `Retry-After` of a request whose body would need an upload slot while all are taken.
+/// `Retry-After` of a request whose body would need an upload slot while all are in use.
 const RETRY_AFTER_NO_UPLOAD_SLOT: Duration = Duration::from_millis(500);
-/// Fewest slots for streamed bodies in each direction, however little memory there is.
+/// Lower bound of the slots for streamed bodies in each direction, however little memory there is.
 const MIN_STREAM_SLOTS: usize = 4;
 
 /// Handles the requests of all clients.
 pub struct ClientFrontend {
     published: Rc<PublishedState>,
     commands: mpsc::Sender<Command>,
-    /// Wraps around; a number is free again long before.
-    next_request: Cell<u32>,
+    /// Id of the next request. Wraps around; by then, the earlier request with the same id has long ended.
+    next_request_id: Cell<u32>,
     figures: Arc<Figures>,
     metrics: Rc<ProxyMetrics>,
     /// Slots for request bodies that are streamed to a server, each of which holds a buffer.
@@ -75,7 +75,7 @@
         Rc::new(ClientFrontend {
             published,
             commands,
-            next_request: Cell::new(0),
+            next_request_id: Cell::new(0),
             figures,
             metrics,
             upload_slots: slots(),
@@ -109,7 +109,8 @@
         request: Request<Incoming>,
         connection: &Connection,
     ) -> Result<ReceivedRequest, Rejection> {
-        // Request smuggling: a body framed in two ways could hide another request from whoever follows the other one.
+        // Request smuggling: a body with two contradictory framings could hide another request, which a server that
+        // follows the other framing would run.
         if connection.is_doubtful() {
             return Err(StatusCode::BAD_REQUEST.into());
         }
@@ -149,7 +150,8 @@
         })
     }
 
-    /// Buffers a short body; of a longer one its beginning, to be streamed in one of the upload slots.
+    /// Buffers a short body. Of a longer one, only the beginning is buffered; the rest is streamed, which takes an
+    /// upload slot.
     async fn receive_body(
         &self,
         body: Incoming,
@@ -178,11 +180,11 @@
         Ok(RequestBody::Uploading(Rc::new(upload)))
     }
 
-    /// Has the controller route a request, and waits for the one reply.
+    /// Has the controller route a request, and waits for the reply.
     async fn forward(&self, request: ReceivedRequest) -> Result<Reply, StatusCode> {
         let id = RequestId(
-            self.next_request
-                .replace(self.next_request.get().wrapping_add(1)),
+            self.next_request_id
+                .replace(self.next_request_id.get().wrapping_add(1)),
         );
         let upload = match &request.outgoing.body {
             RequestBody::Buffered(_) => None,
@@ -197,7 +199,7 @@
                     biased;
                     () = upload.exceeded() => Err(StatusCode::PAYLOAD_TOO_LARGE),
                     reply = reply => Ok(reply),
-                    () = upload_idle(upload) => return Err(StatusCode::BAD_REQUEST),
+                    () = wait_until_upload_idle(upload) => return Err(StatusCode::BAD_REQUEST),
                 }
             }
         };
@@ -242,7 +244,7 @@
                 let slot = self.download_slots.clone().acquire_owned();
                 match timeout(DOWNLOAD_SLOT_TIMEOUT, slot).await {
                     Ok(Ok(slot)) => return passed_on(passing, active, connection.clone(), slot),
-                    // No slot came free. Nothing of the response has been written yet, so it can still fail cleanly.
+                    // No slot became free. Nothing of the response has been written yet, so it can still fail cleanly.
                     Ok(Err(_)) | Err(_) => plain(StatusCode::BAD_GATEWAY),
                 }
             }
@@ -269,9 +271,9 @@
     }
 }
 
-/// Returns once the client has sent nothing of its body for too long. A slow client keeps its upload slot, a silent one
-/// loses it.
-async fn upload_idle(upload: &Upload) {
+/// Returns once the client has sent nothing of its body for [`UPLOAD_IDLE_TIMEOUT`]. A slow client keeps its upload
+/// slot, a silent one loses it.
+async fn wait_until_upload_idle(upload: &Upload) {
     while upload.silence() < UPLOAD_IDLE_TIMEOUT {
         sleep(UPLOAD_IDLE_CHECK_PERIOD).await;
     }
--- a/crates/emberpin-proxy/src/frontend/pending_reply.rs
+++ b/crates/emberpin-proxy/src/frontend/pending_reply.rs
@@ -5,8 +5,8 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// A request that the controller owes a reply. When it is dropped unanswered, which happens with the connection of a
-/// client that disconnects, the controller is notified and cancels the request.
+/// A request whose reply from the controller is pending. When this is dropped before the reply, as it is together with
+/// the connection of a client that disconnects, the controller is notified and cancels the request.
 pub(super) struct PendingReply {
     commands: mpsc::Sender<Command>,
     id: RequestId,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The reply has come; nothing is left to cancel.
+    /// Records that the reply has been received, so that nothing is left to cancel.
     pub(super) fn set_answered(&mut self) {
         self.answered = true;
     }
--- a/crates/emberpin-proxy/src/frontend/readiness.rs
+++ b/crates/emberpin-proxy/src/frontend/readiness.rs
@@ -1,4 +1,4 @@
-//! The readiness endpoint, from which the platform learns whether to direct new connections to this proxy.
+//! The readiness endpoint, by which the platform decides whether to direct new connections to this proxy.
 
 use crate::published_state::PublishedState;
 use emberpin_limiter::host::{plain, Connection, Content, RequestHandler};
--- a/crates/emberpin-proxy/src/frontend/request_head.rs
+++ b/crates/emberpin-proxy/src/frontend/request_head.rs
@@ -1,4 +1,4 @@
-//! What the proxy reads from a request's head before it routes the request.
+//! Properties of a request's head that the proxy needs before it routes the request: host, size and deadline.
 
 use crate::wire::DEADLINE;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, HOST};
@@ -38,7 +38,7 @@
 ///
 /// # Errors
 ///
-/// 400 if the header is no number of milliseconds, at least 0.
+/// 400 if the header is not a number of milliseconds that is at least 0.
 pub(super) fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, StatusCode> {
     let Some(value) = headers.get(DEADLINE) else {
         return Ok(None);
--- a/crates/emberpin-proxy/src/frontend/response.rs
+++ b/crates/emberpin-proxy/src/frontend/response.rs
@@ -5,7 +5,7 @@
 use hyper::{Response, StatusCode};
 use std::time::Duration;
 
-/// A response of the frontend's own, to a request that was not forwarded or got no reply.
+/// A response of the frontend itself, to a request that was not forwarded or got no reply.
 pub(super) enum Rejection {
     Status(StatusCode),
     /// 503; the request has not run and never will, and the client may retry after this time.
--- a/crates/emberpin-proxy/src/lib.rs
+++ b/crates/emberpin-proxy/src/lib.rs
@@ -1,11 +1,12 @@
 //! The gateway's proxy: forwards clients' requests to the servers of their services.
 //!
-//! It takes no decision of its own: which service a request is for is decided by `emberpin-routing`, which of its
-//! servers gets it, whether it is retried and what is shed by `emberpin-balancer`, of which each service has one module.
-//! Sockets are those of the limiter's library (`emberpin_limiter::host`), with the gateway's headers.
+//! It makes no decision of its own. `emberpin-routing` decides which service a request is for. `emberpin-balancer`
+//! decides which of the service's servers gets it, whether it is retried and when load is shed; each service has an
+//! instance of it, called its decision module. Sockets are handled by the limiter's library (`emberpin_limiter::host`),
+//! with the gateway's headers.
 //!
 //! ```text
-//! client ─ reception ─ frontend ─ controller (routes, endpoints, retry budget; one service each) ─ pool ─ server
+//! client ─ reception ─ frontend ─ controller (routes, endpoints, retry budget, services) ─ pool ─ server
 //!                                     │
 //!                                 registry sessions ─ two registries
 //! ```
@@ -46,11 +47,11 @@
 
 pub use error::ProxyError;
 
-/// Commands that may wait for the controller; a sender of more waits itself.
+/// Capacity of the controller's command queue; senders wait while it is full.
 const MAX_QUEUED_COMMANDS: usize = 1024;
-/// Connections to the readiness endpoint.
+/// Maximum number of connections to the readiness endpoint.
 const MAX_READINESS_CONNECTIONS: usize = 32;
-/// MiB of the memory limit for each body that may be streamed at a time in each direction.
+/// MiB of the memory limit per stream slot. Each slot allows one body in each direction to be streamed at a time.
 const MIB_PER_STREAM_SLOT: usize = 4;
 
 /// Runs the proxy on this thread until it is terminated, and serves metrics if there is an endpoint for them.
@@ -74,14 +75,14 @@
         published,
         reception,
         sessions,
-        controller,
-        accepting,
+        controller_task,
+        accept_task,
     } = proxy;
     tokio::select! {
         _ = signals.terminate.recv() => {}
         () = reload_on_hangup(&mut signals.hangup, &sessions) => {}
-        _ = controller => return Err(ProxyError::TaskEnded("controller")),
-        _ = accepting => return Err(ProxyError::TaskEnded("reception")),
+        _ = controller_task => return Err(ProxyError::TaskEnded("controller")),
+        _ = accept_task => return Err(ProxyError::TaskEnded("reception")),
     }
     log::info!("graceful shutdown begins: grace={grace:?}");
     drain(&published, &reception, grace).await;
@@ -93,22 +94,23 @@
     published: Rc<PublishedState>,
     reception: Rc<Reception>,
     sessions: Rc<RegistrySessions>,
-    controller: JoinHandle<()>,
-    accepting: JoinHandle<()>,
+    controller_task: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 }
 
 impl Proxy {
-    /// Composes the parts. Sockets listen first, so that nothing runs if an address is taken; the controller exists
-    /// before the frontend and the sessions, which send it commands.
+    /// Composes the parts. Sockets listen first, so that nothing is started if an address is in use; the controller
+    /// exists before the frontend and the sessions, which send it commands.
     fn start(settings: Settings, endpoint: Option<MetricsEndpoint>) -> Result<Proxy, ProxyError> {
-        let http = settings
+        let http_address = settings
             .http_address
             .ok_or(ProxyError::MissingSetting("network.listen.http"))?;
-        let readyz = settings
+        let readiness_address = settings
             .readiness_address
             .ok_or(ProxyError::MissingSetting("network.listen.readyz"))?;
-        let (http, readyz) = (listen(http)?, listen(readyz)?);
-        let budget = ConnectionBudget::of(settings.max_open_files);
+        let (http_listener, readiness_listener) =
+            (listen(http_address)?, listen(readiness_address)?);
+        let budget = ConnectionBudget::from_descriptor_limit(settings.max_open_files);
         let figures = Figures::new(&["all".to_string()]).map_err(ProxyError::Metrics)?;
         let socket_budget = Rc::new(SocketBudget::new(None));
         let pool = start_pool(budget.servers, &figures, &socket_budget);
@@ -129,7 +131,7 @@
             metrics.clone(),
         );
         if let Some(endpoint) = endpoint {
-            controller.update_gauges();
+            controller.enable_gauge_updates();
             tokio::spawn(metrics_server::serve(settings.ip, endpoint, set));
         }
         let published = controller.published_state();
@@ -141,16 +143,16 @@
             metrics,
             stream_slots,
         );
-        let accepting = spawn_local(reception.clone().accept(frontend, http, false));
-        serve_readiness(published.clone(), readyz, socket_budget);
+        let accept_task = spawn_local(reception.clone().accept(frontend, http_listener, false));
+        serve_readiness(published.clone(), readiness_listener, socket_budget);
         let sessions = RegistrySessions::start(settings, commands);
-        let controller = spawn_local(controller.run(queued_commands));
+        let controller_task = spawn_local(controller.run(queued_commands));
         Ok(Proxy {
             published,
             reception,
             sessions,
-            controller,
-            accepting,
+            controller_task,
+            accept_task,
         })
     }
 }
--- a/crates/emberpin-proxy/src/listener.rs
+++ b/crates/emberpin-proxy/src/listener.rs
@@ -8,7 +8,7 @@
 /// Connections that may wait to be accepted.
 const LISTEN_BACKLOG: u32 = 512;
 
-/// Listens on this address.
+/// Opens a listening socket on this address.
 ///
 /// # Errors
 ///
--- a/crates/emberpin-proxy/src/metrics.rs
+++ b/crates/emberpin-proxy/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The proxy's metrics. They are counted where things happen, on the proxy's thread; a scrape reads atomics.
+//! The proxy's metrics. They are updated on the proxy's thread, where the counted events occur; a scrape reads atomics.
 
 use emberpin_balancer::Outcome;
 use emberpin_runtime::metrics::MetricSet;
@@ -8,8 +8,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Services that have a label of their own. Names come from the configuration, never from clients; those beyond this many
-/// share [`OTHER_SERVICES`].
+/// Maximum number of services with a label of their own; all further services share [`OTHER_SERVICES`]. Names come from
+/// the configuration, never from clients.
 const MAX_SERVICE_LABELS: usize = 64;
 /// The label of services beyond [`MAX_SERVICE_LABELS`].
 const OTHER_SERVICES: &str = "other";
@@ -17,17 +17,17 @@
 /// Why the proxy rejected a request itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionCause {
-    /// No configuration has come yet.
+    /// The whole configuration has not been received yet.
     NotConfigured,
     /// No route matches.
     RouteNotFound,
-    /// No server of the route's services may get it.
+    /// No server of the route's services may get the request.
     NoServer,
-    /// The limit of attempts or the retry budget is spent.
+    /// The limit of attempts or the retry budget is exhausted.
     RetryBudget,
-    /// The proxy is about to end.
+    /// The proxy is about to exit.
     ShuttingDown,
-    /// The request is invalid or exceeds a limit of the configuration, or its body stopped coming.
+    /// The request is invalid or exceeds a limit of the configuration, or its body stopped arriving.
     Request,
 }
 
@@ -53,7 +53,7 @@
     attempts: IntCounterVec,
     retries: IntCounterVec,
     servers: IntGaugeVec,
-    /// Requests that are owed a reply or have an attempt at a server.
+    /// Requests whose reply is pending, or that have an attempt at a server.
     pub requests_in_flight: IntGauge,
     /// Instances that are warming up.
     pub warming_instances: IntGauge,
@@ -61,7 +61,7 @@
     pub evacuated_zones: IntGauge,
     /// 1 while the proxy is ready, else 0.
     pub ready: IntGauge,
-    /// Proxies that share the servers, as a registry counted last.
+    /// Proxies that share the servers, as last counted by a registry.
     pub proxies: IntGauge,
     /// The services that have a label of their own.
     labelled_services: RefCell<BTreeSet<String>>,
@@ -157,7 +157,7 @@
         self.retries.with_label_values(&[label]).inc();
     }
 
-    /// Sets how many servers of a service may get requests, and how many are known besides.
+    /// Sets how many servers of a service may get requests, and how many others are known.
     pub fn set_servers(&self, service: &str, available: usize, unavailable: usize) {
         let label = self.service_label(service);
         for (state, count) in [("available", available), ("unavailable", unavailable)] {
@@ -192,7 +192,7 @@
     }
 }
 
-/// A number of things as gauges have it.
+/// Converts a count to the value of a gauge; a count beyond the gauge's range becomes its largest value.
 pub fn gauge_value(count: usize) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
--- a/crates/emberpin-proxy/src/published_state.rs
+++ b/crates/emberpin-proxy/src/published_state.rs
@@ -3,7 +3,7 @@
 
 use std::cell::Cell;
 
-/// Longest request body before the configuration states `body_max_bytes`.
+/// Longest request body, in bytes, until the configuration states `body_max_bytes`.
 const DEFAULT_MAX_BODY_BYTES: u64 = 64 << 20;
 
 /// Readiness and the size limits of requests, shared by the controller and the request handlers on one thread.
@@ -38,7 +38,7 @@
         self.ready.replace(true)
     }
 
-    /// Begins graceful shutdown: readiness is withdrawn, and attempts are no longer given up early for a retry.
+    /// Begins graceful shutdown: readiness is withdrawn, and attempts are no longer abandoned early for a retry.
     pub fn start_draining(&self) {
         self.draining.set(true);
     }
@@ -48,22 +48,22 @@
         self.draining.get()
     }
 
-    /// From now on requests are rejected, as too little of the grace period is left to finish them.
+    /// Rejects requests from now on, as too little of the grace period is left to finish them.
     pub fn start_rejecting_requests(&self) {
         self.rejects_requests.set(true);
     }
 
-    /// Whether requests are rejected because the process is about to end.
+    /// Whether requests are rejected because the process is about to exit.
     pub fn rejects_requests(&self) -> bool {
         self.rejects_requests.get()
     }
 
-    /// Longest request body that is accepted.
+    /// Longest request body that is accepted, in bytes.
     pub fn max_body_bytes(&self) -> u64 {
         self.max_body_bytes.get()
     }
 
-    /// Longest request head that is accepted.
+    /// Longest request head that is accepted, in bytes.
     pub fn max_head_bytes(&self) -> u64 {
         self.max_head_bytes.get()
     }
--- a/crates/emberpin-proxy/src/random_seed.rs
+++ b/crates/emberpin-proxy/src/random_seed.rs
@@ -1,6 +1,6 @@
 //! Seeds for the pseudo-random generators of this process.
 
-/// Seed of a generator whose system source failed. Any number serves: draws only spread load.
+/// Seed of a generator if the system's random source fails. Any number will do, since draws only spread load.
 const FALLBACK_SEED: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Draws a seed from the system's random source, or returns [`FALLBACK_SEED`] where that fails.
--- a/crates/emberpin-proxy/src/registry_sessions/mod.rs
+++ b/crates/emberpin-proxy/src/registry_sessions/mod.rs
@@ -18,22 +18,22 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Concurrent sessions. With two, one registry may be in a minority of the core, or fail, and changes still arrive in
-/// time.
+/// Number of concurrent sessions. With two, one registry may be in a minority of the core, or fail, and changes still
+/// arrive in time.
 const SESSION_COUNT: usize = 2;
-/// A session that lasted for this many leases resets the backoff before the next one.
-const LEASES_OF_A_STABLE_SESSION: u32 = 2;
+/// A session that lasted for longer than this many lease durations resets the backoff before the next one.
+const STABLE_SESSION_LEASES: u32 = 2;
 
 /// Keeps the sessions of this process established.
 pub struct RegistrySessions {
     shared: SharedState,
     random: RefCell<oorandom::Rand32>,
-    /// The settings file is to be read again before the next session.
+    /// Whether the settings file must be read again before the next session.
     settings_stale: Cell<bool>,
 }
 
 impl RegistrySessions {
-    /// Starts the sessions. They are re-established for as long as the controller takes commands.
+    /// Starts the sessions. They are re-established for as long as the controller accepts commands.
     pub fn start(settings: Settings, commands: mpsc::Sender<Command>) -> Rc<RegistrySessions> {
         let sessions = Rc::new(RegistrySessions {
             shared: SharedState::new(settings, commands, random_seed()),
@@ -66,7 +66,7 @@
             if !self.run_session(session, registry).await {
                 return;
             }
-            if self.shared.now() > started + LEASES_OF_A_STABLE_SESSION * PROXY_LEASE_DURATION {
+            if self.shared.now() > started + STABLE_SESSION_LEASES * PROXY_LEASE_DURATION {
                 backoff = RECONNECT_BACKOFF.initial;
             }
             // The file may have changed without a SIGHUP, and a proxy without a session may need its new seeds.
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Runs one session until it ends. Returns whether the controller still takes commands.
+    /// Runs one session until it ends. Returns whether the controller still accepts commands.
     async fn run_session(&self, id: SessionId, registry: Ipv4Addr) -> bool {
         let session = Session::new(&self.shared, id, registry);
         let error = session.run().await;
--- a/crates/emberpin-proxy/src/registry_sessions/session.rs
+++ b/crates/emberpin-proxy/src/registry_sessions/session.rs
@@ -1,4 +1,4 @@
-//! One session with one registry: the handshake, keep-alives with the lease that they renew, and the updates received.
+//! One session with one registry: the handshake, the keep-alives that renew the lease, and the updates received.
 
 use super::shared::SharedState;
 use crate::command::{Command, SessionId};
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Whether what the registry sent is recent enough to act on.
+    /// Whether the state that the registry sent is recent enough to act on.
     pub(super) fn confirmation(&self, now: Timestamp) -> Confirmation {
         if self.lease.borrow().is_confirmed(now) {
             Confirmation::Confirmed
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Exchanges preambles, says who this proxy is, and exchanges messages until the connection ends.
+    /// Exchanges preambles, sends the hello, and exchanges messages until the connection ends.
     async fn serve(
         &self,
         reader: &mut OwnedReadHalf,
@@ -114,7 +114,8 @@
         process.send_preamble(writer).await?;
         frames::write(writer, &ConnectionRole::Proxy).await?;
         let hello = frames::encode(hello)?;
-        // One frame is the same in each version, and does not wait for that of the registry.
+        // A hello of one frame is encoded alike in each version, and is sent without waiting for the registry's
+        // version.
         let waits_for_version = frames::is_split(&hello);
         if !waits_for_version {
             write_all(writer, &hello).await?;
@@ -130,7 +131,8 @@
         }
     }
 
-    /// The first message of a session: who this proxy is, what it knows, and where it resumes.
+    /// The first message of a session: this proxy's identity, the instances that it knows, and the revision at which it
+    /// resumes.
     async fn hello(&self, name: String, zone: String) -> Result<FromProxy, SessionError> {
         let instances = self.known_instances().await?;
         Ok(FromProxy::Hello {
@@ -162,7 +164,7 @@
         progress.complete_revision(self.registry)
     }
 
-    /// Sends a keep-alive in each period, and asks for the next part of the snapshot whenever `fetch_snapshot_part` is
+    /// Sends a keep-alive in each period, and requests the next part of the snapshot whenever `fetch_snapshot_part` is
     /// notified.
     async fn send(&self, writer: &mut OwnedWriteHalf) -> Result<Infallible, ConnectionError> {
         let mut keep_alives = interval(KEEP_ALIVE_INTERVAL);
@@ -191,7 +193,7 @@
         Some(FromProxy::FetchSnapshotPart { after })
     }
 
-    /// Returns once what the registry sent is too old to act on.
+    /// Returns once the lease has expired, when the state that the registry sent is too old to act on.
     async fn lease_expired(&self) {
         while !self.lease.borrow().is_expired(self.shared.now()) {
             sleep(LEASE_CHECK_INTERVAL).await;
@@ -232,7 +234,8 @@
         let mut progress = self.shared.progress.borrow_mut();
         progress.advance(self.registry, update);
         let is_snapshot = !matches!(update, ToProxy::Changes { .. });
-        // The first changes of a resumed session may leave a snapshot that an earlier session did not finish.
+        // After the first changes of a resumed session, a snapshot that an earlier session began may still be
+        // incomplete.
         if is_snapshot || is_first {
             let now = self.shared.now();
             self.lease.borrow_mut().on_snapshot_progress(now);
@@ -249,7 +252,7 @@
         message
     }
 
-    /// Takes the answer to a keep-alive. Returns whether it confirms that what the registry sent is recent.
+    /// Handles the reply to a keep-alive. Returns whether it confirms that the state that the registry sent is recent.
     fn renew_lease(
         &self,
         nonce: Nonce,
--- a/crates/emberpin-proxy/src/registry_sessions/shared.rs
+++ b/crates/emberpin-proxy/src/registry_sessions/shared.rs
@@ -15,13 +15,13 @@
 pub(super) struct SharedState {
     pub(super) settings: RefCell<Settings>,
     pub(super) commands: mpsc::Sender<Command>,
-    /// Drawn at the start of the process; tells registries a restarted proxy from the one before.
+    /// Drawn at the start of the process; registries distinguish a restarted proxy from the previous process by it.
     pub(super) incarnation: Incarnation,
     pub(super) process: ProcessIdentity,
     /// Origin of the clock for leases and candidates.
     started_at: Instant,
     pub(super) candidates: RefCell<RegistryCandidates>,
-    /// Kept across sessions, so that one with a known registry resumes where the last one ended.
+    /// Kept across sessions, so that a session with a known registry resumes where the last one with it ended.
     pub(super) progress: RefCell<ReplicationProgress>,
 }
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Time since the start, on which leases and candidates run.
+    /// The time since the start, as used for leases and candidates.
     pub(super) fn now(&self) -> Timestamp {
         Timestamp::ZERO + self.started_at.elapsed()
     }
--- a/crates/emberpin-proxy/src/service/endpoint.rs
+++ b/crates/emberpin-proxy/src/service/endpoint.rs
@@ -3,14 +3,14 @@
 use emberpin_balancer::{Server, ServerId, ServerStatus};
 use emberpin_routing::{Availability, EndpointChange};
 
-/// A server instance, as registries and slow start have it.
+/// A server instance, with its state according to registries and slow start.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Address, capacity and availability, as registries say.
+    /// Address, capacity and availability, as reported by registries.
     pub change: EndpointChange,
     /// Index of its zone; 0 is the proxy's own.
     pub zone: usize,
-    /// Slow start admits another request of this proxy, or the instance is warm.
+    /// Whether slow start admits another request of this proxy, or the instance is warm.
     pub admitted: bool,
 }
 
@@ -19,7 +19,7 @@
         self.change.availability == Availability::Available
     }
 
-    /// Requests that it works on at once, at least 1.
+    /// Requests that the instance processes concurrently, at least 1.
     pub(super) fn slots(&self) -> u32 {
         self.change.slots.max(1)
     }
@@ -28,9 +28,9 @@
 /// An endpoint that the decision module knows.
 pub(super) struct KnownEndpoint {
     pub(super) endpoint: Endpoint,
-    /// Number under which the decision module knows it.
+    /// Id by which the decision module knows it.
     pub(super) server: ServerId,
-    /// It accepted no connection or gave no sign of life, and a health check is under way.
+    /// Whether it accepted no connection or acknowledged nothing, so that a health check is under way.
     pub(super) unreachable: bool,
 }
 
@@ -40,10 +40,10 @@
         self.endpoint.is_available() && self.endpoint.admitted && !self.unreachable
     }
 
-    /// The endpoint as the decision module's membership list has it. One that is out of service for now counts as
-    /// draining there: it stays known, and gets no new requests.
+    /// The endpoint's entry in the decision module's membership list. An endpoint that is temporarily out of service is
+    /// listed as draining: it stays known, and gets no new requests.
     pub(super) fn membership_entry(&self) -> Server {
-        let condition = match self.endpoint.change.availability {
+        let server_status = match self.endpoint.change.availability {
             Availability::Removed => ServerStatus::Removed,
             Availability::Available if self.is_in_service() => ServerStatus::InService,
             Availability::Available | Availability::Draining => ServerStatus::Draining,
@@ -55,7 +55,7 @@
             cell: 0,
             capacity: f64::from(self.endpoint.slots()),
             started_at: None,
-            status: condition,
+            status: server_status,
         }
     }
 }
--- a/crates/emberpin-proxy/src/service/mod.rs
+++ b/crates/emberpin-proxy/src/service/mod.rs
@@ -21,12 +21,14 @@
 pub use endpoint::Endpoint;
 pub use traffic_class::ClassCounts;
 
-/// Attempts in flight, for each slot of the servers, up to which this proxy never calls itself congested: as many at work
-/// as waiting. A request that waits then waits for about one usual response, for which every latency target has time.
+/// Attempts in flight per slot of the servers up to which this proxy is never considered congested: as many queued as
+/// being processed. A queued request then waits for about one typical response, for which every latency target has
+/// time.
 const UNCONGESTED_ATTEMPTS_PER_SLOT: f64 = 2.0;
-/// Lower bound of that number for one proxy: a smaller one would be exceeded by chance alone.
+/// Lower bound of one proxy's congestion threshold, in attempts in flight: a smaller one would be exceeded by chance
+/// alone.
 const MIN_UNCONGESTED_ATTEMPTS: f64 = 3.0;
-/// Grid on which the timers of all decision modules fall, so that they do not each wake the process for themselves.
+/// Grid to which the timers of all decision modules are aligned, so that they do not wake the process separately.
 const TIMER_GRID: Duration = Duration::from_millis(100);
 
 /// The servers of one service, and the decision module that distributes its requests over them.
@@ -37,13 +39,13 @@
     classes: TrafficClasses,
     /// Instances that the decision module knows, by instance id.
     endpoints: BTreeMap<String, KnownEndpoint>,
-    /// Instance ids by the number under which the decision module knows them.
+    /// Instance ids by the decision module's id of the server.
     instance_ids: BTreeMap<ServerId, String>,
-    /// Numbers are never reused, so that a late event cannot be taken for one of another instance.
+    /// Server ids are never reused, so that a late event cannot be attributed to another instance.
     last_server_id: u32,
     /// Proxies that share the servers, at least 1.
     proxy_count: u32,
-    /// Endpoints that are available as far as registries say, whether or not they are reachable from here.
+    /// Endpoints that registries report as available, whether or not they are reachable from this proxy.
     available_count: usize,
 }
 
@@ -61,7 +63,7 @@
         let mut engine = Engine::new(gateway, clock, inputs);
         // A 503 of the gateway promises its client that the request has not run.
         engine.reject_only_unexecuted = true;
-        // The controller gives up overdue attempts, only where its limits allow a retry.
+        // The controller abandons overdue attempts itself, and only where its limits allow a retry.
         engine.overdue_attempts = OverdueAttempts::Report;
         engine.timer_grid = Some(TimerGrid {
             origin: started_at,
@@ -84,13 +86,13 @@
         self.classes.class_of(route, &mut self.engine.gateway)
     }
 
-    /// Frees the traffic classes that none of `routes` has, which must be all routes in force and all routes of requests
-    /// in flight. What was learned of a freed class is forgotten.
+    /// Frees the traffic classes that none of `routes` uses. `routes` must contain all routes in force and all routes
+    /// of requests in flight. The statistics of a freed class are discarded.
     pub fn retain_classes<'a>(&mut self, routes: impl Iterator<Item = &'a Route>) {
         self.classes.retain(routes);
     }
 
-    /// How large the tables of traffic classes are.
+    /// The sizes of the tables of traffic classes.
     pub fn class_counts(&self) -> ClassCounts {
         self.classes.counts(&self.engine.gateway)
     }
@@ -100,12 +102,12 @@
         self.endpoints.is_empty()
     }
 
-    /// Whether some endpoint is available, as far as registries say.
+    /// Whether registries report any endpoint as available.
     pub fn has_available_server(&self) -> bool {
         self.available_count > 0
     }
 
-    /// How many endpoints are available, as far as registries say, and how many are known besides.
+    /// How many endpoints registries report as available, and how many others are known.
     pub fn server_counts(&self) -> (usize, usize) {
         let unavailable = self.endpoints.len().saturating_sub(self.available_count);
         (self.available_count, unavailable)
@@ -117,8 +119,8 @@
         self.update_min_congestion_threshold();
     }
 
-    /// Id of the instance that the decision module knows under this number.
-    pub fn instance(&self, server: ServerId) -> Option<&str> {
+    /// Id of the instance that the decision module knows by this server id.
+    pub fn instance_id(&self, server: ServerId) -> Option<&str> {
         self.instance_ids.get(&server).map(String::as_str)
     }
 
@@ -147,8 +149,8 @@
         let was_available = known.is_some_and(|known| known.endpoint.is_available());
         let moved =
             known.is_some_and(|known| known.endpoint.change.address != endpoint.change.address);
-        // Closing the connections ends the health check. The endpoint counts as reachable again, and an attempt shows
-        // whether it is, once it is available.
+        // Closing the connections ends the health check. The endpoint then counts as reachable again; once it is
+        // available, an attempt shows whether it is.
         let unreachable = known.is_some_and(|known| known.unreachable) && available && !moved;
         let server = match known {
             Some(known) => known.server,
@@ -187,13 +189,14 @@
         if self.engine.upstreams.contains_key(&server) {
             return;
         }
-        let place = ServerInstance {
+        let server_instance = ServerInstance {
             address: endpoint.change.address,
             boot_ms: 0.0,
         };
-        // An instance whose id no header can carry cannot be named in a request, so nothing is ever sent to it.
+        // An instance whose id is not a valid header value cannot be named in a request, so nothing is ever sent to it.
         if let Ok(instance) = HeaderValue::try_from(endpoint.change.id.as_str()) {
-            let upstream = Upstream::of_instance(place, Some(instance), self.pool.clone());
+            let upstream =
+                Upstream::of_instance(server_instance, Some(instance), self.pool.clone());
             self.engine.upstreams.insert(server, upstream);
         }
     }
@@ -242,7 +245,7 @@
     }
 
     /// Sets the lower bound of the number of attempts in flight above which the decision module calls this proxy
-    /// congested: its share of what the servers in service bear by their own account.
+    /// congested: its share of the requests that the servers in service accept according to their reported slots.
     fn update_min_congestion_threshold(&mut self) {
         let in_service = self
             .endpoints
--- a/crates/emberpin-proxy/src/service/settings.rs
+++ b/crates/emberpin-proxy/src/service/settings.rs
@@ -1,15 +1,16 @@
-//! Settings of a service's decision module. The proxy uses it to balance load, retry and shed; quotas, clustering with
-//! other gateways, hedging and probing are switched off.
+//! Settings of a service's decision module. The proxy uses it to balance load, to retry and to shed load; quotas,
+//! clustering with other gateways, hedging and probing are switched off.
 
 use emberpin_balancer::{GatewayId, Plan, Settings, SlowStart};
 use std::time::Duration;
 
-/// Attempts of one request for which the decision module may choose a server. The limit that counts is the route's,
-/// which the controller enforces.
+/// Maximum number of attempts of one request for which the decision module chooses a server. The effective limit is the
+/// route's, which the controller enforces.
 const MAX_ATTEMPTS: u32 = 8;
-/// Longest time after which a client is told to retry.
+/// Longest `Retry-After` that the decision module requests of a client.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(2_000);
-/// How many times slower a server of another zone is taken to be than it is: traffic between zones is charged for.
+/// Factor by which the decision module considers a server in another zone slower than it is, since traffic between
+/// zones is charged for.
 const CROSS_ZONE_PENALTY: f64 = 2.0;
 
 /// Settings for a decision module without traffic classes.
@@ -51,8 +52,8 @@
     }
 }
 
-/// Slow start is the router's: its limit is in requests per second over all proxies, which one decision module cannot
-/// count.
+/// Slow start is left to the router: its limit is in requests per second over all proxies, which one decision module
+/// cannot count.
 fn no_slow_start() -> SlowStart {
     SlowStart {
         initial_capacity: 1.0,
--- a/crates/emberpin-proxy/src/service/traffic_class.rs
+++ b/crates/emberpin-proxy/src/service/traffic_class.rs
@@ -5,7 +5,8 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// Most classes of one service. Beyond, requests share the statistics of another class of the same effect.
+/// Maximum number of classes of one service. Beyond it, requests share the statistics of another class of the same
+/// idempotency.
 const MAX_CLASSES: usize = 256;
 /// Lower bound of a class's latency target.
 const MIN_LATENCY_TARGET: Duration = Duration::from_millis(1);
@@ -14,14 +15,14 @@
 /// whole milliseconds.
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct ClassKey {
-    /// A request may run more than once without harm.
+    /// Whether a request may run more than once without harm.
     idempotent: bool,
     latency_target: Duration,
     timeout: Duration,
 }
 
 impl ClassKey {
-    fn of(route: &Route) -> ClassKey {
+    fn for_route(route: &Route) -> ClassKey {
         ClassKey {
             idempotent: route.kind != RouteKind::Mutating,
             latency_target: truncate_to_millis(route.latency_target),
@@ -44,32 +45,32 @@
     }
 }
 
-/// How many classes are in use and how many the decision module has places for.
+/// How many classes are in use, and how many the decision module has allocated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassCounts {
-    /// Classes that a route or a request in flight has.
+    /// Classes used by a route or a request in flight.
     pub used: usize,
-    /// Places for classes in the decision module, used or free; they only ever grow.
+    /// Classes allocated in the decision module, used or free. The number never decreases.
     pub allocated: usize,
 }
 
-/// Class ids of the decision module by what they stand for.
+/// Class ids of the decision module by the properties of their routes.
 #[derive(Default)]
 pub(super) struct TrafficClasses {
     used: HashMap<ClassKey, ClassId>,
-    /// Ids of freed classes, which are assigned again before the module gets new ones.
+    /// Ids of freed classes, which are reused before new ones are allocated.
     free: Vec<ClassId>,
 }
 
 impl TrafficClasses {
     /// The class of requests on this route, added to the decision module if it is new.
     pub(super) fn class_of(&mut self, route: &Route, gateway: &mut Gateway) -> ClassId {
-        let key = ClassKey::of(route);
+        let key = ClassKey::for_route(route);
         if let Some(id) = self.used.get(&key) {
             return *id;
         }
         if self.used.len() >= MAX_CLASSES {
-            if let Some(id) = self.any_of_same_effect(&key) {
+            if let Some(id) = self.any_of_same_idempotency(&key) {
                 return id;
             }
         }
@@ -84,18 +85,18 @@
         id
     }
 
-    /// A class to share once the table is full. Its latencies may be others, but it must never make a request appear
-    /// idempotent that is not.
-    fn any_of_same_effect(&self, key: &ClassKey) -> Option<ClassId> {
+    /// A class to share once the table is full. Its latency target and time-out may differ, but a request that is not
+    /// idempotent must never appear so.
+    fn any_of_same_idempotency(&self, key: &ClassKey) -> Option<ClassId> {
         self.used
             .iter()
             .find(|(used, _)| used.idempotent == key.idempotent)
             .map(|(_, id)| *id)
     }
 
-    /// Frees the classes that none of these routes has.
+    /// Frees the classes that none of these routes uses.
     pub(super) fn retain<'a>(&mut self, routes: impl Iterator<Item = &'a Route>) {
-        let wanted: HashSet<ClassKey> = routes.map(ClassKey::of).collect();
+        let wanted: HashSet<ClassKey> = routes.map(ClassKey::for_route).collect();
         let free = &mut self.free;
         self.used.retain(|key, id| {
             let keep = wanted.contains(key);
--- a/crates/emberpin-proxy/src/shutdown.rs
+++ b/crates/emberpin-proxy/src/shutdown.rs
@@ -12,13 +12,13 @@
 /// Fraction of the grace period during which a draining proxy still accepts connections: the platform polls readiness
 /// every second and stops directing connections here after two failures.
 const DRAIN_ACCEPT_SHARE: f64 = 0.42;
-/// Fraction of the grace period after which requests are rejected: their servers might still be at work on them when
-/// the process ends.
+/// Fraction of the grace period after which requests are rejected: otherwise servers might still be working on them
+/// when the process exits.
 const DRAIN_REQUEST_SHARE: f64 = 0.5;
-/// Fraction of the grace period after which the process ends, whatever is still open.
+/// Fraction of the grace period after which the process exits, whatever is still open.
 const DRAIN_END_SHARE: f64 = 0.95;
 
-/// The signals that the proxy handles, caught from before it listens.
+/// The signals that the proxy handles. Their handlers are installed before it listens.
 pub struct Signals {
     pub terminate: Signal,
     pub hangup: Signal,
@@ -49,8 +49,8 @@
 }
 
 /// Drains: withdraws readiness, keeps accepting connections while the platform may still direct some here, then closes
-/// the listener and waits for the open connections until the grace period is nearly over. A request that comes after
-/// half of it, on a connection that was kept open for it, is rejected.
+/// the listener and waits for the open connections until the grace period is nearly over. A request that arrives in the
+/// second half of it, on a connection that was kept open for a request, is rejected.
 pub async fn drain(published: &PublishedState, reception: &Reception, grace: Duration) {
     let started = Instant::now();
     published.start_draining();
--- a/crates/emberpin-proxy/src/wire.rs
+++ b/crates/emberpin-proxy/src/wire.rs
@@ -1,4 +1,4 @@
-//! The HTTP headers between the gateway and its servers, and how a response decides the outcome of an attempt.
+//! The HTTP headers between the gateway and its servers, and how the outcome of an attempt follows from the response.
 
 use emberpin_balancer::{LoadReport, Outcome};
 use emberpin_limiter::host::{strip, Described, ResponseHead, Wire};
@@ -10,15 +10,15 @@
 
 /// Id of a client's request, which servers echo in their response.
 pub const TRY_ID: HeaderName = HeaderName::from_static("try-id");
-/// For how many milliseconds the sender of a request waits for its response.
+/// How long the sender of a request waits for its response, in milliseconds.
 pub const DEADLINE: HeaderName = HeaderName::from_static("deadline");
 /// Id of the only instance that may run the request. A server with another id responds with 421.
 pub const WANT_INSTANCE: HeaderName = HeaderName::from_static("want-instance");
 /// Present in a response if the server has not run the request and never will.
 pub const NOT_RUN: HeaderName = HeaderName::from_static("not-run");
-/// The server's stamp on a response that it has produced itself.
+/// Present in a response that the server has produced itself.
 pub const SEAL: HeaderName = HeaderName::from_static("seal");
-/// States in a response for how long the server keeps an idle connection.
+/// States in a response how long the server keeps an idle connection open.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
 /// Fraction of the idle time stated by a server after which the proxy closes an idle connection itself, so that none is
@@ -29,8 +29,13 @@
 pub struct GatewayWire;
 
 impl Wire for GatewayWire {
-    fn address(&self, headers: &mut HeaderMap, left: Duration, instance: Option<&HeaderValue>) {
-        headers.insert(DEADLINE, HeaderValue::from(left.as_millis() as u64));
+    fn address(
+        &self,
+        headers: &mut HeaderMap,
+        remaining: Duration,
+        instance: Option<&HeaderValue>,
+    ) {
+        headers.insert(DEADLINE, HeaderValue::from(remaining.as_millis() as u64));
         match instance {
             Some(instance) => headers.insert(WANT_INSTANCE, instance.clone()),
             None => headers.remove(WANT_INSTANCE),
