--- a/crates/emberpin-proxy/tests/abandoned_requests.rs
+++ b/crates/emberpin-proxy/tests/abandoned_requests.rs
@@ -1,4 +1,4 @@
-//! Requests whose client has left, or whose time is over: their servers are spared, and their clients answered.
+//! Requests whose client disconnects, and requests that reach their route's time-out.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -12,44 +12,43 @@
 use tokio::io::AsyncReadExt;
 use tokio::time::{sleep, timeout};
 
-/// How long after a client has left a server may still be at work on its request.
-const NOTICE: Duration = Duration::from_millis(500);
+/// Time limit for a client's disconnection to take effect at the servers.
+const CANCELLATION_LIMIT: Duration = Duration::from_millis(500);
 
 /// A request on the readonly route whose client would wait for 8 s.
-async fn send_patient_request(client: &mut Client) {
+async fn send_long_request(client: &mut Client) {
     let headers = [("try-id", "t1"), ("deadline", "8000")];
     client.send("GET", "/read/a", &headers, b"").await;
 }
 
 #[tokio::test]
-async fn a_repeatable_request_is_cancelled_at_its_server_when_the_client_leaves(
+async fn an_idempotent_request_is_cancelled_at_its_server_when_the_client_disconnects(
 ) -> googletest::Result<()> {
     let (proxy, _session, mut server) = start_with_one_server().await;
     let mut client = proxy.connect().await;
-    send_patient_request(&mut client).await;
-    let mut at_work = server.next_request().await;
+    send_long_request(&mut client).await;
+    let mut in_progress = server.next_request().await;
     drop(client);
-    let ended = timeout(NOTICE, at_work.stream.read(&mut [0])).await;
+    let ended = timeout(CANCELLATION_LIMIT, in_progress.stream.read(&mut [0])).await;
     verify_that!(matches!(ended, Ok(Ok(0) | Err(_))), eq(true))
 }
 
 #[tokio::test]
-async fn a_request_that_waits_for_a_server_is_sent_to_none_once_its_client_has_left(
-) -> googletest::Result<()> {
+async fn a_request_is_not_retried_once_its_client_has_disconnected() -> googletest::Result<()> {
     let (proxy, _session, mut server) = start_with_one_server().await;
     let mut client = proxy.connect().await;
-    send_patient_request(&mut client).await;
-    let at_work = server.next_request().await;
+    send_long_request(&mut client).await;
+    let in_progress = server.next_request().await;
     drop(client);
-    sleep(NOTICE).await;
-    // The attempt fails only now, and nobody waits for another one.
-    drop(at_work);
-    sleep(NOTICE).await;
+    sleep(CANCELLATION_LIMIT).await;
+    // The attempt fails only now, when no client waits for a retry.
+    drop(in_progress);
+    sleep(CANCELLATION_LIMIT).await;
     verify_that!(server.has_no_request(), eq(true))
 }
 
 #[tokio::test]
-async fn a_client_is_answered_at_the_timeout_of_its_route() -> googletest::Result<()> {
+async fn a_client_gets_a_response_at_the_timeout_of_its_route() -> googletest::Result<()> {
     let route_timeout = Duration::from_millis(700);
     let mut server = Server::start().await;
     let route = RouteSpec {
@@ -66,14 +65,14 @@
     .await;
     let mut client = proxy.connect().await;
     let sent_at = Instant::now();
-    send_patient_request(&mut client).await;
-    let _silent = server.next_request().await;
+    send_long_request(&mut client).await;
+    let _silent_request = server.next_request().await;
     let status = client.status().await;
     verify_that!(status, some(any![eq(503), eq(504), eq(502)]))?;
     verify_that!(
         sent_at.elapsed(),
         all![
-            // The answer is sent a moment before, so that it is there in time.
+            // The response is sent shortly before the time-out, so that it arrives in time.
             ge(route_timeout - Duration::from_millis(50)),
             le(route_timeout + Duration::from_millis(250))
         ]
--- a/crates/emberpin-proxy/tests/attempt_timeouts.rs
+++ b/crates/emberpin-proxy/tests/attempt_timeouts.rs
@@ -1,4 +1,4 @@
-//! How long an attempt at a silent server is awaited.
+//! When an attempt at a server that does not respond is timed out, and when it is awaited.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -11,15 +11,15 @@
 use googletest::prelude::*;
 use std::time::Duration;
 
-/// Latency target of a route whose attempts are overdue after 340 ms: with no response to learn from, the decision module
-/// gives an attempt 85 % of its latency target.
+/// Latency target of a route whose attempts are overdue after 340 ms: before the decision module has measured any
+/// response, it allows an attempt 85 % of its latency target.
 const SHORT_LATENCY_TARGET: Duration = Duration::from_millis(400);
-/// A server that stays silent for this long is overdue several times over, and the client still waits.
+/// A multiple of the time after which an attempt is overdue, and shorter than the client's deadline.
 const SILENCE: Duration = Duration::from_millis(1_500);
 
-/// Guards `Engine::time_out` in `on_attempt_overdue`: the one case in which an attempt is not awaited.
+/// Guards `Engine::time_out` in `on_attempt_overdue`: the only case in which an attempt is not awaited.
 #[tokio::test]
-async fn an_attempt_is_given_up_where_another_can_follow() -> googletest::Result<()> {
+async fn an_overdue_attempt_is_timed_out_where_another_can_follow() -> googletest::Result<()> {
     let (mut one, mut other, instances) = two_servers().await;
     let items = vec![
         service("s", 1, 10.0),
@@ -46,11 +46,11 @@
         (response.status, response.text().as_str()),
         eq((200, "soon"))
     )?;
-    // The server learns the client's deadline, not the few hundred milliseconds of the attempt.
+    // The request states the client's deadline, not the few hundred milliseconds allowed for the attempt.
     verify_that!(deadline, some(all![gt(7_000), le(8_000)]))
 }
 
-/// Asserts that a silent server is awaited until the client's deadline, of which its request informs it.
+/// Asserts that an attempt at a silent server is awaited, and that its request states the client's deadline.
 async fn expect_attempt_is_awaited(
     bounds: Bounds,
     max_attempts: u32,
@@ -119,7 +119,7 @@
     .await
 }
 
-/// Guards `would_repeat` in `on_attempt_overdue`, and that it counts other servers.
+/// Guards `Gateway::would_retry` in `on_attempt_overdue`: a retry needs another server.
 #[tokio::test]
 async fn an_attempt_is_awaited_where_there_is_no_other_server() -> googletest::Result<()> {
     let server = Server::start().await;
@@ -132,7 +132,7 @@
     .await
 }
 
-/// Guards the effect of mutating routes in `would_repeat`.
+/// Guards the idempotency of mutating routes in `Gateway::would_retry`.
 #[tokio::test]
 async fn an_attempt_is_awaited_where_the_request_may_not_run_twice() -> googletest::Result<()> {
     let (mut one, mut other, instances) = two_servers().await;
@@ -164,8 +164,8 @@
     verify_that!(client.status().await, some(eq(200)))
 }
 
-/// Guards `UpstreamRequest::is_replayable` in `Engine::time_out`: a long body that has been streamed cannot be sent again,
-/// so no attempt could follow.
+/// Guards `UpstreamRequest::is_replayable` in `Engine::time_out`: a long body that has been streamed cannot be sent
+/// again, so that no retry is possible.
 #[tokio::test]
 async fn an_attempt_is_awaited_where_the_body_has_been_streamed() -> googletest::Result<()> {
     let (mut one, mut other, instances) = two_servers().await;
@@ -198,8 +198,8 @@
     verify_that!(client.status().await, some(eq(200)))
 }
 
-/// Guards the end of a body with a stated length: the time limit of the route starts with its last byte, and a request
-/// that went out completely may have run.
+/// Guards the detection of the end of a body with a stated length: the time limit of the route starts with the last
+/// byte, and a request that was sent completely may have run.
 #[tokio::test]
 async fn an_attempt_with_a_long_body_ends_at_the_routes_timeout() -> googletest::Result<()> {
     let mut server = Server::start().await;
--- a/crates/emberpin-proxy/tests/client_limits.rs
+++ b/crates/emberpin-proxy/tests/client_limits.rs
@@ -1,4 +1,5 @@
-//! The configuration's `limits` on clients: the size of heads and bodies, and the time for both.
+//! The configuration's `limits` on clients: the sizes of heads and bodies, and the time limits of heads and idle
+//! connections.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -14,7 +15,7 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 
-/// Longer than what the proxy buffers of a body before it streams it.
+/// Longer than the part of a body that the proxy buffers before it streams the rest.
 const STREAMED_LENGTH: usize = 200_000;
 
 #[derive(Clone, Copy)]
@@ -87,12 +88,16 @@
 /// Returns once the proxy has closed the connection.
 async fn wait_closed(client: &mut Client) {
     let mut rest = Vec::new();
-    _ = within_limit("the connection's end", client.stream.read_to_end(&mut rest)).await;
+    _ = within_limit(
+        "the end of the connection",
+        client.stream.read_to_end(&mut rest),
+    )
+    .await;
 }
 
 // ---- Bodies in chunks ----
 
-/// Guards the comparison in `receive_body`: a buffered body is measured before anything of it goes out.
+/// Guards the comparison in `receive_body`: the size of a buffered body is checked before any of it is sent.
 #[tokio::test]
 async fn a_short_chunked_body_above_the_limit_reaches_no_server() -> googletest::Result<()> {
     let (proxy, _session, mut server) = start_with_limits(ClientLimits {
@@ -138,8 +143,8 @@
     verify_that!(client.status().await, some(eq(200)))
 }
 
-/// Guards the limit in `Upload`, and `exceeded` in the frontend: the server that received the beginning never gets the last
-/// chunk, and no other server gets any of it, whatever the route's type.
+/// Guards the limit in `Upload`, and `exceeded` in the frontend: the server that received the beginning never receives
+/// the last chunk, and no other server receives any of it, whatever the kind of the route.
 #[tokio::test]
 async fn a_streamed_body_above_the_limit_is_cut_off_at_the_server_and_gets_413(
 ) -> googletest::Result<()> {
@@ -181,12 +186,12 @@
         client.write(&[b"1\r\ny\r\n", LAST_CHUNK].concat()).await;
         verify_that!(client.status().await, some(eq(413)))?;
         let mut rest = Vec::new();
-        _ = within_limit("the attempt's end", server.read_to_end(&mut rest)).await;
+        _ = within_limit("the end of the attempt", server.read_to_end(&mut rest)).await;
         verify_that!(
             (rest.contains(&b'y'), rest.ends_with(LAST_CHUNK)),
             eq((false, false))
         )?;
-        // Another attempt would have connected before the response.
+        // A retry would have connected before the response.
         for listener in &listeners {
             let another = tokio::time::timeout(Duration::from_millis(50), listener.accept()).await;
             verify_that!(another.is_err(), eq(true))?;
@@ -226,18 +231,18 @@
 
 // ---- Heads ----
 
-/// A request whose head takes this many bytes, plus [`SPACES`].
+/// A request whose head has this many bytes, of which the proxy does not count [`UNCOUNTED_SPACES`].
 fn request_with_head_of(bytes: usize, id: &str) -> Vec<u8> {
     let beginning = format!("GET /read/a HTTP/1.1\r\nhost: h.example\r\ntry-id: {id}\r\nx-fill:");
     let fill = "x".repeat(bytes - beginning.len() - "\r\n\r\n".len());
-    // The spaces after the other two colons are not counted.
+    // The proxy does not count the spaces after the other two colons.
     format!("{beginning}{fill}\r\n\r\n").into()
 }
 
 /// Bytes that `request_with_head_of` spends on spaces before values.
-const SPACES: usize = 2;
+const UNCOUNTED_SPACES: usize = 2;
 
-/// Guards `min_size` and its comparison: a limit that is lower than what the HTTP library reads.
+/// Guards `min_size` and its comparison with a limit that is lower than what the HTTP library reads.
 #[tokio::test]
 async fn a_head_above_a_low_limit_gets_431() -> googletest::Result<()> {
     let (proxy, _session, mut server) = start_with_limits(ClientLimits {
@@ -247,7 +252,7 @@
     .await;
     let mut client = proxy.connect().await;
     client
-        .write(&request_with_head_of(1_001 + SPACES, "t1"))
+        .write(&request_with_head_of(1_001 + UNCOUNTED_SPACES, "t1"))
         .await;
     let response = client.response().await.expect("a response");
     verify_that!(
@@ -261,7 +266,7 @@
     verify_that!(client.status().await, some(eq(200)))
 }
 
-/// Guards `max_head_bytes` in `client_limits`, which the reception reads of a head.
+/// Guards `head_bytes` in `client_limits`, up to which the reception reads a head.
 #[tokio::test]
 async fn a_head_up_to_a_high_limit_is_forwarded() -> googletest::Result<()> {
     let (proxy, _session, mut server) = start_with_limits(ClientLimits {
@@ -277,14 +282,14 @@
     verify_that!(client.status().await, some(eq(200)))?;
     let mut client = proxy.connect().await;
     client
-        .write(&request_with_head_of(40_001 + SPACES, "t2"))
+        .write(&request_with_head_of(40_001 + UNCOUNTED_SPACES, "t2"))
         .await;
     verify_that!(client.status().await, some(eq(431)))?;
     verify_that!(server.has_no_request(), eq(true))
 }
 
-/// Guards the comparison with what a connection reads: one from before a higher limit ends with its next response, and a
-/// new one has the new limit.
+/// Guards the comparison of the limit with the one that a connection was opened with: a connection from before the
+/// limit was raised is closed after its next response, and a new one has the new limit.
 #[tokio::test]
 async fn a_connection_from_before_a_higher_limit_is_closed_after_its_next_response(
 ) -> googletest::Result<()> {
@@ -320,8 +325,8 @@
 
 // ---- Time ----
 
-/// Guards `head` in `client_limits`: without it a head may take the 2.5 to 4 s of the default, and with it at least as
-/// long as the limit.
+/// Guards `head` in `client_limits`: without it, the default of 2.5 to 4 s would apply, where a head may take at least
+/// as long as the limit.
 #[tokio::test]
 async fn a_head_may_take_as_long_as_the_limits_allow() -> googletest::Result<()> {
     let (proxy, _session, _server) = start_with_limits(ClientLimits {
@@ -336,7 +341,7 @@
     verify_that!(started.elapsed(), ge(Duration::from_millis(5_000)))
 }
 
-/// Guards `idle` in `client_limits`: by default a connection stays open for as long as its client likes.
+/// Guards `idle` in `client_limits`: by default, an idle connection stays open until its client closes it.
 #[tokio::test]
 async fn a_connection_may_be_idle_as_long_as_the_limits_allow() -> googletest::Result<()> {
     let (proxy, _session, mut server) = start_with_limits(ClientLimits {
--- a/crates/emberpin-proxy/tests/common/client.rs
+++ b/crates/emberpin-proxy/tests/common/client.rs
@@ -1,4 +1,4 @@
-//! Raw HTTP clients of the proxy.
+//! HTTP clients of the proxy that write raw bytes.
 
 use super::configuration::HOST;
 use super::http::{read_message, Message, MessageKind};
--- a/crates/emberpin-proxy/tests/common/configuration.rs
+++ b/crates/emberpin-proxy/tests/common/configuration.rs
@@ -8,7 +8,7 @@
 /// Host of all routes.
 pub const HOST: &str = "h.example";
 
-/// An item; without a body, the tombstone of one that was removed.
+/// A configuration item; without a body, the tombstone of a removed one.
 pub fn item(kind: ItemKind, name: &str, version: u64, body: Option<String>) -> Item {
     Item {
         key: ItemKey {
@@ -20,10 +20,10 @@
     }
 }
 
-/// A service whose warming servers bear this rate of requests. A server counts as warm unless its instance says that it
-/// is cold.
+/// A service whose servers get at most this rate of requests while they warm up. A server counts as warm unless its
+/// instance states a remaining warm-up time.
 pub fn service(name: &str, version: u64, warmup_requests_per_s: f64) -> Item {
-    let bounds = format!(
+    let settings = format!(
         "\"hcheck\":\"/healthz\",\"maxconn\":100,\"warmup\":\"0s\",\"warmup_per_s\":{warmup_requests_per_s:.1}"
     );
     item(
@@ -31,7 +31,7 @@
         name,
         version,
         Some(format!(
-            "{{\"name\":\"{name}\",{bounds},\"ver\":{version}}}"
+            "{{\"name\":\"{name}\",{settings},\"ver\":{version}}}"
         )),
     )
 }
--- a/crates/emberpin-proxy/tests/common/http.rs
+++ b/crates/emberpin-proxy/tests/common/http.rs
@@ -4,7 +4,7 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Decides what the absence of a stated length means.
+/// The kind of a message, which decides how a message without a stated length ends.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum MessageKind {
     /// Without a length, there is no body.
@@ -19,9 +19,9 @@
     pub first_line: String,
     /// By lower-case name.
     pub headers: HashMap<String, String>,
-    /// Without the framing of chunks.
+    /// Decoded, if it was sent in chunks.
     pub body: Vec<u8>,
-    /// The body ended as the head states.
+    /// Whether the body ended as the head states.
     pub complete: bool,
 }
 
@@ -53,7 +53,7 @@
     Some((first_line, headers))
 }
 
-/// Reads the body that follows such a head.
+/// Reads the body that follows a head from [`read_head`].
 pub async fn read_body(
     stream: &mut TcpStream,
     kind: MessageKind,
--- a/crates/emberpin-proxy/tests/common/mod.rs
+++ b/crates/emberpin-proxy/tests/common/mod.rs
@@ -1,7 +1,8 @@
 //! Fixtures of the proxy's tests: the proxy as a process on loopback addresses, a stand-in registry, stand-in servers
 //! and raw HTTP clients.
 //!
-//! Everything waits for events; the time limits are far longer than what they bound, so that a busy machine passes.
+//! The tests wait for events. The time limits are far longer than what they bound, so that the tests pass on a busy
+//! machine.
 #![allow(
     dead_code,
     missing_docs,
--- a/crates/emberpin-proxy/tests/common/proxy.rs
+++ b/crates/emberpin-proxy/tests/common/proxy.rs
@@ -14,15 +14,15 @@
 use std::sync::Mutex;
 use tokio::net::TcpListener;
 
-/// Ports at the address that no other test has, below those that the system draws from. Ports that were drawn and given
-/// back for the proxy were at times still taken when it came to listen.
+/// Ports on the proxy's own loopback address, below the system's ephemeral ports. Ephemeral ports that a test reserved
+/// and released for the proxy were at times in use again when it began to listen.
 const HTTP_PORT: u16 = 21_001;
 const READINESS_PORT: u16 = 21_002;
 const METRICS_PORT: u16 = 21_003;
 /// The deadline header of a request that is to wait for its response, in milliseconds.
 const DEADLINE_MS: &str = "8000";
 
-/// The bounds of the settings file that tests change.
+/// The settings under `defs.bounds` that tests change.
 #[derive(Clone, Copy)]
 pub struct Bounds {
     pub grace: &'static str,
@@ -41,7 +41,7 @@
     warm_extra: 5,
 };
 
-/// The proxy's process and the listener of its registry; the process ends with the test.
+/// The proxy's process and the listener of its registry. Dropping it kills the process.
 pub struct Proxy {
     child: Child,
     pub ip: Ipv4Addr,
@@ -52,7 +52,7 @@
     _settings: tempfile::NamedTempFile,
 }
 
-/// A loopback address that no other test has, with a listener on it.
+/// A loopback address that no other test uses, with a listener on it.
 async fn unused_address() -> (Ipv4Addr, TcpListener) {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
@@ -117,7 +117,7 @@
 }
 
 impl Proxy {
-    /// Starts the process; the registry has sent nothing yet.
+    /// Starts the process, without a registry session.
     pub async fn start(bounds: Bounds) -> Proxy {
         let (ip, registry) = unused_address().await;
         let registry_port = registry.local_addr().expect("bound").port();
@@ -210,10 +210,10 @@
         assert!(status.success());
     }
 
-    /// Waits for the process's end, and returns its exit code.
+    /// Waits until the process exits, and returns its exit code.
     pub async fn exit_code(&mut self) -> Option<i32> {
         let child = Mutex::new(&mut self.child);
-        poll_until("the process's end", || async {
+        poll_until("the exit of the process", || async {
             child.lock().expect("one test").try_wait().expect("waits")
         })
         .await
--- a/crates/emberpin-proxy/tests/common/registry.rs
+++ b/crates/emberpin-proxy/tests/common/registry.rs
@@ -1,4 +1,4 @@
-//! A stand-in registry.
+//! A stand-in for a registry.
 
 use super::wait::within_limit;
 use emberpin_config::Item;
@@ -13,16 +13,16 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::interval;
 
-/// How often a registry sends something when there is nothing new.
+/// How often the registry sends its current revision, and a confirmation.
 const KEEP_ALIVE_PERIOD: Duration = Duration::from_millis(250);
 const REGISTRY_INCARNATION: Incarnation = Incarnation(1);
 
-/// The answer to a keep-alive of a registry that is in contact with a majority. The session fills in the nonce.
+/// The reply to a keep-alive by a registry that is in contact with a majority. The session fills in the nonce.
 pub fn confirmed(ip: Ipv4Addr, proxies: u32) -> ToProxy {
     confirmation(ip, Some(Duration::ZERO), proxies)
 }
 
-/// The answer of a registry that is in contact with a minority only.
+/// The reply to a keep-alive by a registry that is in contact with only a minority.
 pub fn unconfirmed(ip: Ipv4Addr, proxies: u32) -> ToProxy {
     confirmation(ip, None, proxies)
 }
@@ -36,7 +36,7 @@
     }
 }
 
-/// A session whose every message the test reads and writes.
+/// A session whose messages are all read and written by the test.
 pub struct RawSession {
     pub stream: TcpStream,
     /// The revision at which the proxy wants to resume.
@@ -84,17 +84,17 @@
         }
     }
 
-    /// Answers the proxy's next keep-alive with [`confirmed`] or [`unconfirmed`].
-    pub async fn answer_keep_alive(&mut self, mut answer: ToProxy) {
+    /// Replies to the proxy's next keep-alive with [`confirmed`] or [`unconfirmed`].
+    pub async fn reply_to_keep_alive(&mut self, mut reply: ToProxy) {
         let (_, requested) = self.next_keep_alive().await;
-        if let ToProxy::Confirmation { nonce, .. } = &mut answer {
+        if let ToProxy::Confirmation { nonce, .. } = &mut reply {
             *nonce = requested;
         }
-        self.send(answer).await;
+        self.send(reply).await;
     }
 
-    /// The cursor of the proxy's next request for a part of the snapshot. Until all parts have come, its keep-alives
-    /// must not claim to have applied any revision.
+    /// The cursor of the proxy's next request for a part of the snapshot. Until all parts have arrived, its keep-alives
+    /// must not state an applied revision.
     pub async fn next_snapshot_request(&mut self) -> SnapshotCursor {
         loop {
             match self.receive().await {
@@ -108,7 +108,7 @@
     }
 }
 
-/// A session that answers keep-alives by itself.
+/// A session that reads keep-alives and repeats the current revision in the background.
 pub struct RegistrySession {
     ip: Ipv4Addr,
     revision: u64,
@@ -131,7 +131,7 @@
                 number: 0,
             };
             loop {
-                // The proxy would leave a registry that sends nothing, so the current revision is repeated.
+                // The proxy would end a session in which nothing is received, so the current revision is repeated.
                 let mut message = tokio::select! {
                     message = queued.recv() => match message {
                         Some(message) => message,
@@ -198,7 +198,7 @@
         self.wait_applied().await;
     }
 
-    /// Sends changes; returns once the proxy has applied them, so that requests from then on meet them.
+    /// Sends changes; returns once the proxy has applied them, so that they are in force for subsequent requests.
     pub async fn send_changes(&mut self, items: Vec<Item>, instances: Vec<Instance>) {
         let revision = self.next_revision();
         self.send(ToProxy::Changes {
@@ -217,7 +217,7 @@
             .expect("the session is established");
     }
 
-    /// Confirms from now on, with this number of proxies.
+    /// Sends confirmations periodically from now on, with this number of proxies.
     pub fn keep_confirming(&self, proxies: u32) {
         let (ip, messages) = (self.ip, self.messages.clone());
         tokio::spawn(async move {
--- a/crates/emberpin-proxy/tests/common/server.rs
+++ b/crates/emberpin-proxy/tests/common/server.rs
@@ -1,4 +1,4 @@
-//! Stand-in servers, whose responses the test decides.
+//! Stand-in servers whose responses the test determines.
 
 use super::configuration::instance;
 use super::http::{read_message, Message, MessageKind};
@@ -42,7 +42,7 @@
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 count.fetch_add(1, Ordering::Relaxed);
-                // What a server writes must not wait for the acknowledgement of what it wrote before.
+                // Without this, a write could be delayed until an earlier one is acknowledged.
                 _ = stream.set_nodelay(true);
                 tokio::spawn(receive_request(stream, queue.clone()));
             }
@@ -60,17 +60,18 @@
             .expect("the server listens")
     }
 
-    /// Whether no request that has reached it is left in its queue.
+    /// Whether its queue of received requests is empty.
     pub fn has_no_request(&mut self) -> bool {
         self.requests.try_recv().is_err()
     }
 
-    /// Connections that it has accepted.
+    /// Number of connections that it has accepted.
     pub fn connection_count(&self) -> u32 {
         self.connection_count.load(Ordering::Relaxed)
     }
 
-    /// Responds with 200 and this body to all requests from now on; returns a record of their ids and times.
+    /// Responds with 200 and this body to all requests from now on. Returns a record of each request's id and the time
+    /// at which it was received.
     pub fn serve_all(mut self, body: &'static str) -> Arc<Mutex<Vec<(String, Instant)>>> {
         let served = Arc::new(Mutex::new(Vec::new()));
         let record = served.clone();
@@ -104,12 +105,12 @@
         self.message.header(name)
     }
 
-    /// What remained of the client's deadline, in milliseconds, when the proxy sent this attempt.
+    /// Remaining time until the client's deadline, in milliseconds, when the proxy sent this attempt.
     pub fn deadline_ms(&self) -> Option<u64> {
         self.header("deadline").and_then(|ms| ms.parse().ok())
     }
 
-    /// The bytes of a sealed response to it.
+    /// The bytes of a sealed response to this request.
     pub fn response_bytes(&self, status: u16, headers: &[(&str, &str)], body: &str) -> Vec<u8> {
         let id = self.header("try-id").unwrap_or_default();
         let mut text = format!("HTTP/1.1 {status} X\r\ntry-id: {id}\r\nseal: s.{id}\r\n");
@@ -124,14 +125,14 @@
         _ = self.stream.write_all(bytes).await;
     }
 
-    /// Responds, and keeps the connection.
+    /// Responds, and keeps the connection open.
     pub async fn respond(mut self, status: u16, headers: &[(&str, &str)], body: &str) {
         let bytes = self.response_bytes(status, headers, body);
         self.write(&bytes).await;
         self.keep_connection();
     }
 
-    /// Queues whatever request comes next on the connection.
+    /// Keeps the connection open, and queues the next request on it.
     pub fn keep_connection(self) {
         tokio::spawn(receive_request(self.stream, self.queue));
     }
@@ -139,8 +140,11 @@
     /// Waits until the proxy has closed the connection.
     pub async fn wait_closed(&mut self) {
         let mut byte = [0];
-        let end = within_limit("the attempt's end", self.stream.read(&mut byte)).await;
-        assert!(matches!(end, Ok(0) | Err(_)), "nothing more comes on it");
+        let end = within_limit("the end of the attempt", self.stream.read(&mut byte)).await;
+        assert!(
+            matches!(end, Ok(0) | Err(_)),
+            "the connection must end without further bytes"
+        );
     }
 }
 
@@ -151,7 +155,8 @@
     (one, two, instances)
 }
 
-/// The next request at either server, the server that did not get it, and the id of the instance that did.
+/// Waits for the next request at either server. Returns it, the server that did not receive it, and the id of the
+/// instance that did.
 pub async fn next_request_at_either<'a>(
     one: &'a mut Server,
     two: &'a mut Server,
--- a/crates/emberpin-proxy/tests/gateway_wire.rs
+++ b/crates/emberpin-proxy/tests/gateway_wire.rs
@@ -1,4 +1,4 @@
-//! What servers are told, and what is made of their answers.
+//! The headers of requests to servers, and the interpretation of responses from servers.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_balancer::Outcome;
@@ -19,23 +19,23 @@
     all.iter().map(named).collect()
 }
 
-fn answer(status: u16, all: &[(&'static str, &'static str)]) -> Response<()> {
-    let mut answer = Response::new(());
-    *answer.status_mut() = status.try_into().expect("a status");
-    *answer.headers_mut() = headers(all);
-    answer
+fn response(status: u16, all: &[(&'static str, &'static str)]) -> Response<()> {
+    let mut response = Response::new(());
+    *response.status_mut() = status.try_into().expect("a status");
+    *response.headers_mut() = headers(all);
+    response
 }
 
 fn judge(status: u16, all: &[(&'static str, &'static str)]) -> Outcome {
-    GatewayWire.judge(None, &answer(status, all))
+    GatewayWire.judge(None, &response(status, all))
 }
 
 fn describe(status: u16, all: &[(&'static str, &'static str)]) -> Described {
-    let answer = answer(status, all);
-    GatewayWire.describe(GatewayWire.judge(None, &answer), answer)
+    let response = response(status, all);
+    GatewayWire.describe(GatewayWire.judge(None, &response), response)
 }
 
-/// Guards the three arms of `belongs`.
+/// Guards the three match arms of `belongs`.
 #[gtest]
 fn a_response_with_another_id_belongs_to_another_request() {
     let mark = GatewayWire.mark(&headers(&[("try-id", "a1")]));
@@ -44,10 +44,10 @@
     expect_true!(belongs(&[("try-id", "a1"), ("seal", "s")]));
     expect_false!(belongs(&[("try-id", "a2"), ("seal", "s")]));
     expect_false!(belongs(&[("try-id", "a1 "), ("seal", "s")]) && belongs(&[("try-id", "A1")]));
-    // A sealed answer names its request; what stands before a server and refuses may name none.
+    // A sealed response names its request; a rejection by an intermediary in front of a server may name none.
     expect_false!(belongs(&[("seal", "s")]));
     expect_true!(belongs(&[]));
-    // Servers echo the id of a request: one that has none gets no answer that names one.
+    // Servers echo the id of a request, so a response that names an id does not belong to a request without one.
     expect_false!(GatewayWire.belongs(None, &headers(&[("try-id", "a1")])));
     expect_true!(GatewayWire.belongs(None, &headers(&[])));
 }
@@ -62,19 +62,19 @@
         judge(200, &[("seal", "s"), ("content-encoding", "gzip")]),
         eq(Outcome::Error)
     );
-    // A 2xx that is no success is nobody's answer.
+    // A 2xx response that does not count as a success is not forwarded.
     expect_false!(describe(200, &[]).stands);
     expect_false!(describe(200, &[("seal", "s"), ("content-encoding", "gzip")]).stands);
 }
 
-/// Guards `AttemptVerdict::NotRun => Outcome::Full`, and what counts as one.
+/// Guards `AttemptVerdict::NotRun => Outcome::Rejected`, and which responses have this verdict.
 #[gtest]
 fn a_response_with_not_run_or_421_means_that_the_request_never_ran() {
     for (status, all) in [
         (503, &[("not-run", "1")][..]),
         (429, &[("not-run", "1")]),
         (400, &[("not-run", "1")]),
-        // Not even a sealed success that says so.
+        // The header counts even in a sealed success.
         (200, &[("not-run", "1"), ("seal", "s")]),
         (421, &[]),
     ] {
@@ -102,16 +102,16 @@
     }
 }
 
-/// Guards the rest of `stands`.
+/// Guards the other conditions of `stands`.
 #[gtest]
 fn a_servers_own_error_stands_unaltered() {
     for status in [500, 504, 404, 413, 301] {
-        let told = describe(status, &[("seal", "s"), ("try-id", "a1"), ("x-note", "n")]);
-        expect_true!(told.stands, "{status}");
-        expect_that!(told.head.status.as_u16(), eq(status));
+        let described = describe(status, &[("seal", "s"), ("try-id", "a1"), ("x-note", "n")]);
+        expect_true!(described.stands, "{status}");
+        expect_that!(described.head.status.as_u16(), eq(status));
         for (name, value) in [("seal", "s"), ("try-id", "a1"), ("x-note", "n")] {
             expect_that!(
-                told.head.headers.get(name).map(HeaderValue::as_bytes),
+                described.head.headers.get(name).map(HeaderValue::as_bytes),
                 some(eq(value.as_bytes()))
             );
         }
@@ -121,7 +121,7 @@
 /// Guards `strip` and the removal of `Keep-Alive` in `describe`.
 #[gtest]
 fn hop_by_hop_headers_are_not_forwarded() {
-    let told = describe(
+    let described = describe(
         200,
         &[
             ("connection", "close, x-hop"),
@@ -133,19 +133,24 @@
             ("seal", "s"),
         ],
     );
-    let names: Vec<&str> = told.head.headers.keys().map(HeaderName::as_str).collect();
+    let names: Vec<&str> = described
+        .head
+        .headers
+        .keys()
+        .map(HeaderName::as_str)
+        .collect();
     expect_that!(names, elements_are![eq(&"seal")]);
 }
 
-/// Guards `keeps_idle`: the margin, and values that cannot be read.
+/// Guards `keeps_idle`: the margin, and invalid values.
 #[gtest]
-fn a_stated_idle_timeout_is_observed_with_a_margin() {
+fn a_stated_idle_timeout_is_applied_with_a_margin() {
     let idle = |stated: &'static str| GatewayWire.keeps_idle(&headers(&[("keep-alive", stated)]));
-    let seven = some(all![
+    let with_margin = some(all![
         ge(Duration::from_millis(5_000)),
         le(Duration::from_millis(9_000))
     ]);
-    expect_that!(idle("timeout=10"), seven);
+    expect_that!(idle("timeout=10"), with_margin);
     expect_that!(idle("max=3, timeout=10"), eq(idle("timeout=10")));
     expect_that!(idle("timeout=0"), some(eq(Duration::ZERO)));
     for stated in [
@@ -164,26 +169,30 @@
 /// Guards both headers in `address`.
 #[gtest]
 fn a_request_carries_the_remaining_time_and_the_intended_instance() {
-    let mut told = headers(&[
+    let mut outgoing = headers(&[
         ("deadline", "9000"),
         ("want-instance", "i-client"),
         ("try-id", "a1"),
     ]);
     let instance = HeaderValue::from_static("i-1");
-    GatewayWire.address(&mut told, Duration::from_micros(1_234_900), Some(&instance));
-    let all = |told: &HeaderMap, name: &str| -> Vec<String> {
-        let texts = told
+    GatewayWire.address(
+        &mut outgoing,
+        Duration::from_micros(1_234_900),
+        Some(&instance),
+    );
+    let all = |outgoing: &HeaderMap, name: &str| -> Vec<String> {
+        let texts = outgoing
             .get_all(name)
             .iter()
             .filter_map(|value| value.to_str().ok());
         texts.map(str::to_string).collect()
     };
-    expect_that!(all(&told, "deadline"), elements_are![eq("1234")]);
-    expect_that!(all(&told, "want-instance"), elements_are![eq("i-1")]);
-    expect_that!(all(&told, "try-id"), elements_are![eq("a1")]);
-    // A client's wish is not passed on, also where no instance is meant.
-    let mut told = headers(&[("want-instance", "i-client")]);
-    GatewayWire.address(&mut told, Duration::ZERO, None);
-    expect_that!(all(&told, "want-instance"), is_empty());
-    expect_that!(all(&told, "deadline"), elements_are![eq("0")]);
+    expect_that!(all(&outgoing, "deadline"), elements_are![eq("1234")]);
+    expect_that!(all(&outgoing, "want-instance"), elements_are![eq("i-1")]);
+    expect_that!(all(&outgoing, "try-id"), elements_are![eq("a1")]);
+    // The client's own header is removed even if the request is meant for no particular instance.
+    let mut outgoing = headers(&[("want-instance", "i-client")]);
+    GatewayWire.address(&mut outgoing, Duration::ZERO, None);
+    expect_that!(all(&outgoing, "want-instance"), is_empty());
+    expect_that!(all(&outgoing, "deadline"), elements_are![eq("0")]);
 }
--- a/crates/emberpin-proxy/tests/graceful_shutdown.rs
+++ b/crates/emberpin-proxy/tests/graceful_shutdown.rs
@@ -16,10 +16,10 @@
 const LATENCY_TARGET: Duration = Duration::from_millis(4_000);
 const OVERDUE_AFTER: Duration = Duration::from_millis(3_400);
 
-/// Guards the order of `drain`, `is_draining` in `on_attempt_overdue`, `DRAIN_ACCEPT_SHARE`, and the early end once no
+/// Guards the order of `drain`, `is_draining` in `on_attempt_overdue`, `DRAIN_ACCEPT_SHARE`, and the early exit once no
 /// connection is open.
 #[tokio::test]
-async fn a_draining_proxy_finishes_its_requests_before_it_ends() -> googletest::Result<()> {
+async fn a_draining_proxy_finishes_its_requests_before_it_exits() -> googletest::Result<()> {
     let (mut one, mut other) = (Server::start().await, Server::start().await);
     let instances = vec![instance("i-1", one.address), instance("i-2", other.address)];
     let items = vec![
@@ -48,7 +48,7 @@
             b"",
         )
         .await;
-    let (mut at_work, free) = tokio::select! {
+    let (mut in_progress, free) = tokio::select! {
         request = one.next_request() => (request, &mut other),
         request = other.next_request() => (request, &mut one),
     };
@@ -56,7 +56,7 @@
     let terminated_at = Instant::now();
     proxy.terminate();
     proxy.wait_readiness(503).await;
-    // The platform polls readiness every second, so it would notice at once.
+    // The platform polls readiness every second, so it would notice the change at its next poll.
     verify_that!(terminated_at.elapsed(), lt(Duration::from_secs(1)))?;
     // A new connection is accepted, and closed after its response.
     let serving = async { free.next_request().await.respond(200, &[], "new").await };
@@ -66,17 +66,17 @@
         eq((200, "new"))
     )?;
     verify_that!(response.message.header("connection"), some(eq("close")))?;
-    // The attempt that a server is working on is awaited, also once it is overdue.
+    // The attempt that a server is working on is awaited even once it is overdue.
     let awaited = timeout(
         OVERDUE_AFTER + Duration::from_secs(1),
-        at_work.stream.peek(&mut [0]),
+        in_progress.stream.peek(&mut [0]),
     )
     .await;
     verify_that!(awaited.is_err(), eq(true))?;
     sleep_until(received_at + OVERDUE_AFTER + Duration::from_millis(500)).await;
     verify_that!(free.has_no_request(), eq(true))?;
-    at_work
-        .write(&at_work.response_bytes(200, &[], "done"))
+    in_progress
+        .write(&in_progress.response_bytes(200, &[], "done"))
         .await;
     let response = client.response().await.expect("a response");
     verify_that!(
@@ -85,14 +85,14 @@
     )?;
     verify_that!(response.message.header("connection"), some(eq("close")))?;
     verify_that!(proxy.exit_code().await, some(eq(0)))?;
-    // Nothing was open any more, so the process did not wait for the end of the grace period.
+    // No connection was open any more, so the process did not wait for the end of the grace period.
     verify_that!(terminated_at.elapsed(), lt(GRACE.mul_f64(0.9)))
 }
 
-/// Guards `DRAIN_END_SHARE`: a request without an end does not hold the process beyond it.
+/// Guards `DRAIN_END_SHARE`: a request that never ends does not keep the process running beyond it.
 #[tokio::test]
-async fn a_draining_proxy_ends_within_the_grace_period_whatever_is_open() -> googletest::Result<()>
-{
+async fn a_draining_proxy_exits_within_the_grace_period_despite_open_requests(
+) -> googletest::Result<()> {
     let mut server = Server::start().await;
     let route = RouteSpec {
         timeout: Duration::from_millis(60_000),
@@ -117,7 +117,7 @@
             b"",
         )
         .await;
-    let _at_work = server.next_request().await;
+    let _in_progress = server.next_request().await;
     let terminated_at = Instant::now();
     proxy.terminate();
     verify_that!(proxy.exit_code().await, some(eq(0)))?;
@@ -140,9 +140,10 @@
     (proxy, server)
 }
 
-/// A request on such a connection could come so late that its server is still at work when the process ends.
+/// Guards the closing of connections that have sent no request: one could arrive so late that its server would still be
+/// working on it when the process exits.
 #[tokio::test]
-async fn a_connection_without_a_request_ends_with_the_listener() -> googletest::Result<()> {
+async fn a_connection_without_a_request_is_closed_with_the_listener() -> googletest::Result<()> {
     let grace = Duration::from_secs(4);
     let (mut proxy, _server) = start_proxy("4s").await;
     let mut silent = TcpStream::connect(proxy.http).await?;
@@ -154,8 +155,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_is_complete_only_late_in_the_grace_period_is_rejected(
-) -> googletest::Result<()> {
+async fn a_request_completed_late_in_the_grace_period_is_rejected() -> googletest::Result<()> {
     let grace = Duration::from_secs(4);
     let (mut proxy, mut server) = start_proxy("4s").await;
     let mut slow = TcpStream::connect(proxy.http).await?;
--- a/crates/emberpin-proxy/tests/metrics.rs
+++ b/crates/emberpin-proxy/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What the proxy counts, as a scraper reads it.
+//! The proxy's metrics, as read from the metrics endpoint.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -10,7 +10,7 @@
 use googletest::prelude::*;
 use std::process::Command;
 
-/// The value of a metric; 0, if it is not there yet.
+/// The value of a metric; 0 if it is not exported yet.
 async fn value(proxy: &Proxy, metric: &str) -> f64 {
     let text = proxy.metrics("/metrics").await.text();
     let value = text
@@ -66,8 +66,8 @@
     let (mut one, mut other, instances) = two_servers().await;
     let (proxy, _session) = Proxy::start_ready(DEFAULT_BOUNDS, default_items(), instances).await;
     let serving = async {
-        let (taken, other_server, _) = next_request_at_either(&mut one, &mut other).await;
-        drop(taken);
+        let (first_request, other_server, _) = next_request_at_either(&mut one, &mut other).await;
+        drop(first_request);
         other_server
             .next_request()
             .await
@@ -92,7 +92,7 @@
             eq((metric, expected))
         )?;
     }
-    // Gauges follow within a second.
+    // Gauges are updated within a second.
     common::poll_until("the gauges", || async {
         let servers = "emberpin_proxy_servers{service=\"s\",state=\"available\"}";
         let is_current = value(&proxy, servers).await >= 1.0
@@ -104,7 +104,7 @@
 }
 
 #[gtest]
-fn an_endpoint_without_a_path_or_a_port_is_refused_with_the_reason() {
+fn an_endpoint_without_a_path_or_a_port_is_rejected_with_the_reason() {
     for (endpoint, reason) in [
         ("9464", "expected PORT/PATH"),
         ("0/metrics", "the port is not a number"),
--- a/crates/emberpin-proxy/tests/readiness.rs
+++ b/crates/emberpin-proxy/tests/readiness.rs
@@ -18,13 +18,13 @@
     number: 12,
 };
 
-/// A configuration and an instance at which nobody listens.
+/// A configuration, and an instance at whose address no server listens.
 fn snapshot_content() -> (Vec<Item>, Vec<Instance>) {
-    let nobody = ([127, 0, 0, 1], 9).into();
-    (default_items(), vec![instance("i-1", nobody)])
+    let no_server = ([127, 0, 0, 1], 9).into();
+    (default_items(), vec![instance("i-1", no_server)])
 }
 
-/// Changes that only repeat the registry's present revision.
+/// Changes that only repeat the registry's current revision.
 fn no_changes() -> ToProxy {
     ToProxy::Changes {
         revision: REVISION,
@@ -37,7 +37,7 @@
 async fn confirm_until_ready(proxy: &Proxy, session: &mut RawSession) {
     let confirming = async {
         loop {
-            session.answer_keep_alive(confirmed(proxy.ip, 1)).await;
+            session.reply_to_keep_alive(confirmed(proxy.ip, 1)).await;
             if proxy.readiness().await == Some(200) {
                 return;
             }
@@ -53,7 +53,7 @@
     let proxy = Proxy::start(DEFAULT_BOUNDS).await;
     let mut session = proxy.accept_session().await;
     verify_that!(proxy.readiness().await, some(eq(503)))?;
-    // Confirmed, but the session has not received a whole snapshot.
+    // The session is confirmed, but has not received a whole snapshot.
     session.send(confirmed(proxy.ip, 1));
     session
         .send_changes(default_items(), vec![instance("i-1", server.address)])
@@ -68,8 +68,8 @@
     session.send(unconfirmed(proxy.ip, 1));
     session.send_changes(vec![], vec![]).await;
     verify_that!(proxy.readiness().await, some(eq(503)))?;
-    // The next sessions resume where that one had received everything, and are not confirmed either. There is more than
-    // one, since the proxy keeps two that take turns.
+    // The next sessions resume after that snapshot, and are not confirmed either. Several are tested, since the proxy
+    // keeps two sessions, which connect in turn.
     for _ in 0..3 {
         drop(session);
         session = proxy.accept_session().await;
@@ -87,7 +87,8 @@
 async fn a_resumed_session_makes_the_proxy_ready_without_a_second_snapshot(
 ) -> googletest::Result<()> {
     let proxy = Proxy::start(DEFAULT_BOUNDS).await;
-    // At the start of the whole system the registry has no majority yet: it sends everything, and confirms nothing.
+    // When the whole system starts, the registry has no majority yet: it sends a whole snapshot, but does not confirm
+    // it.
     let mut first = RawSession::accept(&proxy.registry).await;
     verify_that!(first.resume_from, none())?;
     let (items, instances) = snapshot_content();
@@ -100,12 +101,12 @@
             next_part: None,
         })
         .await;
-    first.answer_keep_alive(unconfirmed(proxy.ip, 1)).await;
+    first.reply_to_keep_alive(unconfirmed(proxy.ip, 1)).await;
     let (applied, _) = first.next_keep_alive().await;
     verify_that!(applied, some(eq(REVISION)))?;
     verify_that!(proxy.readiness().await, some(eq(503)))?;
     drop(first);
-    // The next session resumes at that revision. Nothing has changed since, and there is a majority now.
+    // The next session resumes at that revision. Nothing has changed since, and the registry has a majority now.
     let mut second = RawSession::accept(&proxy.registry).await;
     verify_that!(second.resume_from, some(eq(REVISION)))?;
     second.send(no_changes()).await;
@@ -113,7 +114,7 @@
     Ok(())
 }
 
-/// Guards `next_part` in readiness, and that a snapshot continues where another session left it.
+/// Guards the effect of `next_part` on readiness, and that a session continues the snapshot that an earlier one began.
 #[tokio::test]
 async fn the_proxy_is_not_ready_before_the_last_part_of_a_snapshot() -> googletest::Result<()> {
     let proxy = Proxy::start(DEFAULT_BOUNDS).await;
@@ -130,14 +131,14 @@
         })
         .await;
     verify_that!(first.next_snapshot_request().await, eq(&cursor))?;
-    first.answer_keep_alive(confirmed(proxy.ip, 1)).await;
+    first.reply_to_keep_alive(confirmed(proxy.ip, 1)).await;
     verify_that!(proxy.readiness().await, some(eq(503)))?;
     drop(first);
     let mut second = RawSession::accept(&proxy.registry).await;
     verify_that!(second.resume_from, some(eq(REVISION)))?;
     second.send(no_changes()).await;
     verify_that!(second.next_snapshot_request().await, eq(&cursor))?;
-    second.answer_keep_alive(confirmed(proxy.ip, 1)).await;
+    second.reply_to_keep_alive(confirmed(proxy.ip, 1)).await;
     verify_that!(proxy.readiness().await, some(eq(503)))?;
     second
         .send(ToProxy::SnapshotPart {
@@ -150,9 +151,9 @@
     Ok(())
 }
 
-/// Guards `has_whole_configuration`: a proxy that has just started answers 404 for no route that may exist.
+/// Guards `has_whole_configuration`: a proxy that has just started must not respond with 404 on a route that may exist.
 #[tokio::test]
-async fn a_route_that_is_unknown_before_the_whole_configuration_has_come_is_to_be_retried(
+async fn an_unknown_route_gets_503_until_the_whole_configuration_is_received(
 ) -> googletest::Result<()> {
     let proxy = Proxy::start(DEFAULT_BOUNDS).await;
     let (items, instances) = snapshot_content();
@@ -168,7 +169,7 @@
         })
         .await;
     verify_that!(session.next_snapshot_request().await, eq(&cursor))?;
-    session.answer_keep_alive(confirmed(proxy.ip, 1)).await;
+    session.reply_to_keep_alive(confirmed(proxy.ip, 1)).await;
     let unknown = proxy.request("GET", "/unknown/a", "t1").await;
     verify_that!(unknown.status, eq(503))?;
     session
--- a/crates/emberpin-proxy/tests/request_bodies.rs
+++ b/crates/emberpin-proxy/tests/request_bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests: their limit, and how they reach a server.
+//! Bodies of requests: the limit of their size, and how they are forwarded to a server.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -23,7 +23,7 @@
     (proxy, session, server)
 }
 
-/// Guards the comparison of a stated length with `max_body_bytes`, and the limit on its way from the configuration.
+/// Guards the comparison of a stated length with `max_body_bytes`, and that this limit is taken from the configuration.
 #[tokio::test]
 async fn a_body_above_the_limit_is_rejected_with_413() -> googletest::Result<()> {
     let (proxy, _session, mut server) = start_with_body_limit(1_000).await;
@@ -80,7 +80,7 @@
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let instances = vec![instance("i-1", listener.local_addr()?)];
     let (proxy, _session) = Proxy::start_ready(DEFAULT_BOUNDS, default_items(), instances).await;
-    let body: Vec<u8> = (0..300_000u32).map(|at| (at % 251) as u8).collect();
+    let body: Vec<u8> = (0..300_000u32).map(|index| (index % 251) as u8).collect();
     let mut client = proxy.connect().await;
     let head = format!(
         "POST /write/a HTTP/1.1\r\nhost: h.example\r\ntry-id: t1\r\ncontent-length: {}\r\n\r\n",
@@ -96,7 +96,7 @@
     )
     .await?;
     client.write(&body[150_000..]).await;
-    // Read the whole request again from its beginning, as one message.
+    // Parse the whole request as one message, from its beginning.
     let (mut copy, mut copy_sink) = connected_pair().await;
     let copying = async {
         copy_sink.write_all(&beginning).await?;
@@ -140,15 +140,15 @@
     (listener.accept().await.expect("accepted").0, connecting)
 }
 
-/// A server may answer before it has read a long body, and read on: it must find the rest of that body or the end of the
-/// connection, and no other request.
+/// A server may respond before it has read a long body, and continue to read: it must receive the rest of that body or
+/// the end of the connection, and no bytes of another request.
 #[tokio::test]
 async fn after_an_early_response_a_server_reads_no_bytes_of_another_request(
 ) -> googletest::Result<()> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let instances = vec![instance("i-1", listener.local_addr()?)];
     let (proxy, _session) = Proxy::start_ready(DEFAULT_BOUNDS, default_items(), instances).await;
-    let body: Vec<u8> = (0..300_000u32).map(|at| (at % 251) as u8).collect();
+    let body: Vec<u8> = (0..300_000u32).map(|index| (index % 251) as u8).collect();
     let mut client = proxy.connect().await;
     let head = format!(
         "POST /write/a HTTP/1.1\r\nhost: h.example\r\ntry-id: t1\r\ncontent-length: {}\r\n\r\n",
--- a/crates/emberpin-proxy/tests/response_integrity_proptest/cases.rs
+++ b/crates/emberpin-proxy/tests/response_integrity_proptest/cases.rs
@@ -1,4 +1,4 @@
-//! Generated cases: what clients send, and what servers do with it.
+//! Generated cases: the requests of clients, and the actions of servers.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -17,17 +17,17 @@
 pub enum Trailing {
     Nothing,
     Duplicate,
-    /// A duplicate once the next request has come on this connection, in place of its response.
+    /// A duplicate once the next request has arrived on this connection, before its response.
     LateDuplicate,
     Garbage,
     Reset,
 }
 
-/// What a server does with a request.
+/// The action of a server upon a request.
 #[derive(Clone, Debug)]
 pub enum ServerAction {
     Respond(ResponseShape, Trailing),
-    /// Ends the connection after this many thousandths of the response.
+    /// Ends the connection after this many thousandths of the response's bytes.
     Truncate(ResponseShape, usize, Ending),
     /// A status with `Not-Run`.
     NotRun(u16),
@@ -38,9 +38,11 @@
     /// A complete response with the id of another request.
     ForeignId(ResponseShape),
     Garbage,
-    /// Ends the connection once the head, or the whole request, has come.
+    /// Ends the connection once the head has arrived.
     EndAtHead(Ending),
+    /// Ends the connection once the whole request has arrived.
     EndAtBody(Ending),
+    /// Sends no response.
     Silence,
 }
 
--- a/crates/emberpin-proxy/tests/response_integrity_proptest/clients.rs
+++ b/crates/emberpin-proxy/tests/response_integrity_proptest/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that send generated requests and have their responses checked.
+//! Clients that send generated requests and check their responses against the history.
 
 use crate::cases::ClientRequest;
 use crate::common::{read_message, within_limit, Message, MessageKind, HOST};
@@ -29,7 +29,7 @@
     );
     let request = [head.into_bytes(), vec![b'x'; request.body]].concat();
     let (mut from, mut to) = stream.split();
-    // A response may come before the whole request has been sent.
+    // A response may arrive before the whole request has been sent.
     let writing = async {
         _ = to.write_all(&request).await;
         std::future::pending::<()>().await;
@@ -48,18 +48,19 @@
     within_limit("a response", read_message(stream, MessageKind::Response)).await
 }
 
-/// Sends requests one after another; returns the status of each response.
+/// Sends requests one after another, with ids made of the numbers of the service, the client and the request. Returns
+/// the status of each response, or the first violation.
 pub async fn run_client(
     to: SocketAddr,
     requests: Vec<ClientRequest>,
     number: usize,
-    name: usize,
+    client: usize,
     history: SharedHistory,
 ) -> Result<Vec<u16>, String> {
     let mut kept_connection: Option<TcpStream> = None;
     let mut statuses = Vec::new();
-    for (turn, request) in requests.iter().enumerate() {
-        let id = format!("c{number}-{name}-{turn}");
+    for (index, request) in requests.iter().enumerate() {
+        let id = format!("c{number}-{client}-{index}");
         let mut stream = match kept_connection.take() {
             Some(stream) => stream,
             None => TcpStream::connect(to)
@@ -74,7 +75,7 @@
         };
         statuses.push(history.borrow().check_response(&id, &message)?);
         if stream.try_read(&mut [0]).is_ok_and(|more| more > 0) {
-            return Err(format!("{id} got more than its response"));
+            return Err(format!("{id} got more bytes than its response"));
         }
         if message.complete && message.header("connection") != Some("close") && request.body < 1_000
         {
--- a/crates/emberpin-proxy/tests/response_integrity_proptest/history.rs
+++ b/crates/emberpin-proxy/tests/response_integrity_proptest/history.rs
@@ -1,4 +1,4 @@
-//! The record of what reached the servers, and the checks of what the clients received.
+//! The record of the requests that reached servers, and the checks of the responses that clients received.
 
 use crate::cases::{ClientRequest, ServerAction};
 use crate::common::Message;
@@ -11,11 +11,11 @@
 pub struct Arrival {
     pub id: String,
     pub not_run: bool,
-    /// The body of its response, or that which it would have without its fault.
+    /// The body of its response, or the one that it would have without its fault.
     pub body: Vec<u8>,
-    /// Its response is a success without a fault.
+    /// Whether its response is a success without a fault.
     pub good: bool,
-    /// Its server truncates the response, or resets the connection after it.
+    /// Whether its server truncates the response, or resets the connection after it.
     pub breaks_off: bool,
 }
 
@@ -43,7 +43,7 @@
         }
         let repeated = arrivals
             .split_last()
-            .is_some_and(|(_, earlier)| earlier.iter().any(|it| !it.not_run));
+            .is_some_and(|(_, earlier)| earlier.iter().any(|attempt| !attempt.not_run));
         if request.mutating && repeated {
             return Err(format!("{id} was sent again although it may have run"));
         }
@@ -73,19 +73,21 @@
             .ok_or("no status")?;
         let all_not_run = arrivals.iter().all(|arrival| arrival.not_run);
         if matches!(status, 408 | 421 | 429 | 503) && !all_not_run {
-            return Err(format!("{id} got {status} although it may have run"));
+            return Err(format!(
+                "{id} got {status}, which claims that it has not run, although it may have"
+            ));
         }
         let belongs = |arrival: &&Arrival| match (status, message.complete) {
             (200..=299, true) => arrival.good && arrival.body == message.body,
             (_, true) => arrival.body == message.body,
             (_, false) => arrival.body.starts_with(&message.body),
         };
-        let own_refusal = message.body.is_empty() && !(200..=299).contains(&status);
-        if !own_refusal && !arrivals.iter().any(belongs) {
-            let begin =
+        let rejected_by_proxy = message.body.is_empty() && !(200..=299).contains(&status);
+        if !rejected_by_proxy && !arrivals.iter().any(belongs) {
+            let beginning =
                 String::from_utf8_lossy(&message.body[..message.body.len().min(40)]).into_owned();
             return Err(format!(
-                "{id} got {status}, complete: {}, with bytes not its own: {begin:?}",
+                "{id} got {status}, complete: {}, with bytes of another response: {beginning:?}",
                 message.complete
             ));
         }
--- a/crates/emberpin-proxy/tests/response_integrity_proptest/main.rs
+++ b/crates/emberpin-proxy/tests/response_integrity_proptest/main.rs
@@ -1,5 +1,5 @@
-//! Property test of the integrity of responses: generated clients and servers on both sides of the proxy's process, and a
-//! checker that knows which bytes belong to which request. Servers split, delay, duplicate, corrupt, truncate and reset
+//! Property test of the integrity of responses: generated clients and servers communicate through a proxy process, and
+//! a checker knows which bytes belong to which request. Servers split, delay, duplicate, corrupt, truncate and reset
 //! their responses as generated.
 //!
 //! The cases are the same in every run; `EMBERPIN_ANSWER_CASES` sets how many there are.
@@ -32,7 +32,7 @@
 
 const CASES: u32 = 60;
 const SERVERS: usize = 2;
-/// Services that are sent in one message, since each message takes a round trip of the session.
+/// Services that are sent in one message, since each message takes a round trip in the session.
 const SERVICES_PER_MESSAGE: usize = 40;
 const MAX_ATTEMPTS: u32 = 2;
 /// Time limit of a request at a silent server.
@@ -48,7 +48,7 @@
 struct Harness {
     proxy: Proxy,
     session: RegistrySession,
-    /// Number of the last service.
+    /// Number of the last service that was prepared.
     number: usize,
     unused_services: VecDeque<UnusedService>,
     /// The removal of the services sent last, which is sent together with the next ones.
@@ -105,12 +105,12 @@
             self.number += 1;
             let number = self.number;
             let mut listeners = Vec::new();
-            for at in 0..SERVERS {
+            for index in 0..SERVERS {
                 let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
                     .await
                     .expect("bound");
                 let address = listener.local_addr().expect("bound");
-                let known = instance(&format!("i{number}-{at}"), address);
+                let known = instance(&format!("i{number}-{index}"), address);
                 let known = Instance {
                     service: format!("s{number}"),
                     ..known
@@ -141,13 +141,13 @@
         history.borrow_mut().actions = case.actions.into();
         let serving: Vec<JoinHandle<()>> = listeners
             .into_iter()
-            .map(|it| tokio::task::spawn_local(serve(it, history.clone())))
+            .map(|listener| tokio::task::spawn_local(serve(listener, history.clone())))
             .collect();
         let to = self.proxy.http;
         let numbered = case.clients.into_iter().enumerate();
         let clients: Vec<_> = numbered
-            .map(|(name, requests)| {
-                tokio::task::spawn_local(run_client(to, requests, number, name, history.clone()))
+            .map(|(client, requests)| {
+                tokio::task::spawn_local(run_client(to, requests, number, client, history.clone()))
             })
             .collect();
         let mut failed = None;
@@ -158,7 +158,7 @@
                 .and_then(|done| done)
             {
                 Ok(statuses) => self.statuses.extend(statuses),
-                Err(what) => failed = Some(what),
+                Err(violation) => failed = Some(violation),
             }
         }
         serving.iter().for_each(JoinHandle::abort);
@@ -166,8 +166,8 @@
     }
 }
 
-/// Guards the whole way of a response: `belongs`, the checks of idle connections, `judge`, what is framed and buffered,
-/// `BodyInterrupted`, what may have run, and what may be retried.
+/// Guards each step of forwarding a response: `belongs`, the checks of idle connections, `judge`, framing and
+/// buffering, `BodyInterrupted`, and the decisions whether a request may have run and may be retried.
 #[test]
 fn no_client_receives_a_byte_of_another_response() {
     let cases = std::env::var("EMBERPIN_ANSWER_CASES")
@@ -213,7 +213,7 @@
     let statuses = &harness.borrow().statuses;
     let served = statuses.iter().filter(|status| **status == 200).count();
     println!("{} requests, {served} served", statuses.len());
-    // Enough requests got a good response that the checks mean something.
+    // More than a quarter of the responses must be successes, or the checks would prove little.
     assert!(
         served * 4 > statuses.len(),
         "{served} of {}",
--- a/crates/emberpin-proxy/tests/response_integrity_proptest/servers.rs
+++ b/crates/emberpin-proxy/tests/response_integrity_proptest/servers.rs
@@ -1,4 +1,4 @@
-//! Servers that act as generated.
+//! Servers that perform the generated actions.
 
 use crate::cases::{Ending, ResponseShape, ServerAction, Trailing};
 use crate::common::{read_body, read_head, read_message, MessageKind};
@@ -18,7 +18,7 @@
         .collect()
 }
 
-/// The framing headers of a body, and the body as framed.
+/// The framing header of a body, and the framed body.
 fn framed(shape: &ResponseShape, body: &[u8]) -> (String, Vec<u8>) {
     if !shape.chunked {
         return (format!("content-length: {}\r\n", body.len()), body.to_vec());
@@ -77,7 +77,7 @@
     }
 }
 
-/// Serves one connection as generated, until an action ends it.
+/// Serves one connection with the generated actions, until one of them ends it.
 async fn serve_connection(mut stream: TcpStream, history: SharedHistory) {
     _ = stream.set_nodelay(true);
     let mut late: Option<Vec<u8>> = None;
@@ -115,7 +115,7 @@
     }
 }
 
-/// The record of a request that meets this action.
+/// The record of a request upon which the server performs this action.
 fn arrival(action: &ServerAction, id: &str, number: usize) -> Arrival {
     let (not_run, good, size) = match action {
         ServerAction::Respond(shape, _) => (false, true, shape.size),
@@ -139,10 +139,10 @@
     }
 }
 
-/// What becomes of a connection after an action.
+/// Whether a connection stays open after an action.
 enum AfterAction {
     Close,
-    /// The late bytes are sent once the next request has come.
+    /// The late bytes are sent once the next request has arrived.
     KeepOpen {
         late_bytes: Option<Vec<u8>>,
     },
@@ -244,7 +244,7 @@
     AfterAction::Close
 }
 
-/// Serves all connections to this server as generated.
+/// Serves all connections to this server with the generated actions.
 pub async fn serve(listener: TcpListener, history: SharedHistory) {
     while let Ok((stream, _)) = listener.accept().await {
         tokio::task::spawn_local(serve_connection(stream, history.clone()));
--- a/crates/emberpin-proxy/tests/responses.rs
+++ b/crates/emberpin-proxy/tests/responses.rs
@@ -1,4 +1,5 @@
-//! Whose bytes reach a client: responses that are late, duplicated or truncated.
+//! Integrity of responses: late, duplicated or truncated ones must not reach a client as another response or as
+//! complete.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -6,8 +7,8 @@
 use common::{start_with_one_server, within_limit};
 use googletest::prelude::*;
 
-/// Two requests on one connection of a client. The server sends `tamper` of its good response to the first, and the second
-/// must get its own.
+/// Sends two requests on one connection of a client. The server sends its response to the first as altered by `tamper`,
+/// and the second must get its own response.
 async fn second_request_after(tamper: impl Fn(Vec<u8>) -> Vec<u8>) -> googletest::Result<()> {
     let (proxy, _session, mut server) = start_with_one_server().await;
     let mut client = proxy.connect().await;
@@ -41,20 +42,21 @@
     verify_that!(client.stream.try_read(&mut [0]).is_err(), eq(true))
 }
 
-/// Several guards hold this together: the turn of the connection after each response, the checks of idle connections, and
-/// the HTTP library before it writes.
+/// Guards several checks together: of the connection after each response, of idle connections, and by the HTTP library
+/// before it writes.
 #[tokio::test]
-async fn a_duplicate_response_right_behind_the_first_reaches_no_client() -> googletest::Result<()> {
+async fn a_duplicate_response_directly_after_the_first_reaches_no_client() -> googletest::Result<()>
+{
     second_request_after(|bytes| [bytes.clone(), bytes].concat()).await
 }
 
-/// As before, with bytes that are no response.
+/// As before, with bytes that are not a response.
 #[tokio::test]
-async fn bytes_behind_a_response_reach_no_client() -> googletest::Result<()> {
+async fn bytes_after_a_response_reach_no_client() -> googletest::Result<()> {
     second_request_after(|bytes| [bytes, b"and more of it".to_vec()].concat()).await
 }
 
-/// As before, with a response that comes once the connection is idle.
+/// As before, with a response that arrives once the connection is idle.
 #[tokio::test]
 async fn a_duplicate_response_on_an_idle_connection_reaches_no_client() -> googletest::Result<()> {
     let (proxy, _session, mut server) = start_with_one_server().await;
@@ -86,10 +88,10 @@
     )
 }
 
-/// Guards `Wire::belongs` where a response is read: the late one comes while the next one is due.
+/// Guards `Wire::belongs` where a response is read: the late one arrives while the next one is awaited.
 #[tokio::test]
-async fn a_late_duplicate_response_is_not_taken_for_that_of_the_next_request(
-) -> googletest::Result<()> {
+async fn a_late_duplicate_response_is_not_forwarded_for_the_next_request() -> googletest::Result<()>
+{
     let (proxy, _session, mut server) = start_with_one_server().await;
     let mut client = proxy.connect().await;
     client
@@ -106,11 +108,11 @@
         .send("POST", "/write/b", &[("try-id", "t2")], b"")
         .await;
     let mut second = server.next_request().await;
-    // The second request must have come on the same connection, or this proves nothing.
+    // The second request must have arrived on the same connection, or this test would prove nothing.
     verify_that!(server.connection_count(), eq(1))?;
     second.write(&late).await;
     let response = client.response().await.expect("a response");
-    // The request may have run. Whatever the client gets, none of it is of the late response.
+    // The request may have run, so the client gets a 502, without any byte of the late response.
     verify_that!((response.status, response.text().as_str()), eq((502, "")))?;
     verify_that!(response.message.header("seal"), none())?;
     second.wait_closed().await;
@@ -187,7 +189,7 @@
     Ok(())
 }
 
-/// Guards the checks of idle connections: one on which an interim response has come is closed.
+/// Guards the checks of idle connections: one on which an interim response has arrived is closed.
 #[tokio::test]
 async fn an_interim_response_on_an_idle_connection_reaches_no_client() -> googletest::Result<()> {
     let (proxy, _session, mut server) = start_with_one_server().await;
@@ -208,7 +210,7 @@
         first
             .write(format!("HTTP/1.1 {interim}\r\n\r\n").as_bytes())
             .await;
-        // The proxy has noticed before the next request comes.
+        // The proxy closes the connection before the next request arrives.
         first.wait_closed().await;
         client
             .send("POST", "/write/b", &[("try-id", "t2")], b"")
@@ -223,14 +225,14 @@
             (number, response.status, response.text().as_str()),
             eq((number, 200, "second"))
         )?;
-        // On another connection than the one with the interim response.
+        // The request was sent on another connection than the one with the interim response.
         verify_that!(server.connection_count(), eq(number as u32 + 2))?;
     }
     Ok(())
 }
 
-/// Guards `max_connection_idle` for requests without an id: on a connection that carried nothing before, no late response
-/// can be taken for theirs.
+/// Guards `max_connection_idle` for requests without an id: on a connection that carried no request before, no late
+/// response can be mistaken for theirs.
 #[tokio::test]
 async fn a_request_without_an_id_is_sent_on_a_new_connection() -> googletest::Result<()> {
     let (proxy, _session, mut server) = start_with_one_server().await;
@@ -248,8 +250,9 @@
     Ok(())
 }
 
-/// A response without a length, which its server says it ends with the connection; `tear` resets the connection instead.
-async fn unframed_response(tear: bool) -> googletest::Result<Option<(u16, bool, String)>> {
+/// Has a server send a response without a length and with `connection: close`, then close the connection, or reset it
+/// if `reset`. Returns the client's status, whether the response was complete, and its body.
+async fn unframed_response(reset: bool) -> googletest::Result<Option<(u16, bool, String)>> {
     let (proxy, _session, mut server) = start_with_one_server().await;
     let mut client = proxy.connect().await;
     client
@@ -259,8 +262,8 @@
     request
         .write(b"HTTP/1.1 200 X\r\ntry-id: t1\r\nseal: s.t1\r\nconnection: close\r\n\r\nto the end")
         .await;
-    if tear {
-        // Closed with a pending reset.
+    if reset {
+        // Dropping the stream resets the connection now.
         socket2::SockRef::from(&request.stream).set_linger(Some(std::time::Duration::ZERO))?;
     }
     drop(request);
--- a/crates/emberpin-proxy/tests/retries.rs
+++ b/crates/emberpin-proxy/tests/retries.rs
@@ -1,4 +1,4 @@
-//! What a request may do after an attempt: end, or be retried at another server.
+//! Whether a request is retried at another server, or fails, after an attempt.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -10,14 +10,14 @@
 use googletest::prelude::*;
 use tokio::io::AsyncWriteExt;
 
-/// Guards `Effect::Unsafe` of mutating routes.
+/// Guards `Idempotency::Unsafe` of mutating routes.
 #[tokio::test]
 async fn a_mutating_request_that_may_have_run_is_not_retried() -> googletest::Result<()> {
     let (mut one, mut other, instances) = two_servers().await;
     let (proxy, _session) = Proxy::start_ready(DEFAULT_BOUNDS, default_items(), instances).await;
     let serving = async {
-        let (taken, other_server, _) = next_request_at_either(&mut one, &mut other).await;
-        drop(taken);
+        let (received, other_server, _) = next_request_at_either(&mut one, &mut other).await;
+        drop(received);
         other_server
     };
     let (response, other_server) = tokio::join!(proxy.request("POST", "/write/a", "t1"), serving);
@@ -26,14 +26,14 @@
     verify_that!(one.has_no_request() && other.has_no_request(), eq(true))
 }
 
-/// Guards `claims_not_run` of the wire, from server to client.
+/// Guards `claims_not_run` in `GatewayWire::describe`, from server to client.
 #[tokio::test]
 async fn a_503_without_not_run_is_not_forwarded_to_the_client() -> googletest::Result<()> {
     let (mut one, mut other, instances) = two_servers().await;
     let (proxy, _session) = Proxy::start_ready(DEFAULT_BOUNDS, default_items(), instances).await;
     let serving = async {
-        let (taken, other_server, _) = next_request_at_either(&mut one, &mut other).await;
-        taken.respond(503, &[], "").await;
+        let (received, other_server, _) = next_request_at_either(&mut one, &mut other).await;
+        received.respond(503, &[], "").await;
         other_server
     };
     let (response, other_server) = tokio::join!(proxy.request("POST", "/write/a", "t1"), serving);
@@ -41,7 +41,7 @@
     verify_that!(other_server.has_no_request(), eq(true))
 }
 
-/// Guards `Described::stands` on the way from server to client.
+/// Guards `Described::stands`, from server to client.
 #[tokio::test]
 async fn a_servers_own_error_is_forwarded_unaltered() -> googletest::Result<()> {
     let mut server = Server::start().await;
@@ -68,15 +68,15 @@
     Ok(())
 }
 
-/// Guards `may_retry` for requests that have not run: these are retried even where they may not run twice.
+/// Guards `may_retry` for requests that have not run: they are retried even if they must not run twice.
 #[tokio::test]
 async fn a_mutating_request_that_was_rejected_is_retried_at_another_server(
 ) -> googletest::Result<()> {
     let (mut one, mut other, instances) = two_servers().await;
     let (proxy, _session) = Proxy::start_ready(DEFAULT_BOUNDS, default_items(), instances).await;
     let serving = async {
-        let (taken, other_server, _) = next_request_at_either(&mut one, &mut other).await;
-        taken.respond(503, &[("not-run", "1")], "").await;
+        let (received, other_server, _) = next_request_at_either(&mut one, &mut other).await;
+        received.respond(503, &[("not-run", "1")], "").await;
         other_server
             .next_request()
             .await
@@ -91,7 +91,7 @@
 }
 
 /// Guards `max_attempts` in `may_retry`: a third server is available, and the retry budget would allow it. Guards
-/// `reject_only_unexecuted` too: a request that may have run is not refused with 503.
+/// `reject_only_unexecuted` too: a request that may have run is not rejected with 503.
 #[tokio::test]
 async fn a_readonly_request_is_attempted_as_often_as_its_route_allows() -> googletest::Result<()> {
     let mut servers = Vec::new();
@@ -104,19 +104,19 @@
         ));
     }
     let (proxy, _session) = Proxy::start_ready(DEFAULT_BOUNDS, default_items(), instances).await;
-    let mut request = 0;
+    let mut attempts = 0;
     let closing = async {
         let [one, two, three] = servers.as_mut_slice() else {
             return;
         };
         loop {
-            let taken = tokio::select! {
-                taken = one.requests.recv() => taken,
-                taken = two.requests.recv() => taken,
-                taken = three.requests.recv() => taken,
+            let received = tokio::select! {
+                received = one.requests.recv() => received,
+                received = two.requests.recv() => received,
+                received = three.requests.recv() => received,
             };
-            request += 1;
-            drop(taken);
+            attempts += 1;
+            drop(received);
         }
     };
     let response = tokio::select! {
@@ -124,24 +124,24 @@
         () = closing => return fail!("servers end"),
     };
     verify_that!(response.status, eq(502))?;
-    verify_that!(request, eq(2))
+    verify_that!(attempts, eq(2))
 }
 
-/// Guards the instance id in `Want-Instance`, which each attempt has of its own.
+/// Guards the instance id in `Want-Instance`, which each attempt states for its own server.
 #[tokio::test]
 async fn each_attempt_names_the_instance_that_it_is_meant_for() -> googletest::Result<()> {
     let (mut one, mut other, instances) = two_servers().await;
     let (proxy, _session) = Proxy::start_ready(DEFAULT_BOUNDS, default_items(), instances).await;
     let serving = async {
-        let (taken, other_server, first) = next_request_at_either(&mut one, &mut other).await;
-        let wanted = taken.header("want-instance").map(str::to_string);
-        taken.respond(421, &[("not-run", "1")], "").await;
-        let again = other_server.next_request().await;
-        let then = again.header("want-instance").map(str::to_string);
-        again.respond(200, &[], "right").await;
-        (first, wanted, then)
+        let (received, other_server, first) = next_request_at_either(&mut one, &mut other).await;
+        let first_wanted = received.header("want-instance").map(str::to_string);
+        received.respond(421, &[("not-run", "1")], "").await;
+        let retry = other_server.next_request().await;
+        let second_wanted = retry.header("want-instance").map(str::to_string);
+        retry.respond(200, &[], "right").await;
+        (first, first_wanted, second_wanted)
     };
-    let (response, (first, wanted, then)) =
+    let (response, (first, first_wanted, second_wanted)) =
         tokio::join!(proxy.request("POST", "/write/a", "t1"), serving);
     verify_that!(
         (response.status, response.text().as_str()),
@@ -149,15 +149,16 @@
     )?;
     let second = if first == "i-1" { "i-2" } else { "i-1" };
     verify_that!(
-        (wanted.as_deref(), then.as_deref()),
+        (first_wanted.as_deref(), second_wanted.as_deref()),
         eq((Some(first), Some(second)))
     )
 }
 
-/// Guards `on_request_misdirected`, and that it comes before the decision module chooses again: it would choose the only
-/// instance there is.
+/// Guards `on_request_misdirected`, and that it precedes the decision module's next choice, which would be the same
+/// instance, as it is the only one.
 #[tokio::test]
-async fn a_misdirected_instance_gets_nothing_until_a_later_heartbeat() -> googletest::Result<()> {
+async fn a_misdirected_instance_gets_no_requests_until_a_later_heartbeat() -> googletest::Result<()>
+{
     let mut server = Server::start().await;
     let known = instance("i-1", server.address);
     let (proxy, mut session) =
@@ -172,7 +173,7 @@
     let (response, ()) = tokio::join!(proxy.request("POST", "/write/a", "t1"), serving);
     verify_that!(response.status, eq(503))?;
     verify_that!(proxy.request("GET", "/read/a", "t2").await.status, eq(503))?;
-    // Sent again with the same sequence number, the instance is still taken to be misdirected.
+    // The same sequence number means that there was no later heartbeat, so the instance is still misdirected.
     session.send_changes(vec![], vec![known.clone()]).await;
     verify_that!(proxy.request("GET", "/read/a", "t3").await.status, eq(503))?;
     verify_that!(server.has_no_request(), eq(true))?;
@@ -184,8 +185,8 @@
     verify_that!(response.text(), eq("back"))
 }
 
-/// Guards the checks of idle connections: one that its server has closed is discarded unused, so that a mutating request
-/// goes out on another. A close that coincides with the write cannot be told from one after it.
+/// Guards the checks of idle connections: one that its server has closed is discarded unused, so that a mutating
+/// request is sent on another. A close that coincides with the write cannot be distinguished from one after it.
 #[tokio::test]
 async fn a_connection_that_its_server_has_closed_carries_no_request() -> googletest::Result<()> {
     let mut server = Server::start().await;
@@ -220,7 +221,8 @@
     verify_that!(server.has_no_request(), eq(true))
 }
 
-/// Guards what has run across a suspension of the process: a connection that ended meanwhile leaves the request in doubt.
+/// Guards the decision whether a request may have run after a suspension of the process: if its connection ended
+/// meanwhile, this is unknown.
 #[tokio::test]
 async fn a_mutating_request_is_not_retried_after_the_proxy_was_suspended() -> googletest::Result<()>
 {
@@ -235,9 +237,9 @@
             b"",
         )
         .await;
-    let (taken, _, _) = next_request_at_either(&mut one, &mut other).await;
+    let (received, _, _) = next_request_at_either(&mut one, &mut other).await;
     proxy.signal("-STOP");
-    drop(taken);
+    drop(received);
     proxy.signal("-CONT");
     verify_that!(client.status().await, some(eq(502)))?;
     verify_that!(one.has_no_request() && other.has_no_request(), eq(true))
--- a/crates/emberpin-proxy/tests/routing.rs
+++ b/crates/emberpin-proxy/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Which service a request goes to, and what becomes of requests in flight when routes change.
+//! Choice of the service of a request, and the effect of changed routes on requests in flight.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -13,7 +13,7 @@
 
 /// Guards `RejectionCause::NotConfigured`, and `Retry-After`.
 #[tokio::test]
-async fn without_a_configuration_clients_are_told_to_retry() -> googletest::Result<()> {
+async fn without_a_configuration_requests_get_503_with_retry_after() -> googletest::Result<()> {
     let proxy = Proxy::start(DEFAULT_BOUNDS).await;
     let mut session = proxy.accept_session().await;
     for snapshot_sent in [false, true] {
@@ -25,7 +25,7 @@
             .and_then(|after| after.parse::<f64>().ok());
         verify_that!(after, some(all![gt(0.0), lt(5.0)]))?;
         verify_that!(proxy.readiness().await, some(eq(503)))?;
-        // A confirmed registry without any item does not change that.
+        // A confirmed registry that has no items does not change that.
         session.send(confirmed(proxy.ip, 1));
         session.send_snapshot(vec![], vec![]).await;
         session.send(confirmed(proxy.ip, 1));
@@ -34,7 +34,8 @@
     Ok(())
 }
 
-/// Guards `RejectionCause::RouteNotFound`, the tombstone of a removed route, and the host in the route match.
+/// Guards `RejectionCause::RouteNotFound`, the tombstone of a removed route, and the comparison of hosts when a route
+/// is looked up.
 #[tokio::test]
 async fn routes_that_are_not_in_force_get_404() -> googletest::Result<()> {
     let server = Server::start().await;
@@ -71,7 +72,7 @@
         )
         .await;
     verify_that!(proxy.request("GET", "/read/a", "t6").await.status, eq(200))?;
-    // Once every route is removed, the configuration still counts as known.
+    // Once every route is removed, the configuration still counts as received.
     let tombstones = ["read", "write"].map(|name| item(ItemKind::Route, name, 9, None));
     session.send_changes(tombstones.to_vec(), vec![]).await;
     verify_that!(proxy.request("GET", "/read/a", "t7").await.status, eq(404))
@@ -86,7 +87,7 @@
         ..instance("i-2", new.address)
     };
     let instances = vec![instance("i-1", old.address), other];
-    let request = old.serve_all("old");
+    let served_by_old = old.serve_all("old");
     new.serve_all("new");
     let (proxy, mut session) = Proxy::start_ready(DEFAULT_BOUNDS, default_items(), instances).await;
     verify_that!(
@@ -116,7 +117,7 @@
             eq("new")
         )?;
     }
-    verify_that!(request.lock().expect("one writer").len(), eq(1))?;
+    verify_that!(served_by_old.lock().expect("one writer").len(), eq(1))?;
     // The other route is unchanged.
     verify_that!(
         proxy.request("POST", "/write/a", "t8").await.text(),
@@ -147,7 +148,7 @@
     };
     let items = [default_items(), vec![service("t", 1, 10.0), beside.item()]].concat();
     let (proxy, mut session) = Proxy::start_ready(DEFAULT_BOUNDS, items, instances).await;
-    // The new service has a retry budget once a client has sent it a request.
+    // The new service has a retry budget only after a first request.
     verify_that!(
         proxy.request("GET", "/beside/a", "t0").await.status,
         eq(200)
@@ -182,7 +183,7 @@
     Ok(())
 }
 
-/// As before, with a route that is removed; and a request that may have run is not taken back.
+/// As before, with a route that is removed. A request that may have run is not taken back from its service.
 #[tokio::test]
 async fn a_request_in_flight_whose_route_is_removed_is_not_retried() -> googletest::Result<()> {
     for (rejected, status) in [(true, 404), (false, 502)] {
--- a/crates/emberpin-proxy/tests/server_selection.rs
+++ b/crates/emberpin-proxy/tests/server_selection.rs
@@ -22,14 +22,14 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// A retry budget as settings files state it, which allows a new proxy no retry before ten requests.
+/// A typical retry budget, which allows a new proxy no retry before ten requests.
 const USUAL_RETRY_BUDGET: Bounds = Bounds {
     retry_ratio: 0.2,
     retry_extra: 60,
     ..DEFAULT_BOUNDS
 };
 
-/// An address that is bound, and at which nobody listens yet.
+/// A bound socket that does not listen yet, and its address.
 fn unreachable_address() -> (TcpSocket, SocketAddr) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind((Ipv4Addr::LOCALHOST, 0).into()).expect("bound");
@@ -44,8 +44,8 @@
     }
 }
 
-/// Sends requests until this server receives one.
-async fn wait_requested_again(proxy: &Proxy, server: &mut Server) {
+/// Sends requests to the proxy until this server receives one.
+async fn wait_until_requested(proxy: &Proxy, server: &mut Server) {
     let mut number = 0;
     let requesting = async {
         loop {
@@ -62,8 +62,8 @@
     request.respond(200, &[], "back").await;
 }
 
-/// Guards `on_server_unreachable`, the probing and `mark_reachable`; and that attempts that never went out need no retry
-/// budget.
+/// Guards `on_server_unreachable`, the probing and `mark_reachable`; and that attempts of which no byte was sent need
+/// no retry budget.
 #[tokio::test]
 async fn an_unreachable_server_is_avoided_until_it_accepts_connections() -> googletest::Result<()> {
     let (socket, address) = unreachable_address();
@@ -88,15 +88,16 @@
         verify_that!(started.elapsed(), lt(Duration::from_secs(3)))?;
     }
     let mut server = Server::on(socket.listen(16)?);
-    wait_requested_again(&proxy, &mut server).await;
+    wait_until_requested(&proxy, &mut server).await;
     Ok(())
 }
 
-/// Guards `unreachable` in `is_in_service`: a request that was sent there would wait for the whole connect timeout.
+/// Guards `unreachable` in `is_in_service`: an attempt at an unreachable server would wait for the whole connect
+/// time-out.
 #[tokio::test]
 async fn no_attempt_is_sent_to_an_unreachable_server() -> googletest::Result<()> {
     let (socket, address) = unreachable_address();
-    // One connection that nobody accepts fills the backlog, and the system leaves further ones unanswered.
+    // One connection that is not accepted fills the backlog, and the system does not respond to further ones.
     let _listener = socket.listen(0)?;
     let _filler = TcpStream::connect(address).await?;
     let (proxy, _session) = Proxy::start_ready(
@@ -109,7 +110,7 @@
     let first = proxy.request("POST", "/write/a", "t0").await;
     verify_that!(first.status, eq(503))?;
     verify_that!(started.elapsed(), ge(Duration::from_millis(150)))?;
-    let mut least = Duration::MAX;
+    let mut shortest = Duration::MAX;
     for number in 1..=10 {
         let started = Instant::now();
         let response = proxy
@@ -117,15 +118,16 @@
             .await;
         verify_that!(response.status, eq(503))?;
         verify_that!(response.message.header("retry-after"), some(anything()))?;
-        least = least.min(started.elapsed());
+        shortest = shortest.min(started.elapsed());
     }
-    // The machine may be busy, so the fastest of ten counts; a request that was sent there would take longer.
-    verify_that!(least, lt(Duration::from_millis(100)))
+    // The machine may be busy, so the shortest of ten times counts; an attempt at the server would take longer.
+    verify_that!(shortest, lt(Duration::from_millis(100)))
 }
 
-/// Guards `available` in the `unreachable` of `update_endpoint`: nobody probes a server that is not available.
+/// Guards `available` in the `unreachable` of `update_endpoint`: a server that is not available is not probed, so it
+/// must not stay unreachable.
 #[tokio::test]
-async fn a_server_that_was_unreachable_before_an_evacuation_is_tried_after_it(
+async fn a_server_that_was_unreachable_before_an_evacuation_gets_requests_after_it(
 ) -> googletest::Result<()> {
     let (socket, address) = unreachable_address();
     let other = Server::start().await;
@@ -145,7 +147,7 @@
             vec![],
         )
         .await;
-    // Long enough for the health check to find that nothing may go there.
+    // Long enough for the health check to end, as no request may be sent to the server.
     let started = Instant::now();
     poll_until("time to pass", || async {
         (started.elapsed() > Duration::from_millis(1_200)).then_some(())
@@ -155,12 +157,11 @@
         .send_changes(vec![item(ItemKind::Evacuation, "north", 2, None)], vec![])
         .await;
     let mut server = Server::on(socket.listen(16)?);
-    wait_requested_again(&proxy, &mut server).await;
+    wait_until_requested(&proxy, &mut server).await;
     Ok(())
 }
 
-/// Guards `Status::Draining` on its way to the decision module; the connections are closed, and the membership entry says
-/// so too.
+/// Guards `Status::Draining` in the connections, which are closed, and in the membership entry for the decision module.
 #[tokio::test]
 async fn a_draining_server_gets_no_new_requests() -> googletest::Result<()> {
     let (mut draining, other) = (Server::start().await, Server::start().await);
@@ -179,7 +180,7 @@
     };
     let (response, ()) = tokio::join!(proxy.request("GET", "/read/a", "t0"), serving);
     verify_that!(response.text(), eq("here"))?;
-    // A request that it works on is not cut off.
+    // A request in progress at the draining server is not interrupted.
     let mut client_in_flight = proxy.connect().await;
     client_in_flight
         .send(
@@ -189,14 +190,14 @@
             b"",
         )
         .await;
-    let at_work = draining.next_request().await;
+    let in_progress = draining.next_request().await;
     let draining_instance = Instance {
         seq: 2,
         status: Status::Draining,
         ..instance("i-1", draining.address)
     };
     session.send_changes(vec![], vec![draining_instance]).await;
-    at_work.respond(200, &[], "done").await;
+    in_progress.respond(200, &[], "done").await;
     verify_that!(
         client_in_flight
             .response()
@@ -204,7 +205,7 @@
             .map(|response| response.text()),
         some(eq("done"))
     )?;
-    // Both are idle, and the draining one is nearer.
+    // Both servers are idle, and the draining one is in the proxy's own zone.
     for number in 2..12 {
         let response = proxy.request("GET", "/read/a", &format!("t{number}")).await;
         verify_that!(
@@ -215,7 +216,7 @@
     verify_that!(draining.has_no_request(), eq(true))
 }
 
-/// Guards evacuated zones on their way from the item to the decision module, and back.
+/// Guards the application of evacuation items, and of their removal, to the decision module.
 #[tokio::test]
 async fn an_evacuated_zone_gets_no_new_requests() -> googletest::Result<()> {
     let (mut near, other) = (Server::start().await, Server::start().await);
@@ -238,7 +239,7 @@
             eq((200, "other"))
         )?;
     }
-    // Nor does an instance that starts there meanwhile.
+    // An instance that starts there in the meantime gets none either.
     let mut started_later = Server::start().await;
     session
         .send_changes(vec![], vec![instance("i-3", started_later.address)])
@@ -254,11 +255,11 @@
     session
         .send_changes(vec![item(ItemKind::Evacuation, "north", 2, None)], vec![])
         .await;
-    wait_requested_again(&proxy, &mut near).await;
+    wait_until_requested(&proxy, &mut near).await;
     Ok(())
 }
 
-/// Asserts that nothing of a request is written if `change` happens while its attempt waits for a connection.
+/// Asserts that no byte of a request is written if `change` happens while its attempt waits for a connection.
 async fn expect_unsent_after(
     change: impl FnOnce(&Upstream, &UpstreamRequest),
 ) -> googletest::Result<()> {
@@ -301,7 +302,7 @@
         pin!(upstream
             .clone()
             .attempt(outgoing.clone(), common::WAIT_LIMIT, cancelled));
-    // The attempt has begun to connect, and no other task has run since.
+    // Polled once, the attempt has begun to connect; no other task has run yet.
     poll_fn(|context| {
         assert!(attempt.as_mut().poll(context).is_pending());
         std::task::Poll::Ready(())
@@ -320,7 +321,7 @@
     expect_unsent_after(|upstream, _| upstream.close()).await
 }
 
-/// Guards the check of `withdrawn` at the same point: its route leads elsewhere by then.
+/// Guards the check of `withdrawn` at the same point, after the request's route has changed.
 #[tokio::test]
 async fn a_request_that_waits_for_a_connection_is_not_sent_once_withdrawn() -> googletest::Result<()>
 {
--- a/crates/emberpin-proxy/tests/slow_start.rs
+++ b/crates/emberpin-proxy/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! The share of a warming server's rate that one proxy takes.
+//! The share of a warming server's request rate that one proxy uses.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -18,8 +18,8 @@
     }
 }
 
-/// Guards `admitted` in `is_in_service` and `refresh_slow_start` after each attempt: with the 20 requests that a warming
-/// server bears in a second and the 16 proxies that there may be, one of them sends one.
+/// Guards `admitted` in `is_in_service` and `refresh_slow_start` after each attempt: of the 20 requests per second that
+/// a warming server accepts, shared by up to 16 proxies, one proxy sends one per second.
 #[tokio::test]
 async fn a_warming_server_gets_one_proxys_share_of_its_rate() -> googletest::Result<()> {
     let server = Server::start().await;
@@ -27,30 +27,31 @@
     let served = server.serve_all("cold");
     let (proxy, _session) = Proxy::start_ready(DEFAULT_BOUNDS, default_items(), instances).await;
     let mut period = interval(Duration::from_millis(10));
-    let mut refused = 0;
+    let mut rejected = 0;
     while served.lock().expect("one writer").len() < 3 {
         period.tick().await;
-        // Two at a time, as both might be admitted before either is counted.
+        // Two requests at a time, as both might be admitted before either is counted.
         let both = tokio::join!(
             proxy.request("POST", "/write/a", "t1"),
             proxy.request("GET", "/read/a", "t2")
         );
         for response in [both.0, both.1] {
             verify_that!(response.status, any![eq(200), eq(503)])?;
-            refused += u32::from(response.status == 503);
+            rejected += u32::from(response.status == 503);
         }
     }
-    verify_that!(refused, gt(10))?;
+    verify_that!(rejected, gt(10))?;
     let served = served.lock().expect("one writer");
-    for two in served.windows(2) {
-        verify_that!(two[1].1 - two[0].1, ge(Duration::from_secs(1)))?;
+    for pair in served.windows(2) {
+        verify_that!(pair[1].1 - pair[0].1, ge(Duration::from_secs(1)))?;
     }
     Ok(())
 }
 
-/// Guards a proxy count of 0 in slow start: no registry has said yet how many share the server.
+/// Guards a proxy count of 0 in slow start: no registry has reported yet how many proxies share the server.
 #[tokio::test]
-async fn a_warming_server_gets_nothing_until_the_proxies_are_counted() -> googletest::Result<()> {
+async fn a_warming_server_gets_no_requests_until_the_proxies_are_counted() -> googletest::Result<()>
+{
     let server = Server::start().await;
     let address = server.address;
     let served = server.serve_all("cold");
@@ -59,7 +60,7 @@
     session
         .send_snapshot(default_items(), vec![warming_instance(address)])
         .await;
-    // Longer than a new proxy waits for the count to be steady.
+    // Longer than a new proxy waits for a steady count.
     let started = Instant::now();
     let mut period = interval(Duration::from_millis(20));
     while started.elapsed() < Duration::from_millis(3_500) {
@@ -67,7 +68,7 @@
         verify_that!(proxy.request("GET", "/read/a", "t0").await.status, eq(503))?;
     }
     verify_that!(served.lock().expect("one writer").len(), eq(0))?;
-    // The proxy has ended the session, which confirmed nothing, and establishes others.
+    // The proxy has ended the session, in which nothing was confirmed, and establishes others.
     let sessions = async {
         loop {
             proxy.accept_session().await.keep_confirming(1);
--- a/crates/emberpin-proxy/tests/traffic_classes.rs
+++ b/crates/emberpin-proxy/tests/traffic_classes.rs
@@ -1,4 +1,4 @@
-//! What one service keeps for each sort of routes, over a proxy's life.
+//! The tables of traffic classes of one service over many changes of routes.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_config::{Target, Version};
@@ -52,24 +52,24 @@
     }
 }
 
-/// Guards the free list in `TrafficClasses`: without it the 256th change is the last one with a class of its own.
+/// Guards the free list in `TrafficClasses`: without it, no change after the 256th would get a class of its own.
 #[tokio::test]
 async fn class_tables_do_not_grow_with_changes_of_a_timeout() -> googletest::Result<()> {
     let mut service = service();
-    let standing = route(RouteKind::Mutating, 500);
-    let kept = service.class(&standing);
+    let unchanged = route(RouteKind::Mutating, 500);
+    let kept = service.class(&unchanged);
     for change in 1..=CHANGES {
         let (old, new) = (
             route(RouteKind::Readonly, change),
             route(RouteKind::Readonly, change + 1),
         );
-        // A request of the old route goes on while the new one is in force.
-        service.retain_classes([&standing, &old, &new].into_iter());
-        let classes: HashSet<usize> = [&standing, &old, &new]
+        // A request on the old route is still in flight while the new route is in force.
+        service.retain_classes([&unchanged, &old, &new].into_iter());
+        let classes: HashSet<usize> = [&unchanged, &old, &new]
             .map(|route| service.class(route).0)
             .into();
         verify_that!(classes.len(), eq(3))?;
-        verify_that!(service.class(&standing), eq(kept))?;
+        verify_that!(service.class(&unchanged), eq(kept))?;
     }
     verify_that!(
         service.class_counts(),
@@ -80,9 +80,10 @@
     )
 }
 
-/// Guards `any_of_same_effect`: a mutating request never shares a class with idempotent ones.
+/// Guards `any_of_same_idempotency`: a mutating request never shares a class with idempotent ones.
 #[tokio::test]
-async fn above_the_limit_requests_share_a_class_of_the_same_effect() -> googletest::Result<()> {
+async fn above_the_limit_requests_share_a_class_of_the_same_idempotency() -> googletest::Result<()>
+{
     let mut service = service();
     let mutating = service.class(&route(RouteKind::Mutating, 1));
     for timeout in 1..1_000 {
