--- a/crates/emberpin-peering/src/error.rs
+++ b/crates/emberpin-peering/src/error.rs
@@ -1,7 +1,7 @@
-//! Why a connection is closed, and why a message is not sent.
+//! Errors: the reasons why a connection is closed, and why a message is not sent.
 //!
-//! The texts of these errors are part of the log lines that operators look up (`docs/operators/link.md`). They keep the
-//! words that they had in the first release, whatever the variants are called.
+//! The texts of these errors are part of the log lines that operators look up (`docs/operators/link.md`). They must not
+//! change, even if a variant is renamed.
 
 use crate::frame::FrameTooLong;
 use crate::message::{DecodeError, RejectReason};
@@ -35,10 +35,10 @@
     /// Data was addressed to another incarnation of this instance.
     #[error("OtherLife")]
     WrongIncarnation,
-    /// A newer connection, or a later incarnation, of the same peer has taken its place.
+    /// A newer connection, or a later incarnation, of the same peer has replaced it.
     #[error("Replaced")]
     Replaced,
-    /// Nothing was received for too long.
+    /// Nothing was received within the time limit of the connection's state.
     #[error("Silent")]
     TimedOut,
     /// [`Settings::max_pending_handshakes`](crate::Settings::max_pending_handshakes) is reached.
@@ -58,10 +58,10 @@
     /// There is no connection to the recipient, or its handshake is not complete.
     #[error("NotConnected")]
     NotConnected,
-    /// Too many bytes are unacknowledged by the recipient. The new message gives way, not an older one.
+    /// Too many bytes are unacknowledged by the recipient. The new message is dropped, not an older one.
     #[error("Full")]
     WindowFull,
-    /// The message exceeds the bound of a frame.
+    /// The message exceeds [`Settings::max_frame_bytes`](crate::Settings::max_frame_bytes).
     #[error("TooLong")]
     MessageTooLong,
 }
--- a/crates/emberpin-peering/src/event.rs
+++ b/crates/emberpin-peering/src/event.rs
@@ -30,7 +30,7 @@
     Received {
         /// Connection that was read from.
         connection: ConnectionId,
-        /// The next bytes of its stream, cut anywhere.
+        /// The next bytes of its stream, which may be split at any point.
         bytes: Vec<u8>,
     },
     /// The remote side has ended a connection, or it has failed.
@@ -38,7 +38,7 @@
         /// Connection that ended.
         connection: ConnectionId,
     },
-    /// A layer above sends a message. The answer is [`Action::Write`] or [`Action::SendFailed`].
+    /// A layer above sends a message. The result is [`Action::Write`] or [`Action::SendFailed`].
     Send {
         /// Name of the recipient.
         peer: String,
@@ -100,16 +100,16 @@
     },
     /// A later incarnation of this instance is known to a peer. This process must stop acting as the instance.
     Superseded {
-        /// Number of the later incarnation.
+        /// The number of the later [`Incarnation`].
         by: u64,
     },
-    /// A message was refused; no byte of it was written.
+    /// A message was not sent; no byte of it was written.
     SendFailed {
         /// Name of the recipient.
         peer: String,
         /// Which layer the message belongs to.
         kind: u16,
-        /// Why it was refused.
+        /// Why it was not sent.
         error: SendError,
     },
 }
--- a/crates/emberpin-peering/src/frame.rs
+++ b/crates/emberpin-peering/src/frame.rs
@@ -37,7 +37,7 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The payload of the next frame; `None` until all of it was fed.
+    /// The payload of the next frame; `None` until all of it has been fed.
     ///
     /// # Errors
     ///
@@ -61,7 +61,7 @@
     }
 }
 
-/// The frame with this payload.
+/// Encodes a payload as a frame.
 pub fn encode_frame(payload: &[u8]) -> Vec<u8> {
     let mut frame = Vec::with_capacity(PREFIX_BYTES + payload.len());
     frame.extend_from_slice(&(payload.len() as u32).to_be_bytes());
--- a/crates/emberpin-peering/src/ids.rs
+++ b/crates/emberpin-peering/src/ids.rs
@@ -9,9 +9,9 @@
 /// One run of a peer's process. A restart begins a new incarnation, which supersedes those with a lower number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Rises with each start.
+    /// Increases with each start.
     pub number: u64,
-    /// Random number drawn at the start. Tells apart two runs that got the same number.
+    /// Random number drawn at the start. Distinguishes two runs with the same number.
     pub nonce: u64,
 }
 
--- a/crates/emberpin-peering/src/lib.rs
+++ b/crates/emberpin-peering/src/lib.rs
@@ -6,7 +6,8 @@
 //! come back. Messages of the layers above are a kind and bytes, and are not interpreted here.
 //!
 //! Delivery is at most once and in order for each connection. A message that was written when a connection ends may or
-//! may not have arrived, and nothing is queued for a peer that is not connected: whoever sends must bear a loss.
+//! may not have arrived, and nothing is queued for a peer that is not connected: senders must tolerate the loss of
+//! messages.
 //!
 //! - [`frame`]: length-prefixed frames on a stream of bytes;
 //! - [`message`]: the messages in the frames, and their encoding;
--- a/crates/emberpin-peering/src/message.rs
+++ b/crates/emberpin-peering/src/message.rs
@@ -1,8 +1,8 @@
 //! Messages between peers, and their encoding: one byte for the kind, then the fields as `postcard` encodes them.
 //!
 //! A message of an unknown kind is skipped if the kind is [`FIRST_OPTIONAL_KIND`] or above; any other ends the
-//! connection. Bytes after the known fields are ignored. So a later build may add optional kinds, and fields at the end,
-//! without a new version.
+//! connection. Bytes after the known fields are ignored. A later build may therefore add optional kinds, and fields at
+//! the end, without a new version.
 //!
 //! The order of fields and variants is the encoding: it must not change.
 
@@ -66,7 +66,7 @@
         cluster: String,
         /// Name of the sender.
         sender: String,
-        /// Name of the instance that the sender means to be connected to.
+        /// Name of the instance that the sender intends to connect to.
         recipient: String,
         /// Incarnation of the sender.
         incarnation: Incarnation,
@@ -82,7 +82,7 @@
         /// Epoch of the accepting side's membership.
         epoch: MembershipEpoch,
     },
-    /// Refuses the handshake; the last message on a connection.
+    /// Rejects the handshake; the last message on a connection.
     Reject(RejectReason),
     /// A message of a layer above.
     Data {
@@ -109,19 +109,19 @@
     },
 }
 
-/// Why bytes are not a message.
+/// Why bytes cannot be decoded as a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// An unknown kind that is optional: the message is to be skipped.
+    /// An unknown kind that is optional: the message must be skipped.
     #[error("Skip({0})")]
     UnknownOptionalKind(u8),
     /// An unknown kind that is not optional.
     #[error("Kind({0})")]
     UnknownKind(u8),
-    /// The fields do not fit the kind, which is carried.
+    /// The fields are not valid for the kind, which the variant carries.
     #[error("Fields({0})")]
     InvalidFields(u8),
-    /// Not even a kind.
+    /// The payload is empty, so that even the kind is missing.
     #[error("Empty")]
     Empty,
 }
@@ -186,7 +186,7 @@
     ///
     /// # Errors
     ///
-    /// If the payload is empty, of an unknown kind, or its fields do not fit the kind.
+    /// If the payload is empty, of an unknown kind, or its fields are not valid for the kind.
     /// [`DecodeError::UnknownOptionalKind`] does not end the connection.
     pub fn decode(payload: &[u8]) -> Result<Message, DecodeError> {
         let (kind, fields) = payload.split_first().ok_or(DecodeError::Empty)?;
--- a/crates/emberpin-peering/src/peer.rs
+++ b/crates/emberpin-peering/src/peer.rs
@@ -1,4 +1,4 @@
-//! What is known about one peer, and the connection that this instance keeps open to it.
+//! The state of one peer, and of the connection that this instance keeps open to it.
 
 use crate::ids::{ConnectionId, Incarnation, MembershipEpoch};
 use crate::settings::Backoff;
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Whether a peer is alive, as far as its messages tell.
+/// Whether a peer is alive, judged by when messages were last received from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Liveness {
     /// Nothing was ever received from it.
@@ -114,13 +114,13 @@
     pub state: PeerState,
     /// When something was last received from it, on either connection.
     pub last_contact_at: Timestamp,
-    /// The last pause before an attempt to connect; zero since the last successful handshake.
+    /// The last delay before an attempt to connect; reset to zero by a successful handshake.
     pub reconnect_delay: Duration,
     pub outgoing: OutgoingConnection,
     /// The connection that the peer opened, after its handshake.
     pub incoming: Option<ConnectionId>,
     /// Whether the peer has accepted a handshake of this incarnation. If it has, a rejection as stale means that a
-    /// later incarnation was started; if not, that this one got too low a number.
+    /// later incarnation was started; if not, that this one's number is too low.
     pub accepted_this_incarnation: bool,
 }
 
--- a/crates/emberpin-peering/src/peering.rs
+++ b/crates/emberpin-peering/src/peering.rs
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug)]
 pub struct Peering {
     settings: Settings,
-    /// Latest time passed in; a clock that steps back stands still.
+    /// The latest time passed in. If the host's clock steps back, it stays unchanged.
     now: Timestamp,
     peers: BTreeMap<String, Peer>,
     connections: BTreeMap<ConnectionId, Connection>,
@@ -76,7 +76,7 @@
 }
 
 impl Peering {
-    /// Starts without connections; the first [`Event::Tick`] has all peers connected to.
+    /// Starts without connections; the first [`Event::Tick`] starts connecting to all peers.
     pub fn new(settings: Settings, now: Timestamp) -> Peering {
         let peers = settings
             .peers
@@ -251,7 +251,7 @@
         self.on_tick(actions);
     }
 
-    /// Handles the end of a connection that this side has not closed.
+    /// Handles the end of a connection that this side did not close.
     fn on_closed(&mut self, connection: ConnectionId, actions: &mut Vec<Action>) {
         if let Some(ConnectionRole::Outgoing { peer }) =
             self.connections.get(&connection).map(|open| &open.role)
@@ -265,7 +265,7 @@
         self.remove_connection(connection, actions);
     }
 
-    /// Closes a connection, and forgets it.
+    /// Closes a connection, and removes it.
     fn close(&mut self, connection: ConnectionId, reason: CloseReason, actions: &mut Vec<Action>) {
         actions.push(Action::Close { connection, reason });
         self.remove_connection(connection, actions);
@@ -297,7 +297,7 @@
             ConnectionRole::AwaitingHello { .. } => {}
             ConnectionRole::Incoming(session) => {
                 if let Some(peer) = self.peers.get_mut(&session.peer) {
-                    // A newer connection may have taken its place already.
+                    // A newer connection may have replaced it already.
                     if peer.incoming == Some(connection) {
                         peer.incoming = None;
                     }
--- a/crates/emberpin-peering/src/peering/failure_detection.rs
+++ b/crates/emberpin-peering/src/peering/failure_detection.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// When a connection times out, unless something is received before.
+    /// When a connection times out, unless something is received before then.
     fn deadline(&self, role: &ConnectionRole) -> Option<Timestamp> {
         match role {
             ConnectionRole::AwaitingHello { deadline, .. } => Some(*deadline),
@@ -57,8 +57,8 @@
         let Some(peer) = self.peers.get_mut(name) else {
             return;
         };
-        let silence = self.now.duration_since(peer.last_contact_at);
-        let liveness = liveness_after(peer.state.liveness, silence, &self.settings);
+        let since_contact = self.now.duration_since(peer.last_contact_at);
+        let liveness = liveness_after(peer.state.liveness, since_contact, &self.settings);
         if liveness != peer.state.liveness {
             peer.state.liveness = liveness;
             peer.state.since = self.now;
@@ -158,13 +158,13 @@
     }
 }
 
-/// The liveness of a peer from which nothing was received for this long. A peer that was never heard from stays unknown,
-/// and only a received message makes one alive again.
-fn liveness_after(current: Liveness, silence: Duration, settings: &Settings) -> Liveness {
+/// The liveness of a peer from which nothing was received for this long. A peer from which nothing was ever received
+/// stays unknown, and only a received message makes a peer alive again.
+fn liveness_after(current: Liveness, since_contact: Duration, settings: &Settings) -> Liveness {
     match current {
         Liveness::Unknown => Liveness::Unknown,
-        _ if silence >= settings.dead_after => Liveness::Dead,
-        _ if silence >= settings.suspect_after => Liveness::Suspected,
+        _ if since_contact >= settings.dead_after => Liveness::Dead,
+        _ if since_contact >= settings.suspect_after => Liveness::Suspected,
         current => current,
     }
 }
--- a/crates/emberpin-peering/src/peering/handshake.rs
+++ b/crates/emberpin-peering/src/peering/handshake.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Awaits the Hello on an accepted connection, unless too many await one already.
+    /// Awaits the Hello on an accepted connection, unless too many accepted connections await one already.
     pub(super) fn on_accepted(
         &mut self,
         connection: ConnectionId,
@@ -156,7 +156,7 @@
             Some(known) if known.number > hello.incarnation.number => {
                 Err(RejectReason::StaleIncarnation(known.number))
             }
-            // Two runs that got the same number: the first one stays, and the other has to choose a higher number.
+            // Two runs with the same number: the first one stays, and the other has to choose a higher number.
             Some(known)
                 if known.number == hello.incarnation.number && known != hello.incarnation =>
             {
@@ -246,9 +246,9 @@
         self.close(connection, CloseReason::RejectedByPeer(reason), actions);
     }
 
-    /// A peer knows another incarnation of this instance, with this number. If the peer has accepted this incarnation
-    /// before, that one is its successor. If not, the clock was set back before the start, or two runs got the same
-    /// number: this one goes on under a higher number.
+    /// Handles a rejection by a peer that knows another incarnation of this instance, with this number. If the peer has
+    /// accepted this incarnation before, the other one is its successor, and this one is superseded. If not, the clock
+    /// was set back before the start, or two runs got the same number: this incarnation continues with a higher number.
     fn on_stale_incarnation(
         &mut self,
         number: u64,
--- a/crates/emberpin-peering/src/peering/session.rs
+++ b/crates/emberpin-peering/src/peering/session.rs
@@ -9,7 +9,7 @@
 use crate::peer::OutgoingConnection;
 
 impl Peering {
-    /// Sends a message of a layer above, or reports why it is refused.
+    /// Sends a message of a layer above, or reports why it is not sent.
     pub(super) fn on_send(
         &mut self,
         peer: String,
@@ -24,7 +24,7 @@
         actions.push(action);
     }
 
-    /// The write that sends the message.
+    /// Returns the write that sends the message, and counts it against the send window.
     fn send(&mut self, peer_name: &str, kind: u16, body: Vec<u8>) -> Result<Action, SendError> {
         let peer = self
             .peers
--- a/crates/emberpin-peering/src/settings.rs
+++ b/crates/emberpin-peering/src/settings.rs
@@ -17,9 +17,9 @@
 pub struct Settings {
     /// Name of the cluster. Peers that name another one are rejected in the handshake.
     pub cluster: String,
-    /// This instance's name, as the peers have it in their settings.
+    /// This instance's name, as it stands in the peers' settings.
     pub local_name: String,
-    /// This instance's incarnation. Its number is raised if a peer remembers a higher one from before the start.
+    /// This instance's incarnation. Its number is raised if a peer knows a higher one from before the start.
     pub incarnation: Incarnation,
     /// Epoch of `peers`.
     pub epoch: MembershipEpoch,
@@ -36,7 +36,7 @@
     pub handshake_timeout: Duration,
     /// Pauses between attempts to connect to a peer.
     pub reconnect_backoff: Backoff,
-    /// Bound of the bytes sent to one peer and not acknowledged yet; a message beyond it is refused.
+    /// Bound of the bytes sent to one peer and not acknowledged yet; a message beyond it is not sent.
     pub max_unacknowledged_bytes: usize,
     /// Bound of the payload of one frame, sent or received.
     pub max_frame_bytes: usize,
--- a/crates/emberpin-peering/tests/common/network.rs
+++ b/crates/emberpin-peering/tests/common/network.rs
@@ -1,5 +1,5 @@
-//! A network in memory between hosts that each run a [`Peering`]: it partitions one way or both, pauses and kills hosts,
-//! and lets a test speak on a connection of its own.
+//! A network in memory between hosts that each run a [`Peering`]: it partitions hosts in one direction or both, pauses
+//! and kills them, and lets a test send messages on a connection that no host opened.
 #![allow(dead_code, missing_docs, reason = "each test file uses a part of it")]
 
 use emberpin_peering::{
@@ -68,7 +68,7 @@
 }
 
 /// A connection between two hosts.
-struct Wire {
+struct Link {
     ends: [End; 2],
     /// `directions[0]` leads from the first end to the second.
     directions: [Direction; 2],
@@ -100,9 +100,9 @@
 pub struct Network {
     now: Duration,
     pub hosts: Vec<Host>,
-    wires: Vec<Wire>,
+    links: Vec<Link>,
     last_connection_id: u64,
-    /// Nothing gets from the first host of a pair to the second.
+    /// No bytes arrive at the second host of a pair from the first.
     pub partitioned: BTreeSet<(usize, usize)>,
 }
 
@@ -112,7 +112,7 @@
         let mut network = Network {
             now: millis(1000),
             hosts: Vec::new(),
-            wires: Vec::new(),
+            links: Vec::new(),
             last_connection_id: 0,
             partitioned: BTreeSet::new(),
         };
@@ -169,15 +169,15 @@
             Action::Connect { peer } => self.connect(host, peer),
             Action::Write { connection, bytes } => {
                 let arrival = self.now + LATENCY;
-                if let Some((wire, end)) = self.wire(connection) {
-                    wire.directions[end].bytes.push_back((arrival, bytes));
+                if let Some((link, end)) = self.link(connection) {
+                    link.directions[end].bytes.push_back((arrival, bytes));
                 }
             }
             Action::Close { connection, reason } => {
                 self.hosts[host].close_reasons.push(reason);
-                if let Some((wire, end)) = self.wire(connection) {
-                    wire.directions[end].closed = true;
-                    wire.open[end] = false;
+                if let Some((link, end)) = self.link(connection) {
+                    link.directions[end].closed = true;
+                    link.open[end] = false;
                 }
             }
             Action::Deliver {
@@ -201,7 +201,7 @@
     }
 
     fn connect(&mut self, host: usize, peer: String) {
-        let other: usize = peer[1..].parse().expect("a host's name ends in its index");
+        let other: usize = peer[1..].parse().expect("a host name ends in its index");
         let refused = self.hosts[other].peering.is_none()
             || self.partitioned.contains(&(host, other))
             || self.partitioned.contains(&(other, host));
@@ -210,7 +210,7 @@
         }
         let local = self.next_connection_id();
         let remote = self.next_connection_id();
-        self.wires.push(Wire {
+        self.links.push(Link {
             ends: [
                 End {
                     host,
@@ -236,18 +236,18 @@
         self.handle_event(host, connected);
     }
 
-    /// The wire of a connection, and which of its ends the id belongs to.
-    fn wire(&mut self, connection: ConnectionId) -> Option<(&mut Wire, usize)> {
-        self.wires.iter_mut().find_map(|wire| {
-            let end = wire
+    /// The link of a connection, and the index of the end that the id belongs to.
+    fn link(&mut self, connection: ConnectionId) -> Option<(&mut Link, usize)> {
+        self.links.iter_mut().find_map(|link| {
+            let end = link
                 .ends
                 .iter()
                 .position(|end| end.connection == connection)?;
-            Some((wire, end))
+            Some((link, end))
         })
     }
 
-    /// Lets time pass; bytes in flight arrive unless a partition or a paused host holds them up.
+    /// Advances time by this duration. Bytes in flight arrive unless a partition or a paused host delays them.
     pub fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
@@ -260,7 +260,7 @@
             while let Some((host, event)) = self.next_arrival() {
                 self.handle_event(host, event);
             }
-            self.wires.retain(|wire| wire.open.iter().any(|open| *open));
+            self.links.retain(|link| link.open.iter().any(|open| *open));
         }
     }
 
@@ -268,18 +268,18 @@
         let now = self.now;
         let partitioned = &self.partitioned;
         let paused: Vec<bool> = self.hosts.iter().map(|host| host.paused).collect();
-        for wire in &mut self.wires {
+        for link in &mut self.links {
             for sender in 0..2 {
                 let receiver = 1 - sender;
-                let from = wire.ends[sender].host;
+                let from = link.ends[sender].host;
                 let End {
                     host: to,
                     connection,
-                } = wire.ends[receiver];
-                if partitioned.contains(&(from, to)) || paused[to] || !wire.open[receiver] {
+                } = link.ends[receiver];
+                if partitioned.contains(&(from, to)) || paused[to] || !link.open[receiver] {
                     continue;
                 }
-                let direction = &mut wire.directions[sender];
+                let direction = &mut link.directions[sender];
                 if direction
                     .bytes
                     .front()
@@ -289,7 +289,7 @@
                     return Some((to, Event::Received { connection, bytes }));
                 }
                 if direction.closed && direction.bytes.is_empty() {
-                    wire.open[receiver] = false;
+                    link.open[receiver] = false;
                     return Some((to, Event::Closed { connection }));
                 }
             }
@@ -297,7 +297,7 @@
         None
     }
 
-    /// Cuts two hosts off from each other, in both directions.
+    /// Partitions two hosts in both directions.
     pub fn partition(&mut self, one: usize, other: usize) {
         self.partitioned.extend([(one, other), (other, one)]);
     }
@@ -305,11 +305,11 @@
     /// Ends a host's process; its connections close.
     pub fn kill(&mut self, host: usize) {
         self.hosts[host].peering = None;
-        for wire in &mut self.wires {
+        for link in &mut self.links {
             for end in 0..2 {
-                if wire.ends[end].host == host {
-                    wire.directions[end].closed = true;
-                    wire.open[end] = false;
+                if link.ends[end].host == host {
+                    link.directions[end].closed = true;
+                    link.open[end] = false;
                 }
             }
         }
@@ -395,7 +395,7 @@
             .collect()
     }
 
-    /// Opens a connection of the test's own to host 0.
+    /// Opens a connection to host 0 on which the test sends the messages.
     pub fn accept_raw(&mut self, certificate_names: Option<Vec<String>>) -> ConnectionId {
         let connection = self.next_connection_id();
         self.handle_event(
@@ -408,13 +408,13 @@
         connection
     }
 
-    /// Has host 0 receive bytes on a connection of the test's own.
+    /// Passes bytes to host 0 on a connection from [`accept_raw`](Self::accept_raw).
     pub fn receive_bytes(&mut self, connection: ConnectionId, bytes: &[u8]) {
         let bytes = bytes.to_vec();
         self.handle_event(0, Event::Received { connection, bytes });
     }
 
-    /// Has host 0 receive a message on a connection of the test's own.
+    /// Passes a message to host 0 on a connection from [`accept_raw`](Self::accept_raw).
     pub fn receive_message(&mut self, connection: ConnectionId, message: &Message) {
         self.receive_bytes(connection, &encode_frame(&message.encode()));
     }
--- a/crates/emberpin-peering/tests/common/recording.rs
+++ b/crates/emberpin-peering/tests/common/recording.rs
@@ -1,7 +1,7 @@
 //! Bytes that an earlier build wrote, kept in the `tests/fixtures/` of the package whose test includes this file.
 //!
-//! A recording is made once: only where its file does not exist yet and `EMBERPIN_RECORD` is set. It is never made anew;
-//! a test that cannot read one any more has found a change of what is exchanged or kept.
+//! A recording is written only if its file does not exist and `EMBERPIN_RECORD` is set, and never again after that. A
+//! test that cannot read one has found an incompatible change of a message or of stored data.
 #![allow(dead_code, missing_docs, reason = "each test file uses a part of it")]
 
 use std::fmt::Debug;
@@ -10,7 +10,7 @@
 /// A name and the bytes recorded under it.
 pub type Recorded = (String, Vec<u8>);
 
-/// Asserts that the recorded bytes of each value decode to it, and that it encodes to them again.
+/// Asserts that the recorded bytes of each value decode to it, and that it encodes to the same bytes.
 pub fn assert_recorded<T: Debug + PartialEq>(
     fixture: &str,
     values: &[(&str, T)],
@@ -28,23 +28,24 @@
     assert_eq!(
         names(recorded.iter().map(|(name, _)| name.as_str()).collect()),
         names(values.iter().map(|(name, _)| *name).collect()),
-        "{fixture} and the test name the same values"
+        "{fixture} and the test must name the same values"
     );
     for ((name, bytes), (_, value)) in recorded.iter().zip(values) {
         let decoded = decode(bytes);
         assert_eq!(
             &decoded, value,
-            "{fixture}: {name} is read as something else"
+            "{fixture}: {name} is decoded as another value"
         );
         assert_eq!(
             hex(&encode(&decoded)),
             hex(bytes),
-            "{fixture}: {name} is written otherwise"
+            "{fixture}: {name} is encoded as other bytes"
         );
     }
 }
 
-/// The lines `name hex` of a fixture; `write` tells what they are when it is recorded.
+/// The names and bytes in a fixture, which has a line `name hex` for each; `write` returns them when the fixture is
+/// recorded.
 pub fn lines(fixture: &str, write: impl FnOnce() -> Vec<Recorded>) -> Vec<Recorded> {
     let text = file(fixture, || {
         let lines = write()
@@ -56,7 +57,7 @@
     text.lines().map(parse_line).collect()
 }
 
-/// The bytes of a fixture; `write` gives them when it is recorded.
+/// The bytes of a fixture; `write` returns them when the fixture is recorded.
 pub fn file(fixture: &str, write: impl FnOnce() -> Vec<u8>) -> Vec<u8> {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures")
@@ -64,7 +65,7 @@
     if !path.exists() {
         assert!(
             std::env::var_os("EMBERPIN_RECORD").is_some(),
-            "{fixture} is missing; a recording is kept for good"
+            "{fixture} is missing; a recording must never be removed"
         );
         std::fs::create_dir_all(path.parent().expect("a folder")).expect("made");
         std::fs::write(&path, write()).expect("recorded");
@@ -82,6 +83,8 @@
 }
 
 fn unhex(digits: &str) -> Vec<u8> {
-    let byte = |at: usize| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal digits");
+    let byte = |start: usize| {
+        u8::from_str_radix(&digits[start..start + 2], 16).expect("hexadecimal digits")
+    };
     (0..digits.len()).step_by(2).map(byte).collect()
 }
--- a/crates/emberpin-peering/tests/delivery.rs
+++ b/crates/emberpin-peering/tests/delivery.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn data_that_is_repeated_out_of_sequence_or_for_another_incarnation_is_not_delivered() {
+fn data_repeated_or_out_of_sequence_or_for_another_incarnation_is_not_delivered() {
     let data = |sequence, recipient_nonce| Message::Data {
         sequence,
         recipient_nonce,
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_full_window_refuses_new_messages_until_older_ones_are_acknowledged() {
+fn a_full_send_window_rejects_new_messages_until_older_ones_are_acknowledged() {
     let mut network = Network::connected(2);
     network.hosts[1].paused = true;
     let body = |number: usize| format!("{number:0100}");
@@ -73,15 +73,19 @@
         network.send(0, 1, &body(number));
     }
     let errors = &network.hosts[0].send_errors;
-    let refused = errors.len();
+    let rejected = errors.len();
     assert!(
-        refused > 50 && errors.iter().all(|error| *error == SendError::WindowFull),
-        "{refused}"
+        rejected > 50 && errors.iter().all(|error| *error == SendError::WindowFull),
+        "{rejected}"
     );
     network.hosts[1].paused = false;
     network.run(millis(300));
-    let accepted: Vec<String> = (0..100 - refused).map(body).collect();
-    assert_eq!(network.bodies(1), accepted, "the oldest, all of them");
+    let accepted: Vec<String> = (0..100 - rejected).map(body).collect();
+    assert_eq!(
+        network.bodies(1),
+        accepted,
+        "the messages sent before the window was full"
+    );
     network.send(0, 1, "again");
     network.send(0, 1, &"x".repeat(2000));
     network.run(millis(50));
--- a/crates/emberpin-peering/tests/error_texts.rs
+++ b/crates/emberpin-peering/tests/error_texts.rs
@@ -4,7 +4,7 @@
 use emberpin_peering::{CloseReason, DecodeError, FrameTooLong, RejectReason, SendError};
 
 #[test]
-fn close_reasons_have_the_texts_that_the_operators_page_quotes() {
+fn close_reasons_have_the_texts_quoted_in_the_operators_documentation() {
     let texts = [
         (
             CloseReason::Rejected(RejectReason::WrongCluster),
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn send_errors_have_the_texts_of_the_log() {
+fn send_errors_have_the_texts_of_the_log_lines() {
     let texts = [
         (SendError::UnknownPeer, "NoMember"),
         (SendError::NotConnected, "NotConnected"),
--- a/crates/emberpin-peering/tests/failure_detection.rs
+++ b/crates/emberpin-peering/tests/failure_detection.rs
@@ -20,7 +20,7 @@
     assert_eq!(
         network.health(1, 2),
         (Liveness::Alive, true),
-        "the others see each other"
+        "the other two hosts are connected to each other"
     );
     network.run(millis(1500));
     assert_eq!(
@@ -40,7 +40,7 @@
     let mut network = Network::connected(2);
     network.partitioned = [(0, 1)].into();
     network.run(millis(600));
-    // 0 receives heartbeats of 1, but no acknowledgements of its own; 1 receives nothing.
+    // Host 0 receives heartbeats from host 1, but no acknowledgements of its own; host 1 receives nothing.
     assert_eq!(network.health(0, 1), (Liveness::Alive, false));
     assert_eq!(network.health(1, 0), (Liveness::Suspected, false));
     network.partitioned.clear();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_process_paused_for_10_s_is_dead_meanwhile_and_returns_in_the_same_incarnation() {
+fn a_process_paused_for_10_s_is_considered_dead_and_returns_in_the_same_incarnation() {
     let mut network = Network::connected(3);
     let incarnation = network.state(0, 2).incarnation;
     network.hosts[2].paused = true;
@@ -59,7 +59,7 @@
         [(Liveness::Dead, false); 2]
     );
     network.hosts[2].paused = false;
-    // The first tick after the pause shows that nothing was received for long.
+    // At the first tick after the pause, nothing has been received for 10 s.
     network.handle_event(2, Event::Tick);
     assert_eq!(network.state(2, 0).liveness, Liveness::Dead);
     network.run(millis(1000));
@@ -87,16 +87,16 @@
     network.hosts[1].clock_offset_millis = -900;
     network.run(millis(600));
     network.assert_all_connected();
-    // A clock that steps back stands still.
+    // A clock that steps back has no effect either.
     network.hosts[0].clock_offset_millis = 0;
     network.run(millis(300));
     assert_eq!(network.state(1, 0).liveness, Liveness::Alive);
 }
 
-/// A process that ends closes its connections. A partition and a paused process time out instead, and requests that the
-/// peer had in flight may still be running.
+/// Guards `closed_by_peer`: a process that exits closes its connections, while a partition and a paused process lead to
+/// a time-out. After a time-out, requests that the peer had in flight may still be running.
 #[test]
-fn the_end_of_a_process_is_told_apart_from_a_partition_and_a_pause() {
+fn the_exit_of_a_process_is_distinguished_from_a_partition_and_a_pause() {
     let seen_closed_after = |fault: &dyn Fn(&mut Network)| {
         let mut network = Network::new(3);
         network.run(millis(1_000));
--- a/crates/emberpin-peering/tests/handshake.rs
+++ b/crates/emberpin-peering/tests/handshake.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn invalid_bytes_and_a_thousand_pending_handshakes_are_closed_and_disturb_no_peer() {
+fn invalid_bytes_and_too_many_pending_handshakes_close_only_their_own_connections() {
     let mut network = Network::connected(2);
     let garbage = network.accept_raw(None);
     network.receive_bytes(garbage, b"\0\0\0\x05GET /");
@@ -99,12 +99,12 @@
     for _ in 0..1000 {
         network.accept_raw(None);
     }
-    let refused = network.hosts[0]
+    let rejected = network.hosts[0]
         .close_reasons
         .iter()
         .filter(|reason| **reason == CloseReason::TooManyPendingHandshakes)
         .count();
-    assert_eq!(refused, 1000 - MAX_PENDING_HANDSHAKES);
+    assert_eq!(rejected, 1000 - MAX_PENDING_HANDSHAKES);
     network.hosts[0].close_reasons.clear();
     network.run(millis(600));
     assert_eq!(
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn an_incarnation_that_resumes_beside_its_successor_is_superseded() {
+fn an_incarnation_that_resumes_after_its_successor_started_is_superseded() {
     let mut network = Network::connected(3);
     let paused = network.hosts[2].peering.clone();
     network.kill(2);
@@ -123,7 +123,7 @@
     network.start(2, SUCCESSOR);
     network.run(millis(500));
     network.assert_all_connected();
-    // The old process resumes elsewhere under the same name, and finds its connections closed.
+    // The old process resumes elsewhere under the same name, with all of its connections closed.
     let successor = std::mem::replace(&mut network.hosts[2].peering, paused);
     for peer in [0, 1] {
         network.send(peer, 2, "for the successor");
@@ -133,7 +133,7 @@
     assert_eq!(
         network.bodies(2),
         Vec::<String>::new(),
-        "nothing that was addressed to the successor"
+        "no message that was addressed to the successor"
     );
     assert_eq!(network.state(0, 2).incarnation, Some(SUCCESSOR));
     drop(successor);
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_second_connection_replaces_the_first_and_a_new_incarnation_all_of_the_old() {
+fn a_second_connection_replaces_the_first_and_a_new_incarnation_replaces_all_connections() {
     let mut network = Network::connected(2);
     let second = network.accept_raw(certified(&["n1"]));
     let same = network::first_incarnation(1);
--- a/crates/emberpin-peering/tests/message.rs
+++ b/crates/emberpin-peering/tests/message.rs
@@ -1,4 +1,4 @@
-//! The encoding of messages, byte by byte, and what is decoded of later versions and of arbitrary bytes.
+//! The encoding of messages, byte by byte, and the decoding of later versions and of arbitrary bytes.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_peering::{
@@ -82,16 +82,16 @@
 }
 
 #[test]
-fn optional_kinds_and_further_fields_of_later_versions_are_skipped() {
+fn optional_kinds_and_extra_fields_of_later_versions_are_skipped() {
     assert_eq!(
         Message::decode(&[200, 1, 2, 3]),
         Err(DecodeError::UnknownOptionalKind(200))
     );
     assert_eq!(Message::decode(&[7]), Err(DecodeError::UnknownKind(7)));
     assert_eq!(Message::decode(&[]), Err(DecodeError::Empty));
-    let heartbeat_with_further_field = [5, 2, 99, 98];
+    let heartbeat_with_extra_field = [5, 2, 99, 98];
     assert_eq!(
-        Message::decode(&heartbeat_with_further_field),
+        Message::decode(&heartbeat_with_extra_field),
         Ok(Message::Heartbeat { epoch: EPOCH })
     );
 }
--- a/crates/emberpin-peering/tests/random_faults.rs
+++ b/crates/emberpin-peering/tests/random_faults.rs
@@ -101,7 +101,7 @@
         self.network.send(from, to, &text);
     }
 
-    /// Ends all faults, and gives the hosts time to connect again.
+    /// Ends all faults, and runs the network until the hosts have had 4 s to reconnect.
     fn heal(&mut self) {
         self.network.partitioned.clear();
         for host in 0..HOSTS {
--- a/crates/emberpin-peering/tests/recorded.rs
+++ b/crates/emberpin-peering/tests/recorded.rs
@@ -1,4 +1,5 @@
-//! Frames between limiters as an earlier build wrote them: every kind of message, bare and with a frame's length.
+//! Messages between peers as an earlier build encoded them: every kind of message, without and with the frame's length
+//! prefix.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/recording.rs"]
@@ -92,22 +93,25 @@
     Message::decode(bytes).expect("a message")
 }
 
-/// The one message of a stream that holds one frame and nothing else.
+/// Decodes the message of a stream that consists of exactly one frame.
 fn decode_framed(stream: &[u8]) -> Message {
     let mut decoder = FrameDecoder::new(1024);
     decoder.feed(stream);
-    let frame = decoder.next_frame().expect("short enough").expect("whole");
+    let frame = decoder
+        .next_frame()
+        .expect("within the bound")
+        .expect("a whole frame");
     assert_eq!(decoder.next_frame(), Ok(None), "nothing follows");
     decode(&frame)
 }
 
 #[test]
-fn every_message_is_read_and_written_as_it_was_recorded() {
+fn every_message_is_decoded_and_encoded_as_recorded() {
     assert_recorded("messages.txt", &messages(), Message::encode, decode);
 }
 
 #[test]
-fn every_message_in_a_frame_is_read_and_written_as_it_was_recorded() {
+fn every_framed_message_is_decoded_and_encoded_as_recorded() {
     assert_recorded(
         "frames.txt",
         &messages(),
@@ -117,7 +121,7 @@
 }
 
 #[test]
-fn versions_and_the_kinds_that_may_be_skipped_are_those_of_the_recording() {
+fn supported_versions_and_the_first_optional_kind_are_those_of_the_recording() {
     assert_eq!(
         SUPPORTED_VERSIONS,
         VersionRange {
