--- a/crates/emberpin-peering/src/lib.rs
+++ b/crates/emberpin-peering/src/lib.rs
@@ -11,8 +11,8 @@
 //!
 //! - [`frame`]: length-prefixed frames on a stream of bytes;
 //! - [`message`]: the messages in the frames, and their encoding;
-//! - [`settings`], [`event`], [`error`]: what the host configures, passes in and gets back;
-//! - [`peer`]: what is known about each peer;
+//! - [`settings`], [`event`], [`error`]: the host's settings, the events and actions, and the errors;
+//! - [`peer`]: the state of each peer;
 //! - [`peering`]: the state machine.
 #![forbid(unsafe_code)]
 
--- a/crates/emberpin-peering/src/message.rs
+++ b/crates/emberpin-peering/src/message.rs
@@ -86,7 +86,7 @@
     Reject(RejectReason),
     /// A message of a layer above.
     Data {
-        /// 1 for the first data of a connection, and one more for each further one.
+        /// Number of the data on its connection, counted from 1.
         sequence: u64,
         /// Nonce of the recipient's incarnation that the data is addressed to.
         recipient_nonce: u64,
--- a/crates/emberpin-peering/src/settings.rs
+++ b/crates/emberpin-peering/src/settings.rs
@@ -17,7 +17,7 @@
 pub struct Settings {
     /// Name of the cluster. Peers that name another one are rejected in the handshake.
     pub cluster: String,
-    /// This instance's name, as it stands in the peers' settings.
+    /// This instance's name, as it is listed in the peers' settings.
     pub local_name: String,
     /// This instance's incarnation. Its number is raised if a peer knows a higher one from before the start.
     pub incarnation: Incarnation,
--- a/crates/emberpin-peering/tests/common/network.rs
+++ b/crates/emberpin-peering/tests/common/network.rs
@@ -202,10 +202,10 @@
 
     fn connect(&mut self, host: usize, peer: String) {
         let other: usize = peer[1..].parse().expect("a host name ends in its index");
-        let refused = self.hosts[other].peering.is_none()
+        let unreachable = self.hosts[other].peering.is_none()
             || self.partitioned.contains(&(host, other))
             || self.partitioned.contains(&(other, host));
-        if refused {
+        if unreachable {
             return self.handle_event(host, Event::ConnectFailed { peer });
         }
         let local = self.next_connection_id();
--- a/crates/emberpin-peering/tests/random_faults.rs
+++ b/crates/emberpin-peering/tests/random_faults.rs
@@ -38,7 +38,7 @@
     proptest::collection::vec(step, 1..40)
 }
 
-/// A network with a record of what was sent.
+/// A network, with a record of the messages that were sent.
 struct Scenario {
     network: Network,
     last_incarnation: u64,
--- a/crates/emberpin-peering/tests/recorded.rs
+++ b/crates/emberpin-peering/tests/recorded.rs
@@ -101,7 +101,7 @@
         .next_frame()
         .expect("within the bound")
         .expect("a whole frame");
-    assert_eq!(decoder.next_frame(), Ok(None), "nothing follows");
+    assert_eq!(decoder.next_frame(), Ok(None), "no second frame follows");
     decode(&frame)
 }
 
--- a/crates/emberpin-proxy/src/controller/routing.rs
+++ b/crates/emberpin-proxy/src/controller/routing.rs
@@ -203,8 +203,8 @@
 /// Longest time for which the connection that carries a request may have been idle; `None` for any time.
 fn max_connection_idle(outgoing: &UpstreamRequest, kind: RouteKind) -> Option<Duration> {
     match kind {
-        // A request without an id gets a new connection: on a reused one, a late response to an earlier request
-        // without an id could not be told from its own.
+        // A request without an id gets a new connection: on a reused one, a late response to an earlier request without
+        // an id could not be distinguished from its own response.
         _ if !outgoing.headers.contains_key(TRY_ID) => Some(Duration::ZERO),
         RouteKind::Mutating => Some(MAX_IDLE_FOR_MUTATING),
         RouteKind::Readonly | RouteKind::Pull => None,
--- a/crates/emberpin-proxy/src/error.rs
+++ b/crates/emberpin-proxy/src/error.rs
@@ -20,7 +20,7 @@
     Listen {
         /// The address, as stated in the settings.
         address: SocketAddr,
-        /// What the operating system reported.
+        /// The error that the operating system reported.
         #[source]
         error: io::Error,
     },
--- a/crates/emberpin-proxy/src/frontend/mod.rs
+++ b/crates/emberpin-proxy/src/frontend/mod.rs
@@ -47,7 +47,7 @@
     next_request_id: Cell<u32>,
     figures: Arc<Figures>,
     metrics: Rc<ProxyMetrics>,
-    /// Slots for request bodies that are streamed to a server, each of which holds a buffer.
+    /// Slots for request bodies that are streamed to a server. Each such body uses a buffer.
     upload_slots: Arc<Semaphore>,
     /// Slots for response bodies that are streamed to a client.
     download_slots: Arc<Semaphore>,
--- a/crates/emberpin-proxy/src/lib.rs
+++ b/crates/emberpin-proxy/src/lib.rs
@@ -11,7 +11,7 @@
 //!                                 registry sessions ─ two registries
 //! ```
 //!
-//! Everything runs on one thread. This file composes the parts; each module has one job.
+//! Everything runs on one thread. This file composes the parts of the proxy, each of which is a module.
 #![forbid(unsafe_code)]
 
 mod command;
--- a/crates/emberpin-proxy/src/service/mod.rs
+++ b/crates/emberpin-proxy/src/service/mod.rs
@@ -33,7 +33,7 @@
 
 /// The servers of one service, and the decision module that distributes its requests over them.
 pub struct Service {
-    /// Hosts the decision module and carries out what it decides.
+    /// Hosts the decision module and carries out its decisions.
     pub engine: Engine,
     pool: Rc<Pool>,
     classes: TrafficClasses,
--- a/crates/emberpin-proxy/tests/client_limits.rs
+++ b/crates/emberpin-proxy/tests/client_limits.rs
@@ -18,6 +18,7 @@
 /// Longer than the part of a body that the proxy buffers before it streams the rest.
 const STREAMED_LENGTH: usize = 200_000;
 
+/// Values of the configuration's `limits`.
 #[derive(Clone, Copy)]
 struct ClientLimits {
     max_head_bytes: u64,
--- a/crates/emberpin-proxy/tests/graceful_shutdown.rs
+++ b/crates/emberpin-proxy/tests/graceful_shutdown.rs
@@ -14,6 +14,7 @@
 const GRACE: Duration = Duration::from_secs(12);
 /// Latency target of a route whose attempts are overdue after [`OVERDUE_AFTER`].
 const LATENCY_TARGET: Duration = Duration::from_millis(4_000);
+/// 85 % of the latency target, which the decision module allows an attempt before it has measured any response.
 const OVERDUE_AFTER: Duration = Duration::from_millis(3_400);
 
 /// Guards the order of `drain`, `is_draining` in `on_attempt_overdue`, `DRAIN_ACCEPT_SHARE`, and the early exit once no
@@ -48,7 +49,7 @@
             b"",
         )
         .await;
-    let (mut in_progress, free) = tokio::select! {
+    let (mut in_progress, idle) = tokio::select! {
         request = one.next_request() => (request, &mut other),
         request = other.next_request() => (request, &mut one),
     };
@@ -59,7 +60,7 @@
     // The platform polls readiness every second, so it would notice the change at its next poll.
     verify_that!(terminated_at.elapsed(), lt(Duration::from_secs(1)))?;
     // A new connection is accepted, and closed after its response.
-    let serving = async { free.next_request().await.respond(200, &[], "new").await };
+    let serving = async { idle.next_request().await.respond(200, &[], "new").await };
     let (response, ()) = tokio::join!(proxy.request("GET", "/read/a", "t2"), serving);
     verify_that!(
         (response.status, response.text().as_str()),
@@ -74,7 +75,7 @@
     .await;
     verify_that!(awaited.is_err(), eq(true))?;
     sleep_until(received_at + OVERDUE_AFTER + Duration::from_millis(500)).await;
-    verify_that!(free.has_no_request(), eq(true))?;
+    verify_that!(idle.has_no_request(), eq(true))?;
     in_progress
         .write(&in_progress.response_bytes(200, &[], "done"))
         .await;
--- a/crates/emberpin-proxy/tests/response_integrity_proptest/cases.rs
+++ b/crates/emberpin-proxy/tests/response_integrity_proptest/cases.rs
@@ -12,7 +12,7 @@
     pub pieces: usize,
 }
 
-/// What a server sends after a complete response.
+/// The bytes or the reset that a server sends after a complete response.
 #[derive(Clone, Debug)]
 pub enum Trailing {
     Nothing,
@@ -29,11 +29,13 @@
     Respond(ResponseShape, Trailing),
     /// Ends the connection after this many thousandths of the response's bytes.
     Truncate(ResponseShape, usize, Ending),
-    /// A status with `Not-Run`.
+    /// A response with this status and `Not-Run`.
     NotRun(u16),
-    /// A status without `Not-Run`.
+    /// A response with this status, without `Not-Run`.
     StatusWithoutNotRun(u16),
+    /// A response with status 200, without a seal.
     WithoutSeal(ResponseShape),
+    /// A sealed response with status 200 and a `Content-Encoding`.
     Recoded(ResponseShape),
     /// A complete response with the id of another request.
     ForeignId(ResponseShape),
@@ -46,22 +48,29 @@
     Silence,
 }
 
+/// How a server ends a connection.
 #[derive(Clone, Copy, Debug)]
 pub enum Ending {
     Close,
     Reset,
 }
 
+/// A request of a client.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
     pub mutating: bool,
+    /// Length of its body in bytes.
     pub body: usize,
+    /// Whether the client pauses after the response.
     pub pause: bool,
 }
 
+/// One generated case.
 #[derive(Clone, Debug)]
 pub struct Case {
+    /// The requests of each client.
     pub clients: Vec<Vec<ClientRequest>>,
+    /// The servers' actions, one for each request in the order in which requests arrive at any server.
     pub actions: Vec<ServerAction>,
 }
 
--- a/crates/emberpin-proxy/tests/response_integrity_proptest/history.rs
+++ b/crates/emberpin-proxy/tests/response_integrity_proptest/history.rs
@@ -10,6 +10,7 @@
 /// One request as it reached a server.
 pub struct Arrival {
     pub id: String,
+    /// Whether its response states that it has not run.
     pub not_run: bool,
     /// The body of its response, or the one that it would have without its fault.
     pub body: Vec<u8>,
@@ -19,9 +20,11 @@
     pub breaks_off: bool,
 }
 
+/// The requests of one case that have reached servers, and the actions that are left.
 #[derive(Default)]
 pub struct History {
     pub arrivals: Vec<Arrival>,
+    /// Actions for the next requests, the next one first.
     pub actions: VecDeque<ServerAction>,
 }
 
--- a/crates/emberpin-proxy/tests/response_integrity_proptest/main.rs
+++ b/crates/emberpin-proxy/tests/response_integrity_proptest/main.rs
@@ -30,7 +30,9 @@
 use tokio::net::TcpListener;
 use tokio::task::{JoinHandle, LocalSet};
 
+/// Number of cases without `EMBERPIN_ANSWER_CASES`.
 const CASES: u32 = 60;
+/// Servers of each service.
 const SERVERS: usize = 2;
 /// Services that are sent in one message, since each message takes a round trip in the session.
 const SERVICES_PER_MESSAGE: usize = 40;
@@ -45,6 +47,7 @@
     listeners: Vec<TcpListener>,
 }
 
+/// The proxy, its registry session, and the services that it is configured with.
 struct Harness {
     proxy: Proxy,
     session: RegistrySession,
@@ -53,6 +56,7 @@
     unused_services: VecDeque<UnusedService>,
     /// The removal of the services sent last, which is sent together with the next ones.
     removals: (Vec<Item>, Vec<Instance>),
+    /// The statuses of all responses so far.
     statuses: Vec<u16>,
 }
 
--- a/crates/emberpin-proxy/tests/routing.rs
+++ b/crates/emberpin-proxy/tests/routing.rs
@@ -140,13 +140,17 @@
     };
     let instances = vec![instance("i-1", old.address), other];
     new.serve_all("new");
-    let beside = RouteSpec {
+    let route_to_new = RouteSpec {
         name: "beside",
         prefix: "/beside/",
         service: "t",
         ..READONLY_ROUTE
     };
-    let items = [default_items(), vec![service("t", 1, 10.0), beside.item()]].concat();
+    let items = [
+        default_items(),
+        vec![service("t", 1, 10.0), route_to_new.item()],
+    ]
+    .concat();
     let (proxy, mut session) = Proxy::start_ready(DEFAULT_BOUNDS, items, instances).await;
     // The new service has a retry budget only after a first request.
     verify_that!(
--- a/crates/emberpin-proxy/tests/traffic_classes.rs
+++ b/crates/emberpin-proxy/tests/traffic_classes.rs
@@ -13,6 +13,7 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
+/// How often the time-out of a route is changed.
 const CHANGES: u64 = 10_000;
 
 fn service() -> Service {
