--- a/crates/emberpin-peering/src/lib.rs
+++ b/crates/emberpin-peering/src/lib.rs
@@ -6,12 +6,13 @@
 //! come back. Messages of the layers above are a kind and bytes, and are not interpreted here.
 //!
 //! Delivery is at most once and in order for each connection. A message that was written when a connection ends may or
-//! may not have arrived, and nothing is queued for a peer that is not connected: whoever sends must bear a loss.
+//! may not have arrived, and nothing is queued for a peer that is not connected: senders must tolerate the loss of
+//! messages.
 //!
 //! - [`frame`]: length-prefixed frames on a stream of bytes;
 //! - [`message`]: the messages in the frames, and their encoding;
-//! - [`settings`], [`event`], [`error`]: what the host configures, passes in and gets back;
-//! - [`peer`]: what is known about each peer;
+//! - [`settings`], [`event`], [`error`]: the host's settings, the events and actions, and the errors;
+//! - [`peer`]: the state of each peer;
 //! - [`peering`]: the state machine.
 #![forbid(unsafe_code)]
 
--- a/crates/emberpin-proxy/tests/response_integrity_proptest/cases.rs
+++ b/crates/emberpin-proxy/tests/response_integrity_proptest/cases.rs
@@ -1,4 +1,4 @@
-//! Generated cases: what clients send, and what servers do with it.
+//! Generated cases: the requests of clients, and the actions of servers.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -12,54 +12,65 @@
     pub pieces: usize,
 }
 
-/// What a server sends after a complete response.
+/// The bytes or the reset that a server sends after a complete response.
 #[derive(Clone, Debug)]
 pub enum Trailing {
     Nothing,
     Duplicate,
-    /// A duplicate once the next request has come on this connection, in place of its response.
+    /// A duplicate once the next request has arrived on this connection, before its response.
     LateDuplicate,
     Garbage,
     Reset,
 }
 
-/// What a server does with a request.
+/// The action of a server upon a request.
 #[derive(Clone, Debug)]
 pub enum ServerAction {
     Respond(ResponseShape, Trailing),
-    /// Ends the connection after this many thousandths of the response.
+    /// Ends the connection after this many thousandths of the response's bytes.
     Truncate(ResponseShape, usize, Ending),
-    /// A status with `Not-Run`.
+    /// A response with this status and `Not-Run`.
     NotRun(u16),
-    /// A status without `Not-Run`.
+    /// A response with this status, without `Not-Run`.
     StatusWithoutNotRun(u16),
+    /// A response with status 200, without a seal.
     WithoutSeal(ResponseShape),
+    /// A sealed response with status 200 and a `Content-Encoding`.
     Recoded(ResponseShape),
     /// A complete response with the id of another request.
     ForeignId(ResponseShape),
     Garbage,
-    /// Ends the connection once the head, or the whole request, has come.
+    /// Ends the connection once the head has arrived.
     EndAtHead(Ending),
+    /// Ends the connection once the whole request has arrived.
     EndAtBody(Ending),
+    /// Sends no response.
     Silence,
 }
 
+/// How a server ends a connection.
 #[derive(Clone, Copy, Debug)]
 pub enum Ending {
     Close,
     Reset,
 }
 
+/// A request of a client.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
     pub mutating: bool,
+    /// Length of its body in bytes.
     pub body: usize,
+    /// Whether the client pauses after the response.
     pub pause: bool,
 }
 
+/// One generated case.
 #[derive(Clone, Debug)]
 pub struct Case {
+    /// The requests of each client.
     pub clients: Vec<Vec<ClientRequest>>,
+    /// The servers' actions, one for each request in the order in which requests arrive at any server.
     pub actions: Vec<ServerAction>,
 }
 
