--- a/crates/emberpin-bench/src/instructions.rs
+++ b/crates/emberpin-bench/src/instructions.rs
@@ -3,7 +3,7 @@
 
 use crate::{settings, AS_ENTRY};
 use bytes::Bytes;
-use emberpin_limiter::operate::entry::Entry;
+use emberpin_limiter::operate::request_path::Entry;
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/emberpin-limiter/src/limiter.rs
+++ b/crates/emberpin-limiter/src/limiter.rs
@@ -19,9 +19,9 @@
 use crate::messages::Input;
 use crate::operate::clock::Clock;
 use crate::operate::config::Config;
-use crate::operate::door;
 use crate::operate::figures::Figures;
 use crate::operate::operator::Operator;
+use crate::operate::operator_api;
 use crate::stages::idempotency::Idempotency;
 use crate::upstream::discovery::Discovery;
 use crate::upstream::driver::{Callers, Driver, Parts};
@@ -75,7 +75,7 @@
     // The sender is kept, so that without a door its channel does not seem closed.
     let (_no_door, no_orders) = mpsc::channel(1);
     let orders = match config.ops {
-        Some(at) => door::open(at, ready.clone(), figures.clone())?,
+        Some(at) => operator_api::open(at, ready.clone(), figures.clone())?,
         None => no_orders,
     };
     // The sender is kept, so that without a link its channel does not seem closed.
--- a/crates/emberpin-limiter/src/operate/config.rs
+++ b/crates/emberpin-limiter/src/operate/config.rs
@@ -1,8 +1,8 @@
 //! The configuration that `GW_CONFIG` names, checked and in the program's own types.
 
 use crate::messages::MAX_BODY;
-use crate::operate::door;
 use crate::operate::operator::{Connections, Idempotency, Link, Log, Operator};
+use crate::operate::operator_api;
 use crate::operate::start::Start;
 use crate::operate::takeover::Takeover;
 use crate::upstream::listing::Listing;
@@ -156,7 +156,11 @@
         let seed = u64::from_str_radix(&file.seed, 16)
             .map_err(|e| format!("seed '{}': {e}", file.seed))?;
         // The operators' callers have places of their own: a crowd must not keep them out.
-        let callers = if file.ops.is_some() { door::PLACES } else { 0 };
+        let callers = if file.ops.is_some() {
+            operator_api::PLACES
+        } else {
+            0
+        };
         let sockets = file.limits.sockets.saturating_sub(OTHER_SOCKETS + callers);
         if sockets < 40 {
             return Err(format!(
@@ -255,7 +259,7 @@
             Some(at) => writeln!(
                 to,
                 "operators' door on {at}, {} callers at a time",
-                door::PLACES
+                operator_api::PLACES
             )?,
             None => writeln!(to, "no operators' door")?,
         }
--- a/crates/emberpin-limiter/src/operate/mod.rs
+++ b/crates/emberpin-limiter/src/operate/mod.rs
@@ -3,11 +3,11 @@
 pub(crate) mod clock;
 pub mod command;
 pub mod config;
-pub(crate) mod die;
-pub(crate) mod door;
-pub mod entry;
+pub(crate) mod crash_points;
+pub(crate) mod faulty_disk;
 pub(crate) mod figures;
-pub(crate) mod lies;
 pub mod operator;
+pub(crate) mod operator_api;
+pub mod request_path;
 pub mod start;
 pub mod takeover;
--- a/crates/emberpin-limiter/src/stages/idempotency.rs
+++ b/crates/emberpin-limiter/src/stages/idempotency.rs
@@ -8,7 +8,7 @@
 use crate::front::stream::Content;
 use crate::messages::{Answer, UpstreamRequest, MAX_BODY};
 use crate::operate::config::Config;
-use crate::operate::die;
+use crate::operate::crash_points;
 use crate::operate::operator::{self, Keys, Repeats};
 use crate::stages::memory::{boot_clock, random, Memory, Recalled};
 use crate::stages::takeover::{Keys as TakenKeys, Takeover, Terms, WorkGate};
@@ -303,9 +303,9 @@
         };
         let stage = self.clone();
         let first = async move {
-            die::here("send");
+            crash_points::here("send");
             let answer = first.await;
-            die::here("answer");
+            crash_points::here("answer");
             stage.conclude(ticket, answer.clone());
             answer
         };
@@ -330,7 +330,7 @@
         if let (Some(gate), Ok(Ok(Reply::Standard(Telling::Own(_))))) = (&gate, &telling) {
             _ = timeout_at(request.expires, gate.closed()).await;
         }
-        die::here("reply");
+        crash_points::here("reply");
         match telling {
             Ok(Ok(telling)) => worded(telling),
             // Its patience is over, and only its: the first goes on.
@@ -363,7 +363,7 @@
         if let Some((gate, takeover)) = work {
             takeover.concluded(&gate, served);
         }
-        die::here("store");
+        crash_points::here("store");
     }
 
     /// Feeds the keeper and carries out what it says.
@@ -388,7 +388,7 @@
                 Action::Record(record, ticket) => {
                     let Some(memory) = &self.memory else { continue };
                     let taken = memory.key(record, ticket.map(|ticket| RecordTicket(ticket.0)));
-                    die::here("claim");
+                    crash_points::here("claim");
                     // An outcome that is not taken leaves the key as what may have run, in the next life.
                     if let Some(ticket) = ticket.filter(|_| !taken) {
                         self.handle(Event::Unwritten { ticket });
--- a/crates/emberpin-limiter/src/stages/memory.rs
+++ b/crates/emberpin-limiter/src/stages/memory.rs
@@ -4,7 +4,7 @@
 use crate::messages::Answer;
 use crate::operate::config::Config;
 use crate::operate::operator::Log as Settings;
-use crate::operate::{die, lies};
+use crate::operate::{crash_points, faulty_disk};
 use emberpin_idempotency::{Millis, Record};
 use emberpin_wal::{
     boot_id, Files, Identity, Log, LogEvent, OpenError, Record as Written, Recovery, Service,
@@ -126,7 +126,11 @@
         };
         let began = boot_clock();
         let identity = identity(config)?;
-        let opened = Log::open(die::Storage(lies::of(take(folder)?)), &identity, visit);
+        let opened = Log::open(
+            crash_points::Storage(faulty_disk::of(take(folder)?)),
+            &identity,
+            visit,
+        );
         let (mut log, recovery) =
             opened.map_err(|problem: OpenError| format!("log {shown}: {problem}"))?;
         let Recovery {
--- a/crates/emberpin-limiter/src/stages/takeover.rs
+++ b/crates/emberpin-limiter/src/stages/takeover.rs
@@ -4,7 +4,7 @@
 use crate::between::link::{Link, News, WORK};
 use crate::messages::{Answer, Gate, RequestBody, UpstreamRequest};
 use crate::operate::config::Config;
-use crate::operate::die;
+use crate::operate::crash_points;
 use crate::operate::takeover::Takeover as Settings;
 use crate::stages::memory::boot_clock;
 use emberpin_balancer::{
@@ -98,7 +98,7 @@
         };
         let (tell, told) = oneshot::channel();
         host.asked.borrow_mut().insert((id, attempt), tell);
-        die::here("going");
+        crash_points::here("going");
         host.handle(Event::AttemptRequested {
             work_id: id,
             attempt,
@@ -107,7 +107,7 @@
         });
         let opens = matches!(timeout(within, told).await, Ok(Ok(true)));
         host.asked.borrow_mut().remove(&(id, attempt));
-        die::here(if opens { "gone" } else { "withheld" });
+        crash_points::here(if opens { "gone" } else { "withheld" });
         opens
     }
 
@@ -417,7 +417,7 @@
 
     /// Goes on with another's work.
     fn take_over(&self, id: WorkId, work: Work, first_attempt: FirstAttempt) {
-        die::here("taken");
+        crash_points::here("taken");
         eprintln!(
             "emberpin: takeover: goes on with work of limiter {}",
             id.claimant.0
@@ -436,7 +436,7 @@
         let (going, host) = (runner(taken), self.own.clone());
         spawn_local(async move {
             let answer = going.await;
-            die::here("taken-answer");
+            crash_points::here("taken-answer");
             let Some(keys) = host.upgrade().and_then(|host| host.keys()) else {
                 return;
             };
