--- a/crates/emberpin-limiter/src/between/link.rs
+++ b/crates/emberpin-limiter/src/between/link.rs
@@ -126,12 +126,12 @@
                     .filter(|m| spoken_to.contains(&m.number))
                     .map(|m| m.name.clone())
                     .collect(),
-                heartbeat_interval: settings.beat,
+                heartbeat_interval: settings.heartbeat,
                 suspect_after: settings.suspect_after,
                 dead_after: settings.dead_after,
                 handshake_timeout: settings.dead_after,
                 reconnect_backoff: Backoff {
-                    initial: settings.beat / 2,
+                    initial: settings.heartbeat / 2,
                     max: settings.dead_after / 2,
                 },
                 max_unacknowledged_bytes: WINDOW,
@@ -162,7 +162,7 @@
             life,
         });
         spawn_local(link.clone().accept(listener));
-        spawn_local(link.clone().run(received, settings.beat / 2));
+        spawn_local(link.clone().run(received, settings.heartbeat / 2));
         Ok(link)
     }
 
--- a/crates/emberpin-limiter/src/front/admission.rs
+++ b/crates/emberpin-limiter/src/front/admission.rs
@@ -1,4 +1,4 @@
-//! Which requests are well formed: checked on the head alone, before anything is kept for one.
+//! Checks that a request is well formed, by its head alone and before any state is allocated for it.
 
 use crate::operate::config::Config;
 use emberpin_balancer::host_config::{stable_hash, IndexNames};
@@ -14,32 +14,36 @@
 const X_TIER: HeaderName = HeaderName::from_static("x-tier");
 const X_CALL_TERMS: HeaderName = HeaderName::from_static("x-call-terms");
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-const MAX_ID: usize = 128;
-/// Longer bodies than any that are told of; what is passed on in pieces needs no memory for its length.
-pub const LONGEST_BODY: u64 = 256 << 20;
-/// Accounts are below this number.
-const ACCOUNTS: u64 = 1 << 33;
+/// Maximum length of a request id, in bytes.
+const MAX_ID_BYTES: usize = 128;
+/// Maximum length of a request body, in bytes; longer than any known legitimate one. It may be that large because a
+/// streamed body needs no memory in proportion to its length.
+pub const MAX_BODY_BYTES: u64 = 256 << 20;
+/// Valid account numbers are below this one.
+const ACCOUNT_LIMIT: u64 = 1 << 33;
 
-/// What a request asks for, in the module's terms.
+/// The properties of a well-formed request, in the decision module's terms.
 pub struct Admitted {
     pub id: String,
     pub class: ClassId,
     pub plan: PlanId,
     pub customer: CustomerId,
     pub units: f64,
+    /// Number of limiters that share the customer's quota.
     pub set_size: u32,
+    /// The first of these limiters.
     pub set_first: GatewayId,
-    /// How long the client waits, and no longer than the class allows.
-    pub patience: Duration,
+    /// How long the client waits for the answer, at most the deadline of its class.
+    pub time_limit: Duration,
 }
 
-/// The checks and what they need of the settings.
+/// The checks, with the settings that they need.
 pub struct Admission {
     names: IndexNames,
-    /// Whether each class is safe, and its deadline.
+    /// For each class, whether it is safe, and its deadline.
     classes: Vec<(bool, Duration)>,
     group_size: u32,
-    most_units: f64,
+    max_units: f64,
 }
 
 impl Admission {
@@ -57,48 +61,53 @@
                 })
                 .collect(),
             group_size: config.settings.group_size,
-            most_units: config.most_units,
+            max_units: config.max_units,
         }
     }
 
-    /// The request as the module sees it, or the status that refuses it.
+    /// Returns the properties of the request, or the status that rejects it.
     pub fn check<B: Body>(&self, request: &Request<B>) -> Result<Admitted, StatusCode> {
         let headers = request.headers();
-        if request.body().size_hint().lower() > LONGEST_BODY {
+        if request.body().size_hint().lower() > MAX_BODY_BYTES {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
-        let admitted = self.read(request).ok_or(StatusCode::BAD_REQUEST)?;
+        let admitted = self.parse(request).ok_or(StatusCode::BAD_REQUEST)?;
         let (safe, _) = self.classes[admitted.class.0];
         if request.method() != if safe { Method::GET } else { Method::POST } {
             return Err(StatusCode::METHOD_NOT_ALLOWED);
         }
-        // Servers take no body on a safe request: it would be read as the next one.
-        let framed = if safe {
+        // Servers do not read the body of a safe request: they would take it for the next request.
+        let valid = if safe {
             request.body().is_end_stream()
         } else {
-            key(headers).is_some()
+            idempotency_key(headers).is_some()
         };
-        framed.then_some(admitted).ok_or(StatusCode::BAD_REQUEST)
+        valid.then_some(admitted).ok_or(StatusCode::BAD_REQUEST)
     }
 
-    fn read<B>(&self, request: &Request<B>) -> Option<Admitted> {
+    fn parse<B>(&self, request: &Request<B>) -> Option<Admitted> {
         let headers = request.headers();
-        let hosts = headers.get_all(header::HOST).iter().count();
-        let own = request.uri().authority().is_none();
-        if !own || hosts > 1 || (hosts == 0 && request.version() == Version::HTTP_11) {
+        let host_headers = headers.get_all(header::HOST).iter().count();
+        let origin_form = request.uri().authority().is_none();
+        if !origin_form
+            || host_headers > 1
+            || (host_headers == 0 && request.version() == Version::HTTP_11)
+        {
             return None;
         }
-        let id = sole(headers, &REQ_ID).filter(|id| {
-            id.len() <= MAX_ID
+        let id = only_value(headers, &REQ_ID).filter(|id| {
+            id.len() <= MAX_ID_BYTES
                 && id
                     .bytes()
                     .all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(&b))
         })?;
-        let class = self.names.class(sole(headers, &REQ_KIND)?)?;
-        let plan = self.names.plan(sole(headers, &X_TIER)?)?;
-        let customer = account(sole(headers, &header::COOKIE)?)?;
-        let patience = seconds(sole(headers, &REQ_DEADLINE)?)?.min(self.classes[class.0].1);
-        let (units, set_size, set_first) = self.terms(sole(headers, &X_CALL_TERMS)?)?;
+        let class = self.names.class(only_value(headers, &REQ_KIND)?)?;
+        let plan = self.names.plan(only_value(headers, &X_TIER)?)?;
+        let customer = customer_id(only_value(headers, &header::COOKIE)?)?;
+        let time_limit =
+            parse_seconds(only_value(headers, &REQ_DEADLINE)?)?.min(self.classes[class.0].1);
+        let (units, set_size, set_first) =
+            self.parse_call_terms(only_value(headers, &X_CALL_TERMS)?)?;
         Some(Admitted {
             id: id.into(),
             class,
@@ -107,13 +116,14 @@
             units,
             set_size,
             set_first,
-            patience,
+            time_limit,
         })
     }
 
-    /// Units, and size and first of the customer's set. Units have an upper bound: what is asked for goes
-    /// into a customer's demand and to peers, whether it is let in or not.
-    fn terms(&self, terms: &str) -> Option<(f64, u32, GatewayId)> {
+    /// Returns the units that the request costs, and the size and first member of the set of limiters that share the
+    /// customer's quota. Units have an upper bound, as the units of every request count towards the customer's demand and
+    /// are reported to peers, whether it is admitted or not.
+    fn parse_call_terms(&self, terms: &str) -> Option<(f64, u32, GatewayId)> {
         let (mut units, mut spread, mut first) = (None, None, None);
         for (name, value) in terms.split(',').filter_map(|pair| pair.split_once('=')) {
             let term = match name.trim() {
@@ -122,7 +132,7 @@
                 "first" => &mut first,
                 _ => continue,
             };
-            // Of two values another reader might take the other.
+            // A term that is given twice is rejected, as another reader might use the other value.
             if term.replace(value.trim()).is_some() {
                 return None;
             }
@@ -134,43 +144,47 @@
         };
         let units: f64 = units?.parse().ok()?;
         let (spread, first) = (number(spread?)?, number(first?)?);
-        let sound =
-            units > 0.0 && units <= self.most_units && (1..=self.group_size).contains(&spread);
-        (sound && first < self.group_size).then_some((units, spread, GatewayId(first)))
+        let valid =
+            units > 0.0 && units <= self.max_units && (1..=self.group_size).contains(&spread);
+        (valid && first < self.group_size).then_some((units, spread, GatewayId(first)))
     }
 }
 
-/// The `Idempotency-Key` as it came, if it stands exactly once.
-pub fn key(headers: &HeaderMap) -> Option<&str> {
-    sole(headers, &IDEMPOTENCY_KEY)
+/// The raw value of `Idempotency-Key`, if the header occurs exactly once.
+pub fn idempotency_key(headers: &HeaderMap) -> Option<&str> {
+    only_value(headers, &IDEMPOTENCY_KEY)
 }
 
-fn single<T>(mut values: impl Iterator<Item = T>) -> Option<T> {
+fn only_item<T>(mut values: impl Iterator<Item = T>) -> Option<T> {
     values.next().filter(|_| values.next().is_none())
 }
 
-/// The text of a header that must stand exactly once: of two, a server might take the other.
-fn sole<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
-    let value = single(headers.get_all(name).iter())?.to_str().ok()?.trim();
+/// The value of a header that must occur exactly once: of two values, a server might use the other one.
+fn only_value<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+    let value = only_item(headers.get_all(name).iter())?
+        .to_str()
+        .ok()?
+        .trim();
     Some(value).filter(|value| !value.is_empty())
 }
 
-/// The customer: its hash is the same at every limiter, and fits the 32 bits that gossip carries.
-fn account(cookies: &str) -> Option<CustomerId> {
+/// Parses the account cookie into the customer id. The id is a hash that is the same at every limiter, and fits the 32 bits
+/// that gossip carries.
+fn customer_id(cookies: &str) -> Option<CustomerId> {
     let pairs = cookies
         .split(';')
         .filter_map(|cookie| cookie.trim().split_once('='));
-    let value = single(
+    let value = only_item(
         pairs
             .filter(|(name, _)| *name == "account")
             .map(|(_, value)| value),
     )?;
     let hex = value.len() == 16 && value.bytes().all(|b| b.is_ascii_hexdigit());
-    let known = hex && u64::from_str_radix(value, 16).is_ok_and(|account| account < ACCOUNTS);
-    known.then(|| CustomerId(stable_hash(&value.to_ascii_lowercase())))
+    let valid = hex && u64::from_str_radix(value, 16).is_ok_and(|account| account < ACCOUNT_LIMIT);
+    valid.then(|| CustomerId(stable_hash(&value.to_ascii_lowercase())))
 }
 
-fn seconds(text: &str) -> Option<Duration> {
+fn parse_seconds(text: &str) -> Option<Duration> {
     let seconds: f64 = text
         .parse()
         .ok()
--- a/crates/emberpin-limiter/src/front/answers.rs
+++ b/crates/emberpin-limiter/src/front/answers.rs
@@ -1,11 +1,12 @@
-//! How answers are worded for clients, beneath all who give one.
+//! Builds the HTTP responses that clients receive.
 
 use crate::front::stream::Content;
 use crate::messages::{Answer, ResponseHead};
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
 
-/// The answer as its client gets it.
+/// Converts an answer into the response that its client receives. `retry_after` of a rejected request is in milliseconds;
+/// the header gives it in seconds.
 pub fn written(answer: Answer) -> Response<Content> {
     match answer {
         Answer::Served(served) => headed(served.head, Content::Buffered(Some(served.body))),
@@ -21,14 +22,14 @@
     }
 }
 
-/// An answer that begins so, with this body.
+/// A response with this status and these headers, and this body.
 pub fn headed(head: ResponseHead, content: Content) -> Response<Content> {
     let mut response = Response::new(content);
     (*response.status_mut(), *response.headers_mut()) = (head.status, head.headers);
     response
 }
 
-/// An answer of this status with nothing in it.
+/// A response with this status and an empty body.
 pub fn plain(status: StatusCode) -> Response<Content> {
     let mut response = Response::new(Content::Buffered(None));
     *response.status_mut() = status;
--- a/crates/emberpin-limiter/src/front/clients.rs
+++ b/crates/emberpin-limiter/src/front/clients.rs
@@ -29,10 +29,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// How long before the client's deadline the answer must be sent, as the deadline counts from when the client sent the
-/// request.
+/// How long before the client's deadline the answer must be sent. The deadline counts from the moment when the client sent
+/// the request, which is earlier than the moment when it arrived here.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(20);
-/// The buffered part of a body must arrive within this time after the head: at 64 kB a second, with a margin.
+/// The buffered part of a body must arrive within this time after the head: enough for 64 kB a second, with a margin.
 const BUFFERING_TIMEOUT: Duration = Duration::from_secs(3);
 /// A streamed body must end within this time.
 const UPLOAD_TIMEOUT: Duration = Duration::from_secs(900);
@@ -40,7 +40,7 @@
 const UPLOAD_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// How often [`UPLOAD_IDLE_TIMEOUT`] is checked.
 const UPLOAD_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// How long the rest of a refused body is read and discarded.
+/// How long the rest of a rejected body is read and discarded.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long a streamed response waits for a download slot.
 const DOWNLOAD_SLOT_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -58,13 +58,13 @@
 
 /// The state that all client connections share.
 pub struct Front {
-    /// Recognises repeats of keyed requests; `None` where the operator has it off.
+    /// Deduplicates keyed requests; `None` if the operator has not enabled it.
     idempotency: Option<Rc<Idempotency>>,
     admission: Admission,
     inputs: mpsc::Sender<Input>,
-    next: Cell<u32>,
-    /// The ids of the requests that are open here.
-    open: RefCell<HashSet<String>>,
+    next_id: Cell<u32>,
+    /// The clients' ids of the requests in flight here.
+    in_flight: RefCell<HashSet<String>>,
     pub reception: Rc<Reception>,
     /// Slots for streamed request bodies.
     uploads: Arc<Semaphore>,
@@ -74,24 +74,25 @@
 }
 
 /// A request in flight. Dropped before its answer, as when its client disconnects, it notifies the driver.
-struct Waiting {
+struct PendingRequest {
     front: Rc<Front>,
-    name: String,
+    /// The id that the client gave the request.
+    client_id: String,
     id: RequestId,
     answered: bool,
 }
 
-impl Drop for Waiting {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
-        self.front.open.borrow_mut().remove(&self.name);
+        self.front.in_flight.borrow_mut().remove(&self.client_id);
         if self.answered {
             return;
         }
-        if let Err(mpsc::error::TrySendError::Full(gone)) =
+        if let Err(mpsc::error::TrySendError::Full(notice)) =
             self.front.inputs.try_send(Input::ClientGone(self.id))
         {
             let inputs = self.front.inputs.clone();
-            spawn_local(async move { _ = inputs.send(gone).await });
+            spawn_local(async move { _ = inputs.send(notice).await });
         }
     }
 }
@@ -122,7 +123,7 @@
         figures: Arc<Figures>,
         socket_budget: Rc<SocketBudget>,
     ) -> Rc<Front> {
-        // As the platform has it: ready at once.
+        // Without a `[start]` table the limiter is ready at once, as the platform's configuration has no such setting.
         let phase = if config.start.is_some() {
             Phase::Starting
         } else {
@@ -132,16 +133,16 @@
             idempotency,
             admission: Admission::new(config),
             inputs,
-            next: Cell::new(0),
-            open: RefCell::default(),
+            next_id: Cell::new(0),
+            in_flight: RefCell::default(),
             reception: Reception::new(
                 phase,
                 config.client_sockets,
                 ClientLimits::default(),
                 socket_budget,
             ),
-            uploads: Arc::new(Semaphore::new(config.passing)),
-            downloads: Arc::new(Semaphore::new(config.passing)),
+            uploads: Arc::new(Semaphore::new(config.max_streamed_bodies)),
+            downloads: Arc::new(Semaphore::new(config.max_streamed_bodies)),
             figures,
         })
     }
@@ -152,19 +153,20 @@
         request: Request<Incoming>,
         connection: &Rc<Connection>,
     ) -> Result<Response<Content>, StatusCode> {
-        // Of two contradicting framings a server could follow the other one, and find a request hidden in the body.
+        // Of two contradicting framings a server could follow the other one, and read a request hidden in the body.
         if connection.is_doubtful() {
             return Err(StatusCode::BAD_REQUEST);
         }
-        let asked = self.admission.check(&request)?;
+        let admitted = self.admission.check(&request)?;
         let (parts, body) = request.into_parts();
         let length = body.size_hint().exact();
-        let (held, rest) = if body.is_end_stream() {
+        let (buffered, rest) = if body.is_end_stream() {
             (Bytes::new(), None)
         } else {
             take_in(body).await?
         };
-        // The idempotency stage compares whole bodies, so with it on, a body that is not buffered completely is refused.
+        // The idempotency stage compares whole bodies, so with it enabled, a body that does not fit the
+        // buffer is rejected.
         let rest = match rest {
             Some(rest) if self.idempotency.is_some() => {
                 spawn_local(run_out(rest));
@@ -173,20 +175,20 @@
             rest => rest,
         };
         // The time limit counts from the last byte of the request.
-        let patience = asked
-            .patience
+        let time_limit = admitted
+            .time_limit
             .saturating_sub(RESPONSE_MARGIN)
-            .max(asked.patience / 2);
-        let mut active = self.figures.taken(asked.class);
+            .max(admitted.time_limit / 2);
+        let mut active = self.figures.start_request(admitted.class);
         let (body, expires) = match rest {
-            None => (RequestBody::Buffered(held), Instant::now() + patience),
+            None => (RequestBody::Buffered(buffered), Instant::now() + time_limit),
             Some(rest) => {
                 let Ok(buffer_permit) = self.uploads.clone().try_acquire_owned() else {
                     spawn_local(run_out(rest));
-                    active.ends(Ending::Shed);
+                    active.set_ending(Ending::Shed);
                     return Err(StatusCode::SERVICE_UNAVAILABLE);
                 };
-                let upload = Rc::new(Upload::new(held, length, rest, buffer_permit));
+                let upload = Rc::new(Upload::new(buffered, length, rest, buffer_permit));
                 (
                     RequestBody::Uploading(upload),
                     Instant::now() + UPLOAD_TIMEOUT,
@@ -203,7 +205,7 @@
             gate: None,
             withdrawn: Default::default(),
         };
-        let reply = self.taken(asked, outgoing, patience, expires).await;
+        let reply = self.forward(admitted, outgoing, time_limit, expires).await;
         let response = match reply {
             Err(status) => Err(status),
             Ok(Replied::Complete(response)) => Ok(response),
@@ -230,63 +232,64 @@
         let status = response
             .as_ref()
             .map_or_else(|status| *status, Response::status);
-        active.ends(ending_of(status));
+        active.set_ending(ending_of(status));
         response
     }
 
     /// Forwards an admitted request, and waits for its answer.
-    async fn taken(
+    async fn forward(
         self: &Rc<Self>,
-        asked: Admitted,
+        admitted: Admitted,
         mut outgoing: UpstreamRequest,
-        patience: Duration,
+        time_limit: Duration,
         expires: Instant,
     ) -> Result<Replied, StatusCode> {
-        // An id stands for one request: a second one with the same id is refused, and the first goes on.
-        if !self.open.borrow_mut().insert(asked.id.clone()) {
+        // An id identifies one request: a second request with the same id is rejected, and the first continues.
+        if !self.in_flight.borrow_mut().insert(admitted.id.clone()) {
             return Err(StatusCode::CONFLICT);
         }
-        let waiting = self.open_request(asked.id);
+        let pending = self.open_request(admitted.id);
         strip(&mut outgoing.headers);
-        // A key on a request that is safe to repeat is ignored.
-        let keyed = outgoing.method == Method::POST && admission::key(&outgoing.headers).is_some();
+        // The key of a request that is safe to repeat is ignored.
+        let keyed = outgoing.method == Method::POST
+            && admission::idempotency_key(&outgoing.headers).is_some();
         let stage = self.idempotency.as_ref().filter(|_| keyed);
         let takeover = stage.and_then(|stage| stage.takeover());
-        let gate = takeover.map(|takeover| takeover.gate(asked.class, expires));
+        let gate = takeover.map(|takeover| takeover.gate(admitted.class, expires));
         outgoing.gate = gate.clone().map(|gate| gate as Rc<dyn Gate>);
         let terms = Terms {
-            class: asked.class,
-            plan: asked.plan,
-            customer: asked.customer,
-            units: asked.units,
-            set_size: asked.set_size,
-            set_first: asked.set_first,
+            class: admitted.class,
+            plan: admitted.plan,
+            customer: admitted.customer,
+            units: admitted.units,
+            set_size: admitted.set_size,
+            set_first: admitted.set_first,
         };
         let (reply_to, reply) = oneshot::channel();
         let outgoing = Rc::new(outgoing);
         let call = AdmittedRequest {
-            id: waiting.id,
-            class: asked.class,
-            plan: asked.plan,
-            customer: asked.customer,
-            units: asked.units,
-            set_size: asked.set_size,
-            set_first: asked.set_first,
+            id: pending.id,
+            class: admitted.class,
+            plan: admitted.plan,
+            customer: admitted.customer,
+            units: admitted.units,
+            set_size: admitted.set_size,
+            set_first: admitted.set_first,
             ran: None,
-            time_limit: patience,
+            time_limit,
             expires,
             outgoing: outgoing.clone(),
             reply_to,
         };
-        let asking = ask(waiting, call, reply);
+        let exchange = send_to_driver(pending, call, reply);
         let body = match &outgoing.body {
             RequestBody::Buffered(body) => body,
             RequestBody::Uploading(upload) => {
-                let reply = reply_to_upload(asking, upload).await?;
+                let reply = reply_to_upload(exchange, upload).await?;
                 return Ok(reply.into());
             }
         };
-        if let (Some(stage), Some(key)) = (stage, admission::key(&outgoing.headers)) {
+        if let (Some(stage), Some(key)) = (stage, admission::idempotency_key(&outgoing.headers)) {
             let keyed = Keyed {
                 outgoing: &outgoing,
                 gate,
@@ -295,48 +298,48 @@
                 key,
                 expires,
             };
-            // Nothing is streamed where the stage is on.
-            let asking = async move {
-                match asking.await {
+            // No response is streamed where the stage is enabled.
+            let exchange = async move {
+                match exchange.await {
                     Reply::Answer(answer) => answer,
                     Reply::Streamed(_) => Answer::Failed,
                 }
             };
-            return Ok(Replied::Complete(stage.serve(keyed, asking).await));
+            return Ok(Replied::Complete(stage.serve(keyed, exchange).await));
         }
-        Ok(asking.await.into())
+        Ok(exchange.await.into())
     }
 
-    /// A request is open here from now on, until what is returned is dropped.
-    fn open_request(self: &Rc<Self>, name: String) -> Waiting {
+    /// Registers a request as in flight until the returned guard is dropped.
+    fn open_request(self: &Rc<Self>, client_id: String) -> PendingRequest {
         let id = RequestId(
-            self.next
-                .replace(self.next.get().wrapping_add(1) & !FIRST_TAKEN_OVER_ID),
+            self.next_id
+                .replace(self.next_id.get().wrapping_add(1) & !FIRST_TAKEN_OVER_ID),
         );
-        Waiting {
+        PendingRequest {
             front: self.clone(),
-            name,
+            client_id,
             id,
             answered: false,
         }
     }
 }
 
-/// Awaits the reply to a request whose body is uploaded, unless its client is silent for too long: a slow client keeps its
-/// request, a silent one does not.
+/// Awaits the reply to a request whose body is uploaded. Fails with 408 if the client sends nothing for
+/// [`UPLOAD_IDLE_TIMEOUT`]; a slow client that keeps sending is not cut off.
 async fn reply_to_upload(
-    asking: impl Future<Output = Reply>,
+    exchange: impl Future<Output = Reply>,
     upload: &Upload,
 ) -> Result<Reply, StatusCode> {
-    let silent = async {
-        while upload.silence() < UPLOAD_IDLE_TIMEOUT {
+    let client_idle = async {
+        while upload.idle_time() < UPLOAD_IDLE_TIMEOUT {
             tokio::time::sleep(UPLOAD_CHECK_INTERVAL).await;
         }
     };
     let reply = tokio::select! {
         biased;
-        reply = asking => reply,
-        () = silent => return Err(StatusCode::REQUEST_TIMEOUT),
+        reply = exchange => reply,
+        () = client_idle => return Err(StatusCode::REQUEST_TIMEOUT),
     };
     // The answer came before all of the body: the rest is discarded, as closing a connection with unread bytes on it could
     // lose the answer.
@@ -370,47 +373,48 @@
     }
 }
 
-/// As much of a body as is held: all of it, or its beginning and what brings the rest.
+/// Buffers a body up to the buffer limit, [`MAX_BODY`]. Returns the buffered bytes, and the stream of the remaining bytes
+/// if the body is longer than that.
 ///
 /// # Errors
 ///
-/// 408 if the body comes too slowly, 400 if it breaks off.
+/// 408 if the body arrives too slowly, 400 if it breaks off.
 pub async fn take_in(mut body: Incoming) -> Result<(Bytes, Option<Incoming>), StatusCode> {
-    let by = Instant::now() + BUFFERING_TIMEOUT;
-    let mut pieces: Vec<Bytes> = Vec::new();
+    let deadline = Instant::now() + BUFFERING_TIMEOUT;
+    let mut chunks: Vec<Bytes> = Vec::new();
     let mut size = 0;
     let mut ended = false;
     while size <= MAX_BODY && !ended {
-        let frame = timeout_at(by, body.frame())
+        let frame = timeout_at(deadline, body.frame())
             .await
             .map_err(|_| StatusCode::REQUEST_TIMEOUT)?;
         match frame {
             None => ended = true,
             Some(frame) => {
-                // Trailers concern nobody behind this limiter.
+                // Trailers are not forwarded.
                 if let Ok(data) = frame.map_err(|_| StatusCode::BAD_REQUEST)?.into_data() {
                     size += data.len();
-                    pieces.push(data);
+                    chunks.push(data);
                     ended = body.is_end_stream();
                 }
             }
         }
     }
-    let held = match pieces.len() {
-        1 => pieces.remove(0),
-        _ => pieces.concat().into(),
+    let buffered = match chunks.len() {
+        1 => chunks.remove(0),
+        _ => chunks.concat().into(),
     };
-    Ok((held, Some(body).filter(|_| !ended)))
+    Ok((buffered, Some(body).filter(|_| !ended)))
 }
 
 /// Reads and discards the rest of a body: a connection closed with unread bytes on it could lose the answer.
 pub async fn run_out(mut body: Incoming) {
-    let over =
+    let drained =
         async { while let Ok(Some(Ok(_))) = timeout(UPLOAD_IDLE_TIMEOUT, body.frame()).await {} };
-    _ = timeout(DISCARD_TIMEOUT, over).await;
+    _ = timeout(DISCARD_TIMEOUT, drained).await;
 }
 
-/// A streamed response to a client.
+/// Builds the response to a client from a streamed response of a server.
 pub fn passed_on(
     mut response: StreamedResponse,
     active: Active,
@@ -429,18 +433,19 @@
     )
 }
 
-/// Ids of requests that were taken over begin here; those of clients' requests are below.
+/// The first id of requests taken over from failed limiters; ids of clients' requests are below it.
 const FIRST_TAKEN_OVER_ID: u32 = 1 << 31;
 
-/// Forwards requests of limiters that have failed to the driver; no client of this one waits for their answers.
-pub fn take_over(inputs: mpsc::Sender<Input>) -> Runner {
-    let next = Cell::new(FIRST_TAKEN_OVER_ID);
-    Box::new(move |taken| {
-        let id = RequestId(next.replace(next.get().wrapping_add(1) | FIRST_TAKEN_OVER_ID));
+/// Returns a function that forwards requests taken over from failed limiters to the driver. No client of this limiter
+/// waits for their answers.
+pub fn takeover_runner(inputs: mpsc::Sender<Input>) -> Runner {
+    let next_id = Cell::new(FIRST_TAKEN_OVER_ID);
+    Box::new(move |work| {
+        let id = RequestId(next_id.replace(next_id.get().wrapping_add(1) | FIRST_TAKEN_OVER_ID));
         let inputs = inputs.clone();
         Box::pin(async move {
             let (reply_to, reply) = oneshot::channel();
-            let terms = taken.terms;
+            let terms = work.terms;
             let call = AdmittedRequest {
                 id,
                 class: terms.class,
@@ -449,10 +454,10 @@
                 units: terms.units,
                 set_size: terms.set_size,
                 set_first: terms.set_first,
-                ran: Some(taken.ran),
-                time_limit: taken.patience,
-                expires: Instant::now() + taken.patience,
-                outgoing: Rc::new(taken.outgoing),
+                ran: Some(work.ran),
+                time_limit: work.patience,
+                expires: Instant::now() + work.patience,
+                outgoing: Rc::new(work.outgoing),
                 reply_to,
             };
             match inputs.send(Input::Request(call)).await {
@@ -467,20 +472,21 @@
 }
 
 /// Forwards a request to the driver, and waits for the one reply.
-async fn ask(
-    mut waiting: Waiting,
+async fn send_to_driver(
+    mut pending: PendingRequest,
     call: AdmittedRequest,
     reply: oneshot::Receiver<Reply>,
 ) -> Reply {
-    let reply = match waiting.front.inputs.send(Input::Request(call)).await {
+    let reply = match pending.front.inputs.send(Input::Request(call)).await {
         Ok(()) => reply.await.unwrap_or(Reply::Answer(Answer::Failed)),
         Err(_) => Reply::Answer(Answer::Failed),
     };
-    waiting.answered = true;
+    pending.answered = true;
     reply
 }
 
-/// Removes the headers that concern this connection only: the well-known ones, and those that `Connection` names.
+/// Removes the hop-by-hop headers: the well-known ones, and those that `Connection` names. The headers that decide how a
+/// request is handled stay, even if `Connection` names them.
 pub fn strip(headers: &mut HeaderMap) {
     let named = headers
         .get_all(header::CONNECTION)
@@ -490,11 +496,11 @@
         .flat_map(|names| names.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    let decisive =
+    let removable =
         |name: &&HeaderName| !matches!(name.as_str(), "req-id" | "idempotency-key" | "host");
     named
         .iter()
-        .filter(decisive)
+        .filter(removable)
         .chain(&HOP_BY_HOP)
         .for_each(|name| drop(headers.remove(name)));
 }
--- a/crates/emberpin-limiter/src/front/connections.rs
+++ b/crates/emberpin-limiter/src/front/connections.rs
@@ -1,4 +1,5 @@
-//! The connections that clients hold: how many, what each waits for and since when, and which must go.
+//! Clients' connections: their number, the state of each and since when it has been in it, and which ones must be closed
+//! because they are overdue or because slots are scarce.
 
 use crate::front::framing::Framing;
 use crate::front::socket_budget::SocketBudget;
@@ -14,76 +15,81 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
-/// How much of a connection's time a client may take.
+/// Limits on how long a client may keep a connection waiting.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClientLimits {
-    /// A head must be complete within the first time after its first byte; within the second while it still grows.
+    /// Time limits for a head, counted from its first byte: after the first one, a head that has stopped growing ends the
+    /// connection; after the second one, any incomplete head does.
     pub head: (Duration, Duration),
     /// The first request on a connection must begin within this time.
-    pub silence: Duration,
+    pub first_request: Duration,
     /// The next request must begin within this time after an answer; `None` for no bound.
     pub idle: Option<Duration>,
-    /// The longest head: a longer one is refused with 431 as soon as this many bytes have arrived.
+    /// Maximum length of a head, in bytes: a longer one is rejected with 431 as soon as this many bytes have arrived.
     pub head_bytes: usize,
 }
 
-/// The longest head, unless [`ClientLimits`] says otherwise.
+/// Default maximum length of a head, in bytes.
 pub const HEAD_BYTES: usize = 16 * 1024;
 
 impl Default for ClientLimits {
-    /// The platform's clients take up to 2 s, and stay between requests as long as they like.
+    /// The platform's clients take up to 2 s to send a head, and may stay idle between requests for any time.
     fn default() -> ClientLimits {
         let head = (Duration::from_millis(2_500), Duration::from_secs(4));
         ClientLimits {
             head,
-            silence: Duration::from_secs(2),
+            first_request: Duration::from_secs(2),
             idle: None,
             head_bytes: HEAD_BYTES,
         }
     }
 }
 
-/// With less than one in this many slots free, a connection ends with its first answer. Idle connections are not closed
-/// before their time, so many clients that send one request and stay would fill the slots faster than they become free.
+/// If less than one in this many slots is free, a connection is closed after its first response. Idle connections are not
+/// closed before their time-out, so many clients that send one request and stay connected would fill the slots faster than
+/// slots become free.
 const CROWDED_FRACTION: usize = 8;
-/// With no more free slots than this, connections are closed for new ones.
-const MIN_FREE: usize = 8;
-/// Then a connection without any request is closed after this time.
+/// With at most this many free slots, the limiter is crowded: it closes waiting connections to make room for new ones.
+const MIN_FREE_SLOTS: usize = 8;
+/// In a crowded limiter, a connection that has sent no request may be closed after this time.
 const CROWDED_FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
-/// Then one whose head has stopped half way is closed after this time: slow clients pause between chunks.
+/// In a crowded limiter, a connection whose head has stopped growing may be closed after this time. It is longer than the
+/// time for a first request because slow clients pause between chunks.
 const CROWDED_HEAD_STALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// Then one that is idle after an answer is closed after this time.
+/// In a crowded limiter, a connection that is idle after a response may be closed after this time.
 const CROWDED_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// For this long a connection is new, and its first request may be under way.
+/// A connection younger than this counts as new: its first request may be under way.
 const NEW_CONNECTION_AGE: Duration = Duration::from_millis(250);
-/// Connections that this process may have however many a sibling process has.
+/// Number of connections that this process may always have, however many a sibling process has.
 const MIN_CONNECTIONS: usize = 16;
 /// How often the limits are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derive(Clone, Copy, PartialEq)]
 enum Stage {
-    /// No request is open, and no byte of the next one has arrived.
+    /// No request is in flight, and no byte of the next one has arrived.
     Idle,
     /// A part of a head has arrived.
     Head,
-    /// A request is open.
+    /// A request is in flight: its head is complete, and its response is not.
     Open,
 }
 
 /// The state of a client's connection.
 pub struct Connection {
     stage: Cell<Stage>,
+    /// When it entered the stage [`Stage::Idle`] or [`Stage::Head`].
     since: Cell<Instant>,
     /// When the last byte of a head arrived.
-    moved: Cell<Instant>,
+    head_progress: Cell<Instant>,
+    /// Number of requests received.
     requests: Cell<u64>,
     framing: RefCell<Framing>,
-    /// A response on it broke off. Its end must not look like that of the response, so it is reset.
-    cut: Cell<bool>,
-    /// It was notified to end.
-    ending: Cell<bool>,
-    end: Notify,
+    /// A response broke off. The end of the connection must not look like the end of that response, so it is reset.
+    response_truncated: Cell<bool>,
+    /// It was notified to close.
+    closing: Cell<bool>,
+    close_notify: Notify,
 }
 
 impl Connection {
@@ -93,22 +99,23 @@
         self.requests.set(self.requests.get() + 1);
     }
 
-    /// Whether a request on it had two contradicting framings.
+    /// Whether a request had contradicting framings; see [`Framing::is_doubtful`].
     pub fn is_doubtful(&self) -> bool {
         self.framing.borrow().is_doubtful()
     }
 
-    /// Records that a response on it broke off.
-    pub fn cut(&self) {
-        self.cut.set(true);
+    /// Records that a response broke off, so that the connection is reset when it is dropped.
+    pub fn truncate_response(&self) {
+        self.response_truncated.set(true);
     }
 
-    /// Whether no other request came on it before this one.
+    /// Whether the current request is the first one on this connection.
     pub fn is_first_request(&self) -> bool {
         self.requests.get() == 1
     }
 
-    /// Whether a request is on its way: part of it has come, or the connection is so new that its first one may be.
+    /// Whether a request may be under way: part of its head has arrived, or the connection is so new that its first request
+    /// may still be on the network.
     pub fn is_expecting(&self) -> bool {
         match self.stage.get() {
             Stage::Head => true,
@@ -117,75 +124,82 @@
         }
     }
 
-    /// Whether a request has come on it.
+    /// Whether any request has been received.
     pub fn has_requested(&self) -> bool {
         self.requests.get() > 0
     }
 
-    /// Records that the request has its answer.
+    /// Records that the request has been answered.
     pub fn close(&self) {
         self.stage.set(Stage::Idle);
         self.since.set(Instant::now());
     }
 
-    /// Returns when the connection must go. A request that came whole at the last moment keeps it.
-    pub async fn must_go(&self) {
+    /// Returns when the connection must be closed. A request whose head became complete at the last moment prevents that.
+    pub async fn closing_due(&self) {
         loop {
-            self.end.notified().await;
+            self.close_notify.notified().await;
             if self.stage.get() != Stage::Open {
                 return;
             }
-            self.ending.set(false);
+            self.closing.set(false);
         }
     }
 
-    fn end(&self) {
-        self.ending.set(true);
-        self.end.notify_one();
+    fn request_close(&self) {
+        self.closing.set(true);
+        self.close_notify.notify_one();
     }
 
-    /// Guards against silent connections and endless heads. A connection that has had an answer may stay idle.
+    /// Whether a time limit is exceeded, which guards against silent connections and endless heads. A connection that has
+    /// had a response may stay idle unless `limits.idle` is set.
     fn is_overdue(&self, limits: &ClientLimits) -> bool {
-        let since = self.since.get().elapsed();
-        let (head, most) = limits.head;
+        let waiting = self.since.get().elapsed();
+        let (stalled_limit, total_limit) = limits.head;
         match self.stage.get() {
             Stage::Head => {
-                since >= most || since >= head && self.moved.get().elapsed() >= SWEEP_INTERVAL
+                waiting >= total_limit
+                    || waiting >= stalled_limit
+                        && self.head_progress.get().elapsed() >= SWEEP_INTERVAL
             }
-            Stage::Idle if self.has_requested() => limits.idle.is_some_and(|idle| since >= idle),
-            Stage::Idle => since >= limits.silence,
+            Stage::Idle if self.has_requested() => limits.idle.is_some_and(|idle| waiting >= idle),
+            Stage::Idle => waiting >= limits.first_request,
             Stage::Open => false,
         }
     }
 
-    /// How far beyond the time that a crowd leaves it, if it is. A head that still grows is a slow client's; one that
-    /// has stopped counts from there.
-    fn excess(&self) -> Option<f64> {
-        let (since, patience) = match (self.stage.get(), self.has_requested()) {
-            (Stage::Head, _) => (self.moved.get(), CROWDED_HEAD_STALL_TIMEOUT),
+    /// How long the connection has waited, as a multiple of the time allowed in a crowded limiter; `None` below 1. The time
+    /// for a head counts from its last byte, as a head that still grows belongs to a slow client.
+    fn crowded_excess(&self) -> Option<f64> {
+        let (since, allowed) = match (self.stage.get(), self.has_requested()) {
+            (Stage::Head, _) => (self.head_progress.get(), CROWDED_HEAD_STALL_TIMEOUT),
             (_, false) => (self.since.get(), CROWDED_FIRST_REQUEST_TIMEOUT),
             (_, true) => (self.since.get(), CROWDED_IDLE_TIMEOUT),
         };
-        let excess = since.elapsed().as_secs_f64() / patience.as_secs_f64();
-        (self.stage.get() != Stage::Open && !self.ending.get() && excess >= 1.0).then_some(excess)
+        let excess = since.elapsed().as_secs_f64() / allowed.as_secs_f64();
+        (self.stage.get() != Stage::Open && !self.closing.get() && excess >= 1.0).then_some(excess)
     }
 }
 
 /// All connections of clients.
 pub struct Connections {
-    most: usize,
+    max_connections: usize,
     limits: Cell<ClientLimits>,
-    /// What another process of this limiter holds of them.
+    /// The sockets that a sibling process of this limiter uses.
     socket_budget: Rc<SocketBudget>,
     list: RefCell<Vec<Rc<Connection>>>,
     count: watch::Sender<usize>,
 }
 
 impl Connections {
-    pub fn new(most: usize, limits: ClientLimits, socket_budget: Rc<SocketBudget>) -> Connections {
+    pub fn new(
+        max_connections: usize,
+        limits: ClientLimits,
+        socket_budget: Rc<SocketBudget>,
+    ) -> Connections {
         let limits = Cell::new(limits);
         Connections {
-            most,
+            max_connections,
             limits,
             socket_budget,
             list: RefCell::default(),
@@ -193,76 +207,84 @@
         }
     }
 
-    /// The limits that hold now.
+    /// The limits in force.
     pub fn limits(&self) -> ClientLimits {
         self.limits.get()
     }
 
-    /// Other limits hold from now on.
-    pub fn limit(&self, limits: ClientLimits) {
+    /// Replaces the limits, also for present connections.
+    pub fn set_limits(&self, limits: ClientLimits) {
         self.limits.set(limits);
     }
 
-    fn most(&self) -> usize {
-        self.most
+    /// The maximum number of connections now, without those that a sibling process has.
+    fn max_connections(&self) -> usize {
+        self.max_connections
             .saturating_sub(self.socket_budget.sibling_clients())
             .max(MIN_CONNECTIONS)
     }
 
-    /// Takes a place until dropped; wait for [`Self::room`] before.
-    pub fn enter(self: &Rc<Self>) -> Place {
+    /// Occupies a slot until the returned value is dropped. Callers must wait for [`Self::free_slot`] first.
+    pub fn enter(self: &Rc<Self>) -> ConnectionSlot {
         let connection = Rc::new(Connection {
             stage: Cell::new(Stage::Idle),
             since: Cell::new(Instant::now()),
-            moved: Cell::new(Instant::now()),
+            head_progress: Cell::new(Instant::now()),
             requests: Cell::new(0),
             framing: RefCell::default(),
-            cut: Cell::new(false),
-            ending: Cell::new(false),
-            end: Notify::new(),
+            response_truncated: Cell::new(false),
+            closing: Cell::new(false),
+            close_notify: Notify::new(),
         });
         self.list.borrow_mut().push(connection.clone());
         self.count.send_modify(|count| *count += 1);
         self.socket_budget.set_clients(*self.count.borrow());
-        Place {
+        ConnectionSlot {
             connections: self.clone(),
             connection,
         }
     }
 
+    /// Whether fewer than one in [`CROWDED_FRACTION`] slots are free.
     pub fn are_crowded(&self) -> bool {
-        *self.count.borrow() + self.most() / CROWDED_FRACTION >= self.most()
+        *self.count.borrow() + self.max_connections() / CROWDED_FRACTION >= self.max_connections()
     }
 
-    /// Returns once there is a place. Guards the limit on descriptors, and new clients against a crowd: with
-    /// few places left, the connection that is idle for longest makes room.
-    pub async fn room(&self) {
+    /// Returns once a slot is free. Enforces the limit on descriptors, and keeps slots available to new clients: with few
+    /// free slots, it closes the connection that has waited longest in proportion to its allowed time.
+    pub async fn free_slot(&self) {
         loop {
             let count = *self.count.borrow();
-            if count + MIN_FREE >= self.most() {
+            if count + MIN_FREE_SLOTS >= self.max_connections() {
                 let list = self.list.borrow();
-                let idle = list
+                let closable = list
                     .iter()
-                    .filter_map(|connection| Some((connection.excess()?, connection)));
-                if let Some((_, connection)) = idle.max_by(|a, b| a.0.total_cmp(&b.0)) {
-                    connection.end();
+                    .filter_map(|connection| Some((connection.crowded_excess()?, connection)));
+                if let Some((_, connection)) = closable.max_by(|a, b| a.0.total_cmp(&b.0)) {
+                    connection.request_close();
                 }
             }
-            if count < self.most() {
+            if count < self.max_connections() {
                 return;
             }
-            // Somebody leaves, or has been idle for long enough by then.
-            let left = async { _ = self.count.subscribe().wait_for(|now| *now < count).await };
-            _ = tokio::time::timeout(SWEEP_INTERVAL / 10, left).await;
+            // Until then a connection has closed, or another one has waited long enough to be closed.
+            let one_closed = async {
+                _ = self
+                    .count
+                    .subscribe()
+                    .wait_for(|current| *current < count)
+                    .await
+            };
+            _ = tokio::time::timeout(SWEEP_INTERVAL / 10, one_closed).await;
         }
     }
 
-    /// Returns once none is left.
-    pub async fn empty(&self) {
+    /// Returns once all connections are closed.
+    pub async fn all_closed(&self) {
         _ = self.count.subscribe().wait_for(|count| *count == 0).await;
     }
 
-    /// Ends what is overdue, for good.
+    /// Closes overdue connections periodically; never returns.
     pub async fn sweep(self: Rc<Self>) {
         let mut ticks = interval(SWEEP_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -273,18 +295,18 @@
                 .borrow()
                 .iter()
                 .filter(|connection| connection.is_overdue(&limits))
-                .for_each(|c| c.end());
+                .for_each(|connection| connection.request_close());
         }
     }
 }
 
-/// A place among the connections, given back when dropped.
-pub struct Place {
+/// A slot among the connections, released when dropped.
+pub struct ConnectionSlot {
     connections: Rc<Connections>,
     pub connection: Rc<Connection>,
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.connections
             .list
@@ -297,46 +319,48 @@
     }
 }
 
-/// A stream that tells its connection when a head begins to come.
-pub struct Watched {
+/// A client's TCP stream that updates the state of its [`Connection`] from the bytes it reads.
+pub struct ObservedStream {
     pub stream: TcpStream,
     pub connection: Rc<Connection>,
 }
 
-impl Drop for Watched {
+impl Drop for ObservedStream {
     fn drop(&mut self) {
-        // A client that was told no length takes the end of the connection for that of the answer: it gets a reset.
-        if self.connection.cut.get() {
+        // A client that was given no length would take the end of the connection for the end of the response, so the
+        // connection is reset instead.
+        if self.connection.response_truncated.get() {
             _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
         }
     }
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for ObservedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context,
         into: &mut ReadBuf,
     ) -> Poll<io::Result<()>> {
-        let before = into.filled().len();
+        let filled_before = into.filled().len();
         let result = Pin::new(&mut self.stream).poll_read(context, into);
         let connection = &self.connection;
-        let come = &into.filled()[before..];
+        let received = &into.filled()[filled_before..];
         let mut framing = connection.framing.borrow_mut();
-        framing.feed(come);
-        // Empty lines before a request are none of it.
-        if connection.stage.get() == Stage::Idle && !come.is_empty() && framing.is_begun() {
+        framing.feed(received);
+        // Empty lines before a request are not part of it.
+        if connection.stage.get() == Stage::Idle && !received.is_empty() && framing.is_mid_message()
+        {
             connection.stage.set(Stage::Head);
             connection.since.set(Instant::now());
         }
         if connection.stage.get() == Stage::Head {
-            connection.moved.set(Instant::now());
+            connection.head_progress.set(Instant::now());
         }
         result
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for ObservedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context,
--- a/crates/emberpin-limiter/src/front/framing.rs
+++ b/crates/emberpin-limiter/src/front/framing.rs
@@ -1,33 +1,37 @@
-//! Where requests end on a connection, and whether one tells that in two ways. No I/O.
+//! Detects requests with contradicting framings, which allow request smuggling. No I/O.
 //!
-//! The HTTP library follows one of two framings (RFC 9112, 6.3) and hides the other from its users; what stands before
-//! or behind this limiter may follow the other one, and see a request hidden in a body. So the bytes are watched as they
-//! come, for heads with both a `Content-Length` and a `Transfer-Encoding`.
+//! If a head has both a `Content-Length` and a `Transfer-Encoding`, the HTTP library follows one of them (RFC 9112, 6.3)
+//! and hides the other from its users. A proxy in front of this limiter or a server behind it may follow the other one, and
+//! read a request that is hidden in a body. So this module parses the received bytes as well, as far as it takes to find
+//! the end of each request and such heads.
 
-/// Bytes of a line that are looked at: header names and numbers are shorter.
-const LOOKED_AT: usize = 64;
+/// Number of bytes of a line that are examined: the header names and numbers that matter are shorter.
+const EXAMINED_BYTES: usize = 64;
 
+/// The parser's position in the byte stream of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum At {
-    /// In a head, at its first line or a later one.
+enum Position {
+    /// In a head, in its first line or a later one.
     Head { first: bool },
-    /// Before the size of a chunk.
-    Size,
-    /// In the lines behind the last chunk.
+    /// In the line with the size of a chunk.
+    ChunkSize,
+    /// In the lines after the last chunk.
     Trailers,
-    /// Nothing more is told apart.
+    /// Unknown: the framing was contradictory or malformed, and further bytes are ignored.
     Lost,
 }
 
-/// What has come on one connection.
+/// The parser's state for one connection.
 #[derive(Debug)]
 pub struct Framing {
-    at: At,
-    /// Bytes of a body, or of a chunk and its end, that are still to come.
+    position: Position,
+    /// Bytes of a body, or of a chunk and its line end, that are still to be skipped.
     skip: u64,
-    /// The line that is coming, as far as it is looked at, and whether it has anything at all.
+    /// The first [`EXAMINED_BYTES`] bytes of the current line.
     line: Vec<u8>,
+    /// The `Content-Length` of the current head.
     length: Option<u64>,
+    /// Whether the current head has a `Transfer-Encoding`.
     chunked: bool,
     doubtful: bool,
 }
@@ -35,9 +39,9 @@
 impl Default for Framing {
     fn default() -> Framing {
         Framing {
-            at: At::Head { first: true },
+            position: Position::Head { first: true },
             skip: 0,
-            line: Vec::with_capacity(LOOKED_AT),
+            line: Vec::with_capacity(EXAMINED_BYTES),
             length: None,
             chunked: false,
             doubtful: false,
@@ -46,22 +50,25 @@
 }
 
 impl Framing {
-    /// Whether a head on this connection told its body's end in two ways, or what came is beyond telling.
+    /// Whether a head on this connection stated its body's length in two ways, or in an invalid one.
     pub fn is_doubtful(&self) -> bool {
         self.doubtful
     }
 
-    /// Whether part of a head has come that is not whole, going by what came last.
-    pub fn is_begun(&self) -> bool {
-        match self.at {
-            At::Head { first: true } => self.line.iter().any(|byte| *byte != b'\r'),
-            At::Head { first: false } | At::Size | At::Trailers | At::Lost => true,
+    /// Whether the last byte received was inside a message's head or chunk framing, so that more bytes of it must follow.
+    pub fn is_mid_message(&self) -> bool {
+        match self.position {
+            Position::Head { first: true } => self.line.iter().any(|byte| *byte != b'\r'),
+            Position::Head { first: false }
+            | Position::ChunkSize
+            | Position::Trailers
+            | Position::Lost => true,
         }
     }
 
-    /// Takes bytes in the order in which they come.
+    /// Processes the next received bytes.
     pub fn feed(&mut self, mut bytes: &[u8]) {
-        while !bytes.is_empty() && self.at != At::Lost {
+        while !bytes.is_empty() && self.position != Position::Lost {
             if self.skip > 0 {
                 let skipped = (self.skip.min(bytes.len() as u64)) as usize;
                 self.skip -= skipped as u64;
@@ -70,8 +77,8 @@
             }
             let end = bytes.iter().position(|byte| *byte == b'\n');
             let part = &bytes[..end.unwrap_or(bytes.len())];
-            let room = LOOKED_AT - self.line.len();
-            self.line.extend_from_slice(&part[..part.len().min(room)]);
+            let free = EXAMINED_BYTES - self.line.len();
+            self.line.extend_from_slice(&part[..part.len().min(free)]);
             let Some(end) = end else { return };
             bytes = &bytes[end + 1..];
             if self.line.last() == Some(&b'\r') {
@@ -83,16 +90,16 @@
     }
 
     fn end_line(&mut self) {
-        match self.at {
-            // Empty lines before a request are passed over (RFC 9112, 2.2).
-            At::Head { first: true } if self.line.is_empty() => {}
-            At::Head { first: true } => {
+        match self.position {
+            // Empty lines before a request are ignored (RFC 9112, 2.2).
+            Position::Head { first: true } if self.line.is_empty() => {}
+            Position::Head { first: true } => {
                 (self.length, self.chunked) = (None, false);
-                self.at = At::Head { first: false };
+                self.position = Position::Head { first: false };
             }
-            At::Head { first: false } if self.line.is_empty() => self.end_head(),
-            At::Head { first: false } => self.header(),
-            At::Size => {
+            Position::Head { first: false } if self.line.is_empty() => self.end_head(),
+            Position::Head { first: false } => self.parse_header(),
+            Position::ChunkSize => {
                 let size = self
                     .line
                     .split(|byte| *byte == b';')
@@ -102,19 +109,21 @@
                     .ok()
                     .and_then(|size| u64::from_str_radix(size.trim(), 16).ok());
                 match size {
-                    Some(0) => self.at = At::Trailers,
-                    // With the line's end behind the chunk.
+                    Some(0) => self.position = Position::Trailers,
+                    // The two bytes are the line end after the chunk.
                     Some(size) => self.skip = size.saturating_add(2),
-                    // The library refuses it.
-                    None => self.at = At::Lost,
+                    // The HTTP library rejects the request.
+                    None => self.position = Position::Lost,
                 }
             }
-            At::Trailers if self.line.is_empty() => self.at = At::Head { first: true },
-            At::Trailers | At::Lost => {}
+            Position::Trailers if self.line.is_empty() => {
+                self.position = Position::Head { first: true }
+            }
+            Position::Trailers | Position::Lost => {}
         }
     }
 
-    fn header(&mut self) {
+    fn parse_header(&mut self) {
         let Some(colon) = self.line.iter().position(|byte| *byte == b':') else {
             return;
         };
@@ -133,12 +142,12 @@
 
     fn end_head(&mut self) {
         self.doubtful |= self.chunked && self.length.is_some();
-        self.at = match (self.doubtful, self.chunked) {
-            (true, _) => At::Lost,
-            (false, true) => At::Size,
+        self.position = match (self.doubtful, self.chunked) {
+            (true, _) => Position::Lost,
+            (false, true) => Position::ChunkSize,
             (false, false) => {
                 self.skip = self.length.unwrap_or(0);
-                At::Head { first: true }
+                Position::Head { first: true }
             }
         };
     }
@@ -155,15 +164,15 @@
         framing.is_doubtful()
     }
 
-    const TWICE: &str =
+    const CONTRADICTING: &str =
         "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n";
     const CHUNKED: &str = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n\
          5;a=b\r\nab\r\nc\r\n3\r\ndef\r\n0\r\nTrailer: x\r\n\r\n";
     const SIZED: &str = "POST / HTTP/1.1\r\ncontent-length: 20\r\n\r\nTransfer-Encoding: a";
 
     #[test]
-    fn two_framings_of_one_head_are_found_behind_any_other_request() {
-        assert!(doubtful(TWICE) && doubtful(&TWICE.replace("\r\n", "\n")));
+    fn contradicting_framings_are_detected_after_any_preceding_request() {
+        assert!(doubtful(CONTRADICTING) && doubtful(&CONTRADICTING.replace("\r\n", "\n")));
         assert!(doubtful(
             "POST / HTTP/1.1\nCONTENT-LENGTH: 3\nTRANSFER-ENCODING: chunked\n\n"
         ));
@@ -174,7 +183,7 @@
             "\r\nGET / HTTP/1.1\r\n\r\n",
         ] {
             assert!(!doubtful(before), "{before}");
-            assert!(doubtful(&format!("{before}{TWICE}")), "{before}");
+            assert!(doubtful(&format!("{before}{CONTRADICTING}")), "{before}");
         }
         assert!(doubtful(
             "POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n"
@@ -183,27 +192,27 @@
     }
 
     #[test]
-    fn empty_lines_begin_nothing() {
+    fn empty_lines_do_not_begin_a_request() {
         let mut framing = Framing::default();
         framing.feed(SIZED.as_bytes());
         framing.feed(b"\r\n\r");
-        assert!(!framing.is_begun());
+        assert!(!framing.is_mid_message());
         framing.feed(b"\nG");
-        assert!(framing.is_begun());
+        assert!(framing.is_mid_message());
     }
 
     proptest! {
         #[test]
-        fn how_the_bytes_are_cut_changes_nothing(
+        fn detection_does_not_depend_on_how_the_bytes_are_split(
             order in proptest::collection::vec(0usize..4, 1..5),
-            cuts in proptest::collection::vec(1usize..9, 1..400),
+            split_sizes in proptest::collection::vec(1usize..9, 1..400),
         ) {
-            let all = [CHUNKED, SIZED, "GET / HTTP/1.1\r\n\r\n", TWICE];
-            let text: String = order.iter().map(|at| all[*at]).collect();
+            let requests = [CHUNKED, SIZED, "GET / HTTP/1.1\r\n\r\n", CONTRADICTING];
+            let text: String = order.iter().map(|index| requests[*index]).collect();
             let mut framing = Framing::default();
-            let (mut rest, mut cuts) = (text.as_bytes(), cuts.iter().cycle());
+            let (mut rest, mut split_sizes) = (text.as_bytes(), split_sizes.iter().cycle());
             while !rest.is_empty() {
-                let (part, after) = rest.split_at(rest.len().min(*cuts.next().expect("endless")));
+                let (part, after) = rest.split_at(rest.len().min(*split_sizes.next().expect("endless")));
                 framing.feed(part);
                 rest = after;
             }
--- a/crates/emberpin-limiter/src/front/mod.rs
+++ b/crates/emberpin-limiter/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! Clients and their connections, up to the point where a request is sound.
+//! The client side: listening socket, connections, and the checks that a request must pass before it is forwarded.
 
 pub(crate) mod admission;
 pub(crate) mod answers;
--- a/crates/emberpin-limiter/src/front/reception.rs
+++ b/crates/emberpin-limiter/src/front/reception.rs
@@ -1,6 +1,8 @@
-//! Takes requests off clients' connections and writes the answers, whoever gives those.
+//! Accepts clients' connections, reads their requests and writes the responses of a [`RequestHandler`].
 
-use crate::front::connections::{ClientLimits, Connection, Connections, Place, Watched};
+use crate::front::connections::{
+    ClientLimits, Connection, ConnectionSlot, Connections, ObservedStream,
+};
 use crate::front::socket_budget::SocketBudget;
 use crate::front::stream::Content;
 use hyper::body::Incoming;
@@ -18,27 +20,27 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// Pause after a failed accept: out of descriptors, trying again at once would only spin.
+/// Pause after a failed accept: without free descriptors, an immediate retry would only spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// How often a connection on which a request is on its way is looked at when it is to end.
-const EXPECTING_LOOK: Duration = Duration::from_millis(10);
+/// While the listener closes, how often a connection with a partly received request is checked again.
+const PENDING_REQUEST_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 #[derive(Clone, Copy, PartialEq)]
-/// How far a reception is in its life.
+/// The phase of a client listener, from its start to its shutdown.
 pub enum Phase {
-    /// Not ready yet, but answers what comes.
+    /// Not ready yet, but answers requests that arrive.
     Starting,
     /// Ready.
     Serving,
-    /// Not ready any more, but answers what still comes.
-    Leaving,
-    /// Takes no new connections and ends the idle ones.
+    /// Draining: no longer ready, but still answers requests that arrive.
+    Draining,
+    /// Accepts no new connections and closes the idle ones.
     Closing,
 }
 
-/// Who gives the answers.
+/// Computes the responses to clients' requests.
 pub trait RequestHandler: 'static {
-    /// The one answer to a request.
+    /// Returns the only response to a request.
     fn respond(
         self: Rc<Self>,
         request: Request<Incoming>,
@@ -46,38 +48,38 @@
     ) -> impl Future<Output = Response<Content>>;
 }
 
-/// All connections of clients to one address.
+/// The listener for clients at one address, with all its connections.
 pub struct Reception {
     phase: watch::Sender<Phase>,
     connections: Rc<Connections>,
 }
 
 impl Reception {
-    /// For so many connections at most.
+    /// Creates a listener for at most `max_connections` connections.
     pub fn new(
         phase: Phase,
-        most: usize,
+        max_connections: usize,
         limits: ClientLimits,
         socket_budget: Rc<SocketBudget>,
     ) -> Rc<Reception> {
-        let connections = Rc::new(Connections::new(most, limits, socket_budget));
+        let connections = Rc::new(Connections::new(max_connections, limits, socket_budget));
         Rc::new(Reception {
             phase: watch::Sender::new(phase),
             connections,
         })
     }
 
-    /// How far it is.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Other limits on clients' time hold from now on.
-    pub fn limit(&self, limits: ClientLimits) {
-        self.connections.limit(limits);
+    /// Replaces the limits of clients' connections.
+    pub fn set_limits(&self, limits: ClientLimits) {
+        self.connections.set_limits(limits);
     }
 
-    /// Ready from now on, if it was not leaving.
+    /// Becomes ready, unless it is draining or closing.
     pub fn open(&self) {
         self.phase.send_if_modified(|phase| {
             let starts = *phase == Phase::Starting;
@@ -86,23 +88,23 @@
         });
     }
 
-    /// Readiness goes off; everything else goes on, on connections that close after their answer.
-    pub fn leave(&self) {
-        self.phase.send_replace(Phase::Leaving);
+    /// Begins to drain: no longer ready, and each connection is closed after its next response.
+    pub fn begin_draining(&self) {
+        self.phase.send_replace(Phase::Draining);
     }
 
-    /// No new connections; those that there are end once idle.
+    /// Stops accepting connections, and closes the present ones once they are idle.
     pub fn close(&self) {
         self.phase.send_replace(Phase::Closing);
     }
 
-    /// Returns once no connection is left.
-    pub async fn empty(&self) {
-        self.connections.empty().await;
+    /// Returns once all connections are closed.
+    pub async fn all_closed(&self) {
+        self.connections.all_closed().await;
     }
 
-    /// Accepts connections until told to close; or, where other processes listen on the same socket, until told to
-    /// leave: they take those that still come.
+    /// Accepts connections until [`Self::close`]; or, if `shared` (other processes listen on the same socket), only until
+    /// [`Self::begin_draining`], as the other processes accept the later connections.
     pub async fn accept<D: RequestHandler>(
         self: Rc<Self>,
         handler: Rc<D>,
@@ -112,43 +114,45 @@
         spawn_local(self.connections.clone().sweep());
         let mut phase = self.phase.subscribe();
         loop {
-            self.connections.room().await;
+            self.connections.free_slot().await;
             let accepted = tokio::select! {
                 biased;
                 accepted = listener.accept() => accepted,
-                _ = phase.wait_for(|phase| *phase == Phase::Closing || shared && *phase == Phase::Leaving) => break,
+                _ = phase.wait_for(|phase| *phase == Phase::Closing || shared && *phase == Phase::Draining) => break,
             };
             match accepted {
                 Ok((stream, _)) => {
-                    let place = self.connections.enter();
-                    drop(spawn_local(self.clone().connection(
+                    let slot = self.connections.enter();
+                    drop(spawn_local(self.clone().serve_connection(
                         handler.clone(),
                         stream,
-                        place,
+                        slot,
                     )));
                 }
                 Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
             }
         }
-        // Closed with its backlog empty: whatever the machine had accepted was taken off above.
+        // `select!` is biased, so the backlog is empty when the listener closes: every connection that the operating system
+        // had completed was accepted above.
         drop(listener);
         std::future::pending::<()>().await;
     }
 
-    async fn connection<D: RequestHandler>(
+    async fn serve_connection<D: RequestHandler>(
         self: Rc<Self>,
         handler: Rc<D>,
         stream: TcpStream,
-        place: Place,
+        slot: ConnectionSlot,
     ) {
         _ = stream.set_nodelay(true);
         let head_bytes = self.connections.limits().head_bytes;
         let service = service_fn(|request| {
             let (reception, handler, connection) =
-                (self.clone(), handler.clone(), place.connection.clone());
+                (self.clone(), handler.clone(), slot.connection.clone());
             async move {
-                let mut response = reception.answered(handler, request, &connection).await;
-                // Heads may be longer by now than this connection reads.
+                let mut response = reception.respond(handler, request, &connection).await;
+                // The limit on heads has been raised since this connection was accepted, and it would reject heads that are
+                // allowed now.
                 if head_bytes < reception.connections.limits().head_bytes {
                     response
                         .headers_mut()
@@ -160,21 +164,21 @@
                 Ok::<_, Infallible>(response)
             }
         });
-        let stream = TokioIo::new(Watched {
+        let stream = TokioIo::new(ObservedStream {
             stream,
-            connection: place.connection.clone(),
+            connection: slot.connection.clone(),
         });
         let mut served = pin!(http1::Builder::new()
             .max_buf_size(head_bytes)
             .serve_connection(stream, service));
-        let mut must_go = pin!(place.connection.must_go());
+        let mut closing_due = pin!(slot.connection.closing_due());
         tokio::select! {
             biased;
             _ = served.as_mut() => return,
-            () = must_go.as_mut() => return,
-            () = self.ends_idle(&place.connection) => {}
+            () = closing_due.as_mut() => return,
+            () = self.idle_while_closing(&slot.connection) => {}
         }
-        if !place.connection.has_requested() {
+        if !slot.connection.has_requested() {
             // hyper's graceful shutdown would wait for the first request, for as long as the client stays silent.
             return;
         }
@@ -182,23 +186,23 @@
         tokio::select! {
             biased;
             _ = served => {}
-            () = must_go => {}
+            () = closing_due => {}
         }
     }
 
-    /// Returns when the connection is to end once idle: not while a request is on its way on it.
-    async fn ends_idle(&self, connection: &Connection) {
+    /// Returns when the listener is closing and no request is partly received on the connection.
+    async fn idle_while_closing(&self, connection: &Connection) {
         _ = self
             .phase
             .subscribe()
             .wait_for(|phase| *phase == Phase::Closing)
             .await;
         while connection.is_expecting() {
-            tokio::time::sleep(EXPECTING_LOOK).await;
+            tokio::time::sleep(PENDING_REQUEST_CHECK_INTERVAL).await;
         }
     }
 
-    async fn answered<D: RequestHandler>(
+    async fn respond<D: RequestHandler>(
         &self,
         handler: Rc<D>,
         request: Request<Incoming>,
@@ -206,8 +210,8 @@
     ) -> Response<Content> {
         connection.open();
         let mut response = handler.respond(request, connection.clone()).await;
-        // What follows a body that was not taken in is no request.
-        let spoilt = connection.is_doubtful()
+        // The bytes after a body that was not read completely are not a request.
+        let out_of_sync = connection.is_doubtful()
             || matches!(
                 response.status(),
                 StatusCode::PAYLOAD_TOO_LARGE
@@ -215,7 +219,7 @@
                     | StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE
             );
         let crowded = connection.is_first_request() && self.connections.are_crowded();
-        if spoilt || crowded || matches!(self.phase(), Phase::Leaving | Phase::Closing) {
+        if out_of_sync || crowded || matches!(self.phase(), Phase::Draining | Phase::Closing) {
             response
                 .headers_mut()
                 .insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/crates/emberpin-limiter/src/front/socket_budget.rs
+++ b/crates/emberpin-limiter/src/front/socket_budget.rs
@@ -1,14 +1,14 @@
-//! How many sockets this process may open while a sibling process of the same limiter runs, during an upgrade: of the
-//! platform's limit on descriptors, all that the sibling does not use. No I/O.
+//! The number of sockets that this process may open while a sibling process of the same limiter runs, during an upgrade:
+//! all descriptors of the platform's limit that the sibling does not use. No I/O.
 //!
-//! Half for each would not do: an old process that drains uses ever fewer, and all its clients come to the new one at
-//! once.
+//! A fixed half for each process would not do: the old process, which drains, uses ever fewer sockets, and all its clients
+//! reconnect to the new one at once.
 
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
 use tokio::sync::watch;
 
-/// Descriptors that the sibling has open beside its connections: those of its runtime, and of its operators' door.
+/// Descriptors that the sibling has open beside its connections: those of its runtime, and of its operator API.
 const OVERHEAD: usize = 28;
 
 /// Connections that a process has open.
@@ -25,7 +25,7 @@
 }
 
 impl SocketBudget {
-    /// `sibling` is what a sibling uses, or `None` if there is none.
+    /// `sibling` is the number of connections of the sibling process, or `None` if there is none.
     pub fn new(sibling: Option<SocketCounts>) -> SocketBudget {
         SocketBudget {
             own: Cell::default(),
@@ -49,12 +49,12 @@
         });
     }
 
-    /// What this process uses, for the sibling.
+    /// The number of connections that this process has open, to be reported to the sibling.
     pub fn in_use(&self) -> SocketCounts {
         self.own.get()
     }
 
-    /// Records what the sibling uses; `None` once it is gone.
+    /// Records how many connections the sibling has open; `None` once it has exited.
     pub fn set_sibling(&self, sibling: Option<SocketCounts>) {
         self.sibling
             .send_if_modified(|known| std::mem::replace(known, sibling) != sibling);
@@ -64,17 +64,17 @@
     pub fn sibling_clients(&self) -> usize {
         self.sibling
             .borrow()
-            .map_or(0, |held| held.clients + OVERHEAD)
+            .map_or(0, |sibling| sibling.clients + OVERHEAD)
     }
 
     /// Sockets to servers that this process must leave to the sibling.
     pub fn sibling_servers(&self) -> usize {
         self.sibling
             .borrow()
-            .map_or(0, |held| held.servers + OVERHEAD)
+            .map_or(0, |sibling| sibling.servers + OVERHEAD)
     }
 
-    /// Notifies of each change of what the sibling uses.
+    /// Notifies of each change in the sibling's connections.
     pub fn changes(&self) -> watch::Receiver<Option<SocketCounts>> {
         self.sibling.subscribe()
     }
@@ -85,8 +85,8 @@
     use super::*;
 
     #[test]
-    fn sockets_that_one_process_closes_the_other_may_open_within_the_common_limit() {
-        const ALL: usize = 180;
+    fn sockets_closed_by_one_process_become_available_to_the_other_within_the_common_limit() {
+        const SOCKET_LIMIT: usize = 180;
         let (old, new) = (
             SocketBudget::new(None),
             SocketBudget::new(Some(SocketCounts {
@@ -94,18 +94,22 @@
                 servers: 40,
             })),
         );
-        let mut held = (150, 0);
+        // Client connections of the old process, and of the new one.
+        let mut clients = (150, 0);
         for _ in 0..150 {
-            // A client of the old one comes to the new one.
-            held.0 -= 1;
-            old.set_clients(held.0);
+            // A client of the old process reconnects to the new one.
+            clients.0 -= 1;
+            old.set_clients(clients.0);
             new.set_sibling(Some(old.in_use()));
-            if held.1 < ALL.saturating_sub(new.sibling_clients()) {
-                held.1 += 1;
+            if clients.1 < SOCKET_LIMIT.saturating_sub(new.sibling_clients()) {
+                clients.1 += 1;
             }
-            assert!(held.0 + held.1 + OVERHEAD <= ALL, "{held:?}");
+            assert!(
+                clients.0 + clients.1 + OVERHEAD <= SOCKET_LIMIT,
+                "{clients:?}"
+            );
         }
-        assert_eq!(held, (0, 150), "nobody is kept out");
+        assert_eq!(clients, (0, 150), "every client can reconnect");
         new.set_sibling(None);
         assert_eq!((new.sibling_clients(), new.sibling_servers()), (0, 0));
     }
--- a/crates/emberpin-limiter/src/front/stream.rs
+++ b/crates/emberpin-limiter/src/front/stream.rs
@@ -1,5 +1,5 @@
-//! Bodies that are too long to buffer: streamed, with back pressure, since a chunk is read only when the other side has
-//! taken the one before.
+//! Bodies that are too long to buffer: streamed, with back pressure, as a chunk is read only when the other side has
+//! accepted the previous one.
 
 use crate::front::connections::Connection;
 use crate::messages::ResponseHead;
@@ -27,67 +27,67 @@
 impl std::error::Error for BodyInterrupted {}
 
 /// A client's body that is streamed to a server while the client sends it. Its beginning is buffered, so that an attempt
-/// that broke before any later chunk was taken can be retried.
+/// that failed before any later chunk was handed to it can be retried.
 pub struct Upload {
-    /// The beginning of the body.
-    pub held: Bytes,
+    /// The buffered beginning of the body.
+    pub buffered: Bytes,
     /// The length of the body, where the client stated it.
     pub length: Option<u64>,
     /// The rest; `None` once [`Upload::take_rest`] has taken it.
     rest: RefCell<Option<Incoming>>,
-    /// A chunk that is not buffered was handed over, so no other attempt can send it.
-    spent: Cell<bool>,
+    /// A chunk beyond the buffered beginning was handed to an attempt, so no other attempt can send the whole body.
+    consumed: Cell<bool>,
     /// When the last byte arrived.
     ended: Cell<Option<Instant>>,
-    finished: Notify,
-    /// Since when a chunk is awaited from the client.
-    waiting: Cell<Option<Instant>>,
-    /// The body may not be longer than this.
+    ended_notify: Notify,
+    /// Since when a chunk has been awaited from the client; `None` while none is.
+    awaiting_since: Cell<Option<Instant>>,
+    /// Maximum length of the body, in bytes.
     max_size: u64,
     /// Bytes that have arrived.
     size: Cell<u64>,
     /// More than `max_size` bytes have arrived.
     exceeded: Cell<bool>,
-    overflowed: Notify,
-    /// Its part of the process's budget for buffers.
+    exceeded_notify: Notify,
+    /// Its share of the process's budget for buffers.
     _buffer_permit: OwnedSemaphorePermit,
 }
 
 impl Upload {
-    /// A body of which `held` has arrived, and `rest` brings what follows.
+    /// Creates an upload from the bytes that have arrived, and the stream of the remaining ones.
     pub fn new(
-        held: Bytes,
+        buffered: Bytes,
         length: Option<u64>,
         rest: Incoming,
         buffer_permit: OwnedSemaphorePermit,
     ) -> Upload {
-        let size = Cell::new(held.len() as u64);
+        let size = Cell::new(buffered.len() as u64);
         Upload {
-            held,
+            buffered,
             length,
             rest: RefCell::new(Some(rest)),
-            spent: Cell::new(false),
+            consumed: Cell::new(false),
             ended: Cell::new(None),
-            finished: Notify::new(),
-            waiting: Cell::new(None),
+            ended_notify: Notify::new(),
+            awaiting_since: Cell::new(None),
             max_size: u64::MAX,
             size,
             exceeded: Cell::new(false),
-            overflowed: Notify::new(),
+            exceeded_notify: Notify::new(),
             _buffer_permit: buffer_permit,
         }
     }
 
-    /// Limits the body to `max_size` bytes: the chunk that exceeds it is not handed over, nor anything behind it, so that
-    /// no server sees the body's end.
+    /// Limits the body to `max_size` bytes: the chunk that exceeds the limit and all later ones are withheld, so
+    /// that no server receives a complete body.
     pub fn bounded(self, max_size: u64) -> Upload {
         Upload { max_size, ..self }
     }
 
-    /// Returns when more bytes have arrived than the body may have.
+    /// Returns once the body has exceeded its maximum length.
     pub async fn exceeded(&self) {
         while !self.exceeded.get() {
-            self.overflowed.notified().await;
+            self.exceeded_notify.notified().await;
         }
     }
 
@@ -95,24 +95,25 @@
     fn end(&self) {
         if self.ended.get().is_none() {
             self.ended.set(Some(Instant::now()));
-            self.finished.notify_waiters();
-            self.finished.notify_one();
+            self.ended_notify.notify_waiters();
+            self.ended_notify.notify_one();
         }
     }
 
-    /// Counts an arrived chunk; returns whether the body is too long by now.
-    fn overflows(&self, chunk: usize) -> bool {
-        self.size.set(self.size.get().saturating_add(chunk as u64));
+    /// Counts a chunk of this many bytes; returns whether the body has exceeded its maximum length.
+    fn count_chunk(&self, chunk_len: usize) -> bool {
+        self.size
+            .set(self.size.get().saturating_add(chunk_len as u64));
         let exceeded = self.size.get() > self.max_size;
         if exceeded && !self.exceeded.replace(true) {
-            self.overflowed.notify_one();
+            self.exceeded_notify.notify_one();
         }
         exceeded
     }
 
-    /// Whether another attempt could send everything that earlier ones sent.
+    /// Whether another attempt could still send the whole body.
     pub fn is_replayable(&self) -> bool {
-        !self.spent.get()
+        !self.consumed.get()
     }
 
     /// Returns when the client's last byte has arrived; the request's time limit counts from then.
@@ -121,23 +122,23 @@
             if let Some(at) = self.ended.get() {
                 return at;
             }
-            self.finished.notified().await;
+            self.ended_notify.notified().await;
         }
     }
 
-    /// For how long a chunk has been awaited from the client; zero while none is.
-    pub fn silence(&self) -> std::time::Duration {
-        self.waiting
+    /// How long a chunk has been awaited from the client; zero while none is.
+    pub fn idle_time(&self) -> std::time::Duration {
+        self.awaiting_since
             .get()
             .map_or_else(Default::default, |since| since.elapsed())
     }
 
-    /// Takes the rest of the body, to be drained; attempts get nothing more of it.
+    /// Takes the rest of the body, to be discarded; attempts receive nothing more of it.
     pub fn take_rest(&self) -> Option<Incoming> {
         self.rest.borrow_mut().take()
     }
 
-    /// Polls for the next chunk behind the buffered beginning.
+    /// Polls for the next chunk after the buffered beginning.
     pub fn poll_rest(&self, context: &mut Context) -> Poll<Option<Result<Bytes, BodyInterrupted>>> {
         let mut rest = self.rest.borrow_mut();
         let Some(body) = rest.as_mut().filter(|_| !self.exceeded.get()) else {
@@ -146,23 +147,24 @@
         loop {
             return match Pin::new(&mut *body).poll_frame(context) {
                 Poll::Pending => {
-                    if self.waiting.get().is_none() {
-                        self.waiting.set(Some(Instant::now()));
+                    if self.awaiting_since.get().is_none() {
+                        self.awaiting_since.set(Some(Instant::now()));
                     }
                     Poll::Pending
                 }
                 Poll::Ready(next) => {
-                    self.waiting.set(None);
+                    self.awaiting_since.set(None);
                     match next {
                         Some(Ok(frame)) => match frame.into_data() {
                             Ok(data) => {
-                                self.spent.set(true);
-                                let overflows = self.overflows(data.len());
-                                // The HTTP library asks no further once all of a stated length has come.
+                                self.consumed.set(true);
+                                let too_long = self.count_chunk(data.len());
+                                // The HTTP library does not poll for the end of a body once all of its stated length
+                                // has arrived.
                                 if self.length.is_some_and(|length| self.size.get() >= length) {
                                     self.end();
                                 }
-                                Poll::Ready(Some(if overflows {
+                                Poll::Ready(Some(if too_long {
                                     Err(BodyInterrupted)
                                 } else {
                                     Ok(data)
@@ -185,13 +187,13 @@
 
 /// The body of a response to a client.
 pub enum Content {
-    /// All of it.
+    /// A complete body; `None` once it has been sent.
     Buffered(Option<Bytes>),
     /// A server's body, streamed while the server sends it.
     Streamed(Box<StreamedContent>),
 }
 
-/// A response that is streamed: nothing is read from the server before the client has taken what came.
+/// A streamed response: nothing more is read from the server before the client has accepted the previous chunk.
 pub struct StreamedResponse {
     /// Its head, as the client receives it.
     pub head: ResponseHead,
@@ -201,19 +203,19 @@
 
 /// The body of a streamed response.
 pub trait ResponseStream {
-    /// How many bytes are still to come, where the server stated the length.
+    /// Number of bytes still to come, if the server stated the length.
     fn remaining(&self) -> Option<u64>;
 
     /// Polls for the next chunk; `None` at the end of the body.
     fn poll_next(&mut self, context: &mut Context) -> Poll<Option<Result<Bytes, BodyInterrupted>>>;
 }
 
-/// A streamed response on its way to its client, with what is to be informed of its end.
+/// A streamed response on its way to its client, with the records to update when it ends.
 pub struct StreamedContent {
     pub response: StreamedResponse,
     pub active: Active,
     pub connection: Rc<Connection>,
-    /// Its part of the process's budget for buffers.
+    /// Its share of the process's budget for buffers.
     pub _buffer_permit: OwnedSemaphorePermit,
 }
 
@@ -241,10 +243,10 @@
             Content::Streamed(streamed) => {
                 let next = streamed.response.stream.poll_next(context);
                 match &next {
-                    Poll::Ready(None) => streamed.active.ends(Ending::Ok),
+                    Poll::Ready(None) => streamed.active.set_ending(Ending::Ok),
                     Poll::Ready(Some(Err(BodyInterrupted))) => {
-                        streamed.active.ends(Ending::Errors);
-                        streamed.connection.cut();
+                        streamed.active.set_ending(Ending::Errors);
+                        streamed.connection.truncate_response();
                     }
                     Poll::Ready(Some(Ok(_))) | Poll::Pending => {}
                 }
--- a/crates/emberpin-limiter/src/host.rs
+++ b/crates/emberpin-limiter/src/host.rs
@@ -1,5 +1,6 @@
-//! What another program needs to host decisions on the same sockets: the reception of clients, the pool of connections
-//! to servers, the engine of a decision module, and the types that they share.
+//! The building blocks that another program (the proxy) reuses to run its own decisions on the same kind of sockets: the
+//! client listener, the pool of connections to servers, the engine that drives a decision module, and the types that
+//! they share.
 
 pub use crate::front::answers::{headed, plain, written};
 pub use crate::front::clients::{passed_on, run_out, strip, take_in};
--- a/crates/emberpin-limiter/src/lib.rs
+++ b/crates/emberpin-limiter/src/lib.rs
@@ -1,7 +1,8 @@
-//! The limiter: hosts the decisions of [`emberpin_balancer`] on sockets, with HTTP clients in front and servers behind.
+//! The limiter: runs the decision logic of [`emberpin_balancer`] on sockets, between HTTP clients and the servers that
+//! it forwards their requests to.
 //!
-//! It takes no decision about a request itself; [`limiter`] puts the parts together in the order in which a
-//! request meets them. For embedding the decisions alone, without sockets, use `emberpin-balancer`.
+//! This crate takes no decision about a request itself. [`limiter`] composes its parts in the order in which a request
+//! passes through them. To embed the decision logic alone, without sockets, use `emberpin-balancer`.
 #![forbid(unsafe_code)]
 
 mod between;
--- a/crates/emberpin-limiter/src/limiter.rs
+++ b/crates/emberpin-limiter/src/limiter.rs
@@ -1,4 +1,4 @@
-//! Composes one limiter, in the order in which a request meets its parts:
+//! Composes one limiter from its parts, in the order in which a request passes through them:
 //!
 //! ```text
 //! client ─ clients + connections ─ admission ─ [idempotency] ─ driver + emberpin-balancer ─ upstream ─ server
@@ -6,13 +6,13 @@
 //!                                                  discovery, peers, timers
 //! ```
 //!
-//! All inputs reach the driver through one bounded channel, on one thread. A stage in brackets is composed here, at
-//! the start, if the operator switches it on.
+//! All inputs reach the driver through one bounded channel, on one thread. The stage in brackets is optional: it is added
+//! at the start if an operator file enables it.
 
 use crate::between::handover::{self, Upgrade};
 use crate::between::link::Link;
 use crate::between::peers::Peers;
-use crate::front::clients::{take_over, Front};
+use crate::front::clients::{takeover_runner, Front};
 use crate::front::inherited_socket;
 use crate::front::reception::Reception;
 use crate::front::socket_budget::{SocketBudget, SocketCounts};
@@ -42,43 +42,45 @@
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, LocalSet};
 
-/// Most inputs queued for the driver; whoever has more waits, or drops what may be lost.
+/// Maximum number of inputs queued for the driver. A sender that finds the queue full waits, or drops the input if it is
+/// one that may be lost.
 const MAX_QUEUED_INPUTS: usize = 1024;
 /// The length of the operating system's queue of connections that are not accepted yet.
 const ACCEPT_BACKLOG: u32 = 512;
 
-/// Runs one limiter on this thread until it is told to end.
+/// Runs one limiter on this thread until it is terminated.
 ///
 /// # Errors
 ///
-/// One line that says why it could not start or go on.
+/// One line that says why the limiter could not start or had to stop.
 pub fn serve(config: Config) -> Result<(), String> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
+    let runtime = runtime.map_err(|e| format!("cannot start the async runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, run(config))
 }
 
-/// Serves until SIGTERM, then drains: what was accepted is answered.
+/// Serves until SIGTERM, then drains: every accepted request is answered.
 ///
 /// # Errors
 ///
-/// One line that says what could not be had: a signal, a socket, a part that ended before its time.
+/// One line that names the failure: a signal handler or socket that could not be set up, or a part that ended
+/// unexpectedly.
 async fn run(mut config: Config) -> Result<(), String> {
-    let mut terminated = catch(SignalKind::terminate())?;
-    let hung_up = catch(SignalKind::hangup())?;
+    let mut terminated = signal_stream(SignalKind::terminate())?;
+    let hung_up = signal_stream(SignalKind::hangup())?;
     let (inputs, received) = mpsc::channel(MAX_QUEUED_INPUTS);
     let (listener, inherited) = bind(config.listen)?;
     let figures = Figures::new(&config.names.class_names())?;
     let ready = Arc::new(AtomicBool::new(false));
-    // The sender is kept, so that without a door its channel does not seem closed.
-    let (_no_door, no_orders) = mpsc::channel(1);
-    let orders = match config.ops {
+    // The sender is kept alive, as without an operator API the driver would otherwise see a closed channel.
+    let (_unused_sender, no_commands) = mpsc::channel(1);
+    let commands = match config.ops {
         Some(at) => operator_api::open(at, ready.clone(), figures.clone())?,
-        None => no_orders,
+        None => no_commands,
     };
-    // The sender is kept, so that without a link its channel does not seem closed.
+    // `supersede` is kept alive here, as without a link the channel would otherwise seem closed.
     let (supersede, mut superseded) = mpsc::unbounded_channel();
     let link = start_link(&config)?;
     let idempotency = match &config.idempotency {
@@ -90,34 +92,36 @@
         )?),
         None => None,
     };
-    // What may fail is done, so the previous process, if there is one, can hand over its state now.
+    // Every step that may fail is done, so the previous process, if there is one, can hand over its state now.
     let mut process = Process::default();
-    let meeting = inherited.then(handover::meeting_point).flatten();
-    let (given, older) = handover::take(&mut process, meeting.as_deref())
+    let handover_path = inherited.then(handover::meeting_point).flatten();
+    let (handed_over, older) = handover::take(&mut process, handover_path.as_deref())
         .await?
         .unzip();
-    let clock = given
+    let clock = handed_over
         .as_ref()
-        .map_or_else(Clock::start, |given| Clock::go_on(given.clock));
+        .map_or_else(Clock::start, |state| Clock::resume(state.clock));
     let peers = start_peers(&config, &inputs, inherited)?;
-    let (prompts, pairings) = mpsc::channel(MAX_QUEUED_INPUTS);
+    let (sibling_events, pairings) = mpsc::channel(MAX_QUEUED_INPUTS);
     let socket_budget = Rc::new(SocketBudget::new(
-        older.as_ref().map(|_| half_of_sockets(&config)),
+        older.as_ref().map(|_| assumed_sibling_sockets(&config)),
     ));
     let upgrade = Upgrade::start(
         process,
-        meeting,
+        handover_path,
         older,
         peers.clone(),
-        prompts,
+        sibling_events,
         socket_budget.clone(),
     );
     let snapshot = ListSnapshot::start(&config)?;
-    if given.is_none() {
+    if handed_over.is_none() {
         read_snapshot(&mut config, snapshot.as_ref()).await;
     }
-    let rev = given.as_ref().map_or(config.known.rev, |given| given.rev);
-    let list_calls = ListCalls::new(&config, clock.now(), given.is_some());
+    let rev = handed_over
+        .as_ref()
+        .map_or(config.known.rev, |state| state.rev);
+    let list_calls = ListCalls::new(&config, clock.now(), handed_over.is_some());
     let peer_lists = PeerLists::start(&config, link.as_ref(), supersede.clone(), inputs.clone());
     let discovery = Discovery::start(
         config.discovery,
@@ -133,9 +137,9 @@
         list_trust.clone(),
         figures.clone(),
     ));
-    let (longest, leaving) = (config.longest_deadline(), config.connections.leaving);
+    let (max_drain_time, drain_grace) = (config.longest_deadline(), config.connections.drain_grace);
     if let Some(takeover) = idempotency.as_ref().and_then(|stage| stage.takeover()) {
-        takeover.run_with(take_over(inputs.clone()));
+        takeover.run_with(takeover_runner(inputs.clone()));
     }
     let front = Front::new(
         &config,
@@ -153,7 +157,7 @@
         socket_budget,
     );
     spawn_local(pool.clone().track_sibling());
-    let callers = Callers { orders, pairings };
+    let callers = Callers { commands, pairings };
     let parts = Parts {
         clock,
         inputs,
@@ -165,49 +169,50 @@
         figures,
         pool,
     };
-    let driver = spawn_local(Driver::new(config, parts, given).run(received, callers));
+    let driver = spawn_local(Driver::new(config, parts, handed_over).run(received, callers));
 
     tokio::select! {
         () = become_ready(list_trust, &reception, &ready) => {}
         _ = terminated.recv() => {}
-        _ = superseded.recv() => return Err("another life of this instance has its name".into()),
+        _ = superseded.recv() => return Err("another incarnation of this instance uses its name".into()),
         ended = driver => return Err(format!("the driver ended: {ended:?}")),
-        ended = accepting => return Err(format!("no more clients: {ended:?}")),
+        ended = accepting => return Err(format!("the client listener ended: {ended:?}")),
     }
     ready.store(false, Ordering::Release);
     upgrade.terminate().await;
-    drain(&reception, leaving, longest).await;
+    drain(&reception, drain_grace, max_drain_time).await;
     Ok(())
 }
 
-fn catch(kind: SignalKind) -> Result<Signal, String> {
-    signal(kind).map_err(|e| format!("no signals: {e}"))
+fn signal_stream(kind: SignalKind) -> Result<Signal, String> {
+    signal(kind).map_err(|e| format!("cannot install a signal handler: {e}"))
 }
 
-/// The clients' socket, and whether it was inherited from whoever started this process.
-fn bind(at: SocketAddr) -> Result<(TcpListener, bool), String> {
-    match inherited_socket::listener(at)? {
+/// Returns the clients' listening socket, and whether it was inherited from the process that started this one.
+fn bind(address: SocketAddr) -> Result<(TcpListener, bool), String> {
+    match inherited_socket::listener(address)? {
         Some(inherited) => {
             let listener = TcpListener::from_std(inherited)
                 .map_err(|e| format!("the inherited socket: {e}"))?;
             Ok((listener, true))
         }
-        None => Ok((listen(at)?, false)),
+        None => Ok((listen(address)?, false)),
     }
 }
 
-/// The link to other limiters, if a subsystem that is on needs one.
+/// Starts the link to the other limiters, if an enabled subsystem needs it.
 fn start_link(config: &Config) -> Result<Option<Rc<Link>>, String> {
     match &config.link {
-        Some((settings, number)) if config.idempotency.is_some() || config.tells_lists() => {
-            let spoken_to = spoken_to(config, *number);
-            Link::start(settings, *number, config, &spoken_to).map(Some)
+        Some((settings, number)) if config.idempotency.is_some() || config.shares_lists() => {
+            let link_peers = spoken_to(config, *number);
+            Link::start(settings, *number, config, &link_peers).map(Some)
         }
         _ => Ok(None),
     }
 }
 
-/// The other limiters' messages. Where the clients' socket is inherited, a previous process may still listen for them.
+/// Starts receiving the other limiters' datagrams. Where the clients' socket is inherited, a previous process may still
+/// listen for them, so the port is opened later.
 fn start_peers(
     config: &Config,
     inputs: &mpsc::Sender<Input>,
@@ -222,15 +227,15 @@
     Ok(peers)
 }
 
-/// What a previous process is taken to hold until it has said how much that is.
-fn half_of_sockets(config: &Config) -> SocketCounts {
+/// The socket counts that a previous process is assumed to have until it reports the real ones.
+fn assumed_sibling_sockets(config: &Config) -> SocketCounts {
     SocketCounts {
         clients: config.client_sockets / 2,
         servers: config.server_sockets / 2,
     }
 }
 
-/// Starts from the snapshot of the list of servers, if it is newer than what the configuration knows.
+/// Starts from the snapshot of the endpoint list, if it is newer than the list in the configuration.
 async fn read_snapshot(config: &mut Config, snapshot: Option<&ListSnapshot>) {
     let (Some(snapshot), Some(start)) = (snapshot, &config.start) else {
         return;
@@ -241,7 +246,7 @@
     }
 }
 
-/// Accepts clients once enough is known of the servers, and never returns.
+/// Marks this process as ready once the endpoint list can be trusted, then stays pending: it never returns.
 async fn become_ready(
     list_trust: Option<Rc<ListTrust>>,
     reception: &Reception,
@@ -255,41 +260,41 @@
     std::future::pending::<()>().await;
 }
 
-/// Drains: for `leaving`, requests are still accepted, so that load balancers can notice that readiness is off; then what
-/// was accepted is answered. `longest` bounds that, as a client that has sent half a request must not keep the process
-/// for ever.
-async fn drain(reception: &Reception, leaving: Duration, longest: Duration) {
-    reception.leave();
-    tokio::time::sleep(leaving).await;
+/// Drains: for `grace`, requests are still accepted, so that load balancers can notice that readiness is off; then the
+/// accepted requests are answered. `max_time` bounds that, as a client that has sent half a request must not keep the
+/// process running for ever.
+async fn drain(reception: &Reception, grace: Duration, max_time: Duration) {
+    reception.begin_draining();
+    tokio::time::sleep(grace).await;
     reception.close();
-    _ = tokio::time::timeout(longest, reception.empty()).await;
+    _ = tokio::time::timeout(max_time, reception.all_closed()).await;
 }
 
-/// The clients' socket, where it is this process's own.
-fn listen(at: SocketAddr) -> Result<TcpListener, String> {
+/// Opens the clients' listening socket, where it was not inherited.
+fn listen(address: SocketAddr) -> Result<TcpListener, String> {
     // A killed predecessor leaves connections in TIME_WAIT: rebinding must not wait for them.
-    let socket = if at.is_ipv4() {
+    let socket = if address.is_ipv4() {
         TcpSocket::new_v4()
     } else {
         TcpSocket::new_v6()
     };
     let listening = socket.and_then(|socket| {
         socket.set_reuseaddr(true)?;
-        socket.bind(at)?;
+        socket.bind(address)?;
         socket.listen(ACCEPT_BACKLOG)
     });
-    listening.map_err(|e| format!("cannot listen on {at}: {e}"))
+    listening.map_err(|e| format!("cannot listen on {address}: {e}"))
 }
 
-/// Reads the configuration again at each SIGHUP, for as long as the process lives: while it leaves, too. Of
-/// a changed file only the address of discovery is taken over; one that can't be read changes nothing.
+/// Reloads the configuration at each SIGHUP, for as long as the process runs, also while it drains. Of a changed file
+/// only the address of discovery is applied; a file that cannot be read changes nothing.
 async fn reload(
     mut hung_up: Signal,
     discovery: Discovery,
     list_trust: Option<Rc<ListTrust>>,
     figures: Arc<Figures>,
 ) {
-    // What operators set holds for the process's life.
+    // Settings of operator files hold until the process exits, so they are not read again.
     let operator = Operator::default();
     while hung_up.recv().await.is_some() {
         match Config::from_env(&operator) {
--- a/crates/emberpin-limiter/src/main.rs
+++ b/crates/emberpin-limiter/src/main.rs
@@ -1,4 +1,4 @@
-//! The limiter's program; everything is in the library.
+//! The limiter's executable; the whole implementation is in the library.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/crates/emberpin-limiter/src/operate/clock.rs
+++ b/crates/emberpin-limiter/src/operate/clock.rs
@@ -1,40 +1,40 @@
-//! The one clock of the decision module.
+//! The clock of the decision module.
 
 use emberpin_balancer::Millis;
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The module's clock: Unix milliseconds as they were at the start, and steady from then on. Common to
-/// all limiters and growing over restarts, as lives are told apart by it; a step of the wall clock
-/// within a life is none here.
+/// A clock that starts at Unix time in milliseconds and is monotonic from then on. All limiters share its scale, and it
+/// grows over restarts, as incarnations are told apart by it; a step of the wall clock while the process runs does not
+/// affect it.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    begun: Instant,
-    at_begin: Millis,
+    started: Instant,
+    start_value: Millis,
 }
 
 impl Clock {
-    /// Begins now.
+    /// Starts at the current Unix time.
     pub fn start() -> Clock {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
-            begun: Instant::now(),
-            at_begin: unix.as_secs_f64() * 1000.0,
+            started: Instant::now(),
+            start_value: unix.as_secs_f64() * 1000.0,
         }
     }
 
-    /// Goes on from another process's clock, at this moment.
-    pub fn go_on(at: Millis) -> Clock {
+    /// Continues another process's clock, which shows this value now.
+    pub fn resume(value: Millis) -> Clock {
         Clock {
-            begun: Instant::now(),
-            at_begin: at,
+            started: Instant::now(),
+            start_value: value,
         }
     }
 
-    /// Unix milliseconds as of the start, plus what has passed since.
+    /// The Unix time of the start plus the time elapsed since, in milliseconds.
     pub fn now(&self) -> Millis {
-        self.at_begin + self.begun.elapsed().as_secs_f64() * 1000.0
+        self.start_value + self.started.elapsed().as_secs_f64() * 1000.0
     }
 }
--- a/crates/emberpin-limiter/src/operate/command.rs
+++ b/crates/emberpin-limiter/src/operate/command.rs
@@ -1,4 +1,4 @@
-//! The command line: the platform's bare `emberpin`, operator files, and the check of both.
+//! The command line: `emberpin` without arguments as the platform starts it, operator files, and the check of both.
 
 use crate::between::tls;
 use crate::limiter;
@@ -14,13 +14,13 @@
 /// The exit status of a command line or of files that cannot be used.
 const UNUSABLE: u8 = 2;
 
-/// A limiter that holds member firms to their quotas in front of a shared back end.
+/// A limiter that enforces the quotas of member firms in front of a shared back end.
 ///
-/// Without arguments it is configured by the file that `GW_CONFIG` names alone.
+/// Without arguments, it is configured only by the file that `GW_CONFIG` names.
 #[derive(Parser)]
 #[command(name = "emberpin", version, max_term_width = 100)]
-struct Line {
-    /// An operator file that switches on or sets a subsystem; may be given several times
+struct Arguments {
+    /// An operator file that enables or configures a subsystem; may be given several times
     #[arg(long = "with", value_name = "FILE", global = true)]
     with: Vec<PathBuf>,
     #[command(subcommand)]
@@ -29,14 +29,14 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Read everything, print what is in force, start nothing; exit 0 if it is good, 2 if not
+    /// Read all configuration, print the settings in force and start nothing; exit 0 if it is valid, 2 if not
     Check,
     /// The link between limiters
     Link {
         #[command(subcommand)]
         what: LinkCommand,
     },
-    /// The log that outlasts the limiter's lives
+    /// The log that keeps the state of keyed requests over restarts of the limiter
     Log {
         #[command(subcommand)]
         what: LogCommand,
@@ -45,9 +45,10 @@
 
 #[derive(Subcommand)]
 enum LinkCommand {
-    /// Make a private authority, a certificate for each instance and the secret of fingerprints, in a new folder
+    /// Create a private certificate authority, a certificate for each instance and the secret for fingerprints, in a new
+    /// folder
     Init {
-        /// The folder
+        /// The folder to create
         folder: PathBuf,
         /// The instances' names
         #[arg(required = true)]
@@ -57,21 +58,21 @@
 
 #[derive(Subcommand)]
 enum LogCommand {
-    /// Begin the log of an instance that never had one, so that its first start need not be quiet
+    /// Create the log of an instance that never had one, so that its first start needs no quiet time
     Init,
-    /// Show what a log's file or folder holds, and check it; exit 0 if it is sound, 1 if not, 2 if it cannot be read
+    /// Print and check the contents of a log's file or folder; exit 0 if it is sound, 1 if not, 2 if it cannot be read
     Inspect {
-        /// A segment, or a folder of them
+        /// A segment file, or a folder of segments
         path: PathBuf,
-        /// As JSON
+        /// Print as JSON
         #[arg(long)]
         json: bool,
     },
 }
 
-/// The whole program: `arguments` begin with its own name. Returns when the limiter has ended.
+/// Runs the program with these arguments, of which the first is the program's name. Returns when the limiter has stopped.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
-    let line = match Line::try_parse_from(arguments) {
+    let line = match Arguments::try_parse_from(arguments) {
         Ok(line) => line,
         Err(problem) => {
             _ = problem.print();
@@ -87,7 +88,7 @@
         Some(Command::Check) => check(&line.with),
         Some(Command::Link {
             what: LinkCommand::Init { folder, members },
-        }) => make_keys(&folder, &members),
+        }) => create_keys(&folder, &members),
         Some(Command::Log {
             what: LogCommand::Init,
         }) => begin_log(&line.with),
@@ -97,7 +98,7 @@
     }
 }
 
-fn make_keys(folder: &Path, members: &[String]) -> ExitCode {
+fn create_keys(folder: &Path, members: &[String]) -> ExitCode {
     match memory::random().and_then(|secret| tls::init(folder, members, secret)) {
         Ok(()) => {
             println!(
@@ -108,7 +109,7 @@
             ExitCode::SUCCESS
         }
         Err(problem) => {
-            complain(&problem);
+            print_error(&problem);
             ExitCode::from(UNUSABLE)
         }
     }
@@ -122,7 +123,7 @@
             ExitCode::SUCCESS
         }
         Err(problem) => {
-            complain(&problem);
+            print_error(&problem);
             ExitCode::from(UNUSABLE)
         }
     }
@@ -132,14 +133,14 @@
     let report = match emberpin_wal::inspect(path) {
         Ok(report) => report,
         Err(problem) => {
-            complain(&format!("cannot read {}: {problem}", path.display()));
+            print_error(&format!("cannot read {}: {problem}", path.display()));
             return ExitCode::from(UNUSABLE);
         }
     };
     match json.then(|| serde_json::to_string_pretty(&report)) {
         Some(Ok(text)) => println!("{text}"),
         Some(Err(problem)) => {
-            complain(&problem.to_string());
+            print_error(&problem.to_string());
             return ExitCode::from(UNUSABLE);
         }
         None => print!("{report}"),
@@ -156,7 +157,7 @@
     match config.and_then(limiter::serve) {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            complain(&problem);
+            print_error(&problem);
             ExitCode::FAILURE
         }
     }
@@ -166,7 +167,7 @@
     let operator = match Operator::read(with) {
         Ok(operator) => operator,
         Err(problem) => {
-            complain(&problem);
+            print_error(&problem);
             return ExitCode::from(UNUSABLE);
         }
     };
@@ -181,19 +182,19 @@
             ExitCode::SUCCESS
         }
         Err(problem) => {
-            complain(&problem);
+            print_error(&problem);
             ExitCode::from(UNUSABLE)
         }
     }
 }
 
-/// One line on standard error, whatever the problem's text holds.
-fn complain(problem: &str) {
+/// Prints the problem as one line on standard error, with line breaks replaced by spaces.
+fn print_error(problem: &str) {
     eprintln!("emberpin: {}", problem.replace('\n', " "));
 }
 
-/// The command line's own description is sound; clap checks it only when asked.
+/// Checks the definition of the command line, which clap does only on request.
 #[test]
-fn the_command_line_is_sound() {
-    <Line as clap::CommandFactory>::command().debug_assert();
+fn the_command_line_definition_is_valid() {
+    <Arguments as clap::CommandFactory>::command().debug_assert();
 }
--- a/crates/emberpin-limiter/src/operate/config.rs
+++ b/crates/emberpin-limiter/src/operate/config.rs
@@ -15,22 +15,24 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Descriptors for what is neither a client's nor a server's: listeners, discovery, the runtime's own; some
-/// more than there are.
-const OTHER_SOCKETS: usize = 24;
-/// Where the platform does not say, and the least with which a limiter starts, in MiB.
-const USUAL_MEMORY: u64 = 192;
-const LEAST_MEMORY: u64 = 16;
-/// What one body that is passed on in pieces may hold: what came first of it, and buffers on both sides; and the part of
-/// the memory that all of them may have in each direction, so that small requests always have the rest.
-const PASSING_BYTES: u64 = 112 << 10;
-const PASSING_PART: u64 = 4;
+/// Descriptors reserved for everything but clients and servers: listeners, discovery, the runtime's own; slightly more
+/// than are in use.
+const RESERVED_DESCRIPTORS: usize = 24;
+/// The memory limit in MiB, if the platform's file does not state one.
+const DEFAULT_MEMORY_MIB: u64 = 192;
+/// The lowest memory limit with which a limiter starts, in MiB.
+const MIN_MEMORY_MIB: u64 = 16;
+/// The memory that one streamed body may use, in bytes: its buffered beginning, and buffers on both sides.
+const STREAMED_BODY_BYTES: u64 = 112 << 10;
+/// The streamed bodies of each direction may use one in this many parts of the memory, so that small requests always have
+/// the rest.
+const STREAMED_BODIES_FRACTION: u64 = 4;
 /// The environment variable that names the operators' address, where the platform's file does not.
-pub const OPS: &str = "GW_OPS";
+pub const OPS_VARIABLE: &str = "GW_OPS";
 /// The environment variable that names the platform's file.
 pub const PLATFORM_FILE: &str = "GW_CONFIG";
 
-/// What one limiter is told at its start.
+/// The checked configuration of one limiter, from the platform's file and the operator files.
 pub struct Config {
     pub(crate) name: String,
     pub(crate) listen: SocketAddr,
@@ -39,33 +41,35 @@
     pub(crate) peer_listen: Option<SocketAddr>,
     pub(crate) peers: Vec<SocketAddr>,
     pub(crate) peers_all: Option<SocketAddr>,
-    /// Where the people on call come in.
+    /// The address of the operators' HTTP interface.
     pub(crate) ops: Option<SocketAddr>,
+    /// The endpoint list that the platform's file states.
     pub(crate) known: Listing,
     pub(crate) settings: Settings,
     pub(crate) names: IndexNames,
-    /// Most connections with clients, and most with servers.
+    /// Maximum number of connections with clients.
     pub(crate) client_sockets: usize,
+    /// Maximum number of connections with servers.
     pub(crate) server_sockets: usize,
-    /// Most bodies that are passed on in pieces at a time, requests' and answers' each.
-    pub(crate) passing: usize,
-    /// Most units of one request.
-    pub(crate) most_units: f64,
+    /// Maximum number of streamed request bodies at a time, and likewise of streamed response bodies.
+    pub(crate) max_streamed_bodies: usize,
+    /// Maximum number of units of one request.
+    pub(crate) max_units: f64,
     pub(crate) connect_timeout: Duration,
-    pub(crate) idle_limit: Duration,
-    /// How limiters start, if the operator has said.
+    pub(crate) server_idle_timeout: Duration,
+    /// The table `[start]` of operator files; `None` if it is not set. The same holds for the next fields.
     pub(crate) start: Option<Start>,
-    /// How work in hand is taken over, if it is.
+    /// The table `[takeover]`.
     pub(crate) takeover: Option<Takeover>,
-    /// The folder of this instance's snapshot of the list.
+    /// The folder of this instance's snapshot of the endpoint list.
     pub(crate) snapshot: Option<PathBuf>,
-    /// As the operator has them.
+    /// The table `[connections]`, or its defaults.
     pub(crate) connections: Connections,
-    /// The same; `None` where it is off.
+    /// The table `[idempotency]`.
     pub(crate) idempotency: Option<Idempotency>,
-    /// The same, with the instance's own folder.
+    /// The table `[log]`, and the instance's own folder.
     pub(crate) log: Option<(Log, PathBuf)>,
-    /// The same, and this instance's number in it.
+    /// The table `[link]`, and this instance's member number in it.
     pub(crate) link: Option<(Link, u32)>,
 }
 
@@ -94,39 +98,39 @@
 }
 
 impl Config {
-    /// Reads the file that `GW_CONFIG` names, for a limiter that the operator has set so.
+    /// Reads the file that `GW_CONFIG` names, and combines it with the settings of operator files.
     ///
     /// # Errors
     ///
-    /// One clear line: which file, where in it, and what was found and expected.
+    /// One line that names the file, the place in it, and the found and expected values.
     pub fn from_env(operator: &Operator) -> Result<Config, String> {
         let path =
             std::env::var_os(PLATFORM_FILE).ok_or("GW_CONFIG names no configuration file")?;
         let shown = path.to_string_lossy();
         let text = std::fs::read(&path).map_err(|e| format!("cannot read {shown}: {e}"))?;
         let mut file: File = serde_json::from_slice(&text).map_err(|e| format!("{shown}: {e}"))?;
-        if let (None, Some(ops)) = (file.ops, std::env::var_os(OPS)) {
+        if let (None, Some(ops)) = (file.ops, std::env::var_os(OPS_VARIABLE)) {
             let ops = ops.to_string_lossy();
-            let at = ops
-                .parse()
-                .map_err(|e| format!("{OPS} '{ops}': {e}; expected an address as 10.0.0.4:9000"))?;
+            let at = ops.parse().map_err(|e| {
+                format!("{OPS_VARIABLE} '{ops}': {e}; expected an address as 10.0.0.4:9000")
+            })?;
             file.ops = Some(at);
         }
         Config::new(file, operator).map_err(|problem| format!("{shown}: {problem}"))
     }
 
-    /// Lists of servers are told over the link.
-    pub(crate) fn tells_lists(&self) -> bool {
+    /// Whether endpoint lists are forwarded over the link.
+    pub(crate) fn shares_lists(&self) -> bool {
         self.start
             .as_ref()
             .is_some_and(|start| start.callers.is_some())
     }
 
-    /// What connections to servers are held to.
+    /// The limits of connections to servers.
     pub(crate) fn pool_limits(&self) -> PoolLimits {
         PoolLimits {
             connect: self.connect_timeout,
-            idle: self.idle_limit,
+            idle: self.server_idle_timeout,
             max_idle_per_server: self.connections.idle_per_server,
             sockets: self.server_sockets,
             unacknowledged: None,
@@ -134,7 +138,7 @@
         }
     }
 
-    /// No client waits for an answer longer than this.
+    /// The longest deadline of all classes: no client waits longer for a response.
     pub(crate) fn longest_deadline(&self) -> Duration {
         let longest = self
             .settings
@@ -155,33 +159,38 @@
         }
         let seed = u64::from_str_radix(&file.seed, 16)
             .map_err(|e| format!("seed '{}': {e}", file.seed))?;
-        // The operators' callers have places of their own: a crowd must not keep them out.
-        let callers = if file.ops.is_some() {
-            operator_api::PLACES
+        // Descriptors are reserved for the operators' connections, so that many clients cannot block them.
+        let operator_sockets = if file.ops.is_some() {
+            operator_api::MAX_CONNECTIONS
         } else {
             0
         };
-        let sockets = file.limits.sockets.saturating_sub(OTHER_SOCKETS + callers);
+        let sockets = file
+            .limits
+            .sockets
+            .saturating_sub(RESERVED_DESCRIPTORS + operator_sockets);
         if sockets < 40 {
             return Err(format!(
                 "limits: {} sockets are too few",
                 file.limits.sockets
             ));
         }
-        let memory = file.limits.memory_mb.unwrap_or(USUAL_MEMORY);
-        if memory < LEAST_MEMORY {
+        let memory = file.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MIB);
+        if memory < MIN_MEMORY_MIB {
             return Err(format!(
-                "limits: memory_mb {memory} is too little: at least {LEAST_MEMORY} are needed"
+                "limits: memory_mb {memory} is too little: at least {MIN_MEMORY_MIB} are needed"
             ));
         }
-        let millis = |value: Option<f64>, usual: f64| {
-            let value = value.filter(|v| v.is_finite() && *v > 0.0).unwrap_or(usual);
+        let millis = |value: Option<f64>, default: f64| {
+            let value = value
+                .filter(|v| v.is_finite() && *v > 0.0)
+                .unwrap_or(default);
             Duration::try_from_secs_f64(value / 1000.0)
                 .map_err(|e| format!("settings: {value} ms: {e}"))
         };
         let client_sockets = (sockets as f64 * operator.connections.client_share) as usize;
-        // Where the settings do not say, no request may hold more than the largest store.
-        let largest = settings
+        // Without a setting, no request may cost more units than the largest quota burst.
+        let largest_burst = settings
             .plans
             .iter()
             .map(|plan| plan.quota_burst)
@@ -189,7 +198,7 @@
         let log = operator
             .log
             .clone()
-            .map(|log| log.folder_of(&file.name).map(|folder| (log, folder)));
+            .map(|log| log.instance_folder(&file.name).map(|folder| (log, folder)));
         let link = operator.link.clone().map(|link| {
             let own = link
                 .members
@@ -206,7 +215,7 @@
         let snapshot = operator
             .start
             .as_ref()
-            .map(|start| start.folder_of(&file.name))
+            .map(|start| start.instance_folder(&file.name))
             .transpose()?
             .flatten();
         Ok(Config {
@@ -223,17 +232,18 @@
             ops: file.ops,
             known: file.known,
             connect_timeout: millis(file.settings.connect_timeout(), 250.0)?,
-            idle_limit: millis(file.settings.idle_timeout(), 15_000.0)?
+            server_idle_timeout: millis(file.settings.idle_timeout(), 15_000.0)?
                 .mul_f64(operator.connections.idle_share),
             start: operator.start.clone(),
             takeover: operator.takeover.clone(),
             connections: operator.connections.clone(),
             idempotency: operator.idempotency.clone(),
-            most_units: file.settings.max_units().unwrap_or(largest),
+            max_units: file.settings.max_units().unwrap_or(largest_burst),
             settings,
             names,
             client_sockets,
-            passing: ((memory << 20) / PASSING_PART / PASSING_BYTES).clamp(4, 1 << 20) as usize,
+            max_streamed_bodies: ((memory << 20) / STREAMED_BODIES_FRACTION / STREAMED_BODY_BYTES)
+                .clamp(4, 1 << 20) as usize,
             server_sockets: sockets - client_sockets,
         })
     }
@@ -259,7 +269,7 @@
             Some(at) => writeln!(
                 to,
                 "operators' door on {at}, {} callers at a time",
-                operator_api::PLACES
+                operator_api::MAX_CONNECTIONS
             )?,
             None => writeln!(to, "no operators' door")?,
         }
@@ -271,7 +281,7 @@
         writeln!(
             to,
             "bodies over 64 KiB at a time, each way: {}",
-            self.passing
+            self.max_streamed_bodies
         )?;
         writeln!(
             to,
@@ -281,9 +291,9 @@
         writeln!(
             to,
             "idle connections to servers end after {} ms",
-            self.idle_limit.as_millis()
+            self.server_idle_timeout.as_millis()
         )?;
-        writeln!(to, "a request counts at most {} units", self.most_units)?;
+        writeln!(to, "a request counts at most {} units", self.max_units)?;
         writeln!(to, "known servers {}", self.known.targets.len())?;
         match &self.log {
             Some((_, folder)) => writeln!(to, "log of '{}' in {}", self.name, folder.display()),
--- a/crates/emberpin-limiter/src/operate/crash_points.rs
+++ b/crates/emberpin-limiter/src/operate/crash_points.rs
@@ -1,68 +1,70 @@
-//! Ends the process at a chosen point, for tests of what a kill there leaves: `EMBERPIN_DIE_AT=POINT:N` ends it when that
-//! point is met the Nth time, and `EMBERPIN_STOP_AT` lets it stand still there, until it is woken or killed. Only in builds
-//! with debug assertions; in a release build nothing of it is there.
+//! Crash points for tests of the state that a kill leaves behind: `EMBERPIN_DIE_AT=POINT:N` aborts the process when that
+//! point is reached for the Nth time, and `EMBERPIN_STOP_AT=POINT:N` stops it there until it is continued or killed. Only
+//! in builds with debug assertions; in a release build the points do nothing.
 
-use emberpin_wal::{FileIdentity, Storage as Disk};
+use emberpin_wal::{FileIdentity, Storage};
 use std::io;
 
-/// Meets a point by name.
+/// Marks that execution has reached the point of this name, and crashes or stops the process if the environment asks for it.
 #[cfg(debug_assertions)]
-pub fn here(point: &str) {
+pub fn reach(point: &str) {
     use std::sync::OnceLock;
-    static END: OnceLock<Option<Place>> = OnceLock::new();
-    static STOP: OnceLock<Option<Place>> = OnceLock::new();
-    if END
-        .get_or_init(|| Place::read("EMBERPIN_DIE_AT"))
+    static CRASH: OnceLock<Option<CrashPoint>> = OnceLock::new();
+    static STOP: OnceLock<Option<CrashPoint>> = OnceLock::new();
+    if CRASH
+        .get_or_init(|| CrashPoint::read("EMBERPIN_DIE_AT"))
         .as_ref()
-        .is_some_and(|place| place.is_met(point))
+        .is_some_and(|at| at.is_reached(point))
     {
-        // As kill -9: nothing is flushed, dropped or said.
+        // Like kill -9: nothing is flushed, dropped or logged.
         std::process::abort();
     }
     if STOP
-        .get_or_init(|| Place::read("EMBERPIN_STOP_AT"))
+        .get_or_init(|| CrashPoint::read("EMBERPIN_STOP_AT"))
         .as_ref()
-        .is_some_and(|place| place.is_met(point))
+        .is_some_and(|at| at.is_reached(point))
     {
-        // As SIGSTOP from outside: no thread goes on.
+        // Like SIGSTOP from outside: all threads stop.
         _ = nix::sys::signal::raise(nix::sys::signal::Signal::SIGSTOP);
     }
 }
 
-/// A point, and the time that it is met.
+/// A crash point, as an environment variable names it.
 #[cfg(debug_assertions)]
-struct Place {
+struct CrashPoint {
     point: String,
-    count: u32,
-    met: std::sync::atomic::AtomicU32,
+    /// The number of the visit at which it takes effect, counted from 1.
+    visit: u32,
+    /// Number of visits until now.
+    visits: std::sync::atomic::AtomicU32,
 }
 
 #[cfg(debug_assertions)]
-impl Place {
-    fn read(variable: &str) -> Option<Place> {
+impl CrashPoint {
+    fn read(variable: &str) -> Option<CrashPoint> {
         let text = std::env::var(variable).ok()?;
-        let (point, count) = text.split_once(':')?;
-        Some(Place {
+        let (point, visit) = text.split_once(':')?;
+        Some(CrashPoint {
             point: point.into(),
-            count: count.parse().ok()?,
-            met: Default::default(),
+            visit: visit.parse().ok()?,
+            visits: Default::default(),
         })
     }
 
-    fn is_met(&self, point: &str) -> bool {
+    fn is_reached(&self, point: &str) -> bool {
         use std::sync::atomic::Ordering;
-        self.point == point && self.met.fetch_add(1, Ordering::SeqCst) + 1 == self.count
+        self.point == point && self.visits.fetch_add(1, Ordering::SeqCst) + 1 == self.visit
     }
 }
 
-/// Nothing, in a release build.
+/// Does nothing in a release build.
 #[cfg(not(debug_assertions))]
-pub fn here(_point: &str) {}
+pub fn reach(_point: &str) {}
 
-/// A storage that meets a point before it writes, before an fsync and after it.
-pub struct Storage<S>(pub S);
+/// A storage with crash points before each append, before each fsync and after it.
+pub struct CrashPointStorage<S>(pub S);
 
-impl<S: Disk> Disk for Storage<S> {
+impl<S: Storage> Storage for CrashPointStorage<S> {
     fn names(&mut self) -> io::Result<Vec<String>> {
         self.0.names()
     }
@@ -73,7 +75,7 @@
         self.0.identity(name)
     }
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        here("write");
+        reach("write");
         self.0.append(name, bytes)
     }
     fn overwrite(&mut self, name: &str, at: u64, bytes: &[u8]) -> io::Result<()> {
@@ -86,9 +88,9 @@
         self.0.truncate(name, length)
     }
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        here("fsync");
+        reach("fsync");
         self.0.sync(name)?;
-        here("synced");
+        reach("synced");
         Ok(())
     }
     fn sync_folder(&mut self) -> io::Result<()> {
--- a/crates/emberpin-limiter/src/operate/faulty_disk.rs
+++ b/crates/emberpin-limiter/src/operate/faulty_disk.rs
@@ -1,24 +1,24 @@
-//! Disks that lie, for tests of what a log on one is worth: `EMBERPIN_DISK=KIND:N` makes the log's disk lie from its Nth
-//! append on, and `EMBERPIN_DISK_SAID=FILE` is made when it first does. Only in builds with debug assertions; in a release
-//! build a disk is what it is.
+//! Disk faults for tests of the log: `EMBERPIN_DISK=KIND:N` injects a fault into the log's disk from its Nth append on, and
+//! the file `EMBERPIN_DISK_SAID=FILE` is created when the fault first occurs. Only in builds with debug assertions; a
+//! release build uses the disk unchanged.
 //!
 //! | kind | from the Nth append on |
 //! | --- | --- |
-//! | `forgets` | says that all was written and synced, and keeps nothing of it |
-//! | `tears` | half of that one is written, and nothing after it, and all is said to be |
-//! | `flips` | a bit of that one is another; what follows is sound |
-//! | `fills` | there is no room |
+//! | `forgets` | writes and syncs report success, and nothing is stored |
+//! | `tears` | half of the Nth append is written, and nothing after it; all report success |
+//! | `flips` | one bit of the Nth append is inverted; later appends are sound |
+//! | `fills` | appends fail because the disk is full |
 //! | `stalls` | the next sync takes 5 s |
 
 #[cfg(not(debug_assertions))]
-pub use sound::of;
+pub use sound::with_faults;
 #[cfg(debug_assertions)]
-pub use test::of;
+pub use test::with_faults;
 
 #[cfg(not(debug_assertions))]
 mod sound {
-    /// The disk as it is.
-    pub fn of<S>(disk: S) -> S {
+    /// Returns the disk unchanged.
+    pub fn with_faults<S>(disk: S) -> S {
         disk
     }
 }
@@ -40,17 +40,18 @@
         Stalls,
     }
 
-    /// A disk that lies, if the environment says so.
-    pub struct Disk<S> {
+    /// A disk with the fault that the environment names, if any.
+    pub struct FaultyDisk<S> {
         disk: S,
-        lie: Option<(Kind, u64)>,
+        /// The kind of fault, and the number of the append from which on it occurs.
+        fault: Option<(Kind, u64)>,
         appends: u64,
         stalled: bool,
     }
 
-    /// This disk, lying as the environment says.
-    pub fn of<S>(disk: S) -> Disk<S> {
-        let lie = std::env::var("EMBERPIN_DISK").ok().and_then(|text| {
+    /// Wraps the disk to inject the fault that the environment names.
+    pub fn with_faults<S>(disk: S) -> FaultyDisk<S> {
+        let fault = std::env::var("EMBERPIN_DISK").ok().and_then(|text| {
             let (kind, from) = text.split_once(':')?;
             let kind = match kind {
                 "forgets" => Kind::Forgets,
@@ -62,32 +63,33 @@
             };
             Some((kind, from.parse().ok()?))
         });
-        Disk {
+        FaultyDisk {
             disk,
-            lie,
+            fault,
             appends: 0,
             stalled: false,
         }
     }
 
-    impl<S> Disk<S> {
-        /// The lie that is on; the first time it is, that is said.
-        fn lies(&self) -> Option<Kind> {
-            let (kind, from) = self.lie.filter(|(_, from)| self.appends >= *from)?;
+    impl<S> FaultyDisk<S> {
+        /// Returns the fault that is active now; creates the file of `EMBERPIN_DISK_SAID` at its first append.
+        fn active_fault(&self) -> Option<Kind> {
+            let (kind, from) = self.fault.filter(|(_, from)| self.appends >= *from)?;
             if self.appends == from {
-                if let Some(said) = std::env::var_os("EMBERPIN_DISK_SAID") {
-                    _ = std::fs::write(said, "");
+                if let Some(marker) = std::env::var_os("EMBERPIN_DISK_SAID") {
+                    _ = std::fs::write(marker, "");
                 }
             }
             Some(kind)
         }
 
-        fn keeps_nothing(&self) -> bool {
-            matches!(self.lies(), Some(Kind::Forgets | Kind::Tears))
+        /// Whether writes are dropped now.
+        fn drops_writes(&self) -> bool {
+            matches!(self.active_fault(), Some(Kind::Forgets | Kind::Tears))
         }
     }
 
-    impl<S: Storage> Storage for Disk<S> {
+    impl<S: Storage> Storage for FaultyDisk<S> {
         fn names(&mut self) -> io::Result<Vec<String>> {
             self.disk.names()
         }
@@ -99,8 +101,8 @@
         }
         fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
             self.appends += 1;
-            let first = self.lie.is_some_and(|(_, from)| self.appends == from);
-            match self.lies() {
+            let first = self.fault.is_some_and(|(_, from)| self.appends == from);
+            match self.active_fault() {
                 Some(Kind::Forgets) => Ok(()),
                 Some(Kind::Tears) if first => self.disk.append(name, &bytes[..bytes.len() / 2]),
                 Some(Kind::Tears) => Ok(()),
@@ -116,7 +118,7 @@
             }
         }
         fn overwrite(&mut self, name: &str, at: u64, bytes: &[u8]) -> io::Result<()> {
-            match self.keeps_nothing() {
+            match self.drops_writes() {
                 true => Ok(()),
                 false => self.disk.overwrite(name, at, bytes),
             }
@@ -128,10 +130,12 @@
             self.disk.truncate(name, length)
         }
         fn sync(&mut self, name: &str) -> io::Result<()> {
-            if self.lies() == Some(Kind::Stalls) && !std::mem::replace(&mut self.stalled, true) {
+            if self.active_fault() == Some(Kind::Stalls)
+                && !std::mem::replace(&mut self.stalled, true)
+            {
                 std::thread::sleep(STALL);
             }
-            match self.keeps_nothing() {
+            match self.drops_writes() {
                 true => Ok(()),
                 false => self.disk.sync(name),
             }
--- a/crates/emberpin-limiter/src/operate/figures.rs
+++ b/crates/emberpin-limiter/src/operate/figures.rs
@@ -1,7 +1,7 @@
-//! The limiter's figures: counted where each thing happens, read by the operators' door in the Prometheus text format.
+//! The limiter's metrics: updated where each event happens, and served by the operator API in the Prometheus text format.
 //!
-//! All of them are atomics, so that the door's thread reads them without asking anybody. They count from the start of
-//! the process.
+//! All of them are atomics, so that the operator API's thread reads them without involving another thread. Counters start
+//! at zero with the process.
 
 use emberpin_balancer::ClassId;
 use prometheus::{IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder};
@@ -10,18 +10,18 @@
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// It was served, whole.
+    /// It was served completely.
     Ok,
-    /// It was refused: trying again is harmless.
+    /// It was rejected before any server ran it, so a retry is harmless.
     Shed,
-    /// Anything else that its client was told, or an answer that broke off.
+    /// It got any other response, or one that broke off.
     Errors,
 }
 
 impl Ending {
     const ALL: [Ending; 3] = [Ending::Ok, Ending::Shed, Ending::Errors];
 
-    fn name(self) -> &'static str {
+    fn label(self) -> &'static str {
         match self {
             Ending::Ok => "ok",
             Ending::Shed => "shed",
@@ -30,30 +30,31 @@
     }
 }
 
-/// The figures of one process.
+/// The metrics of one process.
 pub struct Figures {
     registry: Registry,
-    /// For each class, in the order of [`Ending::ALL`].
+    /// Counters of ended requests, for each class, in the order of [`Ending::ALL`].
     responses: Vec<[IntCounter; 3]>,
-    /// Attempts of which the last byte was written to a server.
-    pub tries: IntCounter,
+    /// Number of attempts whose last byte was written to a server.
+    pub attempts: IntCounter,
+    /// Number of requests in flight.
     active: IntGauge,
-    /// Servers that the list names, and those of them that get nothing now.
+    /// Number of servers in the endpoint list.
     pub pool_size: IntGauge,
-    /// Those of them that get nothing now.
+    /// Number of listed servers that receive no requests now.
     pub pool_ejected: IntGauge,
-    /// Configurations that were read again and taken, or not.
+    /// Number of reloaded configurations that were applied.
     pub config_applied: IntCounter,
-    /// The same that were not taken.
+    /// Number of reloaded configurations that were rejected.
     pub config_rejected: IntCounter,
 }
 
 impl Figures {
-    /// All at nothing, for classes of these names.
+    /// Creates the metrics, all at zero, for classes of these names.
     ///
     /// # Errors
     ///
-    /// What the metrics library says of names that it cannot use.
+    /// The metrics library's error for names that it does not accept.
     pub fn new(classes: &[String]) -> Result<Arc<Figures>, String> {
         Figures::register(classes)
             .map(Arc::new)
@@ -78,17 +79,21 @@
             &["kind", "result"],
         )?;
         registry.register(Box::new(responses.clone()))?;
-        let of = |class: &String, ending: Ending| {
-            responses.get_metric_with_label_values(&[class.as_str(), ending.name()])
+        let response_counter = |class: &String, ending: Ending| {
+            responses.get_metric_with_label_values(&[class.as_str(), ending.label()])
         };
         let mut by_class = Vec::with_capacity(classes.len());
         for class in classes {
             let [ok, shed, errors] = Ending::ALL;
-            by_class.push([of(class, ok)?, of(class, shed)?, of(class, errors)?]);
+            by_class.push([
+                response_counter(class, ok)?,
+                response_counter(class, shed)?,
+                response_counter(class, errors)?,
+            ]);
         }
         Ok(Figures {
             responses: by_class,
-            tries: counter("tries", "Attempts written whole to servers")?,
+            attempts: counter("tries", "Attempts written whole to servers")?,
             active: gauge("active", "Requests taken and not ended")?,
             pool_size: gauge("pool_size", "Servers in the list")?,
             pool_ejected: gauge(
@@ -101,8 +106,8 @@
         })
     }
 
-    /// A request of this class was taken; it is active until what is returned is told its ending or dropped.
-    pub fn taken(self: &Arc<Self>, class: ClassId) -> Active {
+    /// Counts a request of this class as active until the returned value is dropped.
+    pub fn start_request(self: &Arc<Self>, class: ClassId) -> Active {
         self.active.inc();
         Active {
             figures: self.clone(),
@@ -111,11 +116,11 @@
         }
     }
 
-    /// All figures, as text.
+    /// All metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
-    /// What the metrics library says of figures that it cannot write.
+    /// The metrics library's error for metrics that it cannot encode.
     pub fn text(&self) -> Result<String, String> {
         TextEncoder::new()
             .encode_to_string(&self.registry.gather())
@@ -123,7 +128,8 @@
     }
 }
 
-/// A request that was taken. What its client abandoned is not counted as ended in any way.
+/// An active request. One that is dropped without an ending, because its client abandoned it, is not counted in
+/// `app_responses`.
 pub struct Active {
     figures: Arc<Figures>,
     class: ClassId,
@@ -131,8 +137,8 @@
 }
 
 impl Active {
-    /// How it will have ended once this is dropped; the last word counts.
-    pub fn ends(&mut self, ending: Ending) {
+    /// Sets how the request is counted when this value is dropped; the last call wins.
+    pub fn set_ending(&mut self, ending: Ending) {
         self.ending = Some(ending);
     }
 }
@@ -153,18 +159,18 @@
     use super::*;
 
     #[test]
-    fn each_request_is_active_until_it_ends_and_ends_in_one_way() {
+    fn each_request_is_active_until_it_ends_and_is_counted_once() {
         let figures = Figures::new(&["look".into(), "submit".into()]).expect("sound");
-        let mut served = figures.taken(ClassId(1));
-        let abandoned = figures.taken(ClassId(0));
+        let mut served = figures.start_request(ClassId(1));
+        let abandoned = figures.start_request(ClassId(0));
         let text = figures.text().expect("text");
         assert!(text.contains("\napp_active 2\n"), "{text}");
         assert!(
             text.contains("app_responses{kind=\"submit\",result=\"ok\"} 0\n"),
             "{text}"
         );
-        served.ends(Ending::Errors);
-        served.ends(Ending::Ok);
+        served.set_ending(Ending::Errors);
+        served.set_ending(Ending::Ok);
         drop((served, abandoned));
         let text = figures.text().expect("text");
         assert!(text.contains("\napp_active 0\n"), "{text}");
--- a/crates/emberpin-limiter/src/operate/mod.rs
+++ b/crates/emberpin-limiter/src/operate/mod.rs
@@ -1,4 +1,4 @@
-//! What people on call set, see and say: configuration, command line, door, figures.
+//! The operators' side: configuration, command line, HTTP interface, metrics, and the test hooks of debug builds.
 
 pub(crate) mod clock;
 pub mod command;
--- a/crates/emberpin-limiter/src/operate/operator.rs
+++ b/crates/emberpin-limiter/src/operate/operator.rs
@@ -1,5 +1,5 @@
-//! Operator files: TOML, one table for each subsystem, unknown keys refused. What no file sets is as the
-//! platform has it.
+//! Operator files: TOML, with one table for each subsystem; unknown keys are rejected. Settings that no file sets have
+//! the defaults under which the platform runs the limiter without operator files.
 
 use crate::operate::start::Start;
 use crate::operate::takeover::Takeover;
@@ -11,77 +11,89 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// What all operator files together set.
+/// The settings of all operator files together.
 #[derive(Debug, Default, PartialEq)]
 pub struct Operator {
-    /// How connections are dealt out.
+    /// How connections are shared out between clients and servers.
     pub connections: Connections,
-    /// Repeats of keyed requests are recognised; off without its table.
+    /// Deduplication of keyed requests; off without its table.
     pub idempotency: Option<Idempotency>,
-    /// What must outlast a life is kept on a disk; nothing is without its table.
+    /// The log on a disk that keeps state over restarts; off without its table.
     pub log: Option<Log>,
-    /// The limiters talk to each other beyond their datagrams; they do not without its table.
+    /// The connections between limiters, in addition to their datagrams; off without its table.
     pub link: Option<Link>,
-    /// How limiters start; as the platform has it without its table.
+    /// How limiters start; without its table a limiter is ready at once.
     pub start: Option<Start>,
-    /// Work in hand survives the loss of its limiter; it does not without its table.
+    /// Takeover of work in flight after the failure of its limiter; off without its table.
     pub takeover: Option<Takeover>,
 }
 
-/// How limiters talk to each other: the table `[link]`, the same for all of them.
+/// The connections between limiters: the table `[link]`, which must be the same at all of them.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Link {
-    /// The site; members of another one are not heard.
+    /// The cluster's name; messages from members of another cluster are ignored.
     pub cluster: String,
-    /// The number of this set of members; rises with each change of it.
+    /// The version of the member list; must increase with each change of it.
     #[serde(default = "first_epoch")]
     pub epoch: u64,
-    /// All limiters that talk to each other.
+    /// All limiters of the cluster.
     #[serde(rename = "member")]
     pub members: Vec<Member>,
     /// A folder with the files that `emberpin link init` made.
     pub keys: String,
-    /// No TLS; only between loopback addresses.
+    /// Whether to connect without TLS; allowed only between loopback addresses.
     #[serde(default)]
     pub plain: bool,
-    /// How often each tells the others that it is alive.
-    #[serde(rename = "beat_ms", deserialize_with = "beat", default = "usual_beat")]
-    pub beat: Duration,
-    /// One that was not heard for so long is not asked.
+    /// Interval of the heartbeats that each limiter sends to the others.
+    #[serde(
+        rename = "beat_ms",
+        deserialize_with = "link_duration",
+        default = "default_heartbeat"
+    )]
+    pub heartbeat: Duration,
+    /// A limiter from which no message has arrived for this long is suspected, and is not queried.
     #[serde(
         rename = "suspect_ms",
-        deserialize_with = "beat",
-        default = "usual_suspect"
+        deserialize_with = "link_duration",
+        default = "default_suspect_after"
     )]
     pub suspect_after: Duration,
-    /// And is taken for dead after so long.
-    #[serde(rename = "dead_ms", deserialize_with = "beat", default = "usual_dead")]
+    /// A limiter from which no message has arrived for this long counts as failed.
+    #[serde(
+        rename = "dead_ms",
+        deserialize_with = "link_duration",
+        default = "default_dead_after"
+    )]
     pub dead_after: Duration,
-    /// How many limiters hold each customer's keys.
-    #[serde(deserialize_with = "copies", default = "usual_copies")]
+    /// Number of limiters that keep a replica of each customer's keys.
+    #[serde(deserialize_with = "copies", default = "default_copies")]
     pub copies: usize,
-    /// How long a limiter is waited for that holds a key.
-    #[serde(rename = "ask_ms", deserialize_with = "beat", default = "usual_ask")]
+    /// How long to wait for the answer of a limiter that keeps a replica of a key.
+    #[serde(
+        rename = "ask_ms",
+        deserialize_with = "link_duration",
+        default = "default_ask_within"
+    )]
     pub ask_within: Duration,
 }
 
-/// One of the limiters that talk to each other.
+/// One limiter of the cluster.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
-    /// Its number, its own for ever: who holds which keys follows from it.
+    /// Its number, which must never be reused: the placement of keys is computed from it.
     pub number: u32,
     /// Its instance's name.
     pub name: String,
-    /// Where it listens for the others.
+    /// The address at which it listens for the other limiters.
     pub address: SocketAddr,
 }
 
 impl Link {
-    /// Whether its parts go together; the first that do not.
+    /// Checks the settings against each other; the error names the first conflict.
     fn check(&self) -> Result<(), String> {
-        let (mut names, mut numbers, mut places) =
+        let (mut names, mut numbers, mut addresses) =
             (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
         for member in &self.members {
             let Member {
@@ -89,7 +101,7 @@
                 name,
                 address,
             } = member;
-            if !names.insert(name) || !numbers.insert(number) || !places.insert(address) {
+            if !names.insert(name) || !numbers.insert(number) || !addresses.insert(address) {
                 return Err(format!(
                     "[link] member {name:?}: its name, number or address stands twice"
                 ));
@@ -103,109 +115,111 @@
         if self.members.is_empty() {
             return Err("[link] names no [[link.member]]".into());
         }
-        if self.suspect_after < self.beat * 2 || self.dead_after < self.suspect_after {
+        if self.suspect_after < self.heartbeat * 2 || self.dead_after < self.suspect_after {
             return Err("[link] expected 2 x beat_ms <= suspect_ms <= dead_ms".into());
         }
         Ok(())
     }
 }
 
-/// Where what must outlast a life is kept: the table `[log]`.
+/// The log that keeps state over restarts: the table `[log]`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Log {
     /// The folder; `{name}` in it stands for the instance's name.
     #[serde(deserialize_with = "folder")]
     pub folder: String,
-    /// What the log may hold beside twice what is still wanted, before that is written anew, in bytes.
+    /// The log is compacted once it exceeds twice the size of its live records plus this number of bytes.
     #[serde(
         rename = "spare_mb",
-        deserialize_with = "spare",
-        default = "usual_spare"
+        deserialize_with = "spare_bytes",
+        default = "default_spare_bytes"
     )]
-    pub spare: usize,
+    pub spare_bytes: usize,
 }
 
 impl Log {
-    /// The instance's own folder.
+    /// Returns the instance's own folder.
     ///
     /// # Errors
     ///
-    /// The folder has `{name}` in it and the instance has none.
-    pub fn folder_of(&self, instance: &str) -> Result<PathBuf, String> {
-        own_folder("[log] folder", &self.folder, instance)
+    /// The folder contains `{name}` and the instance has no valid name.
+    pub fn instance_folder(&self, instance: &str) -> Result<PathBuf, String> {
+        expand_folder("[log] folder", &self.folder, instance)
     }
 }
 
-/// What stands for the instance's name in a folder.
-const NAME: &str = "{name}";
+/// The placeholder for the instance's name in a folder.
+const NAME_PLACEHOLDER: &str = "{name}";
 
-/// A folder of an instance's own, as the setting `what` words it.
+/// Replaces `{name}` in a folder by the instance's name. `setting` is the name of the setting, for the error text.
 ///
 /// # Errors
 ///
-/// The folder has `{name}` in it and the instance has none.
-pub fn own_folder(what: &str, folder: &str, instance: &str) -> Result<PathBuf, String> {
-    let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    let sound = !instance.is_empty() && !instance.starts_with('.') && instance.chars().all(plain);
-    match (folder.contains(NAME), sound) {
+/// The folder contains `{name}` and the instance has no name, or one with other characters than letters, digits, `-`, `_`
+/// and `.`, or one that begins with `.`.
+pub fn expand_folder(setting: &str, folder: &str, instance: &str) -> Result<PathBuf, String> {
+    let is_valid = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    let valid_name =
+        !instance.is_empty() && !instance.starts_with('.') && instance.chars().all(is_valid);
+    match (folder.contains(NAME_PLACEHOLDER), valid_name) {
         (true, false) => Err(format!(
-            "{what} = {folder:?} needs the instance's name, which is {instance:?}; expected letters, digits, '-', '_' \
+            "{setting} = {folder:?} needs the instance's name, which is {instance:?}; expected letters, digits, '-', '_' \
              and '.'"
         )),
-        _ => Ok(folder.replace(NAME, instance).into()),
+        _ => Ok(folder.replace(NAME_PLACEHOLDER, instance).into()),
     }
 }
 
-/// How repeats of keyed requests are recognised: the table `[idempotency]`.
+/// Deduplication of keyed requests: the table `[idempotency]`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Idempotency {
-    /// How long an outcome is kept.
+    /// How long the outcome of a request is kept.
     #[serde(rename = "retention_s", deserialize_with = "retention")]
     pub retention: Duration,
-    /// How long after its start the limiter sends no keyed work, as it has forgotten what it let on before; as long
-    /// as the retention if not set.
+    /// How long after its start the limiter sends no keyed requests, as it does not know which ones it forwarded before
+    /// the restart; the retention period if not set.
     #[serde(rename = "quiet_s", deserialize_with = "quiet")]
     pub quiet: Option<Duration>,
-    /// Most keys.
+    /// Maximum number of keys.
     #[serde(deserialize_with = "entries")]
     pub entries: usize,
-    /// Most bytes of kept answers.
+    /// Maximum total size of stored responses, in bytes.
     #[serde(rename = "answers_mb", deserialize_with = "megabytes")]
     pub answer_bytes: usize,
-    /// The part of keys and bytes that one customer may hold.
+    /// The share of keys and bytes that one customer may use.
     #[serde(deserialize_with = "customer_share")]
     pub customer_share: f64,
-    /// Requests that wait for the first of their key.
+    /// Maximum number of requests that wait for the first request with their key.
     #[serde(deserialize_with = "waiters")]
     pub waiters_per_key: usize,
-    /// Requests of one customer that wait.
+    /// Maximum number of one customer's requests that wait.
     #[serde(deserialize_with = "waiters")]
     pub waiters_per_customer: usize,
-    /// What a repeat does while the first is in flight.
+    /// What happens to a repeat while the first request is in flight.
     pub repeats: Repeats,
-    /// Which forms of the field are taken.
+    /// Which forms of the header field are accepted.
     pub keys: Keys,
 }
 
-/// What a repeat does while the first is in flight.
+/// What happens to a repeat while the first request with its key is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeats {
-    /// It waits, and gets the same outcome.
+    /// It waits, and receives the same outcome.
     Wait,
     /// It is answered 409 at once.
     Conflict,
 }
 
-/// Which forms of `Idempotency-Key` are taken.
+/// Which forms of `Idempotency-Key` are accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Keys {
-    /// The draft's: a string in double quotes.
+    /// Only the form of the IETF draft: a string in double quotes.
     Quoted,
-    /// The bare value too, as many clients send it.
+    /// Also the value without quotes, as many clients send it.
     QuotedOrBare,
 }
 
@@ -226,44 +240,44 @@
 }
 
 impl Idempotency {
-    /// The quiet time that holds.
+    /// The quiet time in force: the setting, or else the retention period.
     pub fn quiet(&self) -> Duration {
         self.quiet.unwrap_or(self.retention)
     }
 }
 
-/// How the limiter deals with its connections: the table `[connections]`.
+/// How the limiter manages its connections: the table `[connections]`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Connections {
-    /// The clients' part of the descriptors that are not the limiter's own; servers get the rest.
+    /// The clients' share of the descriptors that the limiter does not need for itself; servers get the rest.
     #[serde(deserialize_with = "client_share")]
     pub client_share: f64,
-    /// Idle connections kept to one server.
+    /// Maximum number of idle connections kept to one server.
     #[serde(deserialize_with = "idle_per_server")]
     pub idle_per_server: usize,
-    /// A server closes idle connections at its limit; the limiter's go at this part of it.
+    /// The limiter closes idle connections to a server at this share of the server's own idle time-out.
     #[serde(deserialize_with = "idle_share")]
     pub idle_share: f64,
-    /// How long new clients are still taken after SIGTERM, until the front has noticed.
-    #[serde(rename = "leaving_ms", deserialize_with = "leaving")]
-    pub leaving: Duration,
+    /// How long new clients are still accepted after SIGTERM, so that the load balancer in front can notice the shutdown.
+    #[serde(rename = "leaving_ms", deserialize_with = "drain_grace")]
+    pub drain_grace: Duration,
 }
 
 impl Default for Connections {
     fn default() -> Connections {
         Connections {
-            // Clients may hold a third of all for requests, and beside those stand silent and idle ones.
+            // Clients may use a third of all descriptors for requests in flight; silent and idle connections add to these.
             client_share: 0.55,
             idle_per_server: 16,
-            // Below 1, so that none is used just when the server closes it.
+            // Below 1, so that no connection is used at the moment when the server closes it.
             idle_share: 0.8,
-            leaving: Duration::from_millis(700),
+            drain_grace: Duration::from_millis(700),
         }
     }
 }
 
-/// One file: each table at most once over all files.
+/// One operator file. Each table may occur in one file only.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct File {
@@ -276,11 +290,11 @@
 }
 
 impl Operator {
-    /// Reads the files in order.
+    /// Reads the files in this order.
     ///
     /// # Errors
     ///
-    /// One line: file, line and column, what was found and what was expected.
+    /// One line that names file, line and column, and the found and expected values.
     pub fn read(files: &[PathBuf]) -> Result<Operator, String> {
         let mut operator = Operator::default();
         let mut set_by: BTreeMap<&str, &Path> = BTreeMap::new();
@@ -290,39 +304,39 @@
                 std::fs::read_to_string(path).map_err(|e| format!("cannot read {shown}: {e}"))?;
             let file: File =
                 toml::from_str(&text).map_err(|e| place(&shown.to_string(), &text, &e))?;
-            let mut once = |table| match set_by.insert(table, path) {
+            let mut claim_table = |table| match set_by.insert(table, path) {
                 None => Ok(()),
-                Some(before) => {
-                    let before = before.display();
+                Some(first) => {
+                    let first = first.display();
                     Err(format!(
-                        "{shown}: [{table}] is set already, by {before}; keep one of them"
+                        "{shown}: [{table}] is set already, by {first}; keep one of them"
                     ))
                 }
             };
             if let Some(connections) = file.connections {
-                once("connections")?;
+                claim_table("connections")?;
                 operator.connections = connections;
             }
             if let Some(idempotency) = file.idempotency {
-                once("idempotency")?;
+                claim_table("idempotency")?;
                 operator.idempotency = Some(idempotency);
             }
             if let Some(log) = file.log {
-                once("log")?;
+                claim_table("log")?;
                 operator.log = Some(log);
             }
             if let Some(link) = file.link {
-                once("link")?;
+                claim_table("link")?;
                 link.check()
                     .map_err(|problem| format!("{shown}: {problem}"))?;
                 operator.link = Some(link);
             }
             if let Some(start) = file.start {
-                once("start")?;
+                claim_table("start")?;
                 operator.start = Some(start);
             }
             if let Some(takeover) = file.takeover {
-                once("takeover")?;
+                claim_table("takeover")?;
                 operator.takeover = Some(takeover);
             }
         }
@@ -365,15 +379,15 @@
             client_share,
             idle_per_server,
             idle_share,
-            leaving,
+            drain_grace,
         } = &self.connections;
         writeln!(to, "[connections]")?;
         writeln!(to, "client_share = {client_share} of the descriptors")?;
         writeln!(to, "idle_per_server = {idle_per_server} connections")?;
         writeln!(to, "idle_share = {idle_share} of the servers' idle limit")?;
-        writeln!(to, "leaving_ms = {} ms", leaving.as_millis())?;
+        writeln!(to, "leaving_ms = {} ms", drain_grace.as_millis())?;
         match &self.idempotency {
-            Some(idempotency) => idempotency.show(self.log.is_some(), to)?,
+            Some(idempotency) => idempotency.write_settings(self.log.is_some(), to)?,
             None => writeln!(to, "[idempotency] off")?,
         }
         match &self.log {
@@ -410,14 +424,14 @@
         {
             writeln!(to, "member {number} = {name} at {address}")?;
         }
-        let how = if self.plain {
+        let transport = if self.plain {
             "plain, on loopback"
         } else {
             "mutual TLS"
         };
-        writeln!(to, "keys = {}, {how}", self.keys)?;
+        writeln!(to, "keys = {}, {transport}", self.keys)?;
         let millis = |time: Duration| time.as_millis();
-        writeln!(to, "beat_ms = {} ms", millis(self.beat))?;
+        writeln!(to, "beat_ms = {} ms", millis(self.heartbeat))?;
         writeln!(to, "suspect_ms = {} ms", millis(self.suspect_after))?;
         writeln!(to, "dead_ms = {} ms", millis(self.dead_after))?;
         writeln!(
@@ -437,13 +451,13 @@
         writeln!(
             to,
             "spare_mb = {} MiB beside twice what is still wanted",
-            self.spare >> 20
+            self.spare_bytes >> 20
         )
     }
 }
 
 impl Idempotency {
-    fn show(&self, logged: bool, to: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn write_settings(&self, has_log: bool, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (retention, quiet) = (self.retention.as_secs_f64(), self.quiet().as_secs_f64());
         writeln!(to, "[idempotency]")?;
         writeln!(to, "retention_s = {retention} s")?;
@@ -453,7 +467,7 @@
                 "quiet_s = {quiet} s: SHORTER than retention_s, so what ran before a restart may run again"
             )?,
             false => {
-                let when = if logged { "a start that finds its log lost" } else { "a start" };
+                let when = if has_log { "a start that finds its log lost" } else { "a start" };
                 writeln!(
                     to,
                     "quiet_s = {quiet} s after {when}, in which keyed work is told that it may have run"
@@ -478,7 +492,7 @@
     }
 }
 
-/// `file:line:column: what is wrong`.
+/// Formats a TOML error as `file:line:column: message`.
 pub fn place(file: &str, text: &str, error: &toml::de::Error) -> String {
     let message = error.message().replace('\n', " ");
     match error.span() {
@@ -490,18 +504,18 @@
     }
 }
 
-/// Line and column of a byte's offset, counted from 1 as editors do.
+/// Returns line and column of a byte offset, both counted from 1 as editors do.
 pub fn position(text: &str, offset: usize) -> (usize, usize) {
     let before = text.get(..offset).unwrap_or(text);
     let column = before.chars().rev().take_while(|c| *c != '\n').count() + 1;
     (before.matches('\n').count() + 1, column)
 }
 
-/// A number within its bounds, or an error that names both.
+/// Deserializes a number within these bounds. The error names the value, the bounds and the unit.
 ///
 /// # Errors
 ///
-/// What is no number, or lies outside of the bounds.
+/// The value is not a number, or lies outside of the bounds.
 pub fn within<'de, D: Deserializer<'de>>(
     from: D,
     bounds: RangeInclusive<f64>,
@@ -511,9 +525,9 @@
     match bounds.contains(&value) {
         true => Ok(value),
         false => {
-            let (least, most) = bounds.into_inner();
+            let (min, max) = bounds.into_inner();
             Err(serde::de::Error::custom(format!(
-                "found {value}, expected {least} to {most} {unit}"
+                "found {value}, expected {min} to {max} {unit}"
             )))
         }
     }
@@ -523,11 +537,11 @@
     within(from, 0.1..=0.9, "of the descriptors")
 }
 
-/// A count within its bounds, or an error that names both.
+/// Deserializes a whole number within these bounds. The error names the value, the bounds and the unit.
 ///
 /// # Errors
 ///
-/// What is no whole number, or lies outside of the bounds.
+/// The value is not a whole number, or lies outside of the bounds.
 pub fn count<'de, D: Deserializer<'de>>(
     from: D,
     bounds: RangeInclusive<u32>,
@@ -537,9 +551,9 @@
     match bounds.contains(&value) {
         true => Ok(value as usize),
         false => {
-            let (least, most) = bounds.into_inner();
+            let (min, max) = bounds.into_inner();
             Err(serde::de::Error::custom(format!(
-                "found {value}, expected {least} to {most} {unit}"
+                "found {value}, expected {min} to {max} {unit}"
             )))
         }
     }
@@ -579,27 +593,27 @@
     1
 }
 
-fn beat<'de, D: Deserializer<'de>>(from: D) -> Result<Duration, D::Error> {
+fn link_duration<'de, D: Deserializer<'de>>(from: D) -> Result<Duration, D::Error> {
     within(from, 10.0..=60_000.0, "ms").map(|ms| Duration::from_secs_f64(ms / 1000.0))
 }
 
-fn usual_beat() -> Duration {
+fn default_heartbeat() -> Duration {
     Duration::from_millis(100)
 }
 
-fn usual_suspect() -> Duration {
+fn default_suspect_after() -> Duration {
     Duration::from_millis(350)
 }
 
-fn usual_dead() -> Duration {
+fn default_dead_after() -> Duration {
     Duration::from_millis(2000)
 }
 
-fn usual_ask() -> Duration {
+fn default_ask_within() -> Duration {
     Duration::from_millis(250)
 }
 
-fn usual_copies() -> usize {
+fn default_copies() -> usize {
     3
 }
 
@@ -613,11 +627,11 @@
     }
 }
 
-fn usual_spare() -> usize {
+fn default_spare_bytes() -> usize {
     8 << 20
 }
 
-fn spare<'de, D: Deserializer<'de>>(from: D) -> Result<usize, D::Error> {
+fn spare_bytes<'de, D: Deserializer<'de>>(from: D) -> Result<usize, D::Error> {
     count(from, 1..=65_536, "MiB").map(|mebibytes| mebibytes << 20)
 }
 
@@ -633,7 +647,7 @@
     within(from, 0.1..=0.95, "of the servers' idle limit")
 }
 
-fn leaving<'de, D: Deserializer<'de>>(from: D) -> Result<Duration, D::Error> {
+fn drain_grace<'de, D: Deserializer<'de>>(from: D) -> Result<Duration, D::Error> {
     within(from, 0.0..=60_000.0, "ms").map(|ms| Duration::from_secs_f64(ms / 1000.0))
 }
 
@@ -641,7 +655,7 @@
 mod tests {
     use super::*;
 
-    /// The files with these texts, read in order; they are gone afterwards.
+    /// Writes these texts into files, reads them in order as operator files, and removes them.
     fn read(texts: &[&str]) -> Result<Operator, String> {
         static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let number = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -659,7 +673,7 @@
     }
 
     #[test]
-    fn what_no_file_sets_is_the_platforms() {
+    fn settings_that_no_file_sets_have_their_defaults() {
         assert_eq!(read(&[]), Ok(Operator::default()));
         assert_eq!(
             read(&["# nothing", "[connections]"]),
@@ -668,11 +682,11 @@
     }
 
     #[test]
-    fn a_value_is_taken_over_and_shown_with_its_unit() {
+    fn a_value_from_a_file_is_applied_and_printed_with_its_unit() {
         let operator =
             read(&["[connections]\nidle_per_server = 3\nleaving_ms = 250"]).expect("good");
         assert_eq!(operator.connections.idle_per_server, 3);
-        assert_eq!(operator.connections.leaving, Duration::from_millis(250));
+        assert_eq!(operator.connections.drain_grace, Duration::from_millis(250));
         assert!(operator
             .to_string()
             .contains("idle_per_server = 3 connections"));
@@ -680,7 +694,7 @@
     }
 
     #[test]
-    fn errors_name_file_line_column_found_and_expected() {
+    fn errors_name_file_line_column_and_the_found_and_expected_values() {
         let cases = [
             (
                 "\n[conections]\n",
@@ -726,7 +740,7 @@
     }
 
     #[test]
-    fn the_quiet_time_is_the_retention_unless_it_is_set_and_a_shorter_one_is_pointed_out() {
+    fn the_quiet_time_defaults_to_the_retention_and_a_shorter_one_is_flagged() {
         let idempotency = |text| read(&[text]).expect("good").idempotency.expect("on");
         assert_eq!(
             idempotency("[idempotency]\nretention_s = 9").quiet(),
@@ -748,15 +762,18 @@
     }
 
     #[test]
-    fn a_folder_takes_the_instances_name_and_no_path_in_its_place() {
+    fn a_folder_placeholder_accepts_instance_names_but_no_paths() {
         let log = read(&["[log]\nfolder = \"/var/lib/{name}/keys\""])
             .expect("good")
             .log
             .expect("on");
-        assert_eq!(log.folder_of("n3"), Ok(PathBuf::from("/var/lib/n3/keys")));
+        assert_eq!(
+            log.instance_folder("n3"),
+            Ok(PathBuf::from("/var/lib/n3/keys"))
+        );
         for bad in ["", "..", "a/b", "å"] {
             assert!(log
-                .folder_of(bad)
+                .instance_folder(bad)
                 .expect_err(bad)
                 .contains("needs the instance's name"));
         }
@@ -764,11 +781,11 @@
             .expect("good")
             .log
             .expect("on");
-        assert_eq!(plain.folder_of(""), Ok(PathBuf::from("here")));
+        assert_eq!(plain.instance_folder(""), Ok(PathBuf::from("here")));
     }
 
     #[test]
-    fn a_table_that_stands_twice_is_refused_with_both_places() {
+    fn a_table_in_two_files_is_rejected_and_both_files_are_named() {
         let problem = read(&["[connections]", "", "[connections]"]).expect_err("twice");
         assert_eq!(
             problem,
--- a/crates/emberpin-limiter/src/operate/operator_api.rs
+++ b/crates/emberpin-limiter/src/operate/operator_api.rs
@@ -1,8 +1,8 @@
-//! The operators' door: one more address, for the people on call alone, with a thread and a runtime of its own, so
-//! that its answers do not wait for requests.
+//! The operators' HTTP interface: it has its own address, thread and runtime, so that its responses do not wait for
+//! clients' requests.
 //!
-//! It decides nothing. Figures are read where they are counted; calls about servers go to the driver, and a call that
-//! the driver does not confirm in time is a no, never a late yes.
+//! Metrics are read directly. Commands about servers go to the driver; a command that the driver does not confirm in time
+//! fails, and the driver must not execute it later.
 
 use crate::operate::figures::Figures;
 use bytes::Bytes;
@@ -26,56 +26,59 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout};
 
-/// Callers at a time: each holds a descriptor that is set aside for it. When all places are taken, the caller that
-/// has been silent for longest gives way to the next one.
-pub const PLACES: usize = 32;
-/// A caller has this long for its whole call and its answer.
-const PATIENCE: Duration = Duration::from_secs(4);
-/// The driver has this long to confirm a call: answers are due within a second.
-const CONFIRM: Duration = Duration::from_millis(800);
-/// Pause after a failed accept: out of descriptors, trying again at once would only spin.
+/// Maximum number of connections; a descriptor is reserved for each. When all are in use, the connection that has waited
+/// longest without a complete request is closed for the next one.
+pub const MAX_CONNECTIONS: usize = 32;
+/// Maximum duration of a connection, from accepting it to the end of the response.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(4);
+/// The driver must confirm a command within this time, as responses are due within a second.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(800);
+/// Pause after a failed accept: without free descriptors, an immediate retry would only spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-const MAX_HEAD: usize = 8 * 1024;
-const MAX_ID: usize = 128;
-/// Calls that wait for the driver.
-const ORDERS: usize = 64;
+/// Maximum length of a request's head, in bytes.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Maximum length of a server's id, in bytes.
+const MAX_ID_BYTES: usize = 128;
+/// Maximum number of commands queued for the driver.
+const MAX_QUEUED_COMMANDS: usize = 64;
 
 const READINESS: &str = "/ops/readiness";
 const STATS: &str = "/ops/stats";
 const DOWN: &str = "/ops/servers/down/";
 const UP: &str = "/ops/servers/up/";
 
-/// A call about a server, by the name that the list has for it.
-pub struct Order {
+/// A command to take a server out of service or put it back.
+pub struct ServerCommand {
+    /// The server's name in the endpoint list.
     pub server: String,
-    /// Out of service, or back.
-    pub out: bool,
-    /// Nobody waits for it any more if this is closed: it must not be carried out then.
-    pub done: oneshot::Sender<Result<(), Unknown>>,
+    /// Whether the server is to be out of service.
+    pub out_of_service: bool,
+    /// Receives the confirmation. If it is closed, the caller has given up and the command must not be executed.
+    pub reply_to: oneshot::Sender<Result<(), UnknownServer>>,
 }
 
 /// No server of this name was ever listed.
 #[derive(Debug)]
-pub struct Unknown;
+pub struct UnknownServer;
 
-/// What the door shows and where it takes calls.
-struct Door {
+/// The state that the interface reads, and the channel to the driver.
+struct OperatorApi {
     ready: Arc<AtomicBool>,
     figures: Arc<Figures>,
-    orders: mpsc::Sender<Order>,
+    commands: mpsc::Sender<ServerCommand>,
 }
 
-/// Opens the door; the calls come out of what is returned, for as long as the process lives. `ready` says whether this
-/// process takes clients.
+/// Opens the interface and returns the channel of its commands, which stays open until the process exits. `ready` says
+/// whether this process is ready for clients.
 ///
 /// # Errors
 ///
-/// One line that says why the address or the thread could not be had.
+/// One line that says why the address could not be bound, or the thread or its runtime not started.
 pub fn open(
     address: SocketAddr,
     ready: Arc<AtomicBool>,
     figures: Arc<Figures>,
-) -> Result<mpsc::Receiver<Order>, String> {
+) -> Result<mpsc::Receiver<ServerCommand>, String> {
     let bound = TcpListener::bind(address).and_then(|listener| {
         listener.set_nonblocking(true)?;
         Ok(listener)
@@ -84,33 +87,33 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    let runtime = runtime.map_err(|e| format!("ops: no runtime: {e}"))?;
-    let (orders, received) = mpsc::channel(ORDERS);
+    let runtime = runtime.map_err(|e| format!("ops: cannot start the async runtime: {e}"))?;
+    let (commands, received) = mpsc::channel(MAX_QUEUED_COMMANDS);
     let serving = move || {
-        let door = Rc::new(Door {
+        let api = Rc::new(OperatorApi {
             ready,
             figures,
-            orders,
+            commands,
         });
-        LocalSet::new().block_on(&runtime, accept(door, listener));
+        LocalSet::new().block_on(&runtime, accept(api, listener));
     };
     let thread = std::thread::Builder::new().name("ops".into());
     thread
         .spawn(serving)
-        .map_err(|e| format!("ops: no thread: {e}"))?;
+        .map_err(|e| format!("ops: cannot start a thread: {e}"))?;
     Ok(received)
 }
 
-/// Callers that have not sent their whole call yet, the longest waiting first.
-type Silent = Rc<RefCell<VecDeque<(u64, Rc<Notify>)>>>;
+/// Connections without a complete request, the longest waiting first: their numbers, and how to close them.
+type WaitingConnections = Rc<RefCell<VecDeque<(u64, Rc<Notify>)>>>;
 
-async fn accept(door: Rc<Door>, listener: TcpListener) {
+async fn accept(api: Rc<OperatorApi>, listener: TcpListener) {
     let listener = match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => listener,
-        Err(problem) => return eprintln!("ops: the door stays shut: {problem}"),
+        Err(problem) => return eprintln!("ops: cannot accept connections: {problem}"),
     };
-    let places = Arc::new(Semaphore::new(PLACES));
-    let silent = Silent::default();
+    let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let waiting = WaitingConnections::default();
     for number in 0.. {
         let stream = loop {
             match listener.accept().await {
@@ -118,108 +121,118 @@
                 Err(_) => sleep(ACCEPT_PAUSE).await,
             }
         };
-        if places.available_permits() == 0 {
-            if let Some((_, end)) = silent.borrow_mut().pop_front() {
-                end.notify_one();
+        if slots.available_permits() == 0 {
+            if let Some((_, close)) = waiting.borrow_mut().pop_front() {
+                close.notify_one();
             }
         }
-        let Ok(place) = places.clone().acquire_owned().await else {
+        let Ok(permit) = slots.clone().acquire_owned().await else {
             return;
         };
-        let end = Rc::new(Notify::new());
-        silent.borrow_mut().push_back((number, end.clone()));
-        let (door, silent) = (door.clone(), silent.clone());
+        let close = Rc::new(Notify::new());
+        waiting.borrow_mut().push_back((number, close.clone()));
+        let (api, waiting) = (api.clone(), waiting.clone());
         spawn_local(async move {
             tokio::select! {
-                _ = timeout(PATIENCE, call(door, stream, number, &silent)) => {}
-                () = end.notified() => {}
+                _ = timeout(CONNECTION_TIMEOUT, serve_connection(api, stream, number, &waiting)) => {}
+                () = close.notified() => {}
             }
-            silent.borrow_mut().retain(|(other, _)| *other != number);
-            drop(place);
+            waiting.borrow_mut().retain(|(other, _)| *other != number);
+            drop(permit);
         });
     }
 }
 
-/// One call on one connection.
-async fn call(door: Rc<Door>, stream: TcpStream, number: u64, silent: &Silent) {
+/// Serves the only request of a connection.
+async fn serve_connection(
+    api: Rc<OperatorApi>,
+    stream: TcpStream,
+    number: u64,
+    waiting: &WaitingConnections,
+) {
     _ = stream.set_nodelay(true);
     let service = service_fn(|request: Request<Incoming>| {
-        silent.borrow_mut().retain(|(other, _)| *other != number);
-        let door = door.clone();
-        async move { Ok::<_, Infallible>(door.answer(&request).await) }
+        waiting.borrow_mut().retain(|(other, _)| *other != number);
+        let api = api.clone();
+        async move { Ok::<_, Infallible>(api.respond(&request).await) }
     });
     let connection = http1::Builder::new()
         .keep_alive(false)
-        .max_buf_size(MAX_HEAD)
+        .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(stream), service);
     _ = connection.await;
 }
 
-impl Door {
-    async fn answer<B>(&self, request: &Request<B>) -> Response<Full<Bytes>> {
+impl OperatorApi {
+    async fn respond<B>(&self, request: &Request<B>) -> Response<Full<Bytes>> {
         let path = request.uri().path();
-        let (reading, writing) = (Method::GET, Method::PUT);
-        let wanted = match path {
-            READINESS | STATS => &reading,
-            _ if path.starts_with(DOWN) || path.starts_with(UP) => &writing,
-            _ => return say(StatusCode::NOT_FOUND, "no such call"),
+        let (get, put) = (Method::GET, Method::PUT);
+        let expected = match path {
+            READINESS | STATS => &get,
+            _ if path.starts_with(DOWN) || path.starts_with(UP) => &put,
+            _ => return text_response(StatusCode::NOT_FOUND, "no such call"),
         };
-        if request.method() != wanted {
-            let mut response = say(
+        if request.method() != expected {
+            let mut response = text_response(
                 StatusCode::METHOD_NOT_ALLOWED,
-                &format!("expected {wanted}"),
+                &format!("expected {expected}"),
             );
-            if let Ok(value) = HeaderValue::from_str(wanted.as_str()) {
+            if let Ok(value) = HeaderValue::from_str(expected.as_str()) {
                 response.headers_mut().insert(ALLOW, value);
             }
             return response;
         }
         match path {
-            READINESS if self.ready.load(Ordering::Acquire) => say(StatusCode::OK, "takes clients"),
-            READINESS => say(StatusCode::SERVICE_UNAVAILABLE, "takes no clients"),
+            READINESS if self.ready.load(Ordering::Acquire) => {
+                text_response(StatusCode::OK, "takes clients")
+            }
+            READINESS => text_response(StatusCode::SERVICE_UNAVAILABLE, "takes no clients"),
             STATS => match self.figures.text() {
-                Ok(text) => say(StatusCode::OK, text.trim_end()),
-                Err(problem) => say(StatusCode::INTERNAL_SERVER_ERROR, &problem),
+                Ok(text) => text_response(StatusCode::OK, text.trim_end()),
+                Err(problem) => text_response(StatusCode::INTERNAL_SERVER_ERROR, &problem),
             },
             _ => match path.strip_prefix(DOWN) {
-                Some(server) => self.order(server, true).await,
+                Some(server) => self.command(server, true).await,
                 None => {
-                    self.order(path.strip_prefix(UP).unwrap_or_default(), false)
+                    self.command(path.strip_prefix(UP).unwrap_or_default(), false)
                         .await
                 }
             },
         }
     }
 
-    async fn order(&self, server: &str, out: bool) -> Response<Full<Bytes>> {
-        let sound = |b: u8| b.is_ascii_alphanumeric() || b"-_.:".contains(&b);
-        if server.is_empty() || server.len() > MAX_ID || !server.bytes().all(sound) {
-            let what = "expected the id of a server: letters, digits and -_.: alone, 128 at most";
-            return say(StatusCode::BAD_REQUEST, what);
+    async fn command(&self, server: &str, out_of_service: bool) -> Response<Full<Bytes>> {
+        let is_valid = |b: u8| b.is_ascii_alphanumeric() || b"-_.:".contains(&b);
+        if server.is_empty() || server.len() > MAX_ID_BYTES || !server.bytes().all(is_valid) {
+            let problem =
+                "expected the id of a server: letters, digits and -_.: alone, 128 at most";
+            return text_response(StatusCode::BAD_REQUEST, problem);
         }
-        let (done, answered) = oneshot::channel();
-        let order = Order {
+        let (reply_to, reply) = oneshot::channel();
+        let command = ServerCommand {
             server: server.into(),
-            out,
-            done,
+            out_of_service,
+            reply_to,
         };
-        // Waiting for room in the line is part of the time that the driver has.
-        let confirmed = timeout(CONFIRM, async {
-            self.orders.send(order).await.ok()?;
-            answered.await.ok()
+        // The time limit includes the wait for space in the queue.
+        let confirmation = timeout(CONFIRMATION_TIMEOUT, async {
+            self.commands.send(command).await.ok()?;
+            reply.await.ok()
         });
-        match confirmed.await {
-            Ok(Some(Ok(()))) if out => say(StatusCode::OK, &format!("{server} gets nothing more")),
-            Ok(Some(Ok(()))) => say(StatusCode::OK, &format!("{server} may serve again")),
-            Ok(Some(Err(Unknown))) => say(
+        match confirmation.await {
+            Ok(Some(Ok(()))) if out_of_service => {
+                text_response(StatusCode::OK, &format!("{server} gets nothing more"))
+            }
+            Ok(Some(Ok(()))) => text_response(StatusCode::OK, &format!("{server} may serve again")),
+            Ok(Some(Err(UnknownServer))) => text_response(
                 StatusCode::NOT_FOUND,
                 &format!("no server {server} was ever listed"),
             ),
-            Ok(None) => say(
+            Ok(None) => text_response(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "nobody takes calls any more; nothing was done",
             ),
-            Err(_) => say(
+            Err(_) => text_response(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "not confirmed in time; nothing was done, call again",
             ),
@@ -227,7 +240,7 @@
     }
 }
 
-fn say(status: StatusCode, text: &str) -> Response<Full<Bytes>> {
+fn text_response(status: StatusCode, text: &str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(format!("{text}\n"))));
     *response.status_mut() = status;
     let headers = response.headers_mut();
--- a/crates/emberpin-limiter/src/operate/request_path.rs
+++ b/crates/emberpin-limiter/src/operate/request_path.rs
@@ -1,5 +1,5 @@
-//! A request's way without sockets, for counting its instructions: admission, decision and answer as the limiter
-//! runs them, with servers that answer everything at once.
+//! A request's path through the limiter without sockets, to count the instructions it takes: admission, decision and
+//! response as the limiter runs them, with simulated servers that answer every request at once.
 
 use crate::front::admission::Admission;
 use crate::front::answers::written;
@@ -16,25 +16,25 @@
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
 
-/// How long the servers take, on the clock that only requests move.
-const SERVICE: Millis = 20.0;
-/// Between two requests.
-const GAP: Millis = 1.0;
-/// The module's housekeeping comes as often as that.
-const HOUSEKEEPING: Millis = 100.0;
+/// How long the servers seem to take, on a simulated clock that only requests advance.
+const SERVICE_TIME: Millis = 20.0;
+/// How far each request advances the clock.
+const REQUEST_INTERVAL: Millis = 1.0;
+/// Interval of the decision module's housekeeping timer.
+const HOUSEKEEPING_INTERVAL: Millis = 100.0;
 
 /// Admission and decisions of one limiter.
 pub struct Entry {
     admission: Admission,
     gateway: Gateway,
     now: Millis,
-    kept_house: Millis,
-    next: u32,
+    last_housekeeping: Millis,
+    next_id: u32,
     actions: Vec<Action>,
 }
 
 impl Entry {
-    /// A limiter as `GW_CONFIG` has it, with the servers that it knows from the start.
+    /// Creates a limiter from the file that `GW_CONFIG` names, with the servers listed there.
     ///
     /// # Errors
     ///
@@ -52,44 +52,44 @@
             admission,
             gateway,
             now,
-            kept_house: now,
-            next: 0,
+            last_housekeeping: now,
+            next_id: 0,
             actions: Vec::new(),
         };
-        entry.tell(Event::Membership(MembershipUpdate::Full(servers)));
+        entry.handle_event(Event::Membership(MembershipUpdate::Full(servers)));
         Ok(entry)
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         self.actions.clear();
         self.gateway.handle(self.now, event, &mut self.actions);
     }
 
-    /// One request, from its head to the head of its answer.
+    /// Handles one request, from its head to the head of its response, and returns the response's status.
     pub fn exchange(&mut self, request: Request<Full<Bytes>>) -> StatusCode {
-        self.now += GAP;
-        if self.now >= self.kept_house + HOUSEKEEPING {
-            self.kept_house = self.now;
-            self.tell(Event::Timer { token: 0 });
+        self.now += REQUEST_INTERVAL;
+        if self.now >= self.last_housekeeping + HOUSEKEEPING_INTERVAL {
+            self.last_housekeeping = self.now;
+            self.handle_event(Event::Timer { token: 0 });
         }
-        let asked = match self.admission.check(&request) {
-            Ok(asked) => asked,
+        let admitted = match self.admission.check(&request) {
+            Ok(admitted) => admitted,
             Err(status) => return status,
         };
         let mut headers = request.into_parts().0.headers;
         strip(&mut headers);
-        let id = RequestId(self.next);
-        self.next = self.next.wrapping_add(1);
-        self.tell(Event::Request(emberpin_balancer::Request {
+        let id = RequestId(self.next_id);
+        self.next_id = self.next_id.wrapping_add(1);
+        self.handle_event(Event::Request(emberpin_balancer::Request {
             id,
-            class: asked.class,
-            plan: asked.plan,
-            customer: asked.customer,
-            remaining: asked.patience.as_secs_f64() * 1000.0,
-            units: asked.units,
+            class: admitted.class,
+            plan: admitted.plan,
+            customer: admitted.customer,
+            remaining: admitted.time_limit.as_secs_f64() * 1000.0,
+            units: admitted.units,
             gateways: GatewaySet {
-                first: asked.set_first,
-                size: asked.set_size,
+                first: admitted.set_first,
+                size: admitted.set_size,
             },
             prior_attempt: None,
         }));
@@ -99,16 +99,16 @@
         });
         let Some(server) = sent else {
             return written(Answer::Refused {
-                retry_after: SERVICE,
+                retry_after: SERVICE_TIME,
             })
             .status();
         };
-        self.tell(Event::AttemptEnded(AttemptResult {
+        self.handle_event(Event::AttemptEnded(AttemptResult {
             request: id,
             attempt: 0,
             server,
             outcome: Outcome::Ok,
-            elapsed: SERVICE,
+            elapsed: SERVICE_TIME,
             answered: true,
             replayable: true,
             load: LoadReport::default(),
--- a/crates/emberpin-limiter/src/operate/start.rs
+++ b/crates/emberpin-limiter/src/operate/start.rs
@@ -1,40 +1,41 @@
-//! The table `[start]` of operator files: how limiters start and come back.
+//! The table `[start]` of operator files: how limiters start and restart.
 
-use crate::operate::operator::{count, own_folder, within};
+use crate::operate::operator::{count, expand_folder, within};
 use serde::{Deserialize, Deserializer};
 use std::fmt;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// How a limiter starts: the table `[start]`, the same for all of them.
+/// How a limiter starts: the table `[start]`, which must be the same at all limiters.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Start {
-    /// Calls a second that the list service answers.
-    #[serde(deserialize_with = "power")]
+    /// Number of calls per second that the list service can answer, over all limiters together.
+    #[serde(deserialize_with = "calls_per_s")]
     pub list_calls_per_s: Option<f64>,
-    /// So many limiters watch the list, and tell the others over the link; without it each watches for itself.
+    /// Number of limiters that watch the endpoint list at the service and forward it to the others over the link; without
+    /// this setting each limiter watches it at the service.
     #[serde(deserialize_with = "callers")]
     pub callers: Option<usize>,
     /// The list service's name, the same at all limiters, where they reach it at different addresses.
     pub list_service: Option<String>,
-    /// Ready after so long, even if no server is known.
+    /// A limiter becomes ready after this time even if it knows no server.
     #[serde(rename = "ready_within_s", deserialize_with = "ready")]
     pub ready_within: Duration,
-    /// A whole list that names less than this share of the servers held is doubted.
+    /// A complete list that names less than this share of the known servers is distrusted.
     #[serde(deserialize_with = "share")]
     pub keep_share: f64,
-    /// For so long at most.
+    /// Maximum time for which such a list is distrusted.
     #[serde(rename = "keep_s", deserialize_with = "keep")]
     pub keep: Duration,
-    /// The site's name, which stands in snapshots.
+    /// The site's name, which is stored in snapshots.
     pub site: String,
     /// The folder of this instance's snapshot; `{name}` in it stands for the instance's name.
     pub snapshot: Option<String>,
-    /// A snapshot that is older is not used.
+    /// Maximum age of a snapshot; an older one is not used.
     #[serde(rename = "snapshot_age_s", deserialize_with = "age")]
     pub snapshot_age: Duration,
-    /// How long a start waits for the disk.
+    /// How long a start waits for the snapshot to be read from the disk.
     #[serde(rename = "disk_ms", deserialize_with = "disk")]
     pub disk: Duration,
 }
@@ -57,20 +58,20 @@
 }
 
 impl Start {
-    /// The folder of an instance's own snapshot, if it is to have one.
+    /// Returns the folder of this instance's snapshot, if snapshots are enabled.
     ///
     /// # Errors
     ///
-    /// The folder has `{name}` in it and the instance has none.
-    pub fn folder_of(&self, instance: &str) -> Result<Option<PathBuf>, String> {
+    /// The folder contains `{name}` and the instance has no valid name.
+    pub fn instance_folder(&self, instance: &str) -> Result<Option<PathBuf>, String> {
         self.snapshot
             .as_ref()
-            .map(|folder| own_folder("[start] snapshot", folder, instance))
+            .map(|folder| expand_folder("[start] snapshot", folder, instance))
             .transpose()
     }
 }
 
-fn power<'de, D: Deserializer<'de>>(from: D) -> Result<Option<f64>, D::Error> {
+fn calls_per_s<'de, D: Deserializer<'de>>(from: D) -> Result<Option<f64>, D::Error> {
     within(from, 0.1..=1e6, "calls a second").map(Some)
 }
 
@@ -102,9 +103,9 @@
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(to, "[start]")?;
         match self.list_calls_per_s {
-            Some(power) => writeln!(
+            Some(calls) => writeln!(
                 to,
-                "list_calls_per_s = {power} calls a second, by all limiters"
+                "list_calls_per_s = {calls} calls a second, by all limiters"
             )?,
             None => writeln!(
                 to,
