--- a/crates/emberpin-limiter/src/operate/takeover.rs
+++ b/crates/emberpin-limiter/src/operate/takeover.rs
@@ -1,24 +1,25 @@
-//! The table `[takeover]` of operator files: work in hand survives the loss of its limiter.
+//! The table `[takeover]` of operator files: with it, keyed work in flight survives the failure of its limiter, as other
+//! limiters complete it.
 
 use crate::operate::operator::{count, within};
 use serde::{Deserialize, Deserializer};
 use std::fmt;
 use std::time::Duration;
 
-/// How work is kept and taken over: the table `[takeover]`, the same for all limiters.
+/// How work in flight is replicated and taken over: the table `[takeover]`, which must be the same at all limiters.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Takeover {
-    /// A limiter whose link has ended is taken for gone after so long.
+    /// A limiter counts as failed this long after its link has closed.
     #[serde(rename = "after_ms", deserialize_with = "after")]
     pub after: Duration,
-    /// Takeovers a second over all limiters.
+    /// Maximum rate of takeovers, per second, over all limiters together.
     #[serde(deserialize_with = "rate")]
     pub per_s: f64,
-    /// Pieces of work that one limiter keeps for others.
+    /// Maximum number of pieces of work that one limiter keeps for others.
     #[serde(deserialize_with = "pieces")]
     pub entries: usize,
-    /// Bytes of them.
+    /// Maximum total size of those pieces of work, in bytes.
     #[serde(rename = "work_mb", deserialize_with = "bytes")]
     pub bytes: usize,
 }
--- a/crates/emberpin-limiter/src/stages/idempotency.rs
+++ b/crates/emberpin-limiter/src/stages/idempotency.rs
@@ -303,9 +303,9 @@
         };
         let stage = self.clone();
         let first = async move {
-            crash_points::here("send");
+            crash_points::reach("send");
             let answer = first.await;
-            crash_points::here("answer");
+            crash_points::reach("answer");
             stage.conclude(ticket, answer.clone());
             answer
         };
@@ -330,7 +330,7 @@
         if let (Some(gate), Ok(Ok(Reply::Standard(Telling::Own(_))))) = (&gate, &telling) {
             _ = timeout_at(request.expires, gate.closed()).await;
         }
-        crash_points::here("reply");
+        crash_points::reach("reply");
         match telling {
             Ok(Ok(telling)) => worded(telling),
             // Its patience is over, and only its: the first goes on.
@@ -363,7 +363,7 @@
         if let Some((gate, takeover)) = work {
             takeover.concluded(&gate, served);
         }
-        crash_points::here("store");
+        crash_points::reach("store");
     }
 
     /// Feeds the keeper and carries out what it says.
@@ -388,7 +388,7 @@
                 Action::Record(record, ticket) => {
                     let Some(memory) = &self.memory else { continue };
                     let taken = memory.key(record, ticket.map(|ticket| RecordTicket(ticket.0)));
-                    crash_points::here("claim");
+                    crash_points::reach("claim");
                     // An outcome that is not taken leaves the key as what may have run, in the next life.
                     if let Some(ticket) = ticket.filter(|_| !taken) {
                         self.handle(Event::Unwritten { ticket });
--- a/crates/emberpin-limiter/src/stages/memory.rs
+++ b/crates/emberpin-limiter/src/stages/memory.rs
@@ -127,7 +127,7 @@
         let began = boot_clock();
         let identity = identity(config)?;
         let opened = Log::open(
-            crash_points::Storage(faulty_disk::of(take(folder)?)),
+            crash_points::CrashPointStorage(faulty_disk::with_faults(take(folder)?)),
             &identity,
             visit,
         );
@@ -178,7 +178,7 @@
         Ok((
             Memory {
                 service,
-                spare: settings.spare as u64,
+                spare: settings.spare_bytes as u64,
                 first_segment,
             },
             recalled,
--- a/crates/emberpin-limiter/src/stages/takeover.rs
+++ b/crates/emberpin-limiter/src/stages/takeover.rs
@@ -98,7 +98,7 @@
         };
         let (tell, told) = oneshot::channel();
         host.asked.borrow_mut().insert((id, attempt), tell);
-        crash_points::here("going");
+        crash_points::reach("going");
         host.handle(Event::AttemptRequested {
             work_id: id,
             attempt,
@@ -107,7 +107,7 @@
         });
         let opens = matches!(timeout(within, told).await, Ok(Ok(true)));
         host.asked.borrow_mut().remove(&(id, attempt));
-        crash_points::here(if opens { "gone" } else { "withheld" });
+        crash_points::reach(if opens { "gone" } else { "withheld" });
         opens
     }
 
@@ -192,7 +192,7 @@
             Some((link, _)) => (
                 link.members.len(),
                 link.ask_within,
-                link.suspect_after + link.beat * 2,
+                link.suspect_after + link.heartbeat * 2,
                 link.dead_after,
             ),
             None => (1, Duration::ZERO, Duration::ZERO, Duration::ZERO),
@@ -417,7 +417,7 @@
 
     /// Goes on with another's work.
     fn take_over(&self, id: WorkId, work: Work, first_attempt: FirstAttempt) {
-        crash_points::here("taken");
+        crash_points::reach("taken");
         eprintln!(
             "emberpin: takeover: goes on with work of limiter {}",
             id.claimant.0
@@ -436,7 +436,7 @@
         let (going, host) = (runner(taken), self.own.clone());
         spawn_local(async move {
             let answer = going.await;
-            crash_points::here("taken-answer");
+            crash_points::reach("taken-answer");
             let Some(keys) = host.upgrade().and_then(|host| host.keys()) else {
                 return;
             };
--- a/crates/emberpin-limiter/src/upstream/driver.rs
+++ b/crates/emberpin-limiter/src/upstream/driver.rs
@@ -7,7 +7,7 @@
 use crate::operate::clock::Clock;
 use crate::operate::config::Config;
 use crate::operate::figures::Figures;
-use crate::operate::operator_api::{Order, Unknown};
+use crate::operate::operator_api::{ServerCommand, UnknownServer};
 use crate::upstream::engine::Engine;
 use crate::upstream::list_calls::ListCalls;
 use crate::upstream::list_trust::ListTrust;
@@ -60,7 +60,7 @@
 /// What the driver receives beside inputs, and before them.
 pub struct Callers {
     /// Orders of operators.
-    pub orders: mpsc::Receiver<Order>,
+    pub commands: mpsc::Receiver<ServerCommand>,
     /// Events of an upgrade to or from a sibling process.
     pub pairings: mpsc::Receiver<Pairing>,
 }
@@ -125,7 +125,7 @@
             tokio::select! {
                 biased;
                 // First, as answers to them are due however much else there is.
-                Some(order) = callers.orders.recv() => self.carry_out_order(order),
+                Some(command) = callers.commands.recv() => self.carry_out_command(command),
                 Some(pairing) = callers.pairings.recv() => self.on_pairing(pairing),
                 () = timer.as_mut(), if due.is_some() => self.on_timer(),
                 input = inputs.recv() => match input {
@@ -153,25 +153,28 @@
     }
 
     /// Takes a server out of service for an operator, or puts it back; repeating either changes nothing.
-    fn carry_out_order(&mut self, order: Order) {
-        let Order {
+    fn carry_out_command(&mut self, command: ServerCommand) {
+        let ServerCommand {
             server: name,
-            out,
-            done,
-        } = order;
-        // Whoever called was told no meanwhile.
-        if done.is_closed() {
+            out_of_service,
+            reply_to,
+        } = command;
+        // The caller has already received an error response.
+        if reply_to.is_closed() {
             return;
         }
         let Some(server) = self.roster.find(&name) else {
-            _ = done.send(Err(Unknown));
+            _ = reply_to.send(Err(UnknownServer));
             return;
         };
-        self.set_maintenance(server, &name, out);
+        self.set_maintenance(server, &name, out_of_service);
         if let Some(other) = &self.other {
-            _ = other.try_send(Shared::Order { server: name, out });
+            _ = other.try_send(Shared::Order {
+                server: name,
+                out: out_of_service,
+            });
         }
-        _ = done.send(Ok(()));
+        _ = reply_to.send(Ok(()));
     }
 
     fn set_maintenance(&mut self, server: ServerId, name: &str, out: bool) {
--- a/crates/emberpin-limiter/src/upstream/server/exchange.rs
+++ b/crates/emberpin-limiter/src/upstream/server/exchange.rs
@@ -95,7 +95,7 @@
         let (progress, idle_time) = (connection.progress.clone(), connection.idle_time);
         let request = request.map(|body| SentBody::new(body, progress.clone()));
         progress.reset(
-            outgoing.map(|_| self.pool.figures.tries.clone()),
+            outgoing.map(|_| self.pool.figures.attempts.clone()),
             request.body().is_end_stream(),
         );
         // The time for a body that is still uploaded begins with its last byte.
--- a/crates/emberpin-limiter/src/upstream/server/request_body.rs
+++ b/crates/emberpin-limiter/src/upstream/server/request_body.rs
@@ -34,7 +34,7 @@
                 progress,
             },
             RequestBody::Uploading(upload) => SentBody {
-                buffered: Some(upload.held.clone()),
+                buffered: Some(upload.buffered.clone()),
                 upload: Some(RemainingUpload {
                     length: upload.length,
                     upload,
--- a/crates/emberpin-proxy/src/controller/limits.rs
+++ b/crates/emberpin-proxy/src/controller/limits.rs
@@ -19,7 +19,7 @@
     let head_bytes = usize::try_from(limits.max_header_bytes).unwrap_or(MAX_HEAD_BYTES);
     ClientLimits {
         head: (head, head + HEAD_TIME_MARGIN * 2),
-        silence: idle,
+        first_request: idle,
         idle: Some(idle),
         // The HTTP library reads no less than `HEAD_BYTES`; a lower limit is checked once the head is complete.
         head_bytes: head_bytes.clamp(HEAD_BYTES, MAX_HEAD_BYTES),
--- a/crates/emberpin-proxy/src/frontend/mod.rs
+++ b/crates/emberpin-proxy/src/frontend/mod.rs
@@ -98,7 +98,7 @@
             self.metrics.count_rejection(RejectionCause::Request);
         }
         let request = received?;
-        let active = self.figures.taken(ClassId(0));
+        let active = self.figures.start_request(ClassId(0));
         let reply = self.forward(request).await?;
         Ok(self.respond_with(reply, active, connection).await)
     }
--- a/crates/emberpin-proxy/src/frontend/response.rs
+++ b/crates/emberpin-proxy/src/frontend/response.rs
@@ -51,7 +51,7 @@
 
 /// Counts the response in the metrics.
 pub(super) fn record_ending(mut active: Active, status: StatusCode) {
-    active.ends(match status {
+    active.set_ending(match status {
         status if status.is_success() => Ending::Ok,
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Ending::Shed,
         _ => Ending::Errors,
--- a/crates/emberpin-proxy/src/shutdown.rs
+++ b/crates/emberpin-proxy/src/shutdown.rs
@@ -54,10 +54,10 @@
 pub async fn drain(published: &PublishedState, reception: &Reception, grace: Duration) {
     let started = Instant::now();
     published.start_draining();
-    reception.leave();
+    reception.begin_draining();
     sleep(grace.mul_f64(DRAIN_ACCEPT_SHARE)).await;
     reception.close();
-    let empty = reception.empty();
+    let empty = reception.all_closed();
     tokio::pin!(empty);
     if timeout_at(started + grace.mul_f64(DRAIN_REQUEST_SHARE), &mut empty)
         .await
