--- a/crates/emberpin-proxy/src/frontend/mod.rs
+++ b/crates/emberpin-proxy/src/frontend/mod.rs
@@ -272,7 +272,7 @@
 /// Returns once the client has sent nothing of its body for too long. A slow client keeps its upload slot, a silent one
 /// loses it.
 async fn upload_idle(upload: &Upload) {
-    while upload.silence() < UPLOAD_IDLE_TIMEOUT {
+    while upload.idle_time() < UPLOAD_IDLE_TIMEOUT {
         sleep(UPLOAD_IDLE_CHECK_PERIOD).await;
     }
 }
