--- a/crates/emberpin-limiter/src/front/framing.rs
+++ b/crates/emberpin-limiter/src/front/framing.rs
@@ -55,7 +55,8 @@
         self.doubtful
     }
 
-    /// Whether the last byte received was inside a message's head or chunk framing, so that more bytes of it must follow.
+    /// Whether the last byte received was inside a message's head or chunk framing, so that more bytes of it must
+    /// follow; also true once the position in the stream is unknown.
     pub fn is_mid_message(&self) -> bool {
         match self.position {
             Position::Head { first: true } => self.line.iter().any(|byte| *byte != b'\r'),
--- a/crates/emberpin-limiter/tests/bad_clients.rs
+++ b/crates/emberpin-limiter/tests/bad_clients.rs
@@ -1,4 +1,4 @@
-//! The real limiter against clients that send rubbish, too much, or nothing at all.
+//! The limiter process against clients that send malformed requests, too much, or nothing at all.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/sockets.rs"]
@@ -10,17 +10,17 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Waits until the limiter ends a connection on which it has nothing to say.
-fn ends(mut stream: &TcpStream) {
+/// Waits until the limiter closes a connection.
+fn wait_until_closed(mut stream: &TcpStream) {
     let mut rest = Vec::new();
-    // A reset is an end as well; what counts is that waiting is over before the time limit.
+    // A reset counts as closed as well; it matters only that this happens before the read time-out.
     if let Err(error) = stream.read_to_end(&mut rest) {
         assert_eq!(error.kind(), std::io::ErrorKind::ConnectionReset);
     }
 }
 
-/// One answer on a connection that stays open.
-fn is_served(mut stream: &TcpStream, server: &Listener, id: &str) {
+/// Has the server answer a request on this connection, which stays open.
+fn check_served(mut stream: &TcpStream, server: &Listener, id: &str) {
     stream
         .write_all(request("look", id, "wide", 30.0).as_bytes())
         .expect("sent");
@@ -28,46 +28,52 @@
     assert_eq!(Message::read(stream).expect("an answer").status(), 200);
 }
 
-/// Whoever says nothing, or never comes to the end of a head, has to go; who had an answer may stay.
+/// Guards against clients that hold a connection without sending anything, or without completing a head. An idle
+/// connection that has had a response stays open.
 #[test]
-fn silent_and_endless_heads_are_ended() {
+fn connections_without_a_complete_head_are_closed() {
     let server = Listener::start();
     let limiter = Limiter::start(&[target("s-1", server.address, "ready")]);
-    let kept = limiter.connect();
-    is_served(&kept, &server, "1");
-    let half_second = limiter.connect();
-    is_served(&half_second, &server, "2");
-    let (silent, half) = (limiter.connect(), limiter.connect());
+    let idle = limiter.connect();
+    check_served(&idle, &server, "1");
+    let half_second_request = limiter.connect();
+    check_served(&half_second_request, &server, "2");
+    let (silent, half_request) = (limiter.connect(), limiter.connect());
     let head = &request("look", "3", "wide", 30.0)[..40];
-    (&half).write_all(head.as_bytes()).expect("sent");
-    (&half_second).write_all(head.as_bytes()).expect("sent");
-    [&silent, &half, &half_second].into_iter().for_each(ends);
-    is_served(&kept, &server, "4");
+    (&half_request).write_all(head.as_bytes()).expect("sent");
+    (&half_second_request)
+        .write_all(head.as_bytes())
+        .expect("sent");
+    [&silent, &half_request, &half_second_request]
+        .into_iter()
+        .for_each(wait_until_closed);
+    check_served(&idle, &server, "4");
     assert!(server.is_quiet());
 }
 
-/// A request written in two seconds is served, also where places are short and others have stopped half way.
+/// A request that takes two seconds to arrive is served, also when slots are scarce because other clients have stopped half
+/// way.
 #[test]
-fn a_slow_request_outlasts_those_that_stopped() {
+fn a_slow_request_is_served_among_stalled_ones() {
     let server = Listener::start();
-    let limiter = Limiter::with(&[target("s-1", server.address, "ready")], |config| {
+    let limiter = Limiter::start_with(&[target("s-1", server.address, "ready")], |config| {
         config["limits"]["sockets"] = json!(96);
     });
     let text = request("look", "slow", "wide", 30.0);
     let mut slow = limiter.connect();
-    // Empty lines begin no request.
+    // Empty lines do not begin a request.
     slow.write_all(b"\r\n").expect("sent");
-    let mut stopped: Vec<TcpStream> = Vec::new();
-    let begun = Instant::now();
+    let mut stalled: Vec<TcpStream> = Vec::new();
+    let started = Instant::now();
     let pieces: Vec<&[u8]> = text.as_bytes().chunks(text.len() / 20 + 1).collect();
     for (number, piece) in pieces.iter().enumerate() {
         slow.write_all(piece).expect("sent");
         for _ in 0..6 {
             let mut stream = limiter.connect();
             _ = stream.write_all(b"GET /api HT");
-            stopped.push(stream);
+            stalled.push(stream);
         }
-        while begun.elapsed() < Duration::from_millis(100) * (number as u32 + 1) {
+        while started.elapsed() < Duration::from_millis(100) * (number as u32 + 1) {
             std::thread::yield_now();
         }
     }
@@ -75,21 +81,21 @@
     assert_eq!(Message::read(&slow).expect("an answer").status(), 200);
 }
 
-/// Five thousand that connect and stay, some with half a request, at 512 descriptors: whoever asks is served meanwhile
-/// and after.
+/// With 512 descriptors, 5,000 clients connect and stay, a third of them with half a request. Requests of other clients
+/// must be served meanwhile and afterwards.
 #[test]
-fn five_thousand_idle_connections_keep_nobody_out() {
+fn five_thousand_idle_connections_do_not_block_other_clients() {
     let server = Listener::start();
-    let limiter = Limiter::with(&[target("s-1", server.address, "ready")], |config| {
+    let limiter = Limiter::start_with(&[target("s-1", server.address, "ready")], |config| {
         config["limits"]["sockets"] = json!(512);
     });
-    let at = limiter.address;
+    let address = limiter.address;
     let crowds: Vec<_> = (0..10)
         .map(|_| {
             std::thread::spawn(move || {
                 let mut crowd = Vec::new();
                 for number in 0..500 {
-                    let Ok(mut stream) = TcpStream::connect(at) else {
+                    let Ok(mut stream) = TcpStream::connect(address) else {
                         continue;
                     };
                     if number % 3 == 0 {
@@ -102,73 +108,78 @@
         })
         .collect();
     for number in 0..20 {
-        is_served(&limiter.connect(), &server, &format!("meanwhile{number}"));
+        check_served(&limiter.connect(), &server, &format!("meanwhile{number}"));
     }
     let crowds: Vec<TcpStream> = crowds
         .into_iter()
         .flat_map(|crowd| crowd.join().expect("connected"))
         .collect();
     assert!(crowds.len() > 4_000, "{} connected", crowds.len());
-    is_served(&limiter.connect(), &server, "after");
+    check_served(&limiter.connect(), &server, "after");
 }
 
-/// With all places taken by silent connections, new clients are served at once.
+/// When silent connections occupy all slots, new clients are still served, and a connection that has had a response is
+/// kept.
 #[test]
-fn a_silent_crowd_makes_room() {
+fn silent_connections_are_closed_for_new_clients() {
     let server = Listener::start();
-    let limiter = Limiter::with(&[target("s-1", server.address, "ready")], |config| {
+    let limiter = Limiter::start_with(&[target("s-1", server.address, "ready")], |config| {
         config["limits"]["sockets"] = json!(96);
     });
-    let kept = limiter.connect();
-    is_served(&kept, &server, "1");
+    let idle = limiter.connect();
+    check_served(&idle, &server, "1");
     let crowd: Vec<TcpStream> = (0..120).map(|_| limiter.connect()).collect();
-    is_served(&limiter.connect(), &server, "2");
-    is_served(&kept, &server, "3");
+    check_served(&limiter.connect(), &server, "2");
+    check_served(&idle, &server, "3");
     drop(crowd);
 }
 
-/// Clients that ask once and keep their connection hold no places against those that have something to ask:
-/// with few places left a connection ends with its first answer, and the longest idle has to go.
+/// Clients that send one request and stay connected must not block others: with few free slots a connection is closed
+/// after its first response, and the connection that has been idle longest is closed.
 #[test]
-fn idle_connections_make_room() {
+fn idle_connections_are_closed_for_new_clients() {
     let server = Listener::start();
-    let limiter = Limiter::with(&[target("s-1", server.address, "ready")], |config| {
+    let limiter = Limiter::start_with(&[target("s-1", server.address, "ready")], |config| {
         config["limits"]["sockets"] = json!(96);
     });
-    let mut stayed = Vec::new();
+    let mut clients = Vec::new();
     for number in 0..60 {
         let client = limiter.connect();
-        is_served(&client, &server, &number.to_string());
-        stayed.push(client);
+        check_served(&client, &server, &number.to_string());
+        clients.push(client);
     }
-    // The first ones were kept, for as long as nobody else wants their places.
-    is_served(&stayed[9], &server, "again");
-    ends(&stayed[59]);
-    stayed[0]
+    // The first connections are kept while no other client needs their slots.
+    check_served(&clients[9], &server, "again");
+    wait_until_closed(&clients[59]);
+    clients[0]
         .set_read_timeout(Some(Duration::from_millis(50)))
         .expect("set");
-    let begun = Instant::now();
-    while (&stayed[0]).read(&mut [0]).is_err() {
-        assert!(begun.elapsed() < LONG, "the longest idle stays");
+    let started = Instant::now();
+    while (&clients[0]).read(&mut [0]).is_err() {
+        assert!(
+            started.elapsed() < LONG,
+            "the connection that has been idle longest was not closed"
+        );
         assert!(limiter.get("/health/ready").is_some());
     }
 }
 
-/// What a client says of its deadline is no time limit for a body that does not come.
+/// The client's deadline of 3000 s must not extend the time-out for the rest of its body.
 #[test]
-fn half_a_body_is_an_error_in_time() {
+fn an_incomplete_body_times_out_before_the_clients_deadline() {
     let server = Listener::start();
     let limiter = Limiter::start(&[target("s-1", server.address, "ready")]);
     let text = request("submit", "1", "wide", 3000.0);
     let client = limiter.ask(&text[..text.len() - 2]);
     assert_eq!(Message::read(&client).expect("an answer").status(), 408);
-    ends(&client);
+    wait_until_closed(&client);
     assert!(server.is_quiet());
 }
 
-/// A length beside chunks may hide a second request in the first one's body: neither reaches a server.
+/// Guards against request smuggling: a `Content-Length` beside chunked encoding may hide a second request in the body of
+/// the first. Neither may reach a server.
 #[test]
-fn hidden_requests_are_not_read() {
+fn smuggled_requests_do_not_reach_a_server() {
     let server = Listener::start();
     let limiter = Limiter::start(&[target("s-1", server.address, "ready")]);
     let hidden = request("look", "hidden", "wide", 30.0);
@@ -185,15 +196,16 @@
         );
         let client = limiter.ask(&text);
         assert_eq!(Message::read(&client).expect("an answer").status(), 400);
-        ends(&client);
+        wait_until_closed(&client);
     }
-    is_served(&limiter.connect(), &server, "2");
+    check_served(&limiter.connect(), &server, "2");
     assert!(server.is_quiet());
 }
 
-/// An id stands for one request: the first goes on, and the id is free again once it is answered.
+/// A second request with the id of one in flight is rejected; the first continues, and the id is free again once that is
+/// answered.
 #[test]
-fn an_open_id_is_not_taken_twice() {
+fn an_id_in_flight_is_rejected() {
     let server = Listener::start();
     let limiter = Limiter::start(&[target("s-1", server.address, "ready")]);
     let first = limiter.ask(&request("look", "1", "wide", 30.0));
@@ -206,6 +218,6 @@
     );
     arrived.answer("200 OK", "", "mine");
     assert_eq!(Message::read(&first).expect("an answer").body, b"mine");
-    is_served(&first, &server, "1");
+    check_served(&first, &server, "1");
     assert!(server.is_quiet());
 }
--- a/crates/emberpin-limiter/tests/bad_servers.rs
+++ b/crates/emberpin-limiter/tests/bad_servers.rs
@@ -19,7 +19,7 @@
 /// The next message that comes to any of these.
 fn any(servers: &[&Listener]) -> Message {
     loop {
-        if let Some(message) = servers.iter().find_map(|server| server.soon()) {
+        if let Some(message) = servers.iter().find_map(|server| server.poll()) {
             return message;
         }
     }
@@ -79,7 +79,7 @@
             (502, 0),
             "{answer:.80}"
         );
-        arrived.ends();
+        arrived.wait_until_closed();
         assert!(server.is_quiet(), "{answer:.80}");
     }
 }
@@ -137,7 +137,7 @@
             next.answer("200 OK", "", "own");
             assert_eq!(Message::read(&client).expect("an answer").body, b"own");
         }
-        arrived.ends();
+        arrived.wait_until_closed();
     }
 }
 
@@ -189,7 +189,7 @@
 fn an_idle_connection_gives_way_to_another_server() {
     let servers = [Listener::start(), Listener::start(), Listener::start()];
     // 18 sockets for servers.
-    let limiter = Limiter::with(&ready(&[&servers[0], &servers[1]]), |config| {
+    let limiter = Limiter::start_with(&ready(&[&servers[0], &servers[1]]), |config| {
         config["limits"]["sockets"] = json!(64);
     });
     let hold = |from: usize, to: usize| {
--- a/crates/emberpin-limiter/tests/bodies.rs
+++ b/crates/emberpin-limiter/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Long and slow bodies over loopback, in all forms of HTTP/1.1, and what breaks in the middle of them.
+//! Long and slow bodies over loopback, with every framing of HTTP/1.1, and failures in the middle of them.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/sockets.rs"]
@@ -11,27 +11,28 @@
 
 const LONG_BODY: usize = 3_000_000;
 
-/// Bytes of which no two pieces look alike.
-fn long() -> Vec<u8> {
+/// A long body without repetitions, so that lost or swapped chunks are noticed.
+fn long_body() -> Vec<u8> {
     (0..LONG_BODY as u32)
         .map(|n| (n.wrapping_mul(2_654_435_761) >> 13) as u8)
         .collect()
 }
 
-/// A server whose connections the test reads and writes itself.
-fn raw() -> (TcpListener, serde_json::Value) {
+/// A listening socket whose connections the test reads and writes itself, and its entry of the endpoint list.
+fn raw_server() -> (TcpListener, serde_json::Value) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let target = target("s-1", listener.local_addr().expect("bound"), "ready");
     (listener, target)
 }
 
 fn accept(listener: &TcpListener) -> BufReader<TcpStream> {
-    let (stream, _) = listener.accept().expect("comes");
+    let (stream, _) = listener.accept().expect("arrives");
     stream.set_read_timeout(Some(LONG)).expect("set");
     BufReader::new(stream)
 }
 
-fn head(from: &mut impl BufRead) -> String {
+/// Reads a head.
+fn read_head(from: &mut impl BufRead) -> String {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
         assert!(
@@ -42,9 +43,9 @@
     head
 }
 
-/// A body as its head frames it; `None` if it is not whole.
-fn body(head: &str, from: &mut impl BufRead) -> Option<Vec<u8>> {
-    let of = |name: &str| {
+/// Reads a body with the framing that the head states; `None` if it breaks off.
+fn read_body(head: &str, from: &mut impl BufRead) -> Option<Vec<u8>> {
+    let header = |name: &str| {
         let lines = head.lines().filter_map(|line| line.split_once(':'));
         lines
             .filter(|(key, _)| key.eq_ignore_ascii_case(name))
@@ -52,13 +53,13 @@
             .next()
     };
     let mut all = Vec::new();
-    if let Some(length) = of("content-length") {
+    if let Some(length) = header("content-length") {
         from.take(length.parse().expect("a number"))
             .read_to_end(&mut all)
             .ok()?;
         return (all.len() == length.parse::<usize>().expect("a number")).then_some(all);
     }
-    if of("transfer-encoding").is_none() {
+    if header("transfer-encoding").is_none() {
         from.read_to_end(&mut all).ok()?;
         return Some(all);
     }
@@ -75,10 +76,11 @@
     }
 }
 
-fn chunked(body: &[u8], piece: usize) -> Vec<u8> {
+/// Encodes a body in chunks of this size, without the last chunk; some chunks have an extension.
+fn chunked(body: &[u8], chunk_size: usize) -> Vec<u8> {
     let mut all = Vec::new();
-    for piece in body.chunks(piece) {
-        // The HTTP library takes 16 KiB of extensions in a body.
+    for piece in body.chunks(chunk_size) {
+        // The HTTP library accepts at most 16 KiB of extensions in a body.
         let extension = if all.len() % 2 == 0 && body.len() / 500 < piece.len() {
             ";name=value"
         } else {
@@ -91,7 +93,7 @@
     all
 }
 
-/// The head of an upload whose body is framed so.
+/// The head of an upload with these framing headers.
 fn upload(id: &str, framing: &str) -> String {
     request("submit", id, "wide", 30.0).replace(
         "Content-Length: 4\r\n\r\nbody",
@@ -100,10 +102,10 @@
 }
 
 #[test]
-fn long_answers_come_whole_in_every_form() {
-    let (server, target) = raw();
+fn long_responses_arrive_complete_with_every_framing() {
+    let (server, target) = raw_server();
     let limiter = Limiter::start(&[target]);
-    let sent = long();
+    let sent = long_body();
     let forms: [(&str, Vec<u8>, &str); 4] = [
         ("Content-Length: 3000000\r\n", sent.clone(), ""),
         (
@@ -121,42 +123,42 @@
     for (number, (framing, bytes, end)) in forms.into_iter().enumerate() {
         let client = limiter.ask(&request("look", &format!("a{number}"), "wide", 30.0));
         let mut connection = accept(&server);
-        head(&mut connection);
+        read_head(&mut connection);
         let mut to = connection.into_inner();
         let sending = std::thread::spawn(move || {
-            // An informational answer first, and the head in pieces.
+            // An informational response first, and the head in small writes.
             let text = format!("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\n{framing}\r\n");
             for piece in text.as_bytes().chunks(7) {
                 to.write_all(piece).expect("written");
             }
             to.write_all(&bytes).expect("written");
             to.write_all(end.as_bytes()).expect("written");
-            // Kept or closed, each has a connection of its own.
+            // Each response has its own connection, whether it could be reused or not.
             _ = to.shutdown(Shutdown::Write);
         });
         let mut client = BufReader::new(client);
-        let told = head(&mut client);
-        assert!(told.starts_with("HTTP/1.1 200"), "{told}");
+        let message_head = read_head(&mut client);
+        assert!(message_head.starts_with("HTTP/1.1 200"), "{message_head}");
         assert!(
-            body(&told, &mut client).as_ref() == Some(&sent),
-            "{number} {framing}: not whole: {told}"
+            read_body(&message_head, &mut client).as_ref() == Some(&sent),
+            "{number} {framing}: incomplete: {message_head}"
         );
         sending.join().expect("sent");
     }
 }
 
 #[test]
-fn a_long_answer_that_breaks_off_is_cut_so_that_its_client_can_tell() {
-    let (server, target) = raw();
+fn a_response_that_breaks_off_is_recognisably_truncated_for_its_client() {
+    let (server, target) = raw_server();
     let limiter = Limiter::start(&[target]);
-    let sent = &long()[..200_000];
+    let sent = &long_body()[..200_000];
     let chunks = chunked(sent, 70_001);
     let cases: [(&str, &[u8], bool); 5] = [
         ("Content-Length: 200000\r\n", &[], false),
         ("Content-Length: 200000\r\n", &sent[..199_999], false),
         ("Transfer-Encoding: chunked\r\n", &chunks[..100_000], false),
         ("Transfer-Encoding: chunked\r\n", &chunks, false),
-        // Without a length only a reset tells that it is not whole.
+        // Without a length, only a reset shows that the body is truncated.
         ("Connection: close\r\n", sent, true),
     ];
     for version in ["1.1", "1.0"] {
@@ -164,14 +166,14 @@
             let text = request("look", &format!("a{version}{number}"), "wide", 30.0);
             let client = limiter.ask(&text.replace("HTTP/1.1", &format!("HTTP/{version}")));
             let mut connection = accept(&server);
-            head(&mut connection);
+            read_head(&mut connection);
             let mut to = connection.into_inner();
             to.write_all(format!("HTTP/1.1 200 OK\r\n{framing}\r\n").as_bytes())
                 .expect("written");
             to.write_all(bytes).expect("written");
             let mut client = BufReader::new(client);
-            let told = head(&mut client);
-            assert!(told.contains(" 200 "), "{told}");
+            let message_head = read_head(&mut client);
+            assert!(message_head.contains(" 200 "), "{message_head}");
             if reset {
                 socket2::SockRef::from(&to)
                     .set_linger(Some(std::time::Duration::ZERO))
@@ -179,19 +181,19 @@
             }
             drop(to);
             assert_eq!(
-                body(&told, &mut client),
+                read_body(&message_head, &mut client),
                 None,
-                "{version} {framing} passed for whole"
+                "{version} {framing}: a truncated body looked complete"
             );
         }
     }
 }
 
 #[test]
-fn long_uploads_come_whole_in_every_form() {
-    let (server, target) = raw();
+fn long_uploads_arrive_complete_with_every_framing() {
+    let (server, target) = raw_server();
     let limiter = Limiter::start(&[target]);
-    let sent = long();
+    let sent = long_body();
     let mut chunks = chunked(&sent, 70_001);
     chunks.extend_from_slice(b"0\r\nTrailer: after\r\n\r\n");
     let small = [chunked(b"body", 1), b"0\r\n\r\n".to_vec()].concat();
@@ -212,14 +214,14 @@
             .expect("sent");
         let mut client = BufReader::new(client);
         if framing.starts_with("Expect") {
-            assert!(head(&mut client).starts_with("HTTP/1.1 100"));
+            assert!(read_head(&mut client).starts_with("HTTP/1.1 100"));
         }
         let bytes = bytes.to_vec();
         let sending = std::thread::spawn(move || to.write_all(&bytes).expect("sent"));
         let mut connection = accept(&server);
-        let told = head(&mut connection);
+        let message_head = read_head(&mut connection);
         assert_eq!(
-            body(&told, &mut connection).expect("whole"),
+            read_body(&message_head, &mut connection).expect("whole"),
             expected,
             "{framing}"
         );
@@ -228,21 +230,21 @@
             .get_mut()
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok")
             .expect("sent");
-        let told = head(&mut client);
-        assert_eq!(body(&told, &mut client).expect("whole"), b"ok");
+        let message_head = read_head(&mut client);
+        assert_eq!(read_body(&message_head, &mut client).expect("whole"), b"ok");
     }
 }
 
 #[test]
-fn an_upload_that_its_client_drops_never_counts_as_sent() {
-    let (server, target) = raw();
+fn an_upload_that_its_client_aborts_does_not_count_as_sent() {
+    let (server, target) = raw_server();
     let ops = free_port(&own_host());
-    let limiter = Limiter::with(&[target], |config| config["ops"] = json!(ops.to_string()));
-    let sent = long();
-    let cut = chunked(&sent, 70_001);
+    let limiter = Limiter::start_with(&[target], |config| config["ops"] = json!(ops.to_string()));
+    let sent = long_body();
+    let truncated = chunked(&sent, 70_001);
     for (number, (framing, bytes)) in [
         ("Content-Length: 3000000", &sent[..LONG_BODY - 1]),
-        ("Transfer-Encoding: chunked", &cut),
+        ("Transfer-Encoding: chunked", &truncated),
     ]
     .into_iter()
     .enumerate()
@@ -257,13 +259,13 @@
             client
         });
         let mut connection = accept(&server);
-        let told = head(&mut connection);
-        let reading = std::thread::spawn(move || body(&told, &mut connection));
+        let message_head = read_head(&mut connection);
+        let reading = std::thread::spawn(move || read_body(&message_head, &mut connection));
         drop(sending.join().expect("sent"));
         assert_eq!(
             reading.join().expect("read"),
             None,
-            "{framing}: the server took it for whole"
+            "{framing}: the truncated upload looked complete to the server"
         );
     }
     let mut stream = TcpStream::connect(ops).expect("connects");
@@ -276,14 +278,14 @@
 }
 
 #[test]
-fn an_upload_of_which_nothing_is_lost_goes_to_another_server_and_one_that_is_spent_does_not() {
+fn an_upload_is_retried_only_while_no_unbuffered_chunk_was_sent() {
     let refusing = TcpListener::bind("127.0.0.1:0").expect("bound");
     let gone = target("s-2", refusing.local_addr().expect("bound"), "ready");
     drop(refusing);
-    let (server, known) = raw();
+    let (server, known) = raw_server();
     let limiter = Limiter::start(&[known, gone]);
-    let sent = long();
-    // Whichever is asked first, it gets there.
+    let sent = long_body();
+    // Whichever server is tried first, the upload reaches the one that accepts connections.
     for number in 0..3 {
         let client = limiter.connect();
         let mut to = client.try_clone().expect("cloned");
@@ -292,8 +294,11 @@
         let bytes = sent.clone();
         let sending = std::thread::spawn(move || to.write_all(&bytes).expect("sent"));
         let mut connection = accept(&server);
-        let told = head(&mut connection);
-        assert_eq!(body(&told, &mut connection).expect("whole"), sent);
+        let message_head = read_head(&mut connection);
+        assert_eq!(
+            read_body(&message_head, &mut connection).expect("whole"),
+            sent
+        );
         sending.join().expect("sent");
         connection
             .get_mut()
@@ -301,24 +306,26 @@
             .expect("sent");
         assert_eq!(Message::read(&client).expect("an answer").status(), 200);
     }
-    // Its server breaks in the midst of it: nothing has run, and nothing can be sent again. The answer comes though
-    // the client has not sent all.
+    // The server closes the connection in the middle of the upload: nothing has run, and the body cannot be sent again. The
+    // response arrives although the client has not sent the whole body.
     let client = limiter.connect();
     let mut to = client.try_clone().expect("cloned");
     to.write_all(upload("spent", "Content-Length: 3000000").as_bytes())
         .expect("sent");
     let sending = std::thread::spawn(move || to.write_all(&sent).expect("sent"));
     let mut connection = accept(&server);
-    head(&mut connection);
-    connection.read_exact(&mut vec![0; 500_000]).expect("comes");
+    read_head(&mut connection);
+    connection
+        .read_exact(&mut vec![0; 500_000])
+        .expect("arrives");
     drop(connection);
     assert_eq!(Message::read(&client).expect("an answer").status(), 429);
-    sending.join().expect("taken to its end");
+    sending.join().expect("the rest was read");
 }
 
 #[test]
-fn an_expectation_that_is_refused_is_not_followed_by_a_continue() {
-    let (_server, target) = raw();
+fn a_rejected_request_with_an_expectation_gets_no_100_continue() {
+    let (_server, target) = raw_server();
     let limiter = Limiter::start(&[target]);
     let text =
         upload("u", "Expect: 100-continue\r\nContent-Length: 3000000").replace("wide", "gold");
@@ -327,7 +334,7 @@
 }
 
 #[test]
-fn two_requests_in_one_segment_have_an_answer_each() {
+fn two_pipelined_requests_get_a_response_each() {
     let server = Listener::start();
     let limiter = Limiter::start(&[target("s-1", server.address, "ready")]);
     let two = request("submit", "a", "wide", 30.0) + &request("look", "b", "wide", 30.0);
@@ -344,38 +351,42 @@
 }
 
 #[test]
-fn a_planned_restart_in_the_midst_of_a_long_answer_ends_in_time_and_its_client_can_tell() {
-    let (server, target) = raw();
-    let mut limiter = Limiter::with(&[target], |config| {
+fn a_graceful_shutdown_during_a_long_response_is_bounded_and_visibly_truncates_it() {
+    let (server, target) = raw_server();
+    let mut limiter = Limiter::start_with(&[target], |config| {
         for class in 0..3 {
             config["settings"]["profiles"][class]["deadline-ms"] = json!(500.0);
         }
     });
     let client = limiter.ask(&request("look", "a", "wide", 30.0));
     let mut connection = accept(&server);
-    head(&mut connection);
+    read_head(&mut connection);
     let mut to = connection.into_inner();
     to.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 33554432\r\n\r\n")
         .expect("written");
     to.write_all(&[b'x'; 200_000]).expect("written");
     let mut client = BufReader::new(client);
-    let told = head(&mut client);
+    let message_head = read_head(&mut client);
     limiter.terminate();
     assert!(limiter.wait().success());
-    assert_eq!(body(&told, &mut client), None, "passed for whole");
+    assert_eq!(
+        read_body(&message_head, &mut client),
+        None,
+        "a truncated body looked complete"
+    );
 }
 
 #[test]
-fn clients_that_read_nothing_of_long_answers_keep_nobody_out() {
-    let (server, target) = raw();
-    let mut limiter = Limiter::with(&[target], |config| {
+fn clients_that_do_not_read_long_responses_do_not_block_others() {
+    let (server, target) = raw_server();
+    let mut limiter = Limiter::start_with(&[target], |config| {
         config["limits"]["memory_mb"] = json!(48);
     });
-    let (ask, asked) = std::sync::mpsc::channel::<()>();
-    // Answers what asks for much with 32 MB, and everything else at once.
+    let (keep_serving, stopped) = std::sync::mpsc::channel::<()>();
+    // Answers requests whose id begins with `big` with 32 MB, and all others with two bytes.
     let serving = std::thread::spawn(move || {
         for stream in server.incoming() {
-            if asked.try_recv() == Err(std::sync::mpsc::TryRecvError::Disconnected) {
+            if stopped.try_recv() == Err(std::sync::mpsc::TryRecvError::Disconnected) {
                 return;
             }
             let Ok(stream) = stream else { return };
@@ -413,26 +424,26 @@
         .map(|n| limiter.ask(&request("look", &format!("big{n}"), "wide", 30.0)))
         .collect();
     for client in &slow {
-        // Their answers have begun, and stay unread.
-        assert!(head(&mut BufReader::with_capacity(1, client)).starts_with("HTTP/1.1 200"));
+        // Each response has begun, and its body stays unread.
+        assert!(read_head(&mut BufReader::with_capacity(1, client)).starts_with("HTTP/1.1 200"));
     }
     for number in 0..100 {
         let answer = limiter.exchange(&request("look", &format!("small{number}"), "wide", 30.0));
         assert_eq!((answer.status(), answer.body.len()), (200, 2));
     }
-    // Resident memory of the limiter, in kB, with 40 times 32 MB begun.
+    // Resident memory of the limiter, in kB, with 40 responses of 32 MB under way.
     let status = std::fs::read_to_string(format!("/proc/{}/status", limiter.pid())).expect("Linux");
     let line = status
         .lines()
         .find_map(|line| line.strip_prefix("VmRSS:"))
-        .expect("told");
+        .expect("stated");
     let resident: u64 = line
         .trim()
         .trim_end_matches(" kB")
         .parse()
         .expect("a number");
     assert!(resident < 48 << 10, "{resident} kB");
-    drop((slow, ask));
+    drop((slow, keep_serving));
     drop(limiter);
     drop(serving);
 }
--- a/crates/emberpin-limiter/tests/command.rs
+++ b/crates/emberpin-limiter/tests/command.rs
@@ -1,4 +1,4 @@
-//! The program's command line: what it refuses, and with which status.
+//! The program's command line: which arguments and files it rejects, and with which exit status.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use std::process::{Command, Output};
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn the_shipped_operator_files_are_what_holds_without_them() {
+fn the_shipped_operator_files_are_valid_and_state_the_defaults() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy");
     let file = format!("{folder}/connections.toml");
     let (with, without) = (emberpin(&["check", "--with", &file]), emberpin(&["check"]));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_check_of_a_bad_file_says_where_and_ends_with_2() {
+fn the_check_of_an_invalid_file_names_the_place_and_exits_with_2() {
     let path = std::env::temp_dir().join(format!("emberpin-command-{}.toml", std::process::id()));
     std::fs::write(&path, "[connections]\nclient_share = 7\n").expect("written");
     let file = path.to_str().expect("text");
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn callers_without_a_link_and_callers_that_are_no_number_are_refused_with_their_place() {
+fn callers_without_a_link_or_out_of_bounds_are_rejected_and_the_place_is_named() {
     let path = std::env::temp_dir().join(format!("emberpin-callers-{}.toml", std::process::id()));
     let file = path.to_str().expect("text");
     for (callers, problem) in [
@@ -90,13 +90,13 @@
 }
 
 #[test]
-fn help_and_version_are_good_and_unknown_words_are_not() {
+fn help_and_version_succeed_and_unknown_arguments_fail() {
     assert_eq!(emberpin(&["--help"]).status.code(), Some(0));
     assert!(text(&emberpin(&["--version"]).stdout).starts_with("emberpin "));
     assert_eq!(emberpin(&["--without"]).status.code(), Some(2));
     assert_eq!(
         emberpin(&[]).status.code(),
         Some(1),
-        "bare, it needs the platform's file"
+        "without arguments it needs the platform's file"
     );
 }
--- a/crates/emberpin-limiter/tests/common/sockets.rs
+++ b/crates/emberpin-limiter/tests/common/sockets.rs
@@ -1,5 +1,6 @@
-//! A limiter on loopback sockets with servers, discovery and clients played by hand: every step of the
-//! other side is the test's own, so that order comes from what was seen and not from waiting.
+//! Test harness: a limiter process on loopback sockets, whose servers, discovery service and clients are played by the
+//! test. The test takes every step of the other side itself, so that the order of events follows from what it has
+//! observed and not from sleeping.
 #![allow(dead_code, missing_docs, reason = "each test file uses a part of it")]
 
 use serde_json::{json, Value};
@@ -11,10 +12,10 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-/// Far longer than anything here takes: only a failure waits for it.
+/// Time-out of every wait; far longer than any step takes, so only a failing test reaches it.
 pub const LONG: Duration = Duration::from_secs(20);
 
-/// A loopback address that no other test of this machine uses.
+/// Returns a loopback address that no other test on this machine uses.
 pub fn own_host() -> String {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let (pid, number) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -26,13 +27,14 @@
     )
 }
 
+/// Returns an address with a port that was free a moment ago.
 pub fn free_port(host: &str) -> SocketAddr {
     TcpListener::bind((host, 0))
         .and_then(|l| l.local_addr())
         .expect("a port")
 }
 
-/// One HTTP message as it came, and the connection it came on.
+/// A received HTTP message, and the connection on which it arrived.
 pub struct Message {
     pub head: String,
     pub body: Vec<u8>,
@@ -45,7 +47,7 @@
         let mut stream = stream.try_clone().expect("cloned");
         let (mut text, mut byte) = (Vec::new(), [0u8]);
         while !text.ends_with(b"\r\n\r\n") {
-            // Not `read`, which a signal may interrupt.
+            // `read_exact` and not `read`, which a signal may interrupt.
             stream.read_exact(&mut byte).ok()?;
             text.push(byte[0]);
         }
@@ -83,22 +85,22 @@
             .expect("a number")
     }
 
-    /// Answers a request.
+    /// Sends the response to this request.
     pub fn answer(&mut self, status: &str, headers: &str, body: &str) {
         let length = body.len();
         let text = format!("HTTP/1.1 {status}\r\nContent-Length: {length}\r\n{headers}\r\n{body}");
         self.stream.write_all(text.as_bytes()).expect("answered");
     }
 
-    /// The same to a limiter that may have died meanwhile.
-    pub fn answer_if_there(&mut self, status: &str, headers: &str, body: &str) {
+    /// Like [`Self::answer`], but ignores errors, as the limiter may have crashed meanwhile.
+    pub fn try_answer(&mut self, status: &str, headers: &str, body: &str) {
         let length = body.len();
         let text = format!("HTTP/1.1 {status}\r\nContent-Length: {length}\r\n{headers}\r\n{body}");
         _ = self.stream.write_all(text.as_bytes());
     }
 
     /// Waits until the other side has closed the connection.
-    pub fn ends(mut self) {
+    pub fn wait_until_closed(mut self) {
         self.stream.set_read_timeout(Some(LONG)).expect("set");
         match self.stream.read_exact(&mut [0u8]).map_err(|e| e.kind()) {
             Err(ErrorKind::UnexpectedEof | ErrorKind::ConnectionReset) => {}
@@ -107,7 +109,7 @@
     }
 }
 
-/// Hands over every message that comes to an address.
+/// Accepts connections at an address, and queues the messages that arrive on them for the test.
 pub struct Listener {
     pub address: SocketAddr,
     messages: Receiver<Message>,
@@ -136,25 +138,27 @@
         Listener { address, messages }
     }
 
+    /// Waits for the next message.
     pub fn next(&self) -> Message {
-        self.messages.recv_timeout(LONG).expect("a message comes")
+        self.messages.recv_timeout(LONG).expect("a message arrives")
     }
 
-    /// A message, if one comes within a moment.
-    pub fn soon(&self) -> Option<Message> {
+    /// Returns the next message if it arrives within 5 ms.
+    pub fn poll(&self) -> Option<Message> {
         self.messages.recv_timeout(Duration::from_millis(5)).ok()
     }
 
+    /// Whether no message is queued. Takes a queued message.
     pub fn is_quiet(&self) -> bool {
         self.messages.try_recv().is_err()
     }
 }
 
-/// A watch that the limiter holds.
+/// The limiter's streaming request for the endpoint list, at the discovery service that the test plays.
 pub struct Watch(Message);
 
 impl Watch {
-    /// The next watch that comes to this discovery; answered, but nothing sent on it yet.
+    /// Waits for the next watch at this discovery service, and sends the head of its response.
     pub fn at(discovery: &Listener) -> Watch {
         let mut message = discovery.next();
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -162,25 +166,27 @@
         Watch(message)
     }
 
-    /// Waits until the limiter has left.
-    pub fn ends(self) {
-        self.0.ends();
+    /// Waits until the limiter has closed the watch.
+    pub fn wait_until_closed(self) {
+        self.0.wait_until_closed();
     }
 
     pub fn path(&self) -> &str {
         self.0.head.split(' ').nth(1).expect("a path")
     }
 
+    /// Sends one line of the endpoint list.
     pub fn send(&mut self, line: &str) {
         let text = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
         self.0.stream.write_all(text.as_bytes()).expect("sent");
     }
 
+    /// Sends the list of revision `rev`: complete if `all`, else only changes.
     pub fn list(&mut self, rev: u64, all: bool, targets: &[Value]) {
         self.send(&json!({"rev": rev, "all": all, "targets": targets}).to_string());
     }
 
-    pub fn hang_up(self) {
+    pub fn close(self) {
         self.0
             .stream
             .shutdown(std::net::Shutdown::Both)
@@ -188,12 +194,13 @@
     }
 }
 
+/// An entry of the endpoint list.
 pub fn target(uid: &str, at: SocketAddr, state: &str) -> Value {
     json!({"uid": uid, "endpoint": at.to_string(), "az": "a", "model": "std", "pod_group": 1, "state": state,
            "capacity_hint": 1.0, "boot_ms": 0})
 }
 
-/// One limiter's process and what stands round it; killed when dropped.
+/// A limiter process with its discovery service and one peer, both played by the test. Killed when dropped.
 pub struct Limiter {
     pub address: SocketAddr,
     pub config: Value,
@@ -204,19 +211,20 @@
 }
 
 impl Limiter {
-    /// Starts one that knows these servers, and waits until it is ready.
+    /// Starts a limiter that knows these servers, and waits until it is ready.
     pub fn start(known: &[Value]) -> Limiter {
-        Limiter::with(known, |_| {})
+        Limiter::start_with(known, |_| {})
     }
 
-    /// The same with a changed configuration.
-    pub fn with(known: &[Value], change: impl FnOnce(&mut Value)) -> Limiter {
+    /// Like [`Self::start`], after `change` has edited the configuration.
+    pub fn start_with(known: &[Value], change: impl FnOnce(&mut Value)) -> Limiter {
         let mut limiter = Limiter::prepare(known);
         change(&mut limiter.config);
         limiter.run();
         limiter
     }
 
+    /// Prepares a limiter with its configuration, but starts no process.
     pub fn prepare(known: &[Value]) -> Limiter {
         let host = own_host();
         let address = free_port(&host);
@@ -266,6 +274,7 @@
         }
     }
 
+    /// Writes the configuration, and returns the command that starts the process.
     pub fn command(&self) -> Command {
         let path = self.folder.join("config.json");
         std::fs::write(&path, self.config.to_string()).expect("written");
@@ -277,7 +286,7 @@
         command
     }
 
-    /// A file of this limiter's own, gone with it.
+    /// Writes a file into this limiter's folder, which is removed when the limiter is dropped.
     pub fn file(&self, name: &str, text: &str) -> PathBuf {
         let path = self.folder.join(name);
         std::fs::write(&path, text).expect("written");
@@ -289,22 +298,23 @@
         self.run_as(command);
     }
 
+    /// Starts the process by this command, and waits until it is ready.
     pub fn run_as(&mut self, mut command: Command) {
         self.child = Some(command.spawn().expect("starts"));
-        let begun = Instant::now();
+        let started = Instant::now();
         while self
             .get("/health/ready")
             .is_none_or(|answer| answer.status() != 200)
         {
-            assert!(begun.elapsed() < LONG, "never ready");
+            assert!(started.elapsed() < LONG, "not ready in time");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Starts it, and waits until it is ready or has ended; true if it is ready.
+    /// Starts the process by this command, and waits until it is ready or has exited; returns whether it is ready.
     pub fn try_run_as(&mut self, mut command: Command) -> bool {
         self.child = Some(command.spawn().expect("starts"));
-        let begun = Instant::now();
+        let started = Instant::now();
         while self
             .get("/health/ready")
             .is_none_or(|answer| answer.status() != 200)
@@ -312,14 +322,14 @@
             if self.child().try_wait().expect("waited").is_some() {
                 return false;
             }
-            assert!(begun.elapsed() < LONG, "neither ready nor gone");
+            assert!(started.elapsed() < LONG, "neither ready nor exited in time");
             std::thread::sleep(Duration::from_millis(5));
         }
         true
     }
 
-    /// Whether its process is gone.
-    pub fn has_ended(&mut self) -> bool {
+    /// Whether the process has exited.
+    pub fn has_exited(&mut self) -> bool {
         self.child().try_wait().expect("waited").is_some()
     }
 
@@ -333,7 +343,7 @@
 
     pub fn kill(&mut self) {
         self.child().kill().expect("killed");
-        self.child().wait().expect("gone");
+        self.child().wait().expect("exited");
     }
 
     pub fn signal(&mut self, name: &str) {
@@ -349,24 +359,25 @@
         self.signal("-TERM");
     }
 
-    /// Puts another configuration in place and says so.
+    /// Replaces the configuration file, and signals the process to reload it.
     pub fn reload(&mut self, text: &str) {
         std::fs::write(self.folder.join("config.json"), text).expect("written");
         self.signal("-HUP");
     }
 
+    /// Waits until the process has exited.
     pub fn wait(&mut self) -> ExitStatus {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             if let Some(status) = self.child().try_wait().expect("waited") {
                 return status;
             }
-            assert!(begun.elapsed() < LONG, "does not end");
+            assert!(started.elapsed() < LONG, "does not exit in time");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// The watch that the limiter opens next; answered, but nothing sent on it yet.
+    /// Waits for the limiter's next watch; see [`Watch::at`].
     pub fn watch(&self) -> Watch {
         Watch::at(&self.discovery)
     }
@@ -377,13 +388,14 @@
         stream
     }
 
-    /// Sends a request on a connection of its own; read the answer with [`Message::read`].
+    /// Sends a request on a new connection; read the response with [`Message::read`].
     pub fn ask(&self, text: &str) -> TcpStream {
         let mut stream = self.connect();
         stream.write_all(text.as_bytes()).expect("sent");
         stream
     }
 
+    /// Sends a request on a new connection, and waits for the response.
     pub fn exchange(&self, text: &str) -> Message {
         Message::read(&self.ask(text)).expect("an answer")
     }
@@ -408,7 +420,7 @@
     }
 }
 
-/// A request of a class, with an id, a plan and a deadline in seconds.
+/// The text of a request with this class, id, plan, and deadline in seconds.
 pub fn request(class: &str, id: &str, plan: &str, deadline: f64) -> String {
     let headers = format!(
         "Host: service.internal\r\nReq-Id: {id}\r\nReq-Kind: {class}\r\nX-Tier: {plan}\r\n\
--- a/crates/emberpin-limiter/tests/idempotency.rs
+++ b/crates/emberpin-limiter/tests/idempotency.rs
@@ -43,7 +43,7 @@
     /// The answer to a client's request, every attempt at the server being met so meanwhile.
     fn met(&self, client: &TcpStream, meet: impl Fn(Message)) -> Message {
         loop {
-            if let Some(arrived) = self.server.soon() {
+            if let Some(arrived) = self.server.poll() {
                 meet(arrived);
             }
             client.set_nonblocking(true).expect("set");
--- a/crates/emberpin-limiter/tests/keys_log.rs
+++ b/crates/emberpin-limiter/tests/keys_log.rs
@@ -89,13 +89,13 @@
         let mut client = TcpStream::connect(self.limiter.address).ok()?;
         std::io::Write::write_all(&mut client, text.as_bytes()).ok()?;
         loop {
-            if let Some(mut arrived) = self.server.soon() {
+            if let Some(mut arrived) = self.server.poll() {
                 let key = arrived
                     .header("idempotency-key")
                     .expect("a key")
                     .to_string();
                 *self.attempts.entry(key).or_default() += 1;
-                arrived.answer_if_there("200 OK", "", &self.answer);
+                arrived.try_answer("200 OK", "", &self.answer);
             }
             client.set_nonblocking(true).expect("set");
             let there = match client.peek(&mut [0]) {
@@ -179,7 +179,7 @@
                 }
             }
             *died.entry(point).or_insert(0) += u32::from(served.len() < 2);
-            if !site.limiter.has_ended() {
+            if !site.limiter.has_exited() {
                 site.limiter.kill();
             }
             site.start();
--- a/crates/emberpin-limiter/tests/limiter.rs
+++ b/crates/emberpin-limiter/tests/limiter.rs
@@ -1,4 +1,4 @@
-//! The real limiter over loopback sockets, against servers, discovery, peers and clients played by hand.
+//! The limiter process over loopback sockets, with servers, discovery service, peers and clients played by the test.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/sockets.rs"]
@@ -13,8 +13,10 @@
 use std::net::{IpAddr, Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
+/// The header by which a server states that it has not run a request.
 const DECLINED: &str = "Srv-Declined: 1\r\n";
 
+/// Entries of the endpoint list for these servers, all ready.
 fn ready(servers: &[&Listener]) -> Vec<serde_json::Value> {
     let names = ["s-1", "s-2", "s-3"];
     servers
@@ -24,18 +26,18 @@
         .collect()
 }
 
-/// The next message that comes to either server.
-fn either(one: &Listener, other: &Listener) -> Message {
-    let begun = Instant::now();
+/// Waits for the next message at either server.
+fn next_at_either(one: &Listener, other: &Listener) -> Message {
+    let started = Instant::now();
     loop {
-        if let Some(message) = one.soon().or_else(|| other.soon()) {
+        if let Some(message) = one.poll().or_else(|| other.poll()) {
             return message;
         }
-        assert!(begun.elapsed() < LONG, "nothing comes");
+        assert!(started.elapsed() < LONG, "no message arrives");
     }
 }
 
-/// Waits until a connection to this address is being opened and not yet up (state 2: SYN sent).
+/// Waits until a connection to this address is being opened but not established (state 2: SYN sent).
 fn await_connecting(at: SocketAddr) {
     let IpAddr::V4(ip) = at.ip() else {
         panic!("IPv4 only")
@@ -45,18 +47,18 @@
         u32::from_le_bytes(ip.octets()),
         at.port()
     );
-    let begun = Instant::now();
+    let started = Instant::now();
     while !std::fs::read_to_string("/proc/net/tcp")
         .expect("Linux")
         .contains(&remote)
     {
-        assert!(begun.elapsed() < LONG, "nobody connects");
+        assert!(started.elapsed() < LONG, "no connection is opened");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 #[test]
-fn passes_a_request_and_its_answer_on_unchanged() {
+fn a_request_and_its_response_are_forwarded_unchanged() {
     let server = Listener::start();
     let limiter = Limiter::start(&ready(&[&server]));
     let text = request("submit", "ab12", "wide", 30.0).replace("/api ", "/api?a=1&b=%20 ");
@@ -70,12 +72,15 @@
     assert_eq!(arrived.header("req-id"), Some("ab12"));
     assert_eq!(arrived.header("idempotency-key"), Some("k-ab12"));
     assert_eq!(arrived.body, b"body");
-    let told: f64 = arrived
+    let forwarded_deadline: f64 = arrived
         .header("req-deadline")
-        .expect("told")
+        .expect("stated")
         .parse()
         .expect("seconds");
-    assert!(told > 0.0 && told < 30.0, "leaves a margin: {told}");
+    assert!(
+        forwarded_deadline > 0.0 && forwarded_deadline < 30.0,
+        "leaves a margin: {forwarded_deadline}"
+    );
     arrived.answer(
         "200 OK",
         "X-RateLimit-Used: 40\r\nSrv-Load: latency_ms=3,queue=x,odd\r\n",
@@ -87,7 +92,7 @@
         (200, "signed \u{1}".as_bytes())
     );
 
-    // Both connections carry the next request.
+    // Both connections are reused for the next request.
     (&client)
         .write_all(request("look", "ab13", "wide", 30.0).as_bytes())
         .expect("sent");
@@ -138,8 +143,12 @@
             good.replace("units=1", "units=inf"),
             400,
         ),
-        ("set of nobody", good.replace("spread=1", "spread=0"), 400),
-        ("set from nowhere", good.replace("first=0", "first=7"), 400),
+        ("empty set", good.replace("spread=1", "spread=0"), 400),
+        (
+            "first member outside of the group",
+            good.replace("first=0", "first=7"),
+            400,
+        ),
         ("huge units", good.replace("units=1", "units=1e12"), 400),
         ("units below 0", good.replace("units=1", "units=-1"), 400),
         (
@@ -147,7 +156,11 @@
             good.replace("units=1", "units=1,units=2"),
             400,
         ),
-        ("part of a set", good.replace("first=0", "first=0.5"), 400),
+        (
+            "fractional first member",
+            good.replace("first=0", "first=0.5"),
+            400,
+        ),
         (
             "account too large",
             good.replace("account=0", "account=8"),
@@ -181,7 +194,7 @@
         ),
         ("no host", good.replace("Host", "Other"), 400),
         (
-            "another host's",
+            "absolute form with another host",
             good.replace("/api", "http://other.internal/api"),
             400,
         ),
@@ -231,7 +244,7 @@
     ];
     for (what, text, status) in cases {
         let mut client = limiter.connect();
-        // The answer may come before all of a large body was taken.
+        // The response may arrive before all of a large body has been read.
         _ = client.write_all(text.as_bytes());
         assert_eq!(
             Message::read(&client).expect(what).status(),
@@ -244,40 +257,45 @@
     assert_eq!(
         arrived.header("req-id"),
         Some("1"),
-        "only the good one came"
+        "only the valid request arrived"
     );
     arrived.answer("200 OK", "", "");
     assert_eq!(Message::read(&client).expect("an answer").status(), 200);
     assert!(server.is_quiet());
 }
 
-/// Turned away proves that nothing ran: even an unsafe request goes to another server.
+/// A server that declines a request has not run it, so even an unsafe request is retried at another server.
 #[test]
-fn a_declined_attempt_goes_elsewhere() {
+fn a_declined_attempt_is_retried_at_another_server() {
     let servers = [Listener::start(), Listener::start()];
     let limiter = Limiter::start(&ready(&[&servers[0], &servers[1]]));
     for status in ["503 Busy", "504 Late"] {
         let client = limiter.ask(&request("pay", "1", "wide", 30.0));
-        let mut first = either(&servers[0], &servers[1]);
+        let mut first = next_at_either(&servers[0], &servers[1]);
         first.answer(status, DECLINED, "");
-        let mut second = either(&servers[0], &servers[1]);
-        let at = |message: &Message| message.stream.local_addr().expect("known");
-        assert_ne!(at(&first), at(&second), "elsewhere");
+        let mut second = next_at_either(&servers[0], &servers[1]);
+        let server_address = |message: &Message| message.stream.local_addr().expect("known");
+        assert_ne!(
+            server_address(&first),
+            server_address(&second),
+            "another server"
+        );
         second.answer("200 OK", "", "");
         assert_eq!(Message::read(&client).expect("an answer").status(), 200);
     }
 }
 
-/// What may have run is neither repeated nor refused: an error, and a connection that breaks after the
-/// request came whole. A plain 503 without the mark proves nothing either.
+/// A request that may have run fails with 502, and is neither retried nor rejected: after an error response, and after a
+/// connection that breaks once the request has arrived completely. A 503 without the header that declines it does not
+/// prove that nothing ran.
 #[test]
-fn what_may_have_run_is_failed_and_not_repeated() {
+fn a_request_that_may_have_run_fails_and_is_not_retried() {
     let server = Listener::start();
     let other = Listener::start();
     let limiter = Limiter::start(&ready(&[&server, &other]));
     for how in ["500 Error", "503 Unmarked", "reset", "half an answer"] {
         let client = limiter.ask(&request("pay", "1", "wide", 30.0));
-        let mut arrived = either(&server, &other);
+        let mut arrived = next_at_either(&server, &other);
         match how {
             "reset" => arrived
                 .stream
@@ -301,24 +319,24 @@
     }
 }
 
-/// Guards against calling "may have run" what never could: no connection came up.
+/// A request whose connection was never established cannot have run, so it must be retried or rejected, and not fail.
 #[test]
-fn a_refused_connection_never_ran() {
+fn a_request_is_retried_after_a_refused_connection() {
     let server = Listener::start();
-    let nobody = target("s-0", free_port(&own_host()), "ready");
+    let unreachable = target("s-0", free_port(&own_host()), "ready");
     let mut known = ready(&[&server]);
-    known.push(nobody);
+    known.push(unreachable);
     let limiter = Limiter::start(&known);
     for _ in 0..6 {
         let client = limiter.ask(&request("pay", "1", "wide", 30.0));
         server.next().answer("200 OK", "", "");
         assert_eq!(Message::read(&client).expect("an answer").status(), 200);
     }
-    // And with no server that takes connections, trying again is harmless.
+    // If no server accepts connections, the request is rejected, as a retry by the client is harmless.
     let limiter = Limiter::start(&[target("s-0", free_port(&own_host()), "ready")]);
     let answer = limiter.exchange(&request("pay", "2", "wide", 30.0));
     assert_eq!(answer.status(), 429);
-    // Given up at once, so the client is told when to come back.
+    // It is rejected at once, with the time after which the client should retry.
     let wait: f64 = answer
         .header("retry-after")
         .expect("advice")
@@ -327,8 +345,8 @@
     assert!(wait > 0.0 && wait <= 1.0, "{wait}");
 }
 
-/// A server may close a pooled connection at any time: the next request must find that out before it
-/// is written there, or it would count as one that may have run.
+/// A server may close a pooled connection at any time. The limiter must notice that before it writes the next request, or
+/// the request would count as one that may have run.
 #[test]
 fn a_pooled_connection_that_the_server_closed_is_not_used() {
     let server = Listener::start();
@@ -345,11 +363,12 @@
     }
 }
 
-/// A request written to a connection that has been idle for the server's limit ends as a reset.
+/// A request that is written to a connection after the server's idle time-out is answered by a reset, so the limiter must
+/// close idle connections earlier.
 #[test]
-fn idle_connections_are_retired_before_the_servers_limit() {
+fn idle_connections_are_closed_before_the_servers_idle_timeout() {
     let server = Listener::start();
-    let limiter = Limiter::with(&ready(&[&server]), |c| {
+    let limiter = Limiter::start_with(&ready(&[&server]), |c| {
         c["settings"]["bounds"]["idle-close-ms"] = json!(200.0);
     });
     let mut ports = Vec::new();
@@ -364,16 +383,15 @@
     assert_ne!(ports[0], ports[1]);
 }
 
-/// A client that closes has abandoned its request, and what is out for it is given up.
-/// Servers, or what stands before them, may forget idle connections long before the time that the settings say, and
-/// reset them only when the next request comes: which may have run. The limiter learns at what age that happens.
+/// Servers, or proxies in front of them, may drop idle connections long before the idle time-out in the settings, and reset
+/// them only when the next request arrives, which then may have run. The limiter must learn at what age that happens.
 #[test]
 fn an_age_at_which_idle_connections_are_reset_is_learned_and_avoided() {
     let server = Listener::start();
     let limiter = Limiter::start(&ready(&[&server]));
     let mut known: HashSet<SocketAddr> = HashSet::new();
     let mut lost = 0;
-    // A new connection serves its request; one that stood idle ends when its next request comes.
+    // A new connection serves its request; one that has been idle is closed when its next request arrives.
     for round in 0..40 {
         let client = limiter.ask(&request("pay", &format!("a{round}"), "wide", 60.0));
         let mut arrived = server.next();
@@ -382,7 +400,7 @@
             assert_eq!(Message::read(&client).expect("an answer").status(), 200);
         } else {
             arrived.stream.shutdown(Shutdown::Both).expect("ended");
-            // It may have run, and its class allows no repeat.
+            // It may have run, and its class allows no retry.
             assert_eq!(Message::read(&client).expect("an answer").status(), 502);
             lost += 1;
         }
@@ -390,44 +408,46 @@
     }
     assert!(
         (8..=13).contains(&lost),
-        "{lost} of 40 requests went out on a connection that was forgotten"
+        "{lost} of 40 requests were sent on a connection that the server had dropped"
     );
 }
 
+/// A client that disconnects has abandoned its request, so the attempt at the server is cancelled.
 #[test]
-fn a_client_that_leaves_ends_its_attempt() {
+fn a_client_that_disconnects_cancels_its_attempt() {
     let server = Listener::start();
     let limiter = Limiter::start(&ready(&[&server]));
     let client = limiter.ask(&request("submit", "1", "wide", 30.0));
     let arrived = server.next();
     drop(client);
-    arrived.ends();
+    arrived.wait_until_closed();
 }
 
-/// The answer comes within the client's time, with the attempt's connection closed, and is no refusal.
+/// The response arrives within the client's deadline and the attempt's connection is closed. The request fails, as it may
+/// have run.
 #[test]
-fn a_silent_server_ends_in_a_failure_within_the_deadline() {
+fn a_request_to_a_silent_server_fails_within_the_deadline() {
     let server = Listener::start();
     let limiter = Limiter::start(&ready(&[&server]));
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     let client = limiter.ask(&request("pay", "1", "wide", 2.0));
     let arrived = server.next();
     let answer = Message::read(&client).expect("an answer");
     assert_eq!(answer.status(), 502);
     assert!(
-        asked.elapsed() < Duration::from_secs(2),
+        sent_at.elapsed() < Duration::from_secs(2),
         "after {:?}",
-        asked.elapsed()
+        sent_at.elapsed()
     );
-    arrived.ends();
+    arrived.wait_until_closed();
     assert!(server.is_quiet());
 }
 
 #[test]
-fn a_quota_that_is_used_up_is_refused_with_advice() {
+fn a_request_beyond_the_quota_is_rejected_with_retry_after() {
     let server = Listener::start();
     let limiter = Limiter::start(&ready(&[&server]));
-    // The narrow plan's store holds half a unit.
+    // The burst of the narrow plan is half a unit, and a request costs one.
     let answer = limiter.exchange(&request("look", "1", "narrow", 30.0));
     assert_eq!(answer.status(), 429);
     let wait: f64 = answer
@@ -440,7 +460,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_server_once_the_watch_said_that_it_drains() {
+fn a_server_that_the_watch_reports_as_draining_gets_no_new_requests() {
     let (old, new) = (Listener::start(), Listener::start());
     let limiter = Limiter::start(&ready(&[&old]));
     let mut watch = limiter.watch();
@@ -454,16 +474,17 @@
             target("s-2", new.address, "ready"),
         ],
     );
-    // Until the line was taken, the old one may still be asked; once the new one is, never again.
-    let begun = Instant::now();
+    // Until the update is applied, requests may still go to the old server; from the first one at the new server on, none
+    // may.
+    let started = Instant::now();
     loop {
-        assert!(begun.elapsed() < LONG, "the change never showed");
+        assert!(started.elapsed() < LONG, "the update was not applied");
         let client = limiter.ask(&request("pay", "1", "wide", 30.0));
-        let mut arrived = either(&old, &new);
-        let changed = arrived.stream.local_addr().expect("known") == new.address;
+        let mut arrived = next_at_either(&old, &new);
+        let update_applied = arrived.stream.local_addr().expect("known") == new.address;
         arrived.answer("200 OK", "", "");
         assert_eq!(Message::read(&client).expect("an answer").status(), 200);
-        if changed {
+        if update_applied {
             break;
         }
     }
@@ -475,14 +496,15 @@
     assert!(old.is_quiet());
 }
 
-/// A drain that comes while the connection is still coming up holds for what waits for it.
+/// If a server is reported as draining while a connection to it is still being established, the request that waits for the
+/// connection goes to another server.
 #[test]
-fn a_drain_during_a_slow_connect_keeps_the_request_away() {
+fn a_request_that_waits_for_a_connection_leaves_a_draining_server() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("built");
-    let _inside = runtime.enter();
+    let _runtime_context = runtime.enter();
     let socket = tokio::net::TcpSocket::new_v4().expect("made");
     socket
         .bind("127.0.0.1:0".parse().expect("an address"))
@@ -494,16 +516,16 @@
         .expect("taken over");
     slow.set_nonblocking(false).expect("set");
     let at = slow.local_addr().expect("bound");
-    // Fills the backlog, so that the next connection does not come up.
-    let mut fill = Vec::new();
+    // Fills the backlog, so that the next connection is not established.
+    let mut backlog = Vec::new();
     while let Ok(stream) = TcpStream::connect_timeout(&at, Duration::from_millis(300)) {
-        fill.push(stream);
+        backlog.push(stream);
     }
     let other = Listener::start();
     let limiter = Limiter::start(&[target("s-1", at, "ready")]);
     let mut watch = limiter.watch();
     let client = limiter.ask(&request("pay", "1", "wide", 30.0));
-    // A connection's two ends of the same limiter: what follows is taken after the request.
+    // The limiter is connecting, so it has received the request before the update that follows.
     await_connecting(at);
     watch.list(
         42,
@@ -515,12 +537,16 @@
     );
     let probe = limiter.ask(&request("look", "2", "wide", 30.0));
     let mut arrived = other.next();
-    assert_eq!(arrived.header("req-id"), Some("2"), "the change was taken");
+    assert_eq!(
+        arrived.header("req-id"),
+        Some("2"),
+        "the update was applied"
+    );
     arrived.answer("200 OK", "", "");
     assert_eq!(Message::read(&probe).expect("an answer").status(), 200);
-    // Now it comes up.
+    // Now the connection is established.
     let slow = Listener::on(slow);
-    drop(fill);
+    drop(backlog);
     let mut arrived = other.next();
     assert_eq!(arrived.header("req-id"), Some("1"));
     arrived.answer("200 OK", "", "");
@@ -528,9 +554,9 @@
     assert!(slow.is_quiet());
 }
 
-/// Garbled lines and broken watches: asked for again from the last version understood.
+/// After a malformed line or a closed connection, the limiter opens a new watch from the last revision that it could read.
 #[test]
-fn a_garbled_or_broken_watch_is_taken_up_again() {
+fn a_malformed_or_closed_watch_is_resumed() {
     let server = Listener::start();
     let limiter = Limiter::start(&[]);
     let mut watch = limiter.watch();
@@ -540,7 +566,7 @@
     assert_eq!(watch.path(), "/registry/instances?follow=1&since=50");
     let odd = json!({"uid": 7, "endpoint": "nowhere"});
     watch.list(52, false, &[odd, target("s-1", server.address, "ready")]);
-    watch.hang_up();
+    watch.close();
     let watch = limiter.watch();
     assert_eq!(watch.path(), "/registry/instances?follow=1&since=52");
     let client = limiter.ask(&request("look", "1", "wide", 30.0));
@@ -548,21 +574,20 @@
     assert_eq!(Message::read(&client).expect("an answer").status(), 200);
 }
 
-/// Gossip names customers by 32 bits that are the same at every limiter, and tells lives apart.
-/// SIGHUP moves the watch to the address that the file names now: at once, more than once, with the whole
-/// list taken there and the old one valid until then. A file that cannot be read changes nothing.
+/// SIGHUP moves the watch to the discovery address that the file now names: at once, and more than once. The limiter fetches
+/// the complete list there, and uses the old one until it has arrived. A file that cannot be read changes nothing.
 #[test]
-fn sighup_moves_the_watch_and_keeps_what_is_known() {
+fn sighup_moves_the_watch_and_keeps_the_known_servers() {
     let servers = [Listener::start(), Listener::start()];
     let mut limiter = Limiter::start(&ready(&[&servers[0]]));
-    let served_by = |limiter: &Limiter, server: &Listener| {
+    let check_served_by = |limiter: &Limiter, server: &Listener| {
         let client = limiter.ask(&request("look", "1", "wide", 30.0));
         server.next().answer("200 OK", "", "");
         assert_eq!(Message::read(&client).expect("an answer").status(), 200);
     };
     let mut old = limiter.watch();
     old.list(100, true, &ready(&[&servers[0]]));
-    served_by(&limiter, &servers[0]);
+    check_served_by(&limiter, &servers[0]);
     for _ in 0..2 {
         let next = Listener::start();
         limiter.config["discovery"] = json!(next.address.to_string());
@@ -570,40 +595,40 @@
         let mut moved = Watch::at(&next);
         assert!(
             !moved.path().contains("since"),
-            "takes the whole list: {}",
+            "fetches the complete list: {}",
             moved.path()
         );
-        old.ends();
-        served_by(&limiter, &servers[0]);
-        // Versions may be lower there, and who is not listed is gone.
+        old.wait_until_closed();
+        check_served_by(&limiter, &servers[0]);
+        // Revisions may be lower at the new address, and servers that it does not list are removed.
         moved.list(7, true, &[target("s-2", servers[1].address, "ready")]);
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             let client = limiter.ask(&request("look", "2", "wide", 30.0));
-            let mut arrived = either(&servers[0], &servers[1]);
+            let mut arrived = next_at_either(&servers[0], &servers[1]);
             arrived.answer("200 OK", "", "");
             assert_eq!(Message::read(&client).expect("an answer").status(), 200);
             if arrived.stream.local_addr().expect("known") == servers[1].address {
                 break;
             }
-            assert!(begun.elapsed() < LONG, "the new list is not taken");
+            assert!(started.elapsed() < LONG, "the new list was not applied");
         }
         moved.list(8, true, &ready(&[&servers[0]]));
-        // A refusal to change: the watch stays where it is.
+        // Invalid files: the watch stays where it is.
         limiter.reload("{\"name\": ");
         limiter.reload("");
         moved.list(9, false, &[target("s-2", servers[1].address, "ready")]);
         moved.list(10, false, &[target("s-1", servers[0].address, "draining")]);
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             let client = limiter.ask(&request("look", "3", "wide", 30.0));
-            let mut arrived = either(&servers[0], &servers[1]);
+            let mut arrived = next_at_either(&servers[0], &servers[1]);
             arrived.answer("200 OK", "", "");
             assert_eq!(Message::read(&client).expect("an answer").status(), 200);
             if arrived.stream.local_addr().expect("known") == servers[1].address {
                 break;
             }
-            assert!(begun.elapsed() < LONG, "the watch was lost");
+            assert!(started.elapsed() < LONG, "the watch was lost");
         }
         moved.list(11, true, &ready(&[&servers[0]]));
         old = moved;
@@ -612,8 +637,10 @@
     assert!(limiter.wait().success());
 }
 
+/// Gossip identifies customers by 32 bits that are the same at every limiter, and carries an incarnation that grows with
+/// each start. Malformed datagrams are ignored.
 #[test]
-fn gossip_tells_customers_and_lives() {
+fn gossip_carries_customers_and_increasing_incarnations() {
     let server = Listener::start();
     let mut limiter = Limiter::start(&ready(&[&server]));
     let peer_listen = limiter.config["peer_listen"]
@@ -621,52 +648,52 @@
         .expect("text")
         .to_string();
     limiter.peer.set_read_timeout(Some(LONG)).expect("set");
-    let mut lives = Vec::new();
+    let mut incarnations = Vec::new();
     for _ in 0..2 {
-        for garbled in [&b""[..], &[2, 0, 0], &[0xff; 256], &[2; 300]] {
-            limiter.peer.send_to(garbled, &peer_listen).expect("sent");
+        for malformed in [&b""[..], &[2, 0, 0], &[0xff; 256], &[2; 300]] {
+            limiter.peer.send_to(malformed, &peer_listen).expect("sent");
         }
         let text = request("look", "1", "wide", 30.0).replace("spread=1", "spread=2");
         let client = limiter.ask(&text);
         server.next().answer("200 OK", "", "");
         assert_eq!(Message::read(&client).expect("an answer").status(), 200);
-        let begun = Instant::now();
-        lives.push(loop {
-            assert!(begun.elapsed() < LONG, "nothing told");
+        let started = Instant::now();
+        incarnations.push(loop {
+            assert!(started.elapsed() < LONG, "no count arrives");
             let mut bytes = [0u8; 300];
             let length = match limiter.peer.recv(&mut bytes) {
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                told => told.expect("told"),
+                received => received.expect("received"),
             };
             let message = gossip::read(&bytes[..length]).expect("sound");
             let customer = stable_hash("00000001b4d65521");
-            let told = |entry: &gossip::Entry| matches!(entry, gossip::Entry::Count { customer: c, .. } if *c == customer);
-            if message.entries.iter().any(told) && !lives.contains(&message.incarnation) {
+            let counts_customer = |entry: &gossip::Entry| matches!(entry, gossip::Entry::Count { customer: c, .. } if *c == customer);
+            if message.entries.iter().any(counts_customer) && !incarnations.contains(&message.incarnation) {
                 break message.incarnation;
             }
         });
         limiter.kill();
         limiter.run();
     }
-    assert!(lives[0] < lives[1], "{lives:?}");
+    assert!(incarnations[0] < incarnations[1], "{incarnations:?}");
 }
 
 #[test]
-fn sigterm_answers_what_comes_and_what_is_held() {
+fn requests_in_flight_and_new_ones_are_answered_after_sigterm() {
     let server = Listener::start();
     let mut limiter = Limiter::start(&ready(&[&server]));
     let idle = limiter.connect();
-    let held = limiter.ask(&request("pay", "1", "wide", 30.0));
+    let in_flight = limiter.ask(&request("pay", "1", "wide", 30.0));
     let mut arrived = server.next();
     limiter.terminate();
-    let begun = Instant::now();
+    let started = Instant::now();
     while limiter
         .get("/health/ready")
         .expect("still accepts")
         .status()
         == 200
     {
-        assert!(begun.elapsed() < LONG, "stays ready");
+        assert!(started.elapsed() < LONG, "stays ready");
     }
     (&idle)
         .write_all(request("look", "2", "wide", 30.0).as_bytes())
@@ -678,7 +705,7 @@
         (200, Some("close"))
     );
     arrived.answer("200 OK", "", "held");
-    let answer = Message::read(&held).expect("an answer");
+    let answer = Message::read(&in_flight).expect("an answer");
     assert_eq!(
         (answer.body.as_slice(), answer.header("connection")),
         (&b"held"[..], Some("close"))
@@ -687,37 +714,38 @@
     assert!(server.is_quiet());
 }
 
-/// A killed limiter's connections linger in its machine: its successor must not wait for them.
+/// Connections of a killed limiter stay in the operating system for a while. Its successor must be able to bind the address
+/// without waiting for them.
 #[test]
-fn rebinds_at_once_after_a_kill() {
+fn the_address_is_bound_again_at_once_after_a_kill() {
     let server = Listener::start();
     let mut limiter = Limiter::start(&ready(&[&server]));
-    let held = limiter.ask(&request("look", "1", "wide", 30.0));
+    let in_flight = limiter.ask(&request("look", "1", "wide", 30.0));
     _ = server.next();
     limiter.kill();
-    assert!(Message::read(&held).is_none());
+    assert!(Message::read(&in_flight).is_none());
     limiter.run();
     let client = limiter.ask(&request("look", "2", "wide", 30.0));
     server.next().answer("200 OK", "", "");
     assert_eq!(Message::read(&client).expect("an answer").status(), 200);
 }
 
-/// More clients than there are descriptors: it neither ends nor stays deaf.
+/// With more clients than descriptors, the limiter must neither exit nor stop accepting connections for good.
 #[test]
-fn lives_through_more_clients_than_descriptors() {
+fn more_clients_than_descriptors_are_survived() {
     let server = Listener::start();
     let mut limiter = Limiter::prepare(&ready(&[&server]));
-    let mut plain = limiter.command();
+    let mut direct = limiter.command();
     let mut command = std::process::Command::new("sh");
     command
         .args(["-c", "ulimit -n 40; exec \"$0\""])
-        .arg(plain.get_program());
+        .arg(direct.get_program());
     command.envs(
-        plain
+        direct
             .get_envs()
             .filter_map(|(key, value)| value.map(|value| (key, value))),
     );
-    _ = plain.stdin(std::process::Stdio::null());
+    _ = direct.stdin(std::process::Stdio::null());
     limiter.run_as(command);
     let crowd: Vec<TcpStream> = (0..60).map(|_| limiter.connect()).collect();
     drop(crowd);
@@ -727,9 +755,9 @@
 }
 
 #[test]
-fn a_bad_configuration_ends_with_one_clear_line() {
+fn an_invalid_configuration_fails_the_start_with_a_one_line_error() {
     let limiter = Limiter::prepare(&[]);
-    let bad = |text: Option<&str>, named: &str| {
+    let check_rejected = |text: Option<&str>, expected: &str| {
         let mut command = limiter.command();
         let path = std::env::temp_dir().join(format!("emberpin-bad-{}", own_host()));
         match text {
@@ -738,24 +766,24 @@
         }
         let output = command.env("GW_CONFIG", &path).output().expect("runs");
         _ = std::fs::remove_file(&path);
-        let told = String::from_utf8(output.stderr).expect("text");
+        let error = String::from_utf8(output.stderr).expect("text");
         assert!(
-            !output.status.success() && told.lines().count() == 1 && told.contains(named),
-            "{told}"
+            !output.status.success() && error.lines().count() == 1 && error.contains(expected),
+            "{error}"
         );
     };
-    bad(None, "cannot read");
-    bad(Some("{\"listen\":"), "EOF");
+    check_rejected(None, "cannot read");
+    check_rejected(Some("{\"listen\":"), "EOF");
     let mut config = limiter.config.clone();
     config["settings"]["zone"] = json!("nowhere");
-    bad(Some(&config.to_string()), "unknown zone 'nowhere'");
+    check_rejected(Some(&config.to_string()), "unknown zone 'nowhere'");
     config["settings"]["zone"] = json!("a");
     config["seed"] = json!("not hex");
-    bad(Some(&config.to_string()), "seed");
-    let taken = TcpListener::bind((own_host(), 0)).expect("bound");
+    check_rejected(Some(&config.to_string()), "seed");
+    let occupied = TcpListener::bind((own_host(), 0)).expect("bound");
     config["seed"] = json!("1");
-    config["listen"] = json!(taken.local_addr().expect("bound").to_string());
-    bad(Some(&config.to_string()), "cannot listen");
+    config["listen"] = json!(occupied.local_addr().expect("bound").to_string());
+    check_rejected(Some(&config.to_string()), "cannot listen");
     let output = limiter
         .command()
         .env_remove("GW_CONFIG")
--- a/crates/emberpin-limiter/tests/link.rs
+++ b/crates/emberpin-limiter/tests/link.rs
@@ -119,7 +119,7 @@
         let client = self.limiters[n].ask(&text);
         let mut attempts = 0;
         loop {
-            if let Some(mut arrived) = self.server.soon() {
+            if let Some(mut arrived) = self.server.poll() {
                 attempts += 1;
                 arrived.answer("200 OK", "", &format!("signed {key}"));
             }
--- a/crates/emberpin-limiter/tests/recorded_peers.rs
+++ b/crates/emberpin-limiter/tests/recorded_peers.rs
@@ -148,7 +148,7 @@
                     peer.say(told.kind, answer);
                 }
             }
-            if let Some(mut arrived) = self.server.soon() {
+            if let Some(mut arrived) = self.server.poll() {
                 arrived.answer("200 OK", "Content-Type: text/plain\r\n", "signed");
             }
         }
--- a/crates/emberpin-limiter/tests/recorded_upgrade.rs
+++ b/crates/emberpin-limiter/tests/recorded_upgrade.rs
@@ -1,5 +1,6 @@
-//! What a limiter's process gives the next one, and what both tell each other, as an earlier build wrote it. The test
-//! plays the other process at the meeting point of a limiter of today's build.
+//! Compatibility of the upgrade protocol with an earlier build: the state that a limiter process hands over to its
+//! successor, and the updates that both send each other, as recorded from that build. The test plays the other process
+//! at the handover path of a limiter of the present build.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "../../emberpin-peering/tests/common/recording.rs"]
@@ -22,7 +23,7 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// What the older process gives, as this test reads it; the limiter's own type is private to it.
+/// The state that the older process hands over. The limiter's own type is private, so the test has this copy.
 #[derive(Serialize, Deserialize)]
 struct State {
     clock: f64,
@@ -32,7 +33,7 @@
     gateway: Handover,
 }
 
-/// What both tell each other, likewise.
+/// The updates that both processes send each other; a copy as well.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 enum Shared {
     Spent(Usage),
@@ -46,7 +47,7 @@
     servers: usize,
 }
 
-/// A limiter that an upgrade may be made of, and its two servers.
+/// A limiter that can be upgraded, its listening socket, its operator address, its two servers and its folder.
 struct Site {
     limiter: Limiter,
     listener: TcpListener,
@@ -69,7 +70,7 @@
             target("s-2", servers[1].address, "ready"),
         ];
         let mut limiter = Limiter::prepare(&listed);
-        // Taken once and kept: a port that is only looked up may be another's by now.
+        // The socket stays open: a port that is only looked up may be in use by another process later.
         let listener = TcpListener::bind((limiter.address.ip(), 0)).expect("bound");
         limiter.address = listener.local_addr().expect("bound");
         limiter.config["listen"] = json!(limiter.address.to_string());
@@ -87,11 +88,11 @@
         }
     }
 
-    fn meeting_point(&self) -> PathBuf {
+    fn handover_path(&self) -> PathBuf {
         self.folder.join("emberpin.handover")
     }
 
-    /// A command that has the listening socket as descriptor 5.
+    /// Returns the command for a process that inherits the listening socket as descriptor 5.
     fn command(&self) -> Command {
         let config = self
             .limiter
@@ -119,11 +120,11 @@
         std::fs::read_to_string(self.log_file()).expect("text")
     }
 
-    /// Waits until the process has logged this.
-    fn says(&self, what: &str) {
-        let begun = Instant::now();
-        while !self.log().contains(what) {
-            assert!(begun.elapsed() < LONG, "never said: {what}");
+    /// Waits until the process has logged this text.
+    fn wait_for_log(&self, text: &str) {
+        let started = Instant::now();
+        while !self.log().contains(text) {
+            assert!(started.elapsed() < LONG, "never logged: {text}");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -133,8 +134,8 @@
         self.limiter.run_as(command);
     }
 
-    /// Says to an operator's address what is to be done.
-    fn order(&self, path: &str) {
+    /// Sends a command to the operators' interface.
+    fn send_command(&self, path: &str) {
         let mut stream = TcpStream::connect(self.ops).expect("connects");
         stream
             .write_all(format!("PUT {path} HTTP/1.1\r\nHost: s\r\n\r\n").as_bytes())
@@ -143,28 +144,28 @@
         assert_eq!(answer.status(), 200);
     }
 
-    /// Has the first server serve a request.
-    fn served_by_first(&self, id: &str) {
+    /// Checks that a request reaches the first server, which answers it.
+    fn check_served_by_first(&self, id: &str) {
         let client = self.limiter.ask(&request("look", id, "wide", 30.0));
         self.servers[0].next().answer("200 OK", "", "");
         assert_eq!(Message::read(&client).expect("an answer").status(), 200);
     }
 
-    /// Comes to a running process as the next one; the frame that it gives first.
-    fn come_as_next(&self) -> (UnixStream, Vec<u8>) {
-        let mut stream = UnixStream::connect(self.meeting_point()).expect("met");
+    /// Connects to a running process as its successor; returns the connection, and the first frame, which has the state.
+    fn connect_as_successor(&self) -> (UnixStream, Vec<u8>) {
+        let mut stream = UnixStream::connect(self.handover_path()).expect("connects");
         stream.set_read_timeout(Some(LONG)).expect("set");
-        stream.write_all(&frame::encode_hello()).expect("said");
+        stream.write_all(&frame::encode_hello()).expect("sent");
         let state = read_frame(&mut stream);
         (stream, state)
     }
 
-    /// Starts a process that finds the test in the older one's place, and gets this frame there.
-    fn start_after(&mut self, state: &[u8]) -> UnixStream {
-        let meeting = UnixListener::bind(self.meeting_point()).expect("bound");
+    /// Starts a process whose predecessor is played by the test, and sends it this frame as the state.
+    fn start_as_successor(&mut self, state: &[u8]) -> UnixStream {
+        let predecessor = UnixListener::bind(self.handover_path()).expect("bound");
         let state = state.to_vec();
-        let giving = std::thread::spawn(move || {
-            let (mut stream, _) = meeting.accept().expect("comes");
+        let handing_over = std::thread::spawn(move || {
+            let (mut stream, _) = predecessor.accept().expect("connects");
             let mut hello = [0; HELLO_LEN];
             stream.read_exact(&mut hello).expect("a hello");
             assert_eq!(frame::check_hello(&hello), Ok(()));
@@ -172,7 +173,7 @@
             stream
         });
         self.start();
-        let stream = giving.join().expect("a state");
+        let stream = handing_over.join().expect("a state");
         stream.set_read_timeout(Some(LONG)).expect("set");
         stream
     }
@@ -188,15 +189,15 @@
 
 fn decode(bytes: &[u8]) -> frame::Message<Shared> {
     let (head, body) = bytes.split_first_chunk::<HEADER_LEN>().expect("a head");
-    frame::decode(head, body).expect("a note")
+    frame::decode(head, body).expect("a message")
 }
 
 fn encode(shared: Shared) -> Vec<u8> {
     frame::encode(&frame::Message::Update(shared)).expect("encoded")
 }
 
-/// The next frame that tells something else than how many connections are held.
-fn next_told(stream: &mut UnixStream) -> Vec<u8> {
+/// Reads the next frame that is not a report of connection counts.
+fn next_update(stream: &mut UnixStream) -> Vec<u8> {
     loop {
         let bytes = read_frame(stream);
         if !matches!(decode(&bytes), frame::Message::Update(Shared::Held(_))) {
@@ -205,14 +206,14 @@
     }
 }
 
-/// Handed over by a process that served two requests and has its second server out of service by hand.
+/// Produces the state of a process that has served two requests and whose second server an operator took out of service.
 fn write_state() -> Vec<u8> {
     let mut site = Site::prepare();
     site.start();
-    site.order("/ops/servers/down/s-2");
-    site.served_by_first("a");
-    site.served_by_first("b");
-    site.come_as_next().1
+    site.send_command("/ops/servers/down/s-2");
+    site.check_served_by_first("a");
+    site.check_served_by_first("b");
+    site.connect_as_successor().1
 }
 
 fn recorded_state() -> Vec<u8> {
@@ -221,20 +222,20 @@
         .1
 }
 
-/// Told by a process to the next one: an order by hand, a request let in, and its connections.
-fn write_told() -> Vec<Recorded> {
+/// Produces the updates that a process sends its successor: connection counts, an operator's command, and used units.
+fn write_updates() -> Vec<Recorded> {
     let mut site = Site::prepare();
     site.start();
-    let (mut stream, _) = site.come_as_next();
+    let (mut stream, _) = site.connect_as_successor();
     let held = read_frame(&mut stream);
     assert!(matches!(
         decode(&held),
         frame::Message::Update(Shared::Held(_))
     ));
-    site.order("/ops/servers/down/s-2");
-    let order = next_told(&mut stream);
-    site.served_by_first("a");
-    let spent = next_told(&mut stream);
+    site.send_command("/ops/servers/down/s-2");
+    let order = next_update(&mut stream);
+    site.check_served_by_first("a");
+    let spent = next_update(&mut stream);
     vec![
         ("held".into(), held),
         ("order".into(), order),
@@ -242,8 +243,8 @@
     ]
 }
 
-fn recorded_told(name: &str) -> Vec<u8> {
-    let recorded = lines("told.txt", write_told);
+fn recorded_update(name: &str) -> Vec<u8> {
+    let recorded = lines("told.txt", write_updates);
     recorded
         .into_iter()
         .find(|(found, _)| found == name)
@@ -252,7 +253,7 @@
 }
 
 #[test]
-fn what_is_handed_over_is_read_and_written_as_it_was_recorded() {
+fn the_recorded_state_is_decoded_and_encoded_unchanged() {
     let recorded = recorded_state();
     let frame::Message::State(body) = decode(&recorded) else {
         panic!("no state")
@@ -271,17 +272,17 @@
 }
 
 #[test]
-fn what_is_told_is_read_and_written_as_it_was_recorded() {
+fn the_recorded_updates_are_decoded_and_encoded_unchanged() {
     for name in ["held", "order", "spent"] {
-        let recorded = recorded_told(name);
+        let recorded = recorded_update(name);
         let frame::Message::Update(shared) = decode(&recorded) else {
-            panic!("{name} is not told")
+            panic!("{name} is not an update")
         };
         assert_eq!(hex(&encode(shared)), hex(&recorded), "{name}");
     }
 }
 
-/// The recorded frame with the endpoints of this site's servers in place of those that are gone by now.
+/// The recorded state with the endpoints of this site's servers in place of those of the recording.
 fn state_for(site: &Site) -> Vec<u8> {
     let frame::Message::State(body) = decode(&recorded_state()) else {
         panic!("no state")
@@ -298,10 +299,10 @@
 }
 
 #[test]
-fn a_process_goes_on_where_the_recorded_one_left_off() {
+fn a_process_continues_from_the_recorded_state() {
     let mut site = Site::prepare();
     site.limiter.config["known"]["targets"] = json!([]);
-    let mut stream = site.start_after(&state_for(&site));
+    let mut stream = site.start_as_successor(&state_for(&site));
     assert!(
         matches!(
             decode(&read_frame(&mut stream)),
@@ -310,32 +311,32 @@
         "it has taken over"
     );
     for number in 0..6 {
-        site.served_by_first(&format!("c{number}"));
+        site.check_served_by_first(&format!("c{number}"));
     }
     assert!(
         site.servers[1].is_quiet(),
-        "out of service by hand since the recorded process"
+        "an operator took it out of service in the recorded process"
     );
     assert!(!site.log().contains("as after a kill"), "{}", site.log());
 }
 
 #[test]
-fn a_process_obeys_the_recorded_order() {
+fn a_process_executes_the_recorded_command() {
     let mut site = Site::prepare();
     site.start();
-    let (mut stream, _) = site.come_as_next();
-    stream.write_all(&recorded_told("order")).expect("told");
-    site.says("server s-2 taken out of service by hand");
+    let (mut stream, _) = site.connect_as_successor();
+    stream.write_all(&recorded_update("order")).expect("sent");
+    site.wait_for_log("server s-2 taken out of service by hand");
     for number in 0..6 {
-        site.served_by_first(&format!("c{number}"));
+        site.check_served_by_first(&format!("c{number}"));
     }
     assert!(site.servers[1].is_quiet());
 }
 
 #[test]
-fn a_process_tells_what_it_is_ordered_and_what_it_spends_as_it_was_recorded() {
-    let told = write_told();
-    for (name, bytes) in told.iter().filter(|(name, _)| name != "held") {
-        assert_eq!(hex(bytes), hex(&recorded_told(name)), "{name}");
+fn a_process_reports_commands_and_used_units_as_recorded() {
+    let updates = write_updates();
+    for (name, bytes) in updates.iter().filter(|(name, _)| name != "held") {
+        assert_eq!(hex(bytes), hex(&recorded_update(name)), "{name}");
     }
 }
--- a/crates/emberpin-limiter/tests/upgrade.rs
+++ b/crates/emberpin-limiter/tests/upgrade.rs
@@ -1,4 +1,5 @@
-//! Upgrades over loopback: two processes of one limiter on one listening socket, with their state handed over.
+//! Upgrades over loopback: two processes of one limiter share a listening socket, and the old process hands its state over
+//! to the new one.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/sockets.rs"]
@@ -15,15 +16,16 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Instant;
 
-/// What stands round the processes of one limiter.
+/// The environment of the processes of one limiter: configuration, listening socket and folder.
 struct Site {
     limiter: Limiter,
     listener: TcpListener,
     folder: PathBuf,
-    next: u32,
+    /// Number of commands prepared, for the names of their configuration files.
+    commands: u32,
 }
 
-/// One of its processes; killed when dropped.
+/// One process of the limiter, and the address of its operators' interface. Killed when dropped.
 struct Process {
     child: Child,
     ops: SocketAddr,
@@ -39,11 +41,11 @@
 impl Site {
     fn new(servers: &[serde_json::Value]) -> Site {
         let mut limiter = Limiter::prepare(servers);
-        // Taken once and kept: a port that is only looked up may be another's by now.
+        // The socket stays open: a port that is only looked up may be in use by another process later.
         let listener = TcpListener::bind((limiter.address.ip(), 0)).expect("bound");
         limiter.address = listener.local_addr().expect("bound");
         limiter.config["listen"] = json!(limiter.address.to_string());
-        // One plan of the two has a ceiling of eight units that hardly fills.
+        // One of the two plans has a hard burst of eight units that refills very slowly.
         let plan = &mut limiter.config["settings"]["plans"][1];
         for (name, value) in [
             ("per-second", 100.0),
@@ -59,17 +61,17 @@
             limiter,
             listener,
             folder,
-            next: 0,
+            commands: 0,
         }
     }
 
-    /// A command that has the listening socket as descriptor 5.
+    /// Returns the command for a process that inherits the listening socket as descriptor 5, and its operator address.
     fn command(&mut self) -> (Command, SocketAddr) {
         let ops = free_port(&own_host());
         self.limiter.config["ops"] = json!(ops.to_string());
-        self.next += 1;
+        self.commands += 1;
         let config = self.limiter.file(
-            &format!("c{}.json", self.next),
+            &format!("c{}.json", self.commands),
             &self.limiter.config.to_string(),
         );
         let mut command = Command::new("sh");
@@ -87,33 +89,35 @@
         (command, ops)
     }
 
+    /// Starts a process, and waits until it is ready.
     fn start(&mut self) -> Process {
         let (mut command, ops) = self.command();
         let mut process = Process {
             child: command.spawn().expect("starts"),
             ops,
         };
-        let begun = Instant::now();
+        let started = Instant::now();
         while !process.is_ready() {
-            assert!(begun.elapsed().as_secs() < 6, "not ready in time");
+            assert!(started.elapsed().as_secs() < 6, "not ready in time");
             if let Some(status) = process.child.try_wait().expect("waited") {
-                panic!("ended: {status}: {}", process.log());
+                panic!("exited: {status}: {}", process.log());
             }
             std::thread::sleep(std::time::Duration::from_millis(5));
         }
         process
     }
 
-    /// The line with which a process ends that cannot start.
-    fn refused(&mut self) -> String {
+    /// Starts a process that must fail at its start, and returns its error output.
+    fn start_error(&mut self) -> String {
         let (mut command, _) = self.command();
         let output = command.output().expect("ran");
         assert!(!output.status.success());
         String::from_utf8_lossy(&output.stderr).into_owned()
     }
 
+    /// Sends a request on a new connection, as the customer that has this plan.
     fn ask(&self, class: &str, id: &str, plan: &str) -> TcpStream {
-        // A customer has one plan.
+        // Each customer has only one plan.
         let account = if plan == "wide" {
             "00000001b4d65522"
         } else {
@@ -123,9 +127,9 @@
             .ask(&request(class, id, plan, 30.0).replace("00000001b4d65521", account))
     }
 
-    /// Has the first process see that the whole group starts, so that a ceiling's store is full from then on; one
-    /// unit of it is spent with that.
-    fn fill_ceilings(&self, server: &Listener) {
+    /// Makes the first process observe that the whole group starts together, as it then begins with full hard bursts. Uses
+    /// one unit of the burst.
+    fn fill_hard_bursts(&self, server: &Listener) {
         let at = self.limiter.config["peer_listen"]
             .as_str()
             .expect("set")
@@ -134,22 +138,25 @@
             .duration_since(std::time::UNIX_EPOCH)
             .expect("after 1970");
         let hello = gossip::Writer::new(unix.as_millis() as u32, 0.0, 0.0).finish();
-        let begun = Instant::now();
+        let started = Instant::now();
         for number in 0.. {
-            assert!(begun.elapsed() < LONG, "never seen to start together");
+            assert!(
+                started.elapsed() < LONG,
+                "the group was not observed to start together"
+            );
             self.limiter.peer.send_to(&hello, &at).expect("sent");
-            if self.is_let_in(server, &format!("f{number}")) {
+            if self.is_admitted(server, &format!("f{number}")) {
                 return;
             }
         }
     }
 
-    /// Whether a request of the plan with the ceiling gets to this server; refused at once if not.
-    fn is_let_in(&self, server: &Listener, id: &str) -> bool {
+    /// Whether a request of the plan with the hard burst reaches this server; if not, it must be rejected.
+    fn is_admitted(&self, server: &Listener, id: &str) -> bool {
         let client = self.ask("look", id, "narrow");
-        let begun = Instant::now();
-        while begun.elapsed() < LONG {
-            if let Some(mut message) = server.soon() {
+        let started = Instant::now();
+        while started.elapsed() < LONG {
+            if let Some(mut message) = server.poll() {
                 message.answer("200 OK", "", "");
                 assert_eq!(Message::read(&client).expect("an answer").status(), 200);
                 return true;
@@ -162,11 +169,11 @@
                 return false;
             }
         }
-        panic!("neither sent on nor refused")
+        panic!("neither forwarded nor rejected")
     }
 
-    /// A request that this server gets, answered.
-    fn served_by(&self, server: &Listener, id: &str, plan: &str) {
+    /// Checks that a request reaches this server, which answers it.
+    fn check_served_by(&self, server: &Listener, id: &str, plan: &str) {
         let client = self.ask("look", id, plan);
         server.next().answer("200 OK", "", "");
         assert_eq!(Message::read(&client).expect("an answer").status(), 200);
@@ -180,6 +187,7 @@
 }
 
 impl Process {
+    /// Calls the operators' interface; returns the status, or `None` if it does not answer.
     fn call(&self, method: &str, path: &str) -> Option<u16> {
         let mut stream = TcpStream::connect(self.ops).ok()?;
         stream.set_read_timeout(Some(LONG)).expect("set");
@@ -204,26 +212,27 @@
             .success());
     }
 
-    /// Waits for its good end.
-    fn ends(&mut self) {
-        let begun = Instant::now();
+    /// Waits until the process has exited successfully.
+    fn wait_for_success(&mut self) {
+        let started = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("waited") {
                 assert!(status.success(), "{status}: {}", self.log());
                 return;
             }
-            assert!(begun.elapsed() < LONG, "does not end");
+            assert!(started.elapsed() < LONG, "does not exit in time");
             std::thread::sleep(std::time::Duration::from_millis(5));
         }
     }
 
+    /// Kills the process; returns what it logged.
     fn kill(mut self) -> String {
         self.child.kill().expect("killed");
-        self.child.wait().expect("gone");
+        self.child.wait().expect("exited");
         self.log()
     }
 
-    /// What an ended process logged.
+    /// The log output of a process that has exited.
     fn log(&mut self) -> String {
         let mut text = String::new();
         if let Some(mut log) = self.child.stderr.take() {
@@ -233,6 +242,7 @@
     }
 }
 
+/// Two servers, and their entries of the endpoint list.
 fn servers() -> (Listener, Listener, Vec<serde_json::Value>) {
     let (one, other) = (Listener::start(), Listener::start());
     let list = vec![
@@ -243,57 +253,54 @@
 }
 
 #[test]
-fn bans_ceilings_and_open_requests_outlast_two_upgrades() {
+fn out_of_service_marks_hard_bursts_and_requests_in_flight_survive_two_upgrades() {
     let (one, other, list) = servers();
     let mut site = Site::new(&list);
     let mut old = site.start();
     assert_eq!(old.call("PUT", "/ops/servers/down/s-2"), Some(200));
-    // Eight units, of which seven go.
-    site.fill_ceilings(&one);
+    // Seven of the eight units are used.
+    site.fill_hard_bursts(&one);
     for number in 0..6 {
-        site.served_by(&one, &format!("a{number}"), "narrow");
+        site.check_served_by(&one, &format!("a{number}"), "narrow");
     }
     for round in 0..2 {
-        // Under way while the next process comes.
-        let under_way = site.ask("pay", &format!("w{round}"), "wide");
+        // In flight while the next process starts.
+        let in_flight = site.ask("pay", &format!("w{round}"), "wide");
         let mut at_server = one.next();
         let mut new = site.start();
-        // Kept open since before, with nothing on it: the old process answers on it and ends it with that.
+        // The old process answers on the connection that it accepted, and closes it after the response.
         old.terminate();
         let mut text = String::new();
         at_server.answer("200 OK", "", "");
-        (&under_way)
+        (&in_flight)
             .read_to_string(&mut text)
             .expect("answered and closed");
         assert!(text.starts_with("HTTP/1.1 200"), "{text}");
-        old.ends();
+        old.wait_for_success();
         for number in 0..3 {
-            site.served_by(&one, &format!("b{round}{number}"), "wide");
+            site.check_served_by(&one, &format!("b{round}{number}"), "wide");
         }
         std::mem::swap(&mut old, &mut new);
     }
-    site.served_by(&one, "a7", "narrow");
+    site.check_served_by(&one, "a7", "narrow");
     let answer = Message::read(&site.ask("look", "a8", "narrow")).expect("an answer");
     assert_eq!(
         answer.status(),
         429,
-        "the ceiling is spent over both processes"
-    );
-    assert!(
-        other.is_quiet(),
-        "out of service by hand since two processes"
+        "the processes together have used up the hard burst"
     );
+    assert!(other.is_quiet(), "taken out of service two processes ago");
     assert_eq!(old.call("PUT", "/ops/servers/up/s-2"), Some(200));
     assert_eq!(old.call("PUT", "/ops/servers/down/s-1"), Some(200));
 }
 
 #[test]
-fn what_one_process_lets_in_the_other_counts_while_both_are_there() {
+fn units_admitted_by_one_process_count_at_the_other_while_both_run() {
     let (one, _other, list) = servers();
     let mut site = Site::new(&list[..1]);
-    // On a connection of its own, so that each process is sure to have one.
+    // Only the old process runs, so it accepts the connection `at_old`.
     let old = site.start();
-    site.fill_ceilings(&one);
+    site.fill_hard_bursts(&one);
     let at_old = site.limiter.connect();
     let ask = |stream: &TcpStream, id: &str| {
         (&mut &*stream)
@@ -304,160 +311,166 @@
     one.next().answer("200 OK", "", "");
     assert_eq!(Message::read(&at_old).expect("an answer").status(), 200);
     let new = site.start();
-    // Eight units in all, two of them spent, and all others but one now on the old process's connection.
+    // Two of the eight units are used; all but one of the others are used now on the old process's connection.
     for number in 0..5 {
         ask(&at_old, &format!("o{number}"));
         one.next().answer("200 OK", "", "");
         assert_eq!(Message::read(&at_old).expect("an answer").status(), 200);
     }
-    // The old one is gone, and what it told is known.
+    // The old process is killed; the new one has received its reports of used units.
     drop(at_old);
     drop(old);
-    let let_in = (0..4)
-        .filter(|number| site.is_let_in(&one, &format!("n{number}")))
+    let admitted = (0..4)
+        .filter(|number| site.is_admitted(&one, &format!("n{number}")))
         .count();
-    assert_eq!(let_in, 1, "{let_in}, beyond what the ceiling held yet");
+    assert_eq!(
+        admitted, 1,
+        "{admitted} admitted, but one unit of the hard burst was left"
+    );
     drop(new);
 }
 
 #[test]
-fn whatever_stands_at_the_meeting_point_the_start_is_in_time_and_as_after_a_kill() {
+fn whatever_is_at_the_handover_path_a_process_starts_in_time_as_after_a_kill() {
     let (one, _other, list) = servers();
     let mut site = Site::new(&list[..1]);
-    let meeting = site.folder.join("emberpin.handover");
-    // A socket at which nobody answers any more, a file, and another program that says nothing.
-    drop(UnixListener::bind(&meeting).expect("bound"));
+    let handover_path = site.folder.join("emberpin.handover");
+    // A socket without a listener, then a regular file, then a program that accepts connections and sends nothing.
+    drop(UnixListener::bind(&handover_path).expect("bound"));
     let first = site.start();
-    site.served_by(&one, "a", "wide");
+    site.check_served_by(&one, "a", "wide");
     drop(first);
-    std::fs::remove_file(&meeting).expect("there");
-    std::fs::write(&meeting, "torn").expect("written");
+    std::fs::remove_file(&handover_path).expect("there");
+    std::fs::write(&handover_path, "torn").expect("written");
     let second = site.start();
-    site.served_by(&one, "b", "wide");
+    site.check_served_by(&one, "b", "wide");
     drop(second);
-    std::fs::remove_file(&meeting).expect("there");
-    let silent = UnixListener::bind(&meeting).expect("bound");
+    std::fs::remove_file(&handover_path).expect("there");
+    let silent = UnixListener::bind(&handover_path).expect("bound");
     let third = site.start();
-    site.served_by(&one, "c", "wide");
+    site.check_served_by(&one, "c", "wide");
     assert!(third.kill().contains("did not answer in time"));
     drop(silent);
-    // And one that speaks another language.
-    _ = std::fs::remove_file(&meeting);
-    let strange = UnixListener::bind(&meeting).expect("bound");
-    let talking = std::thread::spawn(move || {
-        let (mut stream, _) = strange.accept().expect("comes");
+    // A program that speaks another protocol.
+    _ = std::fs::remove_file(&handover_path);
+    let foreign = UnixListener::bind(&handover_path).expect("bound");
+    let sending = std::thread::spawn(move || {
+        let (mut stream, _) = foreign.accept().expect("connects");
         _ = stream.write_all(&[0xff; 64]);
         _ = stream.read(&mut [0; 64]);
     });
     let fourth = site.start();
-    talking.join().expect("talked");
+    sending.join().expect("sent");
     assert!(fourth.kill().contains("starting as after a kill"));
-    // And one that dies in the midst of handing over.
-    _ = std::fs::remove_file(&meeting);
-    let dying = UnixListener::bind(&meeting).expect("bound");
-    let handing = std::thread::spawn(move || {
-        let (mut stream, _) = dying.accept().expect("comes");
+    // A process that exits in the middle of the handover.
+    _ = std::fs::remove_file(&handover_path);
+    let exiting = UnixListener::bind(&handover_path).expect("bound");
+    let handing_over = std::thread::spawn(move || {
+        let (mut stream, _) = exiting.accept().expect("connects");
         stream.read_exact(&mut [0; 10]).expect("a hello");
         stream
             .write_all(&[200, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7])
             .expect("half of it");
     });
     let fifth = site.start();
-    handing.join().expect("handed");
-    site.served_by(&one, "d", "wide");
+    handing_over.join().expect("handed over");
+    site.check_served_by(&one, "d", "wide");
     assert!(fifth.kill().contains("starting as after a kill"));
 }
 
 #[test]
-fn a_new_process_that_dies_leaves_the_old_one_serving_as_before() {
+fn a_failed_new_process_leaves_the_old_one_serving() {
     let (one, other, list) = servers();
     let mut site = Site::new(&list);
     let mut old = site.start();
     assert_eq!(old.call("PUT", "/ops/servers/down/s-2"), Some(200));
-    // Just after its yes, and as one that cannot start: its door's address is taken.
+    // The new process is killed just after the handover; another cannot start, as its operator address is in use.
     let new = site.start();
     drop(new);
-    let taken = TcpListener::bind("127.0.0.1:0").expect("bound");
+    let occupied = TcpListener::bind("127.0.0.1:0").expect("bound");
     let (mut command, _) = site.command();
     let text = site.limiter.config.to_string();
     let ops = site.limiter.config["ops"]
         .as_str()
         .expect("set")
         .to_string();
-    let text = text.replace(&ops, &taken.local_addr().expect("bound").to_string());
+    let text = text.replace(&ops, &occupied.local_addr().expect("bound").to_string());
     command.env("GW_CONFIG", site.limiter.file("taken.json", &text));
     let output = command.output().expect("ran");
     assert!(!output.status.success());
-    site.served_by(&one, "a", "wide");
-    // The port for the other limiters is the old one's again.
-    let at: SocketAddr = site.limiter.config["peer_listen"]
+    site.check_served_by(&one, "a", "wide");
+    // The old process listens for the other limiters again.
+    let peer_listen: SocketAddr = site.limiter.config["peer_listen"]
         .as_str()
         .expect("set")
         .parse()
         .expect("an address");
-    let begun = Instant::now();
-    while UdpSocket::bind(at).is_ok() {
-        assert!(begun.elapsed() < LONG, "nobody took the port back");
+    let started = Instant::now();
+    while UdpSocket::bind(peer_listen).is_ok() {
+        assert!(
+            started.elapsed() < LONG,
+            "the old process did not open its port again"
+        );
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
-    // And it can be asked again.
+    // And it can hand over again.
     let mut next = site.start();
     old.terminate();
-    old.ends();
-    site.served_by(&one, "b", "wide");
+    old.wait_for_success();
+    site.check_served_by(&one, "b", "wide");
     assert!(other.is_quiet());
     assert!(next.is_ready());
     next.terminate();
-    next.ends();
+    next.wait_for_success();
 }
 
 #[test]
-fn a_second_upgrade_during_the_first_is_refused_and_harms_neither() {
+fn a_second_upgrade_during_the_first_is_rejected_and_affects_neither_process() {
     let (one, _other, list) = servers();
     let mut site = Site::new(&list[..1]);
     let mut old = site.start();
     let new = site.start();
-    let line = site.refused();
+    let line = site.start_error();
     assert!(
         line.contains("another upgrade of this limiter is under way") && line.lines().count() == 1,
         "{line}"
     );
-    site.served_by(&one, "a", "wide");
+    site.check_served_by(&one, "a", "wide");
     old.terminate();
-    old.ends();
-    site.served_by(&one, "b", "wide");
+    old.wait_for_success();
+    site.check_served_by(&one, "b", "wide");
     drop(new);
 }
 
 #[test]
-fn told_to_go_before_the_next_is_there_it_still_hands_over() {
+fn a_process_that_drains_already_still_hands_over() {
     let (one, other, list) = servers();
     let mut site = Site::new(&list);
     let mut old = site.start();
     assert_eq!(old.call("PUT", "/ops/servers/down/s-2"), Some(200));
-    let under_way = site.ask("look", "a", "wide");
+    let in_flight = site.ask("look", "a", "wide");
     let mut at_server = one.next();
     old.terminate();
-    // Not ready any more, but it has a request to answer.
-    let begun = Instant::now();
+    // No longer ready, but it still has a request to answer.
+    let started = Instant::now();
     while old.is_ready() {
-        assert!(begun.elapsed() < LONG);
+        assert!(started.elapsed() < LONG);
     }
     let new = site.start();
     at_server.answer("200 OK", "", "");
-    assert_eq!(Message::read(&under_way).expect("an answer").status(), 200);
-    old.ends();
+    assert_eq!(Message::read(&in_flight).expect("an answer").status(), 200);
+    old.wait_for_success();
     for number in 0..6 {
-        site.served_by(&one, &format!("b{number}"), "wide");
+        site.check_served_by(&one, &format!("b{number}"), "wide");
     }
     assert!(other.is_quiet());
     drop(new);
 }
 
-/// A hundred and twenty clients of the old process all come to the new one, which has places for them at once: more
-/// than half of all.
+/// 120 clients of the old process reconnect to the new one, which must have slots for all of them at once: more than half
+/// of all slots.
 #[test]
-fn the_old_processs_clients_find_places_at_the_new_one() {
+fn the_old_processs_clients_find_slots_at_the_new_one() {
     let server = Listener::start();
     let mut site = Site::new(&[target("s-1", server.address, "ready")]);
     site.limiter.config["limits"]["sockets"] = json!(384);
@@ -481,40 +494,40 @@
     for (number, client) in clients.iter().enumerate() {
         assert!(
             ask(client, &format!("b{number}")),
-            "the old process ends them one by one"
+            "the old process closes each connection after its response"
         );
     }
     drop(clients);
-    let (mut kept, mut sent_away) = (Vec::new(), 0);
+    let (mut kept, mut closed) = (Vec::new(), 0);
     while kept.len() < 120 {
         let client = site.limiter.connect();
-        if ask(&client, &format!("c{}-{sent_away}", kept.len())) {
-            sent_away += 1;
+        if ask(&client, &format!("c{}-{closed}", kept.len())) {
+            closed += 1;
             assert!(
-                sent_away < 60,
-                "{} kept, the others are sent away",
+                closed < 60,
+                "{} kept, the others were closed after their response",
                 kept.len()
             );
         } else {
             kept.push(client);
         }
     }
-    old.ends();
+    old.wait_for_success();
     drop(new);
 }
 
 #[test]
-fn a_descriptor_that_is_no_listening_socket_there_is_one_clear_line() {
+fn an_unusable_inherited_descriptor_fails_the_start_with_a_one_line_error() {
     let (_one, _other, list) = servers();
     let mut site = Site::new(&list);
-    for (named, expected) in [
+    for (descriptor, expected) in [
         ("five", "expected the number of a descriptor"),
         ("1", "from 3 on"),
         ("77", "GW_PASSED_SOCKET '77'"),
     ] {
         let (mut command, _) = site.command();
         let output = command
-            .env("GW_PASSED_SOCKET", named)
+            .env("GW_PASSED_SOCKET", descriptor)
             .output()
             .expect("ran");
         let text = String::from_utf8_lossy(&output.stderr);
@@ -525,7 +538,7 @@
     }
     let elsewhere = TcpListener::bind("127.0.0.1:0").expect("bound");
     site.listener = elsewhere;
-    let line = site.refused();
+    let line = site.start_error();
     assert!(
         line.contains("expected a socket that listens on") && line.lines().count() == 1,
         "{line}"
