--- a/crates/emberpin-proxy/src/frontend/mod.rs
+++ b/crates/emberpin-proxy/src/frontend/mod.rs
@@ -98,7 +98,7 @@
             self.metrics.count_rejection(RejectionCause::Request);
         }
         let request = received?;
-        let active = self.figures.taken(ClassId(0));
+        let active = self.figures.start_request(ClassId(0));
         let reply = self.forward(request).await?;
         Ok(self.respond_with(reply, active, connection).await)
     }
@@ -274,7 +274,7 @@
 /// Returns once the client has sent nothing of its body for [`UPLOAD_IDLE_TIMEOUT`]. A slow client keeps its upload
 /// slot, a silent one loses it.
 async fn wait_until_upload_idle(upload: &Upload) {
-    while upload.silence() < UPLOAD_IDLE_TIMEOUT {
+    while upload.idle_time() < UPLOAD_IDLE_TIMEOUT {
         sleep(UPLOAD_IDLE_CHECK_PERIOD).await;
     }
 }
