--- a/crates/emberpin-simulator/build.rs
+++ b/crates/emberpin-simulator/build.rs
@@ -1,4 +1,4 @@
-//! Builds the package anew when a recorded scenario is added or changed: they are embedded into it.
+//! Rebuilds the package when a recorded scenario is added or changed, because the scenarios are embedded into it.
 
 fn main() {
     println!("cargo:rerun-if-changed=scenarios");
--- a/crates/emberpin-simulator/src/fault_effects.rs
+++ b/crates/emberpin-simulator/src/fault_effects.rs
@@ -1,27 +1,27 @@
-//! Which faults of a run took effect: a kill of a process that does not run, a cut without a message, or a stall in
-//! which nothing is written tests nothing.
+//! Counts how often the faults of a run took effect. A kill of a process that does not run, a partition without messages,
+//! or a disk stall without writes tests nothing.
 
 use crate::scenario::StoreMessageKind;
 use std::fmt::{self, Display};
 use std::ops::AddAssign;
 
-/// How many kinds of messages between stores can be lost on purpose.
+/// The number of message kinds between stores that can be lost on purpose.
 const MESSAGE_KINDS: usize = StoreMessageKind::ALL.len();
 
-/// How often faults took effect, by their kind.
+/// How often faults took effect, by kind of effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultEffects {
-    /// Core machines whose process was ended by a kill, a loss of power, a wiped disk or a replacement.
+    /// Core processes that were stopped by a kill, a power cut, a wiped disk or a replacement.
     pub ended_processes: u64,
-    /// Writes that a loss of power took away, as they were not synced.
+    /// Unsynced writes that were lost in a power cut.
     pub lost_writes: u64,
-    /// Disks that were wiped with something on them.
+    /// Wiped disks that were not empty.
     pub wiped_disks: u64,
-    /// Events that waited for the end of a freeze.
+    /// Events that were deferred until a frozen process was thawed.
     pub deferred_events: u64,
     /// Syncs that a stalled disk delayed.
     pub delayed_syncs: u64,
-    /// Messages between stores that a partition stopped.
+    /// Messages between stores that a partition dropped.
     pub partitioned_messages: u64,
     /// Messages between stores that were lost on purpose, in the order of [`StoreMessageKind::ALL`].
     lost_messages: [u64; MESSAGE_KINDS],
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Each kind of effect, with how often it occurred.
+    /// The description of each kind of effect, with its count.
     pub fn counts(&self) -> Vec<(String, u64)> {
         let named = [
             ("ended processes", self.ended_processes),
--- a/crates/emberpin-simulator/src/generator/dense/faults.rs
+++ b/crates/emberpin-simulator/src/generator/dense/faults.rs
@@ -3,9 +3,9 @@
 use super::super::names_of;
 use super::{DenseScenario, SYNC_TIME_MS};
 
-/// No machine gets a higher number than one above this by a replacement.
+/// Replacements stop when the next machine's number would be above this.
 const MAX_CORE: u8 = 60;
-/// Machines that were all killed come back within this.
+/// When all machines were stopped, they are started again within this time.
 const RETURN_OF_ALL_MS: u64 = 1_000;
 
 impl DenseScenario {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// How long a fault lasts: mostly briefly.
+    /// Draws the duration of a fault in milliseconds; three of four faults are shorter than 2.5 s.
     fn draw_fault_length(&mut self) -> u64 {
         match self.draw_below(4) {
             0 => self.draw_between(20, 300),
@@ -43,7 +43,7 @@
         self.add_step(format!("kill core-{core}"));
         self.add_step_at(return_at, format!("start core-{core}"));
         if self.chance(25) {
-            // Again, before it has caught up with the others.
+            // Kills it again before it has caught up with the other machines.
             let again = return_at + self.draw_between(20, 600);
             self.add_step_at(again, format!("kill core-{core}"));
             self.add_step_at(again + 200, format!("start core-{core}"));
@@ -67,7 +67,7 @@
             return;
         };
         self.add_step(format!("wipe core-{core}"));
-        // Some operators leave the settings of the first start as they are.
+        // Some operators do not change the settings after the first start.
         let start = if self.has_first_seeds && self.chance(25) {
             "bootstrap"
         } else {
@@ -87,7 +87,7 @@
         self.next_core += 1;
         self.cores.retain(|one| *one != core);
         self.has_first_seeds = false;
-        // A process whose seeds are all removed for good would reach nobody.
+        // A process whose seeds are all permanently removed could not reach any machine.
         self.add_step(format!("seeds{}", names_of(&self.cores)));
         self.cores.push(new);
         let until = self.lost_until.remove(&core).unwrap_or(self.now_ms);
@@ -118,7 +118,7 @@
         self.add_step_at(return_at, format!("heal core-{core}"));
     }
 
-    /// Messages from a machine, or to it, arrive seconds later.
+    /// Delays messages from a machine, to it, or both, by up to some seconds.
     fn slow_down(&mut self) {
         let return_at = self.now_ms + self.draw_fault_length();
         let (low, more) = (self.draw_between(50, 2_000), self.draw_between(200, 3_000));
@@ -145,11 +145,11 @@
         self.add_step(format!("stall {span}ms core-{core}"));
     }
 
-    /// All machines are killed or lose power, and as many disks are lost as may be.
+    /// Kills all machines or cuts their power, in some cases with lost disks up to the tolerance.
     fn end_all(&mut self) {
         let all = self.cores.clone();
-        let word = ["kill", "power", "power hard"][self.draw_below(3) as usize];
-        self.add_step(format!("{word}{}", names_of(&all)));
+        let step = ["kill", "power", "power hard"][self.draw_below(3) as usize];
+        self.add_step(format!("{step}{}", names_of(&all)));
         let return_at = self.now_ms + self.draw_between(50, RETURN_OF_ALL_MS);
         if self.chance(60) {
             while self.chance(70) {
@@ -160,7 +160,7 @@
             }
         }
         self.add_step_at(return_at, format!("start{}", names_of(&all)));
-        // All of them were down.
+        // All machines were down, so all count as unavailable.
         for core in all {
             let until = self.lost_until.entry(core).or_default();
             *until = (return_at + SYNC_TIME_MS).max(*until);
@@ -184,7 +184,7 @@
         self.add_step_at(return_at, format!("{end} {proxy}"));
     }
 
-    /// Processes are configured with other seeds, of which at least one is not lost.
+    /// Changes the configured seeds; at least one of the new ones is available.
     fn change_seeds(&mut self) {
         let available = self.cores_not_lost();
         if available.is_empty() {
--- a/crates/emberpin-simulator/src/generator/dense/mod.rs
+++ b/crates/emberpin-simulator/src/generator/dense/mod.rs
@@ -1,8 +1,9 @@
-//! Draws dense scenarios: several kinds of faults at once and repeated, over hundreds of changes.
+//! Generates dense scenarios: several kinds of faults at once and repeated, over hundreds of changes.
 //!
-//! Never more machines are lost at once than `tolerance` says. A machine is lost while it is down, frozen, slowed or
-//! partitioned, and for [`SYNC_TIME_MS`] after that; one that is replaced, until its successor has had that time. All
-//! machines may be killed or lose power at one moment, and come back within a second.
+//! At most `tolerance` machines are unavailable at once. A machine is unavailable while it is down, frozen, slowed or
+//! partitioned, and for [`SYNC_TIME_MS`] after that; a replaced machine is unavailable until its successor has had that
+//! time. As an exception, all machines may be killed or lose power at the same time, and are started again within a
+//! second.
 
 mod faults;
 mod operators;
@@ -15,11 +16,11 @@
 use std::fmt::Write;
 use targeted::roster_complete_ms;
 
-/// Makes the draws of a seed differ from those of its wide scenario.
+/// Makes the random numbers of a dense scenario differ from those of the seed's wide scenario.
 const SEED_MASK: u128 = 0xde_0000;
-/// `sync_time`: for how long a machine still counts as lost after its return.
+/// `sync_time`: for how long a machine counts as unavailable after its return.
 const SYNC_TIME_MS: u64 = 4_000;
-/// How many of a hundred moments of a faulty time change a server.
+/// Percentage of the steps in a fault period that change a server.
 const SERVER_PERCENT: u64 = 8;
 
 /// A version of a route that a patch set or dropped.
@@ -33,23 +34,23 @@
 #[derive(Clone, Debug)]
 struct SentCall {
     operator: String,
-    /// The version that it gave a route, if it is about one.
+    /// The route and version in a call about a single route.
     route: Option<RouteVersion>,
 }
 
-/// A dense scenario as it is drawn.
+/// A dense scenario while it is generated.
 struct DenseScenario {
     random: Rand64,
-    /// By their time, in the order in which they were drawn.
+    /// The steps by time, and in the order of generation.
     steps: BTreeMap<u64, Vec<String>>,
     now_ms: u64,
-    /// How many core machines there are at the start.
+    /// The number of core machines at the start.
     initial_cores: u8,
     cores: Vec<u8>,
     next_core: u8,
-    /// Whether processes are still configured with the seeds of the first start.
+    /// Whether the settings of processes still contain the seeds of the first start.
     has_first_seeds: bool,
-    /// Until when a machine counts as lost.
+    /// The time until which each machine counts as unavailable.
     lost_until: BTreeMap<u8, u64>,
     proxies: u8,
     tolerance: usize,
@@ -57,7 +58,7 @@
     calls: u64,
     sent_calls: Vec<SentCall>,
     servers: u64,
-    /// Messages between stores may be late and disks slow, so that the run asserts nothing with a time limit.
+    /// Whether messages between stores may be late and disks slow. The run does not check time limits then.
     may_be_slow: bool,
 }
 
@@ -94,7 +95,7 @@
         others.filter(|other| *other != core).collect()
     }
 
-    // ---- which machines may be lost
+    // ---- availability of machines
 
     fn count_lost(&self) -> usize {
         self.lost_until
@@ -112,7 +113,7 @@
         cores.filter(|core| !is_lost(core)).collect()
     }
 
-    /// Chooses a machine that may be lost now, until some time after its return; `None` if no more may be lost.
+    /// Chooses a machine for a fault that ends at `return_at`, and marks it unavailable; `None` if the tolerance is used up.
     fn lose_core(&mut self, return_at: u64) -> Option<u8> {
         if self.count_lost() >= self.tolerance {
             return None;
@@ -125,7 +126,7 @@
 
     // ---- the run
 
-    /// The scenario's file.
+    /// The text of the scenario.
     fn text(&self, seed: u64) -> String {
         let count = self.initial_cores;
         let mut text = format!(
@@ -142,7 +143,7 @@
         text
     }
 
-    /// Faults follow each other, with calls of operators and servers between them.
+    /// Adds a period of `span` milliseconds with faults, operator calls and server steps.
     fn add_faulty_time(&mut self, span: u64) {
         let end = self.now_ms + span;
         let (fault_percent, call_percent) = (self.draw_between(10, 40), self.draw_between(30, 60));
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Some machines are partitioned from the others for long, and the core machines have no other fault.
+    /// Adds a long partition of some machines from the others, during which the core machines have no other fault.
     fn add_isolation(&mut self) {
         let last_return = self.lost_until.values().copied().max();
         self.now_ms = self.now_ms.max(last_return.unwrap_or_default()) + 1;
@@ -177,7 +178,7 @@
         self.add_quiet_time(until - self.now_ms);
     }
 
-    /// The core machines have no faults.
+    /// Adds a period of `span` milliseconds in which the core machines have no faults.
     fn add_quiet_time(&mut self, span: u64) {
         let end = self.now_ms + span;
         while self.now_ms < end {
@@ -192,7 +193,7 @@
     }
 }
 
-/// Draws a dense scenario: faults at random moments.
+/// Generates a dense scenario with faults at random times.
 pub(super) fn generate(seed: u64) -> String {
     let mut dense = first_configuration(seed, &[1, 2, 3]);
     for _ in 0..dense.draw_between(1, 4) {
@@ -210,28 +211,28 @@
     dense.text(seed)
 }
 
-/// Draws a scenario whose faults strike in the middle of rounds; `number` chooses the pair of message and fault.
+/// Generates a scenario with faults in the middle of rounds; `number` selects the pair of message kind and fault.
 pub(super) fn generate_targeted(seed: u64, number: u64) -> String {
     let mut dense = first_configuration(seed, &[1, 2, 2]);
     dense.add_targeted_rounds(number);
     dense.text(seed)
 }
 
-/// Draws a scenario whose machines are replaced one after the other.
+/// Generates a scenario whose machines are replaced one after the other.
 pub(super) fn generate_replacements(seed: u64) -> String {
     let mut dense = first_configuration(seed, &[1, 1, 2]);
     dense.add_replacements();
     dense.text(seed)
 }
 
-/// A scenario up to its first configuration and complete roster.
+/// Starts a scenario, up to its first configuration and complete roster.
 fn first_configuration(seed: u64, tolerances: &[u8]) -> DenseScenario {
     let mut random = Rand64::new(u128::from(seed) ^ SEED_MASK);
-    let mut one = |of: &[u8]| of[random.rand_range(0..of.len() as u64) as usize];
-    let count = one(&[3, 5, 5, 5, 7]);
-    let tolerance = one(tolerances).min((count - 1) / 2);
-    let proxies = one(&[1, 2, 4, 8]);
-    let may_be_slow = one(&[0, 0, 1]) == 1;
+    let mut choose = |choices: &[u8]| choices[random.rand_range(0..choices.len() as u64) as usize];
+    let count = choose(&[3, 5, 5, 5, 7]);
+    let tolerance = choose(tolerances).min((count - 1) / 2);
+    let proxies = choose(&[1, 2, 4, 8]);
+    let may_be_slow = choose(&[0, 0, 1]) == 1;
     let mut dense = DenseScenario {
         random,
         steps: BTreeMap::new(),
--- a/crates/emberpin-simulator/src/generator/dense/operators.rs
+++ b/crates/emberpin-simulator/src/generator/dense/operators.rs
@@ -1,11 +1,11 @@
-//! The calls of operators in a dense scenario.
+//! Operator calls in a dense scenario.
 
 use super::super::{ROUTES, SERVICES, ZONES};
 use super::{DenseScenario, RouteVersion, SentCall};
 
-/// How long a zone's servers are left without requests after an evacuation: they may begin to warm up meanwhile.
+/// The pause after calls about an evacuation. The zone's servers get no requests and may begin to warm up meanwhile.
 const EVACUATION_PAUSE_MS: u64 = 200;
-/// From how many of the latest versions one is drawn that is used again.
+/// A reused version is chosen from this many of the latest ones.
 const REUSED_VERSIONS: usize = 30;
 
 impl DenseScenario {
@@ -17,7 +17,7 @@
         }
     }
 
-    /// The name of an operator for a new call.
+    /// Records a new call, and returns the name of its operator. Each call has an operator of its own.
     pub(super) fn next_operator(&mut self, route: Option<RouteVersion>) -> String {
         self.calls += 1;
         let operator = format!("c{}", self.calls);
@@ -64,7 +64,7 @@
         self.set_route(route, version);
     }
 
-    /// Two to eight operators send different contents under one version of a route, to several machines.
+    /// Two to eight operators send different contents for the same version of a route to several machines.
     fn race(&mut self) {
         let (route, version) = (self.draw_below(ROUTES), self.next_version());
         let now = self.now_ms;
@@ -83,7 +83,7 @@
         self.now_ms += 25;
     }
 
-    /// A call is repeated, often one of the latest.
+    /// Repeats an earlier call, in half of the cases one of the latest eight.
     fn repeat_call(&mut self) {
         let count = self.sent_calls.len() as u64;
         if count == 0 {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Another content under an older version: alone, or in a call with something new.
+    /// Sends another content for an older version, either alone or in a call with a new service.
     fn reuse_version(&mut self) {
         let numbered: Vec<RouteVersion> = self
             .sent_calls
@@ -147,7 +147,7 @@
         let operator = self.next_operator(None);
         let what = match self.draw_below(3) {
             0 => format!("svc=b{0} route=bad{0}:h9/p/:none ver={version}", self.calls),
-            // Valid alone, but another route has the same host and prefix.
+            // Valid on its own, but another route may have the same host and prefix.
             1 => format!(
                 "route=x{0}:h{1}/p/:a0 ver={version}",
                 self.calls,
@@ -158,7 +158,7 @@
         self.add_step(format!("operator {operator} patch {target}{what}"));
     }
 
-    /// Begins or ends an evacuation, with several calls to different machines.
+    /// Begins or ends an evacuation, with one to three calls to any machines.
     fn evacuate(&mut self) {
         let zone = ZONES[self.draw_below(ZONES.len() as u64) as usize];
         let begin = if self.chance(50) { "begin" } else { "finish" };
--- a/crates/emberpin-simulator/src/generator/dense/servers.rs
+++ b/crates/emberpin-simulator/src/generator/dense/servers.rs
@@ -1,9 +1,9 @@
-//! The servers of a dense scenario.
+//! Server steps in a dense scenario.
 
 use super::super::{SERVICES, ZONES};
 use super::DenseScenario;
 
-/// The most servers of a run.
+/// Maximum number of servers in a scenario.
 const MAX_SERVERS: u64 = 14;
 /// The first server's port.
 const FIRST_PORT: u64 = 2_000;
@@ -18,7 +18,7 @@
             2 if known > 0 => {
                 self.add_step(format!("server s{any} crash"));
                 if known < MAX_SERVERS && self.chance(50) {
-                    // Another server gets its address.
+                    // Another server starts with the crashed server's address.
                     let at = self.now_ms + self.draw_between(2_000, 3_000);
                     self.start_server(at, FIRST_PORT + any);
                 }
--- a/crates/emberpin-simulator/src/generator/dense/targeted.rs
+++ b/crates/emberpin-simulator/src/generator/dense/targeted.rs
@@ -1,7 +1,7 @@
-//! Faults in the middle of rounds: messages of one kind between some stores are lost around a call, and a fault strikes
-//! one of them meanwhile. Faults at random moments rarely meet the few milliseconds in which a round can be lost.
+//! Targeted faults in the middle of rounds: messages of one kind between some stores are lost around an operator's call,
+//! and meanwhile a fault is injected. Faults at random times rarely hit the few milliseconds in which a round can be lost.
 //!
-//! The seeds go through all pairs of a message kind and a fault in turn, so that each pair is covered.
+//! Consecutive scenario numbers cycle through all pairs of a message kind and a fault, so that each pair is covered.
 
 use super::super::{names_of, ROSTER_COMPLETE_MS, ROSTER_MS_PER_MACHINE};
 use super::{DenseScenario, SYNC_TIME_MS};
@@ -16,14 +16,15 @@
     "exchange",
     ROSTER_CHANGE,
 ];
-/// Accepts that change the roster.
+/// The scenario word for accepts that change the roster.
 const ROSTER_CHANGE: &str = "seats";
-/// How long after a replacement the roster changes, about: the new machine listens first.
+/// The approximate time from a replacement to the change of the roster, in milliseconds: the new machine listens first.
 const ROSTER_CHANGE_DELAY_MS: Range<u64> = 2_200..2_700;
-/// How long messages are lost, at most: some rounds, or some attempts to change the roster.
+/// The time for which messages are lost is at most this: some rounds.
 const MAX_LOSS_MS: u64 = 700;
+/// As [`MAX_LOSS_MS`], for losses during a roster change: some attempts to change the roster.
 const MAX_ROSTER_CHANGE_LOSS_MS: u64 = 2_000;
-/// The faults that strike during a round.
+/// The faults that are injected during a round.
 const FAULTS: [TargetedFault; 9] = [
     TargetedFault::Kill,
     TargetedFault::PowerCut,
@@ -35,12 +36,12 @@
     TargetedFault::EndOfAll,
     TargetedFault::WipeAndEndOfAll,
 ];
-/// How many rounds of a scenario are struck.
+/// The number of rounds with a fault in a scenario.
 const ROUNDS: u64 = 5;
-/// How long after a round has begun a fault strikes, at most: a round takes some 20 ms.
+/// A fault is injected within this time after the round has begun: a round takes about 20 ms.
 const STRIKE_WINDOW_MS: u64 = 45;
 
-/// What strikes a machine while a round is in progress.
+/// A fault that is injected while a round is in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TargetedFault {
     Kill,
@@ -49,7 +50,7 @@
     Replacement,
     Freeze,
     StalledDisk,
-    /// Half of the machines are partitioned from the others, whatever the tolerance is: no disk is lost by it.
+    /// Half of the machines are partitioned from the others, regardless of the tolerance, since no disk is lost.
     Halves,
     /// All machines lose power.
     EndOfAll,
@@ -58,11 +59,12 @@
 }
 
 impl DenseScenario {
-    /// Adds rounds that are struck by the pair of this number.
+    /// Adds rounds with the pair of message kind and fault that `pair` selects.
     pub(super) fn add_targeted_rounds(&mut self, pair: u64) {
         let kind = MESSAGE_KINDS[(pair % MESSAGE_KINDS.len() as u64) as usize];
         let fault = FAULTS[(pair / MESSAGE_KINDS.len() as u64 % FAULTS.len() as u64) as usize];
-        // Late messages end time limits: lost ones delay changes at machines without a fault.
+        // Late messages switch off the checks of time limits, because lost messages delay changes even at machines without a
+        // fault.
         self.add_step("network delay 1ms..5ms late 1% twice 1%".into());
         for _ in 0..ROUNDS {
             self.add_struck_round(kind, fault);
@@ -104,17 +106,18 @@
         self.now_ms += 1 + self.draw_below(max_loss_ms);
         self.add_step("lose-nothing".into());
         if let Some(joining) = joining {
-            // While it was kept from joining, it was as good as cut off.
+            // A machine that could not join because of lost messages counts as unavailable, like a partitioned one.
             let until = self.lost_until.entry(joining).or_default();
             *until = (self.now_ms + SYNC_TIME_MS).max(*until);
         }
         if self.chance(60) {
-            // Another machine gets a call before the first one is back.
+            // A call at any machine, which may come before the fault ends.
             self.add_operator_call();
         }
     }
 
-    /// Replaces a machine, and waits until the new one is about to join. Returns the new one, if a machine may be lost.
+    /// Replaces a machine, and advances the time until the new one is about to join. Returns the new machine; `None` if no
+    /// machine could be replaced.
     fn begin_roster_change(&mut self) -> Option<u8> {
         let joining = self.next_core;
         self.replace();
@@ -143,7 +146,7 @@
         }
     }
 
-    /// A fault of one machine: the proposer, if it may be lost, or another one.
+    /// Injects a fault into one machine: the proposer, if that is drawn and the tolerance allows it, or another one.
     fn strike_one(&mut self, proposer: u8, at_proposer: bool, begin: &str, end: &str) {
         let return_at = self.now_ms + self.draw_between(20, 2_500);
         let is_free = self.cores_not_lost().contains(&proposer);
@@ -165,11 +168,11 @@
         let until = self.now_ms + self.draw_between(100, 4_000);
         self.add_step(format!("cut{one} |{other}"));
         self.add_step_at(until, format!("heal{one}{other}"));
-        // No disk may be lost until what was lost before the cut is repaired.
+        // No disk may be lost until state that was lost before the partition has been restored.
         self.count_all_as_lost(until + SYNC_TIME_MS);
     }
 
-    /// No machine may be lost before this time.
+    /// Marks all machines unavailable until this time, so that no other fault is injected before.
     fn count_all_as_lost(&mut self, until: u64) {
         for core in self.cores.clone() {
             let lost_until = self.lost_until.entry(core).or_default();
@@ -177,7 +180,7 @@
         }
     }
 
-    /// All machines lose power and come back within a second; the disk of `wiped` is lost.
+    /// Cuts the power of all machines and starts them again within a second; `wiped` also loses its disk.
     fn end_all_but(&mut self, wiped: Option<u8>) {
         let all = self.cores.clone();
         self.add_step(format!("power hard{}", names_of(&all)));
@@ -190,8 +193,8 @@
         self.now_ms = return_at;
     }
 
-    /// Machines are replaced one after the other, the next one as soon as the tolerance allows it or up to half a minute
-    /// later, with kills of all between them.
+    /// Replaces machines one after the other. The next replacement follows as soon as the tolerance allows it or up to half
+    /// a minute later; in between, all machines may lose power.
     pub(super) fn add_replacements(&mut self) {
         for _ in 0..self.draw_between(2, 5) {
             self.replace();
@@ -207,7 +210,7 @@
     }
 }
 
-/// When the roster is complete, with this many machines.
+/// When the roster is complete with this many initial machines, in milliseconds.
 pub(super) fn roster_complete_ms(count: u8) -> u64 {
     ROSTER_COMPLETE_MS + ROSTER_MS_PER_MACHINE * u64::from(count)
 }
--- a/crates/emberpin-simulator/src/generator/mod.rs
+++ b/crates/emberpin-simulator/src/generator/mod.rs
@@ -1,23 +1,24 @@
-//! Draws scenarios from seeds: faults within the stores' tolerance, and variations of the recorded scenarios.
+//! Generates scenarios from seeds: random faults within the stores' tolerance (`wide` and `dense`), and variations of the
+//! recorded scenarios (`variations`).
 
 mod dense;
 mod variations;
 mod wide;
 
-/// Seeds go through the kinds of scenarios in turn.
+/// The number of scenario kinds; consecutive seeds cycle through them.
 const KINDS: u64 = 8;
-/// The zones of drawn scenarios.
+/// The zones of generated scenarios.
 const ZONES: [&str; 3] = ["z1", "z2", "z3"];
-/// When the first machines are all on the roster, in milliseconds.
+/// When the roster contains the initial machines, in milliseconds; see [`ROSTER_MS_PER_MACHINE`].
 const ROSTER_COMPLETE_MS: u64 = 8_000;
-/// How much later the roster is complete for each machine.
+/// How much later the roster is complete per initial machine, in milliseconds.
 const ROSTER_MS_PER_MACHINE: u64 = 500;
-/// The services that patches and servers draw from.
+/// The number of services that patches and servers choose from.
 const SERVICES: u64 = 3;
-/// The routes that patches draw from.
+/// The number of routes that patches choose from.
 const ROUTES: u64 = 4;
 
-/// The text of the scenario of a seed; the same each time.
+/// Generates the text of a seed's scenario. The same seed always gives the same text.
 pub fn generate(seed: u64) -> String {
     match seed % KINDS {
         0 if (seed / KINDS).is_multiple_of(2) => variations::generate(seed, seed / KINDS / 2),
@@ -30,7 +31,7 @@
     }
 }
 
-/// Core machines as a step names them, with a space before each.
+/// The names of core machines as steps use them, with a space before each.
 fn names_of(cores: &[u8]) -> String {
     cores.iter().map(|core| format!(" core-{core}")).collect()
 }
--- a/crates/emberpin-simulator/src/generator/variations.rs
+++ b/crates/emberpin-simulator/src/generator/variations.rs
@@ -1,8 +1,8 @@
-//! Draws variations of the recorded scenarios, as a fuzzer mutates its corpus.
+//! Generates variations of the recorded scenarios, as a fuzzer mutates its corpus.
 //!
-//! Independent draws rarely put several faults and calls into the few milliseconds in which one particular safety check
-//! matters; the recorded scenarios do. A variation keeps the steps of one of them in their order and draws the rest
-//! anew, so that the search also covers what lies next to a situation that is known to be dangerous.
+//! Independent random choices rarely put several faults and calls into the few milliseconds in which one particular
+//! safety check matters; the recorded scenarios do. A variation keeps the steps of a recorded scenario in their order and
+//! changes seed, times or network, so that the search also covers the neighbourhood of known dangerous situations.
 
 use super::ROSTER_COMPLETE_MS;
 use crate::scenario::{parse, Scenario, Step};
@@ -14,21 +14,21 @@
 /// The recorded scenarios.
 static CORPUS: Dir<'static> = include_dir!("$CARGO_MANIFEST_DIR/scenarios");
 
-/// Makes the draws of a seed differ from those of its other scenarios.
+/// Makes the random numbers of a variation differ from those of the seed's scenarios of other kinds.
 const SEED_MASK: u128 = 0x7a_0000;
-/// Of how many variations one keeps all times and expectations, and draws delays alone. The others change times, on which
-/// expectations depend.
+/// Every `EXACT_PERIOD`-th variation is exact: it keeps all times and expectations, and only the delays in the run
+/// differ. The others change times, on which expectations depend.
 const EXACT_PERIOD: u64 = 2;
-/// How much later a step may be in a variation that changes times.
+/// The delay that is added to a step in a variation that changes times is below this.
 const MAX_JITTER_MS: u64 = 4;
-/// A longer pause is drawn up to this.
+/// The pause that is added before one step is below this.
 const MAX_ADDED_PAUSE_MS: u64 = 1_500;
-/// How many of a hundred variations add a pause before one of their steps.
+/// Percentage of inexact variations that add a pause before one of their steps.
 const PAUSE_PERCENT: u64 = 60;
-/// How many of a hundred variations run on a network that also delays and duplicates messages.
+/// Percentage of inexact variations on a network that delays and duplicates messages.
 const DISTURBED_NETWORK_PERCENT: u64 = 30;
 
-/// The text of the variation of a seed; the same each time.
+/// Generates the text of a seed's variation; `number` selects the recorded scenario and whether the variation is exact.
 pub(super) fn generate(seed: u64, number: u64) -> String {
     let mut files: Vec<_> = CORPUS.files().collect();
     files.sort_by_key(|file| file.path());
@@ -50,11 +50,11 @@
 
 struct Variation {
     random: Rand64,
-    /// Whether the times stay, and with them the expectations.
+    /// Whether times and expectations are kept.
     is_exact: bool,
-    /// By how much all steps are later from here on.
+    /// The added pause, by which all further steps are later.
     added_pause_ms: u64,
-    /// The time of the step before.
+    /// The time of the previous step.
     last_at_ms: u64,
 }
 
@@ -84,7 +84,7 @@
         text
     }
 
-    /// The step before which a pause is added: one after the first roster is complete.
+    /// Chooses the step before which a pause is added, if any: one after the first roster is complete.
     fn paused_step(&mut self, scenario: &Scenario) -> Option<usize> {
         if self.is_exact || !self.chance(PAUSE_PERCENT) {
             return None;
@@ -94,7 +94,7 @@
         Some(first + self.draw_below((scenario.steps.len() - first) as u64) as usize)
     }
 
-    /// The line of a step, a little later than in the recorded scenario; `None` for an expectation that may not hold.
+    /// The line of a step with its new time; `None` for an expectation that need not hold at a changed time.
     fn varied(&mut self, step: &Step) -> Option<String> {
         let (head, at_and_rest) = match step.text.strip_prefix("expect at ") {
             Some(_) if !self.is_exact => return None,
@@ -121,7 +121,7 @@
     }
 }
 
-/// A time as scenario files have it.
+/// A time in milliseconds, as scenario files state it.
 fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/emberpin-simulator/src/generator/wide.rs
+++ b/crates/emberpin-simulator/src/generator/wide.rs
@@ -1,26 +1,26 @@
-//! Draws wide scenarios: five, seven or eleven core machines and up to forty proxies, with faults that keep disks on any
-//! machines, in turn with quiet times. Disks are lost one after the other.
+//! Generates wide scenarios: five, seven or eleven core machines and up to forty proxies. Periods with faults alternate
+//! with fault-free ones. Faults that keep the disk hit any number of machines; disks are lost one after the other.
 
 use super::{names_of, ROSTER_COMPLETE_MS, ROSTER_MS_PER_MACHINE, ROUTES, SERVICES, ZONES};
 use oorandom::Rand64;
 use std::fmt::Write;
 
-/// Makes the draws of a seed differ from those of its dense scenario.
+/// Makes the random numbers of a wide scenario differ from those of the seed's dense scenario.
 const SEED_MASK: u128 = 0x5eed_0000;
-/// How long after a disk was lost the next one may be: its machine has caught up by then.
+/// The fault-free time after lost disks, within which their machines catch up before the next disk is lost.
 const CATCH_UP_MS: u64 = 9_000;
-/// How long after a machine was replaced the next faults come: its successor has its place on the roster by then.
+/// The fault-free time after a replacement, within which the new machine takes the old one's place on the roster.
 const REPLACEMENT_MS: u64 = 20_000;
-/// How long the zone's servers are left without requests after an evacuation: they may begin to warm up meanwhile.
+/// The pause after the begin of an evacuation. The zone's servers get no requests and may begin to warm up meanwhile.
 const EVACUATION_PAUSE_MS: u64 = 200;
-/// The most servers of a run.
+/// Maximum number of servers in a scenario.
 const MAX_SERVERS: u32 = 12;
 /// The first server's port.
 const FIRST_PORT: u32 = 2_000;
-/// No machine gets a higher number by a replacement.
+/// The highest number that a machine gets in a replacement.
 const MAX_CORE: u8 = 40;
 
-/// A wide scenario as it is drawn.
+/// A wide scenario while it is generated.
 struct WideScenario {
     random: Rand64,
     text: String,
@@ -35,7 +35,7 @@
     is_evacuated: [bool; ZONES.len()],
 }
 
-/// Draws the wide scenario of a seed.
+/// Generates the text of a seed's wide scenario.
 pub(super) fn generate(seed: u64) -> String {
     let mut scenario = WideScenario {
         random: Rand64::new(u128::from(seed) ^ SEED_MASK),
@@ -86,7 +86,7 @@
         choices[self.draw_below(choices.len() as u64) as usize]
     }
 
-    /// One to `max` different core machines.
+    /// Chooses one to `max` different core machines.
     fn choose_cores(&mut self, max: u64) -> Vec<u8> {
         let (count, mut rest) = (1 + self.draw_below(max), self.cores.clone());
         let mut chosen = Vec::new();
@@ -104,7 +104,7 @@
         1 + self.draw_below(self.proxies.into())
     }
 
-    /// The sign of a link: both ways, or one way in a third of the draws.
+    /// Chooses the sign of a link: one way in a third of the cases, otherwise both ways.
     fn choose_link_sign(&mut self) -> &'static str {
         if self.one_in(3) {
             ">"
@@ -119,7 +119,7 @@
         let _ = writeln!(self.text, "at {}ms {step}", self.now_ms);
     }
 
-    /// Lets at least a millisecond pass.
+    /// Advances the time by 1 ms to `below_ms`.
     fn pass_time(&mut self, below_ms: u64) {
         self.now_ms += 1 + self.draw_below(below_ms);
     }
@@ -131,7 +131,7 @@
         self.last_version += 1 + self.draw_below(3);
         let (call, mut version) = (self.calls, self.last_version);
         if self.one_in(8) {
-            // An older patch comes once more, or another one with the version of an older one.
+            // The patch gets an older version, so that it repeats an older patch or conflicts with it.
             version = version.saturating_sub(self.draw_below(6)).max(1);
         }
         let via = if self.one_in(3) {
@@ -193,7 +193,7 @@
 
     // ---- faults
 
-    /// Any fault that keeps disks, on any machines.
+    /// Adds a fault that keeps all disks, on any machines.
     fn add_fault(&mut self) {
         match self.draw_below(14) {
             0 => self.end_some("kill"),
@@ -204,7 +204,7 @@
             6 => self.partition_proxy(),
             7 => self.freeze_some(),
             8 => self.disturb_proxy(),
-            // No clock is fast or slow here: monotonic clocks keep time, and each process begins at its own zero.
+            // Clock rates stay exact: monotonic clocks are assumed to keep time, and each process's clock starts at zero.
             9 | 10 => self.disturb_network(),
             11 => {
                 let max_ms = 3 + self.draw_below(60);
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Ends some core machines, and starts them again soon or never.
+    /// Stops some core machines, and in half of the cases starts them again soon.
     fn end_some(&mut self, step: &str) {
         let some = self.choose_cores(self.cores.len() as u64);
         self.end_and_perhaps_start(step, &some);
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Ends all core machines at one moment, and starts them again within a second.
+    /// Stops all core machines at the same time, and starts them again within a second.
     fn end_all(&mut self, step: &str) {
         let all = names_of(&self.cores);
         self.add_step(&format!("{step}{all}"));
@@ -291,10 +291,10 @@
 
     // ---- the run
 
-    /// Faults for some seconds, and at most as many lost disks as are tolerated; then a quiet time.
+    /// Adds faults for some seconds with at most `tolerance` lost disks, and then a fault-free period.
     fn add_faulty_time(&mut self, tolerance: u64) {
         let end = self.now_ms + 2_000 + self.draw_below(4_000);
-        // The machines whose disks are to be lost in this time.
+        // The machines whose disks will be lost in this period.
         let lost = if self.one_in(3) {
             Vec::new()
         } else {
@@ -309,7 +309,7 @@
                 2 => self.add_server_step(),
                 3 if lost.peek().is_some() => {
                     let Some(core) = lost.next() else { continue };
-                    // One replacement at a time: a place on the roster is passed on after a long timeout.
+                    // One replacement per period: a new machine takes over a place on the roster only after a long timeout.
                     if self.one_in(4) && !has_replaced && self.next_core < MAX_CORE {
                         has_replaced = true;
                         self.replace(core);
--- a/crates/emberpin-simulator/src/history.rs
+++ b/crates/emberpin-simulator/src/history.rs
@@ -1,21 +1,21 @@
-//! Histories of operators' calls, and whether they are linearizable.
+//! Checks that the histories of operators' calls are linearizable.
 //!
-//! The sequential specification is a map from names to a version and a content, set or dropped:
+//! The sequential specification is a map from item names to a version and a content, which is set or dropped:
 //!
-//! - a patch takes effect as one operation: of each name the higher version wins, a lower or equal one changes nothing;
-//! - a patch is confirmed only if none of its versions belongs to another content already;
+//! - a patch takes effect atomically: for each name the higher version wins, a lower or equal one changes nothing;
+//! - a patch is confirmed only if none of its versions already has another content;
 //! - a patch is rejected only if it changes nothing, and never after it was accepted;
-//! - a patch without a clear response takes effect at any time after it was sent, or never;
-//! - a read shows all that is set.
+//! - a patch with an unknown outcome takes effect at any time after it was sent, or never;
+//! - a read shows all items that are set.
 //!
-//! A patch that is retried until it is confirmed is one operation from its first attempt to that response, as a repeat
-//! of what was accepted changes nothing. A rejection is an operation of the last attempt alone, since an attempt before
-//! it may still be under way.
+//! A patch that is retried until it is confirmed is one operation from its first attempt to that response, because
+//! repeating an accepted patch changes nothing. A rejection is an operation of the last attempt alone, since an earlier
+//! attempt may still be in flight.
 //!
-//! The search for an order of operations is Wing and Gong's, with Lowe's memory of states that failed. Each name is
-//! checked alone, which a linearizable history allows, and short histories also as a whole. That leaves out: that a
-//! patch of several items takes effect at once in long histories, evacuations (no read shows them), and names with more
-//! than [`MAX_OPERATIONS`] operations, which are counted as unchecked.
+//! The search for an order of operations is the algorithm of Wing and Gong, with Lowe's cache of failed states. Each name
+//! is checked on its own, since a linearizable history restricted to one name is linearizable too, and short histories are
+//! also checked as a whole. Not covered are: the atomicity of patches with several items in long histories, evacuations (no
+//! read shows them), and names with more than [`MAX_OPERATIONS`] operations, which are counted as unchecked.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{self, Display};
@@ -24,18 +24,18 @@
 use todc_utils::linearizability::WGLChecker;
 use todc_utils::specifications::Specification;
 
-/// The most operations of one name that are checked: the search takes exponential time at worst.
+/// Maximum number of operations on one name that are checked: the search takes exponential time in the worst case.
 pub const MAX_OPERATIONS: usize = 600;
-/// The most calls of a history that is also checked as a whole.
+/// Maximum number of calls in a history that is also checked as a whole.
 pub const MAX_CALLS_CHECKED_TOGETHER: usize = 40;
 
 /// The content of an item; `None` if it is dropped.
 pub type Content = Option<String>;
 
-/// A version of an item, with its content.
+/// One version of an item and its content.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NumberedItem {
-    /// The name of the item, with its kind.
+    /// Kind and name of the item.
     pub name: String,
     /// The version that the operator gave it.
     pub version: u64,
@@ -55,7 +55,7 @@
         /// Whether it was the only attempt, so that none before it can have been accepted.
         is_only_attempt: bool,
     },
-    /// A patch has no clear response: it may have been accepted or not.
+    /// A patch has no conclusive response: it may or may not have been accepted.
     Unknown,
     /// A read showed these items.
     Read(Vec<NumberedItem>),
@@ -66,7 +66,7 @@
 pub struct Call {
     /// When it was first sent, since the start of the run.
     pub sent_at: Duration,
-    /// When its response arrived; any time if it has none.
+    /// When its response arrived; unused if it has none.
     pub ended_at: Duration,
     /// The items of a patch; empty for a read.
     pub items: Vec<NumberedItem>,
@@ -74,7 +74,7 @@
     pub outcome: Outcome,
 }
 
-/// One operation of the specification. Equal patches have the same number.
+/// One operation of the specification. Patches with equal items have the same `patch` number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Operation {
     Accept {
@@ -86,19 +86,19 @@
         patch: usize,
     },
     Read {
-        /// The version and content of each item that is shown.
+        /// The version and content of each item that the read shows.
         shown: BTreeMap<String, (u64, String)>,
-        /// The names that would be shown if they were set.
+        /// All checked names; a name that is not in `shown` must not be set.
         names: BTreeSet<String>,
     },
 }
 
-/// The state of one name.
+/// The state of one item name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Register {
     version: u64,
     content: Content,
-    /// The content of each accepted version, also of those below the current one.
+    /// The content of each accepted version, including versions below the current one.
     contents: BTreeMap<u64, Content>,
 }
 
@@ -109,7 +109,7 @@
 }
 
 impl State {
-    /// Whether the version of an item belongs to another content.
+    /// Whether another content was accepted for the item's version.
     fn conflicts_with(&self, item: &NumberedItem) -> bool {
         let register = self.registers.get(&item.name);
         let known = register.and_then(|register| register.contents.get(&item.version));
@@ -125,7 +125,7 @@
         }
     }
 
-    /// What a read shows of a name.
+    /// The version and content that a read shows for a name; `None` if it is not set.
     fn shown(&self, name: &str) -> Option<(u64, String)> {
         let register = self.registers.get(name)?;
         let content = register.content.clone()?;
@@ -133,7 +133,7 @@
     }
 }
 
-/// The sequential specification.
+/// The sequential specification of the configuration, see the module's documentation.
 struct ConfigurationSpecification;
 
 impl Specification for ConfigurationSpecification {
@@ -168,7 +168,7 @@
     }
 }
 
-/// An operation with the times between which it takes effect.
+/// An operation, and the interval in which it takes effect.
 struct TimedOperation {
     begin: Duration,
     end: Duration,
@@ -178,9 +178,9 @@
 /// A history for which there is no order of operations.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct NotLinearizable {
-    /// The names whose history it is.
+    /// The names that the history concerns.
     pub names: BTreeSet<String>,
-    /// Its calls, one a line.
+    /// Its calls, one line of text each.
     pub calls: Vec<String>,
 }
 
@@ -196,20 +196,20 @@
     }
 }
 
-/// What was checked.
+/// How many operations a check covered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Checked {
     /// Operations in histories that were checked.
     pub operations: usize,
-    /// Operations in histories that were too long.
+    /// Operations in histories that were too long to be checked.
     pub unchecked: usize,
 }
 
-/// Checks the history of all these calls.
+/// Checks that the history of these calls is linearizable.
 ///
 /// # Errors
 ///
-/// [`NotLinearizable`]: the first history that no order of its operations explains.
+/// [`NotLinearizable`] for the first history that no order of its operations explains.
 pub fn check(calls: &[Call]) -> Result<Checked, NotLinearizable> {
     let mut checked = Checked::default();
     let names: BTreeSet<String> = calls
@@ -222,7 +222,7 @@
         check_names(calls, &name, MAX_OPERATIONS, &mut checked)?;
     }
     if names.len() > 1 && calls.len() <= MAX_CALLS_CHECKED_TOGETHER {
-        // A call that is rejected after an unknown attempt counts as two operations.
+        // The factor is 2 because a call that is rejected after an unknown attempt counts as two operations.
         check_names(calls, &names, MAX_CALLS_CHECKED_TOGETHER * 2, &mut checked)?;
     }
     Ok(checked)
@@ -284,8 +284,8 @@
     shown_items: BTreeSet<&'a NumberedItem>,
     /// The number of each patch, by its items.
     patches: BTreeMap<&'a [NumberedItem], usize>,
-    /// The patches that have an operation for an unknown outcome. Of several attempts of one patch without a clear
-    /// response, the first says as much as all of them.
+    /// The patches that already have an operation with an unknown outcome. One such operation, from the first attempt on,
+    /// covers all further attempts of the patch.
     unknown_patches: BTreeSet<usize>,
     operations: Vec<TimedOperation>,
 }
@@ -347,7 +347,8 @@
         }
     }
 
-    /// Whether a patch with an unknown outcome can explain a read: one of its items is shown, or it drops one.
+    /// Whether a patch with an unknown outcome can explain a read: a read shows one of its items, or the patch drops one.
+    /// Other patches are left out of the search.
     fn may_matter(&self, items: &[NumberedItem]) -> bool {
         items
             .iter()
@@ -355,7 +356,7 @@
     }
 }
 
-/// All items that any read showed.
+/// The items that at least one read showed.
 fn shown_items(calls: &[Call]) -> BTreeSet<&NumberedItem> {
     let mut shown = BTreeSet::new();
     for call in calls {
@@ -366,7 +367,7 @@
     shown
 }
 
-/// Calls and responses in the order of time. What begins when something else ends counts as concurrent with it.
+/// Orders calls and responses by time. An operation that begins when another one ends counts as concurrent with it.
 fn to_history(operations: Vec<TimedOperation>) -> History<Operation> {
     let mut actions = Vec::new();
     for (process, timed) in operations.into_iter().enumerate() {
@@ -384,7 +385,7 @@
     )
 }
 
-/// A call as a line of text, with the items of these names.
+/// Describes a call in one line of text, limited to the items with these names.
 fn describe(call: &Call, names: &BTreeSet<String>) -> String {
     let describe_item = |item: &NumberedItem| {
         let content = item.content.as_deref().unwrap_or("dropped");
@@ -401,7 +402,7 @@
     let (sent, ended) = (call.sent_at.as_millis(), call.ended_at.as_millis());
     match &call.outcome {
         Outcome::Read(items) => format!("{sent}..{ended} shown: {}", describe_items(items)),
-        Outcome::Unknown => format!("{sent}.. unclear: {}", describe_items(&call.items)),
+        Outcome::Unknown => format!("{sent}.. unknown: {}", describe_items(&call.items)),
         Outcome::Confirmed => {
             format!("{sent}..{ended} Confirmed: {}", describe_items(&call.items))
         }
--- a/crates/emberpin-simulator/src/invariants.rs
+++ b/crates/emberpin-simulator/src/invariants.rs
@@ -1,12 +1,15 @@
-//! What is recorded of a run, and checked against what must always hold:
+//! The record of a run's chosen and acknowledged items, and the checks on it.
 //!
-//! - nothing that was acknowledged is lost, and one content stands for a name and a version;
-//! - nothing goes back within an incarnation, and nothing invalid is in force, not even in part;
-//! - no part of a rejected call is in force;
+//! These invariants are checked in the simulator as a whole; the modules of `simulation` and `state` check those that need
+//! more than the record:
+//!
+//! - no acknowledged change is lost, and each version of an item has one content;
+//! - versions and drains never regress within an incarnation, and no invalid configuration takes effect, not even in part;
+//! - no part of a rejected call takes effect;
 //! - no warming server gets more requests than its limit;
-//! - on proxies in contact, what was acknowledged is in force in time;
+//! - proxies in contact apply acknowledged changes within their time limits;
 //! - operators' histories are linearizable (see `history`);
-//! - after all faults, a call is acknowledged, and all proxies have it and are ready.
+//! - after all faults have ended, a call is acknowledged, and all proxies apply it and are ready.
 
 use crate::scenario::ExpectedItem;
 use crate::violation::{StepFailure, Violation};
@@ -18,7 +21,7 @@
 /// The content of an item; `None` if that version dropped it.
 type Content = Option<String>;
 
-/// What was chosen and acknowledged in a run.
+/// The items that were chosen and acknowledged in a run.
 #[derive(Debug, Default)]
 pub(crate) struct Record {
     chosen: BTreeMap<ItemVersion, Content>,
@@ -33,7 +36,7 @@
     Ok(patch.items.into_iter().collect())
 }
 
-/// Checks that the response to a read shows what is expected.
+/// Checks that the response to a read shows the expected version of an item, or does not show the item.
 pub(crate) fn check_read(body: &str, expected: &ExpectedItem) -> Result<(), StepFailure> {
     let configuration = parse_configuration(body).map_err(Box::new)?;
     let key = ItemKey {
@@ -58,7 +61,7 @@
 }
 
 impl Record {
-    /// Records that an item was chosen, and checks that one content stands for its version.
+    /// Records that an item was chosen, and checks that no other content was chosen for its version.
     pub fn record_chosen(&mut self, item: &Item) -> Result<(), Violation> {
         let known = self
             .chosen
@@ -81,7 +84,7 @@
             let version = (item.key.clone(), item.version);
             let chosen = self.chosen.get(&version);
             let is_chosen = chosen == Some(&item.body);
-            // An item below a version that was chosen before has no effect, and its content may be anything.
+            // An item with a lower version than a chosen one has no effect, so its content is not compared.
             let is_superseded = self.is_superseded(item);
             if !is_superseded && !is_chosen {
                 return Err(Violation::AcknowledgedOtherContent {
@@ -115,7 +118,7 @@
         self.chosen.get(&(item.key.clone(), item.version)) == Some(&item.body)
     }
 
-    /// Checks that the configuration at the end has all that was acknowledged.
+    /// Checks that the configuration at the end is valid and contains all acknowledged items, or later versions of them.
     pub fn check_final_configuration(&self, body: &str) -> Result<(), Violation> {
         let configuration = parse_configuration(body)?;
         configuration
@@ -149,6 +152,6 @@
     fn has_chosen_later_drop(&self, key: &ItemKey, version: Version) -> bool {
         self.chosen
             .iter()
-            .any(|((of, at), content)| of == key && *at > version && content.is_none())
+            .any(|((chosen_key, chosen_version), content)| chosen_key == key && *chosen_version > version && content.is_none())
     }
 }
--- a/crates/emberpin-simulator/src/machine.rs
+++ b/crates/emberpin-simulator/src/machine.rs
@@ -3,7 +3,7 @@
 use std::fmt::{self, Display};
 use std::net::Ipv4Addr;
 
-/// A core machine, with a store and a registry. Written as `core-N`; a run may have up to 255.
+/// A core machine, which runs a store and a registry. Scenarios call it `core-N`; N is at most 255.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CoreId(pub u8);
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// A machine with a proxy. Scenarios call it `limiter-N`.
+/// A machine that runs a proxy. Scenarios call it `limiter-N`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProxyId(pub u8);
 
@@ -45,7 +45,7 @@
 }
 
 impl Machine {
-    /// The id of a core machine.
+    /// The id of a core machine; `None` for a proxy's machine.
     pub fn as_core(self) -> Option<CoreId> {
         match self {
             Machine::Core(core) => Some(core),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// The id of a proxy.
+    /// The id of a proxy's machine; `None` for a core machine.
     pub fn as_proxy(self) -> Option<ProxyId> {
         match self {
             Machine::Core(_) => None,
--- a/crates/emberpin-simulator/src/main.rs
+++ b/crates/emberpin-simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: runs scenarios, or searches seeds for one that fails.
+//! Command line of the simulator: runs scenario files, or searches seeds for scenarios that fail.
 #![forbid(unsafe_code)]
 
 use emberpin_simulator::mutants::{Guards, MUTANTS};
@@ -9,7 +9,7 @@
 use getopts::{Matches, Options};
 use std::process::ExitCode;
 
-/// Why nothing was run.
+/// Why the program exits without completing its runs.
 #[derive(Debug, thiserror::Error)]
 enum UsageError {
     #[error(transparent)]
@@ -29,29 +29,29 @@
 
 fn options() -> Options {
     let mut options = Options::new();
-    options.optopt("", "seeds", "so many seeds are searched", "COUNT");
+    options.optopt("", "seeds", "number of seeds to search (0)", "COUNT");
     options.optopt("", "from", "the first seed (0)", "SEED");
     options.optopt(
         "",
         "step",
-        "the distance from one seed to the next (1); 8 searches one kind of scenarios alone",
+        "distance from one seed to the next (1); 8 searches a single kind of scenario",
         "COUNT",
     );
-    options.optopt("", "threads", "on so many threads (3)", "COUNT");
-    options.optopt("", "most", "stop at so many failures (1)", "COUNT");
-    options.optopt("", "wrong", "on a build without this guard", "NAME");
+    options.optopt("", "threads", "number of threads of the search (3)", "COUNT");
+    options.optopt("", "most", "stop the search after this many failures (1)", "COUNT");
+    options.optopt("", "wrong", "run on the mutant of this name, which lacks a safety check", "NAME");
     options.optopt("", "draw", "print the scenario of a seed", "SEED");
     options.optopt(
         "",
         "shrink",
-        "print the fewest lines of a seed's scenario that fail in the same way",
+        "shrink a seed's failing scenario to fewer lines that fail in the same way, and print it",
         "SEED",
     );
     options.optflag("h", "help", "print this");
     options
 }
 
-/// The value of an option that takes a number.
+/// The value of an option that takes a number, or its default.
 fn number(matches: &Matches, name: &'static str, default: u64) -> Result<u64, UsageError> {
     match matches.opt_str(name) {
         Some(text) => text.parse().map_err(|_| UsageError::Number(name)),
@@ -59,7 +59,7 @@
     }
 }
 
-/// The safety checks that are on, as `--wrong` says.
+/// The safety checks, without those that the mutant of `--wrong` lacks.
 fn guards(matches: &Matches) -> Result<Guards, UsageError> {
     let mut guards = Guards::default();
     match matches.opt_str("wrong") {
@@ -114,7 +114,7 @@
     Ok(result.failures.is_empty())
 }
 
-/// Shrinks the scenario of a seed. Returns whether it holds, so that there is nothing to shrink.
+/// Shrinks the scenario of a seed and prints the result. Returns whether the scenario held, so that nothing was shrunk.
 fn run_shrink(seed: u64, guards: Guards) -> bool {
     let text = search::generate(seed);
     match shrink(&format!("seed-{seed}.scn"), &text, guards) {
@@ -136,7 +136,7 @@
     }
 }
 
-/// Does what the arguments say. Returns whether all scenarios held.
+/// Runs the command that the arguments select. Returns whether all scenarios held.
 fn run_program() -> Result<bool, UsageError> {
     let options = options();
     let matches = options.parse(std::env::args().skip(1))?;
--- a/crates/emberpin-simulator/src/mutants.rs
+++ b/crates/emberpin-simulator/src/mutants.rs
@@ -1,10 +1,10 @@
-//! Mutants: variants of the system that each lack one safety check. A scenario or a search has to detect them.
+//! Mutants: variants of the system with a safety check (a guard) switched off. A scenario or a search has to detect them.
 
 use emberpin_consensus::Guards as ConsensusGuards;
 use emberpin_membership::guards::Guards as MembershipGuards;
 use emberpin_routing::guards::Guards as RoutingGuards;
 
-/// The safety checks of all simulated parts. By default all are on.
+/// The safety checks of all simulated components. All are on by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Guards {
     pub(crate) consensus: ConsensusGuards,
@@ -13,20 +13,20 @@
     pub(crate) proxy: ProxyGuards,
 }
 
-/// The safety checks of the proxy's model, which a real proxy has in its host.
+/// The safety checks of the proxy model; a real proxy has them in the program that hosts its cores.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ProxyGuards {
-    /// Only routes to known services are in force, and one for each host and prefix.
+    /// Only routes to known services take effect, and one route per host and prefix.
     pub valid_routes_only: bool,
     /// A proxy is ready only after a registry in contact with a majority has confirmed its state.
     pub confirmed_readiness: bool,
     /// A session whose lease has expired is ended.
     pub expired_sessions_end: bool,
-    /// A session that resumes from an earlier revision counts as synced, as after a snapshot.
+    /// A session that resumes from an earlier revision counts as synced, like one that received a snapshot.
     pub resumed_sessions_are_synced: bool,
-    /// The registries that an unconfirmed registry names are taken as candidates.
+    /// The registries that an unconfirmed registry names become candidates for sessions.
     pub candidates_from_unconfirmed: bool,
-    /// A snapshot in parts counts as received only with its last part.
+    /// A snapshot that is sent in parts counts as received only once its last part has arrived.
     pub complete_snapshots_only: bool,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// The names of all mutants, as scenario files and `--wrong` have them.
+/// The names of all mutants, as used in scenario files and by `--wrong`.
 pub const MUTANTS: &[&str] = &[
     "no-amnesia",
     "no-promise",
@@ -85,7 +85,7 @@
 ];
 
 impl Guards {
-    /// Switches off the safety check that the mutant of this name lacks. Returns whether there is such a mutant.
+    /// Switches off the safety checks that the named mutant lacks. Returns whether a mutant has that name.
     pub fn disable(&mut self, mutant: &str) -> bool {
         self.disable_redundant(mutant);
         let Some(guard) = consensus_guard(&mut self.consensus, mutant)
@@ -99,15 +99,15 @@
         true
     }
 
-    /// Where either of two checks is enough, a mutant lacks both.
+    /// Switches off the second check of mutants for which either of two checks is sufficient.
     fn disable_redundant(&mut self, mutant: &str) {
         match mutant {
-            // A call at a machine that was cut off is given up before it can be late.
+            // Otherwise a call at a partitioned machine fails before it can take effect late.
             "no-precondition" => self.consensus.contact_check = false,
-            // A request without a version would go on with that of its registry, which is of before the pause, too.
+            // Otherwise a request without a version would use its registry's version, which also predates the pause.
             "no-told-version" => self.consensus.evacuation_precondition = false,
             "no-returned" => self.membership.warmup_after_evacuation = false,
-            // Either keeps a roster from staying at four members of which one is gone for good.
+            // Either check prevents a roster from staying at four members of which one is permanently gone.
             "no-heard" => self.consensus.evict_early_without_margin = false,
             _ => {}
         }
--- a/crates/emberpin-simulator/src/runner.rs
+++ b/crates/emberpin-simulator/src/runner.rs
@@ -9,14 +9,14 @@
 use std::ops::AddAssign;
 use std::time::Duration;
 
-/// What a run did.
+/// Statistics of a run, or sums over several runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunStatistics {
     /// The number of events that were handled.
     pub events: u64,
     /// Requests that were sent to warming servers.
     pub slow_start_requests: usize,
-    /// Acknowledged effects that were checked on a proxy in contact.
+    /// Checks that a proxy in contact has applied an acknowledged change.
     pub effect_checks: usize,
     /// Calls that were acknowledged.
     pub acknowledged_calls: usize,
@@ -70,24 +70,24 @@
 /// Why a run failed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FailureCause {
-    /// Something was found wrong.
+    /// An invariant or an expectation was violated.
     #[error("at {}s: {violation}", at.as_millis() as f64 / 1000.0)]
     Violation {
-        /// When, in simulated time.
+        /// When it was found, in simulated time.
         at: Duration,
         /// The invariant or expectation that does not hold.
         violation: Box<Violation>,
     },
-    /// The text that was drawn for a seed is not a scenario.
+    /// The text that was generated for a seed cannot be parsed.
     #[error(transparent)]
     Scenario(#[from] ParseError),
 }
 
-/// Runs a scenario on the system or on a mutant.
+/// Runs a scenario on the system, or on a mutant if guards are switched off.
 ///
 /// # Errors
 ///
-/// [`Failure`]: what went wrong first.
+/// [`Failure`] with the first violation.
 pub fn run(scenario: &Scenario, guards: Guards) -> Result<RunStatistics, Failure> {
     let mut simulation = Simulation::new(scenario, guards);
     for step in &scenario.steps {
--- a/crates/emberpin-simulator/src/scenario/commands.rs
+++ b/crates/emberpin-simulator/src/scenario/commands.rs
@@ -1,4 +1,4 @@
-//! What a step of a scenario does or expects.
+//! The commands of a scenario's steps: calls of operators, actions of servers, faults, and expectations.
 
 use crate::machine::{CoreId, Machine, ProxyId};
 use emberpin_consensus::EvacuationChange;
@@ -6,6 +6,7 @@
 use std::ops::Range;
 use std::time::Duration;
 
+/// The command of a step.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Command {
     Operator {
@@ -23,18 +24,18 @@
 /// Which core machine a call goes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallTarget {
-    /// Drawn, for each attempt.
+    /// A random machine for each attempt.
     Any,
-    /// The first attempt goes there, retries to any.
+    /// The first attempt goes to this machine, retries to random ones.
     First(CoreId),
-    /// One attempt, there.
+    /// A single attempt, at this machine.
     Only(CoreId),
 }
 
 /// A request of an operator that changes something.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum OperatorRequest {
-    /// A patch of the configuration, with this body.
+    /// A patch of the configuration, with the body of its request.
     Patch(Vec<u8>),
     Evacuate {
         zone: String,
@@ -42,13 +43,14 @@
     },
 }
 
+/// A command for an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum OperatorCommand {
     Send {
         target: CallTarget,
         request: OperatorRequest,
     },
-    /// Sends the operator's last request once more, as a call of its own.
+    /// Sends the operator's last request again, as a new call.
     Repeat {
         target: CallTarget,
     },
@@ -57,6 +59,7 @@
     },
 }
 
+/// A command for a server.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ServerCommand {
     Start {
@@ -69,9 +72,9 @@
     Drain,
     Leave,
     Crash,
-    /// The server warms up again, for this time.
+    /// The server warms up again, for this duration.
     WarmUp(Duration),
-    /// A heartbeat with an old sequence number arrives late.
+    /// A heartbeat with an old sequence number arrives at a core machine.
     LateHeartbeat {
         draining: bool,
         seq: u64,
@@ -79,19 +82,19 @@
     },
 }
 
-/// Links from some machines to others.
+/// Links between each machine of one list and each of another.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Links {
     pub from: Vec<Machine>,
     pub to: Vec<Machine>,
-    /// Only the direction from the first to the second ones.
+    /// Only the direction from `from` to `to`; otherwise both directions.
     pub one_way: bool,
 }
 
-/// What a power cut leaves of the writes that were not synced.
+/// Which unsynced writes survive a power cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UnsyncedWrites {
-    /// Some of the first ones stay.
+    /// A random number of the first ones survive.
     KeepSome,
     DropAll,
 }
@@ -131,9 +134,9 @@
     },
     WipeDisk(Vec<Machine>),
     Start(Vec<Machine>),
-    /// Starts machines as at the system's first start.
+    /// Starts machines with the settings of the system's first start.
     Bootstrap(Vec<Machine>),
-    /// The seeds that processes are configured with at later starts.
+    /// The seeds in the settings of processes that start later.
     SetSeeds(Vec<CoreId>),
     /// The disks do not respond for a while.
     StallDisk {
@@ -152,7 +155,7 @@
         percent: u64,
     },
     Partition(Links),
-    /// What is sent over these links arrives later by a time drawn from this range.
+    /// Messages over these links have an additional delay, drawn from this range.
     Slow {
         links: Links,
         delay: Range<Duration>,
@@ -164,7 +167,7 @@
     },
     /// Messages between stores are no longer lost on purpose.
     EndMessageLoss,
-    /// Partitions and slow links of these machines end, or all if there are none.
+    /// Ends partitions and slow links of these machines; with an empty list, all of them.
     Heal(Vec<Machine>),
     /// How messages between stores are delivered.
     SetNetwork {
@@ -174,7 +177,7 @@
     },
     /// How long a sync of a disk takes.
     SetSyncTime(Range<Duration>),
-    /// How many of a hundred responses to operators are lost.
+    /// The percentage of responses to operators that are lost.
     LoseResponses {
         percent: u64,
     },
@@ -186,7 +189,7 @@
     /// `route` or `svc`, as it is written.
     pub kind: String,
     pub name: String,
-    /// `None`: the item is not to be shown.
+    /// `None`: the item must not be shown.
     pub version: Option<u64>,
 }
 
@@ -198,7 +201,7 @@
         operator: String,
         status: Option<u16>,
     },
-    /// A call of its own reads the configuration, and its response must show this.
+    /// A read that this step makes must show this, when its response arrives.
     Read(ExpectedItem),
     /// The number of voters that each running store knows.
     Voters(usize),
--- a/crates/emberpin-simulator/src/scenario/error.rs
+++ b/crates/emberpin-simulator/src/scenario/error.rs
@@ -1,9 +1,9 @@
-//! Why a text is not a scenario.
+//! Errors of the parser.
 
 use std::borrow::Cow;
 use std::fmt::{self, Display};
 
-/// A line that is not a step.
+/// A line that cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}: {kind}")]
 pub struct ParseError {
@@ -18,12 +18,12 @@
 /// What is wrong with a line.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseErrorKind {
-    /// Something else stands where this was expected.
+    /// The line has something else where this was expected.
     #[error("expected {expected}, not {found}")]
     Expected {
         /// What was expected, with an example.
         expected: Cow<'static, str>,
-        /// What stands there.
+        /// What the line has instead.
         found: Found,
     },
     /// Something is missing from the line.
@@ -32,17 +32,17 @@
     /// The step is earlier than the one before it.
     #[error("expected a time of {earliest_ms}ms or later, as steps stand in their order")]
     OutOfOrder {
-        /// The time of the step before, in milliseconds.
+        /// The time of the previous step, in milliseconds.
         earliest_ms: u128,
     },
 }
 
-/// What stands where something else was expected.
+/// What a line has where something else was expected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Found {
-    /// The line ends there.
+    /// The end of the line.
     EndOfLine,
-    /// This token, as the line has it.
+    /// This token.
     Token(String),
     /// A proxy, where only a core machine fits.
     Proxy,
--- a/crates/emberpin-simulator/src/scenario/mod.rs
+++ b/crates/emberpin-simulator/src/scenario/mod.rs
@@ -16,7 +16,7 @@
 
 use std::time::Duration;
 
-/// A scenario: the machines, and what happens to them when.
+/// A scenario: its machines, and the steps that happen to them at given times.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
     /// The name of its file.
@@ -25,24 +25,24 @@
     pub cores: u8,
     /// The number of proxies.
     pub proxies: u8,
-    /// The zones that the machines lie in, in turn. Never empty.
+    /// The zones, to which machines are assigned in turn. Never empty.
     pub zones: Vec<String>,
     /// How many disks may be lost at once: the stores' tolerance.
     pub tolerance: usize,
-    /// The seed of all that is drawn.
+    /// The seed of all random choices in the run.
     pub seed: u64,
-    /// The mutants that must fail.
+    /// The mutants that must fail in this scenario.
     pub mutants: Vec<String>,
-    /// What happens, in the order of time.
+    /// The steps, ordered by time.
     pub steps: Vec<Step>,
-    /// When the run's final checks begin, after the last step.
+    /// When the run's final checks begin; not before the last step.
     pub end: Duration,
 }
 
 /// One step of a scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// When it happens, since the start of the run.
+    /// When it is executed, since the start of the run.
     pub at: Duration,
     /// Its line in the file, counted from 1.
     pub line: usize,
--- a/crates/emberpin-simulator/src/scenario/parser.rs
+++ b/crates/emberpin-simulator/src/scenario/parser.rs
@@ -14,6 +14,7 @@
 use emberpin_routing::Availability;
 use std::time::Duration;
 
+// Descriptions of expected tokens for error messages.
 const SETTINGS: &str =
     "one of cores, limiters, zones, tolerance, seed, wrong build:, at, expect, end";
 const COMMANDS: &str =
@@ -27,14 +28,14 @@
 const OPERATOR_NAME: &str = "the operator's name";
 const LINK_SIGN: &str = "| or >";
 
-/// The ports below are for the system's own use, so servers do not get them.
+/// Lower ports are reserved for the system, so servers do not get them.
 const LOWEST_PORT: u16 = 1024;
 
 /// Parses a scenario; `name` is the name of its file.
 ///
 /// # Errors
 ///
-/// [`ParseError`], for the first line that is not a step.
+/// [`ParseError`] for the first line that cannot be parsed.
 pub fn parse(name: &str, text: &str) -> Result<Scenario, ParseError> {
     let mut scenario = Scenario {
         name: name.into(),
@@ -268,7 +269,7 @@
     })
 }
 
-/// A port for a server that is given none, so that servers of different names mostly have different ones.
+/// The port of a server without `addr=`: a hash of its name, so that different servers mostly have different ports.
 fn default_port(server: &str) -> u16 {
     let hash = server.bytes().fold(7u16, |hash, byte| {
         hash.wrapping_mul(31).wrapping_add(byte.into())
--- a/crates/emberpin-simulator/src/scenario/patch.rs
+++ b/crates/emberpin-simulator/src/scenario/patch.rs
@@ -1,12 +1,15 @@
-//! Builds the body of an operator's patch from its short form in a scenario.
+//! Builds the JSON body of an operator's patch from its short form in a scenario.
 
 use super::error::ParseErrorKind;
 use super::tokens::{parse_token, Tokens};
 
+/// Expected tokens, as error messages describe them.
 const PARTS: &str = "svc=, route=, drop=, dropsvc=, ver=, timeout= or torn";
 const VERSION: &str = "a version";
+/// The timeout of a patch's routes without `timeout=`.
 const DEFAULT_TIMEOUT: &str = "1500ms";
 
+/// The kind of a part that describes an item.
 #[derive(Clone, Copy)]
 enum ItemForm {
     Service,
@@ -15,7 +18,7 @@
     DropService,
 }
 
-/// The JSON texts of a patch's items, by their place in the body.
+/// The JSON texts of a patch's items, grouped by the array of the body that they belong to.
 #[derive(Default)]
 struct PatchItems {
     services: Vec<String>,
@@ -24,7 +27,7 @@
     dropped_services: Vec<String>,
 }
 
-/// Reads the rest of a line as a patch, and returns the body of its call.
+/// Parses the rest of a line as a patch, and returns the body of its request. A `torn` body is cut to two thirds.
 pub(super) fn parse_patch_body(tokens: &mut Tokens) -> Result<Vec<u8>, ParseErrorKind> {
     let (mut default_version, mut timeout, mut is_torn) = (None, DEFAULT_TIMEOUT, false);
     let mut parts = Vec::new();
@@ -54,7 +57,7 @@
     Ok(body.as_bytes()[..length].to_vec())
 }
 
-/// Splits `ITEM@VERSION`; without a version of its own, an item has that of the call.
+/// Splits `ITEM@VERSION`. An item without a version has the `default` of the call.
 fn split_version(part: &str, default: Option<u64>) -> Result<(&str, u64), ParseErrorKind> {
     match part.split_once('@') {
         Some((item, version)) => Ok((item, parse_token(version, VERSION)?)),
@@ -101,12 +104,12 @@
     )
 }
 
-/// The JSON text of `NAME:HOST/PREFIX/:SERVICE`, or of one with `SERVICE*WEIGHT+SERVICE*WEIGHT`.
+/// The JSON text of a route `NAME:HOST/PREFIX/:SERVICE`, where weighted services are `SERVICE*WEIGHT+SERVICE*WEIGHT`.
 fn route_json(item: &str, version: u64, timeout: &str) -> Result<String, ParseErrorKind> {
     let unexpected = || ParseErrorKind::unexpected(item, "route=NAME:HOST/PREFIX/:SERVICE");
     let (name, rest) = item.split_once(':').ok_or_else(unexpected)?;
-    let (place, services) = rest.rsplit_once(':').ok_or_else(unexpected)?;
-    let (host, prefix) = place.split_once('/').ok_or_else(unexpected)?;
+    let (host_and_prefix, services) = rest.rsplit_once(':').ok_or_else(unexpected)?;
+    let (host, prefix) = host_and_prefix.split_once('/').ok_or_else(unexpected)?;
     let target = target_json(services);
     Ok(format!(
         "{{\"hostname\":\"{host}\",\"locs\":[{{\"name\":\"{name}\",\"pfx\":\"/{prefix}\",\"type\":\"readonly\",\
--- a/crates/emberpin-simulator/src/scenario/tokens.rs
+++ b/crates/emberpin-simulator/src/scenario/tokens.rs
@@ -1,4 +1,4 @@
-//! The tokens of a line, read one after the other.
+//! Reads the tokens of a line in order.
 
 use super::error::{Found, ParseErrorKind};
 use crate::machine::{CoreId, Machine, ProxyId};
@@ -11,13 +11,16 @@
 
 /// The tokens that separate two lists of machines.
 const LINK_SIGNS: [&str; 2] = ["|", ">"];
+/// Expected tokens, as error messages describe them.
 const TIME: &str = "a time such as 2s or 1500ms";
 const PERCENT: &str = "a part such as 5%";
 
+/// The tokens of a line that have not been read yet.
 pub(super) struct Tokens<'a> {
     tokens: Peekable<SplitWhitespace<'a>>,
-    /// What `cores` and `limiters` stand for.
+    /// The number of core machines that the word `cores` stands for.
     cores: u8,
+    /// The number of proxies that the word `limiters` stands for.
     proxies: u8,
 }
 
@@ -30,7 +33,7 @@
         }
     }
 
-    /// The next token.
+    /// Reads the next token; at the end of the line, the error names what was `expected`.
     pub(super) fn next(
         &mut self,
         expected: impl Into<Cow<'static, str>>,
@@ -41,12 +44,12 @@
         })
     }
 
-    /// All tokens that are left.
+    /// Reads all remaining tokens.
     pub(super) fn rest(&mut self) -> impl Iterator<Item = &'a str> + use<'_, 'a> {
         self.tokens.by_ref()
     }
 
-    /// Takes the next token if it is this one, and returns whether it is.
+    /// Reads the next token if it is this one. Returns whether it is.
     pub(super) fn take(&mut self, token: &str) -> bool {
         self.tokens.next_if(|next| *next == token).is_some()
     }
@@ -70,7 +73,7 @@
         }
     }
 
-    /// One of these tokens, by its meaning.
+    /// Reads one of several tokens, and returns the value that it stands for.
     pub(super) fn one_of<T: Copy>(
         &mut self,
         expected: &'static str,
@@ -95,7 +98,7 @@
         parse_time(self.next(TIME)?)
     }
 
-    /// A range such as `1ms..8ms` that is not empty.
+    /// Reads a non-empty range such as `1ms..8ms`.
     pub(super) fn duration_range(&mut self) -> Result<Range<Duration>, ParseErrorKind> {
         let token = self.next("two times such as 1ms..8ms")?;
         let (low, high) = token
@@ -128,7 +131,7 @@
         }
     }
 
-    /// Machines, up to the end of the line or to a sign.
+    /// Reads one or more machines, up to the end of the line or a link sign.
     pub(super) fn machines(&mut self) -> Result<Vec<Machine>, ParseErrorKind> {
         let mut machines = Vec::new();
         while let Some(token) = self.tokens.next_if(|token| !LINK_SIGNS.contains(token)) {
--- a/crates/emberpin-simulator/src/search.rs
+++ b/crates/emberpin-simulator/src/search.rs
@@ -1,4 +1,4 @@
-//! Searches seeds for a scenario that fails.
+//! Searches a range of seeds for generated scenarios that fail.
 
 use crate::mutants::Guards;
 use crate::runner::{run, Failure, FailureCause, RunStatistics};
@@ -8,12 +8,12 @@
 
 pub use crate::generator::generate;
 
-/// What a search found.
+/// The result of a search.
 #[derive(Debug, Default)]
 pub struct SearchResult {
-    /// How many scenarios were run.
+    /// The number of scenarios that were run.
     pub runs: u64,
-    /// What all runs that held did, summed.
+    /// The summed statistics of all runs without a failure.
     pub total: RunStatistics,
     /// The runs that failed, by seed.
     pub failures: Vec<FailedSeed>,
@@ -22,7 +22,7 @@
 /// A seed whose scenario fails.
 #[derive(Debug)]
 pub struct FailedSeed {
-    /// The number that its scenario was generated from.
+    /// The seed that its scenario was generated from.
     pub seed: u64,
     /// What went wrong.
     pub failure: Failure,
@@ -37,8 +37,8 @@
     pub first: u64,
     /// How many seeds there are.
     pub count: u64,
-    /// The distance from one seed to the next. Seeds go through the kinds of scenarios in turn, so that a distance of eight
-    /// searches one kind alone.
+    /// The distance from one seed to the next. Consecutive seeds cycle through the eight kinds of scenarios, so a step of
+    /// eight searches a single kind.
     pub step: u64,
 }
 
@@ -52,14 +52,14 @@
         }
     }
 
-    /// The seed of this number, counted from 0; `None` after the last.
+    /// The seed at this index, counted from 0; `None` after the last seed.
     fn get(self, number: u64) -> Option<u64> {
         (number < self.count).then(|| self.first + number * self.step)
     }
 }
 
-/// Runs the scenarios of these seeds on `threads` threads, and stops at `max_failures` failures. Scenarios that other
-/// threads have begun by then are run to their end.
+/// Runs the scenarios of these seeds on `threads` threads and stops after `max_failures` failures. Scenarios that are
+/// already running on other threads then are completed.
 pub fn search(seeds: Seeds, threads: usize, max_failures: usize, guards: Guards) -> SearchResult {
     let next_number = AtomicU64::new(0);
     let result = Mutex::new(SearchResult::default());
@@ -67,7 +67,7 @@
         let Some(seed) = seeds.get(next_number.fetch_add(1, Ordering::Relaxed)) else {
             return;
         };
-        // Nothing that holds the lock panics, so it is never poisoned.
+        // No code panics while holding the lock, so it is never poisoned.
         let is_over = result
             .lock()
             .map_or(true, |result| result.failures.len() >= max_failures);
--- a/crates/emberpin-simulator/src/shrink.rs
+++ b/crates/emberpin-simulator/src/shrink.rs
@@ -1,9 +1,10 @@
-//! Shrinks a scenario that fails to fewer lines that fail in the same way.
+//! Shrinks a failing scenario to fewer lines that fail in the same way.
 //!
-//! Delta debugging: runs of lines are left out, at first half of all, at last single ones, as long as the rest is a
-//! scenario that fails with a violation of the same kind. On a mutant the rest must also hold on the system, so that a
-//! line that only ends a fault is not left out; on the system, where nothing tells, the ends of faults stay. What precedes the first step, and the state of the network, say which time
-//! limits hold and how many machines may be lost, and always stay.
+//! The method is delta debugging: blocks of consecutive lines are removed, first half of all lines, finally single lines,
+//! as long as the rest is a scenario that fails with a violation of the same kind. For a mutant, the rest must also hold
+//! on the unmodified system, so that lines that end a fault are kept. On the unmodified system itself there is no such
+//! comparison, so lines that end a fault are never removed. The settings, and the steps that set network and disk delays,
+//! determine which time limits apply and how many machines may be lost; they always stay.
 
 use crate::mutants::Guards;
 use crate::runner::{run, Failure, FailureCause};
@@ -11,18 +12,18 @@
 use crate::violation::Violation;
 use std::mem::{discriminant, Discriminant};
 
-/// A scenario of fewer lines, and how it fails.
+/// A shrunk scenario, and how it fails.
 #[derive(Debug)]
 pub struct Shrunk {
     /// The text of the scenario.
     pub text: String,
-    /// What goes wrong in it.
+    /// Its failure.
     pub failure: Failure,
-    /// How many scenarios were run for it.
+    /// How many scenarios were run to shrink it.
     pub runs: usize,
 }
 
-/// Shrinks a scenario. `None` if it does not fail by a violation.
+/// Shrinks a scenario. Returns `None` if it does not fail with a violation.
 pub fn shrink(name: &str, text: &str, guards: Guards) -> Option<Shrunk> {
     let failure = failure_of(name, text, guards)?;
     let kind = kind_of(&failure)?;
@@ -42,16 +43,16 @@
     })
 }
 
-/// The kind of a violation, whatever machines and items it names.
+/// The kind of a violation, regardless of the machines and items it names.
 type ViolationKind = Discriminant<Violation>;
 
 struct Shrinker<'a> {
     name: &'a str,
     guards: Guards,
     kind: ViolationKind,
-    /// The lines that are left.
+    /// The remaining lines.
     lines: Vec<String>,
-    /// How these fail.
+    /// The failure of the remaining lines.
     failure: Failure,
     runs: usize,
 }
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Tries to leave out each run of so many lines. Whether any was left out.
+    /// Tries to remove each block of `length` lines. Returns whether any line was removed.
     fn leave_out_runs_of(&mut self, length: usize) -> bool {
         let mut left_out_some = false;
         let mut from = 0;
@@ -97,7 +98,7 @@
         left_out_some
     }
 
-    /// The failure of this text, if it is of the same kind.
+    /// The failure of this text, if it is of the same kind and, for a mutant, the text holds on the unmodified system.
     fn same_failure(&mut self, text: &str) -> Option<Failure> {
         self.runs += 1;
         let failure = failure_of(self.name, text, self.guards)
@@ -118,13 +119,13 @@
         .any(|word| line.contains(word))
 }
 
-/// Whether a line decides what the scenario demands.
+/// Whether a line is a setting, or sets the delays of the network or the disks.
 fn must_stay(line: &str) -> bool {
     let is_step = line.starts_with("at ") || line.starts_with("expect ");
     !is_step || line.contains(" network ") || line.contains(" disk ")
 }
 
-/// How the scenario of this text fails; `None` if it holds, or is no scenario.
+/// The failure of the scenario in this text; `None` if it holds or cannot be parsed.
 fn failure_of(name: &str, text: &str, guards: Guards) -> Option<Failure> {
     run(&parse(name, text).ok()?, guards).err()
 }
--- a/crates/emberpin-simulator/src/simulation/clients.rs
+++ b/crates/emberpin-simulator/src/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Dispatches the events of operators and servers.
+//! Dispatches the events of the clients: operators and servers.
 
 use super::Simulation;
 use crate::state::event::Event;
--- a/crates/emberpin-simulator/src/simulation/connections.rs
+++ b/crates/emberpin-simulator/src/simulation/connections.rs
@@ -1,4 +1,4 @@
-//! Links and connections: partitions, delays, and the frames that are sent over connections.
+//! Links and connections: partitions, delays, and the delivery of frames over connections.
 
 use super::Simulation;
 use crate::machine::{CoreId, Machine};
@@ -11,13 +11,14 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// How long bytes may be unacknowledged before their connection breaks.
+/// How long data may be unacknowledged before its connection breaks.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long the end of a connection takes to reach its other side at least; the rest is drawn below the second.
-const LEAST_BREAK_DELAY: Duration = Duration::from_millis(1);
+/// The minimum delay until the other side is notified of a broken connection.
+const MIN_BREAK_DELAY: Duration = Duration::from_millis(1);
+/// The delay beyond [`MIN_BREAK_DELAY`] is drawn below this.
 const BREAK_DELAY_SPREAD: Duration = Duration::from_millis(4);
 
-/// Whether the machine that breaks a connection tells the other one: not if it has no power.
+/// Whether a machine notifies the other side when its connections break: not after a loss of power.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BreakNotice {
     Sent,
@@ -39,7 +40,7 @@
         self.network.slow_down(links, delay);
     }
 
-    /// By how much later something arrives because of a slow link.
+    /// The additional delay of a message because of a slow link.
     pub(super) fn draw_extra_delay(&mut self, from: Machine, to: Machine) -> Duration {
         let Some(range) = self.network.extra_delay(from, to) else {
             return Duration::ZERO;
@@ -49,7 +50,7 @@
         delay
     }
 
-    /// Ends the partitions and slow links of these machines, or all if there are none.
+    /// Ends the partitions and slow links of these machines; with an empty list, all of them and all message losses.
     pub(super) fn heal(&mut self, machines: &[Machine]) {
         for (one, other) in self.network.heal(machines) {
             // A partition between a proxy and a core machine does not disturb the core machines.
@@ -71,7 +72,7 @@
 
     // ---- connections
 
-    /// Opens a connection; `None` if the callee cannot be reached.
+    /// Opens a connection. Returns `None` if the callee cannot be reached.
     pub(super) fn connect(&mut self, caller: Machine, callee: Machine) -> Option<ConnectionId> {
         if self.network.is_partitioned_either_way(caller, callee) || !self.is_running(callee) {
             return None;
@@ -155,17 +156,17 @@
         }
     }
 
-    /// Breaks a connection. Both sides learn of it: soon if the other one can say so, or by a timeout.
+    /// Breaks a connection. Each side detects it: soon if the other side can notify it, otherwise by a timeout.
     pub(super) fn break_connection(&mut self, id: ConnectionId, notice: BreakNotice) {
         let Some(connection) = self.network.close(id) else {
             return;
         };
         let (caller, callee) = (connection.caller, connection.callee);
         for (machine, other) in [(caller, callee), (callee, caller)] {
-            let is_told =
+            let is_notified =
                 notice == BreakNotice::Sent && !self.network.is_partitioned(other, machine);
-            let delay = if is_told {
-                LEAST_BREAK_DELAY + self.draw_time_below(BREAK_DELAY_SPREAD)
+            let delay = if is_notified {
+                MIN_BREAK_DELAY + self.draw_time_below(BREAK_DELAY_SPREAD)
             } else {
                 UNACKNOWLEDGED_TIMEOUT
             };
--- a/crates/emberpin-simulator/src/simulation/contact.rs
+++ b/crates/emberpin-simulator/src/simulation/contact.rs
@@ -1,4 +1,4 @@
-//! Whether a proxy is in contact, so that time limits hold for it.
+//! Determines whether a proxy is in contact, so that time limits apply to it.
 
 use super::Simulation;
 use crate::machine::{CoreId, Machine, ProxyId};
@@ -7,8 +7,8 @@
 use std::collections::BTreeSet;
 
 impl Simulation {
-    /// Whether a proxy has been in contact for `contact`: it and the core machines run without a fault, and it reaches
-    /// each of those that reach a majority.
+    /// Whether a proxy has been in contact for the bound `contact`: it runs, no fault has affected it or the core machines
+    /// in this time, and it can reach each core machine that can reach a majority.
     pub(super) fn is_in_contact(&self, proxy: ProxyId) -> bool {
         let node = self.proxies.get(&proxy);
         let Some(node) = node.filter(|node| node.running.is_some()) else {
@@ -28,7 +28,7 @@
                 .all(|core| self.is_joined(Machine::Proxy(proxy), Machine::Core(*core)))
     }
 
-    /// Whether a fault hit a process less than `contact` ago.
+    /// Whether a fault affected a process within the bound `contact`.
     fn was_disturbed(&self, process: &Process) -> bool {
         !process.disturbed_at.is_zero() && self.now < process.disturbed_at + CONTACT
     }
@@ -44,7 +44,7 @@
                 .all(|node| !self.was_disturbed(&node.process))
     }
 
-    /// The running core machines that reach a majority of those in use.
+    /// The running core machines that can reach a majority of those in use.
     fn cores_with_majority(&self) -> Vec<CoreId> {
         let in_use = self.cores_in_use();
         let running: BTreeSet<CoreId> = in_use
--- a/crates/emberpin-simulator/src/simulation/core_nodes.rs
+++ b/crates/emberpin-simulator/src/simulation/core_nodes.rs
@@ -1,4 +1,4 @@
-//! The start of core machines, their disks, and the events of their stores and registries.
+//! Core machines: their start, their disks, and the dispatch of their stores' and registries' events.
 
 use super::Simulation;
 use crate::machine::CoreId;
@@ -13,9 +13,9 @@
 use emberpin_membership::registry::{Registry, RegistryConfig};
 use std::time::Duration;
 
-/// How long anything takes between a store and the registry beside it.
+/// The delay between a store and the registry on its machine.
 pub(super) const LOCAL_DELAY: Duration = Duration::from_millis(1);
-/// The size of a snapshot's parts: so small that each holds an item or two.
+/// The maximum size of a snapshot's parts: small, so that each contains only one or two items.
 const SNAPSHOT_PART_BYTES: usize = 200;
 
 impl Simulation {
@@ -74,7 +74,7 @@
         self.schedule(at, Event::VotersReport { core, incarnation });
     }
 
-    /// What runs on a core machine, if it is still this incarnation.
+    /// The running state of a core machine, if it still is the given incarnation.
     pub(super) fn running_incarnation(
         &mut self,
         core: CoreId,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Writes to a disk, and schedules the end of the sync if the write asks for one.
+    /// Writes to a disk, and schedules the end of the sync if the write requires one.
     pub(super) fn write_to_disk(&mut self, core: CoreId, token: WriteToken, write: WriteBatch) {
         let range = self.sync_time.clone();
         let sync_time = self.draw_time(&range);
--- a/crates/emberpin-simulator/src/simulation/effects.rs
+++ b/crates/emberpin-simulator/src/simulation/effects.rs
@@ -1,4 +1,4 @@
-//! Whether what was acknowledged is in force in time on proxies in contact.
+//! Checks that proxies in contact apply acknowledged changes within their time limits.
 
 use super::Simulation;
 use crate::machine::ProxyId;
@@ -11,7 +11,7 @@
 use emberpin_routing::Availability;
 use std::time::Duration;
 
-/// How long before the acknowledgement of an evacuation its end may be requested, so that the evacuation is not checked.
+/// An evacuation is not checked if its end was requested later than this long before its acknowledgement.
 const EVACUATION_OVERLAP: Duration = Duration::from_millis(1_000);
 
 impl Simulation {
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Whether an operator requested the end of a zone's evacuation at about the time of its acknowledgement or later.
+    /// Whether an operator requested the end of a zone's evacuation around the time of its acknowledgement or later.
     fn was_evacuation_ended(&self, zone: &str, acknowledged_at: Duration) -> bool {
         self.operators.calls.iter().any(|call| {
             let ends_evacuation = matches!(
                 &call.request,
-                Some(OperatorRequest::Evacuate { zone: of, change: EvacuationChange::End }) if of == zone
+                Some(OperatorRequest::Evacuate { zone: ended, change: EvacuationChange::End }) if ended == zone
             );
             let last_seen = call.ended_at.max(call.sent_at);
             ends_evacuation && last_seen + EVACUATION_OVERLAP > acknowledged_at
@@ -74,7 +74,7 @@
     }
 }
 
-/// The first of these items that a proxy lacks or has in an older version.
+/// The first of these items that a proxy does not have, or has in an older version.
 fn missing_item(proxy: &ProxyProcess, items: &[Item]) -> Option<MissingEffect> {
     let is_missing = |item: &&Item| {
         let known = proxy.configuration.get(&item.key);
--- a/crates/emberpin-simulator/src/simulation/expectations.rs
+++ b/crates/emberpin-simulator/src/simulation/expectations.rs
@@ -1,4 +1,4 @@
-//! Checks what a scenario expects.
+//! Checks a scenario's expectations.
 
 use super::Simulation;
 use crate::machine::{CoreId, ProxyId};
@@ -9,7 +9,7 @@
 use std::net::Ipv4Addr;
 
 impl Simulation {
-    /// Checks an expectation. A read is none of these: its response is checked when it comes.
+    /// Checks an expectation. An expected read is not checked here, but when its response arrives.
     pub(super) fn check_expectation(&self, expectation: &Expectation) -> Result<(), StepFailure> {
         match expectation {
             Expectation::OperatorStatus { operator, status } => {
@@ -109,7 +109,7 @@
         })
     }
 
-    /// Checks each of these proxies that runs.
+    /// Applies a check to each of these proxies that is running.
     fn check_proxies(
         &self,
         proxies: &[ProxyId],
--- a/crates/emberpin-simulator/src/simulation/faults.rs
+++ b/crates/emberpin-simulator/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of machines, and their end.
+//! Faults of machines, and the end of faults.
 
 use super::connections::BreakNotice;
 use super::Simulation;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 impl Simulation {
-    /// Records that a fault hit these machines now.
+    /// Records that a fault affects these machines now.
     pub(super) fn mark_disturbed(&mut self, machines: impl IntoIterator<Item = Machine>) {
         let now = self.now;
         for machine in machines {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Starts a core machine with settings that say that the system starts for the first time.
+    /// Starts a core machine with the settings of the system's first start.
     pub(super) fn bootstrap(&mut self, machine: Machine) {
         if let Machine::Core(core) = machine {
             self.start_core(core, true);
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Ends the process of a machine.
+    /// Stops the process of a machine, and breaks its connections.
     pub(super) fn stop(&mut self, machine: Machine, notice: BreakNotice) {
         match machine {
             Machine::Core(core) => {
@@ -87,7 +87,7 @@
         self.stop(machine, BreakNotice::NotSent);
     }
 
-    /// Removes a core machine for good, and starts a new one in its zone.
+    /// Removes a core machine permanently, and starts a new one in its zone.
     pub(super) fn replace(&mut self, old: CoreId, new: CoreId) {
         let Some(node) = self.cores.get(&old) else {
             return;
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Ends all faults, and starts all machines.
+    /// Ends all faults, and starts all machines that are not running.
     pub(super) fn end_faults(&mut self) {
         self.heal(&[]);
         self.network.end_losses();
--- a/crates/emberpin-simulator/src/simulation/final_checks.rs
+++ b/crates/emberpin-simulator/src/simulation/final_checks.rs
@@ -1,4 +1,4 @@
-//! The end of a run: all faults are over, and what must always hold is checked.
+//! The end of a run: ends all faults, and checks recovery and the final state.
 
 use super::Simulation;
 use crate::history::{self, Call, NumberedItem, Outcome};
@@ -13,14 +13,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long after the end of all faults a call must be acknowledged.
+/// The recovery time after the end of all faults, after which the final calls are made.
 const RECOVERY_TIME: Duration = Duration::from_millis(14_000);
-/// How long the final calls may take.
+/// The time limit of each final call.
 const FINAL_CALL_LIMIT: Duration = Duration::from_millis(10_000);
-/// How often the response of a final call is looked for.
+/// How often the simulation checks for the response to a final call.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// The names of the final calls, as operators.
+/// The operator of the final patch.
 const FINAL_PATCH: &str = "after all";
+/// The operator of the final read.
 const FINAL_READ: &str = "at the end";
 const FINAL_PATCH_BODY: &str =
     "{\"upsert\":{\"svcs\":[{\"name\":\"after-all\",\"hcheck\":\"/h\",\"maxconn\":1,\"ver\":1}]}}";
@@ -36,7 +37,7 @@
 }
 
 impl Simulation {
-    /// Ends all faults, and checks what must always hold.
+    /// Ends all faults, and checks the invariants of the final state.
     pub fn finish(&mut self) {
         if self.violation.is_some() {
             return;
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Makes a call and waits until it is acknowledged. Returns the body of its response.
+    /// Makes a call, and runs the simulation until its response arrives. Returns the response's body.
     fn make_final_call(&mut self, name: &str, request: Option<OperatorRequest>) -> String {
         self.call_as_operator(name, CallTarget::Any, request, None);
         let Some(call) = self.operators.latest_id(name) else {
@@ -101,7 +102,7 @@
         Ok(())
     }
 
-    /// Each call that is retried got a response.
+    /// Checks that each call that is retried got a response.
     fn check_responses(&self) -> Result<(), Violation> {
         let mut calls = self.operators.calls.iter();
         match calls.find(|call| call.is_retried() && call.status.is_none()) {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Nothing of a rejected call is in force, unless another call asked for the same.
+    /// Checks that no item of a rejected call was chosen, unless another call contained the same item.
     fn check_rejected_calls(&self) -> Result<(), Violation> {
         let calls = &self.operators.calls;
         let is_requested_otherwise = |item: &Item| {
@@ -137,15 +138,15 @@
         Ok(())
     }
 
-    /// The last change of each zone's evacuation is in force on all proxies, where no other one was under way at the
-    /// same time.
+    /// Checks that the last change of each zone's evacuation is in force on all proxies, unless an opposite change was in
+    /// progress at the same time.
     fn check_evacuations(&self) -> Result<(), Violation> {
         for (zone, calls) in self.evacuation_calls() {
             let Some(last) = last_call(&calls) else {
                 continue;
             };
             let is_concurrent = |other: &EvacuationCall| {
-                // Two calls of one moment may take effect in either order.
+                // Concurrent calls may take effect in either order.
                 other.change != last.change
                     && other.acknowledged_at.is_none_or(|at| at >= last.sent_at)
             };
@@ -194,7 +195,7 @@
         }
     }
 
-    /// What operators were told fits one order of their calls.
+    /// Checks that the operators' calls are linearizable.
     fn check_linearizability(&mut self) {
         let calls = self.operators.calls.iter();
         let calls: Vec<Call> = calls.filter_map(history_call).collect();
@@ -208,7 +209,7 @@
     }
 }
 
-/// The call that was sent last; of several at one time, the last one.
+/// The call that was sent last; of several at the same time, the last one in the list.
 fn last_call(calls: &[EvacuationCall]) -> Option<&EvacuationCall> {
     calls.iter().max_by_key(|call| call.sent_at)
 }
@@ -221,7 +222,8 @@
     }
 }
 
-/// A call as histories have it. `None` for evacuations, which no read shows, and for calls that could not be parsed.
+/// Converts a call for the history. `None` for evacuations, which no read shows, for reads without a response, and for
+/// calls and responses that cannot be parsed.
 fn history_call(call: &OperatorCall) -> Option<Call> {
     let outcome = match (&call.request, call.status) {
         (None, Some(_)) => {
--- a/crates/emberpin-simulator/src/simulation/mod.rs
+++ b/crates/emberpin-simulator/src/simulation/mod.rs
@@ -1,6 +1,7 @@
-//! A running system: one clock, the queue of scheduled events, and all machines.
+//! A running system: the simulated clock, the queue of scheduled events, and all machines.
 //!
-//! The files of this module each add one concern to [`Simulation`].
+//! Each submodule implements one concern of [`Simulation`]. Events come from the queue, steps from the runner; both may
+//! schedule further events.
 
 mod clients;
 mod connections;
@@ -37,23 +38,23 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// The time at which a run begins. Not zero, since some fields take zero for "never".
+/// The time at which a run begins. Not zero, since zero means "never" in some fields.
 const START: Duration = Duration::from_millis(1);
-/// How many machines are seeds unless a scenario names others.
+/// The number of seeds unless a scenario names others: the first machines in use.
 const SEEDS: usize = 3;
 
-/// What a run did, for its statistics.
+/// Counters of a run, for its statistics.
 #[derive(Debug, Default)]
 pub(crate) struct Counters {
     /// The number of events that were handled.
     pub events: u64,
     /// Requests that were sent to warming servers.
     pub slow_start_requests: usize,
-    /// Acknowledged effects that were checked on a proxy in contact.
+    /// Checks that a proxy in contact has applied an acknowledged change.
     pub effect_checks: usize,
     /// Operations in histories that were checked for linearizability.
     pub checked_operations: usize,
-    /// Operations in histories that were too long to check.
+    /// Operations in histories that were too long to be checked.
     pub unchecked_operations: usize,
     /// How often faults took effect.
     pub fault_effects: FaultEffects,
@@ -79,21 +80,21 @@
     record: Record,
     pub counters: Counters,
     network: Network,
-    /// How long a sync of a disk takes.
+    /// The duration of a disk sync.
     sync_time: Range<Duration>,
-    /// Messages or disks are so slow that nothing with a time limit is asserted.
+    /// Whether messages or disks are so slow that time limits are not checked.
     has_no_time_limits: bool,
     is_slow_start_load_scheduled: bool,
-    /// How many of a hundred responses to operators are lost.
+    /// The percentage of responses to operators that are lost.
     response_loss_percent: u64,
-    /// The seeds that processes are configured with at their start, unless they are the first machines in use.
+    /// The seeds in the settings of processes that start; `None`: the first machines in use.
     seeds: Option<Vec<CoreId>>,
-    /// The calls of servers that have no reply, by their ids at registries.
+    /// The pending calls of servers, by their ids at registries.
     pending_server_calls: BTreeMap<u64, ServerCall>,
-    /// By time, and in the order in which they were scheduled.
+    /// The scheduled events by time, and in the order in which they were scheduled.
     queue: BTreeMap<(Duration, u64), Event>,
     last_event_number: u64,
-    /// What was found wrong first; the run ends with it.
+    /// The first violation, with which the run ends.
     pub violation: Option<TimedViolation>,
 }
 
@@ -147,7 +148,7 @@
 
     // ---- draws
 
-    /// A number below `bound`; 0 if `bound` is.
+    /// A number below `bound`; 0 if `bound` is 0.
     fn draw_below(&mut self, bound: u64) -> u64 {
         self.random.rand_range(0..bound.max(1))
     }
@@ -175,7 +176,7 @@
 
     // ---- events
 
-    /// Schedules an event, not before now.
+    /// Schedules an event at `at`, or now if `at` has passed.
     fn schedule(&mut self, at: Duration, event: Event) {
         self.last_event_number += 1;
         let key = (at.max(self.now), self.last_event_number);
@@ -215,7 +216,7 @@
         }
     }
 
-    /// The machine whose process has to run for an event; it is deferred while that process is frozen.
+    /// The machine whose process handles an event; the event is deferred while that process is frozen.
     fn owner(&self, event: &Event) -> Option<Machine> {
         match event {
             Event::StoreMessage { to: core, .. }
@@ -309,7 +310,7 @@
         self.cores.get_mut(&core)?.running.as_mut()
     }
 
-    /// What runs on a proxy, and the time on its clock.
+    /// The time on a proxy's clock, and the proxy's running state.
     fn running_proxy(&mut self, proxy: ProxyId) -> Option<(Duration, &mut ProxyProcess)> {
         let node = self.proxies.get_mut(&proxy)?;
         let local = node.process.local_time(self.now);
@@ -346,7 +347,7 @@
         }
     }
 
-    /// The core machines that were not replaced, as the operators' list and the settings have them.
+    /// The core machines that were not replaced, which are those that operators and settings know.
     fn cores_in_use(&self) -> Vec<CoreId> {
         self.cores
             .iter()
@@ -355,7 +356,7 @@
             .collect()
     }
 
-    /// The seeds that a process is configured with when it starts.
+    /// The seeds in the settings of a process that starts now.
     fn configured_seeds(&self) -> Vec<CoreId> {
         match &self.seeds {
             Some(seeds) => seeds.clone(),
--- a/crates/emberpin-simulator/src/simulation/operators.rs
+++ b/crates/emberpin-simulator/src/simulation/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: their calls, attempts and responses.
+//! Operators: their calls, with attempts and responses.
 
 use super::Simulation;
 use crate::invariants::check_read;
@@ -13,23 +13,23 @@
 use emberpin_membership::timing::bounds::APPLY;
 use std::time::Duration;
 
-/// How long a message between a client and a core machine takes.
+/// The delay of a message between a client and a core machine.
 pub(super) const CLIENT_DELAY: Duration = Duration::from_millis(2);
 /// How long a client waits for a response before it retries at another machine.
 pub(super) const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The pause of a server after a call to a machine that is down, and the base of an operator's backoff.
+/// How long a server waits after a call to a machine that is down, and the base of an operator's backoff.
 pub(super) const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
-/// How often an operator's backoff doubles at most, once with each attempt.
+/// An operator's backoff doubles with each attempt, at most this many times.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// `evac`: how long after its acknowledgement an evacuation may take to come into force.
+/// The bound `evac`: the time from the acknowledgement of an evacuation until it must be in force.
 const EVACUATION_LIMIT: Duration = Duration::from_millis(5_000);
 
 const OK: u16 = 200;
 const SERVICE_UNAVAILABLE: u16 = 503;
 
 impl Simulation {
-    /// A new call of an operator; without a request it reads.
+    /// Begins a new call of an operator; without a request it reads the configuration.
     pub(super) fn call_as_operator(
         &mut self,
         operator: &str,
@@ -44,7 +44,7 @@
         self.attempt_operator_call(OperatorAttempt { call, number: 0 });
     }
 
-    /// Makes the next attempt after this one, unless the call has ended or a later attempt is under way.
+    /// Makes the attempt after `previous`, unless the call has ended or already has a later attempt.
     pub(super) fn attempt_operator_call(&mut self, previous: OperatorAttempt) {
         let drawn_core = self.draw_core();
         let now = self.now;
@@ -92,7 +92,7 @@
         self.schedule(self.now + CLIENT_DELAY, event);
     }
 
-    /// An operator that still waits for this attempt repeats it with the version that it was told.
+    /// Repeats an attempt with the version that the redirect stated, if the operator still waits for this attempt.
     pub(super) fn on_operator_redirect(
         &mut self,
         attempt: OperatorAttempt,
@@ -141,7 +141,7 @@
         self.handle_store_event(core, event);
     }
 
-    /// What the registry on a machine does with a change of an evacuation.
+    /// Lets the registry on a machine decide how to handle a change of an evacuation; `None` if it is not running.
     fn evacuation_step(
         &mut self,
         core: CoreId,
@@ -179,7 +179,7 @@
     ) {
         let now = self.now;
         let pause = INITIAL_BACKOFF + self.draw_time_below(INITIAL_BACKOFF * 3);
-        // An operator that has gone on to another machine gets no response of an earlier one.
+        // A response to an earlier attempt is ignored.
         let Some(call) = self.operators.call_in_progress(attempt) else {
             return;
         };
@@ -202,7 +202,7 @@
         }
     }
 
-    /// An operator's call was acknowledged, so its effect has a time limit from now on.
+    /// Records an acknowledged call, and schedules the check that its effect is in force in time.
     fn on_acknowledged(&mut self, call: OperatorCall) {
         let acknowledged_at = self.now;
         let (limit, effect) = match call.request {
@@ -233,7 +233,7 @@
     }
 }
 
-/// The pause after this number of attempts.
+/// The backoff after this number of attempts.
 fn backoff(attempts: u32) -> Duration {
     let doublings = attempts.min(MAX_BACKOFF_DOUBLINGS);
     (INITIAL_BACKOFF * (1 << doublings)).min(MAX_BACKOFF)
--- a/crates/emberpin-simulator/src/simulation/proxy_sessions.rs
+++ b/crates/emberpin-simulator/src/simulation/proxy_sessions.rs
@@ -1,4 +1,4 @@
-//! Proxies and their sessions with registries.
+//! Proxies: their sessions with registries, and the updates that they receive on them.
 
 use super::connections::BreakNotice;
 use super::Simulation;
@@ -46,7 +46,7 @@
         self.schedule(at, Event::ProxyTimer { proxy, incarnation });
     }
 
-    /// Ends sessions that are silent or whose lease has expired, sends keep-alives, and begins new sessions.
+    /// Ends sessions without messages and sessions whose lease has expired, sends keep-alives, and begins new sessions.
     pub(super) fn on_proxy_timer(&mut self, proxy: ProxyId, incarnation: ProcessIncarnation) {
         if self.incarnation(Machine::Proxy(proxy)) != incarnation {
             return;
@@ -118,7 +118,7 @@
             .on_session_ended(timestamp(now), index, Confirmation::Unconfirmed);
     }
 
-    /// Chooses the registry for a session, or waits if there is none.
+    /// Chooses the registry for a session. If there is no candidate, schedules the next attempt.
     fn choose_registry(&mut self, proxy: ProxyId, index: usize) -> Option<CoreId> {
         let seeds = self.configured_seeds();
         let seeds = seeds.into_iter().map(CoreId::address);
@@ -135,7 +135,7 @@
         address.map(CoreId::from_address)
     }
 
-    /// The first message of a session.
+    /// The first message of a session; `None` if the proxy is not running.
     fn hello(&self, proxy: ProxyId, core: CoreId) -> Option<FromProxy> {
         let node = self.proxies.get(&proxy)?;
         let running = node.running.as_ref()?;
@@ -143,7 +143,7 @@
         let incarnation = u64::from(proxy.0) << 32 | node.process.incarnation.0;
         let progress = running.progress.get(&core);
         let mut instances = running.router.endpoints.known_instances(now);
-        // The table lists them as its hash map has them, in another order in each run.
+        // Sorted, because the hash map of the endpoint list gives a different order in each run.
         instances.sort_by(|one, other| one.id.cmp(&other.id));
         Some(FromProxy::Hello {
             incarnation: Incarnation(incarnation),
@@ -154,7 +154,7 @@
         })
     }
 
-    /// A session has ended: the next one begins after a pause of half to one and a half of the backoff.
+    /// Ends a session. The next one begins after a pause of 50 % to 150 % of the backoff.
     pub(super) fn on_session_broken(&mut self, proxy: ProxyId, connection: ConnectionId) {
         let percent = 50 + self.draw_below(100);
         let Some((now, running)) = self.running_proxy(proxy) else {
@@ -211,9 +211,9 @@
         let brings_state = is_snapshot || resumes;
         if brings_state {
             session.lease.on_snapshot_progress(timestamp(now));
-            // A resumed session goes on from what this registry sent in an earlier one.
-            let counts = is_snapshot || guards.proxy.resumed_sessions_are_synced;
-            session.is_synced |= next_part.is_none() && counts;
+            // A resumed session continues from the state that this registry sent in an earlier session.
+            let counts_as_synced = is_snapshot || guards.proxy.resumed_sessions_are_synced;
+            session.is_synced |= next_part.is_none() && counts_as_synced;
             session.awaits_part = Some(next_part.is_some());
         }
         if let Err(violation) = self.apply_session_message(proxy, index, message) {
@@ -268,7 +268,7 @@
         }
     }
 
-    /// Checks that a server that was known to drain never gets requests again in this proxy's incarnation.
+    /// Checks that this incarnation of the proxy never makes a server available again that it knew to be draining.
     fn check_drained_servers(&mut self, proxy: ProxyId) {
         let draining: Vec<String> = self
             .servers
@@ -280,7 +280,7 @@
             return;
         };
         for instance_id in draining {
-            // An instance that is not known here was not reported yet, or was evicted.
+            // An instance that the proxy does not know was not reported to it yet, or was evicted.
             let instance = running.router.endpoints.instance(&instance_id);
             match instance.map(|instance| instance.status) {
                 Some(Status::Up) if running.drained_instances.contains(&instance_id) => {
@@ -294,7 +294,7 @@
     }
 }
 
-/// A part of a duration, in whole milliseconds.
+/// A percentage of a duration, in whole milliseconds.
 fn part_of(duration: Duration, percent: u64) -> Duration {
     Duration::from_millis(duration.as_millis() as u64 * percent / 100)
 }
--- a/crates/emberpin-simulator/src/simulation/registries.rs
+++ b/crates/emberpin-simulator/src/simulation/registries.rs
@@ -16,15 +16,15 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// How often a store reports its voters to the registry beside it.
+/// How often a store reports its voters to the registry on its machine.
 const VOTERS_REPORT_INTERVAL: Duration = Duration::from_millis(450);
-/// The least time between two attempts of a registry to connect to another one; as much more is drawn.
+/// The minimum time between two attempts to connect to another registry; a random time below the same value is added.
 const DIAL_BACKOFF: Duration = Duration::from_millis(200);
-/// How long after a connection broke the next attempt is made.
+/// The time from the loss of a connection to the next attempt to connect.
 const REDIAL_DELAY: Duration = Duration::from_millis(100);
 
 impl Simulation {
-    // ---- from the store beside it
+    // ---- from the store on the same machine
 
     pub(super) fn on_items_chosen(
         &mut self,
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Asks a store for the age of its state. Its answer comes after the items that are on their way.
+    /// Queries a store for the age of its state. The reply arrives after the chosen items that are already in flight.
     fn query_store(&mut self, core: CoreId, incarnation: ProcessIncarnation, nonce: Nonce) {
         let now = self.now;
         let Some(node) = self.cores.get(&core) else {
--- a/crates/emberpin-simulator/src/simulation/servers.rs
+++ b/crates/emberpin-simulator/src/simulation/servers.rs
@@ -1,4 +1,4 @@
-//! Servers: their heartbeats and the replies of registries.
+//! Servers: their calls to registries (heartbeats and leaves), and the replies.
 
 use super::operators::{CALL_TIMEOUT, CLIENT_DELAY, INITIAL_BACKOFF};
 use super::Simulation;
@@ -16,9 +16,9 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// Requests that a server processes at a time.
+/// The number of requests that a server processes concurrently.
 const SLOTS: u32 = 2;
-/// The attempt of a heartbeat whose reply nobody waits for.
+/// The attempt number of a late heartbeat, whose reply is ignored.
 const NO_ATTEMPT: u64 = u64::MAX;
 
 impl Simulation {
@@ -80,7 +80,7 @@
         );
     }
 
-    /// A server of this incarnation, if it still sends calls.
+    /// The server, if it is still this incarnation and still sends calls.
     fn calling_server(&mut self, name: &str, incarnation: u32) -> Option<&mut Server> {
         self.servers
             .get_mut(name)
@@ -96,7 +96,7 @@
         self.send_server_call(name);
     }
 
-    /// A server retries its call at another registry than the last one.
+    /// Retries a server's call at a randomly chosen registry.
     fn retry_server_call(&mut self, name: &str) {
         let drawn_core = self.draw_core();
         self.change_server(name, |server| {
@@ -107,13 +107,13 @@
         self.send_server_call_to(name, drawn_core);
     }
 
-    /// A server sends its heartbeat or its leave.
+    /// Sends a server's heartbeat or its leave.
     fn send_server_call(&mut self, name: &str) {
         let drawn_core = self.draw_core();
         self.send_server_call_to(name, drawn_core);
     }
 
-    /// As [`Simulation::send_server_call`]; a server that has no target sends to `drawn_core`.
+    /// Like [`Simulation::send_server_call`]; a server without a heartbeat target sends to `drawn_core`.
     fn send_server_call_to(&mut self, name: &str, drawn_core: CoreId) {
         let now = self.now;
         let server = self.servers.get_mut(name);
@@ -144,7 +144,7 @@
         }
     }
 
-    /// A heartbeat with an old sequence number arrives late.
+    /// Delivers a late heartbeat, which has an old sequence number.
     fn send_late_heartbeat(&mut self, name: &str, is_draining: bool, seq: u64, core: CoreId) {
         let Some(server) = self.servers.get(name) else {
             return;
--- a/crates/emberpin-simulator/src/simulation/slow_start_load.rs
+++ b/crates/emberpin-simulator/src/simulation/slow_start_load.rs
@@ -1,4 +1,4 @@
-//! Proxies send as many requests to warming servers as slow start allows.
+//! Load on warming servers: proxies send as many requests as slow start admits, and the servers' limit is checked.
 
 use super::Simulation;
 use crate::state::event::Event;
@@ -9,16 +9,16 @@
 
 /// How often proxies send requests to warming servers.
 const LOAD_INTERVAL: Duration = Duration::from_millis(20);
-/// The most requests of one proxy to one server at a time.
+/// Maximum number of requests from one proxy to one server at a time.
 const MAX_REQUESTS_AT_ONCE: usize = 4;
-/// The most requests that a warming server may get in a second: the services' `warmup_per_s` of 10 with the proxies'
-/// tolerance.
+/// Maximum number of requests that a warming server may get in a second: the services' `warmup_per_s` of 10 times the
+/// proxies' tolerated excess factor, plus the tolerated extra requests.
 const WARMUP_LIMIT: usize = 20;
-/// The span of time that the limit counts requests in.
+/// The time span of [`WARMUP_LIMIT`].
 const LIMIT_SPAN: Duration = Duration::from_secs(1);
 
 impl Simulation {
-    /// Lets proxies send requests to warming servers from now on.
+    /// Makes proxies send requests to warming servers from now on.
     pub(super) fn begin_slow_start_load(&mut self) {
         if !self.is_slow_start_load_scheduled {
             self.is_slow_start_load_scheduled = true;
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Each proxy sends what it may to a server. Returns how many requests that were.
+    /// Sends the admitted requests of all proxies to a server. Returns their number.
     fn send_requests(&mut self, name: &str) -> usize {
         let now = self.now;
         let Some(server) = self.servers.get(name) else {
@@ -73,7 +73,7 @@
         requests
     }
 
-    /// Checks that a server gets no more requests in a second than its limit.
+    /// Records requests to a server, and checks that it got no more in the last second than its limit.
     fn count_requests(&mut self, name: &str, requests: usize) -> Result<(), Violation> {
         let now = self.now;
         let Some(server) = self.servers.get_mut(name) else {
--- a/crates/emberpin-simulator/src/simulation/steps.rs
+++ b/crates/emberpin-simulator/src/simulation/steps.rs
@@ -8,11 +8,13 @@
 use crate::violation::{StepFailure, Violation};
 use std::time::Duration;
 
-/// While delays or syncs may take longer than this, nothing with a time limit is asserted.
+/// Time limits are not checked once message delays may be longer than this.
 const MAX_TIMELY_DELAY: Duration = Duration::from_millis(20);
+/// Time limits are not checked once disk syncs may take longer than this.
 const MAX_TIMELY_SYNC: Duration = Duration::from_millis(50);
 
 impl Simulation {
+    /// Executes a step now. A failed expectation ends the run.
     pub fn execute(&mut self, step: &Step) {
         let result = match &step.command {
             Command::Operator { operator, command } => self.command_operator(operator, command),
@@ -63,7 +65,7 @@
         Ok(())
     }
 
-    /// Records which machines a fault hits, so that no time limit is asserted for them meanwhile.
+    /// Records which machines a fault affects, so that no time limits are checked for them meanwhile.
     fn mark_disturbed_by(&mut self, fault: &Fault) {
         match fault {
             Fault::Kill(machines)
@@ -89,7 +91,8 @@
         }
     }
 
-    /// A fault between a proxy and a core machine does not disturb the core machines among each other.
+    /// Marks the machines at both ends of a faulty link. A fault between proxies and core machines does not affect the
+    /// communication among core machines, so it disturbs only the proxies.
     fn mark_ends_disturbed(&mut self, from: &[Machine], to: &[Machine]) {
         let is_core = |machine: &Machine| machine.as_core().is_some();
         let ends = from.iter().chain(to).copied();
--- a/crates/emberpin-simulator/src/simulation/stores.rs
+++ b/crates/emberpin-simulator/src/simulation/stores.rs
@@ -10,16 +10,16 @@
 use emberpin_consensus::{self as consensus, Action, Message};
 use std::time::Duration;
 
-/// A late message arrives later by a time below this.
+/// The additional delay of a late message is below this.
 const MAX_LATENESS: Duration = Duration::from_millis(1_500);
 
-/// A time on a process's clock, as consensus has it.
+/// Converts a time on a process's clock to a timestamp of the consensus package.
 pub(super) fn store_timestamp(local: Duration) -> consensus::Timestamp {
     consensus::Timestamp::ZERO + local
 }
 
 impl Simulation {
-    /// Sends a message between stores: it may be lost, late or duplicated, and overtake others.
+    /// Sends a message between stores. It may be lost, late or duplicated, and messages may be reordered.
     fn send_store_message(&mut self, from: CoreId, to: CoreId, message: &Message) {
         let (sender, receiver) = (Machine::Core(from), Machine::Core(to));
         if self.network.is_partitioned(sender, receiver) {
@@ -45,7 +45,7 @@
     }
 
     pub(super) fn on_store_message(&mut self, from: CoreId, to: CoreId, message: Message) {
-        // A partition that began while the message was under way holds it up too.
+        // A partition also drops messages that were in flight when it began.
         if self
             .network
             .is_partitioned(Machine::Core(from), Machine::Core(to))
@@ -95,7 +95,7 @@
                     status,
                     body,
                 } => self.send_operator_response(call_id.0, status, body),
-                // Scenarios do not call for coordination.
+                // Scenarios make no calls of the coordination package.
                 Action::ReplyToApplication { .. } => {}
                 Action::Learned { items } => self.report_chosen_items(core, items),
             }
@@ -103,7 +103,7 @@
         self.schedule_store_timer(core);
     }
 
-    /// Passes items that a store reports as chosen on to the registry beside it.
+    /// Checks items that a store reports as chosen, and forwards them to the registry on its machine.
     fn report_chosen_items(&mut self, core: CoreId, items: Vec<Item>) {
         self.check_chosen_items(core, &items);
         let at = self.now + LOCAL_DELAY;
@@ -118,7 +118,7 @@
         );
     }
 
-    /// Checks that a chosen version has one content, and that a store's versions only rise.
+    /// Checks that each chosen version has one content, and that the versions that a store reports increase.
     fn check_chosen_items(&mut self, core: CoreId, items: &[Item]) {
         for item in items {
             let result = self.record.record_chosen(item);
--- a/crates/emberpin-simulator/src/state/core_node.rs
+++ b/crates/emberpin-simulator/src/state/core_node.rs
@@ -1,4 +1,4 @@
-//! A core machine: a disk, and while its process runs a store and a registry.
+//! A core machine: its disk and, while its process runs, a store and a registry.
 
 use super::network::ConnectionId;
 use super::process::Process;
@@ -9,20 +9,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What runs on a core machine.
+/// The running state of a core machine.
 pub(crate) struct CoreProcess {
     pub store: Replica,
     pub registry: Registry,
-    /// The registries that this one wants to send messages to, with the connection once it is open.
+    /// The registries that this one sends messages to, with the connection; `None` until it is open.
     pub outgoing: BTreeMap<CoreId, Option<ConnectionId>>,
     /// The connections on which other registries send messages to this one.
     pub incoming: BTreeMap<CoreId, ConnectionId>,
+    /// The connections of proxies' sessions.
     pub sessions: BTreeSet<ConnectionId>,
     /// When the store's timer fires; zero if none is scheduled.
     pub store_timer_at: Duration,
     /// When the registry's timer fires; zero if none is scheduled.
     pub registry_timer_at: Duration,
-    /// The latest version of each item that the store has reported as chosen.
+    /// The last version of each item that the store has reported as chosen.
     pub reported_versions: BTreeMap<ItemKey, Version>,
 }
 
@@ -44,8 +45,9 @@
 /// The disk of a core machine.
 #[derive(Debug, Default)]
 pub(crate) struct Disk {
+    /// All writes since the disk was last empty.
     writes: Vec<WriteBatch>,
-    /// How many writes, from the first one on, survive a power cut.
+    /// The number of writes, from the first one on, that are synced and survive a power cut.
     synced: usize,
     /// The disk does not respond before this time.
     pub stalled_until: Duration,
@@ -64,8 +66,8 @@
         self.synced = self.synced.max(writes);
     }
 
-    /// Of the writes that were not synced, some of the first ones stay as `draw` says, or none. The one after them may be
-    /// torn, and counts as lost then. Returns how many are lost.
+    /// Drops unsynced writes after a power cut. The random number `draw` determines how many of the first ones survive;
+    /// without it, none do. A write that may be torn counts as lost. Returns the number of lost writes.
     pub fn lose_power(&mut self, draw: Option<u64>) -> u64 {
         let unsynced = (self.writes.len() - self.synced) as u64;
         let kept = draw.map_or(0, |draw| draw % (unsynced + 1)) as usize;
@@ -79,7 +81,7 @@
         self.synced = 0;
     }
 
-    /// What a store finds on the disk when it starts; `None` if the disk is empty.
+    /// The state that a store recovers from the disk when it starts; `None` if the disk is empty.
     pub fn recover(&self) -> Option<PersistedState> {
         if self.writes.is_empty() {
             return None;
@@ -106,7 +108,7 @@
 /// A core machine.
 pub(crate) struct CoreNode {
     pub process: Process,
-    /// What runs, while the process does.
+    /// The running state; `None` while the process is stopped.
     pub running: Option<CoreProcess>,
     pub disk: Disk,
 }
--- a/crates/emberpin-simulator/src/state/event.rs
+++ b/crates/emberpin-simulator/src/state/event.rs
@@ -1,4 +1,4 @@
-//! What is scheduled to happen.
+//! Events that are scheduled in simulated time.
 
 use super::network::{ConnectionId, Direction, Frame};
 use super::operator::OperatorAttempt;
@@ -11,10 +11,10 @@
 use emberpin_membership::registry::ServerReply;
 use std::time::Duration;
 
-/// An event. Where it names an incarnation that is over, it has no effect.
+/// A scheduled event. An event for an earlier incarnation has no effect.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
-    /// A message of one store arrives at another one.
+    /// A message from one store arrives at another one.
     StoreMessage {
         from: CoreId,
         to: CoreId,
@@ -27,26 +27,28 @@
         token: WriteToken,
         writes: usize,
     },
+    /// The timer of a store fires.
     StoreTimer {
         core: CoreId,
         incarnation: ProcessIncarnation,
     },
+    /// The timer of a registry fires.
     RegistryTimer {
         core: CoreId,
         incarnation: ProcessIncarnation,
     },
-    /// Chosen items arrive at a registry from the store beside it.
+    /// Chosen items arrive at a registry from the store on its machine.
     ItemsChosen {
         core: CoreId,
         incarnation: ProcessIncarnation,
         items: Vec<Item>,
     },
-    /// A store reports its voters to the registry beside it.
+    /// A store reports its voters to the registry on its machine.
     VotersReport {
         core: CoreId,
         incarnation: ProcessIncarnation,
     },
-    /// A store answers its registry how old its state is.
+    /// A store replies to its registry's query for the age of its state; `None` if the age is unknown.
     StoreAge {
         core: CoreId,
         incarnation: ProcessIncarnation,
@@ -59,16 +61,17 @@
         incarnation: ProcessIncarnation,
         peer: CoreId,
     },
+    /// A frame arrives at one end of a connection.
     FrameArrives {
         connection: ConnectionId,
         direction: Direction,
         frame: Box<Frame>,
     },
-    /// A connection over a partitioned link breaks, if the link still is partitioned.
+    /// A connection over a partitioned link times out and breaks, if the link is still partitioned.
     UnacknowledgedTimeout {
         connection: ConnectionId,
     },
-    /// One end of a connection learns that it is broken.
+    /// One end of a connection detects that the connection is broken.
     ConnectionBroken {
         connection: ConnectionId,
         machine: Machine,
@@ -84,15 +87,16 @@
     OperatorCall {
         attempt: OperatorAttempt,
         core: CoreId,
-        /// The version of the evacuation that the operator was told, if the call changes one.
+        /// The version of the evacuation that an earlier redirect stated, if there was one.
         evacuation_version: Option<Version>,
     },
-    /// An operator is told the version of the evacuation that its call changes, and repeats the call with it.
+    /// A registry's redirect, which states the version of the evacuation, arrives at an operator, which repeats its call.
     OperatorRedirect {
         attempt: OperatorAttempt,
         core: CoreId,
         evacuation_version: Version,
     },
+    /// The response to an operator's call arrives.
     OperatorResponse {
         attempt: OperatorAttempt,
         status: u16,
@@ -102,6 +106,7 @@
     OperatorRetry {
         attempt: OperatorAttempt,
     },
+    /// A server's next heartbeat is due.
     ServerHeartbeat {
         server: String,
         incarnation: u32,
@@ -111,6 +116,7 @@
         core: CoreId,
         call: ServerCall,
     },
+    /// The response to a server's call arrives.
     ServerResponse {
         call: ServerCall,
         reply: ServerReply,
@@ -121,16 +127,16 @@
         incarnation: u32,
         attempt: u64,
     },
-    /// Proxies send as many requests to warming servers as they may.
+    /// Proxies send as many requests to warming servers as slow start admits.
     SlowStartLoad,
-    /// What was acknowledged at a time must be in force on proxies in contact.
+    /// The time limit of an acknowledged effect ends: it must be in force on proxies in contact.
     CheckEffect {
         effect: Effect,
         acknowledged_at: Duration,
     },
 }
 
-/// What must be in force after an acknowledgement.
+/// The effect of an acknowledged change that proxies must apply.
 #[derive(Clone, Debug)]
 pub(crate) enum Effect {
     /// These versions of items, or later ones.
--- a/crates/emberpin-simulator/src/state/mod.rs
+++ b/crates/emberpin-simulator/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The state of a simulated system, as data: machines, clients, network, and what is scheduled.
+//! The state of a simulated system: machines, clients, network, and scheduled events. `simulation` changes it.
 
 pub(crate) mod core_node;
 pub(crate) mod event;
@@ -13,6 +13,6 @@
 
 /// The interval at which servers send heartbeats.
 pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_300);
-/// How long a sync of a disk takes without a fault.
+/// The duration of a disk sync without a fault.
 pub(crate) const USUAL_SYNC_TIME: Range<Duration> =
     Duration::from_millis(2)..Duration::from_millis(6);
--- a/crates/emberpin-simulator/src/state/network.rs
+++ b/crates/emberpin-simulator/src/state/network.rs
@@ -1,4 +1,4 @@
-//! Partitions, slow links, losses, and connections: those of registries among each other, and proxies' sessions.
+//! The network: partitions, slow links, lost messages, and connections (between registries, and for proxies' sessions).
 
 use crate::machine::Machine;
 use crate::scenario::{Links, StoreMessageKind};
@@ -14,7 +14,7 @@
 /// The delay of messages without a fault.
 const USUAL_DELAY: Range<Duration> = Duration::from_millis(1)..Duration::from_millis(5);
 
-/// Identifies a connection of the run.
+/// Identifies a connection, unique in the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ConnectionId(pub u64);
 
@@ -25,7 +25,7 @@
     ToCaller,
 }
 
-/// What is sent over a connection.
+/// A message on a connection.
 #[derive(Clone, Debug)]
 pub(crate) enum Frame {
     RegistryMessage(RegistryMessage),
@@ -34,14 +34,14 @@
     ToProxy(ToProxy),
 }
 
-/// A connection. Frames of one direction keep their order.
+/// A connection between two machines. Frames in the same direction arrive in the order in which they were sent.
 #[derive(Debug)]
 pub(crate) struct Connection {
     pub caller: Machine,
     pub callee: Machine,
     latest_arrival_at_callee: Duration,
     latest_arrival_at_caller: Duration,
-    /// The frames that a partition blocks, in their order.
+    /// The frames that a partition holds back, in order.
     pub blocked: Vec<(Direction, Frame)>,
 }
 
@@ -68,7 +68,7 @@
         self.caller == machine || self.callee == machine
     }
 
-    /// Delays an arrival to that of the frame before, and returns it.
+    /// Returns when a frame arrives that would arrive at `at` on its own: not before the previous frame in its direction.
     pub fn order_arrival(&mut self, direction: Direction, at: Duration) -> Duration {
         let latest = match direction {
             Direction::ToCallee => &mut self.latest_arrival_at_callee,
@@ -85,25 +85,26 @@
     }
 }
 
-/// The direction from the first machine to the second one.
+/// A directed link from the first machine to the second one.
 pub(crate) type Link = (Machine, Machine);
 
 /// All links and connections between machines.
 #[derive(Debug)]
 pub(crate) struct Network {
     partitioned_links: BTreeSet<Link>,
-    /// Links on which messages arrive later, by a time drawn from the range.
+    /// Links with an additional delay, drawn from the range for each message.
     slow_links: BTreeMap<Link, Range<Duration>>,
     /// When the last message over a slow link arrives; zero if there was none.
     pub slow_until: Duration,
+    /// The messages that are lost on purpose, by kind, sender and receiver.
     losses: Vec<(StoreMessageKind, Machine, Machine)>,
     connections: BTreeMap<ConnectionId, Connection>,
     last_connection: u64,
     /// The delay of a message.
     pub delay: Range<Duration>,
-    /// How many of a hundred messages between stores are late by up to 1.5 s more.
+    /// The percentage of messages between stores that are late by up to 1.5 s more.
     pub late_percent: u64,
-    /// How many of a hundred messages between stores are duplicated.
+    /// The percentage of messages between stores that are duplicated.
     pub duplicate_percent: u64,
 }
 
@@ -124,12 +125,12 @@
 }
 
 impl Network {
-    /// Whether nothing gets through from one machine to another one.
+    /// Whether a partition blocks messages from one machine to another.
     pub fn is_partitioned(&self, from: Machine, to: Machine) -> bool {
         self.partitioned_links.contains(&(from, to))
     }
 
-    /// Whether nothing gets through in one direction at least.
+    /// Whether a partition blocks messages in at least one direction.
     pub fn is_partitioned_either_way(&self, one: Machine, other: Machine) -> bool {
         self.is_partitioned(one, other) || self.is_partitioned(other, one)
     }
@@ -153,20 +154,21 @@
         self.slow_links.get(&(from, to)).cloned()
     }
 
-    /// Ends the partitions and slow links of these machines, or all if there are none. Returns the links that were partitioned.
+    /// Ends the partitions and slow links of these machines; with an empty list, all of them. Returns the links that were
+    /// partitioned.
     pub fn heal(&mut self, machines: &[Machine]) -> BTreeSet<Link> {
         let concerns = |(one, other): &Link| {
             machines.is_empty() || machines.contains(one) || machines.contains(other)
         };
-        let (healed, still_cut) = std::mem::take(&mut self.partitioned_links)
+        let (healed, remaining) = std::mem::take(&mut self.partitioned_links)
             .into_iter()
             .partition(concerns);
-        self.partitioned_links = still_cut;
+        self.partitioned_links = remaining;
         self.slow_links.retain(|link, _| !concerns(link));
         healed
     }
 
-    /// Ends late and duplicated messages.
+    /// Resets the delay of messages to the default, without late or duplicated ones.
     pub fn reset_delivery(&mut self) {
         self.delay = USUAL_DELAY;
         self.late_percent = 0;
@@ -183,7 +185,7 @@
         self.losses.clear();
     }
 
-    /// The kind as which a message between stores is lost, if it is.
+    /// The kind by which a message between stores is lost on purpose; `None` if it is not lost.
     pub fn loss_of(
         &self,
         from: Machine,
@@ -242,7 +244,7 @@
             .collect()
     }
 
-    /// Takes all frames that partitions hold up.
+    /// Removes and returns all frames that partitions hold back.
     pub fn take_blocked(&mut self) -> Vec<(ConnectionId, Vec<(Direction, Frame)>)> {
         self.connections
             .iter_mut()
@@ -251,7 +253,7 @@
     }
 }
 
-/// The kinds that a message is of.
+/// The kinds by which a message can be lost on purpose. An accept that changes the roster has two.
 fn kinds_of(message: &Message) -> &'static [StoreMessageKind] {
     match message {
         Message::Prepare(_) => &[StoreMessageKind::Prepare],
@@ -269,7 +271,7 @@
     }
 }
 
-/// Each link between a machine of the first list and another one of the second.
+/// The directed links between the machines of the two lists, without links of a machine to itself.
 fn links_of(links: &Links) -> Vec<Link> {
     let mut all = Vec::new();
     for from in &links.from {
--- a/crates/emberpin-simulator/src/state/operator.rs
+++ b/crates/emberpin-simulator/src/state/operator.rs
@@ -6,18 +6,18 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Identifies a call of an operator, by its place among all calls of the run.
+/// Identifies a call of an operator: its index among all calls of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct OperatorCallId(usize);
 
-/// One attempt of a call. Attempts are counted from 1; 0 stands for the time before the first one.
+/// An attempt of a call. Attempts are counted from 1; 0 stands for a call without an attempt yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OperatorAttempt {
     pub call: OperatorCallId,
     pub number: u32,
 }
 
-/// What a read is expected to show.
+/// The expectation that a read checks.
 #[derive(Clone, Debug)]
 pub(crate) struct ReadExpectation {
     /// The line of the scenario that expects it.
@@ -30,17 +30,17 @@
 pub(crate) struct OperatorCall {
     pub operator: String,
     pub target: CallTarget,
-    /// `None`: the call reads.
+    /// `None`: the call reads the configuration.
     pub request: Option<OperatorRequest>,
     pub expectation: Option<ReadExpectation>,
-    /// The items of a patch that can be parsed.
+    /// The items of a patch; empty if its body cannot be parsed, and for other calls.
     pub items: Vec<Item>,
     pub sent_at: Duration,
     pub last_attempt_at: Duration,
     pub attempts: u32,
-    /// Where the last attempt went.
+    /// The target of the last attempt.
     pub core: CoreId,
-    /// No attempt ended without a clear answer, so a rejection means that nothing was taken.
+    /// No attempt before the last one has an unknown outcome, so a rejection means that nothing was accepted.
     pub is_clear: bool,
     pub status: Option<u16>,
     pub body: String,
@@ -78,23 +78,23 @@
         }
     }
 
-    /// Whether the call is retried until it is answered.
+    /// Whether the call is retried until it gets a response.
     pub fn is_retried(&self) -> bool {
         !matches!(self.target, CallTarget::Only(_))
     }
 
-    /// Whether it was rejected, and nothing of it can have been taken.
+    /// Whether it was rejected, and no part of it can have been accepted by an earlier attempt.
     pub fn is_rejected(&self) -> bool {
         self.status == Some(400) && self.is_clear
     }
 }
 
-/// All calls of operators.
+/// All calls of operators in the run.
 #[derive(Debug, Default)]
 pub(crate) struct Operators {
     pub calls: Vec<OperatorCall>,
     latest_calls: BTreeMap<String, OperatorCallId>,
-    /// The attempt that each call id at a store stands for.
+    /// The attempt for each id of a pending call at a store.
     attempts_at_stores: BTreeMap<u64, OperatorAttempt>,
     last_call_id: u64,
 }
@@ -137,13 +137,13 @@
         Some(self.call(self.latest_id(operator)?))
     }
 
-    /// A new id of a call at a store or a registry, unique in the run.
+    /// Returns a new id for a call at a store or a registry, unique in the run.
     pub fn next_call_id(&mut self) -> u64 {
         self.last_call_id += 1;
         self.last_call_id
     }
 
-    /// Remembers which attempt a call id at a store stands for.
+    /// Records the attempt that a call id at a store belongs to.
     pub fn register_attempt(&mut self, call_id: u64, attempt: OperatorAttempt) {
         self.attempts_at_stores.insert(call_id, attempt);
     }
--- a/crates/emberpin-simulator/src/state/process.rs
+++ b/crates/emberpin-simulator/src/state/process.rs
@@ -1,10 +1,10 @@
-//! A process of a machine: its runs, its clock, and whether it is frozen.
+//! The process of a machine: its incarnation, its clock, and whether it is frozen.
 
 use super::event::Event;
 use std::time::Duration;
 
-/// Identifies a run of a process on its machine. It rises with each start and each end, so that an event for an earlier
-/// run is recognized.
+/// Identifies one run of a process on its machine. It increases with each start and each stop, so that events for an
+/// earlier run are recognized.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ProcessIncarnation(pub u64);
 
@@ -14,7 +14,7 @@
     }
 }
 
-/// The rate of a clock that keeps time.
+/// The rate of an accurate clock.
 const EXACT_RATE_PERCENT: u64 = 100;
 
 /// A process with its monotonic clock, which starts at zero with each run.
@@ -22,17 +22,17 @@
 pub(crate) struct Process {
     pub zone: String,
     pub incarnation: ProcessIncarnation,
-    /// When the process started or its clock's rate changed last, in simulated time.
+    /// When the process was started or the rate of its clock was last changed, in simulated time.
     pub clock_set_at: Duration,
-    /// What its clock showed then.
+    /// The time on its clock at `clock_set_at`.
     clock_base: Duration,
     clock_rate_percent: u64,
     pub is_frozen: bool,
     /// The events that arrived while it was frozen.
     pub deferred: Vec<Event>,
-    /// When a fault hit it last; zero if none did.
+    /// When a fault last affected it, in simulated time; zero if none did. For a stalled disk, the end of the stall.
     pub disturbed_at: Duration,
-    /// The machine was replaced by another one and does not start again.
+    /// Whether the machine was replaced by another one; it does not start again then.
     pub is_removed: bool,
 }
 
@@ -65,7 +65,7 @@
         self.deferred.clear();
     }
 
-    /// What the process's clock shows at a simulated time, in whole milliseconds.
+    /// The time on the process's clock at a simulated time, in whole milliseconds.
     pub fn local_time(&self, now: Duration) -> Duration {
         let elapsed = millis(now - self.clock_set_at);
         self.clock_base + Duration::from_millis(elapsed * self.clock_rate_percent / 100)
--- a/crates/emberpin-simulator/src/state/proxy.rs
+++ b/crates/emberpin-simulator/src/state/proxy.rs
@@ -1,4 +1,4 @@
-//! A model of a proxy: it follows sessions with registries as the real one does, and routes by what they send.
+//! A model of a proxy. It keeps sessions with registries as the real proxy does, and routes by the updates it receives.
 
 use super::network::ConnectionId;
 use super::process::Process;
@@ -17,20 +17,20 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// The sessions of a proxy, as many as the real one has.
+/// The number of sessions of a proxy, the same as in the real one.
 pub(crate) const SESSIONS: usize = 2;
-/// `warm_excess` and `warm_extra`.
+/// The settings `warm_excess` and `warm_extra`.
 const TOLERANCE: WarmupTolerance = WarmupTolerance {
     excess_factor: 1.5,
     extra_requests: 5.0,
 };
 
-/// A session with a registry, or the place for one. All times are on the proxy's clock.
+/// A session with a registry, or the slot for one while there is none. All times are on the proxy's clock.
 #[derive(Clone, Debug)]
 pub(crate) struct Session {
     pub connection: Option<ConnectionId>,
     pub core: Option<CoreId>,
-    /// The registry of the last attempt.
+    /// The registry of the last attempt to begin a session.
     pub last_core: Option<CoreId>,
     pub last_message_at: Duration,
     pub began_at: Duration,
@@ -38,9 +38,9 @@
     pub backoff: Duration,
     pub next_attempt_at: Duration,
     pub next_keep_alive_at: Duration,
-    /// The proxy has received the registry's whole state.
+    /// Whether the proxy has received the registry's complete state.
     pub is_synced: bool,
-    /// Whether a part of a snapshot is awaited; `None` before the first message with state.
+    /// Whether a further part of a snapshot is expected; `None` before the first message with state.
     pub awaits_part: Option<bool>,
 }
 
@@ -76,18 +76,18 @@
     }
 }
 
-/// What runs on a proxy's machine.
+/// The running state of a proxy's machine.
 pub(crate) struct ProxyProcess {
     pub router: Router,
     pub configuration: Configuration,
     pub is_ready: bool,
     pub sessions: Vec<Session>,
-    /// How far the state of each registry was received, also in earlier sessions.
+    /// How much of each registry's state was received, including in earlier sessions.
     pub progress: BTreeMap<CoreId, SyncProgress>,
     pub candidates: RegistryCandidates,
-    /// The highest version of each route that was in force in this incarnation.
+    /// The highest version of each route that took effect in this incarnation.
     highest_route_versions: BTreeMap<String, Version>,
-    /// The ids of instances that were known to drain.
+    /// The ids of the instances that were known to be draining.
     pub drained_instances: BTreeSet<String>,
 }
 
@@ -117,7 +117,7 @@
             .position(|session| session.connection == Some(connection))
     }
 
-    /// Takes in items and instances that a registry sent.
+    /// Applies items and instances that a registry sent.
     pub fn learn(
         &mut self,
         now: Duration,
@@ -133,7 +133,7 @@
             self.configure(now, guards)?;
         }
         self.router.endpoints.update(now, instances);
-        // As a host does that keeps connections to servers.
+        // The host program of a real proxy reads these changes to maintain its connections to servers.
         self.router.endpoints.take_changes();
         Ok(())
     }
@@ -174,7 +174,7 @@
         Ok(())
     }
 
-    /// No invalid route comes into force, and no route goes back to an earlier version.
+    /// Checks that no invalid route takes effect, and that no route regresses to an earlier version.
     fn check_routes(&mut self, routes: &[Route]) -> Result<(), ProxyViolation> {
         let mut places = BTreeSet::new();
         for route in routes {
@@ -209,7 +209,7 @@
         Ok(())
     }
 
-    /// Whether an instance may get requests.
+    /// The availability of an instance for requests.
     pub fn availability(&self, instance_id: &str) -> Availability {
         self.router.endpoints.availability(instance_id)
     }
@@ -218,7 +218,7 @@
 /// A proxy's machine.
 pub(crate) struct ProxyNode {
     pub process: Process,
-    /// What runs, while the process does.
+    /// The running state; `None` while the process is stopped.
     pub running: Option<ProxyProcess>,
 }
 
@@ -231,7 +231,7 @@
     }
 }
 
-/// A time on a process's clock, as membership has it.
+/// Converts a time on a process's clock to a timestamp of the membership package.
 pub(crate) fn timestamp(local: Duration) -> Timestamp {
     Timestamp::ZERO + local
 }
--- a/crates/emberpin-simulator/src/state/server.rs
+++ b/crates/emberpin-simulator/src/state/server.rs
@@ -5,10 +5,10 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// The address of all servers; they differ in their ports.
+/// The address of all servers, which differ in their ports.
 const SERVER_ADDRESS: Ipv4Addr = Ipv4Addr::new(10, 0, 2, 1);
 
-/// A server. Each start of it is an instance of its own.
+/// A server. Each start creates a new instance with its own id.
 #[derive(Clone, Debug)]
 pub(crate) struct Server {
     pub instance_id: String,
@@ -18,16 +18,16 @@
     pub is_up: bool,
     pub is_draining: bool,
     pub is_leaving: bool,
-    /// Its leave was acknowledged, so it sends nothing more.
+    /// Whether its leave was acknowledged; it sends no more calls then.
     pub has_left: bool,
     pub warmup_until: Duration,
     pub incarnation: u32,
     pub last_seq: u64,
-    /// The number of its last call, so that a reply to an earlier one is recognized.
+    /// The number of its last call. A response increases it, so that late responses and timeouts are recognized.
     pub last_attempt: u64,
-    /// The registry that it was told to send heartbeats to.
+    /// The core machine to which a registry directed its heartbeats.
     pub heartbeat_target: Option<CoreId>,
-    /// When requests were sent to it while it warmed up, of the last second.
+    /// The times of the requests that it got in the last second while warming up.
     pub recent_requests: VecDeque<Duration>,
 }
 
--- a/crates/emberpin-simulator/src/violation.rs
+++ b/crates/emberpin-simulator/src/violation.rs
@@ -1,4 +1,4 @@
-//! What a run of a scenario found wrong.
+//! Violations: invariants that a run broke, and expectations of its scenario that were not met.
 
 use crate::history::NotLinearizable;
 use crate::machine::{CoreId, ProxyId};
@@ -10,20 +10,20 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Violation {
     /// Two stores chose different contents for one version of an item.
-    #[error("two contents: {key:?} {version} is {known:?} and {found:?}")]
+    #[error("two contents chosen for {key:?} {version}: {known:?} and {found:?}")]
     TwoChosenContents {
         /// Kind and name of the item.
         key: ItemKey,
-        /// The version that both contents were given.
+        /// The version that both contents have.
         version: Version,
         /// The content that was chosen first.
         known: Option<String>,
         /// The other content.
         found: Option<String>,
     },
-    /// An operator got an acknowledgement for a content that was not chosen.
+    /// An operator received an acknowledgement for a content that was not chosen.
     #[error(
-        "two contents: {key:?} {version} was acknowledged as {acknowledged:?}, and is {chosen:?}"
+        "acknowledged content not chosen: {key:?} {version} was acknowledged as {acknowledged:?}, chosen is {chosen:?}"
     )]
     AcknowledgedOtherContent {
         /// Kind and name of the item.
@@ -32,17 +32,17 @@
         version: Version,
         /// The content that was acknowledged.
         acknowledged: Option<String>,
-        /// The content that was chosen, if any was.
+        /// The chosen content; the outer `None`: no content was chosen, the inner one: the item was dropped.
         chosen: Option<Option<String>>,
     },
-    /// A store reported an older version of an item after a later one.
-    #[error("went back: {core} told {key:?} {version} again")]
+    /// A store reported a version of an item that is not higher than one it reported before.
+    #[error("version regressed: {core} reported {key:?} {version} after the same or a higher version")]
     StoreWentBack {
         /// The store's machine.
         core: CoreId,
         /// Kind and name of the item.
         key: ItemKey,
-        /// The older version.
+        /// The version that it reported last.
         version: Version,
     },
     /// The state of a proxy is wrong.
@@ -53,122 +53,122 @@
         /// What is wrong with it.
         violation: ProxyViolation,
     },
-    /// A proxy in contact does not have in force what was acknowledged a while ago.
-    #[error("not applied in time: {proxy}, in touch, {missing}")]
+    /// A proxy in contact has not applied an acknowledged change within its time limit.
+    #[error("not applied in time: {proxy}, which is in contact, {missing}")]
     NotApplied {
         /// The proxy's machine.
         proxy: ProxyId,
-        /// What is not in force there.
+        /// The effect that it lacks.
         missing: MissingEffect,
     },
     /// A warming server got more requests than its limit.
-    #[error("cold server: {instance_id} got {requests} requests in a second, and bears {limit}")]
+    #[error("warming server overloaded: {instance_id} got {requests} requests in a second, its limit is {limit}")]
     SlowStartExceeded {
         /// The server's instance.
         instance_id: String,
-        /// The requests of the last second.
+        /// The number of requests in the last second.
         requests: usize,
-        /// The most that it may get in a second.
+        /// The maximum number of requests in a second.
         limit: usize,
     },
-    /// A server was told to send its heartbeats to an address that no core machine has.
-    #[error("{server} is told to beat at {target}, which is no machine")]
+    /// A registry directed a server to send its heartbeats to an address that no core machine has.
+    #[error("server {server} was directed to send heartbeats to {target}, which is no core machine")]
     UnknownHeartbeatTarget {
         /// The server's name in the scenario.
         server: String,
-        /// The address that it was told.
+        /// The heartbeat target that it received.
         target: Ipv4Addr,
     },
     /// An acknowledged item is missing from the configuration at the end.
-    #[error("lost: {key:?} {version} was acknowledged, and {found:?} is read back")]
+    #[error("lost: {key:?} {version} was acknowledged, the configuration at the end has {found:?}")]
     ItemMissing {
         /// Kind and name of the item.
         key: ItemKey,
         /// The highest acknowledged version.
         version: Version,
-        /// What the configuration has instead.
+        /// The item in the configuration, if there is one.
         found: Option<Item>,
     },
-    /// An item of a rejected call is in force.
-    #[error("refused and in force: {key:?} {version}")]
+    /// An item of a rejected call was chosen.
+    #[error("rejected but chosen: {key:?} {version}")]
     RejectedInForce {
         /// Kind and name of the item.
         key: ItemKey,
         /// The version that the rejected call gave it.
         version: Version,
     },
-    /// The last acknowledged change of a zone's evacuation is not in force.
+    /// A proxy has not applied the last acknowledged change of a zone's evacuation.
     #[error(
-        "lost: the evacuation of {zone} was last acknowledged as {acknowledged}, and is {found} on {proxy}"
+        "lost: evacuation of {zone}: acknowledged {acknowledged}, but {found} on {proxy}"
     )]
     EvacuationMissing {
         /// The zone's name.
         zone: String,
-        /// Whether the zone was evacuated last.
+        /// Whether the last acknowledged change evacuated the zone.
         acknowledged: bool,
-        /// Whether it is.
+        /// Whether the zone is evacuated on the proxy.
         found: bool,
-        /// The proxy that has it so.
+        /// The proxy's machine.
         proxy: ProxyId,
     },
     /// The configuration that a read returned cannot be parsed.
-    #[error("what is read back is unreadable: {0}")]
+    #[error("a read returned an unreadable configuration: {0}")]
     UnreadableConfiguration(ValidationError),
     /// The configuration at the end is not valid as a whole.
-    #[error("invalid as a whole: {0}")]
+    #[error("configuration invalid as a whole: {0}")]
     InvalidConfiguration(ValidationError),
     /// After all faults are over, a proxy does not become ready.
-    #[error("does not serve again: {0} is not ready")]
+    #[error("no recovery after all faults: {0} is not ready")]
     NotReady(ProxyId),
     /// After all faults are over, a call is not acknowledged.
-    #[error("does not serve again: {operator}, a call was told {status:?}")]
+    #[error("no recovery after all faults: call {operator:?} ended with status {status:?}")]
     NotServed {
         /// The name of the final call.
         operator: String,
-        /// The status of its response, if it got one.
+        /// The status of its response; `None` if it has none.
         status: Option<u16>,
     },
     /// A call that is retried has no response at the end.
-    #[error("{operator}: a call has no answer")]
+    #[error("{operator}: a call has no response")]
     Unanswered {
         /// The operator's name in the scenario.
         operator: String,
     },
-    /// What operators were told fits no order of their calls.
+    /// No order of the operators' calls explains their responses.
     #[error(transparent)]
     NotLinearizable(#[from] NotLinearizable),
-    /// A step of the scenario did not hold.
+    /// A step of the scenario failed.
     #[error("line {line}: {failure}")]
     Step {
         /// The line of the step.
         line: usize,
-        /// Why it did not.
+        /// Why it failed.
         failure: StepFailure,
     },
 }
 
-/// A step of a scenario that did not hold.
+/// Why a step of a scenario failed.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum StepFailure {
-    /// An operator's call is named, and there is none.
-    #[error("operator {operator} asked nothing")]
+    /// The step refers to an operator's last call, and the operator has made none that fits.
+    #[error("operator {operator} has made no such call")]
     NoCall {
         /// The operator's name in the scenario.
         operator: String,
     },
-    /// An operator's last call has another status.
-    #[error("expected that operator {operator} was told {expected:?}, found {found:?} {body}")]
+    /// An operator's last call has a different status from the expected one.
+    #[error("expected status {expected:?} for operator {operator}, found {found:?} {body}")]
     OperatorStatus {
         /// The operator's name in the scenario.
         operator: String,
-        /// The expected status.
+        /// The expected status; `None`: no response.
         expected: Option<u16>,
-        /// The call's status.
+        /// The call's status; `None`: no response.
         found: Option<u16>,
         /// The body of its response.
         body: String,
     },
-    /// A store knows another number of voters.
+    /// A store knows a different number of voters than expected.
     #[error("expected {expected} voters on {core}, found {found:?}")]
     Voters {
         /// The expected number.
@@ -178,26 +178,26 @@
         /// The voters that it knows.
         found: Vec<Ipv4Addr>,
     },
-    /// A store votes although it is not to, or does not.
+    /// A store votes although it is expected not to, or the reverse.
     #[error("expected that {core} votes: {expected}")]
     Votes {
         /// The store's machine.
         core: CoreId,
-        /// Whether it is to vote.
+        /// Whether it is expected to vote.
         expected: bool,
     },
-    /// No server of the named one's name was started.
+    /// No server of this name was started.
     #[error("there is no server {0}")]
     NoServer(String),
-    /// A proxy does not have what is expected.
+    /// A proxy's state differs from the expected one.
     #[error("{proxy}: {mismatch}")]
     Proxy {
         /// The proxy's machine.
         proxy: ProxyId,
-        /// What it has instead.
+        /// The difference.
         mismatch: ProxyMismatch,
     },
-    /// A read shows another version of an item, or none.
+    /// A read shows a different version of an item than expected, or does not show the item.
     #[error("expected that get holds {kind} {name} ver {expected}, found {found:?}")]
     ReadHolds {
         /// `route` or `svc`.
@@ -206,17 +206,17 @@
         name: String,
         /// The expected version.
         expected: u64,
-        /// The version that is shown.
+        /// The version that is shown; `None` if the item is not.
         found: Option<u64>,
     },
-    /// A read shows an item that it is not to show.
+    /// A read shows an item that is expected to be absent.
     #[error("expected that get lacks {kind} {name}, found {found:?}")]
     ReadLacks {
         /// `route` or `svc`.
         kind: String,
         /// The item's name.
         name: String,
-        /// The version that is shown.
+        /// The version that is shown; `None` if the item is not.
         found: Option<u64>,
     },
     /// The response to a read is not a configuration.
@@ -227,7 +227,7 @@
 /// The state of a proxy that differs from an expectation.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ProxyMismatch {
-    /// It has another version of a route, or none.
+    /// It has a different version of a route than expected, or no route.
     #[error("expected version {expected:?} of the route of {host}{path}, found {found:?}")]
     Route {
         /// The host that the route is looked up by.
@@ -236,10 +236,10 @@
         path: String,
         /// The expected version; `None`: no route.
         expected: Option<u64>,
-        /// The version in force.
+        /// The version in force; `None`: no route.
         found: Option<u64>,
     },
-    /// A server has another availability.
+    /// A server has a different availability than expected.
     #[error("expected that {instance_id} is {expected:?}, found {found:?}")]
     Availability {
         /// The server's instance.
@@ -249,12 +249,12 @@
         /// The availability in force.
         found: Availability,
     },
-    /// It is ready although it is not to be, or is not.
+    /// It is ready although expected not to be, or the reverse; the field is the expected readiness.
     #[error("expected ready: {0}")]
     Ready(bool),
 }
 
-/// What is wrong with the state of a proxy.
+/// A violation in the state of a proxy.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProxyViolation {
     /// A route in force names a service that is not configured.
@@ -266,13 +266,13 @@
         service: String,
     },
     /// Two routes in force have the same host and prefix.
-    #[error("invalid in force: route {route} has the place of another one")]
+    #[error("invalid in force: route {route} has the same host and prefix as another one")]
     DuplicateRoute {
-        /// The later one of the routes.
+        /// The second of the two routes.
         route: String,
     },
-    /// An older version of a route came into force.
-    #[error("went back: route {route} is {version} after {highest}")]
+    /// An older version of a route replaced a newer one.
+    #[error("version regressed: route {route} is {version} after {highest}")]
     RouteWentBack {
         /// The route's name.
         route: String,
@@ -281,15 +281,15 @@
         /// The highest version that was in force before.
         highest: Version,
     },
-    /// A server may get requests again after its drain.
-    #[error("went back: {instance_id} is usable again after its drain")]
+    /// A server that was draining is available for requests again.
+    #[error("drain reverted: {instance_id} is usable again after its drain")]
     DrainWentBack {
         /// The server's instance.
         instance_id: String,
     },
 }
 
-/// What a proxy lacks of an acknowledged change.
+/// The effect of an acknowledged change that a proxy lacks.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MissingEffect {
     /// It has an older version of an item, or none.
@@ -300,7 +300,7 @@
         /// The acknowledged version.
         version: Version,
     },
-    /// It still sends requests to a server that drains.
+    /// It still sends requests to a server that is draining.
     #[error("sends to {instance_id} after its drain")]
     Drain {
         /// The server's instance.
--- a/crates/emberpin-simulator/tests/history.rs
+++ b/crates/emberpin-simulator/tests/history.rs
@@ -1,4 +1,4 @@
-//! Which histories of operators' calls are linearizable.
+//! The linearizability check accepts histories that some order of operations explains, and rejects all others.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_simulator::history::{check, Call, NumberedItem, Outcome};
@@ -25,7 +25,7 @@
     Duration::from_millis(millis)
 }
 
-/// A call from the first time to the second one, in milliseconds.
+/// A call with its begin and end in milliseconds.
 fn call((sent, ended): (u64, u64), items: &[NumberedItem], outcome: Outcome) -> Call {
     Call {
         sent_at: ms(sent),
@@ -39,7 +39,7 @@
     call(times, items, Outcome::Confirmed)
 }
 
-/// Rejected at its only attempt.
+/// A call that was rejected at its only attempt.
 fn rejected(times: (u64, u64), items: &[NumberedItem]) -> Call {
     call(
         times,
@@ -56,7 +56,7 @@
 }
 
 #[gtest]
-fn a_repeat_of_an_accepted_patch_may_be_confirmed_and_not_rejected() {
+fn repeated_accepted_patch_may_be_confirmed_but_not_rejected() {
     let (five, six) = ([item("x", 5, "a")], [item("x", 6, "b")]);
     let accepted = [confirmed((1, 2), &five), confirmed((3, 4), &six)];
     let with = |last: Call| [&accepted[..], &[last, read((7, 8), &six)]].concat();
@@ -67,7 +67,7 @@
 }
 
 #[gtest]
-fn a_version_has_one_content_even_after_higher_versions_and_drops() {
+fn second_content_for_a_version_is_not_linearizable_even_after_higher_versions_and_drops() {
     let other = [item("x", 5, "other"), item("y", 1, "new")];
     for later in [item("x", 6, "b"), dropped("x", 6)] {
         let calls = [
@@ -81,28 +81,28 @@
 }
 
 #[gtest]
-fn a_race_has_one_winner() {
+fn only_one_of_several_concurrent_contents_is_confirmed_and_read() {
     let racers: Vec<Call> = (0..8)
-        .map(|who| confirmed((1, 9), &[item("x", 5, &format!("{who}"))]))
+        .map(|number| confirmed((1, 9), &[item("x", 5, &format!("{number}"))]))
         .collect();
     expect_that!(check(&racers), err(anything()));
     let winner = [item("x", 5, "3")];
-    let race = |shows: &str| -> Vec<Call> {
-        let racer = |who: u64| match who {
+    let race_with_read = |content: &str| -> Vec<Call> {
+        let racer = |number: u64| match number {
             3 => confirmed((1, 9), &winner),
-            _ => rejected((1, 9), &[item("x", 5, &format!("{who}"))]),
+            _ => rejected((1, 9), &[item("x", 5, &format!("{number}"))]),
         };
         (0..8)
             .map(racer)
-            .chain([read((10, 11), &[item("x", 5, shows)])])
+            .chain([read((10, 11), &[item("x", 5, content)])])
             .collect()
     };
-    expect_that!(check(&race("3")), ok(anything()));
-    expect_that!(check(&race("4")), err(anything()));
+    expect_that!(check(&race_with_read("3")), ok(anything()));
+    expect_that!(check(&race_with_read("4")), err(anything()));
 }
 
 #[gtest]
-fn a_confirmed_version_is_shown_until_a_higher_one_is() {
+fn confirmed_version_must_be_read_back() {
     let calls =
         |show: &[NumberedItem]| [confirmed((1, 2), &[item("x", 5, "a")]), read((3, 4), show)];
     expect_that!(check(&calls(&[item("x", 5, "a")])), ok(anything()));
@@ -111,7 +111,7 @@
 }
 
 #[gtest]
-fn a_patch_with_an_unknown_outcome_takes_effect_once_at_any_later_time() {
+fn patch_with_unknown_outcome_takes_effect_once_at_any_later_time() {
     let (five, six) = (item("x", 5, "a"), item("x", 6, "b"));
     let calls = |shows: &[&NumberedItem]| {
         let mut calls = vec![
@@ -129,7 +129,7 @@
 }
 
 #[gtest]
-fn an_earlier_attempt_of_a_rejected_patch_may_still_take_effect() {
+fn earlier_attempt_of_a_rejected_patch_may_still_take_effect() {
     let patch = [item("x", 5, "a")];
     let rejected = call(
         (1, 9),
@@ -143,12 +143,12 @@
         check(&[rejected.clone(), read((10, 11), &patch)]),
         ok(anything())
     );
-    // But not if its effect was shown before the rejected attempt.
+    // Not linearizable if a read showed its effect before the rejected attempt.
     expect_that!(check(&[rejected, read((5, 6), &patch)]), err(anything()));
 }
 
 #[gtest]
-fn a_patch_of_two_items_takes_effect_at_once() {
+fn patch_with_two_items_takes_effect_atomically() {
     let (x, y) = (item("x", 5, "a"), item("y", 5, "b"));
     let calls = [
         call((1, 0), &[x.clone(), y.clone()], Outcome::Unknown),
--- a/crates/emberpin-simulator/tests/parser.rs
+++ b/crates/emberpin-simulator/tests/parser.rs
@@ -1,4 +1,4 @@
-//! The parser of scenarios: a line that is not a step gives an error that names it and what was expected.
+//! The scenario parser rejects invalid lines with their number and the expected token, and ignores comments.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_simulator::scenario::parse;
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 #[gtest]
-fn a_line_that_is_not_a_step_gives_its_number_and_what_was_expected() {
-    let bad = [
+fn invalid_line_is_reported_with_its_number_and_the_expected_token() {
+    let invalid_lines = [
         ("corez 5", "one of cores,"),
         ("cores", "how many machines, not the end"),
         ("cores five", "how many machines, not \"five\""),
@@ -56,7 +56,7 @@
         ("wrong build: no-such", "one of the builds no-amnesia"),
         ("at 2s kill core-1\nat 1s start core-1", "2000ms or later"),
     ];
-    for (text, expected) in bad {
+    for (text, expected) in invalid_lines {
         let line = text.lines().count() + 1;
         let result = parse("some.scn", &format!("# A remark.\n{text}\n"));
         let error = displays_as(all!(
@@ -68,7 +68,7 @@
 }
 
 #[gtest]
-fn comments_and_empty_lines_are_not_steps() {
+fn comments_and_empty_lines_are_ignored() {
     let scenario = parse(
         "some.scn",
         "# One.\n\ncores 5 # five\nat 2s kill core-1 # now\n",
--- a/crates/emberpin-simulator/tests/scenarios.rs
+++ b/crates/emberpin-simulator/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Every scenario holds on the system, and fails on each mutant that it names.
+//! Every recorded scenario holds on the system, fails on each mutant that it names, and is deterministic.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_simulator::mutants::{Guards, MUTANTS};
@@ -12,8 +12,8 @@
 fn scenarios() -> Vec<Scenario> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
     let mut paths: Vec<_> = fs::read_dir(folder)
-        .expect("scenarios")
-        .map(|entry| entry.expect("one").path())
+        .expect("the folder can be read")
+        .map(|entry| entry.expect("the entry can be read").path())
         .collect();
     paths.sort();
     paths.iter().map(read_scenario).collect()
@@ -58,7 +58,7 @@
 }
 
 #[gtest]
-fn a_scenario_runs_the_same_twice() {
+fn scenario_runs_are_deterministic() {
     for scenario in scenarios() {
         expect_that!(
             run(&scenario, Guards::default()),
@@ -67,12 +67,12 @@
     }
 }
 
-/// Mutants that no scenario names; the tests of `emberpin-consensus` detect them message by message, and the
-/// last one by how long a replacement takes to join. Drawn seeds find them too.
+/// Mutants that no scenario names. The tests of `emberpin-consensus` detect them at the level of messages, and the last
+/// one by how long a replacement takes to join. Random searches detect them too.
 const UNCOVERED: [&str; 3] = ["no-joint", "no-lacking", "no-turn"];
 
 #[gtest]
-fn every_mutant_has_a_scenario() {
+fn all_other_mutants_are_named_by_a_scenario() {
     let all = scenarios();
     let covered: BTreeSet<&str> = all
         .iter()
--- a/crates/emberpin-simulator/tests/search.rs
+++ b/crates/emberpin-simulator/tests/search.rs
@@ -1,4 +1,4 @@
-//! The scenarios of seeds hold, and detect mutants.
+//! Generated scenarios hold on the system, detect mutants, are deterministic, and can be shrunk when they fail.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_simulator::mutants::Guards;
@@ -12,7 +12,7 @@
 const THREADS: usize = 3;
 
 #[gtest]
-fn nothing_that_was_acknowledged_is_lost_whatever_happens() {
+fn generated_scenarios_hold_and_cover_all_kinds_of_faults() {
     let seeds = std::env::var("EMBERPIN_SEEDS")
         .ok()
         .and_then(|seeds| seeds.parse().ok())
@@ -23,27 +23,28 @@
     }
     println!("{} seeds: {}", result.runs, result.total);
     expect_that!(result.runs, eq(seeds));
-    // Something was asserted.
+    // The runs exercised the checks.
     expect_that!(result.total.slow_start_requests, gt(0));
     expect_that!(result.total.effect_checks, gt(0));
     expect_that!(result.total.acknowledged_calls, gt(0));
-    // And faults of each kind took effect.
+    // Faults of each kind took effect.
     for (kind, count) in result.total.fault_effects.counts() {
         expect_that!(count, gt(0), "{kind}");
     }
 }
 
 #[gtest]
-fn a_seed_gives_the_same_valid_scenario_each_time() {
+fn generation_is_deterministic_and_yields_valid_scenarios() {
     for seed in 0..50 {
         expect_that!(parse("seed", &generate(seed)), ok(anything()));
         expect_that!(generate(seed), eq(&generate(seed)));
     }
 }
 
-/// Covers the order of a proxy's instances: listed as a hash map has them, they gave these seeds different runs.
+/// Guards against a dependence on the order of a hash map: listing a proxy's instances in that order made the runs of
+/// these seeds differ.
 #[gtest]
-fn a_seed_gives_the_same_run_each_time() {
+fn runs_of_a_seed_are_deterministic() {
     for seed in [100_040, 100_099] {
         let run = || search(Seeds::consecutive(seed, 1), 1, 1, Guards::default()).total;
         let first = run();
@@ -53,7 +54,7 @@
     }
 }
 
-/// Each is detected by one of so many seeds.
+/// Each of these mutants is detected by one of the first 120 seeds.
 #[gtest]
 fn mutants_are_detected() {
     for mutant in [
@@ -81,19 +82,19 @@
     assert_that!(guards.disable(mutant), eq(true));
     let result = search(Seeds::consecutive(0, 400), THREADS, 1, guards);
     let seed = result.failures.first().map(|failed| failed.seed);
-    (seed.expect("a seed that fails"), guards)
+    (seed.expect("one of the seeds detects the mutant"), guards)
 }
 
 #[gtest]
-fn a_scenario_that_fails_is_shrunk_to_few_lines_that_fail_alike() {
+fn failing_scenario_is_shrunk_to_few_lines_with_the_same_failure() {
     for (mutant, max_lines) in [("no-history", 12), ("no-spread", 40)] {
         let (seed, guards) = first_detection(mutant);
         let text = generate(seed);
-        let shrunk = shrink("shrunk", &text, guards).expect("a failure");
+        let shrunk = shrink("shrunk", &text, guards).expect("the scenario fails");
         expect_that!(shrunk.text.lines().count(), le(max_lines), "{mutant}");
         let scenario = parse("shrunk", &shrunk.text).expect("a scenario");
         expect_that!(run(&scenario, guards), err(eq(&shrunk.failure)), "{mutant}");
-        // What is left shows the mutant's fault, and not that a fault has no end.
+        // The remaining lines show the mutant's defect, not a fault that never ends.
         expect_that!(
             run(&scenario, Guards::default()),
             ok(anything()),
@@ -103,11 +104,12 @@
 }
 
 #[gtest]
-fn a_scenario_that_holds_is_not_shrunk() {
+fn scenario_that_holds_is_not_shrunk() {
     expect_that!(shrink("seed", &generate(0), Guards::default()), none());
 }
 
-/// The variations that keep the times of a recorded scenario come first, one of each scenario, in the order of names.
+/// The distance between the seeds of two exact variations, which keep all times. Starting with seed 0, these are the exact
+/// variations of the recorded scenarios in the order of their names.
 const EXACT_VARIATION_SEEDS: u64 = 32;
 
 #[gtest]
@@ -115,12 +117,12 @@
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/scenarios");
     let mut files: Vec<_> = std::fs::read_dir(folder)
         .expect("the folder can be read")
-        .map(|entry| entry.expect("an entry").path())
+        .map(|entry| entry.expect("the entry can be read").path())
         .collect();
     files.sort();
     for (index, file) in files.iter().enumerate() {
         let name = file.file_name().and_then(|name| name.to_str());
-        let name = name.expect("a file's name");
+        let name = name.expect("the file has a name");
         let recorded = std::fs::read_to_string(file).expect("the file can be read");
         let recorded = parse(name, &recorded).expect("a scenario");
         let text = generate(EXACT_VARIATION_SEEDS * index as u64);
