--- a/crates/emberpin-simulator/src/fault_effects.rs
+++ b/crates/emberpin-simulator/src/fault_effects.rs
@@ -1,18 +1,18 @@
-//! Counts how often the faults of a run took effect. A kill of a process that does not run, a partition without messages,
-//! or a disk stall without writes tests nothing.
+//! Counts how often the faults of a run took effect. A kill of a process that does not run, a partition without
+//! messages, or a disk stall without writes tests nothing.
 
 use crate::scenario::StoreMessageKind;
 use std::fmt::{self, Display};
 use std::ops::AddAssign;
 
 /// The number of message kinds between stores that can be lost on purpose.
-const MESSAGE_KINDS: usize = StoreMessageKind::ALL.len();
+const MESSAGE_KIND_COUNT: usize = StoreMessageKind::ALL.len();
 
 /// How often faults took effect, by kind of effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultEffects {
     /// Core processes that were stopped by a kill, a power cut, a wiped disk or a replacement.
-    pub ended_processes: u64,
+    pub stopped_processes: u64,
     /// Unsynced writes that were lost in a power cut.
     pub lost_writes: u64,
     /// Wiped disks that were not empty.
@@ -24,7 +24,7 @@
     /// Messages between stores that a partition dropped.
     pub partitioned_messages: u64,
     /// Messages between stores that were lost on purpose, in the order of [`StoreMessageKind::ALL`].
-    lost_messages: [u64; MESSAGE_KINDS],
+    lost_messages: [u64; MESSAGE_KIND_COUNT],
 }
 
 impl FaultEffects {
@@ -39,7 +39,7 @@
     /// The description of each kind of effect, with its count.
     pub fn counts(&self) -> Vec<(String, u64)> {
         let named = [
-            ("ended processes", self.ended_processes),
+            ("ended processes", self.stopped_processes),
             ("lost writes", self.lost_writes),
             ("wiped disks", self.wiped_disks),
             ("deferred events", self.deferred_events),
@@ -57,7 +57,7 @@
 
 impl AddAssign for FaultEffects {
     fn add_assign(&mut self, other: FaultEffects) {
-        self.ended_processes += other.ended_processes;
+        self.stopped_processes += other.stopped_processes;
         self.lost_writes += other.lost_writes;
         self.wiped_disks += other.wiped_disks;
         self.deferred_events += other.deferred_events;
--- a/crates/emberpin-simulator/src/generator/dense/faults.rs
+++ b/crates/emberpin-simulator/src/generator/dense/faults.rs
@@ -6,7 +6,7 @@
 /// Replacements stop when the next machine's number would be above this.
 const MAX_CORE: u8 = 60;
 /// When all machines were stopped, they are started again within this time.
-const RETURN_OF_ALL_MS: u64 = 1_000;
+const MAX_RESTART_OF_ALL_MS: u64 = 1_000;
 
 impl DenseScenario {
     pub(super) fn add_fault(&mut self) {
@@ -19,7 +19,7 @@
             56..68 => self.partition(),
             68..76 => self.slow_down(),
             76..80 => self.stall_disk(),
-            80..84 => self.end_all(),
+            80..84 => self.stop_all(),
             84..94 => self.disturb_proxy(),
             94..96 => self.change_seeds(),
             _ => self.disturb_network(),
@@ -27,7 +27,7 @@
     }
 
     /// Draws the duration of a fault in milliseconds; three of four faults are shorter than 2.5 s.
-    fn draw_fault_length(&mut self) -> u64 {
+    fn draw_fault_duration(&mut self) -> u64 {
         match self.draw_below(4) {
             0 => self.draw_between(20, 300),
             1 | 2 => self.draw_between(300, 2_500),
@@ -36,8 +36,8 @@
     }
 
     fn kill(&mut self) {
-        let return_at = self.now_ms + self.draw_fault_length();
-        let Some(core) = self.lose_core(return_at) else {
+        let return_at = self.now_ms + self.draw_fault_duration();
+        let Some(core) = self.choose_core_for_fault(return_at) else {
             return;
         };
         self.add_step(format!("kill core-{core}"));
@@ -47,13 +47,14 @@
             let again = return_at + self.draw_between(20, 600);
             self.add_step_at(again, format!("kill core-{core}"));
             self.add_step_at(again + 200, format!("start core-{core}"));
-            self.lost_until.insert(core, again + 200 + SYNC_TIME_MS);
+            self.unavailable_until
+                .insert(core, again + 200 + SYNC_TIME_MS);
         }
     }
 
     fn cut_power(&mut self) {
-        let return_at = self.now_ms + self.draw_fault_length();
-        let Some(core) = self.lose_core(return_at) else {
+        let return_at = self.now_ms + self.draw_fault_duration();
+        let Some(core) = self.choose_core_for_fault(return_at) else {
             return;
         };
         let hard = if self.chance(50) { "hard " } else { "" };
@@ -62,8 +63,8 @@
     }
 
     fn wipe(&mut self) {
-        let return_at = self.now_ms + self.draw_fault_length();
-        let Some(core) = self.lose_core(return_at) else {
+        let return_at = self.now_ms + self.draw_fault_duration();
+        let Some(core) = self.choose_core_for_fault(return_at) else {
             return;
         };
         self.add_step(format!("wipe core-{core}"));
@@ -80,7 +81,7 @@
         if self.next_core > MAX_CORE {
             return;
         }
-        let Some(core) = self.lose_core(self.now_ms) else {
+        let Some(core) = self.choose_core_for_fault(self.now_ms) else {
             return;
         };
         let new = self.next_core;
@@ -90,14 +91,14 @@
         // A process whose seeds are all permanently removed could not reach any machine.
         self.add_step(format!("seeds{}", names_of(&self.cores)));
         self.cores.push(new);
-        let until = self.lost_until.remove(&core).unwrap_or(self.now_ms);
-        self.lost_until.insert(new, until);
+        let until = self.unavailable_until.remove(&core).unwrap_or(self.now_ms);
+        self.unavailable_until.insert(new, until);
         self.add_step(format!("replace core-{core} core-{new}"));
     }
 
     fn freeze(&mut self) {
-        let return_at = self.now_ms + self.draw_fault_length();
-        let Some(core) = self.lose_core(return_at) else {
+        let return_at = self.now_ms + self.draw_fault_duration();
+        let Some(core) = self.choose_core_for_fault(return_at) else {
             return;
         };
         self.add_step(format!("freeze core-{core}"));
@@ -105,8 +106,8 @@
     }
 
     fn partition(&mut self) {
-        let return_at = self.now_ms + self.draw_fault_length();
-        let Some(core) = self.lose_core(return_at) else {
+        let return_at = self.now_ms + self.draw_fault_duration();
+        let Some(core) = self.choose_core_for_fault(return_at) else {
             return;
         };
         let others = names_of(&self.cores_except(core));
@@ -120,9 +121,9 @@
 
     /// Delays messages from a machine, to it, or both, by up to some seconds.
     fn slow_down(&mut self) {
-        let return_at = self.now_ms + self.draw_fault_length();
+        let return_at = self.now_ms + self.draw_fault_duration();
         let (low, more) = (self.draw_between(50, 2_000), self.draw_between(200, 3_000));
-        let Some(core) = self.lose_core(return_at + low + more) else {
+        let Some(core) = self.choose_core_for_fault(return_at + low + more) else {
             return;
         };
         let (others, by) = (
@@ -138,22 +139,22 @@
     }
 
     pub(super) fn stall_disk(&mut self) {
-        let span = self.draw_fault_length();
-        let Some(core) = self.lose_core(self.now_ms + span) else {
+        let span = self.draw_fault_duration();
+        let Some(core) = self.choose_core_for_fault(self.now_ms + span) else {
             return;
         };
         self.add_step(format!("stall {span}ms core-{core}"));
     }
 
     /// Kills all machines or cuts their power, in some cases with lost disks up to the tolerance.
-    fn end_all(&mut self) {
+    fn stop_all(&mut self) {
         let all = self.cores.clone();
         let step = ["kill", "power", "power hard"][self.draw_below(3) as usize];
         self.add_step(format!("{step}{}", names_of(&all)));
-        let return_at = self.now_ms + self.draw_between(50, RETURN_OF_ALL_MS);
+        let return_at = self.now_ms + self.draw_between(50, MAX_RESTART_OF_ALL_MS);
         if self.chance(60) {
             while self.chance(70) {
-                let Some(core) = self.lose_core(return_at) else {
+                let Some(core) = self.choose_core_for_fault(return_at) else {
                     break;
                 };
                 self.add_step(format!("wipe core-{core}"));
@@ -162,15 +163,15 @@
         self.add_step_at(return_at, format!("start{}", names_of(&all)));
         // All machines were down, so all count as unavailable.
         for core in all {
-            let until = self.lost_until.entry(core).or_default();
+            let until = self.unavailable_until.entry(core).or_default();
             *until = (return_at + SYNC_TIME_MS).max(*until);
         }
-        self.now_ms += RETURN_OF_ALL_MS;
+        self.now_ms += MAX_RESTART_OF_ALL_MS;
     }
 
     pub(super) fn disturb_proxy(&mut self) {
         let proxy = 1 + self.draw_below(self.proxies.into());
-        let (core, return_at) = (self.choose_core(), self.now_ms + self.draw_fault_length());
+        let (core, return_at) = (self.choose_core(), self.now_ms + self.draw_fault_duration());
         let proxy = format!("limiter-{proxy}");
         let (begin, end) = match self.draw_below(6) {
             0 => (format!("kill {proxy}"), "start"),
@@ -186,7 +187,7 @@
 
     /// Changes the configured seeds; at least one of the new ones is available.
     fn change_seeds(&mut self) {
-        let available = self.cores_not_lost();
+        let available = self.available_cores();
         if available.is_empty() {
             return;
         }
--- a/crates/emberpin-simulator/src/generator/dense/mod.rs
+++ b/crates/emberpin-simulator/src/generator/dense/mod.rs
@@ -51,7 +51,7 @@
     /// Whether the settings of processes still contain the seeds of the first start.
     has_first_seeds: bool,
     /// The time until which each machine counts as unavailable.
-    lost_until: BTreeMap<u8, u64>,
+    unavailable_until: BTreeMap<u8, u64>,
     proxies: u8,
     tolerance: usize,
     last_version: u64,
@@ -97,30 +97,32 @@
 
     // ---- availability of machines
 
-    fn count_lost(&self) -> usize {
-        self.lost_until
+    fn unavailable_count(&self) -> usize {
+        self.unavailable_until
             .values()
             .filter(|until| **until > self.now_ms)
             .count()
     }
 
-    fn cores_not_lost(&self) -> Vec<u8> {
+    fn available_cores(&self) -> Vec<u8> {
         let is_lost = |core: &u8| {
-            let lost_until = self.lost_until.get(core);
-            lost_until.is_some_and(|until| *until > self.now_ms)
+            let unavailable_until = self.unavailable_until.get(core);
+            unavailable_until.is_some_and(|until| *until > self.now_ms)
         };
         let cores = self.cores.iter().copied();
         cores.filter(|core| !is_lost(core)).collect()
     }
 
-    /// Chooses a machine for a fault that ends at `return_at`, and marks it unavailable; `None` if the tolerance is used up.
-    fn lose_core(&mut self, return_at: u64) -> Option<u8> {
-        if self.count_lost() >= self.tolerance {
+    /// Chooses a machine for a fault that ends at `return_at`, and marks it unavailable; `None` if the tolerance is
+    /// used up.
+    fn choose_core_for_fault(&mut self, return_at: u64) -> Option<u8> {
+        if self.unavailable_count() >= self.tolerance {
             return None;
         }
-        let available = self.cores_not_lost();
+        let available = self.available_cores();
         let core = available[self.draw_below(available.len() as u64) as usize];
-        self.lost_until.insert(core, return_at + SYNC_TIME_MS);
+        self.unavailable_until
+            .insert(core, return_at + SYNC_TIME_MS);
         Some(core)
     }
 
@@ -144,7 +146,7 @@
     }
 
     /// Adds a period of `span` milliseconds with faults, operator calls and server steps.
-    fn add_faulty_time(&mut self, span: u64) {
+    fn add_fault_period(&mut self, span: u64) {
         let end = self.now_ms + span;
         let (fault_percent, call_percent) = (self.draw_between(10, 40), self.draw_between(30, 60));
         while self.now_ms < end {
@@ -162,24 +164,24 @@
 
     /// Adds a long partition of some machines from the others, during which the core machines have no other fault.
     fn add_isolation(&mut self) {
-        let last_return = self.lost_until.values().copied().max();
+        let last_return = self.unavailable_until.values().copied().max();
         self.now_ms = self.now_ms.max(last_return.unwrap_or_default()) + 1;
-        let (until, mut away) = (self.now_ms + self.draw_between(8_000, 20_000), Vec::new());
+        let (until, mut isolated) = (self.now_ms + self.draw_between(8_000, 20_000), Vec::new());
         for _ in 0..self.draw_between(1, self.tolerance as u64 + 1) {
-            away.extend(self.lose_core(until));
+            isolated.extend(self.choose_core_for_fault(until));
         }
-        if away.is_empty() {
+        if isolated.is_empty() {
             return;
         }
         let rest = self.cores.iter().copied();
-        let rest: Vec<u8> = rest.filter(|core| !away.contains(core)).collect();
-        self.add_step(format!("cut{} |{}", names_of(&away), names_of(&rest)));
-        self.add_step_at(until, format!("heal{}", names_of(&away)));
-        self.add_quiet_time(until - self.now_ms);
+        let rest: Vec<u8> = rest.filter(|core| !isolated.contains(core)).collect();
+        self.add_step(format!("cut{} |{}", names_of(&isolated), names_of(&rest)));
+        self.add_step_at(until, format!("heal{}", names_of(&isolated)));
+        self.add_fault_free_period(until - self.now_ms);
     }
 
     /// Adds a period of `span` milliseconds in which the core machines have no faults.
-    fn add_quiet_time(&mut self, span: u64) {
+    fn add_fault_free_period(&mut self, span: u64) {
         let end = self.now_ms + span;
         while self.now_ms < end {
             self.now_ms += 1 + self.draw_below(600);
@@ -198,12 +200,12 @@
     let mut dense = first_configuration(seed, &[1, 2, 3]);
     for _ in 0..dense.draw_between(1, 4) {
         let span = dense.draw_between(3_000, 12_000);
-        dense.add_faulty_time(span);
+        dense.add_fault_period(span);
         match dense.draw_below(3) {
             0 => dense.add_isolation(),
             1 => {
                 let span = dense.draw_between(4_000, 9_000);
-                dense.add_quiet_time(span);
+                dense.add_fault_free_period(span);
             }
             _ => {}
         }
@@ -241,7 +243,7 @@
         cores: (1..=count).collect(),
         next_core: count + 1,
         has_first_seeds: true,
-        lost_until: BTreeMap::new(),
+        unavailable_until: BTreeMap::new(),
         proxies,
         tolerance: tolerance.into(),
         last_version: 1,
--- a/crates/emberpin-simulator/src/generator/dense/operators.rs
+++ b/crates/emberpin-simulator/src/generator/dense/operators.rs
@@ -1,12 +1,12 @@
 //! Operator calls in a dense scenario.
 
-use super::super::{ROUTES, SERVICES, ZONES};
+use super::super::{ROUTE_COUNT, SERVICE_COUNT, ZONES};
 use super::{DenseScenario, RouteVersion, SentCall};
 
 /// The pause after calls about an evacuation. The zone's servers get no requests and may begin to warm up meanwhile.
 const EVACUATION_PAUSE_MS: u64 = 200;
 /// A reused version is chosen from this many of the latest ones.
-const REUSED_VERSIONS: usize = 30;
+const REUSE_WINDOW: usize = 30;
 
 impl DenseScenario {
     fn choose_target(&mut self) -> String {
@@ -50,7 +50,7 @@
         let (operator, target, service) = (
             self.next_operator(Some(RouteVersion { route, version })),
             self.choose_target(),
-            self.draw_below(SERVICES),
+            self.draw_below(SERVICE_COUNT),
         );
         let timeout = 1_000 + self.draw_below(1_000);
         self.add_step(format!(
@@ -60,13 +60,13 @@
     }
 
     fn change_route(&mut self) {
-        let (route, version) = (self.draw_below(ROUTES), self.next_version());
+        let (route, version) = (self.draw_below(ROUTE_COUNT), self.next_version());
         self.set_route(route, version);
     }
 
     /// Two to eight operators send different contents for the same version of a route to several machines.
     fn race(&mut self) {
-        let (route, version) = (self.draw_below(ROUTES), self.next_version());
+        let (route, version) = (self.draw_below(ROUTE_COUNT), self.next_version());
         let now = self.now_ms;
         for racer in 0..self.draw_between(2, 9) {
             let operator = self.next_operator(Some(RouteVersion { route, version }));
@@ -100,12 +100,12 @@
         let version = self.next_version();
         let target = self.choose_target();
         if self.chance(25) {
-            let (operator, service) = (self.next_operator(None), self.draw_below(SERVICES));
+            let (operator, service) = (self.next_operator(None), self.draw_below(SERVICE_COUNT));
             return self.add_step(format!(
                 "operator {operator} patch {target}dropsvc=a{service} ver={version}"
             ));
         }
-        let route = self.draw_below(ROUTES);
+        let route = self.draw_below(ROUTE_COUNT);
         let operator = self.next_operator(Some(RouteVersion { route, version }));
         self.add_step(format!(
             "operator {operator} patch {target}drop=r{route} ver={version}"
@@ -129,7 +129,7 @@
             return;
         }
         let RouteVersion { route, version } =
-            numbered[self.draw_below(numbered.len().min(REUSED_VERSIONS) as u64) as usize];
+            numbered[self.draw_below(numbered.len().min(REUSE_WINDOW) as u64) as usize];
         let (operator, target) = (self.next_operator(None), self.choose_target());
         let timeout = self.draw_between(3_000, 4_000);
         let beside = if self.chance(60) {
@@ -151,7 +151,7 @@
             1 => format!(
                 "route=x{0}:h{1}/p/:a0 ver={version}",
                 self.calls,
-                self.calls % ROUTES
+                self.calls % ROUTE_COUNT
             ),
             _ => format!("svc=a0 route=r9:h9/q/:a0 ver={version} torn"),
         };
--- a/crates/emberpin-simulator/src/generator/dense/servers.rs
+++ b/crates/emberpin-simulator/src/generator/dense/servers.rs
@@ -1,6 +1,6 @@
 //! Server steps in a dense scenario.
 
-use super::super::{SERVICES, ZONES};
+use super::super::{SERVICE_COUNT, ZONES};
 use super::DenseScenario;
 
 /// Maximum number of servers in a scenario.
@@ -33,7 +33,7 @@
     }
 
     fn start_server(&mut self, at: u64, address: u64) {
-        let (number, service) = (self.servers, self.draw_below(SERVICES));
+        let (number, service) = (self.servers, self.draw_below(SERVICE_COUNT));
         self.servers += 1;
         let zone = ZONES[self.draw_below(ZONES.len() as u64) as usize];
         let cold = if self.chance(40) { " cold=3s" } else { "" };
--- a/crates/emberpin-simulator/src/generator/dense/targeted.rs
+++ b/crates/emberpin-simulator/src/generator/dense/targeted.rs
@@ -1,5 +1,6 @@
-//! Targeted faults in the middle of rounds: messages of one kind between some stores are lost around an operator's call,
-//! and meanwhile a fault is injected. Faults at random times rarely hit the few milliseconds in which a round can be lost.
+//! Targeted faults in the middle of rounds: messages of one kind between some stores are lost around an operator's
+//! call, and meanwhile a fault is injected. Faults at random times rarely hit the few milliseconds in which a round can
+//! be lost.
 //!
 //! Consecutive scenario numbers cycle through all pairs of a message kind and a fault, so that each pair is covered.
 
@@ -33,13 +34,13 @@
     TargetedFault::Freeze,
     TargetedFault::StalledDisk,
     TargetedFault::Halves,
-    TargetedFault::EndOfAll,
-    TargetedFault::WipeAndEndOfAll,
+    TargetedFault::PowerCutOfAll,
+    TargetedFault::WipedDiskAndPowerCutOfAll,
 ];
 /// The number of rounds with a fault in a scenario.
-const ROUNDS: u64 = 5;
+const ROUND_COUNT: u64 = 5;
 /// A fault is injected within this time after the round has begun: a round takes about 20 ms.
-const STRIKE_WINDOW_MS: u64 = 45;
+const INJECTION_WINDOW_MS: u64 = 45;
 
 /// A fault that is injected while a round is in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,9 +54,9 @@
     /// Half of the machines are partitioned from the others, regardless of the tolerance, since no disk is lost.
     Halves,
     /// All machines lose power.
-    EndOfAll,
+    PowerCutOfAll,
     /// The disk of one machine is lost, and all others lose power.
-    WipeAndEndOfAll,
+    WipedDiskAndPowerCutOfAll,
 }
 
 impl DenseScenario {
@@ -63,17 +64,17 @@
     pub(super) fn add_targeted_rounds(&mut self, pair: u64) {
         let kind = MESSAGE_KINDS[(pair % MESSAGE_KINDS.len() as u64) as usize];
         let fault = FAULTS[(pair / MESSAGE_KINDS.len() as u64 % FAULTS.len() as u64) as usize];
-        // Late messages switch off the checks of time limits, because lost messages delay changes even at machines without a
-        // fault.
+        // Late messages switch off the checks of time limits, because lost messages delay changes even at machines
+        // without a fault.
         self.add_step("network delay 1ms..5ms late 1% twice 1%".into());
-        for _ in 0..ROUNDS {
-            self.add_struck_round(kind, fault);
+        for _ in 0..ROUND_COUNT {
+            self.add_round_with_fault(kind, fault);
             let pause = self.draw_between(300, SYNC_TIME_MS + 1_500);
-            self.add_quiet_time(pause);
+            self.add_fault_free_period(pause);
         }
     }
 
-    fn add_struck_round(&mut self, kind: &str, fault: TargetedFault) {
+    fn add_round_with_fault(&mut self, kind: &str, fault: TargetedFault) {
         let joining = if kind == ROSTER_CHANGE {
             self.begin_roster_change()
         } else {
@@ -101,13 +102,13 @@
         self.add_step(format!(
             "operator {operator} patch via core-{proposer} route=r0:h0/p/:a0 ver={route_version}"
         ));
-        self.now_ms = self.now_ms.max(begun_at) + self.draw_below(STRIKE_WINDOW_MS);
-        self.strike(fault, proposer);
+        self.now_ms = self.now_ms.max(begun_at) + self.draw_below(INJECTION_WINDOW_MS);
+        self.inject_fault(fault, proposer);
         self.now_ms += 1 + self.draw_below(max_loss_ms);
         self.add_step("lose-nothing".into());
         if let Some(joining) = joining {
             // A machine that could not join because of lost messages counts as unavailable, like a partitioned one.
-            let until = self.lost_until.entry(joining).or_default();
+            let until = self.unavailable_until.entry(joining).or_default();
             *until = (self.now_ms + SYNC_TIME_MS).max(*until);
         }
         if self.chance(60) {
@@ -116,8 +117,8 @@
         }
     }
 
-    /// Replaces a machine, and advances the time until the new one is about to join. Returns the new machine; `None` if no
-    /// machine could be replaced.
+    /// Replaces a machine, and advances the time until the new one is about to join. Returns the new machine; `None` if
+    /// no machine could be replaced.
     fn begin_roster_change(&mut self) -> Option<u8> {
         let joining = self.next_core;
         self.replace();
@@ -126,42 +127,43 @@
         self.cores.contains(&joining).then_some(joining)
     }
 
-    fn strike(&mut self, fault: TargetedFault, proposer: u8) {
+    fn inject_fault(&mut self, fault: TargetedFault, proposer: u8) {
         let at_proposer = self.chance(60);
         match fault {
-            TargetedFault::Kill => self.strike_one(proposer, at_proposer, "kill", "start"),
+            TargetedFault::Kill => self.inject_at_core(proposer, at_proposer, "kill", "start"),
             TargetedFault::PowerCut => {
-                self.strike_one(proposer, at_proposer, "power hard", "start");
+                self.inject_at_core(proposer, at_proposer, "power hard", "start");
             }
-            TargetedFault::WipedDisk => self.strike_one(proposer, at_proposer, "wipe", "start"),
-            TargetedFault::Freeze => self.strike_one(proposer, at_proposer, "freeze", "thaw"),
+            TargetedFault::WipedDisk => self.inject_at_core(proposer, at_proposer, "wipe", "start"),
+            TargetedFault::Freeze => self.inject_at_core(proposer, at_proposer, "freeze", "thaw"),
             TargetedFault::StalledDisk => self.stall_disk(),
             TargetedFault::Replacement => self.replace(),
-            TargetedFault::Halves => self.halve(),
-            TargetedFault::EndOfAll => self.end_all_but(None),
-            TargetedFault::WipeAndEndOfAll => {
-                let wiped = self.lose_core(self.now_ms);
-                self.end_all_but(wiped);
+            TargetedFault::Halves => self.partition_into_halves(),
+            TargetedFault::PowerCutOfAll => self.cut_power_of_all(None),
+            TargetedFault::WipedDiskAndPowerCutOfAll => {
+                let wiped = self.choose_core_for_fault(self.now_ms);
+                self.cut_power_of_all(wiped);
             }
         }
     }
 
     /// Injects a fault into one machine: the proposer, if that is drawn and the tolerance allows it, or another one.
-    fn strike_one(&mut self, proposer: u8, at_proposer: bool, begin: &str, end: &str) {
+    fn inject_at_core(&mut self, proposer: u8, at_proposer: bool, begin: &str, end: &str) {
         let return_at = self.now_ms + self.draw_between(20, 2_500);
-        let is_free = self.cores_not_lost().contains(&proposer);
-        let core = if at_proposer && is_free && self.count_lost() < self.tolerance {
-            self.lost_until.insert(proposer, return_at + SYNC_TIME_MS);
+        let is_free = self.available_cores().contains(&proposer);
+        let core = if at_proposer && is_free && self.unavailable_count() < self.tolerance {
+            self.unavailable_until
+                .insert(proposer, return_at + SYNC_TIME_MS);
             Some(proposer)
         } else {
-            self.lose_core(return_at)
+            self.choose_core_for_fault(return_at)
         };
         let Some(core) = core else { return };
         self.add_step(format!("{begin} core-{core}"));
         self.add_step_at(return_at, format!("{end} core-{core}"));
     }
 
-    fn halve(&mut self) {
+    fn partition_into_halves(&mut self) {
         let middle = self.cores.len() / 2;
         let (one, other) = self.cores.split_at(middle);
         let (one, other) = (names_of(one), names_of(other));
@@ -169,19 +171,19 @@
         self.add_step(format!("cut{one} |{other}"));
         self.add_step_at(until, format!("heal{one}{other}"));
         // No disk may be lost until state that was lost before the partition has been restored.
-        self.count_all_as_lost(until + SYNC_TIME_MS);
+        self.mark_all_unavailable(until + SYNC_TIME_MS);
     }
 
     /// Marks all machines unavailable until this time, so that no other fault is injected before.
-    fn count_all_as_lost(&mut self, until: u64) {
+    fn mark_all_unavailable(&mut self, until: u64) {
         for core in self.cores.clone() {
-            let lost_until = self.lost_until.entry(core).or_default();
-            *lost_until = until.max(*lost_until);
+            let unavailable_until = self.unavailable_until.entry(core).or_default();
+            *unavailable_until = until.max(*unavailable_until);
         }
     }
 
     /// Cuts the power of all machines and starts them again within a second; `wiped` also loses its disk.
-    fn end_all_but(&mut self, wiped: Option<u8>) {
+    fn cut_power_of_all(&mut self, wiped: Option<u8>) {
         let all = self.cores.clone();
         self.add_step(format!("power hard{}", names_of(&all)));
         if let Some(core) = wiped {
@@ -189,12 +191,12 @@
         }
         let return_at = self.now_ms + self.draw_between(50, 1_000);
         self.add_step_at(return_at, format!("start{}", names_of(&all)));
-        self.count_all_as_lost(return_at + SYNC_TIME_MS);
+        self.mark_all_unavailable(return_at + SYNC_TIME_MS);
         self.now_ms = return_at;
     }
 
-    /// Replaces machines one after the other. The next replacement follows as soon as the tolerance allows it or up to half
-    /// a minute later; in between, all machines may lose power.
+    /// Replaces machines one after the other. The next replacement follows as soon as the tolerance allows it or up to
+    /// half a minute later; in between, all machines may lose power.
     pub(super) fn add_replacements(&mut self) {
         for _ in 0..self.draw_between(2, 5) {
             self.replace();
@@ -202,10 +204,10 @@
             let end = self.now_ms + pause;
             if self.chance(30) {
                 self.now_ms += self.draw_below(pause);
-                self.end_all_but(None);
+                self.cut_power_of_all(None);
             }
             let left = end.saturating_sub(self.now_ms).max(1);
-            self.add_quiet_time(left);
+            self.add_fault_free_period(left);
         }
     }
 }
--- a/crates/emberpin-simulator/src/generator/mod.rs
+++ b/crates/emberpin-simulator/src/generator/mod.rs
@@ -1,12 +1,12 @@
-//! Generates scenarios from seeds: random faults within the stores' tolerance (`wide` and `dense`), and variations of the
-//! recorded scenarios (`variations`).
+//! Generates scenarios from seeds: random faults within the stores' tolerance (`wide` and `dense`), and variations of
+//! the recorded scenarios (`variations`).
 
 mod dense;
 mod variations;
 mod wide;
 
 /// The number of scenario kinds; consecutive seeds cycle through them.
-const KINDS: u64 = 8;
+const KIND_COUNT: u64 = 8;
 /// The zones of generated scenarios.
 const ZONES: [&str; 3] = ["z1", "z2", "z3"];
 /// When the roster contains the initial machines, in milliseconds; see [`ROSTER_MS_PER_MACHINE`].
@@ -14,19 +14,21 @@
 /// How much later the roster is complete per initial machine, in milliseconds.
 const ROSTER_MS_PER_MACHINE: u64 = 500;
 /// The number of services that patches and servers choose from.
-const SERVICES: u64 = 3;
+const SERVICE_COUNT: u64 = 3;
 /// The number of routes that patches choose from.
-const ROUTES: u64 = 4;
+const ROUTE_COUNT: u64 = 4;
 
 /// Generates the text of a seed's scenario. The same seed always gives the same text.
 pub fn generate(seed: u64) -> String {
-    match seed % KINDS {
-        0 if (seed / KINDS).is_multiple_of(2) => variations::generate(seed, seed / KINDS / 2),
+    match seed % KIND_COUNT {
+        0 if (seed / KIND_COUNT).is_multiple_of(2) => {
+            variations::generate(seed, seed / KIND_COUNT / 2)
+        }
         0 | 3 => wide::generate(seed),
         1 | 4 => dense::generate(seed),
-        2 => dense::generate_targeted(seed, 3 * (seed / KINDS)),
-        5 => dense::generate_targeted(seed, 3 * (seed / KINDS) + 1),
-        7 => dense::generate_targeted(seed, 3 * (seed / KINDS) + 2),
+        2 => dense::generate_targeted(seed, 3 * (seed / KIND_COUNT)),
+        5 => dense::generate_targeted(seed, 3 * (seed / KIND_COUNT) + 1),
+        7 => dense::generate_targeted(seed, 3 * (seed / KIND_COUNT) + 2),
         _ => dense::generate_replacements(seed),
     }
 }
--- a/crates/emberpin-simulator/src/generator/variations.rs
+++ b/crates/emberpin-simulator/src/generator/variations.rs
@@ -1,8 +1,8 @@
 //! Generates variations of the recorded scenarios, as a fuzzer mutates its corpus.
 //!
 //! Independent random choices rarely put several faults and calls into the few milliseconds in which one particular
-//! safety check matters; the recorded scenarios do. A variation keeps the steps of a recorded scenario in their order and
-//! changes seed, times or network, so that the search also covers the neighbourhood of known dangerous situations.
+//! safety check matters; the recorded scenarios do. A variation keeps the steps of a recorded scenario in their order
+//! and changes seed, times or network, so that the search also covers the neighbourhood of known dangerous situations.
 
 use super::ROSTER_COMPLETE_MS;
 use crate::scenario::{parse, Scenario, Step};
@@ -28,12 +28,13 @@
 /// Percentage of inexact variations on a network that delays and duplicates messages.
 const DISTURBED_NETWORK_PERCENT: u64 = 30;
 
-/// Generates the text of a seed's variation; `number` selects the recorded scenario and whether the variation is exact.
-pub(super) fn generate(seed: u64, number: u64) -> String {
+/// Generates the text of a seed's variation. `variation_index` selects the recorded scenario, and whether the variation
+/// is exact.
+pub(super) fn generate(seed: u64, variation_index: u64) -> String {
     let mut files: Vec<_> = CORPUS.files().collect();
     files.sort_by_key(|file| file.path());
-    let index = (number / EXACT_PERIOD) % files.len() as u64;
-    let file = files[index as usize];
+    let file_index = (variation_index / EXACT_PERIOD) % files.len() as u64;
+    let file = files[file_index as usize];
     let name = file.path().to_string_lossy();
     let text = file
         .contents_utf8()
@@ -41,7 +42,7 @@
     let scenario = parse(&name, text).expect("recorded scenarios are valid: a test parses them");
     Variation {
         random: Rand64::new(u128::from(seed) ^ SEED_MASK),
-        is_exact: number.is_multiple_of(EXACT_PERIOD),
+        is_exact: variation_index.is_multiple_of(EXACT_PERIOD),
         added_pause_ms: 0,
         last_at_ms: 0,
     }
--- a/crates/emberpin-simulator/src/generator/wide.rs
+++ b/crates/emberpin-simulator/src/generator/wide.rs
@@ -1,7 +1,9 @@
 //! Generates wide scenarios: five, seven or eleven core machines and up to forty proxies. Periods with faults alternate
 //! with fault-free ones. Faults that keep the disk hit any number of machines; disks are lost one after the other.
 
-use super::{names_of, ROSTER_COMPLETE_MS, ROSTER_MS_PER_MACHINE, ROUTES, SERVICES, ZONES};
+use super::{
+    names_of, ROSTER_COMPLETE_MS, ROSTER_MS_PER_MACHINE, ROUTE_COUNT, SERVICE_COUNT, ZONES,
+};
 use oorandom::Rand64;
 use std::fmt::Write;
 
@@ -66,7 +68,7 @@
     let now_ms = scenario.now_ms;
     let _ = writeln!(scenario.text, "expect at {now_ms}ms voters {count}");
     for _ in 0..1 + scenario.draw_below(2) {
-        scenario.add_faulty_time(tolerance);
+        scenario.add_fault_period(tolerance);
     }
     scenario.text
 }
@@ -139,7 +141,7 @@
         } else {
             String::new()
         };
-        let (route, service) = (self.draw_below(ROUTES), self.draw_below(SERVICES));
+        let (route, service) = (self.draw_below(ROUTE_COUNT), self.draw_below(SERVICE_COUNT));
         let timeout = 1_000 + 100 * self.draw_below(4);
         let patch = match self.draw_below(12) {
             0..6 => format!(
@@ -184,7 +186,7 @@
         self.servers += 1;
         let zone = self.choose(&ZONES);
         let cold = if self.one_in(2) { " cold=3s" } else { "" };
-        let service = self.draw_below(SERVICES);
+        let service = self.draw_below(SERVICE_COUNT);
         let port = FIRST_PORT + number;
         self.add_step(&format!(
             "server s{number} up svc=a{service} zone={zone} addr={port}{cold}"
@@ -196,15 +198,16 @@
     /// Adds a fault that keeps all disks, on any machines.
     fn add_fault(&mut self) {
         match self.draw_below(14) {
-            0 => self.end_some("kill"),
+            0 => self.stop_some("kill"),
             1 => self.cut_power_of_some(),
-            2 => self.end_all("kill"),
-            3 => self.end_all("power"),
+            2 => self.stop_all("kill"),
+            3 => self.stop_all("power"),
             4 | 5 => self.partition_cores(),
             6 => self.partition_proxy(),
             7 => self.freeze_some(),
             8 => self.disturb_proxy(),
-            // Clock rates stay exact: monotonic clocks are assumed to keep time, and each process's clock starts at zero.
+            // Clock rates stay exact: monotonic clocks are assumed to keep time, and each process's clock starts at
+            // zero.
             9 | 10 => self.disturb_network(),
             11 => {
                 let max_ms = 3 + self.draw_below(60);
@@ -215,9 +218,9 @@
     }
 
     /// Stops some core machines, and in half of the cases starts them again soon.
-    fn end_some(&mut self, step: &str) {
+    fn stop_some(&mut self, step: &str) {
         let some = self.choose_cores(self.cores.len() as u64);
-        self.end_and_perhaps_start(step, &some);
+        self.stop_and_maybe_start(step, &some);
     }
 
     fn cut_power_of_some(&mut self) {
@@ -227,10 +230,10 @@
         } else {
             "power"
         };
-        self.end_and_perhaps_start(step, &some);
+        self.stop_and_maybe_start(step, &some);
     }
 
-    fn end_and_perhaps_start(&mut self, step: &str, cores: &[u8]) {
+    fn stop_and_maybe_start(&mut self, step: &str, cores: &[u8]) {
         self.add_step(&format!("{step}{}", names_of(cores)));
         if self.one_in(2) {
             self.pass_time(800);
@@ -239,7 +242,7 @@
     }
 
     /// Stops all core machines at the same time, and starts them again within a second.
-    fn end_all(&mut self, step: &str) {
+    fn stop_all(&mut self, step: &str) {
         let all = names_of(&self.cores);
         self.add_step(&format!("{step}{all}"));
         self.pass_time(900);
@@ -292,7 +295,7 @@
     // ---- the run
 
     /// Adds faults for some seconds with at most `tolerance` lost disks, and then a fault-free period.
-    fn add_faulty_time(&mut self, tolerance: u64) {
+    fn add_fault_period(&mut self, tolerance: u64) {
         let end = self.now_ms + 2_000 + self.draw_below(4_000);
         // The machines whose disks will be lost in this period.
         let lost = if self.one_in(3) {
@@ -309,7 +312,8 @@
                 2 => self.add_server_step(),
                 3 if lost.peek().is_some() => {
                     let Some(core) = lost.next() else { continue };
-                    // One replacement per period: a new machine takes over a place on the roster only after a long timeout.
+                    // One replacement per period: a new machine takes over a place on the roster only after a long
+                    // timeout.
                     if self.one_in(4) && !has_replaced && self.next_core < MAX_CORE {
                         has_replaced = true;
                         self.replace(core);
@@ -322,7 +326,7 @@
             }
         }
         self.end_faults();
-        self.add_quiet_time(if has_replaced {
+        self.add_fault_free_period(if has_replaced {
             REPLACEMENT_MS
         } else {
             CATCH_UP_MS
@@ -353,7 +357,7 @@
         self.add_step(&format!("start{all} limiters"));
     }
 
-    fn add_quiet_time(&mut self, length_ms: u64) {
+    fn add_fault_free_period(&mut self, length_ms: u64) {
         let until = self.now_ms + length_ms;
         while self.now_ms < until {
             self.pass_time(2_500);
--- a/crates/emberpin-simulator/src/history.rs
+++ b/crates/emberpin-simulator/src/history.rs
@@ -12,10 +12,11 @@
 //! repeating an accepted patch changes nothing. A rejection is an operation of the last attempt alone, since an earlier
 //! attempt may still be in flight.
 //!
-//! The search for an order of operations is the algorithm of Wing and Gong, with Lowe's cache of failed states. Each name
-//! is checked on its own, since a linearizable history restricted to one name is linearizable too, and short histories are
-//! also checked as a whole. Not covered are: the atomicity of patches with several items in long histories, evacuations (no
-//! read shows them), and names with more than [`MAX_OPERATIONS`] operations, which are counted as unchecked.
+//! The search for an order of operations is the algorithm of Wing and Gong, with Lowe's cache of failed states. Each
+//! name is checked on its own, since a linearizable history restricted to one name is linearizable too, and short
+//! histories are also checked as a whole. Not covered are: the atomicity of patches with several items in long
+//! histories, evacuations (no read shows them), and names with more than [`MAX_OPERATIONS`] operations, which are
+//! counted as unchecked.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::{self, Display};
@@ -34,7 +35,7 @@
 
 /// One version of an item and its content.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct NumberedItem {
+pub struct VersionedItem {
     /// Kind and name of the item.
     pub name: String,
     /// The version that the operator gave it.
@@ -58,7 +59,7 @@
     /// A patch has no conclusive response: it may or may not have been accepted.
     Unknown,
     /// A read showed these items.
-    Read(Vec<NumberedItem>),
+    Read(Vec<VersionedItem>),
 }
 
 /// One call of an operator.
@@ -69,7 +70,7 @@
     /// When its response arrived; unused if it has none.
     pub ended_at: Duration,
     /// The items of a patch; empty for a read.
-    pub items: Vec<NumberedItem>,
+    pub items: Vec<VersionedItem>,
     /// How it ended.
     pub outcome: Outcome,
 }
@@ -79,7 +80,7 @@
 enum Operation {
     Accept {
         patch: usize,
-        items: Vec<NumberedItem>,
+        items: Vec<VersionedItem>,
         is_confirmed: bool,
     },
     Reject {
@@ -110,13 +111,13 @@
 
 impl State {
     /// Whether another content was accepted for the item's version.
-    fn conflicts_with(&self, item: &NumberedItem) -> bool {
+    fn conflicts_with(&self, item: &VersionedItem) -> bool {
         let register = self.registers.get(&item.name);
         let known = register.and_then(|register| register.contents.get(&item.version));
         known.is_some_and(|known| *known != item.content)
     }
 
-    fn accept(&mut self, item: &NumberedItem) {
+    fn accept(&mut self, item: &VersionedItem) {
         let register = self.registers.entry(item.name.clone()).or_default();
         register.contents.insert(item.version, item.content.clone());
         if item.version > register.version {
@@ -198,7 +199,7 @@
 
 /// How many operations a check covered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Checked {
+pub struct CheckSummary {
     /// Operations in histories that were checked.
     pub operations: usize,
     /// Operations in histories that were too long to be checked.
@@ -210,8 +211,8 @@
 /// # Errors
 ///
 /// [`NotLinearizable`] for the first history that no order of its operations explains.
-pub fn check(calls: &[Call]) -> Result<Checked, NotLinearizable> {
-    let mut checked = Checked::default();
+pub fn check(calls: &[Call]) -> Result<CheckSummary, NotLinearizable> {
+    let mut checked = CheckSummary::default();
     let names: BTreeSet<String> = calls
         .iter()
         .flat_map(|call| &call.items)
@@ -232,7 +233,7 @@
     calls: &[Call],
     names: &BTreeSet<String>,
     max_operations: usize,
-    checked: &mut Checked,
+    checked: &mut CheckSummary,
 ) -> Result<(), NotLinearizable> {
     let operations = operations_on(calls, names);
     let count = operations.len();
@@ -256,7 +257,7 @@
         calls: calls
             .iter()
             .filter(concerns_names)
-            .map(|call| describe(call, names))
+            .map(|call| describe_call(call, names))
             .collect(),
     })
 }
@@ -281,11 +282,11 @@
 
 struct OperationBuilder<'a> {
     names: &'a BTreeSet<String>,
-    shown_items: BTreeSet<&'a NumberedItem>,
+    shown_items: BTreeSet<&'a VersionedItem>,
     /// The number of each patch, by its items.
-    patches: BTreeMap<&'a [NumberedItem], usize>,
-    /// The patches that already have an operation with an unknown outcome. One such operation, from the first attempt on,
-    /// covers all further attempts of the patch.
+    patches: BTreeMap<&'a [VersionedItem], usize>,
+    /// The patches that already have an operation with an unknown outcome. One such operation, from the first attempt
+    /// on, covers all further attempts of the patch.
     unknown_patches: BTreeSet<usize>,
     operations: Vec<TimedOperation>,
 }
@@ -299,7 +300,7 @@
         });
     }
 
-    fn add_read(&mut self, call: &Call, items: &[NumberedItem]) {
+    fn add_read(&mut self, call: &Call, items: &[VersionedItem]) {
         let shown = items
             .iter()
             .filter(|item| self.names.contains(&item.name))
@@ -316,7 +317,7 @@
     fn add_patch(&mut self, call: &'a Call) {
         let next_number = self.patches.len();
         let patch = *self.patches.entry(&call.items).or_insert(next_number);
-        let items: Vec<NumberedItem> = call
+        let items: Vec<VersionedItem> = call
             .items
             .iter()
             .filter(|item| self.names.contains(&item.name))
@@ -342,14 +343,17 @@
             has_unknown_attempt = !is_only_attempt;
             self.add(last_attempt_at, call.ended_at, Operation::Reject { patch });
         }
-        if has_unknown_attempt && self.may_matter(&items) && self.unknown_patches.insert(patch) {
+        if has_unknown_attempt
+            && self.can_explain_read(&items)
+            && self.unknown_patches.insert(patch)
+        {
             self.add(call.sent_at, Duration::MAX, accept(false));
         }
     }
 
-    /// Whether a patch with an unknown outcome can explain a read: a read shows one of its items, or the patch drops one.
-    /// Other patches are left out of the search.
-    fn may_matter(&self, items: &[NumberedItem]) -> bool {
+    /// Whether a patch with an unknown outcome can explain a read: a read shows one of its items, or the patch drops
+    /// one. Other patches are left out of the search.
+    fn can_explain_read(&self, items: &[VersionedItem]) -> bool {
         items
             .iter()
             .any(|item| item.content.is_none() || self.shown_items.contains(item))
@@ -357,7 +361,7 @@
 }
 
 /// The items that at least one read showed.
-fn shown_items(calls: &[Call]) -> BTreeSet<&NumberedItem> {
+fn shown_items(calls: &[Call]) -> BTreeSet<&VersionedItem> {
     let mut shown = BTreeSet::new();
     for call in calls {
         if let Outcome::Read(items) = &call.outcome {
@@ -386,12 +390,12 @@
 }
 
 /// Describes a call in one line of text, limited to the items with these names.
-fn describe(call: &Call, names: &BTreeSet<String>) -> String {
-    let describe_item = |item: &NumberedItem| {
+fn describe_call(call: &Call, names: &BTreeSet<String>) -> String {
+    let describe_item = |item: &VersionedItem| {
         let content = item.content.as_deref().unwrap_or("dropped");
         format!("{} {} {content}", item.name, item.version)
     };
-    let describe_items = |items: &[NumberedItem]| -> String {
+    let describe_items = |items: &[VersionedItem]| -> String {
         let items: Vec<String> = items
             .iter()
             .filter(|item| names.contains(&item.name))
@@ -410,7 +414,7 @@
             last_attempt_at,
             is_only_attempt,
         } => format!(
-            "{sent}..{ended} Refused {{ attempted: {}, only: {is_only_attempt} }}: {}",
+            "{sent}..{ended} Rejected {{ last attempt: {}, only attempt: {is_only_attempt} }}: {}",
             last_attempt_at.as_millis(),
             describe_items(&call.items)
         ),
--- a/crates/emberpin-simulator/src/invariants.rs
+++ b/crates/emberpin-simulator/src/invariants.rs
@@ -1,10 +1,11 @@
 //! The record of a run's chosen and acknowledged items, and the checks on it.
 //!
-//! These invariants are checked in the simulator as a whole; the modules of `simulation` and `state` check those that need
-//! more than the record:
+//! These invariants are checked in the simulator as a whole; the modules of `simulation` and `state` check those that
+//! need more than the record:
 //!
 //! - no acknowledged change is lost, and each version of an item has one content;
-//! - versions and drains never regress within an incarnation, and no invalid configuration takes effect, not even in part;
+//! - versions and drains never regress within an incarnation, and no invalid configuration takes effect, not even in
+//!   part;
 //! - no part of a rejected call takes effect;
 //! - no warming server gets more requests than its limit;
 //! - proxies in contact apply acknowledged changes within their time limits;
@@ -118,7 +119,8 @@
         self.chosen.get(&(item.key.clone(), item.version)) == Some(&item.body)
     }
 
-    /// Checks that the configuration at the end is valid and contains all acknowledged items, or later versions of them.
+    /// Checks that the configuration at the end is valid and contains all acknowledged items, or later versions of
+    /// them.
     pub fn check_final_configuration(&self, body: &str) -> Result<(), Violation> {
         let configuration = parse_configuration(body)?;
         configuration
@@ -152,6 +154,8 @@
     fn has_chosen_later_drop(&self, key: &ItemKey, version: Version) -> bool {
         self.chosen
             .iter()
-            .any(|((chosen_key, chosen_version), content)| chosen_key == key && *chosen_version > version && content.is_none())
+            .any(|((chosen_key, chosen_version), content)| {
+                chosen_key == key && *chosen_version > version && content.is_none()
+            })
     }
 }
--- a/crates/emberpin-simulator/src/lib.rs
+++ b/crates/emberpin-simulator/src/lib.rs
@@ -5,23 +5,23 @@
 //!
 //! ```text
 //! # A comment says what the scenario shows.
-//! cores 5                         machines with a store and a registry each, core-1 to core-5; the first three are seeds
+//! cores 5                         machines with a store and a registry, core-1 to core-5; the first 3 are seeds
 //! limiters 2                      machines with a proxy each, limiter-1 and limiter-2
 //! zones petaling ampang           assigned to core machines and limiters in turn
 //! tolerance 2                     number of disks that may be lost at once
 //! seed 7
 //! wrong build: no-sync            the scenario must fail on this mutant; see `mutants`
 //! at 2s operator A patch svc=a route=r1:h1/p/:a ver=9      retried until it gets a response
-//! at 2s operator B patch via core-2 ...                    first attempt at core-2; `only core-2`: a single attempt, at core-2
+//! at 2s operator B patch via core-2 ...                    first attempt at core-2; `only core-2`: no retries
 //! at 2s operator C evac petaling begin                     or `finish`
 //! at 2s operator A again via core-3                        repeats its last request, as a new call
-//! at 2s operator A get                                     reads the configuration; checked as part of the operators' history
+//! at 2s operator A get                                     reads the configuration, as part of the history
 //! at 2s answers lost 70%                                   of the responses to operators
 //! at 2s server s1 up svc=a zone=petaling                   more: addr=NUMBER, cold=3s
 //! at 2s server s1 drain                                    or `leave`, `crash`, `cold 3s`
 //! at 2s server s1 says up seq 3 to core-2                  a delayed heartbeat with an old sequence number
 //! at 2s kill core-1 limiter-2     kills processes; `cores` and `limiters` stand for all machines of that kind
-//! at 2s power core-1              keeps a prefix of the unsynced writes; `power hard`: drops all of them
+//! at 2s power core-1              cuts power; a prefix of the unsynced writes survives; `power hard`: none of them
 //! at 2s wipe core-1               the machine loses power and its disk
 //! at 2s start core-1
 //! at 2s bootstrap core-1          starts with the settings of the whole system's first start
@@ -34,7 +34,8 @@
 //! at 2s slow 2s..5s core-1 > core-2 limiter-1      messages arrive 2 s to 5 s later; `|`: both ways
 //! at 2s heal                                       ends all partitions, slow links and losses; `heal core-1`: only
 //!                                                  the partitions and slow links of core-1
-//! at 2s lose accept core-1 > core-2                drops messages between stores: prepare, accept, chosen, exchange, promise, seats
+//! at 2s lose accept core-1 > core-2                drops messages between stores of one kind: prepare,
+//!                                                  accept, chosen, exchange, promise or seats
 //! at 2s lose-nothing                               ends all `lose` steps
 //! at 2s network delay 1ms..40ms late 5% twice 5%   delays and duplicates messages between stores
 //! at 2s disk 1ms..8ms             duration of a disk sync
@@ -48,14 +49,14 @@
 //! end at 9s
 //! ```
 //!
-//! A patch consists of `svc=NAME`, `route=NAME:HOST/PREFIX/:SERVICE` (or weighted services, `a*90+b*10`), `drop=ROUTE` and
-//! `dropsvc=NAME`. Each item has its own `@VERSION` or the `ver=` of the call. `timeout=` applies to the routes of the
-//! patch, and `torn` truncates its body.
+//! A patch consists of `svc=NAME`, `route=NAME:HOST/PREFIX/:SERVICE` (or weighted services, `a*90+b*10`), `drop=ROUTE`
+//! and `dropsvc=NAME`. Each item has its own `@VERSION` or the `ver=` of the call. `timeout=` applies to the routes of
+//! the patch, and `torn` truncates its body.
 //!
 //! At the end of a run all faults are ended and the invariants are checked: see `invariants` and `history`.
 //!
-//! The modules depend on each other in one direction: `scenario` (the format), `state` (machines, clients and network as
-//! data), `simulation` (events and their handling), `runner` (one run), `search` (many runs).
+//! The modules depend on each other in one direction: `scenario` (the format), `state` (machines, clients and network
+//! as data), `simulation` (events and their handling), `runner` (one run), `search` (many runs).
 #![forbid(unsafe_code)]
 
 pub mod fault_effects;
--- a/crates/emberpin-simulator/src/main.rs
+++ b/crates/emberpin-simulator/src/main.rs
@@ -37,9 +37,24 @@
         "distance from one seed to the next (1); 8 searches a single kind of scenario",
         "COUNT",
     );
-    options.optopt("", "threads", "number of threads of the search (3)", "COUNT");
-    options.optopt("", "most", "stop the search after this many failures (1)", "COUNT");
-    options.optopt("", "wrong", "run on the mutant of this name, which lacks a safety check", "NAME");
+    options.optopt(
+        "",
+        "threads",
+        "number of threads of the search (3)",
+        "COUNT",
+    );
+    options.optopt(
+        "",
+        "most",
+        "stop the search after this many failures (1)",
+        "COUNT",
+    );
+    options.optopt(
+        "",
+        "wrong",
+        "run on the mutant of this name, which lacks a safety check",
+        "NAME",
+    );
     options.optopt("", "draw", "print the scenario of a seed", "SEED");
     options.optopt(
         "",
@@ -52,7 +67,7 @@
 }
 
 /// The value of an option that takes a number, or its default.
-fn number(matches: &Matches, name: &'static str, default: u64) -> Result<u64, UsageError> {
+fn number_option(matches: &Matches, name: &'static str, default: u64) -> Result<u64, UsageError> {
     match matches.opt_str(name) {
         Some(text) => text.parse().map_err(|_| UsageError::Number(name)),
         None => Ok(default),
@@ -89,16 +104,19 @@
 
 /// Runs the scenarios of the seeds that the options name. Returns whether all of them held.
 fn run_seeds(matches: &Matches, guards: Guards) -> Result<bool, UsageError> {
-    let (first, count) = (number(matches, "from", 0)?, number(matches, "seeds", 0)?);
+    let (first, count) = (
+        number_option(matches, "from", 0)?,
+        number_option(matches, "seeds", 0)?,
+    );
     if count == 0 {
         return Ok(true);
     }
-    let threads = number(matches, "threads", 3)? as usize;
-    let max_failures = number(matches, "most", 1)? as usize;
+    let threads = number_option(matches, "threads", 3)? as usize;
+    let max_failures = number_option(matches, "most", 1)? as usize;
     let seeds = Seeds {
         first,
         count,
-        step: number(matches, "step", 1)?,
+        step: number_option(matches, "step", 1)?,
     };
     let result = search::search(seeds, threads, max_failures, guards);
     for failed in &result.failures {
@@ -147,11 +165,11 @@
     }
     let guards = guards(&matches)?;
     if matches.opt_present("draw") {
-        print!("{}", search::generate(number(&matches, "draw", 0)?));
+        print!("{}", search::generate(number_option(&matches, "draw", 0)?));
         return Ok(true);
     }
     if matches.opt_present("shrink") {
-        return Ok(run_shrink(number(&matches, "shrink", 0)?, guards));
+        return Ok(run_shrink(number_option(&matches, "shrink", 0)?, guards));
     }
     let files_held = run_files(&matches.free, guards)?;
     Ok(run_seeds(&matches, guards)? && files_held)
--- a/crates/emberpin-simulator/src/mutants.rs
+++ b/crates/emberpin-simulator/src/mutants.rs
@@ -1,4 +1,5 @@
-//! Mutants: variants of the system with a safety check (a guard) switched off. A scenario or a search has to detect them.
+//! Mutants: variants of the system with a safety check (a guard) switched off. A scenario or a search has to detect
+//! them.
 
 use emberpin_consensus::Guards as ConsensusGuards;
 use emberpin_membership::guards::Guards as MembershipGuards;
--- a/crates/emberpin-simulator/src/scenario/parser.rs
+++ b/crates/emberpin-simulator/src/scenario/parser.rs
@@ -79,7 +79,7 @@
             (at, parse_command(scenario, &mut tokens)?)
         }
         "expect" => {
-            tokens.keyword("at")?;
+            tokens.expect_keyword("at")?;
             let at = tokens.duration()?;
             (
                 at,
@@ -135,7 +135,7 @@
         "tolerance" => scenario.tolerance = tokens.number("how many disks may be lost")?,
         "seed" => scenario.seed = tokens.number("a seed")?,
         "end" => {
-            tokens.keyword("at")?;
+            tokens.expect_keyword("at")?;
             scenario.end = tokens.duration()?;
         }
         other => return Err(ParseErrorKind::unexpected(other, SETTINGS)),
@@ -202,9 +202,9 @@
 }
 
 fn parse_call_target(tokens: &mut Tokens) -> Result<CallTarget, ParseErrorKind> {
-    Ok(if tokens.take("via") {
+    Ok(if tokens.next_if_is("via") {
         CallTarget::First(tokens.core()?)
-    } else if tokens.take("only") {
+    } else if tokens.next_if_is("only") {
         CallTarget::Only(tokens.core()?)
     } else {
         CallTarget::Any
@@ -226,9 +226,9 @@
         "cold" => ServerCommand::WarmUp(tokens.duration()?),
         "says" => {
             let draining = tokens.one_of("up or drain", &[("up", false), ("drain", true)])?;
-            tokens.keyword("seq")?;
+            tokens.expect_keyword("seq")?;
             let seq = tokens.number("a number")?;
-            tokens.keyword("to")?;
+            tokens.expect_keyword("to")?;
             let core = tokens.core()?;
             ServerCommand::LateHeartbeat {
                 draining,
@@ -283,7 +283,7 @@
     Ok(match fault {
         "kill" => Fault::Kill(tokens.machines()?),
         "power" => {
-            let unsynced = if tokens.take("hard") {
+            let unsynced = if tokens.next_if_is("hard") {
                 UnsyncedWrites::DropAll
             } else {
                 UnsyncedWrites::KeepSome
@@ -333,7 +333,7 @@
         "heal" if tokens.is_at_end() => Fault::Heal(Vec::new()),
         "heal" => Fault::Heal(tokens.machines()?),
         "answers" => {
-            tokens.keyword("lost")?;
+            tokens.expect_keyword("lost")?;
             let percent = tokens.percent()?;
             Fault::LoseResponses { percent }
         }
@@ -364,17 +364,17 @@
         &kinds,
     )?;
     let from = tokens.machines()?;
-    tokens.keyword(">")?;
+    tokens.expect_keyword(">")?;
     let to = tokens.machines()?;
     Ok(Fault::LoseMessages { kind, from, to })
 }
 
 fn parse_network_settings(tokens: &mut Tokens) -> Result<Fault, ParseErrorKind> {
-    tokens.keyword("delay")?;
+    tokens.expect_keyword("delay")?;
     let delay = tokens.duration_range()?;
-    tokens.keyword("late")?;
+    tokens.expect_keyword("late")?;
     let late_percent = tokens.percent()?;
-    tokens.keyword("twice")?;
+    tokens.expect_keyword("twice")?;
     let duplicate_percent = tokens.percent()?;
     Ok(Fault::SetNetwork {
         delay,
@@ -412,7 +412,7 @@
 fn parse_operator_status(tokens: &mut Tokens) -> Result<Expectation, ParseErrorKind> {
     let expected = "a status or nothing";
     let operator = tokens.next(OPERATOR_NAME)?.into();
-    tokens.keyword("told")?;
+    tokens.expect_keyword("told")?;
     let status = match tokens.next(expected)? {
         "nothing" => None,
         status => Some(parse_token(status, expected)?),
@@ -425,7 +425,7 @@
     let kind = tokens.one_of("route or svc", &[("route", "route"), ("svc", "svc")])?;
     let name = tokens.next("a name")?.to_owned();
     let version = if is_shown {
-        tokens.keyword("ver")?;
+        tokens.expect_keyword("ver")?;
         Some(tokens.number("a version")?)
     } else {
         None
@@ -444,7 +444,7 @@
     Ok(match tokens.next(PROXY_EXPECTATIONS)? {
         "route" => {
             let (host, path) = parse_host_and_path(tokens)?;
-            tokens.keyword("ver")?;
+            tokens.expect_keyword("ver")?;
             Expectation::Route {
                 proxies,
                 host,
@@ -453,7 +453,7 @@
             }
         }
         "no" => {
-            tokens.keyword("route")?;
+            tokens.expect_keyword("route")?;
             let (host, path) = parse_host_and_path(tokens)?;
             Expectation::Route {
                 proxies,
--- a/crates/emberpin-simulator/src/scenario/tokens.rs
+++ b/crates/emberpin-simulator/src/scenario/tokens.rs
@@ -50,7 +50,7 @@
     }
 
     /// Reads the next token if it is this one. Returns whether it is.
-    pub(super) fn take(&mut self, token: &str) -> bool {
+    pub(super) fn next_if_is(&mut self, token: &str) -> bool {
         self.tokens.next_if(|next| *next == token).is_some()
     }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    pub(super) fn keyword(&mut self, keyword: &str) -> Result<(), ParseErrorKind> {
+    pub(super) fn expect_keyword(&mut self, keyword: &str) -> Result<(), ParseErrorKind> {
         let expected = format!("{keyword:?}");
         match self.next(expected.clone())? {
             found if found == keyword => Ok(()),
--- a/crates/emberpin-simulator/src/search.rs
+++ b/crates/emberpin-simulator/src/search.rs
@@ -37,8 +37,8 @@
     pub first: u64,
     /// How many seeds there are.
     pub count: u64,
-    /// The distance from one seed to the next. Consecutive seeds cycle through the eight kinds of scenarios, so a step of
-    /// eight searches a single kind.
+    /// The distance from one seed to the next. Consecutive seeds cycle through the eight kinds of scenarios, so a step
+    /// of eight searches a single kind.
     pub step: u64,
 }
 
@@ -61,10 +61,10 @@
 /// Runs the scenarios of these seeds on `threads` threads and stops after `max_failures` failures. Scenarios that are
 /// already running on other threads then are completed.
 pub fn search(seeds: Seeds, threads: usize, max_failures: usize, guards: Guards) -> SearchResult {
-    let next_number = AtomicU64::new(0);
+    let next_index = AtomicU64::new(0);
     let result = Mutex::new(SearchResult::default());
     let work = || loop {
-        let Some(seed) = seeds.get(next_number.fetch_add(1, Ordering::Relaxed)) else {
+        let Some(seed) = seeds.get(next_index.fetch_add(1, Ordering::Relaxed)) else {
             return;
         };
         // No code panics while holding the lock, so it is never poisoned.
--- a/crates/emberpin-simulator/src/shrink.rs
+++ b/crates/emberpin-simulator/src/shrink.rs
@@ -1,10 +1,10 @@
 //! Shrinks a failing scenario to fewer lines that fail in the same way.
 //!
-//! The method is delta debugging: blocks of consecutive lines are removed, first half of all lines, finally single lines,
-//! as long as the rest is a scenario that fails with a violation of the same kind. For a mutant, the rest must also hold
-//! on the unmodified system, so that lines that end a fault are kept. On the unmodified system itself there is no such
-//! comparison, so lines that end a fault are never removed. The settings, and the steps that set network and disk delays,
-//! determine which time limits apply and how many machines may be lost; they always stay.
+//! The method is delta debugging: blocks of consecutive lines are removed, first half of all lines, finally single
+//! lines, as long as the rest is a scenario that fails with a violation of the same kind. For a mutant, the rest must
+//! also hold on the unmodified system, so that lines that end a fault are kept. On the unmodified system itself there
+//! is no such comparison, so lines that end a fault are never removed. The settings, and the steps that set network and
+//! disk delays, determine which time limits apply and how many machines may be lost; they always stay.
 
 use crate::mutants::Guards;
 use crate::runner::{run, Failure, FailureCause};
--- a/crates/emberpin-simulator/src/simulation/contact.rs
+++ b/crates/emberpin-simulator/src/simulation/contact.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeSet;
 
 impl Simulation {
-    /// Whether a proxy has been in contact for the bound `contact`: it runs, no fault has affected it or the core machines
-    /// in this time, and it can reach each core machine that can reach a majority.
+    /// Whether a proxy has been in contact for the bound `contact`: it runs, no fault has affected it or the core
+    /// machines in this time, and it can reach each core machine that can reach a majority.
     pub(super) fn is_in_contact(&self, proxy: ProxyId) -> bool {
         let node = self.proxies.get(&proxy);
         let Some(node) = node.filter(|node| node.running.is_some()) else {
@@ -25,7 +25,7 @@
         !majority.is_empty()
             && majority
                 .iter()
-                .all(|core| self.is_joined(Machine::Proxy(proxy), Machine::Core(*core)))
+                .all(|core| self.has_healthy_link(Machine::Proxy(proxy), Machine::Core(*core)))
     }
 
     /// Whether a fault affected a process within the bound `contact`.
@@ -37,7 +37,7 @@
         let slow_until = self.network.slow_until;
         let was_slow = !slow_until.is_zero() && self.now < slow_until + CONTACT;
         !was_slow
-            && !self.has_no_time_limits
+            && !self.skips_time_limits
             && self
                 .cores
                 .values()
@@ -54,15 +54,15 @@
             .filter(|core| !self.cores[core].process.is_frozen)
             .collect();
         let reaches_majority = |core: &CoreId| {
-            let reached = running
-                .iter()
-                .filter(|other| self.is_joined(Machine::Core(*core), Machine::Core(**other)));
+            let reached = running.iter().filter(|other| {
+                self.has_healthy_link(Machine::Core(*core), Machine::Core(**other))
+            });
             reached.count() > in_use.len() / 2
         };
         running.iter().copied().filter(reaches_majority).collect()
     }
 
-    fn is_joined(&self, one: Machine, other: Machine) -> bool {
+    fn has_healthy_link(&self, one: Machine, other: Machine) -> bool {
         !self.network.is_partitioned_either_way(one, other)
             && !self.network.is_slow_either_way(one, other)
     }
--- a/crates/emberpin-simulator/src/simulation/faults.rs
+++ b/crates/emberpin-simulator/src/simulation/faults.rs
@@ -6,7 +6,7 @@
 use crate::scenario::UnsyncedWrites;
 use crate::state::core_node::CoreNode;
 use crate::state::process::Process;
-use crate::state::USUAL_SYNC_TIME;
+use crate::state::DEFAULT_SYNC_TIME;
 use std::time::Duration;
 
 impl Simulation {
@@ -50,7 +50,7 @@
                     return;
                 };
                 let was_running = node.running.take().is_some();
-                self.counters.fault_effects.ended_processes += u64::from(was_running);
+                self.counters.fault_effects.stopped_processes += u64::from(was_running);
                 node.process.end();
             }
             Machine::Proxy(proxy) => {
@@ -129,7 +129,7 @@
         self.heal(&[]);
         self.network.end_losses();
         self.network.reset_delivery();
-        self.sync_time = USUAL_SYNC_TIME;
+        self.sync_time = DEFAULT_SYNC_TIME;
         self.response_loss_percent = 0;
         let cores = self.cores.keys().copied().map(Machine::Core);
         let proxies = self.proxies.keys().copied().map(Machine::Proxy);
@@ -138,6 +138,6 @@
             self.thaw(machine);
             self.start(machine);
         }
-        self.has_no_time_limits = false;
+        self.skips_time_limits = false;
     }
 }
--- a/crates/emberpin-simulator/src/simulation/final_checks.rs
+++ b/crates/emberpin-simulator/src/simulation/final_checks.rs
@@ -1,7 +1,7 @@
 //! The end of a run: ends all faults, and checks recovery and the final state.
 
 use super::Simulation;
-use crate::history::{self, Call, NumberedItem, Outcome};
+use crate::history::{self, Call, Outcome, VersionedItem};
 use crate::invariants::parse_configuration;
 use crate::machine::ProxyId;
 use crate::scenario::{CallTarget, OperatorRequest};
@@ -52,7 +52,7 @@
             return;
         }
         let result = self.check_final_state(&body);
-        self.check(result);
+        self.fail_on_violation(result);
         if self.violation.is_none() {
             self.check_linearizability();
         }
@@ -73,7 +73,7 @@
         let call = self.operators.call(call);
         let (status, body) = (call.status, call.body.clone());
         if status != Some(OK) {
-            self.fail(Violation::NotServed {
+            self.fail(Violation::FinalCallFailed {
                 operator: name.into(),
                 status,
             });
@@ -106,7 +106,7 @@
     fn check_responses(&self) -> Result<(), Violation> {
         let mut calls = self.operators.calls.iter();
         match calls.find(|call| call.is_retried() && call.status.is_none()) {
-            Some(call) => Err(Violation::Unanswered {
+            Some(call) => Err(Violation::MissingResponse {
                 operator: call.operator.clone(),
             }),
             None => Ok(()),
@@ -138,8 +138,8 @@
         Ok(())
     }
 
-    /// Checks that the last change of each zone's evacuation is in force on all proxies, unless an opposite change was in
-    /// progress at the same time.
+    /// Checks that the last change of each zone's evacuation is in force on all proxies, unless an opposite change was
+    /// in progress at the same time.
     fn check_evacuations(&self) -> Result<(), Violation> {
         for (zone, calls) in self.evacuation_calls() {
             let Some(last) = last_call(&calls) else {
@@ -214,8 +214,8 @@
     calls.iter().max_by_key(|call| call.sent_at)
 }
 
-fn numbered_item(item: &Item) -> NumberedItem {
-    NumberedItem {
+fn versioned_item(item: &Item) -> VersionedItem {
+    VersionedItem {
         name: format!("{:?} {}", item.key.kind, item.key.name),
         version: item.version.0,
         content: item.body.clone(),
@@ -228,7 +228,7 @@
     let outcome = match (&call.request, call.status) {
         (None, Some(_)) => {
             let configuration = parse_configuration(&call.body).ok()?;
-            Outcome::Read(configuration.live().map(numbered_item).collect())
+            Outcome::Read(configuration.live().map(versioned_item).collect())
         }
         (Some(OperatorRequest::Patch(_)), Some(OK)) => Outcome::Confirmed,
         (Some(OperatorRequest::Patch(_)), Some(_)) => Outcome::Rejected {
@@ -239,7 +239,7 @@
         (None, None) | (Some(OperatorRequest::Evacuate { .. }), _) => return None,
     };
     let is_read = call.request.is_none();
-    let items: Vec<NumberedItem> = call.items.iter().map(numbered_item).collect();
+    let items: Vec<VersionedItem> = call.items.iter().map(versioned_item).collect();
     if !is_read && items.is_empty() {
         return None;
     }
--- a/crates/emberpin-simulator/src/simulation/mod.rs
+++ b/crates/emberpin-simulator/src/simulation/mod.rs
@@ -31,7 +31,7 @@
 use crate::state::process::{Process, ProcessIncarnation};
 use crate::state::proxy::{ProxyNode, ProxyProcess};
 use crate::state::server::{Server, ServerCall};
-use crate::state::USUAL_SYNC_TIME;
+use crate::state::DEFAULT_SYNC_TIME;
 use crate::violation::Violation;
 use oorandom::Rand64;
 use std::collections::BTreeMap;
@@ -41,7 +41,7 @@
 /// The time at which a run begins. Not zero, since zero means "never" in some fields.
 const START: Duration = Duration::from_millis(1);
 /// The number of seeds unless a scenario names others: the first machines in use.
-const SEEDS: usize = 3;
+const DEFAULT_SEED_COUNT: usize = 3;
 
 /// Counters of a run, for its statistics.
 #[derive(Debug, Default)]
@@ -83,7 +83,7 @@
     /// The duration of a disk sync.
     sync_time: Range<Duration>,
     /// Whether messages or disks are so slow that time limits are not checked.
-    has_no_time_limits: bool,
+    skips_time_limits: bool,
     is_slow_start_load_scheduled: bool,
     /// The percentage of responses to operators that are lost.
     response_loss_percent: u64,
@@ -112,8 +112,8 @@
             record: Record::default(),
             counters: Counters::default(),
             network: Network::default(),
-            sync_time: USUAL_SYNC_TIME,
-            has_no_time_limits: false,
+            sync_time: DEFAULT_SYNC_TIME,
+            skips_time_limits: false,
             is_slow_start_load_scheduled: false,
             response_loss_percent: 0,
             seeds: None,
@@ -193,7 +193,8 @@
         }
     }
 
-    fn check(&mut self, result: Result<(), Violation>) {
+    /// Ends the run if the result is a violation.
+    fn fail_on_violation(&mut self, result: Result<(), Violation>) {
         if let Err(violation) = result {
             self.fail(violation);
         }
@@ -360,7 +361,11 @@
     fn configured_seeds(&self) -> Vec<CoreId> {
         match &self.seeds {
             Some(seeds) => seeds.clone(),
-            None => self.cores_in_use().into_iter().take(SEEDS).collect(),
+            None => self
+                .cores_in_use()
+                .into_iter()
+                .take(DEFAULT_SEED_COUNT)
+                .collect(),
         }
     }
 }
--- a/crates/emberpin-simulator/src/simulation/operators.rs
+++ b/crates/emberpin-simulator/src/simulation/operators.rs
@@ -54,7 +54,7 @@
         };
         let is_first = previous.number == 0;
         if !is_first {
-            call.is_clear = false;
+            call.has_no_unknown_attempt = false;
         }
         call.core = match call.target {
             CallTarget::Only(_) if !is_first => return,
@@ -184,7 +184,7 @@
             return;
         };
         if status == SERVICE_UNAVAILABLE {
-            call.is_clear = false;
+            call.has_no_unknown_attempt = false;
             return self.schedule(now + pause, Event::OperatorRetry { attempt });
         }
         call.status = Some(status);
@@ -193,7 +193,7 @@
         let call = call.clone();
         if let Some(expectation) = &call.expectation {
             let result = check_read(body, &expectation.item);
-            self.check(result.map_err(|failure| Violation::Step {
+            self.fail_on_violation(result.map_err(|failure| Violation::Step {
                 line: expectation.line,
                 failure,
             }));
--- a/crates/emberpin-simulator/src/simulation/proxy_sessions.rs
+++ b/crates/emberpin-simulator/src/simulation/proxy_sessions.rs
@@ -6,7 +6,7 @@
 use crate::state::event::Event;
 use crate::state::network::{ConnectionId, Direction, Frame};
 use crate::state::process::ProcessIncarnation;
-use crate::state::proxy::{timestamp, ProxyProcess, SESSIONS};
+use crate::state::proxy::{timestamp, ProxyProcess, SESSION_COUNT};
 use crate::violation::{ProxyViolation, Violation};
 use emberpin_membership::candidates::Confirmation;
 use emberpin_membership::ids::Incarnation;
@@ -51,7 +51,7 @@
         if self.incarnation(Machine::Proxy(proxy)) != incarnation {
             return;
         }
-        for index in 0..SESSIONS {
+        for index in 0..SESSION_COUNT {
             if self.running_proxy(proxy).is_none() {
                 return;
             }
@@ -244,7 +244,7 @@
             }
             | ToProxy::Changes {
                 items, instances, ..
-            } => running.learn(now, items, &instances, &guards),
+            } => running.apply_update(now, items, &instances, &guards),
             ToProxy::Confirmation {
                 nonce,
                 age,
@@ -284,7 +284,7 @@
             let instance = running.router.endpoints.instance(&instance_id);
             match instance.map(|instance| instance.status) {
                 Some(Status::Up) if running.drained_instances.contains(&instance_id) => {
-                    let violation = ProxyViolation::DrainWentBack { instance_id };
+                    let violation = ProxyViolation::DrainReverted { instance_id };
                     return self.fail(Violation::Proxy { proxy, violation });
                 }
                 Some(Status::Draining) => _ = running.drained_instances.insert(instance_id),
--- a/crates/emberpin-simulator/src/simulation/servers.rs
+++ b/crates/emberpin-simulator/src/simulation/servers.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 /// The number of requests that a server processes concurrently.
-const SLOTS: u32 = 2;
+const SLOT_COUNT: u32 = 2;
 /// The attempt number of a late heartbeat, whose reply is ignored.
 const NO_ATTEMPT: u64 = u64::MAX;
 
@@ -240,7 +240,7 @@
         service: server.service.clone(),
         address: server.address(),
         zone: server.zone.clone(),
-        slots: SLOTS,
+        slots: SLOT_COUNT,
         status: if call.is_draining {
             Status::Draining
         } else {
--- a/crates/emberpin-simulator/src/simulation/steps.rs
+++ b/crates/emberpin-simulator/src/simulation/steps.rs
@@ -105,27 +105,27 @@
 
     fn inject(&mut self, fault: &Fault) {
         match fault {
-            Fault::Kill(machines) => self.each(machines, |simulation, machine| {
+            Fault::Kill(machines) => self.for_each_machine(machines, |simulation, machine| {
                 simulation.stop(machine, BreakNotice::Sent);
             }),
             Fault::CutPower { machines, unsynced } => {
-                self.each(machines, |simulation, machine| {
+                self.for_each_machine(machines, |simulation, machine| {
                     simulation.cut_power(machine, *unsynced);
                 });
             }
-            Fault::WipeDisk(machines) => self.each(machines, Simulation::wipe_disk),
-            Fault::Start(machines) => self.each(machines, Simulation::start),
-            Fault::Bootstrap(machines) => self.each(machines, Simulation::bootstrap),
+            Fault::WipeDisk(machines) => self.for_each_machine(machines, Simulation::wipe_disk),
+            Fault::Start(machines) => self.for_each_machine(machines, Simulation::start),
+            Fault::Bootstrap(machines) => self.for_each_machine(machines, Simulation::bootstrap),
             Fault::SetSeeds(seeds) => self.seeds = Some(seeds.clone()),
             Fault::StallDisk { machines, duration } => {
                 let until = self.now + *duration;
-                self.each(machines, |simulation, machine| {
+                self.for_each_machine(machines, |simulation, machine| {
                     simulation.stall_disk(machine, until);
                 });
             }
             Fault::Replace { old, new } => self.replace(*old, *new),
-            Fault::Freeze(machines) => self.each(machines, Simulation::freeze),
-            Fault::Thaw(machines) => self.each(machines, Simulation::thaw),
+            Fault::Freeze(machines) => self.for_each_machine(machines, Simulation::freeze),
+            Fault::Thaw(machines) => self.for_each_machine(machines, Simulation::thaw),
             Fault::SetClockRate { machine, percent } => {
                 let now = self.now;
                 if let Some(process) = self.process_mut(*machine) {
@@ -157,18 +157,18 @@
                 self.network.delay = delay.clone();
                 self.network.late_percent = *late_percent;
                 self.network.duplicate_percent = *duplicate_percent;
-                self.has_no_time_limits |= *late_percent > 0 || delay.end > MAX_TIMELY_DELAY;
+                self.skips_time_limits |= *late_percent > 0 || delay.end > MAX_TIMELY_DELAY;
             }
             Fault::SetSyncTime(range) => {
                 self.sync_time = range.clone();
-                self.has_no_time_limits |= range.end > MAX_TIMELY_SYNC;
+                self.skips_time_limits |= range.end > MAX_TIMELY_SYNC;
             }
             Fault::LoseResponses { percent } => self.response_loss_percent = *percent,
             _ => {}
         }
     }
 
-    fn each(&mut self, machines: &[Machine], act: impl Fn(&mut Simulation, Machine)) {
+    fn for_each_machine(&mut self, machines: &[Machine], act: impl Fn(&mut Simulation, Machine)) {
         for machine in machines {
             act(self, *machine);
         }
--- a/crates/emberpin-simulator/src/simulation/stores.rs
+++ b/crates/emberpin-simulator/src/simulation/stores.rs
@@ -26,7 +26,7 @@
             self.counters.fault_effects.partitioned_messages += 1;
             return;
         }
-        if let Some(kind) = self.network.loss_of(sender, receiver, message) {
+        if let Some(kind) = self.network.matching_loss(sender, receiver, message) {
             self.counters.fault_effects.count_lost_message(kind);
             return;
         }
@@ -122,14 +122,14 @@
     fn check_chosen_items(&mut self, core: CoreId, items: &[Item]) {
         for item in items {
             let result = self.record.record_chosen(item);
-            self.check(result);
+            self.fail_on_violation(result);
             let Some(running) = self.running_core(core) else {
                 return;
             };
             let versions = &mut running.reported_versions;
             let before = versions.insert(item.key.clone(), item.version);
             if before.is_some_and(|before| before >= item.version) {
-                self.fail(Violation::StoreWentBack {
+                self.fail(Violation::StoreVersionRegressed {
                     core,
                     key: item.key.clone(),
                     version: item.version,
--- a/crates/emberpin-simulator/src/state/event.rs
+++ b/crates/emberpin-simulator/src/state/event.rs
@@ -68,9 +68,7 @@
         frame: Box<Frame>,
     },
     /// A connection over a partitioned link times out and breaks, if the link is still partitioned.
-    UnacknowledgedTimeout {
-        connection: ConnectionId,
-    },
+    UnacknowledgedTimeout { connection: ConnectionId },
     /// One end of a connection detects that the connection is broken.
     ConnectionBroken {
         connection: ConnectionId,
@@ -90,7 +88,8 @@
         /// The version of the evacuation that an earlier redirect stated, if there was one.
         evacuation_version: Option<Version>,
     },
-    /// A registry's redirect, which states the version of the evacuation, arrives at an operator, which repeats its call.
+    /// A registry's redirect, which states the version of the evacuation, arrives at an operator, which repeats its
+    /// call.
     OperatorRedirect {
         attempt: OperatorAttempt,
         core: CoreId,
@@ -103,19 +102,11 @@
         body: String,
     },
     /// An attempt of an operator's call has timed out or failed.
-    OperatorRetry {
-        attempt: OperatorAttempt,
-    },
+    OperatorRetry { attempt: OperatorAttempt },
     /// A server's next heartbeat is due.
-    ServerHeartbeat {
-        server: String,
-        incarnation: u32,
-    },
+    ServerHeartbeat { server: String, incarnation: u32 },
     /// A server's call arrives at a core machine.
-    ServerCall {
-        core: CoreId,
-        call: ServerCall,
-    },
+    ServerCall { core: CoreId, call: ServerCall },
     /// The response to a server's call arrives.
     ServerResponse {
         call: ServerCall,
--- a/crates/emberpin-simulator/src/state/mod.rs
+++ b/crates/emberpin-simulator/src/state/mod.rs
@@ -14,5 +14,5 @@
 /// The interval at which servers send heartbeats.
 pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_300);
 /// The duration of a disk sync without a fault.
-pub(crate) const USUAL_SYNC_TIME: Range<Duration> =
+pub(crate) const DEFAULT_SYNC_TIME: Range<Duration> =
     Duration::from_millis(2)..Duration::from_millis(6);
--- a/crates/emberpin-simulator/src/state/network.rs
+++ b/crates/emberpin-simulator/src/state/network.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// The delay of messages without a fault.
-const USUAL_DELAY: Range<Duration> = Duration::from_millis(1)..Duration::from_millis(5);
+const DEFAULT_DELAY: Range<Duration> = Duration::from_millis(1)..Duration::from_millis(5);
 
 /// Identifies a connection, unique in the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -39,8 +39,8 @@
 pub(crate) struct Connection {
     pub caller: Machine,
     pub callee: Machine,
-    latest_arrival_at_callee: Duration,
-    latest_arrival_at_caller: Duration,
+    last_arrival_at_callee: Duration,
+    last_arrival_at_caller: Duration,
     /// The frames that a partition holds back, in order.
     pub blocked: Vec<(Direction, Frame)>,
 }
@@ -50,8 +50,8 @@
         Connection {
             caller,
             callee,
-            latest_arrival_at_callee: open_at,
-            latest_arrival_at_caller: open_at,
+            last_arrival_at_callee: open_at,
+            last_arrival_at_caller: open_at,
             blocked: Vec::new(),
         }
     }
@@ -68,11 +68,12 @@
         self.caller == machine || self.callee == machine
     }
 
-    /// Returns when a frame arrives that would arrive at `at` on its own: not before the previous frame in its direction.
+    /// Returns when a frame arrives that would arrive at `at` on its own: not before the previous frame in its
+    /// direction.
     pub fn order_arrival(&mut self, direction: Direction, at: Duration) -> Duration {
         let latest = match direction {
-            Direction::ToCallee => &mut self.latest_arrival_at_callee,
-            Direction::ToCaller => &mut self.latest_arrival_at_caller,
+            Direction::ToCallee => &mut self.last_arrival_at_callee,
+            Direction::ToCaller => &mut self.last_arrival_at_caller,
         };
         *latest = at.max(*latest);
         *latest
@@ -117,7 +118,7 @@
             losses: Vec::new(),
             connections: BTreeMap::new(),
             last_connection: 0,
-            delay: USUAL_DELAY,
+            delay: DEFAULT_DELAY,
             late_percent: 0,
             duplicate_percent: 0,
         }
@@ -140,11 +141,11 @@
     }
 
     pub fn partition(&mut self, links: &Links) {
-        self.partitioned_links.extend(links_of(links));
+        self.partitioned_links.extend(directed_links(links));
     }
 
     pub fn slow_down(&mut self, links: &Links, delay: &Range<Duration>) {
-        let slow = links_of(links)
+        let slow = directed_links(links)
             .into_iter()
             .map(|link| (link, delay.clone()));
         self.slow_links.extend(slow);
@@ -154,8 +155,8 @@
         self.slow_links.get(&(from, to)).cloned()
     }
 
-    /// Ends the partitions and slow links of these machines; with an empty list, all of them. Returns the links that were
-    /// partitioned.
+    /// Ends the partitions and slow links of these machines; with an empty list, all of them. Returns the links that
+    /// were partitioned.
     pub fn heal(&mut self, machines: &[Machine]) -> BTreeSet<Link> {
         let concerns = |(one, other): &Link| {
             machines.is_empty() || machines.contains(one) || machines.contains(other)
@@ -170,7 +171,7 @@
 
     /// Resets the delay of messages to the default, without late or duplicated ones.
     pub fn reset_delivery(&mut self) {
-        self.delay = USUAL_DELAY;
+        self.delay = DEFAULT_DELAY;
         self.late_percent = 0;
         self.duplicate_percent = 0;
     }
@@ -186,13 +187,13 @@
     }
 
     /// The kind by which a message between stores is lost on purpose; `None` if it is not lost.
-    pub fn loss_of(
+    pub fn matching_loss(
         &self,
         from: Machine,
         to: Machine,
         message: &Message,
     ) -> Option<StoreMessageKind> {
-        kinds_of(message)
+        loss_kinds(message)
             .iter()
             .copied()
             .find(|kind| self.losses.contains(&(*kind, from, to)))
@@ -254,7 +255,7 @@
 }
 
 /// The kinds by which a message can be lost on purpose. An accept that changes the roster has two.
-fn kinds_of(message: &Message) -> &'static [StoreMessageKind] {
+fn loss_kinds(message: &Message) -> &'static [StoreMessageKind] {
     match message {
         Message::Prepare(_) => &[StoreMessageKind::Prepare],
         Message::Accept(Accept { items, .. }) => {
@@ -272,7 +273,7 @@
 }
 
 /// The directed links between the machines of the two lists, without links of a machine to itself.
-fn links_of(links: &Links) -> Vec<Link> {
+fn directed_links(links: &Links) -> Vec<Link> {
     let mut all = Vec::new();
     for from in &links.from {
         for to in links.to.iter().filter(|to| *to != from) {
--- a/crates/emberpin-simulator/src/state/operator.rs
+++ b/crates/emberpin-simulator/src/state/operator.rs
@@ -41,7 +41,7 @@
     /// The target of the last attempt.
     pub core: CoreId,
     /// No attempt before the last one has an unknown outcome, so a rejection means that nothing was accepted.
-    pub is_clear: bool,
+    pub has_no_unknown_attempt: bool,
     pub status: Option<u16>,
     pub body: String,
     pub ended_at: Duration,
@@ -71,7 +71,7 @@
             last_attempt_at: now,
             attempts: 0,
             core: CoreId(0),
-            is_clear: true,
+            has_no_unknown_attempt: true,
             status: None,
             body: String::new(),
             ended_at: Duration::ZERO,
@@ -85,7 +85,7 @@
 
     /// Whether it was rejected, and no part of it can have been accepted by an earlier attempt.
     pub fn is_rejected(&self) -> bool {
-        self.status == Some(400) && self.is_clear
+        self.status == Some(400) && self.has_no_unknown_attempt
     }
 }
 
--- a/crates/emberpin-simulator/src/state/proxy.rs
+++ b/crates/emberpin-simulator/src/state/proxy.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 /// The number of sessions of a proxy, the same as in the real one.
-pub(crate) const SESSIONS: usize = 2;
+pub(crate) const SESSION_COUNT: usize = 2;
 /// The settings `warm_excess` and `warm_extra`.
 const TOLERANCE: WarmupTolerance = WarmupTolerance {
     excess_factor: 1.5,
@@ -103,7 +103,7 @@
             ),
             configuration: Configuration::new(),
             is_ready: false,
-            sessions: vec![Session::new(); SESSIONS],
+            sessions: vec![Session::new(); SESSION_COUNT],
             progress: BTreeMap::new(),
             candidates: RegistryCandidates::default(),
             highest_route_versions: BTreeMap::new(),
@@ -118,7 +118,7 @@
     }
 
     /// Applies items and instances that a registry sent.
-    pub fn learn(
+    pub fn apply_update(
         &mut self,
         now: Duration,
         items: Vec<Item>,
@@ -176,7 +176,7 @@
 
     /// Checks that no invalid route takes effect, and that no route regresses to an earlier version.
     fn check_routes(&mut self, routes: &[Route]) -> Result<(), ProxyViolation> {
-        let mut places = BTreeSet::new();
+        let mut used_prefixes = BTreeSet::new();
         for route in routes {
             let unknown = route
                 .targets
@@ -188,7 +188,7 @@
                     service: target.service.clone(),
                 });
             }
-            if !places.insert((route.hostname.clone(), route.prefix.clone())) {
+            if !used_prefixes.insert((route.hostname.clone(), route.prefix.clone())) {
                 return Err(ProxyViolation::DuplicateRoute {
                     route: route.name.clone(),
                 });
@@ -198,7 +198,7 @@
                 .entry(route.name.clone())
                 .or_default();
             if route.version < *highest {
-                return Err(ProxyViolation::RouteWentBack {
+                return Err(ProxyViolation::RouteVersionRegressed {
                     route: route.name.clone(),
                     version: route.version,
                     highest: *highest,
--- a/crates/emberpin-simulator/src/violation.rs
+++ b/crates/emberpin-simulator/src/violation.rs
@@ -36,8 +36,10 @@
         chosen: Option<Option<String>>,
     },
     /// A store reported a version of an item that is not higher than one it reported before.
-    #[error("version regressed: {core} reported {key:?} {version} after the same or a higher version")]
-    StoreWentBack {
+    #[error(
+        "version regressed: {core} reported {key:?} {version} after the same or a higher version"
+    )]
+    StoreVersionRegressed {
         /// The store's machine.
         core: CoreId,
         /// Kind and name of the item.
@@ -72,7 +74,9 @@
         limit: usize,
     },
     /// A registry directed a server to send its heartbeats to an address that no core machine has.
-    #[error("server {server} was directed to send heartbeats to {target}, which is no core machine")]
+    #[error(
+        "server {server} was directed to send heartbeats to {target}, which is no core machine"
+    )]
     UnknownHeartbeatTarget {
         /// The server's name in the scenario.
         server: String,
@@ -80,7 +84,9 @@
         target: Ipv4Addr,
     },
     /// An acknowledged item is missing from the configuration at the end.
-    #[error("lost: {key:?} {version} was acknowledged, the configuration at the end has {found:?}")]
+    #[error(
+        "lost: {key:?} {version} was acknowledged, the configuration at the end has {found:?}"
+    )]
     ItemMissing {
         /// Kind and name of the item.
         key: ItemKey,
@@ -98,9 +104,7 @@
         version: Version,
     },
     /// A proxy has not applied the last acknowledged change of a zone's evacuation.
-    #[error(
-        "lost: evacuation of {zone}: acknowledged {acknowledged}, but {found} on {proxy}"
-    )]
+    #[error("lost: evacuation of {zone}: acknowledged {acknowledged}, but {found} on {proxy}")]
     EvacuationMissing {
         /// The zone's name.
         zone: String,
@@ -122,7 +126,7 @@
     NotReady(ProxyId),
     /// After all faults are over, a call is not acknowledged.
     #[error("no recovery after all faults: call {operator:?} ended with status {status:?}")]
-    NotServed {
+    FinalCallFailed {
         /// The name of the final call.
         operator: String,
         /// The status of its response; `None` if it has none.
@@ -130,7 +134,7 @@
     },
     /// A call that is retried has no response at the end.
     #[error("{operator}: a call has no response")]
-    Unanswered {
+    MissingResponse {
         /// The operator's name in the scenario.
         operator: String,
     },
@@ -273,7 +277,7 @@
     },
     /// An older version of a route replaced a newer one.
     #[error("version regressed: route {route} is {version} after {highest}")]
-    RouteWentBack {
+    RouteVersionRegressed {
         /// The route's name.
         route: String,
         /// The version in force.
@@ -283,7 +287,7 @@
     },
     /// A server that was draining is available for requests again.
     #[error("drain reverted: {instance_id} is usable again after its drain")]
-    DrainWentBack {
+    DrainReverted {
         /// The server's instance.
         instance_id: String,
     },
--- a/crates/emberpin-simulator/tests/history.rs
+++ b/crates/emberpin-simulator/tests/history.rs
@@ -1,20 +1,20 @@
 //! The linearizability check accepts histories that some order of operations explains, and rejects all others.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
-use emberpin_simulator::history::{check, Call, NumberedItem, Outcome};
+use emberpin_simulator::history::{check, Call, Outcome, VersionedItem};
 use googletest::prelude::*;
 use std::time::Duration;
 
-fn item(name: &str, version: u64, content: &str) -> NumberedItem {
-    NumberedItem {
+fn item(name: &str, version: u64, content: &str) -> VersionedItem {
+    VersionedItem {
         name: name.into(),
         version,
         content: Some(content.into()),
     }
 }
 
-fn dropped(name: &str, version: u64) -> NumberedItem {
-    NumberedItem {
+fn dropped(name: &str, version: u64) -> VersionedItem {
+    VersionedItem {
         name: name.into(),
         version,
         content: None,
@@ -26,7 +26,7 @@
 }
 
 /// A call with its begin and end in milliseconds.
-fn call((sent, ended): (u64, u64), items: &[NumberedItem], outcome: Outcome) -> Call {
+fn call((sent, ended): (u64, u64), items: &[VersionedItem], outcome: Outcome) -> Call {
     Call {
         sent_at: ms(sent),
         ended_at: ms(ended),
@@ -35,12 +35,12 @@
     }
 }
 
-fn confirmed(times: (u64, u64), items: &[NumberedItem]) -> Call {
+fn confirmed(times: (u64, u64), items: &[VersionedItem]) -> Call {
     call(times, items, Outcome::Confirmed)
 }
 
 /// A call that was rejected at its only attempt.
-fn rejected(times: (u64, u64), items: &[NumberedItem]) -> Call {
+fn rejected(times: (u64, u64), items: &[VersionedItem]) -> Call {
     call(
         times,
         items,
@@ -51,7 +51,7 @@
     )
 }
 
-fn read(times: (u64, u64), items: &[NumberedItem]) -> Call {
+fn read(times: (u64, u64), items: &[VersionedItem]) -> Call {
     call(times, &[], Outcome::Read(items.to_vec()))
 }
 
@@ -104,7 +104,7 @@
 #[gtest]
 fn confirmed_version_must_be_read_back() {
     let calls =
-        |show: &[NumberedItem]| [confirmed((1, 2), &[item("x", 5, "a")]), read((3, 4), show)];
+        |show: &[VersionedItem]| [confirmed((1, 2), &[item("x", 5, "a")]), read((3, 4), show)];
     expect_that!(check(&calls(&[item("x", 5, "a")])), ok(anything()));
     expect_that!(check(&calls(&[])), err(anything()));
     expect_that!(check(&calls(&[item("x", 4, "a")])), err(anything()));
@@ -113,7 +113,7 @@
 #[gtest]
 fn patch_with_unknown_outcome_takes_effect_once_at_any_later_time() {
     let (five, six) = (item("x", 5, "a"), item("x", 6, "b"));
-    let calls = |shows: &[&NumberedItem]| {
+    let calls = |shows: &[&VersionedItem]| {
         let mut calls = vec![
             confirmed((1, 2), std::slice::from_ref(&five)),
             call((3, 0), std::slice::from_ref(&six), Outcome::Unknown),
--- a/crates/emberpin-simulator/tests/search.rs
+++ b/crates/emberpin-simulator/tests/search.rs
@@ -108,9 +108,9 @@
     expect_that!(shrink("seed", &generate(0), Guards::default()), none());
 }
 
-/// The distance between the seeds of two exact variations, which keep all times. Starting with seed 0, these are the exact
-/// variations of the recorded scenarios in the order of their names.
-const EXACT_VARIATION_SEEDS: u64 = 32;
+/// The distance between the seeds of two exact variations, which keep all times. Starting with seed 0, these are the
+/// exact variations of the recorded scenarios in the order of their names.
+const EXACT_VARIATION_SEED_STEP: u64 = 32;
 
 #[gtest]
 fn variations_of_the_recorded_scenarios_hold_and_detect_their_mutants() {
@@ -125,7 +125,7 @@
         let name = name.expect("the file has a name");
         let recorded = std::fs::read_to_string(file).expect("the file can be read");
         let recorded = parse(name, &recorded).expect("a scenario");
-        let text = generate(EXACT_VARIATION_SEEDS * index as u64);
+        let text = generate(EXACT_VARIATION_SEED_STEP * index as u64);
         expect_that!(text, starts_with(format!("# A variation of {name}.")));
         let variation = parse(name, &text).expect("a scenario");
         expect_that!(run(&variation, Guards::default()), ok(anything()), "{name}");
