--- a/crates/emberpin-simulator/src/generator/dense/faults.rs
+++ b/crates/emberpin-simulator/src/generator/dense/faults.rs
@@ -86,7 +86,7 @@
         };
         let new = self.next_core;
         self.next_core += 1;
-        self.cores.retain(|one| *one != core);
+        self.cores.retain(|other| *other != core);
         self.has_first_seeds = false;
         // A process whose seeds are all permanently removed could not reach any machine.
         self.add_step(format!("seeds{}", names_of(&self.cores)));
@@ -122,18 +122,18 @@
     /// Delays messages from a machine, to it, or both, by up to some seconds.
     fn slow_down(&mut self) {
         let return_at = self.now_ms + self.draw_fault_duration();
-        let (low, more) = (self.draw_between(50, 2_000), self.draw_between(200, 3_000));
-        let Some(core) = self.choose_core_for_fault(return_at + low + more) else {
+        let (low, spread) = (self.draw_between(50, 2_000), self.draw_between(200, 3_000));
+        let Some(core) = self.choose_core_for_fault(return_at + low + spread) else {
             return;
         };
-        let (others, by) = (
+        let (others, delay) = (
             names_of(&self.cores_except(core)),
-            format!("{low}ms..{}ms", low + more),
+            format!("{low}ms..{}ms", low + spread),
         );
         match self.draw_below(3) {
-            0 => self.add_step(format!("slow {by}{others} > core-{core}")),
-            1 => self.add_step(format!("slow {by} core-{core} >{others}")),
-            _ => self.add_step(format!("slow {by} core-{core} |{others}")),
+            0 => self.add_step(format!("slow {delay}{others} > core-{core}")),
+            1 => self.add_step(format!("slow {delay} core-{core} >{others}")),
+            _ => self.add_step(format!("slow {delay} core-{core} |{others}")),
         }
         self.add_step_at(return_at, format!("heal core-{core}"));
     }
--- a/crates/emberpin-simulator/src/generator/dense/mod.rs
+++ b/crates/emberpin-simulator/src/generator/dense/mod.rs
@@ -40,23 +40,32 @@
 
 /// A dense scenario while it is generated.
 struct DenseScenario {
+    /// The source of all random choices.
     random: Rand64,
     /// The steps by time, and in the order of generation.
     steps: BTreeMap<u64, Vec<String>>,
+    /// The time of the next step, in milliseconds since the start of the run.
     now_ms: u64,
     /// The number of core machines at the start.
     initial_cores: u8,
+    /// The numbers of the core machines in use.
     cores: Vec<u8>,
+    /// The number of the machine that the next replacement starts.
     next_core: u8,
     /// Whether the settings of processes still contain the seeds of the first start.
     has_first_seeds: bool,
     /// The time until which each machine counts as unavailable.
     unavailable_until: BTreeMap<u8, u64>,
+    /// The number of proxies.
     proxies: u8,
     tolerance: usize,
+    /// The highest version that a call used.
     last_version: u64,
+    /// The number of calls.
     calls: u64,
+    /// The calls that can be repeated.
     sent_calls: Vec<SentCall>,
+    /// The number of servers that were started.
     servers: u64,
     /// Whether messages between stores may be late and disks slow. The run does not check time limits then.
     may_be_slow: bool,
@@ -65,14 +74,17 @@
 impl DenseScenario {
     // ---- draws and steps
 
+    /// A number below `bound`; 0 if `bound` is 0.
     fn draw_below(&mut self, bound: u64) -> u64 {
         self.random.rand_range(0..bound.max(1))
     }
 
+    /// A number from `low` to below `high`.
     fn draw_between(&mut self, low: u64, high: u64) -> u64 {
         low + self.draw_below(high - low)
     }
 
+    /// True with a probability of `percent` in a hundred.
     fn chance(&mut self, percent: u64) -> bool {
         self.draw_below(100) < percent
     }
--- a/crates/emberpin-simulator/src/generator/dense/operators.rs
+++ b/crates/emberpin-simulator/src/generator/dense/operators.rs
@@ -89,8 +89,8 @@
         if count == 0 {
             return;
         }
-        let among = if self.chance(50) { count.min(8) } else { count };
-        let index = count - 1 - self.draw_below(among);
+        let candidates = if self.chance(50) { count.min(8) } else { count };
+        let index = count - 1 - self.draw_below(candidates);
         let operator = self.sent_calls[index as usize].operator.clone();
         let target = self.choose_target();
         self.add_step(format!("operator {operator} again {target}"));
@@ -119,33 +119,33 @@
 
     /// Sends another content for an older version, either alone or in a call with a new service.
     fn reuse_version(&mut self) {
-        let numbered: Vec<RouteVersion> = self
+        let versions: Vec<RouteVersion> = self
             .sent_calls
             .iter()
             .rev()
             .filter_map(|call| call.route)
             .collect();
-        if numbered.is_empty() {
+        if versions.is_empty() {
             return;
         }
         let RouteVersion { route, version } =
-            numbered[self.draw_below(numbered.len().min(REUSE_WINDOW) as u64) as usize];
+            versions[self.draw_below(versions.len().min(REUSE_WINDOW) as u64) as usize];
         let (operator, target) = (self.next_operator(None), self.choose_target());
         let timeout = self.draw_between(3_000, 4_000);
-        let beside = if self.chance(60) {
+        let new_service = if self.chance(60) {
             format!(" svc=n{}@1", self.calls)
         } else {
             String::new()
         };
         self.add_step(format!(
-            "operator {operator} patch {target}route=r{route}:h{route}/p/:a0@{version}{beside} timeout={timeout}ms"
+            "operator {operator} patch {target}route=r{route}:h{route}/p/:a0@{version}{new_service} timeout={timeout}ms"
         ));
     }
 
     fn send_invalid_patch(&mut self) {
         let (version, target) = (self.next_version(), self.choose_target());
         let operator = self.next_operator(None);
-        let what = match self.draw_below(3) {
+        let patch_items = match self.draw_below(3) {
             0 => format!("svc=b{0} route=bad{0}:h9/p/:none ver={version}", self.calls),
             // Valid on its own, but another route may have the same host and prefix.
             1 => format!(
@@ -155,7 +155,7 @@
             ),
             _ => format!("svc=a0 route=r9:h9/q/:a0 ver={version} torn"),
         };
-        self.add_step(format!("operator {operator} patch {target}{what}"));
+        self.add_step(format!("operator {operator} patch {target}{patch_items}"));
     }
 
     /// Begins or ends an evacuation, with one to three calls to any machines.
--- a/crates/emberpin-simulator/src/generator/dense/servers.rs
+++ b/crates/emberpin-simulator/src/generator/dense/servers.rs
@@ -10,24 +10,28 @@
 
 impl DenseScenario {
     pub(super) fn add_server_step(&mut self) {
-        let known = self.servers;
-        let any = if known > 0 { self.draw_below(known) } else { 0 };
+        let started = self.servers;
+        let server = if started > 0 {
+            self.draw_below(started)
+        } else {
+            0
+        };
         match self.draw_below(7) {
-            0 if known > 0 => self.add_step(format!("server s{any} drain")),
-            1 if known > 0 => self.add_step(format!("server s{any} leave")),
-            2 if known > 0 => {
-                self.add_step(format!("server s{any} crash"));
-                if known < MAX_SERVERS && self.chance(50) {
+            0 if started > 0 => self.add_step(format!("server s{server} drain")),
+            1 if started > 0 => self.add_step(format!("server s{server} leave")),
+            2 if started > 0 => {
+                self.add_step(format!("server s{server} crash"));
+                if started < MAX_SERVERS && self.chance(50) {
                     // Another server starts with the crashed server's address.
                     let at = self.now_ms + self.draw_between(2_000, 3_000);
-                    self.start_server(at, FIRST_PORT + any);
+                    self.start_server(at, FIRST_PORT + server);
                 }
             }
-            3 if known > 0 => {
+            3 if started > 0 => {
                 let (seq, to) = (1 + self.draw_below(3), self.choose_core());
-                self.add_step(format!("server s{any} says up seq {seq} to core-{to}"));
+                self.add_step(format!("server s{server} says up seq {seq} to core-{to}"));
             }
-            _ if known < MAX_SERVERS => self.start_server(self.now_ms, FIRST_PORT + known),
+            _ if started < MAX_SERVERS => self.start_server(self.now_ms, FIRST_PORT + started),
             _ => {}
         }
     }
--- a/crates/emberpin-simulator/src/generator/dense/targeted.rs
+++ b/crates/emberpin-simulator/src/generator/dense/targeted.rs
@@ -165,11 +165,11 @@
 
     fn partition_into_halves(&mut self) {
         let middle = self.cores.len() / 2;
-        let (one, other) = self.cores.split_at(middle);
-        let (one, other) = (names_of(one), names_of(other));
+        let (first_half, second_half) = self.cores.split_at(middle);
+        let (first_half, second_half) = (names_of(first_half), names_of(second_half));
         let until = self.now_ms + self.draw_between(100, 4_000);
-        self.add_step(format!("cut{one} |{other}"));
-        self.add_step_at(until, format!("heal{one}{other}"));
+        self.add_step(format!("cut{first_half} |{second_half}"));
+        self.add_step_at(until, format!("heal{first_half}{second_half}"));
         // No disk may be lost until state that was lost before the partition has been restored.
         self.mark_all_unavailable(until + SYNC_TIME_MS);
     }
--- a/crates/emberpin-simulator/src/generator/wide.rs
+++ b/crates/emberpin-simulator/src/generator/wide.rs
@@ -24,16 +24,25 @@
 
 /// A wide scenario while it is generated.
 struct WideScenario {
+    /// The source of all random choices.
     random: Rand64,
+    /// The text generated so far.
     text: String,
+    /// The time of the next step, in milliseconds since the start of the run.
     now_ms: u64,
-    /// The core machines in use.
+    /// The numbers of the core machines in use.
     cores: Vec<u8>,
+    /// The number of the machine that the next replacement starts.
     next_core: u8,
+    /// The number of proxies.
     proxies: u8,
+    /// The highest version that a call used.
     last_version: u64,
+    /// The number of calls.
     calls: u32,
+    /// The number of servers that were started.
     servers: u32,
+    /// Whether the last generated call about each zone begins its evacuation.
     is_evacuated: [bool; ZONES.len()],
 }
 
@@ -76,10 +85,12 @@
 impl WideScenario {
     // ---- draws
 
+    /// A number below `bound`; 0 if `bound` is 0.
     fn draw_below(&mut self, bound: u64) -> u64 {
         self.random.rand_range(0..bound.max(1))
     }
 
+    /// True with a probability of 1 in `count`.
     fn one_in(&mut self, count: u64) -> bool {
         self.draw_below(count) == 0
     }
@@ -336,7 +347,7 @@
     fn replace(&mut self, core: u8) {
         let new = self.next_core;
         self.next_core += 1;
-        self.cores.retain(|one| *one != core);
+        self.cores.retain(|other| *other != core);
         self.cores.push(new);
         self.add_step(&format!("replace core-{core} core-{new}"));
     }
--- a/crates/emberpin-simulator/src/mutants.rs
+++ b/crates/emberpin-simulator/src/mutants.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// The names of all mutants, as used in scenario files and by `--wrong`.
+/// The names of all mutants, as used in scenario files and by `--wrong`. [`Guards::disable`] maps them to guards.
 pub const MUTANTS: &[&str] = &[
     "no-amnesia",
     "no-promise",
--- a/crates/emberpin-simulator/src/scenario/commands.rs
+++ b/crates/emberpin-simulator/src/scenario/commands.rs
@@ -175,7 +175,7 @@
         late_percent: u64,
         duplicate_percent: u64,
     },
-    /// How long a sync of a disk takes.
+    /// The duration of a disk sync.
     SetSyncTime(Range<Duration>),
     /// The percentage of responses to operators that are lost.
     LoseResponses {
@@ -193,7 +193,7 @@
     pub version: Option<u64>,
 }
 
-/// What must hold at the time of a step.
+/// A condition that must hold at the time of a step.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Expectation {
     /// The status of the operator's last call; `None`: it has no response yet.
--- a/crates/emberpin-simulator/src/scenario/error.rs
+++ b/crates/emberpin-simulator/src/scenario/error.rs
@@ -11,19 +11,19 @@
     pub file: String,
     /// The line, counted from 1.
     pub line: usize,
-    /// What is wrong with the line.
+    /// The error in the line.
     pub kind: ParseErrorKind,
 }
 
-/// What is wrong with a line.
+/// The error in a line.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseErrorKind {
     /// The line has something else where this was expected.
     #[error("expected {expected}, not {found}")]
     Expected {
-        /// What was expected, with an example.
+        /// A description of the expected token, often with an example.
         expected: Cow<'static, str>,
-        /// What the line has instead.
+        /// The content of the line at this place.
         found: Found,
     },
     /// Something is missing from the line.
@@ -37,7 +37,7 @@
     },
 }
 
-/// What a line has where something else was expected.
+/// The content of a line at the place of an expected token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Found {
     /// The end of the line.
@@ -59,7 +59,7 @@
 }
 
 impl ParseErrorKind {
-    /// The error for a token that is not what was expected.
+    /// The error for a token in place of the expected one.
     pub(super) fn unexpected(
         token: &str,
         expected: impl Into<Cow<'static, str>>,
--- a/crates/emberpin-simulator/src/scenario/tokens.rs
+++ b/crates/emberpin-simulator/src/scenario/tokens.rs
@@ -138,7 +138,7 @@
             match token {
                 "cores" => machines.extend(self.all_cores()),
                 "limiters" => machines.extend(self.all_proxies()),
-                one => machines.push(parse_machine(one)?),
+                name => machines.push(parse_machine(name)?),
             }
         }
         if machines.is_empty() {
--- a/crates/emberpin-simulator/src/search.rs
+++ b/crates/emberpin-simulator/src/search.rs
@@ -24,7 +24,7 @@
 pub struct FailedSeed {
     /// The seed that its scenario was generated from.
     pub seed: u64,
-    /// What went wrong.
+    /// The failure of its scenario.
     pub failure: Failure,
     /// The text of its scenario.
     pub text: String,
--- a/crates/emberpin-simulator/src/shrink.rs
+++ b/crates/emberpin-simulator/src/shrink.rs
@@ -35,7 +35,7 @@
         failure,
         runs: 1,
     };
-    shrinker.leave_out_lines();
+    shrinker.remove_lines();
     Some(Shrunk {
         text: shrinker.lines.join("\n") + "\n",
         failure: shrinker.failure,
@@ -58,28 +58,28 @@
 }
 
 impl Shrinker<'_> {
-    fn leave_out_lines(&mut self) {
+    fn remove_lines(&mut self) {
         let mut length = self.lines.len().div_ceil(2);
         while length > 0 {
-            let left_out_some = self.leave_out_runs_of(length);
+            let removed_any = self.remove_blocks(length);
             if length > 1 {
                 length = length.div_ceil(2);
-            } else if !left_out_some {
+            } else if !removed_any {
                 return;
             }
         }
     }
 
     /// Tries to remove each block of `length` lines. Returns whether any line was removed.
-    fn leave_out_runs_of(&mut self, length: usize) -> bool {
-        let mut left_out_some = false;
+    fn remove_blocks(&mut self, length: usize) -> bool {
+        let mut removed_any = false;
         let mut from = 0;
         while from < self.lines.len() {
             let to = (from + length).min(self.lines.len());
-            let is_system = self.guards == Guards::default();
+            let is_unmodified = self.guards == Guards::default();
             let kept = self.lines[from..to]
                 .iter()
-                .filter(|line| must_stay(line) || (is_system && ends_a_fault(line)));
+                .filter(|line| must_stay(line) || (is_unmodified && ends_a_fault(line)));
             let kept: Vec<String> = kept.cloned().collect();
             if kept.len() == to - from {
                 from = to;
@@ -90,12 +90,12 @@
                 self.lines = rest;
                 self.failure = failure;
                 from += kept.len();
-                left_out_some = true;
+                removed_any = true;
             } else {
                 from = to;
             }
         }
-        left_out_some
+        removed_any
     }
 
     /// The failure of this text, if it is of the same kind and, for a mutant, the text holds on the unmodified system.
--- a/crates/emberpin-simulator/src/simulation/mod.rs
+++ b/crates/emberpin-simulator/src/simulation/mod.rs
@@ -218,7 +218,7 @@
     }
 
     /// The machine whose process handles an event; the event is deferred while that process is frozen.
-    fn owner(&self, event: &Event) -> Option<Machine> {
+    fn handling_machine(&self, event: &Event) -> Option<Machine> {
         match event {
             Event::StoreMessage { to: core, .. }
             | Event::DiskSynced { core, .. }
@@ -250,8 +250,8 @@
     }
 
     fn handle(&mut self, event: Event) {
-        let owner = self.owner(&event);
-        if let Some(process) = owner.and_then(|machine| self.process_mut(machine)) {
+        let handling_machine = self.handling_machine(&event);
+        if let Some(process) = handling_machine.and_then(|machine| self.process_mut(machine)) {
             if process.is_frozen {
                 process.deferred.push(event);
                 self.counters.fault_effects.deferred_events += 1;
--- a/crates/emberpin-simulator/src/simulation/proxy_sessions.rs
+++ b/crates/emberpin-simulator/src/simulation/proxy_sessions.rs
@@ -140,6 +140,7 @@
         let node = self.proxies.get(&proxy)?;
         let running = node.running.as_ref()?;
         let now = node.process.local_time(self.now);
+        // Unique among all proxies and their runs.
         let incarnation = u64::from(proxy.0) << 32 | node.process.incarnation.0;
         let progress = running.progress.get(&core);
         let mut instances = running.router.endpoints.known_instances(now);
--- a/crates/emberpin-simulator/src/simulation/steps.rs
+++ b/crates/emberpin-simulator/src/simulation/steps.rs
@@ -141,9 +141,9 @@
             Fault::Partition(links) => self.partition(links),
             Fault::Slow { links, delay } => self.slow_down(links, delay),
             Fault::LoseMessages { kind, from, to } => {
-                for one in from {
-                    for other in to {
-                        self.network.lose(*kind, *one, *other);
+                for sender in from {
+                    for receiver in to {
+                        self.network.lose(*kind, *sender, *receiver);
                     }
                 }
             }
--- a/crates/emberpin-simulator/src/violation.rs
+++ b/crates/emberpin-simulator/src/violation.rs
@@ -52,7 +52,7 @@
     Proxy {
         /// The proxy's machine.
         proxy: ProxyId,
-        /// What is wrong with it.
+        /// The violation.
         violation: ProxyViolation,
     },
     /// A proxy in contact has not applied an acknowledged change within its time limit.
