--- a/crates/emberpin-simulator/src/generator/dense/mod.rs
+++ b/crates/emberpin-simulator/src/generator/dense/mod.rs
@@ -20,7 +20,7 @@
 const SEED_MASK: u128 = 0xde_0000;
 /// `sync_time`: for how long a machine counts as unavailable after its return.
 const SYNC_TIME_MS: u64 = 4_000;
-/// Percentage of the steps in a fault period that change a server.
+/// Percentage of the draws in a fault period that add a step of a server.
 const SERVER_PERCENT: u64 = 8;
 
 /// A version of a route that a patch set or dropped.
@@ -58,6 +58,7 @@
     unavailable_until: BTreeMap<u8, u64>,
     /// The number of proxies.
     proxies: u8,
+    /// The maximum number of machines that are unavailable at once.
     tolerance: usize,
     /// The highest version that a call used.
     last_version: u64,
@@ -117,12 +118,12 @@
     }
 
     fn available_cores(&self) -> Vec<u8> {
-        let is_lost = |core: &u8| {
+        let is_unavailable = |core: &u8| {
             let unavailable_until = self.unavailable_until.get(core);
             unavailable_until.is_some_and(|until| *until > self.now_ms)
         };
         let cores = self.cores.iter().copied();
-        cores.filter(|core| !is_lost(core)).collect()
+        cores.filter(|core| !is_unavailable(core)).collect()
     }
 
     /// Chooses a machine for a fault that ends at `return_at`, and marks it unavailable; `None` if the tolerance is
--- a/crates/emberpin-simulator/src/generator/dense/targeted.rs
+++ b/crates/emberpin-simulator/src/generator/dense/targeted.rs
@@ -74,6 +74,7 @@
         }
     }
 
+    /// Adds operator calls during which messages of a kind are lost, and injects a fault meanwhile.
     fn add_round_with_fault(&mut self, kind: &str, fault: TargetedFault) {
         let joining = if kind == ROSTER_CHANGE {
             self.begin_roster_change()
@@ -83,9 +84,9 @@
         let max_loss_ms = joining.map_or(MAX_LOSS_MS, |_| MAX_ROSTER_CHANGE_LOSS_MS);
         let proposer = self.choose_core();
         let mut receivers = self.cores.clone();
-        let kept = self.draw_below(receivers.len() as u64) as usize;
+        let spared = self.draw_below(receivers.len() as u64) as usize;
         if self.chance(70) {
-            receivers.remove(kept);
+            receivers.remove(spared);
         }
         let (senders, receivers) = if self.chance(70) {
             (names_of(&[proposer]), names_of(&receivers))
--- a/crates/emberpin-simulator/src/generator/variations.rs
+++ b/crates/emberpin-simulator/src/generator/variations.rs
@@ -49,6 +49,7 @@
     .text(seed, &name, &scenario)
 }
 
+/// A variation while it is generated.
 struct Variation {
     random: Rand64,
     /// Whether times and expectations are kept.
--- a/crates/emberpin-simulator/src/history.rs
+++ b/crates/emberpin-simulator/src/history.rs
@@ -103,6 +103,7 @@
     contents: BTreeMap<u64, Content>,
 }
 
+/// The state of the sequential specification.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct State {
     registers: BTreeMap<String, Register>,
@@ -280,6 +281,7 @@
     builder.operations
 }
 
+/// Converts calls to the operations on some names.
 struct OperationBuilder<'a> {
     names: &'a BTreeSet<String>,
     shown_items: BTreeSet<&'a VersionedItem>,
--- a/crates/emberpin-simulator/src/shrink.rs
+++ b/crates/emberpin-simulator/src/shrink.rs
@@ -46,6 +46,7 @@
 /// The kind of a violation, regardless of the machines and items it names.
 type ViolationKind = Discriminant<Violation>;
 
+/// A scenario while it is shrunk.
 struct Shrinker<'a> {
     name: &'a str,
     guards: Guards,
--- a/crates/emberpin-simulator/src/simulation/effects.rs
+++ b/crates/emberpin-simulator/src/simulation/effects.rs
@@ -11,7 +11,8 @@
 use emberpin_routing::Availability;
 use std::time::Duration;
 
-/// An evacuation is not checked if its end was requested later than this long before its acknowledgement.
+/// An evacuation is not checked if a call to end it was sent or ended less than this before its acknowledgement, or
+/// later.
 const EVACUATION_OVERLAP: Duration = Duration::from_millis(1_000);
 
 impl Simulation {
--- a/crates/emberpin-simulator/src/simulation/mod.rs
+++ b/crates/emberpin-simulator/src/simulation/mod.rs
@@ -67,6 +67,7 @@
     pub violation: Violation,
 }
 
+/// The state of a run.
 pub(crate) struct Simulation {
     /// The simulated time, in whole milliseconds since the start of the run.
     pub now: Duration,
--- a/crates/emberpin-simulator/src/state/proxy.rs
+++ b/crates/emberpin-simulator/src/state/proxy.rs
@@ -133,7 +133,8 @@
             self.configure(now, guards)?;
         }
         self.router.endpoints.update(now, instances);
-        // The host program of a real proxy reads these changes to maintain its connections to servers.
+        // The host program of a real proxy maintains its connections to servers by these changes; the model discards
+        // them.
         self.router.endpoints.take_changes();
         Ok(())
     }
