--- a/crates/emberpin-simulator/src/generator/dense/faults.rs
+++ b/crates/emberpin-simulator/src/generator/dense/faults.rs
@@ -3,10 +3,10 @@
 use super::super::names_of;
 use super::{DenseScenario, SYNC_TIME_MS};
 
-/// No machine gets a higher number than one above this by a replacement.
+/// Replacements stop when the next machine's number would be above this.
 const MAX_CORE: u8 = 60;
-/// Machines that were all killed come back within this.
-const RETURN_OF_ALL_MS: u64 = 1_000;
+/// When all machines were stopped, they are started again within this time.
+const MAX_RESTART_OF_ALL_MS: u64 = 1_000;
 
 impl DenseScenario {
     pub(super) fn add_fault(&mut self) {
@@ -19,15 +19,15 @@
             56..68 => self.partition(),
             68..76 => self.slow_down(),
             76..80 => self.stall_disk(),
-            80..84 => self.end_all(),
+            80..84 => self.stop_all(),
             84..94 => self.disturb_proxy(),
             94..96 => self.change_seeds(),
             _ => self.disturb_network(),
         }
     }
 
-    /// How long a fault lasts: mostly briefly.
-    fn draw_fault_length(&mut self) -> u64 {
+    /// Draws the duration of a fault in milliseconds; three of four faults are shorter than 2.5 s.
+    fn draw_fault_duration(&mut self) -> u64 {
         match self.draw_below(4) {
             0 => self.draw_between(20, 300),
             1 | 2 => self.draw_between(300, 2_500),
@@ -36,24 +36,25 @@
     }
 
     fn kill(&mut self) {
-        let return_at = self.now_ms + self.draw_fault_length();
-        let Some(core) = self.lose_core(return_at) else {
+        let return_at = self.now_ms + self.draw_fault_duration();
+        let Some(core) = self.choose_core_for_fault(return_at) else {
             return;
         };
         self.add_step(format!("kill core-{core}"));
         self.add_step_at(return_at, format!("start core-{core}"));
         if self.chance(25) {
-            // Again, before it has caught up with the others.
+            // Kills it again before it has caught up with the other machines.
             let again = return_at + self.draw_between(20, 600);
             self.add_step_at(again, format!("kill core-{core}"));
             self.add_step_at(again + 200, format!("start core-{core}"));
-            self.lost_until.insert(core, again + 200 + SYNC_TIME_MS);
+            self.unavailable_until
+                .insert(core, again + 200 + SYNC_TIME_MS);
         }
     }
 
     fn cut_power(&mut self) {
-        let return_at = self.now_ms + self.draw_fault_length();
-        let Some(core) = self.lose_core(return_at) else {
+        let return_at = self.now_ms + self.draw_fault_duration();
+        let Some(core) = self.choose_core_for_fault(return_at) else {
             return;
         };
         let hard = if self.chance(50) { "hard " } else { "" };
@@ -62,12 +63,12 @@
     }
 
     fn wipe(&mut self) {
-        let return_at = self.now_ms + self.draw_fault_length();
-        let Some(core) = self.lose_core(return_at) else {
+        let return_at = self.now_ms + self.draw_fault_duration();
+        let Some(core) = self.choose_core_for_fault(return_at) else {
             return;
         };
         self.add_step(format!("wipe core-{core}"));
-        // Some operators leave the settings of the first start as they are.
+        // Some operators do not change the settings after the first start.
         let start = if self.has_first_seeds && self.chance(25) {
             "bootstrap"
         } else {
@@ -80,24 +81,24 @@
         if self.next_core > MAX_CORE {
             return;
         }
-        let Some(core) = self.lose_core(self.now_ms) else {
+        let Some(core) = self.choose_core_for_fault(self.now_ms) else {
             return;
         };
         let new = self.next_core;
         self.next_core += 1;
-        self.cores.retain(|one| *one != core);
+        self.cores.retain(|other| *other != core);
         self.has_first_seeds = false;
-        // A process whose seeds are all removed for good would reach nobody.
+        // A process whose seeds are all permanently removed could not reach any machine.
         self.add_step(format!("seeds{}", names_of(&self.cores)));
         self.cores.push(new);
-        let until = self.lost_until.remove(&core).unwrap_or(self.now_ms);
-        self.lost_until.insert(new, until);
+        let until = self.unavailable_until.remove(&core).unwrap_or(self.now_ms);
+        self.unavailable_until.insert(new, until);
         self.add_step(format!("replace core-{core} core-{new}"));
     }
 
     fn freeze(&mut self) {
-        let return_at = self.now_ms + self.draw_fault_length();
-        let Some(core) = self.lose_core(return_at) else {
+        let return_at = self.now_ms + self.draw_fault_duration();
+        let Some(core) = self.choose_core_for_fault(return_at) else {
             return;
         };
         self.add_step(format!("freeze core-{core}"));
@@ -105,8 +106,8 @@
     }
 
     fn partition(&mut self) {
-        let return_at = self.now_ms + self.draw_fault_length();
-        let Some(core) = self.lose_core(return_at) else {
+        let return_at = self.now_ms + self.draw_fault_duration();
+        let Some(core) = self.choose_core_for_fault(return_at) else {
             return;
         };
         let others = names_of(&self.cores_except(core));
@@ -118,59 +119,59 @@
         self.add_step_at(return_at, format!("heal core-{core}"));
     }
 
-    /// Messages from a machine, or to it, arrive seconds later.
+    /// Delays messages from a machine, to it, or both, by up to some seconds.
     fn slow_down(&mut self) {
-        let return_at = self.now_ms + self.draw_fault_length();
-        let (low, more) = (self.draw_between(50, 2_000), self.draw_between(200, 3_000));
-        let Some(core) = self.lose_core(return_at + low + more) else {
+        let return_at = self.now_ms + self.draw_fault_duration();
+        let (low, spread) = (self.draw_between(50, 2_000), self.draw_between(200, 3_000));
+        let Some(core) = self.choose_core_for_fault(return_at + low + spread) else {
             return;
         };
-        let (others, by) = (
+        let (others, delay) = (
             names_of(&self.cores_except(core)),
-            format!("{low}ms..{}ms", low + more),
+            format!("{low}ms..{}ms", low + spread),
         );
         match self.draw_below(3) {
-            0 => self.add_step(format!("slow {by}{others} > core-{core}")),
-            1 => self.add_step(format!("slow {by} core-{core} >{others}")),
-            _ => self.add_step(format!("slow {by} core-{core} |{others}")),
+            0 => self.add_step(format!("slow {delay}{others} > core-{core}")),
+            1 => self.add_step(format!("slow {delay} core-{core} >{others}")),
+            _ => self.add_step(format!("slow {delay} core-{core} |{others}")),
         }
         self.add_step_at(return_at, format!("heal core-{core}"));
     }
 
     pub(super) fn stall_disk(&mut self) {
-        let span = self.draw_fault_length();
-        let Some(core) = self.lose_core(self.now_ms + span) else {
+        let span = self.draw_fault_duration();
+        let Some(core) = self.choose_core_for_fault(self.now_ms + span) else {
             return;
         };
         self.add_step(format!("stall {span}ms core-{core}"));
     }
 
-    /// All machines are killed or lose power, and as many disks are lost as may be.
-    fn end_all(&mut self) {
+    /// Kills all machines or cuts their power, in some cases with lost disks up to the tolerance.
+    fn stop_all(&mut self) {
         let all = self.cores.clone();
-        let word = ["kill", "power", "power hard"][self.draw_below(3) as usize];
-        self.add_step(format!("{word}{}", names_of(&all)));
-        let return_at = self.now_ms + self.draw_between(50, RETURN_OF_ALL_MS);
+        let step = ["kill", "power", "power hard"][self.draw_below(3) as usize];
+        self.add_step(format!("{step}{}", names_of(&all)));
+        let return_at = self.now_ms + self.draw_between(50, MAX_RESTART_OF_ALL_MS);
         if self.chance(60) {
             while self.chance(70) {
-                let Some(core) = self.lose_core(return_at) else {
+                let Some(core) = self.choose_core_for_fault(return_at) else {
                     break;
                 };
                 self.add_step(format!("wipe core-{core}"));
             }
         }
         self.add_step_at(return_at, format!("start{}", names_of(&all)));
-        // All of them were down.
+        // All machines were down, so all count as unavailable.
         for core in all {
-            let until = self.lost_until.entry(core).or_default();
+            let until = self.unavailable_until.entry(core).or_default();
             *until = (return_at + SYNC_TIME_MS).max(*until);
         }
-        self.now_ms += RETURN_OF_ALL_MS;
+        self.now_ms += MAX_RESTART_OF_ALL_MS;
     }
 
     pub(super) fn disturb_proxy(&mut self) {
         let proxy = 1 + self.draw_below(self.proxies.into());
-        let (core, return_at) = (self.choose_core(), self.now_ms + self.draw_fault_length());
+        let (core, return_at) = (self.choose_core(), self.now_ms + self.draw_fault_duration());
         let proxy = format!("limiter-{proxy}");
         let (begin, end) = match self.draw_below(6) {
             0 => (format!("kill {proxy}"), "start"),
@@ -184,9 +185,9 @@
         self.add_step_at(return_at, format!("{end} {proxy}"));
     }
 
-    /// Processes are configured with other seeds, of which at least one is not lost.
+    /// Changes the configured seeds; at least one of the new ones is available.
     fn change_seeds(&mut self) {
-        let available = self.cores_not_lost();
+        let available = self.available_cores();
         if available.is_empty() {
             return;
         }
--- a/crates/emberpin-simulator/src/generator/wide.rs
+++ b/crates/emberpin-simulator/src/generator/wide.rs
@@ -1,41 +1,52 @@
-//! Draws wide scenarios: five, seven or eleven core machines and up to forty proxies, with faults that keep disks on any
-//! machines, in turn with quiet times. Disks are lost one after the other.
+//! Generates wide scenarios: five, seven or eleven core machines and up to forty proxies. Periods with faults alternate
+//! with fault-free ones. Faults that keep the disk hit any number of machines; disks are lost one after the other.
 
-use super::{names_of, ROSTER_COMPLETE_MS, ROSTER_MS_PER_MACHINE, ROUTES, SERVICES, ZONES};
+use super::{
+    names_of, ROSTER_COMPLETE_MS, ROSTER_MS_PER_MACHINE, ROUTE_COUNT, SERVICE_COUNT, ZONES,
+};
 use oorandom::Rand64;
 use std::fmt::Write;
 
-/// Makes the draws of a seed differ from those of its dense scenario.
+/// Makes the random numbers of a wide scenario differ from those of the seed's dense scenario.
 const SEED_MASK: u128 = 0x5eed_0000;
-/// How long after a disk was lost the next one may be: its machine has caught up by then.
+/// The fault-free time after lost disks, within which their machines catch up before the next disk is lost.
 const CATCH_UP_MS: u64 = 9_000;
-/// How long after a machine was replaced the next faults come: its successor has its place on the roster by then.
+/// The fault-free time after a replacement, within which the new machine takes the old one's place on the roster.
 const REPLACEMENT_MS: u64 = 20_000;
-/// How long the zone's servers are left without requests after an evacuation: they may begin to warm up meanwhile.
+/// The pause after the begin of an evacuation. The zone's servers get no requests and may begin to warm up meanwhile.
 const EVACUATION_PAUSE_MS: u64 = 200;
-/// The most servers of a run.
+/// Maximum number of servers in a scenario.
 const MAX_SERVERS: u32 = 12;
 /// The first server's port.
 const FIRST_PORT: u32 = 2_000;
-/// No machine gets a higher number by a replacement.
+/// The highest number that a machine gets in a replacement.
 const MAX_CORE: u8 = 40;
 
-/// A wide scenario as it is drawn.
+/// A wide scenario while it is generated.
 struct WideScenario {
+    /// The source of all random choices.
     random: Rand64,
+    /// The text generated so far.
     text: String,
+    /// The time of the next step, in milliseconds since the start of the run.
     now_ms: u64,
-    /// The core machines in use.
+    /// The numbers of the core machines in use.
     cores: Vec<u8>,
+    /// The number of the machine that the next replacement starts.
     next_core: u8,
+    /// The number of proxies.
     proxies: u8,
+    /// The highest version that a call used.
     last_version: u64,
+    /// The number of calls.
     calls: u32,
+    /// The number of servers that were started.
     servers: u32,
+    /// Whether the last generated call about each zone begins its evacuation.
     is_evacuated: [bool; ZONES.len()],
 }
 
-/// Draws the wide scenario of a seed.
+/// Generates the text of a seed's wide scenario.
 pub(super) fn generate(seed: u64) -> String {
     let mut scenario = WideScenario {
         random: Rand64::new(u128::from(seed) ^ SEED_MASK),
@@ -66,7 +77,7 @@
     let now_ms = scenario.now_ms;
     let _ = writeln!(scenario.text, "expect at {now_ms}ms voters {count}");
     for _ in 0..1 + scenario.draw_below(2) {
-        scenario.add_faulty_time(tolerance);
+        scenario.add_fault_period(tolerance);
     }
     scenario.text
 }
@@ -74,10 +85,12 @@
 impl WideScenario {
     // ---- draws
 
+    /// A number below `bound`; 0 if `bound` is 0.
     fn draw_below(&mut self, bound: u64) -> u64 {
         self.random.rand_range(0..bound.max(1))
     }
 
+    /// True with a probability of 1 in `count`.
     fn one_in(&mut self, count: u64) -> bool {
         self.draw_below(count) == 0
     }
@@ -86,7 +99,7 @@
         choices[self.draw_below(choices.len() as u64) as usize]
     }
 
-    /// One to `max` different core machines.
+    /// Chooses one to `max` different core machines.
     fn choose_cores(&mut self, max: u64) -> Vec<u8> {
         let (count, mut rest) = (1 + self.draw_below(max), self.cores.clone());
         let mut chosen = Vec::new();
@@ -104,7 +117,7 @@
         1 + self.draw_below(self.proxies.into())
     }
 
-    /// The sign of a link: both ways, or one way in a third of the draws.
+    /// Chooses the sign of a link: one way in a third of the cases, otherwise both ways.
     fn choose_link_sign(&mut self) -> &'static str {
         if self.one_in(3) {
             ">"
@@ -119,7 +132,7 @@
         let _ = writeln!(self.text, "at {}ms {step}", self.now_ms);
     }
 
-    /// Lets at least a millisecond pass.
+    /// Advances the time by 1 ms to `below_ms`.
     fn pass_time(&mut self, below_ms: u64) {
         self.now_ms += 1 + self.draw_below(below_ms);
     }
@@ -131,7 +144,7 @@
         self.last_version += 1 + self.draw_below(3);
         let (call, mut version) = (self.calls, self.last_version);
         if self.one_in(8) {
-            // An older patch comes once more, or another one with the version of an older one.
+            // The patch gets an older version, so that it repeats an older patch or conflicts with it.
             version = version.saturating_sub(self.draw_below(6)).max(1);
         }
         let via = if self.one_in(3) {
@@ -139,7 +152,7 @@
         } else {
             String::new()
         };
-        let (route, service) = (self.draw_below(ROUTES), self.draw_below(SERVICES));
+        let (route, service) = (self.draw_below(ROUTE_COUNT), self.draw_below(SERVICE_COUNT));
         let timeout = 1_000 + 100 * self.draw_below(4);
         let patch = match self.draw_below(12) {
             0..6 => format!(
@@ -184,7 +197,7 @@
         self.servers += 1;
         let zone = self.choose(&ZONES);
         let cold = if self.one_in(2) { " cold=3s" } else { "" };
-        let service = self.draw_below(SERVICES);
+        let service = self.draw_below(SERVICE_COUNT);
         let port = FIRST_PORT + number;
         self.add_step(&format!(
             "server s{number} up svc=a{service} zone={zone} addr={port}{cold}"
@@ -193,18 +206,19 @@
 
     // ---- faults
 
-    /// Any fault that keeps disks, on any machines.
+    /// Adds a fault that keeps all disks, on any machines.
     fn add_fault(&mut self) {
         match self.draw_below(14) {
-            0 => self.end_some("kill"),
+            0 => self.stop_some("kill"),
             1 => self.cut_power_of_some(),
-            2 => self.end_all("kill"),
-            3 => self.end_all("power"),
+            2 => self.stop_all("kill"),
+            3 => self.stop_all("power"),
             4 | 5 => self.partition_cores(),
             6 => self.partition_proxy(),
             7 => self.freeze_some(),
             8 => self.disturb_proxy(),
-            // No clock is fast or slow here: monotonic clocks keep time, and each process begins at its own zero.
+            // Clock rates stay exact: monotonic clocks are assumed to keep time, and each process's clock starts at
+            // zero.
             9 | 10 => self.disturb_network(),
             11 => {
                 let max_ms = 3 + self.draw_below(60);
@@ -214,10 +228,10 @@
         }
     }
 
-    /// Ends some core machines, and starts them again soon or never.
-    fn end_some(&mut self, step: &str) {
+    /// Stops some core machines, and in half of the cases starts them again soon.
+    fn stop_some(&mut self, step: &str) {
         let some = self.choose_cores(self.cores.len() as u64);
-        self.end_and_perhaps_start(step, &some);
+        self.stop_and_maybe_start(step, &some);
     }
 
     fn cut_power_of_some(&mut self) {
@@ -227,10 +241,10 @@
         } else {
             "power"
         };
-        self.end_and_perhaps_start(step, &some);
+        self.stop_and_maybe_start(step, &some);
     }
 
-    fn end_and_perhaps_start(&mut self, step: &str, cores: &[u8]) {
+    fn stop_and_maybe_start(&mut self, step: &str, cores: &[u8]) {
         self.add_step(&format!("{step}{}", names_of(cores)));
         if self.one_in(2) {
             self.pass_time(800);
@@ -238,8 +252,8 @@
         }
     }
 
-    /// Ends all core machines at one moment, and starts them again within a second.
-    fn end_all(&mut self, step: &str) {
+    /// Stops all core machines at the same time, and starts them again within a second.
+    fn stop_all(&mut self, step: &str) {
         let all = names_of(&self.cores);
         self.add_step(&format!("{step}{all}"));
         self.pass_time(900);
@@ -291,10 +305,10 @@
 
     // ---- the run
 
-    /// Faults for some seconds, and at most as many lost disks as are tolerated; then a quiet time.
-    fn add_faulty_time(&mut self, tolerance: u64) {
+    /// Adds faults for some seconds with at most `tolerance` lost disks, and then a fault-free period.
+    fn add_fault_period(&mut self, tolerance: u64) {
         let end = self.now_ms + 2_000 + self.draw_below(4_000);
-        // The machines whose disks are to be lost in this time.
+        // The machines whose disks will be lost in this period.
         let lost = if self.one_in(3) {
             Vec::new()
         } else {
@@ -309,7 +323,8 @@
                 2 => self.add_server_step(),
                 3 if lost.peek().is_some() => {
                     let Some(core) = lost.next() else { continue };
-                    // One replacement at a time: a place on the roster is passed on after a long timeout.
+                    // One replacement per period: a new machine takes over a place on the roster only after a long
+                    // timeout.
                     if self.one_in(4) && !has_replaced && self.next_core < MAX_CORE {
                         has_replaced = true;
                         self.replace(core);
@@ -322,7 +337,7 @@
             }
         }
         self.end_faults();
-        self.add_quiet_time(if has_replaced {
+        self.add_fault_free_period(if has_replaced {
             REPLACEMENT_MS
         } else {
             CATCH_UP_MS
@@ -332,7 +347,7 @@
     fn replace(&mut self, core: u8) {
         let new = self.next_core;
         self.next_core += 1;
-        self.cores.retain(|one| *one != core);
+        self.cores.retain(|other| *other != core);
         self.cores.push(new);
         self.add_step(&format!("replace core-{core} core-{new}"));
     }
@@ -353,7 +368,7 @@
         self.add_step(&format!("start{all} limiters"));
     }
 
-    fn add_quiet_time(&mut self, length_ms: u64) {
+    fn add_fault_free_period(&mut self, length_ms: u64) {
         let until = self.now_ms + length_ms;
         while self.now_ms < until {
             self.pass_time(2_500);
--- a/crates/emberpin-simulator/src/simulation/steps.rs
+++ b/crates/emberpin-simulator/src/simulation/steps.rs
@@ -8,11 +8,13 @@
 use crate::violation::{StepFailure, Violation};
 use std::time::Duration;
 
-/// While delays or syncs may take longer than this, nothing with a time limit is asserted.
+/// Time limits are not checked once message delays may be longer than this.
 const MAX_TIMELY_DELAY: Duration = Duration::from_millis(20);
+/// Time limits are not checked once disk syncs may take longer than this.
 const MAX_TIMELY_SYNC: Duration = Duration::from_millis(50);
 
 impl Simulation {
+    /// Executes a step now. A failed expectation ends the run.
     pub fn execute(&mut self, step: &Step) {
         let result = match &step.command {
             Command::Operator { operator, command } => self.command_operator(operator, command),
@@ -63,7 +65,7 @@
         Ok(())
     }
 
-    /// Records which machines a fault hits, so that no time limit is asserted for them meanwhile.
+    /// Records which machines a fault affects, so that no time limits are checked for them meanwhile.
     fn mark_disturbed_by(&mut self, fault: &Fault) {
         match fault {
             Fault::Kill(machines)
@@ -89,7 +91,8 @@
         }
     }
 
-    /// A fault between a proxy and a core machine does not disturb the core machines among each other.
+    /// Marks the machines at both ends of a faulty link. A fault between proxies and core machines does not affect the
+    /// communication among core machines, so it disturbs only the proxies.
     fn mark_ends_disturbed(&mut self, from: &[Machine], to: &[Machine]) {
         let is_core = |machine: &Machine| machine.as_core().is_some();
         let ends = from.iter().chain(to).copied();
@@ -102,27 +105,27 @@
 
     fn inject(&mut self, fault: &Fault) {
         match fault {
-            Fault::Kill(machines) => self.each(machines, |simulation, machine| {
+            Fault::Kill(machines) => self.for_each_machine(machines, |simulation, machine| {
                 simulation.stop(machine, BreakNotice::Sent);
             }),
             Fault::CutPower { machines, unsynced } => {
-                self.each(machines, |simulation, machine| {
+                self.for_each_machine(machines, |simulation, machine| {
                     simulation.cut_power(machine, *unsynced);
                 });
             }
-            Fault::WipeDisk(machines) => self.each(machines, Simulation::wipe_disk),
-            Fault::Start(machines) => self.each(machines, Simulation::start),
-            Fault::Bootstrap(machines) => self.each(machines, Simulation::bootstrap),
+            Fault::WipeDisk(machines) => self.for_each_machine(machines, Simulation::wipe_disk),
+            Fault::Start(machines) => self.for_each_machine(machines, Simulation::start),
+            Fault::Bootstrap(machines) => self.for_each_machine(machines, Simulation::bootstrap),
             Fault::SetSeeds(seeds) => self.seeds = Some(seeds.clone()),
             Fault::StallDisk { machines, duration } => {
                 let until = self.now + *duration;
-                self.each(machines, |simulation, machine| {
+                self.for_each_machine(machines, |simulation, machine| {
                     simulation.stall_disk(machine, until);
                 });
             }
             Fault::Replace { old, new } => self.replace(*old, *new),
-            Fault::Freeze(machines) => self.each(machines, Simulation::freeze),
-            Fault::Thaw(machines) => self.each(machines, Simulation::thaw),
+            Fault::Freeze(machines) => self.for_each_machine(machines, Simulation::freeze),
+            Fault::Thaw(machines) => self.for_each_machine(machines, Simulation::thaw),
             Fault::SetClockRate { machine, percent } => {
                 let now = self.now;
                 if let Some(process) = self.process_mut(*machine) {
@@ -138,9 +141,9 @@
             Fault::Partition(links) => self.partition(links),
             Fault::Slow { links, delay } => self.slow_down(links, delay),
             Fault::LoseMessages { kind, from, to } => {
-                for one in from {
-                    for other in to {
-                        self.network.lose(*kind, *one, *other);
+                for sender in from {
+                    for receiver in to {
+                        self.network.lose(*kind, *sender, *receiver);
                     }
                 }
             }
@@ -154,18 +157,18 @@
                 self.network.delay = delay.clone();
                 self.network.late_percent = *late_percent;
                 self.network.duplicate_percent = *duplicate_percent;
-                self.has_no_time_limits |= *late_percent > 0 || delay.end > MAX_TIMELY_DELAY;
+                self.skips_time_limits |= *late_percent > 0 || delay.end > MAX_TIMELY_DELAY;
             }
             Fault::SetSyncTime(range) => {
                 self.sync_time = range.clone();
-                self.has_no_time_limits |= range.end > MAX_TIMELY_SYNC;
+                self.skips_time_limits |= range.end > MAX_TIMELY_SYNC;
             }
             Fault::LoseResponses { percent } => self.response_loss_percent = *percent,
             _ => {}
         }
     }
 
-    fn each(&mut self, machines: &[Machine], act: impl Fn(&mut Simulation, Machine)) {
+    fn for_each_machine(&mut self, machines: &[Machine], act: impl Fn(&mut Simulation, Machine)) {
         for machine in machines {
             act(self, *machine);
         }
