--- a/crates/emberpin-limiter/src/front/answers.rs
+++ b/crates/emberpin-limiter/src/front/answers.rs
@@ -7,7 +7,7 @@
 
 /// Converts an answer into the response that its client receives. `retry_after` of a rejected request is in milliseconds;
 /// the header gives it in seconds.
-pub fn written(answer: Answer) -> Response<Content> {
+pub fn client_response(answer: Answer) -> Response<Content> {
     match answer {
         Answer::Served(served) => headed(served.head, Content::Buffered(Some(served.body))),
         Answer::Refused { retry_after } => {
--- a/crates/emberpin-limiter/src/front/clients.rs
+++ b/crates/emberpin-limiter/src/front/clients.rs
@@ -1,7 +1,7 @@
 //! The client side: receives requests, forwards them to the driver, and writes the one answer.
 
 use crate::front::admission::{self, Admission, Admitted};
-use crate::front::answers::{headed, plain, written};
+use crate::front::answers::{client_response, headed, plain};
 use crate::front::connections::{ClientLimits, Connection};
 use crate::front::reception::{Phase, Reception, RequestHandler};
 use crate::front::socket_budget::SocketBudget;
@@ -57,7 +57,7 @@
 ];
 
 /// The state that all client connections share.
-pub struct Front {
+pub struct ClientFrontend {
     /// Deduplicates keyed requests; `None` if the operator has not enabled it.
     idempotency: Option<Rc<Idempotency>>,
     admission: Admission,
@@ -73,9 +73,10 @@
     figures: Arc<Figures>,
 }
 
-/// A request in flight. Dropped before its answer, as when its client disconnects, it notifies the driver.
+/// A request in flight. If it is dropped before it has been answered, for example because its client disconnects, it
+/// notifies the driver.
 struct PendingRequest {
-    front: Rc<Front>,
+    frontend: Rc<ClientFrontend>,
     /// The id that the client gave the request.
     client_id: String,
     id: RequestId,
@@ -84,20 +85,20 @@
 
 impl Drop for PendingRequest {
     fn drop(&mut self) {
-        self.front.in_flight.borrow_mut().remove(&self.client_id);
+        self.frontend.in_flight.borrow_mut().remove(&self.client_id);
         if self.answered {
             return;
         }
         if let Err(mpsc::error::TrySendError::Full(notice)) =
-            self.front.inputs.try_send(Input::ClientGone(self.id))
+            self.frontend.inputs.try_send(Input::ClientGone(self.id))
         {
-            let inputs = self.front.inputs.clone();
+            let inputs = self.frontend.inputs.clone();
             spawn_local(async move { _ = inputs.send(notice).await });
         }
     }
 }
 
-impl RequestHandler for Front {
+impl RequestHandler for ClientFrontend {
     async fn respond(
         self: Rc<Self>,
         request: Request<Incoming>,
@@ -115,21 +116,21 @@
     }
 }
 
-impl Front {
+impl ClientFrontend {
     pub fn new(
         config: &Config,
         idempotency: Option<Rc<Idempotency>>,
         inputs: mpsc::Sender<Input>,
         figures: Arc<Figures>,
         socket_budget: Rc<SocketBudget>,
-    ) -> Rc<Front> {
+    ) -> Rc<ClientFrontend> {
         // Without a `[start]` table the limiter is ready at once, as the platform's configuration has no such setting.
         let phase = if config.start.is_some() {
             Phase::Starting
         } else {
             Phase::Serving
         };
-        Rc::new(Front {
+        Rc::new(ClientFrontend {
             idempotency,
             admission: Admission::new(config),
             inputs,
@@ -154,7 +155,7 @@
         connection: &Rc<Connection>,
     ) -> Result<Response<Content>, StatusCode> {
         // Of two contradicting framings a server could follow the other one, and read a request hidden in the body.
-        if connection.is_doubtful() {
+        if connection.has_ambiguous_framing() {
             return Err(StatusCode::BAD_REQUEST);
         }
         let admitted = self.admission.check(&request)?;
@@ -165,8 +166,7 @@
         } else {
             take_in(body).await?
         };
-        // The idempotency stage compares whole bodies, so with it enabled, a body that does not fit the
-        // buffer is rejected.
+        // The idempotency stage compares whole bodies, so with it enabled, a body that does not fit the buffer is rejected.
         let rest = match rest {
             Some(rest) if self.idempotency.is_some() => {
                 spawn_local(run_out(rest));
@@ -208,8 +208,8 @@
         let reply = self.forward(admitted, outgoing, time_limit, expires).await;
         let response = match reply {
             Err(status) => Err(status),
-            Ok(Replied::Complete(response)) => Ok(response),
-            Ok(Replied::Streamed(streamed)) => {
+            Ok(ClientReply::Complete(response)) => Ok(response),
+            Ok(ClientReply::Streamed(streamed)) => {
                 match timeout(
                     DOWNLOAD_SLOT_TIMEOUT,
                     self.downloads.clone().acquire_owned(),
@@ -232,7 +232,7 @@
         let status = response
             .as_ref()
             .map_or_else(|status| *status, Response::status);
-        active.set_ending(ending_of(status));
+        active.set_ending(ending_for(status));
         response
     }
 
@@ -243,7 +243,7 @@
         mut outgoing: UpstreamRequest,
         time_limit: Duration,
         expires: Instant,
-    ) -> Result<Replied, StatusCode> {
+    ) -> Result<ClientReply, StatusCode> {
         // An id identifies one request: a second request with the same id is rejected, and the first continues.
         if !self.in_flight.borrow_mut().insert(admitted.id.clone()) {
             return Err(StatusCode::CONFLICT);
@@ -305,7 +305,7 @@
                     Reply::Streamed(_) => Answer::Failed,
                 }
             };
-            return Ok(Replied::Complete(stage.serve(keyed, exchange).await));
+            return Ok(ClientReply::Complete(stage.serve(keyed, exchange).await));
         }
         Ok(exchange.await.into())
     }
@@ -317,7 +317,7 @@
                 .replace(self.next_id.get().wrapping_add(1) & !FIRST_TAKEN_OVER_ID),
         );
         PendingRequest {
-            front: self.clone(),
+            frontend: self.clone(),
             client_id,
             id,
             answered: false,
@@ -349,8 +349,8 @@
     Ok(reply)
 }
 
-/// How the figures count a request that was answered with this status.
-fn ending_of(status: StatusCode) -> Ending {
+/// How the metrics count a request that was answered with this status.
+fn ending_for(status: StatusCode) -> Ending {
     match status {
         StatusCode::OK => Ending::Ok,
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Ending::Shed,
@@ -358,22 +358,22 @@
     }
 }
 
-/// The answer to a request, or the beginning of a streamed one.
-enum Replied {
+/// The complete response to a request, or a streamed response that has begun.
+enum ClientReply {
     Complete(Response<Content>),
     Streamed(StreamedResponse),
 }
 
-impl From<Reply> for Replied {
-    fn from(reply: Reply) -> Replied {
+impl From<Reply> for ClientReply {
+    fn from(reply: Reply) -> ClientReply {
         match reply {
-            Reply::Answer(answer) => Replied::Complete(written(answer)),
-            Reply::Streamed(response) => Replied::Streamed(response),
+            Reply::Answer(answer) => ClientReply::Complete(client_response(answer)),
+            Reply::Streamed(response) => ClientReply::Streamed(response),
         }
     }
 }
 
-/// Buffers a body up to the buffer limit, [`MAX_BODY`]. Returns the buffered bytes, and the stream of the remaining bytes
+/// Buffers a body up to the buffer limit, `MAX_BODY`. Returns the buffered bytes, and the stream of the remaining bytes
 /// if the body is longer than that.
 ///
 /// # Errors
@@ -477,7 +477,7 @@
     call: AdmittedRequest,
     reply: oneshot::Receiver<Reply>,
 ) -> Reply {
-    let reply = match pending.front.inputs.send(Input::Request(call)).await {
+    let reply = match pending.frontend.inputs.send(Input::Request(call)).await {
         Ok(()) => reply.await.unwrap_or(Reply::Answer(Answer::Failed)),
         Err(_) => Reply::Answer(Answer::Failed),
     };
--- a/crates/emberpin-limiter/src/front/connections.rs
+++ b/crates/emberpin-limiter/src/front/connections.rs
@@ -49,15 +49,15 @@
 /// closed before their time-out, so many clients that send one request and stay connected would fill the slots faster than
 /// slots become free.
 const CROWDED_FRACTION: usize = 8;
-/// With at most this many free slots, the limiter is crowded: it closes waiting connections to make room for new ones.
+/// With at most this many free slots, slots are scarce: waiting connections are closed to make room for new ones.
 const MIN_FREE_SLOTS: usize = 8;
-/// In a crowded limiter, a connection that has sent no request may be closed after this time.
-const CROWDED_FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
-/// In a crowded limiter, a connection whose head has stopped growing may be closed after this time. It is longer than the
+/// While slots are scarce, a connection that has sent no request may be closed after this time.
+const SCARCE_FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
+/// While slots are scarce, a connection whose head has stopped growing may be closed after this time. It is longer than the
 /// time for a first request because slow clients pause between chunks.
-const CROWDED_HEAD_STALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// In a crowded limiter, a connection that is idle after a response may be closed after this time.
-const CROWDED_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+const SCARCE_HEAD_STALL_TIMEOUT: Duration = Duration::from_millis(600);
+/// While slots are scarce, a connection that is idle after a response may be closed after this time.
+const SCARCE_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// A connection younger than this counts as new: its first request may be under way.
 const NEW_CONNECTION_AGE: Duration = Duration::from_millis(250);
 /// Number of connections that this process may always have, however many a sibling process has.
@@ -65,6 +65,7 @@
 /// How often the limits are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
+/// The progress of a connection towards its next request.
 #[derive(Clone, Copy, PartialEq)]
 enum Stage {
     /// No request is in flight, and no byte of the next one has arrived.
@@ -72,7 +73,7 @@
     /// A part of a head has arrived.
     Head,
     /// A request is in flight: its head is complete, and its response is not.
-    Open,
+    InRequest,
 }
 
 /// The state of a client's connection.
@@ -94,14 +95,14 @@
 
 impl Connection {
     /// Records that the head of a request is complete.
-    pub fn open(&self) {
-        self.stage.set(Stage::Open);
+    pub fn begin_request(&self) {
+        self.stage.set(Stage::InRequest);
         self.requests.set(self.requests.get() + 1);
     }
 
-    /// Whether a request had contradicting framings; see [`Framing::is_doubtful`].
-    pub fn is_doubtful(&self) -> bool {
-        self.framing.borrow().is_doubtful()
+    /// Whether a request had contradicting framings, and so an uncertain end.
+    pub fn has_ambiguous_framing(&self) -> bool {
+        self.framing.borrow().is_ambiguous()
     }
 
     /// Records that a response broke off, so that the connection is reset when it is dropped.
@@ -116,11 +117,11 @@
 
     /// Whether a request may be under way: part of its head has arrived, or the connection is so new that its first request
     /// may still be on the network.
-    pub fn is_expecting(&self) -> bool {
+    pub fn may_have_request_under_way(&self) -> bool {
         match self.stage.get() {
             Stage::Head => true,
             Stage::Idle => !self.has_requested() && self.since.get().elapsed() < NEW_CONNECTION_AGE,
-            Stage::Open => false,
+            Stage::InRequest => false,
         }
     }
 
@@ -130,7 +131,7 @@
     }
 
     /// Records that the request has been answered.
-    pub fn close(&self) {
+    pub fn end_request(&self) {
         self.stage.set(Stage::Idle);
         self.since.set(Instant::now());
     }
@@ -139,7 +140,7 @@
     pub async fn closing_due(&self) {
         loop {
             self.close_notify.notified().await;
-            if self.stage.get() != Stage::Open {
+            if self.stage.get() != Stage::InRequest {
                 return;
             }
             self.closing.set(false);
@@ -164,20 +165,21 @@
             }
             Stage::Idle if self.has_requested() => limits.idle.is_some_and(|idle| waiting >= idle),
             Stage::Idle => waiting >= limits.first_request,
-            Stage::Open => false,
+            Stage::InRequest => false,
         }
     }
 
-    /// How long the connection has waited, as a multiple of the time allowed in a crowded limiter; `None` below 1. The time
+    /// How long the connection has waited, as a multiple of the time allowed while slots are scarce; `None` below 1. The time
     /// for a head counts from its last byte, as a head that still grows belongs to a slow client.
-    fn crowded_excess(&self) -> Option<f64> {
+    fn scarcity_excess(&self) -> Option<f64> {
         let (since, allowed) = match (self.stage.get(), self.has_requested()) {
-            (Stage::Head, _) => (self.head_progress.get(), CROWDED_HEAD_STALL_TIMEOUT),
-            (_, false) => (self.since.get(), CROWDED_FIRST_REQUEST_TIMEOUT),
-            (_, true) => (self.since.get(), CROWDED_IDLE_TIMEOUT),
+            (Stage::Head, _) => (self.head_progress.get(), SCARCE_HEAD_STALL_TIMEOUT),
+            (_, false) => (self.since.get(), SCARCE_FIRST_REQUEST_TIMEOUT),
+            (_, true) => (self.since.get(), SCARCE_IDLE_TIMEOUT),
         };
         let excess = since.elapsed().as_secs_f64() / allowed.as_secs_f64();
-        (self.stage.get() != Stage::Open && !self.closing.get() && excess >= 1.0).then_some(excess)
+        (self.stage.get() != Stage::InRequest && !self.closing.get() && excess >= 1.0)
+            .then_some(excess)
     }
 }
 
@@ -245,7 +247,7 @@
         }
     }
 
-    /// Whether fewer than one in [`CROWDED_FRACTION`] slots are free.
+    /// Whether so few slots are free that connections are closed after their first response; see [`CROWDED_FRACTION`].
     pub fn are_crowded(&self) -> bool {
         *self.count.borrow() + self.max_connections() / CROWDED_FRACTION >= self.max_connections()
     }
@@ -259,7 +261,7 @@
                 let list = self.list.borrow();
                 let closable = list
                     .iter()
-                    .filter_map(|connection| Some((connection.crowded_excess()?, connection)));
+                    .filter_map(|connection| Some((connection.scarcity_excess()?, connection)));
                 if let Some((_, connection)) = closable.max_by(|a, b| a.0.total_cmp(&b.0)) {
                     connection.request_close();
                 }
@@ -268,14 +270,8 @@
                 return;
             }
             // Until then a connection has closed, or another one has waited long enough to be closed.
-            let one_closed = async {
-                _ = self
-                    .count
-                    .subscribe()
-                    .wait_for(|current| *current < count)
-                    .await
-            };
-            _ = tokio::time::timeout(SWEEP_INTERVAL / 10, one_closed).await;
+            let closed = async { _ = self.count.subscribe().wait_for(|now| *now < count).await };
+            _ = tokio::time::timeout(SWEEP_INTERVAL / 10, closed).await;
         }
     }
 
--- a/crates/emberpin-limiter/src/front/framing.rs
+++ b/crates/emberpin-limiter/src/front/framing.rs
@@ -33,7 +33,7 @@
     length: Option<u64>,
     /// Whether the current head has a `Transfer-Encoding`.
     chunked: bool,
-    doubtful: bool,
+    ambiguous: bool,
 }
 
 impl Default for Framing {
@@ -44,15 +44,15 @@
             line: Vec::with_capacity(EXAMINED_BYTES),
             length: None,
             chunked: false,
-            doubtful: false,
+            ambiguous: false,
         }
     }
 }
 
 impl Framing {
     /// Whether a head on this connection stated its body's length in two ways, or in an invalid one.
-    pub fn is_doubtful(&self) -> bool {
-        self.doubtful
+    pub fn is_ambiguous(&self) -> bool {
+        self.ambiguous
     }
 
     /// Whether the last byte received was inside a message's head or chunk framing, so that more bytes of it must
@@ -130,20 +130,20 @@
         };
         let (name, value) = self.line.split_at(colon);
         if name.eq_ignore_ascii_case(b"transfer-encoding") {
-            self.doubtful |= std::mem::replace(&mut self.chunked, true);
+            self.ambiguous |= std::mem::replace(&mut self.chunked, true);
         } else if name.eq_ignore_ascii_case(b"content-length") {
             let value = std::str::from_utf8(&value[1..])
                 .ok()
                 .and_then(|value| value.trim().parse().ok());
-            self.doubtful |=
+            self.ambiguous |=
                 value.is_none() || self.length.is_some_and(|known| Some(known) != value);
             self.length = value;
         }
     }
 
     fn end_head(&mut self) {
-        self.doubtful |= self.chunked && self.length.is_some();
-        self.position = match (self.doubtful, self.chunked) {
+        self.ambiguous |= self.chunked && self.length.is_some();
+        self.position = match (self.ambiguous, self.chunked) {
             (true, _) => Position::Lost,
             (false, true) => Position::ChunkSize,
             (false, false) => {
@@ -159,10 +159,10 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn doubtful(text: &str) -> bool {
+    fn ambiguous(text: &str) -> bool {
         let mut framing = Framing::default();
         framing.feed(text.as_bytes());
-        framing.is_doubtful()
+        framing.is_ambiguous()
     }
 
     const CONTRADICTING: &str =
@@ -173,8 +173,8 @@
 
     #[test]
     fn contradicting_framings_are_detected_after_any_preceding_request() {
-        assert!(doubtful(CONTRADICTING) && doubtful(&CONTRADICTING.replace("\r\n", "\n")));
-        assert!(doubtful(
+        assert!(ambiguous(CONTRADICTING) && ambiguous(&CONTRADICTING.replace("\r\n", "\n")));
+        assert!(ambiguous(
             "POST / HTTP/1.1\nCONTENT-LENGTH: 3\nTRANSFER-ENCODING: chunked\n\n"
         ));
         for before in [
@@ -183,13 +183,13 @@
             "GET / HTTP/1.1\r\n\r\n",
             "\r\nGET / HTTP/1.1\r\n\r\n",
         ] {
-            assert!(!doubtful(before), "{before}");
-            assert!(doubtful(&format!("{before}{CONTRADICTING}")), "{before}");
+            assert!(!ambiguous(before), "{before}");
+            assert!(ambiguous(&format!("{before}{CONTRADICTING}")), "{before}");
         }
-        assert!(doubtful(
+        assert!(ambiguous(
             "POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n"
         ));
-        assert!(doubtful("POST / HTTP/1.1\r\nContent-Length: +3x\r\n\r\n"));
+        assert!(ambiguous("POST / HTTP/1.1\r\nContent-Length: +3x\r\n\r\n"));
     }
 
     #[test]
@@ -217,7 +217,7 @@
                 framing.feed(part);
                 rest = after;
             }
-            prop_assert_eq!(framing.is_doubtful(), order.contains(&3));
+            prop_assert_eq!(framing.is_ambiguous(), order.contains(&3));
         }
     }
 }
--- a/crates/emberpin-limiter/src/front/reception.rs
+++ b/crates/emberpin-limiter/src/front/reception.rs
@@ -159,7 +159,7 @@
                         .insert(header::CONNECTION, HeaderValue::from_static("close"));
                 }
                 if let Content::Buffered(_) = response.body() {
-                    connection.close();
+                    connection.end_request();
                 }
                 Ok::<_, Infallible>(response)
             }
@@ -197,7 +197,7 @@
             .subscribe()
             .wait_for(|phase| *phase == Phase::Closing)
             .await;
-        while connection.is_expecting() {
+        while connection.may_have_request_under_way() {
             tokio::time::sleep(PENDING_REQUEST_CHECK_INTERVAL).await;
         }
     }
@@ -208,10 +208,10 @@
         request: Request<Incoming>,
         connection: &Rc<Connection>,
     ) -> Response<Content> {
-        connection.open();
+        connection.begin_request();
         let mut response = handler.respond(request, connection.clone()).await;
         // The bytes after a body that was not read completely are not a request.
-        let out_of_sync = connection.is_doubtful()
+        let out_of_sync = connection.has_ambiguous_framing()
             || matches!(
                 response.status(),
                 StatusCode::PAYLOAD_TOO_LARGE
--- a/crates/emberpin-limiter/src/front/stream.rs
+++ b/crates/emberpin-limiter/src/front/stream.rs
@@ -221,7 +221,7 @@
 
 impl Drop for StreamedContent {
     fn drop(&mut self) {
-        self.connection.close();
+        self.connection.end_request();
     }
 }
 
--- a/crates/emberpin-limiter/src/host.rs
+++ b/crates/emberpin-limiter/src/host.rs
@@ -2,7 +2,7 @@
 //! client listener, the pool of connections to servers, the engine that drives a decision module, and the types that
 //! they share.
 
-pub use crate::front::answers::{headed, plain, written};
+pub use crate::front::answers::{client_response, headed, plain};
 pub use crate::front::clients::{passed_on, run_out, strip, take_in};
 pub use crate::front::connections::{ClientLimits, Connection, HEAD_BYTES};
 pub use crate::front::reception::{Phase, Reception, RequestHandler};
--- a/crates/emberpin-limiter/src/limiter.rs
+++ b/crates/emberpin-limiter/src/limiter.rs
@@ -12,7 +12,7 @@
 use crate::between::handover::{self, Upgrade};
 use crate::between::link::Link;
 use crate::between::peers::Peers;
-use crate::front::clients::{takeover_runner, Front};
+use crate::front::clients::{takeover_runner, ClientFrontend};
 use crate::front::inherited_socket;
 use crate::front::reception::Reception;
 use crate::front::socket_budget::{SocketBudget, SocketCounts};
@@ -141,15 +141,15 @@
     if let Some(takeover) = idempotency.as_ref().and_then(|stage| stage.takeover()) {
         takeover.run_with(takeover_runner(inputs.clone()));
     }
-    let front = Front::new(
+    let frontend = ClientFrontend::new(
         &config,
         idempotency,
         inputs.clone(),
         figures.clone(),
         socket_budget.clone(),
     );
-    let reception = front.reception.clone();
-    let accepting = spawn_local(reception.clone().accept(front, listener, inherited));
+    let reception = frontend.reception.clone();
+    let accepting = spawn_local(reception.clone().accept(frontend, listener, inherited));
     let pool = Pool::new(
         config.pool_limits(),
         Rc::new(PlatformWire),
--- a/crates/emberpin-limiter/src/operate/config.rs
+++ b/crates/emberpin-limiter/src/operate/config.rs
@@ -57,7 +57,7 @@
     pub(crate) max_units: f64,
     pub(crate) connect_timeout: Duration,
     pub(crate) server_idle_timeout: Duration,
-    /// The table `[start]` of operator files; `None` if it is not set. The same holds for the next fields.
+    /// The table `[start]` of operator files; `None` if no file sets it, as with the tables below.
     pub(crate) start: Option<Start>,
     /// The table `[takeover]`.
     pub(crate) takeover: Option<Takeover>,
@@ -262,16 +262,16 @@
             self.settings.gateway_id.0, self.settings.group_size
         )?;
         match self.peer_listen {
-            Some(at) => writeln!(to, "hears {} peers on {at}", self.peers.len())?,
-            None => writeln!(to, "hears no peers")?,
+            Some(at) => writeln!(to, "receives from {} peers on {at}", self.peers.len())?,
+            None => writeln!(to, "receives from no peers")?,
         }
         match self.ops {
             Some(at) => writeln!(
                 to,
-                "operators' door on {at}, {} callers at a time",
+                "operators' interface on {at}, {} connections at a time",
                 operator_api::MAX_CONNECTIONS
             )?,
-            None => writeln!(to, "no operators' door")?,
+            None => writeln!(to, "no operators' interface")?,
         }
         writeln!(
             to,
--- a/crates/emberpin-limiter/src/operate/faulty_disk.rs
+++ b/crates/emberpin-limiter/src/operate/faulty_disk.rs
@@ -10,13 +10,13 @@
 //! | `fills` | appends fail because the disk is full |
 //! | `stalls` | the next sync takes 5 s |
 
-#[cfg(not(debug_assertions))]
-pub use sound::with_faults;
 #[cfg(debug_assertions)]
-pub use test::with_faults;
+pub use injected::with_faults;
+#[cfg(not(debug_assertions))]
+pub use unchanged::with_faults;
 
 #[cfg(not(debug_assertions))]
-mod sound {
+mod unchanged {
     /// Returns the disk unchanged.
     pub fn with_faults<S>(disk: S) -> S {
         disk
@@ -24,7 +24,7 @@
 }
 
 #[cfg(debug_assertions)]
-mod test {
+mod injected {
     use emberpin_wal::{FileIdentity, Storage};
     use std::io;
     use std::time::Duration;
--- a/crates/emberpin-limiter/src/operate/operator.rs
+++ b/crates/emberpin-limiter/src/operate/operator.rs
@@ -392,22 +392,25 @@
         }
         match &self.log {
             Some(log) => log.fmt(to)?,
-            None => writeln!(to, "[log] off: what must outlast a life is not kept")?,
+            None => writeln!(to, "[log] off: no state survives a restart")?,
         }
         match &self.link {
             Some(link) => link.fmt(to)?,
-            None => writeln!(to, "[link] off: limiters have their datagrams only")?,
+            None => writeln!(to, "[link] off: limiters exchange datagrams only")?,
         }
         match &self.start {
             Some(start) => start.fmt(to)?,
             None => writeln!(
                 to,
-                "[start] off: ready at once, whole lists bind, none is kept on a disk"
+                "[start] off: ready at once, complete lists always apply, no list is stored on a disk"
             )?,
         }
         match &self.takeover {
             Some(takeover) => takeover.fmt(to),
-            None => writeln!(to, "[takeover] off: work in hand is lost with its limiter"),
+            None => writeln!(
+                to,
+                "[takeover] off: work in flight is lost with its limiter"
+            ),
         }
     }
 }
@@ -436,7 +439,7 @@
         writeln!(to, "dead_ms = {} ms", millis(self.dead_after))?;
         writeln!(
             to,
-            "copies = {} of {} limiters hold each customer's keys",
+            "copies = {} of {} limiters keep each customer's keys",
             self.copies,
             self.members.len()
         )?;
@@ -450,7 +453,7 @@
         writeln!(to, "folder = {}", self.folder)?;
         writeln!(
             to,
-            "spare_mb = {} MiB beside twice what is still wanted",
+            "spare_mb = {} MiB beyond twice the live records",
             self.spare_bytes >> 20
         )
     }
@@ -470,7 +473,7 @@
                 let when = if has_log { "a start that finds its log lost" } else { "a start" };
                 writeln!(
                     to,
-                    "quiet_s = {quiet} s after {when}, in which keyed work is told that it may have run"
+                    "quiet_s = {quiet} s after {when}, during which keyed requests are answered that they may have run"
                 )?;
             }
         }
--- a/crates/emberpin-limiter/src/operate/request_path.rs
+++ b/crates/emberpin-limiter/src/operate/request_path.rs
@@ -2,7 +2,7 @@
 //! response as the limiter runs them, with simulated servers that answer every request at once.
 
 use crate::front::admission::Admission;
-use crate::front::answers::written;
+use crate::front::answers::client_response;
 use crate::front::clients::strip;
 use crate::messages::{Answer, ResponseHead, ServerResponse};
 use crate::operate::config::Config;
@@ -98,7 +98,7 @@
             _ => None,
         });
         let Some(server) = sent else {
-            return written(Answer::Refused {
+            return client_response(Answer::Refused {
                 retry_after: SERVICE_TIME,
             })
             .status();
@@ -115,7 +115,7 @@
             units: None,
             metered: None,
         }));
-        written(Answer::Served(ServerResponse {
+        client_response(Answer::Served(ServerResponse {
             head: ResponseHead::default(),
             body: Bytes::new(),
         }))
--- a/crates/emberpin-limiter/src/operate/start.rs
+++ b/crates/emberpin-limiter/src/operate/start.rs
@@ -22,12 +22,12 @@
     /// A limiter becomes ready after this time even if it knows no server.
     #[serde(rename = "ready_within_s", deserialize_with = "ready")]
     pub ready_within: Duration,
-    /// A complete list that names less than this share of the known servers is distrusted.
+    /// A complete list that names less than this share of the known servers is doubted.
     #[serde(deserialize_with = "share")]
     pub keep_share: f64,
-    /// Maximum time for which such a list is distrusted.
-    #[serde(rename = "keep_s", deserialize_with = "keep")]
-    pub keep: Duration,
+    /// Maximum time for which such a list is doubted.
+    #[serde(rename = "keep_s", deserialize_with = "max_doubt")]
+    pub max_doubt: Duration,
     /// The site's name, which is stored in snapshots.
     pub site: String,
     /// The folder of this instance's snapshot; `{name}` in it stands for the instance's name.
@@ -48,7 +48,7 @@
             list_service: None,
             ready_within: Duration::from_secs(10),
             keep_share: 0.5,
-            keep: Duration::from_secs(300),
+            max_doubt: Duration::from_secs(300),
             site: String::new(),
             snapshot: None,
             snapshot_age: Duration::from_secs(7 * 86_400),
@@ -87,7 +87,7 @@
     within(from, 0.0..=1.0, "of the servers held")
 }
 
-fn keep<'de, D: Deserializer<'de>>(from: D) -> Result<Duration, D::Error> {
+fn max_doubt<'de, D: Deserializer<'de>>(from: D) -> Result<Duration, D::Error> {
     within(from, 0.0..=86_400.0, "s").map(Duration::from_secs_f64)
 }
 
@@ -117,24 +117,27 @@
                 to,
                 "callers not set: each limiter watches the list for itself"
             )?,
-            (Some(callers), None) => writeln!(to, "callers = {callers}, who tell the others")?,
+            (Some(callers), None) => writeln!(
+                to,
+                "callers = {callers}, which forward the list to the others"
+            )?,
             (Some(callers), Some(name)) => {
                 writeln!(
                     to,
-                    "callers = {callers}, who tell the others; the service is {name:?}"
+                    "callers = {callers}, which forward the list to the others; the service is {name:?}"
                 )?;
             }
         }
         writeln!(to, "ready_within_s = {} s", self.ready_within.as_secs_f64())?;
         writeln!(to, "keep_share = {} of the servers held", self.keep_share)?;
-        writeln!(to, "keep_s = {} s", self.keep.as_secs_f64())?;
+        writeln!(to, "keep_s = {} s", self.max_doubt.as_secs_f64())?;
         match &self.snapshot {
             Some(folder) => {
                 writeln!(to, "snapshot = {folder}, of site {:?}", self.site)?;
                 writeln!(to, "snapshot_age_s = {} s", self.snapshot_age.as_secs_f64())?;
                 writeln!(to, "disk_ms = {} ms", self.disk.as_millis())
             }
-            None => writeln!(to, "snapshot not set: no list is kept on a disk"),
+            None => writeln!(to, "snapshot not set: no endpoint list is stored on a disk"),
         }
     }
 }
--- a/crates/emberpin-limiter/src/stages/idempotency.rs
+++ b/crates/emberpin-limiter/src/stages/idempotency.rs
@@ -4,7 +4,7 @@
 
 use crate::between::link::{Link, News, KEYS};
 use crate::between::tls;
-use crate::front::answers::{plain, written};
+use crate::front::answers::{client_response, plain};
 use crate::front::stream::Content;
 use crate::messages::{Answer, UpstreamRequest, MAX_BODY};
 use crate::operate::config::Config;
@@ -697,9 +697,9 @@
         }
     };
     match telling {
-        Telling::Own(answer) => written(answer),
+        Telling::Own(answer) => client_response(answer),
         Telling::Replay(answer) => {
-            let mut response = written(answer);
+            let mut response = client_response(answer);
             response
                 .headers_mut()
                 .insert(REPLAYED, HeaderValue::from_static("true"));
--- a/crates/emberpin-limiter/src/upstream/list_trust.rs
+++ b/crates/emberpin-limiter/src/upstream/list_trust.rs
@@ -40,7 +40,7 @@
             began,
             trust: RefCell::new(ListGuard::new(GuardConfig {
                 min_retained_share: start.keep_share,
-                max_doubt: start.keep,
+                max_doubt: start.max_doubt,
             })),
             ready: RefCell::new(Readiness::new(start.ready_within)),
             limit: began + start.ready_within,
--- a/crates/emberpin-proxy/src/frontend/mod.rs
+++ b/crates/emberpin-proxy/src/frontend/mod.rs
@@ -110,7 +110,7 @@
         connection: &Connection,
     ) -> Result<ReceivedRequest, Rejection> {
         // Request smuggling: a body framed in two ways could hide another request from whoever follows the other one.
-        if connection.is_doubtful() {
+        if connection.has_ambiguous_framing() {
             return Err(StatusCode::BAD_REQUEST.into());
         }
         if request_head::min_size(&request) > self.published.max_head_bytes() {
