--- a/crates/emberpin-proxy/src/frontend/mod.rs
+++ b/crates/emberpin-proxy/src/frontend/mod.rs
@@ -111,7 +111,7 @@
     ) -> Result<ReceivedRequest, Rejection> {
         // Request smuggling: a body with two contradictory framings could hide another request, which a server that
         // follows the other framing would run.
-        if connection.is_doubtful() {
+        if connection.has_ambiguous_framing() {
             return Err(StatusCode::BAD_REQUEST.into());
         }
         if request_head::min_size(&request) > self.published.max_head_bytes() {
