--- a/crates/emberpin-limiter/src/between/handover.rs
+++ b/crates/emberpin-limiter/src/between/handover.rs
@@ -3,7 +3,7 @@
 
 use crate::between::peers::Peers;
 use crate::front::socket_budget::{SocketBudget, SocketCounts};
-use crate::upstream::listing::Target;
+use crate::upstream::endpoint_list::Target;
 use emberpin_balancer::{Handover, Millis, Usage};
 use emberpin_upgrade::frame::{self, Message, HEADER_LEN, HELLO_LEN};
 use emberpin_upgrade::process::{Action, Event, Process};
--- a/crates/emberpin-limiter/src/between/link.rs
+++ b/crates/emberpin-limiter/src/between/link.rs
@@ -4,7 +4,7 @@
 use crate::between::tls::{Streams, Tls};
 use crate::operate::config::Config;
 use crate::operate::operator::{self, Member};
-use crate::stages::memory::{boot_clock, random};
+use crate::stages::key_log::{boot_clock, random};
 use emberpin_peering::{
     Action, Backoff, CloseReason, ConnectionId, Event, Incarnation, MembershipEpoch, PeerState,
     Peering, SendError, Settings, Timestamp,
--- a/crates/emberpin-limiter/src/messages.rs
+++ b/crates/emberpin-limiter/src/messages.rs
@@ -2,7 +2,7 @@
 //! beneath all parts, so that none depends on another for its types.
 
 use crate::front::stream::{StreamedResponse, Upload};
-use crate::upstream::listing::Listing;
+use crate::upstream::endpoint_list::Listing;
 use bytes::Bytes;
 use emberpin_balancer::{
     ClassId, CustomerId, GatewayId, LoadReport, Location, Millis, Outcome, PlanId, PriorAttempt,
--- a/crates/emberpin-limiter/src/operate/command.rs
+++ b/crates/emberpin-limiter/src/operate/command.rs
@@ -4,7 +4,7 @@
 use crate::limiter;
 use crate::operate::config::{Config, PLATFORM_FILE};
 use crate::operate::operator;
-use crate::stages::memory;
+use crate::stages::key_log;
 use clap::{Parser, Subcommand};
 use operator::Operator;
 use std::ffi::OsString;
@@ -99,7 +99,7 @@
 }
 
 fn create_keys(folder: &Path, members: &[String]) -> ExitCode {
-    match memory::random().and_then(|secret| tls::init(folder, members, secret)) {
+    match key_log::random().and_then(|secret| tls::init(folder, members, secret)) {
         Ok(()) => {
             println!(
                 "made the keys of {} instances in {}",
@@ -117,7 +117,7 @@
 
 fn begin_log(with: &[PathBuf]) -> ExitCode {
     let config = Operator::read(with).and_then(|operator| Config::from_env(&operator));
-    match config.and_then(|config| memory::begin(&config)) {
+    match config.and_then(|config| key_log::begin(&config)) {
         Ok(done) => {
             println!("{done}");
             ExitCode::SUCCESS
--- a/crates/emberpin-limiter/src/operate/config.rs
+++ b/crates/emberpin-limiter/src/operate/config.rs
@@ -5,7 +5,7 @@
 use crate::operate::operator_api;
 use crate::operate::start::Start;
 use crate::operate::takeover::Takeover;
-use crate::upstream::listing::Listing;
+use crate::upstream::endpoint_list::Listing;
 use crate::upstream::server::PoolLimits;
 use emberpin_balancer::host_config::{HostConfig, IndexNames};
 use emberpin_balancer::Settings;
--- a/crates/emberpin-limiter/src/operate/request_path.rs
+++ b/crates/emberpin-limiter/src/operate/request_path.rs
@@ -7,7 +7,7 @@
 use crate::messages::{Answer, ResponseHead, ServerResponse};
 use crate::operate::config::Config;
 use crate::operate::operator::Operator;
-use crate::upstream::listing::Entry as Listed;
+use crate::upstream::endpoint_list::Entry as Listed;
 use bytes::Bytes;
 use emberpin_balancer::{
     Action, AttemptResult, Event, Gateway, GatewaySet, LoadReport, MembershipUpdate, Millis,
--- a/crates/emberpin-limiter/src/stages/idempotency.rs
+++ b/crates/emberpin-limiter/src/stages/idempotency.rs
@@ -10,7 +10,7 @@
 use crate::operate::config::Config;
 use crate::operate::crash_points;
 use crate::operate::operator::{self, Keys, Repeats};
-use crate::stages::memory::{boot_clock, random, Memory, Recalled};
+use crate::stages::key_log::{boot_clock, random, Memory, Recalled};
 use crate::stages::takeover::{Keys as TakenKeys, Takeover, Terms, WorkGate};
 use bytes::Bytes;
 use emberpin_failover::WorkId;
--- a/crates/emberpin-limiter/src/stages/takeover.rs
+++ b/crates/emberpin-limiter/src/stages/takeover.rs
@@ -6,7 +6,7 @@
 use crate::operate::config::Config;
 use crate::operate::crash_points;
 use crate::operate::takeover::Takeover as Settings;
-use crate::stages::memory::boot_clock;
+use crate::stages::key_log::boot_clock;
 use emberpin_balancer::{
     ClassId, CustomerId, GatewayId, Idempotency, Location, PlanId, PriorAttempt,
 };
--- a/crates/emberpin-limiter/src/upstream/discovery.rs
+++ b/crates/emberpin-limiter/src/upstream/discovery.rs
@@ -1,9 +1,9 @@
 //! Discovery: the list of servers, its watch, and how to get back in step when that breaks.
 
 use crate::messages::Input;
+use crate::upstream::endpoint_list::Listing;
 use crate::upstream::list_calls::ListCalls;
 use crate::upstream::list_watch::{WatchEvent, WatchParser};
-use crate::upstream::listing::Listing;
 use crate::upstream::peer_lists::PeerLists;
 use bytes::Bytes;
 use emberpin_startup::call_schedule::CallOutcome;
--- a/crates/emberpin-limiter/src/upstream/list_snapshot.rs
+++ b/crates/emberpin-limiter/src/upstream/list_snapshot.rs
@@ -2,7 +2,7 @@
 //! a thread of its own. A disk that fails, lies or stalls costs the snapshot, never the start or the service.
 
 use crate::operate::config::Config;
-use crate::upstream::listing::{Entry, Listing, Target, Teller};
+use crate::upstream::endpoint_list::{Entry, Listing, Target, Teller};
 use emberpin_startup::snapshot::{decode, encode, SnapshotHeader, MAX_BYTES};
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
--- a/crates/emberpin-limiter/src/upstream/list_trust.rs
+++ b/crates/emberpin-limiter/src/upstream/list_trust.rs
@@ -2,8 +2,8 @@
 //! `emberpin_startup` with a clock, a random source and a disk.
 
 use crate::operate::config::Config;
+use crate::upstream::endpoint_list::Target;
 use crate::upstream::list_snapshot::ListSnapshot;
-use crate::upstream::listing::Target;
 use emberpin_startup::list_guard::{GuardConfig, ListGuard, ListScope, ListSummary, Verdict};
 use emberpin_startup::readiness::Readiness;
 use std::cell::{Cell, RefCell};
--- a/crates/emberpin-limiter/src/upstream/list_watch.rs
+++ b/crates/emberpin-limiter/src/upstream/list_watch.rs
@@ -1,7 +1,7 @@
 //! Parses the stream of a watch of the list service: listings, each on one line or indented over several, and empty lines
 //! as keep-alives. No I/O.
 
-use crate::upstream::listing::Listing;
+use crate::upstream::endpoint_list::Listing;
 
 /// Longest listing; a watch that sends more is broken.
 const LONGEST: usize = 1 << 20;
--- a/crates/emberpin-limiter/src/upstream/mod.rs
+++ b/crates/emberpin-limiter/src/upstream/mod.rs
@@ -2,13 +2,13 @@
 
 pub(crate) mod discovery;
 pub(crate) mod driver;
+pub(crate) mod endpoint_list;
 pub(crate) mod engine;
 pub(crate) mod lifetimes;
 pub(crate) mod list_calls;
 pub(crate) mod list_snapshot;
 pub(crate) mod list_trust;
 pub(crate) mod list_watch;
-pub(crate) mod listing;
 pub(crate) mod peer_lists;
 pub(crate) mod roster;
 pub(crate) mod server;
--- a/crates/emberpin-limiter/src/upstream/peer_lists.rs
+++ b/crates/emberpin-limiter/src/upstream/peer_lists.rs
@@ -4,8 +4,8 @@
 use crate::between::link::{Link, News, LISTS, LONGEST};
 use crate::messages::Input;
 use crate::operate::config::Config;
+use crate::upstream::endpoint_list::{Entry, Listing, Target, Teller};
 use crate::upstream::list_calls::ListCalls;
-use crate::upstream::listing::{Entry, Listing, Target, Teller};
 use emberpin_startup::list_dissemination::{Action, DisseminationConfig, ListDissemination};
 use emberpin_startup::list_messages::{Incarnation, ListMessage, ListVersion};
 use emberpin_startup::topology::neighbours;
--- a/crates/emberpin-limiter/src/upstream/roster.rs
+++ b/crates/emberpin-limiter/src/upstream/roster.rs
@@ -2,7 +2,7 @@
 //!
 //! Whether a server is out by hand is the decision module's fact; this knows names and places only.
 
-use crate::upstream::listing::{State, Target};
+use crate::upstream::endpoint_list::{State, Target};
 use emberpin_balancer::ServerId;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -78,7 +78,7 @@
 
     /// The server of this name, if one was ever listed.
     pub fn find(&self, name: &str) -> Option<ServerId> {
-        let id = crate::upstream::listing::server_id(name);
+        let id = crate::upstream::endpoint_list::server_id(name);
         self.names
             .get(&id)
             .filter(|known| *known == name)
