--- a/crates/emberpin-limiter/src/between/handover.rs
+++ b/crates/emberpin-limiter/src/between/handover.rs
@@ -1,5 +1,5 @@
-//! The host of an upgrade: the meeting point in `$TMPDIR`, the connection between the two processes of this limiter, and
-//! what is carried over it. Who does what when is decided in `emberpin_upgrade`.
+//! Carries out an upgrade of this limiter from one process to the next: the handover socket in `$TMPDIR`, the connection
+//! between the two processes, and the messages on it. Which process does what, and when, is decided in `emberpin_upgrade`.
 
 use crate::between::peers::Peers;
 use crate::front::socket_budget::{SocketBudget, SocketCounts};
@@ -20,41 +20,43 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::timeout;
 
-/// Where the processes of one limiter meet, in `$TMPDIR`.
-const MEETING: &str = "emberpin.handover";
-/// The older process has this long to answer whole; without it the start is as after a kill.
-const PATIENCE: Duration = Duration::from_millis(1_500);
-/// Whoever comes to the meeting point has this long to say who it is.
-const HELLO_LIMIT: Duration = Duration::from_millis(500);
-/// Pause after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// How often the other process is told what is held, if that has changed.
-const HELD_LOOK: Duration = Duration::from_millis(20);
-/// What waits for the other process; what does not fit is not told.
-const NOTES: usize = 4_096;
+/// File name of the handover socket in `$TMPDIR`, at which a new process finds the running one.
+const SOCKET_FILE: &str = "emberpin.handover";
+/// The older process must deliver its whole state within this time; otherwise the new one starts as after a kill.
+const STATE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// A process that connects to the handover socket must send its hello within this time.
+const HELLO_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// How often the socket counts are compared with those last sent to the other process.
+const SOCKET_COUNT_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of messages queued for the other process; those that do not fit are dropped.
+const MAX_QUEUED_MESSAGES: usize = 4_096;
 
-/// What the older process gives.
+/// The state that the older process hands over.
 #[derive(Serialize, Deserialize)]
-pub struct Given {
-    /// The time on its clock, which goes on.
+pub struct HandoverState {
+    /// The time on its clock, from which the new process's clock continues.
     pub clock: Millis,
-    /// Its list of servers, as JSON, and the version of that.
+    /// The revision of its endpoint list.
     pub rev: u64,
+    /// Its endpoint list, as JSON.
     targets: Vec<u8>,
-    /// Names of servers that it was ever told of.
+    /// Names of all servers that it ever received.
     pub names: Vec<String>,
+    /// The state of the decision module.
     pub gateway: Handover,
 }
 
-impl Given {
+impl HandoverState {
     pub fn new(
         clock: Millis,
         rev: u64,
         targets: &[Target],
         names: Vec<String>,
         gateway: Handover,
-    ) -> Given {
-        Given {
+    ) -> HandoverState {
+        HandoverState {
             clock,
             rev,
             targets: serde_json::to_vec(targets).unwrap_or_default(),
@@ -68,67 +70,67 @@
     }
 }
 
-/// What each of the two processes tells the other as it happens.
+/// A message by which each of the two processes keeps the other up to date.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Shared {
-    Spent(Usage),
-    /// A server was taken out of service by hand, or put back.
-    Order {
-        server: String,
-        out: bool,
-    },
-    /// So many connections are held.
-    Held(SocketCounts),
+pub enum SiblingMessage {
+    /// Quota that was used.
+    Usage(Usage),
+    /// An operator took a server out of service, or put it back.
+    Maintenance { server: String, out: bool },
+    /// The number of sockets that the sender has open.
+    SocketCounts(SocketCounts),
 }
 
-/// What the driver hears of the other process.
-pub enum Pairing {
-    /// Give what is known, and tell from then on what is spent.
-    Give(oneshot::Sender<Given>, mpsc::Sender<Shared>),
-    /// The older process is there: tell it what is spent.
-    Paired(mpsc::Sender<Shared>),
-    Heard(Shared),
-    /// It is gone.
-    Alone,
+/// An event about the other process of this limiter, for the driver.
+pub enum SiblingEvent {
+    /// A newer process asks for the state: send it to the first sender, and later messages to the second.
+    StateRequested(oneshot::Sender<HandoverState>, mpsc::Sender<SiblingMessage>),
+    /// This process runs beside the older one: send messages to it.
+    Connected(mpsc::Sender<SiblingMessage>),
+    /// The other process sent a message.
+    MessageReceived(SiblingMessage),
+    /// The other process has disconnected.
+    Disconnected,
 }
 
-/// This process, and what stands round it.
+/// This process's part in upgrades: its state, and the parts of the limiter that an upgrade affects.
 pub struct Upgrade {
     process: RefCell<Process>,
-    meeting: Option<PathBuf>,
+    socket_path: Option<PathBuf>,
     peers: Option<Rc<Peers>>,
-    driver: mpsc::Sender<Pairing>,
-    /// What of the descriptors the other process holds.
+    driver: mpsc::Sender<SiblingEvent>,
+    /// Accounts for the descriptors that the other process uses.
     socket_budget: Rc<SocketBudget>,
     listening: RefCell<Option<JoinHandle<()>>>,
 }
 
-/// An older process that gave what it knows.
-pub struct Older {
+/// The connection to an older process that has handed over its state.
+pub struct Predecessor {
     stream: UnixStream,
 }
 
-/// Where the processes of this limiter meet, on a platform that starts a second one beside the first.
-pub fn meeting_point() -> Option<PathBuf> {
+/// The path of the handover socket, for platforms that start a second process beside the first; `None` if `TMPDIR` is
+/// not set.
+pub fn handover_socket_path() -> Option<PathBuf> {
     let folder = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty());
     if folder.is_none() {
         eprintln!("emberpin: TMPDIR is not set: nothing is handed over in an upgrade");
     }
-    Some(Path::new(&folder?).join(MEETING))
+    Some(Path::new(&folder?).join(SOCKET_FILE))
 }
 
-/// Asks the older process, if there is one, for what it knows.
+/// Requests the state of the older process, if there is one. Returns `None` if there is none or its state is unusable.
 ///
 /// # Errors
 ///
-/// One line, when another upgrade is under way.
-pub async fn take(
+/// One line, if another upgrade is under way.
+pub async fn request_state(
     process: &mut Process,
-    meeting: Option<&Path>,
-) -> Result<Option<(Given, Older)>, String> {
+    socket_path: Option<&Path>,
+) -> Result<Option<(HandoverState, Predecessor)>, String> {
     let mut actions = Vec::new();
-    let found = match meeting {
-        Some(path) => timeout(PATIENCE, UnixStream::connect(path))
+    let found = match socket_path {
+        Some(path) => timeout(STATE_TIMEOUT, UnixStream::connect(path))
             .await
             .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())),
         None => Err(io::ErrorKind::NotFound.into()),
@@ -139,15 +141,17 @@
     };
     process.handle(started, &mut actions);
     let Ok(stream) = found else { return Ok(None) };
-    let (event, given) = match timeout(PATIENCE, ask(stream)).await {
-        Ok(Ok((Message::State(body), stream))) => match postcard::from_bytes::<Given>(&body) {
-            Ok(given) => (Event::StateReceived, Some((given, Older { stream }))),
-            Err(problem) => useless(&problem.to_string()),
-        },
+    let (event, state) = match timeout(STATE_TIMEOUT, fetch_state(stream)).await {
+        Ok(Ok((Message::State(body), stream))) => {
+            match postcard::from_bytes::<HandoverState>(&body) {
+                Ok(state) => (Event::StateReceived, Some((state, Predecessor { stream }))),
+                Err(problem) => unusable_state(&problem.to_string()),
+            }
+        }
         Ok(Ok((Message::Refused, _))) => (Event::StateRefused, None),
-        Ok(Ok((Message::Update(_), _))) => useless("it did not give first"),
-        Ok(Err(problem)) => useless(&problem),
-        Err(_) => useless("it did not answer in time"),
+        Ok(Ok((Message::Update(_), _))) => unusable_state("its first message was not its state"),
+        Ok(Err(problem)) => unusable_state(&problem),
+        Err(_) => unusable_state("it did not answer in time"),
     };
     actions.clear();
     process.handle(event, &mut actions);
@@ -156,26 +160,28 @@
             "another upgrade of this limiter is under way: try again once the older process is gone".into()
         );
     }
-    Ok(given)
+    Ok(state)
 }
 
-fn useless(problem: &str) -> (Event, Option<(Given, Older)>) {
+fn unusable_state(problem: &str) -> (Event, Option<(HandoverState, Predecessor)>) {
     eprintln!(
-        "emberpin: nothing taken over from the process before, starting as after a kill: {problem}"
+        "emberpin: no state taken over from the previous process, starting as after a kill: {problem}"
     );
     (Event::StateUnusable, None)
 }
 
-async fn ask(mut stream: UnixStream) -> Result<(Message<Shared>, UnixStream), String> {
+async fn fetch_state(
+    mut stream: UnixStream,
+) -> Result<(Message<SiblingMessage>, UnixStream), String> {
     stream
         .write_all(&frame::encode_hello())
         .await
         .map_err(|e| e.to_string())?;
-    let note = read(&mut stream).await?;
-    Ok((note, stream))
+    let message = read(&mut stream).await?;
+    Ok((message, stream))
 }
 
-async fn read(from: &mut (impl AsyncReadExt + Unpin)) -> Result<Message<Shared>, String> {
+async fn read(from: &mut (impl AsyncReadExt + Unpin)) -> Result<Message<SiblingMessage>, String> {
     let mut head = [0; HEADER_LEN];
     from.read_exact(&mut head)
         .await
@@ -189,52 +195,54 @@
 
 async fn write(
     to: &mut (impl AsyncWriteExt + Unpin),
-    note: &Message<Shared>,
+    message: &Message<SiblingMessage>,
 ) -> Result<(), String> {
-    let bytes = frame::encode(note).map_err(|e| e.to_string())?;
+    let bytes = frame::encode(message).map_err(|e| e.to_string())?;
     to.write_all(&bytes).await.map_err(|e| e.to_string())
 }
 
 impl Upgrade {
-    /// Goes on from [`take`]: serves, takes the port and the meeting point, and stays in touch with the older process.
+    /// Continues after [`request_state`]: binds the peer port and the handover socket, and exchanges messages with the
+    /// older process until it exits.
     pub fn start(
         process: Process,
-        meeting: Option<PathBuf>,
-        older: Option<Older>,
+        socket_path: Option<PathBuf>,
+        predecessor: Option<Predecessor>,
         peers: Option<Rc<Peers>>,
-        driver: mpsc::Sender<Pairing>,
+        driver: mpsc::Sender<SiblingEvent>,
         socket_budget: Rc<SocketBudget>,
     ) -> Rc<Upgrade> {
         let upgrade = Rc::new(Upgrade {
             process: RefCell::new(process),
-            meeting,
+            socket_path,
             peers,
             driver,
             socket_budget,
             listening: RefCell::default(),
         });
         if let Some(peers) = &upgrade.peers {
-            peers.want(true);
+            peers.set_wanted(true);
         }
-        upgrade.meet();
-        if let Some(Older { stream }) = older {
+        upgrade.bind_socket();
+        if let Some(Predecessor { stream }) = predecessor {
             let upgrade = upgrade.clone();
             spawn_local(async move {
-                let (tell, told) = mpsc::channel(NOTES);
-                _ = upgrade.driver.send(Pairing::Paired(tell)).await;
-                upgrade.clone().talk(stream, told).await;
+                let (outgoing, queued) = mpsc::channel(MAX_QUEUED_MESSAGES);
+                _ = upgrade.driver.send(SiblingEvent::Connected(outgoing)).await;
+                upgrade.clone().exchange_messages(stream, queued).await;
                 upgrade.handle(Event::PredecessorDisconnected).await;
             });
         }
         upgrade
     }
 
-    /// Told to go. Whether a younger process takes the clients meanwhile makes no difference.
+    /// Handles the request to terminate, which is the same with and without a newer process that accepts the clients.
     pub async fn terminate(self: &Rc<Self>) {
         self.handle(Event::TerminationRequested).await;
     }
 
-    /// Feeds the machine and carries out all but what needs the connection; those actions come back.
+    /// Passes an event to the state machine and carries out its actions, except those that need the connection. Returns
+    /// all actions.
     async fn handle(self: &Rc<Self>, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.process.borrow_mut().handle(event, &mut actions);
@@ -242,24 +250,24 @@
             match action {
                 Action::OpenPeerPort => {
                     if let Some(peers) = &self.peers {
-                        peers.want(true);
+                        peers.set_wanted(true);
                     }
                 }
                 Action::ClosePeerPort => {
                     if let Some(peers) = &self.peers {
-                        peers.leave().await;
+                        peers.close().await;
                     }
                 }
-                Action::BindHandoverSocket => self.meet(),
-                // Nothing is held by the next process yet; it tells as soon as it does.
+                Action::BindHandoverSocket => self.bind_socket(),
+                // The next process holds no sockets yet, and reports its counts as soon as they change.
                 Action::ShareDescriptors => self
                     .socket_budget
                     .set_sibling(Some(SocketCounts::default())),
                 Action::ReclaimDescriptors => {
                     self.socket_budget.set_sibling(None);
-                    _ = self.driver.send(Pairing::Alone).await;
+                    _ = self.driver.send(SiblingEvent::Disconnected).await;
                 }
-                // Done by whoever feeds the event.
+                // Carried out by the caller that passed the event.
                 Action::RequestState
                 | Action::ServeWithState
                 | Action::ServeWithoutState
@@ -271,9 +279,11 @@
         actions
     }
 
-    /// Takes over the meeting point. Whatever stood there goes: a socket that nobody answers at, a file.
-    fn meet(self: &Rc<Self>) {
-        let Some(path) = &self.meeting else { return };
+    /// Binds the handover socket. Replaces whatever is at its path, such as a stale socket or a file.
+    fn bind_socket(self: &Rc<Self>) {
+        let Some(path) = &self.socket_path else {
+            return;
+        };
         let own = path.with_extension(std::process::id().to_string());
         _ = std::fs::remove_file(&own);
         let bound = UnixListener::bind(&own).and_then(|listener| {
@@ -291,7 +301,7 @@
                 _ = std::fs::remove_file(&own);
                 let path = path.display();
                 eprintln!(
-                    "emberpin: nothing can be handed over to a next process: {path}: {problem}"
+                    "emberpin: cannot bind the handover socket, so an upgrade will hand nothing over: {path}: {problem}"
                 );
             }
         }
@@ -300,49 +310,51 @@
     async fn listen(self: Rc<Self>, listener: UnixListener) {
         loop {
             let Ok((mut stream, _)) = listener.accept().await else {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            // Another user's process is told nothing.
+            // Processes of other users are rejected.
             let own = nix::unistd::geteuid().as_raw();
             if stream.peer_cred().map_or(true, |who| who.uid() != own) {
                 continue;
             }
             let mut hello = [0; HELLO_LEN];
-            match timeout(HELLO_LIMIT, stream.read_exact(&mut hello)).await {
+            match timeout(HELLO_TIMEOUT, stream.read_exact(&mut hello)).await {
                 Ok(Ok(_)) => {}
                 Ok(Err(_)) | Err(_) => continue,
             }
             if let Err(problem) = frame::check_hello(&hello) {
-                eprintln!("emberpin: nothing handed over: {problem}");
+                eprintln!("emberpin: handover request rejected: {problem}");
                 continue;
             }
             let actions = self.handle(Event::StateRequested).await;
             if actions.contains(&Action::SendState) {
-                // Apart from this loop, so that another that asks is refused meanwhile.
-                spawn_local(self.clone().give(stream));
+                // In its own task, so that this loop can refuse other processes meanwhile.
+                spawn_local(self.clone().send_state(stream));
             } else {
-                _ = timeout(HELLO_LIMIT, write(&mut stream, &Message::Refused)).await;
+                _ = timeout(HELLO_TIMEOUT, write(&mut stream, &Message::Refused)).await;
             }
         }
     }
 
-    async fn give(self: Rc<Self>, mut stream: UnixStream) {
-        let (tell, told) = mpsc::channel(NOTES);
-        let (give, given) = oneshot::channel();
+    async fn send_state(self: Rc<Self>, mut stream: UnixStream) {
+        let (outgoing, queued) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        let (reply_to, state) = oneshot::channel();
         let sent = async {
             self.driver
-                .send(Pairing::Give(give, tell))
+                .send(SiblingEvent::StateRequested(reply_to, outgoing))
                 .await
                 .map_err(|_| "no driver")?;
-            let given = given.await.map_err(|_| "the driver gave nothing")?;
-            let body = postcard::to_allocvec(&given).map_err(|e| e.to_string())?;
+            let state = state
+                .await
+                .map_err(|_| "the driver did not provide the state")?;
+            let body = postcard::to_allocvec(&state).map_err(|e| e.to_string())?;
             write(&mut stream, &Message::State(body)).await
         };
-        match timeout(PATIENCE, sent).await {
+        match timeout(STATE_TIMEOUT, sent).await {
             Ok(Ok(())) => {
                 eprintln!("emberpin: handed over to the next process");
-                self.clone().talk(stream, told).await;
+                self.clone().exchange_messages(stream, queued).await;
             }
             Ok(Err(problem)) => eprintln!("emberpin: not handed over: {problem}"),
             Err(_) => eprintln!("emberpin: not handed over: the next process does not read"),
@@ -350,48 +362,61 @@
         self.handle(Event::SuccessorDisconnected).await;
     }
 
-    /// Tells and hears until the other process is gone.
-    async fn talk(self: Rc<Self>, stream: UnixStream, told: mpsc::Receiver<Shared>) {
+    /// Exchanges messages with the other process until either direction ends.
+    async fn exchange_messages(
+        self: Rc<Self>,
+        stream: UnixStream,
+        queued: mpsc::Receiver<SiblingMessage>,
+    ) {
         let (from, to) = stream.into_split();
-        let (mut hearing, mut telling) = (
-            spawn_local(self.clone().hear(from)),
-            spawn_local(self.tell(to, told)),
+        let (mut receiving, mut sending) = (
+            spawn_local(self.clone().receive_messages(from)),
+            spawn_local(self.send_messages(to, queued)),
         );
         tokio::select! {
-            _ = &mut hearing => {}
-            _ = &mut telling => {}
+            _ = &mut receiving => {}
+            _ = &mut sending => {}
         }
-        hearing.abort();
-        telling.abort();
+        receiving.abort();
+        sending.abort();
     }
 
-    async fn hear(self: Rc<Self>, mut from: OwnedReadHalf) {
-        while let Ok(Message::Update(shared)) = read(&mut from).await {
-            if let Shared::Held(held) = shared {
-                self.socket_budget.set_sibling(Some(held));
+    async fn receive_messages(self: Rc<Self>, mut from: OwnedReadHalf) {
+        while let Ok(Message::Update(message)) = read(&mut from).await {
+            if let SiblingMessage::SocketCounts(counts) = message {
+                self.socket_budget.set_sibling(Some(counts));
                 continue;
             }
-            if self.driver.send(Pairing::Heard(shared)).await.is_err() {
+            if self
+                .driver
+                .send(SiblingEvent::MessageReceived(message))
+                .await
+                .is_err()
+            {
                 return;
             }
         }
     }
 
-    /// Tells what the driver shares, and what is held whenever that has changed.
-    async fn tell(self: Rc<Self>, mut to: OwnedWriteHalf, mut told: mpsc::Receiver<Shared>) {
-        let mut known = None;
+    /// Sends the driver's messages, and the socket counts whenever they have changed.
+    async fn send_messages(
+        self: Rc<Self>,
+        mut to: OwnedWriteHalf,
+        mut queued: mpsc::Receiver<SiblingMessage>,
+    ) {
+        let mut last_sent = None;
         loop {
-            let held = self.socket_budget.in_use();
-            let shared = if known.replace(held) == Some(held) {
-                match timeout(HELD_LOOK, told.recv()).await {
-                    Ok(Some(shared)) => shared,
+            let counts = self.socket_budget.in_use();
+            let message = if last_sent.replace(counts) == Some(counts) {
+                match timeout(SOCKET_COUNT_INTERVAL, queued.recv()).await {
+                    Ok(Some(message)) => message,
                     Ok(None) => return,
                     Err(_) => continue,
                 }
             } else {
-                Shared::Held(held)
+                SiblingMessage::SocketCounts(counts)
             };
-            if write(&mut to, &Message::Update(shared)).await.is_err() {
+            if write(&mut to, &Message::Update(message)).await.is_err() {
                 return;
             }
         }
--- a/crates/emberpin-limiter/src/between/link.rs
+++ b/crates/emberpin-limiter/src/between/link.rs
@@ -1,5 +1,5 @@
-//! The host of the link between limiters: opens and takes connections, moves bytes, and hands what is told over to
-//! whoever it is for. What is believed of whom, and what a byte means, is decided in `emberpin_peering`.
+//! Runs the link between limiters: opens and accepts connections, moves bytes, and passes each received message to the
+//! subscriber of its kind. The state of each peer and the meaning of the bytes are decided in `emberpin_peering`.
 
 use crate::between::tls::{Streams, Tls};
 use crate::operate::config::Config;
@@ -22,32 +22,32 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, timeout, MissedTickBehavior};
 
-/// Bytes read at a time.
-const READ: usize = 16 * 1024;
-/// Connections that are being taken, with their handshakes, at most.
-const TAKING: usize = 64;
-/// Inputs that wait, at most: whoever reads a connection waits then, and with it the other side.
-const INPUTS: usize = 256;
-/// Most bytes of one message: an answer of the largest size with its key fits.
-pub const LONGEST: usize = 256 * 1024;
-/// Bytes that one member may be behind with.
-const WINDOW: usize = 4 << 20;
+/// Size of the read buffer of one connection.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
+/// Maximum number of accepted connections whose handshake is not finished.
+const MAX_PENDING_HANDSHAKES: usize = 64;
+/// Maximum number of queued inputs. While the queue is full, connections are not read, which slows their peers down.
+const MAX_QUEUED_INPUTS: usize = 256;
+/// Maximum size of one message: an answer of the largest size with its key fits.
+pub const MAX_MESSAGE_BYTES: usize = 256 * 1024;
+/// Maximum number of bytes sent to one member that it has not acknowledged.
+const MAX_UNACKNOWLEDGED_BYTES: usize = 4 << 20;
 
-/// The kind of the messages about keys.
-pub const KEYS: u16 = 1;
-/// And of those about lists of servers.
-pub const LISTS: u16 = 2;
-/// And of those about work in hand.
-pub const WORK: u16 = 3;
+/// The kind of messages about idempotency keys.
+pub const KEY_MESSAGES: u16 = 1;
+/// The kind of messages about endpoint lists.
+pub const LIST_MESSAGES: u16 = 2;
+/// The kind of messages about requests in flight, which another limiter may take over.
+pub const WORK_MESSAGES: u16 = 3;
 
-/// What the link tells whoever uses it.
+/// An event that the link reports to its subscribers.
 #[derive(Clone, Debug)]
-pub enum News {
-    /// A member said something.
-    Told { from: u32, body: Vec<u8> },
+pub enum LinkEvent {
+    /// A member sent a message of the subscribed kind.
+    MessageReceived { from: u32, body: Vec<u8> },
     /// The state of a member has changed.
-    Changed { member: u32, state: PeerState },
-    /// Another life of this instance is known: this one must not go on.
+    PeerChanged { member: u32, state: PeerState },
+    /// A later incarnation of this instance exists: this one must stop.
     Superseded,
 }
 
@@ -69,62 +69,63 @@
     },
 }
 
-/// The link's handle.
+/// The connections of this limiter to the other members, and the subscribers of their messages.
 pub struct Link {
     core: RefCell<Peering>,
     tls: Option<Tls>,
     members: BTreeMap<String, Member>,
     names: BTreeMap<u32, String>,
     writers: RefCell<HashMap<ConnectionId, mpsc::UnboundedSender<Vec<u8>>>>,
-    next: std::cell::Cell<u64>,
+    next_connection: std::cell::Cell<u64>,
     inputs: mpsc::Sender<Input>,
-    /// By kind.
-    users: RefCell<BTreeMap<u16, mpsc::UnboundedSender<News>>>,
-    hello_within: Duration,
-    life: Incarnation,
+    /// The subscriber of each kind of message.
+    subscribers: RefCell<BTreeMap<u16, mpsc::UnboundedSender<LinkEvent>>>,
+    handshake_time_limit: Duration,
+    own_incarnation: Incarnation,
 }
 
 impl Link {
-    /// Starts the link, which listens at this member's address and speaks to these members.
+    /// Starts the link of member `number`: it listens at that member's address and connects to the members in
+    /// `link_peers`.
     ///
     /// # Errors
     ///
-    /// One line: keys that cannot be used, an address that cannot be listened on.
+    /// One line: the keys cannot be used, or the address cannot be listened on.
     pub fn start(
         settings: &operator::Link,
         number: u32,
         config: &Config,
-        spoken_to: &BTreeSet<u32>,
+        link_peers: &BTreeSet<u32>,
     ) -> Result<Rc<Link>, String> {
-        let me = settings
+        let local = settings
             .members
             .iter()
             .find(|member| member.number == number);
-        let me = me.ok_or_else(|| format!("[link] has no member {number}"))?;
+        let local = local.ok_or_else(|| format!("[link] has no member {number}"))?;
         let tls = match settings.plain {
             true => None,
             false => Some(Tls::read(Path::new(&settings.keys), &config.name)?),
         };
-        let listener = listen(me.address)
-            .map_err(|e| format!("[link] cannot listen on {}: {e}", me.address))?;
+        let listener = listen(local.address)
+            .map_err(|e| format!("[link] cannot listen on {}: {e}", local.address))?;
         let started = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        let life = Incarnation {
+        let own_incarnation = Incarnation {
             number: u64::try_from(started.as_millis()).unwrap_or(u64::MAX),
             nonce: u64::from_le_bytes(random()?),
         };
         let core = Peering::new(
             Settings {
                 cluster: settings.cluster.clone(),
-                local_name: me.name.clone(),
-                incarnation: life,
+                local_name: local.name.clone(),
+                incarnation: own_incarnation,
                 epoch: MembershipEpoch(settings.epoch),
                 peers: settings
                     .members
                     .iter()
-                    .filter(|m| spoken_to.contains(&m.number))
-                    .map(|m| m.name.clone())
+                    .filter(|member| link_peers.contains(&member.number))
+                    .map(|member| member.name.clone())
                     .collect(),
                 heartbeat_interval: settings.heartbeat,
                 suspect_after: settings.suspect_after,
@@ -134,13 +135,13 @@
                     initial: settings.heartbeat / 2,
                     max: settings.dead_after / 2,
                 },
-                max_unacknowledged_bytes: WINDOW,
-                max_frame_bytes: LONGEST,
-                max_pending_handshakes: TAKING,
+                max_unacknowledged_bytes: MAX_UNACKNOWLEDGED_BYTES,
+                max_frame_bytes: MAX_MESSAGE_BYTES,
+                max_pending_handshakes: MAX_PENDING_HANDSHAKES,
             },
             Timestamp::from_millis(boot_clock()),
         );
-        let (inputs, received) = mpsc::channel(INPUTS);
+        let (inputs, received) = mpsc::channel(MAX_QUEUED_INPUTS);
         let link = Rc::new(Link {
             core: RefCell::new(core),
             tls,
@@ -155,34 +156,35 @@
                 .map(|member| (member.number, member.name.clone()))
                 .collect(),
             writers: RefCell::default(),
-            next: std::cell::Cell::new(0),
+            next_connection: std::cell::Cell::new(0),
             inputs,
-            users: RefCell::default(),
-            hello_within: settings.dead_after,
-            life,
+            subscribers: RefCell::default(),
+            handshake_time_limit: settings.dead_after,
+            own_incarnation,
         });
         spawn_local(link.clone().accept(listener));
         spawn_local(link.clone().run(received, settings.heartbeat / 2));
         Ok(link)
     }
 
-    /// This limiter's own life.
-    pub fn life(&self) -> Incarnation {
-        self.life
+    /// This limiter's own incarnation.
+    pub fn incarnation(&self) -> Incarnation {
+        self.own_incarnation
     }
 
-    /// What is told of this kind from now on, and what changes about members.
-    pub fn subscribe(&self, kind: u16) -> mpsc::UnboundedReceiver<News> {
-        let (user, news) = mpsc::unbounded_channel();
-        self.users.borrow_mut().insert(kind, user);
-        news
+    /// Receives messages of this kind and changes of members' states from now on. Replaces an earlier subscriber of the
+    /// same kind.
+    pub fn subscribe(&self, kind: u16) -> mpsc::UnboundedReceiver<LinkEvent> {
+        let (subscriber, events) = mpsc::unbounded_channel();
+        self.subscribers.borrow_mut().insert(kind, subscriber);
+        events
     }
 
-    /// Tells a member something; if it cannot be told, the news say soon that it is not reached, or nothing is lost
-    /// that was not lost before.
-    pub fn tell(&self, member: u32, kind: u16, body: Vec<u8>) {
+    /// Sends a message to a member. If it cannot be sent, subscribers either soon learn that the member is unreachable,
+    /// or already know it.
+    pub fn send(&self, member: u32, kind: u16, body: Vec<u8>) {
         if let Some(name) = self.names.get(&member) {
-            self.feed(Event::Send {
+            self.handle(Event::Send {
                 peer: name.clone(),
                 kind,
                 body,
@@ -195,52 +197,54 @@
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                _ = ticks.tick() => self.feed(Event::Tick),
+                _ = ticks.tick() => self.handle(Event::Tick),
                 input = received.recv() => match input {
-                    Some(input) => self.take(input),
+                    Some(input) => self.on_input(input),
                     None => return,
                 },
             }
         }
     }
 
-    fn take(self: &Rc<Self>, input: Input) {
+    fn on_input(self: &Rc<Self>, input: Input) {
         match input {
-            Input::Dialed { to, streams: None } => self.feed(Event::ConnectFailed { peer: to }),
+            Input::Dialed { to, streams: None } => self.handle(Event::ConnectFailed { peer: to }),
             Input::Dialed {
                 to,
                 streams: Some(streams),
             } => {
                 let connection = self.open(streams);
-                self.feed(Event::Connected {
+                self.handle(Event::Connected {
                     connection,
                     peer: to,
                 });
             }
             Input::Accepted { streams, certified } => {
                 let connection = self.open(streams);
-                self.feed(Event::Accepted {
+                self.handle(Event::Accepted {
                     connection,
                     certificate_names: certified,
                 });
             }
-            Input::Bytes { connection, bytes } => self.feed(Event::Received { connection, bytes }),
+            Input::Bytes { connection, bytes } => {
+                self.handle(Event::Received { connection, bytes })
+            }
             Input::Closed { connection } => {
                 self.writers.borrow_mut().remove(&connection);
-                self.feed(Event::Closed { connection });
+                self.handle(Event::Closed { connection });
             }
         }
     }
 
-    /// Gives a connection its name, and moves its bytes both ways until either side ends it.
+    /// Assigns an id to a connection, and moves its bytes both ways until either side ends it.
     fn open(self: &Rc<Self>, (mut reader, mut writer): Streams) -> ConnectionId {
-        let connection = ConnectionId(self.next.replace(self.next.get() + 1));
-        let (write, mut written) = mpsc::unbounded_channel::<Vec<u8>>();
-        self.writers.borrow_mut().insert(connection, write);
+        let connection = ConnectionId(self.next_connection.replace(self.next_connection.get() + 1));
+        let (writer_queue, mut queued) = mpsc::unbounded_channel::<Vec<u8>>();
+        self.writers.borrow_mut().insert(connection, writer_queue);
         let inputs = self.inputs.clone();
         spawn_local(async move {
             let writing = async {
-                while let Some(bytes) = written.recv().await {
+                while let Some(bytes) = queued.recv().await {
                     if writer.write_all(&bytes).await.is_err() || writer.flush().await.is_err() {
                         return;
                     }
@@ -248,18 +252,18 @@
                 _ = writer.shutdown().await;
             };
             let reading = async {
-                let mut bytes = vec![0; READ];
-                while let Ok(n @ 1..) = reader.read(&mut bytes).await {
+                let mut bytes = vec![0; READ_BUFFER_BYTES];
+                while let Ok(length @ 1..) = reader.read(&mut bytes).await {
                     let input = Input::Bytes {
                         connection,
-                        bytes: bytes[..n].to_vec(),
+                        bytes: bytes[..length].to_vec(),
                     };
                     if inputs.send(input).await.is_err() {
                         return;
                     }
                 }
             };
-            // Either end is the connection's.
+            // The connection ends when either direction does.
             tokio::select! {
                 () = writing => {}
                 () = reading => {}
@@ -269,7 +273,7 @@
         connection
     }
 
-    fn feed(&self, event: Event) {
+    fn handle(&self, event: Event) {
         let mut actions = Vec::new();
         self.core.borrow_mut().handle_event(
             Timestamp::from_millis(boot_clock()),
@@ -278,27 +282,28 @@
         );
         for action in actions {
             match action {
-                Action::Connect { peer } => self.dial(peer),
+                Action::Connect { peer } => self.connect(peer),
                 Action::Write { connection, bytes } => {
                     if let Some(writer) = self.writers.borrow().get(&connection) {
-                        // One that has just ended is heard of.
+                        // For a connection that has just ended, `Input::Closed` follows.
                         _ = writer.send(bytes);
                     }
                 }
                 Action::Close { connection, reason } => {
                     if !matches!(reason, CloseReason::Replaced | CloseReason::TimedOut) {
-                        eprintln!("emberpin: link: a connection ended: {reason}");
+                        eprintln!("emberpin: link: connection closed: {reason}");
                     }
                     self.writers.borrow_mut().remove(&connection);
                 }
-                // Of a kind that nobody here uses, a later version has it.
+                // A kind without a subscriber is ignored: a later version of a peer may use it.
                 Action::Deliver {
                     peer, kind, body, ..
                 } => {
-                    if let (Some(member), Some(user)) =
-                        (self.members.get(&peer), self.users.borrow().get(&kind))
-                    {
-                        _ = user.send(News::Told {
+                    if let (Some(member), Some(subscriber)) = (
+                        self.members.get(&peer),
+                        self.subscribers.borrow().get(&kind),
+                    ) {
+                        _ = subscriber.send(LinkEvent::MessageReceived {
                             from: member.number,
                             body,
                         });
@@ -306,7 +311,7 @@
                 }
                 Action::PeerChanged { peer, state } => {
                     if let Some(member) = self.members.get(&peer) {
-                        self.tell_all(&News::Changed {
+                        self.notify_all(&LinkEvent::PeerChanged {
                             member: member.number,
                             state,
                         });
@@ -314,39 +319,43 @@
                 }
                 Action::Superseded { by } => {
                     eprintln!(
-                        "emberpin: link: a later life of this instance is there, number {by}"
+                        "emberpin: link: a later incarnation of this instance exists, number {by}"
                     );
-                    self.tell_all(&News::Superseded);
+                    self.notify_all(&LinkEvent::Superseded);
                 }
-                // Of who is away the news tell.
+                // Subscribers learn from `LinkEvent::PeerChanged` which members are unreachable.
                 Action::SendFailed {
                     error: SendError::NotConnected | SendError::UnknownPeer,
                     ..
                 } => {}
                 Action::SendFailed { peer, error, .. } => {
-                    eprintln!("emberpin: link: not told to {peer}: {error}");
+                    eprintln!("emberpin: link: message to {peer} not sent: {error}");
                 }
             }
         }
     }
 
-    fn tell_all(&self, news: &News) {
-        for user in self.users.borrow().values() {
-            _ = user.send(news.clone());
+    fn notify_all(&self, event: &LinkEvent) {
+        for subscriber in self.subscribers.borrow().values() {
+            _ = subscriber.send(event.clone());
         }
     }
 
-    fn dial(&self, to: String) {
+    fn connect(&self, to: String) {
         let Some(address) = self.members.get(&to).map(|member| member.address) else {
             return;
         };
-        let (inputs, tls, within) = (self.inputs.clone(), self.tls.clone(), self.hello_within);
+        let (inputs, tls, within) = (
+            self.inputs.clone(),
+            self.tls.clone(),
+            self.handshake_time_limit,
+        );
         spawn_local(async move {
             let dialing = async {
                 let stream = TcpStream::connect(address).await.ok()?;
                 _ = stream.set_nodelay(true);
                 match tls {
-                    Some(tls) => tls.dial(&to, stream).await,
+                    Some(tls) => tls.connect(&to, stream).await,
                     None => Some(split(stream)),
                 }
             };
@@ -356,28 +365,32 @@
     }
 
     async fn accept(self: Rc<Self>, listener: TcpListener) {
-        let places = Arc::new(tokio::sync::Semaphore::new(TAKING));
+        let permits = Arc::new(tokio::sync::Semaphore::new(MAX_PENDING_HANDSHAKES));
         loop {
-            let Ok(place) = places.clone().acquire_owned().await else {
+            let Ok(permit) = permits.clone().acquire_owned().await else {
                 return;
             };
             let Ok((stream, _)) = listener.accept().await else {
-                // Out of descriptors, say: those that there are go on.
+                // For example out of descriptors: existing connections go on.
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 continue;
             };
             _ = stream.set_nodelay(true);
-            let (inputs, tls, within) = (self.inputs.clone(), self.tls.clone(), self.hello_within);
+            let (inputs, tls, within) = (
+                self.inputs.clone(),
+                self.tls.clone(),
+                self.handshake_time_limit,
+            );
             spawn_local(async move {
-                let taken = match tls {
-                    Some(tls) => match timeout(within, tls.take(stream)).await {
+                let accepted = match tls {
+                    Some(tls) => match timeout(within, tls.accept(stream)).await {
                         Ok(Some((streams, certified))) => Some((streams, Some(certified))),
                         Ok(None) | Err(_) => None,
                     },
                     None => Some((split(stream), None)),
                 };
-                drop(place);
-                if let Some((streams, certified)) = taken {
+                drop(permit);
+                if let Some((streams, certified)) = accepted {
                     _ = inputs.send(Input::Accepted { streams, certified }).await;
                 }
             });
@@ -396,7 +409,7 @@
     } else {
         TcpSocket::new_v6()
     }?;
-    // A killed life before leaves connections in TIME_WAIT.
+    // A killed predecessor leaves connections in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(128)
--- a/crates/emberpin-limiter/src/between/mod.rs
+++ b/crates/emberpin-limiter/src/between/mod.rs
@@ -1,4 +1,4 @@
-//! What goes on between limiters, and between two processes of one.
+//! Communication between limiters, and between the two processes of one limiter during an upgrade.
 
 pub(crate) mod handover;
 pub(crate) mod link;
--- a/crates/emberpin-limiter/src/between/peers.rs
+++ b/crates/emberpin-limiter/src/between/peers.rs
@@ -1,4 +1,4 @@
-//! Messages between limiters: one UDP socket, and who stands behind which address.
+//! Datagrams between limiters: one UDP socket, and the mapping of addresses to limiters.
 
 use crate::messages::Input;
 use crate::operate::config::Config;
@@ -12,10 +12,10 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// How often a port that another process still holds is tried again.
-const RETRY: Duration = Duration::from_millis(10);
+/// The delay before another attempt to bind a port that another process still holds, or to receive after an error.
+const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The port, which may be given up to another process of this limiter and taken back.
+/// The UDP port for datagrams of other limiters. It may be released to another process of this limiter and bound again.
 pub struct Peers {
     at: SocketAddr,
     socket: RefCell<Option<Rc<UdpSocket>>>,
@@ -26,7 +26,7 @@
 }
 
 impl Peers {
-    /// Nothing is open until it is wanted.
+    /// Opens nothing yet: the port is bound once it is wanted.
     pub fn start(at: SocketAddr, config: &Config, inputs: mpsc::Sender<Input>) -> Rc<Peers> {
         let peers = Rc::new(Peers {
             at,
@@ -40,16 +40,16 @@
         peers
     }
 
-    /// Whether the port is to be held.
-    pub fn want(&self, wanted: bool) {
+    /// Sets whether the port should be bound.
+    pub fn set_wanted(&self, wanted: bool) {
         self.wanted.send_replace(wanted);
     }
 
-    /// Opens the port at once.
+    /// Binds the port at once.
     ///
     /// # Errors
     ///
-    /// When it cannot be had.
+    /// One line that names the address, if it cannot be bound.
     pub fn open_now(&self) -> Result<(), String> {
         let bound = std::net::UdpSocket::bind(self.at).and_then(|socket| {
             socket.set_nonblocking(true)?;
@@ -58,13 +58,13 @@
         let socket = bound.map_err(|e| format!("cannot listen on {}: {e}", self.at))?;
         self.socket.replace(Some(Rc::new(socket)));
         self.open.send_replace(true);
-        self.want(true);
+        self.set_wanted(true);
         Ok(())
     }
 
-    /// Gives the port up; it is free when this returns.
-    pub async fn leave(&self) {
-        self.want(false);
+    /// Closes the port; it is free when this returns.
+    pub async fn close(&self) {
+        self.set_wanted(false);
         _ = self.open.subscribe().wait_for(|open| !open).await;
     }
 
@@ -74,13 +74,13 @@
             if wanted.wait_for(|wanted| *wanted).await.is_err() {
                 return;
             }
-            // Another process may hold it for a moment yet.
+            // Another process may still hold the port for a moment.
             let mut socket = self.socket.borrow().clone();
             if socket.is_none() {
                 socket = UdpSocket::bind(self.at).await.ok().map(Rc::new);
             }
             let Some(socket) = socket else {
-                sleep(RETRY).await;
+                sleep(RETRY_INTERVAL).await;
                 continue;
             };
             self.socket.replace(Some(socket.clone()));
@@ -95,17 +95,17 @@
     }
 
     async fn receive(&self, socket: &UdpSocket, inputs: &mpsc::Sender<Input>) {
-        // One byte over, so that a longer datagram shows as such.
+        // One byte more than allowed, so that a longer datagram is recognised.
         let mut buffer = [0u8; gossip::MAX_BYTES + 1];
         loop {
             let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
-                // Sending to a peer that is down shows here as an error: harmless, but not to be spun on.
-                sleep(RETRY).await;
+                // Sending to a peer that is down causes an error here. It is harmless, but must not cause a busy loop.
+                sleep(RETRY_INTERVAL).await;
                 continue;
             };
             let from = self.addresses.iter().position(|address| *address == sender);
             if let (Some(from), true) = (from, length <= gossip::MAX_BYTES) {
-                // Datagrams may be lost: one that finds the driver's queue full is.
+                // Datagrams may be lost: one that finds the driver's queue full is dropped.
                 let bytes = buffer[..length].to_vec();
                 _ = inputs.try_send(Input::Peer {
                     from: GatewayId(from as u32),
@@ -115,8 +115,9 @@
         }
     }
 
-    /// Sends to one peer, or to all; what the socket does not take at once is lost.
-    pub fn tell(&self, to: Option<GatewayId>, bytes: &[u8]) {
+    /// Sends a datagram to one peer, or to all if `to` is `None`. A datagram that the socket does not accept at once is
+    /// lost.
+    pub fn send(&self, to: Option<GatewayId>, bytes: &[u8]) {
         let address = match to {
             Some(peer) => self.addresses.get(peer.0 as usize).copied(),
             None => self.all,
--- a/crates/emberpin-limiter/src/between/tls.rs
+++ b/crates/emberpin-limiter/src/between/tls.rs
@@ -1,5 +1,5 @@
-//! Mutual TLS between limiters: both sides show a certificate of the operator's own authority that is good for their
-//! name. Version 1.3 only; no cryptography of our own (`rustls` with `ring`).
+//! Mutual TLS between limiters: both sides present a certificate of the operator's own authority that is valid for their
+//! name. TLS 1.3 only; no cryptography of our own (`rustls` with `ring`).
 
 use rcgen::{
     BasicConstraints, CertificateParams, DnType, ExtendedKeyUsagePurpose, IsCa, Issuer, KeyPair,
@@ -22,16 +22,16 @@
 /// The two halves of a connection.
 pub type Streams = (Box<dyn AsyncRead + Unpin>, Box<dyn AsyncWrite + Unpin>);
 
-const AUTHORITY: &str = "authority.pem";
-const AUTHORITY_KEY: &str = "authority.key";
-/// With what all limiters of a site make fingerprints.
-const SECRET: &str = "fingerprint.key";
-/// A certificate that ends sooner is told.
-const SOON: Duration = Duration::from_secs(30 * 86_400);
-/// How long what `link init` makes is good for.
-const DAYS: i64 = 365;
+const AUTHORITY_FILE: &str = "authority.pem";
+const AUTHORITY_KEY_FILE: &str = "authority.key";
+/// Holds the secret with which all limiters of a site compute fingerprints of requests.
+const SECRET_FILE: &str = "fingerprint.key";
+/// A certificate that expires within this time causes a warning.
+const EXPIRY_WARNING: Duration = Duration::from_secs(30 * 86_400);
+/// The validity of the certificates that `link init` creates, in days.
+const VALIDITY_DAYS: i64 = 365;
 
-/// What this instance shows and trusts.
+/// The certificate that this instance presents, and the authorities that it trusts.
 #[derive(Clone)]
 pub struct Tls {
     client: TlsConnector,
@@ -39,25 +39,25 @@
 }
 
 impl Tls {
-    /// Reads an instance's keys from the folder that `emberpin link init` made. `authority.pem` may hold several
-    /// certificates, old and new, while they are changed.
+    /// Reads an instance's keys from the folder that `emberpin link init` created. `authority.pem` may hold several
+    /// certificates, old and new, while they are being replaced.
     ///
     /// # Errors
     ///
-    /// One line that names the file and the way out.
+    /// One line that names the file and the remedy.
     pub fn read(folder: &Path, name: &str) -> Result<Tls, String> {
         let (certificate, key) = (
             folder.join(format!("{name}.pem")),
             folder.join(format!("{name}.key")),
         );
-        let chain = certificates(&certificate)?;
-        warn_of_the_end(&certificate, &chain);
-        owners_alone(&key)?;
+        let chain = read_certificates(&certificate)?;
+        warn_if_expiring(&certificate, &chain);
+        check_only_owner_reads(&key)?;
         let private = PrivateKeyDer::from_pem_file(&key)
             .map_err(|e| format!("{}: no key: {e}", key.display()))?;
-        let authority = folder.join(AUTHORITY);
+        let authority = folder.join(AUTHORITY_FILE);
         let mut roots = RootCertStore::empty();
-        for root in certificates(&authority)? {
+        for root in read_certificates(&authority)? {
             roots
                 .add(root)
                 .map_err(|e| format!("{}: {e}", authority.display()))?;
@@ -85,27 +85,29 @@
         })
     }
 
-    /// Shakes hands with the member that was dialed; `None` if its certificate is not good for its name.
-    pub async fn dial(&self, to: &str, stream: TcpStream) -> Option<Streams> {
+    /// Performs the TLS handshake on a connection to the member `to`; `None` if it fails, for example because the
+    /// member's certificate is not valid for its name.
+    pub async fn connect(&self, to: &str, stream: TcpStream) -> Option<Streams> {
         let name = ServerName::try_from(to.to_string()).ok()?;
         match self.client.connect(name, stream).await {
             Ok(stream) => Some(split(stream)),
             Err(e) => {
-                eprintln!("emberpin: link: {to} is not taken: {e}");
+                eprintln!("emberpin: link: TLS handshake with {to} failed: {e}");
                 None
             }
         }
     }
 
-    /// Shakes hands with whoever opened a connection; with the names that its certificate is good for.
-    pub async fn take(&self, stream: TcpStream) -> Option<(Streams, Vec<String>)> {
+    /// Performs the TLS handshake on an accepted connection. Returns its streams and the DNS names that the peer's
+    /// certificate is valid for; `None` if the handshake fails.
+    pub async fn accept(&self, stream: TcpStream) -> Option<(Streams, Vec<String>)> {
         match self.server.accept(stream).await {
             Ok(stream) => {
-                let certified = names(stream.get_ref().1.peer_certificates());
+                let certified = certified_names(stream.get_ref().1.peer_certificates());
                 Some((split(stream), certified))
             }
             Err(e) => {
-                eprintln!("emberpin: link: a connection is not taken: {e}");
+                eprintln!("emberpin: link: TLS handshake on an accepted connection failed: {e}");
                 None
             }
         }
@@ -117,8 +119,8 @@
     (Box::new(reader), Box::new(writer))
 }
 
-/// The DNS names that a verified certificate is good for.
-fn names(chain: Option<&[CertificateDer<'_>]>) -> Vec<String> {
+/// The DNS names that a verified certificate is valid for.
+fn certified_names(chain: Option<&[CertificateDer<'_>]>) -> Vec<String> {
     let Some((_, certificate)) =
         chain.and_then(|chain| X509Certificate::from_der(chain.first()?).ok())
     else {
@@ -138,20 +140,20 @@
     dns.collect()
 }
 
-fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, String> {
+fn read_certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, String> {
     let shown = path.display();
     let read =
         CertificateDer::pem_file_iter(path).map_err(|e| format!("{shown}: no certificate: {e}"))?;
     let all: Result<Vec<_>, _> = read.collect();
     match all.map_err(|e| format!("{shown}: no certificate: {e}"))? {
         none if none.is_empty() => Err(format!(
-            "{shown}: no certificate stands in it; `emberpin link init` makes one"
+            "{shown}: no certificate in it; `emberpin link init` creates one"
         )),
         some => Ok(some),
     }
 }
 
-fn warn_of_the_end(path: &Path, chain: &[CertificateDer<'_>]) {
+fn warn_if_expiring(path: &Path, chain: &[CertificateDer<'_>]) {
     let Some(Ok((_, certificate))) = chain.first().map(|first| X509Certificate::from_der(first))
     else {
         return;
@@ -159,36 +161,36 @@
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    let ends = u64::try_from(certificate.validity().not_after.timestamp()).unwrap_or(0);
-    let left = Duration::from_secs(ends).saturating_sub(now);
-    if left < SOON {
+    let expiry = u64::try_from(certificate.validity().not_after.timestamp()).unwrap_or(0);
+    let left = Duration::from_secs(expiry).saturating_sub(now);
+    if left < EXPIRY_WARNING {
         eprintln!(
-            "emberpin: link: {} ends in {} days; make another",
+            "emberpin: link: {} expires in {} days; replace it",
             path.display(),
             left.as_secs() / 86_400
         );
     }
 }
 
-fn owners_alone(path: &Path) -> Result<(), String> {
+fn check_only_owner_reads(path: &Path) -> Result<(), String> {
     let shown = path.display();
     let metadata = std::fs::metadata(path).map_err(|e| format!("{shown}: {e}"))?;
     match metadata.permissions().mode() & 0o077 {
         0 => Ok(()),
         _ => Err(format!(
-            "{shown}: others than its owner may read it; chmod 600 it, and make another if they have"
+            "{shown}: others than its owner may read it; chmod 600 it, and replace it if they have read it"
         )),
     }
 }
 
-/// Reads what all limiters of a site make fingerprints with: 64 hexadecimal digits.
+/// Reads the secret with which all limiters of a site compute fingerprints: 64 hexadecimal digits.
 ///
 /// # Errors
 ///
-/// One line that names the file and the way out.
-pub fn secret(folder: &Path) -> Result<[u8; 32], String> {
-    let path = folder.join(SECRET);
-    owners_alone(&path)?;
+/// One line that names the file and the remedy.
+pub fn read_secret(folder: &Path) -> Result<[u8; 32], String> {
+    let path = folder.join(SECRET_FILE);
+    check_only_owner_reads(&path)?;
     let shown = path.display();
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{shown}: {e}"))?;
     let text = text.trim_end();
@@ -203,7 +205,7 @@
             (Some(high), Some(low), 64) => *byte = (high << 4 | low) as u8,
             _ => {
                 return Err(format!(
-                    "{shown}: expected 64 hexadecimal digits; `emberpin link init` makes them"
+                    "{shown}: expected 64 hexadecimal digits; `emberpin link init` creates them"
                 ))
             }
         }
@@ -211,19 +213,20 @@
     Ok(bytes)
 }
 
-/// Makes a private authority, a certificate for each of these instances, and the secret of fingerprints, in a folder that
-/// is not there yet. Each instance needs `authority.pem`, `fingerprint.key` and the two files of its name, and nothing else.
+/// Creates a private authority, a certificate for each of these instances, and the secret for fingerprints, in a folder
+/// that must not exist yet. Each instance needs `authority.pem`, `fingerprint.key` and the two files of its name, and
+/// nothing else.
 ///
 /// # Errors
 ///
-/// One line that names what could not be made.
+/// One line that names what could not be created.
 pub fn init(folder: &Path, members: &[String], secret: [u8; 32]) -> Result<(), String> {
     let shown = folder.display();
     std::fs::DirBuilder::new()
         .mode(0o700)
         .create(folder)
         .map_err(|e| format!("cannot make {shown}: {e}"))?;
-    let made = |e: rcgen::Error| format!("cannot make a certificate: {e}");
+    let certificate_error = |e: rcgen::Error| format!("cannot make a certificate: {e}");
     let save = |name: String, text: &str, mode: u32| {
         let path = folder.join(name);
         let mut options = std::fs::OpenOptions::new();
@@ -231,28 +234,34 @@
         let written = file.and_then(|mut file| file.write_all(text.as_bytes()));
         written.map_err(|e| format!("cannot write {}: {e}", path.display()))
     };
-    let ends = || {
+    let expiry = || {
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_secs();
-        rcgen_time(now as i64 + DAYS * 86_400)
+        rcgen_time(now as i64 + VALIDITY_DAYS * 86_400)
     };
-    let authority_key = KeyPair::generate().map_err(made)?;
-    let mut authority = CertificateParams::new(Vec::new()).map_err(made)?;
+    let authority_key = KeyPair::generate().map_err(certificate_error)?;
+    let mut authority = CertificateParams::new(Vec::new()).map_err(certificate_error)?;
     authority
         .distinguished_name
         .push(DnType::CommonName, "emberpin link");
     authority.is_ca = IsCa::Ca(BasicConstraints::Constrained(0));
     authority.key_usages = vec![KeyUsagePurpose::KeyCertSign];
-    authority.not_after = ends();
-    let certificate = authority.self_signed(&authority_key).map_err(made)?;
-    save(AUTHORITY.into(), &certificate.pem(), 0o644)?;
-    save(AUTHORITY_KEY.into(), &authority_key.serialize_pem(), 0o600)?;
+    authority.not_after = expiry();
+    let certificate = authority
+        .self_signed(&authority_key)
+        .map_err(certificate_error)?;
+    save(AUTHORITY_FILE.into(), &certificate.pem(), 0o644)?;
+    save(
+        AUTHORITY_KEY_FILE.into(),
+        &authority_key.serialize_pem(),
+        0o600,
+    )?;
     let issuer = Issuer::new(authority, authority_key);
     for name in members {
-        let key = KeyPair::generate().map_err(made)?;
-        let mut params = CertificateParams::new(vec![name.clone()]).map_err(made)?;
+        let key = KeyPair::generate().map_err(certificate_error)?;
+        let mut params = CertificateParams::new(vec![name.clone()]).map_err(certificate_error)?;
         params
             .distinguished_name
             .push(DnType::CommonName, name.as_str());
@@ -260,15 +269,16 @@
             ExtendedKeyUsagePurpose::ServerAuth,
             ExtendedKeyUsagePurpose::ClientAuth,
         ];
-        params.not_after = ends();
-        let certificate = params.signed_by(&key, &issuer).map_err(made)?;
+        params.not_after = expiry();
+        let certificate = params.signed_by(&key, &issuer).map_err(certificate_error)?;
         save(format!("{name}.pem"), &certificate.pem(), 0o644)?;
         save(format!("{name}.key"), &key.serialize_pem(), 0o600)?;
     }
     let digits: String = secret.iter().map(|byte| format!("{byte:02x}")).collect();
-    save(SECRET.into(), &(digits + "\n"), 0o600)
+    save(SECRET_FILE.into(), &(digits + "\n"), 0o600)
 }
 
-fn rcgen_time(unix: i64) -> time::OffsetDateTime {
-    time::OffsetDateTime::from_unix_timestamp(unix).unwrap_or(time::OffsetDateTime::UNIX_EPOCH)
+fn rcgen_time(unix_seconds: i64) -> time::OffsetDateTime {
+    time::OffsetDateTime::from_unix_timestamp(unix_seconds)
+        .unwrap_or(time::OffsetDateTime::UNIX_EPOCH)
 }
--- a/crates/emberpin-limiter/src/front/clients.rs
+++ b/crates/emberpin-limiter/src/front/clients.rs
@@ -11,7 +11,7 @@
 };
 use crate::operate::config::Config;
 use crate::operate::figures::{Active, Ending, Figures};
-use crate::stages::idempotency::{Idempotency, Keyed};
+use crate::stages::idempotency::{Idempotency, KeyedRequest};
 use crate::stages::takeover::{Runner, Terms};
 use bytes::Bytes;
 use emberpin_balancer::RequestId;
@@ -290,7 +290,7 @@
             }
         };
         if let (Some(stage), Some(key)) = (stage, admission::idempotency_key(&outgoing.headers)) {
-            let keyed = Keyed {
+            let keyed = KeyedRequest {
                 outgoing: &outgoing,
                 gate,
                 terms,
@@ -455,8 +455,8 @@
                 set_size: terms.set_size,
                 set_first: terms.set_first,
                 ran: Some(work.ran),
-                time_limit: work.patience,
-                expires: Instant::now() + work.patience,
+                time_limit: work.time_limit,
+                expires: Instant::now() + work.time_limit,
                 outgoing: Rc::new(work.outgoing),
                 reply_to,
             };
--- a/crates/emberpin-limiter/src/limiter.rs
+++ b/crates/emberpin-limiter/src/limiter.rs
@@ -28,7 +28,7 @@
 use crate::upstream::list_calls::ListCalls;
 use crate::upstream::list_snapshot::ListSnapshot;
 use crate::upstream::list_trust::ListTrust;
-use crate::upstream::peer_lists::{spoken_to, PeerLists};
+use crate::upstream::peer_lists::{link_members, PeerLists};
 use crate::upstream::server::Pool;
 use crate::upstream::wire::PlatformWire;
 use emberpin_upgrade::process::Process;
@@ -94,8 +94,8 @@
     };
     // Every step that may fail is done, so the previous process, if there is one, can hand over its state now.
     let mut process = Process::default();
-    let handover_path = inherited.then(handover::meeting_point).flatten();
-    let (handed_over, older) = handover::take(&mut process, handover_path.as_deref())
+    let handover_path = inherited.then(handover::handover_socket_path).flatten();
+    let (handed_over, older) = handover::request_state(&mut process, handover_path.as_deref())
         .await?
         .unzip();
     let clock = handed_over
@@ -204,7 +204,7 @@
 fn start_link(config: &Config) -> Result<Option<Rc<Link>>, String> {
     match &config.link {
         Some((settings, number)) if config.idempotency.is_some() || config.shares_lists() => {
-            let link_peers = spoken_to(config, *number);
+            let link_peers = link_members(config, *number);
             Link::start(settings, *number, config, &link_peers).map(Some)
         }
         _ => Ok(None),
@@ -305,7 +305,7 @@
                 );
                 discovery.move_to(config.discovery);
                 if let Some(list_trust) = &list_trust {
-                    list_trust.believe();
+                    list_trust.override_doubt();
                 }
                 figures.config_applied.inc();
             }
--- a/crates/emberpin-limiter/src/messages.rs
+++ b/crates/emberpin-limiter/src/messages.rs
@@ -1,8 +1,8 @@
-//! The messages between the limiter's parts: requests, answers, ends of attempts, and inputs of the driver. They lie
-//! beneath all parts, so that none depends on another for its types.
+//! The messages between the limiter's parts: requests, answers, ends of attempts, and inputs of the driver. All parts
+//! depend on this module, so that none depends on another for its types.
 
 use crate::front::stream::{StreamedResponse, Upload};
-use crate::upstream::endpoint_list::Listing;
+use crate::upstream::endpoint_list::EndpointList;
 use bytes::Bytes;
 use emberpin_balancer::{
     ClassId, CustomerId, GatewayId, LoadReport, Location, Millis, Outcome, PlanId, PriorAttempt,
@@ -19,13 +19,14 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Longer bodies are streamed; shorter ones are buffered.
+/// Bodies of up to this many bytes are buffered; longer ones are streamed.
 pub const MAX_BODY: usize = 64 * 1024;
 
-/// Decides before each attempt whether it may be sent, where a request outlives the limiter that received it.
+/// Decides before each attempt of a request whether it may be sent. Used where another limiter may take the request over.
 pub trait Gate {
-    /// Whether an attempt may go to a server of this zone and cell; answered within the time that the attempt has.
-    fn opens<'a>(
+    /// Whether the attempt of this number may go to a server of this zone and cell. Decided within `within`, the time that
+    /// the attempt has.
+    fn allows<'a>(
         &'a self,
         attempt: u32,
         to: Location,
@@ -36,22 +37,22 @@
 /// A client's request as it is forwarded to servers.
 #[derive(Clone)]
 pub struct UpstreamRequest {
-    /// As the client wrote it.
+    /// As the client sent it.
     pub method: Method,
-    /// As the client wrote it.
+    /// As the client sent it.
     pub uri: Uri,
-    /// Without those that concern the client's connection.
+    /// Without those that concern only the client's connection.
     pub headers: HeaderMap,
-    /// What it carries.
+    /// The body, complete or still being uploaded.
     pub body: RequestBody,
     /// A response that is too long to buffer may be streamed; otherwise it counts as an error.
     pub may_stream: bool,
-    /// It is sent on no connection that has been idle for longer: the server may just have closed that one, and the
+    /// The request is sent on no connection that has been idle for longer: the server may just have closed it, and the
     /// request would count as one that may have run. `None` for no bound.
     pub max_idle_time: Option<Duration>,
-    /// Asked before each attempt; `None` where the request does not outlive its limiter.
+    /// Asked before each attempt; `None` where no other limiter can take the request over.
     pub gate: Option<Rc<dyn Gate>>,
-    /// The sender has withdrawn it: an attempt of which nothing is written yet ends as not sent.
+    /// Set once the sender has withdrawn the request: an attempt of which nothing is written yet ends as not sent.
     pub withdrawn: Cell<bool>,
 }
 
@@ -65,7 +66,7 @@
 }
 
 impl UpstreamRequest {
-    /// Whether another attempt could send everything that earlier ones sent.
+    /// Whether another attempt could send the whole body again.
     pub fn is_replayable(&self) -> bool {
         match &self.body {
             RequestBody::Buffered(_) => true,
@@ -76,7 +77,7 @@
 
 /// The one final answer to a client, complete or as a stream.
 pub enum Reply {
-    /// All of it.
+    /// A complete answer.
     Answer(Answer),
     /// The head of a server's response, and the stream that brings its body.
     Streamed(StreamedResponse),
@@ -95,7 +96,7 @@
     /// The head of a good response of which only the content type is forwarded.
     pub fn of_type(content_type: Option<HeaderValue>) -> ResponseHead {
         let headers = content_type
-            .map(|kind| (CONTENT_TYPE, kind))
+            .map(|value| (CONTENT_TYPE, value))
             .into_iter()
             .collect();
         ResponseHead {
@@ -108,16 +109,16 @@
 /// A server's response, received completely.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerResponse {
-    /// Its head, as the client receives it.
+    /// The head, as the client receives it.
     pub head: ResponseHead,
-    /// All of its body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 /// How an attempt or a health check ended. Unless the response is streamed, its connection is closed or back in the pool
 /// by then.
 pub struct AttemptEnd {
-    /// The result as the decision module counts it.
+    /// The outcome as the decision module classifies it.
     pub outcome: Outcome,
     /// From the start of the attempt, or the last byte of an upload, to the end, in milliseconds.
     pub elapsed: Millis,
@@ -129,9 +130,9 @@
     pub response: Option<Reply>,
     /// A response that is not good but that the client may receive, if no other attempt brings a better one.
     pub error_response: Option<Reply>,
-    /// Another server answered than the one that was meant.
+    /// Another server answered than the one that the attempt was addressed to.
     pub misdirected: bool,
-    /// The server's machine gave no sign of life, or accepted no connection.
+    /// The server's machine did not acknowledge anything, or accepted no connection.
     pub unreachable: bool,
     /// At least one byte of the request was sent.
     pub sent: bool,
@@ -171,7 +172,7 @@
     pub set_size: u32,
     /// The first of those limiters.
     pub set_first: GatewayId,
-    /// Where it may have run, if it was taken over from another limiter.
+    /// The attempt that another limiter may have sent, if this request was taken over from it.
     pub ran: Option<PriorAttempt>,
     /// How long the decision module may take, counted from the last byte of the request.
     pub time_limit: Duration,
@@ -189,16 +190,17 @@
 pub enum Answer {
     /// A server's response.
     Served(ServerResponse),
-    /// It has not run; the client may retry.
+    /// Rejected before it ran on any server; the client may retry.
     Refused {
-        /// After this many milliseconds; 0 for no advice.
+        /// The delay before a retry, in milliseconds; 0 for no advice.
         retry_after: Millis,
     },
-    /// It may have run; nothing is known of its effect.
+    /// The request may have run; its effect is unknown.
     Failed,
 }
 
-/// An answer as logs and peers store it. Their bytes are recorded in tests: variants and fields keep their order.
+/// The encoding of an answer in logs and in messages to peers. Tests compare recorded bytes: variants and fields must
+/// keep their order.
 #[derive(Clone, Serialize, Deserialize)]
 enum StoredAnswer {
     Served {
@@ -242,7 +244,7 @@
     }
 }
 
-/// An event for the owner of an engine.
+/// An event for the owner of an engine: the driver, or the proxy's controller.
 pub enum Input {
     /// A client's request passed admission.
     Request(AdmittedRequest),
@@ -250,7 +252,7 @@
     ClientGone(RequestId),
     /// An attempt ended.
     AttemptEnded {
-        /// The request that it was an attempt of.
+        /// The request that the attempt belongs to.
         request: RequestId,
         /// The attempt's number within the request, from 0.
         attempt: u32,
@@ -259,9 +261,9 @@
         /// Its result.
         ended: AttemptEnd,
     },
-    /// An attempt has used up the time that the decision module gave it, and goes on.
+    /// An attempt has exceeded the time that the decision module gave it, and continues.
     Overdue {
-        /// The request that it is an attempt of.
+        /// The request that the attempt belongs to.
         request: RequestId,
         /// The attempt's number within the request, from 0.
         attempt: u32,
@@ -273,8 +275,8 @@
         /// Its result.
         ended: AttemptEnd,
     },
-    /// A list of servers, or changes to it.
-    Listing(Listing),
+    /// An endpoint list, or changes to it.
+    Listing(EndpointList),
     /// A message from another limiter.
     Peer {
         /// The limiter that sent it.
--- a/crates/emberpin-limiter/src/operate/config.rs
+++ b/crates/emberpin-limiter/src/operate/config.rs
@@ -5,7 +5,7 @@
 use crate::operate::operator_api;
 use crate::operate::start::Start;
 use crate::operate::takeover::Takeover;
-use crate::upstream::endpoint_list::Listing;
+use crate::upstream::endpoint_list::EndpointList;
 use crate::upstream::server::PoolLimits;
 use emberpin_balancer::host_config::{HostConfig, IndexNames};
 use emberpin_balancer::Settings;
@@ -44,7 +44,7 @@
     /// The address of the operators' HTTP interface.
     pub(crate) ops: Option<SocketAddr>,
     /// The endpoint list that the platform's file states.
-    pub(crate) known: Listing,
+    pub(crate) known: EndpointList,
     pub(crate) settings: Settings,
     pub(crate) names: IndexNames,
     /// Maximum number of connections with clients.
@@ -87,7 +87,7 @@
     peers_all: Option<SocketAddr>,
     ops: Option<SocketAddr>,
     #[serde(default)]
-    known: Listing,
+    known: EndpointList,
     settings: HostConfig,
 }
 
--- a/crates/emberpin-limiter/src/stages/idempotency.rs
+++ b/crates/emberpin-limiter/src/stages/idempotency.rs
@@ -1,8 +1,8 @@
-//! The host of the idempotency stage: between admission and the driver, for requests that carry a key. It keeps
-//! who waits, lets first requests on, and words what the others are told. What is told to whom is decided in
-//! `emberpin_idempotency`.
+//! The idempotency stage, between admission and the driver, for requests that carry an idempotency key. It keeps the
+//! clients that wait for a reply, forwards the first request of each key, and turns the replies to the others into
+//! responses. Which request gets which reply is decided in `emberpin_idempotency`.
 
-use crate::between::link::{Link, News, KEYS};
+use crate::between::link::{Link, LinkEvent, KEY_MESSAGES};
 use crate::between::tls;
 use crate::front::answers::{plain, written};
 use crate::front::stream::Content;
@@ -10,8 +10,8 @@
 use crate::operate::config::Config;
 use crate::operate::crash_points;
 use crate::operate::operator::{self, Keys, Repeats};
-use crate::stages::key_log::{boot_clock, random, Memory, Recalled};
-use crate::stages::takeover::{Keys as TakenKeys, Takeover, Terms, WorkGate};
+use crate::stages::key_log::{boot_clock, random, KeyLog, RecoveredState};
+use crate::stages::takeover::{Keys as TakeoverKeys, Takeover, Terms, WorkGate};
 use bytes::Bytes;
 use emberpin_failover::WorkId;
 use emberpin_idempotency::claims::{
@@ -36,88 +36,94 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, timeout, timeout_at, Instant};
 
-/// Marks an answer that was made for an earlier request of the same key.
+/// Marks a response as the replay of the answer to an earlier request of the same key.
 const REPLAYED: HeaderName = HeaderName::from_static("idempotency-replayed");
-/// What is counted for an entry's answer beside its body.
-const HEAD: usize = 128;
+/// Bytes that are counted for a stored answer in addition to its body.
+const HEAD_WEIGHT: usize = 128;
 const _: () = assert!(
-    MAX_BODY + HEAD < 1 << 20,
+    MAX_BODY + HEAD_WEIGHT < 1 << 20,
     "an answer fits the smallest share that can be set"
 );
 
 impl Weight for Answer {
     fn weight(&self) -> usize {
         match self {
-            Answer::Served(served) => served.body.len() + HEAD,
-            Answer::Refused { .. } | Answer::Failed => HEAD,
+            Answer::Served(served) => served.body.len() + HEAD_WEIGHT,
+            Answer::Refused { .. } | Answer::Failed => HEAD_WEIGHT,
         }
     }
 }
 
-/// Entries that are written anew at a time, and the pause between: a sweep of a million takes some seconds, of which the
-/// stage's thread gives less than a tenth.
+/// Number of entries that one step of a sweep rewrites, and the pause between steps: a sweep of a million entries takes
+/// some seconds, of which the stage's thread spends less than a tenth.
 const SWEEP_STEP: usize = 256;
 const SWEEP_PAUSE: Duration = Duration::from_millis(2);
-/// How often the log's size is looked at.
-const SIZE_LOOK: Duration = Duration::from_millis(250);
-/// The ticket of what is no request's.
+/// How often the log's size is checked.
+const SIZE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// The ticket of log records that belong to no request.
 const NO_TICKET: u64 = u64::MAX;
-/// How often time is let pass where others hold keys too.
-const TICK: Duration = Duration::from_millis(20);
-/// Outcomes that are kept for a limiter that is away.
-const OWED: usize = 4096;
-/// When to come back where too few are there, in milliseconds: about as long as one takes to be heard of again.
-const AWAY_RETRY: f64 = 500.0;
+/// How often the deduplicator receives a tick where keys are replicated to other limiters.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of outcomes that are queued for an unreachable limiter.
+const MAX_QUEUED_OUTCOMES: usize = 4096;
+/// The retry advice where no majority of limiters is reachable, in milliseconds: about the time after which a limiter
+/// that was unreachable is observed again.
+const NO_MAJORITY_RETRY_MS: f64 = 500.0;
 
-type First = Pin<Box<dyn Future<Output = Answer>>>;
+type FirstRequest = Pin<Box<dyn Future<Output = Answer>>>;
 
-/// The stage.
+/// The stage: the deduplicator, and the requests and clients that it decides about.
 pub struct Idempotency {
-    keeper: RefCell<Deduplicator<Answer>>,
-    /// Whoever is to be told something.
-    waiting: RefCell<HashMap<Ticket, oneshot::Sender<Reply<Answer>>>>,
-    /// Requests that may go on yet.
-    unsent: RefCell<HashMap<Ticket, First>>,
-    /// The gates of requests that are open here.
+    deduplicator: RefCell<Deduplicator<Answer>>,
+    /// The clients that wait for a reply.
+    waiting_clients: RefCell<HashMap<Ticket, oneshot::Sender<Reply<Answer>>>>,
+    /// Requests that are not forwarded yet.
+    unsent: RefCell<HashMap<Ticket, FirstRequest>>,
+    /// The gates of requests in flight.
     gates: RefCell<HashMap<Ticket, Rc<WorkGate>>>,
     takeover: Option<Rc<Takeover>>,
-    memory: Option<Memory>,
+    key_log: Option<KeyLog>,
     link: Option<Rc<Link>>,
-    /// The life of each member that was heard of last.
-    lives: RefCell<HashMap<u32, Incarnation>>,
+    /// The latest known incarnation of each member.
+    incarnations: RefCell<HashMap<u32, Incarnation>>,
     next_tick: Cell<Instant>,
     secret: Secret,
-    /// Its bytes, to be written anew with all that is still wanted.
+    /// The bytes of `secret`, which each sweep of the log rewrites.
     secret_bytes: [u8; 32],
+    /// Until then, keys that may have been used before the start are rejected; in milliseconds of [`boot_clock`].
     quiet_until: f64,
-    form: Form,
-    next: Cell<u64>,
-    me: u32,
-    group: u32,
+    key_form: Form,
+    next_ticket: Cell<u64>,
+    /// The number of this limiter, and how many there are.
+    number: u32,
+    group_size: u32,
 }
 
-/// A keyed request, as the stage sees it.
-pub struct Keyed<'a> {
+/// A request with an idempotency key.
+pub struct KeyedRequest<'a> {
     pub outgoing: &'a UpstreamRequest,
+    /// The gate of its attempts, where other limiters may take it over.
     pub gate: Option<Rc<WorkGate>>,
     pub terms: Terms,
     pub body: &'a Bytes,
+    /// The value of its key's header.
     pub key: &'a str,
+    /// When its client must have a reply.
     pub expires: Instant,
 }
 
-/// A request that is owed an answer by the stage: when its client goes away, the stage is told.
-struct Owed<'a> {
+/// A client that waits for a reply. Dropping it before the reply was sent reports that the client has left.
+struct PendingClient<'a> {
     stage: &'a Idempotency,
     ticket: Ticket,
 }
 
-impl Drop for Owed<'_> {
+impl Drop for PendingClient<'_> {
     fn drop(&mut self) {
-        // Nobody is there any more, or it was told: of the latter the table knows.
+        // If the client is still registered, no reply was sent. Otherwise the deduplicator knows of the reply.
         if self
             .stage
-            .waiting
+            .waiting_clients
             .borrow_mut()
             .remove(&self.ticket)
             .is_some()
@@ -130,38 +136,39 @@
 }
 
 impl Idempotency {
-    /// The stage, as the operator has it. What its keyed hash is made with comes from the system's random source and
-    /// lives as long as the table: with the log, or with the process.
+    /// Starts the stage with the operator's settings. The secret of its keyed hash comes from the system's random source
+    /// and lasts as long as the table: as long as the log, or as the process. Where keys are replicated, all limiters read
+    /// the same secret from a file. `superseded` receives a message once a later incarnation of this instance runs.
     ///
     /// # Errors
     ///
-    /// One line: the log cannot be opened, or the system has no random bytes.
+    /// One line: the log cannot be opened, the secret cannot be read, or the system has no random bytes.
     pub fn start(
         settings: &operator::Idempotency,
         config: &Config,
         link: Option<Rc<Link>>,
         superseded: mpsc::UnboundedSender<()>,
     ) -> Result<Rc<Idempotency>, String> {
-        let millis = |time: Duration| time.as_secs_f64() * 1000.0;
-        let (notes, noted) = mpsc::unbounded_channel();
+        let to_millis = |time: Duration| time.as_secs_f64() * 1000.0;
+        let (log_events, received_log_events) = mpsc::unbounded_channel();
         let opened = match &config.log {
-            Some((log, folder)) => Some(Memory::open(
+            Some((log, folder)) => Some(KeyLog::open(
                 config,
                 log,
                 folder,
-                millis(settings.retention),
-                notes,
+                to_millis(settings.retention),
+                log_events,
             )?),
             None => None,
         };
         let now = boot_clock();
-        let (memory, recalled) = match opened {
-            Some((memory, recalled)) => (Some(memory), recalled),
+        let (key_log, recovered) = match opened {
+            Some((key_log, recovered)) => (Some(key_log), recovered),
             None => {
-                let quiet_until = now + millis(settings.quiet());
+                let quiet_until = now + to_millis(settings.quiet());
                 (
                     None,
-                    Recalled {
+                    RecoveredState {
                         secret: random()?,
                         records: Vec::new(),
                         quiet_until,
@@ -175,15 +182,15 @@
             waiters_per_key: settings.waiters_per_key,
             waiters_per_customer: settings.waiters_per_customer,
             customer_share: settings.customer_share,
-            retention: millis(settings.retention),
-            quiet: (recalled.quiet_until - now).max(0.0),
+            retention: to_millis(settings.retention),
+            quiet: (recovered.quiet_until - now).max(0.0),
             wait: settings.repeats == Repeats::Wait,
-            recorded: memory.is_some(),
+            recorded: key_log.is_some(),
         };
-        let (mut keeper, secret) = match &config.link {
+        let (mut deduplicator, secret) = match &config.link {
             None => (
                 Deduplicator::Single(Box::new(Table::new(limits, now))),
-                recalled.secret,
+                recovered.secret,
             ),
             Some((link, number)) => {
                 let rules = ClaimConfig {
@@ -194,28 +201,28 @@
                         .map(|member| Member(member.number))
                         .collect(),
                     copies: link.copies.min(link.members.len()),
-                    ask_within: millis(link.ask_within),
-                    slack: millis(link.dead_after),
+                    ask_within: to_millis(link.ask_within),
+                    slack: to_millis(link.dead_after),
                     waiters_per_key: settings.waiters_per_key,
-                    max_queued_outcomes: OWED,
+                    max_queued_outcomes: MAX_QUEUED_OUTCOMES,
                     takeover_enabled: config.takeover.is_some(),
                     first_claim: match config.takeover {
                         Some(_) => u64::from_le_bytes(random()?) >> 1,
                         None => 0,
                     },
                 };
-                // All must see the same request as the same, so they share what fingerprints are made with.
-                let secret = tls::secret(Path::new(&link.keys))?;
+                // All limiters must compute the same fingerprint for the same request, so they share the secret.
+                let secret = tls::read_secret(Path::new(&link.keys))?;
                 (
                     Deduplicator::Replicated(Box::new(Claims::new(rules, limits, now))),
                     secret,
                 )
             }
         };
-        for (record, same_clock) in recalled.records {
-            keeper.table_mut().restore(record, same_clock);
+        for (record, same_clock) in recovered.records {
+            deduplicator.table_mut().restore(record, same_clock);
         }
-        keeper.table_mut().finish_restore();
+        deduplicator.table_mut().finish_restore();
         let takeover = match (&config.takeover, &link, &config.link) {
             (Some(settings), Some(link), Some((_, number))) => {
                 Some(Takeover::start(settings, config, link, *number))
@@ -223,59 +230,65 @@
             _ => None,
         };
         let stage = Rc::new(Idempotency {
-            keeper: RefCell::new(keeper),
-            waiting: RefCell::default(),
+            deduplicator: RefCell::new(deduplicator),
+            waiting_clients: RefCell::default(),
             unsent: RefCell::default(),
             gates: RefCell::default(),
             takeover,
-            memory,
+            key_log,
             link,
-            lives: RefCell::default(),
+            incarnations: RefCell::default(),
             next_tick: Cell::new(Instant::now()),
             secret: Secret::new(secret),
             secret_bytes: secret,
-            quiet_until: recalled.quiet_until,
-            form: match settings.keys {
+            quiet_until: recovered.quiet_until,
+            key_form: match settings.keys {
                 Keys::Quoted => Form::Quoted,
                 Keys::QuotedOrBare => Form::QuotedOrBare,
             },
-            next: Cell::new(0),
-            me: config.settings.gateway_id.0,
-            group: config.settings.group_size,
+            next_ticket: Cell::new(0),
+            number: config.settings.gateway_id.0,
+            group_size: config.settings.group_size,
         });
         if let Some(takeover) = &stage.takeover {
-            let keys: Weak<dyn TakenKeys> = Rc::<Idempotency>::downgrade(&stage);
-            takeover.serve(keys);
+            let keys: Weak<dyn TakeoverKeys> = Rc::<Idempotency>::downgrade(&stage);
+            takeover.set_keys(keys);
         }
-        if let Some(memory) = &stage.memory {
-            spawn_local(keep(Rc::downgrade(&stage), noted, memory.first_segment()));
+        if let Some(key_log) = &stage.key_log {
+            spawn_local(maintain_log(
+                Rc::downgrade(&stage),
+                received_log_events,
+                key_log.first_segment(),
+            ));
         }
         if let Some(link) = &stage.link {
-            spawn_local(listen(
+            spawn_local(receive_link_events(
                 Rc::downgrade(&stage),
-                link.subscribe(KEYS),
+                link.subscribe(KEY_MESSAGES),
                 superseded,
             ));
         }
         Ok(stage)
     }
 
-    /// One keyed request, from its arrival to its answer. `first` asks the driver, if this is the first of its key:
-    /// it goes on to its end whether or not this client stays.
-    pub async fn serve<F>(self: &Rc<Self>, request: Keyed<'_>, first: F) -> Response<Content>
+    /// Serves one keyed request from its arrival to its response. `first` passes it to the driver, if it is the first of
+    /// its key; `first` then runs to its end whether or not the client stays.
+    pub async fn serve<F>(self: &Rc<Self>, request: KeyedRequest<'_>, first: F) -> Response<Content>
     where
         F: Future<Output = Answer> + 'static,
     {
         let (outgoing, terms, gate) = (request.outgoing, request.terms, request.gate);
         let customer = Customer(terms.customer.0);
-        // Owned by one limiter of its set, so that two that cannot ask each other do not both let it on; nothing was sent.
+        // Without a link, each customer's keys belong to one limiter of the customer's set: limiters that cannot ask each
+        // other must not both forward a request. Nothing was sent.
         if self.link.is_none()
-            && owner(customer, terms.set_first.0, terms.set_size, self.group) != Some(self.me)
+            && owner(customer, terms.set_first.0, terms.set_size, self.group_size)
+                != Some(self.number)
         {
-            let what = "another limiter keeps this customer's keys; nothing was sent";
-            return problem(StatusCode::MISDIRECTED_REQUEST, what, None);
+            let detail = "another limiter keeps this customer's keys; nothing was sent";
+            return problem(StatusCode::MISDIRECTED_REQUEST, detail, None);
         }
-        let key = match Key::parse(request.key, self.form) {
+        let key = match Key::parse(request.key, self.key_form) {
             Ok(key) => key,
             Err(why) => {
                 return problem(
@@ -292,12 +305,12 @@
         let method = outgoing.method.as_str();
         let fingerprint = Fingerprint::of(&self.secret, method, path, terms.class.0, request.body);
         if let (Some(takeover), Some(gate)) = (&self.takeover, &gate) {
-            takeover.carry(gate, outgoing, &terms, key.clone(), fingerprint);
+            takeover.set_payload(gate, outgoing, &terms, key.clone(), fingerprint);
         }
-        let ticket = Ticket(self.next.replace(self.next.get() + 1));
-        let (tell, told) = oneshot::channel();
-        self.waiting.borrow_mut().insert(ticket, tell);
-        let owed = Owed {
+        let ticket = Ticket(self.next_ticket.replace(self.next_ticket.get() + 1));
+        let (reply_to, reply) = oneshot::channel();
+        self.waiting_clients.borrow_mut().insert(ticket, reply_to);
+        let pending_client = PendingClient {
             stage: self,
             ticket,
         };
@@ -306,7 +319,7 @@
             crash_points::reach("send");
             let answer = first.await;
             crash_points::reach("answer");
-            stage.conclude(ticket, answer.clone());
+            stage.on_first_answered(ticket, answer.clone());
             answer
         };
         if let Some(gate) = &gate {
@@ -325,31 +338,31 @@
             fingerprint,
             within,
         });
-        let telling = timeout_at(request.expires, told).await;
-        drop(owed);
-        if let (Some(gate), Ok(Ok(Reply::Standard(Telling::Own(_))))) = (&gate, &telling) {
-            _ = timeout_at(request.expires, gate.closed()).await;
+        let reply = timeout_at(request.expires, reply).await;
+        drop(pending_client);
+        if let (Some(gate), Ok(Ok(Reply::Standard(Telling::Own(_))))) = (&gate, &reply) {
+            _ = timeout_at(request.expires, gate.completion_known()).await;
         }
         crash_points::reach("reply");
-        match telling {
-            Ok(Ok(telling)) => worded(telling),
-            // Its patience is over, and only its: the first goes on.
+        match reply {
+            Ok(Ok(reply)) => response_to(reply),
+            // Only this client's time is over: the first request continues.
             Ok(Err(_)) | Err(_) => {
-                let what = "the first request of this key is still out";
-                problem(StatusCode::GATEWAY_TIMEOUT, what, None)
+                let detail = "the first request of this key is still out";
+                problem(StatusCode::GATEWAY_TIMEOUT, detail, None)
             }
         }
     }
 
-    /// What came of a first request.
-    fn conclude(&self, ticket: Ticket, answer: Answer) {
+    /// Reports the answer to a first request to the deduplicator and to the limiters that could take it over.
+    fn on_first_answered(&self, ticket: Ticket, answer: Answer) {
         let gate = self.gates.borrow_mut().remove(&ticket);
         let work = gate.zip(self.takeover.as_ref());
-        // Where another goes on with it, what was not sent here may have been sent there.
-        let fenced = |(gate, takeover): &(Rc<WorkGate>, &Rc<Takeover>)| {
+        // Where another limiter has taken the request over, a request that was not sent here may have been sent there.
+        let is_fenced = |(gate, takeover): &(Rc<WorkGate>, &Rc<Takeover>)| {
             gate.work().is_some_and(|id| takeover.is_fenced(&id))
         };
-        let overtaken = work.as_ref().is_some_and(fenced);
+        let overtaken = work.as_ref().is_some_and(is_fenced);
         let answer = match answer {
             Answer::Refused { .. } if overtaken => Answer::Failed,
             answer => answer,
@@ -361,21 +374,21 @@
             Answer::Failed => Event::Failed { ticket, answer },
         });
         if let Some((gate, takeover)) = work {
-            takeover.concluded(&gate, served);
+            takeover.request_completed(&gate, served);
         }
         crash_points::reach("store");
     }
 
-    /// Feeds the keeper and carries out what it says.
+    /// Passes an event to the deduplicator and carries out its actions.
     fn handle(&self, event: Event<Answer>) {
         let mut actions = Vec::new();
-        self.keeper
+        self.deduplicator
             .borrow_mut()
             .handle(boot_clock(), event, &mut actions);
         for action in actions {
             match action {
                 Action::Forward(ticket) => {
-                    self.begin(ticket);
+                    self.register_work(ticket);
                     if let Some(first) = self.unsent.borrow_mut().remove(&ticket) {
                         spawn_local(first);
                     }
@@ -386,60 +399,64 @@
                     self.unsent.borrow_mut().remove(&ticket);
                 }
                 Action::Record(record, ticket) => {
-                    let Some(memory) = &self.memory else { continue };
-                    let taken = memory.key(record, ticket.map(|ticket| RecordTicket(ticket.0)));
+                    let Some(key_log) = &self.key_log else {
+                        continue;
+                    };
+                    let taken =
+                        key_log.append_key(record, ticket.map(|ticket| RecordTicket(ticket.0)));
                     crash_points::reach("claim");
-                    // An outcome that is not taken leaves the key as what may have run, in the next life.
+                    // If the outcome is not written, the key counts as one that may have run after the next start.
                     if let Some(ticket) = ticket.filter(|_| !taken) {
                         self.handle(Event::Unwritten { ticket });
                     }
                 }
-                Action::Reply(ticket, told) => {
+                Action::Reply(ticket, reply) => {
                     self.gates.borrow_mut().remove(&ticket);
                     self.unsent.borrow_mut().remove(&ticket);
-                    if let Some(waiting) = self.waiting.borrow_mut().remove(&ticket) {
-                        // One that has just gone away does not hear it.
-                        _ = waiting.send(told);
+                    if let Some(waiting_clients) = self.waiting_clients.borrow_mut().remove(&ticket)
+                    {
+                        // Fails if the client has just left.
+                        _ = waiting_clients.send(reply);
                     }
                 }
-                Action::Send(member, said) => {
-                    self.note_grant(member, &said);
-                    if let (Some(link), Ok(body)) = (&self.link, postcard::to_allocvec(&said)) {
-                        link.tell(member.0, KEYS, body);
+                Action::Send(member, message) => {
+                    self.record_grant(member, &message);
+                    if let (Some(link), Ok(body)) = (&self.link, postcard::to_allocvec(&message)) {
+                        link.send(member.0, KEY_MESSAGES, body);
                     }
                 }
             }
         }
     }
 
-    /// How work in hand is taken over, if it is.
+    /// The takeover of requests between limiters, if it is enabled.
     pub fn takeover(&self) -> Option<&Rc<Takeover>> {
         self.takeover.as_ref()
     }
 
-    /// A first request goes on: its attempts are to be asked for under its claim.
-    fn begin(&self, ticket: Ticket) {
+    /// A first request is forwarded: registers it under its claim, so that its attempts can be permitted.
+    fn register_work(&self, ticket: Ticket) {
         let (Some(takeover), Some(gate)) =
             (&self.takeover, self.gates.borrow().get(&ticket).cloned())
         else {
             return;
         };
-        let claimed = self.keeper.borrow().claims().and_then(|claims| {
+        let claimed = self.deduplicator.borrow().claims().and_then(|claims| {
             claims
                 .claim_of(ticket)
                 .map(|(claim, customer)| (claim, claims.holders(customer)))
         });
-        if let Some((claim, keepers)) = claimed {
-            takeover.begun(&gate, claim, keepers);
+        if let Some((claim, acceptors)) = claimed {
+            takeover.work_started(&gate, claim, acceptors);
         }
     }
 
-    /// What this limiter grants it may have to take over.
-    fn note_grant(&self, to: Member, said: &Message<Answer>) {
-        let (Some(takeover), Message::Granted(claim)) = (&self.takeover, said) else {
+    /// Records a claim that this limiter grants, as it may have to take the request over.
+    fn record_grant(&self, to: Member, message: &Message<Answer>) {
+        let (Some(takeover), Message::Granted(claim)) = (&self.takeover, message) else {
             return;
         };
-        let holders = self.keeper.borrow().claims().and_then(|claims| {
+        let holders = self.deduplicator.borrow().claims().and_then(|claims| {
             claims
                 .customer_of((to, *claim))
                 .map(|customer| claims.holders(customer))
@@ -449,24 +466,24 @@
         }
     }
 
-    /// Whether what a member says of its own claim still counts.
-    fn counts(&self, from: Member, said: &Message<Answer>) -> bool {
+    /// Whether a member's message about its own claim still applies.
+    fn applies(&self, from: Member, message: &Message<Answer>) -> bool {
         let Some(takeover) = &self.takeover else {
             return true;
         };
-        match said {
+        match message {
             Message::Released(claim) | Message::Lost(claim) => {
-                takeover.settled(from, *claim, false)
+                takeover.claim_settled(from, *claim, false)
             }
-            Message::Served { claim, .. } => takeover.settled(from, *claim, true),
+            Message::Served { claim, .. } => takeover.claim_settled(from, *claim, true),
             _ => true,
         }
     }
 
-    fn hear(&self, news: News) {
-        match news {
-            News::Told { from, body } => match postcard::from_bytes(&body) {
-                Ok(message) if self.counts(Member(from), &message) => {
+    fn on_link_event(&self, event: LinkEvent) {
+        match event {
+            LinkEvent::MessageReceived { from, body } => match postcard::from_bytes(&body) {
+                Ok(message) if self.applies(Member(from), &message) => {
                     self.handle(Event::Received {
                         from: Member(from),
                         message,
@@ -474,69 +491,73 @@
                 }
                 Ok(_) => {}
                 Err(e) => {
-                    eprintln!("emberpin: link: member {from} said what is not understood: {e}");
+                    eprintln!("emberpin: link: message of member {from} cannot be decoded: {e}");
                 }
             },
-            News::Changed { member, state } => {
-                let of = Member(member);
-                // Heard here, so that it stands in order with what that life says of its claims.
+            LinkEvent::PeerChanged { member, state } => {
+                let peer = Member(member);
+                // Passed on from here, so that it stays in order with that incarnation's messages about its claims.
                 if let Some(takeover) = &self.takeover {
-                    takeover.changed(member, &state);
+                    takeover.on_peer_changed(member, &state);
                 }
-                if let Some(life) = state.incarnation {
-                    let before = self.lives.borrow_mut().insert(member, life);
-                    if before.is_some_and(|before| before != life) {
-                        self.handle(Event::NewIncarnation { member: of });
+                if let Some(incarnation) = state.incarnation {
+                    let before = self.incarnations.borrow_mut().insert(member, incarnation);
+                    if before.is_some_and(|before| before != incarnation) {
+                        self.handle(Event::NewIncarnation { member: peer });
                     }
                 }
                 self.handle(Event::Reachable {
-                    member: of,
+                    member: peer,
                     reachable: state.reachable,
                 });
             }
-            News::Superseded => {}
+            LinkEvent::Superseded => {}
         }
     }
 
-    /// Lets time pass, if some has since the last time.
+    /// Passes a tick to the deduplicator, if one is due.
     fn tick(&self) {
         let now = Instant::now();
         if now >= self.next_tick.get() {
-            self.next_tick.set(now + TICK);
+            self.next_tick.set(now + TICK_INTERVAL);
             self.handle(Event::Tick);
         }
     }
 
-    fn noted(&self, note: LogEvent) {
-        let of = |ticket: &RecordTicket| Ticket(ticket.0);
-        match note {
+    fn on_log_event(&self, event: LogEvent) {
+        let ticket_of = |ticket: &RecordTicket| Ticket(ticket.0);
+        match event {
             LogEvent::Durable(tickets) => tickets.iter().for_each(|ticket| {
-                self.handle(Event::Written { ticket: of(ticket) });
+                self.handle(Event::Written {
+                    ticket: ticket_of(ticket),
+                });
             }),
             LogEvent::Failed(tickets, problem) => {
                 eprintln!(
-                    "emberpin: log: {} keyed requests not let on: {problem}",
+                    "emberpin: log: {} keyed requests not forwarded: {problem}",
                     tickets.len()
                 );
                 tickets.iter().for_each(|ticket| {
-                    self.handle(Event::Unwritten { ticket: of(ticket) });
+                    self.handle(Event::Unwritten {
+                        ticket: ticket_of(ticket),
+                    });
                 });
             }
-            // The sweep that asked for it hears of it.
+            // Handled by the compaction that requested it.
             LogEvent::Rotated(_) => {}
         }
     }
 }
 
-impl TakenKeys for Idempotency {
-    fn ended(&self, claim_id: ClaimId, may_have_run: bool) {
+impl TakeoverKeys for Idempotency {
+    fn claim_ended(&self, claim_id: ClaimId, may_have_run: bool) {
         self.handle(Event::ClaimEnded {
             claim_id,
             may_have_run,
         });
     }
 
-    fn taken_over(
+    fn work_taken_over(
         &self,
         id: WorkId,
         customer: Customer,
@@ -555,26 +576,26 @@
                     fingerprint,
                     answer,
                 });
-                takeover.done(id);
+                takeover.takeover_completed(id);
             }
-            // It may have run before it came here.
-            Answer::Refused { .. } | Answer::Failed => takeover.failed(id),
+            // It may have run before it was taken over.
+            Answer::Refused { .. } | Answer::Failed => takeover.takeover_failed(id),
         }
     }
 }
 
-/// Carries out what other limiters tell, and lets time pass. Ends with the stage.
-async fn listen(
+/// Handles the link's events, and ticks. Ends when the stage is dropped.
+async fn receive_link_events(
     stage: Weak<Idempotency>,
-    mut heard: mpsc::UnboundedReceiver<News>,
+    mut events: mpsc::UnboundedReceiver<LinkEvent>,
     superseded: mpsc::UnboundedSender<()>,
 ) {
     loop {
-        let news = timeout(TICK, heard.recv()).await;
+        let event = timeout(TICK_INTERVAL, events.recv()).await;
         let Some(stage) = stage.upgrade() else { return };
-        match news {
-            Ok(Some(News::Superseded)) => _ = superseded.send(()),
-            Ok(Some(news)) => stage.hear(news),
+        match event {
+            Ok(Some(LinkEvent::Superseded)) => _ = superseded.send(()),
+            Ok(Some(event)) => stage.on_link_event(event),
             Ok(None) => return,
             Err(_) => {}
         }
@@ -582,118 +603,126 @@
     }
 }
 
-/// How far the log's host is with writing all that is still wanted anew.
-struct Renewal {
-    /// The next entries to be written, while a sweep is on.
+/// The progress of the log's compaction: a sweep rewrites all live entries to a new segment, after which the older
+/// segments are removed.
+struct Compaction {
+    /// Where the sweep continues; `None` if none is under way.
     sweep: Option<SweepCursor>,
-    /// The segment that the sweep writes to; all before it go with its end.
+    /// The segment that the sweep writes to; all earlier ones are removed when it ends.
     segment: u64,
-    /// Bytes that the log held after the last sweep.
-    then: u64,
-    /// Another segment was asked for.
+    /// Size of the log after the last sweep, in bytes.
+    size_after_sweep: u64,
+    /// A new segment was requested and is not there yet.
     rotating: bool,
 }
 
-impl Renewal {
-    fn noted(&mut self, note: &LogEvent) {
-        let LogEvent::Rotated(result) = note else {
+impl Compaction {
+    fn on_log_event(&mut self, event: &LogEvent) {
+        let LogEvent::Rotated(result) = event else {
             return;
         };
         self.rotating = false;
         match result {
             Ok(segment) => (self.sweep, self.segment) = (Some(SweepCursor::default()), *segment),
-            // Looked at again after a while; nothing is lost by a log that is too long.
-            Err(problem) => eprintln!("emberpin: log: cannot be turned over: {problem}"),
+            // Retried at the next check of the size; nothing is lost by a log that is too long.
+            Err(problem) => eprintln!("emberpin: log: cannot begin a new segment: {problem}"),
         }
     }
 
-    /// Does one step, and says when the next is due.
-    fn step(&mut self, stage: &Idempotency, memory: &Memory) -> Duration {
-        match self.sweep.map(|from| stage.sweep(memory, from)) {
-            // What is not taken now, as too much waits, is tried again soon.
+    /// Does one step, and returns the time until the next.
+    fn step(&mut self, stage: &Idempotency, key_log: &KeyLog) -> Duration {
+        match self.sweep.map(|from| stage.sweep(key_log, from)) {
+            // The log's queue is full: the same entries are tried again at the next step.
             Some(None) => {}
             Some(Some(Some(next))) => self.sweep = Some(next),
             Some(Some(None)) => {
-                if memory.retire(self.segment) {
-                    (self.sweep, self.then) = (None, memory.bytes());
+                if key_log.retire(self.segment) {
+                    (self.sweep, self.size_after_sweep) = (None, key_log.bytes());
                 }
             }
             None => {
-                if !self.rotating && memory.wants_rotation(self.then) {
-                    self.rotating = memory.rotate();
+                if !self.rotating && key_log.wants_rotation(self.size_after_sweep) {
+                    self.rotating = key_log.rotate();
                 }
             }
         }
         if self.sweep.is_some() {
             SWEEP_PAUSE
         } else {
-            SIZE_LOOK
+            SIZE_CHECK_INTERVAL
         }
     }
 }
 
-/// Carries out what the log tells, and writes all that is still wanted anew whenever it has grown enough, and once
-/// at the start. Ends with the stage.
-async fn keep(
+/// Handles the log's events, and compacts the log at the start and whenever it has grown enough. Ends when the stage is
+/// dropped.
+async fn maintain_log(
     stage: Weak<Idempotency>,
-    mut noted: mpsc::UnboundedReceiver<LogEvent>,
+    mut received_log_events: mpsc::UnboundedReceiver<LogEvent>,
     first_segment: u64,
 ) {
-    let mut renewal = Renewal {
+    let mut compaction = Compaction {
         sweep: Some(SweepCursor::default()),
         segment: first_segment,
-        then: 0,
+        size_after_sweep: 0,
         rotating: false,
     };
-    // A point in time: a pause begun anew at each note would never end under load.
+    // A point in time: a pause that starts over at each event would never end under load.
     let mut due = Instant::now();
     loop {
-        let note = tokio::select! {
-            note = noted.recv() => Some(note),
+        let event = tokio::select! {
+            event = received_log_events.recv() => Some(event),
             () = sleep_until(due) => None,
         };
         let Some(stage) = stage.upgrade() else { return };
-        match note {
-            Some(Some(note)) => {
-                renewal.noted(&note);
-                stage.noted(note);
+        match event {
+            Some(Some(event)) => {
+                compaction.on_log_event(&event);
+                stage.on_log_event(event);
             }
             Some(None) => return,
             None => {
-                let Some(memory) = &stage.memory else { return };
-                due = Instant::now() + renewal.step(&stage, memory);
+                let Some(key_log) = &stage.key_log else {
+                    return;
+                };
+                due = Instant::now() + compaction.step(&stage, key_log);
             }
         }
     }
 }
 
 impl Idempotency {
-    /// Writes some entries anew; `None` if they were not taken.
-    fn sweep(&self, memory: &Memory, from: SweepCursor) -> Option<Option<SweepCursor>> {
+    /// Rewrites the next entries of a sweep. Returns where the sweep continues, or `Some(None)` at its end; `None` if the
+    /// log did not accept the entries.
+    fn sweep(&self, key_log: &KeyLog, from: SweepCursor) -> Option<Option<SweepCursor>> {
         if from == SweepCursor::default() {
             let quiet = self.quiet_until > boot_clock();
-            if !memory.secret(self.secret_bytes, Some(RecordTicket(NO_TICKET)))
-                || quiet && !memory.quiet(self.quiet_until)
+            if !key_log.append_secret(self.secret_bytes, Some(RecordTicket(NO_TICKET)))
+                || quiet && !key_log.append_quiet(self.quiet_until)
             {
                 return None;
             }
         }
-        let (records, next) = self.keeper.borrow().table().sweep(from, SWEEP_STEP);
+        let (records, next) = self.deduplicator.borrow().table().sweep(from, SWEEP_STEP);
         records
             .into_iter()
-            .all(|record| memory.key(record, None))
+            .all(|record| key_log.append_key(record, None))
             .then_some(next)
     }
 }
 
-/// What a request is told, as its answer. 429 and 503 say that trying again does no harm, so they are given only
-/// to what was never sent.
-fn worded(told: Reply<Answer>) -> Response<Content> {
-    let telling = match told {
+/// The response for a deduplicator's reply. 429 and 503 promise that a retry does no harm, so they are used only for
+/// requests that were never sent.
+fn response_to(reply: Reply<Answer>) -> Response<Content> {
+    let telling = match reply {
         Reply::Standard(telling) => telling,
         Reply::NoMajority => {
-            let what = "too few of the limiters that hold this customer's keys are there; nothing was sent";
-            return problem(StatusCode::SERVICE_UNAVAILABLE, what, Some(AWAY_RETRY));
+            let detail = "too few of the limiters that hold this customer's keys are there; nothing was sent";
+            return problem(
+                StatusCode::SERVICE_UNAVAILABLE,
+                detail,
+                Some(NO_MAJORITY_RETRY_MS),
+            );
         }
     };
     match telling {
@@ -706,8 +735,8 @@
             response
         }
         Telling::Mismatch => {
-            let what = "this Idempotency-Key stands for another request";
-            problem(StatusCode::UNPROCESSABLE_ENTITY, what, None)
+            let detail = "this Idempotency-Key stands for another request";
+            problem(StatusCode::UNPROCESSABLE_ENTITY, detail, None)
         }
         Telling::InFlight => problem(
             StatusCode::CONFLICT,
@@ -715,38 +744,40 @@
             None,
         ),
         Telling::Unknown => {
-            let what =
+            let detail =
                 "the first request of this Idempotency-Key may have run; it is not sent again";
-            problem(StatusCode::CONFLICT, what, None)
+            problem(StatusCode::CONFLICT, detail, None)
         }
         Telling::NotKept => {
-            let what =
+            let detail =
                 "the first request of this Idempotency-Key was served; its answer is not kept any more";
-            problem(StatusCode::CONFLICT, what, None)
+            problem(StatusCode::CONFLICT, detail, None)
         }
         Telling::Full { retry_after } => {
-            let what = "no place for another Idempotency-Key; nothing was sent";
-            problem(StatusCode::SERVICE_UNAVAILABLE, what, Some(retry_after))
+            let detail = "no place for another Idempotency-Key; nothing was sent";
+            problem(StatusCode::SERVICE_UNAVAILABLE, detail, Some(retry_after))
         }
         Telling::NotWritten => {
-            let what = "this Idempotency-Key cannot be written down now; nothing was sent";
-            problem(StatusCode::SERVICE_UNAVAILABLE, what, None)
+            let detail = "this Idempotency-Key cannot be written down now; nothing was sent";
+            problem(StatusCode::SERVICE_UNAVAILABLE, detail, None)
         }
         Telling::Quiet => {
-            let what = "just started: whether this Idempotency-Key ran before is not known; it is not sent";
-            problem(StatusCode::CONFLICT, what, None)
+            let detail = "just started: whether this Idempotency-Key ran before is not known; it is not sent";
+            problem(StatusCode::CONFLICT, detail, None)
         }
     }
 }
 
-/// A problem document (RFC 9457), with when to come back where that is known.
+/// A problem document (RFC 9457), with the delay before a retry in milliseconds where it is known.
 fn problem(status: StatusCode, detail: &str, retry_after: Option<f64>) -> Response<Content> {
     let title = status.canonical_reason().unwrap_or("Problem");
     let body = serde_json::json!({"type": "about:blank", "title": title, "status": status.as_u16(), "detail": detail});
     let mut response = plain(status);
     *response.body_mut() = Content::Buffered(Some(body.to_string().into()));
-    let kind = HeaderValue::from_static("application/problem+json");
-    response.headers_mut().insert(header::CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static("application/problem+json");
+    response
+        .headers_mut()
+        .insert(header::CONTENT_TYPE, content_type);
     let seconds = retry_after.map(|millis| format!("{:.3}", millis / 1000.0));
     if let Some(value) = seconds.and_then(|seconds| HeaderValue::try_from(seconds).ok()) {
         response.headers_mut().insert(header::RETRY_AFTER, value);
--- a/crates/emberpin-limiter/src/stages/key_log.rs
+++ b/crates/emberpin-limiter/src/stages/key_log.rs
@@ -1,5 +1,5 @@
-//! What the idempotency stage keeps on disk: the log's host. It words records as bytes, reads them again at a start,
-//! and writes all that is still wanted anew before old segments go.
+//! The idempotency stage's log on disk: encodes its records, reads them back at a start, and removes old segments once
+//! the live entries have been rewritten.
 
 use crate::messages::Answer;
 use crate::operate::config::Config;
@@ -7,7 +7,7 @@
 use crate::operate::{crash_points, faulty_disk};
 use emberpin_idempotency::{Millis, Record};
 use emberpin_wal::{
-    boot_id, Files, Identity, Log, LogEvent, OpenError, Record as Written, Recovery, Service,
+    boot_id, Files, Identity, Log, LogEvent, OpenError, Record as LogRecord, Recovery, Service,
     Ticket,
 };
 use nix::time::{clock_gettime, ClockId};
@@ -15,35 +15,37 @@
 use std::path::Path;
 use tokio::sync::mpsc;
 
-/// What stands in a record of the log.
+/// The content of one record of the log. Encoded by position: the order of variants and fields must not change.
 #[derive(Serialize, Deserialize)]
 enum Entry {
-    /// With what fingerprints are made; the last one holds.
+    /// The secret with which fingerprints are computed; the last one in the log is valid.
     Secret([u8; 32]),
-    /// Until then keyed work is told that it may have run.
+    /// Until this time, keyed requests are answered that they may have run.
     Quiet(Millis),
-    /// What is known of a key.
+    /// The state of a key.
     Key(Record<Answer>),
 }
 
-/// What an earlier life left.
-pub struct Recalled {
+/// The state that earlier incarnations left in the log.
+pub struct RecoveredState {
+    /// The secret with which fingerprints are computed.
     pub secret: [u8; 32],
-    /// Each with whether its times can be compared with this life's.
+    /// The records of keys, each with whether its times come from the same boot and so can be compared with the present
+    /// clock.
     pub records: Vec<(Record<Answer>, bool)>,
-    /// Nothing is let on before.
+    /// No request of an unknown key is forwarded before this time, in milliseconds of [`boot_clock`].
     pub quiet_until: Millis,
 }
 
-/// A log that is open.
-pub struct Memory {
+/// An open log.
+pub struct KeyLog {
     service: Service,
-    spare: u64,
+    spare_bytes: u64,
     first_segment: u64,
 }
 
-/// Milliseconds since the machine's boot: the same for all lives in one boot, whatever the wall clock does
-/// (`clock_gettime(2)`, `CLOCK_BOOTTIME`).
+/// Milliseconds since the machine's boot: continuous over all incarnations within one boot, and independent of the wall
+/// clock /// (`clock_gettime(2)`, `CLOCK_BOOTTIME`).
 pub fn boot_clock() -> Millis {
     let now = clock_gettime(ClockId::CLOCK_BOOTTIME)
         .map(|now| (now.tv_sec() as f64, now.tv_nsec() as f64));
@@ -54,14 +56,14 @@
 ///
 /// # Errors
 ///
-/// One line; nothing secret can be made without it.
+/// One line; without random bytes no secret can be created.
 pub fn random<const N: usize>() -> Result<[u8; N], String> {
     let mut bytes = [0; N];
     getrandom::fill(&mut bytes).map_err(|e| format!("no random bytes from the system: {e}"))?;
     Ok(bytes)
 }
 
-/// Begins the log of an instance that never had one.
+/// Creates the log of an instance that never had one, and returns a line that says so.
 ///
 /// # Errors
 ///
@@ -73,8 +75,8 @@
         .ok_or("no operator file has a table [log]; give it by --with")?;
     let shown = folder.display();
     let identity = identity(config)?;
-    let begun = Log::begin(take(folder)?, &identity);
-    begun.map_err(|problem| format!("log {shown}: {problem}"))?;
+    let created = Log::begin(lock_files(folder)?, &identity);
+    created.map_err(|problem| format!("log {shown}: {problem}"))?;
     Ok(format!("begun the log of '{}' in {shown}", config.name))
 }
 
@@ -86,7 +88,7 @@
     })
 }
 
-fn take(folder: &Path) -> Result<Files, String> {
+fn lock_files(folder: &Path) -> Result<Files, String> {
     Files::take(folder).map_err(|e| match e.kind() {
         std::io::ErrorKind::WouldBlock => {
             format!("log {}: another process has it open", folder.display())
@@ -95,39 +97,39 @@
     })
 }
 
-impl Memory {
-    /// Opens the log that the configuration names, and reads what earlier lives left. `retention` is how long nothing
-    /// may be let on where something of theirs is lost.
+impl KeyLog {
+    /// Opens the log in `folder`, and reads the state that earlier incarnations left. `retention` is how long requests of
+    /// unknown keys are not forwarded where a part of that state is lost.
     ///
     /// # Errors
     ///
-    /// One line that names the folder and the way out.
+    /// One line that names the folder and the remedy.
     pub fn open(
         config: &Config,
         settings: &Settings,
         folder: &Path,
         retention: Millis,
-        notes: mpsc::UnboundedSender<LogEvent>,
-    ) -> Result<(Memory, Recalled), String> {
+        log_events: mpsc::UnboundedSender<LogEvent>,
+    ) -> Result<(KeyLog, RecoveredState), String> {
         let shown = folder.display().to_string();
-        let mut recalled = Recalled {
+        let mut recovered = RecoveredState {
             secret: random()?,
             records: Vec::new(),
             quiet_until: 0.0,
         };
-        let (mut quiet, mut foreign) = (None, 0u64);
-        let visit = |Written {
+        let (mut quiet, mut unknown) = (None, 0u64);
+        let visit = |LogRecord {
                          payload, same_boot, ..
-                     }: Written<'_>| match postcard::from_bytes(payload) {
-            Ok(Entry::Secret(bytes)) => recalled.secret = bytes,
+                     }: LogRecord<'_>| match postcard::from_bytes(payload) {
+            Ok(Entry::Secret(bytes)) => recovered.secret = bytes,
             Ok(Entry::Quiet(until)) => quiet = Some(if same_boot { until } else { f64::INFINITY }),
-            Ok(Entry::Key(record)) => recalled.records.push((record, same_boot)),
-            Err(_) => foreign += 1,
+            Ok(Entry::Key(record)) => recovered.records.push((record, same_boot)),
+            Err(_) => unknown += 1,
         };
-        let began = boot_clock();
+        let started_at = boot_clock();
         let identity = identity(config)?;
         let opened = Log::open(
-            crash_points::CrashPointStorage(faulty_disk::with_faults(take(folder)?)),
+            crash_points::CrashPointStorage(faulty_disk::with_faults(lock_files(folder)?)),
             &identity,
             visit,
         );
@@ -140,68 +142,71 @@
             lost,
         } = recovery;
         let now = boot_clock();
-        let whole = now + retention;
-        // Quiet as long as an earlier start said, within a whole retention; a loss without its word is a new one.
-        recalled.quiet_until = match (&lost, quiet) {
-            (None, None) if foreign == 0 => 0.0,
-            (Some(emberpin_wal::DataLoss::EarlierLoss) | None, Some(until)) if foreign == 0 => {
-                until.min(whole)
+        let full_retention_end = now + retention;
+        // A loss that an earlier start recorded with its end applies until then, for one retention period at most. A loss
+        // without such a record is new, and applies for a whole retention period.
+        recovered.quiet_until = match (&lost, quiet) {
+            (None, None) if unknown == 0 => 0.0,
+            (Some(emberpin_wal::DataLoss::EarlierLoss) | None, Some(until)) if unknown == 0 => {
+                until.min(full_retention_end)
             }
-            _ => whole,
+            _ => full_retention_end,
         };
         eprintln!(
-            "emberpin: log {shown}: {records} records, {bytes} bytes read in {:.0} ms; {torn} bytes unfinished",
-            now - began
+            "emberpin: log {shown}: {records} records, {bytes} bytes read in {:.0} ms; {torn} bytes of an unfinished record",
+            now - started_at
         );
-        if foreign > 0 {
-            eprintln!("emberpin: log {shown}: {foreign} records that this program does not know");
+        if unknown > 0 {
+            eprintln!("emberpin: log {shown}: {unknown} records of an unknown type ignored");
         }
         if let Some(lost) = lost {
             eprintln!("emberpin: log {shown}: LOST: {lost}");
         }
-        // Down before any key's record: a next start must make the same fingerprints, and be quiet for what is left.
-        let mut first = vec![Entry::Secret(recalled.secret)];
-        if recalled.quiet_until > now {
-            let seconds = (recalled.quiet_until - now) / 1000.0;
+        // Written before any key's record: the next start must compute the same fingerprints, and keep rejecting unknown
+        // keys for the rest of the time.
+        let mut first = vec![Entry::Secret(recovered.secret)];
+        if recovered.quiet_until > now {
+            let seconds = (recovered.quiet_until - now) / 1000.0;
             eprintln!(
-                "emberpin: log {shown}: keyed work is told for {seconds:.1} s that it may have run"
+                "emberpin: log {shown}: for {seconds:.1} s, keyed requests are answered that they may have run"
             );
-            first.push(Entry::Quiet(recalled.quiet_until));
+            first.push(Entry::Quiet(recovered.quiet_until));
         }
         let first: Vec<Vec<u8>> = first.iter().filter_map(encode).collect();
         log.write(&first, true)
             .map_err(|problem| format!("log {shown}: {problem}"))?;
         let first_segment = log.segment();
-        // The receiver goes with the stage.
-        let service = Service::start(log, move |note| _ = notes.send(note));
+        // Sending fails only once the stage, which has the receiver, is dropped.
+        let service = Service::start(log, move |event| _ = log_events.send(event));
         let service = service.map_err(|e| format!("log {shown}: no thread: {e}"))?;
         Ok((
-            Memory {
+            KeyLog {
                 service,
-                spare: settings.spare_bytes as u64,
+                spare_bytes: settings.spare_bytes as u64,
                 first_segment,
             },
-            recalled,
+            recovered,
         ))
     }
 
-    /// The segment that this life began with.
+    /// The first segment that this incarnation writes to.
     pub fn first_segment(&self) -> u64 {
         self.first_segment
     }
 
-    /// Appends a key's record; false if it cannot be taken now.
-    pub fn key(&self, record: Record<Answer>, ticket: Option<Ticket>) -> bool {
+    /// Appends a key's record. Returns false if the log does not accept it now. `ticket` identifies the record in the log's
+    /// events.
+    pub fn append_key(&self, record: Record<Answer>, ticket: Option<Ticket>) -> bool {
         self.append(&Entry::Key(record), ticket)
     }
 
-    /// Appends what fingerprints are made with.
-    pub fn secret(&self, bytes: [u8; 32], ticket: Option<Ticket>) -> bool {
+    /// Appends the secret with which fingerprints are computed.
+    pub fn append_secret(&self, bytes: [u8; 32], ticket: Option<Ticket>) -> bool {
         self.append(&Entry::Secret(bytes), ticket)
     }
 
-    /// Appends until when nothing is let on.
-    pub fn quiet(&self, until: Millis) -> bool {
+    /// Appends the time until which no request of an unknown key is forwarded.
+    pub fn append_quiet(&self, until: Millis) -> bool {
         self.append(&Entry::Quiet(until), None)
     }
 
@@ -209,28 +214,29 @@
         encode(entry).is_some_and(|bytes| self.service.append(bytes, ticket).is_ok())
     }
 
-    /// Whether the log has grown enough to be written anew, after it held so much then.
-    pub fn wants_rotation(&self, then: u64) -> bool {
-        self.service.bytes() > 2 * then + self.spare
+    /// Whether the log has grown enough to be compacted. `size_after_sweep` is its size after the last compaction, in bytes.
+    pub fn wants_rotation(&self, size_after_sweep: u64) -> bool {
+        self.service.bytes() > 2 * size_after_sweep + self.spare_bytes
     }
 
-    /// Bytes on the disk.
+    /// The size of the log on disk, in bytes.
     pub fn bytes(&self) -> u64 {
         self.service.bytes()
     }
 
-    /// Turns to a new segment, soon.
+    /// Requests a new segment, which [`LogEvent::Rotated`] reports. Returns false if the log does not accept the request
+    /// now.
     pub fn rotate(&self) -> bool {
         self.service.rotate().is_ok()
     }
 
-    /// Lets go of the segments before this one, soon.
+    /// Requests the removal of all segments before this one. Returns false if the log does not accept the request now.
     pub fn retire(&self, before: u64) -> bool {
         self.service.retire(before).is_ok()
     }
 }
 
-/// An entry's bytes; entries of these types always encode.
+/// An entry's bytes; entries of these types can always be encoded.
 fn encode(entry: &Entry) -> Option<Vec<u8>> {
     postcard::to_allocvec(entry).ok()
 }
--- a/crates/emberpin-limiter/src/stages/mod.rs
+++ b/crates/emberpin-limiter/src/stages/mod.rs
@@ -1,4 +1,5 @@
-//! What may hold a request or answer it between the door and the decisions; each off unless set.
+//! The optional stages between admission and the decision module, which may delay a request or answer it themselves. Each
+//! is off unless the operator enables it.
 
 pub(crate) mod idempotency;
 pub(crate) mod key_log;
--- a/crates/emberpin-limiter/src/stages/takeover.rs
+++ b/crates/emberpin-limiter/src/stages/takeover.rs
@@ -1,7 +1,8 @@
-//! The host of takeovers: asks those that keep a request's work before each of its attempts, tells them what came of it,
-//! and goes on with the work of a limiter that is gone. Who may is decided in `emberpin_failover`.
+//! Takeover of requests between limiters: asks the acceptors of a request for permission before each of its attempts,
+//! reports its completion to them, and continues the requests of a limiter that has failed. Which limiter may continue
+//! a request is decided in `emberpin_failover`.
 
-use crate::between::link::{Link, News, WORK};
+use crate::between::link::{Link, LinkEvent, WORK_MESSAGES};
 use crate::messages::{Answer, Gate, RequestBody, UpstreamRequest};
 use crate::operate::config::Config;
 use crate::operate::crash_points;
@@ -29,16 +30,17 @@
 use tokio::task::spawn_local;
 use tokio::time::{timeout, Instant};
 
-/// How often time is let pass.
-const TICK: Duration = Duration::from_millis(20);
+/// How often the failover core receives a tick.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Whose keys work is taken over under.
+/// The stage that owns the keys of requests that are taken over.
 pub trait Keys {
-    /// Nobody goes on with what a claim was granted for.
-    fn ended(&self, claim_id: ClaimId, may_have_run: bool);
+    /// The request that this claim was granted for will not be continued by any limiter. `may_have_run` says whether a
+    /// server may have run it.
+    fn claim_ended(&self, claim_id: ClaimId, may_have_run: bool);
 
-    /// What came of another's work that was gone on with here.
-    fn taken_over(
+    /// Another limiter's request was continued here and ended with this answer.
+    fn work_taken_over(
         &self,
         id: WorkId,
         customer: Customer,
@@ -48,33 +50,40 @@
     );
 }
 
-/// The gate of one keyed request: shut until its key is granted, and open while nobody else goes on with its work.
+/// The gate of one keyed request. It allows no attempt until the key is granted, nor after another limiter has taken the
+/// request over.
 pub struct WorkGate {
     host: Weak<Takeover>,
-    /// Which work, from the grant on.
+    /// The id of the request's work; set once the key is granted.
     id: OnceCell<WorkId>,
-    /// What another limiter would need.
+    /// The encoded request, with which another limiter could continue it.
     payload: OnceCell<Vec<u8>>,
-    window: Option<f64>,
+    /// How long servers deduplicate repeats of it, in milliseconds; `None` if they do not.
+    deduplication_window_ms: Option<f64>,
     expires: Instant,
-    /// Its outcome is not known to a majority yet.
+    /// It has completed, and a majority does not know that yet.
     closing: Cell<bool>,
     closed: Notify,
 }
 
 impl Gate for WorkGate {
-    fn opens<'a>(
+    fn allows<'a>(
         &'a self,
         attempt: u32,
         to: Location,
         within: Duration,
     ) -> Pin<Box<dyn Future<Output = bool> + 'a>> {
-        Box::pin(self.ask(attempt, to, within))
+        Box::pin(self.request_permission(attempt, to, within))
     }
 }
 
 impl WorkGate {
-    async fn ask(&self, attempt: u32, Location { zone, cell }: Location, within: Duration) -> bool {
+    async fn request_permission(
+        &self,
+        attempt: u32,
+        Location { zone, cell }: Location,
+        within: Duration,
+    ) -> bool {
         let (Some(host), Some(id), Some(payload)) = (
             self.host.upgrade(),
             self.id.get().copied(),
@@ -89,15 +98,17 @@
             * 1000.0;
         let work = Work {
             payload: payload.clone(),
-            deduplication_window_ms: self.window,
+            deduplication_window_ms: self.deduplication_window_ms,
             time_left_ms: left,
         };
         let group = ServerGroup {
             zone: u32::try_from(zone).unwrap_or(u32::MAX),
             cell,
         };
-        let (tell, told) = oneshot::channel();
-        host.asked.borrow_mut().insert((id, attempt), tell);
+        let (reply_to, reply) = oneshot::channel();
+        host.pending_attempts
+            .borrow_mut()
+            .insert((id, attempt), reply_to);
         crash_points::reach("going");
         host.handle(Event::AttemptRequested {
             work_id: id,
@@ -105,28 +116,30 @@
             group,
             work,
         });
-        let opens = matches!(timeout(within, told).await, Ok(Ok(true)));
-        host.asked.borrow_mut().remove(&(id, attempt));
-        crash_points::reach(if opens { "gone" } else { "withheld" });
-        opens
+        let allowed = matches!(timeout(within, reply).await, Ok(Ok(true)));
+        host.pending_attempts.borrow_mut().remove(&(id, attempt));
+        crash_points::reach(if allowed { "gone" } else { "withheld" });
+        allowed
     }
 
-    /// Returns once a majority knows of the outcome, or may not any more: no other goes on with what its client was told.
-    pub async fn closed(&self) {
+    /// Returns once a majority knows that the request has completed, or the failover core no longer waits for one. Its
+    /// client is answered after that, so that no other limiter continues a request whose client has its answer.
+    pub async fn completion_known(&self) {
         while self.closing.get() {
             self.closed.notified().await;
         }
     }
 
-    /// Its work, once its key is granted.
+    /// The id of its work; `None` until its key is granted.
     pub fn work(&self) -> Option<WorkId> {
         self.id.get().copied()
     }
 }
 
-/// A request as another limiter needs it.
+/// A request as it is sent to the limiters that could continue it. Encoded by position: the order of fields must not
+/// change.
 #[derive(Serialize, Deserialize)]
-struct Carried {
+struct EncodedRequest {
     method: String,
     uri: String,
     headers: Vec<(String, Vec<u8>)>,
@@ -141,54 +154,66 @@
     fingerprint: Fingerprint,
 }
 
-/// What the module is to know of a request beside what goes out.
+/// The decision module's view of a request: its class, and the quota that it draws on.
 #[derive(Clone, Copy)]
 pub struct Terms {
     pub class: ClassId,
     pub plan: PlanId,
     pub customer: CustomerId,
+    /// How much it draws from the customer's quota.
     pub units: f64,
+    /// Over how many limiters the customer's requests are spread.
     pub set_size: u32,
+    /// The first of those limiters.
     pub set_first: GatewayId,
 }
 
-/// A request that is gone on with here.
-pub struct Taken {
+/// Another limiter's request that this one continues.
+pub struct TakenOverRequest {
     pub terms: Terms,
     pub outgoing: UpstreamRequest,
+    /// The attempt that the other limiter may have sent.
     pub ran: PriorAttempt,
-    pub patience: Duration,
+    /// The time that is left for it.
+    pub time_limit: Duration,
 }
 
-/// Asks the driver for a request that no client of this limiter's waits for.
-pub type Runner = Box<dyn Fn(Taken) -> Pin<Box<dyn Future<Output = Answer>>>>;
+/// Passes a request to the driver for which no client of this limiter waits, and returns its answer.
+pub type Runner = Box<dyn Fn(TakenOverRequest) -> Pin<Box<dyn Future<Output = Answer>>>>;
 
-/// The host.
+/// The failover core, and the requests, gates and members that it decides about.
 pub struct Takeover {
     failover: RefCell<Failover>,
     link: Rc<Link>,
     own: Weak<Takeover>,
     keys: OnceCell<Weak<dyn Keys>>,
     runner: OnceCell<Runner>,
-    /// Attempts that wait for their keepers.
-    asked: RefCell<HashMap<(WorkId, u32), oneshot::Sender<bool>>>,
-    /// Outcomes of which keepers are being told.
-    closing: RefCell<HashMap<WorkId, Rc<WorkGate>>>,
-    /// The life of each member that was heard of last.
-    lives: RefCell<HashMap<u32, Incarnation>>,
-    /// Members whose connection was ended while they were well, and from when on they are gone.
-    ending: RefCell<HashMap<u32, Instant>>,
-    /// How long the halls drop a repeat, by class.
-    windows: Vec<Option<f64>>,
-    after: Duration,
+    /// Attempts that wait for permission.
+    pending_attempts: RefCell<HashMap<(WorkId, u32), oneshot::Sender<bool>>>,
+    /// Completed requests that a majority does not know of yet.
+    pending_completions: RefCell<HashMap<WorkId, Rc<WorkGate>>>,
+    /// The latest known incarnation of each member.
+    incarnations: RefCell<HashMap<u32, Incarnation>>,
+    /// Members that closed their connection while they were healthy, and when each counts as ended.
+    disconnected: RefCell<HashMap<u32, Instant>>,
+    /// How long server groups deduplicate repeats, in milliseconds, by class; `None` for classes that they do not
+    /// deduplicate.
+    deduplication_windows_ms: Vec<Option<f64>>,
+    /// How long after its disconnection a member counts as ended.
+    takeover_delay: Duration,
     next_tick: Cell<Instant>,
-    me: u32,
+    member_number: u32,
 }
 
 impl Takeover {
-    /// Starts the host.
-    pub fn start(settings: &Settings, config: &Config, link: &Rc<Link>, me: u32) -> Rc<Takeover> {
-        let (members, ask_within, tell_within, dead_after) = match &config.link {
+    /// Starts takeovers for the member `member_number`. Its incarnation and messages are those of `link`.
+    pub fn start(
+        settings: &Settings,
+        config: &Config,
+        link: &Rc<Link>,
+        member_number: u32,
+    ) -> Rc<Takeover> {
+        let (members, ask_within, completion_timeout, dead_after) = match &config.link {
             Some((link, _)) => (
                 link.members.len(),
                 link.ask_within,
@@ -198,10 +223,10 @@
             None => (1, Duration::ZERO, Duration::ZERO, Duration::ZERO),
         };
         let failover_config = FailoverConfig {
-            member: Member(me),
-            incarnation: link.life(),
+            member: Member(member_number),
+            incarnation: link.incarnation(),
             reply_timeout: ask_within,
-            completion_timeout: tell_within,
+            completion_timeout: completion_timeout,
             retention: config.longest_deadline() + dead_after,
             max_entries: settings.entries,
             max_bytes: settings.bytes,
@@ -221,21 +246,24 @@
             link: link.clone(),
             keys: OnceCell::new(),
             runner: OnceCell::new(),
-            asked: RefCell::default(),
-            closing: RefCell::default(),
-            lives: RefCell::default(),
-            ending: RefCell::default(),
-            windows: windows.collect(),
-            after: settings.after,
+            pending_attempts: RefCell::default(),
+            pending_completions: RefCell::default(),
+            incarnations: RefCell::default(),
+            disconnected: RefCell::default(),
+            deduplication_windows_ms: windows.collect(),
+            takeover_delay: settings.after,
             next_tick: Cell::new(Instant::now()),
-            me,
+            member_number,
         });
-        spawn_local(listen(Rc::downgrade(&host), link.subscribe(WORK)));
+        spawn_local(receive_link_events(
+            Rc::downgrade(&host),
+            link.subscribe(WORK_MESSAGES),
+        ));
         host
     }
 
-    /// Whose keys it is about.
-    pub fn serve(&self, keys: Weak<dyn Keys>) {
+    /// Sets the stage that owns the keys. Called once, before the first request.
+    pub fn set_keys(&self, keys: Weak<dyn Keys>) {
         _ = self.keys.set(keys);
     }
 
@@ -243,29 +271,34 @@
         self.keys.get().and_then(Weak::upgrade)
     }
 
-    /// Who asks the driver for what is taken over.
+    /// Sets the function that passes requests that are taken over to the driver.
     pub fn run_with(&self, runner: Runner) {
         _ = self.runner.set(runner);
     }
 
-    /// The gate of a keyed request that has just come.
+    /// Creates the gate of a keyed request that has just arrived.
     pub fn gate(&self, class: ClassId, expires: Instant) -> Rc<WorkGate> {
         let (id, payload) = (OnceCell::new(), OnceCell::new());
-        let window = self.windows.get(class.0).copied().flatten();
+        let deduplication_window_ms = self
+            .deduplication_windows_ms
+            .get(class.0)
+            .copied()
+            .flatten();
         let (host, closing, closed) = (self.own.clone(), Cell::new(false), Notify::new());
         Rc::new(WorkGate {
             host,
             id,
             payload,
-            window,
+            deduplication_window_ms,
             expires,
             closing,
             closed,
         })
     }
 
-    /// Writes down what another limiter would need.
-    pub fn carry(
+    /// Encodes a request into its gate, for the limiters that could continue it. Does nothing for a request whose body is
+    /// still uploaded.
+    pub fn set_payload(
         &self,
         gate: &WorkGate,
         outgoing: &UpstreamRequest,
@@ -280,7 +313,7 @@
             .headers
             .iter()
             .map(|(name, value)| (name.to_string(), value.as_bytes().to_vec()));
-        let carried = Carried {
+        let encoded = EncodedRequest {
             method: outgoing.method.to_string(),
             uri: outgoing.uri.to_string(),
             headers: headers.collect(),
@@ -294,59 +327,63 @@
             key,
             fingerprint,
         };
-        if let Ok(bytes) = postcard::to_allocvec(&carried) {
+        if let Ok(bytes) = postcard::to_allocvec(&encoded) {
             _ = gate.payload.set(bytes);
         }
     }
 
-    /// A request of this limiter's has its key.
-    pub fn begun(&self, gate: &WorkGate, claim: Claim, keepers: Vec<Holder>) {
+    /// A request of this limiter has been granted its key.
+    pub fn work_started(&self, gate: &WorkGate, claim: Claim, acceptors: Vec<Holder>) {
         let id = WorkId {
-            claimant: Member(self.me),
-            incarnation: self.link.life(),
+            claimant: Member(self.member_number),
+            incarnation: self.link.incarnation(),
             claim_number: claim.0,
         };
         if gate.id.set(id).is_ok() {
             self.handle(Event::WorkStarted {
                 work_id: id,
-                acceptors: members(keepers),
+                acceptors: members(acceptors),
             });
         }
     }
 
-    /// What came of a work that was taken over here was told to the holders.
-    pub fn done(&self, id: WorkId) {
+    /// The outcome of a request that this limiter took over was sent to the holders of its key.
+    pub fn takeover_completed(&self, id: WorkId) {
         self.handle(Event::WorkCompleted(id));
     }
 
-    /// What came of a request of this limiter's was told to the holders; its client is to wait if it was served.
-    pub fn concluded(&self, gate: &Rc<WorkGate>, served: bool) {
+    /// The outcome of a request of this limiter was sent to the holders of its key. If it was served,
+    /// [`WorkGate::completion_known`] waits until a majority knows.
+    pub fn request_completed(&self, gate: &Rc<WorkGate>, served: bool) {
         let Some(id) = gate.work() else { return };
         if served {
             gate.closing.set(true);
-            self.closing.borrow_mut().insert(id, gate.clone());
+            self.pending_completions
+                .borrow_mut()
+                .insert(id, gate.clone());
         }
         self.handle(Event::WorkCompleted(id));
     }
 
-    /// Whether another goes on with a work of this limiter's.
+    /// Whether another limiter has taken over this request of this limiter.
     pub fn is_fenced(&self, id: &WorkId) -> bool {
         self.failover.borrow().is_fenced(id)
     }
 
-    /// This limiter has granted a key to another's claim.
-    pub fn granted(&self, to: Holder, claim: Claim, keepers: Vec<Holder>) {
+    /// This limiter has granted a key to a claim of another.
+    pub fn granted(&self, to: Holder, claim: Claim, acceptors: Vec<Holder>) {
         if let Some(id) = self.work_of(to, claim) {
             self.handle(Event::KeyGranted {
                 work_id: id,
-                acceptors: members(keepers),
+                acceptors: members(acceptors),
             });
         }
     }
 
-    /// Its claimant says that a claim has an outcome; false if that does not count any more, as another goes on with it.
-    pub fn settled(&self, of: Holder, claim: Claim, served: bool) -> bool {
-        let Some(id) = self.work_of(of, claim) else {
+    /// The claimant reports the outcome of its claim. Returns false if the report no longer applies, as another limiter
+    /// continues the request.
+    pub fn claim_settled(&self, claimant: Holder, claim: Claim, served: bool) -> bool {
+        let Some(id) = self.work_of(claimant, claim) else {
             return true;
         };
         if !served && self.failover.borrow().is_promised_to_candidate(&id) {
@@ -356,11 +393,12 @@
         true
     }
 
-    fn work_of(&self, of: Holder, claim: Claim) -> Option<WorkId> {
-        let life = self.lives.borrow().get(&of.0).copied()?;
+    /// The id of a claimant's work, in the latest known incarnation of the claimant.
+    fn work_of(&self, claimant: Holder, claim: Claim) -> Option<WorkId> {
+        let incarnation = self.incarnations.borrow().get(&claimant.0).copied()?;
         Some(WorkId {
-            claimant: Member(of.0),
-            incarnation: life,
+            claimant: Member(claimant.0),
+            incarnation: incarnation,
             claim_number: claim.0,
         })
     }
@@ -374,13 +412,17 @@
             match action {
                 Action::Send { to, message } => {
                     if let Ok(body) = postcard::to_allocvec(&message) {
-                        self.link.tell(to.0, WORK, body);
+                        self.link.send(to.0, WORK_MESSAGES, body);
                     }
                 }
-                Action::AllowAttempt { work_id, attempt } => self.tell(work_id, attempt, true),
-                Action::DenyAttempt { work_id, attempt } => self.tell(work_id, attempt, false),
+                Action::AllowAttempt { work_id, attempt } => {
+                    self.answer_attempt(work_id, attempt, true)
+                }
+                Action::DenyAttempt { work_id, attempt } => {
+                    self.answer_attempt(work_id, attempt, false)
+                }
                 Action::CompletionConfirmed(id) => {
-                    if let Some(gate) = self.closing.borrow_mut().remove(&id) {
+                    if let Some(gate) = self.pending_completions.borrow_mut().remove(&id) {
                         gate.closing.set(false);
                         gate.closed.notify_one();
                     }
@@ -394,11 +436,11 @@
                     let ran = verdict == Verdict::MayHaveRun;
                     let what = if ran { "may have run" } else { "was not sent" };
                     eprintln!(
-                        "emberpin: takeover: work of limiter {} {what}",
+                        "emberpin: takeover: request of limiter {} {what}",
                         work_id.claimant.0
                     );
                     if let Some(keys) = self.keys() {
-                        keys.ended(
+                        keys.claim_ended(
                             (Holder(work_id.claimant.0), Claim(work_id.claim_number)),
                             ran,
                         );
@@ -408,24 +450,25 @@
         }
     }
 
-    fn tell(&self, id: WorkId, attempt: u32, may_go: bool) {
-        if let Some(asked) = self.asked.borrow_mut().remove(&(id, attempt)) {
-            // One that has just given up does not hear it, and sends nothing.
-            _ = asked.send(may_go);
+    fn answer_attempt(&self, id: WorkId, attempt: u32, allowed: bool) {
+        if let Some(reply_to) = self.pending_attempts.borrow_mut().remove(&(id, attempt)) {
+            // Fails if the attempt has just timed out: it then sends nothing.
+            _ = reply_to.send(allowed);
         }
     }
 
-    /// Goes on with another's work.
+    /// Continues another limiter's request.
     fn take_over(&self, id: WorkId, work: Work, first_attempt: FirstAttempt) {
         crash_points::reach("taken");
         eprintln!(
-            "emberpin: takeover: goes on with work of limiter {}",
+            "emberpin: takeover: continuing a request of limiter {}",
             id.claimant.0
         );
-        let Some((taken, customer, key, fingerprint)) = self.carried(id, work, first_attempt)
+        let Some((taken, customer, key, fingerprint)) =
+            self.decode_request(id, work, first_attempt)
         else {
             eprintln!(
-                "emberpin: takeover: work of limiter {} is not understood",
+                "emberpin: takeover: request of limiter {} cannot be decoded",
                 id.claimant.0
             );
             return self.handle(Event::TakeoverFailed(id));
@@ -433,62 +476,64 @@
         let Some(runner) = self.runner.get() else {
             return self.handle(Event::TakeoverFailed(id));
         };
-        let (going, host) = (runner(taken), self.own.clone());
+        let (running, host) = (runner(taken), self.own.clone());
         spawn_local(async move {
-            let answer = going.await;
+            let answer = running.await;
             crash_points::reach("taken-answer");
             let Some(keys) = host.upgrade().and_then(|host| host.keys()) else {
                 return;
             };
-            keys.taken_over(id, customer, key, fingerprint, answer);
+            keys.work_taken_over(id, customer, key, fingerprint, answer);
         });
     }
 
-    /// A work that was taken over came to nothing.
-    pub fn failed(&self, id: WorkId) {
+    /// A request that this limiter took over has failed.
+    pub fn takeover_failed(&self, id: WorkId) {
         self.handle(Event::TakeoverFailed(id));
     }
 
-    fn carried(
+    /// Decodes a request that is to be continued here; `None` if it is malformed.
+    fn decode_request(
         &self,
         id: WorkId,
         work: Work,
         first_attempt: FirstAttempt,
-    ) -> Option<(Taken, Customer, Key, Fingerprint)> {
-        let carried: Carried = postcard::from_bytes(&work.payload).ok()?;
+    ) -> Option<(TakenOverRequest, Customer, Key, Fingerprint)> {
+        let encoded: EncodedRequest = postcard::from_bytes(&work.payload).ok()?;
         let mut headers = HeaderMap::new();
-        for (name, value) in &carried.headers {
+        for (name, value) in &encoded.headers {
             let name = HeaderName::from_bytes(name.as_bytes()).ok()?;
             headers.append(name, HeaderValue::from_bytes(value).ok()?);
         }
-        let sound =
-            carried.units.is_finite() && carried.units > 0.0 && carried.class < self.windows.len();
-        let patience = Duration::try_from_secs_f64(work.time_left_ms / 1000.0)
+        let valid = encoded.units.is_finite()
+            && encoded.units > 0.0
+            && encoded.class < self.deduplication_windows_ms.len();
+        let time_limit = Duration::try_from_secs_f64(work.time_left_ms / 1000.0)
             .ok()
-            .filter(|_| sound)?;
+            .filter(|_| valid)?;
         let gate = WorkGate {
             host: self.own.clone(),
             id: OnceCell::from(id),
-            window: work.deduplication_window_ms,
-            expires: Instant::now() + patience,
+            deduplication_window_ms: work.deduplication_window_ms,
+            expires: Instant::now() + time_limit,
             payload: OnceCell::from(work.payload),
             closing: Cell::new(false),
             closed: Notify::new(),
         };
-        let taken = Taken {
+        let taken = TakenOverRequest {
             terms: Terms {
-                class: ClassId(carried.class),
-                plan: PlanId(carried.plan),
-                customer: CustomerId(carried.customer),
-                units: carried.units,
-                set_size: carried.set_size,
-                set_first: GatewayId(carried.set_first),
+                class: ClassId(encoded.class),
+                plan: PlanId(encoded.plan),
+                customer: CustomerId(encoded.customer),
+                units: encoded.units,
+                set_size: encoded.set_size,
+                set_first: GatewayId(encoded.set_first),
             },
             outgoing: UpstreamRequest {
-                method: carried.method.parse().ok()?,
-                uri: carried.uri.parse().ok()?,
+                method: encoded.method.parse().ok()?,
+                uri: encoded.uri.parse().ok()?,
                 headers,
-                body: RequestBody::Buffered(carried.body.into()),
+                body: RequestBody::Buffered(encoded.body.into()),
                 may_stream: false,
                 max_idle_time: None,
                 gate: Some(Rc::new(gate)),
@@ -501,27 +546,27 @@
                     cell: first_attempt.group.cell,
                 },
             },
-            patience,
+            time_limit,
         };
         Some((
             taken,
-            Customer(carried.customer),
-            carried.key,
-            carried.fingerprint,
+            Customer(encoded.customer),
+            encoded.key,
+            encoded.fingerprint,
         ))
     }
 
-    /// What the link says of a member. One whose connection ends while it is well has most likely ended itself: a stalled
-    /// link and a process that stands still are silent, and what they have out may be out yet.
-    pub fn changed(&self, member: u32, state: &PeerState) {
-        if let Some(life) = state.incarnation {
-            let before = self.lives.borrow_mut().insert(member, life);
+    /// The link reports a changed state of a member. A member that closes its connection while it is healthy has most
+    /// likely exited. A stalled link and a stopped process close nothing, and their requests may still be in flight.
+    pub fn on_peer_changed(&self, member: u32, state: &PeerState) {
+        if let Some(incarnation) = state.incarnation {
+            let before = self.incarnations.borrow_mut().insert(member, incarnation);
             self.handle(Event::IncarnationObserved {
                 member: Member(member),
-                incarnation: life,
+                incarnation: incarnation,
             });
-            if let Some(before) = before.filter(|before| *before != life) {
-                self.ending.borrow_mut().remove(&member);
+            if let Some(before) = before.filter(|before| *before != incarnation) {
+                self.disconnected.borrow_mut().remove(&member);
                 self.handle(Event::IncarnationEnded {
                     member: Member(member),
                     incarnation: before,
@@ -530,15 +575,15 @@
         }
         if state.reachable {
             self.handle(Event::MemberReachable(Member(member)));
-            self.ending.borrow_mut().remove(&member);
+            self.disconnected.borrow_mut().remove(&member);
             return;
         }
         self.handle(Event::MemberUnreachable(Member(member)));
         if state.closed_by_peer && state.incarnation.is_some() {
-            self.ending
+            self.disconnected
                 .borrow_mut()
                 .entry(member)
-                .or_insert_with(|| Instant::now() + self.after);
+                .or_insert_with(|| Instant::now() + self.takeover_delay);
         }
     }
 
@@ -547,21 +592,21 @@
         if now < self.next_tick.get() {
             return;
         }
-        self.next_tick.set(now + TICK);
-        let gone: Vec<u32> = self
-            .ending
+        self.next_tick.set(now + TICK_INTERVAL);
+        let ended: Vec<u32> = self
+            .disconnected
             .borrow()
             .iter()
             .filter(|(_, at)| **at <= now)
             .map(|(member, _)| *member)
             .collect();
-        for member in gone {
-            self.ending.borrow_mut().remove(&member);
-            let life = self.lives.borrow().get(&member).copied();
-            if let Some(life) = life {
+        for member in ended {
+            self.disconnected.borrow_mut().remove(&member);
+            let incarnation = self.incarnations.borrow().get(&member).copied();
+            if let Some(incarnation) = incarnation {
                 self.handle(Event::IncarnationEnded {
                     member: Member(member),
-                    incarnation: life,
+                    incarnation: incarnation,
                 });
             }
         }
@@ -578,25 +623,25 @@
     holders.into_iter().map(|holder| Member(holder.0)).collect()
 }
 
-/// Carries out what other limiters tell, and lets time pass. Ends with the host.
-async fn listen(host: Weak<Takeover>, mut heard: mpsc::UnboundedReceiver<News>) {
+/// Handles the link's messages about work, and ticks. Ends when the host is dropped.
+async fn receive_link_events(host: Weak<Takeover>, mut events: mpsc::UnboundedReceiver<LinkEvent>) {
     loop {
-        let news = timeout(TICK, heard.recv()).await;
+        let event = timeout(TICK_INTERVAL, events.recv()).await;
         let Some(host) = host.upgrade() else { return };
-        match news {
-            Ok(Some(News::Told { from, body })) => {
+        match event {
+            Ok(Some(LinkEvent::MessageReceived { from, body })) => {
                 match postcard::from_bytes(&body) {
                     Ok(message) => host.handle(Event::MessageReceived {
                         from: Member(from),
                         message,
                     }),
                     Err(e) => {
-                        eprintln!("emberpin: link: member {from} said of work what is not understood: {e}");
+                        eprintln!("emberpin: link: message of member {from} about work cannot be decoded: {e}");
                     }
                 }
             }
-            // The stage hears of members.
-            Ok(Some(News::Changed { .. } | News::Superseded)) | Err(_) => {}
+            // The idempotency stage passes on the changes of members, see `on_peer_changed`.
+            Ok(Some(LinkEvent::PeerChanged { .. } | LinkEvent::Superseded)) | Err(_) => {}
             Ok(None) => return,
         }
         host.tick();
--- a/crates/emberpin-limiter/src/upstream/discovery.rs
+++ b/crates/emberpin-limiter/src/upstream/discovery.rs
@@ -1,7 +1,7 @@
-//! Discovery: the list of servers, its watch, and how to get back in step when that breaks.
+//! Discovery: watches the endpoint list at the list service, and recovers when the watch breaks.
 
 use crate::messages::Input;
-use crate::upstream::endpoint_list::Listing;
+use crate::upstream::endpoint_list::EndpointList;
 use crate::upstream::list_calls::ListCalls;
 use crate::upstream::list_watch::{WatchEvent, WatchParser};
 use crate::upstream::peer_lists::PeerLists;
@@ -22,17 +22,18 @@
 use tokio::time::{timeout, Instant};
 
 const PATH: &str = "/registry/instances";
-/// An idle watch sends an empty line every 2 s: silence for longer may be a dead connection.
-const SILENCE: Duration = Duration::from_millis(4_500);
+/// A watch that receives nothing for this long is ended. An idle watch sends an empty line every 2 s, so a longer silence
+/// may be a dead connection.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(4_500);
 
-/// Where the list comes from, and what may be asked of its watch.
+/// Controls the watch of the list service.
 pub struct Discovery {
     address: watch::Sender<SocketAddr>,
     refetch: Rc<Notify>,
 }
 
 impl Discovery {
-    /// Watches for good, at first from the version held.
+    /// Starts a watch that runs for as long as the process, at first for changes after the revision `rev`.
     pub fn start(
         address: SocketAddr,
         rev: u64,
@@ -43,7 +44,7 @@
             address: watch::Sender::new(address),
             refetch: Rc::default(),
         };
-        spawn_local(follow(
+        spawn_local(run_watches(
             discovery.address.subscribe(),
             discovery.refetch.clone(),
             rev,
@@ -53,19 +54,21 @@
         discovery
     }
 
-    /// Asks for the whole list anew when notified.
+    /// Notifying this fetches the full list again.
     pub fn refetch(&self) -> Rc<Notify> {
         self.refetch.clone()
     }
 
-    /// Leaves the present address for another at once; the list known so far holds until that has told its own.
+    /// Switches to a list service at another address at once. The present list stays valid until that service has sent its
+    /// own.
     pub fn move_to(&self, address: SocketAddr) {
         self.address
             .send_if_modified(|known| std::mem::replace(known, address) != address);
     }
 }
 
-async fn follow(
+/// Runs one watch after another, for as long as the process.
+async fn run_watches(
     mut address: watch::Receiver<SocketAddr>,
     refetch: Rc<Notify>,
     rev: u64,
@@ -73,50 +76,55 @@
     inputs: mpsc::Sender<Input>,
 ) {
     let mut since = Some(rev);
-    let (mut place, mut whole) = (0, false);
+    let (mut service_generation, mut full_list_wanted) = (0, false);
     if peer_lists.is_none() {
-        list_calls.first().await;
+        list_calls.wait_for_first_call().await;
     }
     loop {
-        let at = *address.borrow_and_update();
+        let service_address = *address.borrow_and_update();
         let watching = async {
-            // The whole list is wanted, or it is this limiter's turn to hold a watch.
-            if let (Some(peer_lists), false) = (&peer_lists, std::mem::take(&mut whole)) {
+            // Waits until it is this limiter's turn to watch, unless the full list was requested.
+            if let (Some(peer_lists), false) = (&peer_lists, std::mem::take(&mut full_list_wanted))
+            {
                 tokio::select! {
-                    () = peer_lists.turn(&list_calls) => since = peer_lists.held().or(since),
+                    () = peer_lists.wait_for_turn(&list_calls) => since = peer_lists.revision().or(since),
                     () = refetch.notified() => since = None,
                 }
             }
-            let (began, mut watched) = (Instant::now(), Watched::default());
+            let (began, mut result) = (Instant::now(), WatchResult::default());
             let surplus = async {
                 match &peer_lists {
-                    Some(peer_lists) => peer_lists.surplus().await,
+                    Some(peer_lists) => peer_lists.wait_for_surplus().await,
                     None => std::future::pending().await,
                 }
             };
             let yielded = tokio::select! {
-                () = hold((at, place), &mut since, &mut watched, peer_lists.as_deref(), &inputs) => false,
+                () = run_watch((service_address, service_generation), &mut since, &mut result, peer_lists.as_deref(), &inputs) => false,
                 () = refetch.notified() => {
-                    (since, whole) = (None, true);
+                    (since, full_list_wanted) = (None, true);
                     false
                 }
                 () = surplus => true,
             };
             if let Some(peer_lists) = &peer_lists {
-                peer_lists.watch(false);
+                peer_lists.set_watching(false);
             }
-            // A watch that told something was sound: only fruitless ones are spaced out.
-            let ended = match watched {
-                Watched { told: true, .. } => CallOutcome::Delivered,
-                Watched {
-                    busy: Some(wait), ..
+            // A watch that received something worked: only watches without any event are followed by a growing delay.
+            let ended = match result {
+                WatchResult {
+                    received_event: true,
+                    ..
+                } => CallOutcome::Delivered,
+                WatchResult {
+                    retry_after: Some(wait),
+                    ..
                 } => CallOutcome::RetryAfter { delay: wait },
-                Watched { answered, .. } => CallOutcome::Failed {
-                    after: answered.unwrap_or_else(|| began.elapsed()),
+                WatchResult { response_time, .. } => CallOutcome::Failed {
+                    after: response_time.unwrap_or_else(|| began.elapsed()),
                 },
             };
             if !yielded {
-                tokio::time::sleep(list_calls.pause(ended)).await;
+                tokio::time::sleep(list_calls.next_delay(ended)).await;
             }
         };
         tokio::select! {
@@ -125,33 +133,33 @@
                 if moved.is_err() {
                     return;
                 }
-                // Versions of one place mean nothing at another: the whole list is taken there.
-                (since, place) = (None, place + 1);
-                list_calls.moved();
+                // Revisions of one service mean nothing at another: its full list is fetched.
+                (since, service_generation) = (None, service_generation + 1);
+                list_calls.on_service_changed();
                 if let Some(peer_lists) = &peer_lists {
-                    peer_lists.moved(*address.borrow());
+                    peer_lists.on_service_changed(*address.borrow());
                 }
             }
         }
     }
 }
 
-/// What came of one watch.
+/// The result of one watch.
 #[derive(Default)]
-struct Watched {
-    /// It told something, if only that there was nothing new.
-    told: bool,
-    /// How long the service took to answer at all.
-    answered: Option<Duration>,
-    /// It was refused, to be asked again so long from now.
-    busy: Option<Duration>,
+struct WatchResult {
+    /// It received at least one event, keep-alives included.
+    received_event: bool,
+    /// The time until the service sent the head of its response; `None` if it sent none.
+    response_time: Option<Duration>,
+    /// The service rejected it and asked for a retry after this time.
+    retry_after: Option<Duration>,
 }
 
-/// One watch, until it breaks or falls silent.
-async fn hold(
-    (address, place): (SocketAddr, u32),
+/// Runs one watch until it breaks or receives nothing for [`WATCH_TIMEOUT`].
+async fn run_watch(
+    (address, service_generation): (SocketAddr, u32),
     since: &mut Option<u64>,
-    watched: &mut Watched,
+    result: &mut WatchResult,
     peer_lists: Option<&PeerLists>,
     inputs: &mpsc::Sender<Input>,
 ) {
@@ -159,7 +167,7 @@
         Some(rev) => format!("{PATH}?follow=1&since={rev}"),
         None => format!("{PATH}?follow=1"),
     };
-    let Some(Ok(stream)) = patient(TcpStream::connect(address)).await else {
+    let Some(Ok(stream)) = within_timeout(TcpStream::connect(address)).await else {
         return;
     };
     let Ok((mut sender, connection)) = http1::handshake(TokioIo::new(stream)).await else {
@@ -171,44 +179,49 @@
     let Ok(request) = request else { return };
     let reading = async {
         let began = Instant::now();
-        let Some(Ok(response)) = patient(sender.send_request(request)).await else {
+        let Some(Ok(response)) = within_timeout(sender.send_request(request)).await else {
             return;
         };
-        watched.answered = Some(began.elapsed());
+        result.response_time = Some(began.elapsed());
         if response.status() != hyper::StatusCode::OK {
             let wait = response
                 .headers()
                 .get(RETRY_AFTER)
                 .and_then(|value| value.to_str().ok());
-            // In seconds; a date (RFC 9110, 10.2.3, allows both) counts as not said.
-            watched.busy = wait
+            // In seconds; a date, which RFC 9110, section 10.2.3, allows too, is ignored.
+            result.retry_after = wait
                 .and_then(|wait| wait.trim().parse().ok())
                 .map(Duration::from_secs);
             return;
         }
-        // It tells what is newer than the version held, if anything is.
+        // A watch from the present revision is up to date at once: it sends only what is newer.
         if let Some(peer_lists) =
-            peer_lists.filter(|peer_lists| since.is_some() && peer_lists.held() == *since)
+            peer_lists.filter(|peer_lists| since.is_some() && peer_lists.revision() == *since)
         {
-            peer_lists.watch(true);
+            peer_lists.set_watching(true);
         }
         let mut body = response.into_body();
-        let mut watch = WatchParser::default();
-        while let Some(Some(Ok(frame))) = patient(body.frame()).await {
+        let mut parser = WatchParser::default();
+        while let Some(Some(Ok(frame))) = within_timeout(body.frame()).await {
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            let Ok(all) = watch.take(&data) else { return };
-            for told in all {
-                watched.told = true;
-                if let WatchEvent::Listing(listing) = told {
-                    let listing = Listing { place, ..listing };
-                    *since = Some(listing.rev);
-                    if inputs.send(Input::Listing(listing)).await.is_err() {
+            let Ok(events) = parser.push(&data) else {
+                return;
+            };
+            for event in events {
+                result.received_event = true;
+                if let WatchEvent::List(list) = event {
+                    let list = EndpointList {
+                        service_generation,
+                        ..list
+                    };
+                    *since = Some(list.rev);
+                    if inputs.send(Input::Listing(list)).await.is_err() {
                         return;
                     }
                 }
-                peer_lists.inspect(|peer_lists| peer_lists.watch(true));
+                peer_lists.inspect(|peer_lists| peer_lists.set_watching(true));
             }
         }
     };
@@ -220,6 +233,7 @@
     }
 }
 
-async fn patient<F: Future>(what: F) -> Option<F::Output> {
-    timeout(SILENCE, what).await.ok()
+/// `None` if the future takes longer than [`WATCH_TIMEOUT`].
+async fn within_timeout<F: Future>(future: F) -> Option<F::Output> {
+    timeout(WATCH_TIMEOUT, future).await.ok()
 }
--- a/crates/emberpin-limiter/src/upstream/driver.rs
+++ b/crates/emberpin-limiter/src/upstream/driver.rs
@@ -1,14 +1,14 @@
-//! The only owner of the engine: takes inputs, the list of servers, operators' orders and the messages of a sibling
-//! process, and passes them to the decision module. No decision is taken here.
+//! The driver, the only owner of the engine: receives inputs, endpoint lists, operators' commands and the messages of a
+//! sibling process, and passes them to the decision module. No decision is taken here.
 
-use crate::between::handover::{Given, Pairing, Shared};
+use crate::between::handover::{HandoverState, SiblingEvent, SiblingMessage};
 use crate::between::peers::Peers;
 use crate::messages::Input;
 use crate::operate::clock::Clock;
 use crate::operate::config::Config;
 use crate::operate::figures::Figures;
 use crate::operate::operator_api::{ServerCommand, UnknownServer};
-use crate::upstream::endpoint_list::{server_id, Entry, Listing, State, Teller};
+use crate::upstream::endpoint_list::{server_id, EndpointList, Entry, ListSource, State};
 use crate::upstream::engine::Engine;
 use crate::upstream::list_calls::ListCalls;
 use crate::upstream::list_trust::ListTrust;
@@ -25,6 +25,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, Instant};
 
+/// The engine, and the parts of the limiter that concern no single request.
 pub struct Driver {
     engine: Engine,
     names: IndexNames,
@@ -34,14 +35,15 @@
     peers: Option<Rc<Peers>>,
     list_calls: Rc<ListCalls>,
     refetch: Rc<Notify>,
-    /// Where `[start]` is on: which lists hold.
+    /// Decides which lists are accepted, where `[start]` is on.
     list_trust: Option<Rc<ListTrust>>,
     peer_lists: Option<Rc<PeerLists>>,
-    /// The version of the list, and which list service it is from.
+    /// The revision of the applied list.
     rev: u64,
-    place: u32,
-    /// The sibling process of this limiter, during an upgrade.
-    other: Option<mpsc::Sender<Shared>>,
+    /// Which list service that list is from, see [`EndpointList::service_generation`].
+    service_generation: u32,
+    /// Messages to the sibling process of this limiter, during an upgrade.
+    other: Option<mpsc::Sender<SiblingMessage>>,
 }
 
 /// The limiter's parts that the driver uses.
@@ -57,17 +59,17 @@
     pub pool: Rc<Pool>,
 }
 
-/// What the driver receives beside inputs, and before them.
+/// The channels that the driver receives from before its inputs.
 pub struct Callers {
-    /// Orders of operators.
+    /// Commands of operators.
     pub commands: mpsc::Receiver<ServerCommand>,
-    /// Events of an upgrade to or from a sibling process.
-    pub pairings: mpsc::Receiver<Pairing>,
+    /// Events about a sibling process, during an upgrade.
+    pub pairings: mpsc::Receiver<SiblingEvent>,
 }
 
 impl Driver {
-    /// Starts with the state that the previous process handed over, if there was one.
-    pub fn new(config: Config, parts: Parts, given: Option<Given>) -> Driver {
+    /// Creates the driver, with the state that the previous process handed over, if there was one.
+    pub fn new(config: Config, parts: Parts, state: Option<HandoverState>) -> Driver {
         let Parts {
             clock,
             inputs,
@@ -81,21 +83,21 @@
         } = parts;
         spawn_local(pool.clone().expire_idle());
         let mut roster = Roster::default();
-        let (gateway, known) = match given {
+        let (gateway, known) = match state {
             None => (
                 Gateway::new(config.settings, config.seed, clock.now()),
                 config.known,
             ),
-            Some(given) => {
+            Some(state) => {
                 let Config { settings, seed, .. } = config;
-                resume(given, settings, seed, &config.names, clock, &mut roster)
+                resume(state, settings, seed, &config.names, clock, &mut roster)
             }
         };
         let mut driver = Driver {
             pool,
             engine: Engine::new(gateway, clock, inputs),
             rev: known.rev,
-            place: 0,
+            service_generation: 0,
             other: None,
             names: config.names,
             roster,
@@ -106,14 +108,14 @@
             peer_lists,
             refetch,
         };
-        driver.apply_list(Listing {
+        driver.apply_list(EndpointList {
             whole: true,
             ..known
         });
         driver
     }
 
-    /// Takes inputs, timers and what callers want for as long as there is anybody to send inputs.
+    /// Handles inputs, timers and callers until all senders of inputs are dropped.
     pub async fn run(mut self, mut inputs: mpsc::Receiver<Input>, mut callers: Callers) {
         let timer = sleep_until(Instant::now());
         tokio::pin!(timer);
@@ -124,9 +126,9 @@
             }
             tokio::select! {
                 biased;
-                // First, as answers to them are due however much else there is.
+                // Callers come first: they must be answered however many inputs are queued.
                 Some(command) = callers.commands.recv() => self.carry_out_command(command),
-                Some(pairing) = callers.pairings.recv() => self.on_pairing(pairing),
+                Some(event) = callers.pairings.recv() => self.on_sibling_event(event),
                 () = timer.as_mut(), if due.is_some() => self.on_timer(),
                 input = inputs.recv() => match input {
                     Some(input) => {
@@ -145,7 +147,8 @@
         self.publish_pool_size();
     }
 
-    /// Publishes the number of servers. The module's timers fire often enough for figures that may be half a second late.
+    /// Publishes the number of servers. Called when the module's timers fire, which is often
+    /// enough: the figures may be half a second late.
     fn publish_pool_size(&self) {
         let PoolSize { listed, avoided } = self.engine.gateway.pool_size(self.engine.clock.now());
         self.figures.pool_size.set(listed as i64);
@@ -159,7 +162,7 @@
             out_of_service,
             reply_to,
         } = command;
-        // The caller has already received an error response.
+        // The caller has already received a response, so nothing is changed.
         if reply_to.is_closed() {
             return;
         }
@@ -169,7 +172,7 @@
         };
         self.set_maintenance(server, &name, out_of_service);
         if let Some(other) = &self.other {
-            _ = other.try_send(Shared::Order {
+            _ = other.try_send(SiblingMessage::Maintenance {
                 server: name,
                 out: out_of_service,
             });
@@ -196,30 +199,34 @@
         self.publish_pool_size();
     }
 
-    /// A sibling process of this limiter came, went, or sent something.
-    fn on_pairing(&mut self, pairing: Pairing) {
-        match pairing {
-            Pairing::Give(give, other) => {
+    /// A sibling process of this limiter connected, disconnected or sent a message.
+    fn on_sibling_event(&mut self, event: SiblingEvent) {
+        match event {
+            SiblingEvent::StateRequested(reply_to, other) => {
                 self.other = Some(other);
                 self.handle_event(Event::SiblingChanged { running: true });
-                let (targets, names) = self.roster.all();
+                let (targets, names) = self.roster.entries_and_names();
                 let (clock, gateway) = (self.engine.clock.now(), self.engine.gateway.to_handover());
-                // Nobody waits for it any more if the next process has died: its end is told, too.
-                _ = give.send(Given::new(clock, self.rev, &targets, names, gateway));
+                // Fails if the next process has exited; its disconnection is reported separately.
+                _ = reply_to.send(HandoverState::new(
+                    clock, self.rev, &targets, names, gateway,
+                ));
             }
-            Pairing::Paired(other) => {
+            SiblingEvent::Connected(other) => {
                 self.other = Some(other);
                 self.handle_event(Event::SiblingChanged { running: true });
             }
-            Pairing::Heard(Shared::Spent(spent)) => self.handle_event(Event::SiblingUsage(spent)),
-            Pairing::Heard(Shared::Order { server: name, out }) => {
+            SiblingEvent::MessageReceived(SiblingMessage::Usage(usage)) => {
+                self.handle_event(Event::SiblingUsage(usage))
+            }
+            SiblingEvent::MessageReceived(SiblingMessage::Maintenance { server: name, out }) => {
                 let server = server_id(&name);
-                self.roster.name(server, &name);
+                self.roster.remember_name(server, &name);
                 self.set_maintenance(server, &name, out);
             }
-            // The host of the upgrade has it.
-            Pairing::Heard(Shared::Held(_)) => {}
-            Pairing::Alone => {
+            // Handled by `Upgrade`.
+            SiblingEvent::MessageReceived(SiblingMessage::SocketCounts(_)) => {}
+            SiblingEvent::Disconnected => {
                 self.other = None;
                 self.handle_event(Event::SiblingChanged { running: false });
             }
@@ -239,7 +246,7 @@
                 self.engine
                     .on_attempt_ended(request, attempt, server, ended, true);
             }
-            // Attempts here end with the time that the module gives them.
+            // Not sent here: attempts end with the time that the module gives them.
             Input::Overdue { .. } => {}
             Input::ProbeEnded { server, ended } => self.engine.handle_event(Event::ProbeEnded {
                 server,
@@ -247,9 +254,9 @@
                 elapsed: ended.elapsed,
                 load: ended.load,
             }),
-            Input::Listing(listing) => self.on_listing(listing),
+            Input::Listing(list) => self.on_list(list),
             Input::Peer { from, bytes } => {
-                self.list_calls.heard(from, &bytes);
+                self.list_calls.on_peer_message(from, &bytes);
                 self.handle_event(Event::PeerMessage { from, bytes });
             }
         }
@@ -268,174 +275,181 @@
             match action {
                 Action::SendToPeer { to, bytes } => {
                     if let Some(peers) = &self.peers {
-                        peers.tell(to, &bytes);
+                        peers.send(to, &bytes);
                     }
                 }
                 Action::FetchServers => self.refetch.notify_one(),
-                Action::ShareUsage(spent) => {
-                    // A line that is full is that of a process that does not read: its end is told soon.
+                Action::ShareUsage(usage) => {
+                    // The queue is full only if the other process does not read; its disconnection follows soon.
                     if let Some(other) = &self.other {
-                        _ = other.try_send(Shared::Spent(spent));
+                        _ = other.try_send(SiblingMessage::Usage(usage));
                     }
                 }
-                // The watch is always on, and the rest was carried out.
+                // The watch of the list service is always on; the engine has carried out all other actions.
                 _ => {}
             }
         }
     }
 
-    /// A list, or changes to it, arrived. Where lists may be doubted, it is applied only as far as it is trusted.
-    fn on_listing(&mut self, listing: Listing) {
+    /// Handles a received list, or changes to it. Where lists may be doubted, it is applied only as far as it is accepted.
+    fn on_list(&mut self, list: EndpointList) {
         let Some(list_trust) = self.list_trust.clone() else {
-            return self.apply_list(listing);
+            return self.apply_list(list);
         };
-        let here =
+        let is_present =
             |entry: &&Entry| matches!(entry, Entry::Target(target) if target.state != State::Gone);
-        let servers = listing.targets.iter().filter(here).count();
-        let told = ListSummary {
-            service_generation: listing.place,
-            revision: listing.rev,
+        let servers = list.targets.iter().filter(is_present).count();
+        let received = ListSummary {
+            service_generation: list.service_generation,
+            revision: list.rev,
             servers,
         };
         let held = ListSummary {
-            service_generation: self.place,
+            service_generation: self.service_generation,
             revision: self.rev,
             servers: self.roster.count(),
         };
-        let teller = listing.teller;
-        let sure = matches!(teller, Teller::Peer { sure: true, .. });
-        // A peer may be behind: only the service's word, or a word on it, makes a list older.
-        let behind =
-            listing.place < self.place || (listing.place == self.place && listing.rev < self.rev);
-        if teller != Teller::Service && behind && !sure {
+        let source = list.source;
+        let confirmed = matches!(
+            source,
+            ListSource::Peer {
+                confirmed: true,
+                ..
+            }
+        );
+        // A peer may be behind: an older list is applied only if the service sent it, or the peer has confirmed it.
+        let behind = list.service_generation < self.service_generation
+            || (list.service_generation == self.service_generation && list.rev < self.rev);
+        if source != ListSource::Service && behind && !confirmed {
             return;
         }
-        let scope = match listing.whole {
+        let scope = match list.whole {
             true => ListScope::Full,
             false => ListScope::Delta,
         };
-        let verdict = match sure {
+        let verdict = match confirmed {
             true => {
-                list_trust.take();
+                list_trust.on_confirmed_list();
                 Verdict::Accept
             }
-            false => list_trust.judge(held, told, scope),
+            false => list_trust.evaluate(held, received, scope),
         };
         match verdict {
-            Verdict::Accept | Verdict::AcceptDespiteDoubt => self.apply_list(listing),
-            Verdict::Merge => self.apply_list(Listing {
+            Verdict::Accept | Verdict::AcceptDespiteDoubt => self.apply_list(list),
+            Verdict::Merge => self.apply_list(EndpointList {
                 whole: false,
-                ..listing
+                ..list
             }),
             Verdict::Reject => return,
         }
-        list_trust.keep(self.rev, || self.roster.listed());
-        if let (Some(peer_lists), false) = (&self.peer_lists, list_trust.doubts()) {
-            peer_lists.hold(
+        list_trust.save(self.rev, || self.roster.listed());
+        if let (Some(peer_lists), false) = (&self.peer_lists, list_trust.is_doubting()) {
+            peer_lists.on_list_accepted(
                 self.rev,
-                teller,
+                source,
                 verdict == Verdict::AcceptDespiteDoubt,
                 &self.roster.listed(),
             );
         }
     }
 
-    /// Applies the list to the servers here first, so that what is being sent sees a drain at once.
-    fn apply_list(&mut self, listing: Listing) {
-        (self.rev, self.place) = (listing.rev, listing.place);
-        let mut named = BTreeSet::new();
-        let mut lines = Vec::new();
-        for entry in &listing.targets {
+    /// Applies the list to the upstreams first, so that attempts that are about to be sent observe a drain at once, and then
+    /// passes it to the decision module.
+    fn apply_list(&mut self, list: EndpointList) {
+        (self.rev, self.service_generation) = (list.rev, list.service_generation);
+        let mut listed = BTreeSet::new();
+        let mut servers = Vec::new();
+        for entry in &list.targets {
             let Entry::Target(target) = entry else {
                 continue;
             };
             let id = target.id();
-            named.insert(id);
-            let line = target.server(&self.names);
-            self.roster.note(id, target);
+            listed.insert(id);
+            let server = target.server(&self.names);
+            self.roster.update(id, target);
             self.update_upstream(id);
-            lines.extend(line);
+            servers.extend(server);
         }
-        if listing.whole {
-            self.roster.keep(|id| named.contains(id));
+        if list.whole {
+            self.roster.retain(|id| listed.contains(id));
             let missing: Vec<ServerId> = self
                 .engine
                 .upstreams
                 .keys()
-                .filter(|id| !named.contains(id))
+                .filter(|id| !listed.contains(id))
                 .copied()
                 .collect();
             missing.into_iter().for_each(|id| self.update_upstream(id));
         }
-        self.handle_event(Event::Membership(match listing.whole {
-            true => MembershipUpdate::Full(lines),
-            false => MembershipUpdate::Changes(lines),
+        self.handle_event(Event::Membership(match list.whole {
+            true => MembershipUpdate::Full(servers),
+            false => MembershipUpdate::Changes(servers),
         }));
         if let Some(list_trust) = &self.list_trust {
-            list_trust.see(self.engine.upstreams.len());
+            list_trust.update_readiness(self.engine.upstreams.len());
         }
     }
 
-    /// Opens or closes the upstream of a server, by the list and by maintenance; a new incarnation or address of it starts
-    /// without connections.
+    /// Opens or closes the upstream of a server, according to the list and to maintenance. A new incarnation or address of
+    /// the server starts without connections.
     fn update_upstream(&mut self, id: ServerId) {
-        let place = self
+        let instance = self
             .roster
             .ready_instance(id)
             .filter(|_| !self.engine.gateway.is_in_maintenance(id));
-        if place.is_some()
+        if instance.is_some()
             && self
                 .engine
                 .upstreams
                 .get(&id)
                 .map(|upstream| upstream.server)
-                == place
+                == instance
         {
             return;
         }
         if let Some(known) = self.engine.upstreams.remove(&id) {
             known.close();
         }
-        if let Some(place) = place {
+        if let Some(instance) = instance {
             self.engine
                 .upstreams
-                .insert(id, Upstream::new(place, self.pool.clone()));
+                .insert(id, Upstream::new(instance, self.pool.clone()));
         }
     }
 }
 
-/// The decision module and the list of servers that the previous process handed over. All names of servers that it knew go
-/// to the roster.
+/// Restores the decision module and the endpoint list from the state that the previous process handed over, and adds all
+/// server names that it knew to the roster.
 fn resume(
-    given: Given,
+    state: HandoverState,
     settings: Settings,
     seed: u64,
     names: &IndexNames,
     clock: Clock,
     roster: &mut Roster,
-) -> (Gateway, Listing) {
-    for name in &given.names {
-        roster.name(server_id(name), name);
+) -> (Gateway, EndpointList) {
+    for name in &state.names {
+        roster.remember_name(server_id(name), name);
     }
-    let targets = given.targets();
-    let lines = targets
+    let targets = state.targets();
+    let servers = targets
         .iter()
         .filter_map(|target| target.server(names).ok())
         .collect();
-    let (gateway, whole) =
-        Gateway::from_handover(settings, seed, clock.now(), given.gateway, lines);
-    let what = if whole {
+    let (gateway, complete) =
+        Gateway::from_handover(settings, seed, clock.now(), state.gateway, servers);
+    let what = if complete {
         "all"
     } else {
-        "the list and what is out by hand, as the settings differ"
+        "only the endpoint list and the servers out of service by hand, as the settings differ"
     };
-    eprintln!("emberpin: taken over from the process before: {what}");
-    let listing = Listing {
-        rev: given.rev,
+    eprintln!("emberpin: state taken over from the previous process: {what}");
+    let list = EndpointList {
+        rev: state.rev,
         whole: true,
         targets: targets.into_iter().map(Entry::Target).collect(),
-        place: 0,
-        teller: Teller::Service,
+        service_generation: 0,
+        source: ListSource::Service,
     };
-    (gateway, listing)
+    (gateway, list)
 }
--- a/crates/emberpin-limiter/src/upstream/endpoint_list.rs
+++ b/crates/emberpin-limiter/src/upstream/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list of servers as discovery words it: whole, or the changes to it.
+//! The endpoint list in the format of the list service: the full list, or changes to it.
 
 use emberpin_balancer::host_config::{stable_hash, IndexNames, ServerEntry, UnknownZone};
 use emberpin_balancer::{Server, ServerId, ServerStatus};
@@ -6,31 +6,35 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A list of servers, or the changes to it.
+/// An endpoint list, or changes to one.
 #[derive(Debug, Default, Deserialize)]
-pub struct Listing {
+pub struct EndpointList {
+    /// The revision of the list, with any changes applied.
     pub rev: u64,
     #[serde(rename = "all")]
+    /// Whether this is the full list; otherwise it contains only changed entries.
     pub whole: bool,
     pub targets: Vec<Entry>,
-    /// Which list service it is from: they are counted from the start.
+    /// Which list service it comes from: 0 for the first one that this process used, 1 for the next, and so on. Revisions
+    /// of different services cannot be compared.
     #[serde(skip)]
-    pub place: u32,
-    /// Whose word it is.
+    pub service_generation: u32,
+    /// Who sent it.
     #[serde(skip)]
-    pub teller: Teller,
+    pub source: ListSource,
 }
 
-/// Who told a list.
+/// Who sent an endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Teller {
+pub enum ListSource {
+    /// The list service.
     #[default]
     Service,
-    /// Another limiter, under this word of belief; `sure` if it doubted the list and believes it now.
-    Peer { word: u32, sure: bool },
+    /// Another limiter, which accepted it in this epoch; `confirmed` if that limiter first doubted the list and then accepted it.
+    Peer { epoch: u32, confirmed: bool },
 }
 
-/// An entry that cannot be read must not take the others of its line with it.
+/// One entry. An entry that cannot be parsed must not invalidate the others of its list.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 pub enum Entry {
@@ -59,23 +63,27 @@
     Ready,
     Draining,
     Gone,
-    /// A state that this program does not know gets nothing new.
+    /// A state that this program does not know: the server gets no new requests.
     #[serde(other)]
     Unknown,
 }
 
-/// The id of the server of this name, the same at every limiter.
+/// The id of the server of this name, which is the same at every limiter.
 pub fn server_id(name: &str) -> ServerId {
     ServerId(stable_hash(name) as u32)
 }
 
 impl Target {
-    /// The same at every limiter.
+    /// The server's id, which is the same at every limiter.
     pub fn id(&self) -> ServerId {
         server_id(&self.uid)
     }
 
-    /// The entry in the decision module's terms; the error names what the settings do not.
+    /// The entry as the decision module takes it.
+    ///
+    /// # Errors
+    ///
+    /// [`UnknownZone`] if the settings have no such zone.
     pub fn server(&self, names: &IndexNames) -> Result<Server, UnknownZone> {
         names.server(ServerEntry {
             id: self.id(),
