--- a/crates/emberpin-limiter/src/upstream/engine/mod.rs
+++ b/crates/emberpin-limiter/src/upstream/engine/mod.rs
@@ -22,12 +22,12 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// What happens to an attempt whose time, as the decision module gave it, is over.
+/// What happens to an attempt that exceeds the time that the decision module gave it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverdueAttempts {
     /// It ends with [`Outcome::Timeout`].
     End,
-    /// It goes on, and the owner is informed by [`Input::Overdue`]. It ends when the request expires, or by
+    /// It continues, and the owner is informed by [`Input::Overdue`]. It ends when the request expires, or by
     /// [`Engine::time_out`].
     Report,
 }
@@ -104,7 +104,7 @@
         self.requests.contains_key(&request)
     }
 
-    /// Takes a client's request, to which one reply will be sent.
+    /// Accepts a client's request, to which one reply will be sent.
     pub fn on_request(&mut self, admitted: AdmittedRequest) {
         let event = Event::Request(Request {
             id: admitted.id,
@@ -128,7 +128,8 @@
         self.handle_event(event);
     }
 
-    /// The client of a request disconnected. Whether a running attempt is cancelled is for the module to say.
+    /// The client of a request disconnected. The module decides whether a running attempt is
+    /// cancelled.
     pub fn on_client_gone(&mut self, request: RequestId) {
         let Some(in_flight) = self.requests.get_mut(&request) else {
             return;
@@ -139,8 +140,8 @@
         }
     }
 
-    /// Takes back a request of which nothing may have run, so that it can be routed anew; `None` if something may have
-    /// run or it is answered. The module learns of its end with that of the attempt that runs.
+    /// Takes back a request that cannot have run, so that it can be routed again. Returns the sender of its reply, or
+    /// `None` if it may have run or is answered. The module learns of the request's end when the running attempt ends.
     pub fn withdraw(&mut self, request: RequestId) -> Option<oneshot::Sender<Reply>> {
         self.requests
             .get_mut(&request)
@@ -198,7 +199,7 @@
     }
 
     /// Ends an attempt with [`Outcome::Timeout`]; its end arrives as any other's. Does nothing to an attempt whose
-    /// request body has been streamed, as no other could follow it.
+    /// request body has been streamed, as no other attempt could follow.
     pub fn time_out(&mut self, request: RequestId, attempt: u32) {
         let cancel = self
             .requests
@@ -326,7 +327,7 @@
             OverdueAttempts::Report => {
                 let request_time = match &outgoing.body {
                     RequestBody::Buffered(_) => request_time,
-                    // Its time begins with the last byte of the upload, and is no longer than any other's.
+                    // The time begins with the last byte of the upload, and is no longer than for other requests.
                     RequestBody::Uploading(_) => in_flight.time_limit,
                 };
                 if timeout < request_time {
@@ -336,13 +337,13 @@
             }
         };
         spawn_local(async move {
-            let asked = Instant::now();
+            let gate_asked_at = Instant::now();
             let permitted = match &outgoing.gate {
                 None => true,
                 // The server may have begun to drain while the gate was asked.
-                Some(gate) => gate.opens(attempt, location, timeout).await && upstream.is_open(),
+                Some(gate) => gate.allows(attempt, location, timeout).await && upstream.is_open(),
             };
-            let left = timeout.saturating_sub(asked.elapsed());
+            let left = timeout.saturating_sub(gate_asked_at.elapsed());
             let ended = match permitted && !left.is_zero() {
                 true => upstream.attempt(outgoing, left, cancelled).await,
                 false => AttemptEnd::unsent(),
@@ -362,7 +363,7 @@
         let Some(in_flight) = self.requests.get_mut(&request) else {
             return;
         };
-        // No attempt of a request goes on once the request is answered.
+        // No attempt of a request continues once the request is answered.
         if let Some(running) = &mut in_flight.running {
             running.cancel = None;
         }
--- a/crates/emberpin-limiter/src/upstream/engine/request_table.rs
+++ b/crates/emberpin-limiter/src/upstream/engine/request_table.rs
@@ -11,11 +11,11 @@
 pub(super) struct InFlightRequest {
     pub(super) outgoing: Rc<UpstreamRequest>,
     pub(super) expires: Instant,
-    /// How long it may take once its body has ended.
+    /// How long the request may take once its body has ended.
     pub(super) time_limit: Duration,
-    /// Receives the reply; `None` once it has one, or needs none as its client is gone.
+    /// Receives the reply; `None` once the reply was sent or the client has disconnected.
     pub(super) reply_to: Option<oneshot::Sender<Reply>>,
-    /// Attempts so far, those that were not sent included.
+    /// Number of attempts so far, including those that were not sent.
     pub(super) attempts: u32,
     pub(super) running: Option<RunningAttempt>,
     pub(super) may_have_run: bool,
@@ -48,7 +48,7 @@
         self.attempts == attempt + 1
     }
 
-    /// Whether nothing is left to do for it.
+    /// Whether the request is answered and has no running attempt.
     pub(super) fn is_finished(&self) -> bool {
         self.reply_to.is_none() && self.running.is_none()
     }
--- a/crates/emberpin-limiter/src/upstream/lifetimes.rs
+++ b/crates/emberpin-limiter/src/upstream/lifetimes.rs
@@ -1,70 +1,76 @@
-//! How long an idle connection to a server really lasts, learned from how the next requests on them end. No I/O, and
-//! no clock of its own.
+//! Estimates how long an idle connection to a server can be used, from the outcomes of requests on such connections. No
+//! I/O, and no clock of its own.
 //!
-//! Something between limiter and server (a firewall, an address translator, the server itself) may forget a
-//! connection long before the stated time and tell nobody: the next request on it is reset, and may have run. Ages are
-//! told apart by doublings; one at which requests are lost clearly more often than on young connections is closed, and
-//! opened again after a pause that doubles.
+//! A firewall, an address translator or the server itself may drop a connection silently, long before the stated time:
+//! the next request on it is reset, and may have run. Idle times are grouped into classes, each twice as long as the one
+//! before. A class in which requests are lost clearly more often than on young connections is closed, and opened again
+//! after a pause that doubles each time.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Ages below this are young, and every doubling of it begins a class of its own.
+/// A connection that was idle for less than this is young. Each doubling of this time begins another class.
 const YOUNG: Duration = Duration::from_millis(25);
-const CLASSES: usize = 13;
-/// Uses of connections of an age before it may be closed.
+/// Number of classes of idle times; the last has no upper bound.
+const AGE_CLASSES: usize = 13;
+/// Minimum number of uses of connections of a class before it may be closed.
 const MIN_USES: f64 = 8.0;
-/// The loss ratio of young connections is taken to be at least this.
+/// Lower bound of the baseline, the loss ratio of young connections.
 const MIN_USUAL_LOSS: f64 = 0.02;
-/// An age is closed only if its loss ratio exceeds that of young connections by this much,
+/// A class is closed only if its loss ratio exceeds the baseline by at least this much,
 const MIN_EXCESS_LOSS: f64 = 0.1;
-/// and by this many standard deviations.
+/// and by at least this many standard deviations.
 const MIN_DEVIATIONS: f64 = 4.0;
-/// The moving average over the uses of connections of an age spans this many.
+/// Number of uses that the moving average of a class spans.
 const AGE_WINDOW: f64 = 32.0;
-/// The same for young connections, the baseline of all ages.
+/// Number of uses that the moving average of young connections spans.
 const YOUNG_WINDOW: f64 = 512.0;
-/// How long an age stays closed, at first and at most; the time doubles.
-const CLOSED: (Duration, Duration) = (Duration::from_secs(10), Duration::from_secs(320));
+/// How long a class stays closed, the first time and at most; the time doubles with each closing.
+const CLOSED_TIME: (Duration, Duration) = (Duration::from_secs(10), Duration::from_secs(320));
 
+/// A moving average of the share of uses that were lost.
 #[derive(Clone, Copy, Default)]
-struct Share {
-    seen: f64,
-    lost: f64,
+struct LossRatio {
+    /// Number of uses that the average spans.
+    uses: f64,
+    /// The share of them that were lost, from 0 to 1.
+    ratio: f64,
 }
 
-impl Share {
-    fn add(&mut self, lost: bool, remembered: f64) {
-        self.seen = (self.seen + 1.0).min(remembered);
-        self.lost += (f64::from(u8::from(lost)) - self.lost) / self.seen;
+impl LossRatio {
+    fn add(&mut self, lost: bool, window: f64) {
+        self.uses = (self.uses + 1.0).min(window);
+        self.ratio += (f64::from(u8::from(lost)) - self.ratio) / self.uses;
     }
 }
 
+/// The state of one class of idle times.
 #[derive(Clone, Copy, Default)]
-struct Age {
-    share: Share,
+struct AgeClass {
+    share: LossRatio,
     closed_until: Option<Instant>,
+    /// How long it was closed the last time.
     pause: Duration,
 }
 
-/// What is known of connections to servers by the age at which they were used again.
+/// The losses of requests on connections to servers, by the time that the connections had been idle.
 #[derive(Default)]
 pub struct Lifetimes {
-    /// New connections, and those that were idle for a moment only.
-    young: Share,
-    ages: [Age; CLASSES],
+    /// New connections, and those that were idle for less than [`YOUNG`].
+    young: LossRatio,
+    ages: [AgeClass; AGE_CLASSES],
 }
 
 impl Lifetimes {
-    /// Which class of ages an idle time falls into; `None` for young ones.
+    /// The class of an idle time; `None` for young connections.
     fn class(idle: Duration) -> Option<usize> {
         let doublings = (idle.as_secs_f64() / YOUNG.as_secs_f64()).log2();
-        (doublings >= 0.0).then_some((doublings as usize).min(CLASSES - 1))
+        (doublings >= 0.0).then_some((doublings as usize).min(AGE_CLASSES - 1))
     }
 
-    /// A request went out on a connection that had been idle for so long (not at all, if new), and was lost with it
-    /// or answered. Tells the age that is closed for that, and for how long.
-    pub fn learn(
+    /// Records that a request on a connection that had been idle for `idle` (zero if it was new) was lost with the
+    /// connection, or answered. If a class is closed for that, returns its shortest idle time and how long it stays closed.
+    pub fn record(
         &mut self,
         now: Instant,
         idle: Duration,
@@ -76,22 +82,23 @@
         };
         let age = &mut self.ages[class];
         age.share.add(lost, AGE_WINDOW);
-        let usual = self.young.lost.clamp(MIN_USUAL_LOSS, 1.0 - MIN_USUAL_LOSS);
-        let chance = MIN_DEVIATIONS * (usual * (1.0 - usual) / age.share.seen).sqrt();
-        if age.share.seen < MIN_USES || age.share.lost <= usual + chance.max(MIN_EXCESS_LOSS) {
+        let baseline = self.young.ratio.clamp(MIN_USUAL_LOSS, 1.0 - MIN_USUAL_LOSS);
+        let deviation = MIN_DEVIATIONS * (baseline * (1.0 - baseline) / age.share.uses).sqrt();
+        if age.share.uses < MIN_USES || age.share.ratio <= baseline + deviation.max(MIN_EXCESS_LOSS)
+        {
             return None;
         }
-        let pause = (age.pause * 2).clamp(CLOSED.0, CLOSED.1);
+        let pause = (age.pause * 2).clamp(CLOSED_TIME.0, CLOSED_TIME.1);
         (age.pause, age.closed_until) = (pause, Some(now + pause));
-        // Judged anew when it opens again, and with it what is older, which is not seen until then.
+        // Starts over when the class opens again, as do the longer ones, which are not used until then.
         self.ages[class..]
             .iter_mut()
-            .for_each(|age| age.share = Share::default());
+            .for_each(|age| age.share = LossRatio::default());
         Some((YOUNG * (1 << class), pause))
     }
 
-    /// Whether a connection that has been idle for so long is worth using: no age up to its own is closed.
-    pub fn lasts(&self, now: Instant, idle: Duration) -> bool {
+    /// Whether a connection that has been idle for `idle` should be used: neither its class nor a shorter one is closed.
+    pub fn is_usable(&self, now: Instant, idle: Duration) -> bool {
         let Some(class) = Lifetimes::class(idle) else {
             return true;
         };
@@ -107,8 +114,9 @@
 
     const MS: fn(u64) -> Duration = Duration::from_millis;
 
-    /// Uses connections at ages up to 2 s; those older than `cut` are lost, and of the others this share.
-    fn play(
+    /// Simulates uses of connections that were idle for up to 2 s. Those idle for longer than `cut` are lost, and of the
+    /// others the share `share`. Returns the number of uses, and how many of them were lost.
+    fn simulate_uses(
         lifetimes: &mut Lifetimes,
         now: Instant,
         cut: Duration,
@@ -119,58 +127,58 @@
         let mut random = oorandom::Rand64::new(7);
         for _ in 0..uses {
             let idle = MS(random.rand_range(0..2_000));
-            if lifetimes.lasts(now, idle) {
-                let gone = idle > cut || random.rand_float() < share;
-                lifetimes.learn(now, idle, gone);
-                (used, lost) = (used + 1, lost + u64::from(gone));
+            if lifetimes.is_usable(now, idle) {
+                let is_lost = idle > cut || random.rand_float() < share;
+                lifetimes.record(now, idle, is_lost);
+                (used, lost) = (used + 1, lost + u64::from(is_lost));
             }
-            lifetimes.learn(now, Duration::ZERO, random.rand_float() < share);
+            lifetimes.record(now, Duration::ZERO, random.rand_float() < share);
         }
         (used, lost)
     }
 
     #[test]
-    fn an_age_at_which_connections_are_gone_is_closed_and_younger_ones_are_not() {
+    fn a_class_whose_connections_are_lost_is_closed_and_shorter_ones_stay_open() {
         let (mut lifetimes, now) = (Lifetimes::default(), Instant::now());
-        play(&mut lifetimes, now, MS(200), 0.1, 2_000);
-        assert!(lifetimes.lasts(now, MS(90)) && !lifetimes.lasts(now, MS(450)));
+        simulate_uses(&mut lifetimes, now, MS(200), 0.1, 2_000);
+        assert!(lifetimes.is_usable(now, MS(90)) && !lifetimes.is_usable(now, MS(450)));
         assert!(
-            !lifetimes.lasts(now, MS(60_000)),
-            "what is older yet is gone as well"
+            !lifetimes.is_usable(now, MS(60_000)),
+            "longer idle times are closed as well"
         );
-        let (used, lost) = play(&mut lifetimes, now, MS(200), 0.1, 2_000);
+        let (used, lost) = simulate_uses(&mut lifetimes, now, MS(200), 0.1, 2_000);
         assert!(used > 0 && lost * 4 < used, "{lost} of {used}");
     }
 
     #[test]
-    fn losses_that_strike_connections_of_every_age_close_none() {
+    fn losses_independent_of_idle_time_close_no_class() {
         let (mut lifetimes, now) = (Lifetimes::default(), Instant::now());
-        play(&mut lifetimes, now, MS(10_000), 0.25, 4_000);
-        assert!((0..2_000).all(|idle| lifetimes.lasts(now, MS(idle))));
+        simulate_uses(&mut lifetimes, now, MS(10_000), 0.25, 4_000);
+        assert!((0..2_000).all(|idle| lifetimes.is_usable(now, MS(idle))));
     }
 
     #[test]
-    fn a_closed_age_opens_again_and_stays_open_once_connections_last() {
+    fn a_closed_class_reopens_and_stays_open_once_losses_stop() {
         let (mut lifetimes, mut now) = (Lifetimes::default(), Instant::now());
-        play(&mut lifetimes, now, MS(100), 0.1, 2_000);
-        assert!(!lifetimes.lasts(now, MS(1_000)));
-        now += CLOSED.1 * 2;
-        assert!(lifetimes.lasts(now, MS(1_000)));
-        play(&mut lifetimes, now, MS(10_000), 0.1, 2_000);
-        assert!((0..2_000).all(|idle| lifetimes.lasts(now, MS(idle))));
+        simulate_uses(&mut lifetimes, now, MS(100), 0.1, 2_000);
+        assert!(!lifetimes.is_usable(now, MS(1_000)));
+        now += CLOSED_TIME.1 * 2;
+        assert!(lifetimes.is_usable(now, MS(1_000)));
+        simulate_uses(&mut lifetimes, now, MS(10_000), 0.1, 2_000);
+        assert!((0..2_000).all(|idle| lifetimes.is_usable(now, MS(idle))));
     }
 
     #[test]
-    fn an_age_that_is_bad_again_and_again_is_tried_ever_more_rarely() {
+    fn a_class_with_lasting_losses_is_retried_ever_more_rarely() {
         let (mut lifetimes, mut now) = (Lifetimes::default(), Instant::now());
         let mut lost = 0;
         for _ in 0..600 {
             now += Duration::from_secs(1);
-            lost += play(&mut lifetimes, now, MS(100), 0.0, 100).1;
+            lost += simulate_uses(&mut lifetimes, now, MS(100), 0.0, 100).1;
         }
         assert!(
             lost * 40 < 57_000,
-            "of 57,000 uses at such an age {lost} were tried and lost"
+            "{lost} of 57,000 uses on dropped connections were tried and lost"
         );
     }
 }
--- a/crates/emberpin-limiter/src/upstream/list_snapshot.rs
+++ b/crates/emberpin-limiter/src/upstream/list_snapshot.rs
@@ -1,8 +1,9 @@
-//! The last list on a disk, by `emberpin_startup::snapshot`: read once at the start, written behind the limiter's back by
-//! a thread of its own. A disk that fails, lies or stalls costs the snapshot, never the start or the service.
+//! A snapshot of the endpoint list on disk, in the format of `emberpin_startup::snapshot`. It is read once at the start,
+//! and written by a thread of its own. A disk that fails, returns corrupt data or stalls costs the snapshot, but neither
+//! the start nor the service.
 
 use crate::operate::config::Config;
-use crate::upstream::endpoint_list::{Entry, Listing, Target, Teller};
+use crate::upstream::endpoint_list::{EndpointList, Entry, ListSource, Target};
 use emberpin_startup::snapshot::{decode, encode, SnapshotHeader, MAX_BYTES};
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
@@ -13,48 +14,49 @@
 use tokio::time::timeout;
 
 const FILE: &str = "list";
-const NEW: &str = "list.new";
-/// At most one write in so long.
-const EVERY: Duration = Duration::from_secs(1);
+const TEMPORARY_FILE: &str = "list.new";
+/// Minimum time between two writes.
+const WRITE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Where one instance's snapshot is.
+/// The snapshot of one instance.
 pub struct ListSnapshot {
     folder: PathBuf,
     owner: String,
-    /// What is to be written next; a newer list takes its place.
+    /// The encoded list that is to be written next; a newer list replaces it.
     next: Arc<(Mutex<Option<Vec<u8>>>, Condvar)>,
 }
 
 impl ListSnapshot {
-    /// The instance's snapshot, if the operator wants one.
+    /// Starts the thread that writes the instance's snapshot; `None` if the operator has not enabled snapshots.
     ///
     /// # Errors
     ///
-    /// No thread can be had.
+    /// One line, if the thread cannot be started.
     pub fn start(config: &Config) -> Result<Option<ListSnapshot>, String> {
         let (Some(start), Some(folder)) = (&config.start, &config.snapshot) else {
             return Ok(None);
         };
-        let kept = ListSnapshot {
+        let snapshot = ListSnapshot {
             folder: folder.clone(),
             owner: format!("{}/{}", start.site, config.name),
             next: Arc::default(),
         };
-        let (folder, next) = (folder.clone(), kept.next.clone());
+        let (folder, next) = (folder.clone(), snapshot.next.clone());
         let thread = std::thread::Builder::new()
             .name("list".into())
-            .spawn(move || write_for_ever(&folder, &next));
+            .spawn(move || run_writer(&folder, &next));
         thread.map_err(|e| format!("[start] snapshot: no thread: {e}"))?;
-        Ok(Some(kept))
+        Ok(Some(snapshot))
     }
 
-    /// What the life before left, if the disk gives it in time and it can be used.
-    pub async fn read(&self, within: Duration, most: Duration) -> Option<Listing> {
+    /// Reads the list that an earlier incarnation saved. Returns `None` if there is none, if it is older than `max_age` or
+    /// otherwise unusable, or if the disk does not deliver it within `within`.
+    pub async fn read(&self, within: Duration, max_age: Duration) -> Option<EndpointList> {
         let path = self.folder.join(FILE);
         let shown = path.display().to_string();
-        let (give, given) = oneshot::channel();
-        // Its own thread: one that a stalled disk holds on to must not hold anything else.
-        let reading = move || _ = give.send(read(&path));
+        let (reply_to, contents) = oneshot::channel();
+        // In its own thread, so that a stalled disk blocks nothing else.
+        let reading = move || _ = reply_to.send(read(&path));
         if let Err(problem) = std::thread::Builder::new()
             .name("list-read".into())
             .spawn(reading)
@@ -62,7 +64,7 @@
             eprintln!("emberpin: {shown}: no thread: {problem}; starting without it");
             return None;
         }
-        let bytes = match timeout(within, given).await {
+        let bytes = match timeout(within, contents).await {
             Ok(Ok(Ok(bytes))) => bytes,
             Ok(Ok(Err(problem))) if problem.kind() == io::ErrorKind::NotFound => return None,
             Ok(Ok(Err(problem))) => {
@@ -71,27 +73,27 @@
             }
             Ok(Err(_)) | Err(_) => {
                 eprintln!(
-                    "emberpin: {shown}: the disk gave nothing within {} ms; starting without it",
+                    "emberpin: {shown}: the disk did not deliver it within {} ms; starting without it",
                     within.as_millis()
                 );
                 return None;
             }
         };
-        match decode(&bytes, &self.owner, SystemTime::now(), most) {
-            Ok((label, entries)) => match serde_json::from_slice::<Vec<Target>>(entries) {
+        match decode(&bytes, &self.owner, SystemTime::now(), max_age) {
+            Ok((header, entries)) => match serde_json::from_slice::<Vec<Target>>(entries) {
                 Ok(targets) => {
                     eprintln!(
-                        "emberpin: {shown}: {} servers of version {}",
+                        "emberpin: {shown}: {} servers at revision {}",
                         targets.len(),
-                        label.revision
+                        header.revision
                     );
                     let targets = targets.into_iter().map(Entry::Target).collect();
-                    Some(Listing {
-                        rev: label.revision,
+                    Some(EndpointList {
+                        rev: header.revision,
                         whole: true,
                         targets,
-                        place: 0,
-                        teller: Teller::Service,
+                        service_generation: 0,
+                        source: ListSource::Service,
                     })
                 }
                 Err(problem) => {
@@ -100,24 +102,24 @@
                 }
             },
             Err(unusable) => {
-                eprintln!("emberpin: {shown} is not used: {unusable}; remove it or let it be written anew");
+                eprintln!("emberpin: {shown} is not used: {unusable}; remove it, or wait until it is overwritten");
                 None
             }
         }
     }
 
-    /// Has this list written.
-    pub fn keep(&self, rev: u64, targets: &[Target]) {
+    /// Schedules this list to be written.
+    pub fn save(&self, rev: u64, targets: &[Target]) {
         let Ok(entries) = serde_json::to_vec(targets) else {
             return;
         };
-        let label = SnapshotHeader {
+        let header = SnapshotHeader {
             owner: self.owner.clone(),
             written_at: SystemTime::now(),
             revision: rev,
         };
         let (next, wake) = &*self.next;
-        *next.lock().unwrap_or_else(PoisonError::into_inner) = Some(encode(&label, &entries));
+        *next.lock().unwrap_or_else(PoisonError::into_inner) = Some(encode(&header, &entries));
         wake.notify_one();
     }
 }
@@ -130,14 +132,15 @@
     Ok(bytes)
 }
 
-fn write_for_ever(folder: &Path, next: &(Mutex<Option<Vec<u8>>>, Condvar)) {
+/// Writes each scheduled list, at most one in [`WRITE_INTERVAL`]. Reports the first of a series of failures.
+fn run_writer(folder: &Path, next: &(Mutex<Option<Vec<u8>>>, Condvar)) {
     let mut failing = false;
     loop {
         let bytes = {
-            let waiting = next.0.lock().unwrap_or_else(PoisonError::into_inner);
+            let guard = next.0.lock().unwrap_or_else(PoisonError::into_inner);
             let mut woken = next
                 .1
-                .wait_while(waiting, |next| next.is_none())
+                .wait_while(guard, |next| next.is_none())
                 .unwrap_or_else(PoisonError::into_inner);
             woken.take().unwrap_or_default()
         };
@@ -146,20 +149,20 @@
             Err(problem) if !failing => {
                 failing = true;
                 eprintln!(
-                    "emberpin: cannot write {}: {problem}; the list is not kept",
+                    "emberpin: cannot write {}: {problem}; the list is not saved",
                     folder.display()
                 );
             }
             Err(_) => {}
         }
-        std::thread::sleep(EVERY);
+        std::thread::sleep(WRITE_INTERVAL);
     }
 }
 
-/// Whole or not at all: a new file, on the disk before it takes the old one's name.
+/// Replaces the snapshot atomically: a new file is synced before it is renamed over the old one.
 fn write(folder: &Path, bytes: &[u8]) -> io::Result<()> {
     fs::create_dir_all(folder)?;
-    let new = folder.join(NEW);
+    let new = folder.join(TEMPORARY_FILE);
     let mut file = File::create(&new)?;
     file.write_all(bytes)?;
     file.sync_all()?;
--- a/crates/emberpin-limiter/src/upstream/list_trust.rs
+++ b/crates/emberpin-limiter/src/upstream/list_trust.rs
@@ -1,5 +1,6 @@
-//! Which lists hold where the operator has set `[start]`, and when the limiter is ready: the decisions of
-//! `emberpin_startup` with a clock, a random source and a disk.
+//! Decides which endpoint lists are accepted where the operator has set `[start]`, and when the limiter is ready: runs the
+//! decisions of `emberpin_startup` with a clock, a random source and a disk. A list that would remove many servers is
+//! doubted: it is rejected or only merged, and the full list is fetched again.
 
 use crate::operate::config::Config;
 use crate::upstream::endpoint_list::Target;
@@ -12,123 +13,123 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// The doubts, the snapshot and the readiness of one limiter.
+/// The guard of the endpoint list, the snapshot and the readiness of one limiter.
 pub struct ListTrust {
-    began: Instant,
-    trust: RefCell<ListGuard>,
+    started_at: Instant,
+    guard: RefCell<ListGuard>,
     ready: RefCell<Readiness>,
-    /// When it is ready whatever is known.
-    limit: Instant,
+    /// When the limiter becomes ready whatever servers it knows.
+    ready_at_latest: Instant,
     is_ready: watch::Sender<bool>,
-    kept: Option<ListSnapshot>,
+    snapshot: Option<ListSnapshot>,
     random: RefCell<oorandom::Rand64>,
     refetch: Rc<Notify>,
-    /// The whole list will be asked for again.
-    asks_again: Cell<bool>,
+    /// Another fetch of the full list is scheduled.
+    refetch_scheduled: Cell<bool>,
 }
 
 impl ListTrust {
-    /// Nothing is doubted yet; `None` where `[start]` is off.
+    /// Starts without any doubt; `None` where `[start]` is off.
     pub fn start(
         config: &Config,
-        kept: Option<ListSnapshot>,
+        snapshot: Option<ListSnapshot>,
         refetch: Rc<Notify>,
     ) -> Option<Rc<ListTrust>> {
         let start = config.start.as_ref()?;
-        let began = Instant::now();
+        let started_at = Instant::now();
         Some(Rc::new(ListTrust {
-            began,
-            trust: RefCell::new(ListGuard::new(GuardConfig {
+            started_at,
+            guard: RefCell::new(ListGuard::new(GuardConfig {
                 min_retained_share: start.keep_share,
                 max_doubt: start.keep,
             })),
             ready: RefCell::new(Readiness::new(start.ready_within)),
-            limit: began + start.ready_within,
+            ready_at_latest: started_at + start.ready_within,
             is_ready: watch::Sender::new(false),
-            kept,
+            snapshot,
             random: RefCell::new(oorandom::Rand64::new(u128::from(config.seed) ^ 0x6265)),
             refetch,
-            asks_again: Cell::new(false),
+            refetch_scheduled: Cell::new(false),
         }))
     }
 
-    /// Returns once clients may come.
+    /// Returns once clients may be accepted.
     pub async fn ready(&self) {
         let mut ready = self.is_ready.subscribe();
         tokio::select! {
             _ = ready.wait_for(|ready| *ready) => {}
-            () = sleep_until(self.limit) => {
-                self.ready.borrow_mut().update(self.began.elapsed(), 0);
+            () = sleep_until(self.ready_at_latest) => {
+                self.ready.borrow_mut().update(self.started_at.elapsed(), 0);
             }
         }
     }
 
-    /// What becomes of what was told; one that is doubted is asked for again.
-    pub fn judge(
+    /// Decides whether a received list is accepted. If it is doubted, schedules another fetch of the full list.
+    pub fn evaluate(
         self: &Rc<Self>,
         held: ListSummary,
-        told: ListSummary,
+        received: ListSummary,
         scope: ListScope,
     ) -> Verdict {
-        let verdict = self
-            .trust
-            .borrow_mut()
-            .evaluate(self.began.elapsed(), held, told, scope);
+        let verdict =
+            self.guard
+                .borrow_mut()
+                .evaluate(self.started_at.elapsed(), held, received, scope);
         if matches!(verdict, Verdict::Merge | Verdict::Reject) {
             eprintln!(
-                "emberpin: a list of version {} with {} servers is doubted, version {} with {} is held; SIGHUP has it \
-                 believed",
-                told.revision, told.servers, held.revision, held.servers
+                "emberpin: doubtful endpoint list at revision {} with {} servers, keeping revision {} with {}; send SIGHUP \
+                 to accept it",
+                received.revision, received.servers, held.revision, held.servers
             );
         }
         let draw = self.random.borrow_mut().rand_float();
-        let again = self.trust.borrow().refetch_delay(draw);
-        if let (Some(pause), false) = (again, self.asks_again.replace(again.is_some())) {
-            let believed = self.clone();
+        let delay = self.guard.borrow().refetch_delay(draw);
+        if let (Some(delay), false) = (delay, self.refetch_scheduled.replace(delay.is_some())) {
+            let list_trust = self.clone();
             spawn_local(async move {
-                sleep(pause).await;
-                believed.asks_again.set(false);
-                believed.refetch.notify_one();
+                sleep(delay).await;
+                list_trust.refetch_scheduled.set(false);
+                list_trust.refetch.notify_one();
             });
         }
         verdict
     }
 
-    /// A peer doubted this whole list and believes it now.
-    pub fn take(&self) {
-        self.trust.borrow_mut().on_full_list_accepted();
+    /// Records that a full list was accepted because a peer, which had doubted it too, has confirmed it.
+    pub fn on_confirmed_list(&self) {
+        self.guard.borrow_mut().on_full_list_accepted();
     }
 
-    /// Whether what was told last is doubted.
-    pub fn doubts(&self) -> bool {
-        self.trust.borrow().is_doubting()
+    /// Whether the list received last is doubted.
+    pub fn is_doubting(&self) -> bool {
+        self.guard.borrow().is_doubting()
     }
 
-    /// So many servers of the list may be sent to.
-    pub fn see(&self, servers: usize) {
+    /// Updates the readiness with the number of servers that requests may be sent to.
+    pub fn update_readiness(&self, servers: usize) {
         let ready = self
             .ready
             .borrow_mut()
-            .update(self.began.elapsed(), servers);
+            .update(self.started_at.elapsed(), servers);
         self.is_ready
             .send_if_modified(|was| !std::mem::replace(was, ready) && ready);
     }
 
-    /// The list service has told this. What a life was given at its start is not kept: it would seem as young as the
-    /// life.
-    pub fn keep(&self, rev: u64, targets: impl FnOnce() -> Vec<Target>) {
-        if let Some(kept) = &self.kept {
+    /// Saves a list that was received since the start. The list that an incarnation starts with is not saved: the snapshot
+    /// would seem as recent as the incarnation.
+    pub fn save(&self, rev: u64, targets: impl FnOnce() -> Vec<Target>) {
+        if let Some(snapshot) = &self.snapshot {
             let targets = targets();
             if !targets.is_empty() {
-                kept.keep(rev, &targets);
+                snapshot.save(rev, &targets);
             }
         }
     }
 
-    /// The operator's word: what the list service tells holds.
-    pub fn believe(&self) {
-        if self.trust.borrow_mut().override_doubt() {
-            eprintln!("emberpin: the next whole list is believed");
+    /// Follows an operator's order to accept the next full list of the list service.
+    pub fn override_doubt(&self) {
+        if self.guard.borrow_mut().override_doubt() {
+            eprintln!("emberpin: the next full endpoint list will be accepted");
             self.refetch.notify_one();
         }
     }
--- a/crates/emberpin-limiter/src/upstream/list_watch.rs
+++ b/crates/emberpin-limiter/src/upstream/list_watch.rs
@@ -1,103 +1,106 @@
-//! Parses the stream of a watch of the list service: listings, each on one line or indented over several, and empty lines
-//! as keep-alives. No I/O.
+//! Parses the stream of a watch of the list service: endpoint lists, each on one line or indented over several, and empty
+//! lines as keep-alives. No I/O.
 
-use crate::upstream::endpoint_list::Listing;
+use crate::upstream::endpoint_list::EndpointList;
 
-/// Longest listing; a watch that sends more is broken.
-const LONGEST: usize = 1 << 20;
+/// Maximum size of one list; a watch that sends more is broken.
+const MAX_LIST_BYTES: usize = 1 << 20;
 
 /// One event of a watch.
 #[derive(Debug)]
 pub enum WatchEvent {
     /// A keep-alive: the service has nothing newer.
-    Nothing,
-    /// A list, or changes to it.
-    Listing(Listing),
+    KeepAlive,
+    /// An endpoint list, or changes to it.
+    List(EndpointList),
 }
 
-/// A listing cannot be parsed. It may have said that a server drains, so the list must be fetched again.
+/// A list cannot be parsed. It may have contained a server that drains, so the full list must be fetched again.
 #[derive(Debug, PartialEq)]
-pub struct InvalidListing;
+pub struct InvalidList;
 
 /// The state of parsing one watch.
 #[derive(Debug, Default)]
 pub struct WatchParser {
-    held: Vec<u8>,
+    /// Bytes of events that are not complete.
+    buffer: Vec<u8>,
     /// How many of these bytes were parsed.
-    seen: usize,
-    /// Where the present line began.
+    parsed_length: usize,
+    /// Where the present line starts.
     line: usize,
     /// How many objects and arrays are open.
     depth: usize,
-    in_text: bool,
+    /// Inside a JSON string.
+    in_string: bool,
+    /// The next byte of the string is escaped.
     escaped: bool,
 }
 
 impl WatchParser {
-    /// Takes bytes of the stream, and returns the events that they complete.
+    /// Parses more bytes of the stream, and returns the events that they complete.
     ///
     /// # Errors
     ///
-    /// [`InvalidListing`] for what is no listing or too long; the watch must be started anew.
-    pub fn take(&mut self, bytes: &[u8]) -> Result<Vec<WatchEvent>, InvalidListing> {
-        self.held.extend_from_slice(bytes);
-        let mut told = Vec::new();
-        while let Some(byte) = self.held.get(self.seen).copied() {
-            self.seen += 1;
+    /// [`InvalidList`] if the bytes are not a list, or it is too long; the watch must be started again.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<WatchEvent>, InvalidList> {
+        self.buffer.extend_from_slice(bytes);
+        let mut events = Vec::new();
+        while let Some(byte) = self.buffer.get(self.parsed_length).copied() {
+            self.parsed_length += 1;
             match byte {
                 b'\n' => {
-                    if let Some(line) = self.ends_line()? {
-                        told.push(line);
+                    if let Some(event) = self.on_line_end()? {
+                        events.push(event);
                     }
                 }
                 _ if self.escaped => self.escaped = false,
-                b'\\' if self.in_text => self.escaped = true,
-                b'"' => self.in_text = !self.in_text,
-                b'{' | b'[' if !self.in_text => self.depth += 1,
-                b'}' | b']' if !self.in_text => self.depth = self.depth.saturating_sub(1),
+                b'\\' if self.in_string => self.escaped = true,
+                b'"' => self.in_string = !self.in_string,
+                b'{' | b'[' if !self.in_string => self.depth += 1,
+                b'}' | b']' if !self.in_string => self.depth = self.depth.saturating_sub(1),
                 _ => {}
             }
         }
-        if self.held.len() > LONGEST {
-            return Err(InvalidListing);
+        if self.buffer.len() > MAX_LIST_BYTES {
+            return Err(InvalidList);
         }
-        Ok(told)
+        Ok(events)
     }
 
-    /// A line has ended: a listing with it, if nothing is open any more.
-    fn ends_line(&mut self) -> Result<Option<WatchEvent>, InvalidListing> {
-        let line = self.held[self.line..self.seen].trim_ascii();
+    /// Handles the end of a line. A list ends with it if no object or array is open.
+    fn on_line_end(&mut self) -> Result<Option<WatchEvent>, InvalidList> {
+        let line = self.buffer[self.line..self.parsed_length].trim_ascii();
         let first = self.line == 0;
         if first && line.is_empty() {
-            self.begin();
-            return Ok(Some(WatchEvent::Nothing));
+            self.reset();
+            return Ok(Some(WatchEvent::KeepAlive));
         }
         if self.depth > 0 {
-            // An indented listing opens on a line of its own, and holds no empty line and no other's beginning. What else
-            // is open at the end of its line was cut off.
-            let goes_on = if first {
+            // An indented list begins with `{` on a line of its own, and contains no empty line and no line that begins with
+            // `{`. Anything else that is open at the end of its line was truncated.
+            let continues = if first {
                 line == b"{"
             } else {
-                !line.is_empty() && self.held[self.line] != b'{'
+                !line.is_empty() && self.buffer[self.line] != b'{'
             };
-            self.line = self.seen;
-            return if goes_on && !self.in_text {
+            self.line = self.parsed_length;
+            return if continues && !self.in_string {
                 Ok(None)
             } else {
-                Err(InvalidListing)
+                Err(InvalidList)
             };
         }
-        let listing =
-            serde_json::from_slice(&self.held[..self.seen]).map_err(|_| InvalidListing)?;
-        self.begin();
-        Ok(Some(WatchEvent::Listing(listing)))
+        let list =
+            serde_json::from_slice(&self.buffer[..self.parsed_length]).map_err(|_| InvalidList)?;
+        self.reset();
+        Ok(Some(WatchEvent::List(list)))
     }
 
-    /// The next thing begins.
-    fn begin(&mut self) {
-        self.held.drain(..self.seen);
+    /// Discards the parsed bytes, and starts over for the next event.
+    fn reset(&mut self) {
+        self.buffer.drain(..self.parsed_length);
         *self = WatchParser {
-            held: std::mem::take(&mut self.held),
+            buffer: std::mem::take(&mut self.buffer),
             ..WatchParser::default()
         };
     }
@@ -114,15 +117,15 @@
         serde_json::to_string_pretty(&value).expect("written")
     }
 
-    /// What all of this told, in words, byte by byte or at once.
-    fn told(text: &str, piece: usize) -> Result<Vec<String>, InvalidListing> {
+    /// The events of a text that arrives in pieces of this many bytes, as text.
+    fn parsed(text: &str, piece: usize) -> Result<Vec<String>, InvalidList> {
         let mut watch = WatchParser::default();
         let mut all = Vec::new();
         for bytes in text.as_bytes().chunks(piece) {
-            all.extend(watch.take(bytes)?.into_iter().map(|told| match told {
-                WatchEvent::Nothing => "nothing".to_string(),
-                WatchEvent::Listing(listing) => {
-                    format!("{} of {}", listing.targets.len(), listing.rev)
+            all.extend(watch.push(bytes)?.into_iter().map(|event| match event {
+                WatchEvent::KeepAlive => "nothing".to_string(),
+                WatchEvent::List(list) => {
+                    format!("{} of {}", list.targets.len(), list.rev)
                 }
             }));
         }
@@ -130,10 +133,10 @@
     }
 
     #[test]
-    fn listings_come_on_one_line_or_indented_over_several() {
+    fn lists_are_parsed_on_one_line_or_indented_over_several() {
         let text = format!("\n{COMPACT}\n\r\n{}\n\n{COMPACT}\r\n", indented());
         for piece in [1, 3, 64, 4096] {
-            let words = told(&text, piece).expect("sound");
+            let words = parsed(&text, piece).expect("sound");
             assert_eq!(
                 words,
                 ["nothing", "1 of 7", "nothing", "1 of 7", "nothing", "1 of 7"],
@@ -143,7 +146,7 @@
     }
 
     #[test]
-    fn what_is_cut_off_is_garbled_at_the_end_of_its_line() {
+    fn a_truncated_list_is_invalid_at_the_end_of_its_line() {
         let cut = &COMPACT[..COMPACT.len() / 2];
         let cut_indented = &indented()[..indented().len() / 2];
         let garbled = [
@@ -155,12 +158,12 @@
             ),
             "nonsense\n".into(),
             "{}}\n".into(),
-            format!("{}\n", "x".repeat(LONGEST + 1)),
+            format!("{}\n", "x".repeat(MAX_LIST_BYTES + 1)),
         ];
         for text in garbled {
             assert_eq!(
-                told(&text, 512).expect_err("garbled"),
-                InvalidListing,
+                parsed(&text, 512).expect_err("garbled"),
+                InvalidList,
                 "{text:.80}"
             );
         }
@@ -168,10 +171,10 @@
 
     proptest::proptest! {
         #[test]
-        fn no_bytes_panic_or_are_held_without_bound(bytes in proptest::collection::vec(proptest::prelude::any::<u8>(), 0..400)) {
+        fn no_bytes_panic_or_are_buffered_without_bound(bytes in proptest::collection::vec(proptest::prelude::any::<u8>(), 0..400)) {
             let mut watch = WatchParser::default();
-            _ = watch.take(&bytes);
-            proptest::prop_assert!(watch.held.len() <= 400);
+            _ = watch.push(&bytes);
+            proptest::prop_assert!(watch.buffer.len() <= 400);
         }
     }
 }
--- a/crates/emberpin-limiter/src/upstream/mod.rs
+++ b/crates/emberpin-limiter/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The decisions' owner, the list of servers, and the way to them.
+//! The driver, which owns the decision module; the endpoint list and its sources; and the connections to servers.
 
 pub(crate) mod discovery;
 pub(crate) mod driver;
--- a/crates/emberpin-limiter/src/upstream/peer_lists.rs
+++ b/crates/emberpin-limiter/src/upstream/peer_lists.rs
@@ -1,10 +1,10 @@
-//! Lists told by peers over the link: the decisions of `emberpin_startup::list_dissemination` with a clock, the link and
-//! the list.
+//! Endpoint lists that limiters send each other over the link, so that only a few of them watch the list service. Runs the
+//! decisions of `emberpin_startup::list_dissemination` with a clock, the link and the list.
 
-use crate::between::link::{Link, News, LISTS, LONGEST};
+use crate::between::link::{Link, LinkEvent, LIST_MESSAGES, MAX_MESSAGE_BYTES};
 use crate::messages::Input;
 use crate::operate::config::Config;
-use crate::upstream::endpoint_list::{Entry, Listing, Target, Teller};
+use crate::upstream::endpoint_list::{EndpointList, Entry, ListSource, Target};
 use crate::upstream::list_calls::ListCalls;
 use emberpin_startup::list_dissemination::{Action, DisseminationConfig, ListDissemination};
 use emberpin_startup::list_messages::{Incarnation, ListMessage, ListVersion};
@@ -18,36 +18,39 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// How often a caller says that its watch lives, and after how many of these it is missed.
-const PULSE: Duration = Duration::from_millis(1_000);
-const MISSED: f64 = 3.5;
-const TICK: Duration = Duration::from_millis(200);
-/// What stands around the entries of a list in a message.
-const AROUND: usize = 1024;
+/// How often a limiter that watches the list service sends a heartbeat, and after how many intervals without one its watch
+/// counts as lost.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_000);
+const MISSED_HEARTBEATS: f64 = 3.5;
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
+/// Bytes of a message that are reserved for what surrounds the entries of a list.
+const MESSAGE_OVERHEAD_BYTES: usize = 1024;
 
-/// What peers and this limiter tell each other of the list.
+/// The exchange of endpoint lists between this limiter and its peers.
 pub struct PeerLists {
     core: RefCell<ListDissemination>,
     link: Rc<Link>,
-    began: Instant,
-    /// Which list service versions are of.
+    started_at: Instant,
+    /// The name of the list service whose revisions are exchanged.
     service: RefCell<String>,
-    place: Cell<u32>,
-    /// The list that is held, as it is told.
-    list: RefCell<Told>,
+    service_generation: Cell<u32>,
+    /// The accepted list, as it is sent to peers.
+    list: RefCell<SharedList>,
     inputs: mpsc::Sender<Input>,
     changed: Notify,
     too_long: Cell<bool>,
 }
 
+/// A list as it is sent to peers; the entries are JSON.
 #[derive(Default)]
-struct Told {
+struct SharedList {
     version: ListVersion,
     entries: Vec<u8>,
 }
 
-/// Whom an instance's link leads to: all members where keys are kept there, else its neighbours in the telling of lists.
-pub fn spoken_to(config: &Config, number: u32) -> BTreeSet<u32> {
+/// The members that an instance's link connects to: all others where keys are replicated, else its neighbours in the
+/// dissemination of lists.
+pub fn link_members(config: &Config, number: u32) -> BTreeSet<u32> {
     let Some((link, _)) = &config.link else {
         return BTreeSet::new();
     };
@@ -62,7 +65,8 @@
 }
 
 impl PeerLists {
-    /// `None` where lists are not told over the link.
+    /// Starts the exchange; `None` where lists are not sent over the link. `superseded` receives a message once a later
+    /// incarnation of this instance runs.
     pub fn start(
         config: &Config,
         link: Option<&Rc<Link>>,
@@ -78,17 +82,17 @@
             .collect();
         let limits = DisseminationConfig {
             watchers: callers,
-            heartbeat_interval: PULSE,
-            watcher_timeout: PULSE.mul_f64(MISSED),
+            heartbeat_interval: HEARTBEAT_INTERVAL,
+            watcher_timeout: HEARTBEAT_INTERVAL.mul_f64(MISSED_HEARTBEATS),
         };
-        let life = SystemTime::now()
+        let started = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default()
             .as_millis();
         let known = Some(config.known.rev).filter(|_| !config.known.targets.is_empty());
         let core = ListDissemination::new(
             *number,
-            Incarnation(u64::try_from(life).unwrap_or(u64::MAX)),
+            Incarnation(u64::try_from(started).unwrap_or(u64::MAX)),
             &members,
             limits,
             known,
@@ -97,133 +101,151 @@
             .start
             .as_ref()
             .and_then(|start| start.list_service.clone());
-        let fed = Rc::new(PeerLists {
+        let peer_lists = Rc::new(PeerLists {
             core: RefCell::new(core),
             link: link.clone(),
-            began: Instant::now(),
+            started_at: Instant::now(),
             service: RefCell::new(named.unwrap_or_else(|| config.discovery.to_string())),
-            place: Cell::new(0),
+            service_generation: Cell::new(0),
             list: RefCell::default(),
             inputs,
             changed: Notify::new(),
             too_long: Cell::new(false),
         });
-        let near = neighbours(*number, &members);
-        spawn_local(listen(
-            Rc::downgrade(&fed),
-            link.subscribe(LISTS),
-            near,
+        let neighbour_set = neighbours(*number, &members);
+        spawn_local(receive_link_events(
+            Rc::downgrade(&peer_lists),
+            link.subscribe(LIST_MESSAGES),
+            neighbour_set,
             superseded,
         ));
-        Some(fed)
+        Some(peer_lists)
     }
 
-    /// Returns when this limiter is to call the service itself.
-    pub async fn turn(&self, asking: &ListCalls) {
+    /// Returns once this limiter has to watch the service itself.
+    pub async fn wait_for_turn(&self, list_calls: &ListCalls) {
         loop {
-            let due = self.core.borrow().call_due_at(asking.slot());
+            let due = self
+                .core
+                .borrow()
+                .call_due_at(list_calls.first_call_delay());
             let due = async {
                 match due {
-                    Some(due) => sleep_until(self.began + due).await,
+                    Some(due) => sleep_until(self.started_at + due).await,
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
-                () = due => return asking.ask(),
+                () = due => return list_calls.mark_called(),
                 () = self.changed.notified() => {}
-                () = asking.heard_more() => {}
+                () = list_calls.peer_observed() => {}
             }
         }
     }
 
-    /// Returns when this limiter's watch is one too many.
-    pub async fn surplus(&self) {
-        while !self.core.borrow().is_surplus_watcher(self.began.elapsed()) {
+    /// Returns once enough other limiters watch the service, so that this limiter's watch is not needed.
+    pub async fn wait_for_surplus(&self) {
+        while !self
+            .core
+            .borrow()
+            .is_surplus_watcher(self.started_at.elapsed())
+        {
             self.changed.notified().await;
         }
     }
 
-    /// The version that a call may ask the changes after.
-    pub fn held(&self) -> Option<u64> {
+    /// The revision of the accepted list; a watch can start from it.
+    pub fn revision(&self) -> Option<u64> {
         self.core.borrow().version().map(|held| held.revision)
     }
 
-    /// This limiter's own watch tells, or does not any more.
-    pub fn watch(&self, on: bool) {
-        // A list that does not fit into a message is told to nobody: each asks for itself.
+    /// Records whether this limiter's own watch of the service works.
+    pub fn set_watching(&self, on: bool) {
+        // A list that does not fit into a message is not sent: each limiter fetches it itself.
         let on = on && !self.too_long.get();
-        self.with(|core, now, actions| match on {
+        self.update_core(|core, now, actions| match on {
             true => core.on_watch_started(now, actions),
             false => core.on_watch_ended(now),
         });
     }
 
-    /// This list is held, and not doubted any more if it was.
-    pub fn hold(&self, rev: u64, teller: Teller, doubted: bool, targets: &[Target]) {
+    /// Records that this list was accepted, and sends it to peers. `doubted` if it was accepted only after doubt, which
+    /// begins a new epoch.
+    pub fn on_list_accepted(
+        &self,
+        rev: u64,
+        source: ListSource,
+        doubted: bool,
+        targets: &[Target],
+    ) {
         let Ok(entries) = serde_json::to_vec(targets) else {
             return;
         };
-        let too_long = entries.len() + AROUND > LONGEST;
+        let too_long = entries.len() + MESSAGE_OVERHEAD_BYTES > MAX_MESSAGE_BYTES;
         if too_long && !self.too_long.replace(too_long) {
             eprintln!(
-                "emberpin: the list has {} bytes, more than the {LONGEST} that the link carries: each limiter asks for it",
+                "emberpin: the endpoint list has {} bytes, more than the {MAX_MESSAGE_BYTES} that the link carries: each limiter fetches it",
                 entries.len()
             );
         }
         self.too_long.set(too_long);
         if too_long {
-            return self.watch(false);
+            return self.set_watching(false);
         }
-        let word = match teller {
-            Teller::Peer { word, .. } => word,
-            Teller::Service => {
+        let list_epoch = match source {
+            ListSource::Peer { epoch, .. } => epoch,
+            ListSource::Service => {
                 let held = self.core.borrow().version().map_or(0, |held| held.epoch);
                 held.saturating_add(u32::from(doubted))
             }
         };
         let version = ListVersion {
-            epoch: word,
+            epoch: list_epoch,
             revision: rev,
         };
-        *self.list.borrow_mut() = Told { version, entries };
-        self.with(|core, now, actions| core.on_list_accepted(now, version, actions));
+        *self.list.borrow_mut() = SharedList { version, entries };
+        self.update_core(|core, now, actions| core.on_list_accepted(now, version, actions));
     }
 
-    /// The service is another one from now on.
-    pub fn moved(&self, address: SocketAddr) {
+    /// The list service at another address is used from now on.
+    pub fn on_service_changed(&self, address: SocketAddr) {
         *self.service.borrow_mut() = address.to_string();
-        self.place.set(self.place.get() + 1);
-        self.with(|core, now, _| core.on_service_changed(now));
+        self.service_generation
+            .set(self.service_generation.get() + 1);
+        self.update_core(|core, now, _| core.on_service_changed(now));
     }
 
-    fn hear(&self, from: u32, body: &[u8]) {
+    fn on_message(&self, from: u32, body: &[u8]) {
         match postcard::from_bytes::<(String, ListMessage)>(body) {
-            Ok((service, said)) if service == *self.service.borrow() => {
-                self.with(|core, now, actions| core.on_message(now, from, said, actions));
+            Ok((service, message)) if service == *self.service.borrow() => {
+                self.update_core(|core, now, actions| core.on_message(now, from, message, actions));
             }
-            // Of another service, its versions mean nothing here.
+            // From another list service, whose revisions mean nothing here.
             Ok(_) => {}
             Err(e) => eprintln!(
-                "emberpin: link: member {from} said of the list what is not understood: {e}"
+                "emberpin: link: message of member {from} about the endpoint list cannot be decoded: {e}"
             ),
         }
     }
 
-    /// Feeds the core and carries out what it says.
-    fn with(&self, feed: impl FnOnce(&mut ListDissemination, Duration, &mut Vec<Action>)) {
+    /// Passes an event to the core and carries out its actions.
+    fn update_core(
+        &self,
+        pass_event: impl FnOnce(&mut ListDissemination, Duration, &mut Vec<Action>),
+    ) {
         let mut actions = Vec::new();
-        feed(
+        pass_event(
             &mut self.core.borrow_mut(),
-            self.began.elapsed(),
+            self.started_at.elapsed(),
             &mut actions,
         );
         self.changed.notify_one();
         for action in actions {
             match action {
-                Action::Send { to, message } => self.say(to, &message),
+                Action::Send { to, message } => self.send(to, &message),
                 Action::SendList { to } => {
-                    let Told { version, entries } = &*self.list.borrow();
-                    self.say(
+                    let SharedList { version, entries } = &*self.list.borrow();
+                    self.send(
                         to,
                         &ListMessage::List {
                             version: *version,
@@ -235,35 +257,38 @@
                     version,
                     confirmed,
                     entries,
-                } => self.offer(version, confirmed, &entries),
+                } => self.on_list_received(version, confirmed, &entries),
             }
         }
     }
 
-    fn say(&self, to: u32, said: &ListMessage) {
-        if let Ok(body) = postcard::to_allocvec(&(&*self.service.borrow(), said)) {
-            self.link.tell(to, LISTS, body);
+    fn send(&self, to: u32, message: &ListMessage) {
+        if let Ok(body) = postcard::to_allocvec(&(&*self.service.borrow(), message)) {
+            self.link.send(to, LIST_MESSAGES, body);
         }
     }
 
-    fn offer(&self, version: ListVersion, sure: bool, entries: &[u8]) {
+    fn on_list_received(&self, version: ListVersion, confirmed: bool, entries: &[u8]) {
         match serde_json::from_slice::<Vec<Entry>>(entries) {
             Ok(targets) => {
-                let word = version.epoch;
-                let (place, teller) = (self.place.get(), Teller::Peer { word, sure });
-                let listing = Listing {
+                let epoch = version.epoch;
+                let (service_generation, source) = (
+                    self.service_generation.get(),
+                    ListSource::Peer { epoch, confirmed },
+                );
+                let list = EndpointList {
                     rev: version.revision,
                     whole: true,
                     targets,
-                    place,
-                    teller,
+                    service_generation,
+                    source,
                 };
-                // One that finds no room is asked for again.
-                _ = self.inputs.try_send(Input::Listing(listing));
+                // A list that does not fit into the queue is fetched again.
+                _ = self.inputs.try_send(Input::Listing(list));
             }
             Err(e) => {
                 eprintln!(
-                    "emberpin: link: a list of version {} cannot be read: {e}; not used",
+                    "emberpin: link: endpoint list at revision {} cannot be decoded: {e}; not used",
                     version.revision
                 );
             }
@@ -271,32 +296,40 @@
     }
 }
 
-/// Carries out what neighbours tell, and lets time pass.
-async fn listen(
-    fed: Weak<PeerLists>,
-    mut heard: mpsc::UnboundedReceiver<News>,
-    near: BTreeSet<u32>,
+/// Handles the link's events about neighbours, and ticks. Ends when the exchange is dropped.
+async fn receive_link_events(
+    peer_lists: Weak<PeerLists>,
+    mut events: mpsc::UnboundedReceiver<LinkEvent>,
+    neighbour_set: BTreeSet<u32>,
     superseded: mpsc::UnboundedSender<()>,
 ) {
-    let mut next = Instant::now();
+    let mut next_tick = Instant::now();
     loop {
-        let news = timeout(TICK, heard.recv()).await;
-        let Some(fed) = fed.upgrade() else { return };
-        match news {
-            Ok(Some(News::Told { from, body })) if near.contains(&from) => fed.hear(from, &body),
-            Ok(Some(News::Changed { member, state })) if near.contains(&member) => {
-                fed.with(|core, now, actions| match state.reachable {
+        let event = timeout(TICK_INTERVAL, events.recv()).await;
+        let Some(peer_lists) = peer_lists.upgrade() else {
+            return;
+        };
+        match event {
+            Ok(Some(LinkEvent::MessageReceived { from, body }))
+                if neighbour_set.contains(&from) =>
+            {
+                peer_lists.on_message(from, &body)
+            }
+            Ok(Some(LinkEvent::PeerChanged { member, state }))
+                if neighbour_set.contains(&member) =>
+            {
+                peer_lists.update_core(|core, now, actions| match state.reachable {
                     true => core.on_neighbour_reachable(now, member, actions),
                     false => core.on_neighbour_unreachable(member),
                 });
             }
-            Ok(Some(News::Superseded)) => _ = superseded.send(()),
+            Ok(Some(LinkEvent::Superseded)) => _ = superseded.send(()),
             Ok(None) => return,
             Ok(Some(_)) | Err(_) => {}
         }
-        if Instant::now() >= next {
-            next = Instant::now() + TICK;
-            fed.with(ListDissemination::on_tick);
+        if Instant::now() >= next_tick {
+            next_tick = Instant::now() + TICK_INTERVAL;
+            peer_lists.update_core(ListDissemination::on_tick);
         }
     }
 }
--- a/crates/emberpin-limiter/src/upstream/roster.rs
+++ b/crates/emberpin-limiter/src/upstream/roster.rs
@@ -1,49 +1,51 @@
-//! Which servers the list ever named, and where those stand that are ready: what a call by hand may mean. No I/O.
+//! The names of all servers that were ever listed, and the entries of those that are listed now. Resolves the server names
+//! in operators' commands. No I/O.
 //!
-//! Whether a server is out by hand is the decision module's fact; this knows names and places only.
+//! Whether an operator has taken a server out of service is recorded in the decision module, not here.
 
 use crate::upstream::endpoint_list::{State, Target};
 use emberpin_balancer::ServerId;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Most names that are remembered; the one that was named first gives way.
-const MOST: usize = 65_536;
+/// Maximum number of names that are remembered; beyond that, the oldest is removed.
+const MAX_NAMES: usize = 65_536;
 
-/// One incarnation of a server, and where it is reached.
+/// One incarnation of a server, and its address.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerInstance {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// When it started, in Unix milliseconds; 0 where that is unknown.
     pub boot_ms: f64,
 }
 
-/// The names, and the places of the servers that are ready.
+/// The names of servers that were ever listed, and the entries of those that are listed now.
 #[derive(Debug, Default)]
 pub struct Roster {
     names: BTreeMap<ServerId, String>,
+    /// The keys of `names`, oldest first.
     order: VecDeque<ServerId>,
-    /// The entries of the servers that the list names now.
+    /// The entries of the servers that are listed now.
     listed: BTreeMap<ServerId, Target>,
 }
 
 impl Roster {
-    /// Takes an entry of the list.
-    pub fn note(&mut self, id: ServerId, target: &Target) {
-        self.name(id, &target.uid);
+    /// Records an entry of the endpoint list.
+    pub fn update(&mut self, id: ServerId, target: &Target) {
+        self.remember_name(id, &target.uid);
         match target.state {
             State::Gone => _ = self.listed.remove(&id),
             _ => _ = self.listed.insert(id, target.clone()),
         }
     }
 
-    /// A server of this name was listed, in this life or the one before.
-    pub fn name(&mut self, id: ServerId, name: &str) {
+    /// Remembers the name of a server that is or was listed, in this process or the previous one.
+    pub fn remember_name(&mut self, id: ServerId, name: &str) {
         if self.names.contains_key(&id) {
             return;
         }
-        if self.order.len() >= MOST {
+        if self.order.len() >= MAX_NAMES {
             if let Some(first) = self.order.pop_front() {
                 self.names.remove(&first);
             }
@@ -52,23 +54,23 @@
         self.order.push_back(id);
     }
 
-    /// A whole list came: what it does not name is gone.
-    pub fn keep(&mut self, named: impl Fn(&ServerId) -> bool) {
-        self.listed.retain(|id, _| named(id));
+    /// Removes the entries of servers that a full list does not contain.
+    pub fn retain(&mut self, is_listed: impl Fn(&ServerId) -> bool) {
+        self.listed.retain(|id, _| is_listed(id));
     }
 
-    /// How many servers the list names now.
+    /// The number of servers that are listed now.
     pub fn count(&self) -> usize {
         self.listed.len()
     }
 
-    /// What the list names now.
+    /// The entries that are listed now.
     pub fn listed(&self) -> Vec<Target> {
         self.listed.values().cloned().collect()
     }
 
-    /// The same, and every name that it ever named.
-    pub fn all(&self) -> (Vec<Target>, Vec<String>) {
+    /// The entries that are listed now, and all remembered names, oldest first.
+    pub fn entries_and_names(&self) -> (Vec<Target>, Vec<String>) {
         let names = self
             .order
             .iter()
@@ -76,7 +78,7 @@
         (self.listed(), names.collect())
     }
 
-    /// The server of this name, if one was ever listed.
+    /// The id of the server of this name, if its name is remembered.
     pub fn find(&self, name: &str) -> Option<ServerId> {
         let id = crate::upstream::endpoint_list::server_id(name);
         self.names
@@ -85,7 +87,7 @@
             .map(|_| id)
     }
 
-    /// Where it is reached, if the list has it ready.
+    /// The server's present incarnation, if it is listed as ready and has an address.
     pub fn ready_instance(&self, id: ServerId) -> Option<ServerInstance> {
         let target = self
             .listed
@@ -118,29 +120,32 @@
     }
 
     #[test]
-    fn a_name_stays_known_when_its_server_is_gone_and_its_place_does_not() {
+    fn a_removed_servers_name_is_remembered_and_its_address_is_not() {
         let mut roster = Roster::default();
         let ready = target("s-1", 1, State::Ready);
-        roster.note(ready.id(), &ready);
+        roster.update(ready.id(), &ready);
         let id = roster.find("s-1").expect("listed");
         assert_eq!(roster.ready_instance(id).expect("ready").address.port(), 1);
-        roster.keep(|_| false);
+        roster.retain(|_| false);
         assert_eq!(
             (roster.find("s-1"), roster.ready_instance(id)),
             (Some(id), None)
         );
         let moved = target("s-1", 2, State::Ready);
-        roster.note(moved.id(), &moved);
+        roster.update(moved.id(), &moved);
         assert_eq!(roster.ready_instance(id).expect("ready").address.port(), 2);
         assert_eq!(roster.find("s-2"), None);
     }
 
     #[test]
-    fn names_are_bounded() {
+    fn the_number_of_remembered_names_is_bounded() {
         let mut roster = Roster::default();
-        for number in 0..MOST + 10 {
-            roster.name(ServerId(number as u32), &format!("s-{number}"));
+        for number in 0..MAX_NAMES + 10 {
+            roster.remember_name(ServerId(number as u32), &format!("s-{number}"));
         }
-        assert_eq!((roster.names.len(), roster.order.len()), (MOST, MOST));
+        assert_eq!(
+            (roster.names.len(), roster.order.len()),
+            (MAX_NAMES, MAX_NAMES)
+        );
     }
 }
--- a/crates/emberpin-limiter/src/upstream/server/connection.rs
+++ b/crates/emberpin-limiter/src/upstream/server/connection.rs
@@ -17,9 +17,10 @@
 use tokio::net::TcpStream;
 use tokio::sync::OwnedSemaphorePermit;
 
-/// The largest head of a response that is read.
+/// Maximum size of a response's head.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// TCP keepalive interval where the time without acknowledgement is bounded; the operating system takes no less.
+/// TCP keepalive interval where the time without acknowledgement is bounded; the shortest that the operating system
+/// accepts.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const KEEPALIVE_RETRIES: u32 = 2;
 
@@ -39,15 +40,16 @@
     closed: bool,
     stream: Rc<RefCell<TcpStream>>,
     pub(super) progress: Rc<WriteProgress>,
-    /// For how long the server has said that it keeps it idle, less a safety margin.
+    /// How long the server has stated that it keeps the connection open while idle, less a safety margin.
     pub(super) stated_lifetime: Option<Duration>,
-    /// How long it was idle before this use.
+    /// How long the connection was idle before this use.
     pub(super) idle_time: Duration,
     _socket: OwnedSemaphorePermit,
 }
 
 impl ServerConnection {
-    /// Opens a connection; `socket` is its part of the process's limit on descriptors.
+    /// Opens a connection. `unacknowledged` bounds the time without acknowledgement; `socket` is the connection's permit
+    /// under the process's limit on descriptors.
     ///
     /// # Errors
     ///
@@ -61,8 +63,8 @@
             .await
             .map_err(|_| ConnectError::Failed)?;
         _ = stream.set_nodelay(true);
-        if let Some(longest) = unacknowledged {
-            bound_silence(&stream, longest);
+        if let Some(limit) = unacknowledged {
+            bound_unacknowledged_time(&stream, limit);
         }
         let stream = Rc::new(RefCell::new(stream));
         let progress = Rc::new(WriteProgress::default());
@@ -87,7 +89,7 @@
         })
     }
 
-    /// Whether it can carry another request, as far as the last poll showed.
+    /// Whether the connection can carry another request, as far as the last poll showed.
     pub(super) fn is_open(&self) -> bool {
         !self.closed && !self.sender.is_closed()
     }
@@ -99,7 +101,7 @@
         !self.closed && self.sender.is_ready() && self.is_quiet()
     }
 
-    /// Whether the server has neither closed it nor sent anything on it. Asks the operating system itself, as the runtime
+    /// Whether the server has neither closed the connection nor sent anything on it. Asks the operating system itself, as the runtime
     /// does not know yet what has just arrived.
     pub(super) fn is_quiet(&self) -> bool {
         let peeked = SockRef::from(&*self.stream.borrow()).peek(&mut [MaybeUninit::uninit()]);
@@ -122,11 +124,11 @@
     }
 }
 
-/// Bounds how long the server's machine may acknowledge nothing. Without it, a machine without power or behind a network
+/// Bounds how long the server's machine may acknowledge nothing. Without this bound, a machine without power or behind a network
 /// partition, which sends not even a reset, would hold the connection until the attempt's timeout.
-fn bound_silence(stream: &TcpStream, longest: Duration) {
+fn bound_unacknowledged_time(stream: &TcpStream, limit: Duration) {
     let socket = SockRef::from(stream);
-    _ = socket.set_tcp_user_timeout(Some(longest));
+    _ = socket.set_tcp_user_timeout(Some(limit));
     let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_INTERVAL)
         .with_interval(KEEPALIVE_INTERVAL)
--- a/crates/emberpin-limiter/src/upstream/server/exchange.rs
+++ b/crates/emberpin-limiter/src/upstream/server/exchange.rs
@@ -21,7 +21,7 @@
 pub(super) struct Exchange {
     pub(super) outcome: Outcome,
     pub(super) response: Option<ExchangedResponse>,
-    /// The server's machine gave no sign of life, or no connection came up.
+    /// The server's machine did not acknowledge anything, or no connection came up.
     pub(super) unreachable: bool,
     /// At least one byte of the request was written.
     pub(super) sent: bool,
@@ -40,7 +40,7 @@
 type Received = Option<Result<(Response<()>, ReceivedBody), ExchangeError>>;
 
 impl Exchange {
-    /// One of which nothing was sent.
+    /// An exchange of which nothing was sent.
     pub(super) fn unsent(outcome: Outcome) -> Exchange {
         Exchange {
             outcome,
@@ -57,7 +57,8 @@
     /// counted and whose response is buffered.
     ///
     /// Decides between "never ran" and "may have run": an attempt never ran if no connection came up, or if the
-    /// connection broke before the last byte was written; where servers may run a part of a request, before the first.
+    /// connection broke before the last byte was written. Where servers may run a part of a request, the connection must
+    /// have broken before the first byte.
     pub(super) async fn exchange(
         self: &Rc<Self>,
         mut request: Request<RequestBody>,
@@ -115,7 +116,7 @@
             Some(upload) => upload_time(&upload, started).await,
         };
         let sent = progress.is_started();
-        self.learn_from(&received, idle_time);
+        self.record_end(&received, idle_time);
         let unreachable = matches!(received, Some(Err(ExchangeError::Unacknowledged)));
         let (outcome, response) = self.judge(received, &*wire, rules, &progress);
         Exchange {
@@ -127,7 +128,7 @@
         }
     }
 
-    /// A connection within the attempt's time, else how the exchange ends without one.
+    /// Returns a connection within the attempt's time, or else the end of an exchange without one.
     async fn connect_for(
         &self,
         outgoing: Option<&UpstreamRequest>,
@@ -150,11 +151,11 @@
     }
 
     /// Records what the end of an exchange says about this server's other connections.
-    fn learn_from(&self, received: &Received, idle_time: Duration) {
+    fn record_end(&self, received: &Received, idle_time: Duration) {
         match received {
             Some(Ok(_)) => self.pool.record_use(idle_time, false),
             Some(Err(ExchangeError::ConnectionLost)) => self.pool.record_use(idle_time, true),
-            // The other connections to the same machine would be silent, too.
+            // The machine would not acknowledge anything on its other connections either.
             Some(Err(ExchangeError::Unacknowledged)) => self.close_idle(),
             Some(Err(ExchangeError::InvalidResponse)) | None => {}
         }
--- a/crates/emberpin-limiter/src/upstream/server/mod.rs
+++ b/crates/emberpin-limiter/src/upstream/server/mod.rs
@@ -1,7 +1,7 @@
-//! The way to one server: attempts and health checks over one bounded pool of HTTP/1.1 connections.
+//! Attempts and health checks that go to servers, over one bounded pool of HTTP/1.1 connections.
 //!
 //! An [`Upstream`] is one incarnation of one server. Its `exchange` sends one request on a `ServerConnection` from the
-//! [`Pool`] and receives the response, whole or as a stream. `WriteProgress` records how much of the request reached
+//! [`Pool`] and receives the response, complete or as a stream. `WriteProgress` records how much of the request reached
 //! the socket, which decides whether the request may have run.
 
 mod connection;
--- a/crates/emberpin-limiter/src/upstream/server/pool.rs
+++ b/crates/emberpin-limiter/src/upstream/server/pool.rs
@@ -15,12 +15,12 @@
 
 /// How often idle connections are checked for expiry.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// How often the sockets in use are counted anew while a sibling process of this limiter is told of them.
+/// How often the sockets in use are counted while they are reported to a sibling process of this limiter.
 const SIBLING_SYNC_INTERVAL: Duration = Duration::from_millis(20);
-/// Sockets that this process may use however many a sibling process holds.
+/// Number of sockets that this process may use, however many a sibling process has open.
 const MIN_SOCKETS: usize = 16;
 
-/// What all servers share: limits on time and on sockets, and the idle connections.
+/// The state shared by the connections to all servers: limits on time and on sockets, and the idle connections.
 pub struct Pool {
     pub(super) limits: PoolLimits,
     pub(super) wire: Rc<dyn Wire>,
@@ -29,7 +29,7 @@
     socket_budget: Rc<SocketBudget>,
     /// The longest idle first.
     idle: RefCell<Vec<IdleConnection>>,
-    /// How long idle connections really last, learned from use, whatever the settings say.
+    /// How long idle connections really last, estimated from their use, whatever the settings say.
     lifetimes: RefCell<Lifetimes>,
     next_key: Cell<u64>,
 }
@@ -41,14 +41,14 @@
     pub connect: Duration,
     /// An idle connection is closed after this time, or earlier where the server has said so.
     pub idle: Duration,
-    /// Most idle connections to one server.
+    /// Maximum number of idle connections to one server.
     pub max_idle_per_server: usize,
-    /// Most connections to all servers.
+    /// Maximum number of connections to all servers.
     pub sockets: usize,
     /// A connection ends when the server's machine has acknowledged nothing for this long; `None` leaves that to the
     /// operating system.
     pub unacknowledged: Option<Duration>,
-    /// Bytes of a response that are buffered: one that breaks off within them may be retried.
+    /// Maximum number of bytes of a response that are buffered. A response that breaks off within them may be retried.
     pub buffered_response_bytes: usize,
 }
 
@@ -64,7 +64,7 @@
 }
 
 impl Pool {
-    /// An empty pool; requests and responses are worded as `wire` has it.
+    /// Creates an empty pool. `wire` determines the headers of requests and the meaning of responses.
     pub fn new(
         limits: PoolLimits,
         wire: Rc<dyn Wire>,
@@ -87,8 +87,8 @@
         UpstreamKey(self.next_key.replace(self.next_key.get() + 1))
     }
 
-    /// Leaves to a sibling process of this limiter the sockets that it holds, for as long as the process runs. Idle
-    /// connections are closed for them first.
+    /// Reserves as many sockets as a sibling process of this limiter has open, for as long as this process runs. Closes idle
+    /// connections first, if there are not enough free sockets.
     pub async fn track_sibling(self: Rc<Self>) {
         let mut changes = self.socket_budget.changes();
         let mut reserved: Option<OwnedSemaphorePermit> = None;
@@ -108,8 +108,7 @@
         }
     }
 
-    /// Adjusts the reserved sockets to the number that the sibling holds, as far as free ones and idle connections
-    /// allow.
+    /// Adjusts the number of reserved sockets to the sibling's, as far as free sockets and idle connections allow.
     fn reserve_for_sibling(&self, reserved: &mut Option<OwnedSemaphorePermit>) {
         let wanted = self
             .socket_budget
@@ -156,7 +155,7 @@
             .connection
             .stated_lifetime
             .map_or(self.limits.idle, |stated| stated.min(self.limits.idle));
-        idle_time < lifetime && self.lifetimes.borrow().lasts(now, idle_time)
+        idle_time < lifetime && self.lifetimes.borrow().is_usable(now, idle_time)
     }
 
     /// Records whether a request on a connection that had been idle for `idle_time` was lost with the connection or
@@ -165,10 +164,10 @@
         let closed = self
             .lifetimes
             .borrow_mut()
-            .learn(Instant::now(), idle_time, lost);
+            .record(Instant::now(), idle_time, lost);
         if let Some((age, pause)) = closed {
             let (age, pause) = (age.as_millis(), pause.as_secs());
-            eprintln!("connections to servers that were idle for {age} ms or longer are lost: not used for {pause} s");
+            eprintln!("connections to servers are lost after {age} ms of idle time or more: such connections are not reused for {pause} s");
         }
     }
 
@@ -200,7 +199,7 @@
     ) -> Option<ServerConnection> {
         let mut idle = self.idle.borrow_mut();
         let newest = idle.iter().rposition(|idle| idle.key == key)?;
-        if max_idle_time.is_some_and(|most| idle[newest].since.elapsed() >= most) {
+        if max_idle_time.is_some_and(|limit| idle[newest].since.elapsed() >= limit) {
             return None;
         }
         let mut idle = Some(idle.remove(newest)).filter(|idle| self.is_fresh(idle))?;
--- a/crates/emberpin-limiter/src/upstream/server/request_body.rs
+++ b/crates/emberpin-limiter/src/upstream/server/request_body.rs
@@ -11,9 +11,9 @@
 
 /// A request's body as the HTTP library reads it for one attempt.
 pub(super) struct SentBody {
-    /// The bytes that are buffered, until the first poll takes them.
+    /// The buffered bytes; `None` after the first poll.
     buffered: Option<Bytes>,
-    /// What follows them, if the client is still sending.
+    /// The rest of the body, if the client is still sending.
     upload: Option<RemainingUpload>,
     progress: Rc<WriteProgress>,
 }
@@ -21,7 +21,7 @@
 /// The part of an upload that this attempt has not handed over yet.
 struct RemainingUpload {
     upload: Rc<Upload>,
-    /// Bytes left to hand over, buffered ones included; `None` where the client stated no length.
+    /// Number of bytes that are not handed over yet, including the buffered ones; `None` where the client stated no length.
     length: Option<u64>,
 }
 
--- a/crates/emberpin-limiter/src/upstream/server/response.rs
+++ b/crates/emberpin-limiter/src/upstream/server/response.rs
@@ -18,27 +18,27 @@
 
 /// No response may be longer than this, even where it could be streamed.
 const MAX_RESPONSE_BYTES: u64 = 256 << 20;
-/// For this long the end of a response without a stated length is awaited, so that one which breaks off may still be
-/// retried; after that it is streamed.
+/// How long a response without a stated length is buffered before it is streamed. A response that breaks off while it is
+/// buffered may still be retried.
 const BUFFERING_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How to read the response to one request.
 #[derive(Clone, Copy)]
 pub(super) struct ResponseRules<'a> {
     pub(super) wire: &'a dyn Wire,
-    /// What the response must carry to belong to this request.
+    /// The mark that the response must carry to belong to this request, see [`Wire::mark`].
     pub(super) mark: Option<&'a HeaderValue>,
     /// A good response that is too long or too slow to buffer may be streamed; without this it is an error.
     pub(super) may_stream: bool,
-    /// Bytes of a body that are buffered.
+    /// Maximum number of bytes of a body that are buffered.
     pub(super) buffer_limit: usize,
 }
 
 /// The body of a received response.
 pub(super) enum ReceivedBody {
-    /// All of it, with the connection if it can carry another request.
+    /// The complete body, with the connection if it can carry another request.
     Complete(Bytes, Option<ServerConnection>),
-    /// Its beginning.
+    /// The beginning of a body that is to be streamed.
     Partial(Box<PartialResponse>),
 }
 
--- a/crates/emberpin-limiter/src/upstream/server/upstream.rs
+++ b/crates/emberpin-limiter/src/upstream/server/upstream.rs
@@ -17,11 +17,11 @@
 use tokio::sync::oneshot;
 use tokio::time::{timeout, Instant};
 
-/// The way to one incarnation of one server.
+/// One incarnation of one server, as attempts reach it.
 pub struct Upstream {
-    /// Where it is reached.
+    /// Its address and start time.
     pub server: ServerInstance,
-    /// What distinguishes this incarnation from another, where requests say which one they are meant for.
+    /// The name of this incarnation, where requests state which one they are meant for.
     pub(super) instance: Option<HeaderValue>,
     pub(super) pool: Rc<Pool>,
     key: UpstreamKey,
@@ -30,12 +30,12 @@
 }
 
 impl Upstream {
-    /// The way to a server at this place.
+    /// Creates the upstream of a server whose incarnation requests do not name.
     pub fn new(server: ServerInstance, pool: Rc<Pool>) -> Rc<Upstream> {
         Upstream::of_instance(server, None, pool)
     }
 
-    /// The way to this incarnation of a server, which requests name by `instance`.
+    /// Creates the upstream of an incarnation of a server, which requests name by `instance`.
     pub fn of_instance(
         server: ServerInstance,
         instance: Option<HeaderValue>,
@@ -51,12 +51,12 @@
         })
     }
 
-    /// Whether new attempts may go there.
+    /// Whether new attempts may go to it.
     pub fn is_open(&self) -> bool {
         self.open.get()
     }
 
-    /// Stops new attempts, those that are still connecting included. Attempts under way go on.
+    /// Stops new attempts, including those that are still connecting. Running attempts continue.
     pub fn close(&self) {
         self.open.set(false);
         self.close_idle();
@@ -161,8 +161,8 @@
         }
     }
 
-    /// Whether the server accepts a connection now, which is kept for the next request. True also if no socket is free to
-    /// find out.
+    /// Whether the server accepts a connection now. The connection is kept for the next request. Also true if no socket is
+    /// free to find out.
     pub async fn accepts_connections(&self) -> bool {
         match timeout(self.pool.limits.connect, self.connect(None)).await {
             Ok(Ok(connection)) => {
@@ -184,7 +184,7 @@
             .await
     }
 
-    /// Returns a connection to the pool, or closes it if no new attempts may go there.
+    /// Returns a connection to the pool, or closes it if the upstream is closed.
     pub(super) fn release(&self, connection: ServerConnection) {
         if self.is_open() {
             self.pool.keep(self.key, connection);
--- a/crates/emberpin-limiter/src/upstream/server/write_progress.rs
+++ b/crates/emberpin-limiter/src/upstream/server/write_progress.rs
@@ -11,8 +11,8 @@
 
 /// How far the present request is written to its connection.
 ///
-/// It is complete once its body was handed over to its end and the HTTP library has flushed after that: a flush
-/// succeeds only when the socket has taken all that there was to write.
+/// A request is complete once its whole body was handed over and the HTTP library has flushed after that: a flush
+/// succeeds only when the socket has accepted everything written.
 #[derive(Default)]
 pub(super) struct WriteProgress {
     /// At least one byte of the present request was written.
@@ -33,7 +33,7 @@
         self.attempts.replace(attempts);
     }
 
-    /// The request's body was handed over to its end.
+    /// Records that the request's whole body was handed over.
     pub(super) fn end_body(&self) {
         self.body_ended.set(true);
     }
@@ -43,7 +43,7 @@
         self.started.get()
     }
 
-    /// Whether the socket has taken all of the request.
+    /// Whether the socket has accepted all of the request.
     pub(super) fn is_complete(&self) -> bool {
         self.complete.get()
     }
--- a/crates/emberpin-limiter/src/upstream/wire.rs
+++ b/crates/emberpin-limiter/src/upstream/wire.rs
@@ -1,4 +1,5 @@
-//! How requests and answers are worded between a limiter and its servers: the host of connections is given it.
+//! The headers of one deployment between a limiter and its servers: those that requests carry, and the meaning of those
+//! in responses.
 
 use crate::messages::ResponseHead;
 use emberpin_balancer::host_config::load_report_field;
@@ -7,48 +8,49 @@
 use hyper::{Response, StatusCode};
 use std::time::Duration;
 
-/// The words of one deployment.
+/// The header conventions of one deployment.
 pub trait Wire {
-    /// Tells a server how long is left, and which life of it is meant.
+    /// Adds the headers that state the time left for the request, and the incarnation of the server that it is meant for.
     fn address(&self, headers: &mut HeaderMap, left: Duration, instance: Option<&HeaderValue>);
 
-    /// What an answer must carry to be that of a request with these headers, where answers carry anything.
+    /// The mark by which a response to a request with these headers is recognised; `None` where responses carry no mark.
     fn mark(&self, headers: &HeaderMap) -> Option<HeaderValue>;
 
-    /// Whether an answer with these headers is that of the request with this mark.
+    /// Whether a response with these headers belongs to the request with this mark.
     fn belongs(&self, mark: Option<&HeaderValue>, headers: &HeaderMap) -> bool;
 
-    /// How an attempt ended that got this answer. A good answer is one that its client may have as it is.
+    /// The outcome of an attempt that received this response. [`Outcome::Ok`] means that the client may receive it as it is.
     fn judge(&self, mark: Option<&HeaderValue>, response: &Response<()>) -> Outcome;
 
-    /// Whether a server may begin to run a request of which only a part has come: an attempt that broke off after its
-    /// first byte is then no longer one that never ran.
+    /// Whether a server may begin to run a request of which only a part has arrived. If so, an attempt that broke off after
+    /// its first byte may have run.
     fn may_run_in_part(&self) -> bool {
         false
     }
 
-    /// For how long the server keeps the connection idle, less a part for safety, if it says.
+    /// How long the server states that it keeps the idle connection open, less a safety margin; `None` if it does not state
+    /// it.
     fn keeps_idle(&self, headers: &HeaderMap) -> Option<Duration>;
 
-    /// What an answer says, beside its body.
+    /// Reads the information in a response's head.
     fn describe(&self, outcome: Outcome, response: Response<()>) -> Described;
 }
 
-/// What an answer says, beside its body.
+/// The information in a response's head.
 pub struct Described {
-    /// How it begins for its client.
+    /// The head that the client receives.
     pub head: ResponseHead,
-    /// What the server said of its load.
+    /// The load that the server reported.
     pub load: LoadReport,
-    /// The customer's metered use as a share of its rate.
+    /// The customer's metered use as a share of its rate, where the server reported it.
     pub metered: Option<f64>,
-    /// Another server answered than the one that was meant.
+    /// Another server answered than the one that the request was meant for.
     pub misdirected: bool,
-    /// It is the client's even though it is no good answer, if no attempt brings a better one.
+    /// The client may receive this response although it is an error, if no attempt brings a better one.
     pub stands: bool,
 }
 
-/// The words of the limiter that `GW_CONFIG` starts.
+/// The headers of the limiter that is configured by `GW_CONFIG`.
 pub struct PlatformWire;
 
 impl Wire for PlatformWire {
@@ -92,18 +94,18 @@
                 .iter()
                 .filter_map(|value| value.to_str().ok())
         };
-        // What cannot be read is passed over.
-        let used = all("x-ratelimit-used").find_map(number);
+        // Values that cannot be parsed are skipped.
+        let used = all("x-ratelimit-used").find_map(parse_number);
         let mut report = LoadReport::default();
         for (name, value) in all("srv-load")
             .flat_map(|text| text.split(','))
             .filter_map(|pair| pair.split_once('='))
         {
-            // Of two readable values the first counts.
+            // Of two valid values of a field, the first counts.
             if let Some(field) =
                 load_report_field(&mut report, name.trim()).filter(|field| field.is_none())
             {
-                *field = number(value);
+                *field = parse_number(value);
             }
         }
         Described {
@@ -116,7 +118,8 @@
     }
 }
 
-fn number(text: &str) -> Option<f64> {
+/// Parses a finite number that is not negative.
+fn parse_number(text: &str) -> Option<f64> {
     text.trim()
         .parse()
         .ok()
