--- a/crates/emberpin-limiter/src/between/handover.rs
+++ b/crates/emberpin-limiter/src/between/handover.rs
@@ -96,7 +96,7 @@
 /// This process's part in upgrades: its state, and the parts of the limiter that an upgrade affects.
 pub struct Upgrade {
     process: RefCell<Process>,
-    socket_path: Option<PathBuf>,
+    bind_path: Option<PathBuf>,
     peers: Option<Rc<Peers>>,
     driver: mpsc::Sender<SiblingEvent>,
     /// Accounts for the descriptors that the other process uses.
@@ -206,7 +206,7 @@
     /// older process until it exits.
     pub fn start(
         process: Process,
-        socket_path: Option<PathBuf>,
+        bind_path: Option<PathBuf>,
         predecessor: Option<Predecessor>,
         peers: Option<Rc<Peers>>,
         driver: mpsc::Sender<SiblingEvent>,
@@ -214,7 +214,7 @@
     ) -> Rc<Upgrade> {
         let upgrade = Rc::new(Upgrade {
             process: RefCell::new(process),
-            socket_path,
+            bind_path,
             peers,
             driver,
             socket_budget,
@@ -281,7 +281,7 @@
 
     /// Binds the handover socket. Replaces whatever is at its path, such as a stale socket or a file.
     fn bind_socket(self: &Rc<Self>) {
-        let Some(path) = &self.socket_path else {
+        let Some(path) = &self.bind_path else {
             return;
         };
         let own = path.with_extension(std::process::id().to_string());
--- a/crates/emberpin-limiter/src/stages/idempotency.rs
+++ b/crates/emberpin-limiter/src/stages/idempotency.rs
@@ -82,7 +82,7 @@
     /// The gates of requests in flight.
     gates: RefCell<HashMap<Ticket, Rc<WorkGate>>>,
     takeover: Option<Rc<Takeover>>,
-    key_log: Option<KeyLog>,
+    log: Option<KeyLog>,
     link: Option<Rc<Link>>,
     /// The latest known incarnation of each member.
     incarnations: RefCell<HashMap<u32, Incarnation>>,
@@ -162,8 +162,8 @@
             None => None,
         };
         let now = boot_clock();
-        let (key_log, recovered) = match opened {
-            Some((key_log, recovered)) => (Some(key_log), recovered),
+        let (log, recovered) = match opened {
+            Some((log, recovered)) => (Some(log), recovered),
             None => {
                 let quiet_until = now + to_millis(settings.quiet());
                 (
@@ -185,7 +185,7 @@
             retention: to_millis(settings.retention),
             quiet: (recovered.quiet_until - now).max(0.0),
             wait: settings.repeats == Repeats::Wait,
-            recorded: key_log.is_some(),
+            recorded: log.is_some(),
         };
         let (mut deduplicator, secret) = match &config.link {
             None => (
@@ -235,7 +235,7 @@
             unsent: RefCell::default(),
             gates: RefCell::default(),
             takeover,
-            key_log,
+            log,
             link,
             incarnations: RefCell::default(),
             next_tick: Cell::new(Instant::now()),
@@ -254,11 +254,11 @@
             let keys: Weak<dyn TakeoverKeys> = Rc::<Idempotency>::downgrade(&stage);
             takeover.set_keys(keys);
         }
-        if let Some(key_log) = &stage.key_log {
+        if let Some(log) = &stage.log {
             spawn_local(maintain_log(
                 Rc::downgrade(&stage),
                 received_log_events,
-                key_log.first_segment(),
+                log.first_segment(),
             ));
         }
         if let Some(link) = &stage.link {
@@ -399,11 +399,10 @@
                     self.unsent.borrow_mut().remove(&ticket);
                 }
                 Action::Record(record, ticket) => {
-                    let Some(key_log) = &self.key_log else {
+                    let Some(log) = &self.log else {
                         continue;
                     };
-                    let taken =
-                        key_log.append_key(record, ticket.map(|ticket| RecordTicket(ticket.0)));
+                    let taken = log.append_key(record, ticket.map(|ticket| RecordTicket(ticket.0)));
                     crash_points::reach("claim");
                     // If the outcome is not written, the key counts as one that may have run after the next start.
                     if let Some(ticket) = ticket.filter(|_| !taken) {
@@ -630,19 +629,19 @@
     }
 
     /// Does one step, and returns the time until the next.
-    fn step(&mut self, stage: &Idempotency, key_log: &KeyLog) -> Duration {
-        match self.sweep.map(|from| stage.sweep(key_log, from)) {
+    fn step(&mut self, stage: &Idempotency, log: &KeyLog) -> Duration {
+        match self.sweep.map(|from| stage.sweep(log, from)) {
             // The log's queue is full: the same entries are tried again at the next step.
             Some(None) => {}
             Some(Some(Some(next))) => self.sweep = Some(next),
             Some(Some(None)) => {
-                if key_log.retire(self.segment) {
-                    (self.sweep, self.size_after_sweep) = (None, key_log.bytes());
+                if log.retire(self.segment) {
+                    (self.sweep, self.size_after_sweep) = (None, log.bytes());
                 }
             }
             None => {
-                if !self.rotating && key_log.wants_rotation(self.size_after_sweep) {
-                    self.rotating = key_log.rotate();
+                if !self.rotating && log.wants_rotation(self.size_after_sweep) {
+                    self.rotating = log.rotate();
                 }
             }
         }
@@ -682,10 +681,10 @@
             }
             Some(None) => return,
             None => {
-                let Some(key_log) = &stage.key_log else {
+                let Some(log) = &stage.log else {
                     return;
                 };
-                due = Instant::now() + compaction.step(&stage, key_log);
+                due = Instant::now() + compaction.step(&stage, log);
             }
         }
     }
@@ -694,11 +693,11 @@
 impl Idempotency {
     /// Rewrites the next entries of a sweep. Returns where the sweep continues, or `Some(None)` at its end; `None` if the
     /// log did not accept the entries.
-    fn sweep(&self, key_log: &KeyLog, from: SweepCursor) -> Option<Option<SweepCursor>> {
+    fn sweep(&self, log: &KeyLog, from: SweepCursor) -> Option<Option<SweepCursor>> {
         if from == SweepCursor::default() {
             let quiet = self.quiet_until > boot_clock();
-            if !key_log.append_secret(self.secret_bytes, Some(RecordTicket(NO_TICKET)))
-                || quiet && !key_log.append_quiet(self.quiet_until)
+            if !log.append_secret(self.secret_bytes, Some(RecordTicket(NO_TICKET)))
+                || quiet && !log.append_quiet(self.quiet_until)
             {
                 return None;
             }
@@ -706,7 +705,7 @@
         let (records, next) = self.deduplicator.borrow().table().sweep(from, SWEEP_STEP);
         records
             .into_iter()
-            .all(|record| key_log.append_key(record, None))
+            .all(|record| log.append_key(record, None))
             .then_some(next)
     }
 }
--- a/crates/emberpin-limiter/src/upstream/discovery.rs
+++ b/crates/emberpin-limiter/src/upstream/discovery.rs
@@ -206,10 +206,10 @@
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            let Ok(events) = parser.push(&data) else {
+            let Ok(read) = parser.push(&data) else {
                 return;
             };
-            for event in events {
+            for event in read {
                 result.received_event = true;
                 if let WatchEvent::List(list) = event {
                     let list = EndpointList {
--- a/crates/emberpin-limiter/src/upstream/peer_lists.rs
+++ b/crates/emberpin-limiter/src/upstream/peer_lists.rs
@@ -298,7 +298,7 @@
 
 /// Handles the link's events about neighbours, and ticks. Ends when the exchange is dropped.
 async fn receive_link_events(
-    peer_lists: Weak<PeerLists>,
+    lists: Weak<PeerLists>,
     mut events: mpsc::UnboundedReceiver<LinkEvent>,
     neighbour_set: BTreeSet<u32>,
     superseded: mpsc::UnboundedSender<()>,
@@ -306,19 +306,19 @@
     let mut next_tick = Instant::now();
     loop {
         let event = timeout(TICK_INTERVAL, events.recv()).await;
-        let Some(peer_lists) = peer_lists.upgrade() else {
+        let Some(lists) = lists.upgrade() else {
             return;
         };
         match event {
             Ok(Some(LinkEvent::MessageReceived { from, body }))
                 if neighbour_set.contains(&from) =>
             {
-                peer_lists.on_message(from, &body)
+                lists.on_message(from, &body)
             }
             Ok(Some(LinkEvent::PeerChanged { member, state }))
                 if neighbour_set.contains(&member) =>
             {
-                peer_lists.update_core(|core, now, actions| match state.reachable {
+                lists.update_core(|core, now, actions| match state.reachable {
                     true => core.on_neighbour_reachable(now, member, actions),
                     false => core.on_neighbour_unreachable(member),
                 });
@@ -329,7 +329,7 @@
         }
         if Instant::now() >= next_tick {
             next_tick = Instant::now() + TICK_INTERVAL;
-            peer_lists.update_core(ListDissemination::on_tick);
+            lists.update_core(ListDissemination::on_tick);
         }
     }
 }
