--- a/crates/emberpin-limiter/src/between/handover.rs
+++ b/crates/emberpin-limiter/src/between/handover.rs
@@ -281,9 +281,7 @@
 
     /// Binds the handover socket. Replaces whatever is at its path, such as a stale socket or a file.
     fn bind_socket(self: &Rc<Self>) {
-        let Some(path) = &self.bind_path else {
-            return;
-        };
+        let Some(path) = &self.bind_path else { return };
         let own = path.with_extension(std::process::id().to_string());
         _ = std::fs::remove_file(&own);
         let bound = UnixListener::bind(&own).and_then(|listener| {
--- a/crates/emberpin-limiter/src/stages/idempotency.rs
+++ b/crates/emberpin-limiter/src/stages/idempotency.rs
@@ -399,9 +399,7 @@
                     self.unsent.borrow_mut().remove(&ticket);
                 }
                 Action::Record(record, ticket) => {
-                    let Some(log) = &self.log else {
-                        continue;
-                    };
+                    let Some(log) = &self.log else { continue };
                     let taken = log.append_key(record, ticket.map(|ticket| RecordTicket(ticket.0)));
                     crash_points::reach("claim");
                     // If the outcome is not written, the key counts as one that may have run after the next start.
@@ -412,10 +410,9 @@
                 Action::Reply(ticket, reply) => {
                     self.gates.borrow_mut().remove(&ticket);
                     self.unsent.borrow_mut().remove(&ticket);
-                    if let Some(waiting_clients) = self.waiting_clients.borrow_mut().remove(&ticket)
-                    {
+                    if let Some(client) = self.waiting_clients.borrow_mut().remove(&ticket) {
                         // Fails if the client has just left.
-                        _ = waiting_clients.send(reply);
+                        _ = client.send(reply);
                     }
                 }
                 Action::Send(member, message) => {
@@ -681,9 +678,7 @@
             }
             Some(None) => return,
             None => {
-                let Some(log) = &stage.log else {
-                    return;
-                };
+                let Some(log) = &stage.log else { return };
                 due = Instant::now() + compaction.step(&stage, log);
             }
         }
--- a/crates/emberpin-limiter/src/upstream/discovery.rs
+++ b/crates/emberpin-limiter/src/upstream/discovery.rs
@@ -206,9 +206,7 @@
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            let Ok(read) = parser.push(&data) else {
-                return;
-            };
+            let Ok(read) = parser.push(&data) else { return };
             for event in read {
                 result.received_event = true;
                 if let WatchEvent::List(list) = event {
--- a/crates/emberpin-limiter/src/upstream/peer_lists.rs
+++ b/crates/emberpin-limiter/src/upstream/peer_lists.rs
@@ -306,9 +306,7 @@
     let mut next_tick = Instant::now();
     loop {
         let event = timeout(TICK_INTERVAL, events.recv()).await;
-        let Some(lists) = lists.upgrade() else {
-            return;
-        };
+        let Some(lists) = lists.upgrade() else { return };
         match event {
             Ok(Some(LinkEvent::MessageReceived { from, body }))
                 if neighbour_set.contains(&from) =>
