--- a/crates/emberpin-limiter/src/stages/takeover.rs
+++ b/crates/emberpin-limiter/src/stages/takeover.rs
@@ -213,7 +213,7 @@
         link: &Rc<Link>,
         member_number: u32,
     ) -> Rc<Takeover> {
-        let (members, ask_within, completion_timeout, dead_after) = match &config.link {
+        let (members, ask_within, notice_timeout, dead_after) = match &config.link {
             Some((link, _)) => (
                 link.members.len(),
                 link.ask_within,
@@ -226,7 +226,7 @@
             member: Member(member_number),
             incarnation: link.incarnation(),
             reply_timeout: ask_within,
-            completion_timeout: completion_timeout,
+            completion_timeout: notice_timeout,
             retention: config.longest_deadline() + dead_after,
             max_entries: settings.entries,
             max_bytes: settings.bytes,
@@ -395,10 +395,10 @@
 
     /// The id of a claimant's work, in the latest known incarnation of the claimant.
     fn work_of(&self, claimant: Holder, claim: Claim) -> Option<WorkId> {
-        let incarnation = self.incarnations.borrow().get(&claimant.0).copied()?;
+        let latest = self.incarnations.borrow().get(&claimant.0).copied()?;
         Some(WorkId {
             claimant: Member(claimant.0),
-            incarnation: incarnation,
+            incarnation: latest,
             claim_number: claim.0,
         })
     }
@@ -559,13 +559,13 @@
     /// The link reports a changed state of a member. A member that closes its connection while it is healthy has most
     /// likely exited. A stalled link and a stopped process close nothing, and their requests may still be in flight.
     pub fn on_peer_changed(&self, member: u32, state: &PeerState) {
-        if let Some(incarnation) = state.incarnation {
-            let before = self.incarnations.borrow_mut().insert(member, incarnation);
+        if let Some(latest) = state.incarnation {
+            let before = self.incarnations.borrow_mut().insert(member, latest);
             self.handle(Event::IncarnationObserved {
                 member: Member(member),
-                incarnation: incarnation,
+                incarnation: latest,
             });
-            if let Some(before) = before.filter(|before| *before != incarnation) {
+            if let Some(before) = before.filter(|before| *before != latest) {
                 self.disconnected.borrow_mut().remove(&member);
                 self.handle(Event::IncarnationEnded {
                     member: Member(member),
@@ -602,11 +602,11 @@
             .collect();
         for member in ended {
             self.disconnected.borrow_mut().remove(&member);
-            let incarnation = self.incarnations.borrow().get(&member).copied();
-            if let Some(incarnation) = incarnation {
+            let latest = self.incarnations.borrow().get(&member).copied();
+            if let Some(latest) = latest {
                 self.handle(Event::IncarnationEnded {
                     member: Member(member),
-                    incarnation: incarnation,
+                    incarnation: latest,
                 });
             }
         }
