--- a/crates/emberpin-limiter/src/between/handover.rs
+++ b/crates/emberpin-limiter/src/between/handover.rs
@@ -72,7 +72,7 @@
 
 /// A message by which each of the two processes keeps the other up to date.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum SiblingMessage {
+pub enum Update {
     /// Quota that was used.
     Usage(Usage),
     /// An operator took a server out of service, or put it back.
@@ -82,13 +82,13 @@
 }
 
 /// An event about the other process of this limiter, for the driver.
-pub enum SiblingEvent {
+pub enum Sibling {
     /// A newer process asks for the state: send it to the first sender, and later messages to the second.
-    StateRequested(oneshot::Sender<HandoverState>, mpsc::Sender<SiblingMessage>),
+    StateRequested(oneshot::Sender<HandoverState>, mpsc::Sender<Update>),
     /// This process runs beside the older one: send messages to it.
-    Connected(mpsc::Sender<SiblingMessage>),
+    Connected(mpsc::Sender<Update>),
     /// The other process sent a message.
-    MessageReceived(SiblingMessage),
+    Update(Update),
     /// The other process has disconnected.
     Disconnected,
 }
@@ -98,7 +98,7 @@
     process: RefCell<Process>,
     bind_path: Option<PathBuf>,
     peers: Option<Rc<Peers>>,
-    driver: mpsc::Sender<SiblingEvent>,
+    driver: mpsc::Sender<Sibling>,
     /// Accounts for the descriptors that the other process uses.
     socket_budget: Rc<SocketBudget>,
     listening: RefCell<Option<JoinHandle<()>>>,
@@ -170,9 +170,7 @@
     (Event::StateUnusable, None)
 }
 
-async fn fetch_state(
-    mut stream: UnixStream,
-) -> Result<(Message<SiblingMessage>, UnixStream), String> {
+async fn fetch_state(mut stream: UnixStream) -> Result<(Message<Update>, UnixStream), String> {
     stream
         .write_all(&frame::encode_hello())
         .await
@@ -181,7 +179,7 @@
     Ok((message, stream))
 }
 
-async fn read(from: &mut (impl AsyncReadExt + Unpin)) -> Result<Message<SiblingMessage>, String> {
+async fn read(from: &mut (impl AsyncReadExt + Unpin)) -> Result<Message<Update>, String> {
     let mut head = [0; HEADER_LEN];
     from.read_exact(&mut head)
         .await
@@ -195,7 +193,7 @@
 
 async fn write(
     to: &mut (impl AsyncWriteExt + Unpin),
-    message: &Message<SiblingMessage>,
+    message: &Message<Update>,
 ) -> Result<(), String> {
     let bytes = frame::encode(message).map_err(|e| e.to_string())?;
     to.write_all(&bytes).await.map_err(|e| e.to_string())
@@ -209,7 +207,7 @@
         bind_path: Option<PathBuf>,
         predecessor: Option<Predecessor>,
         peers: Option<Rc<Peers>>,
-        driver: mpsc::Sender<SiblingEvent>,
+        driver: mpsc::Sender<Sibling>,
         socket_budget: Rc<SocketBudget>,
     ) -> Rc<Upgrade> {
         let upgrade = Rc::new(Upgrade {
@@ -228,7 +226,7 @@
             let upgrade = upgrade.clone();
             spawn_local(async move {
                 let (outgoing, queued) = mpsc::channel(MAX_QUEUED_MESSAGES);
-                _ = upgrade.driver.send(SiblingEvent::Connected(outgoing)).await;
+                _ = upgrade.driver.send(Sibling::Connected(outgoing)).await;
                 upgrade.clone().exchange_messages(stream, queued).await;
                 upgrade.handle(Event::PredecessorDisconnected).await;
             });
@@ -265,7 +263,7 @@
                     .set_sibling(Some(SocketCounts::default())),
                 Action::ReclaimDescriptors => {
                     self.socket_budget.set_sibling(None);
-                    _ = self.driver.send(SiblingEvent::Disconnected).await;
+                    _ = self.driver.send(Sibling::Disconnected).await;
                 }
                 // Carried out by the caller that passed the event.
                 Action::RequestState
@@ -340,7 +338,7 @@
         let (reply_to, state) = oneshot::channel();
         let sent = async {
             self.driver
-                .send(SiblingEvent::StateRequested(reply_to, outgoing))
+                .send(Sibling::StateRequested(reply_to, outgoing))
                 .await
                 .map_err(|_| "no driver")?;
             let state = state
@@ -361,11 +359,7 @@
     }
 
     /// Exchanges messages with the other process until either direction ends.
-    async fn exchange_messages(
-        self: Rc<Self>,
-        stream: UnixStream,
-        queued: mpsc::Receiver<SiblingMessage>,
-    ) {
+    async fn exchange_messages(self: Rc<Self>, stream: UnixStream, queued: mpsc::Receiver<Update>) {
         let (from, to) = stream.into_split();
         let (mut receiving, mut sending) = (
             spawn_local(self.clone().receive_messages(from)),
@@ -381,16 +375,11 @@
 
     async fn receive_messages(self: Rc<Self>, mut from: OwnedReadHalf) {
         while let Ok(Message::Update(message)) = read(&mut from).await {
-            if let SiblingMessage::SocketCounts(counts) = message {
+            if let Update::SocketCounts(counts) = message {
                 self.socket_budget.set_sibling(Some(counts));
                 continue;
             }
-            if self
-                .driver
-                .send(SiblingEvent::MessageReceived(message))
-                .await
-                .is_err()
-            {
+            if self.driver.send(Sibling::Update(message)).await.is_err() {
                 return;
             }
         }
@@ -400,7 +389,7 @@
     async fn send_messages(
         self: Rc<Self>,
         mut to: OwnedWriteHalf,
-        mut queued: mpsc::Receiver<SiblingMessage>,
+        mut queued: mpsc::Receiver<Update>,
     ) {
         let mut last_sent = None;
         loop {
@@ -412,7 +401,7 @@
                     Err(_) => continue,
                 }
             } else {
-                SiblingMessage::SocketCounts(counts)
+                Update::SocketCounts(counts)
             };
             if write(&mut to, &Message::Update(message)).await.is_err() {
                 return;
--- a/crates/emberpin-limiter/src/between/link.rs
+++ b/crates/emberpin-limiter/src/between/link.rs
@@ -184,7 +184,7 @@
     /// or already know it.
     pub fn send(&self, member: u32, kind: u16, body: Vec<u8>) {
         if let Some(name) = self.names.get(&member) {
-            self.handle(Event::Send {
+            self.step(Event::Send {
                 peer: name.clone(),
                 kind,
                 body,
@@ -197,7 +197,7 @@
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                _ = ticks.tick() => self.handle(Event::Tick),
+                _ = ticks.tick() => self.step(Event::Tick),
                 input = received.recv() => match input {
                     Some(input) => self.on_input(input),
                     None => return,
@@ -208,30 +208,28 @@
 
     fn on_input(self: &Rc<Self>, input: Input) {
         match input {
-            Input::Dialed { to, streams: None } => self.handle(Event::ConnectFailed { peer: to }),
+            Input::Dialed { to, streams: None } => self.step(Event::ConnectFailed { peer: to }),
             Input::Dialed {
                 to,
                 streams: Some(streams),
             } => {
                 let connection = self.open(streams);
-                self.handle(Event::Connected {
+                self.step(Event::Connected {
                     connection,
                     peer: to,
                 });
             }
             Input::Accepted { streams, certified } => {
                 let connection = self.open(streams);
-                self.handle(Event::Accepted {
+                self.step(Event::Accepted {
                     connection,
                     certificate_names: certified,
                 });
             }
-            Input::Bytes { connection, bytes } => {
-                self.handle(Event::Received { connection, bytes })
-            }
+            Input::Bytes { connection, bytes } => self.step(Event::Received { connection, bytes }),
             Input::Closed { connection } => {
                 self.writers.borrow_mut().remove(&connection);
-                self.handle(Event::Closed { connection });
+                self.step(Event::Closed { connection });
             }
         }
     }
@@ -273,7 +271,8 @@
         connection
     }
 
-    fn handle(&self, event: Event) {
+    /// Passes an event to the core and carries out its actions.
+    fn step(&self, event: Event) {
         let mut actions = Vec::new();
         self.core.borrow_mut().handle_event(
             Timestamp::from_millis(boot_clock()),
--- a/crates/emberpin-limiter/src/stages/takeover.rs
+++ b/crates/emberpin-limiter/src/stages/takeover.rs
@@ -415,12 +415,8 @@
                         self.link.send(to.0, WORK_MESSAGES, body);
                     }
                 }
-                Action::AllowAttempt { work_id, attempt } => {
-                    self.answer_attempt(work_id, attempt, true)
-                }
-                Action::DenyAttempt { work_id, attempt } => {
-                    self.answer_attempt(work_id, attempt, false)
-                }
+                Action::AllowAttempt { work_id, attempt } => self.resolve(work_id, attempt, true),
+                Action::DenyAttempt { work_id, attempt } => self.resolve(work_id, attempt, false),
                 Action::CompletionConfirmed(id) => {
                     if let Some(gate) = self.pending_completions.borrow_mut().remove(&id) {
                         gate.closing.set(false);
@@ -450,7 +446,7 @@
         }
     }
 
-    fn answer_attempt(&self, id: WorkId, attempt: u32, allowed: bool) {
+    fn resolve(&self, id: WorkId, attempt: u32, allowed: bool) {
         if let Some(reply_to) = self.pending_attempts.borrow_mut().remove(&(id, attempt)) {
             // Fails if the attempt has just timed out: it then sends nothing.
             _ = reply_to.send(allowed);
--- a/crates/emberpin-limiter/src/upstream/driver.rs
+++ b/crates/emberpin-limiter/src/upstream/driver.rs
@@ -1,7 +1,7 @@
 //! The driver, the only owner of the engine: receives inputs, endpoint lists, operators' commands and the messages of a
 //! sibling process, and passes them to the decision module. No decision is taken here.
 
-use crate::between::handover::{HandoverState, SiblingEvent, SiblingMessage};
+use crate::between::handover::{HandoverState, Sibling, Update};
 use crate::between::peers::Peers;
 use crate::messages::Input;
 use crate::operate::clock::Clock;
@@ -43,7 +43,7 @@
     /// Which list service that list is from, see [`EndpointList::service_generation`].
     service_generation: u32,
     /// Messages to the sibling process of this limiter, during an upgrade.
-    other: Option<mpsc::Sender<SiblingMessage>>,
+    other: Option<mpsc::Sender<Update>>,
 }
 
 /// The limiter's parts that the driver uses.
@@ -64,7 +64,7 @@
     /// Commands of operators.
     pub commands: mpsc::Receiver<ServerCommand>,
     /// Events about a sibling process, during an upgrade.
-    pub pairings: mpsc::Receiver<SiblingEvent>,
+    pub pairings: mpsc::Receiver<Sibling>,
 }
 
 impl Driver {
@@ -172,7 +172,7 @@
         };
         self.set_maintenance(server, &name, out_of_service);
         if let Some(other) = &self.other {
-            _ = other.try_send(SiblingMessage::Maintenance {
+            _ = other.try_send(Update::Maintenance {
                 server: name,
                 out: out_of_service,
             });
@@ -200,9 +200,9 @@
     }
 
     /// A sibling process of this limiter connected, disconnected or sent a message.
-    fn on_sibling_event(&mut self, event: SiblingEvent) {
+    fn on_sibling_event(&mut self, event: Sibling) {
         match event {
-            SiblingEvent::StateRequested(reply_to, other) => {
+            Sibling::StateRequested(reply_to, other) => {
                 self.other = Some(other);
                 self.handle_event(Event::SiblingChanged { running: true });
                 let (targets, names) = self.roster.entries_and_names();
@@ -212,21 +212,19 @@
                     clock, self.rev, &targets, names, gateway,
                 ));
             }
-            SiblingEvent::Connected(other) => {
+            Sibling::Connected(other) => {
                 self.other = Some(other);
                 self.handle_event(Event::SiblingChanged { running: true });
             }
-            SiblingEvent::MessageReceived(SiblingMessage::Usage(usage)) => {
-                self.handle_event(Event::SiblingUsage(usage))
-            }
-            SiblingEvent::MessageReceived(SiblingMessage::Maintenance { server: name, out }) => {
+            Sibling::Update(Update::Usage(usage)) => self.handle_event(Event::SiblingUsage(usage)),
+            Sibling::Update(Update::Maintenance { server: name, out }) => {
                 let server = server_id(&name);
                 self.roster.remember_name(server, &name);
                 self.set_maintenance(server, &name, out);
             }
             // Handled by `Upgrade`.
-            SiblingEvent::MessageReceived(SiblingMessage::SocketCounts(_)) => {}
-            SiblingEvent::Disconnected => {
+            Sibling::Update(Update::SocketCounts(_)) => {}
+            Sibling::Disconnected => {
                 self.other = None;
                 self.handle_event(Event::SiblingChanged { running: false });
             }
@@ -282,7 +280,7 @@
                 Action::ShareUsage(usage) => {
                     // The queue is full only if the other process does not read; its disconnection follows soon.
                     if let Some(other) = &self.other {
-                        _ = other.try_send(SiblingMessage::Usage(usage));
+                        _ = other.try_send(Update::Usage(usage));
                     }
                 }
                 // The watch of the list service is always on; the engine has carried out all other actions.
--- a/crates/emberpin-limiter/src/upstream/peer_lists.rs
+++ b/crates/emberpin-limiter/src/upstream/peer_lists.rs
@@ -311,7 +311,7 @@
             Ok(Some(LinkEvent::MessageReceived { from, body }))
                 if neighbour_set.contains(&from) =>
             {
-                lists.on_message(from, &body)
+                lists.on_message(from, &body);
             }
             Ok(Some(LinkEvent::PeerChanged { member, state }))
                 if neighbour_set.contains(&member) =>
