--- a/crates/emberpin-limiter/tests/bad_servers.rs
+++ b/crates/emberpin-limiter/tests/bad_servers.rs
@@ -1,4 +1,4 @@
-//! The real limiter against servers whose answers are spoilt, or bring more than belongs to them.
+//! The limiter against servers that send malformed responses, or extra bytes after a response.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/sockets.rs"]
@@ -16,8 +16,8 @@
         .collect()
 }
 
-/// The next message that comes to any of these.
-fn any(servers: &[&Listener]) -> Message {
+/// Waits for the next request that arrives at any of these servers.
+fn next_at_any(servers: &[&Listener]) -> Message {
     loop {
         if let Some(message) = servers.iter().find_map(|server| server.soon()) {
             return message;
@@ -25,7 +25,7 @@
     }
 }
 
-fn local(message: &Message) -> SocketAddr {
+fn local_address(message: &Message) -> SocketAddr {
     message.stream.local_addr().expect("known")
 }
 
@@ -33,22 +33,22 @@
     Message::read(client).expect("an answer").status()
 }
 
-/// Sends what a server may send, whether or not the limiter takes all of it.
+/// Sends bytes from the server; the limiter may close the connection before it has read all of them.
 fn send(arrived: &mut Message, text: &[u8]) {
     _ = arrived.stream.write_all(text);
 }
 
-/// An answer that cannot be told from a cut or mixed up one may have run: it is failed, not repeated, nobody
-/// is served with it, and its connection carries nothing more.
+/// A response that may be truncated or belong to another request proves nothing, and its request may have run: the
+/// request fails with 502 and is not retried, no client receives the response, and its connection is closed.
 #[test]
-fn a_spoilt_answer_is_a_failure_that_may_have_run() {
+fn a_malformed_response_fails_its_request_without_a_retry() {
     let server = Listener::start();
     let limiter = Limiter::start(&ready(&[&server]));
     let padded = format!(
         "HTTP/1.1 200 OK\r\n{}",
         "X-Pad: pppppppppppppppp\r\n".repeat(20_000)
     );
-    let spoilt = [
+    let malformed = [
         "noise \u{1}\u{2}\r\n\r\n",
         "ICY 200 OK\r\nContent-Length: 2\r\n\r\nok",
         "HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok",
@@ -65,12 +65,12 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok",
         &padded,
     ];
-    for (number, answer) in spoilt.into_iter().enumerate() {
+    for (number, answer) in malformed.into_iter().enumerate() {
         let client = limiter.ask(&request("pay", &number.to_string(), "wide", 30.0));
         let mut arrived = server.next();
         send(&mut arrived, answer.as_bytes());
         if answer.ends_with("\r\n\r\nok") {
-            // Guards against the end of the connection passing for the end of the answer.
+            // Guards against treating the end of the connection as the end of the response.
             _ = arrived.stream.shutdown(Shutdown::Write);
         }
         let answered = Message::read(&client).expect("an answer");
@@ -84,25 +84,25 @@
     }
 }
 
-/// One spoilt answer does not put a server out of favour: the next requests are still shared.
+/// One malformed response does not eject its server: the next requests are still distributed over both.
 #[test]
-fn a_spoilt_answer_does_not_eject_its_server() {
+fn a_malformed_response_does_not_eject_its_server() {
     let servers = [Listener::start(), Listener::start()];
     let both = [&servers[0], &servers[1]];
     let limiter = Limiter::start(&ready(&both));
     let client = limiter.ask(&request("pay", "1", "wide", 30.0));
-    any(&both).answer("ICY", "", "");
+    next_at_any(&both).answer("ICY", "", "");
     assert_eq!(status(&client), 502);
     let _first = limiter.ask(&request("look", "2", "wide", 30.0));
-    let one = any(&both);
+    let one = next_at_any(&both);
     let _second = limiter.ask(&request("look", "3", "wide", 30.0));
-    assert_ne!(local(&one), local(&any(&both)));
+    assert_ne!(local_address(&one), local_address(&next_at_any(&both)));
 }
 
-/// What follows a good answer, with it or later, is nobody's: the connection is given up and the next request
-/// has its own answer.
+/// Bytes after a complete response, together with it or later, belong to no request: the connection is closed, and the
+/// next request receives its own response.
 #[test]
-fn bytes_behind_a_good_answer_are_not_passed_on() {
+fn bytes_after_a_complete_response_are_not_forwarded() {
     let server = Listener::start();
     let limiter = Limiter::start(&ready(&[&server]));
     let good = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood";
@@ -110,12 +110,12 @@
     for number in 0..8 {
         let client = limiter.ask(&request("pay", &number.to_string(), "wide", 30.0));
         let mut arrived = server.next();
-        let late = number % 2 == 0;
-        let behind = [bad, "noise"][number / 2 % 2];
-        let first = if late {
+        let extra_comes_later = number % 2 == 0;
+        let extra = [bad, "noise"][number / 2 % 2];
+        let first = if extra_comes_later {
             good.to_string()
         } else {
-            format!("{good}{behind}")
+            format!("{good}{extra}")
         };
         send(&mut arrived, first.as_bytes());
         let answer = Message::read(&client).expect("an answer");
@@ -123,11 +123,11 @@
             (answer.status(), answer.body.as_slice()),
             (200, b"good".as_slice())
         );
-        if late {
-            send(&mut arrived, behind.as_bytes());
+        if extra_comes_later {
+            send(&mut arrived, extra.as_bytes());
         }
-        // Found out by the next request that wants the connection, or without any.
-        if late && behind == bad {
+        // Detected when the next request needs the connection, or earlier by the check of idle connections.
+        if extra_comes_later && extra == bad {
             let client = limiter.ask(&request("pay", "next", "wide", 30.0));
             let mut next = server.next();
             assert_ne!(
@@ -141,20 +141,20 @@
     }
 }
 
-/// Good answers with 1xx ahead, or with reports and figures that cannot be read.
+/// Good responses after interim 1xx responses, or with load reports and use headers that cannot be parsed.
 #[test]
-fn odd_but_good_answers_are_served() {
+fn good_responses_with_unparsable_extras_are_served() {
     let server = Listener::start();
     let limiter = Limiter::start(&ready(&[&server]));
     let good =
         "HTTP/1.1 200 OK\r\nSrv-Load: \u{e9}\r\nSrv-Load: =,=,depth=x\r\nX-RateLimit-Used: {\"\r\n\
                 Content-Length: 4\r\n\r\ngood";
-    for ahead in [
+    for interim in [
         "",
         "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n",
     ] {
         let client = limiter.ask(&request("pay", "1", "wide", 30.0));
-        send(&mut server.next(), format!("{ahead}{good}").as_bytes());
+        send(&mut server.next(), format!("{interim}{good}").as_bytes());
         let answer = Message::read(&client).expect("an answer");
         assert_eq!(
             (answer.status(), answer.body.as_slice()),
@@ -163,45 +163,49 @@
     }
 }
 
-/// Load reports bear the names of the settings: a server that tells of a long queue is left alone.
+/// Load reports use the field names of the settings: a server that reports a long queue receives no more requests.
 #[test]
-fn load_reports_are_heeded() {
+fn a_server_that_reports_a_long_queue_is_avoided() {
     let servers = [Listener::start(), Listener::start()];
     let both = [&servers[0], &servers[1]];
     let limiter = Limiter::start(&ready(&both));
     let client = limiter.ask(&request("look", "1", "wide", 30.0));
-    let mut busy = any(&both);
+    let mut busy = next_at_any(&both);
     busy.answer(
         "200 OK",
         "Srv-Load: \u{e9}\r\nSrv-Load: mean_ms=3,depth=50\r\n",
         "",
     );
     assert_eq!(status(&client), 200);
-    let mut held = Vec::new();
+    let mut clients = Vec::new();
     for number in 2..8 {
-        held.push(limiter.ask(&request("look", &number.to_string(), "wide", 30.0)));
-        assert_ne!(local(&any(&both)), local(&busy), "request {number}");
+        clients.push(limiter.ask(&request("look", &number.to_string(), "wide", 30.0)));
+        assert_ne!(
+            local_address(&next_at_any(&both)),
+            local_address(&busy),
+            "request {number}"
+        );
     }
 }
 
-/// With all sockets for servers taken by idle connections, one of them gives way to another server's.
+/// When idle connections use all sockets for servers, one of them is closed for a connection to another server.
 #[test]
-fn an_idle_connection_gives_way_to_another_server() {
+fn an_idle_connection_is_closed_for_one_to_another_server() {
     let servers = [Listener::start(), Listener::start(), Listener::start()];
-    // 18 sockets for servers.
+    // This limit leaves 18 sockets for connections to servers.
     let limiter = Limiter::with(&ready(&[&servers[0], &servers[1]]), |config| {
         config["limits"]["sockets"] = json!(64);
     });
-    let hold = |from: usize, to: usize| {
-        let held = from..to;
-        let held =
-            held.map(|number| limiter.ask(&request("look", &number.to_string(), "wide", 30.0)));
-        held.collect::<Vec<TcpStream>>()
+    let start_requests = |from: usize, to: usize| {
+        let clients = from..to;
+        let clients =
+            clients.map(|number| limiter.ask(&request("look", &number.to_string(), "wide", 30.0)));
+        clients.collect::<Vec<TcpStream>>()
     };
-    let clients = hold(0, 18);
+    let clients = start_requests(0, 18);
     let arrived: Vec<Message> = clients
         .iter()
-        .map(|_| any(&[&servers[0], &servers[1]]))
+        .map(|_| next_at_any(&[&servers[0], &servers[1]]))
         .collect();
     arrived
         .into_iter()
@@ -215,10 +219,10 @@
     let all = [&servers[0], &servers[1], &servers[2]];
     let mut clients = Vec::new();
     for number in 18..36 {
-        clients.extend(hold(number, number + 1));
-        if local(&any(&all)) == servers[2].address {
+        clients.extend(start_requests(number, number + 1));
+        if local_address(&next_at_any(&all)) == servers[2].address {
             return;
         }
     }
-    panic!("the new server gets nothing");
+    panic!("the new server receives no request");
 }
--- a/crates/emberpin-limiter/tests/common/peer.rs
+++ b/crates/emberpin-limiter/tests/common/peer.rs
@@ -1,4 +1,5 @@
-//! A peer of a limiter, played by the test: the link's decisions on plain sockets, with what is told handed over.
+//! A peer of a limiter, simulated by the test: runs the link's protocol on plain sockets, and passes received messages to
+//! the test.
 #![allow(dead_code, missing_docs, reason = "each test file uses a part of it")]
 
 use emberpin_peering::{
@@ -11,44 +12,44 @@
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
 use std::time::{Duration, Instant};
 
-const LONG: Duration = Duration::from_secs(20);
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 const LIMITER: &str = "n0";
 
-/// Data that the limiter told.
+/// A message that the limiter sent.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct ReceivedMessage {
     pub kind: u16,
     pub body: Vec<u8>,
-    /// The limiter's life that told it.
-    pub life: Incarnation,
+    /// The limiter's incarnation that sent it.
+    pub sender: Incarnation,
 }
 
 enum Input {
     Accepted(TcpStream),
     Bytes(ConnectionId, Vec<u8>),
     Closed(ConnectionId),
-    Say(u16, Vec<u8>),
-    End,
+    Send(u16, Vec<u8>),
+    Stop,
 }
 
 pub struct Peer {
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     inputs: Sender<Input>,
-    told: Receiver<Told>,
-    reached: Receiver<Incarnation>,
-    limiter: std::cell::OnceCell<Incarnation>,
+    received_messages: Receiver<ReceivedMessage>,
+    became_reachable: Receiver<Incarnation>,
+    limiter_incarnation: std::cell::OnceCell<Incarnation>,
 }
 
 impl Peer {
-    /// A peer of this name that listens here, and dials the limiter there.
+    /// Starts a peer of this name that listens on `listener`, and connects to the limiter at `limiter`.
     pub fn start(name: &str, listener: TcpListener, limiter: SocketAddr) -> Peer {
-        let life = Incarnation {
+        let incarnation = Incarnation {
             number: 1_700_000_000_123,
             nonce: 7,
         };
         let (inputs, received) = channel();
-        let (tell, told) = channel();
-        let (reach, reached) = channel();
+        let (messages, received_messages) = channel();
+        let (reachable, became_reachable) = channel();
         let accepted = inputs.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -57,7 +58,7 @@
                 }
             }
         });
-        let link = Peering::new(settings(name, life), Timestamp::ZERO);
+        let link = Peering::new(settings(name, incarnation), Timestamp::ZERO);
         let streams = HashMap::new();
         let host = Host {
             link,
@@ -65,62 +66,73 @@
             streams,
             next: 0,
             inputs: inputs.clone(),
-            tell,
-            reach,
+            messages,
+            reachable,
         };
         std::thread::spawn(move || host.run(&received));
         Peer {
-            life,
+            incarnation,
             inputs,
-            told,
-            reached,
-            limiter: std::cell::OnceCell::new(),
+            received_messages,
+            became_reachable,
+            limiter_incarnation: std::cell::OnceCell::new(),
         }
     }
 
-    /// Returns once the limiter can be told something.
-    pub fn reaches(&self) {
-        let life = self
-            .reached
-            .recv_timeout(LONG)
+    /// Returns once messages can be sent to the limiter.
+    pub fn wait_until_reachable(&self) {
+        let incarnation = self
+            .became_reachable
+            .recv_timeout(WAIT_LIMIT)
             .expect("the limiter is reached");
-        self.limiter.set(life).expect("once");
+        self.limiter_incarnation.set(incarnation).expect("once");
     }
 
-    pub fn life_of_limiter(&self) -> Incarnation {
-        *self.limiter.get().expect("reached")
+    /// The limiter's incarnation when it became reachable.
+    pub fn limiter_incarnation(&self) -> Incarnation {
+        *self.limiter_incarnation.get().expect("reached")
     }
 
-    pub fn say(&self, kind: u16, body: Vec<u8>) {
-        self.inputs.send(Input::Say(kind, body)).expect("there");
+    /// Sends the limiter a message of this kind.
+    pub fn send(&self, kind: u16, body: Vec<u8>) {
+        self.inputs
+            .send(Input::Send(kind, body))
+            .expect("the peer's thread runs");
     }
 
-    pub fn next(&self) -> Told {
-        self.told.recv_timeout(LONG).expect("something is told")
+    /// Waits for the limiter's next message.
+    pub fn next(&self) -> ReceivedMessage {
+        self.received_messages
+            .recv_timeout(WAIT_LIMIT)
+            .expect("a message of the limiter")
     }
 
-    /// What is told next, if that is within a moment.
-    pub fn soon(&self) -> Option<Told> {
-        self.told.recv_timeout(Duration::from_millis(5)).ok()
+    /// The limiter's next message, if it arrives within 5 ms.
+    pub fn try_next(&self) -> Option<ReceivedMessage> {
+        self.received_messages
+            .recv_timeout(Duration::from_millis(5))
+            .ok()
     }
 
-    /// Ends it: its connections close.
-    pub fn end(&mut self) {
-        self.inputs.send(Input::End).expect("there");
+    /// Stops the peer, which closes its connections.
+    pub fn stop(&mut self) {
+        self.inputs
+            .send(Input::Stop)
+            .expect("the peer's thread runs");
     }
 }
 
 impl Drop for Peer {
     fn drop(&mut self) {
-        _ = self.inputs.send(Input::End);
+        _ = self.inputs.send(Input::Stop);
     }
 }
 
-fn settings(name: &str, life: Incarnation) -> Settings {
+fn settings(name: &str, own_incarnation: Incarnation) -> Settings {
     Settings {
         cluster: "norr".into(),
         local_name: name.into(),
-        incarnation: life,
+        incarnation: own_incarnation,
         epoch: MembershipEpoch(1),
         peers: vec![LIMITER.into()],
         heartbeat_interval: Duration::from_millis(20),
@@ -137,15 +149,15 @@
     }
 }
 
-/// The peer's thread.
+/// The state of the peer's thread.
 struct Host {
     link: Peering,
     limiter: SocketAddr,
     streams: HashMap<ConnectionId, TcpStream>,
     next: u64,
     inputs: Sender<Input>,
-    tell: Sender<Told>,
-    reach: Sender<Incarnation>,
+    messages: Sender<ReceivedMessage>,
+    reachable: Sender<Incarnation>,
 }
 
 impl Host {
@@ -159,19 +171,19 @@
                 },
                 Ok(Input::Bytes(connection, bytes)) => Event::Received { connection, bytes },
                 Ok(Input::Closed(connection)) => Event::Closed { connection },
-                Ok(Input::Say(kind, body)) => Event::Send {
+                Ok(Input::Send(kind, body)) => Event::Send {
                     peer: LIMITER.into(),
                     kind,
                     body,
                 },
-                Ok(Input::End) | Err(RecvTimeoutError::Disconnected) => return self.close_all(),
+                Ok(Input::Stop) | Err(RecvTimeoutError::Disconnected) => return self.close_all(),
                 Err(RecvTimeoutError::Timeout) => Event::Tick,
             };
-            self.feed(began, event);
+            self.handle(began, event);
         }
     }
 
-    fn feed(&mut self, began: Instant, event: Event) {
+    fn handle(&mut self, began: Instant, event: Event) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let mut actions = Vec::new();
@@ -185,7 +197,7 @@
         }
     }
 
-    /// Does what the link says; what happened with that at once.
+    /// Carries out an action of the link. Returns the event that it causes at once, if any.
     fn carry_out(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Connect { peer } => {
@@ -199,7 +211,7 @@
             }
             Action::Write { connection, bytes } => {
                 if let Some(stream) = self.streams.get_mut(&connection) {
-                    // One that has ended is heard of.
+                    // For a connection that has ended, `Input::Closed` follows.
                     _ = stream.write_all(&bytes);
                 }
             }
@@ -214,15 +226,15 @@
                 body,
                 ..
             } => {
-                _ = self.tell.send(Told {
+                _ = self.messages.send(ReceivedMessage {
                     kind,
                     body,
-                    life: incarnation,
+                    sender: incarnation,
                 });
             }
             Action::PeerChanged { state, .. } => {
-                if let (true, Some(life)) = (state.reachable, state.incarnation) {
-                    _ = self.reach.send(life);
+                if let (true, Some(incarnation)) = (state.reachable, state.incarnation) {
+                    _ = self.reachable.send(incarnation);
                 }
             }
             Action::SendFailed { error, .. } => panic!("not sent: {error:?}"),
@@ -237,9 +249,9 @@
         let (mut reader, inputs) = (stream.try_clone().expect("cloned"), self.inputs.clone());
         std::thread::spawn(move || {
             let mut bytes = [0; 4096];
-            while let Ok(n @ 1..) = reader.read(&mut bytes) {
+            while let Ok(length @ 1..) = reader.read(&mut bytes) {
                 if inputs
-                    .send(Input::Bytes(connection, bytes[..n].to_vec()))
+                    .send(Input::Bytes(connection, bytes[..length].to_vec()))
                     .is_err()
                 {
                     return;
--- a/crates/emberpin-limiter/tests/idempotency.rs
+++ b/crates/emberpin-limiter/tests/idempotency.rs
@@ -1,4 +1,4 @@
-//! The idempotency stage over loopback sockets, every other side played by hand.
+//! The idempotency stage over loopback sockets; the test acts as the clients and the servers.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/sockets.rs"]
@@ -10,13 +10,14 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Instant;
 
-/// A limiter with the stage on, one server, and this in its table beside no quiet time.
+/// A limiter with the idempotency stage enabled, and one server.
 struct Site {
     limiter: Limiter,
     server: Listener,
 }
 
 impl Site {
+    /// `table` is the content of the operator file's table `[idempotency]`.
     fn start(table: &str) -> Site {
         let server = Listener::start();
         let mut limiter = Limiter::prepare(&[target("s-1", server.address, "ready")]);
@@ -35,16 +36,21 @@
         Message::read(&self.ask(id, key, body)).expect("an answer")
     }
 
-    /// The answer to a client's request, every attempt at the server being answered so meanwhile.
-    fn answered(&self, client: &TcpStream, status: &str, headers: &str) -> Message {
-        self.met(client, |mut arrived| arrived.answer(status, headers, ""))
+    /// Waits for the response to a client's request, while the server answers every attempt with this status.
+    fn response_with_server_status(
+        &self,
+        client: &TcpStream,
+        status: &str,
+        headers: &str,
+    ) -> Message {
+        self.response_with_server(client, |mut arrived| arrived.answer(status, headers, ""))
     }
 
-    /// The answer to a client's request, every attempt at the server being met so meanwhile.
-    fn met(&self, client: &TcpStream, meet: impl Fn(Message)) -> Message {
+    /// Waits for the response to a client's request, while `on_attempt` handles every attempt at the server.
+    fn response_with_server(&self, client: &TcpStream, on_attempt: impl Fn(Message)) -> Message {
         loop {
             if let Some(arrived) = self.server.soon() {
-                meet(arrived);
+                on_attempt(arrived);
             }
             client.set_nonblocking(true).expect("set");
             let answered = client.peek(&mut [0]).is_ok();
@@ -79,12 +85,12 @@
 }
 
 #[test]
-fn a_repeat_in_flight_waits_and_one_that_comes_later_is_replayed_byte_for_byte() {
+fn a_repeat_in_flight_waits_and_a_later_one_receives_the_same_bytes() {
     let site = Site::start("quiet_s = 0");
     let first = site.ask("1", "key", "image");
     let mut arrived = site.server.next();
     let repeat = site.ask("2", "\"key\"", "image");
-    // The repeat is held before the first is answered: another client's request shows that it was read.
+    // The repeat waits before the first request is answered: another client's request shows that it was read.
     let other = site.limiter.ask(&request("look", "9", "wide", 30.0));
     site.server.next().answer("200 OK", "", "seen");
     assert_eq!(Message::read(&other).expect("an answer").status(), 200);
@@ -131,12 +137,16 @@
 }
 
 #[test]
-fn what_may_have_run_is_told_so_and_never_sent_again() {
+fn a_key_that_may_have_run_is_reported_and_never_sent_again() {
     let site = Site::start("quiet_s = 0");
-    // Neither the server's word nor its silence at the end says that nothing ran; the module tries it again in the
-    // same hall, and gives up.
+    // Neither the server's error nor its later silence proves that nothing ran. The module retries within the same server
+    // group, and then fails the request.
     let first = site.limiter.ask(&keyed("1", "key", "image", 0.4));
-    assert_eq!(site.answered(&first, "500 Error", "").status(), 502);
+    assert_eq!(
+        site.response_with_server_status(&first, "500 Error", "")
+            .status(),
+        502
+    );
     let repeat = site.exchange("2", "key", "image");
     assert_eq!(repeat.status(), 409);
     assert!(detail(&repeat).contains("may have run"));
@@ -144,16 +154,23 @@
 }
 
 #[test]
-fn what_was_refused_is_new_work() {
+fn a_key_whose_request_was_rejected_can_be_used_again() {
     let site = Site::start("quiet_s = 0");
     let declined = "Srv-Declined: 1\r\n";
-    let refused = site.answered(&site.ask("1", "key", "image"), "503 Busy", declined);
+    let refused =
+        site.response_with_server_status(&site.ask("1", "key", "image"), "503 Busy", declined);
     assert_eq!(refused.status(), 429);
-    // The module may let the server rest for a while; whoever is let on in the end is no repeat.
+    // The module may avoid the server for a while; the request that is forwarded in the end is not a repeat.
     let served = (2..100)
-        .map(|id| site.answered(&site.ask(&id.to_string(), "key", "image"), "200 OK", ""))
+        .map(|id| {
+            site.response_with_server_status(
+                &site.ask(&id.to_string(), "key", "image"),
+                "200 OK",
+                "",
+            )
+        })
         .find(|answer| answer.status() != 429)
-        .expect("let on");
+        .expect("forwarded");
     assert_eq!(
         (served.status(), served.header("idempotency-replayed")),
         (200, None)
@@ -161,27 +178,27 @@
 }
 
 #[test]
-fn a_waiter_whose_patience_ends_is_answered_alone_and_the_first_goes_on() {
+fn a_repeat_that_times_out_is_answered_and_the_first_request_continues() {
     let site = Site::start("quiet_s = 0");
     let first = site.ask("1", "key", "image");
     let mut arrived = site.server.next();
-    let began = Instant::now();
+    let started = Instant::now();
     let waiter = site.limiter.exchange(&keyed("2", "key", "image", 0.2));
     assert_eq!(waiter.status(), 504);
-    assert!(began.elapsed() < LONG / 2);
+    assert!(started.elapsed() < LONG / 2);
     assert!(detail(&waiter).contains("still out"));
     arrived.answer("200 OK", "", "done");
     assert_eq!(Message::read(&first).expect("an answer").status(), 200);
 }
 
 #[test]
-fn a_first_whose_client_leaves_goes_on_for_its_repeats() {
+fn a_first_request_whose_client_disconnects_continues_for_its_repeats() {
     let site = Site::start("quiet_s = 0");
     let first = site.ask("1", "key", "image");
     let mut arrived = site.server.next();
     let repeat = site.ask("2", "key", "image");
     first.shutdown(Shutdown::Both).expect("left");
-    // Read after the leaving: the driver has heard of it if it hears of it at all.
+    // This exchange follows the disconnection, so the driver has been informed if it is at all.
     assert_eq!(
         site.limiter
             .get("/health/ready")
@@ -207,15 +224,15 @@
     let first = site.ask("first", "key", "image");
     let mut arrived = site.server.next();
     let mut conflicts = 0;
-    let mut held = Vec::new();
+    let mut waiting = Vec::new();
     for batch in 0..20 {
         let mut client = site.limiter.connect();
         for number in 0..50 {
             let text = keyed(&format!("{batch}-{number}"), "key", "image", 30.0);
             client.write_all(text.as_bytes()).expect("sent");
-            if held.len() < 20 {
-                // One that waits keeps its connection.
-                held.push(std::mem::replace(&mut client, site.limiter.connect()));
+            if waiting.len() < 20 {
+                // A repeat that waits keeps its connection.
+                waiting.push(std::mem::replace(&mut client, site.limiter.connect()));
                 continue;
             }
             let answer = Message::read(&client).expect("an answer");
@@ -223,18 +240,18 @@
             conflicts += 1;
         }
     }
-    assert_eq!((held.len(), conflicts), (20, 980));
+    assert_eq!((waiting.len(), conflicts), (20, 980));
     arrived.answer("200 OK", "", "done");
     assert_eq!(Message::read(&first).expect("an answer").status(), 200);
-    for waiter in held {
+    for waiter in waiting {
         assert_eq!(Message::read(&waiter).expect("an answer").body, b"done");
     }
     assert!(site.server.is_quiet());
 }
 
-/// Both are written before anything is read; whichever is taken first is the first.
+/// Both requests are sent before any response is read; the limiter treats the one that it reads first as the first.
 #[test]
-fn a_repeat_that_races_its_first_makes_one_attempt() {
+fn two_concurrent_requests_of_one_key_make_one_attempt() {
     let site = Site::start("quiet_s = 0");
     for round in 0..50 {
         let (mut one, mut other) = (site.limiter.connect(), site.limiter.connect());
@@ -264,9 +281,9 @@
     }
 }
 
-/// Answers as large as they may be, more of them than there is room for: the oldest give way, their keys do not.
+/// More answers of the maximum size than fit into the byte limit: the oldest answers are evicted, but not their keys.
 #[test]
-fn answers_of_64_kib_beyond_the_tables_size_give_way_and_nothing_is_sent_again() {
+fn answers_beyond_the_byte_limit_are_evicted_and_nothing_is_sent_again() {
     let site = Site::start("quiet_s = 0\nanswers_mb = 1\ncustomer_share = 1.0");
     let large = "a".repeat(64 * 1024);
     for number in 0..40 {
@@ -293,7 +310,7 @@
                 assert_eq!(status, 409);
                 assert!(
                     detail(&repeat).contains("not kept") && kept == 0,
-                    "the oldest gave way"
+                    "the oldest answers were evicted"
                 );
             }
         }
@@ -302,11 +319,11 @@
     assert!(site.server.is_quiet());
 }
 
-/// What the server's bytes do not say beyond doubt is no answer, and nothing that is replayed.
+/// A response that is malformed or may be truncated is not an answer, and is not replayed.
 #[test]
-fn a_spoilt_answer_is_not_replayed_and_its_key_not_sent_again() {
+fn a_malformed_response_is_not_replayed_and_its_key_not_sent_again() {
     let site = Site::start("quiet_s = 0");
-    for (number, spoilt) in ["garbage\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\nno length"]
+    for (number, malformed) in ["garbage\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\nno length"]
         .iter()
         .enumerate()
     {
@@ -316,8 +333,11 @@
             "image",
             0.4,
         ));
-        let answer = site.met(&first, |mut arrived| {
-            arrived.stream.write_all(spoilt.as_bytes()).expect("sent");
+        let answer = site.response_with_server(&first, |mut arrived| {
+            arrived
+                .stream
+                .write_all(malformed.as_bytes())
+                .expect("sent");
             arrived.stream.shutdown(Shutdown::Both).expect("closed");
         });
         assert_eq!(answer.status(), 502);
@@ -332,9 +352,9 @@
     assert!(site.server.is_quiet());
 }
 
-/// What passes in pieces has no fingerprint: it must not go round the stage, where a repeat would run again.
+/// A streamed body has no fingerprint. Such a request must not bypass the stage, as a repeat of it would run again.
 #[test]
-fn a_keyed_body_too_long_to_be_held_is_refused_and_not_sent() {
+fn a_keyed_body_too_long_to_buffer_is_rejected_and_not_sent() {
     let site = Site::start("quiet_s = 0");
     let long = "x".repeat(200_000);
     let text = keyed("1", "k", "body", 30.0).replace(
@@ -343,14 +363,14 @@
     );
     let mut client = site.limiter.connect();
     client.write_all(text.as_bytes()).expect("sent");
-    // The answer may come before all of it was taken.
+    // The response may arrive before the whole body was accepted.
     _ = client.write_all(long.as_bytes());
     assert_eq!(Message::read(&client).expect("an answer").status(), 413);
     assert!(site.server.is_quiet());
 }
 
 #[test]
-fn where_the_operator_wants_a_conflict_a_repeat_is_told_at_once() {
+fn with_repeats_set_to_conflict_a_repeat_is_answered_at_once() {
     let site = Site::start("quiet_s = 0\nrepeats = \"conflict\"");
     let first = site.ask("1", "key", "image");
     let mut arrived = site.server.next();
@@ -362,12 +382,15 @@
 }
 
 #[test]
-fn soon_after_a_start_keyed_work_is_told_that_it_may_have_run_and_safe_work_is_served() {
+fn after_a_start_keyed_requests_may_have_run_and_safe_requests_are_served() {
     let site = Site::start("quiet_s = 3600");
-    for (id, what) in [("1", "just started"), ("2", "may have run")] {
-        let told = site.exchange(id, "key", "image");
-        assert_eq!((told.status(), told.header("retry-after")), (409, None));
-        assert!(detail(&told).contains(what));
+    for (id, reason) in [("1", "just started"), ("2", "may have run")] {
+        let response = site.exchange(id, "key", "image");
+        assert_eq!(
+            (response.status(), response.header("retry-after")),
+            (409, None)
+        );
+        assert!(detail(&response).contains(reason));
     }
     let look = site.limiter.ask(&request("look", "3", "wide", 30.0));
     site.server.next().answer("200 OK", "", "seen");
@@ -376,7 +399,7 @@
 }
 
 #[test]
-fn a_full_table_refuses_with_an_honest_time_and_forgets_nothing() {
+fn a_full_table_rejects_with_the_true_retry_time_and_evicts_no_key() {
     let site = Site::start("quiet_s = 0\nentries = 2\ncustomer_share = 1.0\nretention_s = 3000");
     for (id, key) in [("1", "a"), ("2", "b")] {
         let client = site.ask(id, key, "image");
@@ -395,32 +418,35 @@
     assert!(site.server.is_quiet());
 }
 
-/// Of the two limiters of a customer's set one owns its keys; the other sends nothing and says so.
+/// Of the two limiters of a customer's set, one owns its keys; the other sends nothing and answers 421.
 #[test]
 fn a_customers_keys_belong_to_one_limiter_of_its_set() {
     let mut server = Listener::start();
     let mut statuses = Vec::new();
-    for me in 0..2 {
+    for number in 0..2 {
         let mut limiter = Limiter::prepare(&[target("s-1", server.address, "ready")]);
-        limiter.config["settings"]["my-number"] = me.into();
+        limiter.config["settings"]["my-number"] = number.into();
         let file = limiter.file("idempotency.toml", "[idempotency]\nquiet_s = 0\n");
         let mut command = limiter.command();
         command.arg("--with").arg(file);
         limiter.run_as(command);
         let text = keyed("1", "key", "image", 30.0).replace("spread=1", "spread=2");
         let client = limiter.ask(&text);
-        // Whoever owns the key sends it on; the other has answered by then or never will.
+        // The owner forwards the request to the server; the other limiter answers without an attempt.
         let site = Site { limiter, server };
-        statuses.push(site.answered(&client, "200 OK", "").status());
+        statuses.push(
+            site.response_with_server_status(&client, "200 OK", "")
+                .status(),
+        );
         server = site.server;
     }
     statuses.sort_unstable();
     assert_eq!(statuses, [200, 421]);
 }
 
-/// Off, a repeat is a request like any other.
+/// With the stage off, a repeat is a request like any other.
 #[test]
-fn without_the_file_nothing_is_recognised() {
+fn without_the_operator_file_keys_are_not_recognised() {
     let server = Listener::start();
     let limiter = Limiter::start(&[target("s-1", server.address, "ready")]);
     for id in ["1", "2"] {
--- a/crates/emberpin-limiter/tests/keys_log.rs
+++ b/crates/emberpin-limiter/tests/keys_log.rs
@@ -1,4 +1,5 @@
-//! Keys that outlast a limiter's life, over loopback sockets: kills between single steps, lost and restored logs.
+//! Keys that outlive a limiter's process because of its log, over loopback sockets: kills between single steps, and lost
+//! or restored logs.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/sockets.rs"]
@@ -10,16 +11,16 @@
 use std::path::{Path, PathBuf};
 use std::process::Output;
 
-/// A limiter that recognises keys and has a log, and one server.
+/// A limiter with the idempotency stage, with or without a log, and one server.
 struct Site {
     limiter: Limiter,
     server: Listener,
     files: Vec<PathBuf>,
     folder: PathBuf,
     next: u32,
-    /// What the server answers.
+    /// The body of the server's responses.
     answer: String,
-    /// Attempts that came whole to the server, by key.
+    /// Number of complete attempts that arrived at the server, by key.
     attempts: BTreeMap<String, u32>,
 }
 
@@ -44,14 +45,14 @@
         }
     }
 
-    /// With a log that was begun as an operator does it.
-    fn begun() -> Site {
+    /// Prepares a limiter with a log that was created by `log init`, as an operator does it.
+    fn with_created_log() -> Site {
         let site = Site::prepare(true);
-        let begun = site.say(&["log", "init"]);
+        let created = site.run(&["log", "init"]);
         assert!(
-            begun.status.success(),
+            created.status.success(),
             "{}",
-            String::from_utf8_lossy(&begun.stderr)
+            String::from_utf8_lossy(&created.stderr)
         );
         site
     }
@@ -64,7 +65,8 @@
         command
     }
 
-    fn say(&self, arguments: &[&str]) -> Output {
+    /// Runs the program with these arguments and the limiter's operator files.
+    fn run(&self, arguments: &[&str]) -> Output {
         let mut command = self.command();
         command
             .args(arguments)
@@ -78,7 +80,8 @@
         self.limiter.run_as(command);
     }
 
-    /// The answer to work under this key, or `None` if the limiter died over it; the server serves what comes.
+    /// Sends a request with this key, while the server serves every attempt. Returns the response, or `None` if the limiter
+    /// crashed meanwhile.
     fn ask(&mut self, key: &str) -> Option<Message> {
         self.next += 1;
         let text = request("submit", &format!("{}", self.next), "wide", 30.0);
@@ -117,11 +120,11 @@
 }
 
 #[test]
-fn a_key_that_was_served_is_replayed_after_a_kill_and_new_work_goes_on_at_once() {
-    let mut site = Site::begun();
+fn after_a_kill_a_served_key_is_replayed_and_new_keys_are_served_at_once() {
+    let mut site = Site::with_created_log();
     site.start();
     assert_eq!(site.status("first"), 200);
-    // The outcome of a key is in the log once the next key's record counts there.
+    // The outcome of a key is in the log once the next key's record is durable.
     assert_eq!(site.status("behind"), 200);
     site.limiter.kill();
     site.start();
@@ -138,25 +141,26 @@
     );
 }
 
-/// What the log buys, seen without it: a start forgets, and nothing keyed goes on for a retention.
+/// Without the log, a start loses all keys, and no keyed request is forwarded for a retention period.
 #[test]
-fn without_a_log_or_with_one_that_nobody_began_a_start_is_quiet() {
+fn without_a_log_or_with_one_that_was_never_created_keyed_requests_are_rejected() {
     for log in [false, true] {
         let mut site = Site::prepare(log);
         site.start();
         assert_eq!(site.status("key"), 409);
         site.limiter.kill();
-        // A second start right after does not make it whole.
+        // A second start right after the first does not end that period.
         site.start();
         assert_eq!(site.status("key"), 409);
         assert!(site.attempts.is_empty());
     }
 }
 
-/// Ends the process at each point, at each of its first few times, with the next life as judge.
+/// Crashes the process at each crash point, each of the first few times that it is reached, and checks the keys after a
+/// restart.
 #[test]
-fn a_kill_between_any_two_steps_signs_nothing_twice_and_loses_no_answer_that_was_given() {
-    let mut died = BTreeMap::new();
+fn a_crash_between_any_two_steps_runs_no_key_twice_and_loses_no_answer() {
+    let mut crashes = BTreeMap::new();
     for (point, times) in [
         ("claim", 4),
         ("write", 7),
@@ -168,7 +172,7 @@
         ("reply", 2),
     ] {
         for time in 1..=times {
-            let mut site = Site::begun();
+            let mut site = Site::with_created_log();
             let mut command = site.command();
             command.env("EMBERPIN_DIE_AT", format!("{point}:{time}"));
             let up = site.limiter.try_run_as(command);
@@ -178,7 +182,7 @@
                     served.push(key);
                 }
             }
-            *died.entry(point).or_insert(0) += u32::from(served.len() < 2);
+            *crashes.entry(point).or_insert(0) += u32::from(served.len() < 2);
             if !site.limiter.has_ended() {
                 site.limiter.kill();
             }
@@ -187,7 +191,7 @@
                 let again = site.ask(key).expect("an answer");
                 let ran = site.attempts.get(key).copied().unwrap_or(0);
                 assert!(ran <= 1, "{point}:{time}: {key} ran {ran} times");
-                // An answer that was given is given again, or what came of the key is said not to be known.
+                // The answer is replayed, or the response says that the outcome of the key is unknown.
                 assert!(
                     [200, 409].contains(&again.status()),
                     "{point}:{time}: {key}: {}",
@@ -195,21 +199,24 @@
                 );
                 assert!(
                     again.status() != 200 || ran == 1,
-                    "{point}:{time}: {key} was served by nobody"
+                    "{point}:{time}: {key} was answered without an attempt"
                 );
             }
-            // Whatever was cut off, new work goes on at once.
+            // New keys are served at once, whichever record is incomplete.
             assert_eq!(site.status("three"), 200, "{point}:{time}");
         }
     }
-    for (point, times) in died {
-        assert!(times > 0, "{point} was never met while a key was under way");
+    for (point, times) in crashes {
+        assert!(
+            times > 0,
+            "{point} was never reached while a request was in flight"
+        );
     }
 }
 
 #[test]
-fn a_log_that_is_put_back_to_an_earlier_state_is_found_out() {
-    let mut site = Site::begun();
+fn a_log_restored_to_an_earlier_state_is_detected() {
+    let mut site = Site::with_created_log();
     site.start();
     assert_eq!(site.status("before"), 200);
     assert_eq!(site.status("behind"), 200);
@@ -222,10 +229,10 @@
     std::fs::remove_dir_all(&site.folder).expect("removed");
     copy_folder(&copy, &site.folder);
     site.start();
-    // Not known any more, and not taken for new work.
+    // The key is no longer known, and not treated as new.
     assert_eq!(site.status("after"), 409);
     assert_eq!(site.attempts["after"], 1);
-    // What the copy does know is still told.
+    // A key that the copy contains is still replayed.
     assert_eq!(site.status("before"), 200);
     assert_eq!(site.attempts["before"], 1);
 }
@@ -239,23 +246,23 @@
 }
 
 #[test]
-fn a_log_is_one_limiters_alone_and_an_unusable_one_is_said_with_the_way_out() {
-    let mut site = Site::begun();
-    let begun = site.say(&["log", "init"]);
-    assert_eq!(begun.status.code(), Some(2));
-    assert!(String::from_utf8_lossy(&begun.stderr).contains("a log is there already"));
+fn a_log_belongs_to_one_process_and_one_instance_and_damage_is_reported() {
+    let mut site = Site::with_created_log();
+    let created = site.run(&["log", "init"]);
+    assert_eq!(created.status.code(), Some(2));
+    assert!(String::from_utf8_lossy(&created.stderr).contains("a log is there already"));
     site.start();
     assert_eq!(site.status("key"), 200);
-    let second = site.say(&["log", "init"]);
+    let second = site.run(&["log", "init"]);
     assert!(String::from_utf8_lossy(&second.stderr).contains("another process has it open"));
     site.limiter.kill();
-    let sound = site.say(&["log", "inspect", site.folder.to_str().expect("text")]);
+    let sound = site.run(&["log", "inspect", site.folder.to_str().expect("text")]);
     let shown = String::from_utf8_lossy(&sound.stdout).into_owned();
     assert!(
         sound.status.success() && shown.contains("of 'n0'") && shown.ends_with("sound\n"),
         "{shown}"
     );
-    let json = site.say(&[
+    let json = site.run(&[
         "log",
         "inspect",
         "--json",
@@ -263,44 +270,44 @@
     ]);
     let json: serde_json::Value = serde_json::from_slice(&json.stdout).expect("JSON");
     assert_eq!(json["sound"], true);
-    // Another instance's.
+    // A log of another instance is rejected.
     site.limiter.config["name"] = "n1".into();
     std::fs::rename(&site.folder, site.folder.with_file_name("log-n1")).expect("renamed");
     let command = site.command();
     assert!(!site.limiter.try_run_as(command));
-    // A byte that is not what was written.
+    // A flipped bit is detected.
     let segment = site.folder.with_file_name("log-n1").join("0000000002.log");
     let mut bytes = std::fs::read(&segment).expect("read");
     let middle = bytes.len() - 20;
     bytes[middle] ^= 1;
     std::fs::write(&segment, bytes).expect("written");
-    let damaged = site.say(&["log", "inspect", segment.to_str().expect("text")]);
+    let damaged = site.run(&["log", "inspect", segment.to_str().expect("text")]);
     assert_eq!(damaged.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&damaged.stdout).contains("damaged at byte"));
     assert_eq!(
-        site.say(&["log", "inspect", "/nonexistent"]).status.code(),
+        site.run(&["log", "inspect", "/nonexistent"]).status.code(),
         Some(2)
     );
 }
 
-/// Work that never pauses must not keep the log from being written anew: it would fill the disk.
+/// Continuous load must not prevent the log's compaction: the log would fill the disk.
 #[test]
-fn a_log_under_steady_work_is_turned_over_and_lets_go_of_what_is_old() {
-    let mut site = Site::begun();
+fn under_steady_load_the_log_is_compacted_and_old_segments_are_removed() {
+    let mut site = Site::with_created_log();
     site.answer = "x".repeat(60_000);
     site.start();
-    // The segment of this start is the second; it goes once a third stands for it.
+    // The segment of this start is the second; it is removed once its entries were rewritten to a third.
     let (second, third) = (
         site.folder.join("0000000002.log"),
         site.folder.join("0000000003.log"),
     );
-    let mut asked = 0;
+    let mut requests = 0;
     while !third.exists() || second.exists() {
-        assert!(asked < 5000, "never turned over");
-        assert_eq!(site.status(&format!("key-{asked}")), 200);
-        asked += 1;
+        assert!(requests < 5000, "never compacted");
+        assert_eq!(site.status(&format!("key-{requests}")), 200);
+        requests += 1;
     }
-    // What was let go of stands in the new one.
+    // The entries of the removed segment are in the new one.
     site.limiter.kill();
     site.start();
     assert!([200, 409].contains(&site.status("key-0")));
--- a/crates/emberpin-limiter/tests/link.rs
+++ b/crates/emberpin-limiter/tests/link.rs
@@ -1,4 +1,5 @@
-//! Limiters that ask each other over loopback sockets: mutual TLS, strangers, and keys that any of them serves.
+//! Three limiters that replicate idempotency keys over the link, on loopback sockets: mutual TLS, unauthorized
+//! connections, and keys that any of the limiters serves.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/sockets.rs"]
@@ -11,7 +12,7 @@
 use std::process::Command;
 use std::time::Instant;
 
-/// Three limiters of one site with one server; each has its own platform file and all one operator file.
+/// Three limiters of one site with one server. Each has its own platform file, and all share one operator file.
 struct Site {
     limiters: Vec<Limiter>,
     server: Listener,
@@ -34,7 +35,7 @@
 }
 
 impl Site {
-    /// Nothing is started yet.
+    /// Creates the files and keys; starts nothing.
     fn prepare(tls: bool) -> Site {
         let server = Listener::start();
         let known = [target("s-1", server.address, "ready")];
@@ -107,7 +108,8 @@
         site
     }
 
-    /// The answer to work under a key; the server serves what comes. The attempts that came.
+    /// Sends a request with this key to limiter `n`, while the server serves every attempt. Returns the response and the
+    /// number of attempts.
     fn ask(&mut self, n: usize, key: &str) -> (Message, u32) {
         self.next += 1;
         let id = format!("{}", self.next);
@@ -132,9 +134,9 @@
         }
     }
 
-    /// The same, again until there are enough limiters to grant it; attempts in all.
+    /// Repeats a request until a majority of limiters grants its key and it is served. Returns the number of attempts.
     fn served(&mut self, n: usize, key: &str) -> u32 {
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut all = 0;
         loop {
             let (answer, attempts) = self.ask(n, key);
@@ -144,7 +146,7 @@
                     assert_eq!(answer.body, format!("signed {key}").as_bytes());
                     return all;
                 }
-                503 => assert!(begun.elapsed() < LONG, "never a majority"),
+                503 => assert!(started.elapsed() < LONG, "never a majority"),
                 other => panic!("{other}"),
             }
         }
@@ -152,14 +154,14 @@
 }
 
 #[test]
-fn over_mutual_tls_any_limiter_serves_a_key_and_another_replays_it_also_with_one_gone() {
+fn over_mutual_tls_any_limiter_serves_a_key_and_replays_it_with_one_limiter_down() {
     let mut site = Site::started(true);
     assert_eq!(site.served(0, "one"), 1);
     for n in 0..3 {
         assert_eq!(site.served(n, "one"), 0, "replayed at {n}");
     }
     site.limiters[2].kill();
-    // Whether 2 held it or not: two of three are enough.
+    // Two of three limiters are enough, whether or not limiter 2 had a copy.
     assert_eq!(site.served(0, "two"), 1);
     assert_eq!(site.served(1, "two"), 0);
     assert_eq!(site.served(1, "one"), 0);
@@ -169,10 +171,10 @@
     assert!(answer.header("retry-after").is_some());
 }
 
-/// Starts with its keys spoilt; the one line that it ends with.
-fn refused(spoil: impl FnOnce(&Path)) -> String {
+/// Starts a limiter whose keys were damaged, and returns its standard error.
+fn start_error(damage: impl FnOnce(&Path)) -> String {
     let site = Site::prepare(true);
-    spoil(&site.folder.join("keys"));
+    damage(&site.folder.join("keys"));
     let mut command = site.limiters[0].command();
     let ended = command
         .arg("--with")
@@ -185,8 +187,8 @@
 }
 
 #[test]
-fn keys_that_others_may_read_or_that_are_none_are_refused_with_the_way_out() {
-    let open = refused(|keys| {
+fn unusable_or_readable_key_files_are_rejected_with_the_remedy() {
+    let open = start_error(|keys| {
         let readable = std::os::unix::fs::PermissionsExt::from_mode(0o644);
         std::fs::set_permissions(keys.join("n0.key"), readable).expect("set");
     });
@@ -194,18 +196,18 @@
         open.contains("n0.key: others than its owner may read it; chmod 600"),
         "{open}"
     );
-    let none = refused(|keys| std::fs::write(keys.join("n0.pem"), "nothing").expect("written"));
+    let none = start_error(|keys| std::fs::write(keys.join("n0.pem"), "nothing").expect("written"));
     assert!(none.contains("n0.pem: no certificate"), "{none}");
     let short =
         refused(|keys| std::fs::write(keys.join("fingerprint.key"), "abcd").expect("written"));
     assert!(short.contains("expected 64 hexadecimal digits"), "{short}");
-    let gone = refused(|keys| std::fs::remove_file(keys.join("n0.key")).expect("removed"));
+    let gone = start_error(|keys| std::fs::remove_file(keys.join("n0.key")).expect("removed"));
     assert!(gone.contains("n0.key: No such file"), "{gone}");
 }
 
-/// A limiter whose certificate is not what it should be is nobody, and the other two go on without it.
+/// A limiter without a valid certificate for its name is not accepted as a member, and the other two work without it.
 #[test]
-fn another_authoritys_certificate_and_one_for_another_name_are_not_taken() {
+fn certificates_of_another_authority_or_for_another_name_are_rejected() {
     for other_authority in [true, false] {
         let mut site = Site::prepare(true);
         let (good, bad) = (site.folder.join("keys"), site.folder.join("bad"));
@@ -213,7 +215,7 @@
         assert!(made.status.success());
         std::fs::copy(good.join("fingerprint.key"), bad.join("fingerprint.key")).expect("copied");
         if !other_authority {
-            // Of the right authority, but 1's.
+            // Of the right authority, but for limiter 1.
             for end in ["pem", "key"] {
                 std::fs::copy(
                     good.join(format!("n1.{end}")),
@@ -226,7 +228,7 @@
         site.start(0);
         site.configure(true, &bad);
         site.start(2);
-        // Alone, or with one that is not who it says: no majority.
+        // Limiter 0 has no majority: only limiter 2, whose certificate is invalid, runs beside it.
         for _ in 0..20 {
             let (answer, attempts) = site.ask(0, "key");
             assert_eq!((answer.status(), attempts), (503, 0));
@@ -240,7 +242,7 @@
 }
 
 #[test]
-fn strangers_garbage_a_huge_frame_and_silent_connections_harm_nobody() {
+fn unauthorized_malformed_and_silent_connections_do_not_disturb_the_link() {
     for tls in [true, false] {
         let mut site = Site::started(tls);
         assert_eq!(site.served(0, "before"), 1);
@@ -252,12 +254,12 @@
             &[0xff; 64],
             &[0, 0, 0, 1, 99],
         ] {
-            let mut stranger = TcpStream::connect(site.links[1]).expect("connects");
-            stranger.write_all(bytes).expect("sent");
-            stranger.set_read_timeout(Some(LONG)).expect("set");
-            // It is ended, with an alert where there is TLS.
+            let mut unauthorized = TcpStream::connect(site.links[1]).expect("connects");
+            unauthorized.write_all(bytes).expect("sent");
+            unauthorized.set_read_timeout(Some(LONG)).expect("set");
+            // The limiter closes it, with an alert where TLS is used.
             let mut rest = Vec::new();
-            _ = stranger.read_to_end(&mut rest);
+            _ = unauthorized.read_to_end(&mut rest);
             assert!(rest.len() < 100, "{tls}");
         }
         assert_eq!(site.served(1, "after"), 1);
@@ -266,7 +268,7 @@
 }
 
 #[test]
-fn a_limiter_that_stood_still_comes_back_and_repeats_nothing() {
+fn a_limiter_that_was_stopped_and_continued_runs_no_key_again() {
     let mut site = Site::started(false);
     assert_eq!(site.served(0, "one"), 1);
     site.limiters[2].signal("-STOP");
@@ -278,11 +280,11 @@
     }
 }
 
-/// Repeats of one key through all three at once: one attempt, one outcome for all.
+/// Repeats of one key through all three limiters at once lead to one attempt and one outcome.
 #[test]
 fn hundreds_of_repeats_of_one_key_through_three_limiters_run_once() {
     let mut site = Site::started(false);
-    // Once each has served a key it reaches a majority.
+    // A limiter that has served a key reaches a majority.
     for n in 0..3 {
         site.served(n, &format!("before-{n}"));
     }
@@ -302,7 +304,7 @@
         *counts.entry(answer.status()).or_insert(0) += 1;
     }
     assert!(site.server.is_quiet(), "{counts:?}");
-    // Each limiter lets 64 wait; the others are told that the first is in flight.
+    // Each limiter lets 64 repeats wait; the others are answered that the first request is in flight.
     assert!(
         counts[&200] >= 3 && counts.keys().all(|status| [200, 409].contains(status)),
         "{counts:?}"
--- a/crates/emberpin-limiter/tests/recorded_disk.rs
+++ b/crates/emberpin-limiter/tests/recorded_disk.rs
@@ -1,5 +1,5 @@
-//! What a limiter keeps on its disk, as an earlier build wrote it: the records of keys in its log, and its last endpoint
-//! list. A limiter of today's build is started on them.
+//! Compatibility with files that an earlier build wrote: the records of keys in the log, and the snapshot of the endpoint
+//! list. A limiter of the present build is started on them.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "../../emberpin-peering/tests/common/recording.rs"]
@@ -38,8 +38,8 @@
     Failed,
 }
 
-/// Sites stand one at a time: a process that another test starts would hold the lock of a log that this one has open,
-/// from its fork to its exec.
+/// Only one site exists at a time: a process that another test starts would hold the lock of a log that this one has
+/// open, from its fork to its exec.
 static TURN: Mutex<()> = Mutex::new(());
 
 /// A limiter with an operator file, and its one server.
@@ -48,12 +48,12 @@
     server: Listener,
     operator: PathBuf,
     folder: PathBuf,
-    /// Returned once all else is gone.
+    /// Released after all other fields are dropped.
     _turn: MutexGuard<'static, ()>,
 }
 
 impl Site {
-    /// `operator` gives the operator file's text for the folder in which the limiter keeps its files.
+    /// `operator` returns the operator file's text for the folder in which the limiter stores its files.
     fn prepare(operator: impl Fn(&Path) -> String) -> Site {
         let turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
         let server = Listener::start();
@@ -80,7 +80,7 @@
         Site::prepare(operator)
     }
 
-    fn with_kept_list() -> Site {
+    fn with_snapshot() -> Site {
         let operator = |folder: &Path| {
             format!(
                 "[start]\nsite = \"t\"\nsnapshot = \"{}\"\n",
@@ -110,7 +110,7 @@
             .success());
     }
 
-    /// The answer to work under a key, which the server serves.
+    /// Sends a request with this key, which the server serves. Returns the response.
     fn served(&self, key: &str) -> Message {
         let client = self.limiter.ask(&keyed(key));
         self.server
@@ -119,7 +119,7 @@
         Message::read(&client).expect("an answer")
     }
 
-    /// The answer to work under a key that no server gets.
+    /// Sends a request with this key, which must not reach the server. Returns the response.
     fn answered_without_server(&self, key: &str) -> Message {
         let answer = self.limiter.exchange(&keyed(key));
         assert!(self.server.is_quiet(), "nothing was sent");
@@ -136,7 +136,7 @@
         .replace("Idempotency-Key: k-1", &format!("Idempotency-Key: {key}"))
 }
 
-/// What is written in all segments of a log's folder, in order.
+/// The payloads of all records in a log's folder, in order.
 fn payloads(folder: &Path) -> Vec<Vec<u8>> {
     let entries = std::fs::read_dir(folder)
         .expect("a folder")
@@ -164,7 +164,7 @@
     postcard::from_bytes(payload).expect("an entry")
 }
 
-/// The records of a life that served one key and was killed while it had another in flight.
+/// The records of a process that served one key and was killed while it had a request of another in flight.
 fn write_keys() -> Vec<Recorded> {
     let mut site = Site::with_log();
     site.begin_log();
@@ -176,7 +176,7 @@
     named(payloads(&site.folder))
 }
 
-/// Records with names that tell their place and kind.
+/// Records with names made of their position and kind.
 fn named(payloads: Vec<Vec<u8>>) -> Vec<Recorded> {
     let name = |payload: &[u8]| match decode(payload) {
         Entry::Secret(_) => "secret".to_string(),
@@ -185,11 +185,11 @@
     };
     (1..)
         .zip(payloads)
-        .map(|(place, payload)| (format!("{place}-{}", name(&payload)), payload))
+        .map(|(position, payload)| (format!("{position}-{}", name(&payload)), payload))
         .collect()
 }
 
-/// The records of a life that found no log where one should be.
+/// The records of a process that found no log although one is configured.
 fn write_quiet() -> Vec<Recorded> {
     let mut site = Site::with_log();
     site.start();
@@ -205,7 +205,7 @@
     lines("log-quiet.txt", write_quiet)
 }
 
-/// A limiter, not started yet, whose log holds these records, written in an earlier boot of the machine.
+/// A limiter, not started yet, whose log contains these records, written in an earlier boot of the machine.
 fn with_records(records: &[Recorded]) -> Site {
     let site = Site::with_log();
     let identity = Identity {
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn every_record_of_a_log_is_read_and_written_as_it_was_recorded() {
+fn every_recorded_log_record_is_encoded_to_the_same_bytes() {
     for (name, payload) in recorded_keys().into_iter().chain(recorded_quiet()) {
         let again = postcard::to_allocvec(&decode(&payload)).expect("encoded");
         assert_eq!(hex(&again), hex(&payload), "{name}");
@@ -246,15 +246,15 @@
         content_type: Some(b"text/plain".to_vec()),
         body: b"signed".to_vec(),
     };
-    let written_down = [
+    let expected = [
         ("first".to_string(), KeyStatus::Claimed),
         ("first".to_string(), KeyStatus::Served(Some(answer))),
         ("second".to_string(), KeyStatus::Claimed),
     ];
-    assert_eq!(records, written_down);
+    assert_eq!(records, expected);
 }
 
-/// The record of the served key, among these.
+/// The record of the served key.
 fn served(records: &[Recorded]) -> Record<Answer> {
     let is_served = |(_, payload): &Recorded| match decode(payload) {
         Entry::Key(record) => {
@@ -265,9 +265,9 @@
     records.iter().find_map(is_served).expect("a served key")
 }
 
-/// But for the time and the fingerprint, which each run has of its own.
+/// Except for the time and the fingerprint, which differ in each run.
 #[test]
-fn a_limiter_writes_a_served_key_as_it_was_recorded() {
+fn a_served_keys_record_equals_the_recorded_one() {
     let (recorded, written) = (served(&recorded_keys()), served(&write_keys()));
     assert_eq!(
         Record {
@@ -297,19 +297,23 @@
     let mut site = with_records(&recorded_keys());
     site.start();
     assert_eq!(site.answered_without_server("second").status(), 409);
-    assert_eq!(site.served("new").status(), 200, "new work goes on at once");
+    assert_eq!(
+        site.served("new").status(),
+        200,
+        "new keys are served at once"
+    );
 }
 
-/// Without the recorded secret the replay would be told from its first request by another fingerprint.
+/// With another secret than the recorded one, every repeat would have another fingerprint than its first request.
 #[test]
-fn a_limiter_goes_on_with_the_secret_of_the_recorded_log() {
+fn a_limiter_uses_the_secret_of_the_recorded_log() {
     let records = recorded_keys();
     let mut site = with_records(&records);
     site.start();
     let other = keyed("first").replace("\r\n\r\nbody", "\r\n\r\nelse");
     assert_eq!(site.limiter.exchange(&other).status(), 422);
     site.limiter.kill();
-    // The last one is its own: it writes the secret at its start.
+    // The last secret is the limiter's own record: it writes the secret at its start.
     let secret = |payload: &Vec<u8>| matches!(decode(payload), Entry::Secret(_));
     let written = payloads(&site.folder)
         .into_iter()
@@ -323,55 +327,56 @@
 }
 
 #[test]
-fn a_limiter_is_still_quiet_where_the_recorded_log_says_so() {
+fn a_limiter_rejects_unknown_keys_while_the_recorded_log_requires_it() {
     let mut site = with_records(&recorded_quiet());
     site.start();
     assert_eq!(site.answered_without_server("new").status(), 409);
 }
 
-/// The list file of a limiter that was told one endpoint by its list service.
+/// The snapshot of a limiter that received one endpoint from its list service.
 fn write_list(site: &mut Site) -> Vec<u8> {
     site.start();
     let mut watch = site.limiter.watch();
     watch.list(42, true, &[target("s-1", site.server.address, "ready")]);
     let path = site.folder.join("list");
-    let begun = Instant::now();
+    let started = Instant::now();
     while !path.exists() {
-        assert!(begun.elapsed() < LONG, "never kept");
+        assert!(started.elapsed() < LONG, "never saved");
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
     std::fs::read(&path).expect("read")
 }
 
-/// Label and endpoints of a list file, whatever its age.
+/// The header and the entries of a snapshot of any age.
 fn open_list(bytes: &[u8]) -> (snapshot::SnapshotHeader, String) {
     let any_age = std::time::Duration::MAX;
-    let (label, entries) =
-        snapshot::decode(bytes, "t/n0", SystemTime::now(), any_age).expect("a kept list");
-    (label, String::from_utf8(entries.to_vec()).expect("text"))
+    let (header, entries) =
+        snapshot::decode(bytes, "t/n0", SystemTime::now(), any_age).expect("a snapshot");
+    (header, String::from_utf8(entries.to_vec()).expect("text"))
 }
 
-/// The endpoints with this address in place of the one endpoint's own.
-fn moved(entries: &str, address: &str) -> String {
+/// The entries with this address in place of the one endpoint's own.
+fn with_address(entries: &str, address: &str) -> String {
     let list: Value = serde_json::from_str(entries).expect("JSON");
     entries.replace(list[0]["endpoint"].as_str().expect("an endpoint"), address)
 }
 
 fn recorded_list() -> (snapshot::SnapshotHeader, String) {
-    open_list(&file("kept-list", || {
-        write_list(&mut Site::with_kept_list())
-    }))
+    open_list(&file(
+        "kept-list",
+        || write_list(&mut Site::with_snapshot()),
+    ))
 }
 
 #[test]
 fn a_limiter_starts_from_the_recorded_endpoint_list() {
-    let (label, entries) = recorded_list();
-    assert_eq!((label.owner.as_str(), label.revision), ("t/n0", 42));
-    let mut site = Site::with_kept_list();
-    let entries = moved(&entries, &site.server.address.to_string());
+    let (header, entries) = recorded_list();
+    assert_eq!((header.owner.as_str(), header.revision), ("t/n0", 42));
+    let mut site = Site::with_snapshot();
+    let entries = with_address(&entries, &site.server.address.to_string());
     let fresh = snapshot::SnapshotHeader {
         written_at: SystemTime::now(),
-        ..label
+        ..header
     };
     std::fs::create_dir_all(&site.folder).expect("made");
     std::fs::write(
@@ -385,8 +390,8 @@
 }
 
 #[test]
-fn a_limiter_keeps_its_endpoint_list_as_it_was_recorded() {
+fn a_saved_endpoint_list_equals_the_recorded_one() {
     let (_, recorded) = recorded_list();
-    let (_, written) = open_list(&write_list(&mut Site::with_kept_list()));
-    assert_eq!(moved(&written, "-"), moved(&recorded, "-"));
+    let (_, written) = open_list(&write_list(&mut Site::with_snapshot()));
+    assert_eq!(with_address(&written, "-"), with_address(&recorded, "-"));
 }
--- a/crates/emberpin-limiter/tests/recorded_peers.rs
+++ b/crates/emberpin-limiter/tests/recorded_peers.rs
@@ -1,5 +1,5 @@
-//! What a limiter tells its peers of keys, of work in hand and of endpoint lists, as an earlier build wrote it. The test plays both peers of
-//! a limiter of today's build, over plain sockets.
+//! Compatibility with messages that an earlier build sent to its peers: about keys, about requests in flight and about
+//! endpoint lists. The test acts as both peers of a limiter of the present build, over plain sockets.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/peer.rs"]
@@ -13,7 +13,7 @@
 use emberpin_idempotency::claims::{Claim, Message as OfKeys};
 use emberpin_idempotency::{Fingerprint, Key};
 use emberpin_startup::list_messages::{ListMessage, ListVersion, WatcherHeartbeat};
-use peer::{Peer, Told};
+use peer::{Peer, ReceivedMessage};
 use recording::{hex, lines, Recorded};
 use serde::{Deserialize, Serialize};
 use sockets::*;
@@ -22,12 +22,12 @@
 use std::os::unix::fs::PermissionsExt;
 use std::time::Instant;
 
-/// Kinds of data between limiters.
-const KEYS: u16 = 1;
-const LISTS: u16 = 2;
-const WORK: u16 = 3;
+/// Kinds of messages between limiters.
+const KEY_MESSAGES: u16 = 1;
+const LIST_MESSAGES: u16 = 2;
+const WORK_MESSAGES: u16 = 3;
 
-/// An answer as a peer gets it; the limiter's own type is private to it.
+/// An answer as a peer receives it; the limiter's own type is private.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum Answer {
     Served {
@@ -40,9 +40,9 @@
     Failed,
 }
 
-/// A request as a keeper of it gets it, likewise.
+/// A request as its acceptors receive it; the limiter's own type is private.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Carried {
+struct EncodedRequest {
     method: String,
     uri: String,
     headers: Vec<(String, Vec<u8>)>,
@@ -65,12 +65,12 @@
 }
 
 impl Site {
-    /// All three are up and reach each other.
+    /// Starts the limiter and both peers, and waits until they are connected.
     fn start() -> Site {
         let server = Listener::start();
         let mut limiter = Limiter::prepare(&[target("s-1", server.address, "ready")]);
         limiter.config["settings"]["group-size"] = 3.into();
-        // Far from over by the time at which the limiter goes on with a peer's work.
+        // Much longer than the time after which the limiter takes over a peer's request.
         limiter.config["settings"]["profiles"][1]["dedup-window-ms"] = 600_000.0.into();
         let own_link = free_port(&own_host());
         let listeners =
@@ -95,22 +95,22 @@
             server,
             peers,
         };
-        site.meet();
+        site.wait_for_link();
         site
     }
 
     /// Returns once the limiter has asked both peers for a key, which neither grants.
-    fn meet(&self) {
-        self.peers.iter().for_each(Peer::reaches);
-        let (begun, mut heard) = (Instant::now(), [false; 2]);
+    fn wait_for_link(&self) {
+        self.peers.iter().for_each(Peer::wait_until_reachable);
+        let (started, mut asked) = (Instant::now(), [false; 2]);
         for number in 0.. {
-            assert!(begun.elapsed() < LONG, "the limiter never reached both");
+            assert!(started.elapsed() < LONG, "the limiter never reached both");
             let answer = Message::read(&self.ask(&format!("meeting-{number}"))).expect("an answer");
-            assert_eq!(answer.status(), 503, "nobody grants it");
-            for (heard, peer) in heard.iter_mut().zip(&self.peers) {
-                *heard |= std::iter::from_fn(|| peer.soon()).count() > 0;
+            assert_eq!(answer.status(), 503, "no peer grants it");
+            for (asked, peer) in asked.iter_mut().zip(&self.peers) {
+                *asked |= std::iter::from_fn(|| peer.try_next()).count() > 0;
             }
-            if heard == [true, true] {
+            if asked == [true, true] {
                 return;
             }
         }
@@ -122,30 +122,36 @@
             .ask(&text.replace("Idempotency-Key: k-1", &format!("Idempotency-Key: {key}")))
     }
 
-    /// The next data to a peer that this picks; what else comes meanwhile is dropped.
-    fn next<T>(&self, peer: usize, pick: impl Fn(&Told) -> Option<T>) -> (Vec<u8>, T) {
+    /// Waits for the next message to a peer for which `pick` returns a value; drops all others.
+    fn next<T>(&self, peer: usize, pick: impl Fn(&ReceivedMessage) -> Option<T>) -> (Vec<u8>, T) {
         loop {
-            let told = self.peers[peer].next();
-            if let Some(picked) = pick(&told) {
-                return (told.body, picked);
+            let message = self.peers[peer].next();
+            if let Some(picked) = pick(&message) {
+                return (message.body, picked);
             }
         }
     }
 
-    /// Has the peers grant and note all until this client has an answer and something of each name was told; the first
-    /// of each.
-    fn play(&self, client: &TcpStream) -> BTreeMap<&'static str, Vec<u8>> {
-        let (begun, mut first) = (Instant::now(), BTreeMap::new());
+    /// Lets the peers grant and accept everything until this client has an answer and a message of each of [`NAMES`] was
+    /// received. Returns the first message of each name.
+    fn serve_as_peers(&self, client: &TcpStream) -> BTreeMap<&'static str, Vec<u8>> {
+        let (started, mut first) = (Instant::now(), BTreeMap::new());
         while first.len() < NAMES.len() || !has_answer(client) {
-            assert!(begun.elapsed() < LONG, "only told: {:?}", first.keys());
+            assert!(
+                started.elapsed() < LONG,
+                "only received: {:?}",
+                first.keys()
+            );
             for peer in &self.peers {
-                let Some(told) = peer.soon() else { continue };
-                let Some((name, answer)) = understand(&told) else {
+                let Some(message) = peer.try_next() else {
                     continue;
                 };
-                first.entry(name).or_insert(told.body);
+                let Some((name, answer)) = name_and_reply(&message) else {
+                    continue;
+                };
+                first.entry(name).or_insert(message.body);
                 if let Some(answer) = answer {
-                    peer.say(told.kind, answer);
+                    peer.send(message.kind, answer);
                 }
             }
             if let Some(mut arrived) = self.server.soon() {
@@ -163,13 +169,13 @@
     there
 }
 
-/// The names of what is recorded.
+/// The names of the recorded messages.
 const NAMES: [&str; 4] = ["wants", "going", "served", "over"];
 
-/// The name of what is told, and what a peer answers that has no objection.
-fn understand(told: &Told) -> Option<(&'static str, Option<Vec<u8>>)> {
-    if told.kind == KEYS {
-        return match of_keys(&told.body) {
+/// The name of a message, and the reply of a peer that agrees; `None` for messages that are not recorded.
+fn name_and_reply(message: &ReceivedMessage) -> Option<(&'static str, Option<Vec<u8>>)> {
+    if message.kind == KEY_MESSAGES {
+        return match of_keys(&message.body) {
             OfKeys::Request { claim, key, .. } if key.as_str() == "first" => {
                 Some(("wants", Some(encode(&OfKeys::<Answer>::Granted(claim)))))
             }
@@ -177,7 +183,7 @@
             _ => None,
         };
     }
-    match (told.kind == WORK).then(|| of_work(&told.body))? {
+    match (message.kind == WORK_MESSAGES).then(|| of_work(&message.body))? {
         OfWork::Accept {
             work_id: id,
             ballot,
@@ -194,7 +200,7 @@
     }
 }
 
-/// With a fixed secret, so that fingerprints are the same in every run.
+/// The operator file's text. The secret is fixed, so that fingerprints are the same in every run.
 fn operator_file(limiter: &Limiter, links: &[SocketAddr; 3]) -> String {
     let secret = limiter.file("fingerprint.key", &"07".repeat(32));
     std::fs::set_permissions(&secret, PermissionsExt::from_mode(0o600)).expect("set");
@@ -214,15 +220,15 @@
 }
 
 fn of_keys(body: &[u8]) -> OfKeys<Answer> {
-    postcard::from_bytes(body).expect("of keys")
+    postcard::from_bytes(body).expect("a message about keys")
 }
 
 fn of_work(body: &[u8]) -> OfWork {
-    postcard::from_bytes(body).expect("of work")
+    postcard::from_bytes(body).expect("a message about work")
 }
 
-fn going(told: &Told) -> Option<(WorkId, Ballot)> {
-    match (told.kind == WORK).then(|| of_work(&told.body))? {
+fn accept_request(message: &ReceivedMessage) -> Option<(WorkId, Ballot)> {
+    match (message.kind == WORK_MESSAGES).then(|| of_work(&message.body))? {
         OfWork::Accept {
             work_id: id,
             ballot,
@@ -232,29 +238,30 @@
     }
 }
 
-/// What the limiter tells its peers about a request of the key "first" that its server serves.
-fn write_told() -> Vec<Recorded> {
+/// The messages that the limiter sends to its peers about a request of the key "first" that its server serves.
+fn write_messages() -> Vec<Recorded> {
     let site = Site::start();
     let client = site.ask("first");
-    let mut told = site.play(&client);
+    let mut message = site.serve_as_peers(&client);
     assert_eq!(Message::read(&client).expect("an answer").status(), 200);
     NAMES
-        .map(|name| (name.to_string(), told.remove(name).expect("told")))
+        .map(|name| (name.to_string(), message.remove(name).expect("received")))
         .to_vec()
 }
 
-fn find(told: Vec<Recorded>, name: &str) -> Vec<u8> {
-    told.into_iter()
+fn find(message: Vec<Recorded>, name: &str) -> Vec<u8> {
+    message
+        .into_iter()
         .find(|(found, _)| found == name)
         .expect("recorded")
         .1
 }
 
 fn recorded(name: &str) -> Vec<u8> {
-    find(lines("peers.txt", write_told), name)
+    find(lines("peers.txt", write_messages), name)
 }
 
-fn carried_work(going: &[u8]) -> (Work, FirstAttempt) {
+fn encoded_work(going: &[u8]) -> (Work, FirstAttempt) {
     match of_work(going) {
         OfWork::Accept {
             work,
@@ -265,8 +272,8 @@
     }
 }
 
-fn carried(going: &[u8]) -> Carried {
-    postcard::from_bytes(&carried_work(going).0.payload).expect("a request")
+fn encoded_request(going: &[u8]) -> EncodedRequest {
+    postcard::from_bytes(&encoded_work(going).0.payload).expect("a request")
 }
 
 fn claim_of(wants: &[u8]) -> Claim {
@@ -276,7 +283,7 @@
     }
 }
 
-/// What is told of keys, with this claim and time in place of those that each run has of its own.
+/// A message about keys, with this claim and a fixed time in place of those that differ in each run.
 fn at_claim(body: &[u8], now: Claim) -> OfKeys<Answer> {
     match of_keys(body) {
         OfKeys::Request {
@@ -309,7 +316,7 @@
 }
 
 #[test]
-fn what_is_told_of_keys_is_read_and_written_as_it_was_recorded() {
+fn every_recorded_message_about_keys_is_encoded_to_the_same_bytes() {
     for name in ["wants", "served"] {
         let body = recorded(name);
         assert_eq!(hex(&encode(&of_keys(&body))), hex(&body), "{name}");
@@ -317,21 +324,21 @@
 }
 
 #[test]
-fn what_is_told_of_work_is_read_and_written_as_it_was_recorded() {
+fn every_recorded_message_about_work_is_encoded_to_the_same_bytes() {
     for name in ["going", "over"] {
         let body = recorded(name);
         assert_eq!(hex(&encode(&of_work(&body))), hex(&body), "{name}");
     }
-    let (work, _) = carried_work(&recorded("going"));
+    let (work, _) = encoded_work(&recorded("going"));
     assert_eq!(
-        hex(&encode(&carried(&recorded("going")))),
+        hex(&encode(&encoded_request(&recorded("going")))),
         hex(&work.payload)
     );
 }
 
 #[test]
-fn the_recorded_request_and_its_answer_are_those_of_the_test() {
-    let Carried {
+fn the_recorded_request_and_its_answer_have_the_expected_content() {
+    let EncodedRequest {
         method,
         uri,
         body,
@@ -342,7 +349,7 @@
         set_first,
         key,
         ..
-    } = carried(&recorded("going"));
+    } = encoded_request(&recorded("going"));
     assert_eq!(
         (method.as_str(), uri.as_str(), body.as_slice()),
         ("POST", "/api", b"body".as_slice())
@@ -354,41 +361,44 @@
     let OfKeys::Served { answer, .. } = of_keys(&recorded("served")) else {
         panic!("not served")
     };
-    let written_down = Answer::Served {
+    let expected = Answer::Served {
         content_type: Some(b"text/plain".to_vec()),
         body: b"signed".to_vec(),
     };
-    assert_eq!(answer, written_down);
+    assert_eq!(answer, expected);
 }
 
-/// But for claims, lives and times, which each run has of its own.
+/// Except for claims, incarnations and times, which differ in each run.
 #[test]
-fn a_limiter_tells_its_peers_as_it_was_recorded() {
-    let told = write_told();
+fn a_limiters_messages_to_its_peers_equal_the_recorded_ones() {
+    let message = write_messages();
     for name in ["wants", "served"] {
-        let (now, then) = (find(told.clone(), name), recorded(name));
+        let (now, then) = (find(message.clone(), name), recorded(name));
         assert_eq!(
             at_claim(&now, Claim(1)),
             at_claim(&then, Claim(1)),
             "{name}"
         );
     }
-    assert_eq!(carried(&find(told, "going")), carried(&recorded("going")));
+    assert_eq!(
+        encoded_request(&find(message, "going")),
+        encoded_request(&recorded("going"))
+    );
 }
 
 #[test]
-fn a_limiter_grants_a_recorded_claim_and_replays_the_answer_that_was_served_under_it() {
+fn a_limiter_grants_a_recorded_claim_and_replays_its_recorded_answer() {
     let site = Site::start();
     let wants = recorded("wants");
     let claim = claim_of(&wants);
-    site.peers[0].say(KEYS, wants);
-    site.next(0, |told| {
-        (told.body == encode(&OfKeys::<Answer>::Granted(claim))).then_some(())
+    site.peers[0].send(KEY_MESSAGES, wants);
+    site.next(0, |message| {
+        (message.body == encode(&OfKeys::<Answer>::Granted(claim))).then_some(())
     });
-    site.peers[0].say(KEYS, recorded("served"));
-    let begun = Instant::now();
+    site.peers[0].send(KEY_MESSAGES, recorded("served"));
+    let started = Instant::now();
     let replayed = loop {
-        assert!(begun.elapsed() < LONG, "never replayed");
+        assert!(started.elapsed() < LONG, "never replayed");
         let answer = Message::read(&site.ask("first")).expect("an answer");
         if answer.status() == 200 {
             break answer;
@@ -402,29 +412,29 @@
     assert!(site.server.is_quiet());
 }
 
-/// A peer's work whose request is the recorded one: when the peer is gone, the limiter sends it.
+/// A peer has the recorded request in flight and disconnects: the limiter sends the request itself.
 #[test]
-fn a_limiter_goes_on_with_the_recorded_work_of_a_peer_that_is_gone() {
+fn a_limiter_takes_over_the_recorded_request_of_a_disconnected_peer() {
     let mut site = Site::start();
     let wants = recorded("wants");
     let claim = claim_of(&wants);
-    site.peers[0].say(KEYS, wants);
-    site.next(0, |told| {
-        (told.body == encode(&OfKeys::<Answer>::Granted(claim))).then_some(())
+    site.peers[0].send(KEY_MESSAGES, wants);
+    site.next(0, |message| {
+        (message.body == encode(&OfKeys::<Answer>::Granted(claim))).then_some(())
     });
     let id = WorkId {
         claimant: Member(1),
-        incarnation: site.peers[0].life,
+        incarnation: site.peers[0].incarnation,
         claim_number: claim.0,
     };
     let ballot = Ballot {
         round: 0,
         proposer: Member(1),
     };
-    let (work, first_attempt) = carried_work(&recorded("going"));
-    let acceptor_incarnation = site.peers[0].life_of_limiter();
-    site.peers[0].say(
-        WORK,
+    let (work, first_attempt) = encoded_work(&recorded("going"));
+    let acceptor_incarnation = site.peers[0].limiter_incarnation();
+    site.peers[0].send(
+        WORK_MESSAGES,
         encode(&OfWork::Accept {
             work_id: id,
             ballot,
@@ -433,16 +443,18 @@
             work,
         }),
     );
-    site.next(0, |told| {
-        (told.body
+    site.next(0, |message| {
+        (message.body
             == encode(&OfWork::Accepted {
                 work_id: id,
                 ballot,
             }))
         .then_some(())
     });
-    site.peers[0].end();
-    let prepared = |told: &Told| match (told.kind == WORK).then(|| of_work(&told.body))? {
+    site.peers[0].stop();
+    let prepared = |message: &ReceivedMessage| match (message.kind == WORK_MESSAGES)
+        .then(|| of_work(&message.body))?
+    {
         OfWork::Prepare {
             work_id: of,
             ballot,
@@ -451,21 +463,23 @@
         _ => None,
     };
     let (_, higher) = site.next(1, prepared);
-    site.peers[1].say(
-        WORK,
+    site.peers[1].send(
+        WORK_MESSAGES,
         encode(&OfWork::Promise {
             work_id: id,
             ballot: higher,
             accepted: None,
         }),
     );
-    // The limiter has a majority note where it goes before it sends it.
-    let (_, (_, noted)) = site.next(1, |told| going(told).filter(|(of, _)| *of == id));
-    site.peers[1].say(
-        WORK,
+    // A majority must accept where the limiter will send the request before it does so.
+    let (_, (_, accepted_ballot)) = site.next(1, |message| {
+        accept_request(message).filter(|(of, _)| *of == id)
+    });
+    site.peers[1].send(
+        WORK_MESSAGES,
         encode(&OfWork::Accepted {
             work_id: id,
-            ballot: noted,
+            ballot: accepted_ballot,
         }),
     );
     let sent = site.server.next();
@@ -476,65 +490,70 @@
     );
 }
 
-/// What is told of endpoint lists, with the list service that it is of.
+/// A message about endpoint lists, and the name of the list service that it refers to.
 fn of_lists(body: &[u8]) -> (String, ListMessage) {
-    postcard::from_bytes(body).expect("of lists")
+    postcard::from_bytes(body).expect("a message about lists")
 }
 
-fn pulse(told: &Told) -> Option<WatcherHeartbeat> {
-    match (told.kind == LISTS).then(|| of_lists(&told.body))? {
-        (_, ListMessage::Heartbeat(pulse)) => Some(pulse),
+fn heartbeat(message: &ReceivedMessage) -> Option<WatcherHeartbeat> {
+    match (message.kind == LIST_MESSAGES).then(|| of_lists(&message.body))? {
+        (_, ListMessage::Heartbeat(heartbeat)) => Some(heartbeat),
         _ => None,
     }
 }
 
-fn list(told: &Told) -> Option<()> {
-    (told.kind == LISTS && matches!(of_lists(&told.body), (_, ListMessage::List { .. })))
-        .then_some(())
+fn list(message: &ReceivedMessage) -> Option<()> {
+    (message.kind == LIST_MESSAGES
+        && matches!(of_lists(&message.body), (_, ListMessage::List { .. })))
+    .then_some(())
 }
 
-fn want(told: &Told) -> Option<ListVersion> {
-    match (told.kind == LISTS).then(|| of_lists(&told.body))? {
+fn list_request(message: &ReceivedMessage) -> Option<ListVersion> {
+    match (message.kind == LIST_MESSAGES).then(|| of_lists(&message.body))? {
         (_, ListMessage::Request { version }) => Some(version),
         _ => None,
     }
 }
 
-/// What a limiter that was told a list by the list service tells a peer that wants it.
+/// The messages that a limiter with a list from the list service sends to a peer that requests it.
 fn write_lists() -> Vec<Recorded> {
     let site = Site::start();
     site.limiter
         .watch()
         .list(42, true, &[target("s-1", site.server.address, "ready")]);
-    let (pulse, WatcherHeartbeat { version, .. }) =
-        site.next(0, |told| pulse(told).filter(|it| it.version.revision == 42));
-    site.peers[0].say(LISTS, encode(&("lists", ListMessage::Request { version })));
+    let (heartbeat, WatcherHeartbeat { version, .. }) = site.next(0, |message| {
+        heartbeat(message).filter(|heartbeat| heartbeat.version.revision == 42)
+    });
+    site.peers[0].send(
+        LIST_MESSAGES,
+        encode(&("lists", ListMessage::Request { version })),
+    );
     let (list, ()) = site.next(0, list);
-    vec![("pulse".into(), pulse), ("list".into(), list)]
+    vec![("pulse".into(), heartbeat), ("list".into(), list)]
 }
 
 fn recorded_lists(name: &str) -> (String, ListMessage, Vec<u8>) {
     let body = find(lines("peers-lists.txt", write_lists), name);
-    let (service, said) = of_lists(&body);
-    (service, said, body)
+    let (service, message) = of_lists(&body);
+    (service, message, body)
 }
 
 #[test]
-fn what_is_told_of_lists_is_read_and_written_as_it_was_recorded() {
+fn every_recorded_message_about_lists_is_encoded_to_the_same_bytes() {
     for name in ["pulse", "list"] {
-        let (service, said, body) = recorded_lists(name);
+        let (service, message, body) = recorded_lists(name);
         assert_eq!(
-            (service.as_str(), hex(&encode(&(&service, said)))),
+            (service.as_str(), hex(&encode(&(&service, message)))),
             ("lists", hex(&body)),
             "{name}"
         );
     }
 }
 
-/// A peer has a later list, which names the server at another address.
+/// A peer has a newer list, with the server at another address.
 #[test]
-fn a_limiter_wants_the_recorded_list_of_a_peer_and_goes_by_it() {
-    let (service, ListMessage::Heartbeat(pulse), _) = recorded_lists("pulse") else {
+fn a_limiter_requests_the_recorded_list_of_a_peer_and_applies_it() {
+    let (service, ListMessage::Heartbeat(heartbeat), _) = recorded_lists("pulse") else {
         panic!("no pulse")
     };
     let (_, ListMessage::List { version, entries }, _) = recorded_lists("list") else {
@@ -548,21 +567,24 @@
         list[0]["endpoint"].as_str().expect("an endpoint"),
         &moved.address.to_string(),
     );
-    let pulse = WatcherHeartbeat {
+    let heartbeat = WatcherHeartbeat {
         watcher: 1,
-        ..pulse
+        ..heartbeat
     };
-    site.peers[0].say(LISTS, encode(&(&service, ListMessage::Heartbeat(pulse))));
-    assert_eq!(site.next(0, want).1, version);
+    site.peers[0].send(
+        LIST_MESSAGES,
+        encode(&(&service, ListMessage::Heartbeat(heartbeat))),
+    );
+    assert_eq!(site.next(0, list_request).1, version);
     let list = ListMessage::List {
         version,
         entries: entries.into_bytes(),
     };
-    site.peers[0].say(LISTS, encode(&(&service, list)));
-    let begun = Instant::now();
+    site.peers[0].send(LIST_MESSAGES, encode(&(&service, list)));
+    let started = Instant::now();
     while moved.is_quiet() {
         assert!(
-            begun.elapsed() < LONG,
+            started.elapsed() < LONG,
             "never sent to the recorded list's endpoint"
         );
         drop(site.limiter.ask(&request("look", "1", "wide", 30.0)));
