--- a/crates/emberpin-startup/src/call_schedule.rs
+++ b/crates/emberpin-startup/src/call_schedule.rs
@@ -1,56 +1,56 @@
 //! When to call the discovery service: the first call of a process in a slot of its own, later ones by exponential
 //! backoff with full jitter over a window that grows with the group.
 //!
-//! The schedule keeps a group from overloading the service that all its limiters depend on. A call that waits there for
-//! too long fails, and has cost the service as much as one that was answered. When hundreds of limiters start at once,
-//! or many watches break at once, they must not all call in that instant, nor again together after equal delays: an
-//! overloaded service would answer nobody for as long as they go on at their pace.
+//! The schedule keeps a group from overloading the service that all its limiters depend on. A call that waits too long
+//! for its answer fails, but has cost the service as much work as an answered call. When hundreds of limiters start at
+//! once, or many watches break at once, they must not all call at the same moment, nor retry together after equal
+//! delays: an overloaded service would answer none of them as long as the rate of calls stays the same.
 
 use crate::slots::slot_of;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The rate that the service is taken to answer calls at where none is configured. A group too large to be
-/// served within [`MAX_DEFAULT_STAGGER`] at this rate is taken to have a faster service.
+/// The rate at which the service is assumed to answer calls where no rate is configured. A group too large to be
+/// served within [`MAX_DEFAULT_STAGGER`] at this rate is assumed to have a faster service.
 const DEFAULT_CALLS_PER_SECOND: f64 = 10.0;
-/// The longest that first calls are spread over where the service's rate is not configured.
+/// The longest time that first calls are spread over where the service's rate is not configured.
 const MAX_DEFAULT_STAGGER: Duration = Duration::from_secs(4);
-/// The longest that first calls are spread over, whatever rate is configured.
+/// The longest time that first calls are spread over, whatever rate is configured.
 const MAX_STAGGER: Duration = Duration::from_secs(60);
-/// The share of its slot, from 0 to 1, in which a call comes at random. Over all of it, calls of adjacent slots would
-/// meet.
+/// The share of its slot, from 0 to 1, over which the time of a call is randomized. If it were the whole slot, calls of
+/// adjacent slots could coincide.
 const SLOT_JITTER_SHARE: f64 = 0.25;
 
-/// What each limiter of the group adds to the first backoff window: 100 limiters call again within 5 s, 3 almost at
-/// once.
+/// The contribution of each limiter of the group to the first backoff window: 100 limiters call again within 5 s, 3
+/// almost at once.
 const WINDOW_PER_LIMITER: Duration = Duration::from_millis(50);
-/// How often the window doubles before it stays as it is.
+/// How many times the window doubles at most.
 const MAX_DOUBLINGS: u32 = 2;
-/// What the window of a small group may grow to all the same.
+/// The lower bound of the limit that the window may grow to, which takes effect in small groups.
 const MIN_WINDOW_LIMIT: Duration = Duration::from_millis(1_000);
-/// The shortest window after a call that failed slowly, as a multiple of the call's duration: what took long to fail
-/// takes long to answer, and shorter delays would let calls meet there.
+/// The shortest window after a call that failed slowly, as a multiple of the call's duration: a service that takes long
+/// to fail a call takes long to answer one, and with shorter delays calls would overlap at the service.
 const SLOW_FAILURE_WINDOW: u32 = 2;
-/// What the window may grow to after calls that failed slowly, as a multiple of the last one's duration. Without it a
-/// few limiters overload a service whose every call takes longer than their usual delays.
+/// The limit that the window may grow to after calls that failed slowly, as a multiple of the last call's duration.
+/// Without it, a few limiters overload a service whose every call takes longer than their usual delays.
 const SLOW_FAILURE_WINDOW_LIMIT: u32 = 4;
-/// A call that failed faster reached no service, and cost it nothing.
+/// A call that failed within this time did not reach the service, and cost it nothing.
 const FAST_FAILURE: Duration = Duration::from_millis(100);
 /// The longest window after a failure, and the longest delay that a service's `Retry-After` is obeyed for.
 const MAX_BACKOFF: Duration = Duration::from_secs(60);
 
-/// The longest window after a watch broke, where the age of the list is bounded: changes bind 6 s after a watch fell
-/// silent, which is noticed after 4.5 s.
+/// The longest window after a watch broke, where the age of the list is bounded: changes must be applied within 6 s after
+/// a watch stopped delivering, which is detected after 4.5 s.
 const MAX_BOUNDED_WINDOW: Duration = Duration::from_millis(1_200);
-/// A call that failed after this long hung before a service that is silent, and cost it nothing.
+/// A call that failed after at least this time hung at a service that does not answer, and cost it nothing.
 const HANG_THRESHOLD: Duration = Duration::from_millis(4_000);
-/// How many calls that hung in a row are retried at once where the age of the list is bounded, so that a call is
+/// How many consecutive hung calls are retried at once where the age of the list is bounded, so that a call is
 /// pending when the service answers again.
 const MAX_IMMEDIATE_RETRIES: u32 = 2;
-/// The window of such a retry.
+/// The window of the retry after a hung call.
 const IMMEDIATE_RETRY_WINDOW: Duration = Duration::from_millis(200);
 
-/// The longest time that a number of seconds without meaning (infinite, not a number) stands for.
+/// The duration used for a number of seconds that is no valid duration (infinite, not a number).
 const UNBOUNDED: Duration = Duration::from_secs(86_400);
 
 /// Which member of its group a limiter is.
@@ -58,23 +58,23 @@
 pub struct GroupPosition {
     /// The member's number, from 0.
     pub number: u32,
-    /// How many members the settings name. A wrong size costs calls or time, and keeps nobody out.
+    /// How many members the settings name. A wrong size costs calls or time, but no member is left without an answer.
     pub size: u32,
 }
 
 /// How a call to the discovery service ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It delivered a list or changes before it broke.
+    /// The call delivered a list or changes before it broke.
     Delivered,
-    /// It delivered nothing.
+    /// The call delivered nothing.
     Failed {
         /// The time from the call to its failure.
         after: Duration,
     },
     /// The service asked for a later call: 503 with `Retry-After` (RFC 9110, section 10.2.3).
     RetryAfter {
-        /// The delay that it asked for.
+        /// The delay that the service asked for.
         delay: Duration,
     },
 }
@@ -82,13 +82,13 @@
 /// When a peer's process started, compared with this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerStart {
-    /// About when this one did: it needs its list too.
+    /// At about the same time as this one: the peer also needs a list.
     Together,
-    /// Before: it does not call now.
+    /// Earlier than this one: the peer does not call now.
     Earlier,
 }
 
-/// The calls of one process to the discovery service.
+/// Decides when one process calls the discovery service.
 #[derive(Clone, Debug)]
 pub struct CallSchedule {
     position: GroupPosition,
@@ -98,20 +98,21 @@
     slot: Duration,
     /// The shortest window after a call that reached no service, where the service's rate is configured. The mean delay
     /// is half the window, so a group whose windows are twice the stagger calls no more often than the service
-    /// answers, at whatever moment it comes back.
+    /// can answer, at whatever moment the service recovers.
     recovery_window: Duration,
-    /// The peers heard of before the first call.
+    /// The peers that sent a message before the first call, by member number.
     peers: BTreeMap<u32, PeerStart>,
     /// The window that the last delay was drawn from.
     window: Duration,
-    /// The age of the list is bounded: calls may not wait for long.
+    /// Whether the age of the list is bounded, so that calls must not be delayed for long.
     is_age_bounded: bool,
-    /// How many calls have hung in a row.
+    /// The number of consecutive calls that hung.
     hung_calls: u32,
 }
 
 impl CallSchedule {
-    /// For a process whose first call does not wait, since its list may be outdated and changes to it bind.
+    /// A schedule for a process whose first call is not delayed, since its list may be outdated and changes to the list
+    /// must be applied in time.
     pub fn immediate(position: GroupPosition) -> CallSchedule {
         CallSchedule {
             slot: Duration::ZERO,
@@ -120,8 +121,8 @@
         }
     }
 
-    /// For a process that starts now and may wait for its first call. `calls_per_second` is how many calls per second the
-    /// service answers, where the operator has configured it; `random` lies in [0, 1).
+    /// A schedule for a process that starts now and whose first call may be delayed. `calls_per_second` is how many calls
+    /// per second the service answers, where the operator has configured it; `random` is a random number in [0, 1).
     pub fn staggered(
         position: GroupPosition,
         calls_per_second: Option<f64>,
@@ -141,15 +142,15 @@
         }
     }
 
-    /// A message of a peer came before the first call. Numbers outside the group are ignored, which bounds the table.
+    /// Records that a peer sent a message before the first call. Member numbers outside the group are ignored, which bounds the table.
     pub fn on_peer_message(&mut self, peer: u32, start: PeerStart) {
         if peer < self.position.size && peer != self.position.number {
             self.peers.insert(peer, start);
         }
     }
 
-    /// When the first call is due, since the start. The wait is cut to the share of members that started together with
-    /// this one, as far as heard of; these keep their order.
+    /// When the first call is due, since the start. The slot is scaled down to the share of members that started together
+    /// with this one, as far as peers have sent messages; the order of these members stays the same.
     pub fn first_call_at(&self) -> Duration {
         let together = self
             .peers
@@ -160,7 +161,7 @@
             .mul_f64((together + 1) as f64 / (self.peers.len() + 1) as f64)
     }
 
-    /// The delay between a call that ended with `outcome` and the next; `random` lies in [0, 1).
+    /// The delay between a call that ended with `outcome` and the next call; `random` is a random number in [0, 1).
     pub fn next_delay(&mut self, outcome: CallOutcome, random: f64) -> Duration {
         let random = random.clamp(0.0, 1.0);
         self.count_hung_calls(outcome);
@@ -174,7 +175,8 @@
         }
     }
 
-    /// The limiter has been pointed to another discovery service: failures of the last one no longer count.
+    /// Resets the backoff: the limiter has been configured with another discovery service, so failures of the previous one
+    /// no longer count.
     pub fn on_service_changed(&mut self) {
         self.window = self.first_window();
     }
@@ -239,10 +241,11 @@
     }
 }
 
-/// When a member's slot begins, plus a random part of it. Slots go by number, since random times alone would let calls
-/// meet; the random part keeps members apart that a wrong size gives the same slot.
+/// The start of a member's slot, plus a random part of the slot. Slots are assigned by member number, since with random
+/// times alone calls could coincide; the random part separates members that share a slot because the configured size is
+/// wrong.
 fn slot_start(number: u32, size: u32, stagger: Duration, random: f64) -> Duration {
-    // A lone limiter has nobody to make room for.
+    // A lone limiter shares the service with no other member.
     if size == 1 {
         return Duration::ZERO;
     }
--- a/crates/emberpin-startup/src/lib.rs
+++ b/crates/emberpin-startup/src/lib.rs
@@ -9,7 +9,7 @@
 //!   its list to the others over peer links;
 //! - [`list_guard`]: static stability against short or outdated lists;
 //! - [`snapshot`]: the encoding of the last list on disk;
-//! - [`readiness`]: when clients may be sent here.
+//! - [`readiness`]: when the process reports that it can serve clients.
 #![forbid(unsafe_code)]
 
 pub mod call_schedule;
--- a/crates/emberpin-startup/src/list_dissemination.rs
+++ b/crates/emberpin-startup/src/list_dissemination.rs
@@ -1,48 +1,50 @@
-//! Spreading the endpoint list among limiters: a few watchers hold a watch of the discovery service, and the others get
-//! its list from them over peer links.
+//! Dissemination of the endpoint list among limiters: a few limiters, the watchers, keep a watch of the discovery service
+//! open, and the others receive its list from them over peer links.
 //!
-//! Watchers are not appointed. A limiter that knows of too few calls the discovery service when its slot comes; one that
-//! knows of enough waits. A watcher whose watch works sends a heartbeat each [`DisseminationConfig::heartbeat_interval`]
+//! Watchers are not appointed. A limiter that knows of too few watchers calls the discovery service when its slot comes; a
+//! limiter that knows of enough waits. A watcher whose watch works sends a heartbeat each [`DisseminationConfig::heartbeat_interval`]
 //! with the version of its list. Heartbeats are forwarded from neighbour to neighbour, and a limiter with an older list
-//! requests the list from the neighbour that forwarded one. A watcher that dies, stalls, is partitioned off or loses its
-//! watch is missed after [`DisseminationConfig::watcher_timeout`] and replaced by slot, so that even the loss of all
-//! watchers costs no more calls than their replacement.
+//! requests the list from the neighbour that forwarded the heartbeat. A watcher that crashes, stalls, is partitioned off or
+//! loses its watch is considered lost after [`DisseminationConfig::watcher_timeout`]. Limiters replace it in the order of
+//! their slots, so that even the loss of all watchers costs no more calls than their replacement.
 //!
-//! Versions only rise. A list that was doubted, because its revision is older or for another reason, and is accepted on
-//! an operator's override or because the doubt expired, gets a higher epoch: an override at one limiter is enough.
+//! Versions only increase. A list that was doubted, because its revision is older or for another reason, and is accepted
+//! on an operator's override or because the doubt expired, gets a higher epoch, which makes the other limiters accept it
+//! too: an override at one limiter is enough.
 
 use crate::list_messages::{Incarnation, ListMessage, ListVersion, WatcherHeartbeat};
 use crate::slots::slot_of;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How long an unanswered request keeps further ones for the same version back.
+/// How long an unanswered request suppresses further requests for the same version.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a list that was received and not accepted is not requested again.
+/// The delay before a list that was received and not accepted is requested again.
 const REJECTED_LIST_DELAY: Duration = Duration::from_secs(5);
-/// How long a limiter that lacks watchers waits for heartbeats before its slot begins. Long enough for its links to come
-/// up: without it, each limiter of a group that starts would call.
+/// How long a limiter that lacks watchers waits for heartbeats before its slot begins. It gives its links time
+/// to come up: without it, each limiter of a group that starts would call.
 pub const HEARTBEAT_GRACE: Duration = Duration::from_millis(300);
 
-/// How many limiters watch the discovery service, and how their loss is noticed.
+/// How many limiters watch the discovery service, and how the loss of one is detected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DisseminationConfig {
     /// How many watchers are enough; a limiter calls the discovery service only while it knows of fewer.
     pub watchers: usize,
     /// How often a watcher sends a heartbeat.
     pub heartbeat_interval: Duration,
-    /// How long after its last heartbeat a watcher no longer counts. Several intervals, or late heartbeats cost calls.
+    /// The time after its last heartbeat at which a watcher counts as lost. Should be several heartbeat intervals:
+    /// otherwise late heartbeats cost calls to the discovery service.
     pub watcher_timeout: Duration,
 }
 
-/// What the host does.
+/// An action that the host carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a message to a neighbour.
     Send {
         /// The neighbour's member number.
         to: u32,
-        /// What the neighbour's [`ListDissemination::on_message`] is passed.
+        /// The message, to be passed to the neighbour's [`ListDissemination::on_message`].
         message: ListMessage,
     },
     /// Send the current list to a neighbour, as [`ListMessage::List`].
@@ -54,14 +56,15 @@
     EvaluateList {
         /// The version of the list, newer than the current one.
         version: ListVersion,
-        /// Its epoch is higher: the doubt about it has ended at another limiter, and it is to be accepted.
+        /// Whether the list's epoch is higher than the current one: the doubt about the list has ended at another limiter,
+        /// and the host is to accept it.
         confirmed: bool,
         /// The servers, in the host's encoding.
         entries: Vec<u8>,
     },
 }
 
-/// What is known of a watcher.
+/// The state of a watcher, as observed by this limiter.
 #[derive(Clone, Copy, Debug)]
 struct WatcherState {
     last_heartbeat: WatcherHeartbeat,
@@ -76,11 +79,12 @@
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
     version: ListVersion,
-    /// Until when no neighbour is asked for this version again.
+    /// The time before which no neighbour is asked for this version again.
     retry_at: Duration,
 }
 
-/// What one limiter knows of the watchers and their lists. Holds one record a member at most.
+/// The state of one limiter's part in the dissemination: the watchers that it knows of, and the version of its list.
+/// Holds at most one record per member.
 #[derive(Clone, Debug)]
 pub struct ListDissemination {
     member: u32,
@@ -96,13 +100,13 @@
     /// The sequence number of its last heartbeat.
     sequence: u64,
     last_heartbeat_at: Option<Duration>,
-    /// Since when too few watchers are known.
+    /// When too few watchers began to be known; `None` while there are enough.
     lacking_since: Option<Duration>,
     pending_request: Option<PendingRequest>,
 }
 
 impl ListDissemination {
-    /// For a process of `member` that starts now; `revision` is that of the list in its settings, if there is one.
+    /// The state of a process of `member` that starts now. `revision` is that of the list in its settings, if there is one.
     pub fn new(
         member: u32,
         incarnation: Incarnation,
@@ -139,16 +143,18 @@
         self.live_watchers(now).count()
     }
 
-    /// When this limiter is to call the discovery service, in time since the start, unless it hears of more watchers
-    /// until then; `slot` is its offset within a cycle of the whole group. `None` while it watches or knows of enough.
+    /// When this limiter is to call the discovery service, in time since the start, unless it receives heartbeats of
+    /// enough watchers before; `slot` is its offset within a cycle of the whole group. `None` while it
+    /// watches or knows of enough watchers.
     pub fn call_due_at(&self, slot: Duration) -> Option<Duration> {
         self.lacking_since
             .filter(|_| !self.watching)
             .map(|since| since + HEARTBEAT_GRACE + slot)
     }
 
-    /// Whether this limiter watches although enough others do that precede it by slot: its watch is to end. Only those
-    /// count that have been live for [`DisseminationConfig::watcher_timeout`], so that two do not give way to each other.
+    /// Whether this limiter's watch is to end because enough watchers precede it by slot. Only watchers that have been live
+    /// for [`DisseminationConfig::watcher_timeout`] count, so that two watchers do not end their watches in favour of each
+    /// other.
     pub fn is_surplus_watcher(&self, now: Duration) -> bool {
         let is_stable = |watcher: &&WatcherState| {
             now.saturating_sub(watcher.live_since) >= self.config.watcher_timeout
@@ -157,20 +163,21 @@
         self.watching && preceding.count() >= self.config.watchers
     }
 
-    /// This limiter's own watch of the discovery service works.
+    /// Handles the start of this limiter's own watch of the discovery service.
     pub fn on_watch_started(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.watching = true;
         self.send_heartbeat(now, actions);
         self.update_lack_of_watchers(now);
     }
 
-    /// This limiter's own watch of the discovery service has ended.
+    /// Handles the end of this limiter's own watch of the discovery service.
     pub fn on_watch_ended(&mut self, now: Duration) {
         self.watching = false;
         self.update_lack_of_watchers(now);
     }
 
-    /// The host has accepted the list of this version. One that is not newer than the current list is ignored.
+    /// Records that the host has accepted the list of this version. A version that is not newer than the current one is
+    /// ignored.
     pub fn on_list_accepted(
         &mut self,
         now: Duration,
@@ -187,7 +194,7 @@
         self.update_lack_of_watchers(now);
     }
 
-    /// The limiter has been pointed to another discovery service, whose versions start anew.
+    /// Resets the state: the limiter has been configured with another discovery service, whose versions start anew.
     pub fn on_service_changed(&mut self, now: Duration) {
         self.watchers.clear();
         self.version = None;
@@ -195,7 +202,7 @@
         self.lacking_since = Some(now);
     }
 
-    /// The link to a neighbour came up: it is sent the heartbeats that it missed.
+    /// Handles a link to a neighbour that came up, by sending the neighbour the heartbeats that it missed.
     pub fn on_neighbour_reachable(
         &mut self,
         now: Duration,
@@ -213,12 +220,12 @@
         self.send_heartbeat(now, actions);
     }
 
-    /// The link to a neighbour went down.
+    /// Handles a link to a neighbour that went down.
     pub fn on_neighbour_unreachable(&mut self, neighbour: u32) {
         self.reachable.remove(&neighbour);
     }
 
-    /// A neighbour sent a message.
+    /// Handles a message of a neighbour.
     pub fn on_message(
         &mut self,
         now: Duration,
@@ -234,7 +241,7 @@
         self.update_lack_of_watchers(now);
     }
 
-    /// Time has passed; to be called at least each tenth of [`DisseminationConfig::watcher_timeout`].
+    /// Handles the passing of time. To be called at least once per tenth of [`DisseminationConfig::watcher_timeout`].
     pub fn on_tick(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let due = self
             .last_heartbeat_at
@@ -259,13 +266,14 @@
         let has_newer_list = self.version < Some(heartbeat.version);
         if self.is_new(&heartbeat) {
             self.record_heartbeat(now, heartbeat, has_newer_list.then_some(from));
-            // Heartbeats of surplus watchers need not reach everyone, and are many where many called at once.
+            // Heartbeats of surplus watchers need not reach every limiter, and there are many of them where many limiters
+            // called at once.
             let preceding = self.watchers_before(now, heartbeat.watcher).count();
             if !has_newer_list && preceding < self.config.watchers {
                 self.forward_heartbeat(from, heartbeat, actions);
             }
         }
-        // Also for a duplicate: it came from another neighbour, which can be asked too.
+        // Also for a duplicate heartbeat: it came from another neighbour, which can be asked for the list too.
         if has_newer_list {
             self.request_list(now, from, heartbeat.version, actions);
         }
@@ -319,7 +327,7 @@
         if !requested || self.version >= Some(version) {
             return;
         }
-        // Counts as rejected until the host says that it was accepted.
+        // The list counts as rejected until the host reports that it was accepted.
         self.pending_request = Some(PendingRequest {
             version,
             retry_at: now + REJECTED_LIST_DELAY,
@@ -332,7 +340,7 @@
         });
     }
 
-    /// Asks a neighbour for a list, unless a request for one as new is pending.
+    /// Requests a list from a neighbour, unless a request for a list at least as new is pending.
     fn request_list(
         &mut self,
         now: Duration,
@@ -356,7 +364,7 @@
         });
     }
 
-    /// Sends a heartbeat of this limiter's own to all reachable neighbours, if it watches and has a list.
+    /// Sends a heartbeat of this limiter itself to all reachable neighbours, if the limiter watches and has a list.
     fn send_heartbeat(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let Some(version) = self.version.filter(|_| self.watching) else {
             return;
@@ -372,7 +380,7 @@
         self.forward_heartbeat(self.member, heartbeat, actions);
     }
 
-    /// Forwards heartbeats that waited for a list as new as `version`.
+    /// Forwards the heartbeats that waited until this limiter had a list of at least their version.
     fn forward_pending_heartbeats(&mut self, version: ListVersion, actions: &mut Vec<Action>) {
         let pending: Vec<(u32, WatcherHeartbeat)> = self
             .watchers
@@ -388,7 +396,7 @@
         }
     }
 
-    /// Sends a heartbeat to all reachable neighbours but its watcher and the one that it came from.
+    /// Sends a heartbeat to all reachable neighbours except its watcher and the neighbour that it came from.
     fn forward_heartbeat(&self, from: u32, heartbeat: WatcherHeartbeat, actions: &mut Vec<Action>) {
         let receivers = self
             .reachable
@@ -413,7 +421,8 @@
         now.saturating_sub(watcher.received_at) < self.config.watcher_timeout
     }
 
-    /// Other limiters that are live watchers with the current list; one with another list is no ground to wait.
+    /// Other limiters that are live watchers with the current list. A watcher with another list does not replace a call to
+    /// the discovery service.
     fn live_watchers(&self, now: Duration) -> impl Iterator<Item = &WatcherState> {
         self.watchers.values().filter(move |watcher| {
             self.is_live(now, watcher) && self.version == Some(watcher.last_heartbeat.version)
--- a/crates/emberpin-startup/src/list_guard.rs
+++ b/crates/emberpin-startup/src/list_guard.rs
@@ -1,14 +1,15 @@
 //! Which endpoint lists are accepted: static stability against an outage of the discovery service.
 //!
 //! A discovery service that has just restarted, or lost its data, may send a list without servers, with far fewer than
-//! before, or with a revision older than one already seen; following it would turn its outage into one of all servers.
-//! What such a list adds or drains is applied; servers that it leaves out are retained until the doubt has lasted for
-//! [`GuardConfig::max_doubt`], or until the operator overrides it.
+//! before, or with a revision older than one already received. Applying it would turn the outage of the discovery service
+//! into an outage of all servers. Such a list is doubted: servers that it adds or drains are added or drained, but
+//! servers that it leaves out are retained until lists have been doubted for [`GuardConfig::max_doubt`], or until the
+//! operator overrides the doubt.
 
 use std::time::Duration;
 
-/// The mean delay until a full list is requested again while the last one is doubted. Actual delays are spread by half
-/// of it either way, so that the limiters of a group do not ask together.
+/// The mean delay until a full list is requested again while the last one is doubted. Actual delays vary by up to
+/// half of it either way, so that the limiters of a group do not send their requests at the same moment.
 const REFETCH_DELAY: Duration = Duration::from_secs(5);
 
 /// How far a list may deviate from the current one before it is doubted.
@@ -17,57 +18,59 @@
     /// A full list with fewer servers than this share of the current ones, from 0 to 1, is doubted. 0 accepts any
     /// list; 1 doubts every list that is shorter.
     pub min_retained_share: f64,
-    /// How long a list may be doubted. After that the next full list is accepted, whatever it names; until then
-    /// servers that it leaves out are still sent requests.
+    /// How long lists may be doubted. After this time the next full list is accepted, whatever servers it names; until
+    /// then, servers that a doubted list leaves out are still sent requests.
     pub max_doubt: Duration,
 }
 
-/// What the guard compares of a list.
+/// The properties of a list that the guard compares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListSummary {
-    /// Which discovery service the list comes from, counted up each time the limiter is pointed to another one.
+    /// Which discovery service the list comes from: a counter incremented each time the limiter is configured with another
+    /// service.
     /// Revisions of different services are not comparable.
     pub service_generation: u32,
     /// The discovery service's revision of the list.
     pub revision: u64,
-    /// How many servers it names that are not marked as gone.
+    /// The number of servers that the list names and does not mark as gone.
     pub servers: usize,
 }
 
 /// How much of the state a received list describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// All servers: one that is left out is gone.
+    /// All servers: a server that is left out is gone.
     Full,
-    /// Changes alone: a server that is left out stays as it is.
+    /// Only changes: a server that is left out stays as it is.
     Delta,
 }
 
-/// What the host does with a received list.
+/// The decision about a received list, carried out by the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Apply it as it is.
     Accept,
-    /// Apply it as it is although it was doubted: the operator overrode the doubt, or it lasted for too long.
+    /// Apply it as it is although it is doubted: the operator overrode the doubt, or lists were doubted for longer than
+    /// [`GuardConfig::max_doubt`].
     AcceptDespiteDoubt,
-    /// Apply what it names, and retain the servers that it leaves out.
+    /// Apply the entries of the servers that it names, and retain the servers that it leaves out.
     Merge,
-    /// Discard it: its revision is older than the current one.
+    /// Discard it: its revision is older than that of the current list.
     Reject,
 }
 
-/// Decides which lists one limiter accepts, and for how long it has been doubting them.
+/// Decides which lists one limiter accepts, and records since when it has been doubting them.
 #[derive(Clone, Debug)]
 pub struct ListGuard {
     config: GuardConfig,
-    /// Since when, in time since the start, lists have been doubted without an accepted full list in between.
+    /// When the current doubt began, in time since the start; `None` while no list is doubted.
     doubted_since: Option<Duration>,
-    /// The operator has overridden the doubt: the next full list is accepted.
+    /// Whether the operator has overridden the doubt, so that the next full list is accepted.
     overridden: bool,
 }
 
 impl ListGuard {
-    /// A guard that doubts nothing yet.
+    /// A guard that does not doubt any list yet.
     pub fn new(config: GuardConfig) -> ListGuard {
         ListGuard {
             config,
@@ -76,7 +79,7 @@
         }
     }
 
-    /// Judges a list received at `now`, in time since the start, against the current one.
+    /// Decides about a list received at `now`, in time since the start, by comparison with the current one.
     pub fn evaluate(
         &mut self,
         now: Duration,
@@ -108,7 +111,7 @@
         }
     }
 
-    /// A full list was accepted, here or by a peer whose doubt has ended: no list is doubted any more.
+    /// Ends the doubt: a full list was accepted, by this limiter or by a peer whose doubt has ended.
     pub fn on_full_list_accepted(&mut self) {
         self.doubted_since = None;
         self.overridden = false;
@@ -126,8 +129,8 @@
         self.overridden
     }
 
-    /// The delay until the full list is to be requested again, or `None` while nothing is doubted; `random` lies in
-    /// [0, 1).
+    /// The delay until the full list is to be requested again, or `None` while no list is doubted. `random` is a random
+    /// number in [0, 1).
     pub fn refetch_delay(&self, random: f64) -> Option<Duration> {
         self.doubted_since
             .map(|_| REFETCH_DELAY.mul_f64(0.5 + random.clamp(0.0, 1.0)))
--- a/crates/emberpin-startup/src/readiness.rs
+++ b/crates/emberpin-startup/src/readiness.rs
@@ -1,12 +1,13 @@
 //! When a limiter reports ready: once it knows a server that it may send to, or at a deadline.
 //!
-//! A limiter that is ready and knows no server rejects every request, and takes that work from limiters that could
-//! serve it; one that waits for a list that never comes is a failed start. While the discovery service stays down, a
-//! limiter without any list is ready at the deadline, and tells clients to retry later.
+//! A limiter that is ready and knows no server rejects every request, including those that another limiter could have
+//! served, so readiness waits for a server. It does not wait for ever, as a process that never becomes ready counts as a
+//! failed start: while the discovery service stays down, a limiter without any list is ready at the deadline, and its
+//! responses ask clients to retry later.
 
 use std::time::Duration;
 
-/// The readiness of one process; once ready, it stays so until the process shuts down.
+/// The readiness of one process. A process that is ready stays ready until it shuts down.
 #[derive(Clone, Debug)]
 pub struct Readiness {
     deadline: Duration,
--- a/crates/emberpin-startup/src/slots.rs
+++ b/crates/emberpin-startup/src/slots.rs
@@ -1,4 +1,5 @@
-//! The order in which the members of a group take their turns: an even spread of member numbers over a cycle.
+//! The slots of a group: each member number is assigned a position in a cycle, so that the members act one after
+//! another and not all at once.
 
 /// The part of the cycle, about the golden ratio, by which the slots of consecutive numbers lie apart: any run of
 /// numbers is spread evenly, also when the group is smaller or larger than configured.
--- a/crates/emberpin-startup/src/snapshot.rs
+++ b/crates/emberpin-startup/src/snapshot.rs
@@ -5,19 +5,19 @@
 //! ```
 //!
 //! The checksum covers the header up to it and the entries. A file that is incomplete, from another instance or too old
-//! is refused with the reason; the limiter then starts without one.
+//! is rejected with the reason; the limiter then starts without a snapshot.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The first field of the header; its number rises with every change of the format.
+/// The first field of the header; its number is incremented with every change of the format.
 const MAGIC: &str = "emberpin-list-1";
-/// How many bytes of a file a host reads: bounds the memory that a wrong file can take.
+/// The maximum number of bytes that a host reads from a file: bounds the memory that a wrong file can use.
 pub const MAX_BYTES: usize = 16 << 20;
 
-/// Which list a snapshot holds, and whose.
+/// Describes the list in a snapshot: its owner, time of writing and revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotHeader {
-    /// `site/instance`. Another instance may reach the servers at other addresses, so its snapshot is of no use here.
+    /// `site/instance`. Another instance may reach the servers at other addresses, so its snapshot cannot be used here.
     pub owner: String,
     /// When it was written, to the millisecond.
     pub written_at: SystemTime,
@@ -28,22 +28,22 @@
 /// Why a snapshot is not used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// It does not start with the header of this format.
+    /// The file does not start with the header of this format.
     #[error("it is not an endpoint list snapshot of this format version")]
     UnknownFormat,
-    /// Bytes are missing, or are not those that were written.
+    /// Bytes are missing, or differ from those that were written.
     #[error("it is truncated or corrupt")]
     Corrupt,
-    /// It belongs to another site or instance.
+    /// The snapshot belongs to another site or instance.
     #[error("it belongs to {owner:?}")]
     WrongOwner {
         /// The owner that its header names.
         owner: String,
     },
-    /// It is too old, or was written as far in the future.
+    /// The snapshot is too old, or its time of writing is as far in the future.
     #[error("it is {} s old", age.as_secs())]
     TooOld {
-        /// The distance between now and the time of writing.
+        /// The time between the writing of the snapshot and now, in either direction.
         age: Duration,
     },
 }
@@ -106,7 +106,7 @@
     Ok((header, entries))
 }
 
-/// CRC-32 of the header's covered fields and the entries, as eight hexadecimal digits.
+/// CRC-32 of the header's fields before the checksum and the entries, as eight hexadecimal digits.
 fn checksum(covered: &str, entries: &[u8]) -> String {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(covered.as_bytes());
@@ -114,7 +114,7 @@
     format!("{:08x}", hasher.finalize())
 }
 
-/// Milliseconds since 1970; 0 for a time before.
+/// Milliseconds since 1970; 0 for an earlier time.
 fn unix_millis(time: SystemTime) -> u64 {
     time.duration_since(UNIX_EPOCH)
         .map_or(0, |time| time.as_millis() as u64)
--- a/crates/emberpin-startup/tests/call_schedule.rs
+++ b/crates/emberpin-startup/tests/call_schedule.rs
@@ -1,4 +1,4 @@
-//! The slot of the first call, and the delays after calls that ended.
+//! Tests the slot of a limiter's first call, and the delays between its calls.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -38,9 +38,12 @@
         };
         let mut slots: Vec<Duration> = (0..size).map(first_call).collect();
         slots.sort();
-        let least = Duration::from_secs(u64::from(size).min(60)).mul_f64(0.99 / f64::from(size));
+        let min_distance =
+            Duration::from_secs(u64::from(size).min(60)).mul_f64(0.99 / f64::from(size));
         assert!(
-            slots.windows(2).all(|pair| pair[1] - pair[0] >= least),
+            slots
+                .windows(2)
+                .all(|pair| pair[1] - pair[0] >= min_distance),
             "{size}"
         );
     }
@@ -55,7 +58,7 @@
     assert!(restarted_alone.first_call_at() > Duration::from_secs_f64(3.9));
     (0..40).for_each(|peer| restarted_alone.on_peer_message(peer, PeerStart::Earlier));
     assert!(restarted_alone.first_call_at() < Duration::from_millis(100));
-    // Seven in ten started together: they need seven tenths of the time.
+    // Seven in ten members started together, so the first call comes after seven tenths of the slot's time.
     let mut restarted_with_most = staggered(last, 300, 0.9);
     (0..100).for_each(|peer| restarted_with_most.on_peer_message(peer, peer_start(peer % 10 < 7)));
     let first_call = restarted_with_most.first_call_at();
@@ -88,7 +91,8 @@
 }
 
 #[test]
-fn a_small_group_calls_again_at_once_and_never_waits_long_for_a_service_that_refuses() {
+fn a_small_group_calls_again_at_once_and_waits_at_most_1_s_for_a_service_that_refuses_connections()
+{
     let max_delay = Duration::from_secs(1);
     let mut random = random_numbers(6);
     let mut schedule = staggered(1, 3, 0.5);
@@ -135,16 +139,17 @@
     assert!(schedule.next_delay(excessive, 1.0) <= Duration::from_secs(120));
 }
 
-/// Once one of 300 waited up to 15 s after its watch had fallen silent, while changes bound after 6 s.
+/// Guards against a window that grows with the group: one of 300 limiters waited up to 15 s after its watch had stopped
+/// delivering, while changes must be applied within 6 s.
 #[test]
-fn an_immediate_schedule_calls_within_6_s_of_the_silence_of_its_watch_whatever_the_size() {
+fn an_immediate_schedule_calls_within_6_s_after_its_watch_stops_delivering_at_any_group_size() {
     let silence = Duration::from_millis(4_500);
     let hung = CallOutcome::Failed { after: silence };
     for size in [1, 3, 60, 300, 1_000] {
         let mut schedule = CallSchedule::immediate(GroupPosition { number: 0, size });
         let delay = schedule.next_delay(CallOutcome::Delivered, 0.999);
         assert!(silence + delay < Duration::from_millis(5_800), "{size}");
-        // A service that is silent for 8 s has a call of each pending when it answers again.
+        // When a service that was silent for 8 s answers again, a call of each limiter is pending.
         for _ in 0..2 {
             let delay = schedule.next_delay(hung, 0.999);
             assert!(delay <= Duration::from_millis(200), "{size}");
@@ -152,7 +157,7 @@
         let third = schedule.next_delay(hung, 0.5);
         assert!(
             third > Duration::from_millis(500),
-            "and then it backs off: {third:?}"
+            "the third retry backs off: {third:?}"
         );
     }
 }
@@ -168,7 +173,7 @@
 
 proptest! {
     #[test]
-    fn no_input_makes_a_call_wait_without_bound_or_panics(
+    fn no_input_delays_a_call_without_bound_or_causes_a_panic(
         number in any::<u32>(),
         size in 0..1_000_000u32,
         calls_per_second in proptest::option::of(any::<f64>()),
@@ -183,7 +188,7 @@
         peers
             .iter()
             .for_each(|(peer, together)| schedule.on_peer_message(*peer, peer_start(*together)));
-        prop_assert!(schedule.first_call_at() <= before, "no peer makes it wait longer");
+        prop_assert!(schedule.first_call_at() <= before, "a message of a peer delays the first call");
         for (kind, millis, random) in outcomes {
             let time = Duration::from_millis(millis);
             let outcome = match kind {
--- a/crates/emberpin-startup/tests/call_schedule_groups.rs
+++ b/crates/emberpin-startup/tests/call_schedule_groups.rs
@@ -1,4 +1,5 @@
-//! Groups of limiters that call one discovery service of bounded capacity, in virtual time.
+//! Tests the schedules of whole groups of limiters that call one discovery service of bounded capacity, simulated in
+//! virtual time.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -31,7 +32,7 @@
 struct PendingCall {
     limiter: usize,
     started_at: f64,
-    /// The share of the service's work on it that is left.
+    /// The share of the service's work on this call that is left.
     work_left: f64,
 }
 
@@ -45,8 +46,9 @@
 }
 
 impl Service {
-    /// What a group observes in this many seconds; `first_calls` and `delay_after` say when each limiter calls.
-    fn observe(
+    /// Simulates a group for this many seconds. `first_calls` holds the time of each limiter's first call; `delay_after`
+    /// returns the delay between a limiter's failed call and its next one.
+    fn simulate(
         &self,
         first_calls: &[Duration],
         mut delay_after: impl FnMut(usize, CallOutcome) -> Duration,
@@ -114,7 +116,7 @@
 }
 
 impl Group {
-    fn of(size: u32) -> Group {
+    fn with_size(size: u32) -> Group {
         Group {
             size,
             configured_size: size,
@@ -133,7 +135,7 @@
             .collect();
         let first_calls: Vec<Duration> =
             schedules.iter().map(CallSchedule::first_call_at).collect();
-        service.observe(
+        service.simulate(
             &first_calls,
             |limiter, outcome| schedules[limiter].next_delay(outcome, random()),
             seconds,
@@ -145,7 +147,7 @@
 fn a_group_that_starts_at_once_is_answered_within_5_s_by_a_service_that_serves_it_in_4_s() {
     for size in [40, 100, 300, 1000] {
         let service = Service::with_capacity(f64::from(size) / 4.0);
-        let observed = Group::of(size).start(&service, 1, 6.0);
+        let observed = Group::with_size(size).start(&service, 1, 6.0);
         assert_eq!(
             (observed.calls, observed.failed_at.len()),
             (size as usize, 0),
@@ -169,7 +171,7 @@
     ] {
         let group = Group {
             service_rate: Some(rate),
-            ..Group::of(size)
+            ..Group::with_size(size)
         };
         let observed = group.start(&Service::with_capacity(rate), 2, 70.0);
         assert_eq!(
@@ -185,21 +187,22 @@
     }
 }
 
-/// Each call alone takes 1.3 s, three together fail at 2 s: with delays of a second at most they met for ever.
+/// Guards against delays that are shorter than the calls: a call alone takes 1.3 s, and three at once fail at the time-out
+/// of 2 s. With delays of at most a second, the calls of the three limiters overlapped for ever.
 #[test]
-fn a_small_group_that_overloads_a_slow_service_is_answered_all_the_same() {
+fn a_small_group_that_overloads_a_slow_service_is_answered_in_the_end() {
     for seed in 0..20 {
-        let observed = Group::of(3).start(&Service::with_capacity(0.75), seed, 60.0);
+        let observed = Group::with_size(3).start(&Service::with_capacity(0.75), seed, 60.0);
         assert_eq!(observed.answered_at.len(), 3, "seed {seed}: {observed:?}");
     }
 }
 
 #[test]
-fn a_group_size_that_is_wrong_by_a_factor_of_three_costs_calls_and_keeps_nobody_out() {
+fn with_a_group_size_that_is_wrong_by_a_factor_of_three_every_limiter_is_still_answered() {
     for (configured_size, max_calls_each) in [(100, 3.0), (900, 1.0)] {
         let group = Group {
             configured_size,
-            ..Group::of(300)
+            ..Group::with_size(300)
         };
         let observed = group.start(&Service::with_capacity(75.0), 3, 40.0);
         assert_eq!(
@@ -221,7 +224,7 @@
         calls_per_second: 75.0,
         down_until: 10.0,
     };
-    let observed = Group::of(300).start(&service, 4, 60.0);
+    let observed = Group::with_size(300).start(&service, 4, 60.0);
     assert_eq!(observed.answered_at.len(), 300);
     let last = observed.answered_at.last();
     assert!(last < Some(&20.0), "the last answer at {last:?}");
@@ -241,7 +244,7 @@
             .map(|schedule| schedule.next_delay(CallOutcome::Delivered, random()))
             .collect();
         let service = Service::with_capacity((f64::from(size) / 4.0).max(10.0));
-        let observed = service.observe(
+        let observed = service.simulate(
             &first_calls,
             |limiter, outcome| schedules[limiter].next_delay(outcome, random()),
             20.0,
@@ -254,21 +257,21 @@
     }
 }
 
-/// Shows that the simulated service can be overloaded at all: exponential backoff without jitter does.
+/// Checks the simulation itself: the service can be overloaded, as exponential backoff without jitter does.
 #[test]
-fn equal_delays_at_all_limiters_keep_a_large_group_out() {
+fn with_equal_delays_at_all_limiters_no_limiter_of_a_large_group_is_answered() {
     let mut failures = [0; 100];
     let without_jitter = |limiter: usize, _| {
         failures[limiter] += 1;
         Duration::from_millis(50 << failures[limiter].min(4)).min(Duration::from_secs(1))
     };
     let observed =
-        Service::with_capacity(25.0).observe(&[Duration::ZERO; 100], without_jitter, 20.0);
+        Service::with_capacity(25.0).simulate(&[Duration::ZERO; 100], without_jitter, 20.0);
     assert!(observed.answered_at.is_empty());
 }
 
-/// The first windows after a refused call were shorter than the service needs for a call of each member: whoever had
-/// called last before the recovery called again at once, and a service that was short of nothing else failed them.
+/// Guards against first windows that are shorter than the time the service needs to answer each member: limiters that had
+/// called just before the recovery called again at once, and their calls overloaded the recovered service and failed.
 #[test]
 fn a_service_that_recovers_while_first_calls_still_come_is_not_overloaded() {
     for (size, outage) in [(24, 2.0), (24, 5.0), (100, 5.0), (300, 5.0)] {
@@ -279,7 +282,7 @@
         };
         let group = Group {
             service_rate: Some(service_rate),
-            ..Group::of(size)
+            ..Group::with_size(size)
         };
         for seed in 0..100 {
             let observed = group.start(&service, seed, 60.0);
--- a/crates/emberpin-startup/tests/common/mod.rs
+++ b/crates/emberpin-startup/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! What several tests of this package share.
+//! Helpers shared by the tests of this package.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Numbers in [0, 1) that depend on the seed alone.
+/// A generator of pseudo-random numbers in [0, 1), determined by the seed alone.
 pub fn random_numbers(seed: u64) -> impl FnMut() -> f64 {
     let mut state = seed;
     move || {
--- a/crates/emberpin-startup/tests/list_dissemination.rs
+++ b/crates/emberpin-startup/tests/list_dissemination.rs
@@ -1,4 +1,4 @@
-//! How lists spread from watchers to the other limiters, and how watchers are found and replaced.
+//! Tests how lists spread from watchers to the other limiters, and how limiters become watchers and are replaced.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod simulated_group;
@@ -20,7 +20,7 @@
         let max_calls = WATCHERS.max(size as usize / 5).min(size as usize);
         let calls = group.calls.len();
         assert!(calls <= max_calls, "{size}: {calls} calls");
-        // A change reaches all from those that watch.
+        // A change reaches all limiters through the watchers.
         group.revision += 1;
         group.run_until(10_500);
         group.assert_settled();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn watchers_that_die_together_are_replaced_with_few_calls() {
+fn watchers_that_are_killed_together_are_replaced_with_few_calls() {
     let mut group = SimulatedGroup::new(100, 2, vec![]);
     group.run_until(10_000);
     let fault = Fault::Kill(group.watchers(), 10_010..60_000);
@@ -37,7 +37,11 @@
     group.run_until(16_000);
     let calls = group.calls_since(10_000);
     assert!((WATCHERS..=10).contains(&calls), "{calls} calls");
-    assert_eq!(group.nodes_with(2), 100 - WATCHERS, "all that are alive");
+    assert_eq!(
+        group.nodes_with(2),
+        100 - WATCHERS,
+        "all limiters that were not killed"
+    );
 }
 
 #[test]
@@ -50,7 +54,7 @@
     group.assert_settled();
 }
 
-/// One of three limiters, without a network.
+/// The dissemination of one of three limiters, without a network.
 struct Limiter {
     dissemination: ListDissemination,
 }
@@ -127,7 +131,7 @@
     };
     assert_eq!(limiter.receive(list(overridden)), [evaluate]);
     limiter.accept(overridden);
-    // A newer revision of the epoch before does not come back.
+    // A newer revision of the previous epoch is ignored.
     assert_eq!(limiter.receive(heartbeat(3, version(10))), []);
     assert_eq!(limiter.receive(list(version(10))), []);
     assert_eq!(limiter.dissemination.version(), Some(overridden));
--- a/crates/emberpin-startup/tests/list_dissemination_random_faults.rs
+++ b/crates/emberpin-startup/tests/list_dissemination_random_faults.rs
@@ -1,4 +1,4 @@
-//! Random faults, after which a group settles.
+//! Tests that a group of limiters settles after random faults.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod simulated_group;
@@ -38,7 +38,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, ..ProptestConfig::default() })]
 
-    /// Soon after the last fault every limiter has the newest list, few watch, and nobody calls any more.
+    /// Some seconds after the last fault, every limiter has the newest list, the configured number of limiters watch, and no
+    /// limiter calls the discovery service any more.
     #[test]
     fn a_group_settles_and_stops_calling_after_any_faults(
         seed in any::<u64>(),
--- a/crates/emberpin-startup/tests/list_guard.rs
+++ b/crates/emberpin-startup/tests/list_guard.rs
@@ -1,4 +1,4 @@
-//! Which endpoint lists are accepted, and how a doubt ends.
+//! Tests which endpoint lists the guard accepts, and how a doubt ends.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_startup::list_guard::{GuardConfig, ListGuard, ListScope, ListSummary, Verdict};
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn an_empty_or_short_list_is_merged_until_a_sufficient_one_comes() {
+fn an_empty_or_short_list_is_merged_until_a_sufficient_list_is_received() {
     let mut guard = guard();
     let second = Duration::from_secs;
     assert_eq!(
--- a/crates/emberpin-startup/tests/readiness.rs
+++ b/crates/emberpin-startup/tests/readiness.rs
@@ -1,4 +1,4 @@
-//! When a limiter reports ready.
+//! Tests when a limiter reports ready.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_startup::readiness::Readiness;
@@ -14,7 +14,7 @@
     assert!(readiness.update(BEFORE, 1));
     assert!(
         readiness.update(BEFORE, 0),
-        "servers that leave change nothing"
+        "a limiter stays ready when all servers are removed"
     );
 }
 
--- a/crates/emberpin-startup/tests/recorded.rs
+++ b/crates/emberpin-startup/tests/recorded.rs
@@ -1,4 +1,5 @@
-//! The messages about lists between limiters, and a list snapshot, as an earlier build wrote them.
+//! Tests that messages about lists between limiters and a list snapshot, as recorded from an earlier build, are decoded and
+//! encoded to the same bytes.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "../../emberpin-peering/tests/common/recording.rs"]
@@ -16,7 +17,7 @@
 const WRITTEN_MS: u64 = 1_700_000_000_123;
 const ENTRIES: &[u8] = br#"[{"uid":"s-1","endpoint":"127.0.0.1:8080","az":"a","model":"std","pod_group":1,"state":"ready","capacity_hint":1.0,"boot_ms":0.0}]"#;
 
-/// Each with the address of its discovery service, as the limiter sends it.
+/// The messages by their label in the fixture, each with the address of its discovery service, as the limiter sends it.
 fn messages() -> Vec<(&'static str, (String, ListMessage))> {
     let of_service = |message| ("10.0.0.1:7000".to_string(), message);
     let heartbeat = WatcherHeartbeat {
--- a/crates/emberpin-startup/tests/simulated_group/mod.rs
+++ b/crates/emberpin-startup/tests/simulated_group/mod.rs
@@ -1,5 +1,5 @@
-//! A group of limiters in virtual time that spread the list of one discovery service, with faults: processes that are
-//! killed or stall, partitions in one direction or both, an outage of the service.
+//! A group of limiters in virtual time that spread the list of one discovery service, with faults: killed or
+//! stalled processes, partitions in one direction or both, and an outage of the service.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use emberpin_startup::call_schedule::{CallSchedule, GroupPosition};
@@ -20,9 +20,9 @@
 /// The steps of virtual time, in milliseconds, like all times here.
 pub const STEP: u64 = 10;
 const TICK_INTERVAL: u64 = 200;
-/// From a call until the service answers it.
+/// The time from a call until the service answers it.
 const ANSWER_TIME: u64 = 50;
-/// What every simulated list holds.
+/// The entries of every simulated list.
 const ENTRIES: [u8; 3] = [7; 3];
 
 pub fn version(revision: u64) -> ListVersion {
@@ -42,12 +42,12 @@
     Both,
 }
 
-/// What goes wrong at some limiters, or at the service, from when until when.
+/// A fault of some limiters, given by their member numbers, or of the service, during a range of time.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// The processes end, and new ones start at the end of the time.
+    /// The processes are killed, and new ones start at the end of the range.
     Kill(Vec<u32>, Range<u64>),
-    /// The processes do nothing, and go on with messages that came meanwhile.
+    /// The processes do nothing, and then continue with the messages that arrived in the meantime.
     Stall(Vec<u32>, Range<u64>),
     Partition(Vec<u32>, CutDirection, Range<u64>),
     ServiceOutage(Range<u64>),
@@ -60,9 +60,9 @@
     /// When the service answers the call that is pending.
     answer_at: Option<u64>,
     watching: bool,
-    /// No call before, since the last one failed.
+    /// The earliest time of the next call, after one that failed.
     retry_at: u64,
-    /// The process is stalled or down until then.
+    /// The time until which the process is stalled or down.
     absent_until: u64,
 }
 
@@ -74,7 +74,7 @@
     pub calls: Vec<(u64, u32)>,
     members: BTreeSet<u32>,
     nodes: BTreeMap<u32, Node>,
-    /// By arrival and a number of its own: sender, receiver and message.
+    /// Sender, receiver and message, by arrival time and message number.
     in_transit: BTreeMap<(u64, u64), (u32, u32, ListMessage)>,
     messages_sent: u64,
     now: u64,
@@ -126,14 +126,14 @@
             .count()
     }
 
-    /// Asserts that every limiter has the newest list, and as many watch as are to.
+    /// Asserts that every limiter has the newest list, and that as many limiters watch as are configured.
     pub fn assert_settled(&self) {
         if let Err(problem) = self.check_settled() {
             panic!("group of {}: {problem}", self.nodes.len());
         }
     }
 
-    /// Like [`SimulatedGroup::assert_settled`], for a property.
+    /// Like [`SimulatedGroup::assert_settled`], but returns the failure, for use in a property test.
     pub fn check_settled(&self) -> Result<(), String> {
         let newest = Some(version(self.revision));
         let outdated: Vec<&u32> = self
@@ -200,7 +200,7 @@
         )
     }
 
-    /// Passes an event to a limiter, and carries out its actions. Asserts that its list never gets older.
+    /// Passes an event to a limiter, and carries out its actions. Asserts that the version of its list never decreases.
     fn dispatch(
         &mut self,
         number: u32,
@@ -215,7 +215,7 @@
         event(&mut node.dissemination, now, &mut actions);
         assert!(
             node.dissemination.version() >= before,
-            "limiter {number} went back from {before:?}"
+            "the version at limiter {number} decreased from {before:?}"
         );
         for action in actions {
             self.carry_out(number, action);
@@ -291,8 +291,8 @@
         }
     }
 
-    /// Messages to a limiter that is stalled arrive when it goes on; so do those to one that was killed, as messages to
-    /// its earlier incarnation.
+    /// Delivers the messages that are due. Messages to a stalled limiter arrive when it resumes; messages to a killed one
+    /// arrive when its new process starts, although they were sent to the earlier incarnation.
     fn deliver_messages(&mut self) {
         while let Some((&(arrival, id), _)) = self
             .in_transit
--- a/crates/emberpin-startup/tests/snapshot.rs
+++ b/crates/emberpin-startup/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! Which snapshots are used, and why others are refused.
+//! Tests which snapshots are accepted, and the reasons for which others are rejected.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_snapshot_of_another_owner_is_refused() {
+fn a_snapshot_of_another_owner_is_rejected() {
     let bytes = encode(&header(), ENTRIES);
     let wrong_owner = SnapshotError::WrongOwner {
         owner: OWNER.into(),
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_snapshot_that_is_too_old_is_refused() {
+fn a_snapshot_that_is_too_old_is_rejected() {
     let bytes = encode(&header(), ENTRIES);
     let too_old = SnapshotError::TooOld {
         age: Duration::from_secs(60),
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_file_of_another_format_is_refused() {
+fn a_file_of_another_format_is_rejected() {
     for bytes in [&b""[..], b"{}\n"] {
         assert_eq!(
             decode(bytes, OWNER, a_minute_later(), DAY),
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_snapshot_that_is_truncated_or_altered_anywhere_is_refused() {
+fn a_snapshot_that_is_truncated_or_altered_anywhere_is_rejected() {
     let bytes = encode(&header(), ENTRIES);
     for position in 1..bytes.len() {
         assert!(
@@ -86,7 +86,7 @@
 
 proptest! {
     #[test]
-    fn no_random_bytes_are_taken_for_a_snapshot(
+    fn random_bytes_are_never_decoded_as_a_snapshot(
         bytes in proptest::collection::vec(any::<u8>(), 0..200),
     ) {
         prop_assert!(decode(&bytes, "a/b", unix_time(0), DAY).is_err());
--- a/crates/emberpin-startup/tests/topology.rs
+++ b/crates/emberpin-startup/tests/topology.rs
@@ -1,4 +1,4 @@
-//! The overlay between neighbours.
+//! Tests the diameter, the symmetry and the degree of the overlay at all sizes of a group.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_startup::topology::neighbours;
@@ -35,10 +35,11 @@
 fn neighbours_are_mutual_and_ten_at_most_at_any_size() {
     for size in 1..400 {
         let overlay = overlay(size);
-        for (member, near) in &overlay {
-            assert!(near.len() <= 10, "{size}");
+        for (member, neighbours_of_member) in &overlay {
+            assert!(neighbours_of_member.len() <= 10, "{size}");
             assert!(
-                near.iter()
+                neighbours_of_member
+                    .iter()
                     .all(|other| overlay[other].contains(member) && other != member),
                 "{size}"
             );
