--- a/crates/emberpin-upgrade/src/frame.rs
+++ b/crates/emberpin-upgrade/src/frame.rs
@@ -6,16 +6,16 @@
 //! ```
 //!
 //! Integers are little-endian. The predecessor answers the hello with [`Message::State`] or [`Message::Refused`]; after
-//! a state both sides send updates. A hello of another version is answered by the end of the connection.
+//! a state both sides send updates. The predecessor closes the connection on a hello of another version.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// The version of the protocol; rises with every change of what is exchanged.
+/// The version of the protocol; incremented with every change of the messages.
 pub const VERSION: u16 = 1;
 /// The length of a hello in bytes.
 pub const HELLO_LEN: usize = 10;
-/// The length of a frame's header in bytes: what precedes its body.
+/// The length in bytes of a frame's header: the body's length and checksum.
 pub const HEADER_LEN: usize = 8;
 /// The longest body in bytes, which bounds what a receiver allocates.
 pub const MAX_BODY_LEN: usize = 16 << 20;
@@ -26,16 +26,16 @@
 pub enum Message<U> {
     /// The predecessor's state, in the host's encoding.
     State(Vec<u8>),
-    /// The predecessor is in another upgrade.
+    /// The predecessor rejects the request, as another upgrade is in progress.
     Refused,
-    /// A change that both processes must know of at once.
+    /// A change that must be known to both processes at once.
     Update(U),
 }
 
-/// Why bytes cannot be sent or are not understood.
+/// Why a message cannot be encoded, or received bytes cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// A hello that does not begin as one of this program.
+    /// A hello that does not begin with the magic bytes of this program.
     #[error("the other process is not one of this program")]
     UnknownProgram,
     /// A hello of another version.
@@ -44,10 +44,10 @@
     /// A body longer than [`MAX_BODY_LEN`].
     #[error("a message has {0} bytes; at most {MAX_BODY_LEN} are allowed")]
     TooLong(usize),
-    /// A body of another length or checksum than its header says.
+    /// A body whose length or checksum differs from that in its header.
     #[error("a message is truncated or corrupt")]
     Corrupt,
-    /// A body that is no message of this version, or a message that cannot be encoded.
+    /// A body that is not a message of this version, or a message that cannot be encoded.
     #[error("a message cannot be encoded or decoded: {0}")]
     Codec(#[from] postcard::Error),
 }
@@ -60,7 +60,7 @@
     bytes
 }
 
-/// Checks that a hello comes from a process that this one understands.
+/// Checks that a hello comes from a process of this program with the same protocol version.
 ///
 /// # Errors
 ///
@@ -76,7 +76,7 @@
     }
 }
 
-/// The bytes of a frame with this message.
+/// Encodes a message as a frame.
 ///
 /// # Errors
 ///
@@ -93,7 +93,7 @@
     Ok(frame)
 }
 
-/// How many bytes of body follow this header.
+/// The length in bytes of the body that follows this header.
 ///
 /// # Errors
 ///
@@ -106,11 +106,11 @@
     Ok(length)
 }
 
-/// The message of a frame.
+/// Decodes the message of a frame.
 ///
 /// # Errors
 ///
-/// [`FrameError`], if header and body do not belong together or the body is no message.
+/// [`FrameError`], if the body does not match the header or is not a message.
 pub fn decode<U: DeserializeOwned>(
     header: &[u8; HEADER_LEN],
     body: &[u8],
--- a/crates/emberpin-upgrade/src/process.rs
+++ b/crates/emberpin-upgrade/src/process.rs
@@ -1,28 +1,29 @@
 //! The state machine of one process of a limiter, from start to exit.
 //!
 //! Both processes of an upgrade run it: the successor requests the state of the one that serves, its predecessor. The
-//! predecessor closes the peer port, which only one process may own, before it sends its state, so that at no instant
-//! both own it. The two share the descriptors until one of them is gone; whichever dies, the other goes on alone.
+//! predecessor closes the peer port, which only one process may own, before it sends its state, so that they
+//! never both own it. The two share the file descriptors until one of them has ended; when either exits or crashes, the other
+//! goes on alone.
 
-/// Where a process is in its life.
+/// The stage of a process between start and exit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Stage {
     /// Nothing is open yet.
     Starting,
-    /// A predecessor has been asked for its state.
+    /// The process has requested its predecessor's state.
     RequestingState,
     /// The process accepts clients.
     Serving,
-    /// The process was told to shut down, and answers the requests that it has accepted.
+    /// The process is shutting down, and answers the requests that it has accepted.
     Draining,
-    /// The process has ended, or is about to.
+    /// The process has exited, or is about to.
     Ended,
 }
 
-/// What happened to a process.
+/// An event that a process handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// The process starts, and no other one answers at the handover socket.
+    /// The process starts, and no other process answers at the handover socket.
     StartedAlone,
     /// The process starts, and a predecessor answers at the handover socket.
     StartedWithPredecessor,
@@ -30,7 +31,7 @@
     StateReceived,
     /// No usable state arrived: none in time, an incomplete one, or one of another version.
     StateUnusable,
-    /// The predecessor is in another upgrade.
+    /// The predecessor rejected the request, as another upgrade is in progress.
     StateRefused,
     /// A successor requests this process's state.
     StateRequested,
@@ -38,13 +39,13 @@
     PredecessorDisconnected,
     /// The connection to the successor ended.
     SuccessorDisconnected,
-    /// The process was told to shut down.
+    /// The process received the request to shut down.
     TerminationRequested,
     /// All requests that were accepted have been answered.
     Drained,
 }
 
-/// What the host does, in the order of the list.
+/// An action that the host carries out, in the order in which actions are appended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Request the predecessor's state.
@@ -59,13 +60,13 @@
     ClosePeerPort,
     /// Send the state to the successor, and updates from then on.
     SendState,
-    /// Tell the process that requests the state that another upgrade is in progress.
+    /// Reply to a request for the state that another upgrade is in progress.
     RefuseState,
-    /// Listen at the handover socket, in place of any other process.
+    /// Listen at the handover socket, replacing any other process there.
     BindHandoverSocket,
-    /// Leave the descriptors that the other process uses to it.
+    /// Use only this process's share of the file descriptors, and leave the rest to the other process.
     ShareDescriptors,
-    /// Use all descriptors again.
+    /// Use all file descriptors again.
     ReclaimDescriptors,
     /// Accept no more clients, and answer the requests accepted so far.
     Drain,
@@ -75,7 +76,7 @@
     AbortStart,
 }
 
-/// One process of a limiter, and what it knows of the other.
+/// The state of one process of a limiter, including its knowledge of the other process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Process {
     stage: Stage,
@@ -96,22 +97,23 @@
 }
 
 impl Process {
-    /// Where the process is in its life.
+    /// The current stage.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Whether the peer port is this process's own, or will be once it is free.
+    /// Whether this process owns the peer port, or will own it once the port is free.
     pub fn owns_peer_port(&self) -> bool {
         self.owns_peer_port
     }
 
-    /// Whether another process of this limiter is alive, as far as this one knows.
+    /// Whether another process of this limiter is running, as far as this one knows.
     pub fn is_paired(&self) -> bool {
         self.has_predecessor || self.has_successor
     }
 
-    /// Handles an event, and appends what is to be done. Events without a meaning in the current stage are ignored.
+    /// Handles an event, and appends the actions to be carried out. Events without a meaning in the current stage are
+    /// ignored.
     pub fn handle(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::StartedAlone => self.on_started_alone(actions),
@@ -168,7 +170,7 @@
         }
     }
 
-    /// A process gives its state only while it serves or drains, and to one successor at a time.
+    /// A process sends its state only while it serves or drains, and to one successor at a time.
     fn on_state_requested(&mut self, actions: &mut Vec<Action>) {
         if !self.has_clients() || self.is_paired() {
             actions.push(Action::RefuseState);
@@ -189,7 +191,8 @@
         }
     }
 
-    /// A process that serves takes back what it gave up; one that drains ends without it.
+    /// Reclaims the descriptors. A process that serves also reopens the peer port and the handover socket; a process that
+    /// drains exits without them.
     fn on_successor_disconnected(&mut self, actions: &mut Vec<Action>) {
         if !self.has_clients() || !std::mem::take(&mut self.has_successor) {
             return;
--- a/crates/emberpin-upgrade/tests/frame.rs
+++ b/crates/emberpin-upgrade/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Frames and hellos, whole, damaged and foreign.
+//! Tests the decoding of valid, damaged and foreign frames and hellos.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_upgrade::frame::{self, FrameError, Message, HEADER_LEN};
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_hello_of_another_version_or_program_is_refused() {
+fn a_hello_of_another_version_or_program_is_rejected() {
     let mut hello = frame::encode_hello();
     assert_eq!(frame::check_hello(&hello), Ok(()));
     hello[8] += 1;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_header_of_a_body_that_is_too_long_is_refused() {
+fn a_header_of_a_body_that_is_too_long_is_rejected() {
     assert_eq!(
         frame::body_len(&[0xff; HEADER_LEN]),
         Err(FrameError::TooLong(u32::MAX as usize))
@@ -34,7 +34,7 @@
 
 proptest! {
     #[test]
-    fn a_frame_is_decoded_as_it_was_encoded_and_refused_when_altered_or_truncated(
+    fn a_frame_is_decoded_as_it_was_encoded_and_rejected_when_altered_or_truncated(
         state in proptest::collection::vec(any::<u8>(), 0..200),
         position in any::<prop::sample::Index>(),
         bit in 0u8..8,
@@ -50,7 +50,7 @@
     }
 
     #[test]
-    fn no_bytes_make_decoding_panic(bytes in proptest::collection::vec(any::<u8>(), 0..64)) {
+    fn decoding_any_bytes_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..64)) {
         _ = decode(&bytes);
     }
 }
--- a/crates/emberpin-upgrade/tests/process.rs
+++ b/crates/emberpin-upgrade/tests/process.rs
@@ -1,4 +1,4 @@
-//! Every interleaving of the events of a predecessor and a successor, including the death of either.
+//! Explores every interleaving of the events of a predecessor and a successor, including a kill of either.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_upgrade::process::{Action, Event, Process, Stage};
@@ -10,20 +10,20 @@
     Successor,
 }
 
-/// What a predecessor answers a request for its state.
+/// A predecessor's reply to a request for its state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Reply {
     State,
     Refused,
 }
 
-/// One process, and what the operating system and the connection hold of it.
+/// One process, and its state in the operating system and on the connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Side {
     process: Process,
     alive: bool,
-    /// It has noticed that the other process died.
-    knows_other_died: bool,
+    /// Whether the process has observed that the other one ended.
+    knows_other_ended: bool,
     port_open: bool,
     shares_descriptors: bool,
 }
@@ -94,7 +94,7 @@
             Action::Exit | Action::AbortStart => {
                 assert!(
                     role == Role::Successor || self.termination_requested,
-                    "the predecessor ends only if told to"
+                    "the predecessor exits only when its termination was requested"
                 );
                 self.side(role).alive = false;
             }
@@ -106,7 +106,8 @@
         }
     }
 
-    /// The operating system closes the port of a process that died, and gives a free one to a process that wants it.
+    /// Models the operating system: closes the port of a process that ended, and opens a free port for the process that owns
+    /// it.
     fn open_free_port(&mut self) {
         for role in [Role::Successor, Role::Predecessor] {
             let is_open = |side: &Side| side.port_open && side.alive;
@@ -120,17 +121,17 @@
         self.successor.port_open &= self.successor.alive;
     }
 
-    /// Lets a process that is left alone notice that the other one died.
-    fn notice_deaths(&mut self) {
-        if !self.successor.alive && self.predecessor.alive && !self.predecessor.knows_other_died {
+    /// Makes a process that is left alone observe that the other one ended.
+    fn observe_ends(&mut self) {
+        if !self.successor.alive && self.predecessor.alive && !self.predecessor.knows_other_ended {
             self.dispatch(Role::Predecessor, Event::SuccessorDisconnected);
         }
-        if !self.predecessor.alive && self.successor.alive && !self.successor.knows_other_died {
+        if !self.predecessor.alive && self.successor.alive && !self.successor.knows_other_ended {
             self.dispatch(Role::Successor, Event::PredecessorDisconnected);
         }
     }
 
-    /// Every state that one event leads to.
+    /// All states that one event leads to from this state.
     fn next_states(&self) -> Vec<World> {
         let mut next_states = Vec::new();
         if self.successor.alive {
@@ -167,7 +168,7 @@
         }
     }
 
-    /// The reply does not come in time, or not whole.
+    /// The reply does not arrive in time, or arrives incomplete.
     fn lose_reply(&mut self) {
         if self.successor.process.stage() == Stage::RequestingState {
             self.reply_in_transit = None;
@@ -176,9 +177,9 @@
         }
     }
 
-    fn notice_predecessor_died(&mut self) {
-        if !self.predecessor.alive && !self.successor.knows_other_died {
-            self.successor.knows_other_died = true;
+    fn observe_predecessor_ended(&mut self) {
+        if !self.predecessor.alive && !self.successor.knows_other_ended {
+            self.successor.knows_other_ended = true;
             self.dispatch(Role::Successor, Event::PredecessorDisconnected);
         }
     }
@@ -193,9 +194,9 @@
         }
     }
 
-    fn notice_successor_died(&mut self) {
-        if !self.successor.alive && !self.predecessor.knows_other_died {
-            self.predecessor.knows_other_died = true;
+    fn observe_successor_ended(&mut self) {
+        if !self.successor.alive && !self.predecessor.knows_other_ended {
+            self.predecessor.knows_other_ended = true;
             self.request_in_transit = false;
             self.dispatch(Role::Predecessor, Event::SuccessorDisconnected);
         }
@@ -219,12 +220,12 @@
     World::start_successor,
     World::deliver_reply,
     World::lose_reply,
-    World::notice_predecessor_died,
+    World::observe_predecessor_ended,
     World::kill_successor,
 ];
 const PREDECESSOR_STEPS: [fn(&mut World); 5] = [
     World::deliver_request,
-    World::notice_successor_died,
+    World::observe_successor_ended,
     World::terminate_predecessor,
     World::drain_predecessor,
     World::kill_predecessor,
@@ -238,7 +239,8 @@
 }
 
 #[test]
-fn in_every_interleaving_one_process_at_most_owns_the_port_and_a_lone_one_serves_with_all() {
+fn in_every_interleaving_at_most_one_process_owns_the_port_and_a_lone_one_owns_port_and_descriptors(
+) {
     let start = World::new();
     let mut seen = HashSet::from([start]);
     let mut queue = VecDeque::from([start]);
@@ -248,7 +250,7 @@
             "both own the port: {world:?}"
         );
         let mut settled = world;
-        settled.notice_deaths();
+        settled.observe_ends();
         assert_serves_alone(&settled.predecessor, &settled.successor);
         assert_serves_alone(&settled.successor, &settled.predecessor);
         for next in world.next_states() {
@@ -267,7 +269,7 @@
 }
 
 #[test]
-fn both_processes_refuse_a_second_upgrade_until_the_first_is_over() {
+fn both_processes_reject_a_second_upgrade_until_the_first_is_complete() {
     let mut predecessor = Process::default();
     handle(&mut predecessor, Event::StartedAlone);
     handle(&mut predecessor, Event::StateRequested);
--- a/crates/emberpin-upgrade/tests/recorded.rs
+++ b/crates/emberpin-upgrade/tests/recorded.rs
@@ -1,5 +1,5 @@
-//! Messages between the two processes of a limiter, as an earlier build wrote them. The update is a text here; the
-//! limiter's own is recorded with the limiter.
+//! Tests that messages between the two processes of a limiter, as recorded from an earlier build, are decoded and encoded
+//! to the same bytes. The update is a string here; the limiter's own updates are recorded in the limiter's tests.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "../../emberpin-peering/tests/common/recording.rs"]
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_recorded_hello_is_understood_and_encoded_as_it_was() {
+fn the_recorded_hello_is_accepted_and_encoded_as_it_was() {
     let recorded = file("hello", || encode_hello().to_vec());
     let recorded: [u8; HELLO_LEN] = recorded.try_into().expect("a hello's length");
     assert_eq!(check_hello(&recorded), Ok(()));
