--- a/crates/emberpin-wal/src/files.rs
+++ b/crates/emberpin-wal/src/files.rs
@@ -1,4 +1,4 @@
-//! A folder as storage, held by one process.
+//! A folder as storage, locked by one process.
 
 use crate::storage::{FileIdentity, Storage};
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::time::UNIX_EPOCH;
 
-/// The file whose lock (flock(2)) tells that a process uses the folder.
+/// The file whose lock (flock(2)) marks the folder as in use by a process.
 const LOCK: &str = "lock";
 
 /// A folder of files, locked by one process.
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A folder to be read only, without locking it.
+    /// Opens a folder for reading only, without locking it.
     pub fn look(folder: &Path) -> Files {
         Files {
             folder: folder.into(),
--- a/crates/emberpin-wal/src/frame.rs
+++ b/crates/emberpin-wal/src/frame.rs
@@ -1,13 +1,13 @@
-//! The bytes of a segment: a header, then frames.
+//! The encoding of a segment: a header, then frames of one record each.
 //!
 //! ```text
 //! header  "EMBERLOG" | version u16 | length u16 | body (postcard) | crc32 of all before it
 //! frame   length u32 | seq u64 | crc32 of salt, length, seq | payload | crc32 of salt, seq, payload
 //! ```
 //!
-//! Integers are little-endian. The salt is the header's own checksum: a frame that another file left in a disk's blocks
-//! is not taken for one of this file. A frame's head has a checksum of its own, so that a flipped length is damage
-//! and not a torn end.
+//! Integers are little-endian. The salt is the header's own checksum, so that a frame that another file left in the
+//! disk's blocks is not accepted as a frame of this file. The head of a frame has a checksum of its own, so that an altered
+//! length is detected as damage and not as an incomplete record at the end.
 
 use crate::storage::FileIdentity;
 use crc32fast::Hasher;
@@ -20,11 +20,12 @@
 /// Bound of an encoded header, in bytes.
 pub const MAX_HEADER_BYTES: usize = 1024;
 const MAGIC: [u8; 8] = *b"EMBERLOG";
-/// Magic, version, length.
-const HEADER_FIXED: usize = 12;
-/// Length, sequence number, checksum.
-const FRAME_HEAD: usize = 16;
-const CRC: usize = 4;
+/// The length in bytes of a header's fixed part: magic, version, length of the body.
+const HEADER_FIXED_BYTES: usize = 12;
+/// The length in bytes of a frame's head: length of the payload, sequence number, checksum.
+const FRAME_HEAD_BYTES: usize = 16;
+/// The length of a checksum in bytes.
+const CRC_BYTES: usize = 4;
 
 /// The header of a segment. The order of its fields is the encoding.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -45,7 +46,7 @@
     pub after_loss: bool,
 }
 
-/// Why bytes are not a header.
+/// Why bytes are not a valid header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeaderError {
     /// The file ends within the header.
@@ -63,7 +64,7 @@
     pub fn encode(&self) -> Vec<u8> {
         // A body of this type always encodes: it is held in memory and has no maps or floats.
         let body = postcard::to_allocvec(self).unwrap_or_default();
-        let mut bytes = Vec::with_capacity(HEADER_FIXED + body.len() + CRC);
+        let mut bytes = Vec::with_capacity(HEADER_FIXED_BYTES + body.len() + CRC_BYTES);
         bytes.extend_from_slice(&MAGIC);
         bytes.extend_from_slice(&VERSION.to_le_bytes());
         bytes.extend_from_slice(&(body.len() as u16).to_le_bytes());
@@ -84,34 +85,34 @@
         if bytes[..known] != MAGIC[..known] {
             return Err(HeaderError::NotALog);
         }
-        let Some(fixed) = bytes.get(..HEADER_FIXED) else {
+        let Some(fixed) = bytes.get(..HEADER_FIXED_BYTES) else {
             return Err(HeaderError::Short);
         };
-        let number = |at: usize| u16::from_le_bytes([fixed[at], fixed[at + 1]]);
-        // Before the checksum, as another version may have another one.
-        if number(8) != VERSION {
-            return Err(HeaderError::Version(number(8)));
+        let u16_at = |at: usize| u16::from_le_bytes([fixed[at], fixed[at + 1]]);
+        // The version is checked before the checksum, as another version may have another kind of checksum.
+        if u16_at(8) != VERSION {
+            return Err(HeaderError::Version(u16_at(8)));
         }
-        let end = HEADER_FIXED + usize::from(number(10));
-        if end + CRC > MAX_HEADER_BYTES {
+        let end = HEADER_FIXED_BYTES + usize::from(u16_at(10));
+        if end + CRC_BYTES > MAX_HEADER_BYTES {
             return Err(HeaderError::Damaged);
         }
-        let Some(crc) = bytes.get(end..end + CRC) else {
+        let Some(crc) = bytes.get(end..end + CRC_BYTES) else {
             return Err(HeaderError::Short);
         };
         let hashed = crc32fast::hash(&bytes[..end]);
         if hashed.to_le_bytes() != crc {
             return Err(HeaderError::Damaged);
         }
-        let header: Header =
-            postcard::from_bytes(&bytes[HEADER_FIXED..end]).map_err(|_| HeaderError::Damaged)?;
+        let header: Header = postcard::from_bytes(&bytes[HEADER_FIXED_BYTES..end])
+            .map_err(|_| HeaderError::Damaged)?;
         let scanner = Scanner {
             salt: hashed,
-            next: header.first,
+            next_seq: header.first,
             buffer: Vec::new(),
             used: 0,
-            at: (end + CRC) as u64,
-            over: false,
+            at: (end + CRC_BYTES) as u64,
+            is_unreadable: false,
         };
         Ok((header, scanner))
     }
@@ -159,23 +160,26 @@
     Record {
         /// Its sequence number.
         seq: u64,
-        /// What was written.
+        /// The bytes that were written.
         payload: Vec<u8>,
     },
     /// A damaged part.
     Damaged(Damage),
 }
 
-/// Decodes the frames of a segment incrementally, buffering at most one of them beside the bytes fed last.
+/// Decodes the frames of a segment incrementally, buffering at most one frame in addition to the bytes fed last.
 #[derive(Clone, Debug)]
 pub struct Scanner {
     salt: u32,
-    next: u64,
+    /// The sequence number that the next record must have.
+    next_seq: u64,
     buffer: Vec<u8>,
+    /// The number of bytes of the buffer that have been scanned.
     used: usize,
     /// Offset in the file of the unread part of the buffer.
     at: u64,
-    over: bool,
+    /// Whether damage has made the rest of the file unreadable.
+    is_unreadable: bool,
 }
 
 impl Scanner {
@@ -186,7 +190,7 @@
 
     /// The sequence number that the next record must have.
     pub fn next_seq(&self) -> u64 {
-        self.next
+        self.next_seq
     }
 
     pub(crate) fn salt(&self) -> u32 {
@@ -200,50 +204,50 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next element; `None` until all of it was fed, and after damage that makes the rest unreadable.
+    /// The next element; `None` while it has not been fed completely, and after damage that makes the rest unreadable.
     pub fn scan(&mut self) -> Option<Scanned> {
         let unread = self.buffer.get(self.used..)?;
-        if self.over || unread.len() < FRAME_HEAD {
+        if self.is_unreadable || unread.len() < FRAME_HEAD_BYTES {
             return None;
         }
-        let word = |at: usize| {
+        let u32_at = |at: usize| {
             u32::from_le_bytes([unread[at], unread[at + 1], unread[at + 2], unread[at + 3]])
         };
-        let (length, crc) = (word(0), word(12));
-        let seq = u64::from(word(4)) | u64::from(word(8)) << 32;
-        let sound = crc == head_crc(self.salt, length, seq)
+        let (length, crc) = (u32_at(0), u32_at(12));
+        let seq = u64::from(u32_at(4)) | u64::from(u32_at(8)) << 32;
+        let is_valid = crc == head_crc(self.salt, length, seq)
             && length as usize <= MAX_RECORD_BYTES
-            && seq == self.next;
-        if !sound {
-            self.over = true;
+            && seq == self.next_seq;
+        if !is_valid {
+            self.is_unreadable = true;
             return Some(Scanned::Damaged(Damage {
                 at: self.at,
                 rest_unreadable: true,
             }));
         }
-        let end = FRAME_HEAD + length as usize;
-        let crc = unread.get(end..end + CRC)?;
-        let payload = &unread[FRAME_HEAD..end];
+        let end = FRAME_HEAD_BYTES + length as usize;
+        let crc = unread.get(end..end + CRC_BYTES)?;
+        let payload = &unread[FRAME_HEAD_BYTES..end];
         let scanned = match crc == payload_crc(self.salt, seq, payload).to_le_bytes() {
             true => Scanned::Record {
                 seq,
                 payload: payload.to_vec(),
             },
-            // Its head is sound, so what follows can still be read.
+            // The head of the frame is valid, so the frames that follow can still be read.
             false => Scanned::Damaged(Damage {
                 at: self.at,
                 rest_unreadable: false,
             }),
         };
-        self.next = seq + 1;
-        self.used += end + CRC;
-        self.at += (end + CRC) as u64;
+        self.next_seq = seq + 1;
+        self.used += end + CRC_BYTES;
+        self.at += (end + CRC_BYTES) as u64;
         Some(scanned)
     }
 
     /// Length of an incomplete record at the end, in bytes, once the file is fed and scanned completely.
     pub fn torn(&self) -> usize {
-        if self.over {
+        if self.is_unreadable {
             return 0;
         }
         self.buffer.len().saturating_sub(self.used)
--- a/crates/emberpin-wal/src/inspect.rs
+++ b/crates/emberpin-wal/src/inspect.rs
@@ -1,20 +1,21 @@
-//! A look at a log's files, whoever has them open: what each holds, and where it is not what was written.
+//! Inspection of a log's files, also while another process has them open: the content of each file, and the places where
+//! it differs from what was written.
 
 use crate::files::Files;
 use crate::frame::{Damage, Header, HeaderError};
-use crate::log::{marked, read, segments};
+use crate::log::{read_segment, read_watermark, segment_numbers};
 use crate::storage::Storage;
 use serde::Serialize;
 use std::fmt;
 use std::io;
 use std::path::Path;
 
-/// What a file holds.
+/// The content of a segment file.
 #[derive(Debug, Serialize)]
 pub struct SegmentReport {
     /// Name of the file.
     pub file: String,
-    /// Its header, or why it has none.
+    /// The header of the file, or why it cannot be read.
     #[serde(flatten)]
     pub header: HeaderReport,
     /// Length of the file, in bytes.
@@ -25,21 +26,21 @@
     pub torn: u64,
     /// Parts that do not match their checksums.
     pub damage: Vec<Damage>,
-    /// It is a copy of the file that was written.
+    /// Whether the file is a copy of the one that was written.
     pub copied: bool,
 }
 
-/// A header, or what is in its place.
+/// A segment's header, or why it cannot be read.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HeaderReport {
-    /// What the segment says of itself.
+    /// The valid header.
     Header(Header),
-    /// Why nothing can be read.
+    /// Why nothing of the segment can be read.
     Unreadable(String),
 }
 
-/// What a log's files hold.
+/// The content of a log's files.
 #[derive(Debug, Serialize)]
 pub struct Report {
     /// The segments, the oldest first.
@@ -50,20 +51,20 @@
     pub sound: bool,
 }
 
-/// Looks at one segment, or at a folder of them.
+/// Inspects one segment, or a folder of segments.
 ///
 /// # Errors
 ///
-/// The operating system's.
+/// The error of the operating system, if a file or the folder cannot be read.
 pub fn inspect(path: &Path) -> io::Result<Report> {
     let (folder, names) = match path.is_dir() {
         true => {
-            let numbers = segments(&mut Files::look(path))?;
+            let numbers = segment_numbers(&mut Files::look(path))?;
             (
                 path,
                 numbers
                     .into_iter()
-                    .map(|n| format!("{n:010}.log"))
+                    .map(|number| format!("{number:010}.log"))
                     .collect(),
             )
         }
@@ -85,14 +86,17 @@
         sound: true,
     };
     for file in names {
-        let found = read(&mut files, &file, |_, _, _| ())?;
+        let found = read_segment(&mut files, &file, |_, _, _| ())?;
         let (header, copied) = match found.header {
             Ok(header) => {
-                report.counted = marked(&mut files, &header.log).or(report.counted);
+                report.counted = read_watermark(&mut files, &header.log).or(report.counted);
                 let copied = files.identity(&file)? != header.file;
                 (HeaderReport::Header(header), copied)
             }
-            Err(problem) => (HeaderReport::Unreadable(unreadable(problem)), false),
+            Err(problem) => (
+                HeaderReport::Unreadable(describe_header_error(problem)),
+                false,
+            ),
         };
         report.sound &=
             found.damage.is_empty() && !copied && matches!(header, HeaderReport::Header(_));
@@ -109,7 +113,7 @@
     Ok(report)
 }
 
-fn unreadable(problem: HeaderError) -> String {
+fn describe_header_error(problem: HeaderError) -> String {
     match problem {
         HeaderError::Short => "ends within its header".into(),
         HeaderError::NotALog => "is no log".into(),
--- a/crates/emberpin-wal/src/log.rs
+++ b/crates/emberpin-wal/src/log.rs
@@ -1,5 +1,5 @@
-//! The log over a storage: creation, recovery, writes, rotation and removal of segments, and what a failure of each
-//! leaves behind.
+//! The log on a storage: creation, recovery, writes, rotation and removal of segments, and the state that a failure of
+//! each leaves.
 //!
 //! A record is durable once [`Log::write`] has returned with `durable`, and not before. After a crash, recovery returns
 //! all durable records, or [`Recovery::lost`] says that some may be missing:
@@ -20,11 +20,14 @@
 use std::collections::BTreeMap;
 use std::{fmt, io};
 
-const MARK: &str = "mark";
-/// Log id, sequence number, checksum.
-const SLOT: usize = 28;
-const CHUNK: usize = 64 * 1024;
-const ASIDE: &str = "damaged";
+/// The file of the watermark: two slots that are written in turn.
+const WATERMARK_FILE: &str = "mark";
+/// The length in bytes of a slot of the watermark: log id, sequence number, checksum.
+const SLOT_BYTES: usize = 28;
+/// How many bytes of a segment are read at once.
+const READ_CHUNK_BYTES: usize = 64 * 1024;
+/// The name that a damaged segment gets when it is retired.
+const DAMAGED_FILE: &str = "damaged";
 
 /// Identifies the opener of a log.
 #[derive(Clone, Debug)]
@@ -40,11 +43,12 @@
 /// A recovered record.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Record<'a> {
-    /// Sequence number; records of a log are numbered without gaps, but for one after a loss.
+    /// Sequence number; records of a log are numbered without gaps, except for one gap after a loss.
     pub seq: u64,
     /// The bytes that were written.
     pub payload: &'a [u8],
-    /// Written in this boot of the machine, so that its readings of a boot-time clock mean something now.
+    /// Whether the record was written during this boot of the machine, so that its readings of a boot-time clock are
+    /// comparable now.
     pub same_boot: bool,
 }
 
@@ -161,7 +165,7 @@
     }
 }
 
-/// Why records were not written.
+/// Why records were not written or are not durable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteError {
     /// One of them is longer than [`MAX_RECORD_BYTES`].
@@ -194,7 +198,7 @@
     identity: Identity,
     log: [u8; 16],
     salt: u32,
-    /// All files, by number; the last is written to.
+    /// All segments, by number; the last is the one that is written to.
     segments: BTreeMap<u64, Segment>,
     current: u64,
     next: u64,
@@ -205,11 +209,11 @@
     failed: Option<String>,
 }
 
-fn name(segment: u64) -> String {
+fn segment_file(segment: u64) -> String {
     format!("{segment:010}.log")
 }
 
-fn number(name: &str) -> Option<u64> {
+fn segment_number(name: &str) -> Option<u64> {
     let digits = name
         .strip_suffix(".log")
         .filter(|digits| digits.len() == 10)?;
@@ -220,39 +224,42 @@
         .flatten()
 }
 
-fn doing(what: &str, file: &str) -> impl FnOnce(io::Error) -> OpenError {
-    let doing = format!("cannot {what} {file}");
+/// Converts an error of `operation` on `file` to an [`OpenError`].
+fn io_error(operation: &str, file: &str) -> impl FnOnce(io::Error) -> OpenError {
+    let doing = format!("cannot {operation} {file}");
     move |error| OpenError::Io { doing, error }
 }
 
-/// The numbers of the segments there are, rising.
-pub(crate) fn segments<S: Storage>(storage: &mut S) -> io::Result<Vec<u64>> {
+/// The numbers of the segments in the storage, in ascending order.
+pub(crate) fn segment_numbers<S: Storage>(storage: &mut S) -> io::Result<Vec<u64>> {
     let mut numbers: Vec<u64> = storage
         .names()?
         .iter()
-        .filter_map(|name| number(name))
+        .filter_map(|name| segment_number(name))
         .collect();
     numbers.sort_unstable();
     Ok(numbers)
 }
 
-/// What one segment holds, read without keeping it.
-pub(crate) struct Read {
+/// The result of reading one segment, without its records.
+pub(crate) struct SegmentContents {
     pub header: Result<Header, HeaderError>,
     pub records: u64,
-    pub next: u64,
+    /// Sequence number that the next record must have.
+    pub next_seq: u64,
     pub bytes: u64,
+    /// Length of an incomplete record at the end, in bytes.
     pub torn: u64,
     pub damage: Vec<Damage>,
 }
 
-/// Reads a whole segment, giving each sound record to `visit`.
-pub(crate) fn read<S: Storage>(
+/// Reads a whole segment, and passes the header, the sequence number and the payload of each valid record to `visit`.
+pub(crate) fn read_segment<S: Storage>(
     storage: &mut S,
     file: &str,
     mut visit: impl FnMut(&Header, u64, &[u8]),
-) -> io::Result<Read> {
-    let mut chunk = vec![0; CHUNK];
+) -> io::Result<SegmentContents> {
+    let mut chunk = vec![0; READ_CHUNK_BYTES];
     let mut head = Vec::new();
     while head.len() < MAX_HEADER_BYTES {
         match storage.read(
@@ -269,72 +276,74 @@
         Ok(decoded) => decoded,
         Err(problem) => {
             let header = Err(problem);
-            return Ok(Read {
+            return Ok(SegmentContents {
                 header,
                 records: 0,
-                next: 0,
+                next_seq: 0,
                 bytes,
                 torn: bytes,
                 damage: Vec::new(),
             });
         }
     };
-    let mut read = Read {
+    let mut contents = SegmentContents {
         header: Ok(header.clone()),
         records: 0,
-        next: 0,
+        next_seq: 0,
         bytes: scanner.at(),
         torn: 0,
         damage: Vec::new(),
     };
     loop {
-        let n = storage.read(file, read.bytes, &mut chunk)?;
+        let n = storage.read(file, contents.bytes, &mut chunk)?;
         if n == 0 {
             break;
         }
-        read.bytes += n as u64;
+        contents.bytes += n as u64;
         scanner.feed(&chunk[..n]);
         while let Some(scanned) = scanner.scan() {
             match scanned {
                 Scanned::Record { seq, payload } => {
-                    read.records += 1;
+                    contents.records += 1;
                     visit(&header, seq, &payload);
                 }
-                Scanned::Damaged(damage) => read.damage.push(damage),
+                Scanned::Damaged(damage) => contents.damage.push(damage),
             }
         }
     }
-    read.torn = scanner.torn() as u64;
-    read.next = scanner.next_seq();
-    Ok(read)
+    contents.torn = scanner.torn() as u64;
+    contents.next_seq = scanner.next_seq();
+    Ok(contents)
 }
 
-/// The last number that counted, if the mark can be read.
-pub(crate) fn marked<S: Storage>(storage: &mut S, log: &[u8; 16]) -> Option<u64> {
-    let mut bytes = [0; 2 * SLOT];
+/// The last durable sequence number, by the watermark; `None` if the watermark cannot be read.
+pub(crate) fn read_watermark<S: Storage>(storage: &mut S, log: &[u8; 16]) -> Option<u64> {
+    let mut bytes = [0; 2 * SLOT_BYTES];
     let mut read = 0;
     while read < bytes.len() {
-        match storage.read(MARK, read as u64, &mut bytes[read..]) {
+        match storage.read(WATERMARK_FILE, read as u64, &mut bytes[read..]) {
             Ok(0) | Err(_) => break,
             Ok(n) => read += n,
         }
     }
     bytes[..read]
-        .chunks_exact(SLOT)
-        .filter_map(|slot| unmark(slot, log))
+        .chunks_exact(SLOT_BYTES)
+        .filter_map(|slot| decode_watermark(slot, log))
         .max()
 }
 
-fn unmark(slot: &[u8], log: &[u8; 16]) -> Option<u64> {
+/// The sequence number in a slot of the watermark, if the slot is valid and belongs to this log.
+fn decode_watermark(slot: &[u8], log: &[u8; 16]) -> Option<u64> {
     let (body, crc) = slot.split_at_checked(24)?;
-    let sound = crc32fast::hash(body).to_le_bytes() == crc && body[..16] == log[..];
-    sound
+    let is_valid = crc32fast::hash(body).to_le_bytes() == crc && body[..16] == log[..];
+    is_valid
         .then(|| body[16..].try_into().ok().map(u64::from_le_bytes))
         .flatten()
 }
 
-fn mark(log: &[u8; 16], seq: u64) -> [u8; SLOT] {
-    let mut slot = [0; SLOT];
+/// Encodes a slot of the watermark.
+fn encode_watermark(log: &[u8; 16], seq: u64) -> [u8; SLOT_BYTES] {
+    let mut slot = [0; SLOT_BYTES];
     slot[..16].copy_from_slice(log);
     slot[16..24].copy_from_slice(&seq.to_le_bytes());
     let crc = crc32fast::hash(&slot[..24]);
@@ -364,8 +373,8 @@
         is_newest: bool,
         visit: &mut impl FnMut(Record<'_>),
     ) -> Result<(), OpenError> {
-        let file = name(segment);
-        let found = read(storage, &file, |header, seq, payload| {
+        let file = segment_file(segment);
+        let found = read_segment(storage, &file, |header, seq, payload| {
             let same_boot = header.boot == identity.boot && header.boot != [0; 16];
             if header.instance == identity.instance {
                 visit(Record {
@@ -375,7 +384,7 @@
                 });
             }
         })
-        .map_err(doing("read", &file))?;
+        .map_err(io_error("read", &file))?;
         self.recovery.records += found.records;
         self.recovery.bytes += found.bytes;
         let header = match found.header {
@@ -383,7 +392,7 @@
             // A crash interrupted the creation of this file. The watermark tells whether records are missing.
             Err(HeaderError::Short) if is_newest && self.last_segment.is_some() => {
                 self.recovery.torn += found.torn;
-                return storage.remove(&file).map_err(doing("remove", &file));
+                return storage.remove(&file).map_err(io_error("remove", &file));
             }
             Err(HeaderError::Version(found)) => return Err(OpenError::Version { file, found }),
             Err(HeaderError::Short | HeaderError::NotALog | HeaderError::Damaged) => {
@@ -403,7 +412,11 @@
                 before: file.clone(),
             });
         }
-        if storage.identity(&file).map_err(doing("look at", &file))? != header.file {
+        if storage
+            .identity(&file)
+            .map_err(io_error("look at", &file))?
+            != header.file
+        {
             self.report_loss(DataLoss::Copied { file: file.clone() });
         }
         if header.after_loss {
@@ -418,7 +431,7 @@
         self.recovery.torn += found.torn;
         self.push(segment, found.bytes, !found.damage.is_empty());
         self.log_id = Some(header.log);
-        self.next = Some(found.next);
+        self.next = Some(found.next_seq);
         Ok(())
     }
 
@@ -443,15 +456,15 @@
     /// Compares the last recovered record with the watermark, and returns the higher sequence number.
     fn check_watermark<S: Storage>(&mut self, storage: &mut S) -> u64 {
         let found = self.next.map_or(0, |next| next - 1);
-        match self.log_id.map(|log_id| marked(storage, &log_id)) {
+        match self.log_id.map(|log_id| read_watermark(storage, &log_id)) {
             None => self.report_loss(DataLoss::NoLog),
             Some(None) => self.report_loss(DataLoss::NoWatermark),
-            Some(Some(marked)) if marked > found => {
+            Some(Some(watermark)) if watermark > found => {
                 self.report_loss(DataLoss::Rewound {
-                    counted: marked,
+                    counted: watermark,
                     found,
                 });
-                return marked;
+                return watermark;
             }
             Some(Some(_)) => {}
         }
@@ -460,44 +473,46 @@
 }
 
 impl<S: Storage> Log<S> {
-    /// Begins a log where none is, saying that there never was one: nothing is lost at its next opening.
+    /// Creates a log in an empty storage. By this the operator states that there was no log before, so that the next opening
+    /// reports no loss.
     ///
     /// # Errors
     ///
-    /// One is there already, or the operating system's.
+    /// [`OpenError::AlreadyExists`] if there is a log, [`OpenError::Io`] if an operation of the file system fails.
     pub fn begin(mut storage: S, identity: &Identity) -> Result<(), OpenError> {
-        if !segments(&mut storage)
-            .map_err(doing("list", "the folder"))?
+        if !segment_numbers(&mut storage)
+            .map_err(io_error("list", "the folder"))?
             .is_empty()
         {
             return Err(OpenError::AlreadyExists);
         }
-        Log::make(storage, identity, identity.fresh, 1, 1, 0, false).map(|_| ())
+        Log::create(storage, identity, identity.fresh, 1, 1, 0, false).map(|_| ())
     }
 
-    /// Reads a log again, every record in the order in which they were written, and goes on behind it in a segment
-    /// of its own. The storage must be this process's alone.
+    /// Recovers a log: passes every record to `visit` in the order in which they were written, and starts a new segment for
+    /// further writes. No other process may use the storage.
     ///
     /// # Errors
     ///
-    /// What a person has to mend; a log that lost something opens, and says so.
+    /// [`OpenError`], which needs the operator. A log that has lost records still opens, and reports it in
+    /// [`Recovery::lost`].
     pub fn open(
         mut storage: S,
         identity: &Identity,
         mut visit: impl FnMut(Record<'_>),
     ) -> Result<(Log<S>, Recovery), OpenError> {
         let mut chain = SegmentChain::default();
-        let numbers = segments(&mut storage).map_err(doing("list", "the folder"))?;
+        let numbers = segment_numbers(&mut storage).map_err(io_error("list", "the folder"))?;
         let newest = numbers.last().copied();
         for segment in numbers {
             let is_newest = Some(segment) == newest;
             chain.recover(&mut storage, identity, segment, is_newest, &mut visit)?;
         }
-        // Records that were written and never synced have been visited. They must stay, or the next segment would begin
-        // after a gap.
+        // Records that were written and never synced have been visited. They must become durable, or after a loss of power
+        // the next segment would begin after a gap.
         if let Some(segment) = chain.last_segment {
-            let file = name(segment);
-            storage.sync(&file).map_err(doing("sync", &file))?;
+            let file = segment_file(segment);
+            storage.sync(&file).map_err(io_error("sync", &file))?;
         }
         let durable = chain.check_watermark(&mut storage);
         let after_loss = chain.recovery.lost.is_some();
@@ -505,15 +520,15 @@
         let first = durable + 1 + u64::from(after_loss);
         let log_id = chain.log_id.unwrap_or(identity.fresh);
         let segment = chain.last_segment.unwrap_or(0) + 1;
-        let mut log = Log::make(
+        let mut log = Log::create(
             storage, identity, log_id, segment, first, durable, after_loss,
         )?;
         log.segments.append(&mut chain.segments);
         Ok((log, chain.recovery))
     }
 
-    /// Makes a segment and the log that writes to it.
-    fn make(
+    /// Creates a segment and the watermark, and the log that writes to them.
+    fn create(
         storage: S,
         identity: &Identity,
         log: [u8; 16],
@@ -534,31 +549,35 @@
             unsynced: false,
             failed: None,
         };
-        log.turn_to(segment, after_loss)
-            .map_err(doing("make", &name(segment)))?;
-        let slots = [mark(&log.log, durable), mark(&log.log, durable)].concat();
-        let marked = match log
+        log.start_segment(segment, after_loss)
+            .map_err(io_error("make", &segment_file(segment)))?;
+        let slots = [
+            encode_watermark(&log.log, durable),
+            encode_watermark(&log.log, durable),
+        ]
+        .concat();
+        let watermark_file = match log
             .storage
             .names()
-            .map(|names| names.iter().any(|name| name == MARK))
+            .map(|names| names.iter().any(|name| name == WATERMARK_FILE))
         {
             Ok(true) => Ok(()),
-            Ok(false) => log.storage.create(MARK),
+            Ok(false) => log.storage.create(WATERMARK_FILE),
             Err(e) => Err(e),
         };
-        marked
-            .and_then(|()| log.storage.overwrite(MARK, 0, &slots))
-            .and_then(|()| log.storage.sync(MARK))
+        watermark_file
+            .and_then(|()| log.storage.overwrite(WATERMARK_FILE, 0, &slots))
+            .and_then(|()| log.storage.sync(WATERMARK_FILE))
             .and_then(|()| log.storage.sync_folder())
-            .map_err(doing("write", MARK))?;
+            .map_err(io_error("write", WATERMARK_FILE))?;
         Ok(log)
     }
 
-    /// Makes a file with its header, down on the disk, and writes there from now on.
-    fn turn_to(&mut self, segment: u64, after_loss: bool) -> io::Result<()> {
-        let file = name(segment);
+    /// Creates a segment with its header, syncs it, and makes it the one that is written to.
+    fn start_segment(&mut self, segment: u64, after_loss: bool) -> io::Result<()> {
+        let file = segment_file(segment);
         self.storage.create(&file)?;
-        let begun = self.storage.identity(&file).and_then(|identity| {
+        let created = self.storage.identity(&file).and_then(|identity| {
             let header = Header {
                 instance: self.identity.instance.clone(),
                 log: self.log,
@@ -574,17 +593,19 @@
             self.storage.sync_folder()?;
             Ok(bytes)
         });
-        let bytes = match begun {
+        let bytes = match created {
             Ok(bytes) => bytes,
             Err(e) => {
-                // A file that is half made would be damage at the next opening.
+                // The next opening would report a segment with an incomplete header as damaged.
                 self.storage.remove(&file)?;
                 return Err(e);
             }
         };
-        // What was just encoded decodes; if it does not, nothing may be written behind it.
+        // The header that was just encoded should decode. If it does not, no records may be written after it.
         let (_, scanner) = Header::decode(&bytes).map_err(|problem| {
-            io::Error::other(format!("a header that does not read: {problem:?}"))
+            io::Error::other(format!(
+                "the new segment's header cannot be decoded: {problem:?}"
+            ))
         })?;
         self.salt = scanner.salt();
         self.segments.insert(
@@ -598,11 +619,11 @@
         Ok(())
     }
 
-    /// Appends records, and, with `durable`, returns once they and all before them are on the disk.
+    /// Appends records. With `durable`, returns once these records and all earlier ones are durable.
     ///
     /// # Errors
     ///
-    /// None of them counts, and why.
+    /// [`WriteError`]; none of the records is durable then.
     pub fn write(
         &mut self,
         payloads: &[impl AsRef<[u8]>],
@@ -618,7 +639,7 @@
             }
             encode(self.salt, seq, payload.as_ref(), &mut frames);
         }
-        let file = name(self.current);
+        let file = segment_file(self.current);
         let length = self
             .segments
             .get(&self.current)
@@ -628,7 +649,7 @@
                 return match self.storage.truncate(&file, length) {
                     Ok(()) => Err(WriteError::NotWritten(why.to_string())),
                     Err(e) => Err(self.fail(format!(
-                        "{why}, and what was half written is not cut off: {e}"
+                        "{why}, and the partial write could not be truncated: {e}"
                     ))),
                 };
             }
@@ -644,22 +665,25 @@
         }
     }
 
-    /// Makes all that is written count.
+    /// Makes all written records durable, and moves the watermark to the last of them.
     fn sync(&mut self) -> Result<(), WriteError> {
         if !self.unsynced {
             return Ok(());
         }
-        if let Err(why) = self.storage.sync(&name(self.current)) {
+        if let Err(why) = self.storage.sync(&segment_file(self.current)) {
             return Err(self.fail(format!("fsync: {why}")));
         }
         self.unsynced = false;
         self.durable = self.next - 1;
-        // Not synced itself: behind a crash of the process it is right, behind one of the machine it says too little,
-        // never too much. Two slots in turn, so that one is whole. If it cannot be written, less is found out.
-        let at = (self.durable % 2) * SLOT as u64;
-        _ = self
-            .storage
-            .overwrite(MARK, at, &mark(&self.log, self.durable));
+        // The watermark is not synced itself: after a crash of the process it is exact; after a crash of the machine it may
+        // be too low, but never too high. Its two slots are written in turn, so that one of them is always complete. If it
+        // cannot be written, the next recovery may detect fewer losses.
+        let at = (self.durable % 2) * SLOT_BYTES as u64;
+        _ = self.storage.overwrite(
+            WATERMARK_FILE,
+            at,
+            &encode_watermark(&self.log, self.durable),
+        );
         Ok(())
     }
 
@@ -668,30 +692,32 @@
         WriteError::Failed(why)
     }
 
-    /// Turns to a new segment. Once its writer has written again all that it still wants, [`Log::retire`] lets go of
-    /// those before it.
+    /// Starts a new segment, and returns its number. Once the log's writer has rewritten the records that it still needs,
+    /// [`Log::retire`] removes the segments before it.
     ///
     /// # Errors
     ///
-    /// The old segment is written to as before if the new one could not be made.
+    /// [`WriteError::NotWritten`] if the segment could not be created, and writes go on in the old one;
+    /// [`WriteError::Failed`] if the log has failed.
     pub fn rotate(&mut self) -> Result<u64, WriteError> {
         if let Some(why) = &self.failed {
             return Err(WriteError::Failed(why.clone()));
         }
         self.sync()?;
         let segment = self.current + 1;
-        match self.turn_to(segment, false) {
+        match self.start_segment(segment, false) {
             Ok(()) => Ok(segment),
             Err(why) => Err(WriteError::NotWritten(why.to_string())),
         }
     }
 
-    /// Lets go of all segments before this one, once all that is written counts. The oldest goes first, so that a crash
-    /// in between leaves no gap. The last damaged one is set aside for a person to look at.
+    /// Removes all segments before this one, after making all written records durable. The oldest is removed first, so that a
+    /// crash in between leaves no gap. A damaged segment is renamed to `damaged` instead, for inspection by the operator;
+    /// only the last damaged one is kept.
     ///
     /// # Errors
     ///
-    /// What is left will go the next time.
+    /// [`WriteError`]; the segments that are left are removed by the next call.
     pub fn retire(&mut self, before: u64) -> Result<(), WriteError> {
         self.sync()?;
         let old: Vec<u64> = self
@@ -700,16 +726,16 @@
             .map(|(n, _)| *n)
             .collect();
         for segment in old {
-            let file = name(segment);
-            let gone = match self
+            let file = segment_file(segment);
+            let removed = match self
                 .segments
                 .get(&segment)
                 .is_some_and(|segment| segment.damaged)
             {
-                true => self.storage.rename(&file, ASIDE),
+                true => self.storage.rename(&file, DAMAGED_FILE),
                 false => self.storage.remove(&file),
             };
-            gone.map_err(|e| WriteError::NotWritten(format!("cannot let go of {file}: {e}")))?;
+            removed.map_err(|e| WriteError::NotWritten(format!("cannot remove {file}: {e}")))?;
             self.segments.remove(&segment);
         }
         self.storage
@@ -717,27 +743,27 @@
             .map_err(|e| WriteError::NotWritten(e.to_string()))
     }
 
-    /// The segment that is written to.
+    /// The number of the segment that is written to.
     pub fn segment(&self) -> u64 {
         self.current
     }
 
-    /// The last number that counts.
+    /// The last durable sequence number.
     pub fn durable(&self) -> u64 {
         self.durable
     }
 
-    /// Bytes of all segments.
+    /// Total length of all segments, in bytes.
     pub fn bytes(&self) -> u64 {
         self.segments.values().map(|segment| segment.bytes).sum()
     }
 
-    /// The storage beneath.
+    /// The storage that the log works on.
     pub fn storage_mut(&mut self) -> &mut S {
         &mut self.storage
     }
 
-    /// Ends it, giving the storage back.
+    /// Closes the log, and returns its storage.
     pub fn into_storage(self) -> S {
         self.storage
     }
--- a/crates/emberpin-wal/src/service.rs
+++ b/crates/emberpin-wal/src/service.rs
@@ -7,12 +7,12 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-/// Bound of the queued commands.
-const QUEUE: usize = 8192;
-/// Bound of the queued records, in bytes.
-const QUEUED_BYTES: usize = 16 << 20;
-/// A write is not extended by further records beyond this many bytes.
-const GROUP_BYTES: usize = 1 << 20;
+/// The maximum number of queued commands.
+const MAX_QUEUED_COMMANDS: usize = 8192;
+/// The maximum total size of the queued records, in bytes.
+const MAX_QUEUED_BYTES: usize = 16 << 20;
+/// The size in bytes from which on no further records are added to a group.
+const MAX_GROUP_BYTES: usize = 1 << 20;
 
 /// The caller's id of a record until it is durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -31,24 +31,24 @@
     Retire(u64),
 }
 
-/// What has become of the queued commands.
+/// The outcome of queued commands.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LogEvent {
     /// These records are durable.
     Durable(Vec<Ticket>),
-    /// None of these records is durable, and why.
+    /// None of these records is durable, for this reason.
     Failed(Vec<Ticket>, WriteError),
     /// Records appended from now on go to this segment; or why the log was not rotated.
     Rotated(Result<u64, WriteError>),
 }
 
-/// Handle of the thread. When it is dropped, the thread writes all queued records and ends.
+/// Handle of the log's thread. When the handle is dropped, the thread writes all queued records and ends.
 pub struct Service {
     commands: Option<SyncSender<Command>>,
     thread: Option<JoinHandle<()>>,
-    queued: Arc<AtomicUsize>,
+    queued_bytes: Arc<AtomicUsize>,
     bytes: Arc<AtomicU64>,
-    syncs: Arc<AtomicU64>,
+    synced_groups: Arc<AtomicU64>,
 }
 
 impl Service {
@@ -56,21 +56,21 @@
     ///
     /// # Errors
     ///
-    /// If the operating system starts no thread.
+    /// If the operating system cannot start a thread.
     pub fn start<S: Storage + Send + 'static>(
         log: Log<S>,
         notify: impl Fn(LogEvent) + Send + 'static,
     ) -> std::io::Result<Service> {
-        let (commands, received) = sync_channel(QUEUE);
-        let queued = Arc::new(AtomicUsize::new(0));
+        let (commands, receiver) = sync_channel(MAX_QUEUED_COMMANDS);
+        let queued_bytes = Arc::new(AtomicUsize::new(0));
         let bytes = Arc::new(AtomicU64::new(log.bytes()));
-        let syncs = Arc::new(AtomicU64::new(0));
+        let synced_groups = Arc::new(AtomicU64::new(0));
         let worker = Worker {
             log,
-            received,
-            queued: queued.clone(),
+            receiver,
+            queued_bytes: queued_bytes.clone(),
             bytes: bytes.clone(),
-            syncs: syncs.clone(),
+            synced_groups: synced_groups.clone(),
         };
         let thread = std::thread::Builder::new()
             .name("emberpin-wal".into())
@@ -78,27 +78,27 @@
         Ok(Service {
             commands: Some(commands),
             thread: Some(thread),
-            queued,
+            queued_bytes,
             bytes,
-            syncs,
+            synced_groups,
         })
     }
 
-    /// Queues a record. With a ticket, [`LogEvent::Durable`] or [`LogEvent::Failed`] follows; without one it is written
-    /// soon, and becomes durable with the next record that has one.
+    /// Queues a record. With a ticket, [`LogEvent::Durable`] or [`LogEvent::Failed`] follows; without one, the record
+    /// is written with the next group, and becomes durable with the next record that has a ticket.
     ///
     /// # Errors
     ///
     /// If the queue is full.
     pub fn append(&self, payload: Vec<u8>, ticket: Option<Ticket>) -> Result<(), QueueFull> {
         let size = payload.len();
-        if self.queued.fetch_add(size, Ordering::Relaxed) + size > QUEUED_BYTES {
-            self.queued.fetch_sub(size, Ordering::Relaxed);
+        if self.queued_bytes.fetch_add(size, Ordering::Relaxed) + size > MAX_QUEUED_BYTES {
+            self.queued_bytes.fetch_sub(size, Ordering::Relaxed);
             return Err(QueueFull);
         }
         self.send(Command::Append { payload, ticket })
             .inspect_err(|_| {
-                self.queued.fetch_sub(size, Ordering::Relaxed);
+                self.queued_bytes.fetch_sub(size, Ordering::Relaxed);
             })
     }
 
@@ -111,7 +111,7 @@
         self.send(Command::Rotate)
     }
 
-    /// Queues the removal of the segments before this one, once all that was appended earlier is durable.
+    /// Queues the removal of the segments before this one, once all records appended earlier are durable.
     ///
     /// # Errors
     ///
@@ -136,7 +136,7 @@
 
     /// Number of groups synced so far, failed ones included.
     pub fn groups(&self) -> u64 {
-        self.syncs.load(Ordering::Relaxed)
+        self.synced_groups.load(Ordering::Relaxed)
     }
 }
 
@@ -144,7 +144,7 @@
     fn drop(&mut self) {
         self.commands = None;
         if let Some(thread) = self.thread.take() {
-            // One that panicked has nothing left to say.
+            // The result of a thread that panicked is of no use here.
             _ = thread.join();
         }
     }
@@ -152,30 +152,32 @@
 
 struct Worker<S> {
     log: Log<S>,
-    received: Receiver<Command>,
-    queued: Arc<AtomicUsize>,
+    receiver: Receiver<Command>,
+    queued_bytes: Arc<AtomicUsize>,
     bytes: Arc<AtomicU64>,
-    syncs: Arc<AtomicU64>,
+    synced_groups: Arc<AtomicU64>,
 }
 
 impl<S: Storage> Worker<S> {
     fn run(mut self, notify: &dyn Fn(LogEvent)) {
         let mut next = None;
-        while let Some(command) = next.take().or_else(|| self.received.recv().ok()) {
+        while let Some(command) = next.take().or_else(|| self.receiver.recv().ok()) {
             match command {
-                Command::Append { payload, ticket } => next = self.group(payload, ticket, notify),
+                Command::Append { payload, ticket } => {
+                    next = self.write_group(payload, ticket, notify)
+                }
                 Command::Rotate => notify(LogEvent::Rotated(self.log.rotate())),
-                // What is left goes the next time.
+                // Segments that cannot be removed now are removed by the next retirement.
                 Command::Retire(before) => _ = self.log.retire(before),
             }
             self.bytes.store(self.log.bytes(), Ordering::Relaxed);
         }
-        // The last records without a ticket.
+        // Makes the last records without a ticket durable.
         _ = self.log.write(&[] as &[Vec<u8>], true);
     }
 
     /// Writes the queued records as one group; returns the first command that is not a record.
-    fn group(
+    fn write_group(
         &mut self,
         payload: Vec<u8>,
         ticket: Option<Ticket>,
@@ -184,8 +186,8 @@
         let mut size = payload.len();
         let (mut payloads, mut tickets) = (vec![payload], Vec::from_iter(ticket));
         let mut other = None;
-        while size < GROUP_BYTES {
-            match self.received.try_recv() {
+        while size < MAX_GROUP_BYTES {
+            match self.receiver.try_recv() {
                 Ok(Command::Append { payload, ticket }) => {
                     size += payload.len();
                     payloads.push(payload);
@@ -199,9 +201,9 @@
             }
         }
         let written = self.log.write(&payloads, !tickets.is_empty());
-        self.queued.fetch_sub(size, Ordering::Relaxed);
+        self.queued_bytes.fetch_sub(size, Ordering::Relaxed);
         if !tickets.is_empty() {
-            self.syncs.fetch_add(1, Ordering::Relaxed);
+            self.synced_groups.fetch_add(1, Ordering::Relaxed);
             notify(match written {
                 Ok(()) => LogEvent::Durable(tickets),
                 Err(problem) => LogEvent::Failed(tickets, problem),
--- a/crates/emberpin-wal/src/storage.rs
+++ b/crates/emberpin-wal/src/storage.rs
@@ -1,8 +1,8 @@
-//! What a log needs of a file system, so that tests can break each of its promises.
+//! The operations of a file system that a log uses, as a trait, so that tests can inject faults into each of them.
 
 use std::io;
 
-/// Tells a file from a copy of it: a copy has another number, or another time of birth.
+/// Distinguishes a file from a copy of it: a copy has another inode number, or another time of creation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct FileIdentity {
     /// Inode number.
@@ -13,7 +13,8 @@
 
 /// One folder of files. Names are plain file names.
 ///
-/// Errors are the operating system's; after one, what a write has done is unknown until it is truncated.
+/// Errors are those of the operating system. After an error of a write, the content of the file is unknown until the file
+/// is truncated.
 pub trait Storage {
     /// All names in the folder, in any order.
     ///
@@ -21,55 +22,55 @@
     ///
     /// The folder cannot be read.
     fn names(&mut self) -> io::Result<Vec<String>>;
-    /// Makes an empty file; one that is there already is an error.
+    /// Creates an empty file.
     ///
     /// # Errors
     ///
-    /// The file exists already, or cannot be made.
+    /// The file exists already, or cannot be created.
     fn create(&mut self, name: &str) -> io::Result<()>;
-    /// What tells this file from its copies.
+    /// The identity that distinguishes this file from its copies.
     ///
     /// # Errors
     ///
     /// The file is not there, or cannot be read.
     fn identity(&mut self, name: &str) -> io::Result<FileIdentity>;
-    /// Writes at the end of a file, which may be written in part when this fails.
+    /// Appends bytes to a file. After an error, part of them may have been written.
     ///
     /// # Errors
     ///
     /// The bytes were not written, or only in part.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Writes over a file's bytes from `at` on, lengthening it if need be.
+    /// Overwrites a file's bytes from offset `at` on, and extends the file if necessary.
     ///
     /// # Errors
     ///
     /// The bytes were not written, or only in part.
     fn overwrite(&mut self, name: &str, at: u64, bytes: &[u8]) -> io::Result<()>;
-    /// Reads from `at` on; 0 at the end.
+    /// Reads bytes from offset `at` on, and returns how many; 0 at the end of the file.
     ///
     /// # Errors
     ///
     /// The file is not there, or cannot be read.
     fn read(&mut self, name: &str, at: u64, into: &mut [u8]) -> io::Result<usize>;
-    /// Cuts a file to `length` bytes.
+    /// Truncates a file to `length` bytes.
     ///
     /// # Errors
     ///
     /// The file keeps its length.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
-    /// Returns once a file's bytes outlast a loss of power (fdatasync(2)).
+    /// Returns once a file's bytes would survive a loss of power (fdatasync(2)).
     ///
     /// # Errors
     ///
-    /// Nothing written since the last success may be taken to outlast a loss of power.
+    /// The bytes written since the last successful sync may not survive a loss of power.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// The same for the folder: names made and removed.
+    /// Returns once the names in the folder, created, changed or removed, would survive a loss of power.
     ///
     /// # Errors
     ///
-    /// No name made, changed or removed since the last success may be taken to outlast one.
+    /// The names created, changed or removed since the last successful sync may not survive a loss of power.
     fn sync_folder(&mut self) -> io::Result<()>;
-    /// Gives a file another name, in place of any that has it.
+    /// Renames a file, and replaces any file that has the new name.
     ///
     /// # Errors
     ///
@@ -79,11 +80,11 @@
     ///
     /// # Errors
     ///
-    /// The file stays.
+    /// The file is not removed.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// A storage that outlives the log over it.
+/// Lets a log borrow its storage, which can then be used after the log is dropped.
 impl<S: Storage> Storage for &mut S {
     fn names(&mut self) -> io::Result<Vec<String>> {
         (**self).names()
