--- a/crates/emberpin-wal/tests/common/mod.rs
+++ b/crates/emberpin-wal/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A storage in memory that breaks as told: it dies at a given step, runs full, or fails an fsync.
+//! A storage in memory with fault injection: it crashes at a given step, has no space left, or fails an fsync.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use emberpin_wal::{FileIdentity, Identity, Log, OpenError, Record, Recovery, Storage};
@@ -8,46 +8,48 @@
 #[derive(Clone, Debug, Default)]
 pub struct File {
     pub bytes: Vec<u8>,
-    /// What outlasts a loss of power.
+    /// The bytes that survive a loss of power.
     pub synced: Vec<u8>,
     pub inode: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// The process dies before the step is done; of a write, half is.
-    Die,
-    /// The disk has so many bytes left, and no more.
-    Full,
-    /// An fsync fails, once; the next says that all is well, as kernels do.
-    Sync,
+    /// The process crashes before the step is done, or in the middle of an append, of which half is written.
+    Crash,
+    /// The disk has no space left after half of an append.
+    OutOfSpace,
+    /// An fsync fails once; the next one reports success, as it does on Linux, although the earlier bytes may be lost.
+    SyncFails,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Memory {
     pub files: BTreeMap<String, File>,
-    /// Names that outlast a loss of power, with the file that each names.
+    /// The names that survive a loss of power, with the inode of the file that each refers to.
     pub names: BTreeMap<String, u64>,
     next_inode: u64,
-    /// Steps so far that change something.
+    /// The number of steps so far; a step is an operation that changes something.
     pub steps: u64,
+    /// The step at which a fault is injected, and the fault.
     pub fault: Option<(u64, Fault)>,
-    dead: bool,
-    pub room: Option<usize>,
+    crashed: bool,
+    /// The free space in bytes; `None` is unlimited.
+    pub free_space: Option<usize>,
 }
 
 impl Memory {
-    /// Whether the process goes on; counts one step.
+    /// Counts a step, and returns the fault injected at it. Fails once the process has crashed.
     fn step(&mut self) -> io::Result<Option<Fault>> {
-        if self.dead {
-            return Err(io::Error::other("dead"));
+        if self.crashed {
+            return Err(io::Error::other("crashed"));
         }
         self.steps += 1;
         let fault = self
             .fault
             .filter(|(at, _)| *at == self.steps)
             .map(|(_, fault)| fault);
-        self.dead = fault == Some(Fault::Die);
+        self.crashed = fault == Some(Fault::Crash);
         Ok(fault)
     }
 
@@ -57,17 +59,18 @@
             .ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
-    /// What a kill -9 leaves: all that was written.
+    /// The storage after a kill of the process: everything that was written.
     pub fn killed(&self) -> Memory {
         Memory {
-            dead: false,
+            crashed: false,
             fault: None,
             ..self.clone()
         }
     }
 
-    /// What a loss of power leaves: what was synced, and of the rest of each file this part of 4.
-    pub fn without_power(&self, part: usize) -> Memory {
+    /// The storage after a loss of power: the synced bytes, and `quarters` out of four parts of the unsynced bytes of each
+    /// file.
+    pub fn without_power(&self, quarters: usize) -> Memory {
         let mut left = self.killed();
         left.files.clear();
         for (name, inode) in &self.names {
@@ -76,7 +79,7 @@
             };
             let mut bytes = file.synced.clone();
             let rest = file.bytes.get(bytes.len()..).unwrap_or_default();
-            bytes.extend_from_slice(&rest[..rest.len() * part / 4]);
+            bytes.extend_from_slice(&rest[..rest.len() * quarters / 4]);
             left.files.insert(
                 name.clone(),
                 File {
@@ -96,8 +99,8 @@
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        if self.step()? == Some(Fault::Die) {
-            return Err(io::Error::other("dead"));
+        if self.step()? == Some(Fault::Crash) {
+            return Err(io::Error::other("crashed"));
         }
         if self.files.contains_key(name) {
             return Err(io::ErrorKind::AlreadyExists.into());
@@ -122,19 +125,19 @@
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let fault = self.step()?;
-        let room = if fault == Some(Fault::Full) {
+        let free_space = if fault == Some(Fault::OutOfSpace) {
             Some(bytes.len() / 2)
         } else {
-            self.room
+            self.free_space
         };
-        let fits = if fault == Some(Fault::Die) {
+        let max_written = if fault == Some(Fault::Crash) {
             bytes.len() / 2
         } else {
-            room.unwrap_or(usize::MAX)
+            free_space.unwrap_or(usize::MAX)
         };
-        let written = fits.min(bytes.len());
-        if let Some(room) = &mut self.room {
-            *room -= written.min(*room);
+        let written = max_written.min(bytes.len());
+        if let Some(free_space) = &mut self.free_space {
+            *free_space -= written.min(*free_space);
         }
         self.file(name)?.bytes.extend_from_slice(&bytes[..written]);
         match written == bytes.len() {
@@ -144,13 +147,13 @@
     }
 
     fn overwrite(&mut self, name: &str, at: u64, bytes: &[u8]) -> io::Result<()> {
-        if self.step()? == Some(Fault::Die) {
-            return Err(io::Error::other("dead"));
+        if self.step()? == Some(Fault::Crash) {
+            return Err(io::Error::other("crashed"));
         }
         let (file, at) = (self.file(name)?, at as usize);
         file.bytes.resize(file.bytes.len().max(at + bytes.len()), 0);
         file.bytes[at..at + bytes.len()].copy_from_slice(bytes);
-        // A sector: whole or not at all, so it may as well be on the disk already.
+        // A write within one sector is atomic; it is modelled as on the disk at once.
         file.synced = file.bytes.clone();
         Ok(())
     }
@@ -164,8 +167,8 @@
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
-        if self.step()? == Some(Fault::Die) {
-            return Err(io::Error::other("dead"));
+        if self.step()? == Some(Fault::Crash) {
+            return Err(io::Error::other("crashed"));
         }
         self.file(name)?.bytes.truncate(length as usize);
         Ok(())
@@ -173,8 +176,8 @@
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
         match self.step()? {
-            Some(Fault::Die) => Err(io::Error::other("dead")),
-            Some(Fault::Sync) => Err(io::Error::other("the disk is ill")),
+            Some(Fault::Crash) => Err(io::Error::other("crashed")),
+            Some(Fault::SyncFails) => Err(io::Error::other("injected fault: fsync failed")),
             _ => {
                 let file = self.file(name)?;
                 file.synced = file.bytes.clone();
@@ -184,8 +187,8 @@
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
-        if self.step()? == Some(Fault::Die) {
-            return Err(io::Error::other("dead"));
+        if self.step()? == Some(Fault::Crash) {
+            return Err(io::Error::other("crashed"));
         }
         self.names = self
             .files
@@ -196,8 +199,8 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        if self.step()? == Some(Fault::Die) {
-            return Err(io::Error::other("dead"));
+        if self.step()? == Some(Fault::Crash) {
+            return Err(io::Error::other("crashed"));
         }
         let file = self.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
         self.files.insert(to.into(), file);
@@ -205,8 +208,8 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        if self.step()? == Some(Fault::Die) {
-            return Err(io::Error::other("dead"));
+        if self.step()? == Some(Fault::Crash) {
+            return Err(io::Error::other("crashed"));
         }
         self.files
             .remove(name)
@@ -223,25 +226,26 @@
     }
 }
 
-/// A log that was begun as an operator does it.
-pub fn begun() -> Memory {
+/// A log that was created as by an operator, and has no records.
+pub fn created_log() -> Memory {
     let mut memory = Memory::default();
-    Log::begin(&mut memory, &identity()).expect("begun");
+    Log::begin(&mut memory, &identity()).expect("created_log");
     memory
 }
 
-/// A log, what its opening found, and what was read.
+/// A log, the result of its recovery, and the payloads of the recovered records.
 pub type Opened<S> = (Log<S>, Recovery, Vec<Vec<u8>>);
 
-/// Opens, and tells what was read.
+/// Opens a log, and collects the payloads of its records.
 pub fn open<S: Storage>(storage: S) -> Result<Opened<S>, OpenError> {
-    let mut read = Vec::new();
+    let mut payloads = Vec::new();
     let (log, recovery) = Log::open(storage, &identity(), |Record { payload, .. }| {
-        read.push(payload.to_vec());
+        payloads.push(payload.to_vec());
     })?;
-    Ok((log, recovery, read))
+    Ok((log, recovery, payloads))
 }
 
+/// The payload of record `n`; its length varies with `n`.
 pub fn record(n: u64) -> Vec<u8> {
     let mut bytes = vec![b'r'; (n % 7) as usize * 3];
     bytes.extend_from_slice(&n.to_le_bytes());
--- a/crates/emberpin-wal/tests/recorded.rs
+++ b/crates/emberpin-wal/tests/recorded.rs
@@ -1,4 +1,5 @@
-//! A log's folder as an earlier build left it: two segments with records and a mark, and a record that a kill cut off.
+//! Tests that a log's folder as recorded from an earlier build is recovered: two segments with records, a watermark, and an
+//! incomplete record that a kill left at the end.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -12,9 +13,9 @@
 const FIRST: &str = "0000000001.log";
 const SECOND: &str = "0000000002.log";
 const THIRD: &str = "0000000003.log";
-const MARK: &str = "mark";
-/// Bytes of the last record that the kill left.
-const TORN: usize = 9;
+const WATERMARK_FILE: &str = "mark";
+/// The length in bytes of the incomplete record that the kill left.
+const TORN_BYTES: usize = 9;
 
 fn payloads() -> Vec<Vec<u8>> {
     vec![
@@ -25,24 +26,26 @@
     ]
 }
 
-/// Begun by an operator, opened by one life that wrote three records, turned over and wrote one more.
+/// A log that was created by an operator and opened by one process, which wrote three records, rotated the log, and wrote
+/// one more durable record and one that is not durable.
 fn write_log() -> Memory {
-    let mut memory = begun();
+    let mut memory = created_log();
     let (mut log, recovery, _) = open(&mut memory).expect("open");
     assert_eq!(recovery.lost, None);
     log.write(&payloads()[..3], true).expect("written");
-    log.rotate().expect("turned over");
+    log.rotate().expect("rotated");
     log.write(&payloads()[3..], true).expect("written");
     log.write(&[b"cut off"], false).expect("written");
     memory
 }
 
-/// The same after a kill within the last write.
+/// The log of [`write_log`] after a kill during the last write.
 fn write_torn_log() -> Memory {
     let mut memory = write_log();
     let last = memory.files.get_mut(THIRD).expect("there");
-    let cut_off = 16 + b"cut off".len() + 4;
-    last.bytes.truncate(last.bytes.len() - cut_off + TORN);
+    let frame_bytes = 16 + b"cut off".len() + 4;
+    last.bytes
+        .truncate(last.bytes.len() - frame_bytes + TORN_BYTES);
     memory
 }
 
@@ -58,7 +61,7 @@
     lines("log.txt", || files(&write_torn_log()))
 }
 
-/// The recorded folder, its files with the identities that stand in their headers.
+/// The recorded folder. Its files have the inodes that their headers contain.
 fn recorded_log() -> Memory {
     let mut memory = Memory::default();
     for (name, bytes) in recorded_files() {
@@ -84,14 +87,14 @@
 }
 
 #[test]
-fn the_recorded_folder_has_its_segments_and_its_mark() {
+fn the_recorded_folder_has_its_segments_and_its_watermark() {
     let names: Vec<String> = recorded_files().into_iter().map(|(name, _)| name).collect();
-    assert_eq!(names, [FIRST, SECOND, THIRD, MARK]);
+    assert_eq!(names, [FIRST, SECOND, THIRD, WATERMARK_FILE]);
     assert_eq!(VERSION, 1);
 }
 
 #[test]
-fn a_recorded_log_is_recovered_whole_but_for_the_record_that_was_cut_off() {
+fn a_recorded_log_is_recovered_except_for_the_incomplete_record() {
     let bytes: usize = [FIRST, SECOND, THIRD]
         .map(|name| recorded_file(name).len())
         .iter()
@@ -103,14 +106,14 @@
         Recovery {
             records: 4,
             bytes: bytes as u64,
-            torn: TORN as u64,
+            torn: TORN_BYTES as u64,
             lost: None
         }
     );
 }
 
 #[test]
-fn records_of_a_recorded_log_have_their_numbers_and_the_boot_they_were_written_in() {
+fn records_of_a_recorded_log_have_their_sequence_numbers_and_their_boot() {
     let mut read = Vec::new();
     Log::open(recorded_log(), &identity(), |record| {
         read.push((record.seq, record.same_boot));
@@ -119,12 +122,12 @@
     assert_eq!(read, [(1, true), (2, true), (3, true), (4, true)]);
 }
 
-/// The mark says how far the log counted: without the last record it is found out.
+/// The watermark holds the last durable sequence number, so the loss of the last durable record is detected.
 #[test]
-fn a_recorded_mark_still_tells_that_a_record_that_counted_is_gone() {
+fn a_missing_durable_record_is_detected_by_the_recorded_watermark() {
     let mut log = recorded_log();
     let last = log.files.get_mut(THIRD).expect("there");
-    last.bytes.truncate(last.bytes.len() - TORN - 1);
+    last.bytes.truncate(last.bytes.len() - TORN_BYTES - 1);
     let (_, recovery, _) = open(log).expect("open");
     assert_eq!(
         recovery.lost,
@@ -140,7 +143,7 @@
     for (name, segment, first, inode) in [(FIRST, 1, 1, 1), (SECOND, 2, 1, 3), (THIRD, 3, 4, 4)] {
         let bytes = recorded_file(name);
         let (header, scanner) = Header::decode(&bytes).expect("a header");
-        let written_down = Header {
+        let expected = Header {
             instance: "n0".into(),
             log: [9; 16],
             segment,
@@ -152,7 +155,7 @@
             boot: [1; 16],
             after_loss: false,
         };
-        assert_eq!(header, written_down, "{name}");
+        assert_eq!(header, expected, "{name}");
         assert_eq!(
             hex(&header.encode()),
             hex(&bytes[..scanner.at() as usize]),
--- a/crates/emberpin-wal/tests/recovery.rs
+++ b/crates/emberpin-wal/tests/recovery.rs
@@ -1,4 +1,5 @@
-//! What is read again after each thing that can happen to a log, and that nothing that counted goes missing unsaid.
+//! Tests recovery after crashes, losses of power, damage, copies and full disks: all durable records are recovered, or
+//! the recovery reports a loss.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -10,9 +11,9 @@
 const FIRST: &str = "0000000001.log";
 const SECOND: &str = "0000000002.log";
 
-/// A log of this many records, all of which count, and its folder.
-fn written(records: u64) -> Memory {
-    let mut memory = begun();
+/// A storage with a log of this many records, all of which are durable.
+fn log_of(records: u64) -> Memory {
+    let mut memory = created_log();
     let (mut log, recovery, _) = open(&mut memory).expect("open");
     assert_eq!(recovery.lost, None);
     for n in 1..=records {
@@ -22,8 +23,8 @@
 }
 
 #[test]
-fn what_counted_is_read_again_in_order_and_nothing_is_lost() {
-    let (_, recovery, read) = open(written(20)).expect("open");
+fn durable_records_are_recovered_in_order_without_a_reported_loss() {
+    let (_, recovery, read) = open(log_of(20)).expect("open");
     assert_eq!(read, (1..=20).map(record).collect::<Vec<_>>());
     assert_eq!(
         (recovery.records, recovery.torn, recovery.lost),
@@ -32,11 +33,11 @@
 }
 
 #[test]
-fn a_log_cut_at_every_byte_gives_the_whole_records_before_and_says_that_some_are_lost() {
-    let whole = written(12);
-    let length = whole.files[SECOND].bytes.len();
+fn a_log_truncated_at_any_byte_yields_the_complete_records_and_reports_a_loss() {
+    let intact = log_of(12);
+    let length = intact.files[SECOND].bytes.len();
     for cut in 0..length {
-        let mut memory = whole.clone();
+        let mut memory = intact.clone();
         memory
             .files
             .get_mut(SECOND)
@@ -50,7 +51,7 @@
             "cut at {cut}"
         );
         assert!(read.len() < 12, "cut at {cut}");
-        // All twelve had counted: the mark says so, whatever the cut left.
+        // The watermark says that all twelve records were durable, wherever the file was truncated.
         assert!(
             matches!(recovery.lost, Some(DataLoss::Rewound { counted: 12, .. })),
             "cut at {cut}: {recovery:?}"
@@ -59,12 +60,12 @@
 }
 
 #[test]
-fn one_byte_flipped_at_every_offset_is_never_taken_for_what_was_written() {
-    let whole = written(6);
+fn a_bit_flipped_at_any_offset_is_never_recovered_as_a_valid_record() {
+    let intact = log_of(6);
     for file in [FIRST, SECOND] {
-        for at in 0..whole.files[file].bytes.len() {
+        for at in 0..intact.files[file].bytes.len() {
             for bit in [0x01, 0x80] {
-                let mut memory = whole.clone();
+                let mut memory = intact.clone();
                 memory.files.get_mut(file).expect("there").bytes[at] ^= bit;
                 match open(memory) {
                     Ok((_, recovery, read)) => {
@@ -75,7 +76,7 @@
                             "{file}, {at}"
                         );
                     }
-                    // The version's own two bytes.
+                    // The two bytes of the format version.
                     Err(OpenError::Version { .. }) => {
                         assert!((8..10).contains(&at), "{file}, {at}");
                     }
@@ -84,19 +85,20 @@
             }
         }
     }
-    for at in 0..whole.files["mark"].bytes.len() {
-        let mut memory = whole.clone();
+    for at in 0..intact.files["mark"].bytes.len() {
+        let mut memory = intact.clone();
         memory.files.get_mut("mark").expect("there").bytes[at] ^= 1;
-        // One of its two slots is left: it says one record less, or all.
+        // The other of the two slots is valid: it holds the last sequence number or the one before.
         assert_eq!(open(memory).expect("open").1.lost, None, "{at}");
     }
 }
 
-/// What one life writes, in three groups with a turn to another segment; the numbers that counted.
-fn life(memory: &mut Memory) -> Vec<u64> {
-    let mut counted = Vec::new();
+/// Opens the log, writes three groups of records with a compaction in between, and returns the numbers of the records
+/// that were reported as durable.
+fn write_groups(memory: &mut Memory) -> Vec<u64> {
+    let mut durable_numbers = Vec::new();
     let Ok((mut log, ..)) = open(&mut *memory) else {
-        return counted;
+        return durable_numbers;
     };
     let mut n = 0;
     for group in [1, 3, 2] {
@@ -104,65 +106,65 @@
         n += group;
         let payloads: Vec<Vec<u8>> = numbers.iter().copied().map(record).collect();
         if log.write(&payloads, true).is_ok() {
-            counted.extend(numbers);
+            durable_numbers.extend(numbers);
         }
         if group == 3 && log.rotate().is_ok() {
-            // All that is wanted is written again, and the old goes.
+            // Compaction: all records are rewritten, and the old segments are removed.
             let again: Vec<Vec<u8>> = (1..=n).map(record).collect();
             if log.write(&again, true).is_ok() {
                 _ = log.retire(log.segment());
             }
         }
     }
-    counted
+    durable_numbers
 }
 
-/// Dies at every single step, by a kill or a loss of power that keeps any part of what was not synced.
+/// Crashes at every single step, by a kill or by a loss of power after which any part of the unsynced bytes is left.
 #[test]
-fn a_death_at_every_step_loses_nothing_that_counted_and_is_not_called_a_loss() {
-    let mut whole = begun();
-    let before = whole.steps;
-    life(&mut whole);
-    assert!(whole.steps > before + 15, "{}", whole.steps);
-    for at in before + 1..=whole.steps {
-        let mut memory = begun();
-        memory.fault = Some((at, Fault::Die));
-        let counted = life(&mut memory);
-        let left =
-            std::iter::once(memory.killed()).chain((0..=4).map(|part| memory.without_power(part)));
-        for (way, mut left) in left.enumerate() {
+fn a_crash_at_any_step_loses_no_durable_record_and_is_not_reported_as_a_loss() {
+    let mut intact = created_log();
+    let before = intact.steps;
+    write_groups(&mut intact);
+    assert!(intact.steps > before + 15, "{}", intact.steps);
+    for at in before + 1..=intact.steps {
+        let mut memory = created_log();
+        memory.fault = Some((at, Fault::Crash));
+        let durable_numbers = write_groups(&mut memory);
+        let left = std::iter::once(memory.killed())
+            .chain((0..=4).map(|quarters| memory.without_power(quarters)));
+        for (variant, mut left) in left.enumerate() {
             let (_, recovery, read) =
-                open(&mut left).unwrap_or_else(|e| panic!("{at}, {way}: {e}"));
-            assert_eq!(recovery.lost, None, "death at step {at}, way {way}");
-            for n in &counted {
+                open(&mut left).unwrap_or_else(|e| panic!("{at}, {variant}: {e}"));
+            assert_eq!(recovery.lost, None, "crash at step {at}, variant {variant}");
+            for n in &durable_numbers {
                 assert!(
                     read.contains(&record(*n)),
-                    "death at step {at}, way {way}: {n} had counted"
+                    "crash at step {at}, variant {variant}: record {n} was durable"
                 );
             }
-            // And once more: a death right after is the same.
+            // A crash right after the recovery makes no difference.
             let (_, recovery, again) = open(&mut left).expect("open");
             assert_eq!(
                 (recovery.lost, again),
                 (None, read),
-                "death at step {at}, way {way}"
+                "crash at step {at}, variant {variant}"
             );
         }
     }
 }
 
 #[test]
-fn a_full_disk_refuses_the_record_and_the_log_goes_on_once_there_is_room() {
-    let (mut log, ..) = open(begun()).expect("open");
+fn a_full_disk_fails_the_write_and_the_log_goes_on_once_there_is_space() {
+    let (mut log, ..) = open(created_log()).expect("open");
     log.write(&[record(1)], true).expect("written");
-    // Room for a part of the record: what is half written is cut off again.
-    log.storage_mut().room = Some(7);
+    // Space for a part of the record: the partial write is truncated.
+    log.storage_mut().free_space = Some(7);
     assert!(matches!(
         log.write(&[record(2)], true),
         Err(WriteError::NotWritten(_))
     ));
     assert!(matches!(log.rotate(), Err(WriteError::NotWritten(_))));
-    log.storage_mut().room = None;
+    log.storage_mut().free_space = None;
     log.write(&[record(3)], true).expect("written");
     assert_eq!(log.rotate(), Ok(3));
     log.write(&[record(4)], true).expect("written");
@@ -174,17 +176,17 @@
 }
 
 #[test]
-fn an_fsync_that_fails_is_never_tried_again_as_if_it_had_worked() {
-    let mut memory = begun();
+fn after_a_failed_fsync_all_further_writes_fail() {
+    let mut memory = created_log();
     let (mut log, ..) = open(&mut memory).expect("open");
     log.write(&[record(1)], true).expect("written");
     let steps = log.storage_mut().steps;
-    log.storage_mut().fault = Some((steps + 2, Fault::Sync));
+    log.storage_mut().fault = Some((steps + 2, Fault::SyncFails));
     assert!(matches!(
         log.write(&[record(2)], true),
         Err(WriteError::Failed(_))
     ));
-    // The kernel would say that all is well now, with the pages thrown away.
+    // A second fsync would report success, although the kernel has dropped the unwritten pages.
     assert!(matches!(
         log.write(&[record(3)], true),
         Err(WriteError::Failed(_))
@@ -202,8 +204,8 @@
 }
 
 #[test]
-fn a_log_of_another_version_or_another_instance_is_refused_with_the_way_out() {
-    let mut older = written(1);
+fn a_log_of_another_version_or_instance_is_rejected_with_advice_to_the_operator() {
+    let mut older = log_of(1);
     older.files.get_mut(FIRST).expect("there").bytes[8] = 0;
     let problem = open(older).map(|_| ()).expect_err("another version");
     assert!(
@@ -212,7 +214,7 @@
     );
     let mut other = identity();
     other.instance = "n1".into();
-    let problem = Log::open(written(1), &other, |_| ())
+    let problem = Log::open(log_of(1), &other, |_| ())
         .map(|_| ())
         .expect_err("another instance");
     assert!(
@@ -222,13 +224,13 @@
 }
 
 #[test]
-fn a_log_restored_from_a_copy_of_an_hour_ago_is_found_out() {
-    let copy = written(3);
+fn a_log_restored_from_an_older_copy_is_reported_as_a_loss() {
+    let copy = log_of(3);
     let mut now = copy.clone();
     let (mut log, ..) = open(&mut now).expect("open");
     log.write(&[record(4)], true).expect("written");
     drop(log);
-    // Copied back into new files, the mark with them.
+    // Restored to new files, together with the watermark.
     let mut restored = copy.clone();
     for file in restored.files.values_mut() {
         file.inode += 1000;
@@ -238,18 +240,18 @@
         (read.len(), recovery.lost),
         (3, Some(DataLoss::Copied { file: FIRST.into() }))
     );
-    // It stays found out over a death right after, until all that is wanted is written again.
+    // The loss is still reported after a crash right after, until the log has been compacted.
     log.write(&[record(9)], true).expect("written");
     drop(log);
     let (mut log, recovery, _) = open(&mut restored).expect("open");
     assert!(recovery.lost.is_some());
-    log.rotate().expect("turned");
+    log.rotate().expect("rotated");
     log.write(&[record(9)], true).expect("written");
-    log.retire(log.segment()).expect("let go");
+    log.retire(log.segment()).expect("retired");
     drop(log);
     let (_, recovery, read) = open(&mut restored).expect("open");
     assert_eq!((read, recovery.lost), (vec![record(9)], None));
-    // Written over the very files, their mark left as it was.
+    // Restored over the content of the same files, without the watermark.
     let mut over = now.clone();
     for (name, file) in &copy.files {
         if name != "mark" {
@@ -268,19 +270,19 @@
 }
 
 #[test]
-fn no_log_a_missing_segment_and_a_missing_mark_are_losses() {
+fn a_missing_log_a_missing_segment_and_a_missing_watermark_are_reported_as_losses() {
     let lost = |memory: Memory| open(memory).expect("open").1.lost;
     let mut empty = Memory::default();
     assert_eq!(
         open(&mut empty).expect("open").1.lost,
         Some(DataLoss::NoLog)
     );
-    // A death right after does not make it a log that was begun.
+    // A crash right after does not make it a log that an operator created.
     assert_eq!(lost(empty), Some(DataLoss::EarlierLoss));
-    let mut memory = written(3);
+    let mut memory = log_of(3);
     memory.files.remove("mark");
     assert_eq!(lost(memory), Some(DataLoss::NoWatermark));
-    let mut memory = written(3);
+    let mut memory = log_of(3);
     let (mut log, ..) = open(&mut memory).expect("open");
     log.write(&[record(4)], true).expect("written");
     drop(log);
@@ -292,49 +294,54 @@
         })
     );
     assert!(matches!(
-        Log::begin(written(1), &identity()),
+        Log::begin(log_of(1), &identity()),
         Err(OpenError::AlreadyExists)
     ));
 }
 
 #[test]
-fn a_damaged_segment_is_set_aside_once_all_that_is_wanted_stands_behind_it() {
-    let mut memory = written(3);
+fn a_damaged_segment_is_renamed_when_it_is_retired() {
+    let mut memory = log_of(3);
     let bytes = &mut memory.files.get_mut(SECOND).expect("there").bytes;
     let last = bytes.len() - 1;
     bytes[last] ^= 1;
     let damaged = bytes.clone();
     let (mut log, recovery, read) = open(&mut memory).expect("open");
     assert!(matches!(recovery.lost, Some(DataLoss::Damaged { .. })));
-    assert_eq!(read, [record(1), record(2)], "what can be read is");
+    assert_eq!(
+        read,
+        [record(1), record(2)],
+        "the records before the damage are recovered"
+    );
     log.write(&read, true).expect("written");
-    log.retire(log.segment()).expect("let go");
+    log.retire(log.segment()).expect("retired");
     drop(log);
     assert_eq!(memory.files["damaged"].bytes, damaged);
     assert!(!memory.files.contains_key(SECOND));
 }
 
 #[test]
-fn a_boot_that_is_not_this_one_is_told() {
+fn records_of_another_boot_are_marked_as_such() {
     let mut boots = Vec::new();
     let mut other = identity();
     other.boot = [2; 16];
-    Log::open(written(2), &other, |record| boots.push(record.same_boot)).expect("open");
+    Log::open(log_of(2), &other, |record| boots.push(record.same_boot)).expect("open");
     assert_eq!(boots, [false, false]);
 }
 
 #[test]
-fn frames_of_another_file_are_not_taken_for_this_ones() {
-    let before = written(4);
+fn frames_of_another_file_are_detected_as_damage() {
+    let before = log_of(4);
     let mut other = before.clone();
     let (mut log, ..) = open(&mut other).expect("open");
     log.write(&[record(5)], true).expect("written");
     let length = log.storage_mut().files["0000000003.log"].bytes.len();
     log.write(&[record(6)], true).expect("written");
     drop(log);
-    // Another file of the same log and number, whose blocks the disk gave to this one: the numbers would fit.
+    // The tail of another file of the same log and segment number, as if the disk had reused its blocks for this file. The
+    // sequence numbers would match.
     let mut memory = before;
-    memory.create("elsewhere").expect("made");
+    memory.create("elsewhere").expect("created");
     let (mut log, ..) = open(&mut memory).expect("open");
     log.write(&[record(5)], true).expect("written");
     drop(log);
@@ -351,12 +358,12 @@
 }
 
 #[test]
-fn a_folder_is_one_processs_alone_and_can_be_looked_at_meanwhile() {
+fn a_folder_is_locked_by_one_process_and_can_be_inspected_meanwhile() {
     let folder = tempfile::tempdir().expect("a folder");
-    let files = Files::take(folder.path()).expect("taken");
-    let taken = Files::take(folder.path()).expect_err("taken already");
-    assert_eq!(taken.kind(), std::io::ErrorKind::WouldBlock);
-    Log::begin(files, &identity()).expect("begun");
+    let files = Files::take(folder.path()).expect("locked");
+    let conflict = Files::take(folder.path()).expect_err("locked already");
+    assert_eq!(conflict.kind(), std::io::ErrorKind::WouldBlock);
+    Log::begin(files, &identity()).expect("created");
     let (mut log, recovery, _) =
         open(Files::take(folder.path()).expect("free again")).expect("open");
     assert_eq!(recovery.lost, None);
@@ -387,7 +394,7 @@
         .to_string()
         .contains("is no log"));
     drop(log);
-    // A copy of the folder is found out by its files' birth, on a real file system too.
+    // On a real file system too, a copy of the folder is detected by the inodes and creation times of its files.
     let copy = tempfile::tempdir().expect("a folder");
     std::fs::copy(folder.path().join(FIRST), copy.path().join(FIRST)).expect("copied");
     std::fs::copy(folder.path().join("mark"), copy.path().join("mark")).expect("copied");
@@ -400,7 +407,7 @@
     Write { records: u64, durable: bool },
     Rotate,
     Retire,
-    Reopen { power: Option<usize> },
+    Reopen { loss_of_power: Option<usize> },
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -408,19 +415,19 @@
         (1..5u64, any::<bool>()).prop_map(|(records, durable)| Step::Write { records, durable }),
         Just(Step::Rotate),
         Just(Step::Retire),
-        proptest::option::of(0..=4usize).prop_map(|power| Step::Reopen { power }),
+        proptest::option::of(0..=4usize).prop_map(|loss_of_power| Step::Reopen { loss_of_power }),
     ];
     proptest::collection::vec(step, 1..25)
 }
 
 proptest! {
-    /// Against a model that knows what counted: whatever is done, that is read again, in order.
+    /// Compares the log with a model that knows which records are durable: after any steps, these are recovered in order.
     #[test]
-    fn whatever_is_done_what_counted_and_was_not_let_go_is_read_again(steps in steps()) {
+    fn after_any_steps_all_durable_records_that_were_not_retired_are_recovered(steps in steps()) {
         let mut next = 0;
-        // Records by segment, each with whether it counts.
+        // Segment, number and durability of each record.
         let mut model: Vec<(u64, u64, bool)> = Vec::new();
-        let (mut log, ..) = open(begun()).expect("open");
+        let (mut log, ..) = open(created_log()).expect("open");
         for step in steps {
             match step {
                 Step::Write { records, durable } => {
@@ -433,18 +440,18 @@
                     }
                 }
                 Step::Rotate => {
-                    log.rotate().expect("turned");
+                    log.rotate().expect("rotated");
                     model.iter_mut().for_each(|entry| entry.2 = true);
                 }
                 Step::Retire => {
-                    log.retire(log.segment()).expect("let go");
+                    log.retire(log.segment()).expect("retired");
                     model.retain(|entry| entry.0 >= log.segment());
                     model.iter_mut().for_each(|entry| entry.2 = true);
                 }
-                Step::Reopen { power } => {
+                Step::Reopen { loss_of_power } => {
                     let storage = log.into_storage();
-                    let memory = match power {
-                        Some(part) => storage.without_power(part),
+                    let memory = match loss_of_power {
+                        Some(quarters) => storage.without_power(quarters),
                         None => storage.killed(),
                     };
                     let (opened, recovery, read) = open(memory).expect("open");
@@ -453,19 +460,19 @@
                     let all: Vec<Vec<u8>> = model.iter().map(|entry| record(entry.1)).collect();
                     prop_assert!(read.len() <= all.len());
                     prop_assert_eq!(&read[..], &all[..read.len()]);
-                    prop_assert!(model.iter().skip(read.len()).all(|entry| !entry.2), "what counted is gone");
+                    prop_assert!(model.iter().skip(read.len()).all(|entry| !entry.2), "a durable record is missing");
                     model.truncate(read.len());
-                    // What is read again was on the disk, and stays.
+                    // Recovery makes all recovered records durable.
                     model.iter_mut().for_each(|entry| entry.2 = true);
                 }
             }
         }
     }
 
-    /// Any bytes at all are read without a panic.
+    /// A segment of arbitrary bytes is recovered or rejected without a panic.
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..400), magic in any::<bool>()) {
-        let mut memory = written(2);
+    fn arbitrary_bytes_are_reported_as_a_loss_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..400), magic in any::<bool>()) {
+        let mut memory = log_of(2);
         let file = memory.files.get_mut(SECOND).expect("there");
         file.bytes = match magic {
             true => [&b"EMBERLOG\x01\x00"[..], &bytes].concat(),
@@ -477,12 +484,11 @@
     }
 }
 
-/// A storage's own word is what counts: nothing above depends on the one in memory.
 #[test]
-fn a_folder_that_cannot_be_written_is_an_error_with_the_files_name() {
-    let mut memory = begun();
-    memory.room = Some(0);
-    let problem = open(&mut memory).map(|_| ()).expect_err("no room");
+fn a_storage_without_space_fails_the_opening_with_an_error_that_names_the_file() {
+    let mut memory = created_log();
+    memory.free_space = Some(0);
+    let problem = open(&mut memory).map(|_| ()).expect_err("no space");
     assert!(
         problem
             .to_string()
--- a/crates/emberpin-wal/tests/service.rs
+++ b/crates/emberpin-wal/tests/service.rs
@@ -1,4 +1,4 @@
-//! The log on its thread: group commit, what waits, and its end.
+//! Tests the log's thread: group commit, the bound of the queue, and shutdown.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -10,13 +10,13 @@
 use std::collections::BTreeSet;
 use std::sync::mpsc::{channel, Receiver};
 
-/// A storage that does an fsync only when it is let, once that is asked for.
-struct Slow {
+/// A storage whose fsync blocks, once `sync_permits` is set, until a permit arrives or the sender is dropped.
+struct GatedStorage {
     memory: Memory,
-    let_through: Option<Receiver<()>>,
+    sync_permits: Option<Receiver<()>>,
 }
 
-impl Storage for Slow {
+impl Storage for GatedStorage {
     fn names(&mut self) -> std::io::Result<Vec<String>> {
         self.memory.names()
     }
@@ -39,9 +39,9 @@
         self.memory.truncate(name, length)
     }
     fn sync(&mut self, name: &str) -> std::io::Result<()> {
-        if let Some(let_through) = &self.let_through {
-            // Whoever lets it through may be gone.
-            _ = let_through.recv();
+        if let Some(sync_permits) = &self.sync_permits {
+            // An error means that the sender was dropped: from then on, no fsync blocks.
+            _ = sync_permits.recv();
         }
         self.memory.sync(name)
     }
@@ -57,83 +57,93 @@
 }
 
 #[test]
-fn what_comes_while_one_fsync_runs_shares_the_next_and_every_ticket_is_told_once() {
-    let (go, let_through) = channel::<()>();
-    let (mut log, ..) = open(Slow {
-        memory: begun(),
-        let_through: None,
+fn records_queued_during_one_fsync_share_the_next_and_every_ticket_is_reported_once() {
+    let (permit_sender, sync_permits) = channel::<()>();
+    let (mut log, ..) = open(GatedStorage {
+        memory: created_log(),
+        sync_permits: None,
     })
     .expect("open");
-    log.storage_mut().let_through = Some(let_through);
-    let (tell, told) = channel();
-    let service =
-        Service::start(log, move |note| tell.send(note).expect("heard")).expect("a thread");
-    service.append(record(0), Some(Ticket(0))).expect("taken");
-    // The first fsync stands; all of these wait, some without a ticket.
+    log.storage_mut().sync_permits = Some(sync_permits);
+    let (event_sender, events) = channel();
+    let service = Service::start(log, move |event| {
+        event_sender.send(event).expect("a receiver")
+    })
+    .expect("a thread");
+    service
+        .append(record(0), Some(Ticket(0)))
+        .expect("accepted");
+    // The first fsync blocks, so all of these records are queued, some without a ticket.
     for n in 1..=1000 {
         service
             .append(record(n), (n % 3 != 0).then_some(Ticket(n)))
-            .expect("taken");
+            .expect("accepted");
     }
-    drop(go);
+    drop(permit_sender);
     let mut tickets = BTreeSet::new();
     while tickets.len() < 668 {
-        match told.recv().expect("told") {
+        match events.recv().expect("an event") {
             LogEvent::Durable(some) => some
                 .into_iter()
                 .for_each(|ticket| assert!(tickets.insert(ticket))),
             other => panic!("{other:?}"),
         }
     }
-    // How the thread is scheduled decides how the first few fall; far fewer than one each.
+    // How many groups the first records form depends on the scheduling of the thread, but there are far fewer groups than
+    // records.
     assert!(service.groups() <= 20, "{}", service.groups());
 }
 
 #[test]
-fn too_much_at_once_is_refused_and_a_failed_log_says_so_to_every_ticket() {
-    let (go, let_through) = channel::<()>();
-    let (mut log, ..) = open(Slow {
-        memory: begun(),
-        let_through: None,
+fn a_full_queue_rejects_records_and_a_failed_write_is_reported_with_its_ticket() {
+    let (permit_sender, sync_permits) = channel::<()>();
+    let (mut log, ..) = open(GatedStorage {
+        memory: created_log(),
+        sync_permits: None,
     })
     .expect("open");
-    log.storage_mut().let_through = Some(let_through);
-    let (tell, told) = channel();
-    let service =
-        Service::start(log, move |note| tell.send(note).expect("heard")).expect("a thread");
-    let mut taken = 0u64;
-    while taken < 100
-        && service.append(vec![0; MAX_RECORD_BYTES], Some(Ticket(taken))) != Err(QueueFull)
+    log.storage_mut().sync_permits = Some(sync_permits);
+    let (event_sender, events) = channel();
+    let service = Service::start(log, move |event| {
+        event_sender.send(event).expect("a receiver")
+    })
+    .expect("a thread");
+    let mut accepted = 0u64;
+    while accepted < 100
+        && service.append(vec![0; MAX_RECORD_BYTES], Some(Ticket(accepted))) != Err(QueueFull)
     {
-        taken += 1;
-    }
-    drop(go);
-    assert!(taken < 100, "bounded");
-    let mut heard = 0;
-    while heard < taken {
-        match told.recv().expect("told") {
-            LogEvent::Durable(tickets) => heard += tickets.len() as u64,
+        accepted += 1;
+    }
+    drop(permit_sender);
+    assert!(accepted < 100, "bounded");
+    let mut reported = 0;
+    while reported < accepted {
+        match events.recv().expect("an event") {
+            LogEvent::Durable(tickets) => reported += tickets.len() as u64,
             other => panic!("{other:?}"),
         }
     }
     service
-        .append(vec![0; MAX_RECORD_BYTES + 1], Some(Ticket(taken)))
-        .expect("taken");
+        .append(vec![0; MAX_RECORD_BYTES + 1], Some(Ticket(accepted)))
+        .expect("accepted");
     assert_eq!(
-        told.recv(),
-        Ok(LogEvent::Failed(vec![Ticket(taken)], WriteError::TooLong))
+        events.recv(),
+        Ok(LogEvent::Failed(
+            vec![Ticket(accepted)],
+            WriteError::TooLong
+        ))
     );
 }
 
 #[test]
-fn an_end_writes_what_was_taken() {
+fn dropping_the_service_writes_all_queued_records() {
     let folder = tempfile::tempdir().expect("a folder");
-    let files = || emberpin_wal::Files::take(folder.path()).expect("taken");
-    emberpin_wal::Log::begin(files(), &identity()).expect("begun");
+    let files = || emberpin_wal::Files::take(folder.path()).expect("locked");
+    emberpin_wal::Log::begin(files(), &identity()).expect("created");
     let (log, ..) = open(files()).expect("open");
     let service = Service::start(log, |_| ()).expect("a thread");
     for n in 1..=50 {
-        service.append(record(n), None).expect("taken");
+        service.append(record(n), None).expect("accepted");
     }
     drop(service);
     let (_, recovery, read) = open(files()).expect("open");
