--- a/crates/emberpin-bench/src/bare.rs
+++ b/crates/emberpin-bench/src/bare.rs
@@ -1,5 +1,6 @@
-//! The floor: a reverse proxy on the same hyper and tokio, on one thread, that decides nothing. Servers take
-//! turns; connections are kept and polled by whoever uses them, as the limiter does it.
+//! The baseline: a reverse proxy on the same hyper and tokio as the limiter, on one thread, without admission control or
+//! load balancing. It uses the servers in rotation. As in the limiter, connections are reused, and each is polled by the
+//! task that uses it.
 
 use crate::settings::{Settings, BACKLOG};
 use bytes::Bytes;
@@ -23,31 +24,32 @@
 
 struct Proxy {
     servers: Vec<SocketAddr>,
-    idle: Vec<RefCell<Vec<Conn>>>,
+    idle: Vec<RefCell<Vec<UpstreamConnection>>>,
     next: Cell<usize>,
 }
 
-struct Conn {
+struct UpstreamConnection {
     sender: client::SendRequest<Full<Bytes>>,
     connection: client::Connection<TokioIo<TcpStream>, Full<Bytes>>,
 }
 
-impl Conn {
-    async fn drive<F: Future>(&mut self, what: F) -> F::Output {
-        let mut what = pin!(what);
+impl UpstreamConnection {
+    /// Polls the connection together with `future` until the future is ready.
+    async fn drive<F: Future>(&mut self, future: F) -> F::Output {
+        let mut future = pin!(future);
         poll_fn(|context| {
             _ = Pin::new(&mut self.connection).poll(context);
-            what.as_mut().poll(context)
+            future.as_mut().poll(context)
         })
         .await
     }
 }
 
-/// A listener of a proxy, as the limiter makes its own.
+/// Opens a proxy's listener, with the same socket options as the limiter's.
 ///
 /// # Errors
 ///
-/// The system's.
+/// The error of the operating system.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -55,11 +57,11 @@
     socket.listen(BACKLOG)
 }
 
-/// Proxies until it is killed.
+/// Runs the proxy until the process is killed.
 ///
 /// # Errors
 ///
-/// What keeps it from starting, in one line.
+/// The reason why the proxy cannot start, in one line.
 pub fn run() -> Result<(), String> {
     let settings = Settings::from_env()?;
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -100,34 +102,34 @@
         if request.uri().path() == "/health/ready" {
             return Response::default();
         }
-        self.pass_on(request).await.unwrap_or_else(|_| {
+        self.forward(request).await.unwrap_or_else(|_| {
             let mut response = Response::default();
             *response.status_mut() = StatusCode::BAD_GATEWAY;
             response
         })
     }
 
-    async fn pass_on(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Failure> {
+    async fn forward(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Failure> {
         let (parts, body) = request.into_parts();
         let request = Request::from_parts(parts, Full::new(body.collect().await?.to_bytes()));
-        let turn = self.next.replace(self.next.get().wrapping_add(1)) % self.servers.len();
-        let kept = self.idle[turn].borrow_mut().pop();
-        let mut conn = match kept {
-            Some(conn) => conn,
+        let index = self.next.replace(self.next.get().wrapping_add(1)) % self.servers.len();
+        let reused = self.idle[index].borrow_mut().pop();
+        let mut upstream = match reused {
+            Some(upstream) => upstream,
             None => {
-                let stream = TcpStream::connect(self.servers[turn]).await?;
+                let stream = TcpStream::connect(self.servers[index]).await?;
                 stream.set_nodelay(true)?;
                 let (sender, connection) = client::handshake(TokioIo::new(stream)).await?;
-                Conn { sender, connection }
+                UpstreamConnection { sender, connection }
             }
         };
-        let answering = conn.sender.send_request(request);
-        let (parts, body) = conn.drive(answering).await?.into_parts();
-        let body = conn.drive(body.collect()).await?.to_bytes();
-        // One more turn, in which the connection sees the end of the answer.
-        conn.drive(std::future::ready(())).await;
-        if conn.sender.is_ready() {
-            self.idle[turn].borrow_mut().push(conn);
+        let response = upstream.sender.send_request(request);
+        let (parts, body) = upstream.drive(response).await?.into_parts();
+        let body = upstream.drive(body.collect()).await?.to_bytes();
+        // Polls the connection once more, so that it processes the end of the response.
+        upstream.drive(std::future::ready(())).await;
+        if upstream.sender.is_ready() {
+            self.idle[index].borrow_mut().push(upstream);
         }
         Ok(Response::from_parts(parts, Full::new(body)))
     }
--- a/crates/emberpin-bench/src/door.rs
+++ b/crates/emberpin-bench/src/door.rs
@@ -1,7 +1,8 @@
-//! How long the operators' door takes to answer: idle, with clients asking as fast as they are answered, and with silent
-//! callers at it besides. A call to the clients' own address under the same load stands beside it as the peer.
+//! Measures the response time of the limiter's operator interface (the setting `ops`): while the limiter is idle, under the
+//! load of closed-loop clients, and under this load while further callers hold connections to the operator interface
+//! without sending anything. A call to the clients' address under the same load is measured for comparison.
 
-use crate::measure::{Running, Subject};
+use crate::measure::{Subject, SubjectProcess};
 use crate::{settings, standins, AS_LIMITER};
 use comfy_table::presets::UTF8_HORIZONTAL_ONLY;
 use comfy_table::Table;
@@ -12,18 +13,18 @@
 use std::time::{Duration, Instant};
 
 const SERVERS: usize = 9;
-/// Connections of the clients that make the load: far more than one core answers.
+/// Connections of the clients that generate the load: far more requests than one core can answer.
 const CONNECTIONS: usize = 128;
-/// The load runs in stretches of this length until it is told to end.
-const STRETCH: Duration = Duration::from_millis(500);
-/// Nobody waits longer for an answer.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// The load is generated in periods of this length, and ends after the one in which the calls end.
+const LOAD_PERIOD: Duration = Duration::from_millis(500);
+/// The time-out of reading a response.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Measures and prints.
+/// Measures the response times, and prints them as a table.
 ///
 /// # Errors
 ///
-/// A limiter that does not start, or a call that is not answered in 5 s.
+/// The limiter does not start, or a call is not answered within 5 s or not with 200.
 pub fn run(calls: u32, silent: u32) -> Result<(), String> {
     let own = std::env::current_exe().map_err(|e| format!("cannot find this program: {e}"))?;
     let subject = Subject {
@@ -40,13 +41,13 @@
     table.set_header(["state", "call", "median ms", "99th", "most"]);
     for (state, call, mut times) in measured? {
         times.sort_by(f64::total_cmp);
-        let at = |part| format!("{:.2}", percentile(&times, part));
+        let quantile = |share| format!("{:.2}", percentile(&times, share));
         table.add_row([
             state.to_string(),
             call.to_string(),
-            at(0.5),
-            at(0.99),
-            at(1.0),
+            quantile(0.5),
+            quantile(0.99),
+            quantile(1.0),
         ]);
     }
     println!("{calls} calls in each state, {CONNECTIONS} connections of clients, {silent} silent callers");
@@ -54,6 +55,7 @@
     Ok(())
 }
 
+/// The state of the limiter, the name of the call, and the response times in milliseconds.
 type Measured = Vec<(&'static str, &'static str, Vec<f64>)>;
 
 fn measure(
@@ -68,14 +70,14 @@
             TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).and_then(|listener| listener.local_addr());
         bound.map_err(|e| format!("no port: {e}"))
     };
-    let (address, door) = (free()?, free()?);
+    let (address, operator_address) = (free()?, free()?);
     let file = folder.join("config.json");
     let mut config = settings::file(address, discovery, &servers);
-    config["ops"] = serde_json::json!(door);
+    config["ops"] = serde_json::json!(operator_address);
     std::fs::write(&file, config.to_string()).map_err(|e| format!("{}: {e}", file.display()))?;
-    let _running = Running::start(subject, &file, address)?;
+    let _process = SubjectProcess::start(subject, &file, address)?;
     let mut measured = Vec::new();
-    for (state, loaded, crowded) in [
+    for (state, loaded, with_silent_callers) in [
         ("idle", false, false),
         ("under load", true, false),
         ("under load, silent callers", true, true),
@@ -85,17 +87,17 @@
             if loaded {
                 scope.spawn(|| {
                     while !ended.load(Ordering::Relaxed) {
-                        _ = standins::at_most(address, CONNECTIONS, STRETCH);
+                        _ = standins::load_closed_loop(address, CONNECTIONS, LOAD_PERIOD);
                     }
                 });
             }
-            let callers = if crowded { silent } else { 0 };
-            let held: Vec<_> = (0..callers)
-                .filter_map(|_| TcpStream::connect(door).ok())
+            let callers = if with_silent_callers { silent } else { 0 };
+            let silent_connections: Vec<_> = (0..callers)
+                .filter_map(|_| TcpStream::connect(operator_address).ok())
                 .collect();
-            let times = all_calls(door, address, calls);
+            let times = all_calls(operator_address, address, calls);
             ended.store(true, Ordering::Relaxed);
-            drop(held);
+            drop(silent_connections);
             times
         });
         let [stats, order, ready] = times?;
@@ -106,12 +108,18 @@
     Ok(measured)
 }
 
-fn all_calls(door: SocketAddr, clients: SocketAddr, calls: u32) -> Result<[Vec<f64>; 3], String> {
+/// Makes each kind of call this number of times, in turn. Returns the response times, in milliseconds, of reading the
+/// figures, of ordering a server down or up, and of the readiness check at the clients' address.
+fn all_calls(
+    operator_address: SocketAddr,
+    clients: SocketAddr,
+    calls: u32,
+) -> Result<[Vec<f64>; 3], String> {
     let (mut stats, mut order, mut ready) = (Vec::new(), Vec::new(), Vec::new());
     for number in 0..calls {
-        stats.push(call(door, "GET", "/ops/stats")?);
+        stats.push(call(operator_address, "GET", "/ops/stats")?);
         order.push(call(
-            door,
+            operator_address,
             "PUT",
             if number % 2 == 0 {
                 "/ops/servers/down/s-0"
@@ -124,12 +132,12 @@
     Ok([stats, order, ready])
 }
 
-/// One call, in milliseconds from the connection to the last byte.
-fn call(at: SocketAddr, method: &str, path: &str) -> Result<f64, String> {
-    let begun = Instant::now();
-    let asked = || -> std::io::Result<String> {
-        let mut stream = TcpStream::connect(at)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+/// Makes one call. Returns the time in milliseconds from the start of the connection to the last byte of the response.
+fn call(address: SocketAddr, method: &str, path: &str) -> Result<f64, String> {
+    let started_at = Instant::now();
+    let exchange = || -> std::io::Result<String> {
+        let mut stream = TcpStream::connect(address)?;
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
         stream.write_all(
             format!("{method} {path} HTTP/1.1\r\nHost: s\r\nConnection: close\r\n\r\n").as_bytes(),
         )?;
@@ -137,9 +145,9 @@
         stream.read_to_string(&mut text)?;
         Ok(text)
     };
-    let text = asked().map_err(|e| format!("{method} {path}: {e}"))?;
+    let text = exchange().map_err(|e| format!("{method} {path}: {e}"))?;
     match text.split(' ').nth(1) {
-        Some("200") => Ok(begun.elapsed().as_secs_f64() * 1000.0),
+        Some("200") => Ok(started_at.elapsed().as_secs_f64() * 1000.0),
         other => Err(format!(
             "{method} {path}: answered {}",
             other.unwrap_or("nothing")
--- a/crates/emberpin-bench/src/instructions.rs
+++ b/crates/emberpin-bench/src/instructions.rs
@@ -1,5 +1,5 @@
-//! Instructions per request, by callgrind: the same for the same binary whatever else the machine does. What
-//! start and end cost is taken out by the difference of two runs.
+//! Counts instructions per request with callgrind. For the same binary the count does not depend on the machine's other
+//! load. The cost of start and exit is removed by the difference of two runs with different numbers of requests.
 
 use crate::{settings, AS_ENTRY};
 use bytes::Bytes;
@@ -9,17 +9,21 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::process::{Command, Stdio};
 
-const REQUESTS: &str = "EMBERPIN_COST_REQUESTS";
+/// The environment variable with the number of requests to send.
+const REQUESTS_VARIABLE: &str = "EMBERPIN_COST_REQUESTS";
 const SERVERS: u16 = 9;
 
-/// Sends the requests that the environment says through a limiter's way without sockets.
+/// Sends the number of requests that the environment sets through the limiter in-process, without sockets.
 ///
 /// # Errors
 ///
-/// What cannot be read, or a request that was not served.
+/// The environment or the settings cannot be read, or a request was not served.
 pub fn entry() -> Result<(), String> {
-    let requests = std::env::var(REQUESTS).map_err(|e| format!("{REQUESTS}: {e}"))?;
-    let requests: u64 = requests.parse().map_err(|e| format!("{REQUESTS}: {e}"))?;
+    let requests =
+        std::env::var(REQUESTS_VARIABLE).map_err(|e| format!("{REQUESTS_VARIABLE}: {e}"))?;
+    let requests: u64 = requests
+        .parse()
+        .map_err(|e| format!("{REQUESTS_VARIABLE}: {e}"))?;
     let mut entry = Entry::from_env()?;
     for number in 0..requests {
         let status = entry.exchange(request(number)?);
@@ -30,7 +34,7 @@
     Ok(())
 }
 
-/// The same bytes that the clients of the timed runs send, as the HTTP library hands them over.
+/// The request that the clients of the timed runs send as bytes, in the type that the HTTP library passes on.
 fn request(number: u64) -> Result<Request<Full<Bytes>>, String> {
     let bytes = crate::standins::request(number, &format!("{number:016x}"));
     let text = String::from_utf8(bytes).map_err(|e| e.to_string())?;
@@ -50,40 +54,41 @@
         .map_err(|e| e.to_string())
 }
 
-/// Counts twice, and prints the figure with the difference between both.
+/// Counts twice, and prints the first count, the second, and the difference between them.
 ///
 /// # Errors
 ///
-/// No valgrind, or a run that failed.
+/// Valgrind is not installed, or a run failed.
 pub fn count(requests: u64) -> Result<(), String> {
     let folder = std::env::temp_dir().join(format!("emberpin-instructions-{}", std::process::id()));
     std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-    let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
+    let unused_address = SocketAddr::from((Ipv4Addr::LOCALHOST, 1));
     let servers: Vec<SocketAddr> = (0..SERVERS)
         .map(|n| (Ipv4Addr::LOCALHOST, 2 + n).into())
         .collect();
     let file = folder.join("config.json");
     let written = std::fs::write(
         &file,
-        settings::file(nowhere, nowhere, &servers).to_string(),
+        settings::file(unused_address, unused_address, &servers).to_string(),
     );
     let counted = written
         .map_err(|e| format!("{}: {e}", file.display()))
         .and_then(|()| {
-            let once = || {
+            let per_run = || {
                 Ok::<_, String>(instructions(&file, 2 * requests)? - instructions(&file, requests)?)
             };
-            Ok((once()? / requests as f64, once()? / requests as f64))
+            Ok((per_run()? / requests as f64, per_run()? / requests as f64))
         });
     _ = std::fs::remove_dir_all(&folder);
     let (first, second) = counted?;
-    let apart = 100.0 * (first - second).abs() / first;
+    let difference = 100.0 * (first - second).abs() / first;
     println!(
-        "{first:.0} instructions per request; again {second:.0}, {apart:.3} % apart ({requests} requests)"
+        "{first:.0} instructions per request; again {second:.0}, {difference:.3} % apart ({requests} requests)"
     );
     Ok(())
 }
 
+/// The number of instructions of one whole run with this number of requests.
 fn instructions(file: &std::path::Path, requests: u64) -> Result<f64, String> {
     let program = std::env::current_exe().map_err(|e| format!("cannot find this program: {e}"))?;
     let run = Command::new("valgrind")
@@ -91,16 +96,16 @@
         .arg(program)
         .arg(AS_ENTRY)
         .env("GW_CONFIG", file)
-        .env(REQUESTS, requests.to_string())
+        .env(REQUESTS_VARIABLE, requests.to_string())
         .stdin(Stdio::null())
         .output()
         .map_err(|e| format!("cannot run valgrind: {e}"))?;
-    let said = String::from_utf8_lossy(&run.stderr);
-    let collected = said
+    let output = String::from_utf8_lossy(&run.stderr);
+    let collected = output
         .lines()
         .find_map(|line| line.split_once("Collected : "));
     let count = collected.and_then(|(_, count)| count.trim().parse().ok());
     count
         .filter(|_| run.status.success())
-        .ok_or_else(|| format!("valgrind ended with {}: {said}", run.status))
+        .ok_or_else(|| format!("valgrind ended with {}: {output}", run.status))
 }
--- a/crates/emberpin-bench/src/measure.rs
+++ b/crates/emberpin-bench/src/measure.rs
@@ -1,4 +1,4 @@
-//! The rounds, and the table of what they gave.
+//! The rounds of the main measurement, and the table of their figures.
 
 use crate::{settings, standins, Plan, AS_BARE, AS_LIMITER, AS_STACK};
 use comfy_table::presets::UTF8_HORIZONTAL_ONLY;
@@ -13,18 +13,19 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Before anything is counted: connections come up, branches are learnt.
+/// The time under load before the measurement: connections are established, and branch predictors are trained.
 const WARM_UP: Duration = Duration::from_millis(300);
-const START: Duration = Duration::from_secs(20);
+/// How long a program may take until it is ready.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What is measured.
+/// A program that is measured, with its arguments.
 pub struct Subject {
     pub name: &'static str,
     pub program: PathBuf,
     pub arguments: Vec<OsString>,
 }
 
-/// One subject in one round.
+/// The figures of one subject in one round.
 #[derive(Clone, Debug, Serialize)]
 struct Round {
     cpu_us_per_request: f64,
@@ -35,69 +36,70 @@
     not_served: u64,
 }
 
-/// All rounds of one subject.
+/// The figures of one subject in all rounds.
 #[derive(Debug, Serialize)]
 struct Measured {
     name: &'static str,
     rounds: Vec<Round>,
 }
 
-/// A value's middle and ends over the rounds.
+/// Median, minimum and maximum of a figure over the rounds.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Spread {
     median: f64,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
 }
 
 impl Spread {
-    fn of(values: impl Iterator<Item = f64>) -> Spread {
+    fn from_values(values: impl Iterator<Item = f64>) -> Spread {
         let mut values: Vec<f64> = values.collect();
         values.sort_by(f64::total_cmp);
-        let at = |part| percentile(&values, part);
+        let quantile = |share| percentile(&values, share);
         Spread {
-            median: at(0.5),
-            least: at(0.0),
-            most: at(1.0),
+            median: quantile(0.5),
+            min: quantile(0.0),
+            max: quantile(1.0),
         }
     }
 
-    fn shown(&self, digits: usize) -> String {
+    /// The spread as text, with this number of digits after the decimal point.
+    fn to_text(&self, digits: usize) -> String {
         format!(
             "{:.digits$} ({:.digits$} to {:.digits$})",
-            self.median, self.least, self.most
+            self.median, self.min, self.max
         )
     }
 }
 
-/// Measures and prints.
+/// Measures all subjects, prints the table, and writes the JSON file of the plan.
 ///
 /// # Errors
 ///
-/// A subject that does not start, or files that cannot be written.
+/// A subject does not start, or a file cannot be written.
 pub fn run(plan: &Plan) -> Result<(), String> {
     let own = std::env::current_exe().map_err(|e| format!("cannot find this program: {e}"))?;
-    let again = |word: &str| (own.clone(), vec![OsString::from(word)]);
+    let own_program_as = |argument: &str| (own.clone(), vec![OsString::from(argument)]);
     let (limiter, limiter_arguments) = match &plan.limiter {
         Some(path) => (path.clone(), Vec::new()),
-        None => again(AS_LIMITER),
+        None => own_program_as(AS_LIMITER),
     };
-    let subject = |name, (program, arguments)| Subject {
+    let new_subject = |name, (program, arguments)| Subject {
         name,
         program,
         arguments,
     };
     let mut subjects = vec![
-        subject("bare proxy", again(AS_BARE)),
-        subject("limiter", (limiter.clone(), limiter_arguments.clone())),
-        subject("tower + governor", again(AS_STACK)),
+        new_subject("bare proxy", own_program_as(AS_BARE)),
+        new_subject("limiter", (limiter.clone(), limiter_arguments.clone())),
+        new_subject("tower + governor", own_program_as(AS_STACK)),
     ];
     if !plan.with.is_empty() {
         let mut arguments = limiter_arguments;
         for file in &plan.with {
             arguments.extend(["--with".into(), file.into()]);
         }
-        subjects.push(subject("limiter --with", (limiter, arguments)));
+        subjects.push(new_subject("limiter --with", (limiter, arguments)));
     }
     let folder = std::env::temp_dir().join(format!("emberpin-bench-{}", std::process::id()));
     std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
@@ -114,7 +116,8 @@
     Ok(())
 }
 
-/// Median and 99th percentile of the stand-ins alone, and each subject's rounds.
+/// The median and the 99th percentile of the response time of the stand-ins alone in each round, in microseconds, and the
+/// rounds of each subject.
 type Figures = (Vec<(f64, f64)>, Vec<Measured>);
 
 fn rounds(plan: &Plan, subjects: &[Subject], folder: &Path) -> Result<Figures, String> {
@@ -129,19 +132,22 @@
         })
         .collect();
     for round in 0..plan.rounds as usize {
-        let seen = standins::at_a_rate(servers[0], plan.rate, time)?;
-        direct.push((percentile(&seen.times, 0.5), percentile(&seen.times, 0.99)));
-        for turn in 0..subjects.len() {
-            let which = (round + turn) % subjects.len();
-            let figures = measure(plan, &subjects[which], &servers, discovery, folder)?;
+        let observed = standins::load_at_rate(servers[0], plan.rate, time)?;
+        direct.push((
+            percentile(&observed.times, 0.5),
+            percentile(&observed.times, 0.99),
+        ));
+        for offset in 0..subjects.len() {
+            let index = (round + offset) % subjects.len();
+            let figures = measure(plan, &subjects[index], &servers, discovery, folder)?;
             eprintln!(
                 "round {} of {}: {}, {:.1} µs a request",
                 round + 1,
                 plan.rounds,
-                subjects[which].name,
+                subjects[index].name,
                 figures.cpu_us_per_request
             );
-            measured[which].rounds.push(figures);
+            measured[index].rounds.push(figures);
         }
     }
     Ok((direct, measured))
@@ -163,36 +169,37 @@
         settings::file(address, discovery, servers).to_string(),
     );
     written.map_err(|e| format!("{}: {e}", file.display()))?;
-    let running = Running::start(subject, &file, address)?;
+    let process = SubjectProcess::start(subject, &file, address)?;
     let time = Duration::from_secs_f64(plan.seconds);
-    standins::at_a_rate(address, plan.rate, WARM_UP)?;
-    let (before, _) = running.used()?;
-    let seen = standins::at_a_rate(address, plan.rate, time)?;
-    let (after, _) = running.used()?;
-    let most = standins::at_most(address, plan.connections as usize, time / 2)?;
-    let (_, peak_kib) = running.used()?;
+    standins::load_at_rate(address, plan.rate, WARM_UP)?;
+    let (before, _) = process.used()?;
+    let observed = standins::load_at_rate(address, plan.rate, time)?;
+    let (after, _) = process.used()?;
+    let peak = standins::load_closed_loop(address, plan.connections as usize, time / 2)?;
+    let (_, peak_kib) = process.used()?;
     Ok(Round {
-        cpu_us_per_request: (after - before) * 1000.0 / (seen.served + seen.other).max(1) as f64,
-        p50_us: percentile(&seen.times, 0.5),
-        p99_us: percentile(&seen.times, 0.99),
-        most_per_second: most.served as f64 / most.seconds,
+        cpu_us_per_request: (after - before) * 1000.0
+            / (observed.served + observed.other).max(1) as f64,
+        p50_us: percentile(&observed.times, 0.5),
+        p99_us: percentile(&observed.times, 0.99),
+        most_per_second: peak.served as f64 / peak.seconds,
         peak_kib: peak_kib as f64,
-        not_served: seen.other + most.other,
+        not_served: observed.other + peak.other,
     })
 }
 
-/// A subject's process; ended when dropped.
-pub struct Running<'a> {
+/// The process of a subject; killed when dropped.
+pub struct SubjectProcess<'a> {
     subject: &'a Subject,
     child: Child,
 }
 
-impl Running<'_> {
+impl SubjectProcess<'_> {
     pub fn start<'a>(
         subject: &'a Subject,
         file: &Path,
         address: SocketAddr,
-    ) -> Result<Running<'a>, String> {
+    ) -> Result<SubjectProcess<'a>, String> {
         let child = Command::new(&subject.program)
             .args(&subject.arguments)
             .env("GW_CONFIG", file)
@@ -200,8 +207,8 @@
             .stdout(Stdio::null())
             .spawn()
             .map_err(|e| format!("cannot start {}: {e}", subject.program.display()))?;
-        let mut running = Running { subject, child };
-        let began = Instant::now();
+        let mut running = SubjectProcess { subject, child };
+        let started_at = Instant::now();
         while !is_ready(address) {
             if let Ok(Some(status)) = running.child.try_wait() {
                 return Err(format!(
@@ -209,11 +216,11 @@
                     subject.name
                 ));
             }
-            if began.elapsed() > START {
+            if started_at.elapsed() > START_TIMEOUT {
                 return Err(format!(
                     "{} is not ready after {} s",
                     subject.name,
-                    START.as_secs()
+                    START_TIMEOUT.as_secs()
                 ));
             }
             std::thread::sleep(Duration::from_millis(5));
@@ -226,7 +233,7 @@
     }
 }
 
-impl Drop for Running<'_> {
+impl Drop for SubjectProcess<'_> {
     fn drop(&mut self) {
         _ = self.child.kill();
         _ = self.child.wait();
@@ -237,27 +244,27 @@
     let Ok(mut stream) = TcpStream::connect(address) else {
         return false;
     };
-    let asked =
+    let request =
         b"GET /health/ready HTTP/1.1\r\nHost: service.internal\r\nConnection: close\r\n\r\n";
     let mut head = [0; 12];
-    stream.write_all(asked).is_ok()
+    stream.write_all(request).is_ok()
         && stream.read_exact(&mut head).is_ok()
         && head.ends_with(b"200")
 }
 
-/// A figure's name, how it is read off a round, and its digits.
+/// A figure of the table: its name, the function that reads it from a round, and its digits after the decimal point.
 type Figure = (&'static str, fn(&Round) -> f64, usize);
 
 fn print(plan: &Plan, direct: &[(f64, f64)], measured: &[Measured]) {
-    let floor50 = Spread::of(direct.iter().map(|(p50, _)| *p50));
-    let floor99 = Spread::of(direct.iter().map(|(_, p99)| *p99));
+    let direct_p50 = Spread::from_values(direct.iter().map(|(p50, _)| *p50));
+    let direct_p99 = Spread::from_values(direct.iter().map(|(_, p99)| *p99));
     println!(
         "{} rounds of {} s at {} requests a second; stand-ins alone: p50 {} µs, p99 {} µs",
         plan.rounds,
         plan.seconds,
         plan.rate,
-        floor50.shown(0),
-        floor99.shown(0)
+        direct_p50.to_text(0),
+        direct_p99.to_text(0)
     );
     let figures: [Figure; 5] = [
         ("CPU µs a request", |round| round.cpu_us_per_request, 1),
@@ -283,19 +290,19 @@
     };
     for (name, value, digits) in figures {
         for subject in measured {
-            let own = Spread::of(subject.rounds.iter().map(value));
-            // Each round beside the same round of the other.
+            let own = Spread::from_values(subject.rounds.iter().map(value));
+            // Compares each round with the same round of the other subject.
             let ratio = |other: &Measured| {
                 let pairs = subject.rounds.iter().zip(&other.rounds);
-                Spread::of(pairs.map(|(own, other)| value(own) / value(other))).shown(2)
+                Spread::from_values(pairs.map(|(own, other)| value(own) / value(other))).to_text(2)
             };
-            let lost: u64 = subject.rounds.iter().map(|round| round.not_served).sum();
+            let not_served: u64 = subject.rounds.iter().map(|round| round.not_served).sum();
             table.add_row([
                 format!("{name}: {}", subject.name),
-                own.shown(digits),
+                own.to_text(digits),
                 ratio(bare),
                 ratio(limiter),
-                lost.to_string(),
+                not_served.to_string(),
             ]);
         }
     }
--- a/crates/emberpin-bench/src/settings.rs
+++ b/crates/emberpin-bench/src/settings.rs
@@ -1,20 +1,21 @@
-//! What the proxies are told, in the limiter's own file, so that one file serves all three.
+//! The settings of the measured programs, in the format of the limiter's own file, so that all of them read one file.
 
 use emberpin_testbed::scenario::Site;
 use emberpin_testbed::{figures, settings};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Connections that wait to be accepted, as at the limiter.
+/// The backlog of a listener, in connections that wait to be accepted; the same as at the limiter.
 pub const BACKLOG: u32 = 512;
-/// Units a second and at once that nobody here reaches: what a request costs is asked, not who is refused.
-const PLENTY: f64 = 1e9;
+/// A quota, in units a second and as a burst, that no load here reaches: the benchmark measures the cost of a request, not
+/// rejections.
+const UNREACHED_QUOTA: f64 = 1e9;
 
-/// The part of the file that a proxy without decisions needs.
+/// The part of the file that a proxy without admission control and load balancing needs.
 pub struct Settings {
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Where servers listen.
+    /// The addresses of the servers.
     pub servers: Vec<SocketAddr>,
 }
 
@@ -23,7 +24,7 @@
     ///
     /// # Errors
     ///
-    /// What cannot be read, in one line.
+    /// The setting that cannot be read and why, in one line.
     pub fn from_env() -> Result<Settings, String> {
         let path = std::env::var("GW_CONFIG").map_err(|e| format!("GW_CONFIG: {e}"))?;
         let text = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
@@ -43,7 +44,7 @@
     }
 }
 
-/// The file for one limiter alone with these servers, and quotas that nobody reaches.
+/// The settings file of a single limiter with these servers, and quotas that no load here reaches.
 pub fn file(listen: SocketAddr, discovery: SocketAddr, servers: &[SocketAddr]) -> Value {
     let site = Site {
         limiters: 1,
@@ -52,8 +53,8 @@
     };
     let mut settings = settings::settings(&site, 0);
     for plan in settings["plans"].as_array_mut().into_iter().flatten() {
-        plan["per-second"] = json!(PLENTY);
-        plan["store-size"] = json!(PLENTY);
+        plan["per-second"] = json!(UNREACHED_QUOTA);
+        plan["store-size"] = json!(UNREACHED_QUOTA);
         plan["cap-rate"] = json!(0.0);
         plan["hard-burst"] = json!(0.0);
     }
--- a/crates/emberpin-bench/src/stack.rs
+++ b/crates/emberpin-bench/src/stack.rs
@@ -1,5 +1,6 @@
-//! What a user would put together instead: hyper's pooled client under tower's load shed, concurrency limit,
-//! retry and timeout, behind governor's token buckets by account. Limits hold for one process alone.
+//! The alternative that a user could assemble from existing crates: hyper's pooled client under tower's load shedding,
+//! concurrency limit, retries and time-out, behind governor's token buckets per account. Its limits apply to one process
+//! only.
 
 use crate::bare::listen;
 use crate::settings::Settings;
@@ -25,29 +26,31 @@
 use tower::util::BoxCloneService;
 use tower::{BoxError, ServiceBuilder, ServiceExt};
 
-/// Attempts beyond the first of a request that is safe to repeat.
+/// The maximum number of retries of a request that is safe to repeat.
 const RETRIES: usize = 4;
-const CONCURRENCY: usize = 512;
-const PATIENCE: Duration = Duration::from_secs(2);
+/// The maximum number of requests in flight.
+const MAX_IN_FLIGHT: usize = 512;
+/// The time-out of one attempt.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
 
-type Asked = Request<Full<Bytes>>;
-type Answered = Response<Bytes>;
+type UpstreamRequest = Request<Full<Bytes>>;
+type UpstreamResponse = Response<Bytes>;
 
-/// Repeats what is safe, as often as is left.
+/// A retry policy: retries failed GET requests, as often as the number of retries that are left.
 #[derive(Clone)]
-struct Repeat(usize);
+struct RetrySafe(usize);
 
-impl tower::retry::Policy<Asked, Answered, BoxError> for Repeat {
+impl tower::retry::Policy<UpstreamRequest, UpstreamResponse, BoxError> for RetrySafe {
     type Future = Ready<()>;
 
     fn retry(
         &mut self,
-        request: &mut Asked,
-        result: &mut Result<Answered, BoxError>,
+        request: &mut UpstreamRequest,
+        result: &mut Result<UpstreamResponse, BoxError>,
     ) -> Option<Ready<()>> {
         let failed = result
             .as_ref()
-            .map_or(true, |answer| answer.status().is_server_error());
+            .map_or(true, |response| response.status().is_server_error());
         if !failed || request.method() != Method::GET || self.0 == 0 {
             return None;
         }
@@ -55,16 +58,16 @@
         Some(std::future::ready(()))
     }
 
-    fn clone_request(&mut self, request: &Asked) -> Option<Asked> {
+    fn clone_request(&mut self, request: &UpstreamRequest) -> Option<UpstreamRequest> {
         Some(request.clone())
     }
 }
 
-/// Proxies until it is killed.
+/// Runs the proxy until the process is killed.
 ///
 /// # Errors
 ///
-/// What keeps it from starting, in one line.
+/// The reason why the proxy cannot start, in one line.
 pub fn run() -> Result<(), String> {
     let settings = Settings::from_env()?;
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -93,14 +96,16 @@
     })
 }
 
-fn service(servers: Vec<SocketAddr>) -> BoxCloneService<Asked, Answered, BoxError> {
+fn service(
+    servers: Vec<SocketAddr>,
+) -> BoxCloneService<UpstreamRequest, UpstreamResponse, BoxError> {
     let client: Client<HttpConnector, Full<Bytes>> =
         Client::builder(TokioExecutor::new()).build_http();
     let next = Arc::new(AtomicUsize::new(0));
     let servers: Arc<[SocketAddr]> = servers.into();
-    let upstream = tower::service_fn(move |mut request: Asked| {
-        let (client, turn) = (client.clone(), next.fetch_add(1, Ordering::Relaxed));
-        let server = servers[turn % servers.len()];
+    let upstream = tower::service_fn(move |mut request: UpstreamRequest| {
+        let (client, index) = (client.clone(), next.fetch_add(1, Ordering::Relaxed));
+        let server = servers[index % servers.len()];
         async move {
             let path = request
                 .uri()
@@ -120,25 +125,25 @@
     });
     let layered = ServiceBuilder::new()
         .load_shed()
-        .concurrency_limit(CONCURRENCY)
-        .retry(Repeat(RETRIES))
-        .timeout(PATIENCE)
+        .concurrency_limit(MAX_IN_FLIGHT)
+        .retry(RetrySafe(RETRIES))
+        .timeout(ATTEMPT_TIMEOUT)
         .service(upstream);
     BoxCloneService::new(layered)
 }
 
 async fn respond(
     request: Request<Incoming>,
-    service: BoxCloneService<Asked, Answered, BoxError>,
+    service: BoxCloneService<UpstreamRequest, UpstreamResponse, BoxError>,
     limiter: &DefaultKeyedRateLimiter<u64>,
 ) -> Response<Full<Bytes>> {
-    let answer = |status| {
+    let empty_response = |status| {
         let mut response = Response::new(Full::default());
         *response.status_mut() = status;
         response
     };
     if request.uri().path() == "/health/ready" {
-        return answer(StatusCode::OK);
+        return empty_response(StatusCode::OK);
     }
     let cookie = request
         .headers()
@@ -146,25 +151,25 @@
         .and_then(|value| value.to_str().ok());
     let account = cookie.and_then(|text| text.strip_prefix("account="));
     let Some(account) = account.and_then(|hex| u64::from_str_radix(hex, 16).ok()) else {
-        return answer(StatusCode::BAD_REQUEST);
+        return empty_response(StatusCode::BAD_REQUEST);
     };
     if limiter.check_key(&account).is_err() {
-        let mut refused = answer(StatusCode::TOO_MANY_REQUESTS);
-        refused
+        let mut rejected = empty_response(StatusCode::TOO_MANY_REQUESTS);
+        rejected
             .headers_mut()
             .insert(RETRY_AFTER, HeaderValue::from_static("1"));
-        return refused;
+        return rejected;
     }
     let (parts, body) = request.into_parts();
     let Ok(body) = body.collect().await else {
-        return answer(StatusCode::BAD_REQUEST);
+        return empty_response(StatusCode::BAD_REQUEST);
     };
     let request = Request::from_parts(parts, Full::new(body.to_bytes()));
     match service.oneshot(request).await {
         Ok(response) => response.map(Full::new),
         Err(problem) if problem.is::<tower::load_shed::error::Overloaded>() => {
-            answer(StatusCode::SERVICE_UNAVAILABLE)
+            empty_response(StatusCode::SERVICE_UNAVAILABLE)
         }
-        Err(_) => answer(StatusCode::BAD_GATEWAY),
+        Err(_) => empty_response(StatusCode::BAD_GATEWAY),
     }
 }
--- a/crates/emberpin-bench/src/standins.rs
+++ b/crates/emberpin-bench/src/standins.rs
@@ -1,5 +1,6 @@
-//! Servers that answer at once, discovery that has nothing new, and clients that ask at a rate or as fast as
-//! they are answered. Each side runs on a thread of its own, so that what is measured is the proxy between.
+//! Stand-ins around the measured proxy: servers that answer at once, a discovery service without changes, and clients that
+//! send requests at a fixed rate or each as soon as the last one is answered. Servers and clients run on threads of this
+//! process, so that the process of the proxy between them can be measured by itself.
 
 use emberpin_testbed::figures::{CLASSES, PLANS};
 use emberpin_testbed::http::Wire;
@@ -17,16 +18,19 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 const HOST: Ipv4Addr = Ipv4Addr::LOCALHOST;
-const HEARTBEAT: Duration = Duration::from_secs(2);
-/// Customers that take turns.
+/// The interval of the discovery service's heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// The number of customers, whose requests alternate.
 const CUSTOMERS: u64 = 100;
-/// Of so many requests, this many carry a key and a body: the users' 36 %.
-const OF: u64 = 25;
-const KEYED: u64 = 9;
-const BODY: usize = 256;
+/// The length of the cycle in which requests with and without an idempotency key alternate.
+const CYCLE: u64 = 25;
+/// How many requests of each cycle carry an idempotency key and a body: 36 %, the share among the users' requests.
+const KEYED_PER_CYCLE: u64 = 9;
+/// The size in bytes of the body of a request with a key.
+const BODY_BYTES: usize = 256;
 
-/// Runs something on one thread with a runtime of its own.
-fn on_a_thread<F, T>(make: impl FnOnce() -> F + Send + 'static) -> JoinHandle<Result<T, String>>
+/// Runs the future that `make` returns on a new thread with its own runtime.
+fn spawn_thread<F, T>(make: impl FnOnce() -> F + Send + 'static) -> JoinHandle<Result<T, String>>
 where
     F: Future<Output = Result<T, String>>,
     T: Send + 'static,
@@ -40,20 +44,21 @@
     })
 }
 
-/// Starts so many servers and a discovery; they stay for the life of this process.
+/// Starts this number of servers and a discovery service, which run until this process exits. Returns the addresses of the
+/// servers and of the discovery service.
 ///
 /// # Errors
 ///
-/// No free port.
+/// No port is free, or the thread does not start.
 pub fn start(servers: usize) -> Result<(Vec<SocketAddr>, SocketAddr), String> {
     let (sender, addresses) = channel();
-    on_a_thread(move || async move {
+    spawn_thread(move || async move {
         let bind = || async {
             TcpListener::bind((HOST, 0))
                 .await
                 .map_err(|e| format!("no port: {e}"))
         };
-        let of = |listener: &TcpListener| {
+        let address_of = |listener: &TcpListener| {
             listener
                 .local_addr()
                 .map_err(|e| format!("no address: {e}"))
@@ -61,18 +66,18 @@
         let mut all = Vec::new();
         for _ in 0..servers {
             let listener = bind().await?;
-            all.push(of(&listener)?);
+            all.push(address_of(&listener)?);
             spawn_local(accept(listener, serve));
         }
         let discovery = bind().await?;
-        let sent = sender.send((all, of(&discovery)?));
-        sent.map_err(|e| format!("nobody waits: {e}"))?;
+        let sent = sender.send((all, address_of(&discovery)?));
+        sent.map_err(|e| format!("the addresses were not received: {e}"))?;
         accept(discovery, watch).await;
         Ok(())
     });
     addresses
         .recv()
-        .map_err(|_| "the stand-ins do not start".into())
+        .map_err(|_| "the stand-ins did not start".into())
 }
 
 async fn accept<F: Future<Output = ()> + 'static>(listener: TcpListener, serve: fn(Wire) -> F) {
@@ -102,20 +107,20 @@
     let mut chunk = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
     while wire.stream.write_all(&chunk).await.is_ok() {
         chunk = b"1\r\n\n\r\n".to_vec();
-        sleep(HEARTBEAT).await;
+        sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
-/// What clients saw.
+/// The results of the clients' requests.
 #[derive(Debug, Default)]
-pub struct Seen {
-    /// Answered 200 with the body made for the request.
+pub struct LoadResult {
+    /// The number of requests answered 200 with the body that belongs to the request.
     pub served: u64,
-    /// Anything else.
+    /// The number of all other requests.
     pub other: u64,
-    /// Time from the last byte sent to the last one read, of those served, sorted, in microseconds.
+    /// The time from the last byte sent to the last byte received of each served request, sorted, in microseconds.
     pub times: Vec<f64>,
-    /// How long it all took.
+    /// The duration of the whole run.
     pub seconds: f64,
 }
 
@@ -123,65 +128,69 @@
     address: SocketAddr,
     idle: RefCell<Vec<Wire>>,
     next: Cell<u64>,
-    open: Cell<usize>,
-    closed: Notify,
-    seen: RefCell<Seen>,
+    in_flight: Cell<usize>,
+    completed: Notify,
+    result: RefCell<LoadResult>,
 }
 
-/// Asks at an even rate, whether answers come or not.
+/// Sends requests at a constant rate for this time, whether or not earlier requests have been answered (in_flight loop).
 ///
 /// # Errors
 ///
 /// The clients' thread has failed.
-pub fn at_a_rate(address: SocketAddr, rate: f64, time: Duration) -> Result<Seen, String> {
-    let asking = on_a_thread(move || async move {
+pub fn load_at_rate(address: SocketAddr, rate: f64, time: Duration) -> Result<LoadResult, String> {
+    let clients = spawn_thread(move || async move {
         let client = Client::new(address);
-        let began = Instant::now();
+        let started_at = Instant::now();
         for number in 0..(rate * time.as_secs_f64()) as u64 {
-            sleep_until(began + Duration::from_secs_f64(number as f64 / rate)).await;
+            sleep_until(started_at + Duration::from_secs_f64(number as f64 / rate)).await;
             let client = client.clone();
-            client.open.set(client.open.get() + 1);
+            client.in_flight.set(client.in_flight.get() + 1);
             spawn_local(async move {
-                client.ask().await;
-                client.open.set(client.open.get() - 1);
-                client.closed.notify_one();
+                client.send_request().await;
+                client.in_flight.set(client.in_flight.get() - 1);
+                client.completed.notify_one();
             });
         }
-        while client.open.get() > 0 {
-            client.closed.notified().await;
+        while client.in_flight.get() > 0 {
+            client.completed.notified().await;
         }
-        Ok(client.done(began))
+        Ok(client.finish(started_at))
     });
-    asking
+    clients
         .join()
         .map_err(|_| "the clients' thread has failed")?
 }
 
-/// Asks on so many connections, each as soon as it is answered.
+/// Sends requests on this number of connections for this time, on each as soon as the last one is answered (closed loop).
 ///
 /// # Errors
 ///
 /// The clients' thread has failed.
-pub fn at_most(address: SocketAddr, connections: usize, time: Duration) -> Result<Seen, String> {
-    let asking = on_a_thread(move || async move {
+pub fn load_closed_loop(
+    address: SocketAddr,
+    connections: usize,
+    time: Duration,
+) -> Result<LoadResult, String> {
+    let clients = spawn_thread(move || async move {
         let client = Client::new(address);
-        let began = Instant::now();
-        let each = (0..connections).map(|_| {
+        let started_at = Instant::now();
+        let request_loops = (0..connections).map(|_| {
             let client = client.clone();
             spawn_local(async move {
-                while began.elapsed() < time {
-                    client.ask().await;
+                while started_at.elapsed() < time {
+                    client.send_request().await;
                 }
             })
         });
-        for asking in each.collect::<Vec<_>>() {
-            asking
+        for request_loop in request_loops.collect::<Vec<_>>() {
+            request_loop
                 .await
                 .map_err(|e| format!("a client has failed: {e}"))?;
         }
-        Ok(client.done(began))
+        Ok(client.finish(started_at))
     });
-    asking
+    clients
         .join()
         .map_err(|_| "the clients' thread has failed")?
 }
@@ -192,51 +201,54 @@
             address,
             idle: RefCell::default(),
             next: Cell::new(0),
-            open: Cell::new(0),
-            closed: Notify::new(),
-            seen: RefCell::default(),
+            in_flight: Cell::new(0),
+            completed: Notify::new(),
+            result: RefCell::default(),
         })
     }
 
-    fn done(&self, began: Instant) -> Seen {
-        let mut seen = self.seen.take();
-        seen.times.sort_by(f64::total_cmp);
-        seen.seconds = began.elapsed().as_secs_f64();
-        seen
+    /// The results of all requests since `started_at`.
+    fn finish(&self, started_at: Instant) -> LoadResult {
+        let mut result = self.result.take();
+        result.times.sort_by(f64::total_cmp);
+        result.seconds = started_at.elapsed().as_secs_f64();
+        result
     }
 
-    async fn ask(&self) {
+    /// Sends one request, and records its result.
+    async fn send_request(&self) {
         let number = self.next.replace(self.next.get() + 1);
         let answered = self.exchange(number).await;
-        let mut seen = self.seen.borrow_mut();
+        let mut result = self.result.borrow_mut();
         match answered {
             Some(time) => {
-                seen.served += 1;
-                seen.times.push(time.as_secs_f64() * 1e6);
+                result.served += 1;
+                result.times.push(time.as_secs_f64() * 1e6);
             }
-            None => seen.other += 1,
+            None => result.other += 1,
         }
     }
 
+    /// Sends a request on an idle or new connection. Returns the response time, or `None` if it was not served.
     async fn exchange(&self, number: u64) -> Option<Duration> {
-        let kept = self.idle.borrow_mut().pop();
-        let mut wire = match kept {
+        let reused = self.idle.borrow_mut().pop();
+        let mut wire = match reused {
             Some(wire) => wire,
             None => Wire::new(TcpStream::connect(self.address).await.ok()?),
         };
         let id = format!("{number:016x}");
         wire.stream.write_all(&request(number, &id)).await.ok()?;
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let (head, body) = wire.read(true).await.ok()?;
-        let time = asked.elapsed();
+        let time = sent_at.elapsed();
         self.idle.borrow_mut().push(wire);
         (head.status == 200 && body == id.as_bytes()).then_some(time)
     }
 }
 
-/// The head, and body if it has one, of a request as the users' clients make them.
+/// The bytes of request `number` as the users' clients send it: the head, and the body if it has one.
 pub fn request(number: u64, id: &str) -> Vec<u8> {
-    let keyed = number % OF < KEYED;
+    let keyed = number % CYCLE < KEYED_PER_CYCLE;
     let class = &CLASSES[usize::from(keyed)];
     let (account, plan) = (number % CUSTOMERS, &PLANS[(number % 3) as usize]);
     let headers = format!(
@@ -248,9 +260,9 @@
         return format!("GET /api HTTP/1.1\r\n{headers}\r\n").into_bytes();
     }
     let mut text = format!(
-        "POST /api HTTP/1.1\r\n{headers}Idempotency-Key: {number:032x}\r\nContent-Length: {BODY}\r\n\r\n"
+        "POST /api HTTP/1.1\r\n{headers}Idempotency-Key: {number:032x}\r\nContent-Length: {BODY_BYTES}\r\n\r\n"
     )
     .into_bytes();
-    text.resize(text.len() + BODY, b'b');
+    text.resize(text.len() + BODY_BYTES, b'b');
     text
 }
--- a/crates/emberpin-wal/tests/common/mod.rs
+++ b/crates/emberpin-wal/tests/common/mod.rs
@@ -229,7 +229,7 @@
 /// A log that was created as by an operator, and has no records.
 pub fn created_log() -> Memory {
     let mut memory = Memory::default();
-    Log::begin(&mut memory, &identity()).expect("created_log");
+    Log::begin(&mut memory, &identity()).expect("created");
     memory
 }
 
