--- a/crates/emberpin-bench/src/measure.rs
+++ b/crates/emberpin-bench/src/measure.rs
@@ -64,7 +64,7 @@
     }
 
     /// The spread as text, with this number of digits after the decimal point.
-    fn to_text(&self, digits: usize) -> String {
+    fn formatted(&self, digits: usize) -> String {
         format!(
             "{:.digits$} ({:.digits$} to {:.digits$})",
             self.median, self.min, self.max
@@ -263,8 +263,8 @@
         plan.rounds,
         plan.seconds,
         plan.rate,
-        direct_p50.to_text(0),
-        direct_p99.to_text(0)
+        direct_p50.formatted(0),
+        direct_p99.formatted(0)
     );
     let figures: [Figure; 5] = [
         ("CPU µs a request", |round| round.cpu_us_per_request, 1),
@@ -294,12 +294,13 @@
             // Compares each round with the same round of the other subject.
             let ratio = |other: &Measured| {
                 let pairs = subject.rounds.iter().zip(&other.rounds);
-                Spread::from_values(pairs.map(|(own, other)| value(own) / value(other))).to_text(2)
+                Spread::from_values(pairs.map(|(own, other)| value(own) / value(other)))
+                    .formatted(2)
             };
             let not_served: u64 = subject.rounds.iter().map(|round| round.not_served).sum();
             table.add_row([
                 format!("{name}: {}", subject.name),
-                own.to_text(digits),
+                own.formatted(digits),
                 ratio(bare),
                 ratio(limiter),
                 not_served.to_string(),
--- a/crates/emberpin-bench/src/standins.rs
+++ b/crates/emberpin-bench/src/standins.rs
@@ -133,7 +133,7 @@
     result: RefCell<LoadResult>,
 }
 
-/// Sends requests at a constant rate for this time, whether or not earlier requests have been answered (in_flight loop).
+/// Sends requests at a constant rate for this time, whether or not earlier requests have been answered (open loop).
 ///
 /// # Errors
 ///
