--- a/crates/emberpin-bench/src/door.rs
+++ b/crates/emberpin-bench/src/door.rs
@@ -12,6 +12,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
+/// The number of servers.
 const SERVERS: usize = 9;
 /// Connections of the clients that generate the load: far more requests than one core can answer.
 const CONNECTIONS: usize = 128;
--- a/crates/emberpin-bench/src/instructions.rs
+++ b/crates/emberpin-bench/src/instructions.rs
@@ -11,6 +11,7 @@
 
 /// The environment variable with the number of requests to send.
 const REQUESTS_VARIABLE: &str = "EMBERPIN_COST_REQUESTS";
+/// The number of servers in the settings.
 const SERVERS: u16 = 9;
 
 /// Sends the number of requests that the environment sets through the limiter in-process, without sockets.
--- a/crates/emberpin-bench/src/keys.rs
+++ b/crates/emberpin-bench/src/keys.rs
@@ -15,6 +15,7 @@
 const CUSTOMERS: u32 = 100;
 /// The size of a request's and a response's body in bytes.
 const BODY_BYTES: usize = 256;
+/// How long the table and the cache keep an entry.
 const RETENTION: Duration = Duration::from_secs(60);
 
 /// A customer's number and one of its idempotency keys.
--- a/crates/emberpin-bench/src/measure.rs
+++ b/crates/emberpin-bench/src/measure.rs
@@ -15,7 +15,7 @@
 
 /// The time under load before the measurement: connections are established, and branch predictors are trained.
 const WARM_UP: Duration = Duration::from_millis(300);
-/// How long a program may take until it is ready.
+/// The time-out for the start of a program, until it reports ready.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A program that is measured, with its arguments.
--- a/crates/emberpin-startup/src/list_guard.rs
+++ b/crates/emberpin-startup/src/list_guard.rs
@@ -1,4 +1,5 @@
-//! Which endpoint lists are accepted: static stability against an outage of the discovery service.
+//! Decides which endpoint lists are accepted, so that an outage of the discovery service leaves the known servers in use
+//! (static stability).
 //!
 //! A discovery service that has just restarted, or lost its data, may send a list without servers, with far fewer than
 //! before, or with a revision older than one already received. Applying it would turn the outage of the discovery service
--- a/crates/emberpin-startup/src/list_messages.rs
+++ b/crates/emberpin-startup/src/list_messages.rs
@@ -43,7 +43,7 @@
     },
     /// A full list, in answer to a request.
     List {
-        /// The version of the list in `entries`; a receiver drops one that is not newer than its own.
+        /// The version of the list in `entries`; a receiver drops a list that is not newer than its own.
         version: ListVersion,
         /// The servers, in the host's encoding.
         entries: Vec<u8>,
--- a/crates/emberpin-startup/src/readiness.rs
+++ b/crates/emberpin-startup/src/readiness.rs
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Records how many servers requests may be sent to `now`, in time since the start. Returns whether the limiter
+    /// Records the number of servers that requests may be sent to, at `now` in time since the start. Returns whether the limiter
     /// is ready.
     pub fn update(&mut self, now: Duration, servers: usize) -> bool {
         self.ready |= servers > 0 || now >= self.deadline;
--- a/crates/emberpin-startup/src/topology.rs
+++ b/crates/emberpin-startup/src/topology.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-/// The ratio between the lengths of consecutive chords. A larger one means fewer links and more hops.
+/// The ratio between the lengths of consecutive chords. A larger ratio means fewer links and more hops.
 const CHORD_RATIO: usize = 4;
 
 /// The members that `member` exchanges list messages with: those 1, 4, 16, … positions away on the ring of all
--- a/crates/emberpin-wal/src/log.rs
+++ b/crates/emberpin-wal/src/log.rs
@@ -32,11 +32,11 @@
 /// Identifies the opener of a log.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// The instance whose log it is.
+    /// Name of the instance that the log belongs to.
     pub instance: String,
     /// Id of the machine's current boot; all zero if it is not known.
     pub boot: [u8; 16],
-    /// Random id, from the system's random source, that the log gets if it is created by this opening.
+    /// Random id, from the system's random source, that a newly created log gets.
     pub fresh: [u8; 16],
 }
 
@@ -96,12 +96,15 @@
             DataLoss::Damaged { file, at } => write!(to, "{file} is damaged at byte {at}"),
             DataLoss::Missing { before } => write!(to, "records before {before} are missing"),
             DataLoss::Rewound { counted, found } => {
-                write!(to, "it ends at record {found}, and {counted} had counted")
+                write!(
+                    to,
+                    "it ends at record {found}, but record {counted} was durable"
+                )
             }
             DataLoss::Copied { file } => {
                 write!(to, "{file} is a copy, not the file that was written")
             }
-            DataLoss::NoWatermark => write!(to, "its mark is missing or damaged"),
+            DataLoss::NoWatermark => write!(to, "its watermark is missing or damaged"),
             DataLoss::EarlierLoss => write!(to, "an earlier start found records lost"),
         }
     }
@@ -127,7 +130,7 @@
     Version {
         /// Name of the file.
         file: String,
-        /// Its format version.
+        /// The format version of the file.
         found: u16,
     },
     /// A segment belongs to another instance.
@@ -137,13 +140,13 @@
         /// Name of the instance that it belongs to.
         found: String,
     },
-    /// [`Log::begin`] found a log.
+    /// [`Log::begin`] was called where a log exists already.
     AlreadyExists,
     /// An operation of the file system failed.
     Io {
         /// The operation, as "cannot read FILE".
         doing: String,
-        /// Its error.
+        /// The error of the operation.
         error: io::Error,
     },
 }
@@ -168,12 +171,13 @@
 /// Why records were not written or are not durable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteError {
-    /// One of them is longer than [`MAX_RECORD_BYTES`].
+    /// One of the records is longer than [`MAX_RECORD_BYTES`].
     TooLong,
-    /// None of them is in the log, which stays usable; the disk may be full.
+    /// None of the records is in the log, which stays usable; the disk may be full.
     NotWritten(String),
-    /// The state of the disk is unknown: an fsync failed, or a partial write could not be truncated. The log refuses
-    /// all writes until it is opened again, as a second fsync may succeed without having written what failed before.
+    /// The state of the disk is unknown: an fsync failed, or a partial write could not be truncated. The log rejects
+    /// all writes until it is opened again, as a second fsync may succeed without having written the bytes whose first
+    /// fsync failed.
     Failed(String),
 }
 
@@ -182,7 +186,7 @@
         match self {
             WriteError::TooLong => write!(to, "a record is longer than {MAX_RECORD_BYTES} bytes"),
             WriteError::NotWritten(why) => write!(to, "not written: {why}"),
-            WriteError::Failed(why) => write!(to, "the log ended: {why}"),
+            WriteError::Failed(why) => write!(to, "the log has failed: {why}"),
         }
     }
 }
@@ -364,7 +368,7 @@
 }
 
 impl SegmentChain {
-    /// Recovers the next segment, and checks that it continues those before.
+    /// Recovers the next segment, and checks that it continues the earlier ones.
     fn recover<S: Storage>(
         &mut self,
         storage: &mut S,
@@ -435,7 +439,7 @@
         Ok(())
     }
 
-    /// Whether a segment with this header follows those before without a gap.
+    /// Whether a segment with this header follows the earlier segments without a gap.
     fn is_continued_by(&self, segment: u64, header: &Header) -> bool {
         self.last_segment.is_none_or(|last| last + 1 == segment)
             && self.next.is_none_or(|next| next == header.first)
--- a/crates/emberpin-wal/tests/common/mod.rs
+++ b/crates/emberpin-wal/tests/common/mod.rs
@@ -19,7 +19,7 @@
     Crash,
     /// The disk has no space left after half of an append.
     OutOfSpace,
-    /// An fsync fails once; the next one reports success, as it does on Linux, although the earlier bytes may be lost.
+    /// An fsync fails once; the next one reports success, as kernels do.
     SyncFails,
 }
 
