--- a/crates/emberpin-bench/src/bare.rs
+++ b/crates/emberpin-bench/src/bare.rs
@@ -1,6 +1,6 @@
-//! The baseline: a reverse proxy on the same hyper and tokio as the limiter, on one thread, without admission control or
-//! load balancing. It uses the servers in rotation. As in the limiter, connections are reused, and each is polled by the
-//! task that uses it.
+//! The baseline: a reverse proxy on the same hyper and tokio as the limiter, on one thread, without admission control
+//! or load balancing. It uses the servers in rotation. As in the limiter, connections are reused, and each is polled by
+//! the task that uses it.
 
 use crate::settings::{Settings, BACKLOG};
 use bytes::Bytes;
--- a/crates/emberpin-bench/src/door.rs
+++ b/crates/emberpin-bench/src/door.rs
@@ -1,6 +1,6 @@
-//! Measures the response time of the limiter's operator interface (the setting `ops`): while the limiter is idle, under the
-//! load of closed-loop clients, and under this load while further callers hold connections to the operator interface
-//! without sending anything. A call to the clients' address under the same load is measured for comparison.
+//! Measures the response time of the limiter's operator interface (the setting `ops`): while the limiter is idle, under
+//! the load of closed-loop clients, and under this load while further callers hold connections to the operator
+//! interface without sending anything. A call to the clients' address under the same load is measured for comparison.
 
 use crate::measure::{Subject, SubjectProcess};
 use crate::{settings, standins, AS_LIMITER};
--- a/crates/emberpin-bench/src/keys.rs
+++ b/crates/emberpin-bench/src/keys.rs
@@ -1,5 +1,5 @@
-//! Compares the table of idempotency keys with a plain cache of the same entries (`moka`), in alternating rounds: each key
-//! arrives, is served, and is requested again. The cache stores a response by key and does nothing else: it has no
+//! Compares the table of idempotency keys with a plain cache of the same entries (`moka`), in alternating rounds: each
+//! key arrives, is served, and is requested again. The cache stores a response by key and does nothing else: it has no
 //! fingerprints, does not track requests in flight, does not limit a customer's share, and does not guarantee that a
 //! request that ran is remembered.
 
--- a/crates/emberpin-bench/src/main.rs
+++ b/crates/emberpin-bench/src/main.rs
@@ -1,6 +1,6 @@
-//! Measures the cost of a request at the limiter, at a bare reverse proxy, and at a stack of tower layers with governor.
-//! Each runs between the same stand-ins for clients, servers and the discovery service, under the same load, in
-//! alternating rounds of one run.
+//! Measures the cost of a request at the limiter, at a bare reverse proxy, and at a stack of tower layers with
+//! governor. Each runs between the same stand-ins for clients, servers and the discovery service, under the same load,
+//! in alternating rounds of one run.
 //!
 //! The program starts itself again as the process to be measured; the first argument then says which one it is.
 #![forbid(unsafe_code)]
--- a/crates/emberpin-bench/src/measure.rs
+++ b/crates/emberpin-bench/src/measure.rs
@@ -116,8 +116,8 @@
     Ok(())
 }
 
-/// The median and the 99th percentile of the response time of the stand-ins alone in each round, in microseconds, and the
-/// rounds of each subject.
+/// The median and the 99th percentile of the response time of the stand-ins alone in each round, in microseconds, and
+/// the rounds of each subject.
 type Figures = (Vec<(f64, f64)>, Vec<Measured>);
 
 fn rounds(plan: &Plan, subjects: &[Subject], folder: &Path) -> Result<Figures, String> {
--- a/crates/emberpin-bench/src/settings.rs
+++ b/crates/emberpin-bench/src/settings.rs
@@ -7,8 +7,8 @@
 
 /// The backlog of a listener, in connections that wait to be accepted; the same as at the limiter.
 pub const BACKLOG: u32 = 512;
-/// A quota, in units a second and as a burst, that no load here reaches: the benchmark measures the cost of a request, not
-/// rejections.
+/// A quota, in units a second and as a burst, that no load here reaches: the benchmark measures the cost of a request,
+/// not rejections.
 const UNREACHED_QUOTA: f64 = 1e9;
 
 /// The part of the file that a proxy without admission control and load balancing needs.
--- a/crates/emberpin-bench/src/stack.rs
+++ b/crates/emberpin-bench/src/stack.rs
@@ -1,6 +1,6 @@
 //! The alternative that a user could assemble from existing crates: hyper's pooled client under tower's load shedding,
-//! concurrency limit, retries and time-out, behind governor's token buckets per account. Its limits apply to one process
-//! only.
+//! concurrency limit, retries and time-out, behind governor's token buckets per account. Its limits apply to one
+//! process only.
 
 use crate::bare::listen;
 use crate::settings::Settings;
--- a/crates/emberpin-bench/src/standins.rs
+++ b/crates/emberpin-bench/src/standins.rs
@@ -1,6 +1,6 @@
-//! Stand-ins around the measured proxy: servers that answer at once, a discovery service without changes, and clients that
-//! send requests at a fixed rate or each as soon as the last one is answered. Servers and clients run on threads of this
-//! process, so that the process of the proxy between them can be measured by itself.
+//! Stand-ins around the measured proxy: servers that answer at once, a discovery service without changes, and clients
+//! that send requests at a fixed rate or each as soon as the last one is answered. Servers and clients run on threads
+//! of this process, so that the process of the proxy between them can be measured by itself.
 
 use emberpin_testbed::figures::{CLASSES, PLANS};
 use emberpin_testbed::http::Wire;
@@ -44,8 +44,8 @@
     })
 }
 
-/// Starts this number of servers and a discovery service, which run until this process exits. Returns the addresses of the
-/// servers and of the discovery service.
+/// Starts this number of servers and a discovery service, which run until this process exits. Returns the addresses of
+/// the servers and of the discovery service.
 ///
 /// # Errors
 ///
@@ -162,7 +162,8 @@
         .map_err(|_| "the clients' thread has failed")?
 }
 
-/// Sends requests on this number of connections for this time, on each as soon as the last one is answered (closed loop).
+/// Sends requests on this number of connections for this time, on each as soon as the last one is answered (closed
+/// loop).
 ///
 /// # Errors
 ///
--- a/crates/emberpin-startup/src/call_schedule.rs
+++ b/crates/emberpin-startup/src/call_schedule.rs
@@ -39,8 +39,8 @@
 /// The longest window after a failure, and the longest delay that a service's `Retry-After` is obeyed for.
 const MAX_BACKOFF: Duration = Duration::from_secs(60);
 
-/// The longest window after a watch broke, where the age of the list is bounded: changes must be applied within 6 s after
-/// a watch stopped delivering, which is detected after 4.5 s.
+/// The longest window after a watch broke, where the age of the list is bounded: changes must be applied within 6 s
+/// after a watch stopped delivering, which is detected after 4.5 s.
 const MAX_BOUNDED_WINDOW: Duration = Duration::from_millis(1_200);
 /// A call that failed after at least this time hung at a service that does not answer, and cost it nothing.
 const HANG_THRESHOLD: Duration = Duration::from_millis(4_000);
@@ -121,8 +121,9 @@
         }
     }
 
-    /// A schedule for a process that starts now and whose first call may be delayed. `calls_per_second` is how many calls
-    /// per second the service answers, where the operator has configured it; `random` is a random number in [0, 1).
+    /// A schedule for a process that starts now and whose first call may be delayed. `calls_per_second` is how many
+    /// calls per second the service answers, where the operator has configured it; `random` is a random number in [0,
+    /// 1).
     pub fn staggered(
         position: GroupPosition,
         calls_per_second: Option<f64>,
@@ -142,15 +143,16 @@
         }
     }
 
-    /// Records that a peer sent a message before the first call. Member numbers outside the group are ignored, which bounds the table.
+    /// Records that a peer sent a message before the first call. Member numbers outside the group are ignored, which
+    /// bounds the table.
     pub fn on_peer_message(&mut self, peer: u32, start: PeerStart) {
         if peer < self.position.size && peer != self.position.number {
             self.peers.insert(peer, start);
         }
     }
 
-    /// When the first call is due, since the start. The slot is scaled down to the share of members that started together
-    /// with this one, as far as peers have sent messages; the order of these members stays the same.
+    /// When the first call is due, since the start. The slot is scaled down to the share of members that started
+    /// together with this one, as far as peers have sent messages; the order of these members stays the same.
     pub fn first_call_at(&self) -> Duration {
         let together = self
             .peers
@@ -175,8 +177,8 @@
         }
     }
 
-    /// Resets the backoff: the limiter has been configured with another discovery service, so failures of the previous one
-    /// no longer count.
+    /// Resets the backoff: the limiter has been configured with another discovery service, so failures of the previous
+    /// one no longer count.
     pub fn on_service_changed(&mut self) {
         self.window = self.first_window();
     }
--- a/crates/emberpin-startup/src/list_dissemination.rs
+++ b/crates/emberpin-startup/src/list_dissemination.rs
@@ -1,16 +1,17 @@
-//! Dissemination of the endpoint list among limiters: a few limiters, the watchers, keep a watch of the discovery service
-//! open, and the others receive its list from them over peer links.
+//! Dissemination of the endpoint list among limiters: a few limiters, the watchers, keep a watch of the discovery
+//! service open, and the others receive its list from them over peer links.
 //!
-//! Watchers are not appointed. A limiter that knows of too few watchers calls the discovery service when its slot comes; a
-//! limiter that knows of enough waits. A watcher whose watch works sends a heartbeat each [`DisseminationConfig::heartbeat_interval`]
-//! with the version of its list. Heartbeats are forwarded from neighbour to neighbour, and a limiter with an older list
-//! requests the list from the neighbour that forwarded the heartbeat. A watcher that crashes, stalls, is partitioned off or
-//! loses its watch is considered lost after [`DisseminationConfig::watcher_timeout`]. Limiters replace it in the order of
-//! their slots, so that even the loss of all watchers costs no more calls than their replacement.
+//! Watchers are not appointed. A limiter that knows of too few watchers calls the discovery service when its slot
+//! comes; a limiter that knows of enough waits. A watcher whose watch works sends a heartbeat each
+//! [`DisseminationConfig::heartbeat_interval`] with the version of its list. Heartbeats are forwarded from neighbour to
+//! neighbour, and a limiter with an older list requests the list from the neighbour that forwarded the heartbeat. A
+//! watcher that crashes, stalls, is partitioned off or loses its watch is considered lost after
+//! [`DisseminationConfig::watcher_timeout`]. Limiters replace it in the order of their slots, so that even the loss of
+//! all watchers costs no more calls than their replacement.
 //!
-//! Versions only increase. A list that was doubted, because its revision is older or for another reason, and is accepted
-//! on an operator's override or because the doubt expired, gets a higher epoch, which makes the other limiters accept it
-//! too: an override at one limiter is enough.
+//! Versions only increase. A list that was doubted, because its revision is older or for another reason, and is
+//! accepted on an operator's override or because the doubt expired, gets a higher epoch, which makes the other limiters
+//! accept it too: an override at one limiter is enough.
 
 use crate::list_messages::{Incarnation, ListMessage, ListVersion, WatcherHeartbeat};
 use crate::slots::slot_of;
@@ -56,8 +57,8 @@
     EvaluateList {
         /// The version of the list, newer than the current one.
         version: ListVersion,
-        /// Whether the list's epoch is higher than the current one: the doubt about the list has ended at another limiter,
-        /// and the host is to accept it.
+        /// Whether the list's epoch is higher than the current one: the doubt about the list has ended at another
+        /// limiter, and the host is to accept it.
         confirmed: bool,
         /// The servers, in the host's encoding.
         entries: Vec<u8>,
@@ -106,7 +107,8 @@
 }
 
 impl ListDissemination {
-    /// The state of a process of `member` that starts now. `revision` is that of the list in its settings, if there is one.
+    /// The state of a process of `member` that starts now. `revision` is that of the list in its settings, if there is
+    /// one.
     pub fn new(
         member: u32,
         incarnation: Incarnation,
@@ -152,9 +154,9 @@
             .map(|since| since + HEARTBEAT_GRACE + slot)
     }
 
-    /// Whether this limiter's watch is to end because enough watchers precede it by slot. Only watchers that have been live
-    /// for [`DisseminationConfig::watcher_timeout`] count, so that two watchers do not end their watches in favour of each
-    /// other.
+    /// Whether this limiter's watch is to end because enough watchers precede it by slot. Only watchers that have been
+    /// live for [`DisseminationConfig::watcher_timeout`] count, so that two watchers do not end their watches in favour
+    /// of each other.
     pub fn is_surplus_watcher(&self, now: Duration) -> bool {
         let is_stable = |watcher: &&WatcherState| {
             now.saturating_sub(watcher.live_since) >= self.config.watcher_timeout
@@ -266,8 +268,8 @@
         let has_newer_list = self.version < Some(heartbeat.version);
         if self.is_new(&heartbeat) {
             self.record_heartbeat(now, heartbeat, has_newer_list.then_some(from));
-            // Heartbeats of surplus watchers need not reach every limiter, and there are many of them where many limiters
-            // called at once.
+            // Heartbeats of surplus watchers need not reach every limiter, and there are many of them where many
+            // limiters called at once.
             let preceding = self.watchers_before(now, heartbeat.watcher).count();
             if !has_newer_list && preceding < self.config.watchers {
                 self.forward_heartbeat(from, heartbeat, actions);
@@ -421,8 +423,8 @@
         now.saturating_sub(watcher.received_at) < self.config.watcher_timeout
     }
 
-    /// Other limiters that are live watchers with the current list. A watcher with another list does not replace a call to
-    /// the discovery service.
+    /// Other limiters that are live watchers with the current list. A watcher with another list does not replace a call
+    /// to the discovery service.
     fn live_watchers(&self, now: Duration) -> impl Iterator<Item = &WatcherState> {
         self.watchers.values().filter(move |watcher| {
             self.is_live(now, watcher) && self.version == Some(watcher.last_heartbeat.version)
--- a/crates/emberpin-startup/src/list_guard.rs
+++ b/crates/emberpin-startup/src/list_guard.rs
@@ -1,11 +1,11 @@
-//! Decides which endpoint lists are accepted, so that an outage of the discovery service leaves the known servers in use
-//! (static stability).
+//! Decides which endpoint lists are accepted, so that an outage of the discovery service leaves the known servers in
+//! use (static stability).
 //!
 //! A discovery service that has just restarted, or lost its data, may send a list without servers, with far fewer than
-//! before, or with a revision older than one already received. Applying it would turn the outage of the discovery service
-//! into an outage of all servers. Such a list is doubted: servers that it adds or drains are added or drained, but
-//! servers that it leaves out are retained until lists have been doubted for [`GuardConfig::max_doubt`], or until the
-//! operator overrides the doubt.
+//! before, or with a revision older than one already received. Applying it would turn the outage of the discovery
+//! service into an outage of all servers. Such a list is doubted: servers that it adds or drains are added or drained,
+//! but servers that it leaves out are retained until lists have been doubted for [`GuardConfig::max_doubt`], or until
+//! the operator overrides the doubt.
 
 use std::time::Duration;
 
@@ -27,9 +27,8 @@
 /// The properties of a list that the guard compares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListSummary {
-    /// Which discovery service the list comes from: a counter incremented each time the limiter is configured with another
-    /// service.
-    /// Revisions of different services are not comparable.
+    /// Which discovery service the list comes from: a counter incremented each time the limiter is configured with
+    /// another service. Revisions of different services are not comparable.
     pub service_generation: u32,
     /// The discovery service's revision of the list.
     pub revision: u64,
--- a/crates/emberpin-startup/src/readiness.rs
+++ b/crates/emberpin-startup/src/readiness.rs
@@ -1,8 +1,8 @@
 //! When a limiter reports ready: once it knows a server that it may send to, or at a deadline.
 //!
 //! A limiter that is ready and knows no server rejects every request, including those that another limiter could have
-//! served, so readiness waits for a server. It does not wait for ever, as a process that never becomes ready counts as a
-//! failed start: while the discovery service stays down, a limiter without any list is ready at the deadline, and its
+//! served, so readiness waits for a server. It does not wait for ever, as a process that never becomes ready counts as
+//! a failed start: while the discovery service stays down, a limiter without any list is ready at the deadline, and its
 //! responses ask clients to retry later.
 
 use std::time::Duration;
@@ -23,8 +23,8 @@
         }
     }
 
-    /// Records the number of servers that requests may be sent to, at `now` in time since the start. Returns whether the limiter
-    /// is ready.
+    /// Records the number of servers that requests may be sent to, at `now` in time since the start. Returns whether
+    /// the limiter is ready.
     pub fn update(&mut self, now: Duration, servers: usize) -> bool {
         self.ready |= servers > 0 || now >= self.deadline;
         self.ready
--- a/crates/emberpin-startup/tests/call_schedule_groups.rs
+++ b/crates/emberpin-startup/tests/call_schedule_groups.rs
@@ -46,8 +46,8 @@
 }
 
 impl Service {
-    /// Simulates a group for this many seconds. `first_calls` holds the time of each limiter's first call; `delay_after`
-    /// returns the delay between a limiter's failed call and its next one.
+    /// Simulates a group for this many seconds. `first_calls` holds the time of each limiter's first call;
+    /// `delay_after` returns the delay between a limiter's failed call and its next one.
     fn simulate(
         &self,
         first_calls: &[Duration],
@@ -187,8 +187,8 @@
     }
 }
 
-/// Guards against delays that are shorter than the calls: a call alone takes 1.3 s, and three at once fail at the time-out
-/// of 2 s. With delays of at most a second, the calls of the three limiters overlapped for ever.
+/// Guards against delays that are shorter than the calls: a call alone takes 1.3 s, and three at once fail at the
+/// time-out of 2 s. With delays of at most a second, the calls of the three limiters overlapped for ever.
 #[test]
 fn a_small_group_that_overloads_a_slow_service_is_answered_in_the_end() {
     for seed in 0..20 {
@@ -270,8 +270,9 @@
     assert!(observed.answered_at.is_empty());
 }
 
-/// Guards against first windows that are shorter than the time the service needs to answer each member: limiters that had
-/// called just before the recovery called again at once, and their calls overloaded the recovered service and failed.
+/// Guards against first windows that are shorter than the time the service needs to answer each member: limiters that
+/// had called just before the recovery called again at once, and their calls overloaded the recovered service and
+/// failed.
 #[test]
 fn a_service_that_recovers_while_first_calls_still_come_is_not_overloaded() {
     for (size, outage) in [(24, 2.0), (24, 5.0), (100, 5.0), (300, 5.0)] {
--- a/crates/emberpin-startup/tests/list_dissemination_random_faults.rs
+++ b/crates/emberpin-startup/tests/list_dissemination_random_faults.rs
@@ -38,8 +38,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, ..ProptestConfig::default() })]
 
-    /// Some seconds after the last fault, every limiter has the newest list, the configured number of limiters watch, and no
-    /// limiter calls the discovery service any more.
+    /// Some seconds after the last fault, every limiter has the newest list, the configured number of limiters watch,
+    /// and no limiter calls the discovery service any more.
     #[test]
     fn a_group_settles_and_stops_calling_after_any_faults(
         seed in any::<u64>(),
--- a/crates/emberpin-startup/tests/recorded.rs
+++ b/crates/emberpin-startup/tests/recorded.rs
@@ -1,5 +1,5 @@
-//! Tests that messages about lists between limiters and a list snapshot, as recorded from an earlier build, are decoded and
-//! encoded to the same bytes.
+//! Tests that messages about lists between limiters and a list snapshot, as recorded from an earlier build, are decoded
+//! and encoded to the same bytes.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "../../emberpin-peering/tests/common/recording.rs"]
--- a/crates/emberpin-startup/tests/simulated_group/mod.rs
+++ b/crates/emberpin-startup/tests/simulated_group/mod.rs
@@ -291,8 +291,8 @@
         }
     }
 
-    /// Delivers the messages that are due. Messages to a stalled limiter arrive when it resumes; messages to a killed one
-    /// arrive when its new process starts, although they were sent to the earlier incarnation.
+    /// Delivers the messages that are due. Messages to a stalled limiter arrive when it resumes; messages to a killed
+    /// one arrive when its new process starts, although they were sent to the earlier incarnation.
     fn deliver_messages(&mut self) {
         while let Some((&(arrival, id), _)) = self
             .in_transit
--- a/crates/emberpin-upgrade/src/process.rs
+++ b/crates/emberpin-upgrade/src/process.rs
@@ -2,8 +2,8 @@
 //!
 //! Both processes of an upgrade run it: the successor requests the state of the one that serves, its predecessor. The
 //! predecessor closes the peer port, which only one process may own, before it sends its state, so that they
-//! never both own it. The two share the file descriptors until one of them has ended; when either exits or crashes, the other
-//! goes on alone.
+//! never both own it. The two share the file descriptors until one of them has ended; when either exits or crashes, the
+//! other goes on alone.
 
 /// The stage of a process between start and exit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -191,8 +191,8 @@
         }
     }
 
-    /// Reclaims the descriptors. A process that serves also reopens the peer port and the handover socket; a process that
-    /// drains exits without them.
+    /// Reclaims the descriptors. A process that serves also reopens the peer port and the handover socket; a process
+    /// that drains exits without them.
     fn on_successor_disconnected(&mut self, actions: &mut Vec<Action>) {
         if !self.has_clients() || !std::mem::take(&mut self.has_successor) {
             return;
--- a/crates/emberpin-upgrade/tests/process.rs
+++ b/crates/emberpin-upgrade/tests/process.rs
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Models the operating system: closes the port of a process that ended, and opens a free port for the process that owns
-    /// it.
+    /// Models the operating system: closes the port of a process that ended, and opens a free port for the process that
+    /// owns it.
     fn open_free_port(&mut self) {
         for role in [Role::Successor, Role::Predecessor] {
             let is_open = |side: &Side| side.port_open && side.alive;
--- a/crates/emberpin-upgrade/tests/recorded.rs
+++ b/crates/emberpin-upgrade/tests/recorded.rs
@@ -1,5 +1,6 @@
-//! Tests that messages between the two processes of a limiter, as recorded from an earlier build, are decoded and encoded
-//! to the same bytes. The update is a string here; the limiter's own updates are recorded in the limiter's tests.
+//! Tests that messages between the two processes of a limiter, as recorded from an earlier build, are decoded and
+//! encoded to the same bytes. The update is a string here; the limiter's own updates are recorded in the limiter's
+//! tests.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "../../emberpin-peering/tests/common/recording.rs"]
--- a/crates/emberpin-wal/src/frame.rs
+++ b/crates/emberpin-wal/src/frame.rs
@@ -6,8 +6,8 @@
 //! ```
 //!
 //! Integers are little-endian. The salt is the header's own checksum, so that a frame that another file left in the
-//! disk's blocks is not accepted as a frame of this file. The head of a frame has a checksum of its own, so that an altered
-//! length is detected as damage and not as an incomplete record at the end.
+//! disk's blocks is not accepted as a frame of this file. The head of a frame has a checksum of its own, so that an
+//! altered length is detected as damage and not as an incomplete record at the end.
 
 use crate::storage::FileIdentity;
 use crc32fast::Hasher;
@@ -74,8 +74,8 @@
         bytes
     }
 
-    /// Decodes a header from the first [`MAX_HEADER_BYTES`] of a file, or all of them if it is shorter; also returns the
-    /// scanner of the frames that follow.
+    /// Decodes a header from the first [`MAX_HEADER_BYTES`] of a file, or all of them if it is shorter; also returns
+    /// the scanner of the frames that follow.
     ///
     /// # Errors
     ///
--- a/crates/emberpin-wal/src/inspect.rs
+++ b/crates/emberpin-wal/src/inspect.rs
@@ -1,5 +1,5 @@
-//! Inspection of a log's files, also while another process has them open: the content of each file, and the places where
-//! it differs from what was written.
+//! Inspection of a log's files, also while another process has them open: the content of each file, and the places
+//! where it differs from what was written.
 
 use crate::files::Files;
 use crate::frame::{Damage, Header, HeaderError};
--- a/crates/emberpin-wal/src/log.rs
+++ b/crates/emberpin-wal/src/log.rs
@@ -477,8 +477,8 @@
 }
 
 impl<S: Storage> Log<S> {
-    /// Creates a log in an empty storage. By this the operator states that there was no log before, so that the next opening
-    /// reports no loss.
+    /// Creates a log in an empty storage. By this the operator states that there was no log before, so that the next
+    /// opening reports no loss.
     ///
     /// # Errors
     ///
@@ -493,8 +493,8 @@
         Log::create(storage, identity, identity.fresh, 1, 1, 0, false).map(|_| ())
     }
 
-    /// Recovers a log: passes every record to `visit` in the order in which they were written, and starts a new segment for
-    /// further writes. No other process may use the storage.
+    /// Recovers a log: passes every record to `visit` in the order in which they were written, and starts a new segment
+    /// for further writes. No other process may use the storage.
     ///
     /// # Errors
     ///
@@ -512,8 +512,8 @@
             let is_newest = Some(segment) == newest;
             chain.recover(&mut storage, identity, segment, is_newest, &mut visit)?;
         }
-        // Records that were written and never synced have been visited. They must become durable, or after a loss of power
-        // the next segment would begin after a gap.
+        // Records that were written and never synced have been visited. They must become durable, or after a loss of
+        // power the next segment would begin after a gap.
         if let Some(segment) = chain.last_segment {
             let file = segment_file(segment);
             storage.sync(&file).map_err(io_error("sync", &file))?;
@@ -679,9 +679,9 @@
         }
         self.unsynced = false;
         self.durable = self.next - 1;
-        // The watermark is not synced itself: after a crash of the process it is exact; after a crash of the machine it may
-        // be too low, but never too high. Its two slots are written in turn, so that one of them is always complete. If it
-        // cannot be written, the next recovery may detect fewer losses.
+        // The watermark is not synced itself: after a crash of the process it is exact; after a crash of the machine it
+        // may be too low, but never too high. Its two slots are written in turn, so that one of them is always
+        // complete. If it cannot be written, the next recovery may detect fewer losses.
         let at = (self.durable % 2) * SLOT_BYTES as u64;
         _ = self.storage.overwrite(
             WATERMARK_FILE,
@@ -696,8 +696,8 @@
         WriteError::Failed(why)
     }
 
-    /// Starts a new segment, and returns its number. Once the log's writer has rewritten the records that it still needs,
-    /// [`Log::retire`] removes the segments before it.
+    /// Starts a new segment, and returns its number. Once the log's writer has rewritten the records that it still
+    /// needs, [`Log::retire`] removes the segments before it.
     ///
     /// # Errors
     ///
@@ -715,9 +715,9 @@
         }
     }
 
-    /// Removes all segments before this one, after making all written records durable. The oldest is removed first, so that a
-    /// crash in between leaves no gap. A damaged segment is renamed to `damaged` instead, for inspection by the operator;
-    /// only the last damaged one is kept.
+    /// Removes all segments before this one, after making all written records durable. The oldest is removed first, so
+    /// that a crash in between leaves no gap. A damaged segment is renamed to `damaged` instead, for inspection by the
+    /// operator; only the last damaged one is kept.
     ///
     /// # Errors
     ///
--- a/crates/emberpin-wal/src/service.rs
+++ b/crates/emberpin-wal/src/service.rs
@@ -163,9 +163,7 @@
         let mut next = None;
         while let Some(command) = next.take().or_else(|| self.receiver.recv().ok()) {
             match command {
-                Command::Append { payload, ticket } => {
-                    next = self.write_group(payload, ticket, notify)
-                }
+                Command::Append { payload, ticket } => next = self.write(payload, ticket, notify),
                 Command::Rotate => notify(LogEvent::Rotated(self.log.rotate())),
                 // Segments that cannot be removed now are removed by the next retirement.
                 Command::Retire(before) => _ = self.log.retire(before),
@@ -177,7 +175,7 @@
     }
 
     /// Writes the queued records as one group; returns the first command that is not a record.
-    fn write_group(
+    fn write(
         &mut self,
         payload: Vec<u8>,
         ticket: Option<Ticket>,
--- a/crates/emberpin-wal/src/storage.rs
+++ b/crates/emberpin-wal/src/storage.rs
@@ -13,8 +13,8 @@
 
 /// One folder of files. Names are plain file names.
 ///
-/// Errors are those of the operating system. After an error of a write, the content of the file is unknown until the file
-/// is truncated.
+/// Errors are those of the operating system. After an error of a write, the content of the file is unknown until the
+/// file is truncated.
 pub trait Storage {
     /// All names in the folder, in any order.
     ///
--- a/crates/emberpin-wal/tests/common/mod.rs
+++ b/crates/emberpin-wal/tests/common/mod.rs
@@ -68,8 +68,8 @@
         }
     }
 
-    /// The storage after a loss of power: the synced bytes, and `quarters` out of four parts of the unsynced bytes of each
-    /// file.
+    /// The storage after a loss of power: the synced bytes, and `quarters` out of four parts of the unsynced bytes of
+    /// each file.
     pub fn without_power(&self, quarters: usize) -> Memory {
         let mut left = self.killed();
         left.files.clear();
--- a/crates/emberpin-wal/tests/recorded.rs
+++ b/crates/emberpin-wal/tests/recorded.rs
@@ -1,5 +1,5 @@
-//! Tests that a log's folder as recorded from an earlier build is recovered: two segments with records, a watermark, and an
-//! incomplete record that a kill left at the end.
+//! Tests that a log's folder as recorded from an earlier build is recovered: two segments with records, a watermark,
+//! and an incomplete record that a kill left at the end.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -26,8 +26,8 @@
     ]
 }
 
-/// A log that was created by an operator and opened by one process, which wrote three records, rotated the log, and wrote
-/// one more durable record and one that is not durable.
+/// A log that was created by an operator and opened by one process, which wrote three records, rotated the log, and
+/// wrote one more durable record and one that is not durable.
 fn write_log() -> Memory {
     let mut memory = created_log();
     let (mut log, recovery, _) = open(&mut memory).expect("open");
--- a/crates/emberpin-wal/tests/recovery.rs
+++ b/crates/emberpin-wal/tests/recovery.rs
@@ -338,8 +338,8 @@
     let length = log.storage_mut().files["0000000003.log"].bytes.len();
     log.write(&[record(6)], true).expect("written");
     drop(log);
-    // The tail of another file of the same log and segment number, as if the disk had reused its blocks for this file. The
-    // sequence numbers would match.
+    // The tail of another file of the same log and segment number, as if the disk had reused its blocks for this file.
+    // The sequence numbers would match.
     let mut memory = before;
     memory.create("elsewhere").expect("created");
     let (mut log, ..) = open(&mut memory).expect("open");
@@ -421,7 +421,8 @@
 }
 
 proptest! {
-    /// Compares the log with a model that knows which records are durable: after any steps, these are recovered in order.
+    /// Compares the log with a model that knows which records are durable: after any steps, these are recovered in
+    /// order.
     #[test]
     fn after_any_steps_all_durable_records_that_were_not_retired_are_recovered(steps in steps()) {
         let mut next = 0;
--- a/crates/emberpin-wal/tests/service.rs
+++ b/crates/emberpin-wal/tests/service.rs
@@ -65,11 +65,9 @@
     })
     .expect("open");
     log.storage_mut().sync_permits = Some(sync_permits);
-    let (event_sender, events) = channel();
-    let service = Service::start(log, move |event| {
-        event_sender.send(event).expect("a receiver")
-    })
-    .expect("a thread");
+    let (sender, events) = channel();
+    let service =
+        Service::start(log, move |event| sender.send(event).expect("sent")).expect("a thread");
     service
         .append(record(0), Some(Ticket(0)))
         .expect("accepted");
@@ -89,8 +87,8 @@
             other => panic!("{other:?}"),
         }
     }
-    // How many groups the first records form depends on the scheduling of the thread, but there are far fewer groups than
-    // records.
+    // How many groups the first records form depends on the scheduling of the thread, but there are far fewer groups
+    // than records.
     assert!(service.groups() <= 20, "{}", service.groups());
 }
 
@@ -103,11 +101,9 @@
     })
     .expect("open");
     log.storage_mut().sync_permits = Some(sync_permits);
-    let (event_sender, events) = channel();
-    let service = Service::start(log, move |event| {
-        event_sender.send(event).expect("a receiver")
-    })
-    .expect("a thread");
+    let (sender, events) = channel();
+    let service =
+        Service::start(log, move |event| sender.send(event).expect("sent")).expect("a thread");
     let mut accepted = 0u64;
     while accepted < 100
         && service.append(vec![0; MAX_RECORD_BYTES], Some(Ticket(accepted))) != Err(QueueFull)
