--- a/crates/emberpin-startup/src/call_schedule.rs
+++ b/crates/emberpin-startup/src/call_schedule.rs
@@ -122,8 +122,8 @@
     }
 
     /// A schedule for a process that starts now and whose first call may be delayed. `calls_per_second` is how many
-    /// calls per second the service answers, where the operator has configured it; `random` is a random number in [0,
-    /// 1).
+    /// calls per second the service answers, where the operator has configured it; `random` is a random number
+    /// from 0 to 1 (exclusive).
     pub fn staggered(
         position: GroupPosition,
         calls_per_second: Option<f64>,
