--- a/crates/emberpin-testbed/src/bin/cold-start.rs
+++ b/crates/emberpin-testbed/src/bin/cold-start.rs
@@ -4,12 +4,12 @@
 use clap::Parser;
 use comfy_table::presets::UTF8_HORIZONTAL_ONLY;
 use comfy_table::Table;
-use emberpin_testbed::needs::Needs;
 use emberpin_testbed::process::Program;
 use emberpin_testbed::report::stories;
+use emberpin_testbed::resources::Needs;
 use emberpin_testbed::scenario::Scenario;
 use emberpin_testbed::site::run;
-use emberpin_testbed::starts::Starts;
+use emberpin_testbed::start_summary::Starts;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
--- a/crates/emberpin-testbed/src/discovery.rs
+++ b/crates/emberpin-testbed/src/discovery.rs
@@ -3,9 +3,9 @@
 
 use crate::figures::hall_name;
 use crate::http::Wire;
-use crate::power::Power;
 use crate::scenario::Untrue;
 use crate::servers::{Server, World};
+use crate::shared_capacity::Power;
 use crate::trace::{Life, Standing, What};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/crates/emberpin-testbed/src/main.rs
+++ b/crates/emberpin-testbed/src/main.rs
@@ -3,10 +3,10 @@
 #![forbid(unsafe_code)]
 
 use clap::Parser;
-use emberpin_testbed::needs::Needs;
-use emberpin_testbed::page;
+use emberpin_testbed::html_report;
 use emberpin_testbed::process::Program;
 use emberpin_testbed::report::{stories, Summary};
+use emberpin_testbed::resources::Needs;
 use emberpin_testbed::scenario::Scenario;
 use emberpin_testbed::site::{self, Outcome, Progress};
 use emberpin_testbed::trace::{seconds, Micros, SECOND};
@@ -147,7 +147,7 @@
             save(path, text + "\n")?;
         }
         if let Some(path) = &self.report {
-            save(path, page::page(outcome, summary)?)?;
+            save(path, html_report::page(outcome, summary)?)?;
         }
         Ok(())
     }
--- a/crates/emberpin-testbed/src/report.rs
+++ b/crates/emberpin-testbed/src/report.rs
@@ -2,8 +2,8 @@
 //! as JSON and as one page.
 
 use crate::figures::{CLASSES, PLANS};
+use crate::invariants::{Finding, Judgement};
 use crate::process::Usage;
-use crate::referee::{Finding, Judgement};
 use crate::schedule::{Schedule, TRIES};
 use crate::site::Outcome;
 use crate::trace::{seconds, Event, Micros, Try, What, SECOND};
--- a/crates/emberpin-testbed/src/needs.rs
+++ b/crates/emberpin-testbed/src/resources.rs
@@ -1,7 +1,7 @@
 //! What a run takes of the machine, told before it starts: descriptors of this process, and memory.
 
 use crate::error::ResourceError;
-use crate::links::MESH;
+use crate::peer_links::MESH;
 use crate::scenario::Site;
 use nix::sys::resource::{getrlimit, setrlimit, Resource};
 use std::fmt;
--- a/crates/emberpin-testbed/src/servers.rs
+++ b/crates/emberpin-testbed/src/servers.rs
@@ -3,10 +3,10 @@
 
 use crate::figures::{Repeat, CLASSES, FALL_MULTIPLE, FALL_TIME, METER_PERIOD, PLANS, WINDOW};
 use crate::http::{Broken, Head, Wire};
-use crate::link::Link;
 use crate::scenario::{Scenario, Spoil};
 use crate::schedule::Schedule;
 use crate::trace::{AttemptEnd, AttemptId, Life, Micros, Recorder, Try, What};
+use crate::zone_link::Link;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/emberpin-testbed/tests/catches.rs
+++ b/crates/emberpin-testbed/tests/catches.rs
@@ -2,17 +2,17 @@
 //! and no other; the same limiter doing nothing wrong, and the real one, are not.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
-#[path = "common/turns.rs"]
-mod turns;
+#[path = "common/site_slots.rs"]
+mod site_slots;
 
 use emberpin_testbed::error::SiteError;
+use emberpin_testbed::invariants::Rule;
 use emberpin_testbed::process::Program;
-use emberpin_testbed::referee::Rule;
 use emberpin_testbed::report::stories;
 use emberpin_testbed::scenario::Scenario;
 use emberpin_testbed::site::{run, Outcome};
+use site_slots::Turn;
 use std::path::PathBuf;
-use turns::Turn;
 
 /// A small site with time to spare, so that nothing here depends on how fast the machine is.
 const SITE: &str = "\
--- a/crates/emberpin-testbed/tests/common/mod.rs
+++ b/crates/emberpin-testbed/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Playing a site of processes, and counting what was seen.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-mod turns;
+mod site_slots;
 
 use emberpin_testbed::process::Program;
 use emberpin_testbed::report::stories;
@@ -30,7 +30,7 @@
         logs: false,
         links,
     };
-    let _turn = turns::Turn::take();
+    let _turn = site_slots::Turn::take();
     run(&scenario, &program, |_| ()).unwrap_or_else(|e| panic!("seed {seed}: {e}"))
 }
 
--- a/crates/emberpin-testbed/tests/idempotency.rs
+++ b/crates/emberpin-testbed/tests/idempotency.rs
@@ -1,8 +1,8 @@
 //! Keys repeated over real sockets, judged by the referee: second runs are counted at the stand-in servers.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
+use emberpin_testbed::invariants::Rule;
 use emberpin_testbed::process::Program;
-use emberpin_testbed::referee::Rule;
 use emberpin_testbed::report::{stories, Summary};
 use emberpin_testbed::scenario::Scenario;
 use emberpin_testbed::site::{run, Outcome};
--- a/crates/emberpin-testbed/tests/referee.rs
+++ b/crates/emberpin-testbed/tests/referee.rs
@@ -2,7 +2,7 @@
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_testbed::figures::{DRAIN_GRACE, FALL_MULTIPLE, FALL_TIME, PLANS, SLACK, WINDOW};
-use emberpin_testbed::referee::{judge, Judgement, Rule, Terms};
+use emberpin_testbed::invariants::{judge, Judgement, Rule, Terms};
 use emberpin_testbed::trace::*;
 use proptest::prelude::*;
 
--- a/crates/emberpin-testbed/tests/site.rs
+++ b/crates/emberpin-testbed/tests/site.rs
@@ -1,8 +1,8 @@
 //! The site's own hard cases, with the real limiter between real sockets.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
+use emberpin_testbed::invariants::Rule;
 use emberpin_testbed::process::Program;
-use emberpin_testbed::referee::Rule;
 use emberpin_testbed::report::{stories, Summary};
 use emberpin_testbed::scenario::Scenario;
 use emberpin_testbed::site::{run, Outcome, Progress};
--- a/crates/emberpin-testbed/tests/start.rs
+++ b/crates/emberpin-testbed/tests/start.rs
@@ -6,7 +6,7 @@
 use common::{answered, called_after, calls, count, holds, killed, listed, play, play_with, who};
 use emberpin_startup::snapshot::{decode, encode, SnapshotHeader};
 use emberpin_testbed::report::Summary;
-use emberpin_testbed::starts::Starts;
+use emberpin_testbed::start_summary::Starts;
 use emberpin_testbed::trace::{Event, Standing, What, SECOND};
 use nix::sys::stat::Mode;
 use nix::unistd::mkfifo;
--- a/crates/emberpin-testbed/tests/takeover.rs
+++ b/crates/emberpin-testbed/tests/takeover.rs
@@ -5,8 +5,8 @@
 mod common;
 
 use common::count;
+use emberpin_testbed::invariants::Rule;
 use emberpin_testbed::process::Program;
-use emberpin_testbed::referee::Rule;
 use emberpin_testbed::report::{stories, Summary};
 use emberpin_testbed::scenario::Scenario;
 use emberpin_testbed::site::{run, Outcome};
--- a/crates/emberpin-testbed/tests/told.rs
+++ b/crates/emberpin-testbed/tests/told.rs
@@ -5,7 +5,7 @@
 
 use common::{called_after, calls, count, holds, killed, play_by, who};
 use emberpin_testbed::site::Outcome;
-use emberpin_testbed::starts::Starts;
+use emberpin_testbed::start_summary::Starts;
 use emberpin_testbed::trace::{Event, Life, Micros, Standing, What, SECOND};
 use std::collections::BTreeMap;
 
