--- a/crates/emberpin-testbed/tests/site.rs
+++ b/crates/emberpin-testbed/tests/site.rs
@@ -3,10 +3,10 @@
 
 use emberpin_testbed::invariants::Rule;
 use emberpin_testbed::process::Program;
-use emberpin_testbed::report::{stories, Summary};
+use emberpin_testbed::report::{violation_histories, Summary};
 use emberpin_testbed::scenario::Scenario;
 use emberpin_testbed::site::{run, Outcome, Progress};
-use emberpin_testbed::trace::{Life, ProcessEnd, What, SECOND};
+use emberpin_testbed::trace::{Incarnation, ProcessEnd, EventKind, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
@@ -29,9 +29,9 @@
 #[track_caller]
 fn holds(outcome: &Outcome) {
     assert!(
-        !outcome.judgement.is_broken(),
+        !outcome.verdict.has_violations(),
         "seed 7:{}",
-        stories(&outcome.judgement)
+        violation_histories(&outcome.verdict)
     );
 }
 
@@ -45,7 +45,7 @@
     let outcome = play(faults, |_| ());
     holds(&outcome);
     let killed = outcome.events.iter().find_map(|event| match event.what {
-        What::LimiterDown {
+        EventKind::LimiterStopped {
             limiter: 0,
             how: ProcessEnd::Killed,
         } => Some(event.at),
@@ -56,18 +56,18 @@
     let dropped = outcome
         .events
         .iter()
-        .filter(|e| matches!(e.what, What::Dropped { .. }) && near.contains(&e.at));
+        .filter(|e| matches!(e.what, EventKind::ConnectionLost { .. }) && near.contains(&e.at));
     assert!(dropped.count() > 0, "requests were out when it died");
     let up_again = outcome
         .events
         .iter()
-        .any(|e| matches!(e.what, What::LimiterUp { limiter: 0 }) && e.at > killed);
+        .any(|e| matches!(e.what, EventKind::LimiterReady { limiter: 0 }) && e.at > killed);
     assert!(up_again && outcome.usage[0].starts == 2);
     let served_again = outcome
         .events
         .iter()
         .filter(|e| e.at > killed + SECOND)
-        .any(|e| matches!(e.what, What::Begun { limiter: 0, .. }));
+        .any(|e| matches!(e.what, EventKind::AttemptStarted { limiter: 0, .. }));
     assert!(served_again, "its next life serves");
 }
 
@@ -79,11 +79,11 @@
         |_| (),
     );
     holds(&outcome);
-    let mut lives: BTreeMap<usize, Vec<(Life, u64)>> = BTreeMap::new();
+    let mut lives: BTreeMap<usize, Vec<(Incarnation, u64)>> = BTreeMap::new();
     let mut begun = BTreeSet::new();
     for event in &outcome.events {
         match event.what {
-            What::ServerUp {
+            EventKind::ServerStarted {
                 life,
                 server,
                 warm_after,
@@ -91,7 +91,7 @@
             } => {
                 lives.entry(server).or_default().push((life, warm_after));
             }
-            What::Begun { life, .. } => {
+            EventKind::AttemptStarted { life, .. } => {
                 begun.insert(life);
             }
             _ => {}
@@ -104,11 +104,11 @@
         begun.contains(&old) && begun.contains(&new),
         "both were used"
     );
-    let told: BTreeSet<Life> = outcome
+    let told: BTreeSet<Incarnation> = outcome
         .events
         .iter()
         .filter_map(|e| {
-            if let What::Told { life, .. } = e.what {
+            if let EventKind::LimiterNotified { life, .. } = e.what {
                 Some(life)
             } else {
                 None
@@ -151,7 +151,7 @@
     let late = outcome
         .events
         .iter()
-        .filter(|e| matches!(e.what, What::Late { .. }))
+        .filter(|e| matches!(e.what, EventKind::StandInsLate { .. }))
         .count();
     assert!(late >= 3, "{late} times");
     holds(&outcome);
@@ -171,8 +171,8 @@
     let mut answers = 0;
     for event in &outcome.events {
         match &event.what {
-            What::Asked { what, .. } => _ = asked.insert(*what, event.at),
-            What::Answered { what, .. } => {
+            EventKind::RequestSent { what, .. } => _ = asked.insert(*what, event.at),
+            EventKind::ResponseReceived { what, .. } => {
                 assert!(asked.get(what).is_some_and(|at| *at <= event.at));
                 answers += 1;
             }
@@ -181,7 +181,7 @@
     }
     assert!(answers > 100, "{answers} answers");
     assert!(
-        outcome.judgement.on(Rule::Answers).broken == 0
+        outcome.verdict.on(Rule::Answers).broken == 0
             && outcome.usage.iter().all(|u| u.starts == 2)
     );
 }
@@ -223,7 +223,7 @@
         .events
         .iter()
         .filter_map(|e| {
-            if let What::Fault { name } = &e.what {
+            if let EventKind::Fault { name } = &e.what {
                 Some(name.as_str())
             } else {
                 None
--- a/crates/emberpin-testbed/tests/start.rs
+++ b/crates/emberpin-testbed/tests/start.rs
@@ -7,7 +7,7 @@
 use emberpin_startup::snapshot::{decode, encode, SnapshotHeader};
 use emberpin_testbed::report::Summary;
 use emberpin_testbed::start_summary::Starts;
-use emberpin_testbed::trace::{Event, Standing, What, SECOND};
+use emberpin_testbed::trace::{Event, ServerState, EventKind, SECOND};
 use nix::sys::stat::Mode;
 use nix::unistd::mkfifo;
 use std::collections::BTreeSet;
@@ -33,7 +33,7 @@
         let cold = outcome.events.iter().filter(|e| {
             matches!(
                 e.what,
-                What::ServerUp {
+                EventKind::ServerStarted {
                     warm_after: 1..,
                     ..
                 }
@@ -60,7 +60,7 @@
     let cold = outcome.events.iter().filter(|e| {
         matches!(
             e.what,
-            What::ServerUp {
+            EventKind::ServerStarted {
                 warm_after: 1..,
                 ..
             }
@@ -89,7 +89,7 @@
     assert_eq!(
         count(&outcome, |what| matches!(
             what,
-            What::ServerUp {
+            EventKind::ServerStarted {
                 warm_after: 1..,
                 ..
             }
@@ -149,7 +149,7 @@
     let told = |event: &Event| {
         matches!(
             event.what,
-            What::ListAnswered {
+            EventKind::DiscoveryCallEnded {
                 limiter: 7,
                 well: true
             }
@@ -385,11 +385,11 @@
     let mut listed = BTreeSet::new();
     for event in &outcome.events {
         match event.what {
-            What::ListAnswered {
+            EventKind::DiscoveryCallEnded {
                 limiter,
                 well: true,
             } => _ = listed.insert(limiter),
-            What::LimiterUp { limiter } => {
+            EventKind::LimiterReady { limiter } => {
                 assert!(
                     listed.contains(&limiter),
                     "{limiter} was ready without a list"
@@ -413,7 +413,7 @@
     let ups = outcome
         .events
         .iter()
-        .filter(|event| matches!(event.what, What::LimiterUp { .. }));
+        .filter(|event| matches!(event.what, EventKind::LimiterReady { .. }));
     let ups: Vec<f64> = ups.map(|event| event.at as f64 / SECOND as f64).collect();
     assert_eq!(ups.len(), 24);
     assert!(ups.iter().all(|at| (2.9..6.0).contains(at)), "{ups:?}");
@@ -443,7 +443,7 @@
         assert_eq!(calls(&outcome, 0.0, 14.0).1, 0);
         let begun = count(
             &outcome,
-            |what| matches!(what, What::Fault { name } if name.contains("messages lost") || name.contains("split")),
+            |what| matches!(what, EventKind::Fault { name } if name.contains("messages lost") || name.contains("split")),
         );
         assert!(begun > 0, "messages were lost, late, or came one way only");
         let starts = Starts::of(&outcome);
@@ -478,8 +478,8 @@
     let drained = count(&outcome, |what| {
         matches!(
             what,
-            What::Told {
-                standing: Standing::Draining,
+            EventKind::LimiterNotified {
+                standing: ServerState::Draining,
                 ..
             }
         )
@@ -508,10 +508,10 @@
     let fault = "[[fault]]\nat_s = 6\nwhat = \"limiter-killed\"\nlimiter = 7\nback_s = 0.5\n";
     let outcome = play_with(TOLD, &format!("seconds = 12\n{site}{fault}"), 16);
     holds(&outcome);
-    let down = |event: &&Event| matches!(event.what, What::LimiterDown { limiter: 7, .. });
+    let down = |event: &&Event| matches!(event.what, EventKind::LimiterStopped { limiter: 7, .. });
     let down = outcome.events.iter().find(down).expect("it was killed").at;
     let asked =
-        |event: &&Event| event.at > down && matches!(event.what, What::ListAsked { limiter: 7 });
+        |event: &&Event| event.at > down && matches!(event.what, EventKind::DiscoveryCalled { limiter: 7 });
     let asked = outcome
         .events
         .iter()
--- a/crates/emberpin-testbed/tests/takeover.rs
+++ b/crates/emberpin-testbed/tests/takeover.rs
@@ -7,10 +7,10 @@
 use common::count;
 use emberpin_testbed::invariants::Rule;
 use emberpin_testbed::process::Program;
-use emberpin_testbed::report::{stories, Summary};
+use emberpin_testbed::report::{violation_histories, Summary};
 use emberpin_testbed::scenario::Scenario;
 use emberpin_testbed::site::{run, Outcome};
-use emberpin_testbed::trace::{Micros, ProcessEnd, Try, What};
+use emberpin_testbed::trace::{Micros, ProcessEnd, RequestId, EventKind};
 use std::collections::{BTreeMap, BTreeSet};
 
 const KEYS: &str = "[idempotency]\nretention_s = 20\n";
@@ -45,9 +45,9 @@
 fn holds(outcome: &Outcome) {
     let seed = outcome.scenario.seed;
     assert!(
-        !outcome.judgement.is_broken(),
+        !outcome.verdict.has_violations(),
         "seed {seed}:{}",
-        stories(&outcome.judgement)
+        violation_histories(&outcome.verdict)
     );
     assert_eq!(Summary::of(outcome).second_effects, 0, "seed {seed}");
 }
@@ -62,14 +62,14 @@
 }
 
 fn in_hand(outcome: &Outcome) -> InHand {
-    let mut asked: BTreeMap<Try, (usize, u32, Micros)> = BTreeMap::new();
-    let mut open: BTreeMap<Try, (usize, u32)> = BTreeMap::new();
+    let mut asked: BTreeMap<RequestId, (usize, u32, Micros)> = BTreeMap::new();
+    let mut open: BTreeMap<RequestId, (usize, u32)> = BTreeMap::new();
     let mut lost: BTreeMap<u32, Micros> = BTreeMap::new();
     let (mut again, mut served, mut begun) = (BTreeSet::new(), BTreeSet::new(), BTreeMap::new());
     let mut found = InHand::default();
     for event in &outcome.events {
         match event.what {
-            What::Asked {
+            EventKind::RequestSent {
                 what,
                 limiter,
                 key,
@@ -80,7 +80,7 @@
                 asked.insert(what, (limiter, key, event.at));
                 open.insert(what, (limiter, key));
             }
-            What::Answered { what, status, .. } => {
+            EventKind::ResponseReceived { what, status, .. } => {
                 open.remove(&what);
                 if let (200, Some((_, key, at))) = (status, asked.get(&what)) {
                     if lost.get(key).is_some_and(|lost| at > lost) {
@@ -88,10 +88,10 @@
                     }
                 }
             }
-            What::Dropped { what, .. } | What::GaveUp { what } | What::Left { what } => {
+            EventKind::ConnectionLost { what, .. } | EventKind::RequestTimedOut { what } | EventKind::RequestCancelled { what } => {
                 _ = open.remove(&what);
             }
-            What::LimiterDown {
+            EventKind::LimiterStopped {
                 limiter,
                 how: ProcessEnd::Killed,
             } => {
@@ -101,10 +101,10 @@
                         .map(|(_, key)| (*key, event.at)),
                 );
             }
-            What::Begun {
+            EventKind::AttemptStarted {
                 attempt, limiter, ..
             } => _ = begun.insert(attempt, limiter),
-            What::Whole {
+            EventKind::AttemptReceived {
                 attempt,
                 what: Some(what),
                 ..
@@ -140,7 +140,7 @@
     count(outcome, |what| {
         matches!(
             what,
-            What::LimiterDown {
+            EventKind::LimiterStopped {
                 how: ProcessEnd::Killed,
                 ..
             }
@@ -151,7 +151,7 @@
 fn faults(outcome: &Outcome, of: &str) -> usize {
     count(
         outcome,
-        |what| matches!(what, What::Fault { name } if name.contains(of) && !name.starts_with("over")),
+        |what| matches!(what, EventKind::Fault { name } if name.contains(of) && !name.starts_with("over")),
     )
 }
 
@@ -239,7 +239,7 @@
             &format!("{}{}", pause(0, 1.0, 0.8), pause(3, 2.5, 1.6)),
         );
         assert_eq!(Summary::of(&outcome).second_effects, 0, "seed {seed}");
-        assert_eq!(outcome.judgement.on(Rule::Effects).broken, 0, "seed {seed}");
+        assert_eq!(outcome.verdict.on(Rule::Effects).broken, 0, "seed {seed}");
         let still = (
             faults(&outcome, "paused for"),
             faults(&outcome, "does not stand still"),
@@ -317,7 +317,7 @@
         ];
         let outcome = play(&both(), seed, &stop.concat());
         assert_eq!(Summary::of(&outcome).second_effects, 0, "seed {seed}");
-        assert_eq!(outcome.judgement.on(Rule::Effects).broken, 0, "seed {seed}");
+        assert_eq!(outcome.verdict.on(Rule::Effects).broken, 0, "seed {seed}");
         assert_eq!(
             stood_still(&outcome).len(),
             3,
@@ -347,7 +347,7 @@
 /// The limiters that stood still at a point.
 fn stood_still(outcome: &Outcome) -> Vec<&str> {
     let named = outcome.events.iter().filter_map(|event| match &event.what {
-        What::Fault { name } => Some(name.as_str()),
+        EventKind::Fault { name } => Some(name.as_str()),
         _ => None,
     });
     named
--- a/crates/emberpin-testbed/tests/told.rs
+++ b/crates/emberpin-testbed/tests/told.rs
@@ -6,7 +6,7 @@
 use common::{called_after, calls, count, holds, killed, play_by, who};
 use emberpin_testbed::site::Outcome;
 use emberpin_testbed::start_summary::Starts;
-use emberpin_testbed::trace::{Event, Life, Micros, Standing, What, SECOND};
+use emberpin_testbed::trace::{Event, Incarnation, Micros, ServerState, EventKind, SECOND};
 use std::collections::BTreeMap;
 
 /// Limiters that know nothing and have just started, before a list service of a call of each in 4 s.
@@ -48,7 +48,7 @@
     assert_eq!(killed(&outcome), 3, "each was killed as it called");
     let first_up = |limiter| {
         let up =
-            |event: &&Event| matches!(event.what, What::LimiterUp { limiter: of } if of == limiter);
+            |event: &&Event| matches!(event.what, EventKind::LimiterReady { limiter: of } if of == limiter);
         outcome
             .events
             .iter()
@@ -84,8 +84,8 @@
     count(outcome, |what| {
         matches!(
             what,
-            What::Told {
-                standing: Standing::Draining,
+            EventKind::LimiterNotified {
+                standing: ServerState::Draining,
                 ..
             }
         )
@@ -136,7 +136,7 @@
         holds(&outcome);
         let cut = count(
             &outcome,
-            |what| matches!(what, What::Fault { name } if name.contains("split from")),
+            |what| matches!(what, EventKind::Fault { name } if name.contains("split from")),
         );
         assert!(cut > 0, "{way}: they were cut off");
         let mut own = who(&outcome, 5, 14, common::asked);
@@ -195,7 +195,7 @@
     assert_eq!(
         count(
             &outcome,
-            |what| matches!(what, What::Fault { name } if name.contains("does not stand still"))
+            |what| matches!(what, EventKind::Fault { name } if name.contains("does not stand still"))
         ),
         0
     );
@@ -206,20 +206,20 @@
     );
     assert_eq!(drained(&outcome), 2 * 24);
     // What is late at all is its own, from before it could hear anything.
-    let mut drains: BTreeMap<Life, Micros> = BTreeMap::new();
+    let mut drains: BTreeMap<Incarnation, Micros> = BTreeMap::new();
     for event in &outcome.events {
         match event.what {
-            What::Told {
+            EventKind::LimiterNotified {
                 life,
-                standing: Standing::Draining,
+                standing: ServerState::Draining,
                 ..
             } => _ = drains.entry(life).or_insert(event.at),
-            What::Told {
+            EventKind::LimiterNotified {
                 life,
-                standing: Standing::Ready,
+                standing: ServerState::Ready,
                 ..
             } => _ = drains.remove(&life),
-            What::Begun { life, limiter, .. } => {
+            EventKind::AttemptStarted { life, limiter, .. } => {
                 let late = drains
                     .get(&life)
                     .is_some_and(|since| event.at > since + 600_000);
@@ -276,8 +276,8 @@
     let (asked, failed) = calls(&outcome, 6.5, 16.0);
     assert!(asked > failed, "half a list was told");
     let used = |from: u64, to: u64| {
-        let life = |what: &What| match what {
-            What::Begun { life, .. } => Some(life.0 as usize),
+        let life = |what: &EventKind| match what {
+            EventKind::AttemptStarted { life, .. } => Some(life.0 as usize),
             _ => None,
         };
         who(&outcome, from, to, life).len()
