--- a/crates/emberpin-testbed/src/schedule.rs
+++ b/crates/emberpin-testbed/src/schedule.rs
@@ -29,15 +29,19 @@
     /// Where its turns begin.
     phase: f64,
     /// When it moves to others of its limiters at one stroke.
-    hops: Vec<Micros>,
+    moves: Vec<Micros>,
 }
 
 impl Customer {
     /// The limiter of its set that most of its requests come through at this time.
-    pub fn busiest(&self, at: Micros, shift: Micros) -> usize {
-        let turn = (at as f64 / shift.max(1) as f64 + self.phase) as usize;
-        let hops = self.hops.iter().filter(|hop| **hop <= at).count();
-        turn + hops
+    pub fn busiest_limiter(&self, at: Micros, shift: Micros) -> usize {
+        let shift_count = (at as f64 / shift.max(1) as f64 + self.phase) as usize;
+        let moves = self
+            .moves
+            .iter()
+            .filter(|moved_at| **moved_at <= at)
+            .count();
+        shift_count + moves
     }
 }
 
@@ -55,15 +59,15 @@
     /// The number of its idempotency key: that of the arrival that it repeats, or its own.
     pub key: u32,
     /// Each try is given up after this.
-    pub patience: Micros,
+    pub time_limit: Micros,
     /// The limiter of its set, from [`Customer::first`] on, that its first try goes to.
-    pub through: usize,
+    pub limiter_index: usize,
     /// It leaves its first try after this, for no reason.
-    pub leaves: Option<Micros>,
+    pub cancels_after: Option<Micros>,
     /// It waits as it is advised.
-    pub honours: bool,
+    pub honors_retry_after: bool,
     /// Its own waits before its tries are this many times the mean.
-    pub haste: f64,
+    pub backoff_factor: f64,
 }
 
 impl Arrival {
@@ -83,14 +87,14 @@
     /// Speed of a core of each server.
     pub speeds: Vec<f64>,
     /// Marks this run's ids on the wire.
-    pub tag: u32,
+    pub run_tag: u32,
 }
 
 impl Schedule {
     /// Draws the schedule of a scenario.
     pub fn draw(scenario: &Scenario) -> Schedule {
         let mut rng = ChaCha8Rng::seed_from_u64(scenario.seed);
-        let tag = rng.random();
+        let run_tag = rng.random();
         let [slow, fast] = scenario.site.speed;
         let speeds = (0..scenario.site.servers)
             .map(|_| slow + (fast - slow) * rng.random::<f64>())
@@ -102,36 +106,37 @@
             customers,
             arrivals,
             speeds,
-            tag,
+            run_tag,
         }
     }
 
     /// The arrival that a try belongs to.
-    pub fn arrival(&self, of: RequestId) -> Option<&Arrival> {
-        self.arrivals.get((of.0 / REQUESTS_PER_ARRIVAL) as usize)
+    pub fn arrival(&self, request_id: RequestId) -> Option<&Arrival> {
+        self.arrivals
+            .get((request_id.0 / REQUESTS_PER_ARRIVAL) as usize)
     }
 
     /// A try's `Req-Id`.
-    pub fn id(&self, of: RequestId) -> String {
-        format!("{:08x}{:08x}", self.tag, of.0)
+    pub fn id(&self, request_id: RequestId) -> String {
+        format!("{:08x}{:08x}", self.run_tag, request_id.0)
     }
 
     /// The try of a `Req-Id`, if it is one of this run's.
     pub fn parse_id(&self, id: &str) -> Option<RequestId> {
-        let (tag, number) = id.split_at_checked(8)?;
-        let sound = number.len() == 8 && u32::from_str_radix(tag, 16).ok()? == self.tag;
-        let of = RequestId(u32::from_str_radix(number, 16).ok()?);
-        (sound && self.arrival(of).is_some()).then_some(of)
+        let (run_tag, number) = id.split_at_checked(8)?;
+        let sound = number.len() == 8 && u32::from_str_radix(run_tag, 16).ok()? == self.run_tag;
+        let request_id = RequestId(u32::from_str_radix(number, 16).ok()?);
+        (sound && self.arrival(request_id).is_some()).then_some(request_id)
     }
 
     /// The try that a server's answer was made for: it begins with its id.
-    pub fn made_for(&self, body: &[u8]) -> Option<RequestId> {
+    pub fn request_of_body(&self, body: &[u8]) -> Option<RequestId> {
         self.parse_id(std::str::from_utf8(body.get(..16)?).ok()?)
     }
 
     /// A key's `Idempotency-Key`.
     pub fn key(&self, key: u32) -> String {
-        format!("{:08x}{key:024x}", self.tag)
+        format!("{:08x}{key:024x}", self.run_tag)
     }
 }
 
@@ -158,7 +163,7 @@
                 spread,
                 weight: plan.rate * rng.random_range(0.5..1.5),
                 phase: rng.random_range(0.0..16.0),
-                hops: Vec::new(),
+                moves: Vec::new(),
             });
         }
     }
@@ -167,7 +172,7 @@
             customers
                 .iter_mut()
                 .filter(|_| rng.random_bool(share))
-                .for_each(|c| c.hops.push(timed.at));
+                .for_each(|c| c.moves.push(timed.at));
         }
     }
     customers
@@ -181,12 +186,14 @@
         sum += customer.weight / total;
         ends.push(sum);
     }
-    let rush = |at: Micros| -> f64 {
+    let load_factor = |at: Micros| -> f64 {
         let in_force = scenario
             .faults
             .iter()
             .filter_map(|timed| match timed.fault {
-                Fault::LoadSpike { times, length } if (timed.at..timed.at + length).contains(&at) => {
+                Fault::LoadSpike { times, length }
+                    if (timed.at..timed.at + length).contains(&at) =>
+                {
                     Some(times)
                 }
                 _ => None,
@@ -196,15 +203,15 @@
     let mut arrivals = Vec::new();
     // Times by thinning: drawn at the greatest rate there ever is, and kept in proportion to the present one.
     let edges = scenario.faults.iter().map(|timed| timed.at).chain([0]);
-    let most = edges.map(rush).fold(1.0, f64::max);
+    let max = edges.map(load_factor).fold(1.0, f64::max);
     let mut at = 0.0;
     loop {
-        at += exponential(1.0 / (scenario.load.rate * most), rng);
+        at += exponential(1.0 / (scenario.load.rate * max), rng);
         let now = (at * SECOND as f64) as Micros;
         if now >= scenario.length {
             break;
         }
-        if rng.random::<f64>() * most >= rush(now) {
+        if rng.random::<f64>() * max >= load_factor(now) {
             continue;
         }
         let roll: f64 = rng.random();
@@ -242,7 +249,7 @@
                 rng,
             );
             arrivals.push(Arrival {
-                honours: false,
+                honors_retry_after: false,
                 ..drawn
             });
         }
@@ -268,13 +275,14 @@
         roll if roll < load.release + load.submit => 1,
         _ => 0,
     };
-    let [least, most] = load.patience;
-    let patience = CLASSES[class].deadline as f64 * (least + (most - least) * rng.random::<f64>());
+    let [min, max] = load.time_limit;
+    let time_limit = CLASSES[class].deadline as f64 * (min + (max - min) * rng.random::<f64>());
     // Spread over the heavy tail that the letter tells of: mean 1, coefficient of variation 0.8.
     let variance = (1.0f64 + 0.8 * 0.8).ln();
     let heaviness = LogNormal::new(-variance / 2.0, variance.sqrt()).map_or(1.0, |d| d.sample(rng));
-    let busiest = customers[customer].busiest(at, (load.shift_s * SECOND as f64) as Micros);
-    let elsewhere = if rng.random_bool(0.7) {
+    let busiest_limiter =
+        customers[customer].busiest_limiter(at, (load.shift_s * SECOND as f64) as Micros);
+    let offset = if rng.random_bool(0.7) {
         0
     } else {
         rng.random_range(0..customers[customer].spread)
@@ -285,13 +293,13 @@
         class,
         work: CLASSES[class].work * load.work * heaviness.min(MAX_WORK_FACTOR),
         key: 0,
-        patience: patience as Micros,
-        through: (busiest + elsewhere) % customers[customer].spread,
-        leaves: rng
-            .random_bool(load.impatient)
-            .then(|| (patience * rng.random_range(0.1..0.9)) as Micros),
-        honours: rng.random_bool(load.honour),
-        haste: rng.random_range(0.5..1.5),
+        time_limit: time_limit as Micros,
+        limiter_index: (busiest_limiter + offset) % customers[customer].spread,
+        cancels_after: rng
+            .random_bool(load.cancel_share)
+            .then(|| (time_limit * rng.random_range(0.1..0.9)) as Micros),
+        honors_retry_after: rng.random_bool(load.honor_share),
+        backoff_factor: rng.random_range(0.5..1.5),
     }
 }
 
@@ -311,10 +319,10 @@
     for first in arrivals.iter().filter(|arrival| arrival.class == 1) {
         if rng.random_bool(load.repeat_keys) {
             let after = soonest + (latest - soonest) * rng.random::<f64>();
-            let through = rng.random_range(0..customers[first.customer as usize].spread);
+            let limiter_index = rng.random_range(0..customers[first.customer as usize].spread);
             repeats.push(Arrival {
                 at: first.at + (after * 1000.0) as Micros,
-                through,
+                limiter_index,
                 ..first.clone()
             });
         }
@@ -364,7 +372,8 @@
         for arrival in &drawn.arrivals {
             let customer = &drawn.customers[arrival.customer as usize];
             assert!(
-                arrival.through < customer.spread && arrival.patience <= arrival.class().deadline
+                arrival.limiter_index < customer.spread
+                    && arrival.time_limit <= arrival.class().deadline
             );
             assert!(arrival.work > 0.0 && arrival.work <= MAX_WORK_FACTOR * arrival.class().work);
         }
@@ -389,12 +398,12 @@
         let text =
             "[load]\nrate = 20\n[[fault]]\nat_s = 0\nwhat = \"firm-hammers\"\nplan = \"mellan\"\ntimes = 20\nfor_s = 20\n";
         let drawn = Schedule::draw(&scenario(text));
-        let firm = drawn
+        let customer = drawn
             .customers
             .iter()
             .position(|c| c.plan == 1)
             .expect("one") as u32;
-        let own = drawn.arrivals.iter().filter(|a| a.customer == firm);
+        let own = drawn.arrivals.iter().filter(|a| a.customer == customer);
         let units: f64 = own.map(|a| a.class().units).sum();
         assert!((2400.0..4600.0).contains(&units), "{units}");
     }
--- a/crates/emberpin-testbed/src/servers.rs
+++ b/crates/emberpin-testbed/src/servers.rs
@@ -1,11 +1,13 @@
 //! The stand-in servers: cores and a queue, cold starts, drains, declines, load reports, the meter, and for
 //! keyed work the memory of one hall. Each records every request that it received, and spoils answers as told.
 
-use crate::figures::{Repeat, CLASSES, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, METER_PERIOD, PLANS, DEDUP_WINDOW};
-use crate::http::{ReadError, Head, Wire};
-use crate::scenario::{Scenario, ResponseFault};
+use crate::figures::{
+    Repeat, CLASSES, DEDUP_WINDOW, METER_PERIOD, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, PLANS,
+};
+use crate::http::{Head, ReadError, Wire};
+use crate::scenario::{ResponseFault, Scenario};
 use crate::schedule::Schedule;
-use crate::trace::{AttemptEnd, AttemptId, Incarnation, Micros, Recorder, RequestId, EventKind};
+use crate::trace::{AttemptEnd, AttemptId, EventKind, Incarnation, Micros, Recorder, RequestId};
 use crate::zone_link::ZoneLink;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -42,30 +44,30 @@
     pub links: Vec<Vec<ZoneLink>>,
     ports: Cell<u16>,
     attempts: Cell<u32>,
-    lives: Cell<u32>,
+    incarnations: Cell<u32>,
     /// When each hall last ran a key's work.
-    memory: RefCell<Vec<HashMap<u32, Micros>>>,
+    deduplication: RefCell<Vec<HashMap<u32, Micros>>>,
     /// Keys whose effect was had.
-    effects: RefCell<HashSet<u32>>,
+    executed_keys: RefCell<HashSet<u32>>,
     meter: RefCell<Meter>,
     /// Which limiter each try was asked of.
-    asked: RefCell<HashMap<RequestId, usize>>,
+    limiter_by_request: RefCell<HashMap<RequestId, usize>>,
 }
 
 /// Use by customer in the present period and those before it.
 #[derive(Default)]
 struct Meter {
-    used: HashMap<u32, VecDeque<(u64, f64)>>,
-    counted: HashSet<RequestId>,
+    usage_by_customer: HashMap<u32, VecDeque<(u64, f64)>>,
+    counted_requests: HashSet<RequestId>,
 }
 
 impl Meter {
     /// Counts a try's units, when first sent on.
-    fn count(&mut self, of: RequestId, customer: u32, units: f64, now: Micros) {
-        if !self.counted.insert(of) {
+    fn count(&mut self, request_id: RequestId, customer: u32, units: f64, now: Micros) {
+        if !self.counted_requests.insert(request_id) {
             return;
         }
-        let periods = self.used.entry(customer).or_default();
+        let periods = self.usage_by_customer.entry(customer).or_default();
         let period = now / METER_PERIOD;
         match periods.back_mut().filter(|(last, _)| *last == period) {
             Some((_, sum)) => *sum += units,
@@ -77,9 +79,9 @@
     }
 
     /// Units used in the last period of which is known by now.
-    fn last(&self, customer: u32, now: Micros) -> Option<f64> {
+    fn last_known_period(&self, customer: u32, now: Micros) -> Option<f64> {
         let period = (now.checked_sub(METER_DELAY)? / METER_PERIOD).checked_sub(1)?;
-        let periods = self.used.get(&customer)?;
+        let periods = self.usage_by_customer.get(&customer)?;
         Some(
             periods
                 .iter()
@@ -91,9 +93,11 @@
 
 impl World {
     /// A client asks a limiter.
-    pub fn asks(&self, what: RequestId, limiter: usize) {
+    pub fn record_target(&self, request_id: RequestId, limiter: usize) {
         if self.scenario.site.one_address {
-            self.asked.borrow_mut().insert(what, limiter);
+            self.limiter_by_request
+                .borrow_mut()
+                .insert(request_id, limiter);
         }
     }
 
@@ -107,18 +111,18 @@
         let site = &scenario.site;
         let row = || (0..site.halls).map(|_| ZoneLink::default()).collect();
         let links = (0..site.limiters).map(|_| row()).collect();
-        let memory = RefCell::new(vec![HashMap::new(); site.halls]);
+        let deduplication = RefCell::new(vec![HashMap::new(); site.halls]);
         Rc::new(World {
             recorder,
             host,
             links,
             ports: Cell::new(FIRST_PORT),
             attempts: Cell::new(0),
-            lives: Cell::new(0),
-            memory,
-            effects: RefCell::default(),
+            incarnations: Cell::new(0),
+            deduplication,
+            executed_keys: RefCell::default(),
             meter: RefCell::default(),
-            asked: RefCell::default(),
+            limiter_by_request: RefCell::default(),
             scenario,
             schedule,
         })
@@ -147,7 +151,7 @@
     }
 
     /// The hall that a server stands in.
-    pub fn hall(&self, server: usize) -> usize {
+    pub fn zone(&self, server: usize) -> usize {
         server % self.scenario.site.halls
     }
 
@@ -173,29 +177,29 @@
     world: Rc<World>,
     server: usize,
     /// Which life.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// When it started, Unix milliseconds; 0 for long ago.
     pub boot_ms: f64,
-    up: Micros,
+    started_at: Micros,
     warm_after: Micros,
     speed: f64,
-    dead: watch::Sender<bool>,
+    crashed: watch::Sender<bool>,
     /// The tasks that hold its listeners.
-    accepting: RefCell<Vec<JoinHandle<()>>>,
+    accept_tasks: RefCell<Vec<JoinHandle<()>>>,
     /// Which of its addresses it is at; connections to those before end when idle.
-    place: watch::Sender<u32>,
+    address_generation: watch::Sender<u32>,
     refusing: watch::Sender<bool>,
     stalled: watch::Sender<bool>,
-    spoils: RefCell<Option<(ResponseFault, f64)>>,
+    response_fault: RefCell<Option<(ResponseFault, f64)>>,
     cores: Semaphore,
     waiting: Cell<usize>,
     connections: Cell<usize>,
     /// Mean service time of late, in milliseconds.
-    service: Cell<f64>,
+    mean_service_ms: Cell<f64>,
     /// The last load report, and when it was made.
     report: RefCell<(Micros, String)>,
     /// What came within the last time that a fall takes: when, and core milliseconds.
-    pressure: RefCell<VecDeque<(Micros, f64)>>,
+    recent_work: RefCell<VecDeque<(Micros, f64)>>,
 }
 
 /// How a request is answered.
@@ -218,38 +222,43 @@
             generation: Cell::new(0),
             running: RefCell::default(),
         };
-        server.take_addresses()?;
+        server.allocate_addresses()?;
         Ok(Rc::new(server))
     }
 
-    /// Listens at other addresses from now on; at the old ones too, until [`Process::leave_old_addresses`].
+    /// Listens at other addresses from now on; at the old ones too, until [`Process::close_old_addresses`].
     ///
     /// # Errors
     ///
     /// No free port.
-    pub async fn move_away(&self) -> std::io::Result<()> {
-        self.take_addresses()?;
+    pub async fn move_to_new_addresses(&self) -> std::io::Result<()> {
+        self.allocate_addresses()?;
         match self.process() {
             Some(process) => {
-                let place = process.place.borrow().wrapping_add(1);
-                self.listen(&process, place).await
+                let address_generation = process.address_generation.borrow().wrapping_add(1);
+                self.listen(&process, address_generation).await
             }
             None => Ok(()),
         }
     }
 
-    async fn listen(&self, process: &Rc<Process>, place: u32) -> std::io::Result<()> {
+    async fn listen(&self, process: &Rc<Process>, address_generation: u32) -> std::io::Result<()> {
         let mut addresses = self.addresses.borrow().clone();
         addresses.dedup();
         for (limiter, address) in addresses.into_iter().enumerate() {
             let listener = listen(address).await?;
-            let accepting = spawn_local(process.clone().accept(limiter, address, place, listener));
-            process.accepting.borrow_mut().push(accepting);
+            let accepting = spawn_local(process.clone().accept(
+                limiter,
+                address,
+                address_generation,
+                listener,
+            ));
+            process.accept_tasks.borrow_mut().push(accepting);
         }
         Ok(())
     }
 
-    fn take_addresses(&self) -> std::io::Result<()> {
+    fn allocate_addresses(&self) -> std::io::Result<()> {
         let site = &self.world.scenario.site;
         let addresses: std::io::Result<Vec<_>> = match site.one_address {
             true => self.world.address().map(|one| vec![one; site.limiters]),
@@ -283,34 +292,34 @@
         let process = Rc::new(Process {
             world: world.clone(),
             server: self.number,
-            life: Incarnation(World::next(&world.lives)),
+            incarnation: Incarnation(World::next(&world.incarnations)),
             boot_ms: if cold {
                 unix.as_secs_f64() * 1000.0
             } else {
                 0.0
             },
-            up: world.recorder.now(),
+            started_at: world.recorder.now(),
             warm_after: if cold {
                 (site.warm_s * 1e6) as Micros
             } else {
                 0
             },
             speed: world.schedule.speeds[self.number],
-            dead: watch::Sender::new(false),
-            accepting: RefCell::default(),
-            place: watch::Sender::new(0),
+            crashed: watch::Sender::new(false),
+            accept_tasks: RefCell::default(),
+            address_generation: watch::Sender::new(0),
             refusing: watch::Sender::new(false),
             stalled: watch::Sender::new(false),
-            spoils: RefCell::default(),
+            response_fault: RefCell::default(),
             cores: Semaphore::new(site.cores),
             waiting: Cell::new(0),
             connections: Cell::new(0),
-            service: Cell::new(CLASSES[0].work),
+            mean_service_ms: Cell::new(CLASSES[0].work),
             report: RefCell::default(),
-            pressure: RefCell::default(),
+            recent_work: RefCell::default(),
         });
-        world.recorder.note(EventKind::ServerStarted {
-            life: process.life,
+        world.recorder.record(EventKind::ServerStarted {
+            incarnation: process.incarnation,
             server: self.number,
             capacity: process.speed * site.cores as f64,
             cold_from: site.cold_from,
@@ -326,9 +335,9 @@
         let Some(process) = self.running.borrow_mut().take() else {
             return;
         };
-        process.die();
-        let accepting = process.accepting.take();
-        for task in accepting {
+        process.crash();
+        let accept_tasks = process.accept_tasks.take();
+        for task in accept_tasks {
             // It ends at the same signal; nothing is to be had of how.
             _ = task.await;
         }
@@ -357,19 +366,20 @@
 
 impl Process {
     /// Stands still, or goes on.
-    pub fn stall(&self, on: bool) {
+    pub fn set_stalled(&self, on: bool) {
         self.stalled.send_replace(on);
     }
 
     /// Takes no new connections, or takes them again.
-    pub fn refuse(&self, on: bool) {
+    pub fn set_refusing(&self, on: bool) {
         self.refusing.send_replace(on);
     }
 
     /// Listens no more at the addresses before the present ones.
-    pub fn leave_old_addresses(&self) {
-        self.place
-            .send_modify(|place| *place = place.wrapping_add(1));
+    pub fn close_old_addresses(&self) {
+        self.address_generation.send_modify(|address_generation| {
+            *address_generation = address_generation.wrapping_add(1)
+        });
     }
 
     /// Nothing is out at it.
@@ -378,24 +388,24 @@
     }
 
     /// Spoils this share of answers, or none any more.
-    pub fn spoil(&self, how: Option<(ResponseFault, f64)>) {
-        *self.spoils.borrow_mut() = how;
+    pub fn set_response_fault(&self, how: Option<(ResponseFault, f64)>) {
+        *self.response_fault.borrow_mut() = how;
     }
 
-    fn die(&self) {
-        if !self.dead.send_replace(true) {
-            self.world
-                .recorder
-                .note(EventKind::ServerStopped { life: self.life });
+    fn crash(&self) {
+        if !self.crashed.send_replace(true) {
+            self.world.recorder.record(EventKind::ServerStopped {
+                incarnation: self.incarnation,
+            });
         }
     }
 
     /// The part of its capacity that it has now.
-    fn warmth(&self, now: Micros) -> f64 {
+    fn capacity_share(&self, now: Micros) -> f64 {
         if self.warm_after == 0 {
             return 1.0;
         }
-        let part = now.saturating_sub(self.up) as f64 / self.warm_after as f64;
+        let part = now.saturating_sub(self.started_at) as f64 / self.warm_after as f64;
         let from = self.world.scenario.site.cold_from;
         from + (1.0 - from) * part.min(1.0)
     }
@@ -404,11 +414,11 @@
         self: Rc<Self>,
         limiter: usize,
         address: SocketAddr,
-        place: u32,
+        address_generation: u32,
         listener: TcpListener,
     ) {
-        let (mut dead, mut refusing) = (self.dead.subscribe(), self.refusing.subscribe());
-        let mut places = self.place.subscribe();
+        let (mut crashed, mut refusing) = (self.crashed.subscribe(), self.refusing.subscribe());
+        let mut address_generations = self.address_generation.subscribe();
         let mut listener = Some(listener);
         loop {
             let accepting = async {
@@ -419,166 +429,179 @@
             };
             tokio::select! {
                 biased;
-                _ = dead.wait_for(|dead| *dead) => return,
-                _ = places.wait_for(|now| *now > place) => return,
+                _ = crashed.wait_for(|crashed| *crashed) => return,
+                _ = address_generations.wait_for(|now| *now > address_generation) => return,
                 changed = refusing.changed() => {
-                    let refuse = changed.is_err() || *refusing.borrow_and_update();
-                    listener = if refuse { None } else { listen(address).await.ok() };
+                    let refuses = changed.is_err() || *refusing.borrow_and_update();
+                    listener = if refuses { None } else { listen(address).await.ok() };
                 }
                 accepted = accepting => if let Ok((stream, _)) = accepted {
-                    spawn_local(self.clone().connection(limiter, place, Wire::new(stream)));
+                    spawn_local(self.clone().connection(limiter, address_generation, Wire::new(stream)));
                 },
             }
         }
     }
 
-    async fn connection(self: Rc<Self>, limiter: usize, place: u32, mut wire: Wire) {
+    async fn connection(self: Rc<Self>, limiter: usize, address_generation: u32, mut wire: Wire) {
         self.connections.set(self.connections.get() + 1);
-        self.world.recorder.note(EventKind::ServerConnected {
-            life: self.life,
+        self.world.recorder.record(EventKind::ServerConnected {
+            incarnation: self.incarnation,
             limiter,
         });
-        let mut dead = self.dead.subscribe();
+        let mut crashed = self.crashed.subscribe();
         // The attempt that is out on this connection.
-        let out = Cell::new(None);
+        let in_flight = Cell::new(None);
         let ended = tokio::select! {
             biased;
-            _ = dead.wait_for(|dead| *dead) => None,
-            ended = self.converse(limiter, place, &mut wire, &out) => Some(ended),
+            _ = crashed.wait_for(|crashed| *crashed) => None,
+            ended = self.serve_requests(limiter, address_generation, &mut wire, &in_flight) => Some(ended),
         };
         self.connections.set(self.connections.get() - 1);
-        if let Some(attempt) = out.get() {
-            let how = match ended {
-                Some(ConnectionEnd::TheirEnd) => AttemptEnd::Withdrawn,
-                Some(ConnectionEnd::OurEnd | ConnectionEnd::Reset) | None => AttemptEnd::Broken,
+        if let Some(attempt) = in_flight.get() {
+            let end = match ended {
+                Some(ConnectionEnd::ClosedByPeer) => AttemptEnd::Withdrawn,
+                Some(ConnectionEnd::ClosedByServer | ConnectionEnd::Reset) | None => {
+                    AttemptEnd::Broken
+                }
             };
-            self.world.recorder.note(EventKind::AttemptEnded { attempt, how });
+            self.world
+                .recorder
+                .record(EventKind::AttemptEnded { attempt, end });
         }
-        if !matches!(ended, Some(ConnectionEnd::TheirEnd | ConnectionEnd::OurEnd)) {
+        if !matches!(
+            ended,
+            Some(ConnectionEnd::ClosedByPeer | ConnectionEnd::ClosedByServer)
+        ) {
             wire.reset();
         }
     }
 
     /// Requests and answers, one after the other, until a side ends the connection.
-    async fn converse(
+    async fn serve_requests(
         &self,
         limiter: usize,
-        place: u32,
+        address_generation: u32,
         wire: &mut Wire,
-        out: &Cell<Option<AttemptId>>,
+        in_flight: &Cell<Option<AttemptId>>,
     ) -> ConnectionEnd {
         let world = &self.world;
-        let link = &world.links[limiter][world.hall(self.server)];
+        let link = &world.links[limiter][world.zone(self.server)];
         let idle = Duration::from_secs_f64(world.scenario.site.idle_s);
-        let mut places = self.place.subscribe();
+        let mut address_generations = self.address_generation.subscribe();
         loop {
             tokio::select! {
                 biased;
-                came = wire.anything() => if !came {
-                    return ConnectionEnd::TheirEnd;
+                came = wire.wait_for_bytes() => if !came {
+                    return ConnectionEnd::ClosedByPeer;
                 },
-                _ = places.wait_for(|now| *now > place) => return ConnectionEnd::OurEnd,
-                () = tokio::time::sleep(idle) => return ConnectionEnd::OurEnd,
+                _ = address_generations.wait_for(|now| *now > address_generation) => return ConnectionEnd::ClosedByServer,
+                () = tokio::time::sleep(idle) => return ConnectionEnd::ClosedByServer,
             }
             let began = world.recorder.now();
             let (head, body) = match wire.read(false).await {
                 Ok(message) => message,
-                Err(ReadError::Closed | ReadError::Truncated) => return ConnectionEnd::TheirEnd,
-                Err(ReadError::Malformed) => return ConnectionEnd::OurEnd,
+                Err(ReadError::Closed | ReadError::Truncated) => {
+                    return ConnectionEnd::ClosedByPeer
+                }
+                Err(ReadError::Malformed) => return ConnectionEnd::ClosedByServer,
             };
-            if let Some(answer) = self.probed(&head) {
+            if let Some(answer) = self.probe_response(&head) {
                 tokio::select! {
-                    () = wire.ended() => return ConnectionEnd::TheirEnd,
-                    () = async { self.stands().await; link.out().await; link.back().await } => {}
+                    () = wire.wait_until_closed() => return ConnectionEnd::ClosedByPeer,
+                    () = async { self.wait_while_stalled().await; link.carry_request().await; link.carry_response().await } => {}
                 }
                 if wire.stream.write_all(answer.as_bytes()).await.is_err() {
-                    return ConnectionEnd::TheirEnd;
+                    return ConnectionEnd::ClosedByPeer;
                 }
                 continue;
             }
             let attempt = AttemptId(World::next(&world.attempts));
-            let of = head
+            let request_id = head
                 .header("req-id")
                 .and_then(|id| world.schedule.parse_id(id));
             // Where all come to one address, the client knows whom it asked.
-            let asked = of.filter(|_| world.scenario.site.one_address);
-            let asked = asked.and_then(|of| world.asked.borrow().get(&of).copied());
-            let limiter = asked.unwrap_or(limiter);
-            world.recorder.note_at(
+            let target = request_id.filter(|_| world.scenario.site.one_address);
+            let target = target
+                .and_then(|request_id| world.limiter_by_request.borrow().get(&request_id).copied());
+            let limiter = target.unwrap_or(limiter);
+            world.recorder.record_at(
                 began,
                 EventKind::AttemptStarted {
                     attempt,
-                    life: self.life,
+                    incarnation: self.incarnation,
                     limiter,
                 },
             );
-            out.set(Some(attempt));
+            in_flight.set(Some(attempt));
             // On the way; whoever ends the connection meanwhile has taken it back.
             let arrives = async {
-                link.out().await;
-                self.stands().await;
+                link.carry_request().await;
+                self.wait_while_stalled().await;
             };
             tokio::select! {
                 biased;
-                () = wire.ended() => return ConnectionEnd::TheirEnd,
+                () = wire.wait_until_closed() => return ConnectionEnd::ClosedByPeer,
                 () = arrives => {}
             }
-            let work = of
-                .and_then(|of| world.schedule.arrival(of))
+            let work = request_id
+                .and_then(|request_id| world.schedule.arrival(request_id))
                 .map_or(0.0, |arrival| arrival.work);
-            world.recorder.note(EventKind::AttemptReceived {
+            world.recorder.record(EventKind::AttemptReceived {
                 attempt,
-                what: of,
+                request: request_id,
                 work,
             });
-            let Some(of) = of else {
+            let Some(request_id) = request_id else {
                 _ = wire
                     .stream
                     .write_all(b"HTTP/1.1 400 Unknown\r\nContent-Length: 0\r\n\r\n")
                     .await;
-                world.recorder.note(EventKind::AttemptEnded {
+                world.recorder.record(EventKind::AttemptEnded {
                     attempt,
-                    how: AttemptEnd::Errored,
+                    end: AttemptEnd::Errored,
                 });
-                out.set(None);
+                in_flight.set(None);
                 continue;
             };
-            if let Some(arrival) = world.schedule.arrival(of) {
+            if let Some(arrival) = world.schedule.arrival(request_id) {
                 let (customer, units) = (arrival.customer, arrival.class().units);
                 world
                     .meter
                     .borrow_mut()
-                    .count(of, customer, units, world.recorder.now());
+                    .count(request_id, customer, units, world.recorder.now());
             }
-            if self.falls(work) {
-                self.die();
+            if self.overloads(work) {
+                self.crash();
                 return ConnectionEnd::Reset;
             }
             let reply = tokio::select! {
                 biased;
-                () = wire.ended() => return ConnectionEnd::TheirEnd,
+                () = wire.wait_until_closed() => return ConnectionEnd::ClosedByPeer,
                 reply = async {
-                    let reply = self.work(attempt, of, work, &head, &body).await;
-                    self.stands().await;
-                    link.back().await;
+                    let reply = self.process_request(attempt, request_id, work, &head, &body).await;
+                    self.wait_while_stalled().await;
+                    link.carry_response().await;
                     reply
                 } => reply,
             };
-            if let Some(over) = self.reply(wire, attempt, of, reply, out).await {
+            if let Some(over) = self
+                .write_reply(wire, attempt, request_id, reply, in_flight)
+                .await
+            {
                 return over;
             }
         }
     }
 
-    async fn stands(&self) {
+    async fn wait_while_stalled(&self) {
         let mut stalled = self.stalled.subscribe();
         _ = stalled.wait_for(|stalled| !stalled).await;
     }
 
-    fn probed(&self, head: &Head) -> Option<String> {
+    fn probe_response(&self, head: &Head) -> Option<String> {
         let body = match (head.method.as_str(), head.path.as_str()) {
             ("GET", "/health/live") => String::new(),
-            ("GET", "/stats") => self.load(),
+            ("GET", "/stats") => self.load_report(),
             _ => return None,
         };
         Some(format!(
@@ -589,41 +612,52 @@
 
     /// A cold server that is sent more than a multiple of what it can do, for the time that this takes, falls
     /// over and stays down.
-    fn falls(&self, work: f64) -> bool {
+    fn overloads(&self, work: f64) -> bool {
         let now = self.world.recorder.now();
-        if now > self.up + self.warm_after {
+        if now > self.started_at + self.warm_after {
             return false;
         }
-        let mut pressure = self.pressure.borrow_mut();
-        pressure.push_back((now, work));
-        while pressure.front().is_some_and(|(at, _)| at + OVERLOAD_WINDOW < now) {
-            pressure.pop_front();
+        let mut recent_work = self.recent_work.borrow_mut();
+        recent_work.push_back((now, work));
+        while recent_work
+            .front()
+            .is_some_and(|(at, _)| at + OVERLOAD_WINDOW < now)
+        {
+            recent_work.pop_front();
         }
-        let sum: f64 = pressure.iter().map(|(_, work)| work).sum();
-        let heaviest = pressure.iter().map(|(_, work)| *work).fold(0.0, f64::max);
+        let sum: f64 = recent_work.iter().map(|(_, work)| work).sum();
+        let heaviest_request = recent_work
+            .iter()
+            .map(|(_, work)| *work)
+            .fold(0.0, f64::max);
         let capacity = self.speed * self.world.scenario.site.cores as f64;
-        sum > OVERLOAD_MULTIPLE * capacity * self.warmth(now) * OVERLOAD_WINDOW as f64 / 1000.0 + heaviest
+        sum > OVERLOAD_MULTIPLE * capacity * self.capacity_share(now) * OVERLOAD_WINDOW as f64
+            / 1000.0
+            + heaviest_request
     }
 
     /// Queue, cores and the hall's memory.
-    async fn work(
+    async fn process_request(
         &self,
         attempt: AttemptId,
-        of: RequestId,
+        request_id: RequestId,
         work: f64,
         head: &Head,
         body: &[u8],
     ) -> Reply {
         let world = &self.world;
-        let Some(arrival) = world.schedule.arrival(of) else {
+        let Some(arrival) = world.schedule.arrival(request_id) else {
             return Reply::Declined;
         };
         let site = &world.scenario.site;
-        let spoil = self
-            .spoils
+        let declines_all = self
+            .response_fault
             .borrow()
             .is_some_and(|(how, _)| how == ResponseFault::Decline);
-        if spoil || self.connections.get() > site.connections || self.waiting.get() > site.queue {
+        if declines_all
+            || self.connections.get() > site.connections
+            || self.waiting.get() > site.queue
+        {
             return Reply::Declined;
         }
         let waiting = QueueSlot::enter(&self.waiting);
@@ -634,63 +668,71 @@
         }
         let now = world.recorder.now();
         let keyed = arrival.class().repeat == Repeat::Keyed;
-        let mut remembered = false;
+        let mut deduplicated = false;
         if keyed {
-            let mut memory = world.memory.borrow_mut();
-            let hall = &mut memory[world.hall(self.server)];
-            remembered = hall.get(&arrival.key).is_some_and(|at| now <= at + DEDUP_WINDOW);
-            if !remembered {
-                hall.insert(arrival.key, now);
+            let mut deduplication = world.deduplication.borrow_mut();
+            let zone = &mut deduplication[world.zone(self.server)];
+            deduplicated = zone
+                .get(&arrival.key)
+                .is_some_and(|at| now <= at + DEDUP_WINDOW);
+            if !deduplicated {
+                zone.insert(arrival.key, now);
             }
         }
         // A safe class has no effect that could be had twice.
-        let effect = arrival.class().repeat != Repeat::Safe && !remembered;
-        let second = effect && !world.effects.borrow_mut().insert(arrival.key);
-        world.recorder.note(EventKind::AttemptExecuted {
+        let effect = arrival.class().repeat != Repeat::Safe && !deduplicated;
+        let repeated_effect = effect && !world.executed_keys.borrow_mut().insert(arrival.key);
+        world.recorder.record(EventKind::AttemptExecuted {
             attempt,
-            second,
-            remembered,
+            repeated_effect,
+            deduplicated,
         });
-        let work = if remembered { DEDUPLICATED_WORK } else { work };
-        let time = work / (self.speed * self.warmth(now));
+        let work = if deduplicated {
+            DEDUPLICATED_WORK
+        } else {
+            work
+        };
+        let time = work / (self.speed * self.capacity_share(now));
         tokio::time::sleep(Duration::from_secs_f64(time / 1000.0)).await;
-        self.service.set(self.service.get() * 0.9 + time * 0.1);
+        self.mean_service_ms
+            .set(self.mean_service_ms.get() * 0.9 + time * 0.1);
         let id = head.header("req-id").unwrap_or_default();
         Reply::Served(format!(
             "{id} life {} took {} bytes",
-            self.life.0,
+            self.incarnation.0,
             body.len()
         ))
     }
 
     /// Writes the answer, or what a spoilt one leaves of it; says if the connection is over.
-    async fn reply(
+    async fn write_reply(
         &self,
         wire: &mut Wire,
         attempt: AttemptId,
-        of: RequestId,
+        request_id: RequestId,
         reply: Reply,
-        out: &Cell<Option<AttemptId>>,
+        in_flight: &Cell<Option<AttemptId>>,
     ) -> Option<ConnectionEnd> {
         let world = &self.world;
-        let (how, text) = match reply {
+        let (end, text) = match reply {
             Reply::Declined => {
                 let head = "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n";
                 (
                     AttemptEnd::Declined,
-                    format!("{head}Srv-Load: {}\r\n\r\n", self.load()),
+                    format!("{head}Srv-Load: {}\r\n\r\n", self.load_report()),
                 )
             }
             Reply::Served(body) => {
-                let headers = format!("Srv-Load: {}\r\n{}", self.load(), self.used(of));
-                let roll = draw(world.scenario.seed, attempt);
-                let spoilt = *self.spoils.borrow();
-                match spoilt
-                    .filter(|(_, share)| roll < *share)
-                    .map(|(how, _)| how)
-                {
+                let headers = format!(
+                    "Srv-Load: {}\r\n{}",
+                    self.load_report(),
+                    self.usage_header(request_id)
+                );
+                let roll = uniform(world.scenario.seed, attempt);
+                let fault = *self.response_fault.borrow();
+                match fault.filter(|(_, share)| roll < *share).map(|(how, _)| how) {
                     Some(how) if how != ResponseFault::Error => {
-                        return Some(spoil(how, wire, &headers, &body).await);
+                        return Some(write_faulty_response(how, wire, &headers, &body).await);
                     }
                     None if roll >= world.scenario.site.error_rate => {
                         let length = body.len();
@@ -708,22 +750,24 @@
             }
         };
         if wire.stream.write_all(text.as_bytes()).await.is_err() {
-            return Some(ConnectionEnd::TheirEnd);
+            return Some(ConnectionEnd::ClosedByPeer);
         }
-        world.recorder.note(EventKind::AttemptEnded { attempt, how });
-        out.set(None);
+        world
+            .recorder
+            .record(EventKind::AttemptEnded { attempt, end });
+        in_flight.set(None);
         None
     }
 
     /// The load report, made anew as often as the scenario says.
-    fn load(&self) -> String {
+    fn load_report(&self) -> String {
         let now = self.world.recorder.now();
         let mut report = self.report.borrow_mut();
         let every = (self.world.scenario.site.report_ms * 1000.0) as Micros;
         if report.1.is_empty() || now >= report.0 + every {
             let text = format!(
                 "mean_ms={:.1},depth={}",
-                self.service.get(),
+                self.mean_service_ms.get(),
                 self.waiting.get()
             );
             *report = (now, text);
@@ -732,13 +776,17 @@
     }
 
     /// The customer's use in percent, less 1 being nothing.
-    fn used(&self, of: RequestId) -> String {
+    fn usage_header(&self, request_id: RequestId) -> String {
         let world = &self.world;
-        let Some(arrival) = world.schedule.arrival(of) else {
+        let Some(arrival) = world.schedule.arrival(request_id) else {
             return String::new();
         };
         let now = world.recorder.now();
-        let Some(units) = world.meter.borrow().last(arrival.customer, now) else {
+        let Some(units) = world
+            .meter
+            .borrow()
+            .last_known_period(arrival.customer, now)
+        else {
             return String::new();
         };
         let plan = &PLANS[world.schedule.customers[arrival.customer as usize].plan];
@@ -749,12 +797,17 @@
 /// Who ended a connection.
 #[derive(Clone, Copy, PartialEq)]
 enum ConnectionEnd {
-    TheirEnd,
-    OurEnd,
+    ClosedByPeer,
+    ClosedByServer,
     Reset,
 }
 
-async fn spoil(how: ResponseFault, wire: &mut Wire, headers: &str, body: &str) -> ConnectionEnd {
+async fn write_faulty_response(
+    how: ResponseFault,
+    wire: &mut Wire,
+    headers: &str,
+    body: &str,
+) -> ConnectionEnd {
     let length = body.len();
     let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n{headers}\r\n{body}");
     let half = &whole[..whole.len() - length / 2];
@@ -762,33 +815,33 @@
         ResponseFault::Reset => ConnectionEnd::Reset,
         ResponseFault::Half => {
             _ = wire.stream.write_all(half.as_bytes()).await;
-            ConnectionEnd::OurEnd
+            ConnectionEnd::ClosedByServer
         }
         ResponseFault::Garbled => {
             _ = wire
                 .stream
                 .write_all(b"HTTP/one.one two hundred\r\n\x00\xff\r\n\r\n")
                 .await;
-            ConnectionEnd::OurEnd
+            ConnectionEnd::ClosedByServer
         }
         ResponseFault::Stall => {
             _ = wire.stream.write_all(half.as_bytes()).await;
-            wire.ended().await;
-            ConnectionEnd::TheirEnd
+            wire.wait_until_closed().await;
+            ConnectionEnd::ClosedByPeer
         }
         ResponseFault::Trickle => {
             for byte in whole.as_bytes() {
                 let written = wire.stream.write_all(std::slice::from_ref(byte)).await;
-                let pause = tokio::time::timeout(TRICKLE_INTERVAL, wire.ended()).await;
+                let pause = tokio::time::timeout(TRICKLE_INTERVAL, wire.wait_until_closed()).await;
                 if written.is_err() || pause.is_ok() {
-                    return ConnectionEnd::TheirEnd;
+                    return ConnectionEnd::ClosedByPeer;
                 }
             }
-            ConnectionEnd::OurEnd
+            ConnectionEnd::ClosedByServer
         }
         ResponseFault::Mute | ResponseFault::Error | ResponseFault::Decline => {
-            wire.ended().await;
-            ConnectionEnd::TheirEnd
+            wire.wait_until_closed().await;
+            ConnectionEnd::ClosedByPeer
         }
     }
 }
@@ -810,7 +863,7 @@
 }
 
 /// A number from 0 to 1 that depends on the seed and the attempt alone (`SplitMix64`, Steele et al. 2014).
-fn draw(seed: u64, attempt: AttemptId) -> f64 {
+fn uniform(seed: u64, attempt: AttemptId) -> f64 {
     let mut z = seed.wrapping_add(u64::from(attempt.0).wrapping_mul(0x9e37_79b9_7f4a_7c15));
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/emberpin-testbed/src/settings.rs
+++ b/crates/emberpin-testbed/src/settings.rs
@@ -1,8 +1,8 @@
 //! The settings in which a limiter is told the classes, plans and rules of the stand-in site.
 
 use crate::figures::{
-    hall_name, Class, Plan, Repeat, CLASSES, DRAIN_GRACE, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW,
-    MAX_RETRY_AFTER, METER_PERIOD, PLANS, DEDUP_WINDOW,
+    hall_name, Class, Plan, Repeat, CLASSES, DEDUP_WINDOW, DRAIN_GRACE, MAX_RETRY_AFTER,
+    METER_PERIOD, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, PLANS,
 };
 use crate::scenario::Site;
 use serde_json::{json, Value};
@@ -31,10 +31,10 @@
         })
     };
     let halls: Vec<String> = (0..site.halls).map(hall_name).collect();
-    let size = if site.told_limiters == 0 {
+    let size = if site.configured_limiters == 0 {
         site.limiters
     } else {
-        site.told_limiters
+        site.configured_limiters
     };
     json!({
         "my-number": number, "group-size": size, "zone": halls[number % site.halls],
--- a/crates/emberpin-testbed/src/shared_capacity.rs
+++ b/crates/emberpin-testbed/src/shared_capacity.rs
@@ -17,102 +17,106 @@
 pub struct SharedCapacity {
     /// Calls a second; 0 for as many as come.
     rate: f64,
-    patience: Duration,
-    warm: Duration,
-    began: Cell<Instant>,
-    waiting: RefCell<Vec<Call>>,
-    dealing: Cell<bool>,
+    time_limit: Duration,
+    warmup: Duration,
+    started: Cell<Instant>,
+    pending: RefCell<Vec<Call>>,
+    is_processing: Cell<bool>,
 }
 
 struct Call {
-    since: Instant,
-    left: f64,
+    received_at: Instant,
+    remaining_work: f64,
     done: oneshot::Sender<bool>,
 }
 
 impl SharedCapacity {
     /// A service of so many calls a second, that fails what waits for longer and is at full power after so long.
-    pub fn new(rate: f64, patience_s: f64, warm_s: f64) -> Rc<SharedCapacity> {
+    pub fn new(rate: f64, time_limit_s: f64, warmup_s: f64) -> Rc<SharedCapacity> {
         Rc::new(SharedCapacity {
             rate,
-            patience: Duration::from_secs_f64(patience_s),
-            warm: Duration::from_secs_f64(warm_s),
-            began: Cell::new(Instant::now()),
-            waiting: RefCell::default(),
-            dealing: Cell::new(false),
+            time_limit: Duration::from_secs_f64(time_limit_s),
+            warmup: Duration::from_secs_f64(warmup_s),
+            started: Cell::new(Instant::now()),
+            pending: RefCell::default(),
+            is_processing: Cell::new(false),
         })
     }
 
     /// The service starts now.
-    pub fn begin(&self) {
-        self.began.set(Instant::now());
+    pub fn start_warmup(&self) {
+        self.started.set(Instant::now());
     }
 
     /// Waits for one call's work; whether it was done in time.
-    pub async fn answer(self: &Rc<Self>) -> bool {
+    pub async fn process_call(self: &Rc<Self>) -> bool {
         if self.rate <= 0.0 {
             return true;
         }
         let (done, outcome) = oneshot::channel();
-        self.waiting.borrow_mut().push(Call {
-            since: Instant::now(),
-            left: 1.0,
+        self.pending.borrow_mut().push(Call {
+            received_at: Instant::now(),
+            remaining_work: 1.0,
             done,
         });
-        if !self.dealing.replace(true) {
-            spawn_local(self.clone().deal());
+        if !self.is_processing.replace(true) {
+            spawn_local(self.clone().process_pending());
         }
         outcome.await.unwrap_or(false)
     }
 
-    async fn deal(self: Rc<Self>) {
+    async fn process_pending(self: Rc<Self>) {
         let mut last = Instant::now();
-        while !self.waiting.borrow().is_empty() {
+        while !self.pending.borrow().is_empty() {
             sleep(TICK).await;
             let now = Instant::now();
-            let part = match self.warm.is_zero() {
+            let warmup_share = match self.warmup.is_zero() {
                 true => 1.0,
                 false => {
-                    now.duration_since(self.began.get()).as_secs_f64() / self.warm.as_secs_f64()
+                    now.duration_since(self.started.get()).as_secs_f64() / self.warmup.as_secs_f64()
                 }
             };
-            let rate = self.rate * (INITIAL_SHARE + (1.0 - INITIAL_SHARE) * part.min(1.0));
-            deal(
-                &mut self.waiting.borrow_mut(),
+            let rate = self.rate * (INITIAL_SHARE + (1.0 - INITIAL_SHARE) * warmup_share.min(1.0));
+            share_work(
+                &mut self.pending.borrow_mut(),
                 rate * (now - last).as_secs_f64(),
             );
-            let mut waiting = self.waiting.borrow_mut();
-            let (late, kept) = waiting
+            let mut pending = self.pending.borrow_mut();
+            let (timed_out, still_pending) = pending
                 .drain(..)
-                .partition(|call| now - call.since >= self.patience);
-            *waiting = kept;
-            let late: Vec<Call> = late;
-            late.into_iter().for_each(|call| _ = call.done.send(false));
+                .partition(|call| now - call.received_at >= self.time_limit);
+            *pending = still_pending;
+            let timed_out: Vec<Call> = timed_out;
+            timed_out
+                .into_iter()
+                .for_each(|call| _ = call.done.send(false));
             last = now;
         }
-        self.dealing.set(false);
+        self.is_processing.set(false);
     }
 }
 
 /// Deals work out evenly, and tells those whose call is done.
-fn deal(waiting: &mut Vec<Call>, mut work: f64) {
-    while work > 1e-12 && !waiting.is_empty() {
-        let least = waiting
+fn share_work(pending: &mut Vec<Call>, mut work: f64) {
+    while work > 1e-12 && !pending.is_empty() {
+        let smallest = pending
             .iter()
-            .map(|call| call.left)
+            .map(|call| call.remaining_work)
             .fold(f64::INFINITY, f64::min);
-        let each = least.min(work / waiting.len() as f64);
-        work -= each * waiting.len() as f64;
-        waiting.iter_mut().for_each(|call| call.left -= each);
-        let mut left = Vec::new();
-        for call in waiting.drain(..) {
-            match call.left <= 1e-9 {
+        let share = smallest.min(work / pending.len() as f64);
+        work -= share * pending.len() as f64;
+        pending
+            .iter_mut()
+            .for_each(|call| call.remaining_work -= share);
+        let mut remaining_work = Vec::new();
+        for call in pending.drain(..) {
+            match call.remaining_work <= 1e-9 {
                 // Whoever asked may be gone.
                 true => _ = call.done.send(true),
-                false => left.push(call),
+                false => remaining_work.push(call),
             }
         }
-        *waiting = left;
+        *pending = remaining_work;
     }
 }
 
@@ -122,22 +126,22 @@
 
     #[test]
     fn calls_that_wait_share_the_power_and_none_of_it_is_lost() {
-        let (mut waiting, mut ends) = (Vec::new(), Vec::new());
-        for left in [1.0, 1.0, 0.25] {
+        let (mut pending, mut ends) = (Vec::new(), Vec::new());
+        for remaining_work in [1.0, 1.0, 0.25] {
             let (done, outcome) = oneshot::channel();
-            waiting.push(Call {
-                since: Instant::now(),
-                left,
+            pending.push(Call {
+                received_at: Instant::now(),
+                remaining_work,
                 done,
             });
             ends.push(outcome);
         }
-        deal(&mut waiting, 0.75);
+        share_work(&mut pending, 0.75);
         assert_eq!(ends[2].try_recv(), Ok(true));
-        assert_eq!(waiting.len(), 2);
-        deal(&mut waiting, 1.5);
+        assert_eq!(pending.len(), 2);
+        share_work(&mut pending, 1.5);
         assert!(
-            waiting.is_empty() && ends[0].try_recv() == Ok(true) && ends[1].try_recv() == Ok(true)
+            pending.is_empty() && ends[0].try_recv() == Ok(true) && ends[1].try_recv() == Ok(true)
         );
     }
 }
--- a/crates/emberpin-testbed/src/site.rs
+++ b/crates/emberpin-testbed/src/site.rs
@@ -6,15 +6,15 @@
 use crate::clients::Clients;
 use crate::discovery::Discovery;
 use crate::error::{SiteError, StandIn};
-use crate::invariants::{check_trace, Verdict, CheckOptions};
+use crate::invariants::{check_trace, CheckOptions, Verdict};
 use crate::peer_links::PeerLinks;
-use crate::peers::{PeerNetwork, NetworkSplit};
+use crate::peers::{NetworkSplit, PeerNetwork};
 use crate::process::{Limiter, Program, Usage};
 use crate::resources::ResourceNeeds;
 use crate::scenario::{Fault, Scenario};
 use crate::schedule::Schedule;
 use crate::servers::{Server, World};
-use crate::trace::{Event, Micros, Recorder, EventKind};
+use crate::trace::{Event, EventKind, Micros, Recorder};
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
 use std::net::Ipv4Addr;
@@ -27,7 +27,7 @@
 use tokio::time::{interval, sleep_until, Instant, MissedTickBehavior};
 
 /// The stand-ins run late if one of their own timers is late by this much: half of what the rules allow.
-const LATE: Duration = Duration::from_millis(25);
+const LATENESS_THRESHOLD: Duration = Duration::from_millis(25);
 const TICK: Duration = Duration::from_millis(5);
 /// How often limiters are measured and progress is shown.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
@@ -65,9 +65,9 @@
     /// How far it is.
     pub at: Micros,
     /// Pieces of work begun, and those not over.
-    pub begun: usize,
+    pub started_work: usize,
     /// Not over yet.
-    pub open: usize,
+    pub open_work: usize,
 }
 
 /// Plays a scenario with this program as the limiters, on a runtime of its own.
@@ -111,7 +111,7 @@
 }
 
 /// A loopback address that no other run on this machine uses.
-fn own_host(number: u32) -> Ipv4Addr {
+fn loopback_host(number: u32) -> Ipv4Addr {
     let pid = std::process::id();
     let part = |value: u32| (1 + value % 250) as u8;
     Ipv4Addr::new(127, part(pid / 250), part(pid), part(number))
@@ -127,12 +127,12 @@
     links: Option<PeerLinks>,
     limiters: Vec<Rc<Limiter>>,
     /// One fault at a time does something to a limiter's process.
-    busy: Vec<Mutex<()>>,
+    process_locks: Vec<Mutex<()>>,
     clients: Rc<Clients>,
     /// What a fault left that could not be started again; it ends the run.
     problem: RefCell<Option<SiteError>>,
     /// Nothing is started any more.
-    over: Cell<bool>,
+    shutting_down: Cell<bool>,
 }
 
 async fn play(
@@ -143,42 +143,47 @@
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let folder = Folder::make(number)?;
-    let stage = RunningSite::set(scenario.clone(), program, &folder, own_host(number)).await?;
-    let world = &stage.world;
+    let running =
+        RunningSite::start(scenario.clone(), program, &folder, loopback_host(number)).await?;
+    let world = &running.world;
 
-    world.recorder.begin();
-    stage.discovery.begin();
+    world.recorder.restart_clock();
+    running.discovery.start_warmup();
     if scenario.site.together {
-        stand_up(&stage.servers, &stage.discovery, scenario.site.cold).await?;
+        start_servers(&running.servers, &running.discovery, scenario.site.cold).await?;
     }
     if scenario.site.together {
         for number in 0..scenario.site.limiters {
-            stage.clients.down(number);
-            let stage = stage.clone();
+            running.clients.mark_down(number);
+            let running = running.clone();
             spawn_local(async move {
-                let _busy = stage.busy[number].lock().await;
-                stage.restart(number).await;
+                let _lock = running.process_locks[number].lock().await;
+                running.restart(number).await;
             });
         }
     }
-    let began = Instant::from_std(world.recorder.began());
-    let end = began + Duration::from_micros(scenario.length);
-    let until = end + COMPLETION_TIME;
-    spawn_local(stage.clone().watch_lateness());
+    let started = Instant::from_std(world.recorder.started());
+    let end = started + Duration::from_micros(scenario.length);
+    let deadline = end + COMPLETION_TIME;
+    spawn_local(running.clone().record_lateness());
     for timed in scenario
         .faults
         .iter()
         .filter(|timed| timed.at < scenario.length)
         .cloned()
     {
-        let stage = stage.clone();
+        let running = running.clone();
         spawn_local(async move {
-            sleep_until(began + Duration::from_micros(timed.at)).await;
-            stage.inject(timed.fault).await;
+            sleep_until(started + Duration::from_micros(timed.at)).await;
+            running.inject(timed.fault).await;
         });
     }
-    let begun = Rc::new(Cell::new(0));
-    let load = spawn_local(stage.clone().load(began, until, begun.clone()));
+    let started_work = Rc::new(Cell::new(0));
+    let load = spawn_local(
+        running
+            .clone()
+            .send_load(started, deadline, started_work.clone()),
+    );
 
     let mut samples = Vec::new();
     let mut ticks = interval(SAMPLE_INTERVAL);
@@ -187,7 +192,7 @@
     loop {
         ticks.tick().await;
         let at = world.recorder.now();
-        let usage = stage
+        let usage = running
             .limiters
             .iter()
             .map(|limiter| limiter.measure())
@@ -195,34 +200,34 @@
         samples.push(Sample { at, usage });
         progress(Progress {
             at,
-            begun: begun.get(),
-            open: stage.clients.open(),
+            started_work: started_work.get(),
+            open_work: running.clients.open_work(),
         });
         cut_short = cut_short || world.recorder.is_full();
-        let played = load.is_finished() && stage.clients.open() == 0;
-        if (Instant::now() >= end && played) || Instant::now() >= until || cut_short {
+        let finished = load.is_finished() && running.clients.open_work() == 0;
+        if (Instant::now() >= end && finished) || Instant::now() >= deadline || cut_short {
             break;
         }
-        if stage.problem.borrow().is_some() {
+        if running.problem.borrow().is_some() {
             break;
         }
     }
     load.abort();
-    stage.end().await;
-    if let Some(problem) = stage.problem.borrow_mut().take() {
+    running.shut_down().await;
+    if let Some(problem) = running.problem.borrow_mut().take() {
         return Err(problem);
     }
-    let usage = stage
+    let usage = running
         .limiters
         .iter()
         .map(|limiter| limiter.measure())
         .collect();
-    let events = world.recorder.take();
+    let events = world.recorder.take_events();
     let verdict = check_trace(
         &events,
         CheckOptions {
-            halls: scenario.site.halls,
-            keys_once: scenario.keys_once,
+            zones: scenario.site.halls,
+            check_repeated_effects_per_key: scenario.check_repeated_effects_per_key,
         },
     );
     Ok(Outcome {
@@ -236,7 +241,7 @@
 }
 
 /// Starts all servers, and lists them.
-async fn stand_up(
+async fn start_servers(
     servers: &[Rc<Server>],
     discovery: &Discovery,
     cold: bool,
@@ -246,20 +251,20 @@
             .start(cold)
             .await
             .map_err(SiteError::stand_in(StandIn::Server(server.number)))?;
-        discovery.list(server);
+        discovery.preload(server);
     }
     Ok(())
 }
 
 impl RunningSite {
     /// Stands everything up; nothing is asked yet.
-    async fn set(
+    async fn start(
         scenario: Scenario,
         program: Program,
         folder: &Folder,
         host: Ipv4Addr,
     ) -> Result<Rc<RunningSite>, SiteError> {
-        ResourceNeeds::of(&scenario.site, program.links).check()?;
+        ResourceNeeds::for_site(&scenario.site, program.links).check()?;
         let schedule = Schedule::draw(&scenario);
         let (site, seed) = (scenario.site.clone(), scenario.seed);
         let recorder = Recorder::start();
@@ -274,7 +279,7 @@
             .await
             .map_err(SiteError::stand_in(StandIn::Discovery))?;
         if !site.together {
-            stand_up(&servers, &discovery, site.cold).await?;
+            start_servers(&servers, &discovery, site.cold).await?;
         }
         let peers = PeerNetwork::start(&world)
             .await
@@ -292,7 +297,7 @@
             let mut program = program.clone();
             if let Some(links) = &links {
                 let file = links
-                    .write(&folder.0, number, seed)
+                    .write_operator_file(&folder.0, number, seed)
                     .map_err(SiteError::stand_in(StandIn::LinkFile))?;
                 program
                     .arguments
@@ -307,8 +312,11 @@
                 match &fault.fault {
                     Fault::LimiterStopsAtPoint {
                         limiter: of, point, ..
-                    } if *of == number => limiter.stop_at(point),
-                    Fault::DiskFaulty { limiter: of, lie } if *of == number => limiter.lie(lie),
+                    } if *of == number => limiter.stop_at_point(point),
+                    Fault::DiskFaulty {
+                        limiter: of,
+                        disk_fault,
+                    } if *of == number => limiter.set_disk_fault(disk_fault),
                     _ => {}
                 }
             }
@@ -316,29 +324,29 @@
         }
         let addresses: Vec<_> = limiters.iter().map(|limiter| limiter.address).collect();
         let clients = Clients::new(world.clone(), &addresses);
-        let stage = Rc::new(RunningSite {
+        let running = Rc::new(RunningSite {
             world,
             servers,
             discovery,
             peers,
             links,
-            busy: limiters.iter().map(|_| Mutex::new(())).collect(),
+            process_locks: limiters.iter().map(|_| Mutex::new(())).collect(),
             limiters,
             clients,
             problem: RefCell::default(),
-            over: Cell::new(false),
+            shutting_down: Cell::new(false),
         });
-        let at_first = if site.together { 0 } else { site.limiters };
-        let starting: Vec<_> = (0..at_first)
+        let started_before_load = if site.together { 0 } else { site.limiters };
+        let starting: Vec<_> = (0..started_before_load)
             .map(|number| {
-                let stage = stage.clone();
-                spawn_local(async move { stage.start_limiter(number).await })
+                let running = running.clone();
+                spawn_local(async move { running.start_limiter(number).await })
             })
             .collect();
         for started in starting {
             started.await??;
         }
-        Ok(stage)
+        Ok(running)
     }
 
     async fn start_limiter(&self, number: usize) -> Result<bool, SiteError> {
@@ -348,83 +356,88 @@
             .addresses(number)
             .map_err(SiteError::stand_in(StandIn::PeerNetwork))?;
         let site = &self.world.scenario.site;
-        let known = self.discovery.known(number);
+        let known = self.discovery.initial_list(number);
         let config = limiter.config(site, self.discovery.address(number), known, peers);
         Ok(limiter.start(config).await?)
     }
 
     /// Splits the limiters' datagrams and links.
-    fn split(&self, split: Option<NetworkSplit>) {
-        self.peers.split(split.clone());
+    fn set_peer_split(&self, split: Option<NetworkSplit>) {
+        self.peers.set_split(split.clone());
         if let Some(links) = &self.links {
-            links.split(split);
+            links.set_split(split);
         }
     }
 
     /// Starts a limiter again after its end; a failure ends the run.
     async fn restart(&self, number: usize) {
-        if self.over.get() {
+        if self.shutting_down.get() {
             return;
         }
         match self.start_limiter(number).await {
-            Ok(true) => self.clients.up(number),
+            Ok(true) => self.clients.mark_up(number),
             // Whoever killed it starts it again.
             Ok(false) => {}
             Err(problem) => *self.problem.borrow_mut() = Some(problem),
         }
     }
 
-    async fn load(self: Rc<Self>, began: Instant, until: Instant, begun: Rc<Cell<usize>>) {
+    async fn send_load(
+        self: Rc<Self>,
+        started: Instant,
+        deadline: Instant,
+        started_work: Rc<Cell<usize>>,
+    ) {
         for (index, arrival) in self.world.schedule.arrivals.iter().enumerate() {
-            let due = began + Duration::from_micros(arrival.at);
+            let due = started + Duration::from_micros(arrival.at);
             sleep_until(due).await;
-            begun.set(index + 1);
-            spawn_local(self.clients.clone().play(index, until));
+            started_work.set(index + 1);
+            spawn_local(self.clients.clone().run_arrival(index, deadline));
         }
     }
 
     /// Notes whenever the stand-ins' own timers fire late: what they see then may be their own doing.
-    async fn watch_lateness(self: Rc<Self>) {
+    async fn record_lateness(self: Rc<Self>) {
         loop {
             let due = Instant::now() + TICK;
             sleep_until(due).await;
-            let by = due.elapsed();
-            if by > LATE {
-                self.world.recorder.note(EventKind::StandInsLate {
-                    by: by.as_micros() as Micros,
+            let delay = due.elapsed();
+            if delay > LATENESS_THRESHOLD {
+                self.world.recorder.record(EventKind::StandInsLate {
+                    delay: delay.as_micros() as Micros,
                 });
             }
         }
     }
 
     /// Takes everything down: clients first, then limiters as a planned end has it.
-    async fn end(self: &Rc<Self>) {
-        self.over.set(true);
+    async fn shut_down(self: &Rc<Self>) {
+        self.shutting_down.set(true);
         for limiter in 0..self.limiters.len() {
             self.world.links[limiter]
                 .iter()
                 .for_each(|link| link.set_cut(None));
         }
-        let leaving: Vec<_> = (0..self.limiters.len())
+        let shutdowns: Vec<_> = (0..self.limiters.len())
             .map(|number| {
-                let stage = self.clone();
+                let running = self.clone();
                 spawn_local(async move {
-                    let _busy = stage.busy[number].lock().await;
-                    stage.limiters[number].measure();
-                    stage.limiters[number].leave().await;
+                    let _lock = running.process_locks[number].lock().await;
+                    running.limiters[number].measure();
+                    running.limiters[number].shut_down().await;
                 })
             })
             .collect();
-        for left in leaving {
-            _ = left.await;
+        for shutdown in shutdowns {
+            _ = shutdown.await;
         }
-        self.clients.close();
+        self.clients.close_idle_connections();
         for server in &self.servers {
             server.kill().await;
         }
     }
 
-    fn note(&self, name: String) {
-        self.world.recorder.note(EventKind::Fault { name });
+    fn record_fault(&self, name: String) {
+        self.world.recorder.record(EventKind::Fault { name });
     }
 }
--- a/crates/emberpin-testbed/src/site/fault_injection.rs
+++ b/crates/emberpin-testbed/src/site/fault_injection.rs
@@ -36,7 +36,7 @@
 impl RunningSite {
     /// Injects a fault, and returns once it is over.
     pub(super) async fn inject(self: Rc<Self>, fault: Fault) {
-        self.note(fault.to_string());
+        self.record_fault(fault.to_string());
         let end = match &fault {
             Fault::LimiterKilled { .. }
             | Fault::LimiterRestarted { .. }
@@ -69,40 +69,52 @@
             Fault::CustomersMove { .. } => FaultEnd::Silent,
         };
         if end == FaultEnd::ConnectionEnd {
-            self.note(format!("over: {fault}"));
+            self.record_fault(format!("over: {fault}"));
         }
     }
 
     async fn inject_at_limiters(self: Rc<Self>, fault: &Fault) -> FaultEnd {
         match fault {
-            Fault::LimiterKilled { limiter, back } => {
-                self.kill_limiter(*limiter, duration(*back)).await;
+            Fault::LimiterKilled {
+                limiter,
+                restart_after,
+            } => {
+                self.kill_limiter(*limiter, duration(*restart_after)).await;
             }
             Fault::LimiterRestarted { limiter } => self.restart_limiter(*limiter).await,
             Fault::LimiterPaused { limiter, length } => {
                 self.pause_limiter(*limiter, duration(*length)).await;
             }
-            Fault::DiskFaulty { limiter, lie } => {
-                self.wait_for_disk_lie(*limiter, lie).await;
+            Fault::DiskFaulty {
+                limiter,
+                disk_fault,
+            } => {
+                self.wait_for_disk_fault(*limiter, disk_fault).await;
                 return FaultEnd::Silent;
             }
             Fault::LimiterStopsAtPoint {
                 limiter,
                 point,
                 length,
-                back,
+                restart_after,
             } => {
-                let back = back.map(duration);
+                let restart_after = restart_after.map(duration);
                 return self
-                    .stop_limiter_at(*limiter, point, duration(*length), back)
+                    .stop_limiter_at(*limiter, point, duration(*length), restart_after)
                     .await;
             }
-            Fault::LimiterHungUp { limiter } => self.limiters[*limiter].hang_up(),
-            Fault::DiscoveryCallersKilled { count, back } => {
-                self.kill_callers(*count, duration(*back)).await;
+            Fault::LimiterHungUp { limiter } => self.limiters[*limiter].send_sighup(),
+            Fault::DiscoveryCallersKilled {
+                count,
+                restart_after,
+            } => {
+                self.kill_callers(*count, duration(*restart_after)).await;
             }
-            Fault::LimitersKilled { count, back } => {
-                self.kill_limiters(*count, duration(*back)).await;
+            Fault::LimitersKilled {
+                count,
+                restart_after,
+            } => {
+                self.kill_limiters(*count, duration(*restart_after)).await;
             }
             _ => return FaultEnd::Silent,
         }
@@ -111,7 +123,10 @@
 
     async fn inject_at_servers(&self, fault: &Fault) -> FaultEnd {
         let injected = match fault {
-            Fault::ServerKilled { server, back } => self.kill_server(*server, *back).await,
+            Fault::ServerKilled {
+                server,
+                restart_after,
+            } => self.kill_server(*server, *restart_after).await,
             Fault::ServerReplaced { server } => {
                 self.replace_server(&self.servers[*server]).await;
                 Some(())
@@ -121,7 +136,7 @@
                 Some(())
             }
             Fault::ServerStalled { server, length } => {
-                let set = |process: &Process, stalls| process.stall(stalls);
+                let set = |process: &Process, stalls| process.set_stalled(stalls);
                 self.disturb_server(*server, *length, set).await
             }
             Fault::ServerResponsesFaulty {
@@ -131,17 +146,20 @@
                 length,
             } => {
                 let set = |process: &Process, spoils: bool| {
-                    process.spoil(spoils.then_some((*how, *share)));
+                    process.set_response_fault(spoils.then_some((*how, *share)));
                 };
                 self.disturb_server(*server, *length, set).await
             }
             Fault::ServerRefuses { server, length } => {
-                let set = |process: &Process, refuses| process.refuse(refuses);
+                let set = |process: &Process, refuses| process.set_refusing(refuses);
                 self.disturb_server(*server, *length, set).await
             }
             Fault::ServerMoved { server } => self.move_server(*server).await,
-            Fault::ZoneLost { hall, back } => {
-                self.lose_hall(*hall, *back).await;
+            Fault::ZoneLost {
+                zone,
+                restart_after,
+            } => {
+                self.lose_zone(*zone, *restart_after).await;
                 Some(())
             }
             _ => None,
@@ -153,42 +171,46 @@
         match fault {
             Fault::LinkCut {
                 limiter,
-                hall,
-                way,
+                zone,
+                direction,
                 length,
             } => {
-                let link = &self.world.links[*limiter][*hall];
-                link.set_cut(Some(*way));
+                let link = &self.world.links[*limiter][*zone];
+                link.set_cut(Some(*direction));
                 sleep(duration(*length)).await;
                 link.set_cut(None);
             }
             Fault::LinkSlow {
                 limiter,
-                hall,
+                zone,
                 delay,
                 length,
             } => {
-                let link = &self.world.links[*limiter][*hall];
+                let link = &self.world.links[*limiter][*zone];
                 link.set_delay(*delay);
                 sleep(duration(*length)).await;
                 link.set_delay(0);
             }
-            Fault::PeersSplit { group, way, length } => {
-                self.split(Some(NetworkSplit {
+            Fault::PeersSplit {
+                group,
+                direction,
+                length,
+            } => {
+                self.set_peer_split(Some(NetworkSplit {
                     group: group.clone(),
-                    way: *way,
+                    direction: *direction,
                 }));
                 sleep(duration(*length)).await;
-                self.split(None);
+                self.set_peer_split(None);
             }
             Fault::PeersLossy {
                 loss,
                 delay,
                 length,
             } => {
-                self.peers.make_poor(*loss, duration(*delay));
+                self.peers.set_loss(*loss, duration(*delay));
                 sleep(duration(*length)).await;
-                self.peers.make_poor(0.0, Duration::ZERO);
+                self.peers.set_loss(0.0, Duration::ZERO);
             }
             _ => return FaultEnd::Silent,
         }
@@ -209,9 +231,9 @@
                 discovery.set_dead(false);
             }
             Fault::DiscoveryListFaulty { how, group, length } => {
-                discovery.set_untrue(Some((*how, group.clone())));
+                discovery.set_list_fault(Some((*how, group.clone())));
                 sleep(duration(*length)).await;
-                discovery.set_untrue(None);
+                discovery.set_list_fault(None);
             }
             _ => return FaultEnd::Silent,
         }
@@ -221,49 +243,49 @@
     // ---- limiters
 
     /// Kills a limiter, which starts again after a while.
-    async fn kill_limiter(&self, number: usize, back: Duration) {
-        let _busy = self.busy[number].lock().await;
-        self.clients.down(number);
+    async fn kill_limiter(&self, number: usize, restart_after: Duration) {
+        let _lock = self.process_locks[number].lock().await;
+        self.clients.mark_down(number);
         self.limiters[number].kill().await;
-        sleep(back).await;
+        sleep(restart_after).await;
         self.restart(number).await;
     }
 
     /// The same, while it may still be starting.
-    async fn kill_starting_limiter(&self, number: usize, back: Duration) {
-        self.clients.down(number);
+    async fn kill_starting_limiter(&self, number: usize, restart_after: Duration) {
+        self.clients.mark_down(number);
         self.limiters[number].kill().await;
-        self.kill_limiter(number, back).await;
+        self.kill_limiter(number, restart_after).await;
     }
 
     async fn restart_limiter(&self, number: usize) {
-        let _busy = self.busy[number].lock().await;
-        self.clients.down(number);
+        let _lock = self.process_locks[number].lock().await;
+        self.clients.mark_down(number);
         self.limiters[number].measure();
-        self.limiters[number].leave().await;
+        self.limiters[number].shut_down().await;
         self.restart(number).await;
     }
 
     async fn pause_limiter(&self, number: usize, length: Duration) {
         let limiter = &self.limiters[number];
-        limiter.pause(true);
+        limiter.set_paused(true);
         sleep(TICK).await;
         if !limiter.is_paused() {
-            self.note(format!("limiter {number} does not stand still"));
+            self.record_fault(format!("limiter {number} does not stand still"));
         }
         sleep(length).await;
-        limiter.pause(false);
+        limiter.set_paused(false);
     }
 
     /// Waits until the limiter's disk has lied, or the run is over.
-    async fn wait_for_disk_lie(&self, number: usize, lie: &str) {
-        while !self.limiters[number].lie_said().exists() {
-            if self.over.get() {
+    async fn wait_for_disk_fault(&self, number: usize, disk_fault: &str) {
+        while !self.limiters[number].disk_fault_marker().exists() {
+            if self.shutting_down.get() {
                 return;
             }
             sleep(TICK).await;
         }
-        self.note(format!("the disk of limiter {number} lies: {lie}"));
+        self.record_fault(format!("the disk of limiter {number} lies: {disk_fault}"));
     }
 
     /// Waits until the limiter stops itself at a point of its code, and kills it or has it go on after a while.
@@ -272,32 +294,32 @@
         number: usize,
         point: &str,
         length: Duration,
-        back: Option<Duration>,
+        restart_after: Option<Duration>,
     ) -> FaultEnd {
         let limiter = &self.limiters[number];
         while !limiter.is_paused() {
-            if self.over.get() {
+            if self.shutting_down.get() {
                 return FaultEnd::Silent;
             }
             sleep(TICK).await;
         }
-        self.note(format!("limiter {number} stands still at {point}"));
+        self.record_fault(format!("limiter {number} stands still at {point}"));
         sleep(length).await;
-        match back {
-            Some(back) => self.kill_limiter(number, back).await,
-            None => limiter.pause(false),
+        match restart_after {
+            Some(restart_after) => self.kill_limiter(number, restart_after).await,
+            None => limiter.set_paused(false),
         }
         FaultEnd::ConnectionEnd
     }
 
     /// Kills the next limiters that call the discovery service, each as it calls.
-    async fn kill_callers(self: Rc<Self>, count: usize, back: Duration) {
-        let mut calls = self.discovery.calls();
+    async fn kill_callers(self: Rc<Self>, count: usize, restart_after: Duration) {
+        let mut calls = self.discovery.subscribe_to_calls();
         let mut killing = Vec::new();
         while let (true, Some(number)) = (killing.len() < count, calls.recv().await) {
-            let stage = self.clone();
+            let site = self.clone();
             killing.push(spawn_local(async move {
-                stage.kill_starting_limiter(number, back).await;
+                site.kill_starting_limiter(number, restart_after).await;
             }));
         }
         for killed in killing {
@@ -305,10 +327,10 @@
         }
     }
 
-    async fn kill_limiters(self: Rc<Self>, count: usize, back: Duration) {
+    async fn kill_limiters(self: Rc<Self>, count: usize, restart_after: Duration) {
         let kill = |number| {
-            let stage = self.clone();
-            spawn_local(async move { stage.kill_limiter(number, back).await })
+            let site = self.clone();
+            spawn_local(async move { site.kill_limiter(number, restart_after).await })
         };
         let killing: Vec<_> = (0..count).map(kill).collect();
         for killed in killing {
@@ -332,13 +354,13 @@
         Some(())
     }
 
-    async fn kill_server(&self, server: usize, back: Micros) -> Option<()> {
+    async fn kill_server(&self, server: usize, restart_after: Micros) -> Option<()> {
         let server = &self.servers[server];
         let process = server.process()?;
         server.kill().await;
         self.discovery
-            .withdraw(server, process.life, process.boot_ms);
-        sleep(duration(back)).await;
+            .withdraw(server, process.incarnation, process.boot_ms);
+        sleep(duration(restart_after)).await;
         self.start_server(server).await;
         Some(())
     }
@@ -353,40 +375,40 @@
     async fn move_server(&self, server: usize) -> Option<()> {
         let server = &self.servers[server];
         let process = server.process()?;
-        if let Err(source) = server.move_away().await {
+        if let Err(source) = server.move_to_new_addresses().await {
             self.fail(SiteError::stand_in(StandIn::NewAddress)(source));
             return None;
         }
         self.discovery.announce(server, ServerState::Ready);
-        sleep(self.notice() + OLD_ADDRESS_GRACE).await;
-        process.leave_old_addresses();
+        sleep(self.notification_time() + OLD_ADDRESS_GRACE).await;
+        process.close_old_addresses();
         Some(())
     }
 
     /// Cuts a hall off, and restarts its servers before it is back.
-    async fn lose_hall(&self, hall: usize, back: Micros) {
-        let in_hall = |server: &&Rc<Server>| self.world.hall(server.number) == hall;
-        let lost: Vec<_> = self.servers.iter().filter(in_hall).collect();
-        self.set_hall_cut(hall, Some(LinkDirection::Both));
-        for server in &lost {
+    async fn lose_zone(&self, zone: usize, restart_after: Micros) {
+        let in_zone = |server: &&Rc<Server>| self.world.zone(server.number) == zone;
+        let lost_servers: Vec<_> = self.servers.iter().filter(in_zone).collect();
+        self.set_zone_cut(zone, Some(LinkDirection::Both));
+        for server in &lost_servers {
             if let Some(process) = server.process() {
                 self.discovery
-                    .withdraw(server, process.life, process.boot_ms);
+                    .withdraw(server, process.incarnation, process.boot_ms);
             }
         }
-        sleep(duration(back)).await;
-        for server in &lost {
+        sleep(duration(restart_after)).await;
+        for server in &lost_servers {
             server.kill().await;
         }
-        self.set_hall_cut(hall, None);
-        for server in &lost {
+        self.set_zone_cut(zone, None);
+        for server in &lost_servers {
             self.start_server(server).await;
         }
     }
 
-    fn set_hall_cut(&self, hall: usize, way: Option<LinkDirection>) {
+    fn set_zone_cut(&self, zone: usize, direction: Option<LinkDirection>) {
         for links in &self.world.links {
-            links[hall].set_cut(way);
+            links[zone].set_cut(direction);
         }
     }
 
@@ -397,7 +419,7 @@
 
     /// A server is up again, cold, under whatever id it has now.
     async fn start_server(&self, server: &Rc<Server>) {
-        if self.over.get() || server.process().is_some() {
+        if self.shutting_down.get() || server.process().is_some() {
             return;
         }
         match server.start(true).await {
@@ -407,7 +429,7 @@
     }
 
     /// After this time all limiters have been notified of a change.
-    fn notice(&self) -> Duration {
+    fn notification_time(&self) -> Duration {
         Duration::from_secs_f64(self.world.scenario.site.notice_ms[1] / 1000.0)
     }
 
@@ -417,14 +439,14 @@
             return;
         };
         self.discovery.announce(server, ServerState::Draining);
-        sleep(self.notice() + DRAIN_REMAINDER).await;
+        sleep(self.notification_time() + DRAIN_REMAINDER).await;
         let latest = Instant::now() + MAX_DRAIN;
         while !process.is_idle() && Instant::now() < latest {
             sleep(TICK).await;
         }
         server.kill().await;
         self.discovery
-            .withdraw(server, process.life, process.boot_ms);
+            .withdraw(server, process.incarnation, process.boot_ms);
         server.generation.set(server.generation.get() + 1);
         sleep(SUCCESSOR_DELAY).await;
         self.start_server(server).await;
--- a/crates/emberpin-testbed/src/start_summary.rs
+++ b/crates/emberpin-testbed/src/start_summary.rs
@@ -4,7 +4,7 @@
 use crate::figures::{OVERLOAD_MULTIPLE, OVERLOAD_WINDOW};
 use crate::schedule::REQUESTS_PER_ARRIVAL;
 use crate::site::Outcome;
-use crate::trace::{Event, Incarnation, Micros, EventKind, SECOND};
+use crate::trace::{Event, EventKind, Incarnation, Micros, SECOND};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -35,26 +35,34 @@
 
 impl Starts {
     /// Sums a run up.
-    pub fn of(outcome: &Outcome) -> Starts {
+    pub fn from_outcome(outcome: &Outcome) -> Starts {
         let limiters = outcome.scenario.site.limiters;
         let events = &outcome.events;
         let times = |of: fn(&EventKind) -> bool| -> Vec<Micros> {
             events
                 .iter()
-                .filter(|event| of(&event.what))
+                .filter(|event| of(&event.kind))
                 .map(|event| event.at)
                 .collect()
         };
-        let calls = times(|what| matches!(what, EventKind::DiscoveryCalled { .. }));
-        let failed = times(|what| matches!(what, EventKind::DiscoveryCallEnded { well: false, .. }));
-        let listed = firsts(events, |what| match what {
+        let calls = times(|kind| matches!(kind, EventKind::DiscoveryCalled { .. }));
+        let failed = times(|kind| {
+            matches!(
+                kind,
+                EventKind::DiscoveryCallEnded {
+                    succeeded: false,
+                    ..
+                }
+            )
+        });
+        let listed = first_times(events, |kind| match kind {
             EventKind::DiscoveryCallEnded {
                 limiter,
-                well: true,
+                succeeded: true,
             } => Some(*limiter),
             _ => None,
         });
-        let ready = firsts(events, |what| match what {
+        let ready = first_times(events, |kind| match kind {
             EventKind::LimiterReady { limiter } => Some(*limiter),
             _ => None,
         });
@@ -95,9 +103,9 @@
 }
 
 /// The first moment of each limiter, in order, in seconds.
-fn firsts(events: &[Event], of: impl Fn(&EventKind) -> Option<usize>) -> Vec<f64> {
+fn first_times(events: &[Event], of: impl Fn(&EventKind) -> Option<usize>) -> Vec<f64> {
     let mut seen = BTreeSet::new();
-    let first = |event: &&Event| of(&event.what).is_some_and(|limiter| seen.insert(limiter));
+    let first = |event: &&Event| of(&event.kind).is_some_and(|limiter| seen.insert(limiter));
     events
         .iter()
         .filter(first)
@@ -118,13 +126,16 @@
 }
 
 fn most_connections(events: &[Event]) -> u64 {
-    let mut by_life: BTreeMap<Incarnation, Vec<Micros>> = BTreeMap::new();
+    let mut by_incarnation: BTreeMap<Incarnation, Vec<Micros>> = BTreeMap::new();
     for event in events {
-        if let EventKind::ServerConnected { life, .. } = event.what {
-            by_life.entry(life).or_default().push(event.at);
+        if let EventKind::ServerConnected { incarnation, .. } = event.kind {
+            by_incarnation
+                .entry(incarnation)
+                .or_default()
+                .push(event.at);
         }
     }
-    by_life
+    by_incarnation
         .values()
         .map(|times| most_within(times, SECOND))
         .max()
@@ -142,12 +153,12 @@
         sum: f64,
     }
     let mut cold: BTreeMap<Incarnation, Cold> = BTreeMap::new();
-    let mut at_life = BTreeMap::new();
+    let mut incarnation_of_attempt = BTreeMap::new();
     let mut nearest = 0.0f64;
     for event in events {
-        match event.what {
+        match event.kind {
             EventKind::ServerStarted {
-                life,
+                incarnation,
                 capacity,
                 cold_from: from,
                 warm_after,
@@ -155,7 +166,7 @@
             } if warm_after > 0 => {
                 let (up, work) = (event.at, VecDeque::new());
                 cold.insert(
-                    life,
+                    incarnation,
                     Cold {
                         up,
                         capacity,
@@ -166,9 +177,16 @@
                     },
                 );
             }
-            EventKind::AttemptStarted { attempt, life, .. } => _ = at_life.insert(attempt, life),
+            EventKind::AttemptStarted {
+                attempt,
+                incarnation,
+                ..
+            } => _ = incarnation_of_attempt.insert(attempt, incarnation),
             EventKind::AttemptReceived { attempt, work, .. } => {
-                let Some(server) = at_life.get(&attempt).and_then(|life| cold.get_mut(life)) else {
+                let Some(server) = incarnation_of_attempt
+                    .get(&attempt)
+                    .and_then(|incarnation| cold.get_mut(incarnation))
+                else {
                     continue;
                 };
                 let age = event.at - server.up;
@@ -186,8 +204,9 @@
                 }
                 let warmth =
                     server.from + (1.0 - server.from) * age as f64 / server.warm_after as f64;
-                let fells = OVERLOAD_MULTIPLE * server.capacity * warmth * OVERLOAD_WINDOW as f64 / 1000.0;
-                nearest = nearest.max(server.sum / fells);
+                let overload =
+                    OVERLOAD_MULTIPLE * server.capacity * warmth * OVERLOAD_WINDOW as f64 / 1000.0;
+                nearest = nearest.max(server.sum / overload);
             }
             _ => {}
         }
@@ -201,15 +220,21 @@
     let count = outcome.scenario.length.div_ceil(SECOND) as usize;
     let mut seconds = vec![(0, 0); count];
     let mut served = BTreeMap::new();
-    let mut left = BTreeSet::new();
+    let mut cancelled = BTreeSet::new();
     for event in &outcome.events {
-        match event.what {
+        match event.kind {
             EventKind::ResponseReceived {
-                what, status: 200, ..
+                request,
+                status: 200,
+                ..
             } => {
-                served.entry(what.0 / REQUESTS_PER_ARRIVAL).or_insert(event.at);
+                served
+                    .entry(request.0 / REQUESTS_PER_ARRIVAL)
+                    .or_insert(event.at);
+            }
+            EventKind::RequestCancelled { request } => {
+                _ = cancelled.insert(request.0 / REQUESTS_PER_ARRIVAL)
             }
-            EventKind::RequestCancelled { what } => _ = left.insert(what.0 / REQUESTS_PER_ARRIVAL),
             _ => {}
         }
     }
@@ -217,7 +242,7 @@
         let Some(second) = seconds.get_mut((arrival.at / SECOND) as usize) else {
             continue;
         };
-        if left.contains(&(index as u32)) {
+        if cancelled.contains(&(index as u32)) {
             continue;
         }
         second.0 += 1;
--- a/crates/emberpin-testbed/src/trace.rs
+++ b/crates/emberpin-testbed/src/trace.rs
@@ -73,11 +73,14 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum EventKind {
     /// A client's try: its last byte was written to a connection that the limiter's machine had accepted.
+    #[serde(rename = "Asked")]
     RequestSent {
         /// The id of the attempt at a limiter, which the client drew for it.
-        what: RequestId,
+        #[serde(rename = "what")]
+        request: RequestId,
         /// The first try of the same piece of work.
-        first: RequestId,
+        #[serde(rename = "first")]
+        first_request: RequestId,
         /// The limiter asked.
         limiter: usize,
         /// Index of its class.
@@ -91,46 +94,60 @@
         /// Its idempotency key's number.
         key: u32,
         /// The client gives it up so long after.
-        patience: Micros,
+        #[serde(rename = "patience")]
+        time_limit: Micros,
         /// The connection had carried other requests before.
         reused: bool,
     },
     /// A whole answer came to a try.
+    #[serde(rename = "Answered")]
     ResponseReceived {
         /// The id of the attempt at a limiter, which the client drew for it.
-        what: RequestId,
+        #[serde(rename = "what")]
+        request: RequestId,
         /// The HTTP status of the answer.
         status: u16,
         /// A 200 whose body some server made for this very try, or any other answer.
-        sound: bool,
+        #[serde(rename = "sound")]
+        valid: bool,
         /// What the limiter advises to wait.
         retry_after: Option<Micros>,
     },
     /// A try's connection ended with no whole answer.
+    #[serde(rename = "Dropped")]
     ConnectionLost {
         /// The id of the attempt at a limiter, which the client drew for it.
-        what: RequestId,
+        #[serde(rename = "what")]
+        request: RequestId,
         /// Part of an answer had come.
-        begun: bool,
+        #[serde(rename = "begun")]
+        partial_response: bool,
     },
     /// A client gave its try up, its whole patience and the slack after it being over.
+    #[serde(rename = "GaveUp")]
     RequestTimedOut {
         /// The id of the attempt at a limiter, which the client drew for it.
-        what: RequestId,
+        #[serde(rename = "what")]
+        request: RequestId,
     },
     /// A client left before its time.
+    #[serde(rename = "Left")]
     RequestCancelled {
         /// The id of the attempt at a limiter, which the client drew for it.
-        what: RequestId,
+        #[serde(rename = "what")]
+        request: RequestId,
     },
     /// No connection to the limiter came up for a try.
+    #[serde(rename = "Unreached")]
     LimiterUnreachable {
         /// The id of the attempt at a limiter, which the client drew for it.
-        what: RequestId,
+        #[serde(rename = "what")]
+        request: RequestId,
         /// The limiter tried.
         limiter: usize,
     },
     /// Bytes came on a client's connection that was owed no answer.
+    #[serde(rename = "Unasked")]
     UnsolicitedBytes {
         /// The limiter that sent them.
         limiter: usize,
@@ -138,43 +155,54 @@
         after: Option<RequestId>,
     },
     /// An attempt's first byte came to a server.
+    #[serde(rename = "Begun")]
     AttemptStarted {
         /// The id of the attempt at a server.
         attempt: AttemptId,
         /// At which life of which server.
-        life: Incarnation,
+        #[serde(rename = "life")]
+        incarnation: Incarnation,
         /// The limiter's number, from 0.
         limiter: usize,
     },
     /// An attempt's last byte came.
+    #[serde(rename = "Whole")]
     AttemptReceived {
         /// The id of the attempt at a server.
         attempt: AttemptId,
         /// Of which try, where a client sent one of that id.
-        what: Option<RequestId>,
+        #[serde(rename = "what")]
+        request: Option<RequestId>,
         /// Work that it brings: core milliseconds at yardstick speed.
         work: f64,
     },
     /// Its work began, or was passed over as a repeat.
+    #[serde(rename = "Ran")]
     AttemptExecuted {
         /// The id of the attempt at a server.
         attempt: AttemptId,
         /// The key's effect had been had before, anywhere, and this is a second one.
-        second: bool,
+        #[serde(rename = "second")]
+        repeated_effect: bool,
         /// The hall remembered the key, so nothing ran.
-        remembered: bool,
+        #[serde(rename = "remembered")]
+        deduplicated: bool,
     },
     /// It is over at its server.
+    #[serde(rename = "Ended")]
     AttemptEnded {
         /// The id of the attempt at a server.
         attempt: AttemptId,
         /// How the attempt ended, as the server saw it.
-        how: AttemptEnd,
+        #[serde(rename = "how")]
+        end: AttemptEnd,
     },
     /// A server's process started.
+    #[serde(rename = "ServerUp")]
     ServerStarted {
         /// The server's incarnation.
-        life: Incarnation,
+        #[serde(rename = "life")]
+        incarnation: Incarnation,
         /// Of which server.
         server: usize,
         /// Core milliseconds of yardstick work that it does in a millisecond, warm.
@@ -185,54 +213,68 @@
         warm_after: Micros,
     },
     /// A server's process ended.
+    #[serde(rename = "ServerDown")]
     ServerStopped {
         /// The server's incarnation.
-        life: Incarnation,
+        #[serde(rename = "life")]
+        incarnation: Incarnation,
     },
     /// A limiter was told of a server's standing: the line was written to it.
+    #[serde(rename = "Told")]
     LimiterNotified {
         /// The limiter's number, from 0.
         limiter: usize,
         /// The server's incarnation.
-        life: Incarnation,
+        #[serde(rename = "life")]
+        incarnation: Incarnation,
         /// The status of the server that the line states.
-        standing: ServerState,
+        #[serde(rename = "standing")]
+        state: ServerState,
     },
     /// A limiter asked the list service.
+    #[serde(rename = "ListAsked")]
     DiscoveryCalled {
         /// The limiter's number, from 0.
         limiter: usize,
     },
     /// A call of the list service was answered, or failed there for want of power or of life.
+    #[serde(rename = "ListAnswered")]
     DiscoveryCallEnded {
         /// The limiter's number, from 0.
         limiter: usize,
         /// It was answered.
-        well: bool,
+        #[serde(rename = "well")]
+        succeeded: bool,
     },
     /// A new connection came to a server.
+    #[serde(rename = "Connected")]
     ServerConnected {
         /// The server's incarnation.
-        life: Incarnation,
+        #[serde(rename = "life")]
+        incarnation: Incarnation,
         /// The limiter's number, from 0.
         limiter: usize,
     },
     /// A limiter's process is ready for clients.
+    #[serde(rename = "LimiterUp")]
     LimiterReady {
         /// The limiter's number, from 0.
         limiter: usize,
     },
     /// SIGTERM was sent.
+    #[serde(rename = "Terminated")]
     SigtermSent {
         /// The limiter's number, from 0.
         limiter: usize,
     },
     /// A limiter's process ended.
+    #[serde(rename = "LimiterDown")]
     LimiterStopped {
         /// The limiter's number, from 0.
         limiter: usize,
         /// How the process ended.
-        how: ProcessEnd,
+        #[serde(rename = "how")]
+        end: ProcessEnd,
     },
     /// A fault of the scenario began or ended.
     Fault {
@@ -240,9 +282,11 @@
         name: String,
     },
     /// The stand-ins themselves ran late by so much until now.
+    #[serde(rename = "Late")]
     StandInsLate {
         /// By how much.
-        by: Micros,
+        #[serde(rename = "by")]
+        delay: Micros,
     },
 }
 
@@ -252,7 +296,8 @@
     /// When it happened, since the run began.
     pub at: Micros,
     /// What happened.
-    pub what: EventKind,
+    #[serde(rename = "what")]
+    pub kind: EventKind,
 }
 
 /// Most events that are kept; a run that makes more is cut short, and says so.
@@ -261,7 +306,7 @@
 /// The record that all stand-ins write to, and their clock.
 #[derive(Clone)]
 pub struct Recorder {
-    began: Rc<Cell<Instant>>,
+    started: Rc<Cell<Instant>>,
     events: Rc<RefCell<Vec<Event>>>,
 }
 
@@ -269,14 +314,14 @@
     /// A record whose clock begins now.
     pub fn start() -> Recorder {
         Recorder {
-            began: Rc::new(Cell::new(Instant::now())),
+            started: Rc::new(Cell::new(Instant::now())),
             events: Rc::default(),
         }
     }
 
     /// Everything stands: the clock begins now, and what was noted on the way here was before all else.
-    pub fn begin(&self) {
-        self.began.set(Instant::now());
+    pub fn restart_clock(&self) {
+        self.started.set(Instant::now());
         self.events
             .borrow_mut()
             .iter_mut()
@@ -285,29 +330,29 @@
 
     /// The time on the site's clock.
     pub fn now(&self) -> Micros {
-        self.began.get().elapsed().as_micros() as Micros
+        self.started.get().elapsed().as_micros() as Micros
     }
 
     /// The moment that the clock counts from.
-    pub fn began(&self) -> Instant {
-        self.began.get()
+    pub fn started(&self) -> Instant {
+        self.started.get()
     }
 
     /// Notes something that happens now.
-    pub fn note(&self, what: EventKind) {
-        self.note_at(self.now(), what);
+    pub fn record(&self, kind: EventKind) {
+        self.record_at(self.now(), kind);
     }
 
     /// Notes something whose meaning only shows now, as of when it happened.
-    pub fn note_at(&self, at: Micros, what: EventKind) {
+    pub fn record_at(&self, at: Micros, kind: EventKind) {
         let mut events = self.events.borrow_mut();
         if events.len() < MAX_EVENTS {
-            events.push(Event { at, what });
+            events.push(Event { at, kind });
         }
     }
 
     /// All that has been noted, by time; the record starts anew.
-    pub fn take(&self) -> Vec<Event> {
+    pub fn take_events(&self) -> Vec<Event> {
         let mut events = std::mem::take(&mut *self.events.borrow_mut());
         events.sort_by_key(|event| event.at);
         events
--- a/crates/emberpin-testbed/src/zone_link.rs
+++ b/crates/emberpin-testbed/src/zone_link.rs
@@ -28,19 +28,21 @@
     }
 
     /// Returns when what left the limiter now has come.
-    pub async fn out(&self) {
-        self.pass(|way| way != LinkDirection::Back).await;
+    pub async fn carry_request(&self) {
+        self.wait_until_passable(|direction| direction != LinkDirection::Back)
+            .await;
     }
 
     /// Returns when what left the server now has come.
-    pub async fn back(&self) {
-        self.pass(|way| way != LinkDirection::Out).await;
+    pub async fn carry_response(&self) {
+        self.wait_until_passable(|direction| direction != LinkDirection::Out)
+            .await;
     }
 
-    async fn pass(&self, held_by: impl Fn(LinkDirection) -> bool) {
+    async fn wait_until_passable(&self, is_blocked_by: impl Fn(LinkDirection) -> bool) {
         loop {
             let changed = self.changed.notified();
-            if !self.cut.get().is_some_and(&held_by) {
+            if !self.cut.get().is_some_and(&is_blocked_by) {
                 break;
             }
             changed.await;
--- a/crates/emberpin-testbed/tests/catches.rs
+++ b/crates/emberpin-testbed/tests/catches.rs
@@ -61,7 +61,7 @@
         .verdict
         .findings
         .iter()
-        .filter(|f| f.broken > 0)
+        .filter(|f| f.violations > 0)
         .map(|finding| finding.rule)
         .collect()
 }
@@ -78,13 +78,13 @@
             "{name}, seed {seed}:{}",
             violation_histories(verdict)
         );
-        let first = verdict.on(rule).first.as_ref().expect("a break");
+        let first = verdict.finding(rule).first.as_ref().expect("a break");
         assert!(
-            first.what.contains(how),
+            first.message.contains(how),
             "{name}, seed {seed}: {}",
-            first.what
+            first.message
         );
-        assert!(!first.story.is_empty());
+        assert!(!first.history.is_empty());
     }
     // The same site and faults with a limiter that does nothing wrong.
     let outcome = play(&wrong("nothing"), 1, faults);
@@ -184,7 +184,7 @@
         scenario.set_seconds(4.0).expect("in bounds");
         let outcome = run_in_turn(&scenario, &wrong("floods-cold")).expect("plays");
         assert!(
-            outcome.verdict.on(Rule::ColdServers).broken > 0,
+            outcome.verdict.finding(Rule::ColdServers).violations > 0,
             "seed {seed}"
         );
     }
@@ -199,7 +199,12 @@
         assert_eq!(broken(&outcome), [Rule::Ceilings], "seed {seed}");
     }
     let outcome = play(&real(), 1, hammers);
-    assert_eq!(broken(&outcome), [], "{}", violation_histories(&outcome.verdict));
+    assert_eq!(
+        broken(&outcome),
+        [],
+        "{}",
+        violation_histories(&outcome.verdict)
+    );
 }
 
 #[test]
--- a/crates/emberpin-testbed/tests/common/mod.rs
+++ b/crates/emberpin-testbed/tests/common/mod.rs
@@ -7,12 +7,12 @@
 use emberpin_testbed::report::violation_histories;
 use emberpin_testbed::scenario::Scenario;
 use emberpin_testbed::site::{run, Outcome};
-use emberpin_testbed::trace::{Event, ProcessEnd, EventKind, SECOND};
+use emberpin_testbed::trace::{Event, EventKind, ProcessEnd, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ffi::OsString;
 
 /// Limiters with this operator file, if any, and perhaps with links.
-pub fn play_by(operator: &str, links: bool, text: &str, seed: u64) -> Outcome {
+pub fn run_site_with(operator: &str, links: bool, text: &str, seed: u64) -> Outcome {
     let head = format!("name = \"t\"\nabout = \"A test's own site.\"\nseed = {seed}\n");
     let scenario = Scenario::parse("test", &format!("{head}{text}")).expect("sound");
     let file = tempfile::Builder::new()
@@ -30,25 +30,25 @@
         logs: false,
         links,
     };
-    let _turn = site_slots::Turn::take();
+    let _slot = site_slots::SiteSlot::acquire();
     run(&scenario, &program, |_| ()).unwrap_or_else(|e| panic!("seed {seed}: {e}"))
 }
 
-pub fn play_with(operator: &str, text: &str, seed: u64) -> Outcome {
-    play_by(operator, false, text, seed)
+pub fn run_with_operator_file(operator: &str, text: &str, seed: u64) -> Outcome {
+    run_site_with(operator, false, text, seed)
 }
 
-pub fn play(text: &str, seed: u64) -> Outcome {
-    play_with("", text, seed)
+pub fn run_site(text: &str, seed: u64) -> Outcome {
+    run_with_operator_file("", text, seed)
 }
 
 /// How many limiters were killed.
-pub fn killed(outcome: &Outcome) -> usize {
-    count(outcome, |what| {
+pub fn killed_limiters(outcome: &Outcome) -> usize {
+    count_events(outcome, |kind| {
         matches!(
-            what,
+            kind,
             EventKind::LimiterStopped {
-                how: ProcessEnd::Killed,
+                end: ProcessEnd::Killed,
                 ..
             }
         )
@@ -56,13 +56,13 @@
 }
 
 /// When each limiter first held the list, in seconds, in order.
-pub fn listed(outcome: &Outcome) -> Vec<f64> {
+pub fn list_times(outcome: &Outcome) -> Vec<f64> {
     let mut first = BTreeMap::new();
     for event in &outcome.events {
         if let EventKind::DiscoveryCallEnded {
             limiter,
-            well: true,
-        } = event.what
+            succeeded: true,
+        } = event.kind
         {
             first
                 .entry(limiter)
@@ -75,32 +75,40 @@
 }
 
 /// Calls of the list service between two times in seconds, and those that failed.
-pub fn calls(outcome: &Outcome, from: f64, to: f64) -> (usize, usize) {
+pub fn discovery_calls(outcome: &Outcome, from: f64, to: f64) -> (usize, usize) {
     let within = |event: &&Event| (from..to).contains(&(event.at as f64 / SECOND as f64));
     let count = |of: fn(&EventKind) -> bool| {
         outcome
             .events
             .iter()
             .filter(within)
-            .filter(|e| of(&e.what))
+            .filter(|e| of(&e.kind))
             .count()
     };
     (
-        count(|what| matches!(what, EventKind::DiscoveryCalled { .. })),
-        count(|what| matches!(what, EventKind::DiscoveryCallEnded { well: false, .. })),
+        count(|kind| matches!(kind, EventKind::DiscoveryCalled { .. })),
+        count(|kind| {
+            matches!(
+                kind,
+                EventKind::DiscoveryCallEnded {
+                    succeeded: false,
+                    ..
+                }
+            )
+        }),
     )
 }
 
-pub fn count(outcome: &Outcome, of: impl Fn(&EventKind) -> bool) -> usize {
+pub fn count_events(outcome: &Outcome, of: impl Fn(&EventKind) -> bool) -> usize {
     outcome
         .events
         .iter()
-        .filter(|event| of(&event.what))
+        .filter(|event| of(&event.kind))
         .count()
 }
 
 #[track_caller]
-pub fn holds(outcome: &Outcome) {
+pub fn assert_rules_hold(outcome: &Outcome) {
     assert!(
         !outcome.verdict.has_violations(),
         "seed {}:{}",
@@ -110,11 +118,11 @@
 }
 
 /// When limiters called after a time, in seconds, in order.
-pub fn called_after(outcome: &Outcome, from: f64) -> Vec<f64> {
+pub fn call_times_after(outcome: &Outcome, from: f64) -> Vec<f64> {
     let times = outcome
         .events
         .iter()
-        .filter(|event| matches!(event.what, EventKind::DiscoveryCalled { .. }));
+        .filter(|event| matches!(event.kind, EventKind::DiscoveryCalled { .. }));
     times
         .map(|event| event.at as f64 / SECOND as f64)
         .filter(|at| *at > from)
@@ -122,7 +130,7 @@
 }
 
 /// Which limiters did something between two times in seconds.
-pub fn who(
+pub fn limiters_that(
     outcome: &Outcome,
     from: u64,
     to: u64,
@@ -132,11 +140,11 @@
         .events
         .iter()
         .filter(|event| (from * SECOND..to * SECOND).contains(&event.at));
-    within.filter_map(|event| of(&event.what)).collect()
+    within.filter_map(|event| of(&event.kind)).collect()
 }
 
 /// One that called the list service.
-pub fn asked(what: &EventKind) -> Option<usize> {
+pub fn discovery_caller(kind: &EventKind) -> Option<usize> {
     match what {
         EventKind::DiscoveryCalled { limiter } => Some(*limiter),
         _ => None,
@@ -144,11 +152,11 @@
 }
 
 /// One that the list service answered.
-pub fn answered(what: &EventKind) -> Option<usize> {
+pub fn served_discovery_caller(kind: &EventKind) -> Option<usize> {
     match what {
         EventKind::DiscoveryCallEnded {
             limiter,
-            well: true,
+            succeeded: true,
         } => Some(*limiter),
         _ => None,
     }
--- a/crates/emberpin-testbed/tests/common/site_slots.rs
+++ b/crates/emberpin-testbed/tests/common/site_slots.rs
@@ -6,29 +6,29 @@
 use std::sync::{Condvar, Mutex, PoisonError};
 
 /// Sites that are played at the same time.
-const SITES_AT_ONCE: usize = 4;
+const MAX_CONCURRENT_SITES: usize = 4;
 
-static PLAYING: Mutex<usize> = Mutex::new(0);
-static ENDED: Condvar = Condvar::new();
+static RUNNING_SITES: Mutex<usize> = Mutex::new(0);
+static SLOT_FREED: Condvar = Condvar::new();
 
-/// The right to play one of [`SITES_AT_ONCE`], given back when it is dropped.
-pub struct Turn;
+/// The right to play one of [`MAX_CONCURRENT_SITES`], given back when it is dropped.
+pub struct SiteSlot;
 
-impl Turn {
+impl SiteSlot {
     /// Waits until one is free.
-    pub fn take() -> Turn {
-        let playing = PLAYING.lock().unwrap_or_else(PoisonError::into_inner);
-        let full = |playing: &mut usize| *playing >= SITES_AT_ONCE;
-        *ENDED
-            .wait_while(playing, full)
+    pub fn acquire() -> SiteSlot {
+        let running = RUNNING_SITES.lock().unwrap_or_else(PoisonError::into_inner);
+        let all_taken = |running: &mut usize| *running >= MAX_CONCURRENT_SITES;
+        *SLOT_FREED
+            .wait_while(running, all_taken)
             .unwrap_or_else(PoisonError::into_inner) += 1;
-        Turn
+        SiteSlot
     }
 }
 
-impl Drop for Turn {
+impl Drop for SiteSlot {
     fn drop(&mut self) {
-        *PLAYING.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
-        ENDED.notify_one();
+        *RUNNING_SITES.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
+        SLOT_FREED.notify_one();
     }
 }
--- a/crates/emberpin-testbed/tests/idempotency.rs
+++ b/crates/emberpin-testbed/tests/idempotency.rs
@@ -6,7 +6,7 @@
 use emberpin_testbed::report::{violation_histories, Summary};
 use emberpin_testbed::scenario::Scenario;
 use emberpin_testbed::site::{run, Outcome};
-use emberpin_testbed::trace::{ProcessEnd, EventKind, SECOND};
+use emberpin_testbed::trace::{EventKind, ProcessEnd, SECOND};
 use std::path::PathBuf;
 
 /// Half of all keyed work is asked again up to 2.5 s later, a second beyond what any hall remembers.
@@ -70,7 +70,11 @@
         "seed {seed}:{}",
         violation_histories(&outcome.verdict)
     );
-    assert_eq!(Summary::of(outcome).second_effects, 0, "seed {seed}");
+    assert_eq!(
+        Summary::from_outcome(outcome).repeated_effects,
+        0,
+        "seed {seed}"
+    );
 }
 
 /// What the other tests show means nothing unless this load signs twice where nothing is recognised.
@@ -82,9 +86,9 @@
     }
     .play(&scenario(1, 1, ""));
     assert!(
-        outcome.verdict.on(Rule::Effects).broken > 10,
+        outcome.verdict.finding(Rule::Effects).violations > 10,
         "{:?}",
-        outcome.verdict.on(Rule::Effects).broken
+        outcome.verdict.finding(Rule::Effects).violations
     );
 }
 
@@ -94,7 +98,7 @@
     for seed in 1..=2 {
         let outcome = limiters.play(&scenario(1, seed, ""));
         holds(&outcome);
-        let summary = Summary::of(&outcome);
+        let summary = Summary::from_outcome(&outcome);
         let submits = &summary.classes[1];
         assert!(
             submits.in_time * 10 > submits.asked * 9,
@@ -127,7 +131,7 @@
     for seed in 1..=2 {
         let outcome = limiters.play(&scenario(3, seed, &hops));
         holds(&outcome);
-        let submits = &Summary::of(&outcome).classes[1];
+        let submits = &Summary::from_outcome(&outcome).classes[1];
         assert!(
             submits.in_time * 10 > submits.asked * 8,
             "seed {seed}: {submits:?}"
@@ -156,9 +160,9 @@
         holds(&outcome);
         let killed = |e: &&emberpin_testbed::trace::Event| {
             matches!(
-                e.what,
+                e.kind,
                 EventKind::LimiterStopped {
-                    how: ProcessEnd::Killed,
+                    end: ProcessEnd::Killed,
                     ..
                 }
             )
@@ -170,9 +174,9 @@
             .filter(|e| e.at > 3 * SECOND && e.at < 4 * SECOND)
             .filter(|e| {
                 matches!(
-                    e.what,
+                    e.kind,
                     EventKind::AttemptExecuted {
-                        remembered: false,
+                        deduplicated: false,
                         ..
                     }
                 )
@@ -197,7 +201,7 @@
     for seed in 1..=2 {
         let outcome = limiters.play(&scenario(3, seed, faults));
         holds(&outcome);
-        let submits = &Summary::of(&outcome).classes[1];
+        let submits = &Summary::from_outcome(&outcome).classes[1];
         assert!(
             submits.in_time * 10 > submits.asked * 8,
             "seed {seed}: {submits:?}"
--- a/crates/emberpin-testbed/tests/referee.rs
+++ b/crates/emberpin-testbed/tests/referee.rs
@@ -1,8 +1,10 @@
 //! The referee on faked traces: for each rule one that breaks it just so, and one that just keeps it.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
-use emberpin_testbed::figures::{DRAIN_GRACE, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, PLANS, TIMING_TOLERANCE, DEDUP_WINDOW};
-use emberpin_testbed::invariants::{check_trace, Verdict, Rule, CheckOptions};
+use emberpin_testbed::figures::{
+    DEDUP_WINDOW, DRAIN_GRACE, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, PLANS, TIMING_TOLERANCE,
+};
+use emberpin_testbed::invariants::{check_trace, CheckOptions, Rule, Verdict};
 use emberpin_testbed::trace::*;
 use proptest::prelude::*;
 
@@ -13,7 +15,7 @@
 const HALLS: usize = 3;
 const TERMS: CheckOptions = CheckOptions {
     halls: HALLS,
-    keys_once: false,
+    check_repeated_effects_per_key: false,
 };
 
 /// A trace written by hand; servers 0 to 5 run as lives 0 to 5, in halls 0, 1, 2, 0, 1, 2.
@@ -27,16 +29,16 @@
         tape
     }
 
-    fn add(&mut self, at: Micros, what: EventKind) {
+    fn add(&mut self, at: Micros, kind: EventKind) {
         self.0.push(Event { at, what });
     }
 
-    fn up(&mut self, at: Micros, life: u32, server: usize, warm_after: Micros) {
-        let life = Incarnation(life);
+    fn up(&mut self, at: Micros, incarnation: u32, server: usize, warm_after: Micros) {
+        let incarnation = Incarnation(incarnation);
         self.add(
             at,
             EventKind::ServerStarted {
-                life,
+                incarnation,
                 server,
                 capacity: 2.0,
                 cold_from: 0.25,
@@ -56,7 +58,7 @@
     fn asked_by(&mut self, at: Micros, number: u32, class: usize, customer: u32, reused: bool) {
         let (what, key) = (RequestId(number), number);
         let (plan, units) = (1, 3.0);
-        let patience = PATIENCE;
+        let time_limit = PATIENCE;
         let first = what;
         self.add(
             at,
@@ -69,7 +71,7 @@
                 customer,
                 units,
                 key,
-                patience,
+                time_limit,
                 reused,
             },
         );
@@ -81,7 +83,7 @@
             EventKind::ResponseReceived {
                 what: RequestId(number),
                 status,
-                sound: true,
+                valid: true,
                 retry_after: None,
             },
         );
@@ -113,7 +115,7 @@
             at,
             EventKind::AttemptStarted {
                 attempt,
-                life: Incarnation(server),
+                incarnation: Incarnation(server),
                 limiter: 0,
             },
         );
@@ -129,19 +131,19 @@
             at,
             EventKind::AttemptExecuted {
                 attempt,
-                second: false,
-                remembered: false,
+                repeated_effect: false,
+                deduplicated: false,
             },
         );
     }
 
-    fn told(&mut self, at: Micros, server: u32, standing: ServerState) {
+    fn told(&mut self, at: Micros, server: u32, state: ServerState) {
         self.add(
             at,
             EventKind::LimiterNotified {
                 limiter: 0,
-                life: Incarnation(server),
-                standing,
+                incarnation: Incarnation(server),
+                state,
             },
         );
     }
@@ -165,12 +167,12 @@
         let broken: Vec<Rule> = verdict
             .findings
             .iter()
-            .filter(|f| f.broken > 0)
+            .filter(|f| f.violations > 0)
             .map(|finding| finding.rule)
             .collect();
         assert_eq!(broken, [rule], "{verdict:#?}");
-        let first = verdict.on(rule).first.as_ref().expect("a break");
-        assert!(first.what.contains(how), "{}", first.what);
+        let first = verdict.finding(rule).first.as_ref().expect("a break");
+        assert!(first.message.contains(how), "{}", first.message);
     }
 }
 
@@ -191,14 +193,17 @@
 fn a_request_that_is_never_answered_is_lost_unless_its_limiter_was_killed_or_its_client_left() {
     let mut tape = Tape::new();
     tape.asked(SECOND, 0, KEYED);
-    tape.add(2 * SECOND + TIMING_TOLERANCE, EventKind::RequestTimedOut { what: RequestId(0) });
+    tape.add(
+        2 * SECOND + TIMING_TOLERANCE,
+        EventKind::RequestTimedOut { what: RequestId(0) },
+    );
     tape.breaks(Rule::Answers, "no answer before");
     let mut killed = tape.clone();
     killed.add(
         3 * SECOND / 2,
         EventKind::LimiterStopped {
             limiter: 0,
-            how: ProcessEnd::Killed,
+            end: ProcessEnd::Killed,
         },
     );
     killed.keeps();
@@ -207,7 +212,7 @@
         3 * SECOND / 2,
         EventKind::LimiterStopped {
             limiter: 1,
-            how: ProcessEnd::Killed,
+            end: ProcessEnd::Killed,
         },
     );
     other.breaks(Rule::Answers, "no answer before");
@@ -216,13 +221,16 @@
         SECOND / 2,
         EventKind::LimiterStopped {
             limiter: 0,
-            how: ProcessEnd::Killed,
+            end: ProcessEnd::Killed,
         },
     );
     before.breaks(Rule::Answers, "no answer before");
     let mut left = Tape::new();
     left.asked(SECOND, 0, KEYED);
-    left.add(SECOND + 1, EventKind::RequestCancelled { what: RequestId(0) });
+    left.add(
+        SECOND + 1,
+        EventKind::RequestCancelled { what: RequestId(0) },
+    );
     left.keeps();
 }
 
@@ -234,7 +242,7 @@
         SECOND + 10,
         EventKind::ConnectionLost {
             what: RequestId(0),
-            begun: false,
+            partial_response: false,
         },
     );
     tape.breaks(Rule::Answers, "ended with no answer");
@@ -242,14 +250,17 @@
     for how in [ProcessEnd::Left, ProcessEnd::Overdue, ProcessEnd::Crashed] {
         let mut left = tape.clone();
         left.add(SECOND + 5, EventKind::LimiterStopped { limiter: 0, how });
-        assert!(left.judged().on(Rule::Answers).broken > 0, "{how:?}");
+        assert!(
+            left.judged().finding(Rule::Answers).violations > 0,
+            "{how:?}"
+        );
     }
     let mut killed = tape;
     killed.add(
         SECOND + 5,
         EventKind::LimiterStopped {
             limiter: 0,
-            how: ProcessEnd::Killed,
+            end: ProcessEnd::Killed,
         },
     );
     killed.keeps();
@@ -263,7 +274,7 @@
         SECOND,
         EventKind::LimiterStopped {
             limiter: 0,
-            how: ProcessEnd::Killed,
+            end: ProcessEnd::Killed,
         },
     );
     tape.asked(SECOND + 200, 0, SAFE);
@@ -271,7 +282,7 @@
         SECOND + 2000,
         EventKind::ConnectionLost {
             what: RequestId(0),
-            begun: false,
+            partial_response: false,
         },
     );
     tape.keeps();
@@ -282,7 +293,7 @@
         SECOND,
         EventKind::LimiterStopped {
             limiter: 0,
-            how: ProcessEnd::Killed,
+            end: ProcessEnd::Killed,
         },
     );
     later.asked(SECOND + TIMING_TOLERANCE + 1, 0, SAFE);
@@ -290,7 +301,7 @@
         SECOND + TIMING_TOLERANCE + 2,
         EventKind::ConnectionLost {
             what: RequestId(0),
-            begun: false,
+            partial_response: false,
         },
     );
     later.breaks(Rule::Answers, "ended with no answer");
@@ -306,7 +317,7 @@
         SECOND + 100,
         EventKind::ConnectionLost {
             what: RequestId(0),
-            begun: false,
+            partial_response: false,
         },
     );
     tape.asked_on(SECOND + 200, 0, KEYED, false);
@@ -323,7 +334,7 @@
     // After its answer, even: but not before the connection ended, so nobody had read it then.
     assert_eq!(
         tape.judged()
-            .on(Rule::Answers)
+            .finding(Rule::Answers)
             .first
             .as_ref()
             .map(|b| b.what.as_str()),
@@ -358,7 +369,7 @@
         EventKind::ResponseReceived {
             what: RequestId(0),
             status: 200,
-            sound: false,
+            valid: false,
             retry_after: None,
         },
     );
@@ -472,7 +483,8 @@
         again(KEYED, how, 3, SOON).keeps();
         again(KEYED, how, 4, SOON).breaks(Rule::Effects, "in another hall");
         again(KEYED, how, 3, DEDUP_WINDOW + TIMING_TOLERANCE).keeps();
-        again(KEYED, how, 3, DEDUP_WINDOW + TIMING_TOLERANCE + 1).breaks(Rule::Effects, "after its window");
+        again(KEYED, how, 3, DEDUP_WINDOW + TIMING_TOLERANCE + 1)
+            .breaks(Rule::Effects, "after its window");
     }
     for class in [SAFE, KEYED, UNSAFE] {
         again(class, AttemptEnd::Declined, 4, SOON).keeps();
@@ -487,7 +499,7 @@
         SECOND,
         EventKind::AttemptStarted {
             attempt: AttemptId(0),
-            life: Incarnation(0),
+            incarnation: Incarnation(0),
             limiter: 0,
         },
     );
@@ -495,7 +507,7 @@
         SECOND + 100,
         EventKind::AttemptEnded {
             attempt: AttemptId(0),
-            how: AttemptEnd::Broken,
+            end: AttemptEnd::Broken,
         },
     );
     tape.attempt(SECOND + 200, 1, 0, 1, SECOND + 300, AttemptEnd::Served);
@@ -531,7 +543,7 @@
         SECOND,
         EventKind::AttemptStarted {
             attempt: AttemptId(0),
-            life: Incarnation(0),
+            incarnation: Incarnation(0),
             limiter: 0,
         },
     );
@@ -556,26 +568,31 @@
         SECOND + 15,
         EventKind::AttemptExecuted {
             attempt: AttemptId(0),
-            second: true,
-            remembered: false,
+            repeated_effect: true,
+            deduplicated: false,
         },
     );
     tape.keeps();
     let terms = CheckOptions {
-        keys_once: true,
+        check_repeated_effects_per_key: true,
         ..TERMS
     };
     let mut events = tape.0;
     events.sort_by_key(|event| event.at);
-    assert_eq!(check_trace(&events, terms).on(Rule::Effects).broken, 1);
+    assert_eq!(
+        check_trace(&events, terms)
+            .finding(Rule::Effects)
+            .violations,
+        1
+    );
 }
 
 #[test]
 fn nothing_new_goes_to_a_drained_server_after_the_grace() {
-    for standing in [ServerState::Draining, ServerState::Gone] {
+    for state in [ServerState::Draining, ServerState::Gone] {
         for (late, kept) in [(0, true), (1, false)] {
             let mut tape = Tape::new();
-            tape.told(SECOND, 2, standing);
+            tape.told(SECOND, 2, state);
             let at = SECOND + DRAIN_GRACE + TIMING_TOLERANCE + late;
             tape.asked(at, 0, SAFE);
             tape.attempt(at, 0, 0, 2, at + 10, AttemptEnd::Served);
@@ -588,8 +605,11 @@
             // Ready again; a second word of the same drain does not begin the grace anew.
             again.told(at - 5, 2, ServerState::Ready);
             again.keeps();
-            tape.told(at - 5, 2, standing);
-            assert_eq!(tape.judged().on(Rule::Drains).broken, usize::from(!kept));
+            tape.told(at - 5, 2, state);
+            assert_eq!(
+                tape.judged().finding(Rule::Drains).violations,
+                usize::from(!kept)
+            );
         }
     }
     let mut another = Tape::new();
@@ -597,8 +617,8 @@
         SECOND,
         EventKind::LimiterNotified {
             limiter: 1,
-            life: Incarnation(2),
-            standing: ServerState::Gone,
+            incarnation: Incarnation(2),
+            state: ServerState::Gone,
         },
     );
     another.asked(3 * SECOND, 0, SAFE);
@@ -621,7 +641,7 @@
             at,
             EventKind::AttemptStarted {
                 attempt,
-                life: Incarnation(9),
+                incarnation: Incarnation(9),
                 limiter,
             },
         );
@@ -637,7 +657,7 @@
             at + 10,
             EventKind::AttemptEnded {
                 attempt,
-                how: AttemptEnd::Declined,
+                end: AttemptEnd::Declined,
             },
         );
         tape.answered(at + 20, number, 429);
@@ -646,8 +666,8 @@
         SECOND,
         EventKind::LimiterNotified {
             limiter: 1,
-            life: Incarnation(9),
-            standing: ServerState::Ready,
+            incarnation: Incarnation(9),
+            state: ServerState::Ready,
         },
     );
     tape
@@ -690,7 +710,7 @@
     // A second attempt of the same try takes nothing.
     let mut again = tape.clone();
     again.attempt(filled + 30, 1000, 0, 0, filled + 40, AttemptEnd::Declined);
-    assert_eq!(again.judged().on(Rule::Ceilings).broken, 0);
+    assert_eq!(again.judged().finding(Rule::Ceilings).violations, 0);
 }
 
 #[test]
@@ -700,12 +720,12 @@
     tape.answered(3 * SECOND, 0, 200);
     tape.breaks(Rule::Answers, "after the client's time");
     let mut elsewhere = tape.clone();
-    elsewhere.add(6 * SECOND, EventKind::StandInsLate { by: SECOND });
+    elsewhere.add(6 * SECOND, EventKind::StandInsLate { delay: SECOND });
     elsewhere.breaks(Rule::Answers, "after the client's time");
-    tape.add(5 * SECOND / 2, EventKind::StandInsLate { by: SECOND });
+    tape.add(5 * SECOND / 2, EventKind::StandInsLate { delay: SECOND });
     let verdict = tape.judged();
     assert!(!verdict.has_violations() && !verdict.has_no_findings());
-    assert_eq!(verdict.on(Rule::Answers).late, 1);
+    assert_eq!(verdict.finding(Rule::Answers).uncertain, 1);
 }
 
 #[test]
@@ -719,7 +739,7 @@
     tape.answered(SECOND + 60, 1, 429);
     let verdict = tape.judged();
     let story = &verdict
-        .on(Rule::Effects)
+        .finding(Rule::Effects)
         .first
         .as_ref()
         .expect("broken")
@@ -836,18 +856,18 @@
                 Rule::Effects
             }
             _ => {
-                let life = 5;
+                let incarnation = 5;
                 tape.add(at - DRAIN_GRACE - TIMING_TOLERANCE - 1, EventKind::LimiterNotified {
-                    limiter: 0, life: Incarnation(life), standing: ServerState::Gone,
+                    limiter: 0, incarnation: Incarnation(incarnation), state: ServerState::Gone,
                 });
-                tape.add(at + 100, EventKind::LimiterNotified { limiter: 0, life: Incarnation(life), standing: ServerState::Ready });
+                tape.add(at + 100, EventKind::LimiterNotified { limiter: 0, incarnation: Incarnation(incarnation), state: ServerState::Ready });
                 tape.asked(at, number, SAFE);
-                tape.attempt(at, id, number, life, at + 50, AttemptEnd::Served);
+                tape.attempt(at, id, number, incarnation, at + 50, AttemptEnd::Served);
                 tape.answered(at + 60, number, 200);
                 Rule::Drains
             }
         };
         let verdict = tape.judged();
-        prop_assert_eq!(verdict.on(rule).broken, 1, "{:#?}", verdict);
+        prop_assert_eq!(verdict.finding(rule).violations, 1, "{:#?}", verdict);
     }
 }
--- a/crates/emberpin-testbed/tests/site.rs
+++ b/crates/emberpin-testbed/tests/site.rs
@@ -6,7 +6,7 @@
 use emberpin_testbed::report::{violation_histories, Summary};
 use emberpin_testbed::scenario::Scenario;
 use emberpin_testbed::site::{run, Outcome, Progress};
-use emberpin_testbed::trace::{Incarnation, ProcessEnd, EventKind, SECOND};
+use emberpin_testbed::trace::{EventKind, Incarnation, ProcessEnd, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
@@ -44,10 +44,10 @@
                   [[fault]]\nat_s = 0.9\nwhat = \"limiter-killed\"\nlimiter = 0\nback_s = 0.3\n";
     let outcome = play(faults, |_| ());
     holds(&outcome);
-    let killed = outcome.events.iter().find_map(|event| match event.what {
+    let killed = outcome.events.iter().find_map(|event| match event.kind {
         EventKind::LimiterStopped {
             limiter: 0,
-            how: ProcessEnd::Killed,
+            end: ProcessEnd::Killed,
         } => Some(event.at),
         _ => None,
     });
@@ -56,18 +56,18 @@
     let dropped = outcome
         .events
         .iter()
-        .filter(|e| matches!(e.what, EventKind::ConnectionLost { .. }) && near.contains(&e.at));
+        .filter(|e| matches!(e.kind, EventKind::ConnectionLost { .. }) && near.contains(&e.at));
     assert!(dropped.count() > 0, "requests were out when it died");
     let up_again = outcome
         .events
         .iter()
-        .any(|e| matches!(e.what, EventKind::LimiterReady { limiter: 0 }) && e.at > killed);
+        .any(|e| matches!(e.kind, EventKind::LimiterReady { limiter: 0 }) && e.at > killed);
     assert!(up_again && outcome.usage[0].starts == 2);
     let served_again = outcome
         .events
         .iter()
         .filter(|e| e.at > killed + SECOND)
-        .any(|e| matches!(e.what, EventKind::AttemptStarted { limiter: 0, .. }));
+        .any(|e| matches!(e.kind, EventKind::AttemptStarted { limiter: 0, .. }));
     assert!(served_again, "its next life serves");
 }
 
@@ -79,26 +79,29 @@
         |_| (),
     );
     holds(&outcome);
-    let mut lives: BTreeMap<usize, Vec<(Incarnation, u64)>> = BTreeMap::new();
+    let mut incarnations: BTreeMap<usize, Vec<(Incarnation, u64)>> = BTreeMap::new();
     let mut begun = BTreeSet::new();
     for event in &outcome.events {
-        match event.what {
+        match event.kind {
             EventKind::ServerStarted {
-                life,
+                incarnation,
                 server,
                 warm_after,
                 ..
             } => {
-                lives.entry(server).or_default().push((life, warm_after));
+                incarnations
+                    .entry(server)
+                    .or_default()
+                    .push((incarnation, warm_after));
             }
-            EventKind::AttemptStarted { life, .. } => {
-                begun.insert(life);
+            EventKind::AttemptStarted { incarnation, .. } => {
+                begun.insert(incarnation);
             }
             _ => {}
         }
     }
-    let [(old, 0), (new, 1..)] = lives[&1][..] else {
-        panic!("two lives, the second cold: {lives:?}")
+    let [(old, 0), (new, 1..)] = incarnations[&1][..] else {
+        panic!("two lives, the second cold: {incarnations:?}")
     };
     assert!(
         begun.contains(&old) && begun.contains(&new),
@@ -108,8 +111,8 @@
         .events
         .iter()
         .filter_map(|e| {
-            if let EventKind::LimiterNotified { life, .. } = e.what {
-                Some(life)
+            if let EventKind::LimiterNotified { incarnation, .. } = e.kind {
+                Some(incarnation)
             } else {
                 None
             }
@@ -137,7 +140,7 @@
         began.elapsed()
     );
     holds(&outcome);
-    let summary = Summary::of(&outcome);
+    let summary = Summary::from_outcome(&outcome);
     assert!(
         summary.total.failed + summary.total.refused > 0,
         "{summary:?}"
@@ -151,11 +154,11 @@
     let late = outcome
         .events
         .iter()
-        .filter(|e| matches!(e.what, EventKind::StandInsLate { .. }))
+        .filter(|e| matches!(e.kind, EventKind::StandInsLate { .. }))
         .count();
     assert!(late >= 3, "{late} times");
     holds(&outcome);
-    assert!(Summary::of(&outcome).stand_ins_late_ms > 300.0);
+    assert!(Summary::from_outcome(&outcome).stand_ins_late_ms > 300.0);
 }
 
 /// Nothing that a limiter says of its own time is read: every event's time is the stand-ins' one clock's.
@@ -170,7 +173,7 @@
     let mut asked = BTreeMap::new();
     let mut answers = 0;
     for event in &outcome.events {
-        match &event.what {
+        match &event.kind {
             EventKind::RequestSent { what, .. } => _ = asked.insert(*what, event.at),
             EventKind::ResponseReceived { what, .. } => {
                 assert!(asked.get(what).is_some_and(|at| *at <= event.at));
@@ -181,7 +184,7 @@
     }
     assert!(answers > 100, "{answers} answers");
     assert!(
-        outcome.verdict.on(Rule::Answers).broken == 0
+        outcome.verdict.finding(Rule::Answers).violations == 0
             && outcome.usage.iter().all(|u| u.starts == 2)
     );
 }
@@ -223,7 +226,7 @@
         .events
         .iter()
         .filter_map(|e| {
-            if let EventKind::Fault { name } = &e.what {
+            if let EventKind::Fault { name } = &e.kind {
                 Some(name.as_str())
             } else {
                 None
--- a/crates/emberpin-testbed/tests/start.rs
+++ b/crates/emberpin-testbed/tests/start.rs
@@ -7,7 +7,7 @@
 use emberpin_startup::snapshot::{decode, encode, SnapshotHeader};
 use emberpin_testbed::report::Summary;
 use emberpin_testbed::start_summary::Starts;
-use emberpin_testbed::trace::{Event, ServerState, EventKind, SECOND};
+use emberpin_testbed::trace::{Event, EventKind, ServerState, SECOND};
 use nix::sys::stat::Mode;
 use nix::unistd::mkfifo;
 use std::collections::BTreeSet;
@@ -32,7 +32,7 @@
         holds(&outcome);
         let cold = outcome.events.iter().filter(|e| {
             matches!(
-                e.what,
+                e.kind,
                 EventKind::ServerStarted {
                     warm_after: 1..,
                     ..
@@ -40,7 +40,7 @@
             )
         });
         assert_eq!(cold.count(), 9, "all servers were cold, and none fell");
-        let total = Summary::of(&outcome).total;
+        let total = Summary::from_outcome(&outcome).total;
         assert!(
             total.in_time * 10 >= total.asked * 7,
             "seed {seed}: {total:?}"
@@ -59,7 +59,7 @@
     holds(&outcome);
     let cold = outcome.events.iter().filter(|e| {
         matches!(
-            e.what,
+            e.kind,
             EventKind::ServerStarted {
                 warm_after: 1..,
                 ..
@@ -67,7 +67,7 @@
         )
     });
     assert_eq!(cold.count(), 4, "all servers were cold, and none fell");
-    let starts = Starts::of(&outcome);
+    let starts = Starts::from_outcome(&outcome);
     assert!(
         starts.served(8, 12) > 1.5 * starts.served(1, 3),
         "{starts:?}"
@@ -81,14 +81,14 @@
     let at_once = format!("{TOLD}ready_within_s = 0\n");
     let outcome = play_with(&at_once, &format!("seconds = 14\n{TOGETHER}"), 1);
     holds(&outcome);
-    let starts = Starts::of(&outcome);
+    let starts = Starts::from_outcome(&outcome);
     assert!(
         starts.ready[1].is_some_and(|last| last < 3.0),
         "they started in one instant: {starts:?}"
     );
     assert_eq!(
-        count(&outcome, |what| matches!(
-            what,
+        count(&outcome, |kind| matches!(
+            kind,
             EventKind::ServerStarted {
                 warm_after: 1..,
                 ..
@@ -148,10 +148,10 @@
     let outcome = play_with(TOLD, &format!("seconds = 16\n{TOGETHER}{fault}"), 4);
     let told = |event: &Event| {
         matches!(
-            event.what,
+            event.kind,
             EventKind::DiscoveryCallEnded {
                 limiter: 7,
-                well: true
+                succeeded: true
             }
         )
     };
@@ -217,10 +217,10 @@
         told.0 - told.1 >= 12,
         "limiters were told the empty list: {told:?}"
     );
-    let starts = Starts::of(&outcome);
+    let starts = Starts::from_outcome(&outcome);
     assert!(starts.served(7, 20) > 0.95, "{starts:?}");
     // The guard taken out: without the table whole lists bind.
-    let bound = Starts::of(&play(&text, 6));
+    let bound = Starts::from_outcome(&play(&text, 6));
     assert!(
         bound.served(7, 12) < 0.8,
         "an empty list took servers away: {bound:?}"
@@ -248,13 +248,13 @@
         told.0 - told.1 >= 12,
         "limiters were told the older list: {told:?}"
     );
-    let starts = Starts::of(&outcome);
+    let starts = Starts::from_outcome(&outcome);
     assert!(
         starts.served(10, 15) > SERVED_DESPITE_OLD_LIST,
         "{starts:?}"
     );
     // The guard taken out: without the table whole lists bind, and the same bound is missed.
-    let bound = Starts::of(&play(&text, 7));
+    let bound = Starts::from_outcome(&play(&text, 7));
     assert!(
         bound.served(10, 15) < SERVED_DESPITE_OLD_LIST,
         "old addresses came back: {bound:?}"
@@ -285,10 +285,11 @@
         asked > 0 && asked == failed,
         "the service was dead: {asked}, {failed}"
     );
-    let starts = Starts::of(&outcome);
+    let starts = Starts::from_outcome(&outcome);
     assert!(starts.served(11, 18) > 0.95, "{starts:?}");
     // The guard taken out: without a disk those that come back know no server.
-    let without = Starts::of(&play_with(&format!("{TOLD}ready_within_s = 1\n"), &text, 8));
+    let without =
+        Starts::from_outcome(&play_with(&format!("{TOLD}ready_within_s = 1\n"), &text, 8));
     assert!(without.served(11, 18) < 0.7, "{without:?}");
 }
 
@@ -345,7 +346,7 @@
         9,
     );
     holds(&outcome);
-    let starts = Starts::of(&outcome);
+    let starts = Starts::from_outcome(&outcome);
     assert!(starts.ready[1].is_some_and(|last| last < 7.0), "{starts:?}");
     assert!(
         starts.listed[2].is_some_and(|last| last < 8.0),
@@ -384,10 +385,10 @@
     let outcome = play_with(&told, &format!("seconds = 8\n{TOGETHER}"), 10);
     let mut listed = BTreeSet::new();
     for event in &outcome.events {
-        match event.what {
+        match event.kind {
             EventKind::DiscoveryCallEnded {
                 limiter,
-                well: true,
+                succeeded: true,
             } => _ = listed.insert(limiter),
             EventKind::LimiterReady { limiter } => {
                 assert!(
@@ -413,7 +414,7 @@
     let ups = outcome
         .events
         .iter()
-        .filter(|event| matches!(event.what, EventKind::LimiterReady { .. }));
+        .filter(|event| matches!(event.kind, EventKind::LimiterReady { .. }));
     let ups: Vec<f64> = ups.map(|event| event.at as f64 / SECOND as f64).collect();
     assert_eq!(ups.len(), 24);
     assert!(ups.iter().all(|at| (2.9..6.0).contains(at)), "{ups:?}");
@@ -443,10 +444,10 @@
         assert_eq!(calls(&outcome, 0.0, 14.0).1, 0);
         let begun = count(
             &outcome,
-            |what| matches!(what, EventKind::Fault { name } if name.contains("messages lost") || name.contains("split")),
+            |kind| matches!(kind, EventKind::Fault { name } if name.contains("messages lost") || name.contains("split")),
         );
         assert!(begun > 0, "messages were lost, late, or came one way only");
-        let starts = Starts::of(&outcome);
+        let starts = Starts::from_outcome(&outcome);
         assert!(
             starts.listed[2].is_some_and(|last| last < 7.0),
             "{starts:?}"
@@ -474,12 +475,15 @@
     );
     holds(&outcome);
     assert_eq!(listed(&outcome).len(), 6, "each was told");
-    assert!(Summary::of(&outcome).total.in_time * 10 > Summary::of(&outcome).total.asked * 9);
-    let drained = count(&outcome, |what| {
+    assert!(
+        Summary::from_outcome(&outcome).total.in_time * 10
+            > Summary::from_outcome(&outcome).total.asked * 9
+    );
+    let drained = count(&outcome, |kind| {
         matches!(
-            what,
+            kind,
             EventKind::LimiterNotified {
-                standing: ServerState::Draining,
+                state: ServerState::Draining,
                 ..
             }
         )
@@ -497,7 +501,7 @@
     assert!(killed(&outcome) >= 10, "they were killed");
     let (asked, failed) = calls(&outcome, 9.0, 16.0);
     assert!(asked >= 10 && failed == 0, "{asked}, {failed}");
-    let starts = Starts::of(&outcome);
+    let starts = Starts::from_outcome(&outcome);
     assert!(starts.served(9, 16) > 0.9, "{starts:?}");
 }
 
@@ -508,10 +512,11 @@
     let fault = "[[fault]]\nat_s = 6\nwhat = \"limiter-killed\"\nlimiter = 7\nback_s = 0.5\n";
     let outcome = play_with(TOLD, &format!("seconds = 12\n{site}{fault}"), 16);
     holds(&outcome);
-    let down = |event: &&Event| matches!(event.what, EventKind::LimiterStopped { limiter: 7, .. });
+    let down = |event: &&Event| matches!(event.kind, EventKind::LimiterStopped { limiter: 7, .. });
     let down = outcome.events.iter().find(down).expect("it was killed").at;
-    let asked =
-        |event: &&Event| event.at > down && matches!(event.what, EventKind::DiscoveryCalled { limiter: 7 });
+    let asked = |event: &&Event| {
+        event.at > down && matches!(event.kind, EventKind::DiscoveryCalled { limiter: 7 })
+    };
     let asked = outcome
         .events
         .iter()
@@ -570,7 +575,7 @@
         &format!("seconds = 4\n{site}{dead}"),
         19,
     );
-    let ready = Starts::of(&outcome).ready[1];
+    let ready = Starts::from_outcome(&outcome).ready[1];
     assert!(
         ready.is_some_and(|at| at < 3.0),
         "they started from their snapshots: {ready:?}"
--- a/crates/emberpin-testbed/tests/takeover.rs
+++ b/crates/emberpin-testbed/tests/takeover.rs
@@ -10,7 +10,7 @@
 use emberpin_testbed::report::{violation_histories, Summary};
 use emberpin_testbed::scenario::Scenario;
 use emberpin_testbed::site::{run, Outcome};
-use emberpin_testbed::trace::{Micros, ProcessEnd, RequestId, EventKind};
+use emberpin_testbed::trace::{EventKind, Micros, ProcessEnd, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 
 const KEYS: &str = "[idempotency]\nretention_s = 20\n";
@@ -49,26 +49,30 @@
         "seed {seed}:{}",
         violation_histories(&outcome.verdict)
     );
-    assert_eq!(Summary::of(outcome).second_effects, 0, "seed {seed}");
+    assert_eq!(
+        Summary::from_outcome(outcome).repeated_effects,
+        0,
+        "seed {seed}"
+    );
 }
 
 /// What became of the keys that limiters had in hand when they were killed, as far as anybody asked for them again: how many
 /// there were, how many were served, and how many attempts other limiters made for the dead one's clients.
 #[derive(Debug, Default)]
-struct InHand {
+struct LostWork {
     keys: usize,
     served: usize,
     taken: usize,
 }
 
-fn in_hand(outcome: &Outcome) -> InHand {
+fn lost_work(outcome: &Outcome) -> LostWork {
     let mut asked: BTreeMap<RequestId, (usize, u32, Micros)> = BTreeMap::new();
     let mut open: BTreeMap<RequestId, (usize, u32)> = BTreeMap::new();
     let mut lost: BTreeMap<u32, Micros> = BTreeMap::new();
     let (mut again, mut served, mut begun) = (BTreeSet::new(), BTreeSet::new(), BTreeMap::new());
-    let mut found = InHand::default();
+    let mut found = LostWork::default();
     for event in &outcome.events {
-        match event.what {
+        match event.kind {
             EventKind::RequestSent {
                 what,
                 limiter,
@@ -88,12 +92,14 @@
                     }
                 }
             }
-            EventKind::ConnectionLost { what, .. } | EventKind::RequestTimedOut { what } | EventKind::RequestCancelled { what } => {
+            EventKind::ConnectionLost { what, .. }
+            | EventKind::RequestTimedOut { what }
+            | EventKind::RequestCancelled { what } => {
                 _ = open.remove(&what);
             }
             EventKind::LimiterStopped {
                 limiter,
-                how: ProcessEnd::Killed,
+                end: ProcessEnd::Killed,
             } => {
                 lost.extend(
                     open.values()
@@ -137,11 +143,11 @@
 }
 
 fn killed(outcome: &Outcome) -> usize {
-    count(outcome, |what| {
+    count(outcome, |kind| {
         matches!(
-            what,
+            kind,
             EventKind::LimiterStopped {
-                how: ProcessEnd::Killed,
+                end: ProcessEnd::Killed,
                 ..
             }
         )
@@ -151,7 +157,7 @@
 fn faults(outcome: &Outcome, of: &str) -> usize {
     count(
         outcome,
-        |what| matches!(what, EventKind::Fault { name } if name.contains(of) && !name.starts_with("over")),
+        |kind| matches!(kind, EventKind::Fault { name } if name.contains(of) && !name.starts_with("over")),
     )
 }
 
@@ -170,7 +176,7 @@
         assert_eq!(killed(&with), 3, "seed {seed}");
         let without = play(KEYS, seed, &kills);
         holds(&without);
-        let (with, without) = (in_hand(&with), in_hand(&without));
+        let (with, without) = (lost_work(&with), lost_work(&without));
         eprintln!("seed {seed}: with {with:?}, without {without:?}");
         assert!(
             without.keys >= 3 && without.taken == 0,
@@ -195,9 +201,9 @@
         holds(&outcome);
         assert_eq!(killed(&outcome), 7, "seed {seed}");
         assert!(
-            in_hand(&outcome).taken > 0,
+            lost_work(&outcome).taken > 0,
             "seed {seed}: {:?}",
-            in_hand(&outcome)
+            lost_work(&outcome)
         );
     }
 }
@@ -238,14 +244,22 @@
             seed,
             &format!("{}{}", pause(0, 1.0, 0.8), pause(3, 2.5, 1.6)),
         );
-        assert_eq!(Summary::of(&outcome).second_effects, 0, "seed {seed}");
-        assert_eq!(outcome.verdict.on(Rule::Effects).broken, 0, "seed {seed}");
+        assert_eq!(
+            Summary::from_outcome(&outcome).repeated_effects,
+            0,
+            "seed {seed}"
+        );
+        assert_eq!(
+            outcome.verdict.finding(Rule::Effects).violations,
+            0,
+            "seed {seed}"
+        );
         let still = (
             faults(&outcome, "paused for"),
             faults(&outcome, "does not stand still"),
         );
         assert_eq!(still, (2, 0), "seed {seed}");
-        assert_eq!(in_hand(&outcome).taken, 0, "seed {seed}");
+        assert_eq!(lost_work(&outcome).taken, 0, "seed {seed}");
     }
 }
 
@@ -316,8 +330,16 @@
             stops(2, "going:6", 1.0, false),
         ];
         let outcome = play(&both(), seed, &stop.concat());
-        assert_eq!(Summary::of(&outcome).second_effects, 0, "seed {seed}");
-        assert_eq!(outcome.verdict.on(Rule::Effects).broken, 0, "seed {seed}");
+        assert_eq!(
+            Summary::from_outcome(&outcome).repeated_effects,
+            0,
+            "seed {seed}"
+        );
+        assert_eq!(
+            outcome.verdict.finding(Rule::Effects).violations,
+            0,
+            "seed {seed}"
+        );
         assert_eq!(
             stood_still(&outcome).len(),
             3,
@@ -346,7 +368,7 @@
 
 /// The limiters that stood still at a point.
 fn stood_still(outcome: &Outcome) -> Vec<&str> {
-    let named = outcome.events.iter().filter_map(|event| match &event.what {
+    let named = outcome.events.iter().filter_map(|event| match &event.kind {
         EventKind::Fault { name } => Some(name.as_str()),
         _ => None,
     });
--- a/crates/emberpin-testbed/tests/told.rs
+++ b/crates/emberpin-testbed/tests/told.rs
@@ -6,7 +6,7 @@
 use common::{called_after, calls, count, holds, killed, play_by, who};
 use emberpin_testbed::site::Outcome;
 use emberpin_testbed::start_summary::Starts;
-use emberpin_testbed::trace::{Event, Incarnation, Micros, ServerState, EventKind, SECOND};
+use emberpin_testbed::trace::{Event, EventKind, Incarnation, Micros, ServerState, SECOND};
 use std::collections::BTreeMap;
 
 /// Limiters that know nothing and have just started, before a list service of a call of each in 4 s.
@@ -23,7 +23,7 @@
 fn a_few_call_and_the_others_are_told() {
     let outcome = play(&format!("seconds = 12\n{TOGETHER}"), 1);
     holds(&outcome);
-    let starts = Starts::of(&outcome);
+    let starts = Starts::from_outcome(&outcome);
     assert!(
         starts.ready[1].is_some_and(|last| last < 3.0),
         "all held the list: {starts:?}"
@@ -47,8 +47,7 @@
     holds(&outcome);
     assert_eq!(killed(&outcome), 3, "each was killed as it called");
     let first_up = |limiter| {
-        let up =
-            |event: &&Event| matches!(event.what, EventKind::LimiterReady { limiter: of } if of == limiter);
+        let up = |event: &&Event| matches!(event.kind, EventKind::LimiterReady { limiter: of } if of == limiter);
         outcome
             .events
             .iter()
@@ -81,11 +80,11 @@
 
 /// How many limiters the drains count as told to, all of them from when one was.
 fn drained(outcome: &Outcome) -> usize {
-    count(outcome, |what| {
+    count(outcome, |kind| {
         matches!(
-            what,
+            kind,
             EventKind::LimiterNotified {
-                standing: ServerState::Draining,
+                state: ServerState::Draining,
                 ..
             }
         )
@@ -116,7 +115,7 @@
         "{asked} calls, {failed} failed"
     );
     assert_eq!(drained(&outcome), 2 * 24);
-    let starts = Starts::of(&outcome);
+    let starts = Starts::from_outcome(&outcome);
     assert!(starts.served(2, 16) > 0.95, "{starts:?}");
 }
 
@@ -136,7 +135,7 @@
         holds(&outcome);
         let cut = count(
             &outcome,
-            |what| matches!(what, EventKind::Fault { name } if name.contains("split from")),
+            |kind| matches!(kind, EventKind::Fault { name } if name.contains("split from")),
         );
         assert!(cut > 0, "{way}: they were cut off");
         let mut own = who(&outcome, 5, 14, common::asked);
@@ -147,7 +146,7 @@
         );
         assert_eq!(drained(&outcome), 2 * 24, "{way}");
         assert_eq!(calls(&outcome, 0.0, 16.0).1, 0, "{way}: none failed");
-        let starts = Starts::of(&outcome);
+        let starts = Starts::from_outcome(&outcome);
         assert!(starts.served(2, 16) > 0.95, "{way}: {starts:?}");
     }
 }
@@ -176,7 +175,7 @@
         told.iter().any(|limiter| half.contains(limiter)),
         "a caller was told the older list"
     );
-    let starts = Starts::of(&outcome);
+    let starts = Starts::from_outcome(&outcome);
     assert!(
         starts.served(3, 6) < 0.8,
         "the half that was cut off went by the older list: {starts:?}"
@@ -195,7 +194,7 @@
     assert_eq!(
         count(
             &outcome,
-            |what| matches!(what, EventKind::Fault { name } if name.contains("does not stand still"))
+            |kind| matches!(kind, EventKind::Fault { name } if name.contains("does not stand still"))
         ),
         0
     );
@@ -208,20 +207,24 @@
     // What is late at all is its own, from before it could hear anything.
     let mut drains: BTreeMap<Incarnation, Micros> = BTreeMap::new();
     for event in &outcome.events {
-        match event.what {
+        match event.kind {
             EventKind::LimiterNotified {
-                life,
-                standing: ServerState::Draining,
+                incarnation,
+                state: ServerState::Draining,
                 ..
-            } => _ = drains.entry(life).or_insert(event.at),
+            } => _ = drains.entry(incarnation).or_insert(event.at),
             EventKind::LimiterNotified {
-                life,
-                standing: ServerState::Ready,
+                incarnation,
+                state: ServerState::Ready,
                 ..
-            } => _ = drains.remove(&life),
-            EventKind::AttemptStarted { life, limiter, .. } => {
+            } => _ = drains.remove(&incarnation),
+            EventKind::AttemptStarted {
+                incarnation,
+                limiter,
+                ..
+            } => {
                 let late = drains
-                    .get(&life)
+                    .get(&incarnation)
                     .is_some_and(|since| event.at > since + 600_000);
                 let woke = (13 * SECOND..13 * SECOND + 700_000).contains(&event.at);
                 assert!(!late || (limiter == 17 && woke), "{event}");
@@ -251,7 +254,7 @@
         "{asked} calls: {:?}",
         called_after(&outcome, 5.1)
     );
-    let starts = Starts::of(&outcome);
+    let starts = Starts::from_outcome(&outcome);
     assert!(
         starts.served(5, 8) == 0.0,
         "an empty list was told: {starts:?}"
@@ -276,11 +279,11 @@
     let (asked, failed) = calls(&outcome, 6.5, 16.0);
     assert!(asked > failed, "half a list was told");
     let used = |from: u64, to: u64| {
-        let life = |what: &EventKind| match what {
-            EventKind::AttemptStarted { life, .. } => Some(life.0 as usize),
+        let incarnation = |kind: &EventKind| match kind {
+            EventKind::AttemptStarted { incarnation, .. } => Some(incarnation.0 as usize),
             _ => None,
         };
-        who(&outcome, from, to, life).len()
+        who(&outcome, from, to, incarnation).len()
     };
     assert_eq!(used(7, 11), 8, "all servers were kept");
     assert_eq!(used(13, 16), 4, "the word at one took half away everywhere");
@@ -292,7 +295,7 @@
         let site = TOGETHER.replace("limiters = 24", &format!("limiters = {limiters}"));
         let outcome = play(&format!("seconds = 4\n{site}"), 10);
         holds(&outcome);
-        let starts = Starts::of(&outcome);
+        let starts = Starts::from_outcome(&outcome);
         assert!(
             starts.calls == limiters as u64 && starts.ready[1].is_some_and(|at| at < 2.0),
             "{starts:?}"
