--- a/crates/emberpin-testbed/src/bin/cold-start.rs
+++ b/crates/emberpin-testbed/src/bin/cold-start.rs
@@ -143,7 +143,7 @@
         let discovery_rate = self.power.unwrap_or(limiters as f64 / 4.0);
         let text = format!(
             "name = \"cold-start\"\nabout = \"A start of many limiters.\"\nseed = {seed}\nseconds = {}\n\
-             [site]\nlimiters = {limiters}\nservers = {}\ntogether = true\ncold = {}\nknown = {}\none_address = {}\nlist_power = {power}\n\
+             [site]\nlimiters = {limiters}\nservers = {}\ntogether = true\ncold = {}\nknown = {}\none_address = {}\nlist_power = {discovery_rate}\n\
              [load]\nrate = {}\nusage = 0.3\nretries = 0\nimpatient = 0.0\nwork = {}\n{more}",
             self.seconds,
             self.servers,
--- a/crates/emberpin-testbed/tests/catches.rs
+++ b/crates/emberpin-testbed/tests/catches.rs
@@ -11,7 +11,7 @@
 use emberpin_testbed::report::violation_histories;
 use emberpin_testbed::scenario::Scenario;
 use emberpin_testbed::site::{run, Outcome};
-use site_slots::Turn;
+use site_slots::SiteSlot;
 use std::path::PathBuf;
 
 /// A small site with time to spare, so that nothing here depends on how fast the machine is.
@@ -20,7 +20,7 @@
     [site]\nlimiters = 1\nservers = 3\nnotice_ms = [1, 5]\nerror_rate = 0.0\nwarm_s = 20\ncold_from = 0.1\n\
     [load]\nrate = 60\nwork = 0.2\nretries = 0\nimpatient = 0.0\npatience = [0.8, 1.0]\nusage = 0.2\n";
 
-fn wrong(name: &str) -> Program {
+fn defective_limiter(name: &str) -> Program {
     Program {
         path: env!("CARGO_BIN_EXE_wrong-limiter").into(),
         arguments: vec![name.into()],
@@ -29,7 +29,7 @@
     }
 }
 
-fn real() -> Program {
+fn real_limiter() -> Program {
     Program {
         path: env!("CARGO_BIN_EXE_emberpin-testbed").into(),
         arguments: vec!["limiter".into()],
@@ -39,15 +39,15 @@
 }
 
 /// Plays a scenario once it is its turn.
-fn run_in_turn(scenario: &Scenario, program: &Program) -> Result<Outcome, SiteError> {
-    let _turn = Turn::take();
+fn run_in_slot(scenario: &Scenario, program: &Program) -> Result<Outcome, SiteError> {
+    let _slot = SiteSlot::acquire();
     run(scenario, program, |_| ())
 }
 
-fn play(program: &Program, seed: u64, faults: &str) -> Outcome {
+fn run_site(program: &Program, seed: u64, faults: &str) -> Outcome {
     let text = format!("{}{faults}", SITE.replace("SEED", &seed.to_string()));
     let scenario = Scenario::parse("test", &text).expect("sound");
-    let outcome = run_in_turn(&scenario, program).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
+    let outcome = run_in_slot(&scenario, program).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     assert!(
         outcome.events.len() > 300,
         "something was played: {} events",
@@ -56,7 +56,7 @@
     outcome
 }
 
-fn broken(outcome: &Outcome) -> Vec<Rule> {
+fn violated_rules(outcome: &Outcome) -> Vec<Rule> {
     outcome
         .verdict
         .findings
@@ -68,12 +68,12 @@
 
 /// Each wrong is caught with several seeds, and breaks one rule.
 #[track_caller]
-fn is_caught(name: &str, faults: &str, rule: Rule, how: &str) {
+fn assert_caught(name: &str, faults: &str, rule: Rule, how: &str) {
     for seed in 1..=3 {
-        let outcome = play(&wrong(name), seed, faults);
+        let outcome = run_site(&defective_limiter(name), seed, faults);
         let verdict = &outcome.verdict;
         assert_eq!(
-            broken(&outcome),
+            violated_rules(&outcome),
             [rule],
             "{name}, seed {seed}:{}",
             violation_histories(verdict)
@@ -87,16 +87,16 @@
         assert!(!first.history.is_empty());
     }
     // The same site and faults with a limiter that does nothing wrong.
-    let outcome = play(&wrong("nothing"), 1, faults);
+    let outcome = run_site(&defective_limiter("nothing"), 1, faults);
     assert_eq!(
-        broken(&outcome),
+        violated_rules(&outcome),
         [],
         "nothing wrong, {faults}:{}",
         violation_histories(&outcome.verdict)
     );
-    let outcome = play(&real(), 1, faults);
+    let outcome = run_site(&real_limiter(), 1, faults);
     assert_eq!(
-        broken(&outcome),
+        violated_rules(&outcome),
         [],
         "the real one, {faults}:{}",
         violation_histories(&outcome.verdict)
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_keyed_request_sent_again_in_another_hall_is_caught() {
-    is_caught(
+    assert_caught(
         "resends-across-halls",
         RESETS,
         Rule::Effects,
@@ -117,7 +117,7 @@
 
 #[test]
 fn a_refusal_of_what_may_have_run_is_caught() {
-    is_caught(
+    assert_caught(
         "refuses-what-ran",
         RESETS,
         Rule::Effects,
@@ -127,33 +127,33 @@
 
 #[test]
 fn a_second_attempt_beside_the_first_is_caught() {
-    is_caught("sends-twice", "", Rule::Effects, "while the first was out");
+    assert_caught("sends-twice", "", Rule::Effects, "while the first was out");
 }
 
 #[test]
 fn an_invented_request_is_caught() {
-    is_caught("invents", "", Rule::Effects, "no client sent");
+    assert_caught("invents", "", Rule::Effects, "no client sent");
 }
 
 #[test]
 fn sending_to_a_drained_server_is_caught() {
     let drain = "[[fault]]\nat_s = 0.2\nwhat = \"server-drained\"\nserver = 1\nfor_s = 5\n";
-    is_caught("keeps-drained", drain, Rule::Drains, "sent to server 1");
+    assert_caught("keeps-drained", drain, Rule::Drains, "sent to server 1");
 }
 
 #[test]
 fn two_answers_to_one_request_are_caught() {
-    is_caught("answers-twice", "", Rule::Answers, "owed no answer");
+    assert_caught("answers-twice", "", Rule::Answers, "owed no answer");
 }
 
 #[test]
 fn an_answer_that_no_server_made_is_caught() {
-    is_caught("makes-answers-up", "", Rule::Answers, "no server made");
+    assert_caught("makes-answers-up", "", Rule::Answers, "no server made");
 }
 
 #[test]
 fn an_answer_after_the_clients_time_is_caught() {
-    is_caught("answers-late", "", Rule::Answers, "");
+    assert_caught("answers-late", "", Rule::Answers, "");
 }
 
 #[test]
@@ -161,7 +161,7 @@
     let restart =
         "[[fault]]\nat_s = 0.7\nwhat = \"limiter-restarted\"\nlimiter = 0\n[[fault]]\nat_s = 0.3\n\
                    what = \"server-stalled\"\nserver = 0\nfor_s = 1.0\n";
-    is_caught(
+    assert_caught(
         "loses-at-restart",
         restart,
         Rule::Answers,
@@ -182,7 +182,7 @@
         )
         .expect("sound");
         scenario.set_seconds(4.0).expect("in bounds");
-        let outcome = run_in_turn(&scenario, &wrong("floods-cold")).expect("plays");
+        let outcome = run_in_slot(&scenario, &defective_limiter("floods-cold")).expect("plays");
         assert!(
             outcome.verdict.finding(Rule::ColdServers).violations > 0,
             "seed {seed}"
@@ -192,15 +192,15 @@
 
 #[test]
 fn passing_a_ceiling_is_caught() {
-    let hammers =
+    let flood =
         "[[fault]]\nat_s = 0.1\nwhat = \"firm-hammers\"\nplan = \"mellan\"\ntimes = 12\nfor_s = 1.4\n";
     for seed in 1..=3 {
-        let outcome = play(&wrong("nothing"), seed, hammers);
-        assert_eq!(broken(&outcome), [Rule::Ceilings], "seed {seed}");
+        let outcome = run_site(&defective_limiter("nothing"), seed, flood);
+        assert_eq!(violated_rules(&outcome), [Rule::Ceilings], "seed {seed}");
     }
-    let outcome = play(&real(), 1, hammers);
+    let outcome = run_site(&real_limiter(), 1, flood);
     assert_eq!(
-        broken(&outcome),
+        violated_rules(&outcome),
         [],
         "{}",
         violation_histories(&outcome.verdict)
@@ -210,13 +210,13 @@
 #[test]
 fn a_limiter_that_does_not_start_is_one_clear_error() {
     let scenario = Scenario::parse("test", &SITE.replace("SEED", "1")).expect("sound");
-    let nobody = Program {
+    let missing_program = Program {
         path: PathBuf::from("/nonexistent/limiter"),
         arguments: Vec::new(),
         logs: false,
         links: false,
     };
-    let problem = run_in_turn(&scenario, &nobody)
+    let problem = run_in_slot(&scenario, &missing_program)
         .err()
         .expect("no limiter")
         .to_string();
@@ -224,7 +224,7 @@
         problem.contains("cannot start /nonexistent/limiter"),
         "{problem}"
     );
-    let problem = run_in_turn(&scenario, &wrong("what"))
+    let problem = run_in_slot(&scenario, &defective_limiter("what"))
         .err()
         .expect("ends at once")
         .to_string();
@@ -240,7 +240,7 @@
     let text = format!("{}{killed}", SITE.replace("SEED", "1"));
     let scenario = Scenario::parse("test", &text).expect("sound");
     let began = std::time::Instant::now();
-    let problem = run_in_turn(&scenario, &wrong("starts-once"))
+    let problem = run_in_slot(&scenario, &defective_limiter("starts-once"))
         .err()
         .expect("it does not start again")
         .to_string();
--- a/crates/emberpin-testbed/tests/common/mod.rs
+++ b/crates/emberpin-testbed/tests/common/mod.rs
@@ -145,7 +145,7 @@
 
 /// One that called the list service.
 pub fn discovery_caller(kind: &EventKind) -> Option<usize> {
-    match what {
+    match kind {
         EventKind::DiscoveryCalled { limiter } => Some(*limiter),
         _ => None,
     }
@@ -153,7 +153,7 @@
 
 /// One that the list service answered.
 pub fn served_discovery_caller(kind: &EventKind) -> Option<usize> {
-    match what {
+    match kind {
         EventKind::DiscoveryCallEnded {
             limiter,
             succeeded: true,
--- a/crates/emberpin-testbed/tests/idempotency.rs
+++ b/crates/emberpin-testbed/tests/idempotency.rs
@@ -23,29 +23,29 @@
 }
 
 /// The real limiter with this operator file, or without one.
-struct Limiters {
+struct LimiterProgram {
     file: Option<PathBuf>,
     /// Each has a log, and they have links.
-    together: bool,
+    logs_and_links: bool,
 }
 
-impl Limiters {
-    fn with(name: &str, table: &str) -> Limiters {
+impl LimiterProgram {
+    fn with_table(name: &str, table: &str) -> LimiterProgram {
         let path =
             std::env::temp_dir().join(format!("emberpin-keys-{}-{name}.toml", std::process::id()));
         std::fs::write(&path, format!("[idempotency]\n{table}\n")).expect("written");
-        Limiters {
+        LimiterProgram {
             file: Some(path),
-            together: false,
+            logs_and_links: false,
         }
     }
 
-    fn play(&self, scenario: &Scenario) -> Outcome {
+    fn run_site(&self, scenario: &Scenario) -> Outcome {
         let mut program = Program {
             path: env!("CARGO_BIN_EXE_emberpin-testbed").into(),
             arguments: vec!["limiter".into()],
-            logs: self.together,
-            links: self.together,
+            logs: self.logs_and_links,
+            links: self.logs_and_links,
         };
         if let Some(file) = &self.file {
             program.arguments.extend(["--with".into(), file.into()]);
@@ -54,7 +54,7 @@
     }
 }
 
-impl Drop for Limiters {
+impl Drop for LimiterProgram {
     fn drop(&mut self) {
         if let Some(file) = &self.file {
             _ = std::fs::remove_file(file);
@@ -63,7 +63,7 @@
 }
 
 #[track_caller]
-fn holds(outcome: &Outcome) {
+fn assert_rules_hold(outcome: &Outcome) {
     let seed = outcome.scenario.seed;
     assert!(
         !outcome.verdict.has_violations(),
@@ -80,11 +80,11 @@
 /// What the other tests show means nothing unless this load signs twice where nothing is recognised.
 #[test]
 fn without_the_stage_this_load_signs_twice() {
-    let outcome = Limiters {
+    let outcome = LimiterProgram {
         file: None,
-        together: false,
+        logs_and_links: false,
     }
-    .play(&scenario(1, 1, ""));
+    .run_site(&scenario(1, 1, ""));
     assert!(
         outcome.verdict.finding(Rule::Effects).violations > 10,
         "{:?}",
@@ -94,10 +94,10 @@
 
 #[test]
 fn with_it_no_key_is_signed_twice_and_repeats_are_served() {
-    let limiters = Limiters::with("one", "retention_s = 20\nquiet_s = 0");
+    let limiters = LimiterProgram::with_table("one", "retention_s = 20\nquiet_s = 0");
     for seed in 1..=2 {
-        let outcome = limiters.play(&scenario(1, seed, ""));
-        holds(&outcome);
+        let outcome = limiters.run_site(&scenario(1, seed, ""));
+        assert_rules_hold(&outcome);
         let summary = Summary::from_outcome(&outcome);
         let submits = &summary.classes[1];
         assert!(
@@ -117,7 +117,7 @@
 /// each other: the old place and the new are both alive.
 #[test]
 fn firms_that_hop_between_limiters_sign_nothing_twice() {
-    let hops: String = (1..8)
+    let moves: String = (1..8)
         .map(|n| {
             format!(
                 "[[fault]]\nat_s = {}\nwhat = \"firms-hop\"\nshare = 1.0\n",
@@ -125,12 +125,12 @@
             )
         })
         .collect();
-    let hops =
-        format!("{hops}[[fault]]\nat_s = 0\nwhat = \"peers-split\"\ngroup = [0]\nfor_s = 4\n");
-    let limiters = Limiters::with("hops", "retention_s = 20\nquiet_s = 0");
+    let moves =
+        format!("{moves}[[fault]]\nat_s = 0\nwhat = \"peers-split\"\ngroup = [0]\nfor_s = 4\n");
+    let limiters = LimiterProgram::with_table("hops", "retention_s = 20\nquiet_s = 0");
     for seed in 1..=2 {
-        let outcome = limiters.play(&scenario(3, seed, &hops));
-        holds(&outcome);
+        let outcome = limiters.run_site(&scenario(3, seed, &moves));
+        assert_rules_hold(&outcome);
         let submits = &Summary::from_outcome(&outcome).classes[1];
         assert!(
             submits.in_time * 10 > submits.asked * 8,
@@ -145,7 +145,7 @@
 fn a_limiter_that_is_killed_and_forgets_signs_nothing_twice() {
     let kills = "[[fault]]\nat_s = 0.8\nwhat = \"limiter-killed\"\nlimiter = 0\nback_s = 0.1\n[[fault]]\nat_s = 1.9\n\
                  what = \"limiter-killed\"\nlimiter = 1\nback_s = 0.1\n";
-    let limiters = Limiters::with("kills", "retention_s = 3\nquiet_s = 3");
+    let limiters = LimiterProgram::with_table("kills", "retention_s = 3\nquiet_s = 3");
     for seed in 1..=2 {
         // The quiet time after the very first start is over only at 3 s: longer than the others.
         let mut scenario = scenario(
@@ -156,8 +156,8 @@
                 .replace("at_s = 1.9", "at_s = 4.6"),
         );
         scenario.set_seconds(6.5).expect("in bounds");
-        let outcome = limiters.play(&scenario);
-        holds(&outcome);
+        let outcome = limiters.run_site(&scenario);
+        assert_rules_hold(&outcome);
         let killed = |e: &&emberpin_testbed::trace::Event| {
             matches!(
                 e.kind,
@@ -196,11 +196,11 @@
                   [[fault]]\nat_s = 2.0\nwhat = \"peers-split\"\ngroup = [1]\nfor_s = 0.8\n\
                   [[fault]]\nat_s = 2.9\nwhat = \"firms-hop\"\nshare = 1.0\n\
                   [[fault]]\nat_s = 3.2\nwhat = \"limiter-killed\"\nlimiter = 2\nback_s = 0.3\n";
-    let mut limiters = Limiters::with("together", "retention_s = 20");
-    limiters.together = true;
+    let mut limiters = LimiterProgram::with_table("together", "retention_s = 20");
+    limiters.logs_and_links = true;
     for seed in 1..=2 {
-        let outcome = limiters.play(&scenario(3, seed, faults));
-        holds(&outcome);
+        let outcome = limiters.run_site(&scenario(3, seed, faults));
+        assert_rules_hold(&outcome);
         let submits = &Summary::from_outcome(&outcome).classes[1];
         assert!(
             submits.in_time * 10 > submits.asked * 8,
--- a/crates/emberpin-testbed/tests/referee.rs
+++ b/crates/emberpin-testbed/tests/referee.rs
@@ -11,29 +11,29 @@
 const SAFE: usize = 0;
 const KEYED: usize = 1;
 const UNSAFE: usize = 2;
-const PATIENCE: Micros = SECOND;
-const HALLS: usize = 3;
-const TERMS: CheckOptions = CheckOptions {
-    halls: HALLS,
+const TIME_LIMIT: Micros = SECOND;
+const ZONES: usize = 3;
+const OPTIONS: CheckOptions = CheckOptions {
+    zones: ZONES,
     check_repeated_effects_per_key: false,
 };
 
 /// A trace written by hand; servers 0 to 5 run as lives 0 to 5, in halls 0, 1, 2, 0, 1, 2.
 #[derive(Clone)]
-struct Tape(Vec<Event>);
+struct TraceBuilder(Vec<Event>);
 
-impl Tape {
-    fn new() -> Tape {
-        let mut tape = Tape(Vec::new());
-        (0..6).for_each(|server| tape.up(0, server, server as usize, 0));
-        tape
+impl TraceBuilder {
+    fn new() -> TraceBuilder {
+        let mut trace = TraceBuilder(Vec::new());
+        (0..6).for_each(|server| trace.server_started(0, server, server as usize, 0));
+        trace
     }
 
     fn add(&mut self, at: Micros, kind: EventKind) {
-        self.0.push(Event { at, what });
+        self.0.push(Event { at, kind });
     }
 
-    fn up(&mut self, at: Micros, incarnation: u32, server: usize, warm_after: Micros) {
+    fn server_started(&mut self, at: Micros, incarnation: u32, server: usize, warm_after: Micros) {
         let incarnation = Incarnation(incarnation);
         self.add(
             at,
@@ -47,24 +47,31 @@
         );
     }
 
-    fn asked(&mut self, at: Micros, number: u32, class: usize) {
-        self.asked_by(at, number, class, number, false);
+    fn request_sent(&mut self, at: Micros, number: u32, class: usize) {
+        self.request_sent_by(at, number, class, number, false);
     }
 
-    fn asked_on(&mut self, at: Micros, number: u32, class: usize, reused: bool) {
-        self.asked_by(at, number, class, number, reused);
+    fn request_sent_on(&mut self, at: Micros, number: u32, class: usize, reused: bool) {
+        self.request_sent_by(at, number, class, number, reused);
     }
 
-    fn asked_by(&mut self, at: Micros, number: u32, class: usize, customer: u32, reused: bool) {
-        let (what, key) = (RequestId(number), number);
+    fn request_sent_by(
+        &mut self,
+        at: Micros,
+        number: u32,
+        class: usize,
+        customer: u32,
+        reused: bool,
+    ) {
+        let (request, key) = (RequestId(number), number);
         let (plan, units) = (1, 3.0);
-        let time_limit = PATIENCE;
-        let first = what;
+        let time_limit = TIME_LIMIT;
+        let first_request = request;
         self.add(
             at,
             EventKind::RequestSent {
-                what,
-                first,
+                request,
+                first_request,
                 limiter: 0,
                 class,
                 plan,
@@ -77,11 +84,11 @@
         );
     }
 
-    fn answered(&mut self, at: Micros, number: u32, status: u16) {
+    fn response_received(&mut self, at: Micros, number: u32, status: u16) {
         self.add(
             at,
             EventKind::ResponseReceived {
-                what: RequestId(number),
+                request: RequestId(number),
                 status,
                 valid: true,
                 retry_after: None,
@@ -94,22 +101,22 @@
         &mut self,
         at: Micros,
         number: u32,
-        of: u32,
+        request: u32,
         server: u32,
         until: Micros,
         how: AttemptEnd,
     ) {
-        self.sent(at, number, of, server, 40.0);
+        self.sent(at, number, request, server, 40.0);
         self.add(
             until,
             EventKind::AttemptEnded {
                 attempt: AttemptId(number),
-                how,
+                end: how,
             },
         );
     }
 
-    fn sent(&mut self, at: Micros, number: u32, of: u32, server: u32, work: f64) {
+    fn sent(&mut self, at: Micros, number: u32, request: u32, server: u32, work: f64) {
         let attempt = AttemptId(number);
         self.add(
             at,
@@ -123,7 +130,7 @@
             at,
             EventKind::AttemptReceived {
                 attempt,
-                what: Some(RequestId(of)),
+                request: Some(RequestId(request)),
                 work,
             },
         );
@@ -137,7 +144,7 @@
         );
     }
 
-    fn told(&mut self, at: Micros, server: u32, state: ServerState) {
+    fn notified(&mut self, at: Micros, server: u32, state: ServerState) {
         self.add(
             at,
             EventKind::LimiterNotified {
@@ -148,22 +155,22 @@
         );
     }
 
-    fn judged(&self) -> Verdict {
+    fn check(&self) -> Verdict {
         let mut events = self.0.clone();
         events.sort_by_key(|event| event.at);
-        check_trace(&events, TERMS)
+        check_trace(&events, OPTIONS)
     }
 
     #[track_caller]
-    fn keeps(&self) {
-        let verdict = self.judged();
+    fn assert_no_findings(&self) {
+        let verdict = self.check();
         assert!(verdict.has_no_findings(), "{verdict:#?}");
     }
 
     /// Breaks this rule and no other; the story tells of it.
     #[track_caller]
-    fn breaks(&self, rule: Rule, how: &str) {
-        let verdict = self.judged();
+    fn assert_violation(&self, rule: Rule, text: &str) {
+        let verdict = self.check();
         let broken: Vec<Rule> = verdict
             .findings
             .iter()
@@ -172,33 +179,35 @@
             .collect();
         assert_eq!(broken, [rule], "{verdict:#?}");
         let first = verdict.finding(rule).first.as_ref().expect("a break");
-        assert!(first.message.contains(how), "{}", first.message);
+        assert!(first.message.contains(text), "{}", first.message);
     }
 }
 
 #[test]
 fn an_answer_is_in_time_to_the_microsecond_and_not_one_later() {
-    for (late, kept) in [(0, true), (1, false)] {
-        let mut tape = Tape::new();
-        tape.asked(SECOND, 0, SAFE);
-        tape.answered(SECOND + PATIENCE + TIMING_TOLERANCE + late, 0, 502);
-        match kept {
-            true => tape.keeps(),
-            false => tape.breaks(Rule::Answers, "after the client's time was up"),
+    for (late, allowed) in [(0, true), (1, false)] {
+        let mut trace = TraceBuilder::new();
+        trace.request_sent(SECOND, 0, SAFE);
+        trace.response_received(SECOND + TIME_LIMIT + TIMING_TOLERANCE + late, 0, 502);
+        match allowed {
+            true => trace.assert_no_findings(),
+            false => trace.assert_violation(Rule::Answers, "after the client's time was up"),
         }
     }
 }
 
 #[test]
 fn a_request_that_is_never_answered_is_lost_unless_its_limiter_was_killed_or_its_client_left() {
-    let mut tape = Tape::new();
-    tape.asked(SECOND, 0, KEYED);
-    tape.add(
+    let mut trace = TraceBuilder::new();
+    trace.request_sent(SECOND, 0, KEYED);
+    trace.add(
         2 * SECOND + TIMING_TOLERANCE,
-        EventKind::RequestTimedOut { what: RequestId(0) },
+        EventKind::RequestTimedOut {
+            request: RequestId(0),
+        },
     );
-    tape.breaks(Rule::Answers, "no answer before");
-    let mut killed = tape.clone();
+    trace.assert_violation(Rule::Answers, "no answer before");
+    let mut killed = trace.clone();
     killed.add(
         3 * SECOND / 2,
         EventKind::LimiterStopped {
@@ -206,8 +215,8 @@
             end: ProcessEnd::Killed,
         },
     );
-    killed.keeps();
-    let mut other = tape.clone();
+    killed.assert_no_findings();
+    let mut other = trace.clone();
     other.add(
         3 * SECOND / 2,
         EventKind::LimiterStopped {
@@ -215,8 +224,8 @@
             end: ProcessEnd::Killed,
         },
     );
-    other.breaks(Rule::Answers, "no answer before");
-    let mut before = tape;
+    other.assert_violation(Rule::Answers, "no answer before");
+    let mut before = trace;
     before.add(
         SECOND / 2,
         EventKind::LimiterStopped {
@@ -224,38 +233,46 @@
             end: ProcessEnd::Killed,
         },
     );
-    before.breaks(Rule::Answers, "no answer before");
-    let mut left = Tape::new();
-    left.asked(SECOND, 0, KEYED);
-    left.add(
+    before.assert_violation(Rule::Answers, "no answer before");
+    let mut cancelled = TraceBuilder::new();
+    cancelled.request_sent(SECOND, 0, KEYED);
+    cancelled.add(
         SECOND + 1,
-        EventKind::RequestCancelled { what: RequestId(0) },
+        EventKind::RequestCancelled {
+            request: RequestId(0),
+        },
     );
-    left.keeps();
+    cancelled.assert_no_findings();
 }
 
 #[test]
 fn a_connection_that_ends_unanswered_loses_its_request() {
-    let mut tape = Tape::new();
-    tape.asked(SECOND, 0, SAFE);
-    tape.add(
+    let mut trace = TraceBuilder::new();
+    trace.request_sent(SECOND, 0, SAFE);
+    trace.add(
         SECOND + 10,
         EventKind::ConnectionLost {
-            what: RequestId(0),
+            request: RequestId(0),
             partial_response: false,
         },
     );
-    tape.breaks(Rule::Answers, "ended with no answer");
+    trace.assert_violation(Rule::Answers, "ended with no answer");
     // SIGTERM is no excuse, and neither is SIGKILL after its time.
     for how in [ProcessEnd::Left, ProcessEnd::Overdue, ProcessEnd::Crashed] {
-        let mut left = tape.clone();
-        left.add(SECOND + 5, EventKind::LimiterStopped { limiter: 0, how });
+        let mut cancelled = trace.clone();
+        cancelled.add(
+            SECOND + 5,
+            EventKind::LimiterStopped {
+                limiter: 0,
+                end: how,
+            },
+        );
         assert!(
-            left.judged().finding(Rule::Answers).violations > 0,
+            cancelled.check().finding(Rule::Answers).violations > 0,
             "{how:?}"
         );
     }
-    let mut killed = tape;
+    let mut killed = trace;
     killed.add(
         SECOND + 5,
         EventKind::LimiterStopped {
@@ -263,32 +280,32 @@
             end: ProcessEnd::Killed,
         },
     );
-    killed.keeps();
+    killed.assert_no_findings();
 }
 
 /// A process that was just sent SIGKILL has its sockets open for a moment; its next life has no such excuse.
 #[test]
 fn a_request_written_to_a_dying_limiter_is_the_clients_and_one_to_its_next_life_is_not() {
-    let mut tape = Tape::new();
-    tape.add(
+    let mut trace = TraceBuilder::new();
+    trace.add(
         SECOND,
         EventKind::LimiterStopped {
             limiter: 0,
             end: ProcessEnd::Killed,
         },
     );
-    tape.asked(SECOND + 200, 0, SAFE);
-    tape.add(
+    trace.request_sent(SECOND + 200, 0, SAFE);
+    trace.add(
         SECOND + 2000,
         EventKind::ConnectionLost {
-            what: RequestId(0),
+            request: RequestId(0),
             partial_response: false,
         },
     );
-    tape.keeps();
-    tape.add(SECOND + 100, EventKind::LimiterReady { limiter: 0 });
-    tape.breaks(Rule::Answers, "ended with no answer");
-    let mut later = Tape::new();
+    trace.assert_no_findings();
+    trace.add(SECOND + 100, EventKind::LimiterReady { limiter: 0 });
+    trace.assert_violation(Rule::Answers, "ended with no answer");
+    let mut later = TraceBuilder::new();
     later.add(
         SECOND,
         EventKind::LimiterStopped {
@@ -296,34 +313,34 @@
             end: ProcessEnd::Killed,
         },
     );
-    later.asked(SECOND + TIMING_TOLERANCE + 1, 0, SAFE);
+    later.request_sent(SECOND + TIMING_TOLERANCE + 1, 0, SAFE);
     later.add(
         SECOND + TIMING_TOLERANCE + 2,
         EventKind::ConnectionLost {
-            what: RequestId(0),
+            request: RequestId(0),
             partial_response: false,
         },
     );
-    later.breaks(Rule::Answers, "ended with no answer");
+    later.assert_violation(Rule::Answers, "ended with no answer");
 }
 
 /// The limiter may close an idle connection as a request comes; the client sends it once more. That excuses
 /// nothing that the limiter had read.
 #[test]
 fn a_request_that_crosses_the_end_of_an_idle_connection_is_not_lost_unless_it_was_read() {
-    let mut tape = Tape::new();
-    tape.asked_on(SECOND, 0, KEYED, true);
-    tape.add(
+    let mut trace = TraceBuilder::new();
+    trace.request_sent_on(SECOND, 0, KEYED, true);
+    trace.add(
         SECOND + 100,
         EventKind::ConnectionLost {
-            what: RequestId(0),
+            request: RequestId(0),
             partial_response: false,
         },
     );
-    tape.asked_on(SECOND + 200, 0, KEYED, false);
-    tape.answered(SECOND + 5000, 0, 200);
-    let mut read = tape.clone();
-    tape.attempt(
+    trace.request_sent_on(SECOND + 200, 0, KEYED, false);
+    trace.response_received(SECOND + 5000, 0, 200);
+    let mut read = trace.clone();
+    trace.attempt(
         SECOND + 400_000,
         0,
         0,
@@ -333,87 +350,94 @@
     );
     // After its answer, even: but not before the connection ended, so nobody had read it then.
     assert_eq!(
-        tape.judged()
+        trace
+            .check()
             .finding(Rule::Answers)
             .first
             .as_ref()
-            .map(|b| b.what.as_str()),
+            .map(|b| b.message.as_str()),
         Some("sent on after its final answer")
     );
     read.attempt(SECOND + 50, 0, 0, 1, SECOND + 4000, AttemptEnd::Served);
-    read.breaks(Rule::Answers, "ended with no answer");
+    read.assert_violation(Rule::Answers, "ended with no answer");
 }
 
 #[test]
 fn one_answer_and_no_more_and_one_that_a_server_made() {
-    let mut twice = Tape::new();
-    twice.asked(SECOND, 0, SAFE);
-    twice.answered(SECOND + 10, 0, 200);
-    twice.answered(SECOND + 20, 0, 200);
-    twice.breaks(Rule::Answers, "2 final answers");
-    let mut unasked = Tape::new();
-    unasked.asked(SECOND, 0, SAFE);
-    unasked.answered(SECOND + 10, 0, 200);
-    unasked.add(
+    let mut twice = TraceBuilder::new();
+    twice.request_sent(SECOND, 0, SAFE);
+    twice.response_received(SECOND + 10, 0, 200);
+    twice.response_received(SECOND + 20, 0, 200);
+    twice.assert_violation(Rule::Answers, "2 final answers");
+    let mut unsolicited = TraceBuilder::new();
+    unsolicited.request_sent(SECOND, 0, SAFE);
+    unsolicited.response_received(SECOND + 10, 0, 200);
+    unsolicited.add(
         SECOND + 20,
         EventKind::UnsolicitedBytes {
             limiter: 0,
             after: Some(RequestId(0)),
         },
     );
-    unasked.breaks(Rule::Answers, "owed no answer");
-    let mut made_up = Tape::new();
-    made_up.asked(SECOND, 0, SAFE);
+    unsolicited.assert_violation(Rule::Answers, "owed no answer");
+    let mut made_up = TraceBuilder::new();
+    made_up.request_sent(SECOND, 0, SAFE);
     made_up.add(
         SECOND + 10,
         EventKind::ResponseReceived {
-            what: RequestId(0),
+            request: RequestId(0),
             status: 200,
             valid: false,
             retry_after: None,
         },
     );
-    made_up.breaks(Rule::Answers, "no server made");
+    made_up.assert_violation(Rule::Answers, "no server made");
 }
 
 #[test]
 fn nothing_goes_out_after_the_final_answer() {
-    for (late, kept) in [(0, true), (1, false)] {
-        let mut tape = Tape::new();
-        tape.asked(SECOND, 0, SAFE);
-        tape.answered(SECOND + 10, 0, 429);
+    for (late, allowed) in [(0, true), (1, false)] {
+        let mut trace = TraceBuilder::new();
+        trace.request_sent(SECOND, 0, SAFE);
+        trace.response_received(SECOND + 10, 0, 429);
         let at = SECOND + 10 + TIMING_TOLERANCE + late;
-        tape.attempt(at, 0, 0, 1, at + 10, AttemptEnd::Withdrawn);
-        match kept {
-            true => tape.keeps(),
-            false => tape.breaks(Rule::Answers, "after its final answer"),
+        trace.attempt(at, 0, 0, 1, at + 10, AttemptEnd::Withdrawn);
+        match allowed {
+            true => trace.assert_no_findings(),
+            false => trace.assert_violation(Rule::Answers, "after its final answer"),
         }
     }
 }
 
 #[test]
 fn a_limiter_that_ends_unasked_or_does_not_leave_breaks_the_first_rule() {
-    for (how, kept) in [
+    for (how, allowed) in [
         (ProcessEnd::Killed, true),
         (ProcessEnd::Left, true),
         (ProcessEnd::Crashed, false),
         (ProcessEnd::Overdue, false),
     ] {
-        let mut tape = Tape::new();
-        tape.add(SECOND, EventKind::LimiterStopped { limiter: 2, how });
-        match kept {
-            true => tape.keeps(),
-            false => tape.breaks(Rule::Answers, "limiter 2"),
+        let mut trace = TraceBuilder::new();
+        trace.add(
+            SECOND,
+            EventKind::LimiterStopped {
+                limiter: 2,
+                end: how,
+            },
+        );
+        match allowed {
+            true => trace.assert_no_findings(),
+            false => trace.assert_violation(Rule::Answers, "limiter 2"),
         }
     }
 }
 
 #[test]
 fn two_attempts_are_never_out_together() {
-    for (overlap, kept) in [(0, true), (10_000, true), (10_001, false)] {
-        let mut tape = Tape::new();
-        tape.asked(SECOND, 0, SAFE);
-        tape.attempt(
+    for (overlap, allowed) in [(0, true), (10_000, true), (10_001, false)] {
+        let mut trace = TraceBuilder::new();
+        trace.request_sent(SECOND, 0, SAFE);
+        trace.attempt(
             SECOND + 10,
             0,
             0,
@@ -421,7 +445,7 @@
             SECOND + 200_000 + overlap,
             AttemptEnd::Withdrawn,
         );
-        tape.attempt(
+        trace.attempt(
             SECOND + 200_000,
             1,
             0,
@@ -429,17 +453,17 @@
             SECOND + 250_000,
             AttemptEnd::Served,
         );
-        tape.answered(SECOND + 250_010, 0, 200);
-        match kept {
-            true => tape.keeps(),
-            false => tape.breaks(Rule::Effects, "while the first was out"),
+        trace.response_received(SECOND + 250_010, 0, 200);
+        match allowed {
+            true => trace.assert_no_findings(),
+            false => trace.assert_violation(Rule::Effects, "while the first was out"),
         }
     }
     // One that never ends is out for ever.
-    let mut tape = Tape::new();
-    tape.asked(SECOND, 0, SAFE);
-    tape.sent(SECOND + 10, 0, 0, 0, 40.0);
-    tape.attempt(
+    let mut trace = TraceBuilder::new();
+    trace.request_sent(SECOND, 0, SAFE);
+    trace.sent(SECOND + 10, 0, 0, 0, 40.0);
+    trace.attempt(
         SECOND + 200_000,
         1,
         0,
@@ -447,17 +471,17 @@
         SECOND + 250_000,
         AttemptEnd::Served,
     );
-    tape.answered(SECOND + 250_010, 0, 200);
-    tape.breaks(Rule::Effects, "while the first was out");
+    trace.response_received(SECOND + 250_010, 0, 200);
+    trace.assert_violation(Rule::Effects, "while the first was out");
 }
 
 /// One attempt that ended so, then another at a server so much later.
-fn again(class: usize, how: AttemptEnd, server: u32, after: Micros) -> Tape {
-    let mut tape = Tape::new();
+fn second_attempt(class: usize, how: AttemptEnd, server: u32, after: Micros) -> TraceBuilder {
+    let mut trace = TraceBuilder::new();
     let at = SECOND;
-    tape.asked(at, 0, class);
-    tape.attempt(at, 0, 0, 0, at + 100, how);
-    tape.attempt(
+    trace.request_sent(at, 0, class);
+    trace.attempt(at, 0, 0, 0, at + 100, how);
+    trace.attempt(
         at + after,
         1,
         0,
@@ -466,8 +490,13 @@
         AttemptEnd::Served,
     );
     // Long windows end after the client's time; only what went out is looked at here.
-    tape.add(at + 200, EventKind::RequestCancelled { what: RequestId(0) });
-    tape
+    trace.add(
+        at + 200,
+        EventKind::RequestCancelled {
+            request: RequestId(0),
+        },
+    );
+    trace
 }
 
 #[test]
@@ -478,24 +507,24 @@
         AttemptEnd::Withdrawn,
         AttemptEnd::Broken,
     ] {
-        again(SAFE, how, 4, SOON).keeps();
-        again(UNSAFE, how, 3, SOON).breaks(Rule::Effects, "unsafe request");
-        again(KEYED, how, 3, SOON).keeps();
-        again(KEYED, how, 4, SOON).breaks(Rule::Effects, "in another hall");
-        again(KEYED, how, 3, DEDUP_WINDOW + TIMING_TOLERANCE).keeps();
-        again(KEYED, how, 3, DEDUP_WINDOW + TIMING_TOLERANCE + 1)
-            .breaks(Rule::Effects, "after its window");
+        second_attempt(SAFE, how, 4, SOON).assert_no_findings();
+        second_attempt(UNSAFE, how, 3, SOON).assert_violation(Rule::Effects, "unsafe request");
+        second_attempt(KEYED, how, 3, SOON).assert_no_findings();
+        second_attempt(KEYED, how, 4, SOON).assert_violation(Rule::Effects, "in another hall");
+        second_attempt(KEYED, how, 3, DEDUP_WINDOW + TIMING_TOLERANCE).assert_no_findings();
+        second_attempt(KEYED, how, 3, DEDUP_WINDOW + TIMING_TOLERANCE + 1)
+            .assert_violation(Rule::Effects, "after its window");
     }
     for class in [SAFE, KEYED, UNSAFE] {
-        again(class, AttemptEnd::Declined, 4, SOON).keeps();
+        second_attempt(class, AttemptEnd::Declined, 4, SOON).assert_no_findings();
     }
 }
 
 #[test]
 fn an_attempt_that_never_came_whole_never_ran() {
-    let mut tape = Tape::new();
-    tape.asked(SECOND, 0, UNSAFE);
-    tape.add(
+    let mut trace = TraceBuilder::new();
+    trace.request_sent(SECOND, 0, UNSAFE);
+    trace.add(
         SECOND,
         EventKind::AttemptStarted {
             attempt: AttemptId(0),
@@ -503,21 +532,21 @@
             limiter: 0,
         },
     );
-    tape.add(
+    trace.add(
         SECOND + 100,
         EventKind::AttemptEnded {
             attempt: AttemptId(0),
             end: AttemptEnd::Broken,
         },
     );
-    tape.attempt(SECOND + 200, 1, 0, 1, SECOND + 300, AttemptEnd::Served);
-    tape.answered(SECOND + 400, 0, 200);
-    tape.keeps();
+    trace.attempt(SECOND + 200, 1, 0, 1, SECOND + 300, AttemptEnd::Served);
+    trace.response_received(SECOND + 400, 0, 200);
+    trace.assert_no_findings();
 }
 
 #[test]
 fn what_may_have_run_is_not_refused() {
-    for (class, how, status, kept) in [
+    for (class, how, status, allowed) in [
         (KEYED, AttemptEnd::Errored, 429, false),
         (KEYED, AttemptEnd::Withdrawn, 503, false),
         (UNSAFE, AttemptEnd::Broken, 429, false),
@@ -525,21 +554,21 @@
         (KEYED, AttemptEnd::Declined, 429, true),
         (SAFE, AttemptEnd::Errored, 429, true),
     ] {
-        let mut tape = Tape::new();
-        tape.asked(SECOND, 0, class);
-        tape.attempt(SECOND + 10, 0, 0, 0, SECOND + 20, how);
-        tape.answered(SECOND + 30, 0, status);
-        match kept {
-            true => tape.keeps(),
-            false => tape.breaks(Rule::Effects, "though it may have run"),
+        let mut trace = TraceBuilder::new();
+        trace.request_sent(SECOND, 0, class);
+        trace.attempt(SECOND + 10, 0, 0, 0, SECOND + 20, how);
+        trace.response_received(SECOND + 30, 0, status);
+        match allowed {
+            true => trace.assert_no_findings(),
+            false => trace.assert_violation(Rule::Effects, "though it may have run"),
         }
     }
 }
 
 #[test]
 fn an_invented_request_breaks_the_second_rule() {
-    let mut tape = Tape::new();
-    tape.add(
+    let mut trace = TraceBuilder::new();
+    trace.add(
         SECOND,
         EventKind::AttemptStarted {
             attempt: AttemptId(0),
@@ -547,24 +576,24 @@
             limiter: 0,
         },
     );
-    tape.add(
+    trace.add(
         SECOND,
         EventKind::AttemptReceived {
             attempt: AttemptId(0),
-            what: None,
+            request: None,
             work: 0.0,
         },
     );
-    tape.breaks(Rule::Effects, "no client sent");
+    trace.assert_violation(Rule::Effects, "no client sent");
 }
 
 #[test]
 fn a_key_that_runs_twice_over_several_tries_counts_only_where_the_scenario_says_so() {
-    let mut tape = Tape::new();
-    tape.asked(SECOND, 0, KEYED);
-    tape.attempt(SECOND + 10, 0, 0, 0, SECOND + 20, AttemptEnd::Served);
-    tape.answered(SECOND + 30, 0, 200);
-    tape.add(
+    let mut trace = TraceBuilder::new();
+    trace.request_sent(SECOND, 0, KEYED);
+    trace.attempt(SECOND + 10, 0, 0, 0, SECOND + 20, AttemptEnd::Served);
+    trace.response_received(SECOND + 30, 0, 200);
+    trace.add(
         SECOND + 15,
         EventKind::AttemptExecuted {
             attempt: AttemptId(0),
@@ -572,15 +601,15 @@
             deduplicated: false,
         },
     );
-    tape.keeps();
-    let terms = CheckOptions {
+    trace.assert_no_findings();
+    let options = CheckOptions {
         check_repeated_effects_per_key: true,
-        ..TERMS
+        ..OPTIONS
     };
-    let mut events = tape.0;
+    let mut events = trace.0;
     events.sort_by_key(|event| event.at);
     assert_eq!(
-        check_trace(&events, terms)
+        check_trace(&events, options)
             .finding(Rule::Effects)
             .violations,
         1
@@ -590,29 +619,29 @@
 #[test]
 fn nothing_new_goes_to_a_drained_server_after_the_grace() {
     for state in [ServerState::Draining, ServerState::Gone] {
-        for (late, kept) in [(0, true), (1, false)] {
-            let mut tape = Tape::new();
-            tape.told(SECOND, 2, state);
+        for (late, allowed) in [(0, true), (1, false)] {
+            let mut trace = TraceBuilder::new();
+            trace.notified(SECOND, 2, state);
             let at = SECOND + DRAIN_GRACE + TIMING_TOLERANCE + late;
-            tape.asked(at, 0, SAFE);
-            tape.attempt(at, 0, 0, 2, at + 10, AttemptEnd::Served);
-            tape.answered(at + 20, 0, 200);
-            let mut again = tape.clone();
-            match kept {
-                true => tape.keeps(),
-                false => tape.breaks(Rule::Drains, "sent to server 2"),
+            trace.request_sent(at, 0, SAFE);
+            trace.attempt(at, 0, 0, 2, at + 10, AttemptEnd::Served);
+            trace.response_received(at + 20, 0, 200);
+            let mut second_attempt = trace.clone();
+            match allowed {
+                true => trace.assert_no_findings(),
+                false => trace.assert_violation(Rule::Drains, "sent to server 2"),
             }
             // Ready again; a second word of the same drain does not begin the grace anew.
-            again.told(at - 5, 2, ServerState::Ready);
-            again.keeps();
-            tape.told(at - 5, 2, state);
+            second_attempt.notified(at - 5, 2, ServerState::Ready);
+            second_attempt.assert_no_findings();
+            trace.notified(at - 5, 2, state);
             assert_eq!(
-                tape.judged().finding(Rule::Drains).violations,
-                usize::from(!kept)
+                trace.check().finding(Rule::Drains).violations,
+                usize::from(!allowed)
             );
         }
     }
-    let mut another = Tape::new();
+    let mut another = TraceBuilder::new();
     another.add(
         SECOND,
         EventKind::LimiterNotified {
@@ -621,23 +650,23 @@
             state: ServerState::Gone,
         },
     );
-    another.asked(3 * SECOND, 0, SAFE);
+    another.request_sent(3 * SECOND, 0, SAFE);
     another.attempt(3 * SECOND, 0, 0, 2, 3 * SECOND + 10, AttemptEnd::Served);
-    another.answered(3 * SECOND + 20, 0, 200);
-    another.keeps();
+    another.response_received(3 * SECOND + 20, 0, 200);
+    another.assert_no_findings();
 }
 
 /// Life 9 of server 0 starts cold at 1 s; 100 requests of this work each come within its first second.
-fn flood(work: f64, told: u32) -> Tape {
-    let mut tape = Tape::new();
-    tape.up(SECOND, 9, 0, 10 * SECOND);
+fn cold_server_load(work: f64, notified: u32) -> TraceBuilder {
+    let mut trace = TraceBuilder::new();
+    trace.server_started(SECOND, 9, 0, 10 * SECOND);
     for number in 0..100 {
         let at = SECOND + u64::from(number) * (OVERLOAD_WINDOW / 100);
-        tape.asked(at, number, SAFE);
+        trace.request_sent(at, number, SAFE);
         // Limiter 1 was told of the start, limiter 0 was not.
-        let limiter = usize::from(number < told);
-        let (attempt, what) = (AttemptId(number), Some(RequestId(number)));
-        tape.add(
+        let limiter = usize::from(number < notified);
+        let (attempt, request) = (AttemptId(number), Some(RequestId(number)));
+        trace.add(
             at,
             EventKind::AttemptStarted {
                 attempt,
@@ -645,24 +674,24 @@
                 limiter,
             },
         );
-        tape.add(
+        trace.add(
             at,
             EventKind::AttemptReceived {
                 attempt,
-                what,
+                request,
                 work,
             },
         );
-        tape.add(
+        trace.add(
             at + 10,
             EventKind::AttemptEnded {
                 attempt,
                 end: AttemptEnd::Declined,
             },
         );
-        tape.answered(at + 20, number, 429);
+        trace.response_received(at + 20, number, 429);
     }
-    tape.add(
+    trace.add(
         SECOND,
         EventKind::LimiterNotified {
             limiter: 1,
@@ -670,7 +699,7 @@
             state: ServerState::Ready,
         },
     );
-    tape
+    trace
 }
 
 #[test]
@@ -680,11 +709,11 @@
     let budget = OVERLOAD_MULTIPLE * mean * 2.0 * OVERLOAD_WINDOW as f64 / 1000.0;
     // One request more is left to chance: 99 of the 100 fill the budget.
     let just = budget / 99.0;
-    flood(just * 0.999, 100).keeps();
-    flood(just * 1.01, 100).breaks(Rule::ColdServers, "server 0 was sent");
+    cold_server_load(just * 0.999, 100).assert_no_findings();
+    cold_server_load(just * 1.01, 100).assert_violation(Rule::ColdServers, "server 0 was sent");
     // Those who were not told cannot know: two thirds must come from those who were.
-    flood(just * 1.01, 60).keeps();
-    flood(just * 1.01, 70).breaks(Rule::ColdServers, "server 0 was sent");
+    cold_server_load(just * 1.01, 60).assert_no_findings();
+    cold_server_load(just * 1.01, 70).assert_violation(Rule::ColdServers, "server 0 was sent");
 }
 
 #[test]
@@ -693,70 +722,73 @@
     let slack = (0.1 * burst).max(3.0) + 0.15 * rate;
     // Each try takes 3 units; all at one moment, then one more once its units have filled.
     let at_once = ((burst + slack) / 3.0).floor() as u32;
-    let send = |tape: &mut Tape, at: Micros, number: u32| {
-        tape.asked_by(at, number, SAFE, 7, false);
-        tape.attempt(at, number, number, number % 6, at + 10, AttemptEnd::Served);
-        tape.answered(at + 20, number, 200);
+    let send = |trace: &mut TraceBuilder, at: Micros, number: u32| {
+        trace.request_sent_by(at, number, SAFE, 7, false);
+        trace.attempt(at, number, number, number % 6, at + 10, AttemptEnd::Served);
+        trace.response_received(at + 20, number, 200);
     };
-    let mut tape = Tape::new();
-    (0..at_once).for_each(|number| send(&mut tape, SECOND, number));
-    tape.keeps();
-    let mut over = tape.clone();
+    let mut trace = TraceBuilder::new();
+    (0..at_once).for_each(|number| send(&mut trace, SECOND, number));
+    trace.assert_no_findings();
+    let mut over = trace.clone();
     send(&mut over, SECOND + 1, at_once);
-    over.breaks(Rule::Ceilings, "over its ceiling");
+    over.assert_violation(Rule::Ceilings, "over its ceiling");
     let filled = SECOND + (3.0 / rate * SECOND as f64) as Micros;
-    send(&mut tape, filled + 1, at_once);
-    tape.keeps();
+    send(&mut trace, filled + 1, at_once);
+    trace.assert_no_findings();
     // A second attempt of the same try takes nothing.
-    let mut again = tape.clone();
-    again.attempt(filled + 30, 1000, 0, 0, filled + 40, AttemptEnd::Declined);
-    assert_eq!(again.judged().finding(Rule::Ceilings).violations, 0);
+    let mut second_attempt = trace.clone();
+    second_attempt.attempt(filled + 30, 1000, 0, 0, filled + 40, AttemptEnd::Declined);
+    assert_eq!(second_attempt.check().finding(Rule::Ceilings).violations, 0);
 }
 
 #[test]
 fn a_break_while_the_stand_ins_ran_late_is_late_and_not_broken() {
-    let mut tape = Tape::new();
-    tape.asked(SECOND, 0, SAFE);
-    tape.answered(3 * SECOND, 0, 200);
-    tape.breaks(Rule::Answers, "after the client's time");
-    let mut elsewhere = tape.clone();
+    let mut trace = TraceBuilder::new();
+    trace.request_sent(SECOND, 0, SAFE);
+    trace.response_received(3 * SECOND, 0, 200);
+    trace.assert_violation(Rule::Answers, "after the client's time");
+    let mut elsewhere = trace.clone();
     elsewhere.add(6 * SECOND, EventKind::StandInsLate { delay: SECOND });
-    elsewhere.breaks(Rule::Answers, "after the client's time");
-    tape.add(5 * SECOND / 2, EventKind::StandInsLate { delay: SECOND });
-    let verdict = tape.judged();
+    elsewhere.assert_violation(Rule::Answers, "after the client's time");
+    trace.add(5 * SECOND / 2, EventKind::StandInsLate { delay: SECOND });
+    let verdict = trace.check();
     assert!(!verdict.has_violations() && !verdict.has_no_findings());
     assert_eq!(verdict.finding(Rule::Answers).uncertain, 1);
 }
 
 #[test]
 fn a_break_tells_the_whole_story_of_its_request() {
-    let mut tape = Tape::new();
-    tape.asked(SECOND, 0, KEYED);
-    tape.attempt(SECOND + 10, 0, 0, 0, SECOND + 20, AttemptEnd::Errored);
-    tape.attempt(SECOND + 30, 1, 0, 1, SECOND + 40, AttemptEnd::Served);
-    tape.answered(SECOND + 50, 0, 200);
-    tape.asked(SECOND + 5, 1, KEYED);
-    tape.answered(SECOND + 60, 1, 429);
-    let verdict = tape.judged();
-    let story = &verdict
+    let mut trace = TraceBuilder::new();
+    trace.request_sent(SECOND, 0, KEYED);
+    trace.attempt(SECOND + 10, 0, 0, 0, SECOND + 20, AttemptEnd::Errored);
+    trace.attempt(SECOND + 30, 1, 0, 1, SECOND + 40, AttemptEnd::Served);
+    trace.response_received(SECOND + 50, 0, 200);
+    trace.request_sent(SECOND + 5, 1, KEYED);
+    trace.response_received(SECOND + 60, 1, 429);
+    let verdict = trace.check();
+    let history = &verdict
         .finding(Rule::Effects)
         .first
         .as_ref()
         .expect("broken")
-        .story;
-    assert_eq!(story.len(), 10, "{story:#?}");
-    assert!(story[0].contains("try 0, job-submit, mellan"), "{story:#?}");
+        .history;
+    assert_eq!(history.len(), 10, "{history:#?}");
+    assert!(
+        history[0].contains("try 0, job-submit, mellan"),
+        "{history:#?}"
+    );
     assert!(
-        story.iter().all(|line| !line.contains("try 1,")),
-        "{story:#?}"
+        history.iter().all(|line| !line.contains("try 1,")),
+        "{history:#?}"
     );
 }
 
 /// What one try of a right limiter does: its class, how its first attempts ended, how late each next one is
 /// begun, and the servers that a choice among those allowed falls on.
-type Plan = (usize, Vec<(AttemptEnd, Micros, usize)>);
+type RequestPlan = (usize, Vec<(AttemptEnd, Micros, usize)>);
 
-fn plan() -> impl Strategy<Value = Plan> {
+fn request_plan() -> impl Strategy<Value = RequestPlan> {
     let end = prop_oneof![
         Just(AttemptEnd::Declined),
         Just(AttemptEnd::Errored),
@@ -770,104 +802,112 @@
 }
 
 /// Plays a try as a limiter that keeps the rules would; the last attempt is served if there may be one.
-fn right(tape: &mut Tape, number: u32, (class, ends): &Plan) -> Vec<u32> {
+fn add_correct_request(
+    trace: &mut TraceBuilder,
+    number: u32,
+    (class, ends): &RequestPlan,
+) -> Vec<u32> {
     let begins = SECOND + u64::from(number) * 3 * SECOND;
     let mut now = begins;
-    tape.asked(now, number, *class);
-    let mut first_that_may: Option<(Micros, u32)> = None;
+    trace.request_sent(now, number, *class);
+    let mut first_that_may_have_run: Option<(Micros, u32)> = None;
     let mut attempts = Vec::new();
     let all = ends
         .iter()
         .copied()
         .chain([(AttemptEnd::Served, 1000, number as usize)]);
-    for (place, (how, pause, pick)) in all.enumerate() {
-        let server = match (first_that_may, *class) {
+    for (position, (how, pause, choice)) in all.enumerate() {
+        let server = match (first_that_may_have_run, *class) {
             (Some(_), UNSAFE) => break,
             (Some((at, _)), KEYED) if now > at + DEDUP_WINDOW => break,
-            (Some((_, first)), KEYED) => (first % 3) + 3 * (pick as u32 % 2),
-            _ => pick as u32 % 6,
+            (Some((_, first)), KEYED) => (first % 3) + 3 * (choice as u32 % 2),
+            _ => choice as u32 % 6,
         };
-        if now + 60_000 > begins + PATIENCE {
+        if now + 60_000 > begins + TIME_LIMIT {
             break;
         }
-        let id = number * 10 + place as u32;
-        tape.attempt(now, id, number, server, now + 50_000, how);
+        let id = number * 10 + position as u32;
+        trace.attempt(now, id, number, server, now + 50_000, how);
         attempts.push(id);
         now += 50_000;
         if how == AttemptEnd::Served {
-            tape.answered(now + 10, number, 200);
+            trace.response_received(now + 10, number, 200);
             return attempts;
         }
-        if how != AttemptEnd::Declined && first_that_may.is_none() {
-            first_that_may = Some((now - 50_000, server));
+        if how != AttemptEnd::Declined && first_that_may_have_run.is_none() {
+            first_that_may_have_run = Some((now - 50_000, server));
         }
         now += pause;
     }
-    let refusable = first_that_may.is_none() || *class == SAFE;
-    tape.answered(begins + PATIENCE, number, if refusable { 429 } else { 502 });
+    let may_be_rejected = first_that_may_have_run.is_none() || *class == SAFE;
+    trace.response_received(
+        begins + TIME_LIMIT,
+        number,
+        if may_be_rejected { 429 } else { 502 },
+    );
     attempts
 }
 
 proptest! {
     #[test]
-    fn a_right_limiter_is_never_called_wrong(plans in prop::collection::vec(plan(), 1..8)) {
-        let mut tape = Tape::new();
-        for (number, plan) in plans.iter().enumerate() {
-            right(&mut tape, number as u32, plan);
+    fn a_right_limiter_is_never_called_wrong(plans in prop::collection::vec(request_plan(), 1..8)) {
+        let mut trace = TraceBuilder::new();
+        for (number, request_plan) in plans.iter().enumerate() {
+            add_correct_request(&mut trace, number as u32, request_plan);
         }
-        let verdict = tape.judged();
+        let verdict = trace.check();
         prop_assert!(verdict.has_no_findings(), "{verdict:#?}");
     }
 
     /// Whatever else goes on, one wrong thing is found, and it alone.
     #[test]
     fn one_wrong_thing_is_always_found(
-        plans in prop::collection::vec(plan(), 2..8),
-        victim in 0..8usize,
-        wrong in 0..4usize,
+        plans in prop::collection::vec(request_plan(), 2..8),
+        violating_request in 0..8usize,
+        violation in 0..4usize,
     ) {
-        let victim = victim % plans.len();
-        let mut tape = Tape::new();
-        for (number, plan) in plans.iter().enumerate() {
-            if number != victim {
-                right(&mut tape, number as u32, plan);
+        let violating_request = violating_request % plans.len();
+        let mut trace = TraceBuilder::new();
+        for (number, request_plan) in plans.iter().enumerate() {
+            if number != violating_request {
+                add_correct_request(&mut trace, number as u32, request_plan);
             }
         }
-        let (number, at) = (victim as u32, SECOND + victim as u64 * 3 * SECOND);
+        let (number, at) = (violating_request as u32, SECOND + violating_request as u64 * 3 * SECOND);
         let id = number * 10;
-        let rule = match wrong {
+        let rule = match violation {
             0 => {
-                tape.asked(at, number, KEYED);
-                tape.add(at + PATIENCE + TIMING_TOLERANCE, EventKind::RequestTimedOut { what: RequestId(number) });
+                trace.request_sent(at, number, KEYED);
+                trace.add(at + TIME_LIMIT + TIMING_TOLERANCE, EventKind::RequestTimedOut { request: RequestId(number) });
                 Rule::Answers
             }
             1 => {
-                tape.asked(at, number, KEYED);
-                tape.attempt(at, id, number, 0, at + 100, AttemptEnd::Errored);
-                tape.attempt(at + 200, id + 1, number, 1, at + 300, AttemptEnd::Served);
-                tape.answered(at + 400, number, 200);
+                trace.request_sent(at, number, KEYED);
+                trace.attempt(at, id, number, 0, at + 100, AttemptEnd::Errored);
+                trace.attempt(at + 200, id + 1, number, 1, at + 300, AttemptEnd::Served);
+                trace.response_received(at + 400, number, 200);
                 Rule::Effects
             }
             2 => {
-                tape.asked(at, number, SAFE);
-                tape.attempt(at, id, number, 0, at + 90_000, AttemptEnd::Withdrawn);
-                tape.attempt(at + 200, id + 1, number, 1, at + 300, AttemptEnd::Served);
-                tape.answered(at + 400, number, 200);
+                trace.request_sent(at, number, SAFE);
+                trace.attempt(at, id, number, 0, at + 90_000, AttemptEnd::Withdrawn);
+                trace.attempt(at + 200, id + 1, number, 1, at + 300, AttemptEnd::Served);
+                trace.response_received(at + 400, number, 200);
                 Rule::Effects
             }
             _ => {
                 let incarnation = 5;
-                tape.add(at - DRAIN_GRACE - TIMING_TOLERANCE - 1, EventKind::LimiterNotified {
+                trace.add(at - DRAIN_GRACE - TIMING_TOLERANCE - 1, EventKind::LimiterNotified {
                     limiter: 0, incarnation: Incarnation(incarnation), state: ServerState::Gone,
                 });
-                tape.add(at + 100, EventKind::LimiterNotified { limiter: 0, incarnation: Incarnation(incarnation), state: ServerState::Ready });
-                tape.asked(at, number, SAFE);
-                tape.attempt(at, id, number, incarnation, at + 50, AttemptEnd::Served);
-                tape.answered(at + 60, number, 200);
+                trace.add(at + 100, EventKind::LimiterNotified { limiter: 0, incarnation: Incarnation(incarnation), state: ServerState::Ready });
+                trace.request_sent(at, number, SAFE);
+                trace.attempt(at, id, number, incarnation, at + 50, AttemptEnd::Served);
+                trace.response_received(at + 60, number, 200);
                 Rule::Drains
             }
         };
-        let verdict = tape.judged();
+        let verdict = trace.check();
         prop_assert_eq!(verdict.finding(rule).violations, 1, "{:#?}", verdict);
     }
 }
--- a/crates/emberpin-testbed/tests/site.rs
+++ b/crates/emberpin-testbed/tests/site.rs
@@ -15,7 +15,7 @@
     [site]\nlimiters = 2\nservers = 4\nhalls = 2\nnotice_ms = [1, 20]\nwarm_s = 2\n\
     [load]\nrate = 60\nwork = 0.3\nusage = 0.3\nfront_notice_s = 0.2\n";
 
-fn play(faults: &str, progress: impl Fn(Progress) + 'static) -> Outcome {
+fn run_site(faults: &str, progress: impl Fn(Progress) + 'static) -> Outcome {
     let scenario = Scenario::parse("test", &format!("{SITE}{faults}")).expect("sound");
     let program = Program {
         path: env!("CARGO_BIN_EXE_emberpin-testbed").into(),
@@ -27,7 +27,7 @@
 }
 
 #[track_caller]
-fn holds(outcome: &Outcome) {
+fn assert_rules_hold(outcome: &Outcome) {
     assert!(
         !outcome.verdict.has_violations(),
         "seed 7:{}",
@@ -42,8 +42,8 @@
     let faults = "[[fault]]\nat_s = 0.5\nwhat = \"server-stalled\"\nserver = 0\nfor_s = 1\n\
                   [[fault]]\nat_s = 0.5\nwhat = \"server-stalled\"\nserver = 1\nfor_s = 1\n\
                   [[fault]]\nat_s = 0.9\nwhat = \"limiter-killed\"\nlimiter = 0\nback_s = 0.3\n";
-    let outcome = play(faults, |_| ());
-    holds(&outcome);
+    let outcome = run_site(faults, |_| ());
+    assert_rules_hold(&outcome);
     let killed = outcome.events.iter().find_map(|event| match event.kind {
         EventKind::LimiterStopped {
             limiter: 0,
@@ -58,11 +58,11 @@
         .iter()
         .filter(|e| matches!(e.kind, EventKind::ConnectionLost { .. }) && near.contains(&e.at));
     assert!(dropped.count() > 0, "requests were out when it died");
-    let up_again = outcome
+    let restarted = outcome
         .events
         .iter()
         .any(|e| matches!(e.kind, EventKind::LimiterReady { limiter: 0 }) && e.at > killed);
-    assert!(up_again && outcome.usage[0].starts == 2);
+    assert!(restarted && outcome.usage[0].starts == 2);
     let served_again = outcome
         .events
         .iter()
@@ -74,13 +74,13 @@
 /// A successor at the same address is another server: new life, new id, cold.
 #[test]
 fn a_port_reused_under_a_new_id_is_another_server() {
-    let outcome = play(
+    let outcome = run_site(
         "[[fault]]\nat_s = 0.2\nwhat = \"server-replaced\"\nserver = 1\n",
         |_| (),
     );
-    holds(&outcome);
+    assert_rules_hold(&outcome);
     let mut incarnations: BTreeMap<usize, Vec<(Incarnation, u64)>> = BTreeMap::new();
-    let mut begun = BTreeSet::new();
+    let mut used = BTreeSet::new();
     for event in &outcome.events {
         match event.kind {
             EventKind::ServerStarted {
@@ -95,7 +95,7 @@
                     .push((incarnation, warm_after));
             }
             EventKind::AttemptStarted { incarnation, .. } => {
-                begun.insert(incarnation);
+                used.insert(incarnation);
             }
             _ => {}
         }
@@ -103,10 +103,7 @@
     let [(old, 0), (new, 1..)] = incarnations[&1][..] else {
         panic!("two lives, the second cold: {incarnations:?}")
     };
-    assert!(
-        begun.contains(&old) && begun.contains(&new),
-        "both were used"
-    );
+    assert!(used.contains(&old) && used.contains(&new), "both were used");
     let told: BTreeSet<Incarnation> = outcome
         .events
         .iter()
@@ -132,14 +129,14 @@
         })
         .collect();
     let began = Instant::now();
-    let outcome = play(&stalls, |_| ());
+    let outcome = run_site(&stalls, |_| ());
     // Load, the longest run-out and the longest leave, and a wide margin for a slow machine.
     assert!(
         began.elapsed() < Duration::from_secs(40),
         "{:?}",
         began.elapsed()
     );
-    holds(&outcome);
+    assert_rules_hold(&outcome);
     let summary = Summary::from_outcome(&outcome);
     assert!(
         summary.total.failed + summary.total.refused > 0,
@@ -150,33 +147,33 @@
 /// The stand-ins' own thread stands still for moments: what they then see late is called late.
 #[test]
 fn stand_ins_that_run_late_say_so_and_nobody_is_blamed() {
-    let outcome = play("", |_| std::thread::sleep(Duration::from_millis(450)));
+    let outcome = run_site("", |_| std::thread::sleep(Duration::from_millis(450)));
     let late = outcome
         .events
         .iter()
         .filter(|e| matches!(e.kind, EventKind::StandInsLate { .. }))
         .count();
     assert!(late >= 3, "{late} times");
-    holds(&outcome);
+    assert_rules_hold(&outcome);
     assert!(Summary::from_outcome(&outcome).stand_ins_late_ms > 300.0);
 }
 
 /// Nothing that a limiter says of its own time is read: every event's time is the stand-ins' one clock's.
 #[test]
 fn every_time_is_of_one_clock_and_in_order() {
-    let outcome = play(
+    let outcome = run_site(
         "[[fault]]\nat_s = 0.5\nwhat = \"limiters-rolled\"\nevery_s = 1\n",
         |_| (),
     );
-    holds(&outcome);
+    assert_rules_hold(&outcome);
     assert!(outcome.events.is_sorted_by_key(|event| event.at));
-    let mut asked = BTreeMap::new();
+    let mut sent_at = BTreeMap::new();
     let mut answers = 0;
     for event in &outcome.events {
         match &event.kind {
-            EventKind::RequestSent { what, .. } => _ = asked.insert(*what, event.at),
-            EventKind::ResponseReceived { what, .. } => {
-                assert!(asked.get(what).is_some_and(|at| *at <= event.at));
+            EventKind::RequestSent { request, .. } => _ = sent_at.insert(*request, event.at),
+            EventKind::ResponseReceived { request, .. } => {
+                assert!(sent_at.get(request).is_some_and(|at| *at <= event.at));
                 answers += 1;
             }
             _ => {}
@@ -220,9 +217,9 @@
             "[[fault]]\nat_s = 0.{server}\nwhat = \"server-spoils\"\nserver = {server}\nhow = \"{how}\"\nshare = 0.2\nfor_s = 2\n"
         );
     }
-    let outcome = play(&faults, |_| ());
-    holds(&outcome);
-    let begun: BTreeSet<&str> = outcome
+    let outcome = run_site(&faults, |_| ());
+    assert_rules_hold(&outcome);
+    let used: BTreeSet<&str> = outcome
         .events
         .iter()
         .filter_map(|e| {
@@ -233,5 +230,5 @@
             }
         })
         .collect();
-    assert!(begun.len() >= 36, "each began and ended: {begun:#?}");
+    assert!(used.len() >= 36, "each began and ended: {used:#?}");
 }
--- a/crates/emberpin-testbed/tests/start.rs
+++ b/crates/emberpin-testbed/tests/start.rs
@@ -3,7 +3,10 @@
 
 mod common;
 
-use common::{answered, called_after, calls, count, holds, killed, listed, play, play_with, who};
+use common::{
+    assert_rules_hold, call_times_after, count_events, discovery_calls, killed_limiters,
+    limiters_that, list_times, run_site, run_with_operator_file, served_discovery_caller,
+};
 use emberpin_startup::snapshot::{decode, encode, SnapshotHeader};
 use emberpin_testbed::report::Summary;
 use emberpin_testbed::start_summary::Starts;
@@ -16,11 +19,11 @@
 
 /// Twenty-four limiters that know nothing and have just started, like their servers, before a list service of a call of
 /// each in 4 s.
-const TOGETHER: &str =
+const COLD_START: &str =
     "[site]\nlimiters = 24\nservers = 8\ntogether = true\ncold = true\nknown = false\nlist_power = 6\n\
                         [load]\nrate = 24\nusage = 0.3\nretries = 0\n";
 /// That power, as an operator says it.
-const TOLD: &str = "[start]\nlist_calls_per_s = 6\n";
+const START_TABLE: &str = "[start]\nlist_calls_per_s = 6\n";
 
 /// Once nothing was served before the first server was warm: what cold ones may get was a part of what warm ones
 /// were seen to carry.
@@ -28,8 +31,8 @@
 fn limiters_that_start_with_servers_that_are_all_cold_serve_at_once() {
     for seed in [5, 6] {
         let text = "seconds = 5\n[site]\nwarm_s = 20\ncold = true\nnotice_ms = [1, 20]\n[load]\nrate = 20\nusage = 0.3\n";
-        let outcome = play(text, seed);
-        holds(&outcome);
+        let outcome = run_site(text, seed);
+        assert_rules_hold(&outcome);
         let cold = outcome.events.iter().filter(|e| {
             matches!(
                 e.kind,
@@ -55,8 +58,8 @@
     let text =
         "seconds = 12\n[site]\nlimiters = 24\nservers = 4\nwarm_s = 20\ncold = true\ntogether = true\n\
                 [load]\nrate = 144\nusage = 0.3\nretries = 0\nwork = 0.3\n";
-    let outcome = play(text, 7);
-    holds(&outcome);
+    let outcome = run_site(text, 7);
+    assert_rules_hold(&outcome);
     let cold = outcome.events.iter().filter(|e| {
         matches!(
             e.kind,
@@ -78,16 +81,16 @@
 /// Once 24 calls came within 100 ms, all failed at 2 s, and a third of the limiters never got the list.
 #[test]
 fn all_start_in_one_instant_before_a_weak_list_service_and_each_calls_once() {
-    let at_once = format!("{TOLD}ready_within_s = 0\n");
-    let outcome = play_with(&at_once, &format!("seconds = 14\n{TOGETHER}"), 1);
-    holds(&outcome);
+    let at_once = format!("{START_TABLE}ready_within_s = 0\n");
+    let outcome = run_with_operator_file(&at_once, &format!("seconds = 14\n{COLD_START}"), 1);
+    assert_rules_hold(&outcome);
     let starts = Starts::from_outcome(&outcome);
     assert!(
         starts.ready[1].is_some_and(|last| last < 3.0),
         "they started in one instant: {starts:?}"
     );
     assert_eq!(
-        count(&outcome, |kind| matches!(
+        count_events(&outcome, |kind| matches!(
             kind,
             EventKind::ServerStarted {
                 warm_after: 1..,
@@ -97,7 +100,7 @@
         8,
         "cold, none fell"
     );
-    assert_eq!(calls(&outcome, 0.0, 14.0), (24, 0), "{starts:?}");
+    assert_eq!(discovery_calls(&outcome, 0.0, 14.0), (24, 0), "{starts:?}");
     assert!(
         starts.listed[2].is_some_and(|last| last < 7.0),
         "{starts:?}"
@@ -107,31 +110,35 @@
 
 #[test]
 fn all_start_in_one_instant_before_a_list_service_that_is_cold_too_and_are_told_all_the_same() {
-    let site = TOGETHER.replace("list_power = 6", "list_power = 6\nlist_warm_s = 6");
-    let outcome = play_with(TOLD, &format!("seconds = 25\n{site}"), 2);
-    holds(&outcome);
-    let (asked, failed) = calls(&outcome, 0.0, 25.0);
+    let site = COLD_START.replace("list_power = 6", "list_power = 6\nlist_warm_s = 6");
+    let outcome = run_with_operator_file(START_TABLE, &format!("seconds = 25\n{site}"), 2);
+    assert_rules_hold(&outcome);
+    let (asked, failed) = discovery_calls(&outcome, 0.0, 25.0);
     assert!(
         failed > 0,
         "at a quarter of its power it could not answer all: {asked} calls"
     );
     assert!(asked <= 24 * 3, "{asked} calls");
-    assert_eq!(listed(&outcome).len(), 24, "{:?}", listed(&outcome));
+    assert_eq!(list_times(&outcome).len(), 24, "{:?}", list_times(&outcome));
 }
 
 #[test]
 fn the_list_service_dies_when_half_have_their_list_and_the_others_are_told_when_it_is_back() {
     let fault = "[[fault]]\nat_s = 2\nwhat = \"discovery-dead\"\nfor_s = 6\n";
-    let outcome = play_with(TOLD, &format!("seconds = 20\n{TOGETHER}{fault}"), 3);
-    holds(&outcome);
-    let listed = listed(&outcome);
+    let outcome = run_with_operator_file(
+        START_TABLE,
+        &format!("seconds = 20\n{COLD_START}{fault}"),
+        3,
+    );
+    assert_rules_hold(&outcome);
+    let listed = list_times(&outcome);
     let before = listed.iter().filter(|at| **at < 2.0).count();
     assert!(
         (6..=16).contains(&before),
         "about half were told before: {listed:?}"
     );
     assert!(
-        calls(&outcome, 2.0, 8.0).1 >= 12,
+        discovery_calls(&outcome, 2.0, 8.0).1 >= 12,
         "calls failed while it was dead"
     );
     assert!(
@@ -145,7 +152,11 @@
 #[test]
 fn a_limiter_paused_amid_the_start_is_told_when_it_goes_on() {
     let fault = "[[fault]]\nat_s = 0.2\nwhat = \"limiter-paused\"\nlimiter = 7\nfor_s = 10\n";
-    let outcome = play_with(TOLD, &format!("seconds = 16\n{TOGETHER}{fault}"), 4);
+    let outcome = run_with_operator_file(
+        START_TABLE,
+        &format!("seconds = 16\n{COLD_START}{fault}"),
+        4,
+    );
     let told = |event: &Event| {
         matches!(
             event.kind,
@@ -164,7 +175,7 @@
         at.is_some_and(|at| at > 10.0),
         "it stood still until then: {at:?}"
     );
-    let listed = listed(&outcome);
+    let listed = list_times(&outcome);
     assert!(listed.len() == 24 && listed[22] < 8.0, "{listed:?}");
 }
 
@@ -174,17 +185,17 @@
     let kill = |at: f64| {
         format!("[[fault]]\nat_s = {at}\nwhat = \"limiters-killed\"\nshare = 0.7\nback_s = 0.5\n")
     };
-    let site = TOGETHER.replace("known = false", "known = true");
-    let outcome = play_with(
-        TOLD,
+    let site = COLD_START.replace("known = false", "known = true");
+    let outcome = run_with_operator_file(
+        START_TABLE,
         &format!("seconds = 20\n{site}{}{}", kill(8.0), kill(11.0)),
         5,
     );
-    holds(&outcome);
-    assert!(killed(&outcome) >= 28, "they were killed");
-    let back: Vec<f64> = called_after(&outcome, 11.5);
+    assert_rules_hold(&outcome);
+    assert!(killed_limiters(&outcome) >= 28, "they were killed");
+    let back: Vec<f64> = call_times_after(&outcome, 11.5);
     assert!(back.len() >= 14, "{back:?}");
-    let crowd = back
+    let max_in_window = back
         .iter()
         .map(|from| {
             back.iter()
@@ -193,26 +204,26 @@
         })
         .max();
     assert!(
-        crowd <= Some(6),
-        "within a quarter of a second {crowd:?} of {back:?}"
+        max_in_window <= Some(6),
+        "within a quarter of a second {max_in_window:?} of {back:?}"
     );
-    let (asked, failed) = calls(&outcome, 11.5, 20.0);
+    let (asked, failed) = discovery_calls(&outcome, 11.5, 20.0);
     assert_eq!(failed, 0, "of {asked}");
 }
 
 /// A service that comes back from an outage with an empty list, then half of it, then all.
-const BACK_BY_PARTS: &str = "[[fault]]\nat_s = 4\nwhat = \"discovery-dead\"\nfor_s = 3\n\
+const PARTIAL_RECOVERY_FAULTS: &str = "[[fault]]\nat_s = 4\nwhat = \"discovery-dead\"\nfor_s = 3\n\
                              [[fault]]\nat_s = 7\nwhat = \"discovery-tells\"\nhow = \"empty\"\nfor_s = 5\n\
                              [[fault]]\nat_s = 12\nwhat = \"discovery-tells\"\nhow = \"half\"\nfor_s = 5\n";
-const SERVING: &str =
+const RUNNING_SITE: &str =
     "[site]\nlimiters = 24\nservers = 8\n[load]\nrate = 60\nusage = 0.3\nretries = 0\n";
 
 #[test]
 fn a_list_service_that_comes_back_empty_then_half_then_whole_empties_no_limiter() {
-    let text = format!("seconds = 20\n{SERVING}{BACK_BY_PARTS}");
-    let outcome = play_with(TOLD, &text, 6);
-    holds(&outcome);
-    let told = calls(&outcome, 7.0, 12.0);
+    let text = format!("seconds = 20\n{RUNNING_SITE}{PARTIAL_RECOVERY_FAULTS}");
+    let outcome = run_with_operator_file(START_TABLE, &text, 6);
+    assert_rules_hold(&outcome);
+    let told = discovery_calls(&outcome, 7.0, 12.0);
     assert!(
         told.0 - told.1 >= 12,
         "limiters were told the empty list: {told:?}"
@@ -220,15 +231,15 @@
     let starts = Starts::from_outcome(&outcome);
     assert!(starts.served(7, 20) > 0.95, "{starts:?}");
     // The guard taken out: without the table whole lists bind.
-    let bound = Starts::from_outcome(&play(&text, 6));
+    let unguarded = Starts::from_outcome(&run_site(&text, 6));
     assert!(
-        bound.served(7, 12) < 0.8,
-        "an empty list took servers away: {bound:?}"
+        unguarded.served(7, 12) < 0.8,
+        "an empty list took servers away: {unguarded:?}"
     );
 }
 
 /// What is served while the service lists old addresses, at least; without the guard it is less.
-const SERVED_DESPITE_OLD_LIST: f64 = 0.95;
+const MIN_SERVED_WITH_OLD_LIST: f64 = 0.95;
 
 /// The service goes back to a version of before six of eight servers moved.
 #[test]
@@ -240,31 +251,31 @@
         .collect();
     let faults = "[[fault]]\nat_s = 7\nwhat = \"discovery-tells\"\nhow = \"older\"\nfor_s = 8\n\
                   [[fault]]\nat_s = 8\nwhat = \"discovery-dead\"\nfor_s = 1\n";
-    let text = format!("seconds = 16\n{SERVING}{moved}{faults}");
-    let outcome = play_with(TOLD, &text, 7);
-    holds(&outcome);
-    let told = calls(&outcome, 9.0, 15.0);
+    let text = format!("seconds = 16\n{RUNNING_SITE}{moved}{faults}");
+    let outcome = run_with_operator_file(START_TABLE, &text, 7);
+    assert_rules_hold(&outcome);
+    let told = discovery_calls(&outcome, 9.0, 15.0);
     assert!(
         told.0 - told.1 >= 12,
         "limiters were told the older list: {told:?}"
     );
     let starts = Starts::from_outcome(&outcome);
     assert!(
-        starts.served(10, 15) > SERVED_DESPITE_OLD_LIST,
+        starts.served(10, 15) > MIN_SERVED_WITH_OLD_LIST,
         "{starts:?}"
     );
     // The guard taken out: without the table whole lists bind, and the same bound is missed.
-    let bound = Starts::from_outcome(&play(&text, 7));
+    let unguarded = Starts::from_outcome(&run_site(&text, 7));
     assert!(
-        bound.served(10, 15) < SERVED_DESPITE_OLD_LIST,
-        "old addresses came back: {bound:?}"
+        unguarded.served(10, 15) < MIN_SERVED_WITH_OLD_LIST,
+        "old addresses came back: {unguarded:?}"
     );
 }
 
 /// An operator file that keeps snapshots in this folder.
-fn keeping(folder: &Path) -> String {
+fn snapshot_operator_file(folder: &Path) -> String {
     format!(
-        "{TOLD}site = \"t\"\nsnapshot = \"{}/{{name}}\"\nready_within_s = 4\n",
+        "{START_TABLE}site = \"t\"\nsnapshot = \"{}/{{name}}\"\nready_within_s = 4\n",
         folder.display()
     )
 }
@@ -272,15 +283,15 @@
 /// Seven in ten die while the list service is dead: what they had is on their disks.
 #[test]
 fn limiters_that_come_back_while_the_list_service_is_dead_serve_from_their_snapshots() {
-    let site = SERVING.replace("servers = 8", "servers = 8\nknown = false");
+    let site = RUNNING_SITE.replace("servers = 8", "servers = 8\nknown = false");
     let faults = "[[fault]]\nat_s = 8\nwhat = \"discovery-dead\"\nfor_s = 12\n\
                   [[fault]]\nat_s = 9\nwhat = \"limiters-killed\"\nshare = 0.7\nback_s = 0.5\n";
     let text = format!("seconds = 18\n{site}{faults}");
     let folder = tempfile::tempdir().expect("a folder");
-    let outcome = play_with(&keeping(folder.path()), &text, 8);
-    holds(&outcome);
-    assert!(killed(&outcome) >= 14, "they were killed");
-    let (asked, failed) = calls(&outcome, 9.5, 18.0);
+    let outcome = run_with_operator_file(&snapshot_operator_file(folder.path()), &text, 8);
+    assert_rules_hold(&outcome);
+    assert!(killed_limiters(&outcome) >= 14, "they were killed");
+    let (asked, failed) = discovery_calls(&outcome, 9.5, 18.0);
     assert!(
         asked > 0 && asked == failed,
         "the service was dead: {asked}, {failed}"
@@ -288,8 +299,11 @@
     let starts = Starts::from_outcome(&outcome);
     assert!(starts.served(11, 18) > 0.95, "{starts:?}");
     // The guard taken out: without a disk those that come back know no server.
-    let without =
-        Starts::from_outcome(&play_with(&format!("{TOLD}ready_within_s = 1\n"), &text, 8));
+    let without = Starts::from_outcome(&run_with_operator_file(
+        &format!("{START_TABLE}ready_within_s = 1\n"),
+        &text,
+        8,
+    ));
     assert!(without.served(11, 18) < 0.7, "{without:?}");
 }
 
@@ -304,55 +318,55 @@
         .as_millis() as u64;
     let month = 30 * 86_400_000;
     let names: Vec<String> = (0..24).map(|number| format!("n{number}")).collect();
-    let good = |name: &str, site: &str, age: u64| {
-        let label = SnapshotHeader {
+    let valid_snapshot = |name: &str, site: &str, age: u64| {
+        let header = SnapshotHeader {
             owner: format!("{site}/{name}"),
             written_at: unix_time(now - age),
             revision: 9_999,
         };
-        encode(&label, b"[]")
+        encode(&header, b"[]")
     };
     for (number, name) in names.iter().enumerate() {
-        let own = folder.path().join(name);
-        let whole = good(name, "t", 0);
+        let limiter_folder = folder.path().join(name);
+        let whole = valid_snapshot(name, "t", 0);
         let file = match number % 8 {
             0 => whole[..whole.len() - 1].to_vec(),
-            1 => good(name, "another", 0),
-            2 => good(name, "t", month),
+            1 => valid_snapshot(name, "another", 0),
+            2 => valid_snapshot(name, "t", month),
             3 => b"\xff\x00 no snapshot".to_vec(),
             4 => {
-                std::fs::create_dir_all(&own).expect("made");
+                std::fs::create_dir_all(&limiter_folder).expect("made");
                 for file in ["list", "list.new"] {
-                    mkfifo(&own.join(file), Mode::S_IRWXU).expect("a pipe");
+                    mkfifo(&limiter_folder.join(file), Mode::S_IRWXU).expect("a pipe");
                 }
                 continue;
             }
             5 => {
-                std::fs::write(&own, "in the way").expect("written");
+                std::fs::write(&limiter_folder, "in the way").expect("written");
                 continue;
             }
             6 => {
-                std::fs::create_dir_all(own.join("list")).expect("made");
+                std::fs::create_dir_all(limiter_folder.join("list")).expect("made");
                 continue;
             }
             _ => continue,
         };
-        std::fs::create_dir_all(&own).expect("made");
-        std::fs::write(own.join("list"), file).expect("written");
+        std::fs::create_dir_all(&limiter_folder).expect("made");
+        std::fs::write(limiter_folder.join("list"), file).expect("written");
     }
-    let outcome = play_with(
-        &keeping(folder.path()),
-        &format!("seconds = 10\n{TOGETHER}"),
+    let outcome = run_with_operator_file(
+        &snapshot_operator_file(folder.path()),
+        &format!("seconds = 10\n{COLD_START}"),
         9,
     );
-    holds(&outcome);
+    assert_rules_hold(&outcome);
     let starts = Starts::from_outcome(&outcome);
     assert!(starts.ready[1].is_some_and(|last| last < 7.0), "{starts:?}");
     assert!(
         starts.listed[2].is_some_and(|last| last < 8.0),
         "a version of 9999 was not believed: {starts:?}"
     );
-    let kept = |name: &String| {
+    let stored_revision = |name: &String| {
         let bytes = std::fs::read(folder.path().join(name).join("list")).ok()?;
         decode(
             &bytes,
@@ -360,20 +374,20 @@
             unix_time(now),
             Duration::from_secs(3600),
         )
-        .map(|(label, _)| label.revision)
+        .map(|(header, _)| header.revision)
         .ok()
     };
     for (number, name) in names.iter().enumerate() {
         match number % 8 {
             0..=3 | 7 => assert!(
-                kept(name).is_some_and(|rev| rev < 9_999),
+                stored_revision(name).is_some_and(|rev| rev < 9_999),
                 "{name} was written anew"
             ),
             4 => {
                 assert!(std::fs::metadata(folder.path().join(name).join("list"))
                     .is_ok_and(|file| !file.is_file()));
             }
-            _ => assert!(kept(name).is_none(), "{name} cannot be written"),
+            _ => assert!(stored_revision(name).is_none(), "{name} cannot be written"),
         }
     }
 }
@@ -381,8 +395,8 @@
 /// Ready with the list, and without one when its time is over, not before.
 #[test]
 fn limiters_are_ready_with_a_list_or_when_their_time_is_over() {
-    let told = format!("{TOLD}ready_within_s = 9\n");
-    let outcome = play_with(&told, &format!("seconds = 8\n{TOGETHER}"), 10);
+    let told = format!("{START_TABLE}ready_within_s = 9\n");
+    let outcome = run_with_operator_file(&told, &format!("seconds = 8\n{COLD_START}"), 10);
     let mut listed = BTreeSet::new();
     for event in &outcome.events {
         match event.kind {
@@ -401,48 +415,57 @@
     }
     assert_eq!(listed.len(), 24);
     let dead = "[[fault]]\nat_s = 0\nwhat = \"discovery-dead\"\nfor_s = 7\n";
-    let outcome = play_with(
-        &format!("{TOLD}ready_within_s = 3\n"),
-        &format!("seconds = 7\n{TOGETHER}{dead}"),
+    let outcome = run_with_operator_file(
+        &format!("{START_TABLE}ready_within_s = 3\n"),
+        &format!("seconds = 7\n{COLD_START}{dead}"),
         11,
     );
-    let (asked, failed) = calls(&outcome, 0.0, 6.9);
+    let (asked, failed) = discovery_calls(&outcome, 0.0, 6.9);
     assert!(
         asked > 24 && asked == failed,
         "the service was dead: {asked}, {failed}"
     );
-    let ups = outcome
+    let ready_times = outcome
         .events
         .iter()
         .filter(|event| matches!(event.kind, EventKind::LimiterReady { .. }));
-    let ups: Vec<f64> = ups.map(|event| event.at as f64 / SECOND as f64).collect();
-    assert_eq!(ups.len(), 24);
-    assert!(ups.iter().all(|at| (2.9..6.0).contains(at)), "{ups:?}");
+    let ready_times: Vec<f64> = ready_times
+        .map(|event| event.at as f64 / SECOND as f64)
+        .collect();
+    assert_eq!(ready_times.len(), 24);
+    assert!(
+        ready_times.iter().all(|at| (2.9..6.0).contains(at)),
+        "{ready_times:?}"
+    );
 }
 
 #[test]
 fn a_start_whose_messages_are_lost_or_late_or_come_one_way_while_servers_are_replaced_and_one_is_bad_goes_as_well(
 ) {
-    let poor = |lost: f64, late: u32| {
+    let lossy = |loss: f64, delay_ms: u32| {
         format!(
-            "[[fault]]\nat_s = 0\nwhat = \"peers-poor\"\nshare = {lost:.1}\ndelay_ms = {late}\nfor_s = 14\n"
+            "[[fault]]\nat_s = 0\nwhat = \"peers-poor\"\nshare = {loss:.1}\ndelay_ms = {delay_ms}\nfor_s = 14\n"
         )
     };
     let group: Vec<usize> = (0..12).collect();
     let one_way = format!(
         "[[fault]]\nat_s = 0\nwhat = \"peers-split\"\ngroup = {group:?}\nway = \"out\"\nfor_s = 14\n"
     );
-    for trouble in [poor(1.0, 0), poor(0.0, 2000), one_way] {
+    for message_faults in [lossy(1.0, 0), lossy(0.0, 2000), one_way] {
         let faults = format!(
-            "{trouble}\
+            "{message_faults}\
              [[fault]]\nat_s = 2\nwhat = \"server-replaced\"\nserver = 2\n\
              [[fault]]\nat_s = 3\nwhat = \"server-replaced\"\nserver = 4\n\
              [[fault]]\nat_s = 0\nwhat = \"server-refuses\"\nserver = 6\nfor_s = 14\n"
         );
-        let outcome = play_with(TOLD, &format!("seconds = 14\n{TOGETHER}{faults}"), 12);
-        holds(&outcome);
-        assert_eq!(calls(&outcome, 0.0, 14.0).1, 0);
-        let begun = count(
+        let outcome = run_with_operator_file(
+            START_TABLE,
+            &format!("seconds = 14\n{COLD_START}{faults}"),
+            12,
+        );
+        assert_rules_hold(&outcome);
+        assert_eq!(discovery_calls(&outcome, 0.0, 14.0).1, 0);
+        let begun = count_events(
             &outcome,
             |kind| matches!(kind, EventKind::Fault { name } if name.contains("messages lost") || name.contains("split")),
         );
@@ -469,17 +492,17 @@
         .collect();
     let site =
         "[site]\nlimiters = 6\nservers = 8\nknown = false\nlist_indented = true\nnotice_ms = [1, 20]\n";
-    let outcome = play(
+    let outcome = run_site(
         &format!("seconds = 5\n{site}[load]\nrate = 60\nusage = 0.3\n{drains}"),
         9,
     );
-    holds(&outcome);
-    assert_eq!(listed(&outcome).len(), 6, "each was told");
+    assert_rules_hold(&outcome);
+    assert_eq!(list_times(&outcome).len(), 6, "each was told");
     assert!(
         Summary::from_outcome(&outcome).total.in_time * 10
             > Summary::from_outcome(&outcome).total.asked * 9
     );
-    let drained = count(&outcome, |kind| {
+    let drained = count_events(&outcome, |kind| {
         matches!(
             kind,
             EventKind::LimiterNotified {
@@ -494,12 +517,12 @@
 /// Half of the fleet starts from nothing while the other half serves.
 #[test]
 fn half_of_the_fleet_starts_while_the_other_half_serves() {
-    let site = SERVING.replace("servers = 8", "servers = 8\nknown = false\nlist_power = 6");
+    let site = RUNNING_SITE.replace("servers = 8", "servers = 8\nknown = false\nlist_power = 6");
     let fault = "[[fault]]\nat_s = 8\nwhat = \"limiters-killed\"\nshare = 0.5\nback_s = 1\n";
-    let outcome = play_with(TOLD, &format!("seconds = 16\n{site}{fault}"), 15);
-    holds(&outcome);
-    assert!(killed(&outcome) >= 10, "they were killed");
-    let (asked, failed) = calls(&outcome, 9.0, 16.0);
+    let outcome = run_with_operator_file(START_TABLE, &format!("seconds = 16\n{site}{fault}"), 15);
+    assert_rules_hold(&outcome);
+    assert!(killed_limiters(&outcome) >= 10, "they were killed");
+    let (asked, failed) = discovery_calls(&outcome, 9.0, 16.0);
     assert!(asked >= 10 && failed == 0, "{asked}, {failed}");
     let starts = Starts::from_outcome(&outcome);
     assert!(starts.served(9, 16) > 0.9, "{starts:?}");
@@ -508,10 +531,10 @@
 /// Its slot is the last of a round of 4 s; it hears that the others serve.
 #[test]
 fn one_that_comes_back_among_peers_that_serve_asks_soon() {
-    let site = SERVING.replace("servers = 8", "servers = 8\nknown = false\nlist_power = 6");
+    let site = RUNNING_SITE.replace("servers = 8", "servers = 8\nknown = false\nlist_power = 6");
     let fault = "[[fault]]\nat_s = 6\nwhat = \"limiter-killed\"\nlimiter = 7\nback_s = 0.5\n";
-    let outcome = play_with(TOLD, &format!("seconds = 12\n{site}{fault}"), 16);
-    holds(&outcome);
+    let outcome = run_with_operator_file(START_TABLE, &format!("seconds = 12\n{site}{fault}"), 16);
+    assert_rules_hold(&outcome);
     let down = |event: &&Event| matches!(event.kind, EventKind::LimiterStopped { limiter: 7, .. });
     let down = outcome.events.iter().find(down).expect("it was killed").at;
     let asked = |event: &&Event| {
@@ -533,9 +556,9 @@
 #[test]
 fn a_watch_that_was_quiet_and_breaks_is_taken_up_again_soon() {
     let fault = "[[fault]]\nat_s = 9\nwhat = \"discovery-dead\"\nfor_s = 0.2\n";
-    let outcome = play(&format!("seconds = 14\n{SERVING}{fault}"), 17);
-    holds(&outcome);
-    let told = who(&outcome, 9, 14, answered);
+    let outcome = run_site(&format!("seconds = 14\n{RUNNING_SITE}{fault}"), 17);
+    assert_rules_hold(&outcome);
+    let told = limiters_that(&outcome, 9, 14, served_discovery_caller);
     assert_eq!(told.len(), 24, "within 5 s {told:?} were told again");
 }
 
@@ -556,7 +579,7 @@
                   \"state\":\"ready\",\"capacity_hint\":null,\"boot_ms\":0.0}]";
     let written_at = unix_time(now - 3_600_000);
     for name in ["n0", "n1"] {
-        let label = SnapshotHeader {
+        let header = SnapshotHeader {
             owner: format!("t/{name}"),
             written_at,
             revision: 9_999,
@@ -564,14 +587,14 @@
         std::fs::create_dir_all(folder.path().join(name)).expect("made");
         std::fs::write(
             folder.path().join(name).join("list"),
-            encode(&label, target.as_bytes()),
+            encode(&header, target.as_bytes()),
         )
         .expect("written");
     }
-    let site = TOGETHER.replace("limiters = 24", "limiters = 2");
+    let site = COLD_START.replace("limiters = 24", "limiters = 2");
     let dead = "[[fault]]\nat_s = 0\nwhat = \"discovery-dead\"\nfor_s = 9\n";
-    let outcome = play_with(
-        &keeping(folder.path()),
+    let outcome = run_with_operator_file(
+        &snapshot_operator_file(folder.path()),
         &format!("seconds = 4\n{site}{dead}"),
         19,
     );
@@ -582,7 +605,7 @@
     );
     for name in ["n0", "n1"] {
         let bytes = std::fs::read(folder.path().join(name).join("list")).expect("there");
-        let (label, _) = decode(
+        let (header, _) = decode(
             &bytes,
             &format!("t/{name}"),
             unix_time(now),
@@ -590,7 +613,7 @@
         )
         .expect("whole");
         assert_eq!(
-            (label.written_at, label.revision),
+            (header.written_at, header.revision),
             (written_at, 9_999),
             "{name}"
         );
@@ -600,10 +623,10 @@
 #[test]
 fn one_limiter_and_two_start_without_waiting() {
     for limiters in [1, 2] {
-        let site = TOGETHER.replace("limiters = 24", &format!("limiters = {limiters}"));
-        let outcome = play_with("", &format!("seconds = 4\n{site}"), 13);
-        holds(&outcome);
-        let listed = listed(&outcome);
+        let site = COLD_START.replace("limiters = 24", &format!("limiters = {limiters}"));
+        let outcome = run_with_operator_file("", &format!("seconds = 4\n{site}"), 13);
+        assert_rules_hold(&outcome);
+        let listed = list_times(&outcome);
         assert!(
             listed.len() == limiters && listed.iter().all(|at| *at < 1.5),
             "{limiters}: {listed:?}"
@@ -614,15 +637,15 @@
 #[test]
 fn a_group_size_that_is_wrong_by_three_keeps_nobody_out() {
     for told in [8, 72] {
-        let site = TOGETHER.replace(
+        let site = COLD_START.replace(
             "limiters = 24",
             &format!("limiters = 24\ntold_limiters = {told}"),
         );
-        let outcome = play_with(TOLD, &format!("seconds = 20\n{site}"), 14);
-        holds(&outcome);
-        let listed = listed(&outcome);
+        let outcome = run_with_operator_file(START_TABLE, &format!("seconds = 20\n{site}"), 14);
+        assert_rules_hold(&outcome);
+        let listed = list_times(&outcome);
         assert!(listed.len() == 24, "{told}: {listed:?}");
-        let asked = calls(&outcome, 0.0, 20.0).0;
+        let asked = discovery_calls(&outcome, 0.0, 20.0).0;
         assert!(asked <= 24 * 3, "{told}: {asked} calls");
     }
 }
--- a/crates/emberpin-testbed/tests/takeover.rs
+++ b/crates/emberpin-testbed/tests/takeover.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::count;
+use common::count_events;
 use emberpin_testbed::invariants::Rule;
 use emberpin_testbed::process::Program;
 use emberpin_testbed::report::{violation_histories, Summary};
@@ -20,7 +20,7 @@
     [load]\nrate = 60\nwork = 2.0\nsubmit = 1.0\nusage = 0.2\nretries = 0\nimpatient = 0\nrepeat_keys = 1.0\n\
     repeat_after_ms = [500, 900]\nfront_notice_s = 0.05\n[rules]\nkeys_once = true\n";
 
-fn play(tables: &str, seed: u64, faults: &str) -> Outcome {
+fn run_site(tables: &str, seed: u64, faults: &str) -> Outcome {
     let text = format!(
         "name = \"t\"\nabout = \"Work in hand.\"\nseed = {seed}\nseconds = 5\n[site]\nlimiters = 5\nservers = 12\n\
          notice_ms = [1, 20]\nwarm_s = 1\n{LOAD}{faults}"
@@ -42,7 +42,7 @@
 }
 
 #[track_caller]
-fn holds(outcome: &Outcome) {
+fn assert_rules_hold(outcome: &Outcome) {
     let seed = outcome.scenario.seed;
     assert!(
         !outcome.verdict.has_violations(),
@@ -62,67 +62,72 @@
 struct LostWork {
     keys: usize,
     served: usize,
-    taken: usize,
+    takeover_attempts: usize,
 }
 
 fn lost_work(outcome: &Outcome) -> LostWork {
     let mut asked: BTreeMap<RequestId, (usize, u32, Micros)> = BTreeMap::new();
-    let mut open: BTreeMap<RequestId, (usize, u32)> = BTreeMap::new();
-    let mut lost: BTreeMap<u32, Micros> = BTreeMap::new();
-    let (mut again, mut served, mut begun) = (BTreeSet::new(), BTreeSet::new(), BTreeMap::new());
-    let mut found = LostWork::default();
+    let mut in_flight: BTreeMap<RequestId, (usize, u32)> = BTreeMap::new();
+    let mut lost_keys: BTreeMap<u32, Micros> = BTreeMap::new();
+    let (mut retried_keys, mut served, mut limiter_of_attempt) =
+        (BTreeSet::new(), BTreeSet::new(), BTreeMap::new());
+    let mut totals = LostWork::default();
     for event in &outcome.events {
         match event.kind {
             EventKind::RequestSent {
-                what,
+                request,
                 limiter,
                 key,
                 class: 1,
                 ..
             } => {
-                again.extend(lost.get(&key).map(|_| key));
-                asked.insert(what, (limiter, key, event.at));
-                open.insert(what, (limiter, key));
+                retried_keys.extend(lost_keys.get(&key).map(|_| key));
+                asked.insert(request, (limiter, key, event.at));
+                in_flight.insert(request, (limiter, key));
             }
-            EventKind::ResponseReceived { what, status, .. } => {
-                open.remove(&what);
-                if let (200, Some((_, key, at))) = (status, asked.get(&what)) {
-                    if lost.get(key).is_some_and(|lost| at > lost) {
+            EventKind::ResponseReceived {
+                request, status, ..
+            } => {
+                in_flight.remove(&request);
+                if let (200, Some((_, key, at))) = (status, asked.get(&request)) {
+                    if lost_keys.get(key).is_some_and(|lost_keys| at > lost_keys) {
                         served.insert(*key);
                     }
                 }
             }
-            EventKind::ConnectionLost { what, .. }
-            | EventKind::RequestTimedOut { what }
-            | EventKind::RequestCancelled { what } => {
-                _ = open.remove(&what);
+            EventKind::ConnectionLost { request, .. }
+            | EventKind::RequestTimedOut { request }
+            | EventKind::RequestCancelled { request } => {
+                _ = in_flight.remove(&request);
             }
             EventKind::LimiterStopped {
                 limiter,
                 end: ProcessEnd::Killed,
             } => {
-                lost.extend(
-                    open.values()
+                lost_keys.extend(
+                    in_flight
+                        .values()
                         .filter(|(at, _)| *at == limiter)
                         .map(|(_, key)| (*key, event.at)),
                 );
             }
             EventKind::AttemptStarted {
                 attempt, limiter, ..
-            } => _ = begun.insert(attempt, limiter),
+            } => _ = limiter_of_attempt.insert(attempt, limiter),
             EventKind::AttemptReceived {
                 attempt,
-                what: Some(what),
+                request: Some(request),
                 ..
             } => {
-                let to = asked.get(&what).map(|(limiter, ..)| *limiter);
-                found.taken += usize::from(to != begun.get(&attempt).copied());
+                let to = asked.get(&request).map(|(limiter, ..)| *limiter);
+                totals.takeover_attempts +=
+                    usize::from(to != limiter_of_attempt.get(&attempt).copied());
             }
             _ => {}
         }
     }
-    (found.keys, found.served) = (again.len(), served.len());
-    found
+    (totals.keys, totals.served) = (retried_keys.len(), served.len());
+    totals
 }
 
 /// One seed, and as many more as `TAKEOVER_SEEDS` says.
@@ -135,15 +140,15 @@
 }
 
 /// Limiters killed at these times, each back after 0.4 s.
-fn kills(times: &[(usize, f64)]) -> String {
-    let kill = |(limiter, at): &(usize, f64)| {
+fn kill_faults(times: &[(usize, f64)]) -> String {
+    let kill_fault = |(limiter, at): &(usize, f64)| {
         format!("[[fault]]\nat_s = {at}\nwhat = \"limiter-killed\"\nlimiter = {limiter}\nback_s = 0.4\n")
     };
-    times.iter().map(kill).collect()
+    times.iter().map(kill_fault).collect()
 }
 
-fn killed(outcome: &Outcome) -> usize {
-    count(outcome, |kind| {
+fn killed_limiters(outcome: &Outcome) -> usize {
+    count_events(outcome, |kind| {
         matches!(
             kind,
             EventKind::LimiterStopped {
@@ -154,14 +159,14 @@
     })
 }
 
-fn faults(outcome: &Outcome, of: &str) -> usize {
-    count(
+fn fault_count(outcome: &Outcome, of: &str) -> usize {
+    count_events(
         outcome,
         |kind| matches!(kind, EventKind::Fault { name } if name.contains(of) && !name.starts_with("over")),
     )
 }
 
-fn both() -> String {
+fn both_tables() -> String {
     format!("{KEYS}{TAKEOVER}")
 }
 
@@ -169,21 +174,21 @@
 /// it is not.
 #[test]
 fn what_killed_limiters_had_out_is_gone_on_with_once() {
-    let kills = kills(&[(0, 0.9), (1, 2.1), (2, 3.3)]);
+    let kill_faults = kill_faults(&[(0, 0.9), (1, 2.1), (2, 3.3)]);
     for seed in seeds(1) {
-        let with = play(&both(), seed, &kills);
-        holds(&with);
-        assert_eq!(killed(&with), 3, "seed {seed}");
-        let without = play(KEYS, seed, &kills);
-        holds(&without);
+        let with = run_site(&both_tables(), seed, &kill_faults);
+        assert_rules_hold(&with);
+        assert_eq!(killed_limiters(&with), 3, "seed {seed}");
+        let without = run_site(KEYS, seed, &kill_faults);
+        assert_rules_hold(&without);
         let (with, without) = (lost_work(&with), lost_work(&without));
         eprintln!("seed {seed}: with {with:?}, without {without:?}");
         assert!(
-            without.keys >= 3 && without.taken == 0,
+            without.keys >= 3 && without.takeover_attempts == 0,
             "there was work in hand: {without:?}"
         );
         assert!(
-            with.keys >= 3 && with.taken >= 3,
+            with.keys >= 3 && with.takeover_attempts >= 3,
             "others went on with it: {with:?}"
         );
         assert!(with.served * 10 >= with.keys * 6, "{with:?}");
@@ -195,13 +200,17 @@
 #[test]
 fn claimants_holders_and_those_that_take_over_are_killed_and_nothing_runs_twice() {
     let together = "[[fault]]\nat_s = 3.2\nwhat = \"limiters-killed\"\nshare = 0.4\nback_s = 0.4\n";
-    let one_after_the_other = kills(&[(0, 1.0), (1, 1.15), (2, 1.3), (3, 1.45), (4, 1.6)]);
+    let one_after_the_other = kill_faults(&[(0, 1.0), (1, 1.15), (2, 1.3), (3, 1.45), (4, 1.6)]);
     for seed in seeds(2) {
-        let outcome = play(&both(), seed, &format!("{one_after_the_other}{together}"));
-        holds(&outcome);
-        assert_eq!(killed(&outcome), 7, "seed {seed}");
+        let outcome = run_site(
+            &both_tables(),
+            seed,
+            &format!("{one_after_the_other}{together}"),
+        );
+        assert_rules_hold(&outcome);
+        assert_eq!(killed_limiters(&outcome), 7, "seed {seed}");
         assert!(
-            lost_work(&outcome).taken > 0,
+            lost_work(&outcome).takeover_attempts > 0,
             "seed {seed}: {:?}",
             lost_work(&outcome)
         );
@@ -216,16 +225,19 @@
             "[[fault]]\nat_s = {at}\nwhat = \"peers-split\"\ngroup = [0, 1]\nway = \"{way}\"\nfor_s = 1.2\n"
         )
     };
-    let kills = kills(&[(0, 1.0), (2, 1.2), (1, 3.0), (3, 3.2)]);
+    let kill_faults = kill_faults(&[(0, 1.0), (2, 1.2), (1, 3.0), (3, 3.2)]);
     for seed in seeds(3) {
-        let outcome = play(
-            &both(),
+        let outcome = run_site(
+            &both_tables(),
             seed,
-            &format!("{}{}{kills}", cut(0.8, "both"), cut(2.8, "out")),
+            &format!("{}{}{kill_faults}", cut(0.8, "both"), cut(2.8, "out")),
         );
-        holds(&outcome);
+        assert_rules_hold(&outcome);
         assert_eq!(
-            (killed(&outcome), faults(&outcome, "split from")),
+            (
+                killed_limiters(&outcome),
+                fault_count(&outcome, "split from")
+            ),
             (4, 2),
             "seed {seed}"
         );
@@ -239,8 +251,8 @@
         format!("[[fault]]\nat_s = {at}\nwhat = \"limiter-paused\"\nlimiter = {limiter}\nfor_s = {length}\n")
     };
     for seed in seeds(4) {
-        let outcome = play(
-            &both(),
+        let outcome = run_site(
+            &both_tables(),
             seed,
             &format!("{}{}", pause(0, 1.0, 0.8), pause(3, 2.5, 1.6)),
         );
@@ -254,17 +266,17 @@
             0,
             "seed {seed}"
         );
-        let still = (
-            faults(&outcome, "paused for"),
-            faults(&outcome, "does not stand still"),
+        let pauses = (
+            fault_count(&outcome, "paused for"),
+            fault_count(&outcome, "does not stand still"),
         );
-        assert_eq!(still, (2, 0), "seed {seed}");
-        assert_eq!(lost_work(&outcome).taken, 0, "seed {seed}");
+        assert_eq!(pauses, (2, 0), "seed {seed}");
+        assert_eq!(lost_work(&outcome).takeover_attempts, 0, "seed {seed}");
     }
 }
 
 /// A limiter stands still when it meets a point of its code for the Nth time, and is killed there or woken.
-fn stops(limiter: usize, point: &str, length: f64, killed: bool) -> String {
+fn stop_fault(limiter: usize, point: &str, length: f64, killed: bool) -> String {
     let back = if killed { "back_s = 0.4\n" } else { "" };
     format!(
         "[[fault]]\nat_s = 0\nwhat = \"limiter-stops\"\nlimiter = {limiter}\npoint = \"{point}\"\nfor_s = {length}\n{back}"
@@ -284,13 +296,13 @@
             let faults: String = points
                 .iter()
                 .enumerate()
-                .map(|(limiter, point)| stops(limiter, point, 0.01, true))
+                .map(|(limiter, point)| stop_fault(limiter, point, 0.01, true))
                 .collect();
-            let outcome = play(&both(), seed, &faults);
-            holds(&outcome);
-            let stood = stood_still(&outcome);
+            let outcome = run_site(&both_tables(), seed, &faults);
+            assert_rules_hold(&outcome);
+            let stood = stopped_limiters(&outcome);
             assert_eq!(
-                (stood.len(), killed(&outcome)),
+                (stood.len(), killed_limiters(&outcome)),
                 (3, 3),
                 "seed {seed}, {points:?}: {stood:?}"
             );
@@ -304,16 +316,16 @@
     for seed in seeds(6) {
         for point in ["taken:1", "taken-answer:1"] {
             let stop: String = (1..5)
-                .map(|limiter| stops(limiter, point, 0.02, true))
+                .map(|limiter| stop_fault(limiter, point, 0.02, true))
                 .collect();
-            let outcome = play(
-                &both(),
+            let outcome = run_site(
+                &both_tables(),
                 seed,
-                &format!("{}{stop}", kills(&[(0, 1.2), (1, 2.8)])),
+                &format!("{}{stop}", kill_faults(&[(0, 1.2), (1, 2.8)])),
             );
-            holds(&outcome);
+            assert_rules_hold(&outcome);
             assert!(
-                !stood_still(&outcome).is_empty(),
+                !stopped_limiters(&outcome).is_empty(),
                 "seed {seed}: one was killed at {point}"
             );
         }
@@ -325,11 +337,11 @@
 fn a_claimant_that_stands_still_in_the_gap_and_wakes_lets_nothing_run_twice() {
     for seed in seeds(7) {
         let stop = [
-            stops(0, "gone:8", 0.4, false),
-            stops(1, "gone:10", 2.0, false),
-            stops(2, "going:6", 1.0, false),
+            stop_fault(0, "gone:8", 0.4, false),
+            stop_fault(1, "gone:10", 2.0, false),
+            stop_fault(2, "going:6", 1.0, false),
         ];
-        let outcome = play(&both(), seed, &stop.concat());
+        let outcome = run_site(&both_tables(), seed, &stop.concat());
         assert_eq!(
             Summary::from_outcome(&outcome).repeated_effects,
             0,
@@ -341,10 +353,10 @@
             "seed {seed}"
         );
         assert_eq!(
-            stood_still(&outcome).len(),
+            stopped_limiters(&outcome).len(),
             3,
             "seed {seed}: {:?}",
-            stood_still(&outcome)
+            stopped_limiters(&outcome)
         );
     }
 }
@@ -357,17 +369,21 @@
             let lies = format!(
                 "[[fault]]\nat_s = 0\nwhat = \"disk-lies\"\nlimiter = 1\nlie = \"{lie}\"\n"
             );
-            let kills = kills(&[(1, 1.2), (2, 2.2), (1, 3.2)]);
-            let outcome = play(&both(), seed, &format!("{lies}{kills}"));
-            holds(&outcome);
-            let lied = faults(&outcome, &format!("lies: {lie}"));
-            assert_eq!((lied, killed(&outcome)), (1, 3), "seed {seed}, {lie}");
+            let kill_faults = kill_faults(&[(1, 1.2), (2, 2.2), (1, 3.2)]);
+            let outcome = run_site(&both_tables(), seed, &format!("{lies}{kill_faults}"));
+            assert_rules_hold(&outcome);
+            let lied = fault_count(&outcome, &format!("lies: {lie}"));
+            assert_eq!(
+                (lied, killed_limiters(&outcome)),
+                (1, 3),
+                "seed {seed}, {lie}"
+            );
         }
     }
 }
 
 /// The limiters that stood still at a point.
-fn stood_still(outcome: &Outcome) -> Vec<&str> {
+fn stopped_limiters(outcome: &Outcome) -> Vec<&str> {
     let named = outcome.events.iter().filter_map(|event| match &event.kind {
         EventKind::Fault { name } => Some(name.as_str()),
         _ => None,
