--- a/crates/emberpin-testbed/src/error.rs
+++ b/crates/emberpin-testbed/src/error.rs
@@ -115,7 +115,7 @@
         source: io::Error,
     },
     /// The command that initialises the limiter's log failed.
-    #[error("limiter {number}: its log is not begun: {output}")]
+    #[error("limiter {number}: cannot initialise its log: {output}")]
     LogInit {
         /// The limiter's number.
         number: usize,
--- a/crates/emberpin-testbed/src/invariants.rs
+++ b/crates/emberpin-testbed/src/invariants.rs
@@ -913,8 +913,9 @@
             let part = at.saturating_sub(self.up) as f64 / self.warm_after as f64;
             self.cold_from + (1.0 - self.cold_from) * part.min(1.0)
         };
-        // It rises evenly, so the mean of both ends is the mean over the time. Before its start it could do
-        // nothing, but a budget that a server never had cannot be overspent: the whole window counts.
+        // The capacity rises linearly, so the mean of both ends is the mean over the period. A window that begins
+        // before the server's start counts at its full length, with the capacity share at the start.
+@@
         let mean = (share(from.max(self.up)) + share(to)) / 2.0;
         mean * self.capacity * (to - from) as f64 / 1000.0
     }
--- a/crates/emberpin-testbed/src/report.rs
+++ b/crates/emberpin-testbed/src/report.rs
@@ -506,7 +506,7 @@
     use super::*;
 
     #[test]
-    fn a_percentile_is_a_value_that_was_seen() {
+    fn a_percentile_is_one_of_the_values() {
         let values: Vec<f64> = (1..=100).map(f64::from).collect();
         assert_eq!(
             (percentile(&values, 0.5), percentile(&values, 0.99)),
@@ -521,7 +521,7 @@
 
     /// A piece of work that is rejected once and then served is in time or late as counted from its first request.
     #[test]
-    fn a_retry_belongs_to_its_first_try() {
+    fn a_retry_counts_from_the_first_request() {
         let asked = |number, at| Event {
             at,
             kind: EventKind::RequestSent {
--- a/crates/emberpin-testbed/src/resources.rs
+++ b/crates/emberpin-testbed/src/resources.rs
@@ -99,7 +99,7 @@
     use super::*;
 
     #[test]
-    fn what_is_not_there_is_refused_with_its_figure() {
+    fn missing_resources_are_reported_with_the_needed_amount() {
         let needs = ResourceNeeds {
             descriptors: u64::MAX / 2,
             memory_mib: 1,
--- a/crates/emberpin-testbed/src/schedule.rs
+++ b/crates/emberpin-testbed/src/schedule.rs
@@ -355,7 +355,7 @@
     }
 
     #[test]
-    fn demand_is_as_the_scenario_says() {
+    fn the_demand_matches_the_scenario() {
         let drawn = Schedule::draw(&scenario("[load]\nrate = 200\n"));
         assert!(
             (3600..4400).contains(&drawn.arrivals.len()),
@@ -380,7 +380,7 @@
     }
 
     #[test]
-    fn a_rush_multiplies_what_is_asked_while_it_lasts() {
+    fn a_load_spike_multiplies_the_arrivals_while_it_lasts() {
         let text =
             "[load]\nrate = 100\n[[fault]]\nat_s = 5\nwhat = \"rush\"\ntimes = 3\nfor_s = 10\n";
         let drawn = Schedule::draw(&scenario(text));
@@ -394,7 +394,7 @@
     }
 
     #[test]
-    fn a_hammering_firm_asks_a_multiple_of_its_quota_and_does_not_wait() {
+    fn a_flooding_customer_uses_a_multiple_of_its_quota() {
         let text =
             "[load]\nrate = 20\n[[fault]]\nat_s = 0\nwhat = \"firm-hammers\"\nplan = \"mellan\"\ntimes = 20\nfor_s = 20\n";
         let drawn = Schedule::draw(&scenario(text));
@@ -409,7 +409,7 @@
     }
 
     #[test]
-    fn repeats_carry_the_key_of_their_first() {
+    fn repeats_have_the_key_of_the_original() {
         let drawn = Schedule::draw(&scenario("[load]\nrepeat_keys = 0.5\n"));
         let mut keys: Vec<u32> = drawn.arrivals.iter().map(|a| a.key).collect();
         keys.sort_unstable();
--- a/crates/emberpin-testbed/src/shared_capacity.rs
+++ b/crates/emberpin-testbed/src/shared_capacity.rs
@@ -125,7 +125,7 @@
     use super::*;
 
     #[test]
-    fn calls_that_wait_share_the_power_and_none_of_it_is_lost() {
+    fn pending_calls_share_the_capacity_without_loss() {
         let (mut pending, mut ends) = (Vec::new(), Vec::new());
         for remaining_work in [1.0, 1.0, 0.25] {
             let (done, outcome) = oneshot::channel();
--- a/crates/emberpin-testbed/src/start_summary.rs
+++ b/crates/emberpin-testbed/src/start_summary.rs
@@ -257,7 +257,7 @@
     use super::*;
 
     #[test]
-    fn the_most_within_a_span_counts_neither_of_two_that_lie_apart_by_it() {
+    fn the_maximum_within_a_span_excludes_its_end() {
         assert_eq!(most_within(&[0, 10, 99, 100, 250], 100), 3);
         assert_eq!(most_within(&[], 100), 0);
     }
--- a/crates/emberpin-testbed/tests/catches.rs
+++ b/crates/emberpin-testbed/tests/catches.rs
@@ -1,5 +1,5 @@
-//! The referee between real sockets: every limiter made wrong on purpose is caught, by the rule that it breaks
-//! and no other; the same limiter doing nothing wrong, and the real one, are not.
+//! The invariant checker on real sockets: it finds each deliberate defect of the test limiter under the rule that the
+//! defect violates and no other, and finds nothing for the same limiter without a defect and for the real one.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 #[path = "common/site_slots.rs"]
@@ -14,7 +14,7 @@
 use site_slots::SiteSlot;
 use std::path::PathBuf;
 
-/// A small site with time to spare, so that nothing here depends on how fast the machine is.
+/// A small site with ample time, so that the results do not depend on the speed of the machine.
 const SITE: &str = "\
     name = \"t\"\nabout = \"A test's own site.\"\nseed = SEED\nseconds = 1.5\n\
     [site]\nlimiters = 1\nservers = 3\nnotice_ms = [1, 5]\nerror_rate = 0.0\nwarm_s = 20\ncold_from = 0.1\n\
@@ -38,7 +38,7 @@
     }
 }
 
-/// Plays a scenario once it is its turn.
+/// Runs a scenario once a site slot is free.
 fn run_in_slot(scenario: &Scenario, program: &Program) -> Result<Outcome, SiteError> {
     let _slot = SiteSlot::acquire();
     run(scenario, program, |_| ())
@@ -50,7 +50,7 @@
     let outcome = run_in_slot(&scenario, program).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
     assert!(
         outcome.events.len() > 300,
-        "something was played: {} events",
+        "the run has events: {} events",
         outcome.events.len()
     );
     outcome
@@ -66,7 +66,7 @@
         .collect()
 }
 
-/// Each wrong is caught with several seeds, and breaks one rule.
+/// Asserts that a defect is found with several seeds, under one rule and with `how` in the message.
 #[track_caller]
 fn assert_caught(name: &str, faults: &str, rule: Rule, how: &str) {
     for seed in 1..=3 {
@@ -78,7 +78,7 @@
             "{name}, seed {seed}:{}",
             violation_histories(verdict)
         );
-        let first = verdict.finding(rule).first.as_ref().expect("a break");
+        let first = verdict.finding(rule).first.as_ref().expect("a violation");
         assert!(
             first.message.contains(how),
             "{name}, seed {seed}: {}",
@@ -86,7 +86,7 @@
         );
         assert!(!first.history.is_empty());
     }
-    // The same site and faults with a limiter that does nothing wrong.
+    // The same site and faults with a limiter without a defect.
     let outcome = run_site(&defective_limiter("nothing"), 1, faults);
     assert_eq!(
         violated_rules(&outcome),
@@ -106,7 +106,7 @@
 const RESETS: &str = "[[fault]]\nat_s = 0.2\nwhat = \"server-spoils\"\nserver = 0\nhow = \"reset\"\nshare = 0.6\nfor_s = 1.2\n";
 
 #[test]
-fn a_keyed_request_sent_again_in_another_hall_is_caught() {
+fn a_keyed_request_resent_to_another_zone_is_caught() {
     assert_caught(
         "resends-across-halls",
         RESETS,
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_refusal_of_what_may_have_run_is_caught() {
+fn a_rejection_of_a_request_that_may_have_run_is_caught() {
     assert_caught(
         "refuses-what-ran",
         RESETS,
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_second_attempt_beside_the_first_is_caught() {
+fn overlapping_attempts_are_caught() {
     assert_caught("sends-twice", "", Rule::Effects, "while the first was out");
 }
 
@@ -136,28 +136,28 @@
 }
 
 #[test]
-fn sending_to_a_drained_server_is_caught() {
+fn sending_to_a_draining_server_is_caught() {
     let drain = "[[fault]]\nat_s = 0.2\nwhat = \"server-drained\"\nserver = 1\nfor_s = 5\n";
     assert_caught("keeps-drained", drain, Rule::Drains, "sent to server 1");
 }
 
 #[test]
-fn two_answers_to_one_request_are_caught() {
+fn two_responses_to_one_request_are_caught() {
     assert_caught("answers-twice", "", Rule::Answers, "owed no answer");
 }
 
 #[test]
-fn an_answer_that_no_server_made_is_caught() {
+fn an_invented_response_is_caught() {
     assert_caught("makes-answers-up", "", Rule::Answers, "no server made");
 }
 
 #[test]
-fn an_answer_after_the_clients_time_is_caught() {
+fn a_response_after_the_clients_time_limit_is_caught() {
     assert_caught("answers-late", "", Rule::Answers, "");
 }
 
 #[test]
-fn what_a_restart_loses_is_caught() {
+fn requests_lost_at_a_restart_are_caught() {
     let restart =
         "[[fault]]\nat_s = 0.7\nwhat = \"limiter-restarted\"\nlimiter = 0\n[[fault]]\nat_s = 0.3\n\
                    what = \"server-stalled\"\nserver = 0\nfor_s = 1.0\n";
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn pushing_a_cold_server_over_is_caught() {
+fn overloading_a_cold_server_is_caught() {
     let replaced =
         "[[fault]]\nat_s = 0.0\nwhat = \"server-replaced\"\nserver = 2\n[[fault]]\nat_s = 0.0\n\
                     what = \"rush\"\ntimes = 6\nfor_s = 9\n";
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn passing_a_ceiling_is_caught() {
+fn exceeding_a_ceiling_is_caught() {
     let flood =
         "[[fault]]\nat_s = 0.1\nwhat = \"firm-hammers\"\nplan = \"mellan\"\ntimes = 12\nfor_s = 1.4\n";
     for seed in 1..=3 {
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_limiter_that_does_not_start_is_one_clear_error() {
+fn a_limiter_that_does_not_start_ends_the_run_with_an_error() {
     let scenario = Scenario::parse("test", &SITE.replace("SEED", "1")).expect("sound");
     let missing_program = Program {
         path: PathBuf::from("/nonexistent/limiter"),
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn a_limiter_that_does_not_start_again_ends_the_run_with_one_clear_error() {
+fn a_limiter_that_does_not_restart_ends_the_run_with_an_error() {
     let killed = "[[fault]]\nat_s = 0.2\nwhat = \"limiter-killed\"\nlimiter = 0\nback_s = 0.1\n";
     let text = format!("{}{killed}", SITE.replace("SEED", "1"));
     let scenario = Scenario::parse("test", &text).expect("sound");
--- a/crates/emberpin-testbed/tests/common/mod.rs
+++ b/crates/emberpin-testbed/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Playing a site of processes, and counting what was seen.
+//! Runs sites of limiter processes, and counts events in their traces.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 mod site_slots;
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ffi::OsString;
 
-/// Limiters with this operator file, if any, and perhaps with links.
+/// Runs a scenario with limiters that have this operator file, if it is not empty, and links if asked for.
 pub fn run_site_with(operator: &str, links: bool, text: &str, seed: u64) -> Outcome {
     let head = format!("name = \"t\"\nabout = \"A test's own site.\"\nseed = {seed}\n");
     let scenario = Scenario::parse("test", &format!("{head}{text}")).expect("sound");
@@ -42,7 +42,7 @@
     run_with_operator_file("", text, seed)
 }
 
-/// How many limiters were killed.
+/// Number of kills of limiters.
 pub fn killed_limiters(outcome: &Outcome) -> usize {
     count_events(outcome, |kind| {
         matches!(
@@ -55,7 +55,7 @@
     })
 }
 
-/// When each limiter first held the list, in seconds, in order.
+/// When each limiter first got the endpoint list, in seconds, in order.
 pub fn list_times(outcome: &Outcome) -> Vec<f64> {
     let mut first = BTreeMap::new();
     for event in &outcome.events {
@@ -74,7 +74,7 @@
     times
 }
 
-/// Calls of the list service between two times in seconds, and those that failed.
+/// Calls to the discovery service between two times in seconds, and calls that failed in that period.
 pub fn discovery_calls(outcome: &Outcome, from: f64, to: f64) -> (usize, usize) {
     let within = |event: &&Event| (from..to).contains(&(event.at as f64 / SECOND as f64));
     let count = |of: fn(&EventKind) -> bool| {
@@ -117,7 +117,7 @@
     );
 }
 
-/// When limiters called after a time, in seconds, in order.
+/// Times of the calls to the discovery service after a time, in seconds, in order.
 pub fn call_times_after(outcome: &Outcome, from: f64) -> Vec<f64> {
     let times = outcome
         .events
@@ -129,7 +129,7 @@
         .collect()
 }
 
-/// Which limiters did something between two times in seconds.
+/// The limiters, or other numbers, that `of` finds in the events between two times in seconds.
 pub fn limiters_that(
     outcome: &Outcome,
     from: u64,
@@ -143,7 +143,7 @@
     within.filter_map(|event| of(&event.kind)).collect()
 }
 
-/// One that called the list service.
+/// The limiter that called the discovery service in this event.
 pub fn discovery_caller(kind: &EventKind) -> Option<usize> {
     match kind {
         EventKind::DiscoveryCalled { limiter } => Some(*limiter),
@@ -151,7 +151,7 @@
     }
 }
 
-/// One that the list service answered.
+/// The limiter whose call the discovery service answered in this event.
 pub fn served_discovery_caller(kind: &EventKind) -> Option<usize> {
     match kind {
         EventKind::DiscoveryCallEnded {
--- a/crates/emberpin-testbed/tests/common/site_slots.rs
+++ b/crates/emberpin-testbed/tests/common/site_slots.rs
@@ -1,21 +1,21 @@
-//! Turns: how many sites the tests of one file play at the same time.
+//! Limits how many sites the tests of one file run at the same time.
 //!
-//! Each site is several processes in real time. With all tests of a file at once they starve each other: a load that is
-//! not offered passes no ceiling, and a cold server that gets no turn says nothing of itself.
+//! Each site is several processes in real time. If all tests of a file ran at once, they would starve each other: a load
+//! that is not sent exceeds no ceiling, and a cold server without processor time sends no load report.
 
 use std::sync::{Condvar, Mutex, PoisonError};
 
-/// Sites that are played at the same time.
+/// Maximum number of sites that run at the same time.
 const MAX_CONCURRENT_SITES: usize = 4;
 
 static RUNNING_SITES: Mutex<usize> = Mutex::new(0);
 static SLOT_FREED: Condvar = Condvar::new();
 
-/// The right to play one of [`MAX_CONCURRENT_SITES`], given back when it is dropped.
+/// The right to run one of [`MAX_CONCURRENT_SITES`] sites, released when dropped.
 pub struct SiteSlot;
 
 impl SiteSlot {
-    /// Waits until one is free.
+    /// Waits until a slot is free.
     pub fn acquire() -> SiteSlot {
         let running = RUNNING_SITES.lock().unwrap_or_else(PoisonError::into_inner);
         let all_taken = |running: &mut usize| *running >= MAX_CONCURRENT_SITES;
--- a/crates/emberpin-testbed/tests/idempotency.rs
+++ b/crates/emberpin-testbed/tests/idempotency.rs
@@ -1,4 +1,4 @@
-//! Keys repeated over real sockets, judged by the referee: second runs are counted at the stand-in servers.
+//! Repeated idempotency keys over real sockets; the stand-in servers count repeated effects of a key.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_testbed::invariants::Rule;
@@ -9,7 +9,7 @@
 use emberpin_testbed::trace::{EventKind, ProcessEnd, SECOND};
 use std::path::PathBuf;
 
-/// Half of all keyed work is asked again up to 2.5 s later, a second beyond what any hall remembers.
+/// Half of all keyed work is repeated up to 2.5 s later, one second beyond the deduplication window of the servers.
 const LOAD: &str = "\
     [load]\nrate = 120\nwork = 0.2\nsubmit = 0.6\nusage = 0.3\nrepeat_keys = 0.5\nrepeat_after_ms = [0, 2500]\n\
     front_notice_s = 0.2\n[rules]\nkeys_once = true\n";
@@ -25,7 +25,7 @@
 /// The real limiter with this operator file, or without one.
 struct LimiterProgram {
     file: Option<PathBuf>,
-    /// Each has a log, and they have links.
+    /// Whether each limiter has a log, and links connect them.
     logs_and_links: bool,
 }
 
@@ -77,9 +77,9 @@
     );
 }
 
-/// What the other tests show means nothing unless this load signs twice where nothing is recognised.
+/// Checks the load itself: without idempotency it must repeat effects, or the other tests would show nothing.
 #[test]
-fn without_the_stage_this_load_signs_twice() {
+fn without_idempotency_the_load_repeats_effects() {
     let outcome = LimiterProgram {
         file: None,
         logs_and_links: false,
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn with_it_no_key_is_signed_twice_and_repeats_are_served() {
+fn idempotency_prevents_repeated_effects_and_serves_repeats() {
     let limiters = LimiterProgram::with_table("one", "retention_s = 20\nquiet_s = 0");
     for seed in 1..=2 {
         let outcome = limiters.run_site(&scenario(1, seed, ""));
@@ -104,7 +104,7 @@
             submits.in_time * 10 > submits.asked * 9,
             "seed {seed}: {submits:?}"
         );
-        // A repeat is answered by the stage: there are far fewer attempts than pieces of work.
+        // Repeats are answered by the idempotency stage, so that there are fewer attempts than pieces of work.
         assert!(
             summary.attempts * 10 < summary.total.asked * 9,
             "seed {seed}: {}",
@@ -113,10 +113,10 @@
     }
 }
 
-/// Firms move all their traffic between limiters in the middle of their bursts, while the limiters hear nothing of
-/// each other: the old place and the new are both alive.
+/// Customers move all their traffic between limiters in the middle of their bursts, while one limiter is cut off from the
+/// others: the old and the new limiter of a customer are both running.
 #[test]
-fn firms_that_hop_between_limiters_sign_nothing_twice() {
+fn customers_that_move_between_limiters_cause_no_repeated_effects() {
     let moves: String = (1..8)
         .map(|n| {
             format!(
@@ -139,15 +139,15 @@
     }
 }
 
-/// Killed at any moment, it comes back knowing nothing and takes no new keyed work until every repeat that it could
-/// get wrong is past its time: here the whole retention.
+/// A limiter that is killed restarts without memory, and accepts no new keyed work until every repeat that it could
+/// handle wrongly has expired: here after the whole retention period.
 #[test]
-fn a_limiter_that_is_killed_and_forgets_signs_nothing_twice() {
+fn a_limiter_restarted_without_memory_causes_no_repeated_effects() {
     let kills = "[[fault]]\nat_s = 0.8\nwhat = \"limiter-killed\"\nlimiter = 0\nback_s = 0.1\n[[fault]]\nat_s = 1.9\n\
                  what = \"limiter-killed\"\nlimiter = 1\nback_s = 0.1\n";
     let limiters = LimiterProgram::with_table("kills", "retention_s = 3\nquiet_s = 3");
     for seed in 1..=2 {
-        // The quiet time after the very first start is over only at 3 s: longer than the others.
+        // The quiet period after the first start ends only at 3 s, so that this run is longer than the others.
         let mut scenario = scenario(
             2,
             seed,
@@ -183,14 +183,14 @@
             });
         assert!(
             served.count() > 10,
-            "keyed work was going on when they were killed"
+            "keyed work was running before they were killed"
         );
     }
 }
 
-/// With logs and links: killed, restarted, split and hopped away from, they sign nothing twice and serve nearly all.
+/// With logs and links, limiters that are killed, split and left by their customers repeat no effect and serve most work.
 #[test]
-fn limiters_that_remember_and_talk_serve_through_kills_hops_and_a_split() {
+fn limiters_with_logs_and_links_serve_through_kills_moves_and_a_split() {
     let faults = "[[fault]]\nat_s = 0.8\nwhat = \"limiter-killed\"\nlimiter = 0\nback_s = 0.3\n\
                   [[fault]]\nat_s = 1.6\nwhat = \"firms-hop\"\nshare = 1.0\n\
                   [[fault]]\nat_s = 2.0\nwhat = \"peers-split\"\ngroup = [1]\nfor_s = 0.8\n\
--- a/crates/emberpin-testbed/tests/referee.rs
+++ b/crates/emberpin-testbed/tests/referee.rs
@@ -1,4 +1,4 @@
-//! The referee on faked traces: for each rule one that breaks it just so, and one that just keeps it.
+//! The invariant checker on synthetic traces: for each rule, traces just outside and just inside its limits.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_testbed::figures::{
@@ -18,7 +18,7 @@
     check_repeated_effects_per_key: false,
 };
 
-/// A trace written by hand; servers 0 to 5 run as lives 0 to 5, in halls 0, 1, 2, 0, 1, 2.
+/// Builds a trace; servers 0 to 5 run as incarnations 0 to 5, in zones 0, 1, 2, 0, 1, 2.
 #[derive(Clone)]
 struct TraceBuilder(Vec<Event>);
 
@@ -167,7 +167,7 @@
         assert!(verdict.has_no_findings(), "{verdict:#?}");
     }
 
-    /// Breaks this rule and no other; the story tells of it.
+    /// Asserts that the trace violates this rule and no other, with `text` in the message.
     #[track_caller]
     fn assert_violation(&self, rule: Rule, text: &str) {
         let verdict = self.check();
@@ -178,13 +178,13 @@
             .map(|finding| finding.rule)
             .collect();
         assert_eq!(broken, [rule], "{verdict:#?}");
-        let first = verdict.finding(rule).first.as_ref().expect("a break");
+        let first = verdict.finding(rule).first.as_ref().expect("a violation");
         assert!(first.message.contains(text), "{}", first.message);
     }
 }
 
 #[test]
-fn an_answer_is_in_time_to_the_microsecond_and_not_one_later() {
+fn a_response_one_microsecond_after_the_time_limit_is_a_violation() {
     for (late, allowed) in [(0, true), (1, false)] {
         let mut trace = TraceBuilder::new();
         trace.request_sent(SECOND, 0, SAFE);
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn a_request_that_is_never_answered_is_lost_unless_its_limiter_was_killed_or_its_client_left() {
+fn an_unanswered_request_is_a_violation_unless_its_limiter_was_killed_or_its_client_cancelled() {
     let mut trace = TraceBuilder::new();
     trace.request_sent(SECOND, 0, KEYED);
     trace.add(
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_connection_that_ends_unanswered_loses_its_request() {
+fn a_connection_that_ends_without_a_response_is_a_violation_unless_the_limiter_was_killed() {
     let mut trace = TraceBuilder::new();
     trace.request_sent(SECOND, 0, SAFE);
     trace.add(
@@ -257,7 +257,7 @@
         },
     );
     trace.assert_violation(Rule::Answers, "ended with no answer");
-    // SIGTERM is no excuse, and neither is SIGKILL after its time.
+    // SIGTERM excuses no lost request, nor does SIGKILL after the shutdown time-out.
     for how in [ProcessEnd::Left, ProcessEnd::Overdue, ProcessEnd::Crashed] {
         let mut cancelled = trace.clone();
         cancelled.add(
@@ -283,9 +283,10 @@
     killed.assert_no_findings();
 }
 
-/// A process that was just sent SIGKILL has its sockets open for a moment; its next life has no such excuse.
+/// The sockets of a killed process stay open for a moment: a request sent then is left to the client. The next
+/// incarnation has no such excuse.
 #[test]
-fn a_request_written_to_a_dying_limiter_is_the_clients_and_one_to_its_next_life_is_not() {
+fn a_lost_request_is_excused_just_after_a_kill_but_not_at_the_next_incarnation() {
     let mut trace = TraceBuilder::new();
     trace.add(
         SECOND,
@@ -324,10 +325,10 @@
     later.assert_violation(Rule::Answers, "ended with no answer");
 }
 
-/// The limiter may close an idle connection as a request comes; the client sends it once more. That excuses
-/// nothing that the limiter had read.
+/// A limiter may close an idle connection just as a request arrives, and the client sends it once more. This excuses
+/// no request that the limiter had read.
 #[test]
-fn a_request_that_crosses_the_end_of_an_idle_connection_is_not_lost_unless_it_was_read() {
+fn a_request_that_crosses_the_close_of_an_idle_connection_is_excused_unless_it_was_read() {
     let mut trace = TraceBuilder::new();
     trace.request_sent_on(SECOND, 0, KEYED, true);
     trace.add(
@@ -348,7 +349,8 @@
         SECOND + 400_010,
         AttemptEnd::Declined,
     );
-    // After its answer, even: but not before the connection ended, so nobody had read it then.
+    // The attempt starts after the final response. It did not start before the connection ended, so the first
+    // request had not been read.
     assert_eq!(
         trace
             .check()
@@ -363,7 +365,7 @@
 }
 
 #[test]
-fn one_answer_and_no_more_and_one_that_a_server_made() {
+fn second_unsolicited_and_invented_responses_are_violations() {
     let mut twice = TraceBuilder::new();
     twice.request_sent(SECOND, 0, SAFE);
     twice.response_received(SECOND + 10, 0, 200);
@@ -395,7 +397,7 @@
 }
 
 #[test]
-fn nothing_goes_out_after_the_final_answer() {
+fn an_attempt_after_the_final_response_is_a_violation() {
     for (late, allowed) in [(0, true), (1, false)] {
         let mut trace = TraceBuilder::new();
         trace.request_sent(SECOND, 0, SAFE);
@@ -410,7 +412,7 @@
 }
 
 #[test]
-fn a_limiter_that_ends_unasked_or_does_not_leave_breaks_the_first_rule() {
+fn a_limiter_that_crashes_or_exceeds_the_shutdown_timeout_is_a_violation() {
     for (how, allowed) in [
         (ProcessEnd::Killed, true),
         (ProcessEnd::Left, true),
@@ -433,7 +435,7 @@
 }
 
 #[test]
-fn two_attempts_are_never_out_together() {
+fn overlapping_attempts_of_a_request_are_a_violation() {
     for (overlap, allowed) in [(0, true), (10_000, true), (10_001, false)] {
         let mut trace = TraceBuilder::new();
         trace.request_sent(SECOND, 0, SAFE);
@@ -459,7 +461,7 @@
             false => trace.assert_violation(Rule::Effects, "while the first was out"),
         }
     }
-    // One that never ends is out for ever.
+    // An attempt that never ends stays in flight.
     let mut trace = TraceBuilder::new();
     trace.request_sent(SECOND, 0, SAFE);
     trace.sent(SECOND + 10, 0, 0, 0, 40.0);
@@ -475,7 +477,7 @@
     trace.assert_violation(Rule::Effects, "while the first was out");
 }
 
-/// One attempt that ended so, then another at a server so much later.
+/// A request with one attempt that ended with `how`, then another at `server`, `after` microseconds later.
 fn second_attempt(class: usize, how: AttemptEnd, server: u32, after: Micros) -> TraceBuilder {
     let mut trace = TraceBuilder::new();
     let at = SECOND;
@@ -489,7 +491,7 @@
         at + after + 100,
         AttemptEnd::Served,
     );
-    // Long windows end after the client's time; only what went out is looked at here.
+    // The client cancels, because long windows end after its time limit; only the attempts matter here.
     trace.add(
         at + 200,
         EventKind::RequestCancelled {
@@ -500,7 +502,7 @@
 }
 
 #[test]
-fn what_may_have_run_goes_out_again_only_as_its_class_allows() {
+fn a_request_that_may_have_run_is_resent_only_as_its_class_allows() {
     const SOON: Micros = 100_000;
     for how in [
         AttemptEnd::Errored,
@@ -521,7 +523,7 @@
 }
 
 #[test]
-fn an_attempt_that_never_came_whole_never_ran() {
+fn an_incompletely_received_attempt_counts_as_not_run() {
     let mut trace = TraceBuilder::new();
     trace.request_sent(SECOND, 0, UNSAFE);
     trace.add(
@@ -545,7 +547,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_not_refused() {
+fn rejecting_a_request_that_may_have_run_is_a_violation() {
     for (class, how, status, allowed) in [
         (KEYED, AttemptEnd::Errored, 429, false),
         (KEYED, AttemptEnd::Withdrawn, 503, false),
@@ -566,7 +568,7 @@
 }
 
 #[test]
-fn an_invented_request_breaks_the_second_rule() {
+fn an_attempt_with_an_unknown_request_id_is_a_violation() {
     let mut trace = TraceBuilder::new();
     trace.add(
         SECOND,
@@ -588,7 +590,7 @@
 }
 
 #[test]
-fn a_key_that_runs_twice_over_several_tries_counts_only_where_the_scenario_says_so() {
+fn a_repeated_effect_across_requests_is_a_violation_only_if_the_scenario_checks_it() {
     let mut trace = TraceBuilder::new();
     trace.request_sent(SECOND, 0, KEYED);
     trace.attempt(SECOND + 10, 0, 0, 0, SECOND + 20, AttemptEnd::Served);
@@ -617,7 +619,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_drained_server_after_the_grace() {
+fn an_attempt_at_a_draining_server_after_the_grace_period_is_a_violation() {
     for state in [ServerState::Draining, ServerState::Gone] {
         for (late, allowed) in [(0, true), (1, false)] {
             let mut trace = TraceBuilder::new();
@@ -631,7 +633,7 @@
                 true => trace.assert_no_findings(),
                 false => trace.assert_violation(Rule::Drains, "sent to server 2"),
             }
-            // Ready again; a second word of the same drain does not begin the grace anew.
+            // A server that is ready again gets requests; a repeated notification of the same drain does not restart the grace.
             second_attempt.notified(at - 5, 2, ServerState::Ready);
             second_attempt.assert_no_findings();
             trace.notified(at - 5, 2, state);
@@ -656,14 +658,14 @@
     another.assert_no_findings();
 }
 
-/// Life 9 of server 0 starts cold at 1 s; 100 requests of this work each come within its first second.
+/// Incarnation 9 of server 0 starts cold at 1 s; it gets 100 requests with this work each within its first second.
 fn cold_server_load(work: f64, notified: u32) -> TraceBuilder {
     let mut trace = TraceBuilder::new();
     trace.server_started(SECOND, 9, 0, 10 * SECOND);
     for number in 0..100 {
         let at = SECOND + u64::from(number) * (OVERLOAD_WINDOW / 100);
         trace.request_sent(at, number, SAFE);
-        // Limiter 1 was told of the start, limiter 0 was not.
+        // Limiter 1 was notified of the start, limiter 0 was not.
         let limiter = usize::from(number < notified);
         let (attempt, request) = (AttemptId(number), Some(RequestId(number)));
         trace.add(
@@ -703,24 +705,24 @@
 }
 
 #[test]
-fn a_cold_server_may_be_sent_a_multiple_of_what_it_can_do_and_no_more() {
-    // In its first 0.99 s it can do a quarter, rising evenly to one in 10 s, of 2 cores; the window counts whole.
+fn work_beyond_the_overload_multiple_of_a_cold_server_is_a_violation() {
+    // The capacity of 2 cores rises linearly from a quarter at the start to all after 10 s; the last request comes after 0.99 s, and the window counts at full length.
     let mean = (0.25 + 0.25 + 0.75 * 0.099) / 2.0;
     let budget = OVERLOAD_MULTIPLE * mean * 2.0 * OVERLOAD_WINDOW as f64 / 1000.0;
-    // One request more is left to chance: 99 of the 100 fill the budget.
+    // One request more is tolerated: 99 of the 100 fill the budget.
     let just = budget / 99.0;
     cold_server_load(just * 0.999, 100).assert_no_findings();
     cold_server_load(just * 1.01, 100).assert_violation(Rule::ColdServers, "server 0 was sent");
-    // Those who were not told cannot know: two thirds must come from those who were.
+    // Limiters that were not notified are not to blame: two thirds of the work must come from notified ones.
     cold_server_load(just * 1.01, 60).assert_no_findings();
     cold_server_load(just * 1.01, 70).assert_violation(Rule::ColdServers, "server 0 was sent");
 }
 
 #[test]
-fn a_ceiling_holds_its_burst_what_has_filled_since_and_its_slack() {
+fn usage_beyond_burst_refill_and_tolerance_of_a_ceiling_is_a_violation() {
     let (rate, burst) = PLANS[1].ceiling.expect("a ceiling");
     let slack = (0.1 * burst).max(3.0) + 0.15 * rate;
-    // Each try takes 3 units; all at one moment, then one more once its units have filled.
+    // Each request takes 3 units: all at one time, then one more once its units have been refilled.
     let at_once = ((burst + slack) / 3.0).floor() as u32;
     let send = |trace: &mut TraceBuilder, at: Micros, number: u32| {
         trace.request_sent_by(at, number, SAFE, 7, false);
@@ -736,14 +738,14 @@
     let filled = SECOND + (3.0 / rate * SECOND as f64) as Micros;
     send(&mut trace, filled + 1, at_once);
     trace.assert_no_findings();
-    // A second attempt of the same try takes nothing.
+    // A second attempt of the same request takes no units.
     let mut second_attempt = trace.clone();
     second_attempt.attempt(filled + 30, 1000, 0, 0, filled + 40, AttemptEnd::Declined);
     assert_eq!(second_attempt.check().finding(Rule::Ceilings).violations, 0);
 }
 
 #[test]
-fn a_break_while_the_stand_ins_ran_late_is_late_and_not_broken() {
+fn a_violation_while_the_stand_ins_ran_late_is_reported_as_uncertain() {
     let mut trace = TraceBuilder::new();
     trace.request_sent(SECOND, 0, SAFE);
     trace.response_received(3 * SECOND, 0, 200);
@@ -758,7 +760,7 @@
 }
 
 #[test]
-fn a_break_tells_the_whole_story_of_its_request() {
+fn a_violation_has_the_complete_history_of_its_request() {
     let mut trace = TraceBuilder::new();
     trace.request_sent(SECOND, 0, KEYED);
     trace.attempt(SECOND + 10, 0, 0, 0, SECOND + 20, AttemptEnd::Errored);
@@ -771,7 +773,7 @@
         .finding(Rule::Effects)
         .first
         .as_ref()
-        .expect("broken")
+        .expect("a violation")
         .history;
     assert_eq!(history.len(), 10, "{history:#?}");
     assert!(
@@ -784,8 +786,8 @@
     );
 }
 
-/// What one try of a right limiter does: its class, how its first attempts ended, how late each next one is
-/// begun, and the servers that a choice among those allowed falls on.
+/// The course of one request at a correct limiter: its class, and for each attempt how it ends, the pause until the
+/// next one, and the choice among the allowed servers.
 type RequestPlan = (usize, Vec<(AttemptEnd, Micros, usize)>);
 
 fn request_plan() -> impl Strategy<Value = RequestPlan> {
@@ -801,7 +803,8 @@
     )
 }
 
-/// Plays a try as a limiter that keeps the rules would; the last attempt is served if there may be one.
+/// Adds a request as a correct limiter would handle it and returns its attempts; the last attempt is served if one is
+/// allowed.
 fn add_correct_request(
     trace: &mut TraceBuilder,
     number: u32,
@@ -850,7 +853,7 @@
 
 proptest! {
     #[test]
-    fn a_right_limiter_is_never_called_wrong(plans in prop::collection::vec(request_plan(), 1..8)) {
+    fn a_correct_limiter_has_no_violation(plans in prop::collection::vec(request_plan(), 1..8)) {
         let mut trace = TraceBuilder::new();
         for (number, request_plan) in plans.iter().enumerate() {
             add_correct_request(&mut trace, number as u32, request_plan);
@@ -859,9 +862,9 @@
         prop_assert!(verdict.has_no_findings(), "{verdict:#?}");
     }
 
-    /// Whatever else goes on, one wrong thing is found, and it alone.
+/// One violation among correct requests is found, and no other one of its rule.
     #[test]
-    fn one_wrong_thing_is_always_found(
+    fn a_single_violation_is_always_found(
         plans in prop::collection::vec(request_plan(), 2..8),
         violating_request in 0..8usize,
         violation in 0..4usize,
--- a/crates/emberpin-testbed/tests/scenario_files.rs
+++ b/crates/emberpin-testbed/tests/scenario_files.rs
@@ -1,4 +1,4 @@
-//! Scenario files: what their errors name, and that those of the folder can be played.
+//! Scenario files: the contents of error messages, and the validity of the shipped scenarios.
 
 use emberpin_testbed::scenario::{Fault, Scenario, TimedFault};
 use emberpin_testbed::trace::SECOND;
@@ -7,7 +7,7 @@
 const HEAD: &str = "name = \"t\"\nabout = \"t\"\nseed = 1\nseconds = 2\n";
 
 #[test]
-fn errors_name_the_place_what_was_found_and_what_was_expected() {
+fn errors_name_the_position_the_found_value_and_the_expected_one() {
     let cases = [
         (
             "[site]\nlimiters = 0",
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_rolling_deploy_is_one_replacement_after_the_other() {
+fn a_rolling_deploy_replaces_one_server_after_the_other() {
     let text = format!("{HEAD}[[fault]]\nat_s = 1\nwhat = \"servers-rolled\"\nevery_s = 0.5");
     let scenario = Scenario::parse("t.toml", &text).expect("sound");
     assert_eq!(scenario.faults.len(), 9);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn every_scenario_of_the_folder_is_sound_and_says_what_to_see() {
+fn every_shipped_scenario_is_valid_and_described() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios");
     let mut count = 0;
     for entry in std::fs::read_dir(folder).expect("a folder") {
--- a/crates/emberpin-testbed/tests/site.rs
+++ b/crates/emberpin-testbed/tests/site.rs
@@ -1,4 +1,4 @@
-//! The site's own hard cases, with the real limiter between real sockets.
+//! Edge cases of the testbed itself, run with the real limiter on real sockets.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_testbed::invariants::Rule;
@@ -35,10 +35,10 @@
     );
 }
 
-/// A limiter killed outright with requests out: what it held is the clients', nothing else is excused.
+/// Requests in flight at a killed limiter are left to the clients; nothing else is excused.
 #[test]
-fn a_limiter_killed_with_requests_out_is_judged_fairly() {
-    // Two servers stand still, so that requests are out at the limiter when it dies.
+fn requests_lost_at_a_killed_limiter_are_no_violation() {
+    // Two servers are stalled, so that requests are in flight at the limiter when it is killed.
     let faults = "[[fault]]\nat_s = 0.5\nwhat = \"server-stalled\"\nserver = 0\nfor_s = 1\n\
                   [[fault]]\nat_s = 0.5\nwhat = \"server-stalled\"\nserver = 1\nfor_s = 1\n\
                   [[fault]]\nat_s = 0.9\nwhat = \"limiter-killed\"\nlimiter = 0\nback_s = 0.3\n";
@@ -57,7 +57,10 @@
         .events
         .iter()
         .filter(|e| matches!(e.kind, EventKind::ConnectionLost { .. }) && near.contains(&e.at));
-    assert!(dropped.count() > 0, "requests were out when it died");
+    assert!(
+        dropped.count() > 0,
+        "requests were in flight when it was killed"
+    );
     let restarted = outcome
         .events
         .iter()
@@ -68,12 +71,12 @@
         .iter()
         .filter(|e| e.at > killed + SECOND)
         .any(|e| matches!(e.kind, EventKind::AttemptStarted { limiter: 0, .. }));
-    assert!(served_again, "its next life serves");
+    assert!(served_again, "its next incarnation serves");
 }
 
-/// A successor at the same address is another server: new life, new id, cold.
+/// A successor at the same address is another server, with a new incarnation and id, and cold.
 #[test]
-fn a_port_reused_under_a_new_id_is_another_server() {
+fn a_successor_at_the_same_address_is_another_server() {
     let outcome = run_site(
         "[[fault]]\nat_s = 0.2\nwhat = \"server-replaced\"\nserver = 1\n",
         |_| (),
@@ -101,7 +104,7 @@
         }
     }
     let [(old, 0), (new, 1..)] = incarnations[&1][..] else {
-        panic!("two lives, the second cold: {incarnations:?}")
+        panic!("two incarnations, the second cold: {incarnations:?}")
     };
     assert!(used.contains(&old) && used.contains(&new), "both were used");
     let told: BTreeSet<Incarnation> = outcome
@@ -118,9 +121,9 @@
     assert!(told.contains(&new));
 }
 
-/// Whatever stands still for good, the run ends: load, run-out, end.
+/// A run ends in bounded time even if all servers stall for good.
 #[test]
-fn a_scenario_whose_servers_never_answer_again_ends_in_its_time() {
+fn a_run_ends_in_time_when_servers_never_respond_again() {
     let stalls: String = (0..4)
         .map(|n| {
             format!(
@@ -130,7 +133,7 @@
         .collect();
     let began = Instant::now();
     let outcome = run_site(&stalls, |_| ());
-    // Load, the longest run-out and the longest leave, and a wide margin for a slow machine.
+    // The load, the time for pending work, the shutdown time-out, and a wide margin for a slow machine.
     assert!(
         began.elapsed() < Duration::from_secs(40),
         "{:?}",
@@ -144,9 +147,9 @@
     );
 }
 
-/// The stand-ins' own thread stands still for moments: what they then see late is called late.
+/// The thread of the stand-ins is blocked for moments: delays observed then are not blamed on the limiter.
 #[test]
-fn stand_ins_that_run_late_say_so_and_nobody_is_blamed() {
+fn lateness_of_the_stand_ins_is_recorded_and_no_violation() {
     let outcome = run_site("", |_| std::thread::sleep(Duration::from_millis(450)));
     let late = outcome
         .events
@@ -158,9 +161,9 @@
     assert!(Summary::from_outcome(&outcome).stand_ins_late_ms > 300.0);
 }
 
-/// Nothing that a limiter says of its own time is read: every event's time is the stand-ins' one clock's.
+/// All event times come from the single clock of the stand-ins and are in order.
 #[test]
-fn every_time_is_of_one_clock_and_in_order() {
+fn event_times_come_from_one_clock_and_are_in_order() {
     let outcome = run_site(
         "[[fault]]\nat_s = 0.5\nwhat = \"limiters-rolled\"\nevery_s = 1\n",
         |_| (),
@@ -186,9 +189,9 @@
     );
 }
 
-/// Links, peers, discovery and moves all at once, and the other faults that the other tests leave out.
+/// Combines faults of links, peers, discovery and servers, including those that no other test injects.
 #[test]
-fn every_fault_can_be_brought_about() {
+fn every_fault_can_be_injected() {
     let mut faults = String::new();
     for fault in [
         "at_s = 0.2\nwhat = \"link-cut\"\nlimiter = 0\nhall = 0\nway = \"both\"\nfor_s = 0.5",
--- a/crates/emberpin-testbed/tests/start.rs
+++ b/crates/emberpin-testbed/tests/start.rs
@@ -1,4 +1,4 @@
-//! Starts of many limiters at once, each a process of its own, between stand-ins that have just started too.
+//! Simultaneous starts of many limiters, with servers and a discovery service that have just started too.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -17,18 +17,18 @@
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Twenty-four limiters that know nothing and have just started, like their servers, before a list service of a call of
-/// each in 4 s.
+/// 24 limiters that start together without an endpoint list, with cold servers; the discovery service can answer each
+/// limiter once in 4 s.
 const COLD_START: &str =
     "[site]\nlimiters = 24\nservers = 8\ntogether = true\ncold = true\nknown = false\nlist_power = 6\n\
                         [load]\nrate = 24\nusage = 0.3\nretries = 0\n";
-/// That power, as an operator says it.
+/// The capacity of that discovery service in the limiters' operator file.
 const START_TABLE: &str = "[start]\nlist_calls_per_s = 6\n";
 
-/// Once nothing was served before the first server was warm: what cold ones may get was a part of what warm ones
-/// were seen to carry.
+/// Guards against limiters that send nothing before the first server is warm, which happens if the load of cold servers
+/// is limited to a share of the observed load of warm ones.
 #[test]
-fn limiters_that_start_with_servers_that_are_all_cold_serve_at_once() {
+fn limiters_that_start_with_only_cold_servers_serve_at_once() {
     for seed in [5, 6] {
         let text = "seconds = 5\n[site]\nwarm_s = 20\ncold = true\nnotice_ms = [1, 20]\n[load]\nrate = 20\nusage = 0.3\n";
         let outcome = run_site(text, seed);
@@ -42,7 +42,7 @@
                 }
             )
         });
-        assert_eq!(cold.count(), 9, "all servers were cold, and none fell");
+        assert_eq!(cold.count(), 9, "all servers were cold, and none crashed");
         let total = Summary::from_outcome(&outcome).total;
         assert!(
             total.in_time * 10 >= total.asked * 7,
@@ -51,8 +51,8 @@
     }
 }
 
-/// Once they were held to one request after the other until the first was warm, though their queues were empty and they
-/// have two cores.
+/// Guards against limiters that send cold servers one request at a time until the first is warm, although the queues are
+/// empty and each server has two cores.
 #[test]
 fn servers_that_are_all_cold_and_say_that_nothing_waits_are_asked_for_more() {
     let text =
@@ -69,7 +69,7 @@
             }
         )
     });
-    assert_eq!(cold.count(), 4, "all servers were cold, and none fell");
+    assert_eq!(cold.count(), 4, "all servers were cold, and none crashed");
     let starts = Starts::from_outcome(&outcome);
     assert!(
         starts.served(8, 12) > 1.5 * starts.served(1, 3),
@@ -78,16 +78,17 @@
     assert!(starts.served(8, 12) > 0.6, "{starts:?}");
 }
 
-/// Once 24 calls came within 100 ms, all failed at 2 s, and a third of the limiters never got the list.
+/// Guards against a burst of 24 calls within 100 ms that all time out at 2 s, after which a third of the limiters never
+/// get the list.
 #[test]
-fn all_start_in_one_instant_before_a_weak_list_service_and_each_calls_once() {
+fn limiters_starting_together_call_a_slow_discovery_service_once_each() {
     let at_once = format!("{START_TABLE}ready_within_s = 0\n");
     let outcome = run_with_operator_file(&at_once, &format!("seconds = 14\n{COLD_START}"), 1);
     assert_rules_hold(&outcome);
     let starts = Starts::from_outcome(&outcome);
     assert!(
         starts.ready[1].is_some_and(|last| last < 3.0),
-        "they started in one instant: {starts:?}"
+        "they started together: {starts:?}"
     );
     assert_eq!(
         count_events(&outcome, |kind| matches!(
@@ -98,7 +99,7 @@
             }
         )),
         8,
-        "cold, none fell"
+        "all cold, none crashed"
     );
     assert_eq!(discovery_calls(&outcome, 0.0, 14.0), (24, 0), "{starts:?}");
     assert!(
@@ -109,21 +110,21 @@
 }
 
 #[test]
-fn all_start_in_one_instant_before_a_list_service_that_is_cold_too_and_are_told_all_the_same() {
+fn limiters_starting_together_with_a_cold_discovery_service_all_get_the_list() {
     let site = COLD_START.replace("list_power = 6", "list_power = 6\nlist_warm_s = 6");
     let outcome = run_with_operator_file(START_TABLE, &format!("seconds = 25\n{site}"), 2);
     assert_rules_hold(&outcome);
     let (asked, failed) = discovery_calls(&outcome, 0.0, 25.0);
     assert!(
         failed > 0,
-        "at a quarter of its power it could not answer all: {asked} calls"
+        "at a quarter of its capacity it could not answer all: {asked} calls"
     );
     assert!(asked <= 24 * 3, "{asked} calls");
     assert_eq!(list_times(&outcome).len(), 24, "{:?}", list_times(&outcome));
 }
 
 #[test]
-fn the_list_service_dies_when_half_have_their_list_and_the_others_are_told_when_it_is_back() {
+fn limiters_without_a_list_get_it_after_an_outage_of_the_discovery_service() {
     let fault = "[[fault]]\nat_s = 2\nwhat = \"discovery-dead\"\nfor_s = 6\n";
     let outcome = run_with_operator_file(
         START_TABLE,
@@ -135,7 +136,7 @@
     let before = listed.iter().filter(|at| **at < 2.0).count();
     assert!(
         (6..=16).contains(&before),
-        "about half were told before: {listed:?}"
+        "about half got the list before: {listed:?}"
     );
     assert!(
         discovery_calls(&outcome, 2.0, 8.0).1 >= 12,
@@ -148,9 +149,9 @@
     assert_eq!(listed.len(), 24, "{listed:?}");
 }
 
-/// A limiter that stands still amid the start calls when it goes on, and keeps nobody from being told.
+/// A limiter that is paused during the start calls when it resumes, and does not delay the others.
 #[test]
-fn a_limiter_paused_amid_the_start_is_told_when_it_goes_on() {
+fn a_limiter_paused_during_the_start_gets_the_list_when_it_resumes() {
     let fault = "[[fault]]\nat_s = 0.2\nwhat = \"limiter-paused\"\nlimiter = 7\nfor_s = 10\n";
     let outcome = run_with_operator_file(
         START_TABLE,
@@ -173,15 +174,15 @@
         .map(|event| event.at as f64 / SECOND as f64);
     assert!(
         at.is_some_and(|at| at > 10.0),
-        "it stood still until then: {at:?}"
+        "it was paused until then: {at:?}"
     );
     let listed = list_times(&outcome);
     assert!(listed.len() == 24 && listed[22] < 8.0, "{listed:?}");
 }
 
-/// Those that come back hear of the others how many came back with them, and take as much of a round.
+/// Limiters that restart together learn from their peers how many restarted, and spread their calls accordingly.
 #[test]
-fn seven_in_ten_killed_twice_call_again_without_a_crowd() {
+fn limiters_killed_together_twice_spread_their_calls() {
     let kill = |at: f64| {
         format!("[[fault]]\nat_s = {at}\nwhat = \"limiters-killed\"\nshare = 0.7\nback_s = 0.5\n")
     };
@@ -211,7 +212,7 @@
     assert_eq!(failed, 0, "of {asked}");
 }
 
-/// A service that comes back from an outage with an empty list, then half of it, then all.
+/// A discovery service that recovers from an outage with an empty list, then half of it, then all.
 const PARTIAL_RECOVERY_FAULTS: &str = "[[fault]]\nat_s = 4\nwhat = \"discovery-dead\"\nfor_s = 3\n\
                              [[fault]]\nat_s = 7\nwhat = \"discovery-tells\"\nhow = \"empty\"\nfor_s = 5\n\
                              [[fault]]\nat_s = 12\nwhat = \"discovery-tells\"\nhow = \"half\"\nfor_s = 5\n";
@@ -219,18 +220,18 @@
     "[site]\nlimiters = 24\nservers = 8\n[load]\nrate = 60\nusage = 0.3\nretries = 0\n";
 
 #[test]
-fn a_list_service_that_comes_back_empty_then_half_then_whole_empties_no_limiter() {
+fn partial_lists_after_an_outage_remove_no_servers() {
     let text = format!("seconds = 20\n{RUNNING_SITE}{PARTIAL_RECOVERY_FAULTS}");
     let outcome = run_with_operator_file(START_TABLE, &text, 6);
     assert_rules_hold(&outcome);
     let told = discovery_calls(&outcome, 7.0, 12.0);
     assert!(
         told.0 - told.1 >= 12,
-        "limiters were told the empty list: {told:?}"
+        "limiters got the empty list: {told:?}"
     );
     let starts = Starts::from_outcome(&outcome);
     assert!(starts.served(7, 20) > 0.95, "{starts:?}");
-    // The guard taken out: without the table whole lists bind.
+    // Without the `[start]` table the guard is off: full lists apply as they are.
     let unguarded = Starts::from_outcome(&run_site(&text, 6));
     assert!(
         unguarded.served(7, 12) < 0.8,
@@ -238,12 +239,12 @@
     );
 }
 
-/// What is served while the service lists old addresses, at least; without the guard it is less.
+/// Minimum share served while the service lists old addresses; without the guard it is less.
 const MIN_SERVED_WITH_OLD_LIST: f64 = 0.95;
 
-/// The service goes back to a version of before six of eight servers moved.
+/// The service falls back to a list version from before six of eight servers moved.
 #[test]
-fn a_list_that_is_older_than_one_heard_brings_no_old_address_back() {
+fn an_older_list_does_not_restore_old_addresses() {
     let moved: String = (0..6)
         .map(|server| {
             format!("[[fault]]\nat_s = 2.{server}\nwhat = \"server-moved\"\nserver = {server}\n")
@@ -257,14 +258,14 @@
     let told = discovery_calls(&outcome, 9.0, 15.0);
     assert!(
         told.0 - told.1 >= 12,
-        "limiters were told the older list: {told:?}"
+        "limiters got the older list: {told:?}"
     );
     let starts = Starts::from_outcome(&outcome);
     assert!(
         starts.served(10, 15) > MIN_SERVED_WITH_OLD_LIST,
         "{starts:?}"
     );
-    // The guard taken out: without the table whole lists bind, and the same bound is missed.
+    // Without the `[start]` table the guard is off: full lists apply as they are, and the minimum is missed.
     let unguarded = Starts::from_outcome(&run_site(&text, 7));
     assert!(
         unguarded.served(10, 15) < MIN_SERVED_WITH_OLD_LIST,
@@ -272,7 +273,7 @@
     );
 }
 
-/// An operator file that keeps snapshots in this folder.
+/// An operator file that stores snapshots of the endpoint list in this folder.
 fn snapshot_operator_file(folder: &Path) -> String {
     format!(
         "{START_TABLE}site = \"t\"\nsnapshot = \"{}/{{name}}\"\nready_within_s = 4\n",
@@ -280,9 +281,9 @@
     )
 }
 
-/// Seven in ten die while the list service is dead: what they had is on their disks.
+/// 70 % of the limiters are killed while the discovery service is dead: they restart from the snapshots on their disks.
 #[test]
-fn limiters_that_come_back_while_the_list_service_is_dead_serve_from_their_snapshots() {
+fn limiters_restarted_during_a_discovery_outage_serve_from_their_snapshots() {
     let site = RUNNING_SITE.replace("servers = 8", "servers = 8\nknown = false");
     let faults = "[[fault]]\nat_s = 8\nwhat = \"discovery-dead\"\nfor_s = 12\n\
                   [[fault]]\nat_s = 9\nwhat = \"limiters-killed\"\nshare = 0.7\nback_s = 0.5\n";
@@ -298,7 +299,7 @@
     );
     let starts = Starts::from_outcome(&outcome);
     assert!(starts.served(11, 18) > 0.95, "{starts:?}");
-    // The guard taken out: without a disk those that come back know no server.
+    // Without snapshots the restarted limiters know no server.
     let without = Starts::from_outcome(&run_with_operator_file(
         &format!("{START_TABLE}ready_within_s = 1\n"),
         &text,
@@ -307,10 +308,10 @@
     assert!(without.served(11, 18) < 0.7, "{without:?}");
 }
 
-/// Snapshots torn, from another site, from last month, no file at all, one whose reading and writing hang for ever, and
-/// a folder that cannot be: each at three of the limiters.
+/// Snapshots that are truncated, from another site, a month old or garbage; a file whose reads and writes hang, paths
+/// blocked by a file or a folder, and no snapshot: each at three of the limiters.
 #[test]
-fn bad_snapshots_and_disks_that_stall_or_fail_keep_no_limiter_from_starting() {
+fn invalid_snapshots_and_stalled_or_failing_disks_do_not_prevent_a_start() {
     let folder = tempfile::tempdir().expect("a folder");
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -364,7 +365,7 @@
     assert!(starts.ready[1].is_some_and(|last| last < 7.0), "{starts:?}");
     assert!(
         starts.listed[2].is_some_and(|last| last < 8.0),
-        "a version of 9999 was not believed: {starts:?}"
+        "revision 9999 was not trusted: {starts:?}"
     );
     let stored_revision = |name: &String| {
         let bytes = std::fs::read(folder.path().join(name).join("list")).ok()?;
@@ -381,7 +382,7 @@
         match number % 8 {
             0..=3 | 7 => assert!(
                 stored_revision(name).is_some_and(|rev| rev < 9_999),
-                "{name} was written anew"
+                "{name} was rewritten"
             ),
             4 => {
                 assert!(std::fs::metadata(folder.path().join(name).join("list"))
@@ -392,9 +393,9 @@
     }
 }
 
-/// Ready with the list, and without one when its time is over, not before.
+/// A limiter is ready once it has the endpoint list, or without one when `ready_within_s` is over, not before.
 #[test]
-fn limiters_are_ready_with_a_list_or_when_their_time_is_over() {
+fn limiters_are_ready_with_a_list_or_after_the_readiness_timeout() {
     let told = format!("{START_TABLE}ready_within_s = 9\n");
     let outcome = run_with_operator_file(&told, &format!("seconds = 8\n{COLD_START}"), 10);
     let mut listed = BTreeSet::new();
@@ -440,8 +441,7 @@
 }
 
 #[test]
-fn a_start_whose_messages_are_lost_or_late_or_come_one_way_while_servers_are_replaced_and_one_is_bad_goes_as_well(
-) {
+fn a_start_succeeds_despite_message_faults_server_replacements_and_a_refusing_server() {
     let lossy = |loss: f64, delay_ms: u32| {
         format!(
             "[[fault]]\nat_s = 0\nwhat = \"peers-poor\"\nshare = {loss:.1}\ndelay_ms = {delay_ms}\nfor_s = 14\n"
@@ -479,9 +479,9 @@
     }
 }
 
-/// Once a list that came over several lines was taken for a garbled one, and no drain in it was obeyed.
+/// Guards against treating a list that is indented over several lines as malformed and ignoring its drains.
 #[test]
-fn lists_that_come_indented_are_obeyed() {
+fn indented_lists_are_applied() {
     let drains: String = [3, 5]
         .iter()
         .map(|server| {
@@ -497,7 +497,7 @@
         9,
     );
     assert_rules_hold(&outcome);
-    assert_eq!(list_times(&outcome).len(), 6, "each was told");
+    assert_eq!(list_times(&outcome).len(), 6, "each got the list");
     assert!(
         Summary::from_outcome(&outcome).total.in_time * 10
             > Summary::from_outcome(&outcome).total.asked * 9
@@ -514,9 +514,9 @@
     assert_eq!(drained, 2 * 6);
 }
 
-/// Half of the fleet starts from nothing while the other half serves.
+/// Half of the limiters restart without an endpoint list while the other half serves.
 #[test]
-fn half_of_the_fleet_starts_while_the_other_half_serves() {
+fn half_of_the_limiters_restart_while_the_others_serve() {
     let site = RUNNING_SITE.replace("servers = 8", "servers = 8\nknown = false\nlist_power = 6");
     let fault = "[[fault]]\nat_s = 8\nwhat = \"limiters-killed\"\nshare = 0.5\nback_s = 1\n";
     let outcome = run_with_operator_file(START_TABLE, &format!("seconds = 16\n{site}{fault}"), 15);
@@ -528,9 +528,9 @@
     assert!(starts.served(9, 16) > 0.9, "{starts:?}");
 }
 
-/// Its slot is the last of a round of 4 s; it hears that the others serve.
+/// The limiter's call slot is the last of a round of 4 s, but it learns that its peers serve and calls earlier.
 #[test]
-fn one_that_comes_back_among_peers_that_serve_asks_soon() {
+fn a_limiter_restarted_among_serving_peers_calls_early() {
     let site = RUNNING_SITE.replace("servers = 8", "servers = 8\nknown = false\nlist_power = 6");
     let fault = "[[fault]]\nat_s = 6\nwhat = \"limiter-killed\"\nlimiter = 7\nback_s = 0.5\n";
     let outcome = run_with_operator_file(START_TABLE, &format!("seconds = 12\n{site}{fault}"), 16);
@@ -551,24 +551,24 @@
     );
 }
 
-/// Once a watch that had told nothing new counted as a call that had taken all its time to fail, and was taken up again
-/// after twice that.
+/// Guards against treating a broken watch without updates as a call that failed after its whole duration, which delays
+/// the next call by twice that duration.
 #[test]
-fn a_watch_that_was_quiet_and_breaks_is_taken_up_again_soon() {
+fn a_broken_watch_without_updates_is_reopened_soon() {
     let fault = "[[fault]]\nat_s = 9\nwhat = \"discovery-dead\"\nfor_s = 0.2\n";
     let outcome = run_site(&format!("seconds = 14\n{RUNNING_SITE}{fault}"), 17);
     assert_rules_hold(&outcome);
     let told = limiters_that(&outcome, 9, 14, served_discovery_caller);
-    assert_eq!(told.len(), 24, "within 5 s {told:?} were told again");
+    assert_eq!(told.len(), 24, "within 5 s {told:?} got an answer again");
 }
 
 fn unix_time(millis: u64) -> SystemTime {
     UNIX_EPOCH + Duration::from_millis(millis)
 }
 
-/// Two that start from old snapshots while the service is dead do not make them seem young.
+/// Limiters that start from old snapshots while the service is dead do not refresh the snapshots' timestamps.
 #[test]
-fn a_start_leaves_the_age_of_its_snapshot_as_it_is() {
+fn a_start_keeps_the_timestamp_of_its_snapshot() {
     let folder = tempfile::tempdir().expect("a folder");
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -621,7 +621,7 @@
 }
 
 #[test]
-fn one_limiter_and_two_start_without_waiting() {
+fn groups_of_one_and_two_limiters_start_without_waiting() {
     for limiters in [1, 2] {
         let site = COLD_START.replace("limiters = 24", &format!("limiters = {limiters}"));
         let outcome = run_with_operator_file("", &format!("seconds = 4\n{site}"), 13);
@@ -635,7 +635,7 @@
 }
 
 #[test]
-fn a_group_size_that_is_wrong_by_three_keeps_nobody_out() {
+fn a_group_size_wrong_by_a_factor_of_three_prevents_no_start() {
     for told in [8, 72] {
         let site = COLD_START.replace(
             "limiters = 24",
--- a/crates/emberpin-testbed/tests/takeover.rs
+++ b/crates/emberpin-testbed/tests/takeover.rs
@@ -1,5 +1,5 @@
-//! Work in hand survives the loss of its limiter: several processes, some of which are killed, stopped or cut off, judged by
-//! the referee, which counts second effects at the servers.
+//! Takeover of the keyed work of a lost limiter by its peers: limiters are killed, stopped or cut off, and the invariant
+//! checker counts repeated effects at the servers.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -15,14 +15,14 @@
 
 const KEYS: &str = "[idempotency]\nretention_s = 20\n";
 const TAKEOVER: &str = "[takeover]\n";
-/// Keyed work of some 0.2 s, all of it asked again under its key within 0.8 s.
+/// Keyed work of about 0.2 s each, all of it repeated under its key after 0.5 to 0.9 s.
 const LOAD: &str = "\
     [load]\nrate = 60\nwork = 2.0\nsubmit = 1.0\nusage = 0.2\nretries = 0\nimpatient = 0\nrepeat_keys = 1.0\n\
     repeat_after_ms = [500, 900]\nfront_notice_s = 0.05\n[rules]\nkeys_once = true\n";
 
 fn run_site(tables: &str, seed: u64, faults: &str) -> Outcome {
     let text = format!(
-        "name = \"t\"\nabout = \"Work in hand.\"\nseed = {seed}\nseconds = 5\n[site]\nlimiters = 5\nservers = 12\n\
+        "name = \"t\"\nabout = \"Work in flight.\"\nseed = {seed}\nseconds = 5\n[site]\nlimiters = 5\nservers = 12\n\
          notice_ms = [1, 20]\nwarm_s = 1\n{LOAD}{faults}"
     );
     let scenario = Scenario::parse("test", &text).expect("sound");
@@ -56,8 +56,8 @@
     );
 }
 
-/// What became of the keys that limiters had in hand when they were killed, as far as anybody asked for them again: how many
-/// there were, how many were served, and how many attempts other limiters made for the dead one's clients.
+/// The keys that were in flight at limiters when these were killed, as far as clients repeated them: how many there
+/// were, how many were served then, and how many attempts other limiters made for requests sent to another limiter.
 #[derive(Debug, Default)]
 struct LostWork {
     keys: usize,
@@ -130,7 +130,7 @@
     totals
 }
 
-/// One seed, and as many more as `TAKEOVER_SEEDS` says.
+/// The seeds of a test: as many as the environment variable `TAKEOVER_SEEDS` says, 1 by default.
 fn seeds(first: u64) -> std::ops::Range<u64> {
     let more = std::env::var("TAKEOVER_SEEDS")
         .ok()
@@ -139,7 +139,7 @@
     first..first + more
 }
 
-/// Limiters killed at these times, each back after 0.4 s.
+/// Faults that kill limiters at these times in seconds; each restarts after 0.4 s.
 fn kill_faults(times: &[(usize, f64)]) -> String {
     let kill_fault = |(limiter, at): &(usize, f64)| {
         format!("[[fault]]\nat_s = {at}\nwhat = \"limiter-killed\"\nlimiter = {limiter}\nback_s = 0.4\n")
@@ -170,10 +170,10 @@
     format!("{KEYS}{TAKEOVER}")
 }
 
-/// Limiters are killed in turn with work in hand: what they had out is served to those that ask again, and without the table
-/// it is not.
+/// Limiters are killed one after the other with work in flight: clients that repeat it are served, while without the
+/// `[takeover]` table most of it is not.
 #[test]
-fn what_killed_limiters_had_out_is_gone_on_with_once() {
+fn work_of_killed_limiters_is_taken_over_and_runs_once() {
     let kill_faults = kill_faults(&[(0, 0.9), (1, 2.1), (2, 3.3)]);
     for seed in seeds(1) {
         let with = run_site(&both_tables(), seed, &kill_faults);
@@ -185,20 +185,20 @@
         eprintln!("seed {seed}: with {with:?}, without {without:?}");
         assert!(
             without.keys >= 3 && without.takeover_attempts == 0,
-            "there was work in hand: {without:?}"
+            "work was in flight: {without:?}"
         );
         assert!(
             with.keys >= 3 && with.takeover_attempts >= 3,
-            "others went on with it: {with:?}"
+            "others took it over: {with:?}"
         );
         assert!(with.served * 10 >= with.keys * 6, "{with:?}");
         assert!(without.served * 2 < without.keys, "{without:?}");
     }
 }
 
-/// The claimant and one or more that would take over from it are killed, at once and one shortly after the other.
+/// The owner of the work and one or more of its possible successors are killed, at once and shortly after each other.
 #[test]
-fn claimants_holders_and_those_that_take_over_are_killed_and_nothing_runs_twice() {
+fn nothing_runs_twice_when_owners_replicas_and_successors_are_killed() {
     let together = "[[fault]]\nat_s = 3.2\nwhat = \"limiters-killed\"\nshare = 0.4\nback_s = 0.4\n";
     let one_after_the_other = kill_faults(&[(0, 1.0), (1, 1.15), (2, 1.3), (3, 1.45), (4, 1.6)]);
     for seed in seeds(2) {
@@ -217,9 +217,9 @@
     }
 }
 
-/// Two limiters hear nothing of the other three, or are not heard; in each part one is killed with work in hand.
+/// Two limiters are cut off from the other three in both directions or one; one in each part is killed with work in flight.
 #[test]
-fn a_limiter_killed_behind_a_cut_link_is_taken_over_by_a_majority_or_by_nobody() {
+fn nothing_runs_twice_when_limiters_are_killed_on_both_sides_of_a_split() {
     let cut = |at: f64, way: &str| {
         format!(
             "[[fault]]\nat_s = {at}\nwhat = \"peers-split\"\ngroup = [0, 1]\nway = \"{way}\"\nfor_s = 1.2\n"
@@ -244,9 +244,9 @@
     }
 }
 
-/// A claimant that stands still, and goes on, is not taken for dead: what it has out is its own.
+/// An owner that is paused and resumed is not treated as dead: it keeps its work.
 #[test]
-fn a_limiter_that_stands_still_with_work_in_hand_is_not_overtaken() {
+fn work_of_a_paused_limiter_is_not_taken_over() {
     let pause = |limiter: usize, at: f64, length: f64| {
         format!("[[fault]]\nat_s = {at}\nwhat = \"limiter-paused\"\nlimiter = {limiter}\nfor_s = {length}\n")
     };
@@ -275,7 +275,7 @@
     }
 }
 
-/// A limiter stands still when it meets a point of its code for the Nth time, and is killed there or woken.
+/// A fault that stops a limiter when it reaches a point of its code for the Nth time, then kills or resumes it.
 fn stop_fault(limiter: usize, point: &str, length: f64, killed: bool) -> String {
     let back = if killed { "back_s = 0.4\n" } else { "" };
     format!(
@@ -283,10 +283,10 @@
     )
 }
 
-/// Killed with a key granted and nothing sent, with an attempt asked for, noted, sent, answered, told to the holders, and
-/// as its client is told.
+/// The owner is killed at each stage: with a key granted and nothing sent, with an attempt requested, recorded, sent,
+/// answered, stored at the replicas, and while the client gets its response.
 #[test]
-fn a_claimant_killed_at_each_stage_of_its_work_lets_nothing_run_twice() {
+fn nothing_runs_twice_when_an_owner_is_killed_at_any_stage() {
     for seed in seeds(5) {
         for points in [
             ["claim:16", "going:10", "gone:22"],
@@ -310,9 +310,9 @@
     }
 }
 
-/// The one that takes over is killed with the work in its hands, before it sends it and when it has its answer.
+/// The successor is killed with the work in flight, before it sends the attempt and after it has the response.
 #[test]
-fn one_that_takes_over_killed_in_the_middle_lets_nothing_run_twice() {
+fn nothing_runs_twice_when_a_successor_is_killed_during_takeover() {
     for seed in seeds(6) {
         for point in ["taken:1", "taken-answer:1"] {
             let stop: String = (1..5)
@@ -332,9 +332,9 @@
     }
 }
 
-/// The gap that no fence closes: it stands still when its keepers have let the attempt out and it is not written yet.
+/// The gap that no fencing token closes: the owner stops after its replicas allowed the attempt and before it is written.
 #[test]
-fn a_claimant_that_stands_still_in_the_gap_and_wakes_lets_nothing_run_twice() {
+fn nothing_runs_twice_when_an_owner_stops_before_sending_and_resumes() {
     for seed in seeds(7) {
         let stop = [
             stop_fault(0, "gone:8", 0.4, false),
@@ -361,9 +361,9 @@
     }
 }
 
-/// One disk of three lies, its limiter is killed twice, and so are others: what it forgot the two others know.
+/// One disk of three is faulty; its limiter is killed twice, another once. The two other replicas know what it lost.
 #[test]
-fn one_disk_that_lies_lets_nothing_run_twice() {
+fn nothing_runs_twice_when_one_disk_is_faulty() {
     for seed in seeds(8) {
         for lie in ["forgets:8", "tears:8", "flips:8", "fills:12", "stalls:12"] {
             let lies = format!(
@@ -382,7 +382,7 @@
     }
 }
 
-/// The limiters that stood still at a point.
+/// The fault records of limiters that stopped at a point of their code.
 fn stopped_limiters(outcome: &Outcome) -> Vec<&str> {
     let named = outcome.events.iter().filter_map(|event| match &event.kind {
         EventKind::Fault { name } => Some(name.as_str()),
--- a/crates/emberpin-testbed/tests/told.rs
+++ b/crates/emberpin-testbed/tests/told.rs
@@ -1,4 +1,4 @@
-//! Lists told by peers over the link, while callers, links and the service fail: each limiter a process of its own.
+//! Endpoint lists exchanged between limiters over links while limiters, links and the discovery service fail.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
@@ -12,7 +12,7 @@
 use emberpin_testbed::trace::{Event, EventKind, Incarnation, Micros, ServerState, SECOND};
 use std::collections::BTreeMap;
 
-/// Limiters that know nothing and have just started, before a list service of a call of each in 4 s.
+/// Limiters that start together without an endpoint list; the discovery service can answer each of them once in 4 s.
 const COLD_START: &str =
     "[site]\nlimiters = 24\nservers = 8\ntogether = true\ncold = true\nknown = false\none_address = true\nlist_power = 6\n\
                         [load]\nrate = 24\nusage = 0.3\nretries = 0\n";
@@ -23,13 +23,13 @@
 }
 
 #[test]
-fn a_few_call_and_the_others_are_told() {
+fn a_few_limiters_call_and_the_others_get_the_list_from_peers() {
     let outcome = run_site(&format!("seconds = 12\n{COLD_START}"), 1);
     assert_rules_hold(&outcome);
     let starts = Starts::from_outcome(&outcome);
     assert!(
         starts.ready[1].is_some_and(|last| last < 3.0),
-        "all held the list: {starts:?}"
+        "all got the list: {starts:?}"
     );
     let (asked, failed) = discovery_calls(&outcome, 0.0, 12.0);
     assert!(
@@ -39,12 +39,12 @@
     );
 }
 
-/// Those that hold the watches of 24, by the order of their slots.
+/// The limiters among 24 that hold the watches, in the order of their call slots.
 const WATCHING_LIMITERS: [usize; 3] = [0, 17, 10];
 
-/// Of those that were killed just as they called, others take the place.
+/// The first three callers are killed just as they call; others replace them and the rest get the list.
 #[test]
-fn the_few_callers_are_killed_just_as_they_call() {
+fn callers_killed_as_they_call_are_replaced() {
     let fault = "[[fault]]\nat_s = 0\nwhat = \"callers-killed\"\nshare = 0.125\nback_s = 6\n";
     let outcome = run_site(&format!("seconds = 12\n{COLD_START}{fault}"), 2);
     assert_rules_hold(&outcome);
@@ -61,7 +61,7 @@
     assert_eq!(ready_times.len(), 24);
     assert!(
         ready_times.iter().filter(|at| **at < 3.0).count() == 21,
-        "the others were told: {ready_times:?}"
+        "the others got the list: {ready_times:?}"
     );
     let (asked, failed) = discovery_calls(&outcome, 0.0, 12.0);
     assert!(asked <= 10 && failed <= 3, "{asked} calls, {failed} failed");
@@ -71,7 +71,7 @@
     "[site]\nlimiters = 24\nservers = 8\none_address = true\nlist_power = 6\nnotice_ms = [100, 300]\n\
                        [load]\nrate = 60\nusage = 0.3\nretries = 0\n";
 
-/// Drains of two servers, one after the other.
+/// Faults that drain two servers, one after the other.
 fn drain_faults(at: f64) -> String {
     let drain_fault = |server: usize, at: f64| {
         format!(
@@ -81,7 +81,7 @@
     drain_fault(1, at) + &drain_fault(4, at + 1.0)
 }
 
-/// How many limiters the drains count as told to, all of them from when one was.
+/// Recorded notifications of drains; an update that one limiter gets counts as notified to all.
 fn drain_notifications(outcome: &Outcome) -> usize {
     count_events(outcome, |kind| {
         matches!(
@@ -94,9 +94,9 @@
     })
 }
 
-/// All callers die in service: few others call, and a drain told to them reaches all.
+/// All watching limiters are killed: a few others call instead, and drains that these learn of reach all.
 #[test]
-fn callers_that_die_together_are_replaced_and_drains_reach_everyone() {
+fn watching_limiters_killed_together_are_replaced_and_drains_reach_all() {
     let kill = |limiter: &usize| {
         format!("[[fault]]\nat_s = 6\nwhat = \"limiter-killed\"\nlimiter = {limiter}\nback_s = 7\n")
     };
@@ -113,7 +113,7 @@
             .iter()
             .all(|caller| called.contains(caller))
             && called.len() <= 5,
-        "they held the watches: {called:?}"
+        "they hold the watches: {called:?}"
     );
     let (asked, failed) = discovery_calls(&outcome, 6.0, 16.0);
     assert!(
@@ -125,10 +125,10 @@
     assert!(starts.served(2, 16) > 0.95, "{starts:?}");
 }
 
-/// A third of the limiters cannot tell the rest anything, or cannot hear them, or both: they find out, call for
-/// themselves, and obey the drains that are told meanwhile; as the others do.
+/// A third of the limiters can't send to the rest, can't receive from them, or both: they detect it, call the
+/// discovery service themselves, and obey the drains announced meanwhile, as the others do.
 #[test]
-fn limiters_behind_a_link_that_is_cut_one_way_or_both_call_for_themselves() {
+fn limiters_cut_off_in_one_or_both_directions_call_for_themselves() {
     for (seed, way) in [(4, "both"), (5, "out"), (6, "back")] {
         let group: Vec<usize> = (1..9).collect();
         let fault = format!(
@@ -161,10 +161,10 @@
     }
 }
 
-/// Half of the fleet is told an older list by the service, from before its servers moved, and cut off from the other half:
-/// two halves hold two lists, until peers tell the newer one.
+/// Half of the limiters get an older list from the service, of before its servers moved, and are cut off from the other
+/// half: the halves hold different lists until peers send the newer one.
 #[test]
-fn peers_tell_a_new_list_beside_an_old_one() {
+fn a_newer_list_from_peers_replaces_an_older_one() {
     let moved: String = (0..8)
         .map(|server| {
             format!("[[fault]]\nat_s = 0.0{server}\nwhat = \"server-moved\"\nserver = {server}\n")
@@ -183,19 +183,19 @@
     let told = limiters_that(&outcome, 0, 6, common::served_discovery_caller);
     assert!(
         told.iter().any(|limiter| half.contains(limiter)),
-        "a caller was told the older list"
+        "a caller got the older list"
     );
     let starts = Starts::from_outcome(&outcome);
     assert!(
         starts.served(3, 6) < 0.8,
-        "the half that was cut off went by the older list: {starts:?}"
+        "the half that was cut off used the older list: {starts:?}"
     );
     assert!(starts.served(9, 14) > 0.95, "{starts:?}");
 }
 
-/// One of the callers stands still for 8 s, and goes on with the list of before a drain.
+/// One of the watching limiters is paused for 8 s and resumes with a list from before a drain.
 #[test]
-fn a_caller_that_stands_still_is_replaced_and_told_when_it_goes_on() {
+fn a_paused_watching_limiter_is_replaced_and_updated_when_it_resumes() {
     let fault = "[[fault]]\nat_s = 5\nwhat = \"limiter-paused\"\nlimiter = 17\nfor_s = 8\n";
     let outcome = run_site(
         &format!("seconds = 16\n{RUNNING_SITE}{fault}{}", drain_faults(10.5)),
@@ -211,10 +211,10 @@
     let asked = call_times_after(&outcome, 5.0);
     assert!(
         (1..=4).contains(&asked.len()) && asked[0] > 8.0,
-        "one took its place: {asked:?}"
+        "one replaced it: {asked:?}"
     );
     assert_eq!(drain_notifications(&outcome), 2 * 24);
-    // What is late at all is its own, from before it could hear anything.
+    // Only the paused limiter may send late, just after it resumes and before it can have received updates.
     let mut drains: BTreeMap<Incarnation, Micros> = BTreeMap::new();
     for event in &outcome.events {
         match event.kind {
@@ -244,8 +244,8 @@
     }
 }
 
-/// The service is dead for the first 5 s, then tells no server, then half of them, then all: few call when it is back, and all
-/// have what it tells as soon as it does.
+/// The service is dead for the first 5 s, then lists no server, then half of them, then all: few limiters call when it is
+/// back, and all get each list as soon as the service sends it.
 #[test]
 fn a_service_that_is_dead_at_the_start_and_comes_back_by_parts_is_asked_by_few() {
     let faults = "[[fault]]\nat_s = 0\nwhat = \"discovery-dead\"\nfor_s = 5\n\
@@ -267,14 +267,14 @@
     let starts = Starts::from_outcome(&outcome);
     assert!(
         starts.served(5, 8) == 0.0,
-        "an empty list was told: {starts:?}"
+        "an empty list was sent: {starts:?}"
     );
     assert!(starts.served(13, 16) > 0.9, "{starts:?}");
 }
 
-/// A service that loses half of its list is doubted by all that hear it; an operator's word at one of them is enough.
+/// A list that has lost half of its servers is not applied by any limiter until an operator accepts it at one of them.
 #[test]
-fn half_a_list_is_doubted_by_all_and_believed_by_all_on_a_word_at_one() {
+fn a_halved_list_is_rejected_by_all_until_an_operator_accepts_it_at_one() {
     let faults = "[[fault]]\nat_s = 5\nwhat = \"discovery-tells\"\nhow = \"half\"\nfor_s = 20\n\
                   [[fault]]\nat_s = 6\nwhat = \"discovery-dead\"\nfor_s = 0.5\n\
                   [[fault]]\nat_s = 11\nwhat = \"limiter-hung-up\"\nlimiter = 17\n";
@@ -287,7 +287,7 @@
     );
     assert_rules_hold(&outcome);
     let (asked, failed) = discovery_calls(&outcome, 6.5, 16.0);
-    assert!(asked > failed, "half a list was told");
+    assert!(asked > failed, "half a list was sent");
     let used = |from: u64, to: u64| {
         let incarnation = |kind: &EventKind| match kind {
             EventKind::AttemptStarted { incarnation, .. } => Some(incarnation.0 as usize),
@@ -296,11 +296,15 @@
         limiters_that(&outcome, from, to, incarnation).len()
     };
     assert_eq!(used(7, 11), 8, "all servers were kept");
-    assert_eq!(used(13, 16), 4, "the word at one took half away everywhere");
+    assert_eq!(
+        used(13, 16),
+        4,
+        "acceptance at one limiter removed half everywhere"
+    );
 }
 
 #[test]
-fn one_limiter_and_two_call_for_themselves() {
+fn groups_of_one_and_two_limiters_call_for_themselves() {
     for limiters in [1, 2] {
         let site = COLD_START.replace("limiters = 24", &format!("limiters = {limiters}"));
         let outcome = run_site(&format!("seconds = 4\n{site}"), 10);
