--- a/crates/emberpin-testbed/src/bin/wrong-limiter.rs
+++ b/crates/emberpin-testbed/src/bin/wrong-limiter.rs
@@ -84,7 +84,7 @@
     let name = std::env::args().nth(1).unwrap_or_default();
     let defect = DEFECTS
         .iter()
-        .find(|(known, _)| *known == name)
+        .find(|(defect_name, _)| *defect_name == name)
         .ok_or(format!("unknown wrong '{name}'"))?
         .1;
     let file = std::env::var("GW_CONFIG")?;
--- a/crates/emberpin-testbed/src/clients.rs
+++ b/crates/emberpin-testbed/src/clients.rs
@@ -4,7 +4,7 @@
 
 use crate::figures::{Repeat, TIMING_TOLERANCE};
 use crate::http::{ReadError, Wire};
-use crate::schedule::{Arrival, REQUESTS_PER_ARRIVAL};
+use crate::schedule::{Arrival, MAX_REQUESTS};
 use crate::servers::World;
 use crate::trace::{EventKind, Micros, RequestId, SECOND};
 use std::cell::{Cell, RefCell};
@@ -108,8 +108,8 @@
         let schedule = &self.world.schedule;
         let arrival = &schedule.arrivals[index];
         let load = &self.world.scenario.load;
-        for retry in 0..=load.retries.min(REQUESTS_PER_ARRIVAL - 1) {
-            let request_id = RequestId(index as u32 * REQUESTS_PER_ARRIVAL + retry);
+        for retry in 0..=load.retries.min(MAX_REQUESTS - 1) {
+            let request_id = RequestId(index as u32 * MAX_REQUESTS + retry);
             let limiter = self.route(arrival, retry as usize);
             let wait = match self.send_request(request_id, arrival, limiter, retry).await {
                 RequestEnd::Served | RequestEnd::Cancelled => break,
@@ -194,7 +194,7 @@
             world.record_target(request_id, limiter);
             world.recorder.record(EventKind::RequestSent {
                 request: request_id,
-                first_request: RequestId(request_id.0 - request_id.0 % REQUESTS_PER_ARRIVAL),
+                first_request: RequestId(request_id.0 - request_id.0 % MAX_REQUESTS),
                 limiter,
                 class: arrival.class,
                 plan: customer.plan,
--- a/crates/emberpin-testbed/src/discovery.rs
+++ b/crates/emberpin-testbed/src/discovery.rs
@@ -126,9 +126,9 @@
     }
 
     /// Falsifies full lists for all or for some limiters; `None` ends the fault.
-    pub fn set_list_fault(&self, how: Option<(EndpointListFault, Option<Vec<usize>>)>) {
-        let was = self.list_fault.replace(how);
-        if was.is_some() && self.list_fault.borrow().is_none() {
+    pub fn set_list_fault(&self, fault: Option<(EndpointListFault, Option<Vec<usize>>)>) {
+        let previous = self.list_fault.replace(fault);
+        if previous.is_some() && self.list_fault.borrow().is_none() {
             // All entries are sent again as changes, since the false lists may have lacked them.
             for agent in &self.agents {
                 let listed = agent.listed.borrow().clone();
@@ -141,9 +141,9 @@
 
     /// Subscribes to the limiters' calls from now on; replaces an earlier subscription.
     pub fn subscribe_to_calls(&self) -> mpsc::UnboundedReceiver<usize> {
-        let (calls, told) = mpsc::unbounded_channel();
+        let (calls, receiver) = mpsc::unbounded_channel();
         *self.calls.borrow_mut() = Some(calls);
-        told
+        receiver
     }
 
     fn record_call(&self, limiter: usize) {
@@ -247,13 +247,14 @@
     /// The endpoint list in a limiter's configuration at its start; empty if the scenario says so.
     pub fn initial_list(&self, limiter: usize) -> Value {
         let agent = &self.agents[limiter];
-        if !self.world.scenario.site.known {
+        if !self.world.scenario.site.preload_lists {
             return json!({"rev": 0, "all": true, "targets": []});
         }
         self.render_update(limiter, agent.rev.get(), agent.full_list())
     }
 
-    /// The answer to a call: the changes after a version or the full list, falsified if a fault is active; `None` if nothing
+    /// The answer to a call: the changes after a version or the full list, falsified if a fault is active; `None` if
+    /// nothing
     /// has changed.
     fn response_after(
         &self,
@@ -271,7 +272,7 @@
             list_fault
                 .as_ref()
                 .filter(|(_, group)| concerns(group))
-                .map(|(how, _)| *how),
+                .map(|(fault, _)| *fault),
             since,
         ) {
             (Some(EndpointListFault::Empty), _) => Some((rev, (true, Vec::new()))),
@@ -283,8 +284,10 @@
             }
             (None, None) => Some((rev, (true, full_list))),
             // A version that was never sent cannot be the base of changes.
-            (None, Some(known)) if known > rev => Some((rev, (true, full_list))),
-            (None, Some(known)) if known < rev => Some((rev, (false, agent.changed_after(known)))),
+            (None, Some(known_version)) if known_version > rev => Some((rev, (true, full_list))),
+            (None, Some(known_version)) if known_version < rev => {
+                Some((rev, (false, agent.changed_after(known_version))))
+            }
             (None, Some(_)) => None,
         }
     }
@@ -336,12 +339,12 @@
         if call_pending.get() {
             self.record_call(limiter);
         }
-        let sound = tokio::select! {
+        let all_answered = tokio::select! {
             biased;
             _ = dead.wait_for(|dead| *dead) => false,
-            sound = self.serve_connection_calls(limiter, &mut wire, &call_pending) => sound,
+            all_answered = self.serve_connection_calls(limiter, &mut wire, &call_pending) => all_answered,
         };
-        if !sound {
+        if !all_answered {
             if call_pending.get() {
                 recorder.record(EventKind::DiscoveryCallEnded {
                     limiter,
@@ -417,16 +420,16 @@
             return;
         }
         let mut line = self.response_after(limiter, since);
-        let mut known = since.unwrap_or(0);
+        let mut known_version = since.unwrap_or(0);
         loop {
             let update = agent.update.notified();
-            if let Some((rev, told)) = line.take() {
-                known = rev;
-                let told = self.render_update(limiter, rev, told);
+            if let Some((rev, listing)) = line.take() {
+                known_version = rev;
+                let update_json = self.render_update(limiter, rev, listing);
                 let line = if self.world.scenario.site.discovery_indented {
-                    format!("{told:#}")
+                    format!("{update_json:#}")
                 } else {
-                    told.to_string()
+                    update_json.to_string()
                 };
                 if write_line(wire, &line).await.is_err() {
                     return;
@@ -434,7 +437,7 @@
             }
             tokio::select! {
                 () = wire.wait_until_closed() => return,
-                () = update => line = (agent.rev.get() > known).then(|| (agent.rev.get(), (false, agent.changed_after(known)))),
+                () = update => line = (agent.rev.get() > known_version).then(|| (agent.rev.get(), (false, agent.changed_after(known_version)))),
                 () = tokio::time::sleep(HEARTBEAT) => {
                     if !*silent.borrow_and_update() && write_line(wire, "").await.is_err() {
                         return;
--- a/crates/emberpin-testbed/src/figures.rs
+++ b/crates/emberpin-testbed/src/figures.rs
@@ -22,7 +22,7 @@
     /// Mean work in core milliseconds at reference speed.
     pub work: f64,
     /// Latency target: a response within it has its full worth.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// The longest time that a client waits.
     pub deadline: Micros,
     /// Worth of serving one request in time.
@@ -37,7 +37,7 @@
         name: "job-status",
         repeat: Repeat::Safe,
         work: 36.0,
-        aim: 400_000,
+        latency_target: 400_000,
         deadline: 2 * SECOND,
         worth: 3.0,
         units: 1.0,
@@ -46,7 +46,7 @@
         name: "job-submit",
         repeat: Repeat::Keyed,
         work: 79.0,
-        aim: SECOND,
+        latency_target: SECOND,
         deadline: 5 * SECOND / 2,
         worth: 9.0,
         units: 3.0,
@@ -55,7 +55,7 @@
         name: "job-release",
         repeat: Repeat::Unsafe,
         work: 60.0,
-        aim: SECOND,
+        latency_target: SECOND,
         deadline: 5 * SECOND / 2,
         worth: 9.0,
         units: 2.0,
--- a/crates/emberpin-testbed/src/html_report.rs
+++ b/crates/emberpin-testbed/src/html_report.rs
@@ -105,12 +105,12 @@
         }
         _ = write!(write, "</ol>");
     }
-    let told = violation_histories(&outcome.verdict);
-    if !told.is_empty() {
+    let histories = violation_histories(&outcome.verdict);
+    if !histories.is_empty() {
         _ = write!(
             write,
             "<h2>The first break of each rule</h2><pre>{}</pre>",
-            escape(told.trim())
+            escape(histories.trim())
         );
     }
     page += "</html>\n";
--- a/crates/emberpin-testbed/src/http.rs
+++ b/crates/emberpin-testbed/src/http.rs
@@ -146,7 +146,8 @@
         }
     }
 
-    /// Returns when the other side has closed the connection or its sending side; bytes received meanwhile are buffered.
+    /// Returns when the other side has closed the connection or its sending side; bytes received meanwhile are
+    /// buffered.
     pub async fn wait_until_closed(&mut self) {
         while self.buffered.len() <= MAX_HEAD + MAX_BODY && self.fill().await.is_ok() {}
     }
--- a/crates/emberpin-testbed/src/invariants.rs
+++ b/crates/emberpin-testbed/src/invariants.rs
@@ -223,7 +223,7 @@
 struct AttemptRecord {
     incarnation: Incarnation,
     limiter: usize,
-    begun: Micros,
+    started_at: Micros,
     received: Option<(Micros, Option<RequestId>, f64)>,
     ended: Option<(Micros, AttemptEnd)>,
 }
@@ -234,14 +234,14 @@
         self.received.is_some()
             && self
                 .ended
-                .is_none_or(|(_, how)| how != AttemptEnd::Declined)
+                .is_none_or(|(_, end)| end != AttemptEnd::Declined)
     }
 }
 
 /// One incarnation of a server.
 struct IncarnationRecord {
     server: usize,
-    up: Micros,
+    started_at: Micros,
     capacity: f64,
     cold_from: f64,
     warm_after: Micros,
@@ -255,14 +255,14 @@
     attempts: BTreeMap<AttemptId, AttemptRecord>,
     incarnations: BTreeMap<Incarnation, IncarnationRecord>,
     /// Ends of limiter processes: time, limiter and how the process ended.
-    limiter_ends: Vec<(Micros, usize, ProcessEnd)>,
+    exits: Vec<(Micros, usize, ProcessEnd)>,
     /// Times at which limiters became ready: time and limiter.
-    limiter_starts: Vec<(Micros, usize)>,
+    starts: Vec<(Micros, usize)>,
     /// States of each server incarnation that each limiter was notified of.
     notifications: HashMap<(usize, Incarnation), Vec<(Micros, ServerState)>>,
-    unsolicited_bytes: Vec<(Micros, usize, Option<RequestId>)>,
+    unsolicited: Vec<(Micros, usize, Option<RequestId>)>,
     repeated_effects: Vec<(Micros, AttemptId)>,
-    late_periods: Vec<(Micros, Micros)>,
+    delays: Vec<(Micros, Micros)>,
 }
 
 impl<'a> TraceIndex<'a> {
@@ -273,12 +273,12 @@
             requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
             incarnations: BTreeMap::new(),
-            limiter_ends: Vec::new(),
-            limiter_starts: Vec::new(),
+            exits: Vec::new(),
+            starts: Vec::new(),
             notifications: HashMap::new(),
-            unsolicited_bytes: Vec::new(),
+            unsolicited: Vec::new(),
             repeated_effects: Vec::new(),
-            late_periods: Vec::new(),
+            delays: Vec::new(),
         };
         for event in events {
             trace.index(event.at, &event.kind);
@@ -350,7 +350,7 @@
                 }
             }
             EventKind::UnsolicitedBytes { limiter, after } => {
-                self.unsolicited_bytes.push((at, *limiter, *after))
+                self.unsolicited.push((at, *limiter, *after))
             }
             EventKind::AttemptStarted {
                 attempt,
@@ -360,7 +360,7 @@
                 let record = AttemptRecord {
                     incarnation: *incarnation,
                     limiter: *limiter,
-                    begun: at,
+                    started_at: at,
                     received: None,
                     ended: None,
                 };
@@ -401,7 +401,7 @@
             } => {
                 let record = IncarnationRecord {
                     server: *server,
-                    up: at,
+                    started_at: at,
                     capacity: *capacity,
                     cold_from: *cold_from,
                     warm_after: *warm_after,
@@ -418,13 +418,9 @@
                     .or_default()
                     .push((at, *state));
             }
-            EventKind::LimiterStopped { limiter, end } => {
-                self.limiter_ends.push((at, *limiter, *end))
-            }
-            EventKind::LimiterReady { limiter } => self.limiter_starts.push((at, *limiter)),
-            EventKind::StandInsLate { delay } => {
-                self.late_periods.push((at.saturating_sub(*delay), at))
-            }
+            EventKind::LimiterStopped { limiter, end } => self.exits.push((at, *limiter, *end)),
+            EventKind::LimiterReady { limiter } => self.starts.push((at, *limiter)),
+            EventKind::StandInsLate { delay } => self.delays.push((at.saturating_sub(*delay), at)),
             EventKind::LimiterUnreachable { .. }
             | EventKind::ServerStopped { .. }
             | EventKind::SigtermSent { .. }
@@ -437,7 +433,7 @@
 
     /// Whether the stand-ins ran late between two times, or within the tolerance around them.
     fn ran_late(&self, from: Micros, to: Micros) -> bool {
-        self.late_periods.iter().any(|(began, ended)| {
+        self.delays.iter().any(|(began, ended)| {
             *began <= to + TIMING_TOLERANCE && *ended + TIMING_TOLERANCE >= from
         })
     }
@@ -445,17 +441,17 @@
     /// Whether the limiter was killed by a fault between two times. The sockets of a killed process stay open for a
     /// moment after the signal; its next incarnation becomes ready only later.
     fn killed(&self, limiter: usize, from: Micros, to: Micros) -> bool {
-        let in_period = |(at, which, how): &&(Micros, usize, ProcessEnd)| {
+        let in_period = |(at, which, end): &&(Micros, usize, ProcessEnd)| {
             *which == limiter
-                && *how == ProcessEnd::Killed
+                && *end == ProcessEnd::Killed
                 && (from.saturating_sub(TIMING_TOLERANCE)..=to).contains(at)
         };
         let restarted_since = |down: Micros| {
-            self.limiter_starts
+            self.starts
                 .iter()
                 .any(|(at, which)| *which == limiter && *at > down && *at <= from)
         };
-        self.limiter_ends
+        self.exits
             .iter()
             .filter(in_period)
             .any(|(at, ..)| !restarted_since(*at))
@@ -463,8 +459,8 @@
 
     /// Rule 1: each accepted request gets one final response in time, and no attempt starts after it.
     fn check_responses(&self, violations: &mut Violations) {
-        for (at, limiter, how) in &self.limiter_ends {
-            let message = match how {
+        for (at, limiter, end) in &self.exits {
+            let message = match end {
                 ProcessEnd::Crashed => format!("limiter {limiter} ended unasked"),
                 ProcessEnd::Overdue => {
                     format!("limiter {limiter} had not left in its time after SIGTERM")
@@ -481,7 +477,7 @@
                 Subject::Limiter(*limiter),
             ));
         }
-        for (at, limiter, after) in &self.unsolicited_bytes {
+        for (at, limiter, after) in &self.unsolicited {
             let message =
                 format!("limiter {limiter} sent bytes on a connection that was owed no answer");
             let violation = DetectedViolation {
@@ -536,7 +532,7 @@
                 // no attempt of it reached a server.
                 let read = self
                     .received_attempts(record)
-                    .any(|(_, attempt)| attempt.begun <= *at + TIMING_TOLERANCE);
+                    .any(|(_, attempt)| attempt.started_at <= *at + TIMING_TOLERANCE);
                 let crossed = send.reused && !read && record.sends.len() > position + 1;
                 if !partial_response
                     && !crossed
@@ -553,9 +549,9 @@
             if let Some((answered, ..)) = record.responses.first() {
                 let after = self
                     .received_attempts(record)
-                    .find(|(_, attempt)| attempt.begun > answered + TIMING_TOLERANCE);
+                    .find(|(_, attempt)| attempt.started_at > answered + TIMING_TOLERANCE);
                 if let Some((_, attempt)) = after {
-                    report_violation(attempt.begun, "sent on after its final answer".into());
+                    report_violation(attempt.started_at, "sent on after its final answer".into());
                 }
             }
         }
@@ -594,7 +590,7 @@
             let first_that_may_have_run =
                 attempts.iter().position(|attempt| attempt.may_have_run());
             for (position, next) in attempts.iter().enumerate().skip(1) {
-                let received_at = next.received.map_or(next.begun, |(at, ..)| at);
+                let received_at = next.received.map_or(next.started_at, |(at, ..)| at);
                 let before = &attempts[..position];
                 let in_flight = |earlier: &&&AttemptRecord| {
                     earlier
@@ -603,8 +599,8 @@
                 };
                 if let Some(earlier) = before.iter().find(in_flight) {
                     report_violation(
-                        earlier.begun,
-                        next.begun,
+                        earlier.started_at,
+                        next.started_at,
                         "a second attempt while the first was out".into(),
                     );
                 }
@@ -617,19 +613,21 @@
                 match CLASSES[record.class].repeat {
                     Repeat::Safe => {}
                     Repeat::Unsafe => report_violation(
-                        first.begun,
-                        next.begun,
+                        first.started_at,
+                        next.started_at,
                         "an unsafe request that may have run went out again".into(),
                     ),
                     Repeat::Keyed => {
                         if self.zone(first) != self.zone(next) {
                             let message =
                                 "a keyed request that may have run went out again in another hall";
-                            report_violation(first.begun, next.begun, message.into());
-                        } else if next.begun > first.begun + DEDUP_WINDOW + TIMING_TOLERANCE {
+                            report_violation(first.started_at, next.started_at, message.into());
+                        } else if next.started_at
+                            > first.started_at + DEDUP_WINDOW + TIMING_TOLERANCE
+                        {
                             let message =
                                 "a keyed request that may have run went out again after its window";
-                            report_violation(first.begun, next.begun, message.into());
+                            report_violation(first.started_at, next.started_at, message.into());
                         }
                     }
                 }
@@ -641,7 +639,7 @@
             if let (Some((at, status, _)), Some(first)) = (refused, first_that_may_have_run) {
                 if CLASSES[record.class].repeat != Repeat::Safe {
                     let message = format!("refused with {status}, though it may have run");
-                    report_violation(attempts[first].begun, *at, message);
+                    report_violation(attempts[first].started_at, *at, message);
                 }
             }
         }
@@ -650,14 +648,14 @@
                 let message = format!("attempt {} has an id that no client sent", id.0);
                 let violation = DetectedViolation {
                     rule: Rule::Effects,
-                    from: attempt.begun,
+                    from: attempt.started_at,
                     at,
                     message,
                 };
                 violations.push((violation, Subject::Limiter(attempt.limiter)));
             }
         }
-        let known = |attempt: &AttemptId| {
+        let request_of_attempt = |attempt: &AttemptId| {
             let record = self.attempts.get(attempt)?;
             record
                 .received
@@ -669,11 +667,11 @@
             .iter()
             .filter(|_| self.options.check_repeated_effects_per_key)
         {
-            if let Some((record, request)) = known(attempt) {
+            if let Some((record, request)) = request_of_attempt(attempt) {
                 let text = "the effect of a key was had a second time".to_string();
                 let violation = DetectedViolation {
                     rule: Rule::Effects,
-                    from: record.begun,
+                    from: record.started_at,
                     at: *at,
                     message: text,
                 };
@@ -700,14 +698,17 @@
             };
             // The grace period starts with the first notification since the server was last reported ready.
             let mut since = None;
-            for (at, state) in notifications.iter().filter(|(at, _)| *at <= attempt.begun) {
+            for (at, state) in notifications
+                .iter()
+                .filter(|(at, _)| *at <= attempt.started_at)
+            {
                 since = match state {
                     ServerState::Ready => None,
                     ServerState::Draining | ServerState::Gone => since.or(Some(*at)),
                 };
             }
             let Some(since) =
-                since.filter(|at| attempt.begun > at + DRAIN_GRACE + TIMING_TOLERANCE)
+                since.filter(|at| attempt.started_at > at + DRAIN_GRACE + TIMING_TOLERANCE)
             else {
                 continue;
             };
@@ -718,12 +719,12 @@
             let message = format!(
                 "limiter {} sent to server {server} {:.0} ms after it was told of its drain",
                 attempt.limiter,
-                seconds(attempt.begun - since) * 1000.0
+                seconds(attempt.started_at - since) * 1000.0
             );
             let violation = DetectedViolation {
                 rule: Rule::Drains,
                 from: since,
-                at: attempt.begun,
+                at: attempt.started_at,
                 message,
             };
             violations.push((
@@ -753,7 +754,7 @@
                 continue;
             };
             work.sort_by_key(|(at, ..)| *at);
-            let warm_at = record.up + record.warm_after;
+            let warm_at = record.started_at + record.warm_after;
             let mut oldest = 0;
             for newest in 0..work.len() {
                 let now = work[newest].0;
@@ -849,7 +850,7 @@
 
     /// The events that concern a violation, one line each; the last [`MAX_HISTORY_LINES`] if there are more.
     fn history(&self, subject: &Subject, violation: &DetectedViolation) -> Vec<String> {
-        let whose = |attempt: &AttemptId| {
+        let request_of = |attempt: &AttemptId| {
             self.attempts
                 .get(attempt)
                 .and_then(|record| record.received)
@@ -877,26 +878,26 @@
                     incarnation,
                     ..
                 },
-                Subject::Server(of, to),
-            ) => incarnation == of && limiter == to,
+                Subject::Server(wanted, wanted_limiter),
+            ) => incarnation == wanted && limiter == wanted_limiter,
             (
                 EventKind::AttemptStarted {
                     incarnation,
                     limiter,
                     ..
                 },
-                Subject::Server(of, to),
-            ) => incarnation == of && limiter == to && near(event.at),
-            (kind, Subject::Request(of)) => match (kind.request(), kind.attempt()) {
-                (Some(request), _) => request == *of,
-                (None, Some(attempt)) => whose(&attempt) == Some(*of),
+                Subject::Server(wanted, wanted_limiter),
+            ) => incarnation == wanted && limiter == wanted_limiter && near(event.at),
+            (kind, Subject::Request(wanted)) => match (kind.request(), kind.attempt()) {
+                (Some(request), _) => request == *wanted,
+                (None, Some(attempt)) => request_of(&attempt) == Some(*wanted),
                 (None, None) => false,
             },
-            (EventKind::RequestSent { customer, .. }, Subject::Customer(of)) => {
-                customer == of && near(event.at)
+            (EventKind::RequestSent { customer, .. }, Subject::Customer(wanted)) => {
+                customer == wanted && near(event.at)
             }
-            (EventKind::UnsolicitedBytes { limiter, .. }, Subject::Limiter(of)) => {
-                limiter == of && near(event.at)
+            (EventKind::UnsolicitedBytes { limiter, .. }, Subject::Limiter(wanted)) => {
+                limiter == wanted && near(event.at)
             }
             _ => false,
         };
@@ -910,13 +911,12 @@
     /// Core milliseconds that it can do between two moments, both before it is warm.
     fn achievable_work(&self, from: Micros, to: Micros) -> f64 {
         let share = |at: Micros| {
-            let part = at.saturating_sub(self.up) as f64 / self.warm_after as f64;
+            let part = at.saturating_sub(self.started_at) as f64 / self.warm_after as f64;
             self.cold_from + (1.0 - self.cold_from) * part.min(1.0)
         };
         // The capacity rises linearly, so the mean of both ends is the mean over the period. A window that begins
         // before the server's start counts at its full length, with the capacity share at the start.
-@@
-        let mean = (share(from.max(self.up)) + share(to)) / 2.0;
+        let mean = (share(from.max(self.started_at)) + share(to)) / 2.0;
         mean * self.capacity * (to - from) as f64 / 1000.0
     }
 }
--- a/crates/emberpin-testbed/src/peers.rs
+++ b/crates/emberpin-testbed/src/peers.rs
@@ -101,13 +101,8 @@
             let net = net.clone();
             spawn_local(async move { net.clone().relay(&net.sockets[to], Some(to)).await });
         }
-        let broadcast_relay = net.clone();
-        spawn_local(async move {
-            broadcast_relay
-                .clone()
-                .relay(&broadcast_relay.broadcast, None)
-                .await
-        });
+        let shared = net.clone();
+        spawn_local(async move { shared.clone().relay(&shared.broadcast, None).await });
         Ok(net)
     }
 
--- a/crates/emberpin-testbed/src/process.rs
+++ b/crates/emberpin-testbed/src/process.rs
@@ -1,4 +1,5 @@
-//! Limiters as processes of their own: starts, watches, kills and measures them. Apart from signals, the testbed reaches
+//! Limiters as processes of their own: starts, watches, kills and measures them. Apart from signals, the testbed
+//! reaches
 //! a limiter through sockets only.
 
 use crate::error::{LimiterError, LimiterFile};
@@ -201,7 +202,8 @@
         }
     }
 
-    /// The arguments that give the limiter a log. Before its first start the log is initialised, as an operator does it.
+    /// The arguments that give the limiter a log. Before its first start the log is initialised, as an operator does
+    /// it.
     fn log_arguments(&self, config: &Path) -> Result<Vec<OsString>, LimiterError> {
         if !self.program.logs {
             return Ok(Vec::new());
--- a/crates/emberpin-testbed/src/report.rs
+++ b/crates/emberpin-testbed/src/report.rs
@@ -4,7 +4,7 @@
 use crate::figures::{CLASSES, PLANS};
 use crate::invariants::{Finding, Verdict};
 use crate::process::Usage;
-use crate::schedule::{Schedule, REQUESTS_PER_ARRIVAL};
+use crate::schedule::{Schedule, MAX_REQUESTS};
 use crate::site::Outcome;
 use crate::trace::{seconds, Event, EventKind, Micros, RequestId, SECOND};
 use comfy_table::presets::UTF8_HORIZONTAL_ONLY;
@@ -104,7 +104,7 @@
         else {
             continue;
         };
-        let Some(work) = work_outcomes.get_mut((request.0 / REQUESTS_PER_ARRIVAL) as usize) else {
+        let Some(work) = work_outcomes.get_mut((request.0 / MAX_REQUESTS) as usize) else {
             continue;
         };
         match &event.kind {
@@ -113,10 +113,10 @@
                 work.refused = false;
             }
             EventKind::ResponseReceived { status: 200, .. } => {
-                work.served = work.served.or(Some(event.at))
+                work.served = work.served.or(Some(event.at));
             }
             EventKind::ResponseReceived { status, .. } => {
-                work.refused = matches!(status, 429 | 503)
+                work.refused = matches!(status, 429 | 503);
             }
             EventKind::RequestCancelled { .. } => work.cancelled = true,
             _ => work.refused = false,
@@ -143,10 +143,8 @@
         }
     }
 
-    fn count(&mut self, work: &WorkOutcome, aim: Micros) {
-        let Some(asked) = work.asked else {
-            return;
-        };
+    fn count(&mut self, work: &WorkOutcome, latency_target: Micros) {
+        let Some(asked) = work.asked else { return };
         if work.cancelled {
             return;
         }
@@ -155,7 +153,7 @@
             Some(at) => {
                 let time = at.saturating_sub(asked);
                 self.times.push(time as f64 / 1000.0);
-                *(if time <= aim {
+                *(if time <= latency_target {
                     &mut self.row.in_time
                 } else {
                     &mut self.row.late
@@ -231,10 +229,10 @@
             .iter()
             .zip(&work_outcomes(&outcome.events, schedule.arrivals.len()))
         {
-            let aim = arrival.class().aim;
-            total.count(work, aim);
-            classes[arrival.class].count(work, aim);
-            plans[schedule.customers[arrival.customer as usize].plan].count(work, aim);
+            let latency_target = arrival.class().latency_target;
+            total.count(work, latency_target);
+            classes[arrival.class].count(work, latency_target);
+            plans[schedule.customers[arrival.customer as usize].plan].count(work, latency_target);
         }
         let mut plans: Vec<Row> = plans.into_iter().map(RowBuilder::finish).collect();
         for (row, (sent, beyond)) in plans
--- a/crates/emberpin-testbed/src/resources.rs
+++ b/crates/emberpin-testbed/src/resources.rs
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Checks that the machine provides the resources; raises the soft limit on descriptors if the hard limit allows it.
+    /// Checks that the machine provides the resources; raises the soft limit on descriptors if the hard limit allows
+    /// it.
     ///
     /// # Errors
     ///
--- a/crates/emberpin-testbed/src/scenario.rs
+++ b/crates/emberpin-testbed/src/scenario.rs
@@ -62,10 +62,13 @@
     /// Whether all servers start cold when the load begins.
     pub cold: bool,
     /// Whether all limiters start at the instant at which the load begins, rather than before it.
-    pub together: bool,
+    #[serde(rename = "together")]
+    pub start_together: bool,
     /// Whether limiters get their last known endpoint list in their configuration when they start.
-    pub known: bool,
-    /// Whether all limiters reach a server at one address. This is required where limiters exchange endpoint lists; links
+    #[serde(rename = "known")]
+    pub preload_lists: bool,
+    /// Whether all limiters reach a server at one address. This is required where limiters exchange endpoint lists;
+    /// links
     /// to zones cannot be cut then.
     pub one_address: bool,
     /// Group size in the limiters' settings; 0 for the actual number of limiters.
@@ -107,8 +110,8 @@
             cold_from: 0.35,
             warm_s: 8.0,
             cold: false,
-            together: false,
-            known: true,
+            start_together: false,
+            preload_lists: true,
             one_address: false,
             configured_limiters: 0,
             discovery_rate: 0.0,
@@ -285,7 +288,7 @@
         /// The server's number, from 0.
         server: usize,
         /// The kind of falsification or response fault.
-        how: ResponseFault,
+        response_fault: ResponseFault,
         /// The affected share.
         share: f64,
         /// How long the fault lasts.
@@ -363,7 +366,7 @@
     /// Makes the discovery service send false full lists.
     DiscoveryListFaulty {
         /// The kind of falsification or response fault.
-        how: EndpointListFault,
+        list_fault: EndpointListFault,
         /// The limiters that get false lists; all if absent.
         group: Option<Vec<usize>>,
         /// How long the fault lasts.
--- a/crates/emberpin-testbed/src/scenario/fault_table.rs
+++ b/crates/emberpin-testbed/src/scenario/fault_table.rs
@@ -169,7 +169,7 @@
             }),
             FaultKind::ServerResponsesFaulty => one(Fault::ServerResponsesFaulty {
                 server: fields.server()?,
-                how: fields.how()?,
+                response_fault: fields.how()?,
                 share: fields.share()?,
                 length: fields.length()?,
             }),
@@ -223,7 +223,7 @@
                     .then(|| fields.group())
                     .transpose()?;
                 one(Fault::DiscoveryListFaulty {
-                    how: fields.how()?,
+                    list_fault: fields.how()?,
                     group,
                     length: fields.length()?,
                 })
--- a/crates/emberpin-testbed/src/scenario/fault_text.rs
+++ b/crates/emberpin-testbed/src/scenario/fault_text.rs
@@ -34,11 +34,14 @@
                 write!(formatter, "server {server} stands still")
             }
             Fault::ServerResponsesFaulty {
-                server, how, share, ..
+                server,
+                response_fault,
+                share,
+                ..
             } => {
                 write!(
                     formatter,
-                    "server {server} spoils {:.0} % of its answers: {how:?}",
+                    "server {server} spoils {:.0} % of its answers: {response_fault:?}",
                     share * 100.0
                 )
             }
@@ -89,8 +92,11 @@
             }
             Fault::DiscoverySilent { .. } => formatter.write_str("discovery silent"),
             Fault::DiscoveryDead { .. } => formatter.write_str("the list service dead"),
-            Fault::DiscoveryListFaulty { how, .. } => {
-                write!(formatter, "the list service tells an untrue list: {how:?}")
+            Fault::DiscoveryListFaulty { list_fault, .. } => {
+                write!(
+                    formatter,
+                    "the list service tells an untrue list: {list_fault:?}"
+                )
             }
             Fault::LimiterPaused { limiter, length } => {
                 write!(
--- a/crates/emberpin-testbed/src/schedule.rs
+++ b/crates/emberpin-testbed/src/schedule.rs
@@ -9,7 +9,7 @@
 use rand_distr::{Distribution, Exp, LogNormal};
 
 /// Maximum number of requests (the first and its retries) of one arrival; [`RequestId`] numbers them consecutively.
-pub const REQUESTS_PER_ARRIVAL: u32 = 16;
+pub const MAX_REQUESTS: u32 = 16;
 /// Maximum work of a request, as a multiple of the mean of its class.
 const MAX_WORK_FACTOR: f64 = 10.0;
 
@@ -33,7 +33,8 @@
 }
 
 impl Customer {
-    /// The position, before reduction modulo [`spread`](Customer::spread), of the limiter that gets most of its requests now.
+    /// The position, before reduction modulo [`spread`](Customer::spread), of the limiter that gets most of its
+    /// requests now.
     pub fn busiest_limiter(&self, at: Micros, shift: Micros) -> usize {
         let shift_count = (at as f64 / shift.max(1) as f64 + self.phase) as usize;
         let moves = self
@@ -45,7 +46,7 @@
     }
 }
 
-/// One piece of work that a client wants done, with up to [`REQUESTS_PER_ARRIVAL`] requests.
+/// One piece of work that a client wants done, with up to [`MAX_REQUESTS`] requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
     /// When its first request is sent.
@@ -112,8 +113,7 @@
 
     /// The arrival of a request.
     pub fn arrival(&self, request_id: RequestId) -> Option<&Arrival> {
-        self.arrivals
-            .get((request_id.0 / REQUESTS_PER_ARRIVAL) as usize)
+        self.arrivals.get((request_id.0 / MAX_REQUESTS) as usize)
     }
 
     /// The `Req-Id` of a request.
@@ -124,9 +124,9 @@
     /// Parses a `Req-Id`; `None` if it is not of this run.
     pub fn parse_id(&self, id: &str) -> Option<RequestId> {
         let (run_tag, number) = id.split_at_checked(8)?;
-        let sound = number.len() == 8 && u32::from_str_radix(run_tag, 16).ok()? == self.run_tag;
+        let is_own = number.len() == 8 && u32::from_str_radix(run_tag, 16).ok()? == self.run_tag;
         let request_id = RequestId(u32::from_str_radix(number, 16).ok()?);
-        (sound && self.arrival(request_id).is_some()).then_some(request_id)
+        (is_own && self.arrival(request_id).is_some()).then_some(request_id)
     }
 
     /// The request that a server's response was made for; the body begins with the request's id.
--- a/crates/emberpin-testbed/src/servers.rs
+++ b/crates/emberpin-testbed/src/servers.rs
@@ -378,9 +378,8 @@
 
     /// Stops listening at the addresses before the current ones.
     pub fn close_old_addresses(&self) {
-        self.address_generation.send_modify(|address_generation| {
-            *address_generation = address_generation.wrapping_add(1)
-        });
+        self.address_generation
+            .send_modify(|generation| *generation = generation.wrapping_add(1));
     }
 
     /// Whether no request is queued or running.
@@ -389,8 +388,8 @@
     }
 
     /// Makes a share of the responses faulty; `None` ends the fault.
-    pub fn set_response_fault(&self, how: Option<(ResponseFault, f64)>) {
-        *self.response_fault.borrow_mut() = how;
+    pub fn set_response_fault(&self, fault: Option<(ResponseFault, f64)>) {
+        *self.response_fault.borrow_mut() = fault;
     }
 
     fn crash(&self) {
@@ -492,7 +491,7 @@
         loop {
             tokio::select! {
                 biased;
-                came = wire.wait_for_bytes() => if !came {
+                has_bytes = wire.wait_for_bytes() => if !has_bytes {
                     return ConnectionEnd::ClosedByPeer;
                 },
                 _ = address_generations.wait_for(|now| *now > address_generation) => return ConnectionEnd::ClosedByServer,
@@ -612,7 +611,8 @@
     }
 
     /// Records the work and returns whether the server is overloaded while cold: whether the work received within
-    /// [`OVERLOAD_WINDOW`], apart from its heaviest request, exceeds [`OVERLOAD_MULTIPLE`] times what the server can do in that time. An
+    /// [`OVERLOAD_WINDOW`], apart from its heaviest request, exceeds [`OVERLOAD_MULTIPLE`] times what the server can
+    /// do in that time. An
     /// overloaded server crashes and stays down.
     fn overloads(&self, work: f64) -> bool {
         let now = self.world.recorder.now();
@@ -655,7 +655,7 @@
         let declines_all = self
             .response_fault
             .borrow()
-            .is_some_and(|(how, _)| how == ResponseFault::Decline);
+            .is_some_and(|(kind, _)| kind == ResponseFault::Decline);
         if declines_all
             || self.connections.get() > site.connections
             || self.waiting.get() > site.queue
@@ -732,9 +732,12 @@
                 );
                 let roll = uniform(world.scenario.seed, attempt);
                 let fault = *self.response_fault.borrow();
-                match fault.filter(|(_, share)| roll < *share).map(|(how, _)| how) {
-                    Some(how) if how != ResponseFault::Error => {
-                        return Some(write_faulty_response(how, wire, &headers, &body).await);
+                match fault
+                    .filter(|(_, share)| roll < *share)
+                    .map(|(kind, _)| kind)
+                {
+                    Some(kind) if kind != ResponseFault::Error => {
+                        return Some(write_faulty_response(kind, wire, &headers, &body).await);
                     }
                     None if roll >= world.scenario.site.error_rate => {
                         let length = body.len();
@@ -805,7 +808,7 @@
 }
 
 async fn write_faulty_response(
-    how: ResponseFault,
+    fault: ResponseFault,
     wire: &mut Wire,
     headers: &str,
     body: &str,
@@ -813,7 +816,7 @@
     let length = body.len();
     let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n{headers}\r\n{body}");
     let half = &whole[..whole.len() - length / 2];
-    match how {
+    match fault {
         ResponseFault::Reset => ConnectionEnd::Reset,
         ResponseFault::Half => {
             _ = wire.stream.write_all(half.as_bytes()).await;
--- a/crates/emberpin-testbed/src/settings.rs
+++ b/crates/emberpin-testbed/src/settings.rs
@@ -11,7 +11,7 @@
 pub fn settings(site: &Site, number: usize) -> Value {
     let class = |class: &Class| {
         json!({
-            "name": class.name, "aim-ms": class.aim as f64 / 1000.0, "deadline-ms": class.deadline as f64 / 1000.0,
+            "name": class.name, "aim-ms": class.latency_target as f64 / 1000.0, "deadline-ms": class.deadline as f64 / 1000.0,
             "worth": class.worth, "late-worth": 0.1,
             "semantics": match class.repeat {
                 Repeat::Safe => "safe",
--- a/crates/emberpin-testbed/src/shared_capacity.rs
+++ b/crates/emberpin-testbed/src/shared_capacity.rs
@@ -31,7 +31,8 @@
 }
 
 impl SharedCapacity {
-    /// Creates a service with a capacity in calls a second, a time limit for pending calls, and a warm-up time in seconds.
+    /// Creates a service with a capacity in calls a second, a time limit for pending calls, and a warm-up time in
+    /// seconds.
     pub fn new(rate: f64, time_limit_s: f64, warmup_s: f64) -> Rc<SharedCapacity> {
         Rc::new(SharedCapacity {
             rate,
--- a/crates/emberpin-testbed/src/site.rs
+++ b/crates/emberpin-testbed/src/site.rs
@@ -149,10 +149,10 @@
 
     world.recorder.restart_clock();
     running.discovery.start_warmup();
-    if scenario.site.together {
+    if scenario.site.start_together {
         start_servers(&running.servers, &running.discovery, scenario.site.cold).await?;
     }
-    if scenario.site.together {
+    if scenario.site.start_together {
         for number in 0..scenario.site.limiters {
             running.clients.mark_down(number);
             let running = running.clone();
@@ -278,7 +278,7 @@
         let discovery = Discovery::start(world.clone())
             .await
             .map_err(SiteError::stand_in(StandIn::Discovery))?;
-        if !site.together {
+        if !site.start_together {
             start_servers(&servers, &discovery, site.cold).await?;
         }
         let peers = PeerNetwork::start(&world)
@@ -311,12 +311,14 @@
             for fault in &world.scenario.faults {
                 match &fault.fault {
                     Fault::LimiterStopsAtPoint {
-                        limiter: of, point, ..
-                    } if *of == number => limiter.stop_at_point(point),
+                        limiter: target,
+                        point,
+                        ..
+                    } if *target == number => limiter.stop_at_point(point),
                     Fault::DiskFaulty {
-                        limiter: of,
+                        limiter: target,
                         disk_fault,
-                    } if *of == number => limiter.set_disk_fault(disk_fault),
+                    } if *target == number => limiter.set_disk_fault(disk_fault),
                     _ => {}
                 }
             }
@@ -336,7 +338,11 @@
             problem: RefCell::default(),
             shutting_down: Cell::new(false),
         });
-        let started_before_load = if site.together { 0 } else { site.limiters };
+        let started_before_load = if site.start_together {
+            0
+        } else {
+            site.limiters
+        };
         let starting: Vec<_> = (0..started_before_load)
             .map(|number| {
                 let running = running.clone();
@@ -356,8 +362,8 @@
             .addresses(number)
             .map_err(SiteError::stand_in(StandIn::PeerNetwork))?;
         let site = &self.world.scenario.site;
-        let known = self.discovery.initial_list(number);
-        let config = limiter.config(site, self.discovery.address(number), known, peers);
+        let initial_list = self.discovery.initial_list(number);
+        let config = limiter.config(site, self.discovery.address(number), initial_list, peers);
         Ok(limiter.start(config).await?)
     }
 
--- a/crates/emberpin-testbed/src/site/fault_injection.rs
+++ b/crates/emberpin-testbed/src/site/fault_injection.rs
@@ -141,12 +141,12 @@
             }
             Fault::ServerResponsesFaulty {
                 server,
-                how,
+                response_fault,
                 share,
                 length,
             } => {
                 let set = |process: &Process, spoils: bool| {
-                    process.set_response_fault(spoils.then_some((*how, *share)));
+                    process.set_response_fault(spoils.then_some((*response_fault, *share)));
                 };
                 self.disturb_server(*server, *length, set).await
             }
@@ -230,8 +230,12 @@
                 sleep(duration(*length)).await;
                 discovery.set_dead(false);
             }
-            Fault::DiscoveryListFaulty { how, group, length } => {
-                discovery.set_list_fault(Some((*how, group.clone())));
+            Fault::DiscoveryListFaulty {
+                list_fault,
+                group,
+                length,
+            } => {
+                discovery.set_list_fault(Some((*list_fault, group.clone())));
                 sleep(duration(*length)).await;
                 discovery.set_list_fault(None);
             }
--- a/crates/emberpin-testbed/src/start_summary.rs
+++ b/crates/emberpin-testbed/src/start_summary.rs
@@ -2,7 +2,7 @@
 //! endpoint list, the load on cold servers, and the work served in each second.
 
 use crate::figures::{OVERLOAD_MULTIPLE, OVERLOAD_WINDOW};
-use crate::schedule::REQUESTS_PER_ARRIVAL;
+use crate::schedule::MAX_REQUESTS;
 use crate::site::Outcome;
 use crate::trace::{Event, EventKind, Incarnation, Micros, SECOND};
 use serde::Serialize;
@@ -25,7 +25,8 @@
     pub most_connections: u64,
     /// Maximum work sent to a cold server within [`OVERLOAD_WINDOW`], as a share of the work that overloads it.
     pub nearest_to_falling: f64,
-    /// For each second of the run: pieces of work first requested in it, and those of them served within their latency target.
+    /// For each second of the run: pieces of work first requested in it, and those of them served within their latency
+    /// target.
     pub seconds: Vec<(u64, u64)>,
     /// Processor time of all limiters, in milliseconds.
     pub cpu_ms: f64,
@@ -38,10 +39,10 @@
     pub fn from_outcome(outcome: &Outcome) -> Starts {
         let limiters = outcome.scenario.site.limiters;
         let events = &outcome.events;
-        let times = |of: fn(&EventKind) -> bool| -> Vec<Micros> {
+        let times = |selects: fn(&EventKind) -> bool| -> Vec<Micros> {
             events
                 .iter()
-                .filter(|event| of(&event.kind))
+                .filter(|event| selects(&event.kind))
                 .map(|event| event.at)
                 .collect()
         };
@@ -103,9 +104,9 @@
 }
 
 /// The time of each limiter's first matching event in seconds, in order.
-fn first_times(events: &[Event], of: impl Fn(&EventKind) -> Option<usize>) -> Vec<f64> {
+fn first_times(events: &[Event], selects: impl Fn(&EventKind) -> Option<usize>) -> Vec<f64> {
     let mut seen = BTreeSet::new();
-    let first = |event: &&Event| of(&event.kind).is_some_and(|limiter| seen.insert(limiter));
+    let first = |event: &&Event| selects(&event.kind).is_some_and(|limiter| seen.insert(limiter));
     events
         .iter()
         .filter(first)
@@ -228,12 +229,10 @@
                 status: 200,
                 ..
             } => {
-                served
-                    .entry(request.0 / REQUESTS_PER_ARRIVAL)
-                    .or_insert(event.at);
+                served.entry(request.0 / MAX_REQUESTS).or_insert(event.at);
             }
             EventKind::RequestCancelled { request } => {
-                _ = cancelled.insert(request.0 / REQUESTS_PER_ARRIVAL)
+                _ = cancelled.insert(request.0 / MAX_REQUESTS)
             }
             _ => {}
         }
@@ -246,7 +245,7 @@
             continue;
         }
         second.0 += 1;
-        let in_time = |at: &Micros| *at <= arrival.at + arrival.class().aim;
+        let in_time = |at: &Micros| *at <= arrival.at + arrival.class().latency_target;
         second.1 += u64::from(served.get(&(index as u32)).is_some_and(in_time));
     }
     seconds
--- a/crates/emberpin-testbed/tests/common/mod.rs
+++ b/crates/emberpin-testbed/tests/common/mod.rs
@@ -77,12 +77,12 @@
 /// Calls to the discovery service between two times in seconds, and calls that failed in that period.
 pub fn discovery_calls(outcome: &Outcome, from: f64, to: f64) -> (usize, usize) {
     let within = |event: &&Event| (from..to).contains(&(event.at as f64 / SECOND as f64));
-    let count = |of: fn(&EventKind) -> bool| {
+    let count = |selects: fn(&EventKind) -> bool| {
         outcome
             .events
             .iter()
             .filter(within)
-            .filter(|e| of(&e.kind))
+            .filter(|e| selects(&e.kind))
             .count()
     };
     (
@@ -99,11 +99,11 @@
     )
 }
 
-pub fn count_events(outcome: &Outcome, of: impl Fn(&EventKind) -> bool) -> usize {
+pub fn count_events(outcome: &Outcome, selects: impl Fn(&EventKind) -> bool) -> usize {
     outcome
         .events
         .iter()
-        .filter(|event| of(&event.kind))
+        .filter(|event| selects(&event.kind))
         .count()
 }
 
@@ -134,13 +134,13 @@
     outcome: &Outcome,
     from: u64,
     to: u64,
-    of: fn(&EventKind) -> Option<usize>,
+    selects: fn(&EventKind) -> Option<usize>,
 ) -> BTreeSet<usize> {
     let within = outcome
         .events
         .iter()
         .filter(|event| (from * SECOND..to * SECOND).contains(&event.at));
-    within.filter_map(|event| of(&event.kind)).collect()
+    within.filter_map(|event| selects(&event.kind)).collect()
 }
 
 /// The limiter that called the discovery service in this event.
--- a/crates/emberpin-testbed/tests/idempotency.rs
+++ b/crates/emberpin-testbed/tests/idempotency.rs
@@ -113,7 +113,8 @@
     }
 }
 
-/// Customers move all their traffic between limiters in the middle of their bursts, while one limiter is cut off from the
+/// Customers move all their traffic between limiters in the middle of their bursts, while one limiter is cut off from
+/// the
 /// others: the old and the new limiter of a customer are both running.
 #[test]
 fn customers_that_move_between_limiters_cause_no_repeated_effects() {
@@ -188,7 +189,8 @@
     }
 }
 
-/// With logs and links, limiters that are killed, split and left by their customers repeat no effect and serve most work.
+/// With logs and links, limiters that are killed, split and left by their customers repeat no effect and serve most
+/// work.
 #[test]
 fn limiters_with_logs_and_links_serve_through_kills_moves_and_a_split() {
     let faults = "[[fault]]\nat_s = 0.8\nwhat = \"limiter-killed\"\nlimiter = 0\nback_s = 0.3\n\
--- a/crates/emberpin-testbed/tests/referee.rs
+++ b/crates/emberpin-testbed/tests/referee.rs
@@ -633,7 +633,8 @@
                 true => trace.assert_no_findings(),
                 false => trace.assert_violation(Rule::Drains, "sent to server 2"),
             }
-            // A server that is ready again gets requests; a repeated notification of the same drain does not restart the grace.
+            // A server that is ready again gets requests; a repeated notification of the same drain does not restart
+            // the grace.
             second_attempt.notified(at - 5, 2, ServerState::Ready);
             second_attempt.assert_no_findings();
             trace.notified(at - 5, 2, state);
@@ -706,7 +707,8 @@
 
 #[test]
 fn work_beyond_the_overload_multiple_of_a_cold_server_is_a_violation() {
-    // The capacity of 2 cores rises linearly from a quarter at the start to all after 10 s; the last request comes after 0.99 s, and the window counts at full length.
+    // The capacity of 2 cores rises linearly from a quarter at the start to all after 10 s; the last request comes
+    // after 0.99 s, and the window counts at full length.
     let mean = (0.25 + 0.25 + 0.75 * 0.099) / 2.0;
     let budget = OVERLOAD_MULTIPLE * mean * 2.0 * OVERLOAD_WINDOW as f64 / 1000.0;
     // One request more is tolerated: 99 of the 100 fill the budget.
--- a/crates/emberpin-testbed/tests/site.rs
+++ b/crates/emberpin-testbed/tests/site.rs
@@ -107,7 +107,7 @@
         panic!("two incarnations, the second cold: {incarnations:?}")
     };
     assert!(used.contains(&old) && used.contains(&new), "both were used");
-    let told: BTreeSet<Incarnation> = outcome
+    let notified: BTreeSet<Incarnation> = outcome
         .events
         .iter()
         .filter_map(|e| {
@@ -118,7 +118,7 @@
             }
         })
         .collect();
-    assert!(told.contains(&new));
+    assert!(notified.contains(&new));
 }
 
 /// A run ends in bounded time even if all servers stall for good.
--- a/crates/emberpin-testbed/tests/start.rs
+++ b/crates/emberpin-testbed/tests/start.rs
@@ -51,7 +51,8 @@
     }
 }
 
-/// Guards against limiters that send cold servers one request at a time until the first is warm, although the queues are
+/// Guards against limiters that send cold servers one request at a time until the first is warm, although the queues
+/// are
 /// empty and each server has two cores.
 #[test]
 fn servers_that_are_all_cold_and_say_that_nothing_waits_are_asked_for_more() {
@@ -158,7 +159,7 @@
         &format!("seconds = 16\n{COLD_START}{fault}"),
         4,
     );
-    let told = |event: &Event| {
+    let is_answer = |event: &Event| {
         matches!(
             event.kind,
             EventKind::DiscoveryCallEnded {
@@ -170,7 +171,7 @@
     let at = outcome
         .events
         .iter()
-        .find(|event| told(event))
+        .find(|event| is_answer(event))
         .map(|event| event.at as f64 / SECOND as f64);
     assert!(
         at.is_some_and(|at| at > 10.0),
@@ -224,10 +225,10 @@
     let text = format!("seconds = 20\n{RUNNING_SITE}{PARTIAL_RECOVERY_FAULTS}");
     let outcome = run_with_operator_file(START_TABLE, &text, 6);
     assert_rules_hold(&outcome);
-    let told = discovery_calls(&outcome, 7.0, 12.0);
+    let call_counts = discovery_calls(&outcome, 7.0, 12.0);
     assert!(
-        told.0 - told.1 >= 12,
-        "limiters got the empty list: {told:?}"
+        call_counts.0 - call_counts.1 >= 12,
+        "limiters got the empty list: {call_counts:?}"
     );
     let starts = Starts::from_outcome(&outcome);
     assert!(starts.served(7, 20) > 0.95, "{starts:?}");
@@ -255,10 +256,10 @@
     let text = format!("seconds = 16\n{RUNNING_SITE}{moved}{faults}");
     let outcome = run_with_operator_file(START_TABLE, &text, 7);
     assert_rules_hold(&outcome);
-    let told = discovery_calls(&outcome, 9.0, 15.0);
+    let call_counts = discovery_calls(&outcome, 9.0, 15.0);
     assert!(
-        told.0 - told.1 >= 12,
-        "limiters got the older list: {told:?}"
+        call_counts.0 - call_counts.1 >= 12,
+        "limiters got the older list: {call_counts:?}"
     );
     let starts = Starts::from_outcome(&outcome);
     assert!(
@@ -396,8 +397,8 @@
 /// A limiter is ready once it has the endpoint list, or without one when `ready_within_s` is over, not before.
 #[test]
 fn limiters_are_ready_with_a_list_or_after_the_readiness_timeout() {
-    let told = format!("{START_TABLE}ready_within_s = 9\n");
-    let outcome = run_with_operator_file(&told, &format!("seconds = 8\n{COLD_START}"), 10);
+    let operator_file = format!("{START_TABLE}ready_within_s = 9\n");
+    let outcome = run_with_operator_file(&operator_file, &format!("seconds = 8\n{COLD_START}"), 10);
     let mut listed = BTreeSet::new();
     for event in &outcome.events {
         match event.kind {
@@ -558,8 +559,12 @@
     let fault = "[[fault]]\nat_s = 9\nwhat = \"discovery-dead\"\nfor_s = 0.2\n";
     let outcome = run_site(&format!("seconds = 14\n{RUNNING_SITE}{fault}"), 17);
     assert_rules_hold(&outcome);
-    let told = limiters_that(&outcome, 9, 14, served_discovery_caller);
-    assert_eq!(told.len(), 24, "within 5 s {told:?} got an answer again");
+    let answered = limiters_that(&outcome, 9, 14, served_discovery_caller);
+    assert_eq!(
+        answered.len(),
+        24,
+        "within 5 s {answered:?} got an answer again"
+    );
 }
 
 fn unix_time(millis: u64) -> SystemTime {
@@ -636,16 +641,16 @@
 
 #[test]
 fn a_group_size_wrong_by_a_factor_of_three_prevents_no_start() {
-    for told in [8, 72] {
+    for group_size in [8, 72] {
         let site = COLD_START.replace(
             "limiters = 24",
-            &format!("limiters = 24\ntold_limiters = {told}"),
+            &format!("limiters = 24\ntold_limiters = {group_size}"),
         );
         let outcome = run_with_operator_file(START_TABLE, &format!("seconds = 20\n{site}"), 14);
         assert_rules_hold(&outcome);
         let listed = list_times(&outcome);
-        assert!(listed.len() == 24, "{told}: {listed:?}");
+        assert!(listed.len() == 24, "{group_size}: {listed:?}");
         let asked = discovery_calls(&outcome, 0.0, 20.0).0;
-        assert!(asked <= 24 * 3, "{told}: {asked} calls");
+        assert!(asked <= 24 * 3, "{group_size}: {asked} calls");
     }
 }
--- a/crates/emberpin-testbed/tests/takeover.rs
+++ b/crates/emberpin-testbed/tests/takeover.rs
@@ -1,4 +1,5 @@
-//! Takeover of the keyed work of a lost limiter by its peers: limiters are killed, stopped or cut off, and the invariant
+//! Takeover of the keyed work of a lost limiter by its peers: limiters are killed, stopped or cut off, and the
+//! invariant
 //! checker counts repeated effects at the servers.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
@@ -159,10 +160,10 @@
     })
 }
 
-fn fault_count(outcome: &Outcome, of: &str) -> usize {
+fn fault_count(outcome: &Outcome, text: &str) -> usize {
     count_events(
         outcome,
-        |kind| matches!(kind, EventKind::Fault { name } if name.contains(of) && !name.starts_with("over")),
+        |kind| matches!(kind, EventKind::Fault { name } if name.contains(text) && !name.starts_with("over")),
     )
 }
 
@@ -217,7 +218,8 @@
     }
 }
 
-/// Two limiters are cut off from the other three in both directions or one; one in each part is killed with work in flight.
+/// Two limiters are cut off from the other three in both directions or one; one in each part is killed with work in
+/// flight.
 #[test]
 fn nothing_runs_twice_when_limiters_are_killed_on_both_sides_of_a_split() {
     let cut = |at: f64, way: &str| {
@@ -332,7 +334,8 @@
     }
 }
 
-/// The gap that no fencing token closes: the owner stops after its replicas allowed the attempt and before it is written.
+/// The gap that no fencing token closes: the owner stops after its replicas allowed the attempt and before it is
+/// written.
 #[test]
 fn nothing_runs_twice_when_an_owner_stops_before_sending_and_resumes() {
     for seed in seeds(7) {
--- a/crates/emberpin-testbed/tests/told.rs
+++ b/crates/emberpin-testbed/tests/told.rs
@@ -180,9 +180,9 @@
     let text = format!("seconds = 14\n{site}{moved}{older}{split}");
     let outcome = run_site(&text, 7);
     assert_rules_hold(&outcome);
-    let told = limiters_that(&outcome, 0, 6, common::served_discovery_caller);
+    let answered = limiters_that(&outcome, 0, 6, common::served_discovery_caller);
     assert!(
-        told.iter().any(|limiter| half.contains(limiter)),
+        answered.iter().any(|limiter| half.contains(limiter)),
         "a caller got the older list"
     );
     let starts = Starts::from_outcome(&outcome);
@@ -244,7 +244,8 @@
     }
 }
 
-/// The service is dead for the first 5 s, then lists no server, then half of them, then all: few limiters call when it is
+/// The service is dead for the first 5 s, then lists no server, then half of them, then all: few limiters call when it
+/// is
 /// back, and all get each list as soon as the service sends it.
 #[test]
 fn a_service_that_is_dead_at_the_start_and_comes_back_by_parts_is_asked_by_few() {
