--- a/crates/emberpin-testbed/src/clients.rs
+++ b/crates/emberpin-testbed/src/clients.rs
@@ -94,7 +94,7 @@
     fn check_idle(&self, limiter: usize, wire: &Wire, after: RequestId) -> bool {
         let unread = wire.unread_state();
         if unread == Some(true) {
-            self.world.recorder.record(EventKind::UnsolicitedBytes {
+            self.world.recorder.record(EventKind::UnsolicitedData {
                 limiter,
                 after: Some(after),
             });
@@ -250,7 +250,7 @@
             let retry_after =
                 retry_after.map(|wait| (wait.clamp(0.0, 60.0) * SECOND as f64) as Micros);
             let valid = head.status != 200 || is_for_this_request();
-            world.recorder.record(EventKind::ResponseReceived {
+            world.recorder.record(EventKind::Responded {
                 request: request_id,
                 status: head.status,
                 valid,
--- a/crates/emberpin-testbed/src/invariants.rs
+++ b/crates/emberpin-testbed/src/invariants.rs
@@ -260,7 +260,7 @@
     starts: Vec<(Micros, usize)>,
     /// States of each server incarnation that each limiter was notified of.
     notifications: HashMap<(usize, Incarnation), Vec<(Micros, ServerState)>>,
-    unsolicited: Vec<(Micros, usize, Option<RequestId>)>,
+    stray: Vec<(Micros, usize, Option<RequestId>)>,
     repeated_effects: Vec<(Micros, AttemptId)>,
     delays: Vec<(Micros, Micros)>,
 }
@@ -276,7 +276,7 @@
             exits: Vec::new(),
             starts: Vec::new(),
             notifications: HashMap::new(),
-            unsolicited: Vec::new(),
+            stray: Vec::new(),
             repeated_effects: Vec::new(),
             delays: Vec::new(),
         };
@@ -321,7 +321,7 @@
                     reused: *reused,
                 });
             }
-            EventKind::ResponseReceived {
+            EventKind::Responded {
                 request,
                 status,
                 valid,
@@ -349,8 +349,8 @@
                     record.cancelled_at = Some(at);
                 }
             }
-            EventKind::UnsolicitedBytes { limiter, after } => {
-                self.unsolicited.push((at, *limiter, *after))
+            EventKind::UnsolicitedData { limiter, after } => {
+                self.stray.push((at, *limiter, *after))
             }
             EventKind::AttemptStarted {
                 attempt,
@@ -477,7 +477,7 @@
                 Subject::Limiter(*limiter),
             ));
         }
-        for (at, limiter, after) in &self.unsolicited {
+        for (at, limiter, after) in &self.stray {
             let message =
                 format!("limiter {limiter} sent bytes on a connection that was owed no answer");
             let violation = DetectedViolation {
@@ -896,7 +896,7 @@
             (EventKind::RequestSent { customer, .. }, Subject::Customer(wanted)) => {
                 customer == wanted && near(event.at)
             }
-            (EventKind::UnsolicitedBytes { limiter, .. }, Subject::Limiter(wanted)) => {
+            (EventKind::UnsolicitedData { limiter, .. }, Subject::Limiter(wanted)) => {
                 limiter == wanted && near(event.at)
             }
             _ => false,
@@ -926,12 +926,12 @@
     fn request(&self) -> Option<RequestId> {
         match self {
             EventKind::RequestSent { request, .. }
-            | EventKind::ResponseReceived { request, .. }
+            | EventKind::Responded { request, .. }
             | EventKind::ConnectionLost { request, .. }
             | EventKind::RequestTimedOut { request }
             | EventKind::RequestCancelled { request }
             | EventKind::LimiterUnreachable { request, .. } => Some(*request),
-            EventKind::UnsolicitedBytes { after, .. } => *after,
+            EventKind::UnsolicitedData { after, .. } => *after,
             EventKind::AttemptReceived { request, .. } => *request,
             _ => None,
         }
@@ -963,7 +963,7 @@
                 seconds(*time_limit),
                 if *reused { "" } else { ", new connection" }
             ),
-            EventKind::ResponseReceived { request, status, valid, retry_after } => {
+            EventKind::Responded { request, status, valid, retry_after } => {
                 write!(formatter, "client has {status} to try {}", request.0)?;
                 if !valid {
                     write!(formatter, ", not made for it")?;
@@ -977,7 +977,7 @@
             EventKind::RequestTimedOut { request } => write!(formatter, "client gives try {} up", request.0),
             EventKind::RequestCancelled { request } => write!(formatter, "client leaves try {}", request.0),
             EventKind::LimiterUnreachable { request, limiter } => write!(formatter, "limiter {limiter} not reached, try {}", request.0),
-            EventKind::UnsolicitedBytes { limiter, .. } => write!(formatter, "limiter {limiter} sends what nobody asked for"),
+            EventKind::UnsolicitedData { limiter, .. } => write!(formatter, "limiter {limiter} sends what nobody asked for"),
             EventKind::AttemptStarted { attempt, incarnation, limiter } => {
                 write!(formatter, "first byte of attempt {} from limiter {limiter} at server life {}", attempt.0, incarnation.0)
             }
--- a/crates/emberpin-testbed/src/report.rs
+++ b/crates/emberpin-testbed/src/report.rs
@@ -97,29 +97,25 @@
     for event in events {
         let (EventKind::RequestSent { request, .. }
         | EventKind::LimiterUnreachable { request, .. }
-        | EventKind::ResponseReceived { request, .. }
+        | EventKind::Responded { request, .. }
         | EventKind::ConnectionLost { request, .. }
         | EventKind::RequestTimedOut { request }
         | EventKind::RequestCancelled { request }) = &event.kind
         else {
             continue;
         };
-        let Some(work) = work_outcomes.get_mut((request.0 / MAX_REQUESTS) as usize) else {
+        let Some(job) = work_outcomes.get_mut((request.0 / MAX_REQUESTS) as usize) else {
             continue;
         };
         match &event.kind {
             EventKind::RequestSent { .. } | EventKind::LimiterUnreachable { .. } => {
-                work.asked = work.asked.or(Some(event.at));
-                work.refused = false;
+                job.asked = job.asked.or(Some(event.at));
+                job.refused = false;
             }
-            EventKind::ResponseReceived { status: 200, .. } => {
-                work.served = work.served.or(Some(event.at));
-            }
-            EventKind::ResponseReceived { status, .. } => {
-                work.refused = matches!(status, 429 | 503);
-            }
-            EventKind::RequestCancelled { .. } => work.cancelled = true,
-            _ => work.refused = false,
+            EventKind::Responded { status: 200, .. } => job.served = job.served.or(Some(event.at)),
+            EventKind::Responded { status, .. } => job.refused = matches!(status, 429 | 503),
+            EventKind::RequestCancelled { .. } => job.cancelled = true,
+            _ => job.refused = false,
         }
     }
     work_outcomes
@@ -143,13 +139,13 @@
         }
     }
 
-    fn count(&mut self, work: &WorkOutcome, latency_target: Micros) {
-        let Some(asked) = work.asked else { return };
-        if work.cancelled {
+    fn count(&mut self, job: &WorkOutcome, latency_target: Micros) {
+        let Some(asked) = job.asked else { return };
+        if job.cancelled {
             return;
         }
         self.row.asked += 1;
-        match work.served {
+        match job.served {
             Some(at) => {
                 let time = at.saturating_sub(asked);
                 self.times.push(time as f64 / 1000.0);
@@ -159,7 +155,7 @@
                     &mut self.row.late
                 }) += 1;
             }
-            None if work.refused => self.row.refused += 1,
+            None if job.refused => self.row.refused += 1,
             None => self.row.failed += 1,
         }
     }
@@ -224,15 +220,15 @@
             .iter()
             .map(|plan| RowBuilder::named(plan.name))
             .collect();
-        for (arrival, work) in schedule
+        for (arrival, job) in schedule
             .arrivals
             .iter()
             .zip(&work_outcomes(&outcome.events, schedule.arrivals.len()))
         {
             let latency_target = arrival.class().latency_target;
-            total.count(work, latency_target);
-            classes[arrival.class].count(work, latency_target);
-            plans[schedule.customers[arrival.customer as usize].plan].count(work, latency_target);
+            total.count(job, latency_target);
+            classes[arrival.class].count(job, latency_target);
+            plans[schedule.customers[arrival.customer as usize].plan].count(job, latency_target);
         }
         let mut plans: Vec<Row> = plans.into_iter().map(RowBuilder::finish).collect();
         for (row, (sent, beyond)) in plans
@@ -306,14 +302,14 @@
             "p99 ms",
             "beyond quota",
         ];
-        let mut work = table(&header);
+        let mut job = table(&header);
         for row in [&self.total]
             .into_iter()
             .chain(&self.classes)
             .chain(&self.plans)
         {
             if row.asked > 0 {
-                work.add_row(row.cells());
+                job.add_row(row.cells());
             }
         }
         let header = [
@@ -350,7 +346,7 @@
         };
         let (name, seed, length) = (&self.scenario, self.seed, self.seconds);
         format!(
-            "{name}, seed {seed}, {length} s\n{work}\n{limiters}\n{rules}\n{} attempts at servers; {} effects had \
+            "{name}, seed {seed}, {length} s\n{job}\n{limiters}\n{rules}\n{} attempts at servers; {} effects had \
              again over clients' own tries; {late}{cut}",
             self.attempts, self.repeated_effects
         )
@@ -472,7 +468,7 @@
                 asked.insert(*request, event.at);
                 bin.asked += rate;
             }
-            EventKind::ResponseReceived {
+            EventKind::Responded {
                 request,
                 status: 200,
                 ..
@@ -481,10 +477,10 @@
                 let time = asked.get(request).map_or(0, |asked| event.at - asked);
                 times[at].push(time as f64 / 1000.0);
             }
-            EventKind::ResponseReceived {
+            EventKind::Responded {
                 status: 429 | 503, ..
             } => bin.refused += rate,
-            EventKind::ResponseReceived { .. }
+            EventKind::Responded { .. }
             | EventKind::ConnectionLost { .. }
             | EventKind::RequestTimedOut { .. } => {
                 bin.failed += rate;
@@ -537,7 +533,7 @@
         };
         let answered = |number, at, status| Event {
             at,
-            kind: EventKind::ResponseReceived {
+            kind: EventKind::Responded {
                 request: RequestId(number),
                 status,
                 valid: true,
--- a/crates/emberpin-testbed/src/start_summary.rs
+++ b/crates/emberpin-testbed/src/start_summary.rs
@@ -221,19 +221,17 @@
     let count = outcome.scenario.length.div_ceil(SECOND) as usize;
     let mut seconds = vec![(0, 0); count];
     let mut served = BTreeMap::new();
-    let mut cancelled = BTreeSet::new();
+    let mut ignored = BTreeSet::new();
     for event in &outcome.events {
         match event.kind {
-            EventKind::ResponseReceived {
+            EventKind::Responded {
                 request,
                 status: 200,
                 ..
             } => {
                 served.entry(request.0 / MAX_REQUESTS).or_insert(event.at);
             }
-            EventKind::RequestCancelled { request } => {
-                _ = cancelled.insert(request.0 / MAX_REQUESTS)
-            }
+            EventKind::RequestCancelled { request } => _ = ignored.insert(request.0 / MAX_REQUESTS),
             _ => {}
         }
     }
@@ -241,7 +239,7 @@
         let Some(second) = seconds.get_mut((arrival.at / SECOND) as usize) else {
             continue;
         };
-        if cancelled.contains(&(index as u32)) {
+        if ignored.contains(&(index as u32)) {
             continue;
         }
         second.0 += 1;
--- a/crates/emberpin-testbed/src/trace.rs
+++ b/crates/emberpin-testbed/src/trace.rs
@@ -101,7 +101,7 @@
     },
     /// A client received a complete response.
     #[serde(rename = "Answered")]
-    ResponseReceived {
+    Responded {
         /// The request's id, chosen by the client.
         #[serde(rename = "what")]
         request: RequestId,
@@ -148,7 +148,7 @@
     },
     /// Bytes arrived on a client's connection on which no request was pending.
     #[serde(rename = "Unasked")]
-    UnsolicitedBytes {
+    UnsolicitedData {
         /// The limiter that sent them.
         limiter: usize,
         /// The last request on that connection.
--- a/crates/emberpin-testbed/tests/referee.rs
+++ b/crates/emberpin-testbed/tests/referee.rs
@@ -87,7 +87,7 @@
     fn response_received(&mut self, at: Micros, number: u32, status: u16) {
         self.add(
             at,
-            EventKind::ResponseReceived {
+            EventKind::Responded {
                 request: RequestId(number),
                 status,
                 valid: true,
@@ -376,7 +376,7 @@
     unsolicited.response_received(SECOND + 10, 0, 200);
     unsolicited.add(
         SECOND + 20,
-        EventKind::UnsolicitedBytes {
+        EventKind::UnsolicitedData {
             limiter: 0,
             after: Some(RequestId(0)),
         },
@@ -386,7 +386,7 @@
     made_up.request_sent(SECOND, 0, SAFE);
     made_up.add(
         SECOND + 10,
-        EventKind::ResponseReceived {
+        EventKind::Responded {
             request: RequestId(0),
             status: 200,
             valid: false,
--- a/crates/emberpin-testbed/tests/site.rs
+++ b/crates/emberpin-testbed/tests/site.rs
@@ -175,7 +175,7 @@
     for event in &outcome.events {
         match &event.kind {
             EventKind::RequestSent { request, .. } => _ = sent_at.insert(*request, event.at),
-            EventKind::ResponseReceived { request, .. } => {
+            EventKind::Responded { request, .. } => {
                 assert!(sent_at.get(request).is_some_and(|at| *at <= event.at));
                 answers += 1;
             }
--- a/crates/emberpin-testbed/tests/takeover.rs
+++ b/crates/emberpin-testbed/tests/takeover.rs
@@ -86,7 +86,7 @@
                 asked.insert(request, (limiter, key, event.at));
                 in_flight.insert(request, (limiter, key));
             }
-            EventKind::ResponseReceived {
+            EventKind::Responded {
                 request, status, ..
             } => {
                 in_flight.remove(&request);
