--- a/crates/emberpin-testbed/src/clients.rs
+++ b/crates/emberpin-testbed/src/clients.rs
@@ -94,7 +94,7 @@
     fn check_idle(&self, limiter: usize, wire: &Wire, after: RequestId) -> bool {
         let unread = wire.unread_state();
         if unread == Some(true) {
-            self.world.recorder.record(EventKind::UnsolicitedData {
+            self.world.recorder.record(EventKind::StrayBytes {
                 limiter,
                 after: Some(after),
             });
--- a/crates/emberpin-testbed/src/invariants.rs
+++ b/crates/emberpin-testbed/src/invariants.rs
@@ -349,9 +349,7 @@
                     record.cancelled_at = Some(at);
                 }
             }
-            EventKind::UnsolicitedData { limiter, after } => {
-                self.stray.push((at, *limiter, *after))
-            }
+            EventKind::StrayBytes { limiter, after } => self.stray.push((at, *limiter, *after)),
             EventKind::AttemptStarted {
                 attempt,
                 incarnation,
@@ -896,7 +894,7 @@
             (EventKind::RequestSent { customer, .. }, Subject::Customer(wanted)) => {
                 customer == wanted && near(event.at)
             }
-            (EventKind::UnsolicitedData { limiter, .. }, Subject::Limiter(wanted)) => {
+            (EventKind::StrayBytes { limiter, .. }, Subject::Limiter(wanted)) => {
                 limiter == wanted && near(event.at)
             }
             _ => false,
@@ -931,7 +929,7 @@
             | EventKind::RequestTimedOut { request }
             | EventKind::RequestCancelled { request }
             | EventKind::LimiterUnreachable { request, .. } => Some(*request),
-            EventKind::UnsolicitedData { after, .. } => *after,
+            EventKind::StrayBytes { after, .. } => *after,
             EventKind::AttemptReceived { request, .. } => *request,
             _ => None,
         }
@@ -977,7 +975,7 @@
             EventKind::RequestTimedOut { request } => write!(formatter, "client gives try {} up", request.0),
             EventKind::RequestCancelled { request } => write!(formatter, "client leaves try {}", request.0),
             EventKind::LimiterUnreachable { request, limiter } => write!(formatter, "limiter {limiter} not reached, try {}", request.0),
-            EventKind::UnsolicitedData { limiter, .. } => write!(formatter, "limiter {limiter} sends what nobody asked for"),
+            EventKind::StrayBytes { limiter, .. } => write!(formatter, "limiter {limiter} sends what nobody asked for"),
             EventKind::AttemptStarted { attempt, incarnation, limiter } => {
                 write!(formatter, "first byte of attempt {} from limiter {limiter} at server life {}", attempt.0, incarnation.0)
             }
--- a/crates/emberpin-testbed/src/scenario.rs
+++ b/crates/emberpin-testbed/src/scenario.rs
@@ -458,6 +458,7 @@
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields, default)]
 struct RuleSwitches {
+    #[serde(rename = "keys_once")]
     check_repeated_effects_per_key: bool,
 }
 
--- a/crates/emberpin-testbed/src/trace.rs
+++ b/crates/emberpin-testbed/src/trace.rs
@@ -148,7 +148,7 @@
     },
     /// Bytes arrived on a client's connection on which no request was pending.
     #[serde(rename = "Unasked")]
-    UnsolicitedData {
+    StrayBytes {
         /// The limiter that sent them.
         limiter: usize,
         /// The last request on that connection.
--- a/crates/emberpin-testbed/tests/referee.rs
+++ b/crates/emberpin-testbed/tests/referee.rs
@@ -376,7 +376,7 @@
     unsolicited.response_received(SECOND + 10, 0, 200);
     unsolicited.add(
         SECOND + 20,
-        EventKind::UnsolicitedData {
+        EventKind::StrayBytes {
             limiter: 0,
             after: Some(RequestId(0)),
         },
