--- a/crates/emberpin-testbed/src/bin/cold-start.rs
+++ b/crates/emberpin-testbed/src/bin/cold-start.rs
@@ -1,61 +1,62 @@
-//! Measures starts of many limiters at once: for each size, some seeds, and a table with the spread.
+//! Measures simultaneous starts of many limiters: several seeds for each group size, summarised in a table with the
+//! spread.
 #![forbid(unsafe_code)]
 
 use clap::Parser;
 use comfy_table::presets::UTF8_HORIZONTAL_ONLY;
 use comfy_table::Table;
-use emberpin_testbed::needs::Needs;
 use emberpin_testbed::process::Program;
-use emberpin_testbed::report::stories;
+use emberpin_testbed::report::violation_histories;
+use emberpin_testbed::resources::ResourceNeeds;
 use emberpin_testbed::scenario::Scenario;
 use emberpin_testbed::site::run;
-use emberpin_testbed::starts::Starts;
+use emberpin_testbed::start_summary::Starts;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Start many limiters at once, and count what that asks of the list service and of servers.
+/// Start many limiters at once, and measure the load on the discovery service and on the servers.
 ///
-/// Exit status: 0 every rule held, 1 one broke, 2 it could not be played.
+/// Exit status: 0 every rule held, 1 a rule was violated, 2 the scenario could not be run.
 #[derive(Parser)]
 #[command(name = "cold-start", version, max_term_width = 100)]
-struct Line {
-    /// How many limiters; one row each
+struct Arguments {
+    /// Numbers of limiters; one row each
     #[arg(long, value_delimiter = ',', default_value = "3,30,100,300")]
     limiters: Vec<usize>,
-    /// How many servers
+    /// Number of servers
     #[arg(long, default_value_t = 20)]
     servers: usize,
-    /// Runs of each size
+    /// Runs of each size, with seeds from 1
     #[arg(long, default_value_t = 5)]
     seeds: u64,
-    /// Calls a second that the list service answers; a quarter of the limiters' number without it
+    /// Capacity of the discovery service in calls a second; by default a quarter of the number of limiters
     #[arg(long)]
     power: Option<f64>,
-    /// Seconds of load
+    /// Duration of the load in seconds
     #[arg(long, default_value_t = 20.0)]
     seconds: f64,
     /// Requests a second for each limiter
     #[arg(long, default_value_t = 1.0)]
     rate: f64,
-    /// Give limiters the list at their start, as they last had it
+    /// Give limiters their last known endpoint list at their start
     #[arg(long)]
     known: bool,
-    /// Servers are warm
+    /// Start with warm servers
     #[arg(long)]
     warm: bool,
-    /// Limiters have links, and reach servers at one address, so that they can tell each other the list
+    /// Connect limiters by links, and let them reach servers at one address, so that they can exchange endpoint lists
     #[arg(long)]
     links: bool,
-    /// Further tables of the scenario, as in its file: faults, settings
+    /// File with further tables of the scenario: faults, settings
     #[arg(long, value_name = "FILE")]
     more: Option<PathBuf>,
-    /// Another build of the limiter
+    /// Another build of the limiter, instead of this program's own
     #[arg(long, value_name = "PATH")]
     limiter: Option<PathBuf>,
-    /// An operator file for the limiters; may be given several times
+    /// Operator file for the limiters; may be given several times
     #[arg(long = "with", value_name = "FILE")]
     with: Vec<PathBuf>,
-    /// Write every run's figures as JSON lines
+    /// Write the figures of every run as JSON lines
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
 }
@@ -67,7 +68,7 @@
     {
         return emberpin_limiter::operate::command::main(std::env::args_os().skip(1));
     }
-    match measure(&Line::parse()) {
+    match measure(&Arguments::parse()) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(problem) => {
@@ -77,17 +78,17 @@
     }
 }
 
-fn measure(line: &Line) -> Result<bool, String> {
+fn measure(arguments: &Arguments) -> Result<bool, String> {
     let mut table = Table::new();
     table.load_preset(UTF8_HORIZONTAL_ONLY).set_header([
         "limiters",
         "calls / N",
         "failed / N",
-        "most calls 0.1 s, 1 s",
+        "max calls 0.1 s, 1 s",
         "list: half, 99 %, all (s)",
         "ready: half, all (s)",
-        "connects a s, most",
-        "of what fells",
+        "max connects a s",
+        "share of overload",
         "served 1st s",
         "3rd",
         "6th",
@@ -95,55 +96,55 @@
         "CPU ms each",
         "MiB each",
     ]);
-    let more = match &line.more {
+    let extra_tables = match &arguments.more {
         Some(path) => std::fs::read_to_string(path)
             .map_err(|e| format!("cannot read {}: {e}", path.display()))?,
         None => String::new(),
     };
-    let mut sound = true;
-    let mut written = String::new();
-    for limiters in &line.limiters {
+    let mut rules_held = true;
+    let mut json_lines = String::new();
+    for limiters in &arguments.limiters {
         let mut runs = Vec::new();
-        for seed in 1..=line.seeds {
-            let scenario = line.scenario(*limiters, seed, &more)?;
+        for seed in 1..=arguments.seeds {
+            let scenario = arguments.scenario(*limiters, seed, &extra_tables)?;
             if seed == 1 {
                 eprintln!(
                     "{limiters} limiters: a run {}",
-                    Needs::of(&scenario.site, false)
+                    ResourceNeeds::for_site(&scenario.site, false)
                 );
             }
             let outcome =
-                run(&scenario, &line.program()?, |_| ()).map_err(|error| error.to_string())?;
-            if outcome.judgement.is_broken() {
-                sound = false;
+                run(&scenario, &arguments.program()?, |_| ()).map_err(|error| error.to_string())?;
+            if outcome.verdict.has_violations() {
+                rules_held = false;
                 eprintln!(
                     "{limiters} limiters, seed {seed}:{}",
-                    stories(&outcome.judgement)
+                    violation_histories(&outcome.verdict)
                 );
             }
-            let starts = Starts::of(&outcome);
+            let starts = Starts::from_outcome(&outcome);
             eprintln!("{limiters} limiters, seed {seed}: {starts:?}");
-            written +=
+            json_lines +=
                 &serde_json::to_string(&(limiters, seed, &starts)).map_err(|e| e.to_string())?;
-            written.push('\n');
+            json_lines.push('\n');
             runs.push(starts);
         }
         table.add_row(row(*limiters, &runs));
     }
     println!("{table}");
-    if let Some(path) = &line.json {
-        std::fs::write(path, written)
+    if let Some(path) = &arguments.json {
+        std::fs::write(path, json_lines)
             .map_err(|e| format!("cannot write {}: {e}", path.display()))?;
     }
-    Ok(sound)
+    Ok(rules_held)
 }
 
-impl Line {
+impl Arguments {
     fn scenario(&self, limiters: usize, seed: u64, more: &str) -> Result<Scenario, String> {
-        let power = self.power.unwrap_or(limiters as f64 / 4.0);
+        let discovery_rate = self.power.unwrap_or(limiters as f64 / 4.0);
         let text = format!(
             "name = \"cold-start\"\nabout = \"A start of many limiters.\"\nseed = {seed}\nseconds = {}\n\
-             [site]\nlimiters = {limiters}\nservers = {}\ntogether = true\ncold = {}\nknown = {}\none_address = {}\nlist_power = {power}\n\
+             [site]\nlimiters = {limiters}\nservers = {}\ntogether = true\ncold = {}\nknown = {}\none_address = {}\nlist_power = {discovery_rate}\n\
              [load]\nrate = {}\nusage = 0.3\nretries = 0\nimpatient = 0.0\nwork = {}\n{more}",
             self.seconds,
             self.servers,
@@ -151,7 +152,7 @@
             self.known,
             self.links,
             self.rate * limiters as f64,
-            // Servers could do all of it while cold.
+// Halves the work, so that the servers could do all of it while cold.
             0.5,
         );
         Scenario::parse("cold-start", &text).map_err(|error| error.to_string())
@@ -178,18 +179,18 @@
     }
 }
 
-/// Mean over the runs, with the least and the most.
+/// A row of the table: for each figure, the mean over the runs with its minimum and maximum.
 fn row(limiters: usize, runs: &[Starts]) -> Vec<String> {
     let n = limiters as f64;
     let spread = |of: &dyn Fn(&Starts) -> f64, digits: usize| {
         let values: Vec<f64> = runs.iter().map(of).collect();
         let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
-        let (least, most) = (
+        let (min, max) = (
             values.iter().copied().fold(f64::INFINITY, f64::min),
             values.iter().copied().fold(0.0, f64::max),
         );
         match values.iter().all(|value| value.is_finite()) {
-            true => format!("{mean:.digits$} ({least:.digits$}–{most:.digits$})"),
+            true => format!("{mean:.digits$} ({min:.digits$}–{max:.digits$})"),
             false => {
                 format!(
                     "never in {} of {}",
--- a/crates/emberpin-testbed/src/http.rs
+++ b/crates/emberpin-testbed/src/http.rs
@@ -1,29 +1,29 @@
-//! Just enough of HTTP/1.1 for stand-ins that see every byte's time: heads through `httparse`, bodies by their
-//! length, nothing read ahead of what is asked for.
+//! A minimal HTTP/1.1 implementation for stand-ins that observe when each byte arrives: heads are parsed with
+//! `httparse`, bodies need a `Content-Length`, and a message is read only when it is asked for.
 
 use std::io;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Largest head and body that are taken.
+/// Limits on messages: bytes of a head, bytes of a body, and headers.
 const MAX_HEAD: usize = 32 * 1024;
 const MAX_BODY: usize = 1 << 20;
 const MAX_HEADERS: usize = 64;
 
-/// A message's head.
+/// The head of a message.
 #[derive(Debug, Default)]
 pub struct Head {
-    /// Method of a request; empty for an answer.
+    /// Method of a request; empty for a response.
     pub method: String,
     /// Path and query of a request.
     pub path: String,
-    /// Status of an answer.
+    /// Status of a response.
     pub status: u16,
     headers: Vec<(String, String)>,
 }
 
 impl Head {
-    /// The first header of this name.
+    /// The value of the first header with this name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -31,13 +31,13 @@
             .map(|(_, value)| value.as_str())
     }
 
-    /// Whether the sender ends the connection after this message.
+    /// Whether the sender closes the connection after this message.
     pub fn closes(&self) -> bool {
         self.header("connection")
             .is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 
-    fn keep(&mut self, headers: &[httparse::Header]) {
+    fn set_headers(&mut self, headers: &[httparse::Header]) {
         let text = |value: &[u8]| String::from_utf8_lossy(value).into_owned();
         self.headers = headers
             .iter()
@@ -45,121 +45,122 @@
             .collect();
     }
 
-    /// Reads a head off the front of the bytes: its length too, or nothing if it is not whole yet.
-    fn parse(bytes: &[u8], answer: bool) -> Result<Option<(Head, usize)>, Broken> {
+    /// Parses a head at the front of the bytes and returns it with its length; `None` if it is incomplete.
+    fn parse(bytes: &[u8], is_response: bool) -> Result<Option<(Head, usize)>, ReadError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = Head::default();
-        let parsed = if answer {
+        let parsed = if is_response {
             let mut response = httparse::Response::new(&mut headers);
-            let status = response.parse(bytes).map_err(|_| Broken::Garbled)?;
+            let status = response.parse(bytes).map_err(|_| ReadError::Malformed)?;
             if status.is_complete() {
                 head.status = response.code.unwrap_or(0);
-                head.keep(response.headers);
+                head.set_headers(response.headers);
             }
             status
         } else {
             let mut request = httparse::Request::new(&mut headers);
-            let status = request.parse(bytes).map_err(|_| Broken::Garbled)?;
+            let status = request.parse(bytes).map_err(|_| ReadError::Malformed)?;
             if status.is_complete() {
                 head.method = request.method.unwrap_or_default().into();
                 head.path = request.path.unwrap_or_default().into();
-                head.keep(request.headers);
+                head.set_headers(request.headers);
             }
             status
         };
         match parsed {
             httparse::Status::Complete(length) => Ok(Some((head, length))),
-            httparse::Status::Partial if bytes.len() > MAX_HEAD => Err(Broken::Garbled),
+            httparse::Status::Partial if bytes.len() > MAX_HEAD => Err(ReadError::Malformed),
             httparse::Status::Partial => Ok(None),
         }
     }
 
-    fn body_length(&self) -> Result<usize, Broken> {
+    fn body_length(&self) -> Result<usize, ReadError> {
         if self.header("transfer-encoding").is_some() {
-            return Err(Broken::Garbled);
+            return Err(ReadError::Malformed);
         }
         match self.header("content-length").map(str::parse) {
             None => Ok(0),
             Some(Ok(length)) if length <= MAX_BODY => Ok(length),
-            Some(_) => Err(Broken::Garbled),
+            Some(_) => Err(ReadError::Malformed),
         }
     }
 }
 
-/// Why no message came.
+/// An error that prevented the receipt of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
-    /// The other side ended the connection, or it was reset; nothing of a message had come.
-    Ended,
-    /// The same with part of a message come.
-    Cut,
-    /// What came is no message that this side understands.
-    Garbled,
+pub enum ReadError {
+    /// The connection was closed or reset before any byte of a message.
+    Closed,
+    /// The connection was closed or reset in the middle of a message.
+    Truncated,
+    /// The bytes are not a valid or supported message.
+    Malformed,
 }
 
-/// A connection and what was read of it beyond the last message.
+/// A connection and the bytes read beyond the last message.
 pub struct Wire {
     /// The socket.
     pub stream: TcpStream,
-    held: Vec<u8>,
+    buffered: Vec<u8>,
 }
 
 impl Wire {
     /// Wraps a connection on which nothing has been read.
     pub fn new(stream: TcpStream) -> Wire {
-        // Loopback has no reason to refuse; a message that waits for another would only be late.
+        // Without this option a message could wait for another; on loopback it does not fail, so errors are ignored.
         _ = stream.set_nodelay(true);
         Wire {
             stream,
-            held: Vec::with_capacity(1024),
+            buffered: Vec::with_capacity(1024),
         }
     }
 
-    /// One message.
+    /// Reads one message.
     ///
     /// # Errors
     ///
-    /// How the connection broke.
-    pub async fn read(&mut self, answer: bool) -> Result<(Head, Vec<u8>), Broken> {
-        if self.held.is_empty() {
-            self.fill().await.map_err(|_| Broken::Ended)?;
+    /// A [`ReadError`] that says how the connection or the message failed.
+    pub async fn read(&mut self, is_response: bool) -> Result<(Head, Vec<u8>), ReadError> {
+        if self.buffered.is_empty() {
+            self.fill().await.map_err(|_| ReadError::Closed)?;
         }
         let (head, length) = loop {
-            match Head::parse(&self.held, answer)? {
+            match Head::parse(&self.buffered, is_response)? {
                 Some(parsed) => break parsed,
-                None => self.fill().await.map_err(|_| Broken::Cut)?,
+                None => self.fill().await.map_err(|_| ReadError::Truncated)?,
             }
         };
-        let whole = length + head.body_length()?;
-        while self.held.len() < whole {
-            self.fill().await.map_err(|_| Broken::Cut)?;
+        let message_length = length + head.body_length()?;
+        while self.buffered.len() < message_length {
+            self.fill().await.map_err(|_| ReadError::Truncated)?;
         }
-        let body = self.held[length..whole].to_vec();
-        self.held.drain(..whole);
+        let body = self.buffered[length..message_length].to_vec();
+        self.buffered.drain(..message_length);
         Ok((head, body))
     }
 
     async fn fill(&mut self) -> io::Result<()> {
-        match self.stream.read_buf(&mut self.held).await? {
+        match self.stream.read_buf(&mut self.buffered).await? {
             0 => Err(io::ErrorKind::UnexpectedEof.into()),
             _ => Ok(()),
         }
     }
 
-    /// Returns when the other side has ended the connection or its sending; what else comes is kept.
-    pub async fn ended(&mut self) {
-        while self.held.len() <= MAX_HEAD + MAX_BODY && self.fill().await.is_ok() {}
+    /// Returns when the other side has closed the connection or its sending side; bytes received meanwhile are
+    /// buffered.
+    pub async fn wait_until_closed(&mut self) {
+        while self.buffered.len() <= MAX_HEAD + MAX_BODY && self.fill().await.is_ok() {}
     }
 
-    /// Waits for anything at all: whether bytes came, else the connection ended.
-    pub async fn anything(&mut self) -> bool {
-        !self.held.is_empty() || self.fill().await.is_ok()
+    /// Waits for bytes or the end of the connection; returns whether bytes were received.
+    pub async fn wait_for_bytes(&mut self) -> bool {
+        !self.buffered.is_empty() || self.fill().await.is_ok()
     }
 
-    /// What stands unread on an idle connection, as far as the system knows now: nothing, bytes (`true`), or
-    /// its end (`false`).
-    pub fn unread(&self) -> Option<bool> {
-        if !self.held.is_empty() {
+    /// What is unread on an idle connection, as far as the operating system knows now: nothing (`None`), bytes
+    /// (`Some(true)`), or its end (`Some(false)`).
+    pub fn unread_state(&self) -> Option<bool> {
+        if !self.buffered.is_empty() {
             return Some(true);
         }
         match self.stream.try_read(&mut [0; 1]) {
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Ends the connection with a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         _ = self.stream.set_zero_linger();
     }
--- a/crates/emberpin-testbed/src/peers.rs
+++ b/crates/emberpin-testbed/src/peers.rs
@@ -1,10 +1,11 @@
-//! The network between limiters: every datagram goes through a socket of this stand-in, which loses, delays
-//! and reorders it, or splits the limiters into groups that do not hear each other.
+//! The datagram network between limiters: every datagram passes a socket of this stand-in, which can lose, delay
+//! and reorder it, or split the limiters into groups that do not receive each other's datagrams.
 //!
-//! `seen[b]` is the socket at whose address every limiter sees limiter `b`: what comes there is told apart by the
-//! address it comes from, and goes on to `b` from the sender's socket, as `b` knows its peers by their addresses.
+//! `sockets[b]` is the socket whose address all limiters use for limiter `b`. The sender of a datagram is identified by
+//! its source address; the datagram is forwarded to `b` from the sender's socket, since `b` identifies its peers by
+//! their addresses.
 
-use crate::scenario::Way;
+use crate::scenario::LinkDirection;
 use crate::servers::World;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -16,161 +17,162 @@
 use tokio::net::UdpSocket;
 use tokio::task::spawn_local;
 
-/// A longer datagram than any limiter may send.
-const LONGEST: usize = 257;
+/// Buffer size, one byte more than the largest datagram that a limiter may send.
+const MAX_DATAGRAM: usize = 257;
 
-/// A group of limiters that is apart from the rest, wholly or one way.
+/// A split of the network between a group of limiters and the rest, in one or both directions.
 #[derive(Clone, Debug)]
-pub struct Split {
-    /// The group.
+pub struct NetworkSplit {
+    /// The limiters of the group.
     pub group: Vec<usize>,
-    /// Which way nothing passes, as the group sees it.
-    pub way: Way,
+    /// The direction in which nothing passes, seen from the group.
+    pub direction: LinkDirection,
 }
 
-impl Split {
-    /// Whether what one limiter tells another does not come.
-    pub fn holds(&self, from: usize, to: usize) -> bool {
+impl NetworkSplit {
+    /// Whether the split blocks messages from one limiter to another.
+    pub fn blocks(&self, from: usize, to: usize) -> bool {
         let (from, to) = (self.group.contains(&from), self.group.contains(&to));
-        match self.way {
-            Way::Both => from != to,
-            Way::Out => from && !to,
-            Way::Back => to && !from,
+        match self.direction {
+            LinkDirection::Both => from != to,
+            LinkDirection::Out => from && !to,
+            LinkDirection::Back => to && !from,
         }
     }
 }
 
-/// What is wrong between limiters.
+/// The active faults of the network.
 #[derive(Default)]
-struct Trouble {
-    /// Those in the group hear each other, and so do those outside it.
-    split: Option<Split>,
-    /// Share that is lost.
+struct NetworkFaults {
+    /// The active split; limiters on the same side still reach each other.
+    split: Option<NetworkSplit>,
+    /// Share of datagrams that are lost.
     loss: f64,
-    /// The rest comes up to so much later, each by itself, so that they overtake each other.
+    /// Maximum delay of the other datagrams, drawn for each, so that they overtake each other.
     delay: Duration,
 }
 
-/// The network between limiters.
-pub struct PeerNet {
-    seen: Vec<UdpSocket>,
-    /// A datagram that comes here goes to all others.
-    all: UdpSocket,
-    /// Where the limiters listen.
+/// The datagram network between limiters.
+pub struct PeerNetwork {
+    sockets: Vec<UdpSocket>,
+    /// A datagram to this socket is forwarded to all other limiters.
+    broadcast: UdpSocket,
+    /// The addresses at which the limiters listen.
     listen: Vec<SocketAddr>,
-    /// Who sends from there.
-    known: HashMap<SocketAddr, usize>,
-    trouble: RefCell<Trouble>,
+    /// Identifies a sender by its source address.
+    limiter_by_address: HashMap<SocketAddr, usize>,
+    faults: RefCell<NetworkFaults>,
     rng: RefCell<ChaCha8Rng>,
 }
 
-impl PeerNet {
-    /// Starts the network between the world's limiters.
+impl PeerNetwork {
+    /// Starts the network for all limiters of the run.
     ///
     /// # Errors
     ///
     /// No free port.
-    pub async fn start(world: &World) -> std::io::Result<Rc<PeerNet>> {
+    pub async fn start(world: &World) -> std::io::Result<Rc<PeerNetwork>> {
         let (host, limiters, seed) = (
             world.host,
             world.scenario.site.limiters,
             world.scenario.seed,
         );
-        let (mut seen, mut listen) = (Vec::new(), Vec::new());
+        let (mut sockets, mut listen) = (Vec::new(), Vec::new());
         for _ in 0..limiters {
-            seen.push(UdpSocket::bind((host, 0)).await?);
+            sockets.push(UdpSocket::bind((host, 0)).await?);
             listen.push(world.address()?);
         }
-        let all = UdpSocket::bind((host, 0)).await?;
+        let broadcast = UdpSocket::bind((host, 0)).await?;
         let rng = RefCell::new(ChaCha8Rng::seed_from_u64(seed ^ 0x9ee5));
-        let known = listen
+        let limiter_by_address = listen
             .iter()
             .enumerate()
             .map(|(limiter, address)| (*address, limiter))
             .collect();
-        let net = Rc::new(PeerNet {
-            seen,
-            all,
+        let net = Rc::new(PeerNetwork {
+            sockets,
+            broadcast,
             listen,
-            known,
-            trouble: RefCell::default(),
+            limiter_by_address,
+            faults: RefCell::default(),
             rng,
         });
         for to in 0..limiters {
             let net = net.clone();
-            spawn_local(async move { net.clone().relay(&net.seen[to], Some(to)).await });
+            spawn_local(async move { net.clone().relay(&net.sockets[to], Some(to)).await });
         }
-        let everyone = net.clone();
-        spawn_local(async move { everyone.clone().relay(&everyone.all, None).await });
+        let shared = net.clone();
+        spawn_local(async move { shared.clone().relay(&shared.broadcast, None).await });
         Ok(net)
     }
 
-    /// Where a limiter listens, at which addresses it sees every limiter, and the one for all.
+    /// Where a limiter listens, at which addresses it reaches each limiter, and the broadcast address.
     ///
     /// # Errors
     ///
     /// A socket that has no address.
     pub fn addresses(
         &self,
-        of: usize,
+        limiter: usize,
     ) -> std::io::Result<(SocketAddr, Vec<SocketAddr>, SocketAddr)> {
-        let seen: std::io::Result<Vec<_>> = self.seen.iter().map(UdpSocket::local_addr).collect();
-        Ok((self.listen[of], seen?, self.all.local_addr()?))
+        let sockets: std::io::Result<Vec<_>> =
+            self.sockets.iter().map(UdpSocket::local_addr).collect();
+        Ok((self.listen[limiter], sockets?, self.broadcast.local_addr()?))
     }
 
-    /// Splits the limiters, or heals the split.
-    pub fn split(&self, split: Option<Split>) {
-        self.trouble.borrow_mut().split = split;
+    /// Splits the network, or heals it.
+    pub fn set_split(&self, split: Option<NetworkSplit>) {
+        self.faults.borrow_mut().split = split;
     }
 
-    /// Loses a share and delays the rest.
-    pub fn make_poor(&self, loss: f64, delay: Duration) {
-        let mut trouble = self.trouble.borrow_mut();
-        (trouble.loss, trouble.delay) = (loss, delay);
+    /// Sets the share of lost datagrams and the maximum delay of the others.
+    pub fn set_loss(&self, loss: f64, delay: Duration) {
+        let mut faults = self.faults.borrow_mut();
+        (faults.loss, faults.delay) = (loss, delay);
     }
 
-    /// Passes on what comes to one limiter's address, or to that of all.
-    async fn relay(self: Rc<Self>, at: &UdpSocket, to: Option<usize>) {
-        let mut buffer = [0; LONGEST];
+    /// Forwards the datagrams of one socket to a limiter, or to all others without one.
+    async fn relay(self: Rc<Self>, socket: &UdpSocket, to: Option<usize>) {
+        let mut buffer = [0; MAX_DATAGRAM];
         loop {
-            // An error here is that of an earlier datagram to a limiter that is down.
-            let Ok((length, sender)) = at.recv_from(&mut buffer).await else {
+            // An error here reports an earlier datagram to a limiter that is down.
+            let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
                 continue;
             };
-            let Some(from) = self.known.get(&sender).copied() else {
+            let Some(from) = self.limiter_by_address.get(&sender).copied() else {
                 continue;
             };
-            let all = 0..self.listen.len();
-            for to in all.filter(|other| to.map_or(*other != from, |to| *other == to)) {
-                self.clone().pass(from, to, buffer[..length].to_vec());
+            let limiters = 0..self.listen.len();
+            for to in limiters.filter(|other| to.map_or(*other != from, |to| *other == to)) {
+                self.clone().forward(from, to, buffer[..length].to_vec());
             }
         }
     }
 
-    fn pass(self: Rc<Self>, from: usize, to: usize, bytes: Vec<u8>) {
-        let trouble = self.trouble.borrow();
-        let apart = trouble
+    fn forward(self: Rc<Self>, from: usize, to: usize, bytes: Vec<u8>) {
+        let faults = self.faults.borrow();
+        let blocked = faults
             .split
             .as_ref()
-            .is_some_and(|split| split.holds(from, to));
-        let (lost, late) = {
+            .is_some_and(|split| split.blocks(from, to));
+        let (lost, delay_drawn) = {
             let mut rng = self.rng.borrow_mut();
             (
-                rng.random::<f64>() < trouble.loss,
-                trouble.delay.mul_f64(rng.random::<f64>()),
+                rng.random::<f64>() < faults.loss,
+                faults.delay.mul_f64(rng.random::<f64>()),
             )
         };
-        drop(trouble);
-        if apart || lost {
+        drop(faults);
+        if blocked || lost {
             return;
         }
-        if late.is_zero() {
-            _ = self.seen[from].try_send_to(&bytes, self.listen[to]);
+        if delay_drawn.is_zero() {
+            _ = self.sockets[from].try_send_to(&bytes, self.listen[to]);
             return;
         }
         spawn_local(async move {
-            tokio::time::sleep(late).await;
-            _ = self.seen[from].try_send_to(&bytes, self.listen[to]);
+            tokio::time::sleep(delay_drawn).await;
+            _ = self.sockets[from].try_send_to(&bytes, self.listen[to]);
         });
     }
 }
--- a/crates/emberpin-testbed/src/process.rs
+++ b/crates/emberpin-testbed/src/process.rs
@@ -1,10 +1,12 @@
-//! Limiters as processes of their own: started, watched, killed, measured. A limiter is met on sockets only.
+//! Limiters as processes of their own: starts, watches, kills and measures them. Apart from signals, the testbed
+//! reaches
+//! a limiter through sockets only.
 
 use crate::error::{LimiterError, LimiterFile};
 use crate::http::Wire;
 use crate::scenario::Site;
 use crate::settings;
-use crate::trace::{ProcessEnd, Recorder, What};
+use crate::trace::{EventKind, ProcessEnd, Recorder};
 use nix::sys::signal::{kill, Signal};
 use nix::time::clock_getcpuclockid;
 use nix::unistd::Pid;
@@ -23,60 +25,60 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// Far longer than a start takes on any machine; only a failure waits for it.
-const START: Duration = Duration::from_secs(20);
-/// SIGKILL follows SIGTERM after the longest deadline and so much more.
-const LEAVE: Duration = Duration::from_millis(3700);
+/// Time-out of a limiter's start, far longer than a start takes on any machine; only a failure reaches it.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time-out of a graceful shutdown, after which SIGKILL follows SIGTERM: longer than the longest deadline.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3700);
 
-/// Which program plays the limiter.
+/// The program that runs as the limiter.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// Its file.
+    /// Path of the executable.
     pub path: PathBuf,
-    /// Its arguments.
+    /// Arguments of the command.
     pub arguments: Vec<OsString>,
-    /// Each limiter has a log on disk, begun before its first start, that goes with the run.
+    /// Whether each limiter has a log on disk, initialised before its first start and deleted after the run.
     pub logs: bool,
-    /// The limiters talk to each other over links, which a split of the peers cuts too.
+    /// Whether the limiters are connected by stream links, which a split of the peers also cuts.
     pub links: bool,
 }
 
-/// What a limiter's processes used, over all their lives.
+/// Resource usage of a limiter over all incarnations of its process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Usage {
     /// Processor time, user and system, in milliseconds.
     pub cpu_ms: f64,
     /// Largest resident set, in KiB.
     pub peak_kib: u64,
-    /// Times that it was started.
+    /// Number of starts.
     pub starts: u32,
 }
 
 /// One limiter.
 pub struct Limiter {
-    /// Its number.
+    /// The limiter's number, from 0.
     pub number: usize,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub address: SocketAddr,
     recorder: Recorder,
     program: Program,
     folder: PathBuf,
     seed: Cell<u64>,
     usage: Cell<Usage>,
-    /// Of the lives before this one.
-    before: Cell<f64>,
+    /// Processor time of the earlier incarnations, in milliseconds.
+    previous_cpu_ms: Cell<f64>,
     pid: Cell<Option<u32>>,
-    expected: Cell<Option<ProcessEnd>>,
+    expected_end: Cell<Option<ProcessEnd>>,
     ended: watch::Sender<bool>,
-    last_words: RefCell<String>,
-    /// Where its first life stands still.
-    stops_at: RefCell<Option<String>>,
-    /// How the disk under its log lies.
-    disk: RefCell<Option<String>>,
+    last_log_line: RefCell<String>,
+    /// The point at which its first incarnation stops.
+    stop_point: RefCell<Option<String>>,
+    /// The fault of the disk under its log.
+    disk_fault: RefCell<Option<String>>,
 }
 
 impl Limiter {
-    /// A limiter that is not started yet.
+    /// Creates a limiter that is not started yet.
     pub fn new(
         number: usize,
         address: SocketAddr,
@@ -93,17 +95,17 @@
             folder: folder.to_path_buf(),
             seed: Cell::new(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ number as u64),
             usage: Cell::default(),
-            before: Cell::new(0.0),
+            previous_cpu_ms: Cell::new(0.0),
             pid: Cell::new(None),
-            expected: Cell::new(None),
+            expected_end: Cell::new(None),
             ended: watch::Sender::new(true),
-            last_words: RefCell::default(),
-            stops_at: RefCell::default(),
-            disk: RefCell::default(),
+            last_log_line: RefCell::default(),
+            stop_point: RefCell::default(),
+            disk_fault: RefCell::default(),
         })
     }
 
-    /// Starts its process with this configuration, and returns once it is ready; whether it is, or was killed before.
+    /// Starts the process with this configuration. Returns `true` once it is ready, `false` if it was killed before.
     ///
     /// # Errors
     ///
@@ -119,19 +121,24 @@
             .append(true)
             .open(&log);
         let log_file = log_file.map_err(self.file_error(LimiterFile::Log))?;
-        let with_log = self.with_log(&file)?;
+        let log_arguments = self.log_arguments(&file)?;
         let mut child = Command::new(&self.program.path)
             .args(&self.program.arguments)
-            .args(with_log)
+            .args(log_arguments)
             .env("GW_CONFIG", &file)
             .envs(
-                self.stops_at
+                self.stop_point
                     .borrow_mut()
                     .take()
                     .map(|point| ("EMBERPIN_STOP_AT", point)),
             )
-            .envs(self.disk.borrow().clone().map(|lie| ("EMBERPIN_DISK", lie)))
-            .env("EMBERPIN_DISK_SAID", self.lie_said())
+            .envs(
+                self.disk_fault
+                    .borrow()
+                    .clone()
+                    .map(|fault| ("EMBERPIN_DISK", fault)),
+            )
+            .env("EMBERPIN_DISK_SAID", self.disk_fault_marker())
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log_file)
@@ -139,7 +146,7 @@
             .spawn()
             .map_err(|source| self.spawn_error(source))?;
         self.pid.set(child.id());
-        self.expected.set(None);
+        self.expected_end.set(None);
         self.ended.send_replace(false);
         let mut usage = self.usage.get();
         usage.starts += 1;
@@ -151,32 +158,33 @@
         };
         let started = tokio::select! {
             ended = child.wait() => {
-                let said = std::fs::read_to_string(&log).unwrap_or_default();
+                let log_text = std::fs::read_to_string(&log).unwrap_or_default();
                 Err(LimiterError::Ended {
                     number,
                     status: format!("{ended:?}"),
-                    last_line: said.lines().last().unwrap_or("nothing").to_string(),
+                    last_line: log_text.lines().last().unwrap_or("nothing").to_string(),
                 })
             }
-            late = tokio::time::timeout(START, ready) => {
-                late.map_err(|_| LimiterError::NotReady { number, seconds: START.as_secs() })
+            late = tokio::time::timeout(START_TIMEOUT, ready) => {
+                late.map_err(|_| LimiterError::NotReady { number, seconds: START_TIMEOUT.as_secs() })
             }
         };
         if let Err(problem) = started {
-            // Nobody is to wait for its end; what is left of it goes with the handle.
+            // Nothing waits for the exit any more; dropping the handle kills the process if it still runs.
             self.pid.set(None);
             self.ended.send_replace(true);
-            return match self.expected.get() {
+            return match self.expected_end.get() {
                 Some(ProcessEnd::Killed) => Ok(false),
                 _ => Err(problem),
             };
         }
-        self.recorder.note(What::LimiterUp { limiter: number });
+        self.recorder
+            .record(EventKind::LimiterReady { limiter: number });
         spawn_local(self.clone().watch(child, log));
         Ok(true)
     }
 
-    /// For `map_err`: a file of this limiter could not be made.
+    /// For `map_err`: a file of this limiter could not be created.
     fn file_error(&self, file: LimiterFile) -> impl FnOnce(std::io::Error) -> LimiterError {
         let number = self.number;
         move |source| LimiterError::File {
@@ -194,8 +202,9 @@
         }
     }
 
-    /// The arguments that give it a log; before its first start the log is begun, as an operator does it.
-    fn with_log(&self, config: &Path) -> Result<Vec<OsString>, LimiterError> {
+    /// The arguments that give the limiter a log. Before its first start the log is initialised, as an operator does
+    /// it.
+    fn log_arguments(&self, config: &Path) -> Result<Vec<OsString>, LimiterError> {
         if !self.program.logs {
             return Ok(Vec::new());
         }
@@ -207,35 +216,36 @@
         std::fs::write(&file, table).map_err(self.file_error(LimiterFile::Operator))?;
         let with = vec!["--with".into(), file.into_os_string()];
         if self.usage.get().starts == 0 {
-            let begun = std::process::Command::new(&self.program.path)
+            let log_init = std::process::Command::new(&self.program.path)
                 .args(&self.program.arguments)
                 .args(&with)
                 .args(["log", "init"])
                 .env("GW_CONFIG", config)
                 .output();
-            let begun = begun.map_err(|source| self.spawn_error(source))?;
-            if !begun.status.success() {
+            let log_init = log_init.map_err(|source| self.spawn_error(source))?;
+            if !log_init.status.success() {
                 return Err(LimiterError::LogInit {
                     number: self.number,
-                    output: String::from_utf8_lossy(&begun.stderr).trim().to_string(),
+                    output: String::from_utf8_lossy(&log_init.stderr).trim().to_string(),
                 });
             }
         }
         Ok(with)
     }
 
-    /// Notes the end of a process that nobody asked to end.
+    /// Records the exit of the process, unless it was recorded when the testbed killed it.
     async fn watch(self: Rc<Self>, mut child: Child, log: PathBuf) {
         _ = child.wait().await;
-        let how = self.expected.get().unwrap_or(ProcessEnd::Crashed);
-        if how == ProcessEnd::Crashed {
-            let said = std::fs::read_to_string(log).unwrap_or_default();
-            *self.last_words.borrow_mut() = said.lines().last().unwrap_or_default().to_string();
+        let end = self.expected_end.get().unwrap_or(ProcessEnd::Crashed);
+        if end == ProcessEnd::Crashed {
+            let log_text = std::fs::read_to_string(log).unwrap_or_default();
+            *self.last_log_line.borrow_mut() =
+                log_text.lines().last().unwrap_or_default().to_string();
         }
-        if how != ProcessEnd::Killed && how != ProcessEnd::Overdue {
-            self.recorder.note(What::LimiterDown {
+        if end != ProcessEnd::Killed && end != ProcessEnd::Overdue {
+            self.recorder.record(EventKind::LimiterStopped {
                 limiter: self.number,
-                how,
+                end,
             });
         }
         self.pid.set(None);
@@ -247,9 +257,9 @@
             return false;
         };
         let mut wire = Wire::new(stream);
-        let asked =
+        let request =
             b"GET /health/ready HTTP/1.1\r\nHost: service.internal\r\nConnection: close\r\n\r\n";
-        if wire.stream.write_all(asked).await.is_err() {
+        if wire.stream.write_all(request).await.is_err() {
             return false;
         }
         wire.read(true)
@@ -257,74 +267,77 @@
             .is_ok_and(|(head, _)| head.status == 200)
     }
 
-    /// kill -9; returns when the process is gone.
+    /// Kills the process with SIGKILL; returns when it has exited.
     pub async fn kill(&self) {
-        // Noted before the signal goes out, so that nothing that it causes seems to come first.
-        self.end_by(ProcessEnd::Killed);
-        self.gone().await;
+        // Recorded before the signal is sent, so that no effect of it precedes it in the trace.
+        self.kill_as(ProcessEnd::Killed);
+        self.wait_until_exited().await;
     }
 
-    fn end_by(&self, how: ProcessEnd) {
+    fn kill_as(&self, end: ProcessEnd) {
         self.measure();
         if self.pid.get().is_some() {
-            self.expected.set(Some(how));
-            self.recorder.note(What::LimiterDown {
+            self.expected_end.set(Some(end));
+            self.recorder.record(EventKind::LimiterStopped {
                 limiter: self.number,
-                how,
+                end,
             });
             self.signal(Signal::SIGKILL);
         }
     }
 
-    /// SIGTERM, and SIGKILL once its time is over; returns when the process is gone.
-    pub async fn leave(&self) {
+    /// Sends SIGTERM, and SIGKILL after [`SHUTDOWN_TIMEOUT`]; returns when the process has exited.
+    pub async fn shut_down(&self) {
         if self.pid.get().is_some() {
-            self.expected.set(Some(ProcessEnd::Left));
-            self.recorder.note(What::Terminated {
+            self.expected_end.set(Some(ProcessEnd::Left));
+            self.recorder.record(EventKind::SigtermSent {
                 limiter: self.number,
             });
             self.signal(Signal::SIGTERM);
         }
-        if tokio::time::timeout(LEAVE, self.gone()).await.is_err() {
-            self.end_by(ProcessEnd::Overdue);
-            self.gone().await;
+        if tokio::time::timeout(SHUTDOWN_TIMEOUT, self.wait_until_exited())
+            .await
+            .is_err()
+        {
+            self.kill_as(ProcessEnd::Overdue);
+            self.wait_until_exited().await;
         }
     }
 
-    async fn gone(&self) {
+    async fn wait_until_exited(&self) {
         _ = self.ended.subscribe().wait_for(|ended| *ended).await;
         let mut usage = self.usage.get();
-        usage.cpu_ms = usage.cpu_ms.max(self.before.get());
+        usage.cpu_ms = usage.cpu_ms.max(self.previous_cpu_ms.get());
         self.usage.set(usage);
-        self.before.set(usage.cpu_ms);
+        self.previous_cpu_ms.set(usage.cpu_ms);
     }
 
-    /// SIGHUP.
-    pub fn hang_up(&self) {
+    /// Sends SIGHUP.
+    pub fn send_sighup(&self) {
         self.signal(Signal::SIGHUP);
     }
 
-    /// Its first life is to stand still at a point of its code: `POINT:N`, the Nth time that it is met.
-    pub fn stop_at(&self, point: &str) {
-        *self.stops_at.borrow_mut() = Some(point.into());
+    /// Makes its first incarnation stop at a point of its code: `POINT:N`, the Nth time that the point is reached.
+    pub fn stop_at_point(&self, point: &str) {
+        *self.stop_point.borrow_mut() = Some(point.into());
     }
 
-    /// The disk under its log is to lie: `KIND:N`, from the Nth append of each life on.
-    pub fn lie(&self, lie: &str) {
-        *self.disk.borrow_mut() = Some(lie.into());
+    /// Makes the disk under its log faulty: `KIND:N`, from the Nth append of each incarnation on.
+    pub fn set_disk_fault(&self, disk_fault: &str) {
+        *self.disk_fault.borrow_mut() = Some(disk_fault.into());
     }
 
-    /// The file that is there once its disk has lied.
-    pub fn lie_said(&self) -> PathBuf {
+    /// The file that the limiter creates once the disk fault has taken effect.
+    pub fn disk_fault_marker(&self) -> PathBuf {
         self.folder.join(format!("limiter-{}.lied", self.number))
     }
 
-    /// SIGSTOP, or SIGCONT.
-    pub fn pause(&self, on: bool) {
+    /// Pauses the process with SIGSTOP, or resumes it with SIGCONT.
+    pub fn set_paused(&self, on: bool) {
         self.signal(if on { Signal::SIGSTOP } else { Signal::SIGCONT });
     }
 
-    /// Whether its process stands still by a signal (proc(5), the state `T`).
+    /// Whether the process is stopped by a signal (proc(5), state `T`).
     pub fn is_paused(&self) -> bool {
         let stat = self
             .pid
@@ -343,48 +356,48 @@
         }
     }
 
-    /// Reads what its process has used by now.
+    /// Reads the resource usage of the process and returns the total so far.
     pub fn measure(&self) -> Usage {
         if let Some((cpu_ms, peak_kib)) = self.pid.get().and_then(used) {
             let mut usage = self.usage.get();
-            usage.cpu_ms = self.before.get() + cpu_ms;
+            usage.cpu_ms = self.previous_cpu_ms.get() + cpu_ms;
             usage.peak_kib = usage.peak_kib.max(peak_kib);
             self.usage.set(usage);
         }
         self.usage.get()
     }
 
-    /// What it said last before it ended unasked.
-    pub fn last_words(&self) -> String {
-        self.last_words.borrow().clone()
+    /// The last line of its log before it exited unexpectedly.
+    pub fn last_log_line(&self) -> String {
+        self.last_log_line.borrow().clone()
     }
 
-    /// The platform's file for its next start.
+    /// The platform's configuration file for its next start.
     pub fn config(
         &self,
         site: &Site,
         discovery: SocketAddr,
-        known: Value,
+        initial_list: Value,
         (peer_listen, peers, all): (SocketAddr, Vec<SocketAddr>, SocketAddr),
     ) -> Value {
         let seed = self.seed.replace(self.seed.get().wrapping_add(1));
         json!({
             "name": format!("n{}", self.number), "listen": self.address, "discovery": discovery,
             "seed": format!("{seed:016x}"), "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "peer_listen": peer_listen, "peers": peers, "peers_all": all, "known": known,
+            "peer_listen": peer_listen, "peers": peers, "peers_all": all, "known": initial_list,
             "settings": settings::settings(site, self.number),
         })
     }
 }
 
-/// Ends a process that is left, when the site goes without having ended it.
+/// Kills a process that is still running when the site is dropped.
 impl Drop for Limiter {
     fn drop(&mut self) {
         self.signal(Signal::SIGKILL);
     }
 }
 
-/// What a running process has used: processor time in milliseconds, from its own clock (`clock_getcpuclockid(3)`),
+/// Resource usage of a running process: processor time in milliseconds, from its own clock (`clock_getcpuclockid(3)`),
 /// and the largest resident set in KiB (proc(5)).
 pub fn used(pid: u32) -> Option<(f64, u64)> {
     let time = clock_getcpuclockid(Pid::from_raw(pid as i32))
--- a/crates/emberpin-testbed/src/scenario/bounds.rs
+++ b/crates/emberpin-testbed/src/scenario/bounds.rs
@@ -1,63 +1,63 @@
-//! Checks of single values: what is out of bounds, missing, or of no use.
+//! Checks that single values of a scenario are present and within their bounds.
 
 use super::error::Problem;
-use super::{micros, MOST_SECONDS};
+use super::{micros, MAX_SECONDS};
 use crate::trace::Micros;
 
-pub(super) fn number(name: &'static str, value: f64, least: f64, most: f64) -> Result<(), Problem> {
-    if (least..=most).contains(&value) {
+pub(super) fn number(name: &'static str, value: f64, min: f64, max: f64) -> Result<(), Problem> {
+    if (min..=max).contains(&value) {
         return Ok(());
     }
     Err(Problem::OutOfBounds {
         name,
         value: value.to_string(),
-        least: least.to_string(),
-        most: most.to_string(),
+        min: min.to_string(),
+        max: max.to_string(),
     })
 }
 
 pub(super) fn count(
     name: &'static str,
     value: usize,
-    least: usize,
-    most: usize,
+    min: usize,
+    max: usize,
 ) -> Result<(), Problem> {
-    if (least..=most).contains(&value) {
+    if (min..=max).contains(&value) {
         return Ok(());
     }
     Err(Problem::OutOfBounds {
         name,
         value: value.to_string(),
-        least: least.to_string(),
-        most: most.to_string(),
+        min: min.to_string(),
+        max: max.to_string(),
     })
 }
 
-/// Two values of which the second is not the lower one.
+/// Checks two values within the bounds, of which the second must not be below the first.
 pub(super) fn range(
     name: &'static str,
     [low, high]: [f64; 2],
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
 ) -> Result<(), Problem> {
-    number(name, low, least, most)?;
-    if (low..=most).contains(&high) {
+    number(name, low, min, max)?;
+    if (low..=max).contains(&high) {
         return Ok(());
     }
     Err(Problem::SecondOutOfBounds {
         name,
         low,
         high,
-        most,
+        max,
     })
 }
 
-/// A value that its table has to have.
+/// Checks that a required value is present.
 pub(super) fn required<T>(name: &'static str, value: Option<T>) -> Result<T, Problem> {
     value.ok_or(Problem::Missing { name })
 }
 
-/// The number of one of `count` things, which are counted from 0.
+/// Checks an index below `count`.
 pub(super) fn index(
     name: &'static str,
     value: Option<usize>,
@@ -70,18 +70,18 @@
     Err(Problem::OutOfBounds {
         name,
         value: value.to_string(),
-        least: "0".into(),
-        most: (count - 1).to_string(),
+        min: "0".into(),
+        max: (count - 1).to_string(),
     })
 }
 
-/// A time that is written in a unit of which `per_second` are a second.
+/// Converts a required time to microseconds; `per_second` is the number of its units in a second.
 pub(super) fn time(
     name: &'static str,
     value: Option<f64>,
     per_second: f64,
 ) -> Result<Micros, Problem> {
     let value = required(name, value)?;
-    number(name, value, 0.0, MOST_SECONDS * per_second)?;
+    number(name, value, 0.0, MAX_SECONDS * per_second)?;
     Ok(micros(value / per_second))
 }
--- a/crates/emberpin-testbed/src/scenario/fault_text.rs
+++ b/crates/emberpin-testbed/src/scenario/fault_text.rs
@@ -1,4 +1,4 @@
-//! Faults in words, as reports and traces have them.
+//! Descriptions of faults for reports and traces.
 
 use super::Fault;
 use crate::trace::seconds;
@@ -7,19 +7,25 @@
 impl fmt::Display for Fault {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::LimiterKilled { limiter, back } => {
+            Fault::LimiterKilled {
+                limiter,
+                restart_after,
+            } => {
                 write!(
                     formatter,
                     "limiter {limiter} killed, back after {:.1} s",
-                    seconds(*back)
+                    seconds(*restart_after)
                 )
             }
             Fault::LimiterRestarted { limiter } => write!(formatter, "limiter {limiter} restarted"),
-            Fault::ServerKilled { server, back } => {
+            Fault::ServerKilled {
+                server,
+                restart_after,
+            } => {
                 write!(
                     formatter,
                     "server {server} killed, back cold after {:.1} s",
-                    seconds(*back)
+                    seconds(*restart_after)
                 )
             }
             Fault::ServerReplaced { server } => write!(formatter, "server {server} replaced"),
@@ -27,12 +33,15 @@
             Fault::ServerStalled { server, .. } => {
                 write!(formatter, "server {server} stands still")
             }
-            Fault::ServerSpoils {
-                server, how, share, ..
+            Fault::ServerResponsesFaulty {
+                server,
+                response_fault,
+                share,
+                ..
             } => {
                 write!(
                     formatter,
-                    "server {server} spoils {:.0} % of its answers: {how:?}",
+                    "server {server} spoils {:.0} % of its answers: {response_fault:?}",
                     share * 100.0
                 )
             }
@@ -42,31 +51,39 @@
             Fault::ServerMoved { server } => {
                 write!(formatter, "server {server} moved to another address")
             }
-            Fault::HallLost { hall, .. } => write!(formatter, "hall {hall} lost"),
+            Fault::ZoneLost { zone, .. } => write!(formatter, "hall {zone} lost"),
             Fault::LinkCut {
-                limiter, hall, way, ..
+                limiter,
+                zone,
+                direction,
+                ..
             } => {
                 write!(
                     formatter,
-                    "link of limiter {limiter} to hall {hall} cut: {way:?}"
+                    "link of limiter {limiter} to hall {zone} cut: {direction:?}"
                 )
             }
             Fault::LinkSlow {
                 limiter,
-                hall,
+                zone,
                 delay,
                 ..
             } => {
                 write!(
                     formatter,
-                    "link of limiter {limiter} to hall {hall} slower by {:.0} ms",
+                    "link of limiter {limiter} to hall {zone} slower by {:.0} ms",
                     seconds(*delay) * 1000.0
                 )
             }
-            Fault::PeersSplit { group, way, .. } => {
-                write!(formatter, "limiters {group:?} split from the rest: {way:?}")
+            Fault::PeersSplit {
+                group, direction, ..
+            } => {
+                write!(
+                    formatter,
+                    "limiters {group:?} split from the rest: {direction:?}"
+                )
             }
-            Fault::PeersPoor { loss, .. } => {
+            Fault::PeersLossy { loss, .. } => {
                 write!(
                     formatter,
                     "{:.0} % of the peers' messages lost",
@@ -75,8 +92,11 @@
             }
             Fault::DiscoverySilent { .. } => formatter.write_str("discovery silent"),
             Fault::DiscoveryDead { .. } => formatter.write_str("the list service dead"),
-            Fault::DiscoveryTells { how, .. } => {
-                write!(formatter, "the list service tells an untrue list: {how:?}")
+            Fault::DiscoveryListFaulty { list_fault, .. } => {
+                write!(
+                    formatter,
+                    "the list service tells an untrue list: {list_fault:?}"
+                )
             }
             Fault::LimiterPaused { limiter, length } => {
                 write!(
@@ -85,37 +105,49 @@
                     seconds(*length)
                 )
             }
-            Fault::DiskLies { limiter, lie } => {
-                write!(formatter, "the disk of limiter {limiter} is to lie: {lie}")
+            Fault::DiskFaulty {
+                limiter,
+                disk_fault,
+            } => {
+                write!(
+                    formatter,
+                    "the disk of limiter {limiter} is to lie: {disk_fault}"
+                )
             }
-            Fault::LimiterStops { limiter, point, .. } => {
+            Fault::LimiterStopsAtPoint { limiter, point, .. } => {
                 write!(formatter, "limiter {limiter} is to stop at {point}")
             }
             Fault::LimiterHungUp { limiter } => write!(formatter, "limiter {limiter} hung up"),
-            Fault::CallersKilled { count, back } => {
+            Fault::DiscoveryCallersKilled {
+                count,
+                restart_after,
+            } => {
                 write!(formatter,
                 "the next {count} callers of the list service killed as they call, back after {:.1} s",
-                seconds(*back)
+                seconds(*restart_after)
             )
             }
-            Fault::LimitersKilled { count, back } => {
+            Fault::LimitersKilled {
+                count,
+                restart_after,
+            } => {
                 write!(
                     formatter,
                     "{count} limiters killed, back after {:.1} s",
-                    seconds(*back)
+                    seconds(*restart_after)
                 )
             }
-            Fault::FirmsHop { share } => {
+            Fault::CustomersMove { share } => {
                 write!(formatter, "{:.0} % of the firms move", share * 100.0)
             }
-            Fault::FirmHammers { plan, times, .. } => {
+            Fault::CustomerFloods { plan, times, .. } => {
                 write!(
                     formatter,
                     "a firm of plan {} asks {times} times its quota",
                     crate::figures::PLANS[*plan].name
                 )
             }
-            Fault::Rush { times, .. } => write!(formatter, "{times} times the load"),
+            Fault::LoadSpike { times, .. } => write!(formatter, "{times} times the load"),
         }
     }
 }
--- a/crates/emberpin-testbed/src/schedule.rs
+++ b/crates/emberpin-testbed/src/schedule.rs
@@ -1,96 +1,101 @@
-//! Who asks for what and when: drawn whole from the scenario and its seed before anything starts, so that the
-//! same seed gives the same schedule. What cannot be drawn ahead is only what answers make of it.
+//! The schedule of requests: drawn completely from the scenario and its seed before anything starts, so that the same
+//! seed gives the same schedule. Only retries depend on the responses.
 
 use crate::figures::{Class, CLASSES, PLANS};
 use crate::scenario::{Fault, Scenario};
-use crate::trace::{Micros, Try, SECOND};
+use crate::trace::{Micros, RequestId, SECOND};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, LogNormal};
 
-/// Tries that one arrival may make; [`Try`] numbers them through.
-pub const TRIES: u32 = 16;
-/// No request is heavier than so many times the mean of its class.
-const HEAVIEST: f64 = 10.0;
+/// Maximum number of requests (the first and its retries) of one arrival; [`RequestId`] numbers them consecutively.
+pub const MAX_REQUESTS: u32 = 16;
+/// Maximum work of a request, as a multiple of the mean of its class.
+const MAX_WORK_FACTOR: f64 = 10.0;
 
-/// A member firm.
+/// A customer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Customer {
-    /// Its account: below 2^33.
+    /// The customer's account number, below 2^33.
     pub account: u64,
-    /// Index of its plan.
+    /// Index of the customer's plan.
     pub plan: usize,
-    /// The first limiter of its set.
+    /// The first limiter of the set that the customer uses.
     pub first: usize,
-    /// How many limiters its set has.
+    /// Number of limiters in the set.
     pub spread: usize,
-    /// Its part of all demand.
+    /// Weight of the customer in the total demand.
     weight: f64,
-    /// Where its turns begin.
+    /// Phase of the shifts between its limiters, in shift intervals.
     phase: f64,
-    /// When it moves to others of its limiters at one stroke.
-    hops: Vec<Micros>,
+    /// Times at which the customer moves to another limiter of its set at once.
+    moves: Vec<Micros>,
 }
 
 impl Customer {
-    /// The limiter of its set that most of its requests come through at this time.
-    pub fn busiest(&self, at: Micros, shift: Micros) -> usize {
-        let turn = (at as f64 / shift.max(1) as f64 + self.phase) as usize;
-        let hops = self.hops.iter().filter(|hop| **hop <= at).count();
-        turn + hops
+    /// The position, before reduction modulo [`spread`](Customer::spread), of the limiter that gets most of its
+    /// requests now.
+    pub fn busiest_limiter(&self, at: Micros, shift: Micros) -> usize {
+        let shift_count = (at as f64 / shift.max(1) as f64 + self.phase) as usize;
+        let moves = self
+            .moves
+            .iter()
+            .filter(|moved_at| **moved_at <= at)
+            .count();
+        shift_count + moves
     }
 }
 
-/// One piece of work that a client wants done, with up to [`TRIES`] tries.
+/// One piece of work that a client wants done, with up to [`MAX_REQUESTS`] requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When its first try is made.
+    /// When its first request is sent.
     pub at: Micros,
-    /// Index of its customer.
+    /// Index of the customer.
     pub customer: u32,
-    /// Index of its class.
+    /// Index of the class.
     pub class: usize,
-    /// Core milliseconds at yardstick speed.
+    /// Work in core milliseconds at reference speed.
     pub work: f64,
-    /// The number of its idempotency key: that of the arrival that it repeats, or its own.
+    /// The number of the idempotency key: that of the repeated arrival, or its own.
     pub key: u32,
-    /// Each try is given up after this.
-    pub patience: Micros,
-    /// The limiter of its set, from [`Customer::first`] on, that its first try goes to.
-    pub through: usize,
-    /// It leaves its first try after this, for no reason.
-    pub leaves: Option<Micros>,
-    /// It waits as it is advised.
-    pub honours: bool,
-    /// Its own waits before its tries are this many times the mean.
-    pub haste: f64,
+    /// Time limit of each request.
+    pub time_limit: Micros,
+    /// The limiter for its first request, counted from [`Customer::first`].
+    pub limiter_index: usize,
+    /// The client cancels its first request after this time, if set.
+    pub cancels_after: Option<Micros>,
+    /// Whether the client honours `Retry-After`.
+    pub honors_retry_after: bool,
+    /// Factor on the mean backoff between its requests.
+    pub backoff_factor: f64,
 }
 
 impl Arrival {
-    /// Its class.
+    /// The class of the request.
     pub fn class(&self) -> &'static Class {
         &CLASSES[self.class]
     }
 }
 
-/// All of them.
+/// All customers and arrivals of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Schedule {
-    /// By index.
+    /// The customers, by index.
     pub customers: Vec<Customer>,
-    /// By time.
+    /// The arrivals, in order of time.
     pub arrivals: Vec<Arrival>,
-    /// Speed of a core of each server.
+    /// The core speed of each server.
     pub speeds: Vec<f64>,
-    /// Marks this run's ids on the wire.
-    pub tag: u32,
+    /// Distinguishes the ids of this run on the wire.
+    pub run_tag: u32,
 }
 
 impl Schedule {
     /// Draws the schedule of a scenario.
     pub fn draw(scenario: &Scenario) -> Schedule {
         let mut rng = ChaCha8Rng::seed_from_u64(scenario.seed);
-        let tag = rng.random();
+        let run_tag = rng.random();
         let [slow, fast] = scenario.site.speed;
         let speeds = (0..scenario.site.servers)
             .map(|_| slow + (fast - slow) * rng.random::<f64>())
@@ -102,36 +107,36 @@
             customers,
             arrivals,
             speeds,
-            tag,
+            run_tag,
         }
     }
 
-    /// The arrival that a try belongs to.
-    pub fn arrival(&self, of: Try) -> Option<&Arrival> {
-        self.arrivals.get((of.0 / TRIES) as usize)
+    /// The arrival of a request.
+    pub fn arrival(&self, request_id: RequestId) -> Option<&Arrival> {
+        self.arrivals.get((request_id.0 / MAX_REQUESTS) as usize)
     }
 
-    /// A try's `Req-Id`.
-    pub fn id(&self, of: Try) -> String {
-        format!("{:08x}{:08x}", self.tag, of.0)
+    /// The `Req-Id` of a request.
+    pub fn id(&self, request_id: RequestId) -> String {
+        format!("{:08x}{:08x}", self.run_tag, request_id.0)
     }
 
-    /// The try of a `Req-Id`, if it is one of this run's.
-    pub fn parse_id(&self, id: &str) -> Option<Try> {
-        let (tag, number) = id.split_at_checked(8)?;
-        let sound = number.len() == 8 && u32::from_str_radix(tag, 16).ok()? == self.tag;
-        let of = Try(u32::from_str_radix(number, 16).ok()?);
-        (sound && self.arrival(of).is_some()).then_some(of)
+    /// Parses a `Req-Id`; `None` if it is not of this run.
+    pub fn parse_id(&self, id: &str) -> Option<RequestId> {
+        let (run_tag, number) = id.split_at_checked(8)?;
+        let is_own = number.len() == 8 && u32::from_str_radix(run_tag, 16).ok()? == self.run_tag;
+        let request_id = RequestId(u32::from_str_radix(number, 16).ok()?);
+        (is_own && self.arrival(request_id).is_some()).then_some(request_id)
     }
 
-    /// The try that a server's answer was made for: it begins with its id.
-    pub fn made_for(&self, body: &[u8]) -> Option<Try> {
+    /// The request that a server's response was made for; the body begins with the request's id.
+    pub fn request_of_body(&self, body: &[u8]) -> Option<RequestId> {
         self.parse_id(std::str::from_utf8(body.get(..16)?).ok()?)
     }
 
-    /// A key's `Idempotency-Key`.
+    /// The `Idempotency-Key` of a key.
     pub fn key(&self, key: u32) -> String {
-        format!("{:08x}{key:024x}", self.tag)
+        format!("{:08x}{key:024x}", self.run_tag)
     }
 }
 
@@ -158,16 +163,16 @@
                 spread,
                 weight: plan.rate * rng.random_range(0.5..1.5),
                 phase: rng.random_range(0.0..16.0),
-                hops: Vec::new(),
+                moves: Vec::new(),
             });
         }
     }
     for timed in &scenario.faults {
-        if let Fault::FirmsHop { share } = timed.fault {
+        if let Fault::CustomersMove { share } = timed.fault {
             customers
                 .iter_mut()
                 .filter(|_| rng.random_bool(share))
-                .for_each(|c| c.hops.push(timed.at));
+                .for_each(|c| c.moves.push(timed.at));
         }
     }
     customers
@@ -181,12 +186,14 @@
         sum += customer.weight / total;
         ends.push(sum);
     }
-    let rush = |at: Micros| -> f64 {
+    let load_factor = |at: Micros| -> f64 {
         let in_force = scenario
             .faults
             .iter()
             .filter_map(|timed| match timed.fault {
-                Fault::Rush { times, length } if (timed.at..timed.at + length).contains(&at) => {
+                Fault::LoadSpike { times, length }
+                    if (timed.at..timed.at + length).contains(&at) =>
+                {
                     Some(times)
                 }
                 _ => None,
@@ -194,17 +201,17 @@
         in_force.product()
     };
     let mut arrivals = Vec::new();
-    // Times by thinning: drawn at the greatest rate there ever is, and kept in proportion to the present one.
+    // Arrival times by thinning: drawn at the maximum rate, and kept in proportion to the current rate.
     let edges = scenario.faults.iter().map(|timed| timed.at).chain([0]);
-    let most = edges.map(rush).fold(1.0, f64::max);
+    let max = edges.map(load_factor).fold(1.0, f64::max);
     let mut at = 0.0;
     loop {
-        at += exponential(1.0 / (scenario.load.rate * most), rng);
+        at += exponential(1.0 / (scenario.load.rate * max), rng);
         let now = (at * SECOND as f64) as Micros;
         if now >= scenario.length {
             break;
         }
-        if rng.random::<f64>() * most >= rush(now) {
+        if rng.random::<f64>() * max >= load_factor(now) {
             continue;
         }
         let roll: f64 = rng.random();
@@ -214,7 +221,7 @@
         arrivals.push(arrival(scenario, customers, customer, now, rng));
     }
     for timed in &scenario.faults {
-        let Fault::FirmHammers {
+        let Fault::CustomerFloods {
             plan,
             times,
             length,
@@ -242,7 +249,7 @@
                 rng,
             );
             arrivals.push(Arrival {
-                honours: false,
+                honors_retry_after: false,
                 ..drawn
             });
         }
@@ -268,13 +275,14 @@
         roll if roll < load.release + load.submit => 1,
         _ => 0,
     };
-    let [least, most] = load.patience;
-    let patience = CLASSES[class].deadline as f64 * (least + (most - least) * rng.random::<f64>());
-    // Spread over the heavy tail that the letter tells of: mean 1, coefficient of variation 0.8.
+    let [min, max] = load.time_limit;
+    let time_limit = CLASSES[class].deadline as f64 * (min + (max - min) * rng.random::<f64>());
+    // Log-normal with mean 1 and the coefficient of variation 0.8 that the users state.
     let variance = (1.0f64 + 0.8 * 0.8).ln();
     let heaviness = LogNormal::new(-variance / 2.0, variance.sqrt()).map_or(1.0, |d| d.sample(rng));
-    let busiest = customers[customer].busiest(at, (load.shift_s * SECOND as f64) as Micros);
-    let elsewhere = if rng.random_bool(0.7) {
+    let busiest_limiter =
+        customers[customer].busiest_limiter(at, (load.shift_s * SECOND as f64) as Micros);
+    let offset = if rng.random_bool(0.7) {
         0
     } else {
         rng.random_range(0..customers[customer].spread)
@@ -283,19 +291,19 @@
         at,
         customer: customer as u32,
         class,
-        work: CLASSES[class].work * load.work * heaviness.min(HEAVIEST),
+        work: CLASSES[class].work * load.work * heaviness.min(MAX_WORK_FACTOR),
         key: 0,
-        patience: patience as Micros,
-        through: (busiest + elsewhere) % customers[customer].spread,
-        leaves: rng
-            .random_bool(load.impatient)
-            .then(|| (patience * rng.random_range(0.1..0.9)) as Micros),
-        honours: rng.random_bool(load.honour),
-        haste: rng.random_range(0.5..1.5),
+        time_limit: time_limit as Micros,
+        limiter_index: (busiest_limiter + offset) % customers[customer].spread,
+        cancels_after: rng
+            .random_bool(load.cancel_share)
+            .then(|| (time_limit * rng.random_range(0.1..0.9)) as Micros),
+        honors_retry_after: rng.random_bool(load.honor_share),
+        backoff_factor: rng.random_range(0.5..1.5),
     }
 }
 
-/// Adds arrivals that ask again for what an earlier one of the same customer asked, under its key.
+/// Adds arrivals that repeat an earlier arrival of the same customer under the same key.
 fn repeat_keys(
     scenario: &Scenario,
     customers: &[Customer],
@@ -311,15 +319,15 @@
     for first in arrivals.iter().filter(|arrival| arrival.class == 1) {
         if rng.random_bool(load.repeat_keys) {
             let after = soonest + (latest - soonest) * rng.random::<f64>();
-            let through = rng.random_range(0..customers[first.customer as usize].spread);
+            let limiter_index = rng.random_range(0..customers[first.customer as usize].spread);
             repeats.push(Arrival {
                 at: first.at + (after * 1000.0) as Micros,
-                through,
+                limiter_index,
                 ..first.clone()
             });
         }
     }
-    // Keys stay with the index that the arrival had when it was drawn; indices here only number tries.
+    // Keys keep the index that the arrival had when it was drawn; the indices after sorting only number requests.
     arrivals.append(&mut repeats);
     arrivals.sort_by_key(|arrival| arrival.at);
 }
@@ -347,7 +355,7 @@
     }
 
     #[test]
-    fn demand_is_as_the_scenario_says() {
+    fn the_demand_matches_the_scenario() {
         let drawn = Schedule::draw(&scenario("[load]\nrate = 200\n"));
         assert!(
             (3600..4400).contains(&drawn.arrivals.len()),
@@ -364,14 +372,15 @@
         for arrival in &drawn.arrivals {
             let customer = &drawn.customers[arrival.customer as usize];
             assert!(
-                arrival.through < customer.spread && arrival.patience <= arrival.class().deadline
+                arrival.limiter_index < customer.spread
+                    && arrival.time_limit <= arrival.class().deadline
             );
-            assert!(arrival.work > 0.0 && arrival.work <= HEAVIEST * arrival.class().work);
+            assert!(arrival.work > 0.0 && arrival.work <= MAX_WORK_FACTOR * arrival.class().work);
         }
     }
 
     #[test]
-    fn a_rush_multiplies_what_is_asked_while_it_lasts() {
+    fn a_load_spike_multiplies_the_arrivals_while_it_lasts() {
         let text =
             "[load]\nrate = 100\n[[fault]]\nat_s = 5\nwhat = \"rush\"\ntimes = 3\nfor_s = 10\n";
         let drawn = Schedule::draw(&scenario(text));
@@ -385,22 +394,22 @@
     }
 
     #[test]
-    fn a_hammering_firm_asks_a_multiple_of_its_quota_and_does_not_wait() {
+    fn a_flooding_customer_uses_a_multiple_of_its_quota() {
         let text =
             "[load]\nrate = 20\n[[fault]]\nat_s = 0\nwhat = \"firm-hammers\"\nplan = \"mellan\"\ntimes = 20\nfor_s = 20\n";
         let drawn = Schedule::draw(&scenario(text));
-        let firm = drawn
+        let customer = drawn
             .customers
             .iter()
             .position(|c| c.plan == 1)
             .expect("one") as u32;
-        let own = drawn.arrivals.iter().filter(|a| a.customer == firm);
+        let own = drawn.arrivals.iter().filter(|a| a.customer == customer);
         let units: f64 = own.map(|a| a.class().units).sum();
         assert!((2400.0..4600.0).contains(&units), "{units}");
     }
 
     #[test]
-    fn repeats_carry_the_key_of_their_first() {
+    fn repeats_have_the_key_of_the_original() {
         let drawn = Schedule::draw(&scenario("[load]\nrepeat_keys = 0.5\n"));
         let mut keys: Vec<u32> = drawn.arrivals.iter().map(|a| a.key).collect();
         keys.sort_unstable();
@@ -408,8 +417,8 @@
         keys.dedup();
         let repeated = all - keys.len();
         assert!(repeated * 5 > all / 2, "{repeated} of {all}");
-        let id = drawn.id(Try(17));
-        assert_eq!(drawn.parse_id(&id), Some(Try(17)));
+        let id = drawn.id(RequestId(17));
+        assert_eq!(drawn.parse_id(&id), Some(RequestId(17)));
         assert_eq!(drawn.parse_id("00000000ffffffff"), None);
         assert_eq!(drawn.parse_id("å"), None);
     }
--- a/crates/emberpin-testbed/src/servers.rs
+++ b/crates/emberpin-testbed/src/servers.rs
@@ -1,12 +1,15 @@
-//! The stand-in servers: cores and a queue, cold starts, drains, declines, load reports, the meter, and for
-//! keyed work the memory of one hall. Each records every request that it received, and spoils answers as told.
-
-use crate::figures::{Repeat, CLASSES, FALL_MULTIPLE, FALL_TIME, METER_PERIOD, PLANS, WINDOW};
-use crate::http::{Broken, Head, Wire};
-use crate::link::Link;
-use crate::scenario::{Scenario, Spoil};
+//! The stand-in servers: cores and a queue, cold starts, drains, declined requests, load reports, usage metering, and
+//! deduplication of keyed work within a zone. Each server records every request that it receives in the trace, and
+//! sends faulty responses while a fault asks for them.
+
+use crate::figures::{
+    Repeat, CLASSES, DEDUP_WINDOW, METER_PERIOD, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, PLANS,
+};
+use crate::http::{Head, ReadError, Wire};
+use crate::scenario::{ResponseFault, Scenario};
 use crate::schedule::Schedule;
-use crate::trace::{AttemptEnd, AttemptId, Life, Micros, Recorder, Try, What};
+use crate::trace::{AttemptEnd, AttemptId, EventKind, Incarnation, Micros, Recorder, RequestId};
+use crate::zone_link::ZoneLink;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -17,55 +20,55 @@
 use tokio::sync::{watch, Semaphore};
 use tokio::task::{spawn_local, JoinHandle};
 
-/// Below the ports that the system gives out itself.
+/// The first port that is allocated; below the operating system's range of ephemeral ports.
 const FIRST_PORT: u16 = 10_000;
-/// A millisecond apart.
-const LISTEN_TRIES: usize = 2000;
-/// A trickling server's pause between two bytes.
-const TRICKLE: Duration = Duration::from_millis(100);
-/// A repeat that the hall remembers costs this much work, in core milliseconds.
-const REMEMBERED_WORK: f64 = 1.0;
-/// What the meter says of a period comes so long after its end.
-const METER_LATE: Micros = 300_000;
-
-/// What all stand-ins share.
+/// Attempts to listen at an address that is in use, one millisecond apart.
+const MAX_LISTEN_ATTEMPTS: usize = 2000;
+/// The pause of a trickling server between two bytes.
+const TRICKLE_INTERVAL: Duration = Duration::from_millis(100);
+/// The work of a request that is recognised as a duplicate, in core milliseconds.
+const DEDUPLICATED_WORK: f64 = 1.0;
+/// The usage of a period becomes known this long after the period's end.
+const METER_DELAY: Micros = 300_000;
+
+/// The state that all stand-ins of a run share.
 pub struct World {
-    /// The clock and the record.
+    /// The clock and the event log.
     pub recorder: Recorder,
-    /// What is played.
+    /// The scenario of the run.
     pub scenario: Scenario,
-    /// Who asks for what.
+    /// The schedule of customers' requests.
     pub schedule: Schedule,
     /// The loopback address that all stand-ins of this site listen on.
     pub host: Ipv4Addr,
-    /// By limiter, then hall.
-    pub links: Vec<Vec<Link>>,
+    /// Links between limiters and zones, by limiter, then zone.
+    pub links: Vec<Vec<ZoneLink>>,
     ports: Cell<u16>,
     attempts: Cell<u32>,
-    lives: Cell<u32>,
-    /// When each hall last ran a key's work.
-    memory: RefCell<Vec<HashMap<u32, Micros>>>,
-    /// Keys whose effect was had.
-    effects: RefCell<HashSet<u32>>,
+    incarnations: Cell<u32>,
+    /// For each zone, when it last ran the work of each key.
+    deduplication: RefCell<Vec<HashMap<u32, Micros>>>,
+    /// Keys whose work has run on any server.
+    executed_keys: RefCell<HashSet<u32>>,
     meter: RefCell<Meter>,
-    /// Which limiter each try was asked of.
-    asked: RefCell<HashMap<Try, usize>>,
+    /// The limiter that each request was sent to, kept if all limiters reach a server at one address.
+    limiter_by_request: RefCell<HashMap<RequestId, usize>>,
 }
 
-/// Use by customer in the present period and those before it.
+/// Usage by customer in the current metering period and the ones before it.
 #[derive(Default)]
 struct Meter {
-    used: HashMap<u32, VecDeque<(u64, f64)>>,
-    counted: HashSet<Try>,
+    usage_by_customer: HashMap<u32, VecDeque<(u64, f64)>>,
+    counted_requests: HashSet<RequestId>,
 }
 
 impl Meter {
-    /// Counts a try's units, when first sent on.
-    fn count(&mut self, of: Try, customer: u32, units: f64, now: Micros) {
-        if !self.counted.insert(of) {
+    /// Counts the units of a request at its first attempt.
+    fn count(&mut self, request_id: RequestId, customer: u32, units: f64, now: Micros) {
+        if !self.counted_requests.insert(request_id) {
             return;
         }
-        let periods = self.used.entry(customer).or_default();
+        let periods = self.usage_by_customer.entry(customer).or_default();
         let period = now / METER_PERIOD;
         match periods.back_mut().filter(|(last, _)| *last == period) {
             Some((_, sum)) => *sum += units,
@@ -76,10 +79,10 @@
         }
     }
 
-    /// Units used in the last period of which is known by now.
-    fn last(&self, customer: u32, now: Micros) -> Option<f64> {
-        let period = (now.checked_sub(METER_LATE)? / METER_PERIOD).checked_sub(1)?;
-        let periods = self.used.get(&customer)?;
+    /// Units used in the last period whose usage is known by now; `None` before the first.
+    fn last_known_period(&self, customer: u32, now: Micros) -> Option<f64> {
+        let period = (now.checked_sub(METER_DELAY)? / METER_PERIOD).checked_sub(1)?;
+        let periods = self.usage_by_customer.get(&customer)?;
         Some(
             periods
                 .iter()
@@ -90,14 +93,16 @@
 }
 
 impl World {
-    /// A client asks a limiter.
-    pub fn asks(&self, what: Try, limiter: usize) {
+    /// Records which limiter a client sends a request to.
+    pub fn record_target(&self, request_id: RequestId, limiter: usize) {
         if self.scenario.site.one_address {
-            self.asked.borrow_mut().insert(what, limiter);
+            self.limiter_by_request
+                .borrow_mut()
+                .insert(request_id, limiter);
         }
     }
 
-    /// What stands before anything starts.
+    /// Creates the shared state before anything starts.
     pub fn new(
         recorder: Recorder,
         scenario: Scenario,
@@ -105,27 +110,27 @@
         host: Ipv4Addr,
     ) -> Rc<World> {
         let site = &scenario.site;
-        let row = || (0..site.halls).map(|_| Link::default()).collect();
+        let row = || (0..site.halls).map(|_| ZoneLink::default()).collect();
         let links = (0..site.limiters).map(|_| row()).collect();
-        let memory = RefCell::new(vec![HashMap::new(); site.halls]);
+        let deduplication = RefCell::new(vec![HashMap::new(); site.halls]);
         Rc::new(World {
             recorder,
             host,
             links,
             ports: Cell::new(FIRST_PORT),
             attempts: Cell::new(0),
-            lives: Cell::new(0),
-            memory,
-            effects: RefCell::default(),
+            incarnations: Cell::new(0),
+            deduplication,
+            executed_keys: RefCell::default(),
             meter: RefCell::default(),
-            asked: RefCell::default(),
+            limiter_by_request: RefCell::default(),
             scenario,
             schedule,
         })
     }
 
-    /// An address that nobody listens at, for TCP or UDP, and that is given out once: whoever gets it may come
-    /// back to it.
+    /// Allocates an address that is free for TCP and UDP. Each address is given out once, so that its owner can
+    /// listen there again after a restart.
     ///
     /// # Errors
     ///
@@ -146,8 +151,8 @@
         }
     }
 
-    /// The hall that a server stands in.
-    pub fn hall(&self, server: usize) -> usize {
+    /// The zone of a server.
+    pub fn zone(&self, server: usize) -> usize {
         server % self.scenario.site.halls
     }
 
@@ -156,56 +161,56 @@
     }
 }
 
-/// One server: what stays when its process ends.
+/// One server, with the state that outlives its process.
 pub struct Server {
     world: Rc<World>,
-    /// Its number.
+    /// The server's number, from 0.
     pub number: usize,
-    /// What limiters connect to, by limiter.
+    /// The addresses that limiters connect to, by limiter.
     pub addresses: RefCell<Vec<SocketAddr>>,
-    /// Its id in the list: a successor has the next.
+    /// The last part of the server's id in the endpoint list; a successor gets the next number.
     pub generation: Cell<u32>,
     running: RefCell<Option<Rc<Process>>>,
 }
 
-/// One life of a server's process.
+/// One incarnation of a server's process.
 pub struct Process {
     world: Rc<World>,
     server: usize,
-    /// Which life.
-    pub life: Life,
-    /// When it started, Unix milliseconds; 0 for long ago.
+    /// The incarnation's number.
+    pub incarnation: Incarnation,
+    /// Start time in Unix milliseconds; 0 if the server started long ago.
     pub boot_ms: f64,
-    up: Micros,
+    started_at: Micros,
     warm_after: Micros,
     speed: f64,
-    dead: watch::Sender<bool>,
-    /// The tasks that hold its listeners.
-    accepting: RefCell<Vec<JoinHandle<()>>>,
-    /// Which of its addresses it is at; connections to those before end when idle.
-    place: watch::Sender<u32>,
+    crashed: watch::Sender<bool>,
+    /// The tasks that own the listeners.
+    accept_tasks: RefCell<Vec<JoinHandle<()>>>,
+    /// The generation of the current addresses; connections to addresses of an earlier one end when idle.
+    address_generation: watch::Sender<u32>,
     refusing: watch::Sender<bool>,
     stalled: watch::Sender<bool>,
-    spoils: RefCell<Option<(Spoil, f64)>>,
+    response_fault: RefCell<Option<(ResponseFault, f64)>>,
     cores: Semaphore,
     waiting: Cell<usize>,
     connections: Cell<usize>,
-    /// Mean service time of late, in milliseconds.
-    service: Cell<f64>,
-    /// The last load report, and when it was made.
+    /// Moving average of the service time, in milliseconds.
+    mean_service_ms: Cell<f64>,
+    /// The last load report and its time.
     report: RefCell<(Micros, String)>,
-    /// What came within the last time that a fall takes: when, and core milliseconds.
-    pressure: RefCell<VecDeque<(Micros, f64)>>,
+    /// Requests received within the last [`OVERLOAD_WINDOW`]: time, and work in core milliseconds.
+    recent_work: RefCell<VecDeque<(Micros, f64)>>,
 }
 
-/// How a request is answered.
+/// The outcome of processing a request.
 enum Reply {
     Declined,
     Served(String),
 }
 
 impl Server {
-    /// A server that is not running yet, with addresses of its own.
+    /// Creates a server with addresses of its own that is not running yet.
     ///
     /// # Errors
     ///
@@ -218,38 +223,43 @@
             generation: Cell::new(0),
             running: RefCell::default(),
         };
-        server.take_addresses()?;
+        server.allocate_addresses()?;
         Ok(Rc::new(server))
     }
 
-    /// Listens at other addresses from now on; at the old ones too, until [`Process::leave_old_addresses`].
+    /// Listens at new addresses; the old ones stay open until [`Process::close_old_addresses`].
     ///
     /// # Errors
     ///
     /// No free port.
-    pub async fn move_away(&self) -> std::io::Result<()> {
-        self.take_addresses()?;
+    pub async fn move_to_new_addresses(&self) -> std::io::Result<()> {
+        self.allocate_addresses()?;
         match self.process() {
             Some(process) => {
-                let place = process.place.borrow().wrapping_add(1);
-                self.listen(&process, place).await
+                let address_generation = process.address_generation.borrow().wrapping_add(1);
+                self.listen(&process, address_generation).await
             }
             None => Ok(()),
         }
     }
 
-    async fn listen(&self, process: &Rc<Process>, place: u32) -> std::io::Result<()> {
+    async fn listen(&self, process: &Rc<Process>, address_generation: u32) -> std::io::Result<()> {
         let mut addresses = self.addresses.borrow().clone();
         addresses.dedup();
         for (limiter, address) in addresses.into_iter().enumerate() {
             let listener = listen(address).await?;
-            let accepting = spawn_local(process.clone().accept(limiter, address, place, listener));
-            process.accepting.borrow_mut().push(accepting);
+            let accepting = spawn_local(process.clone().accept(
+                limiter,
+                address,
+                address_generation,
+                listener,
+            ));
+            process.accept_tasks.borrow_mut().push(accepting);
         }
         Ok(())
     }
 
-    fn take_addresses(&self) -> std::io::Result<()> {
+    fn allocate_addresses(&self) -> std::io::Result<()> {
         let site = &self.world.scenario.site;
         let addresses: std::io::Result<Vec<_>> = match site.one_address {
             true => self.world.address().map(|one| vec![one; site.limiters]),
@@ -259,17 +269,17 @@
         Ok(())
     }
 
-    /// Its name in the list.
+    /// The server's id in the endpoint list.
     pub fn uid(&self) -> String {
         format!("s-{:03}-{}", self.number, self.generation.get())
     }
 
-    /// The life that runs, if one does.
+    /// The running incarnation, if any.
     pub fn process(&self) -> Option<Rc<Process>> {
         self.running.borrow().clone()
     }
 
-    /// Starts its process, cold or as if it had always run.
+    /// Starts the server's process, cold or already warm.
     ///
     /// # Errors
     ///
@@ -283,34 +293,34 @@
         let process = Rc::new(Process {
             world: world.clone(),
             server: self.number,
-            life: Life(World::next(&world.lives)),
+            incarnation: Incarnation(World::next(&world.incarnations)),
             boot_ms: if cold {
                 unix.as_secs_f64() * 1000.0
             } else {
                 0.0
             },
-            up: world.recorder.now(),
+            started_at: world.recorder.now(),
             warm_after: if cold {
                 (site.warm_s * 1e6) as Micros
             } else {
                 0
             },
             speed: world.schedule.speeds[self.number],
-            dead: watch::Sender::new(false),
-            accepting: RefCell::default(),
-            place: watch::Sender::new(0),
+            crashed: watch::Sender::new(false),
+            accept_tasks: RefCell::default(),
+            address_generation: watch::Sender::new(0),
             refusing: watch::Sender::new(false),
             stalled: watch::Sender::new(false),
-            spoils: RefCell::default(),
+            response_fault: RefCell::default(),
             cores: Semaphore::new(site.cores),
             waiting: Cell::new(0),
             connections: Cell::new(0),
-            service: Cell::new(CLASSES[0].work),
+            mean_service_ms: Cell::new(CLASSES[0].work),
             report: RefCell::default(),
-            pressure: RefCell::default(),
+            recent_work: RefCell::default(),
         });
-        world.recorder.note(What::ServerUp {
-            life: process.life,
+        world.recorder.record(EventKind::ServerStarted {
+            incarnation: process.incarnation,
             server: self.number,
             capacity: process.speed * site.cores as f64,
             cold_from: site.cold_from,
@@ -321,22 +331,22 @@
         Ok(())
     }
 
-    /// Ends its process at once: connections are reset, new ones refused; returns when its addresses are free.
+    /// Kills the process: connections are reset and new ones refused. Returns when the addresses are free.
     pub async fn kill(&self) {
         let Some(process) = self.running.borrow_mut().take() else {
             return;
         };
-        process.die();
-        let accepting = process.accepting.take();
-        for task in accepting {
-            // It ends at the same signal; nothing is to be had of how.
+        process.crash();
+        let accept_tasks = process.accept_tasks.take();
+        for task in accept_tasks {
+            // The task ends on the crash signal; its result carries no information.
             _ = task.await;
         }
     }
 }
 
-/// Listens at an address of this site. A process that is just being started anywhere in this one may hold a copy
-/// of a listener that was closed here, until it becomes another program: that passes.
+/// Listens at an address of this run. A child process that is being spawned may hold a copy of a listener that was
+/// closed here until its `exec`; the address is then in use for a moment, and listening is tried again.
 async fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let bind = || {
         let socket = TcpSocket::new_v4()?;
@@ -344,7 +354,7 @@
         socket.bind(address)?;
         socket.listen(1024)
     };
-    for _ in 0..LISTEN_TRIES {
+    for _ in 0..MAX_LISTEN_ATTEMPTS {
         match bind() {
             Err(e) if e.kind() == std::io::ErrorKind::AddrInUse => {
                 tokio::time::sleep(Duration::from_millis(1)).await;
@@ -356,46 +366,46 @@
 }
 
 impl Process {
-    /// Stands still, or goes on.
-    pub fn stall(&self, on: bool) {
+    /// Stalls the server or resumes it.
+    pub fn set_stalled(&self, on: bool) {
         self.stalled.send_replace(on);
     }
 
-    /// Takes no new connections, or takes them again.
-    pub fn refuse(&self, on: bool) {
+    /// Refuses new connections or accepts them again.
+    pub fn set_refusing(&self, on: bool) {
         self.refusing.send_replace(on);
     }
 
-    /// Listens no more at the addresses before the present ones.
-    pub fn leave_old_addresses(&self) {
-        self.place
-            .send_modify(|place| *place = place.wrapping_add(1));
+    /// Stops listening at the addresses before the current ones.
+    pub fn close_old_addresses(&self) {
+        self.address_generation
+            .send_modify(|generation| *generation = generation.wrapping_add(1));
     }
 
-    /// Nothing is out at it.
+    /// Whether no request is queued or running.
     pub fn is_idle(&self) -> bool {
         self.waiting.get() == 0 && self.cores.available_permits() == self.world.scenario.site.cores
     }
 
-    /// Spoils this share of answers, or none any more.
-    pub fn spoil(&self, how: Option<(Spoil, f64)>) {
-        *self.spoils.borrow_mut() = how;
+    /// Makes a share of the responses faulty; `None` ends the fault.
+    pub fn set_response_fault(&self, fault: Option<(ResponseFault, f64)>) {
+        *self.response_fault.borrow_mut() = fault;
     }
 
-    fn die(&self) {
-        if !self.dead.send_replace(true) {
-            self.world
-                .recorder
-                .note(What::ServerDown { life: self.life });
+    fn crash(&self) {
+        if !self.crashed.send_replace(true) {
+            self.world.recorder.record(EventKind::ServerStopped {
+                incarnation: self.incarnation,
+            });
         }
     }
 
-    /// The part of its capacity that it has now.
-    fn warmth(&self, now: Micros) -> f64 {
+    /// The share of its capacity that the server has now.
+    fn capacity_share(&self, now: Micros) -> f64 {
         if self.warm_after == 0 {
             return 1.0;
         }
-        let part = now.saturating_sub(self.up) as f64 / self.warm_after as f64;
+        let part = now.saturating_sub(self.started_at) as f64 / self.warm_after as f64;
         let from = self.world.scenario.site.cold_from;
         from + (1.0 - from) * part.min(1.0)
     }
@@ -404,11 +414,11 @@
         self: Rc<Self>,
         limiter: usize,
         address: SocketAddr,
-        place: u32,
+        address_generation: u32,
         listener: TcpListener,
     ) {
-        let (mut dead, mut refusing) = (self.dead.subscribe(), self.refusing.subscribe());
-        let mut places = self.place.subscribe();
+        let (mut crashed, mut refusing) = (self.crashed.subscribe(), self.refusing.subscribe());
+        let mut address_generations = self.address_generation.subscribe();
         let mut listener = Some(listener);
         loop {
             let accepting = async {
@@ -419,166 +429,179 @@
             };
             tokio::select! {
                 biased;
-                _ = dead.wait_for(|dead| *dead) => return,
-                _ = places.wait_for(|now| *now > place) => return,
+                _ = crashed.wait_for(|crashed| *crashed) => return,
+                _ = address_generations.wait_for(|now| *now > address_generation) => return,
                 changed = refusing.changed() => {
-                    let refuse = changed.is_err() || *refusing.borrow_and_update();
-                    listener = if refuse { None } else { listen(address).await.ok() };
+                    let refuses = changed.is_err() || *refusing.borrow_and_update();
+                    listener = if refuses { None } else { listen(address).await.ok() };
                 }
                 accepted = accepting => if let Ok((stream, _)) = accepted {
-                    spawn_local(self.clone().connection(limiter, place, Wire::new(stream)));
+                    spawn_local(self.clone().connection(limiter, address_generation, Wire::new(stream)));
                 },
             }
         }
     }
 
-    async fn connection(self: Rc<Self>, limiter: usize, place: u32, mut wire: Wire) {
+    async fn connection(self: Rc<Self>, limiter: usize, address_generation: u32, mut wire: Wire) {
         self.connections.set(self.connections.get() + 1);
-        self.world.recorder.note(What::Connected {
-            life: self.life,
+        self.world.recorder.record(EventKind::ServerConnected {
+            incarnation: self.incarnation,
             limiter,
         });
-        let mut dead = self.dead.subscribe();
-        // The attempt that is out on this connection.
-        let out = Cell::new(None);
+        let mut crashed = self.crashed.subscribe();
+        // The attempt in flight on this connection.
+        let in_flight = Cell::new(None);
         let ended = tokio::select! {
             biased;
-            _ = dead.wait_for(|dead| *dead) => None,
-            ended = self.converse(limiter, place, &mut wire, &out) => Some(ended),
+            _ = crashed.wait_for(|crashed| *crashed) => None,
+            ended = self.serve_requests(limiter, address_generation, &mut wire, &in_flight) => Some(ended),
         };
         self.connections.set(self.connections.get() - 1);
-        if let Some(attempt) = out.get() {
-            let how = match ended {
-                Some(Over::TheirEnd) => AttemptEnd::Withdrawn,
-                Some(Over::OurEnd | Over::Reset) | None => AttemptEnd::Broken,
+        if let Some(attempt) = in_flight.get() {
+            let end = match ended {
+                Some(ConnectionEnd::ClosedByPeer) => AttemptEnd::Withdrawn,
+                Some(ConnectionEnd::ClosedByServer | ConnectionEnd::Reset) | None => {
+                    AttemptEnd::Broken
+                }
             };
-            self.world.recorder.note(What::Ended { attempt, how });
+            self.world
+                .recorder
+                .record(EventKind::AttemptEnded { attempt, end });
         }
-        if !matches!(ended, Some(Over::TheirEnd | Over::OurEnd)) {
+        if !matches!(
+            ended,
+            Some(ConnectionEnd::ClosedByPeer | ConnectionEnd::ClosedByServer)
+        ) {
             wire.reset();
         }
     }
 
-    /// Requests and answers, one after the other, until a side ends the connection.
-    async fn converse(
+    /// Serves requests one after the other until either side ends the connection.
+    async fn serve_requests(
         &self,
         limiter: usize,
-        place: u32,
+        address_generation: u32,
         wire: &mut Wire,
-        out: &Cell<Option<AttemptId>>,
-    ) -> Over {
+        in_flight: &Cell<Option<AttemptId>>,
+    ) -> ConnectionEnd {
         let world = &self.world;
-        let link = &world.links[limiter][world.hall(self.server)];
+        let link = &world.links[limiter][world.zone(self.server)];
         let idle = Duration::from_secs_f64(world.scenario.site.idle_s);
-        let mut places = self.place.subscribe();
+        let mut address_generations = self.address_generation.subscribe();
         loop {
             tokio::select! {
                 biased;
-                came = wire.anything() => if !came {
-                    return Over::TheirEnd;
+                has_bytes = wire.wait_for_bytes() => if !has_bytes {
+                    return ConnectionEnd::ClosedByPeer;
                 },
-                _ = places.wait_for(|now| *now > place) => return Over::OurEnd,
-                () = tokio::time::sleep(idle) => return Over::OurEnd,
+                _ = address_generations.wait_for(|now| *now > address_generation) => return ConnectionEnd::ClosedByServer,
+                () = tokio::time::sleep(idle) => return ConnectionEnd::ClosedByServer,
             }
             let began = world.recorder.now();
             let (head, body) = match wire.read(false).await {
                 Ok(message) => message,
-                Err(Broken::Ended | Broken::Cut) => return Over::TheirEnd,
-                Err(Broken::Garbled) => return Over::OurEnd,
+                Err(ReadError::Closed | ReadError::Truncated) => {
+                    return ConnectionEnd::ClosedByPeer
+                }
+                Err(ReadError::Malformed) => return ConnectionEnd::ClosedByServer,
             };
-            if let Some(answer) = self.probed(&head) {
+            if let Some(answer) = self.probe_response(&head) {
                 tokio::select! {
-                    () = wire.ended() => return Over::TheirEnd,
-                    () = async { self.stands().await; link.out().await; link.back().await } => {}
+                    () = wire.wait_until_closed() => return ConnectionEnd::ClosedByPeer,
+                    () = async { self.wait_while_stalled().await; link.carry_request().await; link.carry_response().await } => {}
                 }
                 if wire.stream.write_all(answer.as_bytes()).await.is_err() {
-                    return Over::TheirEnd;
+                    return ConnectionEnd::ClosedByPeer;
                 }
                 continue;
             }
             let attempt = AttemptId(World::next(&world.attempts));
-            let of = head
+            let request_id = head
                 .header("req-id")
                 .and_then(|id| world.schedule.parse_id(id));
-            // Where all come to one address, the client knows whom it asked.
-            let asked = of.filter(|_| world.scenario.site.one_address);
-            let asked = asked.and_then(|of| world.asked.borrow().get(&of).copied());
-            let limiter = asked.unwrap_or(limiter);
-            world.recorder.note_at(
+            // If all limiters use one address, the limiter is known from the request that the client sent.
+            let target = request_id.filter(|_| world.scenario.site.one_address);
+            let target = target
+                .and_then(|request_id| world.limiter_by_request.borrow().get(&request_id).copied());
+            let limiter = target.unwrap_or(limiter);
+            world.recorder.record_at(
                 began,
-                What::Begun {
+                EventKind::AttemptStarted {
                     attempt,
-                    life: self.life,
+                    incarnation: self.incarnation,
                     limiter,
                 },
             );
-            out.set(Some(attempt));
-            // On the way; whoever ends the connection meanwhile has taken it back.
+            in_flight.set(Some(attempt));
+            // The request is still on its way; a limiter that closes the connection meanwhile has cancelled it.
             let arrives = async {
-                link.out().await;
-                self.stands().await;
+                link.carry_request().await;
+                self.wait_while_stalled().await;
             };
             tokio::select! {
                 biased;
-                () = wire.ended() => return Over::TheirEnd,
+                () = wire.wait_until_closed() => return ConnectionEnd::ClosedByPeer,
                 () = arrives => {}
             }
-            let work = of
-                .and_then(|of| world.schedule.arrival(of))
+            let work = request_id
+                .and_then(|request_id| world.schedule.arrival(request_id))
                 .map_or(0.0, |arrival| arrival.work);
-            world.recorder.note(What::Whole {
+            world.recorder.record(EventKind::AttemptReceived {
                 attempt,
-                what: of,
+                request: request_id,
                 work,
             });
-            let Some(of) = of else {
+            let Some(request_id) = request_id else {
                 _ = wire
                     .stream
                     .write_all(b"HTTP/1.1 400 Unknown\r\nContent-Length: 0\r\n\r\n")
                     .await;
-                world.recorder.note(What::Ended {
+                world.recorder.record(EventKind::AttemptEnded {
                     attempt,
-                    how: AttemptEnd::Errored,
+                    end: AttemptEnd::Errored,
                 });
-                out.set(None);
+                in_flight.set(None);
                 continue;
             };
-            if let Some(arrival) = world.schedule.arrival(of) {
+            if let Some(arrival) = world.schedule.arrival(request_id) {
                 let (customer, units) = (arrival.customer, arrival.class().units);
                 world
                     .meter
                     .borrow_mut()
-                    .count(of, customer, units, world.recorder.now());
+                    .count(request_id, customer, units, world.recorder.now());
             }
-            if self.falls(work) {
-                self.die();
-                return Over::Reset;
+            if self.overloads(work) {
+                self.crash();
+                return ConnectionEnd::Reset;
             }
             let reply = tokio::select! {
                 biased;
-                () = wire.ended() => return Over::TheirEnd,
+                () = wire.wait_until_closed() => return ConnectionEnd::ClosedByPeer,
                 reply = async {
-                    let reply = self.work(attempt, of, work, &head, &body).await;
-                    self.stands().await;
-                    link.back().await;
+                    let reply = self.process_request(attempt, request_id, work, &head, &body).await;
+                    self.wait_while_stalled().await;
+                    link.carry_response().await;
                     reply
                 } => reply,
             };
-            if let Some(over) = self.reply(wire, attempt, of, reply, out).await {
+            if let Some(over) = self
+                .write_reply(wire, attempt, request_id, reply, in_flight)
+                .await
+            {
                 return over;
             }
         }
     }
 
-    async fn stands(&self) {
+    async fn wait_while_stalled(&self) {
         let mut stalled = self.stalled.subscribe();
         _ = stalled.wait_for(|stalled| !stalled).await;
     }
 
-    fn probed(&self, head: &Head) -> Option<String> {
+    fn probe_response(&self, head: &Head) -> Option<String> {
         let body = match (head.method.as_str(), head.path.as_str()) {
             ("GET", "/health/live") => String::new(),
-            ("GET", "/stats") => self.load(),
+            ("GET", "/stats") => self.load_report(),
             _ => return None,
         };
         Some(format!(
@@ -587,46 +610,59 @@
         ))
     }
 
-    /// A cold server that is sent more than a multiple of what it can do, for the time that this takes, falls
-    /// over and stays down.
-    fn falls(&self, work: f64) -> bool {
+    /// Records the work and returns whether the server is overloaded while cold: whether the work received within
+    /// [`OVERLOAD_WINDOW`], apart from its heaviest request, exceeds [`OVERLOAD_MULTIPLE`] times what the server can
+    /// do in that time. An
+    /// overloaded server crashes and stays down.
+    fn overloads(&self, work: f64) -> bool {
         let now = self.world.recorder.now();
-        if now > self.up + self.warm_after {
+        if now > self.started_at + self.warm_after {
             return false;
         }
-        let mut pressure = self.pressure.borrow_mut();
-        pressure.push_back((now, work));
-        while pressure.front().is_some_and(|(at, _)| at + FALL_TIME < now) {
-            pressure.pop_front();
+        let mut recent_work = self.recent_work.borrow_mut();
+        recent_work.push_back((now, work));
+        while recent_work
+            .front()
+            .is_some_and(|(at, _)| at + OVERLOAD_WINDOW < now)
+        {
+            recent_work.pop_front();
         }
-        let sum: f64 = pressure.iter().map(|(_, work)| work).sum();
-        let heaviest = pressure.iter().map(|(_, work)| *work).fold(0.0, f64::max);
+        let sum: f64 = recent_work.iter().map(|(_, work)| work).sum();
+        let heaviest_request = recent_work
+            .iter()
+            .map(|(_, work)| *work)
+            .fold(0.0, f64::max);
         let capacity = self.speed * self.world.scenario.site.cores as f64;
-        sum > FALL_MULTIPLE * capacity * self.warmth(now) * FALL_TIME as f64 / 1000.0 + heaviest
+        sum > OVERLOAD_MULTIPLE * capacity * self.capacity_share(now) * OVERLOAD_WINDOW as f64
+            / 1000.0
+            + heaviest_request
     }
 
-    /// Queue, cores and the hall's memory.
-    async fn work(
+    /// Processes a request: queues for a core, deduplicates within the zone, and works.
+    async fn process_request(
         &self,
         attempt: AttemptId,
-        of: Try,
+        request_id: RequestId,
         work: f64,
         head: &Head,
         body: &[u8],
     ) -> Reply {
         let world = &self.world;
-        let Some(arrival) = world.schedule.arrival(of) else {
+        let Some(arrival) = world.schedule.arrival(request_id) else {
             return Reply::Declined;
         };
         let site = &world.scenario.site;
-        let spoil = self
-            .spoils
+        let declines_all = self
+            .response_fault
             .borrow()
-            .is_some_and(|(how, _)| how == Spoil::Decline);
-        if spoil || self.connections.get() > site.connections || self.waiting.get() > site.queue {
+            .is_some_and(|(kind, _)| kind == ResponseFault::Decline);
+        if declines_all
+            || self.connections.get() > site.connections
+            || self.waiting.get() > site.queue
+        {
             return Reply::Declined;
         }
-        let waiting = Waiting::enter(&self.waiting);
+        let waiting = QueueSlot::enter(&self.waiting);
         let permit = self.cores.acquire().await;
         drop(waiting);
         if permit.is_err() {
@@ -634,63 +670,74 @@
         }
         let now = world.recorder.now();
         let keyed = arrival.class().repeat == Repeat::Keyed;
-        let mut remembered = false;
+        let mut deduplicated = false;
         if keyed {
-            let mut memory = world.memory.borrow_mut();
-            let hall = &mut memory[world.hall(self.server)];
-            remembered = hall.get(&arrival.key).is_some_and(|at| now <= at + WINDOW);
-            if !remembered {
-                hall.insert(arrival.key, now);
+            let mut deduplication = world.deduplication.borrow_mut();
+            let zone = &mut deduplication[world.zone(self.server)];
+            deduplicated = zone
+                .get(&arrival.key)
+                .is_some_and(|at| now <= at + DEDUP_WINDOW);
+            if !deduplicated {
+                zone.insert(arrival.key, now);
             }
         }
-        // A safe class has no effect that could be had twice.
-        let effect = arrival.class().repeat != Repeat::Safe && !remembered;
-        let second = effect && !world.effects.borrow_mut().insert(arrival.key);
-        world.recorder.note(What::Ran {
+        // Requests of a safe class have no effect that could be repeated.
+        let effect = arrival.class().repeat != Repeat::Safe && !deduplicated;
+        let repeated_effect = effect && !world.executed_keys.borrow_mut().insert(arrival.key);
+        world.recorder.record(EventKind::AttemptExecuted {
             attempt,
-            second,
-            remembered,
+            repeated_effect,
+            deduplicated,
         });
-        let work = if remembered { REMEMBERED_WORK } else { work };
-        let time = work / (self.speed * self.warmth(now));
+        let work = if deduplicated {
+            DEDUPLICATED_WORK
+        } else {
+            work
+        };
+        let time = work / (self.speed * self.capacity_share(now));
         tokio::time::sleep(Duration::from_secs_f64(time / 1000.0)).await;
-        self.service.set(self.service.get() * 0.9 + time * 0.1);
+        self.mean_service_ms
+            .set(self.mean_service_ms.get() * 0.9 + time * 0.1);
         let id = head.header("req-id").unwrap_or_default();
         Reply::Served(format!(
             "{id} life {} took {} bytes",
-            self.life.0,
+            self.incarnation.0,
             body.len()
         ))
     }
 
-    /// Writes the answer, or what a spoilt one leaves of it; says if the connection is over.
-    async fn reply(
+    /// Writes the response, which may be faulty; returns how the connection ended, if it did.
+    async fn write_reply(
         &self,
         wire: &mut Wire,
         attempt: AttemptId,
-        of: Try,
+        request_id: RequestId,
         reply: Reply,
-        out: &Cell<Option<AttemptId>>,
-    ) -> Option<Over> {
+        in_flight: &Cell<Option<AttemptId>>,
+    ) -> Option<ConnectionEnd> {
         let world = &self.world;
-        let (how, text) = match reply {
+        let (end, text) = match reply {
             Reply::Declined => {
                 let head = "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n";
                 (
                     AttemptEnd::Declined,
-                    format!("{head}Srv-Load: {}\r\n\r\n", self.load()),
+                    format!("{head}Srv-Load: {}\r\n\r\n", self.load_report()),
                 )
             }
             Reply::Served(body) => {
-                let headers = format!("Srv-Load: {}\r\n{}", self.load(), self.used(of));
-                let roll = draw(world.scenario.seed, attempt);
-                let spoilt = *self.spoils.borrow();
-                match spoilt
+                let headers = format!(
+                    "Srv-Load: {}\r\n{}",
+                    self.load_report(),
+                    self.usage_header(request_id)
+                );
+                let roll = uniform(world.scenario.seed, attempt);
+                let fault = *self.response_fault.borrow();
+                match fault
                     .filter(|(_, share)| roll < *share)
-                    .map(|(how, _)| how)
+                    .map(|(kind, _)| kind)
                 {
-                    Some(how) if how != Spoil::Error => {
-                        return Some(spoil(how, wire, &headers, &body).await);
+                    Some(kind) if kind != ResponseFault::Error => {
+                        return Some(write_faulty_response(kind, wire, &headers, &body).await);
                     }
                     None if roll >= world.scenario.site.error_rate => {
                         let length = body.len();
@@ -708,22 +755,24 @@
             }
         };
         if wire.stream.write_all(text.as_bytes()).await.is_err() {
-            return Some(Over::TheirEnd);
+            return Some(ConnectionEnd::ClosedByPeer);
         }
-        world.recorder.note(What::Ended { attempt, how });
-        out.set(None);
+        world
+            .recorder
+            .record(EventKind::AttemptEnded { attempt, end });
+        in_flight.set(None);
         None
     }
 
-    /// The load report, made anew as often as the scenario says.
-    fn load(&self) -> String {
+    /// The load report, refreshed at the interval of the scenario.
+    fn load_report(&self) -> String {
         let now = self.world.recorder.now();
         let mut report = self.report.borrow_mut();
         let every = (self.world.scenario.site.report_ms * 1000.0) as Micros;
         if report.1.is_empty() || now >= report.0 + every {
             let text = format!(
                 "mean_ms={:.1},depth={}",
-                self.service.get(),
+                self.mean_service_ms.get(),
                 self.waiting.get()
             );
             *report = (now, text);
@@ -731,14 +780,18 @@
         report.1.clone()
     }
 
-    /// The customer's use in percent, less 1 being nothing.
-    fn used(&self, of: Try) -> String {
+    /// The header with the customer's usage of its quota in percent; empty while no period is known.
+    fn usage_header(&self, request_id: RequestId) -> String {
         let world = &self.world;
-        let Some(arrival) = world.schedule.arrival(of) else {
+        let Some(arrival) = world.schedule.arrival(request_id) else {
             return String::new();
         };
         let now = world.recorder.now();
-        let Some(units) = world.meter.borrow().last(arrival.customer, now) else {
+        let Some(units) = world
+            .meter
+            .borrow()
+            .last_known_period(arrival.customer, now)
+        else {
             return String::new();
         };
         let plan = &PLANS[world.schedule.customers[arrival.customer as usize].plan];
@@ -746,71 +799,76 @@
     }
 }
 
-/// Who ended a connection.
+/// How a connection ended.
 #[derive(Clone, Copy, PartialEq)]
-enum Over {
-    TheirEnd,
-    OurEnd,
+enum ConnectionEnd {
+    ClosedByPeer,
+    ClosedByServer,
     Reset,
 }
 
-async fn spoil(how: Spoil, wire: &mut Wire, headers: &str, body: &str) -> Over {
+async fn write_faulty_response(
+    fault: ResponseFault,
+    wire: &mut Wire,
+    headers: &str,
+    body: &str,
+) -> ConnectionEnd {
     let length = body.len();
     let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n{headers}\r\n{body}");
     let half = &whole[..whole.len() - length / 2];
-    match how {
-        Spoil::Reset => Over::Reset,
-        Spoil::Half => {
+    match fault {
+        ResponseFault::Reset => ConnectionEnd::Reset,
+        ResponseFault::Half => {
             _ = wire.stream.write_all(half.as_bytes()).await;
-            Over::OurEnd
+            ConnectionEnd::ClosedByServer
         }
-        Spoil::Garbled => {
+        ResponseFault::Garbled => {
             _ = wire
                 .stream
                 .write_all(b"HTTP/one.one two hundred\r\n\x00\xff\r\n\r\n")
                 .await;
-            Over::OurEnd
+            ConnectionEnd::ClosedByServer
         }
-        Spoil::Stall => {
+        ResponseFault::Stall => {
             _ = wire.stream.write_all(half.as_bytes()).await;
-            wire.ended().await;
-            Over::TheirEnd
+            wire.wait_until_closed().await;
+            ConnectionEnd::ClosedByPeer
         }
-        Spoil::Trickle => {
+        ResponseFault::Trickle => {
             for byte in whole.as_bytes() {
                 let written = wire.stream.write_all(std::slice::from_ref(byte)).await;
-                let pause = tokio::time::timeout(TRICKLE, wire.ended()).await;
+                let pause = tokio::time::timeout(TRICKLE_INTERVAL, wire.wait_until_closed()).await;
                 if written.is_err() || pause.is_ok() {
-                    return Over::TheirEnd;
+                    return ConnectionEnd::ClosedByPeer;
                 }
             }
-            Over::OurEnd
+            ConnectionEnd::ClosedByServer
         }
-        Spoil::Mute | Spoil::Error | Spoil::Decline => {
-            wire.ended().await;
-            Over::TheirEnd
+        ResponseFault::Mute | ResponseFault::Error | ResponseFault::Decline => {
+            wire.wait_until_closed().await;
+            ConnectionEnd::ClosedByPeer
         }
     }
 }
 
-/// A place in the queue, given back when dropped.
-struct Waiting<'a>(&'a Cell<usize>);
+/// A slot in the queue, released when dropped.
+struct QueueSlot<'a>(&'a Cell<usize>);
 
-impl Waiting<'_> {
-    fn enter(count: &Cell<usize>) -> Waiting<'_> {
+impl QueueSlot<'_> {
+    fn enter(count: &Cell<usize>) -> QueueSlot<'_> {
         count.set(count.get() + 1);
-        Waiting(count)
+        QueueSlot(count)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueueSlot<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 /// A number from 0 to 1 that depends on the seed and the attempt alone (`SplitMix64`, Steele et al. 2014).
-fn draw(seed: u64, attempt: AttemptId) -> f64 {
+fn uniform(seed: u64, attempt: AttemptId) -> f64 {
     let mut z = seed.wrapping_add(u64::from(attempt.0).wrapping_mul(0x9e37_79b9_7f4a_7c15));
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/emberpin-testbed/src/settings.rs
+++ b/crates/emberpin-testbed/src/settings.rs
@@ -1,24 +1,24 @@
-//! The settings in which a limiter is told the classes, plans and rules of the stand-in site.
+//! The limiter's settings with the classes, plans and rules of the stand-in site.
 
 use crate::figures::{
-    hall_name, Class, Plan, Repeat, CLASSES, DRAIN_GRACE, FALL_MULTIPLE, FALL_TIME,
-    MAX_RETRY_AFTER, METER_PERIOD, PLANS, WINDOW,
+    hall_name, Class, Plan, Repeat, CLASSES, DEDUP_WINDOW, DRAIN_GRACE, MAX_RETRY_AFTER,
+    METER_PERIOD, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, PLANS,
 };
 use crate::scenario::Site;
 use serde_json::{json, Value};
 
-/// The settings of one limiter, as its platform file words them.
+/// The settings of one limiter, in the format of the platform's configuration file.
 pub fn settings(site: &Site, number: usize) -> Value {
     let class = |class: &Class| {
         json!({
-            "name": class.name, "aim-ms": class.aim as f64 / 1000.0, "deadline-ms": class.deadline as f64 / 1000.0,
+            "name": class.name, "aim-ms": class.latency_target as f64 / 1000.0, "deadline-ms": class.deadline as f64 / 1000.0,
             "worth": class.worth, "late-worth": 0.1,
             "semantics": match class.repeat {
                 Repeat::Safe => "safe",
                 Repeat::Keyed => "keyed",
                 Repeat::Unsafe => "unsafe",
             },
-            "group": "zone", "dedup-window-ms": WINDOW as f64 / 1000.0,
+            "group": "zone", "dedup-window-ms": DEDUP_WINDOW as f64 / 1000.0,
         })
     };
     let plan = |plan: &Plan| {
@@ -31,10 +31,10 @@
         })
     };
     let halls: Vec<String> = (0..site.halls).map(hall_name).collect();
-    let size = if site.told_limiters == 0 {
+    let size = if site.configured_limiters == 0 {
         site.limiters
     } else {
-        site.told_limiters
+        site.configured_limiters
     };
     json!({
         "my-number": number, "group-size": size, "zone": halls[number % site.halls],
@@ -51,8 +51,8 @@
             "shared-counter": false,
         },
         "rules": {
-            "cold-from": site.cold_from, "warm-after-ms": site.warm_s * 1000.0, "fall-multiple": FALL_MULTIPLE,
-            "overload-for-ms": FALL_TIME as f64 / 1000.0, "drain-grace-ms": DRAIN_GRACE as f64 / 1000.0,
+            "cold-from": site.cold_from, "warm-after-ms": site.warm_s * 1000.0, "fall-multiple": OVERLOAD_MULTIPLE,
+            "overload-for-ms": OVERLOAD_WINDOW as f64 / 1000.0, "drain-grace-ms": DRAIN_GRACE as f64 / 1000.0,
         },
         "prices": {"cross-zone": 0.005, "peer": 0.02},
         "report": {"source": "piggyback", "names": ["mean_ms", "depth"]},
--- a/crates/emberpin-testbed/src/starts.rs
+++ b/crates/emberpin-testbed/src/start_summary.rs
@@ -1,31 +1,32 @@
-//! What a start of many limiters comes to: calls of the list service, who holds the list when, what cold servers
-//! bore, and what was served second by second.
+//! The summary of a simultaneous start of many limiters: calls of the discovery service, when limiters had the
+//! endpoint list, the load on cold servers, and the work served in each second.
 
-use crate::figures::{FALL_MULTIPLE, FALL_TIME};
-use crate::schedule::TRIES;
+use crate::figures::{OVERLOAD_MULTIPLE, OVERLOAD_WINDOW};
+use crate::schedule::MAX_REQUESTS;
 use crate::site::Outcome;
-use crate::trace::{Event, Life, Micros, What, SECOND};
+use crate::trace::{Event, EventKind, Incarnation, Micros, SECOND};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Figures of one start; times in seconds from its first instant.
+/// Figures of one start; times are in seconds since the start of the run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Starts {
-    /// Calls that came to the list service, and those of them that failed there.
+    /// Calls to the discovery service.
     pub calls: u64,
-    /// Calls that failed, for want of power or because the service was dead.
+    /// Calls that failed because the service was overloaded or dead.
     pub failed: u64,
-    /// Most calls within 100 ms, and within a second.
+    /// Maximum number of calls within 100 ms, and within a second.
     pub most_calls: [u64; 2],
-    /// When half, 99 in 100 and all limiters had the list; `None` where that never came.
+    /// When half, 99 % and all of the limiters had the endpoint list; `None` if that was never reached.
     pub listed: [Option<f64>; 3],
-    /// When half and all limiters were ready.
+    /// When half and all of the limiters were ready.
     pub ready: [Option<f64>; 2],
-    /// Most new connections to one server within a second.
+    /// Maximum number of new connections to one server within a second.
     pub most_connections: u64,
-    /// Most work sent to a cold server within the rule's span, as a share of what fells it.
+    /// Maximum work sent to a cold server within [`OVERLOAD_WINDOW`], as a share of the work that overloads it.
     pub nearest_to_falling: f64,
-    /// By second of the first try: work asked for, and served within its aim.
+    /// For each second of the run: pieces of work first requested in it, and those of them served within their latency
+    /// target.
     pub seconds: Vec<(u64, u64)>,
     /// Processor time of all limiters, in milliseconds.
     pub cpu_ms: f64,
@@ -34,28 +35,36 @@
 }
 
 impl Starts {
-    /// Sums a run up.
-    pub fn of(outcome: &Outcome) -> Starts {
+    /// Summarises a run.
+    pub fn from_outcome(outcome: &Outcome) -> Starts {
         let limiters = outcome.scenario.site.limiters;
         let events = &outcome.events;
-        let times = |of: fn(&What) -> bool| -> Vec<Micros> {
+        let times = |selects: fn(&EventKind) -> bool| -> Vec<Micros> {
             events
                 .iter()
-                .filter(|event| of(&event.what))
+                .filter(|event| selects(&event.kind))
                 .map(|event| event.at)
                 .collect()
         };
-        let calls = times(|what| matches!(what, What::ListAsked { .. }));
-        let failed = times(|what| matches!(what, What::ListAnswered { well: false, .. }));
-        let listed = firsts(events, |what| match what {
-            What::ListAnswered {
+        let calls = times(|kind| matches!(kind, EventKind::DiscoveryCalled { .. }));
+        let failed = times(|kind| {
+            matches!(
+                kind,
+                EventKind::DiscoveryCallEnded {
+                    succeeded: false,
+                    ..
+                }
+            )
+        });
+        let listed = first_times(events, |kind| match kind {
+            EventKind::DiscoveryCallEnded {
                 limiter,
-                well: true,
+                succeeded: true,
             } => Some(*limiter),
             _ => None,
         });
-        let ready = firsts(events, |what| match what {
-            What::LimiterUp { limiter } => Some(*limiter),
+        let ready = first_times(events, |kind| match kind {
+            EventKind::LimiterReady { limiter } => Some(*limiter),
             _ => None,
         });
         let part = |times: &[f64], share: f64| {
@@ -86,7 +95,7 @@
         }
     }
 
-    /// Share of the work asked for from this second on, up to another, that was served in time.
+    /// Share of the work requested from second `from` to before second `to` that was served in time.
     pub fn served(&self, from: usize, to: usize) -> f64 {
         let span = self.seconds.iter().skip(from).take(to.saturating_sub(from));
         let (asked, served) = span.fold((0, 0), |sum, second| (sum.0 + second.0, sum.1 + second.1));
@@ -94,10 +103,10 @@
     }
 }
 
-/// The first moment of each limiter, in order, in seconds.
-fn firsts(events: &[Event], of: impl Fn(&What) -> Option<usize>) -> Vec<f64> {
+/// The time of each limiter's first matching event in seconds, in order.
+fn first_times(events: &[Event], selects: impl Fn(&EventKind) -> Option<usize>) -> Vec<f64> {
     let mut seen = BTreeSet::new();
-    let first = |event: &&Event| of(&event.what).is_some_and(|limiter| seen.insert(limiter));
+    let first = |event: &&Event| selects(&event.kind).is_some_and(|limiter| seen.insert(limiter));
     events
         .iter()
         .filter(first)
@@ -105,7 +114,7 @@
         .collect()
 }
 
-/// The most of these ordered moments that lie within one span.
+/// The maximum number of these ordered times that lie within one span.
 fn most_within(times: &[Micros], span: Micros) -> u64 {
     let mut from = 0;
     let counts = times.iter().enumerate().map(|(to, at)| {
@@ -118,20 +127,23 @@
 }
 
 fn most_connections(events: &[Event]) -> u64 {
-    let mut by_life: BTreeMap<Life, Vec<Micros>> = BTreeMap::new();
+    let mut by_incarnation: BTreeMap<Incarnation, Vec<Micros>> = BTreeMap::new();
     for event in events {
-        if let What::Connected { life, .. } = event.what {
-            by_life.entry(life).or_default().push(event.at);
+        if let EventKind::ServerConnected { incarnation, .. } = event.kind {
+            by_incarnation
+                .entry(incarnation)
+                .or_default()
+                .push(event.at);
         }
     }
-    by_life
+    by_incarnation
         .values()
         .map(|times| most_within(times, SECOND))
         .max()
         .unwrap_or(0)
 }
 
-/// As the referee has it: the work of the last second against a multiple of what the server can do now.
+/// Compares the work of the last [`OVERLOAD_WINDOW`] with [`OVERLOAD_MULTIPLE`] times what the server can do now.
 fn nearest_to_falling(events: &[Event]) -> f64 {
     struct Cold {
         up: Micros,
@@ -141,13 +153,13 @@
         work: VecDeque<(Micros, f64)>,
         sum: f64,
     }
-    let mut cold: BTreeMap<Life, Cold> = BTreeMap::new();
-    let mut at_life = BTreeMap::new();
+    let mut cold: BTreeMap<Incarnation, Cold> = BTreeMap::new();
+    let mut incarnation_of_attempt = BTreeMap::new();
     let mut nearest = 0.0f64;
     for event in events {
-        match event.what {
-            What::ServerUp {
-                life,
+        match event.kind {
+            EventKind::ServerStarted {
+                incarnation,
                 capacity,
                 cold_from: from,
                 warm_after,
@@ -155,7 +167,7 @@
             } if warm_after > 0 => {
                 let (up, work) = (event.at, VecDeque::new());
                 cold.insert(
-                    life,
+                    incarnation,
                     Cold {
                         up,
                         capacity,
@@ -166,9 +178,16 @@
                     },
                 );
             }
-            What::Begun { attempt, life, .. } => _ = at_life.insert(attempt, life),
-            What::Whole { attempt, work, .. } => {
-                let Some(server) = at_life.get(&attempt).and_then(|life| cold.get_mut(life)) else {
+            EventKind::AttemptStarted {
+                attempt,
+                incarnation,
+                ..
+            } => _ = incarnation_of_attempt.insert(attempt, incarnation),
+            EventKind::AttemptReceived { attempt, work, .. } => {
+                let Some(server) = incarnation_of_attempt
+                    .get(&attempt)
+                    .and_then(|incarnation| cold.get_mut(incarnation))
+                else {
                     continue;
                 };
                 let age = event.at - server.up;
@@ -180,14 +199,15 @@
                 while server
                     .work
                     .front()
-                    .is_some_and(|(at, _)| event.at - at >= FALL_TIME)
+                    .is_some_and(|(at, _)| event.at - at >= OVERLOAD_WINDOW)
                 {
                     server.sum -= server.work.pop_front().map_or(0.0, |(_, work)| work);
                 }
                 let warmth =
                     server.from + (1.0 - server.from) * age as f64 / server.warm_after as f64;
-                let fells = FALL_MULTIPLE * server.capacity * warmth * FALL_TIME as f64 / 1000.0;
-                nearest = nearest.max(server.sum / fells);
+                let overload =
+                    OVERLOAD_MULTIPLE * server.capacity * warmth * OVERLOAD_WINDOW as f64 / 1000.0;
+                nearest = nearest.max(server.sum / overload);
             }
             _ => {}
         }
@@ -195,21 +215,23 @@
     nearest
 }
 
-/// By second of its first try: what was asked for, and what was served within its aim.
+/// For each second: pieces of work first requested in it, and those of them served within their latency target.
 fn by_second(outcome: &Outcome) -> Vec<(u64, u64)> {
     let schedule = crate::schedule::Schedule::draw(&outcome.scenario);
     let count = outcome.scenario.length.div_ceil(SECOND) as usize;
     let mut seconds = vec![(0, 0); count];
     let mut served = BTreeMap::new();
-    let mut left = BTreeSet::new();
+    let mut ignored = BTreeSet::new();
     for event in &outcome.events {
-        match event.what {
-            What::Answered {
-                what, status: 200, ..
+        match event.kind {
+            EventKind::Responded {
+                request,
+                status: 200,
+                ..
             } => {
-                served.entry(what.0 / TRIES).or_insert(event.at);
+                served.entry(request.0 / MAX_REQUESTS).or_insert(event.at);
             }
-            What::Left { what } => _ = left.insert(what.0 / TRIES),
+            EventKind::RequestCancelled { request } => _ = ignored.insert(request.0 / MAX_REQUESTS),
             _ => {}
         }
     }
@@ -217,11 +239,11 @@
         let Some(second) = seconds.get_mut((arrival.at / SECOND) as usize) else {
             continue;
         };
-        if left.contains(&(index as u32)) {
+        if ignored.contains(&(index as u32)) {
             continue;
         }
         second.0 += 1;
-        let in_time = |at: &Micros| *at <= arrival.at + arrival.class().aim;
+        let in_time = |at: &Micros| *at <= arrival.at + arrival.class().latency_target;
         second.1 += u64::from(served.get(&(index as u32)).is_some_and(in_time));
     }
     seconds
@@ -232,7 +254,7 @@
     use super::*;
 
     #[test]
-    fn the_most_within_a_span_counts_neither_of_two_that_lie_apart_by_it() {
+    fn the_maximum_within_a_span_excludes_its_end() {
         assert_eq!(most_within(&[0, 10, 99, 100, 250], 100), 3);
         assert_eq!(most_within(&[], 100), 0);
     }
--- /dev/null
+++ b/crates/emberpin-testbed/tests/common/site_slots.rs
@@ -0,0 +1,35 @@
+//! Limits how many sites the tests of one file run at the same time.
+//!
+//! Each site is several processes in real time. If all tests of a file ran at once, they would starve each other: a
+//! load
+//! that is not sent exceeds no ceiling, and a cold server without processor time sends no load report.
+
+use std::sync::{Condvar, Mutex, PoisonError};
+
+/// Maximum number of sites that run at the same time.
+const MAX_CONCURRENT_SITES: usize = 4;
+
+static RUNNING_SITES: Mutex<usize> = Mutex::new(0);
+static SLOT_FREED: Condvar = Condvar::new();
+
+/// The right to run one of [`MAX_CONCURRENT_SITES`] sites, released when dropped.
+pub struct SiteSlot;
+
+impl SiteSlot {
+    /// Waits until a slot is free.
+    pub fn acquire() -> SiteSlot {
+        let running = RUNNING_SITES.lock().unwrap_or_else(PoisonError::into_inner);
+        let all_taken = |running: &mut usize| *running >= MAX_CONCURRENT_SITES;
+        *SLOT_FREED
+            .wait_while(running, all_taken)
+            .unwrap_or_else(PoisonError::into_inner) += 1;
+        SiteSlot
+    }
+}
+
+impl Drop for SiteSlot {
+    fn drop(&mut self) {
+        *RUNNING_SITES.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
+        SLOT_FREED.notify_one();
+    }
+}
--- a/crates/emberpin-testbed/tests/site.rs
+++ b/crates/emberpin-testbed/tests/site.rs
@@ -1,12 +1,12 @@
-//! The site's own hard cases, with the real limiter between real sockets.
+//! Edge cases of the testbed itself, run with the real limiter on real sockets.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
+use emberpin_testbed::invariants::Rule;
 use emberpin_testbed::process::Program;
-use emberpin_testbed::referee::Rule;
-use emberpin_testbed::report::{stories, Summary};
+use emberpin_testbed::report::{violation_histories, Summary};
 use emberpin_testbed::scenario::Scenario;
 use emberpin_testbed::site::{run, Outcome, Progress};
-use emberpin_testbed::trace::{Life, ProcessEnd, What, SECOND};
+use emberpin_testbed::trace::{EventKind, Incarnation, ProcessEnd, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
@@ -15,7 +15,7 @@
     [site]\nlimiters = 2\nservers = 4\nhalls = 2\nnotice_ms = [1, 20]\nwarm_s = 2\n\
     [load]\nrate = 60\nwork = 0.3\nusage = 0.3\nfront_notice_s = 0.2\n";
 
-fn play(faults: &str, progress: impl Fn(Progress) + 'static) -> Outcome {
+fn run_site(faults: &str, progress: impl Fn(Progress) + 'static) -> Outcome {
     let scenario = Scenario::parse("test", &format!("{SITE}{faults}")).expect("sound");
     let program = Program {
         path: env!("CARGO_BIN_EXE_emberpin-testbed").into(),
@@ -27,27 +27,27 @@
 }
 
 #[track_caller]
-fn holds(outcome: &Outcome) {
+fn assert_rules_hold(outcome: &Outcome) {
     assert!(
-        !outcome.judgement.is_broken(),
+        !outcome.verdict.has_violations(),
         "seed 7:{}",
-        stories(&outcome.judgement)
+        violation_histories(&outcome.verdict)
     );
 }
 
-/// A limiter killed outright with requests out: what it held is the clients', nothing else is excused.
+/// Requests in flight at a killed limiter are left to the clients; nothing else is excused.
 #[test]
-fn a_limiter_killed_with_requests_out_is_judged_fairly() {
-    // Two servers stand still, so that requests are out at the limiter when it dies.
+fn requests_lost_at_a_killed_limiter_are_no_violation() {
+    // Two servers are stalled, so that requests are in flight at the limiter when it is killed.
     let faults = "[[fault]]\nat_s = 0.5\nwhat = \"server-stalled\"\nserver = 0\nfor_s = 1\n\
                   [[fault]]\nat_s = 0.5\nwhat = \"server-stalled\"\nserver = 1\nfor_s = 1\n\
                   [[fault]]\nat_s = 0.9\nwhat = \"limiter-killed\"\nlimiter = 0\nback_s = 0.3\n";
-    let outcome = play(faults, |_| ());
-    holds(&outcome);
-    let killed = outcome.events.iter().find_map(|event| match event.what {
-        What::LimiterDown {
+    let outcome = run_site(faults, |_| ());
+    assert_rules_hold(&outcome);
+    let killed = outcome.events.iter().find_map(|event| match event.kind {
+        EventKind::LimiterStopped {
             limiter: 0,
-            how: ProcessEnd::Killed,
+            end: ProcessEnd::Killed,
         } => Some(event.at),
         _ => None,
     });
@@ -56,71 +56,74 @@
     let dropped = outcome
         .events
         .iter()
-        .filter(|e| matches!(e.what, What::Dropped { .. }) && near.contains(&e.at));
-    assert!(dropped.count() > 0, "requests were out when it died");
-    let up_again = outcome
+        .filter(|e| matches!(e.kind, EventKind::ConnectionLost { .. }) && near.contains(&e.at));
+    assert!(
+        dropped.count() > 0,
+        "requests were in flight when it was killed"
+    );
+    let restarted = outcome
         .events
         .iter()
-        .any(|e| matches!(e.what, What::LimiterUp { limiter: 0 }) && e.at > killed);
-    assert!(up_again && outcome.usage[0].starts == 2);
+        .any(|e| matches!(e.kind, EventKind::LimiterReady { limiter: 0 }) && e.at > killed);
+    assert!(restarted && outcome.usage[0].starts == 2);
     let served_again = outcome
         .events
         .iter()
         .filter(|e| e.at > killed + SECOND)
-        .any(|e| matches!(e.what, What::Begun { limiter: 0, .. }));
-    assert!(served_again, "its next life serves");
+        .any(|e| matches!(e.kind, EventKind::AttemptStarted { limiter: 0, .. }));
+    assert!(served_again, "its next incarnation serves");
 }
 
-/// A successor at the same address is another server: new life, new id, cold.
+/// A successor at the same address is another server, with a new incarnation and id, and cold.
 #[test]
-fn a_port_reused_under_a_new_id_is_another_server() {
-    let outcome = play(
+fn a_successor_at_the_same_address_is_another_server() {
+    let outcome = run_site(
         "[[fault]]\nat_s = 0.2\nwhat = \"server-replaced\"\nserver = 1\n",
         |_| (),
     );
-    holds(&outcome);
-    let mut lives: BTreeMap<usize, Vec<(Life, u64)>> = BTreeMap::new();
-    let mut begun = BTreeSet::new();
+    assert_rules_hold(&outcome);
+    let mut incarnations: BTreeMap<usize, Vec<(Incarnation, u64)>> = BTreeMap::new();
+    let mut used = BTreeSet::new();
     for event in &outcome.events {
-        match event.what {
-            What::ServerUp {
-                life,
+        match event.kind {
+            EventKind::ServerStarted {
+                incarnation,
                 server,
                 warm_after,
                 ..
             } => {
-                lives.entry(server).or_default().push((life, warm_after));
+                incarnations
+                    .entry(server)
+                    .or_default()
+                    .push((incarnation, warm_after));
             }
-            What::Begun { life, .. } => {
-                begun.insert(life);
+            EventKind::AttemptStarted { incarnation, .. } => {
+                used.insert(incarnation);
             }
             _ => {}
         }
     }
-    let [(old, 0), (new, 1..)] = lives[&1][..] else {
-        panic!("two lives, the second cold: {lives:?}")
+    let [(old, 0), (new, 1..)] = incarnations[&1][..] else {
+        panic!("two incarnations, the second cold: {incarnations:?}")
     };
-    assert!(
-        begun.contains(&old) && begun.contains(&new),
-        "both were used"
-    );
-    let told: BTreeSet<Life> = outcome
+    assert!(used.contains(&old) && used.contains(&new), "both were used");
+    let notified: BTreeSet<Incarnation> = outcome
         .events
         .iter()
         .filter_map(|e| {
-            if let What::Told { life, .. } = e.what {
-                Some(life)
+            if let EventKind::LimiterNotified { incarnation, .. } = e.kind {
+                Some(incarnation)
             } else {
                 None
             }
         })
         .collect();
-    assert!(told.contains(&new));
+    assert!(notified.contains(&new));
 }
 
-/// Whatever stands still for good, the run ends: load, run-out, end.
+/// A run ends in bounded time even if all servers stall for good.
 #[test]
-fn a_scenario_whose_servers_never_answer_again_ends_in_its_time() {
+fn a_run_ends_in_time_when_servers_never_respond_again() {
     let stalls: String = (0..4)
         .map(|n| {
             format!(
@@ -129,51 +132,51 @@
         })
         .collect();
     let began = Instant::now();
-    let outcome = play(&stalls, |_| ());
-    // Load, the longest run-out and the longest leave, and a wide margin for a slow machine.
+    let outcome = run_site(&stalls, |_| ());
+    // The load, the time for pending work, the shutdown time-out, and a wide margin for a slow machine.
     assert!(
         began.elapsed() < Duration::from_secs(40),
         "{:?}",
         began.elapsed()
     );
-    holds(&outcome);
-    let summary = Summary::of(&outcome);
+    assert_rules_hold(&outcome);
+    let summary = Summary::from_outcome(&outcome);
     assert!(
         summary.total.failed + summary.total.refused > 0,
         "{summary:?}"
     );
 }
 
-/// The stand-ins' own thread stands still for moments: what they then see late is called late.
+/// The thread of the stand-ins is blocked for moments: delays observed then are not blamed on the limiter.
 #[test]
-fn stand_ins_that_run_late_say_so_and_nobody_is_blamed() {
-    let outcome = play("", |_| std::thread::sleep(Duration::from_millis(450)));
+fn lateness_of_the_stand_ins_is_recorded_and_no_violation() {
+    let outcome = run_site("", |_| std::thread::sleep(Duration::from_millis(450)));
     let late = outcome
         .events
         .iter()
-        .filter(|e| matches!(e.what, What::Late { .. }))
+        .filter(|e| matches!(e.kind, EventKind::StandInsLate { .. }))
         .count();
     assert!(late >= 3, "{late} times");
-    holds(&outcome);
-    assert!(Summary::of(&outcome).stand_ins_late_ms > 300.0);
+    assert_rules_hold(&outcome);
+    assert!(Summary::from_outcome(&outcome).stand_ins_late_ms > 300.0);
 }
 
-/// Nothing that a limiter says of its own time is read: every event's time is the stand-ins' one clock's.
+/// All event times come from the single clock of the stand-ins and are in order.
 #[test]
-fn every_time_is_of_one_clock_and_in_order() {
-    let outcome = play(
+fn event_times_come_from_one_clock_and_are_in_order() {
+    let outcome = run_site(
         "[[fault]]\nat_s = 0.5\nwhat = \"limiters-rolled\"\nevery_s = 1\n",
         |_| (),
     );
-    holds(&outcome);
+    assert_rules_hold(&outcome);
     assert!(outcome.events.is_sorted_by_key(|event| event.at));
-    let mut asked = BTreeMap::new();
+    let mut sent_at = BTreeMap::new();
     let mut answers = 0;
     for event in &outcome.events {
-        match &event.what {
-            What::Asked { what, .. } => _ = asked.insert(*what, event.at),
-            What::Answered { what, .. } => {
-                assert!(asked.get(what).is_some_and(|at| *at <= event.at));
+        match &event.kind {
+            EventKind::RequestSent { request, .. } => _ = sent_at.insert(*request, event.at),
+            EventKind::Responded { request, .. } => {
+                assert!(sent_at.get(request).is_some_and(|at| *at <= event.at));
                 answers += 1;
             }
             _ => {}
@@ -181,14 +184,14 @@
     }
     assert!(answers > 100, "{answers} answers");
     assert!(
-        outcome.judgement.on(Rule::Answers).broken == 0
+        outcome.verdict.finding(Rule::Answers).violations == 0
             && outcome.usage.iter().all(|u| u.starts == 2)
     );
 }
 
-/// Links, peers, discovery and moves all at once, and the other faults that the other tests leave out.
+/// Combines faults of links, peers, discovery and servers, including those that no other test injects.
 #[test]
-fn every_fault_can_be_brought_about() {
+fn every_fault_can_be_injected() {
     let mut faults = String::new();
     for fault in [
         "at_s = 0.2\nwhat = \"link-cut\"\nlimiter = 0\nhall = 0\nway = \"both\"\nfor_s = 0.5",
@@ -217,18 +220,18 @@
             "[[fault]]\nat_s = 0.{server}\nwhat = \"server-spoils\"\nserver = {server}\nhow = \"{how}\"\nshare = 0.2\nfor_s = 2\n"
         );
     }
-    let outcome = play(&faults, |_| ());
-    holds(&outcome);
-    let begun: BTreeSet<&str> = outcome
+    let outcome = run_site(&faults, |_| ());
+    assert_rules_hold(&outcome);
+    let used: BTreeSet<&str> = outcome
         .events
         .iter()
         .filter_map(|e| {
-            if let What::Fault { name } = &e.what {
+            if let EventKind::Fault { name } = &e.kind {
                 Some(name.as_str())
             } else {
                 None
             }
         })
         .collect();
-    assert!(begun.len() >= 36, "each began and ended: {begun:#?}");
+    assert!(used.len() >= 36, "each began and ended: {used:#?}");
 }
--- a/crates/emberpin-testbed/tests/start.rs
+++ b/crates/emberpin-testbed/tests/start.rs
@@ -1,46 +1,49 @@
-//! Starts of many limiters at once, each a process of its own, between stand-ins that have just started too.
+//! Simultaneous starts of many limiters, with servers and a discovery service that have just started too.
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 mod common;
 
-use common::{answered, called_after, calls, count, holds, killed, listed, play, play_with, who};
+use common::{
+    assert_rules_hold, call_times_after, count_events, discovery_calls, killed_limiters,
+    limiters_that, list_times, run_site, run_with_operator_file, served_discovery_caller,
+};
 use emberpin_startup::snapshot::{decode, encode, SnapshotHeader};
 use emberpin_testbed::report::Summary;
-use emberpin_testbed::starts::Starts;
-use emberpin_testbed::trace::{Event, Standing, What, SECOND};
+use emberpin_testbed::start_summary::Starts;
+use emberpin_testbed::trace::{Event, EventKind, ServerState, SECOND};
 use nix::sys::stat::Mode;
 use nix::unistd::mkfifo;
 use std::collections::BTreeSet;
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Twenty-four limiters that know nothing and have just started, like their servers, before a list service of a call of
-/// each in 4 s.
-const TOGETHER: &str =
+/// 24 limiters that start together without an endpoint list, with cold servers; the discovery service can answer each
+/// limiter once in 4 s.
+const COLD_START: &str =
     "[site]\nlimiters = 24\nservers = 8\ntogether = true\ncold = true\nknown = false\nlist_power = 6\n\
                         [load]\nrate = 24\nusage = 0.3\nretries = 0\n";
-/// That power, as an operator says it.
-const TOLD: &str = "[start]\nlist_calls_per_s = 6\n";
+/// The capacity of that discovery service in the limiters' operator file.
+const START_TABLE: &str = "[start]\nlist_calls_per_s = 6\n";
 
-/// Once nothing was served before the first server was warm: what cold ones may get was a part of what warm ones
-/// were seen to carry.
+/// Guards against limiters that send nothing before the first server is warm, which happens if the load of cold servers
+/// is limited to a share of the observed load of warm ones.
 #[test]
-fn limiters_that_start_with_servers_that_are_all_cold_serve_at_once() {
+fn limiters_that_start_with_only_cold_servers_serve_at_once() {
     for seed in [5, 6] {
         let text = "seconds = 5\n[site]\nwarm_s = 20\ncold = true\nnotice_ms = [1, 20]\n[load]\nrate = 20\nusage = 0.3\n";
-        let outcome = play(text, seed);
-        holds(&outcome);
+        let outcome = run_site(text, seed);
+        assert_rules_hold(&outcome);
         let cold = outcome.events.iter().filter(|e| {
             matches!(
-                e.what,
-                What::ServerUp {
+                e.kind,
+                EventKind::ServerStarted {
                     warm_after: 1..,
                     ..
                 }
             )
         });
-        assert_eq!(cold.count(), 9, "all servers were cold, and none fell");
-        let total = Summary::of(&outcome).total;
+        assert_eq!(cold.count(), 9, "all servers were cold, and none crashed");
+        let total = Summary::from_outcome(&outcome).total;
         assert!(
             total.in_time * 10 >= total.asked * 7,
             "seed {seed}: {total:?}"
@@ -48,26 +51,27 @@
     }
 }
 
-/// Once they were held to one request after the other until the first was warm, though their queues were empty and they
-/// have two cores.
+/// Guards against limiters that send cold servers one request at a time until the first is warm, although the queues
+/// are
+/// empty and each server has two cores.
 #[test]
 fn servers_that_are_all_cold_and_say_that_nothing_waits_are_asked_for_more() {
     let text =
         "seconds = 12\n[site]\nlimiters = 24\nservers = 4\nwarm_s = 20\ncold = true\ntogether = true\n\
                 [load]\nrate = 144\nusage = 0.3\nretries = 0\nwork = 0.3\n";
-    let outcome = play(text, 7);
-    holds(&outcome);
+    let outcome = run_site(text, 7);
+    assert_rules_hold(&outcome);
     let cold = outcome.events.iter().filter(|e| {
         matches!(
-            e.what,
-            What::ServerUp {
+            e.kind,
+            EventKind::ServerStarted {
                 warm_after: 1..,
                 ..
             }
         )
     });
-    assert_eq!(cold.count(), 4, "all servers were cold, and none fell");
-    let starts = Starts::of(&outcome);
+    assert_eq!(cold.count(), 4, "all servers were cold, and none crashed");
+    let starts = Starts::from_outcome(&outcome);
     assert!(
         starts.served(8, 12) > 1.5 * starts.served(1, 3),
         "{starts:?}"
@@ -75,29 +79,30 @@
     assert!(starts.served(8, 12) > 0.6, "{starts:?}");
 }
 
-/// Once 24 calls came within 100 ms, all failed at 2 s, and a third of the limiters never got the list.
+/// Guards against a burst of 24 calls within 100 ms that all time out at 2 s, after which a third of the limiters never
+/// get the list.
 #[test]
-fn all_start_in_one_instant_before_a_weak_list_service_and_each_calls_once() {
-    let at_once = format!("{TOLD}ready_within_s = 0\n");
-    let outcome = play_with(&at_once, &format!("seconds = 14\n{TOGETHER}"), 1);
-    holds(&outcome);
-    let starts = Starts::of(&outcome);
+fn limiters_starting_together_call_a_slow_discovery_service_once_each() {
+    let at_once = format!("{START_TABLE}ready_within_s = 0\n");
+    let outcome = run_with_operator_file(&at_once, &format!("seconds = 14\n{COLD_START}"), 1);
+    assert_rules_hold(&outcome);
+    let starts = Starts::from_outcome(&outcome);
     assert!(
         starts.ready[1].is_some_and(|last| last < 3.0),
-        "they started in one instant: {starts:?}"
+        "they started together: {starts:?}"
     );
     assert_eq!(
-        count(&outcome, |what| matches!(
-            what,
-            What::ServerUp {
+        count_events(&outcome, |kind| matches!(
+            kind,
+            EventKind::ServerStarted {
                 warm_after: 1..,
                 ..
             }
         )),
         8,
-        "cold, none fell"
+        "all cold, none crashed"
     );
-    assert_eq!(calls(&outcome, 0.0, 14.0), (24, 0), "{starts:?}");
+    assert_eq!(discovery_calls(&outcome, 0.0, 14.0), (24, 0), "{starts:?}");
     assert!(
         starts.listed[2].is_some_and(|last| last < 7.0),
         "{starts:?}"
@@ -106,32 +111,36 @@
 }
 
 #[test]
-fn all_start_in_one_instant_before_a_list_service_that_is_cold_too_and_are_told_all_the_same() {
-    let site = TOGETHER.replace("list_power = 6", "list_power = 6\nlist_warm_s = 6");
-    let outcome = play_with(TOLD, &format!("seconds = 25\n{site}"), 2);
-    holds(&outcome);
-    let (asked, failed) = calls(&outcome, 0.0, 25.0);
+fn limiters_starting_together_with_a_cold_discovery_service_all_get_the_list() {
+    let site = COLD_START.replace("list_power = 6", "list_power = 6\nlist_warm_s = 6");
+    let outcome = run_with_operator_file(START_TABLE, &format!("seconds = 25\n{site}"), 2);
+    assert_rules_hold(&outcome);
+    let (asked, failed) = discovery_calls(&outcome, 0.0, 25.0);
     assert!(
         failed > 0,
-        "at a quarter of its power it could not answer all: {asked} calls"
+        "at a quarter of its capacity it could not answer all: {asked} calls"
     );
     assert!(asked <= 24 * 3, "{asked} calls");
-    assert_eq!(listed(&outcome).len(), 24, "{:?}", listed(&outcome));
+    assert_eq!(list_times(&outcome).len(), 24, "{:?}", list_times(&outcome));
 }
 
 #[test]
-fn the_list_service_dies_when_half_have_their_list_and_the_others_are_told_when_it_is_back() {
+fn limiters_without_a_list_get_it_after_an_outage_of_the_discovery_service() {
     let fault = "[[fault]]\nat_s = 2\nwhat = \"discovery-dead\"\nfor_s = 6\n";
-    let outcome = play_with(TOLD, &format!("seconds = 20\n{TOGETHER}{fault}"), 3);
-    holds(&outcome);
-    let listed = listed(&outcome);
+    let outcome = run_with_operator_file(
+        START_TABLE,
+        &format!("seconds = 20\n{COLD_START}{fault}"),
+        3,
+    );
+    assert_rules_hold(&outcome);
+    let listed = list_times(&outcome);
     let before = listed.iter().filter(|at| **at < 2.0).count();
     assert!(
         (6..=16).contains(&before),
-        "about half were told before: {listed:?}"
+        "about half got the list before: {listed:?}"
     );
     assert!(
-        calls(&outcome, 2.0, 8.0).1 >= 12,
+        discovery_calls(&outcome, 2.0, 8.0).1 >= 12,
         "calls failed while it was dead"
     );
     assert!(
@@ -141,50 +150,54 @@
     assert_eq!(listed.len(), 24, "{listed:?}");
 }
 
-/// A limiter that stands still amid the start calls when it goes on, and keeps nobody from being told.
+/// A limiter that is paused during the start calls when it resumes, and does not delay the others.
 #[test]
-fn a_limiter_paused_amid_the_start_is_told_when_it_goes_on() {
+fn a_limiter_paused_during_the_start_gets_the_list_when_it_resumes() {
     let fault = "[[fault]]\nat_s = 0.2\nwhat = \"limiter-paused\"\nlimiter = 7\nfor_s = 10\n";
-    let outcome = play_with(TOLD, &format!("seconds = 16\n{TOGETHER}{fault}"), 4);
-    let told = |event: &Event| {
+    let outcome = run_with_operator_file(
+        START_TABLE,
+        &format!("seconds = 16\n{COLD_START}{fault}"),
+        4,
+    );
+    let is_answer = |event: &Event| {
         matches!(
-            event.what,
-            What::ListAnswered {
+            event.kind,
+            EventKind::DiscoveryCallEnded {
                 limiter: 7,
-                well: true
+                succeeded: true
             }
         )
     };
     let at = outcome
         .events
         .iter()
-        .find(|event| told(event))
+        .find(|event| is_answer(event))
         .map(|event| event.at as f64 / SECOND as f64);
     assert!(
         at.is_some_and(|at| at > 10.0),
-        "it stood still until then: {at:?}"
+        "it was paused until then: {at:?}"
     );
-    let listed = listed(&outcome);
+    let listed = list_times(&outcome);
     assert!(listed.len() == 24 && listed[22] < 8.0, "{listed:?}");
 }
 
-/// Those that come back hear of the others how many came back with them, and take as much of a round.
+/// Limiters that restart together learn from their peers how many restarted, and spread their calls accordingly.
 #[test]
-fn seven_in_ten_killed_twice_call_again_without_a_crowd() {
+fn limiters_killed_together_twice_spread_their_calls() {
     let kill = |at: f64| {
         format!("[[fault]]\nat_s = {at}\nwhat = \"limiters-killed\"\nshare = 0.7\nback_s = 0.5\n")
     };
-    let site = TOGETHER.replace("known = false", "known = true");
-    let outcome = play_with(
-        TOLD,
+    let site = COLD_START.replace("known = false", "known = true");
+    let outcome = run_with_operator_file(
+        START_TABLE,
         &format!("seconds = 20\n{site}{}{}", kill(8.0), kill(11.0)),
         5,
     );
-    holds(&outcome);
-    assert!(killed(&outcome) >= 28, "they were killed");
-    let back: Vec<f64> = called_after(&outcome, 11.5);
+    assert_rules_hold(&outcome);
+    assert!(killed_limiters(&outcome) >= 28, "they were killed");
+    let back: Vec<f64> = call_times_after(&outcome, 11.5);
     assert!(back.len() >= 14, "{back:?}");
-    let crowd = back
+    let max_in_window = back
         .iter()
         .map(|from| {
             back.iter()
@@ -193,46 +206,46 @@
         })
         .max();
     assert!(
-        crowd <= Some(6),
-        "within a quarter of a second {crowd:?} of {back:?}"
+        max_in_window <= Some(6),
+        "within a quarter of a second {max_in_window:?} of {back:?}"
     );
-    let (asked, failed) = calls(&outcome, 11.5, 20.0);
+    let (asked, failed) = discovery_calls(&outcome, 11.5, 20.0);
     assert_eq!(failed, 0, "of {asked}");
 }
 
-/// A service that comes back from an outage with an empty list, then half of it, then all.
-const BACK_BY_PARTS: &str = "[[fault]]\nat_s = 4\nwhat = \"discovery-dead\"\nfor_s = 3\n\
+/// A discovery service that recovers from an outage with an empty list, then half of it, then all.
+const PARTIAL_RECOVERY_FAULTS: &str = "[[fault]]\nat_s = 4\nwhat = \"discovery-dead\"\nfor_s = 3\n\
                              [[fault]]\nat_s = 7\nwhat = \"discovery-tells\"\nhow = \"empty\"\nfor_s = 5\n\
                              [[fault]]\nat_s = 12\nwhat = \"discovery-tells\"\nhow = \"half\"\nfor_s = 5\n";
-const SERVING: &str =
+const RUNNING_SITE: &str =
     "[site]\nlimiters = 24\nservers = 8\n[load]\nrate = 60\nusage = 0.3\nretries = 0\n";
 
 #[test]
-fn a_list_service_that_comes_back_empty_then_half_then_whole_empties_no_limiter() {
-    let text = format!("seconds = 20\n{SERVING}{BACK_BY_PARTS}");
-    let outcome = play_with(TOLD, &text, 6);
-    holds(&outcome);
-    let told = calls(&outcome, 7.0, 12.0);
+fn partial_lists_after_an_outage_remove_no_servers() {
+    let text = format!("seconds = 20\n{RUNNING_SITE}{PARTIAL_RECOVERY_FAULTS}");
+    let outcome = run_with_operator_file(START_TABLE, &text, 6);
+    assert_rules_hold(&outcome);
+    let call_counts = discovery_calls(&outcome, 7.0, 12.0);
     assert!(
-        told.0 - told.1 >= 12,
-        "limiters were told the empty list: {told:?}"
+        call_counts.0 - call_counts.1 >= 12,
+        "limiters got the empty list: {call_counts:?}"
     );
-    let starts = Starts::of(&outcome);
+    let starts = Starts::from_outcome(&outcome);
     assert!(starts.served(7, 20) > 0.95, "{starts:?}");
-    // The guard taken out: without the table whole lists bind.
-    let bound = Starts::of(&play(&text, 6));
+    // Without the `[start]` table the guard is off: full lists apply as they are.
+    let unguarded = Starts::from_outcome(&run_site(&text, 6));
     assert!(
-        bound.served(7, 12) < 0.8,
-        "an empty list took servers away: {bound:?}"
+        unguarded.served(7, 12) < 0.8,
+        "an empty list took servers away: {unguarded:?}"
     );
 }
 
-/// What is served while the service lists old addresses, at least; without the guard it is less.
-const SERVED_DESPITE_OLD_LIST: f64 = 0.95;
+/// Minimum share served while the service lists old addresses; without the guard it is less.
+const MIN_SERVED_WITH_OLD_LIST: f64 = 0.95;
 
-/// The service goes back to a version of before six of eight servers moved.
+/// The service falls back to a list version from before six of eight servers moved.
 #[test]
-fn a_list_that_is_older_than_one_heard_brings_no_old_address_back() {
+fn an_older_list_does_not_restore_old_addresses() {
     let moved: String = (0..6)
         .map(|server| {
             format!("[[fault]]\nat_s = 2.{server}\nwhat = \"server-moved\"\nserver = {server}\n")
@@ -240,62 +253,66 @@
         .collect();
     let faults = "[[fault]]\nat_s = 7\nwhat = \"discovery-tells\"\nhow = \"older\"\nfor_s = 8\n\
                   [[fault]]\nat_s = 8\nwhat = \"discovery-dead\"\nfor_s = 1\n";
-    let text = format!("seconds = 16\n{SERVING}{moved}{faults}");
-    let outcome = play_with(TOLD, &text, 7);
-    holds(&outcome);
-    let told = calls(&outcome, 9.0, 15.0);
+    let text = format!("seconds = 16\n{RUNNING_SITE}{moved}{faults}");
+    let outcome = run_with_operator_file(START_TABLE, &text, 7);
+    assert_rules_hold(&outcome);
+    let call_counts = discovery_calls(&outcome, 9.0, 15.0);
     assert!(
-        told.0 - told.1 >= 12,
-        "limiters were told the older list: {told:?}"
+        call_counts.0 - call_counts.1 >= 12,
+        "limiters got the older list: {call_counts:?}"
     );
-    let starts = Starts::of(&outcome);
+    let starts = Starts::from_outcome(&outcome);
     assert!(
-        starts.served(10, 15) > SERVED_DESPITE_OLD_LIST,
+        starts.served(10, 15) > MIN_SERVED_WITH_OLD_LIST,
         "{starts:?}"
     );
-    // The guard taken out: without the table whole lists bind, and the same bound is missed.
-    let bound = Starts::of(&play(&text, 7));
+    // Without the `[start]` table the guard is off: full lists apply as they are, and the minimum is missed.
+    let unguarded = Starts::from_outcome(&run_site(&text, 7));
     assert!(
-        bound.served(10, 15) < SERVED_DESPITE_OLD_LIST,
-        "old addresses came back: {bound:?}"
+        unguarded.served(10, 15) < MIN_SERVED_WITH_OLD_LIST,
+        "old addresses came back: {unguarded:?}"
     );
 }
 
-/// An operator file that keeps snapshots in this folder.
-fn keeping(folder: &Path) -> String {
+/// An operator file that stores snapshots of the endpoint list in this folder.
+fn snapshot_operator_file(folder: &Path) -> String {
     format!(
-        "{TOLD}site = \"t\"\nsnapshot = \"{}/{{name}}\"\nready_within_s = 4\n",
+        "{START_TABLE}site = \"t\"\nsnapshot = \"{}/{{name}}\"\nready_within_s = 4\n",
         folder.display()
     )
 }
 
-/// Seven in ten die while the list service is dead: what they had is on their disks.
+/// 70 % of the limiters are killed while the discovery service is dead: they restart from the snapshots on their disks.
 #[test]
-fn limiters_that_come_back_while_the_list_service_is_dead_serve_from_their_snapshots() {
-    let site = SERVING.replace("servers = 8", "servers = 8\nknown = false");
+fn limiters_restarted_during_a_discovery_outage_serve_from_their_snapshots() {
+    let site = RUNNING_SITE.replace("servers = 8", "servers = 8\nknown = false");
     let faults = "[[fault]]\nat_s = 8\nwhat = \"discovery-dead\"\nfor_s = 12\n\
                   [[fault]]\nat_s = 9\nwhat = \"limiters-killed\"\nshare = 0.7\nback_s = 0.5\n";
     let text = format!("seconds = 18\n{site}{faults}");
     let folder = tempfile::tempdir().expect("a folder");
-    let outcome = play_with(&keeping(folder.path()), &text, 8);
-    holds(&outcome);
-    assert!(killed(&outcome) >= 14, "they were killed");
-    let (asked, failed) = calls(&outcome, 9.5, 18.0);
+    let outcome = run_with_operator_file(&snapshot_operator_file(folder.path()), &text, 8);
+    assert_rules_hold(&outcome);
+    assert!(killed_limiters(&outcome) >= 14, "they were killed");
+    let (asked, failed) = discovery_calls(&outcome, 9.5, 18.0);
     assert!(
         asked > 0 && asked == failed,
         "the service was dead: {asked}, {failed}"
     );
-    let starts = Starts::of(&outcome);
+    let starts = Starts::from_outcome(&outcome);
     assert!(starts.served(11, 18) > 0.95, "{starts:?}");
-    // The guard taken out: without a disk those that come back know no server.
-    let without = Starts::of(&play_with(&format!("{TOLD}ready_within_s = 1\n"), &text, 8));
+    // Without snapshots the restarted limiters know no server.
+    let without = Starts::from_outcome(&run_with_operator_file(
+        &format!("{START_TABLE}ready_within_s = 1\n"),
+        &text,
+        8,
+    ));
     assert!(without.served(11, 18) < 0.7, "{without:?}");
 }
 
-/// Snapshots torn, from another site, from last month, no file at all, one whose reading and writing hang for ever, and
-/// a folder that cannot be: each at three of the limiters.
+/// Snapshots that are truncated, from another site, a month old or garbage; a file whose reads and writes hang, paths
+/// blocked by a file or a folder, and no snapshot: each at three of the limiters.
 #[test]
-fn bad_snapshots_and_disks_that_stall_or_fail_keep_no_limiter_from_starting() {
+fn invalid_snapshots_and_stalled_or_failing_disks_do_not_prevent_a_start() {
     let folder = tempfile::tempdir().expect("a folder");
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -303,55 +320,55 @@
         .as_millis() as u64;
     let month = 30 * 86_400_000;
     let names: Vec<String> = (0..24).map(|number| format!("n{number}")).collect();
-    let good = |name: &str, site: &str, age: u64| {
-        let label = SnapshotHeader {
+    let valid_snapshot = |name: &str, site: &str, age: u64| {
+        let header = SnapshotHeader {
             owner: format!("{site}/{name}"),
             written_at: unix_time(now - age),
             revision: 9_999,
         };
-        encode(&label, b"[]")
+        encode(&header, b"[]")
     };
     for (number, name) in names.iter().enumerate() {
-        let own = folder.path().join(name);
-        let whole = good(name, "t", 0);
+        let limiter_folder = folder.path().join(name);
+        let whole = valid_snapshot(name, "t", 0);
         let file = match number % 8 {
             0 => whole[..whole.len() - 1].to_vec(),
-            1 => good(name, "another", 0),
-            2 => good(name, "t", month),
+            1 => valid_snapshot(name, "another", 0),
+            2 => valid_snapshot(name, "t", month),
             3 => b"\xff\x00 no snapshot".to_vec(),
             4 => {
-                std::fs::create_dir_all(&own).expect("made");
+                std::fs::create_dir_all(&limiter_folder).expect("made");
                 for file in ["list", "list.new"] {
-                    mkfifo(&own.join(file), Mode::S_IRWXU).expect("a pipe");
+                    mkfifo(&limiter_folder.join(file), Mode::S_IRWXU).expect("a pipe");
                 }
                 continue;
             }
             5 => {
-                std::fs::write(&own, "in the way").expect("written");
+                std::fs::write(&limiter_folder, "in the way").expect("written");
                 continue;
             }
             6 => {
-                std::fs::create_dir_all(own.join("list")).expect("made");
+                std::fs::create_dir_all(limiter_folder.join("list")).expect("made");
                 continue;
             }
             _ => continue,
         };
-        std::fs::create_dir_all(&own).expect("made");
-        std::fs::write(own.join("list"), file).expect("written");
+        std::fs::create_dir_all(&limiter_folder).expect("made");
+        std::fs::write(limiter_folder.join("list"), file).expect("written");
     }
-    let outcome = play_with(
-        &keeping(folder.path()),
-        &format!("seconds = 10\n{TOGETHER}"),
+    let outcome = run_with_operator_file(
+        &snapshot_operator_file(folder.path()),
+        &format!("seconds = 10\n{COLD_START}"),
         9,
     );
-    holds(&outcome);
-    let starts = Starts::of(&outcome);
+    assert_rules_hold(&outcome);
+    let starts = Starts::from_outcome(&outcome);
     assert!(starts.ready[1].is_some_and(|last| last < 7.0), "{starts:?}");
     assert!(
         starts.listed[2].is_some_and(|last| last < 8.0),
-        "a version of 9999 was not believed: {starts:?}"
+        "revision 9999 was not trusted: {starts:?}"
     );
-    let kept = |name: &String| {
+    let stored_revision = |name: &String| {
         let bytes = std::fs::read(folder.path().join(name).join("list")).ok()?;
         decode(
             &bytes,
@@ -359,37 +376,37 @@
             unix_time(now),
             Duration::from_secs(3600),
         )
-        .map(|(label, _)| label.revision)
+        .map(|(header, _)| header.revision)
         .ok()
     };
     for (number, name) in names.iter().enumerate() {
         match number % 8 {
             0..=3 | 7 => assert!(
-                kept(name).is_some_and(|rev| rev < 9_999),
-                "{name} was written anew"
+                stored_revision(name).is_some_and(|rev| rev < 9_999),
+                "{name} was rewritten"
             ),
             4 => {
                 assert!(std::fs::metadata(folder.path().join(name).join("list"))
                     .is_ok_and(|file| !file.is_file()));
             }
-            _ => assert!(kept(name).is_none(), "{name} cannot be written"),
+            _ => assert!(stored_revision(name).is_none(), "{name} cannot be written"),
         }
     }
 }
 
-/// Ready with the list, and without one when its time is over, not before.
+/// A limiter is ready once it has the endpoint list, or without one when `ready_within_s` is over, not before.
 #[test]
-fn limiters_are_ready_with_a_list_or_when_their_time_is_over() {
-    let told = format!("{TOLD}ready_within_s = 9\n");
-    let outcome = play_with(&told, &format!("seconds = 8\n{TOGETHER}"), 10);
+fn limiters_are_ready_with_a_list_or_after_the_readiness_timeout() {
+    let operator_file = format!("{START_TABLE}ready_within_s = 9\n");
+    let outcome = run_with_operator_file(&operator_file, &format!("seconds = 8\n{COLD_START}"), 10);
     let mut listed = BTreeSet::new();
     for event in &outcome.events {
-        match event.what {
-            What::ListAnswered {
+        match event.kind {
+            EventKind::DiscoveryCallEnded {
                 limiter,
-                well: true,
+                succeeded: true,
             } => _ = listed.insert(limiter),
-            What::LimiterUp { limiter } => {
+            EventKind::LimiterReady { limiter } => {
                 assert!(
                     listed.contains(&limiter),
                     "{limiter} was ready without a list"
@@ -400,53 +417,61 @@
     }
     assert_eq!(listed.len(), 24);
     let dead = "[[fault]]\nat_s = 0\nwhat = \"discovery-dead\"\nfor_s = 7\n";
-    let outcome = play_with(
-        &format!("{TOLD}ready_within_s = 3\n"),
-        &format!("seconds = 7\n{TOGETHER}{dead}"),
+    let outcome = run_with_operator_file(
+        &format!("{START_TABLE}ready_within_s = 3\n"),
+        &format!("seconds = 7\n{COLD_START}{dead}"),
         11,
     );
-    let (asked, failed) = calls(&outcome, 0.0, 6.9);
+    let (asked, failed) = discovery_calls(&outcome, 0.0, 6.9);
     assert!(
         asked > 24 && asked == failed,
         "the service was dead: {asked}, {failed}"
     );
-    let ups = outcome
+    let ready_times = outcome
         .events
         .iter()
-        .filter(|event| matches!(event.what, What::LimiterUp { .. }));
-    let ups: Vec<f64> = ups.map(|event| event.at as f64 / SECOND as f64).collect();
-    assert_eq!(ups.len(), 24);
-    assert!(ups.iter().all(|at| (2.9..6.0).contains(at)), "{ups:?}");
+        .filter(|event| matches!(event.kind, EventKind::LimiterReady { .. }));
+    let ready_times: Vec<f64> = ready_times
+        .map(|event| event.at as f64 / SECOND as f64)
+        .collect();
+    assert_eq!(ready_times.len(), 24);
+    assert!(
+        ready_times.iter().all(|at| (2.9..6.0).contains(at)),
+        "{ready_times:?}"
+    );
 }
 
 #[test]
-fn a_start_whose_messages_are_lost_or_late_or_come_one_way_while_servers_are_replaced_and_one_is_bad_goes_as_well(
-) {
-    let poor = |lost: f64, late: u32| {
+fn a_start_succeeds_despite_message_faults_server_replacements_and_a_refusing_server() {
+    let lossy = |loss: f64, delay_ms: u32| {
         format!(
-            "[[fault]]\nat_s = 0\nwhat = \"peers-poor\"\nshare = {lost:.1}\ndelay_ms = {late}\nfor_s = 14\n"
+            "[[fault]]\nat_s = 0\nwhat = \"peers-poor\"\nshare = {loss:.1}\ndelay_ms = {delay_ms}\nfor_s = 14\n"
         )
     };
     let group: Vec<usize> = (0..12).collect();
     let one_way = format!(
         "[[fault]]\nat_s = 0\nwhat = \"peers-split\"\ngroup = {group:?}\nway = \"out\"\nfor_s = 14\n"
     );
-    for trouble in [poor(1.0, 0), poor(0.0, 2000), one_way] {
+    for message_faults in [lossy(1.0, 0), lossy(0.0, 2000), one_way] {
         let faults = format!(
-            "{trouble}\
+            "{message_faults}\
              [[fault]]\nat_s = 2\nwhat = \"server-replaced\"\nserver = 2\n\
              [[fault]]\nat_s = 3\nwhat = \"server-replaced\"\nserver = 4\n\
              [[fault]]\nat_s = 0\nwhat = \"server-refuses\"\nserver = 6\nfor_s = 14\n"
         );
-        let outcome = play_with(TOLD, &format!("seconds = 14\n{TOGETHER}{faults}"), 12);
-        holds(&outcome);
-        assert_eq!(calls(&outcome, 0.0, 14.0).1, 0);
-        let begun = count(
+        let outcome = run_with_operator_file(
+            START_TABLE,
+            &format!("seconds = 14\n{COLD_START}{faults}"),
+            12,
+        );
+        assert_rules_hold(&outcome);
+        assert_eq!(discovery_calls(&outcome, 0.0, 14.0).1, 0);
+        let begun = count_events(
             &outcome,
-            |what| matches!(what, What::Fault { name } if name.contains("messages lost") || name.contains("split")),
+            |kind| matches!(kind, EventKind::Fault { name } if name.contains("messages lost") || name.contains("split")),
         );
         assert!(begun > 0, "messages were lost, late, or came one way only");
-        let starts = Starts::of(&outcome);
+        let starts = Starts::from_outcome(&outcome);
         assert!(
             starts.listed[2].is_some_and(|last| last < 7.0),
             "{starts:?}"
@@ -455,9 +480,9 @@
     }
 }
 
-/// Once a list that came over several lines was taken for a garbled one, and no drain in it was obeyed.
+/// Guards against treating a list that is indented over several lines as malformed and ignoring its drains.
 #[test]
-fn lists_that_come_indented_are_obeyed() {
+fn indented_lists_are_applied() {
     let drains: String = [3, 5]
         .iter()
         .map(|server| {
@@ -468,18 +493,21 @@
         .collect();
     let site =
         "[site]\nlimiters = 6\nservers = 8\nknown = false\nlist_indented = true\nnotice_ms = [1, 20]\n";
-    let outcome = play(
+    let outcome = run_site(
         &format!("seconds = 5\n{site}[load]\nrate = 60\nusage = 0.3\n{drains}"),
         9,
     );
-    holds(&outcome);
-    assert_eq!(listed(&outcome).len(), 6, "each was told");
-    assert!(Summary::of(&outcome).total.in_time * 10 > Summary::of(&outcome).total.asked * 9);
-    let drained = count(&outcome, |what| {
+    assert_rules_hold(&outcome);
+    assert_eq!(list_times(&outcome).len(), 6, "each got the list");
+    assert!(
+        Summary::from_outcome(&outcome).total.in_time * 10
+            > Summary::from_outcome(&outcome).total.asked * 9
+    );
+    let drained = count_events(&outcome, |kind| {
         matches!(
-            what,
-            What::Told {
-                standing: Standing::Draining,
+            kind,
+            EventKind::LimiterNotified {
+                state: ServerState::Draining,
                 ..
             }
         )
@@ -487,31 +515,32 @@
     assert_eq!(drained, 2 * 6);
 }
 
-/// Half of the fleet starts from nothing while the other half serves.
+/// Half of the limiters restart without an endpoint list while the other half serves.
 #[test]
-fn half_of_the_fleet_starts_while_the_other_half_serves() {
-    let site = SERVING.replace("servers = 8", "servers = 8\nknown = false\nlist_power = 6");
+fn half_of_the_limiters_restart_while_the_others_serve() {
+    let site = RUNNING_SITE.replace("servers = 8", "servers = 8\nknown = false\nlist_power = 6");
     let fault = "[[fault]]\nat_s = 8\nwhat = \"limiters-killed\"\nshare = 0.5\nback_s = 1\n";
-    let outcome = play_with(TOLD, &format!("seconds = 16\n{site}{fault}"), 15);
-    holds(&outcome);
-    assert!(killed(&outcome) >= 10, "they were killed");
-    let (asked, failed) = calls(&outcome, 9.0, 16.0);
+    let outcome = run_with_operator_file(START_TABLE, &format!("seconds = 16\n{site}{fault}"), 15);
+    assert_rules_hold(&outcome);
+    assert!(killed_limiters(&outcome) >= 10, "they were killed");
+    let (asked, failed) = discovery_calls(&outcome, 9.0, 16.0);
     assert!(asked >= 10 && failed == 0, "{asked}, {failed}");
-    let starts = Starts::of(&outcome);
+    let starts = Starts::from_outcome(&outcome);
     assert!(starts.served(9, 16) > 0.9, "{starts:?}");
 }
 
-/// Its slot is the last of a round of 4 s; it hears that the others serve.
+/// The limiter's call slot is the last of a round of 4 s, but it learns that its peers serve and calls earlier.
 #[test]
-fn one_that_comes_back_among_peers_that_serve_asks_soon() {
-    let site = SERVING.replace("servers = 8", "servers = 8\nknown = false\nlist_power = 6");
+fn a_limiter_restarted_among_serving_peers_calls_early() {
+    let site = RUNNING_SITE.replace("servers = 8", "servers = 8\nknown = false\nlist_power = 6");
     let fault = "[[fault]]\nat_s = 6\nwhat = \"limiter-killed\"\nlimiter = 7\nback_s = 0.5\n";
-    let outcome = play_with(TOLD, &format!("seconds = 12\n{site}{fault}"), 16);
-    holds(&outcome);
-    let down = |event: &&Event| matches!(event.what, What::LimiterDown { limiter: 7, .. });
+    let outcome = run_with_operator_file(START_TABLE, &format!("seconds = 12\n{site}{fault}"), 16);
+    assert_rules_hold(&outcome);
+    let down = |event: &&Event| matches!(event.kind, EventKind::LimiterStopped { limiter: 7, .. });
     let down = outcome.events.iter().find(down).expect("it was killed").at;
-    let asked =
-        |event: &&Event| event.at > down && matches!(event.what, What::ListAsked { limiter: 7 });
+    let asked = |event: &&Event| {
+        event.at > down && matches!(event.kind, EventKind::DiscoveryCalled { limiter: 7 })
+    };
     let asked = outcome
         .events
         .iter()
@@ -523,24 +552,28 @@
     );
 }
 
-/// Once a watch that had told nothing new counted as a call that had taken all its time to fail, and was taken up again
-/// after twice that.
+/// Guards against treating a broken watch without updates as a call that failed after its whole duration, which delays
+/// the next call by twice that duration.
 #[test]
-fn a_watch_that_was_quiet_and_breaks_is_taken_up_again_soon() {
+fn a_broken_watch_without_updates_is_reopened_soon() {
     let fault = "[[fault]]\nat_s = 9\nwhat = \"discovery-dead\"\nfor_s = 0.2\n";
-    let outcome = play(&format!("seconds = 14\n{SERVING}{fault}"), 17);
-    holds(&outcome);
-    let told = who(&outcome, 9, 14, answered);
-    assert_eq!(told.len(), 24, "within 5 s {told:?} were told again");
+    let outcome = run_site(&format!("seconds = 14\n{RUNNING_SITE}{fault}"), 17);
+    assert_rules_hold(&outcome);
+    let answered = limiters_that(&outcome, 9, 14, served_discovery_caller);
+    assert_eq!(
+        answered.len(),
+        24,
+        "within 5 s {answered:?} got an answer again"
+    );
 }
 
 fn unix_time(millis: u64) -> SystemTime {
     UNIX_EPOCH + Duration::from_millis(millis)
 }
 
-/// Two that start from old snapshots while the service is dead do not make them seem young.
+/// Limiters that start from old snapshots while the service is dead do not refresh the snapshots' timestamps.
 #[test]
-fn a_start_leaves_the_age_of_its_snapshot_as_it_is() {
+fn a_start_keeps_the_timestamp_of_its_snapshot() {
     let folder = tempfile::tempdir().expect("a folder");
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -551,7 +584,7 @@
                   \"state\":\"ready\",\"capacity_hint\":null,\"boot_ms\":0.0}]";
     let written_at = unix_time(now - 3_600_000);
     for name in ["n0", "n1"] {
-        let label = SnapshotHeader {
+        let header = SnapshotHeader {
             owner: format!("t/{name}"),
             written_at,
             revision: 9_999,
@@ -559,25 +592,25 @@
         std::fs::create_dir_all(folder.path().join(name)).expect("made");
         std::fs::write(
             folder.path().join(name).join("list"),
-            encode(&label, target.as_bytes()),
+            encode(&header, target.as_bytes()),
         )
         .expect("written");
     }
-    let site = TOGETHER.replace("limiters = 24", "limiters = 2");
+    let site = COLD_START.replace("limiters = 24", "limiters = 2");
     let dead = "[[fault]]\nat_s = 0\nwhat = \"discovery-dead\"\nfor_s = 9\n";
-    let outcome = play_with(
-        &keeping(folder.path()),
+    let outcome = run_with_operator_file(
+        &snapshot_operator_file(folder.path()),
         &format!("seconds = 4\n{site}{dead}"),
         19,
     );
-    let ready = Starts::of(&outcome).ready[1];
+    let ready = Starts::from_outcome(&outcome).ready[1];
     assert!(
         ready.is_some_and(|at| at < 3.0),
         "they started from their snapshots: {ready:?}"
     );
     for name in ["n0", "n1"] {
         let bytes = std::fs::read(folder.path().join(name).join("list")).expect("there");
-        let (label, _) = decode(
+        let (header, _) = decode(
             &bytes,
             &format!("t/{name}"),
             unix_time(now),
@@ -585,7 +618,7 @@
         )
         .expect("whole");
         assert_eq!(
-            (label.written_at, label.revision),
+            (header.written_at, header.revision),
             (written_at, 9_999),
             "{name}"
         );
@@ -593,12 +626,12 @@
 }
 
 #[test]
-fn one_limiter_and_two_start_without_waiting() {
+fn groups_of_one_and_two_limiters_start_without_waiting() {
     for limiters in [1, 2] {
-        let site = TOGETHER.replace("limiters = 24", &format!("limiters = {limiters}"));
-        let outcome = play_with("", &format!("seconds = 4\n{site}"), 13);
-        holds(&outcome);
-        let listed = listed(&outcome);
+        let site = COLD_START.replace("limiters = 24", &format!("limiters = {limiters}"));
+        let outcome = run_with_operator_file("", &format!("seconds = 4\n{site}"), 13);
+        assert_rules_hold(&outcome);
+        let listed = list_times(&outcome);
         assert!(
             listed.len() == limiters && listed.iter().all(|at| *at < 1.5),
             "{limiters}: {listed:?}"
@@ -607,17 +640,17 @@
 }
 
 #[test]
-fn a_group_size_that_is_wrong_by_three_keeps_nobody_out() {
-    for told in [8, 72] {
-        let site = TOGETHER.replace(
+fn a_group_size_wrong_by_a_factor_of_three_prevents_no_start() {
+    for group_size in [8, 72] {
+        let site = COLD_START.replace(
             "limiters = 24",
-            &format!("limiters = 24\ntold_limiters = {told}"),
+            &format!("limiters = 24\ntold_limiters = {group_size}"),
         );
-        let outcome = play_with(TOLD, &format!("seconds = 20\n{site}"), 14);
-        holds(&outcome);
-        let listed = listed(&outcome);
-        assert!(listed.len() == 24, "{told}: {listed:?}");
-        let asked = calls(&outcome, 0.0, 20.0).0;
-        assert!(asked <= 24 * 3, "{told}: {asked} calls");
+        let outcome = run_with_operator_file(START_TABLE, &format!("seconds = 20\n{site}"), 14);
+        assert_rules_hold(&outcome);
+        let listed = list_times(&outcome);
+        assert!(listed.len() == 24, "{group_size}: {listed:?}");
+        let asked = discovery_calls(&outcome, 0.0, 20.0).0;
+        assert!(asked <= 24 * 3, "{group_size}: {asked} calls");
     }
 }
