--- a/crates/emberpin-limiter/tests/common/peer.rs
+++ b/crates/emberpin-limiter/tests/common/peer.rs
@@ -108,7 +108,7 @@
     }
 
     /// The limiter's next message, if it arrives within 5 ms.
-    pub fn try_next(&self) -> Option<ReceivedMessage> {
+    pub fn poll(&self) -> Option<ReceivedMessage> {
         self.received_messages
             .recv_timeout(Duration::from_millis(5))
             .ok()
--- a/crates/emberpin-limiter/tests/link.rs
+++ b/crates/emberpin-limiter/tests/link.rs
@@ -199,7 +199,7 @@
     let none = start_error(|keys| std::fs::write(keys.join("n0.pem"), "nothing").expect("written"));
     assert!(none.contains("n0.pem: no certificate"), "{none}");
     let short =
-        refused(|keys| std::fs::write(keys.join("fingerprint.key"), "abcd").expect("written"));
+        start_error(|keys| std::fs::write(keys.join("fingerprint.key"), "abcd").expect("written"));
     assert!(short.contains("expected 64 hexadecimal digits"), "{short}");
     let gone = start_error(|keys| std::fs::remove_file(keys.join("n0.key")).expect("removed"));
     assert!(gone.contains("n0.key: No such file"), "{gone}");
--- a/crates/emberpin-limiter/tests/recorded_peers.rs
+++ b/crates/emberpin-limiter/tests/recorded_peers.rs
@@ -108,7 +108,7 @@
             let answer = Message::read(&self.ask(&format!("meeting-{number}"))).expect("an answer");
             assert_eq!(answer.status(), 503, "no peer grants it");
             for (asked, peer) in asked.iter_mut().zip(&self.peers) {
-                *asked |= std::iter::from_fn(|| peer.try_next()).count() > 0;
+                *asked |= std::iter::from_fn(|| peer.poll()).count() > 0;
             }
             if asked == [true, true] {
                 return;
@@ -143,9 +143,7 @@
                 first.keys()
             );
             for peer in &self.peers {
-                let Some(message) = peer.try_next() else {
-                    continue;
-                };
+                let Some(message) = peer.poll() else { continue };
                 let Some((name, answer)) = name_and_reply(&message) else {
                     continue;
                 };
