--- a/crates/emberpin-limiter/src/stages/takeover.rs
+++ b/crates/emberpin-limiter/src/stages/takeover.rs
@@ -61,7 +61,7 @@
     /// How long servers deduplicate repeats of it, in milliseconds; `None` if they do not.
     deduplication_window_ms: Option<f64>,
     expires: Instant,
-    /// It has completed, and a majority does not know that yet.
+    /// It has completed, and [`WorkGate::completion_known`] still waits.
     closing: Cell<bool>,
     closed: Notify,
 }
@@ -122,8 +122,8 @@
         allowed
     }
 
-    /// Returns once a majority knows that the request has completed, or the failover core no longer waits for one. Its
-    /// client is answered after that, so that no other limiter continues a request whose client has its answer.
+    /// Returns once the client may receive the outcome: a majority has acknowledged it, the completion time-out is over, or
+    /// this limiter no longer owns the work. Before that, another limiter might still continue the request.
     pub async fn completion_known(&self) {
         while self.closing.get() {
             self.closed.notified().await;
@@ -190,7 +190,7 @@
     runner: OnceCell<Runner>,
     /// Attempts that wait for permission.
     pending_attempts: RefCell<HashMap<(WorkId, u32), oneshot::Sender<bool>>>,
-    /// Completed requests that a majority does not know of yet.
+    /// Completed requests whose clients may not receive the outcome yet.
     pending_completions: RefCell<HashMap<WorkId, Rc<WorkGate>>>,
     /// The latest known incarnation of each member.
     incarnations: RefCell<HashMap<u32, Incarnation>>,
@@ -353,7 +353,7 @@
     }
 
     /// The outcome of a request of this limiter was sent to the holders of its key. If it was served,
-    /// [`WorkGate::completion_known`] waits until a majority knows.
+    /// [`WorkGate::completion_known`] waits until its client may receive the outcome.
     pub fn request_completed(&self, gate: &Rc<WorkGate>, served: bool) {
         let Some(id) = gate.work() else { return };
         if served {
--- a/crates/emberpin-limiter/src/upstream/driver.rs
+++ b/crates/emberpin-limiter/src/upstream/driver.rs
@@ -109,7 +109,7 @@
             refetch,
         };
         driver.apply_list(EndpointList {
-            whole: true,
+            full: true,
             ..known
         });
         driver
@@ -302,7 +302,7 @@
             revision: list.rev,
             servers,
         };
-        let held = ListSummary {
+        let current = ListSummary {
             service_generation: self.service_generation,
             revision: self.rev,
             servers: self.roster.count(),
@@ -321,7 +321,7 @@
         if source != ListSource::Service && behind && !confirmed {
             return;
         }
-        let scope = match list.whole {
+        let scope = match list.full {
             true => ListScope::Full,
             false => ListScope::Delta,
         };
@@ -330,12 +330,12 @@
                 list_trust.on_confirmed_list();
                 Verdict::Accept
             }
-            false => list_trust.evaluate(held, received, scope),
+            false => list_trust.evaluate(current, received, scope),
         };
         match verdict {
             Verdict::Accept | Verdict::AcceptDespiteDoubt => self.apply_list(list),
             Verdict::Merge => self.apply_list(EndpointList {
-                whole: false,
+                full: false,
                 ..list
             }),
             Verdict::Reject => return,
@@ -368,7 +368,7 @@
             self.update_upstream(id);
             servers.extend(server);
         }
-        if list.whole {
+        if list.full {
             self.roster.retain(|id| listed.contains(id));
             let missing: Vec<ServerId> = self
                 .engine
@@ -379,7 +379,7 @@
                 .collect();
             missing.into_iter().for_each(|id| self.update_upstream(id));
         }
-        self.handle_event(Event::Membership(match list.whole {
+        self.handle_event(Event::Membership(match list.full {
             true => MembershipUpdate::Full(servers),
             false => MembershipUpdate::Changes(servers),
         }));
@@ -444,7 +444,7 @@
     eprintln!("emberpin: state taken over from the previous process: {what}");
     let list = EndpointList {
         rev: state.rev,
-        whole: true,
+        full: true,
         targets: targets.into_iter().map(Entry::Target).collect(),
         service_generation: 0,
         source: ListSource::Service,
--- a/crates/emberpin-limiter/src/upstream/endpoint_list.rs
+++ b/crates/emberpin-limiter/src/upstream/endpoint_list.rs
@@ -13,7 +13,7 @@
     pub rev: u64,
     #[serde(rename = "all")]
     /// Whether this is the full list; otherwise it contains only changed entries.
-    pub whole: bool,
+    pub full: bool,
     pub targets: Vec<Entry>,
     /// Which list service it comes from: 0 for the first one that this process used, 1 for the next, and so on. Revisions
     /// of different services cannot be compared.
--- a/crates/emberpin-limiter/src/upstream/list_snapshot.rs
+++ b/crates/emberpin-limiter/src/upstream/list_snapshot.rs
@@ -90,7 +90,7 @@
                     let targets = targets.into_iter().map(Entry::Target).collect();
                     Some(EndpointList {
                         rev: header.revision,
-                        whole: true,
+                        full: true,
                         targets,
                         service_generation: 0,
                         source: ListSource::Service,
--- a/crates/emberpin-limiter/src/upstream/list_trust.rs
+++ b/crates/emberpin-limiter/src/upstream/list_trust.rs
@@ -67,19 +67,19 @@
     /// Decides whether a received list is accepted. If it is doubted, schedules another fetch of the full list.
     pub fn evaluate(
         self: &Rc<Self>,
-        held: ListSummary,
+        current: ListSummary,
         received: ListSummary,
         scope: ListScope,
     ) -> Verdict {
         let verdict =
             self.guard
                 .borrow_mut()
-                .evaluate(self.started_at.elapsed(), held, received, scope);
+                .evaluate(self.started_at.elapsed(), current, received, scope);
         if matches!(verdict, Verdict::Merge | Verdict::Reject) {
             eprintln!(
                 "emberpin: doubtful endpoint list at revision {} with {} servers, keeping revision {} with {}; send SIGHUP \
                  to accept it",
-                received.revision, received.servers, held.revision, held.servers
+                received.revision, received.servers, current.revision, current.servers
             );
         }
         let draw = self.random.borrow_mut().rand_float();
--- a/crates/emberpin-limiter/src/upstream/peer_lists.rs
+++ b/crates/emberpin-limiter/src/upstream/peer_lists.rs
@@ -156,7 +156,10 @@
 
     /// The revision of the accepted list; a watch can start from it.
     pub fn revision(&self) -> Option<u64> {
-        self.core.borrow().version().map(|held| held.revision)
+        self.core
+            .borrow()
+            .version()
+            .map(|accepted| accepted.revision)
     }
 
     /// Records whether this limiter's own watch of the service works.
@@ -195,8 +198,12 @@
         let list_epoch = match source {
             ListSource::Peer { epoch, .. } => epoch,
             ListSource::Service => {
-                let held = self.core.borrow().version().map_or(0, |held| held.epoch);
-                held.saturating_add(u32::from(doubted))
+                let accepted = self
+                    .core
+                    .borrow()
+                    .version()
+                    .map_or(0, |accepted| accepted.epoch);
+                accepted.saturating_add(u32::from(doubted))
             }
         };
         let version = ListVersion {
@@ -278,7 +285,7 @@
                 );
                 let list = EndpointList {
                     rev: version.revision,
-                    whole: true,
+                    full: true,
                     targets,
                     service_generation,
                     source,
--- a/crates/emberpin-limiter/src/upstream/server/pool.rs
+++ b/crates/emberpin-limiter/src/upstream/server/pool.rs
@@ -39,7 +39,7 @@
 pub struct PoolLimits {
     /// A connection must be established within this time.
     pub connect: Duration,
-    /// An idle connection is closed after this time, or earlier where the server has said so.
+    /// An idle connection is closed after this time, or earlier where the server has stated a shorter time.
     pub idle: Duration,
     /// Maximum number of idle connections to one server.
     pub max_idle_per_server: usize,
--- a/crates/emberpin-limiter/tests/recorded_peers.rs
+++ b/crates/emberpin-limiter/tests/recorded_peers.rs
@@ -240,15 +240,15 @@
 fn write_messages() -> Vec<Recorded> {
     let site = Site::start();
     let client = site.ask("first");
-    let mut message = site.serve_as_peers(&client);
+    let mut messages = site.serve_as_peers(&client);
     assert_eq!(Message::read(&client).expect("an answer").status(), 200);
     NAMES
-        .map(|name| (name.to_string(), message.remove(name).expect("received")))
+        .map(|name| (name.to_string(), messages.remove(name).expect("received")))
         .to_vec()
 }
 
-fn find(message: Vec<Recorded>, name: &str) -> Vec<u8> {
-    message
+fn find(messages: Vec<Recorded>, name: &str) -> Vec<u8> {
+    messages
         .into_iter()
         .find(|(found, _)| found == name)
         .expect("recorded")
@@ -369,9 +369,9 @@
 /// Except for claims, incarnations and times, which differ in each run.
 #[test]
 fn a_limiters_messages_to_its_peers_equal_the_recorded_ones() {
-    let message = write_messages();
+    let messages = write_messages();
     for name in ["wants", "served"] {
-        let (now, then) = (find(message.clone(), name), recorded(name));
+        let (now, then) = (find(messages.clone(), name), recorded(name));
         assert_eq!(
             at_claim(&now, Claim(1)),
             at_claim(&then, Claim(1)),
@@ -379,7 +379,7 @@
         );
     }
     assert_eq!(
-        encoded_request(&find(message, "going")),
+        encoded_request(&find(messages, "going")),
         encoded_request(&recorded("going"))
     );
 }
