--- a/crates/emberpin-limiter/src/between/link.rs
+++ b/crates/emberpin-limiter/src/between/link.rs
@@ -43,14 +43,15 @@
 /// An event that the link reports to its subscribers.
 #[derive(Clone, Debug)]
 pub enum LinkEvent {
-    /// A member sent a message of the subscribed kind.
+    /// The member of this number sent a message of the subscribed kind.
     MessageReceived { from: u32, body: Vec<u8> },
-    /// The state of a member has changed.
+    /// The state of the member of this number has changed.
     PeerChanged { member: u32, state: PeerState },
     /// A later incarnation of this instance exists: this one must stop.
     Superseded,
 }
 
+/// An event of a connection, for the task that runs the link.
 enum Input {
     Dialed {
         to: String,
@@ -180,8 +181,8 @@
         events
     }
 
-    /// Sends a message to a member. If it cannot be sent, subscribers either soon learn that the member is unreachable,
-    /// or already know it.
+    /// Sends a message to a member. If it cannot be sent, subscribers soon receive [`LinkEvent::PeerChanged`] with the
+    /// member as unreachable, or the message would have been lost in any case.
     pub fn send(&self, member: u32, kind: u16, body: Vec<u8>) {
         if let Some(name) = self.names.get(&member) {
             self.step(Event::Send {
