--- a/crates/emberpin-limiter/src/between/handover.rs
+++ b/crates/emberpin-limiter/src/between/handover.rs
@@ -75,7 +75,7 @@
 pub enum Update {
     /// Quota that was used.
     Usage(Usage),
-    /// An operator took a server out of service, or put it back.
+    /// An operator took a server out of service (`out`), or put it back.
     Maintenance { server: String, out: bool },
     /// The number of sockets that the sender has open.
     SocketCounts(SocketCounts),
