--- a/crates/emberpin-limiter/src/operate/operator_api.rs
+++ b/crates/emberpin-limiter/src/operate/operator_api.rs
@@ -230,7 +230,7 @@
             ),
             Ok(None) => text_response(
                 StatusCode::SERVICE_UNAVAILABLE,
-                "the driver has stopped; nothing was done",
+                "nobody takes calls any more; nothing was done",
             ),
             Err(_) => text_response(
                 StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/emberpin-registry/src/http_api/calls.rs
+++ b/crates/emberpin-registry/src/http_api/calls.rs
@@ -281,7 +281,7 @@
                     &registry.to_string(),
                     uri,
                     query,
-                    "the store of this registry is not confirmed by a majority\n",
+                    "no majority is heard here\n",
                 ))
             }
             _ => Some(response::unavailable()),
@@ -328,12 +328,7 @@
         return response::unavailable();
     };
     let query = CallQuery::from_uri(&head.uri).with_evacuation_version(version);
-    redirect_to(
-        host,
-        &head.uri,
-        query,
-        "repeat the request with this version of the evacuation\n",
-    )
+    redirect_to(host, &head.uri, query, "send it with this version\n")
 }
 
 /// The response 307 to a registry, named by its host and port.
--- a/crates/emberpin-registry/src/http_api/heartbeat_body.rs
+++ b/crates/emberpin-registry/src/http_api/heartbeat_body.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FieldProblem {
     /// The body is not UTF-8.
-    #[error("is not UTF-8")]
+    #[error("is no UTF-8")]
     NotUtf8,
     /// The body is not JSON; contains the parser's message as one line.
     #[error("{0}")]
--- a/crates/emberpin-registry/src/http_api/request_body.rs
+++ b/crates/emberpin-registry/src/http_api/request_body.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RequestBodyError {
     /// Nothing was received for the idle time-out.
-    #[error("body: timed out")]
+    #[error("body: it does not come")]
     TimedOut,
     /// The connection broke, or the body's framing is invalid.
     #[error("body: {0}")]
