--- a/crates/emberpin-limiter/src/front/clients.rs
+++ b/crates/emberpin-limiter/src/front/clients.rs
@@ -1,16 +1,16 @@
 //! The client side: receives requests, forwards them to the driver, and writes the one answer.
 
 use crate::front::admission::{self, Admission, Admitted};
-use crate::front::answers::{client_response, headed, plain};
+use crate::front::answers::{client_response, empty_response, response_with_head};
 use crate::front::connections::{ClientLimits, Connection};
-use crate::front::reception::{Phase, Reception, RequestHandler};
+use crate::front::reception::{ClientListener, Phase, RequestHandler};
 use crate::front::socket_budget::SocketBudget;
 use crate::front::stream::{Content, StreamedContent, StreamedResponse, Upload};
 use crate::messages::{
     AdmittedRequest, Answer, Gate, Input, Reply, RequestBody, UpstreamRequest, MAX_BODY,
 };
 use crate::operate::config::Config;
-use crate::operate::figures::{Active, Ending, Figures};
+use crate::operate::figures::{Active, LimiterMetrics, RequestOutcome};
 use crate::stages::idempotency::{Idempotency, KeyedRequest};
 use crate::stages::takeover::{Runner, Terms};
 use bytes::Bytes;
@@ -65,12 +65,12 @@
     next_id: Cell<u32>,
     /// The clients' ids of the requests in flight here.
     in_flight: RefCell<HashSet<String>>,
-    pub reception: Rc<Reception>,
+    pub client_listener: Rc<ClientListener>,
     /// Slots for streamed request bodies.
     uploads: Arc<Semaphore>,
     /// Slots for streamed responses.
     downloads: Arc<Semaphore>,
-    figures: Arc<Figures>,
+    metrics: Arc<LimiterMetrics>,
 }
 
 /// A request in flight. If it is dropped before it has been answered, for example because its client disconnects, it
@@ -105,13 +105,16 @@
         connection: Rc<Connection>,
     ) -> Response<Content> {
         match (request.method(), request.uri().path()) {
-            (&Method::GET, "/health/ready") => match self.reception.phase() {
-                Phase::Serving => plain(StatusCode::OK),
-                _ => plain(StatusCode::SERVICE_UNAVAILABLE),
+            (&Method::GET, "/health/ready") => match self.client_listener.phase() {
+                Phase::Serving => empty_response(StatusCode::OK),
+                _ => empty_response(StatusCode::SERVICE_UNAVAILABLE),
             },
-            (_, "/health/ready") => plain(StatusCode::METHOD_NOT_ALLOWED),
-            (_, "/api") => self.serve(request, &connection).await.unwrap_or_else(plain),
-            _ => plain(StatusCode::NOT_FOUND),
+            (_, "/health/ready") => empty_response(StatusCode::METHOD_NOT_ALLOWED),
+            (_, "/api") => self
+                .serve(request, &connection)
+                .await
+                .unwrap_or_else(empty_response),
+            _ => empty_response(StatusCode::NOT_FOUND),
         }
     }
 }
@@ -121,7 +124,7 @@
         config: &Config,
         idempotency: Option<Rc<Idempotency>>,
         inputs: mpsc::Sender<Input>,
-        figures: Arc<Figures>,
+        metrics: Arc<LimiterMetrics>,
         socket_budget: Rc<SocketBudget>,
     ) -> Rc<ClientFrontend> {
         // Without a `[start]` table the limiter is ready at once, as the platform's configuration has no such setting.
@@ -136,7 +139,7 @@
             inputs,
             next_id: Cell::new(0),
             in_flight: RefCell::default(),
-            reception: Reception::new(
+            client_listener: ClientListener::new(
                 phase,
                 config.client_sockets,
                 ClientLimits::default(),
@@ -144,7 +147,7 @@
             ),
             uploads: Arc::new(Semaphore::new(config.max_streamed_bodies)),
             downloads: Arc::new(Semaphore::new(config.max_streamed_bodies)),
-            figures,
+            metrics,
         })
     }
 
@@ -164,12 +167,12 @@
         let (buffered, rest) = if body.is_end_stream() {
             (Bytes::new(), None)
         } else {
-            take_in(body).await?
+            buffer_body_start(body).await?
         };
         // The idempotency stage compares whole bodies, so with it enabled, a body that does not fit the buffer is rejected.
         let rest = match rest {
             Some(rest) if self.idempotency.is_some() => {
-                spawn_local(run_out(rest));
+                spawn_local(discard_body(rest));
                 return Err(StatusCode::PAYLOAD_TOO_LARGE);
             }
             rest => rest,
@@ -179,13 +182,13 @@
             .time_limit
             .saturating_sub(RESPONSE_MARGIN)
             .max(admitted.time_limit / 2);
-        let mut active = self.figures.start_request(admitted.class);
+        let mut active = self.metrics.start_request(admitted.class);
         let (body, expires) = match rest {
             None => (RequestBody::Buffered(buffered), Instant::now() + time_limit),
             Some(rest) => {
                 let Ok(buffer_permit) = self.uploads.clone().try_acquire_owned() else {
-                    spawn_local(run_out(rest));
-                    active.set_ending(Ending::Shed);
+                    spawn_local(discard_body(rest));
+                    active.set_outcome(RequestOutcome::Shed);
                     return Err(StatusCode::SERVICE_UNAVAILABLE);
                 };
                 let upload = Rc::new(Upload::new(buffered, length, rest, buffer_permit));
@@ -217,7 +220,7 @@
                 .await
                 {
                     Ok(Ok(buffer_permit)) => {
-                        return Ok(passed_on(
+                        return Ok(streamed_response(
                             streamed,
                             active,
                             connection.clone(),
@@ -232,7 +235,7 @@
         let status = response
             .as_ref()
             .map_or_else(|status| *status, Response::status);
-        active.set_ending(ending_for(status));
+        active.set_outcome(outcome_for(status));
         response
     }
 
@@ -249,7 +252,7 @@
             return Err(StatusCode::CONFLICT);
         }
         let pending = self.open_request(admitted.id);
-        strip(&mut outgoing.headers);
+        remove_hop_by_hop_headers(&mut outgoing.headers);
         // The key of a request that is safe to repeat is ignored.
         let keyed = outgoing.method == Method::POST
             && admission::idempotency_key(&outgoing.headers).is_some();
@@ -344,17 +347,17 @@
     // The answer came before all of the body: the rest is discarded, as closing a connection with unread bytes on it could
     // lose the answer.
     if let Some(rest) = upload.take_rest() {
-        spawn_local(run_out(rest));
+        spawn_local(discard_body(rest));
     }
     Ok(reply)
 }
 
 /// How the metrics count a request that was answered with this status.
-fn ending_for(status: StatusCode) -> Ending {
+fn outcome_for(status: StatusCode) -> RequestOutcome {
     match status {
-        StatusCode::OK => Ending::Ok,
-        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Ending::Shed,
-        _ => Ending::Errors,
+        StatusCode::OK => RequestOutcome::Ok,
+        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => RequestOutcome::Shed,
+        _ => RequestOutcome::Errors,
     }
 }
 
@@ -379,7 +382,9 @@
 /// # Errors
 ///
 /// 408 if the body arrives too slowly, 400 if it breaks off.
-pub async fn take_in(mut body: Incoming) -> Result<(Bytes, Option<Incoming>), StatusCode> {
+pub async fn buffer_body_start(
+    mut body: Incoming,
+) -> Result<(Bytes, Option<Incoming>), StatusCode> {
     let deadline = Instant::now() + BUFFERING_TIMEOUT;
     let mut chunks: Vec<Bytes> = Vec::new();
     let mut size = 0;
@@ -408,21 +413,21 @@
 }
 
 /// Reads and discards the rest of a body: a connection closed with unread bytes on it could lose the answer.
-pub async fn run_out(mut body: Incoming) {
+pub async fn discard_body(mut body: Incoming) {
     let drained =
         async { while let Ok(Some(Ok(_))) = timeout(UPLOAD_IDLE_TIMEOUT, body.frame()).await {} };
     _ = timeout(DISCARD_TIMEOUT, drained).await;
 }
 
 /// Builds the response to a client from a streamed response of a server.
-pub fn passed_on(
+pub fn streamed_response(
     mut response: StreamedResponse,
     active: Active,
     connection: Rc<Connection>,
     buffer_permit: OwnedSemaphorePermit,
 ) -> Response<Content> {
     let head = std::mem::take(&mut response.head);
-    headed(
+    response_with_head(
         head,
         Content::Streamed(Box::new(StreamedContent {
             response,
@@ -487,7 +492,7 @@
 
 /// Removes the hop-by-hop headers: the well-known ones, and those that `Connection` names. The headers that decide how a
 /// request is handled stay, even if `Connection` names them.
-pub fn strip(headers: &mut HeaderMap) {
+pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named = headers
         .get_all(header::CONNECTION)
         .iter()
--- a/crates/emberpin-limiter/src/front/connections.rs
+++ b/crates/emberpin-limiter/src/front/connections.rs
@@ -26,11 +26,11 @@
     /// The next request must begin within this time after an answer; `None` for no bound.
     pub idle: Option<Duration>,
     /// Maximum length of a head, in bytes: a longer one is rejected with 431 as soon as this many bytes have arrived.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
 }
 
 /// Default maximum length of a head, in bytes.
-pub const HEAD_BYTES: usize = 16 * 1024;
+pub const DEFAULT_MAX_HEAD_BYTES: usize = 16 * 1024;
 
 impl Default for ClientLimits {
     /// The platform's clients take up to 2 s to send a head, and may stay idle between requests for any time.
@@ -40,7 +40,7 @@
             head,
             first_request: Duration::from_secs(2),
             idle: None,
-            head_bytes: HEAD_BYTES,
+            max_head_bytes: DEFAULT_MAX_HEAD_BYTES,
         }
     }
 }
--- a/crates/emberpin-limiter/src/front/reception.rs
+++ b/crates/emberpin-limiter/src/front/reception.rs
@@ -49,21 +49,21 @@
 }
 
 /// The listener for clients at one address, with all its connections.
-pub struct Reception {
+pub struct ClientListener {
     phase: watch::Sender<Phase>,
     connections: Rc<Connections>,
 }
 
-impl Reception {
+impl ClientListener {
     /// Creates a listener for at most `max_connections` connections.
     pub fn new(
         phase: Phase,
         max_connections: usize,
         limits: ClientLimits,
         socket_budget: Rc<SocketBudget>,
-    ) -> Rc<Reception> {
+    ) -> Rc<ClientListener> {
         let connections = Rc::new(Connections::new(max_connections, limits, socket_budget));
-        Rc::new(Reception {
+        Rc::new(ClientListener {
             phase: watch::Sender::new(phase),
             connections,
         })
@@ -94,7 +94,7 @@
     }
 
     /// Stops accepting connections, and closes the present ones once they are idle.
-    pub fn close(&self) {
+    pub fn begin_closing(&self) {
         self.phase.send_replace(Phase::Closing);
     }
 
@@ -103,7 +103,7 @@
         self.connections.all_closed().await;
     }
 
-    /// Accepts connections until [`Self::close`]; or, if `shared` (other processes listen on the same socket), only until
+    /// Accepts connections until [`Self::begin_closing`]; or, if `shared` (other processes listen on the same socket), only until
     /// [`Self::begin_draining`], as the other processes accept the later connections.
     pub async fn accept<D: RequestHandler>(
         self: Rc<Self>,
@@ -145,15 +145,15 @@
         slot: ConnectionSlot,
     ) {
         _ = stream.set_nodelay(true);
-        let head_bytes = self.connections.limits().head_bytes;
+        let max_head_bytes = self.connections.limits().max_head_bytes;
         let service = service_fn(|request| {
-            let (reception, handler, connection) =
+            let (client_listener, handler, connection) =
                 (self.clone(), handler.clone(), slot.connection.clone());
             async move {
-                let mut response = reception.respond(handler, request, &connection).await;
+                let mut response = client_listener.respond(handler, request, &connection).await;
                 // The limit on heads has been raised since this connection was accepted, and it would reject heads that are
                 // allowed now.
-                if head_bytes < reception.connections.limits().head_bytes {
+                if max_head_bytes < client_listener.connections.limits().max_head_bytes {
                     response
                         .headers_mut()
                         .insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -169,7 +169,7 @@
             connection: slot.connection.clone(),
         });
         let mut served = pin!(http1::Builder::new()
-            .max_buf_size(head_bytes)
+            .max_buf_size(max_head_bytes)
             .serve_connection(stream, service));
         let mut closing_due = pin!(slot.connection.closing_due());
         tokio::select! {
--- a/crates/emberpin-limiter/src/front/stream.rs
+++ b/crates/emberpin-limiter/src/front/stream.rs
@@ -3,7 +3,7 @@
 
 use crate::front::connections::Connection;
 use crate::messages::ResponseHead;
-use crate::operate::figures::{Active, Ending};
+use crate::operate::figures::{Active, RequestOutcome};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::cell::{Cell, RefCell};
@@ -243,9 +243,9 @@
             Content::Streamed(streamed) => {
                 let next = streamed.response.stream.poll_next(context);
                 match &next {
-                    Poll::Ready(None) => streamed.active.set_ending(Ending::Ok),
+                    Poll::Ready(None) => streamed.active.set_outcome(RequestOutcome::Ok),
                     Poll::Ready(Some(Err(BodyInterrupted))) => {
-                        streamed.active.set_ending(Ending::Errors);
+                        streamed.active.set_outcome(RequestOutcome::Errors);
                         streamed.connection.truncate_response();
                     }
                     Poll::Ready(Some(Ok(_))) | Poll::Pending => {}
--- a/crates/emberpin-limiter/src/host.rs
+++ b/crates/emberpin-limiter/src/host.rs
@@ -2,10 +2,12 @@
 //! client listener, the pool of connections to servers, the engine that drives a decision module, and the types that
 //! they share.
 
-pub use crate::front::answers::{client_response, headed, plain};
-pub use crate::front::clients::{passed_on, run_out, strip, take_in};
-pub use crate::front::connections::{ClientLimits, Connection, HEAD_BYTES};
-pub use crate::front::reception::{Phase, Reception, RequestHandler};
+pub use crate::front::answers::{client_response, empty_response, response_with_head};
+pub use crate::front::clients::{
+    buffer_body_start, discard_body, remove_hop_by_hop_headers, streamed_response,
+};
+pub use crate::front::connections::{ClientLimits, Connection, DEFAULT_MAX_HEAD_BYTES};
+pub use crate::front::reception::{ClientListener, Phase, RequestHandler};
 pub use crate::front::socket_budget::SocketBudget;
 pub use crate::front::stream::{Content, StreamedResponse, Upload};
 pub use crate::messages::{
@@ -13,8 +15,8 @@
     UpstreamRequest,
 };
 pub use crate::operate::clock::Clock;
-pub use crate::operate::figures::{Active, Ending, Figures};
+pub use crate::operate::figures::{Active, LimiterMetrics, RequestOutcome};
 pub use crate::upstream::engine::{Engine, OverdueAttempts, SentAttempt, TimerGrid};
 pub use crate::upstream::roster::ServerInstance;
 pub use crate::upstream::server::{Pool, PoolLimits, Upstream};
-pub use crate::upstream::wire::{Described, Wire};
+pub use crate::upstream::wire::{ResponseInfo, Wire};
--- a/crates/emberpin-limiter/src/limiter.rs
+++ b/crates/emberpin-limiter/src/limiter.rs
@@ -14,12 +14,12 @@
 use crate::between::peers::Peers;
 use crate::front::clients::{takeover_runner, ClientFrontend};
 use crate::front::inherited_socket;
-use crate::front::reception::Reception;
+use crate::front::reception::ClientListener;
 use crate::front::socket_budget::{SocketBudget, SocketCounts};
 use crate::messages::Input;
 use crate::operate::clock::Clock;
 use crate::operate::config::Config;
-use crate::operate::figures::Figures;
+use crate::operate::figures::LimiterMetrics;
 use crate::operate::operator::Operator;
 use crate::operate::operator_api;
 use crate::stages::idempotency::Idempotency;
@@ -72,12 +72,12 @@
     let hung_up = signal_stream(SignalKind::hangup())?;
     let (inputs, received) = mpsc::channel(MAX_QUEUED_INPUTS);
     let (listener, inherited) = bind(config.listen)?;
-    let figures = Figures::new(&config.names.class_names())?;
+    let metrics = LimiterMetrics::new(&config.names.class_names())?;
     let ready = Arc::new(AtomicBool::new(false));
     // The sender is kept alive, as without an operator API the driver would otherwise see a closed channel.
     let (_unused_sender, no_commands) = mpsc::channel(1);
     let commands = match config.ops {
-        Some(at) => operator_api::open(at, ready.clone(), figures.clone())?,
+        Some(at) => operator_api::open(at, ready.clone(), metrics.clone())?,
         None => no_commands,
     };
     // `supersede` is kept alive here, as without a link the channel would otherwise seem closed.
@@ -135,7 +135,7 @@
         hung_up,
         discovery,
         list_trust.clone(),
-        figures.clone(),
+        metrics.clone(),
     ));
     let (max_drain_time, drain_grace) = (config.longest_deadline(), config.connections.drain_grace);
     if let Some(takeover) = idempotency.as_ref().and_then(|stage| stage.takeover()) {
@@ -145,15 +145,19 @@
         &config,
         idempotency,
         inputs.clone(),
-        figures.clone(),
+        metrics.clone(),
         socket_budget.clone(),
     );
-    let reception = frontend.reception.clone();
-    let accepting = spawn_local(reception.clone().accept(frontend, listener, inherited));
+    let client_listener = frontend.client_listener.clone();
+    let accepting = spawn_local(
+        client_listener
+            .clone()
+            .accept(frontend, listener, inherited),
+    );
     let pool = Pool::new(
         config.pool_limits(),
         Rc::new(PlatformWire),
-        figures.clone(),
+        metrics.clone(),
         socket_budget,
     );
     spawn_local(pool.clone().track_sibling());
@@ -166,13 +170,13 @@
         list_trust: list_trust.clone(),
         peer_lists,
         refetch,
-        figures,
+        metrics,
         pool,
     };
     let driver = spawn_local(Driver::new(config, parts, handed_over).run(received, callers));
 
     tokio::select! {
-        () = become_ready(list_trust, &reception, &ready) => {}
+        () = become_ready(list_trust, &client_listener, &ready) => {}
         _ = terminated.recv() => {}
         _ = superseded.recv() => return Err("another incarnation of this instance uses its name".into()),
         ended = driver => return Err(format!("the driver ended: {ended:?}")),
@@ -180,7 +184,7 @@
     }
     ready.store(false, Ordering::Release);
     upgrade.terminate().await;
-    drain(&reception, drain_grace, max_drain_time).await;
+    drain(&client_listener, drain_grace, max_drain_time).await;
     Ok(())
 }
 
@@ -249,13 +253,13 @@
 /// Marks this process as ready once the endpoint list can be trusted, then stays pending: it never returns.
 async fn become_ready(
     list_trust: Option<Rc<ListTrust>>,
-    reception: &Reception,
+    client_listener: &ClientListener,
     ready: &AtomicBool,
 ) {
     if let Some(list_trust) = list_trust {
         list_trust.ready().await;
     }
-    reception.open();
+    client_listener.open();
     ready.store(true, Ordering::Release);
     std::future::pending::<()>().await;
 }
@@ -263,11 +267,11 @@
 /// Drains: for `grace`, requests are still accepted, so that load balancers can notice that readiness is off; then the
 /// accepted requests are answered. `max_time` bounds that, as a client that has sent half a request must not keep the
 /// process running for ever.
-async fn drain(reception: &Reception, grace: Duration, max_time: Duration) {
-    reception.begin_draining();
+async fn drain(client_listener: &ClientListener, grace: Duration, max_time: Duration) {
+    client_listener.begin_draining();
     tokio::time::sleep(grace).await;
-    reception.close();
-    _ = tokio::time::timeout(max_time, reception.all_closed()).await;
+    client_listener.begin_closing();
+    _ = tokio::time::timeout(max_time, client_listener.all_closed()).await;
 }
 
 /// Opens the clients' listening socket, where it was not inherited.
@@ -292,7 +296,7 @@
     mut hung_up: Signal,
     discovery: Discovery,
     list_trust: Option<Rc<ListTrust>>,
-    figures: Arc<Figures>,
+    metrics: Arc<LimiterMetrics>,
 ) {
     // Settings of operator files hold until the process exits, so they are not read again.
     let operator = Operator::default();
@@ -307,14 +311,14 @@
                 if let Some(list_trust) = &list_trust {
                     list_trust.override_doubt();
                 }
-                figures.config_applied.inc();
+                metrics.config_applied.inc();
             }
             Err(problem) => {
                 eprintln!(
                     "emberpin: configuration not changed: {}",
                     problem.replace('\n', " ")
                 );
-                figures.config_rejected.inc();
+                metrics.config_rejected.inc();
             }
         }
     }
--- a/crates/emberpin-limiter/src/messages.rs
+++ b/crates/emberpin-limiter/src/messages.rs
@@ -191,7 +191,7 @@
     /// A server's response.
     Served(ServerResponse),
     /// Rejected before it ran on any server; the client may retry.
-    Refused {
+    Rejected {
         /// The delay before a retry, in milliseconds; 0 for no advice.
         retry_after: Millis,
     },
@@ -207,7 +207,7 @@
         content_type: Option<Vec<u8>>,
         body: Vec<u8>,
     },
-    Refused {
+    Rejected {
         retry_after: Millis,
     },
     Failed,
@@ -223,7 +223,7 @@
                     .map(|value| value.as_bytes().to_vec()),
                 body: body.to_vec(),
             },
-            Answer::Refused { retry_after } => StoredAnswer::Refused { retry_after },
+            Answer::Rejected { retry_after } => StoredAnswer::Rejected { retry_after },
             Answer::Failed => StoredAnswer::Failed,
         }
     }
@@ -238,7 +238,7 @@
                 ),
                 body: body.into(),
             }),
-            StoredAnswer::Refused { retry_after } => Answer::Refused { retry_after },
+            StoredAnswer::Rejected { retry_after } => Answer::Rejected { retry_after },
             StoredAnswer::Failed => Answer::Failed,
         }
     }
--- a/crates/emberpin-limiter/src/operate/figures.rs
+++ b/crates/emberpin-limiter/src/operate/figures.rs
@@ -9,7 +9,7 @@
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestOutcome {
     /// It was served completely.
     Ok,
     /// It was rejected before any server ran it, so a retry is harmless.
@@ -18,22 +18,26 @@
     Errors,
 }
 
-impl Ending {
-    const ALL: [Ending; 3] = [Ending::Ok, Ending::Shed, Ending::Errors];
+impl RequestOutcome {
+    const ALL: [RequestOutcome; 3] = [
+        RequestOutcome::Ok,
+        RequestOutcome::Shed,
+        RequestOutcome::Errors,
+    ];
 
     fn label(self) -> &'static str {
         match self {
-            Ending::Ok => "ok",
-            Ending::Shed => "shed",
-            Ending::Errors => "errors",
+            RequestOutcome::Ok => "ok",
+            RequestOutcome::Shed => "shed",
+            RequestOutcome::Errors => "errors",
         }
     }
 }
 
 /// The metrics of one process.
-pub struct Figures {
+pub struct LimiterMetrics {
     registry: Registry,
-    /// Counters of ended requests, for each class, in the order of [`Ending::ALL`].
+    /// Counters of ended requests, for each class, in the order of [`RequestOutcome::ALL`].
     responses: Vec<[IntCounter; 3]>,
     /// Number of attempts whose last byte was written to a server.
     pub attempts: IntCounter,
@@ -49,19 +53,19 @@
     pub config_rejected: IntCounter,
 }
 
-impl Figures {
+impl LimiterMetrics {
     /// Creates the metrics, all at zero, for classes of these names.
     ///
     /// # Errors
     ///
     /// The metrics library's error for names that it does not accept.
-    pub fn new(classes: &[String]) -> Result<Arc<Figures>, String> {
-        Figures::register(classes)
+    pub fn new(classes: &[String]) -> Result<Arc<LimiterMetrics>, String> {
+        LimiterMetrics::register(classes)
             .map(Arc::new)
             .map_err(|e| format!("figures: {e}"))
     }
 
-    fn register(classes: &[String]) -> prometheus::Result<Figures> {
+    fn register(classes: &[String]) -> prometheus::Result<LimiterMetrics> {
         let registry = Registry::new();
         let opts = |name: &str, help: &str| Opts::new(format!("app_{name}"), help);
         let counter = |name: &str, help: &str| -> prometheus::Result<IntCounter> {
@@ -79,19 +83,19 @@
             &["kind", "result"],
         )?;
         registry.register(Box::new(responses.clone()))?;
-        let response_counter = |class: &String, ending: Ending| {
-            responses.get_metric_with_label_values(&[class.as_str(), ending.label()])
+        let response_counter = |class: &String, outcome: RequestOutcome| {
+            responses.get_metric_with_label_values(&[class.as_str(), outcome.label()])
         };
         let mut by_class = Vec::with_capacity(classes.len());
         for class in classes {
-            let [ok, shed, errors] = Ending::ALL;
+            let [ok, shed, errors] = RequestOutcome::ALL;
             by_class.push([
                 response_counter(class, ok)?,
                 response_counter(class, shed)?,
                 response_counter(class, errors)?,
             ]);
         }
-        Ok(Figures {
+        Ok(LimiterMetrics {
             responses: by_class,
             attempts: counter("tries", "Attempts written whole to servers")?,
             active: gauge("active", "Requests taken and not ended")?,
@@ -110,9 +114,9 @@
     pub fn start_request(self: &Arc<Self>, class: ClassId) -> Active {
         self.active.inc();
         Active {
-            figures: self.clone(),
+            metrics: self.clone(),
             class,
-            ending: None,
+            outcome: None,
         }
     }
 
@@ -131,25 +135,25 @@
 /// An active request. One that is dropped without an ending, because its client abandoned it, is not counted in
 /// `app_responses`.
 pub struct Active {
-    figures: Arc<Figures>,
+    metrics: Arc<LimiterMetrics>,
     class: ClassId,
-    ending: Option<Ending>,
+    outcome: Option<RequestOutcome>,
 }
 
 impl Active {
     /// Sets how the request is counted when this value is dropped; the last call wins.
-    pub fn set_ending(&mut self, ending: Ending) {
-        self.ending = Some(ending);
+    pub fn set_outcome(&mut self, outcome: RequestOutcome) {
+        self.outcome = Some(outcome);
     }
 }
 
 impl Drop for Active {
     fn drop(&mut self) {
-        self.figures.active.dec();
-        if let (Some(ending), Some(counters)) =
-            (self.ending, self.figures.responses.get(self.class.0))
+        self.metrics.active.dec();
+        if let (Some(outcome), Some(counters)) =
+            (self.outcome, self.metrics.responses.get(self.class.0))
         {
-            counters[ending as usize].inc();
+            counters[outcome as usize].inc();
         }
     }
 }
@@ -160,19 +164,19 @@
 
     #[test]
     fn each_request_is_active_until_it_ends_and_is_counted_once() {
-        let figures = Figures::new(&["look".into(), "submit".into()]).expect("sound");
-        let mut served = figures.start_request(ClassId(1));
-        let abandoned = figures.start_request(ClassId(0));
-        let text = figures.text().expect("text");
+        let metrics = LimiterMetrics::new(&["look".into(), "submit".into()]).expect("sound");
+        let mut served = metrics.start_request(ClassId(1));
+        let abandoned = metrics.start_request(ClassId(0));
+        let text = metrics.text().expect("text");
         assert!(text.contains("\napp_active 2\n"), "{text}");
         assert!(
             text.contains("app_responses{kind=\"submit\",result=\"ok\"} 0\n"),
             "{text}"
         );
-        served.set_ending(Ending::Errors);
-        served.set_ending(Ending::Ok);
+        served.set_outcome(RequestOutcome::Errors);
+        served.set_outcome(RequestOutcome::Ok);
         drop((served, abandoned));
-        let text = figures.text().expect("text");
+        let text = metrics.text().expect("text");
         assert!(text.contains("\napp_active 0\n"), "{text}");
         assert!(
             text.contains("app_responses{kind=\"submit\",result=\"ok\"} 1\n"),
--- a/crates/emberpin-limiter/src/operate/operator_api.rs
+++ b/crates/emberpin-limiter/src/operate/operator_api.rs
@@ -4,7 +4,7 @@
 //! Metrics are read directly. Commands about servers go to the driver; a command that the driver does not confirm in time
 //! fails, and the driver must not execute it later.
 
-use crate::operate::figures::Figures;
+use crate::operate::figures::LimiterMetrics;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -64,7 +64,7 @@
 /// The state that the interface reads, and the channel to the driver.
 struct OperatorApi {
     ready: Arc<AtomicBool>,
-    figures: Arc<Figures>,
+    metrics: Arc<LimiterMetrics>,
     commands: mpsc::Sender<ServerCommand>,
 }
 
@@ -77,7 +77,7 @@
 pub fn open(
     address: SocketAddr,
     ready: Arc<AtomicBool>,
-    figures: Arc<Figures>,
+    metrics: Arc<LimiterMetrics>,
 ) -> Result<mpsc::Receiver<ServerCommand>, String> {
     let bound = TcpListener::bind(address).and_then(|listener| {
         listener.set_nonblocking(true)?;
@@ -92,7 +92,7 @@
     let serving = move || {
         let api = Rc::new(OperatorApi {
             ready,
-            figures,
+            metrics,
             commands,
         });
         LocalSet::new().block_on(&runtime, accept(api, listener));
@@ -187,7 +187,7 @@
                 text_response(StatusCode::OK, "takes clients")
             }
             READINESS => text_response(StatusCode::SERVICE_UNAVAILABLE, "takes no clients"),
-            STATS => match self.figures.text() {
+            STATS => match self.metrics.text() {
                 Ok(text) => text_response(StatusCode::OK, text.trim_end()),
                 Err(problem) => text_response(StatusCode::INTERNAL_SERVER_ERROR, &problem),
             },
--- a/crates/emberpin-limiter/src/operate/request_path.rs
+++ b/crates/emberpin-limiter/src/operate/request_path.rs
@@ -3,7 +3,7 @@
 
 use crate::front::admission::Admission;
 use crate::front::answers::client_response;
-use crate::front::clients::strip;
+use crate::front::clients::remove_hop_by_hop_headers;
 use crate::messages::{Answer, ResponseHead, ServerResponse};
 use crate::operate::config::Config;
 use crate::operate::operator::Operator;
@@ -77,7 +77,7 @@
             Err(status) => return status,
         };
         let mut headers = request.into_parts().0.headers;
-        strip(&mut headers);
+        remove_hop_by_hop_headers(&mut headers);
         let id = RequestId(self.next_id);
         self.next_id = self.next_id.wrapping_add(1);
         self.handle_event(Event::Request(emberpin_balancer::Request {
@@ -98,7 +98,7 @@
             _ => None,
         });
         let Some(server) = sent else {
-            return client_response(Answer::Refused {
+            return client_response(Answer::Rejected {
                 retry_after: SERVICE_TIME,
             })
             .status();
--- a/crates/emberpin-limiter/src/stages/idempotency.rs
+++ b/crates/emberpin-limiter/src/stages/idempotency.rs
@@ -4,7 +4,7 @@
 
 use crate::between::link::{Link, LinkEvent, KEY_MESSAGES};
 use crate::between::tls;
-use crate::front::answers::{client_response, plain};
+use crate::front::answers::{client_response, empty_response};
 use crate::front::stream::Content;
 use crate::messages::{Answer, UpstreamRequest, MAX_BODY};
 use crate::operate::config::Config;
@@ -49,7 +49,7 @@
     fn weight(&self) -> usize {
         match self {
             Answer::Served(served) => served.body.len() + HEAD_WEIGHT,
-            Answer::Refused { .. } | Answer::Failed => HEAD_WEIGHT,
+            Answer::Rejected { .. } | Answer::Failed => HEAD_WEIGHT,
         }
     }
 }
@@ -364,13 +364,13 @@
         };
         let overtaken = work.as_ref().is_some_and(is_fenced);
         let answer = match answer {
-            Answer::Refused { .. } if overtaken => Answer::Failed,
+            Answer::Rejected { .. } if overtaken => Answer::Failed,
             answer => answer,
         };
         let served = matches!(answer, Answer::Served(_));
         self.handle(match answer {
             Answer::Served(_) => Event::Served { ticket, answer },
-            Answer::Refused { .. } => Event::Rejected { ticket, answer },
+            Answer::Rejected { .. } => Event::Rejected { ticket, answer },
             Answer::Failed => Event::Failed { ticket, answer },
         });
         if let Some((gate, takeover)) = work {
@@ -575,7 +575,7 @@
                 takeover.takeover_completed(id);
             }
             // It may have run before it was taken over.
-            Answer::Refused { .. } | Answer::Failed => takeover.takeover_failed(id),
+            Answer::Rejected { .. } | Answer::Failed => takeover.takeover_failed(id),
         }
     }
 }
@@ -766,7 +766,7 @@
 fn problem(status: StatusCode, detail: &str, retry_after: Option<f64>) -> Response<Content> {
     let title = status.canonical_reason().unwrap_or("Problem");
     let body = serde_json::json!({"type": "about:blank", "title": title, "status": status.as_u16(), "detail": detail});
-    let mut response = plain(status);
+    let mut response = empty_response(status);
     *response.body_mut() = Content::Buffered(Some(body.to_string().into()));
     let content_type = HeaderValue::from_static("application/problem+json");
     response
--- a/crates/emberpin-limiter/src/upstream/driver.rs
+++ b/crates/emberpin-limiter/src/upstream/driver.rs
@@ -6,7 +6,7 @@
 use crate::messages::Input;
 use crate::operate::clock::Clock;
 use crate::operate::config::Config;
-use crate::operate::figures::Figures;
+use crate::operate::figures::LimiterMetrics;
 use crate::operate::operator_api::{ServerCommand, UnknownServer};
 use crate::upstream::endpoint_list::{server_id, EndpointList, Entry, ListSource, State};
 use crate::upstream::engine::Engine;
@@ -31,7 +31,7 @@
     names: IndexNames,
     pool: Rc<Pool>,
     roster: Roster,
-    figures: Arc<Figures>,
+    metrics: Arc<LimiterMetrics>,
     peers: Option<Rc<Peers>>,
     list_calls: Rc<ListCalls>,
     refetch: Rc<Notify>,
@@ -55,7 +55,7 @@
     pub list_trust: Option<Rc<ListTrust>>,
     pub peer_lists: Option<Rc<PeerLists>>,
     pub refetch: Rc<Notify>,
-    pub figures: Arc<Figures>,
+    pub metrics: Arc<LimiterMetrics>,
     pub pool: Rc<Pool>,
 }
 
@@ -78,7 +78,7 @@
             list_trust,
             peer_lists,
             refetch,
-            figures,
+            metrics,
             pool,
         } = parts;
         spawn_local(pool.clone().expire_idle());
@@ -101,7 +101,7 @@
             other: None,
             names: config.names,
             roster,
-            figures,
+            metrics,
             peers,
             list_calls,
             list_trust,
@@ -148,11 +148,11 @@
     }
 
     /// Publishes the number of servers. Called when the module's timers fire, which is often
-    /// enough: the figures may be half a second late.
+    /// enough: the gauges may be half a second late.
     fn publish_pool_size(&self) {
         let PoolSize { listed, avoided } = self.engine.gateway.pool_size(self.engine.clock.now());
-        self.figures.pool_size.set(listed as i64);
-        self.figures.pool_ejected.set(avoided as i64);
+        self.metrics.pool_size.set(listed as i64);
+        self.metrics.pool_ejected.set(avoided as i64);
     }
 
     /// Takes a server out of service for an operator, or puts it back; repeating either changes nothing.
--- a/crates/emberpin-limiter/src/upstream/engine/mod.rs
+++ b/crates/emberpin-limiter/src/upstream/engine/mod.rs
@@ -245,7 +245,7 @@
             Action::Reject {
                 request,
                 retry_after,
-            } => self.answer(request, Answer::Refused { retry_after }),
+            } => self.answer(request, Answer::Rejected { retry_after }),
             Action::Fail { request } => self.answer(request, Answer::Failed),
             Action::Cancel { request, attempt } => self.cancel(request, attempt),
             Action::Probe { server } => self.probe(server),
@@ -368,7 +368,7 @@
             running.cancel = None;
         }
         let answer = match answer {
-            Answer::Refused { .. } if in_flight.may_have_run && self.reject_only_unexecuted => {
+            Answer::Rejected { .. } if in_flight.may_have_run && self.reject_only_unexecuted => {
                 Answer::Failed
             }
             answer => answer,
--- a/crates/emberpin-limiter/src/upstream/server/exchange.rs
+++ b/crates/emberpin-limiter/src/upstream/server/exchange.rs
@@ -85,18 +85,18 @@
             Some(_) => timeout,
         };
         let wire = self.pool.wire.clone();
-        wire.address(request.headers_mut(), left, self.instance.as_ref());
-        let mark = wire.mark(request.headers());
+        wire.set_request_headers(request.headers_mut(), left, self.instance.as_ref());
+        let request_id = wire.request_id(request.headers());
         let rules = ResponseRules {
             wire: &*wire,
-            mark: mark.as_ref(),
+            request_id: request_id.as_ref(),
             may_stream: outgoing.is_some_and(|outgoing| outgoing.may_stream),
             buffer_limit: self.pool.limits.buffered_response_bytes,
         };
         let (progress, idle_time) = (connection.progress.clone(), connection.idle_time);
         let request = request.map(|body| SentBody::new(body, progress.clone()));
         progress.reset(
-            outgoing.map(|_| self.pool.figures.attempts.clone()),
+            outgoing.map(|_| self.pool.metrics.attempts.clone()),
             request.body().is_end_stream(),
         );
         // The time for a body that is still uploaded begins with its last byte.
@@ -175,7 +175,7 @@
         };
         match received {
             Some(Ok((response, body))) => {
-                let outcome = wire.judge(rules.mark, &response);
+                let outcome = wire.outcome(rules.request_id, &response);
                 let response = self.finish(response, body, progress);
                 (outcome, Some(response))
             }
--- a/crates/emberpin-limiter/src/upstream/server/pool.rs
+++ b/crates/emberpin-limiter/src/upstream/server/pool.rs
@@ -2,7 +2,7 @@
 
 use super::connection::{ConnectError, ServerConnection};
 use crate::front::socket_budget::SocketBudget;
-use crate::operate::figures::Figures;
+use crate::operate::figures::LimiterMetrics;
 use crate::upstream::lifetimes::Lifetimes;
 use crate::upstream::wire::Wire;
 use std::cell::{Cell, RefCell};
@@ -24,7 +24,7 @@
 pub struct Pool {
     pub(super) limits: PoolLimits,
     pub(super) wire: Rc<dyn Wire>,
-    pub(super) figures: Arc<Figures>,
+    pub(super) metrics: Arc<LimiterMetrics>,
     sockets: Arc<Semaphore>,
     socket_budget: Rc<SocketBudget>,
     /// The longest idle first.
@@ -68,7 +68,7 @@
     pub fn new(
         limits: PoolLimits,
         wire: Rc<dyn Wire>,
-        figures: Arc<Figures>,
+        metrics: Arc<LimiterMetrics>,
         socket_budget: Rc<SocketBudget>,
     ) -> Rc<Pool> {
         Rc::new(Pool {
@@ -79,7 +79,7 @@
             idle: RefCell::default(),
             lifetimes: RefCell::default(),
             next_key: Cell::new(0),
-            figures,
+            metrics,
         })
     }
 
--- a/crates/emberpin-limiter/src/upstream/server/response.rs
+++ b/crates/emberpin-limiter/src/upstream/server/response.rs
@@ -26,8 +26,8 @@
 #[derive(Clone, Copy)]
 pub(super) struct ResponseRules<'a> {
     pub(super) wire: &'a dyn Wire,
-    /// The mark that the response must carry to belong to this request, see [`Wire::mark`].
-    pub(super) mark: Option<&'a HeaderValue>,
+    /// The request id that the response must carry to belong to this request, see [`Wire::request_id`].
+    pub(super) request_id: Option<&'a HeaderValue>,
     /// A good response that is too long or too slow to buffer may be streamed; without this it is an error.
     pub(super) may_stream: bool,
     /// Maximum number of bytes of a body that are buffered.
@@ -92,11 +92,15 @@
             return Err(ExchangeError::InvalidResponse);
         }
         let head = Response::from_parts(parts, ());
-        if !rules.wire.belongs(rules.mark, head.headers()) {
+        if !rules
+            .wire
+            .response_belongs(rules.request_id, head.headers())
+        {
             return Err(ExchangeError::InvalidResponse);
         }
-        self.stated_lifetime = rules.wire.keeps_idle(head.headers());
-        let may_stream = rules.may_stream && rules.wire.judge(rules.mark, &head) == Outcome::Ok;
+        self.stated_lifetime = rules.wire.idle_timeout(head.headers());
+        let may_stream =
+            rules.may_stream && rules.wire.outcome(rules.request_id, &head) == Outcome::Ok;
         let body = self
             .receive_body(body, rules.buffer_limit, may_stream)
             .await?;
--- a/crates/emberpin-limiter/src/upstream/server/upstream.rs
+++ b/crates/emberpin-limiter/src/upstream/server/upstream.rs
@@ -6,7 +6,7 @@
 use crate::front::stream::StreamedResponse;
 use crate::messages::{Answer, AttemptEnd, Reply, RequestBody, ServerResponse, UpstreamRequest};
 use crate::upstream::roster::ServerInstance;
-use crate::upstream::wire::Described;
+use crate::upstream::wire::ResponseInfo;
 use bytes::Bytes;
 use emberpin_balancer::Outcome;
 use hyper::header::{HeaderValue, HOST};
@@ -130,13 +130,13 @@
             Some(ExchangedResponse::Complete(response, bytes)) => (response, Ok(bytes)),
             Some(ExchangedResponse::Streamed(response, stream)) => (response, Err(stream)),
         };
-        let Described {
+        let ResponseInfo {
             head,
             load,
             metered,
             misdirected,
-            stands,
-        } = self.pool.wire.describe(outcome, response);
+            is_forwardable,
+        } = self.pool.wire.describe_response(outcome, response);
         let reply = match body {
             Ok(body) => Reply::Answer(Answer::Served(ServerResponse { head, body })),
             Err(stream) => Reply::Streamed(StreamedResponse {
@@ -146,7 +146,7 @@
         };
         let (response, error_response) = match outcome {
             Outcome::Ok => (Some(reply), None),
-            _ => (None, Some(reply).filter(|_| stands)),
+            _ => (None, Some(reply).filter(|_| is_forwardable)),
         };
         AttemptEnd {
             outcome,
--- a/crates/emberpin-limiter/src/upstream/wire.rs
+++ b/crates/emberpin-limiter/src/upstream/wire.rs
@@ -11,16 +11,21 @@
 /// The header conventions of one deployment.
 pub trait Wire {
     /// Adds the headers that state the time left for the request, and the incarnation of the server that it is meant for.
-    fn address(&self, headers: &mut HeaderMap, left: Duration, instance: Option<&HeaderValue>);
+    fn set_request_headers(
+        &self,
+        headers: &mut HeaderMap,
+        left: Duration,
+        instance: Option<&HeaderValue>,
+    );
 
-    /// The mark by which a response to a request with these headers is recognised; `None` where responses carry no mark.
-    fn mark(&self, headers: &HeaderMap) -> Option<HeaderValue>;
+    /// The id by which a response to a request with these headers is recognised; `None` where responses carry no request id.
+    fn request_id(&self, headers: &HeaderMap) -> Option<HeaderValue>;
 
-    /// Whether a response with these headers belongs to the request with this mark.
-    fn belongs(&self, mark: Option<&HeaderValue>, headers: &HeaderMap) -> bool;
+    /// Whether a response with these headers belongs to the request with this id.
+    fn response_belongs(&self, request_id: Option<&HeaderValue>, headers: &HeaderMap) -> bool;
 
     /// The outcome of an attempt that received this response. [`Outcome::Ok`] means that the client may receive it as it is.
-    fn judge(&self, mark: Option<&HeaderValue>, response: &Response<()>) -> Outcome;
+    fn outcome(&self, request_id: Option<&HeaderValue>, response: &Response<()>) -> Outcome;
 
     /// Whether a server may begin to run a request of which only a part has arrived. If so, an attempt that broke off after
     /// its first byte may have run.
@@ -30,14 +35,14 @@
 
     /// How long the server states that it keeps the idle connection open, less a safety margin; `None` if it does not state
     /// it.
-    fn keeps_idle(&self, headers: &HeaderMap) -> Option<Duration>;
+    fn idle_timeout(&self, headers: &HeaderMap) -> Option<Duration>;
 
     /// Reads the information in a response's head.
-    fn describe(&self, outcome: Outcome, response: Response<()>) -> Described;
+    fn describe_response(&self, outcome: Outcome, response: Response<()>) -> ResponseInfo;
 }
 
 /// The information in a response's head.
-pub struct Described {
+pub struct ResponseInfo {
     /// The head that the client receives.
     pub head: ResponseHead,
     /// The load that the server reported.
@@ -47,28 +52,33 @@
     /// Another server answered than the one that the request was meant for.
     pub misdirected: bool,
     /// The client may receive this response although it is an error, if no attempt brings a better one.
-    pub stands: bool,
+    pub is_forwardable: bool,
 }
 
 /// The headers of the limiter that is configured by `GW_CONFIG`.
 pub struct PlatformWire;
 
 impl Wire for PlatformWire {
-    fn address(&self, headers: &mut HeaderMap, left: Duration, _: Option<&HeaderValue>) {
+    fn set_request_headers(
+        &self,
+        headers: &mut HeaderMap,
+        left: Duration,
+        _: Option<&HeaderValue>,
+    ) {
         if let Ok(value) = HeaderValue::try_from(format!("{:.3}", left.as_secs_f64())) {
             headers.insert("req-deadline", value);
         }
     }
 
-    fn mark(&self, _: &HeaderMap) -> Option<HeaderValue> {
+    fn request_id(&self, _: &HeaderMap) -> Option<HeaderValue> {
         None
     }
 
-    fn belongs(&self, _: Option<&HeaderValue>, _: &HeaderMap) -> bool {
+    fn response_belongs(&self, _: Option<&HeaderValue>, _: &HeaderMap) -> bool {
         true
     }
 
-    fn judge(&self, _: Option<&HeaderValue>, response: &Response<()>) -> Outcome {
+    fn outcome(&self, _: Option<&HeaderValue>, response: &Response<()>) -> Outcome {
         let declined = response
             .headers()
             .get("srv-declined")
@@ -82,11 +92,11 @@
         }
     }
 
-    fn keeps_idle(&self, _: &HeaderMap) -> Option<Duration> {
+    fn idle_timeout(&self, _: &HeaderMap) -> Option<Duration> {
         None
     }
 
-    fn describe(&self, _: Outcome, response: Response<()>) -> Described {
+    fn describe_response(&self, _: Outcome, response: Response<()>) -> ResponseInfo {
         let all = |name: &str| {
             response
                 .headers()
@@ -108,12 +118,12 @@
                 *field = parse_number(value);
             }
         }
-        Described {
+        ResponseInfo {
             head: ResponseHead::of_type(response.headers().get(CONTENT_TYPE).cloned()),
             load: report,
             metered: used.map(|percent| percent / 100.0),
             misdirected: false,
-            stands: false,
+            is_forwardable: false,
         }
     }
 }
--- a/crates/emberpin-proxy/src/connection_pool.rs
+++ b/crates/emberpin-proxy/src/connection_pool.rs
@@ -1,7 +1,7 @@
 //! Limits on the connections of the process, and the pool of connections to servers.
 
 use crate::wire::GatewayWire;
-use emberpin_limiter::host::{Figures, Pool, PoolLimits, SocketBudget};
+use emberpin_limiter::host::{LimiterMetrics, Pool, PoolLimits, SocketBudget};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -51,7 +51,7 @@
 /// Starts the pool of connections to servers.
 pub fn start_pool(
     max_sockets: usize,
-    figures: &Arc<Figures>,
+    limiter_metrics: &Arc<LimiterMetrics>,
     socket_budget: &Rc<SocketBudget>,
 ) -> Rc<Pool> {
     let limits = PoolLimits {
@@ -65,7 +65,7 @@
     let pool = Pool::new(
         limits,
         Rc::new(GatewayWire),
-        figures.clone(),
+        limiter_metrics.clone(),
         socket_budget.clone(),
     );
     spawn_local(pool.clone().expire_idle());
--- a/crates/emberpin-proxy/src/controller/configuration.rs
+++ b/crates/emberpin-proxy/src/controller/configuration.rs
@@ -47,7 +47,7 @@
     fn apply_limits(&self, limits: &Limits) {
         self.published
             .set_size_limits(limits.max_header_bytes, limits.max_body_bytes);
-        self.reception.set_limits(client_limits(limits));
+        self.client_listener.set_limits(client_limits(limits));
     }
 
     fn apply_evacuations(&mut self, zones: BTreeSet<String>) {
--- a/crates/emberpin-proxy/src/controller/limits.rs
+++ b/crates/emberpin-proxy/src/controller/limits.rs
@@ -1,7 +1,7 @@
-//! Converts the configuration's limits on client connections to those that the reception enforces.
+//! Converts the configuration's limits on client connections to those that the client listener enforces.
 
 use emberpin_config::Limits;
-use emberpin_limiter::host::{ClientLimits, HEAD_BYTES};
+use emberpin_limiter::host::{ClientLimits, DEFAULT_MAX_HEAD_BYTES};
 use std::time::Duration;
 
 /// Upper bound of the configured length of a request head, in bytes: each client connection may buffer one.
@@ -16,12 +16,12 @@
 pub(super) fn client_limits(limits: &Limits) -> ClientLimits {
     let head = limits.header_read_timeout + HEAD_TIME_MARGIN;
     let idle = limits.idle_timeout + IDLE_TIME_MARGIN;
-    let head_bytes = usize::try_from(limits.max_header_bytes).unwrap_or(MAX_HEAD_BYTES);
+    let max_head_bytes = usize::try_from(limits.max_header_bytes).unwrap_or(MAX_HEAD_BYTES);
     ClientLimits {
         head: (head, head + HEAD_TIME_MARGIN * 2),
         first_request: idle,
         idle: Some(idle),
-        // The HTTP library reads no less than `HEAD_BYTES`; a lower limit is checked once the head is complete.
-        head_bytes: head_bytes.clamp(HEAD_BYTES, MAX_HEAD_BYTES),
+        // The HTTP library reads no less than `DEFAULT_MAX_HEAD_BYTES`; a lower limit is checked once the head is complete.
+        max_head_bytes: max_head_bytes.clamp(DEFAULT_MAX_HEAD_BYTES, MAX_HEAD_BYTES),
     }
 }
--- a/crates/emberpin-proxy/src/controller/mod.rs
+++ b/crates/emberpin-proxy/src/controller/mod.rs
@@ -24,7 +24,7 @@
 use crate::service::Service;
 use emberpin_balancer::RequestId;
 use emberpin_config::Configuration;
-use emberpin_limiter::host::{Input, Pool, Reception, HEAD_BYTES};
+use emberpin_limiter::host::{ClientListener, Input, Pool, DEFAULT_MAX_HEAD_BYTES};
 use emberpin_routing::{DrawSequence, RetryBudget, Router, WarmupTolerance};
 use emberpin_runtime::metrics::GAUGE_PERIOD;
 use emberpin_runtime::settings::Settings;
@@ -69,7 +69,7 @@
     metrics: Rc<ProxyMetrics>,
     /// Whether gauges are kept up to date; false without a metrics endpoint.
     updates_gauges: bool,
-    reception: Rc<Reception>,
+    client_listener: Rc<ClientListener>,
     pool: Rc<Pool>,
     /// Given to health checks. Weak, since the controller ends once all other senders are dropped.
     commands: mpsc::WeakSender<Command>,
@@ -82,7 +82,7 @@
     pub fn new(
         settings: &Settings,
         pool: Rc<Pool>,
-        reception: Rc<Reception>,
+        client_listener: Rc<ClientListener>,
         commands: &mpsc::Sender<Command>,
         metrics: Rc<ProxyMetrics>,
     ) -> Controller {
@@ -102,10 +102,10 @@
             has_whole_configuration: false,
             random: oorandom::Rand64::new(u128::from(random_seed())),
             split_draws: BTreeMap::new(),
-            published: Rc::new(PublishedState::new(HEAD_BYTES as u64)),
+            published: Rc::new(PublishedState::new(DEFAULT_MAX_HEAD_BYTES as u64)),
             metrics,
             updates_gauges: false,
-            reception,
+            client_listener,
             pool,
             commands: commands.downgrade(),
             inputs,
--- a/crates/emberpin-proxy/src/controller/replies.rs
+++ b/crates/emberpin-proxy/src/controller/replies.rs
@@ -20,7 +20,7 @@
 
 /// A rejection of a request that has not run and never will; the client may retry after this time.
 pub(super) fn retry_later(after: Duration) -> Reply {
-    Reply::Answer(Answer::Refused {
+    Reply::Answer(Answer::Rejected {
         retry_after: after.as_secs_f64() * 1000.0,
     })
 }
--- a/crates/emberpin-proxy/src/frontend/mod.rs
+++ b/crates/emberpin-proxy/src/frontend/mod.rs
@@ -11,13 +11,14 @@
 use bytes::Bytes;
 use emberpin_balancer::{ClassId, RequestId};
 use emberpin_limiter::host::{
-    passed_on, plain, run_out, strip, take_in, Active, Answer, Connection, Content, Figures, Reply,
-    RequestBody, RequestHandler, Upload, UpstreamRequest,
+    buffer_body_start, discard_body, empty_response, remove_hop_by_hop_headers, streamed_response,
+    Active, Answer, Connection, Content, LimiterMetrics, Reply, RequestBody, RequestHandler,
+    Upload, UpstreamRequest,
 };
 use hyper::body::{Body, Incoming};
 use hyper::{Request, Response, StatusCode};
 use pending_reply::PendingReply;
-use response::{answer_response, record_ending, Rejection};
+use response::{answer_response, record_outcome, Rejection};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -45,7 +46,7 @@
     commands: mpsc::Sender<Command>,
     /// Id of the next request. Wraps around; by then, the earlier request with the same id has long ended.
     next_request_id: Cell<u32>,
-    figures: Arc<Figures>,
+    limiter_metrics: Arc<LimiterMetrics>,
     metrics: Rc<ProxyMetrics>,
     /// Slots for request bodies that are streamed to a server. Each such body uses a buffer.
     upload_slots: Arc<Semaphore>,
@@ -67,7 +68,7 @@
     pub fn new(
         published: Rc<PublishedState>,
         commands: mpsc::Sender<Command>,
-        figures: Arc<Figures>,
+        limiter_metrics: Arc<LimiterMetrics>,
         metrics: Rc<ProxyMetrics>,
         stream_slots: usize,
     ) -> Rc<ClientFrontend> {
@@ -76,7 +77,7 @@
             published,
             commands,
             next_request_id: Cell::new(0),
-            figures,
+            limiter_metrics,
             metrics,
             upload_slots: slots(),
             download_slots: slots(),
@@ -89,7 +90,7 @@
         connection: &Rc<Connection>,
     ) -> Result<Response<Content>, Rejection> {
         if self.published.rejects_requests() {
-            spawn_local(run_out(request.into_body()));
+            spawn_local(discard_body(request.into_body()));
             self.metrics.count_rejection(RejectionCause::ShuttingDown);
             return Err(Rejection::RetryLater(Duration::ZERO));
         }
@@ -98,7 +99,7 @@
             self.metrics.count_rejection(RejectionCause::Request);
         }
         let request = received?;
-        let active = self.figures.start_request(ClassId(0));
+        let active = self.limiter_metrics.start_request(ClassId(0));
         let reply = self.forward(request).await?;
         Ok(self.respond_with(reply, active, connection).await)
     }
@@ -115,7 +116,7 @@
             return Err(StatusCode::BAD_REQUEST.into());
         }
         if request_head::min_size(&request) > self.published.max_head_bytes() {
-            spawn_local(run_out(request.into_body()));
+            spawn_local(discard_body(request.into_body()));
             return Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE.into());
         }
         let arrived_at = Instant::now();
@@ -124,13 +125,13 @@
         let (parts, body) = request.into_parts();
         let stated_length = body.size_hint().exact();
         if stated_length.is_some_and(|length| length > max_body_bytes) {
-            spawn_local(run_out(body));
+            spawn_local(discard_body(body));
             return Err(StatusCode::PAYLOAD_TOO_LARGE.into());
         }
         let deadline = request_head::deadline(&parts.headers)?;
         let body = self.receive_body(body, max_body_bytes).await?;
         let mut headers = parts.headers;
-        strip(&mut headers);
+        remove_hop_by_hop_headers(&mut headers);
         headers.remove("keep-alive");
         let outgoing = UpstreamRequest {
             method: parts.method,
@@ -161,11 +162,11 @@
         let (buffered, rest) = if body.is_end_stream() {
             (Bytes::new(), None)
         } else {
-            take_in(body).await?
+            buffer_body_start(body).await?
         };
         if buffered.len() as u64 > max_body_bytes {
             if let Some(rest) = rest {
-                spawn_local(run_out(rest));
+                spawn_local(discard_body(rest));
             }
             return Err(StatusCode::PAYLOAD_TOO_LARGE.into());
         }
@@ -173,7 +174,7 @@
             return Ok(RequestBody::Buffered(buffered));
         };
         let Ok(slot) = self.upload_slots.clone().try_acquire_owned() else {
-            spawn_local(run_out(rest));
+            spawn_local(discard_body(rest));
             return Err(Rejection::RetryLater(RETRY_AFTER_NO_UPLOAD_SLOT));
         };
         let upload = Upload::new(buffered, stated_length, rest, slot).bounded(max_body_bytes);
@@ -210,7 +211,7 @@
         // A response may precede the end of the request's body. The rest is read and discarded: closing a connection with
         // unread bytes would reset it, and the client might lose the response.
         if let Some(rest) = upload.and_then(|upload| upload.take_rest()) {
-            spawn_local(run_out(rest));
+            spawn_local(discard_body(rest));
         }
         reply
     }
@@ -243,13 +244,15 @@
             Reply::Streamed(passing) => {
                 let slot = self.download_slots.clone().acquire_owned();
                 match timeout(DOWNLOAD_SLOT_TIMEOUT, slot).await {
-                    Ok(Ok(slot)) => return passed_on(passing, active, connection.clone(), slot),
+                    Ok(Ok(slot)) => {
+                        return streamed_response(passing, active, connection.clone(), slot)
+                    }
                     // No slot became free. Nothing of the response has been written yet, so it can still fail cleanly.
-                    Ok(Err(_)) | Err(_) => plain(StatusCode::BAD_GATEWAY),
+                    Ok(Err(_)) | Err(_) => empty_response(StatusCode::BAD_GATEWAY),
                 }
             }
         };
-        record_ending(active, response.status());
+        record_outcome(active, response.status());
         response
     }
 }
--- a/crates/emberpin-proxy/src/frontend/response.rs
+++ b/crates/emberpin-proxy/src/frontend/response.rs
@@ -1,6 +1,8 @@
 //! Responses to clients, other than streamed ones.
 
-use emberpin_limiter::host::{headed, plain, Active, Answer, Content, Ending, ServerResponse};
+use emberpin_limiter::host::{
+    empty_response, response_with_head, Active, Answer, Content, RequestOutcome, ServerResponse,
+};
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 use std::time::Duration;
@@ -21,7 +23,7 @@
 impl Rejection {
     pub(super) fn into_response(self) -> Response<Content> {
         match self {
-            Rejection::Status(status) => plain(status),
+            Rejection::Status(status) => empty_response(status),
             Rejection::RetryLater(after) => retry_later(after),
         }
     }
@@ -31,18 +33,18 @@
 pub(super) fn answer_response(answer: Answer) -> Response<Content> {
     match answer {
         Answer::Served(ServerResponse { head, body }) => {
-            headed(head, Content::Buffered(Some(body)))
+            response_with_head(head, Content::Buffered(Some(body)))
         }
-        Answer::Refused { retry_after } => {
+        Answer::Rejected { retry_after } => {
             retry_later(Duration::try_from_secs_f64(retry_after / 1000.0).unwrap_or_default())
         }
-        Answer::Failed => plain(StatusCode::BAD_GATEWAY),
+        Answer::Failed => empty_response(StatusCode::BAD_GATEWAY),
     }
 }
 
 /// 503 with `Retry-After`: the request has not run and never will.
 fn retry_later(after: Duration) -> Response<Content> {
-    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE);
+    let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", after.as_secs_f64())) {
         response.headers_mut().insert(RETRY_AFTER, seconds);
     }
@@ -50,10 +52,10 @@
 }
 
 /// Counts the response in the metrics.
-pub(super) fn record_ending(mut active: Active, status: StatusCode) {
-    active.set_ending(match status {
-        status if status.is_success() => Ending::Ok,
-        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Ending::Shed,
-        _ => Ending::Errors,
+pub(super) fn record_outcome(mut active: Active, status: StatusCode) {
+    active.set_outcome(match status {
+        status if status.is_success() => RequestOutcome::Ok,
+        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => RequestOutcome::Shed,
+        _ => RequestOutcome::Errors,
     });
 }
--- a/crates/emberpin-proxy/src/lib.rs
+++ b/crates/emberpin-proxy/src/lib.rs
@@ -6,7 +6,7 @@
 //! with the gateway's headers.
 //!
 //! ```text
-//! client ─ reception ─ frontend ─ controller (routes, endpoints, retry budget, services) ─ pool ─ server
+//! client ─ client listener ─ frontend ─ controller (routes, endpoints, retry budget, services) ─ pool ─ server
 //!                                     │
 //!                                 registry sessions ─ two registries
 //! ```
@@ -31,7 +31,7 @@
 
 use connection_pool::{start_pool, ConnectionBudget};
 use controller::Controller;
-use emberpin_limiter::host::{ClientLimits, Figures, Phase, Reception, SocketBudget};
+use emberpin_limiter::host::{ClientLimits, ClientListener, LimiterMetrics, Phase, SocketBudget};
 use emberpin_runtime::metrics::{self as metrics_server, MetricSet, MetricsEndpoint};
 use emberpin_runtime::settings::Settings;
 use frontend::{ClientFrontend, ReadinessHandler};
@@ -73,7 +73,7 @@
     let proxy = Proxy::start(settings, metrics)?;
     let Proxy {
         published,
-        reception,
+        client_listener,
         sessions,
         controller_task,
         accept_task,
@@ -85,14 +85,14 @@
         _ = accept_task => return Err(ProxyError::TaskEnded("reception")),
     }
     log::info!("graceful shutdown begins: grace={grace:?}");
-    drain(&published, &reception, grace).await;
+    drain(&published, &client_listener, grace).await;
     Ok(())
 }
 
 /// The running parts of the proxy.
 struct Proxy {
     published: Rc<PublishedState>,
-    reception: Rc<Reception>,
+    client_listener: Rc<ClientListener>,
     sessions: Rc<RegistrySessions>,
     controller_task: JoinHandle<()>,
     accept_task: JoinHandle<()>,
@@ -111,11 +111,12 @@
         let (http_listener, readiness_listener) =
             (listen(http_address)?, listen(readiness_address)?);
         let budget = ConnectionBudget::from_descriptor_limit(settings.max_open_files);
-        let figures = Figures::new(&["all".to_string()]).map_err(ProxyError::Metrics)?;
+        let limiter_metrics =
+            LimiterMetrics::new(&["all".to_string()]).map_err(ProxyError::Metrics)?;
         let socket_budget = Rc::new(SocketBudget::new(None));
-        let pool = start_pool(budget.servers, &figures, &socket_budget);
+        let pool = start_pool(budget.servers, &limiter_metrics, &socket_budget);
         let (commands, queued_commands) = mpsc::channel(MAX_QUEUED_COMMANDS);
-        let reception = Reception::new(
+        let client_listener = ClientListener::new(
             Phase::Serving,
             budget.clients,
             ClientLimits::default(),
@@ -126,7 +127,7 @@
         let mut controller = Controller::new(
             &settings,
             pool,
-            reception.clone(),
+            client_listener.clone(),
             &commands,
             metrics.clone(),
         );
@@ -139,17 +140,21 @@
         let frontend = ClientFrontend::new(
             published.clone(),
             commands.clone(),
-            figures,
+            limiter_metrics,
             metrics,
             stream_slots,
         );
-        let accept_task = spawn_local(reception.clone().accept(frontend, http_listener, false));
+        let accept_task = spawn_local(client_listener.clone().accept(
+            frontend,
+            http_listener,
+            false,
+        ));
         serve_readiness(published.clone(), readiness_listener, socket_budget);
         let sessions = RegistrySessions::start(settings, commands);
         let controller_task = spawn_local(controller.run(queued_commands));
         Ok(Proxy {
             published,
-            reception,
+            client_listener,
             sessions,
             controller_task,
             accept_task,
@@ -162,12 +167,12 @@
     listener: TcpListener,
     socket_budget: Rc<SocketBudget>,
 ) {
-    let reception = Reception::new(
+    let client_listener = ClientListener::new(
         Phase::Serving,
         MAX_READINESS_CONNECTIONS,
         ClientLimits::default(),
         socket_budget,
     );
     let handler = Rc::new(ReadinessHandler(published));
-    spawn_local(reception.accept(handler, listener, false));
+    spawn_local(client_listener.accept(handler, listener, false));
 }
--- a/crates/emberpin-proxy/src/shutdown.rs
+++ b/crates/emberpin-proxy/src/shutdown.rs
@@ -3,7 +3,7 @@
 use crate::error::ProxyError;
 use crate::published_state::PublishedState;
 use crate::registry_sessions::RegistrySessions;
-use emberpin_limiter::host::Reception;
+use emberpin_limiter::host::ClientListener;
 use std::future::pending;
 use std::time::Duration;
 use tokio::signal::unix::{signal, Signal, SignalKind};
@@ -51,13 +51,13 @@
 /// Drains: withdraws readiness, keeps accepting connections while the platform may still direct some here, then closes
 /// the listener and waits for the open connections until the grace period is nearly over. A request that arrives in the
 /// second half of it, on a connection that was kept open for a request, is rejected.
-pub async fn drain(published: &PublishedState, reception: &Reception, grace: Duration) {
+pub async fn drain(published: &PublishedState, client_listener: &ClientListener, grace: Duration) {
     let started = Instant::now();
     published.start_draining();
-    reception.begin_draining();
+    client_listener.begin_draining();
     sleep(grace.mul_f64(DRAIN_ACCEPT_SHARE)).await;
-    reception.close();
-    let empty = reception.all_closed();
+    client_listener.begin_closing();
+    let empty = client_listener.all_closed();
     tokio::pin!(empty);
     if timeout_at(started + grace.mul_f64(DRAIN_REQUEST_SHARE), &mut empty)
         .await
--- a/crates/emberpin-proxy/src/wire.rs
+++ b/crates/emberpin-proxy/src/wire.rs
@@ -1,7 +1,7 @@
 //! The HTTP headers between the gateway and its servers, and how the outcome of an attempt follows from the response.
 
 use emberpin_balancer::{LoadReport, Outcome};
-use emberpin_limiter::host::{strip, Described, ResponseHead, Wire};
+use emberpin_limiter::host::{remove_hop_by_hop_headers, ResponseHead, ResponseInfo, Wire};
 use emberpin_routing::attempt::is_misdirected;
 use emberpin_routing::AttemptVerdict;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_ENCODING};
@@ -29,7 +29,7 @@
 pub struct GatewayWire;
 
 impl Wire for GatewayWire {
-    fn address(
+    fn set_request_headers(
         &self,
         headers: &mut HeaderMap,
         remaining: Duration,
@@ -42,15 +42,15 @@
         };
     }
 
-    fn mark(&self, headers: &HeaderMap) -> Option<HeaderValue> {
+    fn request_id(&self, headers: &HeaderMap) -> Option<HeaderValue> {
         headers.get(TRY_ID).cloned()
     }
 
     /// Rejects late responses to earlier requests on the same connection: those that name another id, and sealed ones that
     /// name none. A request without an id accepts no response that names one.
-    fn belongs(&self, mark: Option<&HeaderValue>, headers: &HeaderMap) -> bool {
-        match (mark, headers.get(TRY_ID)) {
-            (Some(mark), Some(echoed)) => mark == echoed,
+    fn response_belongs(&self, request_id: Option<&HeaderValue>, headers: &HeaderMap) -> bool {
+        match (request_id, headers.get(TRY_ID)) {
+            (Some(request_id), Some(echoed)) => request_id == echoed,
             (Some(_), None) => !headers.contains_key(SEAL),
             (None, echoed) => echoed.is_none(),
         }
@@ -61,7 +61,7 @@
         true
     }
 
-    fn judge(&self, _: Option<&HeaderValue>, response: &Response<()>) -> Outcome {
+    fn outcome(&self, _: Option<&HeaderValue>, response: &Response<()>) -> Outcome {
         let (status, headers) = (response.status(), response.headers());
         // A response without the server's seal, or recoded on the way, is no success: its bytes are not the server's own.
         let sealed = headers.contains_key(SEAL) && !headers.contains_key(CONTENT_ENCODING);
@@ -72,7 +72,7 @@
         }
     }
 
-    fn keeps_idle(&self, headers: &HeaderMap) -> Option<Duration> {
+    fn idle_timeout(&self, headers: &HeaderMap) -> Option<Duration> {
         let stated = headers.get(KEEP_ALIVE)?.to_str().ok()?;
         let seconds = stated
             .split(',')
@@ -80,10 +80,10 @@
         Some(Duration::from_secs(seconds.trim().parse().ok()?).mul_f64(IDLE_TIMEOUT_SHARE))
     }
 
-    fn describe(&self, outcome: Outcome, response: Response<()>) -> Described {
+    fn describe_response(&self, outcome: Outcome, response: Response<()>) -> ResponseInfo {
         let (parts, ()) = response.into_parts();
         let (status, mut headers) = (parts.status, parts.headers);
-        strip(&mut headers);
+        remove_hop_by_hop_headers(&mut headers);
         headers.remove(KEEP_ALIVE);
         // These statuses tell a client that its request has not run. Without the server's `Not-Run` that may be false, so
         // they are not passed on.
@@ -94,12 +94,12 @@
                 | StatusCode::TOO_MANY_REQUESTS
                 | StatusCode::SERVICE_UNAVAILABLE
         );
-        Described {
+        ResponseInfo {
             head: ResponseHead { status, headers },
             load: LoadReport::default(),
             metered: None,
             misdirected: is_misdirected(status.as_u16()),
-            stands: outcome == Outcome::Error && !status.is_success() && !claims_not_run,
+            is_forwardable: outcome == Outcome::Error && !status.is_success() && !claims_not_run,
         }
     }
 }
--- a/crates/emberpin-proxy/tests/client_limits.rs
+++ b/crates/emberpin-proxy/tests/client_limits.rs
@@ -267,7 +267,7 @@
     verify_that!(client.status().await, some(eq(200)))
 }
 
-/// Guards `head_bytes` in `client_limits`, up to which the reception reads a head.
+/// Guards `max_head_bytes` in `client_limits`, up to which the client listener reads a head.
 #[tokio::test]
 async fn a_head_up_to_a_high_limit_is_forwarded() -> googletest::Result<()> {
     let (proxy, _session, mut server) = start_with_limits(ClientLimits {
--- a/crates/emberpin-proxy/tests/gateway_wire.rs
+++ b/crates/emberpin-proxy/tests/gateway_wire.rs
@@ -2,7 +2,7 @@
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_balancer::Outcome;
-use emberpin_limiter::host::{Described, Wire};
+use emberpin_limiter::host::{ResponseInfo, Wire};
 use emberpin_proxy::wire::GatewayWire;
 use googletest::prelude::*;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
@@ -27,20 +27,21 @@
 }
 
 fn judge(status: u16, all: &[(&'static str, &'static str)]) -> Outcome {
-    GatewayWire.judge(None, &response(status, all))
+    GatewayWire.outcome(None, &response(status, all))
 }
 
-fn describe(status: u16, all: &[(&'static str, &'static str)]) -> Described {
+fn describe(status: u16, all: &[(&'static str, &'static str)]) -> ResponseInfo {
     let response = response(status, all);
-    GatewayWire.describe(GatewayWire.judge(None, &response), response)
+    GatewayWire.describe_response(GatewayWire.outcome(None, &response), response)
 }
 
-/// Guards the three match arms of `belongs`.
+/// Guards the three match arms of `response_belongs`.
 #[gtest]
 fn a_response_with_another_id_belongs_to_another_request() {
-    let mark = GatewayWire.mark(&headers(&[("try-id", "a1")]));
-    let belongs =
-        |all: &[(&'static str, &'static str)]| GatewayWire.belongs(mark.as_ref(), &headers(all));
+    let request_id = GatewayWire.request_id(&headers(&[("try-id", "a1")]));
+    let belongs = |all: &[(&'static str, &'static str)]| {
+        GatewayWire.response_belongs(request_id.as_ref(), &headers(all))
+    };
     expect_true!(belongs(&[("try-id", "a1"), ("seal", "s")]));
     expect_false!(belongs(&[("try-id", "a2"), ("seal", "s")]));
     expect_false!(belongs(&[("try-id", "a1 "), ("seal", "s")]) && belongs(&[("try-id", "A1")]));
@@ -48,11 +49,11 @@
     expect_false!(belongs(&[("seal", "s")]));
     expect_true!(belongs(&[]));
     // Servers echo the id of a request, so a response that names an id does not belong to a request without one.
-    expect_false!(GatewayWire.belongs(None, &headers(&[("try-id", "a1")])));
-    expect_true!(GatewayWire.belongs(None, &headers(&[])));
+    expect_false!(GatewayWire.response_belongs(None, &headers(&[("try-id", "a1")])));
+    expect_true!(GatewayWire.response_belongs(None, &headers(&[])));
 }
 
-/// Guards `sealed` in `judge`.
+/// Guards `sealed` in `outcome`.
 #[gtest]
 fn a_success_is_sealed_and_not_recoded() {
     expect_that!(judge(200, &[("seal", "s")]), eq(Outcome::Ok));
@@ -63,8 +64,8 @@
         eq(Outcome::Error)
     );
     // A 2xx response that does not count as a success is not forwarded.
-    expect_false!(describe(200, &[]).stands);
-    expect_false!(describe(200, &[("seal", "s"), ("content-encoding", "gzip")]).stands);
+    expect_false!(describe(200, &[]).is_forwardable);
+    expect_false!(describe(200, &[("seal", "s"), ("content-encoding", "gzip")]).is_forwardable);
 }
 
 /// Guards `AttemptVerdict::NotRun => Outcome::Rejected`, and which responses have this verdict.
@@ -93,21 +94,27 @@
     expect_false!(describe(503, &[("not-run", "1")]).misdirected);
 }
 
-/// Guards `claims_not_run` in `describe`.
+/// Guards `claims_not_run` in `describe_response`.
 #[gtest]
 fn a_status_that_claims_not_run_is_not_forwarded() {
     for status in [408, 421, 429, 503] {
-        expect_false!(describe(status, &[("seal", "s")]).stands, "{status}");
-        expect_false!(describe(status, &[("not-run", "1")]).stands, "{status}");
+        expect_false!(
+            describe(status, &[("seal", "s")]).is_forwardable,
+            "{status}"
+        );
+        expect_false!(
+            describe(status, &[("not-run", "1")]).is_forwardable,
+            "{status}"
+        );
     }
 }
 
-/// Guards the other conditions of `stands`.
+/// Guards the other conditions of `is_forwardable`.
 #[gtest]
 fn a_servers_own_error_stands_unaltered() {
     for status in [500, 504, 404, 413, 301] {
         let described = describe(status, &[("seal", "s"), ("try-id", "a1"), ("x-note", "n")]);
-        expect_true!(described.stands, "{status}");
+        expect_true!(described.is_forwardable, "{status}");
         expect_that!(described.head.status.as_u16(), eq(status));
         for (name, value) in [("seal", "s"), ("try-id", "a1"), ("x-note", "n")] {
             expect_that!(
@@ -118,7 +125,7 @@
     }
 }
 
-/// Guards `strip` and the removal of `Keep-Alive` in `describe`.
+/// Guards `remove_hop_by_hop_headers` and the removal of `Keep-Alive` in `describe_response`.
 #[gtest]
 fn hop_by_hop_headers_are_not_forwarded() {
     let described = describe(
@@ -142,10 +149,10 @@
     expect_that!(names, elements_are![eq(&"seal")]);
 }
 
-/// Guards `keeps_idle`: the margin, and invalid values.
+/// Guards `idle_timeout`: the margin, and invalid values.
 #[gtest]
 fn a_stated_idle_timeout_is_applied_with_a_margin() {
-    let idle = |stated: &'static str| GatewayWire.keeps_idle(&headers(&[("keep-alive", stated)]));
+    let idle = |stated: &'static str| GatewayWire.idle_timeout(&headers(&[("keep-alive", stated)]));
     let with_margin = some(all![
         ge(Duration::from_millis(5_000)),
         le(Duration::from_millis(9_000))
@@ -163,10 +170,10 @@
     ] {
         expect_that!(idle(stated), none(), "{stated}");
     }
-    expect_that!(GatewayWire.keeps_idle(&headers(&[])), none());
+    expect_that!(GatewayWire.idle_timeout(&headers(&[])), none());
 }
 
-/// Guards both headers in `address`.
+/// Guards both headers in `set_request_headers`.
 #[gtest]
 fn a_request_carries_the_remaining_time_and_the_intended_instance() {
     let mut outgoing = headers(&[
@@ -175,7 +182,7 @@
         ("try-id", "a1"),
     ]);
     let instance = HeaderValue::from_static("i-1");
-    GatewayWire.address(
+    GatewayWire.set_request_headers(
         &mut outgoing,
         Duration::from_micros(1_234_900),
         Some(&instance),
@@ -192,7 +199,7 @@
     expect_that!(all(&outgoing, "try-id"), elements_are![eq("a1")]);
     // The client's own header is removed even if the request is meant for no particular instance.
     let mut outgoing = headers(&[("want-instance", "i-client")]);
-    GatewayWire.address(&mut outgoing, Duration::ZERO, None);
+    GatewayWire.set_request_headers(&mut outgoing, Duration::ZERO, None);
     expect_that!(all(&outgoing, "want-instance"), is_empty());
     expect_that!(all(&outgoing, "deadline"), elements_are![eq("0")]);
 }
--- a/crates/emberpin-proxy/tests/response_integrity_proptest/cases.rs
+++ b/crates/emberpin-proxy/tests/response_integrity_proptest/cases.rs
@@ -28,7 +28,7 @@
 pub enum ServerAction {
     Respond(ResponseShape, Trailing),
     /// Ends the connection after this many thousandths of the response's bytes.
-    Truncate(ResponseShape, usize, Ending),
+    Truncate(ResponseShape, usize, RequestOutcome),
     /// A response with this status and `Not-Run`.
     NotRun(u16),
     /// A response with this status, without `Not-Run`.
@@ -41,16 +41,16 @@
     ForeignId(ResponseShape),
     Garbage,
     /// Ends the connection once the head has arrived.
-    EndAtHead(Ending),
+    EndAtHead(RequestOutcome),
     /// Ends the connection once the whole request has arrived.
-    EndAtBody(Ending),
+    EndAtBody(RequestOutcome),
     /// Sends no response.
     Silence,
 }
 
 /// How a server ends a connection.
 #[derive(Clone, Copy, Debug)]
-pub enum Ending {
+pub enum RequestOutcome {
     Close,
     Reset,
 }
@@ -86,8 +86,8 @@
     })
 }
 
-fn ending() -> impl Strategy<Value = Ending> {
-    prop_oneof![Just(Ending::Close), Just(Ending::Reset)]
+fn ending() -> impl Strategy<Value = RequestOutcome> {
+    prop_oneof![Just(RequestOutcome::Close), Just(RequestOutcome::Reset)]
 }
 
 fn server_action() -> impl Strategy<Value = ServerAction> {
--- a/crates/emberpin-proxy/tests/response_integrity_proptest/main.rs
+++ b/crates/emberpin-proxy/tests/response_integrity_proptest/main.rs
@@ -170,7 +170,7 @@
     }
 }
 
-/// Guards each step of forwarding a response: `belongs`, the checks of idle connections, `judge`, framing and
+/// Guards each step of forwarding a response: `response_belongs`, the checks of idle connections, `outcome`, framing and
 /// buffering, `BodyInterrupted`, and the decisions whether a request may have run and may be retried.
 #[test]
 fn no_client_receives_a_byte_of_another_response() {
--- a/crates/emberpin-proxy/tests/responses.rs
+++ b/crates/emberpin-proxy/tests/responses.rs
@@ -88,7 +88,7 @@
     )
 }
 
-/// Guards `Wire::belongs` where a response is read: the late one arrives while the next one is awaited.
+/// Guards `Wire::response_belongs` where a response is read: the late one arrives while the next one is awaited.
 #[tokio::test]
 async fn a_late_duplicate_response_is_not_forwarded_for_the_next_request() -> googletest::Result<()>
 {
--- a/crates/emberpin-proxy/tests/server_selection.rs
+++ b/crates/emberpin-proxy/tests/server_selection.rs
@@ -7,7 +7,8 @@
 use emberpin_balancer::Outcome;
 use emberpin_config::ItemKind;
 use emberpin_limiter::host::{
-    Figures, Pool, PoolLimits, RequestBody, ServerInstance, SocketBudget, Upstream, UpstreamRequest,
+    LimiterMetrics, Pool, PoolLimits, RequestBody, ServerInstance, SocketBudget, Upstream,
+    UpstreamRequest,
 };
 use emberpin_membership::instance::{Instance, Status};
 use emberpin_proxy::wire::GatewayWire;
@@ -272,11 +273,11 @@
         unacknowledged: None,
         buffered_response_bytes: 1 << 20,
     };
-    let figures = Figures::new(&["all".to_string()]).expect("figures");
+    let limiter_metrics = LimiterMetrics::new(&["all".to_string()]).expect("figures");
     let pool = Pool::new(
         limits,
         Rc::new(GatewayWire),
-        figures,
+        limiter_metrics,
         Rc::new(SocketBudget::new(None)),
     );
     let upstream = Upstream::new(
--- a/crates/emberpin-proxy/tests/traffic_classes.rs
+++ b/crates/emberpin-proxy/tests/traffic_classes.rs
@@ -2,7 +2,7 @@
 #![allow(missing_docs, reason = "a test has no public interface")]
 
 use emberpin_config::{Target, Version};
-use emberpin_limiter::host::{Figures, Pool, PoolLimits, SocketBudget};
+use emberpin_limiter::host::{LimiterMetrics, Pool, PoolLimits, SocketBudget};
 use emberpin_proxy::service::{ClassCounts, Service};
 use emberpin_proxy::wire::GatewayWire;
 use emberpin_routing::{Route, RouteKind};
@@ -25,11 +25,11 @@
         unacknowledged: None,
         buffered_response_bytes: 1 << 20,
     };
-    let figures = Figures::new(&["all".to_string()]).expect("figures");
+    let limiter_metrics = LimiterMetrics::new(&["all".to_string()]).expect("figures");
     let pool = Pool::new(
         limits,
         Rc::new(GatewayWire),
-        figures,
+        limiter_metrics,
         Rc::new(SocketBudget::new(None)),
     );
     Service::new(pool, mpsc::channel(1).0, 7, Instant::now())
