--- a/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/translate.rs
+++ b/crates/emberpin-balancer/src/bin/emberpin-balancer-adapter/translate.rs
@@ -6,7 +6,7 @@
     ServerListUpdate, UpdateForm,
 };
 use base64::{engine::general_purpose::STANDARD, Engine};
-use emberpin_balancer::host_config::{self, stable_hash, IndexNames, ServerEntry, UnknownZone};
+use emberpin_balancer::host_config::{self, stable_hash, NameIndex, ServerEntry, UnknownZone};
 use emberpin_balancer::{
     Action, AttemptResult, CustomerId, Event, GatewayId, GatewaySet, LoadReport, MembershipUpdate,
     Millis, Outcome, Request, Server,
@@ -15,12 +15,12 @@
 
 /// Translates messages that name classes, plans and zones, by the settings of one gateway.
 pub struct Translator {
-    names: IndexNames,
+    names: NameIndex,
 }
 
 impl Translator {
     /// Creates a translator for these names.
-    pub fn new(names: IndexNames) -> Translator {
+    pub fn new(names: NameIndex) -> Translator {
         Translator { names }
     }
 
--- a/crates/emberpin-balancer/src/decisions/announcements.rs
+++ b/crates/emberpin-balancer/src/decisions/announcements.rs
@@ -16,8 +16,8 @@
 /// The messages of one tick, at most one for each peer.
 struct Outbox {
     /// A message without entries; each message starts as a copy of it.
-    header: gossip::Writer,
-    messages: BTreeMap<GatewayId, gossip::Writer>,
+    header: gossip::MessageBuilder,
+    messages: BTreeMap<GatewayId, gossip::MessageBuilder>,
     /// Number of further messages that may be started.
     budget: f64,
 }
@@ -91,7 +91,7 @@
             self.load.in_flight
         };
         let incarnation = self.incarnation as u32;
-        let header = gossip::Writer::new(incarnation, in_flight, self.load.throughput);
+        let header = gossip::MessageBuilder::new(incarnation, in_flight, self.load.throughput);
         let mut messages = BTreeMap::new();
         if gossips_to_all {
             let peers = (0..self.settings.group_size)
--- a/crates/emberpin-balancer/src/decisions/peers.rs
+++ b/crates/emberpin-balancer/src/decisions/peers.rs
@@ -23,7 +23,7 @@
     /// Handles a message from a peer. A message is ignored if it is garbled, comes from outside the group
     /// or belongs to an older incarnation of the peer.
     pub(super) fn on_peer_message(&mut self, now: Millis, from: GatewayId, bytes: &[u8]) {
-        let Some(message) = gossip::read(bytes) else {
+        let Some(message) = gossip::decode(bytes) else {
             return;
         };
         if from == self.settings.gateway_id || from.0 >= self.settings.group_size {
--- a/crates/emberpin-balancer/src/gossip.rs
+++ b/crates/emberpin-balancer/src/gossip.rs
@@ -82,11 +82,11 @@
 
 /// Builds one message within [`MAX_BYTES`].
 #[derive(Clone, Debug)]
-pub struct Writer(Vec<u8>);
+pub struct MessageBuilder(Vec<u8>);
 
-impl Writer {
+impl MessageBuilder {
     /// Starts a message with the sender's incarnation, attempts in flight and answers per second.
-    pub fn new(incarnation: u32, in_flight: f64, throughput: f64) -> Writer {
+    pub fn new(incarnation: u32, in_flight: f64, throughput: f64) -> MessageBuilder {
         let mut bytes = vec![VERSION];
         bytes.extend_from_slice(&incarnation.to_be_bytes());
         let encode_load = |value: f64| {
@@ -95,7 +95,7 @@
                 .min(255.0) as u8
         };
         bytes.extend_from_slice(&[encode_load(in_flight), encode_load(throughput)]);
-        Writer(bytes)
+        MessageBuilder(bytes)
     }
 
     /// Appends an entry; returns `false` and appends nothing if it does not fit.
@@ -151,7 +151,7 @@
 
 /// Decodes a message; `None` if it is garbled, truncated, oversized or of another version, or if a load value is
 /// the largest code, which stands for any value beyond the range.
-pub fn read(bytes: &[u8]) -> Option<Message> {
+pub fn decode(bytes: &[u8]) -> Option<Message> {
     if bytes.len() > MAX_BYTES || bytes.len() < HEADER_BYTES || bytes[0] != VERSION {
         return None;
     }
--- a/crates/emberpin-balancer/src/host_config.rs
+++ b/crates/emberpin-balancer/src/host_config.rs
@@ -17,7 +17,7 @@
 
 /// Indices in [`Settings`] by the names of the configuration.
 #[derive(Clone, Debug)]
-pub struct IndexNames {
+pub struct NameIndex {
     classes: BTreeMap<String, usize>,
     plans: BTreeMap<String, usize>,
     zones: BTreeMap<String, usize>,
@@ -43,7 +43,7 @@
     pub status: ServerStatus,
 }
 
-impl IndexNames {
+impl NameIndex {
     /// The class with this name.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         self.classes.get(name).copied().map(ClassId)
@@ -268,8 +268,8 @@
     /// # Errors
     ///
     /// When the gateway's zone is none of the configuration's.
-    pub fn to_settings(&self) -> Result<(Settings, IndexNames), UnknownZone> {
-        let names = IndexNames {
+    pub fn to_settings(&self) -> Result<(Settings, NameIndex), UnknownZone> {
+        let names = NameIndex {
             classes: index_by_name(self.classes.iter().map(|class| &class.name)),
             plans: index_by_name(self.plans.iter().map(|plan| &plan.name)),
             zones: index_by_name(self.zones.iter()),
--- a/crates/emberpin-balancer/tests/common/mod.rs
+++ b/crates/emberpin-balancer/tests/common/mod.rs
@@ -318,7 +318,7 @@
 
 /// A peer's message with one count: its incarnation and a customer's cumulative units.
 pub fn count_message(incarnation: u32, customer: u64, units: f64) -> Vec<u8> {
-    let mut writer = gossip::Writer::new(incarnation, 0.0, 0.0);
+    let mut writer = gossip::MessageBuilder::new(incarnation, 0.0, 0.0);
     assert!(writer.push(count(customer, units)));
     writer.finish()
 }
--- a/crates/emberpin-balancer/tests/gossip.rs
+++ b/crates/emberpin-balancer/tests/gossip.rs
@@ -59,7 +59,7 @@
     let first = harness.advance(100.0);
     let second = harness.advance(100.0);
     for (actions, requested) in [(&first, 2.0), (&second, 0.0)] {
-        let to_one = gossip::read(&messages_to(actions, 1)[0]).expect("readable");
+        let to_one = gossip::decode(&messages_to(actions, 1)[0]).expect("readable");
         assert_eq!(
             to_one.entries,
             vec![gossip::Entry::Count {
@@ -72,7 +72,7 @@
             }]
         );
         for bytes in messages_to(actions, 2) {
-            assert!(gossip::read(&bytes).expect("readable").entries.is_empty());
+            assert!(gossip::decode(&bytes).expect("readable").entries.is_empty());
         }
     }
 }
@@ -108,7 +108,7 @@
     let size = |harness: &Harness| format!("{:?}", harness.gateway).len();
     let before = size(&harness);
     for number in 0..2_000 {
-        let mut message = gossip::Writer::new(harness.now as u32, 0.0, 0.0);
+        let mut message = gossip::MessageBuilder::new(harness.now as u32, 0.0, 0.0);
         assert!(message.push(gossip::Entry::Advice {
             customer: 500_000 + number,
             probability: 0.5
--- a/crates/emberpin-balancer/tests/large_group.rs
+++ b/crates/emberpin-balancer/tests/large_group.rs
@@ -42,7 +42,7 @@
 
 /// A message without entries.
 fn header_only(incarnation: u32) -> Vec<u8> {
-    gossip::Writer::new(incarnation, 0.0, 0.0).finish()
+    gossip::MessageBuilder::new(incarnation, 0.0, 0.0).finish()
 }
 
 #[test]
@@ -300,7 +300,7 @@
     };
     let advises = |number: u32| {
         let mut harness = Harness::just_started(one_of(number, 120), 12);
-        let mut writer = gossip::Writer::new(harness.now as u32, 0.0, 0.0);
+        let mut writer = gossip::MessageBuilder::new(harness.now as u32, 0.0, 0.0);
         assert!(writer.push(entry(400.0)));
         harness.handle(Event::PeerMessage {
             from: GatewayId(119),
@@ -314,7 +314,7 @@
 
 fn advised(actions: &[Action]) -> usize {
     let entries = actions.iter().filter_map(|action| match action {
-        Action::SendToPeer { bytes, .. } => gossip::read(bytes),
+        Action::SendToPeer { bytes, .. } => gossip::decode(bytes),
         _ => None,
     });
     let advice = |entry: &gossip::Entry| matches!(entry, gossip::Entry::Advice { .. });
@@ -330,7 +330,7 @@
     let mut harness = Harness::just_started(one_of(owners[0], 120), 12);
     let mut sent = 0;
     for second in 1..=10 {
-        let mut writer = gossip::Writer::new(harness.now as u32, 0.0, 0.0);
+        let mut writer = gossip::MessageBuilder::new(harness.now as u32, 0.0, 0.0);
         let (units, requested) = (10.0, 100.0);
         assert!(writer.push(gossip::Entry::Count {
             customer: 5,
@@ -381,7 +381,7 @@
     );
 
     let mut member = Harness::just_started(one_of(105, 120), 12);
-    let mut writer = gossip::Writer::new(member.now as u32, 0.0, 0.0);
+    let mut writer = gossip::MessageBuilder::new(member.now as u32, 0.0, 0.0);
     assert!(writer.push(gossip::Entry::Advice {
         customer: 9,
         probability: 0.25
@@ -453,7 +453,7 @@
     let mut harness = Harness::just_started(one_of(0, 120), 24);
     let peer = |harness: &mut Harness, in_flight: f64| {
         for from in 1..60 {
-            let bytes = gossip::Writer::new(1_000_000, in_flight, 5.0).finish();
+            let bytes = gossip::MessageBuilder::new(1_000_000, in_flight, 5.0).finish();
             harness.handle(Event::PeerMessage {
                 from: GatewayId(from),
                 bytes,
@@ -525,7 +525,7 @@
 fn malformed_messages_in_a_large_group_change_nothing() {
     let mut harness = Harness::just_started(one_of(0, 120), 12);
     for (plan, size, first) in [(99, 10, 0), (0, u32::MAX >> 2, 500), (1, 0, 7)] {
-        let mut writer = gossip::Writer::new(5, f64::MAX, f64::MAX);
+        let mut writer = gossip::MessageBuilder::new(5, f64::MAX, f64::MAX);
         writer.push(gossip::Entry::Count {
             customer: 3,
             plan,
@@ -568,7 +568,7 @@
         bytes: header_only(incarnation),
     });
     for (units, requested) in counts {
-        let mut writer = gossip::Writer::new(incarnation, 0.0, 0.0);
+        let mut writer = gossip::MessageBuilder::new(incarnation, 0.0, 0.0);
         assert!(writer.push(gossip::Entry::Count {
             customer: 5,
             plan: 0,
@@ -586,7 +586,7 @@
     harness.now = harness.now.ceil() + 100.0 - 10.0 * counts.len() as f64;
     let actions = harness.handle(Event::Timer { token: 0 });
     let sent = actions.iter().filter_map(|action| match action {
-        Action::SendToPeer { bytes, .. } => gossip::read(bytes),
+        Action::SendToPeer { bytes, .. } => gossip::decode(bytes),
         _ => None,
     });
     let entries = sent.flat_map(|message| message.entries);
@@ -624,7 +624,7 @@
             else {
                 continue;
             };
-            let entries = gossip::read(&bytes).expect("readable").entries;
+            let entries = gossip::decode(&bytes).expect("readable").entries;
             sent.extend(entries.iter().filter_map(|entry| match entry {
                 gossip::Entry::Count { units, .. } if to == owners[0] => Some(*units),
                 _ => None,
--- a/crates/emberpin-balancer/tests/quotas.rs
+++ b/crates/emberpin-balancer/tests/quotas.rs
@@ -223,7 +223,7 @@
         "pays more than it costs: admitted while quiet"
     );
     let messages = messages_to(&harness.advance(100.0), 1);
-    let entry = gossip::read(&messages[0]).expect("readable").entries[0];
+    let entry = gossip::decode(&messages[0]).expect("readable").entries[0];
     let gossip::Entry::Count { units, .. } = entry else {
         panic!("a count")
     };
--- a/crates/emberpin-balancer/tests/recorded.rs
+++ b/crates/emberpin-balancer/tests/recorded.rs
@@ -7,9 +7,9 @@
 mod recording;
 
 use common::*;
-use emberpin_balancer::gossip::{read, Entry, Message, Writer, MAX_BYTES};
+use emberpin_balancer::gossip::{decode, Entry, Message, MessageBuilder, MAX_BYTES};
 use emberpin_balancer::*;
-use recording::{assert_recorded, hex, lines, Recorded};
+use recording::{assert_recorded, hex, recorded_lines, Recorded};
 
 const WITH_RATE_LIMIT: usize = 1;
 const CUSTOMER: u64 = 5;
@@ -92,7 +92,8 @@
 }
 
 fn encode(message: &Message) -> Vec<u8> {
-    let mut writer = Writer::new(message.incarnation, message.in_flight, message.throughput);
+    let mut writer =
+        MessageBuilder::new(message.incarnation, message.in_flight, message.throughput);
     for entry in &message.entries {
         assert!(writer.push(*entry), "it fits");
     }
@@ -102,7 +103,7 @@
 #[test]
 fn every_datagram_is_read_and_written_as_it_was_recorded() {
     assert_recorded("datagrams.txt", &datagrams(), encode, |bytes| {
-        read(bytes).expect("a message")
+        decode(bytes).expect("a message")
     });
 }
 
@@ -178,7 +179,7 @@
 }
 
 fn recorded_handover(name: &str) -> (Handover, Vec<u8>) {
-    let recorded = lines("handover.txt", write_handover);
+    let recorded = recorded_lines("handover.txt", write_handover);
     let (_, bytes) = recorded
         .into_iter()
         .find(|(found, _)| found == name)
@@ -254,7 +255,7 @@
 
 #[test]
 fn an_ejection_in_the_recorded_handover_stays_in_effect_until_it_ends() {
-    let (time, bytes) = lines("handover-ejected.txt", write_ejected).remove(0);
+    let (time, bytes) = recorded_lines("handover-ejected.txt", write_ejected).remove(0);
     let now: Millis = time.parse().expect("a time");
     let handover = postcard::from_bytes(&bytes).expect("a handover");
     let (gateway, complete) =
--- a/crates/emberpin-bench/src/instructions.rs
+++ b/crates/emberpin-bench/src/instructions.rs
@@ -3,7 +3,7 @@
 
 use crate::{settings, AS_ENTRY};
 use bytes::Bytes;
-use emberpin_limiter::operate::request_path::Entry;
+use emberpin_limiter::operate::request_path::RequestPath;
 use http_body_util::Full;
 use hyper::{Request, StatusCode};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -25,7 +25,7 @@
     let requests: u64 = requests
         .parse()
         .map_err(|e| format!("{REQUESTS_VARIABLE}: {e}"))?;
-    let mut entry = Entry::from_env()?;
+    let mut entry = RequestPath::from_env()?;
     for number in 0..requests {
         let status = entry.exchange(request(number)?);
         if status != StatusCode::OK {
--- a/crates/emberpin-bench/src/keys.rs
+++ b/crates/emberpin-bench/src/keys.rs
@@ -5,7 +5,8 @@
 
 use bytes::Bytes;
 use emberpin_idempotency::{
-    Action, Customer, Event, Fingerprint, Form, Key, Limits, Secret, Table, Telling, Ticket, Weight,
+    Action, Customer, Event, Fingerprint, Form, Key, Limits, Secret, SizeInBytes, Table,
+    TableReply, Ticket,
 };
 use emberpin_testbed::report::percentile;
 use moka::sync::Cache;
@@ -26,8 +27,8 @@
 #[derive(Clone)]
 struct Response(Bytes);
 
-impl Weight for Response {
-    fn weight(&self) -> usize {
+impl SizeInBytes for Response {
+    fn size_bytes(&self) -> usize {
         self.0.len()
     }
 }
@@ -85,7 +86,7 @@
         let Ok(key) = Key::parse(name, Form::QuotedOrBare) else {
             return;
         };
-        let fingerprint = Fingerprint::of(&secret, "POST", "/api", 1, body);
+        let fingerprint = Fingerprint::compute(&secret, "POST", "/api", 1, body);
         let customer = Customer(*customer);
         actions.clear();
         table.handle(
@@ -98,7 +99,10 @@
             },
             &mut actions,
         );
-        replayed += u64::from(matches!(actions[..], [Action::Tell(_, Telling::Replay(_))]));
+        replayed += u64::from(matches!(
+            actions[..],
+            [Action::Reply(_, TableReply::Replay(_))]
+        ));
     };
     let mut served_actions = Vec::new();
     for (number, name) in customer_keys.iter().enumerate() {
--- a/crates/emberpin-config/src/digest.rs
+++ b/crates/emberpin-config/src/digest.rs
@@ -15,7 +15,7 @@
 
 impl Digest {
     /// The digest of an item's content, without its version. Tombstones have a digest, too.
-    pub fn of(item: &Item) -> Digest {
+    pub fn of_content(item: &Item) -> Digest {
         let mut canonical = Vec::new();
         match &item.body {
             None => canonical.push(b'-'),
--- a/crates/emberpin-config/src/history.rs
+++ b/crates/emberpin-config/src/history.rs
@@ -123,7 +123,7 @@
     /// Looks up the version of an item, which must be below the newest one.
     pub fn lookup(&self, item: &Item) -> PastVersion {
         match self.versions.get(&item.version) {
-            Some(digest) if *digest == Digest::of(item) => PastVersion::SameContent,
+            Some(digest) if *digest == Digest::of_content(item) => PastVersion::SameContent,
             Some(_) => PastVersion::OtherContent,
             None if self.floor.is_some_and(|floor| item.version <= floor) => {
                 PastVersion::BelowFloor
@@ -135,7 +135,7 @@
     /// Records a version below the newest one. If there are more than `max_versions`, the lowest versions are removed
     /// and the floor is raised to them.
     pub fn record(&mut self, item: &Item, max_versions: usize) {
-        self.versions.insert(item.version, Digest::of(item));
+        self.versions.insert(item.version, Digest::of_content(item));
         while self.versions.len() > max_versions {
             let lowest = self.versions.pop_first().map(|(version, _)| version);
             self.floor = self.floor.max(lowest);
--- a/crates/emberpin-config/tests/history.rs
+++ b/crates/emberpin-config/tests/history.rs
@@ -431,7 +431,7 @@
         };
         let newest: Configuration = [service_with(&a)].into_iter().collect();
         let same = validate(&newest, &patch_of(&[service_with(&b)])) == PatchOutcome::Duplicate;
-        prop_assert_eq!(Digest::of(&service_with(&a)) == Digest::of(&service_with(&b)), same, "{} {}", a, b);
+        prop_assert_eq!(Digest::of_content(&service_with(&a)) == Digest::of_content(&service_with(&b)), same, "{} {}", a, b);
     }
 
     #[test]
--- a/crates/emberpin-consensus/tests/register_callers/mod.rs
+++ b/crates/emberpin-consensus/tests/register_callers/mod.rs
@@ -9,7 +9,7 @@
 mod registry;
 
 use crate::cluster::Cluster;
-use emberpin_coordination::{group_of, FencingToken, Operation, Outcome, Revision};
+use emberpin_coordination::{cell_group, FencingToken, Operation, Outcome, Revision};
 use invariants::InvariantChecker;
 use registry::{LateRequests, Registry};
 use std::collections::BTreeMap;
@@ -472,5 +472,5 @@
 }
 
 fn group(cell: &str) -> String {
-    group_of(cell).into()
+    cell_group(cell).into()
 }
--- a/crates/emberpin-coordination/src/cell.rs
+++ b/crates/emberpin-coordination/src/cell.rs
@@ -2,7 +2,7 @@
 
 use crate::evaluate::Evaluation;
 use crate::history;
-use crate::operation::{group_of, Revision};
+use crate::operation::{cell_group, Revision};
 use crate::outcome::{CellEvent, Outcome};
 use crate::register::{read, write, InvalidRegister, RegisterKey, RegisterKind, Registers};
 use serde::{Deserialize, Serialize};
@@ -35,7 +35,7 @@
             return Ok(Evaluation::unchanged(Outcome::CellChanged { revision }));
         }
     }
-    let group = group_of(name);
+    let group = cell_group(name);
     let event = CellEvent {
         name: name.into(),
         value: value.into(),
--- a/crates/emberpin-coordination/src/history.rs
+++ b/crates/emberpin-coordination/src/history.rs
@@ -4,7 +4,7 @@
 //! one is cleared and reused, so the size of a history is bounded without a clock.
 
 use crate::evaluate::Evaluation;
-use crate::operation::{group_of, Revision};
+use crate::operation::{cell_group, Revision};
 use crate::outcome::{CellEvent, Outcome};
 use crate::register::{read, write, Change, InvalidRegister, RegisterKey, RegisterKind, Registers};
 use serde::{Deserialize, Serialize};
@@ -68,7 +68,7 @@
     value: &str,
     after: Revision,
 ) -> Result<Option<Revision>, InvalidRegister> {
-    let group = group_of(cell);
+    let group = cell_group(cell);
     let last = last_revision(registers, group)?;
     let encoded_value = serde_json::Value::from(value).to_string();
     let oldest = segment_of(after.next().max(oldest_kept(last)));
--- a/crates/emberpin-coordination/src/lib.rs
+++ b/crates/emberpin-coordination/src/lib.rs
@@ -21,6 +21,6 @@
 pub use evaluate::{evaluate, Evaluation};
 pub use history::MIN_RETAINED_EVENTS;
 pub use lock::{clock_tolerance, MAX_LISTED_LOCKS};
-pub use operation::{group_of, FencingToken, Operation, Revision};
+pub use operation::{cell_group, FencingToken, Operation, Revision};
 pub use outcome::{CellEvent, HeldLock, Outcome};
 pub use register::{Change, InvalidRegister, RegisterKey, RegisterKind, Registers};
--- a/crates/emberpin-coordination/src/operation.rs
+++ b/crates/emberpin-coordination/src/operation.rs
@@ -94,7 +94,7 @@
     },
     /// Reads the changes of a group after a revision, and waits for the first one if there are none.
     WatchGroup {
-        /// The group's name; see [`group_of`].
+        /// The group's name; see [`cell_group`].
         group: String,
         /// The revision up to which the caller knows all changes; [`Revision::NONE`] requests the current revision
         /// only.
@@ -134,6 +134,6 @@
 }
 
 /// The group of a cell: its name up to and including the first dot, or the whole name if there is none.
-pub fn group_of(cell: &str) -> &str {
+pub fn cell_group(cell: &str) -> &str {
     cell.find('.').map_or(cell, |dot| &cell[..=dot])
 }
--- a/crates/emberpin-idempotency/src/claims.rs
+++ b/crates/emberpin-idempotency/src/claims.rs
@@ -17,7 +17,7 @@
 use crate::fingerprint::Fingerprint;
 use crate::key::Key;
 use crate::record::{Customer, Millis, Record};
-use crate::table::{self, Limits, Table, Telling, Ticket, Weight};
+use crate::table::{self, Limits, SizeInBytes, Table, TableReply, Ticket};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -238,7 +238,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply<A> {
     /// A reply that a limiter deciding on its own could give too.
-    Standard(Telling<A>),
+    Standard(TableReply<A>),
     /// Too few holders of the key are available for a majority; nothing was sent.
     NoMajority,
 }
@@ -327,7 +327,7 @@
     loopback: Vec<Message<A>>,
 }
 
-impl<A: Clone + Weight> Claims<A> {
+impl<A: Clone + SizeInBytes> Claims<A> {
     /// Creates the state of a limiter that starts at `now`. All other limiters count as unreachable until
     /// [`Event::Reachable`] says otherwise.
     pub fn new(config: ClaimConfig, limits: Limits, now: Millis) -> Claims<A> {
@@ -506,16 +506,16 @@
     ) {
         let customer_key = (customer, key);
         if let Some(pending) = self.pending_claims.get_mut(&customer_key) {
-            let telling = if pending.fingerprint != fingerprint {
-                Telling::Mismatch
+            let table_reply = if pending.fingerprint != fingerprint {
+                TableReply::Mismatch
             } else if pending.waiters.len() >= self.config.waiters_per_key {
-                Telling::InFlight
+                TableReply::InFlight
             } else {
                 pending.waiters.push(ticket);
                 self.key_by_ticket.insert(ticket, customer_key);
                 return actions.push(Action::Hold(ticket));
             };
-            return actions.push(Action::Reply(ticket, Reply::Standard(telling)));
+            return actions.push(Action::Reply(ticket, Reply::Standard(table_reply)));
         }
         self.last_id += 1;
         let claim = Claim(self.last_id);
@@ -614,7 +614,7 @@
         if let Some(answer) = replay {
             return self.end_unsent(
                 customer_key,
-                &Reply::Standard(Telling::Replay(answer)),
+                &Reply::Standard(TableReply::Replay(answer)),
                 actions,
             );
         }
@@ -761,14 +761,14 @@
         if pending.lead_connected {
             actions.push(Action::Reply(
                 ticket,
-                Reply::Standard(Telling::Own(answer.clone())),
+                Reply::Standard(TableReply::Own(answer.clone())),
             ));
         }
         for waiter in pending.waiters {
             self.key_by_ticket.remove(&waiter);
             actions.push(Action::Reply(
                 waiter,
-                Reply::Standard(Telling::Replay(answer.clone())),
+                Reply::Standard(TableReply::Replay(answer.clone())),
             ));
         }
         let (claim, fingerprint, (customer, key)) =
@@ -953,13 +953,13 @@
                     }
                 }
                 table::Action::Drop(_) => {}
-                table::Action::Tell(ticket, telling) => {
+                table::Action::Reply(ticket, table_reply) => {
                     let Some(received) = self.received.remove(&ticket) else {
                         continue;
                     };
                     self.ticket_by_claim.remove(&received.claim_id);
                     let (to, claim) = received.claim_id;
-                    self.send(to, Message::Denied(claim, denial_for(telling)), actions);
+                    self.send(to, Message::Denied(claim, denial_for(table_reply)), actions);
                 }
             }
         }
@@ -1081,27 +1081,27 @@
         return Reply::NoMajority;
     };
     Reply::Standard(match denial.clone() {
-        Denial::Replay(answer) => Telling::Replay(answer),
-        Denial::NotKept => Telling::NotKept,
-        Denial::Mismatch => Telling::Mismatch,
-        Denial::Unknown => Telling::Unknown,
-        Denial::InFlight => Telling::InFlight,
-        Denial::Quiet => Telling::Quiet,
-        Denial::Full(retry_after) => Telling::Full { retry_after },
-        Denial::NotWritten => Telling::NotWritten,
+        Denial::Replay(answer) => TableReply::Replay(answer),
+        Denial::NotKept => TableReply::NotKept,
+        Denial::Mismatch => TableReply::Mismatch,
+        Denial::Unknown => TableReply::Unknown,
+        Denial::InFlight => TableReply::InFlight,
+        Denial::Quiet => TableReply::Quiet,
+        Denial::Full(retry_after) => TableReply::Full { retry_after },
+        Denial::NotWritten => TableReply::NotWritten,
     })
 }
 
-fn denial_for<A>(telling: Telling<A>) -> Denial<A> {
-    match telling {
-        Telling::Own(answer) | Telling::Replay(answer) => Denial::Replay(answer),
-        Telling::Mismatch => Denial::Mismatch,
-        Telling::InFlight => Denial::InFlight,
-        Telling::Unknown => Denial::Unknown,
-        Telling::NotKept => Denial::NotKept,
-        Telling::Full { retry_after } => Denial::Full(retry_after),
-        Telling::Quiet => Denial::Quiet,
-        Telling::NotWritten => Denial::NotWritten,
+fn denial_for<A>(table_reply: TableReply<A>) -> Denial<A> {
+    match table_reply {
+        TableReply::Own(answer) | TableReply::Replay(answer) => Denial::Replay(answer),
+        TableReply::Mismatch => Denial::Mismatch,
+        TableReply::InFlight => Denial::InFlight,
+        TableReply::Unknown => Denial::Unknown,
+        TableReply::NotKept => Denial::NotKept,
+        TableReply::Full { retry_after } => Denial::Full(retry_after),
+        TableReply::Quiet => Denial::Quiet,
+        TableReply::NotWritten => Denial::NotWritten,
     }
 }
 
--- a/crates/emberpin-idempotency/src/deduplicator.rs
+++ b/crates/emberpin-idempotency/src/deduplicator.rs
@@ -2,7 +2,7 @@
 
 use crate::claims::{Action, Claims, Event, Reply};
 use crate::record::Millis;
-use crate::table::{self, Table, Weight};
+use crate::table::{self, SizeInBytes, Table};
 
 /// Deduplicates the keyed requests of one limiter.
 #[derive(Clone)]
@@ -13,7 +13,7 @@
     Replicated(Box<Claims<A>>),
 }
 
-impl<A: Clone + Weight> Deduplicator<A> {
+impl<A: Clone + SizeInBytes> Deduplicator<A> {
     /// The key table of this limiter.
     pub fn table(&self) -> &Table<A> {
         match self {
@@ -78,7 +78,9 @@
             table::Action::Hold(ticket) => Action::Hold(ticket),
             table::Action::Drop(ticket) => Action::Drop(ticket),
             table::Action::Record(record, ticket) => Action::Record(record, ticket),
-            table::Action::Tell(ticket, telling) => Action::Reply(ticket, Reply::Standard(telling)),
+            table::Action::Reply(ticket, table_reply) => {
+                Action::Reply(ticket, Reply::Standard(table_reply))
+            }
         }));
     }
 }
--- a/crates/emberpin-idempotency/src/fingerprint.rs
+++ b/crates/emberpin-idempotency/src/fingerprint.rs
@@ -28,7 +28,13 @@
 impl Fingerprint {
     /// The fingerprint of a request's method, path with query, class and body. The length of each part is hashed before
     /// it, so that moving a byte from one part to the next changes the fingerprint.
-    pub fn of(secret: &Secret, method: &str, path: &str, class: usize, body: &[u8]) -> Fingerprint {
+    pub fn compute(
+        secret: &Secret,
+        method: &str,
+        path: &str,
+        class: usize,
+        body: &[u8],
+    ) -> Fingerprint {
         let mut hasher = blake3::Hasher::new_keyed(&secret.0);
         for part in [
             method.as_bytes(),
@@ -52,8 +58,9 @@
     #[test]
     fn every_part_changes_the_fingerprint_and_parts_do_not_run_together() {
         let secret = Secret::new([7; 32]);
-        let fingerprint_of =
-            |method, path, class, body: &[u8]| Fingerprint::of(&secret, method, path, class, body);
+        let fingerprint_of = |method, path, class, body: &[u8]| {
+            Fingerprint::compute(&secret, method, path, class, body)
+        };
         let reference = fingerprint_of("POST", "/api", 1, b"image");
         assert_eq!(reference, fingerprint_of("POST", "/api", 1, b"image"));
         for changed in [
@@ -63,7 +70,7 @@
             fingerprint_of("POST", "/api", 1, b"imagf"),
             fingerprint_of("POST", "/api", 1, b"image\0"),
             fingerprint_of("POST/", "api", 1, b"image"),
-            Fingerprint::of(&Secret::new([8; 32]), "POST", "/api", 1, b"image"),
+            Fingerprint::compute(&Secret::new([8; 32]), "POST", "/api", 1, b"image"),
         ] {
             assert_ne!(reference, changed);
         }
--- a/crates/emberpin-idempotency/src/lib.rs
+++ b/crates/emberpin-idempotency/src/lib.rs
@@ -27,4 +27,4 @@
 pub use key::{Form, InvalidKey, Key, MAX_KEY_LENGTH};
 pub use owner::owner;
 pub use record::{Customer, KeyStatus, Millis, Record};
-pub use table::{Action, Event, Limits, SweepCursor, Table, Telling, Ticket, Weight};
+pub use table::{Action, Event, Limits, SizeInBytes, SweepCursor, Table, TableReply, Ticket};
--- a/crates/emberpin-idempotency/src/table.rs
+++ b/crates/emberpin-idempotency/src/table.rs
@@ -19,9 +19,9 @@
 pub struct Ticket(pub u64);
 
 /// The size of an answer, for the limit of kept bytes.
-pub trait Weight {
+pub trait SizeInBytes {
     /// The size in bytes.
-    fn weight(&self) -> usize;
+    fn size_bytes(&self) -> usize;
 }
 
 /// The limits of a table. A customer may use at most its share of the table's limits, so that no customer can evict the
@@ -141,12 +141,12 @@
     /// ([`Event::Written`] or [`Event::Unwritten`]).
     Record(Record<A>, Option<Ticket>),
     /// Send the one reply that this request gets.
-    Tell(Ticket, Telling<A>),
+    Reply(Ticket, TableReply<A>),
 }
 
 /// The reply to a request. The numbers are the HTTP statuses that the host answers with.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Telling<A> {
+pub enum TableReply<A> {
     /// For the first request: its own outcome.
     Own(A),
     /// For a repeat: the outcome of the first request, unchanged.
@@ -239,7 +239,7 @@
     by_bytes: BTreeSet<(usize, Customer)>,
 }
 
-impl<A: Clone + Weight> Table<A> {
+impl<A: Clone + SizeInBytes> Table<A> {
     /// Creates an empty table for a process that starts at `now`.
     pub fn new(limits: Limits, now: Millis) -> Table<A> {
         let quiet_until = now + limits.quiet;
@@ -330,20 +330,20 @@
             return self.handle_unknown_key(ticket, customer, key, fingerprint);
         };
         if entry.fingerprint != fingerprint {
-            return Action::Tell(ticket, Telling::Mismatch);
+            return Action::Reply(ticket, TableReply::Mismatch);
         }
         let usage = self.customers.entry(customer).or_default();
         match &mut entry.state {
             State::Served {
                 answer: Some(answer),
-            } => Action::Tell(ticket, Telling::Replay(answer.clone())),
-            State::Served { answer: None } => Action::Tell(ticket, Telling::NotKept),
-            State::Unknown => Action::Tell(ticket, Telling::Unknown),
+            } => Action::Reply(ticket, TableReply::Replay(answer.clone())),
+            State::Served { answer: None } => Action::Reply(ticket, TableReply::NotKept),
+            State::Unknown => Action::Reply(ticket, TableReply::Unknown),
             State::InFlight { waiters, .. } => {
                 let has_capacity = waiters.len() < self.limits.waiters_per_key
                     && usage.waiters < self.limits.waiters_per_customer;
                 if !self.limits.wait || !has_capacity {
-                    return Action::Tell(ticket, Telling::InFlight);
+                    return Action::Reply(ticket, TableReply::InFlight);
                 }
                 waiters.push(ticket);
                 usage.waiters += 1;
@@ -390,7 +390,7 @@
                     .concluded
                     .push_back(id);
             }
-            return Action::Tell(ticket, Telling::Quiet);
+            return Action::Reply(ticket, TableReply::Quiet);
         }
         if full || own_full {
             // If both limits are reached, the one that is freed later counts. If all entries are in flight, the
@@ -411,9 +411,9 @@
             } else {
                 0.0
             };
-            return Action::Tell(
+            return Action::Reply(
                 ticket,
-                Telling::Full {
+                TableReply::Full {
                     retry_after: table_wait.max(share_wait),
                 },
             );
@@ -565,7 +565,7 @@
             return;
         };
         self.tickets.remove(&ticket);
-        self.conclude_with_reply(id, waiters, &Telling::Unknown, actions);
+        self.conclude_with_reply(id, waiters, &TableReply::Unknown, actions);
         if let (true, Some(entry)) = (self.limits.recorded, self.entries.get(&id)) {
             actions.push(Action::Record(self.record(entry, KeyStatus::Unknown), None));
         }
@@ -576,7 +576,7 @@
         &mut self,
         id: EntryId,
         waiters: Vec<Ticket>,
-        telling: &Telling<A>,
+        table_reply: &TableReply<A>,
         actions: &mut Vec<Action<A>>,
     ) {
         let Some(entry) = self.entries.get_mut(&id) else {
@@ -589,7 +589,7 @@
         self.concluded.push_back(id);
         for waiter in waiters {
             self.tickets.remove(&waiter);
-            actions.push(Action::Tell(waiter, telling.clone()));
+            actions.push(Action::Reply(waiter, table_reply.clone()));
         }
     }
 
@@ -616,12 +616,12 @@
                     entry.state = State::Served { answer: None };
                     if let Some(first) = first {
                         self.tickets.remove(&first);
-                        actions.push(Action::Tell(first, Telling::Own(answer.clone())));
+                        actions.push(Action::Reply(first, TableReply::Own(answer.clone())));
                     }
                     self.conclude_with_reply(
                         id,
                         waiters,
-                        &Telling::Replay(answer.clone()),
+                        &TableReply::Replay(answer.clone()),
                         actions,
                     );
                     id
@@ -636,7 +636,7 @@
                     State::Served { answer: None },
                     0.0,
                 );
-                self.conclude_with_reply(id, Vec::new(), &Telling::NotKept, actions);
+                self.conclude_with_reply(id, Vec::new(), &TableReply::NotKept, actions);
                 id
             }
         };
@@ -672,7 +672,7 @@
         actions.push(Action::Drop(ticket));
         for waiter in first.into_iter().chain(waiters) {
             self.tickets.remove(&waiter);
-            actions.push(Action::Tell(waiter, Telling::NotWritten));
+            actions.push(Action::Reply(waiter, TableReply::NotWritten));
         }
         self.remove_entry(id);
     }
@@ -820,14 +820,14 @@
         let customer = entry.customer;
         entry.expires = self.now + self.limits.retention;
         if first.is_some() {
-            actions.push(Action::Tell(ticket, Telling::Own(answer.clone())));
+            actions.push(Action::Reply(ticket, TableReply::Own(answer.clone())));
         }
         if let Some(usage) = self.customers.get_mut(&customer) {
             usage.waiters -= waiters.len();
         }
         for waiter in waiters {
             self.tickets.remove(&waiter);
-            actions.push(Action::Tell(waiter, Telling::Replay(answer.clone())));
+            actions.push(Action::Reply(waiter, TableReply::Replay(answer.clone())));
         }
         if let (true, Some(entry)) = (self.limits.recorded, self.entries.get(&id)) {
             let status = match outcome {
@@ -858,7 +858,7 @@
     /// answers are evicted; if the total is, the oldest answers of the customer that uses most bytes. An answer that is
     /// larger than the share is not kept.
     fn store_answer(&mut self, id: EntryId, customer: Customer, answer: A) {
-        let weight = answer.weight();
+        let weight = answer.size_bytes();
         let share = self
             .share(self.limits.answer_bytes)
             .min(self.limits.answer_bytes);
@@ -901,7 +901,7 @@
             return false;
         };
         if let State::Served { answer } = &mut entry.state {
-            let weight = answer.take().map_or(0, |answer| answer.weight());
+            let weight = answer.take().map_or(0, |answer| answer.size_bytes());
             self.update_bytes(customer, 0, weight);
         }
         true
@@ -981,7 +981,7 @@
             ..
         }) = self.entries.get(&id)
         {
-            let (customer, weight) = (*customer, answer.weight());
+            let (customer, weight) = (*customer, answer.size_bytes());
             self.update_bytes(customer, 0, weight);
             if let Some(usage) = self.customers.get_mut(&customer) {
                 usage.answers.retain(|kept| *kept != id);
--- a/crates/emberpin-idempotency/tests/claims.rs
+++ b/crates/emberpin-idempotency/tests/claims.rs
@@ -5,7 +5,8 @@
 
 use emberpin_idempotency::claims::*;
 use emberpin_idempotency::{
-    Customer, Fingerprint, Form, Key, Limits, Millis, Record, Secret, Telling, Ticket, Weight,
+    Customer, Fingerprint, Form, Key, Limits, Millis, Record, Secret, SizeInBytes, TableReply,
+    Ticket,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -16,8 +17,8 @@
     Failed,
 }
 
-impl Weight for Answer {
-    fn weight(&self) -> usize {
+impl SizeInBytes for Answer {
+    fn size_bytes(&self) -> usize {
         8
     }
 }
@@ -173,9 +174,9 @@
                     );
                     let kind = match reply {
                         Reply::NoMajority => "no majority",
-                        Reply::Standard(Telling::Own(_)) => "own",
-                        Reply::Standard(Telling::Replay(_)) => "replay",
-                        Reply::Standard(Telling::Unknown) => "unknown",
+                        Reply::Standard(TableReply::Own(_)) => "own",
+                        Reply::Standard(TableReply::Replay(_)) => "replay",
+                        Reply::Standard(TableReply::Unknown) => "unknown",
                         Reply::Standard(_) => "other",
                     };
                     *self.replies.entry(kind).or_default() += 1;
@@ -232,7 +233,7 @@
         self.unanswered.insert((at, ticket), (number, until));
         self.all_requests.insert((at, ticket), (number, until));
         let fingerprint =
-            Fingerprint::of(&Secret::new([1; 32]), "POST", "/", 1, &number.to_le_bytes());
+            Fingerprint::compute(&Secret::new([1; 32]), "POST", "/", 1, &number.to_le_bytes());
         let (customer, key) = (Customer(number % 2), key(number));
         self.handle_at(
             at,
--- a/crates/emberpin-idempotency/tests/explore.rs
+++ b/crates/emberpin-idempotency/tests/explore.rs
@@ -13,8 +13,8 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Nothing;
 
-impl Weight for Nothing {
-    fn weight(&self) -> usize {
+impl SizeInBytes for Nothing {
+    fn size_bytes(&self) -> usize {
         0
     }
 }
@@ -105,7 +105,8 @@
                     return true;
                 }
                 let key = Key::parse("k", Form::QuotedOrBare).expect("a key");
-                let fingerprint = Fingerprint::of(&Secret::new([0; 32]), "POST", "/api", 1, b"");
+                let fingerprint =
+                    Fingerprint::compute(&Secret::new([0; 32]), "POST", "/api", 1, b"");
                 let arrived = Event::Arrived {
                     ticket,
                     customer: CUSTOMER,
--- a/crates/emberpin-idempotency/tests/recorded.rs
+++ b/crates/emberpin-idempotency/tests/recorded.rs
@@ -20,7 +20,7 @@
 }
 
 fn fingerprint() -> Fingerprint {
-    Fingerprint::of(&Secret::new([7; 32]), "POST", "/api?a=b", 1, b"body")
+    Fingerprint::compute(&Secret::new([7; 32]), "POST", "/api?a=b", 1, b"body")
 }
 
 fn messages() -> Vec<(&'static str, Message<String>)> {
--- a/crates/emberpin-idempotency/tests/table.rs
+++ b/crates/emberpin-idempotency/tests/table.rs
@@ -8,8 +8,8 @@
 #[derive(Clone, Debug, PartialEq)]
 struct Answer(Vec<u8>);
 
-impl Weight for Answer {
-    fn weight(&self) -> usize {
+impl SizeInBytes for Answer {
+    fn size_bytes(&self) -> usize {
         self.0.len()
     }
 }
@@ -31,7 +31,7 @@
 }
 
 fn fingerprint_of(variant: u8) -> Fingerprint {
-    Fingerprint::of(&Secret::new([1; 32]), "POST", "/api", 1, &[variant])
+    Fingerprint::compute(&Secret::new([1; 32]), "POST", "/api", 1, &[variant])
 }
 
 fn answer(text: &str) -> Answer {
@@ -97,12 +97,15 @@
             ticket,
             answer: answer(text),
         });
-        assert_eq!(replies, [Action::Tell(ticket, Telling::Own(answer(text)))]);
+        assert_eq!(
+            replies,
+            [Action::Reply(ticket, TableReply::Own(answer(text)))]
+        );
     }
 
-    fn reply_to(&mut self, customer: u64, key: &str) -> Telling<Answer> {
+    fn reply_to(&mut self, customer: u64, key: &str) -> TableReply<Answer> {
         match self.arrive(customer, key) {
-            (_, Action::Tell(_, telling)) => telling,
+            (_, Action::Reply(_, table_reply)) => table_reply,
             (_, other) => panic!("{other:?}"),
         }
     }
@@ -121,11 +124,14 @@
     assert_eq!(
         replies,
         [
-            Action::Tell(first, Telling::Own(answer("signed"))),
-            Action::Tell(second, Telling::Replay(answer("signed")))
+            Action::Reply(first, TableReply::Own(answer("signed"))),
+            Action::Reply(second, TableReply::Replay(answer("signed")))
         ]
     );
-    assert_eq!(fixture.reply_to(1, "k"), Telling::Replay(answer("signed")));
+    assert_eq!(
+        fixture.reply_to(1, "k"),
+        TableReply::Replay(answer("signed"))
+    );
 }
 
 #[test]
@@ -133,7 +139,7 @@
     let mut fixture = Fixture::new(limits());
     fixture.serve(1, "k", "one");
     fixture.serve(2, "k", "two");
-    assert_eq!(fixture.reply_to(1, "k"), Telling::Replay(answer("one")));
+    assert_eq!(fixture.reply_to(1, "k"), TableReply::Replay(answer("one")));
 }
 
 #[test]
@@ -141,20 +147,20 @@
     let mut fixture = Fixture::new(limits());
     let first = fixture.forward(1, "k");
     let (ticket, action) = fixture.arrive_with(1, "k", 1);
-    assert_eq!(action, Action::Tell(ticket, Telling::Mismatch));
+    assert_eq!(action, Action::Reply(ticket, TableReply::Mismatch));
     fixture.handle(Event::Served {
         ticket: first,
         answer: answer("a"),
     });
     let (ticket, action) = fixture.arrive_with(1, "k", 1);
-    assert_eq!(action, Action::Tell(ticket, Telling::Mismatch));
+    assert_eq!(action, Action::Reply(ticket, TableReply::Mismatch));
     let failing = fixture.forward(1, "u");
     fixture.handle(Event::Failed {
         ticket: failing,
         answer: answer("502"),
     });
     let (ticket, action) = fixture.arrive_with(1, "u", 1);
-    assert_eq!(action, Action::Tell(ticket, Telling::Mismatch));
+    assert_eq!(action, Action::Reply(ticket, TableReply::Mismatch));
 }
 
 #[test]
@@ -168,7 +174,7 @@
     });
     assert_eq!(
         replies[1],
-        Action::Tell(waiter, Telling::Replay(answer("429")))
+        Action::Reply(waiter, TableReply::Replay(answer("429")))
     );
     assert_eq!(fixture.table.entries(), 0);
     fixture.forward(1, "k");
@@ -183,7 +189,7 @@
         answer: answer("502"),
     });
     fixture.now = RETENTION - 1.0;
-    assert_eq!(fixture.reply_to(1, "k"), Telling::Unknown);
+    assert_eq!(fixture.reply_to(1, "k"), TableReply::Unknown);
     fixture.now = RETENTION;
     fixture.forward(1, "k");
 }
@@ -200,7 +206,7 @@
     });
     assert_eq!(
         replies,
-        [Action::Tell(waiter, Telling::Replay(answer("a")))],
+        [Action::Reply(waiter, TableReply::Replay(answer("a")))],
         "the first client has left, so only the waiter gets a reply"
     );
 }
@@ -215,7 +221,10 @@
         ticket: first,
         answer: answer("a"),
     });
-    assert_eq!(replies, [Action::Tell(first, Telling::Own(answer("a")))]);
+    assert_eq!(
+        replies,
+        [Action::Reply(first, TableReply::Own(answer("a")))]
+    );
 }
 
 #[test]
@@ -226,7 +235,7 @@
     for _ in 0..1000 {
         match fixture.arrive(1, "k").1 {
             Action::Hold(_) => held += 1,
-            Action::Tell(_, Telling::InFlight) => in_flight += 1,
+            Action::Reply(_, TableReply::InFlight) => in_flight += 1,
             other => panic!("{other:?}"),
         }
     }
@@ -247,7 +256,7 @@
     }
     assert!(matches!(
         fixture.arrive(1, "b").1,
-        Action::Tell(_, Telling::InFlight)
+        Action::Reply(_, TableReply::InFlight)
     ));
     fixture.forward(2, "b");
     assert!(
@@ -263,7 +272,7 @@
         ..limits()
     });
     fixture.forward(1, "k");
-    assert_eq!(fixture.reply_to(1, "k"), Telling::InFlight);
+    assert_eq!(fixture.reply_to(1, "k"), TableReply::InFlight);
 }
 
 #[test]
@@ -274,7 +283,7 @@
     }
     fixture.now = 1000.0;
     for number in 50..10_000 {
-        let Telling::Full { retry_after } = fixture.reply_to(1, &format!("k{number}")) else {
+        let TableReply::Full { retry_after } = fixture.reply_to(1, &format!("k{number}")) else {
             panic!("not rejected as full")
         };
         assert_eq!(
@@ -285,7 +294,7 @@
     }
     assert_eq!(
         fixture.reply_to(1, "k0"),
-        Telling::Replay(answer("")),
+        TableReply::Replay(answer("")),
         "no entry of served work was removed"
     );
     fixture.serve(2, "k", "");
@@ -303,7 +312,7 @@
         }
         fixture.now += 100.0;
     }
-    let Telling::Full { retry_after } = fixture.reply_to(9, "k") else {
+    let TableReply::Full { retry_after } = fixture.reply_to(9, "k") else {
         panic!("not rejected as full")
     };
     fixture.now += retry_after;
@@ -318,16 +327,16 @@
         .iter()
         .for_each(|key| fixture.serve(1, key, &text));
     assert_eq!(fixture.table.answer_bytes(), 400, "its share is 500");
-    assert_eq!(fixture.reply_to(1, "a"), Telling::NotKept);
-    assert_eq!(fixture.reply_to(1, "b"), Telling::Replay(answer(&text)));
+    assert_eq!(fixture.reply_to(1, "a"), TableReply::NotKept);
+    assert_eq!(fixture.reply_to(1, "b"), TableReply::Replay(answer(&text)));
     // Other customers fill the table: answers of the customer that uses most bytes are evicted.
     fixture.serve(2, "a", &text);
     fixture.serve(3, "a", &text);
     fixture.serve(4, "a", &text);
     assert_eq!(fixture.table.answer_bytes(), 1000);
     fixture.serve(5, "a", &text);
-    assert_eq!(fixture.reply_to(1, "b"), Telling::NotKept);
-    assert_eq!(fixture.reply_to(2, "a"), Telling::Replay(answer(&text)));
+    assert_eq!(fixture.reply_to(1, "b"), TableReply::NotKept);
+    assert_eq!(fixture.reply_to(2, "a"), TableReply::Replay(answer(&text)));
 }
 
 #[test]
@@ -335,8 +344,11 @@
     let mut fixture = Fixture::new(limits());
     fixture.serve(1, "a", "small");
     fixture.serve(1, "b", &"b".repeat(501));
-    assert_eq!(fixture.reply_to(1, "b"), Telling::NotKept);
-    assert_eq!(fixture.reply_to(1, "a"), Telling::Replay(answer("small")));
+    assert_eq!(fixture.reply_to(1, "b"), TableReply::NotKept);
+    assert_eq!(
+        fixture.reply_to(1, "a"),
+        TableReply::Replay(answer("small"))
+    );
 }
 
 /// A request that arrives in the quiet period may have run before. It must be forwarded neither then nor on a retry:
@@ -348,9 +360,9 @@
         ..limits()
     });
     fixture.now = 1000.0;
-    assert_eq!(fixture.reply_to(1, "k"), Telling::Quiet);
+    assert_eq!(fixture.reply_to(1, "k"), TableReply::Quiet);
     fixture.now = RETENTION;
-    assert_eq!(fixture.reply_to(1, "k"), Telling::Unknown);
+    assert_eq!(fixture.reply_to(1, "k"), TableReply::Unknown);
     fixture.forward(1, "new");
     fixture.now = RETENTION + 1000.0;
     fixture.forward(1, "k");
@@ -363,7 +375,10 @@
         ..limits()
     });
     for number in 0..60 {
-        assert_eq!(fixture.reply_to(1, &format!("k{number}")), Telling::Quiet);
+        assert_eq!(
+            fixture.reply_to(1, &format!("k{number}")),
+            TableReply::Quiet
+        );
         fixture.now += 10.0;
     }
     assert_eq!(fixture.table.entries(), 50, "its share");
@@ -371,7 +386,7 @@
     fixture.forward(2, "k");
     assert_eq!(
         fixture.reply_to(1, "k59"),
-        Telling::Quiet,
+        TableReply::Quiet,
         "a key that could not be recorded in the quiet period"
     );
     fixture.now = 3.0 * RETENTION;
@@ -384,9 +399,9 @@
     fixture.now = 5000.0;
     fixture.serve(1, "k", "a");
     fixture.now = 0.0;
-    assert_eq!(fixture.reply_to(1, "k"), Telling::Replay(answer("a")));
+    assert_eq!(fixture.reply_to(1, "k"), TableReply::Replay(answer("a")));
     fixture.now = 5000.0 + RETENTION - 1.0;
-    assert_eq!(fixture.reply_to(1, "k"), Telling::Replay(answer("a")));
+    assert_eq!(fixture.reply_to(1, "k"), TableReply::Replay(answer("a")));
     fixture.now = 5000.0 + RETENTION;
     fixture.forward(1, "k");
 }
@@ -463,29 +478,29 @@
                             known.insert(customer_key, (variant, ModelState::InFlight));
                             in_flight.push((ticket, customer_key));
                         }
-                        (None, Action::Tell(_, Telling::Full { retry_after })) => {
+                        (None, Action::Reply(_, TableReply::Full { retry_after })) => {
                             let own = known.keys().filter(|(owner, _)| *owner == customer).count();
                             let share = ((entries as f64 * 0.5) as usize).max(1);
                             prop_assert!(known.len() >= entries || own >= share);
                             prop_assert!(retry_after > 0.0 && retry_after <= RETENTION);
                         }
-                        (Some((first_variant, _)), Action::Tell(_, Telling::Mismatch)) => {
+                        (Some((first_variant, _)), Action::Reply(_, TableReply::Mismatch)) => {
                             prop_assert!(*first_variant != variant);
                         }
                         (Some((first_variant, ModelState::InFlight)), Action::Hold(_)) => {
                             prop_assert!(*first_variant == variant && wait);
                             waiting.insert(ticket, customer_key);
                         }
-                        (Some((first_variant, ModelState::InFlight)), Action::Tell(_, Telling::InFlight)) => {
+                        (Some((first_variant, ModelState::InFlight)), Action::Reply(_, TableReply::InFlight)) => {
                             let same = waiting.values().filter(|other| **other == customer_key).count();
                             let own = waiting.values().filter(|(owner, _)| *owner == customer).count();
                             prop_assert!(*first_variant == variant && (!wait || same >= 3 || own >= 4));
                         }
-                        (Some((first_variant, ModelState::Served(kept, _))), Action::Tell(_, telling)) => {
+                        (Some((first_variant, ModelState::Served(kept, _))), Action::Reply(_, table_reply)) => {
                             prop_assert!(*first_variant == variant);
-                            prop_assert!(telling == Telling::Replay(kept.clone()) || telling == Telling::NotKept);
+                            prop_assert!(table_reply == TableReply::Replay(kept.clone()) || table_reply == TableReply::NotKept);
                         }
-                        (Some((first_variant, ModelState::MayHaveRun(_))), Action::Tell(_, Telling::Unknown)) => {
+                        (Some((first_variant, ModelState::MayHaveRun(_))), Action::Reply(_, TableReply::Unknown)) => {
                             prop_assert!(*first_variant == variant);
                         }
                         (known, action) => prop_assert!(false, "{known:?}: {action:?}"),
@@ -523,10 +538,10 @@
                     };
                     let mut replies: BTreeSet<Ticket> = BTreeSet::new();
                     for action in fixture.handle(event) {
-                        let Action::Tell(receiver, telling) = action else { panic!("{action:?}") };
+                        let Action::Reply(receiver, table_reply) = action else { panic!("{action:?}") };
                         prop_assert!(replies.insert(receiver) && !left.contains(&receiver));
-                        let expected = if receiver == ticket { Telling::Own(given.clone()) } else { Telling::Replay(given.clone()) };
-                        prop_assert_eq!(telling, expected);
+                        let expected = if receiver == ticket { TableReply::Own(given.clone()) } else { TableReply::Replay(given.clone()) };
+                        prop_assert_eq!(table_reply, expected);
                     }
                     let mut expected_tickets: BTreeSet<Ticket> =
                         waiting.iter().filter(|(_, other)| **other == customer_key).map(|(waiter, _)| *waiter).collect();
@@ -636,7 +651,7 @@
         fingerprint,
     });
     let actions = fixture.handle(Event::Unwritten { ticket });
-    let not_written = |ticket| Action::Tell(ticket, Telling::NotWritten);
+    let not_written = |ticket| Action::Reply(ticket, TableReply::NotWritten);
     assert_eq!(
         actions,
         [
@@ -723,20 +738,20 @@
     let log = log_of_one_incarnation();
     let mut fixture = restored_table(recorded_limits(), 5_000.0, &log, true);
     assert!(
-        matches!(fixture.arrive_with(1, "served", 1).1, Action::Tell(_, Telling::Replay(a)) if a == answer("served"))
+        matches!(fixture.arrive_with(1, "served", 1).1, Action::Reply(_, TableReply::Replay(a)) if a == answer("served"))
     );
     assert!(matches!(
         fixture.arrive_with(1, "served", 2).1,
-        Action::Tell(_, Telling::Mismatch)
+        Action::Reply(_, TableReply::Mismatch)
     ));
     assert!(matches!(
         fixture.arrive_with(1, "failed", 1).1,
-        Action::Tell(_, Telling::Unknown)
+        Action::Reply(_, TableReply::Unknown)
     ));
     // It was in flight when the incarnation ended, so it may have run.
     assert!(matches!(
         fixture.arrive_with(1, "out", 1).1,
-        Action::Tell(_, Telling::Unknown)
+        Action::Reply(_, TableReply::Unknown)
     ));
     // It never ran, so it is new work; so is any unknown key, without a quiet period.
     let (customer, fingerprint) = (Customer(1), fingerprint_of(1));
--- a/crates/emberpin-limiter/src/front/admission.rs
+++ b/crates/emberpin-limiter/src/front/admission.rs
@@ -1,7 +1,7 @@
 //! Checks that a request is well formed, by its head alone and before any state is allocated for it.
 
 use crate::operate::config::Config;
-use emberpin_balancer::host_config::{stable_hash, IndexNames};
+use emberpin_balancer::host_config::{stable_hash, NameIndex};
 use emberpin_balancer::{ClassId, CustomerId, GatewayId, Idempotency, PlanId};
 use hyper::body::Body;
 use hyper::header::{self, HeaderMap, HeaderName};
@@ -39,7 +39,7 @@
 
 /// The checks, with the settings that they need.
 pub struct Admission {
-    names: IndexNames,
+    names: NameIndex,
     /// For each class, whether it is safe, and its deadline.
     classes: Vec<(bool, Duration)>,
     group_size: u32,
--- a/crates/emberpin-limiter/src/limiter.rs
+++ b/crates/emberpin-limiter/src/limiter.rs
@@ -20,7 +20,7 @@
 use crate::operate::clock::Clock;
 use crate::operate::config::Config;
 use crate::operate::figures::LimiterMetrics;
-use crate::operate::operator::Operator;
+use crate::operate::operator::OperatorSettings;
 use crate::operate::operator_api;
 use crate::stages::idempotency::Idempotency;
 use crate::upstream::discovery::Discovery;
@@ -299,7 +299,7 @@
     metrics: Arc<LimiterMetrics>,
 ) {
     // Settings of operator files hold until the process exits, so they are not read again.
-    let operator = Operator::default();
+    let operator = OperatorSettings::default();
     while hung_up.recv().await.is_some() {
         match Config::from_env(&operator) {
             Ok(config) => {
--- a/crates/emberpin-limiter/src/operate/command.rs
+++ b/crates/emberpin-limiter/src/operate/command.rs
@@ -6,7 +6,7 @@
 use crate::operate::operator;
 use crate::stages::key_log;
 use clap::{Parser, Subcommand};
-use operator::Operator;
+use operator::OperatorSettings;
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -116,7 +116,7 @@
 }
 
 fn begin_log(with: &[PathBuf]) -> ExitCode {
-    let config = Operator::read(with).and_then(|operator| Config::from_env(&operator));
+    let config = OperatorSettings::read(with).and_then(|operator| Config::from_env(&operator));
     match config.and_then(|config| key_log::begin(&config)) {
         Ok(done) => {
             println!("{done}");
@@ -153,7 +153,7 @@
 }
 
 fn run(with: &[PathBuf]) -> ExitCode {
-    let config = Operator::read(with).and_then(|operator| Config::from_env(&operator));
+    let config = OperatorSettings::read(with).and_then(|operator| Config::from_env(&operator));
     match config.and_then(limiter::serve) {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
@@ -164,7 +164,7 @@
 }
 
 fn check(with: &[PathBuf]) -> ExitCode {
-    let operator = match Operator::read(with) {
+    let operator = match OperatorSettings::read(with) {
         Ok(operator) => operator,
         Err(problem) => {
             print_error(&problem);
--- a/crates/emberpin-limiter/src/operate/config.rs
+++ b/crates/emberpin-limiter/src/operate/config.rs
@@ -1,13 +1,13 @@
 //! The configuration that `GW_CONFIG` names, checked and in the program's own types.
 
 use crate::messages::MAX_BODY;
-use crate::operate::operator::{Connections, Idempotency, Link, Log, Operator};
+use crate::operate::operator::{Connections, Idempotency, Link, Log, OperatorSettings};
 use crate::operate::operator_api;
 use crate::operate::start::Start;
 use crate::operate::takeover::Takeover;
 use crate::upstream::endpoint_list::EndpointList;
 use crate::upstream::server::PoolLimits;
-use emberpin_balancer::host_config::{HostConfig, IndexNames};
+use emberpin_balancer::host_config::{HostConfig, NameIndex};
 use emberpin_balancer::Settings;
 use serde::Deserialize;
 use std::fmt;
@@ -46,7 +46,7 @@
     /// The endpoint list that the platform's file states.
     pub(crate) known: EndpointList,
     pub(crate) settings: Settings,
-    pub(crate) names: IndexNames,
+    pub(crate) names: NameIndex,
     /// Maximum number of connections with clients.
     pub(crate) client_sockets: usize,
     /// Maximum number of connections with servers.
@@ -103,7 +103,7 @@
     /// # Errors
     ///
     /// One line that names the file, the place in it, and the found and expected values.
-    pub fn from_env(operator: &Operator) -> Result<Config, String> {
+    pub fn from_env(operator: &OperatorSettings) -> Result<Config, String> {
         let path =
             std::env::var_os(PLATFORM_FILE).ok_or("GW_CONFIG names no configuration file")?;
         let shown = path.to_string_lossy();
@@ -149,7 +149,7 @@
         Duration::try_from_secs_f64(longest / 1000.0).unwrap_or_default()
     }
 
-    fn new(file: File, operator: &Operator) -> Result<Config, String> {
+    fn new(file: File, operator: &OperatorSettings) -> Result<Config, String> {
         let (settings, names) = file
             .settings
             .to_settings()
--- a/crates/emberpin-limiter/src/operate/operator.rs
+++ b/crates/emberpin-limiter/src/operate/operator.rs
@@ -13,7 +13,7 @@
 
 /// The settings of all operator files together.
 #[derive(Debug, Default, PartialEq)]
-pub struct Operator {
+pub struct OperatorSettings {
     /// How connections are shared out between clients and servers.
     pub connections: Connections,
     /// Deduplication of keyed requests; off without its table.
@@ -289,14 +289,14 @@
     takeover: Option<Takeover>,
 }
 
-impl Operator {
+impl OperatorSettings {
     /// Reads the files in this order.
     ///
     /// # Errors
     ///
     /// One line that names file, line and column, and the found and expected values.
-    pub fn read(files: &[PathBuf]) -> Result<Operator, String> {
-        let mut operator = Operator::default();
+    pub fn read(files: &[PathBuf]) -> Result<OperatorSettings, String> {
+        let mut operator = OperatorSettings::default();
         let mut set_by: BTreeMap<&str, &Path> = BTreeMap::new();
         for path in files {
             let shown = path.display();
@@ -373,7 +373,7 @@
     }
 }
 
-impl fmt::Display for Operator {
+impl fmt::Display for OperatorSettings {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Connections {
             client_share,
@@ -659,7 +659,7 @@
     use super::*;
 
     /// Writes these texts into files, reads them in order as operator files, and removes them.
-    fn read(texts: &[&str]) -> Result<Operator, String> {
+    fn read(texts: &[&str]) -> Result<OperatorSettings, String> {
         static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let number = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let folder =
@@ -670,17 +670,17 @@
             std::fs::write(&path, text).expect("written");
             path
         });
-        let operator = Operator::read(&files.collect::<Vec<_>>());
+        let operator = OperatorSettings::read(&files.collect::<Vec<_>>());
         std::fs::remove_dir_all(&folder).expect("removed");
         operator.map_err(|e| e.replace(&format!("{}/", folder.display()), ""))
     }
 
     #[test]
     fn settings_that_no_file_sets_have_their_defaults() {
-        assert_eq!(read(&[]), Ok(Operator::default()));
+        assert_eq!(read(&[]), Ok(OperatorSettings::default()));
         assert_eq!(
             read(&["# nothing", "[connections]"]),
-            Ok(Operator::default())
+            Ok(OperatorSettings::default())
         );
     }
 
@@ -752,14 +752,14 @@
         let shorter = idempotency("[idempotency]\nretention_s = 9\nquiet_s = 3");
         assert_eq!(shorter.quiet(), Duration::from_secs(3));
         let shown = |idempotency: Idempotency| {
-            Operator {
+            OperatorSettings {
                 idempotency: Some(idempotency),
-                ..Operator::default()
+                ..OperatorSettings::default()
             }
             .to_string()
         };
         assert!(shown(shorter).contains("may run again"));
-        assert!(Operator::default()
+        assert!(OperatorSettings::default()
             .to_string()
             .contains("[idempotency] off"));
     }
--- a/crates/emberpin-limiter/src/operate/request_path.rs
+++ b/crates/emberpin-limiter/src/operate/request_path.rs
@@ -6,7 +6,7 @@
 use crate::front::clients::remove_hop_by_hop_headers;
 use crate::messages::{Answer, ResponseHead, ServerResponse};
 use crate::operate::config::Config;
-use crate::operate::operator::Operator;
+use crate::operate::operator::OperatorSettings;
 use crate::upstream::endpoint_list::Entry as Listed;
 use bytes::Bytes;
 use emberpin_balancer::{
@@ -24,7 +24,7 @@
 const HOUSEKEEPING_INTERVAL: Millis = 100.0;
 
 /// Admission and decisions of one limiter.
-pub struct Entry {
+pub struct RequestPath {
     admission: Admission,
     gateway: Gateway,
     now: Millis,
@@ -33,14 +33,14 @@
     actions: Vec<Action>,
 }
 
-impl Entry {
+impl RequestPath {
     /// Creates a limiter from the file that `GW_CONFIG` names, with the servers listed there.
     ///
     /// # Errors
     ///
     /// Those of [`Config::from_env`].
-    pub fn from_env() -> Result<Entry, String> {
-        let config = Config::from_env(&Operator::default())?;
+    pub fn from_env() -> Result<RequestPath, String> {
+        let config = Config::from_env(&OperatorSettings::default())?;
         let servers = config.known.targets.iter().filter_map(|entry| match entry {
             Listed::Target(target) => target.server(&config.names).ok(),
             Listed::Garbled(_) => None,
@@ -48,7 +48,7 @@
         let servers = servers.collect();
         let admission = Admission::new(&config);
         let (gateway, now) = (Gateway::new(config.settings, config.seed, 0.0), 0.0);
-        let mut entry = Entry {
+        let mut entry = RequestPath {
             admission,
             gateway,
             now,
--- a/crates/emberpin-limiter/src/stages/idempotency.rs
+++ b/crates/emberpin-limiter/src/stages/idempotency.rs
@@ -18,8 +18,8 @@
     Action, ClaimConfig, ClaimId, Claims, Event, Member, Message, Reply,
 };
 use emberpin_idempotency::{
-    owner, Customer, Deduplicator, Fingerprint, Form, Key, Limits, Secret, SweepCursor, Table,
-    Telling, Ticket, Weight,
+    owner, Customer, Deduplicator, Fingerprint, Form, Key, Limits, Secret, SizeInBytes,
+    SweepCursor, Table, TableReply, Ticket,
 };
 use emberpin_peering::Incarnation;
 use emberpin_wal::{LogEvent, Ticket as RecordTicket};
@@ -45,8 +45,8 @@
     "an answer fits the smallest share that can be set"
 );
 
-impl Weight for Answer {
-    fn weight(&self) -> usize {
+impl SizeInBytes for Answer {
+    fn size_bytes(&self) -> usize {
         match self {
             Answer::Served(served) => served.body.len() + HEAD_WEIGHT,
             Answer::Rejected { .. } | Answer::Failed => HEAD_WEIGHT,
@@ -303,7 +303,8 @@
             .path_and_query()
             .map_or("/", |path| path.as_str());
         let method = outgoing.method.as_str();
-        let fingerprint = Fingerprint::of(&self.secret, method, path, terms.class.0, request.body);
+        let fingerprint =
+            Fingerprint::compute(&self.secret, method, path, terms.class.0, request.body);
         if let (Some(takeover), Some(gate)) = (&self.takeover, &gate) {
             takeover.set_payload(gate, outgoing, &terms, key.clone(), fingerprint);
         }
@@ -340,7 +341,7 @@
         });
         let reply = timeout_at(request.expires, reply).await;
         drop(pending_client);
-        if let (Some(gate), Ok(Ok(Reply::Standard(Telling::Own(_))))) = (&gate, &reply) {
+        if let (Some(gate), Ok(Ok(Reply::Standard(TableReply::Own(_))))) = (&gate, &reply) {
             _ = timeout_at(request.expires, gate.completion_known()).await;
         }
         crash_points::reach("reply");
@@ -632,7 +633,7 @@
             Some(None) => {}
             Some(Some(Some(next))) => self.sweep = Some(next),
             Some(Some(None)) => {
-                if log.retire(self.segment) {
+                if log.remove_segments_before(self.segment) {
                     (self.sweep, self.size_after_sweep) = (None, log.bytes());
                 }
             }
@@ -708,8 +709,8 @@
 /// The response for a deduplicator's reply. 429 and 503 promise that a retry does no harm, so they are used only for
 /// requests that were never sent.
 fn response_to(reply: Reply<Answer>) -> Response<Content> {
-    let telling = match reply {
-        Reply::Standard(telling) => telling,
+    let table_reply = match reply {
+        Reply::Standard(table_reply) => table_reply,
         Reply::NoMajority => {
             let detail = "too few of the limiters that hold this customer's keys are there; nothing was sent";
             return problem(
@@ -719,43 +720,43 @@
             );
         }
     };
-    match telling {
-        Telling::Own(answer) => client_response(answer),
-        Telling::Replay(answer) => {
+    match table_reply {
+        TableReply::Own(answer) => client_response(answer),
+        TableReply::Replay(answer) => {
             let mut response = client_response(answer);
             response
                 .headers_mut()
                 .insert(REPLAYED, HeaderValue::from_static("true"));
             response
         }
-        Telling::Mismatch => {
+        TableReply::Mismatch => {
             let detail = "this Idempotency-Key stands for another request";
             problem(StatusCode::UNPROCESSABLE_ENTITY, detail, None)
         }
-        Telling::InFlight => problem(
+        TableReply::InFlight => problem(
             StatusCode::CONFLICT,
             "the first request of this Idempotency-Key is in flight",
             None,
         ),
-        Telling::Unknown => {
+        TableReply::Unknown => {
             let detail =
                 "the first request of this Idempotency-Key may have run; it is not sent again";
             problem(StatusCode::CONFLICT, detail, None)
         }
-        Telling::NotKept => {
+        TableReply::NotKept => {
             let detail =
                 "the first request of this Idempotency-Key was served; its answer is not kept any more";
             problem(StatusCode::CONFLICT, detail, None)
         }
-        Telling::Full { retry_after } => {
+        TableReply::Full { retry_after } => {
             let detail = "no place for another Idempotency-Key; nothing was sent";
             problem(StatusCode::SERVICE_UNAVAILABLE, detail, Some(retry_after))
         }
-        Telling::NotWritten => {
+        TableReply::NotWritten => {
             let detail = "this Idempotency-Key cannot be written down now; nothing was sent";
             problem(StatusCode::SERVICE_UNAVAILABLE, detail, None)
         }
-        Telling::Quiet => {
+        TableReply::Quiet => {
             let detail = "just started: whether this Idempotency-Key ran before is not known; it is not sent";
             problem(StatusCode::CONFLICT, detail, None)
         }
--- a/crates/emberpin-limiter/src/stages/key_log.rs
+++ b/crates/emberpin-limiter/src/stages/key_log.rs
@@ -75,7 +75,7 @@
         .ok_or("no operator file has a table [log]; give it by --with")?;
     let shown = folder.display();
     let identity = identity(config)?;
-    let created = Log::begin(lock_files(folder)?, &identity);
+    let created = Log::initialize(lock_files(folder)?, &identity);
     created.map_err(|problem| format!("log {shown}: {problem}"))?;
     Ok(format!("begun the log of '{}' in {shown}", config.name))
 }
@@ -84,12 +84,12 @@
     Ok(Identity {
         instance: config.name.clone(),
         boot: boot_id(),
-        fresh: random()?,
+        new_log_id: random()?,
     })
 }
 
 fn lock_files(folder: &Path) -> Result<Files, String> {
-    Files::take(folder).map_err(|e| match e.kind() {
+    Files::lock(folder).map_err(|e| match e.kind() {
         std::io::ErrorKind::WouldBlock => {
             format!("log {}: another process has it open", folder.display())
         }
@@ -231,8 +231,8 @@
     }
 
     /// Requests the removal of all segments before this one. Returns false if the log does not accept the request now.
-    pub fn retire(&self, before: u64) -> bool {
-        self.service.retire(before).is_ok()
+    pub fn remove_segments_before(&self, before: u64) -> bool {
+        self.service.remove_segments_before(before).is_ok()
     }
 }
 
--- a/crates/emberpin-limiter/src/upstream/driver.rs
+++ b/crates/emberpin-limiter/src/upstream/driver.rs
@@ -15,7 +15,7 @@
 use crate::upstream::peer_lists::PeerLists;
 use crate::upstream::roster::Roster;
 use crate::upstream::server::{Pool, Upstream};
-use emberpin_balancer::host_config::IndexNames;
+use emberpin_balancer::host_config::NameIndex;
 use emberpin_balancer::{Action, Event, Gateway, MembershipUpdate, PoolSize, ServerId, Settings};
 use emberpin_startup::list_guard::{ListScope, ListSummary, Verdict};
 use std::collections::BTreeSet;
@@ -28,7 +28,7 @@
 /// The engine, and the parts of the limiter that concern no single request.
 pub struct Driver {
     engine: Engine,
-    names: IndexNames,
+    names: NameIndex,
     pool: Rc<Pool>,
     roster: Roster,
     metrics: Arc<LimiterMetrics>,
@@ -422,7 +422,7 @@
     state: HandoverState,
     settings: Settings,
     seed: u64,
-    names: &IndexNames,
+    names: &NameIndex,
     clock: Clock,
     roster: &mut Roster,
 ) -> (Gateway, EndpointList) {
--- a/crates/emberpin-limiter/src/upstream/endpoint_list.rs
+++ b/crates/emberpin-limiter/src/upstream/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list in the format of the list service: the full list, or changes to it.
 
-use emberpin_balancer::host_config::{stable_hash, IndexNames, ServerEntry, UnknownZone};
+use emberpin_balancer::host_config::{stable_hash, NameIndex, ServerEntry, UnknownZone};
 use emberpin_balancer::{Server, ServerId, ServerStatus};
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Serialize};
@@ -84,7 +84,7 @@
     /// # Errors
     ///
     /// [`UnknownZone`] if the settings have no such zone.
-    pub fn server(&self, names: &IndexNames) -> Result<Server, UnknownZone> {
+    pub fn server(&self, names: &NameIndex) -> Result<Server, UnknownZone> {
         names.server(ServerEntry {
             id: self.id(),
             zone: &self.zone,
--- a/crates/emberpin-limiter/src/upstream/list_calls.rs
+++ b/crates/emberpin-limiter/src/upstream/list_calls.rs
@@ -87,7 +87,7 @@
         if self.first_call_made.get() {
             return;
         }
-        let Some(message) = gossip::read(bytes) else {
+        let Some(message) = gossip::decode(bytes) else {
             return;
         };
         let peer_started_at_ms =
--- a/crates/emberpin-limiter/tests/limiter.rs
+++ b/crates/emberpin-limiter/tests/limiter.rs
@@ -665,7 +665,7 @@
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
                 received => received.expect("received"),
             };
-            let message = gossip::read(&bytes[..length]).expect("sound");
+            let message = gossip::decode(&bytes[..length]).expect("sound");
             let customer = stable_hash("00000001b4d65521");
             let counts_customer = |entry: &gossip::Entry| matches!(entry, gossip::Entry::Count { customer: c, .. } if *c == customer);
             if message.entries.iter().any(counts_customer) && !incarnations.contains(&message.incarnation) {
--- a/crates/emberpin-limiter/tests/recorded_disk.rs
+++ b/crates/emberpin-limiter/tests/recorded_disk.rs
@@ -10,7 +10,7 @@
 use emberpin_idempotency::{KeyStatus, Record};
 use emberpin_startup::snapshot;
 use emberpin_wal::{Files, Header, Identity, Log, Scanned};
-use recording::{file, hex, lines, Recorded};
+use recording::{hex, recorded_bytes, recorded_lines, Recorded};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use sockets::*;
@@ -198,11 +198,11 @@
 }
 
 fn recorded_keys() -> Vec<Recorded> {
-    lines("log-keys.txt", write_keys)
+    recorded_lines("log-keys.txt", write_keys)
 }
 
 fn recorded_quiet() -> Vec<Recorded> {
-    lines("log-quiet.txt", write_quiet)
+    recorded_lines("log-quiet.txt", write_quiet)
 }
 
 /// A limiter, not started yet, whose log contains these records, written in an earlier boot of the machine.
@@ -211,10 +211,10 @@
     let identity = Identity {
         instance: "n0".into(),
         boot: [1; 16],
-        fresh: [9; 16],
+        new_log_id: [9; 16],
     };
-    let mut folder = Files::take(&site.folder).expect("taken");
-    Log::begin(&mut folder, &identity).expect("begun");
+    let mut folder = Files::lock(&site.folder).expect("taken");
+    Log::initialize(&mut folder, &identity).expect("begun");
     let (mut log, recovery) = Log::open(folder, &identity, |_| {}).expect("open");
     assert_eq!(recovery.lost, None);
     let payloads: Vec<&[u8]> = records
@@ -362,10 +362,9 @@
 }
 
 fn recorded_list() -> (snapshot::SnapshotHeader, String) {
-    open_list(&file(
-        "kept-list",
-        || write_list(&mut Site::with_snapshot()),
-    ))
+    open_list(&recorded_bytes("kept-list", || {
+        write_list(&mut Site::with_snapshot())
+    }))
 }
 
 #[test]
--- a/crates/emberpin-limiter/tests/recorded_peers.rs
+++ b/crates/emberpin-limiter/tests/recorded_peers.rs
@@ -14,7 +14,7 @@
 use emberpin_idempotency::{Fingerprint, Key};
 use emberpin_startup::list_messages::{ListMessage, ListVersion, WatcherHeartbeat};
 use peer::{Peer, ReceivedMessage};
-use recording::{hex, lines, Recorded};
+use recording::{hex, recorded_lines, Recorded};
 use serde::{Deserialize, Serialize};
 use sockets::*;
 use std::collections::BTreeMap;
@@ -256,7 +256,7 @@
 }
 
 fn recorded(name: &str) -> Vec<u8> {
-    find(lines("peers.txt", write_messages), name)
+    find(recorded_lines("peers.txt", write_messages), name)
 }
 
 fn encoded_work(going: &[u8]) -> (Work, FirstAttempt) {
@@ -531,7 +531,7 @@
 }
 
 fn recorded_lists(name: &str) -> (String, ListMessage, Vec<u8>) {
-    let body = find(lines("peers-lists.txt", write_lists), name);
+    let body = find(recorded_lines("peers-lists.txt", write_lists), name);
     let (service, message) = of_lists(&body);
     (service, message, body)
 }
--- a/crates/emberpin-limiter/tests/recorded_upgrade.rs
+++ b/crates/emberpin-limiter/tests/recorded_upgrade.rs
@@ -10,7 +10,7 @@
 
 use emberpin_balancer::{Handover, Usage};
 use emberpin_upgrade::frame::{self, HEADER_LEN, HELLO_LEN};
-use recording::{hex, lines, Recorded};
+use recording::{hex, recorded_lines, Recorded};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use sockets::*;
@@ -217,7 +217,7 @@
 }
 
 fn recorded_state() -> Vec<u8> {
-    lines("state.txt", || vec![("state".into(), write_state())])
+    recorded_lines("state.txt", || vec![("state".into(), write_state())])
         .remove(0)
         .1
 }
@@ -244,7 +244,7 @@
 }
 
 fn recorded_update(name: &str) -> Vec<u8> {
-    let recorded = lines("told.txt", write_updates);
+    let recorded = recorded_lines("told.txt", write_updates);
     recorded
         .into_iter()
         .find(|(found, _)| found == name)
--- a/crates/emberpin-limiter/tests/upgrade.rs
+++ b/crates/emberpin-limiter/tests/upgrade.rs
@@ -137,7 +137,7 @@
         let unix = std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
             .expect("after 1970");
-        let hello = gossip::Writer::new(unix.as_millis() as u32, 0.0, 0.0).finish();
+        let hello = gossip::MessageBuilder::new(unix.as_millis() as u32, 0.0, 0.0).finish();
         let started = Instant::now();
         for number in 0.. {
             assert!(
--- a/crates/emberpin-membership/src/timing.rs
+++ b/crates/emberpin-membership/src/timing.rs
@@ -45,7 +45,7 @@
 pub const AVOIDANCE_PERIOD: Duration = Duration::from_millis(5_000);
 /// The time that the connection, the snapshot and the first confirmation of a new session are assumed to take without a
 /// fault.
-pub const CATCH_UP: Duration = Duration::from_millis(400);
+pub const CATCH_UP_TIME: Duration = Duration::from_millis(400);
 
 /// The greatest age of a registry's state if one comparison of the stores fails and there is no other fault.
 pub const MAX_REGISTRY_AGE: Duration = sum(&[
@@ -107,7 +107,7 @@
         PROXY_LEASE_DURATION,
         LEASE_CHECK_INTERVAL,
         Backoff::longest(RECONNECT_BACKOFF.initial),
-        CATCH_UP,
+        CATCH_UP_TIME,
     ]);
     let mut attempts = 0;
     let mut pause = RECONNECT_BACKOFF.initial;
--- a/crates/emberpin-membership/tests/timing.rs
+++ b/crates/emberpin-membership/tests/timing.rs
@@ -36,7 +36,7 @@
     expect_that!(timing::LEASE_CHECK_INTERVAL, eq(ms(50)));
     expect_that!(timing::CHANGE_BATCH_DELAY, eq(ms(5)));
     expect_that!(timing::AVOIDANCE_PERIOD, eq(ms(5_000)));
-    expect_that!(timing::CATCH_UP, eq(ms(400)));
+    expect_that!(timing::CATCH_UP_TIME, eq(ms(400)));
 }
 
 #[gtest]
--- a/crates/emberpin-peering/tests/common/recording.rs
+++ b/crates/emberpin-peering/tests/common/recording.rs
@@ -23,7 +23,7 @@
             .map(|(name, value)| (name.to_string(), encode(value)))
             .collect()
     };
-    let recorded = lines(fixture, write);
+    let recorded = recorded_lines(fixture, write);
     let names = |names: Vec<&str>| names.join(" ");
     assert_eq!(
         names(recorded.iter().map(|(name, _)| name.as_str()).collect()),
@@ -46,8 +46,8 @@
 
 /// The names and bytes in a fixture, which has a line `name hex` for each; `write` returns them when the fixture is
 /// recorded.
-pub fn lines(fixture: &str, write: impl FnOnce() -> Vec<Recorded>) -> Vec<Recorded> {
-    let text = file(fixture, || {
+pub fn recorded_lines(fixture: &str, write: impl FnOnce() -> Vec<Recorded>) -> Vec<Recorded> {
+    let text = recorded_bytes(fixture, || {
         let lines = write()
             .into_iter()
             .map(|(name, bytes)| format!("{name} {}\n", hex(&bytes)));
@@ -58,7 +58,7 @@
 }
 
 /// The bytes of a fixture; `write` returns them when the fixture is recorded.
-pub fn file(fixture: &str, write: impl FnOnce() -> Vec<u8>) -> Vec<u8> {
+pub fn recorded_bytes(fixture: &str, write: impl FnOnce() -> Vec<u8>) -> Vec<u8> {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures")
         .join(fixture);
--- a/crates/emberpin-proxy/src/registry_sessions/session.rs
+++ b/crates/emberpin-proxy/src/registry_sessions/session.rs
@@ -123,7 +123,7 @@
         let preamble = process.receive_preamble(reader).await?;
         if waits_for_version {
             let version = process.common_version(&preamble);
-            write_all(writer, &frames::for_version(&hello, version)).await?;
+            write_all(writer, &frames::convert_for_version(&hello, version)).await?;
         }
         tokio::select! {
             Err(error) = self.send(writer) => Err(SessionError::Protocol(error)),
--- a/crates/emberpin-registry/src/connection.rs
+++ b/crates/emberpin-registry/src/connection.rs
@@ -93,7 +93,7 @@
 ) -> Result<(), ConnectionError> {
     while let Some(frame) = queue.recv().await {
         writer
-            .write_all(&frames::for_version(&frame, version))
+            .write_all(&frames::convert_for_version(&frame, version))
             .await?;
     }
     Ok(())
--- a/crates/emberpin-registry/src/store_subscription.rs
+++ b/crates/emberpin-registry/src/store_subscription.rs
@@ -118,7 +118,7 @@
         let mut reader = BufReader::new(reader);
         let preamble = receive_preamble(&self.identity, &mut reader, IDLE_TIMEOUT).await?;
         if let Some(system) = preamble.system.filter(|_| store == self.state.local_ip()) {
-            self.identity.learn_system(system);
+            self.identity.set_system_if_unknown(system);
         }
         tokio::select! {
             result = self.send_confirmation_requests(&mut writer) => Ok(result?),
--- a/crates/emberpin-runtime/src/frames.rs
+++ b/crates/emberpin-runtime/src/frames.rs
@@ -79,7 +79,7 @@
 
 /// Converts the frames of one message, as [`encode`] returns them, for a peer that speaks `version` of the protocol:
 /// for version 2, several frames are joined into one.
-pub fn for_version(frames: &[u8], version: ProtocolVersion) -> Cow<'_, [u8]> {
+pub fn convert_for_version(frames: &[u8], version: ProtocolVersion) -> Cow<'_, [u8]> {
     if version >= ProtocolVersion::V3 || !is_split(frames) {
         return Cow::Borrowed(frames);
     }
--- a/crates/emberpin-runtime/src/identity.rs
+++ b/crates/emberpin-runtime/src/identity.rs
@@ -58,7 +58,7 @@
     }
 
     /// Sets the system unless it is already known. Returns whether it was set.
-    pub fn learn_system(&self, system: SystemId) -> bool {
+    pub fn set_system_if_unknown(&self, system: SystemId) -> bool {
         self.system
             .compare_exchange(0, system.get(), Ordering::Relaxed, Ordering::Relaxed)
             .is_ok()
--- a/crates/emberpin-runtime/tests/frames.rs
+++ b/crates/emberpin-runtime/tests/frames.rs
@@ -2,7 +2,7 @@
 //! connection.
 
 use emberpin_runtime::frames::{
-    encode, for_version, read, ConnectionError, MAX_FRAME_BYTES, MAX_MESSAGE_BYTES,
+    convert_for_version, encode, read, ConnectionError, MAX_FRAME_BYTES, MAX_MESSAGE_BYTES,
 };
 use emberpin_runtime::protocol_version::ProtocolVersion;
 use googletest::prelude::*;
@@ -147,8 +147,11 @@
     ] {
         let message = "y".repeat(length);
         let frames = encode(&message).expect("frames");
-        expect_that!(*for_version(&frames, ProtocolVersion::V3), eq(&frames[..]));
-        let single = for_version(&frames, ProtocolVersion::V2);
+        expect_that!(
+            *convert_for_version(&frames, ProtocolVersion::V3),
+            eq(&frames[..])
+        );
+        let single = convert_for_version(&frames, ProtocolVersion::V2);
         let [(continues, _)] = frames_in(&single)[..] else {
             panic!("{length}: {:?}", frames_in(&single));
         };
--- a/crates/emberpin-runtime/tests/preamble.rs
+++ b/crates/emberpin-runtime/tests/preamble.rs
@@ -16,7 +16,7 @@
     let process = ProcessIdentity::new(1);
     system_id(system_number)
         .into_iter()
-        .for_each(|system| _ = process.learn_system(system));
+        .for_each(|system| _ = process.set_system_if_unknown(system));
     process
 }
 
@@ -162,7 +162,7 @@
 fn a_known_system_is_not_replaced() {
     let process = process(7);
     expect_that!(
-        process.learn_system(SystemId::new(u64::MAX).expect("not 0")),
+        process.set_system_if_unknown(SystemId::new(u64::MAX).expect("not 0")),
         eq(false)
     );
     expect_that!(process.preamble().system, eq(system_id(7)));
--- a/crates/emberpin-startup/tests/recorded.rs
+++ b/crates/emberpin-startup/tests/recorded.rs
@@ -7,7 +7,7 @@
 
 use emberpin_startup::list_messages::{Incarnation, ListMessage, ListVersion, WatcherHeartbeat};
 use emberpin_startup::snapshot::{decode, encode, SnapshotHeader};
-use recording::{assert_recorded, file};
+use recording::{assert_recorded, recorded_bytes};
 use std::time::{Duration, UNIX_EPOCH};
 
 const VERSION: ListVersion = ListVersion {
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_recorded_snapshot_is_decoded_and_encoded_as_it_was() {
-    let recorded = file("kept-list", || encode(&header(), ENTRIES));
+    let recorded = recorded_bytes("kept-list", || encode(&header(), ENTRIES));
     let soon_after = header().written_at + Duration::from_secs(1);
     let (read, entries) =
         decode(&recorded, "norr/n-3", soon_after, Duration::from_secs(60)).expect("a snapshot");
--- a/crates/emberpin-store/src/peer_links.rs
+++ b/crates/emberpin-store/src/peer_links.rs
@@ -138,7 +138,7 @@
             return ConnectionEnd::BrokenUnused;
         };
         if let Some(system) = preamble.system.filter(|_| self.is_seed) {
-            self.identity.learn_system(system);
+            self.identity.set_system_if_unknown(system);
         }
         let version = self.identity.common_version(&preamble);
         let mut end = ConnectionEnd::BrokenUnused;
--- a/crates/emberpin-store/src/send_queue.rs
+++ b/crates/emberpin-store/src/send_queue.rs
@@ -143,7 +143,7 @@
     if version < frame.oldest_version {
         return true;
     }
-    let bytes = frames::for_version(&frame.bytes, version);
+    let bytes = frames::convert_for_version(&frame.bytes, version);
     matches!(
         timeout(WRITE_TIMEOUT, writer.write_all(&bytes)).await,
         Ok(Ok(()))
--- a/crates/emberpin-store/src/system_record.rs
+++ b/crates/emberpin-store/src/system_record.rs
@@ -46,7 +46,7 @@
     pub fn load(folder: PathBuf, identity: Arc<ProcessIdentity>) -> SystemRecord {
         let system = read_system_id(&folder);
         if let Some(system) = system {
-            identity.learn_system(system);
+            identity.set_system_if_unknown(system);
         }
         SystemRecord {
             folder,
@@ -63,7 +63,7 @@
         }
         if self.identity.system().is_none() {
             if let Some(system) = founded_system() {
-                self.identity.learn_system(system);
+                self.identity.set_system_if_unknown(system);
             }
         }
         if let Some(system) = self.identity.system() {
--- a/crates/emberpin-store/tests/connections.rs
+++ b/crates/emberpin-store/tests/connections.rs
@@ -92,7 +92,7 @@
             expect_that!(wait_for_system(node).await, eq(own));
         }
         let foreign = ProcessIdentity::new(1);
-        foreign.learn_system(SystemId::new(own.get() ^ 1).expect("a system"));
+        foreign.set_system_if_unknown(SystemId::new(own.get() ^ 1).expect("a system"));
         let mut stream = nodes[3].connect_raw().await;
         let (mut reader, mut writer) = stream.split();
         expect_that!(
--- a/crates/emberpin-upgrade/tests/recorded.rs
+++ b/crates/emberpin-upgrade/tests/recorded.rs
@@ -9,7 +9,7 @@
 use emberpin_upgrade::frame::{
     body_len, check_hello, decode, encode, encode_hello, Message, HEADER_LEN, HELLO_LEN,
 };
-use recording::{assert_recorded, file};
+use recording::{assert_recorded, recorded_bytes};
 
 fn messages() -> Vec<(&'static str, Message<String>)> {
     vec![
@@ -41,7 +41,7 @@
 
 #[test]
 fn the_recorded_hello_is_accepted_and_encoded_as_it_was() {
-    let recorded = file("hello", || encode_hello().to_vec());
+    let recorded = recorded_bytes("hello", || encode_hello().to_vec());
     let recorded: [u8; HELLO_LEN] = recorded.try_into().expect("a hello's length");
     assert_eq!(check_hello(&recorded), Ok(()));
     assert_eq!(encode_hello(), recorded);
--- a/crates/emberpin-wal/src/files.rs
+++ b/crates/emberpin-wal/src/files.rs
@@ -26,7 +26,7 @@
     /// # Errors
     ///
     /// [`io::ErrorKind::WouldBlock`] if another process has locked it; otherwise the error of the file system.
-    pub fn take(folder: &Path) -> io::Result<Files> {
+    pub fn lock(folder: &Path) -> io::Result<Files> {
         std::fs::DirBuilder::new()
             .recursive(true)
             .mode(0o700)
--- a/crates/emberpin-wal/src/lib.rs
+++ b/crates/emberpin-wal/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! The log is not a database: records cannot be looked up in it. It is compacted by its writer, which starts a new
 //! segment ([`Log::rotate`]), rewrites the records that it still needs, and removes the older segments
-//! ([`Log::retire`]).
+//! ([`Log::remove_segments_before`]).
 #![forbid(unsafe_code)]
 
 mod files;
--- a/crates/emberpin-wal/src/log.rs
+++ b/crates/emberpin-wal/src/log.rs
@@ -37,7 +37,7 @@
     /// Id of the machine's current boot; all zero if it is not known.
     pub boot: [u8; 16],
     /// Random id, from the system's random source, that a newly created log gets.
-    pub fresh: [u8; 16],
+    pub new_log_id: [u8; 16],
 }
 
 /// A recovered record.
@@ -55,7 +55,7 @@
 /// Why durable records may be missing. The serialized names are those of the first release.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum DataLoss {
-    /// There is no log, and none was created with [`Log::begin`].
+    /// There is no log, and none was created with [`Log::initialize`].
     NoLog,
     /// A file does not match its checksums.
     Damaged {
@@ -140,7 +140,7 @@
         /// Name of the instance that it belongs to.
         found: String,
     },
-    /// [`Log::begin`] was called where a log exists already.
+    /// [`Log::initialize`] was called where a log exists already.
     AlreadyExists,
     /// An operation of the file system failed.
     Io {
@@ -483,14 +483,14 @@
     /// # Errors
     ///
     /// [`OpenError::AlreadyExists`] if there is a log, [`OpenError::Io`] if an operation of the file system fails.
-    pub fn begin(mut storage: S, identity: &Identity) -> Result<(), OpenError> {
+    pub fn initialize(mut storage: S, identity: &Identity) -> Result<(), OpenError> {
         if !segment_numbers(&mut storage)
             .map_err(io_error("list", "the folder"))?
             .is_empty()
         {
             return Err(OpenError::AlreadyExists);
         }
-        Log::create(storage, identity, identity.fresh, 1, 1, 0, false).map(|_| ())
+        Log::create(storage, identity, identity.new_log_id, 1, 1, 0, false).map(|_| ())
     }
 
     /// Recovers a log: passes every record to `visit` in the order in which they were written, and starts a new segment
@@ -522,7 +522,7 @@
         let after_loss = chain.recovery.lost.is_some();
         // A gap in the numbers after a loss, so that the next opening detects it too if this process ends at once.
         let first = durable + 1 + u64::from(after_loss);
-        let log_id = chain.log_id.unwrap_or(identity.fresh);
+        let log_id = chain.log_id.unwrap_or(identity.new_log_id);
         let segment = chain.last_segment.unwrap_or(0) + 1;
         let mut log = Log::create(
             storage, identity, log_id, segment, first, durable, after_loss,
@@ -697,7 +697,7 @@
     }
 
     /// Starts a new segment, and returns its number. Once the log's writer has rewritten the records that it still
-    /// needs, [`Log::retire`] removes the segments before it.
+    /// needs, [`Log::remove_segments_before`] removes the segments before it.
     ///
     /// # Errors
     ///
@@ -722,7 +722,7 @@
     /// # Errors
     ///
     /// [`WriteError`]; the segments that are left are removed by the next call.
-    pub fn retire(&mut self, before: u64) -> Result<(), WriteError> {
+    pub fn remove_segments_before(&mut self, before: u64) -> Result<(), WriteError> {
         self.sync()?;
         let old: Vec<u64> = self
             .segments
--- a/crates/emberpin-wal/src/service.rs
+++ b/crates/emberpin-wal/src/service.rs
@@ -28,7 +28,7 @@
         ticket: Option<Ticket>,
     },
     Rotate,
-    Retire(u64),
+    RemoveSegmentsBefore(u64),
 }
 
 /// The outcome of queued commands.
@@ -116,8 +116,8 @@
     /// # Errors
     ///
     /// If the queue is full.
-    pub fn retire(&self, before: u64) -> Result<(), QueueFull> {
-        self.send(Command::Retire(before))
+    pub fn remove_segments_before(&self, before: u64) -> Result<(), QueueFull> {
+        self.send(Command::RemoveSegmentsBefore(before))
     }
 
     fn send(&self, command: Command) -> Result<(), QueueFull> {
@@ -166,7 +166,9 @@
                 Command::Append { payload, ticket } => next = self.write(payload, ticket, notify),
                 Command::Rotate => notify(LogEvent::Rotated(self.log.rotate())),
                 // Segments that cannot be removed now are removed by the next retirement.
-                Command::Retire(before) => _ = self.log.retire(before),
+                Command::RemoveSegmentsBefore(before) => {
+                    _ = self.log.remove_segments_before(before)
+                }
             }
             self.bytes.store(self.log.bytes(), Ordering::Relaxed);
         }
--- a/crates/emberpin-wal/tests/common/mod.rs
+++ b/crates/emberpin-wal/tests/common/mod.rs
@@ -222,14 +222,14 @@
     Identity {
         instance: "n0".into(),
         boot: [1; 16],
-        fresh: [9; 16],
+        new_log_id: [9; 16],
     }
 }
 
 /// A log that was created as by an operator, and has no records.
 pub fn created_log() -> Memory {
     let mut memory = Memory::default();
-    Log::begin(&mut memory, &identity()).expect("created");
+    Log::initialize(&mut memory, &identity()).expect("created");
     memory
 }
 
--- a/crates/emberpin-wal/tests/recorded.rs
+++ b/crates/emberpin-wal/tests/recorded.rs
@@ -8,7 +8,7 @@
 
 use common::*;
 use emberpin_wal::{FileIdentity, Header, Log, Recovery, Scanned, VERSION};
-use recording::{hex, lines, Recorded};
+use recording::{hex, recorded_lines, Recorded};
 
 const FIRST: &str = "0000000001.log";
 const SECOND: &str = "0000000002.log";
@@ -58,7 +58,7 @@
 }
 
 fn recorded_files() -> Vec<Recorded> {
-    lines("log.txt", || files(&write_torn_log()))
+    recorded_lines("log.txt", || files(&write_torn_log()))
 }
 
 /// The recorded folder. Its files have the inodes that their headers contain.
--- a/crates/emberpin-wal/tests/recovery.rs
+++ b/crates/emberpin-wal/tests/recovery.rs
@@ -112,7 +112,7 @@
             // Compaction: all records are rewritten, and the old segments are removed.
             let again: Vec<Vec<u8>> = (1..=n).map(record).collect();
             if log.write(&again, true).is_ok() {
-                _ = log.retire(log.segment());
+                _ = log.remove_segments_before(log.segment());
             }
         }
     }
@@ -247,7 +247,7 @@
     assert!(recovery.lost.is_some());
     log.rotate().expect("rotated");
     log.write(&[record(9)], true).expect("written");
-    log.retire(log.segment()).expect("retired");
+    log.remove_segments_before(log.segment()).expect("retired");
     drop(log);
     let (_, recovery, read) = open(&mut restored).expect("open");
     assert_eq!((read, recovery.lost), (vec![record(9)], None));
@@ -294,7 +294,7 @@
         })
     );
     assert!(matches!(
-        Log::begin(log_of(1), &identity()),
+        Log::initialize(log_of(1), &identity()),
         Err(OpenError::AlreadyExists)
     ));
 }
@@ -314,7 +314,7 @@
         "the records before the damage are recovered"
     );
     log.write(&read, true).expect("written");
-    log.retire(log.segment()).expect("retired");
+    log.remove_segments_before(log.segment()).expect("retired");
     drop(log);
     assert_eq!(memory.files["damaged"].bytes, damaged);
     assert!(!memory.files.contains_key(SECOND));
@@ -360,12 +360,12 @@
 #[test]
 fn a_folder_is_locked_by_one_process_and_can_be_inspected_meanwhile() {
     let folder = tempfile::tempdir().expect("a folder");
-    let files = Files::take(folder.path()).expect("locked");
-    let conflict = Files::take(folder.path()).expect_err("locked already");
+    let files = Files::lock(folder.path()).expect("locked");
+    let conflict = Files::lock(folder.path()).expect_err("locked already");
     assert_eq!(conflict.kind(), std::io::ErrorKind::WouldBlock);
-    Log::begin(files, &identity()).expect("created");
+    Log::initialize(files, &identity()).expect("created");
     let (mut log, recovery, _) =
-        open(Files::take(folder.path()).expect("free again")).expect("open");
+        open(Files::lock(folder.path()).expect("free again")).expect("open");
     assert_eq!(recovery.lost, None);
     log.write(&[record(1), record(2)], true).expect("written");
     let report = inspect(folder.path()).expect("inspected");
@@ -398,7 +398,7 @@
     let copy = tempfile::tempdir().expect("a folder");
     std::fs::copy(folder.path().join(FIRST), copy.path().join(FIRST)).expect("copied");
     std::fs::copy(folder.path().join("mark"), copy.path().join("mark")).expect("copied");
-    let (_, recovery, _) = open(Files::take(copy.path()).expect("free")).expect("open");
+    let (_, recovery, _) = open(Files::lock(copy.path()).expect("free")).expect("open");
     assert_eq!(recovery.lost, Some(DataLoss::Copied { file: FIRST.into() }));
 }
 
@@ -445,7 +445,7 @@
                     model.iter_mut().for_each(|entry| entry.2 = true);
                 }
                 Step::Retire => {
-                    log.retire(log.segment()).expect("retired");
+                    log.remove_segments_before(log.segment()).expect("retired");
                     model.retain(|entry| entry.0 >= log.segment());
                     model.iter_mut().for_each(|entry| entry.2 = true);
                 }
--- a/crates/emberpin-wal/tests/service.rs
+++ b/crates/emberpin-wal/tests/service.rs
@@ -134,8 +134,8 @@
 #[test]
 fn dropping_the_service_writes_all_queued_records() {
     let folder = tempfile::tempdir().expect("a folder");
-    let files = || emberpin_wal::Files::take(folder.path()).expect("locked");
-    emberpin_wal::Log::begin(files(), &identity()).expect("created");
+    let files = || emberpin_wal::Files::lock(folder.path()).expect("locked");
+    emberpin_wal::Log::initialize(files(), &identity()).expect("created");
     let (log, ..) = open(files()).expect("open");
     let service = Service::start(log, |_| ()).expect("a thread");
     for n in 1..=50 {
